--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -10,6 +10,8 @@
 import sys
 from pathlib import Path
 
+import pytest
+
 from tests.sockets import connect_until_up, free_port, run
 from tests.test_settings import CLASS
 from woadyard.testing import Endpoint, read_message, request
@@ -56,8 +58,12 @@
     assert ended.returncode == 2 and ended.stderr.startswith(b"usage: laurelstep")
 
 
-def test_the_demo_ends_by_itself_with_every_promise_kept() -> None:
-    words = [*COMMAND, "demo", "--seconds", "3", "--rate", "100", "--json"]
+@pytest.mark.parametrize(
+    "options", [["--seconds", "3", "--rate", "100"], []], ids=["short", "default length"]
+)
+def test_the_demo_ends_by_itself_with_every_promise_kept(options: list[str]) -> None:
+    """Its default length is longer than a watch of discovery may be silent; a short run is not."""
+    words = [*COMMAND, "demo", *options, "--json"]
     ended = subprocess.run(words, env=CLEAN, capture_output=True, check=False, timeout=60)
     assert ended.returncode == 0, ended.stderr
     told = json.loads(ended.stdout)
--- a/woadyard/demo/world.py
+++ b/woadyard/demo/world.py
@@ -18,16 +18,14 @@
 
 from woadyard.testing import (
     Caller,
+    DiscoveryServer,
     Effects,
     Endpoint,
     Message,
-    Registry,
     Writer,
     answer,
     free_port,
-    push,
     request,
-    whole_list,
 )
 
 # Mean work in seconds of the three speeds, and how many endpoints have each.
@@ -172,12 +170,12 @@
 
 
 @contextlib.contextmanager
-def config_file(port: int, registry: Registry, known: dict[str, Any]) -> Iterator[dict[str, str]]:
+def config_file(port: int, discovery: DiscoveryServer) -> Iterator[dict[str, str]]:
     """The environment of a daemon, with its configuration in a file."""
     with tempfile.TemporaryDirectory(prefix="laurelstep-") as folder:
         raw = {
-            "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{registry.port}", "seed": "1",
-            "limits": {"sockets": 1024}, "settings": SETTINGS, "known": known,
+            "listen": f"127.0.0.1:{port}", "discovery": discovery.address, "seed": "1",
+            "limits": {"sockets": 1024}, "settings": SETTINGS, "known": discovery.whole_list(),
         }  # fmt: skip
         path = Path(folder, "config.json")
         path.write_text(json.dumps(raw))
@@ -202,18 +200,17 @@
                 gate = unstalled if name == STALLED else never
                 worker.work_with(world.draw, asyncio.Semaphore(CORES), gate)
                 world.workers.append(await stack.enter_async_context(worker))
-        registry = Registry()
-        listener = await registry.start()
-        stack.callback(listener.close)
         entries = [one.entry(one.name, machineType=one.speed) for one in world.workers]
+        discovery = await stack.enter_async_context(DiscoveryServer(entries))
         port = free_port()
-        environ = stack.enter_context(config_file(port, registry, whole_list(*entries)))
+        environ = stack.enter_context(config_file(port, discovery))
         daemon = await asyncio.create_subprocess_exec(sys.executable, "-m", "woadyard", env=environ)
         try:
-            _, watch = await registry.asked.get()
             await ready(port, daemon)
             world.began = time.monotonic()
-            await asyncio.gather(arrivals(world, port), course(world, watch, unstalled), ticks(world, tick))
+            await asyncio.gather(
+                arrivals(world, port), course(world, discovery, unstalled), ticks(world, tick)
+            )
         finally:
             unstalled.set()
             for caller in world.idle:
@@ -236,7 +233,7 @@
     raise RuntimeError(f"the daemon ended with status {daemon.returncode}")
 
 
-async def course(world: World, watch: Writer, unstalled: asyncio.Event) -> None:
+async def course(world: World, discovery: DiscoveryServer, unstalled: asyncio.Event) -> None:
     """One endpoint stalls from a third to a half of the time, one drains at two thirds."""
     steps: list[tuple[float, Callable[[], Awaitable[None]]]] = []
     stalled = next(one for one in world.workers if one.name == STALLED)
@@ -251,8 +248,7 @@
         stalled.state, world.event = "ready", f"{STALLED} answers again"
 
     async def drain() -> None:
-        push(watch, 2, False, drained.entry(DRAINED, machineType=drained.speed, lifecycle="draining"))
-        await watch.drain()
+        discovery.publish(drained.entry(DRAINED, machineType=drained.speed, lifecycle="draining"))
         world.drained_at = time.monotonic()
         drained.state, world.event = "draining", f"discovery says that {DRAINED} drains"
 
--- a/woadyard/testing/__init__.py
+++ b/woadyard/testing/__init__.py
@@ -8,6 +8,7 @@
 """
 
 from woadyard.testing.callers import Caller, request
+from woadyard.testing.discovery import DiscoveryServer
 from woadyard.testing.endpoints import (
     Effects,
     Endpoint,
@@ -30,6 +31,7 @@
 
 __all__ = [
     "Caller",
+    "DiscoveryServer",
     "Effects",
     "Endpoint",
     "Handler",
