--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -2,11 +2,15 @@
 
 from __future__ import annotations
 
+import os
+import shutil
 import subprocess
 import sys
 import tomllib
 from pathlib import Path
 
+import pytest
+
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
 
@@ -31,3 +35,29 @@
     for name in ("run", "sim"):
         assert DEPLOY[name].startswith("exec ")
         assert not set(DEPLOY[name]) & set(";|&`$<>\n")
+
+
+@pytest.mark.parametrize("is_relative", [True, False], ids=["relative", "absolute"])
+def test_lay_copies_the_benchs_files_from_a_kit(tmp_path: Path, is_relative: bool) -> None:
+    kit, sites, elsewhere = tmp_path / "kit", tmp_path / "work/deploy/sites", tmp_path / "work/tests"
+    source = kit / "more/mass/other"
+    for folder in (source, sites, elsewhere):
+        folder.mkdir(parents=True)
+    files = {"real.json": "{}", "wire.json": "[]", "unlock.txt": "words"}
+    for name, text in files.items():
+        (source / name).write_text(text)
+    (sites / "real.json").write_text("from an older kit")
+    lay = shutil.copy2(ROOT / "deploy/sites/lay", sites / "lay")
+    command = [lay, os.path.relpath(kit, elsewhere) if is_relative else kit]
+    subprocess.run(command, cwd=elsewhere, check=True)
+    assert {name: (sites / name).read_text() for name in files} == files
+    assert sorted(path.name for path in sites.iterdir()) == sorted([*files, "lay"])
+
+
+@pytest.mark.parametrize("arguments", [[], ["no-such-kit"]], ids=["none", "missing"])
+def test_lay_without_a_kit_fails_and_leaves_what_there_is(tmp_path: Path, arguments: list[str]) -> None:
+    lay = shutil.copy2(ROOT / "deploy/sites/lay", tmp_path / "lay")
+    (tmp_path / "real.json").write_text("from an older kit")
+    ended = subprocess.run([lay, *arguments], cwd=tmp_path, capture_output=True, check=False)
+    assert ended.returncode != 0 and ended.stderr
+    assert (tmp_path / "real.json").read_text() == "from an older kit"
