--- a/tests/test_testing.py
+++ b/tests/test_testing.py
@@ -16,7 +16,11 @@
     Caller,
     Effects,
     Endpoint,
+    Handler,
+    Message,
     Registry,
+    Writer,
+    answer,
     close,
     in_turn,
     paced,
@@ -117,6 +121,71 @@
     run(main())
 
 
+CLOSES = close(executes=False)
+
+
+def test_a_request_that_crosses_the_close_of_a_kept_connection_is_sent_once_more() -> None:
+    async def main() -> None:
+        endpoint = Endpoint(in_turn(serve(), CLOSES, serve(b"again"), CLOSES, CLOSES, serve()))
+        async with endpoint, Caller("127.0.0.1", endpoint.port, resends_after_close=True) as caller:
+            assert (await caller.ask(request())).body == b"ok"
+            assert (await caller.ask(request(rid="r2"))).body == b"again"
+            with pytest.raises(asyncio.IncompleteReadError):
+                await caller.ask(request(rid="r3"))
+        assert [one.headers["x-request-id"] for one in endpoint.got] == ["r1", "r2", "r2", "r3", "r3"]
+
+    run(main())
+
+
+def test_a_connection_that_was_closed_at_rest_is_opened_anew() -> None:
+    async def main() -> None:
+        async def serve_and_close(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+            writer.write(answer())
+            writer.close()
+
+        endpoint = Endpoint(serve_and_close)
+        async with endpoint, Caller("127.0.0.1", endpoint.port, resends_after_close=True) as caller:
+            for number in range(1, 4):
+                assert (await caller.ask(request())).body == b"ok"
+                assert caller.streams is not None
+                assert await caller.streams[0].read() == b"", "until the close has come"
+                assert endpoint.count == endpoint.opened == number
+
+    run(main())
+
+
+@pytest.mark.parametrize(
+    ("resends", "script"),
+    [
+        (False, in_turn(serve(), CLOSES, serve())),
+        (True, in_turn(serve(), close(begun=b"HTTP/1.1 200 O"), serve())),
+        (True, in_turn(serve(), reset(), serve())),
+    ],
+    ids=["not asked for", "begun", "reset"],
+)
+def test_a_request_that_may_have_been_read_is_not_sent_again(resends: bool, script: Handler) -> None:
+    async def main() -> None:
+        endpoint = Endpoint(script)
+        async with endpoint, Caller("127.0.0.1", endpoint.port, resends_after_close=resends) as caller:
+            assert (await caller.ask(request())).body == b"ok"
+            with pytest.raises((OSError, asyncio.IncompleteReadError)):
+                await caller.ask(request(rid="r2"))
+        assert endpoint.count == 2
+
+    run(main())
+
+
+def test_a_new_connection_that_is_closed_is_no_reason_to_send_again() -> None:
+    async def main() -> None:
+        endpoint = Endpoint(in_turn(CLOSES, serve()))
+        async with endpoint, Caller("127.0.0.1", endpoint.port, resends_after_close=True) as caller:
+            with pytest.raises(asyncio.IncompleteReadError):
+                await caller.ask(request())
+        assert endpoint.count == 1
+
+    run(main())
+
+
 def test_discovery_tells_what_it_is_given() -> None:
     async def main() -> None:
         registry = Registry()
--- a/woadyard/demo/world.py
+++ b/woadyard/demo/world.py
@@ -290,7 +290,7 @@
     key = f"k{number}" if cls == "upload" else None
     body = b"" if cls == "view" else b"album"
     raw = request(cls, body, rid=f"demo-{number}", key=key, deadline_ms=2000)
-    caller = world.idle.pop() if world.idle else Caller("127.0.0.1", port)
+    caller = world.idle.pop() if world.idle else Caller("127.0.0.1", port, resends_after_close=True)
     began = time.monotonic()
     try:
         back = await caller.ask(raw)
--- a/woadyard/testing/callers.py
+++ b/woadyard/testing/callers.py
@@ -32,15 +32,30 @@
 
 
 class Caller:
-    """One connection to a front, opened when it is needed and kept while it may be."""
+    """One connection to a front, opened when it is needed and kept while it may be.
 
-    def __init__(self, host: str, port: int) -> None:
+    A front may close a kept connection between requests. With `resends_after_close` a request that
+    crosses such a close is sent once more on a new connection, as the platform's clients do.
+    """
+
+    def __init__(self, host: str, port: int, *, resends_after_close: bool = False) -> None:
         self.host = host
         self.port = port
+        self.resends_after_close = resends_after_close
         self.streams: tuple[Reader, Writer] | None = None
 
     async def ask(self, raw: bytes) -> Message:
         """The answer to these bytes. OSError or `asyncio.IncompleteReadError` if there is none."""
+        if self.streams is None or not self.resends_after_close:
+            return await self._ask(raw)
+        try:
+            return await self._ask(raw)
+        except asyncio.IncompleteReadError as error:
+            if error.partial:
+                raise
+        return await self._ask(raw)
+
+    async def _ask(self, raw: bytes) -> Message:
         if self.streams is None:
             self.streams = await asyncio.open_connection(self.host, self.port)
         reader, writer = self.streams
