--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -19,21 +19,19 @@
 from woadyard.library import Client, ClientError, ConfigError, Ending, Member, Reply, Request, RequestError
 from woadyard.library.client import Exchange, State
 from woadyard.testing import (
+    DiscoveryServer,
     Effects,
     Endpoint,
     Message,
-    Registry,
     Writer,
     after,
     in_turn,
-    push,
     refuse,
     reset,
     serve,
     spoil,
     stall,
     status,
-    whole_list,
 )
 
 VIEW = Request("page", "/page?obj=7f", tenant="acme")
@@ -393,17 +391,14 @@
 
 def test_members_come_from_discovery_where_one_is_named(play: Play) -> None:
     async def main() -> None:
-        registry = Registry()
-        async with Endpoint() as endpoint, await registry.start():
-            raw = {**config(), "discovery": f"127.0.0.1:{registry.port}", "known": whole_list(generation=7)}
+        async with Endpoint() as endpoint, DiscoveryServer(generation=7) as discovery:
+            raw = {**config(), "discovery": discovery.address, "known": discovery.whole_list()}
             async with Client.open(raw) as client:
-                start, watch = await registry.asked.get()
-                assert "from=7 " in start
-                push(watch, 8, True, endpoint.entry("s-3"))
+                assert await discovery.opened.get() == 7
+                discovery.replace(endpoint.entry("s-3"))
                 assert (await client.send(VIEW)).endpoint == "s-3", "the module holds it until then"
                 with pytest.raises(ClientError, match="discovery"):
                     client.members([])
-            watch.close()
 
     play(main)
 
