--- a/tests/faulty_outbox.py
+++ b/tests/faulty_outbox.py
@@ -23,7 +23,7 @@
     """What earlier lives kept."""
     real = Outbox.restore
 
-    def restore(self: Outbox, writes: Any, *more: Any) -> list[Change]:
+    def restore(self: Outbox, writes: Any, *more: Any, **options: Any) -> list[Change]:
         return real(self, [], *more)
 
     Outbox.restore = restore  # type: ignore[method-assign,assignment]
--- /dev/null
+++ b/tests/test_clocks.py
@@ -0,0 +1,463 @@
+"""A wall clock that is stepped: spans of real time stay what they are. See docs/design/clocks.md."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import shutil
+from collections.abc import AsyncIterator
+from dataclasses import dataclass, replace
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from tests.test_orders import AGAIN, ORDER, SERVED, opened, pay, said
+from woadyard.library import Client
+from woadyard.orders.book import answer_of, order_key
+from woadyard.orders.recorder import OrderRecorder
+from woadyard.outbox.causes import Tokens
+from woadyard.outbox.dots import Dot, Line
+from woadyard.outbox.frontier import Alone
+from woadyard.outbox.journal import Event, Reason
+from woadyard.outbox.outbox import Bounds, End, KeptClass, Offer, Outbox
+from woadyard.outbox.store import KeptStore
+from woadyard.store import FolderDisk, Options, Store
+from woadyard.store.clock import (
+    NOTE_INTERVAL_MS,
+    STEP_MOST_MS,
+    ClockNote,
+    StoreClock,
+    StoreClocks,
+    boot_identity,
+)
+from woadyard.testing import Endpoint
+from woadyard.testing.disk import SimulatedDisk
+
+HOUR_MS = 3_600_000
+STEPS = [-HOUR_MS, -1_000, 0, 1_000, HOUR_MS]
+SMALL = Options(segment_bytes=400, batch_records=4, ahead_bytes=100)
+# Written by commit 9af0195: twelve orders kept for 60 s from this moment on, and a record kept for ever.
+FIXTURE = Path(__file__).parent / "fixtures" / "store-9af0195"
+FIXTURE_WRITTEN_MS = 1_800_000_000_000
+FIXTURE_KEEP_MS = 60_000
+FIXTURE_DIGEST = bytes(range(16))
+WINDOW_MS = 10 * HOUR_MS
+ALBUM = KeptClass("album", True, WINDOW_MS * 1000)
+
+
+@dataclass
+class Machine:
+    """The clocks of one machine, moved by a test."""
+
+    monotonic_ms: int = 5_000_000
+    wall_ms: int = FIXTURE_WRITTEN_MS
+    boot: bytes = b"boot-1"
+
+    def passes(self, ms: int) -> None:
+        self.monotonic_ms += ms
+        self.wall_ms += ms
+
+    def steps(self, ms: int) -> None:
+        """The wall clock alone."""
+        self.wall_ms += ms
+
+    def reboots(self, down_ms: int) -> None:
+        self.wall_ms += down_ms
+        self.monotonic_ms, self.boot = 10_000, self.boot + b"+"
+
+    def clocks(self) -> StoreClocks:
+        return StoreClocks(lambda: self.monotonic_ms / 1000, lambda: self.wall_ms, lambda: self.boot)
+
+    @contextlib.asynccontextmanager
+    async def store(self, disk: Any, options: Options = SMALL) -> AsyncIterator[Store]:
+        clocks = self.clocks()
+        store = await Store.open(
+            disk, options, clock=clocks.monotonic, wall=clocks.wall_ms, boot=clocks.boot_identity
+        )
+        async with asyncio.timeout(60), store:
+            yield store
+
+
+def run(work: Any) -> None:
+    asyncio.run(work)
+
+
+# --- Records of the store --------------------------------------------------------------------
+
+
+@pytest.mark.parametrize("step_ms", STEPS)
+def test_a_record_lives_for_its_span_whatever_the_wall_clock_does(step_ms: int) -> None:
+    async def main() -> None:
+        machine = Machine()
+        async with machine.store(SimulatedDisk()) as store:
+            await store.put(b"order", b"answer", keep_ms=60_000)
+            machine.steps(step_ms)
+            machine.passes(59_999)
+            await store.compact()
+            assert await store.get(b"order") == b"answer"
+            assert [key async for key, _ in store.each(b"o")] == [b"order"]
+            machine.passes(1)
+            assert await store.get(b"order") is None
+            await store.compact()
+            assert len(store) == 0
+
+    run(main())
+
+
+@pytest.mark.parametrize("step_ms", STEPS)
+def test_a_record_lives_for_its_span_across_lives_of_one_boot(step_ms: int) -> None:
+    async def main() -> None:
+        machine, disk = Machine(), SimulatedDisk()
+        async with machine.store(disk) as store:
+            await store.put(b"order", b"answer", keep_ms=60_000)
+        machine.steps(step_ms)
+        machine.passes(30_000)
+        async with machine.store(disk) as store:
+            await store.put(b"second", b"answer", keep_ms=60_000)
+            machine.passes(29_999)
+            assert await store.get(b"order") == b"answer"
+        async with machine.store(disk) as store:
+            machine.passes(1)
+            assert await store.get(b"order") is None and await store.get(b"second") == b"answer"
+            machine.passes(30_000)
+            assert await store.get(b"second") is None
+
+    run(main())
+
+
+@pytest.mark.parametrize("step_ms", STEPS)
+def test_a_record_never_goes_early_where_the_machine_was_started_anew(step_ms: int) -> None:
+    async def main() -> None:
+        machine, disk = Machine(), SimulatedDisk()
+        async with machine.store(disk) as store:
+            await store.put(b"order", b"answer", keep_ms=60_000)
+            machine.passes(20_000)
+        machine.steps(step_ms)
+        machine.reboots(down_ms=10_000_000)
+        async with machine.store(disk) as store:
+            assert await store.get(b"order") == b"answer"
+            machine.passes(59_999)
+            assert await store.get(b"order") == b"answer", "late by the time since the last note at most"
+            machine.passes(1)
+            assert await store.get(b"order") is None
+
+    run(main())
+
+
+def test_notes_follow_the_writes_so_that_a_new_start_finds_a_fresh_one() -> None:
+    async def main() -> None:
+        machine, disk = Machine(), SimulatedDisk()
+        async with machine.store(disk) as store:
+            await store.put(b"order", b"answer", keep_ms=10 * NOTE_INTERVAL_MS)
+            first = store.index.clock_note
+            await store.put(b"other", b"answer")
+            assert store.index.clock_note == first, "one a minute"
+            machine.passes(NOTE_INTERVAL_MS)
+            await store.put(b"other", b"answer")
+            assert ClockNote.decode(store.index.clock_note).monotonic_ms == machine.monotonic_ms
+            await store.compact()
+            assert len(store) == 2
+        machine.reboots(down_ms=0)
+        async with machine.store(disk) as store:
+            assert store.index.clock_note != first
+            machine.passes(9 * NOTE_INTERVAL_MS - 1)
+            assert await store.get(b"order") == b"answer"
+            machine.passes(1)
+            assert await store.get(b"order") is None
+
+    run(main())
+
+
+def test_the_newest_note_outlives_compaction_and_the_older_ones_do_not() -> None:
+    async def main() -> None:
+        machine, disk = Machine(), SimulatedDisk()
+        async with machine.store(disk) as store:
+            for number in range(20):
+                await store.put(b"key-%d" % number, b"value", keep_ms=40 * NOTE_INTERVAL_MS)
+                machine.passes(NOTE_INTERVAL_MS)
+            note, before = store.index.clock_note, store.size
+            await store.compact()
+            assert store.index.clock_note == note and store.size < before
+        machine.steps(HOUR_MS)
+        async with machine.store(disk) as store:
+            assert store.index.clock_note == note and len(store) == 20
+            machine.passes(20 * NOTE_INTERVAL_MS - 1)
+            assert await store.get(b"key-0") == b"value"
+            machine.passes(1)
+            assert await store.get(b"key-0") is None and await store.get(b"key-1") == b"value"
+
+    run(main())
+
+
+def test_a_note_that_was_not_written_is_written_with_the_next_batch() -> None:
+    async def main() -> None:
+        machine, disk = Machine(), SimulatedDisk()
+        async with machine.store(disk) as store:
+            disk.fail("sync", OSError(5, "Input/output error"))
+            with pytest.raises(OSError, match="the disk fails"):
+                try:
+                    await store.put(b"order", b"answer", keep_ms=60_000)
+                except Exception as error:
+                    raise OSError(str(error)) from None
+            assert store.index.clock_note == b""
+            machine.passes(60_000)
+            await store.put(b"order", b"answer", keep_ms=60_000)
+            assert ClockNote.decode(store.index.clock_note).monotonic_ms == machine.monotonic_ms
+
+    run(main())
+
+
+def test_a_boot_has_one_name_and_an_unknown_one_is_never_the_same() -> None:
+    assert boot_identity() == boot_identity()
+    note = ClockNote(50, 60, 1_000, 70, b"")
+    assert ClockNote.decode(note.encode()) == note
+    unknown = StoreClock(note, False, lambda: 2.0, lambda: 1_070, b"")
+    assert unknown.now_ms() == 50 and unknown.most_ms() == 60 + 1_000 + STEP_MOST_MS
+    same = StoreClock(replace(note, boot=b"b"), False, lambda: 2.0, lambda: 7, b"b")
+    assert (same.now_ms(), same.most_ms(), same.opening_doubt_ms) == (1_050, 1_060, 0)
+    earlier = StoreClock(replace(note, boot=b"b"), False, lambda: 0.5, lambda: 1_070, b"b")
+    assert earlier.now_ms() == 50, "a monotonic clock that stands before the note is another's"
+    with pytest.raises(ValueError, match="no note"):
+        ClockNote.decode(b"\0clock")
+
+
+# --- Orders ----------------------------------------------------------------------------------
+
+
+@pytest.mark.parametrize("step_ms", STEPS)
+@pytest.mark.parametrize("restarts", [False, True])
+def test_an_order_named_again_within_its_window_is_never_sent_again(
+    tmp_path: Path, step_ms: int, restarts: bool
+) -> None:
+    async def main() -> None:
+        machine, disk, settings = Machine(), SimulatedDisk(), replace(ORDER, keep_ms=60_000)
+        async with Endpoint() as endpoint:
+            async with opened(tmp_path, endpoint, settings=settings) as client:
+                await use_store(client, machine, disk)
+                assert said(await client.send(pay())) == SERVED
+                machine.steps(step_ms)
+                machine.passes(59_999)
+                if not restarts:
+                    assert said(await client.send(pay())) == AGAIN
+                    machine.passes(1)
+                    assert said(await client.send(pay())) == SERVED, "its window is over"
+            if restarts:
+                async with opened(tmp_path, endpoint, settings=settings) as client:
+                    await use_store(client, machine, disk)
+                    assert said(await client.send(pay())) == AGAIN
+                    machine.passes(1)
+                    assert said(await client.send(pay())) == SERVED
+            assert len(endpoint.got) == 2
+
+    run(main())
+
+
+async def use_store(client: Client, machine: Machine, disk: SimulatedDisk) -> None:
+    """In the place of the one that the client opened."""
+    recorder = client.engine.recorder
+    assert isinstance(recorder, OrderRecorder)
+    await recorder.store.close()
+    clocks = machine.clocks()
+    recorder.store = await Store.open(
+        disk, SMALL, clock=clocks.monotonic, wall=clocks.wall_ms, boot=clocks.boot_identity
+    )
+
+
+# --- Stores of the format before -------------------------------------------------------------
+
+
+def fixture(tmp_path: Path) -> FolderDisk:
+    shutil.copytree(FIXTURE, tmp_path / "store")
+    return FolderDisk(tmp_path / "store")
+
+
+def test_a_store_without_notes_is_read_and_written_on(tmp_path: Path) -> None:
+    async def main() -> None:
+        machine = Machine()
+        machine.passes(30_000)
+        async with machine.store(fixture(tmp_path)) as store:
+            assert len(store) == 12 and await store.get(b"forever") == b"kept"
+            record = await store.get(order_key("print-order", b"old-1"))
+            assert record is not None and answer_of(record, FIXTURE_DIGEST).body == b"printed\n"
+            record = await store.get(order_key("print-order", b"old-3"))
+            assert record is not None and answer_of(record, FIXTURE_DIGEST).status == 502
+            await store.put(b"new", b"value", keep_ms=60_000)
+            await store.compact()
+        async with machine.store(FolderDisk(tmp_path / "store")) as store:
+            assert len(store) == 13
+            machine.passes(59_999)
+            assert await store.get(b"new") == b"value"
+            machine.passes(1)
+            assert await store.get(b"new") is None
+
+    run(main())
+
+
+@pytest.mark.parametrize("step_ms", STEPS)
+def test_a_record_of_a_store_without_notes_is_kept_an_hour_longer(tmp_path: Path, step_ms: int) -> None:
+    async def main() -> None:
+        machine, key = Machine(), order_key("print-order", b"old-1")
+        machine.steps(step_ms)
+        async with machine.store(fixture(tmp_path)) as store:
+            machine.passes(FIXTURE_KEEP_MS - 1)
+            assert await store.get(key) is not None, "never early"
+            machine.passes(1 + STEP_MOST_MS - step_ms)
+            assert await store.get(key) is None
+
+    run(main())
+
+
+# --- The outbox's time -----------------------------------------------------------------------
+
+
+@contextlib.asynccontextmanager
+async def kept(machine: Machine, disk: SimulatedDisk) -> AsyncIterator[KeptStore]:
+    store = await KeptStore.open(disk, 1 << 20, clocks=machine.clocks())
+    try:
+        yield store
+    finally:
+        await store.close()
+
+
+@pytest.mark.parametrize("step_ms", STEPS)
+def test_the_age_of_a_kept_write_is_real_time_across_lives_of_one_boot(step_ms: int) -> None:
+    async def main() -> None:
+        machine, disk = Machine(), SimulatedDisk()
+        async with kept(machine, disk) as store:
+            await store.secret()
+            before = store.time_us()
+            assert before == machine.wall_ms * 1000
+        machine.steps(step_ms)
+        machine.passes(30_000)
+        async with kept(machine, disk) as store:
+            assert store.time_us() - before == 30_000_000
+            assert store.is_elapsed_known and store.opening_doubt_us == 0
+
+    run(main())
+
+
+@pytest.mark.parametrize("step_ms", STEPS)
+def test_the_age_of_a_kept_write_is_never_less_than_real_time_after_a_new_start(step_ms: int) -> None:
+    async def main() -> None:
+        machine, disk = Machine(), SimulatedDisk()
+        async with kept(machine, disk) as store:
+            await store.secret()
+            before = store.time_us()
+        machine.steps(step_ms)
+        machine.reboots(down_ms=30_000)
+        async with kept(machine, disk) as store:
+            elapsed_us = store.time_us() - before
+            assert elapsed_us >= 30_000_000 or not store.is_elapsed_known
+            assert elapsed_us - store.opening_doubt_us <= 30_000_000
+            assert store.is_elapsed_known is (step_ms >= -30_000)
+
+    run(main())
+
+
+class Edge:
+    """The outbox of one edge, life after life on one disk. A keyed write has a window of ten hours."""
+
+    def __init__(self) -> None:
+        self.machine, self.disk = Machine(), SimulatedDisk()
+
+    @contextlib.asynccontextmanager
+    async def life(self, incarnation: int) -> AsyncIterator[tuple[KeptStore, Outbox]]:
+        async with kept(self.machine, self.disk) as store:
+            bounds = Bounds(replay_most=1_000)
+            line = Line("ash", incarnation)
+            outbox = Outbox(line, {"album": ALBUM}, bounds, Tokens(b"the secret of all edges"), Alone("ash"))
+            loaded = await store.load()
+            changes = outbox.restore(
+                loaded.writes,
+                loaded.lines,
+                self.now_us(),
+                store.time_us(),
+                is_elapsed_known=store.is_elapsed_known,
+                doubt_us=store.opening_doubt_us,
+            )
+            for change in changes:
+                await store.move(change.moved)
+                outbox.apply(change, self.now_us())
+            yield store, outbox
+
+    def now_us(self) -> int:
+        return self.machine.monotonic_ms * 1000
+
+    async def keep_and_send(self) -> Dot:
+        """One keyed write, sent, its answer lost with the process."""
+        async with self.life(1) as (store, outbox):
+            offer = Offer("album", b"POST /", (), 0, b"", b"key")
+            ticket = outbox.offer(offer, self.now_us(), store.time_us())
+            assert ticket.write is not None
+            await store.keep(ticket.write, b"")
+            outbox.stored(ticket.dot, self.now_us())
+            (change,) = outbox.due(self.now_us())
+            await store.move(change.moved)
+            return ticket.dot
+
+    def sends(self, outbox: Outbox) -> list[Dot]:
+        return [one.dot for one in outbox.due(self.now_us()) if one.event is Event.SEND]
+
+
+@pytest.mark.parametrize("step_ms", STEPS)
+def test_a_keyed_write_is_sent_again_within_its_true_window_alone(step_ms: int) -> None:
+    async def main() -> None:
+        for passed_ms, is_within in ((WINDOW_MS - HOUR_MS, True), (WINDOW_MS + 500, False)):
+            edge = Edge()
+            dot = await edge.keep_and_send()
+            edge.machine.steps(step_ms)
+            edge.machine.passes(passed_ms)
+            async with edge.life(2) as (_, outbox):
+                assert edge.sends(outbox) == ([dot] if is_within else [])
+                if not is_within:
+                    assert outbox.receipt(dot).reason is Reason.MAY_HAVE_RUN
+
+    run(main())
+
+
+@pytest.mark.parametrize("step_ms", STEPS)
+def test_a_machine_started_anew_sends_a_keyed_write_again_only_without_doubt(step_ms: int) -> None:
+    async def main() -> None:
+        for passed_ms in (HOUR_MS, WINDOW_MS - HOUR_MS // 2, WINDOW_MS + 500):
+            edge = Edge()
+            dot = await edge.keep_and_send()
+            edge.machine.steps(step_ms)
+            edge.machine.reboots(down_ms=passed_ms)
+            async with edge.life(2) as (_, outbox):
+                # An hour is allowed for a step back before that: so much of the window is not used.
+                is_sent = passed_ms + step_ms + STEP_MOST_MS < WINDOW_MS
+                assert not is_sent or passed_ms < WINDOW_MS
+                assert edge.sends(outbox) == ([dot] if is_sent else [])
+                assert is_sent or outbox.receipt(dot).reason is Reason.MAY_HAVE_RUN
+        edge = Edge()
+        dot = await edge.keep_and_send()
+        edge.machine.steps(-HOUR_MS)
+        edge.machine.reboots(down_ms=HOUR_MS - 1)
+        async with edge.life(2) as (_, outbox):
+            assert edge.sends(outbox) == [] and outbox.receipt(dot).reason is Reason.MAY_HAVE_RUN
+
+    run(main())
+
+
+@pytest.mark.parametrize("step_ms", STEPS)
+def test_a_receipt_is_kept_for_its_time_where_the_machine_was_started_anew(step_ms: int) -> None:
+    """Its key is known as long: a repeat is told of the write and is none of its own."""
+
+    async def main() -> None:
+        edge = Edge()
+        dot = await edge.keep_and_send()
+        async with edge.life(2) as (store, outbox):
+            (change,) = outbox.due(edge.now_us())
+            assert change.event is Event.SEND and outbox.apply(change, edge.now_us())
+            change = outbox.ended(dot, End.ANSWERED, edge.now_us(), store.time_us(), 200)
+            await store.move(change.moved)
+        edge.machine.steps(step_ms)
+        edge.machine.reboots(down_ms=30_000)
+        async with edge.life(3) as (_, outbox):
+            edge.machine.passes(outbox.bounds.receipt_us // 1000 - 30_001)
+            assert outbox.forgettable(edge.now_us()) == []
+            edge.machine.passes(30_001 + STEP_MOST_MS)
+            assert outbox.forgettable(edge.now_us()) == [dot]
+
+    run(main())
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -1080,7 +1080,7 @@
     """Does not expect that its store fails."""
 
     async def _finish(self, hand: Hand, answer: Answer, engine: Recorded) -> None:
-        await self.store.put(hand.key, b"", self.wall_ms() + hand.keep_ms)
+        await self.store.put(hand.key, b"", hand.keep_ms)
         await super()._finish(hand, answer, engine)
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -278,9 +278,9 @@
             assert isinstance(recorder, OrderRecorder)
             real, never = recorder.store.put, asyncio.Event()
 
-            async def slow(key: bytes, value: bytes, expires: int = 0) -> None:
+            async def slow(key: bytes, value: bytes, keep_ms: int = 0) -> None:
                 await never.wait()
-                await real(key, value, expires)
+                await real(key, value, keep_ms)
 
             vars(recorder.store)["put"] = slow
             reply = await client.send(pay(deadline_s=0.05))
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -838,15 +838,17 @@
     play(main())
 
 
-def test_a_step_of_the_wall_clock_reaches_the_program() -> None:
-    """An order is kept for a day of it: behind that it is sent again, and its endpoint drops it."""
+def test_no_step_of_the_wall_clock_ends_the_time_for_which_an_order_is_kept() -> None:
+    """It is kept for a day of real time, in the life that had it and in the next."""
 
     async def main() -> None:
         async with Tier(1, clocks=True, operator_tables=ORDERS) as tier:
-            for hours, dropped in ((0, 0), (23, 0), (2, 1)):
+            for hours in (0, 23, 2, -49, 100):
                 tier.programs[0].step_clock(hours * 3600 * 1_000_000)
                 assert [await order(tier, 0, "o1") for _ in range(2)] == [200, 200]
-                assert sum(one.dropped for one in tier.effects) == dropped and effects(tier, "o1") == 1
+                await tier.restart(0)
+                assert await order(tier, 0, "o1") == 200
+                assert sum(one.dropped for one in tier.effects) == 0 and effects(tier, "o1") == 1
             tier.check()
 
     play(main())
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -324,15 +324,15 @@
     async def main() -> None:
         times = Times()
         async with opened(SimulatedDisk(), times=times) as store:
-            await store.put(b"short", b"s", expires=times.ms + 10)
-            await store.put(b"long", b"l", expires=times.ms + 10_000)
+            await store.put(b"short", b"s", keep_ms=10)
+            await store.put(b"long", b"l", keep_ms=10_000)
             assert await store.get(b"short") == b"s"
-            times.ms += 10
+            times.seconds += 0.01
             assert await store.get(b"short") is None and await store.get(b"long") == b"l"
             await store.compact()
             assert len(store) == 1 and await store.get(b"long") == b"l"
             times.ms -= 1_000  # the clock is set back: what is gone stays gone
-            assert await store.get(b"short") is None
+            assert await store.get(b"short") is None and await store.get(b"long") == b"l"
 
     run(main())
 
@@ -590,7 +590,8 @@
     assert capfd.readouterr().out.startswith("ok: 4 keys in ")
     assert tool(["stats", str(tmp_path)]) == 0
     before = json.loads(capfd.readouterr().out)
-    assert (before["keys"], before["records"], before["highest_seq"]) == (4, 40, 40)
+    # The note of the clocks in the first batch has a sequence number of its own.
+    assert (before["keys"], before["records"], before["highest_seq"]) == (4, 40, 41)
     assert tool(["compact", str(tmp_path)]) == 0 and tool(["dump", str(tmp_path)]) == 0
     told, *lines = capfd.readouterr().out.splitlines()
     assert "4 keys" in told and {json.loads(one)["value"] for one in lines} == {"v36", "v37", "v38", "v39"}
@@ -748,14 +749,15 @@
 
 def test_each_key_is_read_once_in_the_order_of_the_log() -> None:
     async def main() -> None:
-        disk, options = SimulatedDisk(), replace(SMALL, numbered=b"a")
-        async with opened(disk, options) as store:
+        disk, options, times = SimulatedDisk(), replace(SMALL, numbered=b"a"), Times()
+        async with opened(disk, options, times) as store:
             for number in range(300):
                 key = b"ab"[number % 2 : number % 2 + 1] + number.to_bytes(2, "big")
                 await store.put(key, bytes(number * 7))
             await store.put(b"a" + bytes(2), b"again")
             await store.put(b"a" + bytes((0, 2)), b"", 1)
-        async with opened(disk, options) as store:
+            times.seconds += 0.001
+        async with opened(disk, options, times) as store:
             found = [one async for one in store.each(b"a")]
         numbers = [int.from_bytes(key[1:], "big") for key, _ in found]
         assert numbers == [*range(4, 300, 2), 0] and found[-1][1] == b"again"
--- a/woadyard/orders/recorder.py
+++ b/woadyard/orders/recorder.py
@@ -11,8 +11,7 @@
 from __future__ import annotations
 
 import asyncio
-import time
-from collections.abc import Callable, Coroutine, Mapping
+from collections.abc import Coroutine, Mapping
 from dataclasses import dataclass, field
 
 from woadyard.engine.call import Answer, Call, Ending
@@ -56,12 +55,10 @@
         orders: Orders,
         classes: Mapping[str, int],
         log: Log,
-        wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
     ) -> None:
         self.store = store
         self.passes = orders.unavailable == "pass"
         self.log = log
-        self.wall_ms = wall_ms
         self.classes: dict[int, tuple[str, OrderClass]] = {
             classes[name]: (name, settings) for name, settings in orders.classes.items()
         }
@@ -114,7 +111,7 @@
             if record is not None:
                 self._settle_all(hand, answer_of(record, hand.digest), engine)
                 return
-            await self.store.put(hand.key, encode_intent(hand.digest), self.wall_ms() + hand.keep_ms)
+            await self.store.put(hand.key, encode_intent(hand.digest), hand.keep_ms)
         except (StoreError, ValueError):
             if not self.passes:
                 # An earlier life may have sent it: no refusal.
@@ -161,7 +158,7 @@
                 await self.store.delete(hand.key)
             else:
                 record = encode_answer(hand.digest, answer)
-                await self.store.put(hand.key, record, self.wall_ms() + hand.keep_ms)
+                await self.store.put(hand.key, record, hand.keep_ms)
         except StoreError:
             # A later life would know of the intent alone, and say so.
             told = answer if self.passes else may_have_run()
--- a/woadyard/outbox/driver.py
+++ b/woadyard/outbox/driver.py
@@ -17,7 +17,6 @@
 from __future__ import annotations
 
 import asyncio
-import time
 from collections.abc import Coroutine, Mapping
 from dataclasses import dataclass, field, replace
 from random import Random
@@ -185,7 +184,14 @@
 
     async def _restore(self) -> None:
         loaded = await self.store.load()
-        changes = self.outbox.restore(loaded.writes, loaded.lines, self._now(), _wall())
+        changes = self.outbox.restore(
+            loaded.writes,
+            loaded.lines,
+            self._now(),
+            self.wall(),
+            is_elapsed_known=self.store.is_elapsed_known,
+            doubt_us=self.store.opening_doubt_us,
+        )
         await self.store.put_lines(self.outbox.lines())
         for write, moved in loaded.writes:
             if moved is not None and moved.state is State.PARKED:
@@ -214,7 +220,8 @@
         return self.clock.now()
 
     def wall(self) -> int:
-        return _wall()
+        """The store's time in µs, as `Outbox` takes it."""
+        return self.store.time_us()
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = self.loop.create_task(work)
@@ -312,7 +319,7 @@
         if self.bodies.size(call) > self.settings.body_bytes or not self.bodies.has_room(call):
             return self._overtakes(call, answer, engine)
         try:
-            ticket = self.outbox.offer(self._offer(call), now, _wall())
+            ticket = self.outbox.offer(self._offer(call), now, self.wall())
         except CauseError as error:
             engine.settle(call, Answer(Ending.FAILED, 400, (), f"{error}\n".encode()))
             return True
@@ -599,7 +606,7 @@
         if end is not End.ANSWERED:
             status, headers, body = 0, (), b""
         change = self.outbox.ended(
-            dot, end, self._now(), _wall(), status, headers, body if len(body) <= ANSWER_MOST else b""
+            dot, end, self._now(), self.wall(), status, headers, body if len(body) <= ANSWER_MOST else b""
         )
         while True:
             try:
@@ -639,7 +646,7 @@
 
     def judge(self, text: str, parking: int, verdict: Verdict) -> bool:
         """An operator's word on a parked write; False if it was given already. `OutboxError`."""
-        change = self.outbox.judge(read_dot(text), parking, verdict, _wall())
+        change = self.outbox.judge(read_dot(text), parking, verdict, self.wall())
         if change is None:
             return False
         self._spawn(self._step(change))
@@ -667,11 +674,6 @@
         }
 
 
-def _wall() -> int:
-    """Unix time in µs."""
-    return time.time_ns() // 1000
-
-
 def _read_secret(path: str) -> bytes:
     with open(path, "rb") as file:
         return file.read(4096).strip()
--- a/woadyard/outbox/outbox.py
+++ b/woadyard/outbox/outbox.py
@@ -12,7 +12,8 @@
     outbox.apply(change, now)                   # only now the step that it announces, if True; or outbox.undo
 
 1. Between a change and its `apply` or `undo` its write takes no other.
-2. All times are µs: `now` monotonic, `wall` unix time as this machine has it.
+2. All times are µs: `now` monotonic, `wall` the store's time, which runs on from life to life: it never stays
+   behind the time that has truly passed (docs/design/clocks.md).
 3. A write follows what its tokens name, and the last write kept before it of its session and of its object.
 4. A write that is final while its causes are not (judged, or given up) stays in the graph until they are:
    what follows it still waits for them.
@@ -20,8 +21,9 @@
    own, and halted until then. A write that could not be stored was never kept: nothing is parked for it.
 6. A keyed write goes out only while `send_us` is left of its window, counted from when it was kept. An
    operator's "it never ran" begins age and window anew.
-7. After a restart the time that passed is that of the wall clock, and never less than none. Where that clock
-   stands before what was written by it, a keyed write that may have run is parked: its window can't be known.
+7. After a restart the time that passed is told by `wall`, and never less than none. Where the store does not
+   know how much that was, or `wall` stands before what was written by it, a keyed write that may have run is
+   parked: its window can't be known.
 8. Of a line that is another process's nothing is sent and nothing new is kept; what was to be sent is parked.
 """
 
@@ -661,10 +663,18 @@
     # After a restart
 
     def restore(
-        self, kept: Iterable[tuple[KeptWrite, Moved | None]], lines: Mapping[Line, int], now: int, wall: int
+        self,
+        kept: Iterable[tuple[KeptWrite, Moved | None]],
+        lines: Mapping[Line, int],
+        now: int,
+        wall: int,
+        *,
+        is_elapsed_known: bool = True,
+        doubt_us: int = 0,
     ) -> list[Change]:
         """All records of the store, once, before anything else. `lines`: the highest number found of each
-        former life. What comes back is to be made durable and applied."""
+        former life. `is_elapsed_known`: whether `wall` tells how much time passed between the lives;
+        `doubt_us`: by how much it may tell too much. What comes back is to be made durable and applied."""
         records = sorted(kept, key=lambda pair: (pair[0].life, pair[0].dot))
         self._life = max((write.life for write, _ in records), default=-1) + 1
         for line in sorted({*lines, *(write.dot.line for write, _ in records)} - {self._lines[0]}):
@@ -673,7 +683,7 @@
             self._high.append(lines.get(line, 0))
             self._low.append(0)
         known = {*(write.wall for write, _ in records), *(moved.wall for _, moved in records if moved)}
-        clock_back = wall < max(known, default=wall)
+        clock_back = not is_elapsed_known or wall < max(known, default=wall)
         entered = [self._restore_one(write, moved, now, wall) for write, moved in records]
         self._excused = {
             row
@@ -683,7 +693,9 @@
         barriers = self._restore_barriers([write for write, _ in records])
         for row, (write, _) in zip(entered, records, strict=True):
             self._link(row, tuple(Cause(*cause) for cause in write.causes), barriers)
-        changes = self._restore_states(entered, [moved for _, moved in records], now, wall, clock_back)
+        changes = self._restore_states(
+            entered, [moved for _, moved in records], now, wall - doubt_us, clock_back
+        )
         self._excused = {row for row in self._excused if self._rows.state[row] in (State.KEPT, State.READY)}
         return changes
 
--- a/woadyard/outbox/store.py
+++ b/woadyard/outbox/store.py
@@ -29,6 +29,7 @@
 from woadyard.outbox.journal import FINAL, KeptWrite, Moved, decode_kept, decode_moved, encode
 from woadyard.outbox.options import CHUNK
 from woadyard.store import Disk, FolderDisk, Options, Store, StoreError
+from woadyard.store.clock import SYSTEM_CLOCKS, StoreClocks
 
 KEPT, MOVED, PART, LINE, HOLDERS = b"k", b"m", b"p", b"l", b"h"
 SECRET: Final = b"secret"
@@ -102,16 +103,33 @@
         place: str | Disk,
         max_bytes: int,
         log: Callable[[str], None] = lambda line: None,
-        wall_ms: Callable[[], int] | None = None,
+        clocks: StoreClocks = SYSTEM_CLOCKS,
     ) -> KeptStore:
         """`max_bytes`: what its user keeps at most, which is for the user to see to. `StoreError` if it is
         in use, damaged or can't be read."""
         disk: Disk = FolderDisk(place) if isinstance(place, str) else place
         segment = min(SEGMENT_MOST, max(SEGMENT_LEAST, max_bytes // 8))
         options = Options(max_bytes=2 * max_bytes + SPARE_BYTES, segment_bytes=segment, numbered=KEPT + MOVED)
-        if wall_ms is None:
-            return cls(await Store.open(disk, options, log))
-        return cls(await Store.open(disk, options, log, wall=wall_ms))
+        return cls(
+            await Store.open(
+                disk, options, log, clock=clocks.monotonic, wall=clocks.wall_ms, boot=clocks.boot_identity
+            )
+        )
+
+    def time_us(self) -> int:
+        """By which the ages of writes are told, across lives too: it never stays behind the time that has
+        truly passed. Unix time where no clock was stepped and the machine runs on."""
+        return self.store.expiry_clock.most_ms() * 1000
+
+    @property
+    def opening_doubt_us(self) -> int:
+        """By how much `time_us` may have gone ahead of the true time between the lives."""
+        return self.store.expiry_clock.opening_doubt_ms * 1000
+
+    @property
+    def is_elapsed_known(self) -> bool:
+        """False where nothing tells how long ago the life before this one ended."""
+        return self.store.expiry_clock.is_elapsed_known
 
     async def secret(self) -> bytes:
         """Of this edge alone, the same in every life."""
--- a/woadyard/store/index.py
+++ b/woadyard/store/index.py
@@ -9,7 +9,7 @@
 from collections.abc import MutableMapping
 from dataclasses import dataclass
 
-from woadyard.store.log import DELETE
+from woadyard.store.log import CLOCK, DELETE, PUT
 from woadyard.store.numbered import Numbered
 
 _OFFSET_BITS = 32
@@ -34,7 +34,7 @@
 
     records: int = 0
     live: int = 0
-    last_expiry: int = 0  # Unix time in ms; 0 = one of them never does
+    last_expiry: int = 0  # the store's time in ms
     forever: bool = False
 
 
@@ -46,12 +46,17 @@
         self.where: MutableMapping[bytes, int] = Numbered(numbered) if numbered else {}
         self.usage: dict[int, Usage] = {}
         self.highest = 0  # sequence number
+        self.clock_note = b""  # the newest note of the clocks: the key of its record
+        self.clock_note_at = 0  # its location
 
     def __len__(self) -> int:
         return len(self.where)
 
     def apply(self, segment: int, offset: int, kind: int, expires: int, key: bytes) -> None:
-        """A record of the log, in the log's order."""
+        """A record of the log, in the log's order. Notes of the clocks count for no segment's use."""
+        if kind == CLOCK:
+            self.clock_note, self.clock_note_at = key, location(segment, offset)
+            return
         usage = self.usage.get(segment)
         if usage is None:
             usage = self.usage[segment] = Usage()
@@ -72,10 +77,16 @@
     def keeps(self, where: int, key: bytes, kind: int, expires: int, now_ms: int) -> bool:
         """Whether compaction keeps the record at a location of the log's beginning: only what
         the index points at, and only until it expires. Deletions hide nothing any more."""
+        if kind == CLOCK:
+            return where == self.clock_note_at
         return kind != DELETE and self.where.get(key) == where and not (expires and expires <= now_ms)
 
-    def moved(self, key: bytes, old: int, new: int, expires: int) -> None:
+    def moved(self, key: bytes, old: int, new: int, expires: int, kind: int = PUT) -> None:
         """Compaction wrote a record anew; nothing moves if the key has changed since."""
+        if kind == CLOCK:
+            if self.clock_note_at == old:
+                self.clock_note_at = new
+            return
         usage = self.usage[new >> _OFFSET_BITS]
         usage.records += 1
         usage.forever |= not expires
--- a/woadyard/store/log.py
+++ b/woadyard/store/log.py
@@ -37,7 +37,9 @@
 CHECKSUM = struct.Struct("<I")
 KEY_MOST, VALUE_MOST = 1024, 1 << 20
 FRAME_MOST = 1 << 24
-PUT, DELETE = 1, 2
+# `CLOCK`: a note of the clocks (`clock`), which is all in the key. A program that does not know it takes it
+# for a key of its own.
+PUT, DELETE, CLOCK = 1, 2, 3
 
 
 class LogError(LaurelstepError):
@@ -49,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One change of one key. `expires` is Unix time in ms, 0 for never."""
+    """One change of one key. `expires` is the store's time (`clock`) in ms, 0 for never."""
 
     seq: int
     key: bytes
--- a/woadyard/store/store.py
+++ b/woadyard/store/store.py
@@ -25,9 +25,11 @@
 from types import TracebackType
 from typing import Any, Self, TypeVar
 
+from woadyard.store.clock import SYSTEM_CLOCKS, ClockNote, StoreClock
 from woadyard.store.disk import Disk, StoreError
 from woadyard.store.index import Usage, location, place_of
 from woadyard.store.log import (
+    CLOCK,
     DELETE,
     KEY_MOST,
     PUT,
@@ -103,10 +105,6 @@
     available: bool
 
 
-def wall_ms() -> int:
-    return time.time_ns() // 1_000_000
-
-
 class Store:
     """Keys to values, durable. Made by `open`; belongs to the loop that opened it."""
 
@@ -118,7 +116,7 @@
         options: Options,
         log: Log,
         clock: Callable[[], float],
-        wall: Callable[[], int],
+        expiry_clock: StoreClock,
     ) -> None:
         self.disk = disk
         self.manifest = opened.manifest
@@ -132,7 +130,7 @@
         self.options = options
         self.log = log
         self.clock = clock  # seconds, never back
-        self.wall = wall  # Unix time in ms
+        self.expiry_clock = expiry_clock  # by which records expire
         self.loop = asyncio.get_running_loop()
         self.waiting: deque[Waiting] = deque()
         self.committing: asyncio.Task[None] | None = None
@@ -152,22 +150,25 @@
         disk: Disk,
         options: Options | None = None,
         log: Log = lambda line: None,
-        clock: Callable[[], float] = time.monotonic,
-        wall: Callable[[], int] = wall_ms,
+        clock: Callable[[], float] = SYSTEM_CLOCKS.monotonic,
+        wall: Callable[[], int] = SYSTEM_CLOCKS.wall_ms,
         progress: Progress | None = None,
+        boot: Callable[[], bytes] = SYSTEM_CLOCKS.boot_identity,
     ) -> Store:
-        """The store as it was last reported. `StoreError` if it is in use, damaged, of another
-        format or can't be read."""
+        """The store as it was last reported. `clock` gives seconds that never go back, `wall` Unix time in
+        ms, and `boot` names this start of the machine, in which `clock` runs on from process to process.
+        `StoreError` if it is in use, damaged, of another format or can't be read."""
         thread = ThreadPoolExecutor(1, "laurelstep-store")
         options = options or Options()
         loop = asyncio.get_running_loop()
 
-        def work() -> Opened:
+        def work() -> tuple[Opened, StoreClock]:
             disk.lock()
-            return recover(disk, secrets.randbits(32), progress, options.numbered)
+            opened = recover(disk, secrets.randbits(32), progress, options.numbered)
+            return opened, _clock_of(opened, clock, wall, boot())
 
         try:
-            opened = await loop.run_in_executor(thread, work)
+            opened, expiry_clock = await loop.run_in_executor(thread, work)
         except BaseException as error:
             thread.submit(disk.close)
             thread.shutdown(wait=False)
@@ -176,7 +177,7 @@
             raise
         if opened.torn:
             log(f"store: cut off {opened.torn} bytes of a batch that was never reported as written")
-        return cls(disk, opened, thread, options, log, clock, wall)
+        return cls(disk, opened, thread, options, log, clock, expiry_clock)
 
     async def _on_thread(self, work: Callable[..., T], *args: Any) -> T:
         """As `run_in_executor`, at half of what that costs the loop."""
@@ -215,14 +216,14 @@
         """Whether a key is there, as far as memory tells: it may have expired."""
         return key in self.index.where
 
-    def put(self, key: bytes, value: bytes, expires: int = 0) -> asyncio.Future[None]:
-        """Durable when what this returns is done. `expires`: Unix time in ms, 0 for never.
+    def put(self, key: bytes, value: bytes, keep_ms: int = 0) -> asyncio.Future[None]:
+        """Durable when what this returns is done. `keep_ms`: the record expires so long after, 0 for never.
 
         It ends with `StoreUnavailableError` if it is not written; after a failure of the disk
         it may be found there by a later life all the same. ValueError, at once, if key or value
         is too long.
         """
-        return self._write(PUT, key, value, expires)
+        return self._write(PUT, key, value, self.expiry_clock.now_ms() + keep_ms if keep_ms else 0)
 
     def delete(self, key: bytes) -> asyncio.Future[None]:
         """As `put`; a key that is not there may be deleted."""
@@ -246,7 +247,7 @@
                 raise StoreError(f"can't be read: {error}") from None
             if record.key != key:
                 raise StoreError(f"segment {segment}: another key at byte {offset}")
-            return None if record.expires and record.expires <= self.wall() else record.value
+            return None if record.expires and record.expires <= self.expiry_clock.now_ms() else record.value
 
     def each(self, first: bytes) -> AsyncIterator[tuple[bytes, bytes]]:
         """As `some`, of every key that begins with one of these bytes."""
@@ -262,7 +263,7 @@
                 records = await self._on_thread(records_at, self.disk, some)
             except (LogError, OSError) as error:
                 raise StoreError(f"can't be read: {error}") from None
-            now_ms = self.wall()
+            now_ms = self.expiry_clock.now_ms()
             for at, record in zip(some, records, strict=True):
                 if where.get(record.key) == at and not 0 < record.expires <= now_ms:
                     yield record.key, record.value
@@ -352,7 +353,13 @@
         encoded: list[bytes] = []
         size = 0
         seq = self.index.highest
-        while self.waiting and len(batch) < self.options.batch_records and size < self.options.batch_bytes:
+        if self.expiry_clock.needs_note():
+            seq += 1
+            note = self.expiry_clock.note().encode()
+            encoded.append(encode_record(seq, note, kind=CLOCK))
+            batch.append((CLOCK, note, b"", 0, self._no_waiter()))
+        most = len(batch) + self.options.batch_records
+        while self.waiting and len(batch) < most and size < self.options.batch_bytes:
             one = self.waiting.popleft()
             kind, key, value, expires, _ = one
             seq += 1
@@ -362,6 +369,12 @@
             batch.append(one)
         return batch, encoded, encode_frame(self.salts[self.active], encoded, seq)
 
+    def _no_waiter(self) -> asyncio.Future[None]:
+        """Of a record for which nobody waits."""
+        done: asyncio.Future[None] = self.loop.create_future()
+        done.cancel()
+        return done
+
     async def _store_batch(self, batch: list[Waiting], encoded: list[bytes], frame: bytes) -> None:
         segment, tail = self.active, self.tail
         highest = self.index.highest + len(batch)
@@ -385,6 +398,9 @@
         self.tail = self.sizes[segment] = tail + len(frame)
         self.batches += 1
         self.writes += len(batch)
+        if batch[0][0] == CLOCK:
+            self.writes -= 1
+            self.expiry_clock.noted(ClockNote.decode(batch[0][1]))
         self._tell(batch, None)
         if mark_error is not None:
             self._fault(mark_error)
@@ -483,7 +499,7 @@
 
     def _maybe_compact(self) -> None:
         sealed = [one.number for one in self.manifest.segments[:-1]]
-        if self.compacting is None and self.index.worth_compacting(sealed, self.wall()):
+        if self.compacting is None and self.index.worth_compacting(sealed, self.expiry_clock.now_ms()):
             self._start_compaction()
 
     def _start_compaction(self) -> None:
@@ -545,6 +561,16 @@
         self.compactions += 1
 
 
+def _clock_of(opened: Opened, clock: Callable[[], float], wall: Callable[[], int], boot: bytes) -> StoreClock:
+    """Going on from the newest note in the log; `LogError` if that can't be read."""
+    found = opened.index.clock_note
+    try:
+        note = ClockNote.decode(found) if found else None
+    except ValueError as error:
+        raise LogError(str(error)) from None
+    return StoreClock(note, opened.index.highest == 0, clock, wall, boot)
+
+
 def _set_result(done: asyncio.Future[T], result: T) -> None:
     if not done.done():  # its waiter was cancelled
         done.set_result(result)
@@ -595,7 +621,7 @@
         store, number = self.store, segment.number
         assert segment.sealed is not None
         data = await store._on_thread(store.disk.read, segment_name(number), 0, segment.sealed)
-        at, now_ms = SEGMENT_SIZE, store.wall()
+        at, now_ms = SEGMENT_SIZE, store.expiry_clock.now_ms()
         while at < len(data):
             frame = read_frame(data, at, store.salts[number])
             if frame is None:
@@ -667,8 +693,9 @@
             while at < len(data):
                 frame = read_frame(data, at, store.salts[segment.number])
                 assert frame is not None
-                for offset, _, expires, _, key in records_of(data, frame):
-                    store.index.moved(key, origins[place], location(segment.number, offset), expires)
+                for offset, kind, expires, _, key in records_of(data, frame):
+                    new = location(segment.number, offset)
+                    store.index.moved(key, origins[place], new, expires, kind)
                     place += 1
                     if not place & 63:
                         await self.slices.turn()
