--- a/woadyard/engine/members.py
+++ b/woadyard/engine/members.py
@@ -8,6 +8,11 @@
    long to apply counts from when it came.
 3. A new start or address inherits no connection of the old one.
 4. A long list is applied in steps: `woadyard.engine.listing`.
+5. A start is told in wall time, and this machine's wall clock may have been stepped. It is dated by the
+   least that this clock has shown against the monotonic one since the process began, so that a step ahead
+   makes no endpoint look older. An endpoint that is listed with a later start than before can't have started
+   before the earlier one was told; and none starts after it is told. Where these disagree with the wall
+   clock, the younger age holds.
 """
 
 from __future__ import annotations
@@ -21,6 +26,10 @@
 from woadyard.engine.ports import Clock, Upstream
 from woadyard.interface import DRAINING, GONE, READY, Entry
 
+# The clocks are read one after the other, and a machine may be held up between the two: a difference up to
+# this is no step.
+CLOCK_TOLERANCE_US: Final = 500_000
+
 PHASES: Final = {"ready": READY, "draining": DRAINING, "gone": GONE}
 
 
@@ -31,15 +40,16 @@
 
 
 class Place:
-    """What is kept of one listed endpoint."""
+    """What is kept of one listed endpoint. `seen_at`: when its present start was first told, µs."""
 
-    __slots__ = ("address", "entry", "left_at", "name", "started_ms")
+    __slots__ = ("address", "entry", "left_at", "name", "seen_at", "started_ms")
 
-    def __init__(self, name: str, address: str, started_ms: int, entry: Entry) -> None:
+    def __init__(self, name: str, address: str, started_ms: int, entry: Entry, seen_at: int = 0) -> None:
         self.name = name
         self.address = address
         self.started_ms = started_ms
         self.entry = entry
+        self.seen_at = seen_at
         self.left_at: int | None = None  # told draining or gone
 
 
@@ -51,9 +61,34 @@
     return host, int(port)
 
 
+class StartDating:
+    """Wall times of starts on the monotonic clock. See rule 5 in the head. Times in µs but `started_ms`."""
+
+    def __init__(self, now: int, wall: int) -> None:
+        self.least_offset = wall - now
+
+    def boot(self, started_ms: int, earlier_seen_at: int | None, now: int, wall: int) -> int:
+        """When it started by the monotonic clock; 0 for long ago. `earlier_seen_at`: when an earlier start
+        of the same endpoint was told, None if none was."""
+        if started_ms <= 0:
+            return 0
+        boot = started_ms * 1000 - self._wall_offset(now, wall)
+        if earlier_seen_at is not None:
+            boot = max(boot, earlier_seen_at)
+        return min(boot, now) or 1  # 0 would mean long ago
+
+    def _wall_offset(self, now: int, wall: int) -> int:
+        """Wall time at the monotonic clock's zero."""
+        offset = wall - now
+        if offset < self.least_offset - CLOCK_TOLERANCE_US:
+            self.least_offset = offset
+        return self.least_offset if offset > self.least_offset + CLOCK_TOLERANCE_US else offset
+
+
 class Members:
     def __init__(self, clock: Clock, names: Names, upstream: Upstream, drain_grace_us: int) -> None:
         self.clock = clock
+        self.starts = StartDating(clock.now(), clock.wall())
         self.names = names
         self.upstream = upstream
         self.drain_grace_us = drain_grace_us
@@ -123,7 +158,13 @@
         old = self.places.get(number)
         # Converted once: a clock that is set must not feign a restart.
         same = old is not None and old.started_ms == started_ms
-        boot = old.entry.boot if old is not None and same else self._boot(started_ms)
+        if old is not None and same:
+            boot, seen_at = old.entry.boot, old.seen_at
+        else:
+            is_later = old is not None and 0 < old.started_ms < started_ms
+            earlier_seen_at = old.seen_at if old is not None and is_later else None
+            seen_at = self.clock.now()
+            boot = self.starts.boot(started_ms, earlier_seen_at, seen_at, self.clock.wall())
         entry = Entry(
             endpoint=number,
             phase=phase,
@@ -133,14 +174,7 @@
             zone=self.names.zones.get(raw.get("zone", ""), 0),
             kind=self.names.kinds.get(raw.get("machineType", ""), 0),
         )
-        return entry, Place(name, address, started_ms, entry)
-
-    def _boot(self, started_ms: int) -> int:
-        """Wall time of a start on the module's clock, which is monotonic."""
-        if started_ms <= 0:
-            return 0
-        boot = self.clock.now() - (self.clock.wall() - started_ms * 1000)
-        return boot or 1  # 0 would mean long ago
+        return entry, Place(name, address, started_ms, entry, seen_at)
 
     def place(self, now: int, entry: Entry, place: Place) -> None:
         number = entry.endpoint
