--- a/woadyard/store/recovery.py
+++ b/woadyard/store/recovery.py
@@ -2,9 +2,11 @@
 
 from __future__ import annotations
 
+import errno
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 
+from woadyard.errors import LaurelstepError
 from woadyard.store.disk import Disk
 from woadyard.store.index import Index, place_of
 from woadyard.store.log import (
@@ -36,6 +38,8 @@
 
 # Read with a record's beginning: most are whole by that.
 NEAR = RECORD_HEAD.size + 512
+# Errors of a disk that works and has no room.
+FULL_DISK = (errno.ENOSPC, errno.EDQUOT)
 # Told how many segments of how many have been read.
 Progress = Callable[[int, int], None]
 
@@ -51,6 +55,17 @@
     sizes: dict[int, int] = field(default_factory=dict)
     allocated: int = 0  # the last segment's length on the disk, zeros ahead of the tail included
     torn: int = 0  # bytes cut off, never reported as written
+    unsure: tuple[int, bytes] = (
+        0,
+        b"",
+    )  # where the last batch is, and its bytes, if no mark says that it is durable
+
+
+class UnsureManifestError(LaurelstepError, OSError):
+    """A manifest was put in its place, and that failed: a later life finds it, or the one before it."""
+
+    cause = "the disk failed as the list of a store's files was replaced: either list may be found"
+    remedy = "see to the disk; the list is written anew by itself, and no file of either is deleted before"
 
 
 def look(disk: Disk) -> Found:
@@ -59,10 +74,13 @@
 
 
 def write_manifest(disk: Disk, manifest: Manifest) -> None:
-    """Durable as a whole, or as if it had not been."""
+    """Durable as a whole, or, after an OSError, as if it had not been; `UnsureManifestError`: either."""
     disk.create(ASIDE, encode_manifest(manifest))
-    disk.rename(ASIDE, MANIFEST)
-    disk.sync_folder()
+    try:
+        disk.rename(ASIDE, MANIFEST)
+        disk.sync_folder()
+    except OSError as error:
+        raise UnsureManifestError(error.errno, error.strerror) from error
 
 
 def create_segment(disk: Disk, number: int, salt: int) -> None:
@@ -109,8 +127,13 @@
         # Zeros are what was allocated ahead, not a batch.
         opened.torn = len(data[found.end :].rstrip(b"\0"))
         opened.tail = found.end
-        if found.frames and not found.frames[-1].count:
-            opened.tail = found.frames[-1].offset  # the next batch takes the mark's place
+        opened.unsure = (0, b"")
+        if found.frames:
+            last = found.frames[-1]
+            if last.count:
+                opened.unsure = (last.offset, data[last.offset : last.end])
+            else:
+                opened.tail = last.offset  # the next batch takes the mark's place
         opened.sizes[segment.number] = opened.tail
         if progress is not None:
             progress(at + 1, len(manifest.segments))
@@ -161,17 +184,52 @@
         found = look(disk)
         assert found.manifest is not None
     opened = read_all(disk, found.manifest, progress, numbered)
-    for name in found.leftover:
-        disk.delete(name)
     last = segment_name(found.manifest.segments[-1].number)
     if opened.torn:
         disk.cut(last, opened.tail)
         opened.allocated = opened.tail
-    # What a process that was killed had written but not synced is read as there: so it is made.
-    disk.sync(last)
+    _make_durable(disk, last, opened)
     if opened.tail > SEGMENT_SIZE:
-        salt = opened.salts[found.manifest.segments[-1].number]
-        mark = encode_frame(salt, (), opened.index.highest)
-        disk.write(last, opened.tail, mark)
-        opened.allocated = max(opened.allocated, opened.tail + len(mark))
+        _write_mark(disk, last, opened)
+    if _settle_manifest(disk, opened):
+        for name in found.leftover:
+            disk.delete(name)
     return opened
+
+
+def _make_durable(disk: Disk, name: str, opened: Opened) -> None:
+    """What was read is durable from now on, also where the life before could not sync it: after a sync
+    that failed Linux may take the bytes for written, so that another sync says nothing of them. Only the
+    last batch can be of that kind, and is written again."""
+    offset, frame = opened.unsure
+    if frame:
+        disk.write(name, offset, frame)
+    disk.sync(name)
+
+
+def _write_mark(disk: Disk, name: str, opened: Opened) -> None:
+    """Behind the last batch, until there is a next one. Without it, as on a full disk, the next life makes
+    that batch durable once more."""
+    salt = opened.salts[opened.manifest.segments[-1].number]
+    mark = encode_frame(salt, (), opened.index.highest)
+    try:
+        disk.write(name, opened.tail, mark)
+    except OSError as error:
+        if error.errno not in FULL_DISK:
+            raise
+    opened.allocated = max(opened.allocated, opened.tail + len(mark))
+
+
+def _settle_manifest(disk: Disk, opened: Opened) -> bool:
+    """The manifest that was read is durable from now on, also where the life before could not sync its name.
+    False on a full disk: then what it does not name must stay."""
+    manifest = replace(opened.manifest, generation=opened.manifest.generation + 1)
+    try:
+        write_manifest(disk, manifest)
+    except OSError as error:
+        if isinstance(error, UnsureManifestError) or error.errno not in FULL_DISK:
+            raise
+        disk.sync_folder()
+        return False
+    opened.manifest = manifest
+    return True
--- a/woadyard/store/store.py
+++ b/woadyard/store/store.py
@@ -9,6 +9,8 @@
 3. After a failed write or sync nothing more goes into that file. A new one is begun no sooner
    than a backoff, when somebody wants to write; until then writers hear so at once.
 4. The loop is never held for longer than a slice.
+5. Where a manifest may or may not be in its place, no file that either names is deleted, and nothing
+   goes into a segment that either seals, until a later manifest is durable.
 """
 
 from __future__ import annotations
@@ -21,7 +23,7 @@
 from collections import deque
 from collections.abc import AsyncIterator, Callable, Iterable, Iterator
 from concurrent.futures import ThreadPoolExecutor
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from types import TracebackType
 from typing import Any, Self, TypeVar
 
@@ -43,6 +45,7 @@
 from woadyard.store.recovery import (
     Opened,
     Progress,
+    UnsureManifestError,
     create_segment,
     record_at,
     records_at,
@@ -58,7 +61,7 @@
 SLICE_S = 0.001
 # Read at once of many records.
 READ_RECORDS, READ_BYTES = 64, 128 * 1024
-BACKOFF_S, BACKOFF_MOST_S = 1.0, 30.0
+BACKOFF_S, BACKOFF_MOST_S = 1.0, 8.0
 
 
 class StoreUnavailableError(StoreError):
@@ -138,6 +141,8 @@
         self.committing: asyncio.Task[None] | None = None
         self.compacting: asyncio.Task[None] | None = None
         self.switching = asyncio.Lock()  # one change of the manifest at a time
+        self.appending = asyncio.Lock()  # no batch while the active segment changes
+        self.unsure: list[str] = []  # files that an unsure manifest may name, and the one in use does not
         self.closed = False
         self.released = False
         self.failed: str | None = None  # why nothing is written now
@@ -169,10 +174,12 @@
         try:
             opened = await loop.run_in_executor(thread, work)
         except BaseException as error:
-            thread.submit(disk.close)
+            closing = thread.submit(disk.close)
             thread.shutdown(wait=False)
+            if isinstance(error, Exception):
+                await asyncio.wrap_future(closing)  # whoever hears of it finds the folder free
             if isinstance(error, LogError | OSError):
-                raise StoreError(f"the store can't be opened: {error}") from None
+                raise StoreError(f"the store can't be opened: {error}") from error
             raise
         if opened.torn:
             log(f"store: cut off {opened.torn} bytes of a batch that was never reported as written")
@@ -323,7 +330,8 @@
         """Batch after batch until nobody waits."""
         try:
             while self.waiting:
-                await self._commit_one()
+                async with self.appending:
+                    await self._commit_one()
         finally:
             self.committing = None
 
@@ -433,10 +441,46 @@
             with contextlib.suppress(OSError):  # the manifest says where it ends: this saves room
                 await self._on_thread(self.disk.cut, sealed, self.tail)
             self.tail = self.allocated = self.sizes[number] = SEGMENT_SIZE
+            await self._delete_unsure()
 
     def _switch(self, manifest: Manifest, number: int, salt: int) -> None:
-        create_segment(self.disk, number, salt)
-        write_manifest(self.disk, manifest)
+        """On the thread. What fails leaves no new file behind that no manifest can name."""
+        name = segment_name(number)
+        try:
+            create_segment(self.disk, number, salt)
+            write_manifest(self.disk, manifest)
+        except UnsureManifestError:
+            self.unsure.append(name)
+            raise
+        except OSError:
+            with contextlib.suppress(OSError):
+                self.disk.delete(name)
+            raise
+
+    async def _roll_beside_writers(self) -> None:
+        """As `_roll`, for compaction. If the manifest is unsure, the active segment may be sealed: writing
+        ends until a later one is durable."""
+        async with self.appending:
+            try:
+                await self._roll()
+            except UnsureManifestError as error:
+                self._fault(error)
+                raise
+
+    async def _delete_unsure(self) -> None:
+        """The manifest in use is durable, and names none of these."""
+        names, self.unsure = self.unsure, []
+        for name in names:
+            with contextlib.suppress(OSError):
+                await self._on_thread(self.disk.delete, name)
+
+    async def _settle_manifest(self) -> None:
+        """After one that is unsure, before more is begun that it would have to be settled for."""
+        async with self.switching:
+            manifest = replace(self.manifest, generation=self.manifest.generation + 1)
+            await self._on_thread(write_manifest, self.disk, manifest)
+            self.manifest = manifest
+            await self._delete_unsure()
 
     def _take_number(self) -> int:
         self.next_number += 1
@@ -496,22 +540,17 @@
         if self.compacting is not None:
             await asyncio.wait((self.compacting,))
         if self.tail > SEGMENT_SIZE and self.failed is None:
-            await self._quiet_roll()
+            await self._roll_beside_writers()
         self.compacting = self.loop.create_task(self._compact())
         try:
             await asyncio.shield(self.compacting)
         finally:
             self.compacting = None
 
-    async def _quiet_roll(self) -> None:
-        while self.committing is not None:
-            await asyncio.wait((self.committing,))
-        await self._roll()
-
     async def _compact_and_tell(self) -> None:
         try:
             if len(self.manifest.segments) == 1 and self.committing is None:
-                await self._roll()
+                await self._roll_beside_writers()
             await self._compact()
         except (LogError, OSError) as error:
             self.log(f"store: compaction failed, nothing was changed: {error}")
@@ -522,6 +561,8 @@
         old = self.manifest.segments[:-1]
         if not old:
             return
+        if self.unsure:
+            await self._settle_manifest()
         copy = Compaction(self)
         try:
             for segment in old:
@@ -531,6 +572,9 @@
                 manifest = self.manifest.compacted(old, copy.segments, self.next_number)
                 await self._on_thread(write_manifest, self.disk, manifest)
                 self.manifest = manifest
+        except UnsureManifestError:
+            copy.leave()
+            raise
         except BaseException:
             with contextlib.suppress(OSError):
                 await self._on_thread(copy.drop)
@@ -677,7 +721,15 @@
             store.index.expired(key, where)
 
     def drop(self) -> None:
-        numbers = [one.number for one in self.segments] + ([self.number] if self.number else [])
-        for number in numbers:
+        for number in self._numbers():
             self.store.salts.pop(number, None)
             self.store.disk.delete(segment_name(number))
+
+    def leave(self) -> None:
+        """A manifest that names them may be in its place: they stay until a later one is durable."""
+        for number in self._numbers():
+            self.store.salts.pop(number, None)
+            self.store.unsure.append(segment_name(number))
+
+    def _numbers(self) -> list[int]:
+        return [one.number for one in self.segments] + ([self.number] if self.number else [])
--- a/woadyard/testing/disk.py
+++ b/woadyard/testing/disk.py
@@ -13,22 +13,40 @@
 
 @dataclass
 class Inode:
-    """A file's bytes: those that are durable, and the writes since."""
+    """A file's bytes: those that are durable, the writes since, and those that a failed sync gave up.
+
+    As on Linux: after a failed sync a process still reads what it wrote, and a later sync that succeeds
+    makes durable only what was written since."""
 
     durable: bytearray = field(default_factory=bytearray)
     pending: list[tuple[int, bytes]] = field(default_factory=list)
+    dropped: list[tuple[int, bytes]] = field(default_factory=list)  # all older than the pending ones
 
     def view(self) -> bytearray:
         """As a process sees it."""
         data = bytearray(self.durable)
-        for offset, part in self.pending:
+        for offset, part in (*self.dropped, *self.pending):
             put(data, offset, part)
         return data
 
     def sync(self) -> None:
-        self.durable = self.view()
+        """What is pending becomes durable; what was dropped stays readable where nothing newer is."""
+        for offset, part in self.pending:
+            put(self.durable, offset, part)
+            self.dropped = [piece for one in self.dropped for piece in outside(one, offset, len(part))]
+        self.pending = []
+
+    def fail_sync(self) -> None:
+        """What is pending is still read, and reaches the disk only if it is written again."""
+        self.dropped += self.pending
         self.pending = []
 
+    def cut(self, size: int) -> None:
+        """Shorten it, durably."""
+        self.sync()
+        del self.durable[size:]
+        self.dropped = [(offset, part[: size - offset]) for offset, part in self.dropped if offset < size]
+
 
 def put(data: bytearray, offset: int, part: bytes) -> None:
     """Write, with zeros in a gap."""
@@ -37,6 +55,15 @@
     data[offset : offset + len(part)] = part
 
 
+def outside(write: tuple[int, bytes], begin: int, size: int) -> Iterator[tuple[int, bytes]]:
+    """The parts of a write that lie before and behind a range."""
+    offset, part = write
+    if before := part[: max(0, begin - offset)]:
+        yield offset, before
+    if behind := part[max(0, begin + size - offset) :]:
+        yield offset + len(part) - len(behind), behind
+
+
 Op = tuple[Any, ...]
 
 
@@ -50,6 +77,7 @@
         self.pending_names: list[Op] = []
         self.journal: list[Op] = []
         self.faults: dict[str, list[OSError]] = {}  # by operation: raised in their turn
+        self.broken: dict[str, OSError] = {}  # by operation: raised until it is mended
         self.owner: list[SimulatedDisk] = []  # shared with the others: one at most
 
     def another(self) -> SimulatedDisk:
@@ -64,9 +92,20 @@
         """The next calls of an operation raise these."""
         self.faults.setdefault(operation, []).extend(errors)
 
+    def break_down(self, error: OSError, *operations: str) -> None:
+        """All calls of these operations raise this, until `mend`."""
+        self.broken.update(dict.fromkeys(operations, error))
+
+    def mend(self) -> None:
+        """All calls succeed again."""
+        self.faults.clear()
+        self.broken.clear()
+
     def _begin(self, *op: Any) -> None:
         if waiting := self.faults.get(op[0]):
             raise waiting.pop(0)
+        if (error := self.broken.get(op[0])) is not None:
+            raise error
         self.journal.append(op)
 
     # --- The protocol -------------------------------------------------------------
@@ -110,15 +149,23 @@
 
     def sync(self, name: str) -> None:
         self._present(name)
-        self._begin("sync", name)
+        try:
+            self._begin("sync", name)
+        except OSError:
+            self.names[name].fail_sync()
+            self.journal.append(("fail_sync", name))
+            raise
         self.names[name].sync()
 
+    def fail_sync(self, name: str) -> None:
+        """A sync that failed, when a journal is replayed."""
+        self.names[name].fail_sync()
+        self.journal.append(("fail_sync", name))
+
     def cut(self, name: str, size: int) -> None:
         self._present(name)
         self._begin("cut", name, size)
-        inode = self.names[name]
-        inode.sync()
-        del inode.durable[size:]
+        self.names[name].cut(size)
 
     def rename(self, old: str, new: str) -> None:
         self._present(old)
@@ -127,17 +174,36 @@
         self.pending_names.append(("rename", old, new))
 
     def sync_folder(self) -> None:
-        self._begin("sync_folder")
+        try:
+            self._begin("sync_folder")
+        except OSError:
+            self.fail_sync_folder()
+            raise
+        durable = changed_names(self.durable_names, self.pending_names)
         self.durable_names.clear()
-        self.durable_names.update(self.names)
+        self.durable_names.update(durable)
         self.pending_names.clear()
 
+    def fail_sync_folder(self) -> None:
+        """A sync that failed, also when a journal is replayed: these changes are seen, and not durable."""
+        self.pending_names.clear()
+        self.journal.append(("fail_sync_folder",))
+
     def delete(self, name: str) -> None:
         self._begin("delete", name)
         self.names.pop(name, None)
         self.pending_names.append(("unlink", name))
 
-    # --- Losing power -------------------------------------------------------------
+    # --- A kill, and losing power ----------------------------------------------------
+
+    def kill(self) -> SimulatedDisk:
+        """The disk as the next process of a machine that runs on finds it, whatever was synced."""
+        after = SimulatedDisk()
+        after.names, after.durable_names, after.pending_names = copy.deepcopy(
+            (self.names, self.durable_names, self.pending_names)
+        )
+        after.broken = dict(self.broken)
+        return after
 
     @classmethod
     def replay(cls, journal: list[Op]) -> SimulatedDisk:
@@ -153,19 +219,14 @@
         part of the changes since, in their order; bytes as far as a file was synced, and any
         of the blocks written since. Without `keep` all that was not synced is lost, or with
         `all_` none of it."""
-        names = dict(self.durable_names)
         changes = len(self.pending_names) if all_ else keep.randint(0, len(self.pending_names)) if keep else 0
-        for op in self.pending_names[:changes]:
-            match op:
-                case ("link", name, inode):
-                    names[name] = inode
-                case ("rename", old, new) if old in names:
-                    names[new] = names.pop(old)
-                case ("unlink", name):
-                    names.pop(name, None)
+        names = changed_names(self.durable_names, self.pending_names[:changes])
         after = SimulatedDisk()
         for name, inode in names.items():
-            data = inode.view() if all_ else bytearray(inode.durable)
+            data = bytearray(inode.durable)
+            if all_:
+                for offset, part in inode.pending:
+                    put(data, offset, part)
             if keep is not None and not all_:
                 for offset, part in blocks(inode.pending):
                     if keep.random() < 0.5:
@@ -175,6 +236,20 @@
         return after
 
 
+def changed_names(names: dict[str, Inode], changes: list[Op]) -> dict[str, Inode]:
+    """A folder's names after these changes."""
+    names = dict(names)
+    for op in changes:
+        match op:
+            case ("link", name, inode):
+                names[name] = inode
+            case ("rename", old, new) if old in names:
+                names[new] = names.pop(old)
+            case ("unlink", name):
+                names.pop(name, None)
+    return names
+
+
 def blocks(writes: list[tuple[int, bytes]], size: int = 16) -> Iterator[tuple[int, bytes]]:
     """Writes in the pieces that a disk may keep or lose by themselves; small, so that a short
     log has many."""
