--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -6,6 +6,7 @@
 import asyncio
 import contextlib
 import errno
+import os
 import random
 import socket
 import threading
@@ -583,6 +584,48 @@
     run(main())
 
 
+@pytest.mark.parametrize("operations", [("write", "create"), ("sync", "sync_folder")])
+@pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO])
+def test_a_disk_that_fails_for_a_while_costs_no_kept_write_and_runs_none_that_was_not(
+    number: int, operations: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A replay's end that could not be written is written once it can be; new ones are kept again."""
+    monkeypatch.setattr(driving, "AGAIN_S", 0.0)
+
+    async def main() -> None:
+        disk = Disk()
+        async with edge(disk) as one:
+            assert (await one.write("before", b"x" * 100, cls="pay")).status == 202
+            disk.break_down(OSError(number, os.strerror(number)), *operations)
+            for size in (10, 2 << 20):
+                found = await one.write(f"during-{size}", bytes(size))
+                assert found.status in (502, 503), "answered, and not told as kept"
+            disk.mend()
+            one.driver.store.store.retry_at = 0.0
+            await one.quiet()
+            assert (await one.write("after", b"y")).status == 202
+
+            async def break_again(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+                if message.headers["x-request-id"] == "before":
+                    disk.break_down(OSError(number, os.strerror(number)), *operations)
+                await serve()(endpoint, message, writer)
+
+            one.endpoint.handler = break_again
+            await one.endpoint.restart(0)
+            await one.until(lambda: any("its end is not written" in line for line in one.log))
+            assert one.driver.outbox.count > 0
+            disk.mend()
+            one.driver.store.store.retry_at = 0.0
+            await one.until(lambda: not one.driver.outbox.count)
+            effects = one.endpoint.effects.by_id
+            assert effects["before"] == 1 and effects["after"] == 1 and not one.driver.parked
+            assert not any(name.startswith("during") for name in effects)
+            async with next_life(one, disk.kill()) as later:
+                assert not later.driver.outbox.count and not later.driver.parked
+
+    run(main())
+
+
 def test_a_head_that_may_be_found_later_is_no_refusal(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         disk = Disk()
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -9,18 +9,30 @@
 import asyncio
 import contextlib
 import errno
+import functools
 import itertools
 import random
-from collections.abc import Iterator
+from collections.abc import AsyncIterator, Iterator
+from dataclasses import replace
+from pathlib import Path
 from typing import Any
 
 import pytest
 
 from tests.once import once
+from tests.test_orders import AGAIN, MAY_HAVE_RUN, SERVED, pay, recorded, said
 from tests.test_store import SMALL, State, Times, opened, state_of
+from woadyard.engine import Ending
+from woadyard.library import Request
+from woadyard.orders.book import ANSWERED, order_key
+from woadyard.outbox.journal import FINAL, Moved
+from woadyard.outbox.journal import State as WriteState
+from woadyard.outbox.store import FailedToKeepError, KeptStore
 from woadyard.store import Options, Store, StoreError, StoreUnavailableError
 from woadyard.store.manifest import MANIFEST, segment_name
 from woadyard.store.store import BACKOFF_MOST_S
+from woadyard.testing import Endpoint, refuse, serve
+from woadyard.testing.contracts.outbox import made
 from woadyard.testing.disk import Op, SimulatedDisk
 
 pytestmark = once
@@ -312,3 +324,230 @@
         assert course.told > 20 and course.refused > 5
 
     run(main())
+
+
+# --- The record of orders ------------------------------------------------------------------
+
+
+def record_of(disk: SimulatedDisk, name: str) -> bytes | None:
+    return state_of(disk).get(order_key("pay", name.encode()))
+
+
+@pytest.mark.parametrize("operations", [WRITING, SYNCING], ids=["at writes", "at syncs"])
+@pytest.mark.parametrize("error", FAULTS, ids=["ENOSPC", "EIO"])
+def test_orders_on_a_disk_that_fails_for_a_while(
+    tmp_path: Path, error: OSError, operations: tuple[str, ...]
+) -> None:
+    """Refused at once and never run while it fails; recorded again by itself once it does not."""
+
+    async def main() -> None:
+        disk, times = SimulatedDisk(), Times()
+        async with Endpoint() as endpoint, contextlib.AsyncExitStack() as stack:
+            client, store = await recorded(disk, endpoint, "fail", tmp_path, stack)
+            store.clock = times.clock
+            assert said(await client.send(order("before"))) == SERVED
+            disk.break_down(error, *operations)
+            for n in range(4):
+                assert said(await client.send(order(f"while-{n}"))) == MAY_HAVE_RUN
+                assert (await client.send(Request("page", "/page"))).outcome is Ending.SERVED
+                times.seconds += BACKOFF_MOST_S / 3
+            assert said(await client.send(order("before"))) == AGAIN, "what was told before is told again"
+            assert ran(endpoint) == ["before"], "nothing runs whose intent is not kept"
+            disk.mend()
+            times.seconds += BACKOFF_MOST_S
+            assert said(await client.send(order("after"))) == SERVED
+            assert said(await client.send(order("while-0"))) == SERVED, "its repeat runs, for the first time"
+            assert ran(endpoint) == ["before", "after", "while-0"]
+        for after in deaths(disk, 7):
+            for name in ran(endpoint):
+                found = record_of(after, name)
+                assert found is not None and found[:1] == ANSWERED
+
+    run(main())
+
+
+def ran(endpoint: Endpoint) -> list[str]:
+    return [one.body.decode() for one in endpoint.got if one.body]
+
+
+def order(name: str) -> Request:
+    return pay(name, name.encode())
+
+
+def test_an_intent_whose_sync_failed_is_kept_by_the_next_life_or_gone(tmp_path: Path) -> None:
+    """The next life answers from it, writes on, and loses power: nothing that it told is lost."""
+
+    async def main() -> None:
+        disk = SimulatedDisk()
+        async with Endpoint() as endpoint, contextlib.AsyncExitStack() as stack:
+            client, _ = await recorded(disk, endpoint, "fail", tmp_path / "1", stack)
+            disk.fail("sync", IO_ERROR)
+            assert said(await client.send(order("unsure"))) == MAY_HAVE_RUN
+            disk = disk.kill()
+            client, _ = await recorded(disk, endpoint, "fail", tmp_path / "2", stack)
+            first = said(await client.send(order("unsure")))
+            assert said(await client.send(order("sure"))) == SERVED
+            disk = disk.lose_power()
+            client, _ = await recorded(disk, endpoint, "fail", tmp_path / "3", stack)
+            assert said(await client.send(order("sure"))) == AGAIN
+            again = said(await client.send(order("unsure")))
+            assert again == (MAY_HAVE_RUN if first == MAY_HAVE_RUN else AGAIN)
+            assert ran(endpoint).count("sure") == 1 and ran(endpoint).count("unsure") <= 1
+
+    run(main())
+
+
+def test_a_kill_at_every_byte_that_the_record_writes_lets_no_order_run_twice(tmp_path: Path) -> None:
+    async def main() -> None:
+        disk = SimulatedDisk()
+
+        async def handler(endpoint: Endpoint, message: Any, writer: Any) -> None:
+            name = message.body.decode()
+            disk.mark("sent", name)
+            reply = refuse() if name.startswith("refused") else serve(name.encode())
+            await reply(endpoint, message, writer)
+
+        async with Endpoint(handler) as endpoint, contextlib.AsyncExitStack() as stack:
+            client, store = await recorded(disk, endpoint, "fail", tmp_path, stack)
+            store.options = replace(store.options, ahead_bytes=64, segment_bytes=700)
+            for n in range(6):
+                name = f"refused-{n}" if n == 3 else f"order-{n}"
+                reply = await client.send(order(name))
+                disk.mark(reply.outcome.value, name)
+        seen = 0
+        for before, broken in cuts(disk.journal):
+            state = state_of(broken)
+            served, refused = marks(before, "served"), marks(before, "refused")
+            for name in marks(before, "sent"):
+                record = state.get(order_key("pay", name.encode()))
+                if name in served:
+                    assert record is not None and record[:1] == ANSWERED
+                elif name not in refused and not name.startswith("refused"):
+                    assert record is not None, "it may have run, and its repeat hears so"
+            seen += 1
+        assert seen > 1_000 and len(marks(disk.journal, "served")) == 5
+
+    run(main())
+
+
+# --- The outbox ----------------------------------------------------------------------------
+
+MOST = 64 << 20
+
+
+@pytest.fixture
+def short_ahead(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A log whose every byte can be cut in a moment: few zeros ahead of its end."""
+    monkeypatch.setattr("woadyard.outbox.store.Options", functools.partial(Options, ahead_bytes=64))
+
+
+@contextlib.asynccontextmanager
+async def kept_store(disk: SimulatedDisk, times: Times | None = None) -> AsyncIterator[KeptStore]:
+    store = await KeptStore.open(disk, MOST)
+    store.store.clock = (times or Times()).clock
+    try:
+        yield store
+    finally:
+        await store.close()
+
+
+@pytest.mark.parametrize("operations", [WRITING, SYNCING], ids=["at writes", "at syncs"])
+@pytest.mark.parametrize("error", FAULTS, ids=["ENOSPC", "EIO"])
+def test_an_outbox_on_a_disk_that_fails_for_a_while(error: OSError, operations: tuple[str, ...]) -> None:
+    """What was kept stays owed, what was refused is told so, and what comes after is kept again."""
+
+    async def main() -> None:
+        disk, times = SimulatedDisk(), Times()
+        async with kept_store(disk, times) as store:
+            await store.load()
+            kept = [made(1, 100), made(2, 200_000)]
+            for one in kept:
+                await store.keep(*one)
+            await store.move(Moved(kept[0][0].dot, WriteState.OUT))
+            disk.break_down(error, *operations)
+            for n in (3, 4):
+                with pytest.raises(FailedToKeepError):
+                    await store.keep(*made(n, 200_000))
+                with pytest.raises(StoreError):
+                    await store.move(Moved(kept[0][0].dot, WriteState.DONE))
+                assert not await store.forget(kept[1][0].dot, kept[1][0].size)
+                times.seconds += BACKOFF_MOST_S / 3
+            during = disk.kill()
+            disk.mend()
+            times.seconds += BACKOFF_MOST_S
+            await store.keep(*made(5, 70_000))
+            kept.append(made(5, 70_000))
+            for one in kept:
+                assert await store.read(one[0].dot) == one
+        for after in deaths(disk, 8):
+            assert await read_kept(after) == [*kept]
+        during.mend()
+        found = await read_kept(during)
+        assert found[:2] == kept[:2] and all(one in (made(3, 200_000), made(4, 200_000)) for one in found[2:])
+        assert await read_kept(during.lose_power()) == found, "what a life found, the next finds"
+
+    run(main())
+
+
+async def read_kept(disk: SimulatedDisk) -> list[Any]:
+    """As a life finds it, with its body."""
+    async with kept_store(disk) as store:
+        return [await store.read(one.dot) for one, _ in (await store.load()).writes]
+
+
+@pytest.mark.usefixtures("short_ahead")
+def test_a_kill_at_every_byte_that_the_outbox_writes_leaves_what_was_told() -> None:
+    async def main() -> None:
+        disk = SimulatedDisk()
+        async with kept_store(disk) as store:
+            await store.load()
+            for n in range(1, 4):
+                await store.keep(*made(n, 30 * n))
+                disk.mark("kept", made(n, 0)[0].dot)
+            for n in (1, 2):
+                for state in (WriteState.OUT, WriteState.DONE):
+                    await store.move(Moved(made(n, 0)[0].dot, state))
+                    disk.mark(state.name, made(n, 0)[0].dot)
+            disk.mark("forgetting", made(1, 0)[0].dot)
+            assert await store.forget(made(1, 0)[0].dot, 0)
+            disk.mark("forgotten", made(1, 0)[0].dot)
+        seen = 0
+        for before, broken in cuts(disk.journal):
+            async with kept_store(broken) as store:
+                writes = {one.dot: moved for one, moved in (await store.load()).writes}
+            for dot in marks(before, "kept"):
+                if dot in marks(before, "forgotten"):
+                    assert dot not in writes
+                elif dot not in marks(before, "forgetting"):
+                    assert dot in writes
+                if dot in writes and dot in marks(before, "OUT"):
+                    assert writes[dot] is not None, "it was sent, and is not sent as if it never had been"
+                if dot in writes and dot in marks(before, "DONE"):
+                    moved = writes[dot]
+                    assert moved is not None and moved.state in FINAL
+            seen += 1
+        assert seen > 800
+
+    run(main())
+
+
+def test_a_record_is_never_left_without_its_state_as_a_write_is_forgotten() -> None:
+    """Else a life that follows takes it for one that was never sent, and sends it again."""
+
+    async def main() -> None:
+        disk = SimulatedDisk()
+        async with kept_store(disk) as store:
+            await store.load()
+            write, body = made(1, 10)
+            await store.keep(write, body)
+            await store.move(Moved(write.dot, WriteState.DONE))
+            store.store.options = replace(store.store.options, batch_records=1)  # each change by itself
+            begun = len(disk.journal)
+            assert await store.forget(write.dot, 0)
+            calls = disk.journal
+        for end in range(begun, len(calls)):
+            async with kept_store(SimulatedDisk.replay(calls[:end]).lose_power(all_=True)) as store:
+                for _, moved in (await store.load()).writes:
+                    assert moved is not None and moved.state is WriteState.DONE
+
+    run(main())
--- a/woadyard/outbox/store.py
+++ b/woadyard/outbox/store.py
@@ -192,10 +192,14 @@
 
     async def _take_back(self, dot: Dot, size: int) -> bool:
         """Delete what there is of a write; False if that failed."""
-        keys = [key for key in (key_of(KEPT, dot), *part_keys(dot, size)) if key in self.store]
-        results = await asyncio.gather(*(self.store.delete(key) for key in keys), return_exceptions=True)
+        results = await asyncio.gather(*self._begin_take_back(dot, size), return_exceptions=True)
         return not any(isinstance(one, BaseException) for one in results)
 
+    def _begin_take_back(self, dot: Dot, size: int) -> list[asyncio.Future[None]]:
+        """The record goes before the parts: none is ever found without them."""
+        keys = [key for key in (key_of(KEPT, dot), *part_keys(dot, size)) if key in self.store]
+        return [self.store.delete(key) for key in keys]
+
     async def put_parts(self, dot: Dot, at: int, parts: Sequence[bytes]) -> None:
         """Parts behind the first of a body that is still coming, from number `at` on: all of `CHUNK` bytes
         but the last of the body. `FailedToKeepError`; no life finds a write without its head."""
@@ -215,13 +219,16 @@
             raise FailedToKeepError(str(error), self.store.failed is None) from None
 
     async def forget(self, dot: Dot, size: int) -> bool:
-        """All of a write. False if that can't be written."""
+        """All of a write. False if that can't be written. Its state is deleted after its record: a record
+        without a state, if only one batch of two is durable, would be sent again."""
         moved = key_of(MOVED, dot)
         self._forgetting.add(dot)
         try:
+            taking_back = self._begin_take_back(dot, size)
             if moved in self.store:
-                self.store.delete(moved).add_done_callback(lambda one: one.exception())
-            return await self._take_back(dot, size)
+                taking_back.append(self.store.delete(moved))
+            results = await asyncio.gather(*taking_back, return_exceptions=True)
+            return not any(isinstance(one, BaseException) for one in results)
         finally:
             self._forgetting.discard(dot)
 
