--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -12,7 +12,7 @@
 import functools
 import itertools
 import random
-from collections.abc import AsyncIterator, Iterator
+from collections.abc import AsyncIterator, Iterator, Mapping
 from dataclasses import replace
 from pathlib import Path
 from typing import Any
@@ -20,8 +20,14 @@
 import pytest
 
 from tests.once import once
+from tests.test_node import SAY, Bench, turn
 from tests.test_orders import AGAIN, MAY_HAVE_RUN, SERVED, pay, recorded, said
 from tests.test_store import SMALL, State, Times, opened, state_of
+from woadyard.accord.node import REOPEN_MOST_US, REOPEN_US, Stage
+from woadyard.accord.ports import Store as StateStore
+from woadyard.accord.stores import embedded
+from woadyard.accord.stores.embedded import EmbeddedStore, StateFaultError
+from woadyard.accord.terms import Effects
 from woadyard.engine import Ending
 from woadyard.library import Request
 from woadyard.orders.book import ANSWERED, order_key
@@ -439,6 +445,7 @@
 def short_ahead(monkeypatch: pytest.MonkeyPatch) -> None:
     """A log whose every byte can be cut in a moment: few zeros ahead of its end."""
     monkeypatch.setattr("woadyard.outbox.store.Options", functools.partial(Options, ahead_bytes=64))
+    monkeypatch.setattr(embedded, "OPTIONS", replace(embedded.OPTIONS, ahead_bytes=64, segment_bytes=1_000))
 
 
 @contextlib.asynccontextmanager
@@ -551,3 +558,161 @@
                     assert moved is not None and moved.state is WriteState.DONE
 
     run(main())
+
+
+# --- The consensus state ---------------------------------------------------------------------
+
+
+def step(n: int) -> Mapping[bytes, bytes | None]:
+    """What one step of the core changes: a promise, and two entries."""
+    gone: dict[bytes, bytes | None] = {b"e%d" % (n - 3): None} if n > 3 else {}
+    return {b"vote": b"%d" % n, b"e%d" % n: b"x" * n, **gone}
+
+
+def after_step(n: int) -> dict[bytes, bytes]:
+    found: dict[bytes, bytes | None] = {}
+    for one in range(1, n + 1):
+        found.update(step(one))
+    return {key: value for key, value in found.items() if value is not None}
+
+
+async def state_found(disk: SimulatedDisk) -> dict[bytes, bytes]:
+    store = await EmbeddedStore.open(disk)
+    try:
+        return await store.load()
+    finally:
+        await store.close()
+
+
+@pytest.mark.parametrize("operations", [WRITING, SYNCING], ids=["at writes", "at syncs"])
+@pytest.mark.parametrize("error", FAULTS, ids=["ENOSPC", "EIO"])
+def test_the_consensus_state_of_a_disk_that_fails_is_whole_steps(
+    error: OSError, operations: tuple[str, ...]
+) -> None:
+    """The step that was acknowledged last, or the one after it; what a life found stays so."""
+
+    async def main() -> None:
+        disk, acknowledged = SimulatedDisk(), 0
+        for life in range(5):
+            store = await EmbeddedStore.open(disk)
+            found = await store.load()
+            acknowledged = max(n for n in (acknowledged, acknowledged + 1) if after_step(n) == found)
+            for _ in range(3):
+                acknowledged += 1
+                await store.write(step(acknowledged))
+            disk.break_down(error, *operations)
+            with pytest.raises(StateFaultError):
+                await store.write(step(acknowledged + 1))
+            with pytest.raises(StateFaultError):
+                await store.write(step(acknowledged + 2))
+            found_next = [*deaths(disk, life)]
+            await store.close()
+            for after in found_next:
+                after.mend()
+                first = await state_found(after)
+                assert first in (after_step(acknowledged), after_step(acknowledged + 1))
+                assert await state_found(after.lose_power()) == first
+            disk = found_next[life % len(found_next)]
+
+    run(main())
+
+
+@pytest.mark.usefixtures("short_ahead")
+def test_a_kill_at_every_byte_that_the_consensus_state_writes_leaves_whole_steps() -> None:
+    async def main() -> None:
+        disk = SimulatedDisk()
+        store = await EmbeddedStore.open(disk)
+        for n in range(1, 12):
+            await store.write(step(n))
+            disk.mark("acknowledged", n)
+        await store.close()
+        seen = 0
+        for before, broken in cuts(disk.journal):
+            n = max(marks(before, "acknowledged"), default=0)
+            assert await state_found(broken) in (after_step(n), after_step(n + 1))
+            seen += 1
+        assert seen > 800
+
+    run(main())
+
+
+class Reopened:
+    """A node on a simulated disk, whose store is opened anew as often as it is asked for."""
+
+    def __init__(self) -> None:
+        self.disk = SimulatedDisk()
+        self.bench = Bench()
+        self.bench.node.open_store = self.open
+        self.opened = 0
+
+    async def open(self) -> StateStore:
+        self.opened += 1
+        return await EmbeddedStore.open(self.disk)
+
+    async def settle(self) -> None:
+        """Until nothing of the node is under way."""
+        node = self.bench.node
+        while node._tasks or node._writing:
+            await asyncio.sleep(0)
+        await turn()
+
+    async def wait(self, us: int) -> None:
+        self.bench.clock.advance(us)
+        await self.settle()
+
+
+@pytest.mark.parametrize("operations", [WRITING, SYNCING], ids=["at writes", "at syncs"])
+@pytest.mark.parametrize("error", FAULTS, ids=["ENOSPC", "EIO"])
+def test_a_node_takes_part_again_by_itself_once_its_disk_is_good(
+    error: OSError, operations: tuple[str, ...]
+) -> None:
+    async def main() -> None:
+        world = Reopened()
+        bench, node = world.bench, world.bench.node
+        await node.start()
+        await world.settle()
+        bench.core.answers["receive"] = Effects(keep={b"vote": b"1"}, sends=SAY.sends)
+        bench.receive(b"x")
+        await world.settle()
+        assert (1, b"said") in bench.arrive(), "acknowledged"
+        world.disk.break_down(error, *operations)
+        bench.core.answers["receive"] = Effects(keep={b"vote": b"2"}, sends=SAY.sends)
+        bench.receive(b"x")
+        await world.settle()
+        assert node.stage is Stage.FAILED and not bench.arrive(), "what is not kept is not said"
+        for _ in range(4):
+            await world.wait(REOPEN_MOST_US)
+        assert node.stage is Stage.FAILED and world.opened > 3
+        assert len(bench.lines) == 1 and StateFaultError.remedy in bench.lines[0]
+        world.disk.mend()
+        await world.wait(REOPEN_MOST_US)
+        assert node.takes_part and node.status()["stage"] == "takes part" and not node.failure
+        assert bench.core.kept[b"vote"] in (b"1", b"2"), "what was acknowledged is still owed"
+        assert bench.lines[1:] == ["accord: the disk writes again: this process takes part"]
+        await node.close()
+
+    run(main())
+
+
+def test_a_node_that_waits_for_its_disk_gives_up_its_part_to_a_successor() -> None:
+    async def main() -> None:
+        world = Reopened()
+        bench, node = world.bench, world.bench.node
+        await node.start()
+        await world.settle()
+        world.disk.break_down(IO_ERROR, "sync")
+        bench.core.answers["receive"] = Effects(keep={b"vote": b"2"})
+        bench.receive(b"x")
+        await world.settle()
+        assert await node.retire() == {} and node.stage is Stage.RETIRED
+        opened_before = world.opened
+        await world.wait(10 * REOPEN_US)
+        assert world.opened == opened_before and not world.disk.owner, "folder and address are another's"
+        assert 0 not in bench.network.open
+        world.disk.mend()
+        await node.begin_again()
+        await world.settle()
+        assert node.takes_part
+        await node.close()
+
+    run(main())
--- a/woadyard/accord/errors.py
+++ b/woadyard/accord/errors.py
@@ -6,7 +6,15 @@
 
 from woadyard.errors import LaurelstepError
 
-__all__ = ["AccordError", "BusyError", "EntryError", "KeptError", "LinkError", "NotLeadingError"]
+__all__ = [
+    "AccordError",
+    "BusyError",
+    "EntryError",
+    "KeptError",
+    "LinkError",
+    "NotLeadingError",
+    "StoreFaultError",
+]
 
 
 class AccordError(LaurelstepError):
@@ -53,3 +61,10 @@
 
     cause: ClassVar[str] = "what was kept of the record is not readable, or of another list of peers"
     remedy: ClassVar[str] = "move the folder in `store_path` away; the process comes again from nothing"
+
+
+class StoreFaultError(AccordError):
+    """The disk under a lasting store fails, for now: this store is of no more use, one opened anew may be."""
+
+    cause: ClassVar[str] = "the disk under what a process keeps for the tier fails for now"
+    remedy: ClassVar[str] = "see to the disk; the process takes part again by itself"
--- a/woadyard/accord/node.py
+++ b/woadyard/accord/node.py
@@ -6,8 +6,9 @@
    next step. What comes meanwhile waits in its order, up to a bound; over it, it is dropped and counted.
 2. The link is open before there is a core, and its address is one process's alone: of two processes
    with one number, one takes part. The other waits until the address is free.
-3. A store that fails, or a core that does, ends this process's part until its next start, with one
-   line for the operator. Nothing else of the process hears of it.
+3. A store that fails, or a core that does, ends this process's part, with one line for the operator.
+   Nothing else of the process hears of it. Where the disk under the store fails, the part begins anew by
+   itself, as after a crash, once the store can be opened again; else at the next start.
 4. Once retired, nothing is sent. What is given up is one successor's; a process that begins again
    after that is another member, or goes on from its lasting store.
 5. Callers are told of words and changes in a turn of their own, never in the midst of a step.
@@ -27,7 +28,14 @@
 from typing import Any, Final
 
 from woadyard.accord.core import Core
-from woadyard.accord.errors import AccordError, BusyError, EntryError, KeptError, NotLeadingError
+from woadyard.accord.errors import (
+    AccordError,
+    BusyError,
+    EntryError,
+    KeptError,
+    NotLeadingError,
+    StoreFaultError,
+)
 from woadyard.accord.options import AccordSettings, udp_address
 from woadyard.accord.ports import Link, Machine, Store
 from woadyard.accord.terms import ENTRY_MOST, NOWHERE, WORD_MOST, Effects, Era, Timing
@@ -37,6 +45,9 @@
 WAITING_MOST: Final = 256
 # Between two looks at an address that another process has.
 RETRY_US: Final = 500_000
+# A store whose disk fails is opened anew after this, then after twice as long each time, up to the most.
+REOPEN_US: Final = 1_000_000
+REOPEN_MOST_US: Final = 8_000_000
 # A tick that is due at once is not due sooner than this: no core may keep the loop.
 LEAST_US: Final = 1_000
 # Without a leader for so many election times, a seat looks into founding.
@@ -105,6 +116,9 @@
         self._armed = 0  # when the timer is due
         self._telling = False
         self._tasks: set[asyncio.Task[None]] = set()
+        self._reopens = False  # failed, and the store is to be opened anew
+        self._reopen_us = REOPEN_US
+        self._ending: asyncio.Task[None] | None = None
 
     # --- For use ----------------------------------------------------------------------
 
@@ -203,6 +217,13 @@
         """Stop, for a successor that begins from what this gives; empty if there is nothing. The
         address and the store are free once this returns."""
         async with self._turn:
+            if self._reopens:
+                self._reopens = False
+                self.stage = Stage.RETIRED
+                await self._end()
+                if self._ending is not None:
+                    await self._ending
+                return {}
             if self.stage not in (Stage.TAKES_PART, Stage.WAITING):
                 return {}
             kept = {} if self.core is None else self.core.retire()
@@ -214,6 +235,7 @@
         async with self._turn:
             if self.core is not None:
                 self.core.retire()
+            self._reopens = False
             self.stage = Stage.CLOSED
             await self._end()
         if self._tasks:
@@ -277,14 +299,42 @@
             return
         text = " ".join(f"{type(error).__name__}: {error}".split())
         remedy = getattr(error, "remedy", "see that the disk and the network are well, and start it anew")
-        self.log(f"accord: this process takes no part any more, requests go on: {text}; {remedy}")
+        if self._reopen_us == REOPEN_US:
+            self.log(f"accord: this process takes no part any more, requests go on: {text}; {remedy}")
         self.failure = text
         self.stage = Stage.FAILED
+        self._reopens = isinstance(error, StoreFaultError)
         if self.core is not None:
             self.core.retire()
-        self._spawn(self._end())
+        self._ending = self._spawn(self._end_and_reopen(self._end()))
         self._tell()
 
+    async def _end_and_reopen(self, ending: Awaitable[None]) -> None:
+        """The store is opened anew, after a while, only once it is closed."""
+        await ending
+        if self._reopens:
+            self._timer = self.clock.at(self.clock.now() + self._reopen_us, self._reopen)
+            self._reopen_us = min(2 * self._reopen_us, REOPEN_MOST_US)
+
+    def _reopen(self) -> None:
+        self._timer = None
+        self._spawn(self._reopen_now())
+
+    async def _reopen_now(self) -> None:
+        """As a start after a crash: what the store kept is all that counts."""
+        async with self._turn:
+            if not self._reopens:
+                return
+            self._reopens = False
+            self.stage = Stage.NEW
+            self.machine.load(b"")
+            try:
+                await self._begin(None)
+            except OSError as error:
+                self._fail(error)
+            if self.core is not None:
+                self.failure = ""
+
     def _end(self) -> Awaitable[None]:
         """At once nothing is sent or received; then the store is closed, and only then the address is
         another's: who has the address finds the store free."""
@@ -308,13 +358,14 @@
             if link is not None:
                 link.close()
 
-    def _spawn(self, work: Awaitable[None]) -> None:
+    def _spawn(self, work: Awaitable[None]) -> asyncio.Task[None]:
         async def run() -> None:
             await work
 
         task = asyncio.get_running_loop().create_task(run())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
+        return task
 
     # --- Steps ------------------------------------------------------------------------
 
@@ -403,6 +454,9 @@
         try:
             if error is not None:
                 raise error
+            if effects.keep and self._reopen_us != REOPEN_US:
+                self._reopen_us = REOPEN_US
+                self.log("accord: the disk writes again: this process takes part")
             for peer, data in effects.sends:
                 link.send(peer, data)
         except Exception as fault:
--- a/woadyard/accord/ports.py
+++ b/woadyard/accord/ports.py
@@ -41,7 +41,8 @@
         """All that is kept. Raises StoreError."""
 
     def write(self, changes: Mapping[bytes, bytes | None]) -> asyncio.Future[None]:
-        """Durable together or not at all, in the order of the calls; None deletes. The future: StoreError."""
+        """Durable together or not at all, in the order of the calls; None deletes. The future: StoreError,
+        or StoreFaultError where the disk fails."""
 
     async def close(self) -> None: ...
 
--- a/woadyard/accord/stores/embedded.py
+++ b/woadyard/accord/stores/embedded.py
@@ -16,6 +16,7 @@
 from pathlib import Path
 from typing import Final
 
+from woadyard.accord.errors import StoreFaultError
 from woadyard.store import Disk, FolderDisk, Options, Store, StoreError
 from woadyard.store.log import KEY_MOST, VALUE_MOST
 
@@ -34,6 +35,13 @@
     return sum(len(key) + len(value or b"") for key, value in changes.items())
 
 
+class StateFaultError(StoreError, StoreFaultError):
+    """The disk fails, or is full: nothing more is written until the store is opened anew."""
+
+    cause = "what this process promised the others could not be kept: the disk fails, or is full"
+    remedy = "free or mend the disk; the folder is opened again by itself, at most 8 s later"
+
+
 class EmbeddedStore:
     """A `Store` on a folder, or on any `Disk`. Made by `open`."""
 
@@ -50,9 +58,14 @@
 
     @classmethod
     async def open(cls, place: str | Disk, log: Callable[[str], None] = lambda line: None) -> EmbeddedStore:
-        """`StoreError` if it is in use, damaged or can't be read."""
+        """`StoreError` if it is in use, damaged or can't be read; `StateFaultError` if the disk fails."""
         disk: Disk = FolderDisk(Path(place)) if isinstance(place, str) else place
-        return cls(await Store.open(disk, OPTIONS, log))
+        try:
+            return cls(await Store.open(disk, OPTIONS, log))
+        except StoreError as error:
+            if isinstance(error.__cause__, OSError):
+                raise StateFaultError(str(error)) from error
+            raise
 
     async def load(self) -> dict[bytes, bytes]:
         found = {}
@@ -109,7 +122,9 @@
         results = await asyncio.gather(*puts, return_exceptions=True)
         error = next((one for one in results if isinstance(one, BaseException)), None)
         if error is not None:
-            self.failed = error if isinstance(error, StoreError) else StoreError(str(error))
+            self.failed = (
+                StateFaultError(str(error)) if isinstance(error, StoreError) else StoreError(str(error))
+            )
             waiting += self._waiting
             self._changes, self._waiting, self._size = {}, [], 0
         for done in waiting:
