--- /dev/null
+++ b/tests/syscall_faults/__init__.py
@@ -0,0 +1,1 @@
+"""Failures of system calls, forced on a process that a test starts."""
--- a/woadyard/engine/call.py
+++ b/woadyard/engine/call.py
@@ -132,7 +132,8 @@
     """One sending of a call to one endpoint."""
 
     __slots__ = (
-        "call", "copy", "endpoint", "may_have_run", "out", "owner", "sent", "timer", "until", "write_by",
+        "call", "copy", "endpoint", "lacks_socket", "may_have_run", "out", "owner", "sent", "timer", "until",
+        "write_by",
     )  # fmt: skip
 
     def __init__(
@@ -146,6 +147,7 @@
         self.until = until  # when the wait for it ends
         self.write_by = until  # none of it is written at this time or after
         self.out = True  # no outcome yet
+        self.lacks_socket = False  # it waits as this machine can open no connection: no endpoint's fault
         self.may_have_run = False  # written whole, and not proven since that it never ran
         self.timer: Handle | None = None
 
--- a/woadyard/engine/engine.py
+++ b/woadyard/engine/engine.py
@@ -404,7 +404,7 @@
     def _time_out(self, attempt: Attempt) -> None:
         if attempt.out:
             self.upstream.cancel(attempt)
-            self.ended(attempt, TIMEOUT, None, b"")
+            self.ended(attempt, MOOT if attempt.lacks_socket else TIMEOUT, None, b"")
 
     def ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
         """The one outcome of an attempt."""
--- a/woadyard/management/server.py
+++ b/woadyard/management/server.py
@@ -9,6 +9,7 @@
 import httptools
 
 from woadyard.management.calls import Reply
+from woadyard.net.acceptor import Acceptor, listen
 from woadyard.net.message import Sweep
 
 # All of one call.
@@ -17,6 +18,7 @@
 CALL_S: Final = 2.0
 # Calls that are not whole, at most; of more, the oldest is ended.
 CALLS_MOST: Final = 12
+BACKLOG: Final = 128
 
 # Method and target of a call, to what is answered.
 Asked = Callable[[bytes, bytes], Reply]
@@ -93,13 +95,12 @@
         # Guards the descriptors kept for this address: from connecting until gone.
         self.open: Sweep[Visitor] = Sweep(loop, 2 * CALL_S, Visitor.cut)
         self.waiting: Sweep[Visitor] = Sweep(loop, CALL_S, Visitor.time_out)  # for a whole call
-        self.listener: asyncio.Server | None = None
+        self.listener: Acceptor | None = None
 
     async def listen(self, host: str, port: int) -> int:
         """The port it listens at."""
-        listener: Any = await self.loop.create_server(lambda: Visitor(self), host, port, backlog=128)
-        self.listener = listener
-        return int(listener.sockets[0].getsockname()[1])
+        self.listener = await listen(self.loop, lambda: Visitor(self), host, port, BACKLOG)
+        return self.listener.port
 
     def joined(self, visitor: Visitor) -> None:
         self.open.add(visitor)
--- a/woadyard/net/message.py
+++ b/woadyard/net/message.py
@@ -106,11 +106,14 @@
     return -1
 
 
-def has_news(descriptor: int, events: int) -> bool:
-    """Whether any of these has happened to it by now."""
+def has_news(descriptor: int, events: int, if_unknown: bool) -> bool:
+    """Whether any of these has happened to it by now; `if_unknown` where the system can't tell."""
     news = select.poll()
     news.register(descriptor, events)
-    return bool(news.poll(0))
+    try:
+        return bool(news.poll(0))
+    except OSError:  # ENOMEM, poll(2)
+        return if_unknown
 
 
 T = TypeVar("T")
--- a/woadyard/net/opening.py
+++ b/woadyard/net/opening.py
@@ -6,23 +6,38 @@
 from __future__ import annotations
 
 import asyncio
-from typing import Protocol, cast
+import errno
+from typing import Final, Protocol, cast
+
+# What this machine has too few of: ports, buffers, descriptors. They tell nothing of the endpoint.
+LOCAL_FAULTS: Final = frozenset(
+    (errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENFILE, errno.EMFILE, errno.ENOMEM, errno.EAGAIN)
+)
 
 
 class Opened(Protocol):
     """A protocol of asyncio that is told when its connection does not come up."""
 
-    def not_opened(self) -> None: ...
+    def not_opened(self, is_local_fault: bool) -> None:
+        """`is_local_fault`: for a want of this machine's, and none of the endpoint's."""
 
     def opening_ended(self) -> None: ...
 
 
+def is_local_fault(error: BaseException | None) -> bool:
+    """Whether a call failed for a want of this machine's."""
+    return isinstance(error, OSError) and error.errno in LOCAL_FAULTS
+
+
 async def open_connection(loop: asyncio.AbstractEventLoop, one: Opened, host: str, port: int) -> None:
     """It knows no time-out: who waits cancels it, and only before the connection is up. One that
     came due in the turn in which the connection was made closed that behind its protocol's back."""
+    failure: Exception | None = None
     try:
         await loop.create_connection(lambda: cast(asyncio.Protocol, one), host, port)
-    except (OSError, ValueError):  # ValueError: a host that no name can have
-        one.not_opened()
+    except (OSError, ValueError) as error:  # ValueError: a host that no name can have
+        failure = error
     finally:
         one.opening_ended()
+    if failure is not None:
+        one.not_opened(is_local_fault(failure))
--- a/woadyard/net/server.py
+++ b/woadyard/net/server.py
@@ -16,6 +16,7 @@
 from woadyard.engine.flow import Flow
 from woadyard.lifecycle import Lifecycle
 from woadyard.lifecycle.phases import LATE_S
+from woadyard.net.acceptor import Acceptor, listen
 from woadyard.net.errors import BadRequestError
 from woadyard.net.message import (
     BODY_MAX,
@@ -485,12 +486,12 @@
     def has_more(self) -> bool:
         """Whether bytes have come that were not read yet."""
         assert self.transport is not None
-        return has_news(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
+        return has_news(self.transport.get_extra_info("socket").fileno(), select.POLLIN, True)
 
     def has_left(self) -> bool:
         """Whether the caller has ended its side, though bytes before that may not be read yet."""
         assert self.transport is not None
-        return has_news(self.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
+        return has_news(self.transport.get_extra_info("socket").fileno(), select.POLLRDHUP, False)
 
     def close_unless_asking(self) -> None:
         """Guards a request that crosses the end of its connection: one that has come is
@@ -548,7 +549,7 @@
         self.lingering: Sweep[Caller] = Sweep(loop, LINGER_S, Caller.end_linger)  # half-closed
         # Came when others were gone.
         self.late: Sweep[Caller] = Sweep(loop, LATE_S, Caller.close_unless_asking)
-        self.listener: asyncio.Server | None = None
+        self.listener: Acceptor | None = None
         self.shutdown = GracefulShutdown(loop, self.lifecycle, self, on_stop)
         self.receipts: Callable[[Call], None] | None = None  # asked for one; its front is answered later
         self.shared: Callable[[Call], None] | None = None  # the same, asked what copies share
@@ -558,17 +559,14 @@
     ) -> int:
         """The port it listens at; `shared` with other processes that say so too, or at a
         listener that another process handed over."""
-        # Not typed: the sockets of uvloop's are a list, where asyncio's are a tuple.
-        listener: Any
         if handed is not None:
-            listener = await self.loop.create_server(self._caller, sock=handed, backlog=BACKLOG)
+            handed.setblocking(False)
+            listener = Acceptor(self.loop, [handed], self._caller)
         else:
-            listener = await self.loop.create_server(
-                self._caller, host, port, backlog=BACKLOG, reuse_port=shared or None
-            )
+            listener = await listen(self.loop, self._caller, host, port, BACKLOG, reuse_port=shared)
         self.listener = listener
         self.lifecycle.serve(self.loop.time())
-        return int(listener.sockets[0].getsockname()[1])
+        return listener.port
 
     def _caller(self) -> Any:
         return Caller(self)
--- a/woadyard/net/shutdown.py
+++ b/woadyard/net/shutdown.py
@@ -25,6 +25,7 @@
 
 from woadyard.lifecycle import Lifecycle, Phase
 from woadyard.lifecycle.phases import DRAIN_S, REST_S
+from woadyard.net.acceptor import SHORTAGE_PAUSE_S, Acceptor
 from woadyard.net.errors import BadRequestError
 from woadyard.net.message import Sweep, has_news
 
@@ -36,6 +37,8 @@
 # then they are closed. Not longer: a request may come until the last moment, and what is open
 # at the end of a stop is lost unless it came within 0.7 s.
 LEAVE_S: Final = 0.5
+# So many pauses of the listener are waited for where no descriptor can be had at the end: rule 4.
+SHORTAGE_PAUSES: Final = 6
 
 
 class Way(StrEnum):
@@ -71,7 +74,7 @@
 class Connections(Protocol):
     """The server's."""
 
-    listener: asyncio.Server | None
+    listener: Acceptor | None
 
     @property
     def callers(self) -> Collection[Connection]: ...
@@ -151,11 +154,16 @@
     def stop_listening(self, turns: int = BACKLOG) -> None:
         """Guards a connection that the system has accepted, and this process not yet: it would be reset.
         A turn of the loop accepts one at least, so all that are there now are accepted in so many."""
-        listener: Any = self.server.listener
+        listener = self.server.listener
         if listener is None:
             return
-        if turns > 0 and has_news(listener.sockets[0].fileno(), select.POLLIN):
-            self.loop.call_soon(self.stop_listening, turns - 1)
+        if turns > 0 and has_news(listener.sockets[0].fileno(), select.POLLIN, True):
+            if listener.is_short:
+                self.loop.call_later(
+                    SHORTAGE_PAUSE_S, self.stop_listening, turns - BACKLOG // SHORTAGE_PAUSES
+                )
+            else:
+                self.loop.call_soon(self.stop_listening, turns - 1)
             return
         self.close_listener()
         self.end_unsent()
@@ -164,10 +172,13 @@
         listener, self.server.listener = self.server.listener, None
         assert listener is not None
         listener.close()
-        # Guards a request accepted in this very turn: its connection joins in the next.
-        self.loop.call_soon(self._listener_closed)
+        # Guards a request accepted in this very turn: its connection joins in a later one.
+        self.loop.call_soon(self._listener_closed, listener)
 
-    def _listener_closed(self) -> None:
+    def _listener_closed(self, listener: Acceptor) -> None:
+        if listener.connecting:
+            self.loop.call_soon(self._listener_closed, listener)
+            return
         self.closed = True
         self.maybe_end()
 
--- a/woadyard/net/upstream.py
+++ b/woadyard/net/upstream.py
@@ -32,7 +32,7 @@
     pass_on,
     single,
 )
-from woadyard.net.opening import open_connection
+from woadyard.net.opening import is_local_fault, open_connection
 from woadyard.stream.pace import ANSWERS_PART, Room, room_for
 
 # Part of an endpoint's idle time for which a connection is kept: the rest guards
@@ -61,6 +61,12 @@
 # The length of an answer that ends with its connection (RFC 9112, 6.3, case 8), and of chunks.
 UNTIL_END: Final = -2
 CHUNKS: Final = -1
+# A connection that can't be opened for a fault of this machine (no port, no buffer, no descriptor) is
+# tried again after a pause, which doubles, while the attempt waits. After so long another endpoint, at
+# which a connection may rest, gets its chance; the client is refused before its patience ends.
+REOPEN_PAUSE_S: Final = 0.01
+REOPEN_PAUSE_MOST_S: Final = 0.08
+REOPEN_MOST_S: Final = 0.25
 # Where the settings name none.
 IDLE_DEFAULT_US, CONNECT_DEFAULT_US = 10_000_000, 1_000_000
 
@@ -119,6 +125,11 @@
         self.attempt: Attempt | None = attempt
         self.transport: asyncio.Transport | None = None
         self.opening: asyncio.Task[None] | None = None
+        # After a fault of this machine: the next trial to open it, the pause before the one
+        # after that, and when the last one begins, in s of the loop.
+        self.reopening: asyncio.TimerHandle | None = None
+        self.reopen_pause_s = REOPEN_PAUSE_S
+        self.reopen_until = 0.0
         self.news = select.poll()  # made once: it is asked at each reuse
         self.unwritten = True  # the request's last byte is not yet with the system
         self.full = False  # the transport holds bytes that the system did not take yet
@@ -145,19 +156,33 @@
     # --- Connection -----------------------------------------------------------
 
     def open(self) -> None:
+        self.reopen_until = self.owner.loop.time() + REOPEN_MOST_S
+        self.owner.connecting.add(self)
+        self._open()
+
+    def _open(self) -> None:
         owner, pool = self.owner, self.pool
+        self.reopening = None
         self.opening = owner.loop.create_task(open_connection(owner.loop, self, pool.host, pool.port))
-        owner.connecting.add(self)
 
-    def not_opened(self) -> None:
+    def not_opened(self, is_local_fault: bool) -> None:
         # Once it has come up, `connection_lost` knows whether the request left.
-        if self.transport is None:
-            self.owner.gone(self)
-            self._end_closed(NO_CONNECT)
+        if self.transport is not None:
+            return
+        if self.attempt is not None:
+            self.attempt.lacks_socket = is_local_fault
+            if is_local_fault and self.owner.loop.time() < self.reopen_until:
+                self.reopening = self.owner.loop.call_later(self.reopen_pause_s, self._open)
+                self.reopen_pause_s = min(2.0 * self.reopen_pause_s, REOPEN_PAUSE_MOST_S)
+                return
+        self.owner.gone(self)
+        self._end_closed(MOOT if is_local_fault else NO_CONNECT)
 
     def time_out_connect(self) -> None:
+        lacks_socket = self.attempt is not None and self.attempt.lacks_socket
         self.close()
-        self.not_opened()
+        self.reopen_until = 0.0
+        self.not_opened(lacks_socket)
 
     def opening_ended(self) -> None:
         self.opening = None
@@ -169,8 +194,11 @@
         self.transport.set_write_buffer_limits(high=0)  # `pause_writing` tells of unwritten bytes
         if self.attempt is None:  # called off while it came up
             self.transport.abort()
-        else:
-            self.write()
+            return
+        if self.attempt.lacks_socket:
+            self.attempt.lacks_socket = False
+            self.attempt.sent = self.owner.now()  # the wait for a socket is none of the endpoint's
+        self.write()
 
     def eof_received(self) -> None:
         """The endpoint has ended its side: the transport closes."""
@@ -302,7 +330,12 @@
         """Whether a resting connection may carry a request. Guards against bytes that
         came behind an earlier answer and would answer the next request, and against
         an end not yet read."""
-        return self.transport is not None and not self.transport.is_closing() and not self.news.poll(0)
+        if self.transport is None or self.transport.is_closing():
+            return False
+        try:
+            return not self.news.poll(0)
+        except OSError:  # not known: a new connection is the safe choice
+            return False
 
     def rest(self) -> None:
         """The connection carries nothing now: keep it for the next attempt."""
@@ -329,6 +362,10 @@
             # A task that never ran has no chance to tell of its end.
             self.opening.cancel()
             self.owner.gone(self)
+        elif self.reopening is not None:
+            self.reopening.cancel()
+            self.reopening = None
+            self.owner.gone(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.owner.gone(self)
@@ -337,7 +374,8 @@
         if answer is not None:
             answer.end(False)
         self._leave_upload()
-        self._end_closed(NO_CONNECT if self.unwritten else RESET)
+        not_run = MOOT if is_local_fault(exc) else NO_CONNECT
+        self._end_closed(not_run if self.unwritten else RESET)
         self.parser = None  # it holds this object's methods: the cycle ends here
 
     def _end_closed(self, outcome: int) -> None:
