--- a/tests/syscall_faults/shim.c
+++ b/tests/syscall_faults/shim.c
@@ -224,7 +224,16 @@
 {
     REAL(sendmsg);
     struct rule *one = deciding(CALL_WRITE, fd, 0, 0, NULL);
-    return fails(one) ? -1 : real(fd, message, flags);
+    if (fails(one))
+        return -1;
+    if (one == NULL || atomic_load(&one->length) == 0 || message->msg_iovlen == 0)
+        return real(fd, message, flags);
+    struct msghdr part = *message;
+    struct iovec first = message->msg_iov[0];
+    first.iov_len = shortened(one, first.iov_len);
+    part.msg_iov = &first;
+    part.msg_iovlen = 1;
+    return real(fd, &part, flags);
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -5,13 +5,14 @@
 
 import asyncio
 import contextlib
+import errno
 import json
 import os
 import socket
 import threading
 from collections.abc import Iterator
 from pathlib import Path
-from typing import Any
+from typing import Any, cast
 
 import pytest
 
@@ -310,6 +311,53 @@
     run(main())
 
 
+@pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM])
+def test_one_that_can_not_be_accepted_yet_is_met_after_a_pause(place: Place, error: int) -> None:
+    """The loop does not turn for nothing meanwhile, and a close in that pause is one."""
+
+    class Short:
+        def __init__(self, door: socket.socket) -> None:
+            self.door = door
+            self.left = 3
+
+        def accept(self) -> tuple[socket.socket, Any]:
+            if self.left:
+                self.left -= 1
+                raise OSError(error, os.strerror(error))
+            return self.door.accept()
+
+        def __getattr__(self, name: str) -> Any:
+            return getattr(self.door, name)
+
+    async def main() -> None:
+        loop = asyncio.get_running_loop()
+        with listener() as good:
+            one = Giver(loop, place, good, lambda give: give({}), lambda: None, print)
+            assert one.door is not None
+            short = Short(one.door)
+            one.door = cast(socket.socket, short)
+            channel = place.connect(1.0)
+            channel.setblocking(False)
+            await loop.sock_sendall(channel, HELLO)
+            while one.pausing is None:
+                await asyncio.sleep(0)
+            assert short.left == 2 and not loop.remove_reader(short.fileno())
+            assert await loop.sock_recv(channel, 100)
+            assert not short.left
+            channel.close()
+            while one.successors:
+                await asyncio.sleep(0)
+            short.left = 1
+            late = place.connect(1.0)
+            while one.pausing is None:
+                await asyncio.sleep(0)
+            one.close()
+            assert one.pausing is None
+            late.close()
+
+    run(main())
+
+
 # --- Processes --------------------------------------------------------------------------
 
 # For requests that are open while a process starts: on a busy machine that takes longer than their 4 s.
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -188,15 +188,17 @@
         peer.open(Heard())
         assert isinstance(link._socket, Refusing)
         codes = [errno.EAGAIN, errno.ECONNREFUSED, errno.ENOBUFS, errno.ENETUNREACH, errno.EPERM]
+        codes += [errno.EADDRNOTAVAIL, errno.EHOSTUNREACH, errno.ENETDOWN, errno.ENOMEM]
         link._socket.codes = list(codes)
         for _ in codes:
             link.send(1, b"x")
         assert link.counters["unsent"] == len(codes) and not link.counters["sent"]
         # The error of an earlier send, which the kernel tells the next reader.
-        link._socket.codes = [errno.ECONNREFUSED]
+        earlier = [errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ENOBUFS, errno.ENOMEM]
+        link._socket.codes = list(earlier)
         peer.send(0, b"it still receives")
         await heard.until(lambda: bool(heard.all))
-        assert link.counters["unsent"] == len(codes) + 1
+        assert link.counters["unsent"] == len(codes) + len(earlier)
         link.close()
         peer.close()
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -6,6 +6,7 @@
 import asyncio
 import errno
 import json
+import os
 import random
 import socket
 from collections import Counter
@@ -556,6 +557,43 @@
     run(main())
 
 
+@pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM])
+def test_it_waits_for_a_socket_that_the_machine_has_not_just_now(error: int) -> None:
+    """At the start, and where it begins again because nobody followed."""
+
+    async def main() -> None:
+        bench = Bench()
+        failing = [True]
+
+        class Short(MemoryLink):
+            def open(self, receive: Callable[[int, bytes], None]) -> None:
+                if failing[0]:
+                    raise OSError(error, os.strerror(error))
+                super().open(receive)
+
+        async def comes_back() -> None:
+            assert node.stage is Stage.WAITING
+            bench.clock.advance(RETRY_US)
+            await turn()
+            assert node.stage is Stage.WAITING
+            failing[0] = False
+            bench.clock.advance(RETRY_US)
+            await turn()
+            assert node.takes_part
+
+        node = bench.make(lambda: Short(bench.network, 0))
+        await node.start()
+        await comes_back()
+        await node.retire()
+        failing[0] = True
+        await node.begin_again()
+        await comes_back()
+        assert len(bench.lines) == 2 and os.strerror(error) in bench.lines[0]
+        await node.close()
+
+    run(main())
+
+
 def test_an_address_that_can_not_be_had_at_all_is_the_caller_s_to_tell() -> None:
     async def main() -> None:
         class Nowhere(MemoryLink):
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -95,6 +95,7 @@
 
     port: int
     management: int
+    environ: dict[str, str]
     registry: Registry
     endpoints: Sequence[Endpoint]
     effects: Effects
@@ -135,6 +136,24 @@
         lines = (await self.called("/api/telemetry")).splitlines()
         return next(int(line.split()[1]) for line in lines if line.startswith("lb_cluster_unhealthy "))
 
+    async def successor(self) -> None:
+        """The next version comes and takes over; the one before it ends. What either logs is an error."""
+        self.management = free_port()
+        process = await start({**self.environ, "LB_MANAGEMENT": f"127.0.0.1:{self.management}"})
+        older, self.process = self.process, process
+        _, self.watch = await self.registry.asked.get()
+        while not await self.is_taken():
+            await asyncio.sleep(0.01)
+        older.send_signal(signal.SIGTERM)
+        _, errors = await older.communicate()
+        assert (older.returncode, errors) == (0, b"")
+
+    async def is_taken(self) -> bool:
+        """Whether the one that runs now is ready."""
+        with contextlib.suppress(OSError, asyncio.IncompleteReadError):
+            return "lb_current" in await self.called("/api/telemetry")
+        return False
+
 
 @contextlib.asynccontextmanager
 async def site(
@@ -142,7 +161,6 @@
     tmp_path: Path,
     handler: Handler | None = None,
     count: int = 2,
-    faults: Sequence[Fault] = (),
     **changes: Any,
 ) -> AsyncIterator[Site]:
     """A daemon that serves, with so many endpoints that share their effects; it ends in order."""
@@ -152,16 +170,22 @@
         for one in (registry, *endpoints):
             await stack.enter_async_context(await one.start())
         port, management = free_port(), free_port()
-        environ = {**config(tmp_path, registry, **changes), **shim.environ}
-        known = {"LB_LISTEN": f"127.0.0.1:{port}", "LB_MANAGEMENT": f"127.0.0.1:{management}"}
-        process = await start({**environ, **known, "TMPDIR": str(tmp_path)})
+        addresses = {"LB_LISTEN": f"127.0.0.1:{port}", "LB_MANAGEMENT": f"127.0.0.1:{management}"}
+        environ = {
+            **config(tmp_path, registry, **changes),
+            **shim.environ,
+            **addresses,
+            "TMPDIR": str(tmp_path),
+        }
+        process = await start(environ)
         try:
             _, watch = await registry.asked.get()
-            found = Site(port, management, registry, endpoints, effects, process, watch)
+            found = Site(port, management, environ, registry, endpoints, effects, process, watch)
             push(watch, 1, True, *(one.entry(f"s-{n}") for n, one in enumerate(endpoints)))
             (await connect_until_up(port))[1].close()
             yield found
             shim.clear()
+            process = found.process
             process.send_signal(signal.SIGTERM)
             _, errors = await process.communicate()
             assert (process.returncode, errors) == (0, b"")
@@ -431,3 +455,31 @@
             assert not one.effects.twice()
 
     run(main())
+
+
+# --- Hot restart ------------------------------------------------------------------------
+
+# The socket at which the versions meet is the only one of its family that they share.
+MEETING: Final = {"family": int(socket.AF_UNIX), "kind": int(socket.SOCK_STREAM)}
+HANDOVER_FAULTS: Final = (
+    *(Fault(SystemCall.ACCEPT, error, 3, **MEETING) for error in ACCEPT_FAULTS),
+    *(Fault(call, errno.EINTR, 20, **MEETING) for call in (SystemCall.READ, SystemCall.WRITE)),
+    *(Fault(call, length=1, **MEETING) for call in (SystemCall.READ, SystemCall.WRITE)),
+)
+
+
+@pytest.mark.parametrize("fault", HANDOVER_FAULTS, ids=str)
+def test_a_version_takes_over_behind_failed_and_short_calls(
+    shim: FaultShim, tmp_path: Path, fault: Fault
+) -> None:
+    """Neither logs a line, so nothing was given up, and what is asked on the way is served."""
+
+    async def main() -> None:
+        async with site(shim, tmp_path) as one:
+            number = shim.add(fault)
+            await one.successor()
+            assert shim.hits(number) >= 3
+            assert await one.statuses(*CLASSES) == [200] * 3
+            assert not one.effects.twice()
+
+    run(main())
--- a/woadyard/accord/node.py
+++ b/woadyard/accord/node.py
@@ -37,6 +37,8 @@
 WAITING_MOST: Final = 256
 # Between two looks at an address that another process has.
 RETRY_US: Final = 500_000
+# Why an address can't be had for a while: another process has it, or the machine has no socket to give.
+PASSING_FAULTS: Final = frozenset((errno.EADDRINUSE, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 # A tick that is due at once is not due sooner than this: no core may keep the loop.
 LEAST_US: Final = 1_000
 # Without a leader for so many election times, a seat looks into founding.
@@ -224,9 +226,9 @@
         try:
             link.open(self._receive)
         except OSError as error:
-            if error.errno != errno.EADDRINUSE:
+            if error.errno not in PASSING_FAULTS:
                 raise
-            self._await_address(kept)
+            self._await_address(kept, error)
             return
         self.link = link
         try:
@@ -253,9 +255,11 @@
             self.machine.load(b"")
             return self.make_core(incarnation, {})
 
-    def _await_address(self, kept: Mapping[bytes, bytes] | None) -> None:
-        if self.stage is not Stage.WAITING:
+    def _await_address(self, kept: Mapping[bytes, bytes] | None, error: OSError) -> None:
+        if self.stage is not Stage.WAITING and error.errno == errno.EADDRINUSE:
             self.log("accord: another process has this one's address; waits until it is free")
+        elif self.stage is not Stage.WAITING:
+            self.log(f"accord: no socket for its address ({error.strerror}); waits until there is one")
         self.stage = Stage.WAITING
         self._timer = self.clock.at(self.clock.now() + RETRY_US, self._try, kept)
 
--- a/woadyard/handover/giver.py
+++ b/woadyard/handover/giver.py
@@ -11,6 +11,7 @@
 from woadyard.handover.messages import HEAD_MAX, READY, head, is_hello, pack
 from woadyard.handover.place import Place, check_user
 from woadyard.handover.stages import Handover, Stage
+from woadyard.net.acceptor import SHORTAGE_PAUSE_S, SHORTAGES
 
 # From connecting until it has said what it speaks, and until it takes callers: a start on a
 # starved core is due within 6 s.
@@ -71,13 +72,14 @@
         if self.transport is None or self.transport.is_closing():
             return
         raw = pack(state)
+        first = head(len(raw))
         try:
-            socket.send_fds(self.raw, [head(len(raw))], [self.owner.listener.fileno()])
+            sent = socket.send_fds(self.raw, [first], [self.owner.listener.fileno()])
         except OSError as error:
             self.owner.log(f"no handover: {error}")
             self.cut()
         else:
-            self.transport.write(raw)
+            self.transport.write(first[sent:] + raw)
 
     def cut(self) -> None:
         self.over = True
@@ -114,6 +116,7 @@
         self.handover = Handover()
         self.successors: set[Successor] = set()
         self.tasks: set[asyncio.Task[Any]] = set()
+        self.pausing: asyncio.TimerHandle | None = None  # no descriptor for one that comes
         self.door: socket.socket | None = place.listen()
         loop.add_reader(self.door.fileno(), self._come)
 
@@ -121,7 +124,9 @@
         assert self.door is not None
         try:
             one, _ = self.door.accept()
-        except OSError:
+        except OSError as error:
+            if error.errno in SHORTAGES:
+                self._pause(self.door)
             return
         try:
             check_user(one)
@@ -136,6 +141,15 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
+    def _pause(self, door: socket.socket) -> None:
+        """Guards the loop against turning for nothing while the door stays readable."""
+        self.loop.remove_reader(door.fileno())
+        self.pausing = self.loop.call_later(SHORTAGE_PAUSE_S, self._resume, door)
+
+    def _resume(self, door: socket.socket) -> None:
+        self.pausing = None
+        self.loop.add_reader(door.fileno(), self._come)
+
     async def _connect(self, successor: Successor, one: socket.socket) -> None:
         await self.loop.create_unix_connection(lambda: successor, sock=one)
 
@@ -154,6 +168,9 @@
 
     def close(self) -> None:
         """The end of this process is told by the end of its connections."""
+        if self.pausing is not None:
+            self.pausing.cancel()
+            self.pausing = None
         if self.door is not None:
             self.loop.remove_reader(self.door.fileno())
             self.door.close()
--- a/woadyard/handover/taker.py
+++ b/woadyard/handover/taker.py
@@ -33,7 +33,7 @@
 
     def say_ready(self) -> None:
         with contextlib.suppress(OSError):  # the other is gone: there is nobody to tell
-            self.channel.send(READY)
+            self.channel.sendall(READY)
 
 
 def take(place: Place, listen: tuple[str, int]) -> Taken:
