--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -20,7 +20,6 @@
     Endpoint,
     Handler,
     Message,
-    Reader,
     Registry,
     Writer,
     config,
@@ -104,19 +103,18 @@
     generation: int = 1  # of the last list
     asked: int = 0
 
-    async def ask(self, cls: str, connection: tuple[Reader, Writer] | None = None) -> Message | None:
-        """One request on a connection of its own, or on this one; None if no answer came."""
+    async def ask(self, cls: str, deadline_ms: int = 4000) -> Message | None:
+        """One request on a connection of its own; None if no answer came."""
         number = self.asked = self.asked + 1
-        reader, writer = connection or await asyncio.open_connection("127.0.0.1", self.port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         key = f"k{number}" if cls == "put" else None
         try:
-            writer.write(request(cls, rid=f"{cls}-{number}", key=key))
+            writer.write(request(cls, rid=f"{cls}-{number}", key=key, deadline_ms=deadline_ms))
             return await read_message(reader)
         except (asyncio.IncompleteReadError, ConnectionError):
             return None
         finally:
-            if connection is None:
-                writer.close()
+            writer.close()
 
     async def statuses(self, *classes: str) -> list[int]:
         """Of requests that are sent all at once; 0 where no answer came."""
@@ -313,6 +311,23 @@
     run(main())
 
 
+def test_a_deadline_that_passes_while_no_socket_can_be_had_ejects_no_endpoint(
+    shim: FaultShim, tmp_path: Path
+) -> None:
+    """It comes before the attempt that waits for one is given up: not run, so refused."""
+
+    async def main() -> None:
+        async with site(shim, tmp_path, serve(headers=ENDS_EACH), count=1) as one:
+            shim.add(Fault(SystemCall.SOCKET, errno.ENFILE, **INTERNET))
+            for cls in CLASSES:
+                back = await one.ask(cls, deadline_ms=60)
+                assert back is not None and back.status == 503
+                assert await one.avoided() == 0
+            assert not one.effects.by_id
+
+    run(main())
+
+
 # --- Connections that break under a request ---------------------------------------------
 
 
@@ -405,6 +420,28 @@
     run(main())
 
 
+def test_short_calls_change_no_list_and_no_answer_of_the_second_address(
+    shim: FaultShim, tmp_path: Path
+) -> None:
+    """All calls on the watch and at the second address move one byte each."""
+
+    async def main() -> None:
+        async with site(shim, tmp_path) as one, await (added := Endpoint(effects=one.effects)).start():
+            for call, port in product(
+                (SystemCall.READ, SystemCall.WRITE), (one.management, one.registry.port)
+            ):
+                shim.add(Fault(call, port=port, length=1))
+            one.watch.close()  # the next is asked for a byte at a time
+            start_line, one.watch = await one.registry.asked.get()
+            assert start_line == "GET /registry/instances?watch=1&from=1 HTTP/1.1"
+            push(one.watch, 2, True, added.entry("s-new"))
+            while not added.got:
+                assert await one.statuses("pay") == [200]
+            assert await one.avoided() == 0
+
+    run(main())
+
+
 def test_a_poll_that_fails_costs_no_request(shim: FaultShim, tmp_path: Path) -> None:
     """It is asked of resting connections, and of clients' that are to end."""
 
