--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -11,10 +11,11 @@
 import contextlib
 import signal
 import socket
+import struct
 import sys
 from collections.abc import AsyncIterator, Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, cast
 
 import pytest
 
@@ -22,6 +23,7 @@
     Endpoint,
     Message,
     Registry,
+    Replaced,
     Sidecar,
     Writer,
     answer,
@@ -761,6 +763,75 @@
     run(main())
 
 
+def reset(caller: Client) -> None:
+    caller.raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    caller.close()
+
+
+def close_behind_bytes(caller: Client) -> None:
+    caller.send(b"more")
+    caller.close()
+
+
+def end_sending(caller: Client) -> None:
+    caller.raw.shutdown(socket.SHUT_WR)
+
+
+def leave_before_connection_made(one: Sidecar, leave: Callable[[], None]) -> None:
+    """The caller leaves in the turn in which the connection to the endpoint has come up."""
+    real = one.upstream.loop
+
+    async def create(factory: Callable[[], Any], host: str, port: int) -> Any:
+        made = factory()
+
+        def connection_made(transport: asyncio.BaseTransport) -> None:
+            leave()
+            made.connection_made(transport)
+
+        return await real.create_connection(
+            lambda: cast(asyncio.Protocol, Replaced(made, connection_made=connection_made)), host, port
+        )
+
+    one.upstream.loop = cast(asyncio.AbstractEventLoop, Replaced(real, create_connection=create))
+
+
+LEAVES = (Client.close, end_sending, close_behind_bytes, reset)
+
+
+@pytest.mark.parametrize("pooled", [True, False], ids=["at-rest", "new"])
+@pytest.mark.parametrize("leave", LEAVES, ids=lambda leave: leave.__name__)
+def test_nothing_begins_for_a_caller_whose_close_is_not_read_yet(
+    leave: Callable[[Client], None], pooled: bool
+) -> None:
+    """The loop is held while the caller leaves: its end lies in the kernel when the module sends, on a
+    connection that rests, and as one comes up."""
+
+    async def main() -> None:
+        endpoint = Endpoint()
+        async with sidecar(endpoint) as one:
+            if pooled:
+                assert (await one.ask(PAGE)).body == b"ok"
+                await until(lambda: not one.server.callers)
+            overrule(one.engine, request=lambda now, event: [])  # the module holds what comes
+            caller = Client(one.port)
+            caller.send(request(rid="left"))
+            await until(lambda: len(one.engine.calls) == 1)
+            (rid,), (number,) = one.engine.calls, one.engine.members.places
+            if pooled:
+                leave(caller)
+            else:
+                leave_before_connection_made(one, lambda: leave(caller))
+            one.engine._do(Send(rid, number, 0))
+            await until(lambda: not one.engine.calls and not one.server.callers)
+            one.engine.decisions = one.engine.balancer
+            assert one.engine.tally.abandoned == [1, 0, 0]
+            assert (await one.ask(request(rid="r2"))).body == b"ok"
+            assert "left" not in [got.headers["x-request-id"] for got in endpoint.got]
+            caller.close()
+
+    run(main())
+
+
 def test_a_caller_that_leaves_before_its_request_could_be_sent_is_never_sent_on() -> None:
     async def main() -> None:
         endpoint = Endpoint()
--- a/woadyard/engine/call.py
+++ b/woadyard/engine/call.py
@@ -59,6 +59,13 @@
         """Called once at most for a call, and never after `Engine.gone`."""
 
 
+class ClientConnection(Protocol):
+    """The connection that a call's client waits on, where there is one to look at."""
+
+    def has_left(self) -> bool:
+        """Whether the client has closed it by now, though the event loop may not have read that yet."""
+
+
 class Handle(Protocol):
     """Something that will be called, unless it is cancelled before."""
 
@@ -79,8 +86,8 @@
     """One request, taken and not yet forgotten. Times in µs."""
 
     __slots__ = (
-        "attempts", "body", "causes", "cls", "endpoint", "expires", "fate", "front", "head", "held", "id",
-        "key", "name", "open", "order", "recorded", "repeated", "span", "start", "streams", "tenant",
+        "attempts", "body", "causes", "client", "cls", "endpoint", "expires", "fate", "front", "head", "held",
+        "id", "key", "name", "open", "order", "recorded", "repeated", "span", "start", "streams", "tenant",
         "timer", "tried", "upload", "with_keeper", "work_us",
     )  # fmt: skip
 
@@ -105,6 +112,7 @@
         self.head = head  # header lines to pass on
         self.body = body
         self.front = front
+        self.client: ClientConnection | None = None  # looked at before an attempt begins
         self.name = name  # its X-Request-Id
         self.tenant = tenant
         self.key = key  # the number of what it is about; 0 = nothing named
--- a/woadyard/engine/engine.py
+++ b/woadyard/engine/engine.py
@@ -345,6 +345,17 @@
     # --- Attempts -----------------------------------------------------------------
 
     def may_start(self, attempt: Attempt, now: int) -> bool:
+        """Guards against an attempt for a client whose close the loop has not read yet: that lies there
+        for as long as the loop is held up, and behind bytes that are not read."""
+        if not self._may_start(attempt, now):
+            return False
+        client = attempt.call.client
+        if client is None or not client.has_left():
+            return True
+        self.gone(attempt.call)
+        return False
+
+    def _may_start(self, attempt: Attempt, now: int) -> bool:
         if not attempt.call.open or now >= min(attempt.until, attempt.write_by):
             return False
         return self.members.may_receive(attempt.endpoint, now)
@@ -370,7 +381,7 @@
         call.attempts.append(attempt)
         # An upload that an endpoint had the beginning of is not here any more.
         spent = call.upload is not None and call.upload.begun
-        if spent or attempt.copy >= self.settings.max_attempts or not self.may_start(attempt, now):
+        if spent or attempt.copy >= self.settings.max_attempts or not self._may_start(attempt, now):
             self.ended(attempt, MOOT, None, b"")
             return
         call.tried += 1
--- a/woadyard/net/server.py
+++ b/woadyard/net/server.py
@@ -77,6 +77,7 @@
         self.chunks = False  # the answer goes out in chunks
         self.behind = b""  # what came meanwhile: the next request waits for its end
         self.held = 0  # of the room for requests
+        self.hangup: Any = None  # a poll for the caller's end, made when it is first asked
         self.parser: Any = httptools.HttpRequestParser(self)
         self._begin()
 
@@ -253,7 +254,9 @@
             return self._asking(method, SHARED_PATH, "what is shared")
         engine = self.server.engine
         most = self.server.body_most
-        return call_from(method, self.target, self.headers, engine.names, engine.settings, self, most)
+        call = call_from(method, self.target, self.headers, engine.names, engine.settings, self, most)
+        call.client = self
+        return call
 
     def _asking(self, method: bytes, path: bytes, what: str) -> Call:
         """Asked of the outbox: a call that is not open, as the engine never has it; `order` is the path."""
@@ -489,8 +492,12 @@
 
     def has_left(self) -> bool:
         """Whether the caller has ended its side, though bytes before that may not be read yet."""
-        assert self.transport is not None
-        return has_news(self.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
+        if self.transport is None or self.transport.is_closing():
+            return True
+        if self.hangup is None:
+            self.hangup = select.poll()
+            self.hangup.register(self.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
+        return bool(self.hangup.poll(0))
 
     def close_unless_asking(self) -> None:
         """Guards a request that crosses the end of its connection: one that has come is
