--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -60,6 +60,7 @@
 )
 from woadyard.net.discovery import Discovery
 from woadyard.net.request import key_of
+from woadyard.testing import status as fails_with
 
 
 def lists(one: Sidecar) -> asyncio.Queue[tuple[int, list[Entry]]]:
@@ -516,6 +517,32 @@
     assert "broken" in logged()
 
 
+@pytest.mark.parametrize("status", ["200", "500"])
+@pytest.mark.parametrize("step", ["request", "outcome"])
+def test_a_fault_of_the_module_leaves_no_request_counted_as_held(step: str, status: str) -> None:
+    """Whatever it had noted of the request when it broke, admission would count it for ever."""
+
+    async def main() -> None:
+        endpoint = Endpoint(serve_ok if status == "200" else fails_with(500))
+        async with sidecar(endpoint) as one:
+            real = one.engine.decisions
+
+            def broken(now: int, event: Any) -> list[Action]:
+                if step == "request":
+                    real.request(now, event)
+                raise RuntimeError("broken")
+
+            overrule(one.engine, **{step: broken})
+            wanted = "500" if step == "request" else status
+            assert (await one.ask(request())).start.split()[1] == wanted
+            one.engine.decisions = real
+            assert not one.engine.balancer.requests and not one.engine.calls
+            endpoint.handler = serve_ok
+            assert (await one.ask(request())).body == b"ok"
+
+    run(main())
+
+
 def test_the_client_that_leaves_calls_its_attempt_off() -> None:
     async def main() -> None:
         endpoint = Endpoint(hold)
--- a/woadyard/engine/engine.py
+++ b/woadyard/engine/engine.py
@@ -134,8 +134,12 @@
             # Guards the process and its callers against a fault of the module.
             self.log(traceback.format_exc().rstrip())
             self.balancer.out.clear()
-            if call is not None and call.open:
+            if call is None:
+                return
+            if call.open:
                 self._answer(call, Answer(Ending.FAILED, 500))
+            # The module may still count it among the requests that it holds.
+            self._tell(self.decisions.gone, call.id)
 
     # --- Members ------------------------------------------------------------------
 
