--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -39,7 +39,7 @@
 from woadyard.engine.clock import Timer
 from woadyard.engine.given import GivenMembers
 from woadyard.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET, TIMEOUT, Action, Outcome
-from woadyard.net.upstream import SETTLE_US, SPARE
+from woadyard.net.upstream import SETTLE_US, SPARE, told_ms
 from woadyard.settings import config_from
 from woadyard.testing import after, reset, serve, stall
 
@@ -346,13 +346,21 @@
 
 @pytest.mark.parametrize(
     ("change", "sent"),
-    [("address", (0, 1)), ("start", (0, 1)), ("drain", (1, 0)), ("drained", (0, 1)), ("nothing", (1, 0))],
+    [
+        ("address", (0, 1)),
+        ("start", (0, 1)),
+        ("drain", (1, 0)),
+        ("drained", (0, 1)),
+        ("held-up", (0, 1)),
+        ("nothing", (1, 0)),
+    ],
 )
 def test_what_was_to_go_to_a_replaced_endpoint_goes_to_the_new_one(
     change: str, sent: tuple[int, int]
 ) -> None:
     """A list comes while the connection does. A drain leaves its grace; another address or start is
-    another process, and nothing is known of the one that the connection was asked of."""
+    another process, and nothing is known of the one that the connection was asked of. Where the process may
+    be held up over the end of the grace as it writes, nothing is written."""
 
     async def main() -> None:
         old, new = Endpoint(), Endpoint()
@@ -371,6 +379,9 @@
             elif change == "drained":
                 one.told(old.entry("s-0", lifecycle="draining"), new.entry("s-1"))
                 shift(one, 500_000)
+            elif change == "held-up":
+                one.told(old.entry("s-0", lifecycle="draining"), new.entry("s-1"))
+                shift(one, 500_000 - 150_000)
             opening.may_open.set()
             assert (await asked).status == 200
             if change == "start":
@@ -640,6 +651,16 @@
     run(main())
 
 
+@pytest.mark.parametrize("left_us", [1_000, 8_000, 100_000, 159_999, 160_000, 480_000, 3_000_000])
+def test_a_process_that_is_held_up_as_it_writes_tells_no_more_time_than_is_left(left_us: int) -> None:
+    """Held up for 0.15 s between its clock and the write, with the page's slack of as much, and the loop's
+    turn takes an eighth of the time or 20 ms beside that."""
+    turn_us = min(20_000, left_us // 8)
+    left_at_write_us = left_us - turn_us - 150_000
+    assert told_ms(left_us) * 1000 <= max(1_000, left_at_write_us + 150_000)
+    assert told_ms(left_us) * 1000 > 0.7 * left_us, "an endpoint has to have the time that is left"
+
+
 def test_a_further_attempt_tells_no_more_time_than_is_left() -> None:
     """Counted where it is written, not where it was decided."""
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -574,9 +574,9 @@
             now = one.engine.now()
             assert one.engine.may_start(attempt, now)
             assert not one.engine.may_start(attempt, call.expires)
-            place.left_at = now - 499_000
+            place.left_at = now - (500_000 - 150_000) + 1
             assert one.engine.may_start(attempt, now)
-            place.left_at = now - 500_000
+            place.left_at = now - (500_000 - 150_000)
             assert not one.engine.may_start(attempt, now)
             link = one.upstream.carrying[attempt]
             link.write()  # as a connect that took so long would
--- a/woadyard/engine/members.py
+++ b/woadyard/engine/members.py
@@ -21,6 +21,8 @@
 from woadyard.engine.ports import Clock, Upstream
 from woadyard.interface import DRAINING, GONE, READY, Entry
 
+# The process may be held up so long between reading its clock and writing: the drain grace covers it.
+HELD_UP_US: Final = 150_000
 PHASES: Final = {"ready": READY, "draining": DRAINING, "gone": GONE}
 
 
@@ -57,6 +59,7 @@
         self.names = names
         self.upstream = upstream
         self.drain_grace_us = drain_grace_us
+        self.start_grace_us = drain_grace_us - HELD_UP_US  # an attempt may begin within this
         self.places: dict[int, Place] = {}
         self.draining: set[int] = set()  # listed, and wants nothing new
         self.left: deque[tuple[int, int]] = deque()  # when, and which; it may be back since
@@ -65,7 +68,7 @@
         place = self.places.get(endpoint)
         if place is None:
             return False
-        return place.left_at is None or now < place.left_at + self.drain_grace_us
+        return place.left_at is None or now < place.left_at + self.start_grace_us
 
     def size(self) -> int:
         """How many endpoints the list holds, the draining ones among them."""
--- a/woadyard/net/upstream.py
+++ b/woadyard/net/upstream.py
@@ -58,6 +58,10 @@
 # that holds no more turns them away.
 SETTLE_US: Final = 20_000
 DOUBT_US: Final = 60_000_000
+# Of the time left to the client an endpoint is told so much less, or this part of it if that is less: the
+# request may have waited to be read, and what is written leaves at the end of the event loop's turn.
+UNTOLD_US: Final = 20_000
+UNTOLD_PART: Final = 8
 # The length of an answer that ends with its connection (RFC 9112, 6.3, case 8), and of chunks.
 UNTIL_END: Final = -2
 CHUNKS: Final = -1
@@ -487,10 +491,15 @@
             attempt.end(outcome, answer, fields.get(b"x-load", b""))
 
 
+def told_ms(left_us: int) -> int:
+    """The deadline to tell an endpoint, ms, where so many us are left to the client: rounded down, and
+    one at least."""
+    return max(1, (left_us - min(UNTOLD_US, left_us // UNTOLD_PART)) // 1000)
+
+
 def request_bytes(attempt: Attempt, now: int) -> bytes:
     call = attempt.call
-    # Rounded down: the endpoint must not work on past the sidecar's patience.
-    wait_ms = max(1, (attempt.until - now) // 1000)
+    wait_ms = told_ms(attempt.until - now)
     plain = call.start.startswith(b"GET ") and not call.body
     length = b"" if plain else b"Content-Length: %d\r\n" % len(call.body)
     wait = b"X-Deadline-Ms: %d\r\n" % wait_ms
@@ -501,7 +510,7 @@
     """The head of a request whose body follows as it comes."""
     call = attempt.call
     # Counted by the endpoint from the last byte on, as by the caller.
-    wait = b"X-Deadline-Ms: %d\r\n" % max(1, min(call.span, call.expires - now) // 1000)
+    wait = b"X-Deadline-Ms: %d\r\n" % told_ms(min(call.span, call.expires - now))
     framing = b"Transfer-Encoding: chunked\r\n"
     if upload.length >= 0:
         framing = b"Content-Length: %d\r\n" % upload.length
