--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -506,6 +506,52 @@
     run(main())
 
 
+def take_steps_by_hand(one: Sidecar) -> None:
+    """Of the shutdown's steps none comes by its time."""
+    shutdown = one.server.shutdown
+    shutdown.loop = cast(
+        asyncio.AbstractEventLoop,
+        Replaced(shutdown.loop, call_later=lambda *of: shutdown.loop.call_at(1e12, print)),
+    )
+
+
+@pytest.mark.parametrize("comes", ["whole", "in-pieces", "upload", "upload-held-back"])
+def test_a_request_whose_last_byte_comes_too_late_at_a_stop_is_refused(comes: str) -> None:
+    """Of one that came later than 0.7 s after SIGTERM, SIGKILL may find no answer: with short deadlines
+    it comes soon. So none is waited for, though a part of it is unread at each look."""
+
+    async def main() -> None:
+        endpoint = Endpoint()
+        async with stopping(endpoint) as (one, ended):
+            is_upload = comes.startswith("upload")
+            whole = request("pay", LARGE) if is_upload else PAY
+            if is_upload:
+                one.server.room.most = 0
+            if comes == "upload-held-back":
+                overrule(one.engine, request=lambda now, event: [])  # nobody takes it
+            with client(one) as caller:
+                caller.send(whole[:-20])
+                begun = await caller_of(one)
+                await until(lambda: begun.fed == len(whole) - 20 or not begun.transport.is_reading())
+                if comes == "upload":
+                    await until(lambda: endpoint.opened == 1)
+                take_steps_by_hand(one)
+                one.server.stop(ended.set)
+                caller.send(whole[-20:-10])
+                one.server.shutdown.stop_listening()
+                await until(lambda: not begun.has_more() or not begun.transport.is_reading())
+                assert not begun.over
+                caller.send(whole[-10:] if comes == "whole" else whole[-10:-5])
+                one.server.shutdown.end_partial()
+                (back,) = await parsed(await caller.read())
+                assert (back.status, len(endpoint.got)) == ((200, 1) if comes == "whole" else (503, 0))
+                assert back.headers["connection"] == "close"
+                assert not one.engine.calls
+            await ended.wait()
+
+    run(main())
+
+
 def test_a_second_stop_ends_nothing_sooner() -> None:
     async def main() -> None:
         release = asyncio.Event()
--- a/woadyard/net/server.py
+++ b/woadyard/net/server.py
@@ -55,6 +55,7 @@
 HELD_S: Final = 0.05
 # A caller that does not read what it is sent is cut after this.
 STUCK_S: Final = 10.0
+STOPS: Final = "this sidecar stops"
 # An upload's provisional time: it counts from the last byte, once that has come.
 UPLOAD_MOST_US: Final = 600_000_000
 
@@ -180,6 +181,9 @@
     def _read_on(self) -> None:
         """More of the request is owed: its head by one time, its body at a pace."""
         server = self.server
+        if server.shutdown.refuses_partial:
+            self.refuse(BadRequestError(503, STOPS))
+            return
         server.late.discard(self)
         if self.asked is None:
             server.reading.add(self)
@@ -515,10 +519,16 @@
         """The process stops. What has come is read first. Of a half-sent request the last byte may be on its
         way: it is refused, as nothing of it was sent on."""
         if self.fed and not self.has_more():
-            self.refuse(BadRequestError(503, "this sidecar stops"))
+            self.refuse(BadRequestError(503, STOPS))
         else:
             self.close_unless_asking()
 
+    def end_upload(self) -> None:
+        """The process stops. No endpoint has the last byte of an upload that is not whole: it is refused,
+        and its attempt ends."""
+        if self.upload is not None:
+            self.refuse(BadRequestError(503, STOPS))
+
     def time_out(self) -> None:
         """The request did not come in time; a caller that sent none is just left."""
         if self.fed:
--- a/woadyard/net/shutdown.py
+++ b/woadyard/net/shutdown.py
@@ -8,6 +8,7 @@
 3. Of a half-sent request nothing was sent on. In the end it is refused, not left: its last byte may be
    on its way.
 4. A stop waits for no request past 0.7 s after SIGTERM: of later ones SIGKILL may find one unanswered.
+   From then on one that is not whole is refused, though its bytes still come, and an upload too.
 5. The listener closes once nothing waits there that the system has accepted. Where another process has
    it too, that one accepts what waits.
 6. A stop is over when no connection is left; what joins after that is cut, unread.
@@ -65,6 +66,8 @@
 
     def end_unsent(self) -> None: ...
 
+    def end_upload(self) -> None: ...
+
     def refuse(self, error: BadRequestError) -> None: ...
 
 
@@ -100,6 +103,7 @@
         self.on_end: Callable[[], None] = lambda: None
         self.succeeded: Callable[[], bool] = lambda: False  # whether another process takes callers
         self.pending: list[asyncio.TimerHandle] = []  # the steps to come
+        self.refuses_partial = False  # a request that is not whole is not waited for any more
         self.closed = False  # the listener is, and what it had accepted has joined
         self.over = False  # the process ends
         lifecycle.watchers.append(self._moved)
@@ -179,7 +183,15 @@
                 caller.end_unsent()
         self.maybe_end()
         if not self.over:
-            self.loop.call_later(LAST_S, self.end_unsent)
+            self.loop.call_later(LAST_S, self.end_partial)
+
+    def end_partial(self) -> None:
+        """Guards against a request whose last byte comes later than 0.7 s after SIGTERM: with short
+        deadlines SIGKILL comes before its answer."""
+        self.refuses_partial = True
+        for caller in list(self.server.callers):
+            caller.end_upload()
+        self.end_unsent()
 
     def maybe_end(self) -> None:
         if self.closed and not self.server.callers and not self.over:
