--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -7,11 +7,26 @@
 import os
 import signal
 import sys
+from dataclasses import dataclass
 from pathlib import Path
 
 import pytest
 
-from tests.sockets import Registry, config, connect_until_up, free_port, run, start
+from tests.sockets import (
+    Endpoint,
+    Reader,
+    Registry,
+    Writer,
+    config,
+    connect_until_up,
+    free_port,
+    push,
+    read_message,
+    request,
+    run,
+    start,
+)
+from woadyard.testing import Listener
 
 # The daemon, held by its script until a line comes on its standard input: before the first of its
 # longer imports, when it has read nothing, or once it has read its configuration.
@@ -110,3 +125,62 @@
             )
 
     run(main())
+
+
+# --- Starts -------------------------------------------------------------------------------
+
+
+@dataclass(eq=False)
+class Unwell(Listener):
+    """A discovery that accepts, writes this and nothing more; or that resets where there is nothing."""
+
+    says: bytes | None = None
+
+    async def _serve(self, reader: Reader, writer: Writer) -> None:
+        if self.says is None:
+            writer.transport.abort()
+            return
+        writer.write(self.says)
+        await reader.read()
+        writer.close()
+
+
+UNWELL = {
+    "refuses": None,
+    "resets": Unwell(),
+    "silent": Unwell(says=b""),
+    "half-a-head": Unwell(says=b"HTTP/1.1 200 OK\r\nTransfer-"),
+    "head-only": Unwell(says=b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"),
+    "unavailable": Unwell(says=b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
+}
+
+
+@pytest.mark.parametrize("how", UNWELL)
+def test_a_start_waits_for_no_discovery_and_takes_its_list_once_it_is_well(tmp_path: Path, how: str) -> None:
+    """Ready, and served by the list that it was started with; then by the list that comes."""
+
+    async def main() -> None:
+        known, listed, registry = Endpoint(), Endpoint(), Registry()
+        unwell, at, port = UNWELL[how], free_port(), free_port()
+        registry.port = at
+        async with await known.start(), await listed.start():
+            listener = await unwell.start(at) if unwell is not None else None
+            process = await start({**config(tmp_path, registry, known), "LB_LISTEN": f"127.0.0.1:{port}"})
+            reader, writer = await connect_until_up(port)
+            writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+            assert (await read_message(reader)).status == 200
+            writer.write(request())
+            assert (await read_message(reader)).body == b"ok" and len(known.got) == 1
+            if listener is not None:
+                listener.close()
+            async with await registry.start(at):
+                _, watch = await registry.asked.get()
+                push(watch, 7, True, listed.entry("s-9"))
+                while not listed.got:
+                    writer.write(request())
+                    assert (await read_message(reader)).body == b"ok"
+                process.send_signal(signal.SIGTERM)
+                assert await process.wait() == 0
+            writer.close()
+
+    run(main())
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -267,6 +267,37 @@
     run(main())
 
 
+@pytest.mark.parametrize("first", ["last-byte", "end"])
+def test_the_last_byte_of_a_half_sent_request_and_the_end_of_a_drain_cross(first: str) -> None:
+    """It gets its one answer in both orders, and nothing of it was sent on."""
+
+    async def main() -> None:
+        endpoint = Endpoint()
+        async with desk(endpoint) as one:
+            reader, writer = await one.one.connect()
+            whole = request("pay", b"body")
+            writer.write(whole[:-1])
+            while not all(caller.fed == len(whole) - 1 for caller in one.one.server.reading.since):
+                await asyncio.sleep(0)
+            while not one.one.server.reading.since:
+                await asyncio.sleep(0)
+            (caller,) = one.one.server.callers
+            one.one.server.lifecycle.evacuate(asyncio.get_running_loop().time())
+            if first == "last-byte":
+                writer.write(whole[-1:])
+                while not caller.has_more():  # it has come, and was not read
+                    pass
+            one.one.server.shutdown.end_drain()
+            if first == "end":
+                writer.write(whole[-1:])
+            back = await read_message(reader)
+            assert back.status == 503 and back.headers["connection"] == "close"
+            assert await reader.read() == b"" and not endpoint.got
+            writer.close()
+
+    run(main())
+
+
 def test_two_requests_in_one_segment_during_a_drain_are_refused_together() -> None:
     """As ever, and neither is sent on: callers send one at a time."""
 
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -511,6 +511,36 @@
     run(main())
 
 
+def test_a_caller_that_never_reads_is_cut_and_its_endpoint_let_go() -> None:
+    async def main() -> None:
+        async def pour(writer: Writer) -> None:
+            with contextlib.suppress(ConnectionError):
+                for _ in range(32):
+                    writer.write(bytes(MB - 1))
+                    await writer.drain()
+
+        endpoint = giving(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 * (MB - 1)), pour)
+        async with sidecar(endpoint) as one:
+            reader, writer = await one.connect()
+            writer.transport.pause_reading()  # type: ignore[attr-defined]
+            writer.write(request())
+            stuck = one.server.stuck
+            await until(lambda: bool(stuck.since))
+            for caller in stuck.since:
+                stuck.since[caller] -= stuck.seconds  # it has not read for so long
+            stuck.run()
+            await until(lambda: not one.server.callers and not one.upstream.links)
+            assert counted(one) == (0, 0, 0, 1, 0), "it counts as one who left"
+            nothing_held(one)
+            writer.transport.resume_reading()  # type: ignore[attr-defined]
+            with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
+                await reader.readuntil(b"\r\n\r\n")
+                await reader.readexactly(32 * (MB - 1))
+            writer.close()
+
+    run(main())
+
+
 def test_what_comes_behind_a_request_waits_for_the_end_of_a_large_answer() -> None:
     async def main() -> None:
         go = asyncio.Event()
