--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -998,3 +998,48 @@
                 assert (await slow.read_answer()).body == LARGE
 
     run(main())
+
+
+@pytest.mark.parametrize("unread", ["one", "all"])
+def test_a_request_that_was_not_read_yet_gives_way_to_a_crowd_last(unread: str) -> None:
+    """It lies in the kernel, on the connection that has rested longest, as one more connection comes."""
+
+    async def main() -> None:
+        endpoint = Endpoint()
+        async with sidecar(endpoint) as one:
+            with contextlib.ExitStack() as stack:
+                callers: list[Client] = []
+                for n in range(3):
+                    callers.append(stack.enter_context(client(one)))
+                    callers[n].send(request(rid=f"r{n}"))
+                    assert (await callers[n].read_answer()).body == b"ok"
+                kept = list(one.server.resting.since)
+                for caller in callers if unread == "all" else callers[:1]:
+                    caller.send(request(rid="again"))
+                one.server._make_room()  # in this turn: nothing was read
+                (gone,) = set(kept) - one.server.callers
+                assert gone is kept[0 if unread == "all" else 1]
+                if unread == "one":
+                    assert (await callers[0].read_answer()).body == b"ok"
+                    assert await callers[1].read() == b""
+
+    run(main())
+
+
+def test_a_half_sent_request_that_gives_way_to_a_crowd_is_refused() -> None:
+    """Its last byte may be on its way: a close without an answer would lose it."""
+
+    async def main() -> None:
+        async with sidecar(Endpoint()) as one:
+            one.server.most = 1
+            with client(one) as half:
+                half.send(PAY[:-1])
+                begun = await caller_of(one)
+                await until(lambda: begun.fed == len(PAY) - 1)
+                with client(one) as other:
+                    (back,) = await parsed(await half.read())
+                    assert back.status == 503 and back.headers["connection"] == "close"
+                    other.send(PAGE)
+                    assert (await other.read_answer()).body == b"ok"
+
+    run(main())
--- a/woadyard/net/server.py
+++ b/woadyard/net/server.py
@@ -3,6 +3,9 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
+import itertools
+import os
 import select
 import socket
 from collections.abc import Callable
@@ -53,6 +56,8 @@
 # How often it is asked whether the caller of an upload that is not read has left: no attempt may begin for it
 # 0.1 s after its close.
 HELD_S: Final = 0.05
+# So many of each kind, those that have waited longest, are looked at when one has to give way.
+CANDIDATES: Final = 4
 # A caller that does not read what it is sent is cut after this.
 STUCK_S: Final = 10.0
 STOPS: Final = "this sidecar stops"
@@ -60,6 +65,15 @@
 UPLOAD_MOST_US: Final = 600_000_000
 
 
+def refusal_of(error: BadRequestError) -> bytes:
+    """The whole answer that says so, and ends the connection."""
+    text = f"{error}\n".encode()
+    return (
+        b"HTTP/1.1 %d %b\r\nContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%b"
+        % (error.status, REASONS[error.status], len(text), text)
+    )
+
+
 class Caller:
     """One connection of a caller; one request is read, and answered, at a time.
 
@@ -456,11 +470,7 @@
         self._leave()
         if self.transport is None or self.transport.is_closing():
             return
-        text = f"{error}\n".encode()
-        self.transport.write(
-            b"HTTP/1.1 %d %b\r\nContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%b"
-            % (error.status, REASONS[error.status], len(text), text)
-        )
+        self.transport.write(refusal_of(error))
         self.close()
 
     def close(self) -> None:
@@ -484,6 +494,15 @@
         else:
             self.server.stuck.add(self)
 
+    def give_way(self) -> None:
+        """Its descriptor is freed at once. The last byte of a half-sent request may be on its way: it is
+        refused past the transport, which would keep the bytes until the turn ends."""
+        if self.fed and self.call is None and not self.over and self.transport is not None:
+            with contextlib.suppress(OSError):
+                refusal = refusal_of(BadRequestError(503, "too many connections"))
+                os.write(self.transport.get_extra_info("socket").fileno(), refusal)
+        self.cut()
+
     def cut(self) -> None:
         self.over = True
         if self.transport is not None:
@@ -602,15 +621,24 @@
 
     def _make_room(self) -> None:
         """Guards the limit on descriptors against a crowd. None gives way while a part of its answer
-        waits here: that would be lost."""
+        waits here: that would be lost. Nor one whose request has come and is not read yet, where
+        another can."""
+        candidates: list[tuple[Sweep[Caller], Caller]] = []
         for waits in giving_way(len(self.reading.since), self.most):
             sweep = self.lingering if waits == ENDED else self.resting if waits == RESTING else self.reading
-            oldest = next((one for one in sweep.since if one.has_written()), None)
-            if oldest is not None:
-                sweep.discard(oldest)
-                oldest.cut()
-                self.callers.discard(oldest)  # its descriptor is freed in this turn of the loop
+            written = (one for one in sweep.since if one.has_written())
+            candidates += [(sweep, one) for one in itertools.islice(written, CANDIDATES)]
+        for sweep, one in candidates:
+            if one.over or not one.has_more():
+                self._end_at_once(sweep, one)
                 return
+        if candidates:
+            self._end_at_once(*candidates[0])
+
+    def _end_at_once(self, sweep: Sweep[Caller], caller: Caller) -> None:
+        sweep.discard(caller)
+        caller.give_way()
+        self.callers.discard(caller)  # its descriptor is freed in this turn of the loop
 
     def hold_head(self, caller: Caller) -> None:
         """Guards memory against a crowd of half-written heads: there the one that has been
