--- a/tests/test_cold_fleets.py
+++ b/tests/test_cold_fleets.py
@@ -193,6 +193,35 @@
     holds(Uneven(30, endpoints, 1, load=0.6, part=0.5, surge=1.5, span_us=3 * SECOND))
 
 
+# With this an endpoint that has just started stands N of about 1, 5, 10, 29 and 31 requests.
+CAPACITIES = (2.6, 12.8, 25.6, 74.0, 80.0)
+
+
+@pytest.mark.parametrize("capacity", CAPACITIES)
+@pytest.mark.parametrize("copies", [1, 2, 3, 5, 10, 30])
+def test_any_number_of_copies_before_endpoints_of_any_size(copies: int, capacity: float) -> None:
+    """One copy has most of the traffic, in a burst, and the lists come late. Under 30 the page allows
+    N + 3 x root of N + 3; what is counted here is stricter."""
+    some = Uneven(copies, 10, 5, load=0.8, surge=1.5, capacities=(capacity,), late_us=SECOND, in_row=True)
+    holds(replace(some, part=0.7 if copies > 1 else 0.0, span_us=3 * SECOND))
+
+
+@pytest.mark.parametrize("capacity", CAPACITIES[:3])
+def test_many_copies_before_endpoints_of_any_size(capacity: float) -> None:
+    some = Uneven(200, 10, 5, load=0.8, surge=1.5, part=0.7, capacities=(capacity,), late_us=SECOND)
+    holds(replace(some, in_row=True, span_us=3 * SECOND))
+
+
+@pytest.mark.parametrize("seed", range(1, 5))
+@pytest.mark.parametrize(("copies", "endpoints", "part"), [(1, 9, 0.0), (5, 9, 0.0), (30, 18, 0.8)])
+def test_kinds_as_far_apart_as_the_widest_deployment_has_them(
+    copies: int, endpoints: int, part: float, seed: int
+) -> None:
+    """Speeds of 3.4 to 1, of which a third is slow."""
+    some = Uneven(copies, endpoints, endpoints // 2, load=0.8, surge=1.3, part=part, in_row=True, seed=seed)
+    holds(replace(some, capacities=(6.8, 12.0, 23.0), span_us=3 * SECOND))
+
+
 @pytest.mark.parametrize("others", [NO_CONNECT, TIMEOUT], ids=["refusing", "silent"])
 def test_all_warm_endpoints_fail_beside_cold_ones(others: int) -> None:
     """Each further try goes to the cold ones, or nowhere."""
