--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -20,6 +20,7 @@
 import pytest
 
 from tests.sockets import (
+    SETTINGS,
     Endpoint,
     Message,
     Registry,
@@ -626,6 +627,39 @@
 # --- The process --------------------------------------------------------------------------
 
 
+def test_a_stop_answers_all_it_took_where_deadlines_are_short_and_endpoints_hang(tmp_path: Path) -> None:
+    """SIGKILL comes 0.9 s after SIGTERM then: no wait of the shutdown may count on long deadlines. What
+    was out, what was half-sent and what comes on a new connection behind the signal has one answer, by
+    its deadline; no connection is closed by what has to come from its caller."""
+    settings = {
+        **SETTINGS,
+        "classes": [{**each, "aim-us": 100_000, "deadline-us": 200_000} for each in SETTINGS["classes"]],
+    }
+
+    async def main() -> None:
+        endpoint, registry = Endpoint(hold), Registry()
+        async with await endpoint.start(), await registry.start():
+            port = free_port()
+            environ = config(tmp_path, registry, endpoint, settings=settings)
+            process = await start({**environ, "LB_LISTEN": f"127.0.0.1:{port}"})
+            _, writer = await connect_until_up(port)
+            writer.close()
+            with contextlib.ExitStack() as stack:
+                out, half, late = (stack.enter_context(contextlib.closing(Client(port))) for _ in range(3))
+                out.send(request("pay", b"b", rid="out"))
+                half.send(PAY[:-1])
+                await endpoint.arrived.acquire()
+                process.send_signal(signal.SIGTERM)
+                late.send(request("pay", b"b", rid="late"))
+                await endpoint.arrived.acquire()
+                found = [await parsed(await caller.read()) for caller in (out, half, late)]
+                assert [[back.status for back in each] for each in found] == [[504], [503], [504]]
+                assert all(back.headers["connection"] == "close" for (back,) in found)
+            assert await process.wait() == 0
+
+    run(main())
+
+
 def test_sigterm_before_the_first_list_answers_what_is_held(tmp_path: Path) -> None:
     async def main() -> None:
         registry, endpoint = Registry(), Endpoint()
