--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -289,13 +289,47 @@
     run(main())
 
 
-def test_an_endpoint_that_does_not_read_holds_the_caller_back() -> None:
-    class Deaf(Endpoint):
-        async def _serve(self, reader: Reader, writer: Writer) -> None:
-            writer.transport.pause_reading()  # type: ignore[attr-defined]
-            self.open.add(writer)
-            self.opened += 1
+class Deaf(Endpoint):
+    """Reads nothing."""
+
+    async def _serve(self, reader: Reader, writer: Writer) -> None:
+        writer.transport.pause_reading()  # type: ignore[attr-defined]
+        self.open.add(writer)
+        self.opened += 1
+
+
+def test_an_upload_whose_endpoint_never_reads_is_ended_and_answered() -> None:
+    async def main() -> None:
+        endpoint = Deaf()
+        async with sidecar(endpoint) as one:
+            reader, writer = await one.connect()
+            writer.write(head(LARGE_MAX))
+            writer.transport.set_write_buffer_limits(high=0)
 
+            async def pour() -> None:
+                with contextlib.suppress(ConnectionError):
+                    for _ in range(32):
+                        writer.write(bytes(MB))
+                        await writer.drain()
+
+            pouring = asyncio.create_task(pour())
+            stalled = one.upstream.stalled
+            await until(lambda: bool(stalled.since))
+            for link in stalled.since:
+                stalled.since[link] -= stalled.seconds  # nothing was read for so long
+            stalled.run()
+            back = await read_message(reader)
+            assert back.status in (502, 503) and back.headers["connection"] == "close"
+            assert not one.engine.calls and not one.upstream.links
+            pouring.cancel()
+            writer.transport.abort()
+            for open_ in endpoint.open:
+                open_.transport.abort()
+
+    run(main())
+
+
+def test_an_endpoint_that_does_not_read_holds_the_caller_back() -> None:
     async def main() -> None:
         endpoint = Deaf()
         async with sidecar(endpoint) as one:
