--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -650,6 +650,46 @@
     run(main())
 
 
+@pytest.mark.parametrize("held", [False, True], ids=["comes-slowly", "is-held"])
+def test_an_answer_that_is_passed_on_keeps_a_pace(held: bool) -> None:
+    """One that trickles for ever is cut, so that its client can tell; the time in which the client had no
+    room does not count."""
+
+    async def main() -> None:
+        more = asyncio.Event()
+
+        async def trickle(writer: Writer) -> None:
+            await more.wait()
+            writer.write(b"x")
+
+        endpoint = giving(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % MB + bytes(128 * 1024), trickle)
+        async with sidecar(endpoint) as one:
+            reader, writer = await one.connect()
+            writer.write(request())
+            await reader.readuntil(b"\r\n\r\n")
+            await reader.readexactly(128 * 1024)
+            (link,) = one.upstream.passing.since
+            pace_s = GRACE_S + link.size / RATE_LEAST
+            if held:
+                link.hold()
+                link.held_since -= pace_s + 60.0
+                link.passed_since -= pace_s + 60.0
+                link.go_on()
+            else:
+                link.passed_since -= pace_s
+            more.set()
+            if held:
+                assert await reader.readexactly(1) == b"x" and one.upstream.links
+                writer.close()
+            else:
+                with pytest.raises(asyncio.IncompleteReadError):
+                    await reader.readexactly(MB - 128 * 1024)
+                await until(lambda: counted(one) == (0, 0, 1, 0, 0))
+                nothing_held(one)
+
+    run(main())
+
+
 def test_memory_held_for_bodies_is_bounded_and_given_back() -> None:
     """Forty uploads at once, none of them whole: what is over the room is passed on."""
 
--- a/woadyard/net/upstream.py
+++ b/woadyard/net/upstream.py
@@ -33,7 +33,7 @@
     single,
 )
 from woadyard.net.opening import open_connection
-from woadyard.stream.pace import ANSWERS_PART, Room, room_for
+from woadyard.stream.pace import ANSWERS_PART, Room, keeps_pace, room_for
 
 # Part of an endpoint's idle time for which a connection is kept: the rest guards
 # against a request that crosses the endpoint's own close. No longer than IDLE_MOST_S:
@@ -129,6 +129,8 @@
         self.upload: Flow | None = None  # a request that is passed on while it comes
         self.answer: Flow | None = None  # an answer that is
         self.held = 0  # of the room for answers
+        self.passed_since = 0.0  # when an answer began to be passed on, without the time that it was held
+        self.held_since = 0.0  # when its client last had no room
         self.rested_at = 0  # since when it carries nothing
         self.parser: Any = httptools.HttpResponseParser(self)
         self._begin()
@@ -279,6 +281,7 @@
             answer.feed(bytes(self.body))
             self.body = bytearray()
         self._give_back()
+        self.passed_since = self.owner.loop.time()
         self.owner.passing.add(self)
         passed = pass_on(self.headers, ANSWER_HEADERS)
         final = Answer(Ending.SERVED, 200, passed, flow=answer)
@@ -286,14 +289,29 @@
         if not answer.begun:
             answer.leave()  # nobody waits for it any more
 
+    def _pass_more(self) -> None:
+        """Guards a client against an answer that goes on for ever, a little at a time."""
+        passing = self.owner.passing
+        if self not in passing.since:
+            return  # it is held: what comes was under way
+        passing.discard(self)
+        if keeps_pace(self.size, self.owner.loop.time() - self.passed_since):
+            passing.add(self)
+        else:
+            self.close()
+
     def hold(self) -> None:
-        self.owner.passing.discard(self)
+        if self in self.owner.passing.since:
+            self.owner.passing.discard(self)
+            self.held_since = self.owner.loop.time()
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
     def go_on(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.owner.passing.add(self)
+            if self not in self.owner.passing.since:
+                self.owner.passing.add(self)
+                self.passed_since += self.owner.loop.time() - self.held_since
             self.transport.resume_reading()
 
     def unwanted(self) -> None:
@@ -392,9 +410,7 @@
         elif spoilt or (self.fields is None and self.fed > HEAD_MAX):
             self.spoil()
         elif self.answer is not None:
-            if self in self.owner.passing.since:  # it is not held
-                self.owner.passing.discard(self)
-                self.owner.passing.add(self)
+            self._pass_more()
         elif self.status == 200 and not self._holds():
             self._pass_on()
         else:
