--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -813,6 +813,43 @@
     run(main())
 
 
+@pytest.mark.parametrize("leaves", [True, False])
+def test_a_caller_that_leaves_an_answer_behind_unread_bytes_is_seen_to(leaves: bool) -> None:
+    """Nothing is read while its answer is passed on, as a part of a request came behind: its end lies
+    behind more of that, and the endpoint has stopped for now."""
+
+    async def main() -> None:
+        go = asyncio.Event()
+
+        async def large(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+            whole = answer(body=2 * LARGE)
+            writer.write(whole[:-5])
+            await go.wait()
+            writer.write(whole[-5:])
+
+        endpoint = Endpoint(large)
+        async with sidecar(endpoint) as one:
+            with client(one) as caller:
+                caller.send(PAGE)
+                taken = await caller_of(one)
+                await until(lambda: taken.answer is not None)
+                caller.send(PAY[:10])
+                await until(lambda: bool(taken.behind))
+                if leaves:
+                    caller.send(PAY[10:20])
+                    caller.close()
+                due(one.server.held_back)
+                if leaves:
+                    await until(lambda: not one.server.callers and not one.upstream.links)
+                    assert one.engine.tally.abandoned == [1, 0, 0]
+                else:
+                    go.set()
+                    assert (await caller.read_answer()).body == 2 * LARGE
+                    assert not one.server.held_back.since
+
+    run(main())
+
+
 # --- A caller that leaves -----------------------------------------------------------------
 
 
--- a/woadyard/net/server.py
+++ b/woadyard/net/server.py
@@ -341,7 +341,8 @@
             self.transport.resume_reading()
 
     def end_if_left(self) -> None:
-        """Of an upload that is not read, the caller's end lies behind what is not either."""
+        """The caller's end lies behind what is not read: the rest of an upload, or what came behind a
+        request whose answer is passed on."""
         if self.has_left():
             self._leave()
             self.cut()
@@ -429,6 +430,7 @@
         self.behind = b"%b%b" % (self.behind, data)
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
+            self.server.held_back.add(self)
 
     def _read_behind(self) -> None:
         data, self.behind = self.behind, b""
@@ -446,6 +448,7 @@
 
     def flowed(self, whole: bool) -> None:
         self.answer = None
+        self.server.held_back.discard(self)
         if self.transport is None or self.transport.is_closing():
             return
         if whole and self.chunks:
