--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -533,14 +533,16 @@
             with client(one) as caller:
                 caller.send(whole[:-20])
                 begun = await caller_of(one)
-                await until(lambda: begun.fed == len(whole) - 20 or not begun.transport.is_reading())
+                transport = begun.transport
+                assert transport is not None
+                await until(lambda: begun.fed == len(whole) - 20 or not transport.is_reading())
                 if comes == "upload":
                     await until(lambda: endpoint.opened == 1)
                 take_steps_by_hand(one)
                 one.server.stop(ended.set)
                 caller.send(whole[-20:-10])
                 one.server.shutdown.stop_listening()
-                await until(lambda: not begun.has_more() or not begun.transport.is_reading())
+                await until(lambda: not begun.has_more() or not transport.is_reading())
                 assert not begun.over
                 caller.send(whole[-10:] if comes == "whole" else whole[-10:-5])
                 one.server.shutdown.end_partial()
