--- a/woadyard/net/upstream.py
+++ b/woadyard/net/upstream.py
@@ -33,7 +33,7 @@
     single,
 )
 from woadyard.net.opening import is_local_fault, open_connection
-from woadyard.stream.pace import ANSWERS_PART, Room, room_for
+from woadyard.stream.pace import ANSWERS_PART, Room, keeps_pace, room_for
 
 # Part of an endpoint's idle time for which a connection is kept: the rest guards
 # against a request that crosses the endpoint's own close. No longer than IDLE_MOST_S:
@@ -58,6 +58,10 @@
 # that holds no more turns them away.
 SETTLE_US: Final = 20_000
 DOUBT_US: Final = 60_000_000
+# Of the time left to the client an endpoint is told so much less, or this part of it if that is less: the
+# request may have waited to be read, and what is written leaves at the end of the event loop's turn.
+UNTOLD_US: Final = 20_000
+UNTOLD_PART: Final = 8
 # The length of an answer that ends with its connection (RFC 9112, 6.3, case 8), and of chunks.
 UNTIL_END: Final = -2
 CHUNKS: Final = -1
@@ -136,6 +140,8 @@
         self.upload: Flow | None = None  # a request that is passed on while it comes
         self.answer: Flow | None = None  # an answer that is
         self.held = 0  # of the room for answers
+        self.passed_since = 0.0  # when an answer began to be passed on, without the time that it was held
+        self.held_since = 0.0  # when its client last had no room
         self.rested_at = 0  # since when it carries nothing
         self.parser: Any = httptools.HttpResponseParser(self)
         self._begin()
@@ -303,6 +309,7 @@
             answer.feed(bytes(self.body))
             self.body = bytearray()
         self._give_back()
+        self.passed_since = self.owner.loop.time()
         self.owner.passing.add(self)
         passed = pass_on(self.headers, ANSWER_HEADERS)
         final = Answer(Ending.SERVED, 200, passed, flow=answer)
@@ -310,14 +317,29 @@
         if not answer.begun:
             answer.leave()  # nobody waits for it any more
 
+    def _pass_more(self) -> None:
+        """Guards a client against an answer that goes on for ever, a little at a time."""
+        passing = self.owner.passing
+        if self not in passing.since:
+            return  # it is held: what comes was under way
+        passing.discard(self)
+        if keeps_pace(self.size, self.owner.loop.time() - self.passed_since):
+            passing.add(self)
+        else:
+            self.close()
+
     def hold(self) -> None:
-        self.owner.passing.discard(self)
+        if self in self.owner.passing.since:
+            self.owner.passing.discard(self)
+            self.held_since = self.owner.loop.time()
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
     def go_on(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.owner.passing.add(self)
+            if self not in self.owner.passing.since:
+                self.owner.passing.add(self)
+                self.passed_since += self.owner.loop.time() - self.held_since
             self.transport.resume_reading()
 
     def unwanted(self) -> None:
@@ -426,9 +448,7 @@
         elif spoilt or (self.fields is None and self.fed > HEAD_MAX):
             self.spoil()
         elif self.answer is not None:
-            if self in self.owner.passing.since:  # it is not held
-                self.owner.passing.discard(self)
-                self.owner.passing.add(self)
+            self._pass_more()
         elif self.status == 200 and not self._holds():
             self._pass_on()
         else:
@@ -525,10 +545,15 @@
             attempt.end(outcome, answer, fields.get(b"x-load", b""))
 
 
+def told_ms(left_us: int) -> int:
+    """The deadline to tell an endpoint, ms, where so many us are left to the client: rounded down, and
+    one at least."""
+    return max(1, (left_us - min(UNTOLD_US, left_us // UNTOLD_PART)) // 1000)
+
+
 def request_bytes(attempt: Attempt, now: int) -> bytes:
     call = attempt.call
-    # Rounded down: the endpoint must not work on past the sidecar's patience.
-    wait_ms = max(1, (attempt.until - now) // 1000)
+    wait_ms = told_ms(attempt.until - now)
     plain = call.start.startswith(b"GET ") and not call.body
     length = b"" if plain else b"Content-Length: %d\r\n" % len(call.body)
     wait = b"X-Deadline-Ms: %d\r\n" % wait_ms
@@ -539,7 +564,7 @@
     """The head of a request whose body follows as it comes."""
     call = attempt.call
     # Counted by the endpoint from the last byte on, as by the caller.
-    wait = b"X-Deadline-Ms: %d\r\n" % max(1, min(call.span, call.expires - now) // 1000)
+    wait = b"X-Deadline-Ms: %d\r\n" % told_ms(min(call.span, call.expires - now))
     framing = b"Transfer-Encoding: chunked\r\n"
     if upload.length >= 0:
         framing = b"Content-Length: %d\r\n" % upload.length
