--- a/woadyard/demo/world.py
+++ b/laurelstep/demo/world.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from woadyard.testing import (
+from laurelstep.testing import (
     Caller,
     DiscoveryServer,
     Effects,
@@ -204,7 +204,7 @@
         discovery = await stack.enter_async_context(DiscoveryServer(entries))
         port = free_port()
         environ = stack.enter_context(config_file(port, discovery))
-        daemon = await asyncio.create_subprocess_exec(sys.executable, "-m", "woadyard", env=environ)
+        daemon = await asyncio.create_subprocess_exec(sys.executable, "-m", "laurelstep", env=environ)
         try:
             await ready(port, daemon)
             world.began = time.monotonic()
--- a/woadyard/engine/members.py
+++ b/laurelstep/engine/members.py
@@ -7,7 +7,7 @@
    the drain grace is over, counted from the first time it was told: a list that takes
    long to apply counts from when it came.
 3. A new start or address inherits no connection of the old one.
-4. A long list is applied in steps: `woadyard.engine.listing`.
+4. A long list is applied in steps: `laurelstep.engine.listing`.
 5. A start is told in wall time, and this machine's wall clock may have been stepped. It is dated by the
    least that this clock has shown against the monotonic one since the process began, so that a step ahead
    makes no endpoint look older. An endpoint that is listed with a later start than before can't have started
@@ -22,9 +22,9 @@
 from hashlib import blake2b
 from typing import Any, Final
 
-from woadyard.engine.names import Names
-from woadyard.engine.ports import Clock, Upstream
-from woadyard.interface import DRAINING, GONE, READY, Entry
+from laurelstep.engine.names import Names
+from laurelstep.engine.ports import Clock, Upstream
+from laurelstep.interface import DRAINING, GONE, READY, Entry
 
 # The clocks are read one after the other, and a machine may be held up between the two: a difference up to
 # this is no step.
--- a/woadyard/store/store.py
+++ b/laurelstep/store/store.py
@@ -27,10 +27,10 @@
 from types import TracebackType
 from typing import Any, Self, TypeVar
 
-from woadyard.store.clock import SYSTEM_CLOCKS, ClockNote, StoreClock
-from woadyard.store.disk import Disk, StoreError
-from woadyard.store.index import Usage, location, place_of
-from woadyard.store.log import (
+from laurelstep.store.clock import SYSTEM_CLOCKS, ClockNote, StoreClock
+from laurelstep.store.disk import Disk, StoreError
+from laurelstep.store.index import Usage, location, place_of
+from laurelstep.store.log import (
     CLOCK,
     DELETE,
     KEY_MOST,
@@ -43,8 +43,8 @@
     read_frame,
     records_of,
 )
-from woadyard.store.manifest import Manifest, Segment, segment_name
-from woadyard.store.recovery import (
+from laurelstep.store.manifest import Manifest, Segment, segment_name
+from laurelstep.store.recovery import (
     Opened,
     Progress,
     UnsureManifestError,
--- a/woadyard/testing/discovery.py
+++ b/laurelstep/testing/discovery.py
@@ -22,9 +22,9 @@
 from typing import Any, Final, Self
 from urllib.parse import parse_qs, urlsplit
 
-from woadyard.testing.endpoints import Listener
-from woadyard.testing.messages import Message, Reader, Writer, answer, read_message
-from woadyard.testing.registry import push_raw
+from laurelstep.testing.endpoints import Listener
+from laurelstep.testing.messages import Message, Reader, Writer, answer, read_message
+from laurelstep.testing.registry import push_raw
 
 Entry = dict[str, Any]
 Sleep = Callable[[float], Awaitable[object]]
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -12,18 +12,17 @@
 
 import pytest
 
-from tests.test_orders import AGAIN, ORDER, SERVED, opened, pay, said
-from woadyard.library import Client
-from woadyard.orders.book import answer_of, order_key
-from woadyard.orders.recorder import OrderRecorder
-from woadyard.outbox.causes import Tokens
-from woadyard.outbox.dots import Dot, Line
-from woadyard.outbox.frontier import Alone
-from woadyard.outbox.journal import Event, Reason
-from woadyard.outbox.outbox import Bounds, End, KeptClass, Offer, Outbox
-from woadyard.outbox.store import KeptStore
-from woadyard.store import FolderDisk, Options, Store
-from woadyard.store.clock import (
+from laurelstep.library import Client
+from laurelstep.orders.book import answer_of, order_key
+from laurelstep.orders.recorder import OrderRecorder
+from laurelstep.outbox.causes import Tokens
+from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.frontier import Alone
+from laurelstep.outbox.journal import Event, Reason
+from laurelstep.outbox.outbox import Bounds, End, KeptClass, Offer, Outbox
+from laurelstep.outbox.store import KeptStore
+from laurelstep.store import FolderDisk, Options, Store
+from laurelstep.store.clock import (
     NOTE_INTERVAL_MS,
     STEP_MOST_MS,
     ClockNote,
@@ -31,8 +30,9 @@
     StoreClocks,
     boot_identity,
 )
-from woadyard.testing import Endpoint
-from woadyard.testing.disk import SimulatedDisk
+from laurelstep.testing import Endpoint
+from laurelstep.testing.disk import SimulatedDisk
+from tests.test_orders import AGAIN, ORDER, SERVED, opened, pay, said
 
 HOUR_MS = 3_600_000
 STEPS = [-HOUR_MS, -1_000, 0, 1_000, HOUR_MS]
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -12,6 +12,7 @@
 
 import pytest
 
+from laurelstep.testing import Listener
 from tests.sockets import (
     Endpoint,
     Reader,
@@ -26,13 +27,12 @@
     run,
     start,
 )
-from woadyard.testing import Listener
 
 # The daemon, held by its script until a line comes on its standard input: before the first of its
 # longer imports, when it has read nothing, or once it has read its configuration.
 HELD = """
 import runpy, sys
-import woadyard.settings.platform as platform
+import laurelstep.settings.platform as platform
 
 def wait():
     print(".", flush=True)
@@ -40,7 +40,7 @@
 
 class Finder:
     def find_spec(self, name, path=None, target=None):
-        if name == "woadyard.daemon":
+        if name == "laurelstep.daemon":
             wait()
 
 def load_json(path):
@@ -54,7 +54,7 @@
     sys.meta_path.insert(0, Finder())
 else:
     platform.load_json = load_json
-runpy.run_module("woadyard", run_name="__main__")
+runpy.run_module("laurelstep", run_name="__main__")
 """
 
 
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from laurelstep.demo.world import World, ask
+from laurelstep.testing import Endpoint, close, in_turn, serve
 from tests.test_testing import run
-from woadyard.demo.world import World, ask
-from woadyard.testing import Endpoint, close, in_turn, serve
 
 
 def test_a_client_whose_kept_connection_was_closed_at_rest_is_answered() -> None:
--- a/tests/test_discovery_server.py
+++ b/tests/test_discovery_server.py
@@ -8,12 +8,12 @@
 
 import pytest
 
+from laurelstep.net.discovery import LIST_PATH, SILENT_S, Discovery
+from laurelstep.testing import DiscoveryServer, Endpoint, Reader, Writer, read_message
+from laurelstep.testing.discovery import HEARTBEAT_INTERVAL_S
 from tests.test_crossings_discovery import run as run_on_made_time
 from tests.test_discovery import Sink
 from tests.test_testing import run
-from woadyard.net.discovery import LIST_PATH, SILENT_S, Discovery
-from woadyard.testing import DiscoveryServer, Endpoint, Reader, Writer, read_message
-from woadyard.testing.discovery import HEARTBEAT_INTERVAL_S
 
 HEARTBEAT = b"\n"
 
--- a/tests/test_folders_of_earlier_versions.py
+++ b/tests/test_folders_of_earlier_versions.py
@@ -10,13 +10,13 @@
 
 import pytest
 
+from laurelstep.outbox import driver as driving
+from laurelstep.outbox.dots import read_dot
+from laurelstep.outbox.journal import State
 from tests.once import once
 from tests.sockets import run
 from tests.test_node import Tier
 from tests.test_outbox_bodies import edge
-from woadyard.outbox import driver as driving
-from woadyard.outbox.dots import read_dot
-from woadyard.outbox.journal import State
 
 pytestmark = once
 
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from woadyard.engine.members import CLOCK_TOLERANCE_US, Members, StartDating, endpoint_number
-from woadyard.engine.names import Names
-from woadyard.interface import RequestClass, Settings
+from laurelstep.engine.members import CLOCK_TOLERANCE_US, Members, StartDating, endpoint_number
+from laurelstep.engine.names import Names
+from laurelstep.interface import RequestClass, Settings
 
 SECOND_US = 1_000_000
 SETTINGS = Settings(
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -19,27 +19,27 @@
 
 import pytest
 
+from laurelstep.accord.node import REOPEN_MOST_US, REOPEN_US, Stage
+from laurelstep.accord.ports import Store as StateStore
+from laurelstep.accord.stores import embedded
+from laurelstep.accord.stores.embedded import EmbeddedStore, StateFaultError
+from laurelstep.accord.terms import Effects
+from laurelstep.engine import Ending
+from laurelstep.library import Request
+from laurelstep.orders.book import ANSWERED, order_key
+from laurelstep.outbox.journal import FINAL, Moved
+from laurelstep.outbox.journal import State as WriteState
+from laurelstep.outbox.store import FailedToKeepError, KeptStore
+from laurelstep.store import Options, Store, StoreError, StoreUnavailableError
+from laurelstep.store.manifest import MANIFEST, segment_name
+from laurelstep.store.store import BACKOFF_MOST_S
+from laurelstep.testing import Endpoint, refuse, serve
+from laurelstep.testing.contracts.outbox import made
+from laurelstep.testing.disk import Op, SimulatedDisk
 from tests.once import once
 from tests.test_node import SAY, Bench, turn
 from tests.test_orders import AGAIN, MAY_HAVE_RUN, SERVED, pay, recorded, said
 from tests.test_store import SMALL, State, Times, opened, state_of
-from woadyard.accord.node import REOPEN_MOST_US, REOPEN_US, Stage
-from woadyard.accord.ports import Store as StateStore
-from woadyard.accord.stores import embedded
-from woadyard.accord.stores.embedded import EmbeddedStore, StateFaultError
-from woadyard.accord.terms import Effects
-from woadyard.engine import Ending
-from woadyard.library import Request
-from woadyard.orders.book import ANSWERED, order_key
-from woadyard.outbox.journal import FINAL, Moved
-from woadyard.outbox.journal import State as WriteState
-from woadyard.outbox.store import FailedToKeepError, KeptStore
-from woadyard.store import Options, Store, StoreError, StoreUnavailableError
-from woadyard.store.manifest import MANIFEST, segment_name
-from woadyard.store.store import BACKOFF_MOST_S
-from woadyard.testing import Endpoint, refuse, serve
-from woadyard.testing.contracts.outbox import made
-from woadyard.testing.disk import Op, SimulatedDisk
 
 pytestmark = once
 
@@ -444,7 +444,7 @@
 @pytest.fixture
 def short_ahead(monkeypatch: pytest.MonkeyPatch) -> None:
     """A log whose every byte can be cut in a moment: few zeros ahead of its end."""
-    monkeypatch.setattr("woadyard.outbox.store.Options", functools.partial(Options, ahead_bytes=64))
+    monkeypatch.setattr("laurelstep.outbox.store.Options", functools.partial(Options, ahead_bytes=64))
     monkeypatch.setattr(embedded, "OPTIONS", replace(embedded.OPTIONS, ahead_bytes=64, segment_bytes=1_000))
 
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -15,6 +15,7 @@
 
 import pytest
 
+from laurelstep.testing import Effects, serve
 from tests.sockets import (
     SETTINGS,
     Endpoint,
@@ -32,7 +33,6 @@
     start,
 )
 from tests.syscall_faults.shim import COMPILER, UNTIL_CLEARED, Fault, FaultShim, SystemCall
-from woadyard.testing import Effects, serve
 
 pytestmark = pytest.mark.skipif(COMPILER is None, reason="no C compiler: the shim can't be built")
 
