--- a/benchmarks/accord.py
+++ b/benchmarks/accord.py
@@ -23,7 +23,7 @@
 
 from benchmarks.common import Child, compiled, median, percentile, pin, progress
 from benchmarks.hotpath import MANY, Subject, configured, over
-from woadyard.testing import free_port
+from laurelstep.testing import free_port
 
 # Size of the tier, seats, processes.
 TIERS = ((3, 3, 3), (7, 7, 7), (30, 5, 2), (200, 5, 3))
@@ -186,7 +186,7 @@
         plain = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
         told = {"LB_CONFIG": str(path), **({"LB_OPERATOR": str(self.operator)} if is_on else {})}
         began = time.monotonic()
-        child = Child(["-m", "woadyard"], 2, {**plain, **self.environ, **told})
+        child = Child(["-m", "laurelstep"], 2, {**plain, **self.environ, **told})
         while time.monotonic() < began + LIMIT_S:
             with contextlib.suppress(OSError), socket.create_connection(("127.0.0.1", listen), 1.0):
                 return Subject("on" if is_on else "off", child, listen), time.monotonic() - began
--- a/benchmarks/accord_child.py
+++ b/benchmarks/accord_child.py
@@ -15,10 +15,10 @@
 
 import uvloop
 
-from woadyard.accord.errors import AccordError
-from woadyard.accord.node import Node, node_of
-from woadyard.accord.options import AccordSettings
-from woadyard.engine.clock import LoopClock
+from laurelstep.accord.errors import AccordError
+from laurelstep.accord.node import Node, node_of
+from laurelstep.accord.options import AccordSettings
+from laurelstep.engine.clock import LoopClock
 
 LOOK_S = 0.002
 
--- a/benchmarks/children.py
+++ b/benchmarks/children.py
@@ -13,8 +13,8 @@
 import uvicorn
 import uvloop
 
-from woadyard.library import BalancerMiddleware, Client, Ending, Request
-from woadyard.library.asgi import Receive, Scope, Send
+from laurelstep.library import BalancerMiddleware, Client, Ending, Request
+from laurelstep.library.asgi import Receive, Scope, Send
 
 BODY = b"x" * 256
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: text/plain\r\n\r\n%b" % (len(BODY), BODY)
--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -31,7 +31,7 @@
     compiled; empty, for the plain files, where there is no C compiler."""
     subprocess.run(["sh", str(ROOT / "deploy" / "build")], check=True, stdout=sys.stderr)
     (site,) = (ROOT / ".venv" / "lib").glob("python*/site-packages")
-    if not list(site.glob("woadyard__mypyc*")):
+    if not list(site.glob("laurelstep__mypyc*")):
         return {}
     return {"PYTHONSAFEPATH": "1", "PYTHONPATH": f"{site}{os.pathsep}{ROOT}"}
 
--- a/benchmarks/fleet_child.py
+++ b/benchmarks/fleet_child.py
@@ -14,13 +14,13 @@
 
 from benchmarks.common import median, percentile
 from benchmarks.fleet import STORM, entry
-from woadyard.engine import Answer, Attempt, Call, Ending
-from woadyard.engine.engine import Engine
-from woadyard.interface import OK
-from woadyard.net.assembly import Assembly
-from woadyard.net.collector import Collector
-from woadyard.net.discovery import Discovery
-from woadyard.settings import config_from
+from laurelstep.engine import Answer, Attempt, Call, Ending
+from laurelstep.engine.engine import Engine
+from laurelstep.interface import OK
+from laurelstep.net.assembly import Assembly
+from laurelstep.net.collector import Collector
+from laurelstep.net.discovery import Discovery
+from laurelstep.settings import config_from
 
 CHANGES, REQUESTS, ROUNDS = 1_000, 1_000, 15
 CLASSES = [{"name": "view", "aim-us": 500_000, "deadline-us": 2_000_000, "repeat": "retryable"}]
--- a/benchmarks/hotpath.py
+++ b/benchmarks/hotpath.py
@@ -26,7 +26,7 @@
 import uvloop
 
 from benchmarks.common import ROOT, Child, compiled, median, percentile, pin, progress
-from woadyard.testing import free_port, request
+from laurelstep.testing import free_port, request
 
 MANY = 32
 ROUNDS, LOAD_S, ALONE_S = 7, 1.0, 0.4
@@ -157,7 +157,7 @@
     listen = free_port()
     path = configured(folder, ports, listen)
     environ = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
-    child = Child(["-m", "woadyard"], 2, {**environ, **(extra or {}), "LB_CONFIG": path}, root)
+    child = Child(["-m", "laurelstep"], 2, {**environ, **(extra or {}), "LB_CONFIG": path}, root)
     await_port(listen)
     return Subject(name, child, listen)
 
--- a/benchmarks/outbox.py
+++ b/benchmarks/outbox.py
@@ -23,13 +23,13 @@
 import uvloop
 
 from benchmarks.common import Child, median, percentile, progress
-from woadyard.engine.call import Answer, Call, Ending
-from woadyard.net.assembly import Assembly
-from woadyard.net.message import lines
-from woadyard.outbox.driver import OutboxDriver
-from woadyard.outbox.options import KeptClass, OutboxSettings
-from woadyard.outbox.replay import Pace
-from woadyard.settings import config_from
+from laurelstep.engine.call import Answer, Call, Ending
+from laurelstep.net.assembly import Assembly
+from laurelstep.net.message import lines
+from laurelstep.outbox.driver import OutboxDriver
+from laurelstep.outbox.options import KeptClass, OutboxSettings
+from laurelstep.outbox.replay import Pace
+from laurelstep.settings import config_from
 
 SETTINGS = {
     "classes": [
--- a/benchmarks/outbox_child.py
+++ b/benchmarks/outbox_child.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from benchmarks.outbox import CHAINS, Edge, resident_kb
-from woadyard.outbox.terms import Offer
+from laurelstep.outbox.terms import Offer
 
 SERVICE_S, TIGHT_S = 0.002, 0.02
 WARM, ASKED = 2_000, 10_000
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -24,11 +24,11 @@
 import uvloop
 
 from benchmarks.common import median, percentile, progress
-from woadyard.library import Client, Member, Request
-from woadyard.orders import OrderClass, Orders
-from woadyard.settings import config_from
-from woadyard.store import FolderDisk, Options, Store
-from woadyard.testing import Endpoint
+from laurelstep.library import Client, Member, Request
+from laurelstep.orders import OrderClass, Orders
+from laurelstep.settings import config_from
+from laurelstep.store import FolderDisk, Options, Store
+from laurelstep.testing import Endpoint
 
 VALUE = b"v" * 100
 ROUNDS, SLICE_S = 5, 0.7
--- a/benchmarks/stream.py
+++ b/benchmarks/stream.py
@@ -23,8 +23,8 @@
 
 from benchmarks.common import ROOT, Child, compiled, median, percentile, pin, progress
 from benchmarks.hotpath import await_port
-from woadyard.stream.pace import bound
-from woadyard.testing import free_port, request
+from laurelstep.stream.pace import bound
+from laurelstep.testing import free_port, request
 
 MB = 1 << 20
 ROUNDS, LARGE, FIRSTS = 5, 24 * MB, 40
@@ -127,7 +127,7 @@
     path = Path(folder, "config.json")
     path.write_text(json.dumps(raw))
     plain = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
-    child = Child(["-m", "woadyard"], 2, {**plain, **environ, "LB_CONFIG": str(path)}, ROOT)
+    child = Child(["-m", "laurelstep"], 2, {**plain, **environ, "LB_CONFIG": str(path)}, ROOT)
     await_port(listen)
     return child, listen
 
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from benchmarks.common import ROOT, Child, compiled, pin, progress
-from woadyard.testing import Caller, Effects, Endpoint, Message, free_port, request
+from laurelstep.testing import Caller, Effects, Endpoint, Message, free_port, request
 
 UPGRADES = 12
 CALLERS = 24
@@ -107,7 +107,7 @@
         management = free_port()
         began = time.monotonic()
         child = Child(
-            ["-m", "woadyard"], 2, {**self.environ, "LB_MANAGEMENT": f"127.0.0.1:{management}"}, ROOT
+            ["-m", "laurelstep"], 2, {**self.environ, "LB_MANAGEMENT": f"127.0.0.1:{management}"}, ROOT
         )
         while time.monotonic() < began + 20.0:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -24,7 +24,7 @@
 from typing import Any
 
 from benchmarks.common import ROOT, Child, compiled, pin, progress
-from woadyard.testing import (
+from laurelstep.testing import (
     Caller,
     Effects,
     Endpoint,
@@ -36,7 +36,7 @@
     push,
     request,
 )
-from woadyard.testing.endpoints import reset_connection
+from laurelstep.testing.endpoints import reset_connection
 
 MACHINES, OUT, COPIES, CALLERS = 30, 5, 3, 24
 SERVICE_S, WORK_S, THINK_S = 0.004, 0.3, 0.01
@@ -178,7 +178,7 @@
             path = self.folder / f"config-{n}.json"
             path.write_text(json.dumps(raw))
             environ = {**self.environ, "LB_CONFIG": str(path), "LB_OPERATOR": str(operator)}
-            self.children.append(Child(["-m", "woadyard"], 1 + n, environ, ROOT))
+            self.children.append(Child(["-m", "laurelstep"], 1 + n, environ, ROOT))
         began = time.monotonic()
         for n in range(COPIES):
             while await self.call(n, "GET /api/ready") != 200:
--- a/woadyard/__init__.py
+++ b/laurelstep/__init__.py
@@ -1,10 +1,10 @@
-"""woadyard: the decisions of a load balancer for services that call services.
+"""laurelstep: the decisions of a load balancer for services that call services.
 
 Make a `Balancer` from a seed and `Settings`, tell it one event at a time and
-carry out the actions it returns; `woadyard.interface` says what each means.
+carry out the actions it returns; `laurelstep.interface` says what each means.
 """
 
-from woadyard.interface import (
+from laurelstep.interface import (
     BUSY,
     CANCELLED,
     DRAINING,
@@ -53,7 +53,7 @@
     Timer,
     Watch,
 )
-from woadyard.policy import Balancer
+from laurelstep.policy import Balancer
 
 __all__ = [
     "BUSY",
--- a/woadyard/__main__.py
+++ b/laurelstep/__main__.py
@@ -14,12 +14,12 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
-from woadyard.daemon import arrive, serve
-from woadyard.net.message import log, unblock_log
-from woadyard.settings import Config, ConfigError, read_platform
+from laurelstep.daemon import arrive, serve
+from laurelstep.net.message import log, unblock_log
+from laurelstep.settings import Config, ConfigError, read_platform
 
 if TYPE_CHECKING:
-    from woadyard.workers.parent import Workers
+    from laurelstep.workers.parent import Workers
 
 USAGE = """usage: laurelstep [run] [--operator FILE]   one sidecar, told by LB_CONFIG or by FILE
        laurelstep check FILE...            check configurations: .toml is the operator's form
@@ -34,7 +34,7 @@
     if not operator_path:
         return read_platform(environ, log=log)
     # Imported when asked for: the platform's own form needs no further library.
-    from woadyard.settings.operator import read_operator
+    from laurelstep.settings.operator import read_operator
 
     operator = read_operator(operator_path)
     if not environ.get("LB_CONFIG"):
@@ -57,7 +57,7 @@
     if environ.get("LAURELSTEP_WORKER"):
         return run_worker(environ)
     if (several := workers(environ)) is not None:
-        from woadyard.workers.parent import run_parent
+        from laurelstep.workers.parent import run_parent
 
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
         return run_parent(several, environ)
@@ -86,7 +86,7 @@
     """One process of several."""
     import uvloop
 
-    from woadyard.workers.child import handed_on, seat_of
+    from laurelstep.workers.child import handed_on, seat_of
 
     found = seat_of(environ)
     assert found is not None
@@ -104,12 +104,12 @@
     path = environ.get("LB_OPERATOR")
     if not path or environ.get("LB_CONFIG"):
         return None
-    from woadyard.settings.operator import read_operator
+    from laurelstep.settings.operator import read_operator
 
     table = read_operator(path).workers
     if table is None or table.processes == 1:
         return None
-    from woadyard.workers.parent import Workers
+    from laurelstep.workers.parent import Workers
 
     return Workers(
         table.processes,
@@ -121,8 +121,8 @@
 
 def check(paths: Sequence[str]) -> int:
     """One line for each file; 2 if one of them can't be used."""
-    from woadyard.settings import read_file
-    from woadyard.settings.operator import read_operator
+    from laurelstep.settings import read_file
+    from laurelstep.settings.operator import read_operator
 
     if not paths:
         sys.stderr.write(USAGE)
@@ -148,11 +148,11 @@
             case ["check", *paths]:
                 return check(paths)
             case ["demo", *rest]:
-                from woadyard.demo import main as demo
+                from laurelstep.demo import main as demo
 
                 return demo(rest)
             case ["store", *rest]:
-                from woadyard.store.tool import main as store
+                from laurelstep.store.tool import main as store
 
                 return store(rest)
             case ["run", *rest]:
--- a/woadyard/accord/core.py
+++ b/laurelstep/accord/core.py
@@ -11,7 +11,7 @@
    snapshot, a call for a vote) takes this seat into that era.
 3. Nothing that a peer sends raises, and nothing of it is kept without a bound.
 
-What holds after every step, by name; `woadyard.testing.schedules` checks it:
+What holds after every step, by name; `laurelstep.testing.schedules` checks it:
 
 - one order: what two processes apply at a place of one era is the same;
 - nothing lost: what was agreed is in every later era's record, while a majority of the voters that agreed it
@@ -30,18 +30,18 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from woadyard.accord import messages as m
-from woadyard.accord.errors import EntryError
-from woadyard.accord.following import Following
-from woadyard.accord.founding import Founding
-from woadyard.accord.leading import Leading
-from woadyard.accord.learning import Learner, Serving
-from woadyard.accord.membership import Membership
-from woadyard.accord.ports import Machine
-from woadyard.accord.reading import Reading
-from woadyard.accord.state import FAR, FROZEN, LEADER, State
-from woadyard.accord.terms import NOWHERE, WORD_MOST, Effects, Era, Timing
-from woadyard.accord.voting import Voting
+from laurelstep.accord import messages as m
+from laurelstep.accord.errors import EntryError
+from laurelstep.accord.following import Following
+from laurelstep.accord.founding import Founding
+from laurelstep.accord.leading import Leading
+from laurelstep.accord.learning import Learner, Serving
+from laurelstep.accord.membership import Membership
+from laurelstep.accord.ports import Machine
+from laurelstep.accord.reading import Reading
+from laurelstep.accord.state import FAR, FROZEN, LEADER, State
+from laurelstep.accord.terms import NOWHERE, WORD_MOST, Effects, Era, Timing
+from laurelstep.accord.voting import Voting
 
 __all__ = ["FAR", "Core", "Effects", "Timing"]
 
--- a/woadyard/accord/errors.py
+++ b/laurelstep/accord/errors.py
@@ -4,7 +4,7 @@
 
 from typing import ClassVar
 
-from woadyard.errors import LaurelstepError
+from laurelstep.errors import LaurelstepError
 
 __all__ = ["AccordError", "BusyError", "EntryError", "KeptError", "LinkError", "NotLeadingError"]
 
--- a/woadyard/accord/following.py
+++ b/laurelstep/accord/following.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from woadyard.accord.messages import Ack, Append, Chunk, Chunked
-from woadyard.accord.snapshots import Assembly
-from woadyard.accord.state import State
+from laurelstep.accord.messages import Ack, Append, Chunk, Chunked
+from laurelstep.accord.snapshots import Assembly
+from laurelstep.accord.state import State
 
 __all__ = ["Following"]
 
--- a/woadyard/accord/founding.py
+++ b/laurelstep/accord/founding.py
@@ -28,10 +28,10 @@
 
 from collections.abc import Callable, Collection
 
-from woadyard.accord.messages import Accepted, Ask, Found, Here
-from woadyard.accord.state import FAR, LEADER, State
-from woadyard.accord.terms import NOWHERE, Era
-from woadyard.accord.voting import majority
+from laurelstep.accord.messages import Accepted, Ask, Found, Here
+from laurelstep.accord.state import FAR, LEADER, State
+from laurelstep.accord.terms import NOWHERE, Era
+from laurelstep.accord.voting import majority
 
 __all__ = ["Founding"]
 
--- a/woadyard/accord/leading.py
+++ b/laurelstep/accord/leading.py
@@ -16,13 +16,13 @@
 
 import dataclasses
 
-from woadyard.accord.errors import BusyError, EntryError, NotLeadingError
-from woadyard.accord.log import CONFIG, DATA, NOTHING, members_raw
-from woadyard.accord.messages import Ack, Append, Chunked, short
-from woadyard.accord.snapshots import Snapshot
-from woadyard.accord.state import FAR, LEADER, State
-from woadyard.accord.terms import ENTRY_MOST, PENDING_MOST
-from woadyard.accord.voting import majority
+from laurelstep.accord.errors import BusyError, EntryError, NotLeadingError
+from laurelstep.accord.log import CONFIG, DATA, NOTHING, members_raw
+from laurelstep.accord.messages import Ack, Append, Chunked, short
+from laurelstep.accord.snapshots import Snapshot
+from laurelstep.accord.state import FAR, LEADER, State
+from laurelstep.accord.terms import ENTRY_MOST, PENDING_MOST
+from laurelstep.accord.voting import majority
 
 __all__ = ["Leading", "Progress"]
 
--- a/woadyard/accord/learning.py
+++ b/laurelstep/accord/learning.py
@@ -19,11 +19,11 @@
 
 import msgspec
 
-from woadyard.accord.log import DATA
-from woadyard.accord.messages import Chunk, Chunked, Feed, Follow, short
-from woadyard.accord.snapshots import Assembly, Snapshot
-from woadyard.accord.state import FAR, State
-from woadyard.accord.terms import Era
+from laurelstep.accord.log import DATA
+from laurelstep.accord.messages import Chunk, Chunked, Feed, Follow, short
+from laurelstep.accord.snapshots import Assembly, Snapshot
+from laurelstep.accord.state import FAR, State
+from laurelstep.accord.terms import Era
 
 __all__ = ["Learner", "Serving"]
 
--- a/woadyard/accord/leases.py
+++ b/laurelstep/accord/leases.py
@@ -27,8 +27,8 @@
 
 import msgspec
 
-from woadyard.accord.errors import EntryError
-from woadyard.accord.terms import Era
+from laurelstep.accord.errors import EntryError
+from laurelstep.accord.terms import Era
 
 __all__ = ["NAMES_MOST", "NAME_MOST", "Leases"]
 
--- a/woadyard/accord/links/memory.py
+++ b/laurelstep/accord/links/memory.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable, Sequence
 from typing import Final
 
-from woadyard.accord.errors import LinkError
-from woadyard.accord.ports import DATAGRAM_MOST
-from woadyard.engine.ports import Clock
+from laurelstep.accord.errors import LinkError
+from laurelstep.accord.ports import DATAGRAM_MOST
+from laurelstep.engine.ports import Clock
 
 # From, to, datagram: after how many µs each copy of it arrives. None at all: it is lost.
 Schedule = Callable[[int, int, bytes], Sequence[int]]
--- a/woadyard/accord/membership.py
+++ b/laurelstep/accord/membership.py
@@ -19,9 +19,9 @@
 
 import dataclasses
 
-from woadyard.accord.leading import Leading
-from woadyard.accord.messages import Ask, Here
-from woadyard.accord.state import State
+from laurelstep.accord.leading import Leading
+from laurelstep.accord.messages import Ask, Here
+from laurelstep.accord.state import State
 
 __all__ = ["Membership"]
 
--- a/woadyard/accord/ports.py
+++ b/laurelstep/accord/ports.py
@@ -1,6 +1,6 @@
 """The sides of what is shared, each as narrow as the core and its driver need it.
 
-The clock is the engine's (`woadyard.engine.ports.Clock`); of it `now()` and `at()` alone are used.
+The clock is the engine's (`laurelstep.engine.ports.Clock`); of it `now()` and `at()` alone are used.
 """
 
 from __future__ import annotations
--- a/woadyard/accord/reading.py
+++ b/laurelstep/accord/reading.py
@@ -10,10 +10,10 @@
 
 from __future__ import annotations
 
-from woadyard.accord.leading import Leading
-from woadyard.accord.messages import Read, ReadAt
-from woadyard.accord.state import FAR, State
-from woadyard.accord.terms import Era
+from laurelstep.accord.leading import Leading
+from laurelstep.accord.messages import Read, ReadAt
+from laurelstep.accord.state import FAR, State
+from laurelstep.accord.terms import Era
 
 __all__ = ["Reading"]
 
--- a/woadyard/accord/snapshots.py
+++ b/laurelstep/accord/snapshots.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from woadyard.accord.log import Config
-from woadyard.accord.messages import CHUNK_MOST, Chunk, Seat
-from woadyard.accord.terms import Era
+from laurelstep.accord.log import Config
+from laurelstep.accord.messages import CHUNK_MOST, Chunk, Seat
+from laurelstep.accord.terms import Era
 
 __all__ = ["SNAPSHOT_MOST", "Assembly", "Snapshot"]
 
--- a/woadyard/accord/state.py
+++ b/laurelstep/accord/state.py
@@ -17,13 +17,13 @@
 from collections.abc import Callable, Mapping
 from typing import Final
 
-from woadyard.accord import kept
-from woadyard.accord.errors import KeptError
-from woadyard.accord.log import DATA, Config, Entry, Log
-from woadyard.accord.messages import Message, encode
-from woadyard.accord.ports import Machine
-from woadyard.accord.snapshots import Snapshot
-from woadyard.accord.terms import NOWHERE, Effects, Era, Timing
+from laurelstep.accord import kept
+from laurelstep.accord.errors import KeptError
+from laurelstep.accord.log import DATA, Config, Entry, Log
+from laurelstep.accord.messages import Message, encode
+from laurelstep.accord.ports import Machine
+from laurelstep.accord.snapshots import Snapshot
+from laurelstep.accord.terms import NOWHERE, Effects, Era, Timing
 
 __all__ = ["CANDIDATE", "FAR", "FOLLOWER", "FROZEN", "LEADER", "LEARNER", "State"]
 
--- a/woadyard/accord/stores/embedded.py
+++ b/laurelstep/accord/stores/embedded.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import Final
 
-from woadyard.store import Disk, FolderDisk, Options, Store, StoreError
-from woadyard.store.log import KEY_MOST, VALUE_MOST
+from laurelstep.store import Disk, FolderDisk, Options, Store, StoreError
+from laurelstep.store.log import KEY_MOST, VALUE_MOST
 
 # A batch is never split: 16 MiB is the most that one of the store's frames may have.
 BATCH_BYTES: Final = 8 << 20
--- a/woadyard/accord/voting.py
+++ b/laurelstep/accord/voting.py
@@ -17,8 +17,8 @@
 
 from collections.abc import Callable, Collection, Mapping
 
-from woadyard.accord.messages import Stand, Vote, short
-from woadyard.accord.state import CANDIDATE, FAR, FOLLOWER, LEADER, State
+from laurelstep.accord.messages import Stand, Vote, short
+from laurelstep.accord.state import CANDIDATE, FAR, FOLLOWER, LEADER, State
 
 __all__ = ["Voting", "majority"]
 
--- a/woadyard/adapter.py
+++ b/laurelstep/adapter.py
@@ -10,9 +10,9 @@
 import sys
 from typing import BinaryIO
 
-from woadyard import wire
-from woadyard.interface import LIST_FAILED, OK, Action, Arrival, Entry, Outcome, Probed
-from woadyard.policy import Balancer
+from laurelstep import wire
+from laurelstep.interface import LIST_FAILED, OK, Action, Arrival, Entry, Outcome, Probed
+from laurelstep.policy import Balancer
 
 Lists = dict[int, tuple[Entry, ...]]
 
@@ -130,10 +130,10 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
-        print(f"woadyard.adapter: {error}", file=sys.stderr)
+        print(f"laurelstep.adapter: {error}", file=sys.stderr)
         return 1
     except BrokenPipeError:
-        print("woadyard.adapter: the reader of the replies went away", file=sys.stderr)
+        print("laurelstep.adapter: the reader of the replies went away", file=sys.stderr)
         return 1
     return 0
 
--- a/woadyard/daemon.py
+++ b/laurelstep/daemon.py
@@ -10,33 +10,33 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from woadyard.engine.listing import dump_in_steps
-from woadyard.engine.ports import MemberSource
-from woadyard.interface import Settings
-from woadyard.lifecycle import Lifecycle, Phase
-from woadyard.net.assembly import Assembly
-from woadyard.net.collector import Collector
-from woadyard.net.discovery import Discovery
-from woadyard.net.message import LARGE_MAX, log
-from woadyard.net.server import Server
-from woadyard.net.slices import Slices
-from woadyard.orders import open_recorder
-from woadyard.settings import Config, ConfigError
+from laurelstep.engine.listing import dump_in_steps
+from laurelstep.engine.ports import MemberSource
+from laurelstep.interface import Settings
+from laurelstep.lifecycle import Lifecycle, Phase
+from laurelstep.net.assembly import Assembly
+from laurelstep.net.collector import Collector
+from laurelstep.net.discovery import Discovery
+from laurelstep.net.message import LARGE_MAX, log
+from laurelstep.net.server import Server
+from laurelstep.net.slices import Slices
+from laurelstep.orders import open_recorder
+from laurelstep.settings import Config, ConfigError
 
 if TYPE_CHECKING:
-    from woadyard.accord.node import Node
-    from woadyard.accord.parts import Parts
-    from woadyard.accord.ports import Machine
-    from woadyard.engine.ports import Recorder
-    from woadyard.handover.giver import Giver
-    from woadyard.handover.place import Place
-    from woadyard.handover.taker import Taken
-    from woadyard.management.server import Management
-    from woadyard.outbox.driver import OutboxDriver
-    from woadyard.outbox.shared.assembly import Shared
-    from woadyard.outbox.shared.carried import Carried
-    from woadyard.upkeep.assembly import Upkeep
-    from woadyard.workers.child import Seat
+    from laurelstep.accord.node import Node
+    from laurelstep.accord.parts import Parts
+    from laurelstep.accord.ports import Machine
+    from laurelstep.engine.ports import Recorder
+    from laurelstep.handover.giver import Giver
+    from laurelstep.handover.place import Place
+    from laurelstep.handover.taker import Taken
+    from laurelstep.management.server import Management
+    from laurelstep.outbox.driver import OutboxDriver
+    from laurelstep.outbox.shared.assembly import Shared
+    from laurelstep.outbox.shared.carried import Carried
+    from laurelstep.upkeep.assembly import Upkeep
+    from laurelstep.workers.child import Seat
 
 ReadConfig = Callable[[dict[str, str]], Config]
 
@@ -51,7 +51,7 @@
 
     def config(self, config: Config) -> Config:
         """With the list that the other process had, where there is one."""
-        from woadyard.handover.state import with_state
+        from laurelstep.handover.state import with_state
 
         return config if self.taken is None else with_state(config, self.taken.state)
 
@@ -62,9 +62,9 @@
     has_store = config.orders is not None or config.outbox is not None
     if config.management is None or config.listen is None or has_store:
         return None
-    from woadyard.handover.messages import HandoverError
-    from woadyard.handover.place import Place
-    from woadyard.handover.taker import take
+    from laurelstep.handover.messages import HandoverError
+    from laurelstep.handover.place import Place
+    from laurelstep.handover.taker import take
 
     try:
         place = Place(config.listen, environ.get("TMPDIR") or "/tmp")
@@ -134,7 +134,7 @@
         except OSError as error:
             raise ConfigError(f"can't listen: {error}") from None
         if seat is not None and not self.ended.is_set():
-            from woadyard.workers.child import join
+            from laurelstep.workers.child import join
 
             await join(self.loop, seat, self.parts.engine, self.stop)
         await self.ended.wait()
@@ -185,12 +185,12 @@
             log("accord: off, and what rests on it: the configuration has no peers and peer_listen")
             return None
         # Imported where it is on.
-        from woadyard.accord.machines import Machines
-        from woadyard.accord.node import check_folder, node_of
-        from woadyard.accord.parts import Parts
-        from woadyard.engine.clock import LoopClock
-        from woadyard.outbox.shared.entries import KIND as KEPT_WRITES
-        from woadyard.upkeep.assembly import carried
+        from laurelstep.accord.machines import Machines
+        from laurelstep.accord.node import check_folder, node_of
+        from laurelstep.accord.parts import Parts
+        from laurelstep.engine.clock import LoopClock
+        from laurelstep.outbox.shared.entries import KIND as KEPT_WRITES
+        from laurelstep.upkeep.assembly import carried
 
         try:
             check_folder(settings.store_path)
@@ -210,7 +210,7 @@
     async def _take_part(self) -> None:
         if self.node is None:
             return
-        from woadyard.handover.state import kept_in
+        from laurelstep.handover.state import kept_in
 
         taken = None if self.arrival is None else self.arrival.taken
         try:
@@ -220,7 +220,7 @@
             problem = f"{listen}: {error.strerror}: expected where this process may listen, on this machine"
             raise ConfigError(f"{self._file}accord.peer_listen: {problem}") from None
         if self.upkeep is not None and self.node_parts is not None:
-            from woadyard.upkeep.entries import KIND
+            from laurelstep.upkeep.entries import KIND
 
             self.upkeep.begin(self.node_parts.part(KIND), self.parts.engine, self._is_alone)
 
@@ -230,7 +230,7 @@
             return None
         # Imported where it is on.
         try:
-            from woadyard.outbox.shared.assembly import Shared
+            from laurelstep.outbox.shared.assembly import Shared
         except ImportError as error:
             missing = f"{error.name} is missing: pip install 'laurelstep[store]'"
             raise ConfigError(f"{self._file}outbox.shared: {missing}") from None
@@ -240,7 +240,7 @@
         """The record's part of kept writes: every copy that takes part carries it."""
         if self.shared is not None:
             return self.shared.machines
-        from woadyard.outbox.shared.carried import Carried
+        from laurelstep.outbox.shared.carried import Carried
 
         self.carried = Carried()
         return self.carried.machines
@@ -249,7 +249,7 @@
         """That of `[orders]`, behind the gate for edges' replays where there is one."""
         if self.shared is None or self.outbox is None or self.node_parts is None:
             return orders
-        from woadyard.outbox.shared.entries import KIND
+        from laurelstep.outbox.shared.entries import KIND
 
         return self.shared.join(self.node_parts.part(KIND), self.outbox, orders)
 
@@ -268,7 +268,7 @@
             return None
         # Imported where it is on.
         try:
-            from woadyard.outbox.driver import open_driver
+            from laurelstep.outbox.driver import open_driver
         except ImportError as error:
             missing = f"{error.name} is missing: pip install 'laurelstep[store]'"
             raise ConfigError(f"{self._file}outbox: {missing}") from None
@@ -281,7 +281,7 @@
         if settings is None or accord is None or not accord.is_linked:
             return None
         # Imported where it is on.
-        from woadyard.upkeep.assembly import Upkeep
+        from laurelstep.upkeep.assembly import Upkeep
 
         return Upkeep(self.loop, self.config, settings, log)
 
@@ -361,15 +361,15 @@
 
     async def _manage(self, host: str, port: int) -> None:
         # Imported where it is on, as all that a plain daemon does without.
-        from woadyard.management.calls import MoreCalls, Reply, reply_to
-        from woadyard.management.server import Management
-        from woadyard.management.telemetry import figures
+        from laurelstep.management.calls import MoreCalls, Reply, reply_to
+        from laurelstep.management.server import Management
+        from laurelstep.management.telemetry import figures
 
         subsystems: list[MoreCalls] = []
         if self.upkeep is not None:
             subsystems.append(self.upkeep.reply)
         if self.outbox is not None:
-            from woadyard.outbox.calls import Claimer, reply_about
+            from laurelstep.outbox.calls import Claimer, reply_about
 
             claimer = self.shared or (self.outbox if isinstance(self.outbox, Claimer) else None)
             subsystems.append(partial(reply_about, desk=self.outbox, shared=self.shared, claimer=claimer))
@@ -389,7 +389,7 @@
 
     def _be_succeeded(self, arrival: Arrival) -> None:
         """Serving: tell the process before this one, and wait for the one after it."""
-        from woadyard.handover.giver import Giver
+        from laurelstep.handover.giver import Giver
 
         if arrival.taken is not None:
             self.has_predecessor = True
@@ -425,7 +425,7 @@
 
     def _collect(self, give: Callable[[dict[str, bytes]], None]) -> None:
         """What the next process would have to learn anew."""
-        from woadyard.handover.state import state_of
+        from laurelstep.handover.state import state_of
 
         source, known = self.parts.source, list[bytes]()
         generation = source.generation if isinstance(source, Discovery) else 0
@@ -448,7 +448,7 @@
         self, node: Node, state: dict[str, bytes], give: Callable[[dict[str, bytes]], None]
     ) -> None:
         """The next process is the same member of the tier: this one ceases to be one, then tells."""
-        from woadyard.handover.state import state_of_accord
+        from laurelstep.handover.state import state_of_accord
 
         kept = await node.retire()
         give({**state, **state_of_accord(kept)})
--- a/woadyard/demo/__init__.py
+++ b/laurelstep/demo/__init__.py
@@ -11,7 +11,7 @@
 import sys
 from collections.abc import Sequence
 
-from woadyard.demo.world import Summary, World, play
+from laurelstep.demo.world import Summary, World, play
 
 
 def main(arguments: Sequence[str]) -> int:
@@ -34,7 +34,7 @@
 
 def _shown(world: World) -> Summary:
     try:
-        from woadyard.demo.view import show
+        from laurelstep.demo.view import show
     except ImportError:
         sys.exit("laurelstep: the table needs rich: pip install 'laurelstep[demo]', or use --json")
     return show(world)
--- a/woadyard/demo/view.py
+++ b/laurelstep/demo/view.py
@@ -9,7 +9,7 @@
 from rich.table import Table
 from rich.text import Text
 
-from woadyard.demo.world import Summary, World, part, play
+from laurelstep.demo.world import Summary, World, part, play
 
 STYLES = {"ready": "green", "stalled": "red", "draining": "yellow"}
 
--- a/woadyard/demo/world.py
+++ b/laurelstep/demo/world.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from woadyard.testing import (
+from laurelstep.testing import (
     Caller,
     Effects,
     Endpoint,
@@ -208,7 +208,7 @@
         entries = [one.entry(one.name, machineType=one.speed) for one in world.workers]
         port = free_port()
         environ = stack.enter_context(config_file(port, registry, whole_list(*entries)))
-        daemon = await asyncio.create_subprocess_exec(sys.executable, "-m", "woadyard", env=environ)
+        daemon = await asyncio.create_subprocess_exec(sys.executable, "-m", "laurelstep", env=environ)
         try:
             _, watch = await registry.asked.get()
             await ready(port, daemon)
--- a/woadyard/engine/__init__.py
+++ b/laurelstep/engine/__init__.py
@@ -1,13 +1,13 @@
 """The engine: drives one `Balancer` on a clock. Requests come in, attempts go out, and
 each request gets exactly one final answer. It knows no HTTP caller, no ASGI and no
-subsystem; what it works with is named in `woadyard.engine.ports`."""
+subsystem; what it works with is named in `laurelstep.engine.ports`."""
 
-from woadyard.engine.call import Answer, Attempt, Call, Ending, Headers
-from woadyard.engine.clock import LoopClock
-from woadyard.engine.engine import Engine
-from woadyard.engine.members import endpoint_number
-from woadyard.engine.names import Names
-from woadyard.engine.ports import (
+from laurelstep.engine.call import Answer, Attempt, Call, Ending, Headers
+from laurelstep.engine.clock import LoopClock
+from laurelstep.engine.engine import Engine
+from laurelstep.engine.members import endpoint_number
+from laurelstep.engine.names import Names
+from laurelstep.engine.ports import (
     Clock,
     Front,
     Handle,
--- a/woadyard/engine/call.py
+++ b/laurelstep/engine/call.py
@@ -16,7 +16,7 @@
 from enum import StrEnum
 from typing import Protocol
 
-from woadyard.engine.flow import Flow
+from laurelstep.engine.flow import Flow
 
 Headers = list[tuple[bytes, bytes]]  # names in lower case
 
@@ -158,5 +158,5 @@
         self.owner.written(self)
 
     def end(self, outcome: int, answer: Answer | None = None, load: bytes = b"") -> None:
-        """Its one outcome (of `woadyard.interface`), with the load report that came along."""
+        """Its one outcome (of `laurelstep.interface`), with the load report that came along."""
         self.owner.ended(self, outcome, answer, load)
--- a/woadyard/engine/engine.py
+++ b/laurelstep/engine/engine.py
@@ -18,14 +18,14 @@
 from dataclasses import replace
 from typing import Any
 
-from woadyard.engine.call import Answer, Attempt, Call, Ending
-from woadyard.engine.flow import Flow
-from woadyard.engine.listing import apply_in_steps
-from woadyard.engine.members import Members
-from woadyard.engine.names import Names
-from woadyard.engine.ports import Clock, Decisions, Keeper, Log, MemberSource, Recorder, Upstream
-from woadyard.engine.tally import Tally
-from woadyard.interface import (
+from laurelstep.engine.call import Answer, Attempt, Call, Ending
+from laurelstep.engine.flow import Flow
+from laurelstep.engine.listing import apply_in_steps
+from laurelstep.engine.members import Members
+from laurelstep.engine.names import Names
+from laurelstep.engine.ports import Clock, Decisions, Keeper, Log, MemberSource, Recorder, Upstream
+from laurelstep.engine.tally import Tally
+from laurelstep.interface import (
     CANCELLED,
     FULL,
     KEYED,
@@ -52,10 +52,10 @@
     Timer,
     Watch,
 )
-from woadyard.interface import (
+from laurelstep.interface import (
     Log as LogLine,
 )
-from woadyard.policy import Balancer
+from laurelstep.policy import Balancer
 
 # Tells the module one thing: the time, and what happened.
 Method = Callable[[int, Any], list[Action]]
--- a/woadyard/engine/given.py
+++ b/laurelstep/engine/given.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from woadyard.engine.ports import MemberSink
+from laurelstep.engine.ports import MemberSink
 
 
 class GivenMembers:
--- a/woadyard/engine/members.py
+++ b/laurelstep/engine/members.py
@@ -7,7 +7,7 @@
    the drain grace is over, counted from the first time it was told: a list that takes
    long to apply counts from when it came.
 3. A new start or address inherits no connection of the old one.
-4. A long list is applied in steps: `woadyard.engine.listing`.
+4. A long list is applied in steps: `laurelstep.engine.listing`.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from hashlib import blake2b
 from typing import Any, Final
 
-from woadyard.engine.names import Names
-from woadyard.engine.ports import Clock, Upstream
-from woadyard.interface import DRAINING, GONE, READY, Entry
+from laurelstep.engine.names import Names
+from laurelstep.engine.ports import Clock, Upstream
+from laurelstep.interface import DRAINING, GONE, READY, Entry
 
 PHASES: Final = {"ready": READY, "draining": DRAINING, "gone": GONE}
 
--- a/woadyard/engine/ports.py
+++ b/laurelstep/engine/ports.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Iterator, Sequence
 from typing import Any, Protocol
 
-from woadyard.engine.call import Answer, Attempt, Call, Front, Handle
-from woadyard.interface import Action, Arrival, Entry, Outcome
+from laurelstep.engine.call import Answer, Attempt, Call, Front, Handle
+from laurelstep.interface import Action, Arrival, Entry, Outcome
 
 __all__ = [
     "Clock",
@@ -40,7 +40,7 @@
 
 
 class Decisions(Protocol):
-    """The decision module, as the engine calls it: `woadyard.interface` has the terms."""
+    """The decision module, as the engine calls it: `laurelstep.interface` has the terms."""
 
     def start(self, now: int) -> list[Action]: ...
 
--- a/woadyard/engine/tally.py
+++ b/laurelstep/engine/tally.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from woadyard.engine.call import Ending
+from laurelstep.engine.call import Ending
 
 
 class Tally:
--- a/woadyard/handover/giver.py
+++ b/laurelstep/handover/giver.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable
 from typing import Any, Final, Protocol, cast
 
-from woadyard.engine.ports import Log
-from woadyard.handover.messages import HEAD_MAX, READY, head, is_hello, pack
-from woadyard.handover.place import Place, check_user
-from woadyard.handover.stages import Handover, Stage
+from laurelstep.engine.ports import Log
+from laurelstep.handover.messages import HEAD_MAX, READY, head, is_hello, pack
+from laurelstep.handover.place import Place, check_user
+from laurelstep.handover.stages import Handover, Stage
 
 # From connecting until it has said what it speaks, and until it takes callers: a start on a
 # starved core is due within 6 s.
--- a/woadyard/handover/messages.py
+++ b/laurelstep/handover/messages.py
@@ -21,7 +21,7 @@
 import json
 from typing import Any, Final
 
-from woadyard.errors import LaurelstepError
+from laurelstep.errors import LaurelstepError
 
 VERSION: Final = 1
 HELLO: Final = b"laurelstep-handover %d\n" % VERSION
--- a/woadyard/handover/state.py
+++ b/laurelstep/handover/state.py
@@ -16,9 +16,9 @@
 from dataclasses import replace
 from typing import Any, Final
 
-from woadyard.engine.ports import MemberSource
-from woadyard.net.discovery import Discovery
-from woadyard.settings import Config
+from laurelstep.engine.ports import MemberSource
+from laurelstep.net.discovery import Discovery
+from laurelstep.settings import Config
 
 # Keys and values: a snapshot and the entries after it. Above it the successor is another member.
 KEPT_MOST: Final = 1 << 20
--- a/woadyard/handover/taker.py
+++ b/laurelstep/handover/taker.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any, Final
 
-from woadyard.handover.messages import (
+from laurelstep.handover.messages import (
     HEAD_MAX,
     HELLO,
     READY,
@@ -17,7 +17,7 @@
     size_in,
     unpack,
 )
-from woadyard.handover.place import Place
+from laurelstep.handover.place import Place
 
 # All of it: a start is due within 6 s, and the other process may hang.
 TAKE_S: Final = 2.0
--- a/woadyard/library/__init__.py
+++ b/laurelstep/library/__init__.py
@@ -7,10 +7,10 @@
 or of the process's limits; it logs to the logger `laurelstep`.
 """
 
-from woadyard.engine.call import Ending
-from woadyard.library.asgi import BalancerMiddleware
-from woadyard.library.client import Client, ClientError, Member, Reply, Request, RequestError
-from woadyard.settings import ConfigError
+from laurelstep.engine.call import Ending
+from laurelstep.library.asgi import BalancerMiddleware
+from laurelstep.library.client import Client, ClientError, Member, Reply, Request, RequestError
+from laurelstep.settings import ConfigError
 
 __all__ = [
     "BalancerMiddleware",
--- a/woadyard/library/asgi.py
+++ b/laurelstep/library/asgi.py
@@ -1,6 +1,6 @@
 """ASGI 3 middleware: requests of a known class are balanced, all else is the host's.
 
-The same judgement as the daemon's (`woadyard.net.request`); what belongs to the host
+The same judgement as the daemon's (`laurelstep.net.request`); what belongs to the host
 server is left to it: reading heads, connections, their limits, and its own signals.
 """
 
@@ -12,12 +12,12 @@
 from typing import Any
 from urllib.parse import quote
 
-from woadyard.engine.call import Headers
-from woadyard.interface import SAFE
-from woadyard.library.client import Client, ClientError, Exchange, Reply, State
-from woadyard.net.errors import BadRequestError
-from woadyard.net.message import BODY_MAX, OWS, READ_S
-from woadyard.settings import ConfigError
+from laurelstep.engine.call import Headers
+from laurelstep.interface import SAFE
+from laurelstep.library.client import Client, ClientError, Exchange, Reply, State
+from laurelstep.net.errors import BadRequestError
+from laurelstep.net.message import BODY_MAX, OWS, READ_S
+from laurelstep.settings import ConfigError
 
 Scope = MutableMapping[str, Any]
 Message = MutableMapping[str, Any]
--- a/woadyard/library/client.py
+++ b/laurelstep/library/client.py
@@ -22,19 +22,19 @@
 from types import TracebackType
 from typing import TYPE_CHECKING, Any, Self
 
-from woadyard.engine.call import Answer, Call, Ending, Headers
-from woadyard.engine.engine import Engine
-from woadyard.engine.given import GivenMembers
-from woadyard.errors import LaurelstepError
-from woadyard.net.assembly import Assembly
-from woadyard.net.errors import BadRequestError
-from woadyard.net.message import BODY_MAX
-from woadyard.net.request import call_from
-from woadyard.orders import open_recorder
-from woadyard.settings import Config, ConfigError, config_from, read_file
+from laurelstep.engine.call import Answer, Call, Ending, Headers
+from laurelstep.engine.engine import Engine
+from laurelstep.engine.given import GivenMembers
+from laurelstep.errors import LaurelstepError
+from laurelstep.net.assembly import Assembly
+from laurelstep.net.errors import BadRequestError
+from laurelstep.net.message import BODY_MAX
+from laurelstep.net.request import call_from
+from laurelstep.orders import open_recorder
+from laurelstep.settings import Config, ConfigError, config_from, read_file
 
 if TYPE_CHECKING:
-    from woadyard.orders.recorder import OrderRecorder
+    from laurelstep.orders.recorder import OrderRecorder
 
 logger = logging.getLogger("laurelstep")
 
--- a/woadyard/management/calls.py
+++ b/laurelstep/management/calls.py
@@ -13,7 +13,7 @@
 from http import HTTPStatus
 from typing import Final
 
-from woadyard.lifecycle import Lifecycle
+from laurelstep.lifecycle import Lifecycle
 
 READY: Final = b"/api/ready"
 TELEMETRY: Final = b"/api/telemetry"
--- a/woadyard/management/server.py
+++ b/laurelstep/management/server.py
@@ -8,8 +8,8 @@
 
 import httptools
 
-from woadyard.management.calls import Reply
-from woadyard.net.message import Sweep
+from laurelstep.management.calls import Reply
+from laurelstep.net.message import Sweep
 
 # All of one call.
 CALL_MAX: Final = 16 * 1024
--- a/woadyard/management/telemetry.py
+++ b/laurelstep/management/telemetry.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterable, Sequence
 
-from woadyard.engine import Engine
+from laurelstep.engine import Engine
 
 # A sample: its labels as written, and its value.
 Sample = tuple[str, int]
--- a/woadyard/net/assembly.py
+++ b/laurelstep/net/assembly.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from woadyard.engine.clock import LoopClock
-from woadyard.engine.engine import Engine
-from woadyard.engine.given import GivenMembers
-from woadyard.engine.ports import Clock, HoldingSource, Log, MemberSource, Recorder
-from woadyard.net.collector import Collector
-from woadyard.net.discovery import LIST_PATH, Discovery
-from woadyard.net.upstream import Upstream
-from woadyard.settings import Config, ConfigError
+from laurelstep.engine.clock import LoopClock
+from laurelstep.engine.engine import Engine
+from laurelstep.engine.given import GivenMembers
+from laurelstep.engine.ports import Clock, HoldingSource, Log, MemberSource, Recorder
+from laurelstep.net.collector import Collector
+from laurelstep.net.discovery import LIST_PATH, Discovery
+from laurelstep.net.upstream import Upstream
+from laurelstep.settings import Config, ConfigError
 
 # Puts a source between one of members and the engine.
 Holding = Callable[[MemberSource, Clock], HoldingSource]
--- a/woadyard/net/discovery.py
+++ b/laurelstep/net/discovery.py
@@ -11,11 +11,11 @@
 
 import httptools
 
-from woadyard.engine.listing import STEP, parse_in_steps, usable
-from woadyard.engine.ports import Log, MemberSink
-from woadyard.net.collector import Collector
-from woadyard.net.objects import Objects
-from woadyard.net.slices import Slices
+from laurelstep.engine.listing import STEP, parse_in_steps, usable
+from laurelstep.engine.ports import Log, MemberSink
+from laurelstep.net.collector import Collector
+from laurelstep.net.objects import Objects
+from laurelstep.net.slices import Slices
 
 # While nothing changes an empty line comes every 2 s: one that is half a second late is missed, and
 # the watch is dead, as a network that is cut off says nothing. What it misses counts as told 6 s after
--- a/woadyard/net/errors.py
+++ b/laurelstep/net/errors.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from woadyard.errors import LaurelstepError
+from laurelstep.errors import LaurelstepError
 
 
 class BadRequestError(LaurelstepError):
--- a/woadyard/net/message.py
+++ b/laurelstep/net/message.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING, Final, Generic, TypeVar
 
-from woadyard.engine.call import Headers
+from laurelstep.engine.call import Headers
 
 if TYPE_CHECKING:
     from asyncio import AbstractEventLoop, TimerHandle
--- a/woadyard/net/request.py
+++ b/laurelstep/net/request.py
@@ -11,11 +11,11 @@
 import zlib
 from typing import Final
 
-from woadyard.engine.call import Call, Front, Headers
-from woadyard.engine.names import Names
-from woadyard.interface import KEYED, SAFE, RequestClass, Settings
-from woadyard.net.errors import BadRequestError
-from woadyard.net.message import BODY_MAX, REQUEST_HEADERS, body_length, lines, single
+from laurelstep.engine.call import Call, Front, Headers
+from laurelstep.engine.names import Names
+from laurelstep.interface import KEYED, SAFE, RequestClass, Settings
+from laurelstep.net.errors import BadRequestError
+from laurelstep.net.message import BODY_MAX, REQUEST_HEADERS, body_length, lines, single
 
 MAX_U63 = 2**63
 
--- a/woadyard/net/server.py
+++ b/laurelstep/net/server.py
@@ -11,13 +11,13 @@
 
 import httptools
 
-from woadyard.engine.call import Answer, Call, Ending, Headers
-from woadyard.engine.engine import Engine
-from woadyard.engine.flow import Flow
-from woadyard.lifecycle import Lifecycle
-from woadyard.lifecycle.phases import LATE_S
-from woadyard.net.errors import BadRequestError
-from woadyard.net.message import (
+from laurelstep.engine.call import Answer, Call, Ending, Headers
+from laurelstep.engine.engine import Engine
+from laurelstep.engine.flow import Flow
+from laurelstep.lifecycle import Lifecycle
+from laurelstep.lifecycle.phases import LATE_S
+from laurelstep.net.errors import BadRequestError
+from laurelstep.net.message import (
     BODY_MAX,
     FRAMING_EACH,
     FRAMING_MAX,
@@ -31,10 +31,10 @@
     has_news,
     lines,
 )
-from woadyard.net.request import call_from, checked
-from woadyard.net.shutdown import BACKLOG, GracefulShutdown
-from woadyard.room.descriptors import ENDED, RESTING, giving_way
-from woadyard.stream.pace import Room, keeps_pace, room_for
+from laurelstep.net.request import call_from, checked
+from laurelstep.net.shutdown import BACKLOG, GracefulShutdown
+from laurelstep.room.descriptors import ENDED, RESTING, giving_way
+from laurelstep.stream.pace import Room, keeps_pace, room_for
 
 READY_PATH: Final = b"/health/ready"
 # Where a receipt of a kept write is asked for, as no class is named so: by a client, so at its address.
--- a/woadyard/net/shutdown.py
+++ b/laurelstep/net/shutdown.py
@@ -23,10 +23,10 @@
 from enum import StrEnum
 from typing import Any, Final, Protocol
 
-from woadyard.lifecycle import Lifecycle, Phase
-from woadyard.lifecycle.phases import DRAIN_S, REST_S
-from woadyard.net.errors import BadRequestError
-from woadyard.net.message import Sweep, has_news
+from laurelstep.lifecycle import Lifecycle, Phase
+from laurelstep.lifecycle.phases import DRAIN_S, REST_S
+from laurelstep.net.errors import BadRequestError
+from laurelstep.net.message import Sweep, has_news
 
 BACKLOG: Final = 1024
 # New connections come for this long after SIGTERM, and a last one gets this
--- a/woadyard/net/upstream.py
+++ b/laurelstep/net/upstream.py
@@ -14,12 +14,12 @@
 
 import httptools
 
-from woadyard.engine.call import Answer, Attempt, Ending, Headers
-from woadyard.engine.flow import Flow
-from woadyard.engine.members import split_address
-from woadyard.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
-from woadyard.net.errors import SpoiltError
-from woadyard.net.message import (
+from laurelstep.engine.call import Answer, Attempt, Ending, Headers
+from laurelstep.engine.flow import Flow
+from laurelstep.engine.members import split_address
+from laurelstep.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
+from laurelstep.net.errors import SpoiltError
+from laurelstep.net.message import (
     ANSWER_HEADERS,
     BODY_MAX,
     FRAMING_EACH,
@@ -32,8 +32,8 @@
     pass_on,
     single,
 )
-from woadyard.net.opening import open_connection
-from woadyard.stream.pace import ANSWERS_PART, Room, room_for
+from laurelstep.net.opening import open_connection
+from laurelstep.stream.pace import ANSWERS_PART, Room, room_for
 
 # Part of an endpoint's idle time for which a connection is kept: the rest guards
 # against a request that crosses the endpoint's own close. No longer than IDLE_MOST_S:
--- a/woadyard/orders/__init__.py
+++ b/laurelstep/orders/__init__.py
@@ -10,11 +10,11 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from woadyard.orders.book import OrderClass, Orders
+from laurelstep.orders.book import OrderClass, Orders
 
 if TYPE_CHECKING:
-    from woadyard.engine.ports import Log
-    from woadyard.orders.recorder import OrderRecorder
+    from laurelstep.engine.ports import Log
+    from laurelstep.orders.recorder import OrderRecorder
 
 __all__ = ["OrderClass", "Orders", "open_recorder"]
 
@@ -22,11 +22,11 @@
 async def open_recorder(orders: Orders, classes: Mapping[str, int], log: Log) -> OrderRecorder:
     """The recorder, with its store open; `ConfigError` if that can't be. Only here is the
     store's library loaded."""
-    from woadyard.settings.config import ConfigError
+    from laurelstep.settings.config import ConfigError
 
     try:
-        from woadyard.orders.recorder import OrderRecorder
-        from woadyard.store import StoreError
+        from laurelstep.orders.recorder import OrderRecorder
+        from laurelstep.store import StoreError
     except ImportError as error:
         raise ConfigError(f"orders: {error.name} is missing: pip install 'laurelstep[store]'") from None
     try:
--- a/woadyard/orders/book.py
+++ b/laurelstep/orders/book.py
@@ -17,7 +17,7 @@
 from hashlib import blake2b
 from typing import Any, Literal
 
-from woadyard.engine.call import Answer, Call, Ending
+from laurelstep.engine.call import Answer, Call, Ending
 
 INTENT, ANSWERED = b"I", b"A"
 DIGEST_SIZE = 16
--- a/woadyard/orders/recorder.py
+++ b/laurelstep/orders/recorder.py
@@ -15,9 +15,9 @@
 from collections.abc import Callable, Coroutine, Mapping
 from dataclasses import dataclass, field
 
-from woadyard.engine.call import Answer, Call, Ending
-from woadyard.engine.ports import Log, Recorded
-from woadyard.orders.book import (
+from laurelstep.engine.call import Answer, Call, Ending
+from laurelstep.engine.ports import Log, Recorded
+from laurelstep.orders.book import (
     OrderClass,
     Orders,
     another_body,
@@ -29,7 +29,7 @@
     order_key,
     order_name,
 )
-from woadyard.store import FolderDisk, Options, Store, StoreError
+from laurelstep.store import FolderDisk, Options, Store, StoreError
 
 # Requests that wait for one order's answer; guards memory against one that is repeated for ever.
 FOLLOWERS_MOST = 32
--- a/woadyard/outbox/bodies.py
+++ b/laurelstep/outbox/bodies.py
@@ -25,20 +25,20 @@
 
 import msgspec
 
-from woadyard.engine.call import Answer, Call, Ending
-from woadyard.engine.flow import Flow
-from woadyard.engine.ports import Recorded
-from woadyard.orders.book import DIGEST_SIZE, another_body, digest_of
-from woadyard.outbox.dots import Dot
-from woadyard.outbox.errors import OutboxError
-from woadyard.outbox.journal import KeptWrite
-from woadyard.outbox.options import CHUNK
-from woadyard.outbox.outbox import RETRY_US, Ticket
-from woadyard.outbox.store import FailedToKeepError
-from woadyard.store import StoreError
+from laurelstep.engine.call import Answer, Call, Ending
+from laurelstep.engine.flow import Flow
+from laurelstep.engine.ports import Recorded
+from laurelstep.orders.book import DIGEST_SIZE, another_body, digest_of
+from laurelstep.outbox.dots import Dot
+from laurelstep.outbox.errors import OutboxError
+from laurelstep.outbox.journal import KeptWrite
+from laurelstep.outbox.options import CHUNK
+from laurelstep.outbox.outbox import RETRY_US, Ticket
+from laurelstep.outbox.store import FailedToKeepError
+from laurelstep.store import StoreError
 
 if TYPE_CHECKING:
-    from woadyard.outbox.driver import OutboxDriver, Replay
+    from laurelstep.outbox.driver import OutboxDriver, Replay
 
 # Parts of one write that are on their way to the disk at a time.
 PUT_MOST: Final = 2
--- a/woadyard/outbox/calls.py
+++ b/laurelstep/outbox/calls.py
@@ -21,11 +21,11 @@
 
 import msgspec
 
-from woadyard.errors import LaurelstepError
-from woadyard.management.calls import Reply
-from woadyard.outbox.dots import Line, check_edge, read_dot
-from woadyard.outbox.errors import OutboxError, UnknownWriteError, VerdictError
-from woadyard.outbox.journal import Verdict
+from laurelstep.errors import LaurelstepError
+from laurelstep.management.calls import Reply
+from laurelstep.outbox.dots import Line, check_edge, read_dot
+from laurelstep.outbox.errors import OutboxError, UnknownWriteError, VerdictError
+from laurelstep.outbox.journal import Verdict
 
 ROOT: Final = b"/api/outbox"
 JUDGE, LOST, CLAIM = ROOT + b"/judge", ROOT + b"/lost", ROOT + b"/claim"
--- a/woadyard/outbox/causes.py
+++ b/laurelstep/outbox/causes.py
@@ -23,8 +23,8 @@
 
 import msgspec
 
-from woadyard.outbox.dots import Dot, Line, check_edge
-from woadyard.outbox.errors import LooseError, TokenError
+from laurelstep.outbox.dots import Dot, Line, check_edge
+from laurelstep.outbox.errors import LooseError, TokenError
 
 __all__ = ["CAUSES_MOST", "TOKEN_MOST", "Cause", "Causes", "Fate", "Frontier", "Tokens", "merge"]
 
--- a/woadyard/outbox/dots.py
+++ b/laurelstep/outbox/dots.py
@@ -13,7 +13,7 @@
 import re
 from typing import Final, NamedTuple
 
-from woadyard.outbox.errors import TokenError
+from laurelstep.outbox.errors import TokenError
 
 __all__ = ["EDGE_MOST", "Dot", "Line", "check_edge", "read_dot"]
 
--- a/woadyard/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -25,20 +25,20 @@
 
 import msgspec
 
-from woadyard.engine.call import Answer, Call, Ending
-from woadyard.engine.clock import LoopClock
-from woadyard.engine.engine import Engine
-from woadyard.engine.ports import Log, Recorded
-from woadyard.interface import ERROR, FULL, NO_CONNECT, OK, RESET, TIMEOUT
-from woadyard.net.message import lines as lines_of
-from woadyard.net.request import hint, key_of
-from woadyard.orders.book import another_body, may_have_run
-from woadyard.outbox.aside import Aside
-from woadyard.outbox.bodies import Bodies
-from woadyard.outbox.causes import Causes, Fate, Frontier, Tokens
-from woadyard.outbox.cutoff import CutOff, CutOffRule
-from woadyard.outbox.dots import Dot, Line, read_dot
-from woadyard.outbox.errors import (
+from laurelstep.engine.call import Answer, Call, Ending
+from laurelstep.engine.clock import LoopClock
+from laurelstep.engine.engine import Engine
+from laurelstep.engine.ports import Log, Recorded
+from laurelstep.interface import ERROR, FULL, NO_CONNECT, OK, RESET, TIMEOUT
+from laurelstep.net.message import lines as lines_of
+from laurelstep.net.request import hint, key_of
+from laurelstep.orders.book import another_body, may_have_run
+from laurelstep.outbox.aside import Aside
+from laurelstep.outbox.bodies import Bodies
+from laurelstep.outbox.causes import Causes, Fate, Frontier, Tokens
+from laurelstep.outbox.cutoff import CutOff, CutOffRule
+from laurelstep.outbox.dots import Dot, Line, read_dot
+from laurelstep.outbox.errors import (
     CauseError,
     FullError,
     KeepError,
@@ -46,18 +46,18 @@
     TokenError,
     UnknownWriteError,
 )
-from woadyard.outbox.frontier import Alone, Teller
-from woadyard.outbox.journal import FINAL, Event, KeptWrite, State, Verdict
-from woadyard.outbox.memory import keep_blocks_apart
-from woadyard.outbox.options import OutboxSettings
-from woadyard.outbox.outbox import Bounds, Change, End, KeptClass, Offer, Outbox, Ticket
-from woadyard.outbox.receipts import Receipt, show
-from woadyard.outbox.store import FailedToKeepError, KeptStore, Loaded
-from woadyard.settings.config import ConfigError
-from woadyard.store import StoreError
+from laurelstep.outbox.frontier import Alone, Teller
+from laurelstep.outbox.journal import FINAL, Event, KeptWrite, State, Verdict
+from laurelstep.outbox.memory import keep_blocks_apart
+from laurelstep.outbox.options import OutboxSettings
+from laurelstep.outbox.outbox import Bounds, Change, End, KeptClass, Offer, Outbox, Ticket
+from laurelstep.outbox.receipts import Receipt, show
+from laurelstep.outbox.store import FailedToKeepError, KeptStore, Loaded
+from laurelstep.settings.config import ConfigError
+from laurelstep.store import StoreError
 
 if TYPE_CHECKING:
-    from woadyard.outbox.shared.asking import EdgeSharing
+    from laurelstep.outbox.shared.asking import EdgeSharing
 
 JSON: Final = (b"content-type", b"application/json")
 RECEIPTS: Final = b"/outbox/receipts/"
@@ -168,13 +168,13 @@
             line = Line(settings.edge, store.incarnation)
             asks = settings.upstream == "copies" and frontier is None
             if asks:
-                from woadyard.outbox.shared.edge import RemoteFrontier
+                from laurelstep.outbox.shared.edge import RemoteFrontier
 
                 frontier = RemoteFrontier(line, Random())
             outbox = Outbox(line, kept, bounds, tokens, frontier or Alone(settings.edge))
             self = cls(store, outbox, tokens, settings, classes, tenants, log)
             if asks:
-                from woadyard.outbox.shared.asking import EdgeSharing
+                from laurelstep.outbox.shared.asking import EdgeSharing
 
                 self.sharing = EdgeSharing(self, secret)
             await self._restore()
--- a/woadyard/outbox/frontier.py
+++ b/laurelstep/outbox/frontier.py
@@ -4,8 +4,8 @@
 
 from typing import Protocol, runtime_checkable
 
-from woadyard.outbox.causes import Cause, Fate
-from woadyard.outbox.dots import Dot, Line
+from laurelstep.outbox.causes import Cause, Fate
+from laurelstep.outbox.dots import Dot, Line
 
 __all__ = ["Alone", "Teller"]
 
--- a/woadyard/outbox/journal.py
+++ b/laurelstep/outbox/journal.py
@@ -20,8 +20,8 @@
 
 import msgspec
 
-from woadyard.outbox.dots import Dot
-from woadyard.outbox.errors import KeptRecordError, StepError
+from laurelstep.outbox.dots import Dot
+from laurelstep.outbox.errors import KeptRecordError, StepError
 
 __all__ = [
     "FINAL",
--- a/woadyard/outbox/outbox.py
+++ b/laurelstep/outbox/outbox.py
@@ -32,9 +32,9 @@
 
 import msgspec
 
-from woadyard.outbox.causes import CAUSES_MOST, Cause, Causes, Fate, merge
-from woadyard.outbox.dots import Dot, Line
-from woadyard.outbox.errors import (
+from laurelstep.outbox.causes import CAUSES_MOST, Cause, Causes, Fate, merge
+from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.errors import (
     CycleError,
     FullError,
     FutureError,
@@ -43,9 +43,9 @@
     UnknownWriteError,
     VerdictError,
 )
-from woadyard.outbox.journal import FINAL, Event, KeptWrite, Moved, Reason, State, Verdict, follow
-from woadyard.outbox.receipts import Receipt
-from woadyard.outbox.rows import (
+from laurelstep.outbox.journal import FINAL, Event, KeptWrite, Moved, Reason, State, Verdict, follow
+from laurelstep.outbox.receipts import Receipt
+from laurelstep.outbox.rows import (
     BARRIER,
     BUSY,
     CLOSED,
@@ -56,8 +56,8 @@
     SENT,
     short,
 )
-from woadyard.outbox.terms import Bounds, Change, End, KeptClass, Offer, Ticket
-from woadyard.outbox.waiting import NUMBER_MASK, NUMBERS, Waiting
+from laurelstep.outbox.terms import Bounds, Change, End, KeptClass, Offer, Ticket
+from laurelstep.outbox.waiting import NUMBER_MASK, NUMBERS, Waiting
 
 __all__ = ["Bounds", "Change", "End", "KeptClass", "Offer", "Outbox", "Ticket"]
 
--- a/woadyard/outbox/receipts.py
+++ b/laurelstep/outbox/receipts.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from woadyard.outbox.dots import Dot
-from woadyard.outbox.journal import Reason, State
+from laurelstep.outbox.dots import Dot
+from laurelstep.outbox.journal import Reason, State
 
 __all__ = ["REASONS", "Receipt", "show"]
 
--- a/woadyard/outbox/rows.py
+++ b/laurelstep/outbox/rows.py
@@ -13,7 +13,7 @@
 from hashlib import blake2b
 from typing import Final
 
-from woadyard.outbox.journal import Reason, State
+from laurelstep.outbox.journal import Reason, State
 
 __all__ = [
     "BARRIER",
--- a/woadyard/outbox/shared/asking.py
+++ b/laurelstep/outbox/shared/asking.py
@@ -19,21 +19,21 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Final
 
-from woadyard.engine.call import Answer, Call, Ending, Handle
-from woadyard.net.message import lines as lines_of
-from woadyard.outbox.causes import Cause
-from woadyard.outbox.dots import Dot, Line
-from woadyard.outbox.errors import OutboxError
-from woadyard.outbox.journal import Event, KeptWrite, State
-from woadyard.outbox.shared.edge import News, RemoteFrontier, bounded
-from woadyard.outbox.shared.seal import Seal
-from woadyard.outbox.shared.terms import KEPT_HEADER, SHARED_PATH, Ask, Replayed
-from woadyard.outbox.store import Loaded
-from woadyard.outbox.terms import Change, End
-from woadyard.store import StoreError
+from laurelstep.engine.call import Answer, Call, Ending, Handle
+from laurelstep.net.message import lines as lines_of
+from laurelstep.outbox.causes import Cause
+from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.errors import OutboxError
+from laurelstep.outbox.journal import Event, KeptWrite, State
+from laurelstep.outbox.shared.edge import News, RemoteFrontier, bounded
+from laurelstep.outbox.shared.seal import Seal
+from laurelstep.outbox.shared.terms import KEPT_HEADER, SHARED_PATH, Ask, Replayed
+from laurelstep.outbox.store import Loaded
+from laurelstep.outbox.terms import Change, End
+from laurelstep.store import StoreError
 
 if TYPE_CHECKING:
-    from woadyard.outbox.driver import OutboxDriver, Replay
+    from laurelstep.outbox.driver import OutboxDriver, Replay
 
 __all__ = ["EdgeSharing"]
 
--- a/woadyard/outbox/shared/assembly.py
+++ b/laurelstep/outbox/shared/assembly.py
@@ -5,19 +5,19 @@
 import asyncio
 from typing import Any, Final
 
-from woadyard.accord.parts import Part
-from woadyard.accord.ports import Machine
-from woadyard.engine.clock import LoopClock
-from woadyard.engine.ports import Log, Recorder
-from woadyard.interface import SAFE, UNSAFE
-from woadyard.outbox.dots import Line
-from woadyard.outbox.driver import OutboxDriver
-from woadyard.outbox.errors import UnknownWriteError
-from woadyard.outbox.shared.carried import Carried
-from woadyard.outbox.shared.gate import Gate
-from woadyard.outbox.shared.own import OwnFrontier
-from woadyard.outbox.shared.seal import Seal
-from woadyard.settings import Config
+from laurelstep.accord.parts import Part
+from laurelstep.accord.ports import Machine
+from laurelstep.engine.clock import LoopClock
+from laurelstep.engine.ports import Log, Recorder
+from laurelstep.interface import SAFE, UNSAFE
+from laurelstep.outbox.dots import Line
+from laurelstep.outbox.driver import OutboxDriver
+from laurelstep.outbox.errors import UnknownWriteError
+from laurelstep.outbox.shared.carried import Carried
+from laurelstep.outbox.shared.gate import Gate
+from laurelstep.outbox.shared.own import OwnFrontier
+from laurelstep.outbox.shared.seal import Seal
+from laurelstep.settings import Config
 
 __all__ = ["Shared"]
 
--- a/woadyard/outbox/shared/carried.py
+++ b/laurelstep/outbox/shared/carried.py
@@ -7,12 +7,12 @@
 
 from typing import Final
 
-from woadyard.accord.parts import Part
-from woadyard.accord.ports import Machine
-from woadyard.engine.ports import Clock
-from woadyard.outbox.shared.entries import KIND
-from woadyard.outbox.shared.record import Record
-from woadyard.outbox.shared.sharer import Sharer
+from laurelstep.accord.parts import Part
+from laurelstep.accord.ports import Machine
+from laurelstep.engine.ports import Clock
+from laurelstep.outbox.shared.entries import KIND
+from laurelstep.outbox.shared.record import Record
+from laurelstep.outbox.shared.sharer import Sharer
 
 __all__ = ["Carried"]
 
--- a/woadyard/outbox/shared/edge.py
+++ b/laurelstep/outbox/shared/edge.py
@@ -27,9 +27,9 @@
 from random import Random
 from typing import Final, Generic, TypeVar
 
-from woadyard.outbox.causes import Cause, Fate
-from woadyard.outbox.dots import Dot, Line
-from woadyard.outbox.shared.terms import ASKED_MOST, Answered, Ask, Claim, Claimed, Told
+from laurelstep.outbox.causes import Cause, Fate
+from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.shared.terms import ASKED_MOST, Answered, Ask, Claim, Claimed, Told
 
 __all__ = ["News", "RemoteFrontier", "bounded"]
 
--- a/woadyard/outbox/shared/gate.py
+++ b/laurelstep/outbox/shared/gate.py
@@ -27,15 +27,15 @@
 from dataclasses import dataclass
 from typing import Any, Final
 
-from woadyard.accord.errors import EntryError
-from woadyard.engine.call import Answer, Attempt, Call, Ending
-from woadyard.engine.ports import Clock, Log, Recorded, Recorder
-from woadyard.outbox.causes import Cause, Fate
-from woadyard.outbox.dots import Dot, Line
-from woadyard.outbox.shared.entries import Begin, Entry, In, Lost, Unbegin
-from woadyard.outbox.shared.ports import Ledger, Sharing
-from woadyard.outbox.shared.seal import Seal, SealError
-from woadyard.outbox.shared.terms import (
+from laurelstep.accord.errors import EntryError
+from laurelstep.engine.call import Answer, Attempt, Call, Ending
+from laurelstep.engine.ports import Clock, Log, Recorded, Recorder
+from laurelstep.outbox.causes import Cause, Fate
+from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.shared.entries import Begin, Entry, In, Lost, Unbegin
+from laurelstep.outbox.shared.ports import Ledger, Sharing
+from laurelstep.outbox.shared.seal import Seal, SealError
+from laurelstep.outbox.shared.terms import (
     FATE_HEADER,
     Answered,
     Ask,
--- a/woadyard/outbox/shared/own.py
+++ b/laurelstep/outbox/shared/own.py
@@ -21,12 +21,12 @@
 
 import msgspec
 
-from woadyard.engine.ports import Clock, Handle, Log
-from woadyard.outbox.causes import Cause, Fate
-from woadyard.outbox.dots import Dot, Line
-from woadyard.outbox.shared.entries import Entry
-from woadyard.outbox.shared.ports import Ledger, Sharing
-from woadyard.outbox.shared.terms import Claim, Claimed, Told
+from laurelstep.engine.ports import Clock, Handle, Log
+from laurelstep.outbox.causes import Cause, Fate
+from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.shared.entries import Entry
+from laurelstep.outbox.shared.ports import Ledger, Sharing
+from laurelstep.outbox.shared.terms import Claim, Claimed, Told
 
 __all__ = ["OwnFrontier"]
 
--- a/woadyard/outbox/shared/ports.py
+++ b/laurelstep/outbox/shared/ports.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from woadyard.outbox.shared.entries import Entry, Hold, Said
-from woadyard.outbox.shared.terms import Claim, Frontiers, Told
+from laurelstep.outbox.shared.entries import Entry, Hold, Said
+from laurelstep.outbox.shared.terms import Claim, Frontiers, Told
 
 __all__ = ["Ledger", "Sharing"]
 
--- a/woadyard/outbox/shared/record.py
+++ b/laurelstep/outbox/shared/record.py
@@ -29,10 +29,10 @@
 
 import msgspec
 
-from woadyard.accord.errors import KeptError
-from woadyard.outbox.causes import Cause, Fate
-from woadyard.outbox.dots import Dot, Line, check_edge
-from woadyard.outbox.shared.entries import (
+from laurelstep.accord.errors import KeptError
+from laurelstep.outbox.causes import Cause, Fate
+from laurelstep.outbox.dots import Dot, Line, check_edge
+from laurelstep.outbox.shared.entries import (
     ID_END,
     NUMBER_END,
     Begin,
@@ -44,8 +44,8 @@
     Unbegin,
     unpack,
 )
-from woadyard.outbox.shared.spans import NONE, Spans, add, cut, has, missing, well_formed
-from woadyard.outbox.shared.terms import Begun, Claim, Claimed, Told
+from laurelstep.outbox.shared.spans import NONE, Spans, add, cut, has, missing, well_formed
+from laurelstep.outbox.shared.terms import Begun, Claim, Claimed, Told
 
 __all__ = [
     "BEGUN_MOST", "LINES_MOST", "LOST_MOST", "PARKED_MOST", "RANGES_MOST", "SPANS_MOST", "UNDONE_MOST",
--- a/woadyard/outbox/shared/seal.py
+++ b/laurelstep/outbox/shared/seal.py
@@ -22,9 +22,9 @@
 
 import msgspec
 
-from woadyard.outbox.dots import Line, check_edge
-from woadyard.outbox.errors import OutboxError
-from woadyard.outbox.shared.terms import ASKED_MOST, Answered, Ask, Replayed
+from laurelstep.outbox.dots import Line, check_edge
+from laurelstep.outbox.errors import OutboxError
+from laurelstep.outbox.shared.terms import ASKED_MOST, Answered, Ask, Replayed
 
 __all__ = ["SEALED_MOST", "Seal", "SealError", "SealedLengthError"]
 
--- a/woadyard/outbox/shared/sharer.py
+++ b/laurelstep/outbox/shared/sharer.py
@@ -14,11 +14,11 @@
 from collections.abc import Callable
 from typing import Final
 
-from woadyard.accord.errors import BusyError, NotLeadingError
-from woadyard.accord.parts import Agreement
-from woadyard.engine.ports import Clock, Handle
-from woadyard.outbox.shared.entries import KIND, Entry, pack, unpack_word
-from woadyard.outbox.shared.record import Record
+from laurelstep.accord.errors import BusyError, NotLeadingError
+from laurelstep.accord.parts import Agreement
+from laurelstep.engine.ports import Clock, Handle
+from laurelstep.outbox.shared.entries import KIND, Entry, pack, unpack_word
+from laurelstep.outbox.shared.record import Record
 
 __all__ = ["AGAIN_MOST_US", "AGAIN_US", "FLIGHT_US", "WAITS_MOST", "Sharer"]
 
--- a/woadyard/outbox/shared/terms.py
+++ b/laurelstep/outbox/shared/terms.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from woadyard.outbox.causes import Cause, Fate
-from woadyard.outbox.dots import Dot, Line
+from laurelstep.outbox.causes import Cause, Fate
+from laurelstep.outbox.dots import Dot, Line
 
 __all__ = [
     "ASKED_MOST",
--- a/woadyard/outbox/store.py
+++ b/laurelstep/outbox/store.py
@@ -24,11 +24,11 @@
 
 from msgspec.structs import replace
 
-from woadyard.outbox.dots import Dot, Line
-from woadyard.outbox.errors import KeptRecordError
-from woadyard.outbox.journal import FINAL, KeptWrite, Moved, decode_kept, decode_moved, encode
-from woadyard.outbox.options import CHUNK
-from woadyard.store import Disk, FolderDisk, Options, Store, StoreError
+from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.errors import KeptRecordError
+from laurelstep.outbox.journal import FINAL, KeptWrite, Moved, decode_kept, decode_moved, encode
+from laurelstep.outbox.options import CHUNK
+from laurelstep.store import Disk, FolderDisk, Options, Store, StoreError
 
 KEPT, MOVED, PART, LINE, HOLDERS = b"k", b"m", b"p", b"l", b"h"
 SECRET: Final = b"secret"
--- a/woadyard/outbox/terms.py
+++ b/laurelstep/outbox/terms.py
@@ -6,8 +6,8 @@
 from enum import IntEnum
 from typing import Literal
 
-from woadyard.outbox.dots import Dot
-from woadyard.outbox.journal import Event, KeptWrite, Moved
+from laurelstep.outbox.dots import Dot
+from laurelstep.outbox.journal import Event, KeptWrite, Moved
 
 __all__ = ["Bounds", "Change", "End", "KeptClass", "Offer", "Ticket"]
 
--- a/woadyard/outbox/waiting.py
+++ b/laurelstep/outbox/waiting.py
@@ -12,16 +12,16 @@
 from collections.abc import Mapping
 from typing import Final
 
-from woadyard.outbox.ages import Ages
-from woadyard.outbox.causes import Cause, Causes, Fate, Frontier, Tokens, merge
-from woadyard.outbox.dots import Dot, Line
-from woadyard.outbox.errors import (
+from laurelstep.outbox.ages import Ages
+from laurelstep.outbox.causes import Cause, Causes, Fate, Frontier, Tokens, merge
+from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.errors import (
     UnknownWriteError,
 )
-from woadyard.outbox.graph import Graph
-from woadyard.outbox.journal import Event, KeptWrite, State, Verdict, follow
-from woadyard.outbox.replay import Pace, Turns
-from woadyard.outbox.rows import (
+from laurelstep.outbox.graph import Graph
+from laurelstep.outbox.journal import Event, KeptWrite, State, Verdict, follow
+from laurelstep.outbox.replay import Pace, Turns
+from laurelstep.outbox.rows import (
     BARRIER,
     BUSY,
     CLOSED,
@@ -33,7 +33,7 @@
     Places,
     Rows,
 )
-from woadyard.outbox.terms import Bounds, KeptClass
+from laurelstep.outbox.terms import Bounds, KeptClass
 
 __all__ = ["NUMBERS", "NUMBER_MASK", "Waiting"]
 
--- a/woadyard/settings/config.py
+++ b/laurelstep/settings/config.py
@@ -7,17 +7,17 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from woadyard.engine.names import Names
-from woadyard.errors import LaurelstepError
-from woadyard.interface import KEYED, Settings
-from woadyard.orders.book import Orders
-from woadyard.room.descriptors import SOCKETS_DEFAULT, side_share
-from woadyard.wire import EFFECTS, SCOPES, WireError, read_settings
+from laurelstep.engine.names import Names
+from laurelstep.errors import LaurelstepError
+from laurelstep.interface import KEYED, Settings
+from laurelstep.orders.book import Orders
+from laurelstep.room.descriptors import SOCKETS_DEFAULT, side_share
+from laurelstep.wire import EFFECTS, SCOPES, WireError, read_settings
 
 if TYPE_CHECKING:  # imported where they are on
-    from woadyard.accord.options import AccordSettings
-    from woadyard.outbox.options import OutboxSettings
-    from woadyard.upkeep.options import UpkeepSettings
+    from laurelstep.accord.options import AccordSettings
+    from laurelstep.outbox.options import OutboxSettings
+    from laurelstep.upkeep.options import UpkeepSettings
 
 
 class ConfigError(LaurelstepError):
--- a/woadyard/settings/operator.py
+++ b/laurelstep/settings/operator.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from woadyard.accord.options import AccordSettings, LinkKind, problem_of, seats_for
-from woadyard.orders.book import OrderClass, Orders
-from woadyard.outbox.options import (
+from laurelstep.accord.options import AccordSettings, LinkKind, problem_of, seats_for
+from laurelstep.orders.book import OrderClass, Orders
+from laurelstep.outbox.options import (
     How,
     KeptClass,
     Lost,
@@ -26,8 +26,8 @@
     shared_problem,
     store_problem,
 )
-from woadyard.settings.config import Config, ConfigError, Join, address, config_from
-from woadyard.upkeep.options import StartAlone, UpkeepSettings
+from laurelstep.settings.config import Config, ConfigError, Join, address, config_from
+from laurelstep.upkeep.options import StartAlone, UpkeepSettings
 
 Effect = Literal["safe", "keyed", "unsafe"]
 Scope = Literal["all", "zone", "cell"]
--- a/woadyard/settings/platform.py
+++ b/laurelstep/settings/platform.py
@@ -6,10 +6,10 @@
 from collections.abc import Mapping
 from typing import Any
 
-from woadyard.engine.listing import usable
-from woadyard.engine.ports import Log
-from woadyard.orders.book import Orders
-from woadyard.settings.config import Config, ConfigError, Join, config_from
+from laurelstep.engine.listing import usable
+from laurelstep.engine.ports import Log
+from laurelstep.orders.book import Orders
+from laurelstep.settings.config import Config, ConfigError, Join, config_from
 
 
 def no_log(text: str) -> None:
@@ -28,7 +28,7 @@
     """A configuration in either form, told apart by the file's name."""
     if path.endswith(".toml"):
         # Imported when asked for: the platform's own form needs no further library.
-        from woadyard.settings.operator import read_operator
+        from laurelstep.settings.operator import read_operator
 
         return read_operator(path).config(path)
     return config_from(load_json(path), path)
--- a/woadyard/store/__init__.py
+++ b/laurelstep/store/__init__.py
@@ -2,9 +2,9 @@
 memory. What is reported as written survives the loss of power; damage is told, never guessed
 around. `log`, `manifest` and `index` decide without I/O; `disk` does it; `store` is for use."""
 
-from woadyard.store.disk import Disk, FolderDisk, StoreError
-from woadyard.store.log import LogError
-from woadyard.store.store import Options, Stats, Store, StoreUnavailableError
+from laurelstep.store.disk import Disk, FolderDisk, StoreError
+from laurelstep.store.log import LogError
+from laurelstep.store.store import Options, Stats, Store, StoreUnavailableError
 
 __all__ = [
     "Disk",
--- a/woadyard/store/disk.py
+++ b/laurelstep/store/disk.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import Protocol
 
-from woadyard.errors import LaurelstepError
-from woadyard.store.manifest import LOCK
+from laurelstep.errors import LaurelstepError
+from laurelstep.store.manifest import LOCK
 
 # Descriptors kept open; a segment read again later is opened again.
 OPEN_MOST = 16
--- a/woadyard/store/index.py
+++ b/laurelstep/store/index.py
@@ -9,8 +9,8 @@
 from collections.abc import MutableMapping
 from dataclasses import dataclass
 
-from woadyard.store.log import DELETE
-from woadyard.store.numbered import Numbered
+from laurelstep.store.log import DELETE
+from laurelstep.store.numbered import Numbered
 
 _OFFSET_BITS = 32
 _OFFSET_MASK = (1 << _OFFSET_BITS) - 1
--- a/woadyard/store/log.py
+++ b/laurelstep/store/log.py
@@ -21,7 +21,7 @@
 
 from google_crc32c import extend
 
-from woadyard.errors import LaurelstepError
+from laurelstep.errors import LaurelstepError
 
 FORMAT = 1
 MAGIC = b"laurelog"
--- a/woadyard/store/manifest.py
+++ b/laurelstep/store/manifest.py
@@ -18,7 +18,7 @@
 
 from google_crc32c import value
 
-from woadyard.store.log import FORMAT, SEGMENT_SIZE, LogError
+from laurelstep.store.log import FORMAT, SEGMENT_SIZE, LogError
 
 MANIFEST, ASIDE, LOCK = "MANIFEST", "MANIFEST.new", "LOCK"
 _SEGMENT = re.compile(r"^(\d{10})\.seg$")
--- a/woadyard/store/recovery.py
+++ b/laurelstep/store/recovery.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from woadyard.store.disk import Disk
-from woadyard.store.index import Index, place_of
-from woadyard.store.log import (
+from laurelstep.store.disk import Disk
+from laurelstep.store.index import Index, place_of
+from laurelstep.store.log import (
     KEY_MOST,
     RECORD_HEAD,
     SEGMENT_SIZE,
@@ -23,7 +23,7 @@
     scan,
     segment_head,
 )
-from woadyard.store.manifest import (
+from laurelstep.store.manifest import (
     ASIDE,
     MANIFEST,
     Found,
--- a/woadyard/store/store.py
+++ b/laurelstep/store/store.py
@@ -25,9 +25,9 @@
 from types import TracebackType
 from typing import Any, Self, TypeVar
 
-from woadyard.store.disk import Disk, StoreError
-from woadyard.store.index import Usage, location, place_of
-from woadyard.store.log import (
+from laurelstep.store.disk import Disk, StoreError
+from laurelstep.store.index import Usage, location, place_of
+from laurelstep.store.log import (
     DELETE,
     KEY_MOST,
     PUT,
@@ -39,8 +39,8 @@
     read_frame,
     records_of,
 )
-from woadyard.store.manifest import Manifest, Segment, segment_name
-from woadyard.store.recovery import (
+from laurelstep.store.manifest import Manifest, Segment, segment_name
+from laurelstep.store.recovery import (
     Opened,
     Progress,
     create_segment,
--- a/woadyard/store/tool.py
+++ b/laurelstep/store/tool.py
@@ -11,10 +11,10 @@
 import sys
 from collections.abc import Sequence
 
-from woadyard.store.disk import FolderDisk, StoreError
-from woadyard.store.log import LogError
-from woadyard.store.recovery import Opened, look, read_all, record_at
-from woadyard.store.store import Store
+from laurelstep.store.disk import FolderDisk, StoreError
+from laurelstep.store.log import LogError
+from laurelstep.store.recovery import Opened, look, read_all, record_at
+from laurelstep.store.store import Store
 
 BAR = 30
 
--- a/woadyard/testing/__init__.py
+++ b/laurelstep/testing/__init__.py
@@ -7,8 +7,8 @@
 Ports are the system's choice; nothing here sleeps or polls.
 """
 
-from woadyard.testing.callers import Caller, request
-from woadyard.testing.endpoints import (
+from laurelstep.testing.callers import Caller, request
+from laurelstep.testing.endpoints import (
     Effects,
     Endpoint,
     Handler,
@@ -25,8 +25,16 @@
     stall,
     status,
 )
-from woadyard.testing.messages import Message, Reader, Writer, answer, free_port, free_udp_port, read_message
-from woadyard.testing.registry import Registry, push, push_raw, whole_list
+from laurelstep.testing.messages import (
+    Message,
+    Reader,
+    Writer,
+    answer,
+    free_port,
+    free_udp_port,
+    read_message,
+)
+from laurelstep.testing.registry import Registry, push, push_raw, whole_list
 
 __all__ = [
     "Caller",
--- a/woadyard/testing/callers.py
+++ b/laurelstep/testing/callers.py
@@ -6,7 +6,7 @@
 from types import TracebackType
 from typing import Self
 
-from woadyard.testing.messages import Message, Reader, Writer, read_message
+from laurelstep.testing.messages import Message, Reader, Writer, read_message
 
 
 def request(
--- a/woadyard/testing/contracts/__init__.py
+++ b/laurelstep/testing/contracts/__init__.py
@@ -3,7 +3,7 @@
 A contract is a base class of tests in pytest's style. Say in a class of your own how an instance is
 made, and pytest runs the rest:
 
-    from woadyard.testing.contracts.disk import DiskContract
+    from laurelstep.testing.contracts.disk import DiskContract
 
     class TestMyDisk(DiskContract):
         @contextmanager
@@ -15,13 +15,13 @@
 
 | contract | in | of |
 | --- | --- | --- |
-| `ClockContract` | `clock` | `woadyard.engine.ports.Clock` |
-| `DiskContract` | `disk` | `woadyard.store.disk.Disk` |
-| `LinkContract`, `ReachableLinkContract` | `link` | `woadyard.accord.ports.Link` |
-| `MemberSourceContract`, `AskedSourceContract` | `members` | `woadyard.engine.ports.MemberSource` |
-| `RecorderContract` | `recorder` | `woadyard.engine.ports.Recorder` |
-| `StoreContract`, `LastingStoreContract` | `store` | `woadyard.accord.ports.Store` |
-| `UpstreamContract` | `upstream` | `woadyard.engine.ports.Upstream` |
+| `ClockContract` | `clock` | `laurelstep.engine.ports.Clock` |
+| `DiskContract` | `disk` | `laurelstep.store.disk.Disk` |
+| `LinkContract`, `ReachableLinkContract` | `link` | `laurelstep.accord.ports.Link` |
+| `MemberSourceContract`, `AskedSourceContract` | `members` | `laurelstep.engine.ports.MemberSource` |
+| `RecorderContract` | `recorder` | `laurelstep.engine.ports.Recorder` |
+| `StoreContract`, `LastingStoreContract` | `store` | `laurelstep.accord.ports.Store` |
+| `UpstreamContract` | `upstream` | `laurelstep.engine.ports.Upstream` |
 
 Rules that all of them follow:
 
--- a/woadyard/testing/contracts/clock.py
+++ b/laurelstep/testing/contracts/clock.py
@@ -6,9 +6,9 @@
 from contextlib import AbstractAsyncContextManager
 from typing import Protocol
 
-from woadyard.engine.call import Handle
-from woadyard.engine.ports import Clock
-from woadyard.testing.contracts.base import Contract, turns
+from laurelstep.engine.call import Handle
+from laurelstep.engine.ports import Clock
+from laurelstep.testing.contracts.base import Contract, turns
 
 # Of a loop's timer, which counts milliseconds, both sides of a step.
 SPANS_US = (0, 1, 400, 999, 1_000, 1_001, 1_500, 2_999, 5_000)
--- a/woadyard/testing/contracts/disk.py
+++ b/laurelstep/testing/contracts/disk.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Iterator
 from contextlib import AbstractContextManager, contextmanager
 
-from woadyard.store.disk import Disk, StoreError
-from woadyard.testing.contracts.base import Contract, raises
+from laurelstep.store.disk import Disk, StoreError
+from laurelstep.testing.contracts.base import Contract, raises
 
 # More files than any implementation may keep open at a time.
 MANY = 40
--- a/woadyard/testing/contracts/link.py
+++ b/laurelstep/testing/contracts/link.py
@@ -8,9 +8,9 @@
 from contextlib import AbstractAsyncContextManager
 from typing import Protocol
 
-from woadyard.accord.errors import LinkError
-from woadyard.accord.ports import DATAGRAM_MOST, Link
-from woadyard.testing.contracts.base import Contract, raises, turns
+from laurelstep.accord.errors import LinkError
+from laurelstep.accord.ports import DATAGRAM_MOST, Link
+from laurelstep.testing.contracts.base import Contract, raises, turns
 
 # Datagrams in one go: more than a socket takes without being read.
 BURST = 1_000
--- a/woadyard/testing/contracts/members.py
+++ b/laurelstep/testing/contracts/members.py
@@ -8,8 +8,8 @@
 from contextlib import AbstractAsyncContextManager
 from typing import Any, Protocol
 
-from woadyard.engine.ports import MemberSource
-from woadyard.testing.contracts.base import Contract, turns
+from laurelstep.engine.ports import MemberSource
+from laurelstep.testing.contracts.base import Contract, turns
 
 Entries = list[dict[str, Any]]
 # So many entries that a source may tell them in steps.
--- a/woadyard/testing/contracts/outbox.py
+++ b/laurelstep/testing/contracts/outbox.py
@@ -10,12 +10,12 @@
 
 from msgspec.structs import replace
 
-from woadyard.outbox.dots import Dot, Line
-from woadyard.outbox.journal import KeptWrite, Moved, State
-from woadyard.outbox.options import CHUNK
-from woadyard.outbox.store import Loaded
-from woadyard.store.disk import StoreError
-from woadyard.testing.contracts.base import Contract, raises, turns
+from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.journal import KeptWrite, Moved, State
+from laurelstep.outbox.options import CHUNK
+from laurelstep.outbox.store import Loaded
+from laurelstep.store.disk import StoreError
+from laurelstep.testing.contracts.base import Contract, raises, turns
 
 LINE: Final = Line("studio-1", 7)
 # Of bodies: none, one part, its bound, and several parts.
--- a/woadyard/testing/contracts/recorder.py
+++ b/laurelstep/testing/contracts/recorder.py
@@ -7,9 +7,9 @@
 from contextlib import AbstractAsyncContextManager
 from typing import Protocol
 
-from woadyard.engine.call import Answer, Call, Ending
-from woadyard.engine.ports import Recorder
-from woadyard.testing.contracts.base import Contract, turns
+from laurelstep.engine.call import Answer, Call, Ending
+from laurelstep.engine.ports import Recorder
+from laurelstep.testing.contracts.base import Contract, turns
 
 
 class Life(Protocol):
--- a/woadyard/testing/contracts/store.py
+++ b/laurelstep/testing/contracts/store.py
@@ -7,9 +7,9 @@
 from contextlib import AbstractAsyncContextManager
 from typing import Protocol
 
-from woadyard.accord.ports import Store
-from woadyard.store.disk import StoreError
-from woadyard.testing.contracts.base import Contract, raises, turns
+from laurelstep.accord.ports import Store
+from laurelstep.store.disk import StoreError
+from laurelstep.testing.contracts.base import Contract, raises, turns
 
 # Turns of the loop after which the crash comes: from before the write began until it may be over.
 CRASHES = (0, 1, 2, 3, 5, 8, 13, 30)
--- a/woadyard/testing/contracts/upstream.py
+++ b/laurelstep/testing/contracts/upstream.py
@@ -8,10 +8,10 @@
 from enum import Enum
 from typing import Protocol
 
-from woadyard.engine.call import Answer, Attempt, Call, Ending
-from woadyard.engine.ports import Upstream
-from woadyard.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
-from woadyard.testing.contracts.base import Contract, turns
+from laurelstep.engine.call import Answer, Attempt, Call, Ending
+from laurelstep.engine.ports import Upstream
+from laurelstep.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
+from laurelstep.testing.contracts.base import Contract, turns
 
 WAIT_US = 60_000_000
 # The outcomes that an upstream may tell: the engine tells the others itself.
--- a/woadyard/testing/disk.py
+++ b/laurelstep/testing/disk.py
@@ -73,7 +73,7 @@
 
     def lock(self) -> None:
         # Imported when called: the store needs a library that this module does not.
-        from woadyard.store.disk import StoreError
+        from laurelstep.store.disk import StoreError
 
         if self.owner:
             raise StoreError("another process has this store open")
--- a/woadyard/testing/endpoints.py
+++ b/laurelstep/testing/endpoints.py
@@ -12,7 +12,7 @@
 from types import TracebackType
 from typing import Any, Self
 
-from woadyard.testing.messages import Message, Reader, Writer, answer, read_message
+from laurelstep.testing.messages import Message, Reader, Writer, answer, read_message
 
 Handler = Callable[["Endpoint", Message, Writer], Awaitable[None]]
 
--- a/woadyard/testing/processes/__init__.py
+++ b/laurelstep/testing/processes/__init__.py
@@ -11,7 +11,7 @@
             tier.heal()
         tier.check()                                # AssertionError that names each broken rule
 
-Each process is `python -m woadyard run --operator FILE`, told by the platform's JSON (LB_CONFIG: its
+Each process is `python -m laurelstep run --operator FILE`, told by the platform's JSON (LB_CONFIG: its
 listener, second address, discovery, `peer_listen` and `peers`) and by `operator_tables` in FILE. In
 texts of these tables `{folder}` is a folder of the process's own that stays over its starts.
 
@@ -39,9 +39,9 @@
 was broken.
 """
 
-from woadyard.testing.processes.faults import Parcel, Way, Ways, Weather
-from woadyard.testing.processes.files import garble, tear, toml
-from woadyard.testing.processes.history import (
+from laurelstep.testing.processes.faults import Parcel, Way, Ways, Weather
+from laurelstep.testing.processes.files import garble, tear, toml
+from laurelstep.testing.processes.history import (
     Answered,
     Asked,
     Broken,
@@ -59,11 +59,11 @@
     What,
     check,
 )
-from woadyard.testing.processes.kept import check_kept
-from woadyard.testing.processes.load import Load
-from woadyard.testing.processes.program import Program, until
-from woadyard.testing.processes.relays import DatagramRelay, StreamRelay
-from woadyard.testing.processes.tier import Tier
+from laurelstep.testing.processes.kept import check_kept
+from laurelstep.testing.processes.load import Load
+from laurelstep.testing.processes.program import Program, until
+from laurelstep.testing.processes.relays import DatagramRelay, StreamRelay
+from laurelstep.testing.processes.tier import Tier
 
 __all__ = [
     "Answered",
--- a/woadyard/testing/processes/kept.py
+++ b/laurelstep/testing/processes/kept.py
@@ -28,7 +28,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from woadyard.testing.processes.history import Violation
+from laurelstep.testing.processes.history import Violation
 
 NOT_BROUGHT: Final = "not brought"
 NOT_OVER: Final = "not over"
--- a/woadyard/testing/processes/launch.py
+++ b/laurelstep/testing/processes/launch.py
@@ -1,4 +1,4 @@
-"""The program with a wall clock that the test sets: `python -m woadyard.testing.processes.launch CLOCK
+"""The program with a wall clock that the test sets: `python -m laurelstep.testing.processes.launch CLOCK
 run ...`. CLOCK is a file of eight bytes, the steps so far in ns, as a signed number.
 
 What the program reads as wall time is shifted at its source, so that no code of it knows. Its
@@ -43,7 +43,7 @@
 
 def main() -> int:
     shift(sys.argv[1])
-    from woadyard.__main__ import main as program
+    from laurelstep.__main__ import main as program
 
     return program(sys.argv[2:])
 
--- a/woadyard/testing/processes/lists.py
+++ b/laurelstep/testing/processes/lists.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Final
 
-from woadyard.testing.endpoints import Listener
-from woadyard.testing.messages import Reader, Writer, read_message
-from woadyard.testing.processes.program import LOOK_S
-from woadyard.testing.processes.relays import HOST, StreamRelay, now_us
+from laurelstep.testing.endpoints import Listener
+from laurelstep.testing.messages import Reader, Writer, read_message
+from laurelstep.testing.processes.program import LOOK_S
+from laurelstep.testing.processes.relays import HOST, StreamRelay, now_us
 
 Entry = dict[str, Any]
 # Entries that a process has read, and when they were pushed.
--- a/woadyard/testing/processes/load.py
+++ b/laurelstep/testing/processes/load.py
@@ -8,9 +8,9 @@
 from collections import Counter
 from typing import Final
 
-from woadyard.testing.callers import Caller, request
-from woadyard.testing.processes.history import Answered, Asked, Broken, Effect, History
-from woadyard.testing.processes.program import PATIENCE_S, Program
+from laurelstep.testing.callers import Caller, request
+from laurelstep.testing.processes.history import Answered, Asked, Broken, Effect, History
+from laurelstep.testing.processes.program import PATIENCE_S, Program
 
 # A class of the tier's settings, and what it is to the rules.
 CLASSES: Final[tuple[tuple[str, Effect], ...]] = (("page", "safe"), ("put", "keyed"), ("pay", "unsafe"))
--- a/woadyard/testing/processes/program.py
+++ b/laurelstep/testing/processes/program.py
@@ -14,18 +14,18 @@
 from pathlib import Path
 from typing import Any, Final
 
-from woadyard.testing.messages import Message, free_port, read_message
-from woadyard.testing.processes.files import empty_disk, fill_disk, toml
-from woadyard.testing.processes.history import Called, History, What
-from woadyard.testing.processes.launch import make_clock, step_clock
-from woadyard.testing.processes.relays import HOST, Address
+from laurelstep.testing.messages import Message, free_port, read_message
+from laurelstep.testing.processes.files import empty_disk, fill_disk, toml
+from laurelstep.testing.processes.history import Called, History, What
+from laurelstep.testing.processes.launch import make_clock, step_clock
+from laurelstep.testing.processes.relays import HOST, Address
 
 # How long a test waits for an event before it fails; nothing is measured by it.
 PATIENCE_S: Final = 60.0
 # Between two looks at what can only be asked for. No verdict depends on it.
 LOOK_S: Final = 0.01
 LINES_MOST: Final = 10_000
-PROGRAM: Final = ("-m", "woadyard")
+PROGRAM: Final = ("-m", "laurelstep")
 
 
 async def until(look: Callable[[], Awaitable[bool]], what: str, seconds: float = PATIENCE_S) -> None:
--- a/woadyard/testing/processes/relays.py
+++ b/laurelstep/testing/processes/relays.py
@@ -21,9 +21,9 @@
 from functools import partial
 from typing import Final, Literal, cast
 
-from woadyard.testing.endpoints import reset_connection
-from woadyard.testing.messages import Reader, Writer
-from woadyard.testing.processes.faults import Parcel, Way, Ways
+from laurelstep.testing.endpoints import reset_connection
+from laurelstep.testing.messages import Reader, Writer
+from laurelstep.testing.processes.faults import Parcel, Way, Ways
 
 Address = tuple[str, int]
 HOST: Final = "127.0.0.1"
--- a/woadyard/testing/processes/tier.py
+++ b/laurelstep/testing/processes/tier.py
@@ -15,10 +15,10 @@
 from types import TracebackType
 from typing import Any, Final, Self
 
-from woadyard.testing.endpoints import Effects, Endpoint, Handler
-from woadyard.testing.messages import Message, Writer, answer, free_udp_port
-from woadyard.testing.processes.faults import Weather
-from woadyard.testing.processes.history import (
+from laurelstep.testing.endpoints import Effects, Endpoint, Handler
+from laurelstep.testing.messages import Message, Writer, answer, free_udp_port
+from laurelstep.testing.processes.faults import Weather
+from laurelstep.testing.processes.history import (
     Cleared,
     History,
     Ran,
@@ -29,10 +29,10 @@
     Violation,
     check,
 )
-from woadyard.testing.processes.lists import Entry, Lists
-from woadyard.testing.processes.load import Load
-from woadyard.testing.processes.program import PROGRAM, Program, until
-from woadyard.testing.processes.relays import HOST, DatagramRelay, Direction, StreamRelay, now_us
+from laurelstep.testing.processes.lists import Entry, Lists
+from laurelstep.testing.processes.load import Load
+from laurelstep.testing.processes.program import PROGRAM, Program, until
+from laurelstep.testing.processes.relays import HOST, DatagramRelay, Direction, StreamRelay, now_us
 
 # The platform's settings, as far as a test does not give others. An answer that comes later than the
 # deadline by less than `late_us` is put down to the machine that runs the test.
--- a/woadyard/testing/registry.py
+++ b/laurelstep/testing/registry.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from woadyard.testing.endpoints import Listener
-from woadyard.testing.messages import Reader, Writer, read_message
+from laurelstep.testing.endpoints import Listener
+from laurelstep.testing.messages import Reader, Writer, read_message
 
 
 def whole_list(*entries: dict[str, Any], generation: int = 1) -> dict[str, Any]:
--- a/woadyard/testing/schedules/__init__.py
+++ b/laurelstep/testing/schedules/__init__.py
@@ -8,9 +8,9 @@
 verdict everywhere.
 """
 
-from woadyard.testing.schedules.checker import BrokenError, Checker
-from woadyard.testing.schedules.process import Made, Process, Tape
-from woadyard.testing.schedules.script import Shape, play
-from woadyard.testing.schedules.world import Network, World
+from laurelstep.testing.schedules.checker import BrokenError, Checker
+from laurelstep.testing.schedules.process import Made, Process, Tape
+from laurelstep.testing.schedules.script import Shape, play
+from laurelstep.testing.schedules.world import Network, World
 
 __all__ = ["BrokenError", "Checker", "Made", "Network", "Process", "Shape", "Tape", "World", "play"]
--- a/woadyard/testing/schedules/checker.py
+++ b/laurelstep/testing/schedules/checker.py
@@ -20,12 +20,12 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from woadyard.accord import messages as m
-from woadyard.accord.log import DATA
-from woadyard.accord.ports import DATAGRAM_MOST
-from woadyard.accord.terms import NOWHERE, PENDING_MOST, Era
-from woadyard.errors import LaurelstepError
-from woadyard.testing.schedules.process import TAPE, Made, Process, next_digest
+from laurelstep.accord import messages as m
+from laurelstep.accord.log import DATA
+from laurelstep.accord.ports import DATAGRAM_MOST
+from laurelstep.accord.terms import NOWHERE, PENDING_MOST, Era
+from laurelstep.errors import LaurelstepError
+from laurelstep.testing.schedules.process import TAPE, Made, Process, next_digest
 
 __all__ = ["BrokenError", "Checker", "Place"]
 
--- a/woadyard/testing/schedules/script.py
+++ b/laurelstep/testing/schedules/script.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable, Mapping
 from typing import Final
 
-from woadyard.accord.core import Timing
-from woadyard.testing.schedules.process import Made
-from woadyard.testing.schedules.world import Network, World
+from laurelstep.accord.core import Timing
+from laurelstep.testing.schedules.process import Made
+from laurelstep.testing.schedules.world import Network, World
 
 __all__ = ["QUICK", "Shape", "founded", "play", "settle"]
 
--- a/woadyard/testing/schedules/world.py
+++ b/laurelstep/testing/schedules/world.py
@@ -17,10 +17,10 @@
 import random
 from collections.abc import Callable, Iterable, Mapping
 
-from woadyard.accord.core import FAR, Core, Effects
-from woadyard.accord.errors import BusyError, NotLeadingError
-from woadyard.testing.schedules.checker import Checker
-from woadyard.testing.schedules.process import LEASES, TAPE, Made, Process
+from laurelstep.accord.core import FAR, Core, Effects
+from laurelstep.accord.errors import BusyError, NotLeadingError
+from laurelstep.testing.schedules.checker import Checker
+from laurelstep.testing.schedules.process import LEASES, TAPE, Made, Process
 
 __all__ = ["Network", "World"]
 
--- a/woadyard/upkeep/assembly.py
+++ b/laurelstep/upkeep/assembly.py
@@ -6,20 +6,20 @@
 from collections.abc import Callable
 from typing import Final
 
-from woadyard.accord.parts import Accord
-from woadyard.accord.ports import Machine
-from woadyard.engine import Engine
-from woadyard.engine.ports import Clock, Log, MemberSource
-from woadyard.management.calls import Reply
-from woadyard.net.slices import Slices
-from woadyard.settings import Config
-from woadyard.upkeep.calls import reply_about
-from woadyard.upkeep.desk import UpkeepDesk
-from woadyard.upkeep.entries import KIND
-from woadyard.upkeep.keeper import Keeper
-from woadyard.upkeep.options import UpkeepSettings
-from woadyard.upkeep.roll import Roll
-from woadyard.upkeep.source import UpkeepSource
+from laurelstep.accord.parts import Accord
+from laurelstep.accord.ports import Machine
+from laurelstep.engine import Engine
+from laurelstep.engine.ports import Clock, Log, MemberSource
+from laurelstep.management.calls import Reply
+from laurelstep.net.slices import Slices
+from laurelstep.settings import Config
+from laurelstep.upkeep.calls import reply_about
+from laurelstep.upkeep.desk import UpkeepDesk
+from laurelstep.upkeep.entries import KIND
+from laurelstep.upkeep.keeper import Keeper
+from laurelstep.upkeep.options import UpkeepSettings
+from laurelstep.upkeep.roll import Roll
+from laurelstep.upkeep.source import UpkeepSource
 
 
 def carried() -> dict[int, Machine]:
--- a/woadyard/upkeep/calls.py
+++ b/laurelstep/upkeep/calls.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from woadyard.errors import LaurelstepError
-from woadyard.management.calls import Reply
-from woadyard.upkeep.wishes import UpkeepError, Wish, WishError, read_wish
+from laurelstep.errors import LaurelstepError
+from laurelstep.management.calls import Reply
+from laurelstep.upkeep.wishes import UpkeepError, Wish, WishError, read_wish
 
 ROOT: Final = b"/api/upkeep"
 JSON_TYPE: Final = b"application/json"
--- a/woadyard/upkeep/desk.py
+++ b/laurelstep/upkeep/desk.py
@@ -10,11 +10,11 @@
 
 from typing import Any, Final
 
-from woadyard.upkeep.keeper import Asking, Keeper
-from woadyard.upkeep.plan import explain, matching, waiting
-from woadyard.upkeep.roll import Machine, OpenWish, Roll
-from woadyard.upkeep.states import State, move
-from woadyard.upkeep.wishes import (
+from laurelstep.upkeep.keeper import Asking, Keeper
+from laurelstep.upkeep.plan import explain, matching, waiting
+from laurelstep.upkeep.roll import Machine, OpenWish, Roll
+from laurelstep.upkeep.states import State, move
+from laurelstep.upkeep.wishes import (
     MACHINES_MOST,
     WISHES_MOST,
     ContradictionError,
--- a/woadyard/upkeep/entries.py
+++ b/laurelstep/upkeep/entries.py
@@ -1,7 +1,7 @@
 """What travels of upkeep: entries of the record, and words to whoever leads. Pure.
 
 All begin with the byte `KIND`, as one record and one link carry other things too (of an entry it
-is taken off before the roll has it: `woadyard.accord.machines`); then a tagged array in msgpack.
+is taken off before the roll has it: `laurelstep.accord.machines`); then a tagged array in msgpack.
 Fields are only ever added at the end: an older version passes over what it does not know, and
 reads what it does."""
 
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from woadyard.upkeep.wishes import ENTRY_MOST, FitError, Wish
+from laurelstep.upkeep.wishes import ENTRY_MOST, FitError, Wish
 
 KIND: Final = b"u"
 
--- a/woadyard/upkeep/keeper.py
+++ b/laurelstep/upkeep/keeper.py
@@ -15,16 +15,16 @@
 from collections.abc import Callable
 from typing import Final
 
-from woadyard.accord.errors import BusyError, NotLeadingError
-from woadyard.accord.parts import Accord
-from woadyard.engine.ports import Clock, Handle, Log
-from woadyard.upkeep.entries import Ask, Confirm, Entry, Here, Step, Word, pack, unpack_word
-from woadyard.upkeep.options import UpkeepSettings
-from woadyard.upkeep.plan import Ages, Confirmations, Sight, plan
-from woadyard.upkeep.roll import Roll
-from woadyard.upkeep.source import UpkeepSource
-from woadyard.upkeep.states import State
-from woadyard.upkeep.wishes import CutOffError, FitError, ManyError, Wish
+from laurelstep.accord.errors import BusyError, NotLeadingError
+from laurelstep.accord.parts import Accord
+from laurelstep.engine.ports import Clock, Handle, Log
+from laurelstep.upkeep.entries import Ask, Confirm, Entry, Here, Step, Word, pack, unpack_word
+from laurelstep.upkeep.options import UpkeepSettings
+from laurelstep.upkeep.plan import Ages, Confirmations, Sight, plan
+from laurelstep.upkeep.roll import Roll
+from laurelstep.upkeep.source import UpkeepSource
+from laurelstep.upkeep.states import State
+from laurelstep.upkeep.wishes import CutOffError, FitError, ManyError, Wish
 
 # Between two looks: while something moves, and at rest.
 BUSY_US: Final = 100_000
--- a/woadyard/upkeep/plan.py
+++ b/laurelstep/upkeep/plan.py
@@ -22,13 +22,13 @@
 from dataclasses import dataclass
 from typing import Final
 
-from woadyard.engine.members import endpoint_number
-from woadyard.interface import READY
-from woadyard.upkeep.entries import End, Entry, Leave, Step, fits
-from woadyard.upkeep.members import Member, MemberTable
-from woadyard.upkeep.roll import Machine, OpenWish, Roll
-from woadyard.upkeep.states import State
-from woadyard.upkeep.wishes import MACHINES_MOST, Wish
+from laurelstep.engine.members import endpoint_number
+from laurelstep.interface import READY
+from laurelstep.upkeep.entries import End, Entry, Leave, Step, fits
+from laurelstep.upkeep.members import Member, MemberTable
+from laurelstep.upkeep.roll import Machine, OpenWish, Roll
+from laurelstep.upkeep.states import State
+from laurelstep.upkeep.wishes import MACHINES_MOST, Wish
 
 # Within this a list reaches all copies, or the next one does.
 LISTS_US: Final = 2_000_000
--- a/woadyard/upkeep/roll.py
+++ b/laurelstep/upkeep/roll.py
@@ -23,11 +23,11 @@
 
 import msgspec
 
-from woadyard.engine.members import endpoint_number
-from woadyard.errors import LaurelstepError
-from woadyard.upkeep.entries import Ask, End, Entry, Here, Leave, Step, unpack_entry
-from woadyard.upkeep.states import HELD, State, move
-from woadyard.upkeep.wishes import MACHINES_MOST, WISHES_MOST, Limits, Wish
+from laurelstep.engine.members import endpoint_number
+from laurelstep.errors import LaurelstepError
+from laurelstep.upkeep.entries import Ask, End, Entry, Here, Leave, Step, unpack_entry
+from laurelstep.upkeep.states import HELD, State, move
+from laurelstep.upkeep.wishes import MACHINES_MOST, WISHES_MOST, Limits, Wish
 
 OUT_MOST: Final = 256
 PEERS_MOST: Final = 1024
--- a/woadyard/upkeep/shown.py
+++ b/laurelstep/upkeep/shown.py
@@ -20,10 +20,10 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from woadyard.interface import DRAINING, READY
-from woadyard.upkeep.members import Member, MemberTable
-from woadyard.upkeep.roll import Roll
-from woadyard.upkeep.states import CLEARED, HELD, State
+from laurelstep.interface import DRAINING, READY
+from laurelstep.upkeep.members import Member, MemberTable
+from laurelstep.upkeep.roll import Roll
+from laurelstep.upkeep.states import CLEARED, HELD, State
 
 
 class Hold:
--- a/woadyard/upkeep/source.py
+++ b/laurelstep/upkeep/source.py
@@ -15,13 +15,13 @@
 from collections.abc import Callable, Iterable, Iterator, Sequence
 from typing import Any, Final
 
-from woadyard.engine.listing import STEP
-from woadyard.engine.members import endpoint_number
-from woadyard.engine.ports import Clock, Log, MemberSink, MemberSource
-from woadyard.interface import READY
-from woadyard.upkeep.members import Member, MemberTable, read_member
-from woadyard.upkeep.roll import Roll
-from woadyard.upkeep.shown import Shown
+from laurelstep.engine.listing import STEP
+from laurelstep.engine.members import endpoint_number
+from laurelstep.engine.ports import Clock, Log, MemberSink, MemberSource
+from laurelstep.interface import READY
+from laurelstep.upkeep.members import Member, MemberTable, read_member
+from laurelstep.upkeep.roll import Roll
+from laurelstep.upkeep.shown import Shown
 
 # What is told at once; more goes in steps.
 SHORT: Final = 2 * STEP
--- a/woadyard/upkeep/wishes.py
+++ b/laurelstep/upkeep/wishes.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from woadyard.errors import LaurelstepError
+from laurelstep.errors import LaurelstepError
 
 ENTRY_MOST: Final = 160
 # Open at once, and machines of one of them: bounds of the record.
--- a/woadyard/wire.py
+++ b/laurelstep/wire.py
@@ -1,7 +1,7 @@
 """Binary codec of the simulator's wire: frames in, frames out, no decisions.
 
 The only module that knows the wire's record layouts, codes and settings
-names; it turns them into the types of `woadyard.interface` and back.
+names; it turns them into the types of `laurelstep.interface` and back.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from collections.abc import Iterator
 from typing import Any, BinaryIO
 
-from woadyard import interface
-from woadyard.errors import LaurelstepError
+from laurelstep import interface
+from laurelstep.errors import LaurelstepError
 
 EVENT_SIZE = 48
 ACTION_SIZE = 24
--- a/woadyard/workers/child.py
+++ b/laurelstep/workers/child.py
@@ -16,11 +16,11 @@
 from dataclasses import dataclass, replace
 from typing import Any, cast
 
-from woadyard.engine.engine import Engine
-from woadyard.engine.listing import dump_in_steps
-from woadyard.net.discovery import Discovery
-from woadyard.net.slices import Slices
-from woadyard.settings import Config
+from laurelstep.engine.engine import Engine
+from laurelstep.engine.listing import dump_in_steps
+from laurelstep.net.discovery import Discovery
+from laurelstep.net.slices import Slices
+from laurelstep.settings import Config
 
 # Set by the parent: this process's number, how many there are, the channel's descriptor.
 SEAT = "LAURELSTEP_WORKER"
--- a/woadyard/workers/parent.py
+++ b/laurelstep/workers/parent.py
@@ -18,9 +18,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from woadyard.net.message import log
-from woadyard.workers.child import LINE_MAX, SEAT, Seat
-from woadyard.workers.plan import Action, End, Plan, Start
+from laurelstep.net.message import log
+from laurelstep.workers.child import LINE_MAX, SEAT, Seat
+from laurelstep.workers.plan import Action, End, Plan, Start
 
 # A process that was told to stop ends by itself; this long after it is ended.
 STOP_S = 10.0
--- a/setup.py
+++ b/setup.py
@@ -41,8 +41,8 @@
         return []
     from mypyc.build import mypycify
 
-    paths = [f"woadyard/{name}.py" for name in MODULES]
-    return mypycify(paths, opt_level="3", debug_level="0", group_name="woadyard")
+    paths = [f"laurelstep/{name}.py" for name in MODULES]
+    return mypycify(paths, opt_level="3", debug_level="0", group_name="laurelstep")
 
 
 setup(ext_modules=extensions(), cmdclass={"build_ext": BuildWherePossible})
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,9 +7,9 @@
 import pytest
 from hypothesis import HealthCheck, settings
 
+from laurelstep import policy
 from tests import fronts
 from tests.sockets import FRONT
-from woadyard import policy
 
 # The same examples each time, however long they take: a verdict must not depend on the day, nor on what
 # else the machine does.
--- a/tests/faulty_outbox.py
+++ b/tests/faulty_outbox.py
@@ -9,14 +9,14 @@
 
 import msgspec
 
-from woadyard.engine.call import Answer, Call, Ending
-from woadyard.outbox import driver, replay
-from woadyard.outbox.dots import Dot
-from woadyard.outbox.driver import OutboxDriver
-from woadyard.outbox.journal import KeptWrite, Verdict
-from woadyard.outbox.outbox import Outbox
-from woadyard.outbox.receipts import Receipt, show
-from woadyard.outbox.terms import Change, End, Offer, Ticket
+from laurelstep.engine.call import Answer, Call, Ending
+from laurelstep.outbox import driver, replay
+from laurelstep.outbox.dots import Dot
+from laurelstep.outbox.driver import OutboxDriver
+from laurelstep.outbox.journal import KeptWrite, Verdict
+from laurelstep.outbox.outbox import Outbox
+from laurelstep.outbox.receipts import Receipt, show
+from laurelstep.outbox.terms import Change, End, Offer, Ticket
 
 
 def forgets() -> None:
@@ -112,7 +112,7 @@
 
 def main() -> int:
     FAULTS[sys.argv[1]]()
-    from woadyard.__main__ import main as program
+    from laurelstep.__main__ import main as program
 
     return program(sys.argv[2:])
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from woadyard.interface import (
+from laurelstep.interface import (
     LIST_FULL,
     OK,
     READY,
@@ -18,7 +18,7 @@
     Send,
     Settings,
 )
-from woadyard.policy import Balancer
+from laurelstep.policy import Balancer
 
 MS = 1_000
 SECOND = 1_000_000
--- a/tests/outboxing.py
+++ b/tests/outboxing.py
@@ -1,6 +1,6 @@
 """Edges, copies upstream and servers as real processes and stand-ins on loopback, with clients that write.
 
-Each edge and each copy is `python -m woadyard run`; between an edge and each of its endpoints stands a
+Each edge and each copy is `python -m laurelstep run`; between an edge and each of its endpoints stands a
 relay of connections, between copies one of datagrams. Servers count what took effect, by the write's name
 in the query (`w=`); `kept` holds the history of it all."""
 
@@ -20,13 +20,12 @@
 from typing import Any, Final
 from urllib.parse import parse_qs, urlencode
 
-from tests.sockets import run
-from woadyard.testing.callers import Caller
-from woadyard.testing.endpoints import Endpoint, reset_connection
-from woadyard.testing.messages import Message, Writer, answer, free_udp_port, read_message
-from woadyard.testing.processes import DatagramRelay, History, Program, Rules, StreamRelay, check, until
-from woadyard.testing.processes.history import Answered, Asked, Broken
-from woadyard.testing.processes.kept import (
+from laurelstep.testing.callers import Caller
+from laurelstep.testing.endpoints import Endpoint, reset_connection
+from laurelstep.testing.messages import Message, Writer, answer, free_udp_port, read_message
+from laurelstep.testing.processes import DatagramRelay, History, Program, Rules, StreamRelay, check, until
+from laurelstep.testing.processes.history import Answered, Asked, Broken
+from laurelstep.testing.processes.kept import (
     OVER,
     Came,
     Ended,
@@ -38,11 +37,12 @@
     Wrote,
     check_kept,
 )
-from woadyard.testing.processes.lists import Entry, Lists
-from woadyard.testing.processes.program import PATIENCE_S
-from woadyard.testing.processes.relays import HOST, now_us
-from woadyard.testing.processes.tier import LATE_US
-from woadyard.testing.registry import whole_list
+from laurelstep.testing.processes.lists import Entry, Lists
+from laurelstep.testing.processes.program import PATIENCE_S
+from laurelstep.testing.processes.relays import HOST, now_us
+from laurelstep.testing.processes.tier import LATE_US
+from laurelstep.testing.registry import whole_list
+from tests.sockets import run
 
 TEST_S: Final = 60.0  # for a test that hangs; nothing is measured by it
 DEADLINE_MS: Final = 2_000
@@ -367,7 +367,7 @@
             self._write_edge(self.edges[number])
 
     async def _node(self, name: str, number: int, behind: Sequence[tuple[int, str]]) -> Node:
-        begin = self._begin.get(name, ("-m", "woadyard"))
+        begin = self._begin.get(name, ("-m", "laurelstep"))
         program = Program(number, self.folder / name, self.history, self.seed, begin=begin)
         links, entries = [], []
         for at, (port, far) in enumerate(behind):
--- a/tests/player.py
+++ b/tests/player.py
@@ -7,9 +7,9 @@
 import sys
 from typing import Any
 
+from laurelstep import policy
+from laurelstep.interface import LIST_FULL, READY, Entry, Settings
 from tests.test_rules import CLASSES, Ledger
-from woadyard import policy
-from woadyard.interface import LIST_FULL, READY, Entry, Settings
 
 CONFIGS: tuple[dict[str, Any], ...] = (
     {"second_copies": True},
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -18,17 +18,17 @@
 from starlette.applications import Starlette
 from starlette.middleware import Middleware
 
-from woadyard.engine import Engine
-from woadyard.engine.ports import Decisions
-from woadyard.interface import Action, Outcome
-from woadyard.library import BalancerMiddleware, Client
-from woadyard.library.client import State
-from woadyard.net.assembly import Assembly
-from woadyard.net.message import log
-from woadyard.net.server import Server
-from woadyard.net.upstream import Upstream
-from woadyard.settings import Config, config_from
-from woadyard.testing import (
+from laurelstep.engine import Engine
+from laurelstep.engine.ports import Decisions
+from laurelstep.interface import Action, Outcome
+from laurelstep.library import BalancerMiddleware, Client
+from laurelstep.library.client import State
+from laurelstep.net.assembly import Assembly
+from laurelstep.net.message import log
+from laurelstep.net.server import Server
+from laurelstep.net.upstream import Upstream
+from laurelstep.settings import Config, config_from
+from laurelstep.testing import (
     Endpoint,
     Handler,
     Message,
@@ -243,7 +243,7 @@
 async def start(environ: dict[str, str], errors: int = asyncio.subprocess.PIPE) -> asyncio.subprocess.Process:
     pipe = asyncio.subprocess.PIPE
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "woadyard", env=environ, stdout=pipe, stderr=errors
+        sys.executable, "-m", "laurelstep", env=environ, stdout=pipe, stderr=errors
     )
 
 
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -10,19 +10,19 @@
 import pytest
 from hypothesis import given, settings
 
+from laurelstep.accord import kept as keeping
+from laurelstep.accord import messages as m
+from laurelstep.accord.core import FAR, Core, Timing
+from laurelstep.accord.errors import BusyError, EntryError, KeptError, NotLeadingError
+from laurelstep.accord.leases import Leases
+from laurelstep.accord.log import CONFIG, DATA, Log, members_raw
+from laurelstep.accord.machines import Machines
+from laurelstep.accord.ports import DATAGRAM_MOST
+from laurelstep.accord.snapshots import Assembly, Snapshot
+from laurelstep.accord.terms import ENTRY_MOST, NOWHERE, PENDING_MOST, WORD_MOST, Era
+from laurelstep.testing.schedules import BrokenError, Made, Process, Tape, World
+from laurelstep.testing.schedules.script import QUICK, founded, settle
 from tests.once import once
-from woadyard.accord import kept as keeping
-from woadyard.accord import messages as m
-from woadyard.accord.core import FAR, Core, Timing
-from woadyard.accord.errors import BusyError, EntryError, KeptError, NotLeadingError
-from woadyard.accord.leases import Leases
-from woadyard.accord.log import CONFIG, DATA, Log, members_raw
-from woadyard.accord.machines import Machines
-from woadyard.accord.ports import DATAGRAM_MOST
-from woadyard.accord.snapshots import Assembly, Snapshot
-from woadyard.accord.terms import ENTRY_MOST, NOWHERE, PENDING_MOST, WORD_MOST, Era
-from woadyard.testing.schedules import BrokenError, Made, Process, Tape, World
-from woadyard.testing.schedules.script import QUICK, founded, settle
 
 pytestmark = once
 
--- a/tests/test_accord_schedules.py
+++ b/tests/test_accord_schedules.py
@@ -7,22 +7,22 @@
 
 import pytest
 
+from laurelstep.accord import core as real
+from laurelstep.accord.following import Following
+from laurelstep.accord.founding import Founding
+from laurelstep.accord.leading import Leading
+from laurelstep.accord.leases import Leases, _Grant
+from laurelstep.accord.log import Config, Log
+from laurelstep.accord.membership import Membership
+from laurelstep.accord.messages import Append, Here, Stand
+from laurelstep.accord.reading import Reading
+from laurelstep.accord.snapshots import Snapshot
+from laurelstep.accord.state import State
+from laurelstep.accord.terms import NOWHERE, Era
+from laurelstep.accord.voting import Voting
+from laurelstep.testing.schedules import BrokenError, Made, Process, Shape, World, play
+from laurelstep.testing.schedules.script import QUICK, founded, settle
 from tests.once import once
-from woadyard.accord import core as real
-from woadyard.accord.following import Following
-from woadyard.accord.founding import Founding
-from woadyard.accord.leading import Leading
-from woadyard.accord.leases import Leases, _Grant
-from woadyard.accord.log import Config, Log
-from woadyard.accord.membership import Membership
-from woadyard.accord.messages import Append, Here, Stand
-from woadyard.accord.reading import Reading
-from woadyard.accord.snapshots import Snapshot
-from woadyard.accord.state import State
-from woadyard.accord.terms import NOWHERE, Era
-from woadyard.accord.voting import Voting
-from woadyard.testing.schedules import BrokenError, Made, Process, Shape, World, play
-from woadyard.testing.schedules.script import QUICK, founded, settle
 
 pytestmark = once
 
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -18,13 +18,13 @@
 from starlette.routing import Mount, Route, WebSocketRoute
 from starlette.websockets import WebSocket
 
+from laurelstep.interface import CANCELLED
+from laurelstep.library import BalancerMiddleware, Client, ClientError, Member
+from laurelstep.library.asgi import Message, Receive, Scope, Send
+from laurelstep.library.client import Exchange, State
+from laurelstep.testing import Endpoint, after, read_message, request, serve, stall
 from tests.sockets import TIMEOUT_S, hosted, outcomes
 from tests.test_library import config, member, nothing_held
-from woadyard.interface import CANCELLED
-from woadyard.library import BalancerMiddleware, Client, ClientError, Member
-from woadyard.library.asgi import Message, Receive, Scope, Send
-from woadyard.library.client import Exchange, State
-from woadyard.testing import Endpoint, after, read_message, request, serve, stall
 
 
 async def app(scope: Scope, receive: Receive, send: Send) -> None:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -18,8 +18,7 @@
 
 import pytest
 
-from tests.helpers import MS, SECOND, Driver, fleet, started
-from woadyard.interface import (
+from laurelstep.interface import (
     FULL,
     GONE,
     LIST_DELTA,
@@ -37,7 +36,8 @@
     Settings,
     Timer,
 )
-from woadyard.policy import Balancer
+from laurelstep.policy import Balancer
+from tests.helpers import MS, SECOND, Driver, fleet, started
 
 VIEW = RequestClass(effect=SAFE, aim_us=SECOND, deadline_us=3 * SECOND)
 SETTINGS = Settings(
--- a/tests/test_cold_fleets.py
+++ b/tests/test_cold_fleets.py
@@ -18,9 +18,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from laurelstep.interface import NO_CONNECT, READY, TIMEOUT, Entry, Outcome, Send, Settings
+from laurelstep.policy import Balancer
 from tests.test_cold import SETTINGS, VIEW, WARM_UP, Case, Fleet, Server
-from woadyard.interface import NO_CONNECT, READY, TIMEOUT, Entry, Outcome, Send, Settings
-from woadyard.policy import Balancer
 
 SECOND = 1_000_000
 MS = 1_000
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -10,11 +10,11 @@
 import sys
 from pathlib import Path
 
+from laurelstep.testing import Endpoint, read_message, request
 from tests.sockets import connect_until_up, free_port, run
 from tests.test_settings import CLASS
-from woadyard.testing import Endpoint, read_message, request
 
-COMMAND = [sys.executable, "-m", "woadyard"]
+COMMAND = [sys.executable, "-m", "laurelstep"]
 CLEAN = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
 
 
@@ -69,10 +69,10 @@
 def test_the_plain_daemon_imports_no_library_of_what_is_off(tmp_path: Path) -> None:
     """Guards the 32 MB process: msgspec, rich and the library come when they are asked for."""
     code = (
-        "import sys, woadyard.__main__\n"
+        "import sys, laurelstep.__main__\n"
         "off = {'msgspec', 'rich', 'google_crc32c', 'uvicorn', 'starlette', 'argparse', 'tomllib',"
-        " 'logging.config', 'woadyard.store',"
-        " 'woadyard.library', 'woadyard.testing', 'woadyard.demo', 'woadyard.settings.operator'}\n"
+        " 'logging.config', 'laurelstep.store',"
+        " 'laurelstep.library', 'laurelstep.testing', 'laurelstep.demo', 'laurelstep.settings.operator'}\n"
         "print(sorted(off & set(sys.modules)))"
     )
     ended = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -18,11 +18,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from laurelstep import policy
+from laurelstep.interface import DRAINING, GONE, LIST_DELTA, LIST_FULL, LIST_PART, READY
 from tests.player import CONFIGS, play
 from tests.test_memory import compiled_modules
 from tests.test_rules import STEPS
-from woadyard import policy
-from woadyard.interface import DRAINING, GONE, LIST_DELTA, LIST_FULL, LIST_PART, READY
 
 ROOT = Path(__file__).parent.parent
 PLAIN = policy.__file__.endswith(".py")
@@ -102,7 +102,7 @@
         assert node.module is not None and node.level == 0, "the project imports by whole names"
         modules = [f"{node.module}.{one.name}" for one in node.names]
         # The package itself gives its names from compiled modules.
-        own = node.module != "woadyard" or any(file_of(one) is None for one in modules)
+        own = node.module != "laurelstep" or any(file_of(one) is None for one in modules)
         return [*modules, *([node.module] if own else [])]
     return []
 
@@ -125,14 +125,14 @@
                     if one not in found and (file := file_of(one)) is not None:
                         found.add(one)
                         left.append(file)
-                if module == "woadyard":
+                if module == "laurelstep":
                     found.add(module)
     return found
 
 
 def compiled(path: Path) -> set[str]:
     """Of what it uses, what an installation has compiled."""
-    names = {"woadyard", *(f"woadyard.{name}".replace("/", ".") for name in compiled_modules())}
+    names = {"laurelstep", *(f"laurelstep.{name}".replace("/", ".") for name in compiled_modules())}
     return used(path) & names
 
 
@@ -148,13 +148,13 @@
 @pytest.mark.parametrize(
     ("text", "expected"),
     [
-        ("import woadyard.policy", {"woadyard.policy"}),
-        ("from woadyard import Balancer", {"woadyard"}),
-        ("from woadyard import interface", {"woadyard.interface"}),
-        ("from woadyard.upkeep import roll", {"woadyard.engine.members"}),  # by what that imports
-        ("def late():\n    from woadyard.engine.members import PHASES", {"woadyard.engine.members"}),
-        ("from tests import fakes", {"woadyard.engine.call", "woadyard.interface"}),
-        ("from woadyard.accord import core", set()),
+        ("import laurelstep.policy", {"laurelstep.policy"}),
+        ("from laurelstep import Balancer", {"laurelstep"}),
+        ("from laurelstep import interface", {"laurelstep.interface"}),
+        ("from laurelstep.upkeep import roll", {"laurelstep.engine.members"}),  # by what that imports
+        ("def late():\n    from laurelstep.engine.members import PHASES", {"laurelstep.engine.members"}),
+        ("from tests import fakes", {"laurelstep.engine.call", "laurelstep.interface"}),
+        ("from laurelstep.accord import core", set()),
     ],
 )
 def test_what_is_compiled_is_seen_wherever_it_is_imported(
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -25,27 +25,26 @@
 import pytest
 import uvloop
 
-from tests.fakes import Due, ManualClock, PlayedUpstream, Sent
-from woadyard.accord.links.memory import LATENCY_US, MemoryLink, MemoryNetwork
-from woadyard.accord.links.sockets import SocketLink
-from woadyard.accord.links.udp import UdpLink
-from woadyard.accord.links.unix import UnixLink
-from woadyard.accord.ports import DATAGRAM_MOST, Link
-from woadyard.accord.ports import Store as RecordStore
-from woadyard.accord.stores.embedded import EmbeddedStore
-from woadyard.accord.stores.none import NoStore
-from woadyard.engine import Answer, Attempt, Call, Ending, LoopClock
-from woadyard.engine.given import GivenMembers
-from woadyard.engine.ports import Clock, MemberSink, MemberSource, Recorded, Recorder
-from woadyard.engine.ports import Upstream as UpstreamSide
-from woadyard.interface import ERROR, FULL, NO_CONNECT, OK, RESET
-from woadyard.net.discovery import Discovery
-from woadyard.net.upstream import Upstream
-from woadyard.orders import OrderClass, Orders
-from woadyard.orders.recorder import Hand, OrderRecorder
-from woadyard.store import FolderDisk, Options, Store, StoreError
-from woadyard.store.disk import Disk
-from woadyard.testing import (
+from laurelstep.accord.links.memory import LATENCY_US, MemoryLink, MemoryNetwork
+from laurelstep.accord.links.sockets import SocketLink
+from laurelstep.accord.links.udp import UdpLink
+from laurelstep.accord.links.unix import UnixLink
+from laurelstep.accord.ports import DATAGRAM_MOST, Link
+from laurelstep.accord.ports import Store as RecordStore
+from laurelstep.accord.stores.embedded import EmbeddedStore
+from laurelstep.accord.stores.none import NoStore
+from laurelstep.engine import Answer, Attempt, Call, Ending, LoopClock
+from laurelstep.engine.given import GivenMembers
+from laurelstep.engine.ports import Clock, MemberSink, MemberSource, Recorded, Recorder
+from laurelstep.engine.ports import Upstream as UpstreamSide
+from laurelstep.interface import ERROR, FULL, NO_CONNECT, OK, RESET
+from laurelstep.net.discovery import Discovery
+from laurelstep.net.upstream import Upstream
+from laurelstep.orders import OrderClass, Orders
+from laurelstep.orders.recorder import Hand, OrderRecorder
+from laurelstep.store import FolderDisk, Options, Store, StoreError
+from laurelstep.store.disk import Disk
+from laurelstep.testing import (
     Endpoint,
     Message,
     Reader,
@@ -56,22 +55,23 @@
     push,
     read_message,
 )
-from woadyard.testing.contracts.base import Contract, raises
-from woadyard.testing.contracts.clock import ClockContract, Running
-from woadyard.testing.contracts.disk import DiskContract
-from woadyard.testing.contracts.link import Joined, LinkContract, ReachableJoined, ReachableLinkContract
-from woadyard.testing.contracts.members import (
+from laurelstep.testing.contracts.base import Contract, raises
+from laurelstep.testing.contracts.clock import ClockContract, Running
+from laurelstep.testing.contracts.disk import DiskContract
+from laurelstep.testing.contracts.link import Joined, LinkContract, ReachableJoined, ReachableLinkContract
+from laurelstep.testing.contracts.members import (
     AskedSourceContract,
     Beyond,
     BreakableBeyond,
     Entries,
     MemberSourceContract,
 )
-from woadyard.testing.contracts.recorder import Life, RecorderContract
-from woadyard.testing.contracts.store import BreakableLives, LastingStoreContract, Lives, StoreContract
-from woadyard.testing.contracts.upstream import Stage, UpstreamContract, Way
-from woadyard.testing.disk import SimulatedDisk
-from woadyard.testing.endpoints import Listener, reset_connection
+from laurelstep.testing.contracts.recorder import Life, RecorderContract
+from laurelstep.testing.contracts.store import BreakableLives, LastingStoreContract, Lives, StoreContract
+from laurelstep.testing.contracts.upstream import Stage, UpstreamContract, Way
+from laurelstep.testing.disk import SimulatedDisk
+from laurelstep.testing.endpoints import Listener, reset_connection
+from tests.fakes import Due, ManualClock, PlayedUpstream, Sent
 
 ROOT = Path(__file__).parent.parent
 
@@ -127,11 +127,11 @@
 
 def test_the_contracts_do_not_import_pytest_nor_more_than_their_side() -> None:
     code = (
-        "import sys, woadyard.testing.contracts.clock as one, woadyard.testing.contracts.members\n"
-        "assert not {'pytest', 'google_crc32c', 'woadyard.store', 'woadyard.net'} & set(sys.modules)\n"
-        "import woadyard.testing.contracts.disk, woadyard.testing.contracts.upstream\n"
-        "import woadyard.testing.contracts.recorder, woadyard.testing.contracts.link\n"
-        "import woadyard.testing.contracts.store\n"
+        "import sys, laurelstep.testing.contracts.clock as one, laurelstep.testing.contracts.members\n"
+        "assert not {'pytest', 'google_crc32c', 'laurelstep.store', 'laurelstep.net'} & set(sys.modules)\n"
+        "import laurelstep.testing.contracts.disk, laurelstep.testing.contracts.upstream\n"
+        "import laurelstep.testing.contracts.recorder, laurelstep.testing.contracts.link\n"
+        "import laurelstep.testing.contracts.store\n"
         "assert not {'pytest', '_pytest'} & set(sys.modules)"
     )
     subprocess.run([sys.executable, "-c", code], check=True, cwd=ROOT)
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -18,6 +18,10 @@
 
 import pytest
 
+from laurelstep.handover.place import Place
+from laurelstep.handover.taker import take
+from laurelstep.interface import FULL, Action, Outcome, Send
+from laurelstep.net.server import Caller
 from tests.sockets import (
     Endpoint,
     Message,
@@ -39,10 +43,6 @@
     start,
 )
 from tests.upgrades import Site
-from woadyard.handover.place import Place
-from woadyard.handover.taker import take
-from woadyard.interface import FULL, Action, Outcome, Send
-from woadyard.net.server import Caller
 
 PAGE, PAY = request(), request("pay", b"body")
 LAST = request("page", rid="last", headers="Connection: close\r\n")
@@ -679,8 +679,8 @@
 # request is there. What its caller got is written down.
 AT_LISTEN = """
 import os, signal, socket, sys, threading
-from woadyard import daemon
-from woadyard.__main__ import main
+from laurelstep import daemon
+from laurelstep.__main__ import main
 
 moment, raw = sys.argv[1], sys.argv[2].encode()
 real, got, callers = daemon.Daemon._listen, [], []
--- a/tests/test_crossings_descriptors.py
+++ b/tests/test_crossings_descriptors.py
@@ -35,7 +35,7 @@
     """A daemon that the system itself holds to its descriptors."""
     code = (
         f"import resource, runpy; resource.setrlimit(resource.RLIMIT_NOFILE, ({most}, {most}));"
-        "runpy.run_module('woadyard', run_name='__main__')"
+        "runpy.run_module('laurelstep', run_name='__main__')"
     )
     environ = {**environ, "PYTHONPATH": os.getcwd()}
     return subprocess.Popen([sys.executable, "-c", code], env=environ, stderr=subprocess.PIPE)
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -16,14 +16,14 @@
 
 import pytest
 
+from laurelstep.engine.members import endpoint_number
+from laurelstep.net.discovery import LIST_PATH, Discovery
+from laurelstep.settings import read_platform
+from laurelstep.testing import Listener, Reader, Writer, push, push_raw, read_message
 from tests.test_contracts import Jumps, MadeLoop
 from tests.test_discovery import Sink, begin, entry, listing
 from tests.test_listing import Copy
 from tests.test_settings import file, platform
-from woadyard.engine.members import endpoint_number
-from woadyard.net.discovery import LIST_PATH, Discovery
-from woadyard.settings import read_platform
-from woadyard.testing import Listener, Reader, Writer, push, push_raw, read_message
 
 # What discovery has to tell counts as told this long after a silence began, or a fault ended, s.
 TOLD_S = 6.0
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -19,6 +19,13 @@
 import pytest
 from hypothesis import given
 
+from laurelstep.engine import Attempt, Call, Clock, Engine
+from laurelstep.engine.clock import Timer
+from laurelstep.engine.given import GivenMembers
+from laurelstep.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET, TIMEOUT, Action, Outcome
+from laurelstep.net.upstream import SETTLE_US, SPARE
+from laurelstep.settings import config_from
+from laurelstep.testing import after, reset, serve, stall
 from tests.fakes import Answers, ManualClock, PlayedUpstream, entry
 from tests.sockets import (
     SETTINGS,
@@ -35,13 +42,6 @@
     run,
     sidecar,
 )
-from woadyard.engine import Attempt, Call, Clock, Engine
-from woadyard.engine.clock import Timer
-from woadyard.engine.given import GivenMembers
-from woadyard.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET, TIMEOUT, Action, Outcome
-from woadyard.net.upstream import SETTLE_US, SPARE
-from woadyard.settings import config_from
-from woadyard.testing import after, reset, serve, stall
 
 pytestmark = pytest.mark.parametrize("front", ["daemon", "library"], indirect=True)
 
--- a/tests/test_crossings_module.py
+++ b/tests/test_crossings_module.py
@@ -13,9 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.conftest import plain_only
-from tests.helpers import SETTINGS, Driver, fleet, sends, started
-from woadyard.interface import (
+from laurelstep.interface import (
     CANCELLED,
     DRAINING,
     ERROR,
@@ -55,7 +53,9 @@
     Timer,
     Watch,
 )
-from woadyard.policy import Balancer
+from laurelstep.policy import Balancer
+from tests.conftest import plain_only
+from tests.helpers import SETTINGS, Driver, fleet, sends, started
 
 MS = 1_000
 SECOND = 1_000_000
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -17,7 +17,7 @@
 # longer imports, when it has read nothing, or once it has read its configuration.
 HELD = """
 import runpy, sys
-import woadyard.settings.platform as platform
+import laurelstep.settings.platform as platform
 
 def wait():
     print(".", flush=True)
@@ -25,7 +25,7 @@
 
 class Finder:
     def find_spec(self, name, path=None, target=None):
-        if name == "woadyard.daemon":
+        if name == "laurelstep.daemon":
             wait()
 
 def load_json(path):
@@ -39,7 +39,7 @@
     sys.meta_path.insert(0, Finder())
 else:
     platform.load_json = load_json
-runpy.run_module("woadyard", run_name="__main__")
+runpy.run_module("laurelstep", run_name="__main__")
 """
 
 
--- a/tests/test_crossings_settings.py
+++ b/tests/test_crossings_settings.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from laurelstep.settings import ConfigError, config_from
 from tests.sockets import SETTINGS
-from woadyard.settings import ConfigError, config_from
 
 FIRST = SETTINGS["classes"][0]
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -14,8 +14,8 @@
 def test_node_and_policy_list_every_module_that_run_imports() -> None:
     """Guards against code of the sidecar that nobody counts as such."""
     code = (
-        "import sys, woadyard.__main__ as main\n"
-        "print(*(name for name in sys.modules if name.split('.')[0] == 'woadyard'))"
+        "import sys, laurelstep.__main__ as main\n"
+        "print(*(name for name in sys.modules if name.split('.')[0] == 'laurelstep'))"
     )
     told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True, cwd=ROOT)
     listed = [ROOT / path for path in (*DEPLOY["node"], *DEPLOY["policy"])]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,13 +13,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from laurelstep.net import discovery as module
+from laurelstep.net.discovery import LIST_PATH, Discovery
+from laurelstep.net.message import log
+from laurelstep.net.objects import SCAN, Objects
+from laurelstep.testing import Listener, Reader, Writer, push, push_raw, read_message
 from tests.conftest import Logged
 from tests.sockets import run
-from woadyard.net import discovery as module
-from woadyard.net.discovery import LIST_PATH, Discovery
-from woadyard.net.message import log
-from woadyard.net.objects import SCAN, Objects
-from woadyard.testing import Listener, Reader, Writer, push, push_raw, read_message
 
 MOST = 1 << 20
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-import woadyard
-from woadyard.errors import LaurelstepError
-from woadyard.library import ClientError, RequestError
-from woadyard.net.errors import BadRequestError
-from woadyard.store import StoreError, StoreUnavailableError
+import laurelstep
+from laurelstep.errors import LaurelstepError
+from laurelstep.library import ClientError, RequestError
+from laurelstep.net.errors import BadRequestError
+from laurelstep.store import StoreError, StoreUnavailableError
 
 PAGE = Path(__file__).parent.parent / "docs" / "operators" / "errors.md"
 ROW = re.compile(r"^\| `(\w+)` \| (.*?) \| (.*?) \|$", re.MULTILINE)
@@ -29,9 +29,9 @@
 
 def ours(kind: Kind) -> set[Kind]:
     """The types below this one that the program defines, after all of it was imported."""
-    for module in pkgutil.walk_packages(woadyard.__path__, "woadyard."):
+    for module in pkgutil.walk_packages(laurelstep.__path__, "laurelstep."):
         importlib.import_module(module.name)
-    return {one for one in below(kind) if one.__module__.split(".")[0] == "woadyard"}
+    return {one for one in below(kind) if one.__module__.split(".")[0] == "laurelstep"}
 
 
 def problems(kind: Kind) -> list[str]:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,6 +15,27 @@
 
 import pytest
 
+from laurelstep.daemon import arrive, check_free
+from laurelstep.handover import giver, taker
+from laurelstep.handover.giver import Giver
+from laurelstep.handover.messages import (
+    HEAD_MAX,
+    HELLO,
+    READY,
+    STATE_MAX,
+    HandoverError,
+    head,
+    is_hello,
+    pack,
+    size_in,
+    unpack,
+)
+from laurelstep.handover.place import Place
+from laurelstep.handover.stages import HALF, Handover, Stage
+from laurelstep.handover.state import with_state
+from laurelstep.handover.taker import take
+from laurelstep.settings import config_from
+from laurelstep.testing import Effects, push
 from tests.sockets import (
     SETTINGS,
     TIMEOUT_S,
@@ -30,27 +51,6 @@
     start,
 )
 from tests.upgrades import Load, Site, Version, kill
-from woadyard.daemon import arrive, check_free
-from woadyard.handover import giver, taker
-from woadyard.handover.giver import Giver
-from woadyard.handover.messages import (
-    HEAD_MAX,
-    HELLO,
-    READY,
-    STATE_MAX,
-    HandoverError,
-    head,
-    is_hello,
-    pack,
-    size_in,
-    unpack,
-)
-from woadyard.handover.place import Place
-from woadyard.handover.stages import HALF, Handover, Stage
-from woadyard.handover.state import with_state
-from woadyard.handover.taker import take
-from woadyard.settings import config_from
-from woadyard.testing import Effects, push
 
 # --- What is said -----------------------------------------------------------------------
 
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -14,18 +14,18 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
+from laurelstep.engine import Call, Ending, Engine
+from laurelstep.engine.flow import Flow
+from laurelstep.engine.given import GivenMembers
+from laurelstep.interface import ERROR, FULL, KEYED, OK, RESET, UNSAFE
+from laurelstep.library import Client, Member, Reply, Request
+from laurelstep.library.client import State
+from laurelstep.settings import config_from
+from laurelstep.testing import Effects, Endpoint, Message, Writer, answer
+from laurelstep.testing.endpoints import reset_connection
 from tests.fakes import Answers, ManualClock, PlayedUpstream, entry, number
 from tests.sockets import SETTINGS, TIMEOUT_S
 from tests.test_library import member, nothing_held
-from woadyard.engine import Call, Ending, Engine
-from woadyard.engine.flow import Flow
-from woadyard.engine.given import GivenMembers
-from woadyard.interface import ERROR, FULL, KEYED, OK, RESET, UNSAFE
-from woadyard.library import Client, Member, Reply, Request
-from woadyard.library.client import State
-from woadyard.settings import config_from
-from woadyard.testing import Effects, Endpoint, Message, Writer, answer
-from woadyard.testing.endpoints import reset_connection
 
 GRACE_US = 500_000
 NAMES = [f"s-{n}" for n in range(4)]
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -13,12 +13,11 @@
 import pytest
 import uvloop
 
-from tests.sockets import SETTINGS, TIMEOUT_S, outcomes, overrule
-from woadyard.engine import endpoint_number
-from woadyard.interface import CANCELLED, MOOT, OK, Action
-from woadyard.library import Client, ClientError, ConfigError, Ending, Member, Reply, Request, RequestError
-from woadyard.library.client import Exchange, State
-from woadyard.testing import (
+from laurelstep.engine import endpoint_number
+from laurelstep.interface import CANCELLED, MOOT, OK, Action
+from laurelstep.library import Client, ClientError, ConfigError, Ending, Member, Reply, Request, RequestError
+from laurelstep.library.client import Exchange, State
+from laurelstep.testing import (
     Effects,
     Endpoint,
     Message,
@@ -35,6 +34,7 @@
     status,
     whole_list,
 )
+from tests.sockets import SETTINGS, TIMEOUT_S, outcomes, overrule
 
 VIEW = Request("page", "/page?obj=7f", tenant="acme")
 PAY = Request("pay", "/pay", method="POST", body=b"sum")
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from woadyard.lifecycle import Lifecycle, Phase
-from woadyard.lifecycle.phases import REST_S
+from laurelstep.lifecycle import Lifecycle, Phase
+from laurelstep.lifecycle.phases import REST_S
 
 WAYS = {
     Phase.STARTING: (),
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -13,20 +13,20 @@
 
 import pytest
 
+from laurelstep.accord.errors import LinkError
+from laurelstep.accord.links.memory import LATENCY_US, Faulty, MemoryNetwork
+from laurelstep.accord.links.sockets import TURN_MOST, SocketLink
+from laurelstep.accord.links.udp import UdpLink
+from laurelstep.accord.links.unix import UnixLink
+from laurelstep.accord.ports import DATAGRAM_MOST, Link
+from laurelstep.accord.stores.embedded import BATCH_BYTES, EmbeddedStore
+from laurelstep.accord.stores.none import NoStore
+from laurelstep.store import StoreError
+from laurelstep.store.manifest import segment_name
+from laurelstep.testing import free_udp_port
+from laurelstep.testing.disk import SimulatedDisk
 from tests.fakes import ManualClock
 from tests.sockets import TIMEOUT_S, run
-from woadyard.accord.errors import LinkError
-from woadyard.accord.links.memory import LATENCY_US, Faulty, MemoryNetwork
-from woadyard.accord.links.sockets import TURN_MOST, SocketLink
-from woadyard.accord.links.udp import UdpLink
-from woadyard.accord.links.unix import UnixLink
-from woadyard.accord.ports import DATAGRAM_MOST, Link
-from woadyard.accord.stores.embedded import BATCH_BYTES, EmbeddedStore
-from woadyard.accord.stores.none import NoStore
-from woadyard.store import StoreError
-from woadyard.store.manifest import segment_name
-from woadyard.testing import free_udp_port
-from woadyard.testing.disk import SimulatedDisk
 
 
 class Heard:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -13,6 +13,13 @@
 
 import pytest
 
+from laurelstep.interface import ERROR, LIST_FULL, Arrival, Outcome
+from laurelstep.lifecycle import Phase
+from laurelstep.management.calls import reply_to
+from laurelstep.management.server import CALL_MAX, CALLS_MOST, Management, Visitor
+from laurelstep.management.telemetry import escaped, figures
+from laurelstep.policy import Balancer
+from laurelstep.settings import ConfigError, config_from, read_platform
 from tests.helpers import MS, SECOND, fleet, sends
 from tests.sockets import (
     SETTINGS,
@@ -34,13 +41,6 @@
     sidecar,
     start,
 )
-from woadyard.interface import ERROR, LIST_FULL, Arrival, Outcome
-from woadyard.lifecycle import Phase
-from woadyard.management.calls import reply_to
-from woadyard.management.server import CALL_MAX, CALLS_MOST, Management, Visitor
-from woadyard.management.telemetry import escaped, figures
-from woadyard.policy import Balancer
-from woadyard.settings import ConfigError, config_from, read_platform
 
 HEALTH = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -13,6 +13,8 @@
 
 import pytest
 
+from laurelstep.testing import Caller
+from laurelstep.testing.endpoints import reset_connection
 from tests.sockets import (
     Endpoint,
     Handler,
@@ -24,8 +26,6 @@
     run,
     sidecar,
 )
-from woadyard.testing import Caller
-from woadyard.testing.endpoints import reset_connection
 
 ROOT = Path(__file__).parent.parent
 
@@ -112,7 +112,7 @@
 @pytest.mark.parametrize("name", compiled_modules())
 def test_compiled_modules_define_no_errors_with_attributes(name: str) -> None:
     """mypyc 1.18 never frees the dictionary that holds them."""
-    tree = ast.parse((ROOT / f"woadyard/{name}.py").read_text())
+    tree = ast.parse((ROOT / f"laurelstep/{name}.py").read_text())
     found = [
         node.name
         for node in ast.walk(tree)
@@ -126,7 +126,7 @@
 @pytest.mark.parametrize("name", compiled_modules())
 def test_compiled_modules_do_not_add_bytes(name: str) -> None:
     """mypyc 1.18 never frees the left one of two `bytes` that are added (`CPyBytes_Concat`)."""
-    tree = ast.parse((ROOT / f"woadyard/{name}.py").read_text())
+    tree = ast.parse((ROOT / f"laurelstep/{name}.py").read_text())
     found = [
         node.lineno
         for node in ast.walk(tree)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -15,28 +15,28 @@
 
 import pytest
 
+from laurelstep.accord import messages
+from laurelstep.accord.core import Core
+from laurelstep.accord.errors import BusyError, EntryError, KeptError, LinkError, NotLeadingError
+from laurelstep.accord.links.memory import LATENCY_US, MemoryLink, MemoryNetwork
+from laurelstep.accord.links.udp import UdpLink
+from laurelstep.accord.node import LEAST_US, RETRY_US, WAITING_MOST, Node, Stage, node_of, nothing
+from laurelstep.accord.options import AccordSettings
+from laurelstep.accord.ports import Link, Store
+from laurelstep.accord.stores.embedded import EmbeddedStore
+from laurelstep.accord.stores.none import NoStore
+from laurelstep.accord.terms import NOWHERE, PENDING_MOST, Effects, Era
+from laurelstep.engine.clock import LoopClock
+from laurelstep.handover.place import Place
+from laurelstep.handover.state import KEPT_MOST, kept_in, state_of_accord
+from laurelstep.handover.taker import Taken, take
+from laurelstep.store import StoreError
+from laurelstep.store.manifest import MANIFEST
+from laurelstep.testing.disk import SimulatedDisk
 from tests.fakes import ManualClock
 from tests.sockets import SETTINGS, TIMEOUT_S, Endpoint, request, run
 from tests.test_links import Heard, free_ports
 from tests.upgrades import Site, Version, kill
-from woadyard.accord import messages
-from woadyard.accord.core import Core
-from woadyard.accord.errors import BusyError, EntryError, KeptError, LinkError, NotLeadingError
-from woadyard.accord.links.memory import LATENCY_US, MemoryLink, MemoryNetwork
-from woadyard.accord.links.udp import UdpLink
-from woadyard.accord.node import LEAST_US, RETRY_US, WAITING_MOST, Node, Stage, node_of, nothing
-from woadyard.accord.options import AccordSettings
-from woadyard.accord.ports import Link, Store
-from woadyard.accord.stores.embedded import EmbeddedStore
-from woadyard.accord.stores.none import NoStore
-from woadyard.accord.terms import NOWHERE, PENDING_MOST, Effects, Era
-from woadyard.engine.clock import LoopClock
-from woadyard.handover.place import Place
-from woadyard.handover.state import KEPT_MOST, kept_in, state_of_accord
-from woadyard.handover.taker import Taken, take
-from woadyard.store import StoreError
-from woadyard.store.manifest import MANIFEST
-from woadyard.testing.disk import SimulatedDisk
 
 
 class Blank:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -15,25 +15,22 @@
 
 import pytest
 
-from tests.sockets import SETTINGS, free_port
-from tests.test_library import member, nothing_held
-from tests.test_settings import file, platform
-from woadyard.engine import Answer, Call, Ending
-from woadyard.library import Client, ConfigError, Reply, Request
-from woadyard.orders import OrderClass, Orders
-from woadyard.orders.book import (
+from laurelstep.engine import Answer, Call, Ending
+from laurelstep.library import Client, ConfigError, Reply, Request
+from laurelstep.orders import OrderClass, Orders
+from laurelstep.orders.book import (
     answer_of,
     digest_of,
     encode_answer,
     encode_intent,
     order_name,
 )
-from woadyard.orders.recorder import OrderRecorder
-from woadyard.settings import config_from, read_file
-from woadyard.settings.operator import read_operator
-from woadyard.store import FolderDisk, Options, Store
-from woadyard.store.disk import Disk
-from woadyard.testing import (
+from laurelstep.orders.recorder import OrderRecorder
+from laurelstep.settings import config_from, read_file
+from laurelstep.settings.operator import read_operator
+from laurelstep.store import FolderDisk, Options, Store
+from laurelstep.store.disk import Disk
+from laurelstep.testing import (
     Caller,
     Effects,
     Endpoint,
@@ -46,6 +43,9 @@
     stall,
     whole_list,
 )
+from tests.sockets import SETTINGS, free_port
+from tests.test_library import member, nothing_held
+from tests.test_settings import file, platform
 
 ORDER = OrderClass(header=b"x-order-id", keep_ms=60_000)
 
@@ -238,7 +238,7 @@
 @pytest.mark.parametrize("unavailable", ["fail", "pass"])
 def test_an_order_that_can_not_be_recorded(tmp_path: Path, unavailable: str) -> None:
     async def main() -> None:
-        from woadyard.testing.disk import SimulatedDisk
+        from laurelstep.testing.disk import SimulatedDisk
 
         disk = SimulatedDisk()
         async with Endpoint() as endpoint, contextlib.AsyncExitStack() as stack:
@@ -256,7 +256,7 @@
 
 def test_an_answer_that_can_not_be_recorded_is_not_told_as_served(tmp_path: Path) -> None:
     async def main() -> None:
-        from woadyard.testing.disk import SimulatedDisk
+        from laurelstep.testing.disk import SimulatedDisk
 
         disk = SimulatedDisk()
         gate = asyncio.Event()
@@ -388,7 +388,7 @@
                 return
 
     async def start(self, environ: dict[str, str]) -> asyncio.subprocess.Process:
-        process = await asyncio.create_subprocess_exec(sys.executable, "-m", "woadyard", env=environ)
+        process = await asyncio.create_subprocess_exec(sys.executable, "-m", "laurelstep", env=environ)
         while process.returncode is None:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 async with Caller("127.0.0.1", self.port) as caller:
--- a/tests/test_outbox.py
+++ b/tests/test_outbox.py
@@ -10,13 +10,12 @@
 
 import pytest
 
-from tests.once import once
-from woadyard.outbox.ages import Ages
-from woadyard.outbox.aside import Aside
-from woadyard.outbox.causes import CAUSES_MOST, TOKEN_MOST, Cause, Fate, Tokens, merge
-from woadyard.outbox.cutoff import CutOff, CutOffRule
-from woadyard.outbox.dots import Dot, Line, check_edge, read_dot
-from woadyard.outbox.errors import (
+from laurelstep.outbox.ages import Ages
+from laurelstep.outbox.aside import Aside
+from laurelstep.outbox.causes import CAUSES_MOST, TOKEN_MOST, Cause, Fate, Tokens, merge
+from laurelstep.outbox.cutoff import CutOff, CutOffRule
+from laurelstep.outbox.dots import Dot, Line, check_edge, read_dot
+from laurelstep.outbox.errors import (
     CycleError,
     FullError,
     FutureError,
@@ -28,8 +27,8 @@
     UnknownWriteError,
     VerdictError,
 )
-from woadyard.outbox.graph import Graph
-from woadyard.outbox.journal import (
+from laurelstep.outbox.graph import Graph
+from laurelstep.outbox.journal import (
     TABLE,
     Event,
     KeptWrite,
@@ -42,10 +41,11 @@
     encode,
     follow,
 )
-from woadyard.outbox.outbox import Bounds, Change, End, KeptClass, Offer, Outbox
-from woadyard.outbox.receipts import REASONS, Receipt, show
-from woadyard.outbox.replay import Pace, Turns
-from woadyard.outbox.rows import Numbers, Places, short
+from laurelstep.outbox.outbox import Bounds, Change, End, KeptClass, Offer, Outbox
+from laurelstep.outbox.receipts import REASONS, Receipt, show
+from laurelstep.outbox.replay import Pace, Turns
+from laurelstep.outbox.rows import Numbers, Places, short
+from tests.once import once
 
 pytestmark = once
 
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -17,27 +17,27 @@
 
 import pytest
 
+from laurelstep.engine.flow import Flow
+from laurelstep.interface import NO_CONNECT
+from laurelstep.net.assembly import Assembly
+from laurelstep.net.message import LARGE_MAX
+from laurelstep.net.server import Server
+from laurelstep.outbox import bodies
+from laurelstep.outbox import driver as driving
+from laurelstep.outbox.bodies import HELD_EACH, WHOLE_MOST, Bodies, Body, Playback
+from laurelstep.outbox.dots import Dot
+from laurelstep.outbox.driver import OutboxDriver
+from laurelstep.outbox.journal import State
+from laurelstep.outbox.options import CHUNK, KeptClass, OutboxSettings
+from laurelstep.outbox.store import KeptStore
+from laurelstep.settings import config_from
+from laurelstep.stream.pace import HOLD_EACH
+from laurelstep.testing import after, answer, serve, whole_list
+from laurelstep.testing.contracts.outbox import made
+from laurelstep.testing.disk import SimulatedDisk
+from laurelstep.testing.endpoints import Listener
 from tests.sockets import SETTINGS, TIMEOUT_S, Endpoint, Message, Reader, Writer, read_message, run
 from tests.test_outbox_daemon import edge as process
-from woadyard.engine.flow import Flow
-from woadyard.interface import NO_CONNECT
-from woadyard.net.assembly import Assembly
-from woadyard.net.message import LARGE_MAX
-from woadyard.net.server import Server
-from woadyard.outbox import bodies
-from woadyard.outbox import driver as driving
-from woadyard.outbox.bodies import HELD_EACH, WHOLE_MOST, Bodies, Body, Playback
-from woadyard.outbox.dots import Dot
-from woadyard.outbox.driver import OutboxDriver
-from woadyard.outbox.journal import State
-from woadyard.outbox.options import CHUNK, KeptClass, OutboxSettings
-from woadyard.outbox.store import KeptStore
-from woadyard.settings import config_from
-from woadyard.stream.pace import HOLD_EACH
-from woadyard.testing import after, answer, serve, whole_list
-from woadyard.testing.contracts.outbox import made
-from woadyard.testing.disk import SimulatedDisk
-from woadyard.testing.endpoints import Listener
 
 NO_SPACE = OSError(errno.ENOSPC, "No space left on device")
 # What one read of a socket brings at most.
--- a/tests/test_outbox_daemon.py
+++ b/tests/test_outbox_daemon.py
@@ -16,6 +16,9 @@
 
 import pytest
 
+from laurelstep.__main__ import main as command
+from laurelstep.testing import after, in_turn, reset, serve, stall, whole_list
+from laurelstep.testing.processes.files import empty_disk, fill_disk
 from tests.sockets import (
     SETTINGS,
     TIMEOUT_S,
@@ -29,9 +32,6 @@
     run,
     start,
 )
-from woadyard.__main__ import main as command
-from woadyard.testing import after, in_turn, reset, serve, stall, whole_list
-from woadyard.testing.processes.files import empty_disk, fill_disk
 
 TABLE = """
 [outbox]
@@ -449,7 +449,7 @@
 
 
 def test_nothing_of_it_is_imported_where_it_is_off() -> None:
-    words = "import sys, woadyard.__main__; print(*[name for name in sys.modules if 'outbox' in name])"
+    words = "import sys, laurelstep.__main__; print(*[name for name in sys.modules if 'outbox' in name])"
     told = subprocess.run([sys.executable, "-c", words], check=True, capture_output=True, text=True).stdout
     assert told.split() == []
 
--- a/tests/test_outbox_driver.py
+++ b/tests/test_outbox_driver.py
@@ -5,10 +5,10 @@
 import asyncio
 from pathlib import Path
 
-from woadyard.outbox.driver import OutboxDriver
-from woadyard.outbox.journal import Event, Moved, Reason, State
-from woadyard.outbox.options import KeptClass, OutboxSettings
-from woadyard.outbox.terms import Offer
+from laurelstep.outbox.driver import OutboxDriver
+from laurelstep.outbox.journal import Event, Moved, Reason, State
+from laurelstep.outbox.options import KeptClass, OutboxSettings
+from laurelstep.outbox.terms import Offer
 
 SECOND = 1_000_000
 
--- a/tests/test_outbox_processes.py
+++ b/tests/test_outbox_processes.py
@@ -1,5 +1,5 @@
 """Writes kept by edges and brought upstream, in real processes under faults. Servers count what took
-effect, in which order; the checker's rules are at the head of `woadyard.testing.processes.kept`.
+effect, in which order; the checker's rules are at the head of `laurelstep.testing.processes.kept`.
 
 Where a replay must still be out at a fault, a server holds its answer: what a test brings about then comes
 between the effect and the answer however slow the machine is."""
@@ -12,9 +12,8 @@
 
 import pytest
 
-from tests.outboxing import Chain, Client, Node, play
-from woadyard.testing.processes import until
-from woadyard.testing.processes.kept import (
+from laurelstep.testing.processes import until
+from laurelstep.testing.processes.kept import (
     ANOTHER_KEY,
     DONE_NOT_RUN,
     GIVEN_UP_AND_RUN,
@@ -35,6 +34,7 @@
     Wrote,
     check_kept,
 )
+from tests.outboxing import Chain, Client, Node, play
 
 # --- The checker ----------------------------------------------------------------------------
 
--- a/tests/test_outbox_schedules.py
+++ b/tests/test_outbox_schedules.py
@@ -13,11 +13,10 @@
 
 import pytest
 
-from tests.once import once
-from woadyard.outbox.causes import Cause, Causes, Fate, Tokens
-from woadyard.outbox.dots import Dot, Line
-from woadyard.outbox.errors import FullError, StepError, UnknownWriteError, VerdictError
-from woadyard.outbox.journal import (
+from laurelstep.outbox.causes import Cause, Causes, Fate, Tokens
+from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.errors import FullError, StepError, UnknownWriteError, VerdictError
+from laurelstep.outbox.journal import (
     FINAL,
     Event,
     KeptWrite,
@@ -29,9 +28,10 @@
     decode_moved,
     encode,
 )
-from woadyard.outbox.outbox import Bounds, Change, End, KeptClass, Offer, Outbox
-from woadyard.outbox.rows import BUSY, CLOSED, DURABLE, ORPHAN
-from woadyard.outbox.waiting import NUMBERS
+from laurelstep.outbox.outbox import Bounds, Change, End, KeptClass, Offer, Outbox
+from laurelstep.outbox.rows import BUSY, CLOSED, DURABLE, ORPHAN
+from laurelstep.outbox.waiting import NUMBERS
+from tests.once import once
 
 pytestmark = once
 
--- a/tests/test_outbox_store.py
+++ b/tests/test_outbox_store.py
@@ -13,12 +13,12 @@
 
 import pytest
 
+from laurelstep.outbox.journal import KeptWrite, Moved, State
+from laurelstep.outbox.store import FailedToKeepError, KeptStore, key_of
+from laurelstep.store import Disk, FolderDisk, StoreError
+from laurelstep.testing.contracts.outbox import Lives, WriteStoreContract, made
+from laurelstep.testing.disk import SimulatedDisk
 from tests.once import once
-from woadyard.outbox.journal import KeptWrite, Moved, State
-from woadyard.outbox.store import FailedToKeepError, KeptStore, key_of
-from woadyard.store import Disk, FolderDisk, StoreError
-from woadyard.testing.contracts.outbox import Lives, WriteStoreContract, made
-from woadyard.testing.disk import SimulatedDisk
 
 pytestmark = once
 
@@ -214,7 +214,7 @@
         await store.keep(*made(1, 100_000))
         await store.move(Moved(made(1, 0)[0].dot, State.DONE))
         await store.close()  # before its body went
-        monkeypatch.setattr("woadyard.outbox.store.END_S", 0.0)
+        monkeypatch.setattr("laurelstep.outbox.store.END_S", 0.0)
         again = await KeptStore.open(disk, MOST)
         await again.load()
         if again._ending is not None:
@@ -229,7 +229,7 @@
 
 
 def test_a_body_that_could_not_be_read_as_it_was_to_go_goes_later(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("woadyard.outbox.store.END_S", 0.0)
+    monkeypatch.setattr("laurelstep.outbox.store.END_S", 0.0)
 
     async def main() -> None:
         disk = SimulatedDisk()
@@ -259,7 +259,7 @@
 
 
 def test_a_write_forgotten_while_its_body_goes_does_not_come_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("woadyard.outbox.store.END_S", 0.0)
+    monkeypatch.setattr("laurelstep.outbox.store.END_S", 0.0)
 
     async def main(turns: int) -> None:
         disk = SimulatedDisk()
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -7,8 +7,7 @@
 
 import pytest
 
-from tests.helpers import MS, PAGE, SECOND, SETTINGS, Driver, fleet, sends, started
-from woadyard.interface import (
+from laurelstep.interface import (
     DRAINING,
     FULL,
     GONE,
@@ -33,7 +32,8 @@
     RequestClass,
     Timer,
 )
-from woadyard.policy import Balancer
+from laurelstep.policy import Balancer
+from tests.helpers import MS, PAGE, SECOND, SETTINGS, Driver, fleet, sends, started
 
 PATIENT = RequestClass(effect=SAFE, aim_us=2_500 * MS, deadline_us=6 * SECOND)
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -21,9 +21,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.sockets import Endpoint, run
-from woadyard.testing import Caller, free_port, request
-from woadyard.testing.processes import (
+from laurelstep.testing import Caller, free_port, request
+from laurelstep.testing.processes import (
     Answered,
     Asked,
     Broken,
@@ -49,9 +48,9 @@
     toml,
     until,
 )
-from woadyard.testing.processes.faults import HELD_MOST
-from woadyard.testing.processes.files import empty_disk, fill_disk
-from woadyard.testing.processes.history import (
+from laurelstep.testing.processes.faults import HELD_MOST
+from laurelstep.testing.processes.files import empty_disk, fill_disk
+from laurelstep.testing.processes.history import (
     ANSWERED_TWICE,
     DRAIN_BROKEN,
     ENDED_UNASKED,
@@ -60,9 +59,10 @@
     SENT_AFTER_CLEAR,
     UNANSWERED,
 )
-from woadyard.testing.processes.launch import make_clock, step_clock
-from woadyard.testing.processes.relays import DATAGRAM_MOST
-from woadyard.testing.processes.tier import SETTINGS
+from laurelstep.testing.processes.launch import make_clock, step_clock
+from laurelstep.testing.processes.relays import DATAGRAM_MOST
+from laurelstep.testing.processes.tier import SETTINGS
+from tests.sockets import Endpoint, run
 
 TEST_S = 300.0  # for a test that hangs; nothing is measured by it
 
@@ -214,7 +214,7 @@
 
 def test_a_wall_clock_steps_and_the_monotonic_one_does_not(tmp_path: Path) -> None:
     script = (
-        "import sys, time\nfrom woadyard.testing.processes.launch import shift\nshift(sys.argv[1])\n"
+        "import sys, time\nfrom laurelstep.testing.processes.launch import shift\nshift(sys.argv[1])\n"
         "for _ in sys.stdin:\n"
         "    print(time.time_ns() // 10**9, int(time.time()), time.monotonic_ns(), flush=True)"
     )
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -6,6 +6,7 @@
 import signal
 from pathlib import Path
 
+from laurelstep.testing import Reader, Writer
 from tests.sockets import (
     Endpoint,
     Registry,
@@ -17,7 +18,6 @@
     run,
     start,
 )
-from woadyard.testing import Reader, Writer
 
 RESTARTS, CALLERS = 20, 5
 
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -7,9 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.sockets import Endpoint, Reader, Sidecar, Writer, answer, read_message, request, run, sidecar
-from tests.sockets import hold as hold_back
-from woadyard.room.descriptors import (
+from laurelstep.room.descriptors import (
     APART,
     ENDED,
     MANAGEMENT,
@@ -20,8 +18,10 @@
     giving_way,
     side_share,
 )
-from woadyard.stream.pace import FREE
-from woadyard.testing import Caller
+from laurelstep.stream.pace import FREE
+from laurelstep.testing import Caller
+from tests.sockets import Endpoint, Reader, Sidecar, Writer, answer, read_message, request, run, sidecar
+from tests.sockets import hold as hold_back
 
 PAGE = request()
 HALF = PAGE.replace(b"\r\n\r\n", b"\r\nX-Extras: " + b"x" * 20_000)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,8 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.conftest import plain_only
-from woadyard.interface import (
+from laurelstep.interface import (
     CANCELLED,
     DRAINING,
     ERROR,
@@ -48,7 +47,8 @@
     Settings,
     Timer,
 )
-from woadyard.policy import Balancer
+from laurelstep.policy import Balancer
+from tests.conftest import plain_only
 
 MS = 1_000
 SECOND = 1_000_000
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -14,6 +14,12 @@
 
 import pytest
 
+from laurelstep.engine import Answer, Attempt, Call, Clock
+from laurelstep.interface import CANCELLED, ERROR, FULL, OK
+from laurelstep.library.client import Exchange
+from laurelstep.net.server import LINGER_MOST, Caller
+from laurelstep.net.upstream import SPARE, Link
+from laurelstep.policy import HELD_MIN
 from tests.sockets import (
     Endpoint,
     Handler,
@@ -37,12 +43,6 @@
     sidecar,
     start,
 )
-from woadyard.engine import Answer, Attempt, Call, Clock
-from woadyard.interface import CANCELLED, ERROR, FULL, OK
-from woadyard.library.client import Exchange
-from woadyard.net.server import LINGER_MOST, Caller
-from woadyard.net.upstream import SPARE, Link
-from woadyard.policy import HELD_MIN
 
 PAGE, PUT, PAY = request(), request("put", b"b"), request("pay", b"b")
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,14 +10,14 @@
 
 import pytest
 
+from laurelstep.__main__ import main, read_config
+from laurelstep.accord.options import AccordSettings, seats_for
+from laurelstep.interface import KEYED, SAFE, SCOPE_CELL, UNSAFE
+from laurelstep.library import Client
+from laurelstep.settings import ConfigError, read_file, read_platform
+from laurelstep.settings.operator import AccordTable, Operator, read_operator
+from laurelstep.upkeep.options import UpkeepSettings
 from tests.sockets import SETTINGS
-from woadyard.__main__ import main, read_config
-from woadyard.accord.options import AccordSettings, seats_for
-from woadyard.interface import KEYED, SAFE, SCOPE_CELL, UNSAFE
-from woadyard.library import Client
-from woadyard.settings import ConfigError, read_file, read_platform
-from woadyard.settings.operator import AccordTable, Operator, read_operator
-from woadyard.upkeep.options import UpkeepSettings
 
 SHOWN = ("link", "store_path", "heartbeat_ms", "election_ms", "drift")  # with their defaults
 ROOT = Path(__file__).parent.parent
@@ -197,7 +197,7 @@
     text = "\n".join(one for one in shown.splitlines() if re.match(r"\[|[a-z_]+ = ", one))
     whole = tomllib.loads(text)
     raw = whole["deployment"]
-    from woadyard.settings import operator
+    from laurelstep.settings import operator
 
     for table, given in (
         (operator.Deployment, raw),
--- a/tests/test_shared_daemon.py
+++ b/tests/test_shared_daemon.py
@@ -15,16 +15,16 @@
 
 import pytest
 
+from laurelstep.outbox import frontier
+from laurelstep.outbox.causes import Cause, Fate, Tokens
+from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.shared.seal import Seal
+from laurelstep.outbox.shared.terms import Answered, Ask, Claim, Claimed, Replayed, Told
+from laurelstep.testing.messages import Message, read_message
+from laurelstep.testing.processes import Tier, until
+from laurelstep.testing.processes.program import LOOK_S
+from laurelstep.testing.processes.tier import SETTINGS
 from tests.sockets import run, start
-from woadyard.outbox import frontier
-from woadyard.outbox.causes import Cause, Fate, Tokens
-from woadyard.outbox.dots import Dot, Line
-from woadyard.outbox.shared.seal import Seal
-from woadyard.outbox.shared.terms import Answered, Ask, Claim, Claimed, Replayed, Told
-from woadyard.testing.messages import Message, read_message
-from woadyard.testing.processes import Tier, until
-from woadyard.testing.processes.program import LOOK_S
-from woadyard.testing.processes.tier import SETTINGS
 
 SECRET = b"of the edges and of the copies"
 SEAL, TOKENS = Seal(SECRET), Tokens(SECRET)
@@ -356,8 +356,8 @@
 def test_nothing_of_it_is_imported_where_it_is_off(tmp_path: Path, table: str) -> None:
     """Neither by a plain daemon, nor by one with an outbox alone."""
     words = (
-        "import sys, woadyard.__main__, woadyard.daemon, woadyard.settings.operator\n"
-        f"{'import woadyard.outbox.driver, woadyard.outbox.calls' if table else ''}\n"
+        "import sys, laurelstep.__main__, laurelstep.daemon, laurelstep.settings.operator\n"
+        f"{'import laurelstep.outbox.driver, laurelstep.outbox.calls' if table else ''}\n"
         "print(*[name for name in sys.modules if 'outbox.shared' in name])"
     )
     told = subprocess.run([sys.executable, "-c", words], check=True, capture_output=True, text=True).stdout
--- a/tests/test_shared_edge.py
+++ b/tests/test_shared_edge.py
@@ -13,18 +13,17 @@
 
 import pytest
 
-from tests.sockets import TIMEOUT_S, run
-from woadyard.engine.call import Answer, Call
-from woadyard.net.assembly import Assembly
-from woadyard.net.message import lines
-from woadyard.outbox.causes import Cause, Fate, Tokens
-from woadyard.outbox.dots import Dot, Line
-from woadyard.outbox.driver import OutboxDriver
-from woadyard.outbox.errors import UnknownWriteError
-from woadyard.outbox.journal import Event, Reason, State, Verdict
-from woadyard.outbox.options import KeptClass, OutboxSettings
-from woadyard.outbox.receipts import Receipt
-from woadyard.outbox.shared.edge import (
+from laurelstep.engine.call import Answer, Call
+from laurelstep.net.assembly import Assembly
+from laurelstep.net.message import lines
+from laurelstep.outbox.causes import Cause, Fate, Tokens
+from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.driver import OutboxDriver
+from laurelstep.outbox.errors import UnknownWriteError
+from laurelstep.outbox.journal import Event, Reason, State, Verdict
+from laurelstep.outbox.options import KeptClass, OutboxSettings
+from laurelstep.outbox.receipts import Receipt
+from laurelstep.outbox.shared.edge import (
     AGAIN_US,
     KNOWN_MOST,
     LEAST_US,
@@ -34,10 +33,10 @@
     News,
     RemoteFrontier,
 )
-from woadyard.outbox.shared.entries import Begin, Entry, Hold, In, Unbegin, pack
-from woadyard.outbox.shared.record import Record
-from woadyard.outbox.shared.seal import Seal
-from woadyard.outbox.shared.terms import (
+from laurelstep.outbox.shared.entries import Begin, Entry, Hold, In, Unbegin, pack
+from laurelstep.outbox.shared.record import Record
+from laurelstep.outbox.shared.seal import Seal
+from laurelstep.outbox.shared.terms import (
     ASKED_MOST,
     KEPT_HEADER,
     SHARED_PATH,
@@ -49,9 +48,10 @@
     Replayed,
     Told,
 )
-from woadyard.settings import config_from
-from woadyard.testing import Endpoint, Message, Writer, answer
-from woadyard.testing.endpoints import reset_connection
+from laurelstep.settings import config_from
+from laurelstep.testing import Endpoint, Message, Writer, answer
+from laurelstep.testing.endpoints import reset_connection
+from tests.sockets import TIMEOUT_S, run
 
 OWN, FORMER, OTHER = Line("ash", 7), Line("ash", 3), Line("oak", 9)
 SECOND = 1_000_000
--- a/tests/test_shared_gate.py
+++ b/tests/test_shared_gate.py
@@ -8,14 +8,12 @@
 
 import pytest
 
-from tests.fakes import Answers, ManualClock, PlayedUpstream, Sent, entry
-from tests.sockets import overrule
-from woadyard.engine import Answer, Call, Ending, Engine
-from woadyard.engine.flow import Flow
-from woadyard.engine.given import GivenMembers
-from woadyard.engine.names import Names
-from woadyard.engine.ports import Recorded
-from woadyard.interface import (
+from laurelstep.engine import Answer, Call, Ending, Engine
+from laurelstep.engine.flow import Flow
+from laurelstep.engine.given import GivenMembers
+from laurelstep.engine.names import Names
+from laurelstep.engine.ports import Recorded
+from laurelstep.interface import (
     ERROR,
     FULL,
     KEYED,
@@ -27,13 +25,13 @@
     RequestClass,
     Settings,
 )
-from woadyard.outbox.causes import Cause, Fate
-from woadyard.outbox.dots import Dot, Line
-from woadyard.outbox.shared.entries import Begin, Entry, Hold, In, Lost, Said, Unbegin, pack
-from woadyard.outbox.shared.gate import ASK_US, ASKS_MOST, COMPLAIN_US, LATER_MOST, LATER_US, Gate
-from woadyard.outbox.shared.record import Record
-from woadyard.outbox.shared.seal import Seal
-from woadyard.outbox.shared.terms import (
+from laurelstep.outbox.causes import Cause, Fate
+from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.shared.entries import Begin, Entry, Hold, In, Lost, Said, Unbegin, pack
+from laurelstep.outbox.shared.gate import ASK_US, ASKS_MOST, COMPLAIN_US, LATER_MOST, LATER_US, Gate
+from laurelstep.outbox.shared.record import Record
+from laurelstep.outbox.shared.seal import Seal
+from laurelstep.outbox.shared.terms import (
     FATE_HEADER,
     Answered,
     Ask,
@@ -43,6 +41,8 @@
     Replayed,
     Told,
 )
+from tests.fakes import Answers, ManualClock, PlayedUpstream, Sent, entry
+from tests.sockets import overrule
 
 SECRET = b"of the edges and of the copies"
 SEAL = Seal(SECRET)
--- a/tests/test_shared_own.py
+++ b/tests/test_shared_own.py
@@ -7,13 +7,13 @@
 
 import pytest
 
+from laurelstep.outbox.causes import Cause, Fate
+from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.shared.entries import Hold, In, Lost, Said
+from laurelstep.outbox.shared.own import AGREE_US, OUT_MOST, SAID_MOST, SOON_US, TURN_US, OwnFrontier
+from laurelstep.outbox.shared.record import Record
 from tests.fakes import ManualClock
 from tests.test_shared_gate import Agreed
-from woadyard.outbox.causes import Cause, Fate
-from woadyard.outbox.dots import Dot, Line
-from woadyard.outbox.shared.entries import Hold, In, Lost, Said
-from woadyard.outbox.shared.own import AGREE_US, OUT_MOST, SAID_MOST, SOON_US, TURN_US, OwnFrontier
-from woadyard.outbox.shared.record import Record
 
 OLD, FORMER, MINE = Line("copy-1", 1), Line("copy-1", 2), Line("copy-1", 3)
 FOREIGN = Cause("edge-1", 7, 3)
--- a/tests/test_shared_record.py
+++ b/tests/test_shared_record.py
@@ -12,23 +12,21 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.fakes import ManualClock
-from tests.test_node import Blank
-from woadyard.accord.core import Core
-from woadyard.accord.errors import BusyError, EntryError, KeptError, NotLeadingError
-from woadyard.accord.links.memory import Faulty, MemoryNetwork
-from woadyard.accord.machines import Machines
-from woadyard.accord.node import Node
-from woadyard.accord.parts import Parts
-from woadyard.accord.ports import Store
-from woadyard.accord.snapshots import SNAPSHOT_MOST
-from woadyard.accord.stores.none import NoStore
-from woadyard.accord.terms import ENTRY_MOST, WORD_MOST, Timing
-from woadyard.outbox.causes import Cause, Fate
-from woadyard.outbox.dots import EDGE_MOST, Dot, Line
-from woadyard.outbox.shared import record as records
-from woadyard.outbox.shared import spans
-from woadyard.outbox.shared.entries import (
+from laurelstep.accord.core import Core
+from laurelstep.accord.errors import BusyError, EntryError, KeptError, NotLeadingError
+from laurelstep.accord.links.memory import Faulty, MemoryNetwork
+from laurelstep.accord.machines import Machines
+from laurelstep.accord.node import Node
+from laurelstep.accord.parts import Parts
+from laurelstep.accord.ports import Store
+from laurelstep.accord.snapshots import SNAPSHOT_MOST
+from laurelstep.accord.stores.none import NoStore
+from laurelstep.accord.terms import ENTRY_MOST, WORD_MOST, Timing
+from laurelstep.outbox.causes import Cause, Fate
+from laurelstep.outbox.dots import EDGE_MOST, Dot, Line
+from laurelstep.outbox.shared import record as records
+from laurelstep.outbox.shared import spans
+from laurelstep.outbox.shared.entries import (
     ID_END,
     KIND,
     NUMBER_END,
@@ -43,9 +41,11 @@
     unpack,
     unpack_word,
 )
-from woadyard.outbox.shared.record import Record
-from woadyard.outbox.shared.sharer import AGAIN_MOST_US, AGAIN_US, FLIGHT_US, WAITS_MOST, Sharer
-from woadyard.outbox.shared.terms import Begun, Claim, Claimed, Told
+from laurelstep.outbox.shared.record import Record
+from laurelstep.outbox.shared.sharer import AGAIN_MOST_US, AGAIN_US, FLIGHT_US, WAITS_MOST, Sharer
+from laurelstep.outbox.shared.terms import Begun, Claim, Claimed, Told
+from tests.fakes import ManualClock
+from tests.test_node import Blank
 
 ASH = Line("ash", 7)
 OTHER = Line("ash", 8)
--- a/tests/test_shared_schedules.py
+++ b/tests/test_shared_schedules.py
@@ -23,13 +23,13 @@
 import msgspec
 import pytest
 
-from woadyard.outbox.causes import Cause, Fate
-from woadyard.outbox.dots import Dot, Line
-from woadyard.outbox.shared import record as records
-from woadyard.outbox.shared import spans
-from woadyard.outbox.shared.entries import Begin, Entry, Hold, In, Lost, Said, Unbegin, pack, unpack
-from woadyard.outbox.shared.record import Record
-from woadyard.outbox.shared.terms import Ask, Begun, Claim, Claimed, Replayed, Told
+from laurelstep.outbox.causes import Cause, Fate
+from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.shared import record as records
+from laurelstep.outbox.shared import spans
+from laurelstep.outbox.shared.entries import Begin, Entry, Hold, In, Lost, Said, Unbegin, pack, unpack
+from laurelstep.outbox.shared.record import Record
+from laurelstep.outbox.shared.terms import Ask, Begun, Claim, Claimed, Replayed, Told
 
 STEPS = 160
 ROUNDS = 40
--- a/tests/test_shared_seal.py
+++ b/tests/test_shared_seal.py
@@ -6,11 +6,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from woadyard.outbox.causes import Cause, Fate
-from woadyard.outbox.dots import Dot, Line
-from woadyard.outbox.errors import OutboxError
-from woadyard.outbox.shared.seal import SEALED_MOST, Seal, SealedLengthError, SealError
-from woadyard.outbox.shared.terms import ASKED_MOST, Answered, Ask, Claim, Claimed, Replayed, Told
+from laurelstep.outbox.causes import Cause, Fate
+from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.errors import OutboxError
+from laurelstep.outbox.shared.seal import SEALED_MOST, Seal, SealedLengthError, SealError
+from laurelstep.outbox.shared.terms import ASKED_MOST, Answered, Ask, Claim, Claimed, Replayed, Told
 
 SECRET = b"of the edges and of the copies"
 SEAL = Seal(SECRET)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -14,6 +14,27 @@
 
 import pytest
 
+from laurelstep.engine import Clock, endpoint_number
+from laurelstep.interface import (
+    CANCELLED,
+    DRAINING,
+    ERROR,
+    FULL,
+    LIST_CACHED,
+    LIST_DELTA,
+    LIST_FULL,
+    MOOT,
+    NO_CONNECT,
+    OK,
+    RESET,
+    TIMEOUT,
+    Action,
+    Entry,
+    Refuse,
+    Send,
+)
+from laurelstep.net.discovery import Discovery
+from laurelstep.net.request import key_of
 from tests.conftest import Logged, plain_only
 from tests.sockets import (
     Endpoint,
@@ -39,27 +60,6 @@
     sidecar,
     start,
 )
-from woadyard.engine import Clock, endpoint_number
-from woadyard.interface import (
-    CANCELLED,
-    DRAINING,
-    ERROR,
-    FULL,
-    LIST_CACHED,
-    LIST_DELTA,
-    LIST_FULL,
-    MOOT,
-    NO_CONNECT,
-    OK,
-    RESET,
-    TIMEOUT,
-    Action,
-    Entry,
-    Refuse,
-    Send,
-)
-from woadyard.net.discovery import Discovery
-from woadyard.net.request import key_of
 
 
 def lists(one: Sidecar) -> asyncio.Queue[tuple[int, list[Entry]]]:
@@ -228,7 +228,7 @@
         async with sidecar(Endpoint(), registry=Registry()):
             pass
 
-    from woadyard.policy import Balancer
+    from laurelstep.policy import Balancer
 
     real = Balancer.members
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -21,10 +21,9 @@
 from hypothesis import settings
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from tests.once import once
-from woadyard.store import FolderDisk, LogError, Options, Store, StoreError, StoreUnavailableError
-from woadyard.store.index import place_of
-from woadyard.store.log import (
+from laurelstep.store import FolderDisk, LogError, Options, Store, StoreError, StoreUnavailableError
+from laurelstep.store.index import place_of
+from laurelstep.store.log import (
     FRAME_HEAD,
     FRAME_MAGIC,
     SEGMENT_SIZE,
@@ -35,11 +34,12 @@
     records_of,
     segment_head,
 )
-from woadyard.store.manifest import MANIFEST, encode_manifest, segment_name
-from woadyard.store.numbered import Numbered
-from woadyard.store.recovery import look, read_all, recover
-from woadyard.store.tool import main as tool
-from woadyard.testing.disk import Op, SimulatedDisk
+from laurelstep.store.manifest import MANIFEST, encode_manifest, segment_name
+from laurelstep.store.numbered import Numbered
+from laurelstep.store.recovery import look, read_all, recover
+from laurelstep.store.tool import main as tool
+from laurelstep.testing.disk import Op, SimulatedDisk
+from tests.once import once
 
 pytestmark = once
 
@@ -527,7 +527,7 @@
 def test_a_process_that_is_killed_loses_nothing_that_it_had_told(tmp_path: Path) -> None:
     code = (
         "import asyncio, sys\n"
-        "from woadyard.store import FolderDisk, Options, Store\n"
+        "from laurelstep.store import FolderDisk, Options, Store\n"
         "async def main():\n"
         "    store = await Store.open(FolderDisk(sys.argv[1]), Options(segment_bytes=3000))\n"
         "    n = len(store)\n"
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -10,6 +10,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from laurelstep.engine.flow import Flow
+from laurelstep.interface import ERROR, MOOT, NO_CONNECT, OK, RESET
+from laurelstep.net.message import LARGE_MAX
+from laurelstep.stream.pace import FREE, GRACE_S, HOLD_EACH, RATE_LEAST, Room, keeps_pace, room_for
+from laurelstep.testing.endpoints import reset_connection
 from tests.sockets import (
     Endpoint,
     Message,
@@ -25,11 +30,6 @@
     serve_ok,
     sidecar,
 )
-from woadyard.engine.flow import Flow
-from woadyard.interface import ERROR, MOOT, NO_CONNECT, OK, RESET
-from woadyard.net.message import LARGE_MAX
-from woadyard.stream.pace import FREE, GRACE_S, HOLD_EACH, RATE_LEAST, Room, keeps_pace, room_for
-from woadyard.testing.endpoints import reset_connection
 
 MB = 1 << 20
 BIG = bytes(range(256)) * 12_000  # 3 MB
--- a/tests/test_testing.py
+++ b/tests/test_testing.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from woadyard.testing import (
+from laurelstep.testing import (
     Caller,
     Effects,
     Endpoint,
@@ -31,7 +31,7 @@
     status,
     whole_list,
 )
-from woadyard.testing.messages import BLOCK, Ports
+from laurelstep.testing.messages import BLOCK, Ports
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
@@ -160,7 +160,7 @@
 def test_a_claim_holds_while_its_process_lives() -> None:
     name, few = f"ended-{os.getpid()}", range(19_750, 19_800)
     code = (
-        "from woadyard.testing.messages import Ports\n"
+        "from laurelstep.testing.messages import Ports\n"
         f"ports = Ports(range(19_750, 19_800), {name!r})\nports.take()\n"
         "print('taken', flush=True)\ninput()"
     )
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -10,22 +10,20 @@
 import msgspec
 import pytest
 
-from tests.fakes import Answers, ManualClock, PlayedUpstream, entry
-from tests.upkeeping import COLD_US, GRACE_US, SECOND, Copy, Inner, PlayedEngine, Tier, line, wish_of
-from woadyard.accord.errors import BusyError, NotLeadingError
-from woadyard.accord.machines import Machines
-from woadyard.engine import Answer, Call, Ending, Engine, Names, endpoint_number
-from woadyard.engine.call import Attempt
-from woadyard.engine.flow import Flow
-from woadyard.engine.given import GivenMembers
-from woadyard.errors import LaurelstepError
-from woadyard.interface import OK, RequestClass, Settings
-from woadyard.lifecycle import Lifecycle
-from woadyard.management.calls import Reply, reply_to
-from woadyard.upkeep.assembly import carried
-from woadyard.upkeep.calls import METHODS, reply_about
-from woadyard.upkeep.desk import UpkeepDesk
-from woadyard.upkeep.entries import (
+from laurelstep.accord.errors import BusyError, NotLeadingError
+from laurelstep.accord.machines import Machines
+from laurelstep.engine import Answer, Call, Ending, Engine, Names, endpoint_number
+from laurelstep.engine.call import Attempt
+from laurelstep.engine.flow import Flow
+from laurelstep.engine.given import GivenMembers
+from laurelstep.errors import LaurelstepError
+from laurelstep.interface import OK, RequestClass, Settings
+from laurelstep.lifecycle import Lifecycle
+from laurelstep.management.calls import Reply, reply_to
+from laurelstep.upkeep.assembly import carried
+from laurelstep.upkeep.calls import METHODS, reply_about
+from laurelstep.upkeep.desk import UpkeepDesk
+from laurelstep.upkeep.entries import (
     KIND,
     Ask,
     Confirm,
@@ -38,13 +36,13 @@
     unpack_entry,
     unpack_word,
 )
-from woadyard.upkeep.keeper import ASK_US, ASKS_MOST
-from woadyard.upkeep.members import MemberTable, read_member
-from woadyard.upkeep.options import UpkeepSettings
-from woadyard.upkeep.roll import OUT_MOST, Roll, SnapshotError
-from woadyard.upkeep.source import SHORT, UpkeepSource
-from woadyard.upkeep.states import CLEARED, HELD, MOVES, OUT, State, move
-from woadyard.upkeep.wishes import (
+from laurelstep.upkeep.keeper import ASK_US, ASKS_MOST
+from laurelstep.upkeep.members import MemberTable, read_member
+from laurelstep.upkeep.options import UpkeepSettings
+from laurelstep.upkeep.roll import OUT_MOST, Roll, SnapshotError
+from laurelstep.upkeep.source import SHORT, UpkeepSource
+from laurelstep.upkeep.states import CLEARED, HELD, MOVES, OUT, State, move
+from laurelstep.upkeep.wishes import (
     ENTRY_MOST,
     WISHES_MOST,
     ContradictionError,
@@ -62,6 +60,8 @@
     WishError,
     read_wish,
 )
+from tests.fakes import Answers, ManualClock, PlayedUpstream, entry
+from tests.upkeeping import COLD_US, GRACE_US, SECOND, Copy, Inner, PlayedEngine, Tier, line, wish_of
 
 MACHINES = [line(f"m{n}", "ab"[n % 2]) for n in range(6)]
 
--- a/tests/test_upkeep_contracts.py
+++ b/tests/test_upkeep_contracts.py
@@ -8,20 +8,20 @@
 from collections.abc import AsyncIterator
 from typing import ClassVar
 
-from tests.test_contracts import GivenBeyond, OnDiscovery
-from tests.upkeeping import GRACE_US
-from woadyard.engine import LoopClock
-from woadyard.engine.given import GivenMembers
-from woadyard.engine.ports import MemberSource
-from woadyard.net.slices import Slices
-from woadyard.testing.contracts.members import (
+from laurelstep.engine import LoopClock
+from laurelstep.engine.given import GivenMembers
+from laurelstep.engine.ports import MemberSource
+from laurelstep.net.slices import Slices
+from laurelstep.testing.contracts.members import (
     AskedSourceContract,
     Beyond,
     BreakableBeyond,
     MemberSourceContract,
 )
-from woadyard.upkeep.roll import Roll
-from woadyard.upkeep.source import UpkeepSource
+from laurelstep.upkeep.roll import Roll
+from laurelstep.upkeep.source import UpkeepSource
+from tests.test_contracts import GivenBeyond, OnDiscovery
+from tests.upkeeping import GRACE_US
 
 
 def around(inner: MemberSource) -> UpkeepSource:
--- a/tests/test_upkeep_core.py
+++ b/tests/test_upkeep_core.py
@@ -9,20 +9,20 @@
 
 import pytest
 
+from laurelstep.accord.core import Core
+from laurelstep.accord.machines import Machines
+from laurelstep.accord.terms import Effects, Era, Timing
+from laurelstep.upkeep.desk import UpkeepDesk
+from laurelstep.upkeep.entries import KIND
+from laurelstep.upkeep.keeper import Keeper
+from laurelstep.upkeep.options import UpkeepSettings
+from laurelstep.upkeep.plan import Confirmations
+from laurelstep.upkeep.roll import Roll
+from laurelstep.upkeep.source import UpkeepSource
+from laurelstep.upkeep.states import CLEARED
+from laurelstep.upkeep.wishes import UpkeepError
 from tests.fakes import ManualClock
 from tests.upkeeping import COLD_US, GRACE_US, SECOND, Inner, PlayedEngine, line, wish_of
-from woadyard.accord.core import Core
-from woadyard.accord.machines import Machines
-from woadyard.accord.terms import Effects, Era, Timing
-from woadyard.upkeep.desk import UpkeepDesk
-from woadyard.upkeep.entries import KIND
-from woadyard.upkeep.keeper import Keeper
-from woadyard.upkeep.options import UpkeepSettings
-from woadyard.upkeep.plan import Confirmations
-from woadyard.upkeep.roll import Roll
-from woadyard.upkeep.source import UpkeepSource
-from woadyard.upkeep.states import CLEARED
-from woadyard.upkeep.wishes import UpkeepError
 
 MS = 1000
 COPIES, SEATS, OUT, MACHINES = 4, 3, 2, 6
--- a/tests/test_upkeep_daemon.py
+++ b/tests/test_upkeep_daemon.py
@@ -12,11 +12,11 @@
 
 import pytest
 
+from laurelstep.handover.giver import Giver
+from laurelstep.handover.place import Place
+from laurelstep.testing import whole_list
 from tests.sockets import TIMEOUT_S, Endpoint, free_port, read_message, request, run
 from tests.upgrades import Site, Version
-from woadyard.handover.giver import Giver
-from woadyard.handover.place import Place
-from woadyard.testing import whole_list
 
 OPERATOR = "[accord]\nheartbeat_ms = 20\nelection_ms = 60\n[upkeep]\n"
 
