--- a/tests/test_upkeep_processes.py
+++ b/tests/test_upkeep_processes.py
@@ -16,11 +16,11 @@
 
 import pytest
 
+from laurelstep.testing.processes import Load, Tier, Weather, until
+from laurelstep.testing.processes.history import SENT_AFTER_CLEAR
+from laurelstep.testing.processes.program import LOOK_S
+from laurelstep.testing.processes.tier import SETTINGS, name_of, number_of
 from tests.sockets import run
-from woadyard.testing.processes import Load, Tier, Weather, until
-from woadyard.testing.processes.history import SENT_AFTER_CLEAR
-from woadyard.testing.processes.program import LOOK_S
-from woadyard.testing.processes.tier import SETTINGS, name_of, number_of
 
 TEST_S = 300.0  # for a test that hangs; nothing is measured by it
 SHORT: Final[dict[str, Any]] = {
@@ -610,8 +610,8 @@
 # Clear as soon as all have confirmed but one.
 EARLY: Final = """
 import sys
-from woadyard.__main__ import main
-from woadyard.upkeep.plan import Confirmations
+from laurelstep.__main__ import main
+from laurelstep.upkeep.plan import Confirmations
 missing = Confirmations.missing
 Confirmations.missing = lambda *given: missing(*given)[1:]
 sys.exit(main(sys.argv[1:]))
@@ -619,8 +619,8 @@
 # Drains are not told to the module: it sends where it sent before.
 UNTOLD: Final = """
 import sys
-from woadyard.__main__ import main
-from woadyard.upkeep.shown import Shown
+from laurelstep.__main__ import main
+from laurelstep.upkeep.shown import Shown
 Shown.raw = lambda self, member: member.raw(member.phase, member.started_ms)
 sys.exit(main(sys.argv[1:]))
 """
--- a/tests/test_upkeep_schedules.py
+++ b/tests/test_upkeep_schedules.py
@@ -13,20 +13,20 @@
 
 import pytest
 
+from laurelstep.interface import READY
+from laurelstep.upkeep import plan as plan_module
+from laurelstep.upkeep import roll as roll_module
+from laurelstep.upkeep.entries import Ask, Confirm, Leave, Step, pack, unpack_entry, unpack_word
+from laurelstep.upkeep.keeper import Keeper
+from laurelstep.upkeep.options import UpkeepSettings
+from laurelstep.upkeep.plan import Confirmations
+from laurelstep.upkeep.roll import Roll
+from laurelstep.upkeep.shown import Shown
+from laurelstep.upkeep.source import UpkeepSource
+from laurelstep.upkeep.states import CLEARED, HELD, State
+from laurelstep.upkeep.wishes import UpkeepError
 from tests.once import seeds
 from tests.upkeeping import SECOND, Copy, Tier, line, wish_of
-from woadyard.interface import READY
-from woadyard.upkeep import plan as plan_module
-from woadyard.upkeep import roll as roll_module
-from woadyard.upkeep.entries import Ask, Confirm, Leave, Step, pack, unpack_entry, unpack_word
-from woadyard.upkeep.keeper import Keeper
-from woadyard.upkeep.options import UpkeepSettings
-from woadyard.upkeep.plan import Confirmations
-from woadyard.upkeep.roll import Roll
-from woadyard.upkeep.shown import Shown
-from woadyard.upkeep.source import UpkeepSource
-from woadyard.upkeep.states import CLEARED, HELD, State
-from woadyard.upkeep.wishes import UpkeepError
 
 SEEDS = seeds(3000)
 STEPS = 75
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,10 +11,10 @@
 
 import pytest
 
+from laurelstep import interface, wire
+from laurelstep.adapter import Host, serve
+from laurelstep.policy import Balancer
 from tests.sockets import Replaced
-from woadyard import interface, wire
-from woadyard.adapter import Host, serve
-from woadyard.policy import Balancer
 
 NOW = 0x805C5A
 
@@ -184,7 +184,7 @@
 
 def run_adapter(data: bytes) -> subprocess.CompletedProcess[bytes]:
     return subprocess.run(
-        [sys.executable, "-m", "woadyard.adapter"], input=data, capture_output=True, timeout=60
+        [sys.executable, "-m", "laurelstep.adapter"], input=data, capture_output=True, timeout=60
     )
 
 
@@ -227,7 +227,7 @@
     done = run_adapter(data)
     assert done.returncode == 1
     assert done.stdout == b""
-    assert done.stderr.startswith(b"woadyard.adapter: ")
+    assert done.stderr.startswith(b"laurelstep.adapter: ")
     assert done.stderr.count(b"\n") == 1
 
 
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -15,11 +15,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.sockets import connect_until_up, free_port, run
-from tests.test_settings import CLASS
-from woadyard.settings import ConfigError
-from woadyard.settings.operator import read_operator
-from woadyard.testing import (
+from laurelstep.settings import ConfigError
+from laurelstep.settings.operator import read_operator
+from laurelstep.testing import (
     Endpoint,
     Handler,
     Message,
@@ -30,7 +28,9 @@
     read_message,
     request,
 )
-from woadyard.workers.plan import End, Plan, Start, Stop
+from laurelstep.workers.plan import End, Plan, Start, Stop
+from tests.sockets import connect_until_up, free_port, run
+from tests.test_settings import CLASS
 
 CLEAN = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
 PAY = '[[deployment.classes]]\nname = "pay"\neffect = "unsafe"\naim_ms = 500\ndeadline_ms = 20000\n'
@@ -216,7 +216,7 @@
         f"[workers]\nprocesses = {processes}\nrestart_first_ms = 1\n"
     )
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "woadyard", "--operator", str(path), env=CLEAN, stderr=subprocess.PIPE
+        sys.executable, "-m", "laurelstep", "--operator", str(path), env=CLEAN, stderr=subprocess.PIPE
     )
     try:
         one = Tier(process, port)
--- a/tests/upgrades.py
+++ b/tests/upgrades.py
@@ -11,6 +11,7 @@
 from types import TracebackType
 from typing import Any, Self
 
+from laurelstep.testing import Caller
 from tests.sockets import (
     TIMEOUT_S,
     Endpoint,
@@ -21,7 +22,6 @@
     request,
     start,
 )
-from woadyard.testing import Caller
 
 Process = asyncio.subprocess.Process
 
--- a/tests/upkeeping.py
+++ b/tests/upkeeping.py
@@ -7,18 +7,18 @@
 from collections.abc import Callable, Iterator, Sequence
 from typing import Any
 
+from laurelstep.accord.errors import NotLeadingError
+from laurelstep.accord.machines import Machines
+from laurelstep.engine.members import endpoint_number
+from laurelstep.engine.ports import MemberSink
+from laurelstep.upkeep.desk import UpkeepDesk
+from laurelstep.upkeep.entries import KIND, unpack_word
+from laurelstep.upkeep.keeper import Keeper
+from laurelstep.upkeep.options import UpkeepSettings
+from laurelstep.upkeep.roll import Roll
+from laurelstep.upkeep.source import UpkeepSource
+from laurelstep.upkeep.wishes import Limits, Wish
 from tests.fakes import ManualClock
-from woadyard.accord.errors import NotLeadingError
-from woadyard.accord.machines import Machines
-from woadyard.engine.members import endpoint_number
-from woadyard.engine.ports import MemberSink
-from woadyard.upkeep.desk import UpkeepDesk
-from woadyard.upkeep.entries import KIND, unpack_word
-from woadyard.upkeep.keeper import Keeper
-from woadyard.upkeep.options import UpkeepSettings
-from woadyard.upkeep.roll import Roll
-from woadyard.upkeep.source import UpkeepSource
-from woadyard.upkeep.wishes import Limits, Wish
 
 SECOND = 1_000_000
 GRACE_US = 500_000
