--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -25,7 +25,7 @@
 
 from benchmarks.common import median, percentile, progress
 from laurelstep.library import Client, Member, Request
-from laurelstep.orders import OrderClass, Orders
+from laurelstep.request_journal import JournalClass, JournalSettings
 from laurelstep.settings import config_from
 from laurelstep.store import FolderDisk, Options, Store
 from laurelstep.testing import Endpoint
@@ -198,7 +198,7 @@
     """What the record adds to an order, and one bare sync of as many bytes, turn about."""
     async with Endpoint(keep=False) as endpoint:
         members = [Member("s-1", f"127.0.0.1:{endpoint.port}")]
-        recorded = Orders(str(folder / "orders"), {"pay": OrderClass(header=b"x-order-id")})
+        recorded = JournalSettings(str(folder / "orders"), {"pay": JournalClass(header=b"x-order-id")})
         raw = {"seed": "1", "settings": SETTINGS}
         fd = os.open(folder / "sync", os.O_RDWR | os.O_CREAT)
         os.write(fd, bytes(1 << 20))
--- a/laurelstep/__main__.py
+++ b/laurelstep/__main__.py
@@ -23,7 +23,7 @@
 
 USAGE = """usage: laurelstep [run] [--operator FILE]   one sidecar, told by LB_CONFIG or by FILE
        laurelstep check FILE...            check configurations: .toml is the operator's form
-       laurelstep store verify|dump|compact|stats PATH   the store of the record of orders
+       laurelstep store verify|dump|compact|stats PATH   the store of the request journal
        laurelstep demo [--seconds N] [--json]   a small world on loopback, with a live table
 """
 
--- a/laurelstep/daemon.py
+++ b/laurelstep/daemon.py
@@ -20,7 +20,7 @@
 from laurelstep.net.message import LARGE_MAX, log
 from laurelstep.net.server import Server
 from laurelstep.net.slices import Slices
-from laurelstep.orders import open_recorder
+from laurelstep.request_journal import open_journal
 from laurelstep.settings import Config, ConfigError
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
 
 def arrive(config: Config, environ: Mapping[str, str]) -> Arrival | None:
     """None where no process can take over: without a second address, which tells one version
-    from the next, or with a record of orders or an outbox, whose stores have one owner."""
+    from the next, or with a request journal or an outbox, whose stores have one owner."""
     has_store = config.orders is not None or config.outbox is not None
     if config.management is None or config.listen is None or has_store:
         return None
@@ -106,7 +106,7 @@
         config = self.config
         orders = None
         if config.orders is not None:
-            orders = await open_recorder(config.orders, config.names.classes, log)
+            orders = await open_journal(config.orders, config.names.classes, log)
         self.shared = self._outbox_shared()
         self.outbox = await self._outbox()
         self.upkeep = self._upkeep()
--- a/laurelstep/library/client.py
+++ b/laurelstep/library/client.py
@@ -30,11 +30,11 @@
 from laurelstep.net.errors import BadRequestError
 from laurelstep.net.message import BODY_MAX
 from laurelstep.net.request import call_from
-from laurelstep.orders import open_recorder
+from laurelstep.request_journal import open_journal
 from laurelstep.settings import Config, ConfigError, config_from, read_file
 
 if TYPE_CHECKING:
-    from laurelstep.orders.recorder import OrderRecorder
+    from laurelstep.request_journal.journal import RequestJournal
 
 logger = logging.getLogger("laurelstep")
 
@@ -260,9 +260,9 @@
         self._pid = os.getpid()
         self._quiet = asyncio.Event()
         self._quiet.set()
-        self._recorder: OrderRecorder | None = None
+        self._recorder: RequestJournal | None = None
         if config.orders is not None:
-            self._recorder = await open_recorder(config.orders, config.names.classes, logger.warning)
+            self._recorder = await open_journal(config.orders, config.names.classes, logger.warning)
         self._parts = Assembly(self._loop, config, logger.warning, self._recorder, self._given)
         self.engine = self._parts.engine
         try:
--- a/laurelstep/outbox/bodies.py
+++ b/laurelstep/outbox/bodies.py
@@ -28,13 +28,13 @@
 from laurelstep.engine.call import Answer, Call, Ending
 from laurelstep.engine.flow import Flow
 from laurelstep.engine.ports import Recorded
-from laurelstep.orders.book import DIGEST_SIZE, another_body, digest_of
 from laurelstep.outbox.dots import Dot
 from laurelstep.outbox.errors import OutboxError
 from laurelstep.outbox.journal import KeptWrite
 from laurelstep.outbox.options import CHUNK
 from laurelstep.outbox.outbox import RETRY_US, Ticket
 from laurelstep.outbox.store import FailedToKeepError
+from laurelstep.request_journal.records import DIGEST_BYTES, key_conflict_answer, request_digest
 from laurelstep.store import StoreError
 
 if TYPE_CHECKING:
@@ -73,11 +73,11 @@
         self.kept: bool | None = None
         self.certain = True
         self.news = asyncio.Event()
-        self._digest = blake2b(call.start + b"\n", digest_size=DIGEST_SIZE)
+        self._digest = blake2b(call.start + b"\n", digest_size=DIGEST_BYTES)
 
     @property
     def digest(self) -> bytes:
-        """As `digest_of` of a call that has its body."""
+        """As `request_digest` of a call that has its body."""
         return self._digest.digest()
 
     @property
@@ -195,7 +195,7 @@
 
     def digest(self, call: Call) -> bytes:
         """Asked once for each."""
-        return self.digests.pop(call, None) or digest_of(call)
+        return self.digests.pop(call, None) or request_digest(call)
 
     def take(self, call: Call, upload: Flow, ticket: Ticket, answer: Answer | None, engine: Recorded) -> None:
         """A write that has a number, while its body comes."""
@@ -268,7 +268,7 @@
             self._close(body)
         call = body.call
         if not body.fits:
-            engine.settle(call, another_body())
+            engine.settle(call, key_conflict_answer())
         elif not body.whole or not call.open:
             return
         elif first is not None and first.kept is False:
--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -31,7 +31,6 @@
 from laurelstep.interface import ERROR, FULL, NO_CONNECT, OK, RESET, TIMEOUT
 from laurelstep.net.message import lines as lines_of
 from laurelstep.net.request import hint, key_of
-from laurelstep.orders.book import another_body, may_have_run
 from laurelstep.outbox.aside import Aside
 from laurelstep.outbox.bodies import Bodies
 from laurelstep.outbox.causes import Causes, Fate, Frontier, Tokens
@@ -52,6 +51,7 @@
 from laurelstep.outbox.outbox import Bounds, Change, End, KeptClass, Offer, Outbox, Ticket
 from laurelstep.outbox.receipts import Receipt, show
 from laurelstep.outbox.store import FailedToKeepError, KeptStore, Loaded
+from laurelstep.request_journal.records import key_conflict_answer, may_have_run_answer
 from laurelstep.settings.config import ConfigError
 from laurelstep.store import StoreError
 
@@ -382,9 +382,9 @@
             self.log(f"outbox: {dot}: can't be read: {error}")
             found = None
         if found is None:
-            engine.settle(call, may_have_run())
+            engine.settle(call, may_have_run_answer())
         elif found[0].digest != digest:
-            engine.settle(call, another_body())
+            engine.settle(call, key_conflict_answer())
         else:
             engine.settle(call, self._kept(dot))
 
@@ -433,7 +433,7 @@
             if not kept:
                 self._not_kept(one, answer, certain, engine)
             elif digest != write.digest:
-                engine.settle(one, another_body())
+                engine.settle(one, key_conflict_answer())
             else:
                 engine.settle(one, self._kept(dot))
 
@@ -441,7 +441,7 @@
         if not call.open:
             return
         if not certain and (answer is None or answer.ending is Ending.REFUSED):
-            engine.settle(call, may_have_run())
+            engine.settle(call, may_have_run_answer())
         elif answer is not None:
             engine.settle(call, answer)
         elif (refused := self.bodies.refused(call)) is not None:
--- /dev/null
+++ b/laurelstep/request_journal/journal.py
@@ -0,0 +1,205 @@
+"""Joins the engine and the store: the intent before the request is sent, the answer before it leaves.
+
+The rules:
+
+1. One request of an idempotency key is in progress at a time; others with that key wait for its answer.
+2. Nothing is sent before the intent is durable. A served or rejected answer leaves only once the record
+   agrees with it. A failure promises nothing and leaves at once.
+3. Where the store fails, the settings decide: the request fails with nothing sent, or passes.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Coroutine, Mapping
+from dataclasses import dataclass, field
+
+from laurelstep.engine.call import Answer, Call, Ending
+from laurelstep.engine.ports import Log, Recorded
+from laurelstep.request_journal.records import (
+    IntentRecord,
+    ResponseRecord,
+    answer_from_record,
+    idempotency_key,
+    key_conflict_answer,
+    may_have_run_answer,
+    request_digest,
+    store_key,
+)
+from laurelstep.request_journal.settings import JournalClass, JournalSettings
+from laurelstep.store import FolderDisk, Options, Store, StoreError
+
+# Requests that wait for the answer of one key; guards memory against a client that repeats for ever.
+MAX_FOLLOWERS = 32
+
+
+@dataclass(eq=False)
+class JournaledRequest:
+    """One idempotency key in progress: the call that is sent for it, and those that wait for its answer."""
+
+    store_key: bytes
+    digest: bytes
+    retention_ms: int
+    leader: Call
+    followers: list[Call] = field(default_factory=list)
+    is_admitted: bool = False
+
+
+class RequestJournal:
+    """The engine's `Recorder` on a `Store`. Belongs to the loop that opened the store."""
+
+    def __init__(
+        self, store: Store, settings: JournalSettings, class_numbers: Mapping[str, int], log: Log
+    ) -> None:
+        self.store = store
+        self.passes_unrecorded = settings.unavailable == "pass"
+        self.log = log
+        self.classes: dict[int, tuple[str, JournalClass]] = {
+            class_numbers[name]: (name, journal_class) for name, journal_class in settings.classes.items()
+        }
+        self.in_progress: dict[bytes, JournaledRequest] = {}
+        self.by_leader: dict[Call, JournaledRequest] = {}
+        self.tasks: set[asyncio.Task[None]] = set()
+
+    @classmethod
+    async def open(
+        cls, settings: JournalSettings, class_numbers: Mapping[str, int], log: Log
+    ) -> RequestJournal:
+        """Open the store at `settings.store_path`, and a journal on it. `StoreError` if that fails."""
+        options = Options(max_bytes=settings.max_bytes)
+        store = await Store.open(FolderDisk(settings.store_path), options, log)
+        return cls(store, settings, class_numbers, log)
+
+    async def close(self) -> None:
+        """Finish what is being written, then close the store."""
+        while self.tasks:
+            await asyncio.wait(set(self.tasks))
+        await self.store.close()
+
+    def _spawn(self, work: Coroutine[None, None, None]) -> None:
+        task = asyncio.get_running_loop().create_task(work)
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
+
+    # --- Before the request is sent ---------------------------------------------------
+
+    def begin(self, call: Call, engine: Recorded) -> bool:
+        """Take a call that carries an idempotency key; False if it carries none. See `Recorder`."""
+        found = self.classes.get(call.cls)
+        if found is None:
+            return False
+        class_name, journal_class = found
+        key = idempotency_key(journal_class, call.order, call.body)
+        if key is None:
+            return False
+        self._take(call, store_key(class_name, key), journal_class.retention_ms, engine)
+        return True
+
+    def _take(self, call: Call, key: bytes, retention_ms: int, engine: Recorded) -> None:
+        """As the leader of its key, or as a follower of the request in progress."""
+        digest = request_digest(call)
+        request = self.in_progress.get(key)
+        if request is None:
+            request = JournaledRequest(key, digest, retention_ms, call)
+            self.in_progress[key] = self.by_leader[call] = request
+            self._spawn(self._begin(request, engine))
+        elif request.digest != digest:
+            engine.settle(call, key_conflict_answer())
+        elif len(request.followers) >= MAX_FOLLOWERS:
+            engine.settle(call, may_have_run_answer())
+        else:
+            request.followers.append(call)
+
+    async def _begin(self, request: JournaledRequest, engine: Recorded) -> None:
+        """Answer from the record if there is one; else admit once the intent is durable."""
+        try:
+            data = await self.store.get(request.store_key)
+            if data is not None:
+                self._settle_all(request, answer_from_record(data, request.digest), engine)
+                return
+            intent = IntentRecord(request.digest)
+            await self.store.put(request.store_key, intent.encode(), request.retention_ms)
+        except (StoreError, ValueError):
+            if not self.passes_unrecorded:
+                # An earlier process may have sent it: no rejection.
+                self._settle_all(request, may_have_run_answer(), engine)
+                return
+        await self._admit(request, engine)
+
+    async def _admit(self, request: JournaledRequest, engine: Recorded) -> None:
+        """Admit the first call of this request that is still open; the intent is durable."""
+        while not request.leader.open:
+            self.by_leader.pop(request.leader, None)
+            if not request.followers:
+                await self._withdraw_intent(request)
+                return
+            request.leader = request.followers.pop(0)
+            self.by_leader[request.leader] = request
+        request.is_admitted = True
+        engine.admit(request.leader)
+
+    async def _withdraw_intent(self, request: JournaledRequest) -> None:
+        """Nothing was sent: the key is as if it had never been used."""
+        try:
+            await self.store.delete(request.store_key)
+        except StoreError:
+            self.log("orders: an intent that was not used could not be taken back")
+        finally:
+            self._drop(request)
+
+    # --- Before the final answer leaves -----------------------------------------------
+
+    def finish(self, call: Call, answer: Answer, engine: Recorded) -> None:
+        """Record a final answer, then let it leave. See `Recorder`."""
+        request = self.by_leader.get(call)
+        if request is None or not request.is_admitted:
+            engine.deliver(call, answer)  # it waited for another's answer, or for the store
+            return
+        if answer.ending is Ending.FAILED:
+            engine.deliver(call, answer)
+        self._spawn(self._finish(request, answer, engine))
+
+    async def _finish(self, request: JournaledRequest, answer: Answer, engine: Recorded) -> None:
+        final = answer
+        try:
+            if answer.ending is Ending.REFUSED:
+                await self.store.delete(request.store_key)
+            else:
+                response = ResponseRecord(request.digest, answer)
+                await self.store.put(request.store_key, response.encode(), request.retention_ms)
+        except StoreError:
+            # A later process would know of the intent alone, and answer so.
+            final = answer if self.passes_unrecorded else may_have_run_answer()
+        engine.deliver(request.leader, final)
+        self._settle_all(request, final, engine)
+
+    # --- Calls that end early ---------------------------------------------------------
+
+    def gone(self, call: Call, engine: Recorded) -> None:
+        """The client of a recorded call disconnected. See `Recorder`."""
+        request = self.by_leader.get(call)
+        if request is None:
+            self._remove_follower(call)
+        elif request.is_admitted and call.tried:
+            self._settle_all(request, may_have_run_answer(), engine)
+        elif request.is_admitted:
+            request.is_admitted = False
+            self._spawn(self._admit(request, engine))
+
+    def _remove_follower(self, call: Call) -> None:
+        for request in self.in_progress.values():
+            if call in request.followers:
+                request.followers.remove(call)
+                return
+
+    def _settle_all(self, request: JournaledRequest, answer: Answer, engine: Recorded) -> None:
+        """Give all calls of a request this answer; its key is no longer in progress."""
+        followers, request.followers = request.followers, []
+        self._drop(request)
+        for call in (request.leader, *followers):
+            engine.settle(call, answer)
+
+    def _drop(self, request: JournaledRequest) -> None:
+        self.by_leader.pop(request.leader, None)
+        if self.in_progress.get(request.store_key) is request:
+            del self.in_progress[request.store_key]
--- a/laurelstep/settings/config.py
+++ b/laurelstep/settings/config.py
@@ -10,7 +10,7 @@
 from laurelstep.engine.names import Names
 from laurelstep.errors import LaurelstepError
 from laurelstep.interface import KEYED, Settings
-from laurelstep.orders.book import Orders
+from laurelstep.request_journal.settings import JournalSettings
 from laurelstep.room.descriptors import SOCKETS_DEFAULT, side_share
 from laurelstep.wire import EFFECTS, SCOPES, WireError, read_settings
 
@@ -40,7 +40,7 @@
     names: Names
     drain_grace_us: int
     known: dict[str, Any] | None
-    orders: Orders | None = None
+    orders: JournalSettings | None = None
     memory_mb: int = 0  # the limit of the process's memory; 0 = none is told
     management: tuple[str, int] | None = None  # the second address, for the operators' calls
     accord: AccordSettings | None = None
@@ -80,7 +80,7 @@
     return found
 
 
-def _order_headers(raw: Any, orders: Orders | None) -> dict[str, bytes]:
+def _order_headers(raw: Any, orders: JournalSettings | None) -> dict[str, bytes]:
     """`ConfigError` if the orders name what is no class with effects."""
     if orders is None:
         return {}
@@ -134,7 +134,7 @@
         return False
 
 
-def config_from(raw: Any, source: str, orders: Orders | None = None) -> Config:
+def config_from(raw: Any, source: str, orders: JournalSettings | None = None) -> Config:
     """The configuration that an object in the platform's form holds; `source` is what
     its errors name. Absent `listen` and `discovery` are None here: whether they may be
     is for the caller to say."""
--- a/laurelstep/settings/operator.py
+++ b/laurelstep/settings/operator.py
@@ -15,7 +15,6 @@
 import msgspec
 
 from laurelstep.accord.options import AccordSettings, LinkKind, problem_of, seats_for
-from laurelstep.orders.book import OrderClass, Orders
 from laurelstep.outbox.options import (
     How,
     KeptClass,
@@ -26,6 +25,7 @@
     shared_problem,
     store_problem,
 )
+from laurelstep.request_journal.settings import JournalClass, JournalSettings
 from laurelstep.settings.config import Config, ConfigError, Join, address, config_from
 from laurelstep.upkeep.options import StartAlone, UpkeepSettings
 
@@ -239,12 +239,12 @@
                 return f"orders.classes: {one.name}: expected one of header and body_field"
         return None
 
-    def settings(self) -> Orders:
+    def settings(self) -> JournalSettings:
         classes = {
-            one.name: OrderClass(one.header.lower().encode(), one.body_field, one.keep_s * 1000)
+            one.name: JournalClass(one.header.lower().encode(), one.body_field, one.keep_s * 1000)
             for one in self.classes
         }
-        return Orders(self.store_path, classes, self.unavailable, self.max_mb << 20)
+        return JournalSettings(self.store_path, classes, self.unavailable, self.max_mb << 20)
 
 
 class WorkersTable(_Table, frozen=True, kw_only=True):
@@ -428,7 +428,7 @@
             return "workers: expected no [accord]: each process would need a number of its own"
         return None
 
-    def orders_settings(self) -> Orders | None:
+    def orders_settings(self) -> JournalSettings | None:
         return None if self.orders is None else self.orders.settings()
 
     def config(self, path: str) -> Config:
--- a/laurelstep/settings/platform.py
+++ b/laurelstep/settings/platform.py
@@ -8,7 +8,7 @@
 
 from laurelstep.engine.listing import usable
 from laurelstep.engine.ports import Log
-from laurelstep.orders.book import Orders
+from laurelstep.request_journal.settings import JournalSettings
 from laurelstep.settings.config import Config, ConfigError, Join, config_from
 
 
@@ -53,7 +53,10 @@
 
 
 def read_platform(
-    environ: Mapping[str, str], orders: Orders | None = None, join: Join | None = None, log: Log = no_log
+    environ: Mapping[str, str],
+    orders: JournalSettings | None = None,
+    join: Join | None = None,
+    log: Log = no_log,
 ) -> Config:
     """What a daemon under the platform needs: LB_LISTEN, LB_DISCOVERY and LB_MANAGEMENT
     go before the file's `listen`, `discovery` and `management`; all but the last there must be.
--- a/laurelstep/store/store.py
+++ b/laurelstep/store/store.py
@@ -216,14 +216,14 @@
         """Whether a key is there, as far as memory tells: it may have expired."""
         return key in self.index.where
 
-    def put(self, key: bytes, value: bytes, keep_ms: int = 0) -> asyncio.Future[None]:
-        """Durable when what this returns is done. `keep_ms`: the record expires so long after, 0 for never.
+    def put(self, key: bytes, value: bytes, ttl_ms: int = 0) -> asyncio.Future[None]:
+        """Durable when what this returns is done. `ttl_ms`: the record expires so long after, 0 for never.
 
         It ends with `StoreUnavailableError` if it is not written; after a failure of the disk
         it may be found there by a later life all the same. ValueError, at once, if key or value
         is too long.
         """
-        return self._write(PUT, key, value, self.expiry_clock.now_ms() + keep_ms if keep_ms else 0)
+        return self._write(PUT, key, value, self.expiry_clock.now_ms() + ttl_ms if ttl_ms else 0)
 
     def delete(self, key: bytes) -> asyncio.Future[None]:
         """As `put`; a key that is not there may be deleted."""
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -13,14 +13,14 @@
 import pytest
 
 from laurelstep.library import Client
-from laurelstep.orders.book import answer_of, order_key
-from laurelstep.orders.recorder import OrderRecorder
 from laurelstep.outbox.causes import Tokens
 from laurelstep.outbox.dots import Dot, Line
 from laurelstep.outbox.frontier import Alone
 from laurelstep.outbox.journal import Event, Reason
 from laurelstep.outbox.outbox import Bounds, End, KeptClass, Offer, Outbox
 from laurelstep.outbox.store import KeptStore
+from laurelstep.request_journal.journal import RequestJournal
+from laurelstep.request_journal.records import answer_from_record, store_key
 from laurelstep.store import FolderDisk, Options, Store
 from laurelstep.store.clock import (
     NOTE_INTERVAL_MS,
@@ -32,7 +32,7 @@
 )
 from laurelstep.testing import Endpoint
 from laurelstep.testing.disk import SimulatedDisk
-from tests.test_orders import AGAIN, ORDER, SERVED, opened, pay, said
+from tests.test_request_journal import AGAIN, ORDER, SERVED, opened, pay, said
 
 HOUR_MS = 3_600_000
 STEPS = [-HOUR_MS, -1_000, 0, 1_000, HOUR_MS]
@@ -91,7 +91,7 @@
     async def main() -> None:
         machine = Machine()
         async with machine.store(SimulatedDisk()) as store:
-            await store.put(b"order", b"answer", keep_ms=60_000)
+            await store.put(b"order", b"answer", ttl_ms=60_000)
             machine.steps(step_ms)
             machine.passes(59_999)
             await store.compact()
@@ -110,11 +110,11 @@
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
         async with machine.store(disk) as store:
-            await store.put(b"order", b"answer", keep_ms=60_000)
+            await store.put(b"order", b"answer", ttl_ms=60_000)
         machine.steps(step_ms)
         machine.passes(30_000)
         async with machine.store(disk) as store:
-            await store.put(b"second", b"answer", keep_ms=60_000)
+            await store.put(b"second", b"answer", ttl_ms=60_000)
             machine.passes(29_999)
             assert await store.get(b"order") == b"answer"
         async with machine.store(disk) as store:
@@ -131,7 +131,7 @@
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
         async with machine.store(disk) as store:
-            await store.put(b"order", b"answer", keep_ms=60_000)
+            await store.put(b"order", b"answer", ttl_ms=60_000)
             machine.passes(20_000)
         machine.steps(step_ms)
         machine.reboots(down_ms=10_000_000)
@@ -149,7 +149,7 @@
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
         async with machine.store(disk) as store:
-            await store.put(b"order", b"answer", keep_ms=10 * NOTE_INTERVAL_MS)
+            await store.put(b"order", b"answer", ttl_ms=10 * NOTE_INTERVAL_MS)
             first = store.index.clock_note
             await store.put(b"other", b"answer")
             assert store.index.clock_note == first, "one a minute"
@@ -174,7 +174,7 @@
         machine, disk = Machine(), SimulatedDisk()
         async with machine.store(disk) as store:
             for number in range(20):
-                await store.put(b"key-%d" % number, b"value", keep_ms=40 * NOTE_INTERVAL_MS)
+                await store.put(b"key-%d" % number, b"value", ttl_ms=40 * NOTE_INTERVAL_MS)
                 machine.passes(NOTE_INTERVAL_MS)
             note, before = store.index.clock_note, store.size
             await store.compact()
@@ -197,12 +197,12 @@
             disk.fail("sync", OSError(5, "Input/output error"))
             with pytest.raises(OSError, match="the disk fails"):
                 try:
-                    await store.put(b"order", b"answer", keep_ms=60_000)
+                    await store.put(b"order", b"answer", ttl_ms=60_000)
                 except Exception as error:
                     raise OSError(str(error)) from None
             assert store.index.clock_note == b""
             machine.passes(60_000)
-            await store.put(b"order", b"answer", keep_ms=60_000)
+            await store.put(b"order", b"answer", ttl_ms=60_000)
             assert ClockNote.decode(store.index.clock_note).monotonic_ms == machine.monotonic_ms
 
     run(main())
@@ -222,7 +222,7 @@
         ClockNote.decode(b"\0clock")
 
 
-# --- Orders ----------------------------------------------------------------------------------
+# --- The request journal -----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("step_ms", STEPS)
@@ -231,7 +231,7 @@
     tmp_path: Path, step_ms: int, restarts: bool
 ) -> None:
     async def main() -> None:
-        machine, disk, settings = Machine(), SimulatedDisk(), replace(ORDER, keep_ms=60_000)
+        machine, disk, settings = Machine(), SimulatedDisk(), replace(ORDER, retention_ms=60_000)
         async with Endpoint() as endpoint:
             async with opened(tmp_path, endpoint, settings=settings) as client:
                 await use_store(client, machine, disk)
@@ -256,7 +256,7 @@
 async def use_store(client: Client, machine: Machine, disk: SimulatedDisk) -> None:
     """In the place of the one that the client opened."""
     recorder = client.engine.recorder
-    assert isinstance(recorder, OrderRecorder)
+    assert isinstance(recorder, RequestJournal)
     await recorder.store.close()
     clocks = machine.clocks()
     recorder.store = await Store.open(
@@ -278,11 +278,11 @@
         machine.passes(30_000)
         async with machine.store(fixture(tmp_path)) as store:
             assert len(store) == 12 and await store.get(b"forever") == b"kept"
-            record = await store.get(order_key("print-order", b"old-1"))
-            assert record is not None and answer_of(record, FIXTURE_DIGEST).body == b"printed\n"
-            record = await store.get(order_key("print-order", b"old-3"))
-            assert record is not None and answer_of(record, FIXTURE_DIGEST).status == 502
-            await store.put(b"new", b"value", keep_ms=60_000)
+            record = await store.get(store_key("print-order", b"old-1"))
+            assert record is not None and answer_from_record(record, FIXTURE_DIGEST).body == b"printed\n"
+            record = await store.get(store_key("print-order", b"old-3"))
+            assert record is not None and answer_from_record(record, FIXTURE_DIGEST).status == 502
+            await store.put(b"new", b"value", ttl_ms=60_000)
             await store.compact()
         async with machine.store(FolderDisk(tmp_path / "store")) as store:
             assert len(store) == 13
@@ -297,7 +297,7 @@
 @pytest.mark.parametrize("step_ms", STEPS)
 def test_a_record_of_a_store_without_notes_is_kept_an_hour_longer(tmp_path: Path, step_ms: int) -> None:
     async def main() -> None:
-        machine, key = Machine(), order_key("print-order", b"old-1")
+        machine, key = Machine(), store_key("print-order", b"old-1")
         machine.steps(step_ms)
         async with machine.store(fixture(tmp_path)) as store:
             machine.passes(FIXTURE_KEEP_MS - 1)
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -40,8 +40,8 @@
 from laurelstep.interface import ERROR, FULL, NO_CONNECT, OK, RESET
 from laurelstep.net.discovery import Discovery
 from laurelstep.net.upstream import Upstream
-from laurelstep.orders import OrderClass, Orders
-from laurelstep.orders.recorder import Hand, OrderRecorder
+from laurelstep.request_journal import JournalClass, JournalSettings
+from laurelstep.request_journal.journal import JournaledRequest, RequestJournal
 from laurelstep.store import FolderDisk, Options, Store, StoreError
 from laurelstep.store.disk import Disk
 from laurelstep.testing import (
@@ -971,7 +971,7 @@
 
 # --- Recorder -----------------------------------------------------------------------------------
 
-ORDER = OrderClass(header=b"x-order-id", keep_ms=60_000)
+ORDER = JournalClass(header=b"x-order-id", retention_ms=60_000)
 
 
 def broken() -> OSError:
@@ -983,20 +983,20 @@
     def answered(self, call: Call, answer: Answer) -> None: ...
 
 
-class OrderLife:
-    """Orders recorded on a disk in memory."""
+class JournalLife:
+    """A journal on a disk in memory."""
 
-    def __init__(self, kind: type[OrderRecorder], unavailable: Any) -> None:
+    def __init__(self, kind: type[RequestJournal], unavailable: Any) -> None:
         self.kind = kind
-        self.orders = Orders("", {"pay": ORDER}, unavailable)
+        self.settings = JournalSettings("", {"pay": ORDER}, unavailable)
         self.disk = SimulatedDisk()
         self.names = itertools.count()
-        self.own: OrderRecorder
+        self.own: RequestJournal
         self.recorder: Recorder
 
     async def begin(self) -> None:
         store = await Store.open(self.disk, Options())
-        self.recorder = self.own = self.kind(store, self.orders, {"pay": 2}, lambda line: None)
+        self.recorder = self.own = self.kind(store, self.settings, {"pay": 2}, lambda line: None)
 
     def recorded(self, order: str) -> Call:
         return self._call(order.encode())
@@ -1017,13 +1017,13 @@
             self.disk.fail(operation, *(broken() for _ in range(1_000)))
 
 
-class TestOrderRecorder(RecorderContract):
+class TestRequestJournal(RecorderContract):
     unavailable: ClassVar[str] = "fail"
-    kind: ClassVar[type[OrderRecorder]] = OrderRecorder
+    kind: ClassVar[type[RequestJournal]] = RequestJournal
 
     @contextlib.asynccontextmanager
     async def life(self) -> AsyncIterator[Life]:
-        one = OrderLife(self.kind, self.unavailable)
+        one = JournalLife(self.kind, self.unavailable)
         await one.begin()
         try:
             yield one
@@ -1031,16 +1031,16 @@
             await one.own.close()
 
 
-class TestOrderRecorderThatPasses(TestOrderRecorder):
+class TestRequestJournalThatPasses(TestRequestJournal):
     unavailable = "pass"
 
 
-class TakesAll(OrderRecorder):
+class TakesAll(RequestJournal):
     def begin(self, call: Call, engine: Recorded) -> bool:
         return super().begin(call, engine) or True
 
 
-class Admits(OrderRecorder):
+class Admits(RequestJournal):
     """Does not wait for the intent, nor for another request of the same order."""
 
     def begin(self, call: Call, engine: Recorded) -> bool:
@@ -1052,15 +1052,15 @@
         engine.deliver(call, answer)
 
 
-class Forgets(OrderRecorder):
+class Forgets(RequestJournal):
     """Those that wait hear nothing."""
 
-    def _settle_all(self, hand: Hand, answer: Answer, engine: Recorded) -> None:
-        hand.followers.clear()
-        super()._settle_all(hand, answer, engine)
+    def _settle_all(self, request: JournaledRequest, answer: Answer, engine: Recorded) -> None:
+        request.followers.clear()
+        super()._settle_all(request, answer, engine)
 
 
-class KeepsFailures(OrderRecorder):
+class KeepsFailures(RequestJournal):
     """Does not deliver what it need not keep."""
 
     def finish(self, call: Call, answer: Answer, engine: Recorded) -> None:
@@ -1068,20 +1068,20 @@
             super().finish(call, answer, engine)
 
 
-class Clears(OrderRecorder):
+class Clears(RequestJournal):
     """Deletes the record of an order that is over."""
 
-    async def _finish(self, hand: Hand, answer: Answer, engine: Recorded) -> None:
-        await super()._finish(hand, answer, engine)
-        await self.store.delete(hand.key)
+    async def _finish(self, request: JournaledRequest, answer: Answer, engine: Recorded) -> None:
+        await super()._finish(request, answer, engine)
+        await self.store.delete(request.store_key)
 
 
-class Dies(OrderRecorder):
+class Dies(RequestJournal):
     """Does not expect that its store fails."""
 
-    async def _finish(self, hand: Hand, answer: Answer, engine: Recorded) -> None:
-        await self.store.put(hand.key, b"", hand.keep_ms)
-        await super()._finish(hand, answer, engine)
+    async def _finish(self, request: JournaledRequest, answer: Answer, engine: Recorded) -> None:
+        await self.store.put(request.store_key, b"", request.retention_ms)
+        await super()._finish(request, answer, engine)
 
 
 @pytest.mark.parametrize(
@@ -1096,8 +1096,8 @@
         (Dies, "test_where_nothing_can_be_kept_everybody_hears"),
     ],
 )
-def test_a_faulty_recorder_is_caught(kind: type[OrderRecorder], name: str) -> None:
-    class Faulty(TestOrderRecorder):
+def test_a_faulty_recorder_is_caught(kind: type[RequestJournal], name: str) -> None:
+    class Faulty(TestRequestJournal):
         patience_s = 0.2
 
     Faulty.kind = kind
--- a/tests/test_orders.py
+++ b/tests/test_request_journal.py
@@ -1,4 +1,4 @@
-"""The record of orders: nothing twice, nothing contradicted, over restarts and kills."""
+"""The request journal: nothing twice, nothing contradicted, over restarts and kills."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 from laurelstep.engine import Answer, Call, Ending
 from laurelstep.library import Client, ConfigError, Reply, Request
-from laurelstep.orders import OrderClass, Orders
-from laurelstep.orders.book import (
-    answer_of,
-    digest_of,
-    encode_answer,
-    encode_intent,
-    order_name,
+from laurelstep.request_journal import JournalClass, JournalSettings
+from laurelstep.request_journal.journal import RequestJournal
+from laurelstep.request_journal.records import (
+    IntentRecord,
+    ResponseRecord,
+    answer_from_record,
+    idempotency_key,
+    request_digest,
 )
-from laurelstep.orders.recorder import OrderRecorder
 from laurelstep.settings import config_from, read_file
 from laurelstep.settings.operator import read_operator
 from laurelstep.store import FolderDisk, Options, Store
@@ -47,11 +47,11 @@
 from tests.test_library import member, nothing_held
 from tests.test_settings import file, platform
 
-ORDER = OrderClass(header=b"x-order-id", keep_ms=60_000)
+ORDER = JournalClass(header=b"x-order-id", retention_ms=60_000)
 
 
-def orders(folder: Path, unavailable: Any = "fail", settings: OrderClass = ORDER) -> Orders:
-    return Orders(str(folder), {"pay": settings}, unavailable)
+def orders(folder: Path, unavailable: Any = "fail", settings: JournalClass = ORDER) -> JournalSettings:
+    return JournalSettings(str(folder), {"pay": settings}, unavailable)
 
 
 @contextlib.asynccontextmanager
@@ -96,17 +96,17 @@
 
 
 def test_a_record_gives_the_answer_as_it_was() -> None:
-    digest = digest_of(call())
+    digest = request_digest(call())
     answer = Answer(Ending.SERVED, 200, ((b"content-type", b"text/plain"),), b"line\nline\0")
-    found = answer_of(encode_answer(digest, answer), digest)
+    found = answer_from_record(ResponseRecord(digest, answer).encode(), digest)
     assert (found.ending, found.status, found.body) == (answer.ending, 200, answer.body)
     assert found.headers == (*answer.headers, (b"x-from-record", b"1"))
-    told = answer_of(encode_intent(digest), digest)
+    told = answer_from_record(IntentRecord(digest).encode(), digest)
     assert (told.ending, told.status, told.headers) == (Ending.FAILED, 502, ((b"x-may-have-run", b"1"),))
-    assert answer_of(encode_intent(digest), digest_of(call(b"other"))).status == 422
-    for bad in (b"", b"Z" * 40, b"I", encode_answer(digest, answer)[:20]):
+    assert answer_from_record(IntentRecord(digest).encode(), request_digest(call(b"other"))).status == 422
+    for bad in (b"", b"Z" * 40, b"I", ResponseRecord(digest, answer).encode()[:20]):
         with pytest.raises(ValueError, match=r".*"):
-            answer_of(bad, digest)
+            answer_from_record(bad, digest)
 
 
 @pytest.mark.parametrize(
@@ -115,20 +115,20 @@
         (ORDER, b" o-1 ", b"", b"o-1"),
         (ORDER, b"", b'{"order": "o-1"}', None),
         (ORDER, b"x" * 257, b"", None),
-        (OrderClass(body_field="order"), b"o-1", b'{"order": "o-2"}', b"o-2"),
-        (OrderClass(body_field="order"), b"", b'{"order": 17}', b"17"),
-        (OrderClass(body_field="order"), b"", '{"order": "\u00fc"}'.encode(), "\u00fc".encode()),
-        (OrderClass(body_field="order"), b"", b'{"order": true}', None),
-        (OrderClass(body_field="order"), b"", b'{"order": {}}', None),
-        (OrderClass(body_field="order"), b"", b"[1]", None),
-        (OrderClass(body_field="order"), b"", b"\xff", None),
-        (OrderClass(body_field="order"), b"", b"[" * 100_000, None),
+        (JournalClass(body_field="order"), b"o-1", b'{"order": "o-2"}', b"o-2"),
+        (JournalClass(body_field="order"), b"", b'{"order": 17}', b"17"),
+        (JournalClass(body_field="order"), b"", '{"order": "\u00fc"}'.encode(), "\u00fc".encode()),
+        (JournalClass(body_field="order"), b"", b'{"order": true}', None),
+        (JournalClass(body_field="order"), b"", b'{"order": {}}', None),
+        (JournalClass(body_field="order"), b"", b"[1]", None),
+        (JournalClass(body_field="order"), b"", b"\xff", None),
+        (JournalClass(body_field="order"), b"", b"[" * 100_000, None),
     ],
 )
 def test_what_a_request_calls_its_order(
-    settings: OrderClass, header: bytes, body: bytes, expected: bytes | None
+    settings: JournalClass, header: bytes, body: bytes, expected: bytes | None
 ) -> None:
-    assert order_name(settings, header, body) == expected
+    assert idempotency_key(settings, header, body) == expected
 
 
 # --- One life ----------------------------------------------------------------------------
@@ -229,7 +229,7 @@
     client = await stack.enter_async_context(opened(folder, endpoint, unavailable=unavailable))
     store = await Store.open(disk, Options())
     recorder = client.engine.recorder
-    assert isinstance(recorder, OrderRecorder)
+    assert isinstance(recorder, RequestJournal)
     await recorder.store.close()
     recorder.store = store
     return client, store
@@ -275,12 +275,12 @@
     async def main() -> None:
         async with Endpoint() as endpoint, opened(tmp_path, endpoint) as client:
             recorder = client.engine.recorder
-            assert isinstance(recorder, OrderRecorder)
+            assert isinstance(recorder, RequestJournal)
             real, never = recorder.store.put, asyncio.Event()
 
-            async def slow(key: bytes, value: bytes, keep_ms: int = 0) -> None:
+            async def slow(key: bytes, value: bytes, ttl_ms: int = 0) -> None:
                 await never.wait()
-                await real(key, value, keep_ms)
+                await real(key, value, ttl_ms)
 
             vars(recorder.store)["put"] = slow
             reply = await client.send(pay(deadline_s=0.05))
@@ -362,7 +362,7 @@
         await serve(order.encode())(endpoint, message, writer)
 
     async def client(self, name: str) -> None:
-        """Orders one after another, each repeated until an answer is certain."""
+        """Requests one after another, each repeated until an answer is certain."""
         caller = Caller("127.0.0.1", self.port)
         order = 0
         while not self.stop:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -324,8 +324,8 @@
     async def main() -> None:
         times = Times()
         async with opened(SimulatedDisk(), times=times) as store:
-            await store.put(b"short", b"s", keep_ms=10)
-            await store.put(b"long", b"l", keep_ms=10_000)
+            await store.put(b"short", b"s", ttl_ms=10)
+            await store.put(b"long", b"l", ttl_ms=10_000)
             assert await store.get(b"short") == b"s"
             times.seconds += 0.01
             assert await store.get(b"short") is None and await store.get(b"long") == b"l"
