--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -27,7 +27,7 @@
 from laurelstep.library import Client, Member, Request
 from laurelstep.request_journal import JournalClass, JournalSettings
 from laurelstep.settings import config_from
-from laurelstep.store import FolderDisk, Options, Store
+from laurelstep.store import FolderDisk, Store, StoreOptions
 from laurelstep.testing import Endpoint
 
 VALUE = b"v" * 100
@@ -119,7 +119,7 @@
 
 
 async def speeds(folder: Path) -> dict[str, Any]:
-    store = await Store.open(FolderDisk(folder / "store"), Options(max_bytes=1 << 34))
+    store = await Store.open(FolderDisk(folder / "store"), StoreOptions(max_bytes=1 << 34))
     contenders = {"store": store.put, "fsync": Fsyncs(folder).write, "sqlite": Sqlite(folder).write}
     seen: dict[tuple[str, int], list[float]] = {(name, n): [] for name in contenders for n in (1, MANY)}
     plan = [(name, n) for _ in range(ROUNDS) for n in (1, MANY) for name in contenders]
@@ -148,7 +148,7 @@
 
 
 async def filled(folder: Path, keys: int) -> None:
-    async with await Store.open(FolderDisk(folder), Options(max_bytes=1 << 34)) as store:
+    async with await Store.open(FolderDisk(folder), StoreOptions(max_bytes=1 << 34)) as store:
         for start in range(0, keys, 4096):
             part = range(start, min(keys, start + 4096))
             await asyncio.gather(*(store.put(key_of(n), VALUE) for n in part))
@@ -158,7 +158,7 @@
     await filled(folder, keys)
     gc.collect()
     before, began = resident_kb(), time.perf_counter()
-    store = await Store.open(FolderDisk(folder), Options(max_bytes=1 << 34))
+    store = await Store.open(FolderDisk(folder), StoreOptions(max_bytes=1 << 34))
     took = time.perf_counter() - began
     gc.collect()
     grown = (resident_kb() - before) * 1024
@@ -175,8 +175,8 @@
             turns.append(now - last)
             last = now
 
-    if store.compacting is not None:
-        await asyncio.wait((store.compacting,))
+    if store.compactor.task is not None:
+        await asyncio.wait((store.compactor.task,))
     probing = asyncio.create_task(probe())
     began = time.perf_counter()
     await store.compact()
--- a/laurelstep/__main__.py
+++ b/laurelstep/__main__.py
@@ -152,7 +152,7 @@
 
                 return demo(rest)
             case ["store", *rest]:
-                from laurelstep.store.tool import main as store
+                from laurelstep.store.cli import main as store
 
                 return store(rest)
             case ["run", *rest]:
--- a/laurelstep/accord/stores/embedded.py
+++ b/laurelstep/accord/stores/embedded.py
@@ -17,17 +17,17 @@
 from typing import Final
 
 from laurelstep.accord.errors import StoreFaultError
-from laurelstep.store import Disk, FolderDisk, Options, Store, StoreError
-from laurelstep.store.log import KEY_MOST, VALUE_MOST
+from laurelstep.store import Disk, FolderDisk, Store, StoreError, StoreOptions
+from laurelstep.store.log_format import MAX_KEY_BYTES, MAX_VALUE_BYTES
 
 # A batch is never split: 16 MiB is the most that one of the store's frames may have.
 BATCH_BYTES: Final = 8 << 20
-OPTIONS: Final = Options(
+OPTIONS: Final = StoreOptions(
     batch_records=1 << 16,
     batch_bytes=2 * BATCH_BYTES,
     segment_bytes=4 << 20,
     max_bytes=64 << 20,
-    ahead_bytes=64 << 10,
+    preallocated_bytes=64 << 10,
 )
 
 
@@ -69,7 +69,7 @@
 
     async def load(self) -> dict[bytes, bytes]:
         found = {}
-        for key in list(self.store.index.where):
+        for key in list(self.store.index.locations):
             value = await self.store.get(key)
             if value is not None:
                 found[key] = value
@@ -96,9 +96,10 @@
         if self._size + size_of(changes) > BATCH_BYTES:
             return f"over {BATCH_BYTES} bytes wait to be written"
         if any(
-            not 0 < len(key) <= KEY_MOST or len(value or b"") > VALUE_MOST for key, value in changes.items()
+            not 0 < len(key) <= MAX_KEY_BYTES or len(value or b"") > MAX_VALUE_BYTES
+            for key, value in changes.items()
         ):
-            return f"a key of over {KEY_MOST} bytes or a value of over {VALUE_MOST}"
+            return f"a key of over {MAX_KEY_BYTES} bytes or a value of over {MAX_VALUE_BYTES}"
         return None
 
     async def _write_on(self) -> None:
--- a/laurelstep/outbox/store.py
+++ b/laurelstep/outbox/store.py
@@ -28,8 +28,7 @@
 from laurelstep.outbox.errors import KeptRecordError
 from laurelstep.outbox.journal import FINAL, KeptWrite, Moved, decode_kept, decode_moved, encode
 from laurelstep.outbox.options import CHUNK
-from laurelstep.store import Disk, FolderDisk, Options, Store, StoreError
-from laurelstep.store.clock import SYSTEM_CLOCKS, StoreClocks
+from laurelstep.store import SYSTEM_CLOCKS, Disk, FolderDisk, Store, StoreClocks, StoreError, StoreOptions
 
 KEPT, MOVED, PART, LINE, HOLDERS = b"k", b"m", b"p", b"l", b"h"
 SECRET: Final = b"secret"
@@ -109,12 +108,10 @@
         in use, damaged or can't be read."""
         disk: Disk = FolderDisk(place) if isinstance(place, str) else place
         segment = min(SEGMENT_MOST, max(SEGMENT_LEAST, max_bytes // 8))
-        options = Options(max_bytes=2 * max_bytes + SPARE_BYTES, segment_bytes=segment, numbered=KEPT + MOVED)
-        return cls(
-            await Store.open(
-                disk, options, log, clock=clocks.monotonic, wall=clocks.wall_ms, boot=clocks.boot_identity
-            )
+        options = StoreOptions(
+            max_bytes=2 * max_bytes + SPARE_BYTES, segment_bytes=segment, numbered_prefixes=KEPT + MOVED
         )
+        return cls(await Store.open(disk, options, log, clocks))
 
     def time_us(self) -> int:
         """By which the ages of writes are told, across lives too: it never stays behind the time that has
@@ -182,7 +179,7 @@
             else:
                 stale.add(KEPT + at)
         stale.update(MOVED + at for at in moved if at not in kept or KEPT + at in stale)
-        stale.update(key for key in self.store.index.where if key[:1] == PART and key not in parts)
+        stale.update(key for key in self.store.index.locations if key[:1] == PART and key not in parts)
         return stale
 
     # --- Writing ----------------------------------------------------------------------
@@ -205,7 +202,7 @@
         if error is None:
             return
         # Told by a store that refuses before it writes: it is full, or was failing already.
-        certain = await self._take_back(write.dot, size) and self.store.failed is None
+        certain = await self._take_back(write.dot, size) and not self.store.is_failing
         raise FailedToKeepError(str(error), certain) from None
 
     async def _take_back(self, dot: Dot, size: int) -> bool:
@@ -234,7 +231,7 @@
         try:
             await self.store.put(key_of(KEPT, write.dot), len(record).to_bytes(4, "big") + record + first)
         except StoreError as error:
-            raise FailedToKeepError(str(error), self.store.failed is None) from None
+            raise FailedToKeepError(str(error), not self.store.is_failing) from None
 
     async def forget(self, dot: Dot, size: int) -> bool:
         """All of a write. False if that can't be written. Its state is deleted after its record: a record
--- a/laurelstep/request_journal/journal.py
+++ b/laurelstep/request_journal/journal.py
@@ -27,7 +27,7 @@
     store_key,
 )
 from laurelstep.request_journal.settings import JournalClass, JournalSettings
-from laurelstep.store import FolderDisk, Options, Store, StoreError
+from laurelstep.store import FolderDisk, Store, StoreError, StoreOptions
 
 # Requests that wait for the answer of one key; guards memory against a client that repeats for ever.
 MAX_FOLLOWERS = 32
@@ -66,7 +66,7 @@
         cls, settings: JournalSettings, class_numbers: Mapping[str, int], log: Log
     ) -> RequestJournal:
         """Open the store at `settings.store_path`, and a journal on it. `StoreError` if that fails."""
-        options = Options(max_bytes=settings.max_bytes)
+        options = StoreOptions(max_bytes=settings.max_bytes)
         store = await Store.open(FolderDisk(settings.store_path), options, log)
         return cls(store, settings, class_numbers, log)
 
--- a/laurelstep/store/clock.py
+++ b/laurelstep/store/clock.py
@@ -1,19 +1,19 @@
-"""The time by which a store's records expire. No I/O but `boot_identity`.
+"""The time by which a store's records expire. No I/O but that of `boot_identity`.
 
 The machine's wall clock may be stepped, forward or back; its monotonic clock runs on, and goes on from
 process to process until the machine is started anew. The rules:
 
 1. While a process lives, all spans are measured by the monotonic clock. The wall clock is read once, when a
    new store is made, so that its times look like Unix times.
-2. A note of both clocks goes into the log with the first batch of a life, and with a batch each
+2. A note of both clocks goes into the log with the first batch of a process, and with a batch each
    `NOTE_INTERVAL_MS`. The next life goes on from the newest note.
 3. In the same boot of the same machine the monotonic clock tells exactly how long ago that was.
 4. Otherwise how long ago that was is not known. At the least no time has passed: by that, records expire, so
-   none goes too early. At the most the wall clock's difference and `STEP_MOST_MS` have passed: by that,
+   none goes too early. At the most the wall clock's difference and `MAX_STEP_MS` have passed: by that,
    windows end in which a write may be repeated. A wall clock that stands before the note tells nothing:
    then `is_elapsed_known` is False.
 5. A store without a note was written by a program that used the wall clock for expiry. Its time is taken as
-   `STEP_MOST_MS` before the wall clock's at the least, and as much after it at the most.
+   `MAX_STEP_MS` before the wall clock's at the least, and as much after it at the most.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 from typing import Final, Self
 
 # The largest step of a wall clock that is allowed for where nothing else tells how much time has passed.
-STEP_MOST_MS: Final = 3_600_000
+MAX_STEP_MS: Final = 3_600_000
 # How old the newest note may become while records are written.
 NOTE_INTERVAL_MS: Final = 60_000
-BOOT_IDENTITY_MOST: Final = 128
+MAX_BOOT_IDENTITY_BYTES: Final = 128
 
 _PREFIX: Final = b"\0clock"
 # least, most, monotonic and wall time in ms; the boot identity follows.
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockNote:
-    """What a life noted of its clocks at one moment. All times in ms; `boot` may be empty: unknown."""
+    """What a process noted of its clocks at one moment. All times in ms; `boot` may be empty: unknown."""
 
     least_ms: int
     most_ms: int
@@ -64,14 +64,14 @@
     """Names this start of this machine, and the time namespace; empty where the system doesn't tell."""
     try:
         with open("/proc/sys/kernel/random/boot_id", "rb") as file:
-            boot = file.read(BOOT_IDENTITY_MOST // 2).strip()
+            boot = file.read(MAX_BOOT_IDENTITY_BYTES // 2).strip()
     except OSError:
         return b""
     try:
         namespace = os.readlink("/proc/self/ns/time").encode()
     except OSError:
         namespace = b""
-    return (boot + b" " + namespace)[:BOOT_IDENTITY_MOST] if boot else b""
+    return (boot + b" " + namespace)[:MAX_BOOT_IDENTITY_BYTES] if boot else b""
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,34 +88,27 @@
 
 
 class StoreClock:
-    """A store's time in one life. `monotonic`: seconds, never back; `wall`: Unix time in ms."""
-
-    def __init__(
-        self,
-        note: ClockNote | None,
-        is_new: bool,
-        monotonic: Callable[[], float],
-        wall: Callable[[], int],
-        boot: bytes,
-    ) -> None:
-        """`note`: the newest of earlier lives; `is_new`: nothing was ever written to this store."""
-        self._monotonic = monotonic
-        self._wall = wall
-        self._boot = boot
+    """A store's time in one process."""
+
+    def __init__(self, note: ClockNote | None, is_new: bool, clocks: StoreClocks) -> None:
+        """`note`: the newest of earlier processes; `is_new`: nothing was ever written to this store."""
+        self._monotonic = clocks.monotonic
+        self._wall = clocks.wall_ms
+        self._boot = boot = clocks.boot_identity()
         self._opened_ms = opened_ms = self._monotonic_ms()
-        self._noted_ms: int | None = None  # monotonic time of this life's newest durable note
+        self._noted_ms: int | None = None  # monotonic time of this process's newest durable note
         self.is_elapsed_known = True
         self.opening_doubt_ms = 0  # between the least and the most that passed before this opening
-        wall_ms = wall()
+        wall_ms = self._wall()
         if note is None:
-            margin_ms = 0 if is_new else STEP_MOST_MS
+            margin_ms = 0 if is_new else MAX_STEP_MS
             self._least_ms, self._most_ms = max(0, wall_ms - margin_ms), wall_ms + margin_ms
             self.opening_doubt_ms = 2 * margin_ms
         elif boot and note.boot == boot and note.monotonic_ms <= opened_ms:
             elapsed_ms = opened_ms - note.monotonic_ms
             self._least_ms, self._most_ms = note.least_ms + elapsed_ms, note.most_ms + elapsed_ms
         else:
-            self.opening_doubt_ms = max(0, wall_ms - note.wall_ms) + STEP_MOST_MS
+            self.opening_doubt_ms = max(0, wall_ms - note.wall_ms) + MAX_STEP_MS
             self._least_ms, self._most_ms = note.least_ms, note.most_ms + self.opening_doubt_ms
             self.is_elapsed_known = wall_ms >= note.wall_ms
 
@@ -131,13 +124,15 @@
         return self._most_ms + self._monotonic_ms() - self._opened_ms
 
     def note(self) -> ClockNote:
-        """Of now."""
-        return ClockNote(self.now_ms(), self.most_ms(), self._monotonic_ms(), self._wall(), self._boot)
+        """Of this moment."""
+        return ClockNote(
+            self.now_ms(), self.most_ms(), self._monotonic_ms(), max(0, self._wall()), self._boot
+        )
 
     def needs_note(self) -> bool:
         """Whether the next batch is to carry a note."""
         return self._noted_ms is None or self._monotonic_ms() - self._noted_ms >= NOTE_INTERVAL_MS
 
-    def noted(self, note: ClockNote) -> None:
+    def on_noted(self, note: ClockNote) -> None:
         """It is durable."""
         self._noted_ms = note.monotonic_ms
--- a/laurelstep/store/disk.py
+++ b/laurelstep/store/disk.py
@@ -13,7 +13,7 @@
 from laurelstep.store.manifest import LOCK
 
 # Descriptors kept open; a segment read again later is opened again.
-OPEN_MOST = 16
+MAX_OPEN_FILES = 16
 
 
 class StoreError(LaurelstepError):
@@ -90,7 +90,7 @@
 
     def _keep(self, name: str, fd: int) -> None:
         """The one used last; the longest unused makes room."""
-        while len(self.open) >= OPEN_MOST:
+        while len(self.open) >= MAX_OPEN_FILES:
             os.close(self.open.popitem(last=False)[1])
         self.open[name] = fd
 
--- a/laurelstep/store/index.py
+++ b/laurelstep/store/index.py
@@ -1,112 +1,130 @@
-"""What is where: the index in memory, and what compaction should do and keep. No I/O.
+"""Where each key's record is: the index in memory, and what compaction should do and copy. No I/O.
 
 A key costs its dictionary slot, its bytes and one integer: some 110 bytes and the key's own
-length beyond 16; far less where its user says that it is numbered (`numbered`). A location is a segment's
-number and an offset in it."""
+length beyond 16; far less for keys that end with a sequence number (`numbered_keys`). A location is a
+segment's number and an offset in it, packed into one integer."""
 
 from __future__ import annotations
 
 from collections.abc import MutableMapping
 from dataclasses import dataclass
 
-from laurelstep.store.log import CLOCK, DELETE, PUT
-from laurelstep.store.numbered import Numbered
+from laurelstep.store.log_format import RecordHeader, RecordKind
+from laurelstep.store.numbered_keys import NumberedKeyMap
 
 _OFFSET_BITS = 32
 _OFFSET_MASK = (1 << _OFFSET_BITS) - 1
-# Compaction pays when this share of the sealed records is of no more use, and
-# there are so many of them at least: a small log is read quickly as it is.
-GARBAGE_SHARE, GARBAGE_LEAST = 0.5, 1_000
+# Plain integers: recovery compares millions.
+_DELETE, _CLOCK_NOTE = int(RecordKind.DELETE), int(RecordKind.CLOCK_NOTE)
+# Compaction pays when this share of the sealed records is garbage, and there are so many of
+# them at least: a small log is read quickly as it is.
+GARBAGE_SHARE = 0.5
+MIN_COMPACTED_RECORDS = 1_000
 
 
-def location(segment: int, offset: int) -> int:
+def pack_location(segment: int, offset: int) -> int:
+    """A segment's number and an offset in it, in bytes, as one integer."""
     return segment << _OFFSET_BITS | offset
 
 
-def place_of(where: int) -> tuple[int, int]:
-    """Segment and offset."""
-    return where >> _OFFSET_BITS, where & _OFFSET_MASK
+def unpack_location(location: int) -> tuple[int, int]:
+    """The segment's number and the offset in it, in bytes."""
+    return location >> _OFFSET_BITS, location & _OFFSET_MASK
 
 
 @dataclass(slots=True)
-class Usage:
-    """One segment: its records, those that the index points at, and when the last expires."""
+class SegmentUsage:
+    """One segment: its records, those that the index points at, and when the last of them expires."""
 
     records: int = 0
     live: int = 0
-    last_expiry: int = 0  # the store's time in ms
-    forever: bool = False
+    last_expiry_ms: int = 0  # the store's time
+    has_permanent: bool = False  # a record that never expires
 
+    def garbage(self, now_ms: int) -> int:
+        """How many records a compaction at this time would drop."""
+        has_expired = not self.has_permanent and self.last_expiry_ms <= now_ms
+        return self.records if has_expired else self.records - self.live
 
-class Index:
-    """Keys to locations, with the use that each segment still is. `numbered`: the first bytes of keys that
-    end with a number given out one by one."""
 
-    def __init__(self, numbered: bytes = b"") -> None:
-        self.where: MutableMapping[bytes, int] = Numbered(numbered) if numbered else {}
-        self.usage: dict[int, Usage] = {}
-        self.highest = 0  # sequence number
+class KeyIndex:
+    """Keys to locations, with the usage of each segment. `numbered_prefixes`: the first bytes of keys that
+    end with a sequence number."""
+
+    def __init__(self, numbered_prefixes: bytes = b"") -> None:
+        self.locations: MutableMapping[bytes, int] = (
+            NumberedKeyMap(numbered_prefixes) if numbered_prefixes else {}
+        )
+        self.usage: dict[int, SegmentUsage] = {}
+        self.highest_sequence = 0
         self.clock_note = b""  # the newest note of the clocks: the key of its record
-        self.clock_note_at = 0  # its location
+        self.clock_note_location = 0
 
     def __len__(self) -> int:
-        return len(self.where)
+        return len(self.locations)
 
-    def apply(self, segment: int, offset: int, kind: int, expires: int, key: bytes) -> None:
-        """A record of the log, in the log's order. Notes of the clocks count for no segment's use."""
-        if kind == CLOCK:
-            self.clock_note, self.clock_note_at = key, location(segment, offset)
+    def apply(self, segment: int, record: RecordHeader) -> None:
+        """Take in a record of the log, in the log's order. Notes of the clocks count for no usage."""
+        offset, kind, expires_ms, _, key = record
+        if kind == _CLOCK_NOTE:
+            self.clock_note, self.clock_note_location = key, pack_location(segment, offset)
             return
         usage = self.usage.get(segment)
         if usage is None:
-            usage = self.usage[segment] = Usage()
+            usage = self.usage[segment] = SegmentUsage()
         usage.records += 1
-        if kind == DELETE:
-            old = self.where.pop(key, None)
+        if kind == _DELETE:
+            old = self.locations.pop(key, None)
         else:
-            old = self.where.get(key)
-            self.where[key] = segment << _OFFSET_BITS | offset
+            old = self.locations.get(key)
+            self.locations[key] = segment << _OFFSET_BITS | offset
             usage.live += 1
-            if not expires:
-                usage.forever = True
-            elif expires > usage.last_expiry:
-                usage.last_expiry = expires
+            if not expires_ms:
+                usage.has_permanent = True
+            elif expires_ms > usage.last_expiry_ms:
+                usage.last_expiry_ms = expires_ms
         if old is not None:
             self.usage[old >> _OFFSET_BITS].live -= 1
 
-    def keeps(self, where: int, key: bytes, kind: int, expires: int, now_ms: int) -> bool:
-        """Whether compaction keeps the record at a location of the log's beginning: only what
-        the index points at, and only until it expires. Deletions hide nothing any more."""
-        if kind == CLOCK:
-            return where == self.clock_note_at
-        return kind != DELETE and self.where.get(key) == where and not (expires and expires <= now_ms)
-
-    def moved(self, key: bytes, old: int, new: int, expires: int, kind: int = PUT) -> None:
-        """Compaction wrote a record anew; nothing moves if the key has changed since."""
-        if kind == CLOCK:
-            if self.clock_note_at == old:
-                self.clock_note_at = new
+    def must_copy(self, location: int, record: RecordHeader, now_ms: int) -> bool:
+        """Whether compaction copies the record at this location of the log's beginning: only what the index
+        points at, and only until it expires. Deletions there hide nothing any more."""
+        if record.kind == _CLOCK_NOTE:
+            return location == self.clock_note_location
+        if record.kind == _DELETE or self.locations.get(record.key) != location:
+            return False
+        return not 0 < record.expires_ms <= now_ms
+
+    def on_copied(self, segment: int, record: RecordHeader, old: int) -> None:
+        """Compaction wrote the record at the location `old` anew. The key stays where it is if it has changed
+        since."""
+        new = pack_location(segment, record.offset)
+        if record.kind == _CLOCK_NOTE:
+            if self.clock_note_location == old:
+                self.clock_note_location = new
             return
-        usage = self.usage[new >> _OFFSET_BITS]
+        usage = self.usage[segment]
         usage.records += 1
-        usage.forever |= not expires
-        usage.last_expiry = max(usage.last_expiry, expires)
-        if self.where.get(key) == old:
-            self.where[key] = new
+        usage.has_permanent |= not record.expires_ms
+        usage.last_expiry_ms = max(usage.last_expiry_ms, record.expires_ms)
+        if self.locations.get(record.key) == old:
+            self.locations[record.key] = new
             self.usage[old >> _OFFSET_BITS].live -= 1
             usage.live += 1
 
-    def expired(self, key: bytes, old: int) -> None:
-        """Compaction did not keep it."""
-        if self.where.get(key) == old:
-            del self.where[key]
+    def on_expired(self, key: bytes, old: int) -> None:
+        """Compaction dropped the expired record at the location `old`."""
+        if self.locations.get(key) == old:
+            del self.locations[key]
             self.usage[old >> _OFFSET_BITS].live -= 1
 
-    def worth_compacting(self, sealed: list[int], now_ms: int) -> bool:
-        records = garbage = 0
-        for number in sealed:
-            usage = self.usage.get(number) or Usage()
-            records += usage.records
-            over = not usage.forever and usage.last_expiry <= now_ms
-            garbage += usage.records if over else usage.records - usage.live
-        return records >= GARBAGE_LEAST and garbage >= GARBAGE_SHARE * records
+    def should_compact(self, sealed: list[int], now_ms: int) -> bool:
+        """Whether enough of these sealed segments is garbage."""
+        usages = [usage for number in sealed if (usage := self.usage.get(number)) is not None]
+        records = sum(usage.records for usage in usages)
+        garbage = sum(usage.garbage(now_ms) for usage in usages)
+        return records >= MIN_COMPACTED_RECORDS and garbage >= GARBAGE_SHARE * records
+
+    def can_free_anything(self) -> bool:
+        """Whether a compaction, now or later, could free anything at all."""
+        return any(usage.live < usage.records or not usage.has_permanent for usage in self.usage.values())
--- a/laurelstep/store/manifest.py
+++ b/laurelstep/store/manifest.py
@@ -18,95 +18,103 @@
 
 from google_crc32c import value
 
-from laurelstep.store.log import FORMAT, SEGMENT_SIZE, LogError
+from laurelstep.store.log_format import FORMAT, SEGMENT_HEADER_BYTES, LogError
 
-MANIFEST, ASIDE, LOCK = "MANIFEST", "MANIFEST.new", "LOCK"
-_SEGMENT = re.compile(r"^(\d{10})\.seg$")
+MANIFEST = "MANIFEST"
+NEW_MANIFEST = "MANIFEST.new"  # until it is complete and takes the place of the other
+LOCK = "LOCK"
+_SEGMENT_NAME = re.compile(r"^(\d{10})\.seg$")
 
 
 def segment_name(number: int) -> str:
+    """The file's name of a segment."""
     return f"{number:010d}.seg"
 
 
 def segment_number(name: str) -> int | None:
-    found = _SEGMENT.match(name)
+    """The number of the segment that a file's name stands for; None if it is no segment's."""
+    found = _SEGMENT_NAME.match(name)
     return int(found[1]) if found else None
 
 
 @dataclass(frozen=True, slots=True)
-class Segment:
-    """A segment as the manifest names it; `sealed` is its durable length once it is closed."""
+class SegmentEntry:
+    """A segment as the manifest names it; `sealed_bytes` is its durable length once it is closed."""
 
     number: int
-    sealed: int | None = None
+    sealed_bytes: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Manifest:
-    """The segments in the log's order: all but the last are sealed."""
+    """The segments in the log's order: all but the last, the active one, are sealed."""
 
     generation: int
-    segments: tuple[Segment, ...]
+    segments: tuple[SegmentEntry, ...]
     next_number: int
 
-    def with_new(self, sealed_length: int, number: int) -> Manifest:
-        """The last one sealed at its durable length, and a new one behind it."""
+    def with_new_segment(self, sealed_bytes: int, number: int) -> Manifest:
+        """With the active segment sealed at its durable length, and a new one after it."""
         *before, last = self.segments
-        segments = (*before, replace(last, sealed=sealed_length), Segment(number))
+        segments = (*before, replace(last, sealed_bytes=sealed_bytes), SegmentEntry(number))
         return Manifest(self.generation + 1, segments, number + 1)
 
-    def compacted(self, old: Iterable[Segment], new: Iterable[Segment], next_number: int) -> Manifest:
-        """The new segments in the place of the old ones, which are the log's beginning."""
-        gone = tuple(old)
-        if self.segments[: len(gone)] != gone:
+    def with_compacted(
+        self, old: Iterable[SegmentEntry], new: Iterable[SegmentEntry], next_number: int
+    ) -> Manifest:
+        """With the new segments in place of the old ones. ValueError if those are not the log's beginning."""
+        replaced = tuple(old)
+        if self.segments[: len(replaced)] != replaced:
             raise ValueError("what is compacted is not the log's beginning")
-        return Manifest(self.generation + 1, (*new, *self.segments[len(gone) :]), next_number)
+        return Manifest(self.generation + 1, (*new, *self.segments[len(replaced) :]), next_number)
 
 
 def encode_manifest(manifest: Manifest) -> bytes:
-    told = {
+    """The manifest's file: a JSON line and its checksum."""
+    fields = {
         "format": FORMAT,
         "generation": manifest.generation,
         "next": manifest.next_number,
-        "segments": [[one.number, one.sealed] for one in manifest.segments],
+        "segments": [[segment.number, segment.sealed_bytes] for segment in manifest.segments],
     }
-    line = json.dumps(told).encode()
+    line = json.dumps(fields).encode()
     return line + b"\n%08x\n" % value(line)
 
 
 def decode_manifest(data: bytes) -> Manifest:
-    """`LogError` for one that is damaged, or of a format that is not known."""
+    """Read a manifest's file. `LogError` if it is damaged, or of an unknown format."""
     line, _, crc = data.partition(b"\n")
     if crc != b"%08x\n" % value(line):
         raise LogError("the manifest is damaged")
-    told = json.loads(line)
-    if told.get("format") != FORMAT:
-        raise LogError(f"format {told.get('format')!r} is unknown; this program knows {FORMAT}")
-    segments = tuple(Segment(number, sealed) for number, sealed in told["segments"])
-    return Manifest(told["generation"], segments, told["next"])
+    fields = json.loads(line)
+    if fields.get("format") != FORMAT:
+        raise LogError(f"format {fields.get('format')!r} is unknown; this program knows {FORMAT}")
+    segments = tuple(SegmentEntry(number, sealed_bytes) for number, sealed_bytes in fields["segments"])
+    return Manifest(fields["generation"], segments, fields["next"])
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """What a folder holds: the store's manifest, None for a new store, and what is left over."""
+class FolderContents:
+    """What a folder holds: the store's manifest, None for a new store, and files that nothing names."""
 
     manifest: Manifest | None
     leftover: tuple[str, ...]
 
 
-def judge(files: dict[str, int], manifest: bytes | None) -> Found:
-    """From the folder's files with their sizes; `LogError` for damage."""
+def inspect_files(files: dict[str, int], manifest: bytes | None) -> FolderContents:
+    """Judge a folder by its files, with their sizes in bytes, and its manifest. `LogError` for damage."""
     numbers = {number: name for name in files if (number := segment_number(name)) is not None}
     if manifest is None:
-        if set(numbers) - {1} or files.get(segment_name(1), 0) > SEGMENT_SIZE:
+        if set(numbers) - {1} or files.get(segment_name(1), 0) > SEGMENT_HEADER_BYTES:
             raise LogError(f"{MANIFEST} is missing, and {min(numbers.values())} is there")
-        return Found(None, tuple(name for name in files if name == ASIDE or name in numbers.values()))
-    read = decode_manifest(manifest)
-    for one in read.segments:
-        if one.number not in numbers:
-            raise LogError(f"{segment_name(one.number)} is missing")
-    named = {segment_name(one.number) for one in read.segments}
-    leftover = {name for name in numbers.values() if name not in named}
-    if ASIDE in files:
-        leftover.add(ASIDE)
-    return Found(read, tuple(sorted(leftover)))
+        leftover = {name for name in files if name == NEW_MANIFEST or name in numbers.values()}
+        return FolderContents(None, tuple(sorted(leftover)))
+    decoded = decode_manifest(manifest)
+    for segment in decoded.segments:
+        if segment.number not in numbers:
+            raise LogError(f"{segment_name(segment.number)} is missing")
+    named = {segment_name(segment.number) for segment in decoded.segments}
+    leftover = set(numbers.values()) - named
+    if NEW_MANIFEST in files:
+        leftover.add(NEW_MANIFEST)
+    return FolderContents(decoded, tuple(sorted(leftover)))
--- a/laurelstep/store/recovery.py
+++ b/laurelstep/store/recovery.py
@@ -1,235 +1,228 @@
-"""Opening: from a folder's files to an index, or to a word on what is wrong."""
+"""Opening: from a folder's files to an index, or to a statement of what is wrong. All calls block."""
 
 from __future__ import annotations
 
 import errno
-from collections.abc import Callable, Sequence
+from collections.abc import Callable
 from dataclasses import dataclass, field, replace
+from typing import Final
 
 from laurelstep.errors import LaurelstepError
 from laurelstep.store.disk import Disk
-from laurelstep.store.index import Index, place_of
-from laurelstep.store.log import (
-    KEY_MOST,
-    RECORD_HEAD,
-    SEGMENT_SIZE,
-    VALUE_MOST,
-    End,
+from laurelstep.store.index import KeyIndex
+from laurelstep.store.log_format import (
+    SEGMENT_HEADER_BYTES,
     LogError,
-    Record,
-    Scan,
+    LogFrame,
+    SegmentEnd,
+    SegmentScan,
     encode_frame,
-    read_record,
-    read_segment_head,
-    records_of,
-    scan,
-    segment_head,
+    encode_segment_header,
+    read_segment_header,
+    record_headers,
+    scan_segment,
 )
 from laurelstep.store.manifest import (
-    ASIDE,
     MANIFEST,
-    Found,
+    NEW_MANIFEST,
+    FolderContents,
     Manifest,
-    Segment,
+    SegmentEntry,
     encode_manifest,
-    judge,
+    inspect_files,
     segment_name,
 )
 
-# Read with a record's beginning: most are whole by that.
-NEAR = RECORD_HEAD.size + 512
 # Errors of a disk that works and has no room.
-FULL_DISK = (errno.ENOSPC, errno.EDQUOT)
-# Told how many segments of how many have been read.
+FULL_DISK_ERRORS: Final = (errno.ENOSPC, errno.EDQUOT)
+# Takes how many segments of how many have been read.
 Progress = Callable[[int, int], None]
 
 
-@dataclass
-class Opened:
-    """A store's state as its files tell it."""
-
-    manifest: Manifest
-    index: Index
-    tail: int  # where the next frame of the last segment goes
-    salts: dict[int, int] = field(default_factory=dict)
-    sizes: dict[int, int] = field(default_factory=dict)
-    allocated: int = 0  # the last segment's length on the disk, zeros ahead of the tail included
-    torn: int = 0  # bytes cut off, never reported as written
-    unsure: tuple[int, bytes] = (
-        0,
-        b"",
-    )  # where the last batch is, and its bytes, if no mark says that it is durable
-
-
 class UnsureManifestError(LaurelstepError, OSError):
-    """A manifest was put in its place, and that failed: a later life finds it, or the one before it."""
+    """A manifest was put in its place, and that failed: the next process finds it, or the one before it."""
 
     cause = "the disk failed as the list of a store's files was replaced: either list may be found"
     remedy = "see to the disk; the list is written anew by itself, and no file of either is deleted before"
 
 
-def look(disk: Disk) -> Found:
+@dataclass(frozen=True, slots=True)
+class UnconfirmedBatch:
+    """The last batch, where no commit frame says that it is durable: its offset and its frame's bytes."""
+
+    offset: int
+    frame: bytes
+
+
+@dataclass
+class RecoveredStore:
+    """A store's state as its files tell it."""
+
+    manifest: Manifest
+    index: KeyIndex
+    tail: int = 0  # where the next frame of the active segment goes
+    salts: dict[int, int] = field(default_factory=dict)  # by segment
+    sizes: dict[int, int] = field(default_factory=dict)  # by segment, bytes
+    allocated_bytes: int = 0  # the active segment's length, with zeros ahead of the tail
+    torn_bytes: int = 0  # cut off, of a batch never reported as written
+    unconfirmed: UnconfirmedBatch | None = None
+
+    @property
+    def active_segment(self) -> int:
+        """The number of the segment that is written to."""
+        return self.manifest.segments[-1].number
+
+
+def inspect_folder(disk: Disk) -> FolderContents:
+    """What a folder holds; `LogError` for damage. Nothing is written."""
     files = disk.files()
-    return judge(files, disk.read(MANIFEST) if MANIFEST in files else None)
+    return inspect_files(files, disk.read(MANIFEST) if MANIFEST in files else None)
 
 
 def write_manifest(disk: Disk, manifest: Manifest) -> None:
-    """Durable as a whole, or, after an OSError, as if it had not been; `UnsureManifestError`: either."""
-    disk.create(ASIDE, encode_manifest(manifest))
+    """Replace the manifest, durably and as one step. OSError: it is as if it had not been tried.
+    `UnsureManifestError`: the old one or the new one may be found."""
+    disk.create(NEW_MANIFEST, encode_manifest(manifest))
     try:
-        disk.rename(ASIDE, MANIFEST)
+        disk.rename(NEW_MANIFEST, MANIFEST)
         disk.sync_folder()
     except OSError as error:
         raise UnsureManifestError(error.errno, error.strerror) from error
 
 
 def create_segment(disk: Disk, number: int, salt: int) -> None:
-    """Durable, and named by no manifest yet."""
-    disk.create(segment_name(number), segment_head(number, salt))
+    """Make an empty segment, durable, which no manifest names yet."""
+    disk.create(segment_name(number), encode_segment_header(number, salt))
     disk.sync_folder()
 
 
-def read_segment(disk: Disk, segment: Segment) -> tuple[bytes, int, Scan]:
+# --- Reading ------------------------------------------------------------------------------
+
+
+def read_store(
+    disk: Disk, manifest: Manifest, progress: Progress | None = None, numbered_prefixes: bytes = b""
+) -> RecoveredStore:
+    """Read all segments; nothing is written. `numbered_prefixes`: see `KeyIndex`. `LogError` for damage."""
+    store = RecoveredStore(manifest, KeyIndex(numbered_prefixes))
+    for count, segment in enumerate(manifest.segments, 1):
+        _add_segment(store, disk, segment)
+        if progress is not None:
+            progress(count, len(manifest.segments))
+    return store
+
+
+def _add_segment(store: RecoveredStore, disk: Disk, segment: SegmentEntry) -> None:
+    number = segment.number
+    data, salt, found = _read_segment(disk, segment)
+    _index_segment(store.index, number, data, found)
+    store.salts[number] = salt
+    store.allocated_bytes = len(data)
+    # Zeros are what was allocated ahead, not a batch.
+    store.torn_bytes = len(data[found.end :].rstrip(b"\0"))
+    last = found.frames[-1] if found.frames else None
+    has_commit_frame = last is not None and not last.record_count
+    # The next batch takes the commit frame's place.
+    store.tail = last.offset if last is not None and has_commit_frame else found.end
+    store.unconfirmed = None if last is None or has_commit_frame else _unconfirmed(data, last)
+    store.sizes[number] = store.tail
+
+
+def _unconfirmed(data: bytes, frame: LogFrame) -> UnconfirmedBatch:
+    return UnconfirmedBatch(frame.offset, data[frame.offset : frame.end])
+
+
+def _read_segment(disk: Disk, segment: SegmentEntry) -> tuple[bytes, int, SegmentScan]:
     """The bytes that count, the salt and the scan; `LogError` where something is damaged."""
-    data = disk.read(segment_name(segment.number))
-    salt = read_segment_head(data, segment.number)
-    if segment.sealed is not None:
-        if len(data) < segment.sealed:
-            raise LogError(f"segment {segment.number}: {len(data)} bytes of {segment.sealed}")
-        data = data[: segment.sealed]
-    found = scan(data, salt)
-    if found.how is End.DAMAGED or (segment.sealed is not None and found.how is not End.CLEAN):
-        raise LogError(f"segment {segment.number}: damaged at byte {found.end}")
+    number, sealed_bytes = segment.number, segment.sealed_bytes
+    data = disk.read(segment_name(number))
+    salt = read_segment_header(data, number)
+    if sealed_bytes is not None:
+        if len(data) < sealed_bytes:
+            raise LogError(f"segment {number}: {len(data)} bytes of {sealed_bytes}")
+        data = data[:sealed_bytes]
+    found = scan_segment(data, salt)
+    is_incomplete = sealed_bytes is not None and found.ending is not SegmentEnd.CLEAN
+    if found.ending is SegmentEnd.DAMAGED or is_incomplete:
+        raise LogError(f"segment {number}: damaged at byte {found.end}")
     return data, salt, found
 
 
-def fill(index: Index, segment: int, data: bytes, found: Scan) -> None:
-    """The segment's records, in their order. Sequence numbers rise along the log."""
+def _index_segment(index: KeyIndex, number: int, data: bytes, found: SegmentScan) -> None:
+    """Take in a segment's records, in their order. Sequence numbers rise along the log."""
     apply = index.apply
     for frame in found.frames:
-        if frame.count and frame.highest <= index.highest:
-            raise LogError(f"segment {segment}: a batch out of order at byte {frame.offset}")
-        for offset, kind, expires, _, key in records_of(data, frame):
-            apply(segment, offset, kind, expires, key)
-        index.highest = max(index.highest, frame.highest)
-
-
-def read_all(
-    disk: Disk, manifest: Manifest, progress: Progress | None = None, numbered: bytes = b""
-) -> Opened:
-    """All segments read; nothing is written. `numbered`: as an `Index`'s."""
-    opened = Opened(manifest, Index(numbered), 0)
-    for at, segment in enumerate(manifest.segments):
-        data, salt, found = read_segment(disk, segment)
-        fill(opened.index, segment.number, data, found)
-        opened.salts[segment.number] = salt
-        opened.allocated = len(data)
-        # Zeros are what was allocated ahead, not a batch.
-        opened.torn = len(data[found.end :].rstrip(b"\0"))
-        opened.tail = found.end
-        opened.unsure = (0, b"")
-        if found.frames:
-            last = found.frames[-1]
-            if last.count:
-                opened.unsure = (last.offset, data[last.offset : last.end])
-            else:
-                opened.tail = last.offset  # the next batch takes the mark's place
-        opened.sizes[segment.number] = opened.tail
-        if progress is not None:
-            progress(at + 1, len(manifest.segments))
-    return opened
-
-
-def record_at(disk: Disk, where: int) -> Record:
-    """The record at a location of the index; `LogError` if it is damaged."""
-    segment, offset = place_of(where)
-    name, place = segment_name(segment), f"segment {segment}, byte {offset}"
-    data = disk.read(name, offset, NEAR)
-    if len(data) >= RECORD_HEAD.size:
-        *_, key_size, value_size = RECORD_HEAD.unpack_from(data)
-        size = RECORD_HEAD.size + key_size + value_size
-        if len(data) < size <= RECORD_HEAD.size + KEY_MOST + VALUE_MOST:
-            data = disk.read(name, offset, size)
-    return read_record(data, place)
-
-
-def records_at(disk: Disk, wheres: Sequence[int]) -> list[Record]:
-    """The records at neighbouring locations of one segment, read at once; `LogError` if one is damaged."""
-    segment, first = place_of(wheres[0])
-    data = disk.read(segment_name(segment), first, place_of(wheres[-1])[1] - first + NEAR)
-    found = []
-    for where in wheres:
-        at = place_of(where)[1] - first
-        size = RECORD_HEAD.size
-        if at + size <= len(data):
-            *_, key_size, value_size = RECORD_HEAD.unpack_from(data, at)
-            size += key_size + value_size
-        if at + size <= len(data):
-            found.append(read_record(data[at : at + size], f"segment {segment}, byte {first + at}"))
-        else:
-            found.append(record_at(disk, where))
-    return found
-
-
-def recover(disk: Disk, salt: int, progress: Progress | None = None, numbered: bytes = b"") -> Opened:
-    """The store as it was last reported, made durable and ready to be written to.
-
-    `LogError` for what is damaged, OSError as the disk tells; then nothing was changed
-    but what no manifest names.
+        if frame.record_count and frame.highest_sequence <= index.highest_sequence:
+            raise LogError(f"segment {number}: a batch out of order at byte {frame.offset}")
+        for record in record_headers(data, frame):
+            apply(number, record)
+        index.highest_sequence = max(index.highest_sequence, frame.highest_sequence)
+
+
+# --- Making it ready for writing ----------------------------------------------------------
+
+
+def recover_store(
+    disk: Disk, salt: int, progress: Progress | None = None, numbered_prefixes: bytes = b""
+) -> RecoveredStore:
+    """The store as it was last reported, made durable and ready to be written to. `salt`: of the first
+    segment, where there is no store yet.
+
+    `LogError` for what is damaged, OSError as the disk fails; then nothing was changed but files that no
+    manifest names.
     """
-    found = look(disk)
-    if found.manifest is None:
+    contents = inspect_folder(disk)
+    manifest = contents.manifest
+    if manifest is None:
         create_segment(disk, 1, salt)
-        write_manifest(disk, Manifest(1, (Segment(1),), 2))
-        found = look(disk)
-        assert found.manifest is not None
-    opened = read_all(disk, found.manifest, progress, numbered)
-    last = segment_name(found.manifest.segments[-1].number)
-    if opened.torn:
-        disk.cut(last, opened.tail)
-        opened.allocated = opened.tail
-    _make_durable(disk, last, opened)
-    if opened.tail > SEGMENT_SIZE:
-        _write_mark(disk, last, opened)
-    if _settle_manifest(disk, opened):
-        for name in found.leftover:
+        write_manifest(disk, Manifest(1, (SegmentEntry(1),), 2))
+        contents = inspect_folder(disk)
+        manifest = contents.manifest
+        assert manifest is not None
+    store = read_store(disk, manifest, progress, numbered_prefixes)
+    _repair_active_segment(disk, store)
+    if _confirm_manifest(disk, store):
+        for name in contents.leftover:
             disk.delete(name)
-    return opened
-
-
-def _make_durable(disk: Disk, name: str, opened: Opened) -> None:
-    """What was read is durable from now on, also where the life before could not sync it: after a sync
-    that failed Linux may take the bytes for written, so that another sync says nothing of them. Only the
-    last batch can be of that kind, and is written again."""
-    offset, frame = opened.unsure
-    if frame:
-        disk.write(name, offset, frame)
+    return store
+
+
+def _repair_active_segment(disk: Disk, store: RecoveredStore) -> None:
+    """Cut off a torn batch, and make what was read durable."""
+    name = segment_name(store.active_segment)
+    if store.torn_bytes:
+        disk.cut(name, store.tail)
+        store.allocated_bytes = store.tail
+    if store.unconfirmed is not None:
+        # After a sync that failed Linux may take the bytes for written, so that another sync says nothing
+        # of them. Only the last batch can be of that kind, and is written again.
+        disk.write(name, store.unconfirmed.offset, store.unconfirmed.frame)
     disk.sync(name)
+    if store.tail > SEGMENT_HEADER_BYTES:
+        _write_commit_frame(disk, name, store)
 
 
-def _write_mark(disk: Disk, name: str, opened: Opened) -> None:
-    """Behind the last batch, until there is a next one. Without it, as on a full disk, the next life makes
+def _write_commit_frame(disk: Disk, name: str, store: RecoveredStore) -> None:
+    """After the last batch, until there is a next one. Without it, as on a full disk, the next process makes
     that batch durable once more."""
-    salt = opened.salts[opened.manifest.segments[-1].number]
-    mark = encode_frame(salt, (), opened.index.highest)
+    commit_frame = encode_frame(store.salts[store.active_segment], (), store.index.highest_sequence)
     try:
-        disk.write(name, opened.tail, mark)
+        disk.write(name, store.tail, commit_frame)
     except OSError as error:
-        if error.errno not in FULL_DISK:
+        if error.errno not in FULL_DISK_ERRORS:
             raise
-    opened.allocated = max(opened.allocated, opened.tail + len(mark))
+    store.allocated_bytes = max(store.allocated_bytes, store.tail + len(commit_frame))
 
 
-def _settle_manifest(disk: Disk, opened: Opened) -> bool:
-    """The manifest that was read is durable from now on, also where the life before could not sync its name.
-    False on a full disk: then what it does not name must stay."""
-    manifest = replace(opened.manifest, generation=opened.manifest.generation + 1)
+def _confirm_manifest(disk: Disk, store: RecoveredStore) -> bool:
+    """Make the manifest that was read durable, also where the process before could not sync its name. False
+    on a full disk: then files that it does not name must stay."""
+    manifest = replace(store.manifest, generation=store.manifest.generation + 1)
     try:
         write_manifest(disk, manifest)
     except OSError as error:
-        if isinstance(error, UnsureManifestError) or error.errno not in FULL_DISK:
+        if isinstance(error, UnsureManifestError) or error.errno not in FULL_DISK_ERRORS:
             raise
         disk.sync_folder()
         return False
-    opened.manifest = manifest
+    store.manifest = manifest
     return True
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -21,10 +21,10 @@
 from laurelstep.outbox.store import KeptStore
 from laurelstep.request_journal.journal import RequestJournal
 from laurelstep.request_journal.records import answer_from_record, store_key
-from laurelstep.store import FolderDisk, Options, Store
+from laurelstep.store import FolderDisk, Store, StoreOptions
 from laurelstep.store.clock import (
+    MAX_STEP_MS,
     NOTE_INTERVAL_MS,
-    STEP_MOST_MS,
     ClockNote,
     StoreClock,
     StoreClocks,
@@ -36,7 +36,7 @@
 
 HOUR_MS = 3_600_000
 STEPS = [-HOUR_MS, -1_000, 0, 1_000, HOUR_MS]
-SMALL = Options(segment_bytes=400, batch_records=4, ahead_bytes=100)
+SMALL = StoreOptions(segment_bytes=400, batch_records=4, preallocated_bytes=100)
 # Written by commit 9af0195: twelve orders kept for 60 s from this moment on, and a record kept for ever.
 FIXTURE = Path(__file__).parent / "fixtures" / "store-9af0195"
 FIXTURE_WRITTEN_MS = 1_800_000_000_000
@@ -70,11 +70,8 @@
         return StoreClocks(lambda: self.monotonic_ms / 1000, lambda: self.wall_ms, lambda: self.boot)
 
     @contextlib.asynccontextmanager
-    async def store(self, disk: Any, options: Options = SMALL) -> AsyncIterator[Store]:
-        clocks = self.clocks()
-        store = await Store.open(
-            disk, options, clock=clocks.monotonic, wall=clocks.wall_ms, boot=clocks.boot_identity
-        )
+    async def store(self, disk: Any, options: StoreOptions = SMALL) -> AsyncIterator[Store]:
+        store = await Store.open(disk, options, clocks=self.clocks())
         async with asyncio.timeout(60), store:
             yield store
 
@@ -212,11 +209,13 @@
     assert boot_identity() == boot_identity()
     note = ClockNote(50, 60, 1_000, 70, b"")
     assert ClockNote.decode(note.encode()) == note
-    unknown = StoreClock(note, False, lambda: 2.0, lambda: 1_070, b"")
-    assert unknown.now_ms() == 50 and unknown.most_ms() == 60 + 1_000 + STEP_MOST_MS
-    same = StoreClock(replace(note, boot=b"b"), False, lambda: 2.0, lambda: 7, b"b")
+    unknown = StoreClock(note, False, StoreClocks(lambda: 2.0, lambda: 1_070, lambda: b""))
+    assert unknown.now_ms() == 50 and unknown.most_ms() == 60 + 1_000 + MAX_STEP_MS
+    same = StoreClock(replace(note, boot=b"b"), False, StoreClocks(lambda: 2.0, lambda: 7, lambda: b"b"))
     assert (same.now_ms(), same.most_ms(), same.opening_doubt_ms) == (1_050, 1_060, 0)
-    earlier = StoreClock(replace(note, boot=b"b"), False, lambda: 0.5, lambda: 1_070, b"b")
+    earlier = StoreClock(
+        replace(note, boot=b"b"), False, StoreClocks(lambda: 0.5, lambda: 1_070, lambda: b"b")
+    )
     assert earlier.now_ms() == 50, "a monotonic clock that stands before the note is another's"
     with pytest.raises(ValueError, match="no note"):
         ClockNote.decode(b"\0clock")
@@ -258,10 +257,7 @@
     recorder = client.engine.recorder
     assert isinstance(recorder, RequestJournal)
     await recorder.store.close()
-    clocks = machine.clocks()
-    recorder.store = await Store.open(
-        disk, SMALL, clock=clocks.monotonic, wall=clocks.wall_ms, boot=clocks.boot_identity
-    )
+    recorder.store = await Store.open(disk, SMALL, clocks=machine.clocks())
 
 
 # --- Stores of the format before -------------------------------------------------------------
@@ -302,7 +298,7 @@
         async with machine.store(fixture(tmp_path)) as store:
             machine.passes(FIXTURE_KEEP_MS - 1)
             assert await store.get(key) is not None, "never early"
-            machine.passes(1 + STEP_MOST_MS - step_ms)
+            machine.passes(1 + MAX_STEP_MS - step_ms)
             assert await store.get(key) is None
 
     run(main())
@@ -426,7 +422,7 @@
             edge.machine.reboots(down_ms=passed_ms)
             async with edge.life(2) as (_, outbox):
                 # An hour is allowed for a step back before that: so much of the window is not used.
-                is_sent = passed_ms + step_ms + STEP_MOST_MS < WINDOW_MS
+                is_sent = passed_ms + step_ms + MAX_STEP_MS < WINDOW_MS
                 assert not is_sent or passed_ms < WINDOW_MS
                 assert edge.sends(outbox) == ([dot] if is_sent else [])
                 assert is_sent or outbox.receipt(dot).reason is Reason.MAY_HAVE_RUN
@@ -457,7 +453,7 @@
         async with edge.life(3) as (_, outbox):
             edge.machine.passes(outbox.bounds.receipt_us // 1000 - 30_001)
             assert outbox.forgettable(edge.now_us()) == []
-            edge.machine.passes(30_001 + STEP_MOST_MS)
+            edge.machine.passes(30_001 + MAX_STEP_MS)
             assert outbox.forgettable(edge.now_us()) == [dot]
 
     run(main())
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -42,7 +42,7 @@
 from laurelstep.net.upstream import Upstream
 from laurelstep.request_journal import JournalClass, JournalSettings
 from laurelstep.request_journal.journal import JournaledRequest, RequestJournal
-from laurelstep.store import FolderDisk, Options, Store, StoreError
+from laurelstep.store import FolderDisk, Store, StoreError, StoreOptions
 from laurelstep.store.disk import Disk
 from laurelstep.testing import (
     Endpoint,
@@ -995,7 +995,7 @@
         self.recorder: Recorder
 
     async def begin(self) -> None:
-        store = await Store.open(self.disk, Options())
+        store = await Store.open(self.disk, StoreOptions())
         self.recorder = self.own = self.kind(store, self.settings, {"pay": 2}, lambda line: None)
 
     def recorded(self, order: str) -> Call:
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -151,7 +151,7 @@
 
     @property
     def parts(self) -> int:
-        return sum(1 for key in self.driver.store.store.index.where if key[:1] == b"p")
+        return sum(1 for key in self.driver.store.store.index.locations if key[:1] == b"p")
 
     def got(self, name: str) -> Message:
         """As the endpoint had it: a replay has a name of its own."""
@@ -569,11 +569,11 @@
                 ((write, _),) = (await store.load()).writes
                 found_again = await store.head(write.dot)
                 assert found_again is not None and found_again[0].start == b"POST /put"
-                assert not [key for key in store.store.index.where if key[:1] == b"p"]
+                assert not [key for key in store.store.index.locations if key[:1] == b"p"]
                 await store.close()
             # In this life too, once there is room.
             disk.room = None
-            one.driver.store.store.retry_at = 0.0
+            one.driver.store.store.availability.retry_at = 0.0
             await one.quiet()
             assert nothing_is_left(one)
             assert (await one.write("photo", body_of(3 << 20))).status == 202
@@ -601,7 +601,7 @@
                 found = await one.write(f"during-{size}", bytes(size))
                 assert found.status in (502, 503), "answered, and not told as kept"
             disk.mend()
-            one.driver.store.store.retry_at = 0.0
+            one.driver.store.store.availability.retry_at = 0.0
             await one.quiet()
             assert (await one.write("after", b"y")).status == 202
 
@@ -615,7 +615,7 @@
             await one.until(lambda: any("its end is not written" in line for line in one.log))
             assert one.driver.outbox.count > 0
             disk.mend()
-            one.driver.store.store.retry_at = 0.0
+            one.driver.store.store.availability.retry_at = 0.0
             await one.until(lambda: not one.driver.outbox.count)
             effects = one.endpoint.effects.by_id
             assert effects["before"] == 1 and effects["after"] == 1 and not one.driver.parked
@@ -639,7 +639,7 @@
             monkeypatch.setattr(one.driver.store, "put_head", fail)
             found = await one.write("photo", body_of(2 << 20))
             assert found.status == 502 and found.headers["x-may-have-run"] == "1"
-            one.driver.store.store.retry_at = 0.0
+            one.driver.store.store.availability.retry_at = 0.0
             await one.quiet()
             assert nothing_is_left(one)
 
@@ -774,7 +774,7 @@
         writes = (await store.load()).writes
         found = [one for write, _ in writes if (one := await store.read(write.dot)) is not None]
         assert len(found) == len(writes)
-        parts = {key for key in store.store.index.where if key[:1] == b"p"}
+        parts = {key for key in store.store.index.locations if key[:1] == b"p"}
         assert len(parts) == sum(-(-write.size // CHUNK) - 1 for write, _ in found if write.size)
         await store.close()
         return [each for _, each in found]
@@ -881,7 +881,7 @@
 def test_a_part_that_is_missing_ends_the_flow_as_broken() -> None:
     async def test(store: KeptStore, playback: Playback, taker: Taker, read: list[int]) -> None:
         taker.holds = False
-        await store.store.delete(sorted(key for key in store.store.index.where if key[:1] == b"p")[-1])
+        await store.store.delete(sorted(key for key in store.store.index.locations if key[:1] == b"p")[-1])
         taker.upload.attach(taker)
         taker.upload.resume()
         while taker.whole is None:
--- a/tests/test_outbox_store.py
+++ b/tests/test_outbox_store.py
@@ -185,7 +185,7 @@
         await store.close()
         again = await KeptStore.open(disk, MOST)
         assert (await again.load()).writes == []
-        assert [key for key in again.store.index.where if key[:1] == b"p"] == []
+        assert [key for key in again.store.index.locations if key[:1] == b"p"] == []
         await again.close()
 
     asyncio.run(main())
@@ -222,7 +222,7 @@
         await again.close()
         third = await KeptStore.open(disk, MOST)
         size = len((await third.store.get(key_of(b"k", made(1, 0)[0].dot))) or b"")
-        assert 0 < size < 1_000 and not [key for key in third.store.index.where if key[:1] == b"p"]
+        assert 0 < size < 1_000 and not [key for key in third.store.index.locations if key[:1] == b"p"]
         await third.close()
 
     asyncio.run(main())
@@ -252,7 +252,7 @@
             await asyncio.sleep(0)
         await store.close()
         again = await KeptStore.open(disk, MOST)
-        assert failed > 1 and not [key for key in again.store.index.where if key[:1] == b"p"]
+        assert failed > 1 and not [key for key in again.store.index.locations if key[:1] == b"p"]
         await again.close()
 
     asyncio.run(main())
--- a/tests/test_request_journal.py
+++ b/tests/test_request_journal.py
@@ -28,7 +28,7 @@
 )
 from laurelstep.settings import config_from, read_file
 from laurelstep.settings.operator import read_operator
-from laurelstep.store import FolderDisk, Options, Store
+from laurelstep.store import SYSTEM_CLOCKS, FolderDisk, Store, StoreClocks, StoreOptions
 from laurelstep.store.disk import Disk
 from laurelstep.testing import (
     Caller,
@@ -223,11 +223,17 @@
 
 
 async def recorded(
-    disk: Disk, endpoint: Endpoint, unavailable: str, folder: Path, stack: contextlib.AsyncExitStack
+    disk: Disk,
+    endpoint: Endpoint,
+    unavailable: str,
+    folder: Path,
+    stack: contextlib.AsyncExitStack,
+    options: StoreOptions | None = None,
+    clocks: StoreClocks = SYSTEM_CLOCKS,
 ) -> tuple[Client, Store]:
     """A client whose store is on a disk that the test breaks."""
     client = await stack.enter_async_context(opened(folder, endpoint, unavailable=unavailable))
-    store = await Store.open(disk, Options())
+    store = await Store.open(disk, options, clocks=clocks)
     recorder = client.engine.recorder
     assert isinstance(recorder, RequestJournal)
     await recorder.store.close()
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -30,9 +30,9 @@
 from laurelstep.outbox.journal import State as WriteState
 from laurelstep.outbox.store import FailedToKeepError, KeptStore
 from laurelstep.request_journal.records import ResponseRecord, decode_record, store_key
-from laurelstep.store import Options, Store, StoreError, StoreUnavailableError
+from laurelstep.store import Store, StoreError, StoreOptions, StoreUnavailableError
+from laurelstep.store.availability import MAX_BACKOFF_S
 from laurelstep.store.manifest import MANIFEST, segment_name
-from laurelstep.store.store import BACKOFF_MOST_S
 from laurelstep.testing import Endpoint, refuse, serve
 from laurelstep.testing.contracts.outbox import made
 from laurelstep.testing.disk import Op, SimulatedDisk
@@ -102,14 +102,14 @@
 
     async def main() -> None:
         disk = SimulatedDisk()
-        async with opened(disk, Options()) as store:
+        async with opened(disk, StoreOptions()) as store:
             await store.put(b"told", b"1")
             disk.fail("sync", error)
             with pytest.raises(StoreUnavailableError):
                 await store.put(b"untold", b"2")
             killed = disk.kill()
         assert state_of(killed.kill()) in ({b"told": b"1"}, {b"told": b"1", b"untold": b"2"})
-        async with opened(killed, Options()) as store:
+        async with opened(killed, StoreOptions()) as store:
             found = {key: await store.get(key) for key in (b"told", b"untold")}
             await store.put(b"later", b"3")
         for after in deaths(killed, 1):
@@ -123,7 +123,7 @@
 def test_a_folder_whose_sync_failed_as_the_log_rolled_on_loses_nothing(failing: int) -> None:
     async def main() -> None:
         disk, times = SimulatedDisk(), Times()
-        async with opened(disk, Options(segment_bytes=300), times) as store:
+        async with opened(disk, StoreOptions(segment_bytes=300), times) as store:
             for n in range(4):
                 await store.put(b"k%d" % n, b"x" * 40)
             fail_nth_folder_sync(disk, failing)
@@ -132,12 +132,12 @@
             killed = disk.kill()
             times.seconds += LONG_S
             await store.put(b"later", b"3")
-            named = {MANIFEST, *(segment_name(one.number) for one in store.manifest.segments)}
+            named = {MANIFEST, *(segment_name(one.number) for one in store.segments.manifest.segments)}
             assert set(disk.files()) == named, "what is not in use is deleted"
         for after in deaths(disk, 2):
             state = state_of(after)
             assert state[b"later"] == b"3" and len(state) == 5, "the one that failed is not there"
-        async with opened(killed, Options(segment_bytes=300)) as store:
+        async with opened(killed, StoreOptions(segment_bytes=300)) as store:
             await store.put(b"next life", b"4")
         for after in deaths(killed, 3):
             assert {b"k0", b"k1", b"k2", b"k3", b"next life"} <= set(state_of(after))
@@ -164,24 +164,24 @@
         async with opened(disk, times=times) as store:
             for n in range(20):
                 await store.put(b"k%d" % (n % 5), b"v%d" % n)
-            await store._roll()
+            await store.segments.roll()
             folder_syncs = sum(op[0] == "sync_folder" for op in await compaction_calls(disk))
             if operation == "rename":
                 disk.fail("rename", IO_ERROR)
             else:
                 fail_nth_folder_sync(disk, folder_syncs)
             with pytest.raises(OSError, match="Input/output error"):
-                await store._compact()
+                await store.compactor.compact_sealed()
             await store.put(b"k0", b"after")
             expected = {b"k0": b"after", **{b"k%d" % n: b"v%d" % (15 + n) for n in range(1, 5)}}
             for after in deaths(disk, 4):
                 assert state_of(after) == expected
-            await store._compact()
+            await store.compactor.compact_sealed()
             await store.put(b"k1", b"again")
             expected[b"k1"] = b"again"
             for after in deaths(disk, 5):
                 assert state_of(after) == expected
-            named = {MANIFEST, *(segment_name(one.number) for one in store.manifest.segments)}
+            named = {MANIFEST, *(segment_name(one.number) for one in store.segments.manifest.segments)}
             assert set(disk.files()) == named, "what is not in use is deleted"
 
     run(main())
@@ -192,7 +192,7 @@
     copy = disk.kill()
     async with opened(copy) as store:
         copy.journal.clear()
-        await store._compact()
+        await store.compactor.compact_sealed()
         return [*copy.journal]
 
 
@@ -233,7 +233,7 @@
 def test_writing_ends_where_compaction_left_the_active_segment_perhaps_sealed() -> None:
     async def main() -> None:
         disk, times = SimulatedDisk(), Times()
-        async with opened(disk, Options(), times) as store:
+        async with opened(disk, StoreOptions(), times) as store:
             await store.put(b"k0", b"1")
             fail_nth_folder_sync(disk, 2)
             with pytest.raises(OSError, match="Input/output error"):
@@ -252,7 +252,7 @@
 def test_a_write_that_comes_as_compaction_seals_the_active_segment_is_not_lost() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
-        async with opened(disk, Options()) as store:
+        async with opened(disk, StoreOptions()) as store:
             await store.put(b"k0", b"1")
             compacting = asyncio.ensure_future(store.compact())
             for n in range(1, 6):
@@ -311,7 +311,7 @@
                         )
                     else:
                         disk.mend()
-                        times.seconds += BACKOFF_MOST_S
+                        times.seconds += MAX_BACKOFF_S
                         before = course.told
                         await course.write(store)
                         assert course.told == before + 1, "it writes again once the disk does"
@@ -349,18 +349,18 @@
     async def main() -> None:
         disk, times = SimulatedDisk(), Times()
         async with Endpoint() as endpoint, contextlib.AsyncExitStack() as stack:
-            client, store = await recorded(disk, endpoint, "fail", tmp_path, stack)
-            store.clock = times.clock
+            clocks = times.clocks()
+            client, _ = await recorded(disk, endpoint, "fail", tmp_path, stack, clocks=clocks)
             assert said(await client.send(order("before"))) == SERVED
             disk.break_down(error, *operations)
             for n in range(4):
                 assert said(await client.send(order(f"while-{n}"))) == MAY_HAVE_RUN
                 assert (await client.send(Request("page", "/page"))).outcome is Ending.SERVED
-                times.seconds += BACKOFF_MOST_S / 3
+                times.seconds += MAX_BACKOFF_S / 3
             assert said(await client.send(order("before"))) == AGAIN, "what was told before is told again"
             assert ran(endpoint) == ["before"], "nothing runs whose intent is not kept"
             disk.mend()
-            times.seconds += BACKOFF_MOST_S
+            times.seconds += MAX_BACKOFF_S
             assert said(await client.send(order("after"))) == SERVED
             assert said(await client.send(order("while-0"))) == SERVED, "its repeat runs, for the first time"
             assert ran(endpoint) == ["before", "after", "while-0"]
@@ -414,8 +414,8 @@
             await reply(endpoint, message, writer)
 
         async with Endpoint(handler) as endpoint, contextlib.AsyncExitStack() as stack:
-            client, store = await recorded(disk, endpoint, "fail", tmp_path, stack)
-            store.options = replace(store.options, ahead_bytes=64, segment_bytes=700)
+            small = StoreOptions(preallocated_bytes=64, segment_bytes=700)
+            client, _ = await recorded(disk, endpoint, "fail", tmp_path, stack, small)
             for n in range(6):
                 name = f"refused-{n}" if n == 3 else f"order-{n}"
                 reply = await client.send(order(name))
@@ -444,14 +444,17 @@
 @pytest.fixture
 def short_ahead(monkeypatch: pytest.MonkeyPatch) -> None:
     """A log whose every byte can be cut in a moment: few zeros ahead of its end."""
-    monkeypatch.setattr("laurelstep.outbox.store.Options", functools.partial(Options, ahead_bytes=64))
-    monkeypatch.setattr(embedded, "OPTIONS", replace(embedded.OPTIONS, ahead_bytes=64, segment_bytes=1_000))
+    monkeypatch.setattr(
+        "laurelstep.outbox.store.StoreOptions", functools.partial(StoreOptions, preallocated_bytes=64)
+    )
+    monkeypatch.setattr(
+        embedded, "OPTIONS", replace(embedded.OPTIONS, preallocated_bytes=64, segment_bytes=1_000)
+    )
 
 
 @contextlib.asynccontextmanager
 async def kept_store(disk: SimulatedDisk, times: Times | None = None) -> AsyncIterator[KeptStore]:
-    store = await KeptStore.open(disk, MOST)
-    store.store.clock = (times or Times()).clock
+    store = await KeptStore.open(disk, MOST, clocks=(times or Times()).clocks())
     try:
         yield store
     finally:
@@ -478,10 +481,10 @@
                 with pytest.raises(StoreError):
                     await store.move(Moved(kept[0][0].dot, WriteState.DONE))
                 assert not await store.forget(kept[1][0].dot, kept[1][0].size)
-                times.seconds += BACKOFF_MOST_S / 3
+                times.seconds += MAX_BACKOFF_S / 3
             during = disk.kill()
             disk.mend()
-            times.seconds += BACKOFF_MOST_S
+            times.seconds += MAX_BACKOFF_S
             await store.keep(*made(5, 70_000))
             kept.append(made(5, 70_000))
             for one in kept:
@@ -548,7 +551,8 @@
             write, body = made(1, 10)
             await store.keep(write, body)
             await store.move(Moved(write.dot, WriteState.DONE))
-            store.store.options = replace(store.store.options, batch_records=1)  # each change by itself
+            writer = store.store.writer
+            writer.options = replace(writer.options, batch_records=1)  # each change by itself
             begun = len(disk.journal)
             assert await store.forget(write.dot, 0)
             calls = disk.journal
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -21,30 +21,38 @@
 from hypothesis import settings
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from laurelstep.store import FolderDisk, LogError, Options, Store, StoreError, StoreUnavailableError
-from laurelstep.store.index import place_of
-from laurelstep.store.log import (
-    FRAME_HEAD,
+from laurelstep.store import (
+    FolderDisk,
+    LogError,
+    Store,
+    StoreClocks,
+    StoreError,
+    StoreOptions,
+    StoreUnavailableError,
+)
+from laurelstep.store.cli import main as tool
+from laurelstep.store.index import unpack_location
+from laurelstep.store.log_format import (
+    FRAME_HEADER,
     FRAME_MAGIC,
-    SEGMENT_SIZE,
+    SEGMENT_HEADER_BYTES,
     encode_frame,
     encode_record,
+    encode_segment_header,
     read_frame,
     read_record,
-    records_of,
-    segment_head,
+    record_headers,
 )
 from laurelstep.store.manifest import MANIFEST, encode_manifest, segment_name
-from laurelstep.store.numbered import Numbered
-from laurelstep.store.recovery import look, read_all, recover
-from laurelstep.store.tool import main as tool
+from laurelstep.store.numbered_keys import NumberedKeyMap
+from laurelstep.store.recovery import inspect_folder, read_store, recover_store
 from laurelstep.testing.disk import Op, SimulatedDisk
 from tests.once import once
 
 pytestmark = once
 
 State = dict[bytes, bytes]
-SMALL = Options(segment_bytes=400, batch_records=4, ahead_bytes=100)
+SMALL = StoreOptions(segment_bytes=400, batch_records=4, preallocated_bytes=100)
 FULL_DISK = OSError(errno.ENOSPC, "No space left on device")
 BROKEN_DISK = OSError(errno.EIO, "Input/output error")
 
@@ -62,12 +70,17 @@
     def wall(self) -> int:
         return self.ms
 
+    def clocks(self) -> StoreClocks:
+        return StoreClocks(self.clock, self.wall)
+
 
 @contextlib.asynccontextmanager
-async def opened(disk: Any, options: Options = SMALL, times: Times | None = None) -> AsyncIterator[Store]:
+async def opened(
+    disk: Any, options: StoreOptions = SMALL, times: Times | None = None
+) -> AsyncIterator[Store]:
     times = times or Times()
     logged: list[str] = []
-    store = await Store.open(disk, options, logged.append, times.clock, times.wall)
+    store = await Store.open(disk, options, logged.append, times.clocks())
     vars(store)["logged"] = logged
     async with asyncio.timeout(60), store:
         yield store
@@ -80,10 +93,10 @@
 
 def state_of(disk: SimulatedDisk) -> State:
     """What a start finds; `LogError` for damage. Every value is read back by its own checksum."""
-    found = recover(disk, 77)
+    found = recover_store(disk, 77)
     state = {}
-    for key, where in found.index.where.items():
-        segment, offset = place_of(where)
+    for key, where in found.index.locations.items():
+        segment, offset = unpack_location(where)
         record = read_record(disk.read(segment_name(segment), offset), "test")
         assert record.key == key
         state[key] = record.value
@@ -191,7 +204,7 @@
     for tail in (bytes(5000), b"\xff" * 100, FRAME_MAGIC * 10, random.Random(1).randbytes(3000)):
         disk = SimulatedDisk.replay(journal)
         state = state_of(SimulatedDisk.replay(journal))
-        last = recover(SimulatedDisk.replay(journal), 1).manifest.segments[-1]
+        last = recover_store(SimulatedDisk.replay(journal), 1).manifest.segments[-1]
         disk.names[segment_name(last.number)].durable += tail
         assert state_of(disk) == state
 
@@ -210,24 +223,24 @@
                     harmless += 1
                 except LogError:
                     told += 1
-    opened_ = recover(SimulatedDisk.replay(journal), 1)
-    behind = opened_.allocated - opened_.tail
+    opened_ = recover_store(SimulatedDisk.replay(journal), 1)
+    behind = opened_.allocated_bytes - opened_.tail
     assert harmless == 3 * behind, "only the last commit mark, and the zeros behind it, say nothing"
     assert told > 1_000
 
 
 def test_a_garbage_length_in_the_middle_is_told(journal: list[Op]) -> None:
     disk = SimulatedDisk.replay(journal).lose_power(all_=True)
-    last = look(disk).manifest
+    last = inspect_folder(disk).manifest
     assert last is not None
     data = disk.names[segment_name(last.segments[-1].number)].durable
-    FRAME_HEAD.pack_into(data, SEGMENT_SIZE, FRAME_MAGIC, 0, 0xFFFFFFFF, 1, 1)
-    with pytest.raises(LogError, match=f"damaged at byte {SEGMENT_SIZE}"):
+    FRAME_HEADER.pack_into(data, SEGMENT_HEADER_BYTES, FRAME_MAGIC, 0, 0xFFFFFFFF, 1, 1)
+    with pytest.raises(LogError, match=f"damaged at byte {SEGMENT_HEADER_BYTES}"):
         state_of(disk)
 
 
 def test_a_segment_deleted_by_hand_is_told(journal: list[Op]) -> None:
-    for number in [one.number for one in look(SimulatedDisk.replay(journal)).manifest.segments]:  # type: ignore[union-attr]
+    for number in [one.number for one in inspect_folder(SimulatedDisk.replay(journal)).manifest.segments]:  # type: ignore[union-attr]
         disk = SimulatedDisk.replay(journal)
         del disk.names[segment_name(number)]
         with pytest.raises(LogError, match="is missing"):
@@ -240,7 +253,7 @@
 
 def test_two_segments_changed_over_are_told(journal: list[Op]) -> None:
     disk = SimulatedDisk.replay(journal)
-    found = look(disk).manifest
+    found = inspect_folder(disk).manifest
     assert found is not None
     first, second = (segment_name(one.number) for one in found.segments[:2])
     disk.names[first], disk.names[second] = disk.names[second], disk.names[first]
@@ -253,7 +266,7 @@
 
 def test_an_unknown_format_is_refused_by_its_name(journal: list[Op]) -> None:
     disk = SimulatedDisk.replay(journal)
-    found = look(disk).manifest
+    found = inspect_folder(disk).manifest
     assert found is not None
     from google_crc32c import value
 
@@ -265,11 +278,11 @@
 
 def test_a_frame_within_a_value_is_no_frame() -> None:
     inner = encode_frame(5, [encode_record(1, b"k", b"v")], 1)
-    data = segment_head(1, 6) + encode_frame(6, [encode_record(2, b"k", inner)], 2)
+    data = encode_segment_header(1, 6) + encode_frame(6, [encode_record(2, b"k", inner)], 2)
     at = data.find(inner)
     assert read_frame(data, at, 6) is None, "it is salted with another segment's"
-    frame = read_frame(data, SEGMENT_SIZE, 6)
-    assert frame is not None and [one[4] for one in records_of(data, frame)] == [b"k"]
+    frame = read_frame(data, SEGMENT_HEADER_BYTES, 6)
+    assert frame is not None and [one.key for one in record_headers(data, frame)] == [b"k"]
 
 
 @pytest.mark.parametrize(("key", "value"), [(b"", b""), (b"k" * 1025, b""), (b"k", b"v" * (2**20 + 1))])
@@ -288,13 +301,13 @@
 
 def test_what_waits_together_is_synced_together(tmp_path: Path) -> None:
     async def main() -> None:
-        async with opened(FolderDisk(tmp_path), Options()) as store:
+        async with opened(FolderDisk(tmp_path), StoreOptions()) as store:
             await asyncio.gather(*(store.put(b"k%d" % n, b"v%d" % n) for n in range(200)))
             assert store.stats().batches < 5 and store.stats().writes == 200
             assert await store.get(b"k7") == b"v7" and await store.get(b"none") is None
             await store.delete(b"k7")
             assert await store.get(b"k7") is None and b"k8" in store
-        async with opened(FolderDisk(tmp_path), Options()) as store:
+        async with opened(FolderDisk(tmp_path), StoreOptions()) as store:
             assert len(store) == 199 and await store.get(b"k199") == b"v199"
 
     run(main())
@@ -313,7 +326,7 @@
 
 def test_a_value_too_long_for_one_read_is_read_whole(tmp_path: Path) -> None:
     async def main() -> None:
-        async with opened(FolderDisk(tmp_path), Options()) as store:
+        async with opened(FolderDisk(tmp_path), StoreOptions()) as store:
             await store.put(b"big", b"z" * 300_000)
             assert await store.get(b"big") == b"z" * 300_000
 
@@ -340,11 +353,11 @@
 def test_compaction_runs_by_itself_beside_the_writers() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
-        async with opened(disk, Options(segment_bytes=20_000, batch_records=50)) as store:
+        async with opened(disk, StoreOptions(segment_bytes=20_000, batch_records=50)) as store:
             for n in range(4_000):
                 await store.put(b"k%d" % (n % 40), b"v%d" % n)
-            while store.compacting is not None:
-                await asyncio.wait((store.compacting,))
+            while store.compactor.task is not None:
+                await asyncio.wait((store.compactor.task,))
             assert store.stats().compactions >= 1 and store.size < 100_000
             for n in range(40):
                 assert await store.get(b"k%d" % n) == b"v%d" % (3_960 + n)
@@ -371,12 +384,12 @@
 def test_a_mark_that_fails_leaves_its_batch_reported_and_ends_the_file() -> None:
     async def main() -> None:
         disk, times = SimulatedDisk(), Times()
-        async with opened(disk, Options(), times) as store:
+        async with opened(disk, StoreOptions(), times) as store:
             await store.put(b"first", b"1")
             real = disk.write
 
             def write(name: str, offset: int, data: bytes) -> None:
-                if len(data) == FRAME_HEAD.size:
+                if len(data) == FRAME_HEADER.size:
                     raise FULL_DISK
                 real(name, offset, data)
 
@@ -395,7 +408,7 @@
 def test_a_disk_that_fails_is_told_once_and_nothing_is_reported(operation: str, error: OSError) -> None:
     async def main() -> None:
         disk, times = SimulatedDisk(), Times()
-        async with opened(disk, Options(), times) as store:
+        async with opened(disk, StoreOptions(), times) as store:
             await store.put(b"good", b"1")
             disk.fail(operation, error)
             for n in range(5):
@@ -418,15 +431,15 @@
 def test_a_disk_that_goes_on_failing_is_asked_less_and_less() -> None:
     async def main() -> None:
         disk, times = SimulatedDisk(), Times()
-        async with opened(disk, Options(), times) as store:
+        async with opened(disk, StoreOptions(), times) as store:
             disk.fail("sync", BROKEN_DISK)
             disk.fail("create", *[FULL_DISK] * 3)
             waits = []
             for _ in range(4):
                 with pytest.raises(StoreUnavailableError):
                     await store.put(b"k", b"v")
-                waits.append(store.retry_at - times.seconds)
-                times.seconds = store.retry_at
+                waits.append(store.availability.retry_at - times.seconds)
+                times.seconds = store.availability.retry_at
             assert waits == [1.0, 2.0, 4.0, 8.0] and len(logged(store)) == 1
             await store.put(b"k", b"v")
             assert await store.get(b"k") == b"v"
@@ -437,27 +450,27 @@
 def test_those_that_wait_behind_a_failure_hear_of_it() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
-        async with opened(disk, Options(batch_records=2)) as store:
+        async with opened(disk, StoreOptions(batch_records=2)) as store:
             disk.fail("sync", BROKEN_DISK)
             found = await asyncio.gather(
                 *(store.put(b"k%d" % n, b"v") for n in range(10)), return_exceptions=True
             )
             assert all(isinstance(one, StoreUnavailableError) for one in found)
-            assert len(store) == 0 and not store.waiting
+            assert len(store) == 0 and not store.writer.queue
 
     run(main())
 
 
 def test_a_full_store_says_so_once_and_writes_again_when_compaction_made_room() -> None:
     async def main() -> None:
-        async with opened(SimulatedDisk(), Options(max_bytes=4_000, segment_bytes=1_000)) as store:
+        async with opened(SimulatedDisk(), StoreOptions(max_bytes=4_000, segment_bytes=1_000)) as store:
 
             async def refused(key: bytes) -> bool:
                 try:
                     await store.put(key, b"x" * 100)
                 except StoreUnavailableError:
-                    while store.compacting is not None:
-                        await asyncio.wait((store.compacting,))
+                    while store.compactor.task is not None:
+                        await asyncio.wait((store.compactor.task,))
                     return True
                 return False
 
@@ -483,10 +496,10 @@
                     await store.put(b"k%d" % (n % 5), b"v%d" % n)
                 await store.compact()
                 await store.put(b"k0", b"new")
-                await store._roll()
+                await store.segments.roll()
                 disk.fail(operation, BROKEN_DISK)
                 with pytest.raises(OSError, match="Input/output error"):
-                    await store._compact()
+                    await store.compactor.compact_sealed()
                 assert await store.get(b"k0") == b"new" and await store.get(b"k4") == b"v19"
                 await store.put(b"k1", b"after")
             state = state_of(disk.lose_power())
@@ -497,7 +510,7 @@
 
 def test_a_writer_that_is_cancelled_leaves_the_others_alone() -> None:
     async def main() -> None:
-        async with opened(SimulatedDisk(), Options()) as store:
+        async with opened(SimulatedDisk(), StoreOptions()) as store:
             tasks = [store.put(b"k%d" % n, b"v") for n in range(5)]
             await asyncio.sleep(0)
             tasks[2].cancel()
@@ -527,9 +540,9 @@
 def test_a_process_that_is_killed_loses_nothing_that_it_had_told(tmp_path: Path) -> None:
     code = (
         "import asyncio, sys\n"
-        "from laurelstep.store import FolderDisk, Options, Store\n"
+        "from laurelstep.store import FolderDisk, StoreOptions, Store\n"
         "async def main():\n"
-        "    store = await Store.open(FolderDisk(sys.argv[1]), Options(segment_bytes=3000))\n"
+        "    store = await Store.open(FolderDisk(sys.argv[1]), StoreOptions(segment_bytes=3000))\n"
         "    n = len(store)\n"
         "    while True:\n"
         "        await store.put(b'k%d' % n, b'v%d' % n)\n"
@@ -568,16 +581,16 @@
     (tmp_path / "0000000099.seg").write_bytes(b"left over")
     before = {one.name: (one.stat().st_mtime_ns, one.stat().st_size) for one in tmp_path.iterdir()}
     disk = FolderDisk(tmp_path, write=False)
-    found = look(disk)
+    found = inspect_folder(disk)
     assert found.manifest is not None and found.leftover == ("0000000099.seg",)
-    assert len(read_all(disk, found.manifest).index) == 30
+    assert len(read_store(disk, found.manifest).index) == 30
     disk.close()
     assert before == {one.name: (one.stat().st_mtime_ns, one.stat().st_size) for one in tmp_path.iterdir()}
 
 
 def test_the_tool_tells_verifies_and_compacts(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
     async def main() -> None:
-        async with opened(FolderDisk(tmp_path), Options(segment_bytes=500)) as store:
+        async with opened(FolderDisk(tmp_path), StoreOptions(segment_bytes=500)) as store:
             for n in range(40):
                 await store.put(b"k%d" % (n % 4), b"v%d" % n)
             assert tool(["verify", str(tmp_path)]) == 0
@@ -597,7 +610,7 @@
     assert "4 keys" in told and {json.loads(one)["value"] for one in lines} == {"v36", "v37", "v38", "v39"}
     first = max(tmp_path.glob("*.seg"), key=lambda one: one.stat().st_size)
     data = bytearray(first.read_bytes())
-    data[SEGMENT_SIZE + 30] ^= 1
+    data[SEGMENT_HEADER_BYTES + 30] ^= 1
     first.write_bytes(data)
     assert tool(["verify", str(tmp_path)]) == 2
     assert "damaged at byte" in capfd.readouterr().err
@@ -608,12 +621,12 @@
 def test_descriptors_are_bounded_and_given_back(tmp_path: Path) -> None:
     async def main() -> None:
         before = len(os.listdir("/proc/self/fd"))
-        async with opened(FolderDisk(tmp_path), Options(segment_bytes=200)) as store:
+        async with opened(FolderDisk(tmp_path), StoreOptions(segment_bytes=200)) as store:
             for n in range(60):
                 await store.put(b"k%d" % n, b"v" * 50)
             for n in range(60):
                 await store.get(b"k%d" % n)
-            assert len(store.manifest.segments) > 20
+            assert len(store.segments.manifest.segments) > 20
             assert len(os.listdir("/proc/self/fd")) <= before + 18
         assert len(os.listdir("/proc/self/fd")) <= before
 
@@ -643,7 +656,7 @@
     @initialize()
     def open(self) -> None:
         async def opening() -> Store:
-            return await Store.open(self.disk, SMALL, lambda line: None, self.times.clock, self.times.wall)
+            return await Store.open(self.disk, SMALL, lambda line: None, self.times.clocks())
 
         self.store = self.do(opening())
 
@@ -662,7 +675,7 @@
     @rule()
     def compact(self) -> None:
         assert self.store is not None
-        if self.store.failed is None:
+        if not self.store.is_failing:
             self.do(self.store.compact())
 
     @rule(operation=st.sampled_from(["write", "sync"]), key=KEYS)
@@ -700,7 +713,7 @@
 
     def read(self) -> State:
         assert self.store is not None
-        return {key: self.do(self.store.get(key)) for key in list(self.store.index.where)}
+        return {key: self.do(self.store.get(key)) for key in list(self.store.index.locations)}
 
     @precondition(lambda self: self.store is not None)
     @invariant()
@@ -721,7 +734,7 @@
 
 
 def test_numbered_keys_are_found_as_in_a_dictionary() -> None:
-    draw, index, model = random.Random(7), Numbered(b"km"), dict[bytes, int]()
+    draw, index, model = random.Random(7), NumberedKeyMap(b"km"), dict[bytes, int]()
     for step in range(20_000):
         key = draw.choice((b"k", b"m", b"x", b"kk")) + draw.randrange(400).to_bytes(3, "big")
         if draw.random() < 0.6:
@@ -736,7 +749,7 @@
 
 
 def test_a_numbered_key_takes_less_than_20_bytes() -> None:
-    index, count = Numbered(b"k"), 10_000
+    index, count = NumberedKeyMap(b"k"), 10_000
     tracemalloc.start()
     try:
         for number in range(1, count + 1):
@@ -749,7 +762,7 @@
 
 def test_each_key_is_read_once_in_the_order_of_the_log() -> None:
     async def main() -> None:
-        disk, options, times = SimulatedDisk(), replace(SMALL, numbered=b"a"), Times()
+        disk, options, times = SimulatedDisk(), replace(SMALL, numbered_prefixes=b"a"), Times()
         async with opened(disk, options, times) as store:
             for number in range(300):
                 key = b"ab"[number % 2 : number % 2 + 1] + number.to_bytes(2, "big")
@@ -774,7 +787,7 @@
         async with opened(disk) as store:
             for number in range(3):
                 await store.put(b"a%d" % number, b"value")
-            segment, offset = place_of(store.index.where[b"a1"])
+            segment, offset = unpack_location(store.index.locations[b"a1"])
             disk.write(segment_name(segment), offset + 30, b"?")
             with pytest.raises(StoreError):
                 _ = [one async for one in store.each(b"a")]
