--- a/laurelstep/store/disk.py
+++ b/laurelstep/store/disk.py
@@ -1,4 +1,4 @@
-"""The store's files behind one narrow protocol, so that tests can play faults."""
+"""The store's files behind one narrow protocol, so that tests can inject faults."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 import os
 from collections import OrderedDict
 from pathlib import Path
-from typing import Protocol
+from typing import Final, Protocol
 
 from laurelstep.errors import LaurelstepError
 from laurelstep.store.manifest import LOCK
 
-# Descriptors kept open; a segment read again later is opened again.
-MAX_OPEN_FILES = 16
+# Descriptors kept open; a segment that is read again later is opened again.
+MAX_OPEN_FILES: Final = 16
 
 
 class StoreError(LaurelstepError):
@@ -24,7 +24,8 @@
 
 
 class Disk(Protocol):
-    """A folder's files. All calls may block; each raises OSError as the system does."""
+    """A folder's files. All calls may block; each raises OSError as the system does. Offsets and sizes are in
+    bytes."""
 
     def lock(self) -> None:
         """Own the folder until `close`; `StoreError` if another owner lives."""
@@ -32,87 +33,89 @@
     def files(self) -> dict[str, int]:
         """The files that are there, with their sizes."""
 
-    def read(self, name: str, offset: int = 0, size: int | None = None) -> bytes: ...
+    def read(self, name: str, offset: int = 0, size: int | None = None) -> bytes:
+        """Bytes of a file from an offset on, up to its end where no size is given."""
 
     def create(self, name: str, data: bytes) -> None:
-        """A new file (or one in the place of an old), written and synced. Its name is
-        durable only after `sync_folder`."""
+        """Write and sync a new file, or one in the place of an old. Its name is durable only after
+        `sync_folder`."""
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        """All of it, at that place; not yet durable."""
+        """Write all of it at that place; it is not yet durable."""
 
-    def sync(self, name: str) -> None: ...
+    def sync(self, name: str) -> None:
+        """Make what was written to a file durable."""
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         """Shorten a file, and sync it."""
 
-    def rename(self, old: str, new: str) -> None: ...
+    def rename(self, old: str, new: str) -> None:
+        """Give a file another name, in the place of the file that has it. Durable after `sync_folder`."""
 
-    def sync_folder(self) -> None: ...
+    def sync_folder(self) -> None:
+        """Make the names of the folder's files durable."""
 
-    def delete(self, name: str) -> None: ...
+    def delete(self, name: str) -> None:
+        """Delete a file if it is there."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Close all files, and let go of the folder."""
 
 
 class FolderDisk:
-    """Real files. The folder is made if it is not there."""
+    """A `Disk` on real files. The folder is made if it is not there; without `write` nothing is changed."""
 
     def __init__(self, folder: str | os.PathLike[str], write: bool = True) -> None:
         self.folder = Path(folder)
-        self.may_write = write
-        self.open: OrderedDict[str, int] = OrderedDict()
-        self.lock_fd = -1
+        self._may_write = write
+        self._open_files: OrderedDict[str, int] = OrderedDict()  # descriptors; the last one was used last
+        self._lock_fd = -1
 
     def lock(self) -> None:
-        if self.may_write:
+        """See `Disk`."""
+        if self._may_write:
             self.folder.mkdir(parents=True, exist_ok=True)
-        flags = os.O_RDWR | os.O_CREAT if self.may_write else os.O_RDONLY
+        flags = os.O_RDWR | os.O_CREAT if self._may_write else os.O_RDONLY
         fd = os.open(self.folder / LOCK, flags | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(fd)
             raise StoreError(f"{self.folder}: another process has this store open") from None
-        self.lock_fd = fd
+        self._lock_fd = fd
 
     def files(self) -> dict[str, int]:
+        """See `Disk`."""
         with os.scandir(self.folder) as entries:
-            return {one.name: one.stat().st_size for one in entries if one.is_file() and one.name != LOCK}
-
-    def _fd(self, name: str) -> int:
-        fd = self.open.pop(name, None)
-        if fd is None:
-            flags = os.O_RDWR if self.may_write else os.O_RDONLY
-            fd = os.open(self.folder / name, flags | os.O_CLOEXEC)
-        self._keep(name, fd)
-        return fd
-
-    def _keep(self, name: str, fd: int) -> None:
-        """The one used last; the longest unused makes room."""
-        while len(self.open) >= MAX_OPEN_FILES:
-            os.close(self.open.popitem(last=False)[1])
-        self.open[name] = fd
+            return {
+                entry.name: entry.stat().st_size
+                for entry in entries
+                if entry.is_file() and entry.name != LOCK
+            }
 
     def read(self, name: str, offset: int = 0, size: int | None = None) -> bytes:
-        fd = self._fd(name)
-        left = os.fstat(fd).st_size - offset if size is None else size
+        """See `Disk`."""
+        fd = self._descriptor(name)
+        remaining = os.fstat(fd).st_size - offset if size is None else size
         parts = []
-        while left > 0 and (part := os.pread(fd, left, offset)):
+        while remaining > 0 and (part := os.pread(fd, remaining, offset)):
             parts.append(part)
             offset += len(part)
-            left -= len(part)
+            remaining -= len(part)
         return b"".join(parts)
 
     def create(self, name: str, data: bytes) -> None:
-        self._forget(name)
-        fd = os.open(self.folder / name, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
-        self._keep(name, fd)
+        """See `Disk`."""
+        self._close_file(name)
+        flags = os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
+        fd = os.open(self.folder / name, flags, 0o600)
+        self._keep_open(name, fd)
         self.write(name, 0, data)
         os.fsync(fd)
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        fd = self._fd(name)
+        """See `Disk`."""
+        fd = self._descriptor(name)
         view = memoryview(data)
         while view:
             written = os.pwrite(fd, view, offset)
@@ -120,19 +123,23 @@
             view = view[written:]
 
     def sync(self, name: str) -> None:
-        os.fdatasync(self._fd(name))
+        """See `Disk`."""
+        os.fdatasync(self._descriptor(name))
 
-    def cut(self, name: str, size: int) -> None:
-        fd = self._fd(name)
+    def truncate(self, name: str, size: int) -> None:
+        """See `Disk`."""
+        fd = self._descriptor(name)
         os.ftruncate(fd, size)
         os.fsync(fd)
 
     def rename(self, old: str, new: str) -> None:
-        self._forget(old)
-        self._forget(new)
+        """See `Disk`."""
+        self._close_file(old)
+        self._close_file(new)
         os.rename(self.folder / old, self.folder / new)
 
     def sync_folder(self) -> None:
+        """See `Disk`."""
         fd = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(fd)
@@ -140,17 +147,33 @@
             os.close(fd)
 
     def delete(self, name: str) -> None:
-        self._forget(name)
+        """See `Disk`."""
+        self._close_file(name)
         with contextlib.suppress(FileNotFoundError):
             os.unlink(self.folder / name)
 
-    def _forget(self, name: str) -> None:
-        if (fd := self.open.pop(name, None)) is not None:
-            os.close(fd)
-
     def close(self) -> None:
-        for name in list(self.open):
-            self._forget(name)
-        if self.lock_fd >= 0:
-            os.close(self.lock_fd)  # and with it the lock
-            self.lock_fd = -1
+        """See `Disk`."""
+        for name in list(self._open_files):
+            self._close_file(name)
+        if self._lock_fd >= 0:
+            os.close(self._lock_fd)  # and with it the lock
+            self._lock_fd = -1
+
+    def _descriptor(self, name: str) -> int:
+        fd = self._open_files.pop(name, None)
+        if fd is None:
+            flags = os.O_RDWR if self._may_write else os.O_RDONLY
+            fd = os.open(self.folder / name, flags | os.O_CLOEXEC)
+        self._keep_open(name, fd)
+        return fd
+
+    def _keep_open(self, name: str, fd: int) -> None:
+        """As the file used last; the one unused for longest makes room."""
+        while len(self._open_files) >= MAX_OPEN_FILES:
+            os.close(self._open_files.popitem(last=False)[1])
+        self._open_files[name] = fd
+
+    def _close_file(self, name: str) -> None:
+        if (fd := self._open_files.pop(name, None)) is not None:
+            os.close(fd)
--- a/laurelstep/store/recovery.py
+++ b/laurelstep/store/recovery.py
@@ -190,7 +190,7 @@
     """Cut off a torn batch, and make what was read durable."""
     name = segment_name(store.active_segment)
     if store.torn_bytes:
-        disk.cut(name, store.tail)
+        disk.truncate(name, store.tail)
         store.allocated_bytes = store.tail
     if store.unconfirmed is not None:
         # After a sync that failed Linux may take the bytes for written, so that another sync says nothing
--- a/laurelstep/store/segment_log.py
+++ b/laurelstep/store/segment_log.py
@@ -118,7 +118,7 @@
             self.manifest = manifest
             self.salts[number] = salt
             with contextlib.suppress(OSError):  # the manifest says where it ends: this saves room
-                await self.io.run(self.disk.cut, sealed, self.tail)
+                await self.io.run(self.disk.truncate, sealed, self.tail)
             self.tail = self._allocated_bytes = self.sizes[number] = SEGMENT_HEADER_BYTES
             await self._delete_unsure_files()
 
--- a/laurelstep/testing/contracts/disk.py
+++ b/laurelstep/testing/contracts/disk.py
@@ -106,7 +106,7 @@
     def test_a_cut_leaves_the_beginning(self) -> None:
         with self.owned() as disk:
             disk.create("one", b"0123456789")
-            disk.cut("one", 4)
+            disk.truncate("one", 4)
             assert (disk.read("one"), disk.files()) == (b"0123", {"one": 4})
             disk.write("one", 4, b"x")
             assert disk.read("one") == b"0123x"
@@ -153,8 +153,8 @@
                 disk.write("none", 0, b"x")
             with raises(OSError, "a sync of no file"):
                 disk.sync("none")
-            with raises(OSError, "a cut of no file"):
-                disk.cut("none", 0)
+            with raises(OSError, "a truncation of no file"):
+                disk.truncate("none", 0)
             with raises(OSError, "a rename of no file"):
                 disk.rename("none", "other")
             assert disk.files() == {}, "a failed call leaves nothing behind"
@@ -216,7 +216,7 @@
             disk.create("one", b"0123456789")
             disk.sync_folder()
             disk.write("one", 0, b"ab")
-            disk.cut("one", 5)
+            disk.truncate("one", 5)
             later = next_start()
             assert later.read("one") == b"ab234"
             later.close()
--- a/laurelstep/testing/disk.py
+++ b/laurelstep/testing/disk.py
@@ -41,7 +41,7 @@
         self.dropped += self.pending
         self.pending = []
 
-    def cut(self, size: int) -> None:
+    def truncate(self, size: int) -> None:
         """Shorten it, durably."""
         self.sync()
         del self.durable[size:]
@@ -162,10 +162,10 @@
         self.names[name].fail_sync()
         self.journal.append(("fail_sync", name))
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         self._present(name)
-        self._begin("cut", name, size)
-        self.names[name].cut(size)
+        self._begin("truncate", name, size)
+        self.names[name].truncate(size)
 
     def rename(self, old: str, new: str) -> None:
         self._present(old)
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -424,7 +424,7 @@
 
 
 class UnsyncedCut(SimulatedDisk):
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         data = self.read(name)[:size]
         super().create(name, data)
 
@@ -450,10 +450,10 @@
 class Strange(SimulatedDisk):
     """Its errors are not the system's."""
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         if name not in self.names:
             raise KeyError(name)
-        super().cut(name, size)
+        super().truncate(name, size)
 
 
 class Appending(SimulatedDisk):
@@ -486,11 +486,11 @@
 class Stale(FolderDisk):
     """Reads a file that was renamed away, or deleted, by its old descriptor."""
 
-    def _forget(self, name: str) -> None: ...
+    def _close_file(self, name: str) -> None: ...
 
     def close(self) -> None:
-        for name in list(self.open):
-            super()._forget(name)
+        for name in list(self._open_files):
+            super()._close_file(name)
         super().close()
 
 
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -46,7 +46,7 @@
 NO_SPACE = OSError(errno.ENOSPC, "No space left on device")
 IO_ERROR = OSError(errno.EIO, "Input/output error")
 FAULTS = [NO_SPACE, IO_ERROR]
-WRITING = ("write", "create", "cut", "rename")
+WRITING = ("write", "create", "truncate", "rename")
 SYNCING = ("sync", "sync_folder")
 # Beyond the longest backoff.
 LONG_S = 60.0
