--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -6,7 +6,7 @@
 import contextlib
 import shutil
 from collections.abc import AsyncIterator
-from dataclasses import dataclass, replace
+from dataclasses import replace
 from pathlib import Path
 from typing import Any
 
@@ -21,7 +21,7 @@
 from laurelstep.outbox.store import KeptStore
 from laurelstep.request_journal.journal import RequestJournal
 from laurelstep.request_journal.records import answer_from_record, store_key
-from laurelstep.store import FolderDisk, Store, StoreOptions
+from laurelstep.store import FolderDisk, Store
 from laurelstep.store.clock import (
     MAX_STEP_MS,
     NOTE_INTERVAL_MS,
@@ -32,11 +32,11 @@
 )
 from laurelstep.testing import Endpoint
 from laurelstep.testing.disk import SimulatedDisk
-from tests.test_request_journal import AGAIN, ORDER, SERVED, opened, pay, said
+from tests.journals import AGAIN, ORDER, SERVED, client_with_journal, pay, said
+from tests.stores import SMALL, Machine, opened
 
 HOUR_MS = 3_600_000
 STEPS = [-HOUR_MS, -1_000, 0, 1_000, HOUR_MS]
-SMALL = StoreOptions(segment_bytes=400, batch_records=4, preallocated_bytes=100)
 # Written by commit 9af0195: twelve orders kept for 60 s from this moment on, and a record kept for ever.
 FIXTURE = Path(__file__).parent / "fixtures" / "store-9af0195"
 FIXTURE_WRITTEN_MS = 1_800_000_000_000
@@ -46,36 +46,6 @@
 ALBUM = KeptClass("album", True, WINDOW_MS * 1000)
 
 
-@dataclass
-class Machine:
-    """The clocks of one machine, moved by a test."""
-
-    monotonic_ms: int = 5_000_000
-    wall_ms: int = FIXTURE_WRITTEN_MS
-    boot: bytes = b"boot-1"
-
-    def passes(self, ms: int) -> None:
-        self.monotonic_ms += ms
-        self.wall_ms += ms
-
-    def steps(self, ms: int) -> None:
-        """The wall clock alone."""
-        self.wall_ms += ms
-
-    def reboots(self, down_ms: int) -> None:
-        self.wall_ms += down_ms
-        self.monotonic_ms, self.boot = 10_000, self.boot + b"+"
-
-    def clocks(self) -> StoreClocks:
-        return StoreClocks(lambda: self.monotonic_ms / 1000, lambda: self.wall_ms, lambda: self.boot)
-
-    @contextlib.asynccontextmanager
-    async def store(self, disk: Any, options: StoreOptions = SMALL) -> AsyncIterator[Store]:
-        store = await Store.open(disk, options, clocks=self.clocks())
-        async with asyncio.timeout(60), store:
-            yield store
-
-
 def run(work: Any) -> None:
     asyncio.run(work)
 
@@ -87,7 +57,7 @@
 def test_a_record_lives_for_its_span_whatever_the_wall_clock_does(step_ms: int) -> None:
     async def main() -> None:
         machine = Machine()
-        async with machine.store(SimulatedDisk()) as store:
+        async with opened(SimulatedDisk(), machine=machine) as store:
             await store.put(b"order", b"answer", ttl_ms=60_000)
             machine.steps(step_ms)
             machine.passes(59_999)
@@ -106,15 +76,15 @@
 def test_a_record_lives_for_its_span_across_lives_of_one_boot(step_ms: int) -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
-        async with machine.store(disk) as store:
+        async with opened(disk, machine=machine) as store:
             await store.put(b"order", b"answer", ttl_ms=60_000)
         machine.steps(step_ms)
         machine.passes(30_000)
-        async with machine.store(disk) as store:
+        async with opened(disk, machine=machine) as store:
             await store.put(b"second", b"answer", ttl_ms=60_000)
             machine.passes(29_999)
             assert await store.get(b"order") == b"answer"
-        async with machine.store(disk) as store:
+        async with opened(disk, machine=machine) as store:
             machine.passes(1)
             assert await store.get(b"order") is None and await store.get(b"second") == b"answer"
             machine.passes(30_000)
@@ -127,12 +97,12 @@
 def test_a_record_never_goes_early_where_the_machine_was_started_anew(step_ms: int) -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
-        async with machine.store(disk) as store:
+        async with opened(disk, machine=machine) as store:
             await store.put(b"order", b"answer", ttl_ms=60_000)
             machine.passes(20_000)
         machine.steps(step_ms)
         machine.reboots(down_ms=10_000_000)
-        async with machine.store(disk) as store:
+        async with opened(disk, machine=machine) as store:
             assert await store.get(b"order") == b"answer"
             machine.passes(59_999)
             assert await store.get(b"order") == b"answer", "late by the time since the last note at most"
@@ -145,7 +115,7 @@
 def test_notes_follow_the_writes_so_that_a_new_start_finds_a_fresh_one() -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
-        async with machine.store(disk) as store:
+        async with opened(disk, machine=machine) as store:
             await store.put(b"order", b"answer", ttl_ms=10 * NOTE_INTERVAL_MS)
             first = store.index.clock_note
             await store.put(b"other", b"answer")
@@ -156,7 +126,7 @@
             await store.compact()
             assert len(store) == 2
         machine.reboots(down_ms=0)
-        async with machine.store(disk) as store:
+        async with opened(disk, machine=machine) as store:
             assert store.index.clock_note != first
             machine.passes(9 * NOTE_INTERVAL_MS - 1)
             assert await store.get(b"order") == b"answer"
@@ -169,7 +139,7 @@
 def test_the_newest_note_outlives_compaction_and_the_older_ones_do_not() -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
-        async with machine.store(disk) as store:
+        async with opened(disk, machine=machine) as store:
             for number in range(20):
                 await store.put(b"key-%d" % number, b"value", ttl_ms=40 * NOTE_INTERVAL_MS)
                 machine.passes(NOTE_INTERVAL_MS)
@@ -177,7 +147,7 @@
             await store.compact()
             assert store.index.clock_note == note and store.size < before
         machine.steps(HOUR_MS)
-        async with machine.store(disk) as store:
+        async with opened(disk, machine=machine) as store:
             assert store.index.clock_note == note and len(store) == 20
             machine.passes(20 * NOTE_INTERVAL_MS - 1)
             assert await store.get(b"key-0") == b"value"
@@ -190,7 +160,7 @@
 def test_a_note_that_was_not_written_is_written_with_the_next_batch() -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
-        async with machine.store(disk) as store:
+        async with opened(disk, machine=machine) as store:
             disk.fail("sync", OSError(5, "Input/output error"))
             with pytest.raises(OSError, match="the disk fails"):
                 try:
@@ -232,7 +202,7 @@
     async def main() -> None:
         machine, disk, settings = Machine(), SimulatedDisk(), replace(ORDER, retention_ms=60_000)
         async with Endpoint() as endpoint:
-            async with opened(tmp_path, endpoint, settings=settings) as client:
+            async with client_with_journal(tmp_path, endpoint, settings=settings) as client:
                 await use_store(client, machine, disk)
                 assert said(await client.send(pay())) == SERVED
                 machine.steps(step_ms)
@@ -242,7 +212,7 @@
                     machine.passes(1)
                     assert said(await client.send(pay())) == SERVED, "its window is over"
             if restarts:
-                async with opened(tmp_path, endpoint, settings=settings) as client:
+                async with client_with_journal(tmp_path, endpoint, settings=settings) as client:
                     await use_store(client, machine, disk)
                     assert said(await client.send(pay())) == AGAIN
                     machine.passes(1)
@@ -272,7 +242,7 @@
     async def main() -> None:
         machine = Machine()
         machine.passes(30_000)
-        async with machine.store(fixture(tmp_path)) as store:
+        async with opened(fixture(tmp_path), machine=machine) as store:
             assert len(store) == 12 and await store.get(b"forever") == b"kept"
             record = await store.get(store_key("print-order", b"old-1"))
             assert record is not None and answer_from_record(record, FIXTURE_DIGEST).body == b"printed\n"
@@ -280,7 +250,7 @@
             assert record is not None and answer_from_record(record, FIXTURE_DIGEST).status == 502
             await store.put(b"new", b"value", ttl_ms=60_000)
             await store.compact()
-        async with machine.store(FolderDisk(tmp_path / "store")) as store:
+        async with opened(FolderDisk(tmp_path / "store"), machine=machine) as store:
             assert len(store) == 13
             machine.passes(59_999)
             assert await store.get(b"new") == b"value"
@@ -295,7 +265,7 @@
     async def main() -> None:
         machine, key = Machine(), store_key("print-order", b"old-1")
         machine.steps(step_ms)
-        async with machine.store(fixture(tmp_path)) as store:
+        async with opened(fixture(tmp_path), machine=machine) as store:
             machine.passes(FIXTURE_KEEP_MS - 1)
             assert await store.get(key) is not None, "never early"
             machine.passes(1 + MAX_STEP_MS - step_ms)
--- a/tests/test_folders_of_earlier_versions.py
+++ b/tests/test_folders_of_earlier_versions.py
@@ -13,13 +13,10 @@
 from laurelstep.outbox import driver as driving
 from laurelstep.outbox.dots import read_dot
 from laurelstep.outbox.journal import State
-from tests.once import once
 from tests.sockets import run
 from tests.test_node import Tier
 from tests.test_outbox_bodies import edge
 
-pytestmark = once
-
 FIXTURES: Final = Path(__file__).parent / "fixtures"
 HOUR_US: Final = 3_600_000_000
 
--- a/tests/test_request_journal.py
+++ b/tests/test_request_journal.py
@@ -9,15 +9,14 @@
 import random
 import signal
 import sys
-from collections.abc import AsyncIterator
 from pathlib import Path
 from typing import Any
 
 import pytest
 
 from laurelstep.engine import Answer, Call, Ending
-from laurelstep.library import Client, ConfigError, Reply, Request
-from laurelstep.request_journal import JournalClass, JournalSettings
+from laurelstep.library import ConfigError, Request
+from laurelstep.request_journal import JournalClass
 from laurelstep.request_journal.journal import RequestJournal
 from laurelstep.request_journal.records import (
     IntentRecord,
@@ -26,9 +25,9 @@
     idempotency_key,
     request_digest,
 )
-from laurelstep.settings import config_from, read_file
+from laurelstep.settings import read_file
 from laurelstep.settings.operator import read_operator
-from laurelstep.store import SYSTEM_CLOCKS, FolderDisk, Store, StoreClocks, StoreOptions
+from laurelstep.store import FolderDisk
 from laurelstep.store.disk import Disk
 from laurelstep.testing import (
     Caller,
@@ -43,41 +42,20 @@
     stall,
     whole_list,
 )
-from tests.sockets import SETTINGS, free_port
+from tests.journals import (
+    AGAIN,
+    MAY_HAVE_RUN,
+    ORDER,
+    SERVED,
+    client_with_journal,
+    pay,
+    recorded,
+    said,
+)
+from tests.sockets import free_port
 from tests.test_library import member, nothing_held
 from tests.test_settings import file, platform
 
-ORDER = JournalClass(header=b"x-order-id", retention_ms=60_000)
-
-
-def orders(folder: Path, unavailable: Any = "fail", settings: JournalClass = ORDER) -> JournalSettings:
-    return JournalSettings(str(folder), {"pay": settings}, unavailable)
-
-
-@contextlib.asynccontextmanager
-async def opened(folder: Path, *endpoints: Endpoint, **options: Any) -> AsyncIterator[Client]:
-    """A client that records the class `pay`; the endpoints are up already."""
-    raw = {"seed": "1", "settings": SETTINGS, "limits": {"sockets": 1024}}
-    config = config_from(raw, "test", orders(folder, **options))
-    members = [member(one, f"s-{n}") for n, one in enumerate(endpoints)]
-    async with asyncio.timeout(60), Client.open(config, members) as client:
-        yield client
-
-
-def pay(name: str = "o-1", body: bytes = b"sum", deadline_s: float = 4.0, rid: str | None = None) -> Request:
-    headers = {"X-Order-Id": name}
-    return Request("pay", "/pay", "POST", body=body, deadline_s=deadline_s, headers=headers, id=rid)
-
-
-def said(reply: Reply) -> tuple[str, int, bool, bool]:
-    headers = dict(reply.headers)
-    return reply.outcome, reply.status, "x-may-have-run" in headers, "x-from-record" in headers
-
-
-SERVED = ("served", 200, False, False)
-AGAIN = ("served", 200, False, True)
-MAY_HAVE_RUN = ("failed", 502, True, False)
-
 
 def run(test: Any) -> None:
     asyncio.run(test)
@@ -137,7 +115,7 @@
 def test_an_order_named_again_gets_the_answer_that_is_known(tmp_path: Path) -> None:
     async def main() -> None:
         async with Endpoint(in_turn(serve(b"first"), serve(b"second"))) as endpoint:
-            async with opened(tmp_path, endpoint) as client:
+            async with client_with_journal(tmp_path, endpoint) as client:
                 assert said(await client.send(pay())) == SERVED
                 again = await client.send(pay())
                 assert said(again) == AGAIN and again.body == b"first" and again.attempts == 0
@@ -154,7 +132,10 @@
 def test_the_same_order_on_two_connections_at_once_runs_once(tmp_path: Path) -> None:
     async def main() -> None:
         gate = asyncio.Event()
-        async with Endpoint(after(gate, serve(b"one"))) as endpoint, opened(tmp_path, endpoint) as client:
+        async with (
+            Endpoint(after(gate, serve(b"one"))) as endpoint,
+            client_with_journal(tmp_path, endpoint) as client,
+        ):
             tasks = [asyncio.create_task(client.send(pay())) for _ in range(5)]
             other = asyncio.create_task(client.send(pay(body=b"other")))
             await endpoint.arrived.acquire()
@@ -168,7 +149,7 @@
 
 def test_a_refused_order_has_not_run_and_may_come_again(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Endpoint(refuse()) as endpoint, opened(tmp_path, endpoint) as client:
+        async with Endpoint(refuse()) as endpoint, client_with_journal(tmp_path, endpoint) as client:
             assert (await client.send(pay())).outcome is Ending.REFUSED
             endpoint.handler = serve(b"now")
             client.members([member(endpoint, "n-1")])
@@ -179,7 +160,10 @@
 
 def test_an_order_that_failed_is_not_sent_again(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Endpoint(in_turn(reset(), serve())) as endpoint, opened(tmp_path, endpoint) as client:
+        async with (
+            Endpoint(in_turn(reset(), serve())) as endpoint,
+            client_with_journal(tmp_path, endpoint) as client,
+        ):
             first, second = await client.send(pay()), await client.send(pay())
             assert (first.outcome, second.outcome) == (Ending.FAILED, Ending.FAILED)
             assert len(endpoint.got) == 1
@@ -189,7 +173,7 @@
 
 def test_an_order_whose_client_left_may_have_run(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Endpoint(stall()) as endpoint, opened(tmp_path, endpoint) as client:
+        async with Endpoint(stall()) as endpoint, client_with_journal(tmp_path, endpoint) as client:
             first = asyncio.create_task(client.send(pay()))
             await endpoint.arrived.acquire()
             waits = asyncio.create_task(client.send(pay()))
@@ -204,7 +188,7 @@
 
 def test_an_order_whose_client_left_before_it_was_sent_passes_to_the_next(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Endpoint() as endpoint, opened(tmp_path, endpoint) as client:
+        async with Endpoint() as endpoint, client_with_journal(tmp_path, endpoint) as client:
             first = asyncio.create_task(client.send(pay()))
             waits = asyncio.create_task(client.send(pay()))
             await asyncio.sleep(0)
@@ -222,25 +206,6 @@
 # --- The store fails -----------------------------------------------------------------------
 
 
-async def recorded(
-    disk: Disk,
-    endpoint: Endpoint,
-    unavailable: str,
-    folder: Path,
-    stack: contextlib.AsyncExitStack,
-    options: StoreOptions | None = None,
-    clocks: StoreClocks = SYSTEM_CLOCKS,
-) -> tuple[Client, Store]:
-    """A client whose store is on a disk that the test breaks."""
-    client = await stack.enter_async_context(opened(folder, endpoint, unavailable=unavailable))
-    store = await Store.open(disk, options, clocks=clocks)
-    recorder = client.engine.recorder
-    assert isinstance(recorder, RequestJournal)
-    await recorder.store.close()
-    recorder.store = store
-    return client, store
-
-
 @pytest.mark.parametrize("unavailable", ["fail", "pass"])
 def test_an_order_that_can_not_be_recorded(tmp_path: Path, unavailable: str) -> None:
     async def main() -> None:
@@ -279,7 +244,7 @@
 
 def test_a_slow_store_does_not_hold_an_answer_past_its_time(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Endpoint() as endpoint, opened(tmp_path, endpoint) as client:
+        async with Endpoint() as endpoint, client_with_journal(tmp_path, endpoint) as client:
             recorder = client.engine.recorder
             assert isinstance(recorder, RequestJournal)
             real, never = recorder.store.put, asyncio.Event()
@@ -306,7 +271,7 @@
         effects = Effects()
         script = in_turn(serve(b"album"), stall())
         async with Endpoint(script, effects=effects) as endpoint:
-            async with opened(tmp_path, endpoint) as client:
+            async with client_with_journal(tmp_path, endpoint) as client:
                 assert said(await client.send(pay("known"))) == SERVED
                 lost = asyncio.create_task(client.send(pay("lost")))
                 await endpoint.arrived.acquire()
@@ -314,7 +279,7 @@
                 lost.cancel()
             endpoint.handler = serve(b"never")
             for _ in range(2):
-                async with opened(tmp_path, endpoint) as client:
+                async with client_with_journal(tmp_path, endpoint) as client:
                     known = await client.send(pay("known"))
                     assert said(known) == AGAIN and known.body == b"album"
                     assert said(await client.send(pay("lost"))) == MAY_HAVE_RUN
@@ -327,9 +292,9 @@
 
 def test_one_folder_is_one_copys(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Endpoint() as endpoint, opened(tmp_path, endpoint):
+        async with Endpoint() as endpoint, client_with_journal(tmp_path, endpoint):
             with pytest.raises(ConfigError, match="another process has this store open"):
-                async with opened(tmp_path, endpoint):
+                async with client_with_journal(tmp_path, endpoint):
                     pass
 
     run(main())
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -36,12 +36,9 @@
 from laurelstep.testing import Endpoint, refuse, serve
 from laurelstep.testing.contracts.outbox import made
 from laurelstep.testing.disk import Op, SimulatedDisk
-from tests.once import once
+from tests.journals import AGAIN, MAY_HAVE_RUN, SERVED, pay, recorded, said
+from tests.stores import SMALL, Machine, State, opened, state_of
 from tests.test_node import SAY, Bench, turn
-from tests.test_request_journal import AGAIN, MAY_HAVE_RUN, SERVED, pay, recorded, said
-from tests.test_store import SMALL, State, Times, opened, state_of
-
-pytestmark = once
 
 NO_SPACE = OSError(errno.ENOSPC, "No space left on device")
 IO_ERROR = OSError(errno.EIO, "Input/output error")
@@ -122,7 +119,7 @@
 @pytest.mark.parametrize("failing", [1, 2], ids=["segment's name", "manifest's name"])
 def test_a_folder_whose_sync_failed_as_the_log_rolled_on_loses_nothing(failing: int) -> None:
     async def main() -> None:
-        disk, times = SimulatedDisk(), Times()
+        disk, times = SimulatedDisk(), Machine()
         async with opened(disk, StoreOptions(segment_bytes=300), times) as store:
             for n in range(4):
                 await store.put(b"k%d" % n, b"x" * 40)
@@ -160,8 +157,8 @@
 @pytest.mark.parametrize("operation", ["rename", "sync_folder"])
 def test_a_compaction_whose_manifest_is_unsure_deletes_nothing_that_it_may_name(operation: str) -> None:
     async def main() -> None:
-        disk, times = SimulatedDisk(), Times()
-        async with opened(disk, times=times) as store:
+        disk, times = SimulatedDisk(), Machine()
+        async with opened(disk, machine=times) as store:
             for n in range(20):
                 await store.put(b"k%d" % (n % 5), b"v%d" % n)
             await store.segments.roll()
@@ -232,7 +229,7 @@
 
 def test_writing_ends_where_compaction_left_the_active_segment_perhaps_sealed() -> None:
     async def main() -> None:
-        disk, times = SimulatedDisk(), Times()
+        disk, times = SimulatedDisk(), Machine()
         async with opened(disk, StoreOptions(), times) as store:
             await store.put(b"k0", b"1")
             fail_nth_folder_sync(disk, 2)
@@ -300,7 +297,7 @@
     error: OSError, operations: tuple[str, ...], seed: int
 ) -> None:
     async def main() -> None:
-        disk, times, course = SimulatedDisk(), Times(), Course(seed)
+        disk, times, course = SimulatedDisk(), Machine(), Course(seed)
         for life in range(6):
             async with opened(disk, SMALL, times) as store:
                 course.found({key: value async for key, value in store.each(b"k")})
@@ -347,7 +344,7 @@
     """Refused at once and never run while it fails; recorded again by itself once it does not."""
 
     async def main() -> None:
-        disk, times = SimulatedDisk(), Times()
+        disk, times = SimulatedDisk(), Machine()
         async with Endpoint() as endpoint, contextlib.AsyncExitStack() as stack:
             clocks = times.clocks()
             client, _ = await recorded(disk, endpoint, "fail", tmp_path, stack, clocks=clocks)
@@ -453,8 +450,8 @@
 
 
 @contextlib.asynccontextmanager
-async def kept_store(disk: SimulatedDisk, times: Times | None = None) -> AsyncIterator[KeptStore]:
-    store = await KeptStore.open(disk, MOST, clocks=(times or Times()).clocks())
+async def kept_store(disk: SimulatedDisk, times: Machine | None = None) -> AsyncIterator[KeptStore]:
+    store = await KeptStore.open(disk, MOST, clocks=(times or Machine()).clocks())
     try:
         yield store
     finally:
@@ -467,7 +464,7 @@
     """What was kept stays owed, what was refused is told so, and what comes after is kept again."""
 
     async def main() -> None:
-        disk, times = SimulatedDisk(), Times()
+        disk, times = SimulatedDisk(), Machine()
         async with kept_store(disk, times) as store:
             await store.load()
             kept = [made(1, 100), made(2, 200_000)]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import errno
 import json
 import os
@@ -11,7 +10,7 @@
 import subprocess
 import sys
 import tracemalloc
-from collections.abc import AsyncIterator, Iterator
+from collections.abc import Iterator
 from dataclasses import replace
 from pathlib import Path
 from typing import Any
@@ -25,7 +24,6 @@
     FolderDisk,
     LogError,
     Store,
-    StoreClocks,
     StoreError,
     StoreOptions,
     StoreUnavailableError,
@@ -40,7 +38,6 @@
     encode_record,
     encode_segment_header,
     read_frame,
-    read_record,
     record_headers,
 )
 from laurelstep.store.manifest import MANIFEST, encode_manifest, segment_name
@@ -48,61 +45,14 @@
 from laurelstep.store.recovery import inspect_folder, read_store, recover_store
 from laurelstep.testing.disk import Op, SimulatedDisk
 from tests.once import once
+from tests.stores import SMALL, Machine, State, logged, opened, state_of
 
 pytestmark = once
 
-State = dict[bytes, bytes]
-SMALL = StoreOptions(segment_bytes=400, batch_records=4, preallocated_bytes=100)
 FULL_DISK = OSError(errno.ENOSPC, "No space left on device")
 BROKEN_DISK = OSError(errno.EIO, "Input/output error")
 
 
-class Times:
-    """Clocks that a test moves."""
-
-    def __init__(self) -> None:
-        self.seconds = 0.0
-        self.ms = 1_000_000
-
-    def clock(self) -> float:
-        return self.seconds
-
-    def wall(self) -> int:
-        return self.ms
-
-    def clocks(self) -> StoreClocks:
-        return StoreClocks(self.clock, self.wall)
-
-
-@contextlib.asynccontextmanager
-async def opened(
-    disk: Any, options: StoreOptions = SMALL, times: Times | None = None
-) -> AsyncIterator[Store]:
-    times = times or Times()
-    logged: list[str] = []
-    store = await Store.open(disk, options, logged.append, times.clocks())
-    vars(store)["logged"] = logged
-    async with asyncio.timeout(60), store:
-        yield store
-
-
-def logged(store: Store) -> list[str]:
-    lines: list[str] = vars(store)["logged"]
-    return lines
-
-
-def state_of(disk: SimulatedDisk) -> State:
-    """What a start finds; `LogError` for damage. Every value is read back by its own checksum."""
-    found = recover_store(disk, 77)
-    state = {}
-    for key, where in found.index.locations.items():
-        segment, offset = unpack_location(where)
-        record = read_record(disk.read(segment_name(segment), offset), "test")
-        assert record.key == key
-        state[key] = record.value
-    return state
-
-
 def run(test: Any) -> None:
     asyncio.run(test)
 
@@ -335,8 +285,8 @@
 
 def test_what_expires_is_not_read_and_goes_with_compaction() -> None:
     async def main() -> None:
-        times = Times()
-        async with opened(SimulatedDisk(), times=times) as store:
+        times = Machine()
+        async with opened(SimulatedDisk(), machine=times) as store:
             await store.put(b"short", b"s", ttl_ms=10)
             await store.put(b"long", b"l", ttl_ms=10_000)
             assert await store.get(b"short") == b"s"
@@ -344,7 +294,7 @@
             assert await store.get(b"short") is None and await store.get(b"long") == b"l"
             await store.compact()
             assert len(store) == 1 and await store.get(b"long") == b"l"
-            times.ms -= 1_000  # the clock is set back: what is gone stays gone
+            times.wall_ms -= 1_000  # the clock is set back: what is gone stays gone
             assert await store.get(b"short") is None and await store.get(b"long") == b"l"
 
     run(main())
@@ -383,7 +333,7 @@
 
 def test_a_mark_that_fails_leaves_its_batch_reported_and_ends_the_file() -> None:
     async def main() -> None:
-        disk, times = SimulatedDisk(), Times()
+        disk, times = SimulatedDisk(), Machine()
         async with opened(disk, StoreOptions(), times) as store:
             await store.put(b"first", b"1")
             real = disk.write
@@ -407,7 +357,7 @@
 @pytest.mark.parametrize(("operation", "error"), [("write", FULL_DISK), ("sync", BROKEN_DISK)])
 def test_a_disk_that_fails_is_told_once_and_nothing_is_reported(operation: str, error: OSError) -> None:
     async def main() -> None:
-        disk, times = SimulatedDisk(), Times()
+        disk, times = SimulatedDisk(), Machine()
         async with opened(disk, StoreOptions(), times) as store:
             await store.put(b"good", b"1")
             disk.fail(operation, error)
@@ -430,7 +380,7 @@
 
 def test_a_disk_that_goes_on_failing_is_asked_less_and_less() -> None:
     async def main() -> None:
-        disk, times = SimulatedDisk(), Times()
+        disk, times = SimulatedDisk(), Machine()
         async with opened(disk, StoreOptions(), times) as store:
             disk.fail("sync", BROKEN_DISK)
             disk.fail("create", *[FULL_DISK] * 3)
@@ -645,7 +595,7 @@
         super().__init__()
         self.loop = asyncio.new_event_loop()
         self.disk = SimulatedDisk()
-        self.times = Times()
+        self.times = Machine()
         self.model: State = {}
         self.maybe: State = {}  # what was not reported, and may be found by the next life
         self.store: Store | None = None
@@ -762,7 +712,7 @@
 
 def test_each_key_is_read_once_in_the_order_of_the_log() -> None:
     async def main() -> None:
-        disk, options, times = SimulatedDisk(), replace(SMALL, numbered_prefixes=b"a"), Times()
+        disk, options, times = SimulatedDisk(), replace(SMALL, numbered_prefixes=b"a"), Machine()
         async with opened(disk, options, times) as store:
             for number in range(300):
                 key = b"ab"[number % 2 : number % 2 + 1] + number.to_bytes(2, "big")
