--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -6,25 +6,25 @@
 import contextlib
 import shutil
 from collections.abc import AsyncIterator
-from dataclasses import dataclass, replace
+from dataclasses import replace
 from pathlib import Path
 from typing import Any
 
 import pytest
 
 from laurelstep.library import Client
-from laurelstep.orders.book import answer_of, order_key
-from laurelstep.orders.recorder import OrderRecorder
 from laurelstep.outbox.causes import Tokens
 from laurelstep.outbox.dots import Dot, Line
 from laurelstep.outbox.frontier import Alone
 from laurelstep.outbox.journal import Event, Reason
 from laurelstep.outbox.outbox import Bounds, End, KeptClass, Offer, Outbox
 from laurelstep.outbox.store import KeptStore
-from laurelstep.store import FolderDisk, Options, Store
+from laurelstep.request_journal.journal import RequestJournal
+from laurelstep.request_journal.records import answer_from_record, store_key
+from laurelstep.store import FolderDisk, Store
 from laurelstep.store.clock import (
+    MAX_STEP_MS,
     NOTE_INTERVAL_MS,
-    STEP_MOST_MS,
     ClockNote,
     StoreClock,
     StoreClocks,
@@ -32,11 +32,11 @@
 )
 from laurelstep.testing import Endpoint
 from laurelstep.testing.disk import SimulatedDisk
-from tests.test_orders import AGAIN, ORDER, SERVED, opened, pay, said
+from tests.journals import AGAIN, ORDER, SERVED, client_with_journal, pay, said
+from tests.stores import SMALL, Machine, opened
 
 HOUR_MS = 3_600_000
 STEPS = [-HOUR_MS, -1_000, 0, 1_000, HOUR_MS]
-SMALL = Options(segment_bytes=400, batch_records=4, ahead_bytes=100)
 # Written by commit 9af0195: twelve orders kept for 60 s from this moment on, and a record kept for ever.
 FIXTURE = Path(__file__).parent / "fixtures" / "store-9af0195"
 FIXTURE_WRITTEN_MS = 1_800_000_000_000
@@ -46,39 +46,6 @@
 ALBUM = KeptClass("album", True, WINDOW_MS * 1000)
 
 
-@dataclass
-class Machine:
-    """The clocks of one machine, moved by a test."""
-
-    monotonic_ms: int = 5_000_000
-    wall_ms: int = FIXTURE_WRITTEN_MS
-    boot: bytes = b"boot-1"
-
-    def passes(self, ms: int) -> None:
-        self.monotonic_ms += ms
-        self.wall_ms += ms
-
-    def steps(self, ms: int) -> None:
-        """The wall clock alone."""
-        self.wall_ms += ms
-
-    def reboots(self, down_ms: int) -> None:
-        self.wall_ms += down_ms
-        self.monotonic_ms, self.boot = 10_000, self.boot + b"+"
-
-    def clocks(self) -> StoreClocks:
-        return StoreClocks(lambda: self.monotonic_ms / 1000, lambda: self.wall_ms, lambda: self.boot)
-
-    @contextlib.asynccontextmanager
-    async def store(self, disk: Any, options: Options = SMALL) -> AsyncIterator[Store]:
-        clocks = self.clocks()
-        store = await Store.open(
-            disk, options, clock=clocks.monotonic, wall=clocks.wall_ms, boot=clocks.boot_identity
-        )
-        async with asyncio.timeout(60), store:
-            yield store
-
-
 def run(work: Any) -> None:
     asyncio.run(work)
 
@@ -90,8 +57,8 @@
 def test_a_record_lives_for_its_span_whatever_the_wall_clock_does(step_ms: int) -> None:
     async def main() -> None:
         machine = Machine()
-        async with machine.store(SimulatedDisk()) as store:
-            await store.put(b"order", b"answer", keep_ms=60_000)
+        async with opened(SimulatedDisk(), machine=machine) as store:
+            await store.put(b"order", b"answer", ttl_ms=60_000)
             machine.steps(step_ms)
             machine.passes(59_999)
             await store.compact()
@@ -109,15 +76,15 @@
 def test_a_record_lives_for_its_span_across_lives_of_one_boot(step_ms: int) -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
-        async with machine.store(disk) as store:
-            await store.put(b"order", b"answer", keep_ms=60_000)
+        async with opened(disk, machine=machine) as store:
+            await store.put(b"order", b"answer", ttl_ms=60_000)
         machine.steps(step_ms)
         machine.passes(30_000)
-        async with machine.store(disk) as store:
-            await store.put(b"second", b"answer", keep_ms=60_000)
+        async with opened(disk, machine=machine) as store:
+            await store.put(b"second", b"answer", ttl_ms=60_000)
             machine.passes(29_999)
             assert await store.get(b"order") == b"answer"
-        async with machine.store(disk) as store:
+        async with opened(disk, machine=machine) as store:
             machine.passes(1)
             assert await store.get(b"order") is None and await store.get(b"second") == b"answer"
             machine.passes(30_000)
@@ -130,12 +97,12 @@
 def test_a_record_never_goes_early_where_the_machine_was_started_anew(step_ms: int) -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
-        async with machine.store(disk) as store:
-            await store.put(b"order", b"answer", keep_ms=60_000)
+        async with opened(disk, machine=machine) as store:
+            await store.put(b"order", b"answer", ttl_ms=60_000)
             machine.passes(20_000)
         machine.steps(step_ms)
         machine.reboots(down_ms=10_000_000)
-        async with machine.store(disk) as store:
+        async with opened(disk, machine=machine) as store:
             assert await store.get(b"order") == b"answer"
             machine.passes(59_999)
             assert await store.get(b"order") == b"answer", "late by the time since the last note at most"
@@ -148,8 +115,8 @@
 def test_notes_follow_the_writes_so_that_a_new_start_finds_a_fresh_one() -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
-        async with machine.store(disk) as store:
-            await store.put(b"order", b"answer", keep_ms=10 * NOTE_INTERVAL_MS)
+        async with opened(disk, machine=machine) as store:
+            await store.put(b"order", b"answer", ttl_ms=10 * NOTE_INTERVAL_MS)
             first = store.index.clock_note
             await store.put(b"other", b"answer")
             assert store.index.clock_note == first, "one a minute"
@@ -159,7 +126,7 @@
             await store.compact()
             assert len(store) == 2
         machine.reboots(down_ms=0)
-        async with machine.store(disk) as store:
+        async with opened(disk, machine=machine) as store:
             assert store.index.clock_note != first
             machine.passes(9 * NOTE_INTERVAL_MS - 1)
             assert await store.get(b"order") == b"answer"
@@ -172,15 +139,15 @@
 def test_the_newest_note_outlives_compaction_and_the_older_ones_do_not() -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
-        async with machine.store(disk) as store:
+        async with opened(disk, machine=machine) as store:
             for number in range(20):
-                await store.put(b"key-%d" % number, b"value", keep_ms=40 * NOTE_INTERVAL_MS)
+                await store.put(b"key-%d" % number, b"value", ttl_ms=40 * NOTE_INTERVAL_MS)
                 machine.passes(NOTE_INTERVAL_MS)
             note, before = store.index.clock_note, store.size
             await store.compact()
             assert store.index.clock_note == note and store.size < before
         machine.steps(HOUR_MS)
-        async with machine.store(disk) as store:
+        async with opened(disk, machine=machine) as store:
             assert store.index.clock_note == note and len(store) == 20
             machine.passes(20 * NOTE_INTERVAL_MS - 1)
             assert await store.get(b"key-0") == b"value"
@@ -193,16 +160,16 @@
 def test_a_note_that_was_not_written_is_written_with_the_next_batch() -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
-        async with machine.store(disk) as store:
+        async with opened(disk, machine=machine) as store:
             disk.fail("sync", OSError(5, "Input/output error"))
             with pytest.raises(OSError, match="the disk fails"):
                 try:
-                    await store.put(b"order", b"answer", keep_ms=60_000)
+                    await store.put(b"order", b"answer", ttl_ms=60_000)
                 except Exception as error:
                     raise OSError(str(error)) from None
             assert store.index.clock_note == b""
             machine.passes(60_000)
-            await store.put(b"order", b"answer", keep_ms=60_000)
+            await store.put(b"order", b"answer", ttl_ms=60_000)
             assert ClockNote.decode(store.index.clock_note).monotonic_ms == machine.monotonic_ms
 
     run(main())
@@ -212,17 +179,19 @@
     assert boot_identity() == boot_identity()
     note = ClockNote(50, 60, 1_000, 70, b"")
     assert ClockNote.decode(note.encode()) == note
-    unknown = StoreClock(note, False, lambda: 2.0, lambda: 1_070, b"")
-    assert unknown.now_ms() == 50 and unknown.most_ms() == 60 + 1_000 + STEP_MOST_MS
-    same = StoreClock(replace(note, boot=b"b"), False, lambda: 2.0, lambda: 7, b"b")
+    unknown = StoreClock(note, False, StoreClocks(lambda: 2.0, lambda: 1_070, lambda: b""))
+    assert unknown.now_ms() == 50 and unknown.most_ms() == 60 + 1_000 + MAX_STEP_MS
+    same = StoreClock(replace(note, boot=b"b"), False, StoreClocks(lambda: 2.0, lambda: 7, lambda: b"b"))
     assert (same.now_ms(), same.most_ms(), same.opening_doubt_ms) == (1_050, 1_060, 0)
-    earlier = StoreClock(replace(note, boot=b"b"), False, lambda: 0.5, lambda: 1_070, b"b")
+    earlier = StoreClock(
+        replace(note, boot=b"b"), False, StoreClocks(lambda: 0.5, lambda: 1_070, lambda: b"b")
+    )
     assert earlier.now_ms() == 50, "a monotonic clock that stands before the note is another's"
     with pytest.raises(ValueError, match="no note"):
         ClockNote.decode(b"\0clock")
 
 
-# --- Orders ----------------------------------------------------------------------------------
+# --- The request journal -----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("step_ms", STEPS)
@@ -231,9 +200,9 @@
     tmp_path: Path, step_ms: int, restarts: bool
 ) -> None:
     async def main() -> None:
-        machine, disk, settings = Machine(), SimulatedDisk(), replace(ORDER, keep_ms=60_000)
+        machine, disk, settings = Machine(), SimulatedDisk(), replace(ORDER, retention_ms=60_000)
         async with Endpoint() as endpoint:
-            async with opened(tmp_path, endpoint, settings=settings) as client:
+            async with client_with_journal(tmp_path, endpoint, settings=settings) as client:
                 await use_store(client, machine, disk)
                 assert said(await client.send(pay())) == SERVED
                 machine.steps(step_ms)
@@ -243,7 +212,7 @@
                     machine.passes(1)
                     assert said(await client.send(pay())) == SERVED, "its window is over"
             if restarts:
-                async with opened(tmp_path, endpoint, settings=settings) as client:
+                async with client_with_journal(tmp_path, endpoint, settings=settings) as client:
                     await use_store(client, machine, disk)
                     assert said(await client.send(pay())) == AGAIN
                     machine.passes(1)
@@ -256,12 +225,9 @@
 async def use_store(client: Client, machine: Machine, disk: SimulatedDisk) -> None:
     """In the place of the one that the client opened."""
     recorder = client.engine.recorder
-    assert isinstance(recorder, OrderRecorder)
+    assert isinstance(recorder, RequestJournal)
     await recorder.store.close()
-    clocks = machine.clocks()
-    recorder.store = await Store.open(
-        disk, SMALL, clock=clocks.monotonic, wall=clocks.wall_ms, boot=clocks.boot_identity
-    )
+    recorder.store = await Store.open(disk, SMALL, clocks=machine.clocks())
 
 
 # --- Stores of the format before -------------------------------------------------------------
@@ -276,15 +242,15 @@
     async def main() -> None:
         machine = Machine()
         machine.passes(30_000)
-        async with machine.store(fixture(tmp_path)) as store:
+        async with opened(fixture(tmp_path), machine=machine) as store:
             assert len(store) == 12 and await store.get(b"forever") == b"kept"
-            record = await store.get(order_key("print-order", b"old-1"))
-            assert record is not None and answer_of(record, FIXTURE_DIGEST).body == b"printed\n"
-            record = await store.get(order_key("print-order", b"old-3"))
-            assert record is not None and answer_of(record, FIXTURE_DIGEST).status == 502
-            await store.put(b"new", b"value", keep_ms=60_000)
+            record = await store.get(store_key("print-order", b"old-1"))
+            assert record is not None and answer_from_record(record, FIXTURE_DIGEST).body == b"printed\n"
+            record = await store.get(store_key("print-order", b"old-3"))
+            assert record is not None and answer_from_record(record, FIXTURE_DIGEST).status == 502
+            await store.put(b"new", b"value", ttl_ms=60_000)
             await store.compact()
-        async with machine.store(FolderDisk(tmp_path / "store")) as store:
+        async with opened(FolderDisk(tmp_path / "store"), machine=machine) as store:
             assert len(store) == 13
             machine.passes(59_999)
             assert await store.get(b"new") == b"value"
@@ -297,12 +263,12 @@
 @pytest.mark.parametrize("step_ms", STEPS)
 def test_a_record_of_a_store_without_notes_is_kept_an_hour_longer(tmp_path: Path, step_ms: int) -> None:
     async def main() -> None:
-        machine, key = Machine(), order_key("print-order", b"old-1")
+        machine, key = Machine(), store_key("print-order", b"old-1")
         machine.steps(step_ms)
-        async with machine.store(fixture(tmp_path)) as store:
+        async with opened(fixture(tmp_path), machine=machine) as store:
             machine.passes(FIXTURE_KEEP_MS - 1)
             assert await store.get(key) is not None, "never early"
-            machine.passes(1 + STEP_MOST_MS - step_ms)
+            machine.passes(1 + MAX_STEP_MS - step_ms)
             assert await store.get(key) is None
 
     run(main())
@@ -426,7 +392,7 @@
             edge.machine.reboots(down_ms=passed_ms)
             async with edge.life(2) as (_, outbox):
                 # An hour is allowed for a step back before that: so much of the window is not used.
-                is_sent = passed_ms + step_ms + STEP_MOST_MS < WINDOW_MS
+                is_sent = passed_ms + step_ms + MAX_STEP_MS < WINDOW_MS
                 assert not is_sent or passed_ms < WINDOW_MS
                 assert edge.sends(outbox) == ([dot] if is_sent else [])
                 assert is_sent or outbox.receipt(dot).reason is Reason.MAY_HAVE_RUN
@@ -457,7 +423,7 @@
         async with edge.life(3) as (_, outbox):
             edge.machine.passes(outbox.bounds.receipt_us // 1000 - 30_001)
             assert outbox.forgettable(edge.now_us()) == []
-            edge.machine.passes(30_001 + STEP_MOST_MS)
+            edge.machine.passes(30_001 + MAX_STEP_MS)
             assert outbox.forgettable(edge.now_us()) == [dot]
 
     run(main())
