--- /dev/null
+++ b/tests/test_accord_encoding.py
@@ -0,0 +1,125 @@
+"""The encoded forms of the agreed record: what other processes and stores of earlier versions hold stays as it is.
+
+The bytes were recorded before the package and its types were renamed. A mixed tier runs while it is upgraded, and a
+store outlives its process: a change here breaks both.
+"""
+
+from __future__ import annotations
+
+import random
+
+import pytest
+
+from laurelstep.accord import kept
+from laurelstep.accord import messages as m
+from laurelstep.accord.leases import Leases
+from laurelstep.accord.log import CONFIG, DATA, Config, members_from, members_raw
+from laurelstep.accord.machines import Machines
+from laurelstep.accord.snapshots import Snapshot
+from laurelstep.accord.terms import Era
+from tests.once import once
+
+pytestmark = once
+
+NEWER, OLDER = Era(3, 0x0123456789ABCDEF), Era(2, 7)
+LARGE = 1 << 63
+MEMBERS = {2: LARGE, 0: 11}
+DATA_ENTRY = m.Entry(4, DATA, b"\0data")
+CONFIG_ENTRY = m.Entry(4, CONFIG, members_raw(MEMBERS))
+
+MESSAGES: list[tuple[m.Message, str]] = [
+    (m.Ask(LARGE), "019201cf8000000000000000"),
+    (
+        m.Here(1, 2, NEWER, OLDER, 5, 6, 7, 8, [(0, 11), (2, LARGE)], True),
+        "019b0201029203cf0123456789abcdef920207050607089292000b9202cf8000000000000000c3",
+    ),
+    (m.Found(NEWER, 9, [1, 2, 3]), "0194039203cf0123456789abcdef0993010203"),
+    (m.Accepted(NEWER, 9, 2, OLDER, 5, 6), "0197049203cf0123456789abcdef09029202070506"),
+    (m.Stand(NEWER, 1, 2, 3, 4, 5, True), "0198059203cf0123456789abcdef0102030405c3"),
+    (m.Vote(NEWER, 2, 1, 3, True, False), "0197069203cf0123456789abcdef020103c3c2"),
+    (
+        m.Append(NEWER, 1, 2, 3, 4, 5, 6, [DATA_ENTRY, CONFIG_ENTRY]),
+        "0199079203cf0123456789abcdef01020304050692930401c4050064617461"
+        "930402c40f9292000b9202cf8000000000000000",
+    ),
+    (m.Ack(NEWER, 2, 3, False, -1, 6), "0197089203cf0123456789abcdef0203c2ff06"),
+    (
+        m.Chunk(NEWER, 1, 2, 3, 4, 500, 0xDEADBEEF, 160, 6, b"part"),
+        "019b099203cf0123456789abcdef01020304cd01f4cedeadbeefcca006c40470617274",
+    ),
+    (
+        m.Chunked(NEWER, 2, 3, 4, 0xDEADBEEF, 160, 6),
+        "01980a9203cf0123456789abcdef020304cedeadbeefcca006",
+    ),
+    (m.Follow(NEWER, 2, 9), "01940b9203cf0123456789abcdef0209"),
+    (
+        m.Feed(NEWER, 1, -1, False, 9, [DATA_ENTRY]),
+        "01970c9203cf0123456789abcdef01ffc20991930401c4050064617461",
+    ),
+    (m.Read(2, 10), "01930d020a"),
+    (m.ReadAt(NEWER, 10, 11), "01940e9203cf0123456789abcdef0a0b"),
+    (m.Word(NEWER, 2, b"\1word"), "01940f9203cf0123456789abcdef02c40501776f7264"),
+]
+SNAPSHOT_BYTES = "9408039292000b9202cf8000000000000000c40464756d70"
+
+
+@pytest.mark.parametrize(("message", "encoded"), MESSAGES, ids=[type(one[0]).__name__ for one in MESSAGES])
+def test_a_message_is_encoded_as_by_earlier_versions(message: m.Message, encoded: str) -> None:
+    raw = bytes.fromhex(encoded)
+    assert m.encode(message) == raw
+    assert m.decode(raw) == message
+
+
+def test_there_is_a_recorded_form_of_each_message() -> None:
+    assert {type(message) for message, _ in MESSAGES} == set(m.Message.__args__)
+
+
+def test_the_stored_records_are_encoded_as_by_earlier_versions() -> None:
+    snapshot = Snapshot.of(OLDER, 9, 4, Config(8, 3, MEMBERS), b"dump")
+    assert (snapshot.raw.hex(), snapshot.crc) == (SNAPSHOT_BYTES, 0x547E4444)
+    me = kept.Me(1, 3, 3, LARGE)
+    voted = kept.Promise(NEWER, True, 4, (2, LARGE))
+    frozen = kept.Promise(NEWER, False, 0, None)
+    base = kept.Base(OLDER, 5, 3, 8, 3, [(0, 11), (2, LARGE)], 9, 4, snapshot.raw)
+    expected = [
+        (me, kept.ME, b"me", "94010303cf8000000000000000"),
+        (voted, kept.VOTE, b"vote", "949203cf0123456789abcdefc3049202cf8000000000000000"),
+        (frozen, kept.VOTE, b"vote", "949203cf0123456789abcdefc200c0"),
+        (
+            base,
+            kept.BASE,
+            b"base",
+            f"99920207050308039292000b9202cf80000000000000000904c418{SNAPSHOT_BYTES}",
+        ),
+        (DATA_ENTRY, kept.entry_key(258), bytes.fromhex("650000000000000102"), "930401c4050064617461"),
+    ]
+    for record, key, recorded_key, encoded in expected:
+        raw = bytes.fromhex(encoded)
+        assert key == recorded_key
+        assert kept.raw(record) == raw
+        assert kept.read({key: raw}, key, type(record)) == record
+
+
+def test_a_config_entry_is_encoded_as_by_earlier_versions() -> None:
+    raw = bytes.fromhex("9292000b9202cf8000000000000000")
+    assert members_raw(MEMBERS) == raw
+    assert members_from(raw) == MEMBERS
+
+
+def test_leases_and_the_machines_that_hold_them_are_encoded_as_by_earlier_versions() -> None:
+    holder = Leases(1, 0.01, 1_000_000, random.Random(1))
+    leader = Leases(0, 0.01, 1_000_000, random.Random(2))
+    leader.observe(0, NEWER)
+    asked = holder.ask(0, 7, "name", 500_000)
+    grant = bytes.fromhex("9701a46e616d65000107cf91b7584a2265b1f5ce0007a120")
+    assert asked == grant
+    assert leader.entry(2_000_000, NEWER, 1, 7, asked) == grant
+    for leases in (holder, leader):
+        leases.apply(12, grant)
+    renewal = leader.entry(2_000_001, NEWER, 1, 7, asked)
+    assert renewal == bytes.fromhex("9701a46e616d650c0107cf91b7584a2265b1f5ce0007a120")
+    dump = "81a46e616d65920c9701a46e616d65000107cf91b7584a2265b1f5ce0007a120"
+    assert holder.dump().hex() == dump
+    machines = Machines({7: holder, 1: leader})
+    assert machines.dump().hex() == f"8201c420{dump}07c420{dump}"
+    assert holder.give_back("name") == bytes.fromhex("9302a46e616d650c")
