--- a/benchmarks/accord_child.py
+++ b/benchmarks/accord_child.py
@@ -15,9 +15,9 @@
 
 import uvloop
 
-from laurelstep.accord.errors import AccordError
-from laurelstep.accord.node import Node, node_of
-from laurelstep.accord.options import AccordSettings
+from laurelstep.consensus.errors import AccordError
+from laurelstep.consensus.node import Node, node_of
+from laurelstep.consensus.options import AccordSettings
 from laurelstep.engine.clock import LoopClock
 
 LOOK_S = 0.002
--- a/laurelstep/accord/core.py
+++ b/laurelstep/consensus/core.py
@@ -30,18 +30,18 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from laurelstep.accord import messages as m
-from laurelstep.accord.errors import EntryError
-from laurelstep.accord.following import Following
-from laurelstep.accord.founding import Founding
-from laurelstep.accord.leading import Leading
-from laurelstep.accord.learning import Learner, Serving
-from laurelstep.accord.membership import Membership
-from laurelstep.accord.ports import Machine
-from laurelstep.accord.reading import Reading
-from laurelstep.accord.state import FAR, FROZEN, LEADER, State
-from laurelstep.accord.terms import NOWHERE, WORD_MOST, Effects, Era, Timing
-from laurelstep.accord.voting import Voting
+from laurelstep.consensus import messages as m
+from laurelstep.consensus.errors import EntryError
+from laurelstep.consensus.following import Following
+from laurelstep.consensus.founding import Founding
+from laurelstep.consensus.leading import Leading
+from laurelstep.consensus.learning import Learner, Serving
+from laurelstep.consensus.membership import Membership
+from laurelstep.consensus.ports import Machine
+from laurelstep.consensus.reading import Reading
+from laurelstep.consensus.state import FAR, FROZEN, LEADER, State
+from laurelstep.consensus.terms import NOWHERE, WORD_MOST, Effects, Era, Timing
+from laurelstep.consensus.voting import Voting
 
 __all__ = ["FAR", "Core", "Effects", "Timing"]
 
--- a/laurelstep/accord/following.py
+++ b/laurelstep/consensus/following.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from laurelstep.accord.messages import Ack, Append, Chunk, Chunked
-from laurelstep.accord.snapshots import Assembly
-from laurelstep.accord.state import State
+from laurelstep.consensus.messages import Ack, Append, Chunk, Chunked
+from laurelstep.consensus.snapshots import Assembly
+from laurelstep.consensus.state import State
 
 __all__ = ["Following"]
 
--- a/laurelstep/accord/founding.py
+++ b/laurelstep/consensus/founding.py
@@ -28,10 +28,10 @@
 
 from collections.abc import Callable, Collection
 
-from laurelstep.accord.messages import Accepted, Ask, Found, Here
-from laurelstep.accord.state import FAR, LEADER, State
-from laurelstep.accord.terms import NOWHERE, Era
-from laurelstep.accord.voting import majority
+from laurelstep.consensus.messages import Accepted, Ask, Found, Here
+from laurelstep.consensus.state import FAR, LEADER, State
+from laurelstep.consensus.terms import NOWHERE, Era
+from laurelstep.consensus.voting import majority
 
 __all__ = ["Founding"]
 
--- a/laurelstep/accord/kept.py
+++ b/laurelstep/consensus/kept.py
@@ -14,10 +14,10 @@
 
 import msgspec
 
-from laurelstep.accord.errors import KeptError
-from laurelstep.accord.log import Config, Entry, Log
-from laurelstep.accord.snapshots import Snapshot
-from laurelstep.accord.terms import Era
+from laurelstep.consensus.errors import KeptError
+from laurelstep.consensus.log import Config, Entry, Log
+from laurelstep.consensus.snapshots import Snapshot
+from laurelstep.consensus.terms import Era
 
 __all__ = ["BASE", "ME", "VOTE", "Base", "Me", "Promise", "entry_key", "log_from", "raw", "read"]
 
--- a/laurelstep/accord/leading.py
+++ b/laurelstep/consensus/leading.py
@@ -16,13 +16,13 @@
 
 import dataclasses
 
-from laurelstep.accord.errors import BusyError, EntryError, NotLeadingError
-from laurelstep.accord.log import CONFIG, DATA, NOTHING, members_raw
-from laurelstep.accord.messages import Ack, Append, Chunked, short
-from laurelstep.accord.snapshots import Snapshot
-from laurelstep.accord.state import FAR, LEADER, State
-from laurelstep.accord.terms import ENTRY_MOST, PENDING_MOST
-from laurelstep.accord.voting import majority
+from laurelstep.consensus.errors import BusyError, EntryError, NotLeadingError
+from laurelstep.consensus.log import CONFIG, DATA, NOTHING, members_raw
+from laurelstep.consensus.messages import Ack, Append, Chunked, short
+from laurelstep.consensus.snapshots import Snapshot
+from laurelstep.consensus.state import FAR, LEADER, State
+from laurelstep.consensus.terms import ENTRY_MOST, PENDING_MOST
+from laurelstep.consensus.voting import majority
 
 __all__ = ["Leading", "Progress"]
 
--- a/laurelstep/accord/learning.py
+++ b/laurelstep/consensus/learning.py
@@ -19,11 +19,11 @@
 
 import msgspec
 
-from laurelstep.accord.log import DATA
-from laurelstep.accord.messages import Chunk, Chunked, Feed, Follow, short
-from laurelstep.accord.snapshots import Assembly, Snapshot
-from laurelstep.accord.state import FAR, State
-from laurelstep.accord.terms import Era
+from laurelstep.consensus.log import DATA
+from laurelstep.consensus.messages import Chunk, Chunked, Feed, Follow, short
+from laurelstep.consensus.snapshots import Assembly, Snapshot
+from laurelstep.consensus.state import FAR, State
+from laurelstep.consensus.terms import Era
 
 __all__ = ["Learner", "Serving"]
 
--- a/laurelstep/accord/leases.py
+++ b/laurelstep/consensus/leases.py
@@ -27,8 +27,8 @@
 
 import msgspec
 
-from laurelstep.accord.errors import EntryError
-from laurelstep.accord.terms import Era
+from laurelstep.consensus.errors import EntryError
+from laurelstep.consensus.terms import Era
 
 __all__ = ["NAMES_MOST", "NAME_MOST", "Leases"]
 
--- a/laurelstep/accord/links/memory.py
+++ b/laurelstep/consensus/links/memory.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Sequence
 from typing import Final
 
-from laurelstep.accord.errors import LinkError
-from laurelstep.accord.ports import DATAGRAM_MOST
+from laurelstep.consensus.errors import LinkError
+from laurelstep.consensus.ports import DATAGRAM_MOST
 from laurelstep.engine.ports import Clock
 
 # From, to, datagram: after how many µs each copy of it arrives. None at all: it is lost.
--- a/laurelstep/accord/links/sockets.py
+++ b/laurelstep/consensus/links/sockets.py
@@ -18,8 +18,8 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Final
 
-from laurelstep.accord.errors import LinkError
-from laurelstep.accord.ports import DATAGRAM_MOST
+from laurelstep.consensus.errors import LinkError
+from laurelstep.consensus.ports import DATAGRAM_MOST
 
 # Datagrams taken before the loop gets its turn: about a millisecond's work.
 TURN_MOST: Final = 64
--- a/laurelstep/accord/links/udp.py
+++ b/laurelstep/consensus/links/udp.py
@@ -7,7 +7,7 @@
 import socket
 from collections.abc import Sequence
 
-from laurelstep.accord.links.sockets import SocketLink
+from laurelstep.consensus.links.sockets import SocketLink
 
 Address = tuple[str, int]
 
--- a/laurelstep/accord/links/unix.py
+++ b/laurelstep/consensus/links/unix.py
@@ -14,7 +14,7 @@
 import socket
 from collections.abc import Sequence
 
-from laurelstep.accord.links.sockets import SocketLink
+from laurelstep.consensus.links.sockets import SocketLink
 
 
 class UnixLink(SocketLink):
--- a/laurelstep/accord/log.py
+++ b/laurelstep/consensus/log.py
@@ -18,8 +18,8 @@
 
 import msgspec
 
-from laurelstep.accord.messages import ENTRIES_MOST, Entry, Seat, cost
-from laurelstep.accord.terms import NOWHERE, Era
+from laurelstep.consensus.messages import ENTRIES_MOST, Entry, Seat, cost
+from laurelstep.consensus.terms import NOWHERE, Era
 
 __all__ = ["CONFIG", "DATA", "NOTHING", "Config", "Entry", "Log", "members_from", "members_raw"]
 
--- a/laurelstep/accord/machines.py
+++ b/laurelstep/consensus/machines.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from laurelstep.accord.ports import Machine
+from laurelstep.consensus.ports import Machine
 
 __all__ = ["Machines"]
 
--- a/laurelstep/accord/membership.py
+++ b/laurelstep/consensus/membership.py
@@ -19,9 +19,9 @@
 
 import dataclasses
 
-from laurelstep.accord.leading import Leading
-from laurelstep.accord.messages import Ask, Here
-from laurelstep.accord.state import State
+from laurelstep.consensus.leading import Leading
+from laurelstep.consensus.messages import Ask, Here
+from laurelstep.consensus.state import State
 
 __all__ = ["Membership"]
 
--- a/laurelstep/accord/messages.py
+++ b/laurelstep/consensus/messages.py
@@ -16,8 +16,8 @@
 
 import msgspec
 
-from laurelstep.accord.ports import DATAGRAM_MOST
-from laurelstep.accord.terms import ENTRY_MOST, WORD_MOST, Era
+from laurelstep.consensus.ports import DATAGRAM_MOST
+from laurelstep.consensus.terms import ENTRY_MOST, WORD_MOST, Era
 
 __all__ = [
     "CHUNK_MOST",
--- a/laurelstep/accord/node.py
+++ b/laurelstep/consensus/node.py
@@ -26,11 +26,11 @@
 from enum import StrEnum
 from typing import Any, Final
 
-from laurelstep.accord.core import Core
-from laurelstep.accord.errors import AccordError, BusyError, EntryError, KeptError, NotLeadingError
-from laurelstep.accord.options import AccordSettings, udp_address
-from laurelstep.accord.ports import Link, Machine, Store
-from laurelstep.accord.terms import ENTRY_MOST, NOWHERE, WORD_MOST, Effects, Era, Timing
+from laurelstep.consensus.core import Core
+from laurelstep.consensus.errors import AccordError, BusyError, EntryError, KeptError, NotLeadingError
+from laurelstep.consensus.options import AccordSettings, udp_address
+from laurelstep.consensus.ports import Link, Machine, Store
+from laurelstep.consensus.terms import ENTRY_MOST, NOWHERE, WORD_MOST, Effects, Era, Timing
 from laurelstep.engine.ports import Clock, Handle, Log
 
 # Steps that wait while one is being made durable.
@@ -483,10 +483,10 @@
 
 def _linking(settings: AccordSettings, loop: asyncio.AbstractEventLoop) -> Callable[[], Link]:
     if settings.link == "unix":
-        from laurelstep.accord.links.unix import UnixLink
+        from laurelstep.consensus.links.unix import UnixLink
 
         return lambda: UnixLink(loop, settings.peers, settings.me)
-    from laurelstep.accord.links.udp import UdpLink
+    from laurelstep.consensus.links.udp import UdpLink
 
     listen = udp_address(settings.listen)
     peers = [found for one in settings.peers if (found := udp_address(one)) is not None]
@@ -496,13 +496,13 @@
 
 def _storing(settings: AccordSettings, log: Log) -> Callable[[], Awaitable[Store]]:
     if not settings.store_path:
-        from laurelstep.accord.stores.none import NoStore
+        from laurelstep.consensus.stores.none import NoStore
 
         async def without() -> Store:
             return NoStore()
 
         return without
-    from laurelstep.accord.stores.embedded import EmbeddedStore
+    from laurelstep.consensus.stores.embedded import EmbeddedStore
 
     async def with_folder() -> Store:
         return await EmbeddedStore.open(settings.store_path, log)
--- a/laurelstep/accord/parts.py
+++ b/laurelstep/consensus/parts.py
@@ -1,7 +1,7 @@
 """Several parts of one process on one node: each gets its own words, and all hear of changes. Pure.
 
-1. A word's first byte names its part, as an entry's does its machine (`laurelstep.accord.machines`). A word
-   for no part here is counted and does nothing.
+1. A word's first byte names its part, as an entry's does its machine (`laurelstep.consensus.machines`). A
+   word for no part here is counted and does nothing.
 2. A change is told to each part, in the order in which they came.
 """
 
@@ -40,7 +40,7 @@
 
 
 class Accord(Agreement, Protocol):
-    """The same with who is who: a node (`laurelstep.accord.node`), or a part of one."""
+    """The same with who is who: a node (`laurelstep.consensus.node`), or a part of one."""
 
     @property
     def me(self) -> int: ...
--- a/laurelstep/accord/reading.py
+++ b/laurelstep/consensus/reading.py
@@ -10,10 +10,10 @@
 
 from __future__ import annotations
 
-from laurelstep.accord.leading import Leading
-from laurelstep.accord.messages import Read, ReadAt
-from laurelstep.accord.state import FAR, State
-from laurelstep.accord.terms import Era
+from laurelstep.consensus.leading import Leading
+from laurelstep.consensus.messages import Read, ReadAt
+from laurelstep.consensus.state import FAR, State
+from laurelstep.consensus.terms import Era
 
 __all__ = ["Reading"]
 
--- a/laurelstep/accord/snapshots.py
+++ b/laurelstep/consensus/snapshots.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from laurelstep.accord.log import Config
-from laurelstep.accord.messages import CHUNK_MOST, Chunk, Seat
-from laurelstep.accord.terms import Era
+from laurelstep.consensus.log import Config
+from laurelstep.consensus.messages import CHUNK_MOST, Chunk, Seat
+from laurelstep.consensus.terms import Era
 
 __all__ = ["SNAPSHOT_MOST", "Assembly", "Snapshot"]
 
--- a/laurelstep/accord/state.py
+++ b/laurelstep/consensus/state.py
@@ -17,13 +17,13 @@
 from collections.abc import Callable, Mapping
 from typing import Final
 
-from laurelstep.accord import kept
-from laurelstep.accord.errors import KeptError
-from laurelstep.accord.log import DATA, Config, Entry, Log
-from laurelstep.accord.messages import Message, encode
-from laurelstep.accord.ports import Machine
-from laurelstep.accord.snapshots import Snapshot
-from laurelstep.accord.terms import NOWHERE, Effects, Era, Timing
+from laurelstep.consensus import kept
+from laurelstep.consensus.errors import KeptError
+from laurelstep.consensus.log import DATA, Config, Entry, Log
+from laurelstep.consensus.messages import Message, encode
+from laurelstep.consensus.ports import Machine
+from laurelstep.consensus.snapshots import Snapshot
+from laurelstep.consensus.terms import NOWHERE, Effects, Era, Timing
 
 __all__ = ["CANDIDATE", "FAR", "FOLLOWER", "FROZEN", "LEADER", "LEARNER", "State"]
 
--- a/laurelstep/accord/voting.py
+++ b/laurelstep/consensus/voting.py
@@ -17,8 +17,8 @@
 
 from collections.abc import Callable, Collection, Mapping
 
-from laurelstep.accord.messages import Stand, Vote, short
-from laurelstep.accord.state import CANDIDATE, FAR, FOLLOWER, LEADER, State
+from laurelstep.consensus.messages import Stand, Vote, short
+from laurelstep.consensus.state import CANDIDATE, FAR, FOLLOWER, LEADER, State
 
 __all__ = ["Voting", "majority"]
 
--- a/laurelstep/daemon.py
+++ b/laurelstep/daemon.py
@@ -24,9 +24,9 @@
 from laurelstep.settings import Config, ConfigError
 
 if TYPE_CHECKING:
-    from laurelstep.accord.node import Node
-    from laurelstep.accord.parts import Parts
-    from laurelstep.accord.ports import Machine
+    from laurelstep.consensus.node import Node
+    from laurelstep.consensus.parts import Parts
+    from laurelstep.consensus.ports import Machine
     from laurelstep.engine.ports import Recorder
     from laurelstep.handover.giver import Giver
     from laurelstep.handover.place import Place
@@ -185,9 +185,9 @@
             log("accord: off, and what rests on it: the configuration has no peers and peer_listen")
             return None
         # Imported where it is on.
-        from laurelstep.accord.machines import Machines
-        from laurelstep.accord.node import check_folder, node_of
-        from laurelstep.accord.parts import Parts
+        from laurelstep.consensus.machines import Machines
+        from laurelstep.consensus.node import check_folder, node_of
+        from laurelstep.consensus.parts import Parts
         from laurelstep.engine.clock import LoopClock
         from laurelstep.outbox.shared.entries import KIND as KEPT_WRITES
         from laurelstep.upkeep.assembly import carried
--- a/laurelstep/outbox/shared/assembly.py
+++ b/laurelstep/outbox/shared/assembly.py
@@ -5,8 +5,8 @@
 import asyncio
 from typing import Any, Final
 
-from laurelstep.accord.parts import Part
-from laurelstep.accord.ports import Machine
+from laurelstep.consensus.parts import Part
+from laurelstep.consensus.ports import Machine
 from laurelstep.engine.clock import LoopClock
 from laurelstep.engine.ports import Log, Recorder
 from laurelstep.interface import SAFE, UNSAFE
--- a/laurelstep/outbox/shared/carried.py
+++ b/laurelstep/outbox/shared/carried.py
@@ -7,8 +7,8 @@
 
 from typing import Final
 
-from laurelstep.accord.parts import Part
-from laurelstep.accord.ports import Machine
+from laurelstep.consensus.parts import Part
+from laurelstep.consensus.ports import Machine
 from laurelstep.engine.ports import Clock
 from laurelstep.outbox.shared.entries import KIND
 from laurelstep.outbox.shared.record import Record
--- a/laurelstep/outbox/shared/entries.py
+++ b/laurelstep/outbox/shared/entries.py
@@ -1,7 +1,7 @@
 """What copies agree on of kept writes: the record's entries. Pure.
 
 1. All begin with the byte `KIND`, as one record and one link carry other things too (of an entry it is taken
-   off before the record has it: `laurelstep.accord.machines`); then a tagged array in msgpack.
+   off before the record has it: `laurelstep.consensus.machines`); then a tagged array in msgpack.
 2. An entry is also told as a word, to whoever leads. One that comes twice, late or before another says the
    same: what depends on what was before names it (`Begin.ask`, `Hold.turn`, `Said.ask`).
 3. Fields are only ever added at the end. What can't be, or is of a later version, is no entry.
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from laurelstep.accord.errors import EntryError
-from laurelstep.accord.terms import ENTRY_MOST, WORD_MOST
+from laurelstep.consensus.errors import EntryError
+from laurelstep.consensus.terms import ENTRY_MOST, WORD_MOST
 from laurelstep.outbox.causes import Fate
 from laurelstep.outbox.dots import Dot, Line, check_edge
 
--- a/laurelstep/outbox/shared/gate.py
+++ b/laurelstep/outbox/shared/gate.py
@@ -27,7 +27,7 @@
 from dataclasses import dataclass
 from typing import Any, Final
 
-from laurelstep.accord.errors import EntryError
+from laurelstep.consensus.errors import EntryError
 from laurelstep.engine.call import Answer, Attempt, Call, Ending
 from laurelstep.engine.ports import Clock, Log, Recorded, Recorder
 from laurelstep.outbox.causes import Cause, Fate
--- a/laurelstep/outbox/shared/record.py
+++ b/laurelstep/outbox/shared/record.py
@@ -29,7 +29,7 @@
 
 import msgspec
 
-from laurelstep.accord.errors import KeptError
+from laurelstep.consensus.errors import KeptError
 from laurelstep.outbox.causes import Cause, Fate
 from laurelstep.outbox.dots import Dot, Line, check_edge
 from laurelstep.outbox.shared.entries import (
--- a/laurelstep/outbox/shared/sharer.py
+++ b/laurelstep/outbox/shared/sharer.py
@@ -14,8 +14,8 @@
 from collections.abc import Callable
 from typing import Final
 
-from laurelstep.accord.errors import BusyError, NotLeadingError
-from laurelstep.accord.parts import Agreement
+from laurelstep.consensus.errors import BusyError, NotLeadingError
+from laurelstep.consensus.parts import Agreement
 from laurelstep.engine.ports import Clock, Handle
 from laurelstep.outbox.shared.entries import KIND, Entry, pack, unpack_word
 from laurelstep.outbox.shared.record import Record
--- a/laurelstep/settings/config.py
+++ b/laurelstep/settings/config.py
@@ -15,7 +15,7 @@
 from laurelstep.wire import EFFECTS, SCOPES, WireError, read_settings
 
 if TYPE_CHECKING:  # imported where they are on
-    from laurelstep.accord.options import AccordSettings
+    from laurelstep.consensus.options import AccordSettings
     from laurelstep.outbox.options import OutboxSettings
     from laurelstep.upkeep.options import UpkeepSettings
 
--- a/laurelstep/settings/operator.py
+++ b/laurelstep/settings/operator.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from laurelstep.accord.options import AccordSettings, LinkKind, problem_of, seats_for
+from laurelstep.consensus.options import AccordSettings, LinkKind, problem_of, seats_for
 from laurelstep.orders.book import OrderClass, Orders
 from laurelstep.outbox.options import (
     How,
--- a/laurelstep/testing/contracts/__init__.py
+++ b/laurelstep/testing/contracts/__init__.py
@@ -17,10 +17,10 @@
 | --- | --- | --- |
 | `ClockContract` | `clock` | `laurelstep.engine.ports.Clock` |
 | `DiskContract` | `disk` | `laurelstep.store.disk.Disk` |
-| `LinkContract`, `ReachableLinkContract` | `link` | `laurelstep.accord.ports.Link` |
+| `LinkContract`, `ReachableLinkContract` | `link` | `laurelstep.consensus.ports.Link` |
 | `MemberSourceContract`, `AskedSourceContract` | `members` | `laurelstep.engine.ports.MemberSource` |
 | `RecorderContract` | `recorder` | `laurelstep.engine.ports.Recorder` |
-| `StoreContract`, `LastingStoreContract` | `store` | `laurelstep.accord.ports.Store` |
+| `StoreContract`, `LastingStoreContract` | `store` | `laurelstep.consensus.ports.Store` |
 | `UpstreamContract` | `upstream` | `laurelstep.engine.ports.Upstream` |
 
 Rules that all of them follow:
--- a/laurelstep/testing/contracts/link.py
+++ b/laurelstep/testing/contracts/link.py
@@ -8,8 +8,8 @@
 from contextlib import AbstractAsyncContextManager
 from typing import Protocol
 
-from laurelstep.accord.errors import LinkError
-from laurelstep.accord.ports import DATAGRAM_MOST, Link
+from laurelstep.consensus.errors import LinkError
+from laurelstep.consensus.ports import DATAGRAM_MOST, Link
 from laurelstep.testing.contracts.base import Contract, raises, turns
 
 # Datagrams in one go: more than a socket takes without being read.
--- a/laurelstep/testing/contracts/store.py
+++ b/laurelstep/testing/contracts/store.py
@@ -7,7 +7,7 @@
 from contextlib import AbstractAsyncContextManager
 from typing import Protocol
 
-from laurelstep.accord.ports import Store
+from laurelstep.consensus.ports import Store
 from laurelstep.store.disk import StoreError
 from laurelstep.testing.contracts.base import Contract, raises, turns
 
--- a/laurelstep/testing/schedules/checker.py
+++ b/laurelstep/testing/schedules/checker.py
@@ -20,10 +20,10 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from laurelstep.accord import messages as m
-from laurelstep.accord.log import DATA
-from laurelstep.accord.ports import DATAGRAM_MOST
-from laurelstep.accord.terms import NOWHERE, PENDING_MOST, Era
+from laurelstep.consensus import messages as m
+from laurelstep.consensus.log import DATA
+from laurelstep.consensus.ports import DATAGRAM_MOST
+from laurelstep.consensus.terms import NOWHERE, PENDING_MOST, Era
 from laurelstep.errors import LaurelstepError
 from laurelstep.testing.schedules.process import TAPE, Made, Process, next_digest
 
--- a/laurelstep/testing/schedules/process.py
+++ b/laurelstep/testing/schedules/process.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from laurelstep.accord.core import Core, Timing
-from laurelstep.accord.leases import Leases
-from laurelstep.accord.machines import Machines
+from laurelstep.consensus.core import Core, Timing
+from laurelstep.consensus.leases import Leases
+from laurelstep.consensus.machines import Machines
 
 __all__ = ["LEASES", "MILLION", "TAPE", "Made", "Process", "Tape", "next_digest"]
 
--- a/laurelstep/testing/schedules/script.py
+++ b/laurelstep/testing/schedules/script.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Mapping
 from typing import Final
 
-from laurelstep.accord.core import Timing
+from laurelstep.consensus.core import Timing
 from laurelstep.testing.schedules.process import Made
 from laurelstep.testing.schedules.world import Network, World
 
--- a/laurelstep/testing/schedules/world.py
+++ b/laurelstep/testing/schedules/world.py
@@ -17,8 +17,8 @@
 import random
 from collections.abc import Callable, Iterable, Mapping
 
-from laurelstep.accord.core import FAR, Core, Effects
-from laurelstep.accord.errors import BusyError, NotLeadingError
+from laurelstep.consensus.core import FAR, Core, Effects
+from laurelstep.consensus.errors import BusyError, NotLeadingError
 from laurelstep.testing.schedules.checker import Checker
 from laurelstep.testing.schedules.process import LEASES, TAPE, Made, Process
 
--- a/laurelstep/upkeep/assembly.py
+++ b/laurelstep/upkeep/assembly.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Final
 
-from laurelstep.accord.parts import Accord
-from laurelstep.accord.ports import Machine
+from laurelstep.consensus.parts import Accord
+from laurelstep.consensus.ports import Machine
 from laurelstep.engine import Engine
 from laurelstep.engine.ports import Clock, Log, MemberSource
 from laurelstep.management.calls import Reply
--- a/laurelstep/upkeep/entries.py
+++ b/laurelstep/upkeep/entries.py
@@ -1,7 +1,7 @@
 """What travels of upkeep: entries of the record, and words to whoever leads. Pure.
 
 All begin with the byte `KIND`, as one record and one link carry other things too (of an entry it
-is taken off before the roll has it: `laurelstep.accord.machines`); then a tagged array in msgpack.
+is taken off before the roll has it: `laurelstep.consensus.machines`); then a tagged array in msgpack.
 Fields are only ever added at the end: an older version passes over what it does not know, and
 reads what it does."""
 
--- a/laurelstep/upkeep/keeper.py
+++ b/laurelstep/upkeep/keeper.py
@@ -15,8 +15,8 @@
 from collections.abc import Callable
 from typing import Final
 
-from laurelstep.accord.errors import BusyError, NotLeadingError
-from laurelstep.accord.parts import Accord
+from laurelstep.consensus.errors import BusyError, NotLeadingError
+from laurelstep.consensus.parts import Accord
 from laurelstep.engine.ports import Clock, Handle, Log
 from laurelstep.upkeep.entries import Ask, Confirm, Entry, Here, Step, Word, pack, unpack_word
 from laurelstep.upkeep.options import UpkeepSettings
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -137,7 +137,7 @@
 
 
 def test_some_files_are_played_once() -> None:
-    assert {"test_accord_schedules.py", "test_outbox_schedules.py"} <= {path.name for path in ONCE}
+    assert {"test_consensus_schedules.py", "test_outbox_schedules.py"} <= {path.name for path in ONCE}
 
 
 @pytest.mark.parametrize("path", ONCE, ids=lambda path: str(path.name))
@@ -154,7 +154,7 @@
         ("from laurelstep.upkeep import roll", {"laurelstep.engine.members"}),  # by what that imports
         ("def late():\n    from laurelstep.engine.members import PHASES", {"laurelstep.engine.members"}),
         ("from tests import fakes", {"laurelstep.engine.call", "laurelstep.interface"}),
-        ("from laurelstep.accord import core", set()),
+        ("from laurelstep.consensus import core", set()),
     ],
 )
 def test_what_is_compiled_is_seen_wherever_it_is_imported(
--- a/tests/test_accord.py
+++ b/tests/test_consensus.py
@@ -10,16 +10,16 @@
 import pytest
 from hypothesis import given, settings
 
-from laurelstep.accord import kept as keeping
-from laurelstep.accord import messages as m
-from laurelstep.accord.core import FAR, Core, Timing
-from laurelstep.accord.errors import BusyError, EntryError, KeptError, NotLeadingError
-from laurelstep.accord.leases import Leases
-from laurelstep.accord.log import CONFIG, DATA, Log, members_raw
-from laurelstep.accord.machines import Machines
-from laurelstep.accord.ports import DATAGRAM_MOST
-from laurelstep.accord.snapshots import Assembly, Snapshot
-from laurelstep.accord.terms import ENTRY_MOST, NOWHERE, PENDING_MOST, WORD_MOST, Era
+from laurelstep.consensus import kept as keeping
+from laurelstep.consensus import messages as m
+from laurelstep.consensus.core import FAR, Core, Timing
+from laurelstep.consensus.errors import BusyError, EntryError, KeptError, NotLeadingError
+from laurelstep.consensus.leases import Leases
+from laurelstep.consensus.log import CONFIG, DATA, Log, members_raw
+from laurelstep.consensus.machines import Machines
+from laurelstep.consensus.ports import DATAGRAM_MOST
+from laurelstep.consensus.snapshots import Assembly, Snapshot
+from laurelstep.consensus.terms import ENTRY_MOST, NOWHERE, PENDING_MOST, WORD_MOST, Era
 from laurelstep.testing.schedules import BrokenError, Made, Process, Tape, World
 from laurelstep.testing.schedules.script import QUICK, founded, settle
 from tests.once import once
--- a/tests/test_accord_encoding.py
+++ b/tests/test_consensus_encoding.py
@@ -1,7 +1,7 @@
-"""The encoded forms of the agreed record: what other processes and stores of earlier versions hold stays as it is.
+"""The encoded forms of the agreed record stay as other processes and stores of earlier versions have them.
 
-The bytes were recorded before the package and its types were renamed. A mixed tier runs while it is upgraded, and a
-store outlives its process: a change here breaks both.
+The bytes were recorded before the package and its types were renamed. A mixed tier runs during an upgrade,
+and a store outlives its process: a change here breaks both.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 
 import pytest
 
-from laurelstep.accord import kept
-from laurelstep.accord import messages as m
-from laurelstep.accord.leases import Leases
-from laurelstep.accord.log import CONFIG, DATA, Config, members_from, members_raw
-from laurelstep.accord.machines import Machines
-from laurelstep.accord.snapshots import Snapshot
-from laurelstep.accord.terms import Era
+from laurelstep.consensus import kept
+from laurelstep.consensus import messages as m
+from laurelstep.consensus.leases import Leases
+from laurelstep.consensus.log import CONFIG, DATA, Config, members_from, members_raw
+from laurelstep.consensus.machines import Machines
+from laurelstep.consensus.snapshots import Snapshot
+from laurelstep.consensus.terms import Era
 from tests.once import once
 
 pytestmark = once
--- a/tests/test_accord_schedules.py
+++ b/tests/test_consensus_schedules.py
@@ -7,19 +7,19 @@
 
 import pytest
 
-from laurelstep.accord import core as real
-from laurelstep.accord.following import Following
-from laurelstep.accord.founding import Founding
-from laurelstep.accord.leading import Leading
-from laurelstep.accord.leases import Leases, _Grant
-from laurelstep.accord.log import Config, Log
-from laurelstep.accord.membership import Membership
-from laurelstep.accord.messages import Append, Here, Stand
-from laurelstep.accord.reading import Reading
-from laurelstep.accord.snapshots import Snapshot
-from laurelstep.accord.state import State
-from laurelstep.accord.terms import NOWHERE, Era
-from laurelstep.accord.voting import Voting
+from laurelstep.consensus import core as real
+from laurelstep.consensus.following import Following
+from laurelstep.consensus.founding import Founding
+from laurelstep.consensus.leading import Leading
+from laurelstep.consensus.leases import Leases, _Grant
+from laurelstep.consensus.log import Config, Log
+from laurelstep.consensus.membership import Membership
+from laurelstep.consensus.messages import Append, Here, Stand
+from laurelstep.consensus.reading import Reading
+from laurelstep.consensus.snapshots import Snapshot
+from laurelstep.consensus.state import State
+from laurelstep.consensus.terms import NOWHERE, Era
+from laurelstep.consensus.voting import Voting
 from laurelstep.testing.schedules import BrokenError, Made, Process, Shape, World, play
 from laurelstep.testing.schedules.script import QUICK, founded, settle
 from tests.once import once
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -25,14 +25,14 @@
 import pytest
 import uvloop
 
-from laurelstep.accord.links.memory import LATENCY_US, MemoryLink, MemoryNetwork
-from laurelstep.accord.links.sockets import SocketLink
-from laurelstep.accord.links.udp import UdpLink
-from laurelstep.accord.links.unix import UnixLink
-from laurelstep.accord.ports import DATAGRAM_MOST, Link
-from laurelstep.accord.ports import Store as RecordStore
-from laurelstep.accord.stores.embedded import EmbeddedStore
-from laurelstep.accord.stores.none import NoStore
+from laurelstep.consensus.links.memory import LATENCY_US, MemoryLink, MemoryNetwork
+from laurelstep.consensus.links.sockets import SocketLink
+from laurelstep.consensus.links.udp import UdpLink
+from laurelstep.consensus.links.unix import UnixLink
+from laurelstep.consensus.ports import DATAGRAM_MOST, Link
+from laurelstep.consensus.ports import Store as RecordStore
+from laurelstep.consensus.stores.embedded import EmbeddedStore
+from laurelstep.consensus.stores.none import NoStore
 from laurelstep.engine import Answer, Attempt, Call, Ending, LoopClock
 from laurelstep.engine.given import GivenMembers
 from laurelstep.engine.ports import Clock, MemberSink, MemberSource, Recorded, Recorder
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -13,14 +13,14 @@
 
 import pytest
 
-from laurelstep.accord.errors import LinkError
-from laurelstep.accord.links.memory import LATENCY_US, Faulty, MemoryNetwork
-from laurelstep.accord.links.sockets import TURN_MOST, SocketLink
-from laurelstep.accord.links.udp import UdpLink
-from laurelstep.accord.links.unix import UnixLink
-from laurelstep.accord.ports import DATAGRAM_MOST, Link
-from laurelstep.accord.stores.embedded import BATCH_BYTES, EmbeddedStore
-from laurelstep.accord.stores.none import NoStore
+from laurelstep.consensus.errors import LinkError
+from laurelstep.consensus.links.memory import LATENCY_US, Faulty, MemoryNetwork
+from laurelstep.consensus.links.sockets import TURN_MOST, SocketLink
+from laurelstep.consensus.links.udp import UdpLink
+from laurelstep.consensus.links.unix import UnixLink
+from laurelstep.consensus.ports import DATAGRAM_MOST, Link
+from laurelstep.consensus.stores.embedded import BATCH_BYTES, EmbeddedStore
+from laurelstep.consensus.stores.none import NoStore
 from laurelstep.store import StoreError
 from laurelstep.store.manifest import segment_name
 from laurelstep.testing import free_udp_port
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -15,17 +15,17 @@
 
 import pytest
 
-from laurelstep.accord import messages
-from laurelstep.accord.core import Core
-from laurelstep.accord.errors import BusyError, EntryError, KeptError, LinkError, NotLeadingError
-from laurelstep.accord.links.memory import LATENCY_US, MemoryLink, MemoryNetwork
-from laurelstep.accord.links.udp import UdpLink
-from laurelstep.accord.node import LEAST_US, RETRY_US, WAITING_MOST, Node, Stage, node_of, nothing
-from laurelstep.accord.options import AccordSettings
-from laurelstep.accord.ports import Link, Store
-from laurelstep.accord.stores.embedded import EmbeddedStore
-from laurelstep.accord.stores.none import NoStore
-from laurelstep.accord.terms import NOWHERE, PENDING_MOST, Effects, Era
+from laurelstep.consensus import messages
+from laurelstep.consensus.core import Core
+from laurelstep.consensus.errors import BusyError, EntryError, KeptError, LinkError, NotLeadingError
+from laurelstep.consensus.links.memory import LATENCY_US, MemoryLink, MemoryNetwork
+from laurelstep.consensus.links.udp import UdpLink
+from laurelstep.consensus.node import LEAST_US, RETRY_US, WAITING_MOST, Node, Stage, node_of, nothing
+from laurelstep.consensus.options import AccordSettings
+from laurelstep.consensus.ports import Link, Store
+from laurelstep.consensus.stores.embedded import EmbeddedStore
+from laurelstep.consensus.stores.none import NoStore
+from laurelstep.consensus.terms import NOWHERE, PENDING_MOST, Effects, Era
 from laurelstep.engine.clock import LoopClock
 from laurelstep.handover.place import Place
 from laurelstep.handover.state import KEPT_MOST, kept_in, state_of_accord
--- a/tests/test_shared_record.py
+++ b/tests/test_shared_record.py
@@ -12,16 +12,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from laurelstep.accord.core import Core
-from laurelstep.accord.errors import BusyError, EntryError, KeptError, NotLeadingError
-from laurelstep.accord.links.memory import Faulty, MemoryNetwork
-from laurelstep.accord.machines import Machines
-from laurelstep.accord.node import Node
-from laurelstep.accord.parts import Parts
-from laurelstep.accord.ports import Store
-from laurelstep.accord.snapshots import SNAPSHOT_MOST
-from laurelstep.accord.stores.none import NoStore
-from laurelstep.accord.terms import ENTRY_MOST, WORD_MOST, Timing
+from laurelstep.consensus.core import Core
+from laurelstep.consensus.errors import BusyError, EntryError, KeptError, NotLeadingError
+from laurelstep.consensus.links.memory import Faulty, MemoryNetwork
+from laurelstep.consensus.machines import Machines
+from laurelstep.consensus.node import Node
+from laurelstep.consensus.parts import Parts
+from laurelstep.consensus.ports import Store
+from laurelstep.consensus.snapshots import SNAPSHOT_MOST
+from laurelstep.consensus.stores.none import NoStore
+from laurelstep.consensus.terms import ENTRY_MOST, WORD_MOST, Timing
 from laurelstep.outbox.causes import Cause, Fate
 from laurelstep.outbox.dots import EDGE_MOST, Dot, Line
 from laurelstep.outbox.shared import record as records
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -10,8 +10,8 @@
 import msgspec
 import pytest
 
-from laurelstep.accord.errors import BusyError, NotLeadingError
-from laurelstep.accord.machines import Machines
+from laurelstep.consensus.errors import BusyError, NotLeadingError
+from laurelstep.consensus.machines import Machines
 from laurelstep.engine import Answer, Call, Ending, Engine, Names, endpoint_number
 from laurelstep.engine.call import Attempt
 from laurelstep.engine.flow import Flow
--- a/tests/test_upkeep_core.py
+++ b/tests/test_upkeep_core.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from laurelstep.accord.core import Core
-from laurelstep.accord.machines import Machines
-from laurelstep.accord.terms import Effects, Era, Timing
+from laurelstep.consensus.core import Core
+from laurelstep.consensus.machines import Machines
+from laurelstep.consensus.terms import Effects, Era, Timing
 from laurelstep.upkeep.desk import UpkeepDesk
 from laurelstep.upkeep.entries import KIND
 from laurelstep.upkeep.keeper import Keeper
--- a/tests/upkeeping.py
+++ b/tests/upkeeping.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Iterator, Sequence
 from typing import Any
 
-from laurelstep.accord.errors import NotLeadingError
-from laurelstep.accord.machines import Machines
+from laurelstep.consensus.errors import NotLeadingError
+from laurelstep.consensus.machines import Machines
 from laurelstep.engine.members import endpoint_number
 from laurelstep.engine.ports import MemberSink
 from laurelstep.upkeep.desk import UpkeepDesk
