--- a/benchmarks/accord_child.py
+++ b/benchmarks/accord_child.py
@@ -15,9 +15,10 @@
 
 import uvloop
 
-from laurelstep.consensus.errors import AccordError
-from laurelstep.consensus.node import Node, node_of
-from laurelstep.consensus.options import AccordSettings
+from laurelstep.consensus.assembly import build_node
+from laurelstep.consensus.errors import ConsensusError
+from laurelstep.consensus.node import ConsensusNode
+from laurelstep.consensus.options import ConsensusSettings
 from laurelstep.engine.clock import LoopClock
 
 LOOK_S = 0.002
@@ -46,19 +47,19 @@
     def __init__(self, peers: list[str], seats: int, here: list[int]) -> None:
         loop = asyncio.get_running_loop()
         self.records = {me: Record() for me in here}
-        self.nodes: dict[int, Node] = {}
+        self.nodes: dict[int, ConsensusNode] = {}
         self.led_at: float | None = None  # when a node here began to lead, as last seen
         self.agreed_at: float | None = None  # when its first entry was agreed
         self.asked = 0
         for me in here:
-            settings = AccordSettings(tuple(peers), peers[me], me, seats=seats)
-            self.nodes[me] = node_of(settings, self.records[me], loop, LoopClock(loop), self.log)
+            settings = ConsensusSettings(tuple(peers), peers[me], me, seats=seats)
+            self.nodes[me] = build_node(settings, self.records[me], loop, LoopClock(loop), self.log)
 
     def log(self, line: str) -> None:
         sys.stderr.write(line + "\n")
 
     def leading(self) -> int | None:
-        return next((me for me, node in self.nodes.items() if node.leading), None)
+        return next((me for me, node in self.nodes.items() if node.is_leader), None)
 
     async def watch(self) -> None:
         """Notes when a node here begins to lead, and when it has got an entry agreed."""
@@ -82,7 +83,7 @@
             while not event.is_set():
                 try:
                     self.nodes[me].propose(data)
-                except AccordError:
+                except ConsensusError:
                     await asyncio.sleep(LOOK_S)
                     continue
                 await asyncio.wait_for(event.wait(), 5.0)
@@ -94,7 +95,7 @@
         me = self.leading()
         core = None if me is None else self.nodes[me].core
         return {
-            "known": all(node.known for node in self.nodes.values()),
+            "known": all(node.is_caught_up for node in self.nodes.values()),
             "leading": me,
             "voters": 0 if core is None else len(core.members),
             "led_at": self.led_at,
--- a/laurelstep/consensus/__init__.py
+++ b/laurelstep/consensus/__init__.py
@@ -1,8 +1,8 @@
-"""What the processes of a tier share: a small, ordered, agreed record, without a store that must last.
+"""Replicated state of a tier's processes: Raft among replicas that may lose their memory.
 
-The core is pure (`core.py` and what it is made of): time and datagrams are passed in, datagrams and what is
-to be kept come out. `ports.py` has the sides: Link, Store, Machine. A driver (`node.py`) joins them to a
-clock.
+The core is pure (`core.py` and the modules that it joins): time and datagrams are passed in, datagrams and
+the records to persist come out. `ports.py` has the interfaces to the network, the store and the state
+machine; `node.py` joins them to a clock.
 
-Nothing is imported here: a program without `[accord]` pays nothing.
+Nothing is imported here: a process without the settings section `[accord]` pays nothing.
 """
--- /dev/null
+++ b/laurelstep/consensus/assembly.py
@@ -0,0 +1,94 @@
+"""Builds a node from the settings: the link and the store are imported only where they are used."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import os
+import random
+import secrets
+from collections.abc import Awaitable, Callable, Mapping
+from typing import Final
+
+from laurelstep.consensus.core import ConsensusCore
+from laurelstep.consensus.node import ConsensusNode
+from laurelstep.consensus.options import ConsensusSettings, parse_udp_address
+from laurelstep.consensus.ports import Link, StateMachine, Store
+from laurelstep.consensus.timing import ConsensusTiming
+from laurelstep.engine.ports import Clock, Log
+
+__all__ = ["build_node", "check_store_folder", "timing_from"]
+
+# A voter without a leader for so many election timeouts probes for a bootstrap.
+BOOTSTRAP_ELECTION_TIMEOUTS: Final = 4
+
+
+def timing_from(settings: ConsensusSettings) -> ConsensusTiming:
+    """Return the durations that the settings describe."""
+    return ConsensusTiming(
+        heartbeat_us=settings.heartbeat_us,
+        election_timeout_us=settings.election_us,
+        bootstrap_timeout_us=BOOTSTRAP_ELECTION_TIMEOUTS * settings.election_us,
+        max_clock_drift=settings.drift,
+    )
+
+
+def check_store_folder(path: str) -> None:
+    """Make the store's folder if it is missing. Raises OSError if it can't be used. Empty path: no store."""
+    if path:
+        os.makedirs(path, exist_ok=True)
+        if not os.access(path, os.W_OK | os.X_OK):
+            raise PermissionError(errno.EACCES, os.strerror(errno.EACCES))
+
+
+def build_node(
+    settings: ConsensusSettings,
+    state_machine: StateMachine,
+    loop: asyncio.AbstractEventLoop,
+    clock: Clock,
+    log: Log,
+) -> ConsensusNode:
+    """Return the node that the settings describe, not yet started.
+
+    Raises ImportError where the store's library is missing.
+    """
+    timing = timing_from(settings)
+    rng = random.Random(secrets.randbits(64))
+    replica_id, peer_count = settings.me, len(settings.peers)
+
+    def make_core(incarnation: int, records: Mapping[bytes, bytes]) -> ConsensusCore:
+        return ConsensusCore(
+            replica_id, peer_count, settings.seats, incarnation, state_machine, timing, rng, records
+        )
+
+    make_link, open_store = _link_factory(settings, loop), _store_factory(settings, log)
+    return ConsensusNode(make_core, make_link, open_store, state_machine, clock, log, replica_id, peer_count)
+
+
+def _link_factory(settings: ConsensusSettings, loop: asyncio.AbstractEventLoop) -> Callable[[], Link]:
+    if settings.link == "unix":
+        from laurelstep.consensus.links.unix import UnixLink
+
+        return lambda: UnixLink(loop, settings.peers, settings.me)
+    from laurelstep.consensus.links.udp import UdpLink
+
+    listen = parse_udp_address(settings.listen)
+    peers = [address for peer in settings.peers if (address := parse_udp_address(peer)) is not None]
+    assert listen is not None and len(peers) == len(settings.peers)
+    return lambda: UdpLink(loop, listen, peers, settings.me)
+
+
+def _store_factory(settings: ConsensusSettings, log: Log) -> Callable[[], Awaitable[Store]]:
+    if not settings.store_path:
+        from laurelstep.consensus.stores.none import NoStore
+
+        async def without_store() -> Store:
+            return NoStore()
+
+        return without_store
+    from laurelstep.consensus.stores.embedded import EmbeddedStore
+
+    async def open_embedded() -> Store:
+        return await EmbeddedStore.open(settings.store_path, log)
+
+    return open_embedded
--- a/laurelstep/consensus/core.py
+++ b/laurelstep/consensus/core.py
@@ -1,26 +1,25 @@
-"""The core: one process's share of the agreed record. Pure: time and datagrams in, datagrams and what is to
-be kept out.
+"""The core: one replica of the log. Pure: time and datagrams in, datagrams and records to persist out.
 
 Raft (Ongaro and Ousterhout 2014; Ongaro's dissertation 2014) among identities that carry an incarnation. The
-rules stand at the heads of the parts: `log`, `state`, `voting`, `leading`, `following`, `membership`,
-`founding`, `snapshots`, `reading`, `learning`.
+rules stand at the heads of the parts: `log`, `state`, `election`, `leader`, `follower`, `membership`,
+`bootstrap`, `snapshots`, `read_index`, `learner`.
 
-1. Every call is one step. Its effects are carried out before the next step, `keep` before `sends`.
-2. A message is read by its era. An older one than promised is dropped; but it frees a seat that is frozen for
-   too long (founding.py, rule 7). A newer one that only a begun era can send (an append, a part of a
-   snapshot, a call for a vote) takes this seat into that era.
+1. Every call is one step. Its effects are carried out before the next step, `persist` before `outgoing`.
+2. A message is read by its epoch. One older than promised is dropped; but it frees a voter that is frozen for
+   too long (bootstrap.py, rule 7). A newer one that only a started epoch can send (an append, a chunk of a
+   snapshot, a request for a vote) takes this voter into that epoch.
 3. Nothing that a peer sends raises, and nothing of it is kept without a bound.
 
-What holds after every step, by name; `laurelstep.testing.schedules` checks it:
+The invariants after every step, by the names under which `laurelstep.testing.schedules` checks them:
 
-- one order: what two processes apply at a place of one era is the same;
-- nothing lost: what was agreed is in every later era's record, while a majority of the voters that agreed it
-  remembers;
-- one leader: in a term of an era at most one process leads;
-- one vote: an incarnation votes for at most one candidate in a term of an era;
+- one order: what two replicas apply at an index of one epoch is the same;
+- nothing lost: committed entries are in every later epoch's log, while a majority of the members that
+  committed them remembers;
+- one leader: in a term of an epoch at most one replica leads;
+- one vote: an incarnation votes for at most one candidate in a term of an epoch;
 - leases apart: no two processes hold a lease at once, while clocks drift within the bound;
-- no stale read: who knows the record has applied all that was agreed before it began;
-- progress: once faults end, what is proposed is agreed, and known to all.
+- no stale read: a replica that is caught up has applied all that was committed before it started;
+- progress: once faults end, what is proposed is committed, and all are caught up.
 """
 
 from __future__ import annotations
@@ -31,359 +30,339 @@
 from typing import Any
 
 from laurelstep.consensus import messages as m
+from laurelstep.consensus.bootstrap import Bootstrap
+from laurelstep.consensus.effects import StepEffects
+from laurelstep.consensus.election import Election
+from laurelstep.consensus.epoch import NO_EPOCH, ClusterEpoch
+from laurelstep.consensus.epoch_gate import EpochGate
 from laurelstep.consensus.errors import EntryError
-from laurelstep.consensus.following import Following
-from laurelstep.consensus.founding import Founding
-from laurelstep.consensus.leading import Leading
-from laurelstep.consensus.learning import Learner, Serving
-from laurelstep.consensus.membership import Membership
-from laurelstep.consensus.ports import Machine
-from laurelstep.consensus.reading import Reading
-from laurelstep.consensus.state import FAR, FROZEN, LEADER, State
-from laurelstep.consensus.terms import NOWHERE, WORD_MOST, Effects, Era, Timing
-from laurelstep.consensus.voting import Voting
-
-__all__ = ["FAR", "Core", "Effects", "Timing"]
-
-
-class Core:
-    """One process. Every method is a step: it takes the time in µs and gives what is to be done.
-
-    `due` is the time of the next `tick`, and changes with every step (FAR: never). `incarnation` changes too,
-    where a process has to come again as another one (founding.py, rule 7): read it, don't keep it.
+from laurelstep.consensus.follower import Follower
+from laurelstep.consensus.leader import Leader
+from laurelstep.consensus.learner import Learner
+from laurelstep.consensus.learner_publisher import LearnerPublisher
+from laurelstep.consensus.limits import MAX_LEADER_MESSAGE_BYTES
+from laurelstep.consensus.membership import MembershipManager
+from laurelstep.consensus.ports import StateMachine
+from laurelstep.consensus.read_index import ReadIndexTracker
+from laurelstep.consensus.state import ReplicaRole, ReplicaState
+from laurelstep.consensus.timing import NEVER_US, ConsensusTiming
+
+__all__ = ["ConsensusCore"]
+
+
+class ConsensusCore:
+    """One replica. Every method is a step: it takes the time in µs and returns what is to be done.
+
+    `due_us` is the time of the next `tick`, and changes with every step (NEVER_US: none). `incarnation`
+    changes too, where a replica has to continue as another one (bootstrap.py, rule 7): read it, don't store
+    it.
     """
 
-    # The parts, so that a test can put a faulty one in.
-    State = State
-    Voting = Voting
-    Leading = Leading
-    Following = Following
-    Membership = Membership
-    Founding = Founding
-    Reading = Reading
-    Serving = Serving
-    Learner = Learner
+    # The types of the parts, so that a test can inject a faulty one.
+    state_type = ReplicaState
+    election_type = Election
+    leader_type = Leader
+    follower_type = Follower
+    membership_type = MembershipManager
+    bootstrap_type = Bootstrap
+    read_index_type = ReadIndexTracker
+    publisher_type = LearnerPublisher
+    learner_type = Learner
 
     def __init__(
         self,
-        me: int,
-        peers: int,
-        seats: int,
+        replica_id: int,
+        peer_count: int,
+        voter_count: int,
         incarnation: int,
-        machine: Machine,
-        timing: Timing,
-        draw: random.Random,
-        kept: Mapping[bytes, bytes] | None = None,
+        state_machine: StateMachine,
+        timing: ConsensusTiming,
+        rng: random.Random,
+        records: Mapping[bytes, bytes] | None = None,
     ) -> None:
-        """`incarnation`: 64 random bits, for a start from nothing; what is `kept` has its own.
+        """`incarnation`: 64 random bits, for a start with an empty state; `records` have their own.
 
-        Incarnations, eras and nonces are drawn from `draw`: in service one seeded by the system.
-        Raises KeptError.
+        Incarnations, epochs and nonces are drawn from `rng`: in service one seeded by the system.
+        Raises StoredStateError.
         """
-        self._state = self.State(me, peers, seats, incarnation, machine, timing, draw)
-        self._state.restore(kept or {})
-        self._leading = self.Leading(self._state)
-        self._following = self.Following(self._state)
-        self._membership = self.Membership(self._state, self._leading)
-        self._reading = self.Reading(self._state, self._leading)
-        self._voting = self.Voting(self._state, self._lead)
-        self._founding = self.Founding(self._state, self._lead)
-        self._serving = self.Serving(self._state)
-        self._learner = self.Learner(self._state)
-        self._retired = False
-        self.due = FAR
-        self._by_kind: dict[type, Callable[[int, Any], None]] = {
-            m.Ask: self._on_ask,
-            m.Here: self._on_here,
-            m.Found: self._founding.on_found,
-            m.Accepted: self._founding.on_accepted,
-            m.Stand: self._on_seat,
-            m.Vote: self._voting.on_vote,
-            m.Append: self._on_seat,
-            m.Ack: self._on_ack,
-            m.Chunk: self._on_chunk,
-            m.Chunked: self._on_chunked,
-            m.Follow: self._on_follow,
-            m.Feed: self._on_feed,
-            m.Read: self._reading.on_read,
-            m.ReadAt: self._reading.on_read_at,
-            m.Word: self._on_word,
+        self._state = self.state_type(
+            replica_id, peer_count, voter_count, incarnation, state_machine, timing, rng
+        )
+        self._state.restore(records or {})
+        self._leader = self.leader_type(self._state)
+        self._follower = self.follower_type(self._state)
+        self._membership = self.membership_type(self._state, self._leader)
+        self._read_index = self.read_index_type(self._state, self._leader)
+        self._election = self.election_type(self._state, self._assume_leadership)
+        self._bootstrap = self.bootstrap_type(self._state, self._assume_leadership)
+        self._publisher = self.publisher_type(self._state)
+        self._learner = self.learner_type(self._state)
+        self._epoch_gate = EpochGate(self._state, self._bootstrap, self._read_index)
+        self._is_retired = False
+        self.due_us = NEVER_US
+        self._handlers = self._handlers_by_type()
+
+    def _handlers_by_type(self) -> dict[type, Callable[[int, Any], None]]:
+        return {
+            m.IdentityRequest: self._on_identity_request,
+            m.IdentityResponse: self._on_identity_response,
+            m.BootstrapRequest: self._bootstrap.on_bootstrap_request,
+            m.BootstrapResponse: self._bootstrap.on_bootstrap_response,
+            m.RequestVoteRequest: self._on_request_vote,
+            m.RequestVoteResponse: self._election.on_vote_response,
+            m.AppendEntriesRequest: self._on_append_entries,
+            m.AppendEntriesResponse: self._on_append_response,
+            m.InstallSnapshotRequest: self._on_install_snapshot,
+            m.InstallSnapshotResponse: self._on_snapshot_response,
+            m.LearnerPoll: self._on_learner_poll,
+            m.LearnerUpdate: self._on_learner_update,
+            m.ReadIndexRequest: self._read_index.on_request,
+            m.ReadIndexResponse: self._read_index.on_response,
+            m.LeaderMessage: self._on_leader_message,
         }
 
-    # What can be seen
+    # What can be observed
 
     @property
-    def me(self) -> int:
-        return self._state.me
+    def replica_id(self) -> int:
+        """The number of this replica among its peers."""
+        return self._state.replica_id
 
     @property
-    def role(self) -> str:
-        """`leader`, `candidate`, `follower`, `frozen` or `learner`."""
+    def role(self) -> ReplicaRole:
+        """What this replica does in its epoch."""
         return self._state.role
 
     @property
-    def leader(self) -> int | None:
-        """The number of the process that leads, as far as this one heard."""
-        return self._state.leader
+    def leader_id(self) -> int | None:
+        """The number of the replica that leads, as far as this one heard."""
+        return self._state.leader_id
 
     @property
     def term(self) -> int:
+        """The term in the promised epoch."""
         return self._state.term
 
     @property
-    def era(self) -> Era:
-        """The founding that the record here comes from.
+    def epoch(self) -> ClusterEpoch:
+        """The bootstrap that the log here comes from.
 
-        NOWHERE with something applied: a learner's record is of an era that is over, and the new one is on
+        NO_EPOCH with something applied: a learner's log is of an epoch that is over, and the new one is on
         its way.
         """
-        return self._state.log.era
+        return self._state.log.epoch
 
     @property
-    def committed(self) -> int:
-        return self._state.committed
+    def committed_index(self) -> int:
+        """The last index that is known to be committed."""
+        return self._state.committed_index
 
     @property
-    def applied(self) -> int:
-        return self._state.applied
+    def applied_index(self) -> int:
+        """The last index that is applied."""
+        return self._state.applied_index
 
     @property
-    def known(self) -> bool:
-        """Whether all that was agreed before this process began is applied here (reading.py)."""
-        return self._state.known
+    def is_caught_up(self) -> bool:
+        """Whether all that was committed before this replica started is applied here (read_index.py)."""
+        return self._state.is_caught_up
 
     @property
     def incarnation(self) -> int:
+        """The random number of this replica's memory."""
         return self._state.incarnation
 
     @property
     def members(self) -> dict[int, int]:
-        """Who votes: seat to incarnation."""
+        """Who votes: voter to incarnation."""
         return dict(self._state.log.config.members)
 
     @property
-    def log_size(self) -> int:
-        """Entries that are held beside the snapshot."""
+    def log_entry_count(self) -> int:
+        """How many entries are held beside the snapshot."""
         return len(self._state.log.entries)
 
     @property
     def counters(self) -> Counter[str]:
+        """How often what happened, for operators."""
         return self._state.counters
 
     @property
-    def heard(self) -> Callable[[int, int, bytes], None]:
-        """Where words go when this process leads: peer, incarnation, data.
+    def on_leader_message(self) -> Callable[[int, int, bytes], None]:
+        """Called with leader messages while this replica leads: peer, incarnation, data.
 
-        It is called in the midst of a step, as is the machine: what it leads to is a later step.
+        It is called within a step, as is the state machine: what it leads to is a later step.
         """
-        return self._state.heard
+        return self._state.on_leader_message
 
-    @heard.setter
-    def heard(self, heard: Callable[[int, int, bytes], None]) -> None:
-        self._state.heard = heard
+    @on_leader_message.setter
+    def on_leader_message(self, callback: Callable[[int, int, bytes], None]) -> None:
+        self._state.on_leader_message = callback
 
-    def in_touch(self, now: int) -> bool:
-        """Whether this process heard lately of a leader that a majority follows."""
-        return not self._retired and self._state.in_touch(now)
+    def has_leader_contact(self, now_us: int) -> bool:
+        """Whether this replica heard lately from a leader that a majority follows."""
+        return not self._is_retired and self._state.has_leader_contact(now_us)
 
     # Steps
 
-    def start(self, now: int) -> Effects:
-        """Once, before any other step."""
-        self._begin(now)
+    def start(self, now_us: int) -> StepEffects:
+        """Start, once, before any other step."""
+        self._begin_step(now_us)
         state = self._state
-        state.heard_at = state.frozen_at = now
-        if state.seated:
-            state.keep_me()
-            if state.role != FROZEN:
-                state.patient()
-        return self._end()
-
-    def receive(self, now: int, peer: int, raw: bytes) -> Effects:
+        state.last_leader_contact_us = state.frozen_at_us = now_us
+        if state.is_voter:
+            state.persist_identity()
+            if state.role != ReplicaRole.FROZEN:
+                state.reset_election_timer()
+        return self._end_step()
+
+    def receive(self, now_us: int, peer: int, raw: bytes) -> StepEffects:
         """Take a datagram. Never raises for any bytes: what is no message is dropped and counted."""
-        self._begin(now)
+        self._begin_step(now_us)
         state = self._state
         message = m.decode(raw)
-        if self._retired:
+        if self._is_retired:
             pass
-        elif not 0 <= peer < state.peers or peer == state.me:
+        elif not 0 <= peer < state.peer_count or peer == state.replica_id:
             state.counters["foreign"] += 1
         elif message is None:
-            state.counters["unreadable" if raw[:1] <= bytes((m.VERSION,)) else "future"] += 1
+            is_known_version = raw[:1] <= bytes((m.PROTOCOL_VERSION,))
+            state.counters["unreadable" if is_known_version else "future"] += 1
         else:
-            self._by_kind[type(message)](peer, message)
-        return self._end()
+            self._handlers[type(message)](peer, message)
+        return self._end_step()
 
-    def tick(self, now: int) -> Effects:
+    def tick(self, now_us: int) -> StepEffects:
         """Do what is due. Harmless at any time."""
-        self._begin(now)
-        if self._retired:
-            return self._end()
-        if self._state.now >= self._leading.due():
-            self._leading.beat()
-            self._membership.beat()
-        self._voting.tick()
-        self._founding.tick()
-        self._reading.tick()
-        self._serving.sweep()
+        self._begin_step(now_us)
+        if self._is_retired:
+            return self._end_step()
+        if self._state.now_us >= self._leader.due_us():
+            self._leader.heartbeat()
+            self._membership.on_heartbeat()
+        self._election.tick()
+        self._bootstrap.tick()
+        self._read_index.tick()
+        self._publisher.resend()
         self._learner.tick()
-        return self._end()
-
-    def propose(self, now: int, data: bytes) -> Effects:
-        """Put an entry in order. Raises NotLeadingError, BusyError, EntryError (over ENTRY_MOST bytes)."""
-        self._begin(now)
-        index = self._leading.propose(data)
-        effects = self._end()
-        effects.index = index
+        return self._end_step()
+
+    def propose(self, now_us: int, data: bytes) -> StepEffects:
+        """Append an entry, as the leader. Raises NotLeaderError, BusyError; EntryError if it is too long."""
+        self._begin_step(now_us)
+        index = self._leader.propose(data)
+        effects = self._end_step()
+        effects.entry_index = index
         return effects
 
-    def word(self, now: int, data: bytes, era: Era | None = None) -> Effects:
-        """A small message to whoever leads, perhaps lost. EntryError if too long.
+    def send_to_leader(self, now_us: int, data: bytes, epoch: ClusterEpoch | None = None) -> StepEffects:
+        """Send a small message to whoever leads; it may be lost. Raises EntryError if it is too long.
 
-        `era`: of the record that it speaks of, the present one unless told. It reaches nobody who leads
-        another one: places there have other entries.
+        `epoch`: of the log that it speaks of, the present one by default. It reaches nobody who leads another
+        one: indexes there have other entries.
         """
-        if len(data) > WORD_MOST:
-            raise EntryError(f"{len(data)} bytes, of {WORD_MOST} at most")
-        self._begin(now)
+        if len(data) > MAX_LEADER_MESSAGE_BYTES:
+            raise EntryError(f"{len(data)} bytes, of {MAX_LEADER_MESSAGE_BYTES} at most")
+        self._begin_step(now_us)
         state = self._state
-        if era is not None and era != state.log.era:
+        if epoch is not None and epoch != state.log.epoch:
             state.counters["words_lost"] += 1
-        elif state.role == LEADER:
-            state.heard(state.me, state.incarnation, data)
-        elif state.leader is not None:
-            state.send(state.leader, m.Word(state.log.era, state.incarnation, data))
+        elif state.role == ReplicaRole.LEADER:
+            state.on_leader_message(state.replica_id, state.incarnation, data)
+        elif state.leader_id is not None:
+            state.send(state.leader_id, m.LeaderMessage(state.log.epoch, state.incarnation, data))
         else:
             state.counters["words_lost"] += 1
-        return self._end()
+        return self._end_step()
 
     def retire(self) -> dict[bytes, bytes]:
-        """Stop for good: later steps do nothing. Gives what its successor, the same incarnation, gets."""
-        self._retired = True
-        self.due = FAR
+        """Stop for good: later steps do nothing. Returns the records of a successor, the same incarnation."""
+        self._is_retired = True
+        self.due_us = NEVER_US
         state = self._state
-        if state.role == LEADER:
-            state.follow(None)
-        return state.dump()
+        if state.role == ReplicaRole.LEADER:
+            state.become_follower(None)
+        return state.dump_records()
 
-    def _begin(self, now: int) -> None:
+    def _begin_step(self, now_us: int) -> None:
         state = self._state
-        state.now = max(state.now, now)
-        state.effects = Effects()
+        state.now_us = max(state.now_us, now_us)
+        state.effects = StepEffects()
 
-    def _end(self) -> Effects:
+    def _end_step(self) -> StepEffects:
         state = self._state
-        if self._retired:
-            return Effects()
-        self._reading.settle()
-        if state.effects.changed and state.seated:
-            if state.role == LEADER:
-                self._leading.tell()
-            self._serving.push()
-        self.due = min(
-            self._leading.due(),
-            self._voting.due(),
-            self._founding.due(),
-            self._reading.due(),
-            self._serving.due(),
-            self._learner.due(),
+        if self._is_retired:
+            return StepEffects()
+        self._read_index.settle()
+        if state.effects.state_changed and state.is_voter:
+            if state.role == ReplicaRole.LEADER:
+                self._leader.replicate_pending()
+            self._publisher.push()
+        self.due_us = min(
+            self._leader.due_us(),
+            self._election.due_us(),
+            self._bootstrap.due_us(),
+            self._read_index.due_us(),
+            self._publisher.due_us(),
+            self._learner.due_us(),
         )
         return state.effects
 
-    def _lead(self) -> None:
-        self._founding.stop()
-        self._reading.begin()
-        self._membership.begin()
-        self._leading.begin()
+    def _assume_leadership(self) -> None:
+        self._bootstrap.cancel()
+        self._read_index.on_leadership()
+        self._membership.reset()
+        self._leader.assume_leadership()
 
-    # Messages, by kind
+    # Messages, by type
 
-    def _on_ask(self, peer: int, message: m.Ask) -> None:
-        if self._state.seated and peer < self._state.seats:
-            self._state.send(peer, self._founding.here(message.nonce))
+    def _on_identity_request(self, peer: int, message: m.IdentityRequest) -> None:
+        if self._state.is_voter and peer < self._state.voter_count:
+            self._state.send(peer, self._bootstrap.identity(message.nonce))
 
-    def _on_here(self, peer: int, message: m.Here) -> None:
-        if self._state.role == LEADER:
-            self._membership.on_here(peer, message)
+    def _on_identity_response(self, peer: int, message: m.IdentityResponse) -> None:
+        if self._state.role == ReplicaRole.LEADER:
+            self._membership.on_identity_response(peer, message)
         else:
-            self._founding.on_here(peer, message)
+            self._bootstrap.on_identity_response(peer, message)
+
+    def _on_request_vote(self, peer: int, message: m.RequestVoteRequest) -> None:
+        if self._epoch_gate.admit(peer, message):
+            self._election.on_vote_request(peer, message)
+
+    def _on_append_entries(self, peer: int, message: m.AppendEntriesRequest) -> None:
+        if self._epoch_gate.admit(peer, message):
+            self._follower.on_append_entries(peer, message)
+
+    def _on_install_snapshot(self, peer: int, message: m.InstallSnapshotRequest) -> None:
+        if not self._state.is_voter:
+            if self._epoch_gate.is_recipient(message):
+                self._learner.on_install_snapshot(peer, message)
+        elif self._epoch_gate.admit(peer, message):
+            self._follower.on_install_snapshot(peer, message)
+
+    def _on_append_response(self, peer: int, message: m.AppendEntriesResponse) -> None:
+        if message.epoch == self._state.promised_epoch:
+            self._leader.on_append_response(peer, message)
+
+    def _on_snapshot_response(self, peer: int, message: m.InstallSnapshotResponse) -> None:
+        if peer >= self._state.voter_count:
+            self._publisher.on_snapshot_response(peer, message)
+        elif message.epoch == self._state.promised_epoch:
+            self._leader.on_snapshot_response(peer, message)
+
+    def _on_learner_poll(self, peer: int, message: m.LearnerPoll) -> None:
+        if self._state.is_voter and peer >= self._state.voter_count:
+            self._publisher.on_poll(peer, message)
+
+    def _on_learner_update(self, peer: int, message: m.LearnerUpdate) -> None:
+        state = self._state
+        if not state.is_voter and peer < state.voter_count and self._epoch_gate.is_recipient(message):
+            self._learner.on_update(peer, message)
 
-    def _on_seat(self, peer: int, message: m.Stand | m.Append) -> None:
-        if not self._enter(peer, message):
-            return
-        if isinstance(message, m.Append):
-            self._following.on_append(peer, message)
-        else:
-            self._voting.on_stand(peer, message)
-
-    def _on_chunk(self, peer: int, message: m.Chunk) -> None:
-        if not self._state.seated:
-            if self._for_me(message):
-                self._learner.on_chunk(peer, message)
-        elif self._enter(peer, message):
-            self._following.on_chunk(peer, message)
-
-    def _on_ack(self, peer: int, message: m.Ack) -> None:
-        if message.era == self._state.promised:
-            self._leading.on_ack(peer, message)
-
-    def _on_chunked(self, peer: int, message: m.Chunked) -> None:
-        if peer >= self._state.seats:
-            self._serving.on_chunked(peer, message)
-        elif message.era == self._state.promised:
-            self._leading.on_chunked(peer, message)
-
-    def _on_follow(self, peer: int, message: m.Follow) -> None:
-        if self._state.seated and peer >= self._state.seats:
-            self._serving.on_follow(peer, message)
-
-    def _on_feed(self, peer: int, message: m.Feed) -> None:
-        if not self._state.seated and peer < self._state.seats and self._for_me(message):
-            self._learner.on_feed(peer, message)
-
-    def _on_word(self, peer: int, message: m.Word) -> None:
+    def _on_leader_message(self, peer: int, message: m.LeaderMessage) -> None:
         state = self._state
-        if state.role == LEADER and message.era in (NOWHERE, state.log.era):
-            state.heard(peer, message.incarnation, message.data)
+        if state.role == ReplicaRole.LEADER and message.epoch in (NO_EPOCH, state.log.epoch):
+            state.on_leader_message(peer, message.incarnation, message.data)
         else:
             state.counters["words_lost"] += 1
-
-    def _enter(self, peer: int, message: m.Stand | m.Append | m.Chunk) -> bool:
-        """Rule 2: whether the message is of this process's era, or has brought it there."""
-        state = self._state
-        if peer >= state.seats or not state.seated:
-            state.counters["foreign"] += 1
-            return False
-        if not self._for_me(message):
-            if isinstance(message, m.Append):
-                # So that a leader learns early who is here.
-                ack = m.Ack(message.era, state.incarnation, 0, False, -1, message.round)
-                state.send(peer, ack)
-            return False
-        if message.era == NOWHERE or (message.era < state.promised and not self._come_again(message)):
-            state.counters["past"] += 1
-            return False
-        if message.era != state.promised or not state.live:
-            self._founding.stop()
-            state.enter_era(message.era)
-        return True
-
-    def _for_me(self, message: m.Stand | m.Append | m.Chunk | m.Feed) -> bool:
-        """messages.py, rule 4."""
-        if message.to == m.short(self._state.incarnation):
-            return True
-        self._state.counters["past"] += 1
-        return False
-
-    def _come_again(self, message: m.Stand | m.Append | m.Chunk) -> bool:
-        """founding.py, rule 7."""
-        state = self._state
-        if state.live or isinstance(message, m.Stand) or message.era < state.log.era:
-            return False
-        if state.now - state.frozen_at <= state.timing.found_us:
-            return False
-        state.counters["came_again"] += 1
-        state.incarnation = state.draw.getrandbits(64)
-        state.keep_me()
-        self._reading.forget()
-        return True
--- /dev/null
+++ b/laurelstep/consensus/epoch_gate.py
@@ -0,0 +1,82 @@
+"""Which messages of a leader or candidate a voter takes, by their epoch. Pure.
+
+The rules are core.py, rule 2, messages.py, rule 4, and bootstrap.py, rule 7.
+"""
+
+from __future__ import annotations
+
+from laurelstep.consensus.bootstrap import Bootstrap
+from laurelstep.consensus.epoch import NO_EPOCH
+from laurelstep.consensus.messages import (
+    NEEDS_SNAPSHOT,
+    AppendEntriesRequest,
+    AppendEntriesResponse,
+    InstallSnapshotRequest,
+    LearnerUpdate,
+    RequestVoteRequest,
+    short_incarnation,
+)
+from laurelstep.consensus.read_index import ReadIndexTracker
+from laurelstep.consensus.state import ReplicaState
+
+__all__ = ["EpochGate"]
+
+EpochMessage = RequestVoteRequest | AppendEntriesRequest | InstallSnapshotRequest
+
+
+class EpochGate:
+    """Drops messages of the past, and takes the voter into the epoch of newer ones."""
+
+    def __init__(self, state: ReplicaState, bootstrap: Bootstrap, read_index: ReadIndexTracker) -> None:
+        self._state = state
+        self._bootstrap = bootstrap
+        self._read_index = read_index
+
+    def admit(self, peer: int, message: EpochMessage) -> bool:
+        """Whether the message is of this replica's epoch, or has brought it there."""
+        state = self._state
+        if peer >= state.voter_count or not state.is_voter:
+            state.counters["foreign"] += 1
+            return False
+        if not self.is_recipient(message):
+            if isinstance(message, AppendEntriesRequest):
+                self._reject_append(peer, message)
+            return False
+        is_past = message.epoch < state.promised_epoch
+        if message.epoch == NO_EPOCH or (is_past and not self._restart_frozen(message)):
+            state.counters["past"] += 1
+            return False
+        if message.epoch != state.promised_epoch or not state.has_epoch_started:
+            self._bootstrap.cancel()
+            state.enter_epoch(message.epoch)
+        return True
+
+    def is_recipient(self, message: EpochMessage | LearnerUpdate) -> bool:
+        """Whether the message is for this incarnation; counts it where it is not."""
+        if message.recipient == short_incarnation(self._state.incarnation):
+            return True
+        self._state.counters["past"] += 1
+        return False
+
+    def _reject_append(self, peer: int, message: AppendEntriesRequest) -> None:
+        """Let a leader learn early that another incarnation is here."""
+        state = self._state
+        response = AppendEntriesResponse(
+            message.epoch, state.incarnation, 0, False, NEEDS_SNAPSHOT, message.heartbeat_round
+        )
+        state.send(peer, response)
+
+    def _restart_frozen(self, message: EpochMessage) -> bool:
+        """Continue as another incarnation, where this one is frozen for too long."""
+        state = self._state
+        if state.has_epoch_started or isinstance(message, RequestVoteRequest):
+            return False
+        if message.epoch < state.log.epoch:
+            return False
+        if state.now_us - state.frozen_at_us <= state.timing.bootstrap_timeout_us:
+            return False
+        state.counters["came_again"] += 1
+        state.incarnation = state.rng.getrandbits(64)
+        state.persist_identity()
+        self._read_index.reset()
+        return True
--- a/laurelstep/consensus/errors.py
+++ b/laurelstep/consensus/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong in what is shared: each type with its cause and what an operator can do."""
+"""Errors of the replicated log, each with its cause and what an operator can do."""
 
 from __future__ import annotations
 
@@ -6,50 +6,57 @@
 
 from laurelstep.errors import LaurelstepError
 
-__all__ = ["AccordError", "BusyError", "EntryError", "KeptError", "LinkError", "NotLeadingError"]
+__all__ = [
+    "BusyError",
+    "ConsensusError",
+    "EntryError",
+    "LinkError",
+    "NotLeaderError",
+    "StoredStateError",
+]
 
 
-class AccordError(LaurelstepError):
-    """Any fault of what the processes of a tier share."""
+class ConsensusError(LaurelstepError):
+    """Any fault of the replicated log."""
 
-    cause: ClassVar[str] = "something the processes of a tier share could not be done"
-    remedy: ClassVar[str] = "read the message; see that a majority of the seats is up and hears each other"
+    cause: ClassVar[str] = "an operation on the state that a tier replicates could not be done"
+    remedy: ClassVar[str] = "read the message; see that a majority of the voters is up and reaches each other"
 
 
-class NotLeadingError(AccordError):
-    """A proposal was made where another process leads, or none. `leader` is its number, if known."""
+class NotLeaderError(ConsensusError):
+    """A proposal reached a replica that does not lead. `leader_id` is the leader's number, if known."""
 
-    cause: ClassVar[str] = "this process does not lead, so it can't put an entry in order"
-    remedy: ClassVar[str] = "ask the process that leads; where none does, bring a majority of the seats back"
+    cause: ClassVar[str] = "this process does not lead, so it can't append an entry"
+    remedy: ClassVar[str] = "ask the leader; where there is none, bring a majority of the voters back"
 
-    def __init__(self, leader: int | None) -> None:
-        super().__init__("no process leads" if leader is None else f"peer {leader} leads")
-        self.leader = leader
+    def __init__(self, leader_id: int | None) -> None:
+        super().__init__("no process leads" if leader_id is None else f"peer {leader_id} leads")
+        self.leader_id = leader_id
 
 
-class BusyError(AccordError):
-    """Too many proposals wait for agreement."""
+class BusyError(ConsensusError):
+    """Too many proposals or steps are pending."""
 
-    cause: ClassVar[str] = "as many proposals as are allowed wait for agreement"
-    remedy: ClassVar[str] = "ask again in a second; if it stays, see that a majority of the seats is up"
+    cause: ClassVar[str] = "as many proposals as are allowed are pending"
+    remedy: ClassVar[str] = "retry in a second; if it persists, see that a majority of the voters is up"
 
 
-class EntryError(AccordError, ValueError):
-    """An entry or a word is longer than a datagram carries."""
+class EntryError(ConsensusError, ValueError):
+    """An entry or a leader message exceeds its bounds, as what one datagram carries."""
 
-    cause: ClassVar[str] = "what was to be agreed is longer than one datagram carries"
+    cause: ClassVar[str] = "an entry is longer than one datagram carries"
     remedy: ClassVar[str] = "name fewer things, or name them by zone, cell or kind"
 
 
-class LinkError(AccordError, ValueError):
-    """A datagram is too long, or goes to no listed peer."""
+class LinkError(ConsensusError, ValueError):
+    """A datagram is too long, or its destination is no listed peer."""
 
     cause: ClassVar[str] = "a datagram over 256 bytes, or to a peer that is not in the list"
     remedy: ClassVar[str] = "see that `peers` lists every process of the tier, in the same order everywhere"
 
 
-class KeptError(AccordError):
-    """What a lasting store gave back can't be read."""
+class StoredStateError(ConsensusError):
+    """The records of a durable store can't be read."""
 
-    cause: ClassVar[str] = "what was kept of the record is not readable, or of another list of peers"
-    remedy: ClassVar[str] = "move the folder in `store_path` away; the process comes again from nothing"
+    cause: ClassVar[str] = "the stored state is not readable, or belongs to another list of peers"
+    remedy: ClassVar[str] = "move the folder in `store_path` away; the process rejoins with an empty state"
--- /dev/null
+++ b/laurelstep/consensus/follower.py
@@ -0,0 +1,128 @@
+"""The follower's side of replication. Pure. Raft, section 5.3 and 7.
+
+1. A message of an earlier term is answered with the later one, and changes nothing.
+2. Entries are taken where the one before them matches; entries that contradict them are truncated, never
+   committed ones.
+3. The leader's commit index counts as far as this log is known to match.
+4. A log of another epoch is replaced by the first complete snapshot of this one, and is kept until then.
+"""
+
+from __future__ import annotations
+
+import msgspec
+
+from laurelstep.consensus.messages import (
+    NEEDS_SNAPSHOT,
+    AppendEntriesRequest,
+    AppendEntriesResponse,
+    InstallSnapshotRequest,
+    InstallSnapshotResponse,
+)
+from laurelstep.consensus.snapshots import SnapshotAssembly
+from laurelstep.consensus.state import ReplicaState
+
+__all__ = ["Follower"]
+
+
+class Follower:
+    """Takes entries and snapshots from the leader. See the rules."""
+
+    def __init__(self, state: ReplicaState) -> None:
+        self._state = state
+        self._assembly = SnapshotAssembly()
+
+    def on_append_entries(self, peer: int, message: AppendEntriesRequest) -> None:
+        """Take entries of this replica's epoch: the core has checked that."""
+        state = self._state
+        if not self._accept_leader(peer, message):
+            return
+        log = state.log
+        if log.epoch != message.epoch:
+            self._respond(peer, message, success=False, match_index=NEEDS_SNAPSHOT)
+        elif message.prev_log_index < log.base_index:
+            # Committed long ago: continue after what is committed here.
+            self._respond(peer, message, success=False, match_index=state.committed_index)
+        elif log.term_at(message.prev_log_index) != message.prev_log_term:
+            match_index = min(log.last_index, max(state.committed_index, message.prev_log_index - 1))
+            self._respond(peer, message, success=False, match_index=match_index)
+        else:
+            match_index = self._append_missing(message)
+            state.commit_to(min(message.leader_commit, match_index))
+            self._respond(peer, message, success=True, match_index=match_index)
+
+    def _append_missing(self, message: AppendEntriesRequest) -> int:
+        """Append entries that are not here yet (rule 2), and return the last index that matches."""
+        state = self._state
+        index = message.prev_log_index
+        for entry in message.entries:
+            index += 1
+            term = state.log.term_at(index)
+            if term == entry.term:
+                continue
+            if term is not None:
+                state.truncate_after(index - 1)
+            state.append_entry(entry)
+        return index
+
+    def on_install_snapshot(self, peer: int, message: InstallSnapshotRequest) -> None:
+        """Take a chunk, and install the snapshot once it is complete."""
+        state = self._state
+        if not self._accept_leader(peer, message):
+            return
+        if state.log.epoch == message.epoch and message.snapshot_index <= state.committed_index:
+            self._respond(peer, message, success=True, match_index=message.snapshot_index)
+            return
+        received_bytes = self._assembly.add(message)
+        snapshot = self._assembly.take_complete()
+        if snapshot is None:
+            self._request_chunk(peer, message, received_bytes)
+            return
+        try:
+            state.install_snapshot(snapshot)
+        except msgspec.DecodeError:
+            state.counters["unreadable"] += 1
+            return
+        self._respond(peer, message, success=True, match_index=snapshot.index)
+
+    def _request_chunk(self, peer: int, message: InstallSnapshotRequest, received_bytes: int) -> None:
+        """Say how much is here; nothing, where all chunks are here but the checksum does not hold."""
+        state = self._state
+        response = InstallSnapshotResponse(
+            message.epoch,
+            state.incarnation,
+            state.term,
+            message.snapshot_index,
+            message.checksum,
+            received_bytes if received_bytes < message.total_bytes else 0,
+            message.heartbeat_round,
+        )
+        state.send(peer, response)
+
+    def _accept_leader(self, peer: int, message: AppendEntriesRequest | InstallSnapshotRequest) -> bool:
+        """Follow the sender, unless its term is over (rule 1)."""
+        state = self._state
+        if message.term < state.term:
+            self._respond(peer, message, success=False, match_index=0)
+            return False
+        if message.term > state.term:
+            state.enter_term(message.term)
+        state.become_follower(peer)
+        return True
+
+    def _respond(
+        self,
+        peer: int,
+        message: AppendEntriesRequest | InstallSnapshotRequest,
+        success: bool,
+        match_index: int,
+    ) -> None:
+        state = self._state
+        response = AppendEntriesResponse(
+            state.promised_epoch,
+            state.incarnation,
+            state.term,
+            success,
+            match_index,
+            message.heartbeat_round,
+        )
+        state.send(peer, response)
--- /dev/null
+++ b/laurelstep/consensus/limits.py
@@ -0,0 +1,12 @@
+"""Bounds on what is replicated. With their frame, entries and leader messages fit in one datagram."""
+
+from __future__ import annotations
+
+from typing import Final
+
+__all__ = ["MAX_ENTRY_BYTES", "MAX_LEADER_MESSAGE_BYTES", "MAX_PENDING_PROPOSALS"]
+
+MAX_ENTRY_BYTES: Final = 160
+MAX_LEADER_MESSAGE_BYTES: Final = 160
+# Entries of the leader that may be uncommitted at a time.
+MAX_PENDING_PROPOSALS: Final = 64
--- a/laurelstep/consensus/links/memory.py
+++ b/laurelstep/consensus/links/memory.py
@@ -1,7 +1,8 @@
-"""Datagrams in memory, under a made schedule: what becomes of each is a function's word, and time
-is the clock's that is passed in. One schedule, one course of events.
+"""Datagrams in memory, under a schedule: a function decides what becomes of each, and time is that of the
+clock that is passed in. One schedule, one course of events.
 
-Datagrams that are due at the same time arrive in the order in which they were sent."""
+Datagrams that are due at the same time arrive in the order in which they were sent.
+"""
 
 from __future__ import annotations
 
@@ -10,109 +11,118 @@
 from typing import Final
 
 from laurelstep.consensus.errors import LinkError
-from laurelstep.consensus.ports import DATAGRAM_MOST
+from laurelstep.consensus.ports import MAX_DATAGRAM_BYTES
 from laurelstep.engine.ports import Clock
 
-# From, to, datagram: after how many µs each copy of it arrives. None at all: it is lost.
+__all__ = ["LATENCY_US", "FaultSchedule", "MemoryLink", "MemoryNetwork", "Schedule", "constant_latency"]
+
+# Sender, receiver, datagram: after how many µs each copy of it arrives. None at all: it is lost.
 Schedule = Callable[[int, int, bytes], Sequence[int]]
 
 LATENCY_US: Final = 500
 
 
-def steady(sender: int, receiver: int, data: bytes) -> Sequence[int]:
-    """Nothing is lost, and all takes as long."""
+def constant_latency(sender: int, receiver: int, data: bytes) -> Sequence[int]:
+    """Schedule each datagram once, after LATENCY_US."""
     return (LATENCY_US,)
 
 
-class Faulty:
-    """A schedule drawn from one seed: loss, doubling and delay, which also turns the order; and
-    directions that are cut."""
+class FaultSchedule:
+    """A schedule drawn from one seed: loss, duplicates and delay, which also reorders; and partitions."""
 
     def __init__(
         self,
-        draw: random.Random,
+        rng: random.Random,
         loss: float = 0.0,
-        double: float = 0.0,
+        duplication: float = 0.0,
         delay_us: tuple[int, int] = (LATENCY_US, LATENCY_US),
     ) -> None:
-        self.draw = draw
+        """`loss` and `duplication` are probabilities, `delay_us` the least and the greatest delay."""
+        self.rng = rng
         self.loss = loss
-        self.double = double
+        self.duplication = duplication
         self.delay_us = delay_us
-        self.cut: set[tuple[int, int]] = set()  # from, to
+        self.cut: set[tuple[int, int]] = set()  # sender, receiver
 
-    def part(self, *groups: Sequence[int]) -> None:
-        """Cut both ways between any two groups."""
+    def partition(self, *groups: Sequence[int]) -> None:
+        """Cut both directions between any two groups."""
         self.cut.update(
             (a, b) for one in groups for other in groups if other is not one for a in one for b in other
         )
 
     def heal(self) -> None:
+        """End all partitions."""
         self.cut.clear()
 
     def __call__(self, sender: int, receiver: int, data: bytes) -> Sequence[int]:
-        if (sender, receiver) in self.cut or self.draw.random() < self.loss:
+        if (sender, receiver) in self.cut or self.rng.random() < self.loss:
             return ()
-        copies = 2 if self.draw.random() < self.double else 1
-        return [self.draw.randint(*self.delay_us) for _ in range(copies)]
+        copies = 2 if self.rng.random() < self.duplication else 1
+        return [self.rng.randint(*self.delay_us) for _ in range(copies)]
 
 
 class MemoryNetwork:
-    """Joins the links of `count` processes. `schedule` may be changed at any time."""
+    """Joins the links of `peer_count` processes. `schedule` may be changed at any time."""
 
-    def __init__(self, clock: Clock, count: int, schedule: Schedule = steady) -> None:
+    def __init__(self, clock: Clock, peer_count: int, schedule: Schedule = constant_latency) -> None:
         self.clock = clock
-        self.count = count
+        self.peer_count = peer_count
         self.schedule = schedule
-        self.open: dict[int, MemoryLink] = {}
+        self.open_links: dict[int, MemoryLink] = {}
 
-    def link(self, me: int) -> MemoryLink:
-        """A process's own; it may be made anew once the one before is closed."""
-        if not 0 <= me < self.count:
-            raise LinkError(f"no peer has the number {me}")
-        return MemoryLink(self, me)
+    def link(self, replica_id: int) -> MemoryLink:
+        """Return a new link of a process, to be opened once the one before is closed."""
+        if not 0 <= replica_id < self.peer_count:
+            raise LinkError(f"no peer has the number {replica_id}")
+        return MemoryLink(self, replica_id)
 
-    def arrive(self, sender: int, receiver: int, data: bytes) -> None:
-        if (link := self.open.get(receiver)) is not None:
-            link.take(sender, data)
+    def deliver(self, sender: int, receiver: int, data: bytes) -> None:
+        """Hand a datagram to the receiver's link, if one is open."""
+        if (link := self.open_links.get(receiver)) is not None:
+            link.deliver(sender, data)
 
 
 class MemoryLink:
-    def __init__(self, network: MemoryNetwork, me: int) -> None:
+    """A `Link` on a MemoryNetwork."""
+
+    def __init__(self, network: MemoryNetwork, replica_id: int) -> None:
         self.network = network
-        self.me = me
+        self.replica_id = replica_id
         self.counters = dict.fromkeys(("sent", "sent_bytes", "unsent", "received", "received_bytes"), 0)
         self._receive: Callable[[int, bytes], None] | None = None
 
     def open(self, receive: Callable[[int, bytes], None]) -> None:
-        """OSError while another link has this number."""
-        if self.me in self.network.open:
-            raise OSError(f"peer {self.me} is open")
-        self.network.open[self.me] = self
+        """Start receiving. Raises OSError while another link has this number."""
+        if self.replica_id in self.network.open_links:
+            raise OSError(f"peer {self.replica_id} is open")
+        self.network.open_links[self.replica_id] = self
         self._receive = receive
 
     def send(self, peer: int, data: bytes) -> None:
-        if not 0 <= peer < self.network.count or peer == self.me:
+        """Send as the schedule has it. Raises LinkError."""
+        if not 0 <= peer < self.network.peer_count or peer == self.replica_id:
             raise LinkError(f"no peer has the number {peer}")
-        if len(data) > DATAGRAM_MOST:
-            raise LinkError(f"a datagram of {len(data)} bytes, at most {DATAGRAM_MOST} are sent")
+        if len(data) > MAX_DATAGRAM_BYTES:
+            raise LinkError(f"a datagram of {len(data)} bytes, at most {MAX_DATAGRAM_BYTES} are sent")
         if self._receive is None:
             self.counters["unsent"] += 1
             return
         self.counters["sent"] += 1
         self.counters["sent_bytes"] += len(data)
         network = self.network
-        for delay_us in network.schedule(self.me, peer, data):
-            network.clock.at(network.clock.now() + delay_us, network.arrive, self.me, peer, data)
+        for delay_us in network.schedule(self.replica_id, peer, data):
+            due_us = network.clock.now() + delay_us
+            network.clock.at(due_us, network.deliver, self.replica_id, peer, data)
 
-    def take(self, sender: int, data: bytes) -> None:
+    def deliver(self, sender: int, data: bytes) -> None:
+        """Take a datagram that has arrived."""
         if self._receive is not None:
             self.counters["received"] += 1
             self.counters["received_bytes"] += len(data)
             self._receive(sender, data)
 
     def close(self) -> None:
-        """May be called again."""
+        """Stop receiving. May be called again."""
         if self._receive is not None:
-            del self.network.open[self.me]
+            del self.network.open_links[self.replica_id]
             self._receive = None
--- a/laurelstep/consensus/links/udp.py
+++ b/laurelstep/consensus/links/udp.py
@@ -1,5 +1,5 @@
-"""UDP, as the protocol page has it between sidecars: datagrams to an address of `peers`, which
-arrive at `peer_listen` from the sender's address in `peers`."""
+"""UDP, as the protocol page has it between sidecars: datagrams to an address of `peers`, which arrive at
+`peer_listen` from the sender's address in `peers`."""
 
 from __future__ import annotations
 
@@ -9,28 +9,35 @@
 
 from laurelstep.consensus.links.sockets import SocketLink
 
-Address = tuple[str, int]
+__all__ = ["UdpAddress", "UdpLink"]
+
+UdpAddress = tuple[str, int]
 
 
 class UdpLink(SocketLink):
-    """`listen` and `peers` are IP addresses with ports, all of one kind."""
+    """A link by UDP. `listen` and `peers` are IP addresses with ports, all of one family."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, listen: Address, peers: Sequence[Address], me: int
+        self,
+        loop: asyncio.AbstractEventLoop,
+        listen: UdpAddress,
+        peers: Sequence[UdpAddress],
+        replica_id: int,
     ) -> None:
-        super().__init__(loop, peers, me)
+        super().__init__(loop, peers, replica_id)
         self.listen = listen
 
     def _bind(self) -> socket.socket:
-        one = socket.socket(socket.AF_INET6 if ":" in self.listen[0] else socket.AF_INET, socket.SOCK_DGRAM)
+        family = socket.AF_INET6 if ":" in self.listen[0] else socket.AF_INET
+        bound = socket.socket(family, socket.SOCK_DGRAM)
         try:
-            # Without SO_REUSEADDR and SO_REUSEPORT: a second process must not get a part of it.
-            one.bind(self.listen)
-            one.setblocking(False)
+            # Without SO_REUSEADDR and SO_REUSEPORT: a second process must not get a part of the datagrams.
+            bound.bind(self.listen)
+            bound.setblocking(False)
         except OSError:
-            one.close()
+            bound.close()
             raise
-        return one
+        return bound
 
-    def _sender(self, address: tuple[str, int, int, int] | Address) -> Address:
+    def _normalize(self, address: tuple[str, int, int, int] | UdpAddress) -> UdpAddress:
         return address[0], address[1]
--- a/laurelstep/consensus/messages.py
+++ b/laurelstep/consensus/messages.py
@@ -1,285 +1,324 @@
-"""What processes of a tier say to each other about what they share. No I/O.
-
-1. A datagram is a version byte and one message as msgpack, an array headed by its kind; at most 256 bytes.
-2. What is of another version, not readable, or out of bounds is no message: `decode` gives None, and the
-   caller counts it. Who sent it is the link's to say.
-3. A message that speaks for a record names its era. One that binds its sender (an answer to a vote, an
-   append or a founding) names the sender's incarnation; it is counted for that incarnation alone.
-4. One that changes its receiver (`to`) names the receiver's incarnation, in short: what was sent to a process
-   that has come again from nothing since is dropped. Without this a late datagram of a record that all have
-   forgotten could take a seat out of the one founded since, as eras of one generation have no order in time.
+"""The messages between replicas, and their encoding. No I/O.
+
+1. A datagram is a version byte and one message as msgpack, an array headed by its tag; at most 256 bytes.
+2. A datagram of another version, not readable or out of bounds is no message: `decode` returns None, and the
+   caller counts it. The link tells who sent it.
+3. A message about a log names its epoch. One that binds its sender (the answer to a vote, an append or a
+   bootstrap) names the sender's incarnation, and counts for that incarnation alone.
+4. One that changes its receiver names the receiver's incarnation, shortened (`recipient`): a datagram to a
+   process that has restarted with an empty state since is dropped. Without this a late datagram of a lost
+   epoch could take a voter out of the epoch that followed, as epochs of one generation have no order in time.
+
+The field order and the tags are the wire format: neither may change within a protocol version.
 """
 
 from __future__ import annotations
 
+from enum import IntEnum
 from typing import Annotated, Final
 
 import msgspec
 
-from laurelstep.consensus.ports import DATAGRAM_MOST
-from laurelstep.consensus.terms import ENTRY_MOST, WORD_MOST, Era
+from laurelstep.consensus.epoch import ClusterEpoch
+from laurelstep.consensus.limits import MAX_ENTRY_BYTES, MAX_LEADER_MESSAGE_BYTES
+from laurelstep.consensus.ports import MAX_DATAGRAM_BYTES
 
 __all__ = [
-    "CHUNK_MOST",
-    "ENTRIES_MOST",
-    "VERSION",
-    "Accepted",
-    "Ack",
-    "Append",
-    "Ask",
-    "Chunk",
-    "Chunked",
-    "Entry",
-    "Feed",
-    "Follow",
-    "Found",
-    "Here",
+    "MAX_BATCH_BYTES",
+    "MAX_CHUNK_BYTES",
+    "PROTOCOL_VERSION",
+    "AppendEntriesRequest",
+    "AppendEntriesResponse",
+    "BootstrapRequest",
+    "BootstrapResponse",
+    "EntryKind",
+    "IdentityRequest",
+    "IdentityResponse",
+    "InstallSnapshotRequest",
+    "InstallSnapshotResponse",
+    "LeaderMessage",
+    "LearnerPoll",
+    "LearnerUpdate",
+    "LogEntry",
     "Message",
-    "Read",
-    "ReadAt",
-    "Stand",
-    "Vote",
-    "Word",
+    "MessageTag",
+    "ReadIndexRequest",
+    "ReadIndexResponse",
+    "RequestVoteRequest",
+    "RequestVoteResponse",
+    "VoterId",
     "decode",
     "encode",
-    "short",
+    "max_encoded_bytes",
+    "short_incarnation",
 ]
 
-VERSION: Final = 1
-# A snapshot's part, and the data of the entries of one message with FRAME bytes for each, in bytes.
-CHUNK_MOST: Final = 160
-ENTRIES_MOST: Final = 175
-FRAME: Final = 14
-
-# Bounds far above what is ever reached keep one mad message from making numbers that can't be sent.
+PROTOCOL_VERSION: Final = 1
+# The data of one snapshot chunk.
+MAX_CHUNK_BYTES: Final = 160
+# The data of one message's entries, with ENTRY_OVERHEAD_BYTES for each.
+MAX_BATCH_BYTES: Final = 175
+ENTRY_OVERHEAD_BYTES: Final = 14
+# `match_index` of a replica that needs a snapshot.
+NEEDS_SNAPSHOT: Final = -1
+# `leader_id` of a voter that knows no leader.
+NO_LEADER: Final = -1
+
+# Bounds far above any real value: one corrupt message can't bring in numbers that can't be encoded again.
 Count = Annotated[int, msgspec.Meta(ge=0, lt=1 << 48)]
-Small = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
-Random = Annotated[int, msgspec.Meta(ge=0)]
-Mark = Annotated[int, msgspec.Meta(ge=-1, lt=1 << 48)]
-Seat = Annotated[int, msgspec.Meta(ge=0, lt=7)]
+Uint32 = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
+RandomId = Annotated[int, msgspec.Meta(ge=0)]
+OptionalIndex = Annotated[int, msgspec.Meta(ge=-1, lt=1 << 48)]
+VoterId = Annotated[int, msgspec.Meta(ge=0, lt=7)]
+
+
+class MessageTag(IntEnum):
+    """The first element of an encoded message."""
+
+    IDENTITY_REQUEST = 1
+    IDENTITY_RESPONSE = 2
+    BOOTSTRAP_REQUEST = 3
+    BOOTSTRAP_RESPONSE = 4
+    REQUEST_VOTE_REQUEST = 5
+    REQUEST_VOTE_RESPONSE = 6
+    APPEND_ENTRIES_REQUEST = 7
+    APPEND_ENTRIES_RESPONSE = 8
+    INSTALL_SNAPSHOT_REQUEST = 9
+    INSTALL_SNAPSHOT_RESPONSE = 10
+    LEARNER_POLL = 11
+    LEARNER_UPDATE = 12
+    READ_INDEX_REQUEST = 13
+    READ_INDEX_RESPONSE = 14
+    LEADER_MESSAGE = 15
+
 
+class EntryKind(IntEnum):
+    """What a log entry holds: nothing, data of the state machine, or the voters from here on."""
 
-class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One place in the record. `kind` is of `log.py`."""
+    NOOP = 0
+    DATA = 1
+    CONFIG = 2
+
+
+class LogEntry(msgspec.Struct, array_like=True, frozen=True):
+    """One entry of the replicated log."""
 
     term: Count
-    kind: Annotated[int, msgspec.Meta(ge=0, le=2)]
-    data: Annotated[bytes, msgspec.Meta(max_length=ENTRY_MOST)]
+    kind: EntryKind
+    data: Annotated[bytes, msgspec.Meta(max_length=MAX_ENTRY_BYTES)]
 
 
 class _Message(msgspec.Struct, array_like=True, frozen=True):
     pass
 
 
-class Ask(_Message, frozen=True, tag=1):
-    """Who are you? The answer gives the nonce back, so that it was made after the question."""
+class IdentityRequest(_Message, frozen=True, tag=MessageTag.IDENTITY_REQUEST.value):
+    """Asks a voter who it is. The answer repeats the nonce, so that it was made after the question."""
 
-    nonce: Random
+    nonce: RandomId
 
 
-class Here(_Message, frozen=True, tag=2):
-    """Who holds a seat now, what it has promised, how good its log is, and the newest voters it knows."""
+class IdentityResponse(_Message, frozen=True, tag=MessageTag.IDENTITY_RESPONSE.value):
+    """Which incarnation a voter is, what it has promised, how good its log is, and its configuration."""
 
-    nonce: Random
-    incarnation: Random
-    promised: Era
-    log_era: Era
-    last_term: Count
-    last: Count
+    nonce: RandomId
+    incarnation: RandomId
+    promised_epoch: ClusterEpoch
+    log_epoch: ClusterEpoch
+    last_log_term: Count
+    last_log_index: Count
     config_term: Count
     config_index: Count
-    members: Annotated[list[tuple[Seat, Random]], msgspec.Meta(max_length=7)]
-    in_touch: bool
+    members: Annotated[list[tuple[VoterId, RandomId]], msgspec.Meta(max_length=7)]
+    has_leader_contact: bool
 
 
-class Found(_Message, frozen=True, tag=3):
-    """Leave your era for this one, which these incarnations, by seat, are to begin."""
+class BootstrapRequest(_Message, frozen=True, tag=MessageTag.BOOTSTRAP_REQUEST.value):
+    """Asks a voter to leave its epoch for a new one, which these incarnations, by voter, are to begin."""
 
-    era: Era
-    nonce: Random
-    incarnations: Annotated[list[Random], msgspec.Meta(max_length=7)]
+    epoch: ClusterEpoch
+    nonce: RandomId
+    incarnations: Annotated[list[RandomId], msgspec.Meta(max_length=7)]
 
 
-class Accepted(_Message, frozen=True, tag=4):
-    """I have left every older era for this one, with a log as good as this."""
+class BootstrapResponse(_Message, frozen=True, tag=MessageTag.BOOTSTRAP_RESPONSE.value):
+    """Says that a voter has left every older epoch for this one, with a log as good as this."""
 
-    era: Era
-    nonce: Random
-    incarnation: Random
-    log_era: Era
-    last_term: Count
-    last: Count
+    epoch: ClusterEpoch
+    nonce: RandomId
+    incarnation: RandomId
+    log_epoch: ClusterEpoch
+    last_log_term: Count
+    last_log_index: Count
 
 
-class Stand(_Message, frozen=True, tag=5):
-    """RequestVote (Raft, figure 2); `pre`: would you vote for me (dissertation 9.6)?"""
+class RequestVoteRequest(_Message, frozen=True, tag=MessageTag.REQUEST_VOTE_REQUEST.value):
+    """RequestVote (Raft, figure 2), or PreVote (dissertation 9.6), which only asks for the intention."""
 
-    era: Era
-    to: Small
-    incarnation: Random
+    epoch: ClusterEpoch
+    recipient: Uint32
+    incarnation: RandomId
     term: Count
-    last_term: Count
-    last: Count
-    pre: bool
+    last_log_term: Count
+    last_log_index: Count
+    is_pre_vote: bool
 
 
-class Vote(_Message, frozen=True, tag=6):
-    """The answer to `Stand`, to the incarnation `to`. With `pre`, a yes has the term asked for."""
+class RequestVoteResponse(_Message, frozen=True, tag=MessageTag.REQUEST_VOTE_RESPONSE.value):
+    """The answer to the incarnation `candidate`. A granted PreVote has the term asked for."""
 
-    era: Era
-    incarnation: Random
-    to: Random
+    epoch: ClusterEpoch
+    incarnation: RandomId
+    candidate: RandomId
     term: Count
     granted: bool
-    pre: bool
+    is_pre_vote: bool
 
 
-class Append(_Message, frozen=True, tag=7):
-    """AppendEntries (Raft, figure 2), with the leader's round of heartbeats."""
+class AppendEntriesRequest(_Message, frozen=True, tag=MessageTag.APPEND_ENTRIES_REQUEST.value):
+    """AppendEntries (Raft, figure 2), with the number of the leader's heartbeat round."""
 
-    era: Era
-    to: Small
+    epoch: ClusterEpoch
+    recipient: Uint32
     term: Count
-    previous: Count
-    previous_term: Count
-    commit: Count
-    round: Count
-    entries: Annotated[list[Entry], msgspec.Meta(max_length=DATAGRAM_MOST)] = []
+    prev_log_index: Count
+    prev_log_term: Count
+    leader_commit: Count
+    heartbeat_round: Count
+    entries: Annotated[list[LogEntry], msgspec.Meta(max_length=MAX_DATAGRAM_BYTES)] = []
 
 
-class Ack(_Message, frozen=True, tag=8):
-    """The answer to `Append`. Not `ok`: `match` is where to go on; -1 says that a snapshot is needed."""
+class AppendEntriesResponse(_Message, frozen=True, tag=MessageTag.APPEND_ENTRIES_RESPONSE.value):
+    """Without success, `match_index` is where to continue; NEEDS_SNAPSHOT asks for one."""
 
-    era: Era
-    incarnation: Random
+    epoch: ClusterEpoch
+    incarnation: RandomId
     term: Count
-    ok: bool
-    match: Mark
-    round: Count
+    success: bool
+    match_index: OptionalIndex
+    heartbeat_round: Count
 
 
-class Chunk(_Message, frozen=True, tag=9):
-    """Part of a snapshot, from a leader (with its term) or to a learner."""
+class InstallSnapshotRequest(_Message, frozen=True, tag=MessageTag.INSTALL_SNAPSHOT_REQUEST.value):
+    """One chunk of a snapshot, from a leader (with its term) or to a learner."""
 
-    era: Era
-    to: Small
+    epoch: ClusterEpoch
+    recipient: Uint32
     term: Count
-    index: Count
-    index_term: Count
-    total: Small
-    crc: Small
-    offset: Small
-    round: Count
-    data: Annotated[bytes, msgspec.Meta(max_length=CHUNK_MOST)]
+    snapshot_index: Count
+    snapshot_term: Count
+    total_bytes: Uint32
+    checksum: Uint32
+    offset: Uint32
+    heartbeat_round: Count
+    data: Annotated[bytes, msgspec.Meta(max_length=MAX_CHUNK_BYTES)]
 
 
-class Chunked(_Message, frozen=True, tag=10):
-    """So much of that snapshot is here."""
+class InstallSnapshotResponse(_Message, frozen=True, tag=MessageTag.INSTALL_SNAPSHOT_RESPONSE.value):
+    """How many bytes of that snapshot have arrived."""
 
-    era: Era
-    incarnation: Random
+    epoch: ClusterEpoch
+    incarnation: RandomId
     term: Count
-    index: Count
-    crc: Small
-    got: Small
-    round: Count
+    snapshot_index: Count
+    checksum: Uint32
+    received_bytes: Uint32
+    heartbeat_round: Count
 
 
-class Follow(_Message, frozen=True, tag=11):
-    """A learner's question: what is agreed after this?"""
+class LearnerPoll(_Message, frozen=True, tag=MessageTag.LEARNER_POLL.value):
+    """A learner asks for the entries committed after `applied_index`."""
 
-    era: Era
-    incarnation: Random
-    applied: Count
+    epoch: ClusterEpoch
+    incarnation: RandomId
+    applied_index: Count
 
 
-class Feed(_Message, frozen=True, tag=12):
-    """A seat's answer and push: agreed entries after `previous`, and who leads (-1: nobody known)."""
+class LearnerUpdate(_Message, frozen=True, tag=MessageTag.LEARNER_UPDATE.value):
+    """Committed entries after `prev_index`, and who leads, polled for or pushed by a voter."""
 
-    era: Era
-    to: Small
-    leader: Mark
-    in_touch: bool
-    previous: Count
-    entries: Annotated[list[Entry], msgspec.Meta(max_length=DATAGRAM_MOST)] = []
+    epoch: ClusterEpoch
+    recipient: Uint32
+    leader_id: OptionalIndex
+    has_leader_contact: bool
+    prev_index: Count
+    entries: Annotated[list[LogEntry], msgspec.Meta(max_length=MAX_DATAGRAM_BYTES)] = []
 
 
-class Read(_Message, frozen=True, tag=13):
-    """How far is the record agreed, at least, at a time after this question?"""
+class ReadIndexRequest(_Message, frozen=True, tag=MessageTag.READ_INDEX_REQUEST.value):
+    """Asks the leader for a commit index that was valid after this question."""
 
-    incarnation: Random
-    nonce: Random
+    incarnation: RandomId
+    nonce: RandomId
 
 
-class ReadAt(_Message, frozen=True, tag=14):
-    """So far, confirmed by a majority after the question came."""
+class ReadIndexResponse(_Message, frozen=True, tag=MessageTag.READ_INDEX_RESPONSE.value):
+    """The commit index, confirmed by a majority after the question came."""
 
-    era: Era
-    nonce: Random
+    epoch: ClusterEpoch
+    nonce: RandomId
     index: Count
 
 
-class Word(_Message, frozen=True, tag=15):
-    """A word for the one that leads. `era`: of the record that it speaks of; NOWHERE from one that has
-    none yet.
-    """
+class LeaderMessage(_Message, frozen=True, tag=MessageTag.LEADER_MESSAGE.value):
+    """Data for whoever leads. `epoch` is of the log it speaks of, NO_EPOCH from a sender without one."""
 
-    era: Era
-    incarnation: Random
-    data: Annotated[bytes, msgspec.Meta(max_length=WORD_MOST)]
+    epoch: ClusterEpoch
+    incarnation: RandomId
+    data: Annotated[bytes, msgspec.Meta(max_length=MAX_LEADER_MESSAGE_BYTES)]
 
 
 Message = (
-    Ask
-    | Here
-    | Found
-    | Accepted
-    | Stand
-    | Vote
-    | Append
-    | Ack
-    | Chunk
-    | Chunked
-    | Follow
-    | Feed
-    | Read
-    | ReadAt
-    | Word
+    IdentityRequest
+    | IdentityResponse
+    | BootstrapRequest
+    | BootstrapResponse
+    | RequestVoteRequest
+    | RequestVoteResponse
+    | AppendEntriesRequest
+    | AppendEntriesResponse
+    | InstallSnapshotRequest
+    | InstallSnapshotResponse
+    | LearnerPoll
+    | LearnerUpdate
+    | ReadIndexRequest
+    | ReadIndexResponse
+    | LeaderMessage
 )
 
 _encode = msgspec.msgpack.Encoder().encode
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
-_HEAD: Final = bytes((VERSION,))
+_HEADER: Final = bytes((PROTOCOL_VERSION,))
 
 
 def encode(message: Message) -> bytes:
-    """One datagram. The bounds above keep it within DATAGRAM_MOST."""
-    return _HEAD + _encode(message)
+    """Encode as one datagram. The bounds above keep it within MAX_DATAGRAM_BYTES."""
+    return _HEADER + _encode(message)
 
 
 def decode(raw: bytes) -> Message | None:
-    """The message, or None (rule 2). Never raises."""
-    if len(raw) > DATAGRAM_MOST or raw[:1] != _HEAD:
+    """Decode a datagram; None where it is no message (rule 2). Never raises."""
+    if len(raw) > MAX_DATAGRAM_BYTES or raw[:1] != _HEADER:
         return None
     try:
         message = _decoder.decode(memoryview(raw)[1:])
     except (msgspec.DecodeError, ValueError, RecursionError):
         return None
-    era = getattr(message, "era", None)
-    if era is not None and not _sound(era):
+    epoch = getattr(message, "epoch", None)
+    if epoch is not None and not _is_within_bounds(epoch):
         return None
     return message
 
 
-def _sound(era: Era) -> bool:
-    return 0 <= era.generation < 1 << 32 and 0 <= era.id < 1 << 64
+def _is_within_bounds(epoch: ClusterEpoch) -> bool:
+    return 0 <= epoch.generation < 1 << 32 and 0 <= epoch.id < 1 << 64
 
 
-def short(incarnation: int) -> int:
-    """An incarnation as `to` has it: 5 bytes in a heartbeat, not 9."""
+def short_incarnation(incarnation: int) -> int:
+    """Return an incarnation's low 32 bits, as in `recipient`: 5 bytes of a heartbeat in place of 9."""
     return incarnation & 0xFFFFFFFF
 
 
-def cost(entry: Entry) -> int:
-    """An entry's room in a message, in bytes, at most."""
-    return len(entry.data) + FRAME
+def max_encoded_bytes(entry: LogEntry) -> int:
+    """Return an upper bound of an entry's size in a message."""
+    return len(entry.data) + ENTRY_OVERHEAD_BYTES
--- a/laurelstep/consensus/ports.py
+++ b/laurelstep/consensus/ports.py
@@ -1,6 +1,6 @@
-"""The sides of what is shared, each as narrow as the core and its driver need it.
+"""The interfaces of a replica to the network, the store and the state machine.
 
-The clock is the engine's (`laurelstep.engine.ports.Clock`); of it `now()` and `at()` alone are used.
+The clock is the engine's (`laurelstep.engine.ports.Clock`); only its `now()` and `at()` are used.
 """
 
 from __future__ import annotations
@@ -9,51 +9,55 @@
 from collections.abc import Callable, Mapping
 from typing import Final, Protocol
 
-__all__ = ["DATAGRAM_MOST", "Link", "Machine", "Store"]
+__all__ = ["MAX_DATAGRAM_BYTES", "Link", "StateMachine", "Store"]
 
-# The protocol page's limit between sidecars, in bytes.
-DATAGRAM_MOST: Final = 256
+# The limit between sidecars, by the protocol page.
+MAX_DATAGRAM_BYTES: Final = 256
 
 
 class Link(Protocol):
-    """Datagrams to peers by their number in the list. They may be lost, doubled, late and out of order."""
+    """Sends datagrams to peers by their number in the list. They may be lost, doubled, late and reordered."""
 
     def open(self, receive: Callable[[int, bytes], None]) -> None:
-        """Once: from now on `receive(peer, datagram)` is called, for listed peers only."""
+        """Start to call `receive(peer, datagram)`, for listed peers only. Called once."""
 
     def send(self, peer: int, data: bytes) -> None:
         """Send, or lose. Never blocks, and never raises for what the network does.
 
-        Raises LinkError over DATAGRAM_MOST bytes, or for a number that is no peer's.
+        Raises LinkError over MAX_DATAGRAM_BYTES, or for a number that is no peer's.
         """
 
     def close(self) -> None:
-        """Nothing is received after."""
+        """Stop receiving."""
 
 
 class Store(Protocol):
-    """What must survive a crash, if anything does."""
+    """Keeps the records that must survive a crash, if any do."""
 
-    # False: `load` is empty at every start, and `write` is done at once.
-    lasting: bool
+    # False: `load` is empty at every start, and `write` completes at once.
+    is_durable: bool
 
     async def load(self) -> dict[bytes, bytes]:
-        """All that is kept. Raises StoreError."""
+        """Return all records. Raises StoreError."""
 
     def write(self, changes: Mapping[bytes, bytes | None]) -> asyncio.Future[None]:
-        """Durable together or not at all, in the order of the calls; None deletes. The future: StoreError."""
+        """Make the changes durable, all or none, in the order of the calls; None deletes.
 
-    async def close(self) -> None: ...
+        The future raises StoreError.
+        """
+
+    async def close(self) -> None:
+        """Finish pending writes and release the store."""
 
 
-class Machine(Protocol):
-    """What agreed entries act on: deterministic, the same in every process, without a clock."""
+class StateMachine(Protocol):
+    """Applies committed entries: deterministic, the same in every replica, without a clock."""
 
     def apply(self, index: int, data: bytes) -> None:
-        """Act on the agreed entry. Never raises for any bytes: what it can't read it ignores and counts."""
+        """Apply a committed entry. Never raises: data that can't be read is ignored and counted."""
 
     def dump(self) -> bytes:
-        """All there is, as bytes: equal states give equal bytes."""
+        """Return the whole state as bytes: equal states give equal bytes."""
 
     def load(self, raw: bytes) -> None:
-        """Become what `dump` gave. Empty bytes: as new."""
+        """Replace the state by what `dump` gave; by the initial state if empty."""
--- a/laurelstep/consensus/snapshots.py
+++ b/laurelstep/consensus/snapshots.py
@@ -1,94 +1,133 @@
-"""Snapshots: what stands in the place of the oldest entries, and how it travels. Pure.
+"""Snapshots: what stands for the oldest entries of the log, and how it is transferred. Pure.
 
-1. A snapshot is the machine as of an agreed place, the place's term, and the voters as of it.
-2. It travels in parts, each sent when the one before has arrived, from one sender at a time.
-3. What arrives is used only when it is whole and its checksum holds; until then nothing is given up for it.
+1. A snapshot is the state machine as of a committed index, the index's term, and the voters as of it.
+2. It travels in chunks, each sent when the one before has arrived, from one sender at a time.
+3. It is used only when it is complete and its checksum holds; until then nothing is given up for it.
 """
 
 from __future__ import annotations
 
 import dataclasses
 import zlib
+from typing import Final
 
 import msgspec
 
-from laurelstep.consensus.log import Config
-from laurelstep.consensus.messages import CHUNK_MOST, Chunk, Seat
-from laurelstep.consensus.terms import Era
+from laurelstep.consensus.epoch import ClusterEpoch
+from laurelstep.consensus.log import ClusterConfig
+from laurelstep.consensus.messages import MAX_CHUNK_BYTES, InstallSnapshotRequest, VoterId
 
-__all__ = ["SNAPSHOT_MOST", "Assembly", "Snapshot"]
+__all__ = ["MAX_SNAPSHOT_BYTES", "Snapshot", "SnapshotAssembly"]
 
-# The longest snapshot that is taken in, in bytes: a thousand machines' worth of a roll is far below.
-SNAPSHOT_MOST = 1 << 20
+# The longest snapshot that is taken in: the state of a thousand machines under maintenance is far below.
+MAX_SNAPSHOT_BYTES: Final = 1 << 20
 
 
-class _Body(msgspec.Struct, array_like=True):
+class _Payload(msgspec.Struct, array_like=True):
+    """The encoded form: its field order may not change."""
+
     config_index: int
     config_term: int
-    members: list[tuple[Seat, int]]
+    members: list[tuple[VoterId, int]]
     dump: bytes
 
 
-_body: msgspec.msgpack.Decoder[_Body] = msgspec.msgpack.Decoder(_Body)
+_payload_decoder: msgspec.msgpack.Decoder[_Payload] = msgspec.msgpack.Decoder(_Payload)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
-    """Rule 1. `raw` holds the voters and the machine."""
+    """The state as of `index` (rule 1). `payload` holds the voters and the state machine's dump."""
 
-    era: Era
+    epoch: ClusterEpoch
     index: int
     term: int
-    raw: bytes
-    crc: int
+    payload: bytes
+    checksum: int
+
+    @classmethod
+    def create(
+        cls, epoch: ClusterEpoch, index: int, term: int, config: ClusterConfig, dump: bytes
+    ) -> Snapshot:
+        """Make a snapshot of a state machine's dump."""
+        payload = _Payload(config.index, config.term, sorted(config.members.items()), dump)
+        return cls.from_payload(epoch, index, term, msgspec.msgpack.encode(payload))
 
     @classmethod
-    def of(cls, era: Era, index: int, term: int, config: Config, dump: bytes) -> Snapshot:
-        body = _Body(config.index, config.term, sorted(config.members.items()), dump)
-        return cls.having(era, index, term, msgspec.msgpack.encode(body))
+    def from_payload(cls, epoch: ClusterEpoch, index: int, term: int, payload: bytes) -> Snapshot:
+        """Make a snapshot of an encoded payload, which may have been received or stored."""
+        return cls(epoch, index, term, payload, zlib.crc32(payload))
+
+    def decode(self) -> tuple[ClusterConfig, bytes]:
+        """Return the voters and the state machine's dump. Raises msgspec.DecodeError."""
+        payload = _payload_decoder.decode(self.payload)
+        config = ClusterConfig(payload.config_index, payload.config_term, dict(payload.members))
+        return config, payload.dump
+
+    def chunk(self, recipient: int, term: int, offset: int, heartbeat_round: int) -> InstallSnapshotRequest:
+        """Return the message with the chunk at an offset, in bytes."""
+        return InstallSnapshotRequest(
+            self.epoch,
+            recipient,
+            term,
+            self.index,
+            self.term,
+            len(self.payload),
+            self.checksum,
+            offset,
+            heartbeat_round,
+            self.payload[offset : offset + MAX_CHUNK_BYTES],
+        )
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class _SnapshotHeader:
+    """What all chunks of one snapshot have in common."""
+
+    epoch: ClusterEpoch
+    index: int
+    term: int
+    total_bytes: int
+    checksum: int
 
     @classmethod
-    def having(cls, era: Era, index: int, term: int, raw: bytes) -> Snapshot:
-        return cls(era, index, term, raw, zlib.crc32(raw))
-
-    def open(self) -> tuple[Config, bytes]:
-        """The voters and the machine's dump. Raises msgspec.DecodeError."""
-        body = _body.decode(self.raw)
-        return Config(body.config_index, body.config_term, dict(body.members)), body.dump
-
-    def part(self, to: int, term: int, offset: int, heartbeats: int) -> Chunk:
-        data = self.raw[offset : offset + CHUNK_MOST]
-        return Chunk(
-            self.era, to, term, self.index, self.term, len(self.raw), self.crc, offset, heartbeats, data
+    def of(cls, message: InstallSnapshotRequest) -> _SnapshotHeader:
+        return cls(
+            message.epoch,
+            message.snapshot_index,
+            message.snapshot_term,
+            message.total_bytes,
+            message.checksum,
         )
 
 
-class Assembly:
-    """What has arrived of one snapshot."""
+class SnapshotAssembly:
+    """Joins the chunks of one snapshot at a time."""
 
     def __init__(self) -> None:
-        self._of: tuple[Era, int, int, int, int] | None = None
-        self._parts = bytearray()
+        self._header: _SnapshotHeader | None = None
+        self._payload = bytearray()
 
-    def add(self, chunk: Chunk) -> int:
-        """How much of it is here after this part."""
-        of = (chunk.era, chunk.index, chunk.index_term, chunk.total, chunk.crc)
-        if chunk.total > SNAPSHOT_MOST:
+    def add(self, message: InstallSnapshotRequest) -> int:
+        """Take a chunk, and return how many bytes are there: where the next chunk begins."""
+        if message.total_bytes > MAX_SNAPSHOT_BYTES:
             return 0
-        if of != self._of:
-            self._of = of
-            self._parts.clear()
-        if chunk.offset == len(self._parts) and len(self._parts) + len(chunk.data) <= chunk.total:
-            self._parts += chunk.data
-        return len(self._parts)
-
-    def whole(self) -> Snapshot | None:
-        """The snapshot, once; None while parts are missing, or where the checksum does not hold."""
-        if self._of is None or len(self._parts) < self._of[3]:
+        header = _SnapshotHeader.of(message)
+        if header != self._header:
+            self._header = header
+            self._payload.clear()
+        is_next = message.offset == len(self._payload)
+        if is_next and len(self._payload) + len(message.data) <= message.total_bytes:
+            self._payload += message.data
+        return len(self._payload)
+
+    def take_complete(self) -> Snapshot | None:
+        """Return the snapshot, once; None while chunks are missing, or where the checksum does not hold."""
+        header = self._header
+        if header is None or len(self._payload) < header.total_bytes:
             return None
-        era, index, term, _, crc = self._of
-        raw = bytes(self._parts)
-        self._of = None
-        self._parts.clear()
-        snapshot = Snapshot.having(era, index, term, raw)
-        return snapshot if snapshot.crc == crc else None
+        payload = bytes(self._payload)
+        self._header = None
+        self._payload.clear()
+        snapshot = Snapshot.from_payload(header.epoch, header.index, header.term, payload)
+        return snapshot if snapshot.checksum == header.checksum else None
--- a/laurelstep/consensus/state.py
+++ b/laurelstep/consensus/state.py
@@ -1,13 +1,15 @@
-"""What one process holds of the record, and the few steps that change it. Pure.
-
-1. `promised` is the era that this process takes part in; it only grows, but for founding.py, rule 7. `log`
-   may still be of an older one: until the first snapshot of the new era is here whole, nothing of the old is
-   given up.
-2. `frozen`: an era was promised of which nobody has been heard to have begun it. A frozen process keeps its
-   log as it is, neither votes nor stands, and takes nothing from any older era.
-3. A vote is kept before it is sent; it is for one incarnation, in one term of one era.
-4. What is agreed is applied in order, once; `applied` goes back only with a snapshot of a newer era.
-5. The log is bounded: past `log_most` applied entries there is a snapshot, and a quarter of them stays.
+"""The state of one replica, and the few steps that change it. Pure.
+
+1. `promised_epoch` is the epoch that this replica takes part in; it only grows, but for bootstrap.py, rule 7.
+   `log` may still be of an older one: until the first snapshot of the new epoch is complete here, nothing of
+   the old is given up.
+2. Frozen: an epoch was promised that is not known to have started. A frozen replica keeps its log as it is,
+   neither votes nor campaigns, and takes nothing from any older epoch.
+3. A vote is persisted before it is sent; it is for one incarnation, in one term of one epoch.
+4. Committed entries are applied in order, once; `applied_index` goes back only with a snapshot of a newer
+   epoch.
+5. The log is bounded: after `max_log_entries` applied entries a snapshot is made, and a quarter of them
+   stays.
 """
 
 from __future__ import annotations
@@ -15,295 +17,320 @@
 import random
 from collections import Counter
 from collections.abc import Callable, Mapping
-from typing import Final
-
-from laurelstep.consensus import kept
-from laurelstep.consensus.errors import KeptError
-from laurelstep.consensus.log import DATA, Config, Entry, Log
-from laurelstep.consensus.messages import Message, encode
-from laurelstep.consensus.ports import Machine
+from enum import StrEnum
+
+from laurelstep.consensus import stored_state
+from laurelstep.consensus.effects import StepEffects
+from laurelstep.consensus.epoch import NO_EPOCH, ClusterEpoch
+from laurelstep.consensus.errors import StoredStateError
+from laurelstep.consensus.log import ClusterConfig, ReplicatedLog
+from laurelstep.consensus.messages import EntryKind, LogEntry, Message, encode
+from laurelstep.consensus.ports import StateMachine
 from laurelstep.consensus.snapshots import Snapshot
-from laurelstep.consensus.terms import NOWHERE, Effects, Era, Timing
+from laurelstep.consensus.stored_state import HardState, LogBase, ReplicaIdentity
+from laurelstep.consensus.timing import NEVER_US, ConsensusTiming
+
+__all__ = ["ReplicaRole", "ReplicaState"]
 
-__all__ = ["CANDIDATE", "FAR", "FOLLOWER", "FROZEN", "LEADER", "LEARNER", "State"]
 
-LEADER: Final = "leader"
-CANDIDATE: Final = "candidate"
-FOLLOWER: Final = "follower"
-FROZEN: Final = "frozen"
-LEARNER: Final = "learner"
+class ReplicaRole(StrEnum):
+    """What a replica does in its epoch. The values are shown to operators."""
 
-# A time that never comes, in µs.
-FAR: Final = 1 << 62
+    LEADER = "leader"
+    CANDIDATE = "candidate"
+    FOLLOWER = "follower"
+    FROZEN = "frozen"
+    LEARNER = "learner"
 
 
-def _unheard(peer: int, incarnation: int, data: bytes) -> None:
-    """Words go nowhere until somebody listens."""
+def _ignore_leader_message(peer: int, incarnation: int, data: bytes) -> None:
+    """Drop leader messages until somebody listens."""
 
 
-class State:
-    """See the rules."""
+class ReplicaState:
+    """The state that the parts of the core share. See the rules."""
 
     def __init__(
         self,
-        me: int,
-        peers: int,
-        seats: int,
+        replica_id: int,
+        peer_count: int,
+        voter_count: int,
         incarnation: int,
-        machine: Machine,
-        timing: Timing,
-        draw: random.Random,
+        state_machine: StateMachine,
+        timing: ConsensusTiming,
+        rng: random.Random,
     ) -> None:
-        self.me = me
-        self.peers = peers
-        self.seats = seats
+        """The replicas with numbers below `voter_count` vote, the other ones learn."""
+        self.replica_id = replica_id
+        self.peer_count = peer_count
+        self.voter_count = voter_count
         self.incarnation = incarnation
-        self.machine = machine
+        self.state_machine = state_machine
         self.timing = timing
-        self.draw = draw
+        self.rng = rng
 
-        self.promised: Era = NOWHERE
-        self.live = True
-        self.frozen_at = 0
+        self.promised_epoch: ClusterEpoch = NO_EPOCH
+        self.has_epoch_started = True
+        self.frozen_at_us = 0
         self.term = 0
-        self.voted: tuple[int, int] | None = None
-        self.log = Log()
+        self.voted_for: tuple[int, int] | None = None
+        self.log = ReplicatedLog()
         self.snapshot: Snapshot | None = None
-        self.committed = 0
-        self.applied = 0
-
-        self.role = FOLLOWER if self.seated else LEARNER
-        self.leader: int | None = None
-        # When a leader of this era was last heard, and until when a follower waits for one.
-        self.heard_at = 0
-        self.patience = FAR
-        # The record was read as of a time after this process began.
-        self.known = False
-        # A learner heard of a leader in an era that is not newer than its own: one of the two is over.
-        self.doubt = False
-        self.heard: Callable[[int, int, bytes], None] = _unheard
-
-        self.now = 0
-        self.effects = Effects()
+        self.committed_index = 0
+        self.applied_index = 0
+
+        self.role = ReplicaRole.FOLLOWER if self.is_voter else ReplicaRole.LEARNER
+        self.leader_id: int | None = None
+        # When a leader of this epoch was heard from last, and until when a follower waits for one.
+        self.last_leader_contact_us = 0
+        self.election_deadline_us = NEVER_US
+        # The log was read as of a time after this replica started (read_index.py).
+        self.is_caught_up = False
+        # A learner heard of a leader in an epoch that is not newer than its own: one of the two is over.
+        self.is_epoch_in_doubt = False
+        self.on_leader_message: Callable[[int, int, bytes], None] = _ignore_leader_message
+
+        self.now_us = 0
+        self.effects = StepEffects()
         self.counters: Counter[str] = Counter()
 
-    # What is sent and kept
+    # Who this replica is
 
     @property
-    def seated(self) -> bool:
-        return self.me < self.seats
+    def is_voter(self) -> bool:
+        """Whether this replica may become a member that votes."""
+        return self.replica_id < self.voter_count
 
     @property
-    def others(self) -> list[int]:
-        """The other seats."""
-        return [seat for seat in range(self.seats) if seat != self.me]
+    def other_voters(self) -> list[int]:
+        """The numbers of the other voters."""
+        return [voter_id for voter_id in range(self.voter_count) if voter_id != self.replica_id]
 
     @property
-    def whole(self) -> bool:
-        """Whether the log is of the era that this process takes part in, and begun."""
-        return self.live and self.log.era == self.promised != NOWHERE
+    def has_current_log(self) -> bool:
+        """Whether the log is of the epoch that this replica takes part in, and that epoch has started."""
+        return self.has_epoch_started and self.log.epoch == self.promised_epoch != NO_EPOCH
 
-    def in_touch(self, now: int) -> bool:
-        """Whether a leader that a majority follows was heard lately: see `heard_at`."""
-        if self.leader is None:
+    def has_leader_contact(self, now_us: int) -> bool:
+        """Whether a leader that a majority follows was heard from lately."""
+        if self.leader_id is None:
             return False
-        patience = 2 * self.timing.election_us if self.seated else 3 * self.timing.rest_us
-        return now - self.heard_at <= patience
+        timing = self.timing
+        limit_us = 2 * timing.election_timeout_us if self.is_voter else 3 * timing.learner_poll_us
+        return now_us - self.last_leader_contact_us <= limit_us
+
+    # Effects
 
     def send(self, peer: int, message: Message) -> None:
-        self.effects.sends.append((peer, encode(message)))
+        """Send a message once this step's records are durable."""
+        self.effects.outgoing.append((peer, encode(message)))
 
-    def keep_promise(self) -> None:
-        promise = kept.Promise(self.promised, self.live, self.term, self.voted)
-        self.effects.keep[kept.VOTE] = kept.raw(promise)
+    def _persist(self, key: bytes, record: HardState | ReplicaIdentity | LogBase | LogEntry) -> None:
+        self.effects.persist[key] = stored_state.encode_record(record)
 
-    def keep_me(self) -> None:
-        self.effects.keep[kept.ME] = kept.raw(kept.Me(self.me, self.peers, self.seats, self.incarnation))
+    def persist_hard_state(self) -> None:
+        """Persist the promised epoch, the term and the vote."""
+        hard_state = HardState(self.promised_epoch, self.has_epoch_started, self.term, self.voted_for)
+        self._persist(stored_state.HARD_STATE_KEY, hard_state)
 
-    def _keep_base(self) -> None:
+    def persist_identity(self) -> None:
+        """Persist whose records these are."""
+        identity = ReplicaIdentity(self.replica_id, self.peer_count, self.voter_count, self.incarnation)
+        self._persist(stored_state.IDENTITY_KEY, identity)
+
+    def _persist_log_base(self) -> None:
         if self.snapshot is None:
             return
-        floor = self.log.floor
-        base = kept.Base(
-            self.log.era,
-            self.log.start,
-            self.log.start_term,
-            floor.index,
-            floor.term,
-            sorted(floor.members.items()),
+        config = self.log.base_config
+        base = LogBase(
+            self.log.epoch,
+            self.log.base_index,
+            self.log.base_term,
+            config.index,
+            config.term,
+            sorted(config.members.items()),
             self.snapshot.index,
             self.snapshot.term,
-            self.snapshot.raw,
+            self.snapshot.payload,
         )
-        self.effects.keep[kept.BASE] = kept.raw(base)
+        self._persist(stored_state.LOG_BASE_KEY, base)
 
-    def _forget(self, first: int, last: int) -> None:
+    def _delete_entries(self, first: int, last: int) -> None:
         for index in range(first, last + 1):
-            self.effects.keep[kept.entry_key(index)] = None
+            self.effects.persist[stored_state.entry_key(index)] = None
 
-    # Eras, terms, roles
+    # Epochs, terms, roles
 
-    def patient(self) -> None:
-        """Wait for a leader: between once and twice the election time."""
-        least = self.timing.election_us
-        self.patience = self.now + least + self.draw.randrange(least)
+    def reset_election_timer(self) -> None:
+        """Wait for a leader: between once and twice the election timeout."""
+        timeout_us = self.timing.election_timeout_us
+        self.election_deadline_us = self.now_us + timeout_us + self.rng.randrange(timeout_us)
 
-    def follow(self, leader: int | None) -> None:
-        """Be a follower, of that leader where one is heard."""
-        self.role = FOLLOWER
-        self.leader = leader
-        if leader is not None:
-            self.heard_at = self.now
-        self.patient()
+    def become_follower(self, leader_id: int | None) -> None:
+        """Follow a leader that was heard from, or wait for one."""
+        self.role = ReplicaRole.FOLLOWER
+        self.leader_id = leader_id
+        if leader_id is not None:
+            self.last_leader_contact_us = self.now_us
+        self.reset_election_timer()
 
     def enter_term(self, term: int) -> None:
-        """A later term of this era."""
-        self.term, self.voted = term, None
-        self.keep_promise()
-        self.follow(None)
-
-    def enter_era(self, era: Era) -> None:
-        """An era that is known to live."""
-        if era != self.promised:
-            self.promised, self.term, self.voted = era, 0, None
-            self.known = False
-        self.live = True
-        self.keep_promise()
-        self.follow(None)
-
-    def freeze(self, era: Era) -> None:
-        """Promise an era that is not known to live (rule 2)."""
-        self.promised, self.term, self.voted = era, 0, None
-        self.live = False
-        self.known = False  # of the new era nothing is: reading.py, rule 3
-        self.frozen_at = self.now
-        self.role = FROZEN
-        self.leader = None
-        self.patience = FAR
-        self.keep_promise()
+        """Enter a later term of this epoch."""
+        self.term, self.voted_for = term, None
+        self.persist_hard_state()
+        self.become_follower(None)
+
+    def enter_epoch(self, epoch: ClusterEpoch) -> None:
+        """Enter an epoch that is known to have started."""
+        if epoch != self.promised_epoch:
+            self.promised_epoch, self.term, self.voted_for = epoch, 0, None
+            self.is_caught_up = False
+        self.has_epoch_started = True
+        self.persist_hard_state()
+        self.become_follower(None)
+
+    def freeze(self, epoch: ClusterEpoch) -> None:
+        """Promise an epoch that is not known to have started (rule 2)."""
+        self.promised_epoch, self.term, self.voted_for = epoch, 0, None
+        self.has_epoch_started = False
+        self.is_caught_up = False  # with the new epoch: read_index.py, rule 3
+        self.frozen_at_us = self.now_us
+        self.role = ReplicaRole.FROZEN
+        self.leader_id = None
+        self.election_deadline_us = NEVER_US
+        self.persist_hard_state()
 
     # The log
 
-    def append(self, kind: int, data: bytes) -> int:
-        """Add an entry of this term; gives its place."""
-        return self.take(Entry(self.term, kind, data))
+    def append_new(self, kind: EntryKind, data: bytes) -> int:
+        """Append an entry of this term, and return its index."""
+        return self.append_entry(LogEntry(self.term, kind, data))
 
-    def take(self, entry: Entry) -> int:
+    def append_entry(self, entry: LogEntry) -> int:
+        """Append and persist an entry, and return its index."""
         index = self.log.append(entry)
-        self.effects.keep[kept.entry_key(index)] = kept.raw(entry)
+        self._persist(stored_state.entry_key(index), entry)
         return index
 
-    def cut(self, last: int) -> None:
-        self._forget(last + 1, self.log.last)
-        self.log.cut(last)
+    def truncate_after(self, index: int) -> None:
+        """Remove all entries after an index."""
+        self._delete_entries(index + 1, self.log.last_index)
+        self.log.truncate_after(index)
 
     def commit_to(self, index: int) -> None:
-        """Apply what is agreed up to there."""
-        index = min(index, self.log.last)
-        if index <= self.committed:
+        """Apply what is committed, up to an index; compact where the log is too long."""
+        index = min(index, self.log.last_index)
+        if index <= self.committed_index:
             return
-        self.committed = index
+        self.committed_index = index
         self.apply_to(index)
-        if self.applied - self.log.start >= self.timing.log_most:
+        if self.applied_index - self.log.base_index >= self.timing.max_log_entries:
             self.compact()
 
     def apply_to(self, index: int) -> None:
-        while self.applied < index:
-            self.applied += 1
-            entry = self.log.entry(self.applied)
-            if entry.kind == DATA:
-                self.machine.apply(self.applied, entry.data)
-        self.effects.changed = True
+        """Apply the log's entries up to an index."""
+        while self.applied_index < index:
+            self.applied_index += 1
+            entry = self.log.entry(self.applied_index)
+            if entry.kind == EntryKind.DATA:
+                self.state_machine.apply(self.applied_index, entry.data)
+        self.effects.state_changed = True
 
     def compact(self) -> None:
-        """A snapshot of what is applied; rule 5."""
-        term = self.log.term_at(self.applied)
+        """Make a snapshot of what is applied, and drop the entries that it stands for (rule 5)."""
+        term = self.log.term_at(self.applied_index)
         assert term is not None
-        config = self.log.config_at(self.applied)
-        self.snapshot = Snapshot.of(self.log.era, self.applied, term, config, self.machine.dump())
-        before = self.log.start
-        self.log.compact(max(before, self.applied - self.timing.log_most // 4))
-        self._forget(before + 1, self.log.start)
-        self._keep_base()
-
-    def install(self, snapshot: Snapshot) -> None:
-        """Take a snapshot from another. Raises msgspec.DecodeError, with nothing changed."""
-        era = snapshot.era
-        config, dump = snapshot.open()
-        if era == self.log.era and self.log.term_at(snapshot.index) == snapshot.term:
-            # What follows the snapshot in the log is the same log's.
-            before = self.log.start
-            self.log.compact(snapshot.index)
-            self._forget(before + 1, self.log.start)
+        config = self.log.config_at(self.applied_index)
+        dump = self.state_machine.dump()
+        self.snapshot = Snapshot.create(self.log.epoch, self.applied_index, term, config, dump)
+        old_base = self.log.base_index
+        self.log.compact_to(max(old_base, self.applied_index - self.timing.max_log_entries // 4))
+        self._delete_entries(old_base + 1, self.log.base_index)
+        self._persist_log_base()
+
+    def install_snapshot(self, snapshot: Snapshot) -> None:
+        """Replace the state by a received snapshot. Raises msgspec.DecodeError, with nothing changed."""
+        epoch = snapshot.epoch
+        config, dump = snapshot.decode()
+        if epoch == self.log.epoch and self.log.term_at(snapshot.index) == snapshot.term:
+            # The entries after the snapshot's index are of the same log: they stay.
+            old_base = self.log.base_index
+            self.log.compact_to(snapshot.index)
+            self._delete_entries(old_base + 1, self.log.base_index)
         else:
-            self._forget(self.log.start + 1, self.log.last)
-            self.log = Log(era, snapshot.index, snapshot.term, config)
-        self._rest_on(snapshot, dump)
-
-    def forget_era(self) -> None:
-        """A learner: its era is over, and the one that lives is not greater (learning.py, rule 6)."""
-        self.log = Log()
-        self.promised, self.known = NOWHERE, False
-        self.counters["eras_forgotten"] += 1
-
-    def begin(self, era: Era, members: Mapping[int, int]) -> None:
-        """The founder: the whole log, applied, is what the new era begins with (founding.py, rule 6)."""
-        self.apply_to(self.log.last)
-        config = Config(self.applied, 0, dict(members))
-        self._forget(self.log.start + 1, self.log.last)
-        self.log = Log(era, self.applied, 0, config)
-        self.snapshot = Snapshot.of(self.log.era, self.applied, 0, config, self.machine.dump())
-        self.committed = self.applied
-        self.live = True
-        self.term, self.voted = 1, (self.me, self.incarnation)
-        self.known = False
-        self.keep_promise()
-        self._keep_base()
-
-    def _rest_on(self, snapshot: Snapshot, dump: bytes) -> None:
-        self.machine.load(dump)
+            self._delete_entries(self.log.base_index + 1, self.log.last_index)
+            self.log = ReplicatedLog(epoch, snapshot.index, snapshot.term, config)
+        self.state_machine.load(dump)
         self.snapshot = snapshot
-        self.applied = self.committed = snapshot.index
-        self.effects.changed = True
-        self._keep_base()
-
-    # A start from what was kept
+        self.applied_index = self.committed_index = snapshot.index
+        self.effects.state_changed = True
+        self._persist_log_base()
+
+    def discard_epoch(self) -> None:
+        """A learner's epoch is over, and the one that lives is not greater (learner.py, rule 6)."""
+        self.log = ReplicatedLog()
+        self.promised_epoch, self.is_caught_up = NO_EPOCH, False
+        self.counters["eras_forgotten"] += 1
 
-    def restore(self, found: Mapping[bytes, bytes]) -> None:
-        """Raises KeptError."""
-        me = kept.read(found, kept.ME, kept.Me)
-        if me is None:
+    def start_epoch(self, epoch: ClusterEpoch, members: Mapping[int, int]) -> None:
+        """Start a new epoch with the whole log, applied, as its first snapshot (bootstrap.py, rule 6)."""
+        self.apply_to(self.log.last_index)
+        index = self.applied_index
+        config = ClusterConfig(index, 0, dict(members))
+        self._delete_entries(self.log.base_index + 1, self.log.last_index)
+        self.log = ReplicatedLog(epoch, index, 0, config)
+        self.snapshot = Snapshot.create(epoch, index, 0, config, self.state_machine.dump())
+        self.committed_index = index
+        self.has_epoch_started = True
+        self.term, self.voted_for = 1, (self.replica_id, self.incarnation)
+        self.is_caught_up = False
+        self.persist_hard_state()
+        self._persist_log_base()
+
+    # Stored state
+
+    def restore(self, records: Mapping[bytes, bytes]) -> None:
+        """Continue from stored records, if there are any. Raises StoredStateError."""
+        identity = stored_state.read_record(records, stored_state.IDENTITY_KEY, ReplicaIdentity)
+        if identity is None:
             return
-        if (me.me, me.peers, me.seats) != (self.me, self.peers, self.seats):
-            raise KeptError(
-                f"kept by peer {me.me} of {me.peers} with {me.seats} seats, "
-                f"not by peer {self.me} of {self.peers} with {self.seats}"
-            )
-        self.incarnation = me.incarnation
-        promise = kept.read(found, kept.VOTE, kept.Promise)
-        if promise is not None:
-            self.promised, self.live = promise.era, promise.live
-            self.term, self.voted = promise.term, promise.voted
-        base = kept.read(found, kept.BASE, kept.Base)
+        self._check_owner(identity)
+        self.incarnation = identity.incarnation
+        hard_state = stored_state.read_record(records, stored_state.HARD_STATE_KEY, HardState)
+        if hard_state is not None:
+            self.promised_epoch, self.term = hard_state.promised_epoch, hard_state.term
+            self.has_epoch_started, self.voted_for = hard_state.has_epoch_started, hard_state.voted_for
+        base = stored_state.read_record(records, stored_state.LOG_BASE_KEY, LogBase)
         if base is not None:
-            self.log, self.snapshot = kept.log_from(found, base)
-            self.machine.load(self.snapshot.open()[1])
-            self.applied = self.committed = self.snapshot.index
-        if self.seated and not self.live:
-            self.role = FROZEN
-
-    def dump(self) -> dict[bytes, bytes]:
-        """All that a successor of the same incarnation begins with."""
-        self.effects = Effects()
-        self.keep_me()
-        self.keep_promise()
-        if self.log.era != NOWHERE:
-            if not self.seated:
-                self.log = Log(self.log.era, self.applied, 0)
-                self.snapshot = Snapshot.of(
-                    self.log.era, self.applied, 0, self.log.config, self.machine.dump()
-                )
-            self._keep_base()
-        for index in range(self.log.start + 1, self.log.last + 1):
-            self.effects.keep[kept.entry_key(index)] = kept.raw(self.log.entry(index))
-        return {key: value for key, value in self.effects.keep.items() if value is not None}
+            self.log, self.snapshot = stored_state.load_log(records, base)
+            self.state_machine.load(self.snapshot.decode()[1])
+            self.applied_index = self.committed_index = self.snapshot.index
+        if self.is_voter and not self.has_epoch_started:
+            self.role = ReplicaRole.FROZEN
+
+    def _check_owner(self, identity: ReplicaIdentity) -> None:
+        owner = (identity.replica_id, identity.peer_count, identity.voter_count)
+        if owner != (self.replica_id, self.peer_count, self.voter_count):
+            raise StoredStateError(
+                f"stored by peer {owner[0]} of {owner[1]} with {owner[2]} voters, "
+                f"not by peer {self.replica_id} of {self.peer_count} with {self.voter_count}"
+            )
+
+    def dump_records(self) -> dict[bytes, bytes]:
+        """Return all records that a successor of the same incarnation continues from."""
+        self.effects = StepEffects()
+        self.persist_identity()
+        self.persist_hard_state()
+        if self.log.epoch != NO_EPOCH:
+            if not self.is_voter:
+                self._snapshot_for_learner()
+            self._persist_log_base()
+        for index in range(self.log.base_index + 1, self.log.last_index + 1):
+            self._persist(stored_state.entry_key(index), self.log.entry(index))
+        return {key: value for key, value in self.effects.persist.items() if value is not None}
+
+    def _snapshot_for_learner(self) -> None:
+        """A learner applies entries without a log: its snapshot stands for all of them."""
+        index = self.applied_index
+        self.log = ReplicatedLog(self.log.epoch, index, 0)
+        self.snapshot = Snapshot.create(self.log.epoch, index, 0, self.log.config, self.state_machine.dump())
--- /dev/null
+++ b/laurelstep/consensus/step_runner.py
@@ -0,0 +1,181 @@
+"""Runs the steps of one core, one after the other, with their effects in order.
+
+1. A step's records are durable before its datagrams leave, before its change is reported, and before the next
+   step. Steps that come meanwhile are queued in their order, up to a bound; over it, a datagram or tick is
+   dropped and counted, and a caller gets BusyError.
+2. A store or a core that fails stops the runner, and the failure is reported. Once stopped, nothing is sent.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import functools
+from collections import deque
+from collections.abc import Callable
+from typing import Final
+
+from laurelstep.consensus.core import ConsensusCore
+from laurelstep.consensus.effects import StepEffects
+from laurelstep.consensus.errors import BusyError, ConsensusError
+from laurelstep.consensus.ports import Link, Store
+from laurelstep.engine.ports import Clock, Handle
+
+__all__ = ["MAX_QUEUED_STEPS", "MIN_TICK_DELAY_US", "Step", "StepRunner"]
+
+# Steps that are queued while the records of one are being made durable.
+MAX_QUEUED_STEPS: Final = 256
+# A tick that is due at once runs no sooner than this: no core may occupy the event loop.
+MIN_TICK_DELAY_US: Final = 1_000
+
+Step = Callable[[int], StepEffects]
+
+
+def _write_error(write: asyncio.Future[None]) -> BaseException | None:
+    return OSError("the write was cancelled") if write.cancelled() else write.exception()
+
+
+class StepRunner:
+    """Joins one core to its link, store and clock, until it is stopped. See the rules."""
+
+    def __init__(
+        self,
+        core: ConsensusCore,
+        link: Link,
+        store: Store,
+        clock: Clock,
+        counters: dict[str, int],
+        on_change: Callable[[], None],
+        on_failure: Callable[[BaseException], None],
+    ) -> None:
+        """`counters` has `waited`, `dropped` and `refused`. `on_failure` has to stop the runner."""
+        self.core = core
+        self.is_stopped = False
+        self._link = link
+        self._store = store
+        self._clock = clock
+        self._counters = counters
+        self._on_change = on_change
+        self._on_failure = on_failure
+        self._queue: deque[Step] = deque()
+        self._is_in_step = False
+        self._is_writing = False
+        self._timer: Handle | None = None
+        self._timer_due_us = 0
+
+    @property
+    def is_busy(self) -> bool:
+        """Whether a step is running, or its records are being made durable."""
+        return self._is_in_step or self._is_writing
+
+    def start(self) -> None:
+        """Run the core's first step."""
+        self._enter(self.core.start)
+
+    def receive(self, peer: int, data: bytes) -> None:
+        """Run the step of a datagram, in its turn, or drop it."""
+        self._enter(lambda now_us: self.core.receive(now_us, peer, data))
+
+    def demand(self, step: Step) -> None:
+        """Run a caller's step: at once, with its errors to the caller; or in its turn. Raises BusyError."""
+        if not self.is_busy:
+            try:
+                self._run(step)
+            finally:
+                self._run_queued()
+        elif len(self._queue) >= MAX_QUEUED_STEPS:
+            raise BusyError(f"{MAX_QUEUED_STEPS} steps wait for the store")
+        else:
+            self._counters["waited"] += 1
+            self._queue.append(step)
+
+    def stop(self) -> None:
+        """Run no further step, and send nothing."""
+        self.is_stopped = True
+        self._queue.clear()
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+
+    def _enter(self, step: Step) -> None:
+        """Run the link's or the clock's step, in its turn, or drop it."""
+        if self.is_stopped:
+            return
+        if not self.is_busy:
+            self._try(step)
+            self._run_queued()
+        elif len(self._queue) >= MAX_QUEUED_STEPS:
+            self._counters["dropped"] += 1
+        else:
+            self._counters["waited"] += 1
+            self._queue.append(step)
+
+    def _try(self, step: Step) -> None:
+        try:
+            self._run(step)
+        except ConsensusError:
+            # A queued request that is not possible any more: its caller retries.
+            self._counters["refused"] += 1
+
+    def _run(self, step: Step) -> None:
+        self._is_in_step = True
+        try:
+            effects = step(self._clock.now())
+            write = self._store.write(effects.persist) if effects.persist else None
+        except ConsensusError:
+            raise
+        except Exception as error:  # a fault here must not become one of requests
+            self._on_failure(error)
+            return
+        finally:
+            self._is_in_step = False
+        if write is None or write.done():
+            self._finish(effects, None if write is None else _write_error(write))
+        else:
+            self._is_writing = True
+            write.add_done_callback(functools.partial(self._on_written, effects))
+
+    def _on_written(self, effects: StepEffects, write: asyncio.Future[None]) -> None:
+        error = _write_error(write)
+        if self.is_stopped:
+            return
+        self._is_writing = False
+        self._finish(effects, error)
+        self._run_queued()
+
+    def _finish(self, effects: StepEffects, error: BaseException | None) -> None:
+        """Send and report, once the step's records are durable, or will never be."""
+        try:
+            if error is not None:
+                raise error
+            for peer, data in effects.outgoing:
+                self._link.send(peer, data)
+        except Exception as failure:
+            self._on_failure(failure)
+            return
+        if effects.state_changed:
+            self._on_change()
+
+    def _run_queued(self) -> None:
+        """Run what is queued, until there is something to write."""
+        while not self.is_stopped and self._queue and not self.is_busy:
+            self._try(self._queue.popleft())
+        if not self.is_stopped and not self.is_busy:
+            self._arm_timer()
+
+    def _arm_timer(self) -> None:
+        due_us = self.core.due_us
+        if self._timer is not None:
+            if self._timer_due_us <= due_us:
+                return  # `_tick` arms it again
+            self._timer.cancel()
+        self._timer_due_us = max(due_us, self._clock.now() + MIN_TICK_DELAY_US)
+        self._timer = self._clock.at(self._timer_due_us, self._tick)
+
+    def _tick(self) -> None:
+        self._timer = None
+        if self.is_stopped:
+            return
+        if self.core.due_us > self._clock.now():
+            self._arm_timer()  # the tick was postponed meanwhile
+        else:
+            self._enter(self.core.tick)
--- a/laurelstep/consensus/stores/__init__.py
+++ b/laurelstep/consensus/stores/__init__.py
@@ -1,2 +1,2 @@
-"""Stores: what of the record survives a crash. Nothing, or what the embedded store keeps, on real
-files as on the simulated disk of `laurelstep.testing.disk`."""
+"""Stores: which records survive a crash. None, or those that the embedded store holds, on real files as on
+the simulated disk of `laurelstep.testing.disk`."""
--- a/laurelstep/consensus/stores/embedded.py
+++ b/laurelstep/consensus/stores/embedded.py
@@ -1,12 +1,10 @@
-"""The record in the embedded store.
-
-The rules:
+"""The records of a replica in the embedded store.
 
 1. The changes of one call are one batch of the store's, which is durable as a whole or not at all.
-2. One batch is under way at a time. Calls that come meanwhile are joined, in their order, to one
-   batch that follows: what waits is never more than all the keys.
-3. After a failed batch nothing more is written until the store is opened anew: a later batch
-   would leave a gap.
+2. One batch is in flight at a time. Calls that come meanwhile are joined, in their order, to one batch that
+   follows: what waits is never more than all the keys.
+3. After a failed batch nothing more is written until the store is opened anew: a later batch would leave a
+   gap.
 """
 
 from __future__ import annotations
@@ -19,87 +17,99 @@
 from laurelstep.store import Disk, FolderDisk, Options, Store, StoreError
 from laurelstep.store.log import KEY_MOST, VALUE_MOST
 
+__all__ = ["MAX_BATCH_BYTES", "EmbeddedStore"]
+
 # A batch is never split: 16 MiB is the most that one of the store's frames may have.
-BATCH_BYTES: Final = 8 << 20
+MAX_BATCH_BYTES: Final = 8 << 20
 OPTIONS: Final = Options(
     batch_records=1 << 16,
-    batch_bytes=2 * BATCH_BYTES,
+    batch_bytes=2 * MAX_BATCH_BYTES,
     segment_bytes=4 << 20,
     max_bytes=64 << 20,
     ahead_bytes=64 << 10,
 )
 
 
-def size_of(changes: Mapping[bytes, bytes | None]) -> int:
+def _ignore_line(line: str) -> None:
+    """Drop a log line."""
+
+
+def _size_bytes(changes: Mapping[bytes, bytes | None]) -> int:
     return sum(len(key) + len(value or b"") for key, value in changes.items())
 
 
 class EmbeddedStore:
     """A `Store` on a folder, or on any `Disk`. Made by `open`."""
 
-    lasting = True
+    is_durable = True
 
     def __init__(self, store: Store) -> None:
         self.store = store
         self.loop = asyncio.get_running_loop()
-        self.failed: StoreError | None = None
-        self._changes: dict[bytes, bytes | None] = {}  # the batch that follows
-        self._size = 0  # of it, at most
-        self._waiting: list[asyncio.Future[None]] = []  # who hears of it
-        self._task: asyncio.Task[None] | None = None
+        self.failure: StoreError | None = None
+        # The batch that follows: its changes, an upper bound of its size, and the futures of its calls.
+        self._pending: dict[bytes, bytes | None] = {}
+        self._pending_bytes = 0
+        self._pending_writes: list[asyncio.Future[None]] = []
+        self._writer: asyncio.Task[None] | None = None
 
     @classmethod
-    async def open(cls, place: str | Disk, log: Callable[[str], None] = lambda line: None) -> EmbeddedStore:
-        """`StoreError` if it is in use, damaged or can't be read."""
+    async def open(cls, place: str | Disk, log: Callable[[str], None] = _ignore_line) -> EmbeddedStore:
+        """Open a store. Raises StoreError if it is in use, damaged or can't be read."""
         disk: Disk = FolderDisk(Path(place)) if isinstance(place, str) else place
         return cls(await Store.open(disk, OPTIONS, log))
 
     async def load(self) -> dict[bytes, bytes]:
-        found = {}
+        """Return all records. Raises StoreError."""
+        records = {}
         for key in list(self.store.index.where):
             value = await self.store.get(key)
             if value is not None:
-                found[key] = value
-        return found
+                records[key] = value
+        return records
 
     def write(self, changes: Mapping[bytes, bytes | None]) -> asyncio.Future[None]:
+        """Write the changes as one batch. The future raises StoreError."""
         done: asyncio.Future[None] = self.loop.create_future()
-        if self.failed is None and (problem := self._problem(changes)) is not None:
-            self.failed = StoreError(problem)
-        if self.failed is not None:
-            done.set_exception(self.failed)
-        elif not changes and self._task is None:
+        if self.failure is None and (problem := self._problem(changes)) is not None:
+            self.failure = StoreError(problem)
+        if self.failure is not None:
+            done.set_exception(self.failure)
+        elif not changes and self._writer is None:
             done.set_result(None)
         else:
-            self._changes.update(changes)
-            self._size += size_of(changes)
-            self._waiting.append(done)
-            if self._task is None:
-                self._task = self.loop.create_task(self._write_on())
+            self._pending.update(changes)
+            self._pending_bytes += _size_bytes(changes)
+            self._pending_writes.append(done)
+            if self._writer is None:
+                self._writer = self.loop.create_task(self._write_pending())
         return done
 
     def _problem(self, changes: Mapping[bytes, bytes | None]) -> str | None:
-        """Why they can't be written."""
-        if self._size + size_of(changes) > BATCH_BYTES:
-            return f"over {BATCH_BYTES} bytes wait to be written"
+        """Return why the changes can't be written."""
+        if self._pending_bytes + _size_bytes(changes) > MAX_BATCH_BYTES:
+            return f"over {MAX_BATCH_BYTES} bytes wait to be written"
         if any(
             not 0 < len(key) <= KEY_MOST or len(value or b"") > VALUE_MOST for key, value in changes.items()
         ):
             return f"a key of over {KEY_MOST} bytes or a value of over {VALUE_MOST}"
         return None
 
-    async def _write_on(self) -> None:
-        """Batch after batch until nobody waits."""
+    async def _write_pending(self) -> None:
+        """Write batch after batch until no call waits."""
         try:
-            while self._waiting:
-                changes, waiting = self._changes, self._waiting
-                self._changes, self._waiting, self._size = {}, [], 0
-                await self._write_one(changes, waiting)
+            while self._pending_writes:
+                changes, writes = self._pending, self._pending_writes
+                self._clear_pending()
+                await self._write_batch(changes, writes)
         finally:
-            self._task = None
+            self._writer = None
+
+    def _clear_pending(self) -> None:
+        self._pending, self._pending_writes, self._pending_bytes = {}, [], 0
 
-    async def _write_one(
-        self, changes: Mapping[bytes, bytes | None], waiting: list[asyncio.Future[None]]
+    async def _write_batch(
+        self, changes: Mapping[bytes, bytes | None], writes: list[asyncio.Future[None]]
     ) -> None:
         store = self.store
         # All are put before the store's own task runs: it takes them as one batch.
@@ -107,23 +117,23 @@
             store.delete(key) if value is None else store.put(key, value) for key, value in changes.items()
         ]
         results = await asyncio.gather(*puts, return_exceptions=True)
-        error = next((one for one in results if isinstance(one, BaseException)), None)
+        error = next((result for result in results if isinstance(result, BaseException)), None)
         if error is not None:
-            self.failed = error if isinstance(error, StoreError) else StoreError(str(error))
-            waiting += self._waiting
-            self._changes, self._waiting, self._size = {}, [], 0
-        for done in waiting:
-            if done.done():
+            self.failure = error if isinstance(error, StoreError) else StoreError(str(error))
+            writes += self._pending_writes
+            self._clear_pending()
+        for write in writes:
+            if write.done():
                 continue  # cancelled
-            if self.failed is None:
-                done.set_result(None)
+            if self.failure is None:
+                write.set_result(None)
             else:
-                done.set_exception(self.failed)
+                write.set_exception(self.failure)
 
     async def close(self) -> None:
-        """What waits is written first. May be called again."""
-        if self._task is not None:
-            await asyncio.wait((self._task,))
-        if self.failed is None:
-            self.failed = StoreError("the store is closed")
+        """Write what waits, and close the store. May be called again."""
+        if self._writer is not None:
+            await asyncio.wait((self._writer,))
+        if self.failure is None:
+            self.failure = StoreError("the store is closed")
         await self.store.close()
--- a/laurelstep/consensus/stores/none.py
+++ b/laurelstep/consensus/stores/none.py
@@ -1,21 +1,27 @@
-"""No store: a process that dies comes again from nothing."""
+"""No store: a process that crashes restarts with an empty state."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Mapping
 
+__all__ = ["NoStore"]
+
 
 class NoStore:
-    lasting = False
+    """A `Store` that keeps nothing."""
+
+    is_durable = False
 
     async def load(self) -> dict[bytes, bytes]:
+        """Return no records."""
         return {}
 
     def write(self, changes: Mapping[bytes, bytes | None]) -> asyncio.Future[None]:
-        """Done at once."""
+        """Complete at once."""
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         done.set_result(None)
         return done
 
-    async def close(self) -> None: ...
+    async def close(self) -> None:
+        """Do nothing."""
--- a/laurelstep/daemon.py
+++ b/laurelstep/daemon.py
@@ -24,9 +24,9 @@
 from laurelstep.settings import Config, ConfigError
 
 if TYPE_CHECKING:
-    from laurelstep.consensus.node import Node
-    from laurelstep.consensus.parts import Parts
-    from laurelstep.consensus.ports import Machine
+    from laurelstep.consensus.multiplexer import ConsensusMultiplexer
+    from laurelstep.consensus.node import ConsensusNode
+    from laurelstep.consensus.ports import StateMachine
     from laurelstep.engine.ports import Recorder
     from laurelstep.handover.giver import Giver
     from laurelstep.handover.place import Place
@@ -92,12 +92,12 @@
         self.giver: Giver | None = None
         self.has_predecessor = arrival is not None and arrival.taken is not None
         self.was_alone = arrival is None or not arrival.others
-        self.node: Node | None = None
+        self.node: ConsensusNode | None = None
         self.upkeep: Upkeep | None = None
         self.outbox: OutboxDriver | None = None
         self.shared: Shared | None = None  # what copies share of kept writes
         self.carried: Carried | None = None  # the same, where this copy does not
-        self.node_parts: Parts | None = None
+        self.multiplexer: ConsensusMultiplexer | None = None
         self.leaving = False
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -110,7 +110,7 @@
         self.shared = self._outbox_shared()
         self.outbox = await self._outbox()
         self.upkeep = self._upkeep()
-        self.node = self._accord_node()
+        self.node = self._consensus_node()
         recorder = self._recorder(orders)
         holding = None if self.upkeep is None else self.upkeep.hold
         self.parts = Assembly(self.loop, config, log, recorder, collector=Collector(), holding=holding)
@@ -176,7 +176,7 @@
 
     # --- What the copies of the tier share ----------------------------------------------
 
-    def _accord_node(self) -> Node | None:
+    def _consensus_node(self) -> ConsensusNode | None:
         """This process's part in it, not yet begun, with all that rests on it; None where it is off."""
         settings = self.config.accord
         if settings is None:
@@ -185,21 +185,23 @@
             log("accord: off, and what rests on it: the configuration has no peers and peer_listen")
             return None
         # Imported where it is on.
-        from laurelstep.consensus.machines import Machines
-        from laurelstep.consensus.node import check_folder, node_of
-        from laurelstep.consensus.parts import Parts
+        from laurelstep.consensus.assembly import build_node, check_store_folder
+        from laurelstep.consensus.multiplexer import ConsensusMultiplexer
+        from laurelstep.consensus.state_machines import CompositeStateMachine
         from laurelstep.engine.clock import LoopClock
         from laurelstep.outbox.shared.entries import KIND as KEPT_WRITES
         from laurelstep.upkeep.assembly import carried
 
         try:
-            check_folder(settings.store_path)
+            check_store_folder(settings.store_path)
             clock = LoopClock(self.loop)
             upkeep = carried() if self.upkeep is None else self.upkeep.machines
-            node = node_of(settings, Machines(upkeep | self._machines()), self.loop, clock, log)
-            self.node_parts = Parts(node)
+            node = build_node(
+                settings, CompositeStateMachine(upkeep | self._machines()), self.loop, clock, log
+            )
+            self.multiplexer = ConsensusMultiplexer(node)
             if self.carried is not None:
-                self.carried.join(self.node_parts.part(KEPT_WRITES), clock)
+                self.carried.join(self.multiplexer.channel(KEPT_WRITES), clock)
             return node
         except ImportError as error:
             problem = f"{error.name} is missing: pip install 'laurelstep[store]'"
@@ -219,10 +221,10 @@
             listen = self.config.accord.listen if self.config.accord is not None else ""
             problem = f"{listen}: {error.strerror}: expected where this process may listen, on this machine"
             raise ConfigError(f"{self._file}accord.peer_listen: {problem}") from None
-        if self.upkeep is not None and self.node_parts is not None:
+        if self.upkeep is not None and self.multiplexer is not None:
             from laurelstep.upkeep.entries import KIND
 
-            self.upkeep.begin(self.node_parts.part(KIND), self.parts.engine, self._is_alone)
+            self.upkeep.begin(self.multiplexer.channel(KIND), self.parts.engine, self._is_alone)
 
     def _outbox_shared(self) -> Shared | None:
         """What upstream's copies share of edges' kept writes, not yet begun; None where it is off."""
@@ -236,7 +238,7 @@
             raise ConfigError(f"{self._file}outbox.shared: {missing}") from None
         return Shared(self.loop, self.config, log)
 
-    def _machines(self) -> dict[int, Machine]:
+    def _machines(self) -> dict[int, StateMachine]:
         """The record's part of kept writes: every copy that takes part carries it."""
         if self.shared is not None:
             return self.shared.machines
@@ -247,11 +249,11 @@
 
     def _recorder(self, orders: Recorder | None) -> Recorder | None:
         """That of `[orders]`, behind the gate for edges' replays where there is one."""
-        if self.shared is None or self.outbox is None or self.node_parts is None:
+        if self.shared is None or self.outbox is None or self.multiplexer is None:
             return orders
         from laurelstep.outbox.shared.entries import KIND
 
-        return self.shared.join(self.node_parts.part(KIND), self.outbox, orders)
+        return self.shared.join(self.multiplexer.channel(KIND), self.outbox, orders)
 
     def _begin_sharing(self, alone: bool) -> None:
         if self.shared is None or self.shared.gate is None:
@@ -330,7 +332,7 @@
         """Nobody follows any more: take part again, if this process has given up its part."""
         giver = self.giver
         if self.node is not None and giver is not None and giver.is_alone and not self.leaving:
-            self._spawn(self.node.begin_again())
+            self._spawn(self.node.restart())
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = self.loop.create_task(work)
@@ -445,7 +447,7 @@
         self.slices.run(steps, ended)
 
     async def _retire(
-        self, node: Node, state: dict[str, bytes], give: Callable[[dict[str, bytes]], None]
+        self, node: ConsensusNode, state: dict[str, bytes], give: Callable[[dict[str, bytes]], None]
     ) -> None:
         """The next process is the same member of the tier: this one ceases to be one, then tells."""
         from laurelstep.handover.state import state_of_accord
--- a/laurelstep/outbox/shared/assembly.py
+++ b/laurelstep/outbox/shared/assembly.py
@@ -5,8 +5,8 @@
 import asyncio
 from typing import Any, Final
 
-from laurelstep.consensus.parts import Part
-from laurelstep.consensus.ports import Machine
+from laurelstep.consensus.multiplexer import ConsensusChannel
+from laurelstep.consensus.ports import StateMachine
 from laurelstep.engine.clock import LoopClock
 from laurelstep.engine.ports import Log, Recorder
 from laurelstep.interface import SAFE, UNSAFE
@@ -36,10 +36,10 @@
         self.driver: OutboxDriver | None = None
 
     @property
-    def machines(self) -> dict[int, Machine]:
+    def machines(self) -> dict[int, StateMachine]:
         return self.carried.machines
 
-    def join(self, part: Part, driver: OutboxDriver, inner: Recorder | None) -> Gate:
+    def join(self, part: ConsensusChannel, driver: OutboxDriver, inner: Recorder | None) -> Gate:
         """`inner`: that of `[orders]`; what it records no edge may keep."""
         assert self.config.outbox is not None
         with open(self.config.outbox.secret_file, "rb") as file:  # the driver could read it, as it is open
--- a/laurelstep/outbox/shared/carried.py
+++ b/laurelstep/outbox/shared/carried.py
@@ -7,8 +7,8 @@
 
 from typing import Final
 
-from laurelstep.consensus.parts import Part
-from laurelstep.consensus.ports import Machine
+from laurelstep.consensus.multiplexer import ConsensusChannel
+from laurelstep.consensus.ports import StateMachine
 from laurelstep.engine.ports import Clock
 from laurelstep.outbox.shared.entries import KIND
 from laurelstep.outbox.shared.record import Record
@@ -20,10 +20,10 @@
 class Carried:
     def __init__(self) -> None:
         self.record: Final = Record()
-        self.machines: Final[dict[int, Machine]] = {KIND[0]: self.record}
+        self.machines: Final[dict[int, StateMachine]] = {KIND[0]: self.record}
         self.sharer: Sharer | None = None
 
-    def join(self, part: Part, clock: Clock) -> Sharer:
+    def join(self, part: ConsensusChannel, clock: Clock) -> Sharer:
         """`part`: that of `KIND`."""
         self.sharer = Sharer(part, self.record, clock)
         return self.sharer
--- a/laurelstep/outbox/shared/entries.py
+++ b/laurelstep/outbox/shared/entries.py
@@ -1,7 +1,7 @@
 """What copies agree on of kept writes: the record's entries. Pure.
 
 1. All begin with the byte `KIND`, as one record and one link carry other things too (of an entry it is taken
-   off before the record has it: `laurelstep.consensus.machines`); then a tagged array in msgpack.
+   off before the record has it: `laurelstep.consensus.state_machines`); then a tagged array in msgpack.
 2. An entry is also told as a word, to whoever leads. One that comes twice, late or before another says the
    same: what depends on what was before names it (`Begin.ask`, `Hold.turn`, `Said.ask`).
 3. Fields are only ever added at the end. What can't be, or is of a later version, is no entry.
@@ -15,7 +15,7 @@
 import msgspec
 
 from laurelstep.consensus.errors import EntryError
-from laurelstep.consensus.terms import ENTRY_MOST, WORD_MOST
+from laurelstep.consensus.limits import MAX_ENTRY_BYTES, MAX_LEADER_MESSAGE_BYTES
 from laurelstep.outbox.causes import Fate
 from laurelstep.outbox.dots import Dot, Line, check_edge
 
@@ -28,7 +28,7 @@
 # Lives, incarnations and asks are 1 to below this; numbers of writes 1 to below NUMBER_END.
 ID_END: Final = 1 << 64
 NUMBER_END: Final = 1 << 63
-_MOST: Final = min(ENTRY_MOST, WORD_MOST)
+_MOST: Final = min(MAX_ENTRY_BYTES, MAX_LEADER_MESSAGE_BYTES)
 
 
 class _Entry(msgspec.Struct, frozen=True, array_like=True, tag_field="t"):
--- a/laurelstep/outbox/shared/record.py
+++ b/laurelstep/outbox/shared/record.py
@@ -29,7 +29,7 @@
 
 import msgspec
 
-from laurelstep.consensus.errors import KeptError
+from laurelstep.consensus.errors import StoredStateError
 from laurelstep.outbox.causes import Cause, Fate
 from laurelstep.outbox.dots import Dot, Line, check_edge
 from laurelstep.outbox.shared.entries import (
@@ -191,12 +191,12 @@
         return msgspec.msgpack.encode(saved)
 
     def load(self, raw: bytes) -> None:
-        """`KeptError`, with nothing changed, if it can't be read."""
+        """`StoredStateError`, with nothing changed, if it can't be read."""
         try:
             saved = _decoder.decode(raw) if raw else _Saved()
             _check(saved)
         except (msgspec.MsgspecError, ValueError, RecursionError, OverflowError) as error:
-            raise KeptError(f"the record of kept writes: {error}") from None
+            raise StoredStateError(f"the record of kept writes: {error}") from None
         self._rows = {Line(edge, incarnation): row for edge, incarnation, row in saved.rows}
         self._lost = set(saved.lost)
         self._undone = dict.fromkeys(saved.undone)
--- a/laurelstep/outbox/shared/sharer.py
+++ b/laurelstep/outbox/shared/sharer.py
@@ -14,8 +14,8 @@
 from collections.abc import Callable
 from typing import Final
 
-from laurelstep.consensus.errors import BusyError, NotLeadingError
-from laurelstep.consensus.parts import Agreement
+from laurelstep.consensus.errors import BusyError, NotLeaderError
+from laurelstep.consensus.multiplexer import ProposalClient
 from laurelstep.engine.ports import Clock, Handle
 from laurelstep.outbox.shared.entries import KIND, Entry, pack, unpack_word
 from laurelstep.outbox.shared.record import Record
@@ -57,7 +57,7 @@
     `on_change` of its own is called after entries were applied, and when it is known, led or in touch
     otherwise."""
 
-    def __init__(self, accord: Agreement, record: Record, clock: Clock) -> None:
+    def __init__(self, accord: ProposalClient, record: Record, clock: Clock) -> None:
         self.accord = accord
         self.record = record
         self.clock = clock
@@ -68,14 +68,14 @@
         self._flights: dict[bytes, int] = {}  # until when each counts as on its way
         self._reign: tuple[object, ...] = ()
         self._closed = False
-        accord.heard = self._hear
+        accord.on_leader_message = self._hear
         accord.on_change = self._change
         record.applied = self._landed
 
     @property
     def ready(self) -> bool:
         """All that was agreed when this copy came is known here, and a leader with a majority is heard."""
-        return not self._closed and self.accord.known and self.accord.in_touch
+        return not self._closed and self.accord.is_caught_up and self.accord.has_leader_contact
 
     def agree(self, entry: Entry, done: Callable[[], bool], until: int) -> asyncio.Future[bool]:
         """Whether `done()` holds on the record by `until`. Told from now on, also if nobody awaits it yet;
@@ -171,11 +171,11 @@
 
     def _tell(self, data: bytes) -> None:
         self.counters["told"] += 1
-        if self.accord.leading:
+        if self.accord.is_leader:
             self._propose(data)
             return
         try:
-            self.accord.word(data)
+            self.accord.send_to_leader(data)
         except BusyError:
             return  # as if it were lost
 
@@ -198,7 +198,7 @@
         self._flights[data] = now + FLIGHT_US  # it may land at once
         try:
             self.accord.propose(data)
-        except (NotLeadingError, BusyError):
+        except (NotLeaderError, BusyError):
             self._flights.pop(data, None)  # its asker tells it again
         else:
             self.counters["proposed"] += 1
@@ -208,7 +208,7 @@
 
     def _look_who_leads(self) -> None:
         """What was on its way under another leader may be lost."""
-        reign = self.accord.era, self.accord.leader, self.accord.leading
+        reign = self.accord.epoch, self.accord.leader_id, self.accord.is_leader
         if reign != self._reign:
             self._reign = reign
             self._flights.clear()
--- a/laurelstep/settings/config.py
+++ b/laurelstep/settings/config.py
@@ -15,7 +15,7 @@
 from laurelstep.wire import EFFECTS, SCOPES, WireError, read_settings
 
 if TYPE_CHECKING:  # imported where they are on
-    from laurelstep.consensus.options import AccordSettings
+    from laurelstep.consensus.options import ConsensusSettings
     from laurelstep.outbox.options import OutboxSettings
     from laurelstep.upkeep.options import UpkeepSettings
 
@@ -43,7 +43,7 @@
     orders: Orders | None = None
     memory_mb: int = 0  # the limit of the process's memory; 0 = none is told
     management: tuple[str, int] | None = None  # the second address, for the operators' calls
-    accord: AccordSettings | None = None
+    accord: ConsensusSettings | None = None
     upkeep: UpkeepSettings | None = None
     outbox: OutboxSettings | None = None
 
--- a/laurelstep/settings/operator.py
+++ b/laurelstep/settings/operator.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from laurelstep.consensus.options import AccordSettings, LinkKind, problem_of, seats_for
+from laurelstep.consensus.options import ConsensusSettings, LinkKind, default_seats, settings_problem
 from laurelstep.orders.book import OrderClass, Orders
 from laurelstep.outbox.options import (
     How,
@@ -289,23 +289,23 @@
         given = {"peer_listen": self.peer_listen, "peers": self.peers, "me": self.me}
         return next((key for key, value in given.items() if value is not None), None)
 
-    def settings(self, peers: tuple[str, ...], listen: str | None, me: int) -> AccordSettings:
+    def settings(self, peers: tuple[str, ...], listen: str | None, me: int) -> ConsensusSettings:
         """`me`: what it is where the table does not say. ValueError with key and what was expected."""
         number = me if self.me is None else self.me
         if listen is None:
             listen = peers[number] if number < len(peers) else ""
-        found = AccordSettings(
+        found = ConsensusSettings(
             peers=peers,
             listen=listen,
             me=number,
             link=self.link,
-            seats=self.seats or seats_for(len(peers)),
+            seats=self.seats or default_seats(len(peers)),
             store_path=self.store_path,
             heartbeat_us=self.heartbeat_ms * 1000,
             election_us=self.election_ms * 1000,
             drift=self.drift,
         )
-        if (problem := problem_of(found)) is not None:
+        if (problem := settings_problem(found)) is not None:
             raise ValueError(f"{problem[0]}: {problem[1]}")
         return found
 
--- a/laurelstep/testing/contracts/link.py
+++ b/laurelstep/testing/contracts/link.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from laurelstep.consensus.errors import LinkError
-from laurelstep.consensus.ports import DATAGRAM_MOST, Link
+from laurelstep.consensus.ports import MAX_DATAGRAM_BYTES, Link
 from laurelstep.testing.contracts.base import Contract, raises, turns
 
 # Datagrams in one go: more than a socket takes without being read.
@@ -50,7 +50,7 @@
 
     1. What is received was sent by the peer that is named, to this one, and is whole. It may come twice,
        late or never; what is sent again and again comes.
-    2. Over `DATAGRAM_MOST` bytes, and for a number that is no peer's, `send` raises LinkError and nothing
+    2. Over `MAX_DATAGRAM_BYTES`, and for a number that is no peer's, `send` raises LinkError and nothing
        leaves. It raises nothing else, whoever is there or not, and however much is sent.
     3. After `close` nothing is received, also of what was under way.
     4. A process that comes anew with a number is heard under that number, and hears.
@@ -78,9 +78,9 @@
             async with self.joined() as joined:
                 heard = [Heard(link) for link in joined.links]
                 sent: dict[int, set[tuple[int, bytes]]] = {0: set(), 1: set(), 2: set()}
-                for size in (1, 2, 100, DATAGRAM_MOST):
+                for size in (1, 2, 100, MAX_DATAGRAM_BYTES):
                     for sender, receiver in ((0, 1), (1, 0), (0, 2), (2, 0), (1, 2), (2, 1)):
-                        data = bytes((sender, receiver) * DATAGRAM_MOST)[:size]
+                        data = bytes((sender, receiver) * MAX_DATAGRAM_BYTES)[:size]
                         sent[receiver].add((sender, data))
 
                         def send(sender: int = sender, receiver: int = receiver, data: bytes = data) -> None:
@@ -97,7 +97,7 @@
             async with self.joined() as joined:
                 heard = [Heard(link) for link in joined.links]
                 with raises(LinkError, "a datagram that is too long"):
-                    joined.links[0].send(1, bytes(DATAGRAM_MOST + 1))
+                    joined.links[0].send(1, bytes(MAX_DATAGRAM_BYTES + 1))
                 for nobody in (-1, 3, 1_000_000):
                     with raises(LinkError, f"a datagram to number {nobody}"):
                         joined.links[0].send(nobody, b"lost")
@@ -179,7 +179,7 @@
         async def main() -> None:
             async with self.joined() as joined:
                 heard = [Heard(link) for link in joined.links]
-                for data in (b"stray", b"", bytes(DATAGRAM_MOST + 1), bytes(2_000)):
+                for data in (b"stray", b"", bytes(MAX_DATAGRAM_BYTES + 1), bytes(2_000)):
                     joined.stray(1, data)
                 for number in (0, 2):
 
--- a/laurelstep/testing/contracts/store.py
+++ b/laurelstep/testing/contracts/store.py
@@ -54,16 +54,16 @@
 
     async def found(self, lives: Lives, expected: dict[bytes, bytes]) -> None:
         """In the next life, and the one after."""
-        lasting = lives.store.lasting
+        lasting = lives.store.is_durable
         for _ in range(2):
             await lives.restart()
-            assert lives.store.lasting == lasting
+            assert lives.store.is_durable == lasting
             assert await lives.store.load() == (expected if lasting else {})
 
     def test_at_first_there_is_nothing(self) -> None:
         async def main() -> None:
             async with self.lives() as lives:
-                assert type(lives.store.lasting) is bool
+                assert type(lives.store.is_durable) is bool
                 assert await lives.store.load() == {}
                 await self.found(lives, {})
 
@@ -77,7 +77,7 @@
                 await self.found(lives, {b"b": b"", b"c": bytes(5_000), b"d": b"4"})
                 await self.soon(lives.store.write({b"b": None, b"d": b"5"}), "a write of the next life")
                 expected = {b"c": bytes(5_000), b"d": b"5"}
-                if not lives.store.lasting:
+                if not lives.store.is_durable:
                     expected = {}
                 await self.found(lives, expected)
 
@@ -111,7 +111,7 @@
         async def main() -> None:
             async with self.lives() as lives:
                 done = lives.store.write({b"a": b"1"})
-                assert lives.store.lasting or done.done()
+                assert lives.store.is_durable or done.done()
                 await self.soon(done, "a write")
 
         self.run(main())
@@ -131,7 +131,7 @@
     def test_it_lasts(self) -> None:
         async def main() -> None:
             async with self.lives() as lives:
-                assert lives.store.lasting
+                assert lives.store.is_durable
 
         self.run(main())
 
--- a/laurelstep/testing/schedules/checker.py
+++ b/laurelstep/testing/schedules/checker.py
@@ -21,9 +21,9 @@
 from typing import NamedTuple
 
 from laurelstep.consensus import messages as m
-from laurelstep.consensus.log import DATA
-from laurelstep.consensus.ports import DATAGRAM_MOST
-from laurelstep.consensus.terms import NOWHERE, PENDING_MOST, Era
+from laurelstep.consensus.epoch import NO_EPOCH, ClusterEpoch
+from laurelstep.consensus.limits import MAX_PENDING_PROPOSALS
+from laurelstep.consensus.ports import MAX_DATAGRAM_BYTES
 from laurelstep.errors import LaurelstepError
 from laurelstep.testing.schedules.process import TAPE, Made, Process, next_digest
 
@@ -31,8 +31,6 @@
 
 # Where a message's kind stands: after the version and the array's head.
 KIND_AT = 2
-STAND = 5
-VOTE = 6
 
 
 class BrokenError(LaurelstepError, AssertionError):
@@ -62,19 +60,19 @@
         self._made = made
         self._seed = seed
         # By era and place: the digest of all up to there.
-        self._orders: dict[tuple[Era, int], int] = {}
-        self._bases: dict[Era, int] = {}
-        self.agreed: dict[Era, Place] = {}
+        self._orders: dict[tuple[ClusterEpoch, int], int] = {}
+        self._bases: dict[ClusterEpoch, int] = {}
+        self.agreed: dict[ClusterEpoch, Place] = {}
         # Who had it when it was agreed, and may have forgotten it since.
-        self._had: dict[Era, set[tuple[int, int]]] = {}
+        self._had: dict[ClusterEpoch, set[tuple[int, int]]] = {}
         # The same by the term in which it was agreed.
-        self._agreed_in: dict[Era, dict[int, Place]] = {}
-        self._leaders: dict[tuple[Era, int], tuple[int, int]] = {}
-        self._votes: dict[tuple[Era, int, int], int] = {}
+        self._agreed_in: dict[ClusterEpoch, dict[int, Place]] = {}
+        self._leaders: dict[tuple[ClusterEpoch, int], tuple[int, int]] = {}
+        self._votes: dict[tuple[ClusterEpoch, int, int], int] = {}
         # By process: what was agreed when it was born; whether it knew; places and loads seen, and applied.
-        self._born: dict[int, tuple[Era, Place] | None] = {}
+        self._born: dict[int, tuple[ClusterEpoch, Place] | None] = {}
         self._knew: dict[int, bool] = {}
-        self._looked: dict[int, tuple[int, int, Era, int]] = {}
+        self._looked: dict[int, tuple[int, int, ClusterEpoch, int]] = {}
 
     def broken(self, name: str, seen: str) -> BrokenError:
         return BrokenError(name, self._seed, seen)
@@ -90,31 +88,31 @@
     def stepped(self, process: Process, time: int) -> None:
         core = process.core
         assert core is not None
-        era = core.era
-        if era != NOWHERE and era not in self._bases:
+        era = core.epoch
+        if era != NO_EPOCH and era not in self._bases:
             self._founded(process, era)
-        looked = (len(process.tape.places), process.tape.loads, era, core.applied)
+        looked = (len(process.tape.places), process.tape.loads, era, core.applied_index)
         # Without an era it may hold what is left of one that is over, until the one that lives is here.
-        if era != NOWHERE and looked != self._looked.get(process.me):
-            self._applied(process, era, core.applied)
+        if era != NO_EPOCH and looked != self._looked.get(process.me):
+            self._applied(process, era, core.applied_index)
             self._looked[process.me] = looked
         if core.role == "leader":
             self._led(process, era, core.term)
-        if core.known != self._knew[process.me]:
-            self._knew[process.me] = core.known
-            if core.known:
+        if core.is_caught_up != self._knew[process.me]:
+            self._knew[process.me] = core.is_caught_up
+            if core.is_caught_up:
                 self._knows(process, era)
         if process.leases.holds(process.local(time), "lease"):
             self._held(process, time)
-        if core.log_size > self._made.timing.log_most + 2 * PENDING_MOST:
-            raise self.broken("bounded", f"{core.log_size} entries in the log of {process.me}")
+        if core.log_entry_count > self._made.timing.max_log_entries + 2 * MAX_PENDING_PROPOSALS:
+            raise self.broken("bounded", f"{core.log_entry_count} entries in the log of {process.me}")
 
     def ticked(self, process: Process, time: int) -> None:
         core = process.core
-        if core is not None and core.due <= process.local(time):
+        if core is not None and core.due_us <= process.local(time):
             raise self.broken("bounded", f"a tick of {process.me}, {core.role}, left a tick due")
 
-    def _applied(self, process: Process, era: Era, applied: int) -> None:
+    def _applied(self, process: Process, era: ClusterEpoch, applied: int) -> None:
         places = process.tape.places
         seen = self._looked.get(process.me)
         digest = places[-1][1] if places else 0
@@ -129,7 +127,7 @@
             if last is None or places[-1][0] > last.at:
                 self._agree(process, era, Place(*places[-1]))
 
-    def _agree(self, process: Process, era: Era, place: Place) -> None:
+    def _agree(self, process: Process, era: ClusterEpoch, place: Place) -> None:
         """The first to apply is the leader, or one that the leader of its term told."""
         assert process.core is not None
         self.agreed[era] = place
@@ -149,17 +147,17 @@
             return True
         log = core._state.log
         digest = places[-1][1] if places else 0
-        for index in range(core.applied + 1, min(log.last, place.at) + 1):
+        for index in range(core.applied_index + 1, min(log.last_index, place.at) + 1):
             entry = log.entry(index)
-            if entry.kind == DATA and entry.data[:1] == TAPE:
+            if entry.kind == m.EntryKind.DATA and entry.data[:1] == TAPE:
                 digest = next_digest(digest, index, entry.data[1:])
                 if (index, digest) == place:
                     return True
         return False
 
-    def _founded(self, process: Process, era: Era) -> None:
+    def _founded(self, process: Process, era: ClusterEpoch) -> None:
         assert process.core is not None
-        self._bases[era] = process.core._state.log.start
+        self._bases[era] = process.core._state.log.base_index
         for older, place in self.agreed.items():
             if older > era or self._remembers(process, place):
                 continue
@@ -170,7 +168,7 @@
                     seen = f"{process.me} founded without place {place.at}, which {other.me} had"
                     raise self.broken("nothing lost", seen)
 
-    def _led(self, process: Process, era: Era, term: int) -> None:
+    def _led(self, process: Process, era: ClusterEpoch, term: int) -> None:
         assert process.core is not None
         who = (process.me, process.core.incarnation)
         first = self._leaders.get((era, term))
@@ -184,7 +182,7 @@
         elif first != who:
             raise self.broken("one leader", f"{first[0]} and {process.me} in term {term}")
 
-    def _knows(self, process: Process, era: Era) -> None:
+    def _knows(self, process: Process, era: ClusterEpoch) -> None:
         born = self._born[process.me]
         if born is None or born[0] != era:
             return
@@ -201,16 +199,16 @@
     # What is sent
 
     def sent(self, process: Process, raw: bytes) -> None:
-        if len(raw) > DATAGRAM_MOST:
+        if len(raw) > MAX_DATAGRAM_BYTES:
             raise self.broken("bounded", f"a datagram of {len(raw)} bytes")
-        if raw[KIND_AT] not in (STAND, VOTE):
+        if raw[KIND_AT] not in (m.MessageTag.REQUEST_VOTE_REQUEST, m.MessageTag.REQUEST_VOTE_RESPONSE):
             return
         message = m.decode(raw)
-        if isinstance(message, m.Stand) and not message.pre:
-            self._voted(process, message.era, message.term, message.incarnation, message.incarnation)
-        elif isinstance(message, m.Vote) and message.granted and not message.pre:
-            self._voted(process, message.era, message.term, message.incarnation, message.to)
+        if isinstance(message, m.RequestVoteRequest) and not message.is_pre_vote:
+            self._voted(process, message.epoch, message.term, message.incarnation, message.incarnation)
+        elif isinstance(message, m.RequestVoteResponse) and message.granted and not message.is_pre_vote:
+            self._voted(process, message.epoch, message.term, message.incarnation, message.candidate)
 
-    def _voted(self, process: Process, era: Era, term: int, voter: int, candidate: int) -> None:
+    def _voted(self, process: Process, era: ClusterEpoch, term: int, voter: int, candidate: int) -> None:
         if self._votes.setdefault((era, term, voter), candidate) != candidate:
             raise self.broken("one vote", f"{process.me} voted twice in term {term}")
--- a/laurelstep/testing/schedules/process.py
+++ b/laurelstep/testing/schedules/process.py
@@ -8,9 +8,10 @@
 
 import msgspec
 
-from laurelstep.consensus.core import Core, Timing
-from laurelstep.consensus.leases import Leases
-from laurelstep.consensus.machines import Machines
+from laurelstep.consensus.core import ConsensusCore
+from laurelstep.consensus.leases import LeaseTable
+from laurelstep.consensus.state_machines import CompositeStateMachine
+from laurelstep.consensus.timing import ConsensusTiming
 
 __all__ = ["LEASES", "MILLION", "TAPE", "Made", "Process", "Tape", "next_digest"]
 
@@ -58,10 +59,10 @@
 
     seats: int = 3
     peers: int = 3
-    timing: Timing = dataclasses.field(default_factory=Timing)
+    timing: ConsensusTiming = dataclasses.field(default_factory=ConsensusTiming)
     lasting: bool = False
-    core: type[Core] = Core
-    leases: type[Leases] = Leases
+    core: type[ConsensusCore] = ConsensusCore
+    leases: type[LeaseTable] = LeaseTable
     # Fault: a process that comes again from nothing takes its old incarnation.
     forgets_amnesia: bool = False
 
@@ -74,10 +75,10 @@
         self._made = made
         self._draw = draw
         self.shift = draw.randrange(10**10)
-        drift = int(made.timing.drift * MILLION) - 1
+        drift = int(made.timing.max_clock_drift * MILLION) - 1
         self.rate = MILLION + draw.randint(-drift, drift)
         self.kept: dict[bytes, bytes] = {}
-        self.core: Core | None = None
+        self.core: ConsensusCore | None = None
         self.tape = Tape()
         self.leases = self._new_leases()
         self.incarnation = 0
@@ -99,9 +100,9 @@
         """The first true time at which the clock shows at least that."""
         return -(-(local - self.shift) * MILLION // self.rate)
 
-    def _new_leases(self) -> Leases:
+    def _new_leases(self) -> LeaseTable:
         timing = self._made.timing
-        return self._made.leases(self.me, timing.drift, timing.lease_us, self._draw)
+        return self._made.leases(self.me, timing.max_clock_drift, timing.lease_us, self._draw)
 
     def begin(self) -> None:
         made = self._made
@@ -114,7 +115,7 @@
             made.peers,
             made.seats,
             self.incarnation,
-            Machines({TAPE[0]: self.tape, LEASES[0]: self.leases}),
+            CompositeStateMachine({TAPE[0]: self.tape, LEASES[0]: self.leases}),
             made.timing,
             random.Random(self._draw.getrandbits(64)),
             self.kept,
--- a/laurelstep/testing/schedules/script.py
+++ b/laurelstep/testing/schedules/script.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Mapping
 from typing import Final
 
-from laurelstep.consensus.core import Timing
+from laurelstep.consensus.timing import ConsensusTiming
 from laurelstep.testing.schedules.process import Made
 from laurelstep.testing.schedules.world import Network, World
 
@@ -17,7 +17,7 @@
 MS: Final = 1_000
 SECOND: Final = 1_000_000
 # The proportions of service, with a shorter rest: what rests costs steps and shows nothing.
-QUICK: Final = Timing(rest_us=1_500 * MS, lease_us=400 * MS, log_most=6)
+QUICK: Final = ConsensusTiming(learner_poll_us=1_500 * MS, lease_us=400 * MS, max_log_entries=6)
 # Once faults end, an entry is agreed and known to all within this true time.
 PROGRESS_US: Final = 30 * SECOND
 
@@ -49,7 +49,7 @@
 @functools.cache
 def founded(seats: int, peers: int, log_most: int) -> Mapping[int, Mapping[bytes, bytes]]:
     """What the processes of a tier that has just founded its record hand to their successors."""
-    world = World(Made(seats, peers, dataclasses.replace(QUICK, log_most=log_most)), seed=0)
+    world = World(Made(seats, peers, dataclasses.replace(QUICK, max_log_entries=log_most)), seed=0)
     settle(world)
     return {process.me: process.core.retire() for process in world.processes if process.core is not None}
 
@@ -59,10 +59,12 @@
     draw = random.Random(seed)
     seats = draw.choice(shape.seats)
     peers = seats + draw.choice(shape.learners)
-    found_us = draw.choice((QUICK.found_us, QUICK.election_us))
-    timing = dataclasses.replace(QUICK, log_most=draw.choice((4, 6, 512)), found_us=found_us)
+    found_us = draw.choice((QUICK.bootstrap_timeout_us, QUICK.election_timeout_us))
+    timing = dataclasses.replace(
+        QUICK, max_log_entries=draw.choice((4, 6, 512)), bootstrap_timeout_us=found_us
+    )
     plain = Made(seats, peers, timing, lasting=draw.random() < shape.lasting)
-    kept = founded(seats, peers, timing.log_most) if draw.random() < shape.founded else None
+    kept = founded(seats, peers, timing.max_log_entries) if draw.random() < shape.founded else None
     world = World(made(plain) if made else plain, seed, kept)
     Script(world, shape, draw).draw_all()
     world.run(shape.length_us)
@@ -79,7 +81,7 @@
     def done() -> bool:
         cores = [process.core for process in world.processes]
         if not all(
-            core is not None and core.known and core.in_touch(process.local(world.time))
+            core is not None and core.is_caught_up and core.has_leader_contact(process.local(world.time))
             for core, process in zip(cores, world.processes, strict=True)
         ):
             return False
@@ -97,7 +99,7 @@
             if done():
                 return
     states = [
-        (process.me, core.role, core.era.generation, core.term, core.applied, core.known)
+        (process.me, core.role, core.epoch.generation, core.term, core.applied_index, core.is_caught_up)
         for process in world.processes
         if (core := process.core) is not None
     ]
--- a/laurelstep/testing/schedules/world.py
+++ b/laurelstep/testing/schedules/world.py
@@ -17,8 +17,10 @@
 import random
 from collections.abc import Callable, Iterable, Mapping
 
-from laurelstep.consensus.core import FAR, Core, Effects
-from laurelstep.consensus.errors import BusyError, NotLeadingError
+from laurelstep.consensus.core import ConsensusCore
+from laurelstep.consensus.effects import StepEffects
+from laurelstep.consensus.errors import BusyError, NotLeaderError
+from laurelstep.consensus.timing import NEVER_US
 from laurelstep.testing.schedules.checker import Checker
 from laurelstep.testing.schedules.process import LEASES, TAPE, Made, Process
 
@@ -74,7 +76,9 @@
         process = self.processes[me]
         process.begin()
         assert process.core is not None
-        process.core.heard = lambda peer, incarnation, data: self._heard(process, peer, incarnation, data)
+        process.core.on_leader_message = lambda peer, incarnation, data: self._heard(
+            process, peer, incarnation, data
+        )
         self.checker.born(process)
         self._step(process, lambda core, now: core.start(now))
 
@@ -158,7 +162,7 @@
             return False
         try:
             self._step(process, lambda core, now: core.propose(now, TAPE + data))
-        except (NotLeadingError, BusyError):
+        except (NotLeaderError, BusyError):
             return False
         return True
 
@@ -167,29 +171,29 @@
         if process.core is None or process.paused:
             return
         lease_us = self.made.timing.lease_us if lease_us is None else lease_us
-        word = process.leases.ask(process.local(self.time), process.core.incarnation, name, lease_us)
-        self._step(process, lambda core, now: core.word(now, word))
+        word = process.leases.request(process.local(self.time), process.core.incarnation, name, lease_us)
+        self._step(process, lambda core, now: core.send_to_leader(now, word))
 
     def give_back(self, me: int, name: str = "lease") -> None:
         process = self.processes[me]
-        word = process.leases.give_back(name)
+        word = process.leases.release(name)
         if word is not None and process.alive and not process.paused:
-            self._step(process, lambda core, now: core.word(now, word))
+            self._step(process, lambda core, now: core.send_to_leader(now, word))
 
     def _heard(self, process: Process, peer: int, incarnation: int, data: bytes) -> None:
         # The core is in the midst of a step: what the leader answers is a step of its own.
         self.at(self.time, self._grant, process, process.core, peer, incarnation, data)
 
-    def _grant(self, process: Process, core: Core, peer: int, incarnation: int, data: bytes) -> None:
+    def _grant(self, process: Process, core: ConsensusCore, peer: int, incarnation: int, data: bytes) -> None:
         if process.core is not core or process.paused:
             return
         now = process.local(self.time)
-        entry = process.leases.entry(now, core.era, peer, incarnation, data)
+        entry = process.leases.entry_for(now, core.epoch, peer, incarnation, data)
         if entry is None:
             return
         try:
             self._step(process, lambda core, now: core.propose(now, LEASES + entry))
-        except (NotLeadingError, BusyError):
+        except (NotLeaderError, BusyError):
             return
 
     def leaders(self) -> list[Process]:
@@ -222,8 +226,8 @@
     def _plan(self, process: Process) -> None:
         process.version += 1
         core = process.core
-        if core is not None and core.due < FAR:
-            time = max(self.time, process.true(core.due))
+        if core is not None and core.due_us < NEVER_US:
+            time = max(self.time, process.true(core.due_us))
             self.at(time, self._tick, process, process.version)
 
     def _tick(self, process: Process, version: int) -> None:
@@ -243,23 +247,23 @@
         elif process.core is not None:
             self._step(process, lambda core, now: core.receive(now, peer, raw))
 
-    def _step(self, process: Process, step: Callable[[Core, int], Effects]) -> None:
+    def _step(self, process: Process, step: Callable[[ConsensusCore, int], StepEffects]) -> None:
         core = process.core
         if core is None:
             return
         now = process.local(self.time)
         effects = step(core, now)
         self.steps += 1
-        sends = effects.sends
+        sends = effects.outgoing
         if process.doomed:
             if self.draw.random() < 0.5:
                 return self._end(process)
             sends = sends[: self.draw.randint(0, len(sends))]
-        self._keep(process, effects.keep)
+        self._keep(process, effects.persist)
         for peer, raw in sends:
             self.checker.sent(process, raw)
             self._send(process.me, peer, raw)
-        process.leases.observe(now, core.era)
+        process.leases.observe(now, core.epoch)
         self.checker.stepped(process, self.time)
         if process.doomed:
             return self._end(process)
--- a/laurelstep/upkeep/assembly.py
+++ b/laurelstep/upkeep/assembly.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Final
 
-from laurelstep.consensus.parts import Accord
-from laurelstep.consensus.ports import Machine
+from laurelstep.consensus.multiplexer import ConsensusClient
+from laurelstep.consensus.ports import StateMachine
 from laurelstep.engine import Engine
 from laurelstep.engine.ports import Clock, Log, MemberSource
 from laurelstep.management.calls import Reply
@@ -22,7 +22,7 @@
 from laurelstep.upkeep.source import UpkeepSource
 
 
-def carried() -> dict[int, Machine]:
+def carried() -> dict[int, StateMachine]:
     """The record's machine of upkeep for a copy that shares the record and has upkeep off. It may
     come to lead: a snapshot without what the others agreed would make them forget it."""
     return {KIND[0]: Roll()}
@@ -38,7 +38,7 @@
         self.settings = settings
         self.log = log
         self.roll = Roll()
-        self.machines: Final[dict[int, Machine]] = {KIND[0]: self.roll}
+        self.machines: Final[dict[int, StateMachine]] = {KIND[0]: self.roll}
         self.slices = Slices(loop)
         self.opened = asyncio.Event()  # this process may send
         self.source: UpkeepSource | None = None
@@ -51,7 +51,7 @@
         self.source = UpkeepSource(inner, self.roll, clock, grace_us, self.slices.run, self.log)
         return self.source
 
-    def begin(self, accord: Accord, engine: Engine, may_confirm: Callable[[], bool]) -> None:
+    def begin(self, accord: ConsensusClient, engine: Engine, may_confirm: Callable[[], bool]) -> None:
         """`may_confirm`: whether no earlier version of this process sends any more."""
         assert self.source is not None
         cold_share, cold_us = self.config.settings.cold_share, self.config.settings.cold_us
--- a/laurelstep/upkeep/desk.py
+++ b/laurelstep/upkeep/desk.py
@@ -85,9 +85,9 @@
         return self._so_already() if state == machine.state else self.keeper.ask(event, id)
 
     def absent(self, peer: int) -> Asking | None:
-        if not 0 <= peer < self.keeper.accord.peers or peer == self.keeper.accord.me:
+        if not 0 <= peer < self.keeper.accord.peer_count or peer == self.keeper.accord.replica_id:
             raise UnknownPeerError(
-                f"peer: {peer}: expected another copy, 0 to {self.keeper.accord.peers - 1}"
+                f"peer: {peer}: expected another copy, 0 to {self.keeper.accord.peer_count - 1}"
             )
         return self._so_already() if peer in self.keeper.roll.absent else self.keeper.ask("absent", peer)
 
@@ -100,11 +100,11 @@
         now = self.keeper.clock.now()
         quiet = self.keeper.source.quiet()  # it may look at all requests that are open
         return {
-            "copy": self.keeper.accord.me,
-            "copies": self.keeper.accord.peers,
-            "leading": self.keeper.accord.leading,
-            "known": self.keeper.accord.known,
-            "in_touch": self.keeper.accord.in_touch,
+            "copy": self.keeper.accord.replica_id,
+            "copies": self.keeper.accord.peer_count,
+            "leading": self.keeper.accord.is_leader,
+            "known": self.keeper.accord.is_caught_up,
+            "in_touch": self.keeper.accord.has_leader_contact,
             "serving_alone": self.keeper.alone and not self.keeper.source.learned,
             "index": self.keeper.roll.index,
             "wishes": [self.told_wish(one) for one in self.keeper.roll.wishes.values()],
@@ -133,7 +133,7 @@
 
     def _unheard(self) -> list[int]:
         """Copies that never began since the record was founded: nothing is clear without them."""
-        peers = range(self.keeper.accord.peers)
+        peers = range(self.keeper.accord.peer_count)
         return [peer for peer in peers if peer not in self.keeper.roll.here][:SHOWN_MOST]
 
     def told_wish(self, one: OpenWish) -> dict[str, Any]:
@@ -158,9 +158,11 @@
     def _told_machine(self, one: Machine, now: int, quiet: int) -> dict[str, Any]:
         wish = self.keeper.roll.wishes.get(one.wish)
         missing = None
-        if self.keeper.accord.leading and one.state == State.LEAVING:
+        if self.keeper.accord.is_leader and one.state == State.LEAVING:
             keeper = self.keeper
-            missing = keeper.confirmations.missing(one.left, keeper.roll, keeper.accord.peers)[:SHOWN_MOST]
+            missing = keeper.confirmations.missing(one.left, keeper.roll, keeper.accord.peer_count)[
+                :SHOWN_MOST
+            ]
         return {
             "id": one.id,
             "wish": wish.wish.name if wish is not None else "",
--- a/laurelstep/upkeep/entries.py
+++ b/laurelstep/upkeep/entries.py
@@ -1,7 +1,7 @@
 """What travels of upkeep: entries of the record, and words to whoever leads. Pure.
 
 All begin with the byte `KIND`, as one record and one link carry other things too (of an entry it
-is taken off before the roll has it: `laurelstep.consensus.machines`); then a tagged array in msgpack.
+is taken off before the roll has it: `laurelstep.consensus.state_machines`); then a tagged array in msgpack.
 Fields are only ever added at the end: an older version passes over what it does not know, and
 reads what it does."""
 
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from laurelstep.upkeep.wishes import ENTRY_MOST, FitError, Wish
+from laurelstep.upkeep.wishes import MAX_ENTRY_BYTES, FitError, Wish
 
 KIND: Final = b"u"
 
@@ -96,8 +96,8 @@
         data = KIND + _encode(entry)
     except UnicodeEncodeError as error:  # a lone surrogate, which JSON may have
         raise FitError(str(error)) from None
-    if len(data) > ENTRY_MOST:
-        raise FitError(f"{len(data)} bytes, {ENTRY_MOST} at most")
+    if len(data) > MAX_ENTRY_BYTES:
+        raise FitError(f"{len(data)} bytes, {MAX_ENTRY_BYTES} at most")
     return data
 
 
@@ -111,7 +111,7 @@
 
 def unpack_entry(data: bytes) -> Entry | None:
     """Without its first byte. None for what is no entry of upkeep."""
-    if len(data) >= ENTRY_MOST:
+    if len(data) >= MAX_ENTRY_BYTES:
         return None
     try:
         return _entries.decode(data)
@@ -120,7 +120,7 @@
 
 
 def unpack_word(data: bytes) -> Word | None:
-    if data[:1] != KIND or len(data) > ENTRY_MOST:
+    if data[:1] != KIND or len(data) > MAX_ENTRY_BYTES:
         return None
     try:
         return _words.decode(data[1:])
--- a/laurelstep/upkeep/keeper.py
+++ b/laurelstep/upkeep/keeper.py
@@ -15,8 +15,8 @@
 from collections.abc import Callable
 from typing import Final
 
-from laurelstep.consensus.errors import BusyError, NotLeadingError
-from laurelstep.consensus.parts import Accord
+from laurelstep.consensus.errors import BusyError, NotLeaderError
+from laurelstep.consensus.multiplexer import ConsensusClient
 from laurelstep.engine.ports import Clock, Handle, Log
 from laurelstep.upkeep.entries import Ask, Confirm, Entry, Here, Step, Word, pack, unpack_word
 from laurelstep.upkeep.options import UpkeepSettings
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        accord: Accord,
+        accord: ConsensusClient,
         roll: Roll,
         source: UpkeepSource,
         clock: Clock,
@@ -96,10 +96,10 @@
         self.closed = False
 
     def start(self) -> None:
-        self.accord.heard = self.heard
+        self.accord.on_leader_message = self.heard
         self.accord.on_change = self.come
         self.source.on_list = self.come
-        self.source.knows = lambda: self.accord.known
+        self.source.knows = lambda: self.accord.is_caught_up
         if self.settings.start_alone == "serve":
             self.clock.at(self.clock.now() + self.settings.learn_us, self._learn_no_more)
         self.look()
@@ -146,13 +146,13 @@
     def _step(self, now: int) -> bool:
         """Whether something moves."""
         accord, roll = self.accord, self.roll
-        if accord.known and self.is_here and not self.source.learned:
+        if accord.is_caught_up and self.is_here and not self.source.learned:
             self._open(True)
         self._note_era()
         self.source.refresh()
         self.ages.follow(roll, now)
         self.confirmations.follow(roll)
-        reign = accord.era, accord.leader, accord.leading
+        reign = accord.epoch, accord.leader_id, accord.is_leader
         if reign != self.reign:
             self.reign = reign
             self.confirmations.forget()
@@ -161,36 +161,40 @@
         self._come_in(now)
         self._confirm(now)
         self._ask(now)
-        if accord.leading and accord.known:
+        if accord.is_leader and accord.is_caught_up:
             self._plan(now)
-        pending = any(one.said == State.WISHED for one in self.asked) or (accord.known and not self.is_here)
-        return pending or self.is_waited_for or self.source.telling or (accord.leading and bool(roll.wishes))
+        pending = any(one.said == State.WISHED for one in self.asked) or (
+            accord.is_caught_up and not self.is_here
+        )
+        return (
+            pending or self.is_waited_for or self.source.telling or (accord.is_leader and bool(roll.wishes))
+        )
 
     def _say(self, word: Word) -> None:
         with contextlib.suppress(BusyError):  # as if it were lost: it is told again
-            self.accord.word(pack(word))
+            self.accord.send_to_leader(pack(word))
 
     def _note_era(self) -> None:
         """A record that was founded anew without what this process holds back."""
-        if not self.accord.known or self.accord.era == self.era:
+        if not self.accord.is_caught_up or self.accord.epoch == self.era:
             return
         lost = [id for id in self.source.shown.holds if id not in self.roll.machines]
         if self.era is not None and lost:
             self.log(f"upkeep: the record was founded anew and forgot what is out: {', '.join(lost[:8])}")
-        self.era = self.accord.era
+        self.era = self.accord.epoch
 
     @property
     def is_here(self) -> bool:
         """Whether the record has this incarnation, and nobody declares it absent."""
-        me = self.accord.me
+        me = self.accord.replica_id
         return self.roll.here.get(me) == self.accord.incarnation and me not in self.roll.absent
 
     def _come_in(self, now: int) -> None:
-        if not self.accord.known or self.is_here:
+        if not self.accord.is_caught_up or self.is_here:
             self.told_here = None
         elif self.told_here is None or now >= self.told_here + AGAIN_US:
             self.told_here = now
-            self._say(Here(self.accord.me, self.accord.incarnation))
+            self._say(Here(self.accord.replica_id, self.accord.incarnation))
 
     @property
     def is_waited_for(self) -> bool:
@@ -215,7 +219,7 @@
 
     def need_touch(self) -> None:
         """`CutOffError` where the roll may be an old one."""
-        if not self.accord.in_touch or not self.accord.known:
+        if not self.accord.has_leader_contact or not self.accord.is_caught_up:
             raise CutOffError("no leader is heard")
 
     def ask(self, verb: str, what: Wish | str | int) -> Asking:
@@ -251,11 +255,11 @@
         return 0
 
     def _worded(self, one: Asking) -> Ask:
-        return Ask(self.accord.me, self.accord.incarnation, one.number, one.verb, one.what, one.whose)
+        return Ask(self.accord.replica_id, self.accord.incarnation, one.number, one.verb, one.what, one.whose)
 
     def _agreed(self) -> tuple[int, str]:
         """The last asking of this incarnation that the record has, and its verdict."""
-        last = self.roll.asked.get(self.accord.me)
+        last = self.roll.asked.get(self.accord.replica_id)
         if last is None or last.incarnation != self.accord.incarnation:
             return 0, ""
         return last.number, last.verdict
@@ -318,11 +322,11 @@
                         self.log(f"upkeep: {entry.id}: {entry.event}{why}")
             except FitError as error:
                 self.log(f"upkeep: {error}: {entry}")
-            except (NotLeadingError, BusyError):
+            except (NotLeaderError, BusyError):
                 return
 
     def sight(self, now: int) -> Sight:
         return Sight(
-            self.roll, self.source.table, self.confirmations, self.ages, self.accord.peers,
+            self.roll, self.source.table, self.confirmations, self.ages, self.accord.peer_count,
             self.cold_share, self.cold_us, self.settings.overdue_us, now,
         )  # fmt: skip
--- a/laurelstep/upkeep/wishes.py
+++ b/laurelstep/upkeep/wishes.py
@@ -4,7 +4,7 @@
 
 1. A wish is checked whole before anything is made of it; a bad one changes nothing.
 2. Each error is a type of its own, with its cause and with what an operator can do.
-3. A wish fits one entry of the record (`ENTRY_MOST` bytes), or is not taken.
+3. A wish fits one entry of the record (`MAX_ENTRY_BYTES` bytes), or is not taken.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 from laurelstep.errors import LaurelstepError
 
-ENTRY_MOST: Final = 160
+MAX_ENTRY_BYTES: Final = 160
 # Open at once, and machines of one of them: bounds of the record.
 WISHES_MOST: Final = 16
 MACHINES_MOST: Final = 1024
