--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -10,16 +10,18 @@
 import pytest
 from hypothesis import given, settings
 
-from laurelstep.consensus import kept as keeping
 from laurelstep.consensus import messages as m
-from laurelstep.consensus.core import FAR, Core, Timing
-from laurelstep.consensus.errors import BusyError, EntryError, KeptError, NotLeadingError
-from laurelstep.consensus.leases import Leases
-from laurelstep.consensus.log import CONFIG, DATA, Log, members_raw
-from laurelstep.consensus.machines import Machines
-from laurelstep.consensus.ports import DATAGRAM_MOST
-from laurelstep.consensus.snapshots import Assembly, Snapshot
-from laurelstep.consensus.terms import ENTRY_MOST, NOWHERE, PENDING_MOST, WORD_MOST, Era
+from laurelstep.consensus import stored_state
+from laurelstep.consensus.core import ConsensusCore
+from laurelstep.consensus.epoch import NO_EPOCH, ClusterEpoch
+from laurelstep.consensus.errors import BusyError, EntryError, NotLeaderError, StoredStateError
+from laurelstep.consensus.leases import LeaseTable
+from laurelstep.consensus.limits import MAX_ENTRY_BYTES, MAX_LEADER_MESSAGE_BYTES, MAX_PENDING_PROPOSALS
+from laurelstep.consensus.log import ReplicatedLog, encode_members
+from laurelstep.consensus.ports import MAX_DATAGRAM_BYTES
+from laurelstep.consensus.snapshots import Snapshot, SnapshotAssembly
+from laurelstep.consensus.state_machines import CompositeStateMachine
+from laurelstep.consensus.timing import NEVER_US, ConsensusTiming
 from laurelstep.testing.schedules import BrokenError, Made, Process, Tape, World
 from laurelstep.testing.schedules.script import QUICK, founded, settle
 from tests.once import once
@@ -30,16 +32,16 @@
 
 
 def tier(
-    seats: int, learners: int = 0, lasting: bool = False, seed: int = 1, timing: Timing = QUICK
+    seats: int, learners: int = 0, lasting: bool = False, seed: int = 1, timing: ConsensusTiming = QUICK
 ) -> World:
     """A tier that has founded its record, and knows an entry."""
     peers = seats + learners
-    world = World(Made(seats, peers, timing, lasting), seed, founded(seats, peers, QUICK.log_most))
+    world = World(Made(seats, peers, timing, lasting), seed, founded(seats, peers, QUICK.max_log_entries))
     settle(world)
     return world
 
 
-def core_of(world: World, me: int) -> Core:
+def core_of(world: World, me: int) -> ConsensusCore:
     core = world.processes[me].core
     assert core is not None
     return core
@@ -50,7 +52,7 @@
 
     def settled() -> Process | None:
         return next(
-            (one for one in world.leaders() if one.me in among and core_of(world, one.me).known), None
+            (one for one in world.leaders() if one.me in among and core_of(world, one.me).is_caught_up), None
         )
 
     assert world.run_for(within, lambda: settled() is not None)
@@ -132,7 +134,7 @@
     assert agreed(world, b"many", many)
     world.run_for(5 * SECOND)
     assert not any(b"few" in world.processes[me].tape.data for me in range(5))
-    assert not any(core_of(world, me).in_touch(world.processes[me].local(world.time)) for me in few)
+    assert not any(core_of(world, me).has_leader_contact(world.processes[me].local(world.time)) for me in few)
     world.heal()
     settle(world)
     assert all(b"many" in one.tape.data and b"few" not in one.tape.data for one in world.processes)
@@ -141,7 +143,7 @@
 def test_of_three_and_three_neither_agrees_or_founds() -> None:
     world = tier(7)
     world.crash(6)
-    era = core_of(world, 0).era
+    era = core_of(world, 0).epoch
     halves = [0, 1, 2], [3, 4, 5]
     world.part(*halves)
     world.run_for(SECOND // 10)
@@ -154,7 +156,7 @@
     assert not any(b"half" in one.tape.data for one in world.processes)
     world.heal()
     settle(world)
-    assert {core_of(world, me).era for me in range(7)} == {era}
+    assert {core_of(world, me).epoch for me in range(7)} == {era}
 
 
 @pytest.mark.parametrize("outwards", [True, False])
@@ -197,7 +199,7 @@
 
 def test_all_killed_at_once_with_lasting_stores_lose_nothing() -> None:
     world = tier(5, learners=1, lasting=True)
-    era = core_of(world, 0).era
+    era = core_of(world, 0).epoch
     leader = led(world, range(5)).me
     assert world.propose(leader, b"before")
     assert agreed(world, b"before", range(6))
@@ -206,7 +208,7 @@
         world.crash(me)
     world.heal()
     settle(world)
-    assert core_of(world, 0).era == era
+    assert core_of(world, 0).epoch == era
     assert all(b"before" in one.tape.data for one in world.processes)
     assert [one.incarnation for one in world.processes][:5] == incarnations[:5]
     # A learner keeps nothing, and is another.
@@ -215,13 +217,13 @@
 
 def test_all_killed_at_once_without_stores_begin_an_empty_record_and_say_so_by_its_era() -> None:
     world = tier(3, learners=2)
-    era = core_of(world, 0).era
+    era = core_of(world, 0).epoch
     for me in range(3):
         world.crash(me)
     world.heal()
     settle(world)
-    assert core_of(world, 0).era != era
-    assert all(core_of(world, me).era == core_of(world, 0).era for me in range(5))
+    assert core_of(world, 0).epoch != era
+    assert all(core_of(world, me).epoch == core_of(world, 0).epoch for me in range(5))
     assert all(b"probe0" not in one.tape.data or one.tape.places[0][0] > 1 for one in world.processes)
 
 
@@ -235,20 +237,20 @@
         for me in others(world, one):
             world.restart(me)
         settle(world)
-        assert core_of(world, 0).era.generation == 2
+        assert core_of(world, 0).epoch.generation == 2
         assert all(b"kept" in process.tape.data for process in world.processes)
 
 
 def test_one_that_is_frozen_reads_the_new_record_anew() -> None:
     world = tier(3)
-    last, era = core_of(world, 2), core_of(world, 2).era
-    assert last.known
+    last, era = core_of(world, 2), core_of(world, 2).epoch
+    assert last.is_caught_up
     world.restart(0)
     world.restart(1)
-    assert world.run_for(10 * SECOND, lambda: last.role == "frozen" or last.era != era)
+    assert world.run_for(10 * SECOND, lambda: last.role == "frozen" or last.epoch != era)
     # Until then it goes by the old one, and must not take that for the record.
-    assert world.run_for(10 * SECOND, lambda: last.known)
-    assert last.role != "frozen" and last.era != era
+    assert world.run_for(10 * SECOND, lambda: last.is_caught_up)
+    assert last.role != "frozen" and last.epoch != era
 
 
 def test_a_majority_forgets_while_one_seat_is_cut_off_and_nothing_is_founded() -> None:
@@ -261,7 +263,7 @@
     for me in rest:
         world.restart(me)
     world.run_for(20 * SECOND)
-    assert {core_of(world, me).era for me in rest} == {NOWHERE}
+    assert {core_of(world, me).epoch for me in rest} == {NO_EPOCH}
     world.heal()
     settle(world)
     assert all(b"kept" in one.tape.data for one in world.processes)
@@ -278,7 +280,7 @@
         voters[:] = [
             one.me
             for one in world.processes
-            if one.core and one.core._state.voted not in (None, (first, before[first]))
+            if one.core and one.core._state.voted_for not in (None, (first, before[first]))
         ]
         return len(voters) == 2
 
@@ -287,7 +289,7 @@
     world.restart(voter)
     again = core_of(world, voter)
     assert again.incarnation != before[voter]
-    assert again._state.voted is None
+    assert again._state.voted_for is None
     # The vote of the one that ended counts, and the new one's only once it is taken in.
     world.run_for(5 * SECOND)
     world.heal()
@@ -316,14 +318,14 @@
 
 def test_a_release_replaces_all_one_after_the_other() -> None:
     world = tier(5, learners=1)
-    era = core_of(world, 0).era
+    era = core_of(world, 0).epoch
     for me in range(6):
         leader = led(world, range(5)).me
         assert world.propose(leader, b"release%d" % me)
         world.restart(me)
         world.run_for(3 * SECOND)
     settle(world)
-    assert core_of(world, 0).era == era
+    assert core_of(world, 0).epoch == era
     assert all(b"release0" in one.tape.data for one in world.processes)
 
 
@@ -343,10 +345,10 @@
     core = core_of(world, 0)
     now = world.processes[0].local(world.time)
     core.retire()
-    assert core.due == FAR
-    assert core.tick(now + SECOND).sends == []
-    assert core.receive(now, 1, m.encode(m.Ask(1))).sends == []
-    with pytest.raises(NotLeadingError):
+    assert core.due_us == NEVER_US
+    assert core.tick(now + SECOND).outgoing == []
+    assert core.receive(now, 1, m.encode(m.IdentityRequest(1))).outgoing == []
+    with pytest.raises(NotLeaderError):
         core.propose(now, b"late")
 
 
@@ -364,25 +366,25 @@
     world = World(Made(3, 3, QUICK), seed=3)
     world.crash(2)
     world.run_for(20 * SECOND)
-    assert all(core_of(world, me).era == NOWHERE for me in range(2))
+    assert all(core_of(world, me).epoch == NO_EPOCH for me in range(2))
     world.heal()
     settle(world)
 
 
 def test_one_that_comes_again_between_the_two_rounds_ends_the_founding() -> None:
     world, founder = found_by_hand()
-    era = core_of(world, founder)._state.promised
+    era = core_of(world, founder)._state.promised_epoch
     last = others(world, founder)[-1]
     first = others(world, founder, last)[0]
     # One accepts; before the other does, the first has come again as another.
     world.cut_one_way([founder], [last])
-    assert world.run_for(SECOND, lambda: first in core_of(world, founder)._founding._accepted)
+    assert world.run_for(SECOND, lambda: first in core_of(world, founder)._bootstrap._accepted)
     world.restart(first)
     world.cut = set()
     world.run_for(SECOND // 2)
-    assert era not in {core_of(world, me).era for me in range(3)}
+    assert era not in {core_of(world, me).epoch for me in range(3)}
     settle(world)
-    assert core_of(world, 0).era > era
+    assert core_of(world, 0).epoch > era
     assert core_of(world, 0).members[first] == core_of(world, first).incarnation
 
 
@@ -390,19 +392,19 @@
     world = tier(3)
     leader = led(world, range(3))
     frozen = others(world, leader.me)[0]
-    old, last = core_of(world, frozen).incarnation, core_of(world, frozen).applied
+    old, last = core_of(world, frozen).incarnation, core_of(world, frozen).applied_index
     # A late call from a founder that gave up long ago, while the seat hears no leader.
     world.part([frozen], others(world, frozen))
     world.run_for(3 * SECOND)
     named = [core_of(world, me).incarnation for me in range(3)]
-    call = m.encode(m.Found(Era(9, 9), 1, named))
+    call = m.encode(m.BootstrapRequest(ClusterEpoch(9, 9), 1, named))
     world._step(world.processes[frozen], lambda core, now: core.receive(now, leader.me, call))
     assert core_of(world, frozen).role == "frozen"
     world.heal()
     assert world.run_for(10 * SECOND, lambda: core_of(world, frozen).role == "follower")
     assert core_of(world, frozen).counters["came_again"] == 1
     assert core_of(world, frozen).incarnation != old
-    assert core_of(world, frozen).applied >= last
+    assert core_of(world, frozen).applied_index >= last
 
     def taken_in() -> bool:
         return core_of(world, leader.me).members.get(frozen) == core_of(world, frozen).incarnation
@@ -416,19 +418,19 @@
     world = tier(3)
     now = [one.local(world.time) for one in world.processes]
     named = [core_of(world, me).incarnation for me in range(3)]
-    call = m.encode(m.Found(Era(9, 9), 1, named))
-    assert core_of(world, 1).receive(now[1], 0, call).sends == []
+    call = m.encode(m.BootstrapRequest(ClusterEpoch(9, 9), 1, named))
+    assert core_of(world, 1).receive(now[1], 0, call).outgoing == []
     lonely = World(Made(3, 3, QUICK), seed=1)
-    call = m.encode(m.Found(Era(9, 9), 1, [1, 2, 3]))
+    call = m.encode(m.BootstrapRequest(ClusterEpoch(9, 9), 1, [1, 2, 3]))
     effects = core_of(lonely, 1).receive(lonely.processes[1].local(1), 0, call)
-    assert effects.sends == [] and effects.keep == {}
+    assert effects.outgoing == [] and effects.persist == {}
 
 
 # Learners and reads
 
 
 def test_two_hundred_copies_agree_and_at_rest_each_takes_under_two_kilobytes_a_second() -> None:
-    timing = Timing(log_most=64)
+    timing = ConsensusTiming(max_log_entries=64)
     world = World(Made(5, 200, timing), seed=5)
     settle(world)
     leader = led(world, range(5)).me
@@ -455,7 +457,7 @@
     world.part(few, others(world, *few))
     world.restart(5)
     world.run_for(10 * SECOND)
-    assert not core_of(world, 5).known
+    assert not core_of(world, 5).is_caught_up
     world.heal()
     settle(world)
 
@@ -466,17 +468,17 @@
         for me in range(3):
             world.restart(me)
         settle(world)
-        assert core_of(world, 3).era == core_of(world, 0).era
+        assert core_of(world, 3).epoch == core_of(world, 0).epoch
 
 
 def test_words_reach_the_leader_from_everybody() -> None:
     world = tier(3, learners=1)
     leader = led(world, range(3))
     heard: list[tuple[int, int, bytes]] = []
-    core_of(world, leader.me).heard = lambda *word: heard.append(word)
+    core_of(world, leader.me).on_leader_message = lambda *word: heard.append(word)
     for me in range(4):
         word = b"word%d" % me
-        world._step(world.processes[me], lambda core, now, word=word: core.word(now, word))  # type: ignore[misc]
+        world._step(world.processes[me], lambda core, now, word=word: core.send_to_leader(now, word))  # type: ignore[misc]
     world.run_for(SECOND // 10)
     assert sorted(heard) == [(me, core_of(world, me).incarnation, b"word%d" % me) for me in range(4)]
 
@@ -484,23 +486,25 @@
 def test_a_word_of_an_earlier_record_is_not_heard_in_a_later_one() -> None:
     """A learner that has not heard of the new record yet speaks of places that have other entries there."""
     world = tier(3, learners=1)
-    learner, era = core_of(world, 3), core_of(world, 3).era
+    learner, era = core_of(world, 3), core_of(world, 3).epoch
     now = world.processes[3].local(world.time)
-    ((_, early),) = learner.word(now, b"early").sends
+    ((_, early),) = learner.send_to_leader(now, b"early").outgoing
     for me in range(3):
         world.restart(me)
     settle(world)
     leader = core_of(world, led(world, range(3)).me)
-    assert leader.era == learner.era != era
+    assert leader.epoch == learner.epoch != era
     heard: list[bytes] = []
-    leader.heard = lambda peer, incarnation, data: heard.append(data)
+    leader.on_leader_message = lambda peer, incarnation, data: heard.append(data)
     lost = leader.counters["words_lost"]
-    leader.receive(world.processes[leader.me].local(world.time), 3, early)
+    leader.receive(world.processes[leader.replica_id].local(world.time), 3, early)
     assert not heard and leader.counters["words_lost"] == lost + 1
     # Nor what was to be said of it, and had to wait until it was over.
-    assert not learner.word(world.processes[3].local(world.time), b"waited", era).sends
-    ((_, late),) = learner.word(world.processes[3].local(world.time), b"late", leader.era).sends
-    leader.receive(world.processes[leader.me].local(world.time), 3, late)
+    assert not learner.send_to_leader(world.processes[3].local(world.time), b"waited", era).outgoing
+    ((_, late),) = learner.send_to_leader(
+        world.processes[3].local(world.time), b"late", leader.epoch
+    ).outgoing
+    leader.receive(world.processes[leader.replica_id].local(world.time), 3, late)
     assert heard == [b"late"]
 
 
@@ -508,60 +512,62 @@
 
 
 def test_proposals_have_bounds() -> None:
-    world = tier(3, timing=dataclasses.replace(QUICK, log_most=512))
+    world = tier(3, timing=dataclasses.replace(QUICK, max_log_entries=512))
     leader = led(world, range(3)).me
     world.part([leader], others(world, leader))
     core, now = core_of(world, leader), world.processes[leader].local(world.time)
     with pytest.raises(EntryError):
-        core.propose(now, bytes(ENTRY_MOST + 1))
+        core.propose(now, bytes(MAX_ENTRY_BYTES + 1))
     with pytest.raises(EntryError):
-        core.word(now, bytes(WORD_MOST + 1))
-    for count in range(PENDING_MOST):
-        assert core.propose(now, b"%d" % count).index is not None
+        core.send_to_leader(now, bytes(MAX_LEADER_MESSAGE_BYTES + 1))
+    for count in range(MAX_PENDING_PROPOSALS):
+        assert core.propose(now, b"%d" % count).entry_index is not None
     with pytest.raises(BusyError):
         core.propose(now, b"one more")
-    with pytest.raises(NotLeadingError) as error:
+    with pytest.raises(NotLeaderError) as error:
         follower = others(world, leader)[0]
         core_of(world, follower).propose(world.processes[follower].local(world.time), b"x")
-    assert error.value.leader == leader
+    assert error.value.leader_id == leader
 
 
 def test_the_longest_messages_fit_in_a_datagram() -> None:
-    era = Era((1 << 32) - 1, (1 << 64) - 1)
+    era = ClusterEpoch((1 << 32) - 1, (1 << 64) - 1)
     big, count, small = (1 << 64) - 1, (1 << 48) - 1, (1 << 32) - 1
     members = [(seat, big) for seat in range(7)]
-    log = Log(era)
-    for length in (0, 1, 20, ENTRY_MOST):
-        while len(log.batch(1, log.last)) == len(log.entries):
-            log.append(m.Entry(count, DATA, bytes(length)))
-        entries = log.batch(1, log.last)
+    log = ReplicatedLog(era)
+    for length in (0, 1, 20, MAX_ENTRY_BYTES):
+        while len(log.batch(1, log.last_index)) == len(log.entries):
+            log.append(m.LogEntry(count, m.EntryKind.DATA, bytes(length)))
+        entries = log.batch(1, log.last_index)
         assert entries
-        append = m.Append(era, small, count, count, count, count, count, entries)
-        assert len(m.encode(append)) <= DATAGRAM_MOST
-        assert len(m.encode(m.Feed(era, small, count, True, count, entries))) <= DATAGRAM_MOST
-        log = Log(era)
+        append = m.AppendEntriesRequest(era, small, count, count, count, count, count, entries)
+        assert len(m.encode(append)) <= MAX_DATAGRAM_BYTES
+        assert len(m.encode(m.LearnerUpdate(era, small, count, True, count, entries))) <= MAX_DATAGRAM_BYTES
+        log = ReplicatedLog(era)
     longest: list[m.Message] = [
-        m.Here(big, big, era, era, count, count, count, count, members, True),
-        m.Found(era, big, [big] * 7),
-        m.Accepted(era, big, big, era, count, count),
-        m.Stand(era, small, big, count, count, count, False),
-        m.Vote(era, big, big, count, True, False),
-        m.Chunk(era, small, count, count, count, small, small, small, count, bytes(m.CHUNK_MOST)),
-        m.Chunked(era, big, count, count, small, small, count),
-        m.Word(era, big, bytes(WORD_MOST)),
+        m.IdentityResponse(big, big, era, era, count, count, count, count, members, True),
+        m.BootstrapRequest(era, big, [big] * 7),
+        m.BootstrapResponse(era, big, big, era, count, count),
+        m.RequestVoteRequest(era, small, big, count, count, count, False),
+        m.RequestVoteResponse(era, big, big, count, True, False),
+        m.InstallSnapshotRequest(
+            era, small, count, count, count, small, small, small, count, bytes(m.MAX_CHUNK_BYTES)
+        ),
+        m.InstallSnapshotResponse(era, big, count, count, small, small, count),
+        m.LeaderMessage(era, big, bytes(MAX_LEADER_MESSAGE_BYTES)),
     ]
     for message in longest:
         raw = m.encode(message)
-        assert len(raw) <= DATAGRAM_MOST
+        assert len(raw) <= MAX_DATAGRAM_BYTES
         assert m.decode(raw) == message
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=300), st.integers(-1, 9))
 def test_no_bytes_raise(raw: bytes, peer: int) -> None:
-    core = Core(0, 5, 3, 7, Tape(), QUICK, random.Random(1))
+    core = ConsensusCore(0, 5, 3, 7, Tape(), QUICK, random.Random(1))
     core.start(0)
-    for data in (raw, bytes((m.VERSION,)) + raw):
+    for data in (raw, bytes((m.PROTOCOL_VERSION,)) + raw):
         core.receive(1, peer, data)
 
 
@@ -572,37 +578,51 @@
     target = data.draw(st.integers(0, 3))
     core, now = core_of(world, target), world.processes[target].local(world.time)
     number = st.integers(0, (1 << 48) - 1) | st.integers(0, 9)
-    eras = st.sampled_from([core.era, NOWHERE, Era(0, 1), Era((1 << 32) - 1, (1 << 64) - 1)])
+    eras = st.sampled_from(
+        [core.epoch, NO_EPOCH, ClusterEpoch(0, 1), ClusterEpoch((1 << 32) - 1, (1 << 64) - 1)]
+    )
     kind = data.draw(
-        st.sampled_from([m.Append, m.Stand, m.Chunk, m.Feed, m.Ack, m.Vote, m.Found, m.Accepted])
+        st.sampled_from(
+            [
+                m.AppendEntriesRequest,
+                m.RequestVoteRequest,
+                m.InstallSnapshotRequest,
+                m.LearnerUpdate,
+                m.AppendEntriesResponse,
+                m.RequestVoteResponse,
+                m.BootstrapRequest,
+                m.BootstrapResponse,
+            ]
+        )
     )
-    one = m.short(core.incarnation) + 1 & 0xFFFFFFFF
+    one = m.short_incarnation(core.incarnation) + 1 & 0xFFFFFFFF
     fields = {
-        "era": eras,
-        "to": st.just(one),
-        "log_era": eras,
-        "entries": st.just([m.Entry(1, DATA, b"x"), m.Entry(1, CONFIG, b"x")]),
+        "epoch": eras,
+        "recipient": st.just(one),
+        "candidate": st.just(one),
+        "log_epoch": eras,
+        "entries": st.just([m.LogEntry(1, m.EntryKind.DATA, b"x"), m.LogEntry(1, m.EntryKind.CONFIG, b"x")]),
         "incarnations": st.just([1, 2, 3]),
-        "pre": st.booleans(),
-        "ok": st.booleans(),
+        "is_pre_vote": st.booleans(),
+        "success": st.booleans(),
         "granted": st.booleans(),
-        "in_touch": st.booleans(),
-        "data": st.binary(max_size=m.CHUNK_MOST),
-        "total": st.integers(0, 300),
+        "has_leader_contact": st.booleans(),
+        "data": st.binary(max_size=m.MAX_CHUNK_BYTES),
+        "total_bytes": st.integers(0, 300),
         "offset": st.integers(0, 300),
-        "crc": st.integers(0, (1 << 32) - 1),
+        "checksum": st.integers(0, (1 << 32) - 1),
     }
     message = kind(**{name: data.draw(fields.get(name, number)) for name in kind.__struct_fields__})
-    before = (core.era, core.term, core.role, core.applied, core.members)
+    before = (core.epoch, core.term, core.role, core.applied_index, core.members)
     core.receive(now, data.draw(st.integers(0, 3)), m.encode(message))
-    assert (core.era, core.term, core.role, core.applied, core.members) == before
+    assert (core.epoch, core.term, core.role, core.applied_index, core.members) == before
 
 
 def test_the_future_and_the_foreign_are_counted() -> None:
-    core = Core(0, 3, 3, 7, Tape(), QUICK, random.Random(1))
+    core = ConsensusCore(0, 3, 3, 7, Tape(), QUICK, random.Random(1))
     core.start(0)
-    good = m.encode(m.Ask(1))
-    core.receive(1, 1, bytes((m.VERSION + 1,)) + good[1:])
+    good = m.encode(m.IdentityRequest(1))
+    core.receive(1, 1, bytes((m.PROTOCOL_VERSION + 1,)) + good[1:])
     core.receive(1, 3, good)
     core.receive(1, 0, good)
     core.receive(1, 1, good[:-1])
@@ -619,50 +639,50 @@
     )
 )
 def test_the_log_is_a_list_with_a_part_cut_off_in_front(steps: list[tuple[str, int]]) -> None:
-    log, model = Log(Era(1, 1)), [m.Entry(0, DATA, b"")]
+    log, model = ReplicatedLog(ClusterEpoch(1, 1)), [m.LogEntry(0, m.EntryKind.DATA, b"")]
     for step, number in steps:
         if step == "append":
-            entry = m.Entry(number, DATA, b"%d" % number)
+            entry = m.LogEntry(number, m.EntryKind.DATA, b"%d" % number)
             model.append(entry)
             log.append(entry)
         elif step == "config":
-            entry = m.Entry(number, CONFIG, members_raw({number % 7: number}))
+            entry = m.LogEntry(number, m.EntryKind.CONFIG, encode_members({number % 7: number}))
             model.append(entry)
             log.append(entry)
         elif step == "cut":
-            last = max(log.start, len(model) - 1 - number)
+            last = max(log.base_index, len(model) - 1 - number)
             del model[last + 1 :]
-            log.cut(last)
+            log.truncate_after(last)
         else:
-            log.compact(min(log.last, log.start + number))
-        assert log.last == len(model) - 1
-        assert all(log.term_at(at) == model[at].term for at in range(log.start, len(model)))
-        assert log.term_at(log.start - 1) is None and log.term_at(log.last + 1) is None
-        configs = [at for at, entry in enumerate(model) if entry.kind == CONFIG]
+            log.compact_to(min(log.last_index, log.base_index + number))
+        assert log.last_index == len(model) - 1
+        assert all(log.term_at(at) == model[at].term for at in range(log.base_index, len(model)))
+        assert log.term_at(log.base_index - 1) is None and log.term_at(log.last_index + 1) is None
+        configs = [at for at, entry in enumerate(model) if entry.kind == m.EntryKind.CONFIG]
         assert log.config.index == (configs[-1] if configs else 0)
 
 
 def test_a_snapshot_in_parts_is_used_only_when_whole() -> None:
-    era = Era(1, 1)
-    snapshot = Snapshot.of(era, 9, 2, Log().config, bytes(500))
-    other = Snapshot.of(era, 9, 2, Log().config, b"\1" * 500)
-    assembly = Assembly()
+    era = ClusterEpoch(1, 1)
+    snapshot = Snapshot.create(era, 9, 2, ReplicatedLog().config, bytes(500))
+    other = Snapshot.create(era, 9, 2, ReplicatedLog().config, b"\1" * 500)
+    assembly = SnapshotAssembly()
     got = 0
-    while got < len(snapshot.raw):
-        assert assembly.whole() is None
-        assert assembly.add(other.part(1, 1, got + 1, 1)) == 0
-        part = snapshot.part(1, 1, got, 1)
+    while got < len(snapshot.payload):
+        assert assembly.take_complete() is None
+        assert assembly.add(other.chunk(1, 1, got + 1, 1)) == 0
+        part = snapshot.chunk(1, 1, got, 1)
         if got:
-            for at in range(0, got, m.CHUNK_MOST):
-                assembly.add(snapshot.part(1, 1, at, 1))
+            for at in range(0, got, m.MAX_CHUNK_BYTES):
+                assembly.add(snapshot.chunk(1, 1, at, 1))
         got = assembly.add(part)
         assert assembly.add(part) == got
-    assert assembly.whole() == snapshot
-    assert assembly.whole() is None
-    spoilt = dataclasses.replace(snapshot, crc=1)
-    for at in range(0, len(snapshot.raw), m.CHUNK_MOST):
-        assembly.add(spoilt.part(1, 1, at, 1))
-    assert assembly.whole() is None
+    assert assembly.take_complete() == snapshot
+    assert assembly.take_complete() is None
+    spoilt = dataclasses.replace(snapshot, checksum=1)
+    for at in range(0, len(snapshot.payload), m.MAX_CHUNK_BYTES):
+        assembly.add(spoilt.chunk(1, 1, at, 1))
+    assert assembly.take_complete() is None
 
 
 def test_what_is_kept_must_be_whole_and_ones_own() -> None:
@@ -670,27 +690,27 @@
     led(world, range(3))
     whole = dict(world.processes[1].kept)
 
-    def start(kept: dict[bytes, bytes], me: int = 1) -> Core:
-        return Core(me, 3, 3, 0, Machines({0: Tape()}), QUICK, random.Random(1), kept)
+    def start(kept: dict[bytes, bytes], me: int = 1) -> ConsensusCore:
+        return ConsensusCore(me, 3, 3, 0, CompositeStateMachine({0: Tape()}), QUICK, random.Random(1), kept)
 
     assert start(whole).incarnation == core_of(world, 1).incarnation
-    with pytest.raises(KeptError, match="peer 1 of 3"):
+    with pytest.raises(StoredStateError, match="peer 1 of 3"):
         start(whole, me=2)
-    for key in (keeping.ME, keeping.VOTE, keeping.BASE):
-        with pytest.raises(KeptError):
+    for key in (stored_state.IDENTITY_KEY, stored_state.HARD_STATE_KEY, stored_state.LOG_BASE_KEY):
+        with pytest.raises(StoredStateError):
             start(whole | {key: b"\xc1"})
     places = sorted(key for key in whole if key[:1] == b"e")
     assert len(places) > 1
-    with pytest.raises(KeptError, match="missing"):
+    with pytest.raises(StoredStateError, match="missing"):
         start({key: value for key, value in whole.items() if key != places[0]})
 
 
-# Machines and leases
+# CompositeStateMachine and leases
 
 
 def test_an_entry_for_no_machine_is_counted_and_what_is_dumped_for_none_is_handed_on() -> None:
     first, second = Tape(), Tape()
-    both, one = Machines({0: first, 7: second}), Machines({0: Tape()})
+    both, one = CompositeStateMachine({0: first, 7: second}), CompositeStateMachine({0: Tape()})
     both.apply(1, b"\0a")
     both.apply(2, b"\7b")
     one.load(both.dump())
@@ -702,17 +722,17 @@
     assert first.places == second.places == []
 
 
-ERA = Era(1, 1)
+ERA = ClusterEpoch(1, 1)
 LEASE = 1_000_000
 
 
-def leases(me: int) -> Leases:
-    return Leases(me, 0.01, LEASE, random.Random(me))
+def leases(me: int) -> LeaseTable:
+    return LeaseTable(me, 0.01, LEASE, random.Random(me))
 
 
-def granted(at: int, by: Leases, to: Leases, now: int, index: int, among: list[Leases]) -> bool:
+def granted(at: int, by: LeaseTable, to: LeaseTable, now: int, index: int, among: list[LeaseTable]) -> bool:
     """`to`, peer `at`, asks `by` at that time, and all learn what was granted."""
-    entry = by.entry(now, ERA, at, 7, to.ask(now, 7, "name", LEASE))
+    entry = by.entry_for(now, ERA, at, 7, to.request(now, 7, "name", LEASE))
     if entry is None:
         return False
     for one in among:
@@ -736,10 +756,10 @@
     assert not granted(2, leader, b, wait + 1_510_000, 4, three)
     assert granted(2, leader, b, wait + 1_510_001, 5, three)
     assert b.holds(wait + 1_510_001, "name")
-    word = b.give_back("name")
+    word = b.release("name")
     assert word is not None and not b.holds(wait + 1_510_002, "name")
-    assert leader.entry(wait + 1_510_003, ERA, 1, 7, word) is None
-    assert leader.entry(wait + 1_510_003, ERA, 2, 7, word) == word
+    assert leader.entry_for(wait + 1_510_003, ERA, 1, 7, word) is None
+    assert leader.entry_for(wait + 1_510_003, ERA, 2, 7, word) == word
     for one in three:
         one.apply(6, word)
     assert granted(1, leader, a, wait + 1_510_004, 7, three)
@@ -749,8 +769,8 @@
     leader, a, b = three = [leases(0), leases(1), leases(2)]
     leader.observe(0, ERA)
     now = 2 * LEASE
-    first = leader.entry(now, ERA, 1, 7, a.ask(now, 7, "name", LEASE))
-    second = leader.entry(now, ERA, 2, 7, b.ask(now, 7, "name", LEASE))
+    first = leader.entry_for(now, ERA, 1, 7, a.request(now, 7, "name", LEASE))
+    second = leader.entry_for(now, ERA, 2, 7, b.request(now, 7, "name", LEASE))
     assert first is not None and second is not None
     for one in three:
         one.apply(1, second)
@@ -764,12 +784,12 @@
     leader, a = leases(0), leases(1)
     leader.observe(0, ERA)
     now = 2 * LEASE
-    assert leader.entry(now, ERA, 2, 7, a.ask(now, 7, "name", LEASE)) is None
-    assert leader.entry(now, ERA, 1, 8, a.ask(now, 7, "name", LEASE)) is None
-    assert leader.entry(now, ERA, 1, 7, b"\xc1") is None
+    assert leader.entry_for(now, ERA, 2, 7, a.request(now, 7, "name", LEASE)) is None
+    assert leader.entry_for(now, ERA, 1, 8, a.request(now, 7, "name", LEASE)) is None
+    assert leader.entry_for(now, ERA, 1, 7, b"\xc1") is None
     for name, lease_us in (("", LEASE), ("n" * 65, LEASE), ("name", 0), ("name", LEASE + 1)):
         with pytest.raises(EntryError):
-            a.ask(now, 7, name, lease_us)
+            a.request(now, 7, name, lease_us)
     for raw in (b"", b"\xc1", b"\x93\x02\xa4name\x05"):
         leader.apply(1, raw)
     assert leader.dump() == leases(0).dump()
--- a/tests/test_consensus_encoding.py
+++ b/tests/test_consensus_encoding.py
@@ -10,55 +10,55 @@
 
 import pytest
 
-from laurelstep.consensus import kept
 from laurelstep.consensus import messages as m
-from laurelstep.consensus.leases import Leases
-from laurelstep.consensus.log import CONFIG, DATA, Config, members_from, members_raw
-from laurelstep.consensus.machines import Machines
+from laurelstep.consensus import stored_state
+from laurelstep.consensus.epoch import ClusterEpoch
+from laurelstep.consensus.leases import LeaseTable
+from laurelstep.consensus.log import ClusterConfig, decode_members, encode_members
 from laurelstep.consensus.snapshots import Snapshot
-from laurelstep.consensus.terms import Era
+from laurelstep.consensus.state_machines import CompositeStateMachine
 from tests.once import once
 
 pytestmark = once
 
-NEWER, OLDER = Era(3, 0x0123456789ABCDEF), Era(2, 7)
+NEWER, OLDER = ClusterEpoch(3, 0x0123456789ABCDEF), ClusterEpoch(2, 7)
 LARGE = 1 << 63
 MEMBERS = {2: LARGE, 0: 11}
-DATA_ENTRY = m.Entry(4, DATA, b"\0data")
-CONFIG_ENTRY = m.Entry(4, CONFIG, members_raw(MEMBERS))
+DATA_ENTRY = m.LogEntry(4, m.EntryKind.DATA, b"\0data")
+CONFIG_ENTRY = m.LogEntry(4, m.EntryKind.CONFIG, encode_members(MEMBERS))
 
 MESSAGES: list[tuple[m.Message, str]] = [
-    (m.Ask(LARGE), "019201cf8000000000000000"),
+    (m.IdentityRequest(LARGE), "019201cf8000000000000000"),
     (
-        m.Here(1, 2, NEWER, OLDER, 5, 6, 7, 8, [(0, 11), (2, LARGE)], True),
+        m.IdentityResponse(1, 2, NEWER, OLDER, 5, 6, 7, 8, [(0, 11), (2, LARGE)], True),
         "019b0201029203cf0123456789abcdef920207050607089292000b9202cf8000000000000000c3",
     ),
-    (m.Found(NEWER, 9, [1, 2, 3]), "0194039203cf0123456789abcdef0993010203"),
-    (m.Accepted(NEWER, 9, 2, OLDER, 5, 6), "0197049203cf0123456789abcdef09029202070506"),
-    (m.Stand(NEWER, 1, 2, 3, 4, 5, True), "0198059203cf0123456789abcdef0102030405c3"),
-    (m.Vote(NEWER, 2, 1, 3, True, False), "0197069203cf0123456789abcdef020103c3c2"),
+    (m.BootstrapRequest(NEWER, 9, [1, 2, 3]), "0194039203cf0123456789abcdef0993010203"),
+    (m.BootstrapResponse(NEWER, 9, 2, OLDER, 5, 6), "0197049203cf0123456789abcdef09029202070506"),
+    (m.RequestVoteRequest(NEWER, 1, 2, 3, 4, 5, True), "0198059203cf0123456789abcdef0102030405c3"),
+    (m.RequestVoteResponse(NEWER, 2, 1, 3, True, False), "0197069203cf0123456789abcdef020103c3c2"),
     (
-        m.Append(NEWER, 1, 2, 3, 4, 5, 6, [DATA_ENTRY, CONFIG_ENTRY]),
+        m.AppendEntriesRequest(NEWER, 1, 2, 3, 4, 5, 6, [DATA_ENTRY, CONFIG_ENTRY]),
         "0199079203cf0123456789abcdef01020304050692930401c4050064617461"
         "930402c40f9292000b9202cf8000000000000000",
     ),
-    (m.Ack(NEWER, 2, 3, False, -1, 6), "0197089203cf0123456789abcdef0203c2ff06"),
+    (m.AppendEntriesResponse(NEWER, 2, 3, False, -1, 6), "0197089203cf0123456789abcdef0203c2ff06"),
     (
-        m.Chunk(NEWER, 1, 2, 3, 4, 500, 0xDEADBEEF, 160, 6, b"part"),
+        m.InstallSnapshotRequest(NEWER, 1, 2, 3, 4, 500, 0xDEADBEEF, 160, 6, b"part"),
         "019b099203cf0123456789abcdef01020304cd01f4cedeadbeefcca006c40470617274",
     ),
     (
-        m.Chunked(NEWER, 2, 3, 4, 0xDEADBEEF, 160, 6),
+        m.InstallSnapshotResponse(NEWER, 2, 3, 4, 0xDEADBEEF, 160, 6),
         "01980a9203cf0123456789abcdef020304cedeadbeefcca006",
     ),
-    (m.Follow(NEWER, 2, 9), "01940b9203cf0123456789abcdef0209"),
+    (m.LearnerPoll(NEWER, 2, 9), "01940b9203cf0123456789abcdef0209"),
     (
-        m.Feed(NEWER, 1, -1, False, 9, [DATA_ENTRY]),
+        m.LearnerUpdate(NEWER, 1, -1, False, 9, [DATA_ENTRY]),
         "01970c9203cf0123456789abcdef01ffc20991930401c4050064617461",
     ),
-    (m.Read(2, 10), "01930d020a"),
-    (m.ReadAt(NEWER, 10, 11), "01940e9203cf0123456789abcdef0a0b"),
-    (m.Word(NEWER, 2, b"\1word"), "01940f9203cf0123456789abcdef02c40501776f7264"),
+    (m.ReadIndexRequest(2, 10), "01930d020a"),
+    (m.ReadIndexResponse(NEWER, 10, 11), "01940e9203cf0123456789abcdef0a0b"),
+    (m.LeaderMessage(NEWER, 2, b"\1word"), "01940f9203cf0123456789abcdef02c40501776f7264"),
 ]
 SNAPSHOT_BYTES = "9408039292000b9202cf8000000000000000c40464756d70"
 
@@ -75,51 +75,56 @@
 
 
 def test_the_stored_records_are_encoded_as_by_earlier_versions() -> None:
-    snapshot = Snapshot.of(OLDER, 9, 4, Config(8, 3, MEMBERS), b"dump")
-    assert (snapshot.raw.hex(), snapshot.crc) == (SNAPSHOT_BYTES, 0x547E4444)
-    me = kept.Me(1, 3, 3, LARGE)
-    voted = kept.Promise(NEWER, True, 4, (2, LARGE))
-    frozen = kept.Promise(NEWER, False, 0, None)
-    base = kept.Base(OLDER, 5, 3, 8, 3, [(0, 11), (2, LARGE)], 9, 4, snapshot.raw)
+    snapshot = Snapshot.create(OLDER, 9, 4, ClusterConfig(8, 3, MEMBERS), b"dump")
+    assert (snapshot.payload.hex(), snapshot.checksum) == (SNAPSHOT_BYTES, 0x547E4444)
+    identity = stored_state.ReplicaIdentity(1, 3, 3, LARGE)
+    voted = stored_state.HardState(NEWER, True, 4, (2, LARGE))
+    frozen = stored_state.HardState(NEWER, False, 0, None)
+    base = stored_state.LogBase(OLDER, 5, 3, 8, 3, [(0, 11), (2, LARGE)], 9, 4, snapshot.payload)
     expected = [
-        (me, kept.ME, b"me", "94010303cf8000000000000000"),
-        (voted, kept.VOTE, b"vote", "949203cf0123456789abcdefc3049202cf8000000000000000"),
-        (frozen, kept.VOTE, b"vote", "949203cf0123456789abcdefc200c0"),
+        (identity, stored_state.IDENTITY_KEY, b"me", "94010303cf8000000000000000"),
+        (voted, stored_state.HARD_STATE_KEY, b"vote", "949203cf0123456789abcdefc3049202cf8000000000000000"),
+        (frozen, stored_state.HARD_STATE_KEY, b"vote", "949203cf0123456789abcdefc200c0"),
         (
             base,
-            kept.BASE,
+            stored_state.LOG_BASE_KEY,
             b"base",
             f"99920207050308039292000b9202cf80000000000000000904c418{SNAPSHOT_BYTES}",
         ),
-        (DATA_ENTRY, kept.entry_key(258), bytes.fromhex("650000000000000102"), "930401c4050064617461"),
+        (
+            DATA_ENTRY,
+            stored_state.entry_key(258),
+            bytes.fromhex("650000000000000102"),
+            "930401c4050064617461",
+        ),
     ]
     for record, key, recorded_key, encoded in expected:
         raw = bytes.fromhex(encoded)
         assert key == recorded_key
-        assert kept.raw(record) == raw
-        assert kept.read({key: raw}, key, type(record)) == record
+        assert stored_state.encode_record(record) == raw
+        assert stored_state.read_record({key: raw}, key, type(record)) == record
 
 
 def test_a_config_entry_is_encoded_as_by_earlier_versions() -> None:
     raw = bytes.fromhex("9292000b9202cf8000000000000000")
-    assert members_raw(MEMBERS) == raw
-    assert members_from(raw) == MEMBERS
+    assert encode_members(MEMBERS) == raw
+    assert decode_members(raw) == MEMBERS
 
 
 def test_leases_and_the_machines_that_hold_them_are_encoded_as_by_earlier_versions() -> None:
-    holder = Leases(1, 0.01, 1_000_000, random.Random(1))
-    leader = Leases(0, 0.01, 1_000_000, random.Random(2))
+    holder = LeaseTable(1, 0.01, 1_000_000, random.Random(1))
+    leader = LeaseTable(0, 0.01, 1_000_000, random.Random(2))
     leader.observe(0, NEWER)
-    asked = holder.ask(0, 7, "name", 500_000)
+    asked = holder.request(0, 7, "name", 500_000)
     grant = bytes.fromhex("9701a46e616d65000107cf91b7584a2265b1f5ce0007a120")
     assert asked == grant
-    assert leader.entry(2_000_000, NEWER, 1, 7, asked) == grant
+    assert leader.entry_for(2_000_000, NEWER, 1, 7, asked) == grant
     for leases in (holder, leader):
         leases.apply(12, grant)
-    renewal = leader.entry(2_000_001, NEWER, 1, 7, asked)
+    renewal = leader.entry_for(2_000_001, NEWER, 1, 7, asked)
     assert renewal == bytes.fromhex("9701a46e616d650c0107cf91b7584a2265b1f5ce0007a120")
     dump = "81a46e616d65920c9701a46e616d65000107cf91b7584a2265b1f5ce0007a120"
     assert holder.dump().hex() == dump
-    machines = Machines({7: holder, 1: leader})
+    machines = CompositeStateMachine({7: holder, 1: leader})
     assert machines.dump().hex() == f"8201c420{dump}07c420{dump}"
-    assert holder.give_back("name") == bytes.fromhex("9302a46e616d650c")
+    assert holder.release("name") == bytes.fromhex("9302a46e616d650c")
--- a/tests/test_consensus_schedules.py
+++ b/tests/test_consensus_schedules.py
@@ -5,21 +5,22 @@
 import dataclasses
 from collections.abc import Callable, Collection
 
+import msgspec
 import pytest
 
-from laurelstep.consensus import core as real
-from laurelstep.consensus.following import Following
-from laurelstep.consensus.founding import Founding
-from laurelstep.consensus.leading import Leading
-from laurelstep.consensus.leases import Leases, _Grant
-from laurelstep.consensus.log import Config, Log
-from laurelstep.consensus.membership import Membership
-from laurelstep.consensus.messages import Append, Here, Stand
-from laurelstep.consensus.reading import Reading
+from laurelstep.consensus.bootstrap import Bootstrap
+from laurelstep.consensus.core import ConsensusCore
+from laurelstep.consensus.election import Election
+from laurelstep.consensus.epoch import NO_EPOCH, ClusterEpoch
+from laurelstep.consensus.follower import Follower
+from laurelstep.consensus.leader import Leader
+from laurelstep.consensus.leases import LeaseGrant, LeaseTable
+from laurelstep.consensus.log import ClusterConfig, LogPosition, ReplicatedLog
+from laurelstep.consensus.membership import MembershipManager
+from laurelstep.consensus.messages import AppendEntriesRequest, IdentityResponse, RequestVoteRequest
+from laurelstep.consensus.read_index import ReadIndexTracker
 from laurelstep.consensus.snapshots import Snapshot
-from laurelstep.consensus.state import State
-from laurelstep.consensus.terms import NOWHERE, Era
-from laurelstep.consensus.voting import Voting
+from laurelstep.consensus.state import ReplicaState
 from laurelstep.testing.schedules import BrokenError, Made, Process, Shape, World, play
 from laurelstep.testing.schedules.script import QUICK, founded, settle
 from tests.once import once
@@ -46,177 +47,170 @@
 # Faults
 
 
-class FewVotes(Voting):
+class FewVotes(Election):
     """A vote without a majority."""
 
-    def enough(self, votes: Collection[int]) -> bool:
+    def has_enough_votes(self, votes: Collection[int]) -> bool:
         return len(votes) >= len(self._state.log.config.members) // 2
 
 
-class AnyLog(Voting):
+class AnyLog(Election):
     """A vote for a log that is worse than the voter's."""
 
-    def _good(self, message: Stand) -> bool:
+    def _is_up_to_date(self, message: RequestVoteRequest) -> bool:
         return True
 
 
-class TwoVotes(Voting):
+class TwoVotes(Election):
     """A vote for each that asks."""
 
-    def _free(self, peer: int, message: Stand) -> bool:
+    def _may_vote_for(self, peer: int, message: RequestVoteRequest) -> bool:
         return True
 
 
-class Counting(Leading):
+class Counting(Leader):
     """An entry of an earlier term is agreed by counting who has it."""
 
-    def may_count(self, index: int) -> bool:
+    def may_commit(self, index: int) -> bool:
         return True
 
 
-class OneShort(Leading):
+class OneShort(Leader):
     """Agreed by one fewer than a majority."""
 
-    def held_by_majority(self) -> int:
+    def majority_match_index(self) -> int:
         members = self._state.log.config.members
-        marks = [self._state.log.last if seat == self._state.me else -1 for seat in members]
-        marks += [self.progress[seat].match for seat in members if self._voter(seat)]
+        marks = [self._state.log.last_index if seat == self._state.replica_id else -1 for seat in members]
+        marks += [self.progress[seat].match_index for seat in members if self._tracks_member(seat)]
         marks.sort(reverse=True)
         return marks[max(0, len(members) // 2 - 1)]
 
 
-class BySilence(Membership):
+class BySilence(MembershipManager):
     """All that are silent for a while are taken out at once: more than one at a time, without a question."""
 
-    def beat(self) -> None:
-        super().beat()
+    def on_heartbeat(self) -> None:
+        super().on_heartbeat()
         members = self._state.log.config.members
-        quiet = self._state.now - self._state.timing.election_us // 2
-        silent = {seat for seat, one in self._leading.progress.items() if one.heard_at < quiet}
+        quiet = self._state.now_us - self._state.timing.election_timeout_us // 2
+        silent = {seat for seat, one in self._leader.progress.items() if one.last_response_us < quiet}
         if self.may_change() and silent & set(members):
-            self._leading.change({seat: who for seat, who in members.items() if seat not in silent})
+            self._leader.propose_config({seat: who for seat, who in members.items() if seat not in silent})
 
 
-class NotAll(Founding):
+class NotAll(Bootstrap):
     """A founding by a majority of the seats."""
 
-    def all_of(self, seats: Collection[int]) -> bool:
-        return 2 * len(seats) > self._state.seats
+    def has_all_voters(self, voters: Collection[int]) -> bool:
+        return 2 * len(voters) > self._state.voter_count
 
-    def _judge(self) -> None:
-        if self.all_of(self._here):
-            for seat in range(self._state.seats):
-                self._here.setdefault(seat, Here(0, 0, NOWHERE, NOWHERE, 0, 0, 0, 0, [], False))
-        super()._judge()
+    def _evaluate(self) -> None:
+        if self.has_all_voters(self._identities):
+            for seat in range(self._state.voter_count):
+                self._identities.setdefault(
+                    seat, IdentityResponse(0, 0, NO_EPOCH, NO_EPOCH, 0, 0, 0, 0, [], False)
+                )
+        super()._evaluate()
 
 
-class AnyFounder(Founding):
+class AnyFounder(Bootstrap):
     """The first seat founds, whatever others remember."""
 
-    def _first_of_best(self) -> int:
+    def _best_candidate(self) -> int:
         return 0
 
-    def _position(self, of: object) -> tuple[object, int, int]:  # type: ignore[override]
-        return ((0, 0), 0, 0)
+    def _position(self, message: object) -> LogPosition:
+        return LogPosition(NO_EPOCH, 0, 0)
 
 
-class FirstHeard(Reading):
+class FirstHeard(ReadIndexTracker):
     """A process takes the first that it hears for the record as it is."""
 
     def settle(self) -> None:
         super().settle()
-        self._state.known |= self._state.applied > 0
+        self._state.is_caught_up |= self._state.applied_index > 0
 
 
-class Unconfirmed(Reading):
+class Unconfirmed(ReadIndexTracker):
     """The leader answers a read at once, by what it has."""
 
-    def confirmed(self) -> int:
-        return self._leading.round + 1
+    def confirmed_round(self) -> int:
+        return self._leader.heartbeat_round + 1
 
 
-class Blind(Following):
+class Blind(Follower):
     """Entries are taken without a look at what they follow."""
 
-    def on_append(self, peer: int, message: Append) -> None:
+    def on_append_entries(self, peer: int, message: AppendEntriesRequest) -> None:
         log = self._state.log
-        term = log.term_at(message.previous)
-        if log.era == message.era and term is not None and message.term >= self._state.term:
-            message = Append(
-                message.era,
-                message.to,
-                message.term,
-                message.previous,
-                term,
-                message.commit,
-                message.round,
-                message.entries,
-            )
-        super().on_append(peer, message)
-
-
-class DropsLast(State):
+        term = log.term_at(message.prev_log_index)
+        if log.epoch == message.epoch and term is not None and message.term >= self._state.term:
+            message = msgspec.structs.replace(message, prev_log_term=term)
+        super().on_append_entries(peer, message)
+
+
+class DropsLast(ReplicaState):
     """A snapshot without the last entry that it stands for."""
 
     def compact(self) -> None:
         super().compact()
         assert self.snapshot is not None
-        term = self.snapshot.term
-        dump = self._before
-        self.snapshot = Snapshot.of(self.log.era, self.applied, term, self.log.config_at(self.applied), dump)
-        self._keep_base()
+        index, term = self.applied_index, self.snapshot.term
+        config = self.log.config_at(index)
+        self.snapshot = Snapshot.create(self.log.epoch, index, term, config, self._before)
+        self._persist_log_base()
 
     _before = b""
 
     def apply_to(self, index: int) -> None:
-        if index > self.applied:
+        if index > self.applied_index:
             super().apply_to(index - 1)
-            self._before = self.machine.dump()
+            self._before = self.state_machine.dump()
         super().apply_to(index)
 
 
-class Hasty(State):
+class Hasty(ReplicaState):
     """A newer era takes the log at once, before its snapshot is here."""
 
-    def enter_era(self, era: Era) -> None:
-        super().enter_era(era)
-        if self.log.era != era:
-            self._forget(self.log.start + 1, self.log.last)
-            self.log = Log(era, 0, 0, Config(0, 0, {}))
-            self.machine.load(b"")
-            self.applied = self.committed = 0
+    def enter_epoch(self, epoch: ClusterEpoch) -> None:
+        super().enter_epoch(epoch)
+        if self.log.epoch != epoch:
+            self._delete_entries(self.log.base_index + 1, self.log.last_index)
+            self.log = ReplicatedLog(epoch, 0, 0, ClusterConfig(0, 0, {}))
+            self.state_machine.load(b"")
+            self.applied_index = self.committed_index = 0
 
 
-class Unkept(State):
+class Unkept(ReplicaState):
     """A promise is sent, but not kept."""
 
-    def keep_promise(self) -> None:
+    def persist_hard_state(self) -> None:
         pass
 
 
-class FromLearning(Leases):
+class FromLearning(LeaseTable):
     """The holder counts from when it learned, not from when it asked."""
 
-    def ends(self, grant: _Grant) -> int:
-        if super().ends(grant) == 0:
+    def expires_at_us(self, grant: LeaseGrant) -> int:
+        if super().expires_at_us(grant) == 0:
             return 0
         learned = self._learned.get(grant.name)
-        return 0 if learned is None else learned[1] + grant.lease_us
+        return 0 if learned is None else learned.learned_at_us + grant.lease_us
 
 
-class Impatient(Leases):
+class Impatient(LeaseTable):
     """The others wait for a part of the lease."""
 
-    def others_wait(self, lease_us: int) -> int:
+    def guard_us(self, lease_us: int) -> int:
         return lease_us // 2
 
 
 def faulty(name: str, part: type) -> Callable[[Made], Made]:
-    core = type("Faulty", (real.Core,), {name: part})
+    core = type("Faulty", (ConsensusCore,), {name: part})
     return lambda made: dataclasses.replace(made, core=core)
 
 
-def leasing(kind: type[Leases]) -> Callable[[Made], Made]:
+def leasing(kind: type[LeaseTable]) -> Callable[[Made], Made]:
     return lambda made: dataclasses.replace(made, leases=kind)
 
 
@@ -241,7 +235,7 @@
 ) -> World:
     """A tier that has founded its record, with a leader and an entry."""
     plain = Made(seats, seats + learners, QUICK, lasting)
-    world = World(made(plain), seed, founded(seats, seats + learners, QUICK.log_most))
+    world = World(made(plain), seed, founded(seats, seats + learners, QUICK.max_log_entries))
     settle(world)
     return world
 
@@ -273,11 +267,11 @@
     world.crash(late)
     place = world.processes[second].core
     assert place is not None
-    last = place._state.log.last
+    last = place._state.log.last_index
 
     def agreed() -> bool:
         core = world.processes[second].core
-        return core is not None and core.committed >= last
+        return core is not None and core.committed_index >= last
 
     assert world.run_for(20_000_000, agreed)
     world.part([second], [late, *rest])
@@ -314,7 +308,8 @@
     def heard() -> bool:
         states = [core._state for me in keepers if (core := world.processes[me].core) is not None]
         return any(
-            state.promised.generation > 1 and state.live and state.role == "follower" for state in states
+            state.promised_epoch.generation > 1 and state.has_epoch_started and state.role == "follower"
+            for state in states
         )
 
     assert world.run_for(20_000_000, heard)
@@ -331,25 +326,25 @@
 READ, APART = "no stale read", "leases apart"
 # The fault, the schedules that look for it, and the invariants of which one breaks.
 FAULTS = {
-    "a vote without a majority": (faulty("Voting", FewVotes), drawn(CUTS), {LEADER, LOST, ORDER}),
-    "a vote for any log": (faulty("Voting", AnyLog), drawn(CUTS), {LOST, ORDER}),
-    "two votes in a term": (faulty("Voting", TwoVotes), drawn(CUTS), {VOTE}),
-    "a promise that is not kept": (faulty("State", Unkept), drawn(LASTING), {VOTE}),
+    "a vote without a majority": (faulty("election_type", FewVotes), drawn(CUTS), {LEADER, LOST, ORDER}),
+    "a vote for any log": (faulty("election_type", AnyLog), drawn(CUTS), {LOST, ORDER}),
+    "two votes in a term": (faulty("election_type", TwoVotes), drawn(CUTS), {VOTE}),
+    "a promise that is not kept": (faulty("state_type", Unkept), drawn(LASTING), {VOTE}),
     "amnesia forgotten": (forgetful, drawn(AMNESIA), {VOTE, LOST}),
-    "an earlier term agreed by counting": (faulty("Leading", Counting), figure_8, {LOST}),
-    "agreed by one fewer than a majority": (faulty("Leading", OneShort), drawn(CUTS), {ORDER, LOST}),
+    "an earlier term agreed by counting": (faulty("leader_type", Counting), figure_8, {LOST}),
+    "agreed by one fewer than a majority": (faulty("leader_type", OneShort), drawn(CUTS), {ORDER, LOST}),
     "many changes of the config at a time": (
-        faulty("Membership", BySilence),
+        faulty("membership_type", BySilence),
         drawn(CUTS),
         {LEADER, LOST, ORDER},
     ),
-    "a founding without all": (faulty("Founding", NotAll), drawn(AMNESIA), {LOST, ORDER}),
-    "a founding without the best log": (faulty("Founding", AnyFounder), drawn(AMNESIA), {LOST}),
-    "an old log given up too soon": (faulty("State", Hasty), founder_dies, {LOST}),
-    "a read of what comes first": (faulty("Reading", FirstHeard), drawn(AMNESIA), {READ}),
-    "a read that no majority confirmed": (faulty("Reading", Unconfirmed), read_at_old_leader, {READ}),
-    "entries that do not follow": (faulty("Following", Blind), drawn(CUTS), {ORDER}),
-    "a snapshot that drops the last entry": (faulty("State", DropsLast), drawn(CUTS), {ORDER}),
+    "a founding without all": (faulty("bootstrap_type", NotAll), drawn(AMNESIA), {LOST, ORDER}),
+    "a founding without the best log": (faulty("bootstrap_type", AnyFounder), drawn(AMNESIA), {LOST}),
+    "an old log given up too soon": (faulty("state_type", Hasty), founder_dies, {LOST}),
+    "a read of what comes first": (faulty("read_index_type", FirstHeard), drawn(AMNESIA), {READ}),
+    "a read that no majority confirmed": (faulty("read_index_type", Unconfirmed), read_at_old_leader, {READ}),
+    "entries that do not follow": (faulty("follower_type", Blind), drawn(CUTS), {ORDER}),
+    "a snapshot that drops the last entry": (faulty("state_type", DropsLast), drawn(CUTS), {ORDER}),
     "a lease by the wrong clock": (leasing(FromLearning), drawn(LEASES), {APART}),
     "a lease that others do not wait for": (leasing(Impatient), drawn(LEASES), {APART}),
 }
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -29,7 +29,7 @@
 from laurelstep.consensus.links.sockets import SocketLink
 from laurelstep.consensus.links.udp import UdpLink
 from laurelstep.consensus.links.unix import UnixLink
-from laurelstep.consensus.ports import DATAGRAM_MOST, Link
+from laurelstep.consensus.ports import MAX_DATAGRAM_BYTES, Link
 from laurelstep.consensus.ports import Store as RecordStore
 from laurelstep.consensus.stores.embedded import EmbeddedStore
 from laurelstep.consensus.stores.none import NoStore
@@ -1193,8 +1193,8 @@
 
 
 class Misnaming(MemoryLink):
-    def take(self, sender: int, data: bytes) -> None:
-        super().take((sender + 1) % 3, data)
+    def deliver(self, sender: int, data: bytes) -> None:
+        super().deliver((sender + 1) % 3, data)
 
 
 class Shortening(MemoryLink):
@@ -1204,8 +1204,8 @@
 
 class Unlimited(MemoryLink):
     def send(self, peer: int, data: bytes) -> None:
-        for at in range(0, len(data), DATAGRAM_MOST):
-            super().send(peer, data[at : at + DATAGRAM_MOST])
+        for at in range(0, len(data), MAX_DATAGRAM_BYTES):
+            super().send(peer, data[at : at + MAX_DATAGRAM_BYTES])
 
 
 class Wrapping(MemoryLink):
@@ -1220,7 +1220,7 @@
 
     def send(self, peer: int, data: bytes) -> None:
         super().send(peer, data)
-        if peer not in self.network.open:
+        if peer not in self.network.open_links:
             raise ConnectionRefusedError
 
 
@@ -1237,14 +1237,14 @@
     """Closed, it still receives."""
 
     def close(self) -> None:
-        if self.me != 1:
+        if self.replica_id != 1:
             super().close()
 
 
 class Broadcasting(MemoryLink):
     def send(self, peer: int, data: bytes) -> None:
         super().send(peer, data)
-        for other in {0, 1, 2} - {self.me, peer}:
+        for other in {0, 1, 2} - {self.replica_id, peer}:
             super().send(other, data)
 
 
@@ -1273,8 +1273,9 @@
 class Trusting(UdpLink):
     """Whoever is not known is the first of the list."""
 
-    def _take(self, data: bytes, address: Any) -> None:
-        super()._take(data, address if self._sender(address) in self.numbers else self.peers[0])
+    def _deliver(self, data: bytes, address: Any) -> None:
+        is_listed = self._normalize(address) in self.peer_by_address
+        super()._deliver(data, address if is_listed else self.peers[0])
 
 
 def test_a_link_that_trusts_strangers_is_caught() -> None:
@@ -1381,7 +1382,7 @@
 class Sheet:
     """A store of a test's own. Each call is durable some turns of the loop after it was made."""
 
-    lasting = True
+    is_durable = True
     after_turns = 3
 
     def __init__(self, kept: dict[bytes, bytes]) -> None:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -14,12 +14,12 @@
 import pytest
 
 from laurelstep.consensus.errors import LinkError
-from laurelstep.consensus.links.memory import LATENCY_US, Faulty, MemoryNetwork
-from laurelstep.consensus.links.sockets import TURN_MOST, SocketLink
+from laurelstep.consensus.links.memory import LATENCY_US, FaultSchedule, MemoryNetwork
+from laurelstep.consensus.links.sockets import MAX_DATAGRAMS_PER_TURN, SocketLink
 from laurelstep.consensus.links.udp import UdpLink
 from laurelstep.consensus.links.unix import UnixLink
-from laurelstep.consensus.ports import DATAGRAM_MOST, Link
-from laurelstep.consensus.stores.embedded import BATCH_BYTES, EmbeddedStore
+from laurelstep.consensus.ports import MAX_DATAGRAM_BYTES, Link
+from laurelstep.consensus.stores.embedded import MAX_BATCH_BYTES, EmbeddedStore
 from laurelstep.consensus.stores.none import NoStore
 from laurelstep.store import StoreError
 from laurelstep.store.manifest import segment_name
@@ -91,7 +91,7 @@
         for link, one in zip(links, heard, strict=True):
             link.open(one)
         whole = bytes(range(256))
-        assert len(whole) == DATAGRAM_MOST
+        assert len(whole) == MAX_DATAGRAM_BYTES
         links[0].send(1, whole)
         links[2].send(1, b"")
         links[1].send(0, b"back")
@@ -118,7 +118,7 @@
         with wires.stranger(tmp_path) as stranger:
             stranger.sendto(b"let me in", wires.at(0))
         assert peer._socket is not None
-        peer._socket.sendto(b"x" * (DATAGRAM_MOST + 1), wires.at(0))
+        peer._socket.sendto(b"x" * (MAX_DATAGRAM_BYTES + 1), wires.at(0))
         peer._socket.sendto(b"x" * 9000, wires.at(0))
         assert link._socket is not None
         link._socket.sendto(b"its own", wires.at(0))
@@ -165,7 +165,7 @@
     def recvfrom(self, *args: object) -> tuple[bytes, object]:
         if self.codes:
             raise OSError(self.codes.pop(), "")
-        return super().recvfrom(DATAGRAM_MOST + 1)
+        return super().recvfrom(MAX_DATAGRAM_BYTES + 1)
 
 
 class RefusingLink(UdpLink):
@@ -214,7 +214,7 @@
         for _ in range(many):  # the loop does not turn: nobody reads
             peer.send(0, b"x" * 200)
         assert peer.counters["sent"] + peer.counters["unsent"] == many
-        least = min(peer.counters["sent"], TURN_MOST + 1)
+        least = min(peer.counters["sent"], MAX_DATAGRAMS_PER_TURN + 1)
         await heard.until(lambda: len(heard.all) >= least)
         assert len(heard.all) < many, "the kernel's queue is bounded"
         link.close()
@@ -352,7 +352,7 @@
 def test_in_memory_one_seed_is_one_course_of_events() -> None:
     def course(seed: int) -> list[tuple[int, int, bytes]]:
         clock, heard = ManualClock(), list[tuple[int, int, bytes]]()
-        faults = Faulty(random.Random(seed), loss=0.2, double=0.3, delay_us=(100, 5_000))
+        faults = FaultSchedule(random.Random(seed), loss=0.2, duplication=0.3, delay_us=(100, 5_000))
         network = MemoryNetwork(clock, 4, faults)
         links = [network.link(n) for n in range(4)]
         for link in links:
@@ -370,7 +370,7 @@
 
 def test_in_memory_a_cut_may_go_one_way_and_heals() -> None:
     clock, heard = ManualClock(), list[tuple[int, int]]()
-    faults = Faulty(random.Random(1))
+    faults = FaultSchedule(random.Random(1))
     network = MemoryNetwork(clock, 5, faults)
     links = [network.link(n) for n in range(5)]
     for n, link in enumerate(links):
@@ -390,7 +390,7 @@
     faults.cut = {(0, 1)}
     assert everybody - all_send() == {(0, 1)}
     faults.heal()
-    faults.part((0, 1), (2, 3, 4))
+    faults.partition((0, 1), (2, 3, 4))
     assert len(all_send()) == 2 + 6
     faults.heal()
     assert all_send() == everybody
@@ -402,7 +402,7 @@
 def test_without_a_store_nothing_lasts() -> None:
     async def main() -> None:
         store = NoStore()
-        assert not store.lasting
+        assert not store.is_durable
         assert store.write({b"a": b"1"}).done()
         assert await store.load() == {}
         await store.close()
@@ -414,7 +414,7 @@
     async def main() -> None:
         folder = str(tmp_path / "accord")
         store = await EmbeddedStore.open(folder)
-        assert store.lasting and await store.load() == {}
+        assert store.is_durable and await store.load() == {}
         first = store.write({b"a": b"1", b"b": b"1"})
         await asyncio.sleep(0)
         second = store.write({b"a": None, b"c": b"2"})
@@ -505,7 +505,7 @@
         await store.close()
 
     run(main())
-    assert BATCH_BYTES < 9 << 20
+    assert MAX_BATCH_BYTES < 9 << 20
 
 
 def test_a_damaged_store_is_told(tmp_path: Path) -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,16 +16,21 @@
 import pytest
 
 from laurelstep.consensus import messages
-from laurelstep.consensus.core import Core
-from laurelstep.consensus.errors import BusyError, EntryError, KeptError, LinkError, NotLeadingError
+from laurelstep.consensus.assembly import build_node
+from laurelstep.consensus.core import ConsensusCore
+from laurelstep.consensus.effects import StepEffects
+from laurelstep.consensus.epoch import NO_EPOCH, ClusterEpoch
+from laurelstep.consensus.errors import BusyError, EntryError, LinkError, NotLeaderError, StoredStateError
+from laurelstep.consensus.limits import MAX_PENDING_PROPOSALS
 from laurelstep.consensus.links.memory import LATENCY_US, MemoryLink, MemoryNetwork
 from laurelstep.consensus.links.udp import UdpLink
-from laurelstep.consensus.node import LEAST_US, RETRY_US, WAITING_MOST, Node, Stage, node_of, nothing
-from laurelstep.consensus.options import AccordSettings
+from laurelstep.consensus.node import BIND_RETRY_US, ConsensusNode, NodeStage
+from laurelstep.consensus.options import ConsensusSettings
 from laurelstep.consensus.ports import Link, Store
+from laurelstep.consensus.state import ReplicaRole
+from laurelstep.consensus.step_runner import MAX_QUEUED_STEPS, MIN_TICK_DELAY_US
 from laurelstep.consensus.stores.embedded import EmbeddedStore
 from laurelstep.consensus.stores.none import NoStore
-from laurelstep.consensus.terms import NOWHERE, PENDING_MOST, Effects, Era
 from laurelstep.engine.clock import LoopClock
 from laurelstep.handover.place import Place
 from laurelstep.handover.state import KEPT_MOST, kept_in, state_of_accord
@@ -39,6 +44,10 @@
 from tests.upgrades import Site, Version, kill
 
 
+def unheard(peer: int, incarnation: int, data: bytes) -> None:
+    """Nobody listens to leader messages yet."""
+
+
 class Blank:
     """A machine that remembers what it was told."""
 
@@ -56,53 +65,53 @@
         self.loaded.append(raw)
 
 
-class PlayedCore(Core):
+class PlayedCore(ConsensusCore):
     """Does what a test says: `answers` are the effects of the steps to come, by their names."""
 
-    role = "follower"
-    leader = 2
+    role = ReplicaRole.FOLLOWER
+    leader_id = 2
     term = 3
-    era: Era = NOWHERE
-    committed = applied = 0
-    known = True
+    epoch: ClusterEpoch = NO_EPOCH
+    committed_index = applied_index = 0
+    is_caught_up = True
     incarnation = 0
     counters: ClassVar[Counter[str]] = Counter(foreign=0)
-    heard: Callable[[int, int, bytes], None] = nothing
+    on_leader_message: Callable[[int, int, bytes], None] = unheard
 
     def __init__(self, incarnation: int, kept: Mapping[bytes, bytes]) -> None:
-        self.due = 1 << 60
+        self.due_us = 1 << 60
         self.incarnation = int.from_bytes(kept[b"i"]) if kept else incarnation
         self.kept = dict(kept) or {b"i": incarnation.to_bytes(8)}
         self.steps: list[tuple[Any, ...]] = []
-        self.answers: dict[str, Effects | Exception] = {}
+        self.answers: dict[str, StepEffects | Exception] = {}
         self.retired = False
 
-    def _step(self, *step: Any) -> Effects:
+    def _step(self, *step: Any) -> StepEffects:
         self.steps.append(step)
-        answer = self.answers.get(step[0], Effects())
+        answer = self.answers.get(step[0], StepEffects())
         if isinstance(answer, Exception):
             raise answer
-        self.kept.update({key: value for key, value in answer.keep.items() if value is not None})
+        self.kept.update({key: value for key, value in answer.persist.items() if value is not None})
         return answer
 
-    def start(self, now: int) -> Effects:
+    def start(self, now: int) -> StepEffects:
         # As a core must that has a lasting store: who it is comes before anything it says.
-        return Effects(keep=dict(self.kept), sends=[(1, b"hello")])
+        return StepEffects(persist=dict(self.kept), outgoing=[(1, b"hello")])
 
-    def receive(self, now: int, peer: int, raw: bytes) -> Effects:
+    def receive(self, now: int, peer: int, raw: bytes) -> StepEffects:
         return self._step("receive", peer, raw)
 
-    def tick(self, now: int) -> Effects:
-        self.due = now + 1_000_000
+    def tick(self, now: int) -> StepEffects:
+        self.due_us = now + 1_000_000
         return self._step("tick", now)
 
-    def propose(self, now: int, data: bytes) -> Effects:
+    def propose(self, now: int, data: bytes) -> StepEffects:
         return self._step("propose", data)
 
-    def word(self, now: int, data: bytes, era: Era | None = None) -> Effects:
-        return self._step("word", data, era)
+    def send_to_leader(self, now_us: int, data: bytes, epoch: ClusterEpoch | None = None) -> StepEffects:
+        return self._step("word", data, epoch)
 
-    def in_touch(self, now: int) -> bool:
+    def has_leader_contact(self, now: int) -> bool:
         return True
 
     def retire(self) -> dict[bytes, bytes]:
@@ -113,7 +122,7 @@
 class HeldStore:
     """A lasting one whose writes end when a test says."""
 
-    lasting = True
+    is_durable = True
 
     def __init__(self, found: dict[bytes, bytes] | None = None) -> None:
         self.found = found or {}
@@ -160,11 +169,11 @@
         self.changes = 0
         self.peers = [self.network.link(n) for n in (1, 2)]
         for peer in self.peers:
-            peer.open(lambda number, data, me=peer.me: self.heard.append((me, data)))  # type: ignore[misc]
+            peer.open(lambda number, data, me=peer.replica_id: self.heard.append((me, data)))  # type: ignore[misc]
         self.node = self.make()
 
-    def make(self, link: Callable[[], Link] | None = None) -> Node:
-        def make_core(incarnation: int, kept: Mapping[bytes, bytes]) -> Core:
+    def make(self, link: Callable[[], Link] | None = None) -> ConsensusNode:
+        def make_core(incarnation: int, kept: Mapping[bytes, bytes]) -> ConsensusCore:
             self.cores.append(PlayedCore(incarnation, kept))
             return self.cores[-1]
 
@@ -174,7 +183,9 @@
         def make_link() -> MemoryLink:
             return self.network.link(0)
 
-        node = Node(make_core, link or make_link, open_store, self.machine, self.clock, self.lines.append)
+        node = ConsensusNode(
+            make_core, link or make_link, open_store, self.machine, self.clock, self.lines.append
+        )
         node.on_change = self.changed
         return node
 
@@ -194,10 +205,10 @@
     def receive(self, data: bytes, peer: int = 1) -> None:
         """A datagram of a peer's, at once."""
         assert self.node.link is not None
-        self.network.arrive(peer, 0, data)
+        self.network.deliver(peer, 0, data)
 
 
-SAY = Effects(sends=[(1, b"said")], changed=True)
+SAY = StepEffects(outgoing=[(1, b"said")], state_changed=True)
 
 
 # --- Steps ------------------------------------------------------------------------------
@@ -206,16 +217,16 @@
 def test_a_step_s_sends_leave_at_once_where_nothing_is_kept() -> None:
     async def main() -> None:
         bench = Bench()
-        assert not bench.node.takes_part and not bench.node.known and not bench.node.in_touch
+        assert not bench.node.is_running and not bench.node.is_caught_up and not bench.node.has_leader_contact
         await bench.node.start()
         assert bench.arrive() == [(1, b"hello")] and bench.changes == 1
         bench.core.answers["receive"] = SAY
         bench.receive(b"x", peer=2)
         assert bench.arrive() == [(1, b"said")] and bench.changes == 2
         assert bench.core.steps == [("receive", 2, b"x")]
-        assert bench.node.takes_part and bench.node.known and bench.node.in_touch
+        assert bench.node.is_running and bench.node.is_caught_up and bench.node.has_leader_contact
         await bench.node.close()
-        assert bench.core.retired and not bench.node.takes_part
+        assert bench.core.retired and not bench.node.is_running
         bench.peers[0].send(0, b"late")
         bench.clock.advance(10_000_000)
         assert len(bench.core.steps) == 1
@@ -232,8 +243,8 @@
         bench.receive(b"one")
         bench.receive(b"two")
         assert not bench.arrive() and not bench.core.steps
-        bench.core.answers["receive"] = Effects(
-            keep={b"k": b"1", b"gone": None}, sends=SAY.sends, changed=True
+        bench.core.answers["receive"] = StepEffects(
+            persist={b"k": b"1", b"gone": None}, outgoing=SAY.outgoing, state_changed=True
         )
         await store.end()
         assert bench.arrive() == [(1, b"hello")] and bench.core.steps == [("receive", 1, b"one")]
@@ -257,7 +268,7 @@
         await bench.node.start()
         _, former = store.writes.pop()
         await bench.node.retire()
-        await bench.node.begin_again()
+        await bench.node.restart()
         bench.receive(b"it waits for the new life's write")
         former.set_result(None)
         await turn()
@@ -274,20 +285,23 @@
         store = HeldStore()
         bench = Bench(store)
         await bench.node.start()
-        bench.core.role = "leader"
+        bench.core.role = ReplicaRole.LEADER
         bench.node.propose(b"in its turn")
-        for n in range(WAITING_MOST + 9):
+        for n in range(MAX_QUEUED_STEPS + 9):
             bench.receive(n.to_bytes(2))
         with pytest.raises(BusyError):
             bench.node.propose(b"one too many")
         with pytest.raises(BusyError):
-            bench.node.word(b"one too many")
+            bench.node.send_to_leader(b"one too many")
         bench.clock.advance(0)
-        assert bench.node.counters == {"waited": WAITING_MOST, "dropped": 10, "refused": 0}
+        assert bench.node.counters == {"waited": MAX_QUEUED_STEPS, "dropped": 10, "refused": 0}
         # It has lost the lead meanwhile, as an entry's turn comes.
-        bench.core.answers["propose"] = NotLeadingError(2)
+        bench.core.answers["propose"] = NotLeaderError(2)
         await store.end()
-        assert len(bench.core.steps) == WAITING_MOST and bench.core.steps[0] == ("propose", b"in its turn")
+        assert len(bench.core.steps) == MAX_QUEUED_STEPS and bench.core.steps[0] == (
+            "propose",
+            b"in its turn",
+        )
         assert bench.node.counters["refused"] == 1
         await bench.node.close()
 
@@ -299,11 +313,11 @@
         store = HeldStore()
         bench = Bench(store)
         await bench.node.start()  # begins with a write
-        bench.core.era = Era(1, 7)
-        bench.node.word(b"of the first")
-        bench.core.era = Era(2, 5)
+        bench.core.epoch = ClusterEpoch(1, 7)
+        bench.node.send_to_leader(b"of the first")
+        bench.core.epoch = ClusterEpoch(2, 5)
         await store.end()
-        assert bench.core.steps == [("word", b"of the first", Era(1, 7))]
+        assert bench.core.steps == [("word", b"of the first", ClusterEpoch(1, 7))]
         await bench.node.close()
 
     run(main())
@@ -314,19 +328,19 @@
         bench = Bench()
         await bench.node.start()
         now, core = bench.clock.now(), bench.core
-        core.due = now + 5_000
+        core.due_us = now + 5_000
         bench.receive(b"x")
-        core.due = now + 9_000  # put off: the timer looks again
+        core.due_us = now + 9_000  # put off: the timer looks again
         bench.receive(b"x")
         bench.clock.advance(8_999)
         assert ("tick", now + 9_000) not in core.steps
         bench.clock.advance(1)
         assert core.steps[-1] == ("tick", now + 9_000)
-        core.due = now + 9_001  # sooner than what the timer stands at
+        core.due_us = now + 9_001  # sooner than what the timer stands at
         bench.receive(b"x")
-        core.answers["tick"] = Effects()
-        bench.clock.advance(LEAST_US)
-        assert core.steps[-1] == ("tick", now + 9_000 + LEAST_US)
+        core.answers["tick"] = StepEffects()
+        bench.clock.advance(MIN_TICK_DELAY_US)
+        assert core.steps[-1] == ("tick", now + 9_000 + MIN_TICK_DELAY_US)
         ticks = sum(one[0] == "tick" for one in core.steps)
         bench.clock.advance(999_999)
         assert sum(one[0] == "tick" for one in core.steps) == ticks
@@ -341,14 +355,15 @@
         await bench.node.start()
 
         class Eager(PlayedCore):
-            def tick(self, now: int) -> Effects:
+            def tick(self, now: int) -> StepEffects:
                 return self._step("tick", now)
 
         core = Eager(1, {})
-        bench.node.core = core
-        core.due = 0
+        assert bench.node.runner is not None
+        bench.node.runner.core = core
+        core.due_us = 0
         bench.receive(b"x")
-        bench.clock.advance(10 * LEAST_US)
+        bench.clock.advance(10 * MIN_TICK_DELAY_US)
         assert sum(one[0] == "tick" for one in core.steps) == 10
         await bench.node.close()
 
@@ -358,24 +373,24 @@
 def test_callers_hear_why_a_step_can_not_be() -> None:
     async def main() -> None:
         bench = Bench()
-        with pytest.raises(NotLeadingError, match="no process leads"):
+        with pytest.raises(NotLeaderError, match="no process leads"):
             bench.node.propose(b"x")
-        bench.node.word(b"nobody takes part: it is lost")
+        bench.node.send_to_leader(b"nobody takes part: it is lost")
         await bench.node.start()
-        with pytest.raises(NotLeadingError, match="peer 2 leads"):
+        with pytest.raises(NotLeaderError, match="peer 2 leads"):
             bench.node.propose(b"x")
-        bench.core.role = "leader"
-        assert bench.node.leading and bench.node.leader == 2
-        bench.core.answers["propose"] = BusyError(f"{PENDING_MOST} wait")
+        bench.core.role = ReplicaRole.LEADER
+        assert bench.node.is_leader and bench.node.leader_id == 2
+        bench.core.answers["propose"] = BusyError(f"{MAX_PENDING_PROPOSALS} wait")
         with pytest.raises(BusyError):
             bench.node.propose(b"x")
-        for call in (bench.node.propose, bench.node.word):
+        for call in (bench.node.propose, bench.node.send_to_leader):
             with pytest.raises(EntryError):
                 call(b"x" * 161)
         bench.core.answers["propose"] = SAY
         bench.node.propose(b"x" * 160)
-        bench.node.word(b"w")
-        assert bench.core.steps[-2:] == [("propose", b"x" * 160), ("word", b"w", NOWHERE)]
+        bench.node.send_to_leader(b"w")
+        assert bench.core.steps[-2:] == [("propose", b"x" * 160), ("word", b"w", NO_EPOCH)]
         assert (1, b"said") in bench.arrive()
         await bench.node.close()
 
@@ -390,19 +405,20 @@
         told: list[Any] = []
 
         def hears(peer: int, incarnation: int, data: bytes) -> None:
-            told.append((peer, incarnation, data, bench.node._is_busy))
+            assert bench.node.runner is not None
+            told.append((peer, incarnation, data, bench.node.runner.is_busy))
             bench.node.propose(b"upon it")
 
-        bench.node.heard = hears
-        bench.core.role = "leader"
-        bench.core.heard(1, 7, b"word")
-        bench.core.answers["receive"] = Effects(changed=True)
+        bench.node.on_leader_message = hears
+        bench.core.role = ReplicaRole.LEADER
+        bench.core.on_leader_message(1, 7, b"word")
+        bench.core.answers["receive"] = StepEffects(state_changed=True)
         for _ in range(3):
             bench.receive(b"x")
         assert not told and bench.changes == 1
         bench.clock.advance(0)
         assert told == [(1, 7, b"word", False)] and bench.changes == 2, "changes at one time are told once"
-        bench.core.heard(1, 7, b"late")
+        bench.core.on_leader_message(1, 7, b"late")
         await bench.node.close()
         bench.clock.advance(0)
         assert len(told) == 1
@@ -415,14 +431,14 @@
         bench = Bench()
         await bench.node.start()
         node, core = bench.node, bench.core
-        core.role = "leader"
+        core.role = ReplicaRole.LEADER
 
         class Within(dict[str, Any]):
             def get(self, name: str, default: Any = None) -> Any:
                 if name == "receive":
                     node.propose(b"from within")
                     assert [one[0] for one in core.steps] == ["receive"]
-                    raise NotLeadingError(None)
+                    raise NotLeaderError(None)
                 return default
 
         core.answers = Within()
@@ -456,44 +472,45 @@
         await bench.node.start()
         if at == "later":
             await store.end()
-            bench.core.answers["receive"] = Effects(keep={b"k": b"1"}, sends=SAY.sends)
+            bench.core.answers["receive"] = StepEffects(persist={b"k": b"1"}, outgoing=SAY.outgoing)
             bench.receive(b"x")
         if at in ("start", "later"):
-            assert bench.node.takes_part
+            assert bench.node.is_running
             bench.arrive()
             await store.end(StoreError("the disk fails: No space left on device"))
         await turn()
         bench.clock.advance(0)
-        assert bench.node.stage is Stage.FAILED and not bench.node.takes_part and bench.changes >= 1
+        assert bench.node.stage is NodeStage.FAILED and not bench.node.is_running and bench.changes >= 1
         assert not bench.arrive(), "what was not kept was not said"
         assert len(bench.lines) == 1 and "\n" not in bench.lines[0] and StoreError.remedy in bench.lines[0]
         assert bench.node.status()["failure"] == bench.node.failure != ""
-        assert 0 not in bench.network.open, "the address is free"
+        assert 0 not in bench.network.open_links, "the address is free"
         if at != "open":
             assert store.closed
-        with pytest.raises(NotLeadingError):
+        with pytest.raises(NotLeaderError):
             bench.node.propose(b"x")
         assert await bench.node.retire() == {}
-        await bench.node.begin_again()
-        assert bench.node.stage is Stage.FAILED
+        await bench.node.restart()
+        assert bench.node.stage is NodeStage.FAILED
         await bench.node.close()
 
     run(main())
 
 
 @pytest.mark.parametrize(
-    "answer", [RuntimeError("a fault"), Effects(sends=[(9, b"x")]), Effects(sends=[(1, b"x" * 257)])]
+    "answer",
+    [RuntimeError("a fault"), StepEffects(outgoing=[(9, b"x")]), StepEffects(outgoing=[(1, b"x" * 257)])],
 )
-def test_a_core_that_fails_does_not_harm_the_process(answer: Effects | Exception) -> None:
+def test_a_core_that_fails_does_not_harm_the_process(answer: StepEffects | Exception) -> None:
     async def main() -> None:
         bench = Bench()
         await bench.node.start()
         bench.core.answers["receive"] = answer
         bench.receive(b"x")
         await turn()
-        assert bench.node.stage is Stage.FAILED and len(bench.lines) == 1
-        assert 0 not in bench.network.open
-        if isinstance(answer, Effects):
+        assert bench.node.stage is NodeStage.FAILED and len(bench.lines) == 1
+        assert 0 not in bench.network.open_links
+        if isinstance(answer, StepEffects):
             assert LinkError.remedy in bench.lines[0]
         await bench.node.close()
 
@@ -510,7 +527,7 @@
         await bench.node.start()
         await bench.node.close()
         assert bench.lines == ["accord: the store was not closed: the disk is gone"]
-        assert 0 not in bench.network.open
+        assert 0 not in bench.network.open_links
 
     run(main())
 
@@ -524,34 +541,34 @@
 
         class Taken(MemoryLink):
             def open(self, receive: Callable[[int, bytes], None]) -> None:
-                if 0 in bench.network.open:
+                if 0 in bench.network.open_links:
                     raise OSError(errno.EADDRINUSE, "taken")
                 super().open(receive)
 
         first, second = bench.node, bench.make(lambda: Taken(bench.network, 0))
         await first.start()
         await second.start()
-        assert second.stage is Stage.WAITING and len(bench.cores) == 1
+        assert second.stage is NodeStage.WAITING and len(bench.cores) == 1
         for _ in range(3):
-            bench.clock.advance(RETRY_US)
+            bench.clock.advance(BIND_RETRY_US)
             await turn()
-        assert len(bench.lines) == 1 and second.stage is Stage.WAITING
+        assert len(bench.lines) == 1 and second.stage is NodeStage.WAITING
         await first.close()
-        bench.clock.advance(RETRY_US)
+        bench.clock.advance(BIND_RETRY_US)
         await turn()
-        assert second.takes_part and bench.cores[0].incarnation != bench.cores[1].incarnation
+        assert second.is_running and bench.cores[0].incarnation != bench.cores[1].incarnation
         await second.close()
         third = bench.make(lambda: Taken(bench.network, 0))
-        await first.begin_again()
-        assert first.stage is Stage.CLOSED
+        await first.restart()
+        assert first.stage is NodeStage.CLOSED
         blocker = bench.network.link(0)
         blocker.open(lambda peer, data: None)
         await third.start()
         await third.close()
         blocker.close()
-        bench.clock.advance(RETRY_US)
+        bench.clock.advance(BIND_RETRY_US)
         await turn()
-        assert not third.takes_part and not bench.network.open.get(0)
+        assert not third.is_running and not bench.network.open_links.get(0)
 
     run(main())
 
@@ -578,10 +595,10 @@
     async def main() -> None:
         bench = Bench()
         await bench.node.start()
-        bench.core.answers["receive"] = Effects(keep={b"log": b"1"})
+        bench.core.answers["receive"] = StepEffects(persist={b"log": b"1"})
         bench.receive(b"x")
         kept = await bench.node.retire()
-        assert kept == bench.cores[0].kept and bench.cores[0].retired and not bench.node.takes_part
+        assert kept == bench.cores[0].kept and bench.cores[0].retired and not bench.node.is_running
         assert await bench.node.retire() == {}
         successor = bench.make()
         await successor.start(kept)
@@ -590,10 +607,10 @@
         )
         await successor.close()
         # It died before it took over: the old one is another member from now on.
-        await bench.node.begin_again()
-        assert bench.node.takes_part and bench.cores[2].incarnation != bench.cores[0].incarnation
+        await bench.node.restart()
+        assert bench.node.is_running and bench.cores[2].incarnation != bench.cores[0].incarnation
         assert bench.machine.loaded == [b""], "the record is learned anew"
-        await bench.node.begin_again()
+        await bench.node.restart()
         assert len(bench.cores) == 3
         await bench.node.close()
 
@@ -615,18 +632,18 @@
         for store in (NoStore(), HeldStore({b"i": b"?"})):
             bench = Bench(store)
 
-            def refuse(incarnation: int, kept: Mapping[bytes, bytes], bench: Bench = bench) -> Core:
+            def refuse(incarnation: int, kept: Mapping[bytes, bytes], bench: Bench = bench) -> ConsensusCore:
                 if kept:
-                    raise KeptError("of another list of peers")
+                    raise StoredStateError("of another list of peers")
                 bench.cores.append(PlayedCore(incarnation, kept))
                 return bench.cores[-1]
 
             bench.node.make_core = refuse
             await bench.node.start({b"i": b"?"})
-            assert bench.node.takes_part is not store.lasting and len(bench.lines) == 1
-            if store.lasting:
+            assert bench.node.is_running is not store.is_durable and len(bench.lines) == 1
+            if store.is_durable:
                 # The operator's to decide: it may hold the only copy of what was agreed.
-                assert KeptError.remedy in bench.lines[0]
+                assert StoredStateError.remedy in bench.lines[0]
             await bench.node.close()
 
     run(main())
@@ -687,12 +704,12 @@
         self.seats = seats
         self.unix = unix
         self.lines: list[str] = []
-        self.nodes: dict[int, Node] = {}
+        self.nodes: dict[int, ConsensusNode] = {}
         self.records: dict[int, Blank] = {}
         self.changed = asyncio.Event()
 
-    async def start(self, me: int, lasting: bool = False) -> Node:
-        settings = AccordSettings(
+    async def start(self, me: int, lasting: bool = False) -> ConsensusNode:
+        settings = ConsensusSettings(
             self.peers,
             self.peers[me],
             me,
@@ -702,7 +719,7 @@
             **FAST,
         )
         record = Blank()
-        node = node_of(settings, record, self.loop, LoopClock(self.loop), self.lines.append)
+        node = build_node(settings, record, self.loop, LoopClock(self.loop), self.lines.append)
         node.on_change = self.changed.set
         self.nodes[me], self.records[me] = node, record
         await node.start()
@@ -718,15 +735,17 @@
                 except TimeoutError:
                     continue
 
-    async def all_know(self) -> Node:
+    async def all_know(self) -> ConsensusNode:
         """Who leads, once all know the record."""
-        await self.until(lambda: all(one.known for one in self.nodes.values()) and self._leader() is not None)
+        await self.until(
+            lambda: all(one.is_caught_up for one in self.nodes.values()) and self._leader() is not None
+        )
         found = self._leader()
         assert found is not None
         return found
 
-    def _leader(self) -> Node | None:
-        return next((one for one in self.nodes.values() if one.leading), None)
+    def _leader(self) -> ConsensusNode | None:
+        return next((one for one in self.nodes.values() if one.is_leader), None)
 
     async def agree(self, data: bytes) -> None:
         """The entry is applied by all that take part."""
@@ -735,7 +754,7 @@
             try:
                 node.propose(data)
                 break
-            except (BusyError, NotLeadingError):
+            except (BusyError, NotLeaderError):
                 continue
         await self.until(lambda: all(data in self.records[me].applied for me in self.nodes))
 
@@ -760,8 +779,8 @@
         # The leader hears a word of a process that only learns.
         words: list[tuple[int, int, bytes]] = []
         leader = await tier.all_know()
-        leader.heard = lambda *one: (words.append(one), tier.changed.set())[0]  # type: ignore[func-returns-value]
-        tier.nodes[3].word(b"a word")
+        leader.on_leader_message = lambda *one: (words.append(one), tier.changed.set())[0]  # type: ignore[func-returns-value]
+        tier.nodes[3].send_to_leader(b"a word")
         await tier.until(lambda: bool(words))
         assert words[0] == (3, tier.nodes[3].incarnation, b"a word")
         await tier.stop()
@@ -782,7 +801,7 @@
         await tier.start(1)
         await tier.agree(b"after")
         assert tier.nodes[1].incarnation != first
-        assert tier.records[1].applied[-1] == b"after" and tier.nodes[1].known
+        assert tier.records[1].applied[-1] == b"after" and tier.nodes[1].is_caught_up
         await tier.stop()
 
     run(main())
@@ -795,13 +814,13 @@
             await tier.start(me, lasting=True)
         await tier.agree(b"before")
         first = {me: node.incarnation for me, node in tier.nodes.items()}
-        era = tier.nodes[0].era
+        era = tier.nodes[0].epoch
         await tier.stop()
         for me in range(3):
             await tier.start(me, lasting=True)
         await tier.agree(b"after")
         assert {me: node.incarnation for me, node in tier.nodes.items()} == first
-        assert tier.nodes[0].era == era and tier.nodes[0].status()["lasting"]
+        assert tier.nodes[0].epoch == era and tier.nodes[0].status()["lasting"]
         assert all(b"before" in one.applied for one in tier.records.values())
         await tier.stop()
         assert not tier.lines
@@ -822,11 +841,11 @@
             raise OSError(errno.ENOSPC, "No space left on device")
 
         failing.store.disk.write = full  # type: ignore[method-assign]
-        leader = next(node for node in tier.nodes.values() if node.leading)
+        leader = next(node for node in tier.nodes.values() if node.is_leader)
         leader.propose(b"one it can't keep")
-        await tier.until(lambda: tier.nodes[2].stage is Stage.FAILED)
+        await tier.until(lambda: tier.nodes[2].stage is NodeStage.FAILED)
         assert sum("takes no part any more" in line for line in tier.lines) == 1
-        assert not tier.nodes[2].known and tier.nodes[2].status()["failure"]
+        assert not tier.nodes[2].is_caught_up and tier.nodes[2].status()["failure"]
         await tier.stop(2)
         await tier.agree(b"after")
         await tier.stop()
@@ -845,7 +864,7 @@
         peer = UdpLink(tier.loop, (host, port[2]), [(host, one) for one in port], 2)
         peer.open(Heard())
         draw = random.Random(3)
-        good = messages.encode(messages.Ask(7))
+        good = messages.encode(messages.IdentityRequest(7))
         junk = [
             b"",
             b"\x00",
@@ -853,8 +872,8 @@
             good + b"x",
             *(draw.randbytes(draw.randint(1, 256)) for _ in range(200)),
         ]
-        junk = [bytes((messages.VERSION,)) + one[1:] for one in junk]
-        future = [bytes((messages.VERSION + 1,)) + good[1:], bytes((255,)) + bytes(255)]
+        junk = [bytes((messages.PROTOCOL_VERSION,)) + one[1:] for one in junk]
+        future = [bytes((messages.PROTOCOL_VERSION + 1,)) + good[1:], bytes((255,)) + bytes(255)]
         for number in (0, 1):
             for one in (*junk, *future):
                 peer.send(number, one)
@@ -901,7 +920,7 @@
 
     def _hear(self, peer: int, data: bytes) -> None:
         message = messages.decode(data)
-        if isinstance(message, messages.Here) and message.nonce == self.nonce:
+        if isinstance(message, messages.IdentityResponse) and message.nonce == self.nonce:
             self.incarnation = message.incarnation
             self.answered.set()
 
@@ -910,7 +929,7 @@
         self.nonce += 1
         self.answered.clear()
         while True:
-            self.link.send(0, messages.encode(messages.Ask(self.nonce)))
+            self.link.send(0, messages.encode(messages.IdentityRequest(self.nonce)))
             try:
                 await asyncio.wait_for(self.answered.wait(), 0.05)
                 return self.incarnation
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -11,7 +11,7 @@
 import pytest
 
 from laurelstep.__main__ import main, read_config
-from laurelstep.consensus.options import AccordSettings, seats_for
+from laurelstep.consensus.options import ConsensusSettings, default_seats
 from laurelstep.interface import KEYED, SAFE, SCOPE_CELL, UNSAFE
 from laurelstep.library import Client
 from laurelstep.settings import ConfigError, read_file, read_platform
@@ -237,10 +237,10 @@
         + "heartbeat_ms = 100\n[upkeep]\nlearn_ms = 70"
     )
     found = read_file(file(tmp_path, text))
-    assert found.accord == AccordSettings(PEERS, PEERS[1], 1, seats=3, heartbeat_us=100_000)
+    assert found.accord == ConsensusSettings(PEERS, PEERS[1], 1, seats=3, heartbeat_us=100_000)
     assert found.upkeep == UpkeepSettings(learn_us=70_000)
     unix = read_file(file(tmp_path, "[deployment]\n" + CLASS + UNIX + "me = 2\nseats = 1"))
-    assert unix.accord == AccordSettings(("/run/a", "/run/b", "/run/c"), "/run/c", 2, "unix")
+    assert unix.accord == ConsensusSettings(("/run/a", "/run/b", "/run/c"), "/run/c", 2, "unix")
     assert unix.upkeep is None
 
 
@@ -251,7 +251,7 @@
 
 @pytest.mark.parametrize(("peers", "seats"), [(1, 1), (2, 1), (3, 3), (4, 3), (5, 5), (6, 5), (200, 5)])
 def test_as_many_seats_as_can_be_unless_told(peers: int, seats: int) -> None:
-    assert seats_for(peers) == seats
+    assert default_seats(peers) == seats
 
 
 @pytest.mark.parametrize(
@@ -295,7 +295,7 @@
         read_config({"LB_OPERATOR": path})
 
 
-def joined(folder: Path, text: str, **changes: Any) -> AccordSettings | None:
+def joined(folder: Path, text: str, **changes: Any) -> ConsensusSettings | None:
     told = {"peer_listen": "127.0.0.1:9", "peers": list(PEERS), **changes}
     raw = {"settings": {**SETTINGS, "me": 2}, **told}
     json_path = file(folder, platform(**raw), "config.json")
@@ -305,7 +305,7 @@
 def test_the_platform_tells_of_peers_where_it_is_there(tmp_path: Path) -> None:
     found = joined(tmp_path, "[accord]\nseats = 1")
     # Behind a relay the others see it at another address than it binds.
-    assert found == AccordSettings(PEERS, "127.0.0.1:9", 2)
+    assert found == ConsensusSettings(PEERS, "127.0.0.1:9", 2)
     for key, value in (("peers", None), ("peers", []), ("peer_listen", None)):
         unlinked = joined(tmp_path, "[accord]", **{key: value})
         assert unlinked is not None and not unlinked.is_linked
--- a/tests/test_shared_record.py
+++ b/tests/test_shared_record.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import functools
 import random
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -12,16 +13,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from laurelstep.consensus.core import Core
-from laurelstep.consensus.errors import BusyError, EntryError, KeptError, NotLeadingError
-from laurelstep.consensus.links.memory import Faulty, MemoryNetwork
-from laurelstep.consensus.machines import Machines
-from laurelstep.consensus.node import Node
-from laurelstep.consensus.parts import Parts
+from laurelstep.consensus.core import ConsensusCore
+from laurelstep.consensus.errors import BusyError, EntryError, NotLeaderError, StoredStateError
+from laurelstep.consensus.limits import MAX_ENTRY_BYTES, MAX_LEADER_MESSAGE_BYTES
+from laurelstep.consensus.links.memory import FaultSchedule, MemoryNetwork
+from laurelstep.consensus.multiplexer import ConsensusMultiplexer
+from laurelstep.consensus.node import ConsensusNode
 from laurelstep.consensus.ports import Store
-from laurelstep.consensus.snapshots import SNAPSHOT_MOST
+from laurelstep.consensus.snapshots import MAX_SNAPSHOT_BYTES
+from laurelstep.consensus.state_machines import CompositeStateMachine
 from laurelstep.consensus.stores.none import NoStore
-from laurelstep.consensus.terms import ENTRY_MOST, WORD_MOST, Timing
+from laurelstep.consensus.timing import ConsensusTiming
 from laurelstep.outbox.causes import Cause, Fate
 from laurelstep.outbox.dots import EDGE_MOST, Dot, Line
 from laurelstep.outbox.shared import record as records
@@ -93,7 +95,7 @@
 )
 def test_the_longest_entries_fit_and_are_read_back(entry: Entry) -> None:
     data = pack(entry)
-    assert len(data) <= min(ENTRY_MOST, WORD_MOST) and data[:1] == KIND
+    assert len(data) <= min(MAX_ENTRY_BYTES, MAX_LEADER_MESSAGE_BYTES) and data[:1] == KIND
     assert unpack(data[1:]) == entry == unpack_word(data)
 
 
@@ -140,7 +142,7 @@
         msgspec.msgpack.encode((3,)),
         msgspec.msgpack.encode((3, ("ash", 7))),
         msgspec.msgpack.encode((5, ("ash", 7, 1), 9, 7)),  # a fate that a later version has
-        msgspec.msgpack.encode((3, ("ash", 7, 1), "x" * ENTRY_MOST)),
+        msgspec.msgpack.encode((3, ("ash", 7, 1), "x" * MAX_ENTRY_BYTES)),
     ],
 )
 def test_what_can_not_be_read_is_counted_and_changes_nothing(data: bytes) -> None:
@@ -491,7 +493,7 @@
         apply(record, Lost(f"x{n:031d}"))
     for n in range(records.UNDONE_MOST):
         apply(record, Unbegin(LONG, MOST - n))
-    assert len(record.dump()) < SNAPSHOT_MOST
+    assert len(record.dump()) < MAX_SNAPSHOT_BYTES
     refused(record, "spans", In(dot(high + 2 * each, lines[0])))
     other = Record()
     other.load(record.dump())
@@ -532,7 +534,7 @@
 def test_a_snapshot_that_can_not_be_read_changes_nothing(raw: bytes) -> None:
     record = after(In(dot(1)))
     before = record.dump()
-    with pytest.raises(KeptError):
+    with pytest.raises(StoredStateError):
         record.load(raw)
     assert record.dump() == before
 
@@ -693,11 +695,11 @@
     """One copy's: proposals and words wait for the test."""
 
     def __init__(self, leading: bool = True) -> None:
-        self.heard: Callable[[int, int, bytes], None] = lambda peer, incarnation, data: None
+        self.on_leader_message: Callable[[int, int, bytes], None] = lambda peer, incarnation, data: None
         self.on_change: Callable[[], None] = lambda: None
-        self.me, self.peers, self.incarnation, self.era = 0, 3, 1, "era"
-        self.leading, self.leader = leading, 0 if leading else 1
-        self.known = self.in_touch = True
+        self.replica_id, self.peer_count, self.incarnation, self.epoch = 0, 3, 1, "epoch"
+        self.is_leader, self.leader_id = leading, 0 if leading else 1
+        self.is_caught_up = self.has_leader_contact = True
         self.proposed: list[bytes] = []
         self.words: list[bytes] = []
         self.error: Exception | None = None
@@ -705,11 +707,11 @@
     def propose(self, data: bytes) -> None:
         if self.error is not None:
             raise self.error
-        if not self.leading:
-            raise NotLeadingError(self.leader)
+        if not self.is_leader:
+            raise NotLeaderError(self.leader_id)
         self.proposed.append(data)
 
-    def word(self, data: bytes) -> None:
+    def send_to_leader(self, data: bytes) -> None:
         if self.error is not None:
             raise self.error
         self.words.append(data)
@@ -807,24 +809,24 @@
         desk = Desk()
         desk.agree(ONE, 60_000 * MS)
         for _ in range(3):
-            desk.accord.heard(2, 5, pack(ONE))
+            desk.accord.on_leader_message(2, 5, pack(ONE))
         desk.clock.advance(FLIGHT_US - 1)
         assert len(desk.accord.proposed) == 1
         desk.clock.advance(AGAIN_MOST_US)
         assert len(desk.accord.proposed) == 2
-        desk.accord.leading = False
+        desk.accord.is_leader = False
         desk.accord.on_change()
-        desk.accord.leading = True
-        desk.accord.heard(2, 5, pack(ONE))
+        desk.accord.is_leader = True
+        desk.accord.on_leader_message(2, 5, pack(ONE))
         assert len(desk.accord.proposed) == 3
         desk.land(ONE)
-        desk.accord.heard(2, 5, pack(ONE))  # a late word: it says the same again
+        desk.accord.on_leader_message(2, 5, pack(ONE))  # a late word: it says the same again
         assert len(desk.accord.proposed) == 4
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("error", [BusyError("full"), NotLeadingError(2)])
+@pytest.mark.parametrize("error", [BusyError("full"), NotLeaderError(2)])
 def test_a_proposal_that_is_not_taken_is_made_again(error: Exception) -> None:
     async def main() -> None:
         desk = Desk()
@@ -855,7 +857,7 @@
 def test_words_that_are_no_entries_are_not_proposed() -> None:
     desk = Desk()
     for data in (b"", KIND, b"u" + pack(ONE)[1:], KIND + b"\xff"):
-        desk.accord.heard(2, 5, data)
+        desk.accord.on_leader_message(2, 5, data)
     assert not desk.accord.proposed and desk.sharer.counters["unread"] == 4
 
 
@@ -882,7 +884,7 @@
         desk.sharer.close()
         assert [await future for future in futures] == [False] * 3
         assert not await desk.agree(In(dot(3))) and not desk.sharer.ready
-        desk.accord.heard(2, 5, pack(ONE))
+        desk.accord.on_leader_message(2, 5, pack(ONE))
         desk.clock.advance(10 * AGAIN_MOST_US)
         assert len(desk.accord.proposed) == 2 and not desk.clock.due
 
@@ -894,7 +896,7 @@
     changes: list[bool] = []
     desk.sharer.on_change = lambda: changes.append(desk.sharer.ready)
     for known, in_touch in ((True, True), (False, True), (True, False)):
-        desk.accord.known, desk.accord.in_touch = known, in_touch
+        desk.accord.is_caught_up, desk.accord.has_leader_contact = known, in_touch
         desk.accord.on_change()
     assert changes == [True, False, False]
 
@@ -904,23 +906,26 @@
 
 def test_each_part_gets_its_own_words_and_all_hear_of_changes() -> None:
     accord = PlayedAccord()
-    parts = Parts(accord)
+    multiplexer = ConsensusMultiplexer(accord)
     heard: list[object] = []
     for kind in (b"o", b"u"):
-        part = parts.part(kind)
-        assert part is parts.part(kind)
-        part.heard = lambda peer, incarnation, data, kind=kind: heard.append((kind, peer, data))  # type: ignore[misc]
-        part.on_change = lambda kind=kind: heard.append(kind)  # type: ignore[misc]
+        channel = multiplexer.channel(kind)
+        assert channel is multiplexer.channel(kind)
+        channel.on_leader_message = functools.partial(
+            lambda kind, peer, incarnation, data: heard.append((kind, peer, data)), kind
+        )
+        channel.on_change = lambda kind=kind: heard.append(kind)  # type: ignore[misc]
     for data in (b"o1", b"u2", b"x3", b""):
-        accord.heard(2, 5, data)
+        accord.on_leader_message(2, 5, data)
     accord.on_change()
-    assert heard == [(b"o", 2, b"o1"), (b"u", 2, b"u2"), b"o", b"u"] and parts.ignored == 2
-    parts.part(b"o").propose(b"o4")
-    parts.part(b"o").word(b"o5")
+    assert heard == [(b"o", 2, b"o1"), (b"u", 2, b"u2"), b"o", b"u"] and multiplexer.ignored == 2
+    multiplexer.channel(b"o").propose(b"o4")
+    multiplexer.channel(b"o").send_to_leader(b"o5")
     assert accord.proposed == [b"o4"] and accord.words == [b"o5"]
-    one = parts.part(b"u")
-    assert (one.me, one.peers, one.incarnation, one.era, one.leading, one.leader) == (0, 3, 1, "era", True, 0)
-    assert one.known and one.in_touch and one.status() == {}
+    one = multiplexer.channel(b"u")
+    assert (one.replica_id, one.peer_count, one.incarnation, one.epoch) == (0, 3, 1, "epoch")
+    assert (one.is_leader, one.leader_id) == (True, 0)
+    assert one.is_caught_up and one.has_leader_contact and one.status() == {}
 
 
 class Tier:
@@ -929,10 +934,10 @@
     def __init__(self, seed: int, count: int = 4, seats: int = 3) -> None:
         self.clock = ManualClock()
         self.draw = random.Random(seed)
-        self.faults = Faulty(self.draw)
+        self.faults = FaultSchedule(self.draw)
         self.network = MemoryNetwork(self.clock, count, self.faults)
         self.count, self.seats = count, seats
-        self.nodes: dict[int, Node] = {}
+        self.nodes: dict[int, ConsensusNode] = {}
         self.records: dict[int, Record] = {}
         self.sharers: dict[int, Sharer] = {}
         self.others: dict[int, list[bytes]] = {}
@@ -941,22 +946,25 @@
 
     async def start(self, me: int) -> None:
         record, blank = Record(), Blank()
-        machines = Machines({KIND[0]: record, ord("u"): blank})
+        machines = CompositeStateMachine({KIND[0]: record, ord("u"): blank})
 
-        def make_core(incarnation: int, kept: Mapping[bytes, bytes]) -> Core:
+        def make_core(incarnation: int, kept: Mapping[bytes, bytes]) -> ConsensusCore:
             draw = random.Random(self.draw.getrandbits(32))
-            return Core(me, self.count, self.seats, incarnation, machines, Timing(), draw, kept)
+            timing = ConsensusTiming()
+            return ConsensusCore(me, self.count, self.seats, incarnation, machines, timing, draw, kept)
 
         async def store() -> Store:
             return NoStore()
 
-        node = Node(
+        node = ConsensusNode(
             make_core, lambda: self.network.link(me), store, machines, self.clock, self.lines.append, me
         )
-        parts = Parts(node)
-        self.sharers[me] = Sharer(parts.part(KIND), record, self.clock)
+        multiplexer = ConsensusMultiplexer(node)
+        self.sharers[me] = Sharer(multiplexer.channel(KIND), record, self.clock)
         self.others[me] = []
-        parts.part(b"u").heard = lambda peer, incarnation, data: self.others[me].append(data)
+        multiplexer.channel(b"u").on_leader_message = lambda peer, incarnation, data: self.others[me].append(
+            data
+        )
         self.nodes[me], self.records[me], self.blanks[me] = node, record, blank
         await node.start()
 
@@ -969,7 +977,7 @@
         raise AssertionError("not in a minute of its clock")
 
     def leader(self) -> int | None:
-        return next((me for me, node in self.nodes.items() if node.leading and node.known), None)
+        return next((me for me, node in self.nodes.items() if node.is_leader and node.is_caught_up), None)
 
     async def settle(self) -> int:
         await self.until(
@@ -1005,7 +1013,7 @@
         # What each proposed, once in the record each; the other part hears its own words alone.
         assert sum(one.counters["proposed"] for one in tier.sharers.values()) == 4
         leader = await tier.settle()
-        tier.nodes[3].word(b"u word")
+        tier.nodes[3].send_to_leader(b"u word")
         tier.nodes[leader].propose(b"u entry")
         await tier.until(lambda: tier.others[leader] == [b"u word"])
         await tier.until(lambda: all(one.applied == [b" entry"] for one in tier.blanks.values()))
@@ -1023,7 +1031,7 @@
         for me in range(4):
             await tier.start(me)
         leader = await tier.settle()
-        tier.faults.loss, tier.faults.double, tier.faults.delay_us = 0.2, 0.2, (500, 40_000)
+        tier.faults.loss, tier.faults.duplication, tier.faults.delay_us = 0.2, 0.2, (500, 40_000)
         others = [me for me in range(4) if me != leader]
         futures = [tier.agree(me, In(dot(1 + n, Line("ash", 1 + me)))) for n in range(5) for me in others]
         tier.sharers[leader].close()
@@ -1046,7 +1054,7 @@
             await tier.start(me)
         leader = await tier.settle()
         lone = next(me for me in range(4) if me != leader)
-        tier.faults.part([lone], [me for me in range(4) if me != lone])
+        tier.faults.partition([lone], [me for me in range(4) if me != lone])
         await tier.until(lambda: not tier.sharers[lone].ready)
         future = tier.agree(lone, ONE, 2_000 * MS)
         await tier.until(future.done)
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -10,8 +10,8 @@
 import msgspec
 import pytest
 
-from laurelstep.consensus.errors import BusyError, NotLeadingError
-from laurelstep.consensus.machines import Machines
+from laurelstep.consensus.errors import BusyError, NotLeaderError
+from laurelstep.consensus.state_machines import CompositeStateMachine
 from laurelstep.engine import Answer, Call, Ending, Engine, Names, endpoint_number
 from laurelstep.engine.call import Attempt
 from laurelstep.engine.flow import Flow
@@ -43,7 +43,7 @@
 from laurelstep.upkeep.source import SHORT, UpkeepSource
 from laurelstep.upkeep.states import CLEARED, HELD, MOVES, OUT, State, move
 from laurelstep.upkeep.wishes import (
-    ENTRY_MOST,
+    MAX_ENTRY_BYTES,
     WISHES_MOST,
     ContradictionError,
     CutOffError,
@@ -132,10 +132,10 @@
 
 def test_a_copy_with_upkeep_off_that_leads_forgets_no_wish() -> None:
     """Its snapshot is all that a copy which fell behind gets."""
-    off, behind = Machines(carried()), Roll()
+    off, behind = CompositeStateMachine(carried()), Roll()
     off.apply(1, pack(Ask(0, 5, 1, "wish", wish_of(zone="a"))))
     off.apply(2, pack(Here(1, 7)))
-    Machines({KIND[0]: behind}).load(off.dump())
+    CompositeStateMachine({KIND[0]: behind}).load(off.dump())
     assert [one.wish.name for one in behind.wishes.values()] == ["w"] and behind.here == {1: 7}
 
 
@@ -178,7 +178,7 @@
         b"x" + good[1:],
         good[:-1],
         KIND + b"\xc1",
-        good + b"x" * ENTRY_MOST,
+        good + b"x" * MAX_ENTRY_BYTES,
         b"u\x91\x63",
     ):
         roll.apply(0, bad)
@@ -552,7 +552,7 @@
     one.settle()
     again = one.copies[2]
     again.roll.load(b"")
-    again.applied, again.known, again.cut = 0, False, True
+    again.applied, again.is_caught_up, again.cut = 0, False, True
     one.incarnations += 1
     again.incarnation = one.incarnations
     one.settle()
@@ -990,7 +990,7 @@
 def test_a_leader_that_is_busy_or_deposed_proposes_again() -> None:
     one = tier()
     first = one.copies[0]
-    answers: list[Exception] = [BusyError("full"), NotLeadingError(None), BusyError("full")]
+    answers: list[Exception] = [BusyError("full"), NotLeaderError(None), BusyError("full")]
     append = one.append
 
     def proposed(by: Copy, data: bytes) -> None:
@@ -999,7 +999,7 @@
         append(data)
 
     one.proposed = proposed  # type: ignore[method-assign]
-    word = first.word
+    word = first.send_to_leader
     busy = [BusyError("full")]
 
     def say(data: bytes) -> None:
@@ -1007,7 +1007,7 @@
             raise busy.pop()
         word(data)
 
-    first.word = say  # type: ignore[method-assign]
+    first.send_to_leader = say  # type: ignore[method-assign]
     first.desk.wish(wish_of(zone="a"))
     one.settle(6)
     assert out(one) == ["m0"] and not answers and not busy
@@ -1407,5 +1407,5 @@
 
 def test_a_wish_is_one_entry_and_a_confirmation_is_short() -> None:
     wish: Wish = wish_of("n" * 24, 1000, "zone", 0.123456, zone="z" * 24, kind="k" * 24, cell=10**6)
-    assert len(pack(Ask(255, 2**64 - 1, 10**6, "withdraw", wish))) <= ENTRY_MOST
+    assert len(pack(Ask(255, 2**64 - 1, 10**6, "withdraw", wish))) <= MAX_ENTRY_BYTES
     assert len(pack(Confirm(10**9))) < 16
--- a/tests/test_upkeep_core.py
+++ b/tests/test_upkeep_core.py
@@ -9,9 +9,11 @@
 
 import pytest
 
-from laurelstep.consensus.core import Core
-from laurelstep.consensus.machines import Machines
-from laurelstep.consensus.terms import Effects, Era, Timing
+from laurelstep.consensus.core import ConsensusCore
+from laurelstep.consensus.effects import StepEffects
+from laurelstep.consensus.epoch import ClusterEpoch
+from laurelstep.consensus.state_machines import CompositeStateMachine
+from laurelstep.consensus.timing import ConsensusTiming
 from laurelstep.upkeep.desk import UpkeepDesk
 from laurelstep.upkeep.entries import KIND
 from laurelstep.upkeep.keeper import Keeper
@@ -34,24 +36,24 @@
     """One process, from one start on: a core, and the keeper on it."""
 
     def __init__(self, world: CoreWorld, me: int) -> None:
-        self.world, self.me, self.peers = world, me, COPIES
-        self.heard: Callable[[int, int, bytes], None] = lambda peer, incarnation, data: None
+        self.world, self.me, self.replica_id, self.peer_count = world, me, me, COPIES
+        self.on_leader_message: Callable[[int, int, bytes], None] = lambda peer, incarnation, data: None
         self.on_change: Callable[[], None] = lambda: None
         self.dead = self.stopped = False
         self.inbox: list[tuple[int, bytes]] = []
         self.roll = Roll()
         draw = world.draw
-        machines = Machines({KIND[0]: self.roll})
-        self.core = Core(
+        machines = CompositeStateMachine({KIND[0]: self.roll})
+        self.core = ConsensusCore(
             me,
             COPIES,
             SEATS,
             draw.getrandbits(64) or 1,
             machines,
-            Timing(),
+            ConsensusTiming(),
             random.Random(draw.getrandbits(64)),
         )
-        self.core.heard = self._hear
+        self.core.on_leader_message = self._hear
         self.engine = PlayedEngine(world.clock)
         self.source = UpkeepSource(
             Inner(), self.roll, world.clock, GRACE_US, self.run_steps, world.logged.append
@@ -73,19 +75,19 @@
 
     # --- As the driver of a core does ---------------------------------------------------
 
-    def step(self, step: Callable[[int], Effects]) -> None:
+    def step(self, step: Callable[[int], StepEffects]) -> None:
         if self.dead:
             return
         clock = self.world.clock
         effects = step(clock.now())
-        for peer, raw in effects.sends:
+        for peer, raw in effects.outgoing:
             self.world.send(self.me, peer, raw)
-        if effects.changed:
+        if effects.state_changed:
             clock.at(clock.now(), self._changed)
-        clock.at(max(self.core.due, clock.now() + MS), self._tick, self.core.due)
+        clock.at(max(self.core.due_us, clock.now() + MS), self._tick, self.core.due_us)
 
     def _tick(self, due: int) -> None:
-        if not self.dead and not self.stopped and due == self.core.due:
+        if not self.dead and not self.stopped and due == self.core.due_us:
             self.step(self.core.tick)
 
     def _changed(self) -> None:
@@ -97,7 +99,7 @@
 
     def _hear_now(self, peer: int, incarnation: int, data: bytes) -> None:
         if not self.dead:
-            self.heard(peer, incarnation, data)
+            self.on_leader_message(peer, incarnation, data)
 
     def receive(self, peer: int, raw: bytes) -> None:
         if self.stopped:
@@ -124,37 +126,37 @@
         self.dead = True
         self.keeper.close()
 
-    # --- As accord ----------------------------------------------------------------------
+    # --- As consensus ----------------------------------------------------------------------
 
     @property
     def incarnation(self) -> int:
         return self.core.incarnation
 
     @property
-    def era(self) -> Era:
-        return self.core.era
+    def epoch(self) -> ClusterEpoch:
+        return self.core.epoch
 
     @property
-    def leading(self) -> bool:
+    def is_leader(self) -> bool:
         return self.core.role == "leader"
 
     @property
-    def leader(self) -> int | None:
-        return self.core.leader
+    def leader_id(self) -> int | None:
+        return self.core.leader_id
 
     @property
-    def known(self) -> bool:
-        return self.core.known
+    def is_caught_up(self) -> bool:
+        return self.core.is_caught_up
 
     @property
-    def in_touch(self) -> bool:
-        return self.core.in_touch(self.world.clock.now())
+    def has_leader_contact(self) -> bool:
+        return self.core.has_leader_contact(self.world.clock.now())
 
     def propose(self, data: bytes) -> None:
         self.step(lambda now: self.core.propose(now, data))
 
-    def word(self, data: bytes) -> None:
-        self.step(lambda now: self.core.word(now, data))
+    def send_to_leader(self, data: bytes) -> None:
+        self.step(lambda now: self.core.send_to_leader(now, data))
 
     def status(self) -> dict[str, Any]:
         return {}
@@ -188,8 +190,8 @@
         """The copy that knows most of what is agreed, in the era that most seats are in: where all
         that remember have died one after the other, one without a seat may still be in an earlier one."""
         alive = [one for one in self.copies if not one.dead]
-        eras = [one.era for one in alive if one.me < SEATS]
-        return max(alive, key=lambda one: (eras.count(one.era), one.core.applied))
+        eras = [one.epoch for one in alive if one.me < SEATS]
+        return max(alive, key=lambda one: (eras.count(one.epoch), one.core.applied_index))
 
     def check(self) -> None:
         roll = self.truth().roll
@@ -198,10 +200,10 @@
             for one in self.copies:
                 if machine.state in CLEARED and not one.dead:
                     assert not one.engine.is_out(id), f"clear while somebody may send (seed {self.seed})"
-        same: dict[tuple[Era, int], bytes] = {}
+        same: dict[tuple[ClusterEpoch, int], bytes] = {}
         for one in self.copies:
-            if not one.dead and one.known:
-                at = one.era, one.core.applied
+            if not one.dead and one.is_caught_up:
+                at = one.epoch, one.core.applied_index
                 assert same.setdefault(at, one.roll.dump()) == one.roll.dump(), (
                     f"two rolls (seed {self.seed})"
                 )
@@ -274,7 +276,7 @@
         self.heal()
         for one in self.copies:
             one.engine.out.clear()
-        self.until(lambda: all(one.known and one.in_touch for one in self.copies))
+        self.until(lambda: all(one.is_caught_up and one.has_leader_contact for one in self.copies))
 
         def is_over() -> bool:
             first = self.copies[0]
@@ -322,13 +324,13 @@
     """SIGSTOP for longer than an election; what it then proposes is of no effect."""
     world = CoreWorld(5, loss=0.0)
     world.until(lambda: all(one.source.open for one in world.copies))
-    leader = next(one for one in world.copies if one.leading)
-    other = next(one for one in world.copies if not one.leading)
+    leader = next(one for one in world.copies if one.is_leader)
+    other = next(one for one in world.copies if not one.is_leader)
     other.engine.out["m0"] = 1
     other.desk.wish(wish_of(out=OUT, zone="a"))
     world.until(lambda: "m0" in world.truth().roll.machines)
     leader.stop()
-    world.until(lambda: any(one.leading for one in world.copies if one is not leader))
+    world.until(lambda: any(one.is_leader for one in world.copies if one is not leader))
     other.engine.out.clear()
     world.run(5)
     assert world.truth().roll.machines["m0"].state == "leaving", "it has not confirmed"
@@ -341,7 +343,7 @@
     """Nothing lasts: the record is founded anew, and says that nothing is out."""
     world = CoreWorld(6, loss=0.0)
     world.until(lambda: all(one.source.open for one in world.copies))
-    era = world.truth().era
+    era = world.truth().epoch
     world.copies[1].engine.out["m0"] = 1
     world.copies[0].desk.wish(wish_of(zone="a"))
     world.until(lambda: "m0" in world.truth().roll.machines)
@@ -350,7 +352,7 @@
     world.heal()
     assert not any(one.engine.ready for one in world.copies)
     world.until(lambda: all(one.source.open for one in world.copies))
-    assert world.truth().era != era and not world.truth().roll.machines
+    assert world.truth().epoch != era and not world.truth().roll.machines
     assert all(len(one.engine.ready) == MACHINES for one in world.copies)
 
 
--- a/tests/test_upkeep_schedules.py
+++ b/tests/test_upkeep_schedules.py
@@ -155,7 +155,7 @@
     def check_holds(self, copy: Copy) -> None:
         """A process that was told of more than it holds back, or that holds back its last one."""
         source = copy.source
-        if not source.learned or not copy.known:
+        if not source.learned or not copy.is_caught_up:
             return
         held = {id for id, one in copy.roll.machines.items() if one.state in HELD}
         ready = {id for id, one in source.table.members.items() if one.phase == READY}
@@ -202,9 +202,9 @@
 
     def learns(self) -> None:
         copy = self.one()
-        if copy is not None and not copy.cut and not copy.known:
+        if copy is not None and not copy.cut and not copy.is_caught_up:
             copy.catch_up()
-            copy.known = True
+            copy.is_caught_up = True
 
     def hears_words(self) -> None:
         for _ in range(min(len(self.words), 4)):
@@ -219,10 +219,10 @@
     def tell(self, peer: int, incarnation: int, data: bytes) -> None:
         """A word gets to those who lead, or believe that they do."""
         for copy in self.alive:
-            if copy.leading and not copy.cut:
+            if copy.is_leader and not copy.cut:
                 if unpack_word(data) == Confirm(-1):
                     self.sending.setdefault(copy.incarnation, {})[peer] = incarnation
-                copy.heard(peer, incarnation, data)
+                copy.on_leader_message(peer, incarnation, data)
 
     def carry_words(self) -> None:
         words, self.words = self.words, []
@@ -253,7 +253,7 @@
     def leads(self) -> None:
         """Another leads; the one before may not know yet, and goes on proposing."""
         copy = self.one()
-        if copy is None or not copy.known:
+        if copy is None or not copy.is_caught_up:
             return
         if self.draw.random() < 0.6:
             self.leaders.clear()
@@ -361,9 +361,9 @@
                 if not copy.cut:
                     if copy.me not in self.deaf:
                         copy.hear()
-                    if copy.known or copy.me not in self.slow:
+                    if copy.is_caught_up or copy.me not in self.slow:
                         copy.catch_up()
-                        copy.known = True
+                        copy.is_caught_up = True
                 before = set(copy.engine.ready)
                 fresh = copy.source.shown.fresh
                 copy.keeper.look()
@@ -596,7 +596,7 @@
     def forgetful(self: UpkeepSource) -> None:
         refresh(self)
         keeper = getattr(self.on_list, "__self__", None)
-        if isinstance(keeper, Keeper) and not keeper.accord.in_touch and self.shown.holds:
+        if isinstance(keeper, Keeper) and not keeper.accord.has_leader_contact and self.shown.holds:
             ids = list(self.shown.holds)
             self.shown.holds.clear()
             self._tell(False, [id for id in ids if id in self.table.members])
@@ -686,7 +686,7 @@
 
 def never_told_again(patch: pytest.MonkeyPatch) -> None:
     """Words are told once."""
-    word = Copy.word
+    word = Copy.send_to_leader
     told: set[bytes] = set()
 
     def once(self: Copy, data: bytes) -> None:
--- a/tests/upkeeping.py
+++ b/tests/upkeeping.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Iterator, Sequence
 from typing import Any
 
-from laurelstep.consensus.errors import NotLeadingError
-from laurelstep.consensus.machines import Machines
+from laurelstep.consensus.errors import NotLeaderError
+from laurelstep.consensus.state_machines import CompositeStateMachine
 from laurelstep.engine.members import endpoint_number
 from laurelstep.engine.ports import MemberSink
 from laurelstep.upkeep.desk import UpkeepDesk
@@ -102,18 +102,18 @@
 
 
 class Copy:
-    """One process of the tier, from one start on. It is its keeper's accord."""
+    """One process of the tier, from one start on. It is its keeper's consensus."""
 
     def __init__(self, tier: Tier, me: int, incarnation: int) -> None:
         self.tier, self.me, self.incarnation = tier, me, incarnation
         self.roll = Roll()
-        self.machines = Machines({KIND[0]: self.roll})
+        self.machines = CompositeStateMachine({KIND[0]: self.roll})
         self.applied = 0
-        self.known = False
+        self.is_caught_up = False
         self.cut = False
         self.learns = True  # it can ask those who decide
         self.dead = False
-        self.heard: Callable[[int, int, bytes], None] = lambda peer, incarnation, data: None
+        self.on_leader_message: Callable[[int, int, bytes], None] = lambda peer, incarnation, data: None
         self.on_change: Callable[[], None] = lambda: None
         self.list_version = -1
         self.engine = PlayedEngine(tier.clock)
@@ -146,39 +146,43 @@
             pass
         ended(None)
 
-    # --- As accord --------------------------------------------------------------------
+    # --- As consensus --------------------------------------------------------------------
 
     @property
-    def peers(self) -> int:
+    def replica_id(self) -> int:
+        return self.me
+
+    @property
+    def peer_count(self) -> int:
         return self.tier.count
 
     @property
-    def era(self) -> object:
+    def epoch(self) -> object:
         return self.tier.era
 
     @property
-    def leading(self) -> bool:
+    def is_leader(self) -> bool:
         return self.me in self.tier.leaders and not self.dead
 
     @property
-    def leader(self) -> int | None:
+    def leader_id(self) -> int | None:
         return min(self.tier.leaders, default=None)
 
     @property
-    def in_touch(self) -> bool:
+    def has_leader_contact(self) -> bool:
         return not self.cut
 
     def propose(self, data: bytes) -> None:
-        if not self.leading:
-            raise NotLeadingError(None)
+        if not self.is_leader:
+            raise NotLeaderError(None)
         self.tier.proposed(self, data)
 
-    def word(self, data: bytes) -> None:
+    def send_to_leader(self, data: bytes) -> None:
         if not self.cut:
             self.tier.words.append((self.me, self.incarnation, data))
 
     def status(self) -> dict[str, Any]:
-        return {"role": "leader" if self.leading else "follower"}
+        return {"role": "leader" if self.is_leader else "follower"}
 
     # --- What happens to it -------------------------------------------------------------
 
@@ -221,7 +225,7 @@
         self.era: object = 1
         self.log: list[bytes] = []
         self.roll = Roll()  # all that is agreed, applied
-        self.machines = Machines({KIND[0]: self.roll})
+        self.machines = CompositeStateMachine({KIND[0]: self.roll})
         self.words: list[tuple[int, int, bytes]] = []
         self.list = {raw["instanceId"]: raw for raw in machines}
         self.list_version = 0
@@ -266,8 +270,8 @@
         for peer, incarnation, data in words:
             assert unpack_word(data) is not None
             for one in self.alive:
-                if one.leading and not one.cut:
-                    one.heard(peer, incarnation, data)
+                if one.is_leader and not one.cut:
+                    one.on_leader_message(peer, incarnation, data)
 
     def turn(self) -> None:
         """What is agreed and told gets where it can; every copy that is alive looks."""
@@ -276,7 +280,7 @@
                 one.hear()
             if not one.cut and one.learns:
                 one.catch_up()
-                one.known = True
+                one.is_caught_up = True
             one.keeper.look()
         self.carry_words()
 
