--- a/laurelstep/consensus/assembly.py
+++ b/laurelstep/consensus/assembly.py
@@ -57,6 +57,7 @@
     replica_id, peer_count = settings.me, len(settings.peers)
 
     def make_core(incarnation: int, records: Mapping[bytes, bytes]) -> ConsensusCore:
+        """Make a core with this process's settings."""
         return ConsensusCore(
             replica_id, peer_count, settings.seats, incarnation, state_machine, timing, rng, records
         )
@@ -83,12 +84,14 @@
         from laurelstep.consensus.stores.none import NoStore
 
         async def without_store() -> Store:
+            """Open nothing."""
             return NoStore()
 
         return without_store
     from laurelstep.consensus.stores.embedded import EmbeddedStore
 
     async def open_embedded() -> Store:
+        """Open the store of the settings."""
         return await EmbeddedStore.open(settings.store_path, log)
 
     return open_embedded
--- a/laurelstep/consensus/core.py
+++ b/laurelstep/consensus/core.py
@@ -45,6 +45,7 @@
 from laurelstep.consensus.ports import StateMachine
 from laurelstep.consensus.read_index import ReadIndexTracker
 from laurelstep.consensus.state import ReplicaRole, ReplicaState
+from laurelstep.consensus.stored_state import ReplicaIdentity
 from laurelstep.consensus.timing import NEVER_US, ConsensusTiming
 
 __all__ = ["ConsensusCore"]
@@ -80,14 +81,14 @@
         rng: random.Random,
         records: Mapping[bytes, bytes] | None = None,
     ) -> None:
-        """`incarnation`: 64 random bits, for a start with an empty state; `records` have their own.
+        """The replicas with numbers below `voter_count` vote, the other ones learn.
 
+        `incarnation`: 64 random bits, for a start with an empty state; `records` have their own.
         Incarnations, epochs and nonces are drawn from `rng`: in service one seeded by the system.
         Raises StoredStateError.
         """
-        self._state = self.state_type(
-            replica_id, peer_count, voter_count, incarnation, state_machine, timing, rng
-        )
+        identity = ReplicaIdentity(replica_id, peer_count, voter_count, incarnation)
+        self._state = self.state_type(identity, state_machine, timing, rng)
         self._state.restore(records or {})
         self._leader = self.leader_type(self._state)
         self._follower = self.follower_type(self._state)
@@ -197,6 +198,7 @@
 
     @on_leader_message.setter
     def on_leader_message(self, callback: Callable[[int, int, bytes], None]) -> None:
+        """Set the callback."""
         self._state.on_leader_message = callback
 
     def has_leader_contact(self, now_us: int) -> bool:
--- a/laurelstep/consensus/node.py
+++ b/laurelstep/consensus/node.py
@@ -324,6 +324,7 @@
 
     def _spawn(self, work: Awaitable[None]) -> None:
         async def run() -> None:
+            """A task takes a coroutine, not any awaitable."""
             await work
 
         task = asyncio.get_running_loop().create_task(run())
--- a/laurelstep/consensus/snapshots.py
+++ b/laurelstep/consensus/snapshots.py
@@ -92,6 +92,7 @@
 
     @classmethod
     def of(cls, message: InstallSnapshotRequest) -> _SnapshotHeader:
+        """Return the header of a chunk."""
         return cls(
             message.epoch,
             message.snapshot_index,
--- a/laurelstep/consensus/state.py
+++ b/laurelstep/consensus/state.py
@@ -52,19 +52,16 @@
 
     def __init__(
         self,
-        replica_id: int,
-        peer_count: int,
-        voter_count: int,
-        incarnation: int,
+        identity: ReplicaIdentity,
         state_machine: StateMachine,
         timing: ConsensusTiming,
         rng: random.Random,
     ) -> None:
-        """The replicas with numbers below `voter_count` vote, the other ones learn."""
-        self.replica_id = replica_id
-        self.peer_count = peer_count
-        self.voter_count = voter_count
-        self.incarnation = incarnation
+        """The replicas with numbers below the identity's `voter_count` vote, the other ones learn."""
+        self.replica_id = identity.replica_id
+        self.peer_count = identity.peer_count
+        self.voter_count = identity.voter_count
+        self.incarnation = identity.incarnation
         self.state_machine = state_machine
         self.timing = timing
         self.rng = rng
--- a/laurelstep/outbox/shared/record.py
+++ b/laurelstep/outbox/shared/record.py
@@ -1,4 +1,4 @@
-"""What copies agreed on of kept writes. Pure: a `Machine` of accord, and the `Frontiers` that are read.
+"""What copies agreed on of kept writes. Pure: a `StateMachine` of consensus, and the `Frontiers` to read.
 
 1. Of each line: its holder (at first the life of its own incarnation), up to which number all are over,
    the numbers above it that are in, the gone and the parked ones as ranges, and the unsafe ones that were
@@ -57,7 +57,7 @@
 # Of one line: ranges of in and gone, and of parked.
 RANGES_MOST: Final = 256
 PARKED_MOST: Final = 256
-# Over all lines: ranges of any kind, and begun or judged ones. So a snapshot is within accord's bound.
+# Over all lines: ranges of any kind, and begun or judged ones. So a snapshot is within consensus's bound.
 SPANS_MOST: Final = 16_384
 BEGUN_MOST: Final = 1_024
 # Edges declared lost.
--- a/laurelstep/outbox/shared/sharer.py
+++ b/laurelstep/outbox/shared/sharer.py
@@ -52,7 +52,7 @@
 
 
 class Sharer:
-    """See the rules. Takes the accord's `heard` and `on_change`, and the record's `applied`.
+    """See the rules. Takes the client's `on_leader_message` and `on_change`, and the record's `applied`.
 
     `on_change` of its own is called after entries were applied, and when it is known, led or in touch
     otherwise."""
--- a/laurelstep/testing/contracts/link.py
+++ b/laurelstep/testing/contracts/link.py
@@ -1,4 +1,4 @@
-"""accord's `Link`: datagrams to a named peer, which may be lost."""
+"""The `Link` of consensus: datagrams to a named peer, which may be lost."""
 
 from __future__ import annotations
 
--- a/laurelstep/testing/contracts/store.py
+++ b/laurelstep/testing/contracts/store.py
@@ -1,4 +1,4 @@
-"""accord's `Store`: what must survive a crash, if anything does."""
+"""The `Store` of consensus: what must survive a crash, if anything does."""
 
 from __future__ import annotations
 
--- a/laurelstep/upkeep/roll.py
+++ b/laurelstep/upkeep/roll.py
@@ -98,7 +98,7 @@
 
 
 class Roll:
-    """The agreed machine of upkeep, as accord's record applies it."""
+    """The agreed machine of upkeep, as consensus applies it."""
 
     def __init__(self) -> None:
         self.index = 0  # of the last entry that was applied
@@ -112,7 +112,7 @@
         self.unread = 0  # entries that could not be read
         self.ignored = 0  # and those that did not hold
 
-    # --- What accord calls ------------------------------------------------------------
+    # --- What consensus calls ---------------------------------------------------------
 
     def apply(self, index: int, data: bytes) -> None:
         self.index = max(self.index, index)
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -1285,7 +1285,7 @@
     caught(Faulty(), "test_what_no_listed_peer_sent_is_not_received")
 
 
-# --- accord's Store -----------------------------------------------------------------------------
+# --- The Store of consensus ---------------------------------------------------------------------
 
 
 class Nothing:
--- a/tests/test_upkeep_schedules.py
+++ b/tests/test_upkeep_schedules.py
@@ -695,7 +695,7 @@
             told.add(key)
             word(self, data)
 
-    patch.setattr(Copy, "word", once)
+    patch.setattr(Copy, "send_to_leader", once)
 
 
 Fault = Callable[[pytest.MonkeyPatch], None]
