--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,98 +1,52 @@
-"""The agreed record: each hard case by name, in a made tier whose checker looks after every step."""
+"""Replication, each hard case by name, in a made tier whose checker looks after every step."""
 
 from __future__ import annotations
 
 import dataclasses
-import random
-from collections.abc import Collection
 
-import hypothesis.strategies as st
 import pytest
-from hypothesis import given, settings
 
 from laurelstep.consensus import messages as m
-from laurelstep.consensus import stored_state
-from laurelstep.consensus.core import ConsensusCore
 from laurelstep.consensus.epoch import NO_EPOCH, ClusterEpoch
-from laurelstep.consensus.errors import BusyError, EntryError, NotLeaderError, StoredStateError
-from laurelstep.consensus.leases import LeaseTable
-from laurelstep.consensus.limits import MAX_ENTRY_BYTES, MAX_LEADER_MESSAGE_BYTES, MAX_PENDING_PROPOSALS
-from laurelstep.consensus.log import ReplicatedLog, encode_members
-from laurelstep.consensus.ports import MAX_DATAGRAM_BYTES
-from laurelstep.consensus.snapshots import Snapshot, SnapshotAssembly
-from laurelstep.consensus.state_machines import CompositeStateMachine
+from laurelstep.consensus.errors import NotLeaderError
 from laurelstep.consensus.timing import NEVER_US, ConsensusTiming
-from laurelstep.testing.schedules import BrokenError, Made, Process, Tape, World
-from laurelstep.testing.schedules.script import QUICK, founded, settle
+from laurelstep.testing.schedules import BrokenError, Made, World
+from laurelstep.testing.schedules.script import QUICK, settle
+from tests.consensus_worlds import (
+    SECOND,
+    core_of,
+    founded_world,
+    is_applied,
+    others,
+    wait_for_settled_leader,
+)
 from tests.once import once
 
 pytestmark = once
 
-SECOND = 1_000_000
-
-
-def tier(
-    seats: int, learners: int = 0, lasting: bool = False, seed: int = 1, timing: ConsensusTiming = QUICK
-) -> World:
-    """A tier that has founded its record, and knows an entry."""
-    peers = seats + learners
-    world = World(Made(seats, peers, timing, lasting), seed, founded(seats, peers, QUICK.max_log_entries))
-    settle(world)
-    return world
-
-
-def core_of(world: World, me: int) -> ConsensusCore:
-    core = world.processes[me].core
-    assert core is not None
-    return core
-
-
-def led(world: World, among: Collection[int], within: int = 5 * SECOND) -> Process:
-    """Whoever leads of those, once one does and has agreed something in its term."""
-
-    def settled() -> Process | None:
-        return next(
-            (one for one in world.leaders() if one.me in among and core_of(world, one.me).is_caught_up), None
-        )
-
-    assert world.run_for(within, lambda: settled() is not None)
-    found = settled()
-    assert found is not None
-    return found
-
-
-def agreed(world: World, data: bytes, among: Collection[int], within: int = 5 * SECOND) -> bool:
-    """Whether those have applied it in time."""
-    return world.run_for(within, lambda: all(data in world.processes[me].tape.data for me in among))
-
-
-def others(world: World, *left: int) -> list[int]:
-    return [me for me in range(world.made.peers) if me not in left]
-
-
 # Who leads
 
 
-def test_the_leader_is_killed_and_the_others_agree_again_within_two_seconds() -> None:
+def test_after_a_crash_of_the_leader_the_others_commit_again_within_two_seconds() -> None:
     for seed in range(20):
-        world = tier(5, seed=seed)
-        first = led(world, range(5)).me
+        world = founded_world(5, seed=seed)
+        first = wait_for_settled_leader(world, range(5)).me
         world.crash(first)
         killed = world.time
-        second = led(world, others(world, first))
+        second = wait_for_settled_leader(world, others(world, first))
         assert world.propose(second.me, b"again")
-        assert agreed(world, b"again", others(world, first))
+        assert is_applied(world, b"again", others(world, first))
         assert world.time - killed < 2 * SECOND
 
 
 def test_the_leader_is_paused_longer_than_its_lease_and_resumed() -> None:
-    world = tier(3, timing=dataclasses.replace(QUICK, lease_us=SECOND))
+    world = founded_world(3, timing=dataclasses.replace(QUICK, lease_us=SECOND))
     world.run_for(2 * SECOND)
-    first = led(world, range(3))
+    first = wait_for_settled_leader(world, range(3))
     world.ask_lease(first.me)
     assert world.run_for(SECOND, lambda: first.leases.holds(first.local(world.time), "lease"))
     world.pause(first.me)
-    second = led(world, others(world, first.me))
+    second = wait_for_settled_leader(world, others(world, first.me))
     other = world.processes[others(world, first.me, second.me)[0]]
     # Refused while the first may hold it, granted after.
     while not other.leases.holds(other.local(world.time), "lease"):
@@ -105,9 +59,9 @@
     settle(world)
 
 
-def test_one_that_was_cut_off_does_not_end_the_leader_when_it_comes_back() -> None:
-    world = tier(5)
-    first = led(world, range(5))
+def test_a_partitioned_voter_does_not_depose_the_leader_when_it_comes_back() -> None:
+    world = founded_world(5)
+    first = wait_for_settled_leader(world, range(5))
     term = core_of(world, first.me).term
     alone = others(world, first.me)[0]
     world.part([alone], others(world, alone))
@@ -122,16 +76,16 @@
 # Partitions
 
 
-def test_of_two_and_three_the_three_go_on() -> None:
-    world = tier(5)
-    first = led(world, range(5)).me
+def test_of_two_and_three_voters_the_three_continue() -> None:
+    world = founded_world(5)
+    first = wait_for_settled_leader(world, range(5)).me
     few = [first, others(world, first)[0]]
     many = others(world, *few)
     world.part(few, many)
     assert world.propose(first, b"few")
-    second = led(world, many).me
+    second = wait_for_settled_leader(world, many).me
     assert world.propose(second, b"many")
-    assert agreed(world, b"many", many)
+    assert is_applied(world, b"many", many)
     world.run_for(5 * SECOND)
     assert not any(b"few" in world.processes[me].tape.data for me in range(5))
     assert not any(core_of(world, me).has_leader_contact(world.processes[me].local(world.time)) for me in few)
@@ -140,10 +94,10 @@
     assert all(b"many" in one.tape.data and b"few" not in one.tape.data for one in world.processes)
 
 
-def test_of_three_and_three_neither_agrees_or_founds() -> None:
-    world = tier(7)
+def test_of_three_and_three_voters_neither_side_commits_or_bootstraps() -> None:
+    world = founded_world(7)
     world.crash(6)
-    era = core_of(world, 0).epoch
+    epoch = core_of(world, 0).epoch
     halves = [0, 1, 2], [3, 4, 5]
     world.part(*halves)
     world.run_for(SECOND // 10)
@@ -156,36 +110,36 @@
     assert not any(b"half" in one.tape.data for one in world.processes)
     world.heal()
     settle(world)
-    assert {core_of(world, me).epoch for me in range(7)} == {era}
+    assert {core_of(world, me).epoch for me in range(7)} == {epoch}
 
 
 @pytest.mark.parametrize("outwards", [True, False])
-def test_one_way_the_leader_is_cut_off_and_another_leads(outwards: bool) -> None:
-    world = tier(3)
-    first = led(world, range(3)).me
+def test_a_leader_that_is_cut_off_one_way_is_replaced(outwards: bool) -> None:
+    world = founded_world(3)
+    first = wait_for_settled_leader(world, range(3)).me
     rest = others(world, first)
     if outwards:
         world.cut_one_way([first], rest)
     else:
         world.cut_one_way(rest, [first])
-    second = led(world, rest, within=10 * SECOND)
+    second = wait_for_settled_leader(world, rest, within_us=10 * SECOND)
     assert world.propose(second.me, b"one way")
-    assert agreed(world, b"one way", rest)
-    # It stays so: nobody who can't hear or be heard unseats the one that leads.
+    assert is_applied(world, b"one way", rest)
+    # It stays so: nobody who can't hear or be heard replaces the one that leads.
     world.run_for(10 * SECOND)
     assert [one.me for one in world.leaders()] == [second.me]
     world.heal()
     settle(world)
 
 
-def test_a_bridge_leads_or_follows_and_the_two_ends_do_not_take_turns() -> None:
-    world = tier(3)
+def test_with_a_bridge_between_two_ends_leadership_is_stable() -> None:
+    world = founded_world(3)
     world.part([0, 1], [1, 2])
     world.run_for(5 * SECOND)
-    leader = led(world, range(3))
+    leader = wait_for_settled_leader(world, range(3))
     term = core_of(world, leader.me).term
     assert world.propose(leader.me, b"bridge")
-    assert agreed(world, b"bridge", [1])
+    assert is_applied(world, b"bridge", [1])
     world.run_for(20 * SECOND)
     assert [one.me for one in world.leaders()] == [leader.me]
     assert core_of(world, leader.me).term == term
@@ -197,42 +151,42 @@
 # Memory
 
 
-def test_all_killed_at_once_with_lasting_stores_lose_nothing() -> None:
-    world = tier(5, learners=1, lasting=True)
-    era = core_of(world, 0).epoch
-    leader = led(world, range(5)).me
+def test_all_voters_that_crash_at_once_with_durable_stores_lose_nothing() -> None:
+    world = founded_world(5, learners=1, lasting=True)
+    epoch = core_of(world, 0).epoch
+    leader = wait_for_settled_leader(world, range(5)).me
     assert world.propose(leader, b"before")
-    assert agreed(world, b"before", range(6))
+    assert is_applied(world, b"before", range(6))
     incarnations = [one.incarnation for one in world.processes]
     for me in range(6):
         world.crash(me)
     world.heal()
     settle(world)
-    assert core_of(world, 0).epoch == era
+    assert core_of(world, 0).epoch == epoch
     assert all(b"before" in one.tape.data for one in world.processes)
     assert [one.incarnation for one in world.processes][:5] == incarnations[:5]
     # A learner keeps nothing, and is another.
     assert world.processes[5].incarnation != incarnations[5]
 
 
-def test_all_killed_at_once_without_stores_begin_an_empty_record_and_say_so_by_its_era() -> None:
-    world = tier(3, learners=2)
-    era = core_of(world, 0).epoch
+def test_all_voters_that_crash_at_once_without_stores_begin_an_empty_log_of_a_new_epoch() -> None:
+    world = founded_world(3, learners=2)
+    epoch = core_of(world, 0).epoch
     for me in range(3):
         world.crash(me)
     world.heal()
     settle(world)
-    assert core_of(world, 0).epoch != era
+    assert core_of(world, 0).epoch != epoch
     assert all(core_of(world, me).epoch == core_of(world, 0).epoch for me in range(5))
     assert all(b"probe0" not in one.tape.data or one.tape.places[0][0] > 1 for one in world.processes)
 
 
-def test_a_majority_forgets_and_one_remembers() -> None:
+def test_one_voter_that_remembers_is_enough_where_a_majority_lost_its_memory() -> None:
     for seed in range(20):
-        world = tier(5, seed=seed)
-        leader = led(world, range(5)).me
+        world = founded_world(5, seed=seed)
+        leader = wait_for_settled_leader(world, range(5)).me
         assert world.propose(leader, b"kept")
-        assert agreed(world, b"kept", range(5))
+        assert is_applied(world, b"kept", range(5))
         one = seed % 5
         for me in others(world, one):
             world.restart(me)
@@ -241,23 +195,23 @@
         assert all(b"kept" in process.tape.data for process in world.processes)
 
 
-def test_one_that_is_frozen_reads_the_new_record_anew() -> None:
-    world = tier(3)
-    last, era = core_of(world, 2), core_of(world, 2).epoch
+def test_a_frozen_voter_reads_the_index_of_the_new_epoch_anew() -> None:
+    world = founded_world(3)
+    last, epoch = core_of(world, 2), core_of(world, 2).epoch
     assert last.is_caught_up
     world.restart(0)
     world.restart(1)
-    assert world.run_for(10 * SECOND, lambda: last.role == "frozen" or last.epoch != era)
+    assert world.run_for(10 * SECOND, lambda: last.role == "frozen" or last.epoch != epoch)
     # Until then it goes by the old one, and must not take that for the record.
     assert world.run_for(10 * SECOND, lambda: last.is_caught_up)
-    assert last.role != "frozen" and last.epoch != era
+    assert last.role != "frozen" and last.epoch != epoch
 
 
-def test_a_majority_forgets_while_one_seat_is_cut_off_and_nothing_is_founded() -> None:
-    world = tier(3)
-    leader = led(world, range(3)).me
+def test_nothing_is_bootstrapped_while_a_voter_is_partitioned_though_a_majority_lost_its_memory() -> None:
+    world = founded_world(3)
+    leader = wait_for_settled_leader(world, range(3)).me
     assert world.propose(leader, b"kept")
-    assert agreed(world, b"kept", range(3))
+    assert is_applied(world, b"kept", range(3))
     rest = others(world, leader)
     world.part([leader], rest)
     for me in rest:
@@ -269,9 +223,9 @@
     assert all(b"kept" in one.tape.data for one in world.processes)
 
 
-def test_one_that_comes_again_in_the_midst_of_a_vote_does_not_vote_twice() -> None:
-    world = tier(3)
-    first = led(world, range(3)).me
+def test_a_voter_that_restarts_during_an_election_does_not_vote_twice() -> None:
+    world = founded_world(3)
+    first = wait_for_settled_leader(world, range(3)).me
     world.crash(first)
     voters: list[int] = []
     before = {one.me: one.incarnation for one in world.processes}
@@ -297,9 +251,9 @@
     assert core_of(world, 0).members == {one.me: one.incarnation for one in world.processes}
 
 
-def test_a_seat_that_comes_again_is_taken_out_and_in_one_at_a_time() -> None:
-    world = tier(3)
-    leader = led(world, range(3))
+def test_a_restarted_voter_is_removed_and_added_in_single_changes() -> None:
+    world = founded_world(3)
+    leader = wait_for_settled_leader(world, range(3))
     again = others(world, leader.me)[0]
     old = core_of(world, again).incarnation
     sizes = [3]
@@ -316,21 +270,21 @@
     assert core_of(world, leader.me).members[again] != old
 
 
-def test_a_release_replaces_all_one_after_the_other() -> None:
-    world = tier(5, learners=1)
-    era = core_of(world, 0).epoch
+def test_a_rolling_restart_keeps_the_epoch_and_its_entries() -> None:
+    world = founded_world(5, learners=1)
+    epoch = core_of(world, 0).epoch
     for me in range(6):
-        leader = led(world, range(5)).me
+        leader = wait_for_settled_leader(world, range(5)).me
         assert world.propose(leader, b"release%d" % me)
         world.restart(me)
         world.run_for(3 * SECOND)
     settle(world)
-    assert core_of(world, 0).epoch == era
+    assert core_of(world, 0).epoch == epoch
     assert all(b"release0" in one.tape.data for one in world.processes)
 
 
-def test_a_handover_goes_on_as_the_same_incarnation() -> None:
-    world = tier(3, learners=1)
+def test_a_successor_continues_as_the_same_incarnation() -> None:
+    world = founded_world(3, learners=1)
     incarnations = [core_of(world, me).incarnation for me in range(4)]
     for me in range(4):
         world.succeed(me)
@@ -340,8 +294,8 @@
     assert core_of(world, 0).members == dict(enumerate(incarnations[:3]))
 
 
-def test_one_that_has_retired_does_nothing_more() -> None:
-    world = tier(3)
+def test_a_retired_core_does_nothing_more() -> None:
+    world = founded_world(3)
     core = core_of(world, 0)
     now = world.processes[0].local(world.time)
     core.retire()
@@ -355,14 +309,14 @@
 # Founding
 
 
-def found_by_hand(lasting: bool = False) -> tuple[World, int]:
-    """Three that have nothing; gives who founds, at the time when it has begun to."""
+def bootstrapping_world(lasting: bool = False) -> tuple[World, int]:
+    """Three that have nothing; gives the initiator, at the time when it has begun to bootstrap."""
     world = World(Made(3, 3, QUICK, lasting), seed=3)
     assert world.run_for(5 * SECOND, lambda: any(core_of(world, me).role == "frozen" for me in range(3)))
     return world, next(me for me in range(3) if core_of(world, me).role == "frozen")
 
 
-def test_a_founding_needs_every_seat() -> None:
+def test_a_bootstrap_needs_every_voter() -> None:
     world = World(Made(3, 3, QUICK), seed=3)
     world.crash(2)
     world.run_for(20 * SECOND)
@@ -371,29 +325,29 @@
     settle(world)
 
 
-def test_one_that_comes_again_between_the_two_rounds_ends_the_founding() -> None:
-    world, founder = found_by_hand()
-    era = core_of(world, founder)._state.promised_epoch
-    last = others(world, founder)[-1]
-    first = others(world, founder, last)[0]
+def test_a_voter_that_restarts_between_the_two_rounds_ends_the_bootstrap() -> None:
+    world, initiator = bootstrapping_world()
+    epoch = core_of(world, initiator)._state.promised_epoch
+    last = others(world, initiator)[-1]
+    first = others(world, initiator, last)[0]
     # One accepts; before the other does, the first has come again as another.
-    world.cut_one_way([founder], [last])
-    assert world.run_for(SECOND, lambda: first in core_of(world, founder)._bootstrap._accepted)
+    world.cut_one_way([initiator], [last])
+    assert world.run_for(SECOND, lambda: first in core_of(world, initiator)._bootstrap._accepted)
     world.restart(first)
     world.cut = set()
     world.run_for(SECOND // 2)
-    assert era not in {core_of(world, me).epoch for me in range(3)}
+    assert epoch not in {core_of(world, me).epoch for me in range(3)}
     settle(world)
-    assert core_of(world, 0).epoch > era
+    assert core_of(world, 0).epoch > epoch
     assert core_of(world, 0).members[first] == core_of(world, first).incarnation
 
 
-def test_a_seat_frozen_by_a_founding_that_failed_comes_again_with_its_log() -> None:
-    world = tier(3)
-    leader = led(world, range(3))
+def test_a_voter_frozen_by_a_failed_bootstrap_restarts_with_its_log() -> None:
+    world = founded_world(3)
+    leader = wait_for_settled_leader(world, range(3))
     frozen = others(world, leader.me)[0]
     old, last = core_of(world, frozen).incarnation, core_of(world, frozen).applied_index
-    # A late call from a founder that gave up long ago, while the seat hears no leader.
+    # A late request of an initiator that gave up long ago, while the voter hears from no leader.
     world.part([frozen], others(world, frozen))
     world.run_for(3 * SECOND)
     named = [core_of(world, me).incarnation for me in range(3)]
@@ -414,8 +368,8 @@
     settle(world)
 
 
-def test_a_call_to_found_is_refused_by_one_in_touch_or_not_named() -> None:
-    world = tier(3)
+def test_a_bootstrap_is_refused_by_a_voter_with_leader_contact_or_not_named() -> None:
+    world = founded_world(3)
     now = [one.local(world.time) for one in world.processes]
     named = [core_of(world, me).incarnation for me in range(3)]
     call = m.encode(m.BootstrapRequest(ClusterEpoch(9, 9), 1, named))
@@ -429,13 +383,13 @@
 # Learners and reads
 
 
-def test_two_hundred_copies_agree_and_at_rest_each_takes_under_two_kilobytes_a_second() -> None:
+def test_of_two_hundred_idle_replicas_each_takes_under_two_kilobytes_a_second() -> None:
     timing = ConsensusTiming(max_log_entries=64)
     world = World(Made(5, 200, timing), seed=5)
     settle(world)
-    leader = led(world, range(5)).me
+    leader = wait_for_settled_leader(world, range(5)).me
     assert world.propose(leader, b"to all")
-    assert agreed(world, b"to all", range(200), within=2 * SECOND)
+    assert is_applied(world, b"to all", range(200), within_us=2 * SECOND)
     world.run_for(5 * SECOND)
     taken = [0] * 200
     send = world._send
@@ -450,9 +404,9 @@
     assert max(taken) / 20 < 2_000
 
 
-def test_one_that_is_cut_off_from_the_majority_does_not_come_to_know() -> None:
-    world = tier(5, learners=1)
-    first = led(world, range(5)).me
+def test_a_learner_that_is_cut_off_from_the_majority_does_not_catch_up() -> None:
+    world = founded_world(5, learners=1)
+    first = wait_for_settled_leader(world, range(5)).me
     few = [first, others(world, first)[0], 5]
     world.part(few, others(world, *few))
     world.restart(5)
@@ -462,344 +416,60 @@
     settle(world)
 
 
-def test_a_learner_of_a_forgotten_record_finds_the_one_that_lives() -> None:
+def test_a_learner_of_a_lost_epoch_finds_the_one_that_lives() -> None:
     for seed in range(10):
-        world = tier(3, learners=1, seed=seed)
+        world = founded_world(3, learners=1, seed=seed)
         for me in range(3):
             world.restart(me)
         settle(world)
         assert core_of(world, 3).epoch == core_of(world, 0).epoch
 
 
-def test_words_reach_the_leader_from_everybody() -> None:
-    world = tier(3, learners=1)
-    leader = led(world, range(3))
-    heard: list[tuple[int, int, bytes]] = []
-    core_of(world, leader.me).on_leader_message = lambda *word: heard.append(word)
+def test_leader_messages_arrive_from_every_replica() -> None:
+    world = founded_world(3, learners=1)
+    leader = wait_for_settled_leader(world, range(3))
+    received: list[tuple[int, int, bytes]] = []
+    core_of(world, leader.me).on_leader_message = lambda *message: received.append(message)
     for me in range(4):
-        word = b"word%d" % me
-        world._step(world.processes[me], lambda core, now, word=word: core.send_to_leader(now, word))  # type: ignore[misc]
+        message = b"message%d" % me
+        world._step(world.processes[me], lambda core, now, message=message: core.send_to_leader(now, message))  # type: ignore[misc]
     world.run_for(SECOND // 10)
-    assert sorted(heard) == [(me, core_of(world, me).incarnation, b"word%d" % me) for me in range(4)]
+    assert sorted(received) == [(me, core_of(world, me).incarnation, b"message%d" % me) for me in range(4)]
 
 
-def test_a_word_of_an_earlier_record_is_not_heard_in_a_later_one() -> None:
-    """A learner that has not heard of the new record yet speaks of places that have other entries there."""
-    world = tier(3, learners=1)
-    learner, era = core_of(world, 3), core_of(world, 3).epoch
+def test_a_leader_message_of_an_earlier_epoch_is_dropped_in_a_later_one() -> None:
+    """A learner that has not heard of the new epoch yet speaks of indexes that have other entries there."""
+    world = founded_world(3, learners=1)
+    learner, epoch = core_of(world, 3), core_of(world, 3).epoch
     now = world.processes[3].local(world.time)
     ((_, early),) = learner.send_to_leader(now, b"early").outgoing
     for me in range(3):
         world.restart(me)
     settle(world)
-    leader = core_of(world, led(world, range(3)).me)
-    assert leader.epoch == learner.epoch != era
-    heard: list[bytes] = []
-    leader.on_leader_message = lambda peer, incarnation, data: heard.append(data)
+    leader = core_of(world, wait_for_settled_leader(world, range(3)).me)
+    assert leader.epoch == learner.epoch != epoch
+    received: list[bytes] = []
+    leader.on_leader_message = lambda peer, incarnation, data: received.append(data)
     lost = leader.counters["words_lost"]
     leader.receive(world.processes[leader.replica_id].local(world.time), 3, early)
-    assert not heard and leader.counters["words_lost"] == lost + 1
-    # Nor what was to be said of it, and had to wait until it was over.
-    assert not learner.send_to_leader(world.processes[3].local(world.time), b"waited", era).outgoing
+    assert not received and leader.counters["words_lost"] == lost + 1
+    # Nor a message of it that had to wait until it was over.
+    assert not learner.send_to_leader(world.processes[3].local(world.time), b"waited", epoch).outgoing
     ((_, late),) = learner.send_to_leader(
         world.processes[3].local(world.time), b"late", leader.epoch
     ).outgoing
     leader.receive(world.processes[leader.replica_id].local(world.time), 3, late)
-    assert heard == [b"late"]
-
-
-# Bounds
-
-
-def test_proposals_have_bounds() -> None:
-    world = tier(3, timing=dataclasses.replace(QUICK, max_log_entries=512))
-    leader = led(world, range(3)).me
-    world.part([leader], others(world, leader))
-    core, now = core_of(world, leader), world.processes[leader].local(world.time)
-    with pytest.raises(EntryError):
-        core.propose(now, bytes(MAX_ENTRY_BYTES + 1))
-    with pytest.raises(EntryError):
-        core.send_to_leader(now, bytes(MAX_LEADER_MESSAGE_BYTES + 1))
-    for count in range(MAX_PENDING_PROPOSALS):
-        assert core.propose(now, b"%d" % count).entry_index is not None
-    with pytest.raises(BusyError):
-        core.propose(now, b"one more")
-    with pytest.raises(NotLeaderError) as error:
-        follower = others(world, leader)[0]
-        core_of(world, follower).propose(world.processes[follower].local(world.time), b"x")
-    assert error.value.leader_id == leader
-
-
-def test_the_longest_messages_fit_in_a_datagram() -> None:
-    era = ClusterEpoch((1 << 32) - 1, (1 << 64) - 1)
-    big, count, small = (1 << 64) - 1, (1 << 48) - 1, (1 << 32) - 1
-    members = [(seat, big) for seat in range(7)]
-    log = ReplicatedLog(era)
-    for length in (0, 1, 20, MAX_ENTRY_BYTES):
-        while len(log.batch(1, log.last_index)) == len(log.entries):
-            log.append(m.LogEntry(count, m.EntryKind.DATA, bytes(length)))
-        entries = log.batch(1, log.last_index)
-        assert entries
-        append = m.AppendEntriesRequest(era, small, count, count, count, count, count, entries)
-        assert len(m.encode(append)) <= MAX_DATAGRAM_BYTES
-        assert len(m.encode(m.LearnerUpdate(era, small, count, True, count, entries))) <= MAX_DATAGRAM_BYTES
-        log = ReplicatedLog(era)
-    longest: list[m.Message] = [
-        m.IdentityResponse(big, big, era, era, count, count, count, count, members, True),
-        m.BootstrapRequest(era, big, [big] * 7),
-        m.BootstrapResponse(era, big, big, era, count, count),
-        m.RequestVoteRequest(era, small, big, count, count, count, False),
-        m.RequestVoteResponse(era, big, big, count, True, False),
-        m.InstallSnapshotRequest(
-            era, small, count, count, count, small, small, small, count, bytes(m.MAX_CHUNK_BYTES)
-        ),
-        m.InstallSnapshotResponse(era, big, count, count, small, small, count),
-        m.LeaderMessage(era, big, bytes(MAX_LEADER_MESSAGE_BYTES)),
-    ]
-    for message in longest:
-        raw = m.encode(message)
-        assert len(raw) <= MAX_DATAGRAM_BYTES
-        assert m.decode(raw) == message
-
-
-@settings(max_examples=300, deadline=None)
-@given(st.binary(max_size=300), st.integers(-1, 9))
-def test_no_bytes_raise(raw: bytes, peer: int) -> None:
-    core = ConsensusCore(0, 5, 3, 7, Tape(), QUICK, random.Random(1))
-    core.start(0)
-    for data in (raw, bytes((m.PROTOCOL_VERSION,)) + raw):
-        core.receive(1, peer, data)
-
-
-@settings(max_examples=300, deadline=None)
-@given(st.data())
-def test_no_message_in_form_raises_or_moves_one_that_it_is_not_for(data: st.DataObject) -> None:
-    world = tier(3, learners=1)
-    target = data.draw(st.integers(0, 3))
-    core, now = core_of(world, target), world.processes[target].local(world.time)
-    number = st.integers(0, (1 << 48) - 1) | st.integers(0, 9)
-    eras = st.sampled_from(
-        [core.epoch, NO_EPOCH, ClusterEpoch(0, 1), ClusterEpoch((1 << 32) - 1, (1 << 64) - 1)]
-    )
-    kind = data.draw(
-        st.sampled_from(
-            [
-                m.AppendEntriesRequest,
-                m.RequestVoteRequest,
-                m.InstallSnapshotRequest,
-                m.LearnerUpdate,
-                m.AppendEntriesResponse,
-                m.RequestVoteResponse,
-                m.BootstrapRequest,
-                m.BootstrapResponse,
-            ]
-        )
-    )
-    one = m.short_incarnation(core.incarnation) + 1 & 0xFFFFFFFF
-    fields = {
-        "epoch": eras,
-        "recipient": st.just(one),
-        "candidate": st.just(one),
-        "log_epoch": eras,
-        "entries": st.just([m.LogEntry(1, m.EntryKind.DATA, b"x"), m.LogEntry(1, m.EntryKind.CONFIG, b"x")]),
-        "incarnations": st.just([1, 2, 3]),
-        "is_pre_vote": st.booleans(),
-        "success": st.booleans(),
-        "granted": st.booleans(),
-        "has_leader_contact": st.booleans(),
-        "data": st.binary(max_size=m.MAX_CHUNK_BYTES),
-        "total_bytes": st.integers(0, 300),
-        "offset": st.integers(0, 300),
-        "checksum": st.integers(0, (1 << 32) - 1),
-    }
-    message = kind(**{name: data.draw(fields.get(name, number)) for name in kind.__struct_fields__})
-    before = (core.epoch, core.term, core.role, core.applied_index, core.members)
-    core.receive(now, data.draw(st.integers(0, 3)), m.encode(message))
-    assert (core.epoch, core.term, core.role, core.applied_index, core.members) == before
-
-
-def test_the_future_and_the_foreign_are_counted() -> None:
-    core = ConsensusCore(0, 3, 3, 7, Tape(), QUICK, random.Random(1))
-    core.start(0)
-    good = m.encode(m.IdentityRequest(1))
-    core.receive(1, 1, bytes((m.PROTOCOL_VERSION + 1,)) + good[1:])
-    core.receive(1, 3, good)
-    core.receive(1, 0, good)
-    core.receive(1, 1, good[:-1])
-    assert core.counters == {"future": 1, "foreign": 2, "unreadable": 1}
-
-
-# The log, snapshots, what is kept
-
-
-@settings(deadline=None)
-@given(
-    st.lists(
-        st.tuples(st.sampled_from(["append", "config", "cut", "compact"]), st.integers(0, 30)), max_size=40
-    )
-)
-def test_the_log_is_a_list_with_a_part_cut_off_in_front(steps: list[tuple[str, int]]) -> None:
-    log, model = ReplicatedLog(ClusterEpoch(1, 1)), [m.LogEntry(0, m.EntryKind.DATA, b"")]
-    for step, number in steps:
-        if step == "append":
-            entry = m.LogEntry(number, m.EntryKind.DATA, b"%d" % number)
-            model.append(entry)
-            log.append(entry)
-        elif step == "config":
-            entry = m.LogEntry(number, m.EntryKind.CONFIG, encode_members({number % 7: number}))
-            model.append(entry)
-            log.append(entry)
-        elif step == "cut":
-            last = max(log.base_index, len(model) - 1 - number)
-            del model[last + 1 :]
-            log.truncate_after(last)
-        else:
-            log.compact_to(min(log.last_index, log.base_index + number))
-        assert log.last_index == len(model) - 1
-        assert all(log.term_at(at) == model[at].term for at in range(log.base_index, len(model)))
-        assert log.term_at(log.base_index - 1) is None and log.term_at(log.last_index + 1) is None
-        configs = [at for at, entry in enumerate(model) if entry.kind == m.EntryKind.CONFIG]
-        assert log.config.index == (configs[-1] if configs else 0)
-
-
-def test_a_snapshot_in_parts_is_used_only_when_whole() -> None:
-    era = ClusterEpoch(1, 1)
-    snapshot = Snapshot.create(era, 9, 2, ReplicatedLog().config, bytes(500))
-    other = Snapshot.create(era, 9, 2, ReplicatedLog().config, b"\1" * 500)
-    assembly = SnapshotAssembly()
-    got = 0
-    while got < len(snapshot.payload):
-        assert assembly.take_complete() is None
-        assert assembly.add(other.chunk(1, 1, got + 1, 1)) == 0
-        part = snapshot.chunk(1, 1, got, 1)
-        if got:
-            for at in range(0, got, m.MAX_CHUNK_BYTES):
-                assembly.add(snapshot.chunk(1, 1, at, 1))
-        got = assembly.add(part)
-        assert assembly.add(part) == got
-    assert assembly.take_complete() == snapshot
-    assert assembly.take_complete() is None
-    spoilt = dataclasses.replace(snapshot, checksum=1)
-    for at in range(0, len(snapshot.payload), m.MAX_CHUNK_BYTES):
-        assembly.add(spoilt.chunk(1, 1, at, 1))
-    assert assembly.take_complete() is None
-
-
-def test_what_is_kept_must_be_whole_and_ones_own() -> None:
-    world = tier(3, lasting=True)
-    led(world, range(3))
-    whole = dict(world.processes[1].kept)
-
-    def start(kept: dict[bytes, bytes], me: int = 1) -> ConsensusCore:
-        return ConsensusCore(me, 3, 3, 0, CompositeStateMachine({0: Tape()}), QUICK, random.Random(1), kept)
-
-    assert start(whole).incarnation == core_of(world, 1).incarnation
-    with pytest.raises(StoredStateError, match="peer 1 of 3"):
-        start(whole, me=2)
-    for key in (stored_state.IDENTITY_KEY, stored_state.HARD_STATE_KEY, stored_state.LOG_BASE_KEY):
-        with pytest.raises(StoredStateError):
-            start(whole | {key: b"\xc1"})
-    places = sorted(key for key in whole if key[:1] == b"e")
-    assert len(places) > 1
-    with pytest.raises(StoredStateError, match="missing"):
-        start({key: value for key, value in whole.items() if key != places[0]})
-
-
-# CompositeStateMachine and leases
-
-
-def test_an_entry_for_no_machine_is_counted_and_what_is_dumped_for_none_is_handed_on() -> None:
-    first, second = Tape(), Tape()
-    both, one = CompositeStateMachine({0: first, 7: second}), CompositeStateMachine({0: Tape()})
-    both.apply(1, b"\0a")
-    both.apply(2, b"\7b")
-    one.load(both.dump())
-    one.apply(3, b"\7c")
-    one.apply(4, b"")
-    assert one.ignored == 2
-    assert one.dump() == both.dump()
-    both.load(b"")
-    assert first.places == second.places == []
-
-
-ERA = ClusterEpoch(1, 1)
-LEASE = 1_000_000
-
-
-def leases(me: int) -> LeaseTable:
-    return LeaseTable(me, 0.01, LEASE, random.Random(me))
-
-
-def granted(at: int, by: LeaseTable, to: LeaseTable, now: int, index: int, among: list[LeaseTable]) -> bool:
-    """`to`, peer `at`, asks `by` at that time, and all learn what was granted."""
-    entry = by.entry_for(now, ERA, at, 7, to.request(now, 7, "name", LEASE))
-    if entry is None:
-        return False
-    for one in among:
-        one.apply(index, entry)
-        one.observe(now, ERA)
-    return True
-
-
-def test_a_lease_is_held_by_one_renewed_given_back_and_not_granted_early() -> None:
-    leader, a, b = three = [leases(0), leases(1), leases(2)]
-    leader.observe(0, ERA)
-    wait = 1_010_001
-    # An era that began may have lost grants: none for the longest lease.
-    assert not granted(1, leader, a, wait - 1, 1, three)
-    assert granted(1, leader, a, wait, 1, three)
-    assert a.holds(wait + 989_999, "name") and not a.holds(wait + 990_000, "name")
-    assert not b.holds(wait, "name")
-    assert not granted(2, leader, b, wait + 1_000_000, 2, three)
-    assert granted(1, leader, a, wait + 500_000, 3, three)
-    assert a.holds(wait + 1_489_999, "name")
-    assert not granted(2, leader, b, wait + 1_510_000, 4, three)
-    assert granted(2, leader, b, wait + 1_510_001, 5, three)
-    assert b.holds(wait + 1_510_001, "name")
-    word = b.release("name")
-    assert word is not None and not b.holds(wait + 1_510_002, "name")
-    assert leader.entry_for(wait + 1_510_003, ERA, 1, 7, word) is None
-    assert leader.entry_for(wait + 1_510_003, ERA, 2, 7, word) == word
-    for one in three:
-        one.apply(6, word)
-    assert granted(1, leader, a, wait + 1_510_004, 7, three)
-
-
-def test_of_two_grants_that_follow_the_same_lease_one_holds() -> None:
-    leader, a, b = three = [leases(0), leases(1), leases(2)]
-    leader.observe(0, ERA)
-    now = 2 * LEASE
-    first = leader.entry_for(now, ERA, 1, 7, a.request(now, 7, "name", LEASE))
-    second = leader.entry_for(now, ERA, 2, 7, b.request(now, 7, "name", LEASE))
-    assert first is not None and second is not None
-    for one in three:
-        one.apply(1, second)
-        one.apply(2, first)
-    assert b.holds(now, "name") and not a.holds(now, "name")
-    assert a.ignored == 1
-    assert a.dump() == b.dump()
-
-
-def test_a_lease_can_not_be_asked_for_another_or_in_bad_form() -> None:
-    leader, a = leases(0), leases(1)
-    leader.observe(0, ERA)
-    now = 2 * LEASE
-    assert leader.entry_for(now, ERA, 2, 7, a.request(now, 7, "name", LEASE)) is None
-    assert leader.entry_for(now, ERA, 1, 8, a.request(now, 7, "name", LEASE)) is None
-    assert leader.entry_for(now, ERA, 1, 7, b"\xc1") is None
-    for name, lease_us in (("", LEASE), ("n" * 65, LEASE), ("name", 0), ("name", LEASE + 1)):
-        with pytest.raises(EntryError):
-            a.request(now, 7, name, lease_us)
-    for raw in (b"", b"\xc1", b"\x93\x02\xa4name\x05"):
-        leader.apply(1, raw)
-    assert leader.dump() == leases(0).dump()
+    assert received == [b"late"]
+
+
+# The checker
 
 
 def test_the_checker_names_the_invariant_and_the_seed() -> None:
-    world = tier(3, seed=42)
+    world = founded_world(3, seed=42)
     tape = world.processes[1].tape
     tape.places[-1] = (tape.places[-1][0], 0)
-    leader = led(world, range(3)).me
+    leader = wait_for_settled_leader(world, range(3)).me
     with pytest.raises(BrokenError, match="one order: seed 42") as broken:
         world.propose(leader, b"x")
         world.run_for(SECOND)
--- a/tests/test_consensus_encoding.py
+++ b/tests/test_consensus_encoding.py
@@ -1,4 +1,4 @@
-"""The encoded forms of the agreed record stay as other processes and stores of earlier versions have them.
+"""The encoded forms of consensus stay as other processes and stores of earlier versions have them.
 
 The bytes were recorded before the package and its types were renamed. A mixed tier runs during an upgrade,
 and a store outlives its process: a change here breaks both.
--- a/tests/test_links.py
+++ b/tests/test_consensus_links.py
@@ -1,5 +1,4 @@
-"""Links and stores of what is shared: what every link must do, over real sockets and in memory, and
-what a batch of a store must be."""
+"""What every link of consensus must do, over real sockets and in memory."""
 
 from __future__ import annotations
 
@@ -8,7 +7,7 @@
 import os
 import random
 import socket
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 from pathlib import Path
 
 import pytest
@@ -19,37 +18,9 @@
 from laurelstep.consensus.links.udp import UdpLink
 from laurelstep.consensus.links.unix import UnixLink
 from laurelstep.consensus.ports import MAX_DATAGRAM_BYTES, Link
-from laurelstep.consensus.stores.embedded import MAX_BATCH_BYTES, EmbeddedStore
-from laurelstep.consensus.stores.none import NoStore
-from laurelstep.store import StoreError
-from laurelstep.store.manifest import segment_name
-from laurelstep.testing import free_udp_port
-from laurelstep.testing.disk import SimulatedDisk
+from tests.datagrams import ReceivedDatagrams, free_udp_ports
 from tests.fakes import ManualClock
-from tests.sockets import TIMEOUT_S, run
-
-
-class Heard:
-    """What a link received, and an end of waiting for it."""
-
-    def __init__(self) -> None:
-        self.all: list[tuple[int, bytes]] = []
-        self.came = asyncio.Event()
-
-    def __call__(self, peer: int, data: bytes) -> None:
-        self.all.append((peer, data))
-        self.came.set()
-
-    async def until(self, done: Callable[[], bool]) -> None:
-        async with asyncio.timeout(TIMEOUT_S):
-            while not done():
-                self.came.clear()
-                await self.came.wait()
-
-
-def free_ports(count: int) -> list[int]:
-    """UDP ports that nobody has now."""
-    return [free_udp_port() for _ in range(count)]
+from tests.sockets import run
 
 
 class Wires:
@@ -58,7 +29,7 @@
     def __init__(self, kind: str, folder: Path, count: int = 3) -> None:
         self.kind = kind
         self.loop = asyncio.get_running_loop()
-        self.addresses = [("127.0.0.1", port) for port in free_ports(count)]
+        self.addresses = [("127.0.0.1", port) for port in free_udp_ports(count)]
         self.paths = [str(folder / f"peer-{n}") for n in range(count)]
 
     def link(self, me: int) -> SocketLink:
@@ -84,26 +55,29 @@
 
 
 @KINDS
-def test_datagrams_come_whole_from_the_peer_that_sent_them(kind: str, tmp_path: Path) -> None:
+def test_datagrams_arrive_complete_from_the_peer_that_sent_them(kind: str, tmp_path: Path) -> None:
     async def main() -> None:
-        wires, heard = Wires(kind, tmp_path), [Heard(), Heard(), Heard()]
+        wires, received = (
+            Wires(kind, tmp_path),
+            [ReceivedDatagrams(), ReceivedDatagrams(), ReceivedDatagrams()],
+        )
         links = [wires.link(n) for n in range(3)]
-        for link, one in zip(links, heard, strict=True):
+        for link, one in zip(links, received, strict=True):
             link.open(one)
         whole = bytes(range(256))
         assert len(whole) == MAX_DATAGRAM_BYTES
         links[0].send(1, whole)
         links[2].send(1, b"")
         links[1].send(0, b"back")
-        await heard[1].until(lambda: len(heard[1].all) == 2)
-        await heard[0].until(lambda: bool(heard[0].all))
-        assert heard[1].all == [(0, whole), (2, b"")] and heard[0].all == [(1, b"back")]
+        await received[1].until(lambda: len(received[1].all) == 2)
+        await received[0].until(lambda: bool(received[0].all))
+        assert received[1].all == [(0, whole), (2, b"")] and received[0].all == [(1, b"back")]
         counts = links[1].counters
         assert (counts["received"], counts["received_bytes"], counts["sent_bytes"]) == (2, 256, 4)
         for link in links:
             link.close()
             link.close()
-        assert not heard[2].all
+        assert not received[2].all
 
     run(main())
 
@@ -111,10 +85,10 @@
 @KINDS
 def test_strangers_and_long_datagrams_are_dropped_and_counted(kind: str, tmp_path: Path) -> None:
     async def main() -> None:
-        wires, heard = Wires(kind, tmp_path), Heard()
+        wires, received = Wires(kind, tmp_path), ReceivedDatagrams()
         link, peer = wires.link(0), wires.link(1)
-        link.open(heard)
-        peer.open(Heard())
+        link.open(received)
+        peer.open(ReceivedDatagrams())
         with wires.stranger(tmp_path) as stranger:
             stranger.sendto(b"let me in", wires.at(0))
         assert peer._socket is not None
@@ -123,8 +97,8 @@
         assert link._socket is not None
         link._socket.sendto(b"its own", wires.at(0))
         peer.send(0, b"last")
-        await heard.until(lambda: bool(heard.all))
-        assert heard.all == [(1, b"last")]
+        await received.until(lambda: bool(received.all))
+        assert received.all == [(1, b"last")]
         assert (link.counters["foreign"], link.counters["oversize"]) == (2, 2)
         link.close()
         peer.close()
@@ -138,7 +112,7 @@
         wires = Wires(kind, tmp_path)
         link = wires.link(0)
         link.send(1, b"before it is open")
-        link.open(Heard())
+        link.open(ReceivedDatagrams())
         for _ in range(3):
             link.send(1, b"nobody")
         assert link.counters["unsent"] + link.counters["sent"] == 4
@@ -179,13 +153,13 @@
 
 def test_what_the_kernel_does_not_take_is_counted() -> None:
     async def main() -> None:
-        ports = free_ports(2)
+        ports = free_udp_ports(2)
         peers = [("127.0.0.1", port) for port in ports]
         loop = asyncio.get_running_loop()
         link, peer = RefusingLink(loop, peers[0], peers, 0), UdpLink(loop, peers[1], peers, 1)
-        heard = Heard()
-        link.open(heard)
-        peer.open(Heard())
+        received = ReceivedDatagrams()
+        link.open(received)
+        peer.open(ReceivedDatagrams())
         assert isinstance(link._socket, Refusing)
         codes = [errno.EAGAIN, errno.ECONNREFUSED, errno.ENOBUFS, errno.ENETUNREACH, errno.EPERM]
         link._socket.codes = list(codes)
@@ -195,7 +169,7 @@
         # The error of an earlier send, which the kernel tells the next reader.
         link._socket.codes = [errno.ECONNREFUSED]
         peer.send(0, b"it still receives")
-        await heard.until(lambda: bool(heard.all))
+        await received.until(lambda: bool(received.all))
         assert link.counters["unsent"] == len(codes) + 1
         link.close()
         peer.close()
@@ -206,17 +180,17 @@
 @KINDS
 def test_a_full_receiver_never_holds_the_sender(kind: str, tmp_path: Path) -> None:
     async def main() -> None:
-        wires, heard = Wires(kind, tmp_path), Heard()
+        wires, received = Wires(kind, tmp_path), ReceivedDatagrams()
         link, peer = wires.link(0), wires.link(1)
-        link.open(heard)
-        peer.open(Heard())
+        link.open(received)
+        peer.open(ReceivedDatagrams())
         many = 20_000
         for _ in range(many):  # the loop does not turn: nobody reads
             peer.send(0, b"x" * 200)
         assert peer.counters["sent"] + peer.counters["unsent"] == many
         least = min(peer.counters["sent"], MAX_DATAGRAMS_PER_TURN + 1)
-        await heard.until(lambda: len(heard.all) >= least)
-        assert len(heard.all) < many, "the kernel's queue is bounded"
+        await received.until(lambda: len(received.all) >= least)
+        assert len(received.all) < many, "the kernel's queue is bounded"
         link.close()
         peer.close()
 
@@ -226,20 +200,20 @@
 @KINDS
 def test_nothing_is_received_after_close_even_in_the_same_turn(kind: str, tmp_path: Path) -> None:
     async def main() -> None:
-        wires, heard = Wires(kind, tmp_path), Heard()
+        wires, received = Wires(kind, tmp_path), ReceivedDatagrams()
         link, peer = wires.link(0), wires.link(1)
 
         def take(number: int, data: bytes) -> None:
-            heard(number, data)
+            received(number, data)
             link.close()
 
         link.open(take)
-        peer.open(Heard())
+        peer.open(ReceivedDatagrams())
         for _ in range(5):
             peer.send(0, b"x")
-        await heard.until(lambda: bool(heard.all))
+        await received.until(lambda: bool(received.all))
         await asyncio.sleep(0)
-        assert len(heard.all) == 1
+        assert len(received.all) == 1
         peer.close()
 
     run(main())
@@ -248,17 +222,17 @@
 @KINDS
 def test_an_address_is_one_process_s_until_it_ends(kind: str, tmp_path: Path) -> None:
     async def main() -> None:
-        wires, heard = Wires(kind, tmp_path), Heard()
+        wires, received = Wires(kind, tmp_path), ReceivedDatagrams()
         first, second, peer = wires.link(0), wires.link(0), wires.link(1)
-        first.open(heard)
-        with pytest.raises(OSError) as told:
-            second.open(Heard())
-        assert told.value.errno == errno.EADDRINUSE
-        peer.open(Heard())
+        first.open(received)
+        with pytest.raises(OSError) as raised:
+            second.open(ReceivedDatagrams())
+        assert raised.value.errno == errno.EADDRINUSE
+        peer.open(ReceivedDatagrams())
         peer.send(0, b"the first still hears")
-        await heard.until(lambda: bool(heard.all))
+        await received.until(lambda: bool(received.all))
         first.close()
-        later = Heard()
+        later = ReceivedDatagrams()
         second.open(later)
         peer.send(0, b"and now the second")
         await later.until(lambda: bool(later.all))
@@ -274,7 +248,7 @@
         with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as dead:
             dead.bind(wires.paths[0])
         link = wires.link(0)
-        link.open(Heard())
+        link.open(ReceivedDatagrams())
         assert os.stat(wires.paths[0]).st_mode & 0o777 == 0o600
         link.close()
         assert not os.path.exists(wires.paths[0])
@@ -290,14 +264,14 @@
                 one.bind(("::1", 0))
         except OSError:
             pytest.skip("no IPv6 here")
-        peers = [("::1", port) for port in free_ports(2)]
+        peers = [("::1", port) for port in free_udp_ports(2)]
         links = [UdpLink(loop, peers[n], peers, n) for n in range(2)]
-        heard = Heard()
-        links[0].open(heard)
-        links[1].open(Heard())
+        received = ReceivedDatagrams()
+        links[0].open(received)
+        links[1].open(ReceivedDatagrams())
         links[1].send(0, b"six")
-        await heard.until(lambda: bool(heard.all))
-        assert heard.all == [(1, b"six")]
+        await received.until(lambda: bool(received.all))
+        assert received.all == [(1, b"six")]
         for link in links:
             link.close()
 
@@ -307,41 +281,41 @@
 # --- In memory --------------------------------------------------------------------------
 
 
-def test_in_memory_what_becomes_of_a_datagram_is_the_schedule_s_word() -> None:
-    clock, heard = ManualClock(), list[tuple[int, int, bytes]]()
+def test_in_memory_the_schedule_decides_what_becomes_of_a_datagram() -> None:
+    clock, received = ManualClock(), list[tuple[int, int, bytes]]()
     delays: dict[bytes, Sequence[int]] = {b"lost": (), b"late": (900,), b"twice": (100, 300), b"now": (0,)}
     network = MemoryNetwork(clock, 3, lambda sender, receiver, data: delays[data])
     links: list[Link] = [network.link(n) for n in range(3)]
     begun = clock.now()
     for link in links:
-        link.open(lambda peer, data: heard.append((clock.now() - begun, peer, data)))
+        link.open(lambda peer, data: received.append((clock.now() - begun, peer, data)))
     for data in delays:
         links[0].send(1, data)
     clock.advance(1_000)
-    assert heard == [(0, 0, b"now"), (100, 0, b"twice"), (300, 0, b"twice"), (900, 0, b"late")]
+    assert received == [(0, 0, b"now"), (100, 0, b"twice"), (300, 0, b"twice"), (900, 0, b"late")]
 
 
 def test_in_memory_a_link_ends_and_is_made_anew() -> None:
     clock = ManualClock()
     network = MemoryNetwork(clock, 2)
     first, second, peer = network.link(0), network.link(0), network.link(1)
-    heard: list[tuple[int, bytes]] = []
+    received: list[tuple[int, bytes]] = []
     first.send(1, b"not open")
-    first.open(lambda *one: heard.append(one))
-    peer.open(lambda *one: heard.append(one))
+    first.open(lambda *one: received.append(one))
+    peer.open(lambda *one: received.append(one))
     with pytest.raises(OSError, match="peer 0 is open"):
         second.open(lambda *one: None)
     peer.send(0, b"under way")
     first.close()
     first.close()
     clock.advance(LATENCY_US)
-    assert not heard and first.counters["unsent"] == 1
-    second.open(lambda *one: heard.append(one))
+    assert not received and first.counters["unsent"] == 1
+    second.open(lambda *one: received.append(one))
     peer.send(0, b"to the second")
     clock.advance(LATENCY_US - 1)
-    assert not heard
+    assert not received
     clock.advance(1)
-    assert heard == [(1, b"to the second")]
+    assert received == [(1, b"to the second")]
     for number, data in ((0, b""), (2, b""), (1, b"x" * 257)):
         with pytest.raises(LinkError):
             second.send(number, data)
@@ -351,16 +325,16 @@
 
 def test_in_memory_one_seed_is_one_course_of_events() -> None:
     def course(seed: int) -> list[tuple[int, int, bytes]]:
-        clock, heard = ManualClock(), list[tuple[int, int, bytes]]()
+        clock, received = ManualClock(), list[tuple[int, int, bytes]]()
         faults = FaultSchedule(random.Random(seed), loss=0.2, duplication=0.3, delay_us=(100, 5_000))
         network = MemoryNetwork(clock, 4, faults)
         links = [network.link(n) for n in range(4)]
         for link in links:
-            link.open(lambda peer, data: heard.append((clock.now(), peer, data)))
+            link.open(lambda peer, data: received.append((clock.now(), peer, data)))
         for n in range(200):
             links[n % 4].send((n + 1) % 4, n.to_bytes(2))
         clock.advance(5_000)
-        return heard
+        return received
 
     one = course(7)
     assert one == course(7) and one != course(8)
@@ -369,21 +343,21 @@
 
 
 def test_in_memory_a_cut_may_go_one_way_and_heals() -> None:
-    clock, heard = ManualClock(), list[tuple[int, int]]()
+    clock, received = ManualClock(), list[tuple[int, int]]()
     faults = FaultSchedule(random.Random(1))
     network = MemoryNetwork(clock, 5, faults)
     links = [network.link(n) for n in range(5)]
     for n, link in enumerate(links):
-        link.open(lambda peer, data, n=n: heard.append((peer, n)))  # type: ignore[misc]
+        link.open(lambda peer, data, n=n: received.append((peer, n)))  # type: ignore[misc]
 
     def all_send() -> set[tuple[int, int]]:
-        heard.clear()
+        received.clear()
         for a in range(5):
             for b in range(5):
                 if a != b:
                     links[a].send(b, b"x")
         clock.advance(LATENCY_US)
-        return set(heard)
+        return set(received)
 
     everybody = all_send()
     assert len(everybody) == 20
@@ -394,131 +368,3 @@
     assert len(all_send()) == 2 + 6
     faults.heal()
     assert all_send() == everybody
-
-
-# --- Stores -----------------------------------------------------------------------------
-
-
-def test_without_a_store_nothing_lasts() -> None:
-    async def main() -> None:
-        store = NoStore()
-        assert not store.is_durable
-        assert store.write({b"a": b"1"}).done()
-        assert await store.load() == {}
-        await store.close()
-
-    run(main())
-
-
-def test_the_embedded_store_keeps_what_was_written_in_the_order_of_calls(tmp_path: Path) -> None:
-    async def main() -> None:
-        folder = str(tmp_path / "accord")
-        store = await EmbeddedStore.open(folder)
-        assert store.is_durable and await store.load() == {}
-        first = store.write({b"a": b"1", b"b": b"1"})
-        await asyncio.sleep(0)
-        second = store.write({b"a": None, b"c": b"2"})
-        third = store.write({b"b": b"3", b"d": b""})
-        empty = store.write({})
-        assert not first.done()
-        await asyncio.gather(second, third, empty)
-        assert first.done() and store.store.stats().batches == 2, "calls that wait are one batch"
-        await store.write({})
-        await store.close()
-        await store.close()
-        again = await EmbeddedStore.open(folder)
-        assert await again.load() == {b"b": b"3", b"c": b"2", b"d": b""}
-        with pytest.raises(StoreError, match="another process has this store open"):
-            await EmbeddedStore.open(folder)
-        await again.close()
-
-    run(main())
-
-
-def test_a_call_s_changes_are_found_whole_or_not_at_all_wherever_power_is_lost() -> None:
-    async def main() -> None:
-        disk = SimulatedDisk()
-        store = await EmbeddedStore.open(disk)
-        for n in range(12):
-            await store.write({b"%d" % key: n.to_bytes(64) for key in range(20)})
-            disk.mark("written", n)
-        await store.close()
-        draw = random.Random(5)
-        for end in range(0, len(disk.journal), 2):
-            journal = disk.journal[:end]
-            least = max((one[2] for one in journal if one[0] == "mark"), default=-1)
-            after = SimulatedDisk.replay(journal).lose_power(draw)
-            try:
-                found = await EmbeddedStore.open(after)
-            except StoreError:
-                # Not even the first manifest: the store was never there.
-                assert least == -1
-                continue
-            kept = await found.load()
-            await found.close()
-            told = set(kept.values())
-            assert len(told) <= 1 and len(kept) in (0, 20), "torn"
-            assert (int.from_bytes(told.pop()) if told else -1) >= least, "lost"
-
-    run(main())
-
-
-def test_after_a_failed_write_nothing_more_is_written() -> None:
-    async def main() -> None:
-        disk = SimulatedDisk()
-        store = await EmbeddedStore.open(disk)
-        await store.write({b"a": b"1"})
-        disk.fail("write", OSError(errno.ENOSPC, "No space left on device"))
-        first = store.write({b"a": b"2"})
-        second = store.write({b"b": b"2"})
-        with pytest.raises(StoreError, match="No space left"):
-            await first
-        third = store.write({b"c": b"3"})
-        for one in (second, third):
-            with pytest.raises(StoreError, match="No space left"):
-                await one
-        await store.close()
-        again = await EmbeddedStore.open(disk.lose_power(all_=True))
-        assert await again.load() == {b"a": b"1"}
-        await again.close()
-        with pytest.raises(StoreError, match="closed"):
-            await again.write({b"a": b"3"})
-
-    run(main())
-
-
-@pytest.mark.parametrize(
-    "changes",
-    [
-        {b"": b"1"},
-        {b"k" * 2000: b"1"},
-        {b"k": b"x" * (2 << 20)},
-        {b"%d" % n: b"x" * (1 << 20) for n in range(9)},
-    ],
-)
-def test_what_can_not_be_kept_fails_the_call(changes: dict[bytes, bytes | None]) -> None:
-    async def main() -> None:
-        store = await EmbeddedStore.open(SimulatedDisk())
-        with pytest.raises(StoreError):
-            await store.write(changes)
-        assert await store.load() == {}
-        await store.close()
-
-    run(main())
-    assert MAX_BATCH_BYTES < 9 << 20
-
-
-def test_a_damaged_store_is_told(tmp_path: Path) -> None:
-    async def main() -> None:
-        store = await EmbeddedStore.open(str(tmp_path))
-        await store.write({b"a": b"1" * 100})
-        await store.write({b"a": b"2" * 100})
-        await store.close()
-        path = tmp_path / segment_name(1)
-        data = bytearray(path.read_bytes())
-        data[40] ^= 1
-        path.write_bytes(data)
-        with pytest.raises(StoreError):
-            await EmbeddedStore.open(str(tmp_path))
-
-    run(main())
--- a/tests/test_consensus_schedules.py
+++ b/tests/test_consensus_schedules.py
@@ -1,4 +1,4 @@
-"""The agreed record under made schedules, and that the checker can fail: each fault put in is found."""
+"""Consensus under made schedules, and that the checker can fail: each injected fault is found."""
 
 from __future__ import annotations
 
@@ -21,8 +21,9 @@
 from laurelstep.consensus.read_index import ReadIndexTracker
 from laurelstep.consensus.snapshots import Snapshot
 from laurelstep.consensus.state import ReplicaState
-from laurelstep.testing.schedules import BrokenError, Made, Process, Shape, World, play
-from laurelstep.testing.schedules.script import QUICK, founded, settle
+from laurelstep.testing.schedules import BrokenError, Made, Shape, play
+from laurelstep.testing.schedules.script import settle
+from tests.consensus_worlds import founded_world, wait_for_leader
 from tests.once import once
 
 pytestmark = once
@@ -47,7 +48,7 @@
 # Faults
 
 
-class FewVotes(Election):
+class VotesWithoutMajority(Election):
     """A vote without a majority."""
 
     def has_enough_votes(self, votes: Collection[int]) -> bool:
@@ -61,60 +62,66 @@
         return True
 
 
-class TwoVotes(Election):
+class TwoVotesInATerm(Election):
     """A vote for each that asks."""
 
     def _may_vote_for(self, peer: int, message: RequestVoteRequest) -> bool:
         return True
 
 
-class Counting(Leader):
-    """An entry of an earlier term is agreed by counting who has it."""
+class CommitsEarlierTerms(Leader):
+    """An entry of an earlier term is committed by counting who has it."""
 
     def may_commit(self, index: int) -> bool:
         return True
 
 
-class OneShort(Leader):
-    """Agreed by one fewer than a majority."""
+class OneFewerThanMajority(Leader):
+    """Committed by one fewer than a majority."""
 
     def majority_match_index(self) -> int:
         members = self._state.log.config.members
-        marks = [self._state.log.last_index if seat == self._state.replica_id else -1 for seat in members]
-        marks += [self.progress[seat].match_index for seat in members if self._tracks_member(seat)]
+        marks = [
+            self._state.log.last_index if voter_id == self._state.replica_id else -1 for voter_id in members
+        ]
+        marks += [
+            self.progress[voter_id].match_index for voter_id in members if self._tracks_member(voter_id)
+        ]
         marks.sort(reverse=True)
         return marks[max(0, len(members) // 2 - 1)]
 
 
-class BySilence(MembershipManager):
+class RemovesSilentMembers(MembershipManager):
     """All that are silent for a while are taken out at once: more than one at a time, without a question."""
 
     def on_heartbeat(self) -> None:
         super().on_heartbeat()
         members = self._state.log.config.members
         quiet = self._state.now_us - self._state.timing.election_timeout_us // 2
-        silent = {seat for seat, one in self._leader.progress.items() if one.last_response_us < quiet}
+        silent = {voter_id for voter_id, one in self._leader.progress.items() if one.last_response_us < quiet}
         if self.may_change() and silent & set(members):
-            self._leader.propose_config({seat: who for seat, who in members.items() if seat not in silent})
+            self._leader.propose_config(
+                {voter_id: who for voter_id, who in members.items() if voter_id not in silent}
+            )
 
 
-class NotAll(Bootstrap):
-    """A founding by a majority of the seats."""
+class BootstrapByMajority(Bootstrap):
+    """A bootstrap by a majority of the voters."""
 
     def has_all_voters(self, voters: Collection[int]) -> bool:
         return 2 * len(voters) > self._state.voter_count
 
     def _evaluate(self) -> None:
         if self.has_all_voters(self._identities):
-            for seat in range(self._state.voter_count):
+            for voter_id in range(self._state.voter_count):
                 self._identities.setdefault(
-                    seat, IdentityResponse(0, 0, NO_EPOCH, NO_EPOCH, 0, 0, 0, 0, [], False)
+                    voter_id, IdentityResponse(0, 0, NO_EPOCH, NO_EPOCH, 0, 0, 0, 0, [], False)
                 )
         super()._evaluate()
 
 
-class AnyFounder(Bootstrap):
-    """The first seat founds, whatever others remember."""
+class AnyInitiator(Bootstrap):
+    """The first voter bootstraps, whatever others remember."""
 
     def _best_candidate(self) -> int:
         return 0
@@ -123,7 +130,7 @@
         return LogPosition(NO_EPOCH, 0, 0)
 
 
-class FirstHeard(ReadIndexTracker):
+class CaughtUpAtOnce(ReadIndexTracker):
     """A process takes the first that it hears for the record as it is."""
 
     def settle(self) -> None:
@@ -138,7 +145,7 @@
         return self._leader.heartbeat_round + 1
 
 
-class Blind(Follower):
+class UncheckedAppend(Follower):
     """Entries are taken without a look at what they follow."""
 
     def on_append_entries(self, peer: int, message: AppendEntriesRequest) -> None:
@@ -149,7 +156,7 @@
         super().on_append_entries(peer, message)
 
 
-class DropsLast(ReplicaState):
+class SnapshotWithoutLast(ReplicaState):
     """A snapshot without the last entry that it stands for."""
 
     def compact(self) -> None:
@@ -169,8 +176,8 @@
         super().apply_to(index)
 
 
-class Hasty(ReplicaState):
-    """A newer era takes the log at once, before its snapshot is here."""
+class EarlyReplacement(ReplicaState):
+    """A newer epoch takes the log at once, before its snapshot is here."""
 
     def enter_epoch(self, epoch: ClusterEpoch) -> None:
         super().enter_epoch(epoch)
@@ -181,14 +188,14 @@
             self.applied_index = self.committed_index = 0
 
 
-class Unkept(ReplicaState):
-    """A promise is sent, but not kept."""
+class Unpersisted(ReplicaState):
+    """A hard state is sent, but not persisted."""
 
     def persist_hard_state(self) -> None:
         pass
 
 
-class FromLearning(LeaseTable):
+class CountsFromLearning(LeaseTable):
     """The holder counts from when it learned, not from when it asked."""
 
     def expires_at_us(self, grant: LeaseGrant) -> int:
@@ -198,7 +205,7 @@
         return 0 if learned is None else learned.learned_at_us + grant.lease_us
 
 
-class Impatient(LeaseTable):
+class ShortGuard(LeaseTable):
     """The others wait for a part of the lease."""
 
     def guard_us(self, lease_us: int) -> int:
@@ -230,37 +237,16 @@
 # Schedules by hand, for what drawn ones seldom meet
 
 
-def tier(
-    seed: int, made: Callable[[Made], Made], seats: int, learners: int = 0, lasting: bool = False
-) -> World:
-    """A tier that has founded its record, with a leader and an entry."""
-    plain = Made(seats, seats + learners, QUICK, lasting)
-    world = World(made(plain), seed, founded(seats, seats + learners, QUICK.max_log_entries))
-    settle(world)
-    return world
-
-
-def leader(world: World, among: Collection[int]) -> Process | None:
-    return next((one for one in world.leaders() if one.me in among), None)
-
-
-def until_led(world: World, among: Collection[int]) -> Process:
-    assert world.run_for(20_000_000, lambda: leader(world, among) is not None)
-    found = leader(world, among)
-    assert found is not None
-    return found
-
-
 def figure_8(seed: int, made: Callable[[Made], Made]) -> None:
     """Raft's figure 8: an entry of an earlier term on a majority, and a later one elsewhere that wins."""
-    world = tier(seed, made, seats=5, lasting=True)
-    first = until_led(world, range(5)).me
+    world = founded_world(seed=seed, made=made, seats=5, lasting=True)
+    first = wait_for_leader(world, range(5)).me
     second, third, fourth, fifth = (me for me in range(5) if me != first)
     world.part([first, second], [third, fourth, fifth])
     world.propose(first, b"e" * 155)
     world.run_for(100_000)
     world.crash(first)
-    late = until_led(world, (third, fourth, fifth)).me
+    late = wait_for_leader(world, (third, fourth, fifth)).me
     rest = [me for me in (third, fourth, fifth) if me != late]
     # What it sent at its election arrives nowhere.
     world.part([late], [second, *rest])
@@ -269,11 +255,11 @@
     assert place is not None
     last = place._state.log.last_index
 
-    def agreed() -> bool:
+    def is_committed() -> bool:
         core = world.processes[second].core
         return core is not None and core.committed_index >= last
 
-    assert world.run_for(20_000_000, agreed)
+    assert world.run_for(20_000_000, is_committed)
     world.part([second], [late, *rest])
     world.crash(second)
     world.start(late)
@@ -284,11 +270,11 @@
 
 def read_at_old_leader(seed: int, made: Callable[[Made], Made]) -> None:
     """One that was cut off still leads, by its own account, when a new process asks it."""
-    world = tier(seed, made, seats=3, learners=1)
-    old = until_led(world, range(3)).me
+    world = founded_world(seed=seed, made=made, seats=3, learners=1)
+    old = wait_for_leader(world, range(3)).me
     others = [me for me in range(3) if me != old]
     world.part([old, 3], others)
-    new = until_led(world, others)
+    new = wait_for_leader(world, others)
     world.propose(new.me, b"news")
     world.run_for(100_000, lambda: b"news" in new.tape.data)
     # The learner hears both, and happens to ask the old one.
@@ -298,22 +284,22 @@
     settle(world)
 
 
-def founder_dies(seed: int, made: Callable[[Made], Made]) -> None:
-    """A founder ends when others have heard of the new era, but have no record of it yet."""
-    world = tier(seed, made, seats=5)
+def initiator_dies(seed: int, made: Callable[[Made], Made]) -> None:
+    """An initiator ends when others have heard of the new epoch, but have no log of it yet."""
+    world = founded_world(seed=seed, made=made, seats=5)
     keepers = (3, 4)
     for me in range(3):
         world.restart(me)
 
-    def heard() -> bool:
+    def is_announced() -> bool:
         states = [core._state for me in keepers if (core := world.processes[me].core) is not None]
         return any(
             state.promised_epoch.generation > 1 and state.has_epoch_started and state.role == "follower"
             for state in states
         )
 
-    assert world.run_for(20_000_000, heard)
-    world.restart(until_led(world, range(5)).me)
+    assert world.run_for(20_000_000, is_announced)
+    world.restart(wait_for_leader(world, range(5)).me)
     world.heal()
     settle(world)
 
@@ -326,29 +312,37 @@
 READ, APART = "no stale read", "leases apart"
 # The fault, the schedules that look for it, and the invariants of which one breaks.
 FAULTS = {
-    "a vote without a majority": (faulty("election_type", FewVotes), drawn(CUTS), {LEADER, LOST, ORDER}),
+    "a vote without a majority": (
+        faulty("election_type", VotesWithoutMajority),
+        drawn(CUTS),
+        {LEADER, LOST, ORDER},
+    ),
     "a vote for any log": (faulty("election_type", AnyLog), drawn(CUTS), {LOST, ORDER}),
-    "two votes in a term": (faulty("election_type", TwoVotes), drawn(CUTS), {VOTE}),
-    "a promise that is not kept": (faulty("state_type", Unkept), drawn(LASTING), {VOTE}),
+    "two votes in a term": (faulty("election_type", TwoVotesInATerm), drawn(CUTS), {VOTE}),
+    "a promise that is not persisted": (faulty("state_type", Unpersisted), drawn(LASTING), {VOTE}),
     "amnesia forgotten": (forgetful, drawn(AMNESIA), {VOTE, LOST}),
-    "an earlier term agreed by counting": (faulty("leader_type", Counting), figure_8, {LOST}),
-    "agreed by one fewer than a majority": (faulty("leader_type", OneShort), drawn(CUTS), {ORDER, LOST}),
-    "many changes of the config at a time": (
-        faulty("membership_type", BySilence),
+    "an earlier term committed by counting": (faulty("leader_type", CommitsEarlierTerms), figure_8, {LOST}),
+    "committed by one fewer than a majority": (
+        faulty("leader_type", OneFewerThanMajority),
+        drawn(CUTS),
+        {ORDER, LOST},
+    ),
+    "many changes of the configuration at a time": (
+        faulty("membership_type", RemovesSilentMembers),
         drawn(CUTS),
         {LEADER, LOST, ORDER},
     ),
-    "a founding without all": (faulty("bootstrap_type", NotAll), drawn(AMNESIA), {LOST, ORDER}),
-    "a founding without the best log": (faulty("bootstrap_type", AnyFounder), drawn(AMNESIA), {LOST}),
-    "an old log given up too soon": (faulty("state_type", Hasty), founder_dies, {LOST}),
-    "a read of what comes first": (faulty("read_index_type", FirstHeard), drawn(AMNESIA), {READ}),
+    "a bootstrap without all": (faulty("bootstrap_type", BootstrapByMajority), drawn(AMNESIA), {LOST, ORDER}),
+    "a bootstrap without the best log": (faulty("bootstrap_type", AnyInitiator), drawn(AMNESIA), {LOST}),
+    "an old log given up too soon": (faulty("state_type", EarlyReplacement), initiator_dies, {LOST}),
+    "a read of what comes first": (faulty("read_index_type", CaughtUpAtOnce), drawn(AMNESIA), {READ}),
     "a read that no majority confirmed": (faulty("read_index_type", Unconfirmed), read_at_old_leader, {READ}),
-    "entries that do not follow": (faulty("follower_type", Blind), drawn(CUTS), {ORDER}),
-    "a snapshot that drops the last entry": (faulty("state_type", DropsLast), drawn(CUTS), {ORDER}),
-    "a lease by the wrong clock": (leasing(FromLearning), drawn(LEASES), {APART}),
-    "a lease that others do not wait for": (leasing(Impatient), drawn(LEASES), {APART}),
+    "entries that do not follow": (faulty("follower_type", UncheckedAppend), drawn(CUTS), {ORDER}),
+    "a snapshot that drops the last entry": (faulty("state_type", SnapshotWithoutLast), drawn(CUTS), {ORDER}),
+    "a lease by the wrong clock": (leasing(CountsFromLearning), drawn(LEASES), {APART}),
+    "a lease that others do not wait for": (leasing(ShortGuard), drawn(LEASES), {APART}),
 }
-BY_HAND = (figure_8, read_at_old_leader, founder_dies)
+BY_HAND = (figure_8, read_at_old_leader, initiator_dies)
 SEEDS_MOST = 400
 
 
--- a/tests/test_shared_record.py
+++ b/tests/test_shared_record.py
@@ -46,8 +46,8 @@
 from laurelstep.outbox.shared.record import Record
 from laurelstep.outbox.shared.sharer import AGAIN_MOST_US, AGAIN_US, FLIGHT_US, WAITS_MOST, Sharer
 from laurelstep.outbox.shared.terms import Begun, Claim, Claimed, Told
+from tests.consensus_nodes import RecordingStateMachine
 from tests.fakes import ManualClock
-from tests.test_node import Blank
 
 ASH = Line("ash", 7)
 OTHER = Line("ash", 8)
@@ -941,11 +941,11 @@
         self.records: dict[int, Record] = {}
         self.sharers: dict[int, Sharer] = {}
         self.others: dict[int, list[bytes]] = {}
-        self.blanks: dict[int, Blank] = {}
+        self.blanks: dict[int, RecordingStateMachine] = {}
         self.lines: list[str] = []
 
     async def start(self, me: int) -> None:
-        record, blank = Record(), Blank()
+        record, blank = Record(), RecordingStateMachine()
         machines = CompositeStateMachine({KIND[0]: record, ord("u"): blank})
 
         def make_core(incarnation: int, kept: Mapping[bytes, bytes]) -> ConsensusCore:
