--- a/laurelstep/consensus/bootstrap.py
+++ b/laurelstep/consensus/bootstrap.py
@@ -30,6 +30,7 @@
 
 from collections.abc import Callable, Collection
 
+from laurelstep.consensus.counters import ReplicaCounter
 from laurelstep.consensus.election import has_majority
 from laurelstep.consensus.epoch import NO_EPOCH, ClusterEpoch
 from laurelstep.consensus.log import LogPosition
@@ -199,7 +200,7 @@
         generation = max(identity.promised_epoch.generation for identity in identities.values()) + 1
         self._incarnations = [identities[voter_id].incarnation for voter_id in range(state.voter_count)]
         self._epoch = ClusterEpoch(generation, state.rng.getrandbits(64))
-        state.counters["foundings"] += 1
+        state.counters[ReplicaCounter.BOOTSTRAPS_INITIATED] += 1
         state.freeze(self._epoch)
         self._start_round(is_second=False)
 
@@ -256,6 +257,6 @@
             self._start_round(is_second=True)
             return
         epoch, self._nonce, self._epoch = self._epoch, None, None
-        state.counters["founded"] += 1
+        state.counters[ReplicaCounter.EPOCHS_STARTED] += 1
         state.start_epoch(epoch, dict(enumerate(self._incarnations)))
         self._on_started()
--- a/laurelstep/consensus/core.py
+++ b/laurelstep/consensus/core.py
@@ -31,6 +31,7 @@
 
 from laurelstep.consensus import messages as m
 from laurelstep.consensus.bootstrap import Bootstrap
+from laurelstep.consensus.counters import ReplicaCounter
 from laurelstep.consensus.effects import StepEffects
 from laurelstep.consensus.election import Election
 from laurelstep.consensus.epoch import NO_EPOCH, ClusterEpoch
@@ -226,10 +227,11 @@
         if self._is_retired:
             pass
         elif not 0 <= peer < state.peer_count or peer == state.replica_id:
-            state.counters["foreign"] += 1
+            state.counters[ReplicaCounter.FOREIGN_SENDER] += 1
         elif message is None:
             is_known_version = raw[:1] <= bytes((m.PROTOCOL_VERSION,))
-            state.counters["unreadable" if is_known_version else "future"] += 1
+            dropped = ReplicaCounter.UNREADABLE if is_known_version else ReplicaCounter.FUTURE_VERSION
+            state.counters[dropped] += 1
         else:
             self._handlers[type(message)](peer, message)
         return self._end_step()
@@ -268,13 +270,13 @@
         self._begin_step(now_us)
         state = self._state
         if epoch is not None and epoch != state.log.epoch:
-            state.counters["words_lost"] += 1
+            state.counters[ReplicaCounter.LEADER_MESSAGES_LOST] += 1
         elif state.role == ReplicaRole.LEADER:
             state.on_leader_message(state.replica_id, state.incarnation, data)
         elif state.leader_id is not None:
             state.send(state.leader_id, m.LeaderMessage(state.log.epoch, state.incarnation, data))
         else:
-            state.counters["words_lost"] += 1
+            state.counters[ReplicaCounter.LEADER_MESSAGES_LOST] += 1
         return self._end_step()
 
     def retire(self) -> dict[bytes, bytes]:
@@ -367,4 +369,4 @@
         if state.role == ReplicaRole.LEADER and message.epoch in (NO_EPOCH, state.log.epoch):
             state.on_leader_message(peer, message.incarnation, message.data)
         else:
-            state.counters["words_lost"] += 1
+            state.counters[ReplicaCounter.LEADER_MESSAGES_LOST] += 1
--- a/laurelstep/consensus/epoch_gate.py
+++ b/laurelstep/consensus/epoch_gate.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 from laurelstep.consensus.bootstrap import Bootstrap
+from laurelstep.consensus.counters import ReplicaCounter
 from laurelstep.consensus.epoch import NO_EPOCH
 from laurelstep.consensus.messages import (
     NEEDS_SNAPSHOT,
@@ -36,7 +37,7 @@
         """Whether the message is of this replica's epoch, or has brought it there."""
         state = self._state
         if peer >= state.voter_count or not state.is_voter:
-            state.counters["foreign"] += 1
+            state.counters[ReplicaCounter.FOREIGN_SENDER] += 1
             return False
         if not self.is_recipient(message):
             if isinstance(message, AppendEntriesRequest):
@@ -44,7 +45,7 @@
             return False
         is_past = message.epoch < state.promised_epoch
         if message.epoch == NO_EPOCH or (is_past and not self._restart_frozen(message)):
-            state.counters["past"] += 1
+            state.counters[ReplicaCounter.STALE] += 1
             return False
         if message.epoch != state.promised_epoch or not state.has_epoch_started:
             self._bootstrap.cancel()
@@ -55,7 +56,7 @@
         """Whether the message is for this incarnation; counts it where it is not."""
         if message.recipient == short_incarnation(self._state.incarnation):
             return True
-        self._state.counters["past"] += 1
+        self._state.counters[ReplicaCounter.STALE] += 1
         return False
 
     def _reject_append(self, peer: int, message: AppendEntriesRequest) -> None:
@@ -75,7 +76,7 @@
             return False
         if state.now_us - state.frozen_at_us <= state.timing.bootstrap_timeout_us:
             return False
-        state.counters["came_again"] += 1
+        state.counters[ReplicaCounter.FROZEN_RESTARTS] += 1
         state.incarnation = state.rng.getrandbits(64)
         state.persist_identity()
         self._read_index.reset()
--- a/laurelstep/consensus/follower.py
+++ b/laurelstep/consensus/follower.py
@@ -11,6 +11,7 @@
 
 import msgspec
 
+from laurelstep.consensus.counters import ReplicaCounter
 from laurelstep.consensus.messages import (
     NEEDS_SNAPSHOT,
     AppendEntriesRequest,
@@ -80,7 +81,7 @@
         try:
             state.install_snapshot(snapshot)
         except msgspec.DecodeError:
-            state.counters["unreadable"] += 1
+            state.counters[ReplicaCounter.UNREADABLE] += 1
             return
         self._respond(peer, message, success=True, match_index=snapshot.index)
 
--- a/laurelstep/consensus/leader.py
+++ b/laurelstep/consensus/leader.py
@@ -20,6 +20,7 @@
 import dataclasses
 from collections.abc import Callable
 
+from laurelstep.consensus.counters import ReplicaCounter
 from laurelstep.consensus.election import has_majority
 from laurelstep.consensus.errors import BusyError, EntryError, NotLeaderError
 from laurelstep.consensus.limits import MAX_ENTRY_BYTES, MAX_PENDING_PROPOSALS
@@ -115,7 +116,7 @@
         """Send a round of heartbeats, or step down (rule 5)."""
         state = self._state
         if not self._has_quorum_contact():
-            state.counters["stepped_down"] += 1
+            state.counters[ReplicaCounter.STEPPED_DOWN] += 1
             state.become_follower(None)
             state.last_leader_contact_us = state.now_us
             return
--- a/laurelstep/consensus/learner.py
+++ b/laurelstep/consensus/learner.py
@@ -19,6 +19,7 @@
 
 import msgspec
 
+from laurelstep.consensus.counters import ReplicaCounter
 from laurelstep.consensus.messages import (
     EntryKind,
     InstallSnapshotRequest,
@@ -142,7 +143,7 @@
         try:
             state.install_snapshot(snapshot)
         except msgspec.DecodeError:
-            state.counters["unreadable"] += 1
+            state.counters[ReplicaCounter.UNREADABLE] += 1
             return
         if is_new_epoch:
             state.promised_epoch, state.is_caught_up = snapshot.epoch, False
--- a/laurelstep/consensus/membership.py
+++ b/laurelstep/consensus/membership.py
@@ -19,6 +19,7 @@
 
 import dataclasses
 
+from laurelstep.consensus.counters import ReplicaCounter
 from laurelstep.consensus.leader import Leader
 from laurelstep.consensus.messages import IdentityRequest, IdentityResponse
 from laurelstep.consensus.state import ReplicaState
@@ -104,7 +105,7 @@
     def _remove(self, voter_id: int) -> None:
         members = dict(self._state.log.config.members)
         del members[voter_id]
-        self._state.counters["taken_out"] += 1
+        self._state.counters[ReplicaCounter.MEMBERS_REMOVED] += 1
         self._leader.propose_config(members)
 
     def _add_caught_up(self) -> None:
@@ -117,6 +118,6 @@
                 continue
             if self._is_silent(progress.last_response_us):
                 continue
-            state.counters["taken_in"] += 1
+            state.counters[ReplicaCounter.MEMBERS_ADDED] += 1
             self._leader.propose_config({**state.log.config.members, voter_id: progress.incarnation})
             return
--- a/laurelstep/consensus/messages.py
+++ b/laurelstep/consensus/messages.py
@@ -26,6 +26,8 @@
 __all__ = [
     "MAX_BATCH_BYTES",
     "MAX_CHUNK_BYTES",
+    "NEEDS_SNAPSHOT",
+    "NO_LEADER",
     "PROTOCOL_VERSION",
     "AppendEntriesRequest",
     "AppendEntriesResponse",
--- a/laurelstep/consensus/state.py
+++ b/laurelstep/consensus/state.py
@@ -20,6 +20,7 @@
 from enum import StrEnum
 
 from laurelstep.consensus import stored_state
+from laurelstep.consensus.counters import ReplicaCounter
 from laurelstep.consensus.effects import StepEffects
 from laurelstep.consensus.epoch import NO_EPOCH, ClusterEpoch
 from laurelstep.consensus.errors import StoredStateError
@@ -267,7 +268,7 @@
         """A learner's epoch is over, and the one that lives is not greater (learner.py, rule 6)."""
         self.log = ReplicatedLog()
         self.promised_epoch, self.is_caught_up = NO_EPOCH, False
-        self.counters["eras_forgotten"] += 1
+        self.counters[ReplicaCounter.EPOCHS_DISCARDED] += 1
 
     def start_epoch(self, epoch: ClusterEpoch, members: Mapping[int, int]) -> None:
         """Start a new epoch with the whole log, applied, as its first snapshot (bootstrap.py, rule 6)."""
--- a/laurelstep/settings/operator.py
+++ b/laurelstep/settings/operator.py
@@ -306,7 +306,7 @@
             drift=self.drift,
         )
         if (problem := settings_problem(found)) is not None:
-            raise ValueError(f"{problem[0]}: {problem[1]}")
+            raise ValueError(f"{problem.key}: {problem.expected}")
         return found
 
 
