--- a/laurelstep/consensus/errors.py
+++ b/laurelstep/consensus/errors.py
@@ -12,6 +12,7 @@
     "EntryError",
     "LinkError",
     "NotLeaderError",
+    "StoreFaultError",
     "StoredStateError",
 ]
 
@@ -60,3 +61,10 @@
 
     cause: ClassVar[str] = "the stored state is not readable, or belongs to another list of peers"
     remedy: ClassVar[str] = "move the folder in `store_path` away; the process rejoins with an empty state"
+
+
+class StoreFaultError(ConsensusError):
+    """The disk under a durable store fails, for now: this store is of no more use, one opened anew may be."""
+
+    cause: ClassVar[str] = "the disk under what a process keeps for the tier fails for now"
+    remedy: ClassVar[str] = "see to the disk; the process takes part again by itself"
--- a/laurelstep/consensus/node.py
+++ b/laurelstep/consensus/node.py
@@ -3,8 +3,9 @@
 1. Steps and their effects are in the order of step_runner.py, rule 1.
 2. The link is open before there is a core, and its address belongs to one process: of two processes with one
    number, one takes part. The other waits until the address is free.
-3. A store or a core that fails ends this process's participation until its next start, with one line for the
-   operator. Nothing else of the process notices.
+3. A store or a core that fails ends this process's participation, with one line for the operator. Nothing
+   else of the process notices. Where the disk under the store fails, the node restarts by itself, as after a
+   crash, once the store can be opened again; otherwise at the next start.
 4. Once retired, nothing is sent. The records that `retire` returns are one successor's; a process that starts
    again after that is another member, or continues from its durable store.
 5. Callers are notified of leader messages and changes in a loop iteration of their own, never within a step.
@@ -22,17 +23,29 @@
 
 from laurelstep.consensus.core import ConsensusCore
 from laurelstep.consensus.epoch import NO_EPOCH, ClusterEpoch
-from laurelstep.consensus.errors import EntryError, NotLeaderError, StoredStateError
+from laurelstep.consensus.errors import EntryError, NotLeaderError, StoredStateError, StoreFaultError
 from laurelstep.consensus.limits import MAX_ENTRY_BYTES, MAX_LEADER_MESSAGE_BYTES
 from laurelstep.consensus.ports import Link, StateMachine, Store
 from laurelstep.consensus.state import ReplicaRole
 from laurelstep.consensus.step_runner import StepRunner
 from laurelstep.engine.ports import Clock, Handle, Log
 
-__all__ = ["BIND_RETRY_US", "ConsensusNode", "CoreFactory", "NodeStage"]
+__all__ = [
+    "BIND_RETRY_US",
+    "MAX_REOPEN_DELAY_US",
+    "MIN_REOPEN_DELAY_US",
+    "ConsensusNode",
+    "CoreFactory",
+    "NodeStage",
+]
 
 # Between two attempts to bind an address that another process has.
 BIND_RETRY_US: Final = 500_000
+# Before a store whose disk fails is opened anew; the delay doubles with each attempt.
+MIN_REOPEN_DELAY_US: Final = 1_000_000
+MAX_REOPEN_DELAY_US: Final = 8_000_000
+# Why an address can't be bound for a while: another process has it, or the machine has no socket to give.
+PASSING_FAULTS: Final = frozenset((errno.EADDRINUSE, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 DEFAULT_REMEDY: Final = "see that the disk and the network are well, and restart the process"
 
 CoreFactory = Callable[[int, Mapping[bytes, bytes]], ConsensusCore]
@@ -93,7 +106,10 @@
         self.link: Link | None = None
         self.store: Store | None = None
         self._lifecycle_lock = asyncio.Lock()  # one start or stop at a time
-        self._bind_timer: Handle | None = None
+        self._retry_timer: Handle | None = None  # to the next attempt to bind, or to open the store
+        self._is_reopen_due = False  # failed, and the store is to be opened anew
+        self._reopen_delay_us = MIN_REOPEN_DELAY_US
+        self._release_task: asyncio.Task[None] | None = None  # of the last failure
         self._is_notification_due = False
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -208,6 +224,9 @@
         The address and the store are free once this returns.
         """
         async with self._lifecycle_lock:
+            if self._is_reopen_due:
+                await self._retire_failed()
+                return {}
             if self.stage not in (NodeStage.RUNNING, NodeStage.WAITING):
                 return {}
             records = {} if self.core is None else self.core.retire()
@@ -220,19 +239,28 @@
         async with self._lifecycle_lock:
             if self.core is not None:
                 self.core.retire()
+            self._is_reopen_due = False
             self.stage = NodeStage.CLOSED
             await self._stop()
         if self._tasks:
             await asyncio.wait(self._tasks)
 
+    async def _retire_failed(self) -> None:
+        """Give up the attempts to open the store; its folder and the address are free afterwards."""
+        self._is_reopen_due = False
+        self.stage = NodeStage.RETIRED
+        await self._stop()
+        if self._release_task is not None:
+            await self._release_task
+
     async def _start(self, records: Mapping[bytes, bytes] | None) -> None:
         link = self.make_link()
         try:
             link.open(self._receive)
         except OSError as error:
-            if error.errno != errno.EADDRINUSE:
+            if error.errno not in PASSING_FAULTS:
                 raise
-            self._await_address(records)
+            self._await_address(records, error)
             return
         self.link = link
         try:
@@ -245,7 +273,14 @@
         self.stage = NodeStage.RUNNING
         core.on_leader_message = functools.partial(self._notify_leader_message, core)
         self.runner = StepRunner(
-            core, link, store, self.clock, self.counters, self._notify_change, self._fail
+            core,
+            link,
+            store,
+            self.clock,
+            self.counters,
+            self._notify_change,
+            self._note_durable,
+            self._fail,
         )
         self.runner.start()
         self._notify_change()
@@ -267,15 +302,17 @@
             self.state_machine.load(b"")
             return self.make_core(incarnation, {})
 
-    def _await_address(self, records: Mapping[bytes, bytes] | None) -> None:
-        if self.stage is not NodeStage.WAITING:
+    def _await_address(self, records: Mapping[bytes, bytes] | None, error: OSError) -> None:
+        if self.stage is not NodeStage.WAITING and error.errno == errno.EADDRINUSE:
             self.log("accord: another process has this one's address; waits until it is free")
+        elif self.stage is not NodeStage.WAITING:
+            self.log(f"accord: no socket for its address ({error.strerror}); waits until there is one")
         self.stage = NodeStage.WAITING
         retry_at_us = self.clock.now() + BIND_RETRY_US
-        self._bind_timer = self.clock.at(retry_at_us, self._retry_bind, records)
+        self._retry_timer = self.clock.at(retry_at_us, self._retry_bind, records)
 
     def _retry_bind(self, records: Mapping[bytes, bytes] | None) -> None:
-        self._bind_timer = None
+        self._retry_timer = None
         self._spawn(self._start_waiting(records))
 
     async def _start_waiting(self, records: Mapping[bytes, bytes] | None) -> None:
@@ -289,22 +326,54 @@
             return
         text = _one_line(f"{type(error).__name__}: {error}")
         remedy = getattr(error, "remedy", DEFAULT_REMEDY)
-        self.log(f"accord: this process takes no part any more, requests go on: {text}; {remedy}")
+        if self._reopen_delay_us == MIN_REOPEN_DELAY_US:
+            self.log(f"accord: this process takes no part any more, requests go on: {text}; {remedy}")
         self.failure = text
         self.stage = NodeStage.FAILED
+        self._is_reopen_due = isinstance(error, StoreFaultError)
         if self.core is not None:
             self.core.retire()
-        self._spawn(self._stop())
+        self._release_task = self._spawn(self._schedule_reopen(self._stop()))
         self._notify_change()
 
+    async def _schedule_reopen(self, release: Awaitable[None]) -> None:
+        """Once the store is closed, wait before it is opened anew, if it is to be."""
+        await release
+        if self._is_reopen_due:
+            reopen_at_us = self.clock.now() + self._reopen_delay_us
+            self._retry_timer = self.clock.at(reopen_at_us, self._retry_open)
+            self._reopen_delay_us = min(2 * self._reopen_delay_us, MAX_REOPEN_DELAY_US)
+
+    def _retry_open(self) -> None:
+        self._retry_timer = None
+        self._spawn(self._reopen())
+
+    async def _reopen(self) -> None:
+        """Start as after a crash: only what the store kept counts."""
+        async with self._lifecycle_lock:
+            if not self._is_reopen_due:
+                return
+            self._is_reopen_due = False
+            self.stage = NodeStage.NEW
+            self.state_machine.load(b"")
+            await self._start_or_fail(None)
+            if self.core is not None:
+                self.failure = ""
+
+    def _note_durable(self) -> None:
+        """Say, after failures of the disk, that it writes again."""
+        if self._reopen_delay_us != MIN_REOPEN_DELAY_US:
+            self._reopen_delay_us = MIN_REOPEN_DELAY_US
+            self.log("accord: the disk writes again: this process takes part")
+
     def _stop(self) -> Awaitable[None]:
         """Send and receive nothing from now on; the awaitable frees the store, then the address.
 
         Whoever binds the address finds the store free.
         """
-        if self._bind_timer is not None:
-            self._bind_timer.cancel()
-            self._bind_timer = None
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+            self._retry_timer = None
         if self.runner is not None:
             self.runner.stop()
             self.runner = None
@@ -322,7 +391,7 @@
             if link is not None:
                 link.close()
 
-    def _spawn(self, work: Awaitable[None]) -> None:
+    def _spawn(self, work: Awaitable[None]) -> asyncio.Task[None]:
         async def run() -> None:
             """A task takes a coroutine, not any awaitable."""
             await work
@@ -330,6 +399,7 @@
         task = asyncio.get_running_loop().create_task(run())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
+        return task
 
     def _receive(self, peer: int, data: bytes) -> None:
         if self.runner is not None:
--- a/laurelstep/consensus/ports.py
+++ b/laurelstep/consensus/ports.py
@@ -43,7 +43,7 @@
     def write(self, changes: Mapping[bytes, bytes | None]) -> asyncio.Future[None]:
         """Make the changes durable, all or none, in the order of the calls; None deletes.
 
-        The future raises StoreError.
+        The future raises StoreError; StoreFaultError where the disk fails.
         """
 
     async def close(self) -> None:
--- a/laurelstep/consensus/step_runner.py
+++ b/laurelstep/consensus/step_runner.py
@@ -45,9 +45,13 @@
         clock: Clock,
         counters: dict[str, int],
         on_change: Callable[[], None],
+        on_durable: Callable[[], None],
         on_failure: Callable[[BaseException], None],
     ) -> None:
-        """`counters` has `waited`, `dropped` and `refused`. `on_failure` has to stop the runner."""
+        """`counters` has `waited`, `dropped` and `refused`. `on_failure` has to stop the runner.
+
+        `on_durable()` is called once a step's records are durable, before its datagrams leave.
+        """
         self.core = core
         self.is_stopped = False
         self._link = link
@@ -55,6 +59,7 @@
         self._clock = clock
         self._counters = counters
         self._on_change = on_change
+        self._on_durable = on_durable
         self._on_failure = on_failure
         self._queue: deque[Step] = deque()
         self._is_in_step = False
@@ -147,6 +152,8 @@
         try:
             if error is not None:
                 raise error
+            if effects.persist:
+                self._on_durable()
             for peer, data in effects.outgoing:
                 self._link.send(peer, data)
         except Exception as failure:
--- a/laurelstep/consensus/stores/embedded.py
+++ b/laurelstep/consensus/stores/embedded.py
@@ -12,12 +12,13 @@
 import asyncio
 from collections.abc import Callable, Mapping
 from pathlib import Path
-from typing import Final
+from typing import ClassVar, Final
 
+from laurelstep.consensus.errors import StoreFaultError
 from laurelstep.store import Disk, FolderDisk, Options, Store, StoreError
 from laurelstep.store.log import KEY_MOST, VALUE_MOST
 
-__all__ = ["MAX_BATCH_BYTES", "EmbeddedStore"]
+__all__ = ["MAX_BATCH_BYTES", "EmbeddedStore", "StateFaultError"]
 
 # A batch is never split: 16 MiB is the most that one of the store's frames may have.
 MAX_BATCH_BYTES: Final = 8 << 20
@@ -38,6 +39,15 @@
     return sum(len(key) + len(value or b"") for key, value in changes.items())
 
 
+class StateFaultError(StoreError, StoreFaultError):
+    """The disk fails, or is full: nothing more is written until the store is opened anew."""
+
+    cause: ClassVar[str] = (
+        "what this process promised the others could not be kept: the disk fails, or is full"
+    )
+    remedy: ClassVar[str] = "free or mend the disk; the folder is opened again by itself, at most 8 s later"
+
+
 class EmbeddedStore:
     """A `Store` on a folder, or on any `Disk`. Made by `open`."""
 
@@ -55,9 +65,17 @@
 
     @classmethod
     async def open(cls, place: str | Disk, log: Callable[[str], None] = _ignore_line) -> EmbeddedStore:
-        """Open a store. Raises StoreError if it is in use, damaged or can't be read."""
+        """Open a store.
+
+        Raises StoreError if it is in use, damaged or can't be read; StateFaultError if the disk fails.
+        """
         disk: Disk = FolderDisk(Path(place)) if isinstance(place, str) else place
-        return cls(await Store.open(disk, OPTIONS, log))
+        try:
+            return cls(await Store.open(disk, OPTIONS, log))
+        except StoreError as error:
+            if isinstance(error.__cause__, OSError):
+                raise StateFaultError(str(error)) from error
+            raise
 
     async def load(self) -> dict[bytes, bytes]:
         """Return all records. Raises StoreError."""
@@ -69,7 +87,7 @@
         return records
 
     def write(self, changes: Mapping[bytes, bytes | None]) -> asyncio.Future[None]:
-        """Write the changes as one batch. The future raises StoreError."""
+        """Write the changes as one batch. The future raises StoreError; StateFaultError if the disk fails."""
         done: asyncio.Future[None] = self.loop.create_future()
         if self.failure is None and (problem := self._problem(changes)) is not None:
             self.failure = StoreError(problem)
@@ -119,7 +137,9 @@
         results = await asyncio.gather(*puts, return_exceptions=True)
         error = next((result for result in results if isinstance(result, BaseException)), None)
         if error is not None:
-            self.failure = error if isinstance(error, StoreError) else StoreError(str(error))
+            self.failure = (
+                StateFaultError(str(error)) if isinstance(error, StoreError) else StoreError(str(error))
+            )
             writes += self._pending_writes
             self._clear_pending()
         for write in writes:
--- a/laurelstep/engine/engine.py
+++ b/laurelstep/engine/engine.py
@@ -134,8 +134,12 @@
             # Guards the process and its callers against a fault of the module.
             self.log(traceback.format_exc().rstrip())
             self.balancer.out.clear()
-            if call is not None and call.open:
+            if call is None:
+                return
+            if call.open:
                 self._answer(call, Answer(Ending.FAILED, 500))
+            # The module may still count it among the requests that it holds.
+            self._tell(self.decisions.gone, call.id)
 
     # --- Members ------------------------------------------------------------------
 
@@ -345,6 +349,17 @@
     # --- Attempts -----------------------------------------------------------------
 
     def may_start(self, attempt: Attempt, now: int) -> bool:
+        """Guards against an attempt for a client whose close the loop has not read yet: that lies there
+        for as long as the loop is held up, and behind bytes that are not read."""
+        if not self._may_start(attempt, now):
+            return False
+        client = attempt.call.client
+        if client is None or not client.has_left():
+            return True
+        self.gone(attempt.call)
+        return False
+
+    def _may_start(self, attempt: Attempt, now: int) -> bool:
         if not attempt.call.open or now >= min(attempt.until, attempt.write_by):
             return False
         return self.members.may_receive(attempt.endpoint, now)
@@ -370,7 +385,7 @@
         call.attempts.append(attempt)
         # An upload that an endpoint had the beginning of is not here any more.
         spent = call.upload is not None and call.upload.begun
-        if spent or attempt.copy >= self.settings.max_attempts or not self.may_start(attempt, now):
+        if spent or attempt.copy >= self.settings.max_attempts or not self._may_start(attempt, now):
             self.ended(attempt, MOOT, None, b"")
             return
         call.tried += 1
@@ -404,7 +419,7 @@
     def _time_out(self, attempt: Attempt) -> None:
         if attempt.out:
             self.upstream.cancel(attempt)
-            self.ended(attempt, TIMEOUT, None, b"")
+            self.ended(attempt, MOOT if attempt.lacks_socket else TIMEOUT, None, b"")
 
     def ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
         """The one outcome of an attempt."""
--- a/laurelstep/net/server.py
+++ b/laurelstep/net/server.py
@@ -3,6 +3,9 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
+import itertools
+import os
 import select
 import socket
 from collections.abc import Callable
@@ -16,6 +19,7 @@
 from laurelstep.engine.flow import Flow
 from laurelstep.lifecycle import Lifecycle
 from laurelstep.lifecycle.phases import LATE_S
+from laurelstep.net.acceptor import Acceptor, listen
 from laurelstep.net.errors import BadRequestError
 from laurelstep.net.message import (
     BODY_MAX,
@@ -53,12 +57,24 @@
 # How often it is asked whether the caller of an upload that is not read has left: no attempt may begin for it
 # 0.1 s after its close.
 HELD_S: Final = 0.05
+# So many of each kind, those that have waited longest, are looked at when one has to give way.
+CANDIDATES: Final = 4
 # A caller that does not read what it is sent is cut after this.
 STUCK_S: Final = 10.0
+STOPS: Final = "this sidecar stops"
 # An upload's provisional time: it counts from the last byte, once that has come.
 UPLOAD_MOST_US: Final = 600_000_000
 
 
+def refusal_of(error: BadRequestError) -> bytes:
+    """The whole answer that says so, and ends the connection."""
+    text = f"{error}\n".encode()
+    return (
+        b"HTTP/1.1 %d %b\r\nContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%b"
+        % (error.status, REASONS[error.status], len(text), text)
+    )
+
+
 class Caller:
     """One connection of a caller; one request is read, and answered, at a time.
 
@@ -77,6 +93,7 @@
         self.chunks = False  # the answer goes out in chunks
         self.behind = b""  # what came meanwhile: the next request waits for its end
         self.held = 0  # of the room for requests
+        self.hangup: Any = None  # a poll for the caller's end, made when it is first asked
         self.parser: Any = httptools.HttpRequestParser(self)
         self._begin()
 
@@ -179,6 +196,9 @@
     def _read_on(self) -> None:
         """More of the request is owed: its head by one time, its body at a pace."""
         server = self.server
+        if server.shutdown.refuses_partial:
+            self.refuse(BadRequestError(503, STOPS))
+            return
         server.late.discard(self)
         if self.asked is None:
             server.reading.add(self)
@@ -253,7 +273,9 @@
             return self._asking(method, SHARED_PATH, "what is shared")
         engine = self.server.engine
         most = self.server.body_most
-        return call_from(method, self.target, self.headers, engine.names, engine.settings, self, most)
+        call = call_from(method, self.target, self.headers, engine.names, engine.settings, self, most)
+        call.client = self
+        return call
 
     def _asking(self, method: bytes, path: bytes, what: str) -> Call:
         """Asked of the outbox: a call that is not open, as the engine never has it; `order` is the path."""
@@ -320,7 +342,8 @@
             self.transport.resume_reading()
 
     def end_if_left(self) -> None:
-        """Of an upload that is not read, the caller's end lies behind what is not either."""
+        """The caller's end lies behind what is not read: the rest of an upload, or what came behind a
+        request whose answer is passed on."""
         if self.has_left():
             self._leave()
             self.cut()
@@ -408,6 +431,7 @@
         self.behind = b"%b%b" % (self.behind, data)
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
+            self.server.held_back.add(self)
 
     def _read_behind(self) -> None:
         data, self.behind = self.behind, b""
@@ -425,6 +449,7 @@
 
     def flowed(self, whole: bool) -> None:
         self.answer = None
+        self.server.held_back.discard(self)
         if self.transport is None or self.transport.is_closing():
             return
         if whole and self.chunks:
@@ -449,11 +474,7 @@
         self._leave()
         if self.transport is None or self.transport.is_closing():
             return
-        text = f"{error}\n".encode()
-        self.transport.write(
-            b"HTTP/1.1 %d %b\r\nContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%b"
-            % (error.status, REASONS[error.status], len(text), text)
-        )
+        self.transport.write(refusal_of(error))
         self.close()
 
     def close(self) -> None:
@@ -477,6 +498,15 @@
         else:
             self.server.stuck.add(self)
 
+    def give_way(self) -> None:
+        """Its descriptor is freed at once. The last byte of a half-sent request may be on its way: it is
+        refused past the transport, which would keep the bytes until the turn ends."""
+        if self.fed and self.call is None and not self.over and self.transport is not None:
+            with contextlib.suppress(OSError):
+                refusal = refusal_of(BadRequestError(503, "too many connections"))
+                os.write(self.transport.get_extra_info("socket").fileno(), refusal)
+        self.cut()
+
     def cut(self) -> None:
         self.over = True
         if self.transport is not None:
@@ -485,12 +515,19 @@
     def has_more(self) -> bool:
         """Whether bytes have come that were not read yet."""
         assert self.transport is not None
-        return has_news(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
+        return has_news(self.transport.get_extra_info("socket").fileno(), select.POLLIN, True)
 
     def has_left(self) -> bool:
         """Whether the caller has ended its side, though bytes before that may not be read yet."""
-        assert self.transport is not None
-        return has_news(self.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
+        if self.transport is None or self.transport.is_closing():
+            return True
+        if self.hangup is None:
+            self.hangup = select.poll()
+            self.hangup.register(self.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
+        try:
+            return bool(self.hangup.poll(0))
+        except OSError:  # ENOMEM, poll(2): it can't be told, and its close is read in time
+            return False
 
     def close_unless_asking(self) -> None:
         """Guards a request that crosses the end of its connection: one that has come is
@@ -508,10 +545,16 @@
         """The process stops. What has come is read first. Of a half-sent request the last byte may be on its
         way: it is refused, as nothing of it was sent on."""
         if self.fed and not self.has_more():
-            self.refuse(BadRequestError(503, "this sidecar stops"))
+            self.refuse(BadRequestError(503, STOPS))
         else:
             self.close_unless_asking()
 
+    def end_upload(self) -> None:
+        """The process stops. No endpoint has the last byte of an upload that is not whole: it is refused,
+        and its attempt ends."""
+        if self.upload is not None:
+            self.refuse(BadRequestError(503, STOPS))
+
     def time_out(self) -> None:
         """The request did not come in time; a caller that sent none is just left."""
         if self.fed:
@@ -548,7 +591,7 @@
         self.lingering: Sweep[Caller] = Sweep(loop, LINGER_S, Caller.end_linger)  # half-closed
         # Came when others were gone.
         self.late: Sweep[Caller] = Sweep(loop, LATE_S, Caller.close_unless_asking)
-        self.listener: asyncio.Server | None = None
+        self.listener: Acceptor | None = None
         self.shutdown = GracefulShutdown(loop, self.lifecycle, self, on_stop)
         self.receipts: Callable[[Call], None] | None = None  # asked for one; its front is answered later
         self.shared: Callable[[Call], None] | None = None  # the same, asked what copies share
@@ -558,17 +601,14 @@
     ) -> int:
         """The port it listens at; `shared` with other processes that say so too, or at a
         listener that another process handed over."""
-        # Not typed: the sockets of uvloop's are a list, where asyncio's are a tuple.
-        listener: Any
         if handed is not None:
-            listener = await self.loop.create_server(self._caller, sock=handed, backlog=BACKLOG)
+            handed.setblocking(False)
+            listener = Acceptor(self.loop, [handed], self._caller)
         else:
-            listener = await self.loop.create_server(
-                self._caller, host, port, backlog=BACKLOG, reuse_port=shared or None
-            )
+            listener = await listen(self.loop, self._caller, host, port, BACKLOG, reuse_port=shared)
         self.listener = listener
         self.lifecycle.serve(self.loop.time())
-        return int(listener.sockets[0].getsockname()[1])
+        return listener.port
 
     def _caller(self) -> Any:
         return Caller(self)
@@ -585,15 +625,24 @@
 
     def _make_room(self) -> None:
         """Guards the limit on descriptors against a crowd. None gives way while a part of its answer
-        waits here: that would be lost."""
+        waits here: that would be lost. Nor one whose request has come and is not read yet, where
+        another can."""
+        candidates: list[tuple[Sweep[Caller], Caller]] = []
         for waits in giving_way(len(self.reading.since), self.most):
             sweep = self.lingering if waits == ENDED else self.resting if waits == RESTING else self.reading
-            oldest = next((one for one in sweep.since if one.has_written()), None)
-            if oldest is not None:
-                sweep.discard(oldest)
-                oldest.cut()
-                self.callers.discard(oldest)  # its descriptor is freed in this turn of the loop
+            written = (one for one in sweep.since if one.has_written())
+            candidates += [(sweep, one) for one in itertools.islice(written, CANDIDATES)]
+        for sweep, one in candidates:
+            if one.over or not one.has_more():
+                self._end_at_once(sweep, one)
                 return
+        if candidates:
+            self._end_at_once(*candidates[0])
+
+    def _end_at_once(self, sweep: Sweep[Caller], caller: Caller) -> None:
+        sweep.discard(caller)
+        caller.give_way()
+        self.callers.discard(caller)  # its descriptor is freed in this turn of the loop
 
     def hold_head(self, caller: Caller) -> None:
         """Guards memory against a crowd of half-written heads: there the one that has been
--- a/laurelstep/net/upstream.py
+++ b/laurelstep/net/upstream.py
@@ -32,8 +32,8 @@
     pass_on,
     single,
 )
-from laurelstep.net.opening import open_connection
-from laurelstep.stream.pace import ANSWERS_PART, Room, room_for
+from laurelstep.net.opening import is_local_fault, open_connection
+from laurelstep.stream.pace import ANSWERS_PART, Room, keeps_pace, room_for
 
 # Part of an endpoint's idle time for which a connection is kept: the rest guards
 # against a request that crosses the endpoint's own close. No longer than IDLE_MOST_S:
@@ -58,9 +58,19 @@
 # that holds no more turns them away.
 SETTLE_US: Final = 20_000
 DOUBT_US: Final = 60_000_000
+# Of the time left to the client an endpoint is told so much less, or this part of it if that is less: the
+# request may have waited to be read, and what is written leaves at the end of the event loop's turn.
+UNTOLD_US: Final = 20_000
+UNTOLD_PART: Final = 8
 # The length of an answer that ends with its connection (RFC 9112, 6.3, case 8), and of chunks.
 UNTIL_END: Final = -2
 CHUNKS: Final = -1
+# A connection that can't be opened for a fault of this machine (no port, no buffer, no descriptor) is
+# tried again after a pause, which doubles, while the attempt waits. After so long another endpoint, at
+# which a connection may rest, gets its chance; the client is refused before its patience ends.
+REOPEN_PAUSE_S: Final = 0.01
+REOPEN_PAUSE_MOST_S: Final = 0.08
+REOPEN_MOST_S: Final = 0.25
 # Where the settings name none.
 IDLE_DEFAULT_US, CONNECT_DEFAULT_US = 10_000_000, 1_000_000
 
@@ -119,12 +129,19 @@
         self.attempt: Attempt | None = attempt
         self.transport: asyncio.Transport | None = None
         self.opening: asyncio.Task[None] | None = None
+        # After a fault of this machine: the next trial to open it, the pause before the one
+        # after that, and when the last one begins, in s of the loop.
+        self.reopening: asyncio.TimerHandle | None = None
+        self.reopen_pause_s = REOPEN_PAUSE_S
+        self.reopen_until = 0.0
         self.news = select.poll()  # made once: it is asked at each reuse
         self.unwritten = True  # the request's last byte is not yet with the system
         self.full = False  # the transport holds bytes that the system did not take yet
         self.upload: Flow | None = None  # a request that is passed on while it comes
         self.answer: Flow | None = None  # an answer that is
         self.held = 0  # of the room for answers
+        self.passed_since = 0.0  # when an answer began to be passed on, without the time that it was held
+        self.held_since = 0.0  # when its client last had no room
         self.rested_at = 0  # since when it carries nothing
         self.parser: Any = httptools.HttpResponseParser(self)
         self._begin()
@@ -145,19 +162,33 @@
     # --- Connection -----------------------------------------------------------
 
     def open(self) -> None:
+        self.reopen_until = self.owner.loop.time() + REOPEN_MOST_S
+        self.owner.connecting.add(self)
+        self._open()
+
+    def _open(self) -> None:
         owner, pool = self.owner, self.pool
+        self.reopening = None
         self.opening = owner.loop.create_task(open_connection(owner.loop, self, pool.host, pool.port))
-        owner.connecting.add(self)
 
-    def not_opened(self) -> None:
+    def not_opened(self, is_local_fault: bool) -> None:
         # Once it has come up, `connection_lost` knows whether the request left.
-        if self.transport is None:
-            self.owner.gone(self)
-            self._end_closed(NO_CONNECT)
+        if self.transport is not None:
+            return
+        if self.attempt is not None:
+            self.attempt.lacks_socket = is_local_fault
+            if is_local_fault and self.owner.loop.time() < self.reopen_until:
+                self.reopening = self.owner.loop.call_later(self.reopen_pause_s, self._open)
+                self.reopen_pause_s = min(2.0 * self.reopen_pause_s, REOPEN_PAUSE_MOST_S)
+                return
+        self.owner.gone(self)
+        self._end_closed(MOOT if is_local_fault else NO_CONNECT)
 
     def time_out_connect(self) -> None:
+        lacks_socket = self.attempt is not None and self.attempt.lacks_socket
         self.close()
-        self.not_opened()
+        self.reopen_until = 0.0
+        self.not_opened(lacks_socket)
 
     def opening_ended(self) -> None:
         self.opening = None
@@ -169,8 +200,11 @@
         self.transport.set_write_buffer_limits(high=0)  # `pause_writing` tells of unwritten bytes
         if self.attempt is None:  # called off while it came up
             self.transport.abort()
-        else:
-            self.write()
+            return
+        if self.attempt.lacks_socket:
+            self.attempt.lacks_socket = False
+            self.attempt.sent = self.owner.now()  # the wait for a socket is none of the endpoint's
+        self.write()
 
     def eof_received(self) -> None:
         """The endpoint has ended its side: the transport closes."""
@@ -275,6 +309,7 @@
             answer.feed(bytes(self.body))
             self.body = bytearray()
         self._give_back()
+        self.passed_since = self.owner.loop.time()
         self.owner.passing.add(self)
         passed = pass_on(self.headers, ANSWER_HEADERS)
         final = Answer(Ending.SERVED, 200, passed, flow=answer)
@@ -282,14 +317,29 @@
         if not answer.begun:
             answer.leave()  # nobody waits for it any more
 
+    def _pass_more(self) -> None:
+        """Guards a client against an answer that goes on for ever, a little at a time."""
+        passing = self.owner.passing
+        if self not in passing.since:
+            return  # it is held: what comes was under way
+        passing.discard(self)
+        if keeps_pace(self.size, self.owner.loop.time() - self.passed_since):
+            passing.add(self)
+        else:
+            self.close()
+
     def hold(self) -> None:
-        self.owner.passing.discard(self)
+        if self in self.owner.passing.since:
+            self.owner.passing.discard(self)
+            self.held_since = self.owner.loop.time()
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
     def go_on(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.owner.passing.add(self)
+            if self not in self.owner.passing.since:
+                self.owner.passing.add(self)
+                self.passed_since += self.owner.loop.time() - self.held_since
             self.transport.resume_reading()
 
     def unwanted(self) -> None:
@@ -302,7 +352,12 @@
         """Whether a resting connection may carry a request. Guards against bytes that
         came behind an earlier answer and would answer the next request, and against
         an end not yet read."""
-        return self.transport is not None and not self.transport.is_closing() and not self.news.poll(0)
+        if self.transport is None or self.transport.is_closing():
+            return False
+        try:
+            return not self.news.poll(0)
+        except OSError:  # not known: a new connection is the safe choice
+            return False
 
     def rest(self) -> None:
         """The connection carries nothing now: keep it for the next attempt."""
@@ -329,6 +384,10 @@
             # A task that never ran has no chance to tell of its end.
             self.opening.cancel()
             self.owner.gone(self)
+        elif self.reopening is not None:
+            self.reopening.cancel()
+            self.reopening = None
+            self.owner.gone(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.owner.gone(self)
@@ -337,7 +396,8 @@
         if answer is not None:
             answer.end(False)
         self._leave_upload()
-        self._end_closed(NO_CONNECT if self.unwritten else RESET)
+        not_run = MOOT if is_local_fault(exc) else NO_CONNECT
+        self._end_closed(not_run if self.unwritten else RESET)
         self.parser = None  # it holds this object's methods: the cycle ends here
 
     def _end_closed(self, outcome: int) -> None:
@@ -388,9 +448,7 @@
         elif spoilt or (self.fields is None and self.fed > HEAD_MAX):
             self.spoil()
         elif self.answer is not None:
-            if self in self.owner.passing.since:  # it is not held
-                self.owner.passing.discard(self)
-                self.owner.passing.add(self)
+            self._pass_more()
         elif self.status == 200 and not self._holds():
             self._pass_on()
         else:
@@ -487,10 +545,15 @@
             attempt.end(outcome, answer, fields.get(b"x-load", b""))
 
 
+def told_ms(left_us: int) -> int:
+    """The deadline to tell an endpoint, ms, where so many us are left to the client: rounded down, and
+    one at least."""
+    return max(1, (left_us - min(UNTOLD_US, left_us // UNTOLD_PART)) // 1000)
+
+
 def request_bytes(attempt: Attempt, now: int) -> bytes:
     call = attempt.call
-    # Rounded down: the endpoint must not work on past the sidecar's patience.
-    wait_ms = max(1, (attempt.until - now) // 1000)
+    wait_ms = told_ms(attempt.until - now)
     plain = call.start.startswith(b"GET ") and not call.body
     length = b"" if plain else b"Content-Length: %d\r\n" % len(call.body)
     wait = b"X-Deadline-Ms: %d\r\n" % wait_ms
@@ -501,7 +564,7 @@
     """The head of a request whose body follows as it comes."""
     call = attempt.call
     # Counted by the endpoint from the last byte on, as by the caller.
-    wait = b"X-Deadline-Ms: %d\r\n" % max(1, min(call.span, call.expires - now) // 1000)
+    wait = b"X-Deadline-Ms: %d\r\n" % told_ms(min(call.span, call.expires - now))
     framing = b"Transfer-Encoding: chunked\r\n"
     if upload.length >= 0:
         framing = b"Content-Length: %d\r\n" % upload.length
--- a/laurelstep/outbox/store.py
+++ b/laurelstep/outbox/store.py
@@ -29,6 +29,7 @@
 from laurelstep.outbox.journal import FINAL, KeptWrite, Moved, decode_kept, decode_moved, encode
 from laurelstep.outbox.options import CHUNK
 from laurelstep.store import Disk, FolderDisk, Options, Store, StoreError
+from laurelstep.store.clock import SYSTEM_CLOCKS, StoreClocks
 
 KEPT, MOVED, PART, LINE, HOLDERS = b"k", b"m", b"p", b"l", b"h"
 SECRET: Final = b"secret"
@@ -102,16 +103,33 @@
         place: str | Disk,
         max_bytes: int,
         log: Callable[[str], None] = lambda line: None,
-        wall_ms: Callable[[], int] | None = None,
+        clocks: StoreClocks = SYSTEM_CLOCKS,
     ) -> KeptStore:
         """`max_bytes`: what its user keeps at most, which is for the user to see to. `StoreError` if it is
         in use, damaged or can't be read."""
         disk: Disk = FolderDisk(place) if isinstance(place, str) else place
         segment = min(SEGMENT_MOST, max(SEGMENT_LEAST, max_bytes // 8))
         options = Options(max_bytes=2 * max_bytes + SPARE_BYTES, segment_bytes=segment, numbered=KEPT + MOVED)
-        if wall_ms is None:
-            return cls(await Store.open(disk, options, log))
-        return cls(await Store.open(disk, options, log, wall=wall_ms))
+        return cls(
+            await Store.open(
+                disk, options, log, clock=clocks.monotonic, wall=clocks.wall_ms, boot=clocks.boot_identity
+            )
+        )
+
+    def time_us(self) -> int:
+        """By which the ages of writes are told, across lives too: it never stays behind the time that has
+        truly passed. Unix time where no clock was stepped and the machine runs on."""
+        return self.store.expiry_clock.most_ms() * 1000
+
+    @property
+    def opening_doubt_us(self) -> int:
+        """By how much `time_us` may have gone ahead of the true time between the lives."""
+        return self.store.expiry_clock.opening_doubt_ms * 1000
+
+    @property
+    def is_elapsed_known(self) -> bool:
+        """False where nothing tells how long ago the life before this one ended."""
+        return self.store.expiry_clock.is_elapsed_known
 
     async def secret(self) -> bytes:
         """Of this edge alone, the same in every life."""
@@ -192,10 +210,14 @@
 
     async def _take_back(self, dot: Dot, size: int) -> bool:
         """Delete what there is of a write; False if that failed."""
-        keys = [key for key in (key_of(KEPT, dot), *part_keys(dot, size)) if key in self.store]
-        results = await asyncio.gather(*(self.store.delete(key) for key in keys), return_exceptions=True)
+        results = await asyncio.gather(*self._begin_take_back(dot, size), return_exceptions=True)
         return not any(isinstance(one, BaseException) for one in results)
 
+    def _begin_take_back(self, dot: Dot, size: int) -> list[asyncio.Future[None]]:
+        """The record goes before the parts: none is ever found without them."""
+        keys = [key for key in (key_of(KEPT, dot), *part_keys(dot, size)) if key in self.store]
+        return [self.store.delete(key) for key in keys]
+
     async def put_parts(self, dot: Dot, at: int, parts: Sequence[bytes]) -> None:
         """Parts behind the first of a body that is still coming, from number `at` on: all of `CHUNK` bytes
         but the last of the body. `FailedToKeepError`; no life finds a write without its head."""
@@ -215,13 +237,16 @@
             raise FailedToKeepError(str(error), self.store.failed is None) from None
 
     async def forget(self, dot: Dot, size: int) -> bool:
-        """All of a write. False if that can't be written."""
+        """All of a write. False if that can't be written. Its state is deleted after its record: a record
+        without a state, if only one batch of two is durable, would be sent again."""
         moved = key_of(MOVED, dot)
         self._forgetting.add(dot)
         try:
+            taking_back = self._begin_take_back(dot, size)
             if moved in self.store:
-                self.store.delete(moved).add_done_callback(lambda one: one.exception())
-            return await self._take_back(dot, size)
+                taking_back.append(self.store.delete(moved))
+            results = await asyncio.gather(*taking_back, return_exceptions=True)
+            return not any(isinstance(one, BaseException) for one in results)
         finally:
             self._forgetting.discard(dot)
 
--- a/laurelstep/store/store.py
+++ b/laurelstep/store/store.py
@@ -9,6 +9,8 @@
 3. After a failed write or sync nothing more goes into that file. A new one is begun no sooner
    than a backoff, when somebody wants to write; until then writers hear so at once.
 4. The loop is never held for longer than a slice.
+5. Where a manifest may or may not be in its place, no file that either names is deleted, and nothing
+   goes into a segment that either seals, until a later manifest is durable.
 """
 
 from __future__ import annotations
@@ -21,13 +23,15 @@
 from collections import deque
 from collections.abc import AsyncIterator, Callable, Iterable, Iterator
 from concurrent.futures import ThreadPoolExecutor
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from types import TracebackType
 from typing import Any, Self, TypeVar
 
+from laurelstep.store.clock import SYSTEM_CLOCKS, ClockNote, StoreClock
 from laurelstep.store.disk import Disk, StoreError
 from laurelstep.store.index import Usage, location, place_of
 from laurelstep.store.log import (
+    CLOCK,
     DELETE,
     KEY_MOST,
     PUT,
@@ -43,6 +47,7 @@
 from laurelstep.store.recovery import (
     Opened,
     Progress,
+    UnsureManifestError,
     create_segment,
     record_at,
     records_at,
@@ -58,7 +63,7 @@
 SLICE_S = 0.001
 # Read at once of many records.
 READ_RECORDS, READ_BYTES = 64, 128 * 1024
-BACKOFF_S, BACKOFF_MOST_S = 1.0, 30.0
+BACKOFF_S, BACKOFF_MOST_S = 1.0, 8.0
 
 
 class StoreUnavailableError(StoreError):
@@ -103,10 +108,6 @@
     available: bool
 
 
-def wall_ms() -> int:
-    return time.time_ns() // 1_000_000
-
-
 class Store:
     """Keys to values, durable. Made by `open`; belongs to the loop that opened it."""
 
@@ -118,7 +119,7 @@
         options: Options,
         log: Log,
         clock: Callable[[], float],
-        wall: Callable[[], int],
+        expiry_clock: StoreClock,
     ) -> None:
         self.disk = disk
         self.manifest = opened.manifest
@@ -132,12 +133,14 @@
         self.options = options
         self.log = log
         self.clock = clock  # seconds, never back
-        self.wall = wall  # Unix time in ms
+        self.expiry_clock = expiry_clock  # by which records expire
         self.loop = asyncio.get_running_loop()
         self.waiting: deque[Waiting] = deque()
         self.committing: asyncio.Task[None] | None = None
         self.compacting: asyncio.Task[None] | None = None
         self.switching = asyncio.Lock()  # one change of the manifest at a time
+        self.appending = asyncio.Lock()  # no batch while the active segment changes
+        self.unsure: list[str] = []  # files that an unsure manifest may name, and the one in use does not
         self.closed = False
         self.released = False
         self.failed: str | None = None  # why nothing is written now
@@ -152,31 +155,36 @@
         disk: Disk,
         options: Options | None = None,
         log: Log = lambda line: None,
-        clock: Callable[[], float] = time.monotonic,
-        wall: Callable[[], int] = wall_ms,
+        clock: Callable[[], float] = SYSTEM_CLOCKS.monotonic,
+        wall: Callable[[], int] = SYSTEM_CLOCKS.wall_ms,
         progress: Progress | None = None,
+        boot: Callable[[], bytes] = SYSTEM_CLOCKS.boot_identity,
     ) -> Store:
-        """The store as it was last reported. `StoreError` if it is in use, damaged, of another
-        format or can't be read."""
+        """The store as it was last reported. `clock` gives seconds that never go back, `wall` Unix time in
+        ms, and `boot` names this start of the machine, in which `clock` runs on from process to process.
+        `StoreError` if it is in use, damaged, of another format or can't be read."""
         thread = ThreadPoolExecutor(1, "laurelstep-store")
         options = options or Options()
         loop = asyncio.get_running_loop()
 
-        def work() -> Opened:
+        def work() -> tuple[Opened, StoreClock]:
             disk.lock()
-            return recover(disk, secrets.randbits(32), progress, options.numbered)
+            opened = recover(disk, secrets.randbits(32), progress, options.numbered)
+            return opened, _clock_of(opened, clock, wall, boot())
 
         try:
-            opened = await loop.run_in_executor(thread, work)
+            opened, expiry_clock = await loop.run_in_executor(thread, work)
         except BaseException as error:
-            thread.submit(disk.close)
+            closing = thread.submit(disk.close)
             thread.shutdown(wait=False)
+            if isinstance(error, Exception):
+                await asyncio.wrap_future(closing)  # whoever hears of it finds the folder free
             if isinstance(error, LogError | OSError):
-                raise StoreError(f"the store can't be opened: {error}") from None
+                raise StoreError(f"the store can't be opened: {error}") from error
             raise
         if opened.torn:
             log(f"store: cut off {opened.torn} bytes of a batch that was never reported as written")
-        return cls(disk, opened, thread, options, log, clock, wall)
+        return cls(disk, opened, thread, options, log, clock, expiry_clock)
 
     async def _on_thread(self, work: Callable[..., T], *args: Any) -> T:
         """As `run_in_executor`, at half of what that costs the loop."""
@@ -215,14 +223,14 @@
         """Whether a key is there, as far as memory tells: it may have expired."""
         return key in self.index.where
 
-    def put(self, key: bytes, value: bytes, expires: int = 0) -> asyncio.Future[None]:
-        """Durable when what this returns is done. `expires`: Unix time in ms, 0 for never.
+    def put(self, key: bytes, value: bytes, keep_ms: int = 0) -> asyncio.Future[None]:
+        """Durable when what this returns is done. `keep_ms`: the record expires so long after, 0 for never.
 
         It ends with `StoreUnavailableError` if it is not written; after a failure of the disk
         it may be found there by a later life all the same. ValueError, at once, if key or value
         is too long.
         """
-        return self._write(PUT, key, value, expires)
+        return self._write(PUT, key, value, self.expiry_clock.now_ms() + keep_ms if keep_ms else 0)
 
     def delete(self, key: bytes) -> asyncio.Future[None]:
         """As `put`; a key that is not there may be deleted."""
@@ -246,7 +254,7 @@
                 raise StoreError(f"can't be read: {error}") from None
             if record.key != key:
                 raise StoreError(f"segment {segment}: another key at byte {offset}")
-            return None if record.expires and record.expires <= self.wall() else record.value
+            return None if record.expires and record.expires <= self.expiry_clock.now_ms() else record.value
 
     def each(self, first: bytes) -> AsyncIterator[tuple[bytes, bytes]]:
         """As `some`, of every key that begins with one of these bytes."""
@@ -262,7 +270,7 @@
                 records = await self._on_thread(records_at, self.disk, some)
             except (LogError, OSError) as error:
                 raise StoreError(f"can't be read: {error}") from None
-            now_ms = self.wall()
+            now_ms = self.expiry_clock.now_ms()
             for at, record in zip(some, records, strict=True):
                 if where.get(record.key) == at and not 0 < record.expires <= now_ms:
                     yield record.key, record.value
@@ -323,7 +331,8 @@
         """Batch after batch until nobody waits."""
         try:
             while self.waiting:
-                await self._commit_one()
+                async with self.appending:
+                    await self._commit_one()
         finally:
             self.committing = None
 
@@ -352,7 +361,13 @@
         encoded: list[bytes] = []
         size = 0
         seq = self.index.highest
-        while self.waiting and len(batch) < self.options.batch_records and size < self.options.batch_bytes:
+        if self.expiry_clock.needs_note():
+            seq += 1
+            note = self.expiry_clock.note().encode()
+            encoded.append(encode_record(seq, note, kind=CLOCK))
+            batch.append((CLOCK, note, b"", 0, self._no_waiter()))
+        most = len(batch) + self.options.batch_records
+        while self.waiting and len(batch) < most and size < self.options.batch_bytes:
             one = self.waiting.popleft()
             kind, key, value, expires, _ = one
             seq += 1
@@ -362,6 +377,12 @@
             batch.append(one)
         return batch, encoded, encode_frame(self.salts[self.active], encoded, seq)
 
+    def _no_waiter(self) -> asyncio.Future[None]:
+        """Of a record for which nobody waits."""
+        done: asyncio.Future[None] = self.loop.create_future()
+        done.cancel()
+        return done
+
     async def _store_batch(self, batch: list[Waiting], encoded: list[bytes], frame: bytes) -> None:
         segment, tail = self.active, self.tail
         highest = self.index.highest + len(batch)
@@ -385,6 +406,9 @@
         self.tail = self.sizes[segment] = tail + len(frame)
         self.batches += 1
         self.writes += len(batch)
+        if batch[0][0] == CLOCK:
+            self.writes -= 1
+            self.expiry_clock.noted(ClockNote.decode(batch[0][1]))
         self._tell(batch, None)
         if mark_error is not None:
             self._fault(mark_error)
@@ -433,10 +457,46 @@
             with contextlib.suppress(OSError):  # the manifest says where it ends: this saves room
                 await self._on_thread(self.disk.cut, sealed, self.tail)
             self.tail = self.allocated = self.sizes[number] = SEGMENT_SIZE
+            await self._delete_unsure()
 
     def _switch(self, manifest: Manifest, number: int, salt: int) -> None:
-        create_segment(self.disk, number, salt)
-        write_manifest(self.disk, manifest)
+        """On the thread. What fails leaves no new file behind that no manifest can name."""
+        name = segment_name(number)
+        try:
+            create_segment(self.disk, number, salt)
+            write_manifest(self.disk, manifest)
+        except UnsureManifestError:
+            self.unsure.append(name)
+            raise
+        except OSError:
+            with contextlib.suppress(OSError):
+                self.disk.delete(name)
+            raise
+
+    async def _roll_beside_writers(self) -> None:
+        """As `_roll`, for compaction. If the manifest is unsure, the active segment may be sealed: writing
+        ends until a later one is durable."""
+        async with self.appending:
+            try:
+                await self._roll()
+            except UnsureManifestError as error:
+                self._fault(error)
+                raise
+
+    async def _delete_unsure(self) -> None:
+        """The manifest in use is durable, and names none of these."""
+        names, self.unsure = self.unsure, []
+        for name in names:
+            with contextlib.suppress(OSError):
+                await self._on_thread(self.disk.delete, name)
+
+    async def _settle_manifest(self) -> None:
+        """After one that is unsure, before more is begun that it would have to be settled for."""
+        async with self.switching:
+            manifest = replace(self.manifest, generation=self.manifest.generation + 1)
+            await self._on_thread(write_manifest, self.disk, manifest)
+            self.manifest = manifest
+            await self._delete_unsure()
 
     def _take_number(self) -> int:
         self.next_number += 1
@@ -483,7 +543,7 @@
 
     def _maybe_compact(self) -> None:
         sealed = [one.number for one in self.manifest.segments[:-1]]
-        if self.compacting is None and self.index.worth_compacting(sealed, self.wall()):
+        if self.compacting is None and self.index.worth_compacting(sealed, self.expiry_clock.now_ms()):
             self._start_compaction()
 
     def _start_compaction(self) -> None:
@@ -496,22 +556,17 @@
         if self.compacting is not None:
             await asyncio.wait((self.compacting,))
         if self.tail > SEGMENT_SIZE and self.failed is None:
-            await self._quiet_roll()
+            await self._roll_beside_writers()
         self.compacting = self.loop.create_task(self._compact())
         try:
             await asyncio.shield(self.compacting)
         finally:
             self.compacting = None
 
-    async def _quiet_roll(self) -> None:
-        while self.committing is not None:
-            await asyncio.wait((self.committing,))
-        await self._roll()
-
     async def _compact_and_tell(self) -> None:
         try:
             if len(self.manifest.segments) == 1 and self.committing is None:
-                await self._roll()
+                await self._roll_beside_writers()
             await self._compact()
         except (LogError, OSError) as error:
             self.log(f"store: compaction failed, nothing was changed: {error}")
@@ -522,6 +577,8 @@
         old = self.manifest.segments[:-1]
         if not old:
             return
+        if self.unsure:
+            await self._settle_manifest()
         copy = Compaction(self)
         try:
             for segment in old:
@@ -531,6 +588,9 @@
                 manifest = self.manifest.compacted(old, copy.segments, self.next_number)
                 await self._on_thread(write_manifest, self.disk, manifest)
                 self.manifest = manifest
+        except UnsureManifestError:
+            copy.leave()
+            raise
         except BaseException:
             with contextlib.suppress(OSError):
                 await self._on_thread(copy.drop)
@@ -545,6 +605,16 @@
         self.compactions += 1
 
 
+def _clock_of(opened: Opened, clock: Callable[[], float], wall: Callable[[], int], boot: bytes) -> StoreClock:
+    """Going on from the newest note in the log; `LogError` if that can't be read."""
+    found = opened.index.clock_note
+    try:
+        note = ClockNote.decode(found) if found else None
+    except ValueError as error:
+        raise LogError(str(error)) from None
+    return StoreClock(note, opened.index.highest == 0, clock, wall, boot)
+
+
 def _set_result(done: asyncio.Future[T], result: T) -> None:
     if not done.done():  # its waiter was cancelled
         done.set_result(result)
@@ -595,7 +665,7 @@
         store, number = self.store, segment.number
         assert segment.sealed is not None
         data = await store._on_thread(store.disk.read, segment_name(number), 0, segment.sealed)
-        at, now_ms = SEGMENT_SIZE, store.wall()
+        at, now_ms = SEGMENT_SIZE, store.expiry_clock.now_ms()
         while at < len(data):
             frame = read_frame(data, at, store.salts[number])
             if frame is None:
@@ -667,8 +737,9 @@
             while at < len(data):
                 frame = read_frame(data, at, store.salts[segment.number])
                 assert frame is not None
-                for offset, _, expires, _, key in records_of(data, frame):
-                    store.index.moved(key, origins[place], location(segment.number, offset), expires)
+                for offset, kind, expires, _, key in records_of(data, frame):
+                    new = location(segment.number, offset)
+                    store.index.moved(key, origins[place], new, expires, kind)
                     place += 1
                     if not place & 63:
                         await self.slices.turn()
@@ -677,7 +748,15 @@
             store.index.expired(key, where)
 
     def drop(self) -> None:
-        numbers = [one.number for one in self.segments] + ([self.number] if self.number else [])
-        for number in numbers:
+        for number in self._numbers():
             self.store.salts.pop(number, None)
             self.store.disk.delete(segment_name(number))
+
+    def leave(self) -> None:
+        """A manifest that names them may be in its place: they stay until a later one is durable."""
+        for number in self._numbers():
+            self.store.salts.pop(number, None)
+            self.store.unsure.append(segment_name(number))
+
+    def _numbers(self) -> list[int]:
+        return [one.number for one in self.segments] + ([self.number] if self.number else [])
--- a/laurelstep/testing/__init__.py
+++ b/laurelstep/testing/__init__.py
@@ -8,6 +8,7 @@
 """
 
 from laurelstep.testing.callers import Caller, request
+from laurelstep.testing.discovery import DiscoveryServer
 from laurelstep.testing.endpoints import (
     Effects,
     Endpoint,
@@ -38,6 +39,7 @@
 
 __all__ = [
     "Caller",
+    "DiscoveryServer",
     "Effects",
     "Endpoint",
     "Handler",
--- a/tests/test_consensus_node.py
+++ b/tests/test_consensus_node.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import errno
+import os
 import random
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -397,6 +398,43 @@
     run(main())
 
 
+@pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM])
+def test_it_waits_for_a_socket_that_the_machine_has_not_just_now(error: int) -> None:
+    """At the start, and where it restarts because nobody took over."""
+
+    async def main() -> None:
+        bench = NodeBench()
+        failing = [True]
+
+        class Short(MemoryLink):
+            def open(self, receive: Callable[[int, bytes], None]) -> None:
+                if failing[0]:
+                    raise OSError(error, os.strerror(error))
+                super().open(receive)
+
+        async def comes_back() -> None:
+            assert node.stage is NodeStage.WAITING
+            bench.clock.advance(BIND_RETRY_US)
+            await loop_turns()
+            assert node.stage is NodeStage.WAITING
+            failing[0] = False
+            bench.clock.advance(BIND_RETRY_US)
+            await loop_turns()
+            assert node.is_running
+
+        node = bench.make(lambda: Short(bench.network, 0))
+        await node.start()
+        await comes_back()
+        await node.retire()
+        failing[0] = True
+        await node.restart()
+        await comes_back()
+        assert len(bench.lines) == 2 and os.strerror(error) in bench.lines[0]
+        await node.close()
+
+    run(main())
+
+
 def test_an_address_that_can_not_be_bound_at_all_is_the_caller_s_error() -> None:
     async def main() -> None:
         class Nowhere(MemoryLink):
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -35,6 +35,7 @@
 )
 from laurelstep.net.discovery import Discovery
 from laurelstep.net.request import key_of
+from laurelstep.testing import status as fails_with
 from tests.conftest import Logged, plain_only
 from tests.sockets import (
     Endpoint,
@@ -516,6 +517,32 @@
     assert "broken" in logged()
 
 
+@pytest.mark.parametrize("status", ["200", "500"])
+@pytest.mark.parametrize("step", ["request", "outcome"])
+def test_a_fault_of_the_module_leaves_no_request_counted_as_held(step: str, status: str) -> None:
+    """Whatever it had noted of the request when it broke, admission would count it for ever."""
+
+    async def main() -> None:
+        endpoint = Endpoint(serve_ok if status == "200" else fails_with(500))
+        async with sidecar(endpoint) as one:
+            real = one.engine.decisions
+
+            def broken(now: int, event: Any) -> list[Action]:
+                if step == "request":
+                    real.request(now, event)
+                raise RuntimeError("broken")
+
+            overrule(one.engine, **{step: broken})
+            wanted = "500" if step == "request" else status
+            assert (await one.ask(request())).start.split()[1] == wanted
+            one.engine.decisions = real
+            assert not one.engine.balancer.requests and not one.engine.calls
+            endpoint.handler = serve_ok
+            assert (await one.ask(request())).body == b"ok"
+
+    run(main())
+
+
 def test_the_client_that_leaves_calls_its_attempt_off() -> None:
     async def main() -> None:
         endpoint = Endpoint(hold)
@@ -547,9 +574,9 @@
             now = one.engine.now()
             assert one.engine.may_start(attempt, now)
             assert not one.engine.may_start(attempt, call.expires)
-            place.left_at = now - 499_000
+            place.left_at = now - (500_000 - 150_000) + 1
             assert one.engine.may_start(attempt, now)
-            place.left_at = now - 500_000
+            place.left_at = now - (500_000 - 150_000)
             assert not one.engine.may_start(attempt, now)
             link = one.upstream.carrying[attempt]
             link.write()  # as a connect that took so long would
