--- a/tests/test_folders_of_earlier_versions.py
+++ b/tests/test_folders_of_earlier_versions.py
@@ -13,8 +13,8 @@
 from laurelstep.outbox import driver as driving
 from laurelstep.outbox.dots import read_dot
 from laurelstep.outbox.journal import State
+from tests.consensus_tiers import Tier
 from tests.sockets import run
-from tests.test_consensus_sockets import Tier
 from tests.test_outbox_bodies import edge
 
 FIXTURES: Final = Path(__file__).parent / "fixtures"
