--- /dev/null
+++ b/laurelstep/consensus/links/udp.py
@@ -0,0 +1,43 @@
+"""UDP, as the protocol page has it between sidecars: datagrams to an address of `peers`, which arrive at
+`peer_listen` from the sender's address in `peers`."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Sequence
+
+from laurelstep.consensus.links.sockets import SocketLink
+
+__all__ = ["UdpAddress", "UdpLink"]
+
+UdpAddress = tuple[str, int]
+
+
+class UdpLink(SocketLink):
+    """A link by UDP. `listen` and `peers` are IP addresses with ports, all of one family."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        listen: UdpAddress,
+        peers: Sequence[UdpAddress],
+        replica_id: int,
+    ) -> None:
+        super().__init__(loop, peers, replica_id)
+        self.listen = listen
+
+    def _bind(self) -> socket.socket:
+        family = socket.AF_INET6 if ":" in self.listen[0] else socket.AF_INET
+        bound = socket.socket(family, socket.SOCK_DGRAM)
+        try:
+            # Without SO_REUSEADDR and SO_REUSEPORT: a second process must not get a part of the datagrams.
+            bound.bind(self.listen)
+            bound.setblocking(False)
+        except OSError:
+            bound.close()
+            raise
+        return bound
+
+    def _normalize(self, address: tuple[str, int, int, int] | UdpAddress) -> UdpAddress:
+        return address[0], address[1]
--- a/laurelstep/outbox/shared/record.py
+++ b/laurelstep/outbox/shared/record.py
@@ -1,4 +1,4 @@
-"""What copies agreed on of kept writes. Pure: a `Machine` of accord, and the `Frontiers` that are read.
+"""What copies agreed on of kept writes. Pure: a `StateMachine` of consensus, and the `Frontiers` to read.
 
 1. Of each line: its holder (at first the life of its own incarnation), up to which number all are over,
    the numbers above it that are in, the gone and the parked ones as ranges, and the unsafe ones that were
@@ -29,7 +29,7 @@
 
 import msgspec
 
-from laurelstep.accord.errors import KeptError
+from laurelstep.consensus.errors import StoredStateError
 from laurelstep.outbox.causes import Cause, Fate
 from laurelstep.outbox.dots import Dot, Line, check_edge
 from laurelstep.outbox.shared.entries import (
@@ -57,7 +57,7 @@
 # Of one line: ranges of in and gone, and of parked.
 RANGES_MOST: Final = 256
 PARKED_MOST: Final = 256
-# Over all lines: ranges of any kind, and begun or judged ones. So a snapshot is within accord's bound.
+# Over all lines: ranges of any kind, and begun or judged ones. So a snapshot is within consensus's bound.
 SPANS_MOST: Final = 16_384
 BEGUN_MOST: Final = 1_024
 # Edges declared lost.
@@ -191,12 +191,12 @@
         return msgspec.msgpack.encode(saved)
 
     def load(self, raw: bytes) -> None:
-        """`KeptError`, with nothing changed, if it can't be read."""
+        """`StoredStateError`, with nothing changed, if it can't be read."""
         try:
             saved = _decoder.decode(raw) if raw else _Saved()
             _check(saved)
         except (msgspec.MsgspecError, ValueError, RecursionError, OverflowError) as error:
-            raise KeptError(f"the record of kept writes: {error}") from None
+            raise StoredStateError(f"the record of kept writes: {error}") from None
         self._rows = {Line(edge, incarnation): row for edge, incarnation, row in saved.rows}
         self._lost = set(saved.lost)
         self._undone = dict.fromkeys(saved.undone)
--- a/tests/test_folders_of_earlier_versions.py
+++ b/tests/test_folders_of_earlier_versions.py
@@ -13,8 +13,8 @@
 from laurelstep.outbox import driver as driving
 from laurelstep.outbox.dots import read_dot
 from laurelstep.outbox.journal import State
+from tests.consensus_tiers import Tier
 from tests.sockets import run
-from tests.test_node import Tier
 from tests.test_outbox_bodies import edge
 
 FIXTURES: Final = Path(__file__).parent / "fixtures"
@@ -65,7 +65,7 @@
     async def main() -> None:
         tier = Tier(3, 3, copy_of("consensus-9af0195", tmp_path))
         for me in range(3):
-            await tier.start(me, lasting=True)
+            await tier.start(me, durable=True)
         await tier.agree(b"after")
         assert [tier.nodes[me].incarnation for me in range(3)] == before["incarnations"]
         for record in tier.records.values():
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -19,11 +19,11 @@
 
 import pytest
 
-from laurelstep.accord.node import REOPEN_MOST_US, REOPEN_US, Stage
-from laurelstep.accord.ports import Store as StateStore
-from laurelstep.accord.stores import embedded
-from laurelstep.accord.stores.embedded import EmbeddedStore, StateFaultError
-from laurelstep.accord.terms import Effects
+from laurelstep.consensus.effects import StepEffects
+from laurelstep.consensus.node import MAX_REOPEN_DELAY_US, MIN_REOPEN_DELAY_US, NodeStage
+from laurelstep.consensus.ports import Store as StateStore
+from laurelstep.consensus.stores import embedded
+from laurelstep.consensus.stores.embedded import EmbeddedStore, StateFaultError
 from laurelstep.engine import Ending
 from laurelstep.library import Request
 from laurelstep.outbox.journal import FINAL, Moved
@@ -36,9 +36,9 @@
 from laurelstep.testing import Endpoint, refuse, serve
 from laurelstep.testing.contracts.outbox import made
 from laurelstep.testing.disk import Op, SimulatedDisk
+from tests.consensus_nodes import SAY, NodeBench, loop_turns
 from tests.journals import AGAIN, MAY_HAVE_RUN, SERVED, pay, recorded, said
 from tests.stores import SMALL, Machine, State, opened, state_of
-from tests.test_node import SAY, Bench, turn
 
 NO_SPACE = OSError(errno.ENOSPC, "No space left on device")
 IO_ERROR = OSError(errno.EIO, "Input/output error")
@@ -642,7 +642,7 @@
 
     def __init__(self) -> None:
         self.disk = SimulatedDisk()
-        self.bench = Bench()
+        self.bench = NodeBench()
         self.bench.node.open_store = self.open
         self.opened = 0
 
@@ -653,9 +653,9 @@
     async def settle(self) -> None:
         """Until nothing of the node is under way."""
         node = self.bench.node
-        while node._tasks or node._writing:
+        while node._tasks or (node.runner is not None and node.runner.is_busy):
             await asyncio.sleep(0)
-        await turn()
+        await loop_turns()
 
     async def wait(self, us: int) -> None:
         self.bench.clock.advance(us)
@@ -672,23 +672,23 @@
         bench, node = world.bench, world.bench.node
         await node.start()
         await world.settle()
-        bench.core.answers["receive"] = Effects(keep={b"vote": b"1"}, sends=SAY.sends)
+        bench.core.answers["receive"] = StepEffects(persist={b"vote": b"1"}, outgoing=SAY.outgoing)
         bench.receive(b"x")
         await world.settle()
         assert (1, b"said") in bench.arrive(), "acknowledged"
         world.disk.break_down(error, *operations)
-        bench.core.answers["receive"] = Effects(keep={b"vote": b"2"}, sends=SAY.sends)
+        bench.core.answers["receive"] = StepEffects(persist={b"vote": b"2"}, outgoing=SAY.outgoing)
         bench.receive(b"x")
         await world.settle()
-        assert node.stage is Stage.FAILED and not bench.arrive(), "what is not kept is not said"
+        assert node.stage is NodeStage.FAILED and not bench.arrive(), "what is not kept is not said"
         for _ in range(4):
-            await world.wait(REOPEN_MOST_US)
-        assert node.stage is Stage.FAILED and world.opened > 3
+            await world.wait(MAX_REOPEN_DELAY_US)
+        assert node.stage is NodeStage.FAILED and world.opened > 3
         assert len(bench.lines) == 1 and StateFaultError.remedy in bench.lines[0]
         world.disk.mend()
-        await world.wait(REOPEN_MOST_US)
-        assert node.takes_part and node.status()["stage"] == "takes part" and not node.failure
-        assert bench.core.kept[b"vote"] in (b"1", b"2"), "what was acknowledged is still owed"
+        await world.wait(MAX_REOPEN_DELAY_US)
+        assert node.is_running and node.status()["stage"] == "takes part" and not node.failure
+        assert bench.core.records[b"vote"] in (b"1", b"2"), "what was acknowledged is still owed"
         assert bench.lines[1:] == ["accord: the disk writes again: this process takes part"]
         await node.close()
 
@@ -702,18 +702,18 @@
         await node.start()
         await world.settle()
         world.disk.break_down(IO_ERROR, "sync")
-        bench.core.answers["receive"] = Effects(keep={b"vote": b"2"})
+        bench.core.answers["receive"] = StepEffects(persist={b"vote": b"2"})
         bench.receive(b"x")
         await world.settle()
-        assert await node.retire() == {} and node.stage is Stage.RETIRED
+        assert await node.retire() == {} and node.stage is NodeStage.RETIRED
         opened_before = world.opened
-        await world.wait(10 * REOPEN_US)
+        await world.wait(10 * MIN_REOPEN_DELAY_US)
         assert world.opened == opened_before and not world.disk.owner, "folder and address are another's"
-        assert 0 not in bench.network.open
+        assert 0 not in bench.network.open_links
         world.disk.mend()
-        await node.begin_again()
+        await node.restart()
         await world.settle()
-        assert node.takes_part
+        assert node.is_running
         await node.close()
 
     run(main())
