--- /dev/null
+++ b/tests/test_upkeep_encoding.py
@@ -0,0 +1,228 @@
+"""Encoded forms that other versions and operators' tools read: log entries, messages, snapshots, HTTP answers,
+and the endpoint list that a hot restart hands over.
+
+The bytes were recorded with the code of 9af0195; they must not change."""
+
+from __future__ import annotations
+
+import json
+
+import pytest
+
+from laurelstep.upkeep.calls import METHODS, reply_about
+from laurelstep.upkeep.entries import (
+    KIND,
+    Ask,
+    Confirm,
+    End,
+    Here,
+    Leave,
+    Step,
+    pack,
+    unpack_entry,
+    unpack_word,
+)
+from laurelstep.upkeep.roll import Roll
+from laurelstep.upkeep.wishes import Limits, UpkeepError, Wish
+from tests.upkeeping import Tier, line, wish_of
+
+WISH = Wish("disk", Limits(2, "zone", 0.75), ("m1", "m2"), "a", 4, "small", 60)
+ENTRIES = {
+    "wish": Ask(1, 2**63 + 5, 3, "wish", WISH),
+    "withdraw": Ask(1, 7, 4, "withdraw", "disk", 11),
+    "begin": Ask(0, 7, 5, "begin", "m1", 12),
+    "done": Ask(0, 7, 6, "done", "m1", 12),
+    "absent": Ask(2, 7, 8, "absent", 1, 9),
+    "leave": Leave(12, 11, "m1", "a", 4, 1.5, 1_700_000_000_123, 6, 6.0, 7.5, (1, 2, 3), 0.25),
+    "step": Step("m1", 13, "clear"),
+    "drop": Step("m1", 13, "drop", "replaced"),
+    "end": End(14, 11),
+    "here": Here(2, 2**64 - 1),
+}
+ENTRY_BYTES = {
+    "wish": "75970101cf800000000000000503a47769736897a46469736b9302a47a6f6e65cb3fe800000000000092a26d31a26d32"
+    "a16104a5736d616c6c3c00",
+    "withdraw": "759701010704a87769746864726177a46469736b0b",
+    "begin": "759701000705a5626567696ea26d310c",
+    "done": "759701000706a4646f6e65a26d310c",
+    "absent": "759701020708a6616273656e740109",
+    "leave": "759d020c0ba26d31a16104cb3ff8000000000000cf0000018bcfe5687b06cb4018000000000000cb401e00000000"
+    "000093010203cb3fd0000000000000",
+    "step": "759503a26d310da5636c656172a0",
+    "drop": "759503a26d310da464726f70a87265706c61636564",
+    "end": "7593040e0b",
+    "here": "75930502cfffffffffffffffff",
+}
+MESSAGES = {"confirm": Confirm(300), "unknown": Confirm(-1)}
+MESSAGE_BYTES = {"confirm": "759206cd012c", "unknown": "759206ff"}
+
+# One with an open request, one that is over, a machine in each of two states, verdicts and an absent copy.
+SNAPSHOT = (
+    "98131391950497a66b65726e656c9309a474696572cb000000000000000093a26d31a26d32a26d33c0c0c000c291cfc2"
+    "031297350190909192a26d32a87265706c61636564929aa26d3104a7617420776f726b050ba16104cb3ff80000000000"
+    "0011cb3fd00000000000009aa26d3304a76c656176696e670707a16104cb3ff800000000000011cb3fd0000000000000"
+    "919603a46469736bc2029192a26d35a4676f6e6592cf569de7aaf34a1c71cfd7425a3c0e696965939200930503a09201"
+    "930801b0556e6b6e6f776e576973684572726f729202930602a09102929200059202cfffffffffffffffff"
+)
+STATUS = (
+    '{"copy":0,"copies":3,"leading":true,"known":true,"in_touch":true,"serving_alone":false,"index":1'
+    '6,"wishes":[{"name":"disk","out":2,"per":"tier","share":0.0,"state":"waiting","waiting":0,"next"'
+    ':[],"done":1,"dropped":[],"kept_by":"","never":false}],"machines":[{"id":"m0","wish":"disk","sta'
+    'te":"at work","for_s":8,"missing":null,"quiet_here":true},{"id":"m4","wish":"disk","state":"leav'
+    'ing","for_s":5,"missing":[1],"quiet_here":true}],"absent":[],"unheard":[],"past":[{"name":"kerne'
+    'l","machines":0,"withdrawn":true,"dropped":[]}],"asked":[{"verb":"wish","what":"disk","state":"a'
+    'greed"},{"verb":"begin","what":"m0","state":"agreed"},{"verb":"done","what":"m2","state":"agreed'
+    '"},{"verb":"wish","what":"kernel","state":"agreed"},{"verb":"absent","what":2,"state":"agreed"},'
+    '{"verb":"withdraw","what":"kernel","state":"agreed"},{"verb":"wish","what":"last","state":"wishe'
+    'd"}],"accord":{"role":"leader"}}\n'
+)
+NEXT_LIST = (
+    '{"generation":41,"reset":true,"instances":[{"instanceId": "m0", "hostPort": "127.0.0.1:9656", "z'
+    'one": "a", "machineType": "small", "cell": 1, "lifecycle": "ready", "weight": 1.0, "startedAtMs"'
+    ': 1000},{"instanceId": "m1", "hostPort": "127.0.0.1:9215", "zone": "b", "machineType": "small", '
+    '"cell": 1, "lifecycle": "ready", "weight": 1.0, "startedAtMs": 1000},{"instanceId": "m2", "hostP'
+    'ort": "127.0.0.1:9084", "zone": "a", "machineType": "small", "cell": 1, "lifecycle": "ready", "w'
+    'eight": 1.0, "startedAtMs": 1000},{"instanceId": "m3", "hostPort": "127.0.0.1:9179", "zone": "b"'
+    ', "machineType": "small", "cell": 1, "lifecycle": "ready", "weight": 1.0, "startedAtMs": 1000},{'
+    '"instanceId": "m4", "hostPort": "127.0.0.1:9627", "zone": "a", "machineType": "small", "cell": 1'
+    ', "lifecycle": "ready", "weight": 1.0, "startedAtMs": 1000},{"instanceId": "m5", "hostPort": "12'
+    '7.0.0.1:9094", "zone": "b", "machineType": "small", "cell": 1, "lifecycle": "ready", "weight": 1'
+    '.0, "startedAtMs": 1000}]}'
+)
+ERRORS = (
+    '[["/wish", 400, "WishError", ["error", "what", "cause", "remedy"]], ["/wish?name=w&zone=a&out=0"'
+    ', 400, "LimitError", ["error", "what", "cause", "remedy"]], ["/wish?name=w&id=nobody", 400, "Unk'
+    'nownMachineError", ["error", "what", "cause", "remedy"]], ["/withdraw?name=w", 400, "UnknownWish'
+    'Error", ["error", "what", "cause", "remedy"]], ["/absent?peer=9", 400, "UnknownPeerError", ["err'
+    'or", "what", "cause", "remedy"]], ["/wish?name=last&zone=a", 202, "wished", ["state", "asked"]],'
+    ' ["/wish?name=w&zone=a&share=1", 400, "NeverError", ["error", "what", "cause", "remedy"]], ["/wi'
+    'sh?name=w&id=m0&zone=a&kind=small&cel", 400, "NeverError", ["error", "what", "cause", "remedy"]]'
+    ', ["/begin?machine=m1", 400, "OrderError", ["error", "what", "cause", "remedy"]], ["/begin?machi'
+    'ne=m0", 200, "agreed", ["state"]], ["/withdraw?name=disk", 202, "wished", ["state", "asked"]]]'
+)
+
+
+@pytest.mark.parametrize("name", ENTRIES)
+def test_an_entry_has_the_recorded_bytes(name: str) -> None:
+    data = bytes.fromhex(ENTRY_BYTES[name])
+    assert data[:1] == KIND == b"u"
+    assert pack(ENTRIES[name]) == data and unpack_entry(data[1:]) == ENTRIES[name]
+
+
+@pytest.mark.parametrize("name", MESSAGES)
+def test_a_message_has_the_recorded_bytes(name: str) -> None:
+    data = bytes.fromhex(MESSAGE_BYTES[name])
+    assert pack(MESSAGES[name]) == data and unpack_word(data) == MESSAGES[name]
+
+
+def snapshot() -> bytes:
+    roll = Roll()
+
+    def leave(id: str, wish: int, weight: float) -> Leave:
+        return Leave(roll.changed, wish, id, "a", 4, weight, 17, 9, 9.0, 12.5, (0, 0, 0), 0.25)
+
+    def apply(entry: Ask | Leave | Step | End | Here) -> None:
+        roll.apply(roll.index + 1, pack(entry)[1:])
+
+    apply(Here(0, 5))
+    apply(Here(2, 2**64 - 1))
+    apply(Ask(0, 5, 1, "wish", Wish("disk", Limits(9, "zone", 0.125), (), "a", 4, "small", 60)))
+    apply(Ask(0, 5, 2, "wish", Wish("kernel", Limits(9, "tier", 0.0), ("m1", "m2", "m3"))))
+    for id, wish in (("m1", 4), ("m2", 4), ("m3", 4), ("m4", 3), ("m5", 3)):
+        apply(leave(id, wish, 1.5))
+    apply(Step("m1", roll.machines["m1"].since, "clear"))
+    apply(Ask(2, 6, 1, "begin", "m1", roll.machines["m1"].left))
+    apply(Step("m2", roll.machines["m2"].since, "drop", "replaced"))
+    apply(Step("m4", roll.machines["m4"].since, "clear"))
+    apply(Ask(2, 6, 2, "done", "m4"))
+    apply(Step("m5", roll.machines["m5"].since, "drop", "gone"))
+    apply(Step("m4", roll.machines["m4"].since, "back"))
+    apply(End(roll.changed, 3))
+    apply(Ask(1, 8, 1, "withdraw", "nothing"))
+    apply(Ask(0, 5, 3, "absent", 2, 2**64 - 1))
+    return roll.dump()
+
+
+def test_a_snapshot_has_the_recorded_bytes() -> None:
+    assert snapshot().hex() == SNAPSHOT
+    roll = Roll()
+    roll.load(bytes.fromhex(SNAPSHOT))
+    assert roll.dump().hex() == SNAPSHOT
+    assert {id: machine.state.value for id, machine in roll.machines.items()} == {
+        "m1": "at work",
+        "m3": "leaving",
+    }
+
+
+def played() -> Tier:
+    """A tier with one machine at work, one that leaves, and a request whose turn has not come."""
+    tier = Tier(3, [line(f"m{n}", "ab"[n % 2]) for n in range(6)])
+    tier.settle(2)
+    tier.copies[0].desk.wish(wish_of("disk", 2, zone="a"))
+    tier.settle()
+    tier.copies[0].desk.work("begin", "m0")
+    tier.settle(1)
+    tier.copies[1].engine.out["m4"] = 1
+    tier.copies[0].desk.work("done", "m2")
+    tier.settle(6)
+    tier.copies[0].desk.wish(wish_of("kernel", 1, zone="b"))
+    tier.copies[0].desk.absent(2)
+    tier.settle(1)
+    tier.copies[0].desk.withdraw("kernel")
+    tier.settle(1)
+    tier.copies[0].desk.wish(wish_of("last", 1, zone="b"))
+    return tier
+
+
+def test_the_status_has_the_recorded_form() -> None:
+    reply = reply_about(b"GET", b"/api/upkeep", played().copies[0].desk)
+    assert reply is not None and reply.status == 200 and reply.kind == b"application/json"
+    assert reply.body.decode() == STATUS
+
+
+def test_the_list_for_the_next_process_has_the_recorded_form() -> None:
+    taken: list[bytes] = []
+    for _ in played().copies[0].source.dump_in_steps(41, taken):
+        pass
+    assert taken[0].decode() == NEXT_LIST
+
+
+TARGETS = (
+    b"/wish",
+    b"/wish?name=w&zone=a&out=0",
+    b"/wish?name=w&id=nobody",
+    b"/withdraw?name=w",
+    b"/absent?peer=9",
+    b"/wish?name=last&zone=a",
+    b"/wish?name=w&zone=a&share=1",
+    b"/wish?name=w&" + b"&".join(b"id=m%d&zone=a" % n for n in range(1)) + b"&kind=small&cell=1&share=0.99",
+    b"/begin?machine=m1",
+    b"/begin?machine=m0",
+    b"/withdraw?name=disk",
+)
+
+
+def test_the_answers_to_calls_have_the_recorded_form() -> None:
+    tier = played()
+    found = []
+    for target in TARGETS:
+        reply = reply_about(b"POST", b"/api/upkeep" + target, tier.copies[0].desk)
+        assert reply is not None
+        told = json.loads(reply.body)
+        found.append([target.decode()[:40], reply.status, told.get("error", told.get("state")), list(told)])
+    assert found == json.loads(ERRORS)
+
+
+def test_paths_and_error_names_are_the_recorded_ones() -> None:
+    assert {path.decode(): method.decode() for path, method in METHODS.items()} == {
+        "/api/upkeep": "GET",
+        "/api/upkeep/wish": "POST",
+        "/api/upkeep/withdraw": "POST",
+        "/api/upkeep/begin": "POST",
+        "/api/upkeep/done": "POST",
+        "/api/upkeep/absent": "POST",
+    }
+    assert {error.__name__ for error in UpkeepError.__subclasses__()} == {
+        "WishError", "LimitError", "UnknownMachineError", "UnknownWishError", "UnknownPeerError",
+        "ContradictionError", "NeverError", "FitError", "ManyError", "OrderError", "CutOffError",
+    }  # fmt: skip
