--- a/laurelstep/daemon.py
+++ b/laurelstep/daemon.py
@@ -31,11 +31,11 @@
     from laurelstep.handover.giver import Giver
     from laurelstep.handover.place import Place
     from laurelstep.handover.taker import Taken
+    from laurelstep.maintenance.assembly import Upkeep
     from laurelstep.management.server import Management
     from laurelstep.outbox.driver import OutboxDriver
     from laurelstep.outbox.shared.assembly import Shared
     from laurelstep.outbox.shared.carried import Carried
-    from laurelstep.upkeep.assembly import Upkeep
     from laurelstep.workers.child import Seat
 
 ReadConfig = Callable[[dict[str, str]], Config]
@@ -189,8 +189,8 @@
         from laurelstep.accord.node import check_folder, node_of
         from laurelstep.accord.parts import Parts
         from laurelstep.engine.clock import LoopClock
+        from laurelstep.maintenance.assembly import carried
         from laurelstep.outbox.shared.entries import KIND as KEPT_WRITES
-        from laurelstep.upkeep.assembly import carried
 
         try:
             check_folder(settings.store_path)
@@ -220,7 +220,7 @@
             problem = f"{listen}: {error.strerror}: expected where this process may listen, on this machine"
             raise ConfigError(f"{self._file}accord.peer_listen: {problem}") from None
         if self.upkeep is not None and self.node_parts is not None:
-            from laurelstep.upkeep.entries import KIND
+            from laurelstep.maintenance.entries import KIND
 
             self.upkeep.begin(self.node_parts.part(KIND), self.parts.engine, self._is_alone)
 
@@ -281,7 +281,7 @@
         if settings is None or accord is None or not accord.is_linked:
             return None
         # Imported where it is on.
-        from laurelstep.upkeep.assembly import Upkeep
+        from laurelstep.maintenance.assembly import Upkeep
 
         return Upkeep(self.loop, self.config, settings, log)
 
--- a/laurelstep/upkeep/assembly.py
+++ b/laurelstep/maintenance/assembly.py
@@ -10,16 +10,16 @@
 from laurelstep.accord.ports import Machine
 from laurelstep.engine import Engine
 from laurelstep.engine.ports import Clock, Log, MemberSource
+from laurelstep.maintenance.calls import reply_about
+from laurelstep.maintenance.desk import UpkeepDesk
+from laurelstep.maintenance.entries import KIND
+from laurelstep.maintenance.keeper import Keeper
+from laurelstep.maintenance.options import UpkeepSettings
+from laurelstep.maintenance.roll import Roll
+from laurelstep.maintenance.source import UpkeepSource
 from laurelstep.management.calls import Reply
 from laurelstep.net.slices import Slices
 from laurelstep.settings import Config
-from laurelstep.upkeep.calls import reply_about
-from laurelstep.upkeep.desk import UpkeepDesk
-from laurelstep.upkeep.entries import KIND
-from laurelstep.upkeep.keeper import Keeper
-from laurelstep.upkeep.options import UpkeepSettings
-from laurelstep.upkeep.roll import Roll
-from laurelstep.upkeep.source import UpkeepSource
 
 
 def carried() -> dict[int, Machine]:
--- a/laurelstep/upkeep/calls.py
+++ b/laurelstep/maintenance/calls.py
@@ -15,8 +15,8 @@
 import msgspec
 
 from laurelstep.errors import LaurelstepError
+from laurelstep.maintenance.wishes import UpkeepError, Wish, WishError, read_wish
 from laurelstep.management.calls import Reply
-from laurelstep.upkeep.wishes import UpkeepError, Wish, WishError, read_wish
 
 ROOT: Final = b"/api/upkeep"
 JSON_TYPE: Final = b"application/json"
--- a/laurelstep/upkeep/desk.py
+++ b/laurelstep/maintenance/desk.py
@@ -10,11 +10,11 @@
 
 from typing import Any, Final
 
-from laurelstep.upkeep.keeper import Asking, Keeper
-from laurelstep.upkeep.plan import explain, matching, waiting
-from laurelstep.upkeep.roll import Machine, OpenWish, Roll
-from laurelstep.upkeep.states import State, move
-from laurelstep.upkeep.wishes import (
+from laurelstep.maintenance.keeper import Asking, Keeper
+from laurelstep.maintenance.plan import explain, matching, waiting
+from laurelstep.maintenance.roll import Machine, OpenWish, Roll
+from laurelstep.maintenance.states import State, move
+from laurelstep.maintenance.wishes import (
     MACHINES_MOST,
     WISHES_MOST,
     ContradictionError,
--- a/laurelstep/upkeep/entries.py
+++ b/laurelstep/maintenance/entries.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from laurelstep.upkeep.wishes import ENTRY_MOST, FitError, Wish
+from laurelstep.maintenance.wishes import ENTRY_MOST, FitError, Wish
 
 KIND: Final = b"u"
 
--- a/laurelstep/upkeep/keeper.py
+++ b/laurelstep/maintenance/keeper.py
@@ -18,13 +18,13 @@
 from laurelstep.accord.errors import BusyError, NotLeadingError
 from laurelstep.accord.parts import Accord
 from laurelstep.engine.ports import Clock, Handle, Log
-from laurelstep.upkeep.entries import Ask, Confirm, Entry, Here, Step, Word, pack, unpack_word
-from laurelstep.upkeep.options import UpkeepSettings
-from laurelstep.upkeep.plan import Ages, Confirmations, Sight, plan
-from laurelstep.upkeep.roll import Roll
-from laurelstep.upkeep.source import UpkeepSource
-from laurelstep.upkeep.states import State
-from laurelstep.upkeep.wishes import CutOffError, FitError, ManyError, Wish
+from laurelstep.maintenance.entries import Ask, Confirm, Entry, Here, Step, Word, pack, unpack_word
+from laurelstep.maintenance.options import UpkeepSettings
+from laurelstep.maintenance.plan import Ages, Confirmations, Sight, plan
+from laurelstep.maintenance.roll import Roll
+from laurelstep.maintenance.source import UpkeepSource
+from laurelstep.maintenance.states import State
+from laurelstep.maintenance.wishes import CutOffError, FitError, ManyError, Wish
 
 # Between two looks: while something moves, and at rest.
 BUSY_US: Final = 100_000
--- a/laurelstep/upkeep/plan.py
+++ b/laurelstep/maintenance/plan.py
@@ -24,11 +24,11 @@
 
 from laurelstep.engine.members import endpoint_number
 from laurelstep.interface import READY
-from laurelstep.upkeep.entries import End, Entry, Leave, Step, fits
-from laurelstep.upkeep.members import Member, MemberTable
-from laurelstep.upkeep.roll import Machine, OpenWish, Roll
-from laurelstep.upkeep.states import State
-from laurelstep.upkeep.wishes import MACHINES_MOST, Wish
+from laurelstep.maintenance.entries import End, Entry, Leave, Step, fits
+from laurelstep.maintenance.members import Member, MemberTable
+from laurelstep.maintenance.roll import Machine, OpenWish, Roll
+from laurelstep.maintenance.states import State
+from laurelstep.maintenance.wishes import MACHINES_MOST, Wish
 
 # Within this a list reaches all copies, or the next one does.
 LISTS_US: Final = 2_000_000
--- a/laurelstep/upkeep/roll.py
+++ b/laurelstep/maintenance/roll.py
@@ -25,9 +25,9 @@
 
 from laurelstep.engine.members import endpoint_number
 from laurelstep.errors import LaurelstepError
-from laurelstep.upkeep.entries import Ask, End, Entry, Here, Leave, Step, unpack_entry
-from laurelstep.upkeep.states import HELD, State, move
-from laurelstep.upkeep.wishes import MACHINES_MOST, WISHES_MOST, Limits, Wish
+from laurelstep.maintenance.entries import Ask, End, Entry, Here, Leave, Step, unpack_entry
+from laurelstep.maintenance.states import HELD, State, move
+from laurelstep.maintenance.wishes import MACHINES_MOST, WISHES_MOST, Limits, Wish
 
 OUT_MOST: Final = 256
 PEERS_MOST: Final = 1024
--- a/laurelstep/upkeep/shown.py
+++ b/laurelstep/maintenance/shown.py
@@ -21,9 +21,9 @@
 from typing import Any
 
 from laurelstep.interface import DRAINING, READY
-from laurelstep.upkeep.members import Member, MemberTable
-from laurelstep.upkeep.roll import Roll
-from laurelstep.upkeep.states import CLEARED, HELD, State
+from laurelstep.maintenance.members import Member, MemberTable
+from laurelstep.maintenance.roll import Roll
+from laurelstep.maintenance.states import CLEARED, HELD, State
 
 
 class Hold:
--- a/laurelstep/upkeep/source.py
+++ b/laurelstep/maintenance/source.py
@@ -19,9 +19,9 @@
 from laurelstep.engine.members import endpoint_number
 from laurelstep.engine.ports import Clock, Log, MemberSink, MemberSource
 from laurelstep.interface import READY
-from laurelstep.upkeep.members import Member, MemberTable, read_member
-from laurelstep.upkeep.roll import Roll
-from laurelstep.upkeep.shown import Shown
+from laurelstep.maintenance.members import Member, MemberTable, read_member
+from laurelstep.maintenance.roll import Roll
+from laurelstep.maintenance.shown import Shown
 
 # What is told at once; more goes in steps.
 SHORT: Final = 2 * STEP
--- a/laurelstep/upkeep/wishes.py
+++ b/laurelstep/maintenance/wishes.py
@@ -36,7 +36,7 @@
 
 class WishError(UpkeepError):
     cause = "a call's parameters can't be read as a wish"
-    remedy = "see docs/operators/upkeep.md for the parameters, and call again"
+    remedy = "see docs/operators/maintenance.md for the parameters, and call again"
 
 
 class LimitError(UpkeepError):
--- a/laurelstep/settings/config.py
+++ b/laurelstep/settings/config.py
@@ -16,8 +16,8 @@
 
 if TYPE_CHECKING:  # imported where they are on
     from laurelstep.accord.options import AccordSettings
+    from laurelstep.maintenance.options import UpkeepSettings
     from laurelstep.outbox.options import OutboxSettings
-    from laurelstep.upkeep.options import UpkeepSettings
 
 
 class ConfigError(LaurelstepError):
--- a/laurelstep/settings/operator.py
+++ b/laurelstep/settings/operator.py
@@ -15,6 +15,7 @@
 import msgspec
 
 from laurelstep.accord.options import AccordSettings, LinkKind, problem_of, seats_for
+from laurelstep.maintenance.options import StartAlone, UpkeepSettings
 from laurelstep.orders.book import OrderClass, Orders
 from laurelstep.outbox.options import (
     How,
@@ -27,7 +28,6 @@
     store_problem,
 )
 from laurelstep.settings.config import Config, ConfigError, Join, address, config_from
-from laurelstep.upkeep.options import StartAlone, UpkeepSettings
 
 Effect = Literal["safe", "keyed", "unsafe"]
 Scope = Literal["all", "zone", "cell"]
--- a/tests/upkeeping.py
+++ b/tests/maintenance.py
@@ -11,13 +11,13 @@
 from laurelstep.accord.machines import Machines
 from laurelstep.engine.members import endpoint_number
 from laurelstep.engine.ports import MemberSink
-from laurelstep.upkeep.desk import UpkeepDesk
-from laurelstep.upkeep.entries import KIND, unpack_word
-from laurelstep.upkeep.keeper import Keeper
-from laurelstep.upkeep.options import UpkeepSettings
-from laurelstep.upkeep.roll import Roll
-from laurelstep.upkeep.source import UpkeepSource
-from laurelstep.upkeep.wishes import Limits, Wish
+from laurelstep.maintenance.desk import UpkeepDesk
+from laurelstep.maintenance.entries import KIND, unpack_word
+from laurelstep.maintenance.keeper import Keeper
+from laurelstep.maintenance.options import UpkeepSettings
+from laurelstep.maintenance.roll import Roll
+from laurelstep.maintenance.source import UpkeepSource
+from laurelstep.maintenance.wishes import Limits, Wish
 from tests.fakes import ManualClock
 
 SECOND = 1_000_000
--- a/tests/test_upkeep.py
+++ b/tests/test_maintenance.py
@@ -19,11 +19,10 @@
 from laurelstep.errors import LaurelstepError
 from laurelstep.interface import OK, RequestClass, Settings
 from laurelstep.lifecycle import Lifecycle
-from laurelstep.management.calls import Reply, reply_to
-from laurelstep.upkeep.assembly import carried
-from laurelstep.upkeep.calls import METHODS, reply_about
-from laurelstep.upkeep.desk import UpkeepDesk
-from laurelstep.upkeep.entries import (
+from laurelstep.maintenance.assembly import carried
+from laurelstep.maintenance.calls import METHODS, reply_about
+from laurelstep.maintenance.desk import UpkeepDesk
+from laurelstep.maintenance.entries import (
     KIND,
     Ask,
     Confirm,
@@ -36,13 +35,13 @@
     unpack_entry,
     unpack_word,
 )
-from laurelstep.upkeep.keeper import ASK_US, ASKS_MOST
-from laurelstep.upkeep.members import MemberTable, read_member
-from laurelstep.upkeep.options import UpkeepSettings
-from laurelstep.upkeep.roll import OUT_MOST, Roll, SnapshotError
-from laurelstep.upkeep.source import SHORT, UpkeepSource
-from laurelstep.upkeep.states import CLEARED, HELD, MOVES, OUT, State, move
-from laurelstep.upkeep.wishes import (
+from laurelstep.maintenance.keeper import ASK_US, ASKS_MOST
+from laurelstep.maintenance.members import MemberTable, read_member
+from laurelstep.maintenance.options import UpkeepSettings
+from laurelstep.maintenance.roll import OUT_MOST, Roll, SnapshotError
+from laurelstep.maintenance.source import SHORT, UpkeepSource
+from laurelstep.maintenance.states import CLEARED, HELD, MOVES, OUT, State, move
+from laurelstep.maintenance.wishes import (
     ENTRY_MOST,
     WISHES_MOST,
     ContradictionError,
@@ -60,8 +59,9 @@
     WishError,
     read_wish,
 )
+from laurelstep.management.calls import Reply, reply_to
 from tests.fakes import Answers, ManualClock, PlayedUpstream, entry
-from tests.upkeeping import COLD_US, GRACE_US, SECOND, Copy, Inner, PlayedEngine, Tier, line, wish_of
+from tests.maintenance import COLD_US, GRACE_US, SECOND, Copy, Inner, PlayedEngine, Tier, line, wish_of
 
 MACHINES = [line(f"m{n}", "ab"[n % 2]) for n in range(6)]
 
--- a/tests/test_upkeep_contracts.py
+++ b/tests/test_maintenance_contracts.py
@@ -11,6 +11,8 @@
 from laurelstep.engine import LoopClock
 from laurelstep.engine.given import GivenMembers
 from laurelstep.engine.ports import MemberSource
+from laurelstep.maintenance.roll import Roll
+from laurelstep.maintenance.source import UpkeepSource
 from laurelstep.net.slices import Slices
 from laurelstep.testing.contracts.members import (
     AskedSourceContract,
@@ -18,10 +20,8 @@
     BreakableBeyond,
     MemberSourceContract,
 )
-from laurelstep.upkeep.roll import Roll
-from laurelstep.upkeep.source import UpkeepSource
+from tests.maintenance import GRACE_US
 from tests.test_contracts import GivenBeyond, OnDiscovery
-from tests.upkeeping import GRACE_US
 
 
 def around(inner: MemberSource) -> UpkeepSource:
--- a/tests/test_upkeep_core.py
+++ b/tests/test_maintenance_core.py
@@ -12,17 +12,17 @@
 from laurelstep.accord.core import Core
 from laurelstep.accord.machines import Machines
 from laurelstep.accord.terms import Effects, Era, Timing
-from laurelstep.upkeep.desk import UpkeepDesk
-from laurelstep.upkeep.entries import KIND
-from laurelstep.upkeep.keeper import Keeper
-from laurelstep.upkeep.options import UpkeepSettings
-from laurelstep.upkeep.plan import Confirmations
-from laurelstep.upkeep.roll import Roll
-from laurelstep.upkeep.source import UpkeepSource
-from laurelstep.upkeep.states import CLEARED
-from laurelstep.upkeep.wishes import UpkeepError
+from laurelstep.maintenance.desk import UpkeepDesk
+from laurelstep.maintenance.entries import KIND
+from laurelstep.maintenance.keeper import Keeper
+from laurelstep.maintenance.options import UpkeepSettings
+from laurelstep.maintenance.plan import Confirmations
+from laurelstep.maintenance.roll import Roll
+from laurelstep.maintenance.source import UpkeepSource
+from laurelstep.maintenance.states import CLEARED
+from laurelstep.maintenance.wishes import UpkeepError
 from tests.fakes import ManualClock
-from tests.upkeeping import COLD_US, GRACE_US, SECOND, Inner, PlayedEngine, line, wish_of
+from tests.maintenance import COLD_US, GRACE_US, SECOND, Inner, PlayedEngine, line, wish_of
 
 MS = 1000
 COPIES, SEATS, OUT, MACHINES = 4, 3, 2, 6
--- a/tests/test_upkeep_encoding.py
+++ b/tests/test_maintenance_encoding.py
@@ -1,4 +1,4 @@
-"""Encoded forms that other versions and operators' tools read: log entries, messages, snapshots, HTTP answers,
+"""Encoded forms that other versions and tools read: log entries, messages, snapshots, HTTP answers,
 and the endpoint list that a hot restart hands over.
 
 The bytes were recorded with the code of 9af0195; they must not change."""
@@ -9,8 +9,8 @@
 
 import pytest
 
-from laurelstep.upkeep.calls import METHODS, reply_about
-from laurelstep.upkeep.entries import (
+from laurelstep.maintenance.calls import METHODS, reply_about
+from laurelstep.maintenance.entries import (
     KIND,
     Ask,
     Confirm,
@@ -22,12 +22,12 @@
     unpack_entry,
     unpack_word,
 )
-from laurelstep.upkeep.roll import Roll
-from laurelstep.upkeep.wishes import Limits, UpkeepError, Wish
-from tests.upkeeping import Tier, line, wish_of
+from laurelstep.maintenance.roll import Roll
+from laurelstep.maintenance.wishes import Limits, UpkeepError, Wish
+from tests.maintenance import Tier, line, wish_of
 
 WISH = Wish("disk", Limits(2, "zone", 0.75), ("m1", "m2"), "a", 4, "small", 60)
-ENTRIES = {
+ENTRIES: dict[str, Ask | Leave | Step | End | Here] = {
     "wish": Ask(1, 2**63 + 5, 3, "wish", WISH),
     "withdraw": Ask(1, 7, 4, "withdraw", "disk", 11),
     "begin": Ask(0, 7, 5, "begin", "m1", 12),
@@ -53,7 +53,7 @@
     "end": "7593040e0b",
     "here": "75930502cfffffffffffffffff",
 }
-MESSAGES = {"confirm": Confirm(300), "unknown": Confirm(-1)}
+MESSAGES: dict[str, Confirm] = {"confirm": Confirm(300), "unknown": Confirm(-1)}
 MESSAGE_BYTES = {"confirm": "759206cd012c", "unknown": "759206ff"}
 
 # One with an open request, one that is over, a machine in each of two states, verdicts and an absent copy.
--- a/tests/test_upkeep_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -611,7 +611,7 @@
 EARLY: Final = """
 import sys
 from laurelstep.__main__ import main
-from laurelstep.upkeep.plan import Confirmations
+from laurelstep.maintenance.plan import Confirmations
 missing = Confirmations.missing
 Confirmations.missing = lambda *given: missing(*given)[1:]
 sys.exit(main(sys.argv[1:]))
@@ -620,7 +620,7 @@
 UNTOLD: Final = """
 import sys
 from laurelstep.__main__ import main
-from laurelstep.upkeep.shown import Shown
+from laurelstep.maintenance.shown import Shown
 Shown.raw = lambda self, member: member.raw(member.phase, member.started_ms)
 sys.exit(main(sys.argv[1:]))
 """
--- a/tests/test_upkeep_schedules.py
+++ b/tests/test_maintenance_schedules.py
@@ -14,19 +14,19 @@
 import pytest
 
 from laurelstep.interface import READY
-from laurelstep.upkeep import plan as plan_module
-from laurelstep.upkeep import roll as roll_module
-from laurelstep.upkeep.entries import Ask, Confirm, Leave, Step, pack, unpack_entry, unpack_word
-from laurelstep.upkeep.keeper import Keeper
-from laurelstep.upkeep.options import UpkeepSettings
-from laurelstep.upkeep.plan import Confirmations
-from laurelstep.upkeep.roll import Roll
-from laurelstep.upkeep.shown import Shown
-from laurelstep.upkeep.source import UpkeepSource
-from laurelstep.upkeep.states import CLEARED, HELD, State
-from laurelstep.upkeep.wishes import UpkeepError
+from laurelstep.maintenance import plan as plan_module
+from laurelstep.maintenance import roll as roll_module
+from laurelstep.maintenance.entries import Ask, Confirm, Leave, Step, pack, unpack_entry, unpack_word
+from laurelstep.maintenance.keeper import Keeper
+from laurelstep.maintenance.options import UpkeepSettings
+from laurelstep.maintenance.plan import Confirmations
+from laurelstep.maintenance.roll import Roll
+from laurelstep.maintenance.shown import Shown
+from laurelstep.maintenance.source import UpkeepSource
+from laurelstep.maintenance.states import CLEARED, HELD, State
+from laurelstep.maintenance.wishes import UpkeepError
+from tests.maintenance import SECOND, Copy, Tier, line, wish_of
 from tests.once import seeds
-from tests.upkeeping import SECOND, Copy, Tier, line, wish_of
 
 SEEDS = seeds(3000)
 STEPS = 75
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -14,9 +14,9 @@
 from laurelstep.accord.options import AccordSettings, seats_for
 from laurelstep.interface import KEYED, SAFE, SCOPE_CELL, UNSAFE
 from laurelstep.library import Client
+from laurelstep.maintenance.options import UpkeepSettings
 from laurelstep.settings import ConfigError, read_file, read_platform
 from laurelstep.settings.operator import AccordTable, Operator, read_operator
-from laurelstep.upkeep.options import UpkeepSettings
 from tests.sockets import SETTINGS
 
 SHOWN = ("link", "store_path", "heartbeat_ms", "election_ms", "drift")  # with their defaults
