--- a/laurelstep/daemon.py
+++ b/laurelstep/daemon.py
@@ -31,7 +31,7 @@
     from laurelstep.handover.giver import Giver
     from laurelstep.handover.place import Place
     from laurelstep.handover.taker import Taken
-    from laurelstep.maintenance.assembly import Upkeep
+    from laurelstep.maintenance.subsystem import MaintenanceSubsystem
     from laurelstep.management.server import Management
     from laurelstep.outbox.driver import OutboxDriver
     from laurelstep.outbox.shared.assembly import Shared
@@ -93,7 +93,7 @@
         self.has_predecessor = arrival is not None and arrival.taken is not None
         self.was_alone = arrival is None or not arrival.others
         self.node: Node | None = None
-        self.upkeep: Upkeep | None = None
+        self.maintenance: MaintenanceSubsystem | None = None
         self.outbox: OutboxDriver | None = None
         self.shared: Shared | None = None  # what copies share of kept writes
         self.carried: Carried | None = None  # the same, where this copy does not
@@ -109,10 +109,10 @@
             orders = await open_recorder(config.orders, config.names.classes, log)
         self.shared = self._outbox_shared()
         self.outbox = await self._outbox()
-        self.upkeep = self._upkeep()
+        self.maintenance = self._maintenance()
         self.node = self._accord_node()
         recorder = self._recorder(orders)
-        holding = None if self.upkeep is None else self.upkeep.hold
+        holding = None if self.maintenance is None else self.maintenance.wrap_source
         self.parts = Assembly(self.loop, config, log, recorder, collector=Collector(), holding=holding)
         self.parts.start()
         self.server = Server(
@@ -166,8 +166,8 @@
 
     def _close(self) -> None:
         self.slices.close()
-        if self.upkeep is not None:
-            self.upkeep.close()
+        if self.maintenance is not None:
+            self.maintenance.close()
         self.parts.close()
         if self.giver is not None:
             self.giver.close()
@@ -189,14 +189,16 @@
         from laurelstep.accord.node import check_folder, node_of
         from laurelstep.accord.parts import Parts
         from laurelstep.engine.clock import LoopClock
-        from laurelstep.maintenance.assembly import carried
+        from laurelstep.maintenance.subsystem import passive_state_machines
         from laurelstep.outbox.shared.entries import KIND as KEPT_WRITES
 
         try:
             check_folder(settings.store_path)
             clock = LoopClock(self.loop)
-            upkeep = carried() if self.upkeep is None else self.upkeep.machines
-            node = node_of(settings, Machines(upkeep | self._machines()), self.loop, clock, log)
+            maintenance = (
+                passive_state_machines() if self.maintenance is None else self.maintenance.state_machines
+            )
+            node = node_of(settings, Machines(maintenance | self._machines()), self.loop, clock, log)
             self.node_parts = Parts(node)
             if self.carried is not None:
                 self.carried.join(self.node_parts.part(KEPT_WRITES), clock)
@@ -219,10 +221,10 @@
             listen = self.config.accord.listen if self.config.accord is not None else ""
             problem = f"{listen}: {error.strerror}: expected where this process may listen, on this machine"
             raise ConfigError(f"{self._file}accord.peer_listen: {problem}") from None
-        if self.upkeep is not None and self.node_parts is not None:
-            from laurelstep.maintenance.entries import KIND
+        if self.maintenance is not None and self.node_parts is not None:
+            from laurelstep.maintenance.entries import SUBSYSTEM_TAG as MAINTENANCE_TAG
 
-            self.upkeep.begin(self.node_parts.part(KIND), self.parts.engine, self._is_alone)
+            self.maintenance.start(self.node_parts.part(MAINTENANCE_TAG), self.parts.engine, self._is_alone)
 
     def _outbox_shared(self) -> Shared | None:
         """What upstream's copies share of edges' kept writes, not yet begun; None where it is off."""
@@ -275,15 +277,15 @@
         frontier = None if self.shared is None else self.shared.frontier
         return await open_driver(settings, names.classes, names.tenants, log, self._file, frontier)
 
-    def _upkeep(self) -> Upkeep | None:
+    def _maintenance(self) -> MaintenanceSubsystem | None:
         """Machines out for work, not yet begun; None where it is off, or has nothing to rest on."""
-        settings, accord = self.config.upkeep, self.config.accord
+        settings, accord = self.config.maintenance, self.config.accord
         if settings is None or accord is None or not accord.is_linked:
             return None
         # Imported where it is on.
-        from laurelstep.maintenance.assembly import Upkeep
+        from laurelstep.maintenance.subsystem import MaintenanceSubsystem
 
-        return Upkeep(self.loop, self.config, settings, log)
+        return MaintenanceSubsystem(self.loop, self.config, settings, log)
 
     def _is_alone(self) -> bool:
         """Whether no process of the version before sends to endpoints any more. Asked at the lock:
@@ -297,14 +299,14 @@
     async def _know(self) -> bool:
         """Wait until this process may send: False if it was stopped meanwhile. `ConfigError` if the
         one before it did not wait as long, and serves on: two of them would take callers."""
-        if self.upkeep is None:
+        if self.maintenance is None:
             return not self.ended.is_set()
         taken = None if self.arrival is None else self.arrival.taken
         given_up = asyncio.Event()
         if taken is not None:
             self.loop.add_reader(taken.channel.fileno(), given_up.set)  # nothing else is said there yet
         while True:
-            events = [self.upkeep.opened, self.ended, *([] if taken is None else [given_up])]
+            events = [self.maintenance.may_serve, self.ended, *([] if taken is None else [given_up])]
             waits = [self.loop.create_task(one.wait()) for one in events]
             await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
             for one in waits:
@@ -366,8 +368,8 @@
         from laurelstep.management.telemetry import figures
 
         subsystems: list[MoreCalls] = []
-        if self.upkeep is not None:
-            subsystems.append(self.upkeep.reply)
+        if self.maintenance is not None:
+            subsystems.append(self.maintenance.reply)
         if self.outbox is not None:
             from laurelstep.outbox.calls import Claimer, reply_about
 
@@ -437,9 +439,9 @@
             else:
                 self._spawn(self._retire(self.node, state, give))
 
-        if self.upkeep is not None and self.upkeep.source is not None:
+        if self.maintenance is not None and self.maintenance.source is not None:
             # What is held back is not in the engine's list, and is the next process's all the same.
-            steps = self.upkeep.source.dump_in_steps(generation, known)
+            steps = self.maintenance.source.dump_in_steps(generation, known)
         else:
             steps = dump_in_steps(self.parts.engine.members, generation, known)
         self.slices.run(steps, ended)
--- /dev/null
+++ b/laurelstep/maintenance/api.py
@@ -0,0 +1,135 @@
+"""What operators' calls may ask of this replica, checked against its own view.
+
+1. A call is checked against the state and the list as this replica has them, so that an invalid one fails at
+   once; the state judges it once more when it is committed.
+2. What is so already is no error; but a replica that is cut off can't say that it still is.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+from laurelstep.maintenance.bounds import MAX_MACHINES_PER_REQUEST, MAX_OPEN_REQUESTS
+from laurelstep.maintenance.commands import PendingCommand
+from laurelstep.maintenance.controller import MaintenanceController
+from laurelstep.maintenance.entries import CommandVerb
+from laurelstep.maintenance.errors import (
+    ConflictingRequestError,
+    EntryTooLargeError,
+    InvalidTransitionError,
+    TooManyRequestsError,
+    UnknownMachineError,
+    UnknownPeerError,
+    UnknownRequestError,
+    UnsatisfiableRequestError,
+)
+from laurelstep.maintenance.machines import MachineTable
+from laurelstep.maintenance.planner import explain_obstacle
+from laurelstep.maintenance.records import OpenRequest
+from laurelstep.maintenance.requests import MaintenanceRequest
+from laurelstep.maintenance.selection import selected_machines
+from laurelstep.maintenance.state import MaintenanceState
+from laurelstep.maintenance.states import next_state
+from laurelstep.maintenance.status import StatusReport
+
+
+class MaintenanceApi:
+    """Calls of operators. Each returns the command that was submitted, or None where it is so already.
+
+    Raises `MaintenanceError` where it can't be.
+    """
+
+    def __init__(self, controller: MaintenanceController) -> None:
+        self.controller = controller
+
+    @property
+    def _state(self) -> MaintenanceState:
+        return self.controller.state
+
+    @property
+    def _table(self) -> MachineTable:
+        return self.controller.source.table
+
+    def ids_by_address(self) -> dict[str, str]:
+        """The ids of all listed machines by their address."""
+        return {machine.address: machine.machine_id for machine in self._table.machines.values()}
+
+    def status(self) -> dict[str, Any]:
+        """All that this replica knows, for JSON."""
+        return StatusReport(self.controller).build()
+
+    def submit_request(self, request: MaintenanceRequest) -> PendingCommand | None:
+        """Ask for machines to go out of service."""
+        same_name = self._state.find_request(request.name)
+        if same_name is not None:
+            if same_name.request == request and not same_name.is_withdrawn:
+                return self._already_done()
+            raise ConflictingRequestError(request.name)
+        self._check_selection(request)
+        if len(self._state.open_requests) >= MAX_OPEN_REQUESTS:
+            raise TooManyRequestsError(f"{MAX_OPEN_REQUESTS} wishes are open")
+        self._check_satisfiable(request)
+        return self.controller.commands.submit(CommandVerb.REQUEST, request)
+
+    def _check_selection(self, request: MaintenanceRequest) -> None:
+        for machine_id in request.machine_ids:
+            if machine_id not in self._table.machines:
+                raise UnknownMachineError(f"id: {machine_id}")
+        for key, value in (("zone", request.zone), ("cell", request.cell), ("kind", request.kind)):
+            if value is not None and (key, value) not in self._table.groups:
+                raise UnknownMachineError(f"{key}: {value}")
+        selected = selected_machines(request, self._table)
+        if not selected:
+            raise UnknownMachineError("no machine for which all holds")
+        if len(selected) >= MAX_MACHINES_PER_REQUEST:
+            raise EntryTooLargeError(
+                f"{len(selected)} machines and more, {MAX_MACHINES_PER_REQUEST - 1} at most"
+            )
+
+    def _check_satisfiable(self, request: MaintenanceRequest) -> None:
+        """Whether the request could hold if it were the only one."""
+        alone = MaintenanceState()
+        alone.open_requests[0] = OpenRequest(0, request)
+        inputs = self.controller.planner_input(self.controller.clock.now())
+        inputs.state = alone
+        obstacle = explain_obstacle(inputs, alone.open_requests[0])
+        if obstacle.is_permanent:
+            raise UnsatisfiableRequestError(obstacle.reason)
+
+    def withdraw_request(self, name: str) -> PendingCommand | None:
+        """Take a request back: what is drained or drains returns, what is worked on stays out until
+        finished."""
+        request = self._state.find_request(name)
+        if request is not None:
+            if request.is_withdrawn:
+                return self._already_done()
+            return self.controller.commands.submit(CommandVerb.WITHDRAW, name)
+        if any(past.name == name and past.is_withdrawn for past in self._state.past_requests):
+            return self._already_done()
+        raise UnknownRequestError(name)
+
+    def report_work(self, verb: CommandVerb, machine_id: str) -> PendingCommand | None:
+        """Work on a machine begins or is finished (`BEGIN_WORK`, `FINISH_WORK`)."""
+        machine = self._state.machines.get(machine_id)
+        if machine is None:
+            raise InvalidTransitionError(f"{machine_id}: not out")
+        state = next_state(verb, machine.state)
+        if state is None:
+            raise InvalidTransitionError(f"{machine_id}: {machine.state}")
+        if state == machine.state:
+            return self._already_done()
+        return self.controller.commands.submit(verb, machine_id)
+
+    def declare_absent(self, peer: int) -> PendingCommand | None:
+        """A replica's process is no more: its acknowledgement is not waited for until it starts again."""
+        consensus = self.controller.consensus
+        if not 0 <= peer < consensus.peers or peer == consensus.me:
+            raise UnknownPeerError(f"peer: {peer}: expected another copy, 0 to {consensus.peers - 1}")
+        if peer in self._state.absent_peers:
+            return self._already_done()
+        return self.controller.commands.submit(CommandVerb.DECLARE_ABSENT, peer)
+
+    def _already_done(self) -> PendingCommand | None:
+        """None: nothing is to be submitted. `LeaderUnreachableError` where that may not be so any more."""
+        self.controller.commands.require_leader()
+        return None
--- /dev/null
+++ b/laurelstep/maintenance/commands.py
@@ -0,0 +1,181 @@
+"""Operators' commands at one replica, from their submission until the consensus log has them.
+
+1. Messages to the leader are lost, repeated and reordered: a command is sent again until the state answers
+   it.
+2. One at a time, in their order: the state takes each sequence number once.
+3. A command is sent for `COMMAND_TIMEOUT_US` at most; then it is reported lost.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from typing import Final
+
+from laurelstep.accord.parts import Accord
+from laurelstep.engine.ports import Clock, Log
+from laurelstep.maintenance.entries import (
+    CommandArgument,
+    CommandVerb,
+    LeaderMessage,
+    OperatorCommand,
+    encode,
+)
+from laurelstep.maintenance.errors import LeaderUnreachableError, TooManyRequestsError
+from laurelstep.maintenance.state import ACCEPTED, MaintenanceState
+from laurelstep.maintenance.states import MachineState
+
+RESEND_INTERVAL_US: Final = 1_000_000
+COMMAND_TIMEOUT_US: Final = 15_000_000
+# Of pending commands, and of all that are remembered.
+MAX_COMMANDS: Final = 16
+
+# What operators see of a command; one that was committed and rejected shows its `ErrorCode`.
+SUBMITTED: Final[str] = MachineState.REQUESTED.value
+COMMITTED: Final = "agreed"
+LOST: Final = "lost"
+
+
+class PendingCommand:
+    """A command and what became of it. Times in µs."""
+
+    __slots__ = (
+        "argument", "expected_version", "expires_at_us", "sent_at_us", "sequence_number", "status", "verb",
+    )  # fmt: skip
+
+    def __init__(
+        self,
+        sequence_number: int,
+        verb: CommandVerb,
+        argument: CommandArgument,
+        expected_version: int,
+        expires_at_us: int,
+    ) -> None:
+        self.sequence_number = sequence_number
+        self.verb = verb
+        self.argument = argument
+        self.expected_version = expected_version
+        self.expires_at_us = expires_at_us
+        self.sent_at_us: int | None = None  # the last time
+        self.status = SUBMITTED  # then COMMITTED, LOST or an `ErrorCode`
+
+    @property
+    def is_pending(self) -> bool:
+        """Whether nothing is known yet of what became of it."""
+        return self.status == SUBMITTED
+
+    def is_same(self, verb: str, argument: CommandArgument, expected_version: int) -> bool:
+        """Whether it asks for this."""
+        return (self.verb, self.argument, self.expected_version) == (verb, argument, expected_version)
+
+
+class CommandQueue:
+    """The commands of one process. `send` takes a message to the leader, `on_submitted` is called after each
+    submission."""
+
+    def __init__(
+        self,
+        consensus: Accord,
+        state: MaintenanceState,
+        clock: Clock,
+        log: Log,
+        send: Callable[[LeaderMessage], None],
+        on_submitted: Callable[[], None],
+    ) -> None:
+        self.consensus = consensus
+        self.state = state
+        self.clock = clock
+        self.log = log
+        self.send = send
+        self.on_submitted = on_submitted
+        self.commands: deque[PendingCommand] = deque(maxlen=MAX_COMMANDS)  # the last ones, pending or not
+        self.last_sequence_number = 0
+
+    @property
+    def pending(self) -> list[PendingCommand]:
+        """Those of which nothing is known yet, in their order."""
+        return [command for command in self.commands if command.is_pending]
+
+    def require_leader(self) -> None:
+        """Raises `LeaderUnreachableError` where the state of this process may be an old one."""
+        if not self.consensus.in_touch or not self.consensus.known:
+            raise LeaderUnreachableError("no leader is heard")
+
+    def submit(self, verb: CommandVerb, argument: CommandArgument) -> PendingCommand:
+        """Send a command until the state has it. The pending one, if the same was submitted before.
+
+        Raises `LeaderUnreachableError`, `TooManyRequestsError` or `EntryTooLargeError`.
+        """
+        self.require_leader()
+        expected_version = self._expected_version(verb, argument)
+        pending = self.pending
+        for command in pending:
+            if command.is_same(verb, argument, expected_version):
+                return command
+        if len(pending) >= MAX_COMMANDS:
+            raise TooManyRequestsError(f"{MAX_COMMANDS} calls wait to be agreed")
+        # A predecessor in a hot restart may have sent commands in the same incarnation.
+        sequence_number = max(self.last_sequence_number, self._last_committed()[0]) + 1
+        expires_at_us = self.clock.now() + COMMAND_TIMEOUT_US
+        command = PendingCommand(sequence_number, verb, argument, expected_version, expires_at_us)
+        encode(self._message(command))  # raises EntryTooLargeError
+        self.last_sequence_number = sequence_number
+        self._remember(command)
+        self.on_submitted()
+        return command
+
+    def _remember(self, command: PendingCommand) -> None:
+        """Guards against the loss of a pending command: one that is over makes room."""
+        while len(self.commands) >= MAX_COMMANDS:
+            self.commands.remove(next(old for old in self.commands if not old.is_pending))
+        self.commands.append(command)
+
+    def _expected_version(self, verb: CommandVerb, argument: CommandArgument) -> int:
+        """The incarnation, request or drain that a command is meant for: late, it must not hit the next
+        one."""
+        if verb == CommandVerb.DECLARE_ABSENT and isinstance(argument, int):
+            return self.state.incarnations.get(argument, 0)
+        if verb == CommandVerb.WITHDRAW and isinstance(argument, str):
+            request = self.state.find_request(argument)
+            return 0 if request is None else request.number
+        if verb in (CommandVerb.BEGIN_WORK, CommandVerb.FINISH_WORK) and isinstance(argument, str):
+            machine = self.state.machines.get(argument)
+            return 0 if machine is None else machine.drain_index
+        return 0
+
+    def _message(self, command: PendingCommand) -> OperatorCommand:
+        return OperatorCommand(
+            peer=self.consensus.me,
+            incarnation=self.consensus.incarnation,
+            sequence_number=command.sequence_number,
+            verb=command.verb,
+            argument=command.argument,
+            expected_version=command.expected_version,
+        )
+
+    def _last_committed(self) -> tuple[int, str]:
+        """The sequence number of this incarnation's last command in the state, and the verdict on it."""
+        last = self.state.last_commands.get(self.consensus.me)
+        if last is None or last.incarnation != self.consensus.incarnation:
+            return 0, ACCEPTED
+        return last.sequence_number, last.verdict
+
+    def advance(self, now_us: int) -> None:
+        """Settle the commands that the state has or whose time is over; send the next one if it is due."""
+        committed_number, verdict = self._last_committed()
+        for command in self.pending:
+            if command.sequence_number <= committed_number:
+                is_last = command.sequence_number == committed_number
+                command.status = (verdict if is_last else ACCEPTED) or COMMITTED
+            elif now_us >= command.expires_at_us:
+                command.status = LOST
+                seconds = COMMAND_TIMEOUT_US // 1_000_000
+                self.log(f"maintenance: {command.verb} was not committed within {seconds} s: call again")
+            else:
+                self._send_if_due(command, now_us)
+                return
+
+    def _send_if_due(self, command: PendingCommand, now_us: int) -> None:
+        if command.sent_at_us is None or now_us >= command.sent_at_us + RESEND_INTERVAL_US:
+            command.sent_at_us = now_us
+            self.send(self._message(command))
--- /dev/null
+++ b/laurelstep/maintenance/controller.py
@@ -0,0 +1,326 @@
+"""Connects maintenance in one process: the consensus log, the endpoint list, messages of the replicas, the
+clock.
+
+1. It decides nothing: what is proposed is the planner's, what is shown the overlay's, what holds the state's.
+2. Messages are lost and repeated: each is sent again until the state answers it, and none while idle.
+3. While a predecessor of a hot restart lives, this process acknowledges no drain: that one sends too.
+"""
+
+from __future__ import annotations
+
+import contextlib
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from typing import Final
+
+from laurelstep.accord.errors import BusyError, NotLeadingError
+from laurelstep.accord.parts import Accord
+from laurelstep.engine.ports import Clock, Handle, Log
+from laurelstep.maintenance.acknowledgements import DrainAcknowledgements
+from laurelstep.maintenance.ages import StateAges
+from laurelstep.maintenance.commands import RESEND_INTERVAL_US, CommandQueue
+from laurelstep.maintenance.entries import (
+    DrainAcknowledgement,
+    LeaderMessage,
+    MachineTransition,
+    MaintenanceEntry,
+    OperatorCommand,
+    ReplicaStarted,
+    decode_message,
+    encode,
+)
+from laurelstep.maintenance.errors import EntryTooLargeError
+from laurelstep.maintenance.planner import PlannerInput, plan_entries
+from laurelstep.maintenance.settings import MaintenanceSettings
+from laurelstep.maintenance.source import MaintenanceSource
+from laurelstep.maintenance.state import MaintenanceState
+from laurelstep.maintenance.states import MachineEvent, MachineState
+
+# Between two steps: while something is under way, and while idle.
+ACTIVE_INTERVAL_US: Final = 100_000
+IDLE_INTERVAL_US: Final = 1_000_000
+# An acknowledgement is sent again after twice the time each time, up to this: a missing one may be so for
+# hours, and a new leader is told at once.
+MAX_ACKNOWLEDGEMENT_INTERVAL_US: Final = 8_000_000
+# Of the machines that one log line names.
+MAX_LOGGED_MACHINES: Final = 8
+# Transitions that an operator should see in the log.
+_LOGGED_EVENTS: Final = frozenset((MachineEvent.EXCEED_TIME, MachineEvent.DROP, MachineEvent.KEEP_LAST))
+
+
+@dataclass(frozen=True, slots=True)
+class SentAcknowledgement:
+    """The last acknowledgement that was sent, when it is sent again, and how long that is after it was
+    sent."""
+
+    drained_index: int
+    resend_at_us: int
+    interval_us: int
+
+
+@dataclass(frozen=True, slots=True)
+class Leadership:
+    """Who leads, as this process knows it: what was sent to another leader is sent again."""
+
+    epoch: object
+    leader: int | None
+    is_leading: bool
+
+
+class MaintenanceController:
+    """Drives maintenance on the clock, in µs.
+
+    `slow_start_share` and `slow_start_us` are the deployment's. `on_serving` is called once, when this
+    process may send: the replicated state is known, or not waited for any more. `may_acknowledge` says
+    whether no predecessor sends any more.
+    """
+
+    def __init__(
+        self,
+        consensus: Accord,
+        state: MaintenanceState,
+        source: MaintenanceSource,
+        clock: Clock,
+        settings: MaintenanceSettings,
+        slow_start_share: float,
+        slow_start_us: int,
+        log: Log,
+        on_serving: Callable[[], None] = lambda: None,
+    ) -> None:
+        self.consensus = consensus
+        self.state = state
+        self.source = source
+        self.clock = clock
+        self.settings = settings
+        self.slow_start_share = slow_start_share
+        self.slow_start_us = slow_start_us
+        self.log = log
+        self.on_serving = on_serving
+        self.may_acknowledge: Callable[[], bool] = lambda: True
+        self.commands = CommandQueue(consensus, state, clock, log, self._send, self.schedule_step)
+        self.acknowledgements = DrainAcknowledgements()
+        self.ages = StateAges()
+        self.sent_acknowledgement: SentAcknowledgement | None = None
+        self.sent_started_us: int | None = None  # when `ReplicaStarted` was sent last
+        self.settled_basis: tuple[int, int] | None = None  # for which nothing was found to drain
+        self.proposed: dict[bytes, int] = {}  # encoded entries, and when each may be proposed again, µs
+        self.leadership: Leadership | None = None
+        self.known_epoch: object = None  # the cluster epoch in which the state was known last
+        self.serves_without_state = False
+        self.step_timer: Handle | None = None
+        self.scheduled_step: Handle | None = None
+        self.is_closed = False
+
+    def start(self) -> None:
+        """Begin to follow the log and the list."""
+        self.consensus.heard = self.on_message
+        self.consensus.on_change = self.schedule_step
+        self.source.on_list_changed = self.schedule_step
+        self.source.is_state_known = lambda: self.consensus.known
+        if self.settings.start_alone == "serve":
+            self.clock.at(self.clock.now() + self.settings.learn_us, self._on_learn_timeout)
+        self.run_step()
+
+    def close(self) -> None:
+        """End all timers."""
+        self.is_closed = True
+        self.cancel_timers()
+
+    def cancel_timers(self) -> None:
+        """No step runs by itself until `run_step` or `schedule_step` is called."""
+        for handle in (self.step_timer, self.scheduled_step):
+            if handle is not None:
+                handle.cancel()
+
+    def _on_learn_timeout(self) -> None:
+        if self.is_closed or self.source.is_forwarding:
+            return
+        self.log(
+            "maintenance: the replicated state is not known; serving by discovery's list alone, "
+            "a clear may be untrue"
+        )
+        self.serves_without_state = True
+        self._start_serving(has_learned_state=False)
+        self.schedule_step()
+
+    def _start_serving(self, has_learned_state: bool) -> None:
+        was_forwarding = self.source.is_forwarding
+        self.source.start_forwarding(has_learned_state)
+        if not was_forwarding:
+            self.on_serving()
+
+    # --- Steps ------------------------------------------------------------------------
+
+    def schedule_step(self) -> None:
+        """Something changed: run a step in the next turn of the loop, one for all changes of this turn."""
+        if self.scheduled_step is None and not self.is_closed:
+            self.scheduled_step = self.clock.at(self.clock.now(), self.run_step)
+
+    def run_step(self) -> None:
+        """Do what is due. Harmless at any time."""
+        if self.is_closed:
+            return
+        self.cancel_timers()
+        self.scheduled_step = None
+        now_us = self.clock.now()
+        self._follow_state(now_us)
+        self._follow_leadership()
+        self._announce_start(now_us)
+        self._acknowledge_drains(now_us)
+        self.commands.advance(now_us)
+        if self.consensus.leading and self.consensus.known:
+            self._plan(now_us)
+        interval_us = ACTIVE_INTERVAL_US if self.is_active else IDLE_INTERVAL_US
+        self.step_timer = self.clock.at(self.clock.now() + interval_us, self.run_step)
+
+    @property
+    def is_active(self) -> bool:
+        """Whether something is under way that needs frequent steps."""
+        is_start_due = self.consensus.known and not self.is_registered
+        is_planning = self.consensus.leading and bool(self.state.open_requests)
+        return (
+            bool(self.commands.pending)
+            or is_start_due
+            or self.is_acknowledgement_awaited
+            or self.source.is_publishing
+            or is_planning
+        )
+
+    def _follow_state(self, now_us: int) -> None:
+        if self.consensus.known and self.is_registered and not self.source.has_learned_state:
+            self._start_serving(has_learned_state=True)
+        self._note_epoch()
+        self.source.refresh()
+        self.ages.update(self.state, now_us)
+        self.acknowledgements.update(self.state)
+
+    def _note_epoch(self) -> None:
+        """Guards against an unnoticed loss of the state: a new epoch may lack what this process cordons."""
+        if not self.consensus.known or self.consensus.era == self.known_epoch:
+            return
+        lost = [
+            machine_id for machine_id in self.source.overlay.cordons if machine_id not in self.state.machines
+        ]
+        if self.known_epoch is not None and lost:
+            names = ", ".join(lost[:MAX_LOGGED_MACHINES])
+            self.log(
+                f"maintenance: the cluster was bootstrapped again and lost what is out of service: {names}"
+            )
+        self.known_epoch = self.consensus.era
+
+    def _follow_leadership(self) -> None:
+        leadership = Leadership(self.consensus.era, self.consensus.leader, self.consensus.leading)
+        if leadership == self.leadership:
+            return
+        self.leadership = leadership
+        self.acknowledgements.reset()
+        self.proposed.clear()
+        self.sent_acknowledgement = None
+        self.sent_started_us = None
+
+    # --- Messages to the leader -------------------------------------------------------
+
+    def _send(self, message: LeaderMessage) -> None:
+        with contextlib.suppress(BusyError):  # as if it were lost: it is sent again
+            self.consensus.word(encode(message))
+
+    @property
+    def is_registered(self) -> bool:
+        """Whether the state has this incarnation, and nobody declared it absent."""
+        return self.state.is_registered(self.consensus.me, self.consensus.incarnation)
+
+    def _announce_start(self, now_us: int) -> None:
+        if not self.consensus.known or self.is_registered:
+            self.sent_started_us = None
+        elif self.sent_started_us is None or now_us >= self.sent_started_us + RESEND_INTERVAL_US:
+            self.sent_started_us = now_us
+            self._send(ReplicaStarted(self.consensus.me, self.consensus.incarnation))
+
+    @property
+    def is_acknowledgement_awaited(self) -> bool:
+        """Whether the leader waits for this process's acknowledgement."""
+        if not self.source.has_learned_state:
+            return self.serves_without_state
+        return any(machine.state == MachineState.DRAINING for machine in self.state.machines.values())
+
+    def _acknowledge_drains(self, now_us: int) -> None:
+        if not self.is_acknowledgement_awaited or not self.may_acknowledge():
+            return
+        drained_index = self.source.drained_index()
+        interval_us = RESEND_INTERVAL_US
+        last = self.sent_acknowledgement
+        if last is not None and last.drained_index == drained_index:
+            if now_us < last.resend_at_us:
+                return
+            interval_us = min(2 * last.interval_us, MAX_ACKNOWLEDGEMENT_INTERVAL_US)
+        self.sent_acknowledgement = SentAcknowledgement(drained_index, now_us + interval_us, interval_us)
+        self._send(DrainAcknowledgement(drained_index))
+
+    # --- As the leader ----------------------------------------------------------------
+
+    def planner_input(self, now_us: int) -> PlannerInput:
+        """All that the planner looks at, as this process has it."""
+        return PlannerInput(
+            state=self.state,
+            table=self.source.table,
+            acknowledgements=self.acknowledgements,
+            ages=self.ages,
+            peer_count=self.consensus.peers,
+            slow_start_share=self.slow_start_share,
+            slow_start_us=self.slow_start_us,
+            overdue_us=self.settings.overdue_us,
+            now_us=now_us,
+        )
+
+    def _plan(self, now_us: int) -> None:
+        inputs = self.planner_input(now_us)
+        entries = plan_entries(inputs, self.settled_basis == inputs.basis)
+        if not entries:
+            self.settled_basis = inputs.basis
+        self._propose(entries, now_us)
+
+    def on_message(self, peer: int, incarnation: int, data: bytes) -> None:
+        """A message was received by this process, which leads."""
+        message = decode_message(data)
+        now_us = self.clock.now()
+        match message:
+            case DrainAcknowledgement():
+                self._on_acknowledgement(peer, incarnation, message, now_us)
+            case OperatorCommand():
+                is_sender = (message.peer, message.incarnation) == (peer, incarnation)
+                if is_sender and not self.state.has_applied(message):
+                    self._propose([message], now_us)
+            case ReplicaStarted():
+                is_sender = (message.peer, message.incarnation) == (peer, incarnation)
+                if is_sender and not self.state.is_registered(peer, incarnation):
+                    self._propose([message], now_us)
+
+    def _on_acknowledgement(
+        self, peer: int, incarnation: int, message: DrainAcknowledgement, now_us: int
+    ) -> None:
+        self.acknowledgements.record(peer, incarnation, message.drained_index)
+        is_current = self.state.incarnations.get(peer) == incarnation
+        if is_current and peer in self.state.absent_peers:
+            self._propose([ReplicaStarted(peer, incarnation)], now_us)  # it lives: it is not absent
+        self.schedule_step()
+
+    def _propose(self, entries: Sequence[MaintenanceEntry], now_us: int) -> None:
+        for data, retry_at_us in list(self.proposed.items()):
+            if now_us >= retry_at_us:
+                del self.proposed[data]
+        for entry in entries:
+            try:
+                data = encode(entry)
+                if data not in self.proposed:
+                    self.consensus.propose(data)
+                    self.proposed[data] = now_us + RESEND_INTERVAL_US
+                    self._log_transition(entry)
+            except EntryTooLargeError as error:
+                self.log(f"maintenance: {error}: {entry}")
+            except (NotLeadingError, BusyError):
+                return
+
+    def _log_transition(self, entry: MaintenanceEntry) -> None:
+        if isinstance(entry, MachineTransition) and entry.event in _LOGGED_EVENTS:
+            reason = f" ({entry.reason})" if entry.reason else ""
+            self.log(f"maintenance: {entry.machine_id}: {entry.event}{reason}")
--- a/laurelstep/maintenance/entries.py
+++ b/laurelstep/maintenance/entries.py
@@ -1,128 +1,176 @@
-"""What travels of upkeep: entries of the record, and words to whoever leads. Pure.
+"""Log entries of the maintenance state machine, and messages to the leader: their types and encoding. Pure.
 
-All begin with the byte `KIND`, as one record and one link carry other things too (of an entry it
-is taken off before the roll has it: `laurelstep.accord.machines`); then a tagged array in msgpack.
-Fields are only ever added at the end: an older version passes over what it does not know, and
-reads what it does."""
+Each begins with the byte `SUBSYSTEM_TAG`, since one log and one link also serve other subsystems (of an entry
+the multiplexer removes it before the state machine sees the rest); then a tagged msgpack array follows.
+Fields keep their order and are only ever added at the end: an older version skips what it does not know.
+"""
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import Final
 
 import msgspec
 
-from laurelstep.maintenance.wishes import ENTRY_MOST, FitError, Wish
+from laurelstep.maintenance.bounds import MAX_ENTRY_BYTES
+from laurelstep.maintenance.errors import EntryTooLargeError
+from laurelstep.maintenance.requests import MaintenanceRequest
 
-KIND: Final = b"u"
+SUBSYSTEM_TAG: Final = b"u"
 
+# What a command acts on: a request, the name of one, a machine's id or a peer's number.
+CommandArgument = MaintenanceRequest | str | int
 
-class _Entry(msgspec.Struct, frozen=True, array_like=True, tag_field="t"):
+
+class CommandVerb(StrEnum):
+    """What an operator can ask for; the values are part of log entries and HTTP paths."""
+
+    REQUEST = "wish"
+    WITHDRAW = "withdraw"
+    BEGIN_WORK = "begin"
+    FINISH_WORK = "done"
+    DECLARE_ABSENT = "absent"
+
+
+class _TaggedArray(msgspec.Struct, frozen=True, array_like=True, tag_field="t"):
     pass
 
 
-class Ask(_Entry, frozen=True, tag=1):
-    """What somebody asked at a copy: `number` counts the askings of that copy's incarnation, so
-    that one which comes twice, or late, is done once."""
+class OperatorCommand(_TaggedArray, frozen=True, tag=1):
+    """What an operator asked for at one replica.
+
+    `sequence_number` counts the commands of that replica's incarnation, so that a repeated or late one takes
+    effect once. `expected_version` names what the command is meant for: the incarnation that is declared
+    absent, the log index at which the machine began to drain, or the number of the request that is withdrawn.
+    0 in the last two cases stands for whichever there is.
+    """
 
     peer: int
     incarnation: int
-    number: int
-    verb: str  # wish, withdraw, begin, done or absent
-    what: Wish | str | int
-    # absent: the incarnation that is declared so; begin and done: the index at which the machine
-    # left; withdraw: the number of the wish. 0 for these two: whichever there is.
-    whose: int = 0
+    sequence_number: int
+    verb: str
+    argument: CommandArgument
+    expected_version: int = 0
+
 
+class DrainedCounts(msgspec.Struct, frozen=True, array_like=True):
+    """How many machines discovery itself drains: in the machine's zone, in its cell, and in the tier."""
+
+    zone: int
+    cell: int
+    tier: int
 
-class Leave(_Entry, frozen=True, tag=2):
-    """A machine is to leave; the facts are as the proposer saw them, without what the roll holds.
-    `base`: the roll's last change as the proposer knew it. Another roll ignores the entry."""
 
-    base: int
-    wish: int
-    id: str
+class DrainMachine(_TaggedArray, frozen=True, tag=2):
+    """A machine is to drain, with the facts of the proposer's list, machines already out not counted.
+
+    `base_index` is the last change of the state that the proposer knew; in any other state the entry is
+    ignored. `ready_count` includes the machine; `listed_weight` is of the ready and the draining ones.
+    """
+
+    base_index: int
+    request_number: int
+    machine_id: str
     zone: str
     cell: int
     weight: float
     started_ms: int
-    ready: int  # ready ones in the tier, this one among them
+    ready_count: int
     ready_weight: float
-    listed_weight: float  # ready and draining
-    away: tuple[int, int, int]  # drained by discovery in its zone, its cell, and the tier
-    cold_share: float
+    listed_weight: float
+    drained_by_discovery: DrainedCounts
+    slow_start_share: float
+
+
+class MachineTransition(_TaggedArray, frozen=True, tag=3):
+    """A machine's next state, as the leader sees it.
 
+    `since_index` is the log index of its present state; `event` is ALL_DRAINED, EXCEED_TIME, WARM_UP, DROP or
+    KEEP_LAST of `states.MachineEvent`.
+    """
 
-class Step(_Entry, frozen=True, tag=3):
-    """A held machine's next state, by what the leader knows; `since` is the index of its present one."""
+    machine_id: str
+    since_index: int
+    event: str
+    reason: str = ""
 
-    id: str
-    since: int
-    event: str  # clear, overdue, back, drop or spare
-    why: str = ""
 
+class CompleteRequest(_TaggedArray, frozen=True, tag=4):
+    """A request has no machine left to work on."""
 
-class End(_Entry, frozen=True, tag=4):
-    """A wish has nothing left to do."""
+    base_index: int
+    request_number: int
 
-    base: int
-    wish: int
 
+class ReplicaStarted(_TaggedArray, frozen=True, tag=5):
+    """A replica has started; sent as a message and then committed as an entry.
 
-class Here(_Entry, frozen=True, tag=5):
-    """A copy has begun, as a word by itself and as an entry: it sends nothing before this is agreed,
-    so that what is declared absent is never one that has come back meanwhile."""
+    It sends no traffic before the entry is committed, so that no replica is declared absent that has
+    meanwhile started again.
+    """
 
     peer: int
     incarnation: int
 
 
-class Confirm(_Entry, frozen=True, tag=6):
-    """A word, no entry: nothing that left at or before this index is sent to by the sender.
-    -1 from one that sends and does not know the record."""
+class DrainAcknowledgement(_TaggedArray, frozen=True, tag=6):
+    """Message only: the sender has no traffic to any machine that began to drain at or before
+    `drained_index`.
 
-    quiet: int
+    `UNKNOWN_STATE` from a replica that serves without knowing the replicated state.
+    """
 
+    drained_index: int
 
-Entry = Ask | Leave | Step | End | Here
-Word = Ask | Here | Confirm
+
+UNKNOWN_STATE: Final = -1
+
+MaintenanceEntry = OperatorCommand | DrainMachine | MachineTransition | CompleteRequest | ReplicaStarted
+LeaderMessage = OperatorCommand | ReplicaStarted | DrainAcknowledgement
 _encode: Final = msgspec.msgpack.Encoder().encode
-_entries: Final[msgspec.msgpack.Decoder[Entry]] = msgspec.msgpack.Decoder(Entry)
-_words: Final[msgspec.msgpack.Decoder[Word]] = msgspec.msgpack.Decoder(Word)
+_entries: Final[msgspec.msgpack.Decoder[MaintenanceEntry]] = msgspec.msgpack.Decoder(MaintenanceEntry)
+_messages: Final[msgspec.msgpack.Decoder[LeaderMessage]] = msgspec.msgpack.Decoder(LeaderMessage)
+_DECODE_ERRORS: Final = (msgspec.DecodeError, RecursionError, OverflowError)
+
 
+def encode(message: MaintenanceEntry | LeaderMessage) -> bytes:
+    """The bytes of an entry or a message, with the tag.
 
-def pack(entry: Entry | Word) -> bytes:
-    """`FitError` for what is too long for the record, or has what is no Unicode."""
+    Raises `EntryTooLargeError` over `MAX_ENTRY_BYTES`, and for text that is not valid Unicode.
+    """
     try:
-        data = KIND + _encode(entry)
+        data = SUBSYSTEM_TAG + _encode(message)
     except UnicodeEncodeError as error:  # a lone surrogate, which JSON may have
-        raise FitError(str(error)) from None
-    if len(data) > ENTRY_MOST:
-        raise FitError(f"{len(data)} bytes, {ENTRY_MOST} at most")
+        raise EntryTooLargeError(str(error)) from None
+    if len(data) > MAX_ENTRY_BYTES:
+        raise EntryTooLargeError(f"{len(data)} bytes, {MAX_ENTRY_BYTES} at most")
     return data
 
 
-def fits(entry: Entry) -> bool:
+def fits_entry(entry: MaintenanceEntry) -> bool:
+    """Whether `encode` accepts an entry."""
     try:
-        pack(entry)
-    except FitError:
+        encode(entry)
+    except EntryTooLargeError:
         return False
     return True
 
 
-def unpack_entry(data: bytes) -> Entry | None:
-    """Without its first byte. None for what is no entry of upkeep."""
-    if len(data) >= ENTRY_MOST:
+def decode_entry(data: bytes) -> MaintenanceEntry | None:
+    """The entry in these bytes, without the tag; None if they hold none."""
+    if len(data) >= MAX_ENTRY_BYTES:
         return None
     try:
         return _entries.decode(data)
-    except (msgspec.DecodeError, RecursionError, OverflowError):
+    except _DECODE_ERRORS:
         return None
 
 
-def unpack_word(data: bytes) -> Word | None:
-    if data[:1] != KIND or len(data) > ENTRY_MOST:
+def decode_message(data: bytes) -> LeaderMessage | None:
+    """The message in these bytes, with the tag; None if they hold none."""
+    if data[:1] != SUBSYSTEM_TAG or len(data) > MAX_ENTRY_BYTES:
         return None
     try:
-        return _words.decode(data[1:])
-    except (msgspec.DecodeError, RecursionError, OverflowError):
+        return _messages.decode(data[1:])
+    except _DECODE_ERRORS:
         return None
--- a/laurelstep/maintenance/source.py
+++ b/laurelstep/maintenance/source.py
@@ -1,12 +1,11 @@
-"""The one step where lists change: between discovery and the engine.
-
-Rules that everything here serves:
-
-1. Nothing is told before the record is known, or before somebody says to go on without it.
-2. A list is passed on as it came, but for the machines that are held or have come back. A long one
-   stays in steps: neither reading, telling nor keeping it holds the loop.
-3. What changes while a long list is on its way is told behind it, as one change.
-4. A list that the engine would not take is not kept either.
+"""The engine's source of endpoint lists: discovery's lists with the cordons laid over them.
+
+1. No list is forwarded before the replicated state is known, or before the operator's settings allow to serve
+   without it.
+2. A list is forwarded as it came, but for machines that are cordoned or have returned. A long one stays in
+   steps: neither parsing, publishing nor storing it blocks the event loop.
+3. What changes while a long list is on its way is published behind it, as one change.
+4. A list that the engine would reject is not stored either.
 """
 
 from __future__ import annotations
@@ -19,230 +18,259 @@
 from laurelstep.engine.members import endpoint_number
 from laurelstep.engine.ports import Clock, Log, MemberSink, MemberSource
 from laurelstep.interface import READY
-from laurelstep.maintenance.members import Member, MemberTable, read_member
-from laurelstep.maintenance.roll import Roll
-from laurelstep.maintenance.shown import Shown
+from laurelstep.maintenance.entries import UNKNOWN_STATE
+from laurelstep.maintenance.machines import ListedMachine, MachineTable, parse_listed_machine
+from laurelstep.maintenance.overlay import EndpointOverlay
+from laurelstep.maintenance.state import MaintenanceState
 
-# What is told at once; more goes in steps.
-SHORT: Final = 2 * STEP
+# What is published at once; longer lists go in steps.
+MAX_DIRECT_ENTRIES: Final = 2 * STEP
 
-# Runs the steps in slices, and calls its second argument with what they raised.
-RunSteps = Callable[[Iterator[None], Callable[[Exception | None], None]], None]
+# Runs the steps in time slices, then calls its second argument with the exception that they raised, if any.
+RunInSteps = Callable[[Iterator[None], Callable[[Exception | None], None]], None]
 
 
-class UpkeepSource:
-    """The engine's source of members, and the sink of the one that it wraps.
+class MaintenanceSource:
+    """The engine's source of members, and the sink of the source that it wraps.
 
-    `on_list` is called when the list has changed."""
+    `grace_us` is the drain grace in µs. `on_list_changed` is called after each change of the list,
+    `in_flight_at` gives the requests in flight at an endpoint, and `is_state_known` whether the replicated
+    state is known now: one that is being learned again says nothing of what stands.
+    """
 
     def __init__(
-        self, inner: MemberSource, roll: Roll, clock: Clock, grace_us: int, run_steps: RunSteps, log: Log
+        self,
+        inner: MemberSource,
+        state: MaintenanceState,
+        clock: Clock,
+        grace_us: int,
+        run_in_steps: RunInSteps,
+        log: Log,
     ) -> None:
         self.inner = inner
-        self.roll = roll
+        self.state = state
         self.clock = clock
         self.grace_us = grace_us
-        self.run_steps = run_steps
+        self.run_in_steps = run_in_steps
         self.log = log
-        self.table = MemberTable()
-        self.shown = Shown()
+        self.table = MachineTable()
+        self.overlay = EndpointOverlay()
         self.sink: MemberSink | None = None
-        self.generation = 0  # of the last list: what is told by itself is of the same
-        self.out_at: Callable[[int], int] = lambda endpoint: 0
-        self.on_list: Callable[[], None] = lambda: None
-        self.open = False  # lists are passed on
-        self.learned = False  # the roll was that of the record once
-        # Whether it is now: a roll that is being learned anew says nothing of what stands.
-        self.knows: Callable[[], bool] = lambda: self.learned
-        self.reading = False  # a long list of the inner source is on its way
-        self.telling = False  # one of our own is
-        self.whole_due = False
-        self.changed: dict[str, None] = {}  # to be told behind what is on its way
-
-    # --- For the engine, as its source ------------------------------------------------
+        self.generation = 0  # of the last list; what is published in between is of the same
+        self.in_flight_at: Callable[[int], int] = lambda endpoint: 0
+        self.on_list_changed: Callable[[], None] = lambda: None
+        self.is_state_known: Callable[[], bool] = lambda: self.has_learned_state
+        self.is_forwarding = False
+        self.has_learned_state = False  # the replicated state was known once
+        self.is_reading = False  # a long list of the inner source is on its way
+        self.is_publishing = False  # a long list of our own is
+        self.is_full_list_due = False
+        self.due_ids: dict[str, None] = {}  # to be published behind what is on its way, in this order
+
+    # --- As the engine's source -------------------------------------------------------
 
     def start(self, sink: MemberSink, generation: int) -> None:
+        """Begin to publish to the engine, after the given generation."""
         self.sink = sink
         self.generation = max(generation, self.generation)
         self.inner.start(self, self.generation)
 
     def watch(self, on: bool) -> None:
+        """Passed on to the inner source."""
         self.inner.watch(on)
 
     def fetch(self) -> None:
+        """Passed on to the inner source."""
         self.inner.fetch()
 
-    # --- For the inner source, as its sink --------------------------------------------
+    def give_known(self, generation: int, entries: Sequence[Any]) -> None:
+        """The list that the process was started with. ValueError if it can't be read."""
+        self._store(True, [parse_listed_machine(raw) for raw in entries])
+        self.generation = generation
+        self.is_full_list_due = True
+        self.refresh()
+
+    # --- As the inner source's sink ---------------------------------------------------
 
     def now(self) -> int:
+        """The time on the clock, in µs."""
         return self.clock.now()
 
     def list_failed(self) -> None:
+        """Passed on to the engine."""
         if self.sink is not None:
             self.sink.list_failed()
 
     def listed(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
-        read = [read_member(raw) for raw in entries]
-        if self.is_passing and self.sink is not None:
-            raws = [self._raw(one, raw) for one, raw in zip(read, entries, strict=True)]
-            self.sink.listed(version, whole, raws)
-            self._passed(whole, [one.id for one in read])
+        """A complete list, or changes. ValueError, with nothing changed, if an entry can't be read."""
+        machines = [parse_listed_machine(raw) for raw in entries]
+        if self.can_publish and self.sink is not None:
+            overlaid = [self._overlaid(machine, raw) for machine, raw in zip(machines, entries, strict=True)]
+            self.sink.listed(version, whole, overlaid)
+            self._on_published(whole, [machine.machine_id for machine in machines])
         else:
-            self._tell_later(whole, read)
+            self._defer(whole, machines)
         self.generation = version
-        self._keep(whole, read)
-        self._after_list()
+        self._store(whole, machines)
+        self._on_list_stored()
 
     def list_in_steps(self, whole: bool, entries: list[Any], told_at: int) -> Iterator[None]:
-        """`entries` is used up, so that freeing it is no step as long as the list."""
-        read: dict[str, Member] = {}
-        raws: list[Any] = []
-        passing = self.is_passing
-        self.reading = True
+        """The same for a long list, in steps. `entries` is used up, so that freeing it is no long step."""
+        machines: dict[str, ListedMachine] = {}
+        overlaid: list[Any] = []
+        can_publish = self.can_publish
+        self.is_reading = True
         try:
             entries.reverse()
             while entries:
                 raw = entries.pop()
-                one = read_member(raw)
-                read[one.id] = one
-                if passing:
-                    raws.append(self._raw(one, raw))
+                machine = parse_listed_machine(raw)
+                machines[machine.machine_id] = machine
+                if can_publish:
+                    overlaid.append(self._overlaid(machine, raw))
                 if len(entries) % STEP == 0:
                     yield
-            if passing and self.sink is not None:
-                yield from self.sink.list_in_steps(whole, raws, told_at)
-                self._passed(whole, read)
+            if can_publish and self.sink is not None:
+                yield from self.sink.list_in_steps(whole, overlaid, told_at)
+                self._on_published(whole, machines)
             else:
-                self._tell_later(whole, read.values())
-            yield from self._keep_in_steps(whole, read)
+                self._defer(whole, machines.values())
+            yield from self._store_in_steps(whole, machines)
         finally:
-            self.reading = False
-        self._after_list()
+            self.is_reading = False
+        self._on_list_stored()
 
     @property
-    def is_passing(self) -> bool:
-        """Whether a list that comes now goes straight on."""
-        return self.open and not self.telling and not self.reading
-
-    def _passed(self, whole: bool, ids: Iterable[str]) -> None:
-        """The engine has taken a list with these."""
-        self.shown.told(self.shown.holds if whole else ids, self.clock.now())
-
-    def _raw(self, one: Member, raw: Any) -> Any:
-        return self.shown.raw(one) if self.shown.touches(one.id) else raw
-
-    def _tell_later(self, whole: bool, read: Any) -> None:
-        if whole:
-            self.whole_due = True
-        elif self.open:
-            self.changed.update((one.id, None) for one in read)
-
-    def _keep(self, whole: bool, read: Sequence[Member]) -> None:
-        if whole:
-            for _ in self.table.replace({one.id: one for one in read}):
-                pass
-        else:
-            for one in read:
-                self.table.put(one)
+    def can_publish(self) -> bool:
+        """Whether a list that comes now goes straight to the engine."""
+        return self.is_forwarding and not self.is_publishing and not self.is_reading
+
+    def _on_published(self, is_complete: bool, machine_ids: Iterable[str]) -> None:
+        """The engine has taken a list with these machines."""
+        published = self.overlay.cordons if is_complete else machine_ids
+        self.overlay.on_published(published, self.clock.now())
+
+    def _overlaid(self, machine: ListedMachine, raw: Any) -> Any:
+        altered = self.overlay.may_alter(machine.machine_id)
+        return self.overlay.overlaid_entry(machine) if altered else raw
+
+    def _defer(self, is_complete: bool, machines: Iterable[ListedMachine]) -> None:
+        if is_complete:
+            self.is_full_list_due = True
+        elif self.is_forwarding:
+            self.due_ids.update((machine.machine_id, None) for machine in machines)
+
+    def _store(self, is_complete: bool, machines: Sequence[ListedMachine]) -> None:
+        by_id = {machine.machine_id: machine for machine in machines}
+        for _ in self.table.replace(by_id) if is_complete else self._put_each(machines):
+            pass
+
+    def _store_in_steps(self, is_complete: bool, machines: dict[str, ListedMachine]) -> Iterator[None]:
+        each = self.table.replace(machines) if is_complete else self._put_each(machines.values())
+        for count, _ in enumerate(each, 1):
+            if count % STEP == 0:
+                yield
 
-    def _keep_in_steps(self, whole: bool, read: dict[str, Member]) -> Iterator[None]:
-        if whole:
-            for at, _ in enumerate(self.table.replace(read), 1):
-                if at % STEP == 0:
-                    yield
-        else:
-            for at, one in enumerate(read.values(), 1):
-                self.table.put(one)
-                if at % STEP == 0:
-                    yield
+    def _put_each(self, machines: Iterable[ListedMachine]) -> Iterator[None]:
+        for machine in machines:
+            self.table.put(machine)
+            yield
 
-    def _after_list(self) -> None:
-        self.shown.forget(self.table)
+    def _on_list_stored(self) -> None:
+        self.overlay.forget_unlisted(self.table)
         self.refresh()
-        self.on_list()
-
-    # --- What is told -----------------------------------------------------------------
+        self.on_list_changed()
 
-    def give_known(self, generation: int, entries: Sequence[Any]) -> None:
-        self._keep(True, [read_member(raw) for raw in entries])
-        self.generation = generation
-        self.whole_due = True
-        self.refresh()
+    # --- Publishing -------------------------------------------------------------------
 
-    def go_on(self, learned: bool) -> None:
-        """Lists are passed on from now on: the record is known, or is not waited for any more."""
-        if not self.open:
-            self.open = self.whole_due = True
-        self.learned = self.learned or learned
+    def start_forwarding(self, has_learned_state: bool) -> None:
+        """Forward lists from now on: the replicated state is known, or not waited for any more."""
+        if not self.is_forwarding:
+            self.is_forwarding = self.is_full_list_due = True
+        self.has_learned_state = self.has_learned_state or has_learned_state
         self.refresh()
 
     def refresh(self) -> None:
-        """The roll or the list changed: tell what is shown otherwise now."""
-        if not self.is_passing or self.sink is None:
+        """The state or the list changed: publish what is shown otherwise now."""
+        if not self.can_publish or self.sink is None:
             return
-        if self.learned and self.knows():
+        if self.has_learned_state and self.is_state_known():
             wall_ms = self.clock.wall() // 1000
-            for id in self.shown.follow(self.roll, self.table, self.clock.now(), wall_ms):
-                self.changed[id] = None
-        whole, self.whole_due = self.whole_due and self.table.whole, False
-        ids = list(self.table.members if whole else self.changed)
-        self.changed.clear()
-        if whole or ids:
-            self._tell(whole, ids)
-
-    def _tell(self, whole: bool, ids: list[str]) -> None:
+            changed = self.overlay.update(self.state, self.table, self.clock.now(), wall_ms)
+            self.due_ids.update((machine_id, None) for machine_id in changed)
+        is_complete = self.is_full_list_due and self.table.is_complete
+        self.is_full_list_due = False
+        machine_ids = list(self.table.machines if is_complete else self.due_ids)
+        self.due_ids.clear()
+        if is_complete or machine_ids:
+            self._publish(is_complete, machine_ids)
+
+    def _publish(self, is_complete: bool, machine_ids: list[str]) -> None:
         assert self.sink is not None
-        if len(ids) <= SHORT:
-            try:
-                self.sink.listed(self.generation, whole, [self._raw_of(id) for id in ids])
-            except ValueError as error:
-                self.log(f"upkeep: the engine did not take its list: {error}")
-            else:
-                self._passed(whole, ids)
+        if len(machine_ids) > MAX_DIRECT_ENTRIES:
+            self.is_publishing = True
+            steps = self._publish_in_steps(is_complete, machine_ids, self.sink)
+            self.run_in_steps(steps, self._on_steps_ended)
+            return
+        try:
+            entries = [self._entry_of(machine_id) for machine_id in machine_ids]
+            self.sink.listed(self.generation, is_complete, entries)
+        except ValueError as error:
+            self._log_rejected(error)
         else:
-            self.telling = True
-            self.run_steps(self._tell_in_steps(whole, ids, self.sink), self._told)
-
-    def _tell_in_steps(self, whole: bool, ids: list[str], sink: MemberSink) -> Iterator[None]:
-        told_at = sink.now()
-        raws = []
-        for at, id in enumerate(ids, 1):
-            raws.append(self._raw_of(id))
-            if at % STEP == 0:
+            self._on_published(is_complete, machine_ids)
+
+    def _publish_in_steps(
+        self, is_complete: bool, machine_ids: list[str], sink: MemberSink
+    ) -> Iterator[None]:
+        published_at = sink.now()
+        entries = []
+        for count, machine_id in enumerate(machine_ids, 1):
+            entries.append(self._entry_of(machine_id))
+            if count % STEP == 0:
                 yield
-        yield from sink.list_in_steps(whole, raws, told_at)
-        self._passed(whole, ids)
+        yield from sink.list_in_steps(is_complete, entries, published_at)
+        self._on_published(is_complete, machine_ids)
 
-    def _told(self, error: Exception | None) -> None:
-        self.telling = False
+    def _on_steps_ended(self, error: Exception | None) -> None:
+        self.is_publishing = False
         if error is not None:
-            self.log(f"upkeep: the engine did not take its list: {error}")
+            self._log_rejected(error)
         self.refresh()
 
-    def _raw_of(self, id: str) -> dict[str, Any]:
-        member = self.table.members.get(id)
-        return {"instanceId": id, "lifecycle": "gone"} if member is None else self.shown.raw(member)
+    def _log_rejected(self, error: Exception) -> None:
+        self.log(f"maintenance: the engine rejected an endpoint list: {error}")
+
+    def _entry_of(self, machine_id: str) -> dict[str, Any]:
+        machine = self.table.machines.get(machine_id)
+        if machine is None:
+            return {"instanceId": machine_id, "lifecycle": "gone"}
+        return self.overlay.overlaid_entry(machine)
 
-    # --- What is asked ----------------------------------------------------------------
+    # --- Queries ----------------------------------------------------------------------
 
-    def quiet(self) -> int:
-        """See `shown.Shown.quiet`; -1 while this process does not go by the record."""
-        if not self.learned or not self.open or not self.knows():
-            return -1
-        on_its_way = self.telling or self.reading
+    def drained_index(self) -> int:
+        """See `EndpointOverlay.drained_index`; `UNKNOWN_STATE` while this process does not go by the
+        state."""
+        if not self.has_learned_state or not self.is_forwarding or not self.is_state_known():
+            return UNKNOWN_STATE
+        is_list_on_its_way = self.is_publishing or self.is_reading
 
-        def out_at(id: str) -> int:
-            return 1 if on_its_way else self.out_at(endpoint_number(id))
+        def in_flight(machine_id: str) -> int:
+            return 1 if is_list_on_its_way else self.in_flight_at(endpoint_number(machine_id))
 
-        return self.shown.quiet(self.roll, self.clock.now(), self.grace_us, out_at)
+        return self.overlay.drained_index(self.state, self.clock.now(), self.grace_us, in_flight)
 
     def dump_in_steps(self, generation: int, taken: list[bytes]) -> Iterator[None]:
-        """The ready machines as discovery told of them, held or not, as a whole list in its form:
-        JSON, put into `taken` with the last step."""
-        parts = []
-        for at, one in enumerate(list(self.table.members.values()), 1):
-            if one.phase == READY:
-                parts.append(json.dumps(one.raw(READY, one.started_ms)))
-            if at % STEP == 0:
+        """Discovery's ready machines, cordoned or not, as a complete list in its JSON form.
+
+        The list is put into `taken` with the last step.
+        """
+        entries = []
+        for count, machine in enumerate(list(self.table.machines.values()), 1):
+            if machine.phase == READY:
+                entries.append(json.dumps(machine.to_entry(READY, machine.started_ms)))
+            if count % STEP == 0:
                 yield
-        taken.append(f'{{"generation":{generation},"reset":true,"instances":[{",".join(parts)}]}}'.encode())
+        instances = ",".join(entries)
+        taken.append(f'{{"generation":{generation},"reset":true,"instances":[{instances}]}}'.encode())
--- /dev/null
+++ b/laurelstep/maintenance/subsystem.py
@@ -0,0 +1,84 @@
+"""Maintenance in one process, wired together from its configuration."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import Final
+
+from laurelstep.accord.parts import Accord
+from laurelstep.accord.ports import Machine
+from laurelstep.engine import Engine
+from laurelstep.engine.ports import Clock, Log, MemberSource
+from laurelstep.maintenance.api import MaintenanceApi
+from laurelstep.maintenance.controller import MaintenanceController
+from laurelstep.maintenance.entries import SUBSYSTEM_TAG
+from laurelstep.maintenance.routes import handle_call
+from laurelstep.maintenance.settings import MaintenanceSettings
+from laurelstep.maintenance.source import MaintenanceSource
+from laurelstep.maintenance.state import MaintenanceState
+from laurelstep.management.calls import Reply
+from laurelstep.net.slices import Slices
+from laurelstep.settings import Config
+
+
+def passive_state_machines() -> dict[int, Machine]:
+    """The state machine for a replica that shares the consensus log and has maintenance off.
+
+    Guards against a snapshot without the state, should this replica come to lead: the others would lose it.
+    """
+    return {SUBSYSTEM_TAG[0]: MaintenanceState()}
+
+
+class MaintenanceSubsystem:
+    """In the order of a start: `state_machines` into the log, `wrap_source` into the engine, `start`."""
+
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, config: Config, settings: MaintenanceSettings, log: Log
+    ) -> None:
+        self.config = config
+        self.settings = settings
+        self.log = log
+        self.state = MaintenanceState()
+        self.state_machines: Final[dict[int, Machine]] = {SUBSYSTEM_TAG[0]: self.state}
+        self.slices = Slices(loop)
+        self.may_serve = asyncio.Event()  # set once this process may send
+        self.source: MaintenanceSource | None = None
+        self.controller: MaintenanceController | None = None
+        self.api: MaintenanceApi | None = None
+
+    def wrap_source(self, inner: MemberSource, clock: Clock) -> MaintenanceSource:
+        """The source that stands between discovery and the engine."""
+        self.source = MaintenanceSource(
+            inner, self.state, clock, self.config.drain_grace_us, self.slices.run, self.log
+        )
+        return self.source
+
+    def start(self, consensus: Accord, engine: Engine, may_acknowledge: Callable[[], bool]) -> None:
+        """Begin. `may_acknowledge`: whether no predecessor of this process sends any more."""
+        assert self.source is not None
+        self.source.in_flight_at = engine.out_at
+        self.controller = MaintenanceController(
+            consensus,
+            self.state,
+            self.source,
+            engine.clock,
+            self.settings,
+            slow_start_share=self.config.settings.cold_share,
+            slow_start_us=self.config.settings.cold_us,
+            log=self.log,
+            on_serving=self.may_serve.set,
+        )
+        self.controller.may_acknowledge = may_acknowledge
+        self.api = MaintenanceApi(self.controller)
+        self.controller.start()
+
+    def reply(self, method: bytes, target: bytes) -> Reply | None:
+        """The answer to a call at the management address; None for what is no maintenance call."""
+        return None if self.api is None else handle_call(method, target, self.api)
+
+    def close(self) -> None:
+        """End all that is under way."""
+        self.slices.close()
+        if self.controller is not None:
+            self.controller.close()
--- a/laurelstep/settings/config.py
+++ b/laurelstep/settings/config.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:  # imported where they are on
     from laurelstep.accord.options import AccordSettings
-    from laurelstep.maintenance.options import UpkeepSettings
+    from laurelstep.maintenance.settings import MaintenanceSettings
     from laurelstep.outbox.options import OutboxSettings
 
 
@@ -44,7 +44,7 @@
     memory_mb: int = 0  # the limit of the process's memory; 0 = none is told
     management: tuple[str, int] | None = None  # the second address, for the operators' calls
     accord: AccordSettings | None = None
-    upkeep: UpkeepSettings | None = None
+    maintenance: MaintenanceSettings | None = None
     outbox: OutboxSettings | None = None
 
     @property
--- a/laurelstep/settings/operator.py
+++ b/laurelstep/settings/operator.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from laurelstep.accord.options import AccordSettings, LinkKind, problem_of, seats_for
-from laurelstep.maintenance.options import StartAlone, UpkeepSettings
+from laurelstep.maintenance.settings import MaintenanceSettings, StartAlone
 from laurelstep.orders.book import OrderClass, Orders
 from laurelstep.outbox.options import (
     How,
@@ -310,15 +310,15 @@
         return found
 
 
-class UpkeepTable(_Table, frozen=True, kw_only=True):
+class MaintenanceTable(_Table, frozen=True, kw_only=True):
     """Machines taken out for work, in an agreed order."""
 
     overdue_s: Count = 14_400
     start_alone: StartAlone = "wait"
     learn_ms: Count = 5_000
 
-    def settings(self) -> UpkeepSettings:
-        return UpkeepSettings(self.overdue_s * 1_000_000, self.start_alone, self.learn_ms * 1000)
+    def settings(self) -> MaintenanceSettings:
+        return MaintenanceSettings(self.overdue_s * 1_000_000, self.start_alone, self.learn_ms * 1000)
 
 
 class KeepableClass(_Table, frozen=True, kw_only=True):
@@ -392,7 +392,7 @@
     orders: OrdersTable | None = None
     workers: WorkersTable | None = None
     accord: AccordTable | None = None
-    upkeep: UpkeepTable | None = None
+    upkeep: MaintenanceTable | None = None
     outbox: OutboxTable | None = None
 
     def problem(self) -> str | None:
@@ -506,7 +506,9 @@
         if config.outbox is not None and config.outbox.shared and not accord.is_linked:
             problem = f"expected them where outbox.shared is on in {path}"
             raise ConfigError(f"{source}: peers, peer_listen: {problem}")
-        return replace(config, accord=accord, upkeep=None if self.upkeep is None else self.upkeep.settings())
+        return replace(
+            config, accord=accord, maintenance=None if self.upkeep is None else self.upkeep.settings()
+        )
 
 
 def _is_address(text: str) -> bool:
--- a/tests/maintenance.py
+++ b/tests/maintenance.py
@@ -11,13 +11,13 @@
 from laurelstep.accord.machines import Machines
 from laurelstep.engine.members import endpoint_number
 from laurelstep.engine.ports import MemberSink
-from laurelstep.maintenance.desk import UpkeepDesk
-from laurelstep.maintenance.entries import KIND, unpack_word
-from laurelstep.maintenance.keeper import Keeper
-from laurelstep.maintenance.options import UpkeepSettings
-from laurelstep.maintenance.roll import Roll
-from laurelstep.maintenance.source import UpkeepSource
-from laurelstep.maintenance.wishes import Limits, Wish
+from laurelstep.maintenance.api import MaintenanceApi
+from laurelstep.maintenance.controller import MaintenanceController
+from laurelstep.maintenance.entries import SUBSYSTEM_TAG, decode_message
+from laurelstep.maintenance.requests import DisruptionLimits, MaintenanceRequest
+from laurelstep.maintenance.settings import MaintenanceSettings
+from laurelstep.maintenance.source import MaintenanceSource
+from laurelstep.maintenance.state import MaintenanceState
 from tests.fakes import ManualClock
 
 SECOND = 1_000_000
@@ -42,8 +42,10 @@
     }  # fmt: skip
 
 
-def wish_of(name: str = "w", out: int = 1, per: str = "tier", share: float = 0.0, **more: Any) -> Wish:
-    return Wish(name, Limits(out, per, share), **more)  # type: ignore[arg-type]
+def request_for(
+    name: str = "w", out: int = 1, per: str = "tier", share: float = 0.0, **more: Any
+) -> MaintenanceRequest:
+    return MaintenanceRequest(name, DisruptionLimits(out, per, share), **more)  # type: ignore[arg-type]
 
 
 class PlayedEngine:
@@ -102,12 +104,12 @@
 
 
 class Copy:
-    """One process of the tier, from one start on. It is its keeper's accord."""
+    """One process of the tier, from one start on. It is its controller's accord."""
 
     def __init__(self, tier: Tier, me: int, incarnation: int) -> None:
         self.tier, self.me, self.incarnation = tier, me, incarnation
-        self.roll = Roll()
-        self.machines = Machines({KIND[0]: self.roll})
+        self.state = MaintenanceState()
+        self.multiplexer = Machines({SUBSYSTEM_TAG[0]: self.state})
         self.applied = 0
         self.known = False
         self.cut = False
@@ -118,15 +120,15 @@
         self.list_version = -1
         self.engine = PlayedEngine(tier.clock)
         self.logged: list[str] = []
-        self.source = UpkeepSource(
-            Inner(), self.roll, tier.clock, GRACE_US, self.run_steps, self.logged.append
+        self.source = MaintenanceSource(
+            Inner(), self.state, tier.clock, GRACE_US, self.run_steps, self.logged.append
         )
-        self.source.out_at = self.engine.out_at
+        self.source.in_flight_at = self.engine.out_at
         self.source.start(self.engine, 0)
         self.opened = 0
-        self.keeper = Keeper(
+        self.controller = MaintenanceController(
             self,
-            self.roll,
+            self.state,
             self.source,
             tier.clock,
             tier.settings,
@@ -135,8 +137,8 @@
             self.logged.append,
             self._open,
         )
-        self.desk = UpkeepDesk(self.keeper)
-        self.keeper.start()
+        self.api = MaintenanceApi(self.controller)
+        self.controller.start()
 
     def _open(self) -> None:
         self.opened += 1
@@ -188,12 +190,12 @@
         upto = len(log) if upto is None else upto
         while self.applied < upto:
             self.applied += 1
-            self.machines.apply(self.applied, log[self.applied - 1])
+            self.multiplexer.apply(self.applied, log[self.applied - 1])
         self.on_change()
 
     def jump(self) -> None:
         """Get a snapshot in place of entries."""
-        self.machines.load(self.tier.machines.dump())
+        self.multiplexer.load(self.tier.multiplexer.dump())
         self.applied = len(self.tier.log)
         self.on_change()
 
@@ -205,7 +207,7 @@
 
     def die(self) -> None:
         self.dead = True
-        self.keeper.close()
+        self.controller.close()
         self.tier.leaders.discard(self.me)
 
 
@@ -213,15 +215,15 @@
     """All copies, the record and discovery. `settle` lets everything happen that is due."""
 
     def __init__(
-        self, count: int, machines: Sequence[dict[str, Any]] = (), settings: UpkeepSettings | None = None
+        self, count: int, machines: Sequence[dict[str, Any]] = (), settings: MaintenanceSettings | None = None
     ) -> None:
         self.clock = ManualClock()
-        self.settings = settings or UpkeepSettings()
+        self.settings = settings or MaintenanceSettings()
         self.count = count
         self.era: object = 1
         self.log: list[bytes] = []
-        self.roll = Roll()  # all that is agreed, applied
-        self.machines = Machines({KIND[0]: self.roll})
+        self.state = MaintenanceState()  # all that is agreed, applied
+        self.multiplexer = Machines({SUBSYSTEM_TAG[0]: self.state})
         self.words: list[tuple[int, int, bytes]] = []
         self.list = {raw["instanceId"]: raw for raw in machines}
         self.list_version = 0
@@ -240,7 +242,7 @@
 
     def append(self, data: bytes) -> None:
         self.log.append(data)
-        self.machines.apply(len(self.log), data)
+        self.multiplexer.apply(len(self.log), data)
 
     def list_as(self, *raws: dict[str, Any]) -> None:
         for raw in raws:
@@ -264,7 +266,7 @@
     def carry_words(self) -> None:
         words, self.words = self.words, []
         for peer, incarnation, data in words:
-            assert unpack_word(data) is not None
+            assert decode_message(data) is not None
             for one in self.alive:
                 if one.leading and not one.cut:
                     one.heard(peer, incarnation, data)
@@ -277,7 +279,7 @@
             if not one.cut and one.learns:
                 one.catch_up()
                 one.known = True
-            one.keeper.look()
+            one.controller.run_step()
         self.carry_words()
 
     def settle(self, seconds: float = 3.0) -> None:
@@ -288,9 +290,9 @@
 
     # --- What is asked ----------------------------------------------------------------
 
-    def state(self, id: str) -> str:
-        machine = self.roll.machines.get(id)
+    def state_of(self, id: str) -> str:
+        machine = self.state.machines.get(id)
         return "" if machine is None else machine.state.value
 
     def states(self) -> dict[str, str]:
-        return {id: one.state.value for id, one in self.roll.machines.items()}
+        return {id: one.state.value for id, one in self.state.machines.items()}
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -48,11 +48,16 @@
     return found
 
 
+def shown_name(kind: Kind) -> str:
+    """What operators see: an error code that answers have kept while the type was renamed, or the type's name."""
+    return str(vars(kind).get("code", kind.__name__))
+
+
 def differences(page: str, kinds: set[Kind]) -> list[str]:
     """Between the page's rows and the types."""
     rows = ROW.findall(page)
     told = {name: (cause, remedy) for name, cause, remedy in rows}
-    real = {kind.__name__: (vars(kind).get("cause"), vars(kind).get("remedy")) for kind in kinds}
+    real = {shown_name(kind): (vars(kind).get("cause"), vars(kind).get("remedy")) for kind in kinds}
     found = [f"twice: {name}" for name in told if sum(row[0] == name for row in rows) > 1]
     found += [f"not on the page: {name}" for name in sorted(real.keys() - told.keys())]
     found += [f"no such type: {name}" for name in sorted(told.keys() - real.keys())]
@@ -63,8 +68,8 @@
     kinds = ours(BaseException) - {LaurelstepError}
     assert len(kinds) >= 10
     assert {kind.__qualname__: found for kind in kinds if (found := problems(kind))} == {}
-    names = [kind.__name__ for kind in kinds]
-    assert len(set(names)) == len(names)
+    for names in ([kind.__name__ for kind in kinds], [shown_name(kind) for kind in kinds]):
+        assert len(set(names)) == len(names)
 
 
 def test_the_page_and_the_types_say_the_same() -> None:
--- a/tests/test_maintenance_contracts.py
+++ b/tests/test_maintenance_contracts.py
@@ -11,8 +11,8 @@
 from laurelstep.engine import LoopClock
 from laurelstep.engine.given import GivenMembers
 from laurelstep.engine.ports import MemberSource
-from laurelstep.maintenance.roll import Roll
-from laurelstep.maintenance.source import UpkeepSource
+from laurelstep.maintenance.source import MaintenanceSource
+from laurelstep.maintenance.state import MaintenanceState
 from laurelstep.net.slices import Slices
 from laurelstep.testing.contracts.members import (
     AskedSourceContract,
@@ -24,11 +24,13 @@
 from tests.test_contracts import GivenBeyond, OnDiscovery
 
 
-def around(inner: MemberSource) -> UpkeepSource:
+def around(inner: MemberSource) -> MaintenanceSource:
     """A source that knows the record, in which nothing is out."""
     loop = asyncio.get_running_loop()
-    source = UpkeepSource(inner, Roll(), LoopClock(loop), GRACE_US, Slices(loop).run, lambda line: None)
-    source.go_on(True)
+    source = MaintenanceSource(
+        inner, MaintenanceState(), LoopClock(loop), GRACE_US, Slices(loop).run, lambda line: None
+    )
+    source.start_forwarding(True)
     return source
 
 
--- a/tests/test_maintenance_core.py
+++ b/tests/test_maintenance_core.py
@@ -12,26 +12,26 @@
 from laurelstep.accord.core import Core
 from laurelstep.accord.machines import Machines
 from laurelstep.accord.terms import Effects, Era, Timing
-from laurelstep.maintenance.desk import UpkeepDesk
-from laurelstep.maintenance.entries import KIND
-from laurelstep.maintenance.keeper import Keeper
-from laurelstep.maintenance.options import UpkeepSettings
-from laurelstep.maintenance.plan import Confirmations
-from laurelstep.maintenance.roll import Roll
-from laurelstep.maintenance.source import UpkeepSource
-from laurelstep.maintenance.states import CLEARED
-from laurelstep.maintenance.wishes import UpkeepError
+from laurelstep.maintenance.acknowledgements import DrainAcknowledgements
+from laurelstep.maintenance.api import MaintenanceApi
+from laurelstep.maintenance.controller import MaintenanceController
+from laurelstep.maintenance.entries import SUBSYSTEM_TAG, CommandVerb
+from laurelstep.maintenance.errors import MaintenanceError
+from laurelstep.maintenance.settings import MaintenanceSettings
+from laurelstep.maintenance.source import MaintenanceSource
+from laurelstep.maintenance.state import MaintenanceState
+from laurelstep.maintenance.states import DRAINED_STATES
 from tests.fakes import ManualClock
-from tests.maintenance import COLD_US, GRACE_US, SECOND, Inner, PlayedEngine, line, wish_of
+from tests.maintenance import COLD_US, GRACE_US, SECOND, Inner, PlayedEngine, line, request_for
 
 MS = 1000
 COPIES, SEATS, OUT, MACHINES = 4, 3, 2, 6
 SEEDS = 120
-SETTINGS = UpkeepSettings(overdue_us=600 * SECOND)
+SETTINGS = MaintenanceSettings(overdue_us=600 * SECOND)
 
 
 class CoreCopy:
-    """One process, from one start on: a core, and the keeper on it."""
+    """One process, from one start on: a core, and the controller on it."""
 
     def __init__(self, world: CoreWorld, me: int) -> None:
         self.world, self.me, self.peers = world, me, COPIES
@@ -39,9 +39,9 @@
         self.on_change: Callable[[], None] = lambda: None
         self.dead = self.stopped = False
         self.inbox: list[tuple[int, bytes]] = []
-        self.roll = Roll()
+        self.state = MaintenanceState()
         draw = world.draw
-        machines = Machines({KIND[0]: self.roll})
+        machines = Machines({SUBSYSTEM_TAG[0]: self.state})
         self.core = Core(
             me,
             COPIES,
@@ -53,18 +53,18 @@
         )
         self.core.heard = self._hear
         self.engine = PlayedEngine(world.clock)
-        self.source = UpkeepSource(
-            Inner(), self.roll, world.clock, GRACE_US, self.run_steps, world.logged.append
+        self.source = MaintenanceSource(
+            Inner(), self.state, world.clock, GRACE_US, self.run_steps, world.logged.append
         )
-        self.source.out_at = self.engine.out_at
+        self.source.in_flight_at = self.engine.out_at
         self.source.start(self.engine, 0)
         self.source.listed(1, True, list(world.list))
-        self.keeper = Keeper(
-            self, self.roll, self.source, world.clock, SETTINGS, 0.2, COLD_US, world.logged.append
+        self.controller = MaintenanceController(
+            self, self.state, self.source, world.clock, SETTINGS, 0.2, COLD_US, world.logged.append
         )
-        self.desk = UpkeepDesk(self.keeper)
+        self.api = MaintenanceApi(self.controller)
         self.step(lambda now: self.core.start(now))
-        self.keeper.start()
+        self.controller.start()
 
     def run_steps(self, steps: Iterator[None], ended: Callable[[Exception | None], None]) -> None:
         for _ in steps:
@@ -112,17 +112,17 @@
         for peer, raw in inbox:
             self.receive(peer, raw)
         self.step(self.core.tick)
-        self.keeper.look()
+        self.controller.run_step()
 
     def stop(self) -> None:
         self.stopped = True
-        for handle in (self.keeper.timer, self.keeper.soon):
+        for handle in (self.controller.step_timer, self.controller.scheduled_step):
             if handle is not None:
                 handle.cancel()
 
     def die(self) -> None:
         self.dead = True
-        self.keeper.close()
+        self.controller.close()
 
     # --- As accord ----------------------------------------------------------------------
 
@@ -192,17 +192,17 @@
         return max(alive, key=lambda one: (eras.count(one.era), one.core.applied))
 
     def check(self) -> None:
-        roll = self.truth().roll
-        assert len(roll.machines) <= OUT, f"more out than a wish allows (seed {self.seed})"
-        for id, machine in roll.machines.items():
+        state = self.truth().state
+        assert len(state.machines) <= OUT, f"more out than a wish allows (seed {self.seed})"
+        for id, machine in state.machines.items():
             for one in self.copies:
-                if machine.state in CLEARED and not one.dead:
+                if machine.state in DRAINED_STATES and not one.dead:
                     assert not one.engine.is_out(id), f"clear while somebody may send (seed {self.seed})"
         same: dict[tuple[Era, int], bytes] = {}
         for one in self.copies:
             if not one.dead and one.known:
                 at = one.era, one.core.applied
-                assert same.setdefault(at, one.roll.dump()) == one.roll.dump(), (
+                assert same.setdefault(at, one.state.dump()) == one.state.dump(), (
                     f"two rolls (seed {self.seed})"
                 )
 
@@ -261,12 +261,15 @@
             match draw.randint(0, 9):
                 case 0:
                     zone = draw.choice("ab")
-                    one.desk.wish(wish_of(f"w{draw.randint(0, 1)}{zone}", OUT, zone=zone))
-                case 1 | 2 | 3 if one.roll.machines:
-                    one.desk.work(draw.choice(("begin", "done")), draw.choice(sorted(one.roll.machines)))
-                case 4 if one.roll.wishes and draw.random() < 0.3:
-                    one.desk.withdraw(next(iter(one.roll.wishes.values())).wish.name)
-        except UpkeepError:
+                    one.api.submit_request(request_for(f"w{draw.randint(0, 1)}{zone}", OUT, zone=zone))
+                case 1 | 2 | 3 if one.state.machines:
+                    one.api.report_work(
+                        draw.choice((CommandVerb.BEGIN_WORK, CommandVerb.FINISH_WORK)),
+                        draw.choice(sorted(one.state.machines)),
+                    )
+                case 4 if one.state.open_requests and draw.random() < 0.3:
+                    one.api.withdraw_request(next(iter(one.state.open_requests.values())).request.name)
+        except MaintenanceError:
             return
 
     def finish(self) -> None:
@@ -278,10 +281,10 @@
 
         def is_over() -> bool:
             first = self.copies[0]
-            for id, machine in list(first.roll.machines.items()):
-                if machine.state in CLEARED:
-                    first.desk.work("done", id)
-            return not self.truth().roll.wishes
+            for id, machine in list(first.state.machines.items()):
+                if machine.state in DRAINED_STATES:
+                    first.api.report_work(CommandVerb.FINISH_WORK, id)
+            return not self.truth().state.open_requests
 
         self.until(is_over, 240.0)
 
@@ -289,7 +292,7 @@
 def play(seed: int) -> int:
     """How many machines came back."""
     world = CoreWorld(seed)
-    world.until(lambda: all(one.source.open for one in world.copies))
+    world.until(lambda: all(one.source.is_forwarding for one in world.copies))
 
     def turn() -> None:
         world.fault()
@@ -297,7 +300,7 @@
 
     world.run(25, turn)
     world.finish()
-    return sum(past.machines for past in world.truth().roll.past)
+    return sum(past.machine_count for past in world.truth().state.past_requests)
 
 
 @pytest.mark.parametrize("part", range(4))
@@ -307,12 +310,12 @@
 
 
 def test_a_clear_one_confirmation_early_is_found_there_too(monkeypatch: pytest.MonkeyPatch) -> None:
-    missing = Confirmations.missing
+    missing = DrainAcknowledgements.missing_peers
 
-    def early(self: Confirmations, index: int, roll: Roll, peers: int) -> list[int]:
-        return missing(self, index, roll, peers)[1:]
+    def early(self: DrainAcknowledgements, index: int, state: MaintenanceState, peers: int) -> list[int]:
+        return missing(self, index, state, peers)[1:]
 
-    monkeypatch.setattr(Confirmations, "missing", early)
+    monkeypatch.setattr(DrainAcknowledgements, "missing_peers", early)
     with pytest.raises(AssertionError, match="clear while somebody may send"):
         for seed in range(SEEDS):
             play(seed)
@@ -321,51 +324,51 @@
 def test_whoever_leads_is_stopped_in_the_midst_and_goes_on_late() -> None:
     """SIGSTOP for longer than an election; what it then proposes is of no effect."""
     world = CoreWorld(5, loss=0.0)
-    world.until(lambda: all(one.source.open for one in world.copies))
+    world.until(lambda: all(one.source.is_forwarding for one in world.copies))
     leader = next(one for one in world.copies if one.leading)
     other = next(one for one in world.copies if not one.leading)
     other.engine.out["m0"] = 1
-    other.desk.wish(wish_of(out=OUT, zone="a"))
-    world.until(lambda: "m0" in world.truth().roll.machines)
+    other.api.submit_request(request_for(out=OUT, zone="a"))
+    world.until(lambda: "m0" in world.truth().state.machines)
     leader.stop()
     world.until(lambda: any(one.leading for one in world.copies if one is not leader))
     other.engine.out.clear()
     world.run(5)
-    assert world.truth().roll.machines["m0"].state == "leaving", "it has not confirmed"
+    assert world.truth().state.machines["m0"].state == "leaving", "it has not confirmed"
     leader.go_on()
-    world.until(lambda: world.truth().roll.machines["m0"].state == "clear")
+    world.until(lambda: world.truth().state.machines["m0"].state == "clear")
     world.finish()
 
 
 def test_all_copies_are_killed_between_leaving_and_clear() -> None:
     """Nothing lasts: the record is founded anew, and says that nothing is out."""
     world = CoreWorld(6, loss=0.0)
-    world.until(lambda: all(one.source.open for one in world.copies))
+    world.until(lambda: all(one.source.is_forwarding for one in world.copies))
     era = world.truth().era
     world.copies[1].engine.out["m0"] = 1
-    world.copies[0].desk.wish(wish_of(zone="a"))
-    world.until(lambda: "m0" in world.truth().roll.machines)
+    world.copies[0].api.submit_request(request_for(zone="a"))
+    world.until(lambda: "m0" in world.truth().state.machines)
     for one in world.copies:
         one.die()
     world.heal()
     assert not any(one.engine.ready for one in world.copies)
-    world.until(lambda: all(one.source.open for one in world.copies))
-    assert world.truth().era != era and not world.truth().roll.machines
+    world.until(lambda: all(one.source.is_forwarding for one in world.copies))
+    assert world.truth().era != era and not world.truth().state.machines
     assert all(len(one.engine.ready) == MACHINES for one in world.copies)
 
 
 def test_two_and_two_agree_on_nothing_new() -> None:
     """Four copies, three of them with seats: two of those on the one side go on, but nothing gets clear."""
     world = CoreWorld(7, loss=0.0)
-    world.until(lambda: all(one.source.open for one in world.copies))
+    world.until(lambda: all(one.source.is_forwarding for one in world.copies))
     world.cut = {(a, b) for a in range(4) for b in range(4) if (a < 2) != (b < 2)}
     world.run(5)
-    with pytest.raises(UpkeepError):
-        world.copies[2].desk.wish(wish_of(zone="a"))
-    world.copies[0].desk.wish(wish_of(zone="a"))
-    world.until(lambda: "m0" in world.truth().roll.machines)
+    with pytest.raises(MaintenanceError):
+        world.copies[2].api.submit_request(request_for(zone="a"))
+    world.copies[0].api.submit_request(request_for(zone="a"))
+    world.until(lambda: "m0" in world.truth().state.machines)
     world.run(10)
-    assert world.truth().roll.machines["m0"].state == "leaving"
+    assert world.truth().state.machines["m0"].state == "leaving"
     assert "m0" in world.copies[3].engine.ready, "it never heard of it, and serves on"
     world.cut.clear()
-    world.until(lambda: world.truth().roll.machines["m0"].state == "clear")
+    world.until(lambda: world.truth().state.machines["m0"].state == "clear")
--- a/tests/test_maintenance_encoding.py
+++ b/tests/test_maintenance_encoding.py
@@ -9,35 +9,41 @@
 
 import pytest
 
-from laurelstep.maintenance.calls import METHODS, reply_about
 from laurelstep.maintenance.entries import (
-    KIND,
-    Ask,
-    Confirm,
-    End,
-    Here,
-    Leave,
-    Step,
-    pack,
-    unpack_entry,
-    unpack_word,
+    SUBSYSTEM_TAG,
+    CommandVerb,
+    CompleteRequest,
+    DrainAcknowledgement,
+    DrainedCounts,
+    DrainMachine,
+    MachineTransition,
+    MaintenanceEntry,
+    OperatorCommand,
+    ReplicaStarted,
+    decode_entry,
+    decode_message,
+    encode,
 )
-from laurelstep.maintenance.roll import Roll
-from laurelstep.maintenance.wishes import Limits, UpkeepError, Wish
-from tests.maintenance import Tier, line, wish_of
-
-WISH = Wish("disk", Limits(2, "zone", 0.75), ("m1", "m2"), "a", 4, "small", 60)
-ENTRIES: dict[str, Ask | Leave | Step | End | Here] = {
-    "wish": Ask(1, 2**63 + 5, 3, "wish", WISH),
-    "withdraw": Ask(1, 7, 4, "withdraw", "disk", 11),
-    "begin": Ask(0, 7, 5, "begin", "m1", 12),
-    "done": Ask(0, 7, 6, "done", "m1", 12),
-    "absent": Ask(2, 7, 8, "absent", 1, 9),
-    "leave": Leave(12, 11, "m1", "a", 4, 1.5, 1_700_000_000_123, 6, 6.0, 7.5, (1, 2, 3), 0.25),
-    "step": Step("m1", 13, "clear"),
-    "drop": Step("m1", 13, "drop", "replaced"),
-    "end": End(14, 11),
-    "here": Here(2, 2**64 - 1),
+from laurelstep.maintenance.errors import ErrorCode, MaintenanceError
+from laurelstep.maintenance.requests import DisruptionLimits, MaintenanceRequest
+from laurelstep.maintenance.routes import METHODS, handle_call
+from laurelstep.maintenance.state import MaintenanceState
+from tests.maintenance import Tier, line, request_for
+
+REQUEST = MaintenanceRequest("disk", DisruptionLimits(2, "zone", 0.75), ("m1", "m2"), "a", 4, "small", 60)
+ENTRIES: dict[str, MaintenanceEntry] = {
+    "wish": OperatorCommand(1, 2**63 + 5, 3, "wish", REQUEST),
+    "withdraw": OperatorCommand(1, 7, 4, "withdraw", "disk", 11),
+    "begin": OperatorCommand(0, 7, 5, "begin", "m1", 12),
+    "done": OperatorCommand(0, 7, 6, "done", "m1", 12),
+    "absent": OperatorCommand(2, 7, 8, "absent", 1, 9),
+    "leave": DrainMachine(
+        12, 11, "m1", "a", 4, 1.5, 1_700_000_000_123, 6, 6.0, 7.5, DrainedCounts(1, 2, 3), 0.25
+    ),
+    "step": MachineTransition("m1", 13, "clear"),
+    "drop": MachineTransition("m1", 13, "drop", "replaced"),
+    "end": CompleteRequest(14, 11),
+    "here": ReplicaStarted(2, 2**64 - 1),
 }
 ENTRY_BYTES = {
     "wish": "75970101cf800000000000000503a47769736897a46469736b9302a47a6f6e65cb3fe800000000000092a26d31a26d32"
@@ -53,7 +59,10 @@
     "end": "7593040e0b",
     "here": "75930502cfffffffffffffffff",
 }
-MESSAGES: dict[str, Confirm] = {"confirm": Confirm(300), "unknown": Confirm(-1)}
+MESSAGES: dict[str, DrainAcknowledgement] = {
+    "confirm": DrainAcknowledgement(300),
+    "unknown": DrainAcknowledgement(-1),
+}
 MESSAGE_BYTES = {"confirm": "759206cd012c", "unknown": "759206ff"}
 
 # One with an open request, one that is over, a machine in each of two states, verdicts and an absent copy.
@@ -105,50 +114,81 @@
 @pytest.mark.parametrize("name", ENTRIES)
 def test_an_entry_has_the_recorded_bytes(name: str) -> None:
     data = bytes.fromhex(ENTRY_BYTES[name])
-    assert data[:1] == KIND == b"u"
-    assert pack(ENTRIES[name]) == data and unpack_entry(data[1:]) == ENTRIES[name]
+    assert data[:1] == SUBSYSTEM_TAG == b"u"
+    assert encode(ENTRIES[name]) == data and decode_entry(data[1:]) == ENTRIES[name]
 
 
 @pytest.mark.parametrize("name", MESSAGES)
 def test_a_message_has_the_recorded_bytes(name: str) -> None:
     data = bytes.fromhex(MESSAGE_BYTES[name])
-    assert pack(MESSAGES[name]) == data and unpack_word(data) == MESSAGES[name]
+    assert encode(MESSAGES[name]) == data and decode_message(data) == MESSAGES[name]
 
 
 def snapshot() -> bytes:
-    roll = Roll()
-
-    def leave(id: str, wish: int, weight: float) -> Leave:
-        return Leave(roll.changed, wish, id, "a", 4, weight, 17, 9, 9.0, 12.5, (0, 0, 0), 0.25)
-
-    def apply(entry: Ask | Leave | Step | End | Here) -> None:
-        roll.apply(roll.index + 1, pack(entry)[1:])
-
-    apply(Here(0, 5))
-    apply(Here(2, 2**64 - 1))
-    apply(Ask(0, 5, 1, "wish", Wish("disk", Limits(9, "zone", 0.125), (), "a", 4, "small", 60)))
-    apply(Ask(0, 5, 2, "wish", Wish("kernel", Limits(9, "tier", 0.0), ("m1", "m2", "m3"))))
-    for id, wish in (("m1", 4), ("m2", 4), ("m3", 4), ("m4", 3), ("m5", 3)):
-        apply(leave(id, wish, 1.5))
-    apply(Step("m1", roll.machines["m1"].since, "clear"))
-    apply(Ask(2, 6, 1, "begin", "m1", roll.machines["m1"].left))
-    apply(Step("m2", roll.machines["m2"].since, "drop", "replaced"))
-    apply(Step("m4", roll.machines["m4"].since, "clear"))
-    apply(Ask(2, 6, 2, "done", "m4"))
-    apply(Step("m5", roll.machines["m5"].since, "drop", "gone"))
-    apply(Step("m4", roll.machines["m4"].since, "back"))
-    apply(End(roll.changed, 3))
-    apply(Ask(1, 8, 1, "withdraw", "nothing"))
-    apply(Ask(0, 5, 3, "absent", 2, 2**64 - 1))
-    return roll.dump()
+    state = MaintenanceState()
+
+    def drain(machine_id: str, request_number: int, weight: float) -> DrainMachine:
+        return DrainMachine(
+            state.changed_index,
+            request_number,
+            machine_id,
+            "a",
+            4,
+            weight,
+            17,
+            9,
+            9.0,
+            12.5,
+            DrainedCounts(0, 0, 0),
+            0.25,
+        )
+
+    def apply(
+        entry: MaintenanceEntry,
+    ) -> None:
+        state.apply(state.index + 1, encode(entry)[1:])
+
+    apply(ReplicaStarted(0, 5))
+    apply(ReplicaStarted(2, 2**64 - 1))
+    apply(
+        OperatorCommand(
+            0,
+            5,
+            1,
+            "wish",
+            MaintenanceRequest("disk", DisruptionLimits(9, "zone", 0.125), (), "a", 4, "small", 60),
+        )
+    )
+    apply(
+        OperatorCommand(
+            0,
+            5,
+            2,
+            "wish",
+            MaintenanceRequest("kernel", DisruptionLimits(9, "tier", 0.0), ("m1", "m2", "m3")),
+        )
+    )
+    for machine_id, number in (("m1", 4), ("m2", 4), ("m3", 4), ("m4", 3), ("m5", 3)):
+        apply(drain(machine_id, number, 1.5))
+    apply(MachineTransition("m1", state.machines["m1"].since_index, "clear"))
+    apply(OperatorCommand(2, 6, 1, "begin", "m1", state.machines["m1"].drain_index))
+    apply(MachineTransition("m2", state.machines["m2"].since_index, "drop", "replaced"))
+    apply(MachineTransition("m4", state.machines["m4"].since_index, "clear"))
+    apply(OperatorCommand(2, 6, 2, "done", "m4"))
+    apply(MachineTransition("m5", state.machines["m5"].since_index, "drop", "gone"))
+    apply(MachineTransition("m4", state.machines["m4"].since_index, "back"))
+    apply(CompleteRequest(state.changed_index, 3))
+    apply(OperatorCommand(1, 8, 1, "withdraw", "nothing"))
+    apply(OperatorCommand(0, 5, 3, "absent", 2, 2**64 - 1))
+    return state.dump()
 
 
 def test_a_snapshot_has_the_recorded_bytes() -> None:
     assert snapshot().hex() == SNAPSHOT
-    roll = Roll()
-    roll.load(bytes.fromhex(SNAPSHOT))
-    assert roll.dump().hex() == SNAPSHOT
-    assert {id: machine.state.value for id, machine in roll.machines.items()} == {
+    state = MaintenanceState()
+    state.load(bytes.fromhex(SNAPSHOT))
+    assert state.dump().hex() == SNAPSHOT
+    assert {machine_id: machine.state.value for machine_id, machine in state.machines.items()} == {
         "m1": "at work",
         "m3": "leaving",
     }
@@ -158,24 +198,24 @@
     """A tier with one machine at work, one that leaves, and a request whose turn has not come."""
     tier = Tier(3, [line(f"m{n}", "ab"[n % 2]) for n in range(6)])
     tier.settle(2)
-    tier.copies[0].desk.wish(wish_of("disk", 2, zone="a"))
+    tier.copies[0].api.submit_request(request_for("disk", 2, zone="a"))
     tier.settle()
-    tier.copies[0].desk.work("begin", "m0")
+    tier.copies[0].api.report_work(CommandVerb.BEGIN_WORK, "m0")
     tier.settle(1)
     tier.copies[1].engine.out["m4"] = 1
-    tier.copies[0].desk.work("done", "m2")
+    tier.copies[0].api.report_work(CommandVerb.FINISH_WORK, "m2")
     tier.settle(6)
-    tier.copies[0].desk.wish(wish_of("kernel", 1, zone="b"))
-    tier.copies[0].desk.absent(2)
+    tier.copies[0].api.submit_request(request_for("kernel", 1, zone="b"))
+    tier.copies[0].api.declare_absent(2)
     tier.settle(1)
-    tier.copies[0].desk.withdraw("kernel")
+    tier.copies[0].api.withdraw_request("kernel")
     tier.settle(1)
-    tier.copies[0].desk.wish(wish_of("last", 1, zone="b"))
+    tier.copies[0].api.submit_request(request_for("last", 1, zone="b"))
     return tier
 
 
 def test_the_status_has_the_recorded_form() -> None:
-    reply = reply_about(b"GET", b"/api/upkeep", played().copies[0].desk)
+    reply = handle_call(b"GET", b"/api/upkeep", played().copies[0].api)
     assert reply is not None and reply.status == 200 and reply.kind == b"application/json"
     assert reply.body.decode() == STATUS
 
@@ -206,7 +246,7 @@
     tier = played()
     found = []
     for target in TARGETS:
-        reply = reply_about(b"POST", b"/api/upkeep" + target, tier.copies[0].desk)
+        reply = handle_call(b"POST", b"/api/upkeep" + target, tier.copies[0].api)
         assert reply is not None
         told = json.loads(reply.body)
         found.append([target.decode()[:40], reply.status, told.get("error", told.get("state")), list(told)])
@@ -222,7 +262,8 @@
         "/api/upkeep/done": "POST",
         "/api/upkeep/absent": "POST",
     }
-    assert {error.__name__ for error in UpkeepError.__subclasses__()} == {
+    assert {error.code for error in MaintenanceError.__subclasses__()} == set(ErrorCode)
+    assert set(ErrorCode) == {
         "WishError", "LimitError", "UnknownMachineError", "UnknownWishError", "UnknownPeerError",
         "ContradictionError", "NeverError", "FitError", "ManyError", "OrderError", "CutOffError",
     }  # fmt: skip
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -611,17 +611,17 @@
 EARLY: Final = """
 import sys
 from laurelstep.__main__ import main
-from laurelstep.maintenance.plan import Confirmations
-missing = Confirmations.missing
-Confirmations.missing = lambda *given: missing(*given)[1:]
+from laurelstep.maintenance.acknowledgements import DrainAcknowledgements
+missing_peers = DrainAcknowledgements.missing_peers
+DrainAcknowledgements.missing_peers = lambda *given: missing_peers(*given)[1:]
 sys.exit(main(sys.argv[1:]))
 """
 # Drains are not told to the module: it sends where it sent before.
 UNTOLD: Final = """
 import sys
 from laurelstep.__main__ import main
-from laurelstep.maintenance.shown import Shown
-Shown.raw = lambda self, member: member.raw(member.phase, member.started_ms)
+from laurelstep.maintenance.overlay import EndpointOverlay
+EndpointOverlay.overlaid_entry = lambda self, machine: machine.to_entry(machine.phase, machine.started_ms)
 sys.exit(main(sys.argv[1:]))
 """
 
--- a/tests/test_maintenance_schedules.py
+++ b/tests/test_maintenance_schedules.py
@@ -14,18 +14,29 @@
 import pytest
 
 from laurelstep.interface import READY
-from laurelstep.maintenance import plan as plan_module
-from laurelstep.maintenance import roll as roll_module
-from laurelstep.maintenance.entries import Ask, Confirm, Leave, Step, pack, unpack_entry, unpack_word
-from laurelstep.maintenance.keeper import Keeper
-from laurelstep.maintenance.options import UpkeepSettings
-from laurelstep.maintenance.plan import Confirmations
-from laurelstep.maintenance.roll import Roll
-from laurelstep.maintenance.shown import Shown
-from laurelstep.maintenance.source import UpkeepSource
-from laurelstep.maintenance.states import CLEARED, HELD, State
-from laurelstep.maintenance.wishes import UpkeepError
-from tests.maintenance import SECOND, Copy, Tier, line, wish_of
+from laurelstep.maintenance import limits as limits_module
+from laurelstep.maintenance import planner as planner_module
+from laurelstep.maintenance import state as state_module
+from laurelstep.maintenance.acknowledgements import Acknowledgement, DrainAcknowledgements
+from laurelstep.maintenance.controller import MaintenanceController
+from laurelstep.maintenance.entries import (
+    CommandVerb,
+    DrainAcknowledgement,
+    DrainMachine,
+    MachineTransition,
+    OperatorCommand,
+    decode_entry,
+    decode_message,
+    encode,
+)
+from laurelstep.maintenance.errors import MaintenanceError
+from laurelstep.maintenance.overlay import EndpointOverlay
+from laurelstep.maintenance.settings import MaintenanceSettings
+from laurelstep.maintenance.source import MaintenanceSource
+from laurelstep.maintenance.state import MaintenanceState
+from laurelstep.maintenance.states import CORDONED_STATES, DRAINED_STATES, MachineState
+from laurelstep.maintenance.status import StatusReport
+from tests.maintenance import SECOND, Copy, Tier, line, request_for
 from tests.once import seeds
 
 SEEDS = seeds(3000)
@@ -38,11 +49,11 @@
 
 
 def is_ask(entry: Any) -> bool:
-    return isinstance(entry, Ask)
+    return isinstance(entry, OperatorCommand)
 
 
 def is_step(entry: Any) -> bool:
-    return isinstance(entry, Step)
+    return isinstance(entry, MachineTransition)
 
 
 class BrokenError(AssertionError):
@@ -52,8 +63,8 @@
 class Proposal:
     def __init__(self, by: Copy, data: bytes, by_sending: dict[int, int]) -> None:
         self.data = data
-        table = by.source.table.members.values()
-        self.listed = {one.id: (one.phase == READY, one.size) for one in table}
+        table = by.source.table.machines.values()
+        self.listed = {one.machine_id: (one.phase == READY, one.capacity) for one in table}
         # Copies that have told the proposer that they send without the record.
         self.sending = dict(by_sending)
 
@@ -68,7 +79,7 @@
         self.deaf: set[int] = set()  # copies that hear no lists
         self.slow: set[int] = set()  # copies that learn the record late
         self.truths: dict[str, tuple[str, int]] = {}  # zone and cell, whoever says what
-        settings = UpkeepSettings(
+        settings = MaintenanceSettings(
             overdue_us=20 * SECOND,
             start_alone="serve" if self.draw.random() < 0.25 else "wait",
             learn_us=2 * SECOND,
@@ -85,44 +96,52 @@
         self.pending.append(Proposal(by, data, self.sending.get(by.incarnation, {})))
 
     def agree(self, proposal: Proposal) -> None:
-        before = {id: (one.state, one.left) for id, one in self.roll.machines.items()}
+        before = {id: (one.state, one.drain_index) for id, one in self.state.machines.items()}
         self.append(proposal.data)
-        entry = unpack_entry(proposal.data[1:])
-        if isinstance(entry, Leave) and entry.id in self.roll.machines and entry.id not in before:
+        entry = decode_entry(proposal.data[1:])
+        if (
+            isinstance(entry, DrainMachine)
+            and entry.machine_id in self.state.machines
+            and entry.machine_id not in before
+        ):
             self.check_limits(entry, proposal)
-        if isinstance(entry, Step) and entry.event == "clear":
-            machine = self.roll.machines.get(entry.id)
-            if machine is not None and machine.since == len(self.log):
+        if isinstance(entry, MachineTransition) and entry.event == "clear":
+            machine = self.state.machines.get(entry.machine_id)
+            if machine is not None and machine.since_index == len(self.log):
                 for peer, incarnation in proposal.sending.items():
                     copy = self.copies[peer]
-                    if not copy.dead and copy.incarnation == incarnation and copy.engine.is_out(entry.id):
+                    if (
+                        not copy.dead
+                        and copy.incarnation == incarnation
+                        and copy.engine.is_out(entry.machine_id)
+                    ):
                         self.broken("clear while one had said that it sends")
 
     def broken(self, rule: str) -> None:
         raise BrokenError(rule)
 
-    def check_limits(self, entry: Leave, proposal: Proposal) -> None:
+    def check_limits(self, entry: DrainMachine, proposal: Proposal) -> None:
         """Counted anew, from the truth about the machines and what the proposer's list said."""
-        out = self.roll.machines
-        zone, cell = self.truth(entry.id)
-        for one in self.roll.wishes.values():
-            if one.withdrawn:
+        out = self.state.machines
+        zone, cell = self.truth(entry.machine_id)
+        for one in self.state.open_requests.values():
+            if one.is_withdrawn:
                 continue
-            limits = one.wish.limits
+            limits = one.request.limits
             count = 0
             for id in out:
                 its_zone, its_cell = self.truth(id)
                 where = {"zone": its_zone == zone, "cell": its_cell == cell, "tier": True}
-                count += where[limits.per]
-            if count > limits.out:
+                count += where[limits.scope]
+            if count > limits.max_unavailable:
                 self.broken("more out than a wish allows")
             total = sum(size for id, (_, size) in proposal.listed.items() if id not in out)
             stays = sum(size for id, (ready, size) in proposal.listed.items() if ready and id not in out)
             for machine in out.values():
                 total += machine.weight
-                if machine.state == State.RETURNING:
+                if machine.state == MachineState.WARMING_UP:
                     stays += 0.2 * machine.weight
-            if stays < limits.share * total - 1e-6:
+            if stays < limits.min_capacity_share * total - 1e-6:
                 self.broken("less stays than a wish says")
         if not any(ready and id not in out for id, (ready, _) in proposal.listed.items()):
             self.broken("the last ready machine was taken")
@@ -135,19 +154,21 @@
     # --- The rules --------------------------------------------------------------------
 
     def check(self) -> None:
-        cleared = [one.id for one in self.roll.machines.values() if one.state in CLEARED]
+        cleared = [one.machine_id for one in self.state.machines.values() if one.state in DRAINED_STATES]
         for copy in self.alive:
             engine, source = copy.engine, copy.source
             for id in cleared:
-                hold = source.shown.holds.get(id)
+                cordon = source.overlay.cordons.get(id)
                 # It began without the record, as its operator chose, and has not confirmed since.
-                went_alone = copy.keeper.alone and (hold is None or not hold.quiet)
+                went_alone = copy.controller.serves_without_state and (
+                    cordon is None or not cordon.is_drained
+                )
                 if engine.is_out(id) and not went_alone:
                     self.broken("clear while somebody may send")
-            if not source.open and engine.ready:
+            if not source.is_forwarding and engine.ready:
                 self.broken("sends before it may")
             for id in engine.ready:
-                member = source.table.members.get(id)
+                member = source.table.machines.get(id)
                 if member is None or member.phase != READY:
                     self.broken("ready against discovery")
             self.check_holds(copy)
@@ -155,20 +176,20 @@
     def check_holds(self, copy: Copy) -> None:
         """A process that was told of more than it holds back, or that holds back its last one."""
         source = copy.source
-        if not source.learned or not copy.known:
+        if not source.has_learned_state or not copy.known:
             return
-        held = {id for id, one in copy.roll.machines.items() if one.state in HELD}
-        ready = {id for id, one in source.table.members.items() if one.phase == READY}
-        if copy.engine.ready.keys() - held != ready - held and not copy.keeper.soon:
+        held = {id for id, one in copy.state.machines.items() if one.state in CORDONED_STATES}
+        ready = {id for id, one in source.table.machines.items() if one.phase == READY}
+        if copy.engine.ready.keys() - held != ready - held and not copy.controller.scheduled_step:
             self.broken("not ready, and not held")
 
     def check_taking(self, copy: Copy, before: set[str]) -> None:
         """What a look of one copy took: never its last ready one, but for what is clear."""
         after = copy.engine.ready.keys()
         taken = before - after
-        if taken and not after and copy.source.table.ready:
-            states = [copy.roll.machines[id].state for id in taken if id in copy.roll.machines]
-            if states and all(state == State.LEAVING for state in states):
+        if taken and not after and copy.source.table.ready_count:
+            states = [copy.state.machines[id].state for id in taken if id in copy.state.machines]
+            if states and all(state == MachineState.DRAINING for state in states):
                 self.broken("the last ready machine was taken")
 
     # --- The schedule -----------------------------------------------------------------
@@ -186,8 +207,8 @@
         copy = self.one()
         if copy is not None:
             before = set(copy.engine.ready)
-            fresh = copy.source.shown.fresh
-            copy.keeper.look()
+            fresh = copy.source.overlay.is_first_update
+            copy.controller.run_step()
             if not fresh:
                 self.check_taking(copy, before)
 
@@ -220,7 +241,7 @@
         """A word gets to those who lead, or believe that they do."""
         for copy in self.alive:
             if copy.leading and not copy.cut:
-                if unpack_word(data) == Confirm(-1):
+                if decode_message(data) == DrainAcknowledgement(-1):
                     self.sending.setdefault(copy.incarnation, {})[peer] = incarnation
                 copy.heard(peer, incarnation, data)
 
@@ -314,34 +335,34 @@
         draw = self.draw
         named: dict[str, Any] = draw.choice(
             (
-                {"zone": "a"}, {"zone": "b"}, {"cell": 1}, {"kind": "small"}, {"ids": ("m0", "m1")},
-                {"ids": (f"m{draw.randint(0, 6)}",)},
+                {"zone": "a"}, {"zone": "b"}, {"cell": 1}, {"kind": "small"}, {"machine_ids": ("m0", "m1")},
+                {"machine_ids": (f"m{draw.randint(0, 6)}",)},
             )
         )  # fmt: skip
-        wish = wish_of(
+        wish = request_for(
             f"w{draw.randint(0, 3)}", draw.randint(1, 3), draw.choice(("zone", "cell", "tier")),
             draw.choice((0.0, 0.0, 0.5, 0.7)), **named,
         )  # fmt: skip
-        self.asks(lambda: copy.desk.wish(wish))
+        self.asks(lambda: copy.api.submit_request(wish))
 
     def asks(self, what: Callable[[], object]) -> None:
         try:
             what()
-        except UpkeepError:
+        except MaintenanceError:
             return
 
     def withdraws(self) -> None:
         copy = self.one()
-        if copy is not None and copy.roll.wishes:
-            name = self.draw.choice(list(copy.roll.wishes.values())).wish.name
-            self.asks(lambda: copy.desk.withdraw(name))
+        if copy is not None and copy.state.open_requests:
+            name = self.draw.choice(list(copy.state.open_requests.values())).request.name
+            self.asks(lambda: copy.api.withdraw_request(name))
 
     def works(self) -> None:
         copy = self.one()
-        if copy is not None and copy.roll.machines:
-            id = self.draw.choice(list(copy.roll.machines))
-            event = self.draw.choice(("begin", "done"))
-            self.asks(lambda: copy.desk.work(event, id))
+        if copy is not None and copy.state.machines:
+            id = self.draw.choice(list(copy.state.machines))
+            event = self.draw.choice((CommandVerb.BEGIN_WORK, CommandVerb.FINISH_WORK))
+            self.asks(lambda: copy.api.report_work(event, id))
 
     def declares(self) -> None:
         """Somebody who has looked says that a process is no more."""
@@ -350,8 +371,8 @@
         if copy is not None and dead:
             peer = self.draw.choice(dead)
             # He means the process that he saw dead, of which this copy must have heard.
-            if copy.roll.here.get(peer, 0) in (0, self.copies[peer].incarnation):
-                self.asks(lambda: copy.desk.absent(peer))
+            if copy.state.incarnations.get(peer, 0) in (0, self.copies[peer].incarnation):
+                self.asks(lambda: copy.api.declare_absent(peer))
 
     def goes_well(self, rounds: int = 0, aside: Kind | None = None) -> list[Proposal]:
         """A few rounds in which what can get through does; proposals of one kind may be set aside."""
@@ -365,14 +386,14 @@
                         copy.catch_up()
                         copy.known = True
                 before = set(copy.engine.ready)
-                fresh = copy.source.shown.fresh
-                copy.keeper.look()
+                fresh = copy.source.overlay.is_first_update
+                copy.controller.run_step()
                 if not fresh:
                     self.check_taking(copy, before)
             self.carry_words()
             while self.pending:
                 proposal = self.pending.pop(0)
-                if aside is not None and aside(unpack_entry(proposal.data[1:])):
+                if aside is not None and aside(decode_entry(proposal.data[1:])):
                     found.append(proposal)
                 else:
                     self.agree(proposal)
@@ -394,28 +415,28 @@
         last = self.copies[-1]
         self.goes_well(3)
         last.die()
-        self.asks(lambda: self.copies[0].desk.absent(last.me))
+        self.asks(lambda: self.copies[0].api.declare_absent(last.me))
         aside = self.goes_well(2, is_ask)
         self.restart(last.me)
         self.goes_well(4)
         for proposal in aside:
             self.agree(proposal)
         self.copies[-1].cut = True
-        self.asks(lambda: self.copies[0].desk.wish(wish_of("w0", 2, ids=("m0",))))
+        self.asks(lambda: self.copies[0].api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
         self.goes_well(6)
 
     def one_serves_without_the_record(self) -> None:
         first, last = self.copies[0], self.copies[-1]
         self.goes_well(3)
         self.copies[-2].cut = len(self.copies) > 2
-        self.asks(lambda: first.desk.wish(wish_of("w0", 2, ids=("m0",))))
+        self.asks(lambda: first.api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
         self.goes_well(5, is_step)
         last.die()
         self.slow.add(last.me)
         last = self.restart(last.me)
         for _ in range(30):
             self.goes_well(1, is_step)
-            if last.keeper.alone:
+            if last.controller.serves_without_state:
                 break
         self.goes_well(2, is_step)
         self.copies[-2].cut = False
@@ -425,16 +446,16 @@
         first, last = self.copies[0], self.copies[-1]
         self.goes_well(3)
         last.die()
-        self.asks(lambda: first.desk.absent(last.me))
+        self.asks(lambda: first.api.declare_absent(last.me))
         self.goes_well(3)
         self.slow.add(last.me)
         last = self.restart(last.me)
         for _ in range(30):
             self.goes_well(1)
-            if last.keeper.alone:
+            if last.controller.serves_without_state:
                 break
         self.goes_well(2)
-        self.asks(lambda: first.desk.wish(wish_of("w0", 2, ids=("m0",))))
+        self.asks(lambda: first.api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
         self.goes_well(8)
 
     def one_has_an_old_list(self) -> None:
@@ -444,20 +465,20 @@
         self.goes_well(3)
         self.deaf.add(last.me)
         self.list_as(*({**self.list[id], "lifecycle": "ready"} for id in ids))
-        self.asks(lambda: self.copies[0].desk.wish(wish_of("w0", 2, ids=(ids[0],))))
+        self.asks(lambda: self.copies[0].api.submit_request(request_for("w0", 2, machine_ids=(ids[0],))))
         self.goes_well(5)
 
     def one_clear_is_late(self) -> None:
-        desk = self.copies[0].desk
+        api = self.copies[0].api
         self.goes_well(3)
-        self.asks(lambda: desk.wish(wish_of("w0", 2, ids=("m0",))))
+        self.asks(lambda: api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
         aside = self.goes_well(8, is_step)
-        self.asks(lambda: desk.withdraw("w0"))
+        self.asks(lambda: api.withdraw_request("w0"))
         self.goes_well(3)
-        self.asks(lambda: desk.wish(wish_of("w1", 2, ids=("m0",))))
+        self.asks(lambda: api.submit_request(request_for("w1", 2, machine_ids=("m0",))))
         for _ in range(6):
             self.goes_well(1, is_step)
-            if "m0" in self.roll.machines:
+            if "m0" in self.state.machines:
                 break
         for proposal in aside:
             self.agree(proposal)
@@ -486,23 +507,23 @@
             self.check()
             self.clock.time += SECOND  # `turn` looks: no timer is needed
             self.clock.due.clear()
-            if not self.roll.wishes and not self.roll.machines:
+            if not self.state.open_requests and not self.state.machines:
                 return
             self.staff()
-        states = self.states(), [one.wish for one in self.roll.wishes.values()]
+        states = self.states(), [one.request for one in self.state.open_requests.values()]
         self.broken(f"no progress once faults ended: {states}")
 
     def staff(self) -> None:
-        desk = self.copies[0].desk
-        for machine in list(self.copies[0].roll.machines.values()):
-            if machine.state in CLEARED:
-                id = machine.id
-                self.asks(lambda id=id: desk.work("done", id))  # type: ignore[misc]
-        for one in list(self.copies[0].roll.wishes.values()):
-            name = one.wish.name
-            told = desk.told_wish(one)
+        api = self.copies[0].api
+        for machine in list(self.copies[0].state.machines.values()):
+            if machine.state in DRAINED_STATES:
+                id = machine.machine_id
+                self.asks(lambda id=id: api.report_work(CommandVerb.FINISH_WORK, id))  # type: ignore[misc]
+        for one in list(self.copies[0].state.open_requests.values()):
+            name = one.request.name
+            told = StatusReport(self.copies[0].controller).describe_request(one)
             if told["never"]:
-                self.asks(lambda name=name: desk.withdraw(name))  # type: ignore[misc]
+                self.asks(lambda name=name: api.withdraw_request(name))  # type: ignore[misc]
 
     def run(self) -> None:
         for copy in self.copies:
@@ -555,133 +576,149 @@
 
 
 def one_confirmation_early(patch: pytest.MonkeyPatch) -> None:
-    missing = Confirmations.missing
+    missing = DrainAcknowledgements.missing_peers
 
-    def early(self: Confirmations, index: int, roll: Roll, peers: int) -> list[int]:
-        return missing(self, index, roll, peers)[1:]
+    def early(self: DrainAcknowledgements, index: int, state: MaintenanceState, peers: int) -> list[int]:
+        return missing(self, index, state, peers)[1:]
 
-    patch.setattr(Confirmations, "missing", early)
+    patch.setattr(DrainAcknowledgements, "missing_peers", early)
 
 
 def limits_only_by_the_leader(patch: pytest.MonkeyPatch) -> None:
     """What is proposed is planned as ever, and applied without a look."""
-    leave, binding = Roll._leave, Roll.binding
+    drain, blocking = MaintenanceState._drain_machine, MaintenanceState.blocking_limit
 
-    def blind(self: Roll, index: int, entry: Leave) -> bool:
-        entry = Leave(self.changed, *[getattr(entry, key) for key in entry.__struct_fields__[1:]])
-        patch_binding = Roll.binding
-        Roll.binding = lambda self, entry, alone=False: None  # type: ignore[method-assign]
+    def blind(self: MaintenanceState, index: int, entry: DrainMachine) -> bool:
+        entry = DrainMachine(
+            self.changed_index, *[getattr(entry, key) for key in entry.__struct_fields__[1:]]
+        )
+        patched = MaintenanceState.blocking_limit
+        MaintenanceState.blocking_limit = lambda self, entry, ignore_others=False: None  # type: ignore[method-assign]
         try:
-            return leave(self, index, entry)
+            return drain(self, index, entry)
         finally:
-            Roll.binding = patch_binding  # type: ignore[method-assign]
+            MaintenanceState.blocking_limit = patched  # type: ignore[method-assign]
 
-    assert binding is Roll.binding
-    patch.setattr(Roll, "_leave", blind)
+    assert blocking is MaintenanceState.blocking_limit
+    patch.setattr(MaintenanceState, "_drain_machine", blind)
 
 
 def older_incarnation_counted(patch: pytest.MonkeyPatch) -> None:
-    def hear(self: Confirmations, peer: int, incarnation: int, quiet: int) -> None:
-        old = self.quiet.get(peer)
-        if old is not None and old[1] > quiet:
-            incarnation, quiet = old
-        self.quiet[peer] = incarnation, quiet
+    def record(self: DrainAcknowledgements, peer: int, incarnation: int, drained_index: int) -> None:
+        old = self.by_peer.get(peer)
+        if old is not None and old.drained_index > drained_index:
+            incarnation, drained_index = old
+        self.by_peer[peer] = Acknowledgement(incarnation, drained_index)
 
-    patch.setattr(Confirmations, "hear", hear)
+    patch.setattr(DrainAcknowledgements, "record", record)
 
 
 def hold_forgotten_when_cut_off(patch: pytest.MonkeyPatch) -> None:
-    refresh = UpkeepSource.refresh
+    refresh = MaintenanceSource.refresh
 
-    def forgetful(self: UpkeepSource) -> None:
+    def forgetful(self: MaintenanceSource) -> None:
         refresh(self)
-        keeper = getattr(self.on_list, "__self__", None)
-        if isinstance(keeper, Keeper) and not keeper.accord.in_touch and self.shown.holds:
-            ids = list(self.shown.holds)
-            self.shown.holds.clear()
-            self._tell(False, [id for id in ids if id in self.table.members])
+        controller = getattr(self.on_list_changed, "__self__", None)
+        if (
+            isinstance(controller, MaintenanceController)
+            and not controller.consensus.in_touch
+            and self.overlay.cordons
+        ):
+            ids = list(self.overlay.cordons)
+            self.overlay.cordons.clear()
+            self._publish(False, [id for id in ids if id in self.table.machines])
 
-    patch.setattr(UpkeepSource, "refresh", forgetful)
+    patch.setattr(MaintenanceSource, "refresh", forgetful)
 
 
 def return_without_the_limits(patch: pytest.MonkeyPatch) -> None:
-    broken = roll_module.broken
+    violated_limit = limits_module.violated_limit
 
-    def lenient(limits: Any, entry: Leave, out: list[Any], alone: bool = False) -> str | None:
-        return broken(limits, entry, [one for one in out if one.state != State.RETURNING], alone)
+    def lenient(limits: Any, entry: DrainMachine, out: list[Any], ignore_others: bool = False) -> str | None:
+        return violated_limit(
+            limits, entry, [one for one in out if one.state != MachineState.WARMING_UP], ignore_others
+        )
 
-    patch.setattr(roll_module, "broken", lenient)
+    patch.setattr(state_module, "violated_limit", lenient)
 
 
 def quiet_before_the_grace(patch: pytest.MonkeyPatch) -> None:
-    quiet = Shown.quiet
-    patch.setattr(Shown, "quiet", lambda self, roll, now, grace, out: quiet(self, roll, now, 0, out))
+    drained_index = EndpointOverlay.drained_index
+    patch.setattr(
+        EndpointOverlay,
+        "drained_index",
+        lambda self, state, now, grace, out: drained_index(self, state, now, 0, out),
+    )
 
 
 def quiet_with_requests_out(patch: pytest.MonkeyPatch) -> None:
-    quiet = Shown.quiet
+    drained_index = EndpointOverlay.drained_index
     patch.setattr(
-        Shown, "quiet", lambda self, roll, now, grace, out: quiet(self, roll, now, grace, lambda id: 0)
+        EndpointOverlay,
+        "quiet",
+        lambda self, state, now, grace, out: drained_index(self, state, now, grace, lambda id: 0),
     )
 
 
 def sends_before_it_knows(patch: pytest.MonkeyPatch) -> None:
-    start = Keeper.start
+    start = MaintenanceController.start
 
-    def hasty(self: Keeper) -> None:
+    def hasty(self: MaintenanceController) -> None:
         start(self)
-        self.source.go_on(False)
+        self.source.start_forwarding(False)
 
-    patch.setattr(Keeper, "start", hasty)
+    patch.setattr(MaintenanceController, "start", hasty)
 
 
 def absent_names_no_incarnation(patch: pytest.MonkeyPatch) -> None:
-    do = Roll._do
+    execute = MaintenanceState._execute_command
 
-    def any_incarnation(self: Roll, index: int, ask: Any) -> str:
-        if ask.verb == "absent":
-            self.absent.add(ask.what)
+    def any_incarnation(self: MaintenanceState, index: int, command: Any) -> str:
+        if command.verb == "absent":
+            self.absent_peers.add(command.argument)
             return ""
-        return do(self, index, ask)
+        return execute(self, index, command)
 
-    patch.setattr(Roll, "_do", any_incarnation)
+    patch.setattr(MaintenanceState, "_execute_command", any_incarnation)
 
 
 def absent_for_one_that_is_heard(patch: pytest.MonkeyPatch) -> None:
-    missing = Confirmations.missing
+    missing = DrainAcknowledgements.missing_peers
 
-    def blind(self: Confirmations, index: int, roll: Roll, peers: int) -> list[int]:
-        return [peer for peer in missing(self, index, roll, peers) if peer not in roll.absent]
+    def blind(self: DrainAcknowledgements, index: int, state: MaintenanceState, peers: int) -> list[int]:
+        return [peer for peer in missing(self, index, state, peers) if peer not in state.absent_peers]
 
-    patch.setattr(Confirmations, "missing", blind)
+    patch.setattr(DrainAcknowledgements, "missing_peers", blind)
 
 
 def last_one_taken(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Shown, "_free", lambda self, table: 1000)
+    patch.setattr(EndpointOverlay, "_uncordoned_ready_count", lambda self, table: 1000)
 
 
 def late_steps_hold(patch: pytest.MonkeyPatch) -> None:
     """A `clear` for an earlier leaving counts for a later one."""
-    step = Roll._step
+    apply_transition = MaintenanceState._apply_transition
 
-    def timeless(self: Roll, index: int, entry: Step) -> bool:
-        machine = self.machines.get(entry.id)
-        since = entry.since if machine is None else machine.since
-        return step(self, index, Step(entry.id, since, entry.event, entry.why))
+    def timeless(self: MaintenanceState, index: int, entry: MachineTransition) -> bool:
+        machine = self.machines.get(entry.machine_id)
+        since_index = entry.since_index if machine is None else machine.since_index
+        return apply_transition(
+            self, index, MachineTransition(entry.machine_id, since_index, entry.event, entry.reason)
+        )
 
-    patch.setattr(Roll, "_step", timeless)
+    patch.setattr(MaintenanceState, "_apply_transition", timeless)
 
 
 def discovery_loses(patch: pytest.MonkeyPatch) -> None:
-    as_it_is = Shown.raw
+    as_it_is = EndpointOverlay.overlaid_entry
 
-    def raw(self: Shown, member: Any) -> dict[str, Any]:
-        found = as_it_is(self, member)
-        if member.id in self.returned and not self.is_held(member.id):
+    def raw(self: EndpointOverlay, machine: Any) -> dict[str, Any]:
+        found = as_it_is(self, machine)
+        if machine.machine_id in self.returned_ms and not self.is_cordoned(machine.machine_id):
             found["lifecycle"] = "ready"
         return found
 
-    patch.setattr(Shown, "raw", raw)
+    patch.setattr(EndpointOverlay, "overlaid_entry", raw)
 
 
 def never_told_again(patch: pytest.MonkeyPatch) -> None:
@@ -726,5 +763,5 @@
 
 def test_words_and_entries_are_what_they_say() -> None:
     """What the world carries is read as it is on a real link."""
-    assert unpack_word(pack(Confirm(7))) == Confirm(7)
-    assert plan_module.Confirmations is Confirmations
+    assert decode_message(encode(DrainAcknowledgement(7))) == DrainAcknowledgement(7)
+    assert vars(planner_module)["DrainAcknowledgements"] is DrainAcknowledgements
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -14,7 +14,7 @@
 from laurelstep.accord.options import AccordSettings, seats_for
 from laurelstep.interface import KEYED, SAFE, SCOPE_CELL, UNSAFE
 from laurelstep.library import Client
-from laurelstep.maintenance.options import UpkeepSettings
+from laurelstep.maintenance.settings import MaintenanceSettings
 from laurelstep.settings import ConfigError, read_file, read_platform
 from laurelstep.settings.operator import AccordTable, Operator, read_operator
 from tests.sockets import SETTINGS
@@ -208,13 +208,13 @@
         (operator.RecordedClass, whole["orders"]["classes"][0]),
         (operator.WorkersTable, whole["workers"]),
         (operator.AccordTable, whole["accord"]),
-        (operator.UpkeepTable, whole["upkeep"]),
+        (operator.MaintenanceTable, whole["upkeep"]),
     ):
         fields = {name: getattr(table, name, None) for name in table.__struct_fields__}
         missing = set(fields) - set(given)
         assert not missing, f"{table.__name__}: {missing} is not shown"
     assert operator.AccordTable(**{k: v for k, v in whole["accord"].items() if k in SHOWN}) == AccordTable()
-    assert operator.UpkeepTable(**whole["upkeep"]) == operator.UpkeepTable()
+    assert operator.MaintenanceTable(**whole["upkeep"]) == operator.MaintenanceTable()
     plain = operator.Deployment(classes=())
     for key, value in raw.items():
         if key not in ("listen", "discovery", "seed", "classes", "tenants", "members"):
@@ -238,15 +238,15 @@
     )
     found = read_file(file(tmp_path, text))
     assert found.accord == AccordSettings(PEERS, PEERS[1], 1, seats=3, heartbeat_us=100_000)
-    assert found.upkeep == UpkeepSettings(learn_us=70_000)
+    assert found.maintenance == MaintenanceSettings(learn_us=70_000)
     unix = read_file(file(tmp_path, "[deployment]\n" + CLASS + UNIX + "me = 2\nseats = 1"))
     assert unix.accord == AccordSettings(("/run/a", "/run/b", "/run/c"), "/run/c", 2, "unix")
-    assert unix.upkeep is None
+    assert unix.maintenance is None
 
 
 def test_off_there_is_nothing_of_them(tmp_path: Path) -> None:
     found = read_file(file(tmp_path, "[deployment]\n" + CLASS))
-    assert found.accord is None and found.upkeep is None
+    assert found.accord is None and found.maintenance is None
 
 
 @pytest.mark.parametrize(("peers", "seats"), [(1, 1), (2, 1), (3, 3), (4, 3), (5, 5), (6, 5), (200, 5)])
