--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -49,7 +49,7 @@
 
 
 def shown_name(kind: Kind) -> str:
-    """What operators see: an error code that answers have kept while the type was renamed, or the type's name."""
+    """What operators see: the code that answers show, where a type has one, or the type's name."""
     return str(vars(kind).get("code", kind.__name__))
 
 
--- a/tests/test_maintenance_schedules.py
+++ b/tests/test_maintenance_schedules.py
@@ -655,7 +655,7 @@
     drained_index = EndpointOverlay.drained_index
     patch.setattr(
         EndpointOverlay,
-        "quiet",
+        "drained_index",
         lambda self, state, now, grace, out: drained_index(self, state, now, grace, lambda id: 0),
     )
 
