--- /dev/null
+++ b/laurelstep/consensus/messages.py
@@ -0,0 +1,324 @@
+"""The messages between replicas, and their encoding. No I/O.
+
+1. A datagram is a version byte and one message as msgpack, an array headed by its tag; at most 256 bytes.
+2. A datagram of another version, not readable or out of bounds is no message: `decode` returns None, and the
+   caller counts it. The link tells who sent it.
+3. A message about a log names its epoch. One that binds its sender (the answer to a vote, an append or a
+   bootstrap) names the sender's incarnation, and counts for that incarnation alone.
+4. One that changes its receiver names the receiver's incarnation, shortened (`recipient`): a datagram to a
+   process that has restarted with an empty state since is dropped. Without this a late datagram of a lost
+   epoch could take a voter out of the epoch that followed, as epochs of one generation have no order in time.
+
+The field order and the tags are the wire format: neither may change within a protocol version.
+"""
+
+from __future__ import annotations
+
+from enum import IntEnum
+from typing import Annotated, Final
+
+import msgspec
+
+from laurelstep.consensus.epoch import ClusterEpoch
+from laurelstep.consensus.limits import MAX_ENTRY_BYTES, MAX_LEADER_MESSAGE_BYTES
+from laurelstep.consensus.ports import MAX_DATAGRAM_BYTES
+
+__all__ = [
+    "MAX_BATCH_BYTES",
+    "MAX_CHUNK_BYTES",
+    "PROTOCOL_VERSION",
+    "AppendEntriesRequest",
+    "AppendEntriesResponse",
+    "BootstrapRequest",
+    "BootstrapResponse",
+    "EntryKind",
+    "IdentityRequest",
+    "IdentityResponse",
+    "InstallSnapshotRequest",
+    "InstallSnapshotResponse",
+    "LeaderMessage",
+    "LearnerPoll",
+    "LearnerUpdate",
+    "LogEntry",
+    "Message",
+    "MessageTag",
+    "ReadIndexRequest",
+    "ReadIndexResponse",
+    "RequestVoteRequest",
+    "RequestVoteResponse",
+    "VoterId",
+    "decode",
+    "encode",
+    "max_encoded_bytes",
+    "short_incarnation",
+]
+
+PROTOCOL_VERSION: Final = 1
+# The data of one snapshot chunk.
+MAX_CHUNK_BYTES: Final = 160
+# The data of one message's entries, with ENTRY_OVERHEAD_BYTES for each.
+MAX_BATCH_BYTES: Final = 175
+ENTRY_OVERHEAD_BYTES: Final = 14
+# `match_index` of a replica that needs a snapshot.
+NEEDS_SNAPSHOT: Final = -1
+# `leader_id` of a voter that knows no leader.
+NO_LEADER: Final = -1
+
+# Bounds far above any real value: one corrupt message can't bring in numbers that can't be encoded again.
+Count = Annotated[int, msgspec.Meta(ge=0, lt=1 << 48)]
+Uint32 = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
+RandomId = Annotated[int, msgspec.Meta(ge=0)]
+OptionalIndex = Annotated[int, msgspec.Meta(ge=-1, lt=1 << 48)]
+VoterId = Annotated[int, msgspec.Meta(ge=0, lt=7)]
+
+
+class MessageTag(IntEnum):
+    """The first element of an encoded message."""
+
+    IDENTITY_REQUEST = 1
+    IDENTITY_RESPONSE = 2
+    BOOTSTRAP_REQUEST = 3
+    BOOTSTRAP_RESPONSE = 4
+    REQUEST_VOTE_REQUEST = 5
+    REQUEST_VOTE_RESPONSE = 6
+    APPEND_ENTRIES_REQUEST = 7
+    APPEND_ENTRIES_RESPONSE = 8
+    INSTALL_SNAPSHOT_REQUEST = 9
+    INSTALL_SNAPSHOT_RESPONSE = 10
+    LEARNER_POLL = 11
+    LEARNER_UPDATE = 12
+    READ_INDEX_REQUEST = 13
+    READ_INDEX_RESPONSE = 14
+    LEADER_MESSAGE = 15
+
+
+class EntryKind(IntEnum):
+    """What a log entry holds: nothing, data of the state machine, or the voters from here on."""
+
+    NOOP = 0
+    DATA = 1
+    CONFIG = 2
+
+
+class LogEntry(msgspec.Struct, array_like=True, frozen=True):
+    """One entry of the replicated log."""
+
+    term: Count
+    kind: EntryKind
+    data: Annotated[bytes, msgspec.Meta(max_length=MAX_ENTRY_BYTES)]
+
+
+class _Message(msgspec.Struct, array_like=True, frozen=True):
+    pass
+
+
+class IdentityRequest(_Message, frozen=True, tag=MessageTag.IDENTITY_REQUEST.value):
+    """Asks a voter who it is. The answer repeats the nonce, so that it was made after the question."""
+
+    nonce: RandomId
+
+
+class IdentityResponse(_Message, frozen=True, tag=MessageTag.IDENTITY_RESPONSE.value):
+    """Which incarnation a voter is, what it has promised, how good its log is, and its configuration."""
+
+    nonce: RandomId
+    incarnation: RandomId
+    promised_epoch: ClusterEpoch
+    log_epoch: ClusterEpoch
+    last_log_term: Count
+    last_log_index: Count
+    config_term: Count
+    config_index: Count
+    members: Annotated[list[tuple[VoterId, RandomId]], msgspec.Meta(max_length=7)]
+    has_leader_contact: bool
+
+
+class BootstrapRequest(_Message, frozen=True, tag=MessageTag.BOOTSTRAP_REQUEST.value):
+    """Asks a voter to leave its epoch for a new one, which these incarnations, by voter, are to begin."""
+
+    epoch: ClusterEpoch
+    nonce: RandomId
+    incarnations: Annotated[list[RandomId], msgspec.Meta(max_length=7)]
+
+
+class BootstrapResponse(_Message, frozen=True, tag=MessageTag.BOOTSTRAP_RESPONSE.value):
+    """Says that a voter has left every older epoch for this one, with a log as good as this."""
+
+    epoch: ClusterEpoch
+    nonce: RandomId
+    incarnation: RandomId
+    log_epoch: ClusterEpoch
+    last_log_term: Count
+    last_log_index: Count
+
+
+class RequestVoteRequest(_Message, frozen=True, tag=MessageTag.REQUEST_VOTE_REQUEST.value):
+    """RequestVote (Raft, figure 2), or PreVote (dissertation 9.6), which only asks for the intention."""
+
+    epoch: ClusterEpoch
+    recipient: Uint32
+    incarnation: RandomId
+    term: Count
+    last_log_term: Count
+    last_log_index: Count
+    is_pre_vote: bool
+
+
+class RequestVoteResponse(_Message, frozen=True, tag=MessageTag.REQUEST_VOTE_RESPONSE.value):
+    """The answer to the incarnation `candidate`. A granted PreVote has the term asked for."""
+
+    epoch: ClusterEpoch
+    incarnation: RandomId
+    candidate: RandomId
+    term: Count
+    granted: bool
+    is_pre_vote: bool
+
+
+class AppendEntriesRequest(_Message, frozen=True, tag=MessageTag.APPEND_ENTRIES_REQUEST.value):
+    """AppendEntries (Raft, figure 2), with the number of the leader's heartbeat round."""
+
+    epoch: ClusterEpoch
+    recipient: Uint32
+    term: Count
+    prev_log_index: Count
+    prev_log_term: Count
+    leader_commit: Count
+    heartbeat_round: Count
+    entries: Annotated[list[LogEntry], msgspec.Meta(max_length=MAX_DATAGRAM_BYTES)] = []
+
+
+class AppendEntriesResponse(_Message, frozen=True, tag=MessageTag.APPEND_ENTRIES_RESPONSE.value):
+    """Without success, `match_index` is where to continue; NEEDS_SNAPSHOT asks for one."""
+
+    epoch: ClusterEpoch
+    incarnation: RandomId
+    term: Count
+    success: bool
+    match_index: OptionalIndex
+    heartbeat_round: Count
+
+
+class InstallSnapshotRequest(_Message, frozen=True, tag=MessageTag.INSTALL_SNAPSHOT_REQUEST.value):
+    """One chunk of a snapshot, from a leader (with its term) or to a learner."""
+
+    epoch: ClusterEpoch
+    recipient: Uint32
+    term: Count
+    snapshot_index: Count
+    snapshot_term: Count
+    total_bytes: Uint32
+    checksum: Uint32
+    offset: Uint32
+    heartbeat_round: Count
+    data: Annotated[bytes, msgspec.Meta(max_length=MAX_CHUNK_BYTES)]
+
+
+class InstallSnapshotResponse(_Message, frozen=True, tag=MessageTag.INSTALL_SNAPSHOT_RESPONSE.value):
+    """How many bytes of that snapshot have arrived."""
+
+    epoch: ClusterEpoch
+    incarnation: RandomId
+    term: Count
+    snapshot_index: Count
+    checksum: Uint32
+    received_bytes: Uint32
+    heartbeat_round: Count
+
+
+class LearnerPoll(_Message, frozen=True, tag=MessageTag.LEARNER_POLL.value):
+    """A learner asks for the entries committed after `applied_index`."""
+
+    epoch: ClusterEpoch
+    incarnation: RandomId
+    applied_index: Count
+
+
+class LearnerUpdate(_Message, frozen=True, tag=MessageTag.LEARNER_UPDATE.value):
+    """Committed entries after `prev_index`, and who leads, polled for or pushed by a voter."""
+
+    epoch: ClusterEpoch
+    recipient: Uint32
+    leader_id: OptionalIndex
+    has_leader_contact: bool
+    prev_index: Count
+    entries: Annotated[list[LogEntry], msgspec.Meta(max_length=MAX_DATAGRAM_BYTES)] = []
+
+
+class ReadIndexRequest(_Message, frozen=True, tag=MessageTag.READ_INDEX_REQUEST.value):
+    """Asks the leader for a commit index that was valid after this question."""
+
+    incarnation: RandomId
+    nonce: RandomId
+
+
+class ReadIndexResponse(_Message, frozen=True, tag=MessageTag.READ_INDEX_RESPONSE.value):
+    """The commit index, confirmed by a majority after the question came."""
+
+    epoch: ClusterEpoch
+    nonce: RandomId
+    index: Count
+
+
+class LeaderMessage(_Message, frozen=True, tag=MessageTag.LEADER_MESSAGE.value):
+    """Data for whoever leads. `epoch` is of the log it speaks of, NO_EPOCH from a sender without one."""
+
+    epoch: ClusterEpoch
+    incarnation: RandomId
+    data: Annotated[bytes, msgspec.Meta(max_length=MAX_LEADER_MESSAGE_BYTES)]
+
+
+Message = (
+    IdentityRequest
+    | IdentityResponse
+    | BootstrapRequest
+    | BootstrapResponse
+    | RequestVoteRequest
+    | RequestVoteResponse
+    | AppendEntriesRequest
+    | AppendEntriesResponse
+    | InstallSnapshotRequest
+    | InstallSnapshotResponse
+    | LearnerPoll
+    | LearnerUpdate
+    | ReadIndexRequest
+    | ReadIndexResponse
+    | LeaderMessage
+)
+
+_encode = msgspec.msgpack.Encoder().encode
+_decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
+_HEADER: Final = bytes((PROTOCOL_VERSION,))
+
+
+def encode(message: Message) -> bytes:
+    """Encode as one datagram. The bounds above keep it within MAX_DATAGRAM_BYTES."""
+    return _HEADER + _encode(message)
+
+
+def decode(raw: bytes) -> Message | None:
+    """Decode a datagram; None where it is no message (rule 2). Never raises."""
+    if len(raw) > MAX_DATAGRAM_BYTES or raw[:1] != _HEADER:
+        return None
+    try:
+        message = _decoder.decode(memoryview(raw)[1:])
+    except (msgspec.DecodeError, ValueError, RecursionError):
+        return None
+    epoch = getattr(message, "epoch", None)
+    if epoch is not None and not _is_within_bounds(epoch):
+        return None
+    return message
+
+
+def _is_within_bounds(epoch: ClusterEpoch) -> bool:
+    return 0 <= epoch.generation < 1 << 32 and 0 <= epoch.id < 1 << 64
+
+
+def short_incarnation(incarnation: int) -> int:
+    """Return an incarnation's low 32 bits, as in `recipient`: 5 bytes of a heartbeat in place of 9."""
+    return incarnation & 0xFFFFFFFF
+
+
+def max_encoded_bytes(entry: LogEntry) -> int:
+    """Return an upper bound of an entry's size in a message."""
+    return len(entry.data) + ENTRY_OVERHEAD_BYTES
--- a/laurelstep/maintenance/api.py
+++ b/laurelstep/maintenance/api.py
@@ -123,8 +123,8 @@
     def declare_absent(self, peer: int) -> PendingCommand | None:
         """A replica's process is no more: its acknowledgement is not waited for until it starts again."""
         consensus = self.controller.consensus
-        if not 0 <= peer < consensus.peers or peer == consensus.me:
-            raise UnknownPeerError(f"peer: {peer}: expected another copy, 0 to {consensus.peers - 1}")
+        if not 0 <= peer < consensus.peer_count or peer == consensus.replica_id:
+            raise UnknownPeerError(f"peer: {peer}: expected another copy, 0 to {consensus.peer_count - 1}")
         if peer in self._state.absent_peers:
             return self._already_done()
         return self.controller.commands.submit(CommandVerb.DECLARE_ABSENT, peer)
--- a/laurelstep/maintenance/commands.py
+++ b/laurelstep/maintenance/commands.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from laurelstep.accord.parts import Accord
+from laurelstep.consensus.multiplexer import ConsensusClient
 from laurelstep.engine.ports import Clock, Log
 from laurelstep.maintenance.entries import (
     CommandArgument,
@@ -75,7 +75,7 @@
 
     def __init__(
         self,
-        consensus: Accord,
+        consensus: ConsensusClient,
         state: MaintenanceState,
         clock: Clock,
         log: Log,
@@ -98,7 +98,7 @@
 
     def require_leader(self) -> None:
         """Raises `LeaderUnreachableError` where the state of this process may be an old one."""
-        if not self.consensus.in_touch or not self.consensus.known:
+        if not self.consensus.has_leader_contact or not self.consensus.is_caught_up:
             raise LeaderUnreachableError("no leader is heard")
 
     def submit(self, verb: CommandVerb, argument: CommandArgument) -> PendingCommand:
@@ -145,7 +145,7 @@
 
     def _message(self, command: PendingCommand) -> OperatorCommand:
         return OperatorCommand(
-            peer=self.consensus.me,
+            peer=self.consensus.replica_id,
             incarnation=self.consensus.incarnation,
             sequence_number=command.sequence_number,
             verb=command.verb,
@@ -155,7 +155,7 @@
 
     def _last_committed(self) -> tuple[int, str]:
         """The sequence number of this incarnation's last command in the state, and the verdict on it."""
-        last = self.state.last_commands.get(self.consensus.me)
+        last = self.state.last_commands.get(self.consensus.replica_id)
         if last is None or last.incarnation != self.consensus.incarnation:
             return 0, ACCEPTED
         return last.sequence_number, last.verdict
--- a/laurelstep/maintenance/controller.py
+++ b/laurelstep/maintenance/controller.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from typing import Final
 
-from laurelstep.accord.errors import BusyError, NotLeadingError
-from laurelstep.accord.parts import Accord
+from laurelstep.consensus.errors import BusyError, NotLeaderError
+from laurelstep.consensus.multiplexer import ConsensusClient
 from laurelstep.engine.ports import Clock, Handle, Log
 from laurelstep.maintenance.acknowledgements import DrainAcknowledgements
 from laurelstep.maintenance.ages import StateAges
@@ -77,7 +77,7 @@
 
     def __init__(
         self,
-        consensus: Accord,
+        consensus: ConsensusClient,
         state: MaintenanceState,
         source: MaintenanceSource,
         clock: Clock,
@@ -113,10 +113,10 @@
 
     def start(self) -> None:
         """Begin to follow the log and the list."""
-        self.consensus.heard = self.on_message
+        self.consensus.on_leader_message = self.on_message
         self.consensus.on_change = self.schedule_step
         self.source.on_list_changed = self.schedule_step
-        self.source.is_state_known = lambda: self.consensus.known
+        self.source.is_state_known = lambda: self.consensus.is_caught_up
         if self.settings.start_alone == "serve":
             self.clock.at(self.clock.now() + self.settings.learn_us, self._on_learn_timeout)
         self.run_step()
@@ -168,7 +168,7 @@
         self._announce_start(now_us)
         self._acknowledge_drains(now_us)
         self.commands.advance(now_us)
-        if self.consensus.leading and self.consensus.known:
+        if self.consensus.is_leader and self.consensus.is_caught_up:
             self._plan(now_us)
         interval_us = ACTIVE_INTERVAL_US if self.is_active else IDLE_INTERVAL_US
         self.step_timer = self.clock.at(self.clock.now() + interval_us, self.run_step)
@@ -176,8 +176,8 @@
     @property
     def is_active(self) -> bool:
         """Whether something is under way that needs frequent steps."""
-        is_start_due = self.consensus.known and not self.is_registered
-        is_planning = self.consensus.leading and bool(self.state.open_requests)
+        is_start_due = self.consensus.is_caught_up and not self.is_registered
+        is_planning = self.consensus.is_leader and bool(self.state.open_requests)
         return (
             bool(self.commands.pending)
             or is_start_due
@@ -187,7 +187,7 @@
         )
 
     def _follow_state(self, now_us: int) -> None:
-        if self.consensus.known and self.is_registered and not self.source.has_learned_state:
+        if self.consensus.is_caught_up and self.is_registered and not self.source.has_learned_state:
             self._start_serving(has_learned_state=True)
         self._note_epoch()
         self.source.refresh()
@@ -196,7 +196,7 @@
 
     def _note_epoch(self) -> None:
         """Guards against an unnoticed loss of the state: a new epoch may lack what this process cordons."""
-        if not self.consensus.known or self.consensus.era == self.known_epoch:
+        if not self.consensus.is_caught_up or self.consensus.epoch == self.known_epoch:
             return
         lost = [
             machine_id for machine_id in self.source.overlay.cordons if machine_id not in self.state.machines
@@ -206,10 +206,10 @@
             self.log(
                 f"maintenance: the cluster was bootstrapped again and lost what is out of service: {names}"
             )
-        self.known_epoch = self.consensus.era
+        self.known_epoch = self.consensus.epoch
 
     def _follow_leadership(self) -> None:
-        leadership = Leadership(self.consensus.era, self.consensus.leader, self.consensus.leading)
+        leadership = Leadership(self.consensus.epoch, self.consensus.leader_id, self.consensus.is_leader)
         if leadership == self.leadership:
             return
         self.leadership = leadership
@@ -222,19 +222,19 @@
 
     def _send(self, message: LeaderMessage) -> None:
         with contextlib.suppress(BusyError):  # as if it were lost: it is sent again
-            self.consensus.word(encode(message))
+            self.consensus.send_to_leader(encode(message))
 
     @property
     def is_registered(self) -> bool:
         """Whether the state has this incarnation, and nobody declared it absent."""
-        return self.state.is_registered(self.consensus.me, self.consensus.incarnation)
+        return self.state.is_registered(self.consensus.replica_id, self.consensus.incarnation)
 
     def _announce_start(self, now_us: int) -> None:
-        if not self.consensus.known or self.is_registered:
+        if not self.consensus.is_caught_up or self.is_registered:
             self.sent_started_us = None
         elif self.sent_started_us is None or now_us >= self.sent_started_us + RESEND_INTERVAL_US:
             self.sent_started_us = now_us
-            self._send(ReplicaStarted(self.consensus.me, self.consensus.incarnation))
+            self._send(ReplicaStarted(self.consensus.replica_id, self.consensus.incarnation))
 
     @property
     def is_acknowledgement_awaited(self) -> bool:
@@ -265,7 +265,7 @@
             table=self.source.table,
             acknowledgements=self.acknowledgements,
             ages=self.ages,
-            peer_count=self.consensus.peers,
+            peer_count=self.consensus.peer_count,
             slow_start_share=self.slow_start_share,
             slow_start_us=self.slow_start_us,
             overdue_us=self.settings.overdue_us,
@@ -317,7 +317,7 @@
                     self._log_transition(entry)
             except EntryTooLargeError as error:
                 self.log(f"maintenance: {error}: {entry}")
-            except (NotLeadingError, BusyError):
+            except (NotLeaderError, BusyError):
                 return
 
     def _log_transition(self, entry: MaintenanceEntry) -> None:
--- a/laurelstep/maintenance/status.py
+++ b/laurelstep/maintenance/status.py
@@ -35,11 +35,11 @@
         consensus, state = self.controller.consensus, self.controller.state
         is_alone = self.controller.serves_without_state and not self.controller.source.has_learned_state
         return {
-            "copy": consensus.me,
-            "copies": consensus.peers,
-            "leading": consensus.leading,
-            "known": consensus.known,
-            "in_touch": consensus.in_touch,
+            "copy": consensus.replica_id,
+            "copies": consensus.peer_count,
+            "leading": consensus.is_leader,
+            "known": consensus.is_caught_up,
+            "in_touch": consensus.has_leader_contact,
             "serving_alone": is_alone,
             "index": state.index,
             "wishes": [self.describe_request(request) for request in state.open_requests.values()],
@@ -54,7 +54,7 @@
     def _peers_never_started(self) -> list[int]:
         """Replicas that never started since the cluster was bootstrapped: nothing is drained without them."""
         incarnations = self.controller.state.incarnations
-        peers = range(self.controller.consensus.peers)
+        peers = range(self.controller.consensus.peer_count)
         return [peer for peer in peers if peer not in incarnations][:MAX_SHOWN]
 
     def describe_request(self, request: OpenRequest) -> dict[str, Any]:
@@ -93,7 +93,7 @@
 
     def _missing_peers(self, machine: MachineRecord) -> list[int] | None:
         """Whose acknowledgement is missing; None where only the leader could tell, or none is needed."""
-        if not self.controller.consensus.leading or machine.state != MachineState.DRAINING:
+        if not self.controller.consensus.is_leader or machine.state != MachineState.DRAINING:
             return None
         inputs = self.inputs
         missing = inputs.acknowledgements.missing_peers(machine.drain_index, inputs.state, inputs.peer_count)
--- a/laurelstep/maintenance/subsystem.py
+++ b/laurelstep/maintenance/subsystem.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Final
 
-from laurelstep.accord.parts import Accord
-from laurelstep.accord.ports import Machine
+from laurelstep.consensus.multiplexer import ConsensusClient
+from laurelstep.consensus.ports import StateMachine
 from laurelstep.engine import Engine
 from laurelstep.engine.ports import Clock, Log, MemberSource
 from laurelstep.maintenance.api import MaintenanceApi
@@ -22,7 +22,7 @@
 from laurelstep.settings import Config
 
 
-def passive_state_machines() -> dict[int, Machine]:
+def passive_state_machines() -> dict[int, StateMachine]:
     """The state machine for a replica that shares the consensus log and has maintenance off.
 
     Guards against a snapshot without the state, should this replica come to lead: the others would lose it.
@@ -40,7 +40,7 @@
         self.settings = settings
         self.log = log
         self.state = MaintenanceState()
-        self.state_machines: Final[dict[int, Machine]] = {SUBSYSTEM_TAG[0]: self.state}
+        self.state_machines: Final[dict[int, StateMachine]] = {SUBSYSTEM_TAG[0]: self.state}
         self.slices = Slices(loop)
         self.may_serve = asyncio.Event()  # set once this process may send
         self.source: MaintenanceSource | None = None
@@ -54,7 +54,7 @@
         )
         return self.source
 
-    def start(self, consensus: Accord, engine: Engine, may_acknowledge: Callable[[], bool]) -> None:
+    def start(self, consensus: ConsensusClient, engine: Engine, may_acknowledge: Callable[[], bool]) -> None:
         """Begin. `may_acknowledge`: whether no predecessor of this process sends any more."""
         assert self.source is not None
         self.source.in_flight_at = engine.out_at
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -10,8 +10,8 @@
 import msgspec
 import pytest
 
-from laurelstep.accord.errors import BusyError, NotLeadingError
-from laurelstep.accord.machines import Machines
+from laurelstep.consensus.errors import BusyError, NotLeaderError
+from laurelstep.consensus.state_machines import CompositeStateMachine
 from laurelstep.engine import Answer, Call, Ending, Engine, Names, endpoint_number
 from laurelstep.engine.call import Attempt
 from laurelstep.engine.flow import Flow
@@ -142,10 +142,10 @@
 
 def test_a_copy_with_upkeep_off_that_leads_forgets_no_wish() -> None:
     """Its snapshot is all that a copy which fell behind gets."""
-    off, behind = Machines(passive_state_machines()), MaintenanceState()
+    off, behind = CompositeStateMachine(passive_state_machines()), MaintenanceState()
     off.apply(1, encode(OperatorCommand(0, 5, 1, "wish", request_for(zone="a"))))
     off.apply(2, encode(ReplicaStarted(1, 7)))
-    Machines({SUBSYSTEM_TAG[0]: behind}).load(off.dump())
+    CompositeStateMachine({SUBSYSTEM_TAG[0]: behind}).load(off.dump())
     assert [one.request.name for one in behind.open_requests.values()] == ["w"] and behind.incarnations == {
         1: 7
     }
@@ -581,7 +581,7 @@
     one.settle()
     again = one.copies[2]
     again.state.load(b"")
-    again.applied, again.known, again.cut = 0, False, True
+    again.applied, again.is_caught_up, again.cut = 0, False, True
     one.incarnations += 1
     again.incarnation = one.incarnations
     one.settle()
@@ -898,7 +898,7 @@
         if not lasting:
             one.log.clear()
             one.multiplexer.load(b"")
-            one.era = 2
+            one.epoch = 2
         for me in range(3):
             one.restart(me)
         one.leaders = {1}
@@ -915,7 +915,7 @@
     last = one.copies[2]
     one.log.clear()
     one.multiplexer.load(b"")
-    one.era, last.applied = 2, 0
+    one.epoch, last.applied = 2, 0
     for me in range(2):
         one.restart(me)
     one.leaders = {0}
@@ -1037,7 +1037,7 @@
 def test_a_leader_that_is_busy_or_deposed_proposes_again() -> None:
     one = tier()
     first = one.copies[0]
-    answers: list[Exception] = [BusyError("full"), NotLeadingError(None), BusyError("full")]
+    answers: list[Exception] = [BusyError("full"), NotLeaderError(None), BusyError("full")]
     append = one.append
 
     def proposed(by: Copy, data: bytes) -> None:
@@ -1046,7 +1046,7 @@
         append(data)
 
     one.proposed = proposed  # type: ignore[method-assign]
-    word = first.word
+    word = first.send_to_leader
     busy = [BusyError("full")]
 
     def say(data: bytes) -> None:
@@ -1054,7 +1054,7 @@
             raise busy.pop()
         word(data)
 
-    first.word = say  # type: ignore[method-assign]
+    first.send_to_leader = say  # type: ignore[method-assign]
     first.api.submit_request(request_for(zone="a"))
     one.settle(6)
     assert out(one) == ["m0"] and not answers and not busy
--- a/tests/test_maintenance_schedules.py
+++ b/tests/test_maintenance_schedules.py
@@ -176,7 +176,7 @@
     def check_holds(self, copy: Copy) -> None:
         """A process that was told of more than it holds back, or that holds back its last one."""
         source = copy.source
-        if not source.has_learned_state or not copy.known:
+        if not source.has_learned_state or not copy.is_caught_up:
             return
         held = {id for id, one in copy.state.machines.items() if one.state in CORDONED_STATES}
         ready = {id for id, one in source.table.machines.items() if one.phase == READY}
@@ -223,9 +223,9 @@
 
     def learns(self) -> None:
         copy = self.one()
-        if copy is not None and not copy.cut and not copy.known:
+        if copy is not None and not copy.cut and not copy.is_caught_up:
             copy.catch_up()
-            copy.known = True
+            copy.is_caught_up = True
 
     def hears_words(self) -> None:
         for _ in range(min(len(self.words), 4)):
@@ -240,10 +240,10 @@
     def tell(self, peer: int, incarnation: int, data: bytes) -> None:
         """A word gets to those who lead, or believe that they do."""
         for copy in self.alive:
-            if copy.leading and not copy.cut:
+            if copy.is_leader and not copy.cut:
                 if decode_message(data) == DrainAcknowledgement(-1):
                     self.sending.setdefault(copy.incarnation, {})[peer] = incarnation
-                copy.heard(peer, incarnation, data)
+                copy.on_leader_message(peer, incarnation, data)
 
     def carry_words(self) -> None:
         words, self.words = self.words, []
@@ -274,7 +274,7 @@
     def leads(self) -> None:
         """Another leads; the one before may not know yet, and goes on proposing."""
         copy = self.one()
-        if copy is None or not copy.known:
+        if copy is None or not copy.is_caught_up:
             return
         if self.draw.random() < 0.6:
             self.leaders.clear()
@@ -382,9 +382,9 @@
                 if not copy.cut:
                     if copy.me not in self.deaf:
                         copy.hear()
-                    if copy.known or copy.me not in self.slow:
+                    if copy.is_caught_up or copy.me not in self.slow:
                         copy.catch_up()
-                        copy.known = True
+                        copy.is_caught_up = True
                 before = set(copy.engine.ready)
                 fresh = copy.source.overlay.is_first_update
                 copy.controller.run_step()
@@ -621,7 +621,7 @@
         controller = getattr(self.on_list_changed, "__self__", None)
         if (
             isinstance(controller, MaintenanceController)
-            and not controller.consensus.in_touch
+            and not controller.consensus.has_leader_contact
             and self.overlay.cordons
         ):
             ids = list(self.overlay.cordons)
@@ -723,7 +723,7 @@
 
 def never_told_again(patch: pytest.MonkeyPatch) -> None:
     """Words are told once."""
-    word = Copy.word
+    word = Copy.send_to_leader
     told: set[bytes] = set()
 
     def once(self: Copy, data: bytes) -> None:
@@ -732,7 +732,7 @@
             told.add(key)
             word(self, data)
 
-    patch.setattr(Copy, "word", once)
+    patch.setattr(Copy, "send_to_leader", once)
 
 
 Fault = Callable[[pytest.MonkeyPatch], None]
