--- a/tests/maintenance.py
+++ b/tests/maintenance.py
@@ -1,5 +1,5 @@
-"""A tier of copies with upkeep, without sockets: a record in perfect order, and copies that may
-be behind, cut off, late or dead. Real keepers, sources and rolls; the engine is played."""
+"""A tier of replicas with maintenance, without sockets: a log in perfect order, and replicas that may be
+behind, cut off, late or dead. Controllers, sources and states are real; engine and discovery are fakes."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return NUMBERS[id]
 
 
-def line(
+def listed_entry(
     id: str, zone: str = "a", phase: str = "ready", started_ms: int = 1000, **more: Any
 ) -> dict[str, Any]:
     return {
@@ -48,7 +48,7 @@
     return MaintenanceRequest(name, DisruptionLimits(out, per, share), **more)  # type: ignore[arg-type]
 
 
-class PlayedEngine:
+class FakeEngine:
     """The engine's list, and what is out at each machine."""
 
     def __init__(self, clock: ManualClock) -> None:
@@ -95,7 +95,7 @@
         return sum(count for id, count in self.out.items() if number_of(id) == endpoint)
 
 
-class Inner:
+class FakeDiscovery:
     """Discovery, as the source wraps it."""
 
     def start(self, sink: MemberSink, generation: int) -> None: ...
@@ -103,7 +103,7 @@
     def fetch(self) -> None: ...
 
 
-class Copy:
+class Replica:
     """One process of the tier, from one start on. It is its controller's consensus."""
 
     def __init__(self, tier: Tier, me: int, incarnation: int) -> None:
@@ -112,20 +112,20 @@
         self.multiplexer = CompositeStateMachine({SUBSYSTEM_TAG[0]: self.state})
         self.applied = 0
         self.is_caught_up = False
-        self.cut = False
-        self.learns = True  # it can ask those who decide
-        self.dead = False
+        self.is_cut_off = False
+        self.can_learn = True  # it can ask those who decide
+        self.is_dead = False
         self.on_leader_message: Callable[[int, int, bytes], None] = lambda peer, incarnation, data: None
         self.on_change: Callable[[], None] = lambda: None
         self.list_version = -1
-        self.engine = PlayedEngine(tier.clock)
+        self.engine = FakeEngine(tier.clock)
         self.logged: list[str] = []
         self.source = MaintenanceSource(
-            Inner(), self.state, tier.clock, GRACE_US, self.run_steps, self.logged.append
+            FakeDiscovery(), self.state, tier.clock, GRACE_US, self.run_steps, self.logged.append
         )
         self.source.in_flight_at = self.engine.out_at
         self.source.start(self.engine, 0)
-        self.opened = 0
+        self.serving_count = 0
         self.controller = MaintenanceController(
             self,
             self.state,
@@ -141,7 +141,7 @@
         self.controller.start()
 
     def _open(self) -> None:
-        self.opened += 1
+        self.serving_count += 1
 
     def run_steps(self, steps: Iterator[None], ended: Callable[[Exception | None], None]) -> None:
         for _ in steps:
@@ -164,7 +164,7 @@
 
     @property
     def is_leader(self) -> bool:
-        return self.me in self.tier.leaders and not self.dead
+        return self.me in self.tier.leaders and not self.is_dead
 
     @property
     def leader_id(self) -> int | None:
@@ -172,16 +172,16 @@
 
     @property
     def has_leader_contact(self) -> bool:
-        return not self.cut
+        return not self.is_cut_off
 
     def propose(self, data: bytes) -> None:
         if not self.is_leader:
             raise NotLeaderError(None)
-        self.tier.proposed(self, data)
+        self.tier.on_proposal(self, data)
 
     def send_to_leader(self, data: bytes) -> None:
-        if not self.cut:
-            self.tier.words.append((self.me, self.incarnation, data))
+        if not self.is_cut_off:
+            self.tier.messages.append((self.me, self.incarnation, data))
 
     def status(self) -> dict[str, Any]:
         return {"role": "leader" if self.is_leader else "follower"}
@@ -197,26 +197,26 @@
             self.multiplexer.apply(self.applied, log[self.applied - 1])
         self.on_change()
 
-    def jump(self) -> None:
+    def load_snapshot(self) -> None:
         """Get a snapshot in place of entries."""
         self.multiplexer.load(self.tier.multiplexer.dump())
         self.applied = len(self.tier.log)
         self.on_change()
 
-    def hear(self) -> None:
+    def receive_list(self) -> None:
         """Discovery's list, as it is now."""
         if self.list_version < self.tier.list_version:
             self.list_version = self.tier.list_version
             self.source.listed(self.list_version, True, list(self.tier.list.values()))
 
-    def die(self) -> None:
-        self.dead = True
+    def crash(self) -> None:
+        self.is_dead = True
         self.controller.close()
         self.tier.leaders.discard(self.me)
 
 
 class Tier:
-    """All copies, the record and discovery. `settle` lets everything happen that is due."""
+    """All replicas, the record and discovery. `settle` lets everything happen that is due."""
 
     def __init__(
         self, count: int, machines: Sequence[dict[str, Any]] = (), settings: MaintenanceSettings | None = None
@@ -228,27 +228,27 @@
         self.log: list[bytes] = []
         self.state = MaintenanceState()  # all that is agreed, applied
         self.multiplexer = CompositeStateMachine({SUBSYSTEM_TAG[0]: self.state})
-        self.words: list[tuple[int, int, bytes]] = []
+        self.messages: list[tuple[int, int, bytes]] = []
         self.list = {raw["instanceId"]: raw for raw in machines}
         self.list_version = 0
         self.incarnations = 100
-        self.copies: list[Copy] = []
+        self.replicas: list[Replica] = []
         self.leaders = {0}
         for me in range(count):
-            self.copies.append(self.made(me))
+            self.replicas.append(self.new_replica(me))
 
-    def made(self, me: int) -> Copy:
+    def new_replica(self, me: int) -> Replica:
         self.incarnations += 1
-        return Copy(self, me, self.incarnations)
+        return Replica(self, me, self.incarnations)
 
-    def proposed(self, by: Copy, data: bytes) -> None:
+    def on_proposal(self, by: Replica, data: bytes) -> None:
         self.append(data)
 
     def append(self, data: bytes) -> None:
         self.log.append(data)
         self.multiplexer.apply(len(self.log), data)
 
-    def list_as(self, *raws: dict[str, Any]) -> None:
+    def update_list(self, *raws: dict[str, Any]) -> None:
         for raw in raws:
             if raw["lifecycle"] == "gone":
                 self.list.pop(raw["instanceId"], None)
@@ -257,40 +257,40 @@
         self.list_version += 1
 
     @property
-    def alive(self) -> list[Copy]:
-        return [one for one in self.copies if not one.dead]
+    def live_replicas(self) -> list[Replica]:
+        return [one for one in self.replicas if not one.is_dead]
 
-    def restart(self, me: int) -> Copy:
+    def restart(self, me: int) -> Replica:
         """From nothing."""
-        if not self.copies[me].dead:
-            self.copies[me].die()
-        self.copies[me] = self.made(me)
-        return self.copies[me]
-
-    def carry_words(self) -> None:
-        words, self.words = self.words, []
-        for peer, incarnation, data in words:
+        if not self.replicas[me].is_dead:
+            self.replicas[me].crash()
+        self.replicas[me] = self.new_replica(me)
+        return self.replicas[me]
+
+    def deliver_messages(self) -> None:
+        messages, self.messages = self.messages, []
+        for peer, incarnation, data in messages:
             assert decode_message(data) is not None
-            for one in self.alive:
-                if one.is_leader and not one.cut:
+            for one in self.live_replicas:
+                if one.is_leader and not one.is_cut_off:
                     one.on_leader_message(peer, incarnation, data)
 
-    def turn(self) -> None:
-        """What is agreed and told gets where it can; every copy that is alive looks."""
-        for one in self.alive:
-            if not one.cut:
-                one.hear()
-            if not one.cut and one.learns:
+    def run_round(self) -> None:
+        """What is agreed and told gets where it can; every replica that is alive looks."""
+        for one in self.live_replicas:
+            if not one.is_cut_off:
+                one.receive_list()
+            if not one.is_cut_off and one.can_learn:
                 one.catch_up()
                 one.is_caught_up = True
             one.controller.run_step()
-        self.carry_words()
+        self.deliver_messages()
 
     def settle(self, seconds: float = 3.0) -> None:
         for _ in range(int(seconds * 10)):
-            self.turn()
+            self.run_round()
             self.clock.advance(SECOND // 10)
-        self.turn()
+        self.run_round()
 
     # --- What is asked ----------------------------------------------------------------
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Upkeep: its table of states, its rules, the hard cases, its calls, and the step where lists change."""
+"""Maintenance: its table of states, its rules, the hard cases, its calls, and the step where lists change."""
 
 from __future__ import annotations
 
@@ -70,9 +70,19 @@
 from laurelstep.maintenance.subsystem import passive_state_machines
 from laurelstep.management.calls import Reply, reply_to
 from tests.fakes import Answers, ManualClock, PlayedUpstream, entry
-from tests.maintenance import COLD_US, GRACE_US, SECOND, Copy, Inner, PlayedEngine, Tier, line, request_for
+from tests.maintenance import (
+    COLD_US,
+    GRACE_US,
+    SECOND,
+    FakeDiscovery,
+    FakeEngine,
+    Replica,
+    Tier,
+    listed_entry,
+    request_for,
+)
 
-MACHINES = [line(f"m{n}", "ab"[n % 2]) for n in range(6)]
+MACHINES = [listed_entry(f"m{n}", "ab"[n % 2]) for n in range(6)]
 
 
 def tier(count: int = 3, machines: Any = MACHINES, **settings: Any) -> Tier:
@@ -140,8 +150,8 @@
         agree(state, index, MachineTransition("m0", since, event, "why"))
 
 
-def test_a_copy_with_upkeep_off_that_leads_forgets_no_wish() -> None:
-    """Its snapshot is all that a copy which fell behind gets."""
+def test_a_replica_with_maintenance_off_that_leads_forgets_no_request() -> None:
+    """Its snapshot is all that a replica which fell behind gets."""
     off, behind = CompositeStateMachine(passive_state_machines()), MaintenanceState()
     off.apply(1, encode(OperatorCommand(0, 5, 1, "wish", request_for(zone="a"))))
     off.apply(2, encode(ReplicaStarted(1, 7)))
@@ -170,7 +180,7 @@
         assert state.was_finished("m0") == (event in ("back", "drop"))
 
 
-def test_what_is_wished_waits_until_it_leaves_or_is_withdrawn() -> None:
+def test_what_is_requested_waits_until_it_leaves_or_is_withdrawn() -> None:
     assert next_state("agree", MachineState.REQUESTED) == MachineState.WAITING
     assert next_state("leave", MachineState.WAITING) == MachineState.DRAINING
     assert {next_state("withdraw", state) for state in (MachineState.REQUESTED, MachineState.WAITING)} == {
@@ -208,7 +218,7 @@
     assert decode_entry(msgspec.msgpack.encode([*raw, "more"])) == ReplicaStarted(1, 7)
 
 
-def test_the_same_entries_make_the_same_roll_also_by_a_snapshot() -> None:
+def test_the_same_entries_make_the_same_state_also_by_a_snapshot() -> None:
     state, other = state_with(MachineState.IN_MAINTENANCE), MaintenanceState()
     other.load(state.dump())
     for one in (state, other):
@@ -236,7 +246,7 @@
     assert list(state.machines) == ["m0"] and state.ignored_count == 6
 
 
-def test_one_asking_is_done_once_also_when_it_comes_again_late() -> None:
+def test_one_command_is_done_once_also_when_it_comes_again_late() -> None:
     state = MaintenanceState()
     ask = OperatorCommand(0, 5, 1, "wish", request_for(zone="a"))
     agree(state, 1, ask)
@@ -263,17 +273,17 @@
 ) -> None:
     state = state_with(MachineState.DRAINING)
     state.incarnations[3] = 11
-    machines, wishes = msgspec.to_builtins(state.machines), len(state.open_requests)
+    machines, requests = msgspec.to_builtins(state.machines), len(state.open_requests)
     agree(state, 9, OperatorCommand(0, 5, 9, verb, what))
     assert state.last_commands[0].verdict == verdict
     assert (msgspec.to_builtins(state.machines), len(state.open_requests), state.absent_peers) == (
         machines,
-        wishes,
+        requests,
         set(),
     )
 
 
-def test_the_roll_is_bounded() -> None:
+def test_the_state_is_bounded() -> None:
     state = MaintenanceState()
     for n in range(3 * MAX_OPEN_REQUESTS):
         agree(state, n + 1, OperatorCommand(0, 5, n + 1, "wish", request_for(f"w{n}", out=1000, zone="a")))
@@ -285,7 +295,7 @@
     assert 5000 not in state.incarnations
 
 
-def test_a_late_end_or_step_is_for_another_roll() -> None:
+def test_a_late_end_or_step_is_for_another_state() -> None:
     state = state_with(MachineState.WARMING_UP)
     number, base = next(iter(state.open_requests)), state.changed_index
     agree(state, 10, CompleteRequest(base, number))
@@ -324,24 +334,24 @@
         ({"name": ["w"], "address": ["127.0.0.1:1"]}, UnknownMachineError),
     ],
 )
-def test_a_bad_wish_has_an_error_of_its_own(
+def test_a_bad_request_has_an_error_of_its_own(
     told: dict[str, list[str]], error: type[MaintenanceError]
 ) -> None:
     with pytest.raises(error):
         parse_request(told, {})
 
 
-def test_a_wish_is_read() -> None:
+def test_a_request_is_read() -> None:
     told = {
         "name": ["disk"], "id": ["m2", "m1", "m2"], "address": ["h:1"], "zone": ["a"], "cell": ["4"],
         "kind": ["small"], "out": ["2"], "per": ["zone"], "share": ["0.7"], "overdue_s": ["60"],
     }  # fmt: skip
-    wish = parse_request(told, {"h:1": "m9"})
-    assert wish == request_for(
+    request = parse_request(told, {"h:1": "m9"})
+    assert request == request_for(
         "disk", 2, "zone", 0.7, machine_ids=("m1", "m2", "m9"), zone="a", cell=4, kind="small", overdue_s=60
     )
-    assert decode_entry(encode(OperatorCommand(1, 2, 3, "wish", wish))[1:]) == OperatorCommand(
-        1, 2, 3, "wish", wish
+    assert decode_entry(encode(OperatorCommand(1, 2, 3, "wish", request))[1:]) == OperatorCommand(
+        1, 2, 3, "wish", request
     )
 
 
@@ -357,97 +367,97 @@
 
 def test_a_machine_goes_out_and_comes_back_and_then_the_next() -> None:
     one = tier()
-    asked = one.copies[1].api.submit_request(request_for(zone="a"))
+    asked = one.replicas[1].api.submit_request(request_for(zone="a"))
     assert asked is not None and asked.status == "wished"
     one.settle()
     assert asked.status == "agreed"
     (id,) = out(one)
     assert id == "m0", "by zone, cell and id"
-    assert all(id not in copy.engine.ready for copy in one.copies)
-    one.copies[2].api.report_work(CommandVerb.BEGIN_WORK, id)
+    assert all(id not in replica.engine.ready for replica in one.replicas)
+    one.replicas[2].api.report_work(CommandVerb.BEGIN_WORK, id)
     one.settle(1)
     assert one.state_of(id) == "at work"
-    one.copies[0].api.report_work(CommandVerb.FINISH_WORK, id)
+    one.replicas[0].api.report_work(CommandVerb.FINISH_WORK, id)
     one.settle(1)
     assert one.state_of(id) == "returning"
     wall = one.clock.wall() // 1000
-    for copy in one.copies:
-        assert wall - 2000 <= copy.engine.ready[id] <= wall, "as one that has just started"
+    for replica in one.replicas:
+        assert wall - 2000 <= replica.engine.ready[id] <= wall, "as one that has just started"
     one.settle(COLD_US / SECOND + 2)
     assert out(one) == ["m2"]
 
 
-def test_it_is_not_clear_before_every_copy_is_quiet() -> None:
+def test_it_is_not_clear_before_every_replica_is_quiet() -> None:
     one = tier()
-    one.copies[2].engine.out["m0"] = 1
-    one.copies[0].api.submit_request(request_for(zone="a"))
+    one.replicas[2].engine.out["m0"] = 1
+    one.replicas[0].api.submit_request(request_for(zone="a"))
     one.settle()
-    (told,) = one.copies[0].api.status()["machines"]
+    (told,) = one.replicas[0].api.status()["machines"]
     assert told["state"] == "leaving" and told["missing"] == [2] and told["quiet_here"]
-    one.copies[2].engine.out["m0"] = 0
+    one.replicas[2].engine.out["m0"] = 0
     one.settle()
     assert out(one) == ["m0"]
 
 
-def test_a_copy_that_never_heard_of_it_keeps_it_from_clear_until_somebody_says_absent() -> None:
+def test_a_replica_that_never_heard_of_it_keeps_it_from_clear_until_somebody_says_absent() -> None:
     one = tier()
-    one.copies[2].cut = True
-    one.copies[0].api.submit_request(request_for(zone="a"))
+    one.replicas[2].is_cut_off = True
+    one.replicas[0].api.submit_request(request_for(zone="a"))
     one.settle(30)
     assert one.state_of("m0") == "leaving", "no time-out"
-    one.copies[2].die()
+    one.replicas[2].crash()
     with pytest.raises(UnknownPeerError):
-        one.copies[1].api.declare_absent(3)
+        one.replicas[1].api.declare_absent(3)
     with pytest.raises(UnknownPeerError):
-        one.copies[1].api.declare_absent(1)
-    one.copies[1].api.declare_absent(2)
+        one.replicas[1].api.declare_absent(1)
+    one.replicas[1].api.declare_absent(2)
     one.settle()
     assert out(one) == ["m0"] and one.state.absent_peers == {2}
     back = one.restart(2)
     one.settle()
     assert one.state.absent_peers == set() and "m0" not in back.engine.ready
-    assert one.copies[1].api.declare_absent(0) is not None
+    assert one.replicas[1].api.declare_absent(0) is not None
 
 
 def test_absent_is_for_the_process_that_was_meant() -> None:
-    """It has come back before the word was agreed: nothing is declared."""
+    """It has come back before the message was agreed: nothing is declared."""
     one = tier()
-    one.copies[2].die()
-    one.copies[1].api.declare_absent(2)
-    one.copies[1].controller.run_step()
-    late, one.words = one.words, []
+    one.replicas[2].crash()
+    one.replicas[1].api.declare_absent(2)
+    one.replicas[1].controller.run_step()
+    late, one.messages = one.messages, []
     one.restart(2)
     one.settle()
-    one.words = late
+    one.messages = late
     one.settle(1)
-    (asked,) = one.copies[1].api.status()["asked"]
+    (asked,) = one.replicas[1].api.status()["asked"]
     assert one.state.absent_peers == set() and asked["state"] == "OrderError"
 
 
-def test_a_word_that_is_told_late_does_not_hit_the_next_time() -> None:
-    """Two copies are told that a machine is done, one of them in vain: it is out again by then."""
+def test_a_message_that_is_told_late_does_not_hit_the_next_time() -> None:
+    """Two replicas are told that a machine is done, one of them in vain: it is out again by then."""
     one = tier()
-    one.copies[0].api.submit_request(request_for("first", machine_ids=("m0",)))
+    one.replicas[0].api.submit_request(request_for("first", machine_ids=("m0",)))
     one.settle()
     assert out(one) == ["m0"]
-    one.copies[1].api.report_work(CommandVerb.FINISH_WORK, "m0")
-    one.copies[1].controller.run_step()
-    late, one.words = one.words, []
-    one.copies[1].controller.commands.commands[0].sent_at_us = (
+    one.replicas[1].api.report_work(CommandVerb.FINISH_WORK, "m0")
+    one.replicas[1].controller.run_step()
+    late, one.messages = one.messages, []
+    one.replicas[1].controller.commands.commands[0].sent_at_us = (
         one.clock.now() + 60 * SECOND
     )  # the repeats are lost
-    one.copies[2].api.report_work(CommandVerb.FINISH_WORK, "m0")
+    one.replicas[2].api.report_work(CommandVerb.FINISH_WORK, "m0")
     one.settle(COLD_US / SECOND + 1)
     assert not one.state.machines and not one.state.open_requests
-    one.copies[0].api.submit_request(request_for("second", machine_ids=("m0",)))
+    one.replicas[0].api.submit_request(request_for("second", machine_ids=("m0",)))
     one.settle()
     assert out(one) == ["m0"]
-    one.words = late
+    one.messages = late
     one.settle(1)
     assert out(one) == ["m0"] and one.state.last_commands[1].verdict == "OrderError"
 
 
-def test_a_wish_withdrawn_late_is_not_the_next_one_of_its_name() -> None:
+def test_a_request_withdrawn_late_is_not_the_next_one_of_its_name() -> None:
     state = state_with(MachineState.WARMING_UP)
     first = next(iter(state.open_requests))
     agree(state, 20, OperatorCommand(1, 6, 1, "withdraw", "w", first))
@@ -459,43 +469,43 @@
     assert not state.open_requests
 
 
-def test_an_absent_copy_that_was_only_cut_off_ends_it() -> None:
+def test_an_absent_replica_that_was_only_cut_off_ends_it() -> None:
     one = tier()
-    one.copies[2].cut = True
-    one.copies[0].api.declare_absent(2)
+    one.replicas[2].is_cut_off = True
+    one.replicas[0].api.declare_absent(2)
     one.settle(1)
     assert one.state.absent_peers == {2}
-    one.copies[2].cut = False
+    one.replicas[2].is_cut_off = False
     one.settle(2)
     assert one.state.absent_peers == set()
 
 
-def test_a_copy_sends_nothing_before_it_knows_the_record() -> None:
+def test_a_replica_sends_nothing_before_it_knows_the_record() -> None:
     one = Tier(2, MACHINES)
-    one.copies[0].hear()
+    one.replicas[0].receive_list()
     for _ in range(50):
-        one.copies[0].controller.run_step()
+        one.replicas[0].controller.run_step()
         one.clock.advance(SECOND)
-    assert not one.copies[0].engine.ready and not one.copies[0].opened
+    assert not one.replicas[0].engine.ready and not one.replicas[0].serving_count
     one.settle()
-    ready, opened = len(one.copies[0].engine.ready), one.copies[0].opened
+    ready, opened = len(one.replicas[0].engine.ready), one.replicas[0].serving_count
     assert (ready, opened) == (6, 1)
 
 
-def test_a_copy_that_serves_alone_says_so_and_keeps_machines_from_clear() -> None:
+def test_a_replica_that_serves_alone_says_so_and_keeps_machines_from_clear() -> None:
     one = tier(start_alone="serve", learn_us=2 * SECOND)
-    one.copies[1].engine.out["m0"] = 1
-    one.copies[0].api.submit_request(request_for(zone="a"))
+    one.replicas[1].engine.out["m0"] = 1
+    one.replicas[0].api.submit_request(request_for(zone="a"))
     one.settle(1)
     alone = one.restart(2)
-    alone.learns = False
+    alone.can_learn = False
     one.settle(4)
-    assert len(alone.engine.ready) == 6 and alone.opened == 1
+    assert len(alone.engine.ready) == 6 and alone.serving_count == 1
     assert alone.api.status()["serving_alone"] and "a clear may be untrue" in alone.logged[0]
-    one.copies[1].engine.out["m0"] = 0
+    one.replicas[1].engine.out["m0"] = 0
     one.settle(10)
     assert one.state_of("m0") == "leaving", "what it confirmed in an earlier life does not count"
-    alone.learns = True
+    alone.can_learn = True
     one.settle()
     assert out(one) == ["m0"] and "m0" not in alone.engine.ready
 
@@ -503,13 +513,13 @@
 def test_one_that_was_declared_absent_and_serves_alone_keeps_machines_from_clear() -> None:
     """Somebody saw it dead; it has come again since, sends, and says so."""
     one = tier(start_alone="serve", learn_us=2 * SECOND)
-    one.copies[2].die()
-    one.copies[1].api.declare_absent(2)
+    one.replicas[2].crash()
+    one.replicas[1].api.declare_absent(2)
     one.settle(1)
     alone = one.restart(2)
-    alone.learns = False
+    alone.can_learn = False
     one.settle(3)
-    one.copies[1].api.submit_request(request_for(zone="a"))
+    one.replicas[1].api.submit_request(request_for(zone="a"))
     one.settle(12)
     assert one.state.absent_peers == {2} and one.state_of("m0") == "leaving"
     one.restart(2)
@@ -517,76 +527,77 @@
     assert one.state.absent_peers == set() and out(one) == ["m0"]
 
 
-def test_a_word_of_an_earlier_life_that_comes_late_is_passed_over() -> None:
+def test_a_message_of_an_earlier_life_that_comes_late_is_passed_over() -> None:
     one = tier()
-    before = one.copies[2].incarnation
+    before = one.replicas[2].incarnation
     one.restart(2)
     one.settle(1)
-    heard = one.copies[0].controller.acknowledgements
+    heard = one.replicas[0].controller.acknowledgements
     heard.record(2, before, 10**6)
     assert heard.by_peer.get(2, (0, 0))[0] != before
-    one.state.incarnations[2] = before  # a late word had it agreed: it is taken again
+    one.state.incarnations[2] = before  # a late message had it agreed: it is taken again
     heard.update(one.state)
     heard.record(2, before, 10**6)
     assert heard.by_peer[2] == (before, 10**6)
 
 
-def test_a_copy_that_is_cut_off_holds_what_it_knows_and_takes_nobody_out() -> None:
+def test_a_replica_that_is_cut_off_holds_what_it_knows_and_takes_nobody_out() -> None:
     one = tier()
-    one.copies[0].api.submit_request(request_for(out=2, zone="a"))
+    one.replicas[0].api.submit_request(request_for(out=2, zone="a"))
     one.settle()
-    cut = one.copies[2]
-    cut.cut = True
+    cut = one.replicas[2]
+    cut.is_cut_off = True
     for id in out(one, 2):
-        one.copies[0].api.report_work(CommandVerb.FINISH_WORK, id)
+        one.replicas[0].api.report_work(CommandVerb.FINISH_WORK, id)
     one.settle(6)
-    assert "m0" in one.copies[1].engine.ready
+    assert "m0" in one.replicas[1].engine.ready
     assert cut.engine.ready.keys() == {"m1", "m3", "m4", "m5"}, "held until the record says otherwise"
     assert one.state_of("m4") == "leaving"
     with pytest.raises(LeaderUnreachableError):
         cut.api.submit_request(request_for("other", zone="b"))
-    one.list_as(line("m7"), line("m1", "b", "draining"))
-    cut.hear()
+    one.update_list(listed_entry("m7"), listed_entry("m1", "b", "draining"))
+    cut.receive_list()
     assert cut.engine.ready.keys() == {"m3", "m4", "m5", "m7"}, "it goes on by discovery's list"
-    cut.cut = False
+    cut.is_cut_off = False
     one.settle()
     assert out(one) == ["m4"]
 
 
-def test_a_copy_that_is_cut_off_does_not_say_that_what_it_remembers_still_is() -> None:
+def test_a_replica_that_is_cut_off_does_not_say_that_what_it_remembers_still_is() -> None:
     one = tier(3, MACHINES)
-    first, last = one.copies[0], one.copies[2]
-    wish = request_for(machine_ids=("m0",))
-    first.api.submit_request(wish)
+    first, last = one.replicas[0], one.replicas[2]
+    request = request_for(machine_ids=("m0",))
+    first.api.submit_request(request)
     one.settle()
     first.api.report_work(CommandVerb.BEGIN_WORK, "m0")
     one.settle()
     assert (
-        last.api.report_work(CommandVerb.BEGIN_WORK, "m0") is None and last.api.submit_request(wish) is None
+        last.api.report_work(CommandVerb.BEGIN_WORK, "m0") is None
+        and last.api.submit_request(request) is None
     )
-    last.cut = True
+    last.is_cut_off = True
     first.api.report_work(CommandVerb.FINISH_WORK, "m0")
     one.settle()
     assert one.state_of("m0") != "at work" and last.state.machines["m0"].state == "at work"
     with pytest.raises(LeaderUnreachableError):
         last.api.report_work(CommandVerb.BEGIN_WORK, "m0")
     with pytest.raises(LeaderUnreachableError):
-        last.api.submit_request(wish)
+        last.api.submit_request(request)
 
 
 def test_a_record_that_is_learned_anew_lets_nothing_go() -> None:
     """A process that has to come again as another member has an empty state for a while."""
     one = tier()
-    one.copies[0].api.submit_request(request_for(zone="a"))
+    one.replicas[0].api.submit_request(request_for(zone="a"))
     one.settle()
-    again = one.copies[2]
+    again = one.replicas[2]
     again.state.load(b"")
-    again.applied, again.is_caught_up, again.cut = 0, False, True
+    again.applied, again.is_caught_up, again.is_cut_off = 0, False, True
     one.incarnations += 1
     again.incarnation = one.incarnations
     one.settle()
     assert "m0" not in again.engine.ready and again.source.drained_index() == -1
-    again.cut = False
+    again.is_cut_off = False
     one.settle()
     assert one.state.incarnations[2] == again.incarnation and out(one) == ["m0"]
     assert (
@@ -597,11 +608,11 @@
 
 def test_during_a_handover_the_new_process_confirms_nothing() -> None:
     one = tier()
-    one.copies[2].controller.may_acknowledge = lambda: False
-    one.copies[0].api.submit_request(request_for(zone="a"))
+    one.replicas[2].controller.may_acknowledge = lambda: False
+    one.replicas[0].api.submit_request(request_for(zone="a"))
     one.settle(10)
     assert one.state_of("m0") == "leaving"
-    one.copies[2].controller.may_acknowledge = lambda: True
+    one.replicas[2].controller.may_acknowledge = lambda: True
     one.settle()
     assert out(one) == ["m0"]
 
@@ -610,13 +621,13 @@
 
 
 def test_the_sidecar_of_a_machine_dies_while_it_is_at_work() -> None:
-    """Its copy comes again from nothing, and sends nothing to it."""
+    """Its replica comes again from nothing, and sends nothing to it."""
     one = tier()
-    one.copies[2].api.submit_request(request_for(zone="a"))
+    one.replicas[2].api.submit_request(request_for(zone="a"))
     one.settle()
-    one.copies[2].api.report_work(CommandVerb.BEGIN_WORK, "m0")
+    one.replicas[2].api.report_work(CommandVerb.BEGIN_WORK, "m0")
     one.settle(1)
-    one.copies[2].die()
+    one.replicas[2].crash()
     one.settle(1)
     back = one.restart(2)
     assert not back.engine.ready
@@ -627,37 +638,37 @@
     assert one.state_of("m0") == "returning" and "m0" in back.engine.ready
 
 
-def test_a_wish_withdrawn_while_half_have_confirmed() -> None:
+def test_a_request_withdrawn_while_half_have_confirmed() -> None:
     one = tier(4)
-    for copy in one.copies[2:]:
-        copy.engine.out["m0"] = 1
-    one.copies[0].api.submit_request(request_for(zone="a"))
+    for replica in one.replicas[2:]:
+        replica.engine.out["m0"] = 1
+    one.replicas[0].api.submit_request(request_for(zone="a"))
     one.settle()
-    missing = one.copies[0].controller.acknowledgements.missing_peers(
+    missing = one.replicas[0].controller.acknowledgements.missing_peers(
         one.state.machines["m0"].drain_index, one.state, 4
     )
     assert missing == [2, 3]
-    one.copies[3].api.withdraw_request("w")
+    one.replicas[3].api.withdraw_request("w")
     one.settle()
     assert not one.state.open_requests and not one.state.machines
-    for copy in one.copies:
-        assert copy.engine.ready["m0"] == 1000, "as it was: it never stopped"
-    assert one.copies[1].api.withdraw_request("w") is None, "asked twice, it says yes twice"
+    for replica in one.replicas:
+        assert replica.engine.ready["m0"] == 1000, "as it was: it never stopped"
+    assert one.replicas[1].api.withdraw_request("w") is None, "asked twice, it says yes twice"
 
 
-def test_a_withdrawn_wish_waits_for_who_is_at_work() -> None:
+def test_a_withdrawn_request_waits_for_who_is_at_work() -> None:
     one = tier()
-    one.copies[0].api.submit_request(request_for(zone="a", out=2))
+    one.replicas[0].api.submit_request(request_for(zone="a", out=2))
     one.settle()
-    one.copies[0].api.report_work(CommandVerb.BEGIN_WORK, "m0")
+    one.replicas[0].api.report_work(CommandVerb.BEGIN_WORK, "m0")
     one.settle(1)
-    one.copies[0].api.withdraw_request("w")
+    one.replicas[0].api.withdraw_request("w")
     one.settle()
-    assert one.states() == {"m0": "at work"} and "m2" in one.copies[1].engine.ready
-    assert one.copies[0].api.status()["wishes"][0]["state"] == "withdrawn"
-    one.copies[0].api.report_work(CommandVerb.FINISH_WORK, "m0")
+    assert one.states() == {"m0": "at work"} and "m2" in one.replicas[1].engine.ready
+    assert one.replicas[0].api.status()["wishes"][0]["state"] == "withdrawn"
+    one.replicas[0].api.report_work(CommandVerb.FINISH_WORK, "m0")
     one.settle(COLD_US / SECOND + 2)
-    assert not one.state.open_requests and one.copies[0].api.status()["past"][0]["withdrawn"]
+    assert not one.state.open_requests and one.replicas[0].api.status()["past"][0]["withdrawn"]
 
 
 @pytest.mark.parametrize(
@@ -666,19 +677,19 @@
 )
 def test_discovery_takes_the_machine_that_leaves(phase: str, started_ms: int, why: str) -> None:
     one = tier()
-    one.copies[1].engine.out["m0"] = 1
-    one.copies[0].api.submit_request(request_for(zone="a"))
+    one.replicas[1].engine.out["m0"] = 1
+    one.replicas[0].api.submit_request(request_for(zone="a"))
     one.settle(1)
     assert one.state_of("m0") == "leaving"
-    one.list_as(line("m0", "a", phase, started_ms))
+    one.update_list(listed_entry("m0", "a", phase, started_ms))
     one.settle(4)
     assert "m0" not in one.state.machines
     assert one.state.open_requests and next(iter(one.state.open_requests.values())).dropped == [
         DroppedMachine("m0", why)
     ]
-    for copy in one.copies:
-        assert ("m0" in copy.engine.ready) == (phase == "ready"), "discovery wins"
-    if phase == "draining":  # it is out as well, by discovery's word
+    for replica in one.replicas:
+        assert ("m0" in replica.engine.ready) == (phase == "ready"), "discovery wins"
+    if phase == "draining":  # it is out as well, by discovery's message
         assert not one.states()
     else:
         assert out(one) == ["m2"], "the next goes"
@@ -687,73 +698,75 @@
 @pytest.mark.parametrize("phase", ["gone", "draining", "replaced"])
 def test_a_machine_at_work_may_go_and_come_and_stays_out(phase: str) -> None:
     one = tier()
-    one.copies[0].api.submit_request(request_for(zone="a"))
+    one.replicas[0].api.submit_request(request_for(zone="a"))
     one.settle()
-    one.copies[0].api.report_work(CommandVerb.BEGIN_WORK, "m0")
+    one.replicas[0].api.report_work(CommandVerb.BEGIN_WORK, "m0")
     one.settle(1)
-    one.list_as(line("m0", "a", "ready" if phase == "replaced" else phase, 9000))
+    one.update_list(listed_entry("m0", "a", "ready" if phase == "replaced" else phase, 9000))
     one.settle(2)
     assert one.state_of("m0") == "at work"
-    one.list_as(line("m0", "a", started_ms=9000))
+    one.update_list(listed_entry("m0", "a", started_ms=9000))
     one.settle(1)
-    assert all("m0" not in copy.engine.ready for copy in one.copies)
-    one.copies[0].api.report_work(CommandVerb.FINISH_WORK, "m0")
+    assert all("m0" not in replica.engine.ready for replica in one.replicas)
+    one.replicas[0].api.report_work(CommandVerb.FINISH_WORK, "m0")
     one.settle(1)
-    assert all("m0" in copy.engine.ready for copy in one.copies)
+    assert all("m0" in replica.engine.ready for replica in one.replicas)
 
 
-def test_two_zones_wished_at_once_with_room_for_one() -> None:
+def test_two_zones_requested_at_once_with_room_for_one() -> None:
     one = tier()
-    one.copies[1].api.submit_request(request_for("b-first", 1, "tier", zone="b"))
-    one.copies[2].api.submit_request(request_for("a-then", 1, "tier", zone="a"))
+    one.replicas[1].api.submit_request(request_for("b-first", 1, "tier", zone="b"))
+    one.replicas[2].api.submit_request(request_for("a-then", 1, "tier", zone="a"))
     one.settle()
     (id,) = out(one)
-    first = min(one.state.open_requests.values(), key=lambda wish: wish.number)
+    first = min(one.state.open_requests.values(), key=lambda request: request.number)
     assert first.request.zone == one.list[id]["zone"], "the order of the record"
-    told = one.copies[0].api.status()["wishes"]
-    assert all("out 1 per tier: 1 out in the tier" in wish["kept_by"] for wish in told)
-    assert not any(wish["never"] for wish in told)
+    told = one.replicas[0].api.status()["wishes"]
+    assert all("out 1 per tier: 1 out in the tier" in request["kept_by"] for request in told)
+    assert not any(request["never"] for request in told)
     done: list[str] = []
     for _ in range(6):
         (id,) = out(one)
         done.append(id)
-        one.copies[0].api.report_work(CommandVerb.FINISH_WORK, id)
+        one.replicas[0].api.report_work(CommandVerb.FINISH_WORK, id)
         one.settle(COLD_US / SECOND + 3)
     zones = [one.list[id]["zone"] for id in done]
     assert sorted(zones, key=zones.index) == zones and not one.state.open_requests
 
 
-def test_a_wish_that_can_never_hold_is_told_with_the_constraint() -> None:
+def test_a_request_that_can_never_hold_is_told_with_the_constraint() -> None:
     one = tier()
     with pytest.raises(UnsatisfiableRequestError, match=r"share 0\.9: 0\.833 would stay"):
-        one.copies[1].api.submit_request(request_for(share=0.9, zone="a"))
-    one.copies[1].api.submit_request(request_for("strict", share=0.8, zone="b"))
-    one.copies[1].api.submit_request(request_for("wide", out=3, share=0.2, zone="a"))
+        one.replicas[1].api.submit_request(request_for(share=0.9, zone="a"))
+    one.replicas[1].api.submit_request(request_for("strict", share=0.8, zone="b"))
+    one.replicas[1].api.submit_request(request_for("wide", out=3, share=0.2, zone="a"))
     one.settle()
-    one.list_as(line("m5", "b", "gone"), line("m4", "a", "gone"))  # four are left: a quarter each
+    one.update_list(
+        listed_entry("m5", "b", "gone"), listed_entry("m4", "a", "gone")
+    )  # four are left: a quarter each
     one.settle(2)
     (id,) = out(one)
-    one.copies[0].api.report_work(CommandVerb.FINISH_WORK, id)
+    one.replicas[0].api.report_work(CommandVerb.FINISH_WORK, id)
     one.settle(COLD_US / SECOND + 2)
-    told = {wish["name"]: wish for wish in one.copies[0].api.status()["wishes"]}
+    told = {request["name"]: request for request in one.replicas[0].api.status()["wishes"]}
     assert told["strict"]["never"] and "share 0.8" in told["strict"]["kept_by"]
     assert told["wide"]["never"] and "(wish strict)" in told["wide"]["kept_by"]
-    one.copies[0].api.withdraw_request("strict")
+    one.replicas[0].api.withdraw_request("strict")
     one.settle()
     assert len(out(one, 2)) == 2
 
 
-def test_a_release_replaces_all_sidecars_while_three_wishes_are_under_way() -> None:
+def test_a_release_replaces_all_sidecars_while_three_requests_are_under_way() -> None:
     one = tier(4)
     for name, zone in (("disk", "a"), ("kernel", "b")):
-        one.copies[0].api.submit_request(request_for(name, 2, zone=zone))
-    one.copies[0].api.submit_request(request_for("release", 2, kind="small"))
+        one.replicas[0].api.submit_request(request_for(name, 2, zone=zone))
+    one.replicas[0].api.submit_request(request_for("release", 2, kind="small"))
     one.settle()
     first, second = out(one, 2)
-    one.copies[0].api.report_work(CommandVerb.BEGIN_WORK, first)
+    one.replicas[0].api.report_work(CommandVerb.BEGIN_WORK, first)
     for me in (3, 2, 1, 0):
         one.settle(1)
-        old = set(one.copies[me].engine.ready)
+        old = set(one.replicas[me].engine.ready)
         one.leaders = {(me + 1) % 4}
         new = one.restart(me)
         assert not new.engine.ready
@@ -770,90 +783,90 @@
 
 
 def finish(one: Tier, rounds: int = 60) -> None:
-    """Staff works until all wishes are over."""
+    """Staff works until all requests are over."""
     for _ in range(rounds):
         for id, state in one.states().items():
             if state in ("clear", "at work", "overdue"):
-                one.alive[0].api.report_work(CommandVerb.FINISH_WORK, id)
+                one.live_replicas[0].api.report_work(CommandVerb.FINISH_WORK, id)
         one.settle(COLD_US / SECOND + 1)
         if not one.state.open_requests:
             return
     raise AssertionError(one.states())
 
 
-def test_lists_of_different_age_at_the_copies() -> None:
+def test_lists_of_different_age_at_the_replicas() -> None:
     """One does not know the machine, one has it draining, one would be left with none."""
     one = Tier(4, MACHINES)
-    one.copies[1].source.listed(1, True, MACHINES[1:])
-    one.copies[2].source.listed(1, True, [line("m0", "a", "draining"), *MACHINES[1:]])
-    one.copies[3].source.listed(1, True, [MACHINES[0]])
-    for copy in one.copies[1:]:
-        copy.list_version = 10**6
+    one.replicas[1].source.listed(1, True, MACHINES[1:])
+    one.replicas[2].source.listed(1, True, [listed_entry("m0", "a", "draining"), *MACHINES[1:]])
+    one.replicas[3].source.listed(1, True, [MACHINES[0]])
+    for replica in one.replicas[1:]:
+        replica.list_version = 10**6
     one.settle(2)
-    one.copies[0].api.submit_request(request_for(machine_ids=("m0",)))
+    one.replicas[0].api.submit_request(request_for(machine_ids=("m0",)))
     one.settle()
-    assert one.state_of("m0") == "leaving" and one.copies[3].engine.ready.keys() == {"m0"}
-    assert one.copies[0].api.status()["machines"][0]["missing"] == [3], "the last one is never taken"
-    for copy in one.copies[1:]:
-        copy.list_version = -1
+    assert one.state_of("m0") == "leaving" and one.replicas[3].engine.ready.keys() == {"m0"}
+    assert one.replicas[0].api.status()["machines"][0]["missing"] == [3], "the last one is never taken"
+    for replica in one.replicas[1:]:
+        replica.list_version = -1
     one.settle()
-    assert out(one) == ["m0"] and all("m0" not in copy.engine.ready for copy in one.copies)
+    assert out(one) == ["m0"] and all("m0" not in replica.engine.ready for replica in one.replicas)
 
 
-def test_whoever_leads_with_an_older_list_ends_no_wish() -> None:
+def test_whoever_leads_with_an_older_list_ends_no_request() -> None:
     one = tier()
-    one.copies[0].list_version = 10**6
-    one.list_as(line("m9", "z"), line("m8", "y"))
+    one.replicas[0].list_version = 10**6
+    one.update_list(listed_entry("m9", "z"), listed_entry("m8", "y"))
     one.settle(1)
-    one.copies[1].api.submit_request(request_for("by-id", machine_ids=("m9",)))
-    one.copies[1].api.submit_request(request_for("by-zone", out=2, zone="y"))
+    one.replicas[1].api.submit_request(request_for("by-id", machine_ids=("m9",)))
+    one.replicas[1].api.submit_request(request_for("by-zone", out=2, zone="y"))
     one.settle()
-    told = {wish["name"]: wish["kept_by"] for wish in one.copies[0].api.status()["wishes"]}
+    told = {request["name"]: request["kept_by"] for request in one.replicas[0].api.status()["wishes"]}
     assert told == {"by-id": "m9: not listed", "by-zone": "no machine that is listed"}
-    one.copies[0].list_version = -1
+    one.replicas[0].list_version = -1
     one.settle()
     assert out(one) == ["m9"]
 
 
 def test_a_new_leader_with_an_older_list_drops_nothing_at_once() -> None:
     one = tier()
-    one.copies[1].engine.out["m0"] = 1
-    one.copies[0].api.submit_request(request_for(zone="a"))
+    one.replicas[1].engine.out["m0"] = 1
+    one.replicas[0].api.submit_request(request_for(zone="a"))
     one.settle(1)
-    one.list_as(line("m0", phase="gone"))
+    one.update_list(listed_entry("m0", phase="gone"))
     one.restart(2)
     one.leaders = {2}
     one.settle(1)
-    one.list_as(line("m0"))
+    one.update_list(listed_entry("m0"))
     one.settle(4)
     assert one.states() == {"m0": "leaving"}
 
 
 def test_a_status_looks_once_at_what_is_out_at_each_machine() -> None:
-    one = tier(1, [line(f"m{n}") for n in range(40)])
-    copy = one.copies[0]
-    copy.engine.out.update(f"m{n}" for n in range(40))
-    copy.api.submit_request(request_for(out=30, kind="small", zone="a"))
+    one = tier(1, [listed_entry(f"m{n}") for n in range(40)])
+    replica = one.replicas[0]
+    replica.engine.out.update(f"m{n}" for n in range(40))
+    replica.api.submit_request(request_for(out=30, kind="small", zone="a"))
     one.settle(6.0)
     assert len(one.state.machines) == 30
     looks: list[int] = []
-    copy.source.in_flight_at = lambda endpoint: looks.append(endpoint) or 1  # type: ignore[func-returns-value]
-    assert not any(told["quiet_here"] for told in copy.api.status()["machines"])
+    replica.source.in_flight_at = lambda endpoint: looks.append(endpoint) or 1  # type: ignore[func-returns-value]
+    assert not any(told["quiet_here"] for told in replica.api.status()["machines"])
     assert len(looks) == 30
 
 
-def test_two_hundred_copies() -> None:
-    one = Tier(200, [line(f"m{n}", "ab"[n % 2]) for n in range(10)])
+def test_two_hundred_replicas() -> None:
+    one = Tier(200, [listed_entry(f"m{n}", "ab"[n % 2]) for n in range(10)])
     one.settle(1)
     assert len(one.state.incarnations) == 200
-    one.words.clear()
+    one.messages.clear()
     one.settle(1)
-    assert not one.words, "none at rest"
-    one.copies[150].api.submit_request(request_for(out=2, per="zone", zone="a"))
+    assert not one.messages, "none at rest"
+    one.replicas[150].api.submit_request(request_for(out=2, per="zone", zone="a"))
     one.settle(2)
     assert out(one, 2) == ["m0", "m2"]
     assert (
-        one.copies[0].controller.acknowledgements.missing_peers(
+        one.replicas[0].controller.acknowledgements.missing_peers(
             one.state.machines["m2"].drain_index, one.state, 200
         )
         == []
@@ -862,25 +875,25 @@
 
 def test_a_machine_that_never_comes_back_is_overdue_and_counts() -> None:
     one = tier(overdue_us=10 * SECOND)
-    one.copies[0].api.submit_request(request_for("one", 1, zone="a"))
+    one.replicas[0].api.submit_request(request_for("one", 1, zone="a"))
     one.settle()
-    one.copies[0].api.report_work(CommandVerb.BEGIN_WORK, "m0")
+    one.replicas[0].api.report_work(CommandVerb.BEGIN_WORK, "m0")
     one.settle(12)
     assert one.states() == {"m0": "overdue"}, "the next does not go: one is out"
-    assert one.copies[0].logged == ["maintenance: m0: overdue"]
-    one.copies[0].api.withdraw_request("one")
+    assert one.replicas[0].logged == ["maintenance: m0: overdue"]
+    one.replicas[0].api.withdraw_request("one")
     one.settle(1)
-    one.copies[0].api.submit_request(request_for("two", 2, machine_ids=("m2", "m4")))
+    one.replicas[0].api.submit_request(request_for("two", 2, machine_ids=("m2", "m4")))
     one.settle(2)
     assert one.states() == {"m0": "overdue", "m2": "clear"}, "with room for two the next goes"
-    one.copies[0].api.report_work(CommandVerb.FINISH_WORK, "m0")
+    one.replicas[0].api.report_work(CommandVerb.FINISH_WORK, "m0")
     one.settle(COLD_US / SECOND + 2)
     assert "m0" not in one.states()
 
 
-def test_a_wish_has_its_own_time_until_overdue() -> None:
+def test_a_request_has_its_own_time_until_overdue() -> None:
     one = tier(overdue_us=3600 * SECOND)
-    one.copies[0].api.submit_request(request_for(zone="a", overdue_s=5))
+    one.replicas[0].api.submit_request(request_for(zone="a", overdue_s=5))
     one.settle(9)
     assert one.states() == {"m0": "overdue"}, "clear, and nobody began"
 
@@ -889,12 +902,12 @@
     """With a lasting record it goes on; without, nothing is out and nothing was clear."""
     for lasting in (True, False):
         one = tier()
-        one.copies[1].engine.out["m0"] = 1
-        one.copies[0].api.submit_request(request_for(zone="a"))
+        one.replicas[1].engine.out["m0"] = 1
+        one.replicas[0].api.submit_request(request_for(zone="a"))
         one.settle(1)
         assert one.state_of("m0") == "leaving"
-        for copy in one.copies:
-            copy.die()
+        for replica in one.replicas:
+            replica.crash()
         if not lasting:
             one.log.clear()
             one.multiplexer.load(b"")
@@ -904,15 +917,15 @@
         one.leaders = {1}
         one.settle()
         assert one.states() == ({"m0": "clear"} if lasting else {})
-        assert all(("m0" in copy.engine.ready) is not lasting for copy in one.copies)
+        assert all(("m0" in replica.engine.ready) is not lasting for replica in one.replicas)
 
 
 def test_a_record_founded_anew_says_what_it_forgot() -> None:
     """One without a seat lives on, and held back what those that decided have all forgotten."""
     one = tier()
-    one.copies[0].api.submit_request(request_for(zone="a"))
+    one.replicas[0].api.submit_request(request_for(zone="a"))
     one.settle()
-    last = one.copies[2]
+    last = one.replicas[2]
     one.log.clear()
     one.multiplexer.load(b"")
     one.epoch, last.applied = 2, 0
@@ -928,70 +941,70 @@
 
 
 def test_the_last_ready_machines_stay() -> None:
-    one = tier(machines=[line("m0"), line("m1")])
-    one.copies[0].api.submit_request(request_for(out=2, zone="a"))
+    one = tier(machines=[listed_entry("m0"), listed_entry("m1")])
+    one.replicas[0].api.submit_request(request_for(out=2, zone="a"))
     one.settle()
     assert out(one) == ["m0"]
-    assert one.copies[0].api.status()["wishes"][0]["kept_by"] == "m1: last: 1 ready in the tier"
+    assert one.replicas[0].api.status()["wishes"][0]["kept_by"] == "m1: last: 1 ready in the tier"
 
 
 def test_a_machine_that_leaves_is_spared_when_all_others_go() -> None:
-    one = tier(machines=[line("m0"), line("m1")])
-    one.copies[1].engine.out["m0"] = 1
-    one.copies[0].api.submit_request(request_for(zone="a"))
+    one = tier(machines=[listed_entry("m0"), listed_entry("m1")])
+    one.replicas[1].engine.out["m0"] = 1
+    one.replicas[0].api.submit_request(request_for(zone="a"))
     one.settle(1)
     assert one.state_of("m0") == "leaving"
-    one.list_as(line("m1", phase="gone"))
+    one.update_list(listed_entry("m1", phase="gone"))
     one.settle(2)
-    assert not one.states() and all(copy.engine.ready.keys() == {"m0"} for copy in one.copies)
+    assert not one.states() and all(replica.engine.ready.keys() == {"m0"} for replica in one.replicas)
     assert one.state.open_requests, "its turn comes again"
 
 
 def test_what_discovery_drains_counts_as_out() -> None:
     one = tier()
-    one.list_as(line("m2", "a", "draining"))
+    one.update_list(listed_entry("m2", "a", "draining"))
     one.settle(1)
-    one.copies[0].api.submit_request(request_for(per="zone", zone="a"))
+    one.replicas[0].api.submit_request(request_for(per="zone", zone="a"))
     one.settle()
     assert not one.states()
-    assert "out 1 per zone: 1 out in zone a" in one.copies[0].api.status()["wishes"][0]["kept_by"]
+    assert "out 1 per zone: 1 out in zone a" in one.replicas[0].api.status()["wishes"][0]["kept_by"]
 
 
 def test_cells_and_cold_ones_count() -> None:
-    machines = [line(f"m{n}", "a", cell=n // 2) for n in range(4)]
+    machines = [listed_entry(f"m{n}", "a", cell=n // 2) for n in range(4)]
     one = tier(machines=machines)
-    one.copies[0].api.submit_request(request_for(per="cell", share=0.5, zone="a"))
+    one.replicas[0].api.submit_request(request_for(per="cell", share=0.5, zone="a"))
     one.settle()
     assert set(out(one, 2)) == {"m0", "m2"}, "one of each cell"
-    one.copies[0].api.report_work(CommandVerb.FINISH_WORK, "m0")
+    one.replicas[0].api.report_work(CommandVerb.FINISH_WORK, "m0")
     one.settle(1)
     assert "m1" not in one.states(), "the one that is back is cold"
-    assert one.copies[0].api.status()["wishes"][0]["kept_by"].startswith("m1: ")
+    assert one.replicas[0].api.status()["wishes"][0]["kept_by"].startswith("m1: ")
 
 
-# --- What is asked at a copy ------------------------------------------------------------------
+# --- What is asked at a replica ------------------------------------------------------------------
 
 
-def test_words_that_are_lost_are_told_again_and_given_up_in_the_end() -> None:
+def test_messages_that_are_lost_are_told_again_and_given_up_in_the_end() -> None:
     one = tier()
-    asked = one.copies[1].api.submit_request(request_for(zone="a"))
+    asked = one.replicas[1].api.submit_request(request_for(zone="a"))
     assert asked is not None
-    one.copies[1].controller.run_step()
-    one.words.clear()
+    one.replicas[1].controller.run_step()
+    one.messages.clear()
     one.settle()
     assert asked.status == "agreed"
     one.leaders.clear()
-    lost = one.copies[1].api.withdraw_request("w")
-    assert lost is not None and one.copies[1].api.withdraw_request("w") is lost, "the same asking"
+    lost = one.replicas[1].api.withdraw_request("w")
+    assert lost is not None and one.replicas[1].api.withdraw_request("w") is lost, "the same asking"
     one.settle(COMMAND_TIMEOUT_US / SECOND + 2)
-    assert lost.status == "lost" and "call again" in one.copies[1].logged[-1]
+    assert lost.status == "lost" and "call again" in one.replicas[1].logged[-1]
 
 
 def test_a_version_that_follows_asks_on_from_the_number_of_the_one_before() -> None:
     one = tier()
-    one.copies[1].api.submit_request(request_for(zone="a"))
+    one.replicas[1].api.submit_request(request_for(zone="a"))
     one.settle()
-    before = one.copies[1].incarnation
+    before = one.replicas[1].incarnation
     after = one.restart(1)
     after.incarnation = before
     one.settle(1)
@@ -1002,27 +1015,27 @@
 
 def test_what_is_confirmed_is_told_ever_more_seldom_and_to_a_new_leader_at_once() -> None:
     one = tier()
-    one.copies[2].cut = True
-    one.copies[0].api.submit_request(request_for(zone="a"))
+    one.replicas[2].is_cut_off = True
+    one.replicas[0].api.submit_request(request_for(zone="a"))
     one.settle(20)
-    words = 0
+    messages = 0
     for _ in range(600):
-        one.copies[1].controller.run_step()
-        words += len(one.words)
-        one.words.clear()
+        one.replicas[1].controller.run_step()
+        messages += len(one.messages)
+        one.messages.clear()
         one.clock.time += SECOND // 10
-    assert 7 <= words <= 9
-    one.copies[0].controller.acknowledgements.reset()
+    assert 7 <= messages <= 9
+    one.replicas[0].controller.acknowledgements.reset()
     one.leaders = {1}
-    for copy in one.copies[:2]:
-        copy.controller.run_step()
-    assert {peer for peer, _, _ in one.words} == {0, 1}
+    for replica in one.replicas[:2]:
+        replica.controller.run_step()
+    assert {peer for peer, _, _ in one.messages} == {0, 1}
 
 
-def test_askings_are_bounded() -> None:
+def test_commands_are_bounded() -> None:
     one = tier()
     one.leaders.clear()
-    api = one.copies[1].api
+    api = one.replicas[1].api
     for n in range(MAX_COMMANDS):
         api.submit_request(request_for(f"w{n}", zone="a"))
     with pytest.raises(TooManyRequestsError):
@@ -1031,28 +1044,28 @@
     one.settle()
     assert len(one.state.open_requests) == min(MAX_COMMANDS, MAX_OPEN_REQUESTS)
     api.withdraw_request("w0")
-    assert len(one.copies[1].controller.commands.commands) == MAX_COMMANDS
+    assert len(one.replicas[1].controller.commands.commands) == MAX_COMMANDS
 
 
 def test_a_leader_that_is_busy_or_deposed_proposes_again() -> None:
     one = tier()
-    first = one.copies[0]
+    first = one.replicas[0]
     answers: list[Exception] = [BusyError("full"), NotLeaderError(None), BusyError("full")]
     append = one.append
 
-    def proposed(by: Copy, data: bytes) -> None:
+    def proposed(by: Replica, data: bytes) -> None:
         if answers:
             raise answers.pop()
         append(data)
 
-    one.proposed = proposed  # type: ignore[method-assign]
-    word = first.send_to_leader
+    one.on_proposal = proposed  # type: ignore[method-assign]
+    message = first.send_to_leader
     busy = [BusyError("full")]
 
     def say(data: bytes) -> None:
         if busy:
             raise busy.pop()
-        word(data)
+        message(data)
 
     first.send_to_leader = say  # type: ignore[method-assign]
     first.api.submit_request(request_for(zone="a"))
@@ -1060,10 +1073,10 @@
     assert out(one) == ["m0"] and not answers and not busy
 
 
-def test_the_desk_refuses_what_it_can_tell_at_once() -> None:
+def test_the_api_refuses_what_it_can_tell_at_once() -> None:
     one = tier()
-    api = one.copies[1].api
-    for wish, error in (
+    api = one.replicas[1].api
+    for request, error in (
         (request_for(machine_ids=("m0", "nobody")), UnknownMachineError),
         (request_for(zone="nowhere"), UnknownMachineError),
         (request_for(cell=77), UnknownMachineError),
@@ -1071,7 +1084,7 @@
         (request_for(machine_ids=tuple(f"m{n}" for n in range(6)), kind="small" * 30), UnknownMachineError),
     ):
         with pytest.raises(error):
-            api.submit_request(wish)
+            api.submit_request(request)
     with pytest.raises(UnknownRequestError):
         api.withdraw_request("nothing")
     with pytest.raises(InvalidTransitionError, match="m0: not out"):
@@ -1085,14 +1098,14 @@
         api.report_work(CommandVerb.BEGIN_WORK, "m2")
 
 
-def test_a_wish_or_a_machine_that_does_not_fit_an_entry() -> None:
-    long = [line("x" * 40 + str(n)) for n in range(9)]
-    one = tier(machines=[*long, line("y" * 150), line("z")])
+def test_a_request_or_a_machine_that_does_not_fit_an_entry() -> None:
+    long = [listed_entry("x" * 40 + str(n)) for n in range(9)]
+    one = tier(machines=[*long, listed_entry("y" * 150), listed_entry("z")])
     with pytest.raises(EntryTooLargeError, match="160 at most"):
-        one.copies[0].api.submit_request(request_for(machine_ids=tuple(raw["instanceId"] for raw in long)))
+        one.replicas[0].api.submit_request(request_for(machine_ids=tuple(raw["instanceId"] for raw in long)))
     with pytest.raises(UnsatisfiableRequestError, match="too long"):
-        one.copies[0].api.submit_request(request_for(machine_ids=("y" * 150,)))
-    one.copies[0].api.submit_request(request_for(out=20, kind="small"))
+        one.replicas[0].api.submit_request(request_for(machine_ids=("y" * 150,)))
+    one.replicas[0].api.submit_request(request_for(out=20, kind="small"))
     one.settle()
     assert len(one.states()) == 10, "all but the one that does not fit"
     assert not fits_entry(MachineTransition("y" * 150, 1, "clear")) and fits_entry(
@@ -1101,28 +1114,28 @@
 
 
 def test_a_zone_that_is_no_unicode_keeps_its_machine_and_no_other() -> None:
-    one = tier(2, [line("m0", zone="\ud800"), *(line(f"m{n}") for n in range(1, 4))])
-    one.copies[0].api.submit_request(request_for(out=9, kind="small"))
+    one = tier(2, [listed_entry("m0", zone="\ud800"), *(listed_entry(f"m{n}") for n in range(1, 4))])
+    one.replicas[0].api.submit_request(request_for(out=9, kind="small"))
     one.settle()
     assert set(one.states()) == {"m1", "m2", "m3"}
 
 
-def test_a_wish_for_more_machines_than_the_record_holds() -> None:
-    one = tier(2, [line(f"m{n}") for n in range(1100)])
+def test_a_request_for_more_machines_than_the_record_holds() -> None:
+    one = tier(2, [listed_entry(f"m{n}") for n in range(1100)])
     with pytest.raises(EntryTooLargeError, match="1024"):
-        one.copies[0].api.submit_request(request_for(zone="a"))
+        one.replicas[0].api.submit_request(request_for(zone="a"))
 
 
 # --- Calls ------------------------------------------------------------------------------------
 
 
 def asked(one: Tier, method: bytes, target: bytes) -> tuple[int, Any]:
-    reply = handle_call(method, target, one.copies[1].api)
+    reply = handle_call(method, target, one.replicas[1].api)
     assert reply is not None
     return reply.status, json.loads(reply.body) if reply.status != 405 else reply.allow
 
 
-def test_calls_from_wish_to_back() -> None:
+def test_calls_from_request_to_back() -> None:
     one = tier()
     target = b"/api/upkeep/wish?name=disk&zone=a&out=1&per=zone&share=0.5"
     assert asked(one, b"POST", target) == (202, {"state": "wished", "asked": 1})
@@ -1174,19 +1187,19 @@
     assert one.state.dump() == before
 
 
-def test_a_copy_out_of_touch_says_503_and_the_rest_is_none_of_upkeeps() -> None:
+def test_a_replica_out_of_touch_says_503_and_the_rest_is_none_of_maintenance() -> None:
     one = tier()
-    one.copies[1].cut = True
+    one.replicas[1].is_cut_off = True
     assert asked(one, b"POST", b"/api/upkeep/wish?name=w&zone=a")[0] == 503
     for path, expected in METHODS.items():
         other = b"POST" if expected == b"GET" else b"GET"
         assert asked(one, other, path) == (405, expected)
-    assert handle_call(b"GET", b"/api/upkeep/nothing", one.copies[1].api) is None
+    assert handle_call(b"GET", b"/api/upkeep/nothing", one.replicas[1].api) is None
 
 
-def test_the_second_address_asks_upkeep_only_where_it_is_on() -> None:
+def test_the_second_address_asks_maintenance_only_where_it_is_on() -> None:
     one = tier()
-    api: MaintenanceApi = one.copies[1].api
+    api: MaintenanceApi = one.replicas[1].api
 
     def more(method: bytes, target: bytes) -> Reply | None:
         return handle_call(method, target, api)
@@ -1208,12 +1221,17 @@
 
     def __init__(self, known: bool = True) -> None:
         self.clock = ManualClock()
-        self.engine = PlayedEngine(self.clock)
+        self.engine = FakeEngine(self.clock)
         self.state = MaintenanceState()
         self.logged: list[str] = []
         self.steps: list[tuple[Iterator[None], Callable[[Exception | None], None]]] = []
         self.source = MaintenanceSource(
-            Inner(), self.state, self.clock, GRACE_US, lambda *run: self.steps.append(run), self.logged.append
+            FakeDiscovery(),
+            self.state,
+            self.clock,
+            GRACE_US,
+            lambda *run: self.steps.append(run),
+            self.logged.append,
         )
         self.source.start(self.engine, 0)
         if known:
@@ -1235,7 +1253,7 @@
         assert id in self.state.machines
 
 
-LONG = [line(f"m{n}") for n in range(1000)]
+LONG = [listed_entry(f"m{n}") for n in range(1000)]
 
 
 def test_a_long_list_stays_in_steps() -> None:
@@ -1268,15 +1286,15 @@
     world = World(known=False)
     for _ in world.source.list_in_steps(True, [dict(raw) for raw in LONG], 5):
         pass
-    world.source.listed(2, False, [line("m3", phase="draining")])
+    world.source.listed(2, False, [listed_entry("m3", phase="draining")])
     assert not world.engine.ready and world.source.drained_index() == -1
     world.hold("m7")
     world.source.start_forwarding(True)
-    world.source.listed(3, False, [line("m4", phase="gone"), line("new")])
+    world.source.listed(3, False, [listed_entry("m4", phase="gone"), listed_entry("new")])
     assert not world.engine.ready and world.source.drained_index() < world.state.index
     assert world.run() > 1000 / MAX_DIRECT_ENTRIES
     assert world.engine.ready.keys() == {raw["instanceId"] for raw in LONG} - {"m3", "m4", "m7"} | {"new"}
-    world.source.listed(4, True, [line("m8")])
+    world.source.listed(4, True, [listed_entry("m8")])
     assert world.engine.ready.keys() == {"m8"}
 
 
@@ -1284,8 +1302,8 @@
     world = World(known=False)
     world.source.give_known(41, LONG)
     world.source.start_forwarding(True)
-    world.source.listed(3, True, [line("m8")])
-    for _ in world.source.list_in_steps(True, [line("m8"), line("m9")], 5):
+    world.source.listed(3, True, [listed_entry("m8")])
+    for _ in world.source.list_in_steps(True, [listed_entry("m8"), listed_entry("m9")], 5):
         pass
     world.run()
     assert world.engine.ready.keys() == {"m8", "m9"}
@@ -1293,7 +1311,7 @@
 
 def test_a_process_that_stands_still_as_it_tells_is_not_quiet_before_the_grace_is_over() -> None:
     world = World()
-    world.source.listed(1, True, [line("m0"), line("m1")])
+    world.source.listed(1, True, [listed_entry("m0"), listed_entry("m1")])
     world.hold("m0")
     listed = world.engine.listed
 
@@ -1311,7 +1329,7 @@
 
 def test_what_the_engine_did_not_take_is_never_quiet() -> None:
     world = World()
-    world.source.listed(1, True, [line("m0"), line("m1")])
+    world.source.listed(1, True, [listed_entry("m0"), listed_entry("m1")])
     world.hold("m0")
 
     def refuse(version: int, whole: bool, entries: Sequence[Any]) -> None:
@@ -1323,7 +1341,7 @@
     world.clock.advance(2 * GRACE_US)
     assert world.engine.may_send("m0") and world.source.drained_index() < left
     world.engine.listed = listed  # type: ignore[method-assign]
-    world.source.listed(2, True, [line("m0"), line("m1")])
+    world.source.listed(2, True, [listed_entry("m0"), listed_entry("m1")])
     world.clock.advance(2 * GRACE_US)
     assert not world.engine.may_send("m0") and world.source.drained_index() >= left
 
@@ -1333,11 +1351,11 @@
     [
         {"instanceId": "x"},
         7,
-        line("x", phase="asleep"),
-        line("x", hostPort="no"),
+        listed_entry("x", phase="asleep"),
+        listed_entry("x", hostPort="no"),
         # As the engine, which makes its number of an id.
-        line("x") | {"instanceId": "\ud800"},
-        line("x") | {"instanceId": 7},
+        listed_entry("x") | {"instanceId": "\ud800"},
+        listed_entry("x") | {"instanceId": 7},
     ],
 )
 def test_a_bad_list_changes_nothing(bad: Any) -> None:
@@ -1345,19 +1363,19 @@
         world = World(known)
         world.source.listed(1, True, MACHINES)
         with pytest.raises(ValueError, match="no entry"):
-            world.source.listed(2, True, [line("m1"), bad])
+            world.source.listed(2, True, [listed_entry("m1"), bad])
         with pytest.raises(ValueError, match="no entry"):
-            list(world.source.list_in_steps(True, [line("m1"), bad], 5))
+            list(world.source.list_in_steps(True, [listed_entry("m1"), bad], 5))
         assert len(world.source.table.machines) == 6 and not world.source.is_reading
         assert len(world.engine.ready) == (6 if known else 0)
-        world.source.listed(3, False, [line("m1", phase="gone")])
+        world.source.listed(3, False, [listed_entry("m1", phase="gone")])
         assert len(world.source.table.machines) == 5
 
 
 def test_a_source_passes_on_what_else_is_asked() -> None:
     told: list[str] = []
 
-    class Sink(PlayedEngine):
+    class Sink(FakeEngine):
         def list_failed(self) -> None:
             told.append("failed")
 
@@ -1385,15 +1403,15 @@
     assert began == world.clock.wall() // 1000
     world.source.listed(2, True, MACHINES)
     assert world.engine.ready["m0"] == began, "a start told is never taken back"
-    world.source.listed(3, False, [line("m0", started_ms=began + 5)])
+    world.source.listed(3, False, [listed_entry("m0", started_ms=began + 5)])
     assert world.engine.ready["m0"] == began + 5
-    world.source.listed(4, False, [line("m0", phase="gone")])
+    world.source.listed(4, False, [listed_entry("m0", phase="gone")])
     assert not world.source.overlay.returned_ms
 
 
 def test_the_list_for_the_next_version_has_what_is_held() -> None:
     world = World()
-    world.source.listed(1, True, [*MACHINES, line("m9", phase="draining")])
+    world.source.listed(1, True, [*MACHINES, listed_entry("m9", phase="draining")])
     world.hold("m0")
     world.source.refresh()
     taken: list[bytes] = []
@@ -1408,9 +1426,9 @@
     table = MachineTable()
     for raw in (
         *MACHINES,
-        line("m0", "b", "draining", weight=3.0),
-        line("m1", phase="gone"),
-        line("x", weight=-1.0),
+        listed_entry("m0", "b", "draining", weight=3.0),
+        listed_entry("m1", phase="gone"),
+        listed_entry("x", weight=-1.0),
     ):
         table.put(parse_listed_machine(raw))
     ready = [one for one in table.machines.values() if one.phase == 1]
@@ -1458,9 +1476,9 @@
     assert engine.out_at(where) == 0
 
 
-def test_a_wish_is_one_entry_and_a_confirmation_is_short() -> None:
-    wish: MaintenanceRequest = request_for(
+def test_a_request_is_one_entry_and_a_confirmation_is_short() -> None:
+    request: MaintenanceRequest = request_for(
         "n" * 24, 1000, "zone", 0.123456, zone="z" * 24, kind="k" * 24, cell=10**6
     )
-    assert len(encode(OperatorCommand(255, 2**64 - 1, 10**6, "withdraw", wish))) <= MAX_ENTRY_BYTES
+    assert len(encode(OperatorCommand(255, 2**64 - 1, 10**6, "withdraw", request))) <= MAX_ENTRY_BYTES
     assert len(encode(DrainAcknowledgement(10**9))) < 16
--- a/tests/test_maintenance_contracts.py
+++ b/tests/test_maintenance_contracts.py
@@ -1,4 +1,4 @@
-"""Upkeep's source under the contract of all sources of members: around one that is given, and around
+"""Maintenance's source under the contract of all sources of members: around one that is given, and around
 discovery. Where nothing is held, it is not to be seen."""
 
 from __future__ import annotations
--- a/tests/test_maintenance_core.py
+++ b/tests/test_maintenance_core.py
@@ -1,5 +1,5 @@
-"""Upkeep on the real record: cores, keepers and played engines on one made clock, with a network that
-loses, doubles and delays, copies that die and come from nothing, are cut off, or stand still."""
+"""Maintenance on the real consensus core: cores, controllers and fake engines on one manual clock, with a
+network that loses, doubles and delays, and replicas that crash, lose their memory, are cut off or paused."""
 
 from __future__ import annotations
 
@@ -24,29 +24,29 @@
 from laurelstep.maintenance.state import MaintenanceState
 from laurelstep.maintenance.states import DRAINED_STATES
 from tests.fakes import ManualClock
-from tests.maintenance import COLD_US, GRACE_US, SECOND, Inner, PlayedEngine, line, request_for
+from tests.maintenance import COLD_US, GRACE_US, SECOND, FakeDiscovery, FakeEngine, listed_entry, request_for
 
 MS = 1000
-COPIES, SEATS, OUT, MACHINES = 4, 3, 2, 6
+REPLICAS, SEATS, OUT, MACHINES = 4, 3, 2, 6
 SEEDS = 120
 SETTINGS = MaintenanceSettings(overdue_us=600 * SECOND)
 
 
-class CoreCopy:
+class CoreReplica:
     """One process, from one start on: a core, and the controller on it."""
 
     def __init__(self, world: CoreWorld, me: int) -> None:
-        self.world, self.me, self.replica_id, self.peer_count = world, me, me, COPIES
+        self.world, self.me, self.replica_id, self.peer_count = world, me, me, REPLICAS
         self.on_leader_message: Callable[[int, int, bytes], None] = lambda peer, incarnation, data: None
         self.on_change: Callable[[], None] = lambda: None
-        self.dead = self.stopped = False
+        self.is_dead = self.stopped = False
         self.inbox: list[tuple[int, bytes]] = []
         self.state = MaintenanceState()
         draw = world.draw
         machines = CompositeStateMachine({SUBSYSTEM_TAG[0]: self.state})
         self.core = ConsensusCore(
             me,
-            COPIES,
+            REPLICAS,
             SEATS,
             draw.getrandbits(64) or 1,
             machines,
@@ -54,9 +54,9 @@
             random.Random(draw.getrandbits(64)),
         )
         self.core.on_leader_message = self._hear
-        self.engine = PlayedEngine(world.clock)
+        self.engine = FakeEngine(world.clock)
         self.source = MaintenanceSource(
-            Inner(), self.state, world.clock, GRACE_US, self.run_steps, world.logged.append
+            FakeDiscovery(), self.state, world.clock, GRACE_US, self.run_steps, world.logged.append
         )
         self.source.in_flight_at = self.engine.out_at
         self.source.start(self.engine, 0)
@@ -76,7 +76,7 @@
     # --- As the driver of a core does ---------------------------------------------------
 
     def step(self, step: Callable[[int], StepEffects]) -> None:
-        if self.dead:
+        if self.is_dead:
             return
         clock = self.world.clock
         effects = step(clock.now())
@@ -87,18 +87,18 @@
         clock.at(max(self.core.due_us, clock.now() + MS), self._tick, self.core.due_us)
 
     def _tick(self, due: int) -> None:
-        if not self.dead and not self.stopped and due == self.core.due_us:
+        if not self.is_dead and not self.stopped and due == self.core.due_us:
             self.step(self.core.tick)
 
     def _changed(self) -> None:
-        if not self.dead:
+        if not self.is_dead:
             self.on_change()
 
     def _hear(self, peer: int, incarnation: int, data: bytes) -> None:
         self.world.clock.at(self.world.clock.now(), self._hear_now, peer, incarnation, data)
 
     def _hear_now(self, peer: int, incarnation: int, data: bytes) -> None:
-        if not self.dead:
+        if not self.is_dead:
             self.on_leader_message(peer, incarnation, data)
 
     def receive(self, peer: int, raw: bytes) -> None:
@@ -122,8 +122,8 @@
             if handle is not None:
                 handle.cancel()
 
-    def die(self) -> None:
-        self.dead = True
+    def crash(self) -> None:
+        self.is_dead = True
         self.controller.close()
 
     # --- As consensus ----------------------------------------------------------------------
@@ -168,10 +168,10 @@
         self.draw = random.Random(seed)
         self.clock = ManualClock()
         self.loss = loss
-        self.cut: set[tuple[int, int]] = set()
+        self.is_cut_off: set[tuple[int, int]] = set()
         self.logged: list[str] = []
-        self.list = [line(f"m{n}", "ab"[n % 2]) for n in range(MACHINES)]
-        self.copies = [CoreCopy(self, me) for me in range(COPIES)]
+        self.list = [listed_entry(f"m{n}", "ab"[n % 2]) for n in range(MACHINES)]
+        self.replicas = [CoreReplica(self, me) for me in range(REPLICAS)]
         self.faulty_at = 0
 
     def send(self, source: int, target: int, raw: bytes) -> None:
@@ -181,28 +181,28 @@
                 self.clock.at(self.clock.now() + delay, self._arrive, source, target, raw)
 
     def _arrive(self, source: int, target: int, raw: bytes) -> None:
-        if (source, target) not in self.cut and not self.copies[target].dead:
-            self.copies[target].receive(source, raw)
+        if (source, target) not in self.is_cut_off and not self.replicas[target].is_dead:
+            self.replicas[target].receive(source, raw)
 
     # --- The rules ----------------------------------------------------------------------
 
-    def truth(self) -> CoreCopy:
-        """The copy that knows most of what is agreed, in the era that most seats are in: where all
+    def truth(self) -> CoreReplica:
+        """The replica that knows most of what is agreed, in the era that most seats are in: where all
         that remember have died one after the other, one without a seat may still be in an earlier one."""
-        alive = [one for one in self.copies if not one.dead]
-        eras = [one.epoch for one in alive if one.me < SEATS]
-        return max(alive, key=lambda one: (eras.count(one.epoch), one.core.applied_index))
+        live_replicas = [one for one in self.replicas if not one.is_dead]
+        eras = [one.epoch for one in live_replicas if one.me < SEATS]
+        return max(live_replicas, key=lambda one: (eras.count(one.epoch), one.core.applied_index))
 
     def check(self) -> None:
         state = self.truth().state
         assert len(state.machines) <= OUT, f"more out than a wish allows (seed {self.seed})"
         for id, machine in state.machines.items():
-            for one in self.copies:
-                if machine.state in DRAINED_STATES and not one.dead:
+            for one in self.replicas:
+                if machine.state in DRAINED_STATES and not one.is_dead:
                     assert not one.engine.is_out(id), f"clear while somebody may send (seed {self.seed})"
         same: dict[tuple[ClusterEpoch, int], bytes] = {}
-        for one in self.copies:
-            if not one.dead and one.is_caught_up:
+        for one in self.replicas:
+            if not one.is_dead and one.is_caught_up:
                 at = one.epoch, one.core.applied_index
                 assert same.setdefault(at, one.state.dump()) == one.state.dump(), (
                     f"two rolls (seed {self.seed})"
@@ -225,12 +225,12 @@
     # --- Faults and use -----------------------------------------------------------------
 
     def heal(self) -> None:
-        self.cut.clear()
-        for one in self.copies:
+        self.is_cut_off.clear()
+        for one in self.replicas:
             if one.stopped:
                 one.go_on()
-            if one.dead:
-                self.copies[one.me] = CoreCopy(self, one.me)
+            if one.is_dead:
+                self.replicas[one.me] = CoreReplica(self, one.me)
 
     def fault(self) -> None:
         """One at a time, and a majority keeps its memory: that is what the record is good for."""
@@ -238,22 +238,22 @@
             return
         self.heal()
         self.faulty_at = self.clock.now() + 5 * SECOND
-        one = self.draw.choice(self.copies)
-        others = [(one.me, other) for other in range(COPIES) if other != one.me]
+        one = self.draw.choice(self.replicas)
+        others = [(one.me, other) for other in range(REPLICAS) if other != one.me]
         match self.draw.choice(("die", "stop", "cut", "one way", "calm")):
             case "die":
-                one.die()
+                one.crash()
             case "stop":
                 one.stop()
             case "cut":
-                self.cut = {*others, *((b, a) for a, b in others)}
+                self.is_cut_off = {*others, *((b, a) for a, b in others)}
             case "one way":
-                self.cut = set(others)
+                self.is_cut_off = set(others)
 
     def use(self) -> None:
         draw = self.draw
-        one = draw.choice(self.copies)
-        if one.dead or one.stopped:
+        one = draw.choice(self.replicas)
+        if one.is_dead or one.stopped:
             return
         if one.engine.ready and draw.random() < 0.4:
             one.engine.out[draw.choice(sorted(one.engine.ready))] = draw.randint(0, 1)
@@ -275,14 +275,14 @@
             return
 
     def finish(self) -> None:
-        """Faults end, staff works: every wish comes to its end."""
+        """Faults end, staff works: every request comes to its end."""
         self.heal()
-        for one in self.copies:
+        for one in self.replicas:
             one.engine.out.clear()
-        self.until(lambda: all(one.is_caught_up and one.has_leader_contact for one in self.copies))
+        self.until(lambda: all(one.is_caught_up and one.has_leader_contact for one in self.replicas))
 
         def is_over() -> bool:
-            first = self.copies[0]
+            first = self.replicas[0]
             for id, machine in list(first.state.machines.items()):
                 if machine.state in DRAINED_STATES:
                     first.api.report_work(CommandVerb.FINISH_WORK, id)
@@ -294,7 +294,7 @@
 def play(seed: int) -> int:
     """How many machines came back."""
     world = CoreWorld(seed)
-    world.until(lambda: all(one.source.is_forwarding for one in world.copies))
+    world.until(lambda: all(one.source.is_forwarding for one in world.replicas))
 
     def turn() -> None:
         world.fault()
@@ -326,14 +326,14 @@
 def test_whoever_leads_is_stopped_in_the_midst_and_goes_on_late() -> None:
     """SIGSTOP for longer than an election; what it then proposes is of no effect."""
     world = CoreWorld(5, loss=0.0)
-    world.until(lambda: all(one.source.is_forwarding for one in world.copies))
-    leader = next(one for one in world.copies if one.is_leader)
-    other = next(one for one in world.copies if not one.is_leader)
+    world.until(lambda: all(one.source.is_forwarding for one in world.replicas))
+    leader = next(one for one in world.replicas if one.is_leader)
+    other = next(one for one in world.replicas if not one.is_leader)
     other.engine.out["m0"] = 1
     other.api.submit_request(request_for(out=OUT, zone="a"))
     world.until(lambda: "m0" in world.truth().state.machines)
     leader.stop()
-    world.until(lambda: any(one.is_leader for one in world.copies if one is not leader))
+    world.until(lambda: any(one.is_leader for one in world.replicas if one is not leader))
     other.engine.out.clear()
     world.run(5)
     assert world.truth().state.machines["m0"].state == "leaving", "it has not confirmed"
@@ -342,35 +342,35 @@
     world.finish()
 
 
-def test_all_copies_are_killed_between_leaving_and_clear() -> None:
+def test_all_replicas_are_killed_between_leaving_and_clear() -> None:
     """Nothing lasts: the record is founded anew, and says that nothing is out."""
     world = CoreWorld(6, loss=0.0)
-    world.until(lambda: all(one.source.is_forwarding for one in world.copies))
+    world.until(lambda: all(one.source.is_forwarding for one in world.replicas))
     era = world.truth().epoch
-    world.copies[1].engine.out["m0"] = 1
-    world.copies[0].api.submit_request(request_for(zone="a"))
+    world.replicas[1].engine.out["m0"] = 1
+    world.replicas[0].api.submit_request(request_for(zone="a"))
     world.until(lambda: "m0" in world.truth().state.machines)
-    for one in world.copies:
-        one.die()
+    for one in world.replicas:
+        one.crash()
     world.heal()
-    assert not any(one.engine.ready for one in world.copies)
-    world.until(lambda: all(one.source.is_forwarding for one in world.copies))
+    assert not any(one.engine.ready for one in world.replicas)
+    world.until(lambda: all(one.source.is_forwarding for one in world.replicas))
     assert world.truth().epoch != era and not world.truth().state.machines
-    assert all(len(one.engine.ready) == MACHINES for one in world.copies)
+    assert all(len(one.engine.ready) == MACHINES for one in world.replicas)
 
 
 def test_two_and_two_agree_on_nothing_new() -> None:
-    """Four copies, three of them with seats: two of those on the one side go on, but nothing gets clear."""
+    """Four replicas, three of them with seats: two of those on the one side go on, but nothing gets clear."""
     world = CoreWorld(7, loss=0.0)
-    world.until(lambda: all(one.source.is_forwarding for one in world.copies))
-    world.cut = {(a, b) for a in range(4) for b in range(4) if (a < 2) != (b < 2)}
+    world.until(lambda: all(one.source.is_forwarding for one in world.replicas))
+    world.is_cut_off = {(a, b) for a in range(4) for b in range(4) if (a < 2) != (b < 2)}
     world.run(5)
     with pytest.raises(MaintenanceError):
-        world.copies[2].api.submit_request(request_for(zone="a"))
-    world.copies[0].api.submit_request(request_for(zone="a"))
+        world.replicas[2].api.submit_request(request_for(zone="a"))
+    world.replicas[0].api.submit_request(request_for(zone="a"))
     world.until(lambda: "m0" in world.truth().state.machines)
     world.run(10)
     assert world.truth().state.machines["m0"].state == "leaving"
-    assert "m0" in world.copies[3].engine.ready, "it never heard of it, and serves on"
-    world.cut.clear()
+    assert "m0" in world.replicas[3].engine.ready, "it never heard of it, and serves on"
+    world.is_cut_off.clear()
     world.until(lambda: world.truth().state.machines["m0"].state == "clear")
--- a/tests/test_maintenance_encoding.py
+++ b/tests/test_maintenance_encoding.py
@@ -28,7 +28,7 @@
 from laurelstep.maintenance.requests import DisruptionLimits, MaintenanceRequest
 from laurelstep.maintenance.routes import METHODS, handle_call
 from laurelstep.maintenance.state import MaintenanceState
-from tests.maintenance import Tier, line, request_for
+from tests.maintenance import Tier, listed_entry, request_for
 
 REQUEST = MaintenanceRequest("disk", DisruptionLimits(2, "zone", 0.75), ("m1", "m2"), "a", 4, "small", 60)
 ENTRIES: dict[str, MaintenanceEntry] = {
@@ -65,7 +65,7 @@
 }
 MESSAGE_BYTES = {"confirm": "759206cd012c", "unknown": "759206ff"}
 
-# One with an open request, one that is over, a machine in each of two states, verdicts and an absent copy.
+# One with an open request, one that is over, a machine in each of two states, verdicts and an absent replica.
 SNAPSHOT = (
     "98131391950497a66b65726e656c9309a474696572cb000000000000000093a26d31a26d32a26d33c0c0c000c291cfc2"
     "031297350190909192a26d32a87265706c61636564929aa26d3104a7617420776f726b050ba16104cb3ff80000000000"
@@ -196,33 +196,33 @@
 
 def played() -> Tier:
     """A tier with one machine at work, one that leaves, and a request whose turn has not come."""
-    tier = Tier(3, [line(f"m{n}", "ab"[n % 2]) for n in range(6)])
+    tier = Tier(3, [listed_entry(f"m{n}", "ab"[n % 2]) for n in range(6)])
     tier.settle(2)
-    tier.copies[0].api.submit_request(request_for("disk", 2, zone="a"))
+    tier.replicas[0].api.submit_request(request_for("disk", 2, zone="a"))
     tier.settle()
-    tier.copies[0].api.report_work(CommandVerb.BEGIN_WORK, "m0")
+    tier.replicas[0].api.report_work(CommandVerb.BEGIN_WORK, "m0")
     tier.settle(1)
-    tier.copies[1].engine.out["m4"] = 1
-    tier.copies[0].api.report_work(CommandVerb.FINISH_WORK, "m2")
+    tier.replicas[1].engine.out["m4"] = 1
+    tier.replicas[0].api.report_work(CommandVerb.FINISH_WORK, "m2")
     tier.settle(6)
-    tier.copies[0].api.submit_request(request_for("kernel", 1, zone="b"))
-    tier.copies[0].api.declare_absent(2)
+    tier.replicas[0].api.submit_request(request_for("kernel", 1, zone="b"))
+    tier.replicas[0].api.declare_absent(2)
     tier.settle(1)
-    tier.copies[0].api.withdraw_request("kernel")
+    tier.replicas[0].api.withdraw_request("kernel")
     tier.settle(1)
-    tier.copies[0].api.submit_request(request_for("last", 1, zone="b"))
+    tier.replicas[0].api.submit_request(request_for("last", 1, zone="b"))
     return tier
 
 
 def test_the_status_has_the_recorded_form() -> None:
-    reply = handle_call(b"GET", b"/api/upkeep", played().copies[0].api)
+    reply = handle_call(b"GET", b"/api/upkeep", played().replicas[0].api)
     assert reply is not None and reply.status == 200 and reply.kind == b"application/json"
     assert reply.body.decode() == STATUS
 
 
 def test_the_list_for_the_next_process_has_the_recorded_form() -> None:
     taken: list[bytes] = []
-    for _ in played().copies[0].source.dump_in_steps(41, taken):
+    for _ in played().replicas[0].source.dump_in_steps(41, taken):
         pass
     assert taken[0].decode() == NEXT_LIST
 
@@ -246,7 +246,7 @@
     tier = played()
     found = []
     for target in TARGETS:
-        reply = handle_call(b"POST", b"/api/upkeep" + target, tier.copies[0].api)
+        reply = handle_call(b"POST", b"/api/upkeep" + target, tier.replicas[0].api)
         assert reply is not None
         told = json.loads(reply.body)
         found.append([target.decode()[:40], reply.status, told.get("error", told.get("state")), list(told)])
--- a/tests/test_maintenance_schedules.py
+++ b/tests/test_maintenance_schedules.py
@@ -1,8 +1,8 @@
-"""Upkeep under made schedules: one seed is one schedule. The record has a perfect order; everything
+"""Maintenance under made schedules: one seed is one schedule. The record has a perfect order; everything
 else is lossy, late, doubled, stale, cut off, killed, or proposed by one that does not lead any more.
 
-After every step the rules are checked, by name, against what is true of all copies at once; then
-faults end, and all that was wished has to come to an end. Deliberate faults show that each rule
+After every step the rules are checked, by name, against what is true of all replicas at once; then
+faults end, and all that was requested has to come to an end. Deliberate faults show that each rule
 can fail."""
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 from laurelstep.maintenance.state import MaintenanceState
 from laurelstep.maintenance.states import CORDONED_STATES, DRAINED_STATES, MachineState
 from laurelstep.maintenance.status import StatusReport
-from tests.maintenance import SECOND, Copy, Tier, line, request_for
+from tests.maintenance import SECOND, Replica, Tier, listed_entry, request_for
 from tests.once import seeds
 
 SEEDS = seeds(3000)
@@ -61,7 +61,7 @@
 
 
 class Proposal:
-    def __init__(self, by: Copy, data: bytes, by_sending: dict[int, int]) -> None:
+    def __init__(self, by: Replica, data: bytes, by_sending: dict[int, int]) -> None:
         self.data = data
         table = by.source.table.machines.values()
         self.listed = {one.machine_id: (one.phase == READY, one.capacity) for one in table}
@@ -76,8 +76,8 @@
         self.draw = random.Random(seed)
         self.pending: list[Proposal] = []
         self.sending: dict[int, dict[int, int]] = {}  # by leader: who told it to send without the record
-        self.deaf: set[int] = set()  # copies that hear no lists
-        self.slow: set[int] = set()  # copies that learn the record late
+        self.deaf: set[int] = set()  # replicas that hear no lists
+        self.slow: set[int] = set()  # replicas that learn the record late
         self.truths: dict[str, tuple[str, int]] = {}  # zone and cell, whoever says what
         settings = MaintenanceSettings(
             overdue_us=20 * SECOND,
@@ -87,12 +87,12 @@
         machines = []
         for n in range(self.draw.randint(3, 7)):
             zone, cell = self.draw.choice("ab"), self.draw.randint(1, 2)
-            machines.append(line(f"m{n}", zone, cell=cell, weight=self.draw.choice((1.0, 1.0, 2.0))))
+            machines.append(listed_entry(f"m{n}", zone, cell=cell, weight=self.draw.choice((1.0, 1.0, 2.0))))
         super().__init__(self.draw.choice((2, 3, 3, 4)), machines, settings)
 
     # --- The record -------------------------------------------------------------------
 
-    def proposed(self, by: Copy, data: bytes) -> None:
+    def on_proposal(self, by: Replica, data: bytes) -> None:
         self.pending.append(Proposal(by, data, self.sending.get(by.incarnation, {})))
 
     def agree(self, proposal: Proposal) -> None:
@@ -109,11 +109,11 @@
             machine = self.state.machines.get(entry.machine_id)
             if machine is not None and machine.since_index == len(self.log):
                 for peer, incarnation in proposal.sending.items():
-                    copy = self.copies[peer]
+                    replica = self.replicas[peer]
                     if (
-                        not copy.dead
-                        and copy.incarnation == incarnation
-                        and copy.engine.is_out(entry.machine_id)
+                        not replica.is_dead
+                        and replica.incarnation == incarnation
+                        and replica.engine.is_out(entry.machine_id)
                     ):
                         self.broken("clear while one had said that it sends")
 
@@ -155,12 +155,12 @@
 
     def check(self) -> None:
         cleared = [one.machine_id for one in self.state.machines.values() if one.state in DRAINED_STATES]
-        for copy in self.alive:
-            engine, source = copy.engine, copy.source
+        for replica in self.live_replicas:
+            engine, source = replica.engine, replica.source
             for id in cleared:
                 cordon = source.overlay.cordons.get(id)
                 # It began without the record, as its operator chose, and has not confirmed since.
-                went_alone = copy.controller.serves_without_state and (
+                went_alone = replica.controller.serves_without_state and (
                     cordon is None or not cordon.is_drained
                 )
                 if engine.is_out(id) and not went_alone:
@@ -171,24 +171,24 @@
                 member = source.table.machines.get(id)
                 if member is None or member.phase != READY:
                     self.broken("ready against discovery")
-            self.check_holds(copy)
+            self.check_holds(replica)
 
-    def check_holds(self, copy: Copy) -> None:
+    def check_holds(self, replica: Replica) -> None:
         """A process that was told of more than it holds back, or that holds back its last one."""
-        source = copy.source
-        if not source.has_learned_state or not copy.is_caught_up:
+        source = replica.source
+        if not source.has_learned_state or not replica.is_caught_up:
             return
-        held = {id for id, one in copy.state.machines.items() if one.state in CORDONED_STATES}
+        held = {id for id, one in replica.state.machines.items() if one.state in CORDONED_STATES}
         ready = {id for id, one in source.table.machines.items() if one.phase == READY}
-        if copy.engine.ready.keys() - held != ready - held and not copy.controller.scheduled_step:
+        if replica.engine.ready.keys() - held != ready - held and not replica.controller.scheduled_step:
             self.broken("not ready, and not held")
 
-    def check_taking(self, copy: Copy, before: set[str]) -> None:
-        """What a look of one copy took: never its last ready one, but for what is clear."""
-        after = copy.engine.ready.keys()
+    def check_taking(self, replica: Replica, before: set[str]) -> None:
+        """What a look of one replica took: never its last ready one, but for what is clear."""
+        after = replica.engine.ready.keys()
         taken = before - after
-        if taken and not after and copy.source.table.ready_count:
-            states = [copy.state.machines[id].state for id in taken if id in copy.state.machines]
+        if taken and not after and replica.source.table.ready_count:
+            states = [replica.state.machines[id].state for id in taken if id in replica.state.machines]
             if states and all(state == MachineState.DRAINING for state in states):
                 self.broken("the last ready machine was taken")
 
@@ -199,56 +199,56 @@
         happens(self)
         self.check()
 
-    def one(self) -> Copy | None:
-        alive = self.alive
-        return self.draw.choice(alive) if alive else None
+    def one(self) -> Replica | None:
+        live_replicas = self.live_replicas
+        return self.draw.choice(live_replicas) if live_replicas else None
 
     def looks(self) -> None:
-        copy = self.one()
-        if copy is not None:
-            before = set(copy.engine.ready)
-            fresh = copy.source.overlay.is_first_update
-            copy.controller.run_step()
+        replica = self.one()
+        if replica is not None:
+            before = set(replica.engine.ready)
+            fresh = replica.source.overlay.is_first_update
+            replica.controller.run_step()
             if not fresh:
-                self.check_taking(copy, before)
+                self.check_taking(replica, before)
 
     def delivers(self) -> None:
-        copy = self.one()
-        if copy is None or copy.cut or copy.applied >= len(self.log):
+        replica = self.one()
+        if replica is None or replica.is_cut_off or replica.applied >= len(self.log):
             return
         if self.draw.random() < 0.1:
-            copy.jump()
+            replica.load_snapshot()
         else:
-            copy.catch_up(self.draw.randint(copy.applied + 1, len(self.log)))
+            replica.catch_up(self.draw.randint(replica.applied + 1, len(self.log)))
 
     def learns(self) -> None:
-        copy = self.one()
-        if copy is not None and not copy.cut and not copy.is_caught_up:
-            copy.catch_up()
-            copy.is_caught_up = True
-
-    def hears_words(self) -> None:
-        for _ in range(min(len(self.words), 4)):
-            at = self.draw.randrange(len(self.words))
-            peer, incarnation, data = self.words[at]
+        replica = self.one()
+        if replica is not None and not replica.is_cut_off and not replica.is_caught_up:
+            replica.catch_up()
+            replica.is_caught_up = True
+
+    def receives_messages(self) -> None:
+        for _ in range(min(len(self.messages), 4)):
+            at = self.draw.randrange(len(self.messages))
+            peer, incarnation, data = self.messages[at]
             if self.draw.random() > 0.2:  # some come twice
-                del self.words[at]
+                del self.messages[at]
             if self.draw.random() < 0.2:
                 continue  # lost
             self.tell(peer, incarnation, data)
 
     def tell(self, peer: int, incarnation: int, data: bytes) -> None:
-        """A word gets to those who lead, or believe that they do."""
-        for copy in self.alive:
-            if copy.is_leader and not copy.cut:
+        """A message gets to those who lead, or believe that they do."""
+        for replica in self.live_replicas:
+            if replica.is_leader and not replica.is_cut_off:
                 if decode_message(data) == DrainAcknowledgement(-1):
-                    self.sending.setdefault(copy.incarnation, {})[peer] = incarnation
-                copy.on_leader_message(peer, incarnation, data)
+                    self.sending.setdefault(replica.incarnation, {})[peer] = incarnation
+                replica.on_leader_message(peer, incarnation, data)
 
-    def carry_words(self) -> None:
-        words, self.words = self.words, []
-        for word in words:
-            self.tell(*word)
+    def deliver_messages(self) -> None:
+        messages, self.messages = self.messages, []
+        for message in messages:
+            self.tell(*message)
 
     def agrees(self) -> None:
         for _ in range(min(len(self.pending), 3)):
@@ -259,9 +259,9 @@
                 self.pending.append(proposal)  # acts late once more
 
     def hears_list(self) -> None:
-        copy = self.one()
-        if copy is not None:
-            copy.hear()
+        replica = self.one()
+        if replica is not None:
+            replica.receive_list()
 
     def passes(self) -> None:
         self.clock.time += self.draw.choice((50_000, 200_000, 600_000, 1_500_000))
@@ -273,30 +273,30 @@
 
     def leads(self) -> None:
         """Another leads; the one before may not know yet, and goes on proposing."""
-        copy = self.one()
-        if copy is None or not copy.is_caught_up:
+        replica = self.one()
+        if replica is None or not replica.is_caught_up:
             return
         if self.draw.random() < 0.6:
             self.leaders.clear()
-        self.leaders.add(copy.me)
+        self.leaders.add(replica.me)
 
     def cuts(self) -> None:
-        copy = self.one()
-        if copy is not None:
-            copy.cut = not copy.cut
+        replica = self.one()
+        if replica is not None:
+            replica.is_cut_off = not replica.is_cut_off
 
     def dies(self) -> None:
-        copy = self.one()
-        if copy is not None:
-            copy.die()
+        replica = self.one()
+        if replica is not None:
+            replica.crash()
 
     def all_die(self) -> None:
         if self.draw.random() < 0.1:
-            for copy in self.alive:
-                copy.die()
+            for replica in self.live_replicas:
+                replica.crash()
 
     def comes(self) -> None:
-        dead = [copy.me for copy in self.copies if copy.dead]
+        dead = [replica.me for replica in self.replicas if replica.is_dead]
         if dead:
             self.restart(self.draw.choice(dead))
 
@@ -307,30 +307,32 @@
             if id not in self.truths:
                 self.truths[id] = self.draw.choice("ab"), self.draw.randint(1, 2)
             zone, cell = self.truths[id]
-            self.list_as(line(id, zone, cell=cell, started_ms=self.clock.wall() // 1000))
+            self.update_list(listed_entry(id, zone, cell=cell, started_ms=self.clock.wall() // 1000))
         else:
             phase = self.draw.choice(("ready", "ready", "draining", "gone"))
             started_ms = old["startedAtMs"] if self.draw.random() < 0.5 else self.clock.wall() // 1000
             self.truth(id)
-            self.list_as({**old, "lifecycle": phase, "startedAtMs": started_ms})
+            self.update_list({**old, "lifecycle": phase, "startedAtMs": started_ms})
 
     def sends(self) -> None:
-        copy = self.one()
-        if copy is not None:
-            can = sorted(id for id in {*copy.engine.ready, *copy.engine.left} if copy.engine.may_send(id))
+        replica = self.one()
+        if replica is not None:
+            can = sorted(
+                id for id in {*replica.engine.ready, *replica.engine.left} if replica.engine.may_send(id)
+            )
             if can:
-                copy.engine.out[self.draw.choice(can)] += 1
+                replica.engine.out[self.draw.choice(can)] += 1
 
     def ends(self) -> None:
-        copy = self.one()
-        if copy is not None:
-            for id in [id for id, count in copy.engine.out.items() if count]:
+        replica = self.one()
+        if replica is not None:
+            for id in [id for id, count in replica.engine.out.items() if count]:
                 if self.draw.random() < 0.7:
-                    copy.engine.out[id] = 0
+                    replica.engine.out[id] = 0
 
-    def wishes(self) -> None:
-        copy = self.one()
-        if copy is None:
+    def submits_request(self) -> None:
+        replica = self.one()
+        if replica is None:
             return
         draw = self.draw
         named: dict[str, Any] = draw.choice(
@@ -339,58 +341,58 @@
                 {"machine_ids": (f"m{draw.randint(0, 6)}",)},
             )
         )  # fmt: skip
-        wish = request_for(
+        request = request_for(
             f"w{draw.randint(0, 3)}", draw.randint(1, 3), draw.choice(("zone", "cell", "tier")),
             draw.choice((0.0, 0.0, 0.5, 0.7)), **named,
         )  # fmt: skip
-        self.asks(lambda: copy.api.submit_request(wish))
+        self.submit(lambda: replica.api.submit_request(request))
 
-    def asks(self, what: Callable[[], object]) -> None:
+    def submit(self, what: Callable[[], object]) -> None:
         try:
             what()
         except MaintenanceError:
             return
 
     def withdraws(self) -> None:
-        copy = self.one()
-        if copy is not None and copy.state.open_requests:
-            name = self.draw.choice(list(copy.state.open_requests.values())).request.name
-            self.asks(lambda: copy.api.withdraw_request(name))
+        replica = self.one()
+        if replica is not None and replica.state.open_requests:
+            name = self.draw.choice(list(replica.state.open_requests.values())).request.name
+            self.submit(lambda: replica.api.withdraw_request(name))
 
     def works(self) -> None:
-        copy = self.one()
-        if copy is not None and copy.state.machines:
-            id = self.draw.choice(list(copy.state.machines))
+        replica = self.one()
+        if replica is not None and replica.state.machines:
+            id = self.draw.choice(list(replica.state.machines))
             event = self.draw.choice((CommandVerb.BEGIN_WORK, CommandVerb.FINISH_WORK))
-            self.asks(lambda: copy.api.report_work(event, id))
+            self.submit(lambda: replica.api.report_work(event, id))
 
     def declares(self) -> None:
         """Somebody who has looked says that a process is no more."""
-        copy = self.one()
-        dead = [one.me for one in self.copies if one.dead]
-        if copy is not None and dead:
+        replica = self.one()
+        dead = [one.me for one in self.replicas if one.is_dead]
+        if replica is not None and dead:
             peer = self.draw.choice(dead)
-            # He means the process that he saw dead, of which this copy must have heard.
-            if copy.state.incarnations.get(peer, 0) in (0, self.copies[peer].incarnation):
-                self.asks(lambda: copy.api.declare_absent(peer))
+            # He means the process that he saw dead, of which this replica must have heard.
+            if replica.state.incarnations.get(peer, 0) in (0, self.replicas[peer].incarnation):
+                self.submit(lambda: replica.api.declare_absent(peer))
 
     def goes_well(self, rounds: int = 0, aside: Kind | None = None) -> list[Proposal]:
         """A few rounds in which what can get through does; proposals of one kind may be set aside."""
         found: list[Proposal] = []
         for _ in range(rounds or self.draw.randint(1, 4)):
-            for copy in self.alive:
-                if not copy.cut:
-                    if copy.me not in self.deaf:
-                        copy.hear()
-                    if copy.is_caught_up or copy.me not in self.slow:
-                        copy.catch_up()
-                        copy.is_caught_up = True
-                before = set(copy.engine.ready)
-                fresh = copy.source.overlay.is_first_update
-                copy.controller.run_step()
+            for replica in self.live_replicas:
+                if not replica.is_cut_off:
+                    if replica.me not in self.deaf:
+                        replica.receive_list()
+                    if replica.is_caught_up or replica.me not in self.slow:
+                        replica.catch_up()
+                        replica.is_caught_up = True
+                before = set(replica.engine.ready)
+                fresh = replica.source.overlay.is_first_update
+                replica.controller.run_step()
                 if not fresh:
-                    self.check_taking(copy, before)
-            self.carry_words()
+                    self.check_taking(replica, before)
+            self.deliver_messages()
             while self.pending:
                 proposal = self.pending.pop(0)
                 if aside is not None and aside(decode_entry(proposal.data[1:])):
@@ -412,26 +414,26 @@
     # --- Beginnings that are seldom drawn by themselves ----------------------------------
 
     def one_comes_back_before_it_is_declared_absent(self) -> None:
-        last = self.copies[-1]
+        last = self.replicas[-1]
         self.goes_well(3)
-        last.die()
-        self.asks(lambda: self.copies[0].api.declare_absent(last.me))
+        last.crash()
+        self.submit(lambda: self.replicas[0].api.declare_absent(last.me))
         aside = self.goes_well(2, is_ask)
         self.restart(last.me)
         self.goes_well(4)
         for proposal in aside:
             self.agree(proposal)
-        self.copies[-1].cut = True
-        self.asks(lambda: self.copies[0].api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
+        self.replicas[-1].is_cut_off = True
+        self.submit(lambda: self.replicas[0].api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
         self.goes_well(6)
 
     def one_serves_without_the_record(self) -> None:
-        first, last = self.copies[0], self.copies[-1]
+        first, last = self.replicas[0], self.replicas[-1]
         self.goes_well(3)
-        self.copies[-2].cut = len(self.copies) > 2
-        self.asks(lambda: first.api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
+        self.replicas[-2].is_cut_off = len(self.replicas) > 2
+        self.submit(lambda: first.api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
         self.goes_well(5, is_step)
-        last.die()
+        last.crash()
         self.slow.add(last.me)
         last = self.restart(last.me)
         for _ in range(30):
@@ -439,14 +441,14 @@
             if last.controller.serves_without_state:
                 break
         self.goes_well(2, is_step)
-        self.copies[-2].cut = False
+        self.replicas[-2].is_cut_off = False
         self.goes_well(6)
 
     def one_was_declared_absent_and_serves(self) -> None:
-        first, last = self.copies[0], self.copies[-1]
+        first, last = self.replicas[0], self.replicas[-1]
         self.goes_well(3)
-        last.die()
-        self.asks(lambda: first.api.declare_absent(last.me))
+        last.crash()
+        self.submit(lambda: first.api.declare_absent(last.me))
         self.goes_well(3)
         self.slow.add(last.me)
         last = self.restart(last.me)
@@ -455,27 +457,27 @@
             if last.controller.serves_without_state:
                 break
         self.goes_well(2)
-        self.asks(lambda: first.api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
+        self.submit(lambda: first.api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
         self.goes_well(8)
 
     def one_has_an_old_list(self) -> None:
         ids = sorted(self.list)
-        last = self.copies[-1]
-        self.list_as(*({**self.list[id], "lifecycle": "draining"} for id in ids[1:]))
+        last = self.replicas[-1]
+        self.update_list(*({**self.list[id], "lifecycle": "draining"} for id in ids[1:]))
         self.goes_well(3)
         self.deaf.add(last.me)
-        self.list_as(*({**self.list[id], "lifecycle": "ready"} for id in ids))
-        self.asks(lambda: self.copies[0].api.submit_request(request_for("w0", 2, machine_ids=(ids[0],))))
+        self.update_list(*({**self.list[id], "lifecycle": "ready"} for id in ids))
+        self.submit(lambda: self.replicas[0].api.submit_request(request_for("w0", 2, machine_ids=(ids[0],))))
         self.goes_well(5)
 
     def one_clear_is_late(self) -> None:
-        api = self.copies[0].api
+        api = self.replicas[0].api
         self.goes_well(3)
-        self.asks(lambda: api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
+        self.submit(lambda: api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
         aside = self.goes_well(8, is_step)
-        self.asks(lambda: api.withdraw_request("w0"))
+        self.submit(lambda: api.withdraw_request("w0"))
         self.goes_well(3)
-        self.asks(lambda: api.submit_request(request_for("w1", 2, machine_ids=("m0",))))
+        self.submit(lambda: api.submit_request(request_for("w1", 2, machine_ids=("m0",))))
         for _ in range(6):
             self.goes_well(1, is_step)
             if "m0" in self.state.machines:
@@ -487,20 +489,20 @@
     # --- After the faults ---------------------------------------------------------------
 
     def recover(self) -> None:
-        """Faults end; staff does its work. All wishes come to an end."""
-        for copy in self.copies:
-            copy.cut = False
+        """Faults end; staff does its work. All requests come to an end."""
+        for replica in self.replicas:
+            replica.is_cut_off = False
             self.heals()
-            if copy.dead:
-                self.restart(copy.me)
+            if replica.is_dead:
+                self.restart(replica.me)
         self.leaders = {0}
         for n in range(7):
             zone, cell = self.truth(f"m{n}")
-            self.list_as(line(f"m{n}", zone, cell=cell, started_ms=self.clock.wall() // 1000))
-        for copy in self.alive:
-            copy.engine.out.clear()
+            self.update_list(listed_entry(f"m{n}", zone, cell=cell, started_ms=self.clock.wall() // 1000))
+        for replica in self.live_replicas:
+            replica.engine.out.clear()
         for _ in range(400):
-            self.turn()
+            self.run_round()
             for proposal in self.pending:
                 self.agree(proposal)
             self.pending.clear()
@@ -514,22 +516,22 @@
         self.broken(f"no progress once faults ended: {states}")
 
     def staff(self) -> None:
-        api = self.copies[0].api
-        for machine in list(self.copies[0].state.machines.values()):
+        api = self.replicas[0].api
+        for machine in list(self.replicas[0].state.machines.values()):
             if machine.state in DRAINED_STATES:
                 id = machine.machine_id
-                self.asks(lambda id=id: api.report_work(CommandVerb.FINISH_WORK, id))  # type: ignore[misc]
-        for one in list(self.copies[0].state.open_requests.values()):
+                self.submit(lambda id=id: api.report_work(CommandVerb.FINISH_WORK, id))  # type: ignore[misc]
+        for one in list(self.replicas[0].state.open_requests.values()):
             name = one.request.name
-            told = StatusReport(self.copies[0].controller).describe_request(one)
+            told = StatusReport(self.replicas[0].controller).describe_request(one)
             if told["never"]:
-                self.asks(lambda name=name: api.withdraw_request(name))  # type: ignore[misc]
+                self.submit(lambda name=name: api.withdraw_request(name))  # type: ignore[misc]
 
     def run(self) -> None:
-        for copy in self.copies:
-            copy.hear()
+        for replica in self.replicas:
+            replica.receive_list()
         for _ in range(self.draw.randint(1, 3)):
-            self.turn()
+            self.run_round()
             self.agrees()
         if self.draw.random() < 0.15:
             self.draw.choice(BEGINNINGS)(self)
@@ -539,10 +541,10 @@
 
 
 EVENTS: list[Callable[[World], None]] = [
-    World.looks, World.delivers, World.learns, World.hears_words, World.agrees, World.hears_list,
+    World.looks, World.delivers, World.learns, World.receives_messages, World.agrees, World.hears_list,
     World.passes, World.leads, World.cuts, World.dies, World.all_die, World.comes, World.discovers,
-    World.sends, World.ends, World.wishes, World.withdraws, World.works, World.declares, World.rounds,
-    World.heals,
+    World.sends, World.ends, World.submits_request, World.withdraws, World.works, World.declares,
+    World.rounds, World.heals,
 ]  # fmt: skip
 WEIGHTS = [24, 14, 6, 14, 14, 6, 8, 2, 1, 1, 1, 5, 2, 5, 5, 4, 1, 5, 3, 9, 2]
 
@@ -723,16 +725,16 @@
 
 def never_told_again(patch: pytest.MonkeyPatch) -> None:
     """Words are told once."""
-    word = Copy.send_to_leader
+    message = Replica.send_to_leader
     told: set[bytes] = set()
 
-    def once(self: Copy, data: bytes) -> None:
+    def once(self: Replica, data: bytes) -> None:
         key = data + repr((id(self.tier), self.me, self.incarnation)).encode()
         if key not in told:
             told.add(key)
-            word(self, data)
+            message(self, data)
 
-    patch.setattr(Copy, "send_to_leader", once)
+    patch.setattr(Replica, "send_to_leader", once)
 
 
 Fault = Callable[[pytest.MonkeyPatch], None]
@@ -761,7 +763,7 @@
     assert found.startswith(FAULTS[fault]) and found, found or "not found"
 
 
-def test_words_and_entries_are_what_they_say() -> None:
+def test_messages_and_entries_are_what_they_say() -> None:
     """What the world carries is read as it is on a real link."""
     assert decode_message(encode(DrainAcknowledgement(7))) == DrainAcknowledgement(7)
     assert vars(planner_module)["DrainAcknowledgements"] is DrainAcknowledgements
