--- /dev/null
+++ b/tests/test_hot_restart_encoding.py
@@ -0,0 +1,104 @@
+"""What the processes of one version say to those of the next: the files and messages of a hot restart, and
+the environment and channel of workers. Recorded with the code of 9af0195; it must not change."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from pathlib import Path
+from typing import Any, cast
+
+import pytest
+
+from laurelstep.engine.given import GivenMembers
+from laurelstep.handover.messages import HEAD_MAX, HELLO, READY, STATE_MAX, head, is_hello, pack, size_in
+from laurelstep.handover.place import Place
+from laurelstep.handover.state import KEPT_MOST, kept_in, state_of, state_of_accord
+from laurelstep.settings import config_from
+from laurelstep.workers.child import LINE_MAX, SEAT, Channel, Seat, handed_on, join, seat_of
+from laurelstep.workers.parent import NOTHING, Parent, Process, Workers
+from tests.sockets import SETTINGS, run
+
+
+def test_the_messages_of_a_hot_restart() -> None:
+    assert (HELLO, READY) == (b"laurelstep-handover 1\n", b"ready\n")
+    assert is_hello(b"laurelstep-handover 1\n") and not is_hello(b"laurelstep-handover 2\n")
+    assert head(812) == b'{"v": 1, "size": 812}\n' and size_in(b'{"v": 1, "size": 812}\n') == 812
+    assert pack({"discovery": b'"h:1"', "known": b'{"generation":1}'}) == (
+        b'{"discovery":"h:1","known":{"generation":1}}'
+    )
+    assert (HEAD_MAX, STATE_MAX, KEPT_MOST) == (256, 4_194_304, 1_048_576)
+
+
+def test_the_state_that_a_hot_restart_hands_over() -> None:
+    config = config_from({"settings": SETTINGS, "discovery": "127.0.0.1:1"}, "test")
+    assert state_of(config, GivenMembers(), b'{"generation":1}') == {
+        "discovery": b'"127.0.0.1:1"',
+        "known": b'{"generation":1}',
+    }
+    kept = {b"a": b"b\xff", b"snapshot": b""}
+    assert state_of_accord(kept) == {"accord": b'{"YQ==":"Yv8=","c25hcHNob3Q=":""}'}
+    assert kept_in({"accord": {"YQ==": "Yv8=", "c25hcHNob3Q=": ""}}) == kept
+    assert state_of_accord({}) == {} and kept_in({"accord": {"YQ==": "?"}}) is None
+
+
+@pytest.mark.parametrize(
+    ("host", "name"), [("127.0.0.1", "laurelstep-127.0.0.1-7070"), ("::1", "laurelstep-__1-7070")]
+)
+def test_the_files_of_a_hot_restart(tmp_path: Path, host: str, name: str) -> None:
+    place = Place((host, 7070), str(tmp_path))
+    with place.listen():
+        assert {path.name for path in tmp_path.iterdir()} == {f"{name}.lock", f"{name}.sock"}
+    place.leave()
+
+
+def test_the_environment_of_a_worker() -> None:
+    assert SEAT == "LAURELSTEP_WORKER" and Seat(1, 3, 7).text() == "1 3 7"
+    assert seat_of({"LAURELSTEP_WORKER": "1 3 7"}) == Seat(1, 3, 7) and seat_of({}) is None
+
+
+def test_the_lines_of_a_worker() -> None:
+    async def main() -> None:
+        ours, theirs = socket.socketpair()
+        with ours:
+            ours.setblocking(False)
+            loop = asyncio.get_running_loop()
+            ended = asyncio.Event()
+            await join(loop, Seat(0, 1, theirs.detach()), cast(Any, None), ended.set)
+            assert await loop.sock_recv(ours, 100) == b'{"ready":true}\n'
+        await ended.wait()
+
+    run(main())
+    lines: list[bytes] = []
+    channel = Channel(cast(Any, None), cast(Any, None), lambda: None)
+    channel.tell = lambda line: lines.append(line)  # type: ignore[method-assign]
+    channel._hand_on([b'{"generation":1}'], None)
+    channel._hand_on([], ValueError())
+    assert lines == [b'{"known":{"generation":1}}\n', b'{"known":null}\n']
+
+
+def test_the_lines_of_the_parent() -> None:
+    lines: list[bytes] = []
+
+    class Writer:
+        def write(self, line: bytes) -> None:
+            lines.append(line)
+
+    async def main() -> None:
+        parent = Parent(Workers(1, 1, 1, 1), {})
+        process = Process(cast(Any, None), asyncio.StreamReader())
+        process.writer = cast(Any, Writer())
+        process.is_ready = True
+        parent.processes[1] = process
+        asking = asyncio.create_task(parent._known(0))
+        while process.asked is None:
+            await asyncio.sleep(0)
+        process.asked.set_result(b'{"known":7}\n')
+        assert await asking == b'{"known":7}\n' and lines == [b'{"ask":"known"}\n']
+
+    run(main())
+    assert NOTHING == b'{"known":null}\n' and LINE_MAX == 134_217_728
+    ours, theirs = socket.socketpair()
+    with ours, theirs:
+        ours.sendall(b'{"known":7}\n')
+        assert handed_on(theirs.fileno()) == 7
