--- a/laurelstep/__main__.py
+++ b/laurelstep/__main__.py
@@ -19,7 +19,7 @@
 from laurelstep.settings import Config, ConfigError, read_platform
 
 if TYPE_CHECKING:
-    from laurelstep.workers.parent import Workers
+    from laurelstep.workers.supervisor import SupervisorSettings
 
 USAGE = """usage: laurelstep [run] [--operator FILE]   one sidecar, told by LB_CONFIG or by FILE
        laurelstep check FILE...            check configurations: .toml is the operator's form
@@ -56,11 +56,11 @@
         return 2
     if environ.get("LAURELSTEP_WORKER"):
         return run_worker(environ)
-    if (several := workers(environ)) is not None:
-        from laurelstep.workers.parent import run_parent
+    if (supervisor_settings := read_supervisor_settings(environ)) is not None:
+        from laurelstep.workers.supervisor import run_supervisor
 
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-        return run_parent(several, environ)
+        return run_supervisor(supervisor_settings, environ)
     import uvloop
 
     unblock_log()
@@ -83,24 +83,24 @@
 
 
 def run_worker(environ: dict[str, str]) -> int:
-    """One process of several."""
+    """One worker of several."""
     import uvloop
 
-    from laurelstep.workers.child import handed_on, seat_of
+    from laurelstep.workers.worker import receive_known_list, slot_from_environ
 
-    found = seat_of(environ)
-    assert found is not None
+    slot = slot_from_environ(environ)
+    assert slot is not None
     unblock_log()
     hold_reload()
-    config = found.config(read_config(environ), handed_on(found.channel))
+    config = slot.worker_config(read_config(environ), receive_known_list(slot.channel))
     gc.set_threshold(5_000, 10, 10)
     gc.freeze()
-    uvloop.run(serve(config, environ, read_config, found))
+    uvloop.run(serve(config, environ, read_config, slot))
     return 0
 
 
-def workers(environ: dict[str, str]) -> Workers | None:
-    """What the operator's file says of several processes; None for one."""
+def read_supervisor_settings(environ: dict[str, str]) -> SupervisorSettings | None:
+    """What the operator's file says of several workers; None for one process."""
     path = environ.get("LB_OPERATOR")
     if not path or environ.get("LB_CONFIG"):
         return None
@@ -109,9 +109,9 @@
     table = read_operator(path).workers
     if table is None or table.processes == 1:
         return None
-    from laurelstep.workers.parent import Workers
+    from laurelstep.workers.supervisor import SupervisorSettings
 
-    return Workers(
+    return SupervisorSettings(
         table.processes,
         table.restart_first_ms * 1000,
         table.restart_most_ms * 1000,
--- a/laurelstep/daemon.py
+++ b/laurelstep/daemon.py
@@ -36,7 +36,7 @@
     from laurelstep.outbox.driver import OutboxDriver
     from laurelstep.outbox.shared.assembly import Shared
     from laurelstep.outbox.shared.carried import Carried
-    from laurelstep.workers.child import Seat
+    from laurelstep.workers.worker import WorkerSlot
 
 ReadConfig = Callable[[dict[str, str]], Config]
 
@@ -101,7 +101,7 @@
         self.leaving = False
         self.tasks: set[asyncio.Task[None]] = set()
 
-    async def run(self, read_config: ReadConfig, seat: Seat | None = None) -> None:
+    async def run(self, read_config: ReadConfig, slot: WorkerSlot | None = None) -> None:
         """Until a stop is over. `ConfigError` if it can't begin."""
         config = self.config
         orders = None
@@ -130,13 +130,13 @@
         await self._take_part()
         self._heed_signals(read_config)  # from here on a caller may come, and a start may have to wait
         try:
-            await self._listen(shared=seat is not None)
+            await self._listen(shared=slot is not None)
         except OSError as error:
             raise ConfigError(f"can't listen: {error}") from None
-        if seat is not None and not self.ended.is_set():
-            from laurelstep.workers.child import join
+        if slot is not None and not self.ended.is_set():
+            from laurelstep.workers.worker import join_supervisor
 
-            await join(self.loop, seat, self.parts.engine, self.stop)
+            await join_supervisor(self.loop, slot, self.parts.engine, self.stop)
         await self.ended.wait()
         self.leaving = True
         if self.outbox is not None:
@@ -505,7 +505,7 @@
     config: Config,
     environ: Mapping[str, str],
     read_config: ReadConfig,
-    seat: Seat | None = None,
+    slot: WorkerSlot | None = None,
     arrival: Arrival | None = None,
 ) -> None:
-    await Daemon(config, environ, arrival).run(read_config, seat)
+    await Daemon(config, environ, arrival).run(read_config, slot)
--- a/laurelstep/workers/__init__.py
+++ b/laurelstep/workers/__init__.py
@@ -1,2 +1,5 @@
-"""Several processes on one machine, each a copy of its tier with its own number, behind one
-address (SO_REUSEPORT), started and watched over by a small parent."""
+"""Several worker processes on one machine behind one address (SO_REUSEPORT), under a small supervisor.
+
+Each worker is a replica of the tier with a number of its own. `plan` decides and is pure, `supervisor`
+carries out the plan, `worker` is the side of the process that serves.
+"""
--- /dev/null
+++ b/laurelstep/workers/worker.py
@@ -0,0 +1,121 @@
+"""A worker process: its slot among the workers, and its channel to the supervisor.
+
+The channel is a socket with one JSON object a line. The supervisor's first line hands on the endpoint list,
+`{"known": LIST or null}`; the worker reports `{"ready": true}`, and answers `{"ask": "known"}` with the list
+as it has it. When the supervisor is gone, the worker stops.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import functools
+import json
+import os
+import socket
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, replace
+from typing import Any, Final, cast
+
+from laurelstep.engine.engine import Engine
+from laurelstep.engine.listing import dump_in_steps
+from laurelstep.net.discovery import Discovery
+from laurelstep.net.slices import Slices
+from laurelstep.settings import Config
+
+# Set by the supervisor; see `WorkerSlot.to_environ`.
+SLOT_VARIABLE: Final = "LAURELSTEP_WORKER"
+MAX_LINE_BYTES: Final = 128 * 1024 * 1024
+_RECEIVE_BYTES: Final = 1 << 20
+
+
+@dataclass(frozen=True)
+class WorkerSlot:
+    """The place of a worker: its number, how many workers there are, and the descriptor of its channel."""
+
+    number: int
+    count: int
+    channel: int
+
+    def to_environ(self) -> str:
+        """The value of `SLOT_VARIABLE`."""
+        return f"{self.number} {self.count} {self.channel}"
+
+    def worker_config(self, config: Config, known: Any) -> Config:
+        """The configuration of this worker: N workers of one replica are N replicas.
+
+        `known` is the endpoint list to start with, or None.
+        """
+        settings = config.settings
+        own_settings = replace(
+            settings,
+            me=settings.me * self.count + self.number,
+            instances=settings.instances * self.count,
+        )
+        return replace(
+            config, settings=own_settings, seed=config.seed + self.number, known=known or config.known
+        )
+
+
+def slot_from_environ(environ: Mapping[str, str]) -> WorkerSlot | None:
+    """The slot of this process; None if it is no worker."""
+    text = environ.get(SLOT_VARIABLE)
+    return WorkerSlot(*map(int, text.split())) if text else None
+
+
+def receive_known_list(channel: int) -> Any:
+    """The endpoint list in the supervisor's first line, read before there is an event loop.
+
+    Raises SystemExit if the supervisor is gone.
+    """
+    data = bytearray()
+    with socket.socket(fileno=os.dup(channel)) as connection:
+        connection.setblocking(True)
+        while not data.endswith(b"\n"):
+            part = connection.recv(_RECEIVE_BYTES)
+            if not part:
+                raise SystemExit("laurelstep: the supervisor is gone")
+            data += part
+    return json.loads(data)["known"]
+
+
+class SupervisorChannel(asyncio.Protocol):
+    """The worker's end of the channel. `on_lost` is called when the supervisor is gone."""
+
+    def __init__(self, engine: Engine, slices: Slices, on_lost: Callable[[], None]) -> None:
+        self.engine = engine
+        self.slices = slices
+        self.on_lost = on_lost
+        self.transport: asyncio.Transport | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The channel is open."""
+        self.transport = cast(asyncio.Transport, transport)
+
+    def data_received(self, data: bytes) -> None:
+        """The supervisor asks for the list, the only thing that it asks for, and waits for the answer."""
+        dumped: list[bytes] = []
+        source = self.engine.source
+        generation = source.generation if isinstance(source, Discovery) else 0
+        steps = dump_in_steps(self.engine.members, generation, dumped)
+        self.slices.run(steps, functools.partial(self._send_known_list, dumped))
+
+    def _send_known_list(self, dumped: list[bytes], error: Exception | None) -> None:
+        self.send_line(b'{"known":%b}\n' % (dumped[0] if error is None else b"null"))
+
+    def send_line(self, line: bytes) -> None:
+        """Send a line; nothing happens once the supervisor is gone."""
+        if self.transport is not None and not self.transport.is_closing():
+            self.transport.write(line)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """The supervisor is gone."""
+        self.on_lost()
+
+
+async def join_supervisor(
+    loop: asyncio.AbstractEventLoop, slot: WorkerSlot, engine: Engine, on_lost: Callable[[], None]
+) -> None:
+    """Report to the supervisor that this worker serves, and answer it from now on."""
+    channel = SupervisorChannel(engine, Slices(loop), on_lost)
+    await loop.create_connection(lambda: channel, sock=socket.socket(fileno=slot.channel))
+    channel.send_line(b'{"ready":true}\n')
--- a/tests/test_hot_restart_encoding.py
+++ b/tests/test_hot_restart_encoding.py
@@ -15,8 +15,16 @@
 from laurelstep.handover.place import Place
 from laurelstep.handover.state import KEPT_MOST, kept_in, state_of, state_of_accord
 from laurelstep.settings import config_from
-from laurelstep.workers.child import LINE_MAX, SEAT, Channel, Seat, handed_on, join, seat_of
-from laurelstep.workers.parent import NOTHING, Parent, Process, Workers
+from laurelstep.workers.supervisor import LIST_REQUEST, NO_LIST, Supervisor, SupervisorSettings, WorkerProcess
+from laurelstep.workers.worker import (
+    MAX_LINE_BYTES,
+    SLOT_VARIABLE,
+    SupervisorChannel,
+    WorkerSlot,
+    join_supervisor,
+    receive_known_list,
+    slot_from_environ,
+)
 from tests.sockets import SETTINGS, run
 
 
@@ -53,8 +61,11 @@
 
 
 def test_the_environment_of_a_worker() -> None:
-    assert SEAT == "LAURELSTEP_WORKER" and Seat(1, 3, 7).text() == "1 3 7"
-    assert seat_of({"LAURELSTEP_WORKER": "1 3 7"}) == Seat(1, 3, 7) and seat_of({}) is None
+    assert SLOT_VARIABLE == "LAURELSTEP_WORKER" and WorkerSlot(1, 3, 7).to_environ() == "1 3 7"
+    assert (
+        slot_from_environ({"LAURELSTEP_WORKER": "1 3 7"}) == WorkerSlot(1, 3, 7)
+        and slot_from_environ({}) is None
+    )
 
 
 def test_the_lines_of_a_worker() -> None:
@@ -64,20 +75,20 @@
             ours.setblocking(False)
             loop = asyncio.get_running_loop()
             ended = asyncio.Event()
-            await join(loop, Seat(0, 1, theirs.detach()), cast(Any, None), ended.set)
+            await join_supervisor(loop, WorkerSlot(0, 1, theirs.detach()), cast(Any, None), ended.set)
             assert await loop.sock_recv(ours, 100) == b'{"ready":true}\n'
         await ended.wait()
 
     run(main())
     lines: list[bytes] = []
-    channel = Channel(cast(Any, None), cast(Any, None), lambda: None)
-    channel.tell = lambda line: lines.append(line)  # type: ignore[method-assign]
-    channel._hand_on([b'{"generation":1}'], None)
-    channel._hand_on([], ValueError())
+    channel = SupervisorChannel(cast(Any, None), cast(Any, None), lambda: None)
+    channel.send_line = lambda line: lines.append(line)  # type: ignore[method-assign]
+    channel._send_known_list([b'{"generation":1}'], None)
+    channel._send_known_list([], ValueError())
     assert lines == [b'{"known":{"generation":1}}\n', b'{"known":null}\n']
 
 
-def test_the_lines_of_the_parent() -> None:
+def test_the_lines_of_the_supervisor() -> None:
     lines: list[bytes] = []
 
     class Writer:
@@ -85,20 +96,21 @@
             lines.append(line)
 
     async def main() -> None:
-        parent = Parent(Workers(1, 1, 1, 1), {})
-        process = Process(cast(Any, None), asyncio.StreamReader())
-        process.writer = cast(Any, Writer())
-        process.is_ready = True
-        parent.processes[1] = process
-        asking = asyncio.create_task(parent._known(0))
-        while process.asked is None:
+        supervisor = Supervisor(SupervisorSettings(1, 1, 1, 1), {})
+        worker = WorkerProcess(cast(Any, None), asyncio.StreamReader())
+        worker.writer = cast(Any, Writer())
+        worker.is_ready = True
+        supervisor.workers[1] = worker
+        asking = asyncio.create_task(supervisor._fetch_known_list(0))
+        while worker.list_answer is None:
             await asyncio.sleep(0)
-        process.asked.set_result(b'{"known":7}\n')
+        worker.list_answer.set_result(b'{"known":7}\n')
         assert await asking == b'{"known":7}\n' and lines == [b'{"ask":"known"}\n']
 
     run(main())
-    assert NOTHING == b'{"known":null}\n' and LINE_MAX == 134_217_728
+    assert LIST_REQUEST == b'{"ask":"known"}\n'
+    assert NO_LIST == b'{"known":null}\n' and MAX_LINE_BYTES == 134_217_728
     ours, theirs = socket.socketpair()
     with ours, theirs:
         ours.sendall(b'{"known":7}\n')
-        assert handed_on(theirs.fileno()) == 7
+        assert receive_known_list(theirs.fileno()) == 7
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -28,92 +28,92 @@
     read_message,
     request,
 )
-from laurelstep.workers.plan import End, Plan, Start, Stop
+from laurelstep.workers.plan import KillWorker, StartWorker, StopWorker, SupervisorAction, SupervisorPlan
 from tests.sockets import connect_until_up, free_port, run
 from tests.test_settings import CLASS
 
 CLEAN = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
 PAY = '[[deployment.classes]]\nname = "pay"\neffect = "unsafe"\naim_ms = 500\ndeadline_ms = 20000\n'
-FIRST, MOST, READY = 100, 1_000, 5_000
+INITIAL_BACKOFF, MAX_BACKOFF, READY_TIMEOUT = 100, 1_000, 5_000
 
 
 # --- The plan ---------------------------------------------------------------------------
 
 
-def served(plan: Plan, now: int = 0) -> list[int]:
+def served(plan: SupervisorPlan, now: int = 0) -> list[int]:
     """All processes started and ready."""
-    started = [one.process for one in plan.act(now) if isinstance(one, Start)]
+    started = [one.process for one in plan.advance(now) if isinstance(one, StartWorker)]
     for process in started:
-        assert plan.ready(now, process) == []
+        assert plan.on_ready(now, process) == []
     return started
 
 
 def test_a_process_that_dies_is_replaced_after_a_pause_that_doubles() -> None:
-    plan = Plan(1, FIRST, MOST, READY)
+    plan = SupervisorPlan(1, INITIAL_BACKOFF, MAX_BACKOFF, READY_TIMEOUT)
     (process,) = served(plan)
     now, pauses = 0, []
     for _ in range(6):
-        plan.ended(now, process)
-        due = plan.wake()
-        assert due is not None and plan.act(due - 1) == []
+        plan.on_exit(now, process)
+        due = plan.next_due_us()
+        assert due is not None and plan.advance(due - 1) == []
         pauses.append(due - now)
         now = due
-        (start,) = plan.act(now)
-        assert isinstance(start, Start)
+        (start,) = plan.advance(now)
+        assert isinstance(start, StartWorker)
         process = start.process
     assert pauses == [100, 200, 400, 800, 1_000, 1_000]
-    plan.ready(now, process)
-    plan.ended(now + MOST, process)
-    assert plan.wake() == now + MOST + FIRST, "it was calm for long enough"
+    plan.on_ready(now, process)
+    plan.on_exit(now + MAX_BACKOFF, process)
+    assert plan.next_due_us() == now + MAX_BACKOFF + INITIAL_BACKOFF, "it was calm for long enough"
 
 
 def test_a_restart_replaces_one_after_the_other_and_the_old_serves_until_the_new_does() -> None:
-    plan = Plan(3, FIRST, MOST, READY)
+    plan = SupervisorPlan(3, INITIAL_BACKOFF, MAX_BACKOFF, READY_TIMEOUT)
     old = served(plan)
-    plan.renew()
+    plan.restart_all()
     for number in range(3):
-        (start,) = plan.act(10)
-        assert isinstance(start, Start) and start.slot == number
-        assert plan.act(10) == [], "one at a time"
+        (start,) = plan.advance(10)
+        assert isinstance(start, StartWorker) and start.slot == number
+        assert plan.advance(10) == [], "one at a time"
         assert plan.slots[number].serving == old[number]
-        assert plan.ready(20, start.process) == [Stop(old[number])]
-        plan.ended(30, old[number])
-    assert plan.act(40) == [] and plan.restarts == 0 and len(plan.slot_of) == 3
+        assert plan.on_ready(20, start.process) == [StopWorker(old[number])]
+        plan.on_exit(30, old[number])
+    assert plan.advance(40) == [] and plan.failure_count == 0 and len(plan.slot_of) == 3
 
 
 def test_a_new_process_that_is_not_ready_in_time_is_ended_and_the_old_one_stays() -> None:
-    plan = Plan(1, FIRST, MOST, READY)
+    plan = SupervisorPlan(1, INITIAL_BACKOFF, MAX_BACKOFF, READY_TIMEOUT)
     (old,) = served(plan)
-    plan.renew()
-    (start,) = plan.act(0)
-    assert isinstance(start, Start) and plan.wake() == READY
-    assert plan.act(READY) == [End(start.process)]
-    assert plan.slots[0].serving == old and plan.ready(READY, start.process) == []
-    plan.ended(READY, start.process)
-    assert plan.act(10 * READY) == []
+    plan.restart_all()
+    (start,) = plan.advance(0)
+    assert isinstance(start, StartWorker) and plan.next_due_us() == READY_TIMEOUT
+    assert plan.advance(READY_TIMEOUT) == [KillWorker(start.process)]
+    assert plan.slots[0].serving == old and plan.on_ready(READY_TIMEOUT, start.process) == []
+    plan.on_exit(READY_TIMEOUT, start.process)
+    assert plan.advance(10 * READY_TIMEOUT) == []
 
 
 def test_after_a_stop_nothing_starts() -> None:
-    plan = Plan(2, FIRST, MOST, READY)
+    plan = SupervisorPlan(2, INITIAL_BACKOFF, MAX_BACKOFF, READY_TIMEOUT)
     one, two = served(plan)
-    plan.ended(5, one)
-    assert plan.stop() == [Stop(two)] and not plan.over
-    assert plan.act(10**9) == [] and plan.wake() is None
-    plan.ended(10, two)
-    assert plan.over
+    plan.on_exit(5, one)
+    assert plan.stop() == [StopWorker(two)] and not plan.is_complete
+    assert plan.advance(10**9) == [] and plan.next_due_us() is None
+    plan.on_exit(10, two)
+    assert plan.is_complete
 
 
 @given(
     st.lists(st.tuples(st.sampled_from(("ready", "die", "renew", "wait")), st.integers(0, 7)), max_size=60)
 )
 def test_no_slot_is_held_by_more_than_two_and_none_is_forgotten(steps: list[tuple[str, int]]) -> None:
-    plan, now = Plan(3, FIRST, MOST, READY), 0
+    plan, now = SupervisorPlan(3, INITIAL_BACKOFF, MAX_BACKOFF, READY_TIMEOUT), 0
     alive: dict[int, int] = {}
     told: set[int] = set()
 
-    def do(actions: list[Start | Stop | End]) -> None:
+    def do(actions: list[SupervisorAction]) -> None:
         for one in actions:
-            if isinstance(one, Start):
+            if isinstance(one, StartWorker):
                 assert one.process not in alive
                 alive[one.process] = one.slot
             else:
@@ -121,28 +121,28 @@
 
     for what, pick in steps:
         now += 50
-        do(plan.act(now))
+        do(plan.advance(now))
         process = sorted(alive)[pick % len(alive)] if alive else 0
         if what == "ready" and process:
-            do(plan.ready(now, process))
+            do(plan.on_ready(now, process))
         elif what == "die" and process:
             del alive[process]
-            plan.ended(now, process)
+            plan.on_exit(now, process)
         elif what == "renew":
-            plan.renew()
+            plan.restart_all()
         for slot in range(3):
             assert sum(held == slot and one not in told for one, held in alive.items()) <= 2
     for process in sorted(told & set(alive)):
         del alive[process]
-        plan.ended(now, process)
+        plan.on_exit(now, process)
     for _ in range(20):  # left in peace, all of them serve
-        now = max(now, plan.wake() or now)
-        do(plan.act(now))
+        now = max(now, plan.next_due_us() or now)
+        do(plan.advance(now))
         for process in list(alive):
-            do(plan.ready(now, process))
+            do(plan.on_ready(now, process))
         for process in sorted(told & set(alive)):
             del alive[process]
-            plan.ended(now, process)
+            plan.on_exit(now, process)
     assert sorted(alive.values()) == [0, 1, 2] and all(one.serving for one in plan.slots)
 
 
@@ -243,7 +243,7 @@
     return handler
 
 
-def test_a_child_killed_while_it_holds_paid_orders_loses_only_those_and_none_runs_twice(
+def test_a_worker_killed_while_it_holds_paid_orders_loses_only_those_and_none_runs_twice(
     tmp_path: Path,
 ) -> None:
     async def main() -> None:
@@ -299,7 +299,7 @@
     run(main())
 
 
-def test_children_end_with_their_parent(tmp_path: Path) -> None:
+def test_workers_end_with_their_supervisor(tmp_path: Path) -> None:
     async def main() -> None:
         async with Endpoint() as endpoint, asyncio.timeout(180), tier(tmp_path, member(endpoint), 2) as one:
             children = one.children()
