--- a/laurelstep/daemon.py
+++ b/laurelstep/daemon.py
@@ -28,9 +28,9 @@
     from laurelstep.consensus.node import ConsensusNode
     from laurelstep.consensus.ports import StateMachine
     from laurelstep.engine.ports import Recorder
-    from laurelstep.handover.giver import Giver
-    from laurelstep.handover.place import Place
-    from laurelstep.handover.taker import Taken
+    from laurelstep.hot_restart.predecessor import HotRestartServer
+    from laurelstep.hot_restart.rendezvous import RendezvousPoint
+    from laurelstep.hot_restart.successor import PredecessorHandle
     from laurelstep.maintenance.subsystem import MaintenanceSubsystem
     from laurelstep.management.server import Management
     from laurelstep.outbox.driver import OutboxDriver
@@ -44,16 +44,18 @@
 class Arrival:
     """How a process comes: alone, or beside one that serves at the same addresses."""
 
-    def __init__(self, place: Place, others: bool, taken: Taken | None) -> None:
-        self.place = place
-        self.others = others
-        self.taken = taken
+    def __init__(
+        self, rendezvous: RendezvousPoint, has_others: bool, predecessor: PredecessorHandle | None
+    ) -> None:
+        self.rendezvous = rendezvous
+        self.has_others = has_others
+        self.predecessor = predecessor
 
     def config(self, config: Config) -> Config:
         """With the list that the other process had, where there is one."""
-        from laurelstep.handover.state import with_state
+        from laurelstep.hot_restart.state import config_with_state
 
-        return config if self.taken is None else with_state(config, self.taken.state)
+        return config if self.predecessor is None else config_with_state(config, self.predecessor.state)
 
 
 def arrive(config: Config, environ: Mapping[str, str]) -> Arrival | None:
@@ -62,21 +64,22 @@
     has_store = config.orders is not None or config.outbox is not None
     if config.management is None or config.listen is None or has_store:
         return None
-    from laurelstep.handover.messages import HandoverError
-    from laurelstep.handover.place import Place
-    from laurelstep.handover.taker import take
+    from laurelstep.hot_restart.messages import HotRestartError
+    from laurelstep.hot_restart.rendezvous import RendezvousPoint
+    from laurelstep.hot_restart.successor import take_over
 
     try:
-        place = Place(config.listen, environ.get("TMPDIR") or "/tmp")
-        others = place.enter()
+        rendezvous = RendezvousPoint(config.listen, environ.get("TMPDIR") or "/tmp")
+        has_others = rendezvous.register()
     except OSError as error:
-        log(f"no handover: {error}")
+        log(f"no hot restart: {error}")
         return None
     try:
-        return Arrival(place, others, take(place, config.listen) if others else None)
-    except HandoverError as error:
-        log(f"no handover, the address is shared: {error}")
-        return Arrival(place, others, None)
+        predecessor = take_over(rendezvous, config.listen) if has_others else None
+        return Arrival(rendezvous, has_others, predecessor)
+    except HotRestartError as error:
+        log(f"no hot restart, the address is shared: {error}")
+        return Arrival(rendezvous, has_others, None)
 
 
 class Daemon:
@@ -89,9 +92,9 @@
         self.slices = Slices(self.loop)
         self.ended = asyncio.Event()
         self.management: Management | None = None
-        self.giver: Giver | None = None
-        self.has_predecessor = arrival is not None and arrival.taken is not None
-        self.was_alone = arrival is None or not arrival.others
+        self.hot_restart: HotRestartServer | None = None
+        self.has_predecessor = arrival is not None and arrival.predecessor is not None
+        self.was_alone = arrival is None or not arrival.has_others
         self.node: ConsensusNode | None = None
         self.maintenance: MaintenanceSubsystem | None = None
         self.outbox: OutboxDriver | None = None
@@ -169,8 +172,8 @@
         if self.maintenance is not None:
             self.maintenance.close()
         self.parts.close()
-        if self.giver is not None:
-            self.giver.close()
+        if self.hot_restart is not None:
+            self.hot_restart.close()
         if self.management is not None:
             self.management.close()
 
@@ -213,11 +216,11 @@
     async def _take_part(self) -> None:
         if self.node is None:
             return
-        from laurelstep.handover.state import kept_in
+        from laurelstep.hot_restart.state import decode_replica
 
-        taken = None if self.arrival is None else self.arrival.taken
+        predecessor = None if self.arrival is None else self.arrival.predecessor
         try:
-            await self.node.start(None if taken is None else kept_in(taken.state))
+            await self.node.start(None if predecessor is None else decode_replica(predecessor.state))
         except OSError as error:
             listen = self.config.accord.listen if self.config.accord is not None else ""
             problem = f"{listen}: {error.strerror}: expected where this process may listen, on this machine"
@@ -295,7 +298,7 @@
         if self.has_predecessor:
             return False
         if not self.was_alone:
-            self.was_alone = self.arrival is None or not self.arrival.place.enter()
+            self.was_alone = self.arrival is None or not self.arrival.rendezvous.register()
         return self.was_alone
 
     async def _know(self) -> bool:
@@ -303,26 +306,26 @@
         one before it did not wait as long, and serves on: two of them would take callers."""
         if self.maintenance is None:
             return not self.ended.is_set()
-        taken = None if self.arrival is None else self.arrival.taken
+        predecessor = None if self.arrival is None else self.arrival.predecessor
         given_up = asyncio.Event()
-        if taken is not None:
-            self.loop.add_reader(taken.channel.fileno(), given_up.set)  # nothing else is said there yet
+        if predecessor is not None:
+            self.loop.add_reader(predecessor.channel.fileno(), given_up.set)  # nothing else is said there yet
         while True:
-            events = [self.maintenance.may_serve, self.ended, *([] if taken is None else [given_up])]
+            events = [self.maintenance.may_serve, self.ended, *([] if predecessor is None else [given_up])]
             waits = [self.loop.create_task(one.wait()) for one in events]
             await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
             for one in waits:
                 one.cancel()
-            if taken is not None:
-                self.loop.remove_reader(taken.channel.fileno())
-            if taken is None or not given_up.is_set():
+            if predecessor is not None:
+                self.loop.remove_reader(predecessor.channel.fileno())
+            if predecessor is None or not given_up.is_set():
                 return not self.ended.is_set()
-            if self.arrival is not None and self.arrival.place.enter():
+            if self.arrival is not None and self.arrival.rendezvous.register():
                 raise ConfigError(
                     f"{self._file}upkeep.start_alone: what is out was not known in time, the version before "
                     "serves on: start this one again once a majority of the seats is up"
                 )
-            taken = None  # it has ended: there is nobody to come after
+            predecessor = None  # it has ended: there is nobody to come after
 
     @property
     def _file(self) -> str:
@@ -332,8 +335,13 @@
 
     def _begin_again(self) -> None:
         """Nobody follows any more: take part again, if this process has given up its part."""
-        giver = self.giver
-        if self.node is not None and giver is not None and giver.is_alone and not self.leaving:
+        hot_restart = self.hot_restart
+        if (
+            self.node is not None
+            and hot_restart is not None
+            and hot_restart.progress.is_alone
+            and not self.leaving
+        ):
             self._spawn(self.node.restart())
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
@@ -354,10 +362,10 @@
         if arrival is None:
             await self.server.listen(*config.listen, shared=shared)
             return
-        if arrival.taken is not None:
-            await self.server.listen(*config.listen, handed=arrival.taken.listener)
+        if arrival.predecessor is not None:
+            await self.server.listen(*config.listen, handed=arrival.predecessor.listener)
         else:
-            if not arrival.others:
+            if not arrival.has_others:
                 check_free(*config.listen)
             # Shared with the process that comes next, should that not get the listener.
             await self.server.listen(*config.listen, shared=True)
@@ -393,49 +401,53 @@
 
     def _be_succeeded(self, arrival: Arrival) -> None:
         """Serving: tell the process before this one, and wait for the one after it."""
-        from laurelstep.handover.giver import Giver
+        from laurelstep.hot_restart.predecessor import HotRestartServer
 
-        if arrival.taken is not None:
+        if arrival.predecessor is not None:
             self.has_predecessor = True
-            self.loop.add_reader(arrival.taken.channel.fileno(), self._predecessor_ended, arrival.taken)
-            arrival.taken.say_ready()
+            self.loop.add_reader(
+                arrival.predecessor.channel.fileno(), self._predecessor_ended, arrival.predecessor
+            )
+            arrival.predecessor.report_ready()
         listener: Any = self.server.listener
         try:
-            self.giver = Giver(
-                self.loop, arrival.place, listener.sockets[0], self._collect, self._changed, log
+            self.hot_restart = HotRestartServer(
+                self.loop, arrival.rendezvous, listener.sockets[0], self._collect, self._changed, log
             )
         except OSError as error:
-            log(f"no handover to a next version: {error}")
+            log(f"no hot restart to a next version: {error}")
         else:
-            self.server.shutdown.succeeded = lambda: self.giver is not None and self.giver.handover.taken
+            self.server.shutdown.succeeded = (
+                lambda: self.hot_restart is not None and self.hot_restart.progress.is_taken_over
+            )
         self._share()
 
-    def _predecessor_ended(self, taken: Taken) -> None:
-        self.loop.remove_reader(taken.channel.fileno())
-        taken.channel.close()
+    def _predecessor_ended(self, predecessor: PredecessorHandle) -> None:
+        self.loop.remove_reader(predecessor.channel.fileno())
+        predecessor.channel.close()
         self.has_predecessor = False
         self._share()
 
     def _changed(self) -> None:
-        """A handover has come further, or to nothing."""
+        """A hot restart has come further, or to nothing."""
         self._share()
         self._begin_again()
 
     def _share(self) -> None:
         """Two processes have one sidecar's descriptors."""
-        alone = not self.has_predecessor and (self.giver is None or self.giver.handover.share == 1.0)
+        alone = not self.has_predecessor and (self.hot_restart is None or self.hot_restart.progress.is_alone)
         most = self.config.side_sockets if alone else self.config.shared_side_sockets
         self.server.most = self.parts.upstream.most = most
 
     def _collect(self, give: Callable[[dict[str, bytes]], None]) -> None:
         """What the next process would have to learn anew."""
-        from laurelstep.handover.state import state_of
+        from laurelstep.hot_restart.state import collect_state
 
         source, known = self.parts.source, list[bytes]()
         generation = source.generation if isinstance(source, Discovery) else 0
 
         def ended(error: Exception | None) -> None:
-            state = {} if error is not None else state_of(self.config, source, known[0])
+            state = {} if error is not None else collect_state(self.config, source, known[0])
             if self.node is None:
                 give(state)
             else:
@@ -452,10 +464,10 @@
         self, node: ConsensusNode, state: dict[str, bytes], give: Callable[[dict[str, bytes]], None]
     ) -> None:
         """The next process is the same member of the tier: this one ceases to be one, then tells."""
-        from laurelstep.handover.state import state_of_accord
+        from laurelstep.hot_restart.state import encode_replica
 
-        kept = await node.retire()
-        give({**state, **state_of_accord(kept)})
+        memory = await node.retire()
+        give({**state, **encode_replica(memory)})
         self._begin_again()  # if it went away meanwhile
 
 
--- /dev/null
+++ b/laurelstep/hot_restart/predecessor.py
@@ -0,0 +1,165 @@
+"""The side of the predecessor: a process that serves, and waits for its successor."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+from typing import Any, Final, Protocol, cast
+
+from laurelstep.engine.ports import Log
+from laurelstep.hot_restart.messages import MAX_HEADER_BYTES, READY, encode_header, encode_state, is_hello
+from laurelstep.hot_restart.rendezvous import RendezvousPoint, require_same_user
+from laurelstep.hot_restart.stages import HotRestartEvent, HotRestartProgress
+
+# From connecting until a successor has said what it speaks, and until it accepts clients: a start on a
+# starved core is due within 6 s.
+HELLO_TIMEOUT_S: Final = 2.0
+READY_TIMEOUT_S: Final = 20.0
+
+# Collects the state, its values in JSON, and hands it to its argument, now or later.
+CollectState = Callable[[Callable[[dict[str, bytes]], None]], None]
+
+
+class DescriptorOwner(Protocol):
+    """A listening socket, as far as its descriptor is handed over."""
+
+    def fileno(self) -> int:
+        """The number of its descriptor."""
+
+
+class SuccessorConnection(asyncio.Protocol):
+    """The connection of one successor, or of a process that claims to be one."""
+
+    def __init__(self, server: HotRestartServer, connection: socket.socket) -> None:
+        self.server = server
+        self.connection = connection  # sends the descriptor; the transport can't
+        self.buffer = bytearray()
+        self.is_offered = False
+        self.is_rejected = False
+        self.transport: asyncio.Transport | None = None
+        self.timer = server.loop.call_later(HELLO_TIMEOUT_S, self.reject)
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is open."""
+        self.transport = cast(asyncio.Transport, transport)
+        if self.is_rejected:
+            self.transport.abort()
+
+    def data_received(self, data: bytes) -> None:
+        """A part of its lines has come."""
+        self.buffer += data
+        while (end := self.buffer.find(b"\n")) >= 0:
+            line = bytes(self.buffer[: end + 1])
+            del self.buffer[: end + 1]
+            if not self._handle_line(line):
+                self.reject()
+                return
+        if len(self.buffer) > MAX_HEADER_BYTES:
+            self.reject()
+
+    def _handle_line(self, line: bytes) -> bool:
+        """False if it is none that may be sent now."""
+        if not self.is_offered and is_hello(line):
+            self.is_offered = self.server.handle(HotRestartEvent.HELLO)
+            if self.is_offered:
+                self.timer.cancel()
+                self.timer = self.server.loop.call_later(READY_TIMEOUT_S, self.reject)
+                self.server.collect_state(self._send_offer)
+            return self.is_offered
+        if self.is_offered and line == READY and self.server.handle(HotRestartEvent.READY):
+            self.timer.cancel()
+            return True
+        return False
+
+    def _send_offer(self, state: dict[str, bytes]) -> None:
+        if self.transport is None or self.transport.is_closing():
+            return
+        raw = encode_state(state)
+        try:
+            socket.send_fds(self.connection, [encode_header(len(raw))], [self.server.listener.fileno()])
+        except OSError as error:
+            self.server.log(f"no hot restart: {error}")
+            self.reject()
+        else:
+            self.transport.write(raw)
+
+    def reject(self) -> None:
+        """End the connection."""
+        self.is_rejected = True
+        if self.transport is not None:
+            self.transport.abort()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """The successor, or its connection, is gone."""
+        self.timer.cancel()
+        self.connection.close()
+        self.server.connections.discard(self)
+        if self.is_offered:
+            self.server.handle(HotRestartEvent.DISCONNECTED)
+
+
+class HotRestartServer:
+    """Waits for a successor at the rendezvous until `close`. `on_stage_changed` is called after each
+    change."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        rendezvous: RendezvousPoint,
+        listener: DescriptorOwner,
+        collect_state: CollectState,
+        on_stage_changed: Callable[[], None],
+        log: Log,
+    ) -> None:
+        """`listener` is the clients', and stays its owner's. OSError if there can be no rendezvous."""
+        self.loop = loop
+        self.rendezvous = rendezvous
+        self.listener = listener
+        self.collect_state = collect_state
+        self.on_stage_changed = on_stage_changed
+        self.log = log
+        self.progress = HotRestartProgress()
+        self.connections: set[SuccessorConnection] = set()
+        self.tasks: set[asyncio.Task[Any]] = set()
+        self.meeting_socket: socket.socket | None = rendezvous.listen()
+        loop.add_reader(self.meeting_socket.fileno(), self._accept)
+
+    def _accept(self) -> None:
+        assert self.meeting_socket is not None
+        try:
+            accepted, _ = self.meeting_socket.accept()
+        except OSError:
+            return
+        try:
+            require_same_user(accepted)
+            connection = SuccessorConnection(self, accepted.dup())
+        except OSError as error:
+            self.log(f"no hot restart: {error}")
+            accepted.close()
+            return
+        self.connections.add(connection)
+        accepted.setblocking(False)
+        task = self.loop.create_task(self._connect(connection, accepted))
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
+
+    async def _connect(self, connection: SuccessorConnection, accepted: socket.socket) -> None:
+        await self.loop.create_unix_connection(lambda: connection, sock=accepted)
+
+    def handle(self, event: HotRestartEvent) -> bool:
+        """Something happened at a connection; whether it changed the stage."""
+        has_changed = self.progress.handle(event)
+        if has_changed:
+            self.on_stage_changed()
+        return has_changed
+
+    def close(self) -> None:
+        """End all connections: that is how a successor learns of the end of this process."""
+        if self.meeting_socket is not None:
+            self.loop.remove_reader(self.meeting_socket.fileno())
+            self.meeting_socket.close()
+            self.meeting_socket = None
+            self.rendezvous.leave()
+        for connection in list(self.connections):
+            connection.reject()
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -18,8 +18,8 @@
 
 import pytest
 
-from laurelstep.handover.place import Place
-from laurelstep.handover.taker import take
+from laurelstep.hot_restart.rendezvous import RendezvousPoint
+from laurelstep.hot_restart.successor import take_over
 from laurelstep.interface import FULL, Action, Outcome, Send
 from laurelstep.net.server import Caller
 from tests.sockets import (
@@ -637,7 +637,7 @@
 
 
 @pytest.mark.parametrize("stage", ["offered", "taken"])
-def test_sigterm_during_a_handover_loses_no_request(tmp_path: Path, stage: str) -> None:
+def test_sigterm_during_a_hot_restart_loses_no_request(tmp_path: Path, stage: str) -> None:
     """The test is the process that comes: it has the listener, and takes nobody until the other has ended."""
 
     async def main() -> None:
@@ -652,10 +652,10 @@
             old = await site.version()
             taking = asyncio.create_task(site.ask(PAY))
             await endpoint.arrived.acquire()
-            place = Place(("127.0.0.1", site.port), str(tmp_path))
-            taken = await loop.run_in_executor(None, take, place, ("127.0.0.1", site.port))
+            rendezvous = RendezvousPoint(("127.0.0.1", site.port), str(tmp_path))
+            predecessor = await loop.run_in_executor(None, take_over, rendezvous, ("127.0.0.1", site.port))
             if stage == "taken":
-                taken.say_ready()
+                predecessor.report_ready()
             ended = asyncio.create_task(old.stop())
             while await old.call("GET /api/ready") == 200:
                 pass
@@ -665,12 +665,12 @@
             assert await ended == b""
             with contextlib.closing(Client(site.port)) as caller:  # the listener has stayed open
                 caller.send(PAGE)
-                theirs, _ = await loop.sock_accept(taken.listener)
+                theirs, _ = await loop.sock_accept(predecessor.listener)
                 assert await loop.sock_recv(theirs, 1000) == PAGE
                 theirs.close()
-            taken.listener.close()
-            taken.channel.close()
-            place.leave()
+            predecessor.listener.close()
+            predecessor.channel.close()
+            rendezvous.leave()
 
     run(main())
 
--- a/tests/test_handover.py
+++ b/tests/test_hot_restart.py
@@ -16,24 +16,29 @@
 import pytest
 
 from laurelstep.daemon import arrive, check_free
-from laurelstep.handover import giver, taker
-from laurelstep.handover.giver import Giver
-from laurelstep.handover.messages import (
-    HEAD_MAX,
+from laurelstep.hot_restart import predecessor, successor
+from laurelstep.hot_restart.messages import (
     HELLO,
+    MAX_HEADER_BYTES,
+    MAX_STATE_BYTES,
     READY,
-    STATE_MAX,
-    HandoverError,
-    head,
+    HotRestartError,
+    decode_header,
+    decode_state,
+    encode_header,
+    encode_state,
     is_hello,
-    pack,
-    size_in,
-    unpack,
 )
-from laurelstep.handover.place import Place
-from laurelstep.handover.stages import HALF, Handover, Stage
-from laurelstep.handover.state import with_state
-from laurelstep.handover.taker import take
+from laurelstep.hot_restart.predecessor import HotRestartServer
+from laurelstep.hot_restart.rendezvous import RendezvousPoint
+from laurelstep.hot_restart.stages import (
+    SHARED_FRACTION,
+    HotRestartEvent,
+    HotRestartProgress,
+    HotRestartStage,
+)
+from laurelstep.hot_restart.state import config_with_state
+from laurelstep.hot_restart.successor import take_over
 from laurelstep.settings import config_from
 from laurelstep.testing import Effects, push
 from tests.sockets import (
@@ -56,9 +61,9 @@
 
 
 def test_what_one_writes_the_other_reads() -> None:
-    raw = pack({"known": b'{"generation":1}', "discovery": b'"127.0.0.1:1"'})
-    assert size_in(head(len(raw))) == len(raw) and is_hello(HELLO)
-    assert unpack(raw) == {"known": {"generation": 1}, "discovery": "127.0.0.1:1"}
+    raw = encode_state({"known": b'{"generation":1}', "discovery": b'"127.0.0.1:1"'})
+    assert decode_header(encode_header(len(raw))) == len(raw) and is_hello(HELLO)
+    assert decode_state(raw) == {"known": {"generation": 1}, "discovery": "127.0.0.1:1"}
 
 
 @pytest.mark.parametrize(
@@ -66,39 +71,39 @@
     [
         b"\n", b"nonsense\n", b"[]\n", b"{}\n", b'{"v": 2, "size": 1}\n', b'{"v": 1, "size": -1}\n',
         b'{"v": 1, "size": true}\n', b'{"v": 1, "size": "1"}\n', b"[" * 200 + b"\n",
-        b'{"v": 1, "size": %d}\n' % (STATE_MAX + 1),
+        b'{"v": 1, "size": %d}\n' % (MAX_STATE_BYTES + 1),
     ],
 )  # fmt: skip
 def test_a_head_that_is_spoilt_foreign_or_of_the_future_is_refused(line: bytes) -> None:
-    with pytest.raises(HandoverError):
-        size_in(line)
+    with pytest.raises(HotRestartError):
+        decode_header(line)
 
 
 @pytest.mark.parametrize("raw", [b"", b"[]", b"{", b"\xff", b"[" * 100_000])
 def test_a_state_that_is_spoilt_is_refused(raw: bytes) -> None:
-    with pytest.raises(HandoverError):
-        unpack(raw)
+    with pytest.raises(HotRestartError):
+        decode_state(raw)
 
 
 def test_a_state_that_is_too_long_stays_behind() -> None:
-    assert pack({"known": b'"%b"' % (b"x" * STATE_MAX)}) == b"{}"
+    assert encode_state({"known": b'"%b"' % (b"x" * MAX_STATE_BYTES)}) == b"{}"
 
 
 def test_each_event_has_one_stated_result_at_each_stage() -> None:
     moves = {
-        ("ask", Stage.ALONE): Stage.OFFERED,
-        ("ready", Stage.OFFERED): Stage.TAKEN,
-        ("lost", Stage.OFFERED): Stage.ALONE,
-        ("lost", Stage.TAKEN): Stage.ALONE,
+        (HotRestartEvent.HELLO, HotRestartStage.ALONE): HotRestartStage.OFFERED,
+        (HotRestartEvent.READY, HotRestartStage.OFFERED): HotRestartStage.TAKEN_OVER,
+        (HotRestartEvent.DISCONNECTED, HotRestartStage.OFFERED): HotRestartStage.ALONE,
+        (HotRestartEvent.DISCONNECTED, HotRestartStage.TAKEN_OVER): HotRestartStage.ALONE,
     }
-    for stage in Stage:
-        for event in ("ask", "ready", "lost"):
-            one = Handover()
+    for stage in HotRestartStage:
+        for event in HotRestartEvent:
+            one = HotRestartProgress()
             one.stage = stage
-            assert one.tell(event) is ((event, stage) in moves)
+            assert one.handle(event) is ((event, stage) in moves)
             assert one.stage == moves.get((event, stage), stage)
-            assert one.taken == (one.stage == Stage.TAKEN)
-            assert one.share == (1.0 if one.stage == Stage.ALONE else HALF)
+            assert one.is_taken_over == (one.stage == HotRestartStage.TAKEN_OVER)
+            assert one.resource_fraction == (1.0 if one.stage == HotRestartStage.ALONE else SHARED_FRACTION)
 
 
 LIST = {"generation": 7, "reset": True, "instances": []}
@@ -117,7 +122,7 @@
 )
 def test_the_newer_list_is_used(known: Any, discovery: str, expected: int) -> None:
     raw = {"settings": SETTINGS, "discovery": "127.0.0.1:1", "known": {**LIST, "generation": 5}}
-    found = with_state(config_from(raw, "test"), {"known": known, "discovery": discovery})
+    found = config_with_state(config_from(raw, "test"), {"known": known, "discovery": discovery})
     assert found.known is not None and found.known["generation"] == expected
 
 
@@ -127,28 +132,28 @@
 
 
 def test_a_lock_tells_who_is_alive_and_goes_with_its_process(tmp_path: Path) -> None:
-    first, second = Place(ADDRESS, str(tmp_path)), Place(ADDRESS, str(tmp_path))
-    other = Place(("127.0.0.1", 7071), str(tmp_path))
-    assert not first.enter() and second.enter() and not other.enter()
+    first, second = RendezvousPoint(ADDRESS, str(tmp_path)), RendezvousPoint(ADDRESS, str(tmp_path))
+    other = RendezvousPoint(("127.0.0.1", 7071), str(tmp_path))
+    assert not first.register() and second.register() and not other.register()
     first.leave()
-    third = Place(ADDRESS, str(tmp_path))
-    assert third.enter(), "the second is still there"
+    third = RendezvousPoint(ADDRESS, str(tmp_path))
+    assert third.register(), "the second is still there"
     second.leave()
     third.leave()
-    assert not Place(ADDRESS, str(tmp_path)).enter()
+    assert not RendezvousPoint(ADDRESS, str(tmp_path)).register()
 
 
 def test_a_stale_socket_file_is_nobody_and_is_replaced(tmp_path: Path) -> None:
-    place = Place(ADDRESS, str(tmp_path))
-    gone = place.listen()
+    rendezvous = RendezvousPoint(ADDRESS, str(tmp_path))
+    gone = rendezvous.listen()
     gone.close()
     with pytest.raises(ConnectionRefusedError):
-        place.connect(1.0)
-    door = place.listen()
-    place.connect(1.0).close()
-    newer = Place(ADDRESS, str(tmp_path))
+        rendezvous.connect(1.0)
+    door = rendezvous.listen()
+    rendezvous.connect(1.0).close()
+    newer = RendezvousPoint(ADDRESS, str(tmp_path))
     newer_door = newer.listen()
-    place.leave()
+    rendezvous.leave()
     newer.connect(1.0).close()
     newer.leave()
     assert [path.suffix for path in tmp_path.iterdir()] == [".lock"]
@@ -159,11 +164,11 @@
 def test_a_folder_with_a_long_name_is_no_hindrance(tmp_path: Path) -> None:
     folder = tmp_path / ("x" * 200)
     folder.mkdir()
-    place = Place(ADDRESS, str(folder))
-    door = place.listen()
-    place.connect(1.0).close()
+    rendezvous = RendezvousPoint(ADDRESS, str(folder))
+    door = rendezvous.listen()
+    rendezvous.connect(1.0).close()
     door.close()
-    place.leave()
+    rendezvous.leave()
 
 
 def test_a_folder_that_can_not_be_used_is_done_without(
@@ -172,15 +177,15 @@
     raw = {"settings": SETTINGS, "listen": "127.0.0.1:7070", "management": "127.0.0.1:7071"}
     environ = {"TMPDIR": str(tmp_path / "nowhere")}
     assert arrive(config_from(raw, "test"), environ) is None
-    assert capfd.readouterr().err.count("no handover") == 1
+    assert capfd.readouterr().err.count("no hot restart") == 1
     assert arrive(config_from({**raw, "management": None}, "test"), {"TMPDIR": str(tmp_path)}) is None
 
 
 class Peer:
     """A process that serves, as far as the one that comes can tell."""
 
-    def __init__(self, place: Place, *parts: bytes, fds: list[int] | None = None) -> None:
-        self.door = place.listen()
+    def __init__(self, rendezvous: RendezvousPoint, *parts: bytes, fds: list[int] | None = None) -> None:
+        self.door = rendezvous.listen()
         self.door.setblocking(True)
         self.parts = parts
         self.fds = fds or []
@@ -202,8 +207,8 @@
 
 
 @pytest.fixture
-def place(tmp_path: Path) -> Iterator[Place]:
-    one = Place(ADDRESS, str(tmp_path))
+def rendezvous(tmp_path: Path) -> Iterator[RendezvousPoint]:
+    one = RendezvousPoint(ADDRESS, str(tmp_path))
     yield one
     one.leave()
 
@@ -216,51 +221,56 @@
     ("parts", "what", "problem"),
     [
         ([b'{"v": 2, "size": 2}\n', b"{}"], "listener", "version 2"),
-        ([b"x" * (HEAD_MAX + 1)], "listener", "too long"),
-        ([head(2)], "listener", "ended"),
+        ([b"x" * (MAX_HEADER_BYTES + 1)], "listener", "too long"),
+        ([encode_header(2)], "listener", "ended"),
         ([b'{"v"'], "listener", "ended"),
-        ([head(2), b"{}"], "none", "0 descriptors"),
-        ([head(2), b"{}"], "two", "2 descriptors"),
-        ([head(2), b"{}"], "bound", "no listener"),
-        ([head(2), b"{}"], "other", "another address"),
-        ([head(2), b"[]"], "listener", "no object"),
+        ([encode_header(2), b"{}"], "none", "0 descriptors"),
+        ([encode_header(2), b"{}"], "two", "2 descriptors"),
+        ([encode_header(2), b"{}"], "bound", "no listener"),
+        ([encode_header(2), b"{}"], "other", "another address"),
+        ([encode_header(2), b"[]"], "listener", "no object"),
         ([], "none", "too long|timed out"),
     ],
 )
-def test_what_is_no_handover_is_refused_and_leaves_no_descriptor(
-    place: Place, parts: list[bytes], what: str, problem: str, monkeypatch: pytest.MonkeyPatch
+def test_what_is_no_hot_restart_is_refused_and_leaves_no_descriptor(
+    rendezvous: RendezvousPoint, parts: list[bytes], what: str, problem: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(taker, "TAKE_S", 0.2 if not parts else 5.0)
+    monkeypatch.setattr(successor, "TAKEOVER_TIMEOUT_S", 0.2 if not parts else 5.0)
     with listener() as good, listener() as other, socket.socket() as bound:
         fds = {
             "listener": [good.fileno()], "none": [], "two": [good.fileno(), good.fileno()],
             "bound": [bound.fileno()], "other": [other.fileno()],
         }[what]  # fmt: skip
-        peer = Peer(place, *parts, fds=fds)
+        peer = Peer(rendezvous, *parts, fds=fds)
         before = len(os.listdir("/proc/self/fd"))
         address = good.getsockname()
-        with pytest.raises(HandoverError, match=problem):
-            take(place, address)
+        with pytest.raises(HotRestartError, match=problem):
+            take_over(rendezvous, address)
         peer.close()
         assert len(os.listdir("/proc/self/fd")) < before  # the door and its connection are closed
 
 
-def test_nobody_at_the_place_is_no_handover(place: Place) -> None:
-    with pytest.raises(HandoverError, match="FileNotFoundError"):
-        take(place, ADDRESS)
+def test_nobody_at_the_rendezvous_is_no_hot_restart(rendezvous: RendezvousPoint) -> None:
+    with pytest.raises(HotRestartError, match="FileNotFoundError"):
+        take_over(rendezvous, ADDRESS)
 
 
-def test_one_successor_at_a_time_and_alone_again_when_it_is_lost(place: Place) -> None:
+def test_one_successor_at_a_time_and_alone_again_when_it_is_lost(rendezvous: RendezvousPoint) -> None:
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        changed: list[Stage] = []
+        changed: list[HotRestartStage] = []
         with listener() as good:
-            one = Giver(
-                loop, place, good, lambda give: give({}), lambda: changed.append(one.handover.stage), print
+            one = HotRestartServer(
+                loop,
+                rendezvous,
+                good,
+                lambda give: give({}),
+                lambda: changed.append(one.progress.stage),
+                print,
             )
 
             async def come() -> socket.socket:
-                channel = place.connect(1.0)
+                channel = rendezvous.connect(1.0)
                 channel.setblocking(False)
                 await loop.sock_sendall(channel, HELLO)
                 return channel
@@ -270,14 +280,19 @@
             second = await come()
             assert await loop.sock_recv(second, 100) == b"", "one is there already"
             first.close()
-            while one.handover.stage != Stage.ALONE:
+            while one.progress.stage != HotRestartStage.ALONE:
                 await asyncio.sleep(0)
             third = await come()
             assert await loop.sock_recv(third, 100)
             await loop.sock_sendall(third, READY)
-            while not one.handover.taken:
+            while not one.progress.is_taken_over:
                 await asyncio.sleep(0)
-            assert changed == [Stage.OFFERED, Stage.ALONE, Stage.OFFERED, Stage.TAKEN]
+            assert changed == [
+                HotRestartStage.OFFERED,
+                HotRestartStage.ALONE,
+                HotRestartStage.OFFERED,
+                HotRestartStage.TAKEN_OVER,
+            ]
             one.close()
             assert await loop.sock_recv(third, 100) in (b"", b"{}")
             for channel in (second, third):
@@ -286,24 +301,26 @@
     run(main())
 
 
-@pytest.mark.parametrize("said", [b"GET / HTTP/1.1\r\n", READY, b"x" * (HEAD_MAX + 1), HELLO + HELLO, b""])
+@pytest.mark.parametrize(
+    "said", [b"GET / HTTP/1.1\r\n", READY, b"x" * (MAX_HEADER_BYTES + 1), HELLO + HELLO, b""]
+)
 def test_one_that_says_something_else_is_cut(
-    place: Place, said: bytes, monkeypatch: pytest.MonkeyPatch
+    rendezvous: RendezvousPoint, said: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(giver, "HELLO_S", 0.0 if not said else 5.0)
+    monkeypatch.setattr(predecessor, "HELLO_TIMEOUT_S", 0.0 if not said else 5.0)
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
         with listener() as good:
-            one = Giver(loop, place, good, lambda give: None, lambda: None, print)
-            channel = place.connect(1.0)
+            one = HotRestartServer(loop, rendezvous, good, lambda give: None, lambda: None, print)
+            channel = rendezvous.connect(1.0)
             channel.setblocking(False)
             await loop.sock_sendall(channel, said)
             with contextlib.suppress(ConnectionResetError):  # it had not read all of it
                 assert await loop.sock_recv(channel, 100) == b""
-            while one.successors:
+            while one.connections:
                 await asyncio.sleep(0)
-            assert one.handover.stage == Stage.ALONE
+            assert one.progress.stage == HotRestartStage.ALONE
             channel.close()
             one.close()
 
@@ -441,11 +458,11 @@
         async with Site(tmp_path, endpoint) as site:
             old = await site.version()
             if step == "offered":
-                place = Place(("127.0.0.1", site.port), str(tmp_path))
-                taken = await asyncio.to_thread(take, place, ("127.0.0.1", site.port))
+                rendezvous = RendezvousPoint(("127.0.0.1", site.port), str(tmp_path))
+                taken = await asyncio.to_thread(take_over, rendezvous, ("127.0.0.1", site.port))
                 taken.listener.close()
                 taken.channel.close()
-                os.close(place._lock)
+                os.close(rendezvous._lock)
             else:
                 new = await (site.version() if step == "ready" else site.start())
                 kill(new)
--- a/tests/test_hot_restart_encoding.py
+++ b/tests/test_hot_restart_encoding.py
@@ -11,9 +11,18 @@
 import pytest
 
 from laurelstep.engine.given import GivenMembers
-from laurelstep.handover.messages import HEAD_MAX, HELLO, READY, STATE_MAX, head, is_hello, pack, size_in
-from laurelstep.handover.place import Place
-from laurelstep.handover.state import KEPT_MOST, kept_in, state_of, state_of_accord
+from laurelstep.hot_restart.messages import (
+    HELLO,
+    MAX_HEADER_BYTES,
+    MAX_STATE_BYTES,
+    READY,
+    decode_header,
+    encode_header,
+    encode_state,
+    is_hello,
+)
+from laurelstep.hot_restart.rendezvous import RendezvousPoint
+from laurelstep.hot_restart.state import MAX_REPLICA_BYTES, collect_state, decode_replica, encode_replica
 from laurelstep.settings import config_from
 from laurelstep.workers.supervisor import LIST_REQUEST, NO_LIST, Supervisor, SupervisorSettings, WorkerProcess
 from laurelstep.workers.worker import (
@@ -31,33 +40,35 @@
 def test_the_messages_of_a_hot_restart() -> None:
     assert (HELLO, READY) == (b"laurelstep-handover 1\n", b"ready\n")
     assert is_hello(b"laurelstep-handover 1\n") and not is_hello(b"laurelstep-handover 2\n")
-    assert head(812) == b'{"v": 1, "size": 812}\n' and size_in(b'{"v": 1, "size": 812}\n') == 812
-    assert pack({"discovery": b'"h:1"', "known": b'{"generation":1}'}) == (
+    assert (
+        encode_header(812) == b'{"v": 1, "size": 812}\n' and decode_header(b'{"v": 1, "size": 812}\n') == 812
+    )
+    assert encode_state({"discovery": b'"h:1"', "known": b'{"generation":1}'}) == (
         b'{"discovery":"h:1","known":{"generation":1}}'
     )
-    assert (HEAD_MAX, STATE_MAX, KEPT_MOST) == (256, 4_194_304, 1_048_576)
+    assert (MAX_HEADER_BYTES, MAX_STATE_BYTES, MAX_REPLICA_BYTES) == (256, 4_194_304, 1_048_576)
 
 
 def test_the_state_that_a_hot_restart_hands_over() -> None:
     config = config_from({"settings": SETTINGS, "discovery": "127.0.0.1:1"}, "test")
-    assert state_of(config, GivenMembers(), b'{"generation":1}') == {
+    assert collect_state(config, GivenMembers(), b'{"generation":1}') == {
         "discovery": b'"127.0.0.1:1"',
         "known": b'{"generation":1}',
     }
     kept = {b"a": b"b\xff", b"snapshot": b""}
-    assert state_of_accord(kept) == {"accord": b'{"YQ==":"Yv8=","c25hcHNob3Q=":""}'}
-    assert kept_in({"accord": {"YQ==": "Yv8=", "c25hcHNob3Q=": ""}}) == kept
-    assert state_of_accord({}) == {} and kept_in({"accord": {"YQ==": "?"}}) is None
+    assert encode_replica(kept) == {"accord": b'{"YQ==":"Yv8=","c25hcHNob3Q=":""}'}
+    assert decode_replica({"accord": {"YQ==": "Yv8=", "c25hcHNob3Q=": ""}}) == kept
+    assert encode_replica({}) == {} and decode_replica({"accord": {"YQ==": "?"}}) is None
 
 
 @pytest.mark.parametrize(
     ("host", "name"), [("127.0.0.1", "laurelstep-127.0.0.1-7070"), ("::1", "laurelstep-__1-7070")]
 )
 def test_the_files_of_a_hot_restart(tmp_path: Path, host: str, name: str) -> None:
-    place = Place((host, 7070), str(tmp_path))
-    with place.listen():
+    rendezvous = RendezvousPoint((host, 7070), str(tmp_path))
+    with rendezvous.listen():
         assert {path.name for path in tmp_path.iterdir()} == {f"{name}.lock", f"{name}.sock"}
-    place.leave()
+    rendezvous.leave()
 
 
 def test_the_environment_of_a_worker() -> None:
--- a/tests/test_maintenance_daemon.py
+++ b/tests/test_maintenance_daemon.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from laurelstep.handover.giver import Giver
-from laurelstep.handover.place import Place
+from laurelstep.hot_restart.predecessor import HotRestartServer
+from laurelstep.hot_restart.rendezvous import RendezvousPoint
 from laurelstep.testing import whole_list
 from tests.sockets import TIMEOUT_S, Endpoint, free_port, read_message, request, run
 from tests.upgrades import Site, Version
@@ -126,15 +126,17 @@
     async def main() -> None:
         loop = asyncio.get_running_loop()
         async with site(tmp_path, Endpoint(), copies=3) as one, asyncio.timeout(TIMEOUT_S):
-            place = Place(("127.0.0.1", one.port), str(tmp_path))
-            place.enter()
+            rendezvous = RendezvousPoint(("127.0.0.1", one.port), str(tmp_path))
+            rendezvous.register()
             with socket.create_server(("127.0.0.1", one.port)) as listener:
-                before = Giver(loop, place, listener, lambda give: give({}), lambda: None, print)
+                before = HotRestartServer(
+                    loop, rendezvous, listener, lambda give: give({}), lambda: None, print
+                )
                 version = await start(one)
                 await answers(version)
                 if lives:
-                    for successor in list(before.successors):
-                        successor.cut()
+                    for connection in list(before.connections):
+                        connection.reject()
                     _, errors = await version.process.communicate()
                     assert version.process.returncode == 2 and errors.count(b"\n") == 1
                     assert b"the version before serves on" in errors
--- a/tests/test_maintenance_lifecycle.py
+++ b/tests/test_maintenance_lifecycle.py
@@ -271,7 +271,7 @@
     )
 
 
-def test_during_a_handover_the_new_process_confirms_nothing() -> None:
+def test_during_a_hot_restart_the_successor_acknowledges_nothing() -> None:
     one = started_tier()
     one.replicas[2].controller.may_acknowledge = lambda: False
     one.replicas[0].api.submit_request(request_for(zone="a"))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -32,9 +32,9 @@
 from laurelstep.consensus.stores.embedded import EmbeddedStore
 from laurelstep.consensus.stores.none import NoStore
 from laurelstep.engine.clock import LoopClock
-from laurelstep.handover.place import Place
-from laurelstep.handover.state import KEPT_MOST, kept_in, state_of_accord
-from laurelstep.handover.taker import Taken, take
+from laurelstep.hot_restart.rendezvous import RendezvousPoint
+from laurelstep.hot_restart.state import MAX_REPLICA_BYTES, decode_replica, encode_replica
+from laurelstep.hot_restart.successor import PredecessorHandle, take_over
 from laurelstep.store import StoreError
 from laurelstep.store.manifest import MANIFEST
 from laurelstep.testing.disk import SimulatedDisk
@@ -898,13 +898,13 @@
 
 def test_what_is_given_crosses_whole_or_not_at_all() -> None:
     kept = {b"me": bytes(range(256)), b"e\x00\xff": b""}
-    state = {name: json.loads(raw) for name, raw in state_of_accord(kept).items()}
-    assert kept_in(state) == kept
-    assert state_of_accord({}) == {} and kept_in({}) is None
-    assert state_of_accord({b"k": bytes(KEPT_MOST)}) == {}
+    state = {name: json.loads(raw) for name, raw in encode_replica(kept).items()}
+    assert decode_replica(state) == kept
+    assert encode_replica({}) == {} and decode_replica({}) is None
+    assert encode_replica({b"k": bytes(MAX_REPLICA_BYTES)}) == {}
     all_spoilt: list[Any] = [[], {}, {"a": 1}, {"?": "eA=="}, {"eA==": "x"}, {"eA==": "\xe9"}, "eA=="]
     for spoilt in all_spoilt:
-        assert kept_in({"accord": spoilt}) is None
+        assert decode_replica({"accord": spoilt}) is None
 
 
 class Watcher:
@@ -988,19 +988,19 @@
             await old.until_ready()
             watcher = Watcher(ports)
             first = await watcher.ask()
-            place = Place(("127.0.0.1", site.port), str(tmp_path))
+            rendezvous = RendezvousPoint(("127.0.0.1", site.port), str(tmp_path))
 
-            def take_over() -> Taken:
-                return take(place, ("127.0.0.1", site.port))
+            def connect() -> PredecessorHandle:
+                return take_over(rendezvous, ("127.0.0.1", site.port))
 
-            taken = await asyncio.to_thread(take_over)
-            kept = kept_in(taken.state)
+            predecessor = await asyncio.to_thread(connect)
+            kept = decode_replica(predecessor.state)
             assert kept is not None and len(kept) >= 1
             # Now nobody is this member: the old one has ceased, and its address is free.
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
                 free.bind(("127.0.0.1", ports[0]))
-            taken.listener.close()
-            taken.channel.close()
+            predecessor.listener.close()
+            predecessor.channel.close()
             assert await watcher.until_other(first) not in (0, first)
             watcher.link.close()
             assert not await old.stop()
