--- a/laurelstep/maintenance/acknowledgements.py
+++ b/laurelstep/maintenance/acknowledgements.py
@@ -15,7 +15,7 @@
 MAX_SUPERSEDED: Final = 4
 
 
-class Acknowledgement(NamedTuple):
+class PeerAcknowledgement(NamedTuple):
     """The incarnation that a peer was heard in last, and the highest drain index that it acknowledged."""
 
     incarnation: int
@@ -26,7 +26,7 @@
     """Up to which index each replica has drained, in the incarnation that was heard last."""
 
     def __init__(self) -> None:
-        self.by_peer: dict[int, Acknowledgement] = {}
+        self.by_peer: dict[int, PeerAcknowledgement] = {}
         self.incarnations: dict[int, int] = {}  # by peer, as the replicated state has them
         self.superseded: dict[int, list[int]] = {}  # by peer: incarnations that the state had before
 
@@ -61,7 +61,7 @@
         last = self.by_peer.get(peer)
         if last is not None and last.incarnation == incarnation:
             drained_index = max(last.drained_index, drained_index)
-        self.by_peer[peer] = Acknowledgement(incarnation, drained_index)
+        self.by_peer[peer] = PeerAcknowledgement(incarnation, drained_index)
 
     def missing_peers(self, drain_index: int, state: MaintenanceState, peer_count: int) -> list[int]:
         """The replicas that have not acknowledged the drain of this index.
@@ -73,7 +73,7 @@
         missing = []
         for peer in range(peer_count):
             current = state.incarnations.get(peer, 0)
-            heard, drained_index = self.by_peer.get(peer, Acknowledgement(current, UNKNOWN_STATE))
+            heard, drained_index = self.by_peer.get(peer, PeerAcknowledgement(current, UNKNOWN_STATE))
             is_absent = peer in state.absent_peers and heard == current
             has_acknowledged = current != 0 and heard == current and drained_index >= drain_index
             if not is_absent and not has_acknowledged:
--- a/laurelstep/maintenance/controller.py
+++ b/laurelstep/maintenance/controller.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leadership:
+class LeadershipView:
     """Who leads, as this process knows it: what was sent to another leader is sent again."""
 
     epoch: object
@@ -104,7 +104,7 @@
         self.sent_started_us: int | None = None  # when `ReplicaStarted` was sent last
         self.settled_basis: tuple[int, int] | None = None  # for which nothing was found to drain
         self.proposed: dict[bytes, int] = {}  # encoded entries, and when each may be proposed again, µs
-        self.leadership: Leadership | None = None
+        self.leadership: LeadershipView | None = None
         self.known_epoch: object = None  # the cluster epoch in which the state was known last
         self.serves_without_state = False
         self.step_timer: Handle | None = None
@@ -163,8 +163,8 @@
         self.cancel_timers()
         self.scheduled_step = None
         now_us = self.clock.now()
-        self._follow_state(now_us)
-        self._follow_leadership()
+        self._observe_state(now_us)
+        self._observe_leadership()
         self._announce_start(now_us)
         self._acknowledge_drains(now_us)
         self.commands.advance(now_us)
@@ -186,7 +186,7 @@
             or is_planning
         )
 
-    def _follow_state(self, now_us: int) -> None:
+    def _observe_state(self, now_us: int) -> None:
         if self.consensus.is_caught_up and self.is_registered and not self.source.has_learned_state:
             self._start_serving(has_learned_state=True)
         self._note_epoch()
@@ -208,8 +208,8 @@
             )
         self.known_epoch = self.consensus.epoch
 
-    def _follow_leadership(self) -> None:
-        leadership = Leadership(self.consensus.epoch, self.consensus.leader_id, self.consensus.is_leader)
+    def _observe_leadership(self) -> None:
+        leadership = LeadershipView(self.consensus.epoch, self.consensus.leader_id, self.consensus.is_leader)
         if leadership == self.leadership:
             return
         self.leadership = leadership
--- a/laurelstep/maintenance/planner.py
+++ b/laurelstep/maintenance/planner.py
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Obstacle:
+class DrainObstacle:
     """What keeps the next machine of a request in service, in words; empty if nothing does.
 
     `is_permanent`: it would also with no other machine out, as long as the open requests stand.
@@ -183,25 +183,25 @@
     return any(machine.request_number == request.number for machine in state.machines.values())
 
 
-def explain_obstacle(inputs: PlannerInput, request: OpenRequest) -> Obstacle:
+def explain_obstacle(inputs: PlannerInput, request: OpenRequest) -> DrainObstacle:
     """Why the next machine of a request does not drain."""
     waiting = waiting_machines(request, inputs.state, inputs.table)
     if not waiting:
-        return Obstacle(describe_unlisted(request, inputs.table))
+        return DrainObstacle(describe_unlisted(request, inputs.table))
     machine = waiting[0]
     if machine.machine_id in inputs.state.machines:
-        return Obstacle(f"{machine.machine_id}: out for another wish")
+        return DrainObstacle(f"{machine.machine_id}: out for another wish")
     if machine.phase != READY:
-        return Obstacle(f"{machine.machine_id}: drained by discovery")
+        return DrainObstacle(f"{machine.machine_id}: drained by discovery")
     entry = drain_entry(inputs, request.number, machine)
     if not fits_entry(entry):
         too_long = "its id and zone are too long for an entry of the record"
-        return Obstacle(f"{machine.machine_id[:40]}: {too_long}", is_permanent=True)
+        return DrainObstacle(f"{machine.machine_id[:40]}: {too_long}", is_permanent=True)
     reason = inputs.state.blocking_limit(entry)
     if reason is None:
-        return Obstacle()
+        return DrainObstacle()
     permanent = inputs.state.blocking_limit(_with_all_in_service(inputs, entry), ignore_others=True)
-    return Obstacle(f"{machine.machine_id}: {permanent or reason}", permanent is not None)
+    return DrainObstacle(f"{machine.machine_id}: {permanent or reason}", permanent is not None)
 
 
 # --- Facts of the list ----------------------------------------------------------------
--- a/laurelstep/maintenance/source.py
+++ b/laurelstep/maintenance/source.py
@@ -257,6 +257,8 @@
         is_list_on_its_way = self.is_publishing or self.is_reading
 
         def in_flight(machine_id: str) -> int:
+            """The requests in flight at a machine; at least one while a list on its way may change where they
+            go."""
             return 1 if is_list_on_its_way else self.in_flight_at(endpoint_number(machine_id))
 
         return self.overlay.drained_index(self.state, self.clock.now(), self.grace_us, in_flight)
--- a/laurelstep/maintenance/status.py
+++ b/laurelstep/maintenance/status.py
@@ -7,7 +7,7 @@
 
 from laurelstep.maintenance.commands import PendingCommand
 from laurelstep.maintenance.controller import MaintenanceController
-from laurelstep.maintenance.planner import Obstacle, PlannerInput, explain_obstacle
+from laurelstep.maintenance.planner import DrainObstacle, PlannerInput, explain_obstacle
 from laurelstep.maintenance.records import MachineRecord, OpenRequest, PastRequest
 from laurelstep.maintenance.requests import MaintenanceRequest
 from laurelstep.maintenance.selection import waiting_machines
@@ -60,7 +60,7 @@
     def describe_request(self, request: OpenRequest) -> dict[str, Any]:
         """One open request, with what keeps its next machine in service."""
         waiting = []
-        obstacle = Obstacle()
+        obstacle = DrainObstacle()
         if not request.is_withdrawn:
             waiting = waiting_machines(request, self.inputs.state, self.inputs.table)
             obstacle = explain_obstacle(self.inputs, request)
--- a/tests/test_maintenance_schedules.py
+++ b/tests/test_maintenance_schedules.py
@@ -17,7 +17,7 @@
 from laurelstep.maintenance import limits as limits_module
 from laurelstep.maintenance import planner as planner_module
 from laurelstep.maintenance import state as state_module
-from laurelstep.maintenance.acknowledgements import Acknowledgement, DrainAcknowledgements
+from laurelstep.maintenance.acknowledgements import DrainAcknowledgements, PeerAcknowledgement
 from laurelstep.maintenance.controller import MaintenanceController
 from laurelstep.maintenance.entries import (
     CommandVerb,
@@ -610,7 +610,7 @@
         old = self.by_peer.get(peer)
         if old is not None and old.drained_index > drained_index:
             incarnation, drained_index = old
-        self.by_peer[peer] = Acknowledgement(incarnation, drained_index)
+        self.by_peer[peer] = PeerAcknowledgement(incarnation, drained_index)
 
     patch.setattr(DrainAcknowledgements, "record", record)
 
