--- a/laurelstep/maintenance/overlay.py
+++ b/laurelstep/maintenance/overlay.py
@@ -149,7 +149,7 @@
         phase = DRAINING if is_cordoned else machine.phase
         return machine.to_entry(phase, max(machine.started_ms, self.returned_ms.get(machine.machine_id, 0)))
 
-    # --- PeerAcknowledgement --------------------------------------------------------------
+    # --- Acknowledgement --------------------------------------------------------------
 
     def drained_index(
         self, state: MaintenanceState, now_us: int, grace_us: int, in_flight: Callable[[str], int]
--- a/tests/test_maintenance_contracts.py
+++ b/tests/test_maintenance_contracts.py
@@ -34,7 +34,7 @@
     return source
 
 
-class TestUpkeepOnGivenMembers(MemberSourceContract):
+class TestMaintenanceOnGivenMembers(MemberSourceContract):
     @contextlib.asynccontextmanager
     async def beyond(self) -> AsyncIterator[Beyond]:
         given = GivenMembers()
@@ -44,7 +44,7 @@
         given.close()
 
 
-class OnUpkeep(OnDiscovery):
+class OnMaintenance(OnDiscovery):
     @contextlib.asynccontextmanager
     async def beyond(self) -> AsyncIterator[BreakableBeyond]:
         async with super().beyond() as found:
@@ -52,9 +52,9 @@
             yield found
 
 
-class TestUpkeepOnPushedDiscovery(OnUpkeep, MemberSourceContract):
+class TestMaintenanceOnPushedDiscovery(OnMaintenance, MemberSourceContract):
     pushed: ClassVar[bool] = True
 
 
-class TestUpkeepOnAskedDiscovery(OnUpkeep, AskedSourceContract):
+class TestMaintenanceOnAskedDiscovery(OnMaintenance, AskedSourceContract):
     pushed: ClassVar[bool] = False
--- a/tests/test_maintenance_daemon.py
+++ b/tests/test_maintenance_daemon.py
@@ -1,4 +1,4 @@
-"""Upkeep in real processes: a start that waits, one that does not, and a version that follows another
+"""Maintenance in real processes: a start that waits, one that does not, and a version that follows another
 while a machine is out. A tier of several processes under faults is the rig's."""
 
 from __future__ import annotations
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -229,7 +229,7 @@
 UNIX = "[accord]\nlink = 'unix'\npeers = ['/run/a', '/run/b', '/run/c']\n"
 
 
-def test_consensus_and_upkeep_as_the_operator_tells_of_them(tmp_path: Path) -> None:
+def test_consensus_and_maintenance_as_the_operator_tells_of_them(tmp_path: Path) -> None:
     text = (
         "[deployment]\ncopy = 1\ncopies = 3\n"
         + CLASS
