--- a/laurelstep/consensus/core.py
+++ b/laurelstep/consensus/core.py
@@ -31,6 +31,7 @@
 
 from laurelstep.consensus import messages as m
 from laurelstep.consensus.bootstrap import Bootstrap
+from laurelstep.consensus.counters import ReplicaCounter
 from laurelstep.consensus.effects import StepEffects
 from laurelstep.consensus.election import Election
 from laurelstep.consensus.epoch import NO_EPOCH, ClusterEpoch
@@ -45,6 +46,7 @@
 from laurelstep.consensus.ports import StateMachine
 from laurelstep.consensus.read_index import ReadIndexTracker
 from laurelstep.consensus.state import ReplicaRole, ReplicaState
+from laurelstep.consensus.stored_state import ReplicaIdentity
 from laurelstep.consensus.timing import NEVER_US, ConsensusTiming
 
 __all__ = ["ConsensusCore"]
@@ -80,14 +82,14 @@
         rng: random.Random,
         records: Mapping[bytes, bytes] | None = None,
     ) -> None:
-        """`incarnation`: 64 random bits, for a start with an empty state; `records` have their own.
+        """The replicas with numbers below `voter_count` vote, the other ones learn.
 
+        `incarnation`: 64 random bits, for a start with an empty state; `records` have their own.
         Incarnations, epochs and nonces are drawn from `rng`: in service one seeded by the system.
         Raises StoredStateError.
         """
-        self._state = self.state_type(
-            replica_id, peer_count, voter_count, incarnation, state_machine, timing, rng
-        )
+        identity = ReplicaIdentity(replica_id, peer_count, voter_count, incarnation)
+        self._state = self.state_type(identity, state_machine, timing, rng)
         self._state.restore(records or {})
         self._leader = self.leader_type(self._state)
         self._follower = self.follower_type(self._state)
@@ -197,6 +199,7 @@
 
     @on_leader_message.setter
     def on_leader_message(self, callback: Callable[[int, int, bytes], None]) -> None:
+        """Set the callback."""
         self._state.on_leader_message = callback
 
     def has_leader_contact(self, now_us: int) -> bool:
@@ -224,10 +227,11 @@
         if self._is_retired:
             pass
         elif not 0 <= peer < state.peer_count or peer == state.replica_id:
-            state.counters["foreign"] += 1
+            state.counters[ReplicaCounter.FOREIGN_SENDER] += 1
         elif message is None:
             is_known_version = raw[:1] <= bytes((m.PROTOCOL_VERSION,))
-            state.counters["unreadable" if is_known_version else "future"] += 1
+            dropped = ReplicaCounter.UNREADABLE if is_known_version else ReplicaCounter.FUTURE_VERSION
+            state.counters[dropped] += 1
         else:
             self._handlers[type(message)](peer, message)
         return self._end_step()
@@ -266,13 +270,13 @@
         self._begin_step(now_us)
         state = self._state
         if epoch is not None and epoch != state.log.epoch:
-            state.counters["words_lost"] += 1
+            state.counters[ReplicaCounter.LEADER_MESSAGES_LOST] += 1
         elif state.role == ReplicaRole.LEADER:
             state.on_leader_message(state.replica_id, state.incarnation, data)
         elif state.leader_id is not None:
             state.send(state.leader_id, m.LeaderMessage(state.log.epoch, state.incarnation, data))
         else:
-            state.counters["words_lost"] += 1
+            state.counters[ReplicaCounter.LEADER_MESSAGES_LOST] += 1
         return self._end_step()
 
     def retire(self) -> dict[bytes, bytes]:
@@ -365,4 +369,4 @@
         if state.role == ReplicaRole.LEADER and message.epoch in (NO_EPOCH, state.log.epoch):
             state.on_leader_message(peer, message.incarnation, message.data)
         else:
-            state.counters["words_lost"] += 1
+            state.counters[ReplicaCounter.LEADER_MESSAGES_LOST] += 1
--- a/laurelstep/consensus/state.py
+++ b/laurelstep/consensus/state.py
@@ -20,6 +20,7 @@
 from enum import StrEnum
 
 from laurelstep.consensus import stored_state
+from laurelstep.consensus.counters import ReplicaCounter
 from laurelstep.consensus.effects import StepEffects
 from laurelstep.consensus.epoch import NO_EPOCH, ClusterEpoch
 from laurelstep.consensus.errors import StoredStateError
@@ -52,19 +53,16 @@
 
     def __init__(
         self,
-        replica_id: int,
-        peer_count: int,
-        voter_count: int,
-        incarnation: int,
+        identity: ReplicaIdentity,
         state_machine: StateMachine,
         timing: ConsensusTiming,
         rng: random.Random,
     ) -> None:
-        """The replicas with numbers below `voter_count` vote, the other ones learn."""
-        self.replica_id = replica_id
-        self.peer_count = peer_count
-        self.voter_count = voter_count
-        self.incarnation = incarnation
+        """The replicas with numbers below the identity's `voter_count` vote, the other ones learn."""
+        self.replica_id = identity.replica_id
+        self.peer_count = identity.peer_count
+        self.voter_count = identity.voter_count
+        self.incarnation = identity.incarnation
         self.state_machine = state_machine
         self.timing = timing
         self.rng = rng
@@ -270,7 +268,7 @@
         """A learner's epoch is over, and the one that lives is not greater (learner.py, rule 6)."""
         self.log = ReplicatedLog()
         self.promised_epoch, self.is_caught_up = NO_EPOCH, False
-        self.counters["eras_forgotten"] += 1
+        self.counters[ReplicaCounter.EPOCHS_DISCARDED] += 1
 
     def start_epoch(self, epoch: ClusterEpoch, members: Mapping[int, int]) -> None:
         """Start a new epoch with the whole log, applied, as its first snapshot (bootstrap.py, rule 6)."""
--- a/laurelstep/room/descriptors.py
+++ b/laurelstep/room/descriptors.py
@@ -6,7 +6,7 @@
    set apart before callers and endpoints get anything.
 2. Callers and endpoints have equal shares: a request that was taken needs one of each. A
    crowd of the one leaves the other its own.
-3. Two processes that are one sidecar have half of it all each, from the offer of a handover
+3. Two processes that are one sidecar have half of it all each, from the offer of a hot restart
    until one of them has ended.
 4. For want of a place the one that waits longest gives way: those that were told their end,
    then those at rest, then those that owe a request. Of these, silent or half-written, a third
@@ -19,7 +19,7 @@
 
 SOCKETS_DEFAULT: Final = 1024
 SOCKETS_MOST: Final = 1024  # more are of no use to one process of one core
-# The listener, the watch and one that follows it, the loop, standard streams, a handover.
+# The listener, the watch and one that follows it, the loop, standard streams, a hot restart.
 APART: Final = 24
 # Kept for the second address, where there is one: a crowd of callers must not shut it out.
 MANAGEMENT: Final = 16
