--- a/tests/maintenance.py
+++ b/tests/maintenance.py
@@ -5,9 +5,11 @@
 
 from collections import Counter
 from collections.abc import Callable, Iterator, Sequence
+from dataclasses import dataclass
 from typing import Any
 
 from laurelstep.consensus.errors import NotLeaderError
+from laurelstep.consensus.multiplexer import ConsensusClient
 from laurelstep.consensus.state_machines import CompositeStateMachine
 from laurelstep.engine.members import endpoint_number
 from laurelstep.engine.ports import MemberSink
@@ -15,18 +17,12 @@
 from laurelstep.maintenance.controller import MaintenanceController
 from laurelstep.maintenance.entries import (
     SUBSYSTEM_TAG,
-    DrainedCounts,
-    DrainMachine,
-    MachineTransition,
-    OperatorCommand,
     decode_message,
-    encode,
 )
 from laurelstep.maintenance.requests import DisruptionLimits, MaintenanceRequest
 from laurelstep.maintenance.settings import MaintenanceSettings
 from laurelstep.maintenance.source import MaintenanceSource
 from laurelstep.maintenance.state import MaintenanceState
-from laurelstep.maintenance.states import MachineState
 from tests.fakes import ManualClock
 
 SECOND = 1_000_000
@@ -112,6 +108,49 @@
     def fetch(self) -> None: ...
 
 
+def run_at_once(steps: Iterator[None], on_ended: Callable[[Exception | None], None]) -> None:
+    for _ in steps:
+        pass
+    on_ended(None)
+
+
+@dataclass
+class MaintenanceParts:
+    """The maintenance of one process, on a fake engine and a fake discovery."""
+
+    engine: FakeEngine
+    source: MaintenanceSource
+    controller: MaintenanceController
+    api: MaintenanceApi
+
+
+def assemble(
+    consensus: ConsensusClient,
+    state: MaintenanceState,
+    clock: ManualClock,
+    settings: MaintenanceSettings,
+    log: Callable[[str], None],
+    on_serving: Callable[[], None] = lambda: None,
+) -> MaintenanceParts:
+    """Wired, with its source started; the controller is not."""
+    engine = FakeEngine(clock)
+    source = MaintenanceSource(FakeDiscovery(), state, clock, GRACE_US, run_at_once, log)
+    source.in_flight_at = engine.out_at
+    source.start(engine, 0)
+    controller = MaintenanceController(
+        consensus,
+        state,
+        source,
+        clock,
+        settings,
+        slow_start_share=0.2,
+        slow_start_us=COLD_US,
+        log=log,
+        on_serving=on_serving,
+    )
+    return MaintenanceParts(engine, source, controller, MaintenanceApi(controller))
+
+
 class Replica:
     """One process of the tier, from one start on. It is its controller's consensus."""
 
@@ -127,36 +166,16 @@
         self.on_leader_message: Callable[[int, int, bytes], None] = lambda peer, incarnation, data: None
         self.on_change: Callable[[], None] = lambda: None
         self.list_version = -1
-        self.engine = FakeEngine(tier.clock)
         self.logged: list[str] = []
-        self.source = MaintenanceSource(
-            FakeDiscovery(), self.state, tier.clock, GRACE_US, self.run_steps, self.logged.append
-        )
-        self.source.in_flight_at = self.engine.out_at
-        self.source.start(self.engine, 0)
         self.serving_count = 0
-        self.controller = MaintenanceController(
-            self,
-            self.state,
-            self.source,
-            tier.clock,
-            tier.settings,
-            0.2,
-            COLD_US,
-            self.logged.append,
-            self._open,
-        )
-        self.api = MaintenanceApi(self.controller)
+        parts = assemble(self, self.state, tier.clock, tier.settings, self.logged.append, self._on_serving)
+        self.engine, self.source = parts.engine, parts.source
+        self.controller, self.api = parts.controller, parts.api
         self.controller.start()
 
-    def _open(self) -> None:
+    def _on_serving(self) -> None:
         self.serving_count += 1
 
-    def run_steps(self, steps: Iterator[None], ended: Callable[[Exception | None], None]) -> None:
-        for _ in steps:
-            pass
-        ended(None)
-
     # --- As consensus --------------------------------------------------------------------
 
     @property
@@ -320,60 +339,16 @@
     return one
 
 
+def tier_with_request(**selection: Any) -> Tier:
+    """A started tier, to whose first replica a request was submitted; what can come of it has come."""
+    one = started_tier()
+    one.replicas[0].api.submit_request(request_for(**selection))
+    one.settle()
+    return one
+
+
 def drained_machines(one: Tier, count: int = 1) -> list[str]:
     """The machines that are clear."""
     found = [id for id, state in one.states().items() if state == "clear"]
     assert len(found) == count, one.states()
     return found
-
-
-# --- One replicated state ------------------------------------------------------------
-
-
-def apply_entry(state: MaintenanceState, index: int, entry: Any) -> None:
-    """As the record hands it on, without the byte that says whose it is."""
-    state.apply(index, encode(entry)[1:])
-
-
-def state_with(machine_state: MachineState) -> MaintenanceState:
-    """A state with one machine in this state."""
-    state = MaintenanceState()
-    events: dict[MachineState, list[Any]] = {
-        MachineState.DRAINING: [],
-        MachineState.DRAINED: ["clear"],
-        MachineState.IN_MAINTENANCE: ["clear", "begin"],
-        MachineState.OVERDUE: ["clear", "overdue"],
-        MachineState.WARMING_UP: ["clear", "done"],
-    }
-    apply_entry(state, 1, OperatorCommand(0, 5, 1, "wish", request_for(zone="a")))
-    apply_entry(state, 2, drain_entry(state))
-    for event in events[machine_state]:
-        apply_event(state, event)
-    assert state.machines["m0"].state == machine_state
-    return state
-
-
-def drain_entry(state: MaintenanceState, id: str = "m0", **more: Any) -> DrainMachine:
-    facts: dict[str, Any] = {
-        "base_index": state.changed_index, "request_number": next(iter(state.open_requests)),
-        "machine_id": id, "zone": "a", "cell": 1,
-        "weight": 1.0, "started_ms": 1, "ready_count": 6, "ready_weight": 6.0, "listed_weight": 6.0,
-        "drained_by_discovery": DrainedCounts(0, 0, 0), "slow_start_share": 0.2, **more,
-    }  # fmt: skip
-    return DrainMachine(**facts)
-
-
-def apply_event(state: MaintenanceState, event: str) -> None:
-    """One event to the machine, as it comes in the record."""
-    index = state.index + 1
-    if event in ("begin", "done"):
-        number = state.last_commands[0].sequence_number + 1
-        apply_entry(state, index, OperatorCommand(0, 5, number, event, "m0"))
-    elif event == "withdraw":
-        number = state.last_commands[0].sequence_number + 1
-        apply_entry(state, index, OperatorCommand(0, 5, number, "withdraw", "w"))
-    elif event == "leave":
-        apply_entry(state, index, drain_entry(state))
-    else:
-        since = state.machines["m0"].since_index if "m0" in state.machines else 2
-        apply_entry(state, index, MachineTransition("m0", since, event, "why"))
--- a/tests/test_maintenance_core.py
+++ b/tests/test_maintenance_core.py
@@ -4,7 +4,7 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from typing import Any
 
 import pytest
@@ -15,16 +15,18 @@
 from laurelstep.consensus.state_machines import CompositeStateMachine
 from laurelstep.consensus.timing import ConsensusTiming
 from laurelstep.maintenance.acknowledgements import DrainAcknowledgements
-from laurelstep.maintenance.api import MaintenanceApi
-from laurelstep.maintenance.controller import MaintenanceController
 from laurelstep.maintenance.entries import SUBSYSTEM_TAG, CommandVerb
 from laurelstep.maintenance.errors import MaintenanceError
 from laurelstep.maintenance.settings import MaintenanceSettings
-from laurelstep.maintenance.source import MaintenanceSource
 from laurelstep.maintenance.state import MaintenanceState
 from laurelstep.maintenance.states import DRAINED_STATES
 from tests.fakes import ManualClock
-from tests.maintenance import COLD_US, GRACE_US, SECOND, FakeDiscovery, FakeEngine, listed_entry, request_for
+from tests.maintenance import (
+    SECOND,
+    assemble,
+    listed_entry,
+    request_for,
+)
 
 MS = 1000
 REPLICAS, SEATS, OUT, MACHINES = 4, 3, 2, 6
@@ -54,25 +56,13 @@
             random.Random(draw.getrandbits(64)),
         )
         self.core.on_leader_message = self._hear
-        self.engine = FakeEngine(world.clock)
-        self.source = MaintenanceSource(
-            FakeDiscovery(), self.state, world.clock, GRACE_US, self.run_steps, world.logged.append
-        )
-        self.source.in_flight_at = self.engine.out_at
-        self.source.start(self.engine, 0)
+        parts = assemble(self, self.state, world.clock, SETTINGS, world.logged.append)
+        self.engine, self.source = parts.engine, parts.source
+        self.controller, self.api = parts.controller, parts.api
         self.source.listed(1, True, list(world.list))
-        self.controller = MaintenanceController(
-            self, self.state, self.source, world.clock, SETTINGS, 0.2, COLD_US, world.logged.append
-        )
-        self.api = MaintenanceApi(self.controller)
         self.step(lambda now: self.core.start(now))
         self.controller.start()
 
-    def run_steps(self, steps: Iterator[None], ended: Callable[[Exception | None], None]) -> None:
-        for _ in steps:
-            pass
-        ended(None)
-
     # --- As the driver of a core does ---------------------------------------------------
 
     def step(self, step: Callable[[int], StepEffects]) -> None:
--- a/tests/test_maintenance_faults.py
+++ b/tests/test_maintenance_faults.py
@@ -20,6 +20,7 @@
     listed_entry,
     request_for,
     started_tier,
+    tier_with_request,
 )
 
 
@@ -60,9 +61,7 @@
 
 
 def test_a_withdrawn_request_waits_for_who_is_at_work() -> None:
-    one = started_tier()
-    one.replicas[0].api.submit_request(request_for(zone="a", out=2))
-    one.settle()
+    one = tier_with_request(zone="a", out=2)
     one.replicas[0].api.report_work(CommandVerb.BEGIN_WORK, "m0")
     one.settle(1)
     one.replicas[0].api.withdraw_request("w")
@@ -100,9 +99,7 @@
 
 @pytest.mark.parametrize("phase", ["gone", "draining", "replaced"])
 def test_a_machine_at_work_may_go_and_come_and_stays_out(phase: str) -> None:
-    one = started_tier()
-    one.replicas[0].api.submit_request(request_for(zone="a"))
-    one.settle()
+    one = tier_with_request(zone="a")
     one.replicas[0].api.report_work(CommandVerb.BEGIN_WORK, "m0")
     one.settle(1)
     one.update_list(listed_entry("m0", "a", "ready" if phase == "replaced" else phase, 9000))
@@ -327,9 +324,7 @@
 
 def test_a_record_founded_anew_says_what_it_forgot() -> None:
     """One without a seat lives on, and held back what those that decided have all forgotten."""
-    one = started_tier()
-    one.replicas[0].api.submit_request(request_for(zone="a"))
-    one.settle()
+    one = tier_with_request(zone="a")
     last = one.replicas[2]
     one.log.clear()
     one.multiplexer.load(b"")
--- a/tests/test_maintenance_lifecycle.py
+++ b/tests/test_maintenance_lifecycle.py
@@ -20,14 +20,13 @@
     LISTED,
     SECOND,
     Tier,
-    apply_entry,
-    apply_event,
     drained_machines,
     listed_entry,
     request_for,
     started_tier,
-    state_with,
+    tier_with_request,
 )
+from tests.maintenance_states import apply_entry, apply_event, state_with
 
 
 def test_a_machine_goes_out_and_comes_back_and_then_the_next() -> None:
@@ -207,9 +206,7 @@
 
 
 def test_a_replica_that_is_cut_off_holds_what_it_knows_and_takes_nobody_out() -> None:
-    one = started_tier()
-    one.replicas[0].api.submit_request(request_for(out=2, zone="a"))
-    one.settle()
+    one = tier_with_request(out=2, zone="a")
     cut = one.replicas[2]
     cut.is_cut_off = True
     for id in drained_machines(one, 2):
@@ -252,9 +249,7 @@
 
 def test_a_record_that_is_learned_anew_lets_nothing_go() -> None:
     """A process that has to come again as another member has an empty state for a while."""
-    one = started_tier()
-    one.replicas[0].api.submit_request(request_for(zone="a"))
-    one.settle()
+    one = tier_with_request(zone="a")
     again = one.replicas[2]
     again.state.load(b"")
     again.applied, again.is_caught_up, again.is_cut_off = 0, False, True
--- a/tests/test_maintenance_source.py
+++ b/tests/test_maintenance_source.py
@@ -26,12 +26,10 @@
     SECOND,
     FakeDiscovery,
     FakeEngine,
-    apply_entry,
-    apply_event,
-    drain_entry,
     listed_entry,
     request_for,
 )
+from tests.maintenance_states import apply_entry, apply_event, drain_entry
 
 
 class World:
--- a/tests/test_maintenance_state.py
+++ b/tests/test_maintenance_state.py
@@ -35,12 +35,9 @@
 )
 from laurelstep.maintenance.subsystem import passive_state_machines
 from tests.maintenance import (
-    apply_entry,
-    apply_event,
-    drain_entry,
     request_for,
-    state_with,
 )
+from tests.maintenance_states import apply_entry, apply_event, drain_entry, state_with
 
 
 def test_a_replica_with_maintenance_off_that_leads_forgets_no_request() -> None:
