--- a/laurelstep/maintenance/api.py
+++ b/laurelstep/maintenance/api.py
@@ -67,7 +67,7 @@
             raise ConflictingRequestError(request.name)
         self._check_selection(request)
         if len(self._state.open_requests) >= MAX_OPEN_REQUESTS:
-            raise TooManyRequestsError(f"{MAX_OPEN_REQUESTS} wishes are open")
+            raise TooManyRequestsError(f"{MAX_OPEN_REQUESTS} requests are open")
         self._check_satisfiable(request)
         return self.controller.commands.submit(CommandVerb.REQUEST, request)
 
@@ -124,7 +124,7 @@
         """A replica's process is no more: its acknowledgement is not waited for until it starts again."""
         consensus = self.controller.consensus
         if not 0 <= peer < consensus.peer_count or peer == consensus.replica_id:
-            raise UnknownPeerError(f"peer: {peer}: expected another copy, 0 to {consensus.peer_count - 1}")
+            raise UnknownPeerError(f"peer: {peer}: expected another replica, 0 to {consensus.peer_count - 1}")
         if peer in self._state.absent_peers:
             return self._already_done()
         return self.controller.commands.submit(CommandVerb.DECLARE_ABSENT, peer)
--- a/laurelstep/maintenance/commands.py
+++ b/laurelstep/maintenance/commands.py
@@ -113,7 +113,7 @@
             if command.is_same(verb, argument, expected_version):
                 return command
         if len(pending) >= MAX_COMMANDS:
-            raise TooManyRequestsError(f"{MAX_COMMANDS} calls wait to be agreed")
+            raise TooManyRequestsError(f"{MAX_COMMANDS} calls wait to be committed")
         # A predecessor in a hot restart may have sent commands in the same incarnation.
         sequence_number = max(self.last_sequence_number, self._last_committed()[0]) + 1
         expires_at_us = self.clock.now() + COMMAND_TIMEOUT_US
--- a/laurelstep/maintenance/planner.py
+++ b/laurelstep/maintenance/planner.py
@@ -190,12 +190,12 @@
         return DrainObstacle(describe_unlisted(request, inputs.table))
     machine = waiting[0]
     if machine.machine_id in inputs.state.machines:
-        return DrainObstacle(f"{machine.machine_id}: out for another wish")
+        return DrainObstacle(f"{machine.machine_id}: out for another request")
     if machine.phase != READY:
         return DrainObstacle(f"{machine.machine_id}: drained by discovery")
     entry = drain_entry(inputs, request.number, machine)
     if not fits_entry(entry):
-        too_long = "its id and zone are too long for an entry of the record"
+        too_long = "its id and zone are too long for a log entry"
         return DrainObstacle(f"{machine.machine_id[:40]}: {too_long}", is_permanent=True)
     reason = inputs.state.blocking_limit(entry)
     if reason is None:
--- a/laurelstep/maintenance/state.py
+++ b/laurelstep/maintenance/state.py
@@ -308,11 +308,11 @@
         `ignore_others`: as if no other machine were out.
         """
         if not has_finite_facts(entry):
-            return "its facts are no figures"
+            return "its weights and counts are not finite"
         if entry.ready_count < 2:
             return f"last: {entry.ready_count} ready in the tier"
         if not ignore_others and self._is_at_capacity(entry.request_number):
-            return "size: as many as the record holds"
+            return "size: as many as the state holds"
         out_of_service = [] if ignore_others else list(self.machines.values())
         for other in self.open_requests.values():
             if other.is_withdrawn:
