--- a/laurelstep/daemon.py
+++ b/laurelstep/daemon.py
@@ -28,15 +28,15 @@
     from laurelstep.consensus.node import ConsensusNode
     from laurelstep.consensus.ports import StateMachine
     from laurelstep.engine.ports import Recorder
-    from laurelstep.handover.giver import Giver
-    from laurelstep.handover.place import Place
-    from laurelstep.handover.taker import Taken
+    from laurelstep.hot_restart.predecessor import HotRestartServer
+    from laurelstep.hot_restart.rendezvous import RendezvousPoint
+    from laurelstep.hot_restart.successor import PredecessorHandle
+    from laurelstep.maintenance.subsystem import MaintenanceSubsystem
     from laurelstep.management.server import Management
     from laurelstep.outbox.driver import OutboxDriver
     from laurelstep.outbox.shared.assembly import Shared
     from laurelstep.outbox.shared.carried import Carried
-    from laurelstep.upkeep.assembly import Upkeep
-    from laurelstep.workers.child import Seat
+    from laurelstep.workers.worker import WorkerSlot
 
 ReadConfig = Callable[[dict[str, str]], Config]
 
@@ -44,16 +44,18 @@
 class Arrival:
     """How a process comes: alone, or beside one that serves at the same addresses."""
 
-    def __init__(self, place: Place, others: bool, taken: Taken | None) -> None:
-        self.place = place
-        self.others = others
-        self.taken = taken
+    def __init__(
+        self, rendezvous: RendezvousPoint, has_others: bool, predecessor: PredecessorHandle | None
+    ) -> None:
+        self.rendezvous = rendezvous
+        self.has_others = has_others
+        self.predecessor = predecessor
 
     def config(self, config: Config) -> Config:
         """With the list that the other process had, where there is one."""
-        from laurelstep.handover.state import with_state
+        from laurelstep.hot_restart.state import config_with_state
 
-        return config if self.taken is None else with_state(config, self.taken.state)
+        return config if self.predecessor is None else config_with_state(config, self.predecessor.state)
 
 
 def arrive(config: Config, environ: Mapping[str, str]) -> Arrival | None:
@@ -62,21 +64,22 @@
     has_store = config.orders is not None or config.outbox is not None
     if config.management is None or config.listen is None or has_store:
         return None
-    from laurelstep.handover.messages import HandoverError
-    from laurelstep.handover.place import Place
-    from laurelstep.handover.taker import take
+    from laurelstep.hot_restart.messages import HotRestartError
+    from laurelstep.hot_restart.rendezvous import RendezvousPoint
+    from laurelstep.hot_restart.successor import take_over
 
     try:
-        place = Place(config.listen, environ.get("TMPDIR") or "/tmp")
-        others = place.enter()
+        rendezvous = RendezvousPoint(config.listen, environ.get("TMPDIR") or "/tmp")
+        has_others = rendezvous.register()
     except OSError as error:
-        log(f"no handover: {error}")
+        log(f"no hot restart: {error}")
         return None
     try:
-        return Arrival(place, others, take(place, config.listen) if others else None)
-    except HandoverError as error:
-        log(f"no handover, the address is shared: {error}")
-        return Arrival(place, others, None)
+        predecessor = take_over(rendezvous, config.listen) if has_others else None
+        return Arrival(rendezvous, has_others, predecessor)
+    except HotRestartError as error:
+        log(f"no hot restart, the address is shared: {error}")
+        return Arrival(rendezvous, has_others, None)
 
 
 class Daemon:
@@ -89,11 +92,11 @@
         self.slices = Slices(self.loop)
         self.ended = asyncio.Event()
         self.management: Management | None = None
-        self.giver: Giver | None = None
-        self.has_predecessor = arrival is not None and arrival.taken is not None
-        self.was_alone = arrival is None or not arrival.others
+        self.hot_restart: HotRestartServer | None = None
+        self.has_predecessor = arrival is not None and arrival.predecessor is not None
+        self.was_alone = arrival is None or not arrival.has_others
         self.node: ConsensusNode | None = None
-        self.upkeep: Upkeep | None = None
+        self.maintenance: MaintenanceSubsystem | None = None
         self.outbox: OutboxDriver | None = None
         self.shared: Shared | None = None  # what copies share of kept writes
         self.carried: Carried | None = None  # the same, where this copy does not
@@ -101,7 +104,7 @@
         self.leaving = False
         self.tasks: set[asyncio.Task[None]] = set()
 
-    async def run(self, read_config: ReadConfig, seat: Seat | None = None) -> None:
+    async def run(self, read_config: ReadConfig, slot: WorkerSlot | None = None) -> None:
         """Until a stop is over. `ConfigError` if it can't begin."""
         config = self.config
         orders = None
@@ -109,10 +112,10 @@
             orders = await open_journal(config.orders, config.names.classes, log)
         self.shared = self._outbox_shared()
         self.outbox = await self._outbox()
-        self.upkeep = self._upkeep()
+        self.maintenance = self._maintenance()
         self.node = self._consensus_node()
         recorder = self._recorder(orders)
-        holding = None if self.upkeep is None else self.upkeep.hold
+        holding = None if self.maintenance is None else self.maintenance.wrap_source
         self.parts = Assembly(self.loop, config, log, recorder, collector=Collector(), holding=holding)
         self.parts.start()
         self.server = Server(
@@ -130,13 +133,13 @@
         await self._take_part()
         self._heed_signals(read_config)  # from here on a caller may come, and a start may have to wait
         try:
-            await self._listen(shared=seat is not None)
+            await self._listen(shared=slot is not None)
         except OSError as error:
             raise ConfigError(f"can't listen: {error}") from None
-        if seat is not None and not self.ended.is_set():
-            from laurelstep.workers.child import join
+        if slot is not None and not self.ended.is_set():
+            from laurelstep.workers.worker import join_supervisor
 
-            await join(self.loop, seat, self.parts.engine, self.stop)
+            await join_supervisor(self.loop, slot, self.parts.engine, self.stop)
         await self.ended.wait()
         self.leaving = True
         if self.outbox is not None:
@@ -166,11 +169,11 @@
 
     def _close(self) -> None:
         self.slices.close()
-        if self.upkeep is not None:
-            self.upkeep.close()
+        if self.maintenance is not None:
+            self.maintenance.close()
         self.parts.close()
-        if self.giver is not None:
-            self.giver.close()
+        if self.hot_restart is not None:
+            self.hot_restart.close()
         if self.management is not None:
             self.management.close()
 
@@ -189,16 +192,17 @@
         from laurelstep.consensus.multiplexer import ConsensusMultiplexer
         from laurelstep.consensus.state_machines import CompositeStateMachine
         from laurelstep.engine.clock import LoopClock
+        from laurelstep.maintenance.subsystem import passive_state_machines
         from laurelstep.outbox.shared.entries import KIND as KEPT_WRITES
-        from laurelstep.upkeep.assembly import carried
 
         try:
             check_store_folder(settings.store_path)
             clock = LoopClock(self.loop)
-            upkeep = carried() if self.upkeep is None else self.upkeep.machines
-            node = build_node(
-                settings, CompositeStateMachine(upkeep | self._machines()), self.loop, clock, log
+            maintenance = (
+                passive_state_machines() if self.maintenance is None else self.maintenance.state_machines
             )
+            state_machines = CompositeStateMachine(maintenance | self._machines())
+            node = build_node(settings, state_machines, self.loop, clock, log)
             self.multiplexer = ConsensusMultiplexer(node)
             if self.carried is not None:
                 self.carried.join(self.multiplexer.channel(KEPT_WRITES), clock)
@@ -212,19 +216,20 @@
     async def _take_part(self) -> None:
         if self.node is None:
             return
-        from laurelstep.handover.state import kept_in
+        from laurelstep.hot_restart.state import decode_replica
 
-        taken = None if self.arrival is None else self.arrival.taken
+        predecessor = None if self.arrival is None else self.arrival.predecessor
         try:
-            await self.node.start(None if taken is None else kept_in(taken.state))
+            await self.node.start(None if predecessor is None else decode_replica(predecessor.state))
         except OSError as error:
             listen = self.config.accord.listen if self.config.accord is not None else ""
             problem = f"{listen}: {error.strerror}: expected where this process may listen, on this machine"
             raise ConfigError(f"{self._file}accord.peer_listen: {problem}") from None
-        if self.upkeep is not None and self.multiplexer is not None:
-            from laurelstep.upkeep.entries import KIND
+        if self.maintenance is not None and self.multiplexer is not None:
+            from laurelstep.maintenance.entries import SUBSYSTEM_TAG as MAINTENANCE_TAG
 
-            self.upkeep.begin(self.multiplexer.channel(KIND), self.parts.engine, self._is_alone)
+            channel = self.multiplexer.channel(MAINTENANCE_TAG)
+            self.maintenance.start(channel, self.parts.engine, self._is_alone)
 
     def _outbox_shared(self) -> Shared | None:
         """What upstream's copies share of edges' kept writes, not yet begun; None where it is off."""
@@ -277,15 +282,15 @@
         frontier = None if self.shared is None else self.shared.frontier
         return await open_driver(settings, names.classes, names.tenants, log, self._file, frontier)
 
-    def _upkeep(self) -> Upkeep | None:
+    def _maintenance(self) -> MaintenanceSubsystem | None:
         """Machines out for work, not yet begun; None where it is off, or has nothing to rest on."""
-        settings, accord = self.config.upkeep, self.config.accord
+        settings, accord = self.config.maintenance, self.config.accord
         if settings is None or accord is None or not accord.is_linked:
             return None
         # Imported where it is on.
-        from laurelstep.upkeep.assembly import Upkeep
+        from laurelstep.maintenance.subsystem import MaintenanceSubsystem
 
-        return Upkeep(self.loop, self.config, settings, log)
+        return MaintenanceSubsystem(self.loop, self.config, settings, log)
 
     def _is_alone(self) -> bool:
         """Whether no process of the version before sends to endpoints any more. Asked at the lock:
@@ -293,34 +298,34 @@
         if self.has_predecessor:
             return False
         if not self.was_alone:
-            self.was_alone = self.arrival is None or not self.arrival.place.enter()
+            self.was_alone = self.arrival is None or not self.arrival.rendezvous.register()
         return self.was_alone
 
     async def _know(self) -> bool:
         """Wait until this process may send: False if it was stopped meanwhile. `ConfigError` if the
         one before it did not wait as long, and serves on: two of them would take callers."""
-        if self.upkeep is None:
+        if self.maintenance is None:
             return not self.ended.is_set()
-        taken = None if self.arrival is None else self.arrival.taken
+        predecessor = None if self.arrival is None else self.arrival.predecessor
         given_up = asyncio.Event()
-        if taken is not None:
-            self.loop.add_reader(taken.channel.fileno(), given_up.set)  # nothing else is said there yet
+        if predecessor is not None:
+            self.loop.add_reader(predecessor.channel.fileno(), given_up.set)  # nothing else is said there yet
         while True:
-            events = [self.upkeep.opened, self.ended, *([] if taken is None else [given_up])]
+            events = [self.maintenance.may_serve, self.ended, *([] if predecessor is None else [given_up])]
             waits = [self.loop.create_task(one.wait()) for one in events]
             await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
             for one in waits:
                 one.cancel()
-            if taken is not None:
-                self.loop.remove_reader(taken.channel.fileno())
-            if taken is None or not given_up.is_set():
+            if predecessor is not None:
+                self.loop.remove_reader(predecessor.channel.fileno())
+            if predecessor is None or not given_up.is_set():
                 return not self.ended.is_set()
-            if self.arrival is not None and self.arrival.place.enter():
+            if self.arrival is not None and self.arrival.rendezvous.register():
                 raise ConfigError(
                     f"{self._file}upkeep.start_alone: what is out was not known in time, the version before "
                     "serves on: start this one again once a majority of the seats is up"
                 )
-            taken = None  # it has ended: there is nobody to come after
+            predecessor = None  # it has ended: there is nobody to come after
 
     @property
     def _file(self) -> str:
@@ -330,8 +335,13 @@
 
     def _begin_again(self) -> None:
         """Nobody follows any more: take part again, if this process has given up its part."""
-        giver = self.giver
-        if self.node is not None and giver is not None and giver.is_alone and not self.leaving:
+        hot_restart = self.hot_restart
+        if (
+            self.node is not None
+            and hot_restart is not None
+            and hot_restart.progress.is_alone
+            and not self.leaving
+        ):
             self._spawn(self.node.restart())
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
@@ -352,10 +362,10 @@
         if arrival is None:
             await self.server.listen(*config.listen, shared=shared)
             return
-        if arrival.taken is not None:
-            await self.server.listen(*config.listen, handed=arrival.taken.listener)
+        if arrival.predecessor is not None:
+            await self.server.listen(*config.listen, handed=arrival.predecessor.listener)
         else:
-            if not arrival.others:
+            if not arrival.has_others:
                 check_free(*config.listen)
             # Shared with the process that comes next, should that not get the listener.
             await self.server.listen(*config.listen, shared=True)
@@ -368,8 +378,8 @@
         from laurelstep.management.telemetry import figures
 
         subsystems: list[MoreCalls] = []
-        if self.upkeep is not None:
-            subsystems.append(self.upkeep.reply)
+        if self.maintenance is not None:
+            subsystems.append(self.maintenance.reply)
         if self.outbox is not None:
             from laurelstep.outbox.calls import Claimer, reply_about
 
@@ -391,57 +401,61 @@
 
     def _be_succeeded(self, arrival: Arrival) -> None:
         """Serving: tell the process before this one, and wait for the one after it."""
-        from laurelstep.handover.giver import Giver
+        from laurelstep.hot_restart.predecessor import HotRestartServer
 
-        if arrival.taken is not None:
+        if arrival.predecessor is not None:
             self.has_predecessor = True
-            self.loop.add_reader(arrival.taken.channel.fileno(), self._predecessor_ended, arrival.taken)
-            arrival.taken.say_ready()
+            self.loop.add_reader(
+                arrival.predecessor.channel.fileno(), self._predecessor_ended, arrival.predecessor
+            )
+            arrival.predecessor.report_ready()
         listener: Any = self.server.listener
         try:
-            self.giver = Giver(
-                self.loop, arrival.place, listener.sockets[0], self._collect, self._changed, log
+            self.hot_restart = HotRestartServer(
+                self.loop, arrival.rendezvous, listener.sockets[0], self._collect, self._changed, log
             )
         except OSError as error:
-            log(f"no handover to a next version: {error}")
+            log(f"no hot restart to a next version: {error}")
         else:
-            self.server.shutdown.succeeded = lambda: self.giver is not None and self.giver.handover.taken
+            self.server.shutdown.succeeded = (
+                lambda: self.hot_restart is not None and self.hot_restart.progress.is_taken_over
+            )
         self._share()
 
-    def _predecessor_ended(self, taken: Taken) -> None:
-        self.loop.remove_reader(taken.channel.fileno())
-        taken.channel.close()
+    def _predecessor_ended(self, predecessor: PredecessorHandle) -> None:
+        self.loop.remove_reader(predecessor.channel.fileno())
+        predecessor.channel.close()
         self.has_predecessor = False
         self._share()
 
     def _changed(self) -> None:
-        """A handover has come further, or to nothing."""
+        """A hot restart has come further, or to nothing."""
         self._share()
         self._begin_again()
 
     def _share(self) -> None:
         """Two processes have one sidecar's descriptors."""
-        alone = not self.has_predecessor and (self.giver is None or self.giver.handover.share == 1.0)
+        alone = not self.has_predecessor and (self.hot_restart is None or self.hot_restart.progress.is_alone)
         most = self.config.side_sockets if alone else self.config.shared_side_sockets
         self.server.most = self.parts.upstream.most = most
 
     def _collect(self, give: Callable[[dict[str, bytes]], None]) -> None:
         """What the next process would have to learn anew."""
-        from laurelstep.handover.state import state_of
+        from laurelstep.hot_restart.state import collect_state
 
         source, known = self.parts.source, list[bytes]()
         generation = source.generation if isinstance(source, Discovery) else 0
 
         def ended(error: Exception | None) -> None:
-            state = {} if error is not None else state_of(self.config, source, known[0])
+            state = {} if error is not None else collect_state(self.config, source, known[0])
             if self.node is None:
                 give(state)
             else:
                 self._spawn(self._retire(self.node, state, give))
 
-        if self.upkeep is not None and self.upkeep.source is not None:
+        if self.maintenance is not None and self.maintenance.source is not None:
             # What is held back is not in the engine's list, and is the next process's all the same.
-            steps = self.upkeep.source.dump_in_steps(generation, known)
+            steps = self.maintenance.source.dump_in_steps(generation, known)
         else:
             steps = dump_in_steps(self.parts.engine.members, generation, known)
         self.slices.run(steps, ended)
@@ -450,10 +464,10 @@
         self, node: ConsensusNode, state: dict[str, bytes], give: Callable[[dict[str, bytes]], None]
     ) -> None:
         """The next process is the same member of the tier: this one ceases to be one, then tells."""
-        from laurelstep.handover.state import state_of_accord
+        from laurelstep.hot_restart.state import encode_replica
 
-        kept = await node.retire()
-        give({**state, **state_of_accord(kept)})
+        memory = await node.retire()
+        give({**state, **encode_replica(memory)})
         self._begin_again()  # if it went away meanwhile
 
 
@@ -503,7 +517,7 @@
     config: Config,
     environ: Mapping[str, str],
     read_config: ReadConfig,
-    seat: Seat | None = None,
+    slot: WorkerSlot | None = None,
     arrival: Arrival | None = None,
 ) -> None:
-    await Daemon(config, environ, arrival).run(read_config, seat)
+    await Daemon(config, environ, arrival).run(read_config, slot)
--- a/laurelstep/testing/schedules/world.py
+++ b/laurelstep/testing/schedules/world.py
@@ -104,7 +104,7 @@
         self.start(me)
 
     def succeed(self, me: int) -> None:
-        """A handover: a new version of it goes on as the same incarnation."""
+        """A hot restart: a new version of it goes on as the same incarnation."""
         process = self.processes[me]
         if process.core is None or process.paused:
             return
--- a/tests/test_upkeep_contracts.py
+++ b/tests/test_maintenance_contracts.py
@@ -1,4 +1,4 @@
-"""Upkeep's source under the contract of all sources of members: around one that is given, and around
+"""Maintenance's source under the contract of all sources of members: around one that is given, and around
 discovery. Where nothing is held, it is not to be seen."""
 
 from __future__ import annotations
@@ -11,6 +11,8 @@
 from laurelstep.engine import LoopClock
 from laurelstep.engine.given import GivenMembers
 from laurelstep.engine.ports import MemberSource
+from laurelstep.maintenance.source import MaintenanceSource
+from laurelstep.maintenance.state import MaintenanceState
 from laurelstep.net.slices import Slices
 from laurelstep.testing.contracts.members import (
     AskedSourceContract,
@@ -18,21 +20,21 @@
     BreakableBeyond,
     MemberSourceContract,
 )
-from laurelstep.upkeep.roll import Roll
-from laurelstep.upkeep.source import UpkeepSource
+from tests.maintenance import GRACE_US
 from tests.test_contracts import GivenBeyond, OnDiscovery
-from tests.upkeeping import GRACE_US
 
 
-def around(inner: MemberSource) -> UpkeepSource:
+def around(inner: MemberSource) -> MaintenanceSource:
     """A source that knows the record, in which nothing is out."""
     loop = asyncio.get_running_loop()
-    source = UpkeepSource(inner, Roll(), LoopClock(loop), GRACE_US, Slices(loop).run, lambda line: None)
-    source.go_on(True)
+    source = MaintenanceSource(
+        inner, MaintenanceState(), LoopClock(loop), GRACE_US, Slices(loop).run, lambda line: None
+    )
+    source.start_forwarding(True)
     return source
 
 
-class TestUpkeepOnGivenMembers(MemberSourceContract):
+class TestMaintenanceOnGivenMembers(MemberSourceContract):
     @contextlib.asynccontextmanager
     async def beyond(self) -> AsyncIterator[Beyond]:
         given = GivenMembers()
@@ -42,7 +44,7 @@
         given.close()
 
 
-class OnUpkeep(OnDiscovery):
+class OnMaintenance(OnDiscovery):
     @contextlib.asynccontextmanager
     async def beyond(self) -> AsyncIterator[BreakableBeyond]:
         async with super().beyond() as found:
@@ -50,9 +52,9 @@
             yield found
 
 
-class TestUpkeepOnPushedDiscovery(OnUpkeep, MemberSourceContract):
+class TestMaintenanceOnPushedDiscovery(OnMaintenance, MemberSourceContract):
     pushed: ClassVar[bool] = True
 
 
-class TestUpkeepOnAskedDiscovery(OnUpkeep, AskedSourceContract):
+class TestMaintenanceOnAskedDiscovery(OnMaintenance, AskedSourceContract):
     pushed: ClassVar[bool] = False
