--- a/benchmarks/stream.py
+++ b/benchmarks/stream.py
@@ -23,7 +23,7 @@
 
 from benchmarks.common import ROOT, Child, compiled, median, percentile, pin, progress
 from benchmarks.hotpath import await_port
-from laurelstep.stream.pace import bound
+from laurelstep.flow_control.buffer_budget import max_total
 from laurelstep.testing import free_port, request
 
 MB = 1 << 20
@@ -158,7 +158,7 @@
         before = child.memory_kb()
         most = uvloop.run(crowd(subjects["daemon"], child))
         held = (most - before) * 1024
-        allowed = bound(MEMORY_MB, UPLOADS + READERS)
+        allowed = max_total(MEMORY_MB, UPLOADS + READERS)
         pairs = list(zip(rates["daemon"], rates["relay"], strict=True))
         return {
             "compiled": bool(environ),
--- a/laurelstep/net/server.py
+++ b/laurelstep/net/server.py
@@ -14,6 +14,8 @@
 from laurelstep.engine.call import Answer, Call, Ending, Headers
 from laurelstep.engine.engine import Engine
 from laurelstep.engine.flow import Flow
+from laurelstep.flow_control.buffer_budget import BufferBudget, budget_for
+from laurelstep.flow_control.throughput import has_min_throughput
 from laurelstep.lifecycle import Lifecycle
 from laurelstep.lifecycle.phases import LATE_S
 from laurelstep.net.acceptor import Acceptor, listen
@@ -34,8 +36,7 @@
 )
 from laurelstep.net.request import call_from, checked
 from laurelstep.net.shutdown import BACKLOG, GracefulShutdown
-from laurelstep.room.descriptors import ENDED, RESTING, giving_way
-from laurelstep.stream.pace import Room, keeps_pace, room_for
+from laurelstep.resources.descriptors import CLOSING, IDLE, eviction_order
 
 READY_PATH: Final = b"/health/ready"
 # Where a receipt of a kept write is asked for, as no class is named so: by a client, so at its address.
@@ -77,7 +78,7 @@
         self.answer: Flow | None = None  # an answer that is
         self.chunks = False  # the answer goes out in chunks
         self.behind = b""  # what came meanwhile: the next request waits for its end
-        self.held = 0  # of the room for requests
+        self.reserved = 0  # bytes of the budget for requests
         self.parser: Any = httptools.HttpRequestParser(self)
         self._begin()
 
@@ -131,8 +132,8 @@
         upload, self.upload = self.upload, None
         if upload is not None:
             upload.leave()
-        held, self.held = self.held, 0
-        self.server.room.give_back(held)
+        reserved, self.reserved = self.reserved, 0
+        self.server.request_budget.release(reserved)
 
     # --- Reading --------------------------------------------------------------------
 
@@ -185,7 +186,7 @@
             server.reading.add(self)
             server.hold_head(self)
             return
-        if not keeps_pace(self.size, server.loop.time() - self.head_at):
+        if not has_min_throughput(self.size, server.loop.time() - self.head_at):
             self.refuse(BadRequestError(408, "the body came too slowly"))
             return
         if self.upload is None and not self._hold_body():
@@ -201,10 +202,10 @@
         return self.hold_bytes(self.size)
 
     def hold_bytes(self, size: int) -> bool:
-        held = self.server.room.hold(size, self.held)
-        if held >= 0:
-            self.held = held
-        return held >= 0
+        reserved = self.server.request_budget.reserve(size, self.reserved)
+        if reserved >= 0:
+            self.reserved = reserved
+        return reserved >= 0
 
     def on_message_begin(self) -> None:
         if self.begun:
@@ -352,7 +353,7 @@
             asked.expires += engine.now()
             asked.body = body
             if body:
-                self.held = self.server.room.count(len(body), self.held)
+                self.reserved = self.server.request_budget.force(len(body), self.reserved)
             asked.streams = True
             self.call = asked
             engine.take(asked)
@@ -534,7 +535,7 @@
         memory_mb: int = 0,
     ) -> None:
         self.loop = loop
-        self.room = Room(room_for(memory_mb))
+        self.request_budget = BufferBudget(budget_for(memory_mb))
         # An order's record holds all of it.
         self.body_most = LARGE_MAX if engine.recorder is None else BODY_MAX
         self.lifecycle = lifecycle or Lifecycle()
@@ -584,8 +585,8 @@
     def _make_room(self) -> None:
         """Guards the limit on descriptors against a crowd. None gives way while a part of its answer
         waits here: that would be lost."""
-        for waits in giving_way(len(self.reading.since), self.most):
-            sweep = self.lingering if waits == ENDED else self.resting if waits == RESTING else self.reading
+        for waits in eviction_order(len(self.reading.since), self.most):
+            sweep = self.lingering if waits == CLOSING else self.resting if waits == IDLE else self.reading
             oldest = next((one for one in sweep.since if one.has_written()), None)
             if oldest is not None:
                 sweep.discard(oldest)
@@ -597,7 +598,7 @@
         """Guards memory against a crowd of half-written heads: there the one that has been
         owed for longest gives way. Refused, as nothing of it was sent on."""
         while not caller.hold_bytes(caller.fed):
-            held = (one for one in self.reading.since if one.held > 0 and one.asked is None)
+            held = (one for one in self.reading.since if one.reserved > 0 and one.asked is None)
             oldest = next(held, caller)
             oldest.refuse(BadRequestError(503, "too much is half-written"))
             if oldest is caller:
--- a/laurelstep/net/upstream.py
+++ b/laurelstep/net/upstream.py
@@ -17,6 +17,7 @@
 from laurelstep.engine.call import Answer, Attempt, Ending, Headers
 from laurelstep.engine.flow import Flow
 from laurelstep.engine.members import split_address
+from laurelstep.flow_control.buffer_budget import ANSWERS_PART, BufferBudget, budget_for
 from laurelstep.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
 from laurelstep.net.errors import SpoiltError
 from laurelstep.net.message import (
@@ -33,7 +34,6 @@
     single,
 )
 from laurelstep.net.opening import is_local_fault, open_connection
-from laurelstep.stream.pace import ANSWERS_PART, Room, room_for
 
 # Part of an endpoint's idle time for which a connection is kept: the rest guards
 # against a request that crosses the endpoint's own close. No longer than IDLE_MOST_S:
@@ -135,7 +135,7 @@
         self.full = False  # the transport holds bytes that the system did not take yet
         self.upload: Flow | None = None  # a request that is passed on while it comes
         self.answer: Flow | None = None  # an answer that is
-        self.held = 0  # of the room for answers
+        self.reserved = 0  # bytes of the budget for answers
         self.rested_at = 0  # since when it carries nothing
         self.parser: Any = httptools.HttpResponseParser(self)
         self._begin()
@@ -150,8 +150,8 @@
         self._give_back()
 
     def _give_back(self) -> None:
-        held, self.held = self.held, 0
-        self.owner.room.give_back(held)
+        reserved, self.reserved = self.reserved, 0
+        self.owner.answer_budget.release(reserved)
 
     # --- Connection -----------------------------------------------------------
 
@@ -471,11 +471,11 @@
         """Whether the answer may wait here until it is whole."""
         if max(self.length, self.size) > BODY_MAX:
             return False
-        room = self.owner.room
-        held = room.hold(self.size, self.held)
-        if held < 0 and self.attempt is not None and self.attempt.call.streams:
+        budget = self.owner.answer_budget
+        reserved = budget.reserve(self.size, self.reserved)
+        if reserved < 0 and self.attempt is not None and self.attempt.call.streams:
             return False
-        self.held = room.count(self.size, self.held) if held < 0 else held
+        self.reserved = budget.force(self.size, self.reserved) if reserved < 0 else reserved
         return True
 
     def _most(self) -> int:
@@ -559,7 +559,7 @@
         memory_mb: int = 0,
     ) -> None:
         self.loop, self.now = loop, now
-        self.room = Room(room_for(memory_mb, ANSWERS_PART))
+        self.answer_budget = BufferBudget(budget_for(memory_mb, ANSWERS_PART))
         self.most = most  # connections to endpoints
         self.addresses: dict[int, str] = {}
         self.pools: dict[int, Pool] = {}  # of those that were sent something
--- a/laurelstep/settings/config.py
+++ b/laurelstep/settings/config.py
@@ -11,7 +11,7 @@
 from laurelstep.errors import LaurelstepError
 from laurelstep.interface import KEYED, Settings
 from laurelstep.orders.book import Orders
-from laurelstep.room.descriptors import SOCKETS_DEFAULT, side_share
+from laurelstep.resources.descriptors import DEFAULT_SOCKETS, connections_per_side
 from laurelstep.wire import EFFECTS, SCOPES, WireError, read_settings
 
 if TYPE_CHECKING:  # imported where they are on
@@ -50,12 +50,12 @@
     @property
     def side_sockets(self) -> int:
         """Connections that each side may hold, callers and endpoints."""
-        return side_share(self.sockets, self.management is not None)
+        return connections_per_side(self.sockets, self.management is not None)
 
     @property
     def shared_side_sockets(self) -> int:
         """The same while two processes are one sidecar, and share its descriptors."""
-        return side_share(self.sockets, self.management is not None, processes=2)
+        return connections_per_side(self.sockets, self.management is not None, processes=2)
 
 
 # The configuration with what the operator's file adds to it, from the platform's object and its path.
@@ -157,7 +157,7 @@
             listen=None if listen is None else address(listen),
             discovery=None if discovery is None else str(discovery),
             seed=int(str(raw.get("seed", "0")), 16),
-            sockets=int(raw.get("limits", {}).get("sockets", SOCKETS_DEFAULT)),
+            sockets=int(raw.get("limits", {}).get("sockets", DEFAULT_SOCKETS)),
             memory_mb=int(raw.get("limits", {}).get("memory_mb", 0)),
             settings=settings,
             names=Names(raw["settings"], settings, _order_headers(raw, orders)),
--- a/setup.py
+++ b/setup.py
@@ -21,7 +21,7 @@
         "engine/names",
         "engine/tally",
     ),
-    *("lifecycle/phases", "room/descriptors", "stream/pace"),
+    *("lifecycle/phases", "resources/descriptors", "flow_control/buffer_budget", "flow_control/throughput"),
     *("net/message", "net/request", "net/server", "net/upstream"),
 )
 
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -786,7 +786,7 @@
     async def main() -> None:
         endpoint = Endpoint()
         async with endpoint, sidecar(known=False) as one:
-            one.server.room.most = 0
+            one.server.request_budget.limit = 0
             whole = request("pay", LARGE)
             caller = Client(one.port)
             caller.send(whole[:30_000])
--- a/tests/test_stream.py
+++ b/tests/test_flow_control.py
@@ -11,9 +11,10 @@
 from hypothesis import strategies as st
 
 from laurelstep.engine.flow import Flow
+from laurelstep.flow_control.buffer_budget import MAX_BUFFERED, UNCOUNTED, BufferBudget, budget_for
+from laurelstep.flow_control.throughput import GRACE_S, MIN_RATE, has_min_throughput
 from laurelstep.interface import ERROR, MOOT, NO_CONNECT, OK, RESET
 from laurelstep.net.message import LARGE_MAX
-from laurelstep.stream.pace import FREE, GRACE_S, HOLD_EACH, RATE_LEAST, Room, keeps_pace, room_for
 from laurelstep.testing.endpoints import reset_connection
 from tests.sockets import (
     Endpoint,
@@ -39,33 +40,35 @@
 
 
 def test_a_body_may_be_as_slow_as_its_rate_and_no_slower() -> None:
-    assert keeps_pace(0, GRACE_S) and not keeps_pace(0, GRACE_S + 0.1)
-    assert keeps_pace(int(RATE_LEAST), GRACE_S + 1.0) and not keeps_pace(int(RATE_LEAST), GRACE_S + 1.1)
-    assert all(keeps_pace(int(64_000 * s), s) for s in range(1, 500)), "what callers may do"
+    assert has_min_throughput(0, GRACE_S) and not has_min_throughput(0, GRACE_S + 0.1)
+    assert has_min_throughput(int(MIN_RATE), GRACE_S + 1.0) and not has_min_throughput(
+        int(MIN_RATE), GRACE_S + 1.1
+    )
+    assert all(has_min_throughput(int(64_000 * s), s) for s in range(1, 500)), "what callers may do"
 
 
 @pytest.mark.parametrize(("memory", "least", "most"), [(0, 16, 32), (32, 1, 4), (80, 8, 16), (192, 32, 48)])
-def test_the_room_leaves_memory_for_all_else(memory: int, least: int, most: int) -> None:
-    assert least * MB <= room_for(memory) <= most * MB
+def test_the_budget_leaves_memory_for_all_else(memory: int, least: int, most: int) -> None:
+    assert least * MB <= budget_for(memory) <= most * MB
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), st.integers(1, 400_000)), max_size=80))
-def test_the_room_is_never_overdrawn_and_all_of_it_comes_back(steps: list[tuple[int, int]]) -> None:
-    room = Room(2 * MB)
+def test_the_budget_is_never_overdrawn_and_all_of_it_comes_back(steps: list[tuple[int, int]]) -> None:
+    budget = BufferBudget(2 * MB)
     sizes, held = [0] * 6, [0] * 6
     for which, more in steps:
-        took = room.hold(sizes[which] + more, held[which])
+        took = budget.reserve(sizes[which] + more, held[which])
         if took < 0:
-            room.give_back(held[which])
+            budget.release(held[which])
             sizes[which] = held[which] = 0
         else:
             sizes[which] += more
             held[which] = took
-            assert took == max(0, sizes[which] - FREE) and sizes[which] <= HOLD_EACH
-        assert 0 <= room.used == sum(held) <= room.most
+            assert took == max(0, sizes[which] - UNCOUNTED) and sizes[which] <= MAX_BUFFERED
+        assert 0 <= budget.used == sum(held) <= budget.limit
     for one in held:
-        room.give_back(one)
-    assert room.used == 0
+        budget.release(one)
+    assert budget.used == 0
 
 
 class Ends:
@@ -164,12 +167,12 @@
 
 def nothing_held(one: Sidecar) -> None:
     daemon = one.server
-    assert daemon.room.used == 0 and not one.engine.calls and not one.engine.passing
+    assert daemon.request_budget.used == 0 and not one.engine.calls and not one.engine.passing
     assert not daemon.uploading.since and not daemon.stuck.since
     assert not one.upstream.passing.since and not one.upstream.stalled.since
 
 
-@pytest.mark.parametrize("size", [100, 64 * 1024 + 1, HOLD_EACH, HOLD_EACH + 1, len(BIG)])
+@pytest.mark.parametrize("size", [100, 64 * 1024 + 1, MAX_BUFFERED, MAX_BUFFERED + 1, len(BIG)])
 @pytest.mark.parametrize("framed", ["length", "chunks"])
 def test_a_body_of_any_size_comes_through_whole(size: int, framed: str) -> None:
     async def main() -> None:
@@ -202,7 +205,7 @@
 
         endpoints = Endpoint(once), Endpoint(once)
         async with sidecar(*endpoints) as one:
-            for rid, size, attempts in (("r1", HOLD_EACH, 2), ("r2", 2 * HOLD_EACH, 1)):
+            for rid, size, attempts in (("r1", MAX_BUFFERED, 2), ("r2", 2 * MAX_BUFFERED, 1)):
                 reader, writer = await one.connect()
                 writer.write(head(size, rid=rid) + BIG[:size])
                 back = await read_message(reader)
@@ -587,17 +590,17 @@
 
 
 def test_memory_held_for_bodies_is_bounded_and_given_back() -> None:
-    """Forty uploads at once, none of them whole: what is over the room is passed on."""
+    """Forty uploads at once, none of them whole: what is over the budget is streamed."""
 
     async def main() -> None:
         endpoint = Endpoint(hold)
         async with sidecar(endpoint) as one:
-            one.server.room.most = MB
+            one.server.request_budget.limit = MB
             streams = [await one.connect() for _ in range(40)]
             for n, (_, writer) in enumerate(streams):
                 writer.write(head(MB, rid=f"r{n}") + BIG[:300_000])
             await until(lambda: sum(caller.size >= 300_000 for caller in one.server.callers) == 40)
-            assert one.server.room.used <= MB
+            assert one.server.request_budget.used <= MB
             assert sum(caller.upload is not None for caller in one.server.callers) > 30
             for _, writer in streams:
                 writer.transport.abort()
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -18,6 +18,7 @@
 import pytest
 
 from laurelstep.engine.flow import Flow
+from laurelstep.flow_control.buffer_budget import MAX_BUFFERED
 from laurelstep.interface import NO_CONNECT
 from laurelstep.net.assembly import Assembly
 from laurelstep.net.message import LARGE_MAX
@@ -31,7 +32,6 @@
 from laurelstep.outbox.options import CHUNK, KeptClass, OutboxSettings
 from laurelstep.outbox.store import KeptStore
 from laurelstep.settings import config_from
-from laurelstep.stream.pace import HOLD_EACH
 from laurelstep.testing import after, answer, serve, whole_list
 from laurelstep.testing.contracts.outbox import made
 from laurelstep.testing.disk import SimulatedDisk
@@ -43,7 +43,7 @@
 # What one read of a socket brings at most.
 READ_MOST = 256 * 1024
 # Of one write: at first what had come before it was too large to be held, then the mark and one read.
-BOUND = max(HOLD_EACH, HELD_EACH) + READ_MOST
+BOUND = max(MAX_BUFFERED, HELD_EACH) + READ_MOST
 CLASSES = {"put": KeptClass("keyed", 86_400_000_000), "pay": KeptClass("unsafe")}
 
 
@@ -866,7 +866,7 @@
     async def main() -> None:
         async with edge() as one:
             for name, size in (("small", WHOLE_MOST), ("large", WHOLE_MOST + 1)):
-                one.server.room.most = 0  # all that does not come at once is passed on
+                one.server.request_budget.limit = 0  # all that does not come at once is passed on
                 assert (await one.write(name, body_of(size))).status == 202
             await one.quiet()
             uploads = {}
--- a/tests/test_room.py
+++ b/tests/test_resources.py
@@ -7,18 +7,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from laurelstep.room.descriptors import (
-    APART,
-    ENDED,
-    MANAGEMENT,
-    OWED,
-    RESTING,
-    SIDE_LEAST,
-    SOCKETS_MOST,
-    giving_way,
-    side_share,
+from laurelstep.flow_control.buffer_budget import UNCOUNTED
+from laurelstep.resources.descriptors import (
+    AWAITING_REQUEST,
+    CLOSING,
+    IDLE,
+    MAX_SOCKETS,
+    MIN_PER_SIDE,
+    RESERVED,
+    RESERVED_FOR_MANAGEMENT,
+    connections_per_side,
+    eviction_order,
 )
-from laurelstep.stream.pace import FREE
 from laurelstep.testing import Caller
 from tests.sockets import Endpoint, Reader, Sidecar, Writer, answer, read_message, request, run, sidecar
 from tests.sockets import hold as hold_back
@@ -29,19 +29,19 @@
 
 @given(st.integers(0, 5000), st.booleans(), st.integers(1, 2))
 def test_the_shares_of_all_are_within_what_is_allowed(sockets: int, managed: bool, processes: int) -> None:
-    side = side_share(sockets, managed, processes)
-    apart = APART + MANAGEMENT * managed
-    assert side >= SIDE_LEAST
-    if side > SIDE_LEAST:
-        assert processes * (2 * side + apart) <= min(sockets, SOCKETS_MOST)
-    assert side_share(sockets, managed, 2) <= side_share(sockets, managed, 1)
+    side = connections_per_side(sockets, managed, processes)
+    apart = RESERVED + RESERVED_FOR_MANAGEMENT * managed
+    assert side >= MIN_PER_SIDE
+    if side > MIN_PER_SIDE:
+        assert processes * (2 * side + apart) <= min(sockets, MAX_SOCKETS)
+    assert connections_per_side(sockets, managed, 2) <= connections_per_side(sockets, managed, 1)
 
 
 @given(st.integers(0, 600), st.integers(1, 600))
 def test_who_waits_longest_gives_way_and_those_that_ask_are_not_among_them(owed: int, most: int) -> None:
-    order = giving_way(owed, most)
-    assert sorted(order) == [ENDED, RESTING, OWED] and order[0] == ENDED
-    assert (order[1] == OWED) == (3 * owed >= 3 * (most // 3) + 3)
+    order = eviction_order(owed, most)
+    assert sorted(order) == [CLOSING, IDLE, AWAITING_REQUEST] and order[0] == CLOSING
+    assert (order[1] == AWAITING_REQUEST) == (3 * owed >= 3 * (most // 3) + 3)
 
 
 async def until_counted(one: Sidecar, halves: int) -> None:
@@ -60,18 +60,18 @@
 def test_half_written_heads_are_bounded_and_the_oldest_gives_way() -> None:
     async def main() -> None:
         async with sidecar(Endpoint()) as one:
-            one.server.room.most = 10 * (len(HALF) - FREE)
+            one.server.request_budget.limit = 10 * (len(HALF) - UNCOUNTED)
             streams: list[tuple[Reader, Writer]] = []
             for n in range(10):
                 streams.append(await one.connect())
                 streams[-1][1].write(HALF)
                 await until_counted(one, n + 1)
-            assert one.server.room.used == one.server.room.most
+            assert one.server.request_budget.used == one.server.request_budget.limit
             streams.append(await one.connect())
             streams[-1][1].write(HALF)
             message = await read_message(streams[0][0])
             assert message.status == 503 and b"half-written" in message.body
-            assert one.server.room.used <= one.server.room.most
+            assert one.server.request_budget.used <= one.server.request_budget.limit
             streams[1][1].write(b"\r\n\r\n")
             assert (await read_message(streams[1][0])).body == b"ok", "one that comes in time is served"
             assert (await one.ask(request(rid="r2"))).body == b"ok"
@@ -79,7 +79,7 @@
                 writer.transport.abort()
             while one.server.callers:
                 await asyncio.sleep(0)
-            assert one.server.room.used == 0
+            assert one.server.request_budget.used == 0
 
     run(main())
 
@@ -87,23 +87,23 @@
 def test_a_head_that_finds_no_room_at_all_is_refused_itself() -> None:
     async def main() -> None:
         async with sidecar(Endpoint(hold_back)) as one:
-            one.server.room.most = 0
+            one.server.request_budget.limit = 0
             reader, writer = await one.connect()
             writer.write(HALF)
             assert await said(reader) == 503
             writer.close()
-            assert one.server.room.used == 0
+            assert one.server.request_budget.used == 0
 
     run(main())
 
 
 def test_requests_that_were_taken_never_give_way() -> None:
-    """Uploads that wait for their answers fill the room; heads that come then are refused."""
+    """Uploads that wait for their answers fill the budget; heads that come then are refused."""
 
     async def main() -> None:
         endpoint = Endpoint(hold_back)
         async with sidecar(endpoint) as one:
-            one.server.room.most = 4 * 40_000
+            one.server.request_budget.limit = 4 * 40_000
             taken = []
             for n in range(5):
                 body = b"x" * 40_000
@@ -119,7 +119,7 @@
             writer.close()
             while one.server.callers or one.engine.calls:
                 await asyncio.sleep(0)
-            assert one.server.room.used == 0
+            assert one.server.request_budget.used == 0
 
     run(main())
 
@@ -132,9 +132,9 @@
                     caller.streams = await one.connect()
                 caller.streams[1].write(raw)
                 await until_counted(one, 1)
-                assert one.server.room.used > 0
+                assert one.server.request_budget.used > 0
                 assert (await caller.ask(b"\r\n\r\n")).status == 200
-                assert one.server.room.used == 0
+                assert one.server.request_budget.used == 0
 
     run(main())
 
@@ -151,15 +151,15 @@
     async def main() -> None:
         endpoint = Endpoint(handler)
         async with sidecar(endpoint, endpoint) as one:
-            room = one.upstream.room
-            room.most = 3 * (len(part) - FREE)
+            budget = one.upstream.answer_budget
+            budget.limit = 3 * (len(part) - UNCOUNTED)
             asked = [asyncio.create_task(one.ask(request(rid=f"r{n}"))) for n in range(8)]
             while len(one.upstream.answering.since) + len(one.upstream.passing.since) < 8:
                 await asyncio.sleep(0)
-            assert room.used <= room.most and len(one.upstream.passing.since) >= 5
+            assert budget.used <= budget.limit and len(one.upstream.passing.since) >= 5
             go.set()
             assert all(message.body == 2 * part for message in await asyncio.gather(*asked))
-            assert room.used == 0
+            assert budget.used == 0
 
     run(main())
 
