--- a/laurelstep/daemon.py
+++ b/laurelstep/daemon.py
@@ -16,10 +16,10 @@
 from laurelstep.lifecycle import Lifecycle, Phase
 from laurelstep.net.assembly import Assembly
 from laurelstep.net.collector import Collector
+from laurelstep.net.cooperative_task import CooperativeTask
 from laurelstep.net.discovery import Discovery
 from laurelstep.net.message import LARGE_MAX, log
 from laurelstep.net.server import Server
-from laurelstep.net.slices import Slices
 from laurelstep.orders import open_recorder
 from laurelstep.settings import Config, ConfigError
 
@@ -86,7 +86,7 @@
         self.arrival = arrival
         self.loop = asyncio.get_running_loop()
         self.lifecycle = Lifecycle()
-        self.slices = Slices(self.loop)
+        self.slices = CooperativeTask(self.loop)
         self.ended = asyncio.Event()
         self.management: Management | None = None
         self.giver: Giver | None = None
@@ -125,7 +125,7 @@
         )
         if self.outbox is not None:
             self.outbox.begin(self.parts.engine)
-            self.server.receipts = self.outbox.ask
+            self.server.on_receipt_query = self.outbox.ask
         self._begin_sharing(alone=orders is None)
         await self._take_part()
         self._heed_signals(read_config)  # from here on a caller may come, and a start may have to wait
@@ -257,8 +257,8 @@
         if self.shared is None or self.shared.gate is None:
             return
         if alone:
-            self.server.body_most = LARGE_MAX  # the gate holds no bodies
-        self.server.shared = self.shared.gate.ask
+            self.server.max_body = LARGE_MAX  # the gate holds no bodies
+        self.server.on_shared_query = self.shared.gate.ask
         self.shared.begin()
 
     async def _outbox(self) -> OutboxDriver | None:
@@ -421,7 +421,7 @@
         """Two processes have one sidecar's descriptors."""
         alone = not self.has_predecessor and (self.giver is None or self.giver.handover.share == 1.0)
         most = self.config.side_sockets if alone else self.config.shared_side_sockets
-        self.server.most = self.parts.upstream.most = most
+        self.server.max_connections = self.parts.upstream.max_connections = most
 
     def _collect(self, give: Callable[[dict[str, bytes]], None]) -> None:
         """What the next process would have to learn anew."""
--- a/laurelstep/management/server.py
+++ b/laurelstep/management/server.py
@@ -10,7 +10,7 @@
 
 from laurelstep.management.calls import Reply
 from laurelstep.net.acceptor import Acceptor, listen
-from laurelstep.net.message import Sweep
+from laurelstep.net.message import DeadlineSweeper
 
 # All of one call.
 CALL_MAX: Final = 16 * 1024
@@ -93,8 +93,10 @@
         self.loop = loop
         self.asked = asked
         # Guards the descriptors kept for this address: from connecting until gone.
-        self.open: Sweep[Visitor] = Sweep(loop, 2 * CALL_S, Visitor.cut)
-        self.waiting: Sweep[Visitor] = Sweep(loop, CALL_S, Visitor.time_out)  # for a whole call
+        self.open: DeadlineSweeper[Visitor] = DeadlineSweeper(loop, 2 * CALL_S, Visitor.cut)
+        self.waiting: DeadlineSweeper[Visitor] = DeadlineSweeper(
+            loop, CALL_S, Visitor.time_out
+        )  # for a whole call
         self.listener: Acceptor | None = None
 
     async def listen(self, host: str, port: int) -> int:
--- a/laurelstep/net/acceptor.py
+++ b/laurelstep/net/acceptor.py
@@ -4,7 +4,7 @@
 whatever waits when `accept` fails with EMFILE or ENFILE. Each of those clients would have lost the
 request that it had sent already. Here a connection that can't be accepted waits in the backlog.
 
-It stays plain Python where the rest is compiled: see `net.opening`.
+It stays plain Python where the rest is compiled: see `net.connect`.
 """
 
 from __future__ import annotations
--- a/laurelstep/net/opening.py
+++ b/laurelstep/net/connect.py
@@ -15,13 +15,13 @@
 )
 
 
-class Opened(Protocol):
+class ConnectHandler(Protocol):
     """A protocol of asyncio that is told when its connection does not come up."""
 
-    def not_opened(self, is_local_fault: bool) -> None:
+    def on_connect_failed(self, is_local_fault: bool) -> None:
         """`is_local_fault`: for a want of this machine's, and none of the endpoint's."""
 
-    def opening_ended(self) -> None: ...
+    def on_connect_ended(self) -> None: ...
 
 
 def is_local_fault(error: BaseException | None) -> bool:
@@ -29,7 +29,7 @@
     return isinstance(error, OSError) and error.errno in LOCAL_FAULTS
 
 
-async def open_connection(loop: asyncio.AbstractEventLoop, one: Opened, host: str, port: int) -> None:
+async def open_connection(loop: asyncio.AbstractEventLoop, one: ConnectHandler, host: str, port: int) -> None:
     """It knows no time-out: who waits cancels it, and only before the connection is up. One that
     came due in the turn in which the connection was made closed that behind its protocol's back."""
     failure: Exception | None = None
@@ -38,6 +38,6 @@
     except (OSError, ValueError) as error:  # ValueError: a host that no name can have
         failure = error
     finally:
-        one.opening_ended()
+        one.on_connect_ended()
     if failure is not None:
-        one.not_opened(is_local_fault(failure))
+        one.on_connect_failed(is_local_fault(failure))
--- a/laurelstep/net/slices.py
+++ b/laurelstep/net/cooperative_task.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterator
 
 
-class Slices:
+class CooperativeTask:
     """Runs one iterator at a time: its steps go on until a slice is used up, and the next
     slice begins once the loop has served what was ready. A slice is a step at least."""
 
--- a/laurelstep/net/discovery.py
+++ b/laurelstep/net/discovery.py
@@ -14,8 +14,8 @@
 from laurelstep.engine.listing import STEP, parse_in_steps, usable
 from laurelstep.engine.ports import Log, MemberSink
 from laurelstep.net.collector import Collector
-from laurelstep.net.objects import Objects
-from laurelstep.net.slices import Slices
+from laurelstep.net.cooperative_task import CooperativeTask
+from laurelstep.net.json_stream import JsonStreamDecoder
 
 # While nothing changes an empty line comes every 2 s: one that is half a second late is missed, and
 # the watch is dead, as a network that is cut off says nothing. What it misses counts as told 6 s after
@@ -55,7 +55,7 @@
         self.address = owner.address
         self.again = again  # it was asked because the one before fell silent
         self.parser = httptools.HttpResponseParser(self)
-        self.objects = Objects(OBJECT_MAX)
+        self.objects = JsonStreamDecoder(OBJECT_MAX)
         self.paused_at: int | None = None  # on the engine's clock; objects since then wait
         self.transport: asyncio.Transport | None = None
         self.done = False  # whole, or given up: its end says nothing
@@ -245,7 +245,7 @@
         self.spread_s = SPREAD_S
         self.tasks: set[asyncio.Task[None]] = set()
         self.closed = False
-        self.slices = Slices(loop)
+        self.slices = CooperativeTask(loop)
         self.listed = 0  # entries of the last long list
         self.busy = False  # a long list is being read and applied
         self.streams: set[Stream] = set()  # those that may have objects to read
--- a/laurelstep/net/errors.py
+++ b/laurelstep/net/errors.py
@@ -19,7 +19,7 @@
         self.status = status
 
 
-class SpoiltError(LaurelstepError):
+class MalformedResponseError(LaurelstepError):
     """An answer that is none of this protocol."""
 
     cause = "an endpoint's answer is not HTTP/1.1 as this program reads it, or longer than it may be"
--- a/laurelstep/net/objects.py
+++ b/laurelstep/net/json_stream.py
@@ -29,7 +29,7 @@
 _SPACE: Final = re.compile(rb"[ \t\r\n]*+")
 
 
-class Objects:
+class JsonStreamDecoder:
     """Takes bytes with `feed` and gives objects with `take`. ValueError for what is no JSON."""
 
     __slots__ = ("at", "buffer", "depth", "more", "most")
--- a/laurelstep/net/message.py
+++ b/laurelstep/net/message.py
@@ -106,7 +106,7 @@
     return -1
 
 
-def has_news(descriptor: int, events: int, if_unknown: bool) -> bool:
+def has_event(descriptor: int, events: int, if_unknown: bool) -> bool:
     """Whether any of these has happened to it by now; `if_unknown` where the system can't tell."""
     news = select.poll()
     news.register(descriptor, events)
@@ -119,7 +119,7 @@
 T = TypeVar("T")
 
 
-class Sweep(Generic[T]):
+class DeadlineSweeper(Generic[T]):
     """What waits, the longest first; one timer ends each that waits too long."""
 
     def __init__(self, loop: AbstractEventLoop, seconds: float, expire: Callable[[T], None]) -> None:
--- a/laurelstep/net/server.py
+++ b/laurelstep/net/server.py
@@ -31,10 +31,10 @@
     LARGE_MAX,
     OWS,
     READ_S,
-    Sweep,
+    DeadlineSweeper,
     body_length,
     declared_length,
-    has_news,
+    has_event,
     lines,
 )
 from laurelstep.net.request import call_from, checked
@@ -46,7 +46,7 @@
 RECEIPTS_PATH: Final = b"/outbox/receipts/"
 # What edges ask a copy upstream of kept writes; here, as nothing of the outbox is loaded where it is off.
 SHARED_PATH: Final = b"/outbox/shared/"
-ASKING: Final = -1  # in place of a class: it is no request of the engine's
+OUTBOX_QUERY: Final = -1  # in place of a class: it is no request of the engine's
 REASONS: Final = {status.value: status.phrase.encode() for status in HTTPStatus}
 START_LINES: Final = {status: b"HTTP/1.1 %d %b\r\n" % (status, reason) for status, reason in REASONS.items()}
 # A connection rests so long between requests at most: some callers never come back.
@@ -67,7 +67,7 @@
 UPLOAD_MOST_US: Final = 600_000_000
 
 
-def refusal_of(error: BadRequestError) -> bytes:
+def rejection(error: BadRequestError) -> bytes:
     """The whole answer that says so, and ends the connection."""
     text = f"{error}\n".encode()
     return (
@@ -76,7 +76,7 @@
     )
 
 
-class Caller:
+class ClientConnection:
     """One connection of a caller; one request is read, and answered, at a time.
 
     An `asyncio.Protocol` in all but the base class: compiled, one with a base that is
@@ -86,64 +86,64 @@
         self.server = server
         self.transport: asyncio.Transport | None = None
         self.call: Call | None = None
-        self.over = False  # what comes is dropped
+        self.closing = False  # what comes is dropped
         self.dropped = 0  # bytes of that
-        self.keep = True
+        self.keep_alive = True
         self.upload: Flow | None = None  # a request that is passed on while it comes
         self.answer: Flow | None = None  # an answer that is
-        self.chunks = False  # the answer goes out in chunks
-        self.behind = b""  # what came meanwhile: the next request waits for its end
+        self.chunked = False  # the answer goes out in chunks
+        self.pipelined = b""  # what came meanwhile: the next request waits for its end
         self.reserved = 0  # bytes of the budget for requests
-        self.hangup: Any = None  # a poll for the caller's end, made when it is first asked
+        self.hangup_poller: Any = None  # a poll for the caller's end, made when it is first asked
         self.parser: Any = httptools.HttpRequestParser(self)
-        self._begin()
+        self._reset()
 
-    def _begin(self) -> None:
+    def _reset(self) -> None:
         self.target = b""
         self.headers: Headers = []
         self.body = bytearray()  # not a list of parts: of one byte each they would take forty
-        self.size = self.fed = 0
-        self.asked: Call | Answer | None = None  # what the head says
+        self.size = self.received = 0
+        self.parsed: Call | Answer | None = None  # what the head says
         self.head_at = 0.0  # when it had come
-        self.begun = self.whole = False
+        self.has_begun = self.is_complete = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.server.joined(self)
+        self.server.on_connect(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.over = True
+        self.closing = True
         self.parser = None  # it holds this object's methods: the cycle ends here
-        self._leave()
+        self._abandon()
         answer, self.answer = self.answer, None
         if answer is not None:
             answer.leave()
-        self.server.left(self)
+        self.server.on_disconnect(self)
 
     def eof_received(self) -> None:
         """The caller has ended its side, so it has gone: the protocol knows no caller that waits on for its
         answer. The transport closes, but tells so a turn later, behind timers that may send the request."""
-        self.over = True
-        self._leave()
+        self.closing = True
+        self._abandon()
 
     def pause_writing(self) -> None:
-        self.server.stuck.add(self)
+        self.server.write_stalled.add(self)
         if self.answer is not None:
             self.answer.pause()
 
     def resume_writing(self) -> None:
-        if not self.over:  # an end that waits for this keeps its bound
-            self.server.stuck.discard(self)
+        if not self.closing:  # an end that waits for this keeps its bound
+            self.server.write_stalled.discard(self)
         if self.answer is not None:
             self.answer.resume()
 
-    def _leave(self) -> None:
+    def _abandon(self) -> None:
         call, self.call = self.call, None
         if call is not None:
             self.server.engine.gone(call)
-        self._forget_body()
+        self._release_body()
 
-    def _forget_body(self) -> None:
+    def _release_body(self) -> None:
         """Of the request in hand nothing more is held here."""
         upload, self.upload = self.upload, None
         if upload is not None:
@@ -154,106 +154,103 @@
     # --- Reading --------------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
-        if self.over:
-            self._drop(data)
+        if self.closing:
+            self._discard(data)
             return
         if self.answer is not None:
-            self._keep_behind(data)
+            self._hold_pipelined(data)
             return
-        if not self.fed and self.call is None:
-            self.server.resting.discard(self)
-            self.server.reading.discard(self)  # its time counts from the first byte
-        self.fed += len(data)
+        if not self.received and self.call is None:
+            self.server.idle.discard(self)
+            self.server.awaiting_request.discard(self)  # its time counts from the first byte
+        self.received += len(data)
         try:
             if self.call is not None and self.upload is None:
                 # Guards against a request hidden behind another: callers send one at a time.
                 raise BadRequestError(400, "more than one request")
             self.parser.feed_data(data)
-            if self.asked is None and self.fed > HEAD_MAX:
+            if self.parsed is None and self.received > HEAD_MAX:
                 raise BadRequestError(431, "the head is too large")
-            if self.fed > FRAMING_MAX + FRAMING_EACH * self.size:
+            if self.received > FRAMING_MAX + FRAMING_EACH * self.size:
                 raise BadRequestError(413, "the request is mostly framing")
         except httptools.HttpParserCallbackError as error:
             cause = error.__context__
-            self.refuse(cause if isinstance(cause, BadRequestError) else BadRequestError(400, "malformed"))
+            self.reject(cause if isinstance(cause, BadRequestError) else BadRequestError(400, "malformed"))
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.refuse(BadRequestError(400, "malformed"))
+            self.reject(BadRequestError(400, "malformed"))
         except BadRequestError as error:
-            self.refuse(error)
+            self.reject(error)
         else:
-            if not self.whole:
-                self._read_on()
+            if not self.is_complete:
+                self._continue_reading()
             elif self.upload is not None:
                 self._end_upload()
             else:
-                self._take()
+                self._dispatch()
 
-    def _drop(self, data: bytes) -> None:
+    def _discard(self, data: bytes) -> None:
         """Behind the end of the connection: none of it is a request any more."""
         self.dropped += len(data)
         if self.dropped > LINGER_MOST and self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
-    def _read_on(self) -> None:
+    def _continue_reading(self) -> None:
         """More of the request is owed: its head by one time, its body at a pace."""
         server = self.server
         if server.shutdown.refuses_partial:
-            self.refuse(BadRequestError(503, STOPS))
+            self.reject(BadRequestError(503, STOPS))
             return
-        server.late.discard(self)
-        if self.asked is None:
-            server.reading.add(self)
-            server.hold_head(self)
+        server.latecomers.discard(self)
+        if self.parsed is None:
+            server.awaiting_request.add(self)
+            server.reserve_head(self)
             return
         if not has_min_throughput(self.size, server.loop.time() - self.head_at):
-            self.refuse(BadRequestError(408, "the body came too slowly"))
+            self.reject(BadRequestError(408, "the body came too slowly"))
             return
-        if self.upload is None and not self._hold_body():
+        if self.upload is None and not self.reserve(self.size):
             self._begin_upload()
             return
-        waiting = server.uploading if self.upload is not None else server.reading
+        waiting = server.uploading if self.upload is not None else server.awaiting_request
         if self.upload is None or self in waiting.since:  # an upload that is held back is not late
             waiting.discard(self)
             waiting.add(self)
 
-    def _hold_body(self) -> bool:
-        """Whether the body may wait here until it is whole."""
-        return self.hold_bytes(self.size)
-
-    def hold_bytes(self, size: int) -> bool:
+    def reserve(self, size: int) -> bool:
+        """Whether so many bytes of the request may wait here until it is complete."""
         reserved = self.server.request_budget.reserve(size, self.reserved)
         if reserved >= 0:
             self.reserved = reserved
         return reserved >= 0
 
     def on_message_begin(self) -> None:
-        if self.begun:
+        if self.has_begun:
             raise BadRequestError(400, "more than one request")
-        self.begun = True
+        self.has_begun = True
 
     def on_url(self, url: bytes) -> None:
         self.target = b"%b%b" % (self.target, url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.asked is None:  # not a trailer: those end here
+        if self.parsed is None:  # not a trailer: those end here
             self.headers.append((name.lower(), value.strip(OWS)))
 
     def on_headers_complete(self) -> None:
-        if self.fed > HEAD_MAX and sum(len(n) + len(v) for n, v in self.headers) > HEAD_MAX:
+        if self.received > HEAD_MAX and sum(len(n) + len(v) for n, v in self.headers) > HEAD_MAX:
             raise BadRequestError(431, "the head is too large")
-        self.asked = self._asked()
+        self.parsed = self._parse_head()
         self.head_at = self.server.loop.time()
         if any(name == b"expect" and value.lower() == b"100-continue" for name, value in self.headers):
-            self._continue()
+            self._send_continue()
 
-    def _continue(self) -> None:
+    def _send_continue(self) -> None:
         """The caller waits for a word before it sends the body (RFC 9110, 10.1.1)."""
         if self.transport is not None and self.parser.get_http_version() == "1.1":
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
         self.size += len(data)
-        if self.size > self.server.body_most:
+        if self.size > self.server.max_body:
             raise BadRequestError(413, "the body is too large")
         if self.upload is not None:
             self.upload.feed(data)
@@ -261,35 +258,35 @@
             self.body += data
 
     def on_message_complete(self) -> None:
-        self.whole, self.keep = True, self.parser.should_keep_alive()
+        self.is_complete, self.keep_alive = True, self.parser.should_keep_alive()
 
-    def _asked(self) -> Call | Answer:
+    def _parse_head(self) -> Call | Answer:
         method = self.parser.get_method()
         if method == b"GET" and self.target == READY_PATH:
             checked(self.headers)
             return Answer(Ending.SERVED, 200) if self.server.lifecycle.ready else Answer(Ending.FAILED, 503)
-        if self.server.receipts is not None and self.target.startswith(RECEIPTS_PATH):
-            return self._asking(method, RECEIPTS_PATH, "a receipt")
-        if self.server.shared is not None and self.target.startswith(SHARED_PATH):
-            return self._asking(method, SHARED_PATH, "what is shared")
+        if self.server.on_receipt_query is not None and self.target.startswith(RECEIPTS_PATH):
+            return self._outbox_query(method, RECEIPTS_PATH, "a receipt")
+        if self.server.on_shared_query is not None and self.target.startswith(SHARED_PATH):
+            return self._outbox_query(method, SHARED_PATH, "what is shared")
         engine = self.server.engine
-        most = self.server.body_most
+        most = self.server.max_body
         call = call_from(method, self.target, self.headers, engine.names, engine.settings, self, most)
         call.client = self
         return call
 
-    def _asking(self, method: bytes, path: bytes, what: str) -> Call:
+    def _outbox_query(self, method: bytes, path: bytes, what: str) -> Call:
         """Asked of the outbox: a call that is not open, as the engine never has it; `order` is the path."""
         if body_length(checked(self.headers)):
             raise BadRequestError(400, f"asking for {what} has no body")
         if method != b"GET":
             raise BadRequestError(405, f"ask for {what} with GET")
-        asking = Call(ASKING, 0, self.target[len(path) :], b"", b"", self, order=path)
+        asking = Call(OUTBOX_QUERY, 0, self.target[len(path) :], b"", b"", self, order=path)
         asking.open = False
         return asking
 
-    def _ask(self, asking: Call) -> None:
-        asked = self.server.shared if asking.order == SHARED_PATH else self.server.receipts
+    def _forward_query(self, asking: Call) -> None:
+        asked = self.server.on_shared_query if asking.order == SHARED_PATH else self.server.on_receipt_query
         assert asked is not None
         asked(asking)
 
@@ -297,24 +294,24 @@
 
     def _begin_upload(self) -> None:
         """Too large to be held: the first attempt takes it as it comes."""
-        server, asked = self.server, self.asked
+        server, asked = self.server, self.parsed
         if not isinstance(asked, Call):
-            self.refuse(BadRequestError(413, "the body is too large"))
+            self.reject(BadRequestError(413, "the body is too large"))
             return
         if asked.name in server.engine.open_names:
-            self.refuse(BadRequestError(409, "X-Request-Id is that of an open request"))
+            self.reject(BadRequestError(409, "X-Request-Id is that of an open request"))
             return
         upload = Flow(self, declared_length(self.headers))
         if self.body:
             upload.feed(bytes(self.body))
             self.body = bytearray()
-        self._forget_body()
+        self._release_body()
         self.upload = asked.upload = upload
         asked.span = asked.expires
         asked.expires += server.engine.now() + UPLOAD_MOST_US
         asked.streams = True
         self.call = asked
-        server.reading.discard(self)
+        server.awaiting_request.discard(self)
         server.uploading.add(self)
         server.engine.take(asked)
         # Not `self.upload` again: to the compiler that is what was assigned above.
@@ -324,7 +321,7 @@
     def _end_upload(self) -> None:
         upload, self.upload, call = self.upload, None, self.call
         self.server.uploading.discard(self)
-        self._begin()
+        self._reset()
         if upload is not None:
             upload.end(True)
         if call is not None:
@@ -334,43 +331,43 @@
         self.server.uploading.discard(self)
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
-            self.server.held_back.add(self)
+            self.server.paused.add(self)
 
     def go_on(self) -> None:
         if self.transport is not None and not self.transport.is_closing() and self.upload is not None:
-            self.server.held_back.discard(self)
+            self.server.paused.discard(self)
             self.server.uploading.add(self)
             self.transport.resume_reading()
 
-    def end_if_left(self) -> None:
+    def check_hangup(self) -> None:
         """The caller's end lies behind what is not read: the rest of an upload, or what came behind a
         request whose answer is passed on."""
         if self.has_left():
-            self._leave()
-            self.cut()
+            self._abandon()
+            self.abort()
         else:
-            self.server.held_back.add(self)
+            self.server.paused.add(self)
 
     def unwanted(self) -> None:
         """The final answer comes, and ends the connection."""
 
     # --- A request that has come whole ------------------------------------------------
 
-    def _take(self) -> None:
-        asked, body = self.asked, bytes(self.body)
-        self._begin()
-        self.server.reading.discard(self)
-        self.server.late.discard(self)
+    def _dispatch(self) -> None:
+        asked, body = self.parsed, bytes(self.body)
+        self._reset()
+        self.server.awaiting_request.discard(self)
+        self.server.latecomers.discard(self)
         engine = self.server.engine
         if isinstance(asked, Answer):
-            self._forget_body()
+            self._release_body()
             self._write(asked)
-        elif asked is not None and asked.cls == ASKING:
-            self._forget_body()
+        elif asked is not None and asked.cls == OUTBOX_QUERY:
+            self._release_body()
             self.call = asked
-            self._ask(asked)
+            self._forward_query(asked)
         elif asked is not None and asked.name in engine.open_names:
-            self.refuse(BadRequestError(409, "X-Request-Id is that of an open request"))
+            self.reject(BadRequestError(409, "X-Request-Id is that of an open request"))
         elif asked is not None:
             asked.expires += engine.now()
             asked.body = body
@@ -385,9 +382,9 @@
     def answered(self, call: Call, answer: Answer) -> None:
         self.call = None
         unread = self.upload is not None
-        self._forget_body()
+        self._release_body()
         if answer.flow is not None:
-            self._pass_on(answer, answer.flow, unread)
+            self._begin_streaming(answer, answer.flow, unread)
         else:
             self._write(answer, unread)
 
@@ -395,7 +392,7 @@
         """`unread`: more of the request may come, and is not waited for."""
         if self.transport is None or self.transport.is_closing():
             return
-        keep = self.keep and self.server.lifecycle.keeps and not unread
+        keep = self.keep_alive and self.server.lifecycle.keeps and not unread
         head = lines(answer.headers)
         if answer.retry_after_us > 0:
             head = b"%bRetry-After: %.3f\r\n" % (head, answer.retry_after_us / 1e6)
@@ -405,37 +402,37 @@
             % (START_LINES[answer.status], len(answer.body), head, close, answer.body)
         )
         if keep:
-            self.server.resting.add(self)
+            self.server.idle.add(self)
         else:
             self.close()
 
     # --- An answer that is passed on while it comes -----------------------------------
 
-    def _pass_on(self, answer: Answer, flow: Flow, unread: bool) -> None:
+    def _begin_streaming(self, answer: Answer, flow: Flow, unread: bool) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        self.chunks = flow.length < 0 and self.parser.get_http_version() == "1.1"
-        self.keep = self.keep and self.server.lifecycle.keeps and not unread
-        self.keep = self.keep and (self.chunks or flow.length >= 0)
-        framing = b"Transfer-Encoding: chunked\r\n" if self.chunks else b""
+        self.chunked = flow.length < 0 and self.parser.get_http_version() == "1.1"
+        self.keep_alive = self.keep_alive and self.server.lifecycle.keeps and not unread
+        self.keep_alive = self.keep_alive and (self.chunked or flow.length >= 0)
+        framing = b"Transfer-Encoding: chunked\r\n" if self.chunked else b""
         if flow.length >= 0:
             framing = b"Content-Length: %d\r\n" % flow.length
-        close = b"" if self.keep else b"Connection: close\r\n"
+        close = b"" if self.keep_alive else b"Connection: close\r\n"
         self.answer = flow
         self.transport.write(
             b"%b%b%b%b\r\n" % (START_LINES[answer.status], framing, lines(answer.headers), close)
         )
         flow.attach(self)
 
-    def _keep_behind(self, data: bytes) -> None:
+    def _hold_pipelined(self, data: bytes) -> None:
         """Read on until there is something: that the caller leaves is seen in this way alone."""
-        self.behind = b"%b%b" % (self.behind, data)
+        self.pipelined = b"%b%b" % (self.pipelined, data)
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
-            self.server.held_back.add(self)
+            self.server.paused.add(self)
 
-    def _read_behind(self) -> None:
-        data, self.behind = self.behind, b""
+    def _resume_pipelined(self) -> None:
+        data, self.pipelined = self.pipelined, b""
         if self.transport is not None:
             self.transport.resume_reading()
             self.data_received(data)
@@ -443,48 +440,48 @@
     def flow(self, data: bytes) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        if self.chunks:
+        if self.chunked:
             self.transport.write(b"%x\r\n%b\r\n" % (len(data), data))
         else:
             self.transport.write(data)
 
     def flowed(self, whole: bool) -> None:
         self.answer = None
-        self.server.held_back.discard(self)
+        self.server.paused.discard(self)
         if self.transport is None or self.transport.is_closing():
             return
-        if whole and self.chunks:
+        if whole and self.chunked:
             self.transport.write(b"0\r\n\r\n")
-        if whole and self.keep:
-            self.server.resting.add(self)
-            if self.behind and self.has_left():  # its end lay behind what was not read
+        if whole and self.keep_alive:
+            self.server.idle.add(self)
+            if self.pipelined and self.has_left():  # its end lay behind what was not read
                 self.close()
-            elif self.behind:
-                self._read_behind()
+            elif self.pipelined:
+                self._resume_pipelined()
             elif not self.server.lifecycle.keeps:  # it did when the answer's head was written
-                self.close_unless_asking()
-        elif whole or self.chunks or self.keep:
+                self.close_if_idle()
+        elif whole or self.chunked or self.keep_alive:
             # What has been given is still read; that it is not whole shows in its framing.
             self.close()
         else:
-            self.cut()
+            self.abort()
 
-    def refuse(self, error: BadRequestError) -> None:
+    def reject(self, error: BadRequestError) -> None:
         """A plain 4xx, then the end."""
-        self.over = True
-        self._leave()
+        self.closing = True
+        self._abandon()
         if self.transport is None or self.transport.is_closing():
             return
-        self.transport.write(refusal_of(error))
+        self.transport.write(rejection(error))
         self.close()
 
     def close(self) -> None:
         """A lingering close: this side ends behind what is written, what still comes is dropped, and the
         caller's own end closes the connection."""
-        self.over = True
+        self.closing = True
         if self.transport is None or self.transport.is_closing():
             return
-        self.server.ending(self)
+        self.server.on_closing(self)
         self.transport.write_eof()
         self.transport.resume_reading()
 
@@ -492,76 +489,76 @@
         """Whether all that it was answered is with the system."""
         return self.transport is None or self.transport.get_write_buffer_size() == 0
 
-    def end_linger(self) -> None:
+    def on_linger_timeout(self) -> None:
         """A caller that still takes its answer has as long as any that reads slowly."""
         if self.has_written():
-            self.cut()
+            self.abort()
         else:
-            self.server.stuck.add(self)
+            self.server.write_stalled.add(self)
 
-    def give_way(self) -> None:
+    def evict(self) -> None:
         """Its descriptor is freed at once. The last byte of a half-sent request may be on its way: it is
         refused past the transport, which would keep the bytes until the turn ends."""
-        if self.fed and self.call is None and not self.over and self.transport is not None:
+        if self.received and self.call is None and not self.closing and self.transport is not None:
             with contextlib.suppress(OSError):
-                refusal = refusal_of(BadRequestError(503, "too many connections"))
+                refusal = rejection(BadRequestError(503, "too many connections"))
                 os.write(self.transport.get_extra_info("socket").fileno(), refusal)
-        self.cut()
+        self.abort()
 
-    def cut(self) -> None:
-        self.over = True
+    def abort(self) -> None:
+        self.closing = True
         if self.transport is not None:
             self.transport.abort()
 
-    def has_more(self) -> bool:
+    def has_unread(self) -> bool:
         """Whether bytes have come that were not read yet."""
         assert self.transport is not None
-        return has_news(self.transport.get_extra_info("socket").fileno(), select.POLLIN, True)
+        return has_event(self.transport.get_extra_info("socket").fileno(), select.POLLIN, True)
 
     def has_left(self) -> bool:
         """Whether the caller has ended its side, though bytes before that may not be read yet."""
         if self.transport is None or self.transport.is_closing():
             return True
-        if self.hangup is None:
-            self.hangup = select.poll()
-            self.hangup.register(self.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
+        if self.hangup_poller is None:
+            self.hangup_poller = select.poll()
+            self.hangup_poller.register(self.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
         try:
-            return bool(self.hangup.poll(0))
+            return bool(self.hangup_poller.poll(0))
         except OSError:  # ENOMEM, poll(2): not known, so it stays
             return False
 
-    def close_unless_asking(self) -> None:
+    def close_if_idle(self) -> None:
         """Guards a request that crosses the end of its connection: one that has come is
-        served; what comes behind the close is sent once more by its caller."""
-        if not self.has_more():
+        served; what comes behind the close is sent once more by its connection."""
+        if not self.has_unread():
             self.close()
 
     def is_silent(self) -> bool:
-        return not self.fed
+        return not self.received
 
-    def is_unsent(self) -> bool:
-        return self.call is None and self.answer is None and not self.over
+    def has_nothing_forwarded(self) -> bool:
+        return self.call is None and self.answer is None and not self.closing
 
-    def end_unsent(self) -> None:
+    def close_unforwarded(self) -> None:
         """The process stops. What has come is read first. Of a half-sent request the last byte may be on its
         way: it is refused, as nothing of it was sent on."""
-        if self.fed and not self.has_more():
-            self.refuse(BadRequestError(503, STOPS))
+        if self.received and not self.has_unread():
+            self.reject(BadRequestError(503, STOPS))
         else:
-            self.close_unless_asking()
+            self.close_if_idle()
 
-    def end_upload(self) -> None:
+    def reject_upload(self) -> None:
         """The process stops. No endpoint has the last byte of an upload that is not whole: it is refused,
         and its attempt ends."""
         if self.upload is not None:
-            self.refuse(BadRequestError(503, STOPS))
+            self.reject(BadRequestError(503, STOPS))
 
-    def time_out(self) -> None:
+    def on_request_timeout(self) -> None:
         """The request did not come in time; a caller that sent none is just left."""
-        if self.fed:
-            self.refuse(BadRequestError(408, "the request came too slowly"))
+        if self.received:
+            self.reject(BadRequestError(408, "the request came too slowly"))
         else:
-            self.close_unless_asking()
+            self.close_if_idle()
 
 
 class Server:
@@ -579,23 +576,39 @@
         self.loop = loop
         self.request_budget = BufferBudget(budget_for(memory_mb))
         # An order's record holds all of it.
-        self.body_most = LARGE_MAX if engine.recorder is None else BODY_MAX
+        self.max_body = LARGE_MAX if engine.recorder is None else BODY_MAX
         self.lifecycle = lifecycle or Lifecycle()
         self.engine = engine
-        self.most = most  # connections of callers
-        self.callers: set[Caller] = set()
-        self.reading: Sweep[Caller] = Sweep(loop, READ_S, Caller.time_out)  # a request is owed
-        self.uploading: Sweep[Caller] = Sweep(loop, READ_S, Caller.time_out)  # the same, being sent on
-        self.held_back: Sweep[Caller] = Sweep(loop, HELD_S, Caller.end_if_left)  # the same, held back
-        self.stuck: Sweep[Caller] = Sweep(loop, STUCK_S, Caller.cut)  # does not read
-        self.resting: Sweep[Caller] = Sweep(loop, REST_S, Caller.close_unless_asking)  # between requests
-        self.lingering: Sweep[Caller] = Sweep(loop, LINGER_S, Caller.end_linger)  # half-closed
+        self.max_connections = most  # connections of callers
+        self.connections: set[ClientConnection] = set()
+        self.awaiting_request: DeadlineSweeper[ClientConnection] = DeadlineSweeper(
+            loop, READ_S, ClientConnection.on_request_timeout
+        )  # a request is owed
+        self.uploading: DeadlineSweeper[ClientConnection] = DeadlineSweeper(
+            loop, READ_S, ClientConnection.on_request_timeout
+        )  # the same, being sent on
+        self.paused: DeadlineSweeper[ClientConnection] = DeadlineSweeper(
+            loop, HELD_S, ClientConnection.check_hangup
+        )  # the same, held back
+        self.write_stalled: DeadlineSweeper[ClientConnection] = DeadlineSweeper(
+            loop, STUCK_S, ClientConnection.abort
+        )  # does not read
+        self.idle: DeadlineSweeper[ClientConnection] = DeadlineSweeper(
+            loop, REST_S, ClientConnection.close_if_idle
+        )  # between requests
+        self.lingering: DeadlineSweeper[ClientConnection] = DeadlineSweeper(
+            loop, LINGER_S, ClientConnection.on_linger_timeout
+        )  # half-closed
         # Came when others were gone.
-        self.late: Sweep[Caller] = Sweep(loop, LATE_S, Caller.close_unless_asking)
+        self.latecomers: DeadlineSweeper[ClientConnection] = DeadlineSweeper(
+            loop, LATE_S, ClientConnection.close_if_idle
+        )
         self.listener: Acceptor | None = None
         self.shutdown = GracefulShutdown(loop, self.lifecycle, self, on_stop)
-        self.receipts: Callable[[Call], None] | None = None  # asked for one; its front is answered later
-        self.shared: Callable[[Call], None] | None = None  # the same, asked what copies share
+        self.on_receipt_query: Callable[[Call], None] | None = (
+            None  # asked for one; its front is answered later
+        )
+        self.on_shared_query: Callable[[Call], None] | None = None  # the same, asked what copies share
 
     async def listen(
         self, host: str, port: int, shared: bool = False, handed: socket.socket | None = None
@@ -604,69 +617,71 @@
         listener that another process handed over."""
         if handed is not None:
             handed.setblocking(False)
-            listener = Acceptor(self.loop, [handed], self._caller)
+            listener = Acceptor(self.loop, [handed], self._new_connection)
         else:
-            listener = await listen(self.loop, self._caller, host, port, BACKLOG, reuse_port=shared)
+            listener = await listen(self.loop, self._new_connection, host, port, BACKLOG, reuse_port=shared)
         self.listener = listener
         self.lifecycle.serve(self.loop.time())
         return listener.port
 
-    def _caller(self) -> Any:
-        return Caller(self)
+    def _new_connection(self) -> Any:
+        return ClientConnection(self)
 
-    def joined(self, caller: Caller) -> None:
+    def on_connect(self, connection: ClientConnection) -> None:
         if self.shutdown.over:
-            caller.cut()  # guards a request that would run and go unanswered
+            connection.abort()  # guards a request that would run and go unanswered
             return
-        self.callers.add(caller)
+        self.connections.add(connection)
         late = self.listener is None or self.lifecycle.is_late(self.loop.time())
-        (self.late if late else self.reading).add(caller)
-        if len(self.callers) > self.most:
-            self._make_room()
+        (self.latecomers if late else self.awaiting_request).add(connection)
+        if len(self.connections) > self.max_connections:
+            self._evict_one()
 
-    def _make_room(self) -> None:
+    def _evict_one(self) -> None:
         """Guards the limit on descriptors against a crowd. None gives way while a part of its answer
         waits here: that would be lost. Nor one whose request has come and is not read yet, where
         another can."""
-        candidates: list[tuple[Sweep[Caller], Caller]] = []
-        for waits in eviction_order(len(self.reading.since), self.most):
-            sweep = self.lingering if waits == CLOSING else self.resting if waits == IDLE else self.reading
+        candidates: list[tuple[DeadlineSweeper[ClientConnection], ClientConnection]] = []
+        for waits in eviction_order(len(self.awaiting_request.since), self.max_connections):
+            sweep = (
+                self.lingering if waits == CLOSING else self.idle if waits == IDLE else self.awaiting_request
+            )
             written = (one for one in sweep.since if one.has_written())
             candidates += [(sweep, one) for one in itertools.islice(written, CANDIDATES)]
         for sweep, one in candidates:
-            if one.over or not one.has_more():
-                self._end_at_once(sweep, one)
+            if one.closing or not one.has_unread():
+                self._evict(sweep, one)
                 return
         if candidates:
-            self._end_at_once(*candidates[0])
+            self._evict(*candidates[0])
 
-    def _end_at_once(self, sweep: Sweep[Caller], caller: Caller) -> None:
-        sweep.discard(caller)
-        caller.give_way()
-        self.callers.discard(caller)  # its descriptor is freed in this turn of the loop
+    def _evict(self, sweep: DeadlineSweeper[ClientConnection], connection: ClientConnection) -> None:
+        sweep.discard(connection)
+        connection.evict()
+        self.connections.discard(connection)  # its descriptor is freed in this turn of the loop
 
-    def hold_head(self, caller: Caller) -> None:
+    def reserve_head(self, connection: ClientConnection) -> None:
         """Guards memory against a crowd of half-written heads: there the one that has been
         owed for longest gives way. Refused, as nothing of it was sent on."""
-        while not caller.hold_bytes(caller.fed):
-            held = (one for one in self.reading.since if one.reserved > 0 and one.asked is None)
-            oldest = next(held, caller)
-            oldest.refuse(BadRequestError(503, "too much is half-written"))
-            if oldest is caller:
+        while not connection.reserve(connection.received):
+            held = (one for one in self.awaiting_request.since if one.reserved > 0 and one.parsed is None)
+            oldest = next(held, connection)
+            oldest.reject(BadRequestError(503, "too much is half-written"))
+            if oldest is connection:
                 return
 
-    def ending(self, caller: Caller) -> None:
-        for sweep in (self.reading, self.uploading, self.held_back, self.resting, self.late):
-            sweep.discard(caller)
-        self.lingering.add(caller)
+    def on_closing(self, connection: ClientConnection) -> None:
+        for sweep in (self.awaiting_request, self.uploading, self.paused, self.idle, self.latecomers):
+            sweep.discard(connection)
+        self.lingering.add(connection)
 
-    def left(self, caller: Caller) -> None:
-        self.callers.discard(caller)
+    def on_disconnect(self, connection: ClientConnection) -> None:
+        self.connections.discard(connection)
         for sweep in (
-            *(self.reading, self.uploading, self.held_back, self.stuck),
-            *(self.resting, self.lingering, self.late),
+            *(self.awaiting_request, self.uploading, self.paused, self.write_stalled),
+            *(self.idle, self.lingering, self.latecomers),
         ):
-            sweep.discard(caller)
+            sweep.discard(connection)
         self.shutdown.maybe_end()
 
     def stop(self, on_end: Callable[[], None]) -> None:
--- a/laurelstep/net/shutdown.py
+++ b/laurelstep/net/shutdown.py
@@ -28,7 +28,7 @@
 from laurelstep.lifecycle.phases import DRAIN_S, REST_S
 from laurelstep.net.acceptor import SHORTAGE_PAUSE_S, Acceptor
 from laurelstep.net.errors import BadRequestError
-from laurelstep.net.message import Sweep, has_news
+from laurelstep.net.message import DeadlineSweeper, has_event
 
 BACKLOG: Final = 1024
 # New connections come for this long after SIGTERM, and a last one gets this
@@ -42,7 +42,7 @@
 SHORTAGE_PAUSES: Final = 6
 
 
-class Way(StrEnum):
+class ClosePolicy(StrEnum):
     DRAIN = "drain"  # by a call: the process stays
     STOP = "stop"  # SIGTERM
     SUCCEEDED = "succeeded"  # the same, and another process takes the callers
@@ -50,9 +50,9 @@
 
 # For each way: so many s after it began, the step. The end of a drain calls off what is to come of it.
 STEPS: Final = {
-    Way.DRAIN: ((REST_S, "end_resting"), (DRAIN_S, "end_drain")),
-    Way.STOP: ((0.0, "end_at_rest"), (ACCEPT_S + LAST_S, "stop_listening")),
-    Way.SUCCEEDED: ((0.0, "close_listener"), (LEAVE_S, "end_unsent")),
+    ClosePolicy.DRAIN: ((REST_S, "end_resting"), (DRAIN_S, "end_drain")),
+    ClosePolicy.STOP: ((0.0, "end_at_rest"), (ACCEPT_S + LAST_S, "stop_listening")),
+    ClosePolicy.SUCCEEDED: ((0.0, "close_listener"), (LEAVE_S, "end_unsent")),
 }
 
 
@@ -62,16 +62,16 @@
     def is_silent(self) -> bool:
         """Nothing of a request was read."""
 
-    def is_unsent(self) -> bool:
+    def has_nothing_forwarded(self) -> bool:
         """It waits for a request, or for the rest of one, of which nothing was sent on."""
 
-    def close_unless_asking(self) -> None: ...
+    def close_if_idle(self) -> None: ...
 
-    def end_unsent(self) -> None: ...
+    def close_unforwarded(self) -> None: ...
 
-    def end_upload(self) -> None: ...
+    def reject_upload(self) -> None: ...
 
-    def refuse(self, error: BadRequestError) -> None: ...
+    def reject(self, error: BadRequestError) -> None: ...
 
 
 class Connections(Protocol):
@@ -80,13 +80,13 @@
     listener: Acceptor | None
 
     @property
-    def callers(self) -> Collection[Connection]: ...
+    def connections(self) -> Collection[Connection]: ...
 
     @property
-    def resting(self) -> Sweep[Any]: ...
+    def idle(self) -> DeadlineSweeper[Any]: ...
 
     @property
-    def reading(self) -> Sweep[Any]: ...
+    def awaiting_request(self) -> DeadlineSweeper[Any]: ...
 
 
 class GracefulShutdown:
@@ -118,7 +118,7 @@
         self.on_end = on_end
         if self.on_stop is not None:
             self.on_stop()
-        self._begin(Way.SUCCEEDED if self.succeeded() else Way.STOP)
+        self._begin(ClosePolicy.SUCCEEDED if self.succeeded() else ClosePolicy.STOP)
 
     def _moved(self) -> None:
         """The daemon's phase is another."""
@@ -126,9 +126,9 @@
             handle.cancel()
         self.pending.clear()
         if self.lifecycle.phase == Phase.DRAINING:
-            self._begin(Way.DRAIN)
+            self._begin(ClosePolicy.DRAIN)
 
-    def _begin(self, way: Way) -> None:
+    def _begin(self, way: ClosePolicy) -> None:
         for seconds, name in STEPS[way]:
             step: Callable[[], None] = getattr(self, name)
             if seconds:
@@ -139,20 +139,20 @@
     # --- Steps ------------------------------------------------------------------------
 
     def end_at_rest(self) -> None:
-        for caller in list(self.server.resting.since):
-            caller.close_unless_asking()
+        for caller in list(self.server.idle.since):
+            caller.close_if_idle()
 
     def end_resting(self) -> None:
         """Callers that ask now and then have heard that their connection ends; others have not."""
         self.end_at_rest()
-        for caller in list(self.server.reading.since):
+        for caller in list(self.server.awaiting_request.since):
             if caller.is_silent():
-                caller.close_unless_asking()
+                caller.close_if_idle()
 
     def end_drain(self) -> None:
         """What is half here would still be open when all have to be gone."""
-        for caller in list(self.server.reading.since):
-            caller.refuse(BadRequestError(503, "this sidecar is being drained"))
+        for caller in list(self.server.awaiting_request.since):
+            caller.reject(BadRequestError(503, "this sidecar is being drained"))
         self.lifecycle.drained(self.loop.time())
 
     def stop_listening(self, turns: int = BACKLOG) -> None:
@@ -161,7 +161,7 @@
         listener = self.server.listener
         if listener is None:
             return
-        if turns > 0 and has_news(listener.sockets[0].fileno(), select.POLLIN, True):
+        if turns > 0 and has_event(listener.sockets[0].fileno(), select.POLLIN, True):
             if listener.is_short:
                 self.loop.call_later(
                     SHORTAGE_PAUSE_S, self.stop_listening, turns - BACKLOG // SHORTAGE_PAUSES
@@ -189,9 +189,9 @@
     def end_unsent(self) -> None:
         """No request begins any more: half-sent ones and silent callers keep nothing up. Asked again until
         all have gone: the last to join, and those of which something had come, have their turn so."""
-        for caller in list(self.server.callers):
-            if caller.is_unsent():
-                caller.end_unsent()
+        for caller in list(self.server.connections):
+            if caller.has_nothing_forwarded():
+                caller.close_unforwarded()
         self.maybe_end()
         if not self.over:
             self.loop.call_later(LAST_S, self.end_partial)
@@ -200,11 +200,11 @@
         """Guards against a request whose last byte comes later than 0.7 s after SIGTERM: with short
         deadlines SIGKILL comes before its answer."""
         self.refuses_partial = True
-        for caller in list(self.server.callers):
-            caller.end_upload()
+        for caller in list(self.server.connections):
+            caller.reject_upload()
         self.end_unsent()
 
     def maybe_end(self) -> None:
-        if self.closed and not self.server.callers and not self.over:
+        if self.closed and not self.server.connections and not self.over:
             self.over = True
             self.on_end()
--- a/laurelstep/upkeep/assembly.py
+++ b/laurelstep/upkeep/assembly.py
@@ -11,7 +11,7 @@
 from laurelstep.engine import Engine
 from laurelstep.engine.ports import Clock, Log, MemberSource
 from laurelstep.management.calls import Reply
-from laurelstep.net.slices import Slices
+from laurelstep.net.cooperative_task import CooperativeTask
 from laurelstep.settings import Config
 from laurelstep.upkeep.calls import reply_about
 from laurelstep.upkeep.desk import UpkeepDesk
@@ -39,7 +39,7 @@
         self.log = log
         self.roll = Roll()
         self.machines: Final[dict[int, Machine]] = {KIND[0]: self.roll}
-        self.slices = Slices(loop)
+        self.slices = CooperativeTask(loop)
         self.opened = asyncio.Event()  # this process may send
         self.source: UpkeepSource | None = None
         self.keeper: Keeper | None = None
--- a/laurelstep/workers/child.py
+++ b/laurelstep/workers/child.py
@@ -18,8 +18,8 @@
 
 from laurelstep.engine.engine import Engine
 from laurelstep.engine.listing import dump_in_steps
+from laurelstep.net.cooperative_task import CooperativeTask
 from laurelstep.net.discovery import Discovery
-from laurelstep.net.slices import Slices
 from laurelstep.settings import Config
 
 # Set by the parent: this process's number, how many there are, the channel's descriptor.
@@ -68,7 +68,7 @@
 class Channel(asyncio.Protocol):
     """The child's end."""
 
-    def __init__(self, engine: Engine, slices: Slices, on_lost: Callable[[], None]) -> None:
+    def __init__(self, engine: Engine, slices: CooperativeTask, on_lost: Callable[[], None]) -> None:
         self.engine = engine
         self.slices = slices
         self.on_lost = on_lost
@@ -100,6 +100,6 @@
     loop: asyncio.AbstractEventLoop, seat: Seat, engine: Engine, on_lost: Callable[[], None]
 ) -> None:
     """Tell the parent that this process serves, and answer it from now on."""
-    channel = Channel(engine, Slices(loop), on_lost)
+    channel = Channel(engine, CooperativeTask(loop), on_lost)
     await loop.create_connection(lambda: channel, sock=socket.socket(fileno=seat.channel))
     channel.tell(b'{"ready":true}\n')
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -111,7 +111,7 @@
     def callers(self) -> int:
         """Connections open at the front."""
         if self.daemon is not None:
-            return len(self.daemon.callers)
+            return len(self.daemon.connections)
         assert self.host is not None
         return len(self.host.server_state.connections)
 
@@ -175,7 +175,7 @@
     app = Starlette(middleware=[Middleware(BalancerMiddleware, client=client)])
     async with hosted(app) as (host, port):
         yield Sidecar(client.engine, client._parts.upstream, port, host=host)
-    assert client.state is State.CLOSED and not client._parts.upstream.links
+    assert client.state is State.CLOSED and not client._parts.upstream.connections
 
 
 @contextlib.asynccontextmanager
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -86,7 +86,7 @@
         before = asyncio.all_tasks()
         async with Client.open(config(), members) as client:
             yield BalancerMiddleware(app, client, **options), client
-        assert not client._parts.upstream.links
+        assert not client._parts.upstream.connections
         left = {one for one in asyncio.all_tasks() - before if "testing" not in repr(one)}
         assert not left, "no task is left behind"
 
@@ -306,7 +306,7 @@
             host.body()
             task = asyncio.create_task(middleware(http(), host.receive, never))
             await stuck.wait()
-            assert nothing_held(client) and len(client._parts.upstream.resting.since) == 1
+            assert nothing_held(client) and len(client._parts.upstream.idle_connections.since) == 1
             await client.close()
             task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -22,7 +22,7 @@
 from laurelstep.handover.place import Place
 from laurelstep.handover.taker import take
 from laurelstep.interface import FULL, Action, Outcome, Send
-from laurelstep.net.server import Caller
+from laurelstep.net.server import ClientConnection
 from tests.sockets import (
     SETTINGS,
     Endpoint,
@@ -112,10 +112,10 @@
         await asyncio.sleep(0)
 
 
-async def caller_of(one: Sidecar) -> Caller:
+async def caller_of(one: Sidecar) -> ClientConnection:
     """The one that is connected, by now."""
-    await until(lambda: len(one.server.callers) == 1)
-    (caller,) = one.server.callers
+    await until(lambda: len(one.server.connections) == 1)
+    (caller,) = one.server.connections
     return caller
 
 
@@ -230,7 +230,7 @@
 
 
 @pytest.mark.parametrize("first", ["request", "close"])
-@pytest.mark.parametrize("sweep", ["resting", "late", "reading"])
+@pytest.mark.parametrize("sweep", ["idle", "latecomers", "awaiting_request"])
 def test_a_request_and_the_idle_close_cross(sweep: str, first: str) -> None:
     """One that has come is served; behind the close none is sent on, and the caller sees an end, no reset."""
 
@@ -239,12 +239,12 @@
         async with sidecar(endpoint) as one:
             with client(one) as caller:
                 ended = await caller_of(one)
-                if sweep == "resting":
+                if sweep == "idle":
                     caller.send(request(rid="before"))
                     assert (await caller.read_answer()).status == 200
-                elif sweep == "late":
-                    one.server.reading.discard(ended)
-                    one.server.late.add(ended)
+                elif sweep == "latecomers":
+                    one.server.awaiting_request.discard(ended)
+                    one.server.latecomers.add(ended)
                 before = len(endpoint.got)
                 if first == "request":
                     caller.send(LAST)
@@ -256,7 +256,7 @@
                     caller.send(LAST)
                     assert await caller.read() == b""
                     caller.close()
-                    await until(lambda: not one.server.callers)
+                    await until(lambda: not one.server.connections)
                     assert len(endpoint.got) == before
 
     run(main())
@@ -305,7 +305,7 @@
                 (head, rest) = PAY[:-2], PAY[-2:]
                 caller.send(head)
                 begun = await caller_of(one)
-                await until(lambda: begun.fed == len(head))
+                await until(lambda: begun.received == len(head))
                 one.server.stop(ended.set)
                 if last_byte == "read":
                     caller.send(rest)
@@ -420,8 +420,8 @@
                 await until(lambda: passing.answer is not None)
                 if behind:
                     caller.send(request(rid="r2"))
-                    await until(lambda: bool(passing.behind))
-                one.server.resting.seconds = 3600.0  # not by this
+                    await until(lambda: bool(passing.pipelined))
+                one.server.idle.seconds = 3600.0  # not by this
                 if why == "stop":
                     one.server.stop(ended.set)
                     one.server.shutdown.stop_listening()
@@ -492,11 +492,13 @@
                     assert await caller.read() == b""
                     ours, theirs = socket.socketpair()
                     ours.setblocking(False)
-                    await asyncio.get_running_loop().connect_accepted_socket(one.server._caller, theirs)
+                    await asyncio.get_running_loop().connect_accepted_socket(
+                        one.server._new_connection, theirs
+                    )
                     caller.raw, last = ours, caller.raw
                     last.close()
-                    await until(lambda: late not in one.server.callers and bool(one.server.callers))
-                one.server.late.seconds = one.server.reading.seconds = 3600.0  # not by these
+                    await until(lambda: late not in one.server.connections and bool(one.server.connections))
+                one.server.latecomers.seconds = one.server.awaiting_request.seconds = 3600.0  # not by these
                 if brings == "late-request":
                     caller.send(PAGE)
                 found = await parsed(await caller.read())
@@ -535,15 +537,15 @@
                 begun = await caller_of(one)
                 transport = begun.transport
                 assert transport is not None
-                await until(lambda: begun.fed == len(whole) - 20 or not transport.is_reading())
+                await until(lambda: begun.received == len(whole) - 20 or not transport.is_reading())
                 if comes == "upload":
                     await until(lambda: endpoint.opened == 1)
                 take_steps_by_hand(one)
                 one.server.stop(ended.set)
                 caller.send(whole[-20:-10])
                 one.server.shutdown.stop_listening()
-                await until(lambda: not begun.has_more() or not transport.is_reading())
-                assert not begun.over
+                await until(lambda: not begun.has_unread() or not transport.is_reading())
+                assert not begun.closing
                 caller.send(whole[-10:] if comes == "whole" else whole[-10:-5])
                 one.server.shutdown.end_partial()
                 (back,) = await parsed(await caller.read())
@@ -836,18 +838,18 @@
                 taken = await caller_of(one)
                 await until(lambda: taken.answer is not None)
                 caller.send(PAY[:10])
-                await until(lambda: bool(taken.behind))
+                await until(lambda: bool(taken.pipelined))
                 if leaves:
                     caller.send(PAY[10:20])
                     caller.close()
-                due(one.server.held_back)
+                due(one.server.paused)
                 if leaves:
-                    await until(lambda: not one.server.callers and not one.upstream.links)
+                    await until(lambda: not one.server.connections and not one.upstream.connections)
                     assert one.engine.tally.abandoned == [1, 0, 0]
                 else:
                     go.set()
                     assert (await caller.read_answer()).body == 2 * LARGE
-                    assert not one.server.held_back.since
+                    assert not one.server.paused.since
 
     run(main())
 
@@ -862,7 +864,7 @@
         endpoint = Endpoint()
         async with sidecar(endpoint) as one:
             assert (await one.ask(PAGE)).body == b"ok"  # so there is a connection that needs no opening
-            await until(lambda: not one.server.callers)
+            await until(lambda: not one.server.connections)
             overrule(one.engine, request=lambda now, event: [])  # the module holds what comes
             caller = Client(one.port)
             caller.send(request(rid="held"))
@@ -930,7 +932,7 @@
         async with sidecar(endpoint) as one:
             if pooled:
                 assert (await one.ask(PAGE)).body == b"ok"
-                await until(lambda: not one.server.callers)
+                await until(lambda: not one.server.connections)
             overrule(one.engine, request=lambda now, event: [])  # the module holds what comes
             caller = Client(one.port)
             caller.send(request(rid="left"))
@@ -941,7 +943,7 @@
             else:
                 leave_before_connection_made(one, lambda: leave(caller))
             one.engine._do(Send(rid, number, 0))
-            await until(lambda: not one.engine.calls and not one.server.callers)
+            await until(lambda: not one.engine.calls and not one.server.connections)
             one.engine.decisions = one.engine.balancer
             assert one.engine.tally.abandoned == [1, 0, 0]
             assert (await one.ask(request(rid="r2"))).body == b"ok"
@@ -988,7 +990,7 @@
             (rid,) = one.engine.calls
             if leaves:
                 caller.close()
-            due(one.server.held_back)
+            due(one.server.paused)
             one.told(endpoint.entry())
             (number,) = one.engine.members.places
             one.engine._do(Send(rid, number, 0))  # as the module may decide at once
@@ -1026,7 +1028,7 @@
             passing = await caller_of(one)
             await until(lambda: passing.answer is not None)
             caller.send(request(rid="behind"))
-            await until(lambda: bool(passing.behind))
+            await until(lambda: bool(passing.pipelined))
             read = 0
             while read < len(large):
                 read += len(await asyncio.get_running_loop().sock_recv(caller.raw, 1 << 20))
@@ -1039,7 +1041,7 @@
                 while not (await asyncio.get_running_loop().sock_recv(caller.raw, 1 << 20)).endswith(b"ok"):
                     pass
             caller.close()
-            await until(lambda: not one.server.callers)
+            await until(lambda: not one.server.connections)
             ids = [got.headers["x-request-id"] for got in endpoint.got]
             assert ids == (["r1"] if leaves else ["r1", "behind"])
 
@@ -1057,11 +1059,11 @@
             writer.write(answer(body=LARGE if message.headers["x-request-id"] == "r1" else b"ok"))
 
         async with sidecar(Endpoint(large)) as one:
-            one.server.most = 3
+            one.server.max_connections = 3
             with client(one, window=4096) as slow, contextlib.ExitStack() as stack:
                 await small_buffer(one)
                 slow.send(PAGE)
-                await until(lambda: bool(one.server.resting.since))
+                await until(lambda: bool(one.server.idle.since))
                 crowd: list[Client] = []
                 for n in range(3):
                     crowd.append(stack.enter_context(client(one)))
@@ -1086,11 +1088,11 @@
                     callers.append(stack.enter_context(client(one)))
                     callers[n].send(request(rid=f"r{n}"))
                     assert (await callers[n].read_answer()).body == b"ok"
-                kept = list(one.server.resting.since)
+                kept = list(one.server.idle.since)
                 for caller in callers if unread == "all" else callers[:1]:
                     caller.send(request(rid="again"))
-                one.server._make_room()  # in this turn: nothing was read
-                (gone,) = set(kept) - one.server.callers
+                one.server._evict_one()  # in this turn: nothing was read
+                (gone,) = set(kept) - one.server.connections
                 assert gone is kept[0 if unread == "all" else 1]
                 if unread == "one":
                     assert (await callers[0].read_answer()).body == b"ok"
@@ -1104,11 +1106,11 @@
 
     async def main() -> None:
         async with sidecar(Endpoint()) as one:
-            one.server.most = 1
+            one.server.max_connections = 1
             with client(one) as half:
                 half.send(PAY[:-1])
                 begun = await caller_of(one)
-                await until(lambda: begun.fed == len(PAY) - 1)
+                await until(lambda: begun.received == len(PAY) - 1)
                 with client(one) as other:
                     (back,) = await parsed(await half.read())
                     assert back.status == 503 and back.headers["connection"] == "close"
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -23,7 +23,7 @@
 from laurelstep.engine.clock import Timer
 from laurelstep.engine.given import GivenMembers
 from laurelstep.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET, TIMEOUT, Action, Outcome
-from laurelstep.net.upstream import SETTLE_US, SPARE, told_ms
+from laurelstep.net.upstream import MIN_IDLE, SETTLE_US, told_ms
 from laurelstep.settings import config_from
 from laurelstep.testing import after, reset, serve, stall
 from tests.fakes import Answers, ManualClock, PlayedUpstream, entry
@@ -216,7 +216,7 @@
             Opening(one, made=stay_past_the_timeout).may_open.set()
             assert (await one.ask(request("pay"))).body == b"ok"
             assert endpoint.effects.by_id["r1"] == 1
-            assert len(one.upstream.links) == len(one.upstream.resting.since) == 1
+            assert len(one.upstream.connections) == len(one.upstream.idle_connections.since) == 1
 
     run(main())
 
@@ -240,7 +240,7 @@
             assert (await one.ask(request("pay"))).body == b"ok"
             assert [event.outcome for event in told] == [NO_CONNECT, OK]
             assert sorted(len(endpoint.got) for endpoint in endpoints) == [0, 1]
-            assert len(one.upstream.links) == 1
+            assert len(one.upstream.connections) == 1
 
     run(main())
 
@@ -253,7 +253,7 @@
             told = outcomes(one.engine)
             assert (await one.ask(request("pay"))).status == 503
             assert [event.outcome for event in told] == [NO_CONNECT]
-            assert not one.upstream.links
+            assert not one.upstream.connections
 
     run(main())
 
@@ -413,7 +413,7 @@
             await peer.read(taken)
             await peer.loop.sock_sendall(taken, spoilt)
             if spoilt.startswith(b"HTTP"):  # it never ends
-                answering = one.upstream.answering
+                answering = one.upstream.receiving
                 await until(lambda: bool(answering.since))
                 (link,) = answering.since
                 answering.since[link] -= answering.seconds
@@ -454,17 +454,17 @@
 async def spoil_at_rest(kept: Kept) -> None:
     taken = await kept.serve()
     await kept.peer.loop.sock_sendall(taken, b"HT")
-    await until(lambda: not kept.one.upstream.links)
+    await until(lambda: not kept.one.upstream.connections)
 
 
 async def spoil_behind(kept: Kept) -> None:
     await kept.serve(behind=answer(body=b"twice"))
-    await until(lambda: not kept.one.upstream.links)
+    await until(lambda: not kept.one.upstream.connections)
 
 
 async def spoil_noise(kept: Kept) -> None:
     await kept.serve(behind=b"\0\1")
-    await until(lambda: not kept.one.upstream.links)
+    await until(lambda: not kept.one.upstream.connections)
 
 
 @pytest.mark.parametrize("spoil", [spoil_at_rest, spoil_behind, spoil_noise])
@@ -515,9 +515,9 @@
 
             kept.time += SETTLE_US
             await serve_by(taken)
-            for _ in range(SPARE):
+            for _ in range(MIN_IDLE):
                 await kept.serve()
-            assert len(one.upstream.resting.since) == SPARE + 1
+            assert len(one.upstream.idle_connections.since) == MIN_IDLE + 1
             await serve_by(taken)
 
     run(main())
@@ -540,7 +540,9 @@
         await peer.read_all(taken, 65_000)
         reset_by(taken)
     taken = await peer.accept()
-    await until(lambda: bool(one.upstream.links) and all(link.full for link in one.upstream.links))
+    await until(
+        lambda: bool(one.upstream.connections) and all(link.write_paused for link in one.upstream.connections)
+    )
     return asked, taken
 
 
@@ -572,7 +574,7 @@
             told = outcomes(one.engine)
             asked, taken = await half_written(one, peer)
             await peer.read_all(taken, 65_000)
-            await until(lambda: not any(link.full for link in one.upstream.links))
+            await until(lambda: not any(link.write_paused for link in one.upstream.connections))
             reset_by(taken)
             assert (await asked).status == 502
             assert told[0].outcome == RESET
@@ -748,9 +750,9 @@
             if when == "at-rest":
                 await peer.loop.sock_sendall(taken, half)
                 taken.close()
-                await until(lambda: not one.upstream.links)
+                await until(lambda: not one.upstream.connections)
             elif when == "as-it-is-used-again":
-                (link,) = one.upstream.links
+                (link,) = one.upstream.connections
                 assert link.transport is not None
                 link.transport.pause_reading()  # as though the loop had no turn since
                 taken.send(half)
@@ -801,11 +803,11 @@
         endpoints = [Endpoint(), Endpoint(), Endpoint(), Endpoint()]
         async with sidecar(*endpoints) as one:
             told = outcomes(one.engine)
-            one.upstream.most = 0
+            one.upstream.max_connections = 0
             assert (await one.ask(request("pay"))).status == 503
             assert [event.outcome for event in told] == [MOOT] * len(told) and len(told) <= 4
             assert not await count_got(endpoints)
-            one.upstream.most = 1
+            one.upstream.max_connections = 1
             assert (await one.ask(request("pay", rid="r2"))).status == 200
 
     run(main())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -15,8 +15,8 @@
 
 from laurelstep.net import discovery as module
 from laurelstep.net.discovery import LIST_PATH, Discovery
+from laurelstep.net.json_stream import SCAN, JsonStreamDecoder
 from laurelstep.net.message import log
-from laurelstep.net.objects import SCAN, Objects
 from laurelstep.testing import Listener, Reader, Writer, push, push_raw, read_message
 from tests.conftest import Logged
 from tests.sockets import run
@@ -35,7 +35,7 @@
 # --- Objects in a stream ----------------------------------------------------------------
 
 
-def taken(objects: Objects) -> list[Any]:
+def taken(objects: JsonStreamDecoder) -> list[Any]:
     found = []
     while (raw := objects.take()) is not None or objects.more:
         if raw is not None:
@@ -50,7 +50,7 @@
 def test_objects_cut_at_every_byte(indent: int | None) -> None:
     raw = "\n".join(json.dumps(one, indent=indent) for one in TWO).encode() + b"\n\n"
     for cut in range(len(raw) + 1):
-        objects = Objects(MOST)
+        objects = JsonStreamDecoder(MOST)
         objects.feed(raw[:cut])
         found = taken(objects)
         objects.feed(raw[cut:])
@@ -58,7 +58,7 @@
 
 
 def test_two_objects_in_one_chunk_need_no_line_between_them() -> None:
-    objects = Objects(MOST)
+    objects = JsonStreamDecoder(MOST)
     objects.feed(b"".join(json.dumps(one).encode() for one in TWO))
     assert taken(objects) == list(TWO)
 
@@ -83,7 +83,7 @@
     raw = " \n".join(
         json.dumps(one, indent=indent or None, ensure_ascii=ascii_only) for one in values
     ).encode()
-    objects, found = Objects(MOST), []
+    objects, found = JsonStreamDecoder(MOST), []
     for size in sizes:
         objects.feed(raw[:size])
         raw = raw[size:]
@@ -97,7 +97,7 @@
     [b"[1]", b"x", b"}", b'{"a": nope}', b"{not json", b'{"a": tru, ', b'{"a": Infinity}', b'{"a" \x00'],
 )
 def test_what_can_be_no_json_is_an_error_at_once(raw: bytes) -> None:
-    objects = Objects(MOST)
+    objects = JsonStreamDecoder(MOST)
     objects.feed(raw)
     with pytest.raises(ValueError):
         taken(objects)
@@ -105,17 +105,17 @@
 
 @pytest.mark.parametrize("raw", [b'{"a": t', b'{"a": "x', b'{"a": "x\\', b'{"a": 1', b"{", b'{"a": nul'])
 def test_what_only_stops_short_is_waited_for(raw: bytes) -> None:
-    objects = Objects(MOST)
+    objects = JsonStreamDecoder(MOST)
     objects.feed(raw)
     assert taken(objects) == [] and objects.begun
 
 
 def test_what_is_kept_is_bounded() -> None:
-    endless = Objects(1000)
+    endless = JsonStreamDecoder(1000)
     endless.feed(b'{"instances": [' + b"{}," * 400)
-    deep = Objects(MOST)
+    deep = JsonStreamDecoder(MOST)
     deep.feed(b'{"a":' * 100)
-    wordy = Objects(MOST)
+    wordy = JsonStreamDecoder(MOST)
     wordy.feed(b'{"a": "' + b"x" * SCAN)
     for objects, match in ((endless, "more than 1000"), (deep, "deeper"), (wordy, "without a brace")):
         with pytest.raises(ValueError, match=match):
@@ -124,7 +124,7 @@
 
 def test_a_call_looks_at_a_part_of_an_indented_list_of_10_000() -> None:
     value = listing(1, *(entry(f"s-{n}") for n in range(10_000)), whole=True)
-    objects = Objects(MOST * 64)
+    objects = JsonStreamDecoder(MOST * 64)
     objects.feed(json.dumps(value, indent=2).encode())
     calls, found, before = 0, None, 0
     while found is None:
--- a/tests/test_flow_control.py
+++ b/tests/test_flow_control.py
@@ -168,8 +168,8 @@
 def nothing_held(one: Sidecar) -> None:
     daemon = one.server
     assert daemon.request_budget.used == 0 and not one.engine.calls and not one.engine.passing
-    assert not daemon.uploading.since and not daemon.stuck.since
-    assert not one.upstream.passing.since and not one.upstream.stalled.since
+    assert not daemon.uploading.since and not daemon.write_stalled.since
+    assert not one.upstream.streaming.since and not one.upstream.write_stalled.since
 
 
 @pytest.mark.parametrize("size", [100, 64 * 1024 + 1, MAX_BUFFERED, MAX_BUFFERED + 1, len(BIG)])
@@ -316,14 +316,14 @@
                         await writer.drain()
 
             pouring = asyncio.create_task(pour())
-            stalled = one.upstream.stalled
+            stalled = one.upstream.write_stalled
             await until(lambda: bool(stalled.since))
             for link in stalled.since:
                 stalled.since[link] -= stalled.seconds  # nothing was read for so long
             stalled.run()
             back = await read_message(reader)
             assert back.status in (502, 503) and back.headers["connection"] == "close"
-            assert not one.engine.calls and not one.upstream.links
+            assert not one.engine.calls and not one.upstream.connections
             pouring.cancel()
             writer.transport.abort()
             for open_ in endpoint.open:
@@ -347,9 +347,9 @@
                     await writer.drain()
 
             pouring = asyncio.create_task(pour())
-            await until(lambda: bool(one.upstream.stalled.since))
-            (caller,) = one.server.callers
-            (link,) = one.upstream.links
+            await until(lambda: bool(one.upstream.write_stalled.since))
+            (caller,) = one.server.connections
+            (link,) = one.upstream.connections
             size = caller.size
             for _ in range(200):
                 await asyncio.sleep(0)
@@ -371,9 +371,9 @@
         async with sidecar(endpoint) as one:
             reader, writer = await one.connect()
             writer.write(head(3000))
-            waiting = one.server.reading.since
+            waiting = one.server.awaiting_request.since
             for part in pieces(BIG[:3000], 1000):
-                await until(lambda: bool(waiting) and next(iter(waiting)).asked is not None)
+                await until(lambda: bool(waiting) and next(iter(waiting)).parsed is not None)
                 (caller,) = waiting
                 began = waiting[caller] = waiting[caller] - 1.0
                 writer.write(part)
@@ -390,8 +390,8 @@
         async with sidecar(endpoint) as one:
             reader, writer = await one.connect()
             writer.write(head(200_000) + b"x" * 10)
-            await until(lambda: any(caller.asked is not None for caller in one.server.callers))
-            (caller,) = one.server.callers
+            await until(lambda: any(caller.parsed is not None for caller in one.server.connections))
+            (caller,) = one.server.connections
             caller.head_at -= 60.0  # as if the head had come a minute ago
             writer.write(b"x" * 1000)
             back = await read_message(reader)
@@ -532,13 +532,13 @@
             reader, writer = await one.connect()
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             writer.write(request())
-            await until(lambda: bool(one.server.stuck.since))
-            (caller,) = one.server.callers
+            await until(lambda: bool(one.server.write_stalled.since))
+            (caller,) = one.server.connections
             assert caller.transport is not None
             for _ in range(200):
                 await asyncio.sleep(0)
             assert caller.transport.get_write_buffer_size() < MB and not poured.is_set()
-            assert one.server.stuck.since and not one.upstream.passing.since
+            assert one.server.write_stalled.since and not one.upstream.streaming.since
             writer.transport.resume_reading()  # type: ignore[attr-defined]
             await reader.readuntil(b"\r\n\r\n")
             assert len(await reader.readexactly(32 * (MB - 1))) == 32 * (MB - 1)
@@ -561,12 +561,12 @@
             reader, writer = await one.connect()
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             writer.write(request())
-            stuck = one.server.stuck
+            stuck = one.server.write_stalled
             await until(lambda: bool(stuck.since))
             for caller in stuck.since:
                 stuck.since[caller] -= stuck.seconds  # it has not read for so long
             stuck.run()
-            await until(lambda: not one.server.callers and not one.upstream.links)
+            await until(lambda: not one.server.connections and not one.upstream.connections)
             assert counted(one) == (0, 0, 0, 1, 0), "it counts as one who left"
             nothing_held(one)
             writer.transport.resume_reading()  # type: ignore[attr-defined]
@@ -620,7 +620,7 @@
             go.set()
             assert await reader.readexactly(len(BIG)) == BIG
             await ended.wait()
-            assert one.server.callers == set()
+            assert one.server.connections == set()
             writer.close()
 
     run(main())
@@ -638,16 +638,16 @@
         endpoint = giving(answer(200, b"123456789")[:-4], rest)
         async with sidecar(endpoint) as one:
             asked = asyncio.create_task(one.ask(request("pay", b"b")))
-            await until(lambda: bool(one.upstream.answering.since))
-            (link,) = one.upstream.answering.since
+            await until(lambda: bool(one.upstream.receiving.since))
+            (link,) = one.upstream.receiving.since
             if stays:
-                link.fed_then = 0  # something came since it was looked at last
-                del one.upstream.answering.since[link]
-                link.late()
+                link.received_at_check = 0  # something came since it was looked at last
+                del one.upstream.receiving.since[link]
+                link.on_response_timeout()
                 go.set()
                 assert (await asked).body == b"123456789"
             else:
-                link.late()
+                link.on_response_timeout()
                 assert (await asked).status == 502
 
     run(main())
@@ -671,18 +671,18 @@
             writer.write(request())
             await reader.readuntil(b"\r\n\r\n")
             await reader.readexactly(128 * 1024)
-            (link,) = one.upstream.passing.since
+            (link,) = one.upstream.streaming.since
             pace_s = GRACE_S + link.size / MIN_RATE
             if held:
                 link.hold()
-                link.held_since -= pace_s + 60.0
-                link.passed_since -= pace_s + 60.0
+                link.paused_since -= pace_s + 60.0
+                link.streaming_since -= pace_s + 60.0
                 link.go_on()
             else:
-                link.passed_since -= pace_s
+                link.streaming_since -= pace_s
             more.set()
             if held:
-                assert await reader.readexactly(1) == b"x" and one.upstream.links
+                assert await reader.readexactly(1) == b"x" and one.upstream.connections
                 writer.close()
             else:
                 with pytest.raises(asyncio.IncompleteReadError):
@@ -703,12 +703,12 @@
             streams = [await one.connect() for _ in range(40)]
             for n, (_, writer) in enumerate(streams):
                 writer.write(head(MB, rid=f"r{n}") + BIG[:300_000])
-            await until(lambda: sum(caller.size >= 300_000 for caller in one.server.callers) == 40)
+            await until(lambda: sum(caller.size >= 300_000 for caller in one.server.connections) == 40)
             assert one.server.request_budget.used <= MB
-            assert sum(caller.upload is not None for caller in one.server.callers) > 30
+            assert sum(caller.upload is not None for caller in one.server.connections) > 30
             for _, writer in streams:
                 writer.transport.abort()
-            await until(lambda: not one.server.callers and not one.engine.calls)
+            await until(lambda: not one.server.connections and not one.engine.calls)
             nothing_held(one)
 
     run(main())
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -322,7 +322,7 @@
         # Only what is written already may still arrive.
         written = {
             attempt.call.name.decode()
-            for attempt, link in self.client._parts.upstream.carrying.items()
+            for attempt, link in self.client._parts.upstream.by_attempt.items()
             if attempt.endpoint == number(name) and link.transport is not None
         }
         self.drained[name] = len(self.gates.arrived), written
@@ -350,7 +350,7 @@
             await played.step(words)
         await played.finish()
         assert client.state is State.CLOSED and nothing_held(client)
-        assert not client._parts.upstream.links and not client._parts.upstream.carrying
+        assert not client._parts.upstream.connections and not client._parts.upstream.by_attempt
         found = await asyncio.gather(*played.asked, return_exceptions=True)
         replies = [one for one in found if isinstance(one, Reply)]
         accounted(client.engine)
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -228,9 +228,11 @@
             silent, silent_writer = await one.one.connect()
             half, half_writer = await one.one.connect()
             half_writer.write(request("pay", b"body", rid="b")[:-2])
-            while len(one.one.server.callers) < 3 or not all(c.fed for c in one.one.server.reading.since):
+            while len(one.one.server.connections) < 3 or not all(
+                c.received for c in one.one.server.awaiting_request.since
+            ):
                 await asyncio.sleep(0)
-                if sum(1 for c in one.one.server.callers if c.fed) == 1:
+                if sum(1 for c in one.one.server.connections if c.received) == 1:
                     break
             one.one.server.lifecycle.evacuate(asyncio.get_running_loop().time())
             one.one.server.shutdown.end_resting()
@@ -254,10 +256,10 @@
             reader, writer = await one.one.connect()
             writer.write(request(rid="a"))
             await read_message(reader)
-            (caller,) = one.one.server.callers
+            (caller,) = one.one.server.connections
             one.one.server.lifecycle.evacuate(asyncio.get_running_loop().time())
             writer.write(request(rid="b"))
-            while not caller.has_more():  # it has come, and was not read
+            while not caller.has_unread():  # it has come, and was not read
                 pass
             one.one.server.shutdown.end_resting()
             back = await read_message(reader)
@@ -277,15 +279,17 @@
             reader, writer = await one.one.connect()
             whole = request("pay", b"body")
             writer.write(whole[:-1])
-            while not all(caller.fed == len(whole) - 1 for caller in one.one.server.reading.since):
+            while not all(
+                caller.received == len(whole) - 1 for caller in one.one.server.awaiting_request.since
+            ):
                 await asyncio.sleep(0)
-            while not one.one.server.reading.since:
+            while not one.one.server.awaiting_request.since:
                 await asyncio.sleep(0)
-            (caller,) = one.one.server.callers
+            (caller,) = one.one.server.connections
             one.one.server.lifecycle.evacuate(asyncio.get_running_loop().time())
             if first == "last-byte":
                 writer.write(whole[-1:])
-                while not caller.has_more():  # it has come, and was not read
+                while not caller.has_unread():  # it has come, and was not read
                     pass
             one.one.server.shutdown.end_drain()
             if first == "end":
@@ -320,7 +324,7 @@
     async def main() -> None:
         async with desk() as one:
             server = one.one.server
-            server.late.seconds = 0.0
+            server.latecomers.seconds = 0.0
             server.lifecycle.evacuate(asyncio.get_running_loop().time() - 1.5)
             reader, writer = await one.one.connect()
             assert await reader.read() == b""
@@ -417,9 +421,9 @@
     async def main() -> None:
         async with desk(Endpoint(hold)) as one:
             asked = asyncio.create_task(one.one.ask(request("pay", b"x" * 60_000, rid="a")))
-            while not one.one.upstream.links:
+            while not one.one.upstream.connections:
                 await asyncio.sleep(0)
-            (link,) = one.one.upstream.links
+            (link,) = one.one.upstream.connections
             while link.transport is None:
                 await asyncio.sleep(0)
             assert link.unwritten != bool(one.one.engine.tally.sends)
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -45,7 +45,7 @@
 
 
 async def until_counted(one: Sidecar, halves: int) -> None:
-    while sum(caller.fed > 20_000 for caller in one.server.callers) < halves:
+    while sum(caller.received > 20_000 for caller in one.server.connections) < halves:
         await asyncio.sleep(0)
 
 
@@ -77,7 +77,7 @@
             assert (await one.ask(request(rid="r2"))).body == b"ok"
             for _, writer in streams:
                 writer.transport.abort()
-            while one.server.callers:
+            while one.server.connections:
                 await asyncio.sleep(0)
             assert one.server.request_budget.used == 0
 
@@ -117,7 +117,7 @@
                 task.cancel()
             await asyncio.gather(*taken, return_exceptions=True)
             writer.close()
-            while one.server.callers or one.engine.calls:
+            while one.server.connections or one.engine.calls:
                 await asyncio.sleep(0)
             assert one.server.request_budget.used == 0
 
@@ -154,9 +154,9 @@
             budget = one.upstream.answer_budget
             budget.limit = 3 * (len(part) - UNCOUNTED)
             asked = [asyncio.create_task(one.ask(request(rid=f"r{n}"))) for n in range(8)]
-            while len(one.upstream.answering.since) + len(one.upstream.passing.since) < 8:
+            while len(one.upstream.receiving.since) + len(one.upstream.streaming.since) < 8:
                 await asyncio.sleep(0)
-            assert budget.used <= budget.limit and len(one.upstream.passing.since) >= 5
+            assert budget.used <= budget.limit and len(one.upstream.streaming.since) >= 5
             go.set()
             assert all(message.body == 2 * part for message in await asyncio.gather(*asked))
             assert budget.used == 0
@@ -172,9 +172,9 @@
             reader, writer = await one.connect()
             framed = request("put").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
             writer.write(framed + b"1\r\nx\r\n" * 20_000)
-            while not any(caller.size == 20_000 for caller in one.server.callers):
+            while not any(caller.size == 20_000 for caller in one.server.connections):
                 await asyncio.sleep(0)
-            (caller,) = one.server.callers
+            (caller,) = one.server.connections
             assert len(caller.body) == 20_000 and isinstance(caller.body, bytearray)
             writer.write(b"0\r\n\r\n")
             assert (await read_message(reader)).status == 200
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -17,8 +17,8 @@
 from laurelstep.engine import Answer, Attempt, Call, Clock
 from laurelstep.interface import CANCELLED, ERROR, FULL, OK
 from laurelstep.library.client import Exchange
-from laurelstep.net.server import LINGER_MOST, Caller
-from laurelstep.net.upstream import SPARE, Link
+from laurelstep.net.server import LINGER_MOST, ClientConnection
+from laurelstep.net.upstream import MIN_IDLE, EndpointConnection
 from laurelstep.policy import HELD_MIN
 from tests.sockets import (
     Endpoint,
@@ -172,8 +172,8 @@
     one.engine.clock = cast(Clock, Replaced(one.engine.clock, now=lambda: real() + span_us))
 
 
-def the_caller(one: Sidecar) -> Caller:
-    (caller,) = one.server.callers
+def the_caller(one: Sidecar) -> ClientConnection:
+    (caller,) = one.server.connections
     return caller
 
 
@@ -196,7 +196,7 @@
             assert LINGER_MOST < caller.dropped <= LINGER_MOST + (256 << 10), "one read over the bound"
             one.server.lingering.since[caller] -= 60.0
             one.server.lingering.run()
-            while one.server.callers:
+            while one.server.connections:
                 await asyncio.sleep(0)
             assert not endpoint.got
             writer.close()
@@ -214,11 +214,11 @@
         async with sidecar(Endpoint()) as one:
             reader, writer = await one.connect()
             writer.write(raw)
-            while not one.server.callers or (raw and not the_caller(one).fed):
+            while not one.server.connections or (raw and not the_caller(one).received):
                 await asyncio.sleep(0)
-            assert one.server.reading.seconds < 3.0
-            one.server.reading.since[the_caller(one)] -= one.server.reading.seconds
-            one.server.reading.run()
+            assert one.server.awaiting_request.seconds < 3.0
+            one.server.awaiting_request.since[the_caller(one)] -= one.server.awaiting_request.seconds
+            one.server.awaiting_request.run()
             if expected is not None:
                 assert (await read_message(reader)).start.split()[1] == expected
             assert await reader.read() == b""
@@ -233,11 +233,11 @@
             reader, writer = await one.connect()
             writer.write(PAGE)
             assert (await read_message(reader)).body == b"ok"
-            assert one.server.resting.seconds >= 2.0, "a connection may not be closed sooner"
-            one.server.resting.since[the_caller(one)] -= one.server.resting.seconds
-            one.server.resting.run()
+            assert one.server.idle.seconds >= 2.0, "a connection may not be closed sooner"
+            one.server.idle.since[the_caller(one)] -= one.server.idle.seconds
+            one.server.idle.run()
             assert await reader.read() == b""
-            while one.server.callers:
+            while one.server.connections:
                 await asyncio.sleep(0)
             writer.close()
 
@@ -248,7 +248,7 @@
     async def main() -> None:
         endpoint = Endpoint(hold)
         async with sidecar(endpoint) as one:
-            one.server.most = 9
+            one.server.max_connections = 9
             asked = asyncio.create_task(one.ask(PAGE))
             await endpoint.arrived.acquire()
             endpoint.handler = serve_ok
@@ -258,7 +258,7 @@
             crowd = [await one.connect() for _ in range(40)]
             assert await crowd[0][0].read() == b"", "the one silent for longest"
             assert (await one.ask(request(rid="r3"))).body == b"ok"
-            assert len(one.server.callers) <= 9
+            assert len(one.server.connections) <= 9
             kept_writer.write(request(rid="r4"))
             assert (await read_message(kept)).body == b"ok", "one at rest does not give way to them"
             assert not asked.done(), "nor does one that waits for its answer"
@@ -272,7 +272,7 @@
 def test_of_those_at_rest_the_longest_gives_way() -> None:
     async def main() -> None:
         async with sidecar(Endpoint()) as one:
-            one.server.most = 4
+            one.server.max_connections = 4
             kept = [await one.connect() for _ in range(4)]
             for n, (reader, writer) in enumerate(kept):
                 writer.write(request(rid=f"r{n}"))
@@ -333,7 +333,7 @@
             assert (await one.ask(PAY)).start.split()[1] == "502"
             assert [event.outcome for event in told] == [ERROR]
             await endpoint.closed.acquire()  # of no further use
-            while one.upstream.links:
+            while one.upstream.connections:
                 await asyncio.sleep(0)
 
     run(main())
@@ -353,11 +353,11 @@
         async with sidecar(endpoint) as one:
             told = outcomes(one.engine)
             asked = asyncio.create_task(one.ask(PAY))
-            while not one.upstream.answering.since:
+            while not one.upstream.receiving.since:
                 await asyncio.sleep(0)
-            (link,) = one.upstream.links
-            one.upstream.answering.since[link] -= one.upstream.answering.seconds
-            one.upstream.answering.run()
+            (link,) = one.upstream.connections
+            one.upstream.receiving.since[link] -= one.upstream.receiving.seconds
+            one.upstream.receiving.run()
             assert (await asked).start.split()[1] == "502"
             assert [event.outcome for event in told] == [ERROR]
 
@@ -392,11 +392,11 @@
         endpoint = Endpoint(keep)
         async with sidecar(endpoint) as one:
             assert (await one.ask(PAGE)).body == b"ok"
-            (link,) = one.upstream.links
-            assert link.transport is not None and link.fit()
+            (link,) = one.upstream.connections
+            assert link.transport is not None and link.is_reusable()
             link.transport.pause_reading()  # as though the loop had no turn since
             writers[0].write(answer(body=b"stray"))
-            while link.fit():
+            while link.is_reusable():
                 await asyncio.sleep(0)
             assert (await one.ask(request(rid="r2"))).body == b"ok"
             assert endpoint.opened == 2
@@ -427,9 +427,9 @@
             (number,) = one.upstream.addresses
             attempt = Attempt(one.engine, call, 0, number, 0, 0)
             one.upstream.send(attempt)
-            assert len(one.upstream.links) == 1
+            assert len(one.upstream.connections) == 1
             one.upstream.cancel(attempt)  # the task that opens it has not had a turn yet
-            assert not one.upstream.links
+            assert not one.upstream.connections
 
     run(main())
 
@@ -455,7 +455,7 @@
             release.set()
             assert (await asked).body == b"ok", "what was taken is finished"
             await endpoint.closed.acquire()
-            while one.upstream.links:
+            while one.upstream.connections:
                 await asyncio.sleep(0)
 
     run(main())
@@ -464,8 +464,10 @@
 def test_what_a_rush_opened_is_not_kept_for_long() -> None:
     async def main() -> None:
         async with sidecar(Endpoint()) as one:
-            assert one.upstream.resting.seconds <= 6.0, "though the endpoint would keep it for 30 s"
-            assert one.engine.balancer.s.idle_us == one.upstream.resting.seconds * 1e6, "the module too"
+            assert one.upstream.idle_connections.seconds <= 6.0, "though the endpoint would keep it for 30 s"
+            assert one.engine.balancer.s.idle_us == one.upstream.idle_connections.seconds * 1e6, (
+                "the module too"
+            )
 
     run(main())
 
@@ -482,16 +484,16 @@
 
         endpoint = Endpoint(rush)
         async with sidecar(endpoint) as one:
-            asked = [asyncio.create_task(one.ask(request(rid=f"r{n}"))) for n in range(SPARE + 3)]
+            asked = [asyncio.create_task(one.ask(request(rid=f"r{n}"))) for n in range(MIN_IDLE + 3)]
             for _ in asked:
                 await endpoint.arrived.acquire()
             release.set()
             assert [(await each).body for each in asked] == [b"ok"] * len(asked)
             for _ in range(3):
                 await endpoint.closed.acquire()
-            while one.upstream.surplus.since:
+            while one.upstream.surplus_connections.since:
                 await asyncio.sleep(0)
-            assert len(one.upstream.links) == len(one.upstream.resting.since) == SPARE
+            assert len(one.upstream.connections) == len(one.upstream.idle_connections.since) == MIN_IDLE
 
     run(main())
 
@@ -572,7 +574,10 @@
 
 
 def alive() -> int:
-    return sum(type(one) in (Caller, Exchange, Link, Call, Attempt) for one in gc.get_objects())
+    return sum(
+        type(one) in (ClientConnection, Exchange, EndpointConnection, Call, Attempt)
+        for one in gc.get_objects()
+    )
 
 
 def test_what_is_over_is_freed_without_the_collector() -> None:
@@ -590,7 +595,7 @@
                 writer.close()
                 await endpoint.closed.acquire()
                 one.told()
-                while one.callers or one.upstream.links:
+                while one.callers or one.upstream.connections:
                     await asyncio.sleep(0)
                 await asyncio.sleep(0)
                 assert alive() == 0
@@ -702,7 +707,7 @@
     ours, theirs = socket.socketpair()
     ours.sendall(raw)
     ours.setblocking(False)
-    await asyncio.get_running_loop().connect_accepted_socket(one.server._caller, theirs)
+    await asyncio.get_running_loop().connect_accepted_socket(one.server._new_connection, theirs)
     return ours
 
 
@@ -714,7 +719,7 @@
             one.server.stop(ended.set)
             connecting = asyncio.create_task(accepted(one, PAY))
             await asyncio.sleep(0)  # accepted, and not yet told to the server
-            assert not one.server.callers
+            assert not one.server.connections
             one.server.shutdown.close_listener()
             ours = await connecting
             back = await asyncio.get_running_loop().sock_recv(ours, 1000)
@@ -738,7 +743,7 @@
             ours = await accepted(one, PAY)
             with contextlib.suppress(ConnectionResetError):
                 assert await asyncio.get_running_loop().sock_recv(ours, 100) == b""
-            assert not endpoint.got and not one.engine.calls and not one.server.callers
+            assert not endpoint.got and not one.engine.calls and not one.server.connections
             ours.close()
 
     run(main())
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -161,7 +161,7 @@
             await one.ask(request())
             one.told(endpoint.entry("s-0", **change), whole=False)
             await endpoint.closed.acquire()
-            assert not one.upstream.links
+            assert not one.upstream.connections
 
     run(main())
 
@@ -431,7 +431,7 @@
                 told = outcomes(one.engine)
                 back = await one.ask(request("pay"))
             assert [event.outcome for event in told] == [NO_CONNECT]
-            assert back.start.split()[1] == "503" and not one.upstream.links
+            assert back.start.split()[1] == "503" and not one.upstream.connections
 
     run(main())
 
@@ -451,7 +451,7 @@
             async with sidecar(endpoint, ceilings={"max-attempts": 1}) as one:
                 one.told(endpoint.entry("s-0", hostPort=address(listener)))
                 told = outcomes(one.engine)
-                attempts = one.upstream.links
+                attempts = one.upstream.connections
                 asked = asyncio.create_task(one.ask(request("pay", b"x")))
                 peer, _ = await loop.sock_accept(listener)
                 await loop.sock_recv(peer, 4096)
@@ -578,7 +578,7 @@
             assert one.engine.may_start(attempt, now)
             place.left_at = now - (500_000 - 150_000)
             assert not one.engine.may_start(attempt, now)
-            link = one.upstream.carrying[attempt]
+            link = one.upstream.by_attempt[attempt]
             link.write()  # as a connect that took so long would
             assert [event.outcome for event in told] == [MOOT] and len(endpoint.got) == 1
             asked.cancel()
@@ -639,13 +639,13 @@
             await one.ask(request(rid="r3"))
             ports = dict(served)
             assert ports["r3"] == ports["r2"] != ports["r1"]
-            assert one.upstream.resting.seconds <= 24.0, "well before the endpoint's idle time"
-            oldest = one.upstream.resting.oldest()
+            assert one.upstream.idle_connections.seconds <= 24.0, "well before the endpoint's idle time"
+            oldest = one.upstream.idle_connections.oldest()
             assert oldest is not None
-            one.upstream.resting.since[oldest] -= 24.0
-            one.upstream.resting.run()
+            one.upstream.idle_connections.since[oldest] -= 24.0
+            one.upstream.idle_connections.run()
             await endpoint.closed.acquire()
-            assert len(one.upstream.links) == 1
+            assert len(one.upstream.connections) == 1
 
     run(main())
 
@@ -661,7 +661,7 @@
             told = outcomes(one.engine)
             for n in range(3):
                 await one.ask(request("pay", rid=f"r{n}"))
-                while one.upstream.links:
+                while one.upstream.connections:
                     await asyncio.sleep(0)
             assert [event.outcome for event in told] == [OK, OK, OK]
 
@@ -672,7 +672,7 @@
     async def main() -> None:
         first, second = Endpoint(), Endpoint()
         async with sidecar(first, second) as one:
-            one.upstream.most = 1
+            one.upstream.max_connections = 1
             one.told(first.entry("s-0"))
             await one.ask(request())
             one.told(first.entry("s-0"), second.entry("s-1"))
@@ -681,7 +681,7 @@
             overrule(one.engine, request=lambda now, event: [Send(event.request, endpoint_number("s-1"), 0)])
             assert (await one.ask(request(rid="r2"))).body == b"ok"
             await first.closed.acquire()  # the longest idle made room
-            assert len(one.upstream.links) == 1
+            assert len(one.upstream.connections) == 1
 
     run(main())
 
--- a/tests/test_upkeep_contracts.py
+++ b/tests/test_upkeep_contracts.py
@@ -11,7 +11,7 @@
 from laurelstep.engine import LoopClock
 from laurelstep.engine.given import GivenMembers
 from laurelstep.engine.ports import MemberSource
-from laurelstep.net.slices import Slices
+from laurelstep.net.cooperative_task import CooperativeTask
 from laurelstep.testing.contracts.members import (
     AskedSourceContract,
     Beyond,
@@ -27,7 +27,9 @@
 def around(inner: MemberSource) -> UpkeepSource:
     """A source that knows the record, in which nothing is out."""
     loop = asyncio.get_running_loop()
-    source = UpkeepSource(inner, Roll(), LoopClock(loop), GRACE_US, Slices(loop).run, lambda line: None)
+    source = UpkeepSource(
+        inner, Roll(), LoopClock(loop), GRACE_US, CooperativeTask(loop).run, lambda line: None
+    )
     source.go_on(True)
     return source
 
