--- a/laurelstep/__main__.py
+++ b/laurelstep/__main__.py
@@ -15,7 +15,7 @@
 from typing import TYPE_CHECKING
 
 from laurelstep.daemon import arrive, serve
-from laurelstep.net.message import log, unblock_log
+from laurelstep.net.log import log, unblock_log
 from laurelstep.settings import Config, ConfigError, read_platform
 
 if TYPE_CHECKING:
--- a/laurelstep/daemon.py
+++ b/laurelstep/daemon.py
@@ -18,7 +18,8 @@
 from laurelstep.net.collector import Collector
 from laurelstep.net.cooperative_task import CooperativeTask
 from laurelstep.net.discovery import Discovery
-from laurelstep.net.message import LARGE_MAX, log
+from laurelstep.net.log import log
+from laurelstep.net.message import LARGE_MAX
 from laurelstep.net.server import Server
 from laurelstep.orders import open_recorder
 from laurelstep.settings import Config, ConfigError
--- a/laurelstep/management/server.py
+++ b/laurelstep/management/server.py
@@ -10,7 +10,7 @@
 
 from laurelstep.management.calls import Reply
 from laurelstep.net.acceptor import Acceptor, listen
-from laurelstep.net.message import DeadlineSweeper
+from laurelstep.net.deadline_sweeper import DeadlineSweeper
 
 # All of one call.
 CALL_MAX: Final = 16 * 1024
--- a/laurelstep/net/assembly.py
+++ b/laurelstep/net/assembly.py
@@ -85,6 +85,7 @@
             raise ConfigError(f"members: {error}") from None
 
     def close(self) -> None:
+        """Stop asking discovery, and close all connections to endpoints."""
         self.source.close()
         self.upstream.close()
 
--- a/laurelstep/net/collector.py
+++ b/laurelstep/net/collector.py
@@ -18,9 +18,11 @@
         self.apart = 0  # endpoints listed when it last was
 
     def begin(self) -> None:
+        """Collect no garbage until `end`."""
         gc.disable()
 
     def end(self, listed: int) -> None:
+        """Collect again, with so many endpoints listed now."""
         if listed > GROWN * self.apart + GROWN_LEAST:
             gc.freeze()
             self.apart = listed
--- a/laurelstep/net/connect.py
+++ b/laurelstep/net/connect.py
@@ -21,7 +21,8 @@
     def on_connect_failed(self, is_local_fault: bool) -> None:
         """`is_local_fault`: for a want of this machine's, and none of the endpoint's."""
 
-    def on_connect_ended(self) -> None: ...
+    def on_connect_ended(self) -> None:
+        """The attempt to connect is over, however it ended."""
 
 
 def is_local_fault(error: BaseException | None) -> bool:
--- a/laurelstep/net/cooperative_task.py
+++ b/laurelstep/net/cooperative_task.py
@@ -32,4 +32,5 @@
             ended(None)
 
     def close(self) -> None:
+        """Run no further step."""
         self.closed = True
--- a/laurelstep/net/discovery.py
+++ b/laurelstep/net/discovery.py
@@ -7,15 +7,13 @@
 import json
 import random
 from collections.abc import Iterator
-from typing import Any, cast
-
-import httptools
+from typing import Any
 
 from laurelstep.engine.listing import STEP, parse_in_steps, usable
 from laurelstep.engine.ports import Log, MemberSink
 from laurelstep.net.collector import Collector
 from laurelstep.net.cooperative_task import CooperativeTask
-from laurelstep.net.json_stream import JsonStreamDecoder
+from laurelstep.net.discovery_stream import DiscoveryStream
 
 # While nothing changes an empty line comes every 2 s: one that is half a second late is missed, and
 # the watch is dead, as a network that is cut off says nothing. What it misses counts as told 6 s after
@@ -29,7 +27,7 @@
 # The back-off after a call that failed at once. An agent costs nothing to ask, and what it has counts
 # from when it has it: the longest pause leaves a short drain grace (250 ms) time for the answer. One
 # that answers with what can't be read will not be better soon.
-RETRY_S, RETRY_MOST_S, RETRY_SPOILT_MOST_S = 0.05, 0.2, 2.0
+RETRY_S, MAX_RETRY_S, MAX_RETRY_MALFORMED_S = 0.05, 0.2, 2.0
 # A service of all sidecars is asked less often. A change counts as told 6 s after it could be had: this
 # pause and a call that is not answered leave more than a second for the next.
 RETRY_ASKED_S = 2.5
@@ -37,165 +35,13 @@
 # when discovery comes back, a fleet must not ask at once.
 RETRY_PART = 0.5
 # A discovery that answers with what can't be read does so at every call.
-COMPLAIN_EVERY_S = 10.0
+LOG_EVERY_S = 10.0
 LIST_PATH = "/registry/instances"
-OBJECT_MAX = 64 * 1024 * 1024  # of some 300,000 endpoints
-# An object under way counts as silent while less than this comes of it, bytes/s: some entries a second.
-# What trickles for ever would starve the changes behind it.
-LEAST_RATE = 1024
 # A longer object is read and applied in slices: this much takes a millisecond or two.
 SHORT_OBJECT = 32 * 1024
 
 
-class Stream(asyncio.Protocol):
-    """One answer of discovery: a watch, or one whole list."""
-
-    def __init__(self, owner: Discovery, target: str, watch: bool, again: bool = False) -> None:
-        self.owner, self.target, self.watch = owner, target, watch
-        self.address = owner.address
-        self.again = again  # it was asked because the one before fell silent
-        self.parser = httptools.HttpResponseParser(self)
-        self.objects = JsonStreamDecoder(OBJECT_MAX)
-        self.paused_at: int | None = None  # on the engine's clock; objects since then wait
-        self.transport: asyncio.Transport | None = None
-        self.done = False  # whole, or given up: its end says nothing
-        self.bad = False  # it held what can't be read
-        self.answered = False  # its head has come
-        self.complete = False  # its last byte has come
-        self.reading: asyncio.Handle | None = None
-        self.is_current = watch and owner.generation > 0  # the whole list is not owed
-        self.heard = owner.loop.time()
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-        if self.done:
-            self.transport.abort()
-            return
-        self.transport.write(f"GET {self.target} HTTP/1.1\r\nHost: {self.address}\r\n\r\n".encode())
-
-    def data_received(self, data: bytes) -> None:
-        if self.done:
-            return
-        try:
-            self.parser.feed_data(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self.spoilt(error)
-        else:
-            if self.reading is None:
-                self.read()
-
-    def spoilt(self, error: Exception) -> None:
-        self.owner.complain(f"bad line from discovery: {error}")
-        self.bad = True
-        self.fail()
-
-    def on_headers_complete(self) -> None:
-        if self.parser.get_status_code() < 200:
-            return  # an interim head says nothing of the answer (RFC 9110, section 15.2)
-        self.answered = True
-        self.heard = self.owner.loop.time()
-
-    def on_body(self, data: bytes) -> None:
-        now = self.owner.loop.time()
-        if not data.isspace():
-            began = self.heard + len(data) / LEAST_RATE if self.objects.begun else now
-            self.heard = min(began, now)
-        elif self.is_current and not self.objects.begun and b"\n" in data:
-            self.heard = now  # empty lines say that a watch lives, but not that something owed still comes
-        self.objects.feed(data)
-
-    def on_message_complete(self) -> None:
-        self.complete = self.answered
-
-    @property
-    def silent_at(self) -> float:
-        """When it is taken for dead, should nothing more come: time of the loop, s."""
-        return self.heard + (self.owner.silent_s if self.answered else self.owner.answer_s)
-
-    def read(self) -> None:
-        """The objects that are whole, until one is so long that the next must wait."""
-        self.reading = None
-        if self.answered and self.parser.get_status_code() != 200:
-            self.fail()
-            return
-        while not self.done:
-            if self.owner.busy:
-                if self.objects.begun:
-                    self.pause()
-                return
-            try:
-                found = self.objects.take()
-            except ValueError as error:
-                self.spoilt(error)
-                return
-            if found is not None:
-                self._take(found)
-            elif self.objects.more:  # a turn of the loop for what else is ready
-                self.reading = self.owner.loop.call_soon(self.read)
-                return
-            else:
-                break
-        if self.complete and not self.done:
-            self._ended_short()
-
-    def _ended_short(self) -> None:
-        """Guards against an answer that is over without what was asked for: its connection may
-        stay open, and say nothing."""
-        if self.objects.begun:
-            self.spoilt(ValueError("an object that stops short"))
-        else:
-            self.fail()
-
-    def _take(self, raw: bytearray) -> None:
-        told_at, self.paused_at = self.paused_at, None
-        self.heard = self.owner.loop.time()
-        try:
-            self.owner.take(raw, self, told_at)
-        except ValueError as error:
-            self.spoilt(error)
-        else:
-            self.is_current = self.watch
-            if not self.watch and not self.owner.busy:
-                self.stop()
-
-    def pause(self) -> None:
-        """Read no more, so that what waits is bounded. It counts as told from now on: so nothing is
-        paused before there is something, or the next list would count from then, however late it comes."""
-        if self.transport is not None and self.owner.sink is not None:
-            if self.paused_at is None:
-                self.paused_at = self.owner.sink.now()
-            self.transport.pause_reading()
-
-    def resume(self) -> None:
-        if self.done or self.transport is None:
-            return
-        self.heard = self.owner.loop.time()
-        if self.paused_at is not None and not self.transport.is_closing():
-            self.transport.resume_reading()
-        if self.reading is None:
-            self.read()
-
-    def stop(self) -> None:
-        self.done = True
-        self.owner.streams.discard(self)
-        if self.reading is not None:
-            self.reading.cancel()
-        if self.transport is not None:
-            self.transport.abort()
-
-    def fail(self, silent: bool = False) -> None:
-        if not self.done:
-            if silent and self.objects.begun:
-                self.owner.complain("bad line from discovery: silent in the middle of an object")
-            self.stop()
-            self.owner.lost(self, silent)
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        if self.watch or not self.complete:
-            self.fail()  # a fetched list that is whole is read though its connection is over
-
-
-def _list_of(told: Any, watch: bool) -> tuple[int, bool, list[Any]]:
+def parse_list(told: Any, watch: bool) -> tuple[int, bool, list[Any]]:
     """Version, whether it is whole, and entries; ValueError. What was fetched is whole."""
     try:
         version, whole, entries = int(told["generation"]), told.get("reset"), told["instances"]
@@ -233,24 +79,25 @@
         self.path = path
         self.pushed = pushed
         self.log = log
-        self.complained = -COMPLAIN_EVERY_S  # when a line was last logged
-        self.unsaid = 0  # lines since then that were not
+        self.logged_at = -LOG_EVERY_S  # when a line was last logged
+        self.unlogged = 0  # lines since then that were not
         self.collector = collector  # of the process, where it is the balancer's
         self.sink: MemberSink | None = None
         self.generation = 0
-        self.stream: Stream | None = None  # the watch
+        self.stream: DiscoveryStream | None = None  # the watch
         self.retry_s = RETRY_S
         self.silent_s = SILENT_S
         self.answer_s = ANSWER_S if pushed else ANSWER_ASKED_S
         self.spread_s = SPREAD_S
         self.tasks: set[asyncio.Task[None]] = set()
         self.closed = False
-        self.slices = CooperativeTask(loop)
-        self.listed = 0  # entries of the last long list
+        self.background = CooperativeTask(loop)
+        self.last_list_size = 0  # entries of the last long list
         self.busy = False  # a long list is being read and applied
-        self.streams: set[Stream] = set()  # those that may have objects to read
+        self.streams: set[DiscoveryStream] = set()  # those that may have objects to read
 
     def start(self, sink: MemberSink, generation: int) -> None:
+        """Tell lists to the sink, of later versions than `generation`."""
         self.sink = sink
         self.generation = generation
         if self.pushed:
@@ -258,16 +105,16 @@
 
     def watch(self, on: bool) -> None:
         """Nothing changes for a watch that is open, or on its way."""
-        if not on or self.stream is None or self.stream.done:
+        if not on or self.stream is None or self.stream.is_closed:
             self._watch(on)
 
-    def _watch(self, on: bool, again: bool = False) -> None:
+    def _watch(self, on: bool, is_renewal: bool = False) -> None:
         if self.stream is not None:
             self.stream.stop()
             self.stream = None
         if on and not self.closed:
             target = f"{self.path}?watch=1&from={self.generation}"
-            self.stream = self._ask(Stream(self, target, True, again))
+            self.stream = self._ask(DiscoveryStream(self, target, True, is_renewal))
 
     def move(self, address: str) -> None:
         """Watch at another address, from now on and from the start: the versions
@@ -283,13 +130,14 @@
             self.fetch()
 
     def fetch(self) -> None:
+        """Ask for the whole list once."""
         self._fetch()
 
-    def _fetch(self, again: bool = False) -> None:
+    def _fetch(self, is_renewal: bool = False) -> None:
         if not self.closed:
-            self._ask(Stream(self, self.path, False, again))
+            self._ask(DiscoveryStream(self, self.path, False, is_renewal))
 
-    def _ask(self, stream: Stream) -> Stream:
+    def _ask(self, stream: DiscoveryStream) -> DiscoveryStream:
         self.streams.add(stream)
         task = self.loop.create_task(self._connect(stream))
         self.tasks.add(task)
@@ -297,7 +145,7 @@
         self.loop.call_at(stream.silent_at, self._check, stream)
         return stream
 
-    async def _connect(self, stream: Stream) -> None:
+    async def _connect(self, stream: DiscoveryStream) -> None:
         host, _, port = self.address.rpartition(":")
         try:
             async with asyncio.timeout(self.answer_s):
@@ -307,31 +155,31 @@
         except OSError:
             stream.fail()
 
-    def _check(self, stream: Stream) -> None:
+    def _check(self, stream: DiscoveryStream) -> None:
         """Guards against an answer that never comes, and one that stops without a word."""
-        if stream.done:
+        if stream.is_closed:
             return
         if self.busy:
-            stream.heard = self.loop.time()  # it was not listened to
+            stream.heard_at = self.loop.time()  # it was not listened to
         if stream.silent_at > self.loop.time():
             self.loop.call_at(stream.silent_at, self._check, stream)
         else:  # what came while this process stood still is read before the verdict
-            self.loop.call_later(self.spread_s * self.draw.random(), self._judge, stream)
+            self.loop.call_later(self.spread_s * self.draw.random(), self._on_silence, stream)
 
-    def _judge(self, stream: Stream) -> None:
+    def _on_silence(self, stream: DiscoveryStream) -> None:
         if stream.silent_at > self.loop.time() or self.busy:
             self._check(stream)
         else:
             stream.fail(silent=True)
 
-    def take(self, raw: bytearray, stream: Stream, told_at: int | None) -> None:
+    def on_object(self, raw: bytearray, stream: DiscoveryStream, told_at: int | None) -> None:
         """One list; ValueError on anything else, before any of it is used. A long one
         is only begun, and its stream hears of its end."""
         if len(raw) <= SHORT_OBJECT:
-            version, whole, entries = _list_of(json.loads(raw), stream.watch)
-            self._heed_restart(stream, version, whole)
+            version, whole, entries = parse_list(json.loads(raw), stream.watch)
+            self._check_restart(stream, version, whole)
             if self.sink is not None and self._counts(stream, version, whole):
-                self.sink.listed(version, whole, list(self._usable(entries)))
+                self.sink.listed(version, whole, list(self._usable_entries(entries)))
                 self.generation = version
             self.retry_s = RETRY_S
         elif self.sink is not None:
@@ -340,94 +188,98 @@
                 self.collector.begin()
             told_at = self.sink.now() if told_at is None else told_at
             steps = self._in_steps(raw, stream, self.sink, told_at)
-            self.slices.run(steps, functools.partial(self._ended, stream))
+            self.background.run(steps, functools.partial(self._on_list_applied, stream))
 
-    def _usable(self, entries: list[Any]) -> Iterator[dict[str, Any]]:
+    def _usable_entries(self, entries: list[Any]) -> Iterator[dict[str, Any]]:
         for raw in entries:
             entry, wrong = usable(raw)
             if wrong:
-                self.complain(f"bad entry from discovery: {wrong}")
+                self.log_rarely(f"bad entry from discovery: {wrong}")
             if entry is not None:
                 yield entry
 
-    def complain(self, text: str) -> None:
+    def log_rarely(self, text: str) -> None:
         """Guards the log against what goes on for hours: a line now and then, with how many came."""
         now = self.loop.time()
-        if now < self.complained + COMPLAIN_EVERY_S:
-            self.unsaid += 1
+        if now < self.logged_at + LOG_EVERY_S:
+            self.unlogged += 1
             return
-        self.log(f"{text} ({self.unsaid} more like it before)" if self.unsaid else text)
-        self.complained, self.unsaid = now, 0
+        self.log(f"{text} ({self.unlogged} more like it before)" if self.unlogged else text)
+        self.logged_at, self.unlogged = now, 0
 
-    def _heed_restart(self, stream: Stream, version: int, whole: bool) -> None:
+    def _check_restart(self, stream: DiscoveryStream, version: int, whole: bool) -> None:
         """Guards against a discovery that counts anew and tells changes of a list that is not known
         here: they were passed over for ever. The whole list is asked for; ValueError."""
-        if stream.watch and not whole and version < self.generation and not stream.done:
+        if stream.watch and not whole and version < self.generation and not stream.is_closed:
             known, self.generation = self.generation, 0
             raise ValueError(f"changes of version {version} after {known}")
 
-    def _counts(self, stream: Stream, version: int, whole: bool) -> bool:
+    def _counts(self, stream: DiscoveryStream, version: int, whole: bool) -> bool:
         """Whether a list says more than what was told before. A watch may begin anew with a
         whole list of any version; one that was fetched may come after newer changes."""
         return version >= self.generation or (whole and stream.watch)
 
-    def _in_steps(self, raw: bytearray, stream: Stream, sink: MemberSink, told_at: int) -> Iterator[None]:
+    def _in_steps(
+        self, raw: bytearray, stream: DiscoveryStream, sink: MemberSink, told_at: int
+    ) -> Iterator[None]:
         told = yield from parse_in_steps(raw.decode())
-        version, whole, found = _list_of(told, stream.watch)
-        self.listed = len(found)
+        version, whole, found = parse_list(told, stream.watch)
+        self.last_list_size = len(found)
         entries: list[Any] = []
         for at in range(0, len(found), STEP):
-            entries.extend(self._usable(found[at : at + STEP]))
+            entries.extend(self._usable_entries(found[at : at + STEP]))
             yield
         if stream.address != self.address:
             return  # moved while it was read: the new address has the word
-        self._heed_restart(stream, version, whole)
+        self._check_restart(stream, version, whole)
         if self._counts(stream, version, whole):
             yield from sink.list_in_steps(whole, entries, told_at)
-            if not stream.done:  # another source may be watched since
+            if not stream.is_closed:  # another source may be watched since
                 self.generation = version
         self.retry_s = RETRY_S
 
-    def _ended(self, stream: Stream, error: Exception | None) -> None:
+    def _on_list_applied(self, stream: DiscoveryStream, error: Exception | None) -> None:
         self.busy = False
         if self.collector is not None:
-            self.collector.end(self.listed)
-        if error is not None and not stream.done:
-            stream.spoilt(error)
+            self.collector.end(self.last_list_size)
+        if error is not None and not stream.is_closed:
+            stream.reject(error)
         elif not stream.watch:
             stream.stop()
         for one in list(self.streams):
             if not self.busy:
                 one.resume()
 
-    def lost(self, stream: Stream, silent: bool) -> None:
+    def on_lost(self, stream: DiscoveryStream, silent: bool) -> None:
+        """Ask again: at once behind a silence, else after a back-off."""
         if self.closed or self.sink is None or (stream.watch and stream is not self.stream):
             return
-        if not self.pushed and (stream.again or not silent):
+        if not self.pushed and (stream.is_renewal or not silent):
             self.sink.list_failed()  # the module may ask sooner than the back-off below
         if silent:  # whoever waited for it need not pause, and the verdict was spread already
-            self._renew(stream, again=True)
+            self._renew(stream, is_renewal=True)
         else:
             self.loop.call_later(self._back_off(stream), self._renew, stream)
 
-    def _back_off(self, stream: Stream) -> float:
+    def _back_off(self, stream: DiscoveryStream) -> float:
         """How long to wait after a call that failed, s."""
         part = RETRY_PART + (1.0 - RETRY_PART) * self.draw.random()
         if not self.pushed:
             return part * RETRY_ASKED_S
         pause = part * self.retry_s
-        self.retry_s = min(RETRY_SPOILT_MOST_S if stream.bad else RETRY_MOST_S, 2.0 * self.retry_s)
+        self.retry_s = min(MAX_RETRY_MALFORMED_S if stream.is_malformed else MAX_RETRY_S, 2.0 * self.retry_s)
         return pause
 
-    def _renew(self, stream: Stream, again: bool = False) -> None:
+    def _renew(self, stream: DiscoveryStream, is_renewal: bool = False) -> None:
         if not stream.watch:
-            self._fetch(again)
+            self._fetch(is_renewal)
         elif stream is self.stream:
-            self._watch(True, again)
+            self._watch(True, is_renewal)
 
     def close(self) -> None:
+        """Ask nothing more, and close what is open."""
         self.closed = True
-        self.slices.close()
+        self.background.close()
         self.watch(False)
         for one in list(self.streams):
             one.stop()
--- a/laurelstep/net/json_stream.py
+++ b/laurelstep/net/json_stream.py
@@ -47,6 +47,7 @@
         return bool(self.depth) or self._space() < len(self.buffer)
 
     def feed(self, data: bytes) -> None:
+        """More bytes of the stream."""
         self.buffer += data
 
     def take(self) -> bytearray | None:
--- a/laurelstep/net/message.py
+++ b/laurelstep/net/message.py
@@ -1,20 +1,13 @@
-"""What the HTTP sides share: limits, header rules, one sweep, and the log."""
+"""What both HTTP sides share: limits and the rules of heads."""
 
 from __future__ import annotations
 
-import contextlib
-import os
 import select
-import stat
-import sys
-from collections.abc import Callable, Iterable
-from typing import TYPE_CHECKING, Final, Generic, TypeVar
+from collections.abc import Iterable
+from typing import Final
 
 from laurelstep.engine.call import Headers
 
-if TYPE_CHECKING:
-    from asyncio import AbstractEventLoop, TimerHandle
-
 # Bodies up to BODY_MAX are held whole; larger ones, up to LARGE_MAX, may be passed on while
 # they come.
 BODY_MAX = HEAD_MAX = 64 * 1024
@@ -39,20 +32,6 @@
 OWS: Final = b" \t"
 
 
-def log(text: str) -> None:
-    """Lines for the operator. Guards the process against a log that nobody reads: with
-    `unblock_log` called, what finds no room there is lost and holds nothing up."""
-    with contextlib.suppress(OSError, ValueError):
-        os.write(sys.stderr.fileno(), f"laurelstep: {text}\n".encode())
-
-
-def unblock_log() -> None:
-    with contextlib.suppress(OSError, ValueError):
-        # Not for a terminal, which the shell behind it shares.
-        if stat.S_ISFIFO(os.fstat(sys.stderr.fileno()).st_mode):
-            os.set_blocking(sys.stderr.fileno(), False)
-
-
 def lines(headers: Iterable[tuple[bytes, bytes]], named: frozenset[bytes] | None = None) -> bytes:
     """Header lines as they are written, of those that are named or of all.
 
@@ -114,46 +93,3 @@
         return bool(news.poll(0))
     except OSError:  # ENOMEM, poll(2)
         return if_unknown
-
-
-T = TypeVar("T")
-
-
-class DeadlineSweeper(Generic[T]):
-    """What waits, the longest first; one timer ends each that waits too long."""
-
-    def __init__(self, loop: AbstractEventLoop, seconds: float, expire: Callable[[T], None]) -> None:
-        self.loop, self.seconds, self.expire = loop, seconds, expire
-        self.since: dict[T, float] = {}
-        self.timer: TimerHandle | None = None
-
-    def close(self) -> None:
-        """Forget all of them and set no timer any more."""
-        self.since.clear()
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
-
-    def add(self, one: T) -> None:
-        """Its wait starts now, unless it waits already."""
-        if one not in self.since:
-            self.since[one] = self.loop.time()
-            self._arm()
-
-    def discard(self, one: T) -> None:
-        self.since.pop(one, None)
-
-    def oldest(self) -> T | None:
-        return next(iter(self.since), None)
-
-    def _arm(self) -> None:
-        if self.timer is None and (oldest := self.oldest()) is not None:
-            self.timer = self.loop.call_at(self.since[oldest] + self.seconds, self.run)
-
-    def run(self) -> None:
-        self.timer = None
-        limit = self.loop.time() - self.seconds
-        while (oldest := self.oldest()) is not None and self.since[oldest] <= limit:
-            del self.since[oldest]
-            self.expire(oldest)
-        self._arm()
--- a/laurelstep/net/request.py
+++ b/laurelstep/net/request.py
@@ -34,6 +34,7 @@
 
 
 def number(fields: dict[bytes, bytes], name: bytes) -> int | None:
+    """The value of a head's field as a number, None where it is absent; `BadRequestError` if it is none."""
     raw = fields.get(name)
     if raw is None:
         return None
@@ -73,6 +74,7 @@
 
 
 def class_of(target: bytes, fields: dict[bytes, bytes], classes: dict[str, int]) -> int:
+    """The number of a request's class; `BadRequestError` if target or class are none of this deployment."""
     if not TARGET.fullmatch(target):
         raise BadRequestError(400, "the target is no path")
     name = fields.get(b"x-class", b"")
--- a/laurelstep/net/shutdown.py
+++ b/laurelstep/net/shutdown.py
@@ -27,8 +27,9 @@
 from laurelstep.lifecycle import Lifecycle, Phase
 from laurelstep.lifecycle.phases import DRAIN_S, REST_S
 from laurelstep.net.acceptor import SHORTAGE_PAUSE_S, Acceptor
+from laurelstep.net.deadline_sweeper import DeadlineSweeper
 from laurelstep.net.errors import BadRequestError
-from laurelstep.net.message import DeadlineSweeper, has_event
+from laurelstep.net.message import has_event
 
 BACKLOG: Final = 1024
 # New connections come for this long after SIGTERM, and a last one gets this
@@ -43,6 +44,8 @@
 
 
 class ClosePolicy(StrEnum):
+    """Why clients are let go, which says how."""
+
     DRAIN = "drain"  # by a call: the process stays
     STOP = "stop"  # SIGTERM
     SUCCEEDED = "succeeded"  # the same, and another process takes the callers
@@ -65,13 +68,17 @@
     def has_nothing_forwarded(self) -> bool:
         """It waits for a request, or for the rest of one, of which nothing was sent on."""
 
-    def close_if_idle(self) -> None: ...
+    def close_if_idle(self) -> None:
+        """Close it, unless a request has come that was not read yet."""
 
-    def close_unforwarded(self) -> None: ...
+    def close_unforwarded(self) -> None:
+        """End it though a request is half here: that is rejected."""
 
-    def reject_upload(self) -> None: ...
+    def reject_upload(self) -> None:
+        """Reject a request that is streamed and not complete."""
 
-    def reject(self, error: BadRequestError) -> None: ...
+    def reject(self, error: BadRequestError) -> None:
+        """Answer by the error's status, and close behind it."""
 
 
 class Connections(Protocol):
@@ -80,13 +87,16 @@
     listener: Acceptor | None
 
     @property
-    def connections(self) -> Collection[Connection]: ...
+    def connections(self) -> Collection[Connection]:
+        """All that are open."""
 
     @property
-    def idle(self) -> DeadlineSweeper[Any]: ...
+    def idle(self) -> DeadlineSweeper[Any]:
+        """Those between requests."""
 
     @property
-    def awaiting_request(self) -> DeadlineSweeper[Any]: ...
+    def awaiting_request(self) -> DeadlineSweeper[Any]:
+        """Those that owe a request, or the rest of one."""
 
 
 class GracefulShutdown:
@@ -139,6 +149,7 @@
     # --- Steps ------------------------------------------------------------------------
 
     def end_at_rest(self) -> None:
+        """Close the idle connections."""
         for caller in list(self.server.idle.since):
             caller.close_if_idle()
 
@@ -173,6 +184,7 @@
         self.end_unsent()
 
     def close_listener(self) -> None:
+        """Accept nothing more."""
         listener, self.server.listener = self.server.listener, None
         assert listener is not None
         listener.close()
@@ -205,6 +217,7 @@
         self.end_unsent()
 
     def maybe_end(self) -> None:
+        """The shutdown is over if no connection is left."""
         if self.closed and not self.server.connections and not self.over:
             self.over = True
             self.on_end()
--- a/laurelstep/workers/parent.py
+++ b/laurelstep/workers/parent.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from laurelstep.net.message import log
+from laurelstep.net.log import log
 from laurelstep.workers.child import LINE_MAX, SEAT, Seat
 from laurelstep.workers.plan import Action, End, Plan, Start
 
--- a/setup.py
+++ b/setup.py
@@ -22,7 +22,10 @@
         "engine/tally",
     ),
     *("lifecycle/phases", "resources/descriptors", "flow_control/buffer_budget", "flow_control/throughput"),
-    *("net/message", "net/request", "net/server", "net/upstream"),
+    *("net/deadline_sweeper", "net/message", "net/request"),
+    *("net/client_connection", "net/request_receiver", "net/server", "net/server_state"),
+    *("net/connection_pool", "net/endpoint_connection", "net/endpoint_request"),
+    *("net/endpoint_state", "net/response_receiver", "net/upstream"),
 )
 
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -24,7 +24,7 @@
 from laurelstep.library import BalancerMiddleware, Client
 from laurelstep.library.client import State
 from laurelstep.net.assembly import Assembly
-from laurelstep.net.message import log
+from laurelstep.net.log import log
 from laurelstep.net.server import Server
 from laurelstep.net.upstream import Upstream
 from laurelstep.settings import Config, config_from
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -827,7 +827,7 @@
         """What was asked has been answered, and who watches is there."""
         while any(not one.watch for one in self.discovery.streams):
             await self.lists.news()
-        while (watch := self.discovery.stream) is not None and not watch.done and not self.lists.watches:
+        while (watch := self.discovery.stream) is not None and not watch.is_closed and not self.lists.watches:
             await self.lists.news()
 
     async def set(self, version: int, entries: Entries) -> None:
@@ -941,15 +941,15 @@
 class Overtaking(Discovery):
     """Reads on while a long list is applied."""
 
-    def take(self, raw: bytearray, stream: Any, told_at: int | None) -> None:
-        super().take(raw, stream, told_at)
+    def on_object(self, raw: bytearray, stream: Any, told_at: int | None) -> None:
+        super().on_object(raw, stream, told_at)
         self.busy = False
 
 
 class Silent(Discovery):
     """Doesn't say that a list did not come."""
 
-    def lost(self, stream: Any, silent: bool) -> None: ...
+    def on_lost(self, stream: Any, silent: bool) -> None: ...
 
 
 @pytest.mark.parametrize(
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -22,7 +22,7 @@
 from laurelstep.handover.place import Place
 from laurelstep.handover.taker import take
 from laurelstep.interface import FULL, Action, Outcome, Send
-from laurelstep.net.server import ClientConnection
+from laurelstep.net.client_connection import ClientConnection
 from tests.sockets import (
     SETTINGS,
     Endpoint,
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -23,7 +23,9 @@
 from laurelstep.engine.clock import Timer
 from laurelstep.engine.given import GivenMembers
 from laurelstep.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET, TIMEOUT, Action, Outcome
-from laurelstep.net.upstream import MIN_IDLE, SETTLE_US, told_ms
+from laurelstep.net.connection_pool import MIN_IDLE
+from laurelstep.net.endpoint_request import endpoint_deadline_ms
+from laurelstep.net.endpoint_state import SETTLE_US
 from laurelstep.settings import config_from
 from laurelstep.testing import after, reset, serve, stall
 from tests.fakes import Answers, ManualClock, PlayedUpstream, entry
@@ -659,8 +661,10 @@
     turn takes an eighth of the time or 20 ms beside that."""
     turn_us = min(20_000, left_us // 8)
     left_at_write_us = left_us - turn_us - 150_000
-    assert told_ms(left_us) * 1000 <= max(1_000, left_at_write_us + 150_000)
-    assert told_ms(left_us) * 1000 > 0.7 * left_us, "an endpoint has to have the time that is left"
+    assert endpoint_deadline_ms(left_us) * 1000 <= max(1_000, left_at_write_us + 150_000)
+    assert endpoint_deadline_ms(left_us) * 1000 > 0.7 * left_us, (
+        "an endpoint has to have the time that is left"
+    )
 
 
 def test_a_further_attempt_tells_no_more_time_than_is_left() -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -16,7 +16,7 @@
 from laurelstep.net import discovery as module
 from laurelstep.net.discovery import LIST_PATH, Discovery
 from laurelstep.net.json_stream import SCAN, JsonStreamDecoder
-from laurelstep.net.message import log
+from laurelstep.net.log import log
 from laurelstep.testing import Listener, Reader, Writer, push, push_raw, read_message
 from tests.conftest import Logged
 from tests.sockets import run
@@ -375,7 +375,7 @@
         sink = Sink()
         async with Agent() as agent:
             one = source(agent, sink, pushed=True, silent_s=60.0, answer_s=60.0)
-            one.slices.seconds = 0.0  # a step a turn
+            one.background.seconds = 0.0  # a step a turn
             _, watch = await agent.asked.get()
             begin(watch)
             entries = [entry(f"s-{n}") for n in range(1_000)]
@@ -402,7 +402,7 @@
         sink = Sink()
         async with Agent() as agent:
             one = source(agent, sink, pushed=True, silent_s=60.0, answer_s=60.0)
-            one.slices.seconds = 0.0
+            one.background.seconds = 0.0
             _, watch = await agent.asked.get()
             begin(watch)
             raw = json.dumps(listing(43, *(entry(f"s-{n}") for n in range(1_000)), whole=True)).encode()
@@ -430,7 +430,7 @@
         sink = Sink()
         async with Agent() as old, Agent() as new:
             one = source(old, sink, pushed=True, silent_s=60.0, answer_s=60.0)
-            one.slices.seconds = 0.0  # a step a turn
+            one.background.seconds = 0.0  # a step a turn
             _, watch = await old.asked.get()
             begin(watch)
             push(watch, 90, True, *(entry(f"s-{n}") for n in range(3_000)))
@@ -483,13 +483,13 @@
             push_raw(watch, b"\n")
             while not stream.answered:
                 await asyncio.sleep(0)
-            stream.heard = 0.0
+            stream.heard_at = 0.0
             push_raw(watch, b"\n")
-            while stream.heard == 0.0:
+            while stream.heard_at == 0.0:
                 await asyncio.sleep(0)
             push_raw(watch, b"{")  # but once an object has begun they say nothing
             push_raw(watch, b"\n")
-            while not stream.objects.begun:
+            while not stream.decoder.begun:
                 await asyncio.sleep(0)
             assert one.stream is stream
             one.close()
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -251,7 +251,7 @@
     async def main() -> None:
         stays, drains, registry = Endpoint(), Endpoint(), Registry()
         async with sidecar(stays, drains, registry=registry) as one:
-            source(one).slices.seconds = 0.0  # each step a slice of its own
+            source(one).background.seconds = 0.0  # each step a slice of its own
             _, watch = await registry.asked.get()
             told = outcomes(one.engine)
             listed = [stays.entry("s-a"), *(raw(n, "draining") for n in range(10_000))]
@@ -278,7 +278,7 @@
     async def main() -> None:
         first, second, registry = Endpoint(), Endpoint(), Registry()
         async with sidecar(first, second, registry=registry) as one:
-            source(one).slices.seconds = 0.0
+            source(one).background.seconds = 0.0
             _, watch = await registry.asked.get()
             push(watch, 42, True, *entries(2_000, first.entry("s-a")))
             push(
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -17,8 +17,10 @@
 from laurelstep.engine import Answer, Attempt, Call, Clock
 from laurelstep.interface import CANCELLED, ERROR, FULL, OK
 from laurelstep.library.client import Exchange
-from laurelstep.net.server import LINGER_MOST, ClientConnection
-from laurelstep.net.upstream import MIN_IDLE, EndpointConnection
+from laurelstep.net.client_connection import ClientConnection
+from laurelstep.net.connection_pool import MIN_IDLE
+from laurelstep.net.endpoint_connection import EndpointConnection
+from laurelstep.net.request_receiver import LINGER_MOST
 from laurelstep.policy import HELD_MIN
 from tests.sockets import (
     Endpoint,
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -344,8 +344,8 @@
         discovery = Discovery(loop, "127.0.0.1:1", "/x", True, print, seed=seed)
         discovery.sink = cast(Any, object())
         for _ in range(6):
-            discovery.stream = cast(Any, SimpleNamespace(watch=True, again=False, bad=bad))
-            discovery.lost(discovery.stream, silent=False)
+            discovery.stream = cast(Any, SimpleNamespace(watch=True, is_renewal=False, is_malformed=bad))
+            discovery.on_lost(discovery.stream, silent=False)
         waits.append(told)
     for step, most in enumerate((0.05, 0.1, *pauses)):
         waited = [told[step] for told in waits]
