--- a/laurelstep/net/client_connection.py
+++ b/laurelstep/net/client_connection.py
@@ -50,6 +50,7 @@
         """asyncio: the connection is closed; what was owed on it is given up."""
         self.closing = True
         self.parser = None  # it holds this object's methods: the cycle ends here
+        self.parsed = None  # a call that was not complete holds this object, too
         self._abandon()
         answer, self.answer = self.answer, None
         if answer is not None:
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -9,6 +9,7 @@
 
 import asyncio
 import contextlib
+import gc
 import signal
 import socket
 import struct
@@ -19,6 +20,7 @@
 
 import pytest
 
+from laurelstep.engine import Call
 from laurelstep.handover.place import Place
 from laurelstep.handover.taker import take
 from laurelstep.interface import FULL, Action, Outcome, Send
@@ -226,6 +228,30 @@
     run(main())
 
 
+def test_a_request_that_never_came_whole_is_freed_without_the_collector() -> None:
+    """Its call holds the connection, which holds it while the body is owed."""
+
+    def alive() -> int:
+        return sum(type(found) in (ClientConnection, Call) for found in gc.get_objects())
+
+    async def main() -> None:
+        async with sidecar(Endpoint()) as one:
+            gc.collect()
+            before = alive()
+            gc.disable()
+            try:
+                with client(one) as caller:
+                    caller.send(PAY[:-1])
+                    await until(lambda: alive() == before + 2)
+                await until(lambda: not one.server.connections)
+                await asyncio.sleep(0)
+                assert alive() == before
+            finally:
+                gc.enable()
+
+    run(main())
+
+
 # --- A request on a connection at rest ----------------------------------------------------
 
 
