--- a/laurelstep/net/assembly.py
+++ b/laurelstep/net/assembly.py
@@ -19,6 +19,16 @@
 Holding = Callable[[MemberSource, Clock], HoldingSource]
 
 
+def source_of(
+    loop: asyncio.AbstractEventLoop, config: Config, log: Log, collector: Collector | None
+) -> Discovery | GivenMembers:
+    """Discovery, where the configuration names one; else a source that is given its members."""
+    if config.discovery is None:
+        return GivenMembers()
+    is_pushed = not config.settings.asks_discovery
+    return Discovery(loop, config.discovery, LIST_PATH, is_pushed, log, collector, config.seed)
+
+
 class Assembly:
     """An engine with its upstream and its source of members, which a front is plugged into.
 
@@ -46,13 +56,7 @@
             config.side_sockets,
             config.memory_mb,
         )
-        self.source: Discovery | GivenMembers
-        if given is None and config.discovery is not None:
-            self.source = Discovery(
-                loop, config.discovery, LIST_PATH, not settings.asks_discovery, log, collector, config.seed
-            )
-        else:
-            self.source = GivenMembers()
+        self.source = source_of(loop, config, log, collector) if given is None else GivenMembers()
         if given is None:
             given = config.known["instances"] if config.known else ()
         self.given = given
