--- a/laurelstep/maintenance/subsystem.py
+++ b/laurelstep/maintenance/subsystem.py
@@ -18,7 +18,7 @@
 from laurelstep.maintenance.source import MaintenanceSource
 from laurelstep.maintenance.state import MaintenanceState
 from laurelstep.management.calls import Reply
-from laurelstep.net.slices import Slices
+from laurelstep.net.cooperative_task import CooperativeTask
 from laurelstep.settings import Config
 
 
@@ -41,7 +41,7 @@
         self.log = log
         self.state = MaintenanceState()
         self.state_machines: Final[dict[int, StateMachine]] = {SUBSYSTEM_TAG[0]: self.state}
-        self.slices = Slices(loop)
+        self.slices = CooperativeTask(loop)
         self.may_serve = asyncio.Event()  # set once this process may send
         self.source: MaintenanceSource | None = None
         self.controller: MaintenanceController | None = None
--- a/laurelstep/net/objects.py
+++ b/laurelstep/net/json_stream.py
@@ -29,7 +29,7 @@
 _SPACE: Final = re.compile(rb"[ \t\r\n]*+")
 
 
-class Objects:
+class JsonStreamDecoder:
     """Takes bytes with `feed` and gives objects with `take`. ValueError for what is no JSON."""
 
     __slots__ = ("at", "buffer", "depth", "more", "most")
@@ -47,6 +47,7 @@
         return bool(self.depth) or self._space() < len(self.buffer)
 
     def feed(self, data: bytes) -> None:
+        """More bytes of the stream."""
         self.buffer += data
 
     def take(self) -> bytearray | None:
--- a/laurelstep/workers/supervisor.py
+++ b/laurelstep/workers/supervisor.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from typing import Any, Final
 
-from laurelstep.net.message import log
+from laurelstep.net.log import log
 from laurelstep.workers.plan import KillWorker, StartWorker, StopWorker, SupervisorAction, SupervisorPlan
 from laurelstep.workers.worker import MAX_LINE_BYTES, SLOT_VARIABLE, WorkerSlot
 
--- a/laurelstep/workers/worker.py
+++ b/laurelstep/workers/worker.py
@@ -18,8 +18,8 @@
 
 from laurelstep.engine.engine import Engine
 from laurelstep.engine.listing import dump_in_steps
+from laurelstep.net.cooperative_task import CooperativeTask
 from laurelstep.net.discovery import Discovery
-from laurelstep.net.slices import Slices
 from laurelstep.settings import Config
 
 # Set by the supervisor; see `WorkerSlot.to_environ`.
@@ -81,7 +81,7 @@
 class SupervisorChannel(asyncio.Protocol):
     """The worker's end of the channel. `on_lost` is called when the supervisor is gone."""
 
-    def __init__(self, engine: Engine, slices: Slices, on_lost: Callable[[], None]) -> None:
+    def __init__(self, engine: Engine, slices: CooperativeTask, on_lost: Callable[[], None]) -> None:
         self.engine = engine
         self.slices = slices
         self.on_lost = on_lost
@@ -116,6 +116,6 @@
     loop: asyncio.AbstractEventLoop, slot: WorkerSlot, engine: Engine, on_lost: Callable[[], None]
 ) -> None:
     """Report to the supervisor that this worker serves, and answer it from now on."""
-    channel = SupervisorChannel(engine, Slices(loop), on_lost)
+    channel = SupervisorChannel(engine, CooperativeTask(loop), on_lost)
     await loop.create_connection(lambda: channel, sock=socket.socket(fileno=slot.channel))
     channel.send_line(b'{"ready":true}\n')
--- a/setup.py
+++ b/setup.py
@@ -21,8 +21,11 @@
         "engine/names",
         "engine/tally",
     ),
-    *("lifecycle/phases", "room/descriptors", "stream/pace"),
-    *("net/message", "net/request", "net/server", "net/upstream"),
+    *("lifecycle/phases", "resources/descriptors", "flow_control/buffer_budget", "flow_control/throughput"),
+    *("net/deadline_sweeper", "net/message", "net/request"),
+    *("net/client_connection", "net/request_receiver", "net/server", "net/server_state"),
+    *("net/connection_pool", "net/endpoint_connection", "net/endpoint_request"),
+    *("net/endpoint_state", "net/response_receiver", "net/upstream"),
 )
 
 
--- a/tests/test_maintenance_contracts.py
+++ b/tests/test_maintenance_contracts.py
@@ -13,7 +13,7 @@
 from laurelstep.engine.ports import MemberSource
 from laurelstep.maintenance.source import MaintenanceSource
 from laurelstep.maintenance.state import MaintenanceState
-from laurelstep.net.slices import Slices
+from laurelstep.net.cooperative_task import CooperativeTask
 from laurelstep.testing.contracts.members import (
     AskedSourceContract,
     Beyond,
@@ -28,7 +28,7 @@
     """A source that knows the record, in which nothing is out."""
     loop = asyncio.get_running_loop()
     source = MaintenanceSource(
-        inner, MaintenanceState(), LoopClock(loop), GRACE_US, Slices(loop).run, lambda line: None
+        inner, MaintenanceState(), LoopClock(loop), GRACE_US, CooperativeTask(loop).run, lambda line: None
     )
     source.start_forwarding(True)
     return source
