--- /dev/null
+++ b/tests/recorded_decisions/__init__.py
@@ -0,0 +1,1 @@
+"""Recorded decisions: seeded event sequences and digests of the actions that they must give."""
--- /dev/null
+++ b/tests/recorded_decisions/scenarios.py
@@ -0,0 +1,235 @@
+"""The scenarios of the recording: settings, the endpoint list and how the world behaves."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import Any
+
+from laurelstep.interface import (
+    ERROR_RATE,
+    HELD,
+    KEYED,
+    SAFE,
+    SCOPE_ALL,
+    SCOPE_CELL,
+    SCOPE_ZONE,
+    UNSAFE,
+    WAITING,
+    Goal,
+    RequestClass,
+)
+
+MS = 1_000
+SECOND = 1_000_000
+
+SAFE_CLASS = RequestClass(SAFE, aim_us=200 * MS, deadline_us=SECOND)
+SLOW_CLASS = RequestClass(SAFE, aim_us=2 * SECOND, deadline_us=5 * SECOND, worth=4.0, late_worth=0.3)
+UNSAFE_CLASS = RequestClass(UNSAFE, aim_us=400 * MS, deadline_us=2 * SECOND, worth=2.0)
+KEYED_ANYWHERE = RequestClass(
+    KEYED, SCOPE_ALL, window_us=500 * MS, aim_us=300 * MS, deadline_us=SECOND, worth=3.0
+)
+KEYED_IN_ZONE = RequestClass(KEYED, SCOPE_ZONE, window_us=800 * MS, aim_us=300 * MS, deadline_us=SECOND)
+KEYED_IN_CELL = RequestClass(KEYED, SCOPE_CELL, window_us=SECOND, aim_us=300 * MS, deadline_us=2 * SECOND)
+STREAM_CLASS = RequestClass(SAFE, aim_us=300 * MS, deadline_us=3 * SECOND, stream=True)
+SEQUENTIAL_CLASS = RequestClass(
+    KEYED, SCOPE_ALL, window_us=SECOND, aim_us=500 * MS, deadline_us=2 * SECOND, sequential=True
+)
+
+
+@dataclass(frozen=True)
+class Scenario:
+    """One world: its module's settings, its endpoints and the shares of what happens in it."""
+
+    name: str
+    settings: dict[str, Any]
+    endpoints: int = 12
+    spares: int = 4  # endpoints that the first list lacks
+    zones: int = 1
+    arrivals: int = 2500
+    interval_us: int = 8 * MS  # mean time between arrivals
+    service_us: int = 30 * MS  # mean time of an answer at an idle endpoint
+    faults: tuple[str, ...] = ("error", "full", "frozen", "unreachable", "slow", "reset")
+    fault_every_us: int = 2 * SECOND
+    broken: float = 0.125  # share of the endpoints that each change of faults strikes
+    list_every_us: int = 900 * MS
+    partial_lists: bool = False
+    failed_lists: bool = False
+    recent_starts: bool = False
+    uploads: float = 0.0  # share of requests whose body is still on its way
+    keys: int = 0
+    tenants: int = 1
+    hints: bool = False
+    reports: int = 0  # figures in each load report
+    leaves: float = 0.02  # share of clients that leave before the deadline
+    weights: tuple[int, ...] = field(default=())  # of the classes among the arrivals
+
+
+SCENARIOS = (
+    Scenario(
+        "one zone, hedged requests, cancel",
+        {
+            "classes": (SAFE_CLASS, KEYED_ANYWHERE, UNSAFE_CLASS),
+            "second_copies": True,
+            "can_cancel": True,
+            "max_attempts": 3,
+            "instances": 4,
+            "me": 1,
+            "retry_after": True,
+        },
+    ),
+    Scenario(
+        "three zones with a price, cells",
+        {
+            "classes": (SAFE_CLASS, KEYED_IN_ZONE, KEYED_IN_CELL),
+            "max_attempts": 4,
+            "instances": 6,
+            "me": 2,
+            "zones": 3,
+            "zone": 1,
+            "cross_zone_price": 0.3,
+            "handshake_price": 0.2,
+        },
+        endpoints=24,
+        zones=3,
+    ),
+    Scenario(
+        "two zones without a price, asked lists",
+        {
+            "classes": (SAFE_CLASS, KEYED_IN_ZONE),
+            "max_attempts": 3,
+            "instances": 3,
+            "zones": 2,
+            "asks_discovery": True,
+            "second_copies": True,
+        },
+        zones=2,
+        failed_lists=True,
+        partial_lists=True,
+    ),
+    Scenario(
+        "slow start, lists in parts",
+        {
+            "classes": (SAFE_CLASS, SLOW_CLASS),
+            "max_attempts": 3,
+            "instances": 5,
+            "me": 3,
+            "cold_us": 6 * SECOND,
+            "cold_share": 0.15,
+            "tip_multiple": 3.0,
+            "can_cancel": True,
+        },
+        endpoints=10,
+        spares=10,
+        partial_lists=True,
+        recent_starts=True,
+    ),
+    Scenario(
+        "stalls, load reports, idle connections",
+        {
+            "classes": (SAFE_CLASS, UNSAFE_CLASS),
+            "max_attempts": 3,
+            "instances": 2,
+            "report_fields": (HELD, WAITING, ERROR_RATE),
+            "idle_us": 4 * SECOND,
+            "handshake_price": 0.5,
+            "rated": True,
+        },
+        faults=("frozen", "reset", "lost", "slow"),
+        interval_us=60 * MS,
+        reports=3,
+        fault_every_us=3 * SECOND,
+    ),
+    Scenario(
+        "tenants, overload, punctual goal",
+        {
+            "classes": (SAFE_CLASS, SLOW_CLASS, UNSAFE_CLASS),
+            "max_attempts": 2,
+            "instances": 2,
+            "tenants": (20.0, 400.0, 0.0),
+            "over_share_worth": 0.2,
+            "goal": Goal(whole=1.0, worst_class=0.5, punctual=0.4, miss_allowed=0.02),
+            "retry_after": True,
+            "can_cancel": True,
+        },
+        endpoints=4,
+        spares=2,
+        interval_us=4 * MS,
+        service_us=120 * MS,
+        tenants=4,
+        hints=True,
+        arrivals=4000,
+    ),
+    Scenario(
+        "streams, keys in sequence",
+        {
+            "classes": (STREAM_CLASS, SEQUENTIAL_CLASS, SAFE_CLASS),
+            "max_attempts": 3,
+            "key_rest_us": 150 * MS,
+            "can_cancel": True,
+            "instances": 1,
+        },
+        endpoints=6,
+        keys=12,
+        weights=(2, 3, 1),
+    ),
+    Scenario(
+        "uploads, a full endpoint proves nothing",
+        {
+            "classes": (SAFE_CLASS, UNSAFE_CLASS, KEYED_IN_CELL),
+            "max_attempts": 3,
+            "full_unproven": True,
+            "retry_after": True,
+            "second_copies": True,
+            "worth_by_work": True,
+            "instances": 3,
+        },
+        uploads=0.4,
+        hints=True,
+    ),
+    Scenario(
+        "a long ring, further down the chain",
+        {
+            "classes": (SAFE_CLASS, SLOW_CLASS, KEYED_IN_CELL),
+            "max_attempts": 3,
+            "stage": 1,
+            "stages": 3,
+            "instances": 1,
+            "second_copies": True,
+        },
+        endpoints=120,
+        spares=40,
+        arrivals=2000,
+        list_every_us=300 * MS,
+    ),
+    Scenario(
+        "more copies than endpoints, a cold fleet",
+        {
+            "classes": (SAFE_CLASS, UNSAFE_CLASS),
+            "max_attempts": 3,
+            "instances": 40,
+            "me": 17,
+            "cold_us": 4 * SECOND,
+            "cold_share": 0.3,
+            "tip_multiple": 2.0,
+            "zones": 2,
+            "cross_zone_price": 0.1,
+        },
+        endpoints=9,
+        spares=6,
+        zones=2,
+        interval_us=30 * MS,
+        recent_starts=True,
+    ),
+    Scenario(
+        "outages: most endpoints fail at once",
+        {
+            "classes": (SAFE_CLASS, UNSAFE_CLASS, KEYED_ANYWHERE),
+            "max_attempts": 5,
+            "instances": 2,
+            "retry_after": True,
+        },
+        faults=("error", "frozen", "reset"),
+        broken=1.5,
+        fault_every_us=700 * MS,
+    ),
+)
