--- a/benchmarks/fleet_child.py
+++ b/benchmarks/fleet_child.py
@@ -14,9 +14,9 @@
 
 from benchmarks.common import median, percentile
 from benchmarks.fleet import STORM, entry
+from laurelstep.balancing.events import OK
 from laurelstep.engine import Answer, Attempt, Call, Ending
 from laurelstep.engine.engine import Engine
-from laurelstep.interface import OK
 from laurelstep.net.assembly import Assembly
 from laurelstep.net.collector import Collector
 from laurelstep.net.discovery import Discovery
--- a/laurelstep/__init__.py
+++ b/laurelstep/__init__.py
@@ -1,10 +1,11 @@
 """laurelstep: the decisions of a load balancer for services that call services.
 
 Make a `Balancer` from a seed and `Settings`, tell it one event at a time and
-carry out the actions it returns; `laurelstep.interface` says what each means.
+carry out the actions it returns; `laurelstep.balancing.events` says what each means.
 """
 
-from laurelstep.interface import (
+from laurelstep.balancing.balancer import Balancer
+from laurelstep.balancing.events import (
     BUSY,
     CANCELLED,
     DRAINING,
@@ -53,7 +54,6 @@
     Timer,
     Watch,
 )
-from laurelstep.policy import Balancer
 
 __all__ = [
     "BUSY",
--- a/laurelstep/adapter.py
+++ b/laurelstep/adapter.py
@@ -11,8 +11,8 @@
 from typing import BinaryIO
 
 from laurelstep import wire
-from laurelstep.interface import LIST_FAILED, OK, Action, Arrival, Entry, Outcome, Probed
-from laurelstep.policy import Balancer
+from laurelstep.balancing.balancer import Balancer
+from laurelstep.balancing.events import LIST_FAILED, OK, Action, Arrival, Entry, Outcome, Probed
 
 Lists = dict[int, tuple[Entry, ...]]
 
--- a/laurelstep/policy.py
+++ b/laurelstep/balancing/balancer.py
@@ -1,6 +1,6 @@
 """Every decision of laurelstep: one `Balancer` per sidecar, pure and alone.
 
-Interface: laurelstep/interface.py has the settings, events and actions.
+Interface: laurelstep/balancing/events.py has the settings, events and actions.
 
 No I/O, no clock, no threads: each method takes the time (µs) and one event
 and returns actions. The ordinary path is two-choice with asymmetric ties:
@@ -18,7 +18,7 @@
 from math import ceil, exp, fsum, log, sqrt
 from typing import Final
 
-from laurelstep.interface import (  # isort: skip
+from laurelstep.balancing.events import (  # isort: skip
     CANCELLED, ERROR, FULL, KEYED, LIST_DELTA, LIST_FAILED, LIST_PART, NEVER_RAN, NO_CONNECT, OK, READY,
     RESET, SAFE, SCOPE_ALL, SCOPE_ZONE, TIMEOUT, WAITING, Action, Arrival, Cancel, Close, Entry, Fail,
     Outcome, Probed, Refuse, RequestClass, Send, Settings, Timer, Watch,
--- a/laurelstep/interface.py
+++ b/laurelstep/balancing/events.py
@@ -1,6 +1,6 @@
 """What goes into a `Balancer` and what comes out: types only, no decisions.
 
-One `Balancer` (in `laurelstep.policy`) serves one sidecar. It is made from a
+One `Balancer` (in `laurelstep.balancing.balancer`) serves one sidecar. It is made from a
 seed and the `Settings` and then told one event at a time: each of its methods
 takes the time in µs and returns the `Action`s to carry out at that time, in
 their order. The caller owes it a clock that never goes back, one `outcome` for
--- a/laurelstep/daemon.py
+++ b/laurelstep/daemon.py
@@ -10,9 +10,9 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
+from laurelstep.balancing.events import Settings
 from laurelstep.engine.listing import dump_in_steps
 from laurelstep.engine.ports import MemberSource
-from laurelstep.interface import Settings
 from laurelstep.lifecycle import Lifecycle, Phase
 from laurelstep.net.assembly import Assembly
 from laurelstep.net.collector import Collector
--- a/laurelstep/engine/call.py
+++ b/laurelstep/engine/call.py
@@ -158,5 +158,5 @@
         self.owner.written(self)
 
     def end(self, outcome: int, answer: Answer | None = None, load: bytes = b"") -> None:
-        """Its one outcome (of `laurelstep.interface`), with the load report that came along."""
+        """Its one outcome (of `laurelstep.balancing.events`), with the load report that came along."""
         self.owner.ended(self, outcome, answer, load)
--- a/laurelstep/engine/engine.py
+++ b/laurelstep/engine/engine.py
@@ -18,14 +18,8 @@
 from dataclasses import replace
 from typing import Any
 
-from laurelstep.engine.call import Answer, Attempt, Call, Ending
-from laurelstep.engine.flow import Flow
-from laurelstep.engine.listing import apply_in_steps
-from laurelstep.engine.members import Members
-from laurelstep.engine.names import Names
-from laurelstep.engine.ports import Clock, Decisions, Keeper, Log, MemberSource, Recorder, Upstream
-from laurelstep.engine.tally import Tally
-from laurelstep.interface import (
+from laurelstep.balancing.balancer import Balancer
+from laurelstep.balancing.events import (
     CANCELLED,
     FULL,
     KEYED,
@@ -52,10 +46,16 @@
     Timer,
     Watch,
 )
-from laurelstep.interface import (
+from laurelstep.balancing.events import (
     Log as LogLine,
 )
-from laurelstep.policy import Balancer
+from laurelstep.engine.call import Answer, Attempt, Call, Ending
+from laurelstep.engine.flow import Flow
+from laurelstep.engine.listing import apply_in_steps
+from laurelstep.engine.members import Members
+from laurelstep.engine.names import Names
+from laurelstep.engine.ports import Clock, Decisions, Keeper, Log, MemberSource, Recorder, Upstream
+from laurelstep.engine.tally import Tally
 
 # Tells the module one thing: the time, and what happened.
 Method = Callable[[int, Any], list[Action]]
--- a/laurelstep/engine/listing.py
+++ b/laurelstep/engine/listing.py
@@ -20,8 +20,8 @@
 from collections.abc import Callable, Generator, Iterator, Sequence
 from typing import Any
 
+from laurelstep.balancing.events import GONE, READY, Entry
 from laurelstep.engine.members import PHASES, Members, Place, split_address
-from laurelstep.interface import GONE, READY, Entry
 
 # Some tenths of a millisecond, also in plain Python.
 STEP = 32
--- a/laurelstep/engine/members.py
+++ b/laurelstep/engine/members.py
@@ -17,9 +17,9 @@
 from hashlib import blake2b
 from typing import Any, Final
 
+from laurelstep.balancing.events import DRAINING, GONE, READY, Entry
 from laurelstep.engine.names import Names
 from laurelstep.engine.ports import Clock, Upstream
-from laurelstep.interface import DRAINING, GONE, READY, Entry
 
 PHASES: Final = {"ready": READY, "draining": DRAINING, "gone": GONE}
 
--- a/laurelstep/engine/names.py
+++ b/laurelstep/engine/names.py
@@ -6,7 +6,7 @@
 from math import nan
 from typing import Any
 
-from laurelstep.interface import BUSY, ERROR_RATE, HELD, LATENCY_MS, SERVED_RATE, WAITING, Settings
+from laurelstep.balancing.events import BUSY, ERROR_RATE, HELD, LATENCY_MS, SERVED_RATE, WAITING, Settings
 
 # Load-report names on the socket; those of the settings may differ.
 REPORT_NAMES = {
--- a/laurelstep/engine/ports.py
+++ b/laurelstep/engine/ports.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Iterator, Sequence
 from typing import Any, Protocol
 
+from laurelstep.balancing.events import Action, Arrival, Entry, Outcome
 from laurelstep.engine.call import Answer, Attempt, Call, Front, Handle
-from laurelstep.interface import Action, Arrival, Entry, Outcome
 
 __all__ = [
     "Clock",
@@ -40,7 +40,7 @@
 
 
 class Decisions(Protocol):
-    """The decision module, as the engine calls it: `laurelstep.interface` has the terms."""
+    """The decision module, as the engine calls it: `laurelstep.balancing.events` has the terms."""
 
     def start(self, now: int) -> list[Action]: ...
 
--- a/laurelstep/library/asgi.py
+++ b/laurelstep/library/asgi.py
@@ -12,8 +12,8 @@
 from typing import Any
 from urllib.parse import quote
 
+from laurelstep.balancing.events import SAFE
 from laurelstep.engine.call import Headers
-from laurelstep.interface import SAFE
 from laurelstep.library.client import Client, ClientError, Exchange, Reply, State
 from laurelstep.net.errors import BadRequestError
 from laurelstep.net.message import BODY_MAX, OWS, READ_S
--- a/laurelstep/net/request.py
+++ b/laurelstep/net/request.py
@@ -11,9 +11,9 @@
 import zlib
 from typing import Final
 
+from laurelstep.balancing.events import KEYED, SAFE, RequestClass, Settings
 from laurelstep.engine.call import Call, Front, Headers
 from laurelstep.engine.names import Names
-from laurelstep.interface import KEYED, SAFE, RequestClass, Settings
 from laurelstep.net.errors import BadRequestError
 from laurelstep.net.message import BODY_MAX, REQUEST_HEADERS, body_length, lines, single
 
--- a/laurelstep/net/upstream.py
+++ b/laurelstep/net/upstream.py
@@ -14,10 +14,10 @@
 
 import httptools
 
+from laurelstep.balancing.events import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
 from laurelstep.engine.call import Answer, Attempt, Ending, Headers
 from laurelstep.engine.flow import Flow
 from laurelstep.engine.members import split_address
-from laurelstep.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
 from laurelstep.net.errors import SpoiltError
 from laurelstep.net.message import (
     ANSWER_HEADERS,
--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -25,11 +25,11 @@
 
 import msgspec
 
+from laurelstep.balancing.events import ERROR, FULL, NO_CONNECT, OK, RESET, TIMEOUT
 from laurelstep.engine.call import Answer, Call, Ending
 from laurelstep.engine.clock import LoopClock
 from laurelstep.engine.engine import Engine
 from laurelstep.engine.ports import Log, Recorded
-from laurelstep.interface import ERROR, FULL, NO_CONNECT, OK, RESET, TIMEOUT
 from laurelstep.net.message import lines as lines_of
 from laurelstep.net.request import hint, key_of
 from laurelstep.orders.book import another_body, may_have_run
--- a/laurelstep/outbox/shared/assembly.py
+++ b/laurelstep/outbox/shared/assembly.py
@@ -7,9 +7,9 @@
 
 from laurelstep.accord.parts import Part
 from laurelstep.accord.ports import Machine
+from laurelstep.balancing.events import SAFE, UNSAFE
 from laurelstep.engine.clock import LoopClock
 from laurelstep.engine.ports import Log, Recorder
-from laurelstep.interface import SAFE, UNSAFE
 from laurelstep.outbox.dots import Line
 from laurelstep.outbox.driver import OutboxDriver
 from laurelstep.outbox.errors import UnknownWriteError
--- a/laurelstep/settings/config.py
+++ b/laurelstep/settings/config.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
+from laurelstep.balancing.events import KEYED, Settings
 from laurelstep.engine.names import Names
 from laurelstep.errors import LaurelstepError
-from laurelstep.interface import KEYED, Settings
 from laurelstep.orders.book import Orders
 from laurelstep.room.descriptors import SOCKETS_DEFAULT, side_share
 from laurelstep.wire import EFFECTS, SCOPES, WireError, read_settings
--- a/laurelstep/testing/contracts/upstream.py
+++ b/laurelstep/testing/contracts/upstream.py
@@ -8,9 +8,9 @@
 from enum import Enum
 from typing import Protocol
 
+from laurelstep.balancing.events import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
 from laurelstep.engine.call import Answer, Attempt, Call, Ending
 from laurelstep.engine.ports import Upstream
-from laurelstep.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
 from laurelstep.testing.contracts.base import Contract, turns
 
 WAIT_US = 60_000_000
--- a/laurelstep/upkeep/members.py
+++ b/laurelstep/upkeep/members.py
@@ -13,8 +13,8 @@
 from math import inf
 from typing import Any, Final
 
+from laurelstep.balancing.events import DRAINING, READY
 from laurelstep.engine.members import PHASES, endpoint_number, split_address
-from laurelstep.interface import DRAINING, READY
 
 __all__ = ["Member", "MemberTable", "read_member"]
 
@@ -39,7 +39,7 @@
     ) -> None:
         self.id = id
         self.address = address
-        self.phase = phase  # READY, DRAINING or GONE of `laurelstep.interface`
+        self.phase = phase  # READY, DRAINING or GONE of `laurelstep.balancing.events`
         self.zone = zone
         self.cell = cell
         self.kind = kind
--- a/laurelstep/upkeep/plan.py
+++ b/laurelstep/upkeep/plan.py
@@ -22,8 +22,8 @@
 from dataclasses import dataclass
 from typing import Final
 
+from laurelstep.balancing.events import READY
 from laurelstep.engine.members import endpoint_number
-from laurelstep.interface import READY
 from laurelstep.upkeep.entries import End, Entry, Leave, Step, fits
 from laurelstep.upkeep.members import Member, MemberTable
 from laurelstep.upkeep.roll import Machine, OpenWish, Roll
--- a/laurelstep/upkeep/shown.py
+++ b/laurelstep/upkeep/shown.py
@@ -20,7 +20,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from laurelstep.interface import DRAINING, READY
+from laurelstep.balancing.events import DRAINING, READY
 from laurelstep.upkeep.members import Member, MemberTable
 from laurelstep.upkeep.roll import Roll
 from laurelstep.upkeep.states import CLEARED, HELD, State
--- a/laurelstep/upkeep/source.py
+++ b/laurelstep/upkeep/source.py
@@ -15,10 +15,10 @@
 from collections.abc import Callable, Iterable, Iterator, Sequence
 from typing import Any, Final
 
+from laurelstep.balancing.events import READY
 from laurelstep.engine.listing import STEP
 from laurelstep.engine.members import endpoint_number
 from laurelstep.engine.ports import Clock, Log, MemberSink, MemberSource
-from laurelstep.interface import READY
 from laurelstep.upkeep.members import Member, MemberTable, read_member
 from laurelstep.upkeep.roll import Roll
 from laurelstep.upkeep.shown import Shown
--- a/laurelstep/wire.py
+++ b/laurelstep/wire.py
@@ -1,7 +1,7 @@
 """Binary codec of the simulator's wire: frames in, frames out, no decisions.
 
 The only module that knows the wire's record layouts, codes and settings
-names; it turns them into the types of `laurelstep.interface` and back.
+names; it turns them into the types of `laurelstep.balancing.events` and back.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 from typing import Any, BinaryIO
 
-from laurelstep import interface
+from laurelstep.balancing import events
 from laurelstep.errors import LaurelstepError
 
 EVENT_SIZE = 48
@@ -63,27 +63,27 @@
 OPTION_HINT, OPTION_REPEAT, OPTION_WRITE = 1, 2, 4
 
 OUTCOMES = {
-    0: interface.OK,
-    5: interface.ERROR,
-    11: interface.FULL,
-    110: interface.TIMEOUT,
-    111: interface.NO_CONNECT,
-    104: interface.RESET,
-    125: interface.CANCELLED,
-    114: interface.MOOT,
+    0: events.OK,
+    5: events.ERROR,
+    11: events.FULL,
+    110: events.TIMEOUT,
+    111: events.NO_CONNECT,
+    104: events.RESET,
+    125: events.CANCELLED,
+    114: events.MOOT,
 }
-MODES = {0: interface.LIST_FULL, 1: interface.LIST_FAILED, 2: interface.LIST_DELTA, 3: interface.LIST_CACHED}
-PHASES = {0: interface.GONE, 1: interface.READY, 2: interface.DRAINING}
-EFFECTS = {"retryable": interface.SAFE, "dedup": interface.KEYED, "fragile": interface.UNSAFE}
+MODES = {0: events.LIST_FULL, 1: events.LIST_FAILED, 2: events.LIST_DELTA, 3: events.LIST_CACHED}
+PHASES = {0: events.GONE, 1: events.READY, 2: events.DRAINING}
+EFFECTS = {"retryable": events.SAFE, "dedup": events.KEYED, "fragile": events.UNSAFE}
 REPORT_FIELDS = {
-    "active": interface.HELD,
-    "waiting": interface.WAITING,
-    "cpu": interface.BUSY,
-    "avg_ms": interface.LATENCY_MS,
-    "rps": interface.SERVED_RATE,
-    "err_rps": interface.ERROR_RATE,
+    "active": events.HELD,
+    "waiting": events.WAITING,
+    "cpu": events.BUSY,
+    "avg_ms": events.LATENCY_MS,
+    "rps": events.SERVED_RATE,
+    "err_rps": events.ERROR_RATE,
 }
-SCOPES = {"all": interface.SCOPE_ALL, "zone": interface.SCOPE_ZONE, "cell": interface.SCOPE_CELL}
+SCOPES = {"all": events.SCOPE_ALL, "zone": events.SCOPE_ZONE, "cell": events.SCOPE_CELL}
 
 
 class WireError(LaurelstepError):
@@ -135,21 +135,21 @@
     return bytes(tail[offset : offset + length])
 
 
-def read_entries(tail: memoryview, offset: int, count: int) -> tuple[interface.Entry, ...]:
+def read_entries(tail: memoryview, offset: int, count: int) -> tuple[events.Entry, ...]:
     end = offset + count * ENTRY.size
     if end > len(tail):
         raise WireError("a list points past the tail")
     return tuple(_entries(tail[offset:end]))
 
 
-def _entries(raw: memoryview) -> Iterator[interface.Entry]:
+def _entries(raw: memoryview) -> Iterator[events.Entry]:
     for boot, rating, endpoint, cell, zone, phase, kind in ENTRY.iter_unpack(raw):
         if phase not in PHASES:
             raise WireError(f"unknown phase {phase}")
-        yield interface.Entry(endpoint, PHASES[phase], boot, rating, cell, zone, kind)
+        yield events.Entry(endpoint, PHASES[phase], boot, rating, cell, zone, kind)
 
 
-def read_settings(raw: bytes) -> interface.Settings:
+def read_settings(raw: bytes) -> events.Settings:
     """The start-up settings; unknown keys are skipped, absent ones get defaults."""
     try:
         info = json.loads(raw)
@@ -158,14 +158,14 @@
         raise WireError(f"settings can't be read: {type(error).__name__}: {error}") from None
 
 
-def _settings(info: dict[str, Any]) -> interface.Settings:
+def _settings(info: dict[str, Any]) -> events.Settings:
     caps = info.get("ceilings", {})
     rules = info.get("invariants", {})
     report = info.get("load-report", {})
     prices = info.get("prices", {})
     family = info.get("family-info", {})
     goal = info.get("goal", {})
-    return interface.Settings(
+    return events.Settings(
         me=int(info.get("me", 0)),
         instances=max(1, int(info.get("instances", 1))),
         zone=int(info.get("locality", 0)),
@@ -206,7 +206,7 @@
         cold_us=int(rules.get("cold-us", 0)),
         tip_multiple=float(rules.get("tip-multiple", 1.0)),
         tip_for_us=int(rules.get("overload-for-us", 1_000_000)),
-        goal=interface.Goal(
+        goal=events.Goal(
             whole=float(goal.get("whole", 1.0)),
             worst_window=float(goal.get("worst-window", 0.0)),
             worst_class=float(goal.get("worst-class", 0.0)),
@@ -225,10 +225,10 @@
     )
 
 
-def _request_class(entry: dict[str, Any]) -> interface.RequestClass:
+def _request_class(entry: dict[str, Any]) -> events.RequestClass:
     effect = EFFECTS[entry["repeat"]]
-    scope = SCOPES[entry.get("dedup-scope") or "all"] if effect == interface.KEYED else interface.SCOPE_ALL
-    return interface.RequestClass(
+    scope = SCOPES[entry.get("dedup-scope") or "all"] if effect == events.KEYED else events.SCOPE_ALL
+    return events.RequestClass(
         effect=effect,
         scope=scope,
         window_us=int(entry.get("repeat-window-us", 0)),
@@ -252,10 +252,10 @@
         self._tail: list[bytes] = []
         self._tail_size = 0
 
-    def add(self, instance: int, actions: list[interface.Action]) -> None:
+    def add(self, instance: int, actions: list[events.Action]) -> None:
         records = self._records
         for action in actions:
-            if type(action) is interface.Send:
+            if type(action) is events.Send:
                 records.append(
                     ACT_SEND.pack(
                         64,
@@ -265,33 +265,33 @@
                         min(action.timeout_us, MAX_TIMEOUT),
                     )
                 )
-            elif type(action) is interface.Timer:
+            elif type(action) is events.Timer:
                 delay = min(action.delay_us, MAX_U32)
                 records.append(ACT_TIMER.pack(67, instance, action.token, delay))
             else:
                 records.append(self._rare(instance, action))
 
-    def _rare(self, instance: int, action: interface.Action) -> bytes:
+    def _rare(self, instance: int, action: events.Action) -> bytes:
         match action:
-            case interface.Refuse(request, after):
+            case events.Refuse(request, after):
                 return ACT_REFUSE.pack(72, instance, request, after)
-            case interface.Fail(request):
+            case events.Fail(request):
                 return ACT_ID.pack(70, instance, request)
-            case interface.Cancel(request, copy):
+            case events.Cancel(request, copy):
                 return ACT_COPY.pack(71, instance, request, copy)
-            case interface.Probe(endpoint):
+            case events.Probe(endpoint):
                 return ACT_ENDPOINT.pack(65, instance, endpoint)
-            case interface.Close(endpoint):
+            case events.Close(endpoint):
                 return ACT_ENDPOINT.pack(75, instance, endpoint)
-            case interface.Watch(on):
+            case events.Watch(on):
                 return ACT_FLAG.pack(74, instance, on)
-            case interface.Fetch():
+            case events.Fetch():
                 return ACT_PLAIN.pack(68, instance)
-            case interface.Tell(target, payload):
+            case events.Tell(target, payload):
                 to = MAX_U32 if target is None else target
                 offset, size = self._store(payload)
                 return ACT_TELL.pack(73, instance, to, offset, size)
-            case interface.Log(text):
+            case events.Log(text):
                 return ACT_TEXT.pack(66, instance, *self._store(text.encode()))
         raise TypeError(f"no record for {action!r}")
 
--- a/setup.py
+++ b/setup.py
@@ -11,7 +11,7 @@
 from setuptools.command.build_ext import build_ext
 
 MODULES = (
-    *("interface", "policy"),
+    *("balancing/events", "balancing/balancer"),
     *(
         "engine/call",
         "engine/clock",
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import HealthCheck, settings
 
-from laurelstep import policy
+from laurelstep.balancing import balancer
 from tests import fronts
 from tests.sockets import FRONT
 
@@ -21,7 +21,7 @@
 Logged = Callable[[], str]
 
 # What takes a part of a class away can't do so with a compiled one.
-plain_only = pytest.mark.skipif(not policy.__file__.endswith(".py"), reason="patches a class of the module")
+plain_only = pytest.mark.skipif(not balancer.__file__.endswith(".py"), reason="patches a class of the module")
 
 
 @pytest.fixture
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import Any
 
+from laurelstep.balancing.events import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
 from laurelstep.engine import Answer, Attempt, Call, Ending
 from laurelstep.engine.members import endpoint_number
-from laurelstep.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
 
 
 class Due:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,7 +5,8 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from laurelstep.interface import (
+from laurelstep.balancing.balancer import Balancer
+from laurelstep.balancing.events import (
     LIST_FULL,
     OK,
     READY,
@@ -18,7 +19,6 @@
     Send,
     Settings,
 )
-from laurelstep.policy import Balancer
 
 MS = 1_000
 SECOND = 1_000_000
--- a/tests/player.py
+++ b/tests/player.py
@@ -7,8 +7,8 @@
 import sys
 from typing import Any
 
-from laurelstep import policy
-from laurelstep.interface import LIST_FULL, READY, Entry, Settings
+from laurelstep.balancing import balancer
+from laurelstep.balancing.events import LIST_FULL, READY, Entry, Settings
 from tests.test_rules import CLASSES, Ledger
 
 CONFIGS: tuple[dict[str, Any], ...] = (
@@ -36,7 +36,7 @@
 
 
 def main() -> None:
-    print(json.dumps(policy.__file__), flush=True)
+    print(json.dumps(balancer.__file__), flush=True)
     for line in sys.stdin:
         print(json.dumps(play(*json.loads(line))), flush=True)
 
--- a/tests/recorded_decisions/scenarios.py
+++ b/tests/recorded_decisions/scenarios.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from laurelstep.interface import (
+from laurelstep.balancing.events import (
     ERROR_RATE,
     HELD,
     KEYED,
--- a/tests/recorded_decisions/world.py
+++ b/tests/recorded_decisions/world.py
@@ -11,7 +11,8 @@
 from collections.abc import Callable
 from hashlib import sha256
 
-from laurelstep.interface import (
+from laurelstep.balancing.balancer import Balancer
+from laurelstep.balancing.events import (
     CANCELLED,
     DRAINING,
     ERROR,
@@ -42,7 +43,6 @@
     Timer,
     Watch,
 )
-from laurelstep.policy import Balancer
 from tests.recorded_decisions.scenarios import MS, SECOND, Scenario
 
 ACTIONS_PER_DIGEST = 100
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -18,9 +18,9 @@
 from starlette.applications import Starlette
 from starlette.middleware import Middleware
 
+from laurelstep.balancing.events import Action, Outcome
 from laurelstep.engine import Engine
 from laurelstep.engine.ports import Decisions
-from laurelstep.interface import Action, Outcome
 from laurelstep.library import BalancerMiddleware, Client
 from laurelstep.library.client import State
 from laurelstep.net.assembly import Assembly
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -18,7 +18,7 @@
 from starlette.routing import Mount, Route, WebSocketRoute
 from starlette.websockets import WebSocket
 
-from laurelstep.interface import CANCELLED
+from laurelstep.balancing.events import CANCELLED
 from laurelstep.library import BalancerMiddleware, Client, ClientError, Member
 from laurelstep.library.asgi import Message, Receive, Scope, Send
 from laurelstep.library.client import Exchange, State
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -18,7 +18,8 @@
 
 import pytest
 
-from laurelstep.interface import (
+from laurelstep.balancing.balancer import Balancer
+from laurelstep.balancing.events import (
     FULL,
     GONE,
     LIST_DELTA,
@@ -36,7 +37,6 @@
     Settings,
     Timer,
 )
-from laurelstep.policy import Balancer
 from tests.helpers import MS, SECOND, Driver, fleet, started
 
 VIEW = RequestClass(effect=SAFE, aim_us=SECOND, deadline_us=3 * SECOND)
--- a/tests/test_cold_fleets.py
+++ b/tests/test_cold_fleets.py
@@ -18,8 +18,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from laurelstep.interface import NO_CONNECT, READY, TIMEOUT, Entry, Outcome, Send, Settings
-from laurelstep.policy import Balancer
+from laurelstep.balancing.balancer import Balancer
+from laurelstep.balancing.events import NO_CONNECT, READY, TIMEOUT, Entry, Outcome, Send, Settings
 from tests.test_cold import SETTINGS, VIEW, WARM_UP, Case, Fleet, Server
 
 SECOND = 1_000_000
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -18,14 +18,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from laurelstep import policy
-from laurelstep.interface import DRAINING, GONE, LIST_DELTA, LIST_FULL, LIST_PART, READY
+from laurelstep.balancing import balancer
+from laurelstep.balancing.events import DRAINING, GONE, LIST_DELTA, LIST_FULL, LIST_PART, READY
 from tests.player import CONFIGS, play
 from tests.test_memory import compiled_modules
 from tests.test_rules import STEPS
 
 ROOT = Path(__file__).parent.parent
-PLAIN = policy.__file__.endswith(".py")
+PLAIN = balancer.__file__.endswith(".py")
 
 
 class Other:
@@ -148,12 +148,12 @@
 @pytest.mark.parametrize(
     ("text", "expected"),
     [
-        ("import laurelstep.policy", {"laurelstep.policy"}),
+        ("import laurelstep.balancing.balancer", {"laurelstep.balancing.balancer"}),
         ("from laurelstep import Balancer", {"laurelstep"}),
-        ("from laurelstep import interface", {"laurelstep.interface"}),
+        ("from laurelstep.balancing import events", {"laurelstep.balancing.events"}),
         ("from laurelstep.upkeep import roll", {"laurelstep.engine.members"}),  # by what that imports
         ("def late():\n    from laurelstep.engine.members import PHASES", {"laurelstep.engine.members"}),
-        ("from tests import fakes", {"laurelstep.engine.call", "laurelstep.interface"}),
+        ("from tests import fakes", {"laurelstep.engine.call", "laurelstep.balancing.events"}),
         ("from laurelstep.accord import core", set()),
     ],
 )
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -33,11 +33,11 @@
 from laurelstep.accord.ports import Store as RecordStore
 from laurelstep.accord.stores.embedded import EmbeddedStore
 from laurelstep.accord.stores.none import NoStore
+from laurelstep.balancing.events import ERROR, FULL, NO_CONNECT, OK, RESET
 from laurelstep.engine import Answer, Attempt, Call, Ending, LoopClock
 from laurelstep.engine.given import GivenMembers
 from laurelstep.engine.ports import Clock, MemberSink, MemberSource, Recorded, Recorder
 from laurelstep.engine.ports import Upstream as UpstreamSide
-from laurelstep.interface import ERROR, FULL, NO_CONNECT, OK, RESET
 from laurelstep.net.discovery import Discovery
 from laurelstep.net.upstream import Upstream
 from laurelstep.orders import OrderClass, Orders
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -18,9 +18,9 @@
 
 import pytest
 
+from laurelstep.balancing.events import FULL, Action, Outcome, Send
 from laurelstep.handover.place import Place
 from laurelstep.handover.taker import take
-from laurelstep.interface import FULL, Action, Outcome, Send
 from laurelstep.net.server import Caller
 from tests.sockets import (
     Endpoint,
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -19,10 +19,10 @@
 import pytest
 from hypothesis import given
 
+from laurelstep.balancing.events import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET, TIMEOUT, Action, Outcome
 from laurelstep.engine import Attempt, Call, Clock, Engine
 from laurelstep.engine.clock import Timer
 from laurelstep.engine.given import GivenMembers
-from laurelstep.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET, TIMEOUT, Action, Outcome
 from laurelstep.net.upstream import SETTLE_US, SPARE
 from laurelstep.settings import config_from
 from laurelstep.testing import after, reset, serve, stall
--- a/tests/test_crossings_module.py
+++ b/tests/test_crossings_module.py
@@ -13,7 +13,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from laurelstep.interface import (
+from laurelstep.balancing.balancer import Balancer
+from laurelstep.balancing.events import (
     CANCELLED,
     DRAINING,
     ERROR,
@@ -53,7 +54,6 @@
     Timer,
     Watch,
 )
-from laurelstep.policy import Balancer
 from tests.conftest import plain_only
 from tests.helpers import SETTINGS, Driver, fleet, sends, started
 
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -14,10 +14,10 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
+from laurelstep.balancing.events import ERROR, FULL, KEYED, OK, RESET, UNSAFE
 from laurelstep.engine import Call, Ending, Engine
 from laurelstep.engine.flow import Flow
 from laurelstep.engine.given import GivenMembers
-from laurelstep.interface import ERROR, FULL, KEYED, OK, RESET, UNSAFE
 from laurelstep.library import Client, Member, Reply, Request
 from laurelstep.library.client import State
 from laurelstep.settings import config_from
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -6,12 +6,12 @@
 
 import pytest
 
+from laurelstep.balancing.events import ERROR, FULL, OK, RESET, UNSAFE, RequestClass, Settings
 from laurelstep.engine import Answer, Call, Ending, Engine
 from laurelstep.engine.flow import Flow
 from laurelstep.engine.given import GivenMembers
 from laurelstep.engine.names import Names
 from laurelstep.engine.ports import Recorded
-from laurelstep.interface import ERROR, FULL, OK, RESET, UNSAFE, RequestClass, Settings
 from tests.fakes import Answers, ManualClock, PlayedUpstream, Sent, entry
 
 PAY = RequestClass(effect=UNSAFE, aim_us=500_000, deadline_us=2_000_000)
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -13,8 +13,8 @@
 import pytest
 import uvloop
 
+from laurelstep.balancing.events import CANCELLED, MOOT, OK, Action
 from laurelstep.engine import endpoint_number
-from laurelstep.interface import CANCELLED, MOOT, OK, Action
 from laurelstep.library import Client, ClientError, ConfigError, Ending, Member, Reply, Request, RequestError
 from laurelstep.library.client import Exchange, State
 from laurelstep.testing import (
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -12,12 +12,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from laurelstep.balancing.events import LIST_DELTA, LIST_PART, Action, Entry, RequestClass, Settings
 from laurelstep.engine import Engine, Names, endpoint_number
 from laurelstep.engine.given import GivenMembers
 from laurelstep.engine.listing import STEP, apply_in_steps, parse_in_steps
 from laurelstep.engine.members import Members
 from laurelstep.engine.ports import Decisions
-from laurelstep.interface import LIST_DELTA, LIST_PART, Action, Entry, RequestClass, Settings
 from laurelstep.net.discovery import SHORT_OBJECT, Discovery
 from tests.conftest import Logged
 from tests.fakes import ManualClock, PlayedUpstream
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from laurelstep.interface import ERROR, LIST_FULL, Arrival, Outcome
+from laurelstep.balancing.balancer import Balancer
+from laurelstep.balancing.events import ERROR, LIST_FULL, Arrival, Outcome
 from laurelstep.lifecycle import Phase
 from laurelstep.management.calls import reply_to
 from laurelstep.management.server import CALL_MAX, CALLS_MOST, Management, Visitor
 from laurelstep.management.telemetry import escaped, figures
-from laurelstep.policy import Balancer
 from laurelstep.settings import ConfigError, config_from, read_platform
 from tests.helpers import MS, SECOND, fleet, sends
 from tests.sockets import (
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -17,8 +17,8 @@
 
 import pytest
 
+from laurelstep.balancing.events import NO_CONNECT
 from laurelstep.engine.flow import Flow
-from laurelstep.interface import NO_CONNECT
 from laurelstep.net.assembly import Assembly
 from laurelstep.net.message import LARGE_MAX
 from laurelstep.net.server import Server
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from laurelstep.interface import (
+from laurelstep.balancing.balancer import Balancer
+from laurelstep.balancing.events import (
     DRAINING,
     FULL,
     GONE,
@@ -32,7 +33,6 @@
     RequestClass,
     Timer,
 )
-from laurelstep.policy import Balancer
 from tests.helpers import MS, PAGE, SECOND, SETTINGS, Driver, fleet, sends, started
 
 PATIENT = RequestClass(effect=SAFE, aim_us=2_500 * MS, deadline_us=6 * SECOND)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,7 +11,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from laurelstep.interface import (
+from laurelstep.balancing.balancer import Balancer
+from laurelstep.balancing.events import (
     CANCELLED,
     DRAINING,
     ERROR,
@@ -47,7 +48,6 @@
     Settings,
     Timer,
 )
-from laurelstep.policy import Balancer
 from tests.conftest import plain_only
 
 MS = 1_000
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -14,12 +14,12 @@
 
 import pytest
 
+from laurelstep.balancing.balancer import HELD_MIN
+from laurelstep.balancing.events import CANCELLED, ERROR, FULL, OK
 from laurelstep.engine import Answer, Attempt, Call, Clock
-from laurelstep.interface import CANCELLED, ERROR, FULL, OK
 from laurelstep.library.client import Exchange
 from laurelstep.net.server import LINGER_MOST, Caller
 from laurelstep.net.upstream import SPARE, Link
-from laurelstep.policy import HELD_MIN
 from tests.sockets import (
     Endpoint,
     Handler,
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -12,7 +12,7 @@
 
 from laurelstep.__main__ import main, read_config
 from laurelstep.accord.options import AccordSettings, seats_for
-from laurelstep.interface import KEYED, SAFE, SCOPE_CELL, UNSAFE
+from laurelstep.balancing.events import KEYED, SAFE, SCOPE_CELL, UNSAFE
 from laurelstep.library import Client
 from laurelstep.settings import ConfigError, read_file, read_platform
 from laurelstep.settings.operator import AccordTable, Operator, read_operator
--- a/tests/test_shared_gate.py
+++ b/tests/test_shared_gate.py
@@ -8,12 +8,7 @@
 
 import pytest
 
-from laurelstep.engine import Answer, Call, Ending, Engine
-from laurelstep.engine.flow import Flow
-from laurelstep.engine.given import GivenMembers
-from laurelstep.engine.names import Names
-from laurelstep.engine.ports import Recorded
-from laurelstep.interface import (
+from laurelstep.balancing.events import (
     ERROR,
     FULL,
     KEYED,
@@ -25,6 +20,11 @@
     RequestClass,
     Settings,
 )
+from laurelstep.engine import Answer, Call, Ending, Engine
+from laurelstep.engine.flow import Flow
+from laurelstep.engine.given import GivenMembers
+from laurelstep.engine.names import Names
+from laurelstep.engine.ports import Recorded
 from laurelstep.outbox.causes import Cause, Fate
 from laurelstep.outbox.dots import Dot, Line
 from laurelstep.outbox.shared.entries import Begin, Entry, Hold, In, Lost, Said, Unbegin, pack
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -14,8 +14,7 @@
 
 import pytest
 
-from laurelstep.engine import Clock, endpoint_number
-from laurelstep.interface import (
+from laurelstep.balancing.events import (
     CANCELLED,
     DRAINING,
     ERROR,
@@ -33,6 +32,7 @@
     Refuse,
     Send,
 )
+from laurelstep.engine import Clock, endpoint_number
 from laurelstep.net.discovery import Discovery
 from laurelstep.net.request import key_of
 from tests.conftest import Logged, plain_only
@@ -228,7 +228,7 @@
         async with sidecar(Endpoint(), registry=Registry()):
             pass
 
-    from laurelstep.policy import Balancer
+    from laurelstep.balancing.balancer import Balancer
 
     real = Balancer.members
 
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from laurelstep.balancing.events import ERROR, MOOT, NO_CONNECT, OK, RESET
 from laurelstep.engine.flow import Flow
-from laurelstep.interface import ERROR, MOOT, NO_CONNECT, OK, RESET
 from laurelstep.net.message import LARGE_MAX
 from laurelstep.stream.pace import FREE, GRACE_S, HOLD_EACH, RATE_LEAST, Room, keeps_pace, room_for
 from laurelstep.testing.endpoints import reset_connection
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -12,12 +12,12 @@
 
 from laurelstep.accord.errors import BusyError, NotLeadingError
 from laurelstep.accord.machines import Machines
+from laurelstep.balancing.events import OK, RequestClass, Settings
 from laurelstep.engine import Answer, Call, Ending, Engine, Names, endpoint_number
 from laurelstep.engine.call import Attempt
 from laurelstep.engine.flow import Flow
 from laurelstep.engine.given import GivenMembers
 from laurelstep.errors import LaurelstepError
-from laurelstep.interface import OK, RequestClass, Settings
 from laurelstep.lifecycle import Lifecycle
 from laurelstep.management.calls import Reply, reply_to
 from laurelstep.upkeep.assembly import carried
--- a/tests/test_upkeep_schedules.py
+++ b/tests/test_upkeep_schedules.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from laurelstep.interface import READY
+from laurelstep.balancing.events import READY
 from laurelstep.upkeep import plan as plan_module
 from laurelstep.upkeep import roll as roll_module
 from laurelstep.upkeep.entries import Ask, Confirm, Leave, Step, pack, unpack_entry, unpack_word
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,9 +11,10 @@
 
 import pytest
 
-from laurelstep import interface, wire
+from laurelstep import wire
 from laurelstep.adapter import Host, serve
-from laurelstep.policy import Balancer
+from laurelstep.balancing import events
+from laurelstep.balancing.balancer import Balancer
 from tests.sockets import Replaced
 
 NOW = 0x805C5A
@@ -92,8 +93,8 @@
 
 def test_reply_example_byte_for_byte() -> None:
     reply = wire.Reply()
-    reply.add(3, [interface.Send(RID, 0x03124A07, 0x13880), interface.Timer(0x4D, 0x7A120)])
-    reply.add(5, [interface.Log("two servers known")])
+    reply.add(3, [events.Send(RID, 0x03124A07, 0x13880), events.Timer(0x4D, 0x7A120)])
+    reply.add(5, [events.Log("two servers known")])
     expected = (
         "0000005d 00000003"
         "40 00000003 000e37b15d3a91c4 03124a07 00013880 000000"
@@ -107,17 +108,17 @@
 @pytest.mark.parametrize(
     ("action", "expected"),
     [
-        (interface.Refuse(RID, 9), "48 00000003 000e37b15d3a91c4 00000009"),
-        (interface.Fail(RID), "46 00000003 000e37b15d3a91c4"),
-        (interface.Cancel(RID, 2), "47 00000003 000e37b15d3a91c4 02"),
-        (interface.Probe(0x03124A07), "41 00000003 03124a07"),
-        (interface.Watch(True), "4a 00000003 01"),
-        (interface.Fetch(), "44 00000003"),
-        (interface.Tell(None, b"hi 7"), "49 00000003 ffffffff 00000000 00000004"),
-        (interface.Tell(6, b""), "49 00000003 00000006 00000000 00000000"),
+        (events.Refuse(RID, 9), "48 00000003 000e37b15d3a91c4 00000009"),
+        (events.Fail(RID), "46 00000003 000e37b15d3a91c4"),
+        (events.Cancel(RID, 2), "47 00000003 000e37b15d3a91c4 02"),
+        (events.Probe(0x03124A07), "41 00000003 03124a07"),
+        (events.Watch(True), "4a 00000003 01"),
+        (events.Fetch(), "44 00000003"),
+        (events.Tell(None, b"hi 7"), "49 00000003 ffffffff 00000000 00000004"),
+        (events.Tell(6, b""), "49 00000003 00000006 00000000 00000000"),
     ],
 )
-def test_each_action_has_its_record(action: interface.Action, expected: str) -> None:
+def test_each_action_has_its_record(action: events.Action, expected: str) -> None:
     reply = wire.Reply()
     reply.add(3, [action])
     raw = bytes.fromhex(expected.replace(" ", ""))
@@ -126,8 +127,8 @@
 
 def test_entries_example() -> None:
     first, second = wire.read_entries(memoryview(ENTRIES), 0, 2)
-    assert first == interface.Entry(0x03124A07, interface.READY, 0, 1.0, 0, 0, 0)
-    assert second == interface.Entry(0x2C9011F2, interface.READY, 0x5D1420, 1.5, 0, 0, 0)
+    assert first == events.Entry(0x03124A07, events.READY, 0, 1.0, 0, 0, 0)
+    assert second == events.Entry(0x2C9011F2, events.READY, 0x5D1420, 1.5, 0, 0, 0)
 
 
 def test_request_is_sent_and_ends_with_its_first_ok() -> None:
@@ -173,7 +174,7 @@
 def test_exception_in_the_module_is_the_wires_internal_error() -> None:
     host = started_host()
 
-    def broken(*args: object) -> list[interface.Action]:
+    def broken(*args: object) -> list[events.Action]:
         raise RuntimeError("no such luck")
 
     host.instances[3] = cast(Balancer, Replaced(host.instances[3], request=broken))
@@ -259,7 +260,7 @@
         0,
     )
     assert (read.key_rest_us, read.full_unproven) == (50_000, True)
-    assert read.goal == interface.Goal(0.2, 0.3, 0.0, 0.1, 0.4, 0.02)
+    assert read.goal == events.Goal(0.2, 0.3, 0.0, 0.1, 0.4, 0.02)
     assert (read.late_fail_price, read.peer_price, read.discovery_price) == (0.08, 0.01, 0.02)
     assert (read.cpu_us_per_s, read.cpu_us_per_request) == (800_000, 10.0)
     assert read.warm_keys and read.passes_deadline
@@ -279,12 +280,12 @@
 
 @pytest.mark.parametrize("broken", [{"classes": ()}, {"instances": 0}, {"cold_us": -1}])
 def test_settings_that_cannot_be_meant_name_their_field(broken: dict[str, object]) -> None:
-    fields: dict[str, object] = {"classes": (interface.RequestClass(),), **broken}
+    fields: dict[str, object] = {"classes": (events.RequestClass(),), **broken}
     with pytest.raises(ValueError, match=next(iter(broken))):
-        interface.Settings(**fields)  # type: ignore[arg-type]
+        events.Settings(**fields)  # type: ignore[arg-type]
 
 
 def test_an_endpoints_idle_connections_are_closed_on_the_wire() -> None:
     reply = wire.Reply()
-    reply.add(3, [interface.Close(0x03124A07)])
+    reply.add(3, [events.Close(0x03124A07)])
     assert replies(reply.encode())[0][:9] == bytes.fromhex("4b0000000303124a07")
