--- a/laurelstep/adapter.py
+++ b/laurelstep/adapter.py
@@ -107,7 +107,7 @@
             return one.head(now, Outcome(rid, copy, endpoint, OK, delay))
         if code == wire.EV_ABANDONED:
             _, rid = wire.ID_VALUE.unpack_from(body, at)
-            return one.gone(now, rid)
+            return one.client_disconnected(now, rid)
         if code == wire.EV_PROBED:
             _, endpoint, raw, delay, n, *load = wire.PROBED.unpack_from(body, at)
             if raw not in wire.OUTCOMES:
@@ -115,7 +115,7 @@
             report = load[:n] if n else None
             return one.probed(now, Probed(endpoint, wire.OUTCOMES[raw], delay, report))
         _, sender, start, size = wire.MAIL.unpack_from(body, at)
-        return one.mail(now, sender, wire.tail_bytes(tail, start, size))
+        return one.gossip_received(now, sender, wire.tail_bytes(tail, start, size))
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
--- /dev/null
+++ b/laurelstep/balancing/connections.py
@@ -0,0 +1,99 @@
+"""Suspicion of stale idle connections: those that died unseen while nothing was sent on them."""
+
+from __future__ import annotations
+
+from collections import deque
+from typing import Final
+
+from laurelstep.balancing.events import Settings
+from laurelstep.balancing.latency import LOST_DEVIATIONS, LatencyTracker
+from laurelstep.balancing.requests import Attempt
+
+# A lost attempt makes connections suspect that were idle for this part as long:
+# each halving on the way down would cost another loss.
+SUSPECT_PART: Final = 0.25
+# A shorter idle time, in longest objectives, kills no connection: who drops flows waits longer.
+IDLE_LEAST: Final = 0.1
+# A handshake costs at least this part of a request's worth, priced or not.
+HANDSHAKE_LEAST: Final = 0.01
+
+
+class IdleConnectionMonitor:
+    """Closes idle connections before use while others like them were lost."""
+
+    __slots__ = (
+        "answered_idle_us",
+        "answered_sent_at",
+        "closes_left",
+        "credit",
+        "idle_us",
+        "latencies",
+        "suspect_idle_us",
+        "unconfirmed",
+    )
+
+    def __init__(self, settings: Settings, latencies: LatencyTracker) -> None:
+        self.latencies = latencies
+        self.idle_us = settings.idle_us
+        self.credit = 1.0 / max(settings.handshake_price, HANDSHAKE_LEAST)
+        self.unconfirmed: deque[Attempt] = deque()  # in the order sent
+        self.answered_sent_at = self.answered_idle_us = 0  # of the last attempt answered
+        self.suspect_idle_us = 0.0  # connections idle for this long are suspect,
+        self.closes_left = 0.0  # for so many sends
+
+    def watch(self, attempt: Attempt) -> None:
+        """An attempt that its endpoint has whole: an answer is due from now on."""
+        self.unconfirmed.append(attempt)
+
+    def choose_connection(self, now: int, attempt: Attempt) -> bool:
+        """Which idle connection the attempt is sent on; True where all are to be closed first.
+
+        Guards against idle connections that died unseen: after losses on such as had been
+        idle, others that were idle for long are closed before use. An attempt that is
+        overdue counts before its time-out.
+        """
+        self._count_overdue(now)
+        idle_since = attempt.endpoint.idle_since
+        idle_us = now - idle_since.pop() if idle_since else 0
+        if self.closes_left >= 1.0 and idle_us >= self.suspect_idle_us:
+            self.closes_left -= 1.0
+            idle_since.clear()
+            return True
+        if idle_us and (not self.idle_us or idle_us < self.idle_us):
+            attempt.connection_idle_us = idle_us
+        return False
+
+    def _count_overdue(self, now: int) -> None:
+        while self.unconfirmed:
+            oldest = self.unconfirmed[0]
+            if oldest.outstanding and not self.latencies.is_overdue(now - oldest.sent_at, LOST_DEVIATIONS):
+                break
+            self.unconfirmed.popleft()
+            if oldest.outstanding:
+                self.record_lost(oldest)
+
+    def record_lost(self, attempt: Attempt) -> None:
+        """Evidence of connections that die while idle, counted in the new ones that it pays
+        for: as many as the request was worth for a loss on one that had been idle. A loss on
+        a new connection takes a loss back: it has other causes."""
+        suspect_us = SUSPECT_PART * attempt.connection_idle_us
+        least_us = IDLE_LEAST * self.latencies.longest_objective_us
+        if attempt.connection_idle_us > least_us and not attempt.counted_as_lost:
+            if self.answered_sent_at > attempt.sent_at and self.answered_idle_us >= suspect_us:
+                return  # one sent since, on a connection idle alike, was answered
+            is_first = self.closes_left < 1.0
+            self.suspect_idle_us = suspect_us if is_first else min(self.suspect_idle_us, suspect_us)
+            self.closes_left += self.credit
+        elif not attempt.counted_as_lost:
+            self.closes_left = max(0.0, self.closes_left - self.credit)
+        attempt.counted_as_lost = True
+
+    def record_answered(self, attempt: Attempt) -> None:
+        """An answer takes a counted loss back, as slowness has other causes; one on a
+        connection that had been idle counts against the suspicion."""
+        if attempt.counted_as_lost:
+            self.closes_left = max(0.0, self.closes_left - self.credit)
+        elif attempt.connection_idle_us > 0 and self.closes_left < 1.0:
+            self.closes_left = max(-self.credit / 2.0, self.closes_left - 1.0)
+        self.answered_sent_at, self.answered_idle_us = attempt.sent_at, attempt.connection_idle_us
+        attempt.counted_as_lost = False
--- /dev/null
+++ b/laurelstep/balancing/outliers.py
@@ -0,0 +1,147 @@
+"""Outlier detection: the health, the speed and the stalls of endpoints."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from math import exp
+from typing import Final
+
+from laurelstep.balancing.endpoints import Endpoint
+from laurelstep.balancing.events import ERROR, FULL, NO_CONNECT, RESET, TIMEOUT, Settings
+from laurelstep.balancing.latency import LEARN_SAMPLES, STALL_DEVIATIONS, DecayingRate, LatencyTracker
+from laurelstep.balancing.subsets import SubsetPlan
+
+# What one failure leaves of an endpoint's health, by how surely it tells of a
+# broken endpoint; fullness tells of load more than of a fault.
+HEALTH_LEFT: Final = {ERROR: 0.4, FULL: 0.7, TIMEOUT: 0.2, NO_CONNECT: 0.5, RESET: 0.2}
+# Power of the factor that the other classes and tenants take for a failure of one.
+HEALTH_LEFT_OTHERS: Final = 0.5
+# A full endpoint gets nothing for so many usual latencies: one kept full by everybody's
+# next retry would turn slow. Before the first answer, for so many objectives.
+OVERLOADED_FOR: Final = 1.0
+OVERLOADED_FIRST: Final = 0.1
+# One answer repairs this share of the damage; time repairs it with a memory
+# of this many objectives, doubled by each failure in a row up to the cap.
+REPAIR: Final = 0.2
+HEAL_MEMORY: Final = 1.5
+HEAL_DOUBLINGS: Final = 4
+# And so many sends to the endpoint at least: where a copy sends little, time alone
+# would have it try a bad endpoint with every other request.
+HEAL_SENDS: Final = 3.0
+# Sends a copy is taken to make at least, per longest objective.
+SENDS_LEAST: Final = 0.1
+# Health never falls below this: the trial by which an endpoint returns.
+HEALTH_MIN: Final = 0.01
+# From this on the rest of the damage counts as repaired.
+HEALTH_REPAIRED: Final = 0.99
+# One of less health for all segments counts as ejected, to those who look on.
+EJECTED_BELOW: Final = 0.5
+# Gain of an endpoint's learned speed: a few samples tell speeds of 3:1 apart, and an endpoint
+# seldom drawn is judged afresh, with a memory of so many longest objectives.
+SPEED_MEMORY: Final = 2.0
+SPEED_GAIN_MAX: Final = 0.5
+SPEED_GAIN_FIRST: Final = 0.25
+SPEED_PRIOR_SAMPLES: Final = 3
+# Bounds of one answer's time, and of the learned slowness, over the usual.
+SLOWNESS_MOST: Final = 8.0
+SLOWNESS_LEAST: Final = 0.1
+
+
+class OutlierDetector:
+    """Judges endpoints by the outcomes of own attempts."""
+
+    __slots__ = ("full_is_a_fault", "heal_sends_us", "latencies", "sends", "subsets")
+
+    def __init__(self, settings: Settings, latencies: LatencyTracker, subsets: SubsetPlan) -> None:
+        self.latencies = latencies
+        self.subsets = subsets
+        self.full_is_a_fault = settings.full_unproven  # it may cost the request, and be no load
+        self.sends = DecayingRate(self.latencies.rate_memory_us, 0)
+        self.heal_sends_us = 0.0  # time in which an endpoint is sent HEAL_SENDS
+
+    def start(self, now: int) -> None:
+        """The rate of sends counts from here."""
+        self.sends = DecayingRate(self.latencies.rate_memory_us, now)
+
+    def record_send(self, now: int) -> None:
+        """An attempt was sent to some endpoint."""
+        self.sends.add(now)
+
+    def is_stalled(self, now: int, endpoint: Endpoint) -> bool:
+        """Guards against frozen and hung endpoints: calls outstanding, no answers."""
+        if not endpoint.inflight:
+            return False
+        return self.latencies.is_overdue(now - endpoint.silent_since, STALL_DEVIATIONS)
+
+    def health(self, now: int, endpoint: Endpoint, segment: int) -> float:
+        """Health by now: damage heals with time, slower after repeated failures.
+
+        Weights only count against each other in a draw, so failures that
+        come from the tier behind and strike all alike eject nobody.
+        """
+        last = endpoint.health[segment]
+        memory_us = max(HEAL_MEMORY * self.latencies.longest_objective_us, self.heal_sends_us)
+        memory_us *= 2.0 ** min(last.failures, HEAL_DOUBLINGS)
+        return max(HEALTH_MIN, 1.0 - (1.0 - last.value) * exp((last.updated_at - now) / memory_us))
+
+    def ejected(self, now: int, endpoints: Iterable[Endpoint]) -> int:
+        """How many ready endpoints get next to nothing now. Changes nothing."""
+        return sum([one.ready and self._is_ejected(now, one) for one in endpoints])
+
+    def _is_ejected(self, now: int, endpoint: Endpoint) -> bool:
+        if now < endpoint.overloaded_until or self.is_stalled(now, endpoint):
+            return True
+        return all([self.health(now, endpoint, n) < EJECTED_BELOW for n in range(endpoint.segments)])
+
+    def record_failure(
+        self, now: int, endpoint: Endpoint, outcome: int, segment: int, no_connection_left: bool = False
+    ) -> None:
+        """Guards against endpoints that fail fast, drain their count and so
+        keep winning: a failure makes them unlikely to be drawn. Other classes
+        and tenants are suspected too, but less: it may fail these alone."""
+        if outcome == FULL and self.full_is_a_fault:
+            outcome = TIMEOUT
+        sends = max(self.sends.per_us(now), SENDS_LEAST / self.latencies.longest_objective_us)
+        self.heal_sends_us = HEAL_SENDS * self.subsets.span / sends
+        left = HEALTH_LEFT[outcome]
+        for other, health in enumerate(endpoint.health):
+            share = left if other == segment else left**HEALTH_LEFT_OTHERS
+            health.value = max(HEALTH_MIN, self.health(now, endpoint, other) * share)
+            health.updated_at = now
+            health.failures += other == segment
+        if outcome == FULL:
+            self._record_overload(now, endpoint, no_connection_left)
+
+    def _record_overload(self, now: int, endpoint: Endpoint, no_connection_left: bool) -> None:
+        usual_us = self.latencies.overall.mean or OVERLOADED_FIRST * self.latencies.longest_objective_us
+        until = now + int(OVERLOADED_FOR * usual_us)
+        if no_connection_left:
+            endpoint.no_new_connections_until = until
+        else:
+            endpoint.overloaded_until = until
+
+    def record_success(self, now: int, endpoint: Endpoint, segment: int) -> None:
+        """An answer repairs the health of its segment."""
+        last = endpoint.health[segment]
+        if last.value < 1.0:
+            health = self.health(now, endpoint, segment)
+            health += REPAIR * (1.0 - health)
+            last.value = 1.0 if health > HEALTH_REPAIRED else health
+            last.updated_at = now
+            last.failures /= 2.0
+
+    def learn_speed(self, now: int, endpoint: Endpoint, class_index: int, delay_us: int) -> None:
+        """Learn an endpoint's speed from an answer, against what its class usually takes."""
+        ratio = delay_us / max(1.0, self.latencies.by_class[class_index].mean)
+        age = (now - endpoint.slowness_at) / (SPEED_MEMORY * self.latencies.longest_objective_us)
+        endpoint.samples += 1
+        gain = max(
+            1.0 / LEARN_SAMPLES,
+            1.0 / (endpoint.samples + SPEED_PRIOR_SAMPLES),
+            min(age, SPEED_GAIN_MAX),
+        )
+        if endpoint.samples == 1:
+            gain = SPEED_GAIN_FIRST
+        step = gain * (min(ratio, SLOWNESS_MOST) - endpoint.slowness)
+        endpoint.slowness = max(SLOWNESS_LEAST, endpoint.slowness + step)
+        endpoint.slowness_at = now
--- a/laurelstep/engine/engine.py
+++ b/laurelstep/engine/engine.py
@@ -133,7 +133,7 @@
         except Exception:
             # Guards the process and its callers against a fault of the module.
             self.log(traceback.format_exc().rstrip())
-            self.balancer.out.clear()
+            self.balancer.discard_actions()
             if call is not None and call.open:
                 self._answer(call, Answer(Ending.FAILED, 500))
 
@@ -212,7 +212,7 @@
             self._tell(self._tell_whole, call, call)
 
     def _tell_whole(self, now: int, call: Call) -> list[Action]:
-        return self.decisions.whole(now, call.id, call.expires)
+        return self.decisions.request_completed(now, call.id, call.expires)
 
     def gone(self, call: Call) -> None:
         """The client left: nothing more is owed. Nothing happens if it was answered."""
@@ -227,7 +227,7 @@
                 return
             if call.recorded and self.recorder is not None:
                 self.recorder.gone(call, self)
-            self._tell(self.decisions.gone, call.id)
+            self._tell(self.decisions.client_disconnected, call.id)
 
     def _expire(self, call: Call) -> None:
         """The client's deadline: what is out timed out, and the module answers."""
@@ -239,7 +239,7 @@
             self._leave_keeper(call)
         elif call.open:  # guards the caller should the module have held it to the end
             self._give_up(call, Answer(Ending.FAILED, 504))
-            self._tell(self.decisions.gone, call.id)
+            self._tell(self.decisions.client_disconnected, call.id)
 
     def _keep(self, call: Call, answer: Answer | None) -> bool:
         """Whether a keeper has a call from here on. It is never asked about one that may have run, or
--- a/laurelstep/management/telemetry.py
+++ b/laurelstep/management/telemetry.py
@@ -31,7 +31,7 @@
     """All of them, as they stand now."""
     tally, members = engine.tally, engine.members
     classes = [name for name, _ in sorted(engine.names.classes.items(), key=lambda pair: pair[1])]
-    avoided = engine.decisions.avoided(engine.now()) + len(members.draining)
+    avoided = engine.decisions.ejected(engine.now()) + len(members.draining)
     return "".join(
         (
             family("answered_total", "counter", "Requests served.", by_class(classes, tally.answered)),
--- a/setup.py
+++ b/setup.py
@@ -11,7 +11,25 @@
 from setuptools.command.build_ext import build_ext
 
 MODULES = (
-    *("balancing/events", "balancing/balancer"),
+    *(
+        "balancing/admission",
+        "balancing/balancer",
+        "balancing/concurrency_limit",
+        "balancing/connections",
+        "balancing/endpoints",
+        "balancing/events",
+        "balancing/key_queues",
+        "balancing/latency",
+        "balancing/membership",
+        "balancing/outliers",
+        "balancing/priorities",
+        "balancing/requests",
+        "balancing/retries",
+        "balancing/selection",
+        "balancing/slow_start",
+        "balancing/subsets",
+        "balancing/zones",
+    ),
     *(
         "engine/call",
         "engine/clock",
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,6 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
+from laurelstep.balancing.admission import AdmissionController
 from laurelstep.balancing.balancer import Balancer
 from laurelstep.balancing.events import (
     LIST_FULL,
@@ -49,6 +50,16 @@
     return [action for action in actions if isinstance(action, Send)]
 
 
+def on_ring(balancer: Balancer) -> list[int]:
+    """The endpoints that requests may be sent to, in the order of the ring."""
+    return [endpoint.id for _, endpoint in balancer.membership.ring.all]
+
+
+def first_refused(admission: AdmissionController, now: int, held: range) -> int:
+    """The least of these numbers of requests held at which one more is refused."""
+    return next(count for count in held if admission.limit.exceeds_concurrency_limit(now, count))
+
+
 class Driver:
     """Numbers the requests of one balancer and remembers what it sent."""
 
@@ -58,7 +69,7 @@
 
     def ask(self, now: int, cls: int = 0, tenant: int = 0, key: int = 0) -> tuple[int, list[Action]]:
         self.next += 1
-        expires = now + self.balancer.s.classes[cls].deadline_us
+        expires = now + self.balancer.settings.classes[cls].deadline_us
         return self.next, self.balancer.request(now, Arrival(self.next, cls, expires, tenant, key))
 
     def serve(self, now: int, delay: int, cls: int = 0) -> bool:
--- a/tests/recorded_decisions/world.py
+++ b/tests/recorded_decisions/world.py
@@ -202,7 +202,7 @@
         else:
             self._at(event.expires - self.now, self._leave(event.request))
         if self._next_request % 50 == 0:
-            self.recording.add(self.now, f"J{self.balancer.avoided(self.now)}")
+            self.recording.add(self.now, f"J{self.balancer.ejected(self.now)}")
         return self.balancer.request(self.now, event)
 
     def _complete_upload(self, event: Arrival) -> Callable[[], list[Action]]:
@@ -211,7 +211,7 @@
                 return []
             expires = self.now + self.settings.classes[event.cls].deadline_us
             self._at(expires - self.now, self._leave(event.request))
-            return self.balancer.whole(self.now, event.request, expires)
+            return self.balancer.request_completed(self.now, event.request, expires)
 
         return complete
 
@@ -219,7 +219,7 @@
         def leave() -> list[Action]:
             if self._open.pop(request, None) is None:
                 return []
-            return self.balancer.gone(self.now, request)
+            return self.balancer.client_disconnected(self.now, request)
 
         return leave
 
@@ -305,7 +305,7 @@
             self._at(int(self.scenario.fault_every_us * (0.5 + self.random.random())), self._change_fault)
         number = self.random.choice(sorted(self._endpoints))
         actions = self.balancer.probed(self.now, Probed(number, OK, 2 * MS))
-        return actions + self.balancer.mail(self.now, 0, b"gossip")
+        return actions + self.balancer.gossip_received(self.now, 0, b"gossip")
 
     # --- Discovery --------------------------------------------------------------------------
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -296,24 +296,26 @@
     its arc serves it x tip_for_us; whatever it saved up before, and whenever it spends it."""
     driver = Driver(balancer := started(4, tip_for_us=SECOND))
     cold = balancer.endpoints[100]
-    cold.crowded = 10**12  # nothing is sent there but what this test takes
+    cold.overloaded_until = 10**12  # nothing is sent there but what this test takes
     rng, spent, thrifty = random.Random(gap), list[int](), 0
     for now in range(gap, 40 * SECOND, gap):
         assert driver.serve(now, gap // 2)
         if now == 5 * SECOND:
-            cold.boot = cold.budget_at = now
+            cold.boot = cold.slow_start_budget_at = now
         if now > thrifty + 2 * SECOND:
             thrifty = now + rng.randrange(3 * SECOND)  # it saves up to here, and then takes all it may
-        while now > thrifty and cold.boot and balancer._is_cold(now, cold):
-            if balancer._cold_budget(now, cold) < 1.0:
+        while now > thrifty and cold.boot and balancer.slow_start.is_warming_up(now, cold):
+            if balancer.slow_start.slow_start_budget(now, cold) < 1.0:
                 break
-            cold.budget -= 1.0
+            cold.slow_start_budget -= 1.0
             spent.append(now)
     assert len(spent) > 2
     for at in spent:
         # A rate that is read just after a send shows by so much more than its mean.
-        part = 0.5 * balancer.s.tip_multiple * balancer._warmth(at + SECOND, cold) / 4 * SECOND / gap
-        part = max(part * (1.0 + gap / balancer.rate_memory), 0.5 * SECOND / balancer.longest_aim)
+        warm = balancer.slow_start.warmup_fraction(at + SECOND, cold)
+        part = 0.5 * balancer.settings.tip_multiple * warm / 4 * SECOND / gap
+        part *= 1.0 + gap / balancer.latencies.rate_memory_us
+        part = max(part, 0.5 * SECOND / balancer.latencies.longest_objective_us)
         assert sum(at <= other < at + SECOND for other in spent) <= 1.0 + 2.0 * part + 1e-6
 
 
@@ -340,9 +342,9 @@
         parts = []
         for size in (20, 4):
             balancer.members(5 * SECOND, LIST_FULL, fleet(size))
-            cold = next(one for one in balancer.endpoints.values() if balancer.groups[0].holds(one))
-            holders = balancer.arc_size * balancer.s.instances / size
-            cold.boot = cold.budget_at = 5 * SECOND
-            cold.budget = 0.0
-            parts.append(balancer._cold_budget(5 * SECOND + 10 * MS, cold) * holders)
+            cold = next(one for one in balancer.endpoints.values() if balancer.subsets.pair[0].contains(one))
+            holders = balancer.subsets.span * balancer.settings.instances / size
+            cold.boot = cold.slow_start_budget_at = 5 * SECOND
+            cold.slow_start_budget = 0.0
+            parts.append(balancer.slow_start.slow_start_budget(5 * SECOND + 10 * MS, cold) * holders)
         assert parts[1] <= 1.1 * parts[0], changes
--- a/tests/test_cold_fleets.py
+++ b/tests/test_cold_fleets.py
@@ -20,6 +20,7 @@
 
 from laurelstep.balancing.balancer import Balancer
 from laurelstep.balancing.events import NO_CONNECT, READY, TIMEOUT, Entry, Outcome, Send, Settings
+from tests.helpers import on_ring
 from tests.test_cold import SETTINGS, VIEW, WARM_UP, Case, Fleet, Server
 
 SECOND = 1_000_000
@@ -109,7 +110,7 @@
         if not case.in_row:
             super()._replace()
             return
-        ring = [endpoint.id for _, endpoint in self.copies[0].order.ring] * 2
+        ring = on_ring(self.copies[0]) * 2
         first = self.rng.randrange(case.endpoints)
         back = ring[first : first + case.replaced]
         listed = [self._server(number, WARM_UP) for number in back]
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -196,9 +196,9 @@
                 def gone(now: int, rid: int) -> list[Action]:
                     with contextlib.suppress(BlockingIOError):
                         caller.raw.send(behind)
-                    return real.gone(now, rid)
+                    return real.client_disconnected(now, rid)
 
-                overrule(one.engine, gone=gone)
+                overrule(one.engine, client_disconnected=gone)
                 caller.send(request(rid="r2"))
                 (back,) = await parsed(await caller.read())
                 assert back.status == 400 and len(endpoint.got) == 1
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -104,7 +104,7 @@
     """Give all classes this window for repeats."""
     classes = tuple(replace(cls, window_us=window_us) for cls in one.engine.settings.classes)
     one.engine.settings = replace(one.engine.settings, classes=classes)
-    one.engine.balancer.s = replace(one.engine.balancer.s, classes=classes)
+    one.engine.balancer.settings = replace(one.engine.balancer.settings, classes=classes)
 
 
 def got_in_turn(endpoints: list[Endpoint]) -> list[Message]:
--- a/tests/test_crossings_module.py
+++ b/tests/test_crossings_module.py
@@ -14,6 +14,7 @@
 from hypothesis import strategies as st
 
 from laurelstep.balancing.balancer import Balancer
+from laurelstep.balancing.endpoints import Endpoint
 from laurelstep.balancing.events import (
     CANCELLED,
     DRAINING,
@@ -54,8 +55,12 @@
     Timer,
     Watch,
 )
+from laurelstep.balancing.membership import Membership
+from laurelstep.balancing.requests import Request
+from laurelstep.balancing.retries import RetryPolicy
+from laurelstep.balancing.selection import EndpointSelector
 from tests.conftest import plain_only
-from tests.helpers import SETTINGS, Driver, fleet, sends, started
+from tests.helpers import SETTINGS, Driver, fleet, on_ring, sends, started
 
 MS = 1_000
 SECOND = 1_000_000
@@ -179,7 +184,7 @@
         if some:
             one = self.asked[rid := some[pick % len(some)]]
             one.coming, one.expires = False, min(one.expires, self.now + one.cls.deadline_us)
-            self.take(self.balancer.whole(self.now, rid, one.expires))
+            self.take(self.balancer.request_completed(self.now, rid, one.expires))
 
     def out(self) -> list[tuple[int, int]]:
         return [
@@ -220,7 +225,8 @@
         if held := [rid for rid, one in self.asked.items() if not one.over]:
             rid = held[pick % len(held)]
             self.asked[rid].left = True
-            actions = self.balancer.gone(self.now, rid) + self.balancer.gone(self.now, rid)
+            actions = self.balancer.client_disconnected(self.now, rid)
+            actions += self.balancer.client_disconnected(self.now, rid)
             assert all(isinstance(one, Send | Cancel | Timer | Refuse | Fail) for one in actions)
             self.take(actions)
 
@@ -338,17 +344,21 @@
         assert one.over, "each request ends"
         assert one.ends <= 1
     balancer = referee.balancer
-    assert not balancer.requests and not balancer.ended and not balancer.partial
-    assert not any(turn.line or turn.out for turn in balancer.turns.values())
+    assert not balancer.requests and not balancer.request_table.ended and not balancer.request_table.uploading
+    assert not any(queue.waiting or queue.attempts_out for queue in balancer.key_queues.queues.values())
     assert all(endpoint.inflight == 0 for endpoint in balancer.endpoints.values())
 
 
+def warming_up(balancer: Balancer, now: int) -> list[bool]:
+    return [balancer.slow_start.is_warming_up(now, one) for one in balancer.endpoints.values()]
+
+
 @pytest.mark.parametrize("cold_us", [0, 20 * SECOND])
 def test_a_start_that_is_dated_ahead_is_a_start_just_now(cold_us: int) -> None:
     """Its clock goes ahead of ours. Where nothing is cold (the default) the module failed on each request."""
     balancer = started(2, cold_us=cold_us)
     balancer.members(SECOND, LIST_FULL, fleet(2, boot=3 * SECOND))
-    assert [balancer._is_cold(SECOND, one) for one in balancer.endpoints.values()] == [cold_us > 0] * 2
+    assert warming_up(balancer, SECOND) == [cold_us > 0] * 2
     _, actions = Driver(balancer).ask(SECOND)
     assert sends(actions) or cold_us
 
@@ -358,7 +368,7 @@
     balancer = started(2)
     balancer.members(SECOND, LIST_FULL, fleet(2, boot=-2 * SECOND))
     for now, cold in ((SECOND, True), (17 * SECOND, True), (18 * SECOND, False)):
-        assert [balancer._is_cold(now, one) for one in balancer.endpoints.values()] == [cold] * 2
+        assert warming_up(balancer, now) == [cold] * 2
 
 
 @pytest.mark.parametrize("scope", [SCOPE_CELL, SCOPE_ZONE], ids=["cell", "zone"])
@@ -376,9 +386,7 @@
     referee.outcome(0, ERROR)
     referee.pass_time(SECOND)
     assert len(referee.asked[1].tries) == 1 and referee.asked[1].over
-    assert [one.id for _, one in referee.balancer.order.ring] == sorted(
-        (1, 2), key=lambda n: referee.balancer.endpoints[n].key
-    )
+    assert on_ring(referee.balancer) == sorted((1, 2), key=lambda n: referee.balancer.endpoints[n].key)
 
 
 def test_a_moved_endpoint_keeps_its_calls_in_flight_and_its_budget_of_a_start() -> None:
@@ -389,12 +397,13 @@
     balancer.members(SECOND, LIST_DELTA, [replace(entry, cell=9, zone=2)])
     endpoint = balancer.endpoints[sent.endpoint]
     assert (endpoint.cell, endpoint.zone, endpoint.inflight) == (9, 2, 1)
-    assert len(balancer.order.ring) == 4 and len(balancer.order.zones[2]) == 1
+    assert len(on_ring(balancer)) == 4 and len(balancer.membership.ring.by_zone[2]) == 1
     balancer.members(SECOND, LIST_PART, [replace(entry, cell=8, zone=1)])
     balancer.members(SECOND, LIST_DELTA, [])
     assert (endpoint.cell, endpoint.zone, endpoint.inflight) == (8, 1, 1)
     balancer.outcome(SECOND, Outcome(1, 0, sent.endpoint, OK, MS, over=True))
-    assert endpoint.inflight == 0 and len(balancer.order.ring) == 4 and not balancer.order.zones[2]
+    assert endpoint.inflight == 0
+    assert len(on_ring(balancer)) == 4 and not balancer.membership.ring.by_zone[2]
 
 
 @pytest.mark.parametrize("leaving", [2, 5, 9])
@@ -408,7 +417,7 @@
         for sent in sends(actions):
             through += 1
             if k % 10 < leaving:
-                assert not sends(balancer.gone(now + 10 * MS, rid))
+                assert not sends(balancer.client_disconnected(now + 10 * MS, rid))
                 done = Outcome(rid, 0, sent.endpoint, CANCELLED, 10 * MS, over=True)
             else:
                 done = Outcome(rid, 0, sent.endpoint, OK, 100 * MS, over=True)
@@ -423,7 +432,7 @@
         now = (60 + k) * SECOND
         rid, actions = driver.ask(now)
         if sent := sends(actions):
-            driver.balancer.gone(now + 900 * MS, rid)
+            driver.balancer.client_disconnected(now + 900 * MS, rid)
             done = Outcome(rid, 0, sent[0].endpoint, CANCELLED, 900 * MS, over=True)
             driver.balancer.outcome(now + 900 * MS, done)
     assert driver.balancer.admission.share < 0.3
@@ -440,12 +449,12 @@
         assert not sends(actions)
     assert timers
     for rid in (1, 3, 2):
-        left = balancer.gone(10, rid)
+        left = balancer.client_disconnected(10, rid)
         assert all(isinstance(one, Timer) for one in left), "the next one's turn to wait, at most"
         timers += [one.token for one in left if isinstance(one, Timer)]
     balancer.members(20, LIST_FULL, fleet(4))
     assert [balancer.timer(30, token) for token in timers] == [[]] * len(timers)
-    assert not balancer.requests and not balancer.ended and not balancer.turns
+    assert not balancer.requests and not balancer.request_table.ended and not balancer.key_queues.queues
 
 
 def longest_pause(seed: int, gap: int, trouble: tuple[int, int], copies: int) -> int:
@@ -546,17 +555,17 @@
 
 @plain_only
 @pytest.mark.parametrize(
-    ("guard", "broken", "effect", "why"),
+    ("owner", "guard", "broken", "effect", "why"),
     [
-        ("_may_repeat", True, UNSAFE, "no effect twice"),
-        ("_in_scope", True, KEYED, "out of scope"),
-        ("_remove", False, SAFE, "nothing is sent to one that drains"),
-        ("_end", None, SAFE, "each request ends"),
-        ("_forget", None, SAFE, "one end|nothing is sent after the end"),
+        (RetryPolicy, "may_retry", True, UNSAFE, "no effect twice"),
+        (RetryPolicy, "is_in_scope", True, KEYED, "out of scope"),
+        (Membership, "remove", False, SAFE, "nothing is sent to one that drains"),
+        (Balancer, "_end", None, SAFE, "each request ends"),
+        (Balancer, "_forget", None, SAFE, "one end|nothing is sent after the end"),
     ],
 )
 def test_the_referee_sees_each_rule_broken(
-    monkeypatch: pytest.MonkeyPatch, guard: str, broken: bool | None, effect: int, why: str
+    monkeypatch: pytest.MonkeyPatch, owner: type, guard: str, broken: bool | None, effect: int, why: str
 ) -> None:
     """A checker that can't fail proves nothing: take one guard away at a time."""
 
@@ -574,8 +583,12 @@
         assert all(one.over for one in referee.asked.values()), "each request ends"
 
     play()
-    if guard == "_in_scope":  # what the pick narrows it to, too
-        monkeypatch.setattr(Balancer, "_pick", lambda one, now, asked: one._choose(now, asked, one.groups))
-    monkeypatch.setattr(Balancer, guard, lambda *_: broken)
+    if guard == "is_in_scope":  # what the pick narrows it to, too
+
+        def pick_anywhere(selector: EndpointSelector, now: int, asked: Request) -> Endpoint | None:
+            return selector._choose(now, asked, selector.subsets.pair)
+
+        monkeypatch.setattr(EndpointSelector, "pick", pick_anywhere)
+    monkeypatch.setattr(owner, guard, lambda *_: broken)
     with pytest.raises(AssertionError, match=why):
         play()
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -179,13 +179,14 @@
         """Each call that is out and whole counts at its endpoint, once; an upload on its way
         counts nowhere."""
         balancer = self.engine.balancer
-        held = [*balancer.requests.values(), *balancer.ended.values()]
-        out = [one for request in held for one in request.attempts if one.out]
+        held = [*balancer.requests.values(), *balancer.request_table.ended.values()]
+        out = [one for request in held for one in request.attempts if one.outstanding]
         for endpoint in balancer.endpoints.values():
-            assert endpoint.inflight == sum(one.endpoint is endpoint and not one.coming for one in out)
-        assert balancer.partial == sum(request.coming for request in balancer.requests.values())
+            assert endpoint.inflight == sum(one.endpoint is endpoint and not one.body_pending for one in out)
+        pending = [request for request in balancer.requests.values() if request.body_pending]
+        assert balancer.request_table.uploading == len(pending)
         coming = {call.id for call in self._coming()}
-        assert {request.id for request in balancer.requests.values() if request.coming} == coming
+        assert {request.id for request in pending} == coming
 
     def teardown(self) -> None:
         self.clock.advance(9_000_000)
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -21,6 +21,7 @@
 from laurelstep.net.discovery import SHORT_OBJECT, Discovery
 from tests.conftest import Logged
 from tests.fakes import ManualClock, PlayedUpstream
+from tests.helpers import on_ring
 from tests.sockets import Endpoint, Registry, Sidecar, outcomes, push, push_raw, request, run, sidecar
 
 ZONES = ("east", "west")
@@ -59,10 +60,11 @@
     def seen(self) -> object:
         """What decides where requests may go."""
         balancer = self.engine.balancer
+        by_zone = balancer.membership.ring.by_zone
         return (
-            [endpoint.id for _, endpoint in balancer.order.ring],
-            {zone: [one.id for _, one in ring] for zone, ring in balancer.order.zones.items() if ring},
-            [[(one.id, share) for one, share in group.short] for group in balancer.groups],
+            on_ring(balancer),
+            {zone: [one.id for _, one in ring] for zone, ring in by_zone.items() if ring},
+            [[(one.id, share) for one, share in subset.members] for subset in balancer.subsets.pair],
             {number: (place.address, place.left_at) for number, place in self.engine.members.places.items()},
             self.upstream.placed,
             sorted((one.id, one.boot, one.rating) for one in balancer.endpoints.values()),
@@ -183,17 +185,17 @@
             at = now
             steps += 1
         assert counted["read"] - at[0] <= STEP and counted["told"] - at[1] <= STEP
-    assert steps > 1_000 and not copy.engine.balancer.order.ring
+    assert steps > 1_000 and not on_ring(copy.engine.balancer)
 
 
 def test_a_request_never_sees_half_of_a_cut() -> None:
     copy = Copy()
     copy.at_once(True, [raw(name) for name in range(4)])
-    before = [one.id for _, one in copy.engine.balancer.order.ring]
+    before = on_ring(copy.engine.balancer)
     steps = copy.in_steps(True, [raw(name) for name in range(500)])
     for _ in steps:
-        assert [one.id for _, one in copy.engine.balancer.order.ring] == before
-    assert len(copy.engine.balancer.order.ring) == 500
+        assert on_ring(copy.engine.balancer) == before
+    assert len(on_ring(copy.engine.balancer)) == 500
 
 
 def test_what_leaves_is_told_before_what_comes() -> None:
@@ -205,7 +207,7 @@
         ready = {one.id for one in copy.engine.balancer.endpoints.values() if one.ready}
         if any(one.staged for one in copy.engine.balancer.endpoints.values()):
             assert not ready & left
-    assert not {one.id for _, one in copy.engine.balancer.order.ring} & left
+    assert not set(on_ring(copy.engine.balancer)) & left
 
 
 def test_a_long_list_with_a_bad_entry_changes_nothing() -> None:
@@ -231,7 +233,7 @@
         copy.at_once(False, [raw(name, phase)])
         copy.clock.advance(1_000)
     ready = {endpoint_number(f"s-{name}") for name in listed}
-    assert {one.id for _, one in copy.engine.balancer.order.ring} == ready == copy.upstream.placed
+    assert set(on_ring(copy.engine.balancer)) == ready == copy.upstream.placed
     assert len(copy.engine.members.places) <= 30, "what left is forgotten after the grace"
 
 
@@ -269,7 +271,7 @@
             for n in range(20):
                 assert (await one.ask(request(rid=f"x{n}"))).body == b"ok"
             assert len(drains.got) == before and len(told) >= served
-            assert [endpoint.id for _, endpoint in one.engine.balancer.order.ring] == [endpoint_number("s-a")]
+            assert on_ring(one.engine.balancer) == [endpoint_number("s-a")]
 
     run(main())
 
@@ -294,7 +296,7 @@
             while source(one).generation < 45:
                 await asyncio.sleep(0)
             names = {endpoint_number(f"s-{name}") for name in (*range(1_000), "a", "b")}
-            assert {endpoint.id for _, endpoint in one.engine.balancer.order.ring} == names
+            assert set(on_ring(one.engine.balancer)) == names
 
     run(main())
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -417,19 +417,24 @@
     run(main())
 
 
-def test_an_endpoint_that_only_fails_is_avoided_until_time_heals_it() -> None:
+def test_an_endpoint_that_only_fails_is_ejected_until_time_heals_it() -> None:
     balancer = Balancer(1, config_from({"settings": SETTINGS}, "test").settings)
     balancer.start(0)
     balancer.members(0, LIST_FULL, fleet(1))
-    assert balancer.avoided(0) == 0
+    assert balancer.ejected(0) == 0
     for n in range(3):
         (sent, *_) = sends(balancer.request(n * MS, Arrival(n, 2, SECOND)))
         balancer.outcome(n * MS, Outcome(n, 0, sent.endpoint, ERROR, 500))
     (endpoint,) = balancer.endpoints.values()
-    assert balancer.avoided(3 * MS) == 1
-    before = [*endpoint.health], endpoint.inflight, endpoint.crowded
-    assert balancer.avoided(1000 * SECOND) == 0
-    assert before == ([*endpoint.health], endpoint.inflight, endpoint.crowded), "it only looks"
+    assert balancer.ejected(3 * MS) == 1
+
+    def seen() -> object:
+        healths = [(one.value, one.updated_at, one.failures) for one in endpoint.health]
+        return healths, endpoint.inflight, endpoint.overloaded_until
+
+    before = seen()
+    assert balancer.ejected(1000 * SECOND) == 0
+    assert before == seen(), "it only looks"
 
 
 def test_names_of_classes_are_escaped() -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -33,7 +33,7 @@
     RequestClass,
     Timer,
 )
-from tests.helpers import MS, PAGE, SECOND, SETTINGS, Driver, fleet, sends, started
+from tests.helpers import MS, PAGE, SECOND, SETTINGS, Driver, first_refused, fleet, on_ring, sends, started
 
 PATIENT = RequestClass(effect=SAFE, aim_us=2_500 * MS, deadline_us=6 * SECOND)
 
@@ -60,7 +60,7 @@
     for me in range(copies):
         balancer = started(size, me=me, instances=copies)
         for side, seen in reach.items():
-            for endpoint, share in balancer.groups[side == "right"].short:
+            for endpoint, share in balancer.subsets.pair[side == "right"].members:
                 seen[endpoint.id] = seen.get(endpoint.id, 0.0) + share
     for seen in reach.values():
         assert copies == 1 or max(seen.values()) == pytest.approx(min(seen.values()))
@@ -142,12 +142,13 @@
 def test_a_restart_under_the_same_id_forgets_the_former_process() -> None:
     balancer = started()
     endpoint = balancer.endpoints[100]
-    endpoint.health[0] = (0.01, 0, 5.0)
+    endpoint.health[0].value, endpoint.health[0].failures = 0.01, 5.0
     endpoint.slowness, endpoint.samples = 4.0, 9
-    endpoint.links, endpoint.crowded, endpoint.waiting = [1, 2], 9 * SECOND, 7.0
+    endpoint.idle_since, endpoint.overloaded_until, endpoint.reported_waiting = [1, 2], 9 * SECOND, 7.0
     balancer.members(SECOND, LIST_DELTA, [replace(fleet(1)[0], boot=SECOND)])
-    assert (endpoint.health, endpoint.slowness, endpoint.samples) == ([(1.0, 0, 0.0)], 1.0, 0)
-    assert (endpoint.links, endpoint.crowded, endpoint.waiting) == ([], 0, 0.0)
+    healths = [(one.value, one.updated_at, one.failures) for one in endpoint.health]
+    assert (healths, endpoint.slowness, endpoint.samples) == ([(1.0, 0, 0.0)], 1.0, 0)
+    assert (endpoint.idle_since, endpoint.overloaded_until, endpoint.reported_waiting) == ([], 0, 0.0)
 
 
 def test_a_burst_may_be_held_but_not_a_queue_that_stands() -> None:
@@ -158,9 +159,9 @@
         assert all(driver.serve(k * 20 * MS, 400 * MS) for k in range(300))
         admission = driver.balancer.admission
         for k in range(130):
-            admission.note(7 * SECOND + k * 20 * MS, 700 * MS, True, True)
-            admission._full(7 * SECOND + k * 20 * MS, held_before)
-        bounds.append(next(held for held in range(8, 200) if admission._full(9_600 * MS, held)))
+            admission.record_result(7 * SECOND + k * 20 * MS, 700 * MS, True, True)
+            admission.limit.exceeds_concurrency_limit(7 * SECOND + k * 20 * MS, held_before)
+        bounds.append(first_refused(admission, 9_600 * MS, range(8, 200)))
     assert bounds[1] < 0.8 * bounds[0]
 
 
@@ -170,8 +171,8 @@
     assert all(driver.serve(k * 20 * MS, 400 * MS) for k in range(300))
     admission = driver.balancer.admission
     for k in range(100):
-        admission.note(6_400 * MS + k * 20 * MS, 400 * MS, True, True)
-        assert not admission._full(6_400 * MS + k * 20 * MS, 30)
+        admission.record_result(6_400 * MS + k * 20 * MS, 400 * MS, True, True)
+        assert not admission.limit.exceeds_concurrency_limit(6_400 * MS + k * 20 * MS, 30)
 
 
 def test_shedding_that_mends_nothing_gives_way() -> None:
@@ -182,8 +183,8 @@
     admission, refused = driver.balancer.admission, []
     for k in range(1500):
         now = 7 * SECOND + k * 20 * MS
-        admission.note(now, 1000 * MS, True, True)
-        refused.append(admission._full(now, 50))
+        admission.record_result(now, 1000 * MS, True, True)
+        refused.append(admission.limit.exceeds_concurrency_limit(now, 50))
     assert any(refused[:300]) and not any(refused[-300:])
 
 
@@ -192,8 +193,8 @@
     until it knew for the unloaded time, and shed nearly all from then on."""
     driver = Driver(started())
     for k in range(40):
-        driver.balancer.admission.note(k * 50 * MS, 2 * MS, False, False)
-    assert driver.balancer.admission.base > 10 * MS
+        driver.balancer.admission.record_result(k * 50 * MS, 2 * MS, False, False)
+    assert driver.balancer.admission.limit.base_us > 10 * MS
 
 
 def test_a_copy_that_starts_holds_few_at_first_and_more_with_each_answer() -> None:
@@ -212,7 +213,7 @@
     rid, actions = driver.ask(SECOND)
     (sent,) = sends(actions)
     driver.balancer.outcome(SECOND + MS, Outcome(rid, 0, sent.endpoint, FULL, MS))
-    assert driver.balancer.endpoints[sent.endpoint].packed > SECOND + 10 * MS
+    assert driver.balancer.endpoints[sent.endpoint].no_new_connections_until > SECOND + 10 * MS
 
 
 def test_a_cold_endpoint_off_the_own_arc_gets_nothing() -> None:
@@ -221,7 +222,7 @@
     balancer = Balancer(1, replace(SETTINGS, me=0, instances=20, stage=1, stages=2))
     balancer.start(SECOND)
     balancer.members(SECOND, LIST_FULL, fleet(40, boot=SECOND))
-    driver, own = Driver(balancer), {one.id for group in balancer.groups for one, _ in group.short}
+    driver, own = Driver(balancer), {one.id for subset in balancer.subsets.pair for one, _ in subset.members}
     went = [send.endpoint for k in range(2000) for send in sends(driver.ask(SECOND + k * MS)[1])]
     assert went and set(went) <= own < set(balancer.endpoints)
 
@@ -229,7 +230,7 @@
 def test_fewer_own_calls_win_and_ties_go_left() -> None:
     balancer = started(8)
     driver = Driver(balancer)
-    left, right = ({one.id for one, _ in group.short} for group in balancer.groups)
+    left, right = ({one.id for one, _ in subset.members} for subset in balancer.subsets.pair)
     first = [sends(driver.ask(SECOND)[1])[0].endpoint for _ in range(len(left))]
     assert first[0] in left, "all counts are 0"
     for endpoint in balancer.endpoints.values():
@@ -241,13 +242,13 @@
     balancer = started(4)
     gone = replace(fleet(1)[0], phase=GONE)
     balancer.members(SECOND, LIST_DELTA, [gone, replace(fleet(2)[1], phase=DRAINING)])
-    assert [one.id for _, one in sorted(balancer.order.ring, key=lambda pair: pair[1].id)] == [102, 103]
+    assert sorted(on_ring(balancer)) == [102, 103]
     balancer.members(SECOND, LIST_FAILED, [])
-    assert len(balancer.order.ring) == 2, "the old list stays"
+    assert len(on_ring(balancer)) == 2, "the old list stays"
     balancer.members(SECOND, LIST_FULL, fleet(3))
-    assert {one.id for _, one in balancer.order.ring} == {100, 101, 102}
+    assert set(on_ring(balancer)) == {100, 101, 102}
     balancer.members(SECOND, LIST_CACHED, fleet(6))
-    assert len(balancer.order.ring) == 6
+    assert len(on_ring(balancer)) == 6
 
 
 # What a call for lists costs where it fails: an answer that ends at once, or nothing for 2 s, which
@@ -320,7 +321,7 @@
         rid, actions = driver.ask(now, key=key)
         (sent,) = sends(actions)
         driver.balancer.outcome(now + MS, Outcome(rid, 0, sent.endpoint, RESET, MS, True))
-    assert len(driver.balancer.turns) < 10 and len(driver.balancer.resting) < 10
+    assert len(driver.balancer.key_queues.queues) < 10 and len(driver.balancer.key_queues.resting) < 10
 
 
 @pytest.mark.parametrize("unproven", [False, True])
@@ -356,7 +357,7 @@
     _, actions = driver.ask(10 * SECOND)
     assert not closes(actions) and sends(actions)
     assert driver.serve(11 * SECOND, 100 * MS), "on a new connection"
-    assert driver.balancer.wary_for < 1.0, "the one out may just be slow"
+    assert driver.balancer.connections.closes_left < 1.0, "the one out may just be slow"
     assert driver.serve(13 * SECOND, 100 * MS)
     _, actions = driver.ask(15 * SECOND)
     assert closes(actions) == 1 and isinstance(actions[0], Close), "closed before the send"
@@ -367,9 +368,9 @@
     rid, actions = driver.ask(10 * SECOND)
     (sent,) = sends(actions)
     driver.ask(13 * SECOND)
-    assert driver.balancer.wary_for >= 1.0
+    assert driver.balancer.connections.closes_left >= 1.0
     driver.balancer.outcome(14 * SECOND, Outcome(rid, 0, sent.endpoint, OK, 4 * SECOND, over=True))
-    assert driver.balancer.wary_for < 1.0
+    assert driver.balancer.connections.closes_left < 1.0
 
 
 def test_losses_on_new_connections_make_nobody_wary() -> None:
@@ -377,7 +378,7 @@
     driver = Driver(started(1, settings=replace(SETTINGS, classes=(RESTED,))))
     for k in range(1, 9):
         driver.ask(k * 10 * SECOND)
-    assert driver.balancer.wary_for < 1.0
+    assert driver.balancer.connections.closes_left < 1.0
 
 
 def test_a_single_late_answer_refuses_nobody_but_one_unanswered_does() -> None:
@@ -389,7 +390,7 @@
             assert driver.serve(6 * SECOND, 900 * MS)
         else:
             rid, _ = driver.ask(6 * SECOND)
-            driver.balancer.gone(6_900 * MS, rid)
+            driver.balancer.client_disconnected(6_900 * MS, rid)
         assert (driver.balancer.admission.share < 1.0) is refused
 
 
@@ -406,16 +407,16 @@
 
 def test_where_crossing_zones_costs_ties_stay_in_the_own_zone() -> None:
     balancer = started(16, instances=4, zones=2, zone=1, cross_zone_price=0.02)
-    left, right = ({one.zone for one, _ in group.short} for group in balancer.groups)
+    left, right = ({one.zone for one, _ in subset.members} for subset in balancer.subsets.pair)
     assert (left, right) == ({1}, {0})
 
 
 def test_a_tie_goes_right_where_the_left_endpoint_is_much_worse() -> None:
     driver = Driver(balancer := started(8))
-    for one, _ in balancer.groups[0].short:
+    for one, _ in balancer.subsets.pair[0].members:
         one.slowness = 4.0
     went = [sends(driver.ask(SECOND)[1])[0].endpoint for _ in range(2)]
-    assert set(went) <= {one.id for one, _ in balancer.groups[1].short}
+    assert set(went) <= {one.id for one, _ in balancer.subsets.pair[1].members}
 
 
 def test_an_endpoint_that_fails_one_sort_of_requests_keeps_the_others() -> None:
@@ -429,7 +430,7 @@
         bad = (cls, tenant) == (0, 1)
         done = Outcome(rid, 0, sent.endpoint, FULL if bad else OK, MS, over=not bad)
         balancer.outcome(k * SECOND + MS, done)
-    healths = [balancer._health(20 * SECOND, endpoint, sort) for sort in range(4)]
+    healths = [balancer.outliers.health(20 * SECOND, endpoint, sort) for sort in range(4)]
     assert min(healths) == healths[1] < 0.5 * min(healths[:1] + healths[2:])
 
 
@@ -440,8 +441,8 @@
         for k in range(20):
             driver.serve(k * gap, 20 * MS)
         endpoint = next(iter(balancer.endpoints.values()))
-        balancer._blame(20 * gap, endpoint, TIMEOUT, 0)
-        health.append(balancer._health(20 * gap + SECOND, endpoint, 0))
+        balancer.outliers.record_failure(20 * gap, endpoint, TIMEOUT, 0)
+        health.append(balancer.outliers.health(20 * gap + SECOND, endpoint, 0))
     assert health[1] < 0.5 * health[0]
 
 
@@ -457,9 +458,9 @@
                 done = Outcome(rid, 0, send.endpoint, outcome, 5 * MS, over=outcome == OK)
                 balancer.outcome(k * 10 * MS + 5 * MS, done)
         cold = balancer.endpoints[100]
-        cold.boot, cold.budget, cold.budget_at = 4 * SECOND, 0.0, 4 * SECOND
-        balancer._cold_budget(4 * SECOND + 50 * MS, cold)
-        sent.append(cold.budget)
+        cold.boot, cold.slow_start_budget, cold.slow_start_budget_at = 4 * SECOND, 0.0, 4 * SECOND
+        balancer.slow_start.slow_start_budget(4 * SECOND + 50 * MS, cold)
+        sent.append(cold.slow_start_budget)
     assert sent[1] < 0.5 * sent[0]
 
 
@@ -468,8 +469,8 @@
     driver = Driver(balancer := started(4))
     assert all(driver.serve(k * 50 * MS, 20 * MS) for k in range(1, 100))
     cold = balancer.endpoints[100]
-    cold.boot = cold.budget_at = 5 * SECOND
-    budgets = [balancer._cold_budget(5 * SECOND + k * 37 * MS, cold) for k in range(100)]
+    cold.boot = cold.slow_start_budget_at = 5 * SECOND
+    budgets = [balancer.slow_start.slow_start_budget(5 * SECOND + k * 37 * MS, cold) for k in range(100)]
     assert max(budgets) < 4.0 and min(budgets[50:]) < 1.0
 
 
@@ -489,7 +490,7 @@
             let += 1
             free = max(now + 200 * MS, due[-1][0] + 20 * MS if due else 0)
             due.append((free, rid, sent[0].endpoint, now))
-    assert balancer.admission.settled
+    assert balancer.admission.limit.settled
     assert len(due) < 50, "held by now: one second's work at most"
     assert let > 900, "what can be done is let through"
 
@@ -502,9 +503,9 @@
         took = 100 * MS if k % 2 else 500 * MS
         due.append((k * MS + took, rid, sends(actions)[0].endpoint, took))
     for end, rid, endpoint, took in sorted(due):
-        assert not admission.settled or end >= 500 * MS
+        assert not admission.limit.settled or end >= 500 * MS
         driver.balancer.outcome(end, Outcome(rid, 0, endpoint, OK, took, over=True))
-    assert admission.settled and 200 * MS < admission.base < 400 * MS
+    assert admission.limit.settled and 200 * MS < admission.limit.base_us < 400 * MS
 
 
 def test_time_outs_do_not_widen_the_bound() -> None:
@@ -516,16 +517,16 @@
         assert all(driver.serve(k * 20 * MS, 700 * MS) for k in range(300))
         admission = driver.balancer.admission
         for k in range(200):
-            admission.note(7 * SECOND + k * 20 * MS, 800 * MS, answered, answered)
-        bounds.append(next(held for held in range(8, 500) if admission._full(11 * SECOND, held)))
+            admission.record_result(7 * SECOND + k * 20 * MS, 800 * MS, answered, answered)
+        bounds.append(first_refused(admission, 11 * SECOND, range(8, 500)))
     assert bounds[1] < bounds[0] / 3
 
 
 def test_few_copies_before_many_endpoints_hold_more_each() -> None:
     """Chikushi: three copies before eleven endpoints of three cores; eight requests for each
     copy left most cores idle while the bound found its way up again."""
-    few = started(11, instances=3).admission.least
-    many = started(11, instances=22).admission.least
+    few = started(11, instances=3).admission.limit.held_at_least
+    many = started(11, instances=22).admission.limit.held_at_least
     assert few == pytest.approx(8 * 11 / 3) and many == pytest.approx(4)
 
 
@@ -536,8 +537,8 @@
     assert all(driver.serve(k * 20 * MS, 100 * MS) for k in range(300))
     admission = driver.balancer.admission
     for k in range(300):
-        admission.note(6 * SECOND + k * 20 * MS, 250 * MS, True, True, PATIENT.aim_us)
-        assert not admission._full(6 * SECOND + k * 20 * MS, 13)
+        admission.record_result(6 * SECOND + k * 20 * MS, 250 * MS, True, True, PATIENT.aim_us)
+        assert not admission.limit.exceeds_concurrency_limit(6 * SECOND + k * 20 * MS, 13)
 
 
 def test_a_class_gives_way_only_where_that_pays_more_than_the_worst_class_loses() -> None:
@@ -554,7 +555,7 @@
     assert through[0.35][1, 0] == pytest.approx(through[0.35][0, 0], abs=1)
 
 
-def crossing(seed: int = 3) -> Driver:
+def zoned(seed: int = 3) -> Driver:
     return Driver(
         started(
             12,
@@ -584,13 +585,13 @@
 
 def test_requests_stay_in_a_zone_that_bears_them() -> None:
     """Chikushi quiet: half of all calls crossed halls, 8.7 points of service."""
-    driver = crossing()
+    driver = zoned()
     abroad(driver, 0, 100, 50 * MS, 52 * MS)
     assert abroad(driver, SECOND, 400, 50 * MS, 52 * MS) < 0.01
 
 
 def test_a_crowded_zone_sends_abroad_and_takes_its_work_back() -> None:
-    driver = crossing()
+    driver = zoned()
     abroad(driver, 0, 200, 50 * MS, 52 * MS)
     abroad(driver, 2 * SECOND, 300, 150 * MS, 52 * MS)
     assert abroad(driver, 5 * SECOND, 200, 150 * MS, 52 * MS) > 0.4
@@ -600,7 +601,7 @@
 
 def test_all_slow_alike_is_no_reason_to_cross() -> None:
     """A dependence that slows every endpoint makes none of them a better choice."""
-    driver = crossing()
+    driver = zoned()
     abroad(driver, 0, 200, 50 * MS, 52 * MS)
     abroad(driver, 2 * SECOND, 600, 150 * MS, 160 * MS)
     assert abroad(driver, 8 * SECOND, 200, 150 * MS, 160 * MS) < 0.4
@@ -609,11 +610,11 @@
 def test_zones_that_were_out_of_reach_are_tried_again() -> None:
     """Chikushi, a hall cut off: what was learned of the others then held for as long as
     nothing was sent there, and the hall choked on all of its own traffic."""
-    driver = crossing()
+    driver = zoned()
     abroad(driver, 0, 200, 50 * MS, 52 * MS)
     for k in range(100):
-        driver.balancer.crossing.note(2 * SECOND + k * 10 * MS, False, 200 * MS)
-    assert driver.balancer.crossing.part < 0.05
+        driver.balancer.spillover.record(2 * SECOND + k * 10 * MS, False, 200 * MS)
+    assert driver.balancer.spillover.share < 0.05
     abroad(driver, 4 * SECOND, 400, 150 * MS, 52 * MS)
     assert abroad(driver, 8 * SECOND, 200, 150 * MS, 52 * MS) > 0.4
 
@@ -625,11 +626,13 @@
         driver = Driver(started(settings=replace(SETTINGS, classes=(PATIENT,)), instances=copies))
         admission = driver.balancer.admission
         assert all(driver.serve(k * 500 * MS, 100 * MS) for k in range(60))
-        assert not admission._full(30 * SECOND, 8), "quick answers: small counts tell nothing"
+        assert not admission.limit.exceeds_concurrency_limit(30 * SECOND, 8), (
+            "quick answers: small counts tell nothing"
+        )
         for k in range(60):
-            admission.note((30 + k) * SECOND, 2 * SECOND, True, True)
-            admission._full((30 + k) * SECOND, 1)
-        bounds.append(next(held for held in range(1, 99) if admission._full(90 * SECOND, held)))
+            admission.record_result((30 + k) * SECOND, 2 * SECOND, True, True)
+            admission.limit.exceeds_concurrency_limit((30 + k) * SECOND, 1)
+        bounds.append(first_refused(admission, 90 * SECOND, range(1, 99)))
     assert bounds[1] < bounds[0]
 
 
@@ -639,23 +642,23 @@
     for _ in range(200):
         now += 30 * MS
         assert driver.serve(now, 20 * MS)
-    usual = balancer.admission.took
+    usual = balancer.admission.limit.took_us
     for _ in range(20):
         now += 30 * MS
         driver.next += 1
         asked = Arrival(driver.next, 0, now + 600 * SECOND, coming=True)
         (send,) = sends(balancer.request(now, asked))
         now += 8 * SECOND  # its body comes slowly
-        balancer.whole(now, driver.next, now + SECOND)
-        assert balancer.requests[driver.next].expires == now + SECOND
+        balancer.request_completed(now, driver.next, now + SECOND)
+        assert balancer.requests[driver.next].expires_at == now + SECOND
         now += 20 * MS
         balancer.outcome(now, Outcome(driver.next, 0, send.endpoint, OK, 20 * MS, over=True))
-    assert balancer.admission.took < 1.1 * usual and balancer.admission.share >= 1.0
-    count = balancer.admission.count
+    assert balancer.admission.limit.took_us < 1.1 * usual and balancer.admission.share >= 1.0
+    count = balancer.admission.limit.count
     balancer.request(now, Arrival(9_999, 0, now + 600 * SECOND, coming=True))
-    balancer.gone(now + 8 * SECOND, 9_999)
-    assert balancer.admission.count == count, "its client left before it was whole"
-    balancer.whole(now, 9_999, now)  # of one that is over: nothing
+    balancer.client_disconnected(now + 8 * SECOND, 9_999)
+    assert balancer.admission.limit.count == count, "its client left before it was whole"
+    balancer.request_completed(now, 9_999, now)  # of one that is over: nothing
 
 
 def test_an_upload_counts_at_its_endpoint_once_it_is_whole() -> None:
@@ -667,16 +670,16 @@
     (send,) = sends(balancer.request(now, Arrival(5_000, 0, now + 600 * SECOND, coming=True)))
     endpoint = balancer.endpoints[send.endpoint]
     now += 8 * SECOND  # longer than any answer takes, and its endpoint owes none
-    assert endpoint.inflight == 0 and balancer.avoided(now) == 0
+    assert endpoint.inflight == 0 and balancer.ejected(now) == 0
     for _ in range(40):
         now += 30 * MS
         assert driver.serve(now, 20 * MS)
-    assert balancer.wary_for < 1.0, "its connection is not lost"
-    balancer.whole(now, 5_000, now + SECOND)
-    assert endpoint.inflight == 1 and balancer.avoided(now) == 0
-    assert balancer.avoided(now + SECOND) == 1
+    assert balancer.connections.closes_left < 1.0, "its connection is not lost"
+    balancer.request_completed(now, 5_000, now + SECOND)
+    assert endpoint.inflight == 1 and balancer.ejected(now) == 0
+    assert balancer.ejected(now + SECOND) == 1
     balancer.outcome(now + SECOND, Outcome(5_000, 0, send.endpoint, OK, SECOND, over=True))
-    assert endpoint.inflight == 0 and balancer.partial == 0
+    assert endpoint.inflight == 0 and balancer.request_table.uploading == 0
 
 
 def test_uploads_on_their_way_turn_nothing_away() -> None:
@@ -688,12 +691,12 @@
     for _ in range(300):
         driver.next += 1
         balancer.request(now, Arrival(driver.next, 0, now + 600 * SECOND, coming=True))
-    assert balancer.partial == 300
+    assert balancer.request_table.uploading == 300
     now += 30 * MS
     assert driver.serve(now, 20 * MS), "what is still coming is no load yet"
     for rid in list(balancer.requests):
-        balancer.gone(now, rid)
-    assert balancer.partial == 0
+        balancer.client_disconnected(now, rid)
+    assert balancer.request_table.uploading == 0
     assert all(endpoint.inflight == 0 for endpoint in balancer.endpoints.values())
 
 
@@ -723,7 +726,7 @@
             served += hung > 0 and send.endpoint == where
     assert served > 100, "it got others meanwhile"
     timed_out(balancer, now, 4 * SECOND, hung)
-    assert balancer.admission.took < 40 * MS and balancer.admission.calm < 40 * MS
+    assert balancer.admission.limit.took_us < 40 * MS and balancer.admission.limit.smoothed_us < 40 * MS
 
 
 def test_what_times_out_in_a_queue_tells_what_answers_take() -> None:
@@ -737,4 +740,4 @@
     now += SECOND
     for rid in waiting:
         timed_out(balancer, now, SECOND, rid)
-    assert balancer.admission.took > 200 * MS
+    assert balancer.admission.limit.took_us > 200 * MS
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -48,6 +48,9 @@
     Settings,
     Timer,
 )
+from laurelstep.balancing.key_queues import KeyQueues
+from laurelstep.balancing.membership import Membership
+from laurelstep.balancing.retries import RetryPolicy
 from tests.conftest import plain_only
 
 MS = 1_000
@@ -205,8 +208,8 @@
         if held:
             rid = held[pick % len(held)]
             self.asked[rid].over = True
-            self.take(self.balancer.gone(self.now, rid))
-            self.take(self.balancer.gone(self.now, rid))
+            self.take(self.balancer.client_disconnected(self.now, rid))
+            self.take(self.balancer.client_disconnected(self.now, rid))
 
     def probe(self, ok: bool) -> None:
         if self.probes:
@@ -306,7 +309,8 @@
     unanswered = [rid for rid, one in ledger.asked.items() if not one.over]
     assert not unanswered, "every request is answered in the end"
     assert not ledger.balancer.requests
-    assert not any(turn.line or turn.out for turn in ledger.balancer.turns.values())
+    queues = ledger.balancer.key_queues.queues.values()
+    assert not any(queue.waiting or queue.attempts_out for queue in queues)
 
 
 def run_twice(seed: int, steps: list[tuple[str, *tuple[object, ...]]]) -> list[list[tuple[int, int]]]:
@@ -331,15 +335,15 @@
 
 @plain_only
 @pytest.mark.parametrize(
-    ("guard", "broken", "cls", "why"),
+    ("owner", "guard", "broken", "cls", "why"),
     [
-        ("_has_turn", True, 5, "one of a key at a time"),
-        ("_may_repeat", True, 1, "no effect twice"),
-        ("_remove", False, 0, "only to endpoints that are ready"),
+        (KeyQueues, "has_turn", True, 5, "one of a key at a time"),
+        (RetryPolicy, "may_retry", True, 1, "no effect twice"),
+        (Membership, "remove", False, 0, "only to endpoints that are ready"),
     ],
 )
 def test_the_ledger_sees_each_rule_broken(
-    monkeypatch: pytest.MonkeyPatch, guard: str, broken: bool, cls: int, why: str
+    monkeypatch: pytest.MonkeyPatch, owner: type, guard: str, broken: bool, cls: int, why: str
 ) -> None:
     """A checker that can't fail proves nothing: take one guard away at a time."""
 
@@ -354,6 +358,6 @@
         ledger.storm(ERROR, 2)
 
     play()
-    monkeypatch.setattr(Balancer, guard, lambda *_: broken)
+    monkeypatch.setattr(owner, guard, lambda *_: broken)
     with pytest.raises(AssertionError, match=why):
         play()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from laurelstep.balancing.balancer import HELD_MIN
+from laurelstep.balancing.concurrency_limit import HELD_MIN
 from laurelstep.balancing.events import CANCELLED, ERROR, FULL, OK
 from laurelstep.engine import Answer, Attempt, Call, Clock
 from laurelstep.library.client import Exchange
@@ -465,7 +465,8 @@
     async def main() -> None:
         async with sidecar(Endpoint()) as one:
             assert one.upstream.resting.seconds <= 6.0, "though the endpoint would keep it for 30 s"
-            assert one.engine.balancer.s.idle_us == one.upstream.resting.seconds * 1e6, "the module too"
+            idle_us = one.engine.balancer.settings.idle_us
+            assert idle_us == one.upstream.resting.seconds * 1e6, "the module too"
 
     run(main())
 
@@ -501,7 +502,7 @@
 
 async def settle(one: Sidecar) -> None:
     """Serve requests until the entry bounds what it holds."""
-    while not one.engine.balancer.admission.settled:
+    while not one.engine.balancer.admission.limit.settled:
         assert (await one.ask(PAGE)).body == b"ok"
 
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -98,7 +98,7 @@
             assert "x-other" not in got.headers, "only what an endpoint needs"
             assert "x-load" not in back.headers, "only what a caller needs"
             (told,) = one.engine.balancer.endpoints.values()
-            assert told.waiting == 2.0, "the socket's queue is the settings' waiting"
+            assert told.reported_waiting == 2.0, "the socket's queue is the settings' waiting"
 
     run(main())
 
