--- a/laurelstep/adapter.py
+++ b/laurelstep/adapter.py
@@ -25,6 +25,7 @@
         self.lists: Lists = {}
 
     def batch(self, body: memoryview) -> bytes:
+        """Play one batch of events and return the reply. Raises `WireError` where it can't be read."""
         now, count, tail = wire.frame_head(body)
         reply = wire.Reply()
         offset = wire.BATCH_HEAD.size
@@ -44,33 +45,37 @@
         return reply.encode()
 
     def event(self, now: int, body: memoryview, offset: int, tail: memoryview) -> tuple[int, list[Action]]:
+        """Hand one record to the instance it is for; returns that and its actions.
+
+        The time in µs; the frequent kinds of events come first.
+        """
         code = body[offset]
         at = offset + 1
         if code == wire.EV_REQ:
             i, rid, cls, tenant, key, expires, hint, options = wire.REQ.unpack_from(body, at)
-            if (one := self.instances.get(i)) is None:
+            if (balancer := self.instances.get(i)) is None:
                 return i, []
             if not options & wire.OPTION_HINT:
                 hint = 0
             repeat = bool(options & wire.OPTION_REPEAT)
-            return i, one.request(now, Arrival(rid, cls, expires, tenant, key, hint, repeat))
+            return i, balancer.request(now, Arrival(rid, cls, expires, tenant, key, hint, repeat))
         if code == wire.EV_RETURNED:
             i, rid, copy, endpoint, raw, delay, over, n, *load = wire.RETURNED.unpack_from(body, at)
-            if (one := self.instances.get(i)) is None:
+            if (balancer := self.instances.get(i)) is None:
                 return i, []
             if raw not in wire.OUTCOMES:
                 raise wire.WireError(f"unknown outcome {raw}")
             report = load[:n] if n else None
             outcome = wire.OUTCOMES[raw]
             ended = Outcome(rid, copy, endpoint, outcome, delay, over != 0, report)
-            return i, one.outcome(now, ended)
+            return i, balancer.outcome(now, ended)
         if code == wire.EV_FIRED:
             i, token = wire.ID_VALUE.unpack_from(body, at)
-            one = self.instances.get(i)
-            return i, one.timer(now, token) if one else []
-        return self.rare_event(code, now, body, at, tail)
+            balancer = self.instances.get(i)
+            return i, balancer.timer(now, token) if balancer else []
+        return self._rare_event(code, now, body, at, tail)
 
-    def rare_event(
+    def _rare_event(
         self, code: int, now: int, body: memoryview, at: int, tail: memoryview
     ) -> tuple[int, list[Action]]:
         if code == wire.EV_MANIFEST:
@@ -80,8 +85,8 @@
         if code == wire.EV_INIT:
             i, seed, start, size = wire.INIT.unpack_from(body, at)
             settings = wire.read_settings(wire.tail_bytes(tail, start, size))
-            one = self.instances[i] = Balancer(seed, settings)
-            return i, one.start(now)
+            balancer = self.instances[i] = Balancer(seed, settings)
+            return i, balancer.start(now)
         (i,) = wire.KILL.unpack_from(body, at)
         if code == wire.EV_KILL:
             self.instances.pop(i, None)
@@ -89,10 +94,10 @@
         if not wire.EV_INIT < code < wire.EV_MANIFEST:
             raise wire.WireError(f"unknown event code {code}")
         found = self.instances.get(i)
-        return i, self.told(found, code, now, body, at, tail) if found else []
+        return i, self._instance_event(found, code, now, body, at, tail) if found else []
 
-    def told(
-        self, one: Balancer, code: int, now: int, body: memoryview, at: int, tail: memoryview
+    def _instance_event(
+        self, balancer: Balancer, code: int, now: int, body: memoryview, at: int, tail: memoryview
     ) -> list[Action]:
         if code == wire.EV_BACKENDS:
             _, _, raw, number = wire.BACKENDS.unpack_from(body, at)
@@ -101,24 +106,25 @@
             failed = wire.MODES[raw] == LIST_FAILED
             if not failed and number not in self.lists:
                 raise wire.WireError(f"list {number} was never sent")
-            return one.members(now, wire.MODES[raw], () if failed else self.lists[number])
+            return balancer.members(now, wire.MODES[raw], () if failed else self.lists[number])
         if code == wire.EV_HEAD:
             _, rid, copy, endpoint, delay = wire.HEAD.unpack_from(body, at)
-            return one.head(now, Outcome(rid, copy, endpoint, OK, delay))
+            return balancer.head(now, Outcome(rid, copy, endpoint, OK, delay))
         if code == wire.EV_ABANDONED:
             _, rid = wire.ID_VALUE.unpack_from(body, at)
-            return one.client_disconnected(now, rid)
+            return balancer.client_disconnected(now, rid)
         if code == wire.EV_PROBED:
             _, endpoint, raw, delay, n, *load = wire.PROBED.unpack_from(body, at)
             if raw not in wire.OUTCOMES:
                 raise wire.WireError(f"unknown outcome {raw}")
             report = load[:n] if n else None
-            return one.probed(now, Probed(endpoint, wire.OUTCOMES[raw], delay, report))
+            return balancer.probed(now, Probed(endpoint, wire.OUTCOMES[raw], delay, report))
         _, sender, start, size = wire.MAIL.unpack_from(body, at)
-        return one.gossip_received(now, sender, wire.tail_bytes(tail, start, size))
+        return balancer.gossip_received(now, sender, wire.tail_bytes(tail, start, size))
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
+    """Answer batch after batch until the input ends. Raises `WireError` where it can't be read."""
     host = Host()
     while (body := wire.read_frame(source)) is not None:
         sink.write(host.batch(body))
@@ -126,6 +132,7 @@
 
 
 def main() -> int:
+    """Serve the simulator on standard input and output; returns the exit code."""
     gc.set_threshold(50_000, 20, 50)
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
