--- a/laurelstep/__init__.py
+++ b/laurelstep/__init__.py
@@ -42,6 +42,7 @@
     Fail,
     Fetch,
     Goal,
+    Gossip,
     Log,
     Outcome,
     Probe,
@@ -50,7 +51,6 @@
     RequestClass,
     Send,
     Settings,
-    Tell,
     Timer,
     Watch,
 )
@@ -93,6 +93,7 @@
     "Fail",
     "Fetch",
     "Goal",
+    "Gossip",
     "Log",
     "Outcome",
     "Probe",
@@ -101,7 +102,6 @@
     "RequestClass",
     "Send",
     "Settings",
-    "Tell",
     "Timer",
     "Watch",
 ]
--- a/laurelstep/balancing/events.py
+++ b/laurelstep/balancing/events.py
@@ -1,21 +1,20 @@
 """What goes into a `Balancer` and what comes out: types only, no decisions.
 
-One `Balancer` (in `laurelstep.balancing.balancer`) serves one sidecar. It is made from a
-seed and the `Settings` and then told one event at a time: each of its methods
-takes the time in µs and returns the `Action`s to carry out at that time, in
-their order. The caller owes it a clock that never goes back, one `outcome` for
-each `Send`, and each `Timer` at its time or after, never before.
-
-    start(now)                the sidecar is up; a cached list follows
-    members(now, mode, list)  discovery's view: LIST_FULL, _DELTA, _CACHED, _FAILED, _PART
-    request(now, Arrival)     a request to be answered exactly once
-    whole(now, id, expires)   a request told as `coming` has its last byte
-    outcome(now, Outcome)     how one attempt ended; each `Send` gets one
-    head(now, Outcome)        the answer of a streamed class has started
-    gone(now, request)        the client left; nothing more is owed
-    timer(now, token)         a `Timer` asked for has come due
-    probed(now, Probed)       what a `Probe` found
-    mail(now, sender, bytes)  a message of another sidecar of this tier
+One `Balancer` (in `laurelstep.balancing.balancer`) serves one sidecar. It is made from a seed and
+the `Settings` and then given one event at a time: each of its methods takes the time in µs and
+returns the `Action`s to carry out at that time, in their order. The caller owes it a clock that
+never goes back, one `outcome` for each `Send`, and each `Timer` at its time or after, never before.
+
+    start(now)                            the sidecar is up; a cached list follows
+    members(now, mode, list)              an endpoint list: LIST_FULL, _DELTA, _CACHED, _FAILED, _PART
+    request(now, Arrival)                 a request to be answered exactly once
+    request_completed(now, id, expires)   a request taken with `body_pending` has its last byte
+    outcome(now, Outcome)                 how one attempt ended; each `Send` gets one
+    head(now, Outcome)                    the answer of a streamed class has started
+    client_disconnected(now, request)     the client left; nothing more is owed
+    timer(now, token)                     a `Timer` that was asked for has come due
+    probed(now, Probed)                   what a `Probe` found
+    gossip_received(now, sender, bytes)   a message of another sidecar of this tier
 
 What is made for every request or entry has its `__init__` written out and is not frozen:
 compiled, that of a frozen dataclass costs more than all that the module does with it.
@@ -29,7 +28,7 @@
 from math import inf
 from typing import Final
 
-# Final, here and elsewhere: compiled, what is not is looked up by its name at each use.
+# Final, here and elsewhere: compiled, a name that is not Final is looked up at each use.
 
 # How an attempt ended. FULL, NO_CONNECT and MOOT prove that it never ran, FULL
 # only where `Settings.full_unproven` does not say otherwise.
@@ -42,7 +41,7 @@
 CANCELLED: Final = 6
 MOOT: Final = 7
 NEVER_RAN = frozenset((FULL, NO_CONNECT, MOOT))
-# Whether a class may be repeated, and among which endpoints a key is known.
+# Whether a class may be retried, and among which endpoints an idempotency key is known.
 SAFE: Final = 0
 KEYED: Final = 1
 UNSAFE: Final = 2
@@ -57,26 +56,29 @@
 LIST_FAILED: Final = 1
 LIST_DELTA: Final = 2
 LIST_CACHED: Final = 3
-LIST_PART: Final = 4  # changes of a list too long for one call: arrivals wait for the next other list
+LIST_PART: Final = 4  # changes of a list too long for one call: what joins waits for the next other list
 # Names in a load report: requests held, requests waiting, share of CPU in use,
 # recent service time in ms, requests served a second, errors a second.
-HELD, WAITING, BUSY, LATENCY_MS, SERVED_RATE, ERROR_RATE = (
-    "held", "waiting", "busy", "latency_ms", "served_rate", "error_rate",
-)  # fmt: skip
+HELD = "held"
+WAITING = "waiting"
+BUSY = "busy"
+LATENCY_MS = "latency_ms"
+SERVED_RATE = "served_rate"
+ERROR_RATE = "error_rate"
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
     """One class of requests; times in µs."""
 
-    effect: int = UNSAFE  # SAFE, KEYED or UNSAFE to repeat
+    effect: int = UNSAFE  # SAFE, KEYED (idempotent by its key) or UNSAFE to retry
     scope: int = SCOPE_ALL  # KEYED: the endpoints that drop a repeat
     window_us: int = 0  # KEYED: how long they remember, from the first send
-    aim_us: int = 1_000_000  # an answer within this earns the whole worth
-    aim_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
-    deadline_us: int = 1_000_000  # a client waits no longer, over all its tries
+    aim_us: int = 1_000_000  # an answer within this latency objective earns the whole weight
+    aim_stretch: float = 0.0  # the objective grows by this multiple of the request's own work
+    deadline_us: int = 1_000_000  # a client waits no longer, over all its attempts
     worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth after the aim
+    late_worth: float = 0.0  # share of the weight after the objective
     stream: bool = False  # the answer is a stream; `head` tells that it started
     sequential: bool = False  # requests with one key run one at a time, as taken
 
@@ -97,7 +99,7 @@
     worst_window: float = 0.0
     worst_class: float = 0.0
     worst_tenant: float = 0.0
-    punctual: float = 0.0  # worth counts in full only while few requests miss
+    punctual: float = 0.0  # weights count in full only while few requests miss
     miss_allowed: float = 0.0  # punctual: the share that may miss; at 5 times it nothing counts
 
 
@@ -105,7 +107,9 @@
 class Settings:
     """All that is fixed at the start. The defaults hold where a setting is
     absent; they are the careful choice, never a figure of some deployment.
-    Times in µs; prices in points of service, each for its rate or share."""
+    Times in µs; prices in points of service, each for its rate or share.
+    Fields are named as the platform's settings are, since errors and the
+    log of a reload name them to operators."""
 
     classes: tuple[RequestClass, ...]
     me: int = 0  # this copy's number; may be past `instances` while a tier grows
@@ -114,13 +118,13 @@
     zones: int = 1
     stage: int = 0  # the tier this sidecar sends to
     stages: int = 1
-    tenants: tuple[float, ...] = ()  # requests a second in each one's share, all sidecars
-    over_share_worth: float = 1.0  # worth of a request past its tenant's share
-    worth_by_work: bool = False  # a heavy request is worth more than a light one
+    tenants: tuple[float, ...] = ()  # requests a second in each one's quota, all sidecars
+    over_share_worth: float = 1.0  # multiple of the weight for a request past its tenant's quota
+    worth_by_work: bool = False  # a heavy request weighs more than a light one
     asks_discovery: bool = False  # the list comes only when asked for
     passes_deadline: bool = False  # calls carry the time their caller has left
     warm_keys: bool = False  # an endpoint serves a key it met lately with less work
-    marks_retry: bool = False  # clients mark their repeats
+    marks_retry: bool = False  # clients mark their retries
     rated: bool = False  # the list's ratings tell sizes
     rating_is_live: bool = False  # and fall with load
     report_fields: tuple[str, ...] = ()
@@ -128,8 +132,8 @@
     can_cancel: bool = False
     can_probe: bool = False
     can_tell: bool = False
-    second_copies: bool = False  # a request may have two attempts out at once
-    retry_after: bool = False  # clients are told `Refuse.retry_after_us`
+    second_copies: bool = False  # a request may have two attempts outstanding at once
+    retry_after: bool = False  # clients get `Refuse.retry_after_us`
     max_retry_after_us: int = 0
     max_attempts: int = 1
     max_held: int = 1_000_000
@@ -141,26 +145,26 @@
     resolution_us: int = 1000  # events come in batches at least so far apart
     answer_slack_us: int = 0  # a final answer may follow the deadline by this
     ask_within_us: int = 10_000_000
-    key_rest_us: int = 0  # a key's rest after an attempt that may still run
+    key_rest_us: int = 0  # a key's pause after an attempt that may still run
     full_unproven: bool = False  # FULL may also come for work that had begun
     cold_share: float = 1.0  # of its capacity that a starting endpoint has at least
     cold_us: int = 0  # until it is warm at the latest
-    tip_multiple: float = 1.0  # of its present capacity that tips it over, sent
-    tip_for_us: int = 1_000_000  # for this long
+    tip_multiple: float = 1.0  # of its present capacity that overloads it, sent
+    overload_for_us: int = 1_000_000  # for this long
     goal: Goal = Goal()
     cross_zone_price: float = 0.0
     probe_price: float = 0.0
     waste_price: float = 0.0
     connection_price: float = 0.0
     handshake_price: float = 0.0
-    late_fail_price: float = 0.0  # worth that ends unserved after its aim
+    late_fail_price: float = 0.0  # weight that ends unserved after its objective
     peer_price: float = 0.0
     discovery_price: float = 0.0
 
     def __post_init__(self) -> None:
         if not self.classes:
             raise ValueError("classes is empty")
-        _positive(self, ("instances", "max_attempts", "resolution_us", "ask_within_us", "tip_for_us"))
+        _positive(self, ("instances", "max_attempts", "resolution_us", "ask_within_us", "overload_for_us"))
         _not_negative(self, ("me", "idle_us", "connect_timeout_us", "answer_slack_us", "key_rest_us"))
         _not_negative(self, ("cold_share", "cold_us", "tip_multiple", "max_retry_after_us"))
         if any(not 0.0 <= share < inf for share in self.tenants):
@@ -220,8 +224,8 @@
     tenant: int
     key: int  # what it is about; 0 = none
     work_us: int  # hint of its cost; 0 = none given
-    repeated: bool  # the client marked it as a further try
-    coming: bool  # its body is not whole: `Balancer.whole` tells when it is, and what `expires` is then
+    repeated: bool  # the client marked it as a retry
+    body_pending: bool  # its last byte is still to come: see `Balancer.request_completed`
 
     def __init__(
         self,
@@ -232,9 +236,9 @@
         key: int = 0,
         work_us: int = 0,
         repeated: bool = False,
-        coming: bool = False,
+        body_pending: bool = False,
     ) -> None:
-        self.coming = coming
+        self.body_pending = body_pending
         self.request = request
         self.cls = cls
         self.expires = expires
@@ -372,8 +376,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
-    """A message to one sidecar of the tier, or (None) to all."""
+class Gossip:
+    """Send a message to one sidecar of the tier, or (None) to all."""
 
     target: int | None
     payload: bytes
@@ -386,4 +390,4 @@
     text: str
 
 
-Action = Send | Timer | Refuse | Fail | Cancel | Probe | Close | Watch | Fetch | Tell | Log
+Action = Send | Timer | Refuse | Fail | Cancel | Probe | Close | Watch | Fetch | Gossip | Log
--- a/laurelstep/balancing/requests.py
+++ b/laurelstep/balancing/requests.py
@@ -67,7 +67,7 @@
         self.expires_at = event.expires
         self.attempts: list[Attempt] = []
         self.streaming = False  # its answer flows to the client already
-        self.body_pending = event.coming  # its last byte is still to come
+        self.body_pending = event.body_pending  # its last byte is still to come
 
     def has_outstanding_attempt(self) -> bool:
         """Whether an attempt is without its outcome."""
--- a/laurelstep/balancing/slow_start.py
+++ b/laurelstep/balancing/slow_start.py
@@ -79,6 +79,6 @@
         endpoint.slow_start_budget += rate * elapsed
         # Guards against copies that saved up while others were drawn and then all
         # spend at once: what is not used within the span that tips is lost.
-        if endpoint.slow_start_budget >= 1.0 + rate * self.settings.tip_for_us:
+        if endpoint.slow_start_budget >= 1.0 + rate * self.settings.overload_for_us:
             endpoint.slow_start_budget %= 1.0
         return endpoint.slow_start_budget
--- a/laurelstep/wire.py
+++ b/laurelstep/wire.py
@@ -267,7 +267,7 @@
         "cold_share": float(rules.get("cold-share", 1.0)),
         "cold_us": int(rules.get("cold-us", 0)),
         "tip_multiple": float(rules.get("tip-multiple", 1.0)),
-        "tip_for_us": int(rules.get("overload-for-us", 1_000_000)),
+        "overload_for_us": int(rules.get("overload-for-us", 1_000_000)),
     }
 
 
@@ -347,7 +347,7 @@
                 return ACT_FLAG.pack(CODE_WATCH, instance, on)
             case events.Fetch():
                 return ACT_PLAIN.pack(CODE_FETCH, instance)
-            case events.Tell(target, payload):
+            case events.Gossip(target, payload):
                 to = MAX_U32 if target is None else target
                 offset, size = self._store(payload)
                 return ACT_TELL.pack(CODE_TELL, instance, to, offset, size)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,9 +1,9 @@
 """What a whole fleet sends to a cold endpoint: many modules in one process, one pool of endpoints.
 
 Each case is drawn from its seed and played on a clock of its own, in µs. Counted is what each
-cold endpoint gets within any span of `tip_for_us`, against the bound under which it stands
+cold endpoint gets within any span of `overload_for_us`, against the bound under which it stands
 (docs/design/cold.md): N + 2 x root of N + 2 requests, N being
-`tip_multiple` x (`cold_share` + (1 - `cold_share`) x age / `cold_us`) x capacity x `tip_for_us`.
+`tip_multiple` x (`cold_share` + (1 - `cold_share`) x age / `cold_us`) x capacity x `overload_for_us`.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 VIEW = RequestClass(effect=SAFE, aim_us=SECOND, deadline_us=3 * SECOND)
 SETTINGS = Settings(
     classes=(VIEW,), stage=1, stages=3, max_attempts=3,
-    cold_share=0.13, cold_us=23 * SECOND, tip_multiple=3.0, tip_for_us=SECOND,
+    cold_share=0.13, cold_us=23 * SECOND, tip_multiple=3.0, overload_for_us=SECOND,
 )  # fmt: skip
 CORES = 2
 WARM_UP = 3 * SECOND  # all is warm before this: the copies learn what they serve
@@ -100,7 +100,7 @@
 
     def allowed(self, now: int, settings: Settings) -> float:
         number = settings.tip_multiple * self.warmth(now, settings) * self.capacity
-        number *= settings.tip_for_us / SECOND
+        number *= settings.overload_for_us / SECOND
         return number + 2.0 * sqrt(number) + 2.0
 
     def fullest(self, settings: Settings) -> float:
@@ -110,9 +110,9 @@
         worst = 0.0
         for at in self.got:
             span.append(at)
-            while span[0] <= at - settings.tip_for_us:
+            while span[0] <= at - settings.overload_for_us:
                 span.popleft()
-            worst = max(worst, len(span) / self.allowed(at - settings.tip_for_us, settings))
+            worst = max(worst, len(span) / self.allowed(at - settings.overload_for_us, settings))
         return worst
 
 
@@ -285,7 +285,7 @@
 
 @pytest.mark.parametrize("copies", [3, 60, 200])
 def test_other_settings_and_many_requests(copies: int) -> None:
-    other = replace(SETTINGS, tip_multiple=1.5, cold_share=0.3, cold_us=10 * SECOND, tip_for_us=500 * MS)
+    other = replace(SETTINGS, tip_multiple=1.5, cold_share=0.3, cold_us=10 * SECOND, overload_for_us=500 * MS)
     holds(Case(copies, 8, 4, load=0.9, settings=other, span_us=4 * SECOND))
     holds(Case(copies, 4, 2, load=0.9, capacities=(200.0,), span_us=SECOND))
 
@@ -293,8 +293,8 @@
 @pytest.mark.parametrize("gap", [4 * MS, 20 * MS, 200 * MS])
 def test_one_copy_sends_no_more_than_the_formula_says(gap: int) -> None:
     """At most 1 + 2a in a span, a being COLD_SAFETY x tip_multiple x warmth x what an endpoint of
-    its arc serves it x tip_for_us; whatever it saved up before, and whenever it spends it."""
-    driver = Driver(balancer := started(4, tip_for_us=SECOND))
+    its arc serves it x overload_for_us; whatever it saved up before, and whenever it spends it."""
+    driver = Driver(balancer := started(4, overload_for_us=SECOND))
     cold = balancer.endpoints[100]
     cold.overloaded_until = 10**12  # nothing is sent there but what this test takes
     rng, spent, thrifty = random.Random(gap), list[int](), 0
--- a/tests/test_cold_fleets.py
+++ b/tests/test_cold_fleets.py
@@ -1,7 +1,7 @@
 """What whole fleets send to cold endpoints where the copies' parts of it are far from alike.
 
 The bound is the acceptance page's: of requests of mean work, a cold endpoint stands N + 2 x root of N + 2
-within any span of `tip_for_us`, N by what the settings allow it at the span's beginning, the least
+within any span of `overload_for_us`, N by what the settings allow it at the span's beginning, the least
 (docs/design/cold.md). Every send that reaches it weighs, refused ones and further tries too. It is a break
 where over two thirds of such a span came from copies that knew of the start. Time and draws are made: one
 seed is one course.
@@ -53,7 +53,7 @@
 
     def allowed(self, now: int, settings: Settings) -> float:
         number = settings.tip_multiple * self.warmth(now, settings) * self.capacity
-        number *= settings.tip_for_us / SECOND
+        number *= settings.overload_for_us / SECOND
         return number + 2.0 * sqrt(number) + 2.0
 
     def fullest(self, settings: Settings) -> float:
@@ -64,10 +64,10 @@
         for at, told in zip(self.got, self.told, strict=True):
             span.append((at, told))
             knew += told
-            while span[0][0] <= at - settings.tip_for_us:
+            while span[0][0] <= at - settings.overload_for_us:
                 knew -= span.popleft()[1]
             if 3 * knew > 2 * len(span):
-                worst = max(worst, len(span) / self.allowed(at - settings.tip_for_us, settings))
+                worst = max(worst, len(span) / self.allowed(at - settings.overload_for_us, settings))
         return worst
 
 
@@ -249,7 +249,7 @@
         cold_share=st.sampled_from((0.05, 0.13, 0.5, 0.9)),
         cold_us=st.sampled_from((5 * SECOND, 23 * SECOND)),
         tip_multiple=st.sampled_from((1.5, 3.0, 5.0)),
-        tip_for_us=st.sampled_from((500 * MS, SECOND, 1500 * MS)),
+        overload_for_us=st.sampled_from((500 * MS, SECOND, 1500 * MS)),
         max_attempts=st.sampled_from((1, 3, 6)),
     ),
 )
--- a/tests/test_crossings_module.py
+++ b/tests/test_crossings_module.py
@@ -45,13 +45,13 @@
     Fail,
     Fetch,
     Goal,
+    Gossip,
     Outcome,
     Probe,
     Refuse,
     RequestClass,
     Send,
     Settings,
-    Tell,
     Timer,
     Watch,
 )
@@ -122,7 +122,7 @@
                 assert self.config.asks_discovery, "nobody asks where lists are pushed"
             else:
                 assert not isinstance(action, Probe) or self.config.can_probe
-                assert not isinstance(action, Tell) or self.config.can_tell
+                assert not isinstance(action, Gossip) or self.config.can_tell
 
     def group(self, cls: RequestClass, cell: int, zone: int) -> int:
         return {SCOPE_ALL: 0, SCOPE_ZONE: zone, SCOPE_CELL: cell}[cls.scope]
@@ -176,7 +176,9 @@
         expires = self.now + max(1, patience * kind.deadline_us // 10)
         self.asked[rid] = Asked(kind, expires, coming=marks == 2)
         work = 1000 * (rid % 5)
-        event = Arrival(rid, cls, expires, tenant, rid % 3, work, repeated=marks == 1, coming=marks == 2)
+        event = Arrival(
+            rid, cls, expires, tenant, rid % 3, work, repeated=marks == 1, body_pending=marks == 2
+        )
         self.take(self.balancer.request(self.now, event))
 
     def whole(self, pick: int) -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -646,7 +646,7 @@
     for _ in range(20):
         now += 30 * MS
         driver.next += 1
-        asked = Arrival(driver.next, 0, now + 600 * SECOND, coming=True)
+        asked = Arrival(driver.next, 0, now + 600 * SECOND, body_pending=True)
         (send,) = sends(balancer.request(now, asked))
         now += 8 * SECOND  # its body comes slowly
         balancer.request_completed(now, driver.next, now + SECOND)
@@ -655,7 +655,7 @@
         balancer.outcome(now, Outcome(driver.next, 0, send.endpoint, OK, 20 * MS, over=True))
     assert balancer.admission.limit.took_us < 1.1 * usual and balancer.admission.share >= 1.0
     count = balancer.admission.limit.count
-    balancer.request(now, Arrival(9_999, 0, now + 600 * SECOND, coming=True))
+    balancer.request(now, Arrival(9_999, 0, now + 600 * SECOND, body_pending=True))
     balancer.client_disconnected(now + 8 * SECOND, 9_999)
     assert balancer.admission.limit.count == count, "its client left before it was whole"
     balancer.request_completed(now, 9_999, now)  # of one that is over: nothing
@@ -667,7 +667,7 @@
     for _ in range(200):
         now += 30 * MS
         assert driver.serve(now, 20 * MS)
-    (send,) = sends(balancer.request(now, Arrival(5_000, 0, now + 600 * SECOND, coming=True)))
+    (send,) = sends(balancer.request(now, Arrival(5_000, 0, now + 600 * SECOND, body_pending=True)))
     endpoint = balancer.endpoints[send.endpoint]
     now += 8 * SECOND  # longer than any answer takes, and its endpoint owes none
     assert endpoint.inflight == 0 and balancer.ejected(now) == 0
@@ -690,7 +690,7 @@
         assert driver.serve(now, 20 * MS)
     for _ in range(300):
         driver.next += 1
-        balancer.request(now, Arrival(driver.next, 0, now + 600 * SECOND, coming=True))
+        balancer.request(now, Arrival(driver.next, 0, now + 600 * SECOND, body_pending=True))
     assert balancer.request_table.uploading == 300
     now += 30 * MS
     assert driver.serve(now, 20 * MS), "what is still coming is no load yet"
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -114,8 +114,8 @@
         (events.Probe(0x03124A07), "41 00000003 03124a07"),
         (events.Watch(True), "4a 00000003 01"),
         (events.Fetch(), "44 00000003"),
-        (events.Tell(None, b"hi 7"), "49 00000003 ffffffff 00000000 00000004"),
-        (events.Tell(6, b""), "49 00000003 00000006 00000000 00000000"),
+        (events.Gossip(None, b"hi 7"), "49 00000003 ffffffff 00000000 00000004"),
+        (events.Gossip(6, b""), "49 00000003 00000006 00000000 00000000"),
     ],
 )
 def test_each_action_has_its_record(action: events.Action, expected: str) -> None:
