--- a/laurelstep/balancing/endpoints.py
+++ b/laurelstep/balancing/endpoints.py
@@ -27,14 +27,21 @@
 
 
 class SegmentHealth:
-    """Health of an endpoint for one segment (class and tenant) when it was last updated."""
+    """Health of an endpoint for one segment (class and tenant) when it was last updated.
+
+    Nobody changes one: all segments without a failure share `WELL`, so that an endpoint of a
+    long list costs little however many classes and tenants there are.
+    """
 
     __slots__ = ("failures", "updated_at", "value")
 
-    def __init__(self) -> None:
-        self.value = 1.0  # 1 is well; it never reaches 0
-        self.updated_at = 0
-        self.failures = 0.0  # in a row; an answer halves them
+    def __init__(self, value: float, updated_at: int, failures: float) -> None:
+        self.value = value  # 1 is well; it never reaches 0
+        self.updated_at = updated_at
+        self.failures = failures  # in a row; an answer halves them
+
+
+WELL: Final = SegmentHealth(1.0, 0, 0.0)
 
 
 class Endpoint:
@@ -93,4 +100,4 @@
         self.overloaded_until = 0  # it was full: nothing is sent before this
         self.no_new_connections_until = 0  # it had no capacity for a connection more
         self.reported_waiting, self.reported_at = 0.0, 0  # requests queued there, by a load report
-        self.health = [SegmentHealth() for _ in range(self.segments)]
+        self.health = [WELL] * self.segments
--- a/laurelstep/balancing/outliers.py
+++ b/laurelstep/balancing/outliers.py
@@ -6,7 +6,7 @@
 from math import exp
 from typing import Final
 
-from laurelstep.balancing.endpoints import Endpoint
+from laurelstep.balancing.endpoints import Endpoint, SegmentHealth
 from laurelstep.balancing.events import ERROR, FULL, NO_CONNECT, RESET, TIMEOUT, Settings
 from laurelstep.balancing.latency import LEARN_SAMPLES, STALL_DEVIATIONS, DecayingRate, LatencyTracker
 from laurelstep.balancing.subsets import SubsetPlan
@@ -104,11 +104,10 @@
         sends = max(self.sends.per_us(now), SENDS_LEAST / self.latencies.longest_objective_us)
         self.heal_sends_us = HEAL_SENDS * self.subsets.span / sends
         left = HEALTH_LEFT[outcome]
-        for other, health in enumerate(endpoint.health):
+        for other, last in enumerate(endpoint.health):
             share = left if other == segment else left**HEALTH_LEFT_OTHERS
-            health.value = max(HEALTH_MIN, self.health(now, endpoint, other) * share)
-            health.updated_at = now
-            health.failures += other == segment
+            health = max(HEALTH_MIN, self.health(now, endpoint, other) * share)
+            endpoint.health[other] = SegmentHealth(health, now, last.failures + (other == segment))
         if outcome == FULL:
             self._record_overload(now, endpoint, no_connection_left)
 
@@ -126,9 +125,9 @@
         if last.value < 1.0:
             health = self.health(now, endpoint, segment)
             health += REPAIR * (1.0 - health)
-            last.value = 1.0 if health > HEALTH_REPAIRED else health
-            last.updated_at = now
-            last.failures /= 2.0
+            if health > HEALTH_REPAIRED:
+                health = 1.0
+            endpoint.health[segment] = SegmentHealth(health, now, last.failures / 2.0)
 
     def learn_speed(self, now: int, endpoint: Endpoint, class_index: int, delay_us: int) -> None:
         """Learn an endpoint's speed from an answer, against what its class usually takes."""
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -8,6 +8,7 @@
 import pytest
 
 from laurelstep.balancing.balancer import Balancer
+from laurelstep.balancing.endpoints import SegmentHealth
 from laurelstep.balancing.events import (
     DRAINING,
     FULL,
@@ -142,7 +143,7 @@
 def test_a_restart_under_the_same_id_forgets_the_former_process() -> None:
     balancer = started()
     endpoint = balancer.endpoints[100]
-    endpoint.health[0].value, endpoint.health[0].failures = 0.01, 5.0
+    endpoint.health[0] = SegmentHealth(0.01, 0, 5.0)
     endpoint.slowness, endpoint.samples = 4.0, 9
     endpoint.idle_since, endpoint.overloaded_until, endpoint.reported_waiting = [1, 2], 9 * SECOND, 7.0
     balancer.members(SECOND, LIST_DELTA, [replace(fleet(1)[0], boot=SECOND)])
