--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -24,6 +24,7 @@
 MS = 1_000
 SECOND = 1_000_000
 PAGE = RequestClass(effect=SAFE, aim_us=200 * MS, deadline_us=SECOND)
+PATIENT = RequestClass(effect=SAFE, aim_us=2_500 * MS, deadline_us=6 * SECOND)
 SETTINGS = Settings(
     classes=(PAGE,),
     can_cancel=True,
--- /dev/null
+++ b/tests/test_balancing_selection.py
@@ -0,0 +1,38 @@
+"""Endpoint selection: two choices, ties left."""
+
+from __future__ import annotations
+
+from laurelstep.balancing.events import Refuse, Timer
+from tests.helpers import PAGE, SECOND, Driver, sends, started
+
+
+def test_a_request_that_finds_no_endpoint_is_held_and_answered_in_time() -> None:
+    """An empty list at start, or all cold: hold until the aim, then refuse."""
+    driver = Driver(started(0))
+    rid, actions = driver.ask(SECOND)
+    now = SECOND
+    while not any(isinstance(action, Refuse) for action in actions):
+        (timer,) = [action for action in actions if isinstance(action, Timer)]
+        now += timer.delay_us
+        actions = driver.balancer.timer(now, timer.token)
+    assert now <= SECOND + PAGE.aim_us
+    assert rid not in driver.balancer.requests
+
+
+def test_fewer_own_calls_win_and_ties_go_left() -> None:
+    balancer = started(8)
+    driver = Driver(balancer)
+    left, right = ({one.id for one, _ in subset.members} for subset in balancer.subsets.pair)
+    first = [sends(driver.ask(SECOND)[1])[0].endpoint for _ in range(len(left))]
+    assert first[0] in left, "all counts are 0"
+    for endpoint in balancer.endpoints.values():
+        endpoint.inflight = 5 if endpoint.id in left else 0
+    assert all(sends(driver.ask(SECOND)[1])[0].endpoint in right for _ in range(3))
+
+
+def test_a_tie_goes_right_where_the_left_endpoint_is_much_worse() -> None:
+    driver = Driver(balancer := started(8))
+    for one, _ in balancer.subsets.pair[0].members:
+        one.slowness = 4.0
+    went = [sends(driver.ask(SECOND)[1])[0].endpoint for _ in range(2)]
+    assert set(went) <= {one.id for one, _ in balancer.subsets.pair[1].members}
--- a/tests/test_crossings_module.py
+++ b/tests/test_crossings_balancing.py
@@ -60,11 +60,10 @@
 from laurelstep.balancing.retries import RetryPolicy
 from laurelstep.balancing.selection import EndpointSelector
 from tests.conftest import plain_only
-from tests.helpers import SETTINGS, Driver, fleet, on_ring, sends, started
+from tests.helpers import PATIENT, SETTINGS, Driver, fleet, on_ring, sends, started
 
 MS = 1_000
 SECOND = 1_000_000
-PATIENT = RequestClass(effect=SAFE, aim_us=2_500 * MS, deadline_us=6 * SECOND)
 
 
 @dataclass
--- a/tests/test_cold.py
+++ b/tests/test_slow_start.py
@@ -2,7 +2,7 @@
 
 Each case is drawn from its seed and played on a clock of its own, in µs. Counted is what each
 cold endpoint gets within any span of `overload_for_us`, against the bound under which it stands
-(docs/design/cold.md): N + 2 x root of N + 2 requests, N being
+(docs/design/slow_start.md): N + 2 x root of N + 2 requests, N being
 `tip_multiple` x (`cold_share` + (1 - `cold_share`) x age / `cold_us`) x capacity x `overload_for_us`.
 """
 
--- a/tests/test_cold_fleets.py
+++ b/tests/test_slow_start_fleets.py
@@ -2,7 +2,7 @@
 
 The bound is the acceptance page's: of requests of mean work, a cold endpoint stands N + 2 x root of N + 2
 within any span of `overload_for_us`, N by what the settings allow it at the span's beginning, the least
-(docs/design/cold.md). Every send that reaches it weighs, refused ones and further tries too. It is a break
+(docs/design/slow_start.md). Every send that reaches it weighs, refused ones and retries too. It is a break
 where over two thirds of such a span came from copies that knew of the start. Time and draws are made: one
 seed is one course.
 """
@@ -21,7 +21,7 @@
 from laurelstep.balancing.balancer import Balancer
 from laurelstep.balancing.events import NO_CONNECT, READY, TIMEOUT, Entry, Outcome, Send, Settings
 from tests.helpers import on_ring
-from tests.test_cold import SETTINGS, VIEW, WARM_UP, Case, Fleet, Server
+from tests.test_slow_start import SETTINGS, VIEW, WARM_UP, Case, Fleet, Server
 
 SECOND = 1_000_000
 MS = 1_000
