--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -292,8 +292,8 @@
 
 @pytest.mark.parametrize("gap", [4 * MS, 20 * MS, 200 * MS])
 def test_one_copy_sends_no_more_than_the_formula_says(gap: int) -> None:
-    """At most 1 + 2a in a span, a being COLD_SAFETY x tip_multiple x warmth x what an endpoint of
-    its arc serves it x overload_for_us; whatever it saved up before, and whenever it spends it."""
+    """At most 1 + 2a in a span, a being SAFETY x tip_multiple x warm-up fraction x what an endpoint of
+    its subsets serves it x overload_for_us; whatever it saved up before, and whenever it spends it."""
     driver = Driver(balancer := started(4, overload_for_us=SECOND))
     cold = balancer.endpoints[100]
     cold.overloaded_until = 10**12  # nothing is sent there but what this test takes
