--- a/laurelstep/balancing/admission.py
+++ b/laurelstep/balancing/admission.py
@@ -6,35 +6,34 @@
 from math import exp, log
 from typing import Final
 
-from laurelstep.balancing.concurrency_limit import LOOK_SAMPLES, ConcurrencyLimit
+from laurelstep.balancing.concurrency_limit import WINDOW_SAMPLES, ConcurrencyLimit
 from laurelstep.balancing.events import ERROR, OK, RESET, Goal
 from laurelstep.balancing.latency import LOST_DEVIATIONS, LatencyTracker
 from laurelstep.balancing.requests import Request
 
-# The share of admitted requests answered within their objective below which fewer are let
-# through. Chance and a small fault must refuse nobody.
+# Share of admitted requests answered within their objective below which load is shed. Chance
+# and a small fault must not cause a refusal.
 GOOD_SHARE: Final = 0.85
-# Part of that which is still asked for when next to nothing is let through.
-# Guards against shedding for lateness that fewer requests do not mend.
+# Part of that share that is still required when almost nothing is admitted.
+# Guards against shedding for lateness that fewer requests do not cure.
 GOOD_SHARE_PART: Final = 0.5
-# One look of good results alone raises the share let through by this factor.
+# One window of good results raises the admitted share by this factor.
 SHARE_RISE: Final = 2.0
-# Good results save up as much as one bad one takes: heavy work refuses nobody.
-SHARE_MOST: Final = SHARE_RISE ** (GOOD_SHARE / (1.0 - GOOD_SHARE) / LOOK_SAMPLES)
-# Share let through however bad it looks: the trial that shows recovery. By chance it may be
-# none for many seconds, and what hangs below may fill the bound: after so many refused on end,
-# and so long, the next is let through.
+# Good results save up as much as one bad one takes: a single heavy request sheds no load.
+SHARE_MOST: Final = SHARE_RISE ** (GOOD_SHARE / (1.0 - GOOD_SHARE) / WINDOW_SAMPLES)
+# Least share admitted: the trial that shows recovery. By chance it may admit none for many
+# seconds, and requests that hang further down may fill the limit: after this many refusals in a
+# row, and this long, the next request is admitted.
 SHARE_LEAST: Final = 0.1
 TRIAL_AFTER: Final = 10
 TRIAL_EVERY_US: Final = 1_000_000
-# The most worthy work may fill the bound on held requests by this much more
-# than the least worthy, so that the least gives way first.
-WORTHY_MORE: Final = 0.5
-# The least worthy still gets this part of what all would get alike: a class
-# must not starve while others have some of everything.
-LEAST_WORTHY_PART: Final = 0.5
+# Work of the highest priority may exceed the concurrency limit by this much more than work of
+# the lowest, so that the lowest is shed first.
+HIGH_PRIORITY_MORE: Final = 0.5
+# Work of the lowest priority still gets this part of an equal share: no class may starve.
+LOW_PRIORITY_PART: Final = 0.5
 # A request is not stuck before this part of the longest objective, however quick and even
-# answers are: a queue that forms at once must first meet the bound.
+# answers are: a queue that forms at once must first meet the concurrency limit.
 STUCK_LEAST: Final = 0.25
 
 
@@ -54,7 +53,7 @@
 
     Guards against congestion collapse: queues so long that every answer is
     late, and clients' retries that keep them so. Once the share of answers
-    in time falls, fewer are let through, and recovery doubles up.
+    in time falls, fewer are admitted, and recovery doubles the share.
     """
 
     __slots__ = ("admitted_at", "good_part", "latencies", "limit", "refused_in_a_row", "share")
@@ -64,22 +63,21 @@
         self.good_part = good_part_of_objective(goal)
         self.limit = ConcurrencyLimit(latencies.longest_objective_us)
         self.refused_in_a_row = self.admitted_at = 0
-        self.share = 1.0  # let through; above 1 it is saved up
+        self.share = 1.0  # of requests admitted; above 1 it is saved up
 
     def admits(self, now: int, held: int, rank: tuple[float, float], chance: float) -> bool:
-        """Whether to take a request: the least worthy work gives way first.
+        """Whether to admit a request: work of the lowest priority is shed first.
 
-        `rank` is the parts of the work that are worth less and more, `chance` a number
+        `rank` is the parts of the work with less and with more priority, `chance` a number
         drawn from [0, 1).
         """
         less, more = rank
         alike = max(1e-9, 1.0 - less - more)
         share = min(1.0, self.share)
-        part = max(LEAST_WORTHY_PART * share, min(1.0, (share - more) / alike))
+        part = max(LOW_PRIORITY_PART * share, min(1.0, (share - more) / alike))
         is_trial = self.refused_in_a_row >= TRIAL_AFTER and now - self.admitted_at >= TRIAL_EVERY_US
-        if not is_trial and (
-            chance >= part or self.limit.exceeds_concurrency_limit(now, held / (1.0 + WORTHY_MORE * less))
-        ):
+        scaled = held / (1.0 + HIGH_PRIORITY_MORE * less)
+        if not is_trial and (chance >= part or self.limit.exceeds_concurrency_limit(now, scaled)):
             self.refused_in_a_row += 1
             return False
         self.admitted_at, self.refused_in_a_row = now, 0
@@ -87,8 +85,8 @@
         return True
 
     def record_outcome(self, now: int, request: Request, outcome: int) -> None:
-        """How a request ended. Errors and resets are left out: they tell of broken endpoints,
-        which fewer requests would not mend."""
+        """Take how a request ended. Errors and resets are left out: they come from broken
+        endpoints, which fewer requests would not cure."""
         if outcome in (ERROR, RESET) or request.body_pending:
             return
         took_us = now - request.arrived_at
@@ -105,33 +103,33 @@
         objective_us: float = 0.0,
         was_lost: bool = False,
     ) -> None:
-        """One admitted request's result; the steps balance at GOOD_SHARE, at less the more is shed."""
-        look = self.limit.record_result(now, took_us, answered, objective_us, was_lost)
-        step = log(SHARE_RISE) / look
+        """Take one result; the steps balance at GOOD_SHARE, at less the more load is shed."""
+        window = self.limit.record_result(now, took_us, answered, objective_us, was_lost)
+        step = log(SHARE_RISE) / window
         if not is_good and now - took_us <= self.limit.bounded_at:
-            return  # taken before the bound last acted, which has answered it
+            return  # admitted before the limit last refused one, which was the response to it
         if not is_good:
             asked = GOOD_SHARE * (GOOD_SHARE_PART + (1.0 - GOOD_SHARE_PART) * min(1.0, self.share))
             step *= -asked / (1.0 - asked)
-            if not answered:  # no mere heavy work: what was saved up is gone
+            if not answered:  # not just heavy work: the saved-up share is void
                 self.share = min(1.0, self.share)
         self.share = min(SHARE_MOST, max(SHARE_LEAST, self.share * exp(step)))
 
     def is_answer_due(self, now: int, request: Request) -> bool:
-        """Whether an answer was due by now: a client that left before tells nothing."""
+        """Whether an answer was due by now: a client that left earlier is no sign of lateness."""
         due_us = min(self.limit.took_us, self.good_part * request.cls.aim_us)
         return now - request.arrived_at > due_us
 
     def count_stuck(self, now: int, requests: Iterable[Request]) -> int:
-        """Requests held far longer than answers now take: lost somewhere below, no load.
+        """How many requests are held far longer than answers take now: lost further down, no load.
 
-        Guards admission against refusing all for some that hang, whatever hangs them (lost
-        messages, dead flows, a frozen tier): answers stop as nothing is sent, and the bound
-        that follows them stays shut until the last deadline. Where all queue at once for
-        long, it lets in one more bound's worth in each such span.
+        `requests` come oldest first. Guards admission against refusing everything because
+        some requests hang (lost messages, dead flows, a frozen tier): answers stop as nothing
+        is sent, and the limit that follows their rate would stay shut until the last deadline.
+        Where everything queues for long, this admits one more limit in each such span.
         """
         stuck = 0
-        for request in requests:  # the oldest first
+        for request in requests:
             if request.body_pending:
                 continue
             if not self._is_stuck(now - request.arrived_at):
@@ -144,8 +142,8 @@
         return held_us >= least_us and self.latencies.is_overdue(held_us, LOST_DEVIATIONS)
 
     def _was_lost(self, request: Request) -> bool:
-        """Whether its endpoint answered one that was sent when this one was overdue already:
-        a queue answers in its order, so this one got lost below."""
+        """Whether its endpoint answered a request that was sent when this one was already overdue:
+        a queue answers in order, so this one was lost."""
         if not request.attempts or not self.latencies.is_known():
             return False
         last = request.attempts[-1]
--- a/laurelstep/balancing/balancer.py
+++ b/laurelstep/balancing/balancer.py
@@ -1,8 +1,8 @@
 """The façade of every balancing decision: one `Balancer` per sidecar takes events and gives actions.
 
 `laurelstep.balancing.events` has the settings, events and actions. No I/O, no clock, no threads:
-each method takes the time (µs) and one event and returns actions. The rules stand in the modules
-beside this one, each with its own state; what stands here is their order.
+each method takes the time (µs) and one event and returns actions. The rules and their state are in
+the modules beside this one; here is the order in which they apply.
 """
 
 from __future__ import annotations
@@ -147,8 +147,8 @@
     def request_completed(self, now: int, request_id: int, expires_at: int) -> list[Action]:
         """The last byte of a request that was taken while it came: from now on its time counts.
 
-        Guards what is learned of endpoints, and the bound on what is held, against the pace of
-        a caller: until then it loads no endpoint, and nothing of how long it takes tells.
+        Guards what is learned of endpoints, and the concurrency limit, against the pace of a
+        client: until then the request loads no endpoint, and its duration is no latency.
         """
         request = self.request_table.open.get(request_id)
         if request is not None:
@@ -231,7 +231,7 @@
     def _learn(
         self, now: int, event: Outcome, request: Request, attempt: Attempt, endpoint: Endpoint | None
     ) -> None:
-        """What an attempt of a complete request tells of its zone and its endpoint."""
+        """Update what is known of the zone and the endpoint from an attempt of a complete request."""
         is_served = event.outcome == OK
         if self.subsets.local_halves and event.outcome != CANCELLED:
             took_us = event.delay_us if is_served else max(event.delay_us, request.cls.aim_us)
--- a/laurelstep/balancing/connections.py
+++ b/laurelstep/balancing/connections.py
@@ -14,7 +14,7 @@
 SUSPECT_PART: Final = 0.25
 # A shorter idle time, in longest objectives, kills no connection: who drops flows waits longer.
 IDLE_LEAST: Final = 0.1
-# A handshake costs at least this part of a request's worth, priced or not.
+# A handshake costs at least this part of a request's value, priced or not.
 HANDSHAKE_LEAST: Final = 0.01
 
 
@@ -42,7 +42,7 @@
         self.closes_left = 0.0  # for so many sends
 
     def watch(self, attempt: Attempt) -> None:
-        """An attempt that its endpoint has whole: an answer is due from now on."""
+        """Watch an attempt that its endpoint has completely: an answer is due from now on."""
         self.unconfirmed.append(attempt)
 
     def choose_connection(self, now: int, attempt: Attempt) -> bool:
@@ -73,9 +73,9 @@
                 self.record_lost(oldest)
 
     def record_lost(self, attempt: Attempt) -> None:
-        """Evidence of connections that die while idle, counted in the new ones that it pays
-        for: as many as the request was worth for a loss on one that had been idle. A loss on
-        a new connection takes a loss back: it has other causes."""
+        """Count evidence of connections that die while idle, in the handshakes that it pays for:
+        a lost request is worth as many as its value buys. A loss on a new connection has other
+        causes and takes as much back."""
         suspect_us = SUSPECT_PART * attempt.connection_idle_us
         least_us = IDLE_LEAST * self.latencies.longest_objective_us
         if attempt.connection_idle_us > least_us and not attempt.counted_as_lost:
--- a/laurelstep/balancing/endpoints.py
+++ b/laurelstep/balancing/endpoints.py
@@ -21,8 +21,8 @@
 
 
 def ring_key(cell: int, endpoint: int) -> RingKey:
-    """The shared order: whole cells side by side, so that a repeat bound to
-    a cell finds warm connections; both parts mixed, as ids tell nothing."""
+    """An endpoint's place on the shared ring: cells stay together, so that a retry bound to a cell
+    finds warm connections; both parts are hashed, as ids have an order of their own."""
     return mix(cell), mix(endpoint), endpoint
 
 
@@ -80,7 +80,7 @@
         self.boot = entry.boot
         self.rating = entry.rating
         self.ready = False
-        self.inflight = 0  # attempts without an outcome that it has whole
+        self.inflight = 0  # attempts without an outcome whose request it has completely
         self.silent_since = 0  # its last answer, or the first send while it owed none
         self.slow_start_budget, self.slow_start_budget_at = 0.0, 0
         self.staged = False  # it waits for the end of the list that it came with
--- a/laurelstep/balancing/latency.py
+++ b/laurelstep/balancing/latency.py
@@ -10,10 +10,10 @@
 
 # Gain of the running mean and deviation, as in TCP's retransmission timer.
 LATENCY_GAIN: Final = 0.05
-# Fewer samples than this tell mostly chance; the longest objective stands in for them.
+# Fewer samples than this are mostly chance; the longest objective is used instead.
 LEARN_SAMPLES: Final = 16
-# An endpoint that owes answers and gave none for the mean and this many deviations is taken
-# for frozen.
+# An endpoint that owes answers and gave none for the mean plus this many deviations counts as
+# frozen.
 STALL_DEVIATIONS: Final = 4.0
 # An attempt out for so many deviations past the mean looks lost: more than for a stall, as
 # heavy work alone must not cost new connections.
@@ -21,7 +21,7 @@
 # Memory of the copy's own rates, in longest objectives: long enough to average, short enough to
 # follow a ramp.
 RATE_MEMORY: Final = 1.0
-# A rate is not extrapolated from less than this part of its memory: less tells only chance.
+# A rate is not extrapolated from less than this part of its memory: that would be chance.
 RATE_LEAST_SEEN: Final = 0.02
 
 
--- a/laurelstep/balancing/membership.py
+++ b/laurelstep/balancing/membership.py
@@ -106,7 +106,7 @@
         endpoint.staged = True
 
     def _join_staged(self) -> None:
-        """What was staged stands on the ring from now on, all of it at once."""
+        """All staged endpoints join the ring at once."""
         if self.staged_ring is not None:
             self.ring, self.staged_ring = self.staged_ring, None
         for endpoint in self.staged:
--- a/laurelstep/balancing/outliers.py
+++ b/laurelstep/balancing/outliers.py
@@ -11,33 +11,33 @@
 from laurelstep.balancing.latency import LEARN_SAMPLES, STALL_DEVIATIONS, DecayingRate, LatencyTracker
 from laurelstep.balancing.subsets import SubsetPlan
 
-# What one failure leaves of an endpoint's health, by how surely it tells of a
-# broken endpoint; fullness tells of load more than of a fault.
+# Factor of an endpoint's health after one failure, by how surely the outcome is a sign of a
+# broken endpoint; FULL is a sign of load more than of a fault.
 HEALTH_LEFT: Final = {ERROR: 0.4, FULL: 0.7, TIMEOUT: 0.2, NO_CONNECT: 0.5, RESET: 0.2}
-# Power of the factor that the other classes and tenants take for a failure of one.
+# Power of that factor for the other classes and tenants of the endpoint.
 HEALTH_LEFT_OTHERS: Final = 0.5
-# A full endpoint gets nothing for so many usual latencies: one kept full by everybody's
-# next retry would turn slow. Before the first answer, for so many objectives.
+# A full endpoint gets no request for this many usual latencies: one kept full by everybody's
+# next retry would become slow. Before the first answer, for this many longest objectives.
 OVERLOADED_FOR: Final = 1.0
 OVERLOADED_FIRST: Final = 0.1
-# One answer repairs this share of the damage; time repairs it with a memory
-# of this many objectives, doubled by each failure in a row up to the cap.
+# One answer repairs this share of the damage; time repairs it with a time constant of this many
+# longest objectives, doubled by each failure in a row up to this many times.
 REPAIR: Final = 0.2
 HEAL_MEMORY: Final = 1.5
 HEAL_DOUBLINGS: Final = 4
-# And so many sends to the endpoint at least: where a copy sends little, time alone
-# would have it try a bad endpoint with every other request.
+# The time constant is at least the time of this many sends to an endpoint: in a copy with little
+# traffic, a bad endpoint would else get every other request.
 HEAL_SENDS: Final = 3.0
 # Sends a copy is taken to make at least, per longest objective.
 SENDS_LEAST: Final = 0.1
 # Health never falls below this: the trial by which an endpoint returns.
 HEALTH_MIN: Final = 0.01
-# From this on the rest of the damage counts as repaired.
+# Health above this counts as fully repaired.
 HEALTH_REPAIRED: Final = 0.99
-# One of less health for all segments counts as ejected, to those who look on.
+# An endpoint with less health in all segments is reported as ejected.
 EJECTED_BELOW: Final = 0.5
-# Gain of an endpoint's learned speed: a few samples tell speeds of 3:1 apart, and an endpoint
-# seldom drawn is judged afresh, with a memory of so many longest objectives.
+# Gain of an endpoint's learned speed: a few samples distinguish speeds of 3:1, and an endpoint
+# that is seldom drawn is measured afresh, with a memory of this many longest objectives.
 SPEED_MEMORY: Final = 2.0
 SPEED_GAIN_MAX: Final = 0.5
 SPEED_GAIN_FIRST: Final = 0.25
--- a/laurelstep/balancing/priorities.py
+++ b/laurelstep/balancing/priorities.py
@@ -1,4 +1,4 @@
-"""Priority weights: which of the requests asked for lately are worth more than others."""
+"""Priority weights: which of the recent requests have more priority than others."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from laurelstep.balancing.events import Arrival, Settings
 from laurelstep.balancing.latency import LatencyEstimator
 
-# Work asked for, in requests, over which its mix of priorities is remembered.
+# Requests over which the mix of the work is remembered.
 MIX_MEMORY: Final = 100.0
 # A tenant may save up its part of the quota for this long, in longest objectives.
 QUOTA_BURST: Final = 2.0
 
 
 class PriorityWeights:
-    """What a request is worth against the others asked for lately.
+    """The priority of a request among the recent ones.
 
-    Kinds are class and whether the tenant is past its part of its quota; `rank` says
-    which part of the work asked for is worth less, or more.
+    Its kind is its class and whether the tenant exceeds its part of its quota; `rank` says
+    which parts of the recent work have less priority, and more.
     """
 
     __slots__ = ("burst_us", "kinds", "mix", "quota_meters", "settings")
@@ -34,10 +34,10 @@
         self.quota_meters = [(0.0, 0)] * len(settings.tenants)
 
     def rank(self, now: int, event: Arrival, usual: Sequence[LatencyEstimator]) -> tuple[float, float]:
-        """The parts of the work lately asked for that are worth less and more.
+        """The parts of the recent work, from 0 to 1, with less and with more priority.
 
-        What counts is the worth of a unit of work. Where no hints tell the work of a
-        request, what its class takes stands for it.
+        What counts is the weight of a unit of work. Without a hint of its work, a request
+        counts as the mean latency of its class.
         """
         classes = len(self.settings.classes)
         kind = event.cls + classes * self._is_over_quota(now, event.tenant)
--- a/laurelstep/balancing/requests.py
+++ b/laurelstep/balancing/requests.py
@@ -23,7 +23,7 @@
 
     def __init__(self, endpoint: Endpoint, now: int, body_pending: bool) -> None:
         self.endpoint = endpoint
-        self.body_pending = body_pending  # it counts at the endpoint once that has the whole request
+        self.body_pending = body_pending  # it counts at the endpoint once that has the complete request
         self.cell, self.zone = endpoint.cell, endpoint.zone
         self.sent_at = now
         self.connection_idle_us = -1  # how long its connection was idle; a new one was not
@@ -32,7 +32,7 @@
         self.counted_as_lost = False  # as evidence of connections that die while idle
 
     def begin(self, now: int) -> None:
-        """The endpoint has the whole request, or will at once: it counts there until its outcome."""
+        """The endpoint has the complete request, or will at once: it counts there until its outcome."""
         self.sent_at, self.body_pending = now, False
         if not self.endpoint.inflight:
             self.endpoint.silent_since = now
@@ -91,7 +91,7 @@
     __slots__ = ("ended", "open", "uploading")
 
     def __init__(self) -> None:
-        self.open: dict[int, Request] = {}  # in the order in which they came whole
+        self.open: dict[int, Request] = {}  # in the order in which they were complete
         self.ended: dict[int, Request] = {}
         self.uploading = 0  # of the open ones, those whose last byte is still to come
 
--- a/laurelstep/balancing/retries.py
+++ b/laurelstep/balancing/retries.py
@@ -78,7 +78,7 @@
         return endpoint.cell == possible.cell
 
     def is_refusal_safe(self, request: Request) -> bool:
-        """Whether a client may be told to come again: a repeat by it has no second effect."""
+        """Whether a client may be asked to retry: that has no second effect."""
         cls = request.cls
         is_idempotent = cls.effect == SAFE or (cls.effect == KEYED and cls.scope == SCOPE_ALL)
         return is_idempotent or request.first_possible_execution() is None
--- a/laurelstep/balancing/selection.py
+++ b/laurelstep/balancing/selection.py
@@ -22,8 +22,8 @@
 from laurelstep.balancing.subsets import Ring, Subset, SubsetPlan
 from laurelstep.balancing.zones import ZoneSpillover
 
-# Power of an endpoint's slowness in its weight. At 1 all hold alike, however slow; what
-# turned slow under its queue must be left to get through it.
+# Power of an endpoint's slowness in its weight. At 1 all would hold equally many requests, however
+# slow they are; an endpoint that became slow under its queue must be left to work it off.
 SLOWNESS_POWER: Final = 2
 # What is left of a stalled endpoint's weight.
 STALLED_WEIGHT: Final = 0.05
@@ -73,7 +73,7 @@
             found = self._choose(now, request, self.subsets.pair)
         ring = self.membership.ring.all
         if found is None and self.subsets.span < len(ring):
-            # All of the subsets is unusable: fall back on the ring.
+            # None of the own subsets is usable: fall back on the whole ring.
             found = self._choose_among(now, request, ring, 0, len(ring))
         return found
 
@@ -83,7 +83,7 @@
         if request.cls.scope == SCOPE_ZONE:
             zone = self.membership.ring.by_zone.get(possible.zone, ring)
             return self._choose_among(now, request, zone, 0, len(zone))
-        # A cell's endpoints stand side by side.
+        # A cell's endpoints are neighbours on the ring.
         cell = mix(possible.cell)
         start = bisect_left(ring, ((cell, -1, 0), possible.endpoint))
         end = bisect_left(ring, ((cell, KEY_BITS + 1, 0), possible.endpoint))
--- a/laurelstep/balancing/slow_start.py
+++ b/laurelstep/balancing/slow_start.py
@@ -61,24 +61,24 @@
 
         What an average endpoint of its subsets serves this copy, times the
         multiple and the share warm so far. As each copy scales its own
-        traffic, the parts add up without agreement; what is sent in vain,
-        to full or choked endpoints, tells nothing of what one can bear.
-        Answers count by the list under which they came: when many leave it,
-        those left bear no more for it, and more copies have each in their subsets.
-        Those of endpoints outside, which serve where it is spent, tell nothing of it.
+        traffic, the parts add up without agreement. Only answers count: what
+        is sent to full or overloaded endpoints is no measure of capacity.
+        They count by the list under which they came: when many endpoints
+        leave it, those left have no more capacity, and more copies have each
+        in their subsets. Answers of endpoints outside the subsets do not count.
         """
         if not self.subsets.contains(endpoint):
             return 0.0  # only copies that have it in their subsets share its budget
         own, span = self.subsets.endpoints_per_copy, self.subsets.span
         usual = self.served.per_us(now) * own / span
-        # Guards against a start where all warm up: nothing sent, so nothing earned. What is of
-        # any use serves one request an objective, from all copies together, once it is warm.
+        # Guards against a start where all warm up: nothing sent, so nothing earned. A useful
+        # endpoint serves at least one request an objective, from all copies together, once warm.
         usual = max(usual, own / (span * self.latencies.longest_objective_us))
         rate = usual * SAFETY * self.settings.tip_multiple * self.warmup_fraction(now, endpoint)
         elapsed, endpoint.slow_start_budget_at = now - endpoint.slow_start_budget_at, now
         endpoint.slow_start_budget += rate * elapsed
         # Guards against copies that saved up while others were drawn and then all
-        # spend at once: what is not used within the span that tips is lost.
+        # spend at once: what is not used within the span that overloads is lost.
         if endpoint.slow_start_budget >= 1.0 + rate * self.settings.overload_for_us:
             endpoint.slow_start_budget %= 1.0
         return endpoint.slow_start_budget
--- a/laurelstep/balancing/zones.py
+++ b/laurelstep/balancing/zones.py
@@ -35,7 +35,7 @@
     def __init__(self, longest_objective_us: float) -> None:
         self.local, self.remote = LatencyEstimator(), LatencyEstimator()
         self.base = 0.0  # the least that the own zone took, µs
-        self.local_at = self.remote_at = 0  # when they were last heard of
+        self.local_at = self.remote_at = 0  # of the last answer of each
         self.memory_us = SPILLOVER_MEMORY * longest_objective_us
         self.share = 1.0
 
@@ -66,5 +66,5 @@
             self.share = min(1.0, max(0.0, self.share + SPILLOVER_GAIN * over))
 
     def _faded(self, now: int, took_us: float, at: int) -> float:
-        """What was last heard of a side; what is not heard again fades to what is usual."""
+        """The last latency of a side; without new answers it fades to the usual one."""
         return self.base + (took_us - self.base) * exp((at - now) / self.memory_us) if self.base else took_us
