--- /dev/null
+++ b/laurelstep/balancing/balancer.py
@@ -0,0 +1,377 @@
+"""The façade of every balancing decision: one `Balancer` per sidecar takes events and gives actions.
+
+`laurelstep.balancing.events` has the settings, events and actions. No I/O, no clock, no threads:
+each method takes the time (µs) and one event and returns actions. The rules and their state are in
+the modules beside this one; here is the order in which they apply.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Sequence
+from typing import Final
+
+from laurelstep.balancing.admission import AdmissionController
+from laurelstep.balancing.connections import IdleConnectionMonitor
+from laurelstep.balancing.endpoints import Endpoint
+from laurelstep.balancing.events import (
+    CANCELLED,
+    ERROR,
+    FULL,
+    KEYED,
+    LIST_FAILED,
+    OK,
+    RESET,
+    TIMEOUT,
+    WAITING,
+    Action,
+    Arrival,
+    Cancel,
+    Close,
+    Entry,
+    Fail,
+    Outcome,
+    Probed,
+    Refuse,
+    Send,
+    Settings,
+    Timer,
+    Watch,
+)
+from laurelstep.balancing.key_queues import KeyQueues
+from laurelstep.balancing.latency import LatencyTracker
+from laurelstep.balancing.membership import Membership
+from laurelstep.balancing.outliers import HEALTH_LEFT, OutlierDetector
+from laurelstep.balancing.priorities import PriorityWeights
+from laurelstep.balancing.requests import Attempt, Request, RequestTable
+from laurelstep.balancing.retries import RetryPolicy
+from laurelstep.balancing.selection import EndpointSelector
+from laurelstep.balancing.slow_start import SlowStart
+from laurelstep.balancing.subsets import SubsetPlan
+from laurelstep.balancing.zones import ZoneSpillover
+
+# A timer's token is a value (a request's id, or 0) times the number of kinds, and its kind.
+TIMER_HOLD: Final = 0
+TIMER_WATCH: Final = 1
+TIMER_KINDS: Final = 2
+# What a load report may say of requests queued at an endpoint; more is nonsense.
+REPORTED_WAITING_MAX: Final = 1e6
+
+
+class Balancer:
+    """Every decision of one copy: the same seed and events give the same actions."""
+
+    def __init__(self, seed: int, settings: Settings) -> None:
+        self.settings = settings
+        self.rng = random.Random(seed)
+        self.request_table = RequestTable()
+        self.membership = Membership(settings, self.rng)
+        self.subsets = SubsetPlan(settings)
+        self.latencies = LatencyTracker(settings.classes)
+        self.outliers = OutlierDetector(settings, self.latencies, self.subsets)
+        self.slow_start = SlowStart(settings, self.latencies, self.subsets)
+        self.spillover = ZoneSpillover(self.latencies.longest_objective_us)
+        self.admission = AdmissionController(self.latencies, settings.goal)
+        self.priorities = PriorityWeights(settings, self.latencies.longest_objective_us)
+        self.retries = RetryPolicy(settings)
+        self.connections = IdleConnectionMonitor(settings, self.latencies)
+        self.key_queues = KeyQueues(settings.key_rest_us)
+        self.selector = EndpointSelector(
+            self.rng,
+            self.membership,
+            self.subsets,
+            self.latencies,
+            self.outliers,
+            self.slow_start,
+            self.spillover,
+        )
+        fields = settings.report_fields
+        self._waiting_field = fields.index(WAITING) if WAITING in fields else len(fields)
+        self._actions: list[Action] = []
+
+    @property
+    def endpoints(self) -> dict[int, Endpoint]:
+        """The endpoints by number: those listed, and those gone that still owe an outcome."""
+        return self.membership.by_id
+
+    @property
+    def requests(self) -> dict[int, Request]:
+        """The requests without a final answer, by id."""
+        return self.request_table.open
+
+    def discard_actions(self) -> None:
+        """Drop what an event that raised had decided so far."""
+        self._actions.clear()
+
+    # --- The endpoint list -------------------------------------------------------------
+
+    def start(self, now: int) -> list[Action]:
+        """The sidecar is up; a cached list follows."""
+        self.outliers.start(now)
+        self.slow_start.start(now)
+        if self.settings.asks_discovery:
+            self._timer(TIMER_WATCH, 0, self.membership.first_poll_delay())
+        return self._take_actions(now)
+
+    def members(self, now: int, mode: int, entries: Sequence[Entry]) -> list[Action]:
+        """Discovery's view: LIST_FULL, _DELTA, _CACHED, _FAILED or _PART."""
+        if mode == LIST_FAILED:
+            # Guards against a lost subscription: ask again, spread out.
+            if self.settings.asks_discovery:
+                self._timer(TIMER_WATCH, 0, self.membership.poll_backoff())
+        elif self.membership.apply_list(now, mode, entries):
+            self.subsets.rebuild_subsets(self.membership.ring)
+            self.admission.limit.set_endpoints_per_copy(self.subsets.endpoints_per_copy)
+        return self._take_actions(now)
+
+    def ejected(self, now: int) -> int:
+        """How many ready endpoints get next to nothing now. Changes nothing."""
+        return self.outliers.ejected(now, self.membership.by_id.values())
+
+    # --- Requests ----------------------------------------------------------------------
+
+    def request(self, now: int, event: Arrival) -> list[Action]:
+        """A request to be answered exactly once."""
+        request = Request(now, event, self.settings.classes[event.cls], max(1, len(self.settings.tenants)))
+        self.request_table.add(request)
+        self.retries.earn()
+        # Nothing was spent on a request yet where it enters; further down, a
+        # refusal would waste what the tiers above have done for it.
+        admitted = self.settings.stage > 0 or self._admits(now, event)
+        if admitted and (not request.key or self._enqueue(now, request)):
+            self._attempt(now, request)
+        else:
+            self._end(now, request)
+        return self._take_actions(now)
+
+    def request_completed(self, now: int, request_id: int, expires_at: int) -> list[Action]:
+        """The last byte of a request that was taken while it came: from now on its time counts.
+
+        Guards what is learned of endpoints, and the concurrency limit, against the pace of a
+        client: until then the request loads no endpoint, and its duration is no latency.
+        """
+        request = self.request_table.open.get(request_id)
+        if request is not None:
+            was_pending = request.body_pending
+            self.request_table.complete_body(now, request, expires_at)
+            for attempt in request.attempts:
+                if was_pending and attempt.outstanding and attempt.body_pending:
+                    self._begin(now, attempt)
+        return self._take_actions(now)
+
+    def head(self, now: int, event: Outcome) -> list[Action]:
+        """The answer of a streamed class has started."""
+        request = self.request_table.open.get(event.request)
+        if request is not None:
+            request.streaming = True
+        return self._take_actions(now)
+
+    def client_disconnected(self, now: int, request_id: int) -> list[Action]:
+        """The client left; nothing more is owed."""
+        request = self.request_table.open.get(request_id)
+        if request is not None:
+            if self.admission.is_answer_due(now, request):
+                self.admission.record_outcome(now, request, TIMEOUT)
+            self._forget(request)
+        return self._take_actions(now)
+
+    def timer(self, now: int, token: int) -> list[Action]:
+        """A `Timer` that was asked for has come due."""
+        value, kind = divmod(token, TIMER_KINDS)
+        if kind == TIMER_WATCH and self.settings.asks_discovery:
+            self._actions.append(Watch(True))
+        elif (request := self.request_table.open.get(value)) and not request.has_outstanding_attempt():
+            self._attempt(now, request)
+        return self._take_actions(now)
+
+    def probed(self, now: int, event: Probed) -> list[Action]:
+        """What a `Probe` found."""
+        return self._take_actions(now)
+
+    def gossip_received(self, now: int, sender: int, payload: bytes) -> list[Action]:
+        """A message of another sidecar of this tier."""
+        return self._take_actions(now)
+
+    # --- Outcomes ----------------------------------------------------------------------
+
+    def outcome(self, now: int, event: Outcome) -> list[Action]:
+        """How one attempt ended; each `Send` gets one."""
+        request = self.request_table.find(event.request)
+        attempt = request.attempts[event.copy] if request and event.copy < len(request.attempts) else None
+        # Rejected on a new connection: there may be no capacity for just that, and idle ones
+        # still serve. Guards against copies that leave an endpoint alone, wait together and
+        # rush; also against idle capacity where another copy keeps the rest of it. Does harm
+        # where it was the queue that was full: an idle connection is tried too soon.
+        no_connection_left = event.outcome == FULL and attempt is not None and attempt.connection_idle_us < 0
+        endpoint = self.membership.by_id.get(event.endpoint)
+        if endpoint is not None:
+            self._observe_endpoint(now, event, endpoint, attempt)
+            if event.outcome in HEALTH_LEFT:
+                segment = request.segment if request else 0
+                self.outliers.record_failure(now, endpoint, event.outcome, segment, no_connection_left)
+        if request is not None and attempt is not None:
+            if not request.body_pending:
+                self._learn(now, event, request, attempt, endpoint)
+            self._end_attempt(now, event.outcome, attempt, no_connection_left)
+            self.key_queues.record_outcome(now, request, event.outcome)
+            self._continue(now, event, request)
+        return self._take_actions(now)
+
+    def _observe_endpoint(
+        self, now: int, event: Outcome, endpoint: Endpoint, attempt: Attempt | None
+    ) -> None:
+        if attempt is None or not attempt.body_pending:
+            self.membership.settle_attempt(endpoint)
+            endpoint.silent_since = now
+        if event.report and self._waiting_field < len(event.report):
+            waiting = event.report[self._waiting_field]
+            if 0.0 <= waiting < REPORTED_WAITING_MAX:
+                endpoint.reported_waiting, endpoint.reported_at = waiting, now
+
+    def _learn(
+        self, now: int, event: Outcome, request: Request, attempt: Attempt, endpoint: Endpoint | None
+    ) -> None:
+        """Update what is known of the zone and the endpoint from an attempt of a complete request."""
+        is_served = event.outcome == OK
+        if self.subsets.local_halves and event.outcome != CANCELLED:
+            took_us = event.delay_us if is_served else max(event.delay_us, request.cls.aim_us)
+            self.spillover.record(now, attempt.zone == self.settings.zone, took_us)
+        if endpoint is not None and is_served:
+            self.outliers.record_success(now, endpoint, request.segment)
+            self.slow_start.record_served(now, endpoint)
+            self.latencies.record(request.class_index, event.delay_us)
+            self.outliers.learn_speed(now, endpoint, request.class_index, event.delay_us)
+            endpoint.latest_answered_sent_at = max(endpoint.latest_answered_sent_at, attempt.sent_at)
+
+    def _end_attempt(self, now: int, outcome: int, attempt: Attempt, no_connection_left: bool) -> None:
+        attempt.outstanding = False
+        attempt.never_ran = self.retries.proves_never_ran(outcome)
+        if outcome in (OK, ERROR, FULL):
+            if not no_connection_left:
+                attempt.endpoint.idle_since.append(now)
+            self.connections.record_answered(attempt)
+        elif outcome == RESET:
+            self.connections.record_lost(attempt)
+
+    def _continue(self, now: int, event: Outcome, request: Request) -> None:
+        """What follows for the request: nothing, its end, or a retry."""
+        if request.id not in self.request_table.open:
+            self.key_queues.mark_changed(request)
+            self.request_table.settle(request)
+        elif event.over or event.outcome == OK:
+            self.admission.record_outcome(now, request, event.outcome)
+            self._forget(request)
+        elif not request.has_outstanding_attempt():
+            self._schedule_retry(now, request, event.outcome)
+
+    def _schedule_retry(self, now: int, request: Request, outcome: int) -> None:
+        """Every attempt so far has failed: retry within the budget, or end it."""
+        if not self.retries.spend(outcome):
+            self.admission.record_outcome(now, request, outcome)
+            self._end(now, request)
+            return
+        if not self.retries.may_retry(now, request):
+            self.admission.record_outcome(now, request, outcome)
+        self._attempt(now, request)
+
+    # --- Attempts ----------------------------------------------------------------------
+
+    def _admits(self, now: int, event: Arrival) -> bool:
+        stuck = self.admission.count_stuck(now, self.request_table.open.values())
+        held = len(self.request_table.open) - self.request_table.uploading - stuck
+        rank = self.priorities.rank(now, event, self.latencies.by_class)
+        return self.admission.admits(now, held, rank, self.rng.random())
+
+    def _enqueue(self, now: int, request: Request) -> bool:
+        """Whether to take the request into its key's queue. One that those before
+        it leave no time is refused at once, unsent: a key runs one at a time."""
+        ahead = self.key_queues.enqueue(now, request)
+        ahead_us = ahead * self.latencies.by_class[request.class_index].mean
+        last_chance = request.give_up_at() - self.retries.backoff(request.cls)
+        self._timer(TIMER_HOLD, request.id, max(0, last_chance - now))
+        return ahead_us < request.cls.aim_us
+
+    def _attempt(self, now: int, request: Request) -> None:
+        """Send the request somewhere, hold it within its objective, or end it."""
+        if not self.retries.may_retry(now, request):
+            self._end(now, request)
+            return
+        has_turn = self.key_queues.has_turn(now, request)
+        if has_turn:
+            endpoint = self.selector.pick(now, request)
+            if endpoint is not None and self._send(now, request, endpoint):
+                return
+        backoff_us = self.retries.backoff(request.cls)
+        if now + backoff_us >= request.give_up_at():
+            self._end(now, request)
+        elif has_turn:
+            self._timer(TIMER_HOLD, request.id, backoff_us)
+
+    def _may_send(self, now: int, request: Request, endpoint: Endpoint) -> bool:
+        """Attempts, hedged requests, repeat scope and window, drain, order."""
+        if not self.retries.may_retry(now, request) or not endpoint.ready:
+            return False
+        if not self.key_queues.has_turn(now, request):
+            return False
+        return request.cls.effect != KEYED or self.retries.is_in_scope(request, endpoint)
+
+    def _send(self, now: int, request: Request, endpoint: Endpoint) -> bool:
+        """The one guard: every send passes here and keeps the rules, also slow start's budget."""
+        if not self._may_send(now, request, endpoint) or not self.slow_start.spend(now, endpoint):
+            return False
+        attempt = Attempt(endpoint, now, request.body_pending)
+        request.attempts.append(attempt)
+        if self.connections.choose_connection(now, attempt):
+            self._actions.append(Close(endpoint.id))
+        if not request.body_pending:
+            self._begin(now, attempt)
+        self.key_queues.record_send(request)
+        self.outliers.record_send(now)
+        self._actions.append(Send(request.id, endpoint.id, request.expires_at - now))
+        return True
+
+    def _begin(self, now: int, attempt: Attempt) -> None:
+        attempt.begin(now)
+        self.connections.watch(attempt)
+
+    # --- Ends --------------------------------------------------------------------------
+
+    def _end(self, now: int, request: Request) -> None:
+        """The one place that gives final answers. A refusal promises that a
+        retry is harmless, so it is given only where that is sure."""
+        if request.streaming:
+            return
+        if self.retries.is_refusal_safe(request):
+            self._actions.append(Refuse(request.id, self.retries.retry_after(request.cls)))
+        else:
+            self._actions.append(Fail(request.id))
+        self._forget(request)
+
+    def _forget(self, request: Request) -> None:
+        """The request is over: nothing more is sent; stop what is still outstanding."""
+        self.request_table.close(request)
+        self.key_queues.remove(request)
+        if self.settings.can_cancel and not request.streaming:
+            for copy, attempt in enumerate(request.attempts):
+                if attempt.outstanding:
+                    self._actions.append(Cancel(request.id, copy))
+
+    def _timer(self, kind: int, value: int, delay_us: int) -> None:
+        self._actions.append(Timer(value * TIMER_KINDS + kind, delay_us))
+
+    def _take_actions(self, now: int) -> list[Action]:
+        while self.key_queues.changed:
+            self._advance_key(now, self.key_queues.changed.pop())
+        actions, self._actions = self._actions, []
+        return actions
+
+    def _advance_key(self, now: int, key: int) -> None:
+        """Let the next of a key go, at once or after the key's rest."""
+        request = self.key_queues.next_request(now, key)
+        if request is None:
+            return
+        rest_us = self.key_queues.rest_left_us(now, request)
+        if rest_us > 0:
+            self._timer(TIMER_HOLD, request.id, rest_us)
+        else:
+            self._attempt(now, request)
--- a/laurelstep/engine/engine.py
+++ b/laurelstep/engine/engine.py
@@ -18,14 +18,8 @@
 from dataclasses import replace
 from typing import Any
 
-from laurelstep.engine.call import Answer, Attempt, Call, Ending
-from laurelstep.engine.flow import Flow
-from laurelstep.engine.listing import apply_in_steps
-from laurelstep.engine.members import Members
-from laurelstep.engine.names import Names
-from laurelstep.engine.ports import Clock, Decisions, Keeper, Log, MemberSource, Recorder, Upstream
-from laurelstep.engine.tally import Tally
-from laurelstep.interface import (
+from laurelstep.balancing.balancer import Balancer
+from laurelstep.balancing.events import (
     CANCELLED,
     FULL,
     KEYED,
@@ -52,10 +46,16 @@
     Timer,
     Watch,
 )
-from laurelstep.interface import (
+from laurelstep.balancing.events import (
     Log as LogLine,
 )
-from laurelstep.policy import Balancer
+from laurelstep.engine.call import Answer, Attempt, Call, Ending
+from laurelstep.engine.flow import Flow
+from laurelstep.engine.listing import apply_in_steps
+from laurelstep.engine.members import Members
+from laurelstep.engine.names import Names
+from laurelstep.engine.ports import Clock, Decisions, Keeper, Log, MemberSource, Recorder, Upstream
+from laurelstep.engine.tally import Tally
 
 # Tells the module one thing: the time, and what happened.
 Method = Callable[[int, Any], list[Action]]
@@ -133,13 +133,13 @@
         except Exception:
             # Guards the process and its callers against a fault of the module.
             self.log(traceback.format_exc().rstrip())
-            self.balancer.out.clear()
+            self.balancer.discard_actions()
             if call is None:
                 return
             if call.open:
                 self._answer(call, Answer(Ending.FAILED, 500))
             # The module may still count it among the requests that it holds.
-            self._tell(self.decisions.gone, call.id)
+            self._tell(self.decisions.client_disconnected, call.id)
 
     # --- Members ------------------------------------------------------------------
 
@@ -216,7 +216,7 @@
             self._tell(self._tell_whole, call, call)
 
     def _tell_whole(self, now: int, call: Call) -> list[Action]:
-        return self.decisions.whole(now, call.id, call.expires)
+        return self.decisions.request_completed(now, call.id, call.expires)
 
     def gone(self, call: Call) -> None:
         """The client left: nothing more is owed. Nothing happens if it was answered."""
@@ -231,7 +231,7 @@
                 return
             if call.recorded and self.recorder is not None:
                 self.recorder.gone(call, self)
-            self._tell(self.decisions.gone, call.id)
+            self._tell(self.decisions.client_disconnected, call.id)
 
     def _expire(self, call: Call) -> None:
         """The client's deadline: what is out timed out, and the module answers."""
@@ -243,7 +243,7 @@
             self._leave_keeper(call)
         elif call.open:  # guards the caller should the module have held it to the end
             self._give_up(call, Answer(Ending.FAILED, 504))
-            self._tell(self.decisions.gone, call.id)
+            self._tell(self.decisions.client_disconnected, call.id)
 
     def _keep(self, call: Call, answer: Answer | None) -> bool:
         """Whether a keeper has a call from here on. It is never asked about one that may have run, or
--- a/laurelstep/engine/ports.py
+++ b/laurelstep/engine/ports.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Iterator, Sequence
 from typing import Any, Protocol
 
+from laurelstep.balancing.events import Action, Arrival, Entry, Outcome
 from laurelstep.engine.call import Answer, Attempt, Call, Front, Handle
-from laurelstep.interface import Action, Arrival, Entry, Outcome
 
 __all__ = [
     "Clock",
@@ -40,7 +40,7 @@
 
 
 class Decisions(Protocol):
-    """The decision module, as the engine calls it: `laurelstep.interface` has the terms."""
+    """The decision module, as the engine calls it: `laurelstep.balancing.events` has the terms."""
 
     def start(self, now: int) -> list[Action]: ...
 
@@ -50,13 +50,13 @@
 
     def outcome(self, now: int, event: Outcome) -> list[Action]: ...
 
-    def whole(self, now: int, rid: int, expires: int) -> list[Action]: ...
+    def request_completed(self, now: int, request_id: int, expires_at: int) -> list[Action]: ...
 
-    def gone(self, now: int, rid: int) -> list[Action]: ...
+    def client_disconnected(self, now: int, request_id: int) -> list[Action]: ...
 
     def timer(self, now: int, token: int) -> list[Action]: ...
 
-    def avoided(self, now: int) -> int:
+    def ejected(self, now: int) -> int:
         """How many endpoints that are ready get next to nothing now. Changes nothing."""
 
 
--- a/laurelstep/maintenance/machines.py
+++ b/laurelstep/maintenance/machines.py
@@ -12,8 +12,8 @@
 from math import inf
 from typing import Any, Final
 
+from laurelstep.balancing.events import DRAINING, READY
 from laurelstep.engine.members import PHASES, endpoint_number, split_address
-from laurelstep.interface import DRAINING, READY
 from laurelstep.maintenance.requests import LimitScope
 
 __all__ = ["ListedMachine", "MachineTable", "parse_listed_machine"]
@@ -44,7 +44,7 @@
     ) -> None:
         self.machine_id = machine_id
         self.address = address
-        self.phase = phase  # READY, DRAINING or GONE of `laurelstep.interface`
+        self.phase = phase  # READY, DRAINING or GONE of `laurelstep.balancing.events`
         self.zone = zone
         self.cell = cell
         self.kind = kind
--- a/laurelstep/maintenance/overlay.py
+++ b/laurelstep/maintenance/overlay.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from laurelstep.interface import DRAINING, READY
+from laurelstep.balancing.events import DRAINING, READY
 from laurelstep.maintenance.machines import ListedMachine, MachineTable
 from laurelstep.maintenance.records import MachineRecord
 from laurelstep.maintenance.state import MaintenanceState
--- a/laurelstep/maintenance/planner.py
+++ b/laurelstep/maintenance/planner.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from laurelstep.interface import READY
+from laurelstep.balancing.events import READY
 from laurelstep.maintenance.acknowledgements import DrainAcknowledgements
 from laurelstep.maintenance.ages import StateAges
 from laurelstep.maintenance.entries import (
--- a/laurelstep/maintenance/source.py
+++ b/laurelstep/maintenance/source.py
@@ -14,10 +14,10 @@
 from collections.abc import Callable, Iterable, Iterator, Sequence
 from typing import Any, Final
 
+from laurelstep.balancing.events import READY
 from laurelstep.engine.listing import STEP
 from laurelstep.engine.members import endpoint_number
 from laurelstep.engine.ports import Clock, Log, MemberSink, MemberSource
-from laurelstep.interface import READY
 from laurelstep.maintenance.entries import UNKNOWN_STATE
 from laurelstep.maintenance.machines import ListedMachine, MachineTable, parse_listed_machine
 from laurelstep.maintenance.overlay import EndpointOverlay
--- a/laurelstep/net/endpoint_connection.py
+++ b/laurelstep/net/endpoint_connection.py
@@ -12,9 +12,9 @@
 
 import httptools
 
+from laurelstep.balancing.events import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
 from laurelstep.engine.call import Answer, Attempt, Ending
 from laurelstep.engine.flow import Flow
-from laurelstep.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
 from laurelstep.net.connect import is_local_fault, open_connection
 from laurelstep.net.connection_pool import MIN_IDLE, ConnectionPool
 from laurelstep.net.endpoint_request import encode_request, encode_upload_head
--- a/laurelstep/net/response_receiver.py
+++ b/laurelstep/net/response_receiver.py
@@ -11,10 +11,10 @@
 
 import httptools
 
+from laurelstep.balancing.events import OK
 from laurelstep.engine.call import Answer, Attempt, Ending, Headers
 from laurelstep.engine.flow import Flow
 from laurelstep.flow_control.throughput import has_min_throughput
-from laurelstep.interface import OK
 from laurelstep.net.connection_pool import ConnectionPool, PooledConnection
 from laurelstep.net.endpoint_state import EndpointState
 from laurelstep.net.errors import MalformedResponseError
--- a/laurelstep/net/upstream.py
+++ b/laurelstep/net/upstream.py
@@ -8,9 +8,9 @@
 import asyncio
 from collections.abc import Callable
 
+from laurelstep.balancing.events import MOOT, NO_CONNECT
 from laurelstep.engine.call import Attempt
 from laurelstep.engine.members import split_address
-from laurelstep.interface import MOOT, NO_CONNECT
 from laurelstep.net.connection_pool import ConnectionPool
 from laurelstep.net.endpoint_connection import EndpointConnection
 from laurelstep.net.endpoint_state import SETTLE_US, EndpointState
--- a/laurelstep/outbox/shared/assembly.py
+++ b/laurelstep/outbox/shared/assembly.py
@@ -5,11 +5,11 @@
 import asyncio
 from typing import Any, Final
 
+from laurelstep.balancing.events import SAFE, UNSAFE
 from laurelstep.consensus.multiplexer import ConsensusChannel
 from laurelstep.consensus.ports import StateMachine
 from laurelstep.engine.clock import LoopClock
 from laurelstep.engine.ports import Log, Recorder
-from laurelstep.interface import SAFE, UNSAFE
 from laurelstep.outbox.dots import Line
 from laurelstep.outbox.driver import OutboxDriver
 from laurelstep.outbox.errors import UnknownWriteError
--- a/laurelstep/wire.py
+++ b/laurelstep/wire.py
@@ -1,7 +1,7 @@
 """Binary codec of the simulator's wire: frames in, frames out, no decisions.
 
 The only module that knows the wire's record layouts, codes and settings
-names; it turns them into the types of `laurelstep.interface` and back.
+names; it turns them into the types of `laurelstep.balancing.events` and back.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 from typing import Any, BinaryIO
 
-from laurelstep import interface
+from laurelstep.balancing import events
 from laurelstep.errors import LaurelstepError
 
 EVENT_SIZE = 48
@@ -58,32 +58,48 @@
 ACT_PLAIN = struct.Struct(">BI19x")
 ACT_ENDPOINT = struct.Struct(">BII15x")
 
+# Codes of the actions' records.
+(
+    CODE_SEND,
+    CODE_PROBE,
+    CODE_LOG,
+    CODE_TIMER,
+    CODE_FETCH,
+    CODE_FAULT,
+    CODE_FAIL,
+    CODE_CANCEL,
+    CODE_REFUSE,
+    CODE_TELL,
+    CODE_WATCH,
+    CODE_CLOSE,
+) = range(64, 76)
+
 MAX_U32 = 0xFFFFFFFF
 MAX_TIMEOUT = 0x7FFFFFFF
 OPTION_HINT, OPTION_REPEAT, OPTION_WRITE = 1, 2, 4
 
 OUTCOMES = {
-    0: interface.OK,
-    5: interface.ERROR,
-    11: interface.FULL,
-    110: interface.TIMEOUT,
-    111: interface.NO_CONNECT,
-    104: interface.RESET,
-    125: interface.CANCELLED,
-    114: interface.MOOT,
+    0: events.OK,
+    5: events.ERROR,
+    11: events.FULL,
+    110: events.TIMEOUT,
+    111: events.NO_CONNECT,
+    104: events.RESET,
+    125: events.CANCELLED,
+    114: events.MOOT,
 }
-MODES = {0: interface.LIST_FULL, 1: interface.LIST_FAILED, 2: interface.LIST_DELTA, 3: interface.LIST_CACHED}
-PHASES = {0: interface.GONE, 1: interface.READY, 2: interface.DRAINING}
-EFFECTS = {"retryable": interface.SAFE, "dedup": interface.KEYED, "fragile": interface.UNSAFE}
+MODES = {0: events.LIST_FULL, 1: events.LIST_FAILED, 2: events.LIST_DELTA, 3: events.LIST_CACHED}
+PHASES = {0: events.GONE, 1: events.READY, 2: events.DRAINING}
+EFFECTS = {"retryable": events.SAFE, "dedup": events.KEYED, "fragile": events.UNSAFE}
 REPORT_FIELDS = {
-    "active": interface.HELD,
-    "waiting": interface.WAITING,
-    "cpu": interface.BUSY,
-    "avg_ms": interface.LATENCY_MS,
-    "rps": interface.SERVED_RATE,
-    "err_rps": interface.ERROR_RATE,
+    "active": events.HELD,
+    "waiting": events.WAITING,
+    "cpu": events.BUSY,
+    "avg_ms": events.LATENCY_MS,
+    "rps": events.SERVED_RATE,
+    "err_rps": events.ERROR_RATE,
 }
-SCOPES = {"all": interface.SCOPE_ALL, "zone": interface.SCOPE_ZONE, "cell": interface.SCOPE_CELL}
+SCOPES = {"all": events.SCOPE_ALL, "zone": events.SCOPE_ZONE, "cell": events.SCOPE_CELL}
 
 
 class WireError(LaurelstepError):
@@ -130,26 +146,28 @@
 
 
 def tail_bytes(tail: memoryview, offset: int, length: int) -> bytes:
+    """A stretch of a batch's tail; raises `WireError` where it ends before."""
     if offset + length > len(tail):
         raise WireError("a record points past the tail")
     return bytes(tail[offset : offset + length])
 
 
-def read_entries(tail: memoryview, offset: int, count: int) -> tuple[interface.Entry, ...]:
+def read_entries(tail: memoryview, offset: int, count: int) -> tuple[events.Entry, ...]:
+    """A list's entries; raises `WireError` where they go past the tail or have an unknown phase."""
     end = offset + count * ENTRY.size
     if end > len(tail):
         raise WireError("a list points past the tail")
     return tuple(_entries(tail[offset:end]))
 
 
-def _entries(raw: memoryview) -> Iterator[interface.Entry]:
+def _entries(raw: memoryview) -> Iterator[events.Entry]:
     for boot, rating, endpoint, cell, zone, phase, kind in ENTRY.iter_unpack(raw):
         if phase not in PHASES:
             raise WireError(f"unknown phase {phase}")
-        yield interface.Entry(endpoint, PHASES[phase], boot, rating, cell, zone, kind)
+        yield events.Entry(endpoint, PHASES[phase], boot, rating, cell, zone, kind)
 
 
-def read_settings(raw: bytes) -> interface.Settings:
+def read_settings(raw: bytes) -> events.Settings:
     """The start-up settings; unknown keys are skipped, absent ones get defaults."""
     try:
         info = json.loads(raw)
@@ -158,77 +176,118 @@
         raise WireError(f"settings can't be read: {type(error).__name__}: {error}") from None
 
 
-def _settings(info: dict[str, Any]) -> interface.Settings:
-    caps = info.get("ceilings", {})
-    rules = info.get("invariants", {})
-    report = info.get("load-report", {})
-    prices = info.get("prices", {})
-    family = info.get("family-info", {})
-    goal = info.get("goal", {})
-    return interface.Settings(
-        me=int(info.get("me", 0)),
-        instances=max(1, int(info.get("instances", 1))),
-        zone=int(info.get("locality", 0)),
-        zones=max(1, len(info.get("zones", ()))),
-        stage=int(info.get("stage", 0)),
-        stages=max(1, len(info.get("layers", ()))),
-        classes=tuple(_request_class(entry) for entry in info["classes"]),
-        tenants=tuple(float(t.get("allowance-per-s", 0.0)) for t in info.get("accounts", ())),
-        over_share_worth=float(info.get("over-share-worth", 1.0)),
-        worth_by_work=info.get("worth-by", "request") == "work",
-        asks_discovery=info.get("discovery", "push") == "ask",
-        passes_deadline=bool(family.get("passes-deadline", False)),
-        warm_keys=bool(family.get("warm-keys", False)),
-        marks_retry=bool(info.get("clients", {}).get("marks-retry", False)),
-        rated=info.get("weight-kind", "silent") != "silent",
-        rating_is_live=info.get("weight-kind") == "live",
-        report_fields=tuple(REPORT_FIELDS.get(name, str(name)) for name in report.get("fields", ())),
-        reports_pulled=report.get("how") == "pull",
-        can_cancel=bool(caps.get("cancel", False)),
-        can_probe=bool(caps.get("probes", False)),
-        can_tell=bool(caps.get("may-tell", False)),
-        second_copies=bool(caps.get("second-copies", False)),
-        retry_after=bool(caps.get("retry-after", False)),
-        max_retry_after_us=int(caps.get("max-retry-after-us", 0)),
-        max_attempts=int(caps.get("max-attempts", 1)),
-        max_held=int(caps.get("most-held", 1_000_000)),
-        streams=max(1, int(caps.get("max-streams", 1))),
-        idle_us=int(caps.get("conn-idle-us", 0)),
-        connect_timeout_us=int(caps.get("connect-timeout-us", 0)),
-        cpu_us_per_s=float(caps.get("cpu-us-per-s", 0.0)),
-        cpu_us_per_request=float(caps.get("cpu-us-per-request", 0.0)),
+def _settings(info: dict[str, Any]) -> events.Settings:
+    return events.Settings(
+        **_position(info),
+        **_service(info),
+        **_surroundings(info),
+        **_limits(info.get("ceilings", {})),
+        **_invariants(info.get("invariants", {})),
+        **_prices(info.get("prices", {})),
         resolution_us=int(info.get("resolution-us", 1000)),
-        answer_slack_us=int(rules.get("answer-slack-us", 0)),
-        ask_within_us=int(rules.get("ask-within-us", 10_000_000)),
-        key_rest_us=int(rules.get("key-rest-us", 0)),
-        full_unproven=bool(rules.get("full-unproven", False)),
-        cold_share=float(rules.get("cold-share", 1.0)),
-        cold_us=int(rules.get("cold-us", 0)),
-        tip_multiple=float(rules.get("tip-multiple", 1.0)),
-        tip_for_us=int(rules.get("overload-for-us", 1_000_000)),
-        goal=interface.Goal(
-            whole=float(goal.get("whole", 1.0)),
-            worst_window=float(goal.get("worst-window", 0.0)),
-            worst_class=float(goal.get("worst-class", 0.0)),
-            worst_tenant=float(goal.get("worst-tenant", 0.0)),
-            punctual=float(goal.get("punctual", 0.0)),
-            miss_allowed=float(goal.get("miss-allowed", 0.0)),
-        ),
-        cross_zone_price=float(prices.get("cross-zone", 0.0)),
-        probe_price=float(prices.get("probe", 0.0)),
-        waste_price=float(prices.get("waste", 0.0)),
-        connection_price=float(prices.get("connection", 0.0)),
-        handshake_price=float(prices.get("handshake", 0.0)),
-        late_fail_price=float(prices.get("late-fail", 0.0)),
-        peer_price=float(prices.get("peer", 0.0)),
-        discovery_price=float(prices.get("discovery", 0.0)),
     )
 
 
-def _request_class(entry: dict[str, Any]) -> interface.RequestClass:
+def _position(info: dict[str, Any]) -> dict[str, Any]:
+    """Which copy of which tier this is, and where."""
+    return {
+        "me": int(info.get("me", 0)),
+        "instances": max(1, int(info.get("instances", 1))),
+        "zone": int(info.get("locality", 0)),
+        "zones": max(1, len(info.get("zones", ()))),
+        "stage": int(info.get("stage", 0)),
+        "stages": max(1, len(info.get("layers", ()))),
+    }
+
+
+def _service(info: dict[str, Any]) -> dict[str, Any]:
+    """What is served to whom, and how that counts."""
+    return {
+        "classes": tuple(_request_class(entry) for entry in info["classes"]),
+        "tenants": tuple(float(t.get("allowance-per-s", 0.0)) for t in info.get("accounts", ())),
+        "over_share_worth": float(info.get("over-share-worth", 1.0)),
+        "worth_by_work": info.get("worth-by", "request") == "work",
+        "goal": _goal(info.get("goal", {})),
+    }
+
+
+def _goal(goal: dict[str, Any]) -> events.Goal:
+    return events.Goal(
+        whole=float(goal.get("whole", 1.0)),
+        worst_window=float(goal.get("worst-window", 0.0)),
+        worst_class=float(goal.get("worst-class", 0.0)),
+        worst_tenant=float(goal.get("worst-tenant", 0.0)),
+        punctual=float(goal.get("punctual", 0.0)),
+        miss_allowed=float(goal.get("miss-allowed", 0.0)),
+    )
+
+
+def _surroundings(info: dict[str, Any]) -> dict[str, Any]:
+    """How discovery, endpoints and clients behave."""
+    report = info.get("load-report", {})
+    family = info.get("family-info", {})
+    return {
+        "asks_discovery": info.get("discovery", "push") == "ask",
+        "passes_deadline": bool(family.get("passes-deadline", False)),
+        "warm_keys": bool(family.get("warm-keys", False)),
+        "marks_retry": bool(info.get("clients", {}).get("marks-retry", False)),
+        "rated": info.get("weight-kind", "silent") != "silent",
+        "rating_is_live": info.get("weight-kind") == "live",
+        "report_fields": tuple(REPORT_FIELDS.get(name, str(name)) for name in report.get("fields", ())),
+        "reports_pulled": report.get("how") == "pull",
+    }
+
+
+def _limits(caps: dict[str, Any]) -> dict[str, Any]:
+    """What a sidecar may do, and how much of it."""
+    return {
+        "can_cancel": bool(caps.get("cancel", False)),
+        "can_probe": bool(caps.get("probes", False)),
+        "can_tell": bool(caps.get("may-tell", False)),
+        "second_copies": bool(caps.get("second-copies", False)),
+        "retry_after": bool(caps.get("retry-after", False)),
+        "max_retry_after_us": int(caps.get("max-retry-after-us", 0)),
+        "max_attempts": int(caps.get("max-attempts", 1)),
+        "max_held": int(caps.get("most-held", 1_000_000)),
+        "streams": max(1, int(caps.get("max-streams", 1))),
+        "idle_us": int(caps.get("conn-idle-us", 0)),
+        "connect_timeout_us": int(caps.get("connect-timeout-us", 0)),
+        "cpu_us_per_s": float(caps.get("cpu-us-per-s", 0.0)),
+        "cpu_us_per_request": float(caps.get("cpu-us-per-request", 0.0)),
+    }
+
+
+def _invariants(rules: dict[str, Any]) -> dict[str, Any]:
+    """The rules that hold whatever happens."""
+    return {
+        "answer_slack_us": int(rules.get("answer-slack-us", 0)),
+        "ask_within_us": int(rules.get("ask-within-us", 10_000_000)),
+        "key_rest_us": int(rules.get("key-rest-us", 0)),
+        "full_unproven": bool(rules.get("full-unproven", False)),
+        "cold_share": float(rules.get("cold-share", 1.0)),
+        "cold_us": int(rules.get("cold-us", 0)),
+        "tip_multiple": float(rules.get("tip-multiple", 1.0)),
+        "overload_for_us": int(rules.get("overload-for-us", 1_000_000)),
+    }
+
+
+def _prices(prices: dict[str, Any]) -> dict[str, Any]:
+    return {
+        "cross_zone_price": float(prices.get("cross-zone", 0.0)),
+        "probe_price": float(prices.get("probe", 0.0)),
+        "waste_price": float(prices.get("waste", 0.0)),
+        "connection_price": float(prices.get("connection", 0.0)),
+        "handshake_price": float(prices.get("handshake", 0.0)),
+        "late_fail_price": float(prices.get("late-fail", 0.0)),
+        "peer_price": float(prices.get("peer", 0.0)),
+        "discovery_price": float(prices.get("discovery", 0.0)),
+    }
+
+
+def _request_class(entry: dict[str, Any]) -> events.RequestClass:
     effect = EFFECTS[entry["repeat"]]
-    scope = SCOPES[entry.get("dedup-scope") or "all"] if effect == interface.KEYED else interface.SCOPE_ALL
-    return interface.RequestClass(
+    scope = SCOPES[entry.get("dedup-scope") or "all"] if effect == events.KEYED else events.SCOPE_ALL
+    return events.RequestClass(
         effect=effect,
         scope=scope,
         window_us=int(entry.get("repeat-window-us", 0)),
@@ -252,52 +311,53 @@
         self._tail: list[bytes] = []
         self._tail_size = 0
 
-    def add(self, instance: int, actions: list[interface.Action]) -> None:
+    def add(self, instance: int, actions: list[events.Action]) -> None:
+        """Append the records of one instance's actions, in their order."""
         records = self._records
         for action in actions:
-            if type(action) is interface.Send:
+            if type(action) is events.Send:
                 records.append(
                     ACT_SEND.pack(
-                        64,
+                        CODE_SEND,
                         instance,
                         action.request,
                         action.endpoint,
                         min(action.timeout_us, MAX_TIMEOUT),
                     )
                 )
-            elif type(action) is interface.Timer:
+            elif type(action) is events.Timer:
                 delay = min(action.delay_us, MAX_U32)
-                records.append(ACT_TIMER.pack(67, instance, action.token, delay))
+                records.append(ACT_TIMER.pack(CODE_TIMER, instance, action.token, delay))
             else:
-                records.append(self._rare(instance, action))
+                records.append(self._rare_record(instance, action))
 
-    def _rare(self, instance: int, action: interface.Action) -> bytes:
+    def _rare_record(self, instance: int, action: events.Action) -> bytes:
         match action:
-            case interface.Refuse(request, after):
-                return ACT_REFUSE.pack(72, instance, request, after)
-            case interface.Fail(request):
-                return ACT_ID.pack(70, instance, request)
-            case interface.Cancel(request, copy):
-                return ACT_COPY.pack(71, instance, request, copy)
-            case interface.Probe(endpoint):
-                return ACT_ENDPOINT.pack(65, instance, endpoint)
-            case interface.Close(endpoint):
-                return ACT_ENDPOINT.pack(75, instance, endpoint)
-            case interface.Watch(on):
-                return ACT_FLAG.pack(74, instance, on)
-            case interface.Fetch():
-                return ACT_PLAIN.pack(68, instance)
-            case interface.Tell(target, payload):
+            case events.Refuse(request, after):
+                return ACT_REFUSE.pack(CODE_REFUSE, instance, request, after)
+            case events.Fail(request):
+                return ACT_ID.pack(CODE_FAIL, instance, request)
+            case events.Cancel(request, copy):
+                return ACT_COPY.pack(CODE_CANCEL, instance, request, copy)
+            case events.Probe(endpoint):
+                return ACT_ENDPOINT.pack(CODE_PROBE, instance, endpoint)
+            case events.Close(endpoint):
+                return ACT_ENDPOINT.pack(CODE_CLOSE, instance, endpoint)
+            case events.Watch(on):
+                return ACT_FLAG.pack(CODE_WATCH, instance, on)
+            case events.Fetch():
+                return ACT_PLAIN.pack(CODE_FETCH, instance)
+            case events.Gossip(target, payload):
                 to = MAX_U32 if target is None else target
                 offset, size = self._store(payload)
-                return ACT_TELL.pack(73, instance, to, offset, size)
-            case interface.Log(text):
-                return ACT_TEXT.pack(66, instance, *self._store(text.encode()))
+                return ACT_TELL.pack(CODE_TELL, instance, to, offset, size)
+            case events.Log(text):
+                return ACT_TEXT.pack(CODE_LOG, instance, *self._store(text.encode()))
         raise TypeError(f"no record for {action!r}")
 
     def fault(self, instance: int, text: str) -> None:
         """The wire's internal error: the decision code is broken."""
-        self._records.append(ACT_TEXT.pack(69, instance, *self._store(text.encode())))
+        self._records.append(ACT_TEXT.pack(CODE_FAULT, instance, *self._store(text.encode())))
 
     def _store(self, data: bytes) -> tuple[int, int]:
         offset = self._tail_size
@@ -306,5 +366,6 @@
         return offset, len(data)
 
     def encode(self) -> bytes:
+        """The whole reply with its length field."""
         body = b"".join(self._records) + b"".join(self._tail)
         return REPLY_HEAD.pack(4 + len(body), len(self._records)) + body
--- a/tests/maintenance_checker.py
+++ b/tests/maintenance_checker.py
@@ -4,7 +4,7 @@
 
 import random
 
-from laurelstep.interface import READY
+from laurelstep.balancing.events import READY
 from laurelstep.maintenance.entries import (
     DrainMachine,
     MachineTransition,
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -25,6 +25,7 @@
 import pytest
 import uvloop
 
+from laurelstep.balancing.events import ERROR, FULL, NO_CONNECT, OK, RESET
 from laurelstep.consensus.links.memory import LATENCY_US, MemoryLink, MemoryNetwork
 from laurelstep.consensus.links.sockets import SocketLink
 from laurelstep.consensus.links.udp import UdpLink
@@ -37,7 +38,6 @@
 from laurelstep.engine.given import GivenMembers
 from laurelstep.engine.ports import Clock, MemberSink, MemberSource, Recorded, Recorder
 from laurelstep.engine.ports import Upstream as UpstreamSide
-from laurelstep.interface import ERROR, FULL, NO_CONNECT, OK, RESET
 from laurelstep.net.discovery import Discovery
 from laurelstep.net.upstream import Upstream
 from laurelstep.request_journal import JournalClass, JournalSettings
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -20,10 +20,10 @@
 
 import pytest
 
+from laurelstep.balancing.events import FULL, Action, Outcome, Send
 from laurelstep.engine import Call
 from laurelstep.hot_restart.rendezvous import RendezvousPoint
 from laurelstep.hot_restart.successor import take_over
-from laurelstep.interface import FULL, Action, Outcome, Send
 from laurelstep.net.client_connection import ClientConnection
 from tests.sockets import (
     SETTINGS,
@@ -201,9 +201,9 @@
                 def gone(now: int, rid: int) -> list[Action]:
                     with contextlib.suppress(BlockingIOError):
                         caller.raw.send(behind)
-                    return real.gone(now, rid)
+                    return real.client_disconnected(now, rid)
 
-                overrule(one.engine, gone=gone)
+                overrule(one.engine, client_disconnected=gone)
                 caller.send(request(rid="r2"))
                 (back,) = await parsed(await caller.read())
                 assert back.status == 400 and len(endpoint.got) == 1
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -19,10 +19,10 @@
 import pytest
 from hypothesis import given
 
+from laurelstep.balancing.events import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET, TIMEOUT, Action, Outcome
 from laurelstep.engine import Attempt, Call, Clock, Engine
 from laurelstep.engine.clock import Timer
 from laurelstep.engine.given import GivenMembers
-from laurelstep.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET, TIMEOUT, Action, Outcome
 from laurelstep.net.connection_pool import MIN_IDLE
 from laurelstep.net.endpoint_request import endpoint_deadline_ms
 from laurelstep.net.endpoint_state import SETTLE_US
@@ -106,7 +106,7 @@
     """Give all classes this window for repeats."""
     classes = tuple(replace(cls, window_us=window_us) for cls in one.engine.settings.classes)
     one.engine.settings = replace(one.engine.settings, classes=classes)
-    one.engine.balancer.s = replace(one.engine.balancer.s, classes=classes)
+    one.engine.balancer.settings = replace(one.engine.balancer.settings, classes=classes)
 
 
 def got_in_turn(endpoints: list[Endpoint]) -> list[Message]:
--- a/tests/test_flow_control.py
+++ b/tests/test_flow_control.py
@@ -10,10 +10,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from laurelstep.balancing.events import ERROR, MOOT, NO_CONNECT, OK, RESET
 from laurelstep.engine.flow import Flow
 from laurelstep.flow_control.buffer_budget import MAX_BUFFERED, UNCOUNTED, BufferBudget, budget_for
 from laurelstep.flow_control.throughput import GRACE_S, MIN_RATE, has_min_throughput
-from laurelstep.interface import ERROR, MOOT, NO_CONNECT, OK, RESET
 from laurelstep.net.message import LARGE_MAX
 from laurelstep.testing.endpoints import reset_connection
 from tests.sockets import (
--- a/tests/test_maintenance_source.py
+++ b/tests/test_maintenance_source.py
@@ -8,11 +8,11 @@
 
 import pytest
 
+from laurelstep.balancing.events import OK, RequestClass, Settings
 from laurelstep.engine import Answer, Call, Ending, Engine, Names, endpoint_number
 from laurelstep.engine.call import Attempt
 from laurelstep.engine.flow import Flow
 from laurelstep.engine.given import GivenMembers
-from laurelstep.interface import OK, RequestClass, Settings
 from laurelstep.maintenance.entries import (
     OperatorCommand,
 )
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -18,9 +18,9 @@
 
 import pytest
 
+from laurelstep.balancing.events import NO_CONNECT
 from laurelstep.engine.flow import Flow
 from laurelstep.flow_control.buffer_budget import MAX_BUFFERED
-from laurelstep.interface import NO_CONNECT
 from laurelstep.net.assembly import Assembly
 from laurelstep.net.message import LARGE_MAX
 from laurelstep.net.server import Server
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -14,14 +14,14 @@
 
 import pytest
 
+from laurelstep.balancing.concurrency_limit import HELD_MIN
+from laurelstep.balancing.events import CANCELLED, ERROR, FULL, OK
 from laurelstep.engine import Answer, Attempt, Call, Clock
-from laurelstep.interface import CANCELLED, ERROR, FULL, OK
 from laurelstep.library.client import Exchange
 from laurelstep.net.client_connection import ClientConnection
 from laurelstep.net.connection_pool import MIN_IDLE
 from laurelstep.net.endpoint_connection import EndpointConnection
 from laurelstep.net.request_receiver import LINGER_MOST
-from laurelstep.policy import HELD_MIN
 from tests.sockets import (
     Endpoint,
     Handler,
@@ -467,7 +467,7 @@
     async def main() -> None:
         async with sidecar(Endpoint()) as one:
             assert one.upstream.idle_connections.seconds <= 6.0, "though the endpoint would keep it for 30 s"
-            assert one.engine.balancer.s.idle_us == one.upstream.idle_connections.seconds * 1e6, (
+            assert one.engine.balancer.settings.idle_us == one.upstream.idle_connections.seconds * 1e6, (
                 "the module too"
             )
 
@@ -505,7 +505,7 @@
 
 async def settle(one: Sidecar) -> None:
     """Serve requests until the entry bounds what it holds."""
-    while not one.engine.balancer.admission.settled:
+    while not one.engine.balancer.admission.limit.settled:
         assert (await one.ask(PAGE)).body == b"ok"
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -11,8 +11,8 @@
 import pytest
 
 from laurelstep.__main__ import main, read_config
+from laurelstep.balancing.events import KEYED, SAFE, SCOPE_CELL, UNSAFE
 from laurelstep.consensus.options import ConsensusSettings, default_seats
-from laurelstep.interface import KEYED, SAFE, SCOPE_CELL, UNSAFE
 from laurelstep.library import Client
 from laurelstep.maintenance.settings import MaintenanceSettings
 from laurelstep.settings import ConfigError, read_file, read_platform
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -14,8 +14,7 @@
 
 import pytest
 
-from laurelstep.engine import Clock, endpoint_number
-from laurelstep.interface import (
+from laurelstep.balancing.events import (
     CANCELLED,
     DRAINING,
     ERROR,
@@ -33,6 +32,7 @@
     Refuse,
     Send,
 )
+from laurelstep.engine import Clock, endpoint_number
 from laurelstep.net.discovery import Discovery
 from laurelstep.net.request import key_of
 from laurelstep.testing import status as fails_with
@@ -99,7 +99,7 @@
             assert "x-other" not in got.headers, "only what an endpoint needs"
             assert "x-load" not in back.headers, "only what a caller needs"
             (told,) = one.engine.balancer.endpoints.values()
-            assert told.waiting == 2.0, "the socket's queue is the settings' waiting"
+            assert told.reported_waiting == 2.0, "the socket's queue is the settings' waiting"
 
     run(main())
 
@@ -229,7 +229,7 @@
         async with sidecar(Endpoint(), registry=Registry()):
             pass
 
-    from laurelstep.policy import Balancer
+    from laurelstep.balancing.balancer import Balancer
 
     real = Balancer.members
 
