--- a/laurelstep/testing/processes/files.py
+++ b/laurelstep/testing/processes/files.py
@@ -1,4 +1,4 @@
-"""The files that a process is told by, and faults of the disk that it writes to."""
+"""Configuration files of a process, and faults of the disk that it writes to."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from pathlib import Path
 from typing import Any
 
-# A regular file can't grow; one that stands is written to no further than this.
-_NOTHING = 0
+# The largest size of a file in bytes, as a limit of the process, while the disk counts as full.
+_FULL_DISK_BYTES = 0
 
 
-def toml(tables: Mapping[str, Mapping[str, Any]]) -> str:
+def format_toml(tables: Mapping[str, Mapping[str, Any]]) -> str:
     """Tables as TOML; ValueError for a value that it has no form for. Tables in lists are inline."""
     parts = []
     for name, table in tables.items():
@@ -51,23 +51,23 @@
 def fill_disk(pid: int) -> None:
     """From now on no regular file takes a byte from this process: EFBIG, where a full disk says
     ENOSPC; OSError both. What is open may still be read, and synced. Linux only."""
-    _, most = resource.prlimit(pid, resource.RLIMIT_FSIZE)
-    resource.prlimit(pid, resource.RLIMIT_FSIZE, (_NOTHING, most))
+    _, hard_limit = resource.prlimit(pid, resource.RLIMIT_FSIZE)
+    resource.prlimit(pid, resource.RLIMIT_FSIZE, (_FULL_DISK_BYTES, hard_limit))
 
 
-def empty_disk(pid: int) -> None:
-    """There is room again."""
-    _, most = resource.prlimit(pid, resource.RLIMIT_FSIZE)
-    resource.prlimit(pid, resource.RLIMIT_FSIZE, (most, most))
+def free_disk(pid: int) -> None:
+    """End what `fill_disk` did."""
+    _, hard_limit = resource.prlimit(pid, resource.RLIMIT_FSIZE)
+    resource.prlimit(pid, resource.RLIMIT_FSIZE, (hard_limit, hard_limit))
 
 
-def tear(path: Path, draw: random.Random, most: int = 4096) -> int:
+def truncate_tail(path: Path, draw: random.Random, max_bytes: int = 4096) -> int:
     """Take away a part of the last `most` bytes that were written, as power that fails in a write does;
     gives how many. A file that was made long before it was filled keeps its length, with zeros. For a
     process that is down. 0 if nothing was written."""
     data = path.read_bytes()
     written = len(data.rstrip(b"\0"))
-    lost = draw.randint(1, min(most, written)) if written else 0
+    lost = draw.randint(1, min(max_bytes, written)) if written else 0
     with path.open("r+b") as file:
         if written == len(data):
             file.truncate(written - lost)
@@ -77,8 +77,8 @@
     return lost
 
 
-def garble(path: Path, draw: random.Random) -> int:
-    """Turn one bit of the file; gives the byte's offset. ValueError for an empty file."""
+def flip_bit(path: Path, draw: random.Random) -> int:
+    """Flip one bit of the file; gives the byte's offset. ValueError for an empty file."""
     data = bytearray(path.read_bytes())
     if not data:
         raise ValueError(f"{path.name} is empty")
--- a/laurelstep/testing/processes/launch.py
+++ b/laurelstep/testing/processes/launch.py
@@ -1,8 +1,8 @@
 """The program with a wall clock that the test sets: `python -m laurelstep.testing.processes.launch CLOCK
-run ...`. CLOCK is a file of eight bytes, the steps so far in ns, as a signed number.
+run ...`. CLOCK is a file of eight bytes: the sum of all steps in ns, signed.
 
-What the program reads as wall time is shifted at its source, so that no code of it knows. Its
-monotonic time is the system's: a step of the wall clock does not touch that on a machine either."""
+`time.time` and `time.time_ns` are shifted at their source, so that no code of the program is changed.
+Its monotonic time is the system's: a step of the wall clock leaves that alone on a real machine too."""
 
 from __future__ import annotations
 
@@ -16,20 +16,21 @@
 _STEP = struct.Struct("<q")
 
 
-def make_clock(path: Path) -> None:
+def create_clock(path: Path) -> None:
+    """Create a clock's file, without a step so far."""
     path.write_bytes(_STEP.pack(0))
 
 
 def step_clock(path: Path, by_us: int) -> None:
-    """Seen by the process the next time that it looks."""
+    """Step the clock of this file, from the process's next reading on."""
     with path.open("r+b") as file:
         (now_ns,) = _STEP.unpack(file.read(_STEP.size))
         file.seek(0)
         file.write(_STEP.pack(now_ns + by_us * 1000))
 
 
-def shift(path: str) -> None:
-    """From now on this process's wall time is shifted as the file says."""
+def shift_wall_clock(path: str) -> None:
+    """Shift this process's wall time by the steps in the file, from now on."""
     with open(path, "rb") as file:
         steps = mmap.mmap(file.fileno(), _STEP.size, prot=mmap.PROT_READ)
     real: Callable[[], int] = time.time_ns
@@ -42,7 +43,8 @@
 
 
 def main() -> int:
-    shift(sys.argv[1])
+    """Run the program's command behind CLOCK with the shifted wall time; its exit status."""
+    shift_wall_clock(sys.argv[1])
     from laurelstep.__main__ import main as program
 
     return program(sys.argv[2:])
--- a/laurelstep/testing/processes/program.py
+++ b/laurelstep/testing/processes/program.py
@@ -1,4 +1,4 @@
-"""One process of the program: its files, its signals, what it logs."""
+"""Runs one process of the program: its files, its signals and its log."""
 
 from __future__ import annotations
 
@@ -15,31 +15,37 @@
 from typing import Any, Final
 
 from laurelstep.testing.messages import Message, free_port, read_message
-from laurelstep.testing.processes.files import empty_disk, fill_disk, toml
-from laurelstep.testing.processes.history import Called, History, What
-from laurelstep.testing.processes.launch import make_clock, step_clock
+from laurelstep.testing.processes.files import fill_disk, format_toml, free_disk
+from laurelstep.testing.processes.history import History, ManagementCall, ProcessPhase
+from laurelstep.testing.processes.launch import create_clock, step_clock
 from laurelstep.testing.processes.relays import HOST, Address
 
-# How long a test waits for an event before it fails; nothing is measured by it.
-PATIENCE_S: Final = 60.0
-# Between two looks at what can only be asked for. No verdict depends on it.
-LOOK_S: Final = 0.01
-LINES_MOST: Final = 10_000
-PROGRAM: Final = ("-m", "laurelstep")
+# How long a test waits for an event before it fails; no verdict is measured by it.
+EVENT_TIMEOUT_S: Final = 60.0
+# Between two checks of what can only be polled. No verdict depends on it.
+POLL_INTERVAL_S: Final = 0.01
+MAX_LOG_LINES: Final = 10_000
+PROGRAM_ARGUMENTS: Final = ("-m", "laurelstep")
 
 
-async def until(look: Callable[[], Awaitable[bool]], what: str, seconds: float = PATIENCE_S) -> None:
-    """Until it looks as wanted; AssertionError that says what did not come."""
+async def wait_until(
+    is_true: Callable[[], Awaitable[bool]], what: str, timeout_s: float = EVENT_TIMEOUT_S
+) -> None:
+    """Poll until the condition holds; AssertionError that names it if that takes longer than `timeout_s`."""
     try:
-        async with asyncio.timeout(seconds):
-            while not await look():
-                await asyncio.sleep(LOOK_S)
+        async with asyncio.timeout(timeout_s):
+            while not await is_true():
+                await asyncio.sleep(POLL_INTERVAL_S)
     except TimeoutError:
-        raise AssertionError(f"did not come within {seconds:.0f} s: {what}") from None
+        raise AssertionError(f"did not come within {timeout_s:.0f} s: {what}") from None
 
 
-class Program:
-    """Its name, addresses and folder stay; each start is a process from nothing."""
+class ProgramRunner:
+    """Starts, signals and restarts one process; its name, addresses and folder stay.
+
+    `serving` is set from when the process is ready until it is told to end. Waits end with an
+    AssertionError or TimeoutError after `EVENT_TIMEOUT_S`.
+    """
 
     def __init__(
         self,
@@ -47,43 +53,44 @@
         folder: Path,
         history: History,
         seed: int,
-        clock: bool = False,
-        begin: Sequence[str] = PROGRAM,
+        has_clock: bool = False,
+        command_prefix: Sequence[str] = PROGRAM_ARGUMENTS,
     ) -> None:
-        """`begin`: the words to the interpreter that stand before the program's own."""
+        """`command_prefix` are the interpreter's arguments before the program's own. With `has_clock` the
+        process has a wall clock that can be stepped."""
         self.number = number
         self.folder = folder
         self.history = history
         self.listen: Address = (HOST, free_port())
         self.management: Address = (HOST, free_port())
-        self.clock = folder / "clock" if clock else None
-        self.begin = begin
-        self.lines: list[str] = []  # its log, of all its starts
+        self.clock_path = folder / "clock" if has_clock else None
+        self.command_prefix = command_prefix
+        self.log_lines: list[str] = []  # of all starts
         self.process: Process | None = None
-        self.starts = 0
-        self.up = asyncio.Event()  # ready, and not told to end since
+        self.start_count = 0
+        self.serving = asyncio.Event()  # it is ready, and was not told to end since
         self._draw = random.Random(f"{seed} {number}")
         self._logged = asyncio.Condition()
-        self._alive: dict[Process, asyncio.Task[int]] = {}  # two, while one follows the other
+        self._alive: dict[Process, asyncio.Task[int]] = {}  # two while a successor takes over
         self._retiring: set[int] = set()
-        self._ended: asyncio.Task[int] | None = None
+        self._exit_status: asyncio.Task[int] | None = None
         self._paused = False
 
     # --- Files ----------------------------------------------------------------------
 
     def write(self, platform: Mapping[str, Any], tables: Mapping[str, Mapping[str, Any]]) -> None:
-        """What it is told by: the platform's JSON, and the operator's tables."""
+        """Write the configuration: the platform's JSON and the operator's tables."""
         self.folder.mkdir(exist_ok=True)
-        if self.clock is not None and not self.clock.exists():
-            make_clock(self.clock)
+        if self.clock_path is not None and not self.clock_path.exists():
+            create_clock(self.clock_path)
         self._write_json({**platform, "name": f"n{self.number}"})
-        (self.folder / "operator.toml").write_text(toml(tables))
+        (self.folder / "operator.toml").write_text(format_toml(tables))
 
     def _write_json(self, raw: Mapping[str, Any]) -> None:
         (self.folder / "config.json").write_text(json.dumps(raw))
 
     def _draw_seed(self) -> None:
-        """A seed is new with each start."""
+        """Write a new seed, as each start gets one."""
         raw = json.loads((self.folder / "config.json").read_text())
         self._write_json({**raw, "seed": f"{self._draw.getrandbits(64):x}"})
 
@@ -91,156 +98,162 @@
 
     @property
     def pid(self) -> int:
+        """The process id of the newest start."""
         assert self.process is not None
         return self.process.pid
 
     @property
-    def running(self) -> bool:
+    def is_running(self) -> bool:
+        """Whether the newest start has not ended."""
         return self.process is not None and self.process.returncode is None
 
     async def start(self) -> None:
-        """As a process that knows nothing; it need not be ready yet."""
-        assert not self.running, f"process {self.number} runs"
+        """Start a process without state of its own; it need not be ready yet."""
+        assert not self.is_running, f"process {self.number} runs"
         self._paused = False
-        self.history.turn(self.number, What.STARTED)
+        self.history.add_process_event(self.number, ProcessPhase.STARTED)
         await self._spawn()
 
     async def replace(self) -> int:
-        """The next version: a process beside this one, at the same address and with another second
-        one; once it is ready this one is told to stop. The exit status of the older one."""
-        older, ended = self.process, self._ended
-        assert older is not None and ended is not None and self.running
+        """Start a successor beside this process, at the same address and with another management
+        address, and stop the older one once the successor is ready; the older one's exit status."""
+        older, exit_status = self.process, self._exit_status
+        assert older is not None and exit_status is not None and self.is_running
         self.management = (HOST, free_port())
-        self.history.turn(self.number, What.FOLLOWED)
+        self.history.add_process_event(self.number, ProcessPhase.SUCCESSOR_STARTED)
         await self._spawn()
-        await self._until_yes()
-        self.history.turn(self.number, What.RETIRING)
+        await self._wait_until_answered_ready()
+        self.history.add_process_event(self.number, ProcessPhase.RETIRING)
         self._retiring.add(older.pid)
         older.send_signal(signal.SIGTERM)
-        async with asyncio.timeout(PATIENCE_S):
-            return await asyncio.shield(ended)
+        async with asyncio.timeout(EVENT_TIMEOUT_S):
+            return await asyncio.shield(exit_status)
 
     async def _spawn(self) -> None:
         self._draw_seed()
-        begin = self.begin if self.clock is None else ("-m", f"{__package__}.launch", str(self.clock))
-        words = [*begin, "run", "--operator", str(self.folder / "operator.toml")]
+        prefix = self.command_prefix
+        if self.clock_path is not None:
+            prefix = ("-m", f"{__package__}.launch", str(self.clock_path))
+        arguments = [*prefix, "run", "--operator", str(self.folder / "operator.toml")]
         environ = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
-        told = {
+        own = {
             "LB_CONFIG": str(self.folder / "config.json"),
             "LB_MANAGEMENT": f"{self.management[0]}:{self.management[1]}",
             "TMPDIR": str(self.folder),
         }
-        self.starts += 1
-        # A group of its own, for signals to it and its workers.
+        self.start_count += 1
+        # A process group of its own, for signals to it and its workers.
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, *words, stdin=DEVNULL, stdout=DEVNULL, stderr=PIPE, start_new_session=True,
-            env={**environ, **told},
+            sys.executable, *arguments, stdin=DEVNULL, stdout=DEVNULL, stderr=PIPE, start_new_session=True,
+            env={**environ, **own},
         )  # fmt: skip
-        self._ended = asyncio.create_task(self._follow(self.process))
-        self._alive[self.process] = self._ended
+        self._exit_status = asyncio.create_task(self._read_log(self.process))
+        self._alive[self.process] = self._exit_status
 
-    async def _follow(self, process: Process) -> int:
-        """Its log, to its end."""
+    async def _read_log(self, process: Process) -> int:
+        """Read the log to the process's end; its exit status."""
         assert process.stderr is not None
         async for raw in process.stderr:
             async with self._logged:
-                self.lines.append(raw.decode(errors="replace").rstrip("\n"))
-                del self.lines[:-LINES_MOST]
+                self.log_lines.append(raw.decode(errors="replace").rstrip("\n"))
+                del self.log_lines[:-MAX_LOG_LINES]
                 self._logged.notify_all()
         status = await process.wait()
         del self._alive[process]
         if process.pid in self._retiring:
             self._retiring.discard(process.pid)
-            self.history.turn(self.number, What.RETIRED)
+            self.history.add_process_event(self.number, ProcessPhase.RETIRED)
         else:
-            self.up.clear()
-            self.history.turn(self.number, What.ENDED)
+            self.serving.clear()
+            self.history.add_process_event(self.number, ProcessPhase.ENDED)
         async with self._logged:
             self._logged.notify_all()
         return status
 
-    async def until_ready(self) -> None:
-        """Until it says so at its second address."""
-        await self._until_yes()
-        self.history.turn(self.number, What.READY)
-        self.up.set()
+    async def wait_ready(self) -> None:
+        """Wait until the process reports at its management address that it is ready."""
+        await self._wait_until_answered_ready()
+        self.history.add_process_event(self.number, ProcessPhase.READY)
+        self.serving.set()
 
-    async def _until_yes(self) -> None:
-        async def look() -> bool:
-            if not self.running:
-                raise AssertionError(f"process {self.number} ended: {self.lines[-5:]}")
+    async def _wait_until_answered_ready(self) -> None:
+        async def is_ready() -> bool:
+            if not self.is_running:
+                raise AssertionError(f"process {self.number} ended: {self._last_lines}")
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                return (await self.ask("GET", "/api/ready")).status == 200
+                return (await self.query("GET", "/api/ready")).status == 200
             return False
 
-        await until(look, f"process {self.number} ready")
+        await wait_until(is_ready, f"process {self.number} ready")
 
-    async def ended(self) -> int:
-        """Its exit status, once it has ended."""
-        assert self._ended is not None
-        async with asyncio.timeout(PATIENCE_S):
-            return await asyncio.shield(self._ended)
+    async def wait_ended(self) -> int:
+        """Wait until the process has ended; its exit status."""
+        assert self._exit_status is not None
+        async with asyncio.timeout(EVENT_TIMEOUT_S):
+            return await asyncio.shield(self._exit_status)
 
     async def kill(self) -> None:
-        """SIGKILL, also to one that is paused, and to one that it follows; over once they are gone."""
-        self.up.clear()
-        self._signal(signal.SIGKILL, What.KILLED)
-        async with asyncio.timeout(PATIENCE_S):
+        """Send SIGKILL to the process and a predecessor, paused or not, and wait until they have ended."""
+        self.serving.clear()
+        self._signal(signal.SIGKILL, ProcessPhase.KILLED)
+        async with asyncio.timeout(EVENT_TIMEOUT_S):
             await asyncio.gather(*map(asyncio.shield, self._alive.values()))
 
     async def stop(self) -> int:
-        """SIGTERM; its exit status."""
-        self.up.clear()
-        self._signal(signal.SIGTERM, What.STOPPING, group=False)
-        return await self.ended()
+        """Send SIGTERM and wait until the process has ended; its exit status."""
+        self.serving.clear()
+        self._signal(signal.SIGTERM, ProcessPhase.STOPPING, to_group=False)
+        return await self.wait_ended()
 
     def pause(self) -> None:
-        """SIGSTOP: nothing of it runs, all of it stays."""
+        """Send SIGSTOP: the process and its workers stand still and keep their state."""
         self._paused = True
-        self._signal(signal.SIGSTOP, What.PAUSED)
+        self._signal(signal.SIGSTOP, ProcessPhase.PAUSED)
 
     def resume(self) -> None:
+        """Send SIGCONT."""
         self._paused = False
-        self._signal(signal.SIGCONT, What.RESUMED)
+        self._signal(signal.SIGCONT, ProcessPhase.RESUMED)
 
     @property
-    def paused(self) -> bool:
+    def is_paused(self) -> bool:
+        """Whether it was paused and not resumed since."""
         return self._paused
 
-    def _signal(self, number: signal.Signals, what: What, group: bool = True) -> None:
-        """Noted before the signal, and behind the one that lets it go on."""
+    def _signal(self, signal_number: signal.Signals, phase: ProcessPhase, to_group: bool = True) -> None:
+        """Send a signal; the event is recorded before it, and after a SIGCONT."""
         assert self._alive, f"process {self.number} does not run"
-        if number != signal.SIGCONT:
-            self.history.turn(self.number, what)
+        if signal_number != signal.SIGCONT:
+            self.history.add_process_event(self.number, phase)
         for process in list(self._alive):
-            (os.killpg if group else os.kill)(process.pid, number)
-        if number == signal.SIGCONT:
-            self.history.turn(self.number, what)
+            (os.killpg if to_group else os.kill)(process.pid, signal_number)
+        if signal_number == signal.SIGCONT:
+            self.history.add_process_event(self.number, phase)
 
     async def close(self) -> None:
-        """Nothing of it is left, also where a start was broken off."""
+        """Kill what is left, also of a start that was broken off."""
         if self._alive:
             await self.kill()
 
     # --- Faults ---------------------------------------------------------------------
 
     def step_clock(self, by_us: int) -> None:
-        """Its wall clock goes on this much later, or earlier."""
-        assert self.clock is not None, "made without a clock of its own"
-        step_clock(self.clock, by_us)
+        """Step the process's wall clock ahead, or back for a negative step."""
+        assert self.clock_path is not None, "the process was made without a clock of its own"
+        step_clock(self.clock_path, by_us)
 
     def fill_disk(self) -> None:
-        """No room in any file, until `empty_disk` or the next start."""
+        """Fail all growth of files as on a full disk, until `free_disk` or the next start."""
         fill_disk(self.pid)
 
-    def empty_disk(self) -> None:
-        empty_disk(self.pid)
+    def free_disk(self) -> None:
+        """End what `fill_disk` did."""
+        free_disk(self.pid)
 
-    # --- Asking ---------------------------------------------------------------------
+    # --- Calls and log lines --------------------------------------------------------
 
-    async def ask(self, method: str, target: str) -> Message:
-        """A call at the second address. OSError or `asyncio.IncompleteReadError` if there is no
-        answer."""
+    async def query(self, method: str, target: str) -> Message:
+        """Call the management address. OSError or `asyncio.IncompleteReadError` if there is no answer."""
         reader, writer = await asyncio.open_connection(*self.management)
         try:
             writer.write(f"{method} {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
@@ -249,23 +262,33 @@
             writer.close()
 
     async def call(self, method: str, target: str) -> Message:
-        """The same, as an event of the history."""
-        asked_at = self.history.now()
-        message = await self.ask(method, target)
-        words = f"{method} {target}"
-        self.history.add(Called(self.history.now(), asked_at, self.number, words, message.status))
+        """Call the management address, and record the answer in the history. Errors as of `query`."""
+        started_at_us = self.history.now_us()
+        message = await self.query(method, target)
+        answered_at_us = self.history.now_us()
+        request_line = f"{method} {target}"
+        self.history.add(
+            ManagementCall(answered_at_us, started_at_us, self.number, request_line, message.status)
+        )
         return message
 
-    async def until_logged(self, text: str, since: int = 0) -> str:
-        """The first line with this text, from the given line on. AssertionError if it ends, or takes
-        too long, without one."""
+    async def wait_logged(self, text: str, first_line: int = 0) -> str:
+        """Wait for the first log line with this text, from `first_line` on.
+
+        AssertionError if the process ends, or `EVENT_TIMEOUT_S` passes, without one.
+        """
         try:
-            async with asyncio.timeout(PATIENCE_S), self._logged:
+            async with asyncio.timeout(EVENT_TIMEOUT_S), self._logged:
                 while True:
-                    for line in self.lines[since:]:
+                    for line in self.log_lines[first_line:]:
                         if text in line:
                             return line
-                    assert self.running, f"process {self.number} ended without {text!r}: {self.lines[-5:]}"
+                    end = f"process {self.number} ended without {text!r}: {self._last_lines}"
+                    assert self.is_running, end
                     await self._logged.wait()
         except TimeoutError:
-            raise AssertionError(f"process {self.number} did not log {text!r}: {self.lines[-5:]}") from None
+            raise AssertionError(f"process {self.number} did not log {text!r}: {self._last_lines}") from None
+
+    @property
+    def _last_lines(self) -> list[str]:
+        return self.log_lines[-5:]
--- a/tests/outboxing.py
+++ b/tests/outboxing.py
@@ -23,24 +23,32 @@
 from laurelstep.testing.callers import Caller
 from laurelstep.testing.endpoints import Endpoint, reset_connection
 from laurelstep.testing.messages import Message, Writer, answer, free_udp_port, read_message
-from laurelstep.testing.processes import DatagramRelay, History, Program, Rules, StreamRelay, check, until
-from laurelstep.testing.processes.history import Answered, Asked, Broken
-from laurelstep.testing.processes.kept import (
-    OVER,
-    Came,
-    Ended,
-    Judged,
-    Kept,
-    KeptEvent,
-    LostEdge,
-    Stands,
-    Wrote,
-    check_kept,
+from laurelstep.testing.processes import (
+    CheckLimits,
+    DatagramRelay,
+    History,
+    ProgramRunner,
+    StreamRelay,
+    check_history,
+    wait_until,
+)
+from laurelstep.testing.processes.discovery import Entry, ProcessDiscovery
+from laurelstep.testing.processes.history import RequestFailed, RequestStarted, ResponseReceived
+from laurelstep.testing.processes.program import EVENT_TIMEOUT_S
+from laurelstep.testing.processes.queued_writes import (
+    FINAL_STATES,
+    EdgeDeclaredLost,
+    FinalWriteStatus,
+    OperatorResolution,
+    QueuedWriteEvent,
+    WriteAnswered,
+    WriteAttempted,
+    WriteDelivered,
+    WriteQueued,
+    check_queued_writes,
 )
-from laurelstep.testing.processes.lists import Entry, Lists
-from laurelstep.testing.processes.program import PATIENCE_S
 from laurelstep.testing.processes.relays import HOST, now_us
-from laurelstep.testing.processes.tier import LATE_US
+from laurelstep.testing.processes.tier_settings import LATENESS_US
 from laurelstep.testing.registry import whole_list
 from tests.sockets import run
 
@@ -87,7 +95,7 @@
 class Ledger:
     """What took effect at all servers, which know each other's keys."""
 
-    def __init__(self, events: list[KeptEvent]) -> None:
+    def __init__(self, events: list[QueuedWriteEvent]) -> None:
         self.events = events
         self.order: list[str] = []  # writes, as they took effect
         self.keys: set[str] = set()
@@ -132,7 +140,7 @@
 
     async def _take(self, write: str, key: str | None, body: bytes) -> None:
         ran = key is None or key not in self.keys
-        self.events.append(Came(now_us(), write, key, body, ran))
+        self.events.append(WriteDelivered(now_us(), write, key, body, ran))
         self.came[write] += 1
         if ran:
             self.order.append(write)
@@ -150,7 +158,7 @@
 
     async def _until(self, look: Callable[[], bool], what: str) -> None:
         try:
-            async with asyncio.timeout(PATIENCE_S), self._news:
+            async with asyncio.timeout(EVENT_TIMEOUT_S), self._news:
                 await self._news.wait_for(look)
         except TimeoutError:
             raise AssertionError(f"{what} did not come; there were {self.order}") from None
@@ -169,10 +177,10 @@
 class Node:
     """One process, its folder, and the relays to its endpoints."""
 
-    program: Program
+    program: ProgramRunner
     name: str
     links: list[StreamRelay]
-    lists: Lists
+    lists: ProcessDiscovery
 
     @property
     def folder(self) -> Path:
@@ -189,22 +197,22 @@
 
     async def admit(self, *at: int) -> None:
         for number in at or range(len(self.links)):
-            await self.links[number].admit()
+            await self.links[number].accept()
 
     async def start(self) -> None:
         await self.program.start()
-        await self.program.until_ready()
+        await self.program.wait_ready()
 
     async def kill(self) -> None:
         await self.program.kill()
 
     async def state(self, target: str = "/api/outbox") -> Any:
-        message = await self.program.ask("GET", target)
+        message = await self.program.query("GET", target)
         assert message.status == 200, (self.name, target, message.status, message.body)
         return json.loads(message.body)
 
     async def call(self, target: str) -> tuple[int, Any]:
-        message = await self.program.ask("POST", target)
+        message = await self.program.query("POST", target)
         return message.status, json.loads(message.body)
 
 
@@ -259,18 +267,18 @@
         query = urlencode({"w": name, **({"obj": obj} if obj else {})})
         lines = "".join(f"{field}: {value}\r\n" for field, value in headers.items())
         raw = f"POST /{cls}?{query} HTTP/1.1\r\n{lines}\r\n".encode() + body
-        chain.kept.append(Wrote(now_us(), name, key, body, causes))
+        chain.kept.append(WriteAttempted(now_us(), name, key, body, causes))
         message = await chain.exchange(node, rid, "keyed" if key else "unsafe", key, raw)
         status = 0 if message is None else message.status
         if status == 202 and message is not None:
             told = json.loads(message.body)
-            chain.kept.append(Kept(now_us(), name, node.name))
+            chain.kept.append(WriteQueued(now_us(), name, node.name))
             chain.writes.append(
                 Write(name, node.name, node, message.headers["x-causal-token"], message.headers["location"],
                       told["write"])
             )  # fmt: skip
         else:
-            chain.kept.append(Ended(now_us(), name, status))
+            chain.kept.append(WriteAnswered(now_us(), name, status))
         if status in (200, 202) and message is not None:
             if session:
                 self.token = message.headers.get("x-causal-token", self.token)
@@ -283,7 +291,7 @@
         message = await self.write(node, name, cls, **more)
         assert message is not None and message.status == 202, (
             name, message and (message.status, message.headers, message.body), self.chain.history.events[-3:],
-            node.program.lines[-5:],
+            node.program.log_lines[-5:],
         )  # fmt: skip
         return self.chain.writes[-1]
 
@@ -297,7 +305,7 @@
             assert cls == "put" or found[0] in (200, 202, 429, 503), (name, found)
             return found[0] in (200, 202)
 
-        await until(told, f"{name} kept or served at {node.name}")
+        await wait_until(told, f"{name} kept or served at {node.name}")
         return found[0]
 
 
@@ -318,7 +326,7 @@
         self.folder = folder
         self.seed = seed
         self.draw = random.Random(f"{seed} chain")
-        self.kept: list[KeptEvent] = []
+        self.kept: list[QueuedWriteEvent] = []
         self.history = History(now_us)
         self.ledger = Ledger(self.kept)
         self.servers = [Endpoint(self.ledger.serve, keep=False) for _ in range(servers)]
@@ -368,7 +376,7 @@
 
     async def _node(self, name: str, number: int, behind: Sequence[tuple[int, str]]) -> Node:
         begin = self._begin.get(name, ("-m", "laurelstep"))
-        program = Program(number, self.folder / name, self.history, self.seed, begin=begin)
+        program = ProgramRunner(number, self.folder / name, self.history, self.seed, command_prefix=begin)
         links, entries = [], []
         for at, (port, far) in enumerate(behind):
             link = StreamRelay((HOST, port), self.seed * 1000 + number * 100 + at)
@@ -376,7 +384,7 @@
             await link.start()
             links.append(link)
             entries.append(_entry(far, link.address))
-        lists = Lists(lambda: list(entries), lambda read, at: None)
+        lists = ProcessDiscovery(lambda: list(entries), lambda read, at: None)
         self._stack.callback(lists.close)
         await lists.open()
         self._stack.push_async_callback(program.close)
@@ -397,7 +405,7 @@
     def _write_copy(self, node: Node) -> None:
         assert self.datagrams is not None
         number = node.program.number
-        host, port = self.datagrams.real[number]
+        host, port = self.datagrams.peer_addresses[number]
         peers = {"peer_listen": f"{host}:{port}", "peers": self.datagrams.peers_of(number)}
         platform = self._platform(node, {"me": number, "instances": self._counts[1]})
         outbox = {**self._table(node), "shared": True}
@@ -421,7 +429,7 @@
         async def look() -> bool:
             return bool((await copy.state())["shared"]["ready"]) is ready
 
-        await until(look, f"{copy.name} {'in' if ready else 'out of'} touch")
+        await wait_until(look, f"{copy.name} {'in' if ready else 'out of'} touch")
 
     async def twin(self, edge: Node) -> Node:
         """Another process on a copy of the edge's disk, which must not be in use. Not started."""
@@ -447,15 +455,15 @@
         self, node: Node, rid: str, effect: Any, key: str | None, raw: bytes
     ) -> Message | None:
         """A client's request, for the rules of live requests. None if its connection ended."""
-        number, now = node.program.number, self.history.now
-        self.history.add(Asked(now(), number, rid, effect, key, DEADLINE_MS * 1000))
+        number, now = node.program.number, self.history.now_us
+        self.history.add(RequestStarted(now(), number, rid, effect, key, DEADLINE_MS * 1000))
         async with Caller(*node.program.listen) as caller:
             try:
                 message = await caller.ask(raw)
             except (OSError, asyncio.IncompleteReadError) as error:
-                self.history.add(Broken(now(), number, rid, type(error).__name__))
+                self.history.add(RequestFailed(now(), number, rid, type(error).__name__))
                 return None
-        self.history.add(Answered(now(), number, rid, message.status))
+        self.history.add(ResponseReceived(now(), number, rid, message.status))
         return message
 
     async def receipt(self, write: Write) -> Any:
@@ -484,9 +492,9 @@
             return found[0] is not None and found[0]["state"] in states
 
         try:
-            await until(look, f"{write.name} {' or '.join(states)}")
+            await wait_until(look, f"{write.name} {' or '.join(states)}")
         except AssertionError as error:
-            raise AssertionError(f"{error}; it says {found}; {write.node.program.lines[-5:]}") from None
+            raise AssertionError(f"{error}; it says {found}; {write.node.program.log_lines[-5:]}") from None
         return found[0]
 
     @contextlib.asynccontextmanager
@@ -496,7 +504,7 @@
 
         async def call(node: Node) -> None:
             while not stopped.is_set():
-                if node.program.up.is_set():
+                if node.program.serving.is_set():
                     number = next(numbers)
                     client, cls = self.client(f"live-{number}"), ("put", "pay")[number % 2]
                     await client.write(node, client.name, cls, session=False)
@@ -514,25 +522,25 @@
         query = urlencode({"write": write.dot, "parking": parking, "verdict": verdict})
         status, _ = await (node or write.node).call(f"/api/outbox/judge?{query}")
         if status in (200, 202):
-            self.kept.append(Judged(now_us(), write.name, verdict))
+            self.kept.append(OperatorResolution(now_us(), write.name, verdict))
         return status
 
     async def declare_lost(self, edge: str, copy: Node) -> int:
         status, told = await copy.call(f"/api/outbox/lost?{urlencode({'edge': edge})}")
         assert status in (200, 202, 503), (status, told)
         if status != 503:
-            self.kept.append(LostEdge(now_us(), edge))
+            self.kept.append(EdgeDeclaredLost(now_us(), edge))
         return status
 
     # --- Faults among copies ------------------------------------------------------------
 
     def cut(self, some: Iterable[int], others: Iterable[int]) -> None:
         assert self.datagrams is not None
-        self.datagrams.ways.cut(some, others)
+        self.datagrams.route_table.partition(some, others)
 
     def heal(self) -> None:
         assert self.datagrams is not None
-        self.datagrams.ways.heal()
+        self.datagrams.route_table.heal_partition()
 
     # --- The verdict --------------------------------------------------------------------
 
@@ -552,25 +560,30 @@
                 if dot not in stuck and told["state"] == "kept" and told.get("behind") in stuck
             }:  # fmt: skip
                 stuck |= more
-            return all(told["state"] in (*OVER, FORGOTTEN) or dot in stuck for dot, told in found.items())
+            return all(
+                told["state"] in (*FINAL_STATES, FORGOTTEN) or dot in stuck for dot, told in found.items()
+            )
 
         try:
-            await until(look, "all kept writes over")
+            await wait_until(look, "all kept writes over")
         except AssertionError as error:
-            open_ = {dot: told for dot, told in found.items() if told["state"] not in OVER}
+            open_ = {dot: told for dot, told in found.items() if told["state"] not in FINAL_STATES}
             raise AssertionError(f"{error}: {open_}; {self._logs()}") from None
         names = {one.dot: one.name for one in left}
         for dot, told in found.items():
             behind = names.get(told.get("behind"), "")
-            self.kept.append(Stands(names[dot], told["state"], told.get("reason", ""), behind))
+            self.kept.append(FinalWriteStatus(names[dot], told["state"], told.get("reason", ""), behind))
         return {names[dot]: told["state"] for dot, told in found.items()}
 
     def _logs(self) -> str:
-        return "\n".join(f"{one.name}: {one.program.lines[-5:]}" for one in (*self.copies, *self.edges))
+        return "\n".join(f"{one.name}: {one.program.log_lines[-5:]}" for one in (*self.copies, *self.edges))
 
     def check(self) -> None:
         """AssertionError that names what was broken."""
-        broken = [*check_kept(self.kept), *check(self.history.events, Rules(late_us=LATE_US))]
+        broken = [
+            *check_queued_writes(self.kept),
+            *check_history(self.history.events, CheckLimits(lateness_us=LATENESS_US)),
+        ]
         if broken:
             shown = [str(one) for one in broken[:20]]
             raise AssertionError("\n".join([f"{len(broken)} broken, seed {self.seed}", *shown, self._logs()]))
--- a/tests/test_outbox_daemon.py
+++ b/tests/test_outbox_daemon.py
@@ -18,7 +18,7 @@
 
 from laurelstep.__main__ import main as command
 from laurelstep.testing import after, in_turn, reset, serve, stall, whole_list
-from laurelstep.testing.processes.files import empty_disk, fill_disk
+from laurelstep.testing.processes.files import fill_disk, free_disk
 from tests.sockets import (
     SETTINGS,
     TIMEOUT_S,
@@ -334,7 +334,7 @@
             fill_disk(one.process.pid)
             refused = await one.write("put", "large", bytes(300_000))
             assert refused.status in (502, 503, 504)
-            empty_disk(one.process.pid)
+            free_disk(one.process.pid)
             await one.end()
             await one.start()
             await one.endpoint.restart(0)
--- a/tests/test_outbox_processes.py
+++ b/tests/test_outbox_processes.py
@@ -1,5 +1,5 @@
 """Writes kept by edges and brought upstream, in real processes under faults. Servers count what took
-effect, in which order; the checker's rules are at the head of `laurelstep.testing.processes.kept`.
+effect, in which order; the checker's rules are at the head of `laurelstep.testing.processes.queued_writes`.
 
 Where a replay must still be out at a fault, a server holds its answer: what a test brings about then comes
 between the effect and the answer however slow the machine is."""
@@ -12,123 +12,156 @@
 
 import pytest
 
-from laurelstep.testing.processes import until
-from laurelstep.testing.processes.kept import (
-    ANOTHER_KEY,
-    DONE_NOT_RUN,
-    GIVEN_UP_AND_RUN,
-    INVENTED,
-    NO_REASON,
-    NOT_BROUGHT,
-    NOT_OVER,
+from laurelstep.testing.processes import wait_until
+from laurelstep.testing.processes.queued_writes import (
+    ABANDONED_AND_EXECUTED,
+    APPLIED_NOT_EXECUTED,
+    DEAD_LETTER_WITHOUT_REASON,
+    EXECUTED_TWICE,
+    NOT_APPLIED,
+    NOT_FINAL,
     OUT_OF_ORDER,
-    REFUSED_AND_RUN,
-    RUN_TWICE,
-    Came,
-    Ended,
-    Judged,
-    Kept,
-    KeptEvent,
-    LostEdge,
-    Stands,
-    Wrote,
-    check_kept,
+    REJECTED_AND_EXECUTED,
+    UNKNOWN_WRITE,
+    WRONG_KEY,
+    EdgeDeclaredLost,
+    FinalWriteStatus,
+    OperatorResolution,
+    QueuedWriteEvent,
+    WriteAnswered,
+    WriteAttempted,
+    WriteDelivered,
+    WriteQueued,
+    check_queued_writes,
 )
 from tests.outboxing import Chain, Client, Node, play
 
 # --- The checker ----------------------------------------------------------------------------
 
 
-def sound() -> list[KeptEvent]:
+def sound() -> list[QueuedWriteEvent]:
     """Album, photo and order, kept at two edges and brought in their order; a mail that stands parked."""
     return [
-        Wrote(1, "album", "k-album", b"a"),
-        Kept(2, "album", "edge-0"),
-        Wrote(3, "photo", "k-photo", b"p", frozenset(("album",))),
-        Kept(4, "photo", "edge-1"),
-        Wrote(5, "order", None, b"o", frozenset(("photo",))),
-        Kept(6, "order", "edge-1"),
-        Wrote(7, "mail", None, b"m"),
-        Kept(8, "mail", "edge-0"),
-        Wrote(9, "late", None, b"l"),
-        Ended(10, "late", 503),
-        Came(11, "album", "k-album", b"a"),
-        Came(12, "photo", "k-photo", b"p"),
-        Came(13, "photo", "k-photo", b"p", ran=False),
-        Came(14, "order", None, b"o"),
-        Stands("album", "done"),
-        Stands("photo", "done"),
-        Stands("order", "done"),
-        Stands("mail", "parked", "it was kept for too long"),
+        WriteAttempted(1, "album", "k-album", b"a"),
+        WriteQueued(2, "album", "edge-0"),
+        WriteAttempted(3, "photo", "k-photo", b"p", frozenset(("album",))),
+        WriteQueued(4, "photo", "edge-1"),
+        WriteAttempted(5, "order", None, b"o", frozenset(("photo",))),
+        WriteQueued(6, "order", "edge-1"),
+        WriteAttempted(7, "mail", None, b"m"),
+        WriteQueued(8, "mail", "edge-0"),
+        WriteAttempted(9, "late", None, b"l"),
+        WriteAnswered(10, "late", 503),
+        WriteDelivered(11, "album", "k-album", b"a"),
+        WriteDelivered(12, "photo", "k-photo", b"p"),
+        WriteDelivered(13, "photo", "k-photo", b"p", was_executed=False),
+        WriteDelivered(14, "order", None, b"o"),
+        FinalWriteStatus("album", "done"),
+        FinalWriteStatus("photo", "done"),
+        FinalWriteStatus("order", "done"),
+        FinalWriteStatus("mail", "parked", "it was kept for too long"),
     ]
 
 
-def swap(events: list[KeptEvent], old: KeptEvent, *new: KeptEvent) -> None:
+def swap(events: list[QueuedWriteEvent], old: QueuedWriteEvent, *new: QueuedWriteEvent) -> None:
     at = events.index(old)
     events[at : at + 1] = new
 
 
 ALBUM, PHOTO, ORDER = (
-    Came(11, "album", "k-album", b"a"),
-    Came(12, "photo", "k-photo", b"p"),
-    Came(14, "order", None, b"o"),
+    WriteDelivered(11, "album", "k-album", b"a"),
+    WriteDelivered(12, "photo", "k-photo", b"p"),
+    WriteDelivered(14, "order", None, b"o"),
 )
-MAIL = Stands("mail", "parked", "it was kept for too long")
-
-FAULTS: dict[str, tuple[str, Callable[[list[KeptEvent]], None]]] = {
-    "a kept write is forgotten": (NOT_BROUGHT, lambda e: e.remove(MAIL)),
-    "a kept write stays on its way": (NOT_OVER, lambda e: swap(e, MAIL, Stands("mail", "out"))),
-    "a lost answer is sent again": (RUN_TWICE, lambda e: e.append(Came(15, "order", None, b"o"))),
-    "a key takes effect twice": (RUN_TWICE, lambda e: e.append(Came(15, "photo", "k-photo", b"p"))),
+MAIL = FinalWriteStatus("mail", "parked", "it was kept for too long")
+
+FAULTS: dict[str, tuple[str, Callable[[list[QueuedWriteEvent]], None]]] = {
+    "a kept write is forgotten": (NOT_APPLIED, lambda e: e.remove(MAIL)),
+    "a kept write stays on its way": (NOT_FINAL, lambda e: swap(e, MAIL, FinalWriteStatus("mail", "out"))),
+    "a lost answer is sent again": (
+        EXECUTED_TWICE,
+        lambda e: e.append(WriteDelivered(15, "order", None, b"o")),
+    ),
+    "a key takes effect twice": (
+        EXECUTED_TWICE,
+        lambda e: e.append(WriteDelivered(15, "photo", "k-photo", b"p")),
+    ),
     "a kept write waits for none that is parked": (
-        NOT_BROUGHT,
-        lambda e: swap(e, MAIL, Stands("mail", "kept", behind="order")),
+        NOT_APPLIED,
+        lambda e: swap(e, MAIL, FinalWriteStatus("mail", "kept", waits_for="order")),
     ),
     "a key takes effect as two writes": (
-        RUN_TWICE,
-        lambda e: e.extend([Wrote(15, "copy", "k-photo", b"p"), Came(16, "copy", "k-photo", b"p")]),
+        EXECUTED_TWICE,
+        lambda e: e.extend(
+            [WriteAttempted(15, "copy", "k-photo", b"p"), WriteDelivered(16, "copy", "k-photo", b"p")]
+        ),
+    ),
+    "a follower goes first": (
+        OUT_OF_ORDER,
+        lambda e: swap(e, ORDER, WriteDelivered(10, "order", None, b"o")),
     ),
-    "a follower goes first": (OUT_OF_ORDER, lambda e: swap(e, ORDER, Came(10, "order", None, b"o"))),
     "a follower goes before what its cause follows": (
         OUT_OF_ORDER,
-        lambda e: swap(e, ALBUM, Came(15, "album", "k-album", b"a")),
+        lambda e: swap(e, ALBUM, WriteDelivered(15, "album", "k-album", b"a")),
     ),
     "a follower of a parked write goes": (
         OUT_OF_ORDER,
         lambda e: e.extend(
-            [Wrote(15, "after", None, b"", frozenset(("mail",))), Came(16, "after", None, b"")]
+            [
+                WriteAttempted(15, "after", None, b"", frozenset(("mail",))),
+                WriteDelivered(16, "after", None, b""),
+            ]
         ),
     ),
-    "a write is made up": (INVENTED, lambda e: e.append(Came(15, "nobody's", None, b""))),
+    "a write is made up": (UNKNOWN_WRITE, lambda e: e.append(WriteDelivered(15, "nobody's", None, b""))),
     "a write comes before it is asked for": (
-        INVENTED,
-        lambda e: swap(e, ORDER, Came(4, "order", None, b"o")),
+        UNKNOWN_WRITE,
+        lambda e: swap(e, ORDER, WriteDelivered(4, "order", None, b"o")),
+    ),
+    "a body is another one": (
+        UNKNOWN_WRITE,
+        lambda e: swap(e, ORDER, WriteDelivered(14, "order", None, b"p")),
     ),
-    "a body is another one": (INVENTED, lambda e: swap(e, ORDER, Came(14, "order", None, b"p"))),
     "a repeat comes under another key": (
-        ANOTHER_KEY,
-        lambda e: e.append(Came(15, "photo", "k-2", b"p", ran=False)),
+        WRONG_KEY,
+        lambda e: e.append(WriteDelivered(15, "photo", "k-2", b"p", was_executed=False)),
     ),
     "a keyed write comes without its key": (
-        ANOTHER_KEY,
-        lambda e: swap(e, PHOTO, Came(12, "photo", None, b"p")),
+        WRONG_KEY,
+        lambda e: swap(e, PHOTO, WriteDelivered(12, "photo", None, b"p")),
+    ),
+    "what was refused has run": (
+        REJECTED_AND_EXECUTED,
+        lambda e: e.append(WriteDelivered(15, "late", None, b"l")),
+    ),
+    "a parked write tells no reason": (
+        DEAD_LETTER_WITHOUT_REASON,
+        lambda e: swap(e, MAIL, FinalWriteStatus("mail", "parked")),
+    ),
+    "what is told done ran nowhere": (
+        APPLIED_NOT_EXECUTED,
+        lambda e: swap(e, MAIL, FinalWriteStatus("mail", "done")),
     ),
-    "what was refused has run": (REFUSED_AND_RUN, lambda e: e.append(Came(15, "late", None, b"l"))),
-    "a parked write tells no reason": (NO_REASON, lambda e: swap(e, MAIL, Stands("mail", "parked"))),
-    "what is told done ran nowhere": (DONE_NOT_RUN, lambda e: swap(e, MAIL, Stands("mail", "done"))),
     "what was given up runs": (
-        GIVEN_UP_AND_RUN,
-        lambda e: e.extend([Judged(15, "mail", "give_up"), Came(16, "mail", None, b"m")]),
+        ABANDONED_AND_EXECUTED,
+        lambda e: e.extend(
+            [OperatorResolution(15, "mail", "give_up"), WriteDelivered(16, "mail", None, b"m")]
+        ),
     ),
-}  # fmt: skip
+}
 
 
 def test_a_sound_history_breaks_no_rule() -> None:
-    assert check_kept(sound()) == []
-    lost = [one for one in sound() if one not in (ALBUM, Stands("album", "done"))]
-    assert {one.name for one in check_kept(lost)} == {NOT_BROUGHT, OUT_OF_ORDER}
-    assert check_kept([*lost, LostEdge(20, "edge-0")]) == []
-    assert check_kept([*lost, Judged(20, "album", "ran"), Stands("album", "done")]) == []
+    assert check_queued_writes(sound()) == []
+    lost = [one for one in sound() if one not in (ALBUM, FinalWriteStatus("album", "done"))]
+    assert {one.rule for one in check_queued_writes(lost)} == {NOT_APPLIED, OUT_OF_ORDER}
+    assert check_queued_writes([*lost, EdgeDeclaredLost(20, "edge-0")]) == []
+    assert (
+        check_queued_writes(
+            [*lost, OperatorResolution(20, "album", "ran"), FinalWriteStatus("album", "done")]
+        )
+        == []
+    )
 
 
 @pytest.mark.parametrize("fault", FAULTS)
@@ -136,19 +169,19 @@
     name, spoil = FAULTS[fault]
     events = sound()
     spoil(events)
-    assert name in {one.name for one in check_kept(events)}
+    assert name in {one.rule for one in check_queued_writes(events)}
 
 
 FAULTY = {
-    "forgets": NOT_BROUGHT,
-    "sends_again": RUN_TWICE,
+    "forgets": NOT_APPLIED,
+    "sends_again": EXECUTED_TWICE,
     "goes_first": OUT_OF_ORDER,
-    "drops_the_key": ANOTHER_KEY,
-    "garbles_the_body": INVENTED,
-    "refuses_what_it_keeps": REFUSED_AND_RUN,
-    "sends_nothing": DONE_NOT_RUN,
-    "tells_no_reason": NO_REASON,
-    "runs_what_is_given_up": GIVEN_UP_AND_RUN,
+    "drops_the_key": WRONG_KEY,
+    "garbles_the_body": UNKNOWN_WRITE,
+    "refuses_what_it_keeps": REJECTED_AND_EXECUTED,
+    "sends_nothing": APPLIED_NOT_EXECUTED,
+    "tells_no_reason": DEAD_LETTER_WITHOUT_REASON,
+    "runs_what_is_given_up": ABANDONED_AND_EXECUTED,
 }
 
 
@@ -176,9 +209,9 @@
             assert await chain.judge(given_up, "give_up", told["parking"]) == 202
             await chain.ledger.until_ran("refuses_what_it_keeps-order")
             await chain.settle()
-            found = check_kept(chain.kept)
+            found = check_queued_writes(chain.kept)
             for fault, name in FAULTY.items():
-                assert name in {one.name for one in found if one.subject.startswith(fault)}, (fault, found)
+                assert name in {one.rule for one in found if one.subject.startswith(fault)}, (fault, found)
 
     play(main())
 
@@ -381,10 +414,10 @@
     """What the copies answer to these is kept by a cut."""
 
     async def look() -> bool:
-        kept = [one.waiting for link in node.links for one in link.connections]
+        kept = [one.withheld for link in node.links for one in link.connections]
         return all(any(data.endswith(write.encode()) for data in kept) for write in writes)
 
-    await until(look, f"answers to {writes} on their way")
+    await wait_until(look, f"answers to {writes} on their way")
 
 
 def test_answers_that_are_lost_on_their_way_back(tmp_path: Path) -> None:
@@ -406,12 +439,12 @@
             for one in near:
                 await chain.ledger.until_ran(one.name)
                 for link in node.links:
-                    link.cut("back")
+                    link.block("responses")
                 chain.ledger.let_go(one.name)
                 await until_answers_wait(node, one.name)
                 for link in node.links:
                     link.reset()
-                    link.heal()
+                    link.unblock()
                 await chain.until(one, "done")
             found = await chain.settle()
             assert found == {"near-put": "done", "near-pay": "done", "far-put": "done", "far-pay": "parked"}
@@ -518,12 +551,14 @@
     """One of these says so, and only one."""
 
     def fenced() -> list[str]:
-        return [node.folder.name for node in nodes if any("fenced" in line for line in node.program.lines)]
+        return [
+            node.folder.name for node in nodes if any("fenced" in line for line in node.program.log_lines)
+        ]
 
     async def look() -> bool:
         return bool(fenced())
 
-    await until(look, "one is fenced")
+    await wait_until(look, "one is fenced")
     assert len(fenced()) == 1
 
 
@@ -562,10 +597,10 @@
                             link.reset()
                     case "silent":
                         for link in edge.links:
-                            link.cut("back")
+                            link.block("responses")
                 await chain.draw.choice(clients).write(edge, f"flap-{n}", chain.draw.choice(("put", "pay")))
                 for link in edge.links:
-                    link.heal()
+                    link.unblock()
                 await edge.admit()
             await chain.settle()
             chain.check()
--- a/tests/test_shared_daemon.py
+++ b/tests/test_shared_daemon.py
@@ -21,9 +21,9 @@
 from laurelstep.outbox.shared.seal import Seal
 from laurelstep.outbox.shared.terms import Answered, Ask, Claim, Claimed, Replayed, Told
 from laurelstep.testing.messages import Message, read_message
-from laurelstep.testing.processes import Tier, until
-from laurelstep.testing.processes.program import LOOK_S
-from laurelstep.testing.processes.tier import SETTINGS
+from laurelstep.testing.processes import ProcessTier, wait_until
+from laurelstep.testing.processes.program import POLL_INTERVAL_S
+from laurelstep.testing.processes.tier_settings import SETTINGS
 from tests.sockets import run, start
 
 SECRET = b"of the edges and of the copies"
@@ -48,7 +48,7 @@
 
 
 class Copies:
-    def __init__(self, tier: Tier) -> None:
+    def __init__(self, tier: ProcessTier) -> None:
         self.tier = tier
         self.count = 0
 
@@ -69,7 +69,7 @@
     async def replay(self, copy: int, dot: Dot = DOT, cls: str = "pay", life: int = LIFE) -> tuple[int, str]:
         """Again while it is refused as not run, as an edge would: another copy may come to lead."""
         while (found := await self.replay_once(copy, dot, cls, life)) == (503, ""):
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return found
 
     async def replay_once(
@@ -93,7 +93,7 @@
         async def look() -> bool:
             return await self.ask(copy, ask) == answer
 
-        await until(look, f"{ask}: {answer} at {copy}")
+        await wait_until(look, f"{ask}: {answer} at {copy}")
 
     async def until_fate(self, copy: int, cause: Cause, fate: Fate) -> None:
         await self.until_told(copy, Ask(fates=(cause,)), Answered(fates=(fate,)))
@@ -103,13 +103,13 @@
             told = [await self.status(copy) for copy in copies]
             return all(one["shared"]["ready"] is ready for one in told)
 
-        await until(look, f"{copies} share: {ready}")
+        await wait_until(look, f"{copies} share: {ready}")
 
     async def status(self, copy: int) -> Any:
-        return json.loads((await self.tier.programs[copy].ask("GET", "/api/outbox")).body)
+        return json.loads((await self.tier.programs[copy].query("GET", "/api/outbox")).body)
 
     async def call(self, copy: int, words: str) -> tuple[int, Any]:
-        found = await self.tier.programs[copy].ask("POST", f"/api/outbox/{words}")
+        found = await self.tier.programs[copy].query("POST", f"/api/outbox/{words}")
         return found.status, json.loads(found.body)
 
     @property
@@ -131,7 +131,7 @@
         "outbox": outbox,
     }
     tables_of = {} if off is None else {off: {"outbox": {**outbox, "shared": False}}}
-    tier = Tier(3, 1, tables, tables_of=tables_of, folder=folder / "tier")
+    tier = ProcessTier(3, 1, tables, process_tables=tables_of, folder=folder / "tier")
     (folder / "tier").mkdir()
     async with tier:
         found = Copies(tier)
@@ -161,17 +161,17 @@
 def test_an_unsafe_write_whose_copy_was_killed_is_not_sent_by_another(tmp_path: Path) -> None:
     async def main() -> None:
         async with copies(tmp_path) as tier:
-            tier.tier.hold(0)
+            tier.tier.hold_answers(0)
             first = asyncio.create_task(tier.replay(0))
 
             async def has_run() -> bool:
                 return tier.ran == 1
 
-            await until(has_run, "the first try took effect")
+            await wait_until(has_run, "the first try took effect")
             await tier.tier.kill(0)
             with contextlib.suppress(asyncio.IncompleteReadError, OSError):
                 assert await first is None
-            tier.tier.let_go(0)
+            tier.tier.release_answers(0)
             await tier.until_ready((1, 2))
             for copy in (1, 2):
                 assert await tier.replay(copy) == (502, "begun")
@@ -191,13 +191,13 @@
 def test_a_copy_that_is_cut_off_grants_and_tells_nothing(tmp_path: Path) -> None:
     async def main() -> None:
         async with copies(tmp_path) as tier:
-            tier.tier.cut({0}, {1, 2})
+            tier.tier.partition({0}, {1, 2})
             await tier.until_ready((0,), ready=False)
             assert await tier.replay_once(0) == (503, "")
             assert await tier.ask(0, Ask(fates=(Cause(*DOT),))) is None
             await tier.until_ready((1, 2))
             assert await tier.replay(1) == (200, "")
-            tier.tier.heal()
+            tier.tier.heal_partition()
             await tier.until_ready()
             assert await tier.replay(0) == (200, "in") and tier.ran == 1
 
@@ -262,7 +262,7 @@
                 found = await tier.exchange(2, f"GET {kept.headers['location']}")
                 return bool(json.loads(found.body)["state"] == "done")
 
-            await until(is_done, "the kept one is done")
+            await wait_until(is_done, "the kept one is done")
             own = kept.headers["x-causal-token"]
             (cause,) = TOKENS.read(own)
             await tier.until_fate(1, cause, Fate.IN)
--- a/tests/test_upkeep_processes.py
+++ b/tests/test_upkeep_processes.py
@@ -16,10 +16,12 @@
 
 import pytest
 
-from laurelstep.testing.processes import Load, Tier, Weather, until
-from laurelstep.testing.processes.history import SENT_AFTER_CLEAR
-from laurelstep.testing.processes.program import LOOK_S
-from laurelstep.testing.processes.tier import SETTINGS, name_of, number_of
+from laurelstep.testing.processes import LoadGenerator, NetworkFaults, ProcessTier, wait_until
+from laurelstep.testing.processes.history_checks import (
+    SENT_AFTER_DRAINED,
+)
+from laurelstep.testing.processes.program import POLL_INTERVAL_S
+from laurelstep.testing.processes.tier_settings import SETTINGS, endpoint_index, endpoint_name
 from tests.sockets import run
 
 TEST_S = 300.0  # for a test that hangs; nothing is measured by it
@@ -44,9 +46,9 @@
 class Watch:
     """What each process says at its second address; the first that calls a machine clear is noted."""
 
-    def __init__(self, tier: Tier) -> None:
+    def __init__(self, tier: ProcessTier) -> None:
         self.tier = tier
-        self.load: Load
+        self.load: LoadGenerator
         self.seen: dict[int, dict[str, Any]] = {}  # by process: the last answer
         self.cleared: list[str] = []  # machines that were clear, in their order
         self.returned: set[tuple[str, str]] = set()  # wish and machine
@@ -57,14 +59,14 @@
         """Its answers, one after the other: one of a process that is paused comes when it goes on."""
         program = self.tier.programs[process]
         while True:
-            if program.running:
+            if program.is_running:
                 with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                    message = await program.ask("GET", "/api/upkeep")
+                    message = await program.query("GET", "/api/upkeep")
                     if message.status == 200:
                         self._see(process, json.loads(message.body))
             else:
                 self.seen.pop(process, None)
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def _see(self, process: int, told: dict[str, Any]) -> None:
         self.seen[process] = told
@@ -73,13 +75,13 @@
             if one["state"] in OUT and pair not in self._noted | self.returned:
                 self._noted.add(pair)
                 self.cleared.append(one["id"])
-                self.tier.note_clear(number_of(one["id"]))
+                self.tier.note_drained(endpoint_index(one["id"]))
 
     def back(self, wish: str, machine: str) -> None:
         """Somebody is about to say that it is done."""
         if (wish, machine) not in self.returned:
             self.returned.add((wish, machine))
-            self.tier.note_back(number_of(machine))
+            self.tier.note_restored(endpoint_index(machine))
 
     def close(self) -> None:
         for task in self._tasks:
@@ -95,7 +97,7 @@
     def missing(self, machine: str) -> list[int] | None:
         """Whose confirmation whoever leads says that it waits for."""
         for process, told in self.seen.items():
-            if not told["leading"] or self.tier.programs[process].paused:
+            if not told["leading"] or self.tier.programs[process].is_paused:
                 continue
             for one in told["machines"]:
                 if one["id"] == machine and one["missing"] is not None:
@@ -110,7 +112,7 @@
             return bool(look())
 
         try:
-            await until(seen, what)
+            await wait_until(seen, what)
         except AssertionError as error:
             raise AssertionError(f"{error}; they say {self.seen}") from None
 
@@ -145,15 +147,17 @@
 
     def used(self, *processes: int) -> str:
         """The machine that all of these send to most: one alone may be passed over for long."""
-        sent, machines = self.tier.sent(), range(len(self.tier.endpoints))
-        return name_of(max(machines, key=lambda at: min(sent[process, at] for process in processes)))
+        sent, machines = self.tier.forwarded_counts(), range(len(self.tier.endpoints))
+        return endpoint_name(max(machines, key=lambda at: min(sent[process, at] for process in processes)))
 
     async def until_used(self, machine: str, *processes: int) -> None:
         """Until one of these, or of all, has sent another request there."""
         since = len(self.tier.history.events)
 
         def used() -> bool:
-            found = {process for process, at in self.tier.sent(since) if name_of(at) == machine}
+            found = {
+                process for process, at in self.tier.forwarded_counts(since) if endpoint_name(at) == machine
+            }
             return bool(found & set(processes) if processes else found)
 
         await self.until(used, f"{machine} used by {processes or 'any'}")
@@ -161,12 +165,12 @@
     async def hold(self, *processes: int) -> str:
         """A machine that keeps what it gets, and has something from one of these."""
         machine = self.used(*processes)
-        self.tier.hold(number_of(machine))
+        self.tier.hold_answers(endpoint_index(machine))
         await self.until_used(machine, *processes)
         return machine
 
     def let_go(self, machine: str) -> None:
-        self.tier.let_go(number_of(machine))
+        self.tier.release_answers(endpoint_index(machine))
 
     # --- What they are asked ----------------------------------------------------------
 
@@ -184,7 +188,7 @@
             assert said[0] in (200, 202, 503), f"{verb} {query} at {process}: {said}"
             return bool(said[0] != 503)
 
-        await until(taken, f"{verb} {query} taken by {process}")
+        await wait_until(taken, f"{verb} {query} taken by {process}")
 
     async def wish(self, process: int, *machines: str, name: str = "disk", **limits: Any) -> None:
         await self.ask(process, "wish", name=name, id=machines, **limits)
@@ -205,16 +209,16 @@
 @contextlib.asynccontextmanager
 async def watched(
     processes: int, seats: int, callers: int = 2, **more: Any
-) -> AsyncIterator[tuple[Tier, Watch]]:
+) -> AsyncIterator[tuple[ProcessTier, Watch]]:
     """Under load, all of them following one leader; held against the rules at the end."""
     tables = {"accord": {"heartbeat_ms": 50, "election_ms": 200, "seats": seats}, "upkeep": {}}
-    tier = Tier(processes, operator_tables=tables, settings=SHORT, **more)
+    tier = ProcessTier(processes, operator_tables=tables, settings=SHORT, **more)
     async with tier:
         watch = Watch(tier)
         try:
-            async with tier.load(callers=callers, deadline_ms=DEADLINE_MS) as load:
+            async with tier.load(clients=callers, deadline_ms=DEADLINE_MS) as load:
                 watch.load = load
-                await load.more(20)
+                await load.wait_for_answers(20)
                 await watch.until_led(*range(processes))
                 yield tier, watch
         finally:
@@ -233,7 +237,7 @@
                 await watch.work(process, machine)
                 await watch.until_used(machine)
             await watch.until_over("disk", range(3))
-            await watch.load.more(10)
+            await watch.load.wait_for_answers(10)
         assert watch.cleared == machines
         tier.check()
 
@@ -302,7 +306,7 @@
             majority = [one for one in range(5) if one not in minority]
             first = watch.used(*minority)
             second = next(name for name in ("s-0", "s-1") if name != first)
-            tier.cut(minority, majority)
+            tier.partition(minority, majority)
             await watch.until(lambda: not any(watch.seen[one]["in_touch"] for one in minority), "cut off")
             status, told = await watch.call(minority[0], "wish", name="lost", id=second)
             assert status == 503 and told["error"] == "CutOffError" and told["remedy"]
@@ -311,9 +315,9 @@
             await watch.until(lambda: watch.missing(first) == sorted(minority), "the lesser part is missed")
             for one in minority:
                 await watch.until_used(first, one)
-            await watch.load.more(10)
+            await watch.load.wait_for_answers(10)
             assert all(not watch.seen[one]["machines"] for one in minority) and watch.cleared == []
-            tier.heal()
+            tier.heal_partition()
             await watch.until_led(*range(5))
             await watch.wish(minority[0], second, name="lost")
             await watch.work(minority[1], first)
@@ -331,13 +335,13 @@
             leader = await watch.until_led(*range(3))
             cut, other = (one for one in range(3) if one != leader)
             machine = watch.used(cut)
-            tier.cut({cut}, {leader, other})
+            tier.partition({cut}, {leader, other})
             await watch.wish(other, machine)
             await watch.until(lambda: watch.missing(machine) == [cut], "it is named")
             await watch.until_used(machine, cut)
             await watch.until(lambda: not watch.seen[cut]["in_touch"], "it says that it is cut off")
             assert watch.cleared == []
-            tier.heal()
+            tier.heal_partition()
             await watch.work(cut, machine)
             await watch.until_used(machine, cut)
         assert watch.cleared == [machine]
@@ -381,15 +385,15 @@
         async with watched(7, 5, callers=1) as (tier, watch):
             await tier.kill(4)
             sides = ([0, 1, 5], [2, 3, 6])
-            tier.cut(*sides)
+            tier.partition(*sides)
             await watch.until(
                 lambda: not any(watch.seen[one]["in_touch"] for one in (0, 1, 2, 3)), "nobody leads"
             )
             for side in sides:
                 status, told = await watch.call(side[0], "wish", name="disk", id="s-0")
                 assert status == 503 and told["error"] == "CutOffError"
-            await watch.load.more(10, *sides[0], *sides[1])
-            tier.heal()
+            await watch.load.wait_for_answers(10, *sides[0], *sides[1])
+            tier.heal_partition()
             await watch.until_led(0, 1, 2, 3)
             await watch.wish(1, "s-0")
             await watch.until_state("s-0", "leaving", (0, 1, 2, 3, 5, 6))
@@ -409,7 +413,7 @@
         async with watched(6, 5, callers=1) as (tier, watch):
             most, rest = [0, 1, 2], [3, 4, 5]
             machine = watch.used(*rest)
-            tier.cut(most, rest)
+            tier.partition(most, rest)
             await watch.until_led(*most)
             await watch.until(lambda: not any(watch.seen[one]["in_touch"] for one in (3, 4)), "cut off")
             await watch.wish(2, machine)
@@ -417,7 +421,7 @@
             for one in rest:
                 await watch.until_used(machine, one)
             assert watch.cleared == []
-            tier.heal()
+            tier.heal_partition()
             await watch.work(5, machine)
             await watch.until_over("disk", range(6))
         assert watch.cleared == [machine]
@@ -433,13 +437,13 @@
         async with watched(3, 3) as (tier, watch):
             deaf = await watch.until_led(*range(3))
             others = [one for one in range(3) if one != deaf]
-            tier.cut({deaf}, others, both=False)
+            tier.partition({deaf}, others, both_ways=False)
             await watch.until_led(*others)
             await watch.until(lambda: not watch.seen[deaf]["leading"], "it gives way")
             await watch.wish(others[0], "s-0")
             await watch.until(lambda: watch.missing("s-0") == [deaf], "its word does not come")
             assert watch.cleared == []
-            tier.heal()
+            tier.heal_partition()
             await watch.work(deaf, "s-0")
             await watch.until_over("disk", range(3))
         assert watch.cleared == ["s-0"]
@@ -459,7 +463,7 @@
             one, other = (n for n in range(3) if n != leader)
             bridge, ends = (leader, (one, other)) if leads else (one, (leader, other))
             machine = watch.used(other)
-            tier.cut({ends[0]}, {ends[1]})
+            tier.partition({ends[0]}, {ends[1]})
             await watch.wish(bridge, machine)
             if leads:
                 await watch.work(ends[1], machine)
@@ -467,7 +471,7 @@
                 await watch.until(lambda: watch.missing(machine) == [other], "the third is missed")
                 await watch.until_used(machine, other)
                 assert watch.cleared == [] and watch.seen[bridge]["accord"]["leader"] == leader
-                tier.heal()
+                tier.heal_partition()
                 await watch.work(other, machine)
             await watch.until_over("disk", range(3))
         assert watch.cleared == [machine]
@@ -506,12 +510,19 @@
 
     async def main() -> None:
         async with watched(5, 5, callers=1) as (tier, watch):
-            tier.change_weather(Weather(lose=0.1, double=0.1, turn=0.1, delay_us=(0, 20_000)))
+            tier.set_network_faults(
+                NetworkFaults(
+                    loss_probability=0.1,
+                    duplicate_probability=0.1,
+                    reorder_probability=0.1,
+                    delay_us=(0, 20_000),
+                )
+            )
             await watch.wish(0, "s-0", "s-1")
             await watch.work(1, "s-0")
             await watch.work(4, "s-1")
             await watch.until_over("disk", range(5))
-            assert sum(one.lost for one in tier.datagrams.ways.by_pair.values()) > 0
+            assert sum(one.lost_count for one in tier.datagrams.route_table.routes.values()) > 0
         assert watch.cleared == ["s-0", "s-1"]
         tier.check()
 
@@ -536,7 +547,7 @@
                 with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
                     async with asyncio.timeout(1.0):  # one that is paused does not answer
                         await self._turn(process, f"night-{self.rolled}")
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _turn(self, process: int, name: str) -> None:
         told = self.watch.seen.get(process)
@@ -559,7 +570,7 @@
             self._task.result()
 
 
-async def fault(tier: Tier, watch: Watch) -> None:
+async def fault(tier: ProcessTier, watch: Watch) -> None:
     """One, drawn, for some answers of those that are not hit; then none."""
     draw, numbers = tier.draw, range(len(tier.programs))
     what = draw.choice(["cut", "one way", "kill", "pause", "weather", "replace"])
@@ -573,12 +584,16 @@
     elif what == "pause":
         tier.pause(victim)
     elif what == "weather":
-        tier.change_weather(Weather(lose=0.2, double=0.2, turn=0.2, delay_us=(0, 50_000)))
+        tier.set_network_faults(
+            NetworkFaults(
+                loss_probability=0.2, duplicate_probability=0.2, reorder_probability=0.2, delay_us=(0, 50_000)
+            )
+        )
     else:
-        tier.cut(some, set(numbers) - some, both=what == "cut")
-    await watch.load.more(answers, *spared)
-    tier.heal()
-    tier.change_weather(Weather())
+        tier.partition(some, set(numbers) - some, both_ways=what == "cut")
+    await watch.load.wait_for_answers(answers, *spared)
+    tier.heal_partition()
+    tier.set_network_faults(NetworkFaults())
     if what == "kill":
         await tier.start(victim)
     elif what == "pause":
@@ -629,17 +644,17 @@
 @pytest.mark.parametrize("fault", [EARLY, UNTOLD], ids=["clear one confirmation early", "drain not told"])
 def test_a_program_with_a_fault_is_found(fault: str) -> None:
     async def main() -> None:
-        async with watched(3, 3, begin=("-c", fault)) as (tier, watch):
+        async with watched(3, 3, command_prefix=("-c", fault)) as (tier, watch):
             leader = await watch.until_led(*range(3))
             last = next(one for one in range(3) if one != leader)
             machine = watch.used(last)
             if fault is EARLY:
-                tier.cut({last}, set(range(3)) - {last})
+                tier.partition({last}, set(range(3)) - {last})
             await watch.wish(leader, machine)
             await watch.until(lambda: watch.cleared, "clear, which is untrue")
             await watch.until_used(machine, last)
-        assert {one.name for one in tier.violations()} == {SENT_AFTER_CLEAR}
-        with pytest.raises(AssertionError, match=f"{SENT_AFTER_CLEAR}: {machine} at process"):
+        assert {one.rule for one in tier.violations()} == {SENT_AFTER_DRAINED}
+        with pytest.raises(AssertionError, match=f"{SENT_AFTER_DRAINED}: {machine} at process"):
             tier.check()
 
     play(main())
