--- a/laurelstep/testing/contracts/base.py
+++ b/laurelstep/testing/contracts/base.py
@@ -1,4 +1,4 @@
-"""What the contracts share: running without pytest, and waiting that ends."""
+"""Base of the contracts: running without pytest, and waits that end."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class Contract:
-    """Tests are the methods named `test_...`; each makes what it needs anew."""
+    """Tests are the methods named `test_...`; each sets up what it needs anew."""
 
-    # How long a wait for something that was promised lasts before it counts as broken, seconds.
-    patience_s: ClassVar[float] = 10.0
+    # How long a test waits for what a rule promises before it counts as broken.
+    timeout_s: ClassVar[float] = 10.0
 
     def failures(self) -> dict[str, Exception]:
-        """Run every test; what failed, by its name. Empty where the contract is kept."""
+        """Run every test; the errors by test name. Empty where the contract holds."""
         found: dict[str, Exception] = {}
         for name in dir(self):
             if name.startswith("test_"):
@@ -28,12 +28,12 @@
         return found
 
     def new_loop(self) -> asyncio.AbstractEventLoop:
-        """The loop that each test runs on; another kind where that matters."""
+        """The loop that each test runs on. Override it for another kind of loop."""
         return asyncio.new_event_loop()
 
     def run(self, test: Coroutine[Any, Any, None]) -> None:
-        """A test that needs an event loop, on one of its own. Fails with what a callback raised, too:
-        the loop would only log it."""
+        """Run a test on an event loop of its own. An error in a callback, which a loop would only log, fails
+        it too."""
         raised: list[BaseException] = []
 
         def note(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
@@ -41,8 +41,8 @@
 
         async def limited() -> None:
             asyncio.get_running_loop().set_exception_handler(note)
-            # The tests' own waits end first and say what they waited for.
-            async with asyncio.timeout(3 * self.patience_s):
+            # The tests' own waits end first, and name what they waited for.
+            async with asyncio.timeout(3 * self.timeout_s):
                 await test
 
         with asyncio.Runner(loop_factory=self.new_loop) as runner:
@@ -52,18 +52,18 @@
                 if raised:
                     raise raised[0]
 
-    async def soon(self, awaited: Awaitable[T], what: str) -> T:
-        """What was promised, or AssertionError."""
+    async def wait_for(self, awaitable: Awaitable[T], what: str) -> T:
+        """The result of `awaitable`; AssertionError that names it if it takes longer than `timeout_s`."""
         try:
-            async with asyncio.timeout(self.patience_s):
-                return await awaited
+            async with asyncio.timeout(self.timeout_s):
+                return await awaitable
         except TimeoutError:
             raise AssertionError(f"never came: {what}") from None
 
 
 @contextmanager
 def raises(kind: type[BaseException] | tuple[type[BaseException], ...], what: str) -> Iterator[None]:
-    """AssertionError unless the block ends with such an error."""
+    """AssertionError unless the block ends with an error of this kind."""
     try:
         yield
     except kind:
@@ -71,7 +71,7 @@
     raise AssertionError(f"no error: {what}")
 
 
-async def turns(count: int = 10) -> None:
-    """Let what is ready on the loop run: for what must not happen, and needs no time to."""
+async def run_ready_callbacks(count: int = 10) -> None:
+    """Give the loop `count` turns, before a check that something did not happen."""
     for _ in range(count):
         await asyncio.sleep(0)
--- a/laurelstep/testing/contracts/clock.py
+++ b/laurelstep/testing/contracts/clock.py
@@ -1,4 +1,4 @@
-"""The engine's `Clock`: time that never goes back, and calls at a time."""
+"""Contract of the engine's `Clock`: monotonic time, and calls at a time."""
 
 from __future__ import annotations
 
@@ -8,35 +8,37 @@
 
 from laurelstep.engine.call import Handle
 from laurelstep.engine.ports import Clock
-from laurelstep.testing.contracts.base import Contract, turns
+from laurelstep.testing.contracts.base import Contract, run_ready_callbacks
 
-# Of a loop's timer, which counts milliseconds, both sides of a step.
-SPANS_US = (0, 1, 400, 999, 1_000, 1_001, 1_500, 2_999, 5_000)
+# Delays on both sides of a loop timer's step of one millisecond.
+DELAYS_US = (0, 1, 400, 999, 1_000, 1_001, 1_500, 2_999, 5_000)
 # Wall time is in µs: between the years 2001 and 2128.
-WALL_LEAST, WALL_MOST = 1_000_000_000_000_000, 5_000_000_000_000_000
+MIN_WALL_US, MAX_WALL_US = 1_000_000_000_000_000, 5_000_000_000_000_000
 
 
-class Running(Protocol):
-    """A clock on the running loop, and the passing of its time."""
+class RunningClock(Protocol):
+    """A clock on the running loop whose time the test can let pass."""
 
     clock: Clock
 
-    async def until(self, due: int) -> None:
-        """Let time pass `due`; all that came due by then has been called."""
+    async def advance_past(self, due: int) -> None:
+        """Let time pass `due`, µs, until all calls due by then have come."""
 
 
-class Calls:
-    """What was called, and at what time."""
+class CallLog:
+    """Calls that came, with the time of each."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.seen: list[tuple[int, object]] = []
+        self.calls: list[tuple[int, object]] = []
 
-    def call(self, what: object) -> None:
-        self.seen.append((self.clock.now(), what))
+    def record(self, what: object) -> None:
+        """Record a call with this argument."""
+        self.calls.append((self.clock.now(), what))
 
-    def names(self) -> list[object]:
-        return [what for _, what in self.seen]
+    def arguments(self) -> list[object]:
+        """The arguments of all calls, in order."""
+        return [what for _, what in self.calls]
 
 
 class ClockContract(Contract, ABC):
@@ -49,14 +51,14 @@
     """
 
     @abstractmethod
-    def running(self) -> AbstractAsyncContextManager[Running]:
-        """A clock on the loop that runs."""
+    def running_clock(self) -> AbstractAsyncContextManager[RunningClock]:
+        """A clock on the running loop."""
 
     def test_now_never_goes_back(self) -> None:
         async def main() -> None:
-            async with self.running() as one:
+            async with self.running_clock() as one:
                 seen = [one.clock.now() for _ in range(1_000)]
-                await one.until(seen[0] + 2_000)
+                await one.advance_past(seen[0] + 2_000)
                 seen += [one.clock.now() for _ in range(1_000)]
                 assert all(type(now) is int for now in seen)
                 assert seen == sorted(seen)
@@ -66,70 +68,71 @@
 
     def test_wall_is_unix_time_in_microseconds(self) -> None:
         async def main() -> None:
-            async with self.running() as one:
+            async with self.running_clock() as one:
                 wall = one.clock.wall()
-                assert type(wall) is int and WALL_LEAST < wall < WALL_MOST
+                assert type(wall) is int and MIN_WALL_US < wall < MAX_WALL_US
 
         self.run(main())
 
     def test_calls_come_once_and_never_before_their_time(self) -> None:
         async def main() -> None:
-            async with self.running() as one:
-                calls = Calls(one.clock)
+            async with self.running_clock() as one:
+                calls = CallLog(one.clock)
                 begin = one.clock.now()
-                for span in SPANS_US:
-                    one.clock.at(begin + span, calls.call, begin + span)
-                await one.until(begin + max(SPANS_US))
-                assert sorted(calls.names(), key=str) == sorted((begin + span for span in SPANS_US), key=str)
-                assert all(isinstance(due, int) and at >= due for at, due in calls.seen), calls.seen
+                for delay in DELAYS_US:
+                    one.clock.at(begin + delay, calls.record, begin + delay)
+                await one.advance_past(begin + max(DELAYS_US))
+                expected = sorted((begin + delay for delay in DELAYS_US), key=str)
+                assert sorted(calls.arguments(), key=str) == expected
+                assert all(isinstance(due, int) and at >= due for at, due in calls.calls), calls.calls
 
         self.run(main())
 
     def test_a_time_that_has_passed_is_soon_but_not_at_once(self) -> None:
         async def main() -> None:
-            async with self.running() as one:
-                calls = Calls(one.clock)
-                one.clock.at(one.clock.now() - 1_000_000, calls.call, "past")
-                one.clock.at(one.clock.now(), calls.call, "now")
-                assert calls.seen == [], "called before `at` has returned"
-                await one.until(one.clock.now() + 1_000)
-                assert sorted(calls.names(), key=str) == ["now", "past"]
+            async with self.running_clock() as one:
+                calls = CallLog(one.clock)
+                one.clock.at(one.clock.now() - 1_000_000, calls.record, "past")
+                one.clock.at(one.clock.now(), calls.record, "now")
+                assert calls.calls == [], "called before `at` has returned"
+                await one.advance_past(one.clock.now() + 1_000)
+                assert sorted(calls.arguments(), key=str) == ["now", "past"]
 
         self.run(main())
 
     def test_a_call_may_ask_for_the_next(self) -> None:
         async def main() -> None:
-            async with self.running() as one:
-                calls = Calls(one.clock)
+            async with self.running_clock() as one:
+                calls = CallLog(one.clock)
                 begin = one.clock.now()
 
                 def again(left: int) -> None:
-                    calls.call(left)
+                    calls.record(left)
                     if left:
                         one.clock.at(one.clock.now() + 700, again, left - 1)
 
                 one.clock.at(begin + 700, again, 3)
                 for _ in range(8):  # a later call may be later than asked for
-                    await one.until(one.clock.now() + 1_500)
-                assert calls.names() == [3, 2, 1, 0]
-                assert [at for at, _ in calls.seen] == sorted(at for at, _ in calls.seen)
-                assert calls.seen[-1][0] >= begin + 4 * 700
+                    await one.advance_past(one.clock.now() + 1_500)
+                assert calls.arguments() == [3, 2, 1, 0]
+                assert [at for at, _ in calls.calls] == sorted(at for at, _ in calls.calls)
+                assert calls.calls[-1][0] >= begin + 4 * 700
 
         self.run(main())
 
     def test_a_cancelled_call_never_comes(self) -> None:
         async def main() -> None:
-            async with self.running() as one:
-                calls = Calls(one.clock)
+            async with self.running_clock() as one:
+                calls = CallLog(one.clock)
                 begin = one.clock.now()
-                handles = [one.clock.at(begin + span, calls.call, span) for span in SPANS_US]
-                one.clock.at(begin + 1_200, calls.call, "kept")
+                handles = [one.clock.at(begin + delay, calls.record, delay) for delay in DELAYS_US]
+                one.clock.at(begin + 1_200, calls.record, "kept")
                 for handle in handles:
                     handle.cancel()
                     handle.cancel()
-                await one.until(begin + max(SPANS_US))
-                await turns()
-                assert calls.names() == ["kept"]
+                await one.advance_past(begin + max(DELAYS_US))
+                await run_ready_callbacks()
+                assert calls.arguments() == ["kept"]
 
         self.run(main())
 
@@ -137,35 +140,35 @@
         """Guards against a timer that woke early and was set anew behind its handle."""
 
         async def main() -> None:
-            async with self.running() as one:
-                calls = Calls(one.clock)
+            async with self.running_clock() as one:
+                calls = CallLog(one.clock)
                 late: list[Handle] = []
                 due = one.clock.now() + 4_000
                 for early in (900, 600, 300, 100, 1):
-                    late.append(one.clock.at(due, calls.call, early))
+                    late.append(one.clock.at(due, calls.record, early))
 
                     def cancel(handle: Handle = late[-1], early: int = early) -> None:
-                        if one.clock.now() < due and early not in calls.names():
+                        if one.clock.now() < due and early not in calls.arguments():
                             handle.cancel()
                             cancelled.add(early)
 
                     one.clock.at(due - early, cancel)
                 cancelled: set[int] = set()
-                await one.until(due + 2_000)
-                assert cancelled.isdisjoint({what for what in calls.names() if isinstance(what, int)})
-                assert len(cancelled) + len(calls.seen) == 5
+                await one.advance_past(due + 2_000)
+                assert cancelled.isdisjoint({what for what in calls.arguments() if isinstance(what, int)})
+                assert len(cancelled) + len(calls.calls) == 5
 
         self.run(main())
 
     def test_cancelling_what_was_called_does_nothing(self) -> None:
         async def main() -> None:
-            async with self.running() as one:
-                calls = Calls(one.clock)
-                handle = one.clock.at(one.clock.now(), calls.call, "one")
-                await one.until(one.clock.now() + 1_000)
+            async with self.running_clock() as one:
+                calls = CallLog(one.clock)
+                handle = one.clock.at(one.clock.now(), calls.record, "one")
+                await one.advance_past(one.clock.now() + 1_000)
                 handle.cancel()
-                one.clock.at(one.clock.now(), calls.call, "two")
-                await one.until(one.clock.now() + 1_000)
-                assert calls.names() == ["one", "two"]
+                one.clock.at(one.clock.now(), calls.record, "two")
+                await one.advance_past(one.clock.now() + 1_000)
+                assert calls.arguments() == ["one", "two"]
 
         self.run(main())
--- a/laurelstep/testing/contracts/disk.py
+++ b/laurelstep/testing/contracts/disk.py
@@ -1,4 +1,4 @@
-"""The store's `Disk`: a folder's files, one owner, and what is left when power fails."""
+"""Contract of the store's `Disk`: a folder's files, one owner, and what a loss of power leaves."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from laurelstep.testing.contracts.base import Contract, raises
 
 # More files than any implementation may keep open at a time.
-MANY = 40
+MANY_FILES = 40
 
 
 class DiskContract(Contract, ABC):
@@ -23,7 +23,7 @@
     """
 
     @abstractmethod
-    def empty(self) -> AbstractContextManager[Callable[[], Disk]]:
+    def empty_folder(self) -> AbstractContextManager[Callable[[], Disk]]:
         """An empty folder: each call of what it gives is another opener of that folder."""
 
     def after_power_loss(self, disk: Disk, opener: Callable[[], Disk]) -> Disk:
@@ -32,8 +32,9 @@
         return opener()
 
     @contextmanager
-    def owned(self) -> Iterator[Disk]:
-        with self.empty() as opener:
+    def locked_disk(self) -> Iterator[Disk]:
+        """A disk on an empty folder, locked until the end of the block."""
+        with self.empty_folder() as opener:
             disk = opener()
             disk.lock()
             try:
@@ -42,9 +43,9 @@
                 disk.close()
 
     @contextmanager
-    def powered(self) -> Iterator[tuple[Disk, Callable[[], Disk]]]:
-        """A disk, and what gives the one after power was lost (called once)."""
-        with self.empty() as opener:
+    def disk_with_power(self) -> Iterator[tuple[Disk, Callable[[], Disk]]]:
+        """A locked disk, and a function that gives the one after a loss of power (call it once)."""
+        with self.empty_folder() as opener:
             disk = opener()
             disk.lock()
             yield disk, lambda: self._next_start(disk, opener)
@@ -57,18 +58,18 @@
     # --- 1. Reading and writing ---------------------------------------------------------
 
     def test_a_new_folder_holds_no_file_not_even_that_of_its_lock(self) -> None:
-        with self.owned() as disk:
+        with self.locked_disk() as disk:
             assert disk.files() == {}
 
     def test_a_file_is_created_with_its_bytes(self) -> None:
-        with self.owned() as disk:
+        with self.locked_disk() as disk:
             disk.create("one", b"0123456789")
             disk.create("none", b"")
             assert disk.files() == {"one": 10, "none": 0}
             assert (disk.read("one"), disk.read("none")) == (b"0123456789", b"")
 
     def test_a_part_is_read_and_no_more_than_there_is(self) -> None:
-        with self.owned() as disk:
+        with self.locked_disk() as disk:
             disk.create("one", b"0123456789")
             assert disk.read("one", 4) == b"456789"
             assert disk.read("one", 4, 3) == b"456"
@@ -77,7 +78,7 @@
             assert disk.read("one", 10, 5) == b"" == disk.read("one", 12)
 
     def test_a_write_lands_at_its_place(self) -> None:
-        with self.owned() as disk:
+        with self.locked_disk() as disk:
             disk.create("one", b"0123456789")
             disk.write("one", 3, b"abc")
             assert disk.read("one") == b"012abc6789"
@@ -85,26 +86,26 @@
             assert (disk.read("one"), disk.files()) == (b"012abc67xyz", {"one": 11})
 
     def test_a_gap_is_zeros(self) -> None:
-        with self.owned() as disk:
+        with self.locked_disk() as disk:
             disk.create("one", b"ab")
             disk.write("one", 5, b"c")
             assert disk.read("one") == b"ab\0\0\0c"
 
     def test_a_large_write_is_whole(self) -> None:
         data = bytes(range(256)) * 8192
-        with self.owned() as disk:
+        with self.locked_disk() as disk:
             disk.create("one", b"")
             disk.write("one", 1, data)
             assert disk.read("one") == b"\0" + data
 
     def test_created_again_it_is_another_file(self) -> None:
-        with self.owned() as disk:
+        with self.locked_disk() as disk:
             disk.create("one", b"a long one")
             disk.create("one", b"short")
             assert (disk.read("one"), disk.files()) == (b"short", {"one": 5})
 
     def test_a_cut_leaves_the_beginning(self) -> None:
-        with self.owned() as disk:
+        with self.locked_disk() as disk:
             disk.create("one", b"0123456789")
             disk.cut("one", 4)
             assert (disk.read("one"), disk.files()) == (b"0123", {"one": 4})
@@ -112,7 +113,7 @@
             assert disk.read("one") == b"0123x"
 
     def test_a_renamed_file_takes_the_others_place(self) -> None:
-        with self.owned() as disk:
+        with self.locked_disk() as disk:
             disk.create("old", b"of old")
             disk.create("new", b"of new")
             assert disk.read("new") == b"of new"
@@ -123,7 +124,7 @@
             assert disk.read("new") == b"Of old!"
 
     def test_a_deleted_file_is_gone_and_may_come_anew(self) -> None:
-        with self.owned() as disk:
+        with self.locked_disk() as disk:
             disk.create("one", b"first")
             disk.delete("one")
             assert disk.files() == {}
@@ -134,19 +135,19 @@
             assert disk.read("one") == b"second"
 
     def test_many_files_are_used_in_turn(self) -> None:
-        with self.owned() as disk:
-            for n in range(MANY):
+        with self.locked_disk() as disk:
+            for n in range(MANY_FILES):
                 disk.create(f"f{n}", b"%d" % n)
-            for n in range(MANY):
+            for n in range(MANY_FILES):
                 disk.write(f"f{n}", 2, b"+")
-            assert [disk.read(f"f{n}") for n in range(MANY)] == [
-                (b"%d" % n).ljust(2, b"\0") + b"+" for n in range(MANY)
+            assert [disk.read(f"f{n}") for n in range(MANY_FILES)] == [
+                (b"%d" % n).ljust(2, b"\0") + b"+" for n in range(MANY_FILES)
             ]
 
     # --- 2. What is not there -------------------------------------------------------------
 
     def test_what_is_not_there_is_an_error_of_the_system(self) -> None:
-        with self.owned() as disk:
+        with self.locked_disk() as disk:
             with raises(FileNotFoundError, "a read of no file"):
                 disk.read("none")
             with raises(OSError, "a write to no file"):
@@ -162,7 +163,7 @@
     # --- 3. One owner ---------------------------------------------------------------------
 
     def test_a_second_owner_is_refused_until_the_first_has_closed(self) -> None:
-        with self.empty() as opener:
+        with self.empty_folder() as opener:
             first, second = opener(), opener()
             first.lock()
             first.create("one", b"kept")
@@ -183,7 +184,7 @@
     # --- 4. Power -------------------------------------------------------------------------
 
     def test_a_created_file_is_there_once_its_folder_is_synced(self) -> None:
-        with self.powered() as (disk, next_start):
+        with self.disk_with_power() as (disk, next_start):
             disk.create("one", b"whole")
             disk.sync_folder()
             later = next_start()
@@ -191,7 +192,7 @@
             later.close()
 
     def test_a_created_file_is_whole_or_not_there(self) -> None:
-        with self.powered() as (disk, next_start):
+        with self.disk_with_power() as (disk, next_start):
             disk.create("one", b"x" * 100)
             later = next_start()
             assert later.files() in ({}, {"one": 100})
@@ -199,7 +200,7 @@
             later.close()
 
     def test_synced_bytes_stay(self) -> None:
-        with self.powered() as (disk, next_start):
+        with self.disk_with_power() as (disk, next_start):
             disk.create("one", b"0123456789")
             disk.sync_folder()
             disk.write("one", 2, b"ab")
@@ -212,7 +213,7 @@
             later.close()
 
     def test_a_cut_stays(self) -> None:
-        with self.powered() as (disk, next_start):
+        with self.disk_with_power() as (disk, next_start):
             disk.create("one", b"0123456789")
             disk.sync_folder()
             disk.write("one", 0, b"ab")
@@ -222,7 +223,7 @@
             later.close()
 
     def test_a_rename_and_a_deletion_stay_once_the_folder_is_synced(self) -> None:
-        with self.powered() as (disk, next_start):
+        with self.disk_with_power() as (disk, next_start):
             disk.create("manifest", b"old")
             disk.create("spare", b"spare")
             disk.sync_folder()
@@ -235,7 +236,7 @@
             later.close()
 
     def test_a_rename_not_yet_synced_is_the_old_file_or_the_new_one(self) -> None:
-        with self.powered() as (disk, next_start):
+        with self.disk_with_power() as (disk, next_start):
             disk.create("manifest", b"old")
             disk.sync_folder()
             disk.create("manifest.new", b"new one")
--- a/laurelstep/testing/contracts/outbox.py
+++ b/laurelstep/testing/contracts/outbox.py
@@ -1,4 +1,4 @@
-"""The store of kept writes: what was told as kept must survive, and nothing else come about."""
+"""Contract of the store of queued writes: what was acknowledged survives, and nothing else appears."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from laurelstep.outbox.options import CHUNK
 from laurelstep.outbox.store import Loaded
 from laurelstep.store.disk import StoreError
-from laurelstep.testing.contracts.base import Contract, raises, turns
+from laurelstep.testing.contracts.base import Contract, raises, run_ready_callbacks
 
 LINE: Final = Line("studio-1", 7)
-# Of bodies: none, one part, its bound, and several parts.
-SIZES: Final = (0, 1, 65_536, 65_537, 400_000)
+# Body lengths: empty, one part, the limits of a part, several parts.
+BODY_SIZES: Final = (0, 1, 65_536, 65_537, 400_000)
 # Turns of the loop after which the crash comes.
-CRASHES: Final = (0, 1, 2, 3, 5, 8, 13, 30)
+CRASH_TURNS: Final = (0, 1, 2, 3, 5, 8, 13, 30)
 
 
 class WriteStore(Protocol):
-    """What the outbox's driver asks of it."""
+    """What the outbox's driver needs of its store."""
 
     async def load(self) -> Loaded: ...
     async def keep(self, write: KeptWrite, body: bytes) -> None: ...
@@ -40,26 +40,29 @@
     async def put_lines(self, lines: Mapping[Line, int]) -> None: ...
 
 
-class Lives(Protocol):
-    """One process after another on what is kept."""
+class WriteStoreIncarnations(Protocol):
+    """One process after another on one durable store."""
 
     @property
     def store(self) -> WriteStore: ...
 
-    async def restart(self) -> None: ...
+    async def restart(self) -> None:
+        """Close the store in order; the next process opens it."""
 
     async def crash(self) -> None:
-        """Without power: what is not durable may be lost."""
+        """Lose power: what is not durable may be lost; the next process opens the store."""
 
-    def break_(self) -> None:
-        """From now on, until the next process, nothing can be written."""
+    def fail_writes(self) -> None:
+        """Let all writes fail until the next process."""
 
 
 def dot_of(number: int) -> Dot:
+    """The id of the write with this number."""
     return Dot(*LINE, number)
 
 
 def write_of(number: int, size: int) -> KeptWrite:
+    """A queued write with a body of this many bytes."""
     return KeptWrite(
         dot=dot_of(number), cls="upload", start=b"POST /upload", headers=((b"x-request-id", b"%d" % number),),
         size=size, digest=b"d" * 16, keyed=True, key=b"k%d" % number, session=b"", obj=b"", tenant="",
@@ -68,20 +71,22 @@
 
 
 def body_of(number: int, size: int) -> bytes:
+    """At least `size` bytes that differ from write to write."""
     return bytes((number + at) % 251 for at in range(251)) * (size // 251 + 1) if size else b""
 
 
-def made(number: int, size: int) -> tuple[KeptWrite, bytes]:
+def write_with_body(number: int, size: int) -> tuple[KeptWrite, bytes]:
+    """A queued write and its body."""
     return write_of(number, size), body_of(number, size)[:size]
 
 
 def parts_of(body: bytes) -> list[bytes]:
-    """All of a body, its first part too."""
+    """A body in parts, the first among them."""
     return [body[at : at + CHUNK] for at in range(0, len(body), CHUNK)]
 
 
-async def keep_in_parts(store: WriteStore, write: KeptWrite, body: bytes) -> None:
-    """As a body that is still coming is kept: two parts at a time, the head last."""
+async def store_in_parts(store: WriteStore, write: KeptWrite, body: bytes) -> None:
+    """Store a write as one whose body is still arriving: two parts at a time, the head last."""
     parts = parts_of(body)
     for at in range(1, len(parts), 2):
         await store.put_parts(write.dot, at, parts[at : at + 2])
@@ -89,190 +94,190 @@
 
 
 def as_loaded(write: KeptWrite) -> KeptWrite:
-    """Without what only a replay needs."""
+    """The write as `load` gives it: without what only a replay needs."""
     return replace(write, start=b"", headers=(), digest=b"")
 
 
 class WriteStoreContract(Contract, ABC):
     """The rules:
 
-    1. A write that was kept is found by each next life, with its body, whatever befell the one before. What
-       only a replay needs is not loaded with it.
-    2. Of one that was not told as kept, a later life finds all or nothing.
-    3. The last state that was written holds, and is loaded without its answer's headers and body. A final one
-       ends the write's body; the head and the state stay.
-    4. What was forgotten is gone.
-    5. Nothing is kept on a disk that fails, and what was kept before can still be read.
-    6. A body may be kept part by part: with its head the write is as any; without it no life finds it, and
-       what there is of it can be forgotten.
+    1. Each later process finds an acknowledged write with its body, however the earlier one ended. What only
+       a replay needs is not loaded with it.
+    2. Of a write that was not acknowledged a later process finds all or nothing.
+    3. The last state that was written holds, and is loaded without its answer's headers and body. A final
+       state deletes the write's body; the head and the state stay.
+    4. A forgotten write is gone.
+    5. A write on a failing disk ends with an error, and what was stored before can still be read.
+    6. A body may be stored part by part: with its head the write is complete; without it no process finds the
+       write, and its parts can be forgotten.
     """
 
     @abstractmethod
-    def lives(self) -> AbstractAsyncContextManager[Lives]:
-        """A first process, with nothing kept."""
+    def incarnations(self) -> AbstractAsyncContextManager[WriteStoreIncarnations]:
+        """A first process on an empty store."""
 
     def test_a_kept_write_is_found_with_its_body(self) -> None:
         async def main() -> None:
-            async with self.lives() as lives:
-                assert (await lives.store.load()).writes == []
-                for number, size in enumerate(SIZES, start=1):
-                    await lives.store.keep(*made(number, size))
-                for restart in (lives.restart, lives.crash):
+            async with self.incarnations() as incarnations:
+                assert (await incarnations.store.load()).writes == []
+                for number, size in enumerate(BODY_SIZES, start=1):
+                    await incarnations.store.keep(*write_with_body(number, size))
+                for restart in (incarnations.restart, incarnations.crash):
                     await restart()
-                    found = await lives.store.load()
+                    found = await incarnations.store.load()
                     assert [one for one, _ in found.writes] == [
-                        as_loaded(write_of(number, size)) for number, size in enumerate(SIZES, start=1)
+                        as_loaded(write_of(number, size)) for number, size in enumerate(BODY_SIZES, start=1)
                     ]
-                    assert found.lines == {LINE: len(SIZES)}
-                    for number, size in enumerate(SIZES, start=1):
-                        assert await lives.store.read(dot_of(number)) == made(number, size)
+                    assert found.lines == {LINE: len(BODY_SIZES)}
+                    for number, size in enumerate(BODY_SIZES, start=1):
+                        assert await incarnations.store.read(dot_of(number)) == write_with_body(number, size)
 
         self.run(main())
 
     def test_a_crash_leaves_all_of_a_write_or_nothing(self) -> None:
         async def main() -> None:
-            for crash in CRASHES:
-                async with self.lives() as lives:
-                    await lives.store.load()
-                    await lives.store.keep(*made(1, 10))
-                    keeping = asyncio.create_task(lives.store.keep(*made(2, 200_000)))
-                    await turns(crash)
+            for crash in CRASH_TURNS:
+                async with self.incarnations() as incarnations:
+                    await incarnations.store.load()
+                    await incarnations.store.keep(*write_with_body(1, 10))
+                    keeping = asyncio.create_task(incarnations.store.keep(*write_with_body(2, 200_000)))
+                    await run_ready_callbacks(crash)
                     told = keeping.done() and keeping.exception() is None
-                    await lives.crash()
+                    await incarnations.crash()
                     keeping.cancel()
                     await asyncio.gather(keeping, return_exceptions=True)
-                    found = [one.dot.number for one, _ in (await lives.store.load()).writes]
+                    found = [one.dot.number for one, _ in (await incarnations.store.load()).writes]
                     assert found in ([1], [1, 2]) and (not told or 2 in found), f"{found} after {crash}"
                     for number, size in zip(found, (10, 200_000), strict=False):
-                        assert await lives.store.read(dot_of(number)) == made(number, size)
+                        assert await incarnations.store.read(dot_of(number)) == write_with_body(number, size)
 
         self.run(main())
 
     def test_the_last_state_holds_and_a_final_one_ends_the_body(self) -> None:
         async def main() -> None:
-            async with self.lives() as lives:
-                await lives.store.load()
+            async with self.incarnations() as incarnations:
+                await incarnations.store.load()
                 for number in (1, 2):
-                    await lives.store.keep(*made(number, 100_000))
+                    await incarnations.store.keep(*write_with_body(number, 100_000))
                 out = Moved(dot_of(1), State.OUT)
                 done = Moved(dot_of(1), State.DONE, status=200, body=b"ok")
-                await lives.store.move(out)
-                await lives.store.move(Moved(dot_of(2), State.OUT))
-                await lives.store.move(done)
-                for restart in (lives.restart, lives.crash):
+                await incarnations.store.move(out)
+                await incarnations.store.move(Moved(dot_of(2), State.OUT))
+                await incarnations.store.move(done)
+                for restart in (incarnations.restart, incarnations.crash):
                     await restart()
-                    found = {one.dot.number: moved for one, moved in (await lives.store.load()).writes}
+                    found = {one.dot.number: moved for one, moved in (await incarnations.store.load()).writes}
                     assert found == {1: replace(done, body=b""), 2: Moved(dot_of(2), State.OUT)}
-                    assert await lives.store.moved(dot_of(1)) == done
-                    assert await lives.store.read(dot_of(2)) == made(2, 100_000)
+                    assert await incarnations.store.moved(dot_of(1)) == done
+                    assert await incarnations.store.read(dot_of(2)) == write_with_body(2, 100_000)
 
         self.run(main())
 
     def test_what_was_forgotten_is_gone_and_its_number_is_known(self) -> None:
         async def main() -> None:
-            async with self.lives() as lives:
-                await lives.store.load()
-                await lives.store.keep(*made(1, 200_000))
-                await lives.store.move(Moved(dot_of(1), State.PARKED))
-                await lives.store.put_lines({LINE: 9})
-                assert await lives.store.forget(dot_of(1), 200_000)
-                assert await lives.store.read(dot_of(1)) is None
-                await lives.restart()
-                found = await lives.store.load()
+            async with self.incarnations() as incarnations:
+                await incarnations.store.load()
+                await incarnations.store.keep(*write_with_body(1, 200_000))
+                await incarnations.store.move(Moved(dot_of(1), State.PARKED))
+                await incarnations.store.put_lines({LINE: 9})
+                assert await incarnations.store.forget(dot_of(1), 200_000)
+                assert await incarnations.store.read(dot_of(1)) is None
+                await incarnations.restart()
+                found = await incarnations.store.load()
                 assert found.writes == [] and found.lines == {LINE: 9}
-                assert await lives.store.moved(dot_of(1)) is None
+                assert await incarnations.store.moved(dot_of(1)) is None
 
         self.run(main())
 
     def test_nothing_is_kept_on_a_disk_that_fails(self) -> None:
         async def main() -> None:
-            async with self.lives() as lives:
-                await lives.store.load()
-                await lives.store.keep(*made(1, 100_000))
-                lives.break_()
+            async with self.incarnations() as incarnations:
+                await incarnations.store.load()
+                await incarnations.store.keep(*write_with_body(1, 100_000))
+                incarnations.fail_writes()
                 with raises(StoreError, "a write on a disk that fails"):
-                    await lives.store.keep(*made(2, 200_000))
+                    await incarnations.store.keep(*write_with_body(2, 200_000))
                 with raises(StoreError, "a state on a disk that fails"):
-                    await lives.store.move(Moved(dot_of(1), State.OUT))
-                assert await lives.store.read(dot_of(1)) == made(1, 100_000)
-                assert await lives.store.read(dot_of(2)) is None
-                await lives.restart()
-                found = [one.dot.number for one, _ in (await lives.store.load()).writes]
+                    await incarnations.store.move(Moved(dot_of(1), State.OUT))
+                assert await incarnations.store.read(dot_of(1)) == write_with_body(1, 100_000)
+                assert await incarnations.store.read(dot_of(2)) is None
+                await incarnations.restart()
+                found = [one.dot.number for one, _ in (await incarnations.store.load()).writes]
                 assert found in ([1], [1, 2])
 
         self.run(main())
 
     def test_a_body_kept_part_by_part_is_found_with_its_head(self) -> None:
         async def main() -> None:
-            async with self.lives() as lives:
-                await lives.store.load()
-                write, body = made(1, 400_000)
+            async with self.incarnations() as incarnations:
+                await incarnations.store.load()
+                write, body = write_with_body(1, 400_000)
                 parts = parts_of(body)
                 for at in range(1, len(parts), 2):
-                    await lives.store.put_parts(write.dot, at, parts[at : at + 2])
-                    assert await lives.store.read(write.dot) is None
-                await lives.store.put_head(write, parts[0])
-                for restart in (lives.restart, lives.crash):
-                    assert await lives.store.head(write.dot) == (write, parts[0])
-                    found = [await lives.store.part(write.dot, at) for at in range(1, len(parts))]
+                    await incarnations.store.put_parts(write.dot, at, parts[at : at + 2])
+                    assert await incarnations.store.read(write.dot) is None
+                await incarnations.store.put_head(write, parts[0])
+                for restart in (incarnations.restart, incarnations.crash):
+                    assert await incarnations.store.head(write.dot) == (write, parts[0])
+                    found = [await incarnations.store.part(write.dot, at) for at in range(1, len(parts))]
                     assert found == parts[1:]
-                    assert await lives.store.read(write.dot) == (write, body)
+                    assert await incarnations.store.read(write.dot) == (write, body)
                     await restart()
-                    assert [one for one, _ in (await lives.store.load()).writes] == [as_loaded(write)]
+                    assert [one for one, _ in (await incarnations.store.load()).writes] == [as_loaded(write)]
 
         self.run(main())
 
     def test_parts_without_a_head_are_nothing(self) -> None:
         async def main() -> None:
-            async with self.lives() as lives:
-                await lives.store.load()
-                write, body = made(1, 400_000)
-                await lives.store.put_parts(write.dot, 1, parts_of(body)[1:])
-                assert await lives.store.head(write.dot) is None
-                await lives.crash()
-                assert (await lives.store.load()).writes == []
+            async with self.incarnations() as incarnations:
+                await incarnations.store.load()
+                write, body = write_with_body(1, 400_000)
+                await incarnations.store.put_parts(write.dot, 1, parts_of(body)[1:])
+                assert await incarnations.store.head(write.dot) is None
+                await incarnations.crash()
+                assert (await incarnations.store.load()).writes == []
                 with raises(StoreError, "a part of a write that was never kept"):
-                    await lives.store.part(write.dot, 1)
-                await lives.store.put_parts(write.dot, 1, parts_of(body)[1:3])
-                assert await lives.store.forget(write.dot, len(body))
+                    await incarnations.store.part(write.dot, 1)
+                await incarnations.store.put_parts(write.dot, 1, parts_of(body)[1:3])
+                assert await incarnations.store.forget(write.dot, len(body))
                 with raises(StoreError, "a part that was forgotten"):
-                    await lives.store.part(write.dot, 1)
+                    await incarnations.store.part(write.dot, 1)
 
         self.run(main())
 
     def test_a_crash_in_a_body_kept_part_by_part_leaves_all_or_nothing(self) -> None:
         async def main() -> None:
-            for crash in CRASHES:
-                async with self.lives() as lives:
-                    await lives.store.load()
-                    write, body = made(1, 400_000)
-                    keeping = asyncio.create_task(keep_in_parts(lives.store, write, body))
-                    await turns(crash)
+            for crash in CRASH_TURNS:
+                async with self.incarnations() as incarnations:
+                    await incarnations.store.load()
+                    write, body = write_with_body(1, 400_000)
+                    keeping = asyncio.create_task(store_in_parts(incarnations.store, write, body))
+                    await run_ready_callbacks(crash)
                     told = keeping.done() and keeping.exception() is None
-                    await lives.crash()
+                    await incarnations.crash()
                     keeping.cancel()
                     await asyncio.gather(keeping, return_exceptions=True)
-                    found = [one for one, _ in (await lives.store.load()).writes]
+                    found = [one for one, _ in (await incarnations.store.load()).writes]
                     assert found in ([], [as_loaded(write)]) and (not told or found), f"{found} after {crash}"
-                    assert await lives.store.read(write.dot) == ((write, body) if found else None)
+                    assert await incarnations.store.read(write.dot) == ((write, body) if found else None)
 
         self.run(main())
 
     def test_no_part_and_no_head_is_kept_on_a_disk_that_fails(self) -> None:
         async def main() -> None:
-            async with self.lives() as lives:
-                await lives.store.load()
-                write, body = made(1, 100_000)
+            async with self.incarnations() as incarnations:
+                await incarnations.store.load()
+                write, body = write_with_body(1, 100_000)
                 parts = parts_of(body)
-                await lives.store.put_parts(write.dot, 1, parts[1:])
-                lives.break_()
+                await incarnations.store.put_parts(write.dot, 1, parts[1:])
+                incarnations.fail_writes()
                 with raises(StoreError, "a part on a disk that fails"):
-                    await lives.store.put_parts(write.dot, 2, [b"x"])
+                    await incarnations.store.put_parts(write.dot, 2, [b"x"])
                 with raises(StoreError, "a head on a disk that fails"):
-                    await lives.store.put_head(write, parts[0])
-                assert await lives.store.read(write.dot) is None
-                await lives.restart()
-                found = [one for one, _ in (await lives.store.load()).writes]
+                    await incarnations.store.put_head(write, parts[0])
+                assert await incarnations.store.read(write.dot) is None
+                await incarnations.restart()
+                found = [one for one, _ in (await incarnations.store.load()).writes]
                 assert found in ([], [as_loaded(write)])
 
         self.run(main())
--- a/laurelstep/testing/contracts/store.py
+++ b/laurelstep/testing/contracts/store.py
@@ -9,51 +9,55 @@
 
 from laurelstep.accord.ports import Store
 from laurelstep.store.disk import StoreError
-from laurelstep.testing.contracts.base import Contract, raises, turns
+from laurelstep.testing.contracts.base import Contract, raises, run_ready_callbacks
 
-# Turns of the loop after which the crash comes: from before the write began until it may be over.
-CRASHES = (0, 1, 2, 3, 5, 8, 13, 30)
+# Turns of the loop before a crash: from before a write begins until it may be over.
+CRASH_TURNS = (0, 1, 2, 3, 5, 8, 13, 30)
 
 
-def left(write: asyncio.Future[None]) -> asyncio.Future[None]:
-    """A write whose end nobody may live to hear."""
+def abandoned(write: asyncio.Future[None]) -> asyncio.Future[None]:
+    """A write whose result nobody may be there to read."""
     write.add_done_callback(lambda one: None if one.cancelled() else one.exception())
     return write
 
 
-class Lives(Protocol):
-    """One process after another on what is kept, each with a store on the running loop."""
+class StoreIncarnations(Protocol):
+    """One process after another on one durable state, each with a store on the running loop."""
 
-    store: Store  # that of the process of now
+    store: Store  # the current process's
 
     async def restart(self) -> None:
-        """The process closes its store; the next one opens it."""
+        """Close the store; the next process opens it."""
 
     async def crash(self) -> None:
-        """The process dies, with its machine if the class can play that: what is not durable may be lost."""
+        """End the process, with its machine if the class can: what is not durable may be lost."""
 
 
-class BreakableLives(Lives, Protocol):
-    def break_(self) -> None:
-        """From now on, until the next process, nothing can be written."""
+class FaultyStoreIncarnations(StoreIncarnations, Protocol):
+    """The same with a store whose writes can fail."""
+
+    def fail_writes(self) -> None:
+        """Let all writes fail until the next process."""
 
 
 class StoreContract(Contract, ABC):
     """The rules:
 
-    1. `lasting` is the same in every life. At first there is nothing.
-    2. Where it is False every life begins with nothing, and a write is done when `write` returns.
-    3. Where it is True the next life finds what was written and reported, less what was deleted;
+    1. `lasting` is the same in every process. At first the store is empty.
+    2. Where it is False every process begins with an empty store, and a write is done when `write` returns.
+    3. Where it is True the next process finds what was written and reported, less what was deleted;
        the last of several writes holds, in the order of the calls.
-    4. A write needs no answer to the one before it, and its changes may name what is not there.
+    4. A write need not wait for the one before it, and may delete what is not there.
     """
 
     @abstractmethod
-    def lives(self) -> AbstractAsyncContextManager[Lives]:
-        """A first process, with nothing kept."""
+    def incarnations(self) -> AbstractAsyncContextManager[StoreIncarnations]:
+        """A first process on an empty store."""
 
-    async def found(self, lives: Lives, expected: dict[bytes, bytes]) -> None:
-        """In the next life, and the one after."""
+    async def assert_found_after_restarts(
+        self, lives: StoreIncarnations, expected: dict[bytes, bytes]
+    ) -> None:
+        """Check what the next two processes find."""
         lasting = lives.store.lasting
         for _ in range(2):
             await lives.restart()
@@ -62,57 +66,59 @@
 
     def test_at_first_there_is_nothing(self) -> None:
         async def main() -> None:
-            async with self.lives() as lives:
+            async with self.incarnations() as lives:
                 assert type(lives.store.lasting) is bool
                 assert await lives.store.load() == {}
-                await self.found(lives, {})
+                await self.assert_found_after_restarts(lives, {})
 
         self.run(main())
 
     def test_what_was_written_is_found_and_what_was_deleted_is_not(self) -> None:
         async def main() -> None:
-            async with self.lives() as lives:
-                await self.soon(lives.store.write({b"a": b"1", b"b": b"", b"c": bytes(5_000)}), "a write")
-                await self.soon(lives.store.write({b"a": None, b"none": None, b"d": b"4"}), "a write")
-                await self.found(lives, {b"b": b"", b"c": bytes(5_000), b"d": b"4"})
-                await self.soon(lives.store.write({b"b": None, b"d": b"5"}), "a write of the next life")
+            async with self.incarnations() as lives:
+                await self.wait_for(lives.store.write({b"a": b"1", b"b": b"", b"c": bytes(5_000)}), "a write")
+                await self.wait_for(lives.store.write({b"a": None, b"none": None, b"d": b"4"}), "a write")
+                await self.assert_found_after_restarts(lives, {b"b": b"", b"c": bytes(5_000), b"d": b"4"})
+                await self.wait_for(lives.store.write({b"b": None, b"d": b"5"}), "a write of the next life")
                 expected = {b"c": bytes(5_000), b"d": b"5"}
                 if not lives.store.lasting:
                     expected = {}
-                await self.found(lives, expected)
+                await self.assert_found_after_restarts(lives, expected)
 
         self.run(main())
 
     def test_no_change_is_written_too(self) -> None:
         async def main() -> None:
-            async with self.lives() as lives:
-                await self.soon(lives.store.write({}), "an empty write")
+            async with self.incarnations() as lives:
+                await self.wait_for(lives.store.write({}), "an empty write")
                 first = lives.store.write({b"a": b"1"})
-                await self.soon(lives.store.write({}), "an empty write behind another")
-                await self.soon(first, "a write before an empty one")
-                await self.found(lives, {b"a": b"1"})
+                await self.wait_for(lives.store.write({}), "an empty write behind another")
+                await self.wait_for(first, "a write before an empty one")
+                await self.assert_found_after_restarts(lives, {b"a": b"1"})
 
         self.run(main())
 
     def test_the_last_write_holds(self) -> None:
         async def main() -> None:
-            async with self.lives() as lives:
+            async with self.incarnations() as lives:
                 waiting = [
                     lives.store.write({b"last": b"%d" % n, b"n-%d" % n: b"x", b"n-%d" % (n - 3): None})
                     for n in range(50)
                 ]
                 for one in waiting:
-                    await self.soon(one, "one of many writes")
-                await self.found(lives, {b"last": b"49", **{b"n-%d" % n: b"x" for n in (47, 48, 49)}})
+                    await self.wait_for(one, "one of many writes")
+                await self.assert_found_after_restarts(
+                    lives, {b"last": b"49", **{b"n-%d" % n: b"x" for n in (47, 48, 49)}}
+                )
 
         self.run(main())
 
     def test_one_that_does_not_last_is_done_at_once(self) -> None:
         async def main() -> None:
-            async with self.lives() as lives:
+            async with self.incarnations() as lives:
                 done = lives.store.write({b"a": b"1"})
                 assert lives.store.lasting or done.done()
-                await self.soon(done, "a write")
+                await self.wait_for(done, "a write")
 
         self.run(main())
 
@@ -120,26 +126,26 @@
 class LastingStoreContract(StoreContract, ABC):
     """Further, for a store that lasts:
 
-    5. What was reported survives a crash. The changes of a call are found whole or not at all, and none
+    5. What was reported survives a crash. The changes of a call are found completely or not at all, and none
        without those of the calls before it.
-    6. What can't be written ends with StoreError, and takes nothing away that was reported.
+    6. A write that fails ends with StoreError, and loses nothing that was reported.
     """
 
     @abstractmethod
-    def lives(self) -> AbstractAsyncContextManager[BreakableLives]: ...
+    def incarnations(self) -> AbstractAsyncContextManager[FaultyStoreIncarnations]: ...
 
     def test_it_lasts(self) -> None:
         async def main() -> None:
-            async with self.lives() as lives:
+            async with self.incarnations() as lives:
                 assert lives.store.lasting
 
         self.run(main())
 
     def test_what_was_reported_survives_a_crash(self) -> None:
         async def main() -> None:
-            async with self.lives() as lives:
+            async with self.incarnations() as lives:
                 for n in range(5):
-                    await self.soon(lives.store.write({b"n": b"%d" % n, b"%d" % n: b"x"}), "a write")
+                    await self.wait_for(lives.store.write({b"n": b"%d" % n, b"%d" % n: b"x"}), "a write")
                     await lives.crash()
                     expected = {b"n": b"%d" % n, **{b"%d" % one: b"x" for one in range(n + 1)}}
                     assert await lives.store.load() == expected
@@ -148,12 +154,12 @@
 
     def test_a_call_is_found_whole_or_not_at_all(self) -> None:
         async def main() -> None:
-            for count in CRASHES:
-                async with self.lives() as lives:
+            for count in CRASH_TURNS:
+                async with self.incarnations() as lives:
                     keys = [b"%d" % n for n in range(20)]
-                    await self.soon(lives.store.write(dict.fromkeys(keys, b"old")), "a write")
-                    left(lives.store.write(dict.fromkeys(keys, b"new")))
-                    await turns(count)
+                    await self.wait_for(lives.store.write(dict.fromkeys(keys, b"old")), "a write")
+                    abandoned(lives.store.write(dict.fromkeys(keys, b"new")))
+                    await run_ready_callbacks(count)
                     await lives.crash()
                     found = await lives.store.load()
                     assert found in (dict.fromkeys(keys, b"old"), dict.fromkeys(keys, b"new")), count
@@ -162,11 +168,11 @@
 
     def test_no_call_is_found_without_those_before_it(self) -> None:
         async def main() -> None:
-            for count in CRASHES:
-                async with self.lives() as lives:
-                    await self.soon(lives.store.write({b"0": b"x"}), "a write")
-                    waiting = [left(lives.store.write({b"%d" % n: b"x"})) for n in range(1, 10)]
-                    await turns(count)
+            for count in CRASH_TURNS:
+                async with self.incarnations() as lives:
+                    await self.wait_for(lives.store.write({b"0": b"x"}), "a write")
+                    waiting = [abandoned(lives.store.write({b"%d" % n: b"x"})) for n in range(1, 10)]
+                    await run_ready_callbacks(count)
                     reported = sum(one.done() for one in waiting)
                     await lives.crash()
                     found = await lives.store.load()
@@ -177,15 +183,15 @@
 
     def test_what_can_not_be_written_is_told_and_takes_nothing_away(self) -> None:
         async def main() -> None:
-            async with self.lives() as lives:
-                await self.soon(lives.store.write({b"a": b"1"}), "a write")
-                lives.break_()
+            async with self.incarnations() as lives:
+                await self.wait_for(lives.store.write({b"a": b"1"}), "a write")
+                lives.fail_writes()
                 for _ in range(2):
                     with raises(StoreError, "a write that can't be"):
-                        await self.soon(lives.store.write({b"b": b"2"}), "the error of a write")
+                        await self.wait_for(lives.store.write({b"b": b"2"}), "the error of a write")
                 await lives.crash()
                 found = await lives.store.load()
                 assert found in ({b"a": b"1"}, {b"a": b"1", b"b": b"2"})
-                await self.soon(lives.store.write({b"c": b"3"}), "a write of the next life")
+                await self.wait_for(lives.store.write({b"c": b"3"}), "a write of the next life")
 
         self.run(main())
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -56,19 +56,29 @@
     read_message,
 )
 from laurelstep.testing.contracts.base import Contract, raises
-from laurelstep.testing.contracts.clock import ClockContract, Running
+from laurelstep.testing.contracts.clock import ClockContract, RunningClock
 from laurelstep.testing.contracts.disk import DiskContract
-from laurelstep.testing.contracts.link import Joined, LinkContract, ReachableJoined, ReachableLinkContract
+from laurelstep.testing.contracts.link import (
+    ConnectedLinks,
+    ExposedLinks,
+    LinkContract,
+    ReachableLinkContract,
+)
 from laurelstep.testing.contracts.members import (
-    AskedSourceContract,
-    Beyond,
-    BreakableBeyond,
     Entries,
+    FaultySourceEnvironment,
     MemberSourceContract,
+    PolledSourceContract,
+    SourceEnvironment,
+)
+from laurelstep.testing.contracts.recorder import RecorderContract, RecorderIncarnations
+from laurelstep.testing.contracts.store import (
+    FaultyStoreIncarnations,
+    LastingStoreContract,
+    StoreContract,
+    StoreIncarnations,
 )
-from laurelstep.testing.contracts.recorder import Life, RecorderContract
-from laurelstep.testing.contracts.store import BreakableLives, LastingStoreContract, Lives, StoreContract
-from laurelstep.testing.contracts.upstream import Stage, UpstreamContract, Way
+from laurelstep.testing.contracts.upstream import EndpointBehaviour, UpstreamContract, UpstreamEnvironment
 from laurelstep.testing.disk import SimulatedDisk
 from laurelstep.testing.endpoints import Listener, reset_connection
 from tests.fakes import Due, ManualClock, PlayedUpstream, Sent
@@ -145,13 +155,13 @@
 
 
 class Waits(Contract):
-    patience_s = 0.01
+    timeout_s = 0.01
 
     def new_loop(self) -> MadeLoop:
         return MadeLoop()
 
     def test_waits(self) -> None:
-        self.run(self.soon(asyncio.Event().wait(), "an event"))  # type: ignore[arg-type]
+        self.run(self.wait_for(asyncio.Event().wait(), "an event"))  # type: ignore[arg-type]
 
     def test_raises_in_a_callback(self) -> None:
         async def main() -> None:
@@ -183,7 +193,7 @@
 
     clock: Clock
 
-    async def until(self, due: int) -> None:
+    async def advance_past(self, due: int) -> None:
         loop = asyncio.get_running_loop()
         # Behind every timer of the clock, which counts in whole milliseconds; and once more, for one that
         # woke early and, on a busy machine, was set anew only now.
@@ -195,7 +205,7 @@
 
 class TestLoopClock(ClockContract):
     @contextlib.asynccontextmanager
-    async def running(self) -> AsyncIterator[Running]:
+    async def running_clock(self) -> AsyncIterator[RunningClock]:
         yield Passing(LoopClock(asyncio.get_running_loop()))
 
 
@@ -250,7 +260,7 @@
         return EarlyLoop() if self.seed is None else BusyLoop(self.seed)
 
     @contextlib.asynccontextmanager
-    async def running(self) -> AsyncIterator[Running]:
+    async def running_clock(self) -> AsyncIterator[RunningClock]:
         loop = asyncio.get_running_loop()
         assert isinstance(loop, MadeLoop)
         with mock.patch.object(time, "monotonic_ns", lambda: loop.now() * 1000):
@@ -271,7 +281,7 @@
     manual: ManualClock
     clock: Clock
 
-    async def until(self, due: int) -> None:
+    async def advance_past(self, due: int) -> None:
         self.manual.advance(max(0, due - self.manual.time))
 
 
@@ -279,7 +289,7 @@
     kind: ClassVar[type[ManualClock]] = ManualClock
 
     @contextlib.asynccontextmanager
-    async def running(self) -> AsyncIterator[Running]:
+    async def running_clock(self) -> AsyncIterator[RunningClock]:
         one = self.kind()
         yield Moved(one, one)
 
@@ -336,7 +346,7 @@
 )
 def test_a_faulty_clock_is_caught(kind: type[ManualClock], name: str) -> None:
     class Faulty(TestManualClock):
-        patience_s = 0.2
+        timeout_s = 0.2
 
     Faulty.kind = kind
     caught(Faulty(), name)
@@ -363,7 +373,7 @@
 def test_a_clock_that_loses_the_handle_of_a_timer_set_anew_is_caught() -> None:
     class Faulty(TestLoopClockWokenEarly):
         @contextlib.asynccontextmanager
-        async def running(self) -> AsyncIterator[Running]:
+        async def running_clock(self) -> AsyncIterator[RunningClock]:
             loop = asyncio.get_running_loop()
             assert isinstance(loop, MadeLoop)
             yield Passing(RearmingClock(loop))
@@ -378,7 +388,7 @@
     kind: ClassVar[type[FolderDisk]] = FolderDisk
 
     @contextlib.contextmanager
-    def empty(self) -> Iterator[Callable[[], Disk]]:
+    def empty_folder(self) -> Iterator[Callable[[], Disk]]:
         with tempfile.TemporaryDirectory() as folder:
             yield lambda: self.kind(folder)
 
@@ -389,7 +399,7 @@
     kind: ClassVar[type[SimulatedDisk]] = SimulatedDisk
 
     @contextlib.contextmanager
-    def empty(self) -> Iterator[Callable[[], Disk]]:
+    def empty_folder(self) -> Iterator[Callable[[], Disk]]:
         yield self.kind().another
 
     def after_power_loss(self, disk: Disk, opener: Callable[[], Disk]) -> Disk:
@@ -519,8 +529,8 @@
         self.runs: dict[str, list[bytes]] = {}
         self.endpoints = [Endpoint(closed=self.closed) for _ in range(2)]
         self.addresses = ("", "")
-        self.nowhere = f"127.0.0.1:{free_port()}"
-        self.way = Way.SERVE
+        self.closed_address = f"127.0.0.1:{free_port()}"
+        self.way = EndpointBehaviour.SERVE
 
     async def begin(self, stack: contextlib.AsyncExitStack) -> None:
         for one in self.endpoints:
@@ -532,39 +542,39 @@
     def now(self) -> int:
         return self.clock.now()
 
-    def script(self, way: Way) -> None:
-        self.way = way
+    def set_behaviour(self, behaviour: EndpointBehaviour) -> None:
+        self.way = behaviour
 
     async def handler(self, endpoint: Endpoint, message: Message, writer: Writer) -> None:
         way = self.way
-        if way not in (Way.TURN_AWAY, Way.FAIL):
+        if way not in (EndpointBehaviour.REJECT, EndpointBehaviour.FAIL):
             name = message.headers["x-request-id"].encode()
             self.runs.setdefault(f"127.0.0.1:{endpoint.port}", []).append(name)
-        if way is Way.SERVE:
+        if way is EndpointBehaviour.SERVE:
             writer.write(answer(200, b"ok"))
-        elif way is Way.TURN_AWAY:
+        elif way is EndpointBehaviour.REJECT:
             writer.write(answer(503, headers="X-Not-Run: 1\r\n"))
-        elif way is Way.FAIL:
+        elif way is EndpointBehaviour.FAIL:
             writer.write(answer(500))
-        elif way is Way.DIE:
+        elif way is EndpointBehaviour.RESET:
             reset_connection(writer)
         else:
             self.reached.set()
 
-    async def play(self) -> None:
-        if self.way is Way.HOLD:
+    async def wait_sent(self) -> None:
+        if self.way is EndpointBehaviour.HOLD:
             await self.reached.wait()
 
-    async def noticed(self) -> None:
+    async def wait_noticed(self) -> None:
         await self.closed.acquire()
 
-    def ran(self, address: str) -> list[bytes]:
+    def executed(self, address: str) -> list[bytes]:
         return self.runs.get(address, [])
 
 
 class TestUpstream(UpstreamContract):
     @contextlib.asynccontextmanager
-    async def stage(self) -> AsyncIterator[Stage]:
+    async def environment(self) -> AsyncIterator[UpstreamEnvironment]:
         loop = asyncio.get_running_loop()
         clock = LoopClock(loop)
         upstream = Upstream(loop, clock.now, 0, 0, 64)
@@ -587,43 +597,48 @@
     """The fake, with a test's hand on it."""
 
     addresses = ("127.0.0.1:1001", "127.0.0.1:1002")
-    nowhere = "127.0.0.1:1003"
+    closed_address = "127.0.0.1:1003"
 
     def __init__(self, upstream: PlayedUpstream, places: dict[int, str]) -> None:
         self.played = upstream
         self.upstream: UpstreamSide = upstream
         self.places = places
-        self.way = Way.SERVE
+        self.way = EndpointBehaviour.SERVE
         self.held: list[Attempt] = []
         self.runs: dict[str, list[bytes]] = {}
 
     def now(self) -> int:
         return self.played.clock.now()
 
-    def script(self, way: Way) -> None:
-        self.way = way
+    def set_behaviour(self, behaviour: EndpointBehaviour) -> None:
+        self.way = behaviour
 
-    async def play(self) -> None:
+    async def wait_sent(self) -> None:
         for sent in list(self.played.out.values()):
             address = self.places[sent.attempt.endpoint]
-            if address == self.nowhere:
+            if address == self.closed_address:
                 self.played.answer(sent, NO_CONNECT)
                 continue
-            self.played.write(sent, runs=self.way not in (Way.TURN_AWAY, Way.FAIL))
+            self.played.write(sent, runs=self.way not in (EndpointBehaviour.REJECT, EndpointBehaviour.FAIL))
             if sent.attempt not in self.played.out:
                 continue
             if sent.ran:
                 self.runs.setdefault(address, []).append(sent.attempt.call.name)
-            if self.way is Way.HOLD:
+            if self.way is EndpointBehaviour.HOLD:
                 self.held.append(sent.attempt)
             else:
-                told = {Way.SERVE: OK, Way.TURN_AWAY: FULL, Way.FAIL: ERROR, Way.DIE: RESET}
+                told = {
+                    EndpointBehaviour.SERVE: OK,
+                    EndpointBehaviour.REJECT: FULL,
+                    EndpointBehaviour.FAIL: ERROR,
+                    EndpointBehaviour.RESET: RESET,
+                }
                 self.played.answer(sent, told[self.way])
 
-    async def noticed(self) -> None:
+    async def wait_noticed(self) -> None:
         assert not [one for one in self.held if one in self.played.out]
 
-    def ran(self, address: str) -> list[bytes]:
+    def executed(self, address: str) -> list[bytes]:
         return self.runs.get(address, [])
 
 
@@ -631,7 +646,7 @@
     kind: ClassVar[type[PlayedUpstream]] = PlayedUpstream
 
     @contextlib.asynccontextmanager
-    async def stage(self) -> AsyncIterator[Stage]:
+    async def environment(self) -> AsyncIterator[UpstreamEnvironment]:
         places: dict[int, str] = {}
 
         class Placed(self.kind):  # type: ignore[misc, name-defined]
@@ -709,7 +724,7 @@
 )
 def test_a_faulty_upstream_is_caught(kind: type[PlayedUpstream], name: str) -> None:
     class Faulty(TestPlayedUpstream):
-        patience_s = 0.2
+        timeout_s = 0.2
 
     Faulty.kind = kind
     caught(Faulty(), name)
@@ -718,8 +733,8 @@
 def test_an_upstream_that_keeps_connections_to_a_place_set_anew_is_caught() -> None:
     class Faulty(TestUpstream):
         @contextlib.asynccontextmanager
-        async def stage(self) -> AsyncIterator[Stage]:
-            async with super().stage() as stage:
+        async def environment(self) -> AsyncIterator[UpstreamEnvironment]:
+            async with super().environment() as stage:
                 stage.upstream = KeepsFirst(stage.upstream)
                 yield stage
 
@@ -752,28 +767,28 @@
     return list({one["instanceId"]: one for one in (*entries, *changes)}.values())
 
 
-class GivenBeyond:
+class GivenEnvironment:
     def __init__(self, given: GivenMembers) -> None:
         self.given = given
         self.source: MemberSource = given
         self.entries: Entries = []
 
-    async def set(self, version: int, entries: Entries) -> None:
+    async def set_list(self, version: int, entries: Entries) -> None:
         with contextlib.suppress(ValueError):  # refused: the one who gave it hears so
             self.given.give(entries)
             self.entries = entries
 
-    async def change(self, version: int, entries: Entries) -> None:
-        await self.set(version, merged(self.entries, entries))
+    async def change_entries(self, version: int, entries: Entries) -> None:
+        await self.set_list(version, merged(self.entries, entries))
 
 
 class TestGivenMembers(MemberSourceContract):
     kind: ClassVar[type[GivenMembers]] = GivenMembers
 
     @contextlib.asynccontextmanager
-    async def beyond(self) -> AsyncIterator[Beyond]:
+    async def environment(self) -> AsyncIterator[SourceEnvironment]:
         given = self.kind()
-        yield GivenBeyond(given)
+        yield GivenEnvironment(given)
         given.close()
 
 
@@ -817,7 +832,7 @@
             push(writer, self.version, whole, *entries)
 
 
-class DiscoveryBeyond:
+class DiscoveryEnvironment:
     def __init__(self, discovery: Discovery, lists: Lists) -> None:
         self.discovery = discovery
         self.source: MemberSource = discovery
@@ -830,20 +845,20 @@
         while (watch := self.discovery.stream) is not None and not watch.done and not self.lists.watches:
             await self.lists.news()
 
-    async def set(self, version: int, entries: Entries) -> None:
+    async def set_list(self, version: int, entries: Entries) -> None:
         await self._quiet()
         self.lists.version, self.lists.entries = version, entries
         self.lists.tell(True, entries)
 
-    async def change(self, version: int, entries: Entries) -> None:
+    async def change_entries(self, version: int, entries: Entries) -> None:
         await self._quiet()
         self.lists.version, self.lists.entries = version, merged(self.lists.entries, entries)
         self.lists.tell(False, entries)
 
-    def break_(self) -> None:
+    def stop_answering(self) -> None:
         self.lists.broken = True
 
-    def mend(self) -> None:
+    def resume_answering(self) -> None:
         self.lists.broken = False
 
 
@@ -851,13 +866,13 @@
     pushed: ClassVar[bool]
 
     @contextlib.asynccontextmanager
-    async def beyond(self) -> AsyncIterator[BreakableBeyond]:
+    async def environment(self) -> AsyncIterator[FaultySourceEnvironment]:
         lists = Lists()
         server = await lists.start()
         loop = asyncio.get_running_loop()
         source = Discovery(loop, f"127.0.0.1:{lists.port}", "/registry", self.pushed, lambda line: None)
         try:
-            yield DiscoveryBeyond(source, lists)
+            yield DiscoveryEnvironment(source, lists)
         finally:
             source.close()
             for stream in list(source.streams):
@@ -870,7 +885,7 @@
     pushed = True
 
 
-class TestAskedDiscovery(OnDiscovery, AskedSourceContract):
+class TestAskedDiscovery(OnDiscovery, PolledSourceContract):
     pushed = False
 
 
@@ -932,7 +947,7 @@
 )
 def test_a_faulty_source_is_caught(kind: type[GivenMembers], name: str) -> None:
     class Faulty(TestGivenMembers):
-        patience_s = 0.1
+        timeout_s = 0.1
 
     Faulty.kind = kind
     caught(Faulty(), name)
@@ -963,7 +978,7 @@
     kind: type[Discovery], name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     class Faulty(TestAskedDiscovery):
-        patience_s = 0.3
+        timeout_s = 0.3
 
     monkeypatch.setitem(globals(), "Discovery", kind)
     caught(Faulty(), name)
@@ -983,7 +998,7 @@
     def answered(self, call: Call, answer: Answer) -> None: ...
 
 
-class OrderLife:
+class OrderRecorderIncarnations:
     """Orders recorded on a disk in memory."""
 
     def __init__(self, kind: type[OrderRecorder], unavailable: Any) -> None:
@@ -998,10 +1013,10 @@
         store = await Store.open(self.disk, Options())
         self.recorder = self.own = self.kind(store, self.orders, {"pay": 2}, lambda line: None)
 
-    def recorded(self, order: str) -> Call:
+    def recorded_call(self, order: str) -> Call:
         return self._call(order.encode())
 
-    def plain(self) -> Call:
+    def unrecorded_call(self) -> Call:
         return self._call(b"")
 
     def _call(self, order: bytes) -> Call:
@@ -1012,7 +1027,7 @@
         await self.own.close()
         await self.begin()
 
-    def break_(self) -> None:
+    def fail_writes(self) -> None:
         for operation in ("create", "write", "sync"):
             self.disk.fail(operation, *(broken() for _ in range(1_000)))
 
@@ -1022,8 +1037,8 @@
     kind: ClassVar[type[OrderRecorder]] = OrderRecorder
 
     @contextlib.asynccontextmanager
-    async def life(self) -> AsyncIterator[Life]:
-        one = OrderLife(self.kind, self.unavailable)
+    async def incarnations(self) -> AsyncIterator[RecorderIncarnations]:
+        one = OrderRecorderIncarnations(self.kind, self.unavailable)
         await one.begin()
         try:
             yield one
@@ -1098,7 +1113,7 @@
 )
 def test_a_faulty_recorder_is_caught(kind: type[OrderRecorder], name: str) -> None:
     class Faulty(TestOrderRecorder):
-        patience_s = 0.2
+        timeout_s = 0.2
 
     Faulty.kind = kind
     caught(Faulty(), name)
@@ -1112,12 +1127,12 @@
         self.clock = ManualClock()
         self.network = MemoryNetwork(self.clock, 3)
         self.kind = kind
-        self.links: Sequence[Link] = [self.again(n) for n in range(3)]
+        self.links: Sequence[Link] = [self.restart(n) for n in range(3)]
 
-    def again(self, number: int) -> Link:
+    def restart(self, number: int) -> Link:
         return self.kind(self.network, number)
 
-    async def carry(self) -> None:
+    async def wait_delivery(self) -> None:
         self.clock.advance(LATENCY_US)
 
 
@@ -1125,7 +1140,7 @@
     kind: ClassVar[type[MemoryLink]] = MemoryLink
 
     @contextlib.asynccontextmanager
-    async def joined(self) -> AsyncIterator[Joined]:
+    async def connected_links(self) -> AsyncIterator[ConnectedLinks]:
         yield InMemory(self.kind)
 
 
@@ -1137,19 +1152,19 @@
         self.places = places
         self.stranger = stranger
         self.made: list[SocketLink] = []
-        self.links: Sequence[Link] = [self.again(n) for n in range(3)]
+        self.links: Sequence[Link] = [self.restart(n) for n in range(3)]
 
-    def again(self, number: int) -> Link:
+    def restart(self, number: int) -> Link:
         self.made.append(self.make(number))
         return self.made[-1]
 
-    async def carry(self) -> None:
+    async def wait_delivery(self) -> None:
         # To a loopback socket a datagram has come when it was sent; the loop reads it in its next turn,
         # at most so many at once.
         for _ in range(20):
             await asyncio.sleep(0)
 
-    def stray(self, number: int, data: bytes) -> None:
+    def send_from_stranger(self, number: int, data: bytes) -> None:
         self.stranger.sendto(data, self.places[number])
 
     def close(self) -> None:
@@ -1167,7 +1182,7 @@
     kind: ClassVar[type[UdpLink]] = UdpLink
 
     @contextlib.asynccontextmanager
-    async def joined(self) -> AsyncIterator[ReachableJoined]:
+    async def connected_links(self) -> AsyncIterator[ExposedLinks]:
         loop, addresses = asyncio.get_running_loop(), free_addresses(3)
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         stranger.bind(("127.0.0.1", 0))
@@ -1183,7 +1198,7 @@
 
 class TestUnixLink(ReachableLinkContract):
     @contextlib.asynccontextmanager
-    async def joined(self) -> AsyncIterator[ReachableJoined]:
+    async def connected_links(self) -> AsyncIterator[ExposedLinks]:
         loop = asyncio.get_running_loop()
         stranger = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         with tempfile.TemporaryDirectory() as folder:
@@ -1264,7 +1279,7 @@
 )
 def test_a_faulty_link_is_caught(kind: type[MemoryLink], name: str) -> None:
     class Faulty(TestMemoryLink):
-        patience_s = 0.1
+        timeout_s = 0.1
 
     Faulty.kind = kind
     caught(Faulty(), name)
@@ -1301,7 +1316,7 @@
 
 class TestNoStore(StoreContract):
     @contextlib.asynccontextmanager
-    async def lives(self) -> AsyncIterator[Lives]:
+    async def incarnations(self) -> AsyncIterator[StoreIncarnations]:
         yield Nothing()
 
 
@@ -1341,7 +1356,7 @@
         await self.own.close()
         await self.begin()
 
-    def break_(self) -> None:
+    def fail_writes(self) -> None:
         for operation in ("create", "write", "sync"):
             self.disk.fail(operation, *(broken() for _ in range(100)))
 
@@ -1350,7 +1365,7 @@
     """On real files."""
 
     @contextlib.asynccontextmanager
-    async def lives(self) -> AsyncIterator[Lives]:
+    async def incarnations(self) -> AsyncIterator[StoreIncarnations]:
         with tempfile.TemporaryDirectory() as folder:
             one = OnDisk(FolderDisk(folder))
             await one.begin()
@@ -1362,7 +1377,7 @@
     seed: ClassVar[int] = 1
 
     @contextlib.asynccontextmanager
-    async def lives(self) -> AsyncIterator[BreakableLives]:
+    async def incarnations(self) -> AsyncIterator[FaultyStoreIncarnations]:
         one = OnSimulatedDisk(self.seed)
         await one.begin()
         yield one
@@ -1454,7 +1469,7 @@
         self.kept = dict(self.kept)
         self.store = self.own = self.kind(self.kept)
 
-    def break_(self) -> None:
+    def fail_writes(self) -> None:
         self.own.broken = True
 
 
@@ -1464,7 +1479,7 @@
     kind: ClassVar[type[Sheet]] = Sheet
 
     @contextlib.asynccontextmanager
-    async def lives(self) -> AsyncIterator[BreakableLives]:
+    async def incarnations(self) -> AsyncIterator[FaultyStoreIncarnations]:
         one = OnSheet(self.kind)
         yield one
         await one.own.close()
@@ -1556,7 +1571,7 @@
 )
 def test_a_faulty_store_is_caught(kind: type[Sheet], name: str) -> None:
     class Faulty(TestSheet):
-        patience_s = 0.1
+        timeout_s = 0.1
 
     Faulty.kind = kind
     caught(Faulty(), name)
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -33,7 +33,7 @@
 from laurelstep.settings import config_from
 from laurelstep.stream.pace import HOLD_EACH
 from laurelstep.testing import after, answer, serve, whole_list
-from laurelstep.testing.contracts.outbox import made
+from laurelstep.testing.contracts.outbox import write_with_body
 from laurelstep.testing.disk import SimulatedDisk
 from laurelstep.testing.endpoints import Listener
 from tests.sockets import SETTINGS, TIMEOUT_S, Endpoint, Message, Reader, Writer, read_message, run
@@ -786,7 +786,7 @@
         async with asyncio.timeout(TIMEOUT_S):
             store = await KeptStore.open(SimulatedDisk(), 64 << 20)
             await store.load()
-            write, body = made(1, 300_000)
+            write, body = write_with_body(1, 300_000)
             await store.keep(write, body)
             read: list[int] = []
             part = store.part
@@ -830,7 +830,7 @@
             assert len(taker.got) == number and len(read) <= number
         assert playback.task is not None
         await playback.task
-        assert b"".join(taker.got) == made(1, 300_000)[1] and taker.whole is True
+        assert b"".join(taker.got) == write_with_body(1, 300_000)[1] and taker.whole is True
 
     played(test)
 
--- a/tests/test_outbox_store.py
+++ b/tests/test_outbox_store.py
@@ -16,7 +16,7 @@
 from laurelstep.outbox.journal import KeptWrite, Moved, State
 from laurelstep.outbox.store import FailedToKeepError, KeptStore, key_of
 from laurelstep.store import Disk, FolderDisk, StoreError
-from laurelstep.testing.contracts.outbox import Lives, WriteStoreContract, made
+from laurelstep.testing.contracts.outbox import WriteStoreContract, WriteStoreIncarnations, write_with_body
 from laurelstep.testing.disk import SimulatedDisk
 from tests.once import once
 
@@ -52,7 +52,7 @@
         self.disk = Broken(folder)
         await self.open()
 
-    def break_(self) -> None:
+    def fail_writes(self) -> None:
         self.disk.broken = True
 
 
@@ -72,7 +72,7 @@
 
 class TestOnAFolder(WriteStoreContract):
     @contextlib.asynccontextmanager
-    async def lives(self) -> AsyncIterator[Lives]:
+    async def incarnations(self) -> AsyncIterator[WriteStoreIncarnations]:
         with tempfile.TemporaryDirectory() as folder:
             found = OnFolder(Path(folder))
             await found.open()
@@ -103,7 +103,7 @@
         self.disk = self.disk.lose_power(self.draw)
         await self.open()
 
-    def break_(self) -> None:
+    def fail_writes(self) -> None:
         for operation in ("write", "create"):
             self.disk.fail(operation, *[NO_SPACE] * 100)
 
@@ -114,7 +114,7 @@
     draw: random.Random | None = None
 
     @contextlib.asynccontextmanager
-    async def lives(self) -> AsyncIterator[Lives]:
+    async def incarnations(self) -> AsyncIterator[WriteStoreIncarnations]:
         found = OnSimulated(self.draw)
         await found.open()
         try:
@@ -140,7 +140,7 @@
         disk = SimulatedDisk()
         store = await KeptStore.open(disk, MOST)
         await store.load()
-        written = [made(1, 40), made(2, 0)]
+        written = [write_with_body(1, 40), write_with_body(2, 0)]
         for one in written:
             await store.keep(*one)
         await store.close()
@@ -179,9 +179,9 @@
         assert isinstance(disk, SimulatedDisk)
         disk.fail("write", NO_SPACE)
         with pytest.raises(FailedToKeepError) as caught:
-            await store.keep(*made(1, 3 << 20))
+            await store.keep(*write_with_body(1, 3 << 20))
         assert not caught.value.certain, "a later life might find what was begun"
-        assert await store.read(made(1, 0)[0].dot) is None
+        assert await store.read(write_with_body(1, 0)[0].dot) is None
         await store.close()
         again = await KeptStore.open(disk, MOST)
         assert (await again.load()).writes == []
@@ -211,8 +211,8 @@
         disk = SimulatedDisk()
         store = await KeptStore.open(disk, MOST)
         await store.load()
-        await store.keep(*made(1, 100_000))
-        await store.move(Moved(made(1, 0)[0].dot, State.DONE))
+        await store.keep(*write_with_body(1, 100_000))
+        await store.move(Moved(write_with_body(1, 0)[0].dot, State.DONE))
         await store.close()  # before its body went
         monkeypatch.setattr("laurelstep.outbox.store.END_S", 0.0)
         again = await KeptStore.open(disk, MOST)
@@ -221,7 +221,7 @@
             await again._ending
         await again.close()
         third = await KeptStore.open(disk, MOST)
-        size = len((await third.store.get(key_of(b"k", made(1, 0)[0].dot))) or b"")
+        size = len((await third.store.get(key_of(b"k", write_with_body(1, 0)[0].dot))) or b"")
         assert 0 < size < 1_000 and not [key for key in third.store.index.where if key[:1] == b"p"]
         await third.close()
 
@@ -246,8 +246,8 @@
 
         monkeypatch.setattr(store.store, "some", fail_once)
         for number in (1, 2):
-            await store.keep(*made(number, 100_000))
-            await store.move(Moved(made(number, 0)[0].dot, State.DONE))
+            await store.keep(*write_with_body(number, 100_000))
+            await store.move(Moved(write_with_body(number, 0)[0].dot, State.DONE))
         while store._ending is not None:
             await asyncio.sleep(0)
         await store.close()
@@ -265,7 +265,7 @@
         disk = SimulatedDisk()
         store = await KeptStore.open(disk, MOST)
         await store.load()
-        write, body = made(1, 1_000)
+        write, body = write_with_body(1, 1_000)
         await store.keep(write, body)
         await store.move(Moved(write.dot, State.DONE))
         for _ in range(turns):
--- a/tests/test_upkeep_contracts.py
+++ b/tests/test_upkeep_contracts.py
@@ -13,14 +13,14 @@
 from laurelstep.engine.ports import MemberSource
 from laurelstep.net.slices import Slices
 from laurelstep.testing.contracts.members import (
-    AskedSourceContract,
-    Beyond,
-    BreakableBeyond,
+    FaultySourceEnvironment,
     MemberSourceContract,
+    PolledSourceContract,
+    SourceEnvironment,
 )
 from laurelstep.upkeep.roll import Roll
 from laurelstep.upkeep.source import UpkeepSource
-from tests.test_contracts import GivenBeyond, OnDiscovery
+from tests.test_contracts import GivenEnvironment, OnDiscovery
 from tests.upkeeping import GRACE_US
 
 
@@ -34,9 +34,9 @@
 
 class TestUpkeepOnGivenMembers(MemberSourceContract):
     @contextlib.asynccontextmanager
-    async def beyond(self) -> AsyncIterator[Beyond]:
+    async def environment(self) -> AsyncIterator[SourceEnvironment]:
         given = GivenMembers()
-        found = GivenBeyond(given)
+        found = GivenEnvironment(given)
         found.source = around(given)
         yield found
         given.close()
@@ -44,8 +44,8 @@
 
 class OnUpkeep(OnDiscovery):
     @contextlib.asynccontextmanager
-    async def beyond(self) -> AsyncIterator[BreakableBeyond]:
-        async with super().beyond() as found:
+    async def environment(self) -> AsyncIterator[FaultySourceEnvironment]:
+        async with super().environment() as found:
             found.source = around(found.source)
             yield found
 
@@ -54,5 +54,5 @@
     pushed: ClassVar[bool] = True
 
 
-class TestUpkeepOnAskedDiscovery(OnUpkeep, AskedSourceContract):
+class TestUpkeepOnAskedDiscovery(OnUpkeep, PolledSourceContract):
     pushed: ClassVar[bool] = False
