--- a/laurelstep/testing/__init__.py
+++ b/laurelstep/testing/__init__.py
@@ -1,10 +1,11 @@
-"""Stand-ins on loopback, for tests of whatever uses this balancer: endpoints that follow
-a script and count what they execute, discovery, and callers.
+"""Stand-ins on loopback for tests of programs that use this balancer: endpoints that follow a script and
+count what they execute, discovery, and clients.
 
     async with Endpoint(stall()) as bad, Endpoint() as good:
         client = Client.open({..., "known": whole_list(bad.entry("s-0"), good.entry("s-1"))})
 
-Ports are the system's choice; nothing here sleeps or polls.
+The system picks the ports. Nothing here sleeps or polls, but for `paced` and the heartbeats of
+`DiscoveryServer`, whose interval and sleep are passed in.
 """
 
 from laurelstep.testing.callers import Caller, request
--- a/laurelstep/testing/callers.py
+++ b/laurelstep/testing/callers.py
@@ -1,4 +1,4 @@
-"""Callers: requests in the platform's form, one at a time on a kept connection."""
+"""A client that sends requests in the platform's form, one at a time on a kept connection."""
 
 from __future__ import annotations
 
@@ -18,8 +18,11 @@
     key: str | None = None,
     method: str | None = None,
 ) -> bytes:
-    """A request's bytes. The method is GET for a class named `page` or `view`, POST for
-    others; the key is `k1` for one named `put`, and none for others; unless given."""
+    """A request's bytes. `headers` are complete lines; `rid` is its X-Request-Id.
+
+    Unless given, the method is GET for a class named `page` or `view` and POST for others, and the
+    idempotency key is `k1` for a class named `put` and absent for others.
+    """
     method = method or ("GET" if cls in ("page", "view") else "POST")
     length = f"Content-Length: {len(body)}\r\n" if method == "POST" else ""
     key = key or ("k1" if cls == "put" else None)
@@ -32,9 +35,9 @@
 
 
 class Caller:
-    """One connection to a front, opened when it is needed and kept while it may be.
+    """One connection to a frontend, opened when it is needed and kept while it may be.
 
-    A front may close a kept connection between requests. With `resends_after_close` a request that
+    A frontend may close a kept connection between requests. With `resends_after_close` a request that
     crosses such a close is sent once more on a new connection, as the platform's clients do.
     """
 
@@ -45,7 +48,7 @@
         self.streams: tuple[Reader, Writer] | None = None
 
     async def ask(self, raw: bytes) -> Message:
-        """The answer to these bytes. OSError or `asyncio.IncompleteReadError` if there is none."""
+        """Send these bytes; their answer. OSError or `asyncio.IncompleteReadError` if there is none."""
         if self.streams is None or not self.resends_after_close:
             return await self._ask(raw)
         try:
@@ -70,6 +73,7 @@
         return message
 
     def close(self) -> None:
+        """Close the connection, if there is one."""
         if self.streams is not None:
             self.streams[1].close()
             self.streams = None
--- a/laurelstep/testing/endpoints.py
+++ b/laurelstep/testing/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that follow a script, and the effects that they count."""
+"""Endpoints that follow a script, and a count of the effects that they have executed."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 @dataclass
 class Effects:
-    """What was executed, by all endpoints that share this object.
+    """Counts what was executed by all endpoints that share this object.
 
-    A keyed request is executed once for its key: a repeat of it is dropped, as the
-    endpoints of one pod do. Everything else is executed as often as it comes.
+    A request with an idempotency key is executed once for its key and a repeat is dropped, as the
+    endpoints of one cell do. Other requests are executed as often as they come.
     """
 
     by_id: Counter[str] = field(default_factory=Counter)
@@ -30,6 +30,7 @@
     dropped: int = 0
 
     def execute(self, message: Message) -> None:
+        """Execute a request, or drop it as a repeat of its key."""
         key = message.headers.get("idempotency-key")
         if key is not None:
             if self.by_key[key]:
@@ -47,7 +48,7 @@
 
 
 def serve(body: bytes = b"ok", headers: str = "") -> Handler:
-    """Execute, then answer 200. `headers` are whole lines, such as a load report's."""
+    """Execute, then answer 200. `headers` are complete lines, such as a load report's."""
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         endpoint.effects.execute(message)
@@ -57,7 +58,7 @@
 
 
 def stall(executes: bool = True) -> Handler:
-    """No answer, until the connection closes; whether it has run is up to the script."""
+    """Give no answer until the connection closes; `executes` says whether the request has run."""
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         if executes:
@@ -78,7 +79,7 @@
 
 
 def refuse(code: int = 503) -> Handler:
-    """Turn it away unseen: `X-Not-Run` says that it has not run."""
+    """Reject the request: `X-Not-Run` says that it was not executed."""
     return status(code, "X-Not-Run: 1\r\n")
 
 
@@ -92,7 +93,7 @@
 
 
 def spoil(data: bytes = b"what?\r\n\r\n") -> Handler:
-    """Execute, then answer with what can't be read."""
+    """Execute, then answer with bytes that are no valid response."""
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         endpoint.effects.execute(message)
@@ -102,7 +103,7 @@
 
 
 def close(executes: bool = True, begun: bytes = b"") -> Handler:
-    """End the connection, possibly behind a part of an answer."""
+    """End the connection, after `begun`, the first bytes of an answer."""
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         if executes:
@@ -114,7 +115,7 @@
 
 
 def reset(executes: bool = True) -> Handler:
-    """Reset the connection, as a process that dies does."""
+    """Reset the connection, as a process that crashes does."""
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         if executes:
@@ -125,7 +126,7 @@
 
 
 def after(event: asyncio.Event, then: Handler) -> Handler:
-    """Wait for the event first."""
+    """Wait for the event, then follow the other script."""
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         await event.wait()
@@ -135,8 +136,10 @@
 
 
 def paced(seconds: Callable[[], float], then: Handler | None = None) -> Handler:
-    """Work for a time first: a figure drawn anew for each request. For worlds that run
-    in real time; a test waits for events instead."""
+    """Sleep for a time that is drawn anew for each request, then follow the script (`serve`).
+
+    For programs that run in real time; a test waits for events instead.
+    """
     script = then or serve()
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
@@ -147,7 +150,7 @@
 
 
 def in_turn(*scripts: Handler) -> Handler:
-    """The first request meets the first script, and so on; the last one stays."""
+    """Follow the first script for the first request, and so on; the last one holds from then on."""
     left = list(scripts)
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
@@ -158,7 +161,7 @@
 
 
 def reset_connection(writer: Writer) -> None:
-    """Close with a reset in place of an orderly end."""
+    """Close a connection with a reset."""
     found: socket.socket | None = writer.get_extra_info("socket")
     if found is not None and found.fileno() >= 0:
         found.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -169,11 +172,12 @@
 
 
 class Listener:
-    """Serves connections on a port that the system picks; `port` tells which."""
+    """Serves connections on a port that the system picks, which is then in `port`."""
 
     port: int = 0
 
     async def start(self, port: int = 0) -> asyncio.Server:
+        """Listen at this port, or at one that the system picks. OSError if it is taken."""
         server = await asyncio.start_server(self._serve, "127.0.0.1", port, backlog=1024)
         self.port = server.sockets[0].getsockname()[1]
         return server
@@ -184,10 +188,11 @@
 
 @dataclass(eq=False)
 class Endpoint(Listener):
-    """Answers each request by its script and keeps what it was sent.
+    """Answers each request by its script, and records the requests in `got`.
 
-    `arrived` and `closed` are released for each request and each ended connection, for
-    tests that wait. `handler` may be set at any time and holds from the next request on.
+    `arrived` and `closed` are released for each request and each ended connection, for tests that wait.
+    `handler` may be set at any time and holds from the next request on. With `keep=False`, for long runs,
+    requests are counted only.
     """
 
     handler: Handler = field(default_factory=serve)
@@ -197,7 +202,7 @@
     arrived: asyncio.Semaphore = field(default_factory=lambda: asyncio.Semaphore(0))
     effects: Effects = field(default_factory=Effects)
     started_ms: int = 0
-    keep: bool = True  # all requests in `got`; for a long run only the count is kept
+    keep: bool = True  # whether requests are recorded in `got`
     count: int = 0
     open: set[Writer] = field(default_factory=set)
     server: asyncio.Server | None = None
@@ -212,7 +217,7 @@
         self.stop()
 
     def stop(self) -> None:
-        """Die: the port refuses, and what is open is reset."""
+        """Stop as a crash does: the port refuses, and open connections are reset."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -220,7 +225,7 @@
             reset_connection(writer)
 
     async def restart(self, started_ms: int) -> None:
-        """Come back at the same address as a new process."""
+        """Start anew at the same address, as a new process."""
         self.stop()
         self.started_ms = started_ms
         self.server = await self.start(self.port)
@@ -246,8 +251,8 @@
             self.closed.release()
 
     def entry(self, name: str = "s-1", **changes: Any) -> dict[str, Any]:
-        """Its line of a list, in discovery's form; `lifecycle="draining"` and the like
-        as further arguments."""
+        """The endpoint's entry of a list in discovery's form, with `changes` such as
+        `lifecycle="draining"`."""
         return {
             "instanceId": name, "hostPort": f"127.0.0.1:{self.port}", "zone": "here", "machineType": "small",
             "cell": 1, "lifecycle": "ready", "weight": 1.0, "startedAtMs": self.started_ms, **changes,
--- a/laurelstep/testing/messages.py
+++ b/laurelstep/testing/messages.py
@@ -1,5 +1,4 @@
-"""HTTP/1.1 messages as the stand-ins read and write them: small and by hand, so that
-they can also be wrong on purpose."""
+"""HTTP/1.1 messages as the stand-ins read and write them, small enough to be wrong on purpose."""
 
 from __future__ import annotations
 
@@ -15,7 +14,7 @@
 
 @dataclass
 class Message:
-    """A whole request or answer: its first line, its headers by lower-case name, its body."""
+    """A complete request or answer: its first line, its headers by lower-case name, its body."""
 
     start: str
     headers: dict[str, str]
@@ -23,13 +22,15 @@
 
     @property
     def status(self) -> int:
-        """Of an answer; ValueError for a request."""
+        """The status of an answer. ValueError for a request."""
         return int(self.start.split()[1])
 
 
 async def read_message(reader: Reader) -> Message:
-    """The next message; `asyncio.IncompleteReadError` if the connection ends before it does.
-    Framing by Content-Length or by chunks."""
+    """Read the next message, framed by Content-Length or by chunks.
+
+    `asyncio.IncompleteReadError` if the connection ends before the message does.
+    """
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:] if line)}
     if headers.get("transfer-encoding") == "chunked":
@@ -48,23 +49,23 @@
 
 
 def answer(status: int = 200, body: bytes = b"ok", headers: str = "") -> bytes:
-    """An answer's bytes; `headers` are whole lines."""
+    """An answer's bytes; `headers` are complete lines."""
     head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{headers}\r\n"
     return head.encode() + body
 
 
-# Below what systems give to outgoing connections: one of those would take a port while the
-# process that listens there is down, or be connected to itself.
+# Below the ports that systems give to outgoing connections: one of those could take a port while
+# the process that listens there is down, or be connected to itself.
 PORTS = range(20_000, 32_000)
 BLOCK = 50
 
 
 class Ports:
-    """Ports for processes that must be told one; none twice.
+    """Allocates ports for processes that must be configured with one; none twice.
 
     Guards against a second test process that finds a port free before the first one's process
-    listens there: each takes whole blocks, under names that only one socket of the system can have
-    and that end with it. A program that claims nothing may still come in between.
+    listens there: each reserves blocks, under socket names that are unique on the system and end with
+    their process. A program that reserves nothing may still take a port in between.
     """
 
     def __init__(self, ports: range = PORTS, name: str = "laurelstep-ports") -> None:
@@ -75,6 +76,7 @@
         self.claims: list[socket.socket] = []
 
     def take(self, kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
+        """A free port for this kind of socket. OSError if none is left."""
         while True:
             if not self.left:
                 self.left = self._claim()
@@ -99,6 +101,7 @@
         raise OSError("no port is free")
 
     def close(self) -> None:
+        """Give up all reserved blocks."""
         for claim in self.claims:
             claim.close()
 
@@ -107,10 +110,10 @@
 
 
 def free_port() -> int:
-    """A port that nobody listens at, for a process that must be told one; none twice."""
+    """A TCP port that nobody listens at, for a process that must be configured with one; none twice."""
     return _ports.take()
 
 
 def free_udp_port() -> int:
-    """The same for datagrams."""
+    """A UDP port that nobody listens at; none twice."""
     return _ports.take(socket.SOCK_DGRAM)
--- a/laurelstep/testing/registry.py
+++ b/laurelstep/testing/registry.py
@@ -1,4 +1,4 @@
-"""Discovery, fed by whoever uses it."""
+"""Discovery whose answers the test writes itself; `DiscoveryServer` writes those of the protocol."""
 
 from __future__ import annotations
 
@@ -12,24 +12,28 @@
 
 
 def whole_list(*entries: dict[str, Any], generation: int = 1) -> dict[str, Any]:
-    """A whole list as one object, also as a configuration's `known`."""
+    """A complete list as one object, also for a configuration's `known`."""
     return {"generation": generation, "reset": True, "instances": list(entries)}
 
 
 def push_raw(writer: Writer, line: bytes) -> None:
-    """One chunk of a watch."""
+    """Write one chunk of a watch, in form or not."""
     writer.write(b"%x\r\n%b\r\n" % (len(line), line))
 
 
 def push(writer: Writer, generation: int, whole: bool, *entries: dict[str, Any]) -> None:
-    """One line of a watch: a whole list, or changes."""
+    """Write one line of a watch: a complete list if `whole`, or changes."""
     line = json.dumps({"generation": generation, "reset": whole, "instances": entries}) + "\n"
     push_raw(writer, line.encode())
 
 
 @dataclass(eq=False)
 class Registry(Listener):
-    """Each watch that opens is put into `asked`, with its request line and its writer."""
+    """Accepts watches and writes nothing into them but their head.
+
+    Each watch is put into `asked` with its request line and its writer. It is given up as silent by a
+    client that waits for heartbeats.
+    """
 
     asked: asyncio.Queue[tuple[str, Writer]] = field(default_factory=asyncio.Queue)
 
