--- a/laurelstep/demo/view.py
+++ b/laurelstep/demo/view.py
@@ -1,4 +1,4 @@
-"""The demo on a terminal."""
+"""The demo's tables on a terminal."""
 
 from __future__ import annotations
 
@@ -9,41 +9,51 @@
 from rich.table import Table
 from rich.text import Text
 
-from laurelstep.demo.world import Summary, World, part, play
+from laurelstep.demo.run import DemoRun
+from laurelstep.demo.statistics import Summary, quantile
 
-STYLES = {"ready": "green", "stalled": "red", "draining": "yellow"}
+REFRESHES_PER_SECOND = 10
+STATE_STYLES = {"ready": "green", "stalled": "red", "draining": "yellow"}
 
 
-def endpoints(world: World) -> Table:
+def endpoint_table(run: DemoRun) -> Table:
+    """One row an endpoint: its state, and what it holds and has served."""
     table = Table(title="endpoints")
     for name in ("endpoint", "speed", "state"):
         table.add_column(name)
     for name in ("in flight", "served"):
         table.add_column(name, justify="right")
-    for one in world.workers:
-        state = Text(one.state, STYLES[one.state])
-        table.add_row(one.name, one.speed, state, str(one.held), str(one.served))
+    for endpoint in run.endpoints:
+        state = Text(endpoint.state, STATE_STYLES[endpoint.state])
+        table.add_row(endpoint.name, endpoint.speed, state, str(endpoint.in_flight), str(endpoint.served))
     return table
 
 
-def totals(world: World) -> Table:
-    rate, times = world.last_second()
-    table = Table(title=f"{world.elapsed():.1f} of {world.seconds:.0f} s: {world.event}")
+def totals_table(run: DemoRun) -> Table:
+    """Counts since the start, and the rate and durations of the last second."""
+    recent = run.statistics.last_second()
+    durations_s = [finished.duration_s for finished in recent if finished.outcome == "served"]
+    table = Table(title=f"{run.elapsed_s():.1f} of {run.seconds:.0f} s: {run.event}")
     for name in ("requests/s", "served", "refused", "failed", "p50 ms", "p99 ms"):
         table.add_column(name, justify="right")
     table.add_row(
-        str(rate),
-        *(str(world.totals[name]) for name in ("served", "refused", "failed")),
-        f"{1000 * part(times, 0.5):.1f}",
-        f"{1000 * part(times, 0.99):.1f}",
+        str(len(recent)),
+        *(str(run.statistics.counts[name]) for name in ("served", "refused", "failed")),
+        f"{1000 * quantile(durations_s, 0.5):.1f}",
+        f"{1000 * quantile(durations_s, 0.99):.1f}",
     )
     return table
 
 
-def show(world: World) -> Summary:
+def show(run: DemoRun) -> Summary:
+    """Play the run on the terminal, then print its summary."""
     console = Console()
-    with Live(console=console, refresh_per_second=10) as live:
-        summary = asyncio.run(play(world, lambda: live.update(Group(totals(world), endpoints(world)))))
+    with Live(console=console, refresh_per_second=REFRESHES_PER_SECOND) as live:
+
+        def on_view() -> None:
+            live.update(Group(totals_table(run), endpoint_table(run)))
+
+        summary = asyncio.run(run.run(on_view))
     console.print(
         f"{summary.asked} asked: {summary.served} served, {summary.refused} refused, "
         f"{summary.failed} failed, {summary.unanswered} unanswered; "
@@ -53,5 +63,5 @@
         f"orders run twice: {summary.orders_run_twice}; "
         f"sends past the drain's grace: {summary.sends_past_the_grace}"
     )
-    console.print("all promises kept" if summary.kept else "a promise was broken")
+    console.print("all promises kept" if summary.all_promises_kept else "a promise was broken")
     return summary
