--- a/laurelstep/library/__init__.py
+++ b/laurelstep/library/__init__.py
@@ -1,10 +1,10 @@
-"""The balancer inside a process: an async client, and middleware for ASGI 3 hosts.
+"""The balancer in process: an async client, and middleware for ASGI 3 hosts.
 
     async with Client.open("operator.toml") as client:
         reply = await client.send(Request(cls="view", method="GET", target="/view?obj=7f"))
 
-It is a good guest: no signal handlers, no change of the collector, of the loop policy
-or of the process's limits; it logs to the logger `laurelstep`.
+It sets no signal handlers and changes neither the garbage collector nor the loop policy nor the
+process's limits. It logs to the logger `laurelstep`.
 """
 
 from laurelstep.engine.call import Ending
--- a/laurelstep/library/asgi.py
+++ b/laurelstep/library/asgi.py
@@ -1,7 +1,7 @@
-"""ASGI 3 middleware: requests of a known class are balanced, all else is the host's.
+"""ASGI 3 middleware: requests of a known class are balanced, all others are the app's.
 
-The same judgement as the daemon's (`laurelstep.net.request`); what belongs to the host
-server is left to it: reading heads, connections, their limits, and its own signals.
+Requests are validated as by the daemon (`laurelstep.net.request`). Reading heads, connections, their
+limits and signals are left to the host server.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from laurelstep.engine.call import Headers
 from laurelstep.interface import SAFE
-from laurelstep.library.client import Client, ClientError, Exchange, Reply, State
+from laurelstep.library.client import Client, ClientError, ClientState, Exchange, Reply
 from laurelstep.net.errors import BadRequestError
 from laurelstep.net.message import BODY_MAX, OWS, READ_S
 from laurelstep.settings import ConfigError
@@ -29,13 +29,12 @@
 
 
 class BalancerMiddleware:
-    """Wrap an app: `app = BalancerMiddleware(app, Client.open(config), prefix="/albums")`.
+    """Wraps an app: `app = BalancerMiddleware(app, Client.open(config), prefix="/albums")`.
 
-    A request whose path's first part, behind the prefix, names a class goes through the
-    client; the prefix is not passed on. Everything else, websocket scopes too, reaches the
-    app untouched. The lifespan opens the client before the app starts and closes it,
-    draining first, before the app stops; a client that is open already is left to its
-    owner. `read_s` bounds how long a body may take to come.
+    A request whose path has a class's name as its first part after the prefix goes through the client; the
+    prefix is not forwarded. All else, websocket scopes too, reaches the app unchanged. The lifespan opens
+    the client before the app starts, and closes it gracefully before the app stops; a client that is open
+    already is left to its owner. A body must arrive within `read_s` seconds.
     """
 
     def __init__(self, app: App, client: Client, prefix: str = "", read_s: float = READ_S) -> None:
@@ -49,20 +48,20 @@
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] == "lifespan":
-            await Lifespan(self.app, self.client, scope, receive, send).run()
-        elif scope["type"] == "http" and self._is_ours(scope["path"]):
+            await ClientLifespan(self.app, self.client, scope, receive, send).run()
+        elif scope["type"] == "http" and self._is_balanced(scope["path"]):
             await self._balance(scope, receive, send)
         else:
             await self.app(scope, receive, send)
 
-    def _is_ours(self, path: str) -> bool:
+    def _is_balanced(self, path: str) -> bool:
         if not path.startswith(self.prefix + "/"):
             return False
         first = path[len(self.prefix) + 1 :].partition("/")[0]
         return first in self.client.config.names.classes
 
     def _target(self, scope: Scope) -> bytes:
-        """Path and query as they came, without the prefix."""
+        """Path and query as they were sent, without the prefix."""
         raw: bytes | None = scope.get("raw_path")
         path = raw.partition(b"?")[0] if raw else quote(scope["path"], safe="/:@!$&'()*+,;=~-._").encode()
         path = path.removeprefix(self.prefix.encode())
@@ -72,26 +71,31 @@
     async def _balance(self, scope: Scope, receive: Receive, send: Send) -> None:
         exchange: Exchange | None = None
         try:
-            self.client.usable()
-            exchange = Exchange(self.client, scope["method"].encode(), self._target(scope), _head(scope))
-            body = await self._body(receive, exchange)
+            self.client.require_open()
+            exchange = Exchange(
+                self.client, scope["method"].encode(), self._target(scope), _request_headers(scope)
+            )
+            body = await self._read_body(receive, exchange)
             if body is None:
-                return  # it left before its request was whole: nothing was taken
-            reply = await self._reply(exchange, body, receive)
+                return  # the client disconnected before its request was complete: nothing was sent
+            reply = await self._run_exchange(exchange, body, receive)
         except BadRequestError as error:
-            await _write(send, error.status, f"{error}\n".encode(), [_PLAIN, _CLOSE])
+            await _write(send, error.status, f"{error}\n".encode(), [_PLAIN_TEXT, _CONNECTION_CLOSE])
         except ClientError as error:
-            # It was not taken, so a retry is harmless.
-            await _write(send, 503, f"{error}\n".encode(), [_PLAIN, _CLOSE])
+            # Nothing was sent, so a retry is harmless.
+            await _write(send, 503, f"{error}\n".encode(), [_PLAIN_TEXT, _CONNECTION_CLOSE])
         else:
             if reply is not None:
-                await _write_reply(send, reply, self.client.state is not State.OPEN)
+                await _write_reply(send, reply, self.client.state is not ClientState.OPEN)
         finally:
             if exchange is not None:
-                exchange.leave()
+                exchange.abandon()
 
-    async def _body(self, receive: Receive, exchange: Exchange) -> bytes | None:
-        """The whole body, or None if the client left."""
+    async def _read_body(self, receive: Receive, exchange: Exchange) -> bytes | None:
+        """The complete body, or None if the client disconnected.
+
+        `BadRequestError` if it is too large, too late, or not allowed.
+        """
         parts: list[bytes] = []
         size = 0
         try:
@@ -113,42 +117,42 @@
             raise BadRequestError(400, "a GET has no body")
         return b"".join(parts)
 
-    async def _reply(self, exchange: Exchange, body: bytes, receive: Receive) -> Reply | None:
-        watch = asyncio.get_running_loop().create_task(_leave_with_client(receive, exchange))
+    async def _run_exchange(self, exchange: Exchange, body: bytes, receive: Receive) -> Reply | None:
+        watch = asyncio.get_running_loop().create_task(_abandon_on_disconnect(receive, exchange))
         try:
             return await exchange.run(body)
         finally:
             watch.cancel()
-            # Guards the host against a task of ours that outlives its request.
+            # Guards the host against a task that outlives its request.
             await asyncio.wait((watch,))
 
 
-async def _leave_with_client(receive: Receive, exchange: Exchange) -> None:
-    """The body has come: what is told next is that the client has left."""
+async def _abandon_on_disconnect(receive: Receive, exchange: Exchange) -> None:
+    """Abandon the exchange on the message that follows the body, if the client has disconnected."""
     message = await receive()
     if message["type"] == "http.disconnect":
-        exchange.leave()
+        exchange.abandon()
 
 
-_PLAIN = (b"content-type", b"text/plain")
-_CLOSE = (b"connection", b"close")
+_PLAIN_TEXT = (b"content-type", b"text/plain")
+_CONNECTION_CLOSE = (b"connection", b"close")
 
 
-def _head(scope: Scope) -> Headers:
+def _request_headers(scope: Scope) -> Headers:
     headers = [(bytes(name), bytes(value).strip(OWS)) for name, value in scope["headers"]]
     framed = any(name in (b"content-length", b"transfer-encoding") for name, _ in headers)
     if not framed and scope.get("http_version", "1.1")[0] in "23" and scope["method"] != "GET":
-        # Frames of their own say how long the body is: as with chunks, it shows when it is whole.
+        # HTTP/2 and 3 frame the body themselves: as with chunks, its end shows when it is complete.
         headers.append((b"transfer-encoding", b"chunked"))
     return headers
 
 
-async def _write_reply(send: Send, reply: Reply, ending: bool) -> None:
+async def _write_reply(send: Send, reply: Reply, closes_connection: bool) -> None:
     headers = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in reply.headers]
     if reply.retry_after_s is not None:
         headers.append((b"retry-after", b"%.3f" % reply.retry_after_s))
-    if ending:
-        headers.append(_CLOSE)
+    if closes_connection:
+        headers.append(_CONNECTION_CLOSE)
     await _write(send, reply.status, reply.body, headers)
 
 
@@ -158,15 +162,16 @@
         await send({"type": "http.response.start", "status": status, "headers": headers})
         await send({"type": "http.response.body", "body": body})
     except OSError:
-        # Some hosts say so that the client has left; its answer was given all the same.
-        logger.debug("a client left before its answer was written")
+        # Some hosts report so that the client has disconnected; it was answered all the same.
+        logger.debug("a client disconnected before its answer was written")
 
 
-class Lifespan:
-    """The host's lifespan: the client opens before the app and closes before it.
+class ClientLifespan:
+    """Handles the host's lifespan: the client opens before the app and closes before it.
 
-    The app's own lifespan runs within. An app that has none (it raises, or returns, before
-    it answers) is spoken for, so that the client opens and closes all the same."""
+    The app's own lifespan runs within. For an app that has none (it raises, or returns, before it answers)
+    the host is answered here, so that the client opens and closes all the same.
+    """
 
     def __init__(self, app: App, client: Client, scope: Scope, receive: Receive, send: Send) -> None:
         self.app = app
@@ -174,21 +179,22 @@
         self.scope = scope
         self.receive = receive
         self.send = send
-        self.owned = False  # the client was opened here
-        self.failed = False  # the client could not be opened, and the host was told
-        self.answered = False  # the host was told how the start went
-        self.over = False  # nothing more is to be told
-        self.pending: Message | None = None  # received, and not yet answered
+        self.owns_client = False  # the client was opened by this lifespan
+        self.start_failed = False  # the client could not be opened, and the host knows
+        self.has_answered = False  # the host knows how the start went
+        self.is_over = False  # the host needs no further message
+        self.pending: Message | None = None  # received and not yet answered
 
     async def run(self) -> None:
+        """Run the lifespan to its end. An error of the app after its start passes on."""
         try:
             await self.app(self.scope, self._receive, self._send)
         except Exception:
-            if self.answered and not self.failed:
+            if self.has_answered and not self.start_failed:
                 raise
             logger.debug("the app has no lifespan of its own")
         try:
-            while not self.over:
+            while not self.is_over:
                 message = self.pending or await self._receive()
                 await self._send({"type": f"{message['type']}.complete"})
         except ConfigError:
@@ -198,28 +204,31 @@
 
     async def _receive(self) -> Message:
         self.pending = message = await self.receive()
-        if message["type"] == "lifespan.startup" and self.client.state in (State.NEW, State.CLOSED):
+        if message["type"] == "lifespan.startup" and self.client.state in (
+            ClientState.NEW,
+            ClientState.CLOSED,
+        ):
             try:
                 await self.client.start()
-                self.owned = True
+                self.owns_client = True
             except ConfigError as error:
                 await self._send({"type": "lifespan.startup.failed", "message": str(error)})
-                self.failed = True
+                self.start_failed = True
                 raise
         elif message["type"] == "lifespan.shutdown":
             await self._close()
         return message
 
     async def _send(self, message: Message) -> None:
-        if self.failed:
-            return  # guards the host against an app that words the same failure again
-        self.answered = True
+        if self.start_failed:
+            return  # guards the host against an app that reports the same failure again
+        self.has_answered = True
         self.pending = None
-        self.over = message["type"] != "lifespan.startup.complete"
-        if self.over:
+        self.is_over = message["type"] != "lifespan.startup.complete"
+        if self.is_over:
             await self._close()
         await self.send(message)
 
     async def _close(self) -> None:
-        if self.owned:
+        if self.owns_client:
             await self.client.close()
--- a/laurelstep/library/client.py
+++ b/laurelstep/library/client.py
@@ -1,13 +1,12 @@
-"""The async client: one copy of the balancer on the host's own event loop.
+"""The async client: one instance of the balancer on the host's own event loop.
 
-Rules that everything here serves:
+The rules:
 
-1. A client belongs to the loop and the process that opened it, and shares nothing with
-   another client.
-2. An exchange ends once: by its final answer, or by the host's leaving it (a cancelled
-   task, a client that disconnected), which the module hears as `gone`.
-3. Once closing has begun nothing new is taken; what was taken is finished first; after
-   that no task and no socket is left.
+1. A client belongs to the loop and the process that opened it, and shares nothing with another client.
+2. An exchange ends once: by its final answer, or by being abandoned (a cancelled task, a client that
+   disconnected), which the engine hears as `gone`.
+3. Once closing has begun no request is taken; those taken before are finished first; after that no task and
+   no socket is left.
 """
 
 from __future__ import annotations
@@ -40,14 +39,14 @@
 
 
 class ClientError(LaurelstepError):
-    """The client can't be used so: it is not open, or belongs to another loop or process."""
+    """The client can't be used here: it is not open, or belongs to another loop or process."""
 
     cause = "the library's client is not open, or belongs to another event loop or process"
     remedy = "open one client in each process, after a fork, on the loop that uses it; close it last"
 
 
 class RequestError(LaurelstepError, ValueError):
-    """The request is not as its class demands; `status` is what a caller would be told."""
+    """The request is not as its class demands; `status` is what the daemon would answer."""
 
     cause = "a request given to the library's client is not as its class demands"
     remedy = "correct the request by the text, or its class in [deployment]; nothing was sent"
@@ -61,11 +60,11 @@
 class Request:
     """One request. Nothing of it has run when `RequestError` is raised for it.
 
-    `cls` is the class's name and the first part of the target's path; `method` is GET for
-    a class that is safe to repeat and POST for others; `key` is the idempotency key of a
-    keyed class; `deadline_s` is how long the answer is waited for, the class's own
-    deadline at most and by default. `id` is made up where none is given; it must not be
-    that of an open request. Of further `headers` those are passed on that endpoints need.
+    `cls` is the class's name and the first part of the target's path. `method` is GET for an idempotent
+    class and POST for others; `key` is the idempotency key of a keyed class. `deadline_s` is how long to
+    wait for the answer: the class's own deadline at most and by default. `id` is random where none is
+    given; it must not be that of an open request. Of further `headers`, those that endpoints need are
+    forwarded.
     """
 
     cls: str
@@ -79,7 +78,7 @@
     headers: Mapping[str, str] = field(default_factory=dict)
 
     def head(self) -> Headers:
-        """The headers that a caller of the daemon would send."""
+        """The headers that a client of the daemon would send. `RequestError` for text no header can hold."""
         fields = {name.lower(): value for name, value in self.headers.items()}
         fields.setdefault("host", "localhost")
         fields["x-request-id"] = self.id if self.id is not None else secrets.token_hex(8)
@@ -108,8 +107,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The one final answer. `retry_after_s` is told with some refusals; `attempts` and
-    `endpoint` (the instance id of the last one tried) are for logs."""
+    """The one final answer. `retry_after_s` comes with some rejections; `attempts` and `endpoint` (the
+    instance id of the last attempt's) are for logs."""
 
     outcome: Ending
     status: int
@@ -122,8 +121,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One endpoint of a list that is given in code; `started_ms` is Unix time, 0 for long
-    ago. An id stands for one process at one address; a draining one gets nothing new."""
+    """One endpoint of a list that is given in code.
+
+    `started_ms` is Unix time in milliseconds, 0 for long ago. An id names one process at one address; a
+    draining endpoint gets no new requests.
+    """
 
     id: str
     address: str
@@ -135,6 +137,7 @@
     started_ms: int = 0
 
     def entry(self) -> dict[str, Any]:
+        """The endpoint in discovery's form."""
         return {
             "instanceId": self.id,
             "hostPort": self.address,
@@ -147,7 +150,9 @@
         }
 
 
-class State(Enum):
+class ClientState(Enum):
+    """Where a client is in its life."""
+
     NEW = "not open"
     OPEN = "open"
     CLOSING = "closing"
@@ -155,24 +160,24 @@
 
 
 class Exchange:
-    """One request and its answer, between a host's task and the engine."""
+    """One request and its final answer, between a host's task and the engine."""
 
     def __init__(self, client: Client, method: bytes, target: bytes, headers: Headers) -> None:
-        """`BadRequestError` if the head is not in form."""
+        """`BadRequestError` if the head is malformed."""
         self.client = client
         config = client.config
         call = call_from(method, target, headers, config.names, config.settings, self)
-        self.call: Call | None = call  # until it is over: each holds the other
+        self.call: Call | None = call  # None once it is over: each refers to the other
         self.rules = config.settings.classes[call.cls]
-        self.reply: asyncio.Future[Reply | None] = asyncio.get_running_loop().create_future()
+        self.final_reply: asyncio.Future[Reply | None] = asyncio.get_running_loop().create_future()
 
     async def run(self, body: bytes) -> Reply | None:
-        """The final answer; None if `leave` was called first. The deadline counts from now.
+        """Send the request; the final answer, or None if it was abandoned first.
 
-        A cancelled task leaves the exchange. `BadRequestError` if the id is that of an
-        open request; `ClientError` if the client is no longer open.
+        The deadline counts from now. A cancelled task abandons the exchange. `BadRequestError` if the id is
+        that of an open request; `ClientError` if the client is no longer open.
         """
-        engine = self.client.usable()
+        engine = self.client.require_open()
         call = self.call
         if call is None:
             return None
@@ -180,21 +185,22 @@
             raise BadRequestError(409, "X-Request-Id is that of an open request")
         call.body = body
         call.expires += engine.now()
-        self.client.begun(self)
+        self.client.on_exchange_started(self)
         try:
             engine.take(call)
-            if self.reply.done():
-                # Guards the host's loop: one that asks again at once after a refusal
-                # would leave no turn to anything else.
+            if self.final_reply.done():
+                # Guards the host's loop: a task that retries at once after a rejection would leave no turn
+                # to anything else.
                 await asyncio.sleep(0)
-            return await self.reply
+            return await self.final_reply
         finally:
-            self.leave()
+            self.abandon()
 
     def answered(self, call: Call, answer: Answer) -> None:
+        """Take the final answer from the engine."""
         after_us = answer.retry_after_us
         headers = tuple((n.decode("latin-1"), v.decode("latin-1")) for n, v in answer.headers)
-        self._end(
+        self._finish(
             Reply(
                 outcome=answer.ending,
                 status=answer.status,
@@ -206,20 +212,20 @@
             )
         )
 
-    def leave(self) -> None:
-        """Nobody waits any more. Does nothing but forget the call once there is an answer."""
+    def abandon(self) -> None:
+        """Stop waiting. Once there is an answer this only drops the call."""
         call, self.call = self.call, None
-        self._end(None)
+        self._finish(None)
         if call is not None and call.open and call.id:
             self.client.engine.gone(call)
 
-    def _end(self, reply: Reply | None) -> None:
-        if not self.reply.done():  # a cancelled task has cancelled it too
-            self.reply.set_result(reply)
-        self.client.ended(self)
+    def _finish(self, reply: Reply | None) -> None:
+        if not self.final_reply.done():  # a cancelled task has cancelled it too
+            self.final_reply.set_result(reply)
+        self.client.on_exchange_finished(self)
 
 
-Configured = str | os.PathLike[str] | Mapping[str, Any] | Config
+ClientConfig = str | os.PathLike[str] | Mapping[str, Any] | Config
 
 
 class Client:
@@ -227,20 +233,20 @@
 
     def __init__(self, config: Config, members: Iterable[Member] | None = None) -> None:
         if config.accord is not None:
-            # A sender that no other copy knows of would make what they agree on untrue.
+            # An instance that takes no part in consensus would break what the others agree on.
             raise ConfigError("accord: expected none for the library: only a daemon takes part in it")
         self.config = config
-        self.state = State.NEW
-        self._given = None if members is None else [one.entry() for one in members]
+        self.state = ClientState.NEW
+        self._initial_entries = None if members is None else [one.entry() for one in members]
         self._exchanges: set[Exchange] = set()
 
     @classmethod
-    def open(cls, config: Configured, members: Iterable[Member] | None = None) -> Client:
+    def open(cls, config: ClientConfig, members: Iterable[Member] | None = None) -> Client:
         """A client that opens when it is entered.
 
-        `config`: a file's path (`.toml`: the operator's form, else the platform's JSON), an
-        object in the platform's form, or a `Config`. `ConfigError` with one line if it can't
-        be used. With `members`, or without a discovery, the list is that of the code.
+        `config` is a file's path (`.toml` for the operator's form, else the platform's JSON), an object in
+        the platform's form, or a `Config`. With `members`, or without discovery, the endpoint list comes from
+        code. `ConfigError` with one line if the configuration can't be used.
         """
         if isinstance(config, Config):
             return cls(config, members)
@@ -248,22 +254,24 @@
             return cls(config_from(dict(config), "configuration"), members)
         return cls(read_file(os.fspath(config)), members)
 
-    # --- Life ---------------------------------------------------------------------
+    # --- Opening and closing ------------------------------------------------------
 
     async def start(self) -> None:
-        """Open on the running loop, also again after a close. `ClientError` if it is open;
-        `ConfigError` if a given list can't be read."""
-        if self.state not in (State.NEW, State.CLOSED):
+        """Open on the running loop, also again after a close.
+
+        `ClientError` if it is open; `ConfigError` if a list given in code can't be read.
+        """
+        if self.state not in (ClientState.NEW, ClientState.CLOSED):
             raise ClientError(f"the client is {self.state.value} already")
         config = self.config
         self._loop = asyncio.get_running_loop()
         self._pid = os.getpid()
-        self._quiet = asyncio.Event()
-        self._quiet.set()
+        self._idle = asyncio.Event()
+        self._idle.set()
         self._recorder: OrderRecorder | None = None
         if config.orders is not None:
             self._recorder = await open_recorder(config.orders, config.names.classes, logger.warning)
-        self._parts = Assembly(self._loop, config, logger.warning, self._recorder, self._given)
+        self._parts = Assembly(self._loop, config, logger.warning, self._recorder, self._initial_entries)
         self.engine = self._parts.engine
         try:
             self._parts.start()
@@ -271,23 +279,25 @@
             if self._recorder is not None:
                 await self._recorder.close()
             raise
-        self.state = State.OPEN
+        self.state = ClientState.OPEN
 
     async def close(self) -> None:
-        """Take nothing more, finish what was taken, leave no task and no socket. May be
-        called again, also while it runs; lasts no longer than the longest open deadline."""
-        if self.state in (State.NEW, State.CLOSED):
-            self.state = State.CLOSED
+        """Take no more requests, finish those taken, and leave no task and no socket.
+
+        It lasts no longer than the longest open deadline, and may be called again, also while it runs.
+        """
+        if self.state in (ClientState.NEW, ClientState.CLOSED):
+            self.state = ClientState.CLOSED
             return
-        self._check_place()
-        self.state = State.CLOSING
+        self._check_loop_and_process()
+        self.state = ClientState.CLOSING
         self._parts.upstream.retire()
-        await self._quiet.wait()
+        await self._idle.wait()
         self._parts.close()
         await self._parts.wait_closed()
         if self._recorder is not None:
             await self._recorder.close()
-        self.state = State.CLOSED
+        self.state = ClientState.CLOSED
 
     async def __aenter__(self) -> Self:
         await self.start()
@@ -301,12 +311,12 @@
     # --- Use ----------------------------------------------------------------------
 
     async def send(self, request: Request) -> Reply:
-        """The one final answer to a request, before its time is up.
+        """Send a request; its one final answer, within its deadline.
 
-        `RequestError` if it is not in form, `ClientError` if the client can't be used; then
+        `RequestError` if the request is malformed, `ClientError` if the client can't be used; then
         nothing was sent. A cancelled call stops waiting and sends nothing more.
         """
-        self.usable()
+        self.require_open()
         if len(request.body) > BODY_MAX:
             raise RequestError(413, "the body is too large")
         try:
@@ -317,27 +327,29 @@
             raise RequestError(error.status, str(error)) from None
         except UnicodeEncodeError as error:
             raise RequestError(400, f"the target is no path: {error.object!r}") from None
-        assert reply is not None  # only a front leaves an exchange while it is awaited
+        assert reply is not None  # only the middleware abandons an exchange while it is awaited
         return reply
 
     def members(self, members: Iterable[Member]) -> None:
-        """A new whole list: what it leaves out gets nothing new past the drain grace.
-        ValueError, with the old list kept, if it can't be read; `ClientError` where the
-        list is discovery's."""
-        self.usable()
+        """Replace the endpoint list; an endpoint that it leaves out gets no requests past the drain grace.
+
+        ValueError, with the old list kept, if it can't be read; `ClientError` where the list comes from
+        discovery.
+        """
+        self.require_open()
         source = self._parts.source
         if not isinstance(source, GivenMembers):
             raise ClientError("the members of this client come from discovery")
         source.give([one.entry() for one in members])
 
-    def usable(self) -> Engine:
-        """The engine, if the client is open here; `ClientError` otherwise."""
-        if self.state is not State.OPEN:
+    def require_open(self) -> Engine:
+        """The engine, if the client is open on this loop; `ClientError` otherwise."""
+        if self.state is not ClientState.OPEN:
             raise ClientError(f"the client is {self.state.value}")
-        self._check_place()
+        self._check_loop_and_process()
         return self.engine
 
-    def _check_place(self) -> None:
+    def _check_loop_and_process(self) -> None:
         if os.getpid() != self._pid:
             raise ClientError("the client was opened before a fork: open one in this process")
         if asyncio.get_running_loop() is not self._loop:
@@ -345,11 +357,13 @@
 
     # --- Exchanges ----------------------------------------------------------------
 
-    def begun(self, exchange: Exchange) -> None:
+    def on_exchange_started(self, exchange: Exchange) -> None:
+        """Hold back the end of `close` until this exchange has ended."""
         self._exchanges.add(exchange)
-        self._quiet.clear()
+        self._idle.clear()
 
-    def ended(self, exchange: Exchange) -> None:
+    def on_exchange_finished(self, exchange: Exchange) -> None:
+        """The exchange has ended; it may be reported more than once."""
         self._exchanges.discard(exchange)
         if not self._exchanges:
-            self._quiet.set()
+            self._idle.set()
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -22,7 +22,7 @@
 from laurelstep.engine.ports import Decisions
 from laurelstep.interface import Action, Outcome
 from laurelstep.library import BalancerMiddleware, Client
-from laurelstep.library.client import State
+from laurelstep.library.client import ClientState
 from laurelstep.net.assembly import Assembly
 from laurelstep.net.message import log
 from laurelstep.net.server import Server
@@ -175,7 +175,7 @@
     app = Starlette(middleware=[Middleware(BalancerMiddleware, client=client)])
     async with hosted(app) as (host, port):
         yield Sidecar(client.engine, client._parts.upstream, port, host=host)
-    assert client.state is State.CLOSED and not client._parts.upstream.links
+    assert client.state is ClientState.CLOSED and not client._parts.upstream.links
 
 
 @contextlib.asynccontextmanager
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -21,7 +21,7 @@
 from laurelstep.interface import CANCELLED
 from laurelstep.library import BalancerMiddleware, Client, ClientError, Member
 from laurelstep.library.asgi import Message, Receive, Scope, Send
-from laurelstep.library.client import Exchange, State
+from laurelstep.library.client import ClientState, Exchange
 from laurelstep.testing import Endpoint, after, read_message, request, serve, stall
 from tests.sockets import TIMEOUT_S, hosted, outcomes
 from tests.test_library import config, member, nothing_held
@@ -282,7 +282,7 @@
             await endpoint.arrived.acquire()
             (exchange,) = client._exchanges
             gate.set()
-            while not exchange.reply.done():
+            while not exchange.final_reply.done():
                 await asyncio.sleep(0)
             host.disconnect()
             await task
@@ -396,7 +396,7 @@
         client = Client.open(config(), [])
         sent = await lifespan(BalancerMiddleware(app, client), "startup", "shutdown")
         assert [one["type"] for one in sent] == ["lifespan.startup.complete", "lifespan.shutdown.complete"]
-        assert client.state is State.CLOSED
+        assert client.state is ClientState.CLOSED
 
     run(main())
 
@@ -407,7 +407,7 @@
             client = Client.open(config(), [Member("s-1", "nowhere")])
             sent = await lifespan(BalancerMiddleware(inner, client), "startup")
             assert [one["type"] for one in sent] == ["lifespan.startup.failed"]
-            assert "no address" in sent[0]["message"] and client.state is State.NEW
+            assert "no address" in sent[0]["message"] and client.state is ClientState.NEW
 
     run(main())
 
@@ -423,7 +423,7 @@
         middleware = BalancerMiddleware(Starlette(lifespan=broken), client)
         with pytest.raises(RuntimeError, match="no database"):
             await lifespan(middleware, "startup")
-        assert client.state is State.CLOSED
+        assert client.state is ClientState.CLOSED
 
     run(main())
 
@@ -432,7 +432,7 @@
     async def main() -> None:
         async with Client.open(config(), []) as client:
             await lifespan(BalancerMiddleware(app, client), "startup", "shutdown")
-            assert client.state is State.OPEN
+            assert client.state is ClientState.OPEN
 
     run(main())
 
@@ -454,7 +454,7 @@
             asked = asyncio.create_task(middleware(http("pay", "POST"), host.receive, host.send))
             await endpoint.arrived.acquire()
             life.told.put_nowait({"type": "lifespan.shutdown"})
-            while client.state is not State.CLOSING:
+            while client.state is not ClientState.CLOSING:
                 await asyncio.sleep(0)
             late = Host()
             await middleware(http(), late.receive, late.send)
@@ -485,7 +485,7 @@
             thread = threading.Thread(target=other)
             thread.start()
             thread.join()
-            assert seen == [503] and client.state is State.OPEN
+            assert seen == [503] and client.state is ClientState.OPEN
             with pytest.raises(ClientError):
                 await asyncio.to_thread(lambda: asyncio.run(client.close()))
 
@@ -515,7 +515,7 @@
                     writer.write(raw)
                     assert (await read_message(reader)).body == body
                 writer.close()
-            assert client.state is State.CLOSED
+            assert client.state is ClientState.CLOSED
 
     run(main())
 
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -19,7 +19,7 @@
 from laurelstep.engine.given import GivenMembers
 from laurelstep.interface import ERROR, FULL, KEYED, OK, RESET, UNSAFE
 from laurelstep.library import Client, Member, Reply, Request
-from laurelstep.library.client import State
+from laurelstep.library.client import ClientState
 from laurelstep.settings import config_from
 from laurelstep.testing import Effects, Endpoint, Message, Writer, answer
 from laurelstep.testing.endpoints import reset_connection
@@ -349,7 +349,7 @@
         for words in steps:
             await played.step(words)
         await played.finish()
-        assert client.state is State.CLOSED and nothing_held(client)
+        assert client.state is ClientState.CLOSED and nothing_held(client)
         assert not client._parts.upstream.links and not client._parts.upstream.carrying
         found = await asyncio.gather(*played.asked, return_exceptions=True)
         replies = [one for one in found if isinstance(one, Reply)]
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -16,7 +16,7 @@
 from laurelstep.engine import endpoint_number
 from laurelstep.interface import CANCELLED, MOOT, OK, Action
 from laurelstep.library import Client, ClientError, ConfigError, Ending, Member, Reply, Request, RequestError
-from laurelstep.library.client import Exchange, State
+from laurelstep.library.client import ClientState, Exchange
 from laurelstep.testing import (
     DiscoveryServer,
     Effects,
@@ -57,7 +57,7 @@
         before = set(asyncio.all_tasks())
         async with Client.open(config(**ceilings), members) as client:
             yield client
-        assert client.state is State.CLOSED and not client._parts.upstream.links
+        assert client.state is ClientState.CLOSED and not client._parts.upstream.links
         ours = {one for one in asyncio.all_tasks() - before if "testing" not in repr(one)}
         assert not ours, "no task is left behind"
 
@@ -312,7 +312,7 @@
             told = outcomes(client.engine)
             task = asyncio.create_task(client.send(PAY))
             (exchange,) = await until_taken(client)
-            while not exchange.reply.done():
+            while not exchange.final_reply.done():
                 await asyncio.sleep(0)
             task.cancel()  # it was answered, and has not had its turn since
             with contextlib.suppress(asyncio.CancelledError):
@@ -383,7 +383,7 @@
         client = Client.open(config(), [Member("s-9", "nowhere")])
         with pytest.raises(ConfigError, match="members: "):
             await client.start()
-        assert client.state is State.NEW
+        assert client.state is ClientState.NEW
         await client.close()
 
     asyncio.run(main())
@@ -494,7 +494,7 @@
             child = os.fork()
             if child == 0:  # no more than this: it shares everything with the test
                 try:
-                    client.usable()
+                    client.require_open()
                     os.write(write_end, b"usable")
                 except ClientError as error:
                     os.write(write_end, str(error).encode())
