--- a/laurelstep/testing/contracts/outbox.py
+++ b/laurelstep/testing/contracts/outbox.py
@@ -27,24 +27,46 @@
 class WriteStore(Protocol):
     """What the outbox's driver needs of its store."""
 
-    async def load(self) -> Loaded: ...
-    async def keep(self, write: KeptWrite, body: bytes) -> None: ...
-    async def put_parts(self, dot: Dot, at: int, parts: Sequence[bytes]) -> None: ...
-    async def put_head(self, write: KeptWrite, first: bytes) -> None: ...
-    async def move(self, moved: Moved) -> None: ...
-    async def read(self, dot: Dot) -> tuple[KeptWrite, bytes] | None: ...
-    async def head(self, dot: Dot) -> tuple[KeptWrite, bytes] | None: ...
-    async def part(self, dot: Dot, at: int) -> bytes: ...
-    async def moved(self, dot: Dot) -> Moved | None: ...
-    async def forget(self, dot: Dot, size: int) -> bool: ...
-    async def put_lines(self, lines: Mapping[Line, int]) -> None: ...
+    async def load(self) -> Loaded:
+        """All writes, without bodies, and the known logs."""
+
+    async def keep(self, write: KeptWrite, body: bytes) -> None:
+        """Store a write with its complete body."""
+
+    async def put_parts(self, dot: Dot, at: int, parts: Sequence[bytes]) -> None:
+        """Store parts of a body that is still arriving, from part `at` on."""
+
+    async def put_head(self, write: KeptWrite, first: bytes) -> None:
+        """Complete a write whose further parts are stored."""
+
+    async def move(self, moved: Moved) -> None:
+        """Store a new state of a write."""
+
+    async def read(self, dot: Dot) -> tuple[KeptWrite, bytes] | None:
+        """A write and its complete body; None if it is not there."""
+
+    async def head(self, dot: Dot) -> tuple[KeptWrite, bytes] | None:
+        """A write and the first part of its body; None if it is not there."""
+
+    async def part(self, dot: Dot, at: int) -> bytes:
+        """Part `at` of a body."""
+
+    async def moved(self, dot: Dot) -> Moved | None:
+        """The last state that was stored of a write; None if there is none."""
+
+    async def forget(self, dot: Dot, size: int) -> bool:
+        """Delete a write whose body has this size. False if the deletion can't be written."""
+
+    async def put_lines(self, lines: Mapping[Line, int]) -> None:
+        """Store how far each log has come."""
 
 
 class WriteStoreIncarnations(Protocol):
     """One process after another on one durable store."""
 
     @property
-    def store(self) -> WriteStore: ...
+    def store(self) -> WriteStore:
+        """The current process's store."""
 
     async def restart(self) -> None:
         """Close the store in order; the next process opens it."""
--- /dev/null
+++ b/tests/event_loops.py
@@ -0,0 +1,82 @@
+"""Event loops for tests: with a limit on the real time of a test, and on virtual time.
+
+On virtual time a wait is over at once, and takes the same time however busy the machine is."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+import selectors
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+# For what would never come; no verdict depends on it.
+LIMIT_S = 60.0
+START_US = 1_000_000
+
+
+async def _limited(test: Coroutine[Any, Any, None]) -> None:
+    async with asyncio.timeout(LIMIT_S):
+        await test
+
+
+def run_limited(test: Coroutine[Any, Any, None]) -> None:
+    """Run a test on a loop of its own, in real time. TimeoutError after `LIMIT_S`."""
+    asyncio.run(_limited(test))
+
+
+def run_on_virtual_time(test: Coroutine[Any, Any, None]) -> None:
+    """Run a test that uses real sockets on virtual time. TimeoutError after `LIMIT_S` of it."""
+    with asyncio.Runner(loop_factory=SocketVirtualTimeLoop) as runner:
+        runner.run(_limited(test))
+
+
+class VirtualTimeSelector(selectors.DefaultSelector):
+    """Does not wait for a timeout, but reports that its time has passed."""
+
+    def __init__(self, on_time_passed: Callable[[float], None]) -> None:
+        super().__init__()
+        self.on_time_passed = on_time_passed
+
+    def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
+        found = super().select(0)
+        if not found:
+            assert timeout is not None, "nothing to wait for"
+            self.on_time_passed(timeout)
+        return found
+
+
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
+    """A loop on virtual time."""
+
+    turn_us = 10  # a turn takes some time, or a timer that is due now would stop the loop
+
+    def __init__(self) -> None:
+        self.now_us = START_US
+        super().__init__(VirtualTimeSelector(self.advance))
+
+    def advance(self, span_s: float) -> None:
+        self.now_us += max(self.turn_us, math.ceil(span_s * 1e6))
+
+    def time(self) -> float:
+        return self.now_us / 1e6
+
+    def now(self) -> int:
+        return self.now_us
+
+
+class SocketVirtualTimeSelector(VirtualTimeSelector):
+    """Lets time pass only once no socket is ready: the system gets a millisecond to deliver what one end
+    wrote to the other."""
+
+    def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
+        found = selectors.DefaultSelector.select(self, 0.001) if timeout else []
+        return found or super().select(timeout)
+
+
+class SocketVirtualTimeLoop(VirtualTimeLoop):
+    """A loop on virtual time with real sockets."""
+
+    def __init__(self) -> None:
+        self.now_us = START_US
+        asyncio.SelectorEventLoop.__init__(self, SocketVirtualTimeSelector(self.advance))
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -8,9 +8,7 @@
 import copy
 import errno
 import itertools
-import math
 import random
-import selectors
 import socket
 import subprocess
 import sys
@@ -81,6 +79,7 @@
 from laurelstep.testing.contracts.upstream import EndpointBehaviour, UpstreamContract, UpstreamEnvironment
 from laurelstep.testing.disk import SimulatedDisk
 from laurelstep.testing.endpoints import Listener, reset_connection
+from tests.event_loops import VirtualTimeLoop
 from tests.fakes import Due, ManualClock, PlayedUpstream, Sent
 
 ROOT = Path(__file__).parent.parent
@@ -95,43 +94,6 @@
     assert not wrong
 
 
-# --- Made time ----------------------------------------------------------------------------------
-
-
-class Jumps(selectors.DefaultSelector):
-    """Nobody waits in it: the time that is to pass has passed."""
-
-    def __init__(self, passes: Callable[[float], None]) -> None:
-        super().__init__()
-        self.passes = passes
-
-    def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        found = super().select(0)
-        if not found:
-            assert timeout is not None, "nothing to wait for"
-            self.passes(timeout)
-        return found
-
-
-class MadeLoop(asyncio.SelectorEventLoop):
-    """Its time is made, and the same however busy the machine is."""
-
-    turn_us = 10  # a turn takes some time, or a timer set for now would stop it
-
-    def __init__(self) -> None:
-        self.us = 1_000_000
-        super().__init__(Jumps(self.passes))
-
-    def passes(self, span_s: float) -> None:
-        self.us += max(self.turn_us, math.ceil(span_s * 1e6))
-
-    def time(self) -> float:
-        return self.us / 1e6
-
-    def now(self) -> int:
-        return self.us
-
-
 # --- The contracts themselves ---------------------------------------------------------------
 
 
@@ -157,8 +119,8 @@
 class Waits(Contract):
     timeout_s = 0.01
 
-    def new_loop(self) -> MadeLoop:
-        return MadeLoop()
+    def new_loop(self) -> VirtualTimeLoop:
+        return VirtualTimeLoop()
 
     def test_waits(self) -> None:
         self.run(self.wait_for(asyncio.Event().wait(), "an event"))  # type: ignore[arg-type]
@@ -214,7 +176,7 @@
         return uvloop.new_event_loop()
 
 
-class EarlyLoop(MadeLoop):
+class EarlyLoop(VirtualTimeLoop):
     """Its timers come up to a millisecond early, as those of a loop that rounds may."""
 
     def call_later(  # type: ignore[override]
@@ -236,8 +198,8 @@
         self.draw = random.Random(seed)
         super().__init__()
 
-    def passes(self, span_s: float) -> None:
-        super().passes(span_s)
+    def advance(self, span_s: float) -> None:
+        super().advance(span_s)
         self.stand()
 
     def now(self) -> int:
@@ -250,19 +212,19 @@
 
     def stand(self) -> None:
         if self.draw.random() < self.often:
-            self.us += self.draw.randrange(self.longest_us)
+            self.now_us += self.draw.randrange(self.longest_us)
 
 
 class TestLoopClockWokenEarly(TestLoopClock):
     seed: ClassVar[int | None] = None
 
-    def new_loop(self) -> MadeLoop:
+    def new_loop(self) -> VirtualTimeLoop:
         return EarlyLoop() if self.seed is None else BusyLoop(self.seed)
 
     @contextlib.asynccontextmanager
     async def running_clock(self) -> AsyncIterator[RunningClock]:
         loop = asyncio.get_running_loop()
-        assert isinstance(loop, MadeLoop)
+        assert isinstance(loop, VirtualTimeLoop)
         with mock.patch.object(time, "monotonic_ns", lambda: loop.now() * 1000):
             yield Passing(LoopClock(loop))
 
@@ -355,7 +317,7 @@
 class RearmingClock:
     """Sets a timer that woke early anew, and leaves its handle behind."""
 
-    def __init__(self, loop: MadeLoop) -> None:
+    def __init__(self, loop: VirtualTimeLoop) -> None:
         self.loop = loop
         self.now, self.wall = loop.now, LoopClock(loop).wall
 
@@ -375,7 +337,7 @@
         @contextlib.asynccontextmanager
         async def running_clock(self) -> AsyncIterator[RunningClock]:
             loop = asyncio.get_running_loop()
-            assert isinstance(loop, MadeLoop)
+            assert isinstance(loop, VirtualTimeLoop)
             yield Passing(RearmingClock(loop))
 
     caught(Faulty(), "test_a_call_cancelled_shortly_before_its_time_never_comes")
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -8,8 +8,7 @@
 
 import asyncio
 import json
-import selectors
-from collections.abc import Awaitable, Callable, Coroutine
+from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any, Self
@@ -20,7 +19,7 @@
 from laurelstep.net.discovery import LIST_PATH, Discovery
 from laurelstep.settings import read_platform
 from laurelstep.testing import Listener, Reader, Writer, push, push_raw, read_message
-from tests.test_contracts import Jumps, MadeLoop
+from tests.event_loops import run_on_virtual_time
 from tests.test_discovery import Sink, begin, entry, listing
 from tests.test_listing import Copy
 from tests.test_settings import file, platform
@@ -31,34 +30,6 @@
 GRACE_S = 0.25
 
 
-# --- Made time on real sockets ----------------------------------------------------------------
-
-
-class Settles(Jumps):
-    """Time passes once the sockets have nothing more to say: the system gets a turn of its own to
-    bring what one end wrote to the other."""
-
-    def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        found = selectors.DefaultSelector.select(self, 0.001) if timeout else []
-        return found or super().select(timeout)
-
-
-class SocketLoop(MadeLoop):
-    def __init__(self) -> None:
-        self.us = 1_000_000
-        asyncio.SelectorEventLoop.__init__(self, Settles(self.passes))
-
-
-async def _within_a_minute(test: Coroutine[Any, Any, None]) -> None:
-    async with asyncio.timeout(60.0):  # made time, for what would never come
-        await test
-
-
-def run(test: Coroutine[Any, Any, None]) -> None:
-    with asyncio.Runner(loop_factory=SocketLoop) as runner:
-        runner.run(_within_a_minute(test))
-
-
 class Highest:
     """Draws the longest pause each time."""
 
@@ -231,7 +202,7 @@
     async def main() -> None:
         assert await told_after_silence(pushed, [fault]) < TOLD_S
 
-    run(main())
+    run_on_virtual_time(main())
 
 
 @pytest.mark.parametrize("fault", [silent, resets, unavailable, ends_at_once], ids=lambda one: one.__name__)
@@ -239,7 +210,7 @@
     async def main() -> None:
         assert await told_after_silence(True, [fault, fault]) < TOLD_S
 
-    run(main())
+    run_on_virtual_time(main())
 
 
 @pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "asked"])
@@ -250,7 +221,7 @@
     async def main() -> None:
         assert await told_after_silence(pushed, [fault]) < TOLD_S
 
-    run(main())
+    run_on_virtual_time(main())
 
 
 @pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "asked"])
@@ -273,7 +244,7 @@
             one.close()
             await one.wait_closed()
 
-    run(main())
+    run_on_virtual_time(main())
 
 
 def test_a_call_that_was_given_up_and_one_more_end_before_a_change_counts() -> None:
@@ -292,7 +263,7 @@
             one.close()
             await one.wait_closed()
 
-    run(main())
+    run_on_virtual_time(main())
 
 
 def test_a_module_that_asks_again_does_not_end_a_watch_that_is_open() -> None:
@@ -310,7 +281,7 @@
             one.close()
             await one.wait_closed()
 
-    run(main())
+    run_on_virtual_time(main())
 
 
 def test_empty_lines_are_no_whole_list() -> None:
@@ -327,7 +298,7 @@
             one.close()
             await one.wait_closed()
 
-    run(main())
+    run_on_virtual_time(main())
 
 
 def test_a_long_list_that_comes_slowly_is_waited_for() -> None:
@@ -343,7 +314,7 @@
             one.close()
             await one.wait_closed()
 
-    run(main())
+    run_on_virtual_time(main())
 
 
 def test_a_discovery_that_counts_anew_is_asked_for_its_whole_list() -> None:
@@ -366,7 +337,7 @@
             one.close()
             await one.wait_closed()
 
-    run(main())
+    run_on_virtual_time(main())
 
 
 FORMS = [
@@ -394,7 +365,7 @@
             one.close()
             await one.wait_closed()
 
-    run(main())
+    run_on_virtual_time(main())
 
 
 # --- Bad entries --------------------------------------------------------------------------------
@@ -438,7 +409,7 @@
         assert (places[endpoint_number("s-bad")].left_at is not None) == (phase == "draining")
         assert len(said) <= 1, "one line, however many there are"
 
-    run(main())
+    run_on_virtual_time(main())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -4,7 +4,7 @@
 
 from laurelstep.demo.run import DemoRun
 from laurelstep.testing import Endpoint, close, in_turn, serve
-from tests.test_testing import run
+from tests.event_loops import run_limited
 
 
 def test_a_client_whose_kept_connection_was_closed_at_rest_is_answered() -> None:
@@ -20,4 +20,4 @@
             assert len(one.idle_clients) == 1
             one.idle_clients[0].close()
 
-    run(main())
+    run_limited(main())
--- a/tests/test_discovery_server.py
+++ b/tests/test_discovery_server.py
@@ -11,9 +11,8 @@
 from laurelstep.net.discovery import LIST_PATH, SILENT_S, Discovery
 from laurelstep.testing import DiscoveryServer, Endpoint, Reader, Writer, read_message
 from laurelstep.testing.discovery import HEARTBEAT_INTERVAL_S
-from tests.test_crossings_discovery import run as run_on_made_time
+from tests.event_loops import run_limited, run_on_virtual_time
 from tests.test_discovery import Sink
-from tests.test_testing import run
 
 HEARTBEAT = b"\n"
 
@@ -95,7 +94,7 @@
             assert discovery.watch_count == 0
             writer.close()
 
-    run(main())
+    run_limited(main())
 
 
 def test_another_path_is_not_found() -> None:
@@ -105,7 +104,7 @@
             assert (await read_message(reader)).status == 404
             writer.close()
 
-    run(main())
+    run_limited(main())
 
 
 @pytest.mark.parametrize(("known", "expected"), [
@@ -127,7 +126,7 @@
             assert await watch.listed() == expected
             watch.writer.close()
 
-    run(main())
+    run_limited(main())
 
 
 def test_a_watch_that_names_no_generation_begins_with_the_whole_list() -> None:
@@ -138,7 +137,7 @@
             assert await Watch(reader, writer).listed() == (1, True, [("s-1", "ready")])
             writer.close()
 
-    run(main())
+    run_limited(main())
 
 
 def test_changes_and_whole_lists_reach_every_open_watch() -> None:
@@ -155,7 +154,7 @@
                 assert await watch.listed() == (3, True, [("s-2", "ready")])
                 watch.writer.close()
 
-    run(main())
+    run_limited(main())
 
 
 def test_a_watch_from_before_a_replaced_list_gets_all_of_the_new_one() -> None:
@@ -167,7 +166,7 @@
                 assert await watch.listed() == expected
                 watch.writer.close()
 
-    run(main())
+    run_limited(main())
 
 
 # --- Heartbeats -------------------------------------------------------------------------------
@@ -190,7 +189,7 @@
                 assert await watch.listed() == (2, False, [("s-1", "draining")])
                 watch.writer.close()
 
-    run(main())
+    run_limited(main())
 
 
 def test_the_interval_is_the_protocols_unless_another_is_given() -> None:
@@ -201,7 +200,7 @@
             assert await sleep.wake_next() == HEARTBEAT_INTERVAL_S == 2.0
             watch.writer.close()
 
-    run(main())
+    run_limited(main())
 
 
 def test_a_client_keeps_one_watch_for_as_long_as_nothing_changes() -> None:
@@ -220,7 +219,7 @@
             client.close()
             await client.wait_closed()
 
-    run_on_made_time(main())
+    run_on_virtual_time(main())
 
 
 # --- Ends -------------------------------------------------------------------------------------
@@ -243,7 +242,7 @@
             assert await stays.listed() == (2, False, [("s-1", "draining")])
             stays.writer.close()
 
-    run(main())
+    run_limited(main())
 
 
 def test_a_client_whose_watch_is_ended_asks_anew_and_hears_what_it_missed() -> None:
@@ -260,7 +259,7 @@
             client.close()
             await client.wait_closed()
 
-    run_on_made_time(main())
+    run_on_virtual_time(main())
 
 
 def test_close_ends_every_connection_and_the_port_serves_again_after_a_start() -> None:
@@ -287,7 +286,7 @@
         await discovery.close()
         await discovery.close()
 
-    run(main())
+    run_limited(main())
 
 
 @pytest.mark.parametrize("options", [{"generation": 0}, {"heartbeat_interval_s": 0.0}])
--- a/tests/test_testing.py
+++ b/tests/test_testing.py
@@ -7,7 +7,6 @@
 import socket
 import subprocess
 import sys
-from collections.abc import Coroutine
 from typing import Any
 
 import pytest
@@ -36,14 +35,7 @@
     whole_list,
 )
 from laurelstep.testing.messages import BLOCK, Ports
-
-
-def run(test: Coroutine[Any, Any, None]) -> None:
-    async def limited() -> None:
-        async with asyncio.timeout(60):
-            await test
-
-    asyncio.run(limited())
+from tests.event_loops import run_limited
 
 
 def test_effects_count_by_id_and_drop_the_repeats_of_a_key() -> None:
@@ -62,7 +54,7 @@
         assert effects.by_id == {"p": 2, "u": 1, "q": 1} and effects.dropped == 1
         assert effects.twice() == ["p"] and effects.by_key == {"k": 1}
 
-    run(main())
+    run_limited(main())
 
 
 @pytest.mark.parametrize(
@@ -75,7 +67,7 @@
             assert (await caller.ask(request("pay", b"x"))).status == code
             assert endpoint.effects.by_id["r1"] == ran and endpoint.count == len(endpoint.got) == 1
 
-    run(main())
+    run_limited(main())
 
 
 @pytest.mark.parametrize("script", [close(), reset(), close(begun=b"HTTP/1.1 200 OK\r\nContent-Le")])
@@ -86,7 +78,7 @@
                 await caller.ask(request("pay", b"x"))
             assert endpoint.effects.by_id["r1"] == 1
 
-    run(main())
+    run_limited(main())
 
 
 def test_a_stall_answers_nothing_and_a_spoilt_answer_is_none() -> None:
@@ -100,7 +92,7 @@
             assert await reader.readline() == b"what?\r\n" and endpoint.effects.by_id["r1"] == 1
             writer.close()
 
-    run(main())
+    run_limited(main())
 
 
 def test_an_endpoint_that_stops_refuses_and_comes_back_as_another_start() -> None:
@@ -118,7 +110,7 @@
             assert endpoint.entry("s-1", lifecycle="draining")["startedAtMs"] == 5
             caller.close()
 
-    run(main())
+    run_limited(main())
 
 
 CLOSES = close(executes=False)
@@ -134,7 +126,7 @@
                 await caller.ask(request(rid="r3"))
         assert [one.headers["x-request-id"] for one in endpoint.got] == ["r1", "r2", "r2", "r3", "r3"]
 
-    run(main())
+    run_limited(main())
 
 
 def test_a_connection_that_was_closed_at_rest_is_opened_anew() -> None:
@@ -151,7 +143,7 @@
                 assert await caller.streams[0].read() == b"", "until the close has come"
                 assert endpoint.count == endpoint.opened == number
 
-    run(main())
+    run_limited(main())
 
 
 @pytest.mark.parametrize(
@@ -172,7 +164,7 @@
                 await caller.ask(request(rid="r2"))
         assert endpoint.count == 2
 
-    run(main())
+    run_limited(main())
 
 
 def test_a_new_connection_that_is_closed_is_no_reason_to_send_again() -> None:
@@ -183,7 +175,7 @@
                 await caller.ask(request())
         assert endpoint.count == 1
 
-    run(main())
+    run_limited(main())
 
 
 def test_discovery_tells_what_it_is_given() -> None:
@@ -200,7 +192,7 @@
             writer.close()
         assert whole_list(generation=2) == {"generation": 2, "reset": True, "instances": []}
 
-    run(main())
+    run_limited(main())
 
 
 # --- Ports --------------------------------------------------------------------------------
