--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -78,9 +78,9 @@
 # --- Ways -------------------------------------------------------------------------------
 
 
-def way(weather: NetworkFaults | None = None, seed: int = 1) -> Route:
+def new_route(faults: NetworkFaults | None = None, seed: int = 1) -> Route:
     one = Route(random.Random(seed))
-    one.faults = weather or NetworkFaults()
+    one.faults = faults or NetworkFaults()
     return one
 
 
@@ -91,14 +91,14 @@
 
 def test_one_seed_is_one_fate() -> None:
     def fate(seed: int) -> list[Any]:
-        one = way(ROUGH, seed)
+        one = new_route(ROUGH, seed)
         return [one.carry(bytes((n,))) for n in range(200)]
 
     assert fate(1) == fate(1) != fate(2)
 
 
-def test_an_order_does_not_change_what_the_weather_does_later() -> None:
-    plain, ordered = way(ROUGH), way(ROUGH)
+def test_a_command_does_not_change_what_drawn_faults_do_later() -> None:
+    plain, ordered = new_route(ROUGH), new_route(ROUGH)
     ordered.lose_next(1)
     for n in range(10):
         plain.carry(bytes((n,)))
@@ -113,13 +113,13 @@
 def test_what_passes_arrives_once_and_once_more_if_doubled(
     lose: float, double: float, turn: float, seed: int, cuts: list[bool]
 ) -> None:
-    one = way(NetworkFaults(lose, double, turn, (5, 9)), seed)
+    one = new_route(NetworkFaults(lose, double, turn, (5, 9)), seed)
     arrived: list[int] = []
     for n, cut in enumerate(cuts):
         one.is_cut = cut
-        parcels = one.carry(bytes((n,)))
-        assert all(5 <= parcel.delay_us <= 9 for parcel in parcels)
-        arrived += [parcel.data[0] for parcel in parcels]
+        datagrams = one.carry(bytes((n,)))
+        assert all(5 <= datagram.delay_us <= 9 for datagram in datagrams)
+        arrived += [datagram.data[0] for datagram in datagrams]
     waiting = 1 if one.reordered_count and len(set(arrived)) < one.passed_count else 0
     assert one.passed_count + one.lost_count == len(cuts)
     assert (
@@ -129,7 +129,7 @@
 
 
 def test_orders_lose_double_and_keep_the_next() -> None:
-    one = way()
+    one = new_route()
     one.lose_next(2)
     assert [len(one.carry(b"x")) for _ in range(3)] == [0, 0, 1]
     one.duplicate_next()
@@ -137,12 +137,16 @@
     one.hold()
     for data in (b"a", b"b", b"c"):
         assert one.carry(data) == []
-    assert [parcel.data for parcel in one.release(reverse=True)] == [b"c", b"b", b"a"] and not one.is_holding
+    assert [datagram.data for datagram in one.release(reverse=True)] == [
+        b"c",
+        b"b",
+        b"a",
+    ] and not one.is_holding
     assert one.release() == []
 
 
 def test_what_is_held_is_bounded() -> None:
-    one = way()
+    one = new_route()
     one.hold()
     for _ in range(MAX_HELD_DATAGRAMS + 3):
         one.carry(b"x")
@@ -150,9 +154,9 @@
 
 
 def test_one_that_is_overtaken_comes_behind_the_next() -> None:
-    one = way(NetworkFaults(reorder_probability=1.0))
+    one = new_route(NetworkFaults(reorder_probability=1.0))
     assert one.carry(b"a") == []
-    assert [parcel.data for parcel in one.carry(b"b")] == [b"b", b"a"]
+    assert [datagram.data for datagram in one.carry(b"b")] == [b"b", b"a"]
 
 
 def test_cuts_of_groups_one_way_and_back() -> None:
