--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -137,11 +137,8 @@
     one.hold()
     for data in (b"a", b"b", b"c"):
         assert one.carry(data) == []
-    assert [datagram.data for datagram in one.release(reverse=True)] == [
-        b"c",
-        b"b",
-        b"a",
-    ] and not one.is_holding
+    released = [datagram.data for datagram in one.release(reverse=True)]
+    assert released == [b"c", b"b", b"a"] and not one.is_holding
     assert one.release() == []
 
 
