--- a/laurelstep/testing/schedules/process.py
+++ b/laurelstep/testing/schedules/process.py
@@ -1,4 +1,4 @@
-"""One process of a made tier: its core, its machines, its clock and what its store kept."""
+"""One process of a simulation: its core, its state machines, its clock and what it has stored."""
 
 from __future__ import annotations
 
@@ -13,113 +13,126 @@
 from laurelstep.consensus.state_machines import CompositeStateMachine
 from laurelstep.consensus.timing import ConsensusTiming
 
-__all__ = ["LEASES", "MILLION", "TAPE", "Made", "Process", "Tape", "next_digest"]
+__all__ = [
+    "LEASES_TAG",
+    "MILLION",
+    "RECORDING_TAG",
+    "RecordingStateMachine",
+    "SimulatedProcess",
+    "SimulationOptions",
+    "next_digest",
+]
 
 MILLION: Final = 1_000_000
 _Dump = tuple[list[tuple[int, int]], set[bytes]]
 _tape: msgspec.msgpack.Decoder[_Dump] = msgspec.msgpack.Decoder(_Dump)
 
 
-# The byte of an entry for the tape, and of one for the leases.
-TAPE: Final = b"\0"
-LEASES: Final = b"\1"
+# First byte of an entry for the recording state machine, and of one for the leases.
+RECORDING_TAG: Final = b"\0"
+LEASES_TAG: Final = b"\1"
 
 
 def next_digest(before: int, index: int, data: bytes) -> int:
-    """The digest of all up to `index`."""
+    """The digest of all entries up to `index`, from that of the entries before."""
     return hash((before, index, int.from_bytes(data, "big")))
 
 
-class Tape:
-    """A machine that writes down what it is told: place and a digest of all up to there."""
+class RecordingStateMachine:
+    """A state machine that records, for each entry, its index and a digest of all entries up to it."""
 
     def __init__(self) -> None:
-        self.places: list[tuple[int, int]] = []
+        self.applied: list[tuple[int, int]] = []
         self.data: set[bytes] = set()
-        self.loads = 0
+        self.load_count = 0
 
     def apply(self, index: int, data: bytes) -> None:
-        before = self.places[-1][1] if self.places else 0
-        self.places.append((index, next_digest(before, index, data)))
+        """Record one entry."""
+        before = self.applied[-1][1] if self.applied else 0
+        self.applied.append((index, next_digest(before, index, data)))
         self.data.add(data)
 
     def dump(self) -> bytes:
-        return msgspec.msgpack.encode((self.places, sorted(self.data)))
+        """The recording as a snapshot."""
+        return msgspec.msgpack.encode((self.applied, sorted(self.data)))
 
     def load(self, raw: bytes) -> None:
-        self.loads += 1
-        self.places, self.data = [], set()
+        """Take a snapshot in place of the recording."""
+        self.load_count += 1
+        self.applied, self.data = [], set()
         if raw:
-            self.places, self.data = _tape.decode(raw)
+            self.applied, self.data = _tape.decode(raw)
 
 
 @dataclasses.dataclass
-class Made:
-    """What a tier is made of. The classes may be faulty ones."""
+class SimulationOptions:
+    """What a simulation consists of. The types may be faulty ones, which the checker must find."""
 
-    seats: int = 3
-    peers: int = 3
+    voter_count: int = 3
+    peer_count: int = 3
     timing: ConsensusTiming = dataclasses.field(default_factory=ConsensusTiming)
-    lasting: bool = False
-    core: type[ConsensusCore] = ConsensusCore
-    leases: type[LeaseTable] = LeaseTable
-    # Fault: a process that comes again from nothing takes its old incarnation.
-    forgets_amnesia: bool = False
+    is_durable: bool = False
+    core_type: type[ConsensusCore] = ConsensusCore
+    lease_table_type: type[LeaseTable] = LeaseTable
+    # Fault: a process that starts again without state takes its old incarnation.
+    reuses_incarnation: bool = False
 
 
-class Process:
-    """One process, through its lives."""
+class SimulatedProcess:
+    """One process through its incarnations."""
 
-    def __init__(self, me: int, made: Made, draw: random.Random) -> None:
-        self.me = me
-        self._made = made
+    def __init__(self, peer: int, options: SimulationOptions, draw: random.Random) -> None:
+        self.peer = peer
+        self._options = options
         self._draw = draw
-        self.shift = draw.randrange(10**10)
-        drift = int(made.timing.max_clock_drift * MILLION) - 1
-        self.rate = MILLION + draw.randint(-drift, drift)
-        self.kept: dict[bytes, bytes] = {}
+        self.clock_offset_us = draw.randrange(10**10)
+        drift = int(options.timing.max_clock_drift * MILLION) - 1
+        self.clock_rate_ppm = MILLION + draw.randint(-drift, drift)
+        self.stored: dict[bytes, bytes] = {}
         self.core: ConsensusCore | None = None
-        self.tape = Tape()
+        self.recording = RecordingStateMachine()
         self.leases = self._new_leases()
         self.incarnation = 0
-        self.paused = False
+        self.is_paused = False
         self.inbox: list[tuple[int, bytes]] = []
-        self.doomed = False
+        self.crashes_in_next_step = False
         self.version = 0
-        # How often it has lost all it knew.
-        self.forgot = 0
+        # How often it has lost all its state.
+        self.amnesia_count = 0
 
     @property
-    def alive(self) -> bool:
+    def is_alive(self) -> bool:
+        """Whether it runs, paused or not."""
         return self.core is not None
 
-    def local(self, time: int) -> int:
-        return self.shift + time * self.rate // MILLION
+    def local_time_us(self, time: int) -> int:
+        """What its clock shows at a true time, µs."""
+        return self.clock_offset_us + time * self.clock_rate_ppm // MILLION
 
-    def true(self, local: int) -> int:
-        """The first true time at which the clock shows at least that."""
-        return -(-(local - self.shift) * MILLION // self.rate)
+    def true_time_us(self, local: int) -> int:
+        """The first true time at which its clock shows at least this, µs."""
+        return -(-(local - self.clock_offset_us) * MILLION // self.clock_rate_ppm)
 
     def _new_leases(self) -> LeaseTable:
-        timing = self._made.timing
-        return self._made.leases(self.me, timing.max_clock_drift, timing.lease_us, self._draw)
+        timing = self._options.timing
+        return self._options.lease_table_type(self.peer, timing.max_clock_drift, timing.lease_us, self._draw)
 
-    def begin(self) -> None:
-        made = self._made
-        self.tape = Tape()
+    def start(self) -> None:
+        made = self._options
+        self.recording = RecordingStateMachine()
         self.leases = self._new_leases()
-        if not (made.forgets_amnesia and self.incarnation):
+        if not (made.reuses_incarnation and self.incarnation):
             self.incarnation = self._draw.getrandbits(64)
-        self.core = made.core(
-            self.me,
-            made.peers,
-            made.seats,
+        self.core = made.core_type(
+            self.peer,
+            made.peer_count,
+            made.voter_count,
             self.incarnation,
-            CompositeStateMachine({TAPE[0]: self.tape, LEASES[0]: self.leases}),
+            CompositeStateMachine({RECORDING_TAG[0]: self.recording, LEASES_TAG[0]: self.leases}),
             made.timing,
             random.Random(self._draw.getrandbits(64)),
-            self.kept,
+            self.stored,
         )
         self.incarnation = self.core.incarnation
-        self.paused = self.doomed = False
+        self.is_paused = self.crashes_in_next_step = False
         self.inbox = []
--- a/laurelstep/testing/schedules/script.py
+++ b/laurelstep/testing/schedules/script.py
@@ -1,4 +1,4 @@
-"""Draws a schedule from a seed, plays it, and sees that the tier goes on once faults end."""
+"""Draws a schedule from a seed, plays it, and checks that the processes make progress once faults end."""
 
 from __future__ import annotations
 
@@ -9,185 +9,198 @@
 from typing import Final
 
 from laurelstep.consensus.timing import ConsensusTiming
-from laurelstep.testing.schedules.process import Made
-from laurelstep.testing.schedules.world import Network, World
+from laurelstep.testing.schedules.process import SimulationOptions
+from laurelstep.testing.schedules.world import ConsensusSimulation, SimulatedNetwork
 
-__all__ = ["QUICK", "Shape", "founded", "play", "settle"]
+__all__ = ["QUICK_TIMING", "ScheduleShape", "bootstrapped_state", "play_schedule", "run_until_progress"]
 
 MS: Final = 1_000
 SECOND: Final = 1_000_000
-# The proportions of service, with a shorter rest: what rests costs steps and shows nothing.
-QUICK: Final = ConsensusTiming(learner_poll_us=1_500 * MS, lease_us=400 * MS, max_log_entries=6)
-# Once faults end, an entry is agreed and known to all within this true time.
+# The proportions of service with shorter idle times: idling costs steps and shows nothing.
+QUICK_TIMING: Final = ConsensusTiming(learner_poll_us=1_500 * MS, lease_us=400 * MS, max_log_entries=6)
+# Once faults end, an entry is committed and applied by all within this true time.
 PROGRESS_US: Final = 30 * SECOND
 
 
 @dataclasses.dataclass(frozen=True)
-class Shape:
-    """What schedules are drawn from. A test that looks for one fault narrows it."""
-
-    seats: tuple[int, ...] = (1, 3, 3, 3, 5, 5, 7)
-    learners: tuple[int, ...] = (0, 0, 1, 2)
-    lasting: float = 0.4
-    founded: float = 0.75
-    faults: tuple[int, ...] = (2, 3, 4, 6)
-    kinds: tuple[str, ...] = ()
-    loss: tuple[float, ...] = (0.0, 0.0, 0.05, 0.2)
-    late: tuple[float, ...] = (0.0, 0.0, 0.05)
-    delay_us: tuple[int, ...] = (5 * MS, 5 * MS, 60 * MS)
-    leases: tuple[int, ...] = (0, 3, 10)
-    # How long faults last, and how often somebody proposes.
+class ScheduleShape:
+    """The ranges that schedules are drawn from. A test that looks for one fault narrows them."""
+
+    voter_counts: tuple[int, ...] = (1, 3, 3, 3, 5, 5, 7)
+    learner_counts: tuple[int, ...] = (0, 0, 1, 2)
+    durable_probability: float = 0.4
+    bootstrapped_probability: float = 0.75
+    fault_counts: tuple[int, ...] = (2, 3, 4, 6)
+    fault_kinds: tuple[str, ...] = ()
+    loss_probabilities: tuple[float, ...] = (0.0, 0.0, 0.05, 0.2)
+    late_probabilities: tuple[float, ...] = (0.0, 0.0, 0.05)
+    max_delays_us: tuple[int, ...] = (5 * MS, 5 * MS, 60 * MS)
+    lease_counts: tuple[int, ...] = (0, 3, 10)
+    # How long faults last, and the time between proposals.
     length_us: int = 3 * SECOND
-    between_us: int = 200 * MS
-    # The longest entries go one to a datagram.
-    entry: int = 3
+    proposal_interval_us: int = 200 * MS
+    # Length of an entry; the longest entries go one to a datagram.
+    entry_bytes: int = 3
 
 
-DEFAULT: Final = Shape()
+DEFAULT: Final = ScheduleShape()
 
 
 @functools.cache
-def founded(seats: int, peers: int, log_most: int) -> Mapping[int, Mapping[bytes, bytes]]:
-    """What the processes of a tier that has just founded its record hand to their successors."""
-    world = World(Made(seats, peers, dataclasses.replace(QUICK, max_log_entries=log_most)), seed=0)
-    settle(world)
-    return {process.me: process.core.retire() for process in world.processes if process.core is not None}
+def bootstrapped_state(seats: int, peers: int, log_most: int) -> Mapping[int, Mapping[bytes, bytes]]:
+    """By process: what one of a group that has just bootstrapped hands to its successor."""
+    world = ConsensusSimulation(
+        SimulationOptions(seats, peers, dataclasses.replace(QUICK_TIMING, max_log_entries=log_most)), seed=0
+    )
+    run_until_progress(world)
+    return {process.peer: process.core.retire() for process in world.processes if process.core is not None}
 
 
-def play(seed: int, shape: Shape = DEFAULT, made: Callable[[Made], Made] | None = None) -> World:
-    """One schedule. `made` may change what the tier is made of. Raises BrokenError."""
+def play_schedule(
+    seed: int,
+    shape: ScheduleShape = DEFAULT,
+    change_options: Callable[[SimulationOptions], SimulationOptions] | None = None,
+) -> ConsensusSimulation:
+    """Play one schedule. `change_options` may replace the options that were drawn. Raises BrokenError."""
     draw = random.Random(seed)
-    seats = draw.choice(shape.seats)
-    peers = seats + draw.choice(shape.learners)
-    found_us = draw.choice((QUICK.bootstrap_timeout_us, QUICK.election_timeout_us))
+    seats = draw.choice(shape.voter_counts)
+    peers = seats + draw.choice(shape.learner_counts)
+    found_us = draw.choice((QUICK_TIMING.bootstrap_timeout_us, QUICK_TIMING.election_timeout_us))
     timing = dataclasses.replace(
-        QUICK, max_log_entries=draw.choice((4, 6, 512)), bootstrap_timeout_us=found_us
+        QUICK_TIMING, max_log_entries=draw.choice((4, 6, 512)), bootstrap_timeout_us=found_us
+    )
+    plain = SimulationOptions(seats, peers, timing, is_durable=draw.random() < shape.durable_probability)
+    kept = (
+        bootstrapped_state(seats, peers, timing.max_log_entries)
+        if draw.random() < shape.bootstrapped_probability
+        else None
     )
-    plain = Made(seats, peers, timing, lasting=draw.random() < shape.lasting)
-    kept = founded(seats, peers, timing.max_log_entries) if draw.random() < shape.founded else None
-    world = World(made(plain) if made else plain, seed, kept)
-    Script(world, shape, draw).draw_all()
+    world = ConsensusSimulation(change_options(plain) if change_options else plain, seed, kept)
+    ScheduleGenerator(world, shape, draw).draw_all()
     world.run(shape.length_us)
     world.heal()
-    settle(world)
+    run_until_progress(world)
     return world
 
 
-def settle(world: World) -> None:
-    """Propose until all processes know an entry. Raises BrokenError where that takes too long."""
+def run_until_progress(world: ConsensusSimulation) -> None:
+    """Propose until all processes have applied an entry. BrokenError after `PROGRESS_US` without one."""
     until = world.time + PROGRESS_US
     probes: list[bytes] = []
 
     def done() -> bool:
         cores = [process.core for process in world.processes]
         if not all(
-            core is not None and core.is_caught_up and core.has_leader_contact(process.local(world.time))
+            core is not None
+            and core.is_caught_up
+            and core.has_leader_contact(process.local_time_us(world.time))
             for core, process in zip(cores, world.processes, strict=True)
         ):
             return False
-        tapes = [process.tape.data for process in world.processes]
+        tapes = [process.recording.data for process in world.processes]
         return any(all(probe in tape for tape in tapes) for probe in probes[-4:])
 
     while world.time < until:
         for leader in world.leaders():
-            world.probes += 1
-            probe = b"probe%d" % world.probes
-            if world.propose(leader.me, probe):
+            world.probe_count += 1
+            probe = b"probe%d" % world.probe_count
+            if world.propose(leader.peer, probe):
                 probes.append(probe)
         for _ in range(4):
             world.run_for(50 * MS)
             if done():
                 return
     states = [
-        (process.me, core.role, core.epoch.generation, core.term, core.applied_index, core.is_caught_up)
+        (process.peer, core.role, core.epoch.generation, core.term, core.applied_index, core.is_caught_up)
         for process in world.processes
         if (core := process.core) is not None
     ]
-    raise world.checker.broken("progress", f"none in {PROGRESS_US // SECOND} s: {states}")
+    raise world.checker.violation("progress", f"none in {PROGRESS_US // SECOND} s: {states}")
 
 
-class Script:
-    """Draws faults, proposals and leases, and puts them on the world's time."""
+class ScheduleGenerator:
+    """Draws faults, proposals and leases, and schedules them in a simulation."""
 
-    def __init__(self, world: World, shape: Shape, draw: random.Random) -> None:
+    def __init__(self, world: ConsensusSimulation, shape: ScheduleShape, draw: random.Random) -> None:
         self._world = world
         self._shape = shape
         self._draw = draw
-        self._seats = world.made.seats
-        self._peers = world.made.peers
+        self._seats = world.options.voter_count
+        self._peers = world.options.peer_count
         self._kinds: dict[str, Callable[[], None]] = {
             "crash": self._crash,
-            "come again": self._come_again,
+            "come again": self._restart,
             "majority": self._majority,
             "all": self._all,
-            "roll": self._roll,
+            "roll": self._rolling_restart,
             "pause": self._pause,
             "halves": self._halves,
-            "alone": self._alone,
+            "alone": self._isolate_one,
             "one way": self._one_way,
             "bridge": self._bridge,
-            "mend": self._mend,
-            "succeed": self._succeed,
+            "mend": self._heal_network,
+            "succeed": self._hot_restart,
             "storm": self._storm,
         }
 
     def draw_all(self) -> None:
+        """Draw and schedule the whole schedule."""
         world, shape, draw = self._world, self._shape, self._draw
-        world.network = Network(
-            loss=draw.choice(shape.loss),
-            doubling=draw.choice((0.0, 0.0, 0.1)),
-            most_us=draw.choice(shape.delay_us),
-            late=draw.choice(shape.late),
+        world.network = SimulatedNetwork(
+            loss_probability=draw.choice(shape.loss_probabilities),
+            duplicate_probability=draw.choice((0.0, 0.0, 0.1)),
+            max_delay_us=draw.choice(shape.max_delays_us),
+            late_probability=draw.choice(shape.late_probabilities),
         )
-        kinds = shape.kinds or tuple(self._kinds)
-        for _ in range(draw.choice(shape.faults)):
-            world.at(draw.randrange(shape.length_us), self._kinds[draw.choice(kinds)])
-        for count, time in enumerate(range(0, shape.length_us, shape.between_us)):
-            data = (b"%d." % count).ljust(shape.entry, b".")
-            world.at(time + draw.randrange(shape.between_us), self._propose, data)
-        for _ in range(draw.choice(shape.leases)):
-            world.at(draw.randrange(shape.length_us), self._lease)
-
-    def _anyone(self) -> int:
+        kinds = shape.fault_kinds or tuple(self._kinds)
+        for _ in range(draw.choice(shape.fault_counts)):
+            world.schedule(draw.randrange(shape.length_us), self._kinds[draw.choice(kinds)])
+        for count, time in enumerate(range(0, shape.length_us, shape.proposal_interval_us)):
+            data = (b"%d." % count).ljust(shape.entry_bytes, b".")
+            world.schedule(time + draw.randrange(shape.proposal_interval_us), self._propose, data)
+        for _ in range(draw.choice(shape.lease_counts)):
+            world.schedule(draw.randrange(shape.length_us), self._lease)
+
+    def _draw_peer(self) -> int:
         return self._draw.randrange(self._peers)
 
-    def _seat(self) -> int:
-        """A seat; half of the time one that leads."""
+    def _draw_voter(self) -> int:
+        """A voter; half of the time one that leads."""
         leaders = self._world.leaders()
         if leaders and self._draw.random() < 0.5:
-            return self._draw.choice(leaders).me
+            return self._draw.choice(leaders).peer
         return self._draw.randrange(self._seats)
 
-    def _someone(self) -> int:
-        return self._seat() if self._draw.random() < 0.8 else self._anyone()
+    def _draw_mostly_voter(self) -> int:
+        return self._draw_voter() if self._draw.random() < 0.8 else self._draw_peer()
 
     def _later(self, call: Callable[[int], None], me: int, most_us: int = 2 * SECOND) -> None:
         self._at(self._world.time + self._draw.randrange(most_us), call, me)
 
     def _at(self, time: int, call: Callable[..., None], *args: object) -> None:
-        """While faults last: their end is the world's."""
+        """Schedule a call, unless faults have ended by then."""
         if time < self._shape.length_us:
-            self._world.at(time, call, *args)
+            self._world.schedule(time, call, *args)
 
     def _propose(self, data: bytes) -> None:
-        """At whoever leads or thinks so, and at a random one."""
+        """Propose at each process that takes itself for the leader, and at a random one."""
         for leader in self._world.leaders():
-            self._world.propose(leader.me, data + b"%d" % leader.me)
-        self._world.propose(self._anyone(), data)
+            self._world.propose(leader.peer, data + b"%d" % leader.peer)
+        self._world.propose(self._draw_peer(), data)
 
     def _lease(self) -> None:
-        me = self._anyone()
+        me = self._draw_peer()
         if self._draw.random() < 0.2:
-            self._world.give_back(me)
-        self._world.ask_lease(me)
+            self._world.release_lease(me)
+        self._world.request_lease(me)
 
     def _crash(self) -> None:
-        me = self._someone()
-        self._world.crash(me, midst=self._draw.random() < 0.5)
+        me = self._draw_mostly_voter()
+        self._world.crash(me, within_step=self._draw.random() < 0.5)
         self._later(self._world.restart, me)
 
-    def _come_again(self) -> None:
-        self._world.restart(self._someone())
+    def _restart(self) -> None:
+        self._world.restart(self._draw_mostly_voter())
 
     def _majority(self) -> None:
         for me in self._draw.sample(range(self._seats), self._seats // 2 + 1):
@@ -199,52 +212,54 @@
             self._world.crash(me)
             self._later(self._world.restart, me, 300 * MS)
 
-    def _roll(self) -> None:
-        """Each seat comes again, one soon after the other."""
+    def _rolling_restart(self) -> None:
+        """Restart all voters, one soon after the other."""
         gap = self._draw.choice((100 * MS, 500 * MS))
         order = self._draw.sample(range(self._seats), self._seats)
         for count, me in enumerate(order):
             self._at(self._world.time + count * gap, self._world.restart, me)
 
     def _pause(self) -> None:
-        me = self._someone()
+        me = self._draw_mostly_voter()
         self._world.pause(me)
         self._later(self._world.resume, me, 4 * SECOND)
 
     def _halves(self) -> None:
-        """A side has a majority, or with an even cut of seats and learners neither may."""
+        """Partition the processes in two; neither side needs to have a majority of voters."""
         order = self._draw.sample(range(self._peers), self._peers)
         cut = self._draw.randint(1, max(1, self._peers - 1))
-        self._world.part(order[:cut], order[cut:])
+        self._world.partition(order[:cut], order[cut:])
 
-    def _alone(self) -> None:
-        me = self._seat()
-        self._world.part([me], [other for other in range(self._peers) if other != me])
+    def _isolate_one(self) -> None:
+        me = self._draw_voter()
+        self._world.partition([me], [other for other in range(self._peers) if other != me])
 
     def _one_way(self) -> None:
-        me = self._seat()
+        me = self._draw_voter()
         others = [other for other in range(self._peers) if other != me]
         if self._draw.random() < 0.5:
-            self._world.cut_one_way([me], others)
+            self._world.partition_one_way([me], others)
         else:
-            self._world.cut_one_way(others, [me])
+            self._world.partition_one_way(others, [me])
 
     def _bridge(self) -> None:
         order = self._draw.sample(range(self._peers), self._peers)
         cut = (self._peers + 1) // 2
-        self._world.part(order[:cut], order[cut - 1 :])
+        self._world.partition(order[:cut], order[cut - 1 :])
 
-    def _mend(self) -> None:
-        self._world.cut = set()
+    def _heal_network(self) -> None:
+        self._world.cut_routes = set()
 
-    def _succeed(self) -> None:
-        self._world.succeed(self._someone())
+    def _hot_restart(self) -> None:
+        self._world.hot_restart(self._draw_mostly_voter())
 
     def _storm(self) -> None:
-        """The network gets worse for a while."""
+        """Let the network get worse for a while."""
         before = self._world.network
-        self._world.network = dataclasses.replace(before, loss=0.4, doubling=0.2, late=0.1)
+        self._world.network = dataclasses.replace(
+            before, loss_probability=0.4, duplicate_probability=0.2, late_probability=0.1
+        )
         self._at(self._world.time + 500 * MS, self._calm, before)
 
-    def _calm(self, network: Network) -> None:
+    def _calm(self, network: SimulatedNetwork) -> None:
         self._world.network = network
--- a/laurelstep/testing/schedules/world.py
+++ b/laurelstep/testing/schedules/world.py
@@ -1,13 +1,13 @@
-"""A tier of cores in memory, with made time, network and faults.
-
-1. Time is true time in µs. Each process reads its own clock: off by hours, and too fast or slow by at most
-   the stated drift.
-2. A step's effects are carried out as a whole, or a crash comes in the midst of it: then nothing was kept and
-   nothing sent, or all was kept and a part was sent.
-3. A datagram is lost, doubled and delayed as `network` says, each drawn; it arrives unless the way is cut
-   when it would.
-4. A crashed process has forgotten all but what its store kept. A paused one gets its datagrams, in order,
-   when it goes on.
+"""A simulation of consensus processes in memory, with time, network and faults.
+
+1. Time is true time in µs. Each process reads its own clock: off by hours, and too fast or too slow by at
+   most the configured drift.
+2. A step's effects are carried out completely, or a crash comes within it: then nothing was stored and
+   nothing sent, or all was stored and a part was sent.
+3. A datagram is lost, duplicated and delayed as `network` says, each drawn; it arrives unless its route is
+   partitioned by then.
+4. A crashed process has lost all but what it has stored durably. A paused one gets its datagrams, in order,
+   when it is resumed.
 """
 
 from __future__ import annotations
@@ -21,271 +21,289 @@
 from laurelstep.consensus.effects import StepEffects
 from laurelstep.consensus.errors import BusyError, NotLeaderError
 from laurelstep.consensus.timing import NEVER_US
-from laurelstep.testing.schedules.checker import Checker
-from laurelstep.testing.schedules.process import LEASES, TAPE, Made, Process
+from laurelstep.testing.schedules.checker import InvariantChecker
+from laurelstep.testing.schedules.process import (
+    LEASES_TAG,
+    RECORDING_TAG,
+    SimulatedProcess,
+    SimulationOptions,
+)
 
-__all__ = ["Network", "World"]
+__all__ = ["ConsensusSimulation", "SimulatedNetwork"]
 
-# How many datagrams wait for a paused process: a socket's buffer.
-INBOX_MOST = 200
+# How many datagrams wait for a paused process, as in a socket's buffer.
+MAX_INBOX_DATAGRAMS = 200
 
 
 @dataclasses.dataclass
-class Network:
-    """What the network does, drawn for each datagram."""
+class SimulatedNetwork:
+    """Probabilities and delays of the network, drawn for each datagram."""
 
-    loss: float = 0.0
-    doubling: float = 0.0
-    least_us: int = 1_000
-    most_us: int = 5_000
-    # Some are much later than others: the order turns.
-    late: float = 0.0
-    late_us: int = 1_500_000
+    loss_probability: float = 0.0
+    duplicate_probability: float = 0.0
+    min_delay_us: int = 1_000
+    max_delay_us: int = 5_000
+    # Some are much later than others, which reorders them.
+    late_probability: float = 0.0
+    max_lateness_us: int = 1_500_000
 
 
-class World:
-    """See the rules."""
+class ConsensusSimulation:
+    """Processes, their network and the time; the rules are at the head of the module."""
 
     def __init__(
-        self, made: Made, seed: int, kept: Mapping[int, Mapping[bytes, bytes]] | None = None
+        self, options: SimulationOptions, seed: int, stored: Mapping[int, Mapping[bytes, bytes]] | None = None
     ) -> None:
-        """`kept`: what each process starts from, as successors of an earlier tier's."""
-        self.made = made
+        """`stored`: what each process starts from, as the successor of an earlier one."""
+        self.options = options
         self.seed = seed
         self.draw = random.Random(seed)
         self.time = 0
-        self.network = Network()
-        self.cut: set[tuple[int, int]] = set()
-        self.steps = 0
-        self.sent = 0
-        # How many entries were proposed to see whether the tier goes on.
-        self.probes = 0
+        self.network = SimulatedNetwork()
+        self.cut_routes: set[tuple[int, int]] = set()
+        self.step_count = 0
+        self.sent_count = 0
+        # How many entries were proposed to check for progress.
+        self.probe_count = 0
         self._order = 0
         self._queue: list[tuple[int, int, Callable[..., None], tuple[object, ...]]] = []
-        self.processes = [Process(me, made, self.draw) for me in range(made.peers)]
-        self.checker = Checker(self.processes, made, seed)
+        self.processes = [SimulatedProcess(me, options, self.draw) for me in range(options.peer_count)]
+        self.checker = InvariantChecker(self.processes, options, seed)
         for process in self.processes:
-            process.kept = dict((kept or {}).get(process.me, {}))
-            self.start(process.me)
-            if not made.lasting or process.me >= made.seats:
-                process.kept = {}
+            process.stored = dict((stored or {}).get(process.peer, {}))
+            self.start(process.peer)
+            if not options.is_durable or process.peer >= options.voter_count:
+                process.stored = {}
 
-    # Faults
+    # --- Faults -------------------------------------------------------------------
 
     def start(self, me: int) -> None:
+        """Start a process."""
         process = self.processes[me]
-        process.begin()
+        process.start()
         assert process.core is not None
-        process.core.on_leader_message = lambda peer, incarnation, data: self._heard(
+        process.core.on_leader_message = lambda peer, incarnation, data: self._on_leader_message(
             process, peer, incarnation, data
         )
-        self.checker.born(process)
+        self.checker.on_start(process)
         self._step(process, lambda core, now: core.start(now))
 
-    def crash(self, me: int, midst: bool = False) -> None:
-        """End it: now, or in the midst of its next step (rule 2)."""
+    def crash(self, me: int, within_step: bool = False) -> None:
+        """Crash a process: now, or within its next step (rule 2)."""
         process = self.processes[me]
-        if midst and process.alive and not process.paused:
-            process.doomed = True
+        if within_step and process.is_alive and not process.is_paused:
+            process.crashes_in_next_step = True
         else:
             self._end(process)
 
-    def _end(self, process: Process) -> None:
+    def _end(self, process: SimulatedProcess) -> None:
         process.core = None
         process.version += 1
         process.inbox = []
-        if not self.made.lasting or process.me >= self.made.seats:
-            process.kept = {}
-            process.forgot += 1
+        if not self.options.is_durable or process.peer >= self.options.voter_count:
+            process.stored = {}
+            process.amnesia_count += 1
 
     def restart(self, me: int) -> None:
-        """End it, if it lives, and start it again: from nothing, unless its store lasts."""
+        """Crash a process, if it runs, and start it again: without state, unless its store is durable."""
         self._end(self.processes[me])
         self.start(me)
 
-    def succeed(self, me: int) -> None:
-        """A handover: a new version of it goes on as the same incarnation."""
+    def hot_restart(self, me: int) -> None:
+        """Replace a process by a successor that goes on as the same incarnation."""
         process = self.processes[me]
-        if process.core is None or process.paused:
+        if process.core is None or process.is_paused:
             return
-        kept, stored, forgot = process.core.retire(), process.kept, process.forgot
+        kept, stored, forgot = process.core.retire(), process.stored, process.amnesia_count
         self._end(process)
-        process.forgot = forgot
-        process.kept = kept
+        process.amnesia_count = forgot
+        process.stored = kept
         self.start(me)
-        process.kept = stored
+        process.stored = stored
 
     def pause(self, me: int) -> None:
-        self.processes[me].paused = True
+        """Stop a process where it is."""
+        self.processes[me].is_paused = True
 
     def resume(self, me: int) -> None:
+        """Let a paused process go on, with the datagrams that came meanwhile."""
         process = self.processes[me]
-        if not process.paused:
+        if not process.is_paused:
             return
-        process.paused = False
+        process.is_paused = False
         inbox, process.inbox = process.inbox, []
         for peer, raw in inbox:
-            self._arrive(process.me, peer, raw)
-        self._plan(process)
+            self._arrive(process.peer, peer, raw)
+        self._schedule_tick(process)
 
-    def part(self, *groups: Iterable[int]) -> None:
-        """Cut all ways between the groups. A process in several groups hears all of them (a bridge)."""
+    def partition(self, *groups: Iterable[int]) -> None:
+        """Partition the groups from each other. A process in several groups is connected to all of them."""
         sides = [set(group) for group in groups]
-        self.cut = {
+        self.cut_routes = {
             (a, b)
-            for a in range(self.made.peers)
-            for b in range(self.made.peers)
+            for a in range(self.options.peer_count)
+            for b in range(self.options.peer_count)
             if a != b and not any(a in side and b in side for side in sides)
         }
 
-    def cut_one_way(self, sources: Iterable[int], targets: Iterable[int]) -> None:
+    def partition_one_way(self, sources: Iterable[int], targets: Iterable[int]) -> None:
+        """Lose all datagrams from the sources to the targets."""
         targets = list(targets)
-        self.cut = {(a, b) for a in sources for b in targets if a != b}
+        self.cut_routes = {(a, b) for a in sources for b in targets if a != b}
 
     def heal(self) -> None:
-        """All faults end, and all processes run."""
-        self.cut = set()
-        self.network = Network()
+        """End all faults, and let all processes run."""
+        self.cut_routes = set()
+        self.network = SimulatedNetwork()
         for process in self.processes:
-            process.doomed = False
-            if process.paused:
-                self.resume(process.me)
-            if not process.alive:
-                self.start(process.me)
+            process.crashes_in_next_step = False
+            if process.is_paused:
+                self.resume(process.peer)
+            if not process.is_alive:
+                self.start(process.peer)
 
-    # Use
+    # --- Use ----------------------------------------------------------------------
 
     def propose(self, me: int, data: bytes) -> bool:
-        """Whether that process took the entry."""
+        """Propose an entry at a process; whether it took the entry."""
         process = self.processes[me]
-        if process.core is None or process.paused:
+        if process.core is None or process.is_paused:
             return False
         try:
-            self._step(process, lambda core, now: core.propose(now, TAPE + data))
+            self._step(process, lambda core, now: core.propose(now, RECORDING_TAG + data))
         except (NotLeaderError, BusyError):
             return False
         return True
 
-    def ask_lease(self, me: int, name: str = "lease", lease_us: int | None = None) -> None:
+    def request_lease(self, me: int, name: str = "lease", lease_us: int | None = None) -> None:
+        """Let a process request a lease."""
         process = self.processes[me]
-        if process.core is None or process.paused:
+        if process.core is None or process.is_paused:
             return
-        lease_us = self.made.timing.lease_us if lease_us is None else lease_us
-        word = process.leases.request(process.local(self.time), process.core.incarnation, name, lease_us)
+        lease_us = self.options.timing.lease_us if lease_us is None else lease_us
+        word = process.leases.request(
+            process.local_time_us(self.time), process.core.incarnation, name, lease_us
+        )
         self._step(process, lambda core, now: core.send_to_leader(now, word))
 
-    def give_back(self, me: int, name: str = "lease") -> None:
+    def release_lease(self, me: int, name: str = "lease") -> None:
+        """Let a process release a lease, if it has one."""
         process = self.processes[me]
         word = process.leases.release(name)
-        if word is not None and process.alive and not process.paused:
+        if word is not None and process.is_alive and not process.is_paused:
             self._step(process, lambda core, now: core.send_to_leader(now, word))
 
-    def _heard(self, process: Process, peer: int, incarnation: int, data: bytes) -> None:
+    def _on_leader_message(self, process: SimulatedProcess, peer: int, incarnation: int, data: bytes) -> None:
         # The core is in the midst of a step: what the leader answers is a step of its own.
-        self.at(self.time, self._grant, process, process.core, peer, incarnation, data)
+        self.schedule(self.time, self._propose_lease, process, process.core, peer, incarnation, data)
 
-    def _grant(self, process: Process, core: ConsensusCore, peer: int, incarnation: int, data: bytes) -> None:
-        if process.core is not core or process.paused:
+    def _propose_lease(
+        self, process: SimulatedProcess, core: ConsensusCore, peer: int, incarnation: int, data: bytes
+    ) -> None:
+        if process.core is not core or process.is_paused:
             return
-        now = process.local(self.time)
+        now = process.local_time_us(self.time)
         entry = process.leases.entry_for(now, core.epoch, peer, incarnation, data)
         if entry is None:
             return
         try:
-            self._step(process, lambda core, now: core.propose(now, LEASES + entry))
+            self._step(process, lambda core, now: core.propose(now, LEASES_TAG + entry))
         except (NotLeaderError, BusyError):
             return
 
-    def leaders(self) -> list[Process]:
+    def leaders(self) -> list[SimulatedProcess]:
+        """The processes that take themselves for the leader."""
         return [one for one in self.processes if one.core is not None and one.core.role == "leader"]
 
-    # Time
+    # --- Time ---------------------------------------------------------------------
 
-    def at(self, time: int, call: Callable[..., None], *args: object) -> None:
+    def schedule(self, time: int, call: Callable[..., None], *args: object) -> None:
+        """Call at a true time, after what was scheduled for it before."""
         self._order += 1
         heapq.heappush(self._queue, (time, self._order, call, args))
 
     def run(self, until: int, done: Callable[[], bool] | None = None) -> bool:
-        """Go on until that true time, or until `done` after a step. Whether it was done."""
+        """Let time pass until this true time, or until `done` holds after a step; whether it did."""
         queue = self._queue
         if done is not None and done():
             return True
         while queue and queue[0][0] <= until:
             time, _, call, args = heapq.heappop(queue)
             self.time = max(self.time, time)
-            steps = self.steps
+            steps = self.step_count
             call(*args)
-            if done is not None and self.steps != steps and done():
+            if done is not None and self.step_count != steps and done():
                 return True
         self.time = max(self.time, until)
         return False
 
     def run_for(self, us: int, done: Callable[[], bool] | None = None) -> bool:
+        """The same for this long, µs."""
         return self.run(self.time + us, done)
 
-    def _plan(self, process: Process) -> None:
+    def _schedule_tick(self, process: SimulatedProcess) -> None:
         process.version += 1
         core = process.core
         if core is not None and core.due_us < NEVER_US:
-            time = max(self.time, process.true(core.due_us))
-            self.at(time, self._tick, process, process.version)
+            time = max(self.time, process.true_time_us(core.due_us))
+            self.schedule(time, self._tick, process, process.version)
 
-    def _tick(self, process: Process, version: int) -> None:
-        if version != process.version or process.paused:
+    def _tick(self, process: SimulatedProcess, version: int) -> None:
+        if version != process.version or process.is_paused:
             return
         self._step(process, lambda core, now: core.tick(now))
         if process.core is not None:
-            self.checker.ticked(process, self.time)
+            self.checker.on_tick(process, self.time)
 
     def _arrive(self, me: int, peer: int, raw: bytes) -> None:
-        if (peer, me) in self.cut:
+        if (peer, me) in self.cut_routes:
             return
         process = self.processes[me]
-        if process.paused:
-            if len(process.inbox) < INBOX_MOST:
+        if process.is_paused:
+            if len(process.inbox) < MAX_INBOX_DATAGRAMS:
                 process.inbox.append((peer, raw))
         elif process.core is not None:
             self._step(process, lambda core, now: core.receive(now, peer, raw))
 
-    def _step(self, process: Process, step: Callable[[ConsensusCore, int], StepEffects]) -> None:
+    def _step(self, process: SimulatedProcess, step: Callable[[ConsensusCore, int], StepEffects]) -> None:
         core = process.core
         if core is None:
             return
-        now = process.local(self.time)
+        now = process.local_time_us(self.time)
         effects = step(core, now)
-        self.steps += 1
+        self.step_count += 1
         sends = effects.outgoing
-        if process.doomed:
+        if process.crashes_in_next_step:
             if self.draw.random() < 0.5:
                 return self._end(process)
             sends = sends[: self.draw.randint(0, len(sends))]
-        self._keep(process, effects.persist)
+        self._store(process, effects.persist)
         for peer, raw in sends:
-            self.checker.sent(process, raw)
-            self._send(process.me, peer, raw)
+            self.checker.on_send(process, raw)
+            self._send(process.peer, peer, raw)
         process.leases.observe(now, core.epoch)
-        self.checker.stepped(process, self.time)
-        if process.doomed:
+        self.checker.on_step(process, self.time)
+        if process.crashes_in_next_step:
             return self._end(process)
-        self._plan(process)
+        self._schedule_tick(process)
 
-    def _keep(self, process: Process, changes: Mapping[bytes, bytes | None]) -> None:
-        if not self.made.lasting:
+    def _store(self, process: SimulatedProcess, changes: Mapping[bytes, bytes | None]) -> None:
+        if not self.options.is_durable:
             return
         for key, value in changes.items():
             if value is None:
-                process.kept.pop(key, None)
+                process.stored.pop(key, None)
             else:
-                process.kept[key] = value
+                process.stored[key] = value
 
     def _send(self, source: int, target: int, raw: bytes) -> None:
         network, draw = self.network, self.draw
-        self.sent += 1
-        if network.loss and draw.random() < network.loss:
+        self.sent_count += 1
+        if network.loss_probability and draw.random() < network.loss_probability:
             return
-        times = 2 if network.doubling and draw.random() < network.doubling else 1
+        times = 2 if network.duplicate_probability and draw.random() < network.duplicate_probability else 1
         for _ in range(times):
-            delay = draw.randint(network.least_us, network.most_us)
-            if network.late and draw.random() < network.late:
-                delay += draw.randint(0, network.late_us)
-            self.at(self.time + delay, self._arrive, target, source, raw)
+            delay = draw.randint(network.min_delay_us, network.max_delay_us)
+            if network.late_probability and draw.random() < network.late_probability:
+                delay += draw.randint(0, network.max_lateness_us)
+            self.schedule(self.time + delay, self._arrive, target, source, raw)
--- a/tests/test_consensus_bounds.py
+++ b/tests/test_consensus_bounds.py
@@ -16,8 +16,8 @@
 from laurelstep.consensus.limits import MAX_ENTRY_BYTES, MAX_LEADER_MESSAGE_BYTES, MAX_PENDING_PROPOSALS
 from laurelstep.consensus.log import ReplicatedLog
 from laurelstep.consensus.ports import MAX_DATAGRAM_BYTES
-from laurelstep.testing.schedules import Tape
-from laurelstep.testing.schedules.script import QUICK
+from laurelstep.testing.schedules import RecordingStateMachine
+from laurelstep.testing.schedules.script import QUICK_TIMING
 from tests.consensus_worlds import (
     core_of,
     founded_world,
@@ -30,10 +30,10 @@
 
 
 def test_proposals_have_bounds() -> None:
-    world = founded_world(3, timing=dataclasses.replace(QUICK, max_log_entries=512))
-    leader = wait_for_settled_leader(world, range(3)).me
-    world.part([leader], others(world, leader))
-    core, now = core_of(world, leader), world.processes[leader].local(world.time)
+    world = founded_world(3, timing=dataclasses.replace(QUICK_TIMING, max_log_entries=512))
+    leader = wait_for_settled_leader(world, range(3)).peer
+    world.partition([leader], others(world, leader))
+    core, now = core_of(world, leader), world.processes[leader].local_time_us(world.time)
     with pytest.raises(EntryError):
         core.propose(now, bytes(MAX_ENTRY_BYTES + 1))
     with pytest.raises(EntryError):
@@ -44,7 +44,7 @@
         core.propose(now, b"one more")
     with pytest.raises(NotLeaderError) as error:
         follower = others(world, leader)[0]
-        core_of(world, follower).propose(world.processes[follower].local(world.time), b"x")
+        core_of(world, follower).propose(world.processes[follower].local_time_us(world.time), b"x")
     assert error.value.leader_id == leader
 
 
@@ -83,7 +83,7 @@
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=300), st.integers(-1, 9))
 def test_no_bytes_raise(raw: bytes, peer: int) -> None:
-    core = ConsensusCore(0, 5, 3, 7, Tape(), QUICK, random.Random(1))
+    core = ConsensusCore(0, 5, 3, 7, RecordingStateMachine(), QUICK_TIMING, random.Random(1))
     core.start(0)
     for data in (raw, bytes((m.PROTOCOL_VERSION,)) + raw):
         core.receive(1, peer, data)
@@ -94,7 +94,7 @@
 def test_no_valid_message_raises_or_changes_a_replica_that_it_is_not_for(data: st.DataObject) -> None:
     world = founded_world(3, learners=1)
     target = data.draw(st.integers(0, 3))
-    core, now = core_of(world, target), world.processes[target].local(world.time)
+    core, now = core_of(world, target), world.processes[target].local_time_us(world.time)
     number = st.integers(0, (1 << 48) - 1) | st.integers(0, 9)
     epochs = st.sampled_from(
         [core.epoch, NO_EPOCH, ClusterEpoch(0, 1), ClusterEpoch((1 << 32) - 1, (1 << 64) - 1)]
@@ -137,7 +137,7 @@
 
 
 def test_datagrams_of_future_versions_and_strangers_are_counted() -> None:
-    core = ConsensusCore(0, 3, 3, 7, Tape(), QUICK, random.Random(1))
+    core = ConsensusCore(0, 3, 3, 7, RecordingStateMachine(), QUICK_TIMING, random.Random(1))
     core.start(0)
     good = m.encode(m.IdentityRequest(1))
     core.receive(1, 1, bytes((m.PROTOCOL_VERSION + 1,)) + good[1:])
--- a/tests/test_consensus_leases.py
+++ b/tests/test_consensus_leases.py
@@ -10,15 +10,18 @@
 from laurelstep.consensus.errors import EntryError
 from laurelstep.consensus.leases import LeaseTable
 from laurelstep.consensus.state_machines import CompositeStateMachine
-from laurelstep.testing.schedules import Tape
+from laurelstep.testing.schedules import RecordingStateMachine
 from tests.once import once
 
 pytestmark = once
 
 
 def test_an_entry_of_an_unknown_state_machine_is_counted_and_its_dump_passed_on() -> None:
-    first, second = Tape(), Tape()
-    both, one = CompositeStateMachine({0: first, 7: second}), CompositeStateMachine({0: Tape()})
+    first, second = RecordingStateMachine(), RecordingStateMachine()
+    both, one = (
+        CompositeStateMachine({0: first, 7: second}),
+        CompositeStateMachine({0: RecordingStateMachine()}),
+    )
     both.apply(1, b"\0a")
     both.apply(2, b"\7b")
     one.load(both.dump())
@@ -27,7 +30,7 @@
     assert one.ignored == 2
     assert one.dump() == both.dump()
     both.load(b"")
-    assert first.places == second.places == []
+    assert first.applied == second.applied == []
 
 
 EPOCH = ClusterEpoch(1, 1)
--- a/tests/test_consensus_log.py
+++ b/tests/test_consensus_log.py
@@ -17,8 +17,8 @@
 from laurelstep.consensus.log import ReplicatedLog, encode_members
 from laurelstep.consensus.snapshots import Snapshot, SnapshotAssembly
 from laurelstep.consensus.state_machines import CompositeStateMachine
-from laurelstep.testing.schedules import Tape
-from laurelstep.testing.schedules.script import QUICK
+from laurelstep.testing.schedules import RecordingStateMachine
+from laurelstep.testing.schedules.script import QUICK_TIMING
 from tests.consensus_worlds import (
     core_of,
     founded_world,
@@ -85,11 +85,18 @@
 def test_stored_records_must_be_complete_and_the_replica_s_own() -> None:
     world = founded_world(3, lasting=True)
     wait_for_settled_leader(world, range(3))
-    whole = dict(world.processes[1].kept)
+    whole = dict(world.processes[1].stored)
 
     def start(records: dict[bytes, bytes], me: int = 1) -> ConsensusCore:
         return ConsensusCore(
-            me, 3, 3, 0, CompositeStateMachine({0: Tape()}), QUICK, random.Random(1), records
+            me,
+            3,
+            3,
+            0,
+            CompositeStateMachine({0: RecordingStateMachine()}),
+            QUICK_TIMING,
+            random.Random(1),
+            records,
         )
 
     assert start(whole).incarnation == core_of(world, 1).incarnation
--- a/tests/test_consensus_schedules.py
+++ b/tests/test_consensus_schedules.py
@@ -21,8 +21,8 @@
 from laurelstep.consensus.read_index import ReadIndexTracker
 from laurelstep.consensus.snapshots import Snapshot
 from laurelstep.consensus.state import ReplicaState
-from laurelstep.testing.schedules import BrokenError, Made, Shape, play
-from laurelstep.testing.schedules.script import settle
+from laurelstep.testing.schedules import BrokenError, ScheduleShape, SimulationOptions, play_schedule
+from laurelstep.testing.schedules.script import run_until_progress
 from tests.consensus_worlds import founded_world, wait_for_leader
 from tests.once import once
 
@@ -36,13 +36,19 @@
 @pytest.mark.parametrize("chunk", range(CHUNKS))
 def test_made_schedules(chunk: int) -> None:
     for seed in range(chunk * PER_CHUNK, (chunk + 1) * PER_CHUNK):
-        play(seed)
+        play_schedule(seed)
 
 
 def test_a_seed_is_one_schedule() -> None:
-    first, second = play(11), play(11)
-    assert (first.steps, first.sent, first.time) == (second.steps, second.sent, second.time)
-    assert [one.tape.places for one in first.processes] == [one.tape.places for one in second.processes]
+    first, second = play_schedule(11), play_schedule(11)
+    assert (first.step_count, first.sent_count, first.time) == (
+        second.step_count,
+        second.sent_count,
+        second.time,
+    )
+    assert [one.recording.applied for one in first.processes] == [
+        one.recording.applied for one in second.processes
+    ]
 
 
 # Faults
@@ -212,44 +218,59 @@
         return lease_us // 2
 
 
-def faulty(name: str, part: type) -> Callable[[Made], Made]:
+def faulty(name: str, part: type) -> Callable[[SimulationOptions], SimulationOptions]:
     core = type("Faulty", (ConsensusCore,), {name: part})
-    return lambda made: dataclasses.replace(made, core=core)
+    return lambda made: dataclasses.replace(made, core_type=core)
 
 
-def leasing(kind: type[LeaseTable]) -> Callable[[Made], Made]:
-    return lambda made: dataclasses.replace(made, leases=kind)
+def leasing(kind: type[LeaseTable]) -> Callable[[SimulationOptions], SimulationOptions]:
+    return lambda made: dataclasses.replace(made, lease_table_type=kind)
 
 
-def forgetful(made: Made) -> Made:
-    return dataclasses.replace(made, forgets_amnesia=True)
+def forgetful(made: SimulationOptions) -> SimulationOptions:
+    return dataclasses.replace(made, reuses_incarnation=True)
 
 
-CUTS = Shape(seats=(3, 5), founded=1.0, faults=(4, 6, 8), kinds=("halves", "alone", "pause", "mend"))
-LASTING = dataclasses.replace(CUTS, lasting=1.0, kinds=("crash", "halves", "alone", "mend", "come again"))
+CUTS = ScheduleShape(
+    voter_counts=(3, 5),
+    bootstrapped_probability=1.0,
+    fault_counts=(4, 6, 8),
+    fault_kinds=("halves", "alone", "pause", "mend"),
+)
+LASTING = dataclasses.replace(
+    CUTS, durable_probability=1.0, fault_kinds=("crash", "halves", "alone", "mend", "come again")
+)
 AMNESIA = dataclasses.replace(
-    CUTS, lasting=0.0, kinds=("crash", "come again", "halves", "alone", "mend", "roll", "majority")
+    CUTS,
+    durable_probability=0.0,
+    fault_kinds=("crash", "come again", "halves", "alone", "mend", "roll", "majority"),
 )
 LEASES = dataclasses.replace(
-    CUTS, leases=(60,), loss=(0.2,), late=(0.0,), delay_us=(5_000,), kinds=("alone", "mend"), faults=(2,)
+    CUTS,
+    lease_counts=(60,),
+    loss_probabilities=(0.2,),
+    late_probabilities=(0.0,),
+    max_delays_us=(5_000,),
+    fault_kinds=("alone", "mend"),
+    fault_counts=(2,),
 )
 
 # Schedules by hand, for what drawn ones seldom meet
 
 
-def figure_8(seed: int, made: Callable[[Made], Made]) -> None:
+def figure_8(seed: int, made: Callable[[SimulationOptions], SimulationOptions]) -> None:
     """Raft's figure 8: an entry of an earlier term on a majority, and a later one elsewhere that wins."""
     world = founded_world(seed=seed, made=made, seats=5, lasting=True)
-    first = wait_for_leader(world, range(5)).me
+    first = wait_for_leader(world, range(5)).peer
     second, third, fourth, fifth = (me for me in range(5) if me != first)
-    world.part([first, second], [third, fourth, fifth])
+    world.partition([first, second], [third, fourth, fifth])
     world.propose(first, b"e" * 155)
     world.run_for(100_000)
     world.crash(first)
-    late = wait_for_leader(world, (third, fourth, fifth)).me
+    late = wait_for_leader(world, (third, fourth, fifth)).peer
     rest = [me for me in (third, fourth, fifth) if me != late]
     # What it sent at its election arrives nowhere.
-    world.part([late], [second, *rest])
+    world.partition([late], [second, *rest])
     world.crash(late)
     place = world.processes[second].core
     assert place is not None
@@ -260,31 +281,31 @@
         return core is not None and core.committed_index >= last
 
     assert world.run_for(20_000_000, is_committed)
-    world.part([second], [late, *rest])
+    world.partition([second], [late, *rest])
     world.crash(second)
     world.start(late)
     world.run_for(3_000_000)
     world.heal()
-    settle(world)
+    run_until_progress(world)
 
 
-def read_at_old_leader(seed: int, made: Callable[[Made], Made]) -> None:
+def read_at_old_leader(seed: int, made: Callable[[SimulationOptions], SimulationOptions]) -> None:
     """One that was cut off still leads, by its own account, when a new process asks it."""
     world = founded_world(seed=seed, made=made, seats=3, learners=1)
-    old = wait_for_leader(world, range(3)).me
+    old = wait_for_leader(world, range(3)).peer
     others = [me for me in range(3) if me != old]
-    world.part([old, 3], others)
+    world.partition([old, 3], others)
     new = wait_for_leader(world, others)
-    world.propose(new.me, b"news")
-    world.run_for(100_000, lambda: b"news" in new.tape.data)
+    world.propose(new.peer, b"news")
+    world.run_for(100_000, lambda: b"news" in new.recording.data)
     # The learner hears both, and happens to ask the old one.
     world.restart(3)
     world.run_for(400_000)
     world.heal()
-    settle(world)
+    run_until_progress(world)
 
 
-def initiator_dies(seed: int, made: Callable[[Made], Made]) -> None:
+def initiator_dies(seed: int, made: Callable[[SimulationOptions], SimulationOptions]) -> None:
     """An initiator ends when others have heard of the new epoch, but have no log of it yet."""
     world = founded_world(seed=seed, made=made, seats=5)
     keepers = (3, 4)
@@ -299,13 +320,13 @@
         )
 
     assert world.run_for(20_000_000, is_announced)
-    world.restart(wait_for_leader(world, range(5)).me)
+    world.restart(wait_for_leader(world, range(5)).peer)
     world.heal()
-    settle(world)
+    run_until_progress(world)
 
 
-def drawn(shape: Shape) -> Callable[[int, Callable[[Made], Made]], object]:
-    return lambda seed, made: play(seed, shape, made)
+def drawn(shape: ScheduleShape) -> Callable[[int, Callable[[SimulationOptions], SimulationOptions]], object]:
+    return lambda seed, made: play_schedule(seed, shape, made)
 
 
 LOST, ORDER, LEADER, VOTE = "nothing lost", "one order", "one leader", "one vote"
@@ -360,6 +381,8 @@
 
 
 @pytest.mark.parametrize("schedule", BY_HAND)
-def test_schedules_by_hand(schedule: Callable[[int, Callable[[Made], Made]], object]) -> None:
+def test_schedules_by_hand(
+    schedule: Callable[[int, Callable[[SimulationOptions], SimulationOptions]], object],
+) -> None:
     for seed in range(40):
         schedule(seed, lambda made: made)
