--- a/tests/maintenance_processes.py
+++ b/tests/maintenance_processes.py
@@ -9,9 +9,9 @@
 from typing import Any, Final
 from urllib.parse import urlencode
 
-from laurelstep.testing.processes import Load, Tier, Weather, until
-from laurelstep.testing.processes.program import LOOK_S
-from laurelstep.testing.processes.tier import SETTINGS, name_of, number_of
+from laurelstep.testing.processes import LoadGenerator, NetworkFaults, ProcessTier, wait_until
+from laurelstep.testing.processes.program import POLL_INTERVAL_S
+from laurelstep.testing.processes.tier_settings import SETTINGS, endpoint_index, endpoint_name
 from tests.sockets import run
 
 TEST_S = 300.0  # for a test that hangs; nothing is measured by it
@@ -36,9 +36,9 @@
 class StatusWatch:
     """What each process says at its second address; the first that calls a machine clear is noted."""
 
-    def __init__(self, tier: Tier) -> None:
+    def __init__(self, tier: ProcessTier) -> None:
         self.tier = tier
-        self.load: Load
+        self.load: LoadGenerator
         self.seen: dict[int, dict[str, Any]] = {}  # by process: the last answer
         self.cleared: list[str] = []  # machines that were clear, in their order
         self.returned: set[tuple[str, str]] = set()  # wish and machine
@@ -49,14 +49,14 @@
         """Its answers, one after the other: one of a process that is paused comes when it goes on."""
         program = self.tier.programs[process]
         while True:
-            if program.running:
+            if program.is_running:
                 with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                    message = await program.ask("GET", "/api/upkeep")
+                    message = await program.query("GET", "/api/upkeep")
                     if message.status == 200:
                         self._see(process, json.loads(message.body))
             else:
                 self.seen.pop(process, None)
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def _see(self, process: int, told: dict[str, Any]) -> None:
         self.seen[process] = told
@@ -65,13 +65,13 @@
             if one["state"] in OUT and pair not in self._noted | self.returned:
                 self._noted.add(pair)
                 self.cleared.append(one["id"])
-                self.tier.note_clear(number_of(one["id"]))
+                self.tier.note_drained(endpoint_index(one["id"]))
 
     def back(self, wish: str, machine: str) -> None:
         """Somebody is about to say that it is done."""
         if (wish, machine) not in self.returned:
             self.returned.add((wish, machine))
-            self.tier.note_back(number_of(machine))
+            self.tier.note_restored(endpoint_index(machine))
 
     def close(self) -> None:
         for task in self._tasks:
@@ -87,7 +87,7 @@
     def missing(self, machine: str) -> list[int] | None:
         """Whose confirmation whoever leads says that it waits for."""
         for process, told in self.seen.items():
-            if not told["leading"] or self.tier.programs[process].paused:
+            if not told["leading"] or self.tier.programs[process].is_paused:
                 continue
             for one in told["machines"]:
                 if one["id"] == machine and one["missing"] is not None:
@@ -102,7 +102,7 @@
             return bool(look())
 
         try:
-            await until(seen, what)
+            await wait_until(seen, what)
         except AssertionError as error:
             raise AssertionError(f"{error}; they say {self.seen}") from None
 
@@ -137,15 +137,17 @@
 
     def used(self, *processes: int) -> str:
         """The machine that all of these send to most: one alone may be passed over for long."""
-        sent, machines = self.tier.sent(), range(len(self.tier.endpoints))
-        return name_of(max(machines, key=lambda at: min(sent[process, at] for process in processes)))
+        sent, machines = self.tier.forwarded_counts(), range(len(self.tier.endpoints))
+        return endpoint_name(max(machines, key=lambda at: min(sent[process, at] for process in processes)))
 
     async def until_used(self, machine: str, *processes: int) -> None:
         """Until one of these, or of all, has sent another request there."""
         since = len(self.tier.history.events)
 
         def used() -> bool:
-            found = {process for process, at in self.tier.sent(since) if name_of(at) == machine}
+            found = {
+                process for process, at in self.tier.forwarded_counts(since) if endpoint_name(at) == machine
+            }
             return bool(found & set(processes) if processes else found)
 
         await self.until(used, f"{machine} used by {processes or 'any'}")
@@ -153,12 +155,12 @@
     async def hold(self, *processes: int) -> str:
         """A machine that keeps what it gets, and has something from one of these."""
         machine = self.used(*processes)
-        self.tier.hold(number_of(machine))
+        self.tier.hold_answers(endpoint_index(machine))
         await self.until_used(machine, *processes)
         return machine
 
     def let_go(self, machine: str) -> None:
-        self.tier.let_go(number_of(machine))
+        self.tier.release_answers(endpoint_index(machine))
 
     # --- What they are asked ----------------------------------------------------------
 
@@ -176,7 +178,7 @@
             assert said[0] in (200, 202, 503), f"{verb} {query} at {process}: {said}"
             return bool(said[0] != 503)
 
-        await until(taken, f"{verb} {query} taken by {process}")
+        await wait_until(taken, f"{verb} {query} taken by {process}")
 
     async def wish(self, process: int, *machines: str, name: str = "disk", **limits: Any) -> None:
         await self.ask(process, "wish", name=name, id=machines, **limits)
@@ -197,16 +199,16 @@
 @contextlib.asynccontextmanager
 async def watched(
     processes: int, seats: int, callers: int = 2, **more: Any
-) -> AsyncIterator[tuple[Tier, StatusWatch]]:
+) -> AsyncIterator[tuple[ProcessTier, StatusWatch]]:
     """Under load, all of them following one leader; held against the rules at the end."""
     tables = {"accord": {"heartbeat_ms": 50, "election_ms": 200, "seats": seats}, "upkeep": {}}
-    tier = Tier(processes, operator_tables=tables, settings=SHORT, **more)
+    tier = ProcessTier(processes, operator_tables=tables, settings=SHORT, **more)
     async with tier:
         watch = StatusWatch(tier)
         try:
-            async with tier.load(callers=callers, deadline_ms=DEADLINE_MS) as load:
+            async with tier.load(clients=callers, deadline_ms=DEADLINE_MS) as load:
                 watch.load = load
-                await load.more(20)
+                await load.wait_for_answers(20)
                 await watch.until_led(*range(processes))
                 yield tier, watch
         finally:
@@ -228,7 +230,7 @@
                 with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
                     async with asyncio.timeout(1.0):  # one that is paused does not answer
                         await self._turn(process, f"night-{self.rolled}")
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _turn(self, process: int, name: str) -> None:
         told = self.watch.seen.get(process)
@@ -251,7 +253,7 @@
             self._task.result()
 
 
-async def inject_fault(tier: Tier, watch: StatusWatch) -> None:
+async def inject_fault(tier: ProcessTier, watch: StatusWatch) -> None:
     """One, drawn, for some answers of those that are not hit; then none."""
     draw, numbers = tier.draw, range(len(tier.programs))
     what = draw.choice(["cut", "one way", "kill", "pause", "weather", "replace"])
@@ -265,12 +267,16 @@
     elif what == "pause":
         tier.pause(victim)
     elif what == "weather":
-        tier.change_weather(Weather(lose=0.2, double=0.2, turn=0.2, delay_us=(0, 50_000)))
+        tier.set_network_faults(
+            NetworkFaults(
+                loss_probability=0.2, duplicate_probability=0.2, reorder_probability=0.2, delay_us=(0, 50_000)
+            )
+        )
     else:
-        tier.cut(some, set(numbers) - some, both=what == "cut")
-    await watch.load.more(answers, *spared)
-    tier.heal()
-    tier.change_weather(Weather())
+        tier.partition(some, set(numbers) - some, both_ways=what == "cut")
+    await watch.load.wait_for_answers(answers, *spared)
+    tier.heal_partition()
+    tier.set_network_faults(NetworkFaults())
     if what == "kill":
         await tier.start(victim)
     elif what == "pause":
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -8,9 +8,7 @@
 import copy
 import errno
 import itertools
-import math
 import random
-import selectors
 import socket
 import subprocess
 import sys
@@ -56,21 +54,32 @@
     read_message,
 )
 from laurelstep.testing.contracts.base import Contract, raises
-from laurelstep.testing.contracts.clock import ClockContract, Running
+from laurelstep.testing.contracts.clock import ClockContract, RunningClock
 from laurelstep.testing.contracts.disk import DiskContract
-from laurelstep.testing.contracts.link import Joined, LinkContract, ReachableJoined, ReachableLinkContract
+from laurelstep.testing.contracts.link import (
+    ConnectedLinks,
+    ExposedLinks,
+    LinkContract,
+    ReachableLinkContract,
+)
 from laurelstep.testing.contracts.members import (
-    AskedSourceContract,
-    Beyond,
-    BreakableBeyond,
     Entries,
+    FaultySourceEnvironment,
     MemberSourceContract,
+    PolledSourceContract,
+    SourceEnvironment,
+)
+from laurelstep.testing.contracts.recorder import RecorderContract, RecorderIncarnations
+from laurelstep.testing.contracts.store import (
+    FaultyStoreIncarnations,
+    LastingStoreContract,
+    StoreContract,
+    StoreIncarnations,
 )
-from laurelstep.testing.contracts.recorder import Life, RecorderContract
-from laurelstep.testing.contracts.store import BreakableLives, LastingStoreContract, Lives, StoreContract
-from laurelstep.testing.contracts.upstream import Stage, UpstreamContract, Way
+from laurelstep.testing.contracts.upstream import EndpointBehaviour, UpstreamContract, UpstreamEnvironment
 from laurelstep.testing.disk import SimulatedDisk
 from laurelstep.testing.endpoints import Listener, reset_connection
+from tests.event_loops import VirtualTimeLoop
 from tests.fakes import Due, ManualClock, PlayedUpstream, Sent
 
 ROOT = Path(__file__).parent.parent
@@ -85,43 +94,6 @@
     assert not wrong
 
 
-# --- Made time ----------------------------------------------------------------------------------
-
-
-class Jumps(selectors.DefaultSelector):
-    """Nobody waits in it: the time that is to pass has passed."""
-
-    def __init__(self, passes: Callable[[float], None]) -> None:
-        super().__init__()
-        self.passes = passes
-
-    def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        found = super().select(0)
-        if not found:
-            assert timeout is not None, "nothing to wait for"
-            self.passes(timeout)
-        return found
-
-
-class MadeLoop(asyncio.SelectorEventLoop):
-    """Its time is made, and the same however busy the machine is."""
-
-    turn_us = 10  # a turn takes some time, or a timer set for now would stop it
-
-    def __init__(self) -> None:
-        self.us = 1_000_000
-        super().__init__(Jumps(self.passes))
-
-    def passes(self, span_s: float) -> None:
-        self.us += max(self.turn_us, math.ceil(span_s * 1e6))
-
-    def time(self) -> float:
-        return self.us / 1e6
-
-    def now(self) -> int:
-        return self.us
-
-
 # --- The contracts themselves ---------------------------------------------------------------
 
 
@@ -145,13 +117,13 @@
 
 
 class Waits(Contract):
-    patience_s = 0.01
+    timeout_s = 0.01
 
-    def new_loop(self) -> MadeLoop:
-        return MadeLoop()
+    def new_loop(self) -> VirtualTimeLoop:
+        return VirtualTimeLoop()
 
     def test_waits(self) -> None:
-        self.run(self.soon(asyncio.Event().wait(), "an event"))  # type: ignore[arg-type]
+        self.run(self.wait_for(asyncio.Event().wait(), "an event"))  # type: ignore[arg-type]
 
     def test_raises_in_a_callback(self) -> None:
         async def main() -> None:
@@ -183,7 +155,7 @@
 
     clock: Clock
 
-    async def until(self, due: int) -> None:
+    async def advance_past(self, due: int) -> None:
         loop = asyncio.get_running_loop()
         # Behind every timer of the clock, which counts in whole milliseconds; and once more, for one that
         # woke early and, on a busy machine, was set anew only now.
@@ -195,7 +167,7 @@
 
 class TestLoopClock(ClockContract):
     @contextlib.asynccontextmanager
-    async def running(self) -> AsyncIterator[Running]:
+    async def running_clock(self) -> AsyncIterator[RunningClock]:
         yield Passing(LoopClock(asyncio.get_running_loop()))
 
 
@@ -204,7 +176,7 @@
         return uvloop.new_event_loop()
 
 
-class EarlyLoop(MadeLoop):
+class EarlyLoop(VirtualTimeLoop):
     """Its timers come up to a millisecond early, as those of a loop that rounds may."""
 
     def call_later(  # type: ignore[override]
@@ -226,8 +198,8 @@
         self.draw = random.Random(seed)
         super().__init__()
 
-    def passes(self, span_s: float) -> None:
-        super().passes(span_s)
+    def advance(self, span_s: float) -> None:
+        super().advance(span_s)
         self.stand()
 
     def now(self) -> int:
@@ -240,19 +212,19 @@
 
     def stand(self) -> None:
         if self.draw.random() < self.often:
-            self.us += self.draw.randrange(self.longest_us)
+            self.now_us += self.draw.randrange(self.longest_us)
 
 
 class TestLoopClockWokenEarly(TestLoopClock):
     seed: ClassVar[int | None] = None
 
-    def new_loop(self) -> MadeLoop:
+    def new_loop(self) -> VirtualTimeLoop:
         return EarlyLoop() if self.seed is None else BusyLoop(self.seed)
 
     @contextlib.asynccontextmanager
-    async def running(self) -> AsyncIterator[Running]:
+    async def running_clock(self) -> AsyncIterator[RunningClock]:
         loop = asyncio.get_running_loop()
-        assert isinstance(loop, MadeLoop)
+        assert isinstance(loop, VirtualTimeLoop)
         with mock.patch.object(time, "monotonic_ns", lambda: loop.now() * 1000):
             yield Passing(LoopClock(loop))
 
@@ -271,7 +243,7 @@
     manual: ManualClock
     clock: Clock
 
-    async def until(self, due: int) -> None:
+    async def advance_past(self, due: int) -> None:
         self.manual.advance(max(0, due - self.manual.time))
 
 
@@ -279,7 +251,7 @@
     kind: ClassVar[type[ManualClock]] = ManualClock
 
     @contextlib.asynccontextmanager
-    async def running(self) -> AsyncIterator[Running]:
+    async def running_clock(self) -> AsyncIterator[RunningClock]:
         one = self.kind()
         yield Moved(one, one)
 
@@ -336,7 +308,7 @@
 )
 def test_a_faulty_clock_is_caught(kind: type[ManualClock], name: str) -> None:
     class Faulty(TestManualClock):
-        patience_s = 0.2
+        timeout_s = 0.2
 
     Faulty.kind = kind
     caught(Faulty(), name)
@@ -345,7 +317,7 @@
 class RearmingClock:
     """Sets a timer that woke early anew, and leaves its handle behind."""
 
-    def __init__(self, loop: MadeLoop) -> None:
+    def __init__(self, loop: VirtualTimeLoop) -> None:
         self.loop = loop
         self.now, self.wall = loop.now, LoopClock(loop).wall
 
@@ -363,9 +335,9 @@
 def test_a_clock_that_loses_the_handle_of_a_timer_set_anew_is_caught() -> None:
     class Faulty(TestLoopClockWokenEarly):
         @contextlib.asynccontextmanager
-        async def running(self) -> AsyncIterator[Running]:
+        async def running_clock(self) -> AsyncIterator[RunningClock]:
             loop = asyncio.get_running_loop()
-            assert isinstance(loop, MadeLoop)
+            assert isinstance(loop, VirtualTimeLoop)
             yield Passing(RearmingClock(loop))
 
     caught(Faulty(), "test_a_call_cancelled_shortly_before_its_time_never_comes")
@@ -378,7 +350,7 @@
     kind: ClassVar[type[FolderDisk]] = FolderDisk
 
     @contextlib.contextmanager
-    def empty(self) -> Iterator[Callable[[], Disk]]:
+    def empty_folder(self) -> Iterator[Callable[[], Disk]]:
         with tempfile.TemporaryDirectory() as folder:
             yield lambda: self.kind(folder)
 
@@ -389,7 +361,7 @@
     kind: ClassVar[type[SimulatedDisk]] = SimulatedDisk
 
     @contextlib.contextmanager
-    def empty(self) -> Iterator[Callable[[], Disk]]:
+    def empty_folder(self) -> Iterator[Callable[[], Disk]]:
         yield self.kind().another
 
     def after_power_loss(self, disk: Disk, opener: Callable[[], Disk]) -> Disk:
@@ -519,8 +491,8 @@
         self.runs: dict[str, list[bytes]] = {}
         self.endpoints = [Endpoint(closed=self.closed) for _ in range(2)]
         self.addresses = ("", "")
-        self.nowhere = f"127.0.0.1:{free_port()}"
-        self.way = Way.SERVE
+        self.closed_address = f"127.0.0.1:{free_port()}"
+        self.way = EndpointBehaviour.SERVE
 
     async def begin(self, stack: contextlib.AsyncExitStack) -> None:
         for one in self.endpoints:
@@ -532,39 +504,39 @@
     def now(self) -> int:
         return self.clock.now()
 
-    def script(self, way: Way) -> None:
-        self.way = way
+    def set_behaviour(self, behaviour: EndpointBehaviour) -> None:
+        self.way = behaviour
 
     async def handler(self, endpoint: Endpoint, message: Message, writer: Writer) -> None:
         way = self.way
-        if way not in (Way.TURN_AWAY, Way.FAIL):
+        if way not in (EndpointBehaviour.REJECT, EndpointBehaviour.FAIL):
             name = message.headers["x-request-id"].encode()
             self.runs.setdefault(f"127.0.0.1:{endpoint.port}", []).append(name)
-        if way is Way.SERVE:
+        if way is EndpointBehaviour.SERVE:
             writer.write(answer(200, b"ok"))
-        elif way is Way.TURN_AWAY:
+        elif way is EndpointBehaviour.REJECT:
             writer.write(answer(503, headers="X-Not-Run: 1\r\n"))
-        elif way is Way.FAIL:
+        elif way is EndpointBehaviour.FAIL:
             writer.write(answer(500))
-        elif way is Way.DIE:
+        elif way is EndpointBehaviour.RESET:
             reset_connection(writer)
         else:
             self.reached.set()
 
-    async def play(self) -> None:
-        if self.way is Way.HOLD:
+    async def wait_sent(self) -> None:
+        if self.way is EndpointBehaviour.HOLD:
             await self.reached.wait()
 
-    async def noticed(self) -> None:
+    async def wait_noticed(self) -> None:
         await self.closed.acquire()
 
-    def ran(self, address: str) -> list[bytes]:
+    def executed(self, address: str) -> list[bytes]:
         return self.runs.get(address, [])
 
 
 class TestUpstream(UpstreamContract):
     @contextlib.asynccontextmanager
-    async def stage(self) -> AsyncIterator[Stage]:
+    async def environment(self) -> AsyncIterator[UpstreamEnvironment]:
         loop = asyncio.get_running_loop()
         clock = LoopClock(loop)
         upstream = Upstream(loop, clock.now, 0, 0, 64)
@@ -587,43 +559,48 @@
     """The fake, with a test's hand on it."""
 
     addresses = ("127.0.0.1:1001", "127.0.0.1:1002")
-    nowhere = "127.0.0.1:1003"
+    closed_address = "127.0.0.1:1003"
 
     def __init__(self, upstream: PlayedUpstream, places: dict[int, str]) -> None:
         self.played = upstream
         self.upstream: UpstreamSide = upstream
         self.places = places
-        self.way = Way.SERVE
+        self.way = EndpointBehaviour.SERVE
         self.held: list[Attempt] = []
         self.runs: dict[str, list[bytes]] = {}
 
     def now(self) -> int:
         return self.played.clock.now()
 
-    def script(self, way: Way) -> None:
-        self.way = way
+    def set_behaviour(self, behaviour: EndpointBehaviour) -> None:
+        self.way = behaviour
 
-    async def play(self) -> None:
+    async def wait_sent(self) -> None:
         for sent in list(self.played.out.values()):
             address = self.places[sent.attempt.endpoint]
-            if address == self.nowhere:
+            if address == self.closed_address:
                 self.played.answer(sent, NO_CONNECT)
                 continue
-            self.played.write(sent, runs=self.way not in (Way.TURN_AWAY, Way.FAIL))
+            self.played.write(sent, runs=self.way not in (EndpointBehaviour.REJECT, EndpointBehaviour.FAIL))
             if sent.attempt not in self.played.out:
                 continue
             if sent.ran:
                 self.runs.setdefault(address, []).append(sent.attempt.call.name)
-            if self.way is Way.HOLD:
+            if self.way is EndpointBehaviour.HOLD:
                 self.held.append(sent.attempt)
             else:
-                told = {Way.SERVE: OK, Way.TURN_AWAY: FULL, Way.FAIL: ERROR, Way.DIE: RESET}
+                told = {
+                    EndpointBehaviour.SERVE: OK,
+                    EndpointBehaviour.REJECT: FULL,
+                    EndpointBehaviour.FAIL: ERROR,
+                    EndpointBehaviour.RESET: RESET,
+                }
                 self.played.answer(sent, told[self.way])
 
-    async def noticed(self) -> None:
+    async def wait_noticed(self) -> None:
         assert not [one for one in self.held if one in self.played.out]
 
-    def ran(self, address: str) -> list[bytes]:
+    def executed(self, address: str) -> list[bytes]:
         return self.runs.get(address, [])
 
 
@@ -631,7 +608,7 @@
     kind: ClassVar[type[PlayedUpstream]] = PlayedUpstream
 
     @contextlib.asynccontextmanager
-    async def stage(self) -> AsyncIterator[Stage]:
+    async def environment(self) -> AsyncIterator[UpstreamEnvironment]:
         places: dict[int, str] = {}
 
         class Placed(self.kind):  # type: ignore[misc, name-defined]
@@ -709,7 +686,7 @@
 )
 def test_a_faulty_upstream_is_caught(kind: type[PlayedUpstream], name: str) -> None:
     class Faulty(TestPlayedUpstream):
-        patience_s = 0.2
+        timeout_s = 0.2
 
     Faulty.kind = kind
     caught(Faulty(), name)
@@ -718,8 +695,8 @@
 def test_an_upstream_that_keeps_connections_to_a_place_set_anew_is_caught() -> None:
     class Faulty(TestUpstream):
         @contextlib.asynccontextmanager
-        async def stage(self) -> AsyncIterator[Stage]:
-            async with super().stage() as stage:
+        async def environment(self) -> AsyncIterator[UpstreamEnvironment]:
+            async with super().environment() as stage:
                 stage.upstream = KeepsFirst(stage.upstream)
                 yield stage
 
@@ -752,28 +729,28 @@
     return list({one["instanceId"]: one for one in (*entries, *changes)}.values())
 
 
-class GivenBeyond:
+class GivenEnvironment:
     def __init__(self, given: GivenMembers) -> None:
         self.given = given
         self.source: MemberSource = given
         self.entries: Entries = []
 
-    async def set(self, version: int, entries: Entries) -> None:
+    async def set_list(self, version: int, entries: Entries) -> None:
         with contextlib.suppress(ValueError):  # refused: the one who gave it hears so
             self.given.give(entries)
             self.entries = entries
 
-    async def change(self, version: int, entries: Entries) -> None:
-        await self.set(version, merged(self.entries, entries))
+    async def change_entries(self, version: int, entries: Entries) -> None:
+        await self.set_list(version, merged(self.entries, entries))
 
 
 class TestGivenMembers(MemberSourceContract):
     kind: ClassVar[type[GivenMembers]] = GivenMembers
 
     @contextlib.asynccontextmanager
-    async def beyond(self) -> AsyncIterator[Beyond]:
+    async def environment(self) -> AsyncIterator[SourceEnvironment]:
         given = self.kind()
-        yield GivenBeyond(given)
+        yield GivenEnvironment(given)
         given.close()
 
 
@@ -817,7 +794,7 @@
             push(writer, self.version, whole, *entries)
 
 
-class DiscoveryBeyond:
+class DiscoveryEnvironment:
     def __init__(self, discovery: Discovery, lists: Lists) -> None:
         self.discovery = discovery
         self.source: MemberSource = discovery
@@ -830,20 +807,20 @@
         while (watch := self.discovery.stream) is not None and not watch.is_closed and not self.lists.watches:
             await self.lists.news()
 
-    async def set(self, version: int, entries: Entries) -> None:
+    async def set_list(self, version: int, entries: Entries) -> None:
         await self._quiet()
         self.lists.version, self.lists.entries = version, entries
         self.lists.tell(True, entries)
 
-    async def change(self, version: int, entries: Entries) -> None:
+    async def change_entries(self, version: int, entries: Entries) -> None:
         await self._quiet()
         self.lists.version, self.lists.entries = version, merged(self.lists.entries, entries)
         self.lists.tell(False, entries)
 
-    def break_(self) -> None:
+    def stop_answering(self) -> None:
         self.lists.broken = True
 
-    def mend(self) -> None:
+    def resume_answering(self) -> None:
         self.lists.broken = False
 
 
@@ -851,13 +828,13 @@
     pushed: ClassVar[bool]
 
     @contextlib.asynccontextmanager
-    async def beyond(self) -> AsyncIterator[BreakableBeyond]:
+    async def environment(self) -> AsyncIterator[FaultySourceEnvironment]:
         lists = Lists()
         server = await lists.start()
         loop = asyncio.get_running_loop()
         source = Discovery(loop, f"127.0.0.1:{lists.port}", "/registry", self.pushed, lambda line: None)
         try:
-            yield DiscoveryBeyond(source, lists)
+            yield DiscoveryEnvironment(source, lists)
         finally:
             source.close()
             for stream in list(source.streams):
@@ -870,7 +847,7 @@
     pushed = True
 
 
-class TestAskedDiscovery(OnDiscovery, AskedSourceContract):
+class TestAskedDiscovery(OnDiscovery, PolledSourceContract):
     pushed = False
 
 
@@ -932,7 +909,7 @@
 )
 def test_a_faulty_source_is_caught(kind: type[GivenMembers], name: str) -> None:
     class Faulty(TestGivenMembers):
-        patience_s = 0.1
+        timeout_s = 0.1
 
     Faulty.kind = kind
     caught(Faulty(), name)
@@ -963,7 +940,7 @@
     kind: type[Discovery], name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     class Faulty(TestAskedDiscovery):
-        patience_s = 0.3
+        timeout_s = 0.3
 
     monkeypatch.setitem(globals(), "Discovery", kind)
     caught(Faulty(), name)
@@ -983,7 +960,7 @@
     def answered(self, call: Call, answer: Answer) -> None: ...
 
 
-class JournalLife:
+class JournalIncarnations:
     """A journal on a disk in memory."""
 
     def __init__(self, kind: type[RequestJournal], unavailable: Any) -> None:
@@ -998,10 +975,10 @@
         store = await Store.open(self.disk, StoreOptions())
         self.recorder = self.own = self.kind(store, self.settings, {"pay": 2}, lambda line: None)
 
-    def recorded(self, order: str) -> Call:
+    def recorded_call(self, order: str) -> Call:
         return self._call(order.encode())
 
-    def plain(self) -> Call:
+    def unrecorded_call(self) -> Call:
         return self._call(b"")
 
     def _call(self, order: bytes) -> Call:
@@ -1012,7 +989,7 @@
         await self.own.close()
         await self.begin()
 
-    def break_(self) -> None:
+    def fail_writes(self) -> None:
         for operation in ("create", "write", "sync"):
             self.disk.fail(operation, *(broken() for _ in range(1_000)))
 
@@ -1022,8 +999,8 @@
     kind: ClassVar[type[RequestJournal]] = RequestJournal
 
     @contextlib.asynccontextmanager
-    async def life(self) -> AsyncIterator[Life]:
-        one = JournalLife(self.kind, self.unavailable)
+    async def incarnations(self) -> AsyncIterator[RecorderIncarnations]:
+        one = JournalIncarnations(self.kind, self.unavailable)
         await one.begin()
         try:
             yield one
@@ -1098,7 +1075,7 @@
 )
 def test_a_faulty_recorder_is_caught(kind: type[RequestJournal], name: str) -> None:
     class Faulty(TestRequestJournal):
-        patience_s = 0.2
+        timeout_s = 0.2
 
     Faulty.kind = kind
     caught(Faulty(), name)
@@ -1112,12 +1089,12 @@
         self.clock = ManualClock()
         self.network = MemoryNetwork(self.clock, 3)
         self.kind = kind
-        self.links: Sequence[Link] = [self.again(n) for n in range(3)]
+        self.links: Sequence[Link] = [self.restart(n) for n in range(3)]
 
-    def again(self, number: int) -> Link:
+    def restart(self, number: int) -> Link:
         return self.kind(self.network, number)
 
-    async def carry(self) -> None:
+    async def wait_delivery(self) -> None:
         self.clock.advance(LATENCY_US)
 
 
@@ -1125,7 +1102,7 @@
     kind: ClassVar[type[MemoryLink]] = MemoryLink
 
     @contextlib.asynccontextmanager
-    async def joined(self) -> AsyncIterator[Joined]:
+    async def connected_links(self) -> AsyncIterator[ConnectedLinks]:
         yield InMemory(self.kind)
 
 
@@ -1137,19 +1114,19 @@
         self.places = places
         self.stranger = stranger
         self.made: list[SocketLink] = []
-        self.links: Sequence[Link] = [self.again(n) for n in range(3)]
+        self.links: Sequence[Link] = [self.restart(n) for n in range(3)]
 
-    def again(self, number: int) -> Link:
+    def restart(self, number: int) -> Link:
         self.made.append(self.make(number))
         return self.made[-1]
 
-    async def carry(self) -> None:
+    async def wait_delivery(self) -> None:
         # To a loopback socket a datagram has come when it was sent; the loop reads it in its next turn,
         # at most so many at once.
         for _ in range(20):
             await asyncio.sleep(0)
 
-    def stray(self, number: int, data: bytes) -> None:
+    def send_from_stranger(self, number: int, data: bytes) -> None:
         self.stranger.sendto(data, self.places[number])
 
     def close(self) -> None:
@@ -1167,7 +1144,7 @@
     kind: ClassVar[type[UdpLink]] = UdpLink
 
     @contextlib.asynccontextmanager
-    async def joined(self) -> AsyncIterator[ReachableJoined]:
+    async def connected_links(self) -> AsyncIterator[ExposedLinks]:
         loop, addresses = asyncio.get_running_loop(), free_addresses(3)
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         stranger.bind(("127.0.0.1", 0))
@@ -1183,7 +1160,7 @@
 
 class TestUnixLink(ReachableLinkContract):
     @contextlib.asynccontextmanager
-    async def joined(self) -> AsyncIterator[ReachableJoined]:
+    async def connected_links(self) -> AsyncIterator[ExposedLinks]:
         loop = asyncio.get_running_loop()
         stranger = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         with tempfile.TemporaryDirectory() as folder:
@@ -1264,7 +1241,7 @@
 )
 def test_a_faulty_link_is_caught(kind: type[MemoryLink], name: str) -> None:
     class Faulty(TestMemoryLink):
-        patience_s = 0.1
+        timeout_s = 0.1
 
     Faulty.kind = kind
     caught(Faulty(), name)
@@ -1302,7 +1279,7 @@
 
 class TestNoStore(StoreContract):
     @contextlib.asynccontextmanager
-    async def lives(self) -> AsyncIterator[Lives]:
+    async def incarnations(self) -> AsyncIterator[StoreIncarnations]:
         yield Nothing()
 
 
@@ -1342,7 +1319,7 @@
         await self.own.close()
         await self.begin()
 
-    def break_(self) -> None:
+    def fail_writes(self) -> None:
         for operation in ("create", "write", "sync"):
             self.disk.fail(operation, *(broken() for _ in range(100)))
 
@@ -1351,7 +1328,7 @@
     """On real files."""
 
     @contextlib.asynccontextmanager
-    async def lives(self) -> AsyncIterator[Lives]:
+    async def incarnations(self) -> AsyncIterator[StoreIncarnations]:
         with tempfile.TemporaryDirectory() as folder:
             one = OnDisk(FolderDisk(folder))
             await one.begin()
@@ -1363,7 +1340,7 @@
     seed: ClassVar[int] = 1
 
     @contextlib.asynccontextmanager
-    async def lives(self) -> AsyncIterator[BreakableLives]:
+    async def incarnations(self) -> AsyncIterator[FaultyStoreIncarnations]:
         one = OnSimulatedDisk(self.seed)
         await one.begin()
         yield one
@@ -1455,7 +1432,7 @@
         self.kept = dict(self.kept)
         self.store = self.own = self.kind(self.kept)
 
-    def break_(self) -> None:
+    def fail_writes(self) -> None:
         self.own.broken = True
 
 
@@ -1465,7 +1442,7 @@
     kind: ClassVar[type[Sheet]] = Sheet
 
     @contextlib.asynccontextmanager
-    async def lives(self) -> AsyncIterator[BreakableLives]:
+    async def incarnations(self) -> AsyncIterator[FaultyStoreIncarnations]:
         one = OnSheet(self.kind)
         yield one
         await one.own.close()
@@ -1557,7 +1534,7 @@
 )
 def test_a_faulty_store_is_caught(kind: type[Sheet], name: str) -> None:
     class Faulty(TestSheet):
-        patience_s = 0.1
+        timeout_s = 0.1
 
     Faulty.kind = kind
     caught(Faulty(), name)
--- a/tests/test_maintenance_contracts.py
+++ b/tests/test_maintenance_contracts.py
@@ -15,13 +15,13 @@
 from laurelstep.maintenance.state import MaintenanceState
 from laurelstep.net.cooperative_task import CooperativeTask
 from laurelstep.testing.contracts.members import (
-    AskedSourceContract,
-    Beyond,
-    BreakableBeyond,
+    FaultySourceEnvironment,
     MemberSourceContract,
+    PolledSourceContract,
+    SourceEnvironment,
 )
 from tests.maintenance import GRACE_US
-from tests.test_contracts import GivenBeyond, OnDiscovery
+from tests.test_contracts import GivenEnvironment, OnDiscovery
 
 
 def around(inner: MemberSource) -> MaintenanceSource:
@@ -36,9 +36,9 @@
 
 class TestMaintenanceOnGivenMembers(MemberSourceContract):
     @contextlib.asynccontextmanager
-    async def beyond(self) -> AsyncIterator[Beyond]:
+    async def environment(self) -> AsyncIterator[SourceEnvironment]:
         given = GivenMembers()
-        found = GivenBeyond(given)
+        found = GivenEnvironment(given)
         found.source = around(given)
         yield found
         given.close()
@@ -46,8 +46,8 @@
 
 class OnMaintenance(OnDiscovery):
     @contextlib.asynccontextmanager
-    async def beyond(self) -> AsyncIterator[BreakableBeyond]:
-        async with super().beyond() as found:
+    async def environment(self) -> AsyncIterator[FaultySourceEnvironment]:
+        async with super().environment() as found:
             found.source = around(found.source)
             yield found
 
@@ -56,5 +56,5 @@
     pushed: ClassVar[bool] = True
 
 
-class TestMaintenanceOnAskedDiscovery(OnMaintenance, AskedSourceContract):
+class TestMaintenanceOnAskedDiscovery(OnMaintenance, PolledSourceContract):
     pushed: ClassVar[bool] = False
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from laurelstep.testing.processes import Weather
-from laurelstep.testing.processes.history import SENT_AFTER_CLEAR
+from laurelstep.testing.processes import NetworkFaults
+from laurelstep.testing.processes.history_checks import SENT_AFTER_DRAINED
 from tests.maintenance_processes import (
     OperatorAtWork,
     inject_fault,
@@ -33,7 +33,7 @@
                 await watch.work(process, machine)
                 await watch.until_used(machine)
             await watch.until_over("disk", range(3))
-            await watch.load.more(10)
+            await watch.load.wait_for_answers(10)
         assert watch.cleared == machines
         tier.check()
 
@@ -102,7 +102,7 @@
             majority = [one for one in range(5) if one not in minority]
             first = watch.used(*minority)
             second = next(name for name in ("s-0", "s-1") if name != first)
-            tier.cut(minority, majority)
+            tier.partition(minority, majority)
             await watch.until(lambda: not any(watch.seen[one]["in_touch"] for one in minority), "cut off")
             status, told = await watch.call(minority[0], "wish", name="lost", id=second)
             assert status == 503 and told["error"] == "CutOffError" and told["remedy"]
@@ -111,9 +111,9 @@
             await watch.until(lambda: watch.missing(first) == sorted(minority), "the lesser part is missed")
             for one in minority:
                 await watch.until_used(first, one)
-            await watch.load.more(10)
+            await watch.load.wait_for_answers(10)
             assert all(not watch.seen[one]["machines"] for one in minority) and watch.cleared == []
-            tier.heal()
+            tier.heal_partition()
             await watch.until_led(*range(5))
             await watch.wish(minority[0], second, name="lost")
             await watch.work(minority[1], first)
@@ -131,13 +131,13 @@
             leader = await watch.until_led(*range(3))
             cut, other = (one for one in range(3) if one != leader)
             machine = watch.used(cut)
-            tier.cut({cut}, {leader, other})
+            tier.partition({cut}, {leader, other})
             await watch.wish(other, machine)
             await watch.until(lambda: watch.missing(machine) == [cut], "it is named")
             await watch.until_used(machine, cut)
             await watch.until(lambda: not watch.seen[cut]["in_touch"], "it says that it is cut off")
             assert watch.cleared == []
-            tier.heal()
+            tier.heal_partition()
             await watch.work(cut, machine)
             await watch.until_used(machine, cut)
         assert watch.cleared == [machine]
@@ -181,15 +181,15 @@
         async with watched(7, 5, callers=1) as (tier, watch):
             await tier.kill(4)
             sides = ([0, 1, 5], [2, 3, 6])
-            tier.cut(*sides)
+            tier.partition(*sides)
             await watch.until(
                 lambda: not any(watch.seen[one]["in_touch"] for one in (0, 1, 2, 3)), "nobody leads"
             )
             for side in sides:
                 status, told = await watch.call(side[0], "wish", name="disk", id="s-0")
                 assert status == 503 and told["error"] == "CutOffError"
-            await watch.load.more(10, *sides[0], *sides[1])
-            tier.heal()
+            await watch.load.wait_for_answers(10, *sides[0], *sides[1])
+            tier.heal_partition()
             await watch.until_led(0, 1, 2, 3)
             await watch.wish(1, "s-0")
             await watch.until_state("s-0", "leaving", (0, 1, 2, 3, 5, 6))
@@ -209,7 +209,7 @@
         async with watched(6, 5, callers=1) as (tier, watch):
             most, rest = [0, 1, 2], [3, 4, 5]
             machine = watch.used(*rest)
-            tier.cut(most, rest)
+            tier.partition(most, rest)
             await watch.until_led(*most)
             await watch.until(lambda: not any(watch.seen[one]["in_touch"] for one in (3, 4)), "cut off")
             await watch.wish(2, machine)
@@ -217,7 +217,7 @@
             for one in rest:
                 await watch.until_used(machine, one)
             assert watch.cleared == []
-            tier.heal()
+            tier.heal_partition()
             await watch.work(5, machine)
             await watch.until_over("disk", range(6))
         assert watch.cleared == [machine]
@@ -233,13 +233,13 @@
         async with watched(3, 3) as (tier, watch):
             deaf = await watch.until_led(*range(3))
             others = [one for one in range(3) if one != deaf]
-            tier.cut({deaf}, others, both=False)
+            tier.partition({deaf}, others, both_ways=False)
             await watch.until_led(*others)
             await watch.until(lambda: not watch.seen[deaf]["leading"], "it gives way")
             await watch.wish(others[0], "s-0")
             await watch.until(lambda: watch.missing("s-0") == [deaf], "its word does not come")
             assert watch.cleared == []
-            tier.heal()
+            tier.heal_partition()
             await watch.work(deaf, "s-0")
             await watch.until_over("disk", range(3))
         assert watch.cleared == ["s-0"]
@@ -259,7 +259,7 @@
             one, other = (n for n in range(3) if n != leader)
             bridge, ends = (leader, (one, other)) if leads else (one, (leader, other))
             machine = watch.used(other)
-            tier.cut({ends[0]}, {ends[1]})
+            tier.partition({ends[0]}, {ends[1]})
             await watch.wish(bridge, machine)
             if leads:
                 await watch.work(ends[1], machine)
@@ -267,7 +267,7 @@
                 await watch.until(lambda: watch.missing(machine) == [other], "the third is missed")
                 await watch.until_used(machine, other)
                 assert watch.cleared == [] and watch.seen[bridge]["accord"]["leader"] == leader
-                tier.heal()
+                tier.heal_partition()
                 await watch.work(other, machine)
             await watch.until_over("disk", range(3))
         assert watch.cleared == [machine]
@@ -306,12 +306,19 @@
 
     async def main() -> None:
         async with watched(5, 5, callers=1) as (tier, watch):
-            tier.change_weather(Weather(lose=0.1, double=0.1, turn=0.1, delay_us=(0, 20_000)))
+            tier.set_network_faults(
+                NetworkFaults(
+                    loss_probability=0.1,
+                    duplicate_probability=0.1,
+                    reorder_probability=0.1,
+                    delay_us=(0, 20_000),
+                )
+            )
             await watch.wish(0, "s-0", "s-1")
             await watch.work(1, "s-0")
             await watch.work(4, "s-1")
             await watch.until_over("disk", range(5))
-            assert sum(one.lost for one in tier.datagrams.ways.by_pair.values()) > 0
+            assert sum(one.lost_count for one in tier.datagrams.route_table.routes.values()) > 0
         assert watch.cleared == ["s-0", "s-1"]
         tier.check()
 
@@ -365,17 +372,17 @@
 @pytest.mark.parametrize("fault", [EARLY, UNTOLD], ids=["clear one confirmation early", "drain not told"])
 def test_a_program_with_a_fault_is_found(fault: str) -> None:
     async def main() -> None:
-        async with watched(3, 3, begin=("-c", fault)) as (tier, watch):
+        async with watched(3, 3, command_prefix=("-c", fault)) as (tier, watch):
             leader = await watch.until_led(*range(3))
             last = next(one for one in range(3) if one != leader)
             machine = watch.used(last)
             if fault is EARLY:
-                tier.cut({last}, set(range(3)) - {last})
+                tier.partition({last}, set(range(3)) - {last})
             await watch.wish(leader, machine)
             await watch.until(lambda: watch.cleared, "clear, which is untrue")
             await watch.until_used(machine, last)
-        assert {one.name for one in tier.violations()} == {SENT_AFTER_CLEAR}
-        with pytest.raises(AssertionError, match=f"{SENT_AFTER_CLEAR}: {machine} at process"):
+        assert {one.rule for one in tier.violations()} == {SENT_AFTER_DRAINED}
+        with pytest.raises(AssertionError, match=f"{SENT_AFTER_DRAINED}: {machine} at process"):
             tier.check()
 
     play(main())
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -34,7 +34,7 @@
 from laurelstep.store.availability import MAX_BACKOFF_S
 from laurelstep.store.manifest import MANIFEST, segment_name
 from laurelstep.testing import Endpoint, refuse, serve
-from laurelstep.testing.contracts.outbox import made
+from laurelstep.testing.contracts.outbox import write_with_body
 from laurelstep.testing.disk import Op, SimulatedDisk
 from tests.consensus_nodes import SAY, NodeBench, loop_turns
 from tests.journals import AGAIN, MAY_HAVE_RUN, SERVED, pay, recorded, said
@@ -467,14 +467,14 @@
         disk, times = SimulatedDisk(), Machine()
         async with kept_store(disk, times) as store:
             await store.load()
-            kept = [made(1, 100), made(2, 200_000)]
+            kept = [write_with_body(1, 100), write_with_body(2, 200_000)]
             for one in kept:
                 await store.keep(*one)
             await store.move(Moved(kept[0][0].dot, WriteState.OUT))
             disk.break_down(error, *operations)
             for n in (3, 4):
                 with pytest.raises(FailedToKeepError):
-                    await store.keep(*made(n, 200_000))
+                    await store.keep(*write_with_body(n, 200_000))
                 with pytest.raises(StoreError):
                     await store.move(Moved(kept[0][0].dot, WriteState.DONE))
                 assert not await store.forget(kept[1][0].dot, kept[1][0].size)
@@ -482,15 +482,17 @@
             during = disk.kill()
             disk.mend()
             times.seconds += MAX_BACKOFF_S
-            await store.keep(*made(5, 70_000))
-            kept.append(made(5, 70_000))
+            await store.keep(*write_with_body(5, 70_000))
+            kept.append(write_with_body(5, 70_000))
             for one in kept:
                 assert await store.read(one[0].dot) == one
         for after in deaths(disk, 8):
             assert await read_kept(after) == [*kept]
         during.mend()
         found = await read_kept(during)
-        assert found[:2] == kept[:2] and all(one in (made(3, 200_000), made(4, 200_000)) for one in found[2:])
+        assert found[:2] == kept[:2] and all(
+            one in (write_with_body(3, 200_000), write_with_body(4, 200_000)) for one in found[2:]
+        )
         assert await read_kept(during.lose_power()) == found, "what a life found, the next finds"
 
     run(main())
@@ -509,15 +511,15 @@
         async with kept_store(disk) as store:
             await store.load()
             for n in range(1, 4):
-                await store.keep(*made(n, 30 * n))
-                disk.mark("kept", made(n, 0)[0].dot)
+                await store.keep(*write_with_body(n, 30 * n))
+                disk.mark("kept", write_with_body(n, 0)[0].dot)
             for n in (1, 2):
                 for state in (WriteState.OUT, WriteState.DONE):
-                    await store.move(Moved(made(n, 0)[0].dot, state))
-                    disk.mark(state.name, made(n, 0)[0].dot)
-            disk.mark("forgetting", made(1, 0)[0].dot)
-            assert await store.forget(made(1, 0)[0].dot, 0)
-            disk.mark("forgotten", made(1, 0)[0].dot)
+                    await store.move(Moved(write_with_body(n, 0)[0].dot, state))
+                    disk.mark(state.name, write_with_body(n, 0)[0].dot)
+            disk.mark("forgetting", write_with_body(1, 0)[0].dot)
+            assert await store.forget(write_with_body(1, 0)[0].dot, 0)
+            disk.mark("forgotten", write_with_body(1, 0)[0].dot)
         seen = 0
         for before, broken in cuts(disk.journal):
             async with kept_store(broken) as store:
@@ -545,7 +547,7 @@
         disk = SimulatedDisk()
         async with kept_store(disk) as store:
             await store.load()
-            write, body = made(1, 10)
+            write, body = write_with_body(1, 10)
             await store.keep(write, body)
             await store.move(Moved(write.dot, WriteState.DONE))
             writer = store.store.writer
