--- a/setup.py
+++ b/setup.py
@@ -17,6 +17,7 @@
         "engine/clock",
         "engine/engine",
         "engine/flow",
+        "engine/loop_watch",
         "engine/members",
         "engine/names",
         "engine/tally",
--- a/woadyard/engine/engine.py
+++ b/woadyard/engine/engine.py
@@ -21,6 +21,7 @@
 from woadyard.engine.call import Answer, Attempt, Call, Ending
 from woadyard.engine.flow import Flow
 from woadyard.engine.listing import apply_in_steps
+from woadyard.engine.loop_watch import LoopWatch
 from woadyard.engine.members import Members
 from woadyard.engine.names import Names
 from woadyard.engine.ports import Clock, Decisions, Keeper, Log, MemberSource, Recorder, Upstream
@@ -93,6 +94,7 @@
         self.balancer = Balancer(seed, replace(settings, idle_us=upstream.idle_us))
         self.decisions: Decisions = self.balancer
         self.members = Members(clock, names, upstream, drain_grace_us)
+        self.loop_watch = LoopWatch(clock)
         self.calls: dict[int, Call] = {}
         self.open_names: set[bytes] = set()  # the ids of the requests that are open
         self.tally = Tally(len(settings.classes))
@@ -354,7 +356,7 @@
         if not self._may_start(attempt, now):
             return False
         client = attempt.call.client
-        if client is None or not client.has_left():
+        if client is None or not self.loop_watch.is_late(now) or not client.has_left():
             return True
         self.gone(attempt.call)
         return False
