--- a/woadyard/engine/loop_watch.py
+++ b/laurelstep/engine/loop_watch.py
@@ -12,7 +12,7 @@
 
 from typing import Final
 
-from woadyard.engine.ports import Clock
+from laurelstep.engine.ports import Clock
 
 # A longer gap between two questions may be a loop that was held, or an idle one.
 HELD_US: Final = 20_000
--- a/tests/test_loop_watch.py
+++ b/tests/test_loop_watch.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Any
 
+from laurelstep.engine.loop_watch import HELD_US, LATE_US, STALE_US, LoopWatch
 from tests.fakes import Due
-from woadyard.engine.loop_watch import HELD_US, LATE_US, STALE_US, LoopWatch
 
 
 class Loop:
