--- a/laurelstep/daemon.py
+++ b/laurelstep/daemon.py
@@ -10,7 +10,7 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from laurelstep.engine.listing import dump_in_steps
+from laurelstep.engine.list_updates import dump_in_steps
 from laurelstep.engine.ports import MemberSource
 from laurelstep.interface import Settings
 from laurelstep.lifecycle import Lifecycle, Phase
--- a/laurelstep/engine/call.py
+++ b/laurelstep/engine/call.py
@@ -16,7 +16,7 @@
 from enum import StrEnum
 from typing import Protocol
 
-from laurelstep.engine.flow import Flow
+from laurelstep.engine.body_stream import BodyStream
 
 Headers = list[tuple[bytes, bytes]]  # names in lower case
 
@@ -41,7 +41,7 @@
         headers: Sequence[tuple[bytes, bytes]] = (),
         body: bytes = b"",
         retry_after_us: int = 0,
-        flow: Flow | None = None,
+        flow: BodyStream | None = None,
     ) -> None:
         self.ending = ending
         self.status = status  # 200; 503 where refused; 500, 502 or 504 where failed
@@ -132,7 +132,7 @@
         self.streams = False  # its front can pass on an answer that is still coming
         # What a copy upstream says of a kept write, beside its answer; None where no copy is asked.
         self.fate: bytes | None = None
-        self.upload: Flow | None = None  # in place of the body, where that is still coming
+        self.upload: BodyStream | None = None  # in place of the body, where that is still coming
         self.span = 0  # upload: the time it has from its last byte on
 
 
--- a/laurelstep/engine/tally.py
+++ b/laurelstep/engine/counters.py
@@ -5,7 +5,7 @@
 from laurelstep.engine.call import Ending
 
 
-class Tally:
+class RequestCounters:
     """Counts since the start. By class number: final answers by their ending, and those
     whose client left before; each request that was taken ends in one of them.
 
--- a/laurelstep/engine/engine.py
+++ b/laurelstep/engine/engine.py
@@ -18,14 +18,14 @@
 from dataclasses import replace
 from typing import Any
 
+from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.call import Answer, Attempt, Call, Ending
-from laurelstep.engine.flow import Flow
-from laurelstep.engine.listing import apply_in_steps
+from laurelstep.engine.counters import RequestCounters
+from laurelstep.engine.list_updates import apply_in_steps
 from laurelstep.engine.loop_watch import LoopWatch
 from laurelstep.engine.members import Members
 from laurelstep.engine.names import Names
 from laurelstep.engine.ports import Clock, Decisions, Keeper, Log, MemberSource, Recorder, Upstream
-from laurelstep.engine.tally import Tally
 from laurelstep.interface import (
     CANCELLED,
     FULL,
@@ -97,9 +97,9 @@
         self.loop_watch = LoopWatch(clock)
         self.calls: dict[int, Call] = {}
         self.open_names: set[bytes] = set()  # the ids of the requests that are open
-        self.tally = Tally(len(settings.classes))
+        self.counters = RequestCounters(len(settings.classes))
         # Answers on their way to a caller: their class, and the endpoint they come from.
-        self.passing: dict[Flow, tuple[int, int]] = {}
+        self.passing: dict[BodyStream, tuple[int, int]] = {}
         self.next_id = 0
         self.events: deque[tuple[Method, object, Call | None]] = deque()
         self.telling = False
@@ -173,7 +173,7 @@
         self.next_id += 1
         call.id = self.next_id
         self.calls[call.id] = call
-        self.tally.taken[call.cls] += 1
+        self.counters.taken[call.cls] += 1
         self.open_names.add(call.name)
         call.timer = self.clock.at(call.expires, self._expire, call)
         if self._is_recorded(call):
@@ -198,7 +198,7 @@
         if not call.open:
             return
         call.with_keeper = False
-        coming = call.upload is not None and not call.upload.over
+        coming = call.upload is not None and not call.upload.closed
         event = Arrival(
             call.id, call.cls, call.expires, call.tenant, call.key, call.work_us, call.repeated, coming
         )
@@ -223,10 +223,10 @@
     def gone(self, call: Call) -> None:
         """The client left: nothing more is owed. Nothing happens if it was answered."""
         if call.held:
-            self.tally.abandoned[call.cls] += 1
+            self.counters.abandoned[call.cls] += 1
             self._let_go(call)
         elif call.open:
-            self.tally.abandoned[call.cls] += 1
+            self.counters.abandoned[call.cls] += 1
             self._over(call)
             if call.with_keeper:
                 self._leave_keeper(call)
@@ -250,7 +250,7 @@
     def _keep(self, call: Call, answer: Answer | None) -> bool:
         """Whether a keeper has a call from here on. It is never asked about one that may have run, or
         may yet, nor about an upload that an endpoint had the beginning of: that is not here any more."""
-        if self.keeper is None or call.recorded or (call.upload is not None and call.upload.begun):
+        if self.keeper is None or call.recorded or (call.upload is not None and call.upload.started):
             return False
         for attempt in call.attempts:
             if attempt.out or attempt.may_have_run:
@@ -296,20 +296,20 @@
     def _final(self, call: Call, answer: Answer) -> None:
         """The one place where a final answer leaves."""
         flow = answer.flow
-        if flow is None or flow.over:
-            self.tally.end(call.cls, answer.ending)
+        if flow is None or flow.closed:
+            self.counters.end(call.cls, answer.ending)
         else:
-            flow.watcher = self
+            flow.observer = self
             self.passing[flow] = call.cls, answer.endpoint
         call.front.answered(call, answer)
 
-    def passed(self, flow: Flow) -> None:
+    def on_stream_closed(self, flow: BodyStream) -> None:
         """The last of an answer that was passed on while it came has left, or never will."""
         cls, _ = self.passing.pop(flow)
-        if flow.left:
-            self.tally.abandoned[cls] += 1
+        if flow.abandoned:
+            self.counters.abandoned[cls] += 1
         else:
-            self.tally.end(cls, Ending.SERVED if flow.whole else Ending.FAILED)
+            self.counters.end(cls, Ending.SERVED if flow.complete else Ending.FAILED)
 
     def current(self) -> int:
         """Requests taken that have no final answer yet, their clients still there."""
@@ -386,7 +386,7 @@
         attempt.write_by = min(until, self._repeat_until(call))
         call.attempts.append(attempt)
         # An upload that an endpoint had the beginning of is not here any more.
-        spent = call.upload is not None and call.upload.begun
+        spent = call.upload is not None and call.upload.started
         if spent or attempt.copy >= self.settings.max_attempts or not self._may_start(attempt, now):
             self.ended(attempt, MOOT, None, b"")
             return
@@ -413,7 +413,7 @@
 
     def written(self, attempt: Attempt) -> None:
         """The last byte of an attempt was written: from now on it may run."""
-        self.tally.sends += 1
+        self.counters.sends += 1
         attempt.may_have_run = True
         if attempt.call.upload is not None:
             attempt.sent = self.now()  # what the endpoint takes counts from here
--- a/laurelstep/engine/members.py
+++ b/laurelstep/engine/members.py
@@ -7,7 +7,7 @@
    the drain grace is over, counted from the first time it was told: a list that takes
    long to apply counts from when it came.
 3. A new start or address inherits no connection of the old one.
-4. A long list is applied in steps: `laurelstep.engine.listing`.
+4. A long list is applied in steps: `laurelstep.engine.list_updates`.
 """
 
 from __future__ import annotations
--- a/laurelstep/engine/given.py
+++ b/laurelstep/engine/static_members.py
@@ -8,7 +8,7 @@
 from laurelstep.engine.ports import MemberSink
 
 
-class GivenMembers:
+class StaticMembers:
     """Holds the whole list, in discovery's form, and tells it when it changes."""
 
     def __init__(self, entries: Sequence[Any] = ()) -> None:
--- a/laurelstep/library/client.py
+++ b/laurelstep/library/client.py
@@ -24,7 +24,7 @@
 
 from laurelstep.engine.call import Answer, Call, Ending, Headers
 from laurelstep.engine.engine import Engine
-from laurelstep.engine.given import GivenMembers
+from laurelstep.engine.static_members import StaticMembers
 from laurelstep.errors import LaurelstepError
 from laurelstep.net.assembly import Assembly
 from laurelstep.net.errors import BadRequestError
@@ -326,7 +326,7 @@
         list is discovery's."""
         self.usable()
         source = self._parts.source
-        if not isinstance(source, GivenMembers):
+        if not isinstance(source, StaticMembers):
             raise ClientError("the members of this client come from discovery")
         source.give([one.entry() for one in members])
 
--- a/laurelstep/management/telemetry.py
+++ b/laurelstep/management/telemetry.py
@@ -29,16 +29,16 @@
 
 def figures(engine: Engine) -> str:
     """All of them, as they stand now."""
-    tally, members = engine.tally, engine.members
+    counters, members = engine.counters, engine.members
     classes = [name for name, _ in sorted(engine.names.classes.items(), key=lambda pair: pair[1])]
     avoided = engine.decisions.avoided(engine.now()) + len(members.draining)
     return "".join(
         (
-            family("answered_total", "counter", "Requests served.", by_class(classes, tally.answered)),
-            family("deferred_total", "counter", "Requests refused.", by_class(classes, tally.deferred)),
-            family("errored_total", "counter", "Requests failed.", by_class(classes, tally.errored)),
-            family("abandoned_total", "counter", "Clients that left.", by_class(classes, tally.abandoned)),
-            family("sends_total", "counter", "Attempts written whole to endpoints.", [("", tally.sends)]),
+            family("answered_total", "counter", "Requests served.", by_class(classes, counters.answered)),
+            family("deferred_total", "counter", "Requests refused.", by_class(classes, counters.deferred)),
+            family("errored_total", "counter", "Requests failed.", by_class(classes, counters.errored)),
+            family("abandoned_total", "counter", "Clients that left.", by_class(classes, counters.abandoned)),
+            family("sends_total", "counter", "Attempts written whole to endpoints.", [("", counters.sends)]),
             family("current", "gauge", "Requests taken and not ended.", [("", engine.current())]),
             family("cluster_size", "gauge", "Endpoints in the list.", [("", members.size())]),
             family("cluster_unhealthy", "gauge", "Listed endpoints avoided now.", [("", avoided)]),
--- a/laurelstep/net/assembly.py
+++ b/laurelstep/net/assembly.py
@@ -8,8 +8,8 @@
 
 from laurelstep.engine.clock import LoopClock
 from laurelstep.engine.engine import Engine
-from laurelstep.engine.given import GivenMembers
 from laurelstep.engine.ports import Clock, HoldingSource, Log, MemberSource, Recorder
+from laurelstep.engine.static_members import StaticMembers
 from laurelstep.net.collector import Collector
 from laurelstep.net.discovery import LIST_PATH, Discovery
 from laurelstep.net.upstream import Upstream
@@ -46,13 +46,13 @@
             config.side_sockets,
             config.memory_mb,
         )
-        self.source: Discovery | GivenMembers
+        self.source: Discovery | StaticMembers
         if given is None and config.discovery is not None:
             self.source = Discovery(
                 loop, config.discovery, LIST_PATH, not settings.asks_discovery, log, collector, config.seed
             )
         else:
-            self.source = GivenMembers()
+            self.source = StaticMembers()
         if given is None:
             given = config.known["instances"] if config.known else ()
         self.given = given
@@ -72,7 +72,7 @@
     def start(self) -> None:
         """`ConfigError` if the members that are known can't be read."""
         try:
-            if isinstance(self.source, GivenMembers):
+            if isinstance(self.source, StaticMembers):
                 self.engine.start()
                 self.source.give(self.given)
             elif self.held is not None:
--- a/laurelstep/net/discovery.py
+++ b/laurelstep/net/discovery.py
@@ -11,7 +11,7 @@
 
 import httptools
 
-from laurelstep.engine.listing import STEP, parse_in_steps, usable
+from laurelstep.engine.list_updates import STEP, parse_in_steps, usable
 from laurelstep.engine.ports import Log, MemberSink
 from laurelstep.net.collector import Collector
 from laurelstep.net.objects import Objects
--- a/laurelstep/net/server.py
+++ b/laurelstep/net/server.py
@@ -14,9 +14,9 @@
 
 import httptools
 
+from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.call import Answer, Call, Ending, Headers
 from laurelstep.engine.engine import Engine
-from laurelstep.engine.flow import Flow
 from laurelstep.lifecycle import Lifecycle
 from laurelstep.lifecycle.phases import LATE_S
 from laurelstep.net.errors import BadRequestError
@@ -87,8 +87,8 @@
         self.over = False  # what comes is dropped
         self.dropped = 0  # bytes of that
         self.keep = True
-        self.upload: Flow | None = None  # a request that is passed on while it comes
-        self.answer: Flow | None = None  # an answer that is
+        self.upload: BodyStream | None = None  # a request that is passed on while it comes
+        self.answer: BodyStream | None = None  # an answer that is
         self.chunks = False  # the answer goes out in chunks
         self.behind = b""  # what came meanwhile: the next request waits for its end
         self.held = 0  # of the room for requests
@@ -115,7 +115,7 @@
         self._leave()
         answer, self.answer = self.answer, None
         if answer is not None:
-            answer.leave()
+            answer.abandon()
         self.server.left(self)
 
     def eof_received(self) -> None:
@@ -145,7 +145,7 @@
         """Of the request in hand nothing more is held here."""
         upload, self.upload = self.upload, None
         if upload is not None:
-            upload.leave()
+            upload.abandon()
         held, self.held = self.held, 0
         self.server.room.give_back(held)
 
@@ -302,7 +302,7 @@
         if asked.name in server.engine.open_names:
             self.refuse(BadRequestError(409, "X-Request-Id is that of an open request"))
             return
-        upload = Flow(self, declared_length(self.headers))
+        upload = BodyStream(self, declared_length(self.headers))
         if self.body:
             upload.feed(bytes(self.body))
             self.body = bytearray()
@@ -316,25 +316,25 @@
         server.uploading.add(self)
         server.engine.take(asked)
         # Not `self.upload` again: to the compiler that is what was assigned above.
-        if not upload.over and not upload.begun:
-            self.hold()  # nobody takes it yet
+        if not upload.closed and not upload.started:
+            self.pause()  # nobody takes it yet
 
     def _end_upload(self) -> None:
         upload, self.upload, call = self.upload, None, self.call
         self.server.uploading.discard(self)
         self._begin()
         if upload is not None:
-            upload.end(True)
+            upload.finish(True)
         if call is not None:
             self.server.engine.whole(call)
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         self.server.uploading.discard(self)
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
             self.server.held_back.add(self)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         if self.transport is not None and not self.transport.is_closing() and self.upload is not None:
             self.server.held_back.discard(self)
             self.server.uploading.add(self)
@@ -349,7 +349,7 @@
         else:
             self.server.held_back.add(self)
 
-    def unwanted(self) -> None:
+    def on_abandoned(self) -> None:
         """The final answer comes, and ends the connection."""
 
     # --- A request that has come whole ------------------------------------------------
@@ -409,7 +409,7 @@
 
     # --- An answer that is passed on while it comes -----------------------------------
 
-    def _pass_on(self, answer: Answer, flow: Flow, unread: bool) -> None:
+    def _pass_on(self, answer: Answer, flow: BodyStream, unread: bool) -> None:
         if self.transport is None or self.transport.is_closing():
             return
         self.chunks = flow.length < 0 and self.parser.get_http_version() == "1.1"
@@ -438,7 +438,7 @@
             self.transport.resume_reading()
             self.data_received(data)
 
-    def flow(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         if self.transport is None or self.transport.is_closing():
             return
         if self.chunks:
@@ -446,14 +446,14 @@
         else:
             self.transport.write(data)
 
-    def flowed(self, whole: bool) -> None:
+    def on_end(self, complete: bool) -> None:
         self.answer = None
         self.server.held_back.discard(self)
         if self.transport is None or self.transport.is_closing():
             return
-        if whole and self.chunks:
+        if complete and self.chunks:
             self.transport.write(b"0\r\n\r\n")
-        if whole and self.keep:
+        if complete and self.keep:
             self.server.resting.add(self)
             if self.behind and self.has_left():  # its end lay behind what was not read
                 self.close()
@@ -461,7 +461,7 @@
                 self._read_behind()
             elif not self.server.lifecycle.keeps:  # it did when the answer's head was written
                 self.close_unless_asking()
-        elif whole or self.chunks or self.keep:
+        elif complete or self.chunks or self.keep:
             # What has been given is still read; that it is not whole shows in its framing.
             self.close()
         else:
--- a/laurelstep/net/upstream.py
+++ b/laurelstep/net/upstream.py
@@ -14,8 +14,8 @@
 
 import httptools
 
+from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.call import Answer, Attempt, Ending, Headers
-from laurelstep.engine.flow import Flow
 from laurelstep.engine.members import split_address
 from laurelstep.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
 from laurelstep.net.errors import SpoiltError
@@ -126,8 +126,8 @@
         self.news = select.poll()  # made once: it is asked at each reuse
         self.unwritten = True  # the request's last byte is not yet with the system
         self.full = False  # the transport holds bytes that the system did not take yet
-        self.upload: Flow | None = None  # a request that is passed on while it comes
-        self.answer: Flow | None = None  # an answer that is
+        self.upload: BodyStream | None = None  # a request that is passed on while it comes
+        self.answer: BodyStream | None = None  # an answer that is
         self.held = 0  # of the room for answers
         self.passed_since = 0.0  # when an answer began to be passed on, without the time that it was held
         self.held_since = 0.0  # when its client last had no room
@@ -231,7 +231,7 @@
 
     # --- A request that is passed on while it comes -----------------------------------
 
-    def _write_upload(self, attempt: Attempt, upload: Flow, now: int) -> None:
+    def _write_upload(self, attempt: Attempt, upload: BodyStream, now: int) -> None:
         assert self.transport is not None
         self.unwritten = True
         self.upload = upload
@@ -240,7 +240,7 @@
         if not self.full:
             upload.resume()  # does nothing if it was whole already
 
-    def flow(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         if self.transport is None or self.transport.is_closing():
             return
         if self.upload is not None and self.upload.length < 0:
@@ -248,12 +248,12 @@
         else:
             self.transport.write(data)
 
-    def flowed(self, whole: bool) -> None:
+    def on_end(self, complete: bool) -> None:
         upload, self.upload = self.upload, None
         self.owner.stalled.discard(self)
         if self.transport is None or self.transport.is_closing():
             return
-        if not whole:
+        if not complete:
             self.close()
             return
         if upload is not None and upload.length < 0:
@@ -264,7 +264,7 @@
     def _leave_upload(self) -> None:
         upload, self.upload = self.upload, None
         if upload is not None:
-            upload.leave()
+            upload.abandon()
 
     # --- An answer that is passed on while it comes -----------------------------------
 
@@ -276,7 +276,7 @@
         self.owner.carrying.pop(attempt, None)
         self.owner.answering.discard(self)
         self._leave_upload()
-        answer = self.answer = Flow(self, max(self.length, CHUNKS))
+        answer = self.answer = BodyStream(self, max(self.length, CHUNKS))
         if self.body:
             answer.feed(bytes(self.body))
             self.body = bytearray()
@@ -286,8 +286,8 @@
         passed = pass_on(self.headers, ANSWER_HEADERS)
         final = Answer(Ending.SERVED, 200, passed, flow=answer)
         attempt.end(OK, final, (self.fields or {}).get(b"x-load", b""))
-        if not answer.begun:
-            answer.leave()  # nobody waits for it any more
+        if not answer.started:
+            answer.abandon()  # nobody waits for it any more
 
     def _pass_more(self) -> None:
         """Guards a client against an answer that goes on for ever, a little at a time."""
@@ -300,21 +300,21 @@
         else:
             self.close()
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         if self in self.owner.passing.since:
             self.owner.passing.discard(self)
             self.held_since = self.owner.loop.time()
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
             if self not in self.owner.passing.since:
                 self.owner.passing.add(self)
                 self.passed_since += self.owner.loop.time() - self.held_since
             self.transport.resume_reading()
 
-    def unwanted(self) -> None:
+    def on_abandoned(self) -> None:
         self.answer = None
         self.close()
 
@@ -357,7 +357,7 @@
         self._give_back()
         answer, self.answer = self.answer, None
         if answer is not None:
-            answer.end(False)
+            answer.finish(False)
         self._leave_upload()
         self._end_closed(NO_CONNECT if self.unwritten else RESET)
         self.parser = None  # it holds this object's methods: the cycle ends here
@@ -474,7 +474,7 @@
         if answer is not None:
             self.owner.passing.discard(self)
             self._end_use()
-            answer.end(True)
+            answer.finish(True)
             return
         self._leave_upload()
         self._outcome()
@@ -522,7 +522,7 @@
     return b"%b HTTP/1.1\r\n%b%b%b\r\n%b" % (call.start, call.head, wait, length, call.body)
 
 
-def upload_head(attempt: Attempt, upload: Flow, now: int) -> bytes:
+def upload_head(attempt: Attempt, upload: BodyStream, now: int) -> bytes:
     """The head of a request whose body follows as it comes."""
     call = attempt.call
     # Counted by the endpoint from the last byte on, as by the caller.
--- a/laurelstep/outbox/bodies.py
+++ b/laurelstep/outbox/bodies.py
@@ -25,8 +25,8 @@
 
 import msgspec
 
+from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.call import Answer, Call, Ending
-from laurelstep.engine.flow import Flow
 from laurelstep.engine.ports import Recorded
 from laurelstep.orders.book import DIGEST_SIZE, another_body, digest_of
 from laurelstep.outbox.dots import Dot
@@ -59,7 +59,7 @@
 class Body:
     """One that is coming: the taker of its flow. `stores`: else it is only compared."""
 
-    def __init__(self, bodies: Bodies, call: Call, upload: Flow, stores: bool) -> None:
+    def __init__(self, bodies: Bodies, call: Call, upload: BodyStream, stores: bool) -> None:
         self.bodies = bodies
         self.call = call
         self.upload = upload
@@ -90,7 +90,7 @@
         if not self.paused:
             self.upload.resume()
 
-    def flow(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         if self.over:
             return
         self.came += len(data)
@@ -109,8 +109,8 @@
             self.upload.pause()
         self.news.set()
 
-    def flowed(self, whole: bool) -> None:
-        self.end(whole)
+    def on_end(self, complete: bool) -> None:
+        self.end(complete)
 
     def end(self, whole: bool) -> None:
         """It is whole, or nothing more of it is wanted."""
@@ -197,7 +197,9 @@
         """Asked once for each."""
         return self.digests.pop(call, None) or digest_of(call)
 
-    def take(self, call: Call, upload: Flow, ticket: Ticket, answer: Answer | None, engine: Recorded) -> None:
+    def take(
+        self, call: Call, upload: BodyStream, ticket: Ticket, answer: Answer | None, engine: Recorded
+    ) -> None:
         """A write that has a number, while its body comes."""
         body = self.coming[call] = Body(self, call, upload, ticket.write is not None)
         if ticket.write is not None:
@@ -279,7 +281,7 @@
 
     def refused(self, call: Call) -> Answer | None:
         """Of one that is not kept, and of which nothing was sent; None if it can still be."""
-        if call.upload is None or not call.upload.begun:
+        if call.upload is None or not call.upload.started:
             return None
         return Answer(Ending.REFUSED, 503, retry_after_us=RETRY_US)
 
@@ -303,7 +305,7 @@
         now = self.driver._now()
         call.span = call.expires - now
         call.expires = now + min(PASSING_MOST_US + call.span, self.driver.outbox.left(dot, now))
-        call.upload = Flow(Playback(self, call, write, first), write.size)
+        call.upload = BodyStream(Playback(self, call, write, first), write.size)
         return call
 
 
@@ -318,15 +320,15 @@
         self.task: asyncio.Task[None] | None = None
         self.free = asyncio.Event()
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         self.free.clear()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         self.free.set()
         if self.task is None:
             self.task = asyncio.get_running_loop().create_task(self._play())
 
-    def unwanted(self) -> None:
+    def on_abandoned(self) -> None:
         if self.task is not None:
             self.task.cancel()
 
@@ -340,9 +342,9 @@
                 upload.feed(part)
         except StoreError as error:
             self.bodies.driver.log(f"outbox: {dot}: can't be read: {error}")
-            upload.end(False)
+            upload.finish(False)
             return
-        upload.end(True)
+        upload.finish(True)
         engine = self.bodies.driver.engine
         if engine is not None:
             engine.whole(self.call)
--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -560,7 +560,7 @@
         finally:
             del self.out[dot]
             if call.upload is not None:
-                call.upload.leave()
+                call.upload.abandon()
         if self.sharing is not None:
             end = self.sharing.end_of(call, replay, answer)
         elif answer.ending is Ending.SERVED:
--- a/laurelstep/outbox/shared/gate.py
+++ b/laurelstep/outbox/shared/gate.py
@@ -374,6 +374,6 @@
 
 def _may_have_run(call: Call, attempts: Sequence[Attempt]) -> bool:
     """Of an upload, any part that an endpoint had counts."""
-    if call.upload is not None and call.upload.begun:
+    if call.upload is not None and call.upload.started:
         return True
     return any(attempt.out or attempt.may_have_run for attempt in attempts)
--- a/laurelstep/settings/platform.py
+++ b/laurelstep/settings/platform.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from laurelstep.engine.listing import usable
+from laurelstep.engine.list_updates import usable
 from laurelstep.engine.ports import Log
 from laurelstep.orders.book import Orders
 from laurelstep.settings.config import Config, ConfigError, Join, config_from
--- a/laurelstep/stream/__init__.py
+++ b/laurelstep/stream/__init__.py
@@ -1,3 +1,3 @@
 """Large and slow bodies: how slow one may come, how much of them is held, what a stall is.
 
-`pace` decides and does no I/O; bytes pass through `laurelstep.engine.flow`."""
+`pace` decides and does no I/O; bytes pass through `laurelstep.engine.body_stream`."""
--- a/laurelstep/workers/child.py
+++ b/laurelstep/workers/child.py
@@ -17,7 +17,7 @@
 from typing import Any, cast
 
 from laurelstep.engine.engine import Engine
-from laurelstep.engine.listing import dump_in_steps
+from laurelstep.engine.list_updates import dump_in_steps
 from laurelstep.net.discovery import Discovery
 from laurelstep.net.slices import Slices
 from laurelstep.settings import Config
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -101,11 +101,11 @@
             sent.attempt.end(MOOT)
             return
         call = sent.attempt.call
-        if call.upload is not None and not call.upload.over:
-            call.upload.begun = True  # a part of it has gone; the rest is still to come
+        if call.upload is not None and not call.upload.closed:
+            call.upload.started = True  # a part of it has gone; the rest is still to come
             return
         if call.upload is not None:
-            call.upload.begun = True
+            call.upload.started = True
         sent.written, sent.ran = True, runs
         sent.attempt.written()
         self.writes.append((now, sent.attempt.endpoint, call))
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -34,9 +34,9 @@
 from laurelstep.accord.stores.embedded import EmbeddedStore
 from laurelstep.accord.stores.none import NoStore
 from laurelstep.engine import Answer, Attempt, Call, Ending, LoopClock
-from laurelstep.engine.given import GivenMembers
 from laurelstep.engine.ports import Clock, MemberSink, MemberSource, Recorded, Recorder
 from laurelstep.engine.ports import Upstream as UpstreamSide
+from laurelstep.engine.static_members import StaticMembers
 from laurelstep.interface import ERROR, FULL, NO_CONNECT, OK, RESET
 from laurelstep.net.discovery import Discovery
 from laurelstep.net.upstream import Upstream
@@ -753,7 +753,7 @@
 
 
 class GivenBeyond:
-    def __init__(self, given: GivenMembers) -> None:
+    def __init__(self, given: StaticMembers) -> None:
         self.given = given
         self.source: MemberSource = given
         self.entries: Entries = []
@@ -768,7 +768,7 @@
 
 
 class TestGivenMembers(MemberSourceContract):
-    kind: ClassVar[type[GivenMembers]] = GivenMembers
+    kind: ClassVar[type[StaticMembers]] = StaticMembers
 
     @contextlib.asynccontextmanager
     async def beyond(self) -> AsyncIterator[Beyond]:
@@ -879,23 +879,23 @@
         return uvloop.new_event_loop()
 
 
-class TellsAtStart(GivenMembers):
+class TellsAtStart(StaticMembers):
     def start(self, sink: MemberSink, generation: int) -> None:
         super().start(sink, generation)
         self.fetch()
 
 
-class TellsChangesOnly(GivenMembers):
+class TellsChangesOnly(StaticMembers):
     def fetch(self) -> None: ...
 
 
-class LosesTheLast(GivenMembers):
+class LosesTheLast(StaticMembers):
     def fetch(self) -> None:
         if self.sink is not None:
             self.sink.listed(self.generation, True, self.entries[:-1])
 
 
-class Ages(GivenMembers):
+class Ages(StaticMembers):
     """Its versions fall."""
 
     def give(self, entries: Sequence[Any]) -> None:
@@ -903,7 +903,7 @@
         super().give(entries)
 
 
-class Sulks(GivenMembers):
+class Sulks(StaticMembers):
     """Refused once, it says no more."""
 
     def give(self, entries: Sequence[Any]) -> None:
@@ -914,7 +914,7 @@
             raise
 
 
-class Rewords(GivenMembers):
+class Rewords(StaticMembers):
     def give(self, entries: Sequence[Any]) -> None:
         super().give([{**one, "weight": 1.0} for one in entries])
 
@@ -930,7 +930,7 @@
         (Rewords, "test_the_present_list_comes_whole"),
     ],
 )
-def test_a_faulty_source_is_caught(kind: type[GivenMembers], name: str) -> None:
+def test_a_faulty_source_is_caught(kind: type[StaticMembers], name: str) -> None:
     class Faulty(TestGivenMembers):
         patience_s = 0.1
 
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -844,7 +844,7 @@
                 due(one.server.held_back)
                 if leaves:
                     await until(lambda: not one.server.callers and not one.upstream.links)
-                    assert one.engine.tally.abandoned == [1, 0, 0]
+                    assert one.engine.counters.abandoned == [1, 0, 0]
                 else:
                     go.set()
                     assert (await caller.read_answer()).body == 2 * LARGE
@@ -945,7 +945,7 @@
             one.engine._do(Send(rid, number, 0))
             await until(lambda: not one.engine.calls and not one.server.callers)
             one.engine.decisions = one.engine.balancer
-            assert one.engine.tally.abandoned == [1, 0, 0]
+            assert one.engine.counters.abandoned == [1, 0, 0]
             assert (await one.ask(request(rid="r2"))).body == b"ok"
             assert "left" not in [got.headers["x-request-id"] for got in endpoint.got]
             caller.close()
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -21,7 +21,7 @@
 
 from laurelstep.engine import Attempt, Call, Clock, Engine
 from laurelstep.engine.clock import Timer
-from laurelstep.engine.given import GivenMembers
+from laurelstep.engine.static_members import StaticMembers
 from laurelstep.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET, TIMEOUT, Action, Outcome
 from laurelstep.net.upstream import SETTLE_US, SPARE, told_ms
 from laurelstep.settings import config_from
@@ -311,7 +311,7 @@
     """The engine alone: connections come up, answers come and time passes in any order."""
     put = {**SETTINGS["classes"][1], "repeat-window-us": WINDOW_US}
     config = config_from({"seed": "7", "settings": {**SETTINGS, "classes": [put]}}, "test")
-    clock, source, front = ManualClock(), GivenMembers(), Answers()
+    clock, source, front = ManualClock(), StaticMembers(), Answers()
     upstream = PlayedUpstream(clock)
     engine = Engine(
         clock, config.seed, config.settings, config.names, upstream, source, config.drain_grace_us, print
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -15,8 +15,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from laurelstep.engine import Call, Ending, Engine
-from laurelstep.engine.flow import Flow
-from laurelstep.engine.given import GivenMembers
+from laurelstep.engine.body_stream import BodyStream
+from laurelstep.engine.static_members import StaticMembers
 from laurelstep.interface import ERROR, FULL, KEYED, OK, RESET, UNSAFE
 from laurelstep.library import Client, Member, Reply, Request
 from laurelstep.library.client import State
@@ -35,11 +35,11 @@
 class Pace:
     """Where an upload comes from: it does not mind."""
 
-    def hold(self) -> None: ...
+    def pause(self) -> None: ...
 
-    def go_on(self) -> None: ...
+    def resume(self) -> None: ...
 
-    def unwanted(self) -> None: ...
+    def on_abandoned(self) -> None: ...
 
 
 class Interleaving(RuleBasedStateMachine):
@@ -52,7 +52,7 @@
         self.upstream = PlayedUpstream(self.clock)
         self.front = Answers()
         self.logged: list[str] = []
-        self.source = GivenMembers()
+        self.source = StaticMembers()
         self.engine = Engine(
             self.clock,
             config.seed,
@@ -91,12 +91,12 @@
         """An upload: its time counts from its last byte, which may never come."""
         name = b"r%d" % len(self.calls)
         call = Call(cls, self.clock.now() + 8_000_000, b"POST /x", b"", b"", self.front, name)
-        call.upload, call.span = Flow(Pace(), -1), span_ms * 1000
+        call.upload, call.span = BodyStream(Pace(), -1), span_ms * 1000
         self.calls.append(call)
         self.engine.take(call)
 
     def _coming(self) -> list[Call]:
-        return [call for call in self.calls if call.open and call.upload and not call.upload.over]
+        return [call for call in self.calls if call.open and call.upload and not call.upload.closed]
 
     @precondition(lambda self: self._coming())
     @rule(at=st.integers(0, 1_000), span_ms=st.sampled_from([0, 700, 2_900]))
@@ -105,7 +105,7 @@
         if coming := self._coming():
             call = coming[at % len(coming)]
             assert call.upload is not None
-            call.upload.end(True)
+            call.upload.finish(True)
             self.engine.whole(call)
 
     @precondition(lambda self: self.upstream.out)
@@ -171,7 +171,7 @@
     def every_request_taken_is_counted_once(self) -> None:
         accounted(self.engine)
         assert self.engine.current() == sum(call.open for call in self.calls)
-        assert self.engine.tally.sends == len(self.upstream.writes)
+        assert self.engine.counters.sends == len(self.upstream.writes)
         assert self.engine.members.size() == sum(phase != "gone" for phase in self.listed.values())
 
     @invariant()
@@ -218,9 +218,9 @@
 
 def accounted(engine: Engine) -> None:
     """Taken = answered + deferred + errored + abandoned + current, class by class."""
-    tally = engine.tally
-    for cls, taken in enumerate(tally.taken):
-        ended = (tally.answered, tally.deferred, tally.errored, tally.abandoned)
+    counters = engine.counters
+    for cls, taken in enumerate(counters.taken):
+        ended = (counters.answered, counters.deferred, counters.errored, counters.abandoned)
         still = sum(call.cls == cls and (call.open or call.held) for call in engine.calls.values())
         assert taken == sum(counts[cls] for counts in ended) + still
 
@@ -354,11 +354,11 @@
         found = await asyncio.gather(*played.asked, return_exceptions=True)
         replies = [one for one in found if isinstance(one, Reply)]
         accounted(client.engine)
-        tally = client.engine.tally
-        assert sum(tally.answered) == sum(one.outcome is Ending.SERVED for one in replies)
-        assert sum(tally.deferred) == sum(one.outcome is Ending.REFUSED for one in replies)
-        assert sum(tally.errored) == sum(one.outcome is Ending.FAILED for one in replies)
-        assert tally.sends >= len(gates.held)
+        counters = client.engine.counters
+        assert sum(counters.answered) == sum(one.outcome is Ending.SERVED for one in replies)
+        assert sum(counters.deferred) == sum(one.outcome is Ending.REFUSED for one in replies)
+        assert sum(counters.errored) == sum(one.outcome is Ending.FAILED for one in replies)
+        assert counters.sends >= len(gates.held)
         others = [one for one in found if not isinstance(one, Reply)]
         assert all(isinstance(one, asyncio.CancelledError | Exception) for one in others)
         assert all(type(one).__name__ in ("CancelledError", "ClientError") for one in others)
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -7,10 +7,10 @@
 import pytest
 
 from laurelstep.engine import Answer, Call, Ending, Engine
-from laurelstep.engine.flow import Flow
-from laurelstep.engine.given import GivenMembers
+from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.names import Names
 from laurelstep.engine.ports import Recorded
+from laurelstep.engine.static_members import StaticMembers
 from laurelstep.interface import ERROR, FULL, OK, RESET, UNSAFE, RequestClass, Settings
 from tests.fakes import Answers, ManualClock, PlayedUpstream, Sent, entry
 
@@ -49,7 +49,7 @@
         self.keeper = keeper
         found = Settings(classes=(PAY,), can_cancel=True, max_attempts=3, **settings)
         names = Names({"classes": [{"name": "pay"}]}, found)
-        source = GivenMembers()
+        source = StaticMembers()
         self.engine = Engine(
             self.clock, 1, found, names, self.upstream, source, 500_000, lambda line: None
         )  # fmt: skip
@@ -152,18 +152,18 @@
 class Coming:
     """The source of an upload of which more is to come."""
 
-    def hold(self) -> None: ...
+    def pause(self) -> None: ...
 
-    def go_on(self) -> None: ...
+    def resume(self) -> None: ...
 
-    def unwanted(self) -> None: ...
+    def on_abandoned(self) -> None: ...
 
 
 @pytest.mark.parametrize("begun", [False, True])
 def test_an_upload_is_offered_unless_an_endpoint_had_its_beginning(begun: bool) -> None:
     world = World(Notes())
     call = Call(0, world.clock.now() + 2_000_000, b"POST /pay", b"", b"", world.front, b"r1")
-    call.upload = Flow(Coming(), 100_000)
+    call.upload = BodyStream(Coming(), 100_000)
     world.engine.take(call)
     world.play(False, RESET, written=begun)
     world.clock.advance(5_000_000)
@@ -174,7 +174,7 @@
 def test_an_upload_in_hand_has_its_time_from_its_last_byte_and_the_module_hears_nothing_of_it() -> None:
     world = World(Notes(first=True))
     call = Call(0, world.clock.now() + 600_000_000, b"POST /pay", b"", b"", world.front, b"r1")
-    call.upload, call.span = Flow(Coming(), 100_000), 2_000_000
+    call.upload, call.span = BodyStream(Coming(), 100_000), 2_000_000
     world.engine.take(call)
     world.clock.advance(60_000_000)
     assert world.told == [] and not world.sent
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -13,10 +13,10 @@
 from hypothesis import strategies as st
 
 from laurelstep.engine import Engine, Names, endpoint_number
-from laurelstep.engine.given import GivenMembers
-from laurelstep.engine.listing import STEP, apply_in_steps, parse_in_steps
+from laurelstep.engine.list_updates import STEP, apply_in_steps, parse_in_steps
 from laurelstep.engine.members import Members
 from laurelstep.engine.ports import Decisions
+from laurelstep.engine.static_members import StaticMembers
 from laurelstep.interface import LIST_DELTA, LIST_PART, Action, Entry, RequestClass, Settings
 from laurelstep.net.discovery import SHORT_OBJECT, Discovery
 from tests.conftest import Logged
@@ -44,7 +44,7 @@
     def __init__(self, seed: int = 1) -> None:
         self.clock = ManualClock()
         self.upstream = PlayedUpstream(self.clock)
-        self.source = GivenMembers()
+        self.source = StaticMembers()
         self.engine = Engine(
             self.clock, seed, SETTINGS, NAMES, self.upstream, self.source, 500_000, lambda _: None
         )
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -422,10 +422,10 @@
             (link,) = one.one.upstream.links
             while link.transport is None:
                 await asyncio.sleep(0)
-            assert link.unwritten != bool(one.one.engine.tally.sends)
-            while not one.one.engine.tally.sends:
+            assert link.unwritten != bool(one.one.engine.counters.sends)
+            while not one.one.engine.counters.sends:
                 await asyncio.sleep(0)
-            assert not link.unwritten and one.one.engine.tally.sends == 1
+            assert not link.unwritten and one.one.engine.counters.sends == 1
             asked.cancel()
 
     run(main())
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from laurelstep.engine.flow import Flow
+from laurelstep.engine.body_stream import BodyStream
 from laurelstep.interface import NO_CONNECT
 from laurelstep.net.assembly import Assembly
 from laurelstep.net.message import LARGE_MAX
@@ -764,19 +764,19 @@
 class Taker:
     """Takes a part and holds the source until it is told to go on."""
 
-    def __init__(self, upload: Flow) -> None:
+    def __init__(self, upload: BodyStream) -> None:
         self.upload = upload
         self.got: list[bytes] = []
         self.whole: bool | None = None
         self.holds = True
 
-    def flow(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         self.got.append(data)
         if self.holds:
             self.upload.pause()
 
-    def flowed(self, whole: bool) -> None:
-        self.whole = whole
+    def on_end(self, complete: bool) -> None:
+        self.whole = complete
 
 
 def played(test: Callable[[KeptStore, Playback, Taker, list[int]], Coroutine[Any, Any, None]]) -> None:
@@ -806,11 +806,11 @@
                 driver = Played
 
             class Called:
-                upload: Flow
+                upload: BodyStream
 
             called = Called()
             playback = Playback(cast(Bodies, Owner), cast(Any, called), write, body[:CHUNK])
-            called.upload = Flow(playback, write.size)
+            called.upload = BodyStream(playback, write.size)
             await test(store, playback, Taker(called.upload), read)
             await store.close()
 
@@ -854,7 +854,7 @@
         taker.upload.resume()
         while not taker.got:
             await asyncio.sleep(0)
-        taker.upload.leave()
+        taker.upload.abandon()
         assert playback.task is not None
         await asyncio.wait((playback.task,))
         assert playback.task.cancelled() and len(taker.got) == 1 and len(read) <= 1
--- a/tests/test_shared_gate.py
+++ b/tests/test_shared_gate.py
@@ -9,10 +9,10 @@
 import pytest
 
 from laurelstep.engine import Answer, Call, Ending, Engine
-from laurelstep.engine.flow import Flow
-from laurelstep.engine.given import GivenMembers
+from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.names import Names
 from laurelstep.engine.ports import Recorded
+from laurelstep.engine.static_members import StaticMembers
 from laurelstep.interface import (
     ERROR,
     FULL,
@@ -143,7 +143,7 @@
         found = Settings(classes=classes, can_cancel=True, max_attempts=3)
         names = Names({"classes": [{"name": "pay"}, {"name": "put"}, {"name": "post"}]}, found)
         self.engine = Engine(
-            self.clock, 1, found, names, self.upstream, GivenMembers(), 500_000, lambda line: None, self.gate
+            self.clock, 1, found, names, self.upstream, StaticMembers(), 500_000, lambda line: None, self.gate
         )
         self.engine.start()
         self.engine.listed(1, True, [entry("a")])
@@ -666,15 +666,15 @@
 
 
 class Source:
-    def hold(self) -> None: ...
-    def go_on(self) -> None: ...
-    def unwanted(self) -> None: ...
+    def pause(self) -> None: ...
+    def resume(self) -> None: ...
+    def on_abandoned(self) -> None: ...
 
 
 def test_an_upload_is_sent_once_its_begin_is_agreed() -> None:
     async def test(world: World) -> None:
         call = world.call()
-        call.upload, call.body = Flow(Source(), 10), b""
+        call.upload, call.body = BodyStream(Source(), 10), b""
         call.span, call.expires = DEADLINE_US, world.clock.now() + 600_000_000
         world.engine.take(call)
         await world.turn()
@@ -682,7 +682,7 @@
         await world.land()
         assert len(world.sent) == 1
         world.upstream.write(world.sent[0], True)  # what has come of it
-        call.upload.end(True)
+        call.upload.finish(True)
         world.engine.whole(call)
         await world.play()
         assert world.sharer.asked == [In(DOT)]
@@ -695,7 +695,7 @@
 def test_an_upload_of_which_an_endpoint_had_a_part_stays_begun() -> None:
     async def test(world: World) -> None:
         call = world.call()
-        call.upload, call.body = Flow(Source(), 10), b""
+        call.upload, call.body = BodyStream(Source(), 10), b""
         call.span, call.expires = DEADLINE_US, world.clock.now() + 600_000_000
         world.engine.take(call)
         await world.turn()
@@ -711,7 +711,7 @@
 def test_an_upload_whose_begin_is_not_agreed_is_refused_before_its_provisional_time() -> None:
     async def test(world: World) -> None:
         call = world.call()
-        call.upload, call.body = Flow(Source(), 10), b""
+        call.upload, call.body = BodyStream(Source(), 10), b""
         call.span, call.expires = DEADLINE_US, world.clock.now() + 600_000_000
         world.engine.take(call)
         await world.turn()
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from laurelstep.engine.flow import Flow
+from laurelstep.engine.body_stream import BodyStream
 from laurelstep.interface import ERROR, MOOT, NO_CONNECT, OK, RESET
 from laurelstep.net.message import LARGE_MAX
 from laurelstep.stream.pace import FREE, GRACE_S, HOLD_EACH, RATE_LEAST, Room, keeps_pace, room_for
@@ -69,65 +69,65 @@
 
 
 class Ends:
-    """Both ends of a flow, and its watcher."""
+    """Both ends of a stream, and its observer."""
 
     def __init__(self) -> None:
         self.told: list[object] = []
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         self.told.append("hold")
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         self.told.append("go on")
 
-    def unwanted(self) -> None:
+    def on_abandoned(self) -> None:
         self.told.append("unwanted")
 
-    def flow(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         self.told.append(data)
 
-    def flowed(self, whole: bool) -> None:
-        self.told.append(whole)
+    def on_end(self, complete: bool) -> None:
+        self.told.append(complete)
 
-    def passed(self, flow: Flow) -> None:
-        self.told.append((flow.whole, flow.left))
+    def on_stream_closed(self, flow: BodyStream) -> None:
+        self.told.append((flow.complete, flow.abandoned))
 
 
 @pytest.mark.parametrize("whole", [True, False])
-def test_a_flow_gives_all_to_its_one_taker_and_ends_once(whole: bool) -> None:
+def test_a_stream_gives_all_to_its_one_sink_and_ends_once(whole: bool) -> None:
     ends = Ends()
-    flow = Flow(ends, -1)
-    flow.watcher = ends
+    flow = BodyStream(ends, -1)
+    flow.observer = ends
     flow.feed(b"a")
     flow.attach(ends)
     flow.feed(b"b")
     flow.pause()
     flow.resume()
-    flow.end(whole)
+    flow.finish(whole)
     flow.feed(b"c")
-    flow.end(not whole)
-    flow.leave()
+    flow.finish(not whole)
+    flow.abandon()
     flow.pause()
     assert ends.told == [b"a", b"b", "hold", "go on", whole, (whole, False)]
 
 
-def test_a_flow_that_was_whole_before_it_had_a_taker_is_given_all_the_same() -> None:
+def test_a_stream_that_was_complete_before_it_had_a_sink_is_given_all_the_same() -> None:
     ends = Ends()
-    flow = Flow(ends, 1)
+    flow = BodyStream(ends, 1)
     flow.feed(b"a")
-    flow.end(True)
+    flow.finish(True)
     flow.attach(ends)
     assert ends.told == [b"a", True]
 
 
-def test_a_flow_that_is_left_tells_its_source_and_takes_nothing_more() -> None:
+def test_a_stream_that_is_abandoned_tells_its_source_and_takes_nothing_more() -> None:
     ends = Ends()
-    flow = Flow(ends, 1)
-    flow.watcher = ends
+    flow = BodyStream(ends, 1)
+    flow.observer = ends
     flow.attach(ends)
-    flow.leave()
+    flow.abandon()
     flow.feed(b"a")
-    flow.end(True)
+    flow.finish(True)
     assert ends.told == ["unwanted", (False, True)]
 
 
@@ -155,10 +155,10 @@
 
 def counted(one: Sidecar) -> tuple[int, ...]:
     """Answered, deferred, errored, abandoned, current; together they are those taken."""
-    tally = one.engine.tally
-    each = (tally.answered, tally.deferred, tally.errored, tally.abandoned)
+    counters = one.engine.counters
+    each = (counters.answered, counters.deferred, counters.errored, counters.abandoned)
     found = (*(sum(kind) for kind in each), one.engine.current())
-    assert sum(found) == sum(tally.taken)
+    assert sum(found) == sum(counters.taken)
     return found
 
 
@@ -352,7 +352,7 @@
                 await asyncio.sleep(0)
             assert caller.size == size < 24 * MB and not pouring.done()
             assert link.transport is not None and link.transport.get_write_buffer_size() <= MB
-            assert not caller.upload or not caller.upload.parts
+            assert not caller.upload or not caller.upload.buffered
             pouring.cancel()
             writer.transport.abort()
             await until(lambda: not one.engine.calls)
@@ -671,10 +671,10 @@
             (link,) = one.upstream.passing.since
             pace_s = GRACE_S + link.size / RATE_LEAST
             if held:
-                link.hold()
+                link.pause()
                 link.held_since -= pace_s + 60.0
                 link.passed_since -= pace_s + 60.0
-                link.go_on()
+                link.resume()
             else:
                 link.passed_since -= pace_s
             more.set()
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -13,9 +13,9 @@
 from laurelstep.accord.errors import BusyError, NotLeadingError
 from laurelstep.accord.machines import Machines
 from laurelstep.engine import Answer, Call, Ending, Engine, Names, endpoint_number
+from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.call import Attempt
-from laurelstep.engine.flow import Flow
-from laurelstep.engine.given import GivenMembers
+from laurelstep.engine.static_members import StaticMembers
 from laurelstep.errors import LaurelstepError
 from laurelstep.interface import OK, RequestClass, Settings
 from laurelstep.lifecycle import Lifecycle
@@ -1313,7 +1313,7 @@
             told.append("failed")
 
     clock = ManualClock()
-    given = GivenMembers(MACHINES)
+    given = StaticMembers(MACHINES)
     source = UpkeepSource(given, Roll(), clock, GRACE_US, lambda *run: None, told.append)
     source.list_failed()
     source.start(Sink(clock), 3)
@@ -1380,7 +1380,7 @@
     upstream = PlayedUpstream(clock)
     settings = Settings(classes=(RequestClass(),), max_attempts=2, second_copies=True)
     names = Names({"classes": [{"name": "page"}]}, settings)
-    engine = Engine(clock, 1, settings, names, upstream, GivenMembers(), 500_000, lambda text: None)
+    engine = Engine(clock, 1, settings, names, upstream, StaticMembers(), 500_000, lambda text: None)
     engine.start()
     engine.listed(1, True, [entry("s-0")])
     where = endpoint_number("s-0")
@@ -1392,16 +1392,16 @@
     assert engine.out_at(where) == 2 and engine.out_at(where + 1) == 0
 
     class Body:
-        def hold(self) -> None: ...
-        def go_on(self) -> None: ...
-        def unwanted(self) -> None: ...
+        def pause(self) -> None: ...
+        def resume(self) -> None: ...
+        def on_abandoned(self) -> None: ...
 
     attempts: list[Attempt] = list(upstream.out)
-    flow = Flow(Body(), 10)
+    flow = BodyStream(Body(), 10)
     attempts[0].end(OK, Answer(Ending.SERVED, 200, flow=flow))
     attempts[1].end(OK, Answer(Ending.SERVED, 200))
     assert engine.out_at(where) == 1, "its answer still comes from there"
-    flow.end(True)
+    flow.finish(True)
     assert engine.out_at(where) == 0
 
 
--- a/tests/test_upkeep_contracts.py
+++ b/tests/test_upkeep_contracts.py
@@ -9,8 +9,8 @@
 from typing import ClassVar
 
 from laurelstep.engine import LoopClock
-from laurelstep.engine.given import GivenMembers
 from laurelstep.engine.ports import MemberSource
+from laurelstep.engine.static_members import StaticMembers
 from laurelstep.net.slices import Slices
 from laurelstep.testing.contracts.members import (
     AskedSourceContract,
@@ -35,7 +35,7 @@
 class TestUpkeepOnGivenMembers(MemberSourceContract):
     @contextlib.asynccontextmanager
     async def beyond(self) -> AsyncIterator[Beyond]:
-        given = GivenMembers()
+        given = StaticMembers()
         found = GivenBeyond(given)
         found.source = around(given)
         yield found
