--- a/benchmarks/fleet_child.py
+++ b/benchmarks/fleet_child.py
@@ -64,7 +64,7 @@
         attempt.end(OK, Answer(Ending.SERVED, 200, (), b"ok"))
 
 
-class Front:
+class Frontend:
     answered_count = 0
 
     def answered(self, call: Call, answer: Answer) -> None:
@@ -99,7 +99,7 @@
 
 def time_requests(engine: Engine) -> float:
     """µs a request."""
-    front = Front()
+    front = Frontend()
     began = time.perf_counter()
     for _ in range(REQUESTS):
         engine.take(Call(0, engine.now() + 2_000_000, b"GET /view", b"", b"", front))
--- a/benchmarks/outbox.py
+++ b/benchmarks/outbox.py
@@ -58,7 +58,7 @@
     return int(next(one.split()[1] for one in text.splitlines() if one.startswith(line)))
 
 
-class Front:
+class Frontend:
     """Waits for one answer."""
 
     def __init__(self) -> None:
@@ -124,7 +124,7 @@
         headers = [(b"x-request-id", name), (b"x-class", start[1:].partition(b" /")[2])]
         if cls:
             headers.append((b"idempotency-key", name))
-        front, engine = Front(), self.parts.engine
+        front, engine = Frontend(), self.parts.engine
         call = Call(cls, engine.now() + 2_000_000, start, lines(headers), body, front, name)
         call.causes = (token, b"", b"") if cls else ()
         engine.take(call)
--- a/laurelstep/engine/__init__.py
+++ b/laurelstep/engine/__init__.py
@@ -4,12 +4,12 @@
 
 from laurelstep.engine.call import Answer, Attempt, Call, Ending, Headers
 from laurelstep.engine.clock import LoopClock
+from laurelstep.engine.endpoint_table import endpoint_number
 from laurelstep.engine.engine import Engine
-from laurelstep.engine.members import endpoint_number
 from laurelstep.engine.names import Names
 from laurelstep.engine.ports import (
     Clock,
-    Front,
+    Frontend,
     Handle,
     Log,
     MemberSink,
@@ -26,7 +26,7 @@
     "Clock",
     "Ending",
     "Engine",
-    "Front",
+    "Frontend",
     "Handle",
     "Headers",
     "Log",
--- a/laurelstep/engine/call.py
+++ b/laurelstep/engine/call.py
@@ -52,7 +52,7 @@
         self.endpoint = 0  # where it comes from; 0 where no endpoint gave it
 
 
-class Front(Protocol):
+class Frontend(Protocol):
     """Who gets the final answer of a call."""
 
     def answered(self, call: Call, answer: Answer) -> None:
@@ -86,9 +86,33 @@
     """One request, taken and not yet forgotten. Times in µs."""
 
     __slots__ = (
-        "attempts", "body", "causes", "client", "cls", "endpoint", "expires", "fate", "front", "head", "held",
-        "id", "key", "name", "open", "order", "recorded", "repeated", "span", "start", "streams", "tenant",
-        "timer", "tried", "upload", "with_keeper", "work_us",
+        "attempts",
+        "body",
+        "causes",
+        "client",
+        "cls",
+        "endpoint",
+        "expires",
+        "fate",
+        "front",
+        "head",
+        "held",
+        "id",
+        "key",
+        "name",
+        "open",
+        "order",
+        "queued",
+        "recorded",
+        "repeated",
+        "span",
+        "start",
+        "streams",
+        "tenant",
+        "timer",
+        "tried",
+        "upload",
+        "work_us",
     )  # fmt: skip
 
     def __init__(
@@ -98,7 +122,7 @@
         start: bytes,
         head: bytes,
         body: bytes,
-        front: Front,
+        front: Frontend,
         name: bytes = b"",
         tenant: int = 0,
         key: int = 0,
@@ -127,7 +151,7 @@
         self.endpoint = ""  # the instance id of the last of them
         self.recorded = False  # a recorder sees its answer before its front does
         self.held = False  # its final answer waits for the recorder
-        self.with_keeper = False  # a keeper has it in hand: the module has no part in it
+        self.queued = False  # a keeper has it in hand: the module has no part in it
         self.causes: tuple[bytes, ...] = ()  # what it says that it follows, where its class may be kept
         self.streams = False  # its front can pass on an answer that is still coming
         # What a copy upstream says of a kept write, beside its answer; None where no copy is asked.
--- a/laurelstep/engine/members.py
+++ b/laurelstep/engine/endpoint_table.py
@@ -32,17 +32,17 @@
     return int.from_bytes(blake2b(instance.encode(), digest_size=8).digest(), "big")
 
 
-class Place:
+class ListedEndpoint:
     """What is kept of one listed endpoint."""
 
-    __slots__ = ("address", "entry", "left_at", "name", "started_ms")
+    __slots__ = ("address", "entry", "name", "started_ms", "withdrawn_at")
 
     def __init__(self, name: str, address: str, started_ms: int, entry: Entry) -> None:
         self.name = name
         self.address = address
         self.started_ms = started_ms
         self.entry = entry
-        self.left_at: int | None = None  # told draining or gone
+        self.withdrawn_at: int | None = None  # told draining or gone
 
 
 def split_address(address: str) -> tuple[str, int]:
@@ -53,28 +53,28 @@
     return host, int(port)
 
 
-class Members:
+class EndpointTable:
     def __init__(self, clock: Clock, names: Names, upstream: Upstream, drain_grace_us: int) -> None:
         self.clock = clock
         self.names = names
         self.upstream = upstream
         self.drain_grace_us = drain_grace_us
         self.start_grace_us = drain_grace_us - HELD_UP_US  # an attempt may begin within this
-        self.places: dict[int, Place] = {}
+        self.places: dict[int, ListedEndpoint] = {}
         self.draining: set[int] = set()  # listed, and wants nothing new
-        self.left: deque[tuple[int, int]] = deque()  # when, and which; it may be back since
+        self.withdrawn: deque[tuple[int, int]] = deque()  # when, and which; it may be back since
 
     def may_receive(self, endpoint: int, now: int) -> bool:
-        place = self.places.get(endpoint)
-        if place is None:
+        listed = self.places.get(endpoint)
+        if listed is None:
             return False
-        return place.left_at is None or now < place.left_at + self.start_grace_us
+        return listed.withdrawn_at is None or now < listed.withdrawn_at + self.start_grace_us
 
     def size(self) -> int:
         """How many endpoints the list holds, the draining ones among them."""
-        return sum(1 for place in self.places.values() if place.left_at is None) + len(self.draining)
+        return sum(1 for listed in self.places.values() if listed.withdrawn_at is None) + len(self.draining)
 
-    def list_as(self, endpoint: int, phase: int) -> None:
+    def note_phase(self, endpoint: int, phase: int) -> None:
         if phase == DRAINING:
             self.draining.add(endpoint)
         else:
@@ -88,20 +88,25 @@
         self.forget(now)
         if whole:  # it replaces: what it leaves out is gone
             named = {entry.endpoint for entry, _ in read}
-            for number, place in self.places.items():
+            for number, listed in self.places.items():
                 if number not in named:
-                    self.leave(now, number, place)
+                    self.withdraw(now, number, listed)
             self.draining &= named
-        for entry, place in read:
-            self.place(now, entry, place)
+        for entry, listed in read:
+            self.record(now, entry, listed)
         return [entry for entry, _ in read]
 
-    def is_known(self, entry: Entry, place: Place) -> bool:
+    def is_unchanged(self, entry: Entry, listed: ListedEndpoint) -> bool:
         """Whether nothing changed: neither the module nor the upstream need hear of it."""
         old = self.places.get(entry.endpoint)
-        return old is not None and old.left_at is None and old.address == place.address and old.entry == entry
+        return (
+            old is not None
+            and old.withdrawn_at is None
+            and old.address == listed.address
+            and old.entry == entry
+        )
 
-    def read(self, raw: Any) -> tuple[Entry, Place]:
+    def read(self, raw: Any) -> tuple[Entry, ListedEndpoint]:
         try:
             return self._entry(raw)
         except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
@@ -109,13 +114,13 @@
 
     def forget(self, now: int) -> None:
         """Guards memory where endpoints come and go: past the grace nothing may start there."""
-        while self.left and now >= self.left[0][0] + self.drain_grace_us:
-            left_at, number = self.left.popleft()
-            place = self.places.get(number)
-            if place is not None and place.left_at == left_at:
+        while self.withdrawn and now >= self.withdrawn[0][0] + self.drain_grace_us:
+            withdrawn_at, number = self.withdrawn.popleft()
+            listed = self.places.get(number)
+            if listed is not None and listed.withdrawn_at == withdrawn_at:
                 del self.places[number]
 
-    def _entry(self, raw: dict[str, Any]) -> tuple[Entry, Place]:
+    def _entry(self, raw: dict[str, Any]) -> tuple[Entry, ListedEndpoint]:
         name = raw["instanceId"]
         number = endpoint_number(name)
         phase = PHASES[raw["lifecycle"]]
@@ -136,7 +141,7 @@
             zone=self.names.zones.get(raw.get("zone", ""), 0),
             kind=self.names.kinds.get(raw.get("machineType", ""), 0),
         )
-        return entry, Place(name, address, started_ms, entry)
+        return entry, ListedEndpoint(name, address, started_ms, entry)
 
     def _boot(self, started_ms: int) -> int:
         """Wall time of a start on the module's clock, which is monotonic."""
@@ -145,21 +150,21 @@
         boot = self.clock.now() - (self.clock.wall() - started_ms * 1000)
         return boot or 1  # 0 would mean long ago
 
-    def place(self, now: int, entry: Entry, place: Place) -> None:
+    def record(self, now: int, entry: Entry, listed: ListedEndpoint) -> None:
         number = entry.endpoint
         old = self.places.get(number)
-        self.list_as(number, entry.phase)
+        self.note_phase(number, entry.phase)
         if entry.phase != READY:
             if old is not None:
-                self.leave(now, number, old)
+                self.withdraw(now, number, old)
             return
-        self.places[number] = place
-        same = old is not None and old.left_at is None
-        if old is None or not same or (old.address, old.started_ms) != (place.address, place.started_ms):
-            self.upstream.place(number, place.address)
-
-    def leave(self, now: int, number: int, place: Place) -> None:
-        if place.left_at is None:
-            place.left_at = now
-            self.left.append((now, number))
+        self.places[number] = listed
+        same = old is not None and old.withdrawn_at is None
+        if old is None or not same or (old.address, old.started_ms) != (listed.address, listed.started_ms):
+            self.upstream.place(number, listed.address)
+
+    def withdraw(self, now: int, number: int, listed: ListedEndpoint) -> None:
+        if listed.withdrawn_at is None:
+            listed.withdrawn_at = now
+            self.withdrawn.append((now, number))
             self.upstream.remove(number)
--- a/laurelstep/engine/engine.py
+++ b/laurelstep/engine/engine.py
@@ -6,7 +6,7 @@
 
 The steps of a request, each by its name here: `take` (a recorder may come in between),
 `admit` (the module is told), `_send` (an attempt is about to be sent), `ended` (its one
-outcome), `_keep` (a keeper may have what can't have run), `_answer` (the final answer leaves),
+outcome), `_enqueue` (a keeper may have what can't have run), `_answer` (the final answer leaves),
 `gone` (its client left). Lists come by `listed`.
 """
 
@@ -21,11 +21,11 @@
 from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.call import Answer, Attempt, Call, Ending
 from laurelstep.engine.counters import RequestCounters
+from laurelstep.engine.endpoint_table import EndpointTable
 from laurelstep.engine.list_updates import apply_in_steps
 from laurelstep.engine.loop_watch import LoopWatch
-from laurelstep.engine.members import Members
 from laurelstep.engine.names import Names
-from laurelstep.engine.ports import Clock, Decisions, Keeper, Log, MemberSource, Recorder, Upstream
+from laurelstep.engine.ports import Clock, Decisions, Log, MemberSource, Recorder, Upstream, WriteQueue
 from laurelstep.interface import (
     CANCELLED,
     FULL,
@@ -89,11 +89,11 @@
         self.source = source
         self.log = log
         self.recorder = recorder
-        self.keeper: Keeper | None = None  # set before the first request, where there is one
+        self.write_queue: WriteQueue | None = None  # set before the first request, where there is one
         # The module's view of resting connections is to be that of the sockets.
         self.balancer = Balancer(seed, replace(settings, idle_us=upstream.idle_us))
         self.decisions: Decisions = self.balancer
-        self.members = Members(clock, names, upstream, drain_grace_us)
+        self.members = EndpointTable(clock, names, upstream, drain_grace_us)
         self.loop_watch = LoopWatch(clock)
         self.calls: dict[int, Call] = {}
         self.open_names: set[bytes] = set()  # the ids of the requests that are open
@@ -143,7 +143,7 @@
             # The module may still count it among the requests that it holds.
             self._tell(self.decisions.gone, call.id)
 
-    # --- Members ------------------------------------------------------------------
+    # --- EndpointTable ------------------------------------------------------------------
 
     def listed(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
         self._list(LIST_FULL if whole else LIST_DELTA, entries)
@@ -178,7 +178,7 @@
         call.timer = self.clock.at(call.expires, self._expire, call)
         if self._is_recorded(call):
             return
-        if self.keeper is not None and self.keeper.comes_first(call) and self._keep(call, None):
+        if self.write_queue is not None and self.write_queue.must_queue(call) and self._enqueue(call, None):
             return
         self.admit(call)
 
@@ -197,7 +197,7 @@
         """The module is told of a call that is open."""
         if not call.open:
             return
-        call.with_keeper = False
+        call.queued = False
         coming = call.upload is not None and not call.upload.closed
         event = Arrival(
             call.id, call.cls, call.expires, call.tenant, call.key, call.work_us, call.repeated, coming
@@ -214,7 +214,7 @@
         call.timer = self.clock.at(call.expires, self._expire, call)
         for attempt in call.attempts:
             attempt.until = min(attempt.until, call.expires)
-        if not call.with_keeper:
+        if not call.queued:
             self._tell(self._tell_whole, call, call)
 
     def _tell_whole(self, now: int, call: Call) -> list[Action]:
@@ -228,8 +228,8 @@
         elif call.open:
             self.counters.abandoned[call.cls] += 1
             self._over(call)
-            if call.with_keeper:
-                self._leave_keeper(call)
+            if call.queued:
+                self._leave_queue(call)
                 return
             if call.recorded and self.recorder is not None:
                 self.recorder.gone(call, self)
@@ -240,35 +240,35 @@
         for attempt in call.attempts:
             if attempt.out:
                 self._time_out(attempt)
-        if call.with_keeper:
+        if call.queued:
             self._answer(call, Answer(Ending.FAILED, 504))
-            self._leave_keeper(call)
+            self._leave_queue(call)
         elif call.open:  # guards the caller should the module have held it to the end
             self._give_up(call, Answer(Ending.FAILED, 504))
             self._tell(self.decisions.gone, call.id)
 
-    def _keep(self, call: Call, answer: Answer | None) -> bool:
+    def _enqueue(self, call: Call, answer: Answer | None) -> bool:
         """Whether a keeper has a call from here on. It is never asked about one that may have run, or
         may yet, nor about an upload that an endpoint had the beginning of: that is not here any more."""
-        if self.keeper is None or call.recorded or (call.upload is not None and call.upload.started):
+        if self.write_queue is None or call.recorded or (call.upload is not None and call.upload.started):
             return False
         for attempt in call.attempts:
             if attempt.out or attempt.may_have_run:
                 return False
-        call.with_keeper = True  # before it is asked: it may settle at once
-        if not self.keeper.keep(call, answer, self):
-            call.with_keeper = False
+        call.queued = True  # before it is asked: it may settle at once
+        if not self.write_queue.enqueue(call, answer, self):
+            call.queued = False
             return False
         return True
 
-    def _leave_keeper(self, call: Call) -> None:
-        call.with_keeper = False
-        if self.keeper is not None:
-            self.keeper.left(call)
+    def _leave_queue(self, call: Call) -> None:
+        call.queued = False
+        if self.write_queue is not None:
+            self.write_queue.on_call_closed(call)
 
     def _give_up(self, call: Call, answer: Answer) -> None:
         """The module refuses it, or fails it."""
-        if not self._keep(call, answer):
+        if not self._enqueue(call, answer):
             self._answer(call, answer)
 
     def _answer(self, call: Call, answer: Answer) -> None:
@@ -283,7 +283,7 @@
     def settle(self, call: Call, answer: Answer) -> None:
         """A final answer that the module has no part in."""
         if call.open:
-            call.with_keeper = False
+            call.queued = False
             self._over(call)
             self._final(call, answer)
 
@@ -433,8 +433,8 @@
             attempt.timer = None
         if outcome in NEVER_RAN and not (outcome == FULL and self.settings.full_unproven):
             attempt.may_have_run = False
-        if self.keeper is not None:
-            self.keeper.heard(attempt.endpoint, outcome)
+        if self.write_queue is not None:
+            self.write_queue.on_attempt_ended(attempt.endpoint, outcome)
         call = attempt.call
         if outcome == OK and answer is not None and call.open:
             answer.endpoint = attempt.endpoint
--- a/laurelstep/engine/list_updates.py
+++ b/laurelstep/engine/list_updates.py
@@ -20,7 +20,7 @@
 from collections.abc import Callable, Generator, Iterator, Sequence
 from typing import Any
 
-from laurelstep.engine.members import PHASES, Members, Place, split_address
+from laurelstep.engine.endpoint_table import PHASES, EndpointTable, ListedEndpoint, split_address
 from laurelstep.interface import GONE, READY, Entry
 
 # Some tenths of a millisecond, also in plain Python.
@@ -28,7 +28,7 @@
 
 # Takes a part of what changed, and whether there is more to come.
 Tell = Callable[[Sequence[Entry], bool], None]
-Read = dict[int, tuple[Entry, Place]]
+Read = dict[int, tuple[Entry, ListedEndpoint]]
 
 _SPACE = re.compile(r"[ \t\n\r]*")
 
@@ -137,7 +137,9 @@
     return isinstance(value, int | float) and math.isfinite(value)
 
 
-def apply_in_steps(members: Members, whole: bool, raw: list[Any], told_at: int, tell: Tell) -> Iterator[None]:
+def apply_in_steps(
+    members: EndpointTable, whole: bool, raw: list[Any], told_at: int, tell: Tell
+) -> Iterator[None]:
     """A list in discovery's form that was told at `told_at`, µs. ValueError comes before
     anything is changed; `tell` is last called with no more to come. Takes its items out of
     `raw`: to free them all at the end would be a step as long as the list."""
@@ -151,13 +153,13 @@
     members.forget(members.clock.now())
     if whole:
         members.draining.intersection_update(read)
-    yield from _leave_in_steps(members, whole, read, told_at, tell)
+    yield from _withdraw_in_steps(members, whole, read, told_at, tell)
     part: list[Entry] = []
     while read:
         _, (entry, place) = read.popitem()
-        members.list_as(entry.endpoint, entry.phase)
-        if entry.phase == READY and not members.is_known(entry, place):
-            members.place(told_at, entry, place)
+        members.note_phase(entry.endpoint, entry.phase)
+        if entry.phase == READY and not members.is_unchanged(entry, place):
+            members.record(told_at, entry, place)
             part.append(entry)
         if len(read) % STEP == 0:
             tell(part, True)
@@ -166,12 +168,14 @@
     tell(part, False)
 
 
-def _leave_in_steps(members: Members, whole: bool, read: Read, told_at: int, tell: Tell) -> Iterator[None]:
+def _withdraw_in_steps(
+    members: EndpointTable, whole: bool, read: Read, told_at: int, tell: Tell
+) -> Iterator[None]:
     part: list[Entry] = []
     for at, (number, place) in enumerate(list(members.places.items()), 1):
         entry = _leaving(number, place, read, whole)
         if entry is not None:
-            members.leave(told_at, number, place)
+            members.withdraw(told_at, number, place)
             part.append(entry)
         if at % STEP == 0:
             tell(part, True)
@@ -180,9 +184,9 @@
     tell(part, True)
 
 
-def _leaving(number: int, place: Place, read: Read, whole: bool) -> Entry | None:
+def _leaving(number: int, place: ListedEndpoint, read: Read, whole: bool) -> Entry | None:
     """What a list makes of a place that leaves with it; None if it stays, or has left."""
-    if place.left_at is not None:
+    if place.withdrawn_at is not None:
         return None
     pair = read.get(number)
     if pair is not None:
@@ -191,14 +195,14 @@
     return Entry(number, GONE, old.boot, old.rating, old.cell, old.zone, old.kind) if whole else None
 
 
-def dump_in_steps(members: Members, generation: int, taken: list[bytes]) -> Iterator[None]:
+def dump_in_steps(members: EndpointTable, generation: int, taken: list[bytes]) -> Iterator[None]:
     """The endpoints that have not left, as a whole list in discovery's form: JSON, put
     into `taken` with the last step."""
     zones = {number: name for name, number in members.names.zones.items()}
     kinds = {number: name for name, number in members.names.kinds.items()}
     parts: list[str] = []
     for at, place in enumerate(list(members.places.values()), 1):
-        if place.left_at is None:
+        if place.withdrawn_at is None:
             raw = {
                 "instanceId": place.name, "hostPort": place.address, "zone": zones.get(place.entry.zone, ""),
                 "machineType": kinds.get(place.entry.kind, ""), "cell": place.entry.cell,
--- a/laurelstep/engine/ports.py
+++ b/laurelstep/engine/ports.py
@@ -5,22 +5,22 @@
 from collections.abc import Callable, Iterator, Sequence
 from typing import Any, Protocol
 
-from laurelstep.engine.call import Answer, Attempt, Call, Front, Handle
+from laurelstep.engine.call import Answer, Attempt, Call, Frontend, Handle
 from laurelstep.interface import Action, Arrival, Entry, Outcome
 
 __all__ = [
     "Clock",
     "Decisions",
-    "Front",
+    "Frontend",
     "Handle",
     "HoldingSource",
-    "Keeper",
     "Log",
     "MemberSink",
     "MemberSource",
     "Recorded",
     "Recorder",
     "Upstream",
+    "WriteQueue",
 ]
 
 # Takes one line for the operator.
@@ -146,22 +146,22 @@
         """The client of a recorded call left."""
 
 
-class Keeper(Protocol):
+class WriteQueue(Protocol):
     """May keep a write that can't be sent now, and bring it upstream later. Asked at one step: before
     a refusal or a failure leaves whose request can't have run, and as a request is taken that
-    `comes_first` to it."""
+    `must_queue` to it."""
 
-    def comes_first(self, call: Call) -> bool:
-        """Whether `keep` is asked before the module is told: the edge is cut off, or the call follows
+    def must_queue(self, call: Call) -> bool:
+        """Whether `enqueue` is asked before the module is told: the edge is cut off, or the call follows
         what is kept."""
 
-    def keep(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
+    def enqueue(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
         """`answer`: what it would get now; None where the module was not told of it yet. True if it is
         in hand: one of `settle` and `admit` is then called for it, now or later. Of an upload no
         endpoint had anything: the keeper attaches to it, and after that calls `settle`."""
 
-    def left(self, call: Call) -> None:
+    def on_call_closed(self, call: Call) -> None:
         """A call that is in hand is not open any more: its client left, or its time is over."""
 
-    def heard(self, endpoint: int, outcome: int) -> None:
+    def on_attempt_ended(self, endpoint: int, outcome: int) -> None:
         """How an attempt at any endpoint ended."""
--- a/laurelstep/engine/static_members.py
+++ b/laurelstep/engine/static_members.py
@@ -1,4 +1,4 @@
-"""Members that are given and changed in code, as the engine's source of members."""
+"""EndpointTable that are given and changed in code, as the engine's source of members."""
 
 from __future__ import annotations
 
--- a/laurelstep/net/request.py
+++ b/laurelstep/net/request.py
@@ -11,7 +11,7 @@
 import zlib
 from typing import Final
 
-from laurelstep.engine.call import Call, Front, Headers
+from laurelstep.engine.call import Call, Frontend, Headers
 from laurelstep.engine.names import Names
 from laurelstep.interface import KEYED, SAFE, RequestClass, Settings
 from laurelstep.net.errors import BadRequestError
@@ -106,7 +106,7 @@
     headers: Headers,
     names: Names,
     settings: Settings,
-    front: Front,
+    front: Frontend,
     most: int = BODY_MAX,
 ) -> Call:
     """The call that a head asks for; `expires` is still a span, which counts from the
--- a/laurelstep/net/upstream.py
+++ b/laurelstep/net/upstream.py
@@ -16,7 +16,7 @@
 
 from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.call import Answer, Attempt, Ending, Headers
-from laurelstep.engine.members import split_address
+from laurelstep.engine.endpoint_table import split_address
 from laurelstep.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
 from laurelstep.net.errors import SpoiltError
 from laurelstep.net.message import (
--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -93,7 +93,7 @@
 
 
 class OutboxDriver:
-    """The engine's `Keeper`. Made by `open`, then `begin` with the engine; `close` at the end."""
+    """The engine's `WriteQueue`. Made by `open`, then `begin` with the engine; `close` at the end."""
 
     def __init__(
         self,
@@ -206,7 +206,7 @@
 
     def begin(self, engine: Engine) -> None:
         self.engine = engine
-        engine.keeper = self
+        engine.write_queue = self
         self._look()
         self._wake()
 
@@ -229,7 +229,7 @@
         if self.sharing is not None:
             self.sharing.close()
         if self.engine is not None:
-            self.engine.keeper = None
+            self.engine.write_queue = None
         if self.tasks:
             await asyncio.wait(set(self.tasks), timeout=LAST_S)
         for task in set(self.tasks):
@@ -244,7 +244,7 @@
 
     # --- The engine's step ------------------------------------------------------------
 
-    def heard(self, endpoint: int, outcome: int) -> None:
+    def on_attempt_ended(self, endpoint: int, outcome: int) -> None:
         if outcome in ANSWERED:
             self.cutoff.answered(self._now())
         elif outcome in UNANSWERED:
@@ -267,11 +267,11 @@
             return
         self.look_at = now + TURN_US // 2
         places = self.engine.members.places.values()
-        self.cutoff.listed(sum(1 for place in places if place.left_at is None), now)
+        self.cutoff.listed(sum(1 for place in places if place.withdrawn_at is None), now)
         if self.cutoff.off != self.was_off:
             self._turned()
 
-    def comes_first(self, call: Call) -> bool:
+    def must_queue(self, call: Call) -> bool:
         if self._passes(call):
             return False
         self.aside.live = True
@@ -287,7 +287,7 @@
 
     def _follows(self, call: Call) -> bool:
         """Whether it follows what is not known to be in. One whose token can't be read is kept, or
-        rather told so, by `keep`."""
+        rather told so, by `enqueue`."""
         named, tenant = _named(call), self.tenant_names.get(call.tenant, "") if call.tenant else ""
         try:
             if named and self.outbox.must_keep(named):
@@ -297,7 +297,7 @@
         session, obj = _session(call), _object(call)
         return bool(session or obj) and self.outbox.has_open(session, obj, tenant)
 
-    def keep(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
+    def enqueue(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
         front = call.front
         if isinstance(front, Replay):
             front.never_ran = True  # asked only where it can't have run
@@ -381,7 +381,7 @@
         else:
             engine.settle(call, self._kept(dot))
 
-    def left(self, call: Call) -> None:
+    def on_call_closed(self, call: Call) -> None:
         """Found by its being closed, once the store is through; of a body that is coming no more is taken."""
         self.bodies.left(call)
 
--- a/laurelstep/upkeep/members.py
+++ b/laurelstep/upkeep/members.py
@@ -13,7 +13,7 @@
 from math import inf
 from typing import Any, Final
 
-from laurelstep.engine.members import PHASES, endpoint_number, split_address
+from laurelstep.engine.endpoint_table import PHASES, endpoint_number, split_address
 from laurelstep.interface import DRAINING, READY
 
 __all__ = ["Member", "MemberTable", "read_member"]
--- a/laurelstep/upkeep/plan.py
+++ b/laurelstep/upkeep/plan.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from laurelstep.engine.members import endpoint_number
+from laurelstep.engine.endpoint_table import endpoint_number
 from laurelstep.interface import READY
 from laurelstep.upkeep.entries import End, Entry, Leave, Step, fits
 from laurelstep.upkeep.members import Member, MemberTable
--- a/laurelstep/upkeep/roll.py
+++ b/laurelstep/upkeep/roll.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from laurelstep.engine.members import endpoint_number
+from laurelstep.engine.endpoint_table import endpoint_number
 from laurelstep.errors import LaurelstepError
 from laurelstep.upkeep.entries import Ask, End, Entry, Here, Leave, Step, unpack_entry
 from laurelstep.upkeep.states import HELD, State, move
--- a/laurelstep/upkeep/source.py
+++ b/laurelstep/upkeep/source.py
@@ -15,8 +15,8 @@
 from collections.abc import Callable, Iterable, Iterator, Sequence
 from typing import Any, Final
 
+from laurelstep.engine.endpoint_table import endpoint_number
 from laurelstep.engine.list_updates import STEP
-from laurelstep.engine.members import endpoint_number
 from laurelstep.engine.ports import Clock, Log, MemberSink, MemberSource
 from laurelstep.interface import READY
 from laurelstep.upkeep.members import Member, MemberTable, read_member
--- a/setup.py
+++ b/setup.py
@@ -18,7 +18,7 @@
         "engine/engine",
         "engine/body_stream",
         "engine/loop_watch",
-        "engine/members",
+        "engine/endpoint_table",
         "engine/names",
         "engine/counters",
     ),
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from laurelstep.engine import Answer, Attempt, Call, Ending
-from laurelstep.engine.members import endpoint_number
+from laurelstep.engine.endpoint_table import endpoint_number
 from laurelstep.interface import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
 
 
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -151,8 +151,11 @@
         ("import laurelstep.policy", {"laurelstep.policy"}),
         ("from laurelstep import Balancer", {"laurelstep"}),
         ("from laurelstep import interface", {"laurelstep.interface"}),
-        ("from laurelstep.upkeep import roll", {"laurelstep.engine.members"}),  # by what that imports
-        ("def late():\n    from laurelstep.engine.members import PHASES", {"laurelstep.engine.members"}),
+        ("from laurelstep.upkeep import roll", {"laurelstep.engine.endpoint_table"}),  # by what that imports
+        (
+            "def late():\n    from laurelstep.engine.endpoint_table import PHASES",
+            {"laurelstep.engine.endpoint_table"},
+        ),
         ("from tests import fakes", {"laurelstep.engine.call", "laurelstep.interface"}),
         ("from laurelstep.accord import core", set()),
     ],
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from laurelstep.engine.members import endpoint_number
+from laurelstep.engine.endpoint_table import endpoint_number
 from laurelstep.net.discovery import LIST_PATH, Discovery
 from laurelstep.settings import read_platform
 from laurelstep.testing import Listener, Reader, Writer, push, push_raw, read_message
@@ -434,8 +434,8 @@
             one.close()
             await one.wait_closed()
         places = copy.engine.members.places
-        assert places[endpoint_number("s-1")].left_at is not None
-        assert (places[endpoint_number("s-bad")].left_at is not None) == (phase == "draining")
+        assert places[endpoint_number("s-1")].withdrawn_at is not None
+        assert (places[endpoint_number("s-bad")].withdrawn_at is not None) == (phase == "draining")
         assert len(said) <= 1, "one line, however many there are"
 
     run(main())
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -317,8 +317,8 @@
         self.client.members(members)
         places = self.client.engine.members.places
         place = places[number(name)]
-        assert place.left_at is not None
-        place.left_at -= GRACE_US
+        assert place.withdrawn_at is not None
+        place.withdrawn_at -= GRACE_US
         # Only what is written already may still arrive.
         written = {
             attempt.call.name.decode()
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -360,7 +360,7 @@
             await client.send(VIEW)
             client.members([member(old, "s-0", draining=True), member(new, "s-1")])
             place = client.engine.members.places[endpoint_number("s-0")]
-            assert place.left_at is not None
+            assert place.withdrawn_at is not None
             before = len(old.got)
             for _ in range(20):
                 assert (await client.send(VIEW)).endpoint == "s-1"
@@ -587,7 +587,7 @@
             await asyncio.sleep(0)
             (link,) = client._parts.upstream.links
             place = client.engine.members.places[endpoint_number("s-0")]
-            place.left_at = client.engine.now() - 500_000
+            place.withdrawn_at = client.engine.now() - 500_000
             reply = await asked
             assert told[0].outcome == MOOT and reply.outcome is Ending.REFUSED
             assert not endpoint.got and link.attempt is None
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies as st
 
 from laurelstep.engine import Engine, Names, endpoint_number
+from laurelstep.engine.endpoint_table import EndpointTable
 from laurelstep.engine.list_updates import STEP, apply_in_steps, parse_in_steps
-from laurelstep.engine.members import Members
 from laurelstep.engine.ports import Decisions
 from laurelstep.engine.static_members import StaticMembers
 from laurelstep.interface import LIST_DELTA, LIST_PART, Action, Entry, RequestClass, Settings
@@ -63,7 +63,10 @@
             [endpoint.id for _, endpoint in balancer.order.ring],
             {zone: [one.id for _, one in ring] for zone, ring in balancer.order.zones.items() if ring},
             [[(one.id, share) for one, share in group.short] for group in balancer.groups],
-            {number: (place.address, place.left_at) for number, place in self.engine.members.places.items()},
+            {
+                number: (place.address, place.withdrawn_at)
+                for number, place in self.engine.members.places.items()
+            },
             self.upstream.placed,
             sorted((one.id, one.boot, one.rating) for one in balancer.endpoints.values()),
         )
@@ -177,7 +180,7 @@
     for listed in (entries, [raw(name, hostPort="127.0.0.1:8") for name in range(5_000, 15_000)], []):
         counted.update(read=0, told=0)
         at = 0, 0
-        for _ in apply_in_steps(cast(Members, Reading()), True, listed, copy.clock.now(), tell):
+        for _ in apply_in_steps(cast(EndpointTable, Reading()), True, listed, copy.clock.now(), tell):
             now = counted["read"], counted["told"]
             assert now[0] - at[0] <= STEP and now[1] - at[1] <= STEP
             at = now
@@ -264,7 +267,7 @@
             while source(one).busy:
                 await asyncio.sleep(0)
             assert served > 3, "requests were served while the list was read"
-            assert one.engine.members.places[endpoint_number("s-1")].left_at is not None
+            assert one.engine.members.places[endpoint_number("s-1")].withdrawn_at is not None
             before = len(drains.got)
             for n in range(20):
                 assert (await one.ask(request(rid=f"x{n}"))).body == b"ok"
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -122,7 +122,7 @@
     async def cut_off(self) -> None:
         """Its link goes down, and an attempt shows it."""
         self.endpoint.stop()
-        self.driver.heard(1, NO_CONNECT)
+        self.driver.on_attempt_ended(1, NO_CONNECT)
         assert self.driver.cutoff.off
         assert (await self.write("prime", b"")).status == 202
 
@@ -544,7 +544,8 @@
             leaver = await one.begin("b", len(body))
             leaver[1].write(body[:-1])
             await one.until(lambda: len(one.driver.bodies.waiting) == 1)
-            one.driver.left(one.driver.bodies.waiting[0].call)  # a client that is held back is not heard
+            # A client that is held back is not heard.
+            one.driver.on_call_closed(one.driver.bodies.waiting[0].call)
             await one.until(lambda: len(one.driver.bodies.coming) == 1)
             writer.write(body[-1:])
             assert (await read_message(reader)).status == 202
--- a/tests/test_shared_edge.py
+++ b/tests/test_shared_edge.py
@@ -532,7 +532,7 @@
             writer.write(answer(200, b"ran"))
 
 
-class Front:
+class Frontend:
     def __init__(self) -> None:
         self.answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
 
@@ -588,7 +588,7 @@
         headers = [(b"host", b"x"), (b"x-request-id", name), (b"x-class", cls.encode())]
         if cls == "put":
             headers.append((b"idempotency-key", name))
-        front, engine = Front(), self.parts.engine
+        front, engine = Frontend(), self.parts.engine
         call = Call(
             {"put": 1, "pay": 2}[cls], engine.now() + 5 * SECOND, b"POST /" + cls.encode(), lines(headers),
             b"body", front, name,
@@ -1013,7 +1013,7 @@
         driver.cutoff.off = True
 
         async def ask(*causes: bytes) -> Answer:
-            front = Front()
+            front = Frontend()
             call = Call(2, parts.engine.now() + 5 * SECOND, b"POST /pay", b"", b"x", front, b"r")
             call.causes = causes
             parts.engine.take(call)
--- a/tests/test_shared_gate.py
+++ b/tests/test_shared_gate.py
@@ -453,18 +453,18 @@
     """Else a copy's own outbox would keep an edge's write, and the edge take that for its answer."""
 
     class First:
-        def comes_first(self, call: Call) -> bool:
+        def must_queue(self, call: Call) -> bool:
             return True
 
-        def keep(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
+        def enqueue(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
             engine.settle(call, Answer(Ending.SERVED, 202))
             return True
 
-        def left(self, call: Call) -> None: ...
-        def heard(self, endpoint: int, outcome: int) -> None: ...
+        def on_call_closed(self, call: Call) -> None: ...
+        def on_attempt_ended(self, endpoint: int, outcome: int) -> None: ...
 
     async def test(world: World) -> None:
-        world.engine.keeper = First()
+        world.engine.write_queue = First()
         await world.take(PUT, "")
         assert world.told == [(202, b"")]
         await world.take(PUT)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -358,7 +358,7 @@
         async with sidecar(endpoint) as one:
             one.told()
             (place,) = one.engine.members.places.values()
-            assert place.left_at is not None, "kept for the grace"
+            assert place.withdrawn_at is not None, "kept for the grace"
             clock = one.engine.clock
             later = Replaced(clock, now=lambda: clock.now() + 500_000)
             one.engine.members.clock = cast(Clock, later)
@@ -574,9 +574,9 @@
             now = one.engine.now()
             assert one.engine.may_start(attempt, now)
             assert not one.engine.may_start(attempt, call.expires)
-            place.left_at = now - (500_000 - 150_000) + 1
+            place.withdrawn_at = now - (500_000 - 150_000) + 1
             assert one.engine.may_start(attempt, now)
-            place.left_at = now - (500_000 - 150_000)
+            place.withdrawn_at = now - (500_000 - 150_000)
             assert not one.engine.may_start(attempt, now)
             link = one.upstream.carrying[attempt]
             link.write()  # as a connect that took so long would
--- a/tests/test_keeper.py
+++ b/tests/test_write_queue.py
@@ -27,17 +27,17 @@
         self.gone: list[Call] = []
         self.outcomes: list[int] = []
 
-    def comes_first(self, call: Call) -> bool:
+    def must_queue(self, call: Call) -> bool:
         return self.first
 
-    def keep(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
+    def enqueue(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
         self.asked.append((call, answer))
         return self.takes
 
-    def left(self, call: Call) -> None:
+    def on_call_closed(self, call: Call) -> None:
         self.gone.append(call)
 
-    def heard(self, endpoint: int, outcome: int) -> None:
+    def on_attempt_ended(self, endpoint: int, outcome: int) -> None:
         self.outcomes.append(outcome)
 
 
@@ -53,7 +53,7 @@
         self.engine = Engine(
             self.clock, 1, found, names, self.upstream, source, 500_000, lambda line: None
         )  # fmt: skip
-        self.engine.keeper = keeper
+        self.engine.write_queue = keeper
         self.engine.start()
         self.engine.listed(1, True, [entry("a")])
 
--- a/tests/upkeeping.py
+++ b/tests/upkeeping.py
@@ -9,7 +9,7 @@
 
 from laurelstep.accord.errors import NotLeadingError
 from laurelstep.accord.machines import Machines
-from laurelstep.engine.members import endpoint_number
+from laurelstep.engine.endpoint_table import endpoint_number
 from laurelstep.engine.ports import MemberSink
 from laurelstep.upkeep.desk import UpkeepDesk
 from laurelstep.upkeep.entries import KIND, unpack_word
