--- a/laurelstep/engine/call.py
+++ b/laurelstep/engine/call.py
@@ -151,7 +151,7 @@
         self.endpoint = ""  # the instance id of the last of them
         self.recorded = False  # a recorder sees its answer before its front does
         self.held = False  # its final answer waits for the recorder
-        self.queued = False  # a keeper has it in hand: the module has no part in it
+        self.queued = False  # a write queue has it in hand: the module has no part in it
         self.causes: tuple[bytes, ...] = ()  # what it says that it follows, where its class may be kept
         self.streams = False  # its front can pass on an answer that is still coming
         # What a copy upstream says of a kept write, beside its answer; None where no copy is asked.
--- a/laurelstep/engine/engine.py
+++ b/laurelstep/engine/engine.py
@@ -1,13 +1,12 @@
 """Drives one `Balancer` in real time: clock, timers, ids, and its actions.
 
-It translates and obeys. What happens is told to the module as one event at a
-time, and the actions that come back are carried out in their order; events
-that an action brings about wait until the present one is done.
-
-The steps of a request, each by its name here: `take` (a recorder may come in between),
-`admit` (the module is told), `_send` (an attempt is about to be sent), `ended` (its one
-outcome), `_enqueue` (a keeper may have what can't have run), `_answer` (the final answer leaves),
-`gone` (its client left). Lists come by `listed`.
+What happens is told to the module as one event at a time, and the actions that come back are carried
+out in their order; events that an action brings about wait until the present one is done.
+
+The steps of a request, each by its name here: `take` (a recorder may come in between), `admit` (the
+module is told), `AttemptController.start` and `on_attempt_ended` (an attempt and its one outcome),
+`_enqueue` (a write queue may take what can't have run), `_answer` (the final answer leaves), `gone`
+(its client left). Lists come by `listed`.
 """
 
 from __future__ import annotations
@@ -18,27 +17,21 @@
 from dataclasses import replace
 from typing import Any
 
+from laurelstep.engine.attempts import AttemptController
 from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.call import Answer, Attempt, Call, Ending
 from laurelstep.engine.counters import RequestCounters
 from laurelstep.engine.endpoint_table import EndpointTable
 from laurelstep.engine.list_updates import apply_in_steps
-from laurelstep.engine.loop_watch import LoopWatch
 from laurelstep.engine.names import Names
 from laurelstep.engine.ports import Clock, Decisions, Log, MemberSource, Recorder, Upstream, WriteQueue
 from laurelstep.interface import (
-    CANCELLED,
-    FULL,
-    KEYED,
     LIST_CACHED,
     LIST_DELTA,
     LIST_FAILED,
     LIST_FULL,
     LIST_PART,
-    MOOT,
-    NEVER_RAN,
     OK,
-    TIMEOUT,
     Action,
     Arrival,
     Cancel,
@@ -94,10 +87,10 @@
         self.balancer = Balancer(seed, replace(settings, idle_us=upstream.idle_us))
         self.decisions: Decisions = self.balancer
         self.members = EndpointTable(clock, names, upstream, drain_grace_us)
-        self.loop_watch = LoopWatch(clock)
         self.calls: dict[int, Call] = {}
         self.open_names: set[bytes] = set()  # the ids of the requests that are open
         self.counters = RequestCounters(len(settings.classes))
+        self.attempts = AttemptController(self, clock, settings, upstream, self.members, self.counters)
         # Answers on their way to a caller: their class, and the endpoint they come from.
         self.passing: dict[BodyStream, tuple[int, int]] = {}
         self.next_id = 0
@@ -238,8 +231,7 @@
     def _expire(self, call: Call) -> None:
         """The client's deadline: what is out timed out, and the module answers."""
         for attempt in call.attempts:
-            if attempt.out:
-                self._time_out(attempt)
+            self.attempts.time_out(attempt)
         if call.queued:
             self._answer(call, Answer(Ending.FAILED, 504))
             self._leave_queue(call)
@@ -248,7 +240,7 @@
             self._tell(self.decisions.gone, call.id)
 
     def _enqueue(self, call: Call, answer: Answer | None) -> bool:
-        """Whether a keeper has a call from here on. It is never asked about one that may have run, or
+        """Whether the write queue has a call from here on. It is never asked about one that may have run, or
         may yet, nor about an upload that an endpoint had the beginning of: that is not here any more."""
         if self.write_queue is None or call.recorded or (call.upload is not None and call.upload.started):
             return False
@@ -350,89 +342,8 @@
 
     # --- Attempts -----------------------------------------------------------------
 
-    def may_start(self, attempt: Attempt, now: int) -> bool:
-        """Guards against an attempt for a client whose close the loop has not read yet: that lies there
-        for as long as the loop is held up, and behind bytes that are not read."""
-        if not self._may_start(attempt, now):
-            return False
-        client = attempt.call.client
-        if client is None or not self.loop_watch.is_late(now) or not client.has_left():
-            return True
-        self.gone(attempt.call)
-        return False
-
-    def _may_start(self, attempt: Attempt, now: int) -> bool:
-        if not attempt.call.open or now >= min(attempt.until, attempt.write_by):
-            return False
-        return self.members.may_receive(attempt.endpoint, now)
-
-    def _repeat_until(self, call: Call) -> int:
-        """When the window for repeats of a keyed call ends; else its time. Guards against a repeat
-        that was decided within the window and is written past it, on a connection that came up late."""
-        cls = self.settings.classes[call.cls]
-        if cls.effect == KEYED:
-            for attempt in call.attempts:
-                if attempt.out or attempt.may_have_run:
-                    return attempt.sent + cls.window_us
-        return call.expires
-
-    def _send(self, action: Send) -> None:
-        call = self.calls.get(action.request)
-        if call is None:
-            return
-        now = self.now()
-        until = min(call.expires, now + action.timeout_us) if action.timeout_us else call.expires
-        attempt = Attempt(self, call, len(call.attempts), action.endpoint, now, until)
-        attempt.write_by = min(until, self._repeat_until(call))
-        call.attempts.append(attempt)
-        # An upload that an endpoint had the beginning of is not here any more.
-        spent = call.upload is not None and call.upload.started
-        if spent or attempt.copy >= self.settings.max_attempts or not self._may_start(attempt, now):
-            self.ended(attempt, MOOT, None, b"")
-            return
-        call.tried += 1
-        call.endpoint = self.members.places[attempt.endpoint].name
-        if attempt.write_by < attempt.until:
-            attempt.timer = self.clock.at(attempt.write_by, self._end_unwritten, attempt)
-        else:
-            self._set_time_out(attempt)
-        self.upstream.send(attempt)
-
-    def _set_time_out(self, attempt: Attempt) -> None:
-        if attempt.until < attempt.call.expires:
-            attempt.timer = self.clock.at(attempt.until, self._time_out, attempt)
-
-    def _end_unwritten(self, attempt: Attempt) -> None:
-        """It may be written no longer. Guards against last bytes that the endpoint takes past the
-        window for repeats; and its client need not wait for a connection that is of no more use."""
-        if attempt.may_have_run:
-            self._set_time_out(attempt)
-        else:
-            self.upstream.cancel(attempt)
-            self.ended(attempt, MOOT, None, b"")
-
-    def written(self, attempt: Attempt) -> None:
-        """The last byte of an attempt was written: from now on it may run."""
-        self.counters.sends += 1
-        attempt.may_have_run = True
-        if attempt.call.upload is not None:
-            attempt.sent = self.now()  # what the endpoint takes counts from here
-
-    def _time_out(self, attempt: Attempt) -> None:
-        if attempt.out:
-            self.upstream.cancel(attempt)
-            self.ended(attempt, TIMEOUT, None, b"")
-
-    def ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
-        """The one outcome of an attempt."""
-        if not attempt.out:
-            return
-        attempt.out = False
-        if attempt.timer is not None:
-            attempt.timer.cancel()
-            attempt.timer = None
-        if outcome in NEVER_RAN and not (outcome == FULL and self.settings.full_unproven):
-            attempt.may_have_run = False
+    def on_attempt_ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
+        """An attempt has its one outcome: it may be the final answer, and the module is told."""
         if self.write_queue is not None:
             self.write_queue.on_attempt_ended(attempt.endpoint, outcome)
         call = attempt.call
@@ -455,8 +366,9 @@
 
     def _do(self, action: Action) -> None:
         match action:
-            case Send():
-                self._send(action)
+            case Send(request):
+                if (call := self.calls.get(request)) is not None:
+                    self.attempts.start(call, action)
             case Timer(token, delay_us):
                 self.clock.at(self.now() + delay_us, self._fired, token)
             case Refuse(request, after_us):
@@ -467,7 +379,8 @@
                     status = 504 if self.now() >= call.expires else 502
                     self._give_up(call, Answer(Ending.FAILED, status))
             case Cancel(request, copy):
-                self._cancel(request, copy)
+                if (call := self.calls.get(request)) is not None:
+                    self.attempts.cancel(call.attempts[copy])
             case Close(endpoint):
                 self.upstream.free(endpoint)
             case Watch(on):
@@ -479,12 +392,6 @@
             case _:
                 raise TypeError(f"{action!r} is not of this deployment")
 
-    def _cancel(self, request: int, copy: int) -> None:
-        call = self.calls.get(request)
-        if call is not None and call.attempts[copy].out:
-            self.upstream.cancel(call.attempts[copy])
-            self.ended(call.attempts[copy], CANCELLED, None, b"")
-
     def _open_call(self, request: int) -> Call | None:
         call = self.calls.get(request)
         return call if call is not None and call.open else None
--- a/laurelstep/engine/ports.py
+++ b/laurelstep/engine/ports.py
@@ -158,7 +158,7 @@
     def enqueue(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
         """`answer`: what it would get now; None where the module was not told of it yet. True if it is
         in hand: one of `settle` and `admit` is then called for it, now or later. Of an upload no
-        endpoint had anything: the keeper attaches to it, and after that calls `settle`."""
+        endpoint had anything: the queue attaches to it, and after that calls `settle`."""
 
     def on_call_closed(self, call: Call) -> None:
         """A call that is in hand is not open any more: its client left, or its time is over."""
--- a/setup.py
+++ b/setup.py
@@ -13,14 +13,15 @@
 MODULES = (
     *("interface", "policy"),
     *(
+        "engine/attempts",
+        "engine/body_stream",
         "engine/call",
         "engine/clock",
+        "engine/counters",
+        "engine/endpoint_table",
         "engine/engine",
-        "engine/body_stream",
         "engine/loop_watch",
-        "engine/endpoint_table",
         "engine/names",
-        "engine/counters",
     ),
     *("lifecycle/phases", "room/descriptors", "stream/pace"),
     *("net/message", "net/request", "net/server", "net/upstream"),
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -941,7 +941,7 @@
                 leave(caller)
             else:
                 leave_before_connection_made(one, lambda: leave(caller))
-            one.engine.loop_watch.asked_at -= HELD_US  # the loop was held for so long
+            one.engine.attempts.loop_watch.asked_at -= HELD_US  # the loop was held for so long
             one.engine._do(Send(rid, number, 0))
             await until(lambda: not one.engine.calls and not one.server.callers)
             one.engine.decisions = one.engine.balancer
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -103,7 +103,7 @@
 def set_window(one: Sidecar, window_us: int) -> None:
     """Give all classes this window for repeats."""
     classes = tuple(replace(cls, window_us=window_us) for cls in one.engine.settings.classes)
-    one.engine.settings = replace(one.engine.settings, classes=classes)
+    one.engine.settings = one.engine.attempts.settings = replace(one.engine.settings, classes=classes)
     one.engine.balancer.s = replace(one.engine.balancer.s, classes=classes)
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -425,7 +425,7 @@
         async with sidecar(endpoint) as one:
             call = Call(0, 0, b"GET /page", b"", b"", Nobody())
             (number,) = one.upstream.addresses
-            attempt = Attempt(one.engine, call, 0, number, 0, 0)
+            attempt = Attempt(one.engine.attempts, call, 0, number, 0, 0)
             one.upstream.send(attempt)
             assert len(one.upstream.links) == 1
             one.upstream.cancel(attempt)  # the task that opens it has not had a turn yet
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -572,12 +572,12 @@
             (attempt,) = call.attempts
             place = one.engine.members.places[attempt.endpoint]
             now = one.engine.now()
-            assert one.engine.may_start(attempt, now)
-            assert not one.engine.may_start(attempt, call.expires)
+            assert one.engine.attempts.may_start(attempt, now)
+            assert not one.engine.attempts.may_start(attempt, call.expires)
             place.withdrawn_at = now - (500_000 - 150_000) + 1
-            assert one.engine.may_start(attempt, now)
+            assert one.engine.attempts.may_start(attempt, now)
             place.withdrawn_at = now - (500_000 - 150_000)
-            assert not one.engine.may_start(attempt, now)
+            assert not one.engine.attempts.may_start(attempt, now)
             link = one.upstream.carrying[attempt]
             link.write()  # as a connect that took so long would
             assert [event.outcome for event in told] == [MOOT] and len(endpoint.got) == 1
@@ -590,7 +590,7 @@
     async def main() -> None:
         endpoints = [Endpoint(status(503, "X-Not-Run: 1\r\n")) for _ in range(4)]
         async with sidecar(*endpoints) as one:
-            one.engine.settings = replace(one.engine.settings, max_attempts=2)
+            one.engine.attempts.settings = replace(one.engine.settings, max_attempts=2)
             told = outcomes(one.engine)
             await one.ask(request("pay"))
             assert sum(len(endpoint.got) for endpoint in endpoints) == 2
