--- a/laurelstep/__main__.py
+++ b/laurelstep/__main__.py
@@ -14,9 +14,10 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
-from laurelstep.daemon import arrive, serve
+from laurelstep.daemon import serve
 from laurelstep.net.message import log, unblock_log
 from laurelstep.settings import Config, ConfigError, read_platform
+from laurelstep.subsystems.hot_restart import arrive
 
 if TYPE_CHECKING:
     from laurelstep.workers.parent import Workers
--- /dev/null
+++ b/laurelstep/subsystems/consensus.py
@@ -0,0 +1,92 @@
+"""The consensus node as a subsystem: this process's part in what the copies of a tier agree on."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import TYPE_CHECKING, Any
+
+from laurelstep.net.message import log
+from laurelstep.settings import ConfigError
+from laurelstep.subsystems.base import ProcessContext, Subsystem
+
+if TYPE_CHECKING:
+    from laurelstep.accord.node import Node
+    from laurelstep.accord.parts import Parts
+    from laurelstep.accord.ports import Machine
+    from laurelstep.engine import Engine
+    from laurelstep.net.server import Server
+
+
+class ConsensusSubsystem(Subsystem):
+    """One node, and the parts of it that other subsystems take."""
+
+    outlives_sockets = True
+
+    def __init__(
+        self, context: ProcessContext, node: Node, parts: Parts, inherited: Mapping[bytes, bytes] | None
+    ) -> None:
+        """`inherited`: what a predecessor's node handed over."""
+        self.context = context
+        self.node = node
+        self.parts = parts
+        self.inherited = inherited
+
+    @classmethod
+    def create(
+        cls,
+        context: ProcessContext,
+        maintenance: Mapping[int, Machine] | None,
+        outbox: Mapping[int, Machine] | None,
+        state: Mapping[str, Any] | None,
+    ) -> ConsensusSubsystem | None:
+        """Not yet started; None where it is off. `maintenance`, `outbox`: their replicated state machines,
+        where they are on: each copy carries both all the same. `state`: a predecessor's. `ConfigError` if
+        its folder can't be used."""
+        settings = context.config.accord
+        if settings is None:
+            return None
+        if not settings.is_linked:
+            log("accord: off, and what rests on it: the configuration has no peers and peer_listen")
+            return None
+        from laurelstep.accord.machines import Machines
+        from laurelstep.accord.node import check_folder, node_of
+        from laurelstep.accord.parts import Parts
+        from laurelstep.engine.clock import LoopClock
+        from laurelstep.handover.state import kept_in
+
+        try:
+            from laurelstep.outbox.shared.carried import Carried
+            from laurelstep.outbox.shared.entries import KIND as QUEUED_WRITES
+            from laurelstep.upkeep.assembly import carried
+
+            check_folder(settings.store_path)
+            clock = LoopClock(context.loop)
+            passive = Carried() if outbox is None else None
+            machines = dict(maintenance if maintenance is not None else carried())
+            machines |= dict(outbox) if outbox is not None else {}
+            machines |= passive.machines if passive is not None else {}
+            node = node_of(settings, Machines(machines), context.loop, clock, log)
+            parts = Parts(node)
+            if passive is not None:
+                passive.join(parts.part(QUEUED_WRITES), clock)
+        except ImportError as error:
+            problem = f"{error.name} is missing: pip install 'laurelstep[store]'"
+        except OSError as error:
+            problem = f"{settings.store_path}: {error.strerror}: expected a folder that this user may write"
+        else:
+            return cls(context, node, parts, None if state is None else kept_in(state))
+        raise ConfigError(f"{context.error_prefix}accord.store_path: {problem}")
+
+    async def start(self, engine: Engine, server: Server) -> None:
+        """Open the links to the other copies."""
+        accord = self.context.config.accord
+        try:
+            await self.node.start(self.inherited)
+        except OSError as error:
+            listen = accord.listen if accord is not None else ""
+            problem = f"{listen}: {error.strerror}: expected where this process may listen, on this machine"
+            raise ConfigError(f"{self.context.error_prefix}accord.peer_listen: {problem}") from None
+
+    async def stop(self) -> None:
+        """Leave the links."""
+        await self.node.close()
--- /dev/null
+++ b/laurelstep/subsystems/outbox.py
@@ -0,0 +1,96 @@
+"""The outbox as a subsystem: writes queued at an edge, and what copies share of them."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from laurelstep.net.message import LARGE_MAX, log
+from laurelstep.settings import ConfigError
+from laurelstep.subsystems.base import ProcessContext, Subsystem
+
+if TYPE_CHECKING:
+    from laurelstep.accord.parts import Parts
+    from laurelstep.accord.ports import Machine
+    from laurelstep.engine import Engine
+    from laurelstep.engine.ports import Recorder
+    from laurelstep.management.calls import Reply
+    from laurelstep.net.server import Server
+    from laurelstep.outbox.driver import OutboxDriver
+    from laurelstep.outbox.shared.assembly import Shared
+
+
+class OutboxSubsystem(Subsystem):
+    """The driver of queued writes; `shared` where this copy takes part in what copies share of them."""
+
+    def __init__(self, driver: OutboxDriver, shared: Shared | None) -> None:
+        self.driver = driver
+        self.shared = shared
+        self.holds_bodies = False  # a recorder behind the gate does: they are bounded by its own limit
+
+    @classmethod
+    async def open(cls, context: ProcessContext) -> OutboxSubsystem | None:
+        """With the writes that earlier processes queued; None where it is off. `ConfigError` if they
+        can't be read."""
+        settings, names = context.config.outbox, context.config.names
+        if settings is None:
+            return None
+        shared = None
+        if settings.shared:
+            try:
+                from laurelstep.outbox.shared.assembly import Shared
+            except ImportError as error:
+                raise _missing(context, "outbox.shared", error) from None
+            shared = Shared(context.loop, context.config, log)
+        try:
+            from laurelstep.outbox.driver import open_driver
+        except ImportError as error:
+            raise _missing(context, "outbox", error) from None
+        frontier = None if shared is None else shared.frontier
+        driver = await open_driver(
+            settings, names.classes, names.tenants, log, context.error_prefix, frontier
+        )
+        return cls(driver, shared)
+
+    @property
+    def machines(self) -> dict[int, Machine] | None:
+        """Its part of the replicated state; None where copies share nothing."""
+        return None if self.shared is None else self.shared.machines
+
+    def recorder(self, parts: Parts, journal: Recorder | None) -> Recorder | None:
+        """The gate for edges' replays, in front of the request journal's recorder where there is one."""
+        if self.shared is None:
+            return journal
+        from laurelstep.outbox.shared.entries import KIND
+
+        self.holds_bodies = journal is not None
+        return self.shared.join(parts.part(KIND), self.driver, journal)
+
+    async def start(self, engine: Engine, server: Server) -> None:
+        """Queue and replay from now on; take part in what copies share."""
+        self.driver.begin(engine)
+        server.receipts = self.driver.ask
+        if self.shared is None or self.shared.gate is None:
+            return
+        if not self.holds_bodies:
+            server.body_most = LARGE_MAX
+        server.shared = self.shared.gate.ask
+        self.shared.begin()
+
+    async def stop(self) -> None:
+        """What is out may still be answered."""
+        await self.driver.close()
+        if self.shared is not None:
+            await self.shared.close()
+
+    def reply(self, method: bytes, target: bytes) -> Reply | None:
+        """To an operator who asks about queued writes, or resolves one."""
+        from laurelstep.outbox.calls import Claimer, reply_about
+
+        claimer = self.shared or (self.driver if isinstance(self.driver, Claimer) else None)
+        return reply_about(method, target, desk=self.driver, shared=self.shared, claimer=claimer)
+
+
+def _missing(context: ProcessContext, key: str, error: ImportError) -> ConfigError:
+    return ConfigError(
+        f"{context.error_prefix}{key}: {error.name} is missing: pip install 'laurelstep[store]'"
+    )
--- /dev/null
+++ b/laurelstep/subsystems/request_journal.py
@@ -0,0 +1,33 @@
+"""The journal of requests with effects, as a subsystem: `[orders]` in the operator's file."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from laurelstep.net.message import log
+from laurelstep.orders import open_recorder
+from laurelstep.subsystems.base import ProcessContext, Subsystem
+
+if TYPE_CHECKING:
+    from laurelstep.orders.recorder import OrderRecorder
+
+
+class RequestJournalSubsystem(Subsystem):
+    """Holds the engine's recorder and its store."""
+
+    outlives_sockets = True
+
+    def __init__(self, recorder: OrderRecorder) -> None:
+        self.recorder = recorder
+
+    @classmethod
+    async def open(cls, context: ProcessContext) -> RequestJournalSubsystem | None:
+        """None where it is off; `ConfigError` if its store can't be opened."""
+        settings = context.config.orders
+        if settings is None:
+            return None
+        return cls(await open_recorder(settings, context.config.names.classes, log))
+
+    async def stop(self) -> None:
+        """Close the store behind what is to be written."""
+        await self.recorder.close()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,7 +15,6 @@
 
 import pytest
 
-from laurelstep.daemon import arrive, check_free
 from laurelstep.handover import giver, taker
 from laurelstep.handover.giver import Giver
 from laurelstep.handover.messages import (
@@ -35,6 +34,7 @@
 from laurelstep.handover.state import with_state
 from laurelstep.handover.taker import take
 from laurelstep.settings import config_from
+from laurelstep.subsystems.hot_restart import arrive, check_free
 from laurelstep.testing import Effects, push
 from tests.sockets import (
     SETTINGS,
