--- /dev/null
+++ b/laurelstep/settings/operator/accord.py
@@ -0,0 +1,66 @@
+"""`[accord]`: consensus among the copies of a tier."""
+
+from __future__ import annotations
+
+from typing import Annotated, Literal
+
+import msgspec
+
+from laurelstep.accord.options import AccordSettings, LinkKind, problem_of, seats_for
+from laurelstep.settings.operator.fields import OperatorTable, Whole
+
+Seats = Literal[1, 3, 5, 7]
+
+
+class AccordTable(OperatorTable, frozen=True, kw_only=True):
+    """What the processes of a tier share, and how they reach each other."""
+
+    peer_listen: str | None = None
+    peers: tuple[str, ...] | None = None
+    me: Whole | None = None
+    link: LinkKind = "udp"
+    seats: Seats | None = None
+    store_path: str = ""
+    heartbeat_ms: Annotated[int, msgspec.Meta(ge=10, le=60_000)] = 200
+    election_ms: Annotated[int, msgspec.Meta(ge=20, le=600_000)] = 600
+    drift: Annotated[float, msgspec.Meta(ge=0.0, le=0.2)] = 0.01
+
+    def problem(self) -> str | None:
+        """What can't be, whoever tells of peers."""
+        if self.election_ms < 2 * self.heartbeat_ms:
+            return "accord.election_ms: expected at least twice heartbeat_ms"
+        if self.peers is not None and not self.peers:
+            return "accord.peers: expected the addresses of all copies, one each"
+        if self.peers is not None and self.link == "unix":
+            try:
+                self.settings(self.peers, None, 0)
+            except ValueError as error:
+                return f"accord.{error}"
+        return None
+
+    def key_given_twice(self) -> str | None:
+        """A key that belongs to the platform's configuration, if the table has it too."""
+        if self.link == "unix":
+            return None
+        given = {"peer_listen": self.peer_listen, "peers": self.peers, "me": self.me}
+        return next((key for key, value in given.items() if value is not None), None)
+
+    def settings(self, peers: tuple[str, ...], listen: str | None, me: int) -> AccordSettings:
+        """`me`: what it is where the table does not say. ValueError with key and what was expected."""
+        number = me if self.me is None else self.me
+        if listen is None:
+            listen = peers[number] if number < len(peers) else ""
+        found = AccordSettings(
+            peers=peers,
+            listen=listen,
+            me=number,
+            link=self.link,
+            seats=self.seats or seats_for(len(peers)),
+            store_path=self.store_path,
+            heartbeat_us=self.heartbeat_ms * 1000,
+            election_us=self.election_ms * 1000,
+            drift=self.drift,
+        )
+        if (problem := problem_of(found)) is not None:
+            raise ValueError(f"{problem[0]}: {problem[1]}")
+        return found
