--- a/laurelstep/daemon.py
+++ b/laurelstep/daemon.py
@@ -1,138 +1,62 @@
-"""One daemon's process: its parts wired, from the first listener to the end of the last request."""
+"""One daemon's process, from the first listener to the end of the last request: wiring and signals.
+
+Rules that everything here serves:
+
+1. Subsystems open and start in the order in which they are listed, before a client can come. Those that
+   `outlives_sockets` stop once the last connection is closed, the others before.
+2. A subsystem that is off is not imported.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import signal
-import socket
-from collections.abc import Callable, Coroutine, Mapping
-from dataclasses import fields
-from functools import partial
-from typing import TYPE_CHECKING, Any
-
-from laurelstep.engine.listing import dump_in_steps
-from laurelstep.engine.ports import MemberSource
-from laurelstep.interface import Settings
+from collections.abc import Mapping
+from typing import TYPE_CHECKING
+
 from laurelstep.lifecycle import Lifecycle, Phase
 from laurelstep.net.assembly import Assembly
 from laurelstep.net.collector import Collector
-from laurelstep.net.cooperative_task import CooperativeTask
-from laurelstep.net.discovery import Discovery
 from laurelstep.net.log import log
-from laurelstep.net.message import LARGE_MAX
 from laurelstep.net.server import Server
-from laurelstep.request_journal import open_journal
+from laurelstep.reload import ReadConfig, move_discovery, reloaded_config
 from laurelstep.settings import Config, ConfigError
+from laurelstep.subsystems.base import ProcessContext, Subsystem, first_of
 
 if TYPE_CHECKING:
-    from laurelstep.consensus.multiplexer import ConsensusMultiplexer
-    from laurelstep.consensus.node import ConsensusNode
-    from laurelstep.consensus.ports import StateMachine
     from laurelstep.engine.ports import Recorder
-    from laurelstep.hot_restart.predecessor import HotRestartServer
-    from laurelstep.hot_restart.rendezvous import RendezvousPoint
-    from laurelstep.hot_restart.successor import PredecessorHandle
-    from laurelstep.maintenance.subsystem import MaintenanceSubsystem
-    from laurelstep.management.server import Management
-    from laurelstep.outbox.driver import OutboxDriver
-    from laurelstep.outbox.shared.assembly import Shared
-    from laurelstep.outbox.shared.carried import Carried
+    from laurelstep.subsystems.consensus import ConsensusSubsystem
+    from laurelstep.subsystems.hot_restart import Arrival, HotRestartSubsystem
+    from laurelstep.subsystems.maintenance import MaintenanceSubsystem
+    from laurelstep.subsystems.outbox import OutboxSubsystem
+    from laurelstep.subsystems.request_journal import RequestJournalSubsystem
     from laurelstep.workers.worker import WorkerSlot
 
-ReadConfig = Callable[[dict[str, str]], Config]
-
-
-class Arrival:
-    """How a process comes: alone, or beside one that serves at the same addresses."""
-
-    def __init__(
-        self, rendezvous: RendezvousPoint, has_others: bool, predecessor: PredecessorHandle | None
-    ) -> None:
-        self.rendezvous = rendezvous
-        self.has_others = has_others
-        self.predecessor = predecessor
-
-    def config(self, config: Config) -> Config:
-        """With the list that the other process had, where there is one."""
-        from laurelstep.hot_restart.state import config_with_state
-
-        return config if self.predecessor is None else config_with_state(config, self.predecessor.state)
-
-
-def arrive(config: Config, environ: Mapping[str, str]) -> Arrival | None:
-    """None where no process can take over: without a second address, which tells one version
-    from the next, or with a request journal or an outbox, whose stores have one owner."""
-    has_store = config.orders is not None or config.outbox is not None
-    if config.management is None or config.listen is None or has_store:
-        return None
-    from laurelstep.hot_restart.messages import HotRestartError
-    from laurelstep.hot_restart.rendezvous import RendezvousPoint
-    from laurelstep.hot_restart.successor import take_over
-
-    try:
-        rendezvous = RendezvousPoint(config.listen, environ.get("TMPDIR") or "/tmp")
-        has_others = rendezvous.register()
-    except OSError as error:
-        log(f"no hot restart: {error}")
-        return None
-    try:
-        predecessor = take_over(rendezvous, config.listen) if has_others else None
-        return Arrival(rendezvous, has_others, predecessor)
-    except HotRestartError as error:
-        log(f"no hot restart, the address is shared: {error}")
-        return Arrival(rendezvous, has_others, None)
-
 
 class Daemon:
+    """Runs until a stop is over."""
+
     def __init__(self, config: Config, environ: Mapping[str, str], arrival: Arrival | None) -> None:
         self.config = config
-        self.environ = environ
-        self.arrival = arrival
         self.loop = asyncio.get_running_loop()
+        self.context = ProcessContext(self.loop, config, environ)
+        self.arrival = arrival
         self.lifecycle = Lifecycle()
-        self.slices = CooperativeTask(self.loop)
         self.ended = asyncio.Event()
-        self.management: Management | None = None
-        self.hot_restart: HotRestartServer | None = None
-        self.has_predecessor = arrival is not None and arrival.predecessor is not None
-        self.was_alone = arrival is None or not arrival.has_others
-        self.node: ConsensusNode | None = None
+        self.subsystems: list[Subsystem] = []  # those that are on
+        self.journal: RequestJournalSubsystem | None = None
+        self.outbox: OutboxSubsystem | None = None
         self.maintenance: MaintenanceSubsystem | None = None
-        self.outbox: OutboxDriver | None = None
-        self.shared: Shared | None = None  # what copies share of kept writes
-        self.carried: Carried | None = None  # the same, where this copy does not
-        self.multiplexer: ConsensusMultiplexer | None = None
-        self.leaving = False
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.consensus: ConsensusSubsystem | None = None
+        self.hot_restart: HotRestartSubsystem | None = None
 
     async def run(self, read_config: ReadConfig, slot: WorkerSlot | None = None) -> None:
         """Until a stop is over. `ConfigError` if it can't begin."""
-        config = self.config
-        orders = None
-        if config.orders is not None:
-            orders = await open_journal(config.orders, config.names.classes, log)
-        self.shared = self._outbox_shared()
-        self.outbox = await self._outbox()
-        self.maintenance = self._maintenance()
-        self.node = self._consensus_node()
-        recorder = self._recorder(orders)
-        holding = None if self.maintenance is None else self.maintenance.wrap_source
-        self.parts = Assembly(self.loop, config, log, recorder, collector=Collector(), holding=holding)
-        self.parts.start()
-        self.server = Server(
-            self.loop,
-            self.parts.engine,
-            config.side_sockets,
-            self.parts.upstream.retire,
-            self.lifecycle,
-            config.memory_mb,
-        )
-        if self.outbox is not None:
-            self.outbox.begin(self.parts.engine)
-            self.server.on_receipt_query = self.outbox.ask
-        self._begin_sharing(alone=orders is None)
-        await self._take_part()
-        self._heed_signals(read_config)  # from here on a caller may come, and a start may have to wait
+        await self._open_subsystems()
+        self._open_sockets()
+        for subsystem in self.subsystems:
+            await subsystem.start(self.sockets.engine, self.server)
+        self._handle_signals(read_config)  # from here on a client may come, and a start may have to wait
         try:
             await self._listen(shared=slot is not None)
         except OSError as error:
@@ -140,378 +64,142 @@
         if slot is not None and not self.ended.is_set():
             from laurelstep.workers.worker import join_supervisor
 
-            await join_supervisor(self.loop, slot, self.parts.engine, self.stop)
+            await join_supervisor(self.loop, slot, self.sockets.engine, self.stop)
         await self.ended.wait()
-        self.leaving = True
-        if self.outbox is not None:
-            await self.outbox.close()  # what is out may still be answered
-        if self.shared is not None:
-            await self.shared.close()
-        self._close()
-        if self.node is not None:
-            await self.node.close()
-        if orders is not None:
-            await orders.close()
+        await self._close()
 
     def stop(self) -> None:
-        if self.lifecycle.phase is Phase.STARTING:  # nobody was taken yet
+        """SIGTERM: finish what was taken, then end."""
+        if self.lifecycle.phase is Phase.STARTING:  # no client was taken yet
             self.lifecycle.stop(self.loop.time())
             self.ended.set()
         else:
             self.server.stop(self.ended.set)
 
-    def _heed_signals(self, read_config: ReadConfig) -> None:
-        self.loop.add_signal_handler(
-            signal.SIGHUP, reload, dict(self.environ), self.parts.source, read_config, self.config
+    # --- Wiring -------------------------------------------------------------------------
+
+    async def _open_subsystems(self) -> None:
+        """Those that are on, each in hand of its store, and joined with those that it rests on."""
+        config, context = self.config, self.context
+        if self.arrival is not None:
+            from laurelstep.subsystems.hot_restart import HotRestartSubsystem
+
+            self.hot_restart = HotRestartSubsystem(context, self.arrival)
+        if config.orders is not None:
+            from laurelstep.subsystems.request_journal import RequestJournalSubsystem
+
+            self.journal = await RequestJournalSubsystem.open(context)
+        if config.outbox is not None:
+            from laurelstep.subsystems.outbox import OutboxSubsystem
+
+            self.outbox = await OutboxSubsystem.open(context)
+        if config.maintenance is not None:
+            from laurelstep.subsystems.maintenance import MaintenanceSubsystem
+
+            self.maintenance = MaintenanceSubsystem.create(context)
+        if config.accord is not None:
+            self._open_consensus()
+        listed = (self.journal, self.outbox, self.consensus, self.maintenance)
+        self.subsystems += [one for one in listed if one is not None]
+
+    def _open_consensus(self) -> None:
+        from laurelstep.subsystems.consensus import ConsensusSubsystem
+
+        hot_restart, maintenance = self.hot_restart, self.maintenance
+        self.consensus = ConsensusSubsystem.create(
+            self.context,
+            None if maintenance is None else maintenance.assembly.state_machines,
+            None if self.outbox is None else self.outbox.machines,
+            None if hot_restart is None else hot_restart.inherited_state,
         )
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # one that waited is heeded now
-        self.loop.add_signal_handler(signal.SIGTERM, self.stop)
-        self.loop.add_signal_handler(signal.SIGINT, self.stop)
+        if maintenance is not None and self.consensus is not None:
+            alone = (lambda: True) if hot_restart is None else hot_restart.is_only_version
+            maintenance.join(self.consensus.multiplexer, alone)
 
-    def _close(self) -> None:
-        self.slices.close()
-        if self.maintenance is not None:
-            self.maintenance.close()
-        self.parts.close()
+    def _open_sockets(self) -> None:
+        """The engine with its discovery and its connections to endpoints; the server does not listen yet."""
+        config = self.config
+        holding = None if self.maintenance is None else self.maintenance.assembly.wrap_source
+        self.sockets = Assembly(
+            self.loop, config, log, self._recorder(), collector=Collector(), holding=holding
+        )
+        self.sockets.start()
+        self.server = Server(
+            self.loop,
+            self.sockets.engine,
+            config.side_sockets,
+            self.sockets.upstream.retire,
+            self.lifecycle,
+            config.memory_mb,
+        )
         if self.hot_restart is not None:
-            self.hot_restart.close()
-        if self.management is not None:
-            self.management.close()
-
-    # --- What the copies of the tier share ----------------------------------------------
-
-    def _consensus_node(self) -> ConsensusNode | None:
-        """This process's part in it, not yet begun, with all that rests on it; None where it is off."""
-        settings = self.config.accord
-        if settings is None:
-            return None
-        if not settings.is_linked:
-            log("accord: off, and what rests on it: the configuration has no peers and peer_listen")
-            return None
-        # Imported where it is on.
-        from laurelstep.consensus.assembly import build_node, check_store_folder
-        from laurelstep.consensus.multiplexer import ConsensusMultiplexer
-        from laurelstep.consensus.state_machines import CompositeStateMachine
-        from laurelstep.engine.clock import LoopClock
-        from laurelstep.maintenance.subsystem import passive_state_machines
-        from laurelstep.outbox.shared.entries import KIND as KEPT_WRITES
-
-        try:
-            check_store_folder(settings.store_path)
-            clock = LoopClock(self.loop)
-            maintenance = (
-                passive_state_machines() if self.maintenance is None else self.maintenance.state_machines
-            )
-            state_machines = CompositeStateMachine(maintenance | self._machines())
-            node = build_node(settings, state_machines, self.loop, clock, log)
-            self.multiplexer = ConsensusMultiplexer(node)
-            if self.carried is not None:
-                self.carried.join(self.multiplexer.channel(KEPT_WRITES), clock)
-            return node
-        except ImportError as error:
-            problem = f"{error.name} is missing: pip install 'laurelstep[store]'"
-        except OSError as error:
-            problem = f"{settings.store_path}: {error.strerror}: expected a folder that this user may write"
-        raise ConfigError(f"{self._file}accord.store_path: {problem}")
+            self.hot_restart.join(self.sockets, self.consensus, self.maintenance)
 
-    async def _take_part(self) -> None:
-        if self.node is None:
-            return
-        from laurelstep.hot_restart.state import decode_replica
+    def _recorder(self) -> Recorder | None:
+        journal = None if self.journal is None else self.journal.recorder
+        if self.outbox is None or self.consensus is None:
+            return journal
+        return self.outbox.recorder(self.consensus.multiplexer, journal)
 
-        predecessor = None if self.arrival is None else self.arrival.predecessor
-        try:
-            await self.node.start(None if predecessor is None else decode_replica(predecessor.state))
-        except OSError as error:
-            listen = self.config.accord.listen if self.config.accord is not None else ""
-            problem = f"{listen}: {error.strerror}: expected where this process may listen, on this machine"
-            raise ConfigError(f"{self._file}accord.peer_listen: {problem}") from None
-        if self.maintenance is not None and self.multiplexer is not None:
-            from laurelstep.maintenance.entries import SUBSYSTEM_TAG as MAINTENANCE_TAG
-
-            channel = self.multiplexer.channel(MAINTENANCE_TAG)
-            self.maintenance.start(channel, self.parts.engine, self._is_alone)
-
-    def _outbox_shared(self) -> Shared | None:
-        """What upstream's copies share of edges' kept writes, not yet begun; None where it is off."""
-        if self.config.outbox is None or not self.config.outbox.shared:
-            return None
-        # Imported where it is on.
-        try:
-            from laurelstep.outbox.shared.assembly import Shared
-        except ImportError as error:
-            missing = f"{error.name} is missing: pip install 'laurelstep[store]'"
-            raise ConfigError(f"{self._file}outbox.shared: {missing}") from None
-        return Shared(self.loop, self.config, log)
-
-    def _machines(self) -> dict[int, StateMachine]:
-        """The record's part of kept writes: every copy that takes part carries it."""
-        if self.shared is not None:
-            return self.shared.machines
-        from laurelstep.outbox.shared.carried import Carried
-
-        self.carried = Carried()
-        return self.carried.machines
-
-    def _recorder(self, orders: Recorder | None) -> Recorder | None:
-        """That of `[orders]`, behind the gate for edges' replays where there is one."""
-        if self.shared is None or self.outbox is None or self.multiplexer is None:
-            return orders
-        from laurelstep.outbox.shared.entries import KIND
-
-        return self.shared.join(self.multiplexer.channel(KIND), self.outbox, orders)
-
-    def _begin_sharing(self, alone: bool) -> None:
-        if self.shared is None or self.shared.gate is None:
-            return
-        if alone:
-            self.server.max_body = LARGE_MAX  # the gate holds no bodies
-        self.server.on_shared_query = self.shared.gate.ask
-        self.shared.begin()
-
-    async def _outbox(self) -> OutboxDriver | None:
-        """The writes kept by earlier lives; None where it is off. `ConfigError` if they can't be read."""
-        settings, names = self.config.outbox, self.config.names
-        if settings is None:
-            return None
-        # Imported where it is on.
-        try:
-            from laurelstep.outbox.driver import open_driver
-        except ImportError as error:
-            missing = f"{error.name} is missing: pip install 'laurelstep[store]'"
-            raise ConfigError(f"{self._file}outbox: {missing}") from None
-        frontier = None if self.shared is None else self.shared.frontier
-        return await open_driver(settings, names.classes, names.tenants, log, self._file, frontier)
-
-    def _maintenance(self) -> MaintenanceSubsystem | None:
-        """Machines out for work, not yet begun; None where it is off, or has nothing to rest on."""
-        settings, accord = self.config.maintenance, self.config.accord
-        if settings is None or accord is None or not accord.is_linked:
-            return None
-        # Imported where it is on.
-        from laurelstep.maintenance.subsystem import MaintenanceSubsystem
-
-        return MaintenanceSubsystem(self.loop, self.config, settings, log)
-
-    def _is_alone(self) -> bool:
-        """Whether no process of the version before sends to endpoints any more. Asked at the lock:
-        one that has given this process up may live on."""
-        if self.has_predecessor:
-            return False
-        if not self.was_alone:
-            self.was_alone = self.arrival is None or not self.arrival.rendezvous.register()
-        return self.was_alone
-
-    async def _know(self) -> bool:
-        """Wait until this process may send: False if it was stopped meanwhile. `ConfigError` if the
-        one before it did not wait as long, and serves on: two of them would take callers."""
-        if self.maintenance is None:
-            return not self.ended.is_set()
-        predecessor = None if self.arrival is None else self.arrival.predecessor
-        given_up = asyncio.Event()
-        if predecessor is not None:
-            self.loop.add_reader(predecessor.channel.fileno(), given_up.set)  # nothing else is said there yet
-        while True:
-            events = [self.maintenance.may_serve, self.ended, *([] if predecessor is None else [given_up])]
-            waits = [self.loop.create_task(one.wait()) for one in events]
-            await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-            for one in waits:
-                one.cancel()
-            if predecessor is not None:
-                self.loop.remove_reader(predecessor.channel.fileno())
-            if predecessor is None or not given_up.is_set():
-                return not self.ended.is_set()
-            if self.arrival is not None and self.arrival.rendezvous.register():
-                raise ConfigError(
-                    f"{self._file}upkeep.start_alone: what is out was not known in time, the version before "
-                    "serves on: start this one again once a majority of the seats is up"
-                )
-            predecessor = None  # it has ended: there is nobody to come after
-
-    @property
-    def _file(self) -> str:
-        """The operator's, where there is one, to begin a line with."""
-        path = self.environ.get("LB_OPERATOR")
-        return f"{path}: " if path else ""
-
-    def _begin_again(self) -> None:
-        """Nobody follows any more: take part again, if this process has given up its part."""
-        hot_restart = self.hot_restart
-        if (
-            self.node is not None
-            and hot_restart is not None
-            and hot_restart.progress.is_alone
-            and not self.leaving
-        ):
-            self._spawn(self.node.restart())
-
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = self.loop.create_task(work)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
-
-    # --- Listening ------------------------------------------------------------------
+    # --- Listening ----------------------------------------------------------------------
 
     async def _listen(self, shared: bool) -> None:
-        config, arrival = self.config, self.arrival
+        config, hot_restart = self.config, self.hot_restart
         assert config.listen is not None
-        # The second address answers before callers are taken: a start can be watched.
+        # The second address answers before clients are taken: a start can be watched.
         if config.management is not None:
-            await self._manage(*config.management)
-        if not await self._know():
+            from laurelstep.subsystems.management import ManagementSubsystem
+
+            asked = [one for one in (self.maintenance, self.outbox) if one is not None]
+            await self._start(ManagementSubsystem(self.context, config.management, self.lifecycle, asked))
+        if not await self._may_serve():
             return
-        if arrival is None:
+        if hot_restart is None:
             await self.server.listen(*config.listen, shared=shared)
-            return
-        if arrival.predecessor is not None:
-            await self.server.listen(*config.listen, handed=arrival.predecessor.listener)
         else:
-            if not arrival.has_others:
-                check_free(*config.listen)
-            # Shared with the process that comes next, should that not get the listener.
-            await self.server.listen(*config.listen, shared=True)
-        self._be_succeeded(arrival)
-
-    async def _manage(self, host: str, port: int) -> None:
-        # Imported where it is on, as all that a plain daemon does without.
-        from laurelstep.management.calls import MoreCalls, Reply, reply_to
-        from laurelstep.management.server import Management
-        from laurelstep.management.telemetry import figures
-
-        subsystems: list[MoreCalls] = []
-        if self.maintenance is not None:
-            subsystems.append(self.maintenance.reply)
-        if self.outbox is not None:
-            from laurelstep.outbox.calls import Claimer, reply_about
-
-            claimer = self.shared or (self.outbox if isinstance(self.outbox, Claimer) else None)
-            subsystems.append(partial(reply_about, desk=self.outbox, shared=self.shared, claimer=claimer))
+            await hot_restart.listen(self.server, *config.listen)
+            await self._start(hot_restart)
 
-        def more(method: bytes, target: bytes) -> Reply | None:
-            found = (one(method, target) for one in subsystems)
-            return next((reply for reply in found if reply is not None), None)
+    async def _start(self, subsystem: Subsystem) -> None:
+        self.subsystems.append(subsystem)
+        await subsystem.start(self.sockets.engine, self.server)
 
-        def asked(method: bytes, target: bytes) -> Reply:
-            now = self.loop.time()
-            return reply_to(method, target, self.lifecycle, now, lambda: figures(self.parts.engine), more)
-
-        self.management = Management(self.loop, asked)
-        await self.management.listen(host, port)
+    async def _may_serve(self) -> bool:
+        """Wait until this process may send; False if it was stopped meanwhile."""
+        if self.maintenance is not None:
+            events = (self.maintenance.may_send, self.ended)
+            if self.hot_restart is None:
+                await first_of(events)
+            else:
+                await self.hot_restart.wait_while_followed(*events)
+        return not self.ended.is_set()
 
-    # --- One version after the other ------------------------------------------------
+    # --- Signals and the end ------------------------------------------------------------
 
-    def _be_succeeded(self, arrival: Arrival) -> None:
-        """Serving: tell the process before this one, and wait for the one after it."""
-        from laurelstep.hot_restart.predecessor import HotRestartServer
+    def _handle_signals(self, read_config: ReadConfig) -> None:
+        self.loop.add_signal_handler(signal.SIGHUP, self._reload, read_config)
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # one that waited is handled now
+        self.loop.add_signal_handler(signal.SIGTERM, self.stop)
+        self.loop.add_signal_handler(signal.SIGINT, self.stop)
 
-        if arrival.predecessor is not None:
-            self.has_predecessor = True
-            self.loop.add_reader(
-                arrival.predecessor.channel.fileno(), self._predecessor_ended, arrival.predecessor
-            )
-            arrival.predecessor.report_ready()
-        listener: Any = self.server.listener
-        try:
-            self.hot_restart = HotRestartServer(
-                self.loop, arrival.rendezvous, listener.sockets[0], self._collect, self._changed, log
-            )
-        except OSError as error:
-            log(f"no hot restart to a next version: {error}")
-        else:
-            self.server.shutdown.succeeded = (
-                lambda: self.hot_restart is not None and self.hot_restart.progress.is_taken_over
-            )
-        self._share()
-
-    def _predecessor_ended(self, predecessor: PredecessorHandle) -> None:
-        self.loop.remove_reader(predecessor.channel.fileno())
-        predecessor.channel.close()
-        self.has_predecessor = False
-        self._share()
-
-    def _changed(self) -> None:
-        """A hot restart has come further, or to nothing."""
-        self._share()
-        self._begin_again()
-
-    def _share(self) -> None:
-        """Two processes have one sidecar's descriptors."""
-        alone = not self.has_predecessor and (self.hot_restart is None or self.hot_restart.progress.is_alone)
-        most = self.config.side_sockets if alone else self.config.shared_side_sockets
-        self.server.max_connections = self.parts.upstream.max_connections = most
-
-    def _collect(self, give: Callable[[dict[str, bytes]], None]) -> None:
-        """What the next process would have to learn anew."""
-        from laurelstep.hot_restart.state import collect_state
-
-        source, known = self.parts.source, list[bytes]()
-        generation = source.generation if isinstance(source, Discovery) else 0
-
-        def ended(error: Exception | None) -> None:
-            state = {} if error is not None else collect_state(self.config, source, known[0])
-            if self.node is None:
-                give(state)
-            else:
-                self._spawn(self._retire(self.node, state, give))
+    def _reload(self, read_config: ReadConfig) -> None:
+        config = reloaded_config(dict(self.context.environ), read_config, self.config)
+        if config is None:
+            return
+        move_discovery(self.sockets.source, config)
+        for subsystem in self.subsystems:
+            subsystem.reload(config)
 
-        if self.maintenance is not None and self.maintenance.source is not None:
-            # What is held back is not in the engine's list, and is the next process's all the same.
-            steps = self.maintenance.source.dump_in_steps(generation, known)
-        else:
-            steps = dump_in_steps(self.parts.engine.members, generation, known)
-        self.slices.run(steps, ended)
-
-    async def _retire(
-        self, node: ConsensusNode, state: dict[str, bytes], give: Callable[[dict[str, bytes]], None]
-    ) -> None:
-        """The next process is the same member of the tier: this one ceases to be one, then tells."""
-        from laurelstep.hot_restart.state import encode_replica
-
-        memory = await node.retire()
-        give({**state, **encode_replica(memory)})
-        self._begin_again()  # if it went away meanwhile
-
-
-def check_free(host: str, port: int) -> None:
-    """OSError if somebody listens there. Guards against another daemon's callers: the address is
-    then bound so that a next version may share it, and so would anybody's daemon."""
-    if port == 0:
-        return
-    family, kind, _, _, found = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM)[0]
-    with socket.socket(family, kind) as one:
-        one.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        one.bind(found)
-
-
-def changed_keys(old: Config, new: Config) -> list[str]:
-    """What a new configuration says otherwise and a reload leaves as it is. `seed` and `known` are
-    for a start, and new with each."""
-    apart = ("discovery", "seed", "known", "names", "settings")
-    own = [one.name for one in fields(Config) if one.name not in apart]
-    rules = [one.name for one in fields(Settings)]
-    named = ["classes", "tenants", "zones", "kinds"]
-    return [
-        *(name for name in own if getattr(old, name) != getattr(new, name)),
-        *(f"settings.{name}" for name in rules if getattr(old.settings, name) != getattr(new.settings, name)),
-        *(f"names of {name}" for name in named if getattr(old.names, name) != getattr(new.names, name)),
-    ]
-
-
-def reload(
-    environ: dict[str, str], source: MemberSource, read_config: ReadConfig, running: Config | None = None
-) -> None:
-    """SIGHUP: what the file now says of discovery holds, also against the
-    environment of the start; a file that can't be used changes nothing. All else stays as it is
-    until the next start, which a line says: requests under way keep the rules they came under."""
-    try:
-        config = read_config({name: value for name, value in environ.items() if name != "LB_DISCOVERY"})
-    except ConfigError as error:
-        log(f"not reloaded: {error}")
-    else:
-        if running is not None and (ignored := changed_keys(running, config)):
-            log(f"reloaded: discovery only; for the next start: {', '.join(ignored)}")
-        if isinstance(source, Discovery) and config.discovery is not None:
-            source.move(config.discovery)
+    async def _close(self) -> None:
+        if self.hot_restart is not None:
+            self.hot_restart.stopping = True
+        for subsystem in self.subsystems:
+            if not subsystem.outlives_sockets:
+                await subsystem.stop()
+        self.sockets.close()
+        for subsystem in reversed(self.subsystems):
+            if subsystem.outlives_sockets:
+                await subsystem.stop()
 
 
 async def serve(
@@ -521,4 +209,5 @@
     slot: WorkerSlot | None = None,
     arrival: Arrival | None = None,
 ) -> None:
+    """Run one daemon on the running loop until its stop is over."""
     await Daemon(config, environ, arrival).run(read_config, slot)
--- a/laurelstep/engine/given.py
+++ b/laurelstep/engine/static_members.py
@@ -1,4 +1,4 @@
-"""Members that are given and changed in code, as the engine's source of members."""
+"""EndpointTable that are given and changed in code, as the engine's source of members."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from laurelstep.engine.ports import MemberSink
 
 
-class GivenMembers:
+class StaticMembers:
     """Holds the whole list, in discovery's form, and tells it when it changes."""
 
     def __init__(self, entries: Sequence[Any] = ()) -> None:
--- a/laurelstep/maintenance/subsystem.py
+++ b/laurelstep/maintenance/assembly.py
@@ -30,7 +30,7 @@
     return {SUBSYSTEM_TAG[0]: MaintenanceState()}
 
 
-class MaintenanceSubsystem:
+class MaintenanceAssembly:
     """In the order of a start: `state_machines` into the log, `wrap_source` into the engine, `start`."""
 
     def __init__(
--- a/laurelstep/maintenance/machines.py
+++ b/laurelstep/maintenance/machines.py
@@ -12,7 +12,7 @@
 from math import inf
 from typing import Any, Final
 
-from laurelstep.engine.members import PHASES, endpoint_number, split_address
+from laurelstep.engine.endpoint_table import PHASES, endpoint_number, split_address
 from laurelstep.interface import DRAINING, READY
 from laurelstep.maintenance.requests import LimitScope
 
--- a/laurelstep/net/client_connection.py
+++ b/laurelstep/net/client_connection.py
@@ -11,8 +11,8 @@
 from http import HTTPStatus
 from typing import Any, Final, cast
 
+from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.call import Answer, Call
-from laurelstep.engine.flow import Flow
 from laurelstep.net.errors import BadRequestError
 from laurelstep.net.message import lines
 from laurelstep.net.request_receiver import STOPS, RequestReceiver
@@ -54,7 +54,7 @@
         self._abandon()
         answer, self.answer = self.answer, None
         if answer is not None:
-            answer.leave()
+            answer.abandon()
         self.server.on_disconnect(self)
 
     def eof_received(self) -> None:
@@ -79,7 +79,7 @@
     # --- Writing --------------------------------------------------------------------
 
     def answered(self, call: Call, answer: Answer) -> None:
-        """The final answer to the call in hand, as `engine.call.Front` has it."""
+        """The final answer to the call in hand, as `engine.call.Frontend` has it."""
         self.call = None
         unread = self.upload is not None
         self._release_body()
@@ -108,7 +108,7 @@
 
     # --- An answer that is passed on while it comes -----------------------------------
 
-    def _stream_answer(self, answer: Answer, flow: Flow, unread: bool) -> None:
+    def _stream_answer(self, answer: Answer, flow: BodyStream, unread: bool) -> None:
         if self.transport is None or self.transport.is_closing():
             return
         self.chunked = flow.length < 0 and self.parser.get_http_version() == "1.1"
@@ -124,8 +124,8 @@
         )
         flow.attach(self)
 
-    def flow(self, data: bytes) -> None:
-        """A part of an answer that is streamed, as `engine.flow.Taker` has it."""
+    def on_data(self, data: bytes) -> None:
+        """A part of an answer that is streamed, as `engine.body_stream.BodySink` has it."""
         if self.transport is None or self.transport.is_closing():
             return
         if self.chunked:
@@ -133,15 +133,15 @@
         else:
             self.transport.write(data)
 
-    def flowed(self, whole: bool) -> None:
+    def on_end(self, complete: bool) -> None:
         """The end of an answer that is streamed."""
         self.answer = None
         self.server.paused.discard(self)
         if self.transport is None or self.transport.is_closing():
             return
-        if whole and self.chunked:
+        if complete and self.chunked:
             self.transport.write(b"0\r\n\r\n")
-        if whole and self.keep_alive:
+        if complete and self.keep_alive:
             self.server.idle.add(self)
             if self.pipelined and self.has_left():  # its end lay behind what was not read
                 self.close()
@@ -149,8 +149,8 @@
                 self._resume_pipelined()
             elif not self.server.lifecycle.keeps:  # it did when the answer's head was written
                 self.close_if_idle()
-        elif whole or self.chunked or self.keep_alive:
-            # What has been given is still read; that it is not whole shows in its framing.
+        elif complete or self.chunked or self.keep_alive:
+            # What has been given is still read; that it is not complete shows in its framing.
             self.close()
         else:
             self.abort()
--- a/laurelstep/net/discovery.py
+++ b/laurelstep/net/discovery.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from laurelstep.engine.listing import STEP, parse_in_steps, usable
+from laurelstep.engine.list_updates import STEP, parse_in_steps, usable
 from laurelstep.engine.ports import Log, MemberSink
 from laurelstep.net.collector import Collector
 from laurelstep.net.cooperative_task import CooperativeTask
--- a/laurelstep/net/endpoint_request.py
+++ b/laurelstep/net/endpoint_request.py
@@ -4,8 +4,8 @@
 
 from typing import Final
 
+from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.call import Attempt
-from laurelstep.engine.flow import Flow
 
 # Of the time left to the client an endpoint is told so much less, or this part of it if that is less: the
 # request may have waited to be read, and what is written leaves at the end of the event loop's turn.
@@ -29,7 +29,7 @@
     return b"%b HTTP/1.1\r\n%b%b%b\r\n%b" % (call.start, call.head, wait, length, call.body)
 
 
-def encode_upload_head(attempt: Attempt, upload: Flow, now: int) -> bytes:
+def encode_upload_head(attempt: Attempt, upload: BodyStream, now: int) -> bytes:
     """The head of a request whose body follows as it comes, at the time `now` in us."""
     call = attempt.call
     # Counted by the endpoint from the last byte on, as by the caller.
--- a/laurelstep/net/response_receiver.py
+++ b/laurelstep/net/response_receiver.py
@@ -11,8 +11,8 @@
 
 import httptools
 
+from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.call import Answer, Attempt, Ending, Headers
-from laurelstep.engine.flow import Flow
 from laurelstep.flow_control.throughput import has_min_throughput
 from laurelstep.interface import OK
 from laurelstep.net.connection_pool import ConnectionPool, PooledConnection
@@ -49,7 +49,7 @@
         super().__init__(pool, attempt)
         self.owner = owner
         self.transport: asyncio.Transport | None = None
-        self.answer: Flow | None = None  # an answer that is streamed
+        self.answer: BodyStream | None = None  # an answer that is streamed
         self.reserved = 0  # bytes of the budget for answers
         self.streaming_since = 0.0  # when streaming began, without the time that it was paused; s of the loop
         self.paused_since = 0.0  # when its client last had no room
@@ -130,7 +130,7 @@
         assert attempt is not None
         self.owner.by_attempt.pop(attempt, None)
         self.owner.receiving.discard(self)
-        answer = self.answer = Flow(self, max(self.length, CHUNKED))
+        answer = self.answer = BodyStream(self, max(self.length, CHUNKED))
         if self.body:
             answer.feed(bytes(self.body))
             self.body = bytearray()
@@ -140,8 +140,8 @@
         passed = pass_on(self.headers, ANSWER_HEADERS)
         final = Answer(Ending.SERVED, 200, passed, flow=answer)
         attempt.end(OK, final, (self.fields or {}).get(b"x-load", b""))
-        if not answer.begun:
-            answer.leave()  # nobody waits for it any more
+        if not answer.started:
+            answer.abandon()  # nobody waits for it any more
 
     def _check_throughput(self) -> None:
         """Guards a client against an answer that goes on for ever, a little at a time."""
@@ -154,7 +154,7 @@
         else:
             self.close()
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         """The client has no room: read no more for now."""
         if self in self.owner.streaming.since:
             self.owner.streaming.discard(self)
@@ -162,7 +162,7 @@
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """The client has room again."""
         if self.transport is not None and not self.transport.is_closing():
             if self not in self.owner.streaming.since:
@@ -170,7 +170,7 @@
                 self.streaming_since += self.owner.loop.time() - self.paused_since
             self.transport.resume_reading()
 
-    def unwanted(self) -> None:
+    def on_abandoned(self) -> None:
         """The client takes no more of the answer."""
         self.answer = None
         self.close()
--- a/laurelstep/net/upstream.py
+++ b/laurelstep/net/upstream.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from laurelstep.engine.call import Attempt
-from laurelstep.engine.members import split_address
+from laurelstep.engine.endpoint_table import split_address
 from laurelstep.interface import MOOT, NO_CONNECT
 from laurelstep.net.connection_pool import ConnectionPool
 from laurelstep.net.endpoint_connection import EndpointConnection
--- a/setup.py
+++ b/setup.py
@@ -13,13 +13,15 @@
 MODULES = (
     *("interface", "policy"),
     *(
+        "engine/attempts",
+        "engine/body_stream",
         "engine/call",
         "engine/clock",
+        "engine/counters",
+        "engine/endpoint_table",
         "engine/engine",
-        "engine/flow",
-        "engine/members",
+        "engine/loop_watch",
         "engine/names",
-        "engine/tally",
     ),
     *("lifecycle/phases", "resources/descriptors", "flow_control/buffer_budget", "flow_control/throughput"),
     *("net/deadline_sweeper", "net/message", "net/request"),
--- a/tests/test_maintenance_state.py
+++ b/tests/test_maintenance_state.py
@@ -9,6 +9,7 @@
 import pytest
 
 from laurelstep.consensus.state_machines import CompositeStateMachine
+from laurelstep.maintenance.assembly import passive_state_machines
 from laurelstep.maintenance.bounds import MAX_ENTRY_BYTES, MAX_MACHINES_OUT, MAX_OPEN_REQUESTS
 from laurelstep.maintenance.entries import (
     SUBSYSTEM_TAG,
@@ -33,7 +34,6 @@
     MachineState,
     next_state,
 )
-from laurelstep.maintenance.subsystem import passive_state_machines
 from tests.maintenance import (
     request_for,
 )
