--- a/laurelstep/engine/call.py
+++ b/laurelstep/engine/call.py
@@ -69,17 +69,21 @@
 class Handle(Protocol):
     """Something that will be called, unless it is cancelled before."""
 
-    def cancel(self) -> None: ...
+    def cancel(self) -> None:
+        """It will not be called."""
 
 
 class AttemptOwner(Protocol):
     """The engine, as an attempt knows it."""
 
-    def may_start(self, attempt: Attempt, now: int) -> bool: ...
+    def may_start(self, attempt: Attempt, now: int) -> bool:
+        """See `Attempt.may_start`."""
 
-    def written(self, attempt: Attempt) -> None: ...
+    def written(self, attempt: Attempt) -> None:
+        """See `Attempt.written`."""
 
-    def ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None: ...
+    def ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
+        """See `Attempt.end`."""
 
 
 class Call:
--- a/laurelstep/engine/clock.py
+++ b/laurelstep/engine/clock.py
@@ -24,6 +24,7 @@
         self.set()
 
     def set(self) -> None:
+        """Ask the loop for it."""
         delay = max(0, self.due - self.clock.now() + 999) // 1000 / 1000
         self.handle = self.clock.loop.call_later(delay, self.woken)
 
@@ -36,6 +37,7 @@
             self.callback(*args)
 
     def cancel(self) -> None:
+        """It will not be called."""
         handle = self.handle
         if handle is not None:
             handle.cancel()
@@ -54,10 +56,13 @@
         self.loop = loop
 
     def now(self) -> int:
+        """The system's monotonic time."""
         return time.monotonic_ns() // 1000
 
     def wall(self) -> int:
+        """Unix time, which may be set."""
         return time.time_ns() // 1000
 
     def at(self, due: int, callback: Callable[..., None], *args: Any) -> Timer:
+        """Call at `due` or after, never before."""
         return Timer(self, due, callback, args)
--- a/laurelstep/engine/counters.py
+++ b/laurelstep/engine/counters.py
@@ -22,6 +22,7 @@
         self.sends = 0  # attempts whose last byte was written
 
     def end(self, cls: int, ending: Ending) -> None:
+        """A request of a class has its final answer."""
         if ending == Ending.SERVED:
             self.answered[cls] += 1
         elif ending == Ending.REFUSED:
--- a/laurelstep/engine/endpoint_table.py
+++ b/laurelstep/engine/endpoint_table.py
@@ -54,6 +54,8 @@
 
 
 class EndpointTable:
+    """Listed endpoints by their number, those withdrawn among them while the drain grace lasts."""
+
     def __init__(self, clock: Clock, names: Names, upstream: Upstream, drain_grace_us: int) -> None:
         self.clock = clock
         self.names = names
@@ -65,6 +67,7 @@
         self.withdrawn: deque[tuple[int, int]] = deque()  # when, and which; it may be back since
 
     def may_receive(self, endpoint: int, now: int) -> bool:
+        """Whether an attempt may begin there at the time `now`, in us."""
         listed = self.places.get(endpoint)
         if listed is None:
             return False
@@ -75,6 +78,7 @@
         return sum(1 for listed in self.places.values() if listed.withdrawn_at is None) + len(self.draining)
 
     def note_phase(self, endpoint: int, phase: int) -> None:
+        """Count it among the draining ones, or no longer."""
         if phase == DRAINING:
             self.draining.add(endpoint)
         else:
@@ -107,6 +111,7 @@
         )
 
     def read(self, raw: Any) -> tuple[Entry, ListedEndpoint]:
+        """An entry in discovery's form; ValueError if it can't be read."""
         try:
             return self._entry(raw)
         except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
@@ -151,6 +156,7 @@
         return boot or 1  # 0 would mean long ago
 
     def record(self, now: int, entry: Entry, listed: ListedEndpoint) -> None:
+        """Take what a list says of one endpoint; another address or start is another process."""
         number = entry.endpoint
         old = self.places.get(number)
         self.note_phase(number, entry.phase)
@@ -164,6 +170,7 @@
             self.upstream.place(number, listed.address)
 
     def withdraw(self, now: int, number: int, listed: ListedEndpoint) -> None:
+        """It was told draining or gone, or left out of a complete list; the first time counts."""
         if listed.withdrawn_at is None:
             listed.withdrawn_at = now
             self.withdrawn.append((now, number))
--- a/laurelstep/engine/engine.py
+++ b/laurelstep/engine/engine.py
@@ -98,6 +98,7 @@
         self.telling = False
 
     def now(self) -> int:
+        """The time on the engine's clock, in us."""
         return self.clock.now()
 
     # --- Events -------------------------------------------------------------------
@@ -136,9 +137,10 @@
             # The module may still count it among the requests that it holds.
             self._tell(self.decisions.gone, call.id)
 
-    # --- EndpointTable ------------------------------------------------------------------
+    # --- Endpoint lists -------------------------------------------------------------
 
     def listed(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
+        """See `MemberSink.listed`."""
         self._list(LIST_FULL if whole else LIST_DELTA, entries)
 
     def list_in_steps(self, whole: bool, entries: list[Any], told_at: int) -> Iterator[None]:
@@ -150,6 +152,7 @@
             self._tell_list(LIST_PART if more else LIST_DELTA, entries)
 
     def list_failed(self) -> None:
+        """See `MemberSink.list_failed`."""
         self._tell_list(LIST_FAILED, ())
 
     def _list(self, mode: int, raw: Sequence[Any]) -> None:
@@ -350,15 +353,10 @@
         if outcome == OK and answer is not None and call.open:
             answer.endpoint = attempt.endpoint
             self._answer(call, answer)
+        delay_us, report = self.now() - attempt.sent, self.names.report(load) if load else None
         event = Outcome(
-            call.id,
-            attempt.copy,
-            attempt.endpoint,
-            outcome,
-            self.now() - attempt.sent,
-            not call.open,
-            self.names.report(load) if load else None,
-        )
+            call.id, attempt.copy, attempt.endpoint, outcome, delay_us, not call.open, report
+        )  # fmt: skip
         self._tell(self.decisions.outcome, event, call)
         self._forget(call)
 
--- a/laurelstep/engine/ports.py
+++ b/laurelstep/engine/ports.py
@@ -30,7 +30,8 @@
 class Clock(Protocol):
     """Time in µs that never goes back, and calls at a time."""
 
-    def now(self) -> int: ...
+    def now(self) -> int:
+        """The monotonic time."""
 
     def wall(self) -> int:
         """Unix time in µs, which may be set."""
@@ -42,19 +43,26 @@
 class Decisions(Protocol):
     """The decision module, as the engine calls it: `laurelstep.interface` has the terms."""
 
-    def start(self, now: int) -> list[Action]: ...
+    def start(self, now: int) -> list[Action]:
+        """Before anything else; `now` is the engine's time in us, here and below."""
 
-    def members(self, now: int, mode: int, entries: Sequence[Entry]) -> list[Action]: ...
+    def members(self, now: int, mode: int, entries: Sequence[Entry]) -> list[Action]:
+        """A list of endpoints, or a part of one, by `mode`."""
 
-    def request(self, now: int, event: Arrival) -> list[Action]: ...
+    def request(self, now: int, event: Arrival) -> list[Action]:
+        """A request has arrived."""
 
-    def outcome(self, now: int, event: Outcome) -> list[Action]: ...
+    def outcome(self, now: int, event: Outcome) -> list[Action]:
+        """An attempt has its one outcome."""
 
-    def whole(self, now: int, rid: int, expires: int) -> list[Action]: ...
+    def whole(self, now: int, rid: int, expires: int) -> list[Action]:
+        """The last byte of a request that is forwarded while it is received has come."""
 
-    def gone(self, now: int, rid: int) -> list[Action]: ...
+    def gone(self, now: int, rid: int) -> list[Action]:
+        """The client of a request has left; one that is not open is ignored."""
 
-    def timer(self, now: int, token: int) -> list[Action]: ...
+    def timer(self, now: int, token: int) -> list[Action]:
+        """A timer that it asked for is due."""
 
     def avoided(self, now: int) -> int:
         """How many endpoints that are ready get next to nothing now. Changes nothing."""
@@ -70,7 +78,8 @@
     def place(self, endpoint: int, address: str) -> None:
         """A new process or address: nothing of the old one is used again."""
 
-    def remove(self, endpoint: int) -> None: ...
+    def remove(self, endpoint: int) -> None:
+        """It has left: no connection to it is kept."""
 
     def free(self, endpoint: int) -> None:
         """Close the connections that rest at an endpoint."""
@@ -106,9 +115,11 @@
     def start(self, sink: MemberSink, generation: int) -> None:
         """Begin to tell, after the given version. Called once, by the engine's start."""
 
-    def watch(self, on: bool) -> None: ...
+    def watch(self, on: bool) -> None:
+        """Follow changes from now on, or no longer."""
 
-    def fetch(self) -> None: ...
+    def fetch(self) -> None:
+        """Bring the whole list once."""
 
 
 class HoldingSource(MemberSource, Protocol):
--- a/laurelstep/engine/static_members.py
+++ b/laurelstep/engine/static_members.py
@@ -17,6 +17,7 @@
         self.sink: MemberSink | None = None
 
     def start(self, sink: MemberSink, generation: int) -> None:
+        """See `MemberSource.start`."""
         self.sink = sink
         self.generation = generation
 
@@ -31,10 +32,12 @@
         """Changes are told as they are given."""
 
     def fetch(self) -> None:
+        """The whole list once more."""
         if self.sink is not None:
             self.sink.listed(self.generation, True, self.entries)
 
     def close(self) -> None:
+        """Tell nothing more."""
         self.sink = None
 
     async def wait_closed(self) -> None:
--- a/laurelstep/lifecycle/phases.py
+++ b/laurelstep/lifecycle/phases.py
@@ -18,6 +18,8 @@
 
 
 class Phase(StrEnum):
+    """Where a daemon stands between its start and its end."""
+
     STARTING = "starting"
     SERVING = "serving"
     DRAINING = "draining"  # by a call: callers are sent away, the process stays
@@ -52,7 +54,7 @@
 
 
 class Lifecycle:
-    """`watchers` hear of each change, the new phase being that of `phase` by then."""
+    """The phase of one daemon, and who is notified of its changes: `phase` is the new one by then."""
 
     def __init__(self) -> None:
         self.phase = Phase.STARTING
@@ -71,12 +73,15 @@
         return True
 
     def serve(self, now: float) -> bool:
+        """The listener is open. Like each call here: `now` in s, True if it may be asked in this phase."""
         return self._move(now, "serve")
 
     def evacuate(self, now: float) -> bool:
+        """Send the clients away; the process stays."""
         return self._move(now, "evacuate")
 
     def rejoin(self, now: float) -> bool:
+        """Take clients again."""
         return self._move(now, "rejoin")
 
     def drained(self, now: float) -> bool:
@@ -89,10 +94,12 @@
 
     @property
     def stopping(self) -> bool:
+        """Whether a graceful shutdown has begun."""
         return self.phase == Phase.STOPPING
 
     @property
     def ready(self) -> bool:
+        """Whether new clients are welcome."""
         return self.phase == Phase.SERVING
 
     @property
--- a/laurelstep/management/calls.py
+++ b/laurelstep/management/calls.py
@@ -26,6 +26,8 @@
 
 
 class Reply:
+    """An answer to a call: status, text, and the methods that are allowed where the method was not."""
+
     __slots__ = ("allow", "body", "kind", "status")
 
     def __init__(self, status: int, body: str, kind: bytes = PLAIN_TYPE, allow: bytes = b"") -> None:
@@ -56,6 +58,8 @@
     figures: Callable[[], str],
     more: MoreCalls | None = None,
 ) -> Reply:
+    """What a call is answered: by a subsystem whose call it is (`more`), by the figures, or by what the
+    lifecycle says, at the time `now` on the loop's clock, in s."""
     if more is not None and (found := more(method, target)) is not None:
         return found
     path = target.partition(b"?")[0]
--- a/laurelstep/management/server.py
+++ b/laurelstep/management/server.py
@@ -19,31 +19,34 @@
 CALLS_MOST: Final = 12
 
 # Method and target of a call, to what is answered.
-Asked = Callable[[bytes, bytes], Reply]
+CallHandler = Callable[[bytes, bytes], Reply]
 
 
-class Visitor(asyncio.Protocol):
-    """One connection."""
+class ManagementConnection(asyncio.Protocol):
+    """One connection, which carries one call."""
 
-    def __init__(self, owner: Management) -> None:
+    def __init__(self, owner: ManagementServer) -> None:
         self.owner = owner
         self.transport: asyncio.Transport | None = None
         self.parser: Any = httptools.HttpRequestParser(self)
         self.target = b""
         self.size = 0
-        self.over = False  # answered, or cut
+        self.is_over = False  # answered, or cut
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """It counts against the descriptors of this address."""
         self.transport = cast(asyncio.Transport, transport)
-        self.owner.joined(self)
+        self.owner.on_connect(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.over = True
+        """It counts no longer."""
+        self.is_over = True
         self.parser = None  # it holds this object's methods: the cycle ends here
-        self.owner.left(self)
+        self.owner.on_disconnect(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.over:
+        """More of the call; it is answered once it is whole."""
+        if self.is_over:
             return
         self.size += len(data)
         if self.size > CALL_MAX:
@@ -55,16 +58,19 @@
             self.answer(Reply(400, "malformed\n"), whole=False)
 
     def on_url(self, url: bytes) -> None:
+        """A part of the target."""
         self.target += url
 
     def on_message_complete(self) -> None:
-        if not self.over:
-            self.answer(self.owner.asked(self.parser.get_method(), self.target))
+        """The call is whole."""
+        if not self.is_over:
+            self.answer(self.owner.handler(self.parser.get_method(), self.target))
 
     def answer(self, reply: Reply, whole: bool = True) -> None:
-        if self.over or self.transport is None:
+        """Write the reply and end the connection; `whole`: nothing of the call is left to read."""
+        if self.is_over or self.transport is None:
             return
-        self.over = True
+        self.is_over = True
         self.owner.waiting.discard(self)
         self.transport.write(reply.raw())
         if whole:
@@ -74,50 +80,60 @@
             # read, and dropped, until the caller has ended its side or is cut.
             self.transport.write_eof()
 
-    def time_out(self) -> None:
-        """It never asked."""
-        self.over = True
+    def on_timeout(self) -> None:
+        """No whole call came in time."""
+        self.is_over = True
         if self.transport is not None:
             self.transport.close()
 
-    def cut(self) -> None:
-        self.over = True
+    def abort(self) -> None:
+        """Reset it."""
+        self.is_over = True
         if self.transport is not None:
             self.transport.abort()
 
 
-class Management:
-    def __init__(self, loop: asyncio.AbstractEventLoop, asked: Asked) -> None:
+class ManagementServer:
+    """Accepts calls at the second address, a few at a time, and answers each by `handler`."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, handler: CallHandler) -> None:
         self.loop = loop
-        self.asked = asked
+        self.handler = handler
         # Guards the descriptors kept for this address: from connecting until gone.
-        self.open: Sweep[Visitor] = Sweep(loop, 2 * CALL_S, Visitor.cut)
-        self.waiting: Sweep[Visitor] = Sweep(loop, CALL_S, Visitor.time_out)  # for a whole call
+        self.open: Sweep[ManagementConnection] = Sweep(loop, 2 * CALL_S, ManagementConnection.abort)
+        self.waiting: Sweep[ManagementConnection] = Sweep(
+            loop, CALL_S, ManagementConnection.on_timeout
+        )  # for a whole call
         self.listener: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> int:
         """The port it listens at."""
-        listener: Any = await self.loop.create_server(lambda: Visitor(self), host, port, backlog=128)
+        listener: Any = await self.loop.create_server(
+            lambda: ManagementConnection(self), host, port, backlog=128
+        )
         self.listener = listener
         return int(listener.sockets[0].getsockname()[1])
 
-    def joined(self, visitor: Visitor) -> None:
-        self.open.add(visitor)
-        self.waiting.add(visitor)
+    def on_connect(self, connection: ManagementConnection) -> None:
+        """Take it in; above the bound the oldest without a whole call gives way."""
+        self.open.add(connection)
+        self.waiting.add(connection)
         if len(self.open.since) > CALLS_MOST:
             oldest = self.waiting.oldest() or self.open.oldest()
             assert oldest is not None
-            self.left(oldest)  # its descriptor is freed in this turn of the loop
-            oldest.cut()
+            self.on_disconnect(oldest)  # its descriptor is freed in this turn of the loop
+            oldest.abort()
 
-    def left(self, visitor: Visitor) -> None:
-        self.open.discard(visitor)
-        self.waiting.discard(visitor)
+    def on_disconnect(self, connection: ManagementConnection) -> None:
+        """Forget it."""
+        self.open.discard(connection)
+        self.waiting.discard(connection)
 
     def close(self) -> None:
+        """Close the listener and reset what is open."""
         if self.listener is not None:
             self.listener.close()
-        for visitor in list(self.open.since):
-            visitor.cut()
+        for connection in list(self.open.since):
+            connection.abort()
         self.open.close()
         self.waiting.close()
--- a/laurelstep/management/telemetry.py
+++ b/laurelstep/management/telemetry.py
@@ -14,16 +14,19 @@
 
 
 def escaped(value: str) -> str:
+    """A label's value as the format has it."""
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
 def family(name: str, kind: str, text: str, samples: Iterable[Sample]) -> str:
+    """One metric with its help, its kind and its samples."""
     lines = [f"# HELP lb_{name} {text}", f"# TYPE lb_{name} {kind}"]
     lines += [f"lb_{name}{labels} {value}" for labels, value in samples]
     return "\n".join(lines) + "\n"
 
 
 def by_class(classes: Sequence[str], counts: Sequence[int]) -> list[Sample]:
+    """One sample a class."""
     return [(f'{{group="{escaped(name)}"}}', count) for name, count in zip(classes, counts, strict=True)]
 
 
--- a/laurelstep/settings/platform.py
+++ b/laurelstep/settings/platform.py
@@ -17,6 +17,7 @@
 
 
 def load_json(path: str) -> Any:
+    """The file's JSON; `ConfigError` with one line if it can't be read."""
     try:
         with open(path, "rb") as file:
             return json.load(file)
--- a/laurelstep/subsystems/management.py
+++ b/laurelstep/subsystems/management.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from laurelstep.management.calls import Reply, reply_to
-from laurelstep.management.server import Management
+from laurelstep.management.server import ManagementServer
 from laurelstep.management.telemetry import figures
 from laurelstep.subsystems.base import ProcessContext, Subsystem
 
@@ -32,16 +32,16 @@
         self.lifecycle = lifecycle
         self.others = others
         self.engine: Engine | None = None
-        self.management = Management(context.loop, self._reply_to)
+        self.listener = ManagementServer(context.loop, self._reply_to)
 
     async def start(self, engine: Engine, server: Server) -> None:
         """Listen at the second address."""
         self.engine = engine
-        await self.management.listen(*self.address)
+        await self.listener.listen(*self.address)
 
     async def stop(self) -> None:
         """Close the address and what is open there."""
-        self.management.close()
+        self.listener.close()
 
     def _reply_to(self, method: bytes, target: bytes) -> Reply:
         now = self.context.loop.time()
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -16,7 +16,7 @@
 from laurelstep.interface import ERROR, LIST_FULL, Arrival, Outcome
 from laurelstep.lifecycle import Phase
 from laurelstep.management.calls import reply_to
-from laurelstep.management.server import CALL_MAX, CALLS_MOST, Management, Visitor
+from laurelstep.management.server import CALL_MAX, CALLS_MOST, ManagementConnection, ManagementServer
 from laurelstep.management.telemetry import escaped, figures
 from laurelstep.policy import Balancer
 from laurelstep.settings import ConfigError, config_from, read_platform
@@ -52,7 +52,7 @@
 class Desk:
     """A sidecar with its second address, and calls there."""
 
-    def __init__(self, one: Sidecar, management: Management, port: int) -> None:
+    def __init__(self, one: Sidecar, management: ManagementServer, port: int) -> None:
         self.one = one
         self.management = management
         self.port = port
@@ -85,7 +85,7 @@
         def asked(method: bytes, path: bytes) -> Any:
             return reply_to(method, path, lifecycle, loop.time(), lambda: figures(one.engine))
 
-        management = Management(loop, asked)
+        management = ManagementServer(loop, asked)
         yield Desk(one, management, await management.listen("127.0.0.1", 0))
         management.close()
 
@@ -516,9 +516,9 @@
             while not one.management.open.since:
                 await asyncio.sleep(0)
             (visitor,) = one.management.open.since
-            assert isinstance(visitor, Visitor)
+            assert isinstance(visitor, ManagementConnection)
             one.management.close()
-            assert await reader.read() == b"" and visitor.over
+            assert await reader.read() == b"" and visitor.is_over
             writer.close()
 
     run(main())
