--- a/laurelstep/subsystems/consensus.py
+++ b/laurelstep/subsystems/consensus.py
@@ -11,6 +11,7 @@
 
 if TYPE_CHECKING:
     from laurelstep.accord.node import Node
+    from laurelstep.accord.options import AccordSettings
     from laurelstep.accord.parts import Parts
     from laurelstep.accord.ports import Machine
     from laurelstep.engine import Engine
@@ -48,27 +49,10 @@
         if not settings.is_linked:
             log("accord: off, and what rests on it: the configuration has no peers and peer_listen")
             return None
-        from laurelstep.accord.machines import Machines
-        from laurelstep.accord.node import check_folder, node_of
-        from laurelstep.accord.parts import Parts
-        from laurelstep.engine.clock import LoopClock
         from laurelstep.handover.state import kept_in
 
         try:
-            from laurelstep.outbox.shared.carried import Carried
-            from laurelstep.outbox.shared.entries import KIND as QUEUED_WRITES
-            from laurelstep.upkeep.assembly import carried
-
-            check_folder(settings.store_path)
-            clock = LoopClock(context.loop)
-            passive = Carried() if outbox is None else None
-            machines = dict(maintenance if maintenance is not None else carried())
-            machines |= dict(outbox) if outbox is not None else {}
-            machines |= passive.machines if passive is not None else {}
-            node = node_of(settings, Machines(machines), context.loop, clock, log)
-            parts = Parts(node)
-            if passive is not None:
-                passive.join(parts.part(QUEUED_WRITES), clock)
+            node, parts = _node_and_parts(context, settings, maintenance, outbox)
         except ImportError as error:
             problem = f"{error.name} is missing: pip install 'laurelstep[store]'"
         except OSError as error:
@@ -90,3 +74,33 @@
     async def stop(self) -> None:
         """Leave the links."""
         await self.node.close()
+
+
+def _node_and_parts(
+    context: ProcessContext,
+    settings: AccordSettings,
+    maintenance: Mapping[int, Machine] | None,
+    outbox: Mapping[int, Machine] | None,
+) -> tuple[Node, Parts]:
+    """Each copy carries the state machines of all subsystems, also of those that are off here: it may come
+    to lead, and a snapshot without them would make the others forget."""
+    from laurelstep.accord.machines import Machines
+    from laurelstep.accord.node import check_folder, node_of
+    from laurelstep.accord.parts import Parts
+    from laurelstep.engine.clock import LoopClock
+    from laurelstep.outbox.shared.carried import Carried
+    from laurelstep.outbox.shared.entries import KIND as QUEUED_WRITES
+    from laurelstep.upkeep.assembly import carried
+
+    check_folder(settings.store_path)
+    clock = LoopClock(context.loop)
+    passive = Carried()  # of the outbox, where that is off
+    machines = {
+        **(carried() if maintenance is None else maintenance),
+        **(passive.machines if outbox is None else outbox),
+    }
+    node = node_of(settings, Machines(machines), context.loop, clock, log)
+    parts = Parts(node)
+    if outbox is None:
+        passive.join(parts.part(QUEUED_WRITES), clock)
+    return node, parts
