--- a/laurelstep/engine/engine.py
+++ b/laurelstep/engine/engine.py
@@ -95,7 +95,7 @@
         self.passing: dict[BodyStream, tuple[int, int]] = {}
         self.next_id = 0
         self.events: deque[tuple[Method, object, Call | None]] = deque()
-        self.telling = False
+        self.dispatching = False
 
     def now(self) -> int:
         """The time on the engine's clock, in us."""
@@ -106,26 +106,26 @@
     def start(self, known: dict[str, Any] | None = None) -> None:
         """ValueError if the known list can't be read."""
         self.source.start(self, int(known["generation"]) if known else 0)
-        self._tell(lambda now, _: self.decisions.start(now), None)
+        self._dispatch(lambda now, _: self.decisions.start(now), None)
         if known is not None:
-            self._list(LIST_CACHED, known["instances"])
+            self._apply_list(LIST_CACHED, known["instances"])
 
-    def _tell(self, method: Method, event: object, call: Call | None = None) -> None:
-        if self.telling:
+    def _dispatch(self, method: Method, event: object, call: Call | None = None) -> None:
+        if self.dispatching:
             self.events.append((method, event, call))
             return
-        self.telling = True
+        self.dispatching = True
         try:
-            self._step(method, event, call)
+            self._handle_event(method, event, call)
             while self.events:
-                self._step(*self.events.popleft())
+                self._handle_event(*self.events.popleft())
         finally:
-            self.telling = False
+            self.dispatching = False
 
-    def _step(self, method: Method, event: object, call: Call | None) -> None:
+    def _handle_event(self, method: Method, event: object, call: Call | None) -> None:
         try:
             for action in method(self.now(), event):
-                self._do(action)
+                self._carry_out(action)
         except Exception:
             # Guards the process and its callers against a fault of the module.
             self.log(traceback.format_exc().rstrip())
@@ -135,32 +135,32 @@
             if call.open:
                 self._answer(call, Answer(Ending.FAILED, 500))
             # The module may still count it among the requests that it holds.
-            self._tell(self.decisions.gone, call.id)
+            self._dispatch(self.decisions.gone, call.id)
 
     # --- Endpoint lists -------------------------------------------------------------
 
     def listed(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
         """See `MemberSink.listed`."""
-        self._list(LIST_FULL if whole else LIST_DELTA, entries)
+        self._apply_list(LIST_FULL if whole else LIST_DELTA, entries)
 
     def list_in_steps(self, whole: bool, entries: list[Any], told_at: int) -> Iterator[None]:
         """A long list that was told at a time, applied step by step as this is iterated."""
-        return apply_in_steps(self.members, whole, entries, told_at, self._tell_part)
+        return apply_in_steps(self.members, whole, entries, told_at, self._dispatch_part)
 
-    def _tell_part(self, entries: Sequence[Entry], more: bool) -> None:
+    def _dispatch_part(self, entries: Sequence[Entry], more: bool) -> None:
         if entries or not more:
-            self._tell_list(LIST_PART if more else LIST_DELTA, entries)
+            self._dispatch_list(LIST_PART if more else LIST_DELTA, entries)
 
     def list_failed(self) -> None:
         """See `MemberSink.list_failed`."""
-        self._tell_list(LIST_FAILED, ())
+        self._dispatch_list(LIST_FAILED, ())
 
-    def _list(self, mode: int, raw: Sequence[Any]) -> None:
+    def _apply_list(self, mode: int, raw: Sequence[Any]) -> None:
         entries = self.members.apply(mode != LIST_DELTA, raw)
-        self._tell_list(mode, entries)
+        self._dispatch_list(mode, entries)
 
-    def _tell_list(self, mode: int, entries: Sequence[Entry]) -> None:
-        self._tell(lambda now, _: self.decisions.members(now, mode, entries), None)
+    def _dispatch_list(self, mode: int, entries: Sequence[Entry]) -> None:
+        self._dispatch(lambda now, _: self.decisions.members(now, mode, entries), None)
 
     # --- Requests -----------------------------------------------------------------
 
@@ -171,7 +171,7 @@
         self.calls[call.id] = call
         self.counters.taken[call.cls] += 1
         self.open_names.add(call.name)
-        call.timer = self.clock.at(call.expires, self._expire, call)
+        call.timer = self.clock.at(call.expires, self._on_deadline, call)
         if self._is_recorded(call):
             return
         if self.write_queue is not None and self.write_queue.must_queue(call) and self._enqueue(call, None):
@@ -198,7 +198,7 @@
         event = Arrival(
             call.id, call.cls, call.expires, call.tenant, call.key, call.work_us, call.repeated, coming
         )
-        self._tell(self.decisions.request, event, call)
+        self._dispatch(self.decisions.request, event, call)
 
     def whole(self, call: Call) -> None:
         """The last byte of a call's upload has come: its time counts from now."""
@@ -207,31 +207,31 @@
         call.expires = min(call.expires, self.now() + call.span)
         if call.timer is not None:
             call.timer.cancel()
-        call.timer = self.clock.at(call.expires, self._expire, call)
+        call.timer = self.clock.at(call.expires, self._on_deadline, call)
         for attempt in call.attempts:
             attempt.until = min(attempt.until, call.expires)
         if not call.queued:
-            self._tell(self._tell_whole, call, call)
+            self._dispatch(self._dispatch_upload_end, call, call)
 
-    def _tell_whole(self, now: int, call: Call) -> list[Action]:
+    def _dispatch_upload_end(self, now: int, call: Call) -> list[Action]:
         return self.decisions.whole(now, call.id, call.expires)
 
     def gone(self, call: Call) -> None:
         """The client left: nothing more is owed. Nothing happens if it was answered."""
         if call.held:
             self.counters.abandoned[call.cls] += 1
-            self._let_go(call)
+            self._release(call)
         elif call.open:
             self.counters.abandoned[call.cls] += 1
-            self._over(call)
+            self._close(call)
             if call.queued:
                 self._leave_queue(call)
                 return
             if call.recorded and self.recorder is not None:
                 self.recorder.gone(call, self)
-            self._tell(self.decisions.gone, call.id)
+            self._dispatch(self.decisions.gone, call.id)
 
-    def _expire(self, call: Call) -> None:
+    def _on_deadline(self, call: Call) -> None:
         """The client's deadline: what is out timed out, and the module answers."""
         for attempt in call.attempts:
             self.attempts.time_out(attempt)
@@ -239,8 +239,8 @@
             self._answer(call, Answer(Ending.FAILED, 504))
             self._leave_queue(call)
         elif call.open:  # guards the caller should the module have held it to the end
-            self._give_up(call, Answer(Ending.FAILED, 504))
-            self._tell(self.decisions.gone, call.id)
+            self._refuse_or_enqueue(call, Answer(Ending.FAILED, 504))
+            self._dispatch(self.decisions.gone, call.id)
 
     def _enqueue(self, call: Call, answer: Answer | None) -> bool:
         """Whether the write queue has a call from here on. It is never asked about one that may have run, or
@@ -261,34 +261,34 @@
         if self.write_queue is not None:
             self.write_queue.on_call_closed(call)
 
-    def _give_up(self, call: Call, answer: Answer) -> None:
+    def _refuse_or_enqueue(self, call: Call, answer: Answer) -> None:
         """The module refuses it, or fails it."""
         if not self._enqueue(call, answer):
             self._answer(call, answer)
 
     def _answer(self, call: Call, answer: Answer) -> None:
         call.held = call.recorded and self.recorder is not None
-        self._over(call)
+        self._close(call)
         if call.held and self.recorder is not None:
             call.timer = self.clock.at(call.expires, self.deliver, call, Answer(Ending.FAILED, 504))
             self.recorder.finish(call, answer, self)
         else:
-            self._final(call, answer)
+            self._send_final_answer(call, answer)
 
     def settle(self, call: Call, answer: Answer) -> None:
         """A final answer that the module has no part in."""
         if call.open:
             call.queued = False
-            self._over(call)
-            self._final(call, answer)
+            self._close(call)
+            self._send_final_answer(call, answer)
 
     def deliver(self, call: Call, answer: Answer) -> None:
         """A held answer leaves; at the call's time, what is known by then."""
         if call.held:
-            self._let_go(call)
-            self._final(call, answer)
+            self._release(call)
+            self._send_final_answer(call, answer)
 
-    def _final(self, call: Call, answer: Answer) -> None:
+    def _send_final_answer(self, call: Call, answer: Answer) -> None:
         """The one place where a final answer leaves."""
         flow = answer.flow
         if flow is None or flow.closed:
@@ -319,14 +319,14 @@
                 out += attempt.out and attempt.endpoint == endpoint
         return out
 
-    def _let_go(self, call: Call) -> None:
+    def _release(self, call: Call) -> None:
         call.held = False
         if call.timer is not None:
             call.timer.cancel()
             call.timer = None
         self._forget(call)
 
-    def _over(self, call: Call) -> None:
+    def _close(self, call: Call) -> None:
         call.open = False
         self.open_names.discard(call.name)
         if call.timer is not None:
@@ -357,25 +357,25 @@
         event = Outcome(
             call.id, attempt.copy, attempt.endpoint, outcome, delay_us, not call.open, report
         )  # fmt: skip
-        self._tell(self.decisions.outcome, event, call)
+        self._dispatch(self.decisions.outcome, event, call)
         self._forget(call)
 
     # --- Actions ------------------------------------------------------------------
 
-    def _do(self, action: Action) -> None:
+    def _carry_out(self, action: Action) -> None:
         match action:
             case Send(request):
                 if (call := self.calls.get(request)) is not None:
                     self.attempts.start(call, action)
             case Timer(token, delay_us):
-                self.clock.at(self.now() + delay_us, self._fired, token)
+                self.clock.at(self.now() + delay_us, self._on_timer, token)
             case Refuse(request, after_us):
                 if (call := self._open_call(request)) is not None:
-                    self._give_up(call, Answer(Ending.REFUSED, 503, retry_after_us=after_us))
+                    self._refuse_or_enqueue(call, Answer(Ending.REFUSED, 503, retry_after_us=after_us))
             case Fail(request):
                 if (call := self._open_call(request)) is not None:
                     status = 504 if self.now() >= call.expires else 502
-                    self._give_up(call, Answer(Ending.FAILED, status))
+                    self._refuse_or_enqueue(call, Answer(Ending.FAILED, status))
             case Cancel(request, copy):
                 if (call := self.calls.get(request)) is not None:
                     self.attempts.cancel(call.attempts[copy])
@@ -394,5 +394,5 @@
         call = self.calls.get(request)
         return call if call is not None and call.open else None
 
-    def _fired(self, token: int) -> None:
-        self._tell(self.decisions.timer, token)
+    def _on_timer(self, token: int) -> None:
+        self._dispatch(self.decisions.timer, token)
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -875,7 +875,7 @@
             caller.close()
             # This task's turn comes before that of what the end of the transport has put behind it.
             await until(transport.is_closing)
-            one.engine._do(Send(rid, number, 0))  # as the module may decide then
+            one.engine._carry_out(Send(rid, number, 0))  # as the module may decide then
             one.engine.decisions = one.engine.balancer
             assert (await one.ask(request(rid="r2"))).body == b"ok"
             assert [got.headers["x-request-id"] for got in endpoint.got] == ["r1", "r2"]
@@ -942,7 +942,7 @@
             else:
                 leave_before_connection_made(one, lambda: leave(caller))
             one.engine.attempts.loop_watch.asked_at -= HELD_US  # the loop was held for so long
-            one.engine._do(Send(rid, number, 0))
+            one.engine._carry_out(Send(rid, number, 0))
             await until(lambda: not one.engine.calls and not one.server.callers)
             one.engine.decisions = one.engine.balancer
             assert one.engine.counters.abandoned == [1, 0, 0]
@@ -993,7 +993,7 @@
             due(one.server.held_back)
             one.told(endpoint.entry())
             (number,) = one.engine.members.places
-            one.engine._do(Send(rid, number, 0))  # as the module may decide at once
+            one.engine._carry_out(Send(rid, number, 0))  # as the module may decide at once
             if leaves:
                 assert (await one.ask(request(rid="r2"))).body == b"ok"
                 assert [got.headers["x-request-id"] for got in endpoint.got] == ["r2"]
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -695,7 +695,7 @@
             if first == "answer":
                 await until(lambda: bool(told))
             shift(one, call.expires - one.engine.now())
-            one.engine._expire(call)
+            one.engine._on_deadline(call)
             back = await read_message(reader)
             assert back.status == (504 if first == "deadline" else 200)
             assert [event.outcome for event in told] == [TIMEOUT if first == "deadline" else OK]
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -175,7 +175,7 @@
     members = copy.engine.members
     copy.engine.decisions = cast(Decisions, Watched())
     entries = [raw(name) for name in range(10_000)]
-    tell = copy.engine._tell_part
+    tell = copy.engine._dispatch_part
     steps = 0
     for listed in (entries, [raw(name, hostPort="127.0.0.1:8") for name in range(5_000, 15_000)], []):
         counted.update(read=0, told=0)
