--- a/laurelstep/engine/endpoint_table.py
+++ b/laurelstep/engine/endpoint_table.py
@@ -88,6 +88,8 @@
 
 
 class EndpointTable:
+    """Listed endpoints by their number, those withdrawn among them while the drain grace lasts."""
+
     def __init__(self, clock: Clock, names: Names, upstream: Upstream, drain_grace_us: int) -> None:
         self.clock = clock
         self.starts = StartDating(clock.now(), clock.wall())
@@ -100,6 +102,7 @@
         self.withdrawn: deque[tuple[int, int]] = deque()  # when, and which; it may be back since
 
     def may_receive(self, endpoint: int, now: int) -> bool:
+        """Whether an attempt may begin there at the time `now`, in us."""
         listed = self.places.get(endpoint)
         if listed is None:
             return False
@@ -110,6 +113,7 @@
         return sum(1 for listed in self.places.values() if listed.withdrawn_at is None) + len(self.draining)
 
     def note_phase(self, endpoint: int, phase: int) -> None:
+        """Count it among the draining ones, or no longer."""
         if phase == DRAINING:
             self.draining.add(endpoint)
         else:
@@ -142,6 +146,7 @@
         )
 
     def read(self, raw: Any) -> tuple[Entry, ListedEndpoint]:
+        """An entry in discovery's form; ValueError if it can't be read."""
         try:
             return self._entry(raw)
         except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
@@ -185,6 +190,7 @@
         return entry, ListedEndpoint(name, address, started_ms, entry, seen_at)
 
     def record(self, now: int, entry: Entry, listed: ListedEndpoint) -> None:
+        """Take what a list says of one endpoint; another address or start is another process."""
         number = entry.endpoint
         old = self.places.get(number)
         self.note_phase(number, entry.phase)
@@ -198,6 +204,7 @@
             self.upstream.place(number, listed.address)
 
     def withdraw(self, now: int, number: int, listed: ListedEndpoint) -> None:
+        """It was told draining or gone, or left out of a complete list; the first time counts."""
         if listed.withdrawn_at is None:
             listed.withdrawn_at = now
             self.withdrawn.append((now, number))
--- a/laurelstep/subsystems/consensus.py
+++ b/laurelstep/subsystems/consensus.py
@@ -12,6 +12,7 @@
 if TYPE_CHECKING:
     from laurelstep.consensus.multiplexer import ConsensusMultiplexer
     from laurelstep.consensus.node import ConsensusNode
+    from laurelstep.consensus.options import ConsensusSettings
     from laurelstep.consensus.ports import StateMachine
     from laurelstep.engine import Engine
     from laurelstep.net.server import Server
@@ -52,27 +53,10 @@
         if not settings.is_linked:
             log("accord: off, and what rests on it: the configuration has no peers and peer_listen")
             return None
-        from laurelstep.consensus.assembly import build_node, check_store_folder
-        from laurelstep.consensus.multiplexer import ConsensusMultiplexer
-        from laurelstep.consensus.state_machines import CompositeStateMachine
-        from laurelstep.engine.clock import LoopClock
         from laurelstep.hot_restart.state import decode_replica
 
         try:
-            from laurelstep.maintenance.assembly import passive_state_machines
-            from laurelstep.outbox.shared.carried import Carried
-            from laurelstep.outbox.shared.entries import KIND as QUEUED_WRITES
-
-            check_store_folder(settings.store_path)
-            clock = LoopClock(context.loop)
-            passive = Carried() if outbox is None else None
-            state_machines = dict(maintenance if maintenance is not None else passive_state_machines())
-            state_machines |= dict(outbox) if outbox is not None else {}
-            state_machines |= passive.machines if passive is not None else {}
-            node = build_node(settings, CompositeStateMachine(state_machines), context.loop, clock, log)
-            multiplexer = ConsensusMultiplexer(node)
-            if passive is not None:
-                passive.join(multiplexer.channel(QUEUED_WRITES), clock)
+            node, multiplexer = _node_and_multiplexer(context, settings, maintenance, outbox)
         except ImportError as error:
             problem = f"{error.name} is missing: pip install 'laurelstep[store]'"
         except OSError as error:
@@ -94,3 +78,33 @@
     async def stop(self) -> None:
         """Leave the links."""
         await self.node.close()
+
+
+def _node_and_multiplexer(
+    context: ProcessContext,
+    settings: ConsensusSettings,
+    maintenance: Mapping[int, StateMachine] | None,
+    outbox: Mapping[int, StateMachine] | None,
+) -> tuple[ConsensusNode, ConsensusMultiplexer]:
+    """Each copy carries the state machines of all subsystems, also of those that are off here: it may come
+    to lead, and a snapshot without them would make the others forget."""
+    from laurelstep.consensus.assembly import build_node, check_store_folder
+    from laurelstep.consensus.multiplexer import ConsensusMultiplexer
+    from laurelstep.consensus.state_machines import CompositeStateMachine
+    from laurelstep.engine.clock import LoopClock
+    from laurelstep.maintenance.assembly import passive_state_machines
+    from laurelstep.outbox.shared.carried import Carried
+    from laurelstep.outbox.shared.entries import KIND as QUEUED_WRITES
+
+    check_store_folder(settings.store_path)
+    clock = LoopClock(context.loop)
+    passive = Carried()  # of the outbox, where that is off
+    state_machines = {
+        **(passive_state_machines() if maintenance is None else maintenance),
+        **(passive.machines if outbox is None else outbox),
+    }
+    node = build_node(settings, CompositeStateMachine(state_machines), context.loop, clock, log)
+    multiplexer = ConsensusMultiplexer(node)
+    if outbox is None:
+        passive.join(multiplexer.channel(QUEUED_WRITES), clock)
+    return node, multiplexer
