--- a/laurelstep/engine/tally.py
+++ b/laurelstep/engine/counters.py
@@ -5,7 +5,7 @@
 from laurelstep.engine.call import Ending
 
 
-class Tally:
+class RequestCounters:
     """Counts since the start. By class number: final answers by their ending, and those
     whose client left before; each request that was taken ends in one of them.
 
@@ -22,6 +22,7 @@
         self.sends = 0  # attempts whose last byte was written
 
     def end(self, cls: int, ending: Ending) -> None:
+        """A request of a class has its final answer."""
         if ending == Ending.SERVED:
             self.answered[cls] += 1
         elif ending == Ending.REFUSED:
--- a/laurelstep/engine/ports.py
+++ b/laurelstep/engine/ports.py
@@ -6,21 +6,21 @@
 from typing import Any, Protocol
 
 from laurelstep.balancing.events import Action, Arrival, Entry, Outcome
-from laurelstep.engine.call import Answer, Attempt, Call, Front, Handle
+from laurelstep.engine.call import Answer, Attempt, Call, Frontend, Handle
 
 __all__ = [
     "Clock",
     "Decisions",
-    "Front",
+    "Frontend",
     "Handle",
     "HoldingSource",
-    "Keeper",
     "Log",
     "MemberSink",
     "MemberSource",
     "Recorded",
     "Recorder",
     "Upstream",
+    "WriteQueue",
 ]
 
 # Takes one line for the operator.
@@ -30,7 +30,8 @@
 class Clock(Protocol):
     """Time in µs that never goes back, and calls at a time."""
 
-    def now(self) -> int: ...
+    def now(self) -> int:
+        """The monotonic time."""
 
     def wall(self) -> int:
         """Unix time in µs, which may be set."""
@@ -42,19 +43,26 @@
 class Decisions(Protocol):
     """The decision module, as the engine calls it: `laurelstep.balancing.events` has the terms."""
 
-    def start(self, now: int) -> list[Action]: ...
+    def start(self, now: int) -> list[Action]:
+        """Before anything else; `now` is the engine's time in us, here and below."""
 
-    def members(self, now: int, mode: int, entries: Sequence[Entry]) -> list[Action]: ...
+    def members(self, now: int, mode: int, entries: Sequence[Entry]) -> list[Action]:
+        """A list of endpoints, or a part of one, by `mode`."""
 
-    def request(self, now: int, event: Arrival) -> list[Action]: ...
+    def request(self, now: int, event: Arrival) -> list[Action]:
+        """A request has arrived."""
 
-    def outcome(self, now: int, event: Outcome) -> list[Action]: ...
+    def outcome(self, now: int, event: Outcome) -> list[Action]:
+        """An attempt has its one outcome."""
 
-    def request_completed(self, now: int, request_id: int, expires_at: int) -> list[Action]: ...
+    def request_completed(self, now: int, request_id: int, expires_at: int) -> list[Action]:
+        """The last byte of a request that is forwarded while it is received has come."""
 
-    def client_disconnected(self, now: int, request_id: int) -> list[Action]: ...
+    def client_disconnected(self, now: int, request_id: int) -> list[Action]:
+        """The client of a request has left; one that is not open is ignored."""
 
-    def timer(self, now: int, token: int) -> list[Action]: ...
+    def timer(self, now: int, token: int) -> list[Action]:
+        """A timer that it asked for is due."""
 
     def ejected(self, now: int) -> int:
         """How many endpoints that are ready get next to nothing now. Changes nothing."""
@@ -70,7 +78,8 @@
     def place(self, endpoint: int, address: str) -> None:
         """A new process or address: nothing of the old one is used again."""
 
-    def remove(self, endpoint: int) -> None: ...
+    def remove(self, endpoint: int) -> None:
+        """It has left: no connection to it is kept."""
 
     def free(self, endpoint: int) -> None:
         """Close the connections that rest at an endpoint."""
@@ -106,9 +115,11 @@
     def start(self, sink: MemberSink, generation: int) -> None:
         """Begin to tell, after the given version. Called once, by the engine's start."""
 
-    def watch(self, on: bool) -> None: ...
+    def watch(self, on: bool) -> None:
+        """Follow changes from now on, or no longer."""
 
-    def fetch(self) -> None: ...
+    def fetch(self) -> None:
+        """Bring the whole list once."""
 
 
 class HoldingSource(MemberSource, Protocol):
@@ -146,22 +157,22 @@
         """The client of a recorded call left."""
 
 
-class Keeper(Protocol):
+class WriteQueue(Protocol):
     """May keep a write that can't be sent now, and bring it upstream later. Asked at one step: before
     a refusal or a failure leaves whose request can't have run, and as a request is taken that
-    `comes_first` to it."""
+    `must_queue` to it."""
 
-    def comes_first(self, call: Call) -> bool:
-        """Whether `keep` is asked before the module is told: the edge is cut off, or the call follows
+    def must_queue(self, call: Call) -> bool:
+        """Whether `enqueue` is asked before the module is told: the edge is cut off, or the call follows
         what is kept."""
 
-    def keep(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
+    def enqueue(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
         """`answer`: what it would get now; None where the module was not told of it yet. True if it is
         in hand: one of `settle` and `admit` is then called for it, now or later. Of an upload no
-        endpoint had anything: the keeper attaches to it, and after that calls `settle`."""
+        endpoint had anything: the queue attaches to it, and after that calls `settle`."""
 
-    def left(self, call: Call) -> None:
+    def on_call_closed(self, call: Call) -> None:
         """A call that is in hand is not open any more: its client left, or its time is over."""
 
-    def heard(self, endpoint: int, outcome: int) -> None:
+    def on_attempt_ended(self, endpoint: int, outcome: int) -> None:
         """How an attempt at any endpoint ended."""
--- a/laurelstep/engine/given.py
+++ b/laurelstep/engine/static_members.py
@@ -1,4 +1,4 @@
-"""Members that are given and changed in code, as the engine's source of members."""
+"""EndpointTable that are given and changed in code, as the engine's source of members."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from laurelstep.engine.ports import MemberSink
 
 
-class GivenMembers:
+class StaticMembers:
     """Holds the whole list, in discovery's form, and tells it when it changes."""
 
     def __init__(self, entries: Sequence[Any] = ()) -> None:
@@ -17,6 +17,7 @@
         self.sink: MemberSink | None = None
 
     def start(self, sink: MemberSink, generation: int) -> None:
+        """See `MemberSource.start`."""
         self.sink = sink
         self.generation = generation
 
@@ -31,10 +32,12 @@
         """Changes are told as they are given."""
 
     def fetch(self) -> None:
+        """The whole list once more."""
         if self.sink is not None:
             self.sink.listed(self.generation, True, self.entries)
 
     def close(self) -> None:
+        """Tell nothing more."""
         self.sink = None
 
     async def wait_closed(self) -> None:
--- a/laurelstep/maintenance/machines.py
+++ b/laurelstep/maintenance/machines.py
@@ -13,7 +13,7 @@
 from typing import Any, Final
 
 from laurelstep.balancing.events import DRAINING, READY
-from laurelstep.engine.members import PHASES, endpoint_number, split_address
+from laurelstep.engine.endpoint_table import PHASES, endpoint_number, split_address
 from laurelstep.maintenance.requests import LimitScope
 
 __all__ = ["ListedMachine", "MachineTable", "parse_listed_machine"]
--- a/laurelstep/maintenance/selection.py
+++ b/laurelstep/maintenance/selection.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from laurelstep.engine.members import endpoint_number
+from laurelstep.engine.endpoint_table import endpoint_number
 from laurelstep.maintenance.bounds import MAX_MACHINES_PER_REQUEST
 from laurelstep.maintenance.machines import ListedMachine, MachineTable
 from laurelstep.maintenance.records import OpenRequest
--- a/laurelstep/maintenance/source.py
+++ b/laurelstep/maintenance/source.py
@@ -15,8 +15,8 @@
 from typing import Any, Final
 
 from laurelstep.balancing.events import READY
-from laurelstep.engine.listing import STEP
-from laurelstep.engine.members import endpoint_number
+from laurelstep.engine.endpoint_table import endpoint_number
+from laurelstep.engine.list_updates import STEP
 from laurelstep.engine.ports import Clock, Log, MemberSink, MemberSource
 from laurelstep.maintenance.entries import UNKNOWN_STATE
 from laurelstep.maintenance.machines import ListedMachine, MachineTable, parse_listed_machine
--- a/laurelstep/maintenance/state.py
+++ b/laurelstep/maintenance/state.py
@@ -17,7 +17,7 @@
 
 from __future__ import annotations
 
-from laurelstep.engine.members import endpoint_number
+from laurelstep.engine.endpoint_table import endpoint_number
 from laurelstep.maintenance.bounds import (
     MAX_DROP_REASON_LENGTH,
     MAX_DROPPED_MACHINES,
--- a/laurelstep/net/assembly.py
+++ b/laurelstep/net/assembly.py
@@ -8,8 +8,8 @@
 
 from laurelstep.engine.clock import LoopClock
 from laurelstep.engine.engine import Engine
-from laurelstep.engine.given import GivenMembers
 from laurelstep.engine.ports import Clock, HoldingSource, Log, MemberSource, Recorder
+from laurelstep.engine.static_members import StaticMembers
 from laurelstep.net.collector import Collector
 from laurelstep.net.discovery import LIST_PATH, Discovery
 from laurelstep.net.upstream import Upstream
@@ -21,10 +21,10 @@
 
 def source_of(
     loop: asyncio.AbstractEventLoop, config: Config, log: Log, collector: Collector | None
-) -> Discovery | GivenMembers:
+) -> Discovery | StaticMembers:
     """Discovery, where the configuration names one; else a source that is given its members."""
     if config.discovery is None:
-        return GivenMembers()
+        return StaticMembers()
     is_pushed = not config.settings.asks_discovery
     return Discovery(loop, config.discovery, LIST_PATH, is_pushed, log, collector, config.seed)
 
@@ -56,7 +56,7 @@
             config.side_sockets,
             config.memory_mb,
         )
-        self.source = source_of(loop, config, log, collector) if given is None else GivenMembers()
+        self.source = source_of(loop, config, log, collector) if given is None else StaticMembers()
         if given is None:
             given = config.known["instances"] if config.known else ()
         self.given = given
@@ -76,7 +76,7 @@
     def start(self) -> None:
         """`ConfigError` if the members that are known can't be read."""
         try:
-            if isinstance(self.source, GivenMembers):
+            if isinstance(self.source, StaticMembers):
                 self.engine.start()
                 self.source.give(self.given)
             elif self.held is not None:
--- a/laurelstep/net/endpoint_connection.py
+++ b/laurelstep/net/endpoint_connection.py
@@ -13,8 +13,8 @@
 import httptools
 
 from laurelstep.balancing.events import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
+from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.call import Answer, Attempt, Ending
-from laurelstep.engine.flow import Flow
 from laurelstep.net.connect import is_local_fault, open_connection
 from laurelstep.net.connection_pool import MIN_IDLE, ConnectionPool
 from laurelstep.net.endpoint_request import encode_request, encode_upload_head
@@ -45,7 +45,7 @@
         self.poller = select.poll()  # made once: it is asked at each reuse
         self.unwritten = True  # the request's last byte is not yet with the system
         self.write_paused = False  # the transport holds bytes that the system did not take yet
-        self.upload: Flow | None = None  # a request that is streamed
+        self.upload: BodyStream | None = None  # a request that is streamed
 
     # --- Connection -----------------------------------------------------------
 
@@ -155,7 +155,7 @@
 
     # --- A request that is passed on while it comes -----------------------------------
 
-    def _begin_upload(self, attempt: Attempt, upload: Flow, now: int) -> None:
+    def _begin_upload(self, attempt: Attempt, upload: BodyStream, now: int) -> None:
         assert self.transport is not None
         self.unwritten = True
         self.upload = upload
@@ -164,8 +164,8 @@
         if not self.write_paused:
             upload.resume()  # does nothing if it was whole already
 
-    def flow(self, data: bytes) -> None:
-        """A part of a request that is streamed, as `engine.flow.Taker` has it."""
+    def on_data(self, data: bytes) -> None:
+        """A part of a request that is streamed, as `engine.body_stream.BodySink` has it."""
         if self.transport is None or self.transport.is_closing():
             return
         if self.upload is not None and self.upload.length < 0:
@@ -173,13 +173,13 @@
         else:
             self.transport.write(data)
 
-    def flowed(self, whole: bool) -> None:
+    def on_end(self, complete: bool) -> None:
         """The end of a request that is streamed."""
         upload, self.upload = self.upload, None
         self.owner.write_stalled.discard(self)
         if self.transport is None or self.transport.is_closing():
             return
-        if not whole:
+        if not complete:
             self.close()
             return
         if upload is not None and upload.length < 0:
@@ -190,7 +190,7 @@
     def _abandon_upload(self) -> None:
         upload, self.upload = self.upload, None
         if upload is not None:
-            upload.leave()
+            upload.abandon()
 
     # --- At rest ------------------------------------------------------------------
 
@@ -245,7 +245,7 @@
         self._release_budget()
         answer, self.answer = self.answer, None
         if answer is not None:
-            answer.end(False)
+            answer.finish(False)
         self._abandon_upload()
         not_run = MOOT if is_local_fault(exc) else NO_CONNECT
         self._end_attempt(not_run if self.unwritten else RESET)
@@ -320,7 +320,7 @@
         if answer is not None:
             self.owner.streaming.discard(self)
             self._end_exchange()
-            answer.end(True)
+            answer.finish(True)
             return
         self._abandon_upload()
         self._report()
--- a/laurelstep/net/request.py
+++ b/laurelstep/net/request.py
@@ -12,7 +12,7 @@
 from typing import Final
 
 from laurelstep.balancing.events import KEYED, SAFE, RequestClass, Settings
-from laurelstep.engine.call import Call, Front, Headers
+from laurelstep.engine.call import Call, Frontend, Headers
 from laurelstep.engine.names import Names
 from laurelstep.net.errors import BadRequestError
 from laurelstep.net.message import BODY_MAX, REQUEST_HEADERS, body_length, lines, single
@@ -108,7 +108,7 @@
     headers: Headers,
     names: Names,
     settings: Settings,
-    front: Front,
+    front: Frontend,
     most: int = BODY_MAX,
 ) -> Call:
     """The call that a head asks for; `expires` is still a span, which counts from the
--- a/laurelstep/net/request_receiver.py
+++ b/laurelstep/net/request_receiver.py
@@ -10,8 +10,8 @@
 
 import httptools
 
+from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.call import Answer, Call, Ending, Headers
-from laurelstep.engine.flow import Flow
 from laurelstep.flow_control.throughput import has_min_throughput
 from laurelstep.net.errors import BadRequestError
 from laurelstep.net.message import FRAMING_EACH, FRAMING_MAX, HEAD_MAX, OWS, body_length, declared_length
@@ -41,8 +41,8 @@
         self.call: Call | None = None
         self.dropped = 0  # bytes that came behind the end
         self.keep_alive = True
-        self.upload: Flow | None = None  # a request that is streamed
-        self.answer: Flow | None = None  # an answer that is
+        self.upload: BodyStream | None = None  # a request that is streamed
+        self.answer: BodyStream | None = None  # an answer that is
         self.pipelined = b""  # what came meanwhile: the next request waits for its end
         self.parser: Any = httptools.HttpRequestParser(self)
         self._reset()
@@ -70,7 +70,7 @@
         """Of the request in hand nothing more is held here."""
         upload, self.upload = self.upload, None
         if upload is not None:
-            upload.leave()
+            upload.abandon()
         reserved, self.reserved = self.reserved, 0
         self.server.request_budget.release(reserved)
 
@@ -231,7 +231,7 @@
         if asked.name in server.engine.open_names:
             self.reject(BadRequestError(409, "X-Request-Id is that of an open request"))
             return
-        upload = Flow(self, declared_length(self.headers))
+        upload = BodyStream(self, declared_length(self.headers))
         if self.body:
             upload.feed(bytes(self.body))
             self.body = bytearray()
@@ -245,26 +245,26 @@
         server.uploading.add(self)
         server.engine.take(asked)
         # Not `self.upload` again: to the compiler that is what was assigned above.
-        if not upload.over and not upload.begun:
-            self.hold()  # nobody takes it yet
+        if not upload.closed and not upload.started:
+            self.pause()  # nobody takes it yet
 
     def _end_upload(self) -> None:
         upload, self.upload, call = self.upload, None, self.call
         self.server.uploading.discard(self)
         self._reset()
         if upload is not None:
-            upload.end(True)
+            upload.finish(True)
         if call is not None:
             self.server.engine.whole(call)
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         """The upload's taker has no room: read no more for now."""
         self.server.uploading.discard(self)
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
             self.server.paused.add(self)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """The upload's taker has room again."""
         if self.transport is not None and not self.transport.is_closing() and self.upload is not None:
             self.server.paused.discard(self)
@@ -280,7 +280,7 @@
         else:
             self.server.paused.add(self)
 
-    def unwanted(self) -> None:
+    def on_abandoned(self) -> None:
         """The final answer comes, and ends the connection."""
 
     # --- A request that has come whole ------------------------------------------------
--- a/laurelstep/net/upstream.py
+++ b/laurelstep/net/upstream.py
@@ -10,7 +10,7 @@
 
 from laurelstep.balancing.events import MOOT, NO_CONNECT
 from laurelstep.engine.call import Attempt
-from laurelstep.engine.members import split_address
+from laurelstep.engine.endpoint_table import split_address
 from laurelstep.net.connection_pool import ConnectionPool
 from laurelstep.net.endpoint_connection import EndpointConnection
 from laurelstep.net.endpoint_state import SETTLE_US, EndpointState
--- a/laurelstep/settings/platform.py
+++ b/laurelstep/settings/platform.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from laurelstep.engine.listing import usable
+from laurelstep.engine.list_updates import usable
 from laurelstep.engine.ports import Log
 from laurelstep.request_journal.settings import JournalSettings
 from laurelstep.settings.config import Config, ConfigError, Join, config_from
@@ -17,6 +17,7 @@
 
 
 def load_json(path: str) -> Any:
+    """The file's JSON; `ConfigError` with one line if it can't be read."""
     try:
         with open(path, "rb") as file:
             return json.load(file)
--- a/tests/maintenance.py
+++ b/tests/maintenance.py
@@ -11,7 +11,7 @@
 from laurelstep.consensus.errors import NotLeaderError
 from laurelstep.consensus.multiplexer import ConsensusClient
 from laurelstep.consensus.state_machines import CompositeStateMachine
-from laurelstep.engine.members import endpoint_number
+from laurelstep.engine.endpoint_table import endpoint_number
 from laurelstep.engine.ports import MemberSink
 from laurelstep.maintenance.api import MaintenanceApi
 from laurelstep.maintenance.controller import MaintenanceController
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -151,8 +151,14 @@
         ("import laurelstep.balancing.balancer", {"laurelstep.balancing.balancer"}),
         ("from laurelstep import Balancer", {"laurelstep"}),
         ("from laurelstep.balancing import events", {"laurelstep.balancing.events"}),
-        ("from laurelstep.maintenance import state", {"laurelstep.engine.members"}),  # by what that imports
-        ("def late():\n    from laurelstep.engine.members import PHASES", {"laurelstep.engine.members"}),
+        (
+            "from laurelstep.maintenance import state",
+            {"laurelstep.engine.endpoint_table"},
+        ),  # by what that imports
+        (
+            "def late():\n    from laurelstep.engine.endpoint_table import PHASES",
+            {"laurelstep.engine.endpoint_table"},
+        ),
         ("from tests import fakes", {"laurelstep.engine.call", "laurelstep.balancing.events"}),
         ("from laurelstep.consensus import core", set()),
     ],
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -22,6 +22,7 @@
 
 from laurelstep.balancing.events import FULL, Action, Outcome, Send
 from laurelstep.engine import Call
+from laurelstep.engine.loop_watch import HELD_US
 from laurelstep.hot_restart.rendezvous import RendezvousPoint
 from laurelstep.hot_restart.successor import take_over
 from laurelstep.net.client_connection import ClientConnection
@@ -871,7 +872,7 @@
                 due(one.server.paused)
                 if leaves:
                     await until(lambda: not one.server.connections and not one.upstream.connections)
-                    assert one.engine.tally.abandoned == [1, 0, 0]
+                    assert one.engine.counters.abandoned == [1, 0, 0]
                 else:
                     go.set()
                     assert (await caller.read_answer()).body == 2 * LARGE
@@ -902,7 +903,7 @@
             caller.close()
             # This task's turn comes before that of what the end of the transport has put behind it.
             await until(transport.is_closing)
-            one.engine._do(Send(rid, number, 0))  # as the module may decide then
+            one.engine._carry_out(Send(rid, number, 0))  # as the module may decide then
             one.engine.decisions = one.engine.balancer
             assert (await one.ask(request(rid="r2"))).body == b"ok"
             assert [got.headers["x-request-id"] for got in endpoint.got] == ["r1", "r2"]
@@ -968,10 +969,11 @@
                 leave(caller)
             else:
                 leave_before_connection_made(one, lambda: leave(caller))
-            one.engine._do(Send(rid, number, 0))
+            one.engine.attempts.loop_watch.asked_at -= HELD_US  # the loop was held for so long
+            one.engine._carry_out(Send(rid, number, 0))
             await until(lambda: not one.engine.calls and not one.server.connections)
             one.engine.decisions = one.engine.balancer
-            assert one.engine.tally.abandoned == [1, 0, 0]
+            assert one.engine.counters.abandoned == [1, 0, 0]
             assert (await one.ask(request(rid="r2"))).body == b"ok"
             assert "left" not in [got.headers["x-request-id"] for got in endpoint.got]
             caller.close()
@@ -1019,7 +1021,7 @@
             due(one.server.paused)
             one.told(endpoint.entry())
             (number,) = one.engine.members.places
-            one.engine._do(Send(rid, number, 0))  # as the module may decide at once
+            one.engine._carry_out(Send(rid, number, 0))  # as the module may decide at once
             if leaves:
                 assert (await one.ask(request(rid="r2"))).body == b"ok"
                 assert [got.headers["x-request-id"] for got in endpoint.got] == ["r2"]
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -22,7 +22,7 @@
 from laurelstep.balancing.events import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET, TIMEOUT, Action, Outcome
 from laurelstep.engine import Attempt, Call, Clock, Engine
 from laurelstep.engine.clock import Timer
-from laurelstep.engine.given import GivenMembers
+from laurelstep.engine.static_members import StaticMembers
 from laurelstep.net.connection_pool import MIN_IDLE
 from laurelstep.net.endpoint_request import endpoint_deadline_ms
 from laurelstep.net.endpoint_state import SETTLE_US
@@ -105,7 +105,7 @@
 def set_window(one: Sidecar, window_us: int) -> None:
     """Give all classes this window for repeats."""
     classes = tuple(replace(cls, window_us=window_us) for cls in one.engine.settings.classes)
-    one.engine.settings = replace(one.engine.settings, classes=classes)
+    one.engine.settings = one.engine.attempts.settings = replace(one.engine.settings, classes=classes)
     one.engine.balancer.settings = replace(one.engine.balancer.settings, classes=classes)
 
 
@@ -313,7 +313,7 @@
     """The engine alone: connections come up, answers come and time passes in any order."""
     put = {**SETTINGS["classes"][1], "repeat-window-us": WINDOW_US}
     config = config_from({"seed": "7", "settings": {**SETTINGS, "classes": [put]}}, "test")
-    clock, source, front = ManualClock(), GivenMembers(), Answers()
+    clock, source, front = ManualClock(), StaticMembers(), Answers()
     upstream = PlayedUpstream(clock)
     engine = Engine(
         clock, config.seed, config.settings, config.names, upstream, source, config.drain_grace_us, print
@@ -701,7 +701,7 @@
             if first == "answer":
                 await until(lambda: bool(told))
             shift(one, call.expires - one.engine.now())
-            one.engine._expire(call)
+            one.engine._on_deadline(call)
             back = await read_message(reader)
             assert back.status == (504 if first == "deadline" else 200)
             assert [event.outcome for event in told] == [TIMEOUT if first == "deadline" else OK]
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -16,7 +16,6 @@
 
 import pytest
 
-from laurelstep.daemon import arrive, check_free
 from laurelstep.hot_restart import predecessor, successor
 from laurelstep.hot_restart.messages import (
     HELLO,
@@ -41,6 +40,7 @@
 from laurelstep.hot_restart.state import config_with_state
 from laurelstep.hot_restart.successor import take_over
 from laurelstep.settings import config_from
+from laurelstep.subsystems.hot_restart import arrive, check_free
 from laurelstep.testing import Effects, push
 from tests.sockets import (
     SETTINGS,
--- a/tests/test_maintenance_contracts.py
+++ b/tests/test_maintenance_contracts.py
@@ -9,8 +9,8 @@
 from typing import ClassVar
 
 from laurelstep.engine import LoopClock
-from laurelstep.engine.given import GivenMembers
 from laurelstep.engine.ports import MemberSource
+from laurelstep.engine.static_members import StaticMembers
 from laurelstep.maintenance.source import MaintenanceSource
 from laurelstep.maintenance.state import MaintenanceState
 from laurelstep.net.cooperative_task import CooperativeTask
@@ -37,7 +37,7 @@
 class TestMaintenanceOnGivenMembers(MemberSourceContract):
     @contextlib.asynccontextmanager
     async def environment(self) -> AsyncIterator[SourceEnvironment]:
-        given = GivenMembers()
+        given = StaticMembers()
         found = GivenEnvironment(given)
         found.source = around(given)
         yield found
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -19,7 +19,7 @@
 import pytest
 
 from laurelstep.balancing.events import NO_CONNECT
-from laurelstep.engine.flow import Flow
+from laurelstep.engine.body_stream import BodyStream
 from laurelstep.flow_control.buffer_budget import MAX_BUFFERED
 from laurelstep.net.assembly import Assembly
 from laurelstep.net.message import LARGE_MAX
@@ -123,7 +123,7 @@
     async def cut_off(self) -> None:
         """Its link goes down, and an attempt shows it."""
         self.endpoint.stop()
-        self.driver.heard(1, NO_CONNECT)
+        self.driver.on_attempt_ended(1, NO_CONNECT)
         assert self.driver.cutoff.off
         assert (await self.write("prime", b"")).status == 202
 
@@ -545,7 +545,8 @@
             leaver = await one.begin("b", len(body))
             leaver[1].write(body[:-1])
             await one.until(lambda: len(one.driver.bodies.waiting) == 1)
-            one.driver.left(one.driver.bodies.waiting[0].call)  # a client that is held back is not heard
+            # A client that is held back is not heard.
+            one.driver.on_call_closed(one.driver.bodies.waiting[0].call)
             await one.until(lambda: len(one.driver.bodies.coming) == 1)
             writer.write(body[-1:])
             assert (await read_message(reader)).status == 202
@@ -807,19 +808,19 @@
 class Taker:
     """Takes a part and holds the source until it is told to go on."""
 
-    def __init__(self, upload: Flow) -> None:
+    def __init__(self, upload: BodyStream) -> None:
         self.upload = upload
         self.got: list[bytes] = []
         self.whole: bool | None = None
         self.holds = True
 
-    def flow(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         self.got.append(data)
         if self.holds:
             self.upload.pause()
 
-    def flowed(self, whole: bool) -> None:
-        self.whole = whole
+    def on_end(self, complete: bool) -> None:
+        self.whole = complete
 
 
 def played(test: Callable[[KeptStore, Playback, Taker, list[int]], Coroutine[Any, Any, None]]) -> None:
@@ -849,11 +850,11 @@
                 driver = Played
 
             class Called:
-                upload: Flow
+                upload: BodyStream
 
             called = Called()
             playback = Playback(cast(Bodies, Owner), cast(Any, called), write, body[:CHUNK])
-            called.upload = Flow(playback, write.size)
+            called.upload = BodyStream(playback, write.size)
             await test(store, playback, Taker(called.upload), read)
             await store.close()
 
@@ -897,7 +898,7 @@
         taker.upload.resume()
         while not taker.got:
             await asyncio.sleep(0)
-        taker.upload.leave()
+        taker.upload.abandon()
         assert playback.task is not None
         await asyncio.wait((playback.task,))
         assert playback.task.cancelled() and len(taker.got) == 1 and len(read) <= 1
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -358,7 +358,7 @@
         async with sidecar(endpoint) as one:
             one.told()
             (place,) = one.engine.members.places.values()
-            assert place.left_at is not None, "kept for the grace"
+            assert place.withdrawn_at is not None, "kept for the grace"
             clock = one.engine.clock
             later = Replaced(clock, now=lambda: clock.now() + 500_000)
             one.engine.members.clock = cast(Clock, later)
@@ -572,12 +572,12 @@
             (attempt,) = call.attempts
             place = one.engine.members.places[attempt.endpoint]
             now = one.engine.now()
-            assert one.engine.may_start(attempt, now)
-            assert not one.engine.may_start(attempt, call.expires)
-            place.left_at = now - (500_000 - 150_000) + 1
-            assert one.engine.may_start(attempt, now)
-            place.left_at = now - (500_000 - 150_000)
-            assert not one.engine.may_start(attempt, now)
+            assert one.engine.attempts.may_start(attempt, now)
+            assert not one.engine.attempts.may_start(attempt, call.expires)
+            place.withdrawn_at = now - (500_000 - 150_000) + 1
+            assert one.engine.attempts.may_start(attempt, now)
+            place.withdrawn_at = now - (500_000 - 150_000)
+            assert not one.engine.attempts.may_start(attempt, now)
             link = one.upstream.by_attempt[attempt]
             link.write()  # as a connect that took so long would
             assert [event.outcome for event in told] == [MOOT] and len(endpoint.got) == 1
@@ -590,7 +590,7 @@
     async def main() -> None:
         endpoints = [Endpoint(status(503, "X-Not-Run: 1\r\n")) for _ in range(4)]
         async with sidecar(*endpoints) as one:
-            one.engine.settings = replace(one.engine.settings, max_attempts=2)
+            one.engine.attempts.settings = replace(one.engine.settings, max_attempts=2)
             told = outcomes(one.engine)
             await one.ask(request("pay"))
             assert sum(len(endpoint.got) for endpoint in endpoints) == 2
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -8,7 +8,7 @@
 import pytest
 
 from laurelstep.balancing.events import RequestClass, Settings
-from laurelstep.engine.members import CLOCK_TOLERANCE_US, Members, StartDating, endpoint_number
+from laurelstep.engine.endpoint_table import CLOCK_TOLERANCE_US, EndpointTable, StartDating, endpoint_number
 from laurelstep.engine.names import Names
 
 SECOND_US = 1_000_000
@@ -48,7 +48,7 @@
 
     def __init__(self) -> None:
         self.clock = SteppedClock()
-        self.members = Members(self.clock, NAMES, cast(Any, NoUpstream()), 500_000)
+        self.members = EndpointTable(self.clock, NAMES, cast(Any, NoUpstream()), 500_000)
 
     def age_us(self, name: str, started_us: int | None) -> int | None:
         """How old it is taken for; None for long ago. `started_us`: by the monotonic clock."""
