--- a/laurelstep/net/client_connection.py
+++ b/laurelstep/net/client_connection.py
@@ -32,7 +32,7 @@
 
 
 class ClientConnection(RequestReceiver):
-    """One connection of a caller; one request is read, and answered, at a time.
+    """One connection of a client; one request is read, and answered, at a time.
 
     An `asyncio.Protocol` in all but the base class: compiled, one with a base that is
     not compiled would lose its fixed layout."""
@@ -58,7 +58,7 @@
         self.server.on_disconnect(self)
 
     def eof_received(self) -> None:
-        """The caller has ended its side, so it has gone: the protocol knows no caller that waits on for its
+        """The client has ended its side, so it has gone: the protocol knows no client that waits on for its
         answer. The transport closes, but tells so a turn later, behind timers that may send the request."""
         self.closing = True
         self._abandon()
@@ -106,7 +106,7 @@
         else:
             self.close()
 
-    # --- An answer that is passed on while it comes -----------------------------------
+    # --- Streaming ---------------------------------------------------------------------
 
     def _stream_answer(self, answer: Answer, flow: Flow, unread: bool) -> None:
         if self.transport is None or self.transport.is_closing():
@@ -166,7 +166,7 @@
 
     def close(self) -> None:
         """A lingering close: this side ends behind what is written, what still comes is dropped, and the
-        caller's own end closes the connection."""
+        client's own end closes the connection."""
         self.closing = True
         if self.transport is None or self.transport.is_closing():
             return
@@ -175,7 +175,7 @@
         self.transport.resume_reading()
 
     def on_linger_timeout(self) -> None:
-        """A caller that still takes its answer has as long as any that reads slowly."""
+        """A client that still takes its answer has as long as any that reads slowly."""
         if self.has_written():
             self.abort()
         else:
@@ -225,7 +225,7 @@
             self.reject(BadRequestError(503, STOPS))
 
     def on_request_timeout(self) -> None:
-        """The request did not come in time; a caller that sent none is just left."""
+        """The request did not come in time; a client that sent none is just left."""
         if self.received:
             self.reject(BadRequestError(408, "the request came too slowly"))
         else:
--- a/laurelstep/net/endpoint_connection.py
+++ b/laurelstep/net/endpoint_connection.py
@@ -153,7 +153,7 @@
         elif not self.unwritten:
             attempt.written()
 
-    # --- A request that is passed on while it comes -----------------------------------
+    # --- Streaming ---------------------------------------------------------------------
 
     def _begin_upload(self, attempt: Attempt, upload: Flow, now: int) -> None:
         assert self.transport is not None
--- a/laurelstep/net/endpoint_request.py
+++ b/laurelstep/net/endpoint_request.py
@@ -32,7 +32,7 @@
 def encode_upload_head(attempt: Attempt, upload: Flow, now: int) -> bytes:
     """The head of a request whose body follows as it comes, at the time `now` in us."""
     call = attempt.call
-    # Counted by the endpoint from the last byte on, as by the caller.
+    # Counted by the endpoint from the last byte on, as by the client.
     wait = b"X-Deadline-Ms: %d\r\n" % endpoint_deadline_ms(min(call.span, call.expires - now))
     framing = b"Transfer-Encoding: chunked\r\n"
     if upload.length >= 0:
--- a/laurelstep/net/endpoint_state.py
+++ b/laurelstep/net/endpoint_state.py
@@ -24,7 +24,7 @@
 # Of an answer that has begun something more must come within this: guards against one that
 # never ends, which would cost the request all the time that its client has.
 ANSWER_S: Final = 0.5
-# The same once it is passed on, and for an endpoint that does not read: nothing can be tried
+# The same once it is streamed, and for an endpoint that does not read: nothing can be tried
 # again then, so the connection has longer.
 STALL_S: Final = 5.0
 # For DISTRUST_US after something spoilt came from any endpoint, a connection rests for SETTLE_US behind
--- a/laurelstep/net/message.py
+++ b/laurelstep/net/message.py
@@ -17,9 +17,9 @@
 FRAMING_MAX: Final = HEAD_MAX + BODY_MAX
 FRAMING_EACH: Final = 8
 # A request must be whole so long after its connection came or its first byte: guards
-# descriptors and memory against callers that say nothing or never end.
+# descriptors and memory against clients that say nothing or never end.
 READ_S: Final = 2.2
-# What an endpoint needs of a request, and a caller of an answer, beside what is
+# What an endpoint needs of a request, and a client of an answer, beside what is
 # set anew on each side. Whatever else a socket brings ends here.
 REQUEST_HEADERS: Final = frozenset(
     (b"host", b"x-request-id", b"x-class", b"x-tenant", b"x-retry", b"x-cost-hint", b"x-extras",
--- a/laurelstep/net/request.py
+++ b/laurelstep/net/request.py
@@ -2,7 +2,7 @@
 
 The rules: one well-formed id, a class that agrees with the path, the method, key and
 body of that class, one reading of the framing, no more body than is allowed. Whatever
-breaks one of them is a `BadRequestError` with the status that tells the caller so.
+breaks one of them is a `BadRequestError` with the status that tells the client so.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
      b"x-deadline-ms", b"idempotency-key", b"x-retry", b"x-cost-hint")
 )  # fmt: skip
 # What a write follows, where its class may be kept: receipts, the token of the client's last answer, and
-# its session; and of an edge's replay, which one it is. Of each so many bytes. None is passed on.
+# its session; and of an edge's replay, which one it is. Of each so many bytes. None is forwarded.
 CAUSE_HEADERS: Final = (b"x-follows", b"x-causal-token", b"x-session", b"x-kept-write")
 CAUSES_MOST: Final = 1024
 TOKEN: Final = re.compile(rb"[0-9A-Za-z._~+/=:-]{1,128}")
--- a/laurelstep/net/request_receiver.py
+++ b/laurelstep/net/request_receiver.py
@@ -90,7 +90,7 @@
         self.received += len(data)
         try:
             if self.call is not None and self.upload is None:
-                # Guards against a request hidden behind another: callers send one at a time.
+                # Guards against a request hidden behind another: clients send one at a time.
                 raise BadRequestError(400, "more than one request")
             self.parser.feed_data(data)
             if self.parsed is None and self.received > HEAD_MAX:
@@ -172,7 +172,7 @@
             self._send_continue()
 
     def _send_continue(self) -> None:
-        """The caller waits for a word before it sends the body (RFC 9110, 10.1.1)."""
+        """The client waits for a word before it sends the body (RFC 9110, 10.1.1)."""
         if self.transport is not None and self.parser.get_http_version() == "1.1":
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
@@ -220,7 +220,7 @@
         assert asked is not None
         asked(asking)
 
-    # --- A request that is passed on while it comes -----------------------------------
+    # --- Streaming ---------------------------------------------------------------------
 
     def _begin_upload(self) -> None:
         """Too large to be held: the first attempt takes it as it comes."""
@@ -272,8 +272,8 @@
             self.transport.resume_reading()
 
     def check_hangup(self) -> None:
-        """The caller's end lies behind what is not read: the rest of an upload, or what came behind a
-        request whose answer is passed on."""
+        """The client's end lies behind what is not read: the rest of an upload, or what came behind a
+        request whose answer is streamed."""
         if self.has_left():
             self._abandon()
             self.abort()
@@ -312,7 +312,7 @@
     # --- Behind an answer that is streamed ---------------------------------------------
 
     def _hold_pipelined(self, data: bytes) -> None:
-        """Read on until there is something: that the caller leaves is seen in this way alone."""
+        """Read on until there is something: that the client leaves is seen in this way alone."""
         self.pipelined = b"%b%b" % (self.pipelined, data)
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
--- a/laurelstep/net/server_state.py
+++ b/laurelstep/net/server_state.py
@@ -20,17 +20,17 @@
 from laurelstep.net.shutdown import GracefulShutdown
 from laurelstep.resources.descriptors import CLOSING, IDLE, eviction_order
 
-# A connection rests so long between requests at most: some callers never come back.
+# A connection rests so long between requests at most: some clients never come back.
 REST_S: Final = 5.0
-# How long the caller of a connection that was ended may take to end its own side.
+# How long the client of a connection that was ended may take to end its own side.
 LINGER_S: Final = 1.0
 LINGER_MOST: Final = 1 << 20
-# How often it is asked whether the caller of an upload that is not read has left: no attempt may begin for it
+# How often it is asked whether the client of an upload that is not read has left: no attempt may begin for it
 # 0.1 s after its close.
 HELD_S: Final = 0.05
 # So many of each kind, those that have waited longest, are looked at when one has to give way.
 CANDIDATES: Final = 4
-# A caller that does not read what it is sent is cut after this.
+# A client that does not read what it is sent is cut after this.
 STUCK_S: Final = 10.0
 
 
@@ -108,7 +108,7 @@
         return has_event(self.transport.get_extra_info("socket").fileno(), select.POLLIN, True)
 
     def has_left(self) -> bool:
-        """Whether the caller has ended its side, though bytes before that may not be read yet."""
+        """Whether the client has ended its side, though bytes before that may not be read yet."""
         if self.transport is None or self.transport.is_closing():
             return True
         if self.hangup_poller is None:
--- a/laurelstep/net/shutdown.py
+++ b/laurelstep/net/shutdown.py
@@ -1,10 +1,10 @@
-"""How callers are let go: at a drain, which the process outlives, and at its graceful shutdown.
+"""How clients are let go: at a drain, which the process outlives, and at its graceful shutdown.
 
 Rules that everything here serves:
 
 1. What was taken is answered, and its answer ends the connection; none is closed before.
 2. What has come when a connection is to end is read first, and served. What comes behind its end is
-   dropped there and never sent on: its caller sends it once more.
+   dropped there and never sent on: its client sends it once more.
 3. Of a half-sent request nothing was sent on. In the end it is refused, not left: its last byte may be
    on its way.
 4. A stop waits for no request past 0.7 s after SIGTERM: of later ones SIGKILL may find one unanswered.
@@ -35,7 +35,7 @@
 # New connections come for this long after SIGTERM, and a last one gets this
 # long to bring its request.
 ACCEPT_S, LAST_S = 0.4, 0.15
-# Where another process takes the callers: so long their next answer ends their connections,
+# Where another process takes the clients: so long their next answer ends their connections,
 # then they are closed. Not longer: a request may come until the last moment, and what is open
 # at the end of a stop is lost unless it came within 0.7 s.
 LEAVE_S: Final = 0.5
@@ -48,7 +48,7 @@
 
     DRAIN = "drain"  # by a call: the process stays
     STOP = "stop"  # SIGTERM
-    SUCCEEDED = "succeeded"  # the same, and another process takes the callers
+    SUCCEEDED = "succeeded"  # the same, and another process takes the clients
 
 
 # For each way: so many s after it began, the step. The end of a drain calls off what is to come of it.
@@ -60,7 +60,7 @@
 
 
 class Connection(Protocol):
-    """A caller's."""
+    """A client's."""
 
     def is_silent(self) -> bool:
         """Nothing of a request was read."""
@@ -114,7 +114,7 @@
         self.server = server
         self.on_stop = on_stop
         self.on_end: Callable[[], None] = lambda: None
-        self.succeeded: Callable[[], bool] = lambda: False  # whether another process takes callers
+        self.succeeded: Callable[[], bool] = lambda: False  # whether another process takes clients
         self.pending: list[asyncio.TimerHandle] = []  # the steps to come
         self.refuses_partial = False  # a request that is not whole is not waited for any more
         self.closed = False  # the listener is, and what it had accepted has joined
@@ -150,20 +150,20 @@
 
     def end_at_rest(self) -> None:
         """Close the idle connections."""
-        for caller in list(self.server.idle.since):
-            caller.close_if_idle()
+        for connection in list(self.server.idle.since):
+            connection.close_if_idle()
 
     def end_resting(self) -> None:
-        """Callers that ask now and then have heard that their connection ends; others have not."""
+        """Clients that ask now and then have heard that their connection ends; others have not."""
         self.end_at_rest()
-        for caller in list(self.server.awaiting_request.since):
-            if caller.is_silent():
-                caller.close_if_idle()
+        for connection in list(self.server.awaiting_request.since):
+            if connection.is_silent():
+                connection.close_if_idle()
 
     def end_drain(self) -> None:
         """What is half here would still be open when all have to be gone."""
-        for caller in list(self.server.awaiting_request.since):
-            caller.reject(BadRequestError(503, "this sidecar is being drained"))
+        for connection in list(self.server.awaiting_request.since):
+            connection.reject(BadRequestError(503, "this sidecar is being drained"))
         self.lifecycle.drained(self.loop.time())
 
     def stop_listening(self, turns: int = BACKLOG) -> None:
@@ -199,11 +199,11 @@
         self.maybe_end()
 
     def end_unsent(self) -> None:
-        """No request begins any more: half-sent ones and silent callers keep nothing up. Asked again until
+        """No request begins any more: half-sent ones and silent clients keep nothing up. Asked again until
         all have gone: the last to join, and those of which something had come, have their turn so."""
-        for caller in list(self.server.connections):
-            if caller.has_nothing_forwarded():
-                caller.close_unforwarded()
+        for connection in list(self.server.connections):
+            if connection.has_nothing_forwarded():
+                connection.close_unforwarded()
         self.maybe_end()
         if not self.over:
             self.loop.call_later(LAST_S, self.end_partial)
@@ -212,8 +212,8 @@
         """Guards against a request whose last byte comes later than 0.7 s after SIGTERM: with short
         deadlines SIGKILL comes before its answer."""
         self.refuses_partial = True
-        for caller in list(self.server.connections):
-            caller.reject_upload()
+        for connection in list(self.server.connections):
+            connection.reject_upload()
         self.end_unsent()
 
     def maybe_end(self) -> None:
