--- a/tests/recorded_decisions/world.py
+++ b/tests/recorded_decisions/world.py
@@ -264,6 +264,10 @@
                 return RESET, delay // 2
             case "slow":
                 return OK, delay * 6
+            case "crawling":
+                return OK, delay * 20
+            case "instant":
+                return OK, MS // 2
         return OK, delay
 
     def _head(self, request: int, copy: int) -> Callable[[], list[Action]]:
