--- a/laurelstep/engine/call.py
+++ b/laurelstep/engine/call.py
@@ -32,7 +32,7 @@
 class Answer:
     """A final answer, in the terms that every front can word."""
 
-    __slots__ = ("body", "ending", "endpoint", "flow", "headers", "retry_after_us", "status")
+    __slots__ = ("body", "ending", "endpoint", "headers", "retry_after_us", "status", "stream")
 
     def __init__(
         self,
@@ -41,14 +41,14 @@
         headers: Sequence[tuple[bytes, bytes]] = (),
         body: bytes = b"",
         retry_after_us: int = 0,
-        flow: BodyStream | None = None,
+        stream: BodyStream | None = None,
     ) -> None:
         self.ending = ending
         self.status = status  # 200; 503 where refused; 500, 502 or 504 where failed
         self.headers = headers
         self.body = body
         self.retry_after_us = retry_after_us  # refused: when to come back; 0 = not told
-        self.flow = flow  # in place of the body, where that is still coming
+        self.stream = stream  # in place of the body, where that is still coming
         self.endpoint = 0  # where it comes from; 0 where no endpoint gave it
 
 
--- a/laurelstep/engine/engine.py
+++ b/laurelstep/engine/engine.py
@@ -92,7 +92,7 @@
         self.counters = RequestCounters(len(settings.classes))
         self.attempts = AttemptController(self, clock, settings, upstream, self.members, self.counters)
         # Answers on their way to a caller: their class, and the endpoint they come from.
-        self.passing: dict[BodyStream, tuple[int, int]] = {}
+        self.forwarding: dict[BodyStream, tuple[int, int]] = {}
         self.next_id = 0
         self.events: deque[tuple[Method, object, Call | None]] = deque()
         self.dispatching = False
@@ -290,30 +290,30 @@
 
     def _send_final_answer(self, call: Call, answer: Answer) -> None:
         """The one place where a final answer leaves."""
-        flow = answer.flow
-        if flow is None or flow.closed:
+        stream = answer.stream
+        if stream is None or stream.closed:
             self.counters.end(call.cls, answer.ending)
         else:
-            flow.observer = self
-            self.passing[flow] = call.cls, answer.endpoint
+            stream.observer = self
+            self.forwarding[stream] = call.cls, answer.endpoint
         call.front.answered(call, answer)
 
-    def on_stream_closed(self, flow: BodyStream) -> None:
+    def on_stream_closed(self, stream: BodyStream) -> None:
         """The last of an answer that was passed on while it came has left, or never will."""
-        cls, _ = self.passing.pop(flow)
-        if flow.abandoned:
+        cls, _ = self.forwarding.pop(stream)
+        if stream.abandoned:
             self.counters.abandoned[cls] += 1
         else:
-            self.counters.end(cls, Ending.SERVED if flow.complete else Ending.FAILED)
+            self.counters.end(cls, Ending.SERVED if stream.complete else Ending.FAILED)
 
     def current(self) -> int:
         """Requests taken that have no final answer yet, their clients still there."""
-        return len(self.passing) + sum(1 for call in self.calls.values() if call.open or call.held)
+        return len(self.forwarding) + sum(1 for call in self.calls.values() if call.open or call.held)
 
     def out_at(self, endpoint: int) -> int:
         """Attempts that are out at an endpoint, and answers that still come from it. Looks at
         all that is open: for one who asks now and then."""
-        out = sum(1 for _, where in self.passing.values() if where == endpoint)
+        out = sum(1 for _, where in self.forwarding.values() if where == endpoint)
         for call in self.calls.values():
             for attempt in call.attempts:
                 out += attempt.out and attempt.endpoint == endpoint
--- a/laurelstep/net/server.py
+++ b/laurelstep/net/server.py
@@ -384,8 +384,8 @@
         self.call = None
         unread = self.upload is not None
         self._forget_body()
-        if answer.flow is not None:
-            self._pass_on(answer, answer.flow, unread)
+        if answer.stream is not None:
+            self._pass_on(answer, answer.stream, unread)
         else:
             self._write(answer, unread)
 
@@ -409,21 +409,21 @@
 
     # --- An answer that is passed on while it comes -----------------------------------
 
-    def _pass_on(self, answer: Answer, flow: BodyStream, unread: bool) -> None:
+    def _pass_on(self, answer: Answer, stream: BodyStream, unread: bool) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        self.chunks = flow.length < 0 and self.parser.get_http_version() == "1.1"
+        self.chunks = stream.length < 0 and self.parser.get_http_version() == "1.1"
         self.keep = self.keep and self.server.lifecycle.keeps and not unread
-        self.keep = self.keep and (self.chunks or flow.length >= 0)
+        self.keep = self.keep and (self.chunks or stream.length >= 0)
         framing = b"Transfer-Encoding: chunked\r\n" if self.chunks else b""
-        if flow.length >= 0:
-            framing = b"Content-Length: %d\r\n" % flow.length
+        if stream.length >= 0:
+            framing = b"Content-Length: %d\r\n" % stream.length
         close = b"" if self.keep else b"Connection: close\r\n"
-        self.answer = flow
+        self.answer = stream
         self.transport.write(
             b"%b%b%b%b\r\n" % (START_LINES[answer.status], framing, lines(answer.headers), close)
         )
-        flow.attach(self)
+        stream.attach(self)
 
     def _keep_behind(self, data: bytes) -> None:
         """Read on until there is something: that the caller leaves is seen in this way alone."""
--- a/laurelstep/net/upstream.py
+++ b/laurelstep/net/upstream.py
@@ -284,7 +284,7 @@
         self.passed_since = self.owner.loop.time()
         self.owner.passing.add(self)
         passed = pass_on(self.headers, ANSWER_HEADERS)
-        final = Answer(Ending.SERVED, 200, passed, flow=answer)
+        final = Answer(Ending.SERVED, 200, passed, stream=answer)
         attempt.end(OK, final, (self.fields or {}).get(b"x-load", b""))
         if not answer.started:
             answer.abandon()  # nobody waits for it any more
--- a/laurelstep/outbox/bodies.py
+++ b/laurelstep/outbox/bodies.py
@@ -57,7 +57,7 @@
 
 
 class Body:
-    """One that is coming: the taker of its flow. `stores`: else it is only compared."""
+    """One that is coming: the sink of its stream. `stores`: else it is only compared."""
 
     def __init__(self, bodies: Bodies, call: Call, upload: BodyStream, stores: bool) -> None:
         self.bodies = bodies
@@ -310,7 +310,7 @@
 
 
 class Playback:
-    """The source of a body that is read from the store. It begins once its flow has a taker."""
+    """The source of a body that is read from the store. It begins once its stream has a sink."""
 
     def __init__(self, bodies: Bodies, call: Call, write: KeptWrite, first: bytes) -> None:
         self.bodies = bodies
--- a/laurelstep/testing/contracts/recorder.py
+++ b/laurelstep/testing/contracts/recorder.py
@@ -60,7 +60,7 @@
     def settle(self, call: Call, answer: Answer) -> None:
         seen = self.calls[call]
         if call.open:
-            assert answer.flow is None, "an answer that is still coming can't be of a record"
+            assert answer.stream is None, "an answer that is still coming can't be of a record"
             call.open = False
             seen.settled = answer
             seen.news.set()
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -89,45 +89,45 @@
     def on_end(self, complete: bool) -> None:
         self.told.append(complete)
 
-    def on_stream_closed(self, flow: BodyStream) -> None:
-        self.told.append((flow.complete, flow.abandoned))
+    def on_stream_closed(self, stream: BodyStream) -> None:
+        self.told.append((stream.complete, stream.abandoned))
 
 
 @pytest.mark.parametrize("whole", [True, False])
 def test_a_stream_gives_all_to_its_one_sink_and_ends_once(whole: bool) -> None:
     ends = Ends()
-    flow = BodyStream(ends, -1)
-    flow.observer = ends
-    flow.feed(b"a")
-    flow.attach(ends)
-    flow.feed(b"b")
-    flow.pause()
-    flow.resume()
-    flow.finish(whole)
-    flow.feed(b"c")
-    flow.finish(not whole)
-    flow.abandon()
-    flow.pause()
+    stream = BodyStream(ends, -1)
+    stream.observer = ends
+    stream.feed(b"a")
+    stream.attach(ends)
+    stream.feed(b"b")
+    stream.pause()
+    stream.resume()
+    stream.finish(whole)
+    stream.feed(b"c")
+    stream.finish(not whole)
+    stream.abandon()
+    stream.pause()
     assert ends.told == [b"a", b"b", "hold", "go on", whole, (whole, False)]
 
 
 def test_a_stream_that_was_complete_before_it_had_a_sink_is_given_all_the_same() -> None:
     ends = Ends()
-    flow = BodyStream(ends, 1)
-    flow.feed(b"a")
-    flow.finish(True)
-    flow.attach(ends)
+    stream = BodyStream(ends, 1)
+    stream.feed(b"a")
+    stream.finish(True)
+    stream.attach(ends)
     assert ends.told == [b"a", True]
 
 
 def test_a_stream_that_is_abandoned_tells_its_source_and_takes_nothing_more() -> None:
     ends = Ends()
-    flow = BodyStream(ends, 1)
-    flow.observer = ends
-    flow.attach(ends)
-    flow.abandon()
-    flow.feed(b"a")
-    flow.finish(True)
+    stream = BodyStream(ends, 1)
+    stream.observer = ends
+    stream.attach(ends)
+    stream.abandon()
+    stream.feed(b"a")
+    stream.finish(True)
     assert ends.told == ["unwanted", (False, True)]
 
 
@@ -164,7 +164,7 @@
 
 def nothing_held(one: Sidecar) -> None:
     daemon = one.server
-    assert daemon.room.used == 0 and not one.engine.calls and not one.engine.passing
+    assert daemon.room.used == 0 and not one.engine.calls and not one.engine.forwarding
     assert not daemon.uploading.since and not daemon.stuck.since
     assert not one.upstream.passing.since and not one.upstream.stalled.since
 
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -1398,7 +1398,7 @@
 
     attempts: list[Attempt] = list(upstream.out)
     flow = BodyStream(Body(), 10)
-    attempts[0].end(OK, Answer(Ending.SERVED, 200, flow=flow))
+    attempts[0].end(OK, Answer(Ending.SERVED, 200, stream=flow))
     attempts[1].end(OK, Answer(Ending.SERVED, 200))
     assert engine.out_at(where) == 1, "its answer still comes from there"
     flow.finish(True)
