--- a/laurelstep/net/client_connection.py
+++ b/laurelstep/net/client_connection.py
@@ -83,8 +83,8 @@
         self.call = None
         unread = self.upload is not None
         self._release_body()
-        if answer.flow is not None:
-            self._stream_answer(answer, answer.flow, unread)
+        if answer.stream is not None:
+            self._stream_answer(answer, answer.stream, unread)
         else:
             self.write_answer(answer, unread)
 
--- a/laurelstep/testing/contracts/recorder.py
+++ b/laurelstep/testing/contracts/recorder.py
@@ -62,7 +62,7 @@
         """The call has this answer, and does not run."""
         progress = self.calls[call]
         if call.open:
-            assert answer.flow is None, "an answer that is still coming can't be of a record"
+            assert answer.stream is None, "an answer that is still coming can't be of a record"
             call.open = False
             progress.settled = answer
             progress.changed.set()
--- a/tests/test_flow_control.py
+++ b/tests/test_flow_control.py
@@ -167,7 +167,7 @@
 
 def nothing_held(one: Sidecar) -> None:
     daemon = one.server
-    assert daemon.request_budget.used == 0 and not one.engine.calls and not one.engine.passing
+    assert daemon.request_budget.used == 0 and not one.engine.calls and not one.engine.forwarding
     assert not daemon.uploading.since and not daemon.write_stalled.since
     assert not one.upstream.streaming.since and not one.upstream.write_stalled.since
 
