--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -6,6 +6,7 @@
 import os
 import subprocess
 import sys
+import tomllib
 from collections.abc import Iterator, Sequence
 from pathlib import Path
 
@@ -26,14 +27,22 @@
 cores_at_start = cores()
 
 
-def compiled() -> dict[str, str]:
-    """The environment in which a child imports the package as `deploy/build` installs it,
-    compiled; empty, for the plain files, where there is no C compiler."""
-    subprocess.run(["sh", str(ROOT / "deploy" / "build")], check=True, stdout=sys.stderr)
-    (site,) = (ROOT / ".venv" / "lib").glob("python*/site-packages")
-    if not list(site.glob("laurelstep__mypyc*")):
+def compiled(root: Path = ROOT) -> dict[str, str]:
+    """The environment in which a child imports a checkout's package as its `deploy/build` installs it.
+
+    Empty, for the plain files, where there is no C compiler.
+    """
+    subprocess.run(["sh", str(root / "deploy" / "build")], check=True, stdout=sys.stderr, cwd=root)
+    (site,) = (root / ".venv" / "lib").glob("python*/site-packages")
+    if not list(site.glob(f"{package(root)}__mypyc*")):
         return {}
-    return {"PYTHONSAFEPATH": "1", "PYTHONPATH": f"{site}{os.pathsep}{ROOT}"}
+    return {"PYTHONSAFEPATH": "1", "PYTHONPATH": f"{site}{os.pathsep}{root}"}
+
+
+def package(root: Path = ROOT) -> str:
+    """The name of a checkout's import package: earlier versions have another."""
+    run: str = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["run"]
+    return run.rpartition(" ")[2]
 
 
 class Child:
--- a/benchmarks/hotpath.py
+++ b/benchmarks/hotpath.py
@@ -6,7 +6,7 @@
 answers at once. The tier is not the entry, where admission would refuse a part of what a
 closed loop presses on it, and a refusal costs less than a request that is served.
 The package runs as `deploy/build` installs it, compiled; `--plain` measures its files as they
-stand, and `--other FOLDER` adds the daemon of another checkout, plain.
+stand, and `--other FOLDER` adds the daemon of another checkout, installed in the same way.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 import uvloop
 
-from benchmarks.common import ROOT, Child, compiled, median, percentile, pin, progress
+from benchmarks.common import ROOT, Child, compiled, median, package, percentile, pin, progress
 from laurelstep.testing import free_port, request
 
 MANY = 32
@@ -157,7 +157,7 @@
     listen = free_port()
     path = configured(folder, ports, listen)
     environ = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
-    child = Child(["-m", "laurelstep"], 2, {**environ, **(extra or {}), "LB_CONFIG": path}, root)
+    child = Child(["-m", package(root)], 2, {**environ, **(extra or {}), "LB_CONFIG": path}, root)
     await_port(listen)
     return Subject(name, child, listen)
 
@@ -186,7 +186,7 @@
             subjects.append(Subject(name, made, int(made.line())))
         subjects.insert(1, daemon("daemon", folder, ports, ROOT, environ))
         if other is not None:
-            subjects.append(daemon("other", folder, ports, other))
+            subjects.append(daemon("other", folder, ports, other, {} if plain else compiled(other)))
         for one in subjects:
             if one.name in ("daemon", "other"):
                 stack.callback(one.child.end)
