--- a/laurelstep/__init__.py
+++ b/laurelstep/__init__.py
@@ -1,10 +1,11 @@
 """laurelstep: the decisions of a load balancer for services that call services.
 
 Make a `Balancer` from a seed and `Settings`, tell it one event at a time and
-carry out the actions it returns; `laurelstep.interface` says what each means.
+carry out the actions it returns; `laurelstep.balancing.events` says what each means.
 """
 
-from laurelstep.interface import (
+from laurelstep.balancing.balancer import Balancer
+from laurelstep.balancing.events import (
     BUSY,
     CANCELLED,
     DRAINING,
@@ -41,6 +42,7 @@
     Fail,
     Fetch,
     Goal,
+    Gossip,
     Log,
     Outcome,
     Probe,
@@ -49,11 +51,9 @@
     RequestClass,
     Send,
     Settings,
-    Tell,
     Timer,
     Watch,
 )
-from laurelstep.policy import Balancer
 
 __all__ = [
     "BUSY",
@@ -93,6 +93,7 @@
     "Fail",
     "Fetch",
     "Goal",
+    "Gossip",
     "Log",
     "Outcome",
     "Probe",
@@ -101,7 +102,6 @@
     "RequestClass",
     "Send",
     "Settings",
-    "Tell",
     "Timer",
     "Watch",
 ]
--- a/laurelstep/engine/members.py
+++ b/laurelstep/engine/members.py
@@ -22,9 +22,9 @@
 from hashlib import blake2b
 from typing import Any, Final
 
+from laurelstep.balancing.events import DRAINING, GONE, READY, Entry
 from laurelstep.engine.names import Names
 from laurelstep.engine.ports import Clock, Upstream
-from laurelstep.interface import DRAINING, GONE, READY, Entry
 
 # The clocks are read one after the other, and a machine may be held up between the two: a difference up to
 # this is no step.
--- a/laurelstep/settings/config.py
+++ b/laurelstep/settings/config.py
@@ -7,17 +7,17 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
+from laurelstep.balancing.events import KEYED, Settings
 from laurelstep.engine.names import Names
 from laurelstep.errors import LaurelstepError
-from laurelstep.interface import KEYED, Settings
 from laurelstep.request_journal.settings import JournalSettings
-from laurelstep.room.descriptors import SOCKETS_DEFAULT, side_share
+from laurelstep.resources.descriptors import DEFAULT_SOCKETS, connections_per_side
 from laurelstep.wire import EFFECTS, SCOPES, WireError, read_settings
 
 if TYPE_CHECKING:  # imported where they are on
     from laurelstep.consensus.options import ConsensusSettings
+    from laurelstep.maintenance.settings import MaintenanceSettings
     from laurelstep.outbox.options import OutboxSettings
-    from laurelstep.upkeep.options import UpkeepSettings
 
 
 class ConfigError(LaurelstepError):
@@ -44,18 +44,18 @@
     memory_mb: int = 0  # the limit of the process's memory; 0 = none is told
     management: tuple[str, int] | None = None  # the second address, for the operators' calls
     accord: ConsensusSettings | None = None
-    upkeep: UpkeepSettings | None = None
+    maintenance: MaintenanceSettings | None = None
     outbox: OutboxSettings | None = None
 
     @property
     def side_sockets(self) -> int:
         """Connections that each side may hold, callers and endpoints."""
-        return side_share(self.sockets, self.management is not None)
+        return connections_per_side(self.sockets, self.management is not None)
 
     @property
     def shared_side_sockets(self) -> int:
         """The same while two processes are one sidecar, and share its descriptors."""
-        return side_share(self.sockets, self.management is not None, processes=2)
+        return connections_per_side(self.sockets, self.management is not None, processes=2)
 
 
 # The configuration with what the operator's file adds to it, from the platform's object and its path.
@@ -157,7 +157,7 @@
             listen=None if listen is None else address(listen),
             discovery=None if discovery is None else str(discovery),
             seed=int(str(raw.get("seed", "0")), 16),
-            sockets=int(raw.get("limits", {}).get("sockets", SOCKETS_DEFAULT)),
+            sockets=int(raw.get("limits", {}).get("sockets", DEFAULT_SOCKETS)),
             memory_mb=int(raw.get("limits", {}).get("memory_mb", 0)),
             settings=settings,
             names=Names(raw["settings"], settings, _order_headers(raw, orders)),
--- a/setup.py
+++ b/setup.py
@@ -11,7 +11,25 @@
 from setuptools.command.build_ext import build_ext
 
 MODULES = (
-    *("interface", "policy"),
+    *(
+        "balancing/admission",
+        "balancing/balancer",
+        "balancing/concurrency_limit",
+        "balancing/connections",
+        "balancing/endpoints",
+        "balancing/events",
+        "balancing/key_queues",
+        "balancing/latency",
+        "balancing/membership",
+        "balancing/outliers",
+        "balancing/priorities",
+        "balancing/requests",
+        "balancing/retries",
+        "balancing/selection",
+        "balancing/slow_start",
+        "balancing/subsets",
+        "balancing/zones",
+    ),
     *(
         "engine/call",
         "engine/clock",
@@ -21,8 +39,11 @@
         "engine/names",
         "engine/tally",
     ),
-    *("lifecycle/phases", "room/descriptors", "stream/pace"),
-    *("net/message", "net/request", "net/server", "net/upstream"),
+    *("lifecycle/phases", "resources/descriptors", "flow_control/buffer_budget", "flow_control/throughput"),
+    *("net/deadline_sweeper", "net/message", "net/request"),
+    *("net/client_connection", "net/request_receiver", "net/server", "net/server_state"),
+    *("net/connection_pool", "net/endpoint_connection", "net/endpoint_request"),
+    *("net/endpoint_state", "net/response_receiver", "net/upstream"),
 )
 
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -18,13 +18,13 @@
 from starlette.applications import Starlette
 from starlette.middleware import Middleware
 
+from laurelstep.balancing.events import Action, Outcome
 from laurelstep.engine import Engine
 from laurelstep.engine.ports import Decisions
-from laurelstep.interface import Action, Outcome
 from laurelstep.library import BalancerMiddleware, Client
 from laurelstep.library.client import ClientState
 from laurelstep.net.assembly import Assembly
-from laurelstep.net.message import log
+from laurelstep.net.log import log
 from laurelstep.net.server import Server
 from laurelstep.net.upstream import Upstream
 from laurelstep.settings import Config, config_from
@@ -111,7 +111,7 @@
     def callers(self) -> int:
         """Connections open at the front."""
         if self.daemon is not None:
-            return len(self.daemon.callers)
+            return len(self.daemon.connections)
         assert self.host is not None
         return len(self.host.server_state.connections)
 
@@ -175,7 +175,7 @@
     app = Starlette(middleware=[Middleware(BalancerMiddleware, client=client)])
     async with hosted(app) as (host, port):
         yield Sidecar(client.engine, client._parts.upstream, port, host=host)
-    assert client.state is ClientState.CLOSED and not client._parts.upstream.links
+    assert client.state is ClientState.CLOSED and not client._parts.upstream.connections
 
 
 @contextlib.asynccontextmanager
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -23,6 +23,7 @@
 import pytest
 import uvloop
 
+from laurelstep.balancing.events import ERROR, FULL, NO_CONNECT, OK, RESET
 from laurelstep.consensus.links.memory import LATENCY_US, MemoryLink, MemoryNetwork
 from laurelstep.consensus.links.sockets import SocketLink
 from laurelstep.consensus.links.udp import UdpLink
@@ -35,7 +36,6 @@
 from laurelstep.engine.given import GivenMembers
 from laurelstep.engine.ports import Clock, MemberSink, MemberSource, Recorded, Recorder
 from laurelstep.engine.ports import Upstream as UpstreamSide
-from laurelstep.interface import ERROR, FULL, NO_CONNECT, OK, RESET
 from laurelstep.net.discovery import Discovery
 from laurelstep.net.upstream import Upstream
 from laurelstep.request_journal import JournalClass, JournalSettings
@@ -804,7 +804,7 @@
         """What was asked has been answered, and who watches is there."""
         while any(not one.watch for one in self.discovery.streams):
             await self.lists.news()
-        while (watch := self.discovery.stream) is not None and not watch.done and not self.lists.watches:
+        while (watch := self.discovery.stream) is not None and not watch.is_closed and not self.lists.watches:
             await self.lists.news()
 
     async def set_list(self, version: int, entries: Entries) -> None:
@@ -918,15 +918,15 @@
 class Overtaking(Discovery):
     """Reads on while a long list is applied."""
 
-    def take(self, raw: bytearray, stream: Any, told_at: int | None) -> None:
-        super().take(raw, stream, told_at)
+    def on_object(self, raw: bytearray, stream: Any, told_at: int | None) -> None:
+        super().on_object(raw, stream, told_at)
         self.busy = False
 
 
 class Silent(Discovery):
     """Doesn't say that a list did not come."""
 
-    def lost(self, stream: Any, silent: bool) -> None: ...
+    def on_lost(self, stream: Any, silent: bool) -> None: ...
 
 
 @pytest.mark.parametrize(
--- a/tests/test_stream.py
+++ b/tests/test_flow_control.py
@@ -10,10 +10,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from laurelstep.balancing.events import ERROR, MOOT, NO_CONNECT, OK, RESET
 from laurelstep.engine.flow import Flow
-from laurelstep.interface import ERROR, MOOT, NO_CONNECT, OK, RESET
+from laurelstep.flow_control.buffer_budget import MAX_BUFFERED, UNCOUNTED, BufferBudget, budget_for
+from laurelstep.flow_control.throughput import GRACE_S, MIN_RATE, has_min_throughput
 from laurelstep.net.message import LARGE_MAX
-from laurelstep.stream.pace import FREE, GRACE_S, HOLD_EACH, RATE_LEAST, Room, keeps_pace, room_for
 from laurelstep.testing.endpoints import reset_connection
 from tests.sockets import (
     Endpoint,
@@ -39,33 +40,35 @@
 
 
 def test_a_body_may_be_as_slow_as_its_rate_and_no_slower() -> None:
-    assert keeps_pace(0, GRACE_S) and not keeps_pace(0, GRACE_S + 0.1)
-    assert keeps_pace(int(RATE_LEAST), GRACE_S + 1.0) and not keeps_pace(int(RATE_LEAST), GRACE_S + 1.1)
-    assert all(keeps_pace(int(64_000 * s), s) for s in range(1, 500)), "what callers may do"
+    assert has_min_throughput(0, GRACE_S) and not has_min_throughput(0, GRACE_S + 0.1)
+    assert has_min_throughput(int(MIN_RATE), GRACE_S + 1.0) and not has_min_throughput(
+        int(MIN_RATE), GRACE_S + 1.1
+    )
+    assert all(has_min_throughput(int(64_000 * s), s) for s in range(1, 500)), "what callers may do"
 
 
 @pytest.mark.parametrize(("memory", "least", "most"), [(0, 16, 32), (32, 1, 4), (80, 8, 16), (192, 32, 48)])
-def test_the_room_leaves_memory_for_all_else(memory: int, least: int, most: int) -> None:
-    assert least * MB <= room_for(memory) <= most * MB
+def test_the_budget_leaves_memory_for_all_else(memory: int, least: int, most: int) -> None:
+    assert least * MB <= budget_for(memory) <= most * MB
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), st.integers(1, 400_000)), max_size=80))
-def test_the_room_is_never_overdrawn_and_all_of_it_comes_back(steps: list[tuple[int, int]]) -> None:
-    room = Room(2 * MB)
+def test_the_budget_is_never_overdrawn_and_all_of_it_comes_back(steps: list[tuple[int, int]]) -> None:
+    budget = BufferBudget(2 * MB)
     sizes, held = [0] * 6, [0] * 6
     for which, more in steps:
-        took = room.hold(sizes[which] + more, held[which])
+        took = budget.reserve(sizes[which] + more, held[which])
         if took < 0:
-            room.give_back(held[which])
+            budget.release(held[which])
             sizes[which] = held[which] = 0
         else:
             sizes[which] += more
             held[which] = took
-            assert took == max(0, sizes[which] - FREE) and sizes[which] <= HOLD_EACH
-        assert 0 <= room.used == sum(held) <= room.most
+            assert took == max(0, sizes[which] - UNCOUNTED) and sizes[which] <= MAX_BUFFERED
+        assert 0 <= budget.used == sum(held) <= budget.limit
     for one in held:
-        room.give_back(one)
-    assert room.used == 0
+        budget.release(one)
+    assert budget.used == 0
 
 
 class Ends:
@@ -164,12 +167,12 @@
 
 def nothing_held(one: Sidecar) -> None:
     daemon = one.server
-    assert daemon.room.used == 0 and not one.engine.calls and not one.engine.passing
-    assert not daemon.uploading.since and not daemon.stuck.since
-    assert not one.upstream.passing.since and not one.upstream.stalled.since
+    assert daemon.request_budget.used == 0 and not one.engine.calls and not one.engine.passing
+    assert not daemon.uploading.since and not daemon.write_stalled.since
+    assert not one.upstream.streaming.since and not one.upstream.write_stalled.since
 
 
-@pytest.mark.parametrize("size", [100, 64 * 1024 + 1, HOLD_EACH, HOLD_EACH + 1, len(BIG)])
+@pytest.mark.parametrize("size", [100, 64 * 1024 + 1, MAX_BUFFERED, MAX_BUFFERED + 1, len(BIG)])
 @pytest.mark.parametrize("framed", ["length", "chunks"])
 def test_a_body_of_any_size_comes_through_whole(size: int, framed: str) -> None:
     async def main() -> None:
@@ -202,7 +205,7 @@
 
         endpoints = Endpoint(once), Endpoint(once)
         async with sidecar(*endpoints) as one:
-            for rid, size, attempts in (("r1", HOLD_EACH, 2), ("r2", 2 * HOLD_EACH, 1)):
+            for rid, size, attempts in (("r1", MAX_BUFFERED, 2), ("r2", 2 * MAX_BUFFERED, 1)):
                 reader, writer = await one.connect()
                 writer.write(head(size, rid=rid) + BIG[:size])
                 back = await read_message(reader)
@@ -313,14 +316,14 @@
                         await writer.drain()
 
             pouring = asyncio.create_task(pour())
-            stalled = one.upstream.stalled
+            stalled = one.upstream.write_stalled
             await until(lambda: bool(stalled.since))
             for link in stalled.since:
                 stalled.since[link] -= stalled.seconds  # nothing was read for so long
             stalled.run()
             back = await read_message(reader)
             assert back.status in (502, 503) and back.headers["connection"] == "close"
-            assert not one.engine.calls and not one.upstream.links
+            assert not one.engine.calls and not one.upstream.connections
             pouring.cancel()
             writer.transport.abort()
             for open_ in endpoint.open:
@@ -344,9 +347,9 @@
                     await writer.drain()
 
             pouring = asyncio.create_task(pour())
-            await until(lambda: bool(one.upstream.stalled.since))
-            (caller,) = one.server.callers
-            (link,) = one.upstream.links
+            await until(lambda: bool(one.upstream.write_stalled.since))
+            (caller,) = one.server.connections
+            (link,) = one.upstream.connections
             size = caller.size
             for _ in range(200):
                 await asyncio.sleep(0)
@@ -368,9 +371,9 @@
         async with sidecar(endpoint) as one:
             reader, writer = await one.connect()
             writer.write(head(3000))
-            waiting = one.server.reading.since
+            waiting = one.server.awaiting_request.since
             for part in pieces(BIG[:3000], 1000):
-                await until(lambda: bool(waiting) and next(iter(waiting)).asked is not None)
+                await until(lambda: bool(waiting) and next(iter(waiting)).parsed is not None)
                 (caller,) = waiting
                 began = waiting[caller] = waiting[caller] - 1.0
                 writer.write(part)
@@ -387,8 +390,8 @@
         async with sidecar(endpoint) as one:
             reader, writer = await one.connect()
             writer.write(head(200_000) + b"x" * 10)
-            await until(lambda: any(caller.asked is not None for caller in one.server.callers))
-            (caller,) = one.server.callers
+            await until(lambda: any(caller.parsed is not None for caller in one.server.connections))
+            (caller,) = one.server.connections
             caller.head_at -= 60.0  # as if the head had come a minute ago
             writer.write(b"x" * 1000)
             back = await read_message(reader)
@@ -529,13 +532,13 @@
             reader, writer = await one.connect()
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             writer.write(request())
-            await until(lambda: bool(one.server.stuck.since))
-            (caller,) = one.server.callers
+            await until(lambda: bool(one.server.write_stalled.since))
+            (caller,) = one.server.connections
             assert caller.transport is not None
             for _ in range(200):
                 await asyncio.sleep(0)
             assert caller.transport.get_write_buffer_size() < MB and not poured.is_set()
-            assert one.server.stuck.since and not one.upstream.passing.since
+            assert one.server.write_stalled.since and not one.upstream.streaming.since
             writer.transport.resume_reading()  # type: ignore[attr-defined]
             await reader.readuntil(b"\r\n\r\n")
             assert len(await reader.readexactly(32 * (MB - 1))) == 32 * (MB - 1)
@@ -558,12 +561,12 @@
             reader, writer = await one.connect()
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             writer.write(request())
-            stuck = one.server.stuck
+            stuck = one.server.write_stalled
             await until(lambda: bool(stuck.since))
             for caller in stuck.since:
                 stuck.since[caller] -= stuck.seconds  # it has not read for so long
             stuck.run()
-            await until(lambda: not one.server.callers and not one.upstream.links)
+            await until(lambda: not one.server.connections and not one.upstream.connections)
             assert counted(one) == (0, 0, 0, 1, 0), "it counts as one who left"
             nothing_held(one)
             writer.transport.resume_reading()  # type: ignore[attr-defined]
@@ -617,7 +620,7 @@
             go.set()
             assert await reader.readexactly(len(BIG)) == BIG
             await ended.wait()
-            assert one.server.callers == set()
+            assert one.server.connections == set()
             writer.close()
 
     run(main())
@@ -635,16 +638,16 @@
         endpoint = giving(answer(200, b"123456789")[:-4], rest)
         async with sidecar(endpoint) as one:
             asked = asyncio.create_task(one.ask(request("pay", b"b")))
-            await until(lambda: bool(one.upstream.answering.since))
-            (link,) = one.upstream.answering.since
+            await until(lambda: bool(one.upstream.receiving.since))
+            (link,) = one.upstream.receiving.since
             if stays:
-                link.fed_then = 0  # something came since it was looked at last
-                del one.upstream.answering.since[link]
-                link.late()
+                link.received_at_check = 0  # something came since it was looked at last
+                del one.upstream.receiving.since[link]
+                link.on_response_timeout()
                 go.set()
                 assert (await asked).body == b"123456789"
             else:
-                link.late()
+                link.on_response_timeout()
                 assert (await asked).status == 502
 
     run(main())
@@ -668,18 +671,18 @@
             writer.write(request())
             await reader.readuntil(b"\r\n\r\n")
             await reader.readexactly(128 * 1024)
-            (link,) = one.upstream.passing.since
-            pace_s = GRACE_S + link.size / RATE_LEAST
+            (link,) = one.upstream.streaming.since
+            pace_s = GRACE_S + link.size / MIN_RATE
             if held:
                 link.hold()
-                link.held_since -= pace_s + 60.0
-                link.passed_since -= pace_s + 60.0
+                link.paused_since -= pace_s + 60.0
+                link.streaming_since -= pace_s + 60.0
                 link.go_on()
             else:
-                link.passed_since -= pace_s
+                link.streaming_since -= pace_s
             more.set()
             if held:
-                assert await reader.readexactly(1) == b"x" and one.upstream.links
+                assert await reader.readexactly(1) == b"x" and one.upstream.connections
                 writer.close()
             else:
                 with pytest.raises(asyncio.IncompleteReadError):
@@ -691,21 +694,21 @@
 
 
 def test_memory_held_for_bodies_is_bounded_and_given_back() -> None:
-    """Forty uploads at once, none of them whole: what is over the room is passed on."""
+    """Forty uploads at once, none of them whole: what is over the budget is streamed."""
 
     async def main() -> None:
         endpoint = Endpoint(hold)
         async with sidecar(endpoint) as one:
-            one.server.room.most = MB
+            one.server.request_budget.limit = MB
             streams = [await one.connect() for _ in range(40)]
             for n, (_, writer) in enumerate(streams):
                 writer.write(head(MB, rid=f"r{n}") + BIG[:300_000])
-            await until(lambda: sum(caller.size >= 300_000 for caller in one.server.callers) == 40)
-            assert one.server.room.used <= MB
-            assert sum(caller.upload is not None for caller in one.server.callers) > 30
+            await until(lambda: sum(caller.size >= 300_000 for caller in one.server.connections) == 40)
+            assert one.server.request_budget.used <= MB
+            assert sum(caller.upload is not None for caller in one.server.connections) > 30
             for _, writer in streams:
                 writer.transport.abort()
-            await until(lambda: not one.server.callers and not one.engine.calls)
+            await until(lambda: not one.server.connections and not one.engine.calls)
             nothing_held(one)
 
     run(main())
--- a/tests/test_upkeep_contracts.py
+++ b/tests/test_maintenance_contracts.py
@@ -1,4 +1,4 @@
-"""Upkeep's source under the contract of all sources of members: around one that is given, and around
+"""Maintenance's source under the contract of all sources of members: around one that is given, and around
 discovery. Where nothing is held, it is not to be seen."""
 
 from __future__ import annotations
@@ -11,28 +11,30 @@
 from laurelstep.engine import LoopClock
 from laurelstep.engine.given import GivenMembers
 from laurelstep.engine.ports import MemberSource
-from laurelstep.net.slices import Slices
+from laurelstep.maintenance.source import MaintenanceSource
+from laurelstep.maintenance.state import MaintenanceState
+from laurelstep.net.cooperative_task import CooperativeTask
 from laurelstep.testing.contracts.members import (
     FaultySourceEnvironment,
     MemberSourceContract,
     PolledSourceContract,
     SourceEnvironment,
 )
-from laurelstep.upkeep.roll import Roll
-from laurelstep.upkeep.source import UpkeepSource
+from tests.maintenance import GRACE_US
 from tests.test_contracts import GivenEnvironment, OnDiscovery
-from tests.upkeeping import GRACE_US
 
 
-def around(inner: MemberSource) -> UpkeepSource:
+def around(inner: MemberSource) -> MaintenanceSource:
     """A source that knows the record, in which nothing is out."""
     loop = asyncio.get_running_loop()
-    source = UpkeepSource(inner, Roll(), LoopClock(loop), GRACE_US, Slices(loop).run, lambda line: None)
-    source.go_on(True)
+    source = MaintenanceSource(
+        inner, MaintenanceState(), LoopClock(loop), GRACE_US, CooperativeTask(loop).run, lambda line: None
+    )
+    source.start_forwarding(True)
     return source
 
 
-class TestUpkeepOnGivenMembers(MemberSourceContract):
+class TestMaintenanceOnGivenMembers(MemberSourceContract):
     @contextlib.asynccontextmanager
     async def environment(self) -> AsyncIterator[SourceEnvironment]:
         given = GivenMembers()
@@ -42,7 +44,7 @@
         given.close()
 
 
-class OnUpkeep(OnDiscovery):
+class OnMaintenance(OnDiscovery):
     @contextlib.asynccontextmanager
     async def environment(self) -> AsyncIterator[FaultySourceEnvironment]:
         async with super().environment() as found:
@@ -50,9 +52,9 @@
             yield found
 
 
-class TestUpkeepOnPushedDiscovery(OnUpkeep, MemberSourceContract):
+class TestMaintenanceOnPushedDiscovery(OnMaintenance, MemberSourceContract):
     pushed: ClassVar[bool] = True
 
 
-class TestUpkeepOnAskedDiscovery(OnUpkeep, PolledSourceContract):
+class TestMaintenanceOnPolledDiscovery(OnMaintenance, PolledSourceContract):
     pushed: ClassVar[bool] = False
--- a/tests/test_cold.py
+++ b/tests/test_slow_start.py
@@ -1,9 +1,9 @@
 """What a whole fleet sends to a cold endpoint: many modules in one process, one pool of endpoints.
 
 Each case is drawn from its seed and played on a clock of its own, in µs. Counted is what each
-cold endpoint gets within any span of `tip_for_us`, against the bound under which it stands
-(docs/design/cold.md): N + 2 x root of N + 2 requests, N being
-`tip_multiple` x (`cold_share` + (1 - `cold_share`) x age / `cold_us`) x capacity x `tip_for_us`.
+cold endpoint gets within any span of `overload_for_us`, against the bound under which it stands
+(docs/design/slow_start.md): N + 2 x root of N + 2 requests, N being
+`tip_multiple` x (`cold_share` + (1 - `cold_share`) x age / `cold_us`) x capacity x `overload_for_us`.
 """
 
 from __future__ import annotations
@@ -18,7 +18,8 @@
 
 import pytest
 
-from laurelstep.interface import (
+from laurelstep.balancing.balancer import Balancer
+from laurelstep.balancing.events import (
     FULL,
     GONE,
     LIST_DELTA,
@@ -36,13 +37,12 @@
     Settings,
     Timer,
 )
-from laurelstep.policy import Balancer
 from tests.helpers import MS, SECOND, Driver, fleet, started
 
 VIEW = RequestClass(effect=SAFE, aim_us=SECOND, deadline_us=3 * SECOND)
 SETTINGS = Settings(
     classes=(VIEW,), stage=1, stages=3, max_attempts=3,
-    cold_share=0.13, cold_us=23 * SECOND, tip_multiple=3.0, tip_for_us=SECOND,
+    cold_share=0.13, cold_us=23 * SECOND, tip_multiple=3.0, overload_for_us=SECOND,
 )  # fmt: skip
 CORES = 2
 WARM_UP = 3 * SECOND  # all is warm before this: the copies learn what they serve
@@ -100,7 +100,7 @@
 
     def allowed(self, now: int, settings: Settings) -> float:
         number = settings.tip_multiple * self.warmth(now, settings) * self.capacity
-        number *= settings.tip_for_us / SECOND
+        number *= settings.overload_for_us / SECOND
         return number + 2.0 * sqrt(number) + 2.0
 
     def fullest(self, settings: Settings) -> float:
@@ -110,9 +110,9 @@
         worst = 0.0
         for at in self.got:
             span.append(at)
-            while span[0] <= at - settings.tip_for_us:
+            while span[0] <= at - settings.overload_for_us:
                 span.popleft()
-            worst = max(worst, len(span) / self.allowed(at - settings.tip_for_us, settings))
+            worst = max(worst, len(span) / self.allowed(at - settings.overload_for_us, settings))
         return worst
 
 
@@ -285,35 +285,37 @@
 
 @pytest.mark.parametrize("copies", [3, 60, 200])
 def test_other_settings_and_many_requests(copies: int) -> None:
-    other = replace(SETTINGS, tip_multiple=1.5, cold_share=0.3, cold_us=10 * SECOND, tip_for_us=500 * MS)
+    other = replace(SETTINGS, tip_multiple=1.5, cold_share=0.3, cold_us=10 * SECOND, overload_for_us=500 * MS)
     holds(Case(copies, 8, 4, load=0.9, settings=other, span_us=4 * SECOND))
     holds(Case(copies, 4, 2, load=0.9, capacities=(200.0,), span_us=SECOND))
 
 
 @pytest.mark.parametrize("gap", [4 * MS, 20 * MS, 200 * MS])
 def test_one_copy_sends_no_more_than_the_formula_says(gap: int) -> None:
-    """At most 1 + 2a in a span, a being COLD_SAFETY x tip_multiple x warmth x what an endpoint of
-    its arc serves it x tip_for_us; whatever it saved up before, and whenever it spends it."""
-    driver = Driver(balancer := started(4, tip_for_us=SECOND))
+    """At most 1 + 2a in a span, a being SAFETY x tip_multiple x warm-up fraction x what an endpoint of
+    its subsets serves it x overload_for_us; whatever it saved up before, and whenever it spends it."""
+    driver = Driver(balancer := started(4, overload_for_us=SECOND))
     cold = balancer.endpoints[100]
-    cold.crowded = 10**12  # nothing is sent there but what this test takes
+    cold.overloaded_until = 10**12  # nothing is sent there but what this test takes
     rng, spent, thrifty = random.Random(gap), list[int](), 0
     for now in range(gap, 40 * SECOND, gap):
         assert driver.serve(now, gap // 2)
         if now == 5 * SECOND:
-            cold.boot = cold.budget_at = now
+            cold.boot = cold.slow_start_budget_at = now
         if now > thrifty + 2 * SECOND:
             thrifty = now + rng.randrange(3 * SECOND)  # it saves up to here, and then takes all it may
-        while now > thrifty and cold.boot and balancer._is_cold(now, cold):
-            if balancer._cold_budget(now, cold) < 1.0:
+        while now > thrifty and cold.boot and balancer.slow_start.is_warming_up(now, cold):
+            if balancer.slow_start.slow_start_budget(now, cold) < 1.0:
                 break
-            cold.budget -= 1.0
+            cold.slow_start_budget -= 1.0
             spent.append(now)
     assert len(spent) > 2
     for at in spent:
         # A rate that is read just after a send shows by so much more than its mean.
-        part = 0.5 * balancer.s.tip_multiple * balancer._warmth(at + SECOND, cold) / 4 * SECOND / gap
-        part = max(part * (1.0 + gap / balancer.rate_memory), 0.5 * SECOND / balancer.longest_aim)
+        warm = balancer.slow_start.warmup_fraction(at + SECOND, cold)
+        part = 0.5 * balancer.settings.tip_multiple * warm / 4 * SECOND / gap
+        part *= 1.0 + gap / balancer.latencies.rate_memory_us
+        part = max(part, 0.5 * SECOND / balancer.latencies.longest_objective_us)
         assert sum(at <= other < at + SECOND for other in spent) <= 1.0 + 2.0 * part + 1e-6
 
 
@@ -340,9 +342,9 @@
         parts = []
         for size in (20, 4):
             balancer.members(5 * SECOND, LIST_FULL, fleet(size))
-            cold = next(one for one in balancer.endpoints.values() if balancer.groups[0].holds(one))
-            holders = balancer.arc_size * balancer.s.instances / size
-            cold.boot = cold.budget_at = 5 * SECOND
-            cold.budget = 0.0
-            parts.append(balancer._cold_budget(5 * SECOND + 10 * MS, cold) * holders)
+            cold = next(one for one in balancer.endpoints.values() if balancer.subsets.pair[0].contains(one))
+            holders = balancer.subsets.span * balancer.settings.instances / size
+            cold.boot = cold.slow_start_budget_at = 5 * SECOND
+            cold.slow_start_budget = 0.0
+            parts.append(balancer.slow_start.slow_start_budget(5 * SECOND + 10 * MS, cold) * holders)
         assert parts[1] <= 1.1 * parts[0], changes
