--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -372,7 +372,7 @@
 @pytest.mark.parametrize("fault", [EARLY, UNTOLD], ids=["clear one confirmation early", "drain not told"])
 def test_a_program_with_a_fault_is_found(fault: str) -> None:
     async def main() -> None:
-        async with watched(3, 3, begin=("-c", fault)) as (tier, watch):
+        async with watched(3, 3, command_prefix=("-c", fault)) as (tier, watch):
             leader = await watch.until_led(*range(3))
             last = next(one for one in range(3) if one != leader)
             machine = watch.used(last)
