--- a/tests/test_maintenance_contracts.py
+++ b/tests/test_maintenance_contracts.py
@@ -56,5 +56,5 @@
     pushed: ClassVar[bool] = True
 
 
-class TestMaintenanceOnAskedDiscovery(OnMaintenance, PolledSourceContract):
+class TestMaintenanceOnPolledDiscovery(OnMaintenance, PolledSourceContract):
     pushed: ClassVar[bool] = False
