--- a/laurelstep/balancing/balancer.py
+++ b/laurelstep/balancing/balancer.py
@@ -221,8 +221,10 @@
         self, now: int, event: Outcome, endpoint: Endpoint, attempt: Attempt | None
     ) -> None:
         if attempt is None or not attempt.body_pending:
-            self.membership.settle_attempt(endpoint)
-            endpoint.silent_since = now
+            # An upload may outlive its endpoint's entry: it counted at that, not at the one listed since.
+            counted_at = endpoint if attempt is None else attempt.endpoint
+            self.membership.settle_attempt(counted_at)
+            counted_at.silent_since = now
         if event.report and self._waiting_field < len(event.report):
             waiting = event.report[self._waiting_field]
             if 0.0 <= waiting < REPORTED_WAITING_MAX:
--- a/laurelstep/balancing/membership.py
+++ b/laurelstep/balancing/membership.py
@@ -132,5 +132,6 @@
         """Any ending of an attempt lowers the endpoint's count; one that left and owes nothing
         more is forgotten."""
         endpoint.inflight = max(0, endpoint.inflight - 1)
-        if not (endpoint.ready or endpoint.staged or endpoint.inflight):
-            self.by_id.pop(endpoint.id, None)
+        is_needed = endpoint.ready or endpoint.staged or endpoint.inflight
+        if not is_needed and self.by_id.get(endpoint.id) is endpoint:
+            del self.by_id[endpoint.id]
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -230,6 +230,26 @@
 TestEngine.settings = settings(max_examples=80, stateful_step_count=50, deadline=None)
 
 
+def test_an_upload_that_outlives_its_endpoints_entry_is_not_counted_at_the_next() -> None:
+    """Its endpoint leaves the list and is listed anew before the upload's last byte has come: the attempt
+    then counts at the endpoint that it was sent to, also when it ends."""
+    state = Interleaving()
+    state.arrive(cls=0, deadline_ms=1)
+    state.answer(at=0, outcome=OK)
+    state.answer(at=0, outcome=OK)
+    state.arrive_while_it_comes(cls=1, span_ms=1)
+    upload = state.calls[1].attempts[0].endpoint
+    (name,) = [one for one in NAMES if number(one) == upload]
+    state.relist(name, "draining")
+    state.relist(name, "ready")
+    state.arrive(cls=0, deadline_ms=1)
+    assert state.calls[2].attempts[0].endpoint == upload, "another request is sent to it meanwhile"
+    state.end_upload(at=0, span_ms=0)
+    state.cancel(at=1)
+    state.the_module_counts_what_endpoints_have_whole()
+    state.teardown()
+
+
 # --- On sockets --------------------------------------------------------------------------
 
 
