--- a/tests/test_folders_of_earlier_versions.py
+++ b/tests/test_folders_of_earlier_versions.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+import functools
 import json
 import shutil
+from dataclasses import replace
 from pathlib import Path
 from typing import Any, Final
 
@@ -16,6 +18,8 @@
 from woadyard.outbox import driver as driving
 from woadyard.outbox.dots import read_dot
 from woadyard.outbox.journal import State
+from woadyard.outbox.store import KeptStore
+from woadyard.store.clock import SYSTEM_CLOCKS
 
 pytestmark = once
 
@@ -35,7 +39,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     before = told("outbox-9af0195")
-    monkeypatch.setattr(driving, "_wall", lambda: before["wall_us"] + HOUR_US)
+    an_hour_later = replace(SYSTEM_CLOCKS, wall_ms=lambda: (before["wall_us"] + HOUR_US) // 1000)
+    monkeypatch.setattr(KeptStore, "open", functools.partial(KeptStore.open, clocks=an_hour_later))
     monkeypatch.setattr(driving, "TURN_US", 10_000)
 
     async def main() -> None:
