--- a/tests/test_folders_of_earlier_versions.py
+++ b/tests/test_folders_of_earlier_versions.py
@@ -11,17 +11,14 @@
 
 import pytest
 
-from tests.once import once
+from laurelstep.outbox import driver as driving
+from laurelstep.outbox.dots import read_dot
+from laurelstep.outbox.journal import State
+from laurelstep.outbox.store import KeptStore
+from laurelstep.store.clock import SYSTEM_CLOCKS
 from tests.sockets import run
 from tests.test_node import Tier
 from tests.test_outbox_bodies import edge
-from woadyard.outbox import driver as driving
-from woadyard.outbox.dots import read_dot
-from woadyard.outbox.journal import State
-from woadyard.outbox.store import KeptStore
-from woadyard.store.clock import SYSTEM_CLOCKS
-
-pytestmark = once
 
 FIXTURES: Final = Path(__file__).parent / "fixtures"
 HOUR_US: Final = 3_600_000_000
