--- a/benchmarks/outbox.py
+++ b/benchmarks/outbox.py
@@ -27,8 +27,8 @@
 from laurelstep.net.assembly import Assembly
 from laurelstep.net.message import lines
 from laurelstep.outbox.driver import OutboxDriver
-from laurelstep.outbox.options import KeptClass, OutboxSettings
-from laurelstep.outbox.replay import Pace
+from laurelstep.outbox.options import OutboxSettings, QueuedClass
+from laurelstep.outbox.replay_queue import ReplayPacer
 from laurelstep.settings import config_from
 
 SETTINGS = {
@@ -93,7 +93,7 @@
         if not folder:
             return cls(parts, None, name)
         settings = OutboxSettings(
-            store_path=folder, edge=name, classes={"put": KeptClass("keyed", 86_400_000_000)}, most=most,
+            store_path=folder, edge=name, classes={"put": QueuedClass("keyed", 86_400_000_000)}, most=most,
             share=1.0, cut_us=10_000, back_us=10_000, send_us=2_000_000,
         )  # fmt: skip
         config.names.keepable = frozenset((1,))
@@ -238,7 +238,7 @@
     return round(median([a / b for a, b in zip(seen["on"], seen["off"], strict=True)]), 3)
 
 
-class AllAtOnce(Pace):
+class AllAtOnce(ReplayPacer):
     """No pace: what is ready goes."""
 
     def __init__(self) -> None:
@@ -266,7 +266,7 @@
     await asyncio.gather(*(edge.cut_off() for edge in edges))
     await asyncio.gather(*(edge.keep(EDGE_KEPT, CHAINS) for edge in edges))
     for edge in edges:
-        edge.driver.outbox.pace = Pace(8, 1_000_000) if paced else AllAtOnce()
+        edge.driver.outbox.pace = ReplayPacer(8, 1_000_000) if paced else AllAtOnce()
     times: list[float] = []
     refused: list[int] = []
     tasks, began = [], time.perf_counter()
--- a/benchmarks/outbox_child.py
+++ b/benchmarks/outbox_child.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from benchmarks.outbox import CHAINS, Edge, resident_kb
-from laurelstep.outbox.terms import Offer
+from laurelstep.outbox.messages import WriteOffer
 
 SERVICE_S, TIGHT_S = 0.002, 0.02
 WARM, ASKED = 2_000, 10_000
@@ -116,13 +116,13 @@
     now, wall = driver._now(), time.time_ns() // 1000
 
     async def one(number: int) -> None:
-        offer = Offer(
+        offer = WriteOffer(
             "put", b"POST /put", HEADERS, len(BODY), b"d" * 16, b"f%d" % number, b"s%d" % (number % TOGETHER)
         )
         ticket = driver.outbox.offer(offer, now, wall)
         assert ticket.write is not None
         await driver.store.keep(ticket.write, BODY)
-        driver.outbox.stored(ticket.dot, now)
+        driver.outbox.stored(ticket.write_id, now)
 
     for at in range(first, first + count, TOGETHER):
         await asyncio.gather(*(one(number) for number in range(at, min(at + TOGETHER, first + count))))
--- a/laurelstep/daemon.py
+++ b/laurelstep/daemon.py
@@ -33,8 +33,8 @@
     from laurelstep.handover.taker import Taken
     from laurelstep.management.server import Management
     from laurelstep.outbox.driver import OutboxDriver
-    from laurelstep.outbox.shared.assembly import Shared
-    from laurelstep.outbox.shared.carried import Carried
+    from laurelstep.outbox.shared.assembly import SharedOutbox
+    from laurelstep.outbox.shared.carried_ledger import CarriedLedger
     from laurelstep.upkeep.assembly import Upkeep
     from laurelstep.workers.child import Seat
 
@@ -95,8 +95,8 @@
         self.node: Node | None = None
         self.upkeep: Upkeep | None = None
         self.outbox: OutboxDriver | None = None
-        self.shared: Shared | None = None  # what copies share of kept writes
-        self.carried: Carried | None = None  # the same, where this copy does not
+        self.shared: SharedOutbox | None = None  # what copies share of kept writes
+        self.carried: CarriedLedger | None = None  # the same, where this copy does not
         self.node_parts: Parts | None = None
         self.leaving = False
         self.tasks: set[asyncio.Task[None]] = set()
@@ -224,25 +224,25 @@
 
             self.upkeep.begin(self.node_parts.part(KIND), self.parts.engine, self._is_alone)
 
-    def _outbox_shared(self) -> Shared | None:
+    def _outbox_shared(self) -> SharedOutbox | None:
         """What upstream's copies share of edges' kept writes, not yet begun; None where it is off."""
         if self.config.outbox is None or not self.config.outbox.shared:
             return None
         # Imported where it is on.
         try:
-            from laurelstep.outbox.shared.assembly import Shared
+            from laurelstep.outbox.shared.assembly import SharedOutbox
         except ImportError as error:
             missing = f"{error.name} is missing: pip install 'laurelstep[store]'"
             raise ConfigError(f"{self._file}outbox.shared: {missing}") from None
-        return Shared(self.loop, self.config, log)
+        return SharedOutbox(self.loop, self.config, log)
 
     def _machines(self) -> dict[int, Machine]:
         """The record's part of kept writes: every copy that takes part carries it."""
         if self.shared is not None:
             return self.shared.machines
-        from laurelstep.outbox.shared.carried import Carried
+        from laurelstep.outbox.shared.carried_ledger import CarriedLedger
 
-        self.carried = Carried()
+        self.carried = CarriedLedger()
         return self.carried.machines
 
     def _recorder(self, orders: Recorder | None) -> Recorder | None:
@@ -272,8 +272,8 @@
         except ImportError as error:
             missing = f"{error.name} is missing: pip install 'laurelstep[store]'"
             raise ConfigError(f"{self._file}outbox: {missing}") from None
-        frontier = None if self.shared is None else self.shared.frontier
-        return await open_driver(settings, names.classes, names.tenants, log, self._file, frontier)
+        version_vector = None if self.shared is None else self.shared.version_vector
+        return await open_driver(settings, names.classes, names.tenants, log, self._file, version_vector)
 
     def _upkeep(self) -> Upkeep | None:
         """Machines out for work, not yet begun; None where it is off, or has nothing to rest on."""
@@ -369,9 +369,9 @@
         if self.upkeep is not None:
             subsystems.append(self.upkeep.reply)
         if self.outbox is not None:
-            from laurelstep.outbox.calls import Claimer, reply_about
+            from laurelstep.outbox.api import LogClaimApi, reply_about
 
-            claimer = self.shared or (self.outbox if isinstance(self.outbox, Claimer) else None)
+            claimer = self.shared or (self.outbox if isinstance(self.outbox, LogClaimApi) else None)
             subsystems.append(partial(reply_about, desk=self.outbox, shared=self.shared, claimer=claimer))
 
         def more(method: bytes, target: bytes) -> Reply | None:
--- a/laurelstep/outbox/calls.py
+++ b/laurelstep/outbox/api.py
@@ -4,8 +4,8 @@
 
 1. `GET /api/outbox` tells how much is kept, whether the edge is cut off, and the first parked writes.
    Where copies share what is in, also what their record holds.
-2. `POST /api/outbox/judge` says what became of one: `write`, `parking` and `verdict` (`ran`, `never_ran`,
-   `give_up`) as query parameters. It names the parking, so that a verdict given twice holds once.
+2. `POST /api/outbox/judge` says what became of one: `write`, `parking` and `resolution` (`ran`, `never_ran`,
+   `give_up`) as query parameters. It names the parking, so that a resolution given twice holds once.
 3. `POST /api/outbox/lost` with `edge`, and `incarnation` in 16 hex digits for one of its lives alone, at a
    copy that shares: that edge will not come back, and what of it is not in is given up. Never taken back.
 4. `POST /api/outbox/claim` with `line` as `edge/incarnation`, where a former life's line is fenced: of the
@@ -23,28 +23,28 @@
 
 from laurelstep.errors import LaurelstepError
 from laurelstep.management.calls import Reply
-from laurelstep.outbox.dots import Line, check_edge, read_dot
 from laurelstep.outbox.errors import OutboxError, UnknownWriteError, VerdictError
-from laurelstep.outbox.journal import Verdict
+from laurelstep.outbox.records import Resolution
+from laurelstep.outbox.write_ids import EdgeLog, check_edge, parse_write_id
 
 ROOT: Final = b"/api/outbox"
 JUDGE, LOST, CLAIM = ROOT + b"/judge", ROOT + b"/lost", ROOT + b"/claim"
 METHODS: Final = {ROOT: b"GET", JUDGE: b"POST", LOST: b"POST", CLAIM: b"POST"}
 JSON_TYPE: Final = b"application/json"
 FIELDS: Final = ("write", "parking", "verdict")
-VERDICTS: Final = {one.name.lower(): one for one in Verdict}
+VERDICTS: Final = {one.name.lower(): one for one in Resolution}
 
 
-class Desk(Protocol):
+class OutboxApi(Protocol):
     """The driver, as calls know it."""
 
     def status(self) -> dict[str, Any]: ...
 
-    def judge(self, text: str, parking: int, verdict: Verdict) -> bool:
+    def resolve(self, text: str, parking: int, resolution: Resolution) -> bool:
         """False if it was given already. `OutboxError`."""
 
 
-class Loser(Protocol):
+class EdgeLossApi(Protocol):
     """What copies share, as calls know it."""
 
     def lose(self, edge: str, incarnation: int) -> bool:
@@ -54,10 +54,10 @@
 
 
 @runtime_checkable
-class Claimer(Protocol):
+class LogClaimApi(Protocol):
     """Who holds lines of former lives, as calls know it."""
 
-    def claim(self, line: Line) -> bool:
+    def claim(self, line: EdgeLog) -> bool:
         """False if it is held. `UnknownWriteError`."""
 
 
@@ -76,7 +76,11 @@
 
 
 def reply_about(
-    method: bytes, target: bytes, desk: Desk, shared: Loser | None = None, claimer: Claimer | None = None
+    method: bytes,
+    target: bytes,
+    desk: OutboxApi,
+    shared: EdgeLossApi | None = None,
+    claimer: LogClaimApi | None = None,
 ) -> Reply | None:
     """None for what is no call of the outbox's. `shared`: at a copy that shares."""
     path, _, query = target.partition(b"?")
@@ -95,9 +99,11 @@
     return _json(202 if is_new else 200, {"state": "being written" if is_new else "given already"})
 
 
-def _act(path: bytes, query: bytes, desk: Desk, shared: Loser | None, claimer: Claimer | None) -> bool:
+def _act(
+    path: bytes, query: bytes, desk: OutboxApi, shared: EdgeLossApi | None, claimer: LogClaimApi | None
+) -> bool:
     if path == JUDGE:
-        return desk.judge(*_read(query))
+        return desk.resolve(*_read(query))
     if path == LOST:
         if shared is None:
             raise UnsharedError("edges are declared lost where outbox.shared is on")
@@ -123,14 +129,14 @@
     return Reply(status, msgspec.json.encode(value).decode() + "\n", JSON_TYPE)
 
 
-def _read(query: bytes) -> tuple[str, int, Verdict]:
+def _read(query: bytes) -> tuple[str, int, Resolution]:
     given = _fields(query, FIELDS)
-    write, parking, verdict = (given[name] for name in FIELDS)
+    write, parking, resolution = (given[name] for name in FIELDS)
     if not parking.isdecimal() or not parking.isascii() or len(parking) > 9:
         raise OutboxCallError(f"parking: expected a number, got {parking[:40]!r}")
-    if verdict not in VERDICTS:
-        raise OutboxCallError(f"verdict: expected one of {', '.join(VERDICTS)}, got {verdict[:40]!r}")
-    return write, int(parking), VERDICTS[verdict]
+    if resolution not in VERDICTS:
+        raise OutboxCallError(f"verdict: expected one of {', '.join(VERDICTS)}, got {resolution[:40]!r}")
+    return write, int(parking), VERDICTS[resolution]
 
 
 def _read_lost(query: bytes) -> tuple[str, int]:
@@ -144,15 +150,15 @@
         raise OutboxCallError(f"edge: {error}") from None
 
 
-def _read_line(query: bytes) -> Line:
+def _read_line(query: bytes) -> EdgeLog:
     return _line(_fields(query, ("line",))["line"])
 
 
-def _line(text: str) -> Line:
+def _line(text: str) -> EdgeLog:
     try:
-        line = read_dot(f"{text}/1").line
+        line = parse_write_id(f"{text}/1").line
     except OutboxError:
-        line = Line("", 0)
+        line = EdgeLog("", 0)
     if not line.incarnation:
         raise OutboxCallError(f"expected an edge's name and a life in 16 hex digits, got {text[:60]!r}")
     return line
--- a/laurelstep/outbox/aside.py
+++ b/laurelstep/outbox/background_replay.py
@@ -10,12 +10,12 @@
 from types import TracebackType
 from typing import Final
 
-__all__ = ["Aside"]
+__all__ = ["BackgroundReplay"]
 
 REST: Final = 3.0
 
 
-class Aside:
+class BackgroundReplay:
     """`async with` it for one send. `live`: set whenever a live request comes."""
 
     def __init__(self) -> None:
--- a/laurelstep/outbox/bodies.py
+++ b/laurelstep/outbox/bodies.py
@@ -29,16 +29,16 @@
 from laurelstep.engine.flow import Flow
 from laurelstep.engine.ports import Recorded
 from laurelstep.orders.book import DIGEST_SIZE, another_body, digest_of
-from laurelstep.outbox.dots import Dot
 from laurelstep.outbox.errors import OutboxError
-from laurelstep.outbox.journal import KeptWrite
 from laurelstep.outbox.options import CHUNK
-from laurelstep.outbox.outbox import RETRY_US, Ticket
-from laurelstep.outbox.store import FailedToKeepError
+from laurelstep.outbox.outbox import RETRY_US, WriteTicket
+from laurelstep.outbox.queue_store import FailedToKeepError
+from laurelstep.outbox.records import QueuedWrite
+from laurelstep.outbox.write_ids import WriteId
 from laurelstep.store import StoreError
 
 if TYPE_CHECKING:
-    from laurelstep.outbox.driver import OutboxDriver, Replay
+    from laurelstep.outbox.driver import OutboxDriver, ReplayFront
 
 # Parts of one write that are on their way to the disk at a time.
 PUT_MOST: Final = 2
@@ -56,10 +56,10 @@
 AGAIN_S: Final = 1.0
 
 
-class Body:
+class IncomingBody:
     """One that is coming: the taker of its flow. `stores`: else it is only compared."""
 
-    def __init__(self, bodies: Bodies, call: Call, upload: Flow, stores: bool) -> None:
+    def __init__(self, bodies: BodySpool, call: Call, upload: Flow, stores: bool) -> None:
         self.bodies = bodies
         self.call = call
         self.upload = upload
@@ -138,13 +138,13 @@
             del self.rest[:CHUNK]
         return found
 
-    async def store(self, dot: Dot) -> bool:
+    async def store(self, write_id: WriteId) -> bool:
         """All of it but the first part; False if it is not whole. `FailedToKeepError`."""
         while True:
             if self.over and not self.whole:
                 return False
             if parts := self._take():
-                await self.bodies.driver.store.put_parts(dot, self.next, parts)
+                await self.bodies.driver.store.put_parts(write_id, self.next, parts)
                 self.next += len(parts)
                 self._hold(-sum(map(len, parts)))
                 self.bodies._begin()
@@ -170,16 +170,16 @@
         self._hold(-self.held)
 
 
-class Bodies:
+class BodySpool:
     """The large bodies of one driver."""
 
     def __init__(self, driver: OutboxDriver) -> None:
         self.driver = driver
         self.most = driver.settings.body_bytes
         self.held = 0
-        self.coming: dict[Call, Body] = {}
-        self.waiting: deque[Body] = deque()
-        self.stored: dict[Dot, Body] = {}  # those that are coming and are no repeats
+        self.coming: dict[Call, IncomingBody] = {}
+        self.waiting: deque[IncomingBody] = deque()
+        self.stored: dict[WriteId, IncomingBody] = {}  # those that are coming and are no repeats
         self.digests: dict[Call, bytes] = {}  # of repeats that came whole
 
     # --- Keeping ----------------------------------------------------------------------
@@ -197,15 +197,17 @@
         """Asked once for each."""
         return self.digests.pop(call, None) or digest_of(call)
 
-    def take(self, call: Call, upload: Flow, ticket: Ticket, answer: Answer | None, engine: Recorded) -> None:
+    def take(
+        self, call: Call, upload: Flow, ticket: WriteTicket, answer: Answer | None, engine: Recorded
+    ) -> None:
         """A write that has a number, while its body comes."""
-        body = self.coming[call] = Body(self, call, upload, ticket.write is not None)
+        body = self.coming[call] = IncomingBody(self, call, upload, ticket.write is not None)
         if ticket.write is not None:
-            self.stored[ticket.dot] = body
-            self.driver.storing[ticket.dot] = [call]
+            self.stored[ticket.write_id] = body
+            self.driver.storing[ticket.write_id] = [call]
             self.driver._spawn(self._store(body, ticket.write, answer, engine))
         else:
-            self.driver._spawn(self._compare(body, ticket.dot, answer, engine))
+            self.driver._spawn(self._compare(body, ticket.write_id, answer, engine))
         self.waiting.append(body)
         self._begin()
 
@@ -224,16 +226,18 @@
         if (body := self.coming.get(call)) is not None:
             body.end(False)
 
-    async def _store(self, body: Body, write: KeptWrite, answer: Answer | None, engine: Recorded) -> None:
-        driver, dot = self.driver, write.dot
+    async def _store(
+        self, body: IncomingBody, write: QueuedWrite, answer: Answer | None, engine: Recorded
+    ) -> None:
+        driver, write_id = self.driver, write.write_id
         kept = False
         try:
-            if await body.store(dot):
+            if await body.store(write_id):
                 write = msgspec.structs.replace(write, size=body.came, digest=body.digest)
-                driver.outbox.sized(dot, body.came)
+                driver.outbox.sized(write_id, body.came)
                 await driver.store.put_head(write, body.first)
-                kept = any(one.open for one in driver.storing[dot]) or not await driver.store.forget(
-                    dot, body.came
+                kept = any(one.open for one in driver.storing[write_id]) or not await driver.store.forget(
+                    write_id, body.came
                 )
             elif not body.fits:
                 driver.log(f"outbox: not kept: a body of more than {self.most} bytes")
@@ -243,25 +247,27 @@
         finally:
             came = body.next * CHUNK  # the parts that may be there
             self._close(body)
-            del self.stored[dot]
+            del self.stored[write_id]
         body.kept = kept
         self.digests[body.call] = write.digest
         driver._stored(write, kept, body.certain, answer, engine)
         if not kept:
-            await self._clear(dot, came + PUT_MOST * CHUNK)
+            await self._clear(write_id, came + PUT_MOST * CHUNK)
 
-    def _close(self, body: Body) -> None:
+    def _close(self, body: IncomingBody) -> None:
         del self.coming[body.call]
         body.close()
         self._begin()
 
-    async def _clear(self, dot: Dot, size: int) -> None:
+    async def _clear(self, write_id: WriteId, size: int) -> None:
         """Its parts. On a disk that fails, once that writes again; at the latest as the store is opened."""
-        while not await self.driver.store.forget(dot, size) and not self.driver.closing:
+        while not await self.driver.store.forget(write_id, size) and not self.driver.closing:
             await asyncio.sleep(AGAIN_S)
 
-    async def _compare(self, body: Body, dot: Dot, answer: Answer | None, engine: Recorded) -> None:
-        first = self.stored.get(dot)
+    async def _compare(
+        self, body: IncomingBody, write_id: WriteId, answer: Answer | None, engine: Recorded
+    ) -> None:
+        first = self.stored.get(write_id)
         try:
             await body.ended()
         finally:
@@ -275,7 +281,7 @@
             self.driver._not_kept(call, answer, first.certain, engine)
         else:
             self.digests[call] = body.digest
-            self.driver._repeat(call, dot, engine)
+            self.driver._repeat(call, write_id, engine)
 
     def refused(self, call: Call) -> Answer | None:
         """Of one that is not kept, and of which nothing was sent; None if it can still be."""
@@ -285,32 +291,32 @@
 
     # --- Replay -----------------------------------------------------------------------
 
-    async def call(self, dot: Dot, replay: Replay) -> Call | None:
+    async def call(self, write_id: WriteId, replay: ReplayFront) -> Call | None:
         """A kept write as the engine's call; None if it can't be read."""
         store = self.driver.store
         try:
-            found = await store.head(dot)
+            found = await store.head(write_id)
             if found is None:
                 return None
             write, first = found
             if write.size <= WHOLE_MOST:
-                parts = [first, *[await store.part(dot, at) for at in range(1, -(-write.size // CHUNK))]]
+                parts = [first, *[await store.part(write_id, at) for at in range(1, -(-write.size // CHUNK))]]
                 return self.driver._call(write, b"".join(parts), replay)
         except (StoreError, OutboxError) as error:
-            self.driver.log(f"outbox: {dot}: can't be read: {error}")
+            self.driver.log(f"outbox: {write_id}: can't be read: {error}")
             return None
         call = self.driver._call(write, b"", replay)
         now = self.driver._now()
         call.span = call.expires - now
-        call.expires = now + min(PASSING_MOST_US + call.span, self.driver.outbox.left(dot, now))
-        call.upload = Flow(Playback(self, call, write, first), write.size)
+        call.expires = now + min(PASSING_MOST_US + call.span, self.driver.outbox.left(write_id, now))
+        call.upload = Flow(BodyReplay(self, call, write, first), write.size)
         return call
 
 
-class Playback:
+class BodyReplay:
     """The source of a body that is read from the store. It begins once its flow has a taker."""
 
-    def __init__(self, bodies: Bodies, call: Call, write: KeptWrite, first: bytes) -> None:
+    def __init__(self, bodies: BodySpool, call: Call, write: QueuedWrite, first: bytes) -> None:
         self.bodies = bodies
         self.call = call
         self.write = write
@@ -331,15 +337,15 @@
             self.task.cancel()
 
     async def _play(self) -> None:
-        upload, dot = self.call.upload, self.write.dot
+        upload, write_id = self.call.upload, self.write.write_id
         assert upload is not None
         try:
             for at in range(-(-self.write.size // CHUNK)):
-                part = await self.bodies.driver.store.part(dot, at) if at else self.first
+                part = await self.bodies.driver.store.part(write_id, at) if at else self.first
                 await self.free.wait()
                 upload.feed(part)
         except StoreError as error:
-            self.bodies.driver.log(f"outbox: {dot}: can't be read: {error}")
+            self.bodies.driver.log(f"outbox: {write_id}: can't be read: {error}")
             upload.end(False)
             return
         upload.end(True)
--- a/laurelstep/outbox/cutoff.py
+++ b/laurelstep/outbox/cutoff.py
@@ -14,7 +14,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["CutOff", "CutOffRule"]
+__all__ = ["CutOffDetector", "CutOffRule"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
     answers: int = 3
 
 
-class CutOff:
+class CutOffDetector:
     """The evidence so far. `off`: the edge is cut off."""
 
     def __init__(self, rule: CutOffRule, listed: int, now: int) -> None:
--- a/laurelstep/outbox/causes.py
+++ b/laurelstep/outbox/dependencies.py
@@ -1,13 +1,13 @@
 """What a write follows, and the token that tells it. Pure.
 
-1. A write follows a set of dots. A dot stands for its write and for all that this one follows in turn; so the
-   receipt of a client's last write is all that it needs to bring along.
-2. Up to `DOTS_PER_LINE` dots of one line stand as they are. More are told as one: "all up to the newest of
+1. A write follows a set of write ids. A write id stands for its write and for all that this one follows in
+   turn; so the receipt of a client's last write is all that it needs to bring along.
+2. Up to `IDS_PER_LOG` write ids of one line stand as they are. More are told as one: "all up to the newest of
    them". That is more than was named, never less.
 3. A token is signed with the edges' common secret: it can't be made up, and no bit of it changed. It is at
-   most `TOKEN_MOST` characters; any `LINES_FIT` lines fit. A set that does not fit gets a name of its own
+   most `TOKEN_MOST` characters; any `LOGS_FIT` lines fit. A set that does not fit gets a name of its own
    instead: a join, a kept write without an effect that follows all of the set (`Outbox.join`).
-4. A request may bring several tokens, `CAUSES_MOST` dots in all.
+4. A request may bring several tokens, `DEPENDENCIES_MOST` write ids in all.
 5. The token is no secret of its client: it names writes, and asking for their receipts is another right.
 """
 
@@ -23,15 +23,24 @@
 
 import msgspec
 
-from laurelstep.outbox.dots import Dot, Line, check_edge
 from laurelstep.outbox.errors import LooseError, TokenError
-
-__all__ = ["CAUSES_MOST", "TOKEN_MOST", "Cause", "Causes", "Fate", "Frontier", "Tokens", "merge"]
+from laurelstep.outbox.write_ids import EdgeLog, WriteId, check_edge
+
+__all__ = [
+    "DEPENDENCIES_MOST",
+    "TOKEN_MOST",
+    "CausalityTokens",
+    "Dependencies",
+    "Dependency",
+    "VersionVector",
+    "WriteStatus",
+    "merge",
+]
 
 TOKEN_MOST: Final = 512
-LINES_FIT: Final = 6
-DOTS_PER_LINE: Final = 4
-CAUSES_MOST: Final = 512
+LOGS_FIT: Final = 6
+IDS_PER_LOG: Final = 4
+DEPENDENCIES_MOST: Final = 512
 # Guards the header's memory before anything of it is read: as many tokens as have sense.
 _TOKENS_MOST: Final = 128
 _SIGN_SIZE: Final = 12
@@ -39,8 +48,8 @@
 _NUMBER_END: Final = 1 << 63
 
 
-class Cause(NamedTuple):
-    """One dot; with `before`, all dots of its line up to it."""
+class Dependency(NamedTuple):
+    """One write id; with `before`, all write ids of its line up to it."""
 
     edge: str
     incarnation: int
@@ -48,43 +57,43 @@
     before: bool = False
 
     @property
-    def line(self) -> Line:
-        return Line(self.edge, self.incarnation)
+    def line(self) -> EdgeLog:
+        return EdgeLog(self.edge, self.incarnation)
 
     @property
-    def dot(self) -> Dot:
-        return Dot(self.edge, self.incarnation, self.number)
+    def write_id(self) -> WriteId:
+        return WriteId(self.edge, self.incarnation, self.number)
 
 
-Causes = tuple[Cause, ...]
+Dependencies = tuple[Dependency, ...]
 
 
-def merge(*sets: Iterable[Cause]) -> Causes:
+def merge(*sets: Iterable[Dependency]) -> Dependencies:
     """One set that says what all of them say, by rule 2, sorted."""
     exact: dict[tuple[str, int], set[int]] = {}
     before: dict[tuple[str, int], int] = {}
-    causes = {cause for one in sets for cause in one}
-    if len(causes) < 2:  # as most are
-        return tuple(causes)
-    for cause in causes:
-        line = cause[:2]
-        if cause.before:
-            before[line] = max(before.get(line, 0), cause.number)
+    dependencies = {dependency for one in sets for dependency in one}
+    if len(dependencies) < 2:  # as most are
+        return tuple(dependencies)
+    for dependency in dependencies:
+        line = dependency[:2]
+        if dependency.before:
+            before[line] = max(before.get(line, 0), dependency.number)
         else:
-            exact.setdefault(line, set()).add(cause.number)
-    found: list[Cause] = []
+            exact.setdefault(line, set()).add(dependency.number)
+    found: list[Dependency] = []
     for line in sorted(exact.keys() | before.keys()):
         bound = before.get(line, 0)
         numbers = sorted(number for number in exact.get(line, ()) if number > bound)
-        if len(numbers) > DOTS_PER_LINE:
+        if len(numbers) > IDS_PER_LOG:
             bound, numbers = numbers[-1], []
         if bound:
-            found.append(Cause(*line, bound, True))
-        found += [Cause(*line, number) for number in numbers]
+            found.append(Dependency(*line, bound, True))
+        found += [Dependency(*line, number) for number in numbers]
     return tuple(found)
 
 
-class Fate(IntEnum):
+class WriteStatus(IntEnum):
     """What is known of a write that is not of this edge's own lines."""
 
     UNKNOWN = 0
@@ -93,15 +102,15 @@
     GONE = 3  # given up, or lost with its edge
 
 
-class Frontier(Protocol):
+class VersionVector(Protocol):
     """What is known of other lines, and which lines this process may replay.
 
     The local one knows what was told to it at this edge. One that copies share stands behind the same two
     questions; it tells `Outbox.heard` when it has learned something."""
 
-    def fate(self, cause: Cause) -> Fate: ...
+    def write_status(self, dependency: Dependency) -> WriteStatus: ...
 
-    def holds(self, line: Line) -> bool:
+    def holds(self, line: EdgeLog) -> bool:
         """This process, and no other with a copy of its disk, may send writes of this line."""
 
 
@@ -109,7 +118,7 @@
 _decoder: Final[msgspec.msgpack.Decoder[_Told]] = msgspec.msgpack.Decoder(_Told)
 
 
-class Tokens:
+class CausalityTokens:
     """Makes and reads tokens with the secret that all edges and upstream copies share (16 bytes or more)."""
 
     def __init__(self, secret: bytes) -> None:
@@ -117,15 +126,15 @@
             raise ValueError("the secret is shorter than 16 bytes")
         self._secret = blake2b(secret, digest_size=32, person=b"outbox token").digest()
 
-    def tell(self, causes: Causes) -> str:
+    def tell(self, dependencies: Dependencies) -> str:
         """The token of a set; `LooseError` if it is longer than a token may be (rule 3)."""
-        lines: dict[Line, tuple[list[int], int]] = {}
-        for cause in merge(causes):
-            exact, _ = lines.setdefault(cause.line, ([], 0))
-            if cause.before:
-                lines[cause.line] = (exact, cause.number)
+        lines: dict[EdgeLog, tuple[list[int], int]] = {}
+        for dependency in merge(dependencies):
+            exact, _ = lines.setdefault(dependency.line, ([], 0))
+            if dependency.before:
+                lines[dependency.line] = (exact, dependency.number)
             else:
-                exact.append(cause.number)
+                exact.append(dependency.number)
         told = [(line.edge, line.incarnation, exact, bound) for line, (exact, bound) in lines.items()]
         data = msgspec.msgpack.encode((_VERSION, told))
         text = base64.urlsafe_b64encode(self._sign(data) + data).rstrip(b"=").decode()
@@ -133,23 +142,23 @@
             raise LooseError(f"{len(lines)} lines are more than one token tells")
         return text
 
-    def receipt(self, dot: Dot) -> str:
+    def receipt(self, write_id: WriteId) -> str:
         """The token of one write."""
-        return self.tell((Cause(*dot),))
+        return self.tell((Dependency(*write_id),))
 
-    def read(self, value: str) -> Causes:
+    def read(self, value: str) -> Dependencies:
         """What a header's tokens say, parted by commas; `TokenError`, or `LooseError` by rule 4."""
         if len(value) > _TOKENS_MOST * (TOKEN_MOST + 2):
             raise LooseError("the tokens of one request are too long")
         texts = [text for part in value.split(",") if (text := part.strip())]
         if len(texts) > _TOKENS_MOST:
             raise LooseError(f"more than {_TOKENS_MOST} tokens in one request")
-        causes = merge(*(self._read(text) for text in texts))
-        if len(causes) > CAUSES_MOST:
-            raise LooseError(f"{len(causes)} writes before one, {CAUSES_MOST} are the most")
-        return causes
+        dependencies = merge(*(self._read(text) for text in texts))
+        if len(dependencies) > DEPENDENCIES_MOST:
+            raise LooseError(f"{len(dependencies)} writes before one, {DEPENDENCIES_MOST} are the most")
+        return dependencies
 
-    def _read(self, text: str) -> list[Cause]:
+    def _read(self, text: str) -> list[Dependency]:
         if len(text) > TOKEN_MOST:
             raise TokenError(f"a token is longer than {TOKEN_MOST} characters")
         try:
@@ -165,9 +174,9 @@
         return blake2b(data, digest_size=_SIGN_SIZE, key=self._secret).digest()
 
 
-def _causes_of(data: bytes) -> list[Cause]:
+def _causes_of(data: bytes) -> list[Dependency]:
     """Signed, but maybe by another version: read as strictly as if it were not."""
-    found: list[Cause] = []
+    found: list[Dependency] = []
     try:
         version, lines = _decoder.decode(data)
         if version != _VERSION:
@@ -178,9 +187,9 @@
                 raise ValueError("a number that can't be")
             if not 0 <= incarnation < 1 << 64:
                 raise ValueError("an incarnation that can't be")
-            found += [Cause(edge, incarnation, number) for number in numbers]
+            found += [Dependency(edge, incarnation, number) for number in numbers]
             if bound:
-                found.append(Cause(edge, incarnation, bound, True))
+                found.append(Dependency(edge, incarnation, bound, True))
     except (msgspec.MsgspecError, ValueError) as error:
         raise TokenError(f"a token can't be read: {error}") from None
     return found
--- a/laurelstep/outbox/graph.py
+++ b/laurelstep/outbox/dependency_graph.py
@@ -14,12 +14,12 @@
 from array import array
 from typing import Final
 
-__all__ = ["Graph"]
+__all__ = ["DependencyGraph"]
 
 NONE: Final = -1
 
 
-class Graph:
+class DependencyGraph:
     """See the rules. Nodes are small integers."""
 
     def __init__(self) -> None:
@@ -57,7 +57,7 @@
         self._in.append(NONE)
         return len(self._waits) - 1
 
-    def link(self, cause: int, follower: int) -> None:
+    def link(self, dependency: int, follower: int) -> None:
         """The follower waits for the cause, which does not follow it."""
         if self._free_arrows:
             arrow = self._free_arrows.pop()
@@ -65,14 +65,14 @@
             arrow = len(self._source)
             for column in (self._source, self._target, self._next_out, self._next_in, self._prev_in):
                 column.append(NONE)
-        self._source[arrow], self._target[arrow] = cause, follower
-        self._next_out[arrow], self._out[cause] = self._out[cause], arrow
+        self._source[arrow], self._target[arrow] = dependency, follower
+        self._next_out[arrow], self._out[dependency] = self._out[dependency], arrow
         first = self._in[follower]
         if first != NONE:
             self._prev_in[first] = arrow
         self._next_in[arrow], self._prev_in[arrow], self._in[follower] = first, NONE, arrow
         self._waits[follower] += 1
-        if self.sticks(cause):
+        if self.sticks(dependency):
             stuck = self.sticks(follower)
             self._stuck[follower] += 1
             if not stuck:
@@ -88,7 +88,7 @@
         """One that it follows sticks."""
         return self._stuck[node] > 0
 
-    def causes(self, node: int) -> list[int]:
+    def dependencies(self, node: int) -> list[int]:
         """Those that it waits for, without those behind them."""
         found, arrow = [], self._in[node]
         while arrow != NONE:
@@ -106,12 +106,12 @@
 
     def holder(self, node: int) -> int:
         """A halted one that this node follows, if it is behind one; else one that it waits for, or NONE."""
-        causes = self.causes(node)
+        dependencies = self.dependencies(node)
         while self._stuck[node]:
-            node = next(cause for cause in self.causes(node) if self.sticks(cause))
+            node = next(dependency for dependency in self.dependencies(node) if self.sticks(dependency))
             if self._halted[node]:
                 return node
-        return causes[0] if causes else NONE
+        return dependencies[0] if dependencies else NONE
 
     def halt(self, node: int) -> None:
         stuck = self.sticks(node)
--- a/laurelstep/outbox/waiting.py
+++ b/laurelstep/outbox/dependency_tracker.py
@@ -12,16 +12,24 @@
 from collections.abc import Mapping
 from typing import Final
 
-from laurelstep.outbox.ages import Ages
-from laurelstep.outbox.causes import Cause, Causes, Fate, Frontier, Tokens, merge
-from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.dependencies import (
+    CausalityTokens,
+    Dependencies,
+    Dependency,
+    VersionVector,
+    WriteStatus,
+    merge,
+)
+from laurelstep.outbox.dependency_graph import DependencyGraph
 from laurelstep.outbox.errors import (
     UnknownWriteError,
 )
-from laurelstep.outbox.graph import Graph
-from laurelstep.outbox.journal import Event, KeptWrite, State, Verdict, follow
-from laurelstep.outbox.replay import Pace, Turns
-from laurelstep.outbox.rows import (
+from laurelstep.outbox.expiry_queue import ExpiryQueue
+from laurelstep.outbox.messages import OutboxBounds, QueuedClass
+from laurelstep.outbox.records import QueuedWrite, Resolution, WriteEvent, WriteState, next_state
+from laurelstep.outbox.replay_queue import ReplayPacer, ReplayQueue
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
+from laurelstep.outbox.write_table import (
     BARRIER,
     BUSY,
     CLOSED,
@@ -29,61 +37,65 @@
     FOREIGN,
     JOIN,
     ORPHAN,
-    Numbers,
-    Places,
-    Rows,
+    IntegerMap,
+    PagedIntegerMap,
+    WriteTable,
 )
-from laurelstep.outbox.terms import Bounds, KeptClass
 
-__all__ = ["NUMBERS", "NUMBER_MASK", "Waiting"]
+__all__ = ["NUMBERS", "NUMBER_MASK", "DependencyTracker"]
 
 NUMBERS: Final = 48  # bits of a number, beside its line's place
 NUMBER_MASK: Final = (1 << NUMBERS) - 1
 
 
-class Waiting:
+class DependencyTracker:
     """The rows, their names, and the graph. `line`: this life's name; `classes`: those that may be kept."""
 
     def __init__(
-        self, line: Line, classes: Mapping[str, KeptClass], bounds: Bounds, tokens: Tokens, frontier: Frontier
+        self,
+        line: EdgeLog,
+        classes: Mapping[str, QueuedClass],
+        bounds: OutboxBounds,
+        tokens: CausalityTokens,
+        version_vector: VersionVector,
     ) -> None:
         self.bounds = bounds
         self.tokens = tokens
-        self.frontier = frontier
+        self.version_vector = version_vector
         self.classes = dict(classes)
-        self.pace = Pace(bounds.replay_most, bounds.hold_us)
+        self.pace = ReplayPacer(bounds.replay_most, bounds.hold_us)
         self._names = ["", *classes]  # the first is a join's
         self._places = {name: place for place, name in enumerate(self._names)}
         # Own lines, and the highest number known of each.
         self._lines = [line]
         self._line_places: dict[tuple[str, int], int] = {line: 0}
         self._high = [0]
-        self._graph = Graph()
-        self._rows = Rows()
-        self._turns = Turns()
-        self._ages = Ages(len(self._names))
+        self._graph = DependencyGraph()
+        self._rows = WriteTable()
+        self._turns = ReplayQueue()
+        self._ages = ExpiryQueue(len(self._names))
         self._late: deque[int] = deque()  # over their time, and not parked yet: no more than can be told soon
-        self._open = Numbers()  # row of an own dot
-        self._keys = Places(True)  # own dot of a key
-        self._sessions = Places()  # row of the last write
-        self._objects = Places()
-        self._foreign: dict[Cause, int] = {}
-        self._foreign_of: dict[int, Cause] = {}
+        self._open = PagedIntegerMap()  # row of an own write id
+        self._keys = IntegerMap(True)  # own write id of a key
+        self._sessions = IntegerMap()  # row of the last write
+        self._objects = IntegerMap()
+        self._foreign: dict[Dependency, int] = {}
+        self._foreign_of: dict[int, Dependency] = {}
         self._barriers: dict[int, tuple[int, int]] = {}  # by line's place: up to which number, and its row
-        self._unsure: dict[int, Causes] = {}  # of rows whose record is not on the disk
-        self._followed: list[Cause] = []  # foreign ones that are waited for since the last `followed`
-        self._withheld: set[int] = set()  # own dots that are not to be sent yet
+        self._unsure: dict[int, Dependencies] = {}  # of rows whose record is not on the disk
+        self._followed: list[Dependency] = []  # foreign ones that are waited for since the last `followed`
+        self._withheld: set[int] = set()  # own write ids that are not to be sent yet
         self._fenced: set[int] = set()  # places of lines that are another process's
         self._to_fence: deque[int] = deque()  # rows of those, to be parked
         self._to_claim: deque[int] = deque()  # rows parked so whose line is ours again
         self._joins: deque[int] = deque()
         self._orphans: deque[int] = deque()
-        # Final ones whose receipts are kept: own dot, when that is over, key.
+        # Final ones whose receipts are kept: own write id, when that is over, key.
         self._closed: deque[tuple[int, int, int]] = deque()
         self._given_up: set[int] = set()
-        self._over_now: list[tuple[Dot, Fate]] = []
+        self._over_now: list[tuple[WriteId, WriteStatus]] = []
         self._low: list[int] = [0]  # of each line: all up to it are over
-        self._judged: dict[int, tuple[int, Verdict, int]] = {}  # parking, verdict, unix time
+        self._resolutions: dict[int, tuple[int, Resolution, int]] = {}  # parking, resolution, unix time
         # Rows that are not to be parked for a cause that is gone: an operator said to go on without it.
         self._excused: set[int] = set()
         self._tenants: dict[str, int] = {}
@@ -96,43 +108,43 @@
 
     # Names
 
-    def _pack(self, dot: Cause | Dot) -> int:
-        """An own dot as one integer; -1 if it is of no line known here."""
-        place = self._line_places.get(dot[:2], -1)
-        return place if place < 0 else place << NUMBERS | dot.number
+    def _pack(self, write_id: Dependency | WriteId) -> int:
+        """An own write id as one integer; -1 if it is of no line known here."""
+        place = self._line_places.get(write_id[:2], -1)
+        return place if place < 0 else place << NUMBERS | write_id.number
 
-    def _dot(self, row: int) -> Dot:
+    def _write_id_of(self, row: int) -> WriteId:
         if self._rows.has(row, FOREIGN):
-            return self._foreign_of[row].dot
-        return Dot(*self._lines[self._rows.line[row]], self._rows.number[row])
+            return self._foreign_of[row].write_id
+        return WriteId(*self._lines[self._rows.line[row]], self._rows.number[row])
 
-    def _row(self, dot: Dot) -> int:
+    def _row(self, write_id: WriteId) -> int:
         """Of a write that is in the graph, or -1."""
-        packed = self._pack(dot)
+        packed = self._pack(write_id)
         return -1 if packed < 0 else self._open.get(packed)
 
-    def _must_row(self, dot: Dot) -> int:
-        row = self._row(dot)
+    def _must_row(self, write_id: WriteId) -> int:
+        row = self._row(write_id)
         if row < 0 or self._rows.has(row, CLOSED):
-            raise UnknownWriteError(f"{dot} is not open here")
+            raise UnknownWriteError(f"{write_id} is not open here")
         return row
 
-    def _through(self, causes: Causes) -> Causes:
+    def _through(self, dependencies: Dependencies) -> Dependencies:
         """With the causes of those that are not durable yet, and may never be: a restart must find them."""
-        rows = [self._row(cause.dot) for cause in causes]
+        rows = [self._row(dependency.write_id) for dependency in dependencies]
         more = [self._unsure[row] for row in rows if row in self._unsure]
-        return merge(causes, *more) if more else causes
+        return merge(dependencies, *more) if more else dependencies
 
-    def _enter(self, write: KeptWrite, line: int, key: int, session: int, obj: int, since: int) -> int:
+    def _enter(self, write: QueuedWrite, line: int, key: int, session: int, obj: int, since: int) -> int:
         """A row for it, counted, without causes yet."""
         row = self._graph.add()
         rows = self._rows
         rows.clear(row, 0 if write.cls else JOIN)
         rows.cls[row] = self._places.get(write.cls, 0) if write.cls else 0
-        rows.line[row], rows.number[row], rows.since[row] = line, write.dot.number, since
+        rows.line[row], rows.number[row], rows.since[row] = line, write.write_id.number, since
         rows.key[row], rows.session[row], rows.obj[row] = key, session, obj
         rows.size[row] = write.size
-        packed = line << NUMBERS | write.dot.number
+        packed = line << NUMBERS | write.write_id.number
         self._open.put(packed, row)
         for places, name, value in (
             (self._keys, key, packed),
@@ -171,40 +183,42 @@
 
     # What waits for what
 
-    def _link(self, row: int, causes: Causes, barriers: Mapping[tuple[int, int], int] | None = None) -> None:
+    def _link(
+        self, row: int, dependencies: Dependencies, barriers: Mapping[tuple[int, int], int] | None = None
+    ) -> None:
         """Its arrows, each once. `barriers`: those of a restart, by line's place and number."""
         found: set[int] = set()
-        for cause in causes:
-            place = self._line_places.get(cause[:2], -1)
-            if place < 0 or cause.number > self._high[place]:
-                found.add(self._follow_foreign(row, cause))
-            elif cause.before and barriers is not None:
-                found.add(barriers[place, cause.number])
-            elif cause.before:
+        for dependency in dependencies:
+            place = self._line_places.get(dependency[:2], -1)
+            if place < 0 or dependency.number > self._high[place]:
+                found.add(self._follow_foreign(row, dependency))
+            elif dependency.before and barriers is not None:
+                found.add(barriers[place, dependency.number])
+            elif dependency.before:
                 found.add(self._barrier(place, self._high[place] - (place == 0)))
             else:
-                packed = place << NUMBERS | cause.number
+                packed = place << NUMBERS | dependency.number
                 found.add(self._open.get(packed))
                 if packed in self._given_up:
                     self._orphan(row)
         for node in found - {-1, row}:
             self._graph.link(node, row)
 
-    def _follow_foreign(self, row: int, cause: Cause) -> int:
+    def _follow_foreign(self, row: int, dependency: Dependency) -> int:
         """The row of a write of another line, or -1 if it need not be waited for."""
-        node = self._foreign.get(cause, -1)
+        node = self._foreign.get(dependency, -1)
         if node >= 0:
             return node
-        fate = self.frontier.fate(cause)
-        if fate is Fate.GONE:
+        write_status = self.version_vector.write_status(dependency)
+        if write_status is WriteStatus.GONE:
             self._orphan(row)
-        if fate in (Fate.IN, Fate.GONE):
+        if write_status in (WriteStatus.IN, WriteStatus.GONE):
             return -1
         node = self._graph.add()
         self._rows.clear(node, FOREIGN)
-        self._foreign[cause], self._foreign_of[node] = node, cause
-        self._followed.append(cause)
-        if fate is Fate.PARKED:
+        self._foreign[dependency], self._foreign_of[node] = node, dependency
+        self._followed.append(dependency)
+        if write_status is WriteStatus.PARKED:
             self._graph.halt(node)
         return node
 
@@ -234,7 +248,7 @@
         if self._rows.has(row, BARRIER):
             for follower in self._graph.followers(row):
                 self._orphan(follower)
-        elif self._rows.state[row] == State.KEPT and not self._rows.has(row, CLOSED):
+        elif self._rows.state[row] == WriteState.KEPT and not self._rows.has(row, CLOSED):
             self._rows.set(row, ORPHAN)
             self._graph.halt(row)
             self._orphans.append(row)
@@ -243,11 +257,11 @@
         """It may be its turn."""
         rows = self._rows
         if (
-            rows.state[row] == State.KEPT
+            rows.state[row] == WriteState.KEPT
             and rows.flags[row] & (DURABLE | ORPHAN | BUSY | CLOSED) == DURABLE
             and self._graph.free(row)
         ):
-            rows.state[row] = follow(State.KEPT, Event.CAUSES_IN)
+            rows.state[row] = next_state(WriteState.KEPT, WriteEvent.CAUSES_IN)
             if rows.has(row, JOIN):
                 self._joins.append(row)
             else:
@@ -280,7 +294,9 @@
             self._unsure.pop(row, None)
             self._excused.discard(row)
             self._withheld.discard(packed)
-            self._over_now.append((self._dot(row), Fate.GONE if packed in self._given_up else Fate.IN))
+            self._over_now.append(
+                (self._write_id_of(row), WriteStatus.GONE if packed in self._given_up else WriteStatus.IN)
+            )
             self._open.drop(packed)
             for places, name in ((self._sessions, rows.session[row]), (self._objects, rows.obj[row])):
                 if name and places.get(name) == row:
--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -32,11 +32,10 @@
 from laurelstep.net.message import lines as lines_of
 from laurelstep.net.request import hint, key_of
 from laurelstep.orders.book import another_body, may_have_run
-from laurelstep.outbox.aside import Aside
-from laurelstep.outbox.bodies import Bodies
-from laurelstep.outbox.causes import Causes, Fate, Frontier, Tokens
-from laurelstep.outbox.cutoff import CutOff, CutOffRule
-from laurelstep.outbox.dots import Dot, Line, read_dot
+from laurelstep.outbox.background_replay import BackgroundReplay
+from laurelstep.outbox.bodies import BodySpool
+from laurelstep.outbox.cutoff import CutOffDetector, CutOffRule
+from laurelstep.outbox.dependencies import CausalityTokens, Dependencies, VersionVector, WriteStatus
 from laurelstep.outbox.errors import (
     CauseError,
     FullError,
@@ -45,13 +44,22 @@
     TokenError,
     UnknownWriteError,
 )
-from laurelstep.outbox.frontier import Alone, Teller
-from laurelstep.outbox.journal import FINAL, Event, KeptWrite, State, Verdict
 from laurelstep.outbox.memory import keep_blocks_apart
 from laurelstep.outbox.options import OutboxSettings
-from laurelstep.outbox.outbox import Bounds, Change, End, KeptClass, Offer, Outbox, Ticket
-from laurelstep.outbox.receipts import Receipt, show
-from laurelstep.outbox.store import FailedToKeepError, KeptStore, Loaded
+from laurelstep.outbox.outbox import (
+    Outbox,
+    OutboxBounds,
+    QueuedClass,
+    ReplayResult,
+    Transition,
+    WriteOffer,
+    WriteTicket,
+)
+from laurelstep.outbox.queue_store import FailedToKeepError, LoadedWrites, QueueStore
+from laurelstep.outbox.receipts import WriteReceipt, show
+from laurelstep.outbox.records import FINAL, QueuedWrite, Resolution, WriteEvent, WriteState
+from laurelstep.outbox.version_vector import LocalVersionVector, StatusPublisher
+from laurelstep.outbox.write_ids import EdgeLog, WriteId, parse_write_id
 from laurelstep.settings.config import ConfigError
 from laurelstep.store import StoreError
 
@@ -72,17 +80,17 @@
 LAST_S: Final = 5.0
 # Where the name of another edge's kept write is among a call's causes.
 SEALED: Final = 3
-UNPARKED: Final = (Event.NEVER_RAN, Event.CLAIMED)
+UNPARKED: Final = (WriteEvent.NEVER_RAN, WriteEvent.CLAIMED)
 # Parked writes that an operator sees at once.
 SHOWN_MOST: Final = 100
 
 
 @dataclass(eq=False)
-class Replay:
+class ReplayFront:
     """A kept write on its way upstream: the front of its call."""
 
     driver: OutboxDriver
-    dot: Dot
+    write_id: WriteId
     never_ran: bool = False
     over: asyncio.Future[Answer] = field(default_factory=lambda: asyncio.get_running_loop().create_future())
 
@@ -96,9 +104,9 @@
 
     def __init__(
         self,
-        store: KeptStore,
+        store: QueueStore,
         outbox: Outbox,
-        tokens: Tokens,
+        tokens: CausalityTokens,
         settings: OutboxSettings,
         classes: Mapping[str, int],
         tenants: Mapping[str, int],
@@ -116,18 +124,18 @@
         self.tenant_names = {number: name for name, number in tenants.items()}
         self.log = log
         rule = CutOffRule(cut_us=settings.cut_us, back_us=settings.back_us)
-        self.cutoff = CutOff(rule, 0, self._now())
+        self.cutoff = CutOffDetector(rule, 0, self._now())
         self.engine: Engine | None = None
-        self.bodies = Bodies(self)
-        self.storing: dict[Dot, list[Call]] = {}  # requests that wait for a write to be durable
-        self.out: dict[Dot, Replay] = {}
-        self.aside = Aside()
-        self.again: set[Dot] = set()  # sent before, without a known end
-        self.parked: dict[Dot, int] = {}  # the number of the parking
+        self.bodies = BodySpool(self)
+        self.storing: dict[WriteId, list[Call]] = {}  # requests that wait for a write to be durable
+        self.out: dict[WriteId, ReplayFront] = {}
+        self.aside = BackgroundReplay()
+        self.again: set[WriteId] = set()  # sent before, without a known end
+        self.parked: dict[WriteId, int] = {}  # the number of the parking
         self.sharing: EdgeSharing | None = None  # where upstream is copies of this program
-        self.teller = outbox.frontier if isinstance(outbox.frontier, Teller) else None
-        self.untold: list[tuple[Dot, Fate]] = []  # over, and the frontier had no room for it
-        self.by_gate: set[Dot] = set()  # done by an answer: upstream knows, and need not be told
+        self.teller = outbox.version_vector if isinstance(outbox.version_vector, StatusPublisher) else None
+        self.untold: list[tuple[WriteId, WriteStatus]] = []  # over, and the version vector had no room for it
+        self.by_gate: set[WriteId] = set()  # done by an answer: upstream knows, and need not be told
         self.tasks: set[asyncio.Task[None]] = set()
         self.turning: asyncio.Handle | None = None
         self.closing = False
@@ -141,16 +149,16 @@
         classes: Mapping[str, int],
         tenants: Mapping[str, int],
         log: Log,
-        frontier: Frontier | None = None,
+        version_vector: VersionVector | None = None,
     ) -> OutboxDriver:
         """With all that earlier lives kept. `StoreError` or `OutboxError` if that can't be read, OSError
-        or ValueError if the secret can't be. `frontier`: that of a copy upstream which shares."""
+        or ValueError if the secret can't be. `version vector`: that of a copy upstream which shares."""
         keep_blocks_apart()
-        store = await KeptStore.open(settings.store_path, settings.max_bytes, log)
+        store = await QueueStore.open(settings.store_path, settings.max_bytes, log)
         try:
             secret = await store.secret() if not settings.secret_file else _read_secret(settings.secret_file)
-            tokens = Tokens(secret)
-            bounds = Bounds(
+            tokens = CausalityTokens(secret)
+            bounds = OutboxBounds(
                 bytes_most=settings.max_bytes,
                 count_most=settings.most,
                 tenant_share=settings.share,
@@ -161,16 +169,16 @@
                 orphans=settings.lost,
             )
             kept = {
-                name: KeptClass(name, one.how == "keyed", one.window_us)
+                name: QueuedClass(name, one.how == "keyed", one.window_us)
                 for name, one in settings.classes.items()
             }
-            line = Line(settings.edge, store.incarnation)
-            asks = settings.upstream == "copies" and frontier is None
+            line = EdgeLog(settings.edge, store.incarnation)
+            asks = settings.upstream == "copies" and version_vector is None
             if asks:
-                from laurelstep.outbox.shared.edge import RemoteFrontier
+                from laurelstep.outbox.shared.edge import RemoteVersionVector
 
-                frontier = RemoteFrontier(line, Random())
-            outbox = Outbox(line, kept, bounds, tokens, frontier or Alone(settings.edge))
+                version_vector = RemoteVersionVector(line, Random())
+            outbox = Outbox(line, kept, bounds, tokens, version_vector or LocalVersionVector(settings.edge))
             self = cls(store, outbox, tokens, settings, classes, tenants, log)
             if asks:
                 from laurelstep.outbox.shared.asking import EdgeSharing
@@ -194,8 +202,8 @@
         )
         await self.store.put_lines(self.outbox.lines())
         for write, moved in loaded.writes:
-            if moved is not None and moved.state is State.PARKED:
-                self.parked[write.dot] = moved.parking
+            if moved is not None and moved.state is WriteState.PARKED:
+                self.parked[write.write_id] = moved.parking
         self._restore_shared(loaded)
         for change in changes:
             await self.store.move(change.moved)
@@ -203,12 +211,12 @@
         if loaded.writes:
             self.log(f"outbox: {len(loaded.writes)} writes of earlier lives, {len(self.parked)} parked")
 
-    def _restore_shared(self, loaded: Loaded) -> None:
+    def _restore_shared(self, loaded: LoadedWrites) -> None:
         if self.sharing is not None:
             self.sharing.restored(loaded)
         if self.teller is not None:
-            for dot in self.parked:
-                self.teller.tell(dot, Fate.PARKED)
+            for write_id in self.parked:
+                self.teller.tell(write_id, WriteStatus.PARKED)
 
     def begin(self, engine: Engine) -> None:
         self.engine = engine
@@ -288,7 +296,7 @@
 
     def _passes(self, call: Call) -> bool:
         """It is no client's: a replay, an ask, or a replay of another edge."""
-        if call.fate is not None or isinstance(call.front, Replay):
+        if call.fate is not None or isinstance(call.front, ReplayFront):
             return True
         return self.settings.shared and len(call.causes) > SEALED and bool(call.causes[SEALED])
 
@@ -306,7 +314,7 @@
 
     def keep(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
         front = call.front
-        if isinstance(front, Replay):
+        if isinstance(front, ReplayFront):
             front.never_ran = True  # asked only where it can't have run
             return False
         if self._passes(call):
@@ -341,9 +349,9 @@
             return True
         return False
 
-    def _offer(self, call: Call) -> Offer:
+    def _offer(self, call: Call) -> WriteOffer:
         headers = _headers(call.head)
-        return Offer(
+        return WriteOffer(
             cls=self.classes[call.cls],
             start=call.start,
             headers=headers,
@@ -356,52 +364,52 @@
             named=_named(call),
         )
 
-    def _take(self, call: Call, ticket: Ticket, answer: Answer | None, engine: Recorded) -> None:
-        dot = ticket.dot
+    def _take(self, call: Call, ticket: WriteTicket, answer: Answer | None, engine: Recorded) -> None:
+        write_id = ticket.write_id
         if call.upload is not None:
             self.bodies.take(call, call.upload, ticket, answer, engine)
         elif ticket.write is not None:
-            self.storing[dot] = [call]
+            self.storing[write_id] = [call]
             self._spawn(self._store(call, ticket.write, answer, engine))
         else:
-            self._repeat(call, dot, engine)
+            self._repeat(call, write_id, engine)
 
-    def _repeat(self, call: Call, dot: Dot, engine: Recorded) -> None:
-        if dot in self.storing:
+    def _repeat(self, call: Call, write_id: WriteId, engine: Recorded) -> None:
+        if write_id in self.storing:
             # Compared with the first try, once both are told.
-            self.storing[dot].append(call)
+            self.storing[write_id].append(call)
         else:
-            self._spawn(self._known(call, dot, engine))
+            self._spawn(self._known(call, write_id, engine))
 
-    async def _known(self, call: Call, dot: Dot, engine: Recorded) -> None:
+    async def _known(self, call: Call, write_id: WriteId, engine: Recorded) -> None:
         """A key that a write has already: the same request gets the same receipt."""
         digest = self.bodies.digest(call)
         try:
-            found = await self.store.head(dot)
+            found = await self.store.head(write_id)
         except (StoreError, OutboxError) as error:
-            self.log(f"outbox: {dot}: can't be read: {error}")
+            self.log(f"outbox: {write_id}: can't be read: {error}")
             found = None
         if found is None:
             engine.settle(call, may_have_run())
         elif found[0].digest != digest:
             engine.settle(call, another_body())
         else:
-            engine.settle(call, self._kept(dot))
+            engine.settle(call, self._kept(write_id))
 
     def left(self, call: Call) -> None:
         """Found by its being closed, once the store is through; of a body that is coming no more is taken."""
         self.bodies.left(call)
 
-    async def _store(self, call: Call, write: KeptWrite, answer: Answer | None, engine: Recorded) -> None:
-        dot, told = write.dot, None
+    async def _store(self, call: Call, write: QueuedWrite, answer: Answer | None, engine: Recorded) -> None:
+        write_id, told = write.write_id, None
         certain = kept = True
         try:
             keeping = self.store.keep(write, call.body)
             await asyncio.sleep(0)  # what follows is done while the disk works
-            told = self._kept(dot)
+            told = self._kept(write_id)
             await keeping
-            if not any(one.open for one in self.storing[dot]):
-                kept = not await self.store.forget(dot, write.size)
+            if not any(one.open for one in self.storing[write_id]):
+                kept = not await self.store.forget(write_id, write.size)
         except StoreError as error:
             self.log(f"outbox: not kept: {error}")
             kept, certain = False, isinstance(error, FailedToKeepError) and error.certain
@@ -409,7 +417,7 @@
 
     def _stored(
         self,
-        write: KeptWrite,
+        write: QueuedWrite,
         kept: bool,
         certain: bool,
         answer: Answer | None,
@@ -417,14 +425,14 @@
         told: Answer | None = None,
     ) -> None:
         """All that wait for it are told; the first of them `told`, where that is worded already."""
-        dot = write.dot
-        waiting = self.storing.pop(dot)
+        write_id = write.write_id
+        waiting = self.storing.pop(write_id)
         if kept:
-            self.outbox.stored(dot, self._now())
+            self.outbox.stored(write_id, self._now())
             if not self.cutoff.off:  # else nothing but the turn of each second goes out anyway
                 self._wake()
         else:
-            self.outbox.unstored(dot, self._now())
+            self.outbox.unstored(write_id, self._now())
         for place, one in enumerate(waiting):
             if kept and told is not None and place == 0:
                 engine.settle(one, told)
@@ -435,7 +443,7 @@
             elif digest != write.digest:
                 engine.settle(one, another_body())
             else:
-                engine.settle(one, self._kept(dot))
+                engine.settle(one, self._kept(write_id))
 
     def _not_kept(self, call: Call, answer: Answer | None, certain: bool, engine: Recorded) -> None:
         if not call.open:
@@ -449,9 +457,9 @@
         elif not self._overtakes(call, None, engine):
             engine.admit(call)
 
-    def _kept(self, dot: Dot) -> Answer:
-        token = self.tokens.receipt(dot).encode()
-        told = {"state": "kept", "write": str(dot), "receipt": token.decode()}
+    def _kept(self, write_id: WriteId) -> Answer:
+        token = self.tokens.receipt(write_id).encode()
+        told = {"state": "kept", "write": str(write_id), "receipt": token.decode()}
         headers = (JSON, (b"location", RECEIPTS + token), (b"x-causal-token", token))
         return Answer(Ending.SERVED, 202, headers, msgspec.json.encode(told) + b"\n")
 
@@ -486,99 +494,105 @@
         if teller is None or not over:
             self.by_gate.clear()  # what is over later is told once more than it need be
             return
-        gone = [one for one in over if one[1] is Fate.GONE]
-        self.untold = [(dot, fate) for dot, fate in gone if teller.tell(dot, fate) is False]
+        gone = [one for one in over if one[1] is WriteStatus.GONE]
+        self.untold = [
+            (write_id, write_status)
+            for write_id, write_status in gone
+            if teller.tell(write_id, write_status) is False
+        ]
         if not self.untold:
-            for line in {dot.line for dot, _ in over}:
+            for line in {write_id.line for write_id, _ in over}:
                 if number := self.outbox.low(line):
                     teller.low(line, number)
-        for dot, fate in over:
-            if fate is Fate.GONE:
+        for write_id, write_status in over:
+            if write_status is WriteStatus.GONE:
                 continue
-            if dot in self.by_gate:
-                self.by_gate.discard(dot)
-            elif teller.tell(dot, fate) is False:
-                self.untold.append((dot, fate))
+            if write_id in self.by_gate:
+                self.by_gate.discard(write_id)
+            elif teller.tell(write_id, write_status) is False:
+                self.untold.append((write_id, write_status))
 
-    def _telling(self, dot: Dot) -> bool:
+    def _telling(self, write_id: WriteId) -> bool:
         """Others are still to hear that it was given up."""
         return self.teller is not None and (
-            self.teller.telling(dot) or any(one == dot for one, _ in self.untold)
+            self.teller.telling(write_id) or any(one == write_id for one, _ in self.untold)
         )
 
-    async def _forget(self, dots: list[Dot]) -> None:
+    async def _forget(self, write_ids: list[WriteId]) -> None:
         """Numbers first: what is forgotten must not look as if it were still to come."""
         try:
             await self.store.put_lines(self.outbox.lines())
         except StoreError:
             return
-        for dot in dots:
-            if await self.store.forget(dot, 0):
-                self.outbox.forget(dot)
+        for write_id in write_ids:
+            if await self.store.forget(write_id, 0):
+                self.outbox.forget(write_id)
 
-    async def _step(self, change: Change) -> None:
+    async def _step(self, change: Transition) -> None:
         try:
             await self.store.move(change.moved)
         except StoreError as error:
-            self.log(f"outbox: {change.dot}: not written: {error}")
+            self.log(f"outbox: {change.write_id}: not written: {error}")
             self.outbox.undo(change, self._now())
             return
         goes = self._apply(change)
-        if change.event is Event.SEND and goes:
-            await self._send(change.dot)
-        elif change.event is Event.SEND:  # the disk took longer than its window
-            await self._end(change.dot, End.NOT_RUN, Answer(Ending.FAILED, 502))
+        if change.event is WriteEvent.SEND and goes:
+            await self._send(change.write_id)
+        elif change.event is WriteEvent.SEND:  # the disk took longer than its window
+            await self._end(change.write_id, ReplayResult.NOT_RUN, Answer(Ending.FAILED, 502))
         self._wake()
 
-    def _apply(self, change: Change) -> bool:
+    def _apply(self, change: Transition) -> bool:
         """False as `Outbox.apply`."""
         if self.sharing is not None:
             self.sharing.before(change)
         goes = self.outbox.apply(change, self._now())
         state = change.moved.state
-        if self.teller is not None and (state is State.PARKED or change.event in UNPARKED):
-            self.teller.tell(change.dot, Fate.PARKED if state is State.PARKED else Fate.UNKNOWN)
-        if change.event is Event.FOUND_IN:
-            self.log(f"outbox: {change.dot}: upstream's record says that it is in: done")
-        if state is State.PARKED:
-            self.parked[change.dot] = change.moved.parking
-            self.log(f"outbox: {change.dot}: parked: {change.moved.reason.name.lower()}")
+        if self.teller is not None and (state is WriteState.PARKED or change.event in UNPARKED):
+            self.teller.tell(
+                change.write_id, WriteStatus.PARKED if state is WriteState.PARKED else WriteStatus.UNKNOWN
+            )
+        if change.event is WriteEvent.FOUND_IN:
+            self.log(f"outbox: {change.write_id}: upstream's record says that it is in: done")
+        if state is WriteState.PARKED:
+            self.parked[change.write_id] = change.moved.parking
+            self.log(f"outbox: {change.write_id}: parked: {change.moved.reason.name.lower()}")
         else:
-            self.parked.pop(change.dot, None)
+            self.parked.pop(change.write_id, None)
         if state in FINAL:
-            self.again.discard(change.dot)
+            self.again.discard(change.write_id)
         if self.sharing is not None:
             self.sharing.applied(change)
         return goes
 
-    async def _send(self, dot: Dot) -> None:
+    async def _send(self, write_id: WriteId) -> None:
         """Upstream with it, and its end written down."""
-        replay = Replay(self, dot)
-        call = await self.bodies.call(dot, replay)
+        replay = ReplayFront(self, write_id)
+        call = await self.bodies.call(write_id, replay)
         if call is None:
-            await self._end(dot, End.NOT_RUN, Answer(Ending.FAILED, 502))
+            await self._end(write_id, ReplayResult.NOT_RUN, Answer(Ending.FAILED, 502))
             return
-        self.out[dot] = replay
+        self.out[write_id] = replay
         try:
             async with self.aside:
                 assert self.engine is not None
                 self.engine.take(call)
             answer = await replay.over
         finally:
-            del self.out[dot]
+            del self.out[write_id]
             if call.upload is not None:
                 call.upload.leave()
         if self.sharing is not None:
             end = self.sharing.end_of(call, replay, answer)
         elif answer.ending is Ending.SERVED:
-            end = End.ANSWERED
+            end = ReplayResult.ANSWERED
         elif answer.ending is Ending.REFUSED or replay.never_ran:
-            end = End.NOT_RUN
+            end = ReplayResult.NOT_RUN
         else:
-            end = End.MAY_HAVE_RUN
-        await self._end(dot, end, answer)
+            end = ReplayResult.MAY_HAVE_RUN
+        await self._end(write_id, end, answer)
 
-    def _call(self, write: KeptWrite, body: bytes, replay: Replay) -> Call:
+    def _call(self, write: QueuedWrite, body: bytes, replay: ReplayFront) -> Call:
         assert self.engine is not None
         cls = self.numbers[write.cls]
         fields = dict(write.headers)
@@ -589,31 +603,38 @@
             head=lines_of(write.headers),
             body=body,
             front=replay,
-            name=b"outbox " + str(write.dot).encode(),  # its client may come again under the name that it has
+            name=b"outbox "
+            + str(write.write_id).encode(),  # its client may come again under the name that it has
             tenant=self.tenants.get(write.tenant, 0),
             key=key_of(write.start.partition(b"?")[2]),
             work_us=hint(fields.get(b"x-cost-hint", b"")),
-            repeated=write.dot in self.again,
+            repeated=write.write_id in self.again,
         )
         if self.sharing is not None:
             self.sharing.name(call, write)
         return call
 
-    async def _end(self, dot: Dot, end: End, answer: Answer) -> None:
-        if end is End.MAY_HAVE_RUN:
-            self.again.add(dot)
+    async def _end(self, write_id: WriteId, end: ReplayResult, answer: Answer) -> None:
+        if end is ReplayResult.MAY_HAVE_RUN:
+            self.again.add(write_id)
         status, headers, body = answer.status, tuple(answer.headers), answer.body
-        if end is not End.ANSWERED:
+        if end is not ReplayResult.ANSWERED:
             status, headers, body = 0, (), b""
         change = self.outbox.ended(
-            dot, end, self._now(), self.wall(), status, headers, body if len(body) <= ANSWER_MOST else b""
+            write_id,
+            end,
+            self._now(),
+            self.wall(),
+            status,
+            headers,
+            body if len(body) <= ANSWER_MOST else b"",
         )
         while True:
             try:
                 await self.store.move(change.moved)
                 break
             except StoreError as error:
-                self.log(f"outbox: {dot}: its end is not written: {error}")
+                self.log(f"outbox: {write_id}: its end is not written: {error}")
                 if self.closing:
                     return
                 await asyncio.sleep(AGAIN_S)
@@ -637,22 +658,22 @@
             answer = Answer(Ending.FAILED, 503, (), f"{error}\n".encode())
         call.front.answered(call, answer)
 
-    async def receipt(self, dot: Dot) -> Receipt:
+    async def receipt(self, write_id: WriteId) -> WriteReceipt:
         """With the final answer, where there is one. `UnknownWriteError`, `StoreError`."""
-        receipt = self.outbox.receipt(dot)
-        if receipt.state in FINAL and (moved := await self.store.moved(dot)) is not None:
+        receipt = self.outbox.receipt(write_id)
+        if receipt.state in FINAL and (moved := await self.store.moved(write_id)) is not None:
             receipt = replace(receipt, status=moved.status, headers=moved.headers, body=moved.body)
         return receipt
 
-    def judge(self, text: str, parking: int, verdict: Verdict) -> bool:
+    def resolve(self, text: str, parking: int, resolution: Resolution) -> bool:
         """An operator's word on a parked write; False if it was given already. `OutboxError`."""
-        change = self.outbox.judge(read_dot(text), parking, verdict, self.wall())
+        change = self.outbox.resolve(parse_write_id(text), parking, resolution, self.wall())
         if change is None:
             return False
         self._spawn(self._step(change))
         return True
 
-    def claim(self, line: Line) -> bool:
+    def claim(self, line: EdgeLog) -> bool:
         """An operator's word: of the processes that have copies of this disk, this one replays that line.
         False if it does. `UnknownWriteError`."""
         if self.sharing is None or line not in self.outbox.lines():
@@ -670,7 +691,7 @@
             "out": len(self.out),
             "parked": len(self.parked),
             "disk_bytes": self.store.size,
-            "writes": [msgspec.json.decode(show(self.outbox.receipt(dot))) for dot in shown],
+            "writes": [msgspec.json.decode(show(self.outbox.receipt(write_id))) for write_id in shown],
         }
 
 
@@ -703,10 +724,10 @@
     return next((part[4:] for part in query.split(b"&") if part.startswith(b"obj=")), b"")
 
 
-def _one(causes: Causes) -> Dot:
-    if len(causes) != 1 or causes[0].before:
+def _one(dependencies: Dependencies) -> WriteId:
+    if len(dependencies) != 1 or dependencies[0].before:
         raise TokenError("not the receipt of one write")
-    return causes[0].dot
+    return dependencies[0].write_id
 
 
 async def open_driver(
@@ -715,7 +736,7 @@
     tenants: Mapping[str, int],
     log: Log,
     file: str = "",
-    frontier: Frontier | None = None,
+    version_vector: VersionVector | None = None,
 ) -> OutboxDriver:
     """As `OutboxDriver.open`; `ConfigError` with the key, `file` before it, if that can't be."""
     if settings.secret_file:
@@ -725,7 +746,7 @@
             problem = f"{error.strerror}: expected a file that this user may read"
             raise ConfigError(f"{file}outbox.secret_file: {settings.secret_file}: {problem}") from None
     try:
-        return await OutboxDriver.open(settings, classes, tenants, log, frontier)
+        return await OutboxDriver.open(settings, classes, tenants, log, version_vector)
     except ValueError as error:
         if isinstance(error, OutboxError):
             raise ConfigError(f"{file}outbox.store_path: {settings.store_path}: {error}") from None
--- a/laurelstep/outbox/ages.py
+++ b/laurelstep/outbox/expiry_queue.py
@@ -10,14 +10,14 @@
 from array import array
 from typing import Final
 
-__all__ = ["Ages"]
+__all__ = ["ExpiryQueue"]
 
 NONE: Final = -1
 # Not in a list.
 OUT: Final = -2
 
 
-class Ages:
+class ExpiryQueue:
     """See the head. Rows are small integers."""
 
     def __init__(self, classes: int) -> None:
--- a/laurelstep/outbox/terms.py
+++ b/laurelstep/outbox/messages.py
@@ -6,14 +6,14 @@
 from enum import IntEnum
 from typing import Literal
 
-from laurelstep.outbox.dots import Dot
-from laurelstep.outbox.journal import Event, KeptWrite, Moved
+from laurelstep.outbox.records import QueuedWrite, StateChange, WriteEvent
+from laurelstep.outbox.write_ids import WriteId
 
-__all__ = ["Bounds", "Change", "End", "KeptClass", "Offer", "Ticket"]
+__all__ = ["OutboxBounds", "QueuedClass", "ReplayResult", "Transition", "WriteOffer", "WriteTicket"]
 
 
 @dataclass(frozen=True, slots=True)
-class KeptClass:
+class QueuedClass:
     """How writes of one class are kept. `keyed`: upstream tells repeats apart by their key for `window_us`
     after the first; otherwise unsafe: sent once, ever."""
 
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class OutboxBounds:
     """What is kept at most, and for how long."""
 
     bytes_most: int = 1 << 30
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Offer:
+class WriteOffer:
     """A write that could be kept. `named`: the header's tokens; `key`: its idempotency key, b"" if none."""
 
     cls: str
@@ -60,16 +60,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ticket:
+class WriteTicket:
     """A number for an offer. `known`: it has this key already, and nothing is to be kept: compare its
     record's key and digest with the offer's, and give its receipt once it is `durable`."""
 
-    dot: Dot
-    write: KeptWrite | None
+    write_id: WriteId
+    write: QueuedWrite | None
     known: bool = False
 
 
-class End(IntEnum):
+class ReplayResult(IntEnum):
     """How a write that was sent ended."""
 
     ANSWERED = 1  # a final answer that says that it ran
@@ -80,9 +80,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class Transition:
     """One step of one write. `moved` is what becomes durable before `apply`."""
 
-    dot: Dot
-    event: Event
-    moved: Moved
+    write_id: WriteId
+    event: WriteEvent
+    moved: StateChange
--- a/laurelstep/outbox/options.py
+++ b/laurelstep/outbox/options.py
@@ -11,7 +11,7 @@
 # `keyed`: told apart by its key, within the class's scope and window. `unsafe`: one send, ever.
 How = Literal["keyed", "unsafe"]
 # What becomes of the followers of an edge that is declared lost.
-Lost = Literal["park", "release"]
+EdgeLost = Literal["park", "release"]
 
 # What the endpoints of an edge are: servers, or copies of this program that share what is in.
 Upstream = Literal["servers", "copies"]
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptClass:
+class QueuedClass:
     """How the writes of one class are kept. `window_us`: how long a key is remembered upstream."""
 
     how: How
@@ -34,7 +34,7 @@
 
     store_path: str
     edge: str
-    classes: Mapping[str, KeptClass]
+    classes: Mapping[str, QueuedClass]
     secret_file: str = ""  # empty: of this edge alone, kept in its store
     max_bytes: int = 1 << 30
     most: int = 100_000
@@ -46,7 +46,7 @@
     back_us: int = 1_000_000
     replay_most: int = 8
     send_us: int = 30_000_000  # the longest deadline of the classes that are kept
-    lost: Lost = "park"
+    lost: EdgeLost = "park"
     upstream: Upstream = "servers"
     shared: bool = False  # this copy shares with the others of its tier which writes of edges are in
 
--- a/laurelstep/outbox/store.py
+++ b/laurelstep/outbox/queue_store.py
@@ -24,10 +24,17 @@
 
 from msgspec.structs import replace
 
-from laurelstep.outbox.dots import Dot, Line
 from laurelstep.outbox.errors import KeptRecordError
-from laurelstep.outbox.journal import FINAL, KeptWrite, Moved, decode_kept, decode_moved, encode
 from laurelstep.outbox.options import CHUNK
+from laurelstep.outbox.records import (
+    FINAL,
+    QueuedWrite,
+    StateChange,
+    decode_state_change,
+    decode_write,
+    encode,
+)
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from laurelstep.store import Disk, FolderDisk, Options, Store, StoreError
 from laurelstep.store.clock import SYSTEM_CLOCKS, StoreClocks
 
@@ -56,46 +63,46 @@
 
 
 @dataclass
-class Loaded:
+class LoadedWrites:
     """What earlier lives left: the writes with their newest states, and the highest number of each line. So
     many take memory: what only a replay or a receipt needs is left out (start, headers, digest; an answer's
     headers and body)."""
 
-    writes: list[tuple[KeptWrite, Moved | None]] = field(default_factory=list)
-    lines: dict[Line, int] = field(default_factory=dict)
-    holders: dict[Line, tuple[int, ...]] = field(default_factory=dict)
+    writes: list[tuple[QueuedWrite, StateChange | None]] = field(default_factory=list)
+    lines: dict[EdgeLog, int] = field(default_factory=dict)
+    holders: dict[EdgeLog, tuple[int, ...]] = field(default_factory=dict)
 
 
-def key_of(kind: bytes, dot: Dot) -> bytes:
-    return kind + dot.incarnation.to_bytes(8, "big") + dot.number.to_bytes(8, "big")
+def key_of(kind: bytes, write_id: WriteId) -> bytes:
+    return kind + write_id.incarnation.to_bytes(8, "big") + write_id.number.to_bytes(8, "big")
 
 
-def _line_key(line: Line, kind: bytes = LINE) -> bytes:
+def _line_key(line: EdgeLog, kind: bytes = LINE) -> bytes:
     return kind + line.incarnation.to_bytes(8, "big") + line.edge.encode()
 
 
-def _line_of(key: bytes) -> Line:
-    return Line(key[9:].decode(), int.from_bytes(key[1:9], "big"))
+def _line_of(key: bytes) -> EdgeLog:
+    return EdgeLog(key[9:].decode(), int.from_bytes(key[1:9], "big"))
 
 
-def part_key(dot: Dot, at: int) -> bytes:
-    return key_of(PART, dot) + at.to_bytes(4, "big")
+def part_key(write_id: WriteId, at: int) -> bytes:
+    return key_of(PART, write_id) + at.to_bytes(4, "big")
 
 
-def part_keys(dot: Dot, size: int) -> list[bytes]:
+def part_keys(write_id: WriteId, size: int) -> list[bytes]:
     """Of the parts behind the first."""
-    return [part_key(dot, at) for at in range(1, -(-size // CHUNK))]
+    return [part_key(write_id, at) for at in range(1, -(-size // CHUNK))]
 
 
-class KeptStore:
+class QueueStore:
     """On a folder, or on any `Disk`. Made by `open`; belongs to the loop that opened it."""
 
     def __init__(self, store: Store) -> None:
         self.store = store
         self.incarnation = secrets.randbits(64)
-        self._ended: deque[Dot] = deque()  # final, and their bodies are still there
+        self._ended: deque[WriteId] = deque()  # final, and their bodies are still there
         self._ending: asyncio.Task[None] | None = None
-        self._forgetting: set[Dot] = set()
+        self._forgetting: set[WriteId] = set()
 
     @classmethod
     async def open(
@@ -104,7 +111,7 @@
         max_bytes: int,
         log: Callable[[str], None] = lambda line: None,
         clocks: StoreClocks = SYSTEM_CLOCKS,
-    ) -> KeptStore:
+    ) -> QueueStore:
         """`max_bytes`: what its user keeps at most, which is for the user to see to. `StoreError` if it is
         in use, damaged or can't be read."""
         disk: Disk = FolderDisk(place) if isinstance(place, str) else place
@@ -141,11 +148,11 @@
 
     # --- A life's beginning -----------------------------------------------------------
 
-    async def load(self) -> Loaded:
+    async def load(self) -> LoadedWrites:
         """What is kept; `KeptRecordError` if a record can't be read. Called once, before anything else."""
-        found = Loaded()
-        kept: dict[bytes, KeptWrite] = {}
-        moved: dict[bytes, Moved] = {}
+        found = LoadedWrites()
+        kept: dict[bytes, QueuedWrite] = {}
+        moved: dict[bytes, StateChange] = {}
         whole = set[bytes]()
         async for key, value in self.store.each(KEPT + MOVED + LINE + HOLDERS):
             if key[:1] == KEPT:
@@ -154,7 +161,7 @@
                 if first:
                     whole.add(key[1:])
             elif key[:1] == MOVED:
-                moved[key[1:]] = replace(decode_moved(value), headers=(), body=b"")
+                moved[key[1:]] = replace(decode_state_change(value), headers=(), body=b"")
             elif key[:1] == HOLDERS:
                 found.holders[_line_of(key)] = _lives_of(value)
             else:
@@ -162,21 +169,23 @@
         stale = self._orphans(kept, moved)
         found.writes = [(one, moved.get(at)) for at, one in sorted(kept.items()) if KEPT + at not in stale]
         for write, _ in found.writes:
-            found.lines[write.dot.line] = max(found.lines.get(write.dot.line, 0), write.dot.number)
+            found.lines[write.write_id.line] = max(
+                found.lines.get(write.write_id.line, 0), write.write_id.number
+            )
         for write, state in found.writes:
-            if state is not None and state.state in FINAL and key_of(KEPT, write.dot)[1:] in whole:
-                self._end(write.dot)
+            if state is not None and state.state in FINAL and key_of(KEPT, write.write_id)[1:] in whole:
+                self._end(write.write_id)
         if stale:
             await asyncio.gather(*(self.store.delete(key) for key in stale))
         return found
 
-    def _orphans(self, kept: dict[bytes, KeptWrite], moved: dict[bytes, Moved]) -> set[bytes]:
+    def _orphans(self, kept: dict[bytes, QueuedWrite], moved: dict[bytes, StateChange]) -> set[bytes]:
         """Records of writes never told as kept, or forgotten, and the bodies of what is over."""
         stale, parts = set[bytes](), set[bytes]()
         for at, write in kept.items():
             if at in moved and moved[at].state in FINAL:
                 continue
-            mine = part_keys(write.dot, write.size)
+            mine = part_keys(write.write_id, write.size)
             if all(key in self.store for key in mine):
                 parts.update(mine)
             else:
@@ -187,77 +196,81 @@
 
     # --- Writing ----------------------------------------------------------------------
 
-    def keep(self, write: KeptWrite, body: bytes) -> Coroutine[Any, Any, None]:
+    def keep(self, write: QueuedWrite, body: bytes) -> Coroutine[Any, Any, None]:
         """Begun by the call itself. `FailedToKeepError`, with nothing of it left where that is certain."""
         record = encode(write)
         first = len(record).to_bytes(4, "big") + record + body[:CHUNK]
-        keys = part_keys(write.dot, len(body))
+        keys = part_keys(write.write_id, len(body))
         # All are put before the store's own task runs: as one batch where it is not too large.
         puts = [
             self.store.put(key, body[at * CHUNK : (at + 1) * CHUNK]) for at, key in enumerate(keys, start=1)
         ]
-        puts.append(self.store.put(key_of(KEPT, write.dot), first))
+        puts.append(self.store.put(key_of(KEPT, write.write_id), first))
         return self._kept(write, len(body), puts)
 
-    async def _kept(self, write: KeptWrite, size: int, puts: list[asyncio.Future[None]]) -> None:
+    async def _kept(self, write: QueuedWrite, size: int, puts: list[asyncio.Future[None]]) -> None:
         results = await asyncio.gather(*puts, return_exceptions=True)
         error = next((one for one in results if isinstance(one, BaseException)), None)
         if error is None:
             return
         # Told by a store that refuses before it writes: it is full, or was failing already.
-        certain = await self._take_back(write.dot, size) and self.store.failed is None
+        certain = await self._take_back(write.write_id, size) and self.store.failed is None
         raise FailedToKeepError(str(error), certain) from None
 
-    async def _take_back(self, dot: Dot, size: int) -> bool:
+    async def _take_back(self, write_id: WriteId, size: int) -> bool:
         """Delete what there is of a write; False if that failed."""
-        results = await asyncio.gather(*self._begin_take_back(dot, size), return_exceptions=True)
+        results = await asyncio.gather(*self._begin_take_back(write_id, size), return_exceptions=True)
         return not any(isinstance(one, BaseException) for one in results)
 
-    def _begin_take_back(self, dot: Dot, size: int) -> list[asyncio.Future[None]]:
+    def _begin_take_back(self, write_id: WriteId, size: int) -> list[asyncio.Future[None]]:
         """The record goes before the parts: none is ever found without them."""
-        keys = [key for key in (key_of(KEPT, dot), *part_keys(dot, size)) if key in self.store]
+        keys = [key for key in (key_of(KEPT, write_id), *part_keys(write_id, size)) if key in self.store]
         return [self.store.delete(key) for key in keys]
 
-    async def put_parts(self, dot: Dot, at: int, parts: Sequence[bytes]) -> None:
+    async def put_parts(self, write_id: WriteId, at: int, parts: Sequence[bytes]) -> None:
         """Parts behind the first of a body that is still coming, from number `at` on: all of `CHUNK` bytes
         but the last of the body. `FailedToKeepError`; no life finds a write without its head."""
-        puts = [self.store.put(part_key(dot, number), part) for number, part in enumerate(parts, start=at)]
+        puts = [
+            self.store.put(part_key(write_id, number), part) for number, part in enumerate(parts, start=at)
+        ]
         results = await asyncio.gather(*puts, return_exceptions=True)
         error = next((one for one in results if isinstance(one, BaseException)), None)
         if error is not None:
             raise FailedToKeepError(str(error), True) from None
 
-    async def put_head(self, write: KeptWrite, first: bytes) -> None:
+    async def put_head(self, write: QueuedWrite, first: bytes) -> None:
         """The head, with the first part of the body, of a write whose other parts are durable: it is kept.
         `FailedToKeepError`; its parts are for the caller to `forget`."""
         record = encode(write)
         try:
-            await self.store.put(key_of(KEPT, write.dot), len(record).to_bytes(4, "big") + record + first)
+            await self.store.put(
+                key_of(KEPT, write.write_id), len(record).to_bytes(4, "big") + record + first
+            )
         except StoreError as error:
             raise FailedToKeepError(str(error), self.store.failed is None) from None
 
-    async def forget(self, dot: Dot, size: int) -> bool:
+    async def forget(self, write_id: WriteId, size: int) -> bool:
         """All of a write. False if that can't be written. Its state is deleted after its record: a record
         without a state, if only one batch of two is durable, would be sent again."""
-        moved = key_of(MOVED, dot)
-        self._forgetting.add(dot)
+        moved = key_of(MOVED, write_id)
+        self._forgetting.add(write_id)
         try:
-            taking_back = self._begin_take_back(dot, size)
+            taking_back = self._begin_take_back(write_id, size)
             if moved in self.store:
                 taking_back.append(self.store.delete(moved))
             results = await asyncio.gather(*taking_back, return_exceptions=True)
             return not any(isinstance(one, BaseException) for one in results)
         finally:
-            self._forgetting.discard(dot)
+            self._forgetting.discard(write_id)
 
-    async def move(self, moved: Moved) -> None:
+    async def move(self, moved: StateChange) -> None:
         """Its state from now on. `StoreError` if it is not written."""
-        await self.store.put(key_of(MOVED, moved.dot), encode(moved))
+        await self.store.put(key_of(MOVED, moved.write_id), encode(moved))
         if moved.state in FINAL:
-            self._end(moved.dot)
+            self._end(moved.write_id)
 
-    def _end(self, dot: Dot) -> None:
-        self._ended.append(dot)
+    def _end(self, write_id: WriteId) -> None:
+        self._ended.append(write_id)
         if self._ending is None:
             self._ending = asyncio.get_running_loop().create_task(self._end_bodies())
 
@@ -268,11 +281,11 @@
                 await asyncio.sleep(END_S)
                 for _ in range(-(-len(self._ended) // ENDED_MOST)):
                     some = [self._ended.popleft() for _ in range(min(ENDED_MOST, len(self._ended)))]
-                    await self._end_some({key_of(KEPT, dot): dot for dot in some})
+                    await self._end_some({key_of(KEPT, write_id): write_id for write_id in some})
         finally:
             self._ending = None
 
-    async def _end_some(self, left: dict[bytes, Dot]) -> None:
+    async def _end_some(self, left: dict[bytes, WriteId]) -> None:
         """What could not be read, or moved meanwhile, has its turn again."""
         with contextlib.suppress(StoreError):
             async for key, value in self.store.some(list(left)):
@@ -280,62 +293,64 @@
                 with contextlib.suppress(KeptRecordError):
                     self._end_body(key, value)
         self._ended.extend(
-            dot for key, dot in left.items() if key in self.store and dot not in self._forgetting
+            write_id
+            for key, write_id in left.items()
+            if key in self.store and write_id not in self._forgetting
         )
 
     def _end_body(self, key: bytes, value: bytes) -> None:
         """What this fails to write is done as the store is opened."""
         write, first = _split(value)
-        if write.dot in self._forgetting:
+        if write.write_id in self._forgetting:
             return  # a record of it must not come back
-        begun = [self.store.delete(key) for key in part_keys(write.dot, write.size) if key in self.store]
+        begun = [self.store.delete(key) for key in part_keys(write.write_id, write.size) if key in self.store]
         if first:
             begun.append(self.store.put(key, value[: len(value) - len(first)]))
         for one in begun:
             one.add_done_callback(lambda done: done.cancelled() or done.exception())
 
-    async def put_lines(self, lines: Mapping[Line, int]) -> None:
+    async def put_lines(self, lines: Mapping[EdgeLog, int]) -> None:
         """The highest number that each own line gave out. `StoreError` if it is not written."""
         await asyncio.gather(
             *(self.store.put(_line_key(line), number.to_bytes(8, "big")) for line, number in lines.items())
         )
 
-    async def put_holders(self, line: Line, lives: tuple[int, ...]) -> None:
+    async def put_holders(self, line: EdgeLog, lives: tuple[int, ...]) -> None:
         """The lives that this disk knows to have had a line, or to have asked for it. `StoreError`."""
         told = b"".join(life.to_bytes(8, "big") for life in lives)
         await self.store.put(_line_key(line, HOLDERS), told)
 
     # --- Reading ----------------------------------------------------------------------
 
-    async def read(self, dot: Dot) -> tuple[KeptWrite, bytes] | None:
+    async def read(self, write_id: WriteId) -> tuple[QueuedWrite, bytes] | None:
         """A write with its body; None if there is none. `StoreError` if it can't be read."""
-        value = await self.store.get(key_of(KEPT, dot))
+        value = await self.store.get(key_of(KEPT, write_id))
         if value is None:
             return None
         write, first = _split(value)
         parts = [first]
-        for key in part_keys(dot, write.size):
+        for key in part_keys(write_id, write.size):
             part = await self.store.get(key)
             if part is None:
-                raise StoreError(f"a part of the body of {dot} is missing")
+                raise StoreError(f"a part of the body of {write_id} is missing")
             parts.append(part)
         return write, b"".join(parts)
 
-    async def head(self, dot: Dot) -> tuple[KeptWrite, bytes] | None:
+    async def head(self, write_id: WriteId) -> tuple[QueuedWrite, bytes] | None:
         """A write with the first part of its body; None if there is none. `StoreError`, `KeptRecordError`."""
-        value = await self.store.get(key_of(KEPT, dot))
+        value = await self.store.get(key_of(KEPT, write_id))
         return None if value is None else _split(value)
 
-    async def part(self, dot: Dot, at: int) -> bytes:
+    async def part(self, write_id: WriteId, at: int) -> bytes:
         """One behind the first. `StoreError` if it can't be read."""
-        part = await self.store.get(part_key(dot, at))
+        part = await self.store.get(part_key(write_id, at))
         if part is None:
-            raise StoreError(f"a part of the body of {dot} is missing")
+            raise StoreError(f"a part of the body of {write_id} is missing")
         return part
 
-    async def moved(self, dot: Dot) -> Moved | None:
-        value = await self.store.get(key_of(MOVED, dot))
-        return None if value is None else decode_moved(value)
+    async def moved(self, write_id: WriteId) -> StateChange | None:
+        value = await self.store.get(key_of(MOVED, write_id))
+        return None if value is None else decode_state_change(value)
 
     @property
     def size(self) -> int:
@@ -353,9 +368,9 @@
     return tuple(int.from_bytes(value[at : at + 8], "big") for at in range(0, len(value), 8))
 
 
-def _split(value: bytes) -> tuple[KeptWrite, bytes]:
+def _split(value: bytes) -> tuple[QueuedWrite, bytes]:
     """The head, and the first part of the body; `KeptRecordError`."""
     size = int.from_bytes(value[:4], "big")
     if len(value) < 4 + size:
         raise KeptRecordError("kept write: cut short")
-    return decode_kept(value[4 : 4 + size]), value[4 + size :]
+    return decode_write(value[4 : 4 + size]), value[4 + size :]
--- a/laurelstep/outbox/receipts.py
+++ b/laurelstep/outbox/receipts.py
@@ -7,52 +7,52 @@
 
 import msgspec
 
-from laurelstep.outbox.dots import Dot
-from laurelstep.outbox.journal import Reason, State
+from laurelstep.outbox.records import ParkingReason, WriteState
+from laurelstep.outbox.write_ids import WriteId
 
-__all__ = ["REASONS", "Receipt", "show"]
+__all__ = ["REASONS", "WriteReceipt", "show"]
 
-REASONS: Final[dict[Reason, str]] = {
-    Reason.WINDOW: "the time for which its key is remembered upstream has passed",
-    Reason.MAY_HAVE_RUN: "it was sent, its answer was lost, and it can't be sent twice",
-    Reason.DENIED: "upstream said a final no",
-    Reason.AGE: "it was kept for longer than outbox.age_s",
-    Reason.ORPHANED: "a write that it follows was given up, or lost with its edge",
-    Reason.FENCED: "another process with a copy of this disk replays it",
-    Reason.FOLLOWS: "a write that it follows is parked",
+REASONS: Final[dict[ParkingReason, str]] = {
+    ParkingReason.WINDOW: "the time for which its key is remembered upstream has passed",
+    ParkingReason.MAY_HAVE_RUN: "it was sent, its answer was lost, and it can't be sent twice",
+    ParkingReason.DENIED: "upstream said a final no",
+    ParkingReason.AGE: "it was kept for longer than outbox.age_s",
+    ParkingReason.ORPHANED: "a write that it follows was given up, or lost with its edge",
+    ParkingReason.FENCED: "another process with a copy of this disk replays it",
+    ParkingReason.FOLLOWS: "a write that it follows is parked",
 }
 # What an operator can say of it.
 _OPEN: Final = ("ran", "never_ran", "give_up")
 
 
 @dataclass(frozen=True, slots=True)
-class Receipt:
+class WriteReceipt:
     """`behind`: for a write that waits, one that holds it up. `status`: of the final answer, or 0."""
 
-    dot: Dot
-    state: State
-    reason: Reason = Reason.NONE
+    write_id: WriteId
+    state: WriteState
+    reason: ParkingReason = ParkingReason.NONE
     parking: int = 0
-    behind: Dot | None = None
+    behind: WriteId | None = None
     status: int = 0
     headers: tuple[tuple[bytes, bytes], ...] = ()
     body: bytes = b""
 
     @property
-    def verdicts(self) -> tuple[str, ...]:
+    def resolutions(self) -> tuple[str, ...]:
         """What an operator can say now."""
-        if self.state is not State.PARKED:
+        if self.state is not WriteState.PARKED:
             return ()
-        return ("give_up",) if self.reason is Reason.FOLLOWS else _OPEN
+        return ("give_up",) if self.reason is ParkingReason.FOLLOWS else _OPEN
 
 
-def show(receipt: Receipt) -> bytes:
+def show(receipt: WriteReceipt) -> bytes:
     """As JSON, for the client that asks and for an operator."""
-    told: dict[str, Any] = {"write": str(receipt.dot), "state": receipt.state.name.lower()}
-    if receipt.state is State.PARKED:
+    told: dict[str, Any] = {"write": str(receipt.write_id), "state": receipt.state.name.lower()}
+    if receipt.state is WriteState.PARKED:
         told["reason"] = REASONS[receipt.reason]
         told["parking"] = receipt.parking
-        told["verdicts"] = receipt.verdicts
+        told["verdicts"] = receipt.resolutions
     if receipt.behind is not None:
         told["behind"] = str(receipt.behind)
     if receipt.status:
--- a/laurelstep/outbox/journal.py
+++ b/laurelstep/outbox/records.py
@@ -1,13 +1,14 @@
 """The states of a kept write, and their records. Pure.
 
-1. A state changes only as `TABLE` says.
+1. A state changes only as `TRANSITIONS` says.
 2. A change is durable before anybody is told, and before the step that it announces is taken: OUT before
    the write is sent, DONE before its receipt says so. KEPT to READY is the exception: it says only that all
    causes are in, which a restart finds out again.
 3. What is found OUT after a restart may have run. Keyed within its window it goes out again under its key;
    otherwise it is parked.
 4. A write kept as new has never been sent: KEPT and READY say that it has not run, whatever befell the edge.
-5. A parking has a number, from 1. A verdict names it, so that one given twice never counts for a later one.
+5. A parking has a number, from 1. A resolution names it, so that one given twice never counts for a later
+   one.
 6. DONE and GIVEN_UP are final.
 7. What upstream's copies say moves a parked write only in two ways: one that may have run is DONE once they
    say that it is in, and one whose line was another's is KEPT again once the line is this process's.
@@ -20,26 +21,26 @@
 
 import msgspec
 
-from laurelstep.outbox.dots import Dot
 from laurelstep.outbox.errors import KeptRecordError, StepError
+from laurelstep.outbox.write_ids import WriteId
 
 __all__ = [
     "FINAL",
-    "TABLE",
-    "Event",
-    "KeptWrite",
-    "Moved",
-    "Reason",
-    "State",
-    "Verdict",
-    "decode_kept",
-    "decode_moved",
+    "TRANSITIONS",
+    "ParkingReason",
+    "QueuedWrite",
+    "Resolution",
+    "StateChange",
+    "WriteEvent",
+    "WriteState",
+    "decode_state_change",
+    "decode_write",
     "encode",
-    "follow",
+    "next_state",
 ]
 
 
-class State(IntEnum):
+class WriteState(IntEnum):
     """Where a kept write stands."""
 
     KEPT = 1  # durable; waits for what it follows
@@ -50,7 +51,7 @@
     GIVEN_UP = 6  # will not run
 
 
-class Reason(IntEnum):
+class ParkingReason(IntEnum):
     """Why a write is parked."""
 
     NONE = 0
@@ -63,7 +64,7 @@
     FENCED = 7  # another process with a copy of this disk replays its line
 
 
-class Verdict(IntEnum):
+class Resolution(IntEnum):
     """What an operator says of a parked write."""
 
     RAN = 1
@@ -71,7 +72,7 @@
     GIVE_UP = 3
 
 
-class Event(IntEnum):
+class WriteEvent(IntEnum):
     """What moves a kept write."""
 
     CAUSES_IN = 1
@@ -93,48 +94,48 @@
     FOUND_IN = 17  # it may have run, and upstream's record says that it is in
 
 
-FINAL: Final = frozenset({State.DONE, State.GIVEN_UP})
-
-TABLE: Final[dict[tuple[State, Event], State]] = {
-    (State.KEPT, Event.CAUSES_IN): State.READY,
-    (State.KEPT, Event.EXPIRED): State.PARKED,
-    (State.KEPT, Event.ORPHANED): State.PARKED,
-    (State.KEPT, Event.GIVE_UP): State.GIVEN_UP,
-    (State.KEPT, Event.LOST): State.GIVEN_UP,
-    (State.KEPT, Event.FENCED): State.PARKED,
-    (State.READY, Event.FENCED): State.PARKED,
-    (State.OUT, Event.FENCED): State.PARKED,
-    (State.READY, Event.SEND): State.OUT,
-    (State.READY, Event.JOINED): State.DONE,
-    (State.READY, Event.EXPIRED): State.PARKED,
-    (State.OUT, Event.ANSWERED): State.DONE,
-    (State.OUT, Event.NOT_RUN): State.READY,
-    (State.OUT, Event.AGAIN): State.READY,
-    (State.OUT, Event.UNSURE): State.PARKED,
-    (State.OUT, Event.DENIED): State.PARKED,
-    (State.PARKED, Event.RAN): State.DONE,
-    (State.PARKED, Event.NEVER_RAN): State.KEPT,
-    (State.PARKED, Event.GIVE_UP): State.GIVEN_UP,
-    (State.PARKED, Event.CLAIMED): State.KEPT,
-    (State.PARKED, Event.FOUND_IN): State.DONE,
+FINAL: Final = frozenset({WriteState.DONE, WriteState.GIVEN_UP})
+
+TRANSITIONS: Final[dict[tuple[WriteState, WriteEvent], WriteState]] = {
+    (WriteState.KEPT, WriteEvent.CAUSES_IN): WriteState.READY,
+    (WriteState.KEPT, WriteEvent.EXPIRED): WriteState.PARKED,
+    (WriteState.KEPT, WriteEvent.ORPHANED): WriteState.PARKED,
+    (WriteState.KEPT, WriteEvent.GIVE_UP): WriteState.GIVEN_UP,
+    (WriteState.KEPT, WriteEvent.LOST): WriteState.GIVEN_UP,
+    (WriteState.KEPT, WriteEvent.FENCED): WriteState.PARKED,
+    (WriteState.READY, WriteEvent.FENCED): WriteState.PARKED,
+    (WriteState.OUT, WriteEvent.FENCED): WriteState.PARKED,
+    (WriteState.READY, WriteEvent.SEND): WriteState.OUT,
+    (WriteState.READY, WriteEvent.JOINED): WriteState.DONE,
+    (WriteState.READY, WriteEvent.EXPIRED): WriteState.PARKED,
+    (WriteState.OUT, WriteEvent.ANSWERED): WriteState.DONE,
+    (WriteState.OUT, WriteEvent.NOT_RUN): WriteState.READY,
+    (WriteState.OUT, WriteEvent.AGAIN): WriteState.READY,
+    (WriteState.OUT, WriteEvent.UNSURE): WriteState.PARKED,
+    (WriteState.OUT, WriteEvent.DENIED): WriteState.PARKED,
+    (WriteState.PARKED, WriteEvent.RAN): WriteState.DONE,
+    (WriteState.PARKED, WriteEvent.NEVER_RAN): WriteState.KEPT,
+    (WriteState.PARKED, WriteEvent.GIVE_UP): WriteState.GIVEN_UP,
+    (WriteState.PARKED, WriteEvent.CLAIMED): WriteState.KEPT,
+    (WriteState.PARKED, WriteEvent.FOUND_IN): WriteState.DONE,
 }
 
 
-def follow(state: State, event: Event) -> State:
+def next_state(state: WriteState, event: WriteEvent) -> WriteState:
     """The state after; `StepError` if there is none."""
-    after = TABLE.get((state, event))
+    after = TRANSITIONS.get((state, event))
     if after is None:
         raise StepError(f"{event.name} does not follow in {state.name}")
     return after
 
 
-class KeptWrite(msgspec.Struct, array_like=True, frozen=True):
+class QueuedWrite(msgspec.Struct, array_like=True, frozen=True):
     """The record of a write as it was kept. Its body stands apart, in the store's segments.
 
     `keyed`: the class's writes are told apart by their key, for `window_us` after keeping. Times that are
     kept are unix times in µs by the edge's clock."""
 
-    dot: Dot
+    write_id: WriteId
     cls: str
     start: bytes  # method and target
     headers: tuple[tuple[bytes, bytes], ...]
@@ -145,39 +146,39 @@
     session: bytes
     obj: bytes
     tenant: str
-    causes: tuple[tuple[str, int, int, bool], ...]  # see causes.Causes
+    dependencies: tuple[tuple[str, int, int, bool], ...]  # see causes.Causes
     wall: int
     window_us: int
     life: int  # how many lives of this store, of which there were records, came before
 
 
-class Moved(msgspec.Struct, array_like=True, frozen=True):
+class StateChange(msgspec.Struct, array_like=True, frozen=True):
     """The record of the state since. Only the newest of a write counts."""
 
-    dot: Dot
-    state: State
-    reason: Reason = Reason.NONE
+    write_id: WriteId
+    state: WriteState
+    reason: ParkingReason = ParkingReason.NONE
     parking: int = 0
-    verdict: int = 0  # the last one given, on `judged`
-    judged: int = 0
-    judged_at: int = 0  # unix time, µs
+    resolution: int = 0  # the last one given, on `judged`
+    resolved: int = 0
+    resolved_at: int = 0  # unix time, µs
     sent: bool = False  # was ever OUT without a known end
     status: int = 0
     headers: tuple[tuple[bytes, bytes], ...] = ()
     body: bytes = b""
-    wall: int = 0  # of a final answer, parking by one, or verdict
+    wall: int = 0  # of a final answer, parking by one, or resolution
 
 
 _encoder: Final = msgspec.msgpack.Encoder()
-_kept: Final[msgspec.msgpack.Decoder[KeptWrite]] = msgspec.msgpack.Decoder(KeptWrite)
-_moved: Final[msgspec.msgpack.Decoder[Moved]] = msgspec.msgpack.Decoder(Moved)
+_kept: Final[msgspec.msgpack.Decoder[QueuedWrite]] = msgspec.msgpack.Decoder(QueuedWrite)
+_moved: Final[msgspec.msgpack.Decoder[StateChange]] = msgspec.msgpack.Decoder(StateChange)
 
 
-def encode(record: KeptWrite | Moved) -> bytes:
+def encode(record: QueuedWrite | StateChange) -> bytes:
     return _encoder.encode(record)
 
 
-def decode_kept(data: bytes) -> KeptWrite:
+def decode_write(data: bytes) -> QueuedWrite:
     """`KeptRecordError`."""
     try:
         return _kept.decode(data)
@@ -185,7 +186,7 @@
         raise KeptRecordError(f"kept write: {error}") from None
 
 
-def decode_moved(data: bytes) -> Moved:
+def decode_state_change(data: bytes) -> StateChange:
     """`KeptRecordError`."""
     try:
         return _moved.decode(data)
--- a/laurelstep/outbox/replay.py
+++ b/laurelstep/outbox/replay_queue.py
@@ -12,10 +12,10 @@
 
 from collections import deque
 
-__all__ = ["Pace", "Turns"]
+__all__ = ["ReplayPacer", "ReplayQueue"]
 
 
-class Pace:
+class ReplayPacer:
     """How many may be out."""
 
     def __init__(self, most: int, hold_us: int) -> None:
@@ -51,7 +51,7 @@
         self._until = now + self._hold
 
 
-class Turns:
+class ReplayQueue:
     """The rows that are ready, first come first, and those whose line another process may hold."""
 
     def __init__(self) -> None:
--- a/laurelstep/outbox/shared/sharer.py
+++ b/laurelstep/outbox/shared/agreement.py
@@ -17,10 +17,10 @@
 from laurelstep.accord.errors import BusyError, NotLeadingError
 from laurelstep.accord.parts import Agreement
 from laurelstep.engine.ports import Clock, Handle
-from laurelstep.outbox.shared.entries import KIND, Entry, pack, unpack_word
-from laurelstep.outbox.shared.record import Record
+from laurelstep.outbox.shared.entries import KIND, LedgerEntry, pack, unpack_word
+from laurelstep.outbox.shared.ledger import ReplicatedLedger
 
-__all__ = ["AGAIN_MOST_US", "AGAIN_US", "FLIGHT_US", "WAITS_MOST", "Sharer"]
+__all__ = ["AGAIN_MOST_US", "AGAIN_US", "FLIGHT_US", "WAITS_MOST", "AgreementDriver"]
 
 AGAIN_US: Final = 100_000
 AGAIN_MOST_US: Final = 800_000
@@ -29,7 +29,7 @@
 _FLIGHTS_MOST: Final = 1_024
 
 
-class _Telling:
+class _PendingWord:
     """One entry that somebody here waits for."""
 
     __slots__ = ("again_us", "data", "due", "timer", "waits")
@@ -39,10 +39,10 @@
         self.again_us = AGAIN_US
         self.due = 0  # when it is told again
         self.timer: Handle | None = None
-        self.waits: list[_Wait] = []
+        self.waits: list[_PendingEntry] = []
 
 
-class _Wait:
+class _PendingEntry:
     __slots__ = ("done", "future", "until")
 
     def __init__(self, done: Callable[[], bool], until: int, future: asyncio.Future[bool]) -> None:
@@ -51,19 +51,19 @@
         self.future = future
 
 
-class Sharer:
+class AgreementDriver:
     """See the rules. Takes the accord's `heard` and `on_change`, and the record's `applied`.
 
     `on_change` of its own is called after entries were applied, and when it is known, led or in touch
     otherwise."""
 
-    def __init__(self, accord: Agreement, record: Record, clock: Clock) -> None:
+    def __init__(self, accord: Agreement, record: ReplicatedLedger, clock: Clock) -> None:
         self.accord = accord
         self.record = record
         self.clock = clock
         self.on_change: Callable[[], None] = lambda: None
         self.counters = {"agreed": 0, "late": 0, "full": 0, "told": 0, "proposed": 0, "unread": 0}
-        self._tellings: dict[bytes, _Telling] = {}
+        self._tellings: dict[bytes, _PendingWord] = {}
         self._count = 0  # of waits
         self._flights: dict[bytes, int] = {}  # until when each counts as on its way
         self._reign: tuple[object, ...] = ()
@@ -77,7 +77,7 @@
         """All that was agreed when this copy came is known here, and a leader with a majority is heard."""
         return not self._closed and self.accord.known and self.accord.in_touch
 
-    def agree(self, entry: Entry, done: Callable[[], bool], until: int) -> asyncio.Future[bool]:
+    def agree(self, entry: LedgerEntry, done: Callable[[], bool], until: int) -> asyncio.Future[bool]:
         """Whether `done()` holds on the record by `until`. Told from now on, also if nobody awaits it yet;
         cancel it to tell no more. `EntryError` for what is no entry."""
         data = pack(entry)
@@ -91,7 +91,7 @@
             self.counters["full"] += 1
             future.set_result(False)
         else:
-            self._await(data, _Wait(done, until, future))
+            self._await(data, _PendingEntry(done, until, future))
         return future
 
     def close(self) -> None:
@@ -104,11 +104,11 @@
 
     # --- What waits -------------------------------------------------------------------
 
-    def _await(self, data: bytes, wait: _Wait) -> None:
+    def _await(self, data: bytes, wait: _PendingEntry) -> None:
         telling = self._tellings.get(data)
         is_new = telling is None
         if telling is None:
-            telling = self._tellings[data] = _Telling(data)
+            telling = self._tellings[data] = _PendingWord(data)
         telling.waits.append(wait)
         self._count += 1
         wait.future.add_done_callback(lambda future: self._called_off(telling, wait))
@@ -118,11 +118,11 @@
         if telling.waits:
             self._arm(telling)
 
-    def _called_off(self, telling: _Telling, wait: _Wait) -> None:
+    def _called_off(self, telling: _PendingWord, wait: _PendingEntry) -> None:
         if wait in telling.waits:  # its asker cancelled it
             self._end(telling, wait, False)
 
-    def _end(self, telling: _Telling, wait: _Wait, verdict: bool) -> None:
+    def _end(self, telling: _PendingWord, wait: _PendingEntry, resolution: bool) -> None:
         telling.waits.remove(wait)
         self._count -= 1
         if not telling.waits:
@@ -130,16 +130,16 @@
             if telling.timer is not None:
                 telling.timer.cancel()
         if not wait.future.done():
-            self.counters["agreed" if verdict else "late"] += 1
-            wait.future.set_result(verdict)
+            self.counters["agreed" if resolution else "late"] += 1
+            wait.future.set_result(resolution)
 
-    def _arm(self, telling: _Telling) -> None:
+    def _arm(self, telling: _PendingWord) -> None:
         if telling.timer is not None:
             telling.timer.cancel()
         due = min(telling.due, *(wait.until for wait in telling.waits))
         telling.timer = self.clock.at(due, self._wake, telling)
 
-    def _wake(self, telling: _Telling) -> None:
+    def _wake(self, telling: _PendingWord) -> None:
         """Told again, or too late. What became true meanwhile is true."""
         telling.timer = None
         now = self.clock.now()
@@ -153,7 +153,7 @@
         if telling.waits:
             self._arm(telling)
 
-    def _judge(self, telling: _Telling, now: int) -> None:
+    def _judge(self, telling: _PendingWord, now: int) -> None:
         for wait in list(telling.waits):
             if wait.done():
                 self._end(telling, wait, True)
--- a/laurelstep/outbox/shared/asking.py
+++ b/laurelstep/outbox/shared/asking.py
@@ -21,19 +21,19 @@
 
 from laurelstep.engine.call import Answer, Call, Ending, Handle
 from laurelstep.net.message import lines as lines_of
-from laurelstep.outbox.causes import Cause
-from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.errors import OutboxError
-from laurelstep.outbox.journal import Event, KeptWrite, State
-from laurelstep.outbox.shared.edge import News, RemoteFrontier, bounded
-from laurelstep.outbox.shared.seal import Seal
-from laurelstep.outbox.shared.terms import KEPT_HEADER, SHARED_PATH, Ask, Replayed
-from laurelstep.outbox.store import Loaded
-from laurelstep.outbox.terms import Change, End
+from laurelstep.outbox.messages import ReplayResult, Transition
+from laurelstep.outbox.queue_store import LoadedWrites
+from laurelstep.outbox.records import QueuedWrite, WriteEvent, WriteState
+from laurelstep.outbox.shared.edge import QueryOutcome, RemoteVersionVector, bounded
+from laurelstep.outbox.shared.message_seal import MessageSeal
+from laurelstep.outbox.shared.messages import KEPT_HEADER, SHARED_PATH, ReplayIdentity, ReplayQuery
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from laurelstep.store import StoreError
 
 if TYPE_CHECKING:
-    from laurelstep.outbox.driver import OutboxDriver, Replay
+    from laurelstep.outbox.driver import OutboxDriver, ReplayFront
 
 __all__ = ["EdgeSharing"]
 
@@ -42,7 +42,7 @@
 
 
 @dataclass(eq=False)
-class Asking:
+class QueryFront:
     """The front of an ask's call."""
 
     over: asyncio.Future[Answer] = field(default_factory=lambda: asyncio.get_running_loop().create_future())
@@ -56,47 +56,47 @@
     """Of one `OutboxDriver` whose upstream is copies of this program."""
 
     def __init__(self, driver: OutboxDriver, secret: bytes) -> None:
-        assert isinstance(driver.outbox.frontier, RemoteFrontier)
+        assert isinstance(driver.outbox.version_vector, RemoteVersionVector)
         self.driver = driver
         self.outbox = driver.outbox
-        self.remote = driver.outbox.frontier
-        self.seal = Seal(secret)
+        self.remote = driver.outbox.version_vector
+        self.seal = MessageSeal(secret)
         kept = driver.settings.classes
         # One whose attempts may be tried again, if there is any.
         self.cls = min(driver.classes, key=lambda cls: (kept[driver.classes[cls]].how != "keyed", cls))
-        self.holders: dict[Line, tuple[int, ...]] = {self.remote.line: (self.remote.life,)}
-        self.unnamed: dict[Line, bool] = {}  # lines to be claimed, with force or without
+        self.holders: dict[EdgeLog, tuple[int, ...]] = {self.remote.line: (self.remote.life,)}
+        self.unnamed: dict[EdgeLog, bool] = {}  # lines to be claimed, with force or without
         self.naming = False
-        self.parked_at: dict[Dot, int] = {}  # those that are parked, since when
+        self.parked_at: dict[WriteId, int] = {}  # those that are parked, since when
         # "It never ran": of which parking, and from when on it may be told.
-        self.words: dict[Dot, tuple[int, int]] = {}
-        self.timers: dict[Dot, Handle] = {}
+        self.words: dict[WriteId, tuple[int, int]] = {}
+        self.timers: dict[WriteId, Handle] = {}
         self.asking: asyncio.Future[Answer] | None = None
         self.asked = 0
 
     # --- A life's beginning -----------------------------------------------------------
 
-    def restored(self, loaded: Loaded) -> None:
+    def restored(self, loaded: LoadedWrites) -> None:
         """Before anything else is done."""
         for write, moved in loaded.writes:
-            line = write.dot.line
+            line = write.write_id.line
             if line not in self.holders:
                 self.holders[line] = loaded.holders.get(line, (line.incarnation,))
                 self.unnamed[line] = False
             if moved is None:
                 continue
-            if moved.state is State.DONE and moved.status:
-                self.driver.by_gate.add(write.dot)
-            elif moved.state is State.PARKED:
-                self.parked_at[write.dot] = self.driver.clock.now()
-                self._wonder(write.dot)
-
-    def _wonder(self, dot: Dot) -> None:
-        cause = Cause(*dot)
-        if self.outbox.wonders(cause):
-            self.remote.follow((cause,))
-
-    def force(self, line: Line) -> bool:
+            if moved.state is WriteState.DONE and moved.status:
+                self.driver.by_gate.add(write.write_id)
+            elif moved.state is WriteState.PARKED:
+                self.parked_at[write.write_id] = self.driver.clock.now()
+                self._wonder(write.write_id)
+
+    def _wonder(self, write_id: WriteId) -> None:
+        dependency = Dependency(*write_id)
+        if self.outbox.wonders(dependency):
+            self.remote.follow((dependency,))
+
+    def force(self, line: EdgeLog) -> bool:
         if self.remote.holds(line):
             return False
         self.holders.setdefault(line, (line.incarnation,))
@@ -127,78 +127,78 @@
 
     # --- Steps ------------------------------------------------------------------------
 
-    def before(self, change: Change) -> None:
+    def before(self, change: Transition) -> None:
         """A change is durable, and not applied yet."""
-        if change.event is Event.NEVER_RAN and self.outbox.unsafe(change.dot):
-            self.outbox.withhold(change.dot)
-            self._take_back(change.dot, change.moved.judged)
-        elif change.event in (Event.ANSWERED, Event.FOUND_IN):
-            self.driver.by_gate.add(change.dot)
-
-    def applied(self, change: Change) -> None:
-        if change.moved.state is State.PARKED:
-            self.parked_at[change.dot] = self.driver.clock.now()
-            self._wonder(change.dot)
+        if change.event is WriteEvent.NEVER_RAN and self.outbox.unsafe(change.write_id):
+            self.outbox.withhold(change.write_id)
+            self._take_back(change.write_id, change.moved.resolved)
+        elif change.event in (WriteEvent.ANSWERED, WriteEvent.FOUND_IN):
+            self.driver.by_gate.add(change.write_id)
+
+    def applied(self, change: Transition) -> None:
+        if change.moved.state is WriteState.PARKED:
+            self.parked_at[change.write_id] = self.driver.clock.now()
+            self._wonder(change.write_id)
         else:
-            self.parked_at.pop(change.dot, None)
+            self.parked_at.pop(change.write_id, None)
 
-    def _take_back(self, dot: Dot, parking: int) -> None:
+    def _take_back(self, write_id: WriteId, parking: int) -> None:
         """Told once the last try's time is over: one still on its way may run, and no record sees it. And
         once the line is held."""
         now = self.driver.clock.now()
-        due = self.parked_at.get(dot, now) + self.driver.settings.send_us
-        self.words[dot] = parking, due
-        self.timers[dot] = self.driver.clock.at(due, self._tell_words)
+        due = self.parked_at.get(write_id, now) + self.driver.settings.send_us
+        self.words[write_id] = parking, due
+        self.timers[write_id] = self.driver.clock.at(due, self._tell_words)
 
     def _tell_words(self) -> None:
         now = self.driver.clock.now()
-        for dot, (parking, due) in list(self.words.items()):
-            if due <= now and self.remote.holds(dot.line):
-                self._drop_word(dot)
-                self.remote.unbegin(dot, parking)
+        for write_id, (parking, due) in list(self.words.items()):
+            if due <= now and self.remote.holds(write_id.line):
+                self._drop_word(write_id)
+                self.remote.unbegin(write_id, parking)
                 self.driver._wake()
 
-    def _drop_words(self, line: Line) -> None:
+    def _drop_words(self, line: EdgeLog) -> None:
         """Another process may have sent them since."""
-        for dot in [dot for dot in self.words if dot.line == line]:
-            self._drop_word(dot)
+        for write_id in [write_id for write_id in self.words if write_id.line == line]:
+            self._drop_word(write_id)
 
-    def _drop_word(self, dot: Dot) -> None:
-        del self.words[dot]
-        self.timers.pop(dot).cancel()
+    def _drop_word(self, write_id: WriteId) -> None:
+        del self.words[write_id]
+        self.timers.pop(write_id).cancel()
 
-    def name(self, call: Call, write: KeptWrite) -> None:
+    def name(self, call: Call, write: QueuedWrite) -> None:
         """Make it a replay to a copy upstream."""
-        sealed = self.seal.replayed(Replayed(write.dot, self.remote.life, not write.keyed))
+        sealed = self.seal.replayed(ReplayIdentity(write.write_id, self.remote.life, not write.keyed))
         call.head = lines_of((*write.headers, (KEPT_HEADER, sealed.encode())))
         call.fate = b""
 
-    def end_of(self, call: Call, replay: Replay, answer: Answer) -> End:
+    def end_of(self, call: Call, replay: ReplayFront, answer: Answer) -> ReplayResult:
         if answer.ending is Ending.SERVED:
-            return End.ANSWERED
-        line = replay.dot.line
+            return ReplayResult.ANSWERED
+        line = replay.write_id.line
         fenced = call.fate == b"fenced" and self._lost(line)
         if call.fate == b"begun":
-            return End.MAY_HAVE_RUN
+            return ReplayResult.MAY_HAVE_RUN
         if not self._not_run(call, replay, answer):
-            return End.MAY_HAVE_RUN
-        return End.FENCED if fenced else End.NOT_RUN
+            return ReplayResult.MAY_HAVE_RUN
+        return ReplayResult.FENCED if fenced else ReplayResult.NOT_RUN
 
-    def _not_run(self, call: Call, replay: Replay, answer: Answer) -> bool:
+    def _not_run(self, call: Call, replay: ReplayFront, answer: Answer) -> bool:
         """`fate` is of the last attempt. Of an unsafe write there was none before it that may have run."""
         if answer.ending is Ending.REFUSED or replay.never_ran:
             return True
         refused = call.fate in (b"fenced", b"refused")
-        return refused and (call.tried <= 1 or self.outbox.unsafe(replay.dot))
+        return refused and (call.tried <= 1 or self.outbox.unsafe(replay.write_id))
 
-    def _lost(self, line: Line) -> bool:
+    def _lost(self, line: EdgeLog) -> bool:
         """A gate says that another life has it."""
         if not self.remote.lost(line):
             return False
         self._fence(line)
         return True
 
-    def _fence(self, line: Line) -> None:
+    def _fence(self, line: EdgeLog) -> None:
         self._drop_words(line)
         self.outbox.fence(line)
         if line in self.holders:
@@ -223,7 +223,7 @@
             driver._spawn(self._name())
         self._begin(self.remote.next(driver._now(), self.outbox.wonders))
 
-    def _begin(self, ask: Ask | None) -> None:
+    def _begin(self, ask: ReplayQuery | None) -> None:
         if ask is not None:
             self.driver._spawn(self._ask(ask))
 
@@ -233,7 +233,7 @@
         if self.asking is not None:
             self.asking.cancel()
 
-    async def _ask(self, ask: Ask) -> None:
+    async def _ask(self, ask: ReplayQuery) -> None:
         driver, sealed = self.driver, self.seal.ask(ask)
         answer = await self._answer(sealed)
         if driver.closing:
@@ -253,7 +253,7 @@
     async def _answer(self, sealed: str) -> Answer:
         engine = self.driver.engine
         assert engine is not None
-        asking = Asking()
+        asking = QueryFront()
         self.asked += 1
         name = b"outbox ask %x/%d" % (self.remote.life, self.asked)
         wait = min(ASK_US, engine.settings.classes[self.cls].deadline_us)
@@ -274,7 +274,7 @@
         finally:
             self.asking = None
 
-    def _act(self, news: News) -> None:
+    def _act(self, news: QueryOutcome) -> None:
         driver = self.driver
         for line in news.fenced:
             self._fence(line)
@@ -285,17 +285,17 @@
             driver._spawn(self._held(line))
         if news.held:
             self._tell_words()
-        for dot in news.unbegun:
-            self.outbox.release(dot)
-        for dot in news.own_in:
-            change = self.outbox.found_in(dot, driver.wall())
+        for write_id in news.unbegun:
+            self.outbox.release(write_id)
+        for write_id in news.own_in:
+            change = self.outbox.found_in(write_id, driver.wall())
             if change is not None:
                 driver._spawn(driver._step(change))
         if news.changed:
             self.outbox.heard(driver._now())
         driver._wake()
 
-    async def _held(self, line: Line) -> None:
+    async def _held(self, line: EdgeLog) -> None:
         try:
             await self.driver.store.put_holders(line, self.holders[line])
         except StoreError as error:
--- a/laurelstep/outbox/shared/carried.py
+++ b/laurelstep/outbox/shared/carried_ledger.py
@@ -10,22 +10,22 @@
 from laurelstep.accord.parts import Part
 from laurelstep.accord.ports import Machine
 from laurelstep.engine.ports import Clock
+from laurelstep.outbox.shared.agreement import AgreementDriver
 from laurelstep.outbox.shared.entries import KIND
-from laurelstep.outbox.shared.record import Record
-from laurelstep.outbox.shared.sharer import Sharer
+from laurelstep.outbox.shared.ledger import ReplicatedLedger
 
-__all__ = ["Carried"]
+__all__ = ["CarriedLedger"]
 
 
-class Carried:
+class CarriedLedger:
     def __init__(self) -> None:
-        self.record: Final = Record()
+        self.record: Final = ReplicatedLedger()
         self.machines: Final[dict[int, Machine]] = {KIND[0]: self.record}
-        self.sharer: Sharer | None = None
+        self.sharer: AgreementDriver | None = None
 
-    def join(self, part: Part, clock: Clock) -> Sharer:
+    def join(self, part: Part, clock: Clock) -> AgreementDriver:
         """`part`: that of `KIND`."""
-        self.sharer = Sharer(part, self.record, clock)
+        self.sharer = AgreementDriver(part, self.record, clock)
         return self.sharer
 
     def close(self) -> None:
--- a/laurelstep/outbox/shared/edge.py
+++ b/laurelstep/outbox/shared/edge.py
@@ -2,7 +2,7 @@
 
 1. Asked for are the fates of the foreign writes that the outbox waits for and of its own that may have run,
    and claims of the lines of former lives. Told is what becomes of own writes that no gate saw: parked,
-   parked no more, given up, in by a verdict; and up to which number all of a line are over.
+   parked no more, given up, in by a resolution; and up to which number all of a line are over.
 2. One ask is out at a time. What is new goes at once; the rest in turns, `ROUND_MOST` asks of them, then a
    pause of 1 s, doubled up to 8 s while nothing changes, drawn between half and all of it. When the link
    is back, and when something has changed, the pause is the shortest again. While the edge is cut off nothing
@@ -27,11 +27,18 @@
 from random import Random
 from typing import Final, Generic, TypeVar
 
-from laurelstep.outbox.causes import Cause, Fate
-from laurelstep.outbox.dots import Dot, Line
-from laurelstep.outbox.shared.terms import ASKED_MOST, Answered, Ask, Claim, Claimed, Told
+from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.shared.messages import (
+    QUERIED_MOST,
+    LeaseRequest,
+    LeaseStatus,
+    QueryReply,
+    ReplayQuery,
+    StatusUpdate,
+)
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
-__all__ = ["News", "RemoteFrontier", "bounded"]
+__all__ = ["QueryOutcome", "RemoteVersionVector", "bounded"]
 
 LEAST_US: Final = 1_000_000
 MOST_US: Final = 8_000_000
@@ -45,16 +52,16 @@
 # last that asked.
 KNOWN_MOST: Final = 16
 
-FINAL_FATES: Final = (Fate.IN, Fate.GONE)
+FINAL_FATES: Final = (WriteStatus.IN, WriteStatus.GONE)
 
-_K = TypeVar("_K", Cause, Line)
+_K = TypeVar("_K", Dependency, EdgeLog)
 
 
 def bounded(lives: Sequence[int]) -> Sequence[int]:
     return lives if len(lives) <= KNOWN_MOST else (*lives[:2], *lives[2 - KNOWN_MOST :])
 
 
-class Round(Generic[_K]):
+class QueryRound(Generic[_K]):
     """What is to be asked, each in its turn, what is new before all others."""
 
     def __init__(self) -> None:
@@ -76,10 +83,10 @@
         self._old.pop(one, None)
 
     def take(self, wanted: Callable[[_K], bool]) -> list[_K]:
-        """At most `ASKED_MOST`, each once; they stay, behind all others. What is not wanted goes."""
+        """At most `QUERIED_MOST`, each once; they stay, behind all others. What is not wanted goes."""
         found: list[_K] = []
-        looked = min(len(self), 4 * ASKED_MOST)
-        while len(found) < ASKED_MOST and looked:
+        looked = min(len(self), 4 * QUERIED_MOST)
+        while len(found) < QUERIED_MOST and looked:
             looked -= 1
             one, _ = (self.new or self._old).popitem(last=False)
             if wanted(one):
@@ -90,37 +97,37 @@
 
 
 @dataclass
-class News:
+class QueryOutcome:
     """What an answer changed. `own_in`: own ones of which the record says that they are in."""
 
     changed: bool = False  # something that `Outbox.heard` is to hear of
-    held: list[Line] = field(default_factory=list)
-    fenced: list[Line] = field(default_factory=list)
-    own_in: list[Dot] = field(default_factory=list)
-    unbegun: list[Dot] = field(default_factory=list)
+    held: list[EdgeLog] = field(default_factory=list)
+    fenced: list[EdgeLog] = field(default_factory=list)
+    own_in: list[WriteId] = field(default_factory=list)
+    unbegun: list[WriteId] = field(default_factory=list)
 
 
-class RemoteFrontier:
-    """A `Frontier` behind which upstream's record stands. `line`: of this life, which needs no claim."""
+class RemoteVersionVector:
+    """A `VersionVector` behind which upstream's record stands. `line`: of this life, which needs no claim."""
 
-    def __init__(self, line: Line, random: Random) -> None:
+    def __init__(self, line: EdgeLog, random: Random) -> None:
         self.line = line
         self.life = line.incarnation
         self._random = random
-        self._fates: OrderedDict[Cause, Fate] = OrderedDict()
+        self._fates: OrderedDict[Dependency, WriteStatus] = OrderedDict()
         self._held = {line}
-        self._fenced: set[Line] = set()
-        self._open_claims: dict[Line, Claim] = {}
-        self._claimed: dict[Line, Claim] = {}  # of those that are held: asked again by rule 5
-        self._said: dict[Cause, Told] = {}
-        self._low: dict[Line, int] = {}
-        self._told_low: dict[Line, int] = {}
-        self._ungiven: dict[Line, set[int]] = {}  # by line: given up, and not told yet
-        self._untold: set[Cause] = set()
-        self._asked: Round[Cause] = Round()
-        self._claims: Round[Line] = Round()
-        self._tells: Round[Cause] = Round()
-        self._out: Ask | None = None
+        self._fenced: set[EdgeLog] = set()
+        self._open_claims: dict[EdgeLog, LeaseRequest] = {}
+        self._claimed: dict[EdgeLog, LeaseRequest] = {}  # of those that are held: asked again by rule 5
+        self._said: dict[Dependency, StatusUpdate] = {}
+        self._low: dict[EdgeLog, int] = {}
+        self._told_low: dict[EdgeLog, int] = {}
+        self._ungiven: dict[EdgeLog, set[int]] = {}  # by line: given up, and not told yet
+        self._untold: set[Dependency] = set()
+        self._asked: QueryRound[Dependency] = QueryRound()
+        self._claims: QueryRound[EdgeLog] = QueryRound()
+        self._tells: QueryRound[Dependency] = QueryRound()
+        self._out: ReplayQuery | None = None
         self._left = 0  # asks of this round that are still to come
         self._pause = LEAST_US
         self._next_at = 0
@@ -128,24 +135,24 @@
 
     # --- What is known ----------------------------------------------------------------
 
-    def fate(self, cause: Cause) -> Fate:
-        return self._fates.get(cause, Fate.UNKNOWN)
+    def write_status(self, dependency: Dependency) -> WriteStatus:
+        return self._fates.get(dependency, WriteStatus.UNKNOWN)
 
-    def holds(self, line: Line) -> bool:
+    def holds(self, line: EdgeLog) -> bool:
         return line in self._held
 
-    def fenced(self, line: Line) -> bool:
+    def fenced(self, line: EdgeLog) -> bool:
         return line in self._fenced
 
     # --- What is to be asked ----------------------------------------------------------
 
-    def follow(self, causes: Iterable[Cause]) -> None:
+    def follow(self, dependencies: Iterable[Dependency]) -> None:
         """Their fates are of use from now on."""
-        for cause in causes:
-            if self.fate(cause) not in FINAL_FATES:
-                self._asked.add(cause)
+        for dependency in dependencies:
+            if self.write_status(dependency) not in FINAL_FATES:
+                self._asked.add(dependency)
 
-    def claim(self, line: Line, known: Iterable[int], force: bool = False) -> None:
+    def claim(self, line: EdgeLog, known: Iterable[int], force: bool = False) -> None:
         """Ask for it. `known`: as they came; that this life is among them is durable."""
         others = [life for life in dict.fromkeys(known) if life != self.life]
         others = list(bounded(others))
@@ -153,10 +160,10 @@
             self._fenced.discard(line)
             self._drop_unbegun(line)
         if line not in self._fenced:
-            self._open_claims[line] = Claim(line, self.life, tuple(others), force)
+            self._open_claims[line] = LeaseRequest(line, self.life, tuple(others), force)
             self._claims.add(line)
 
-    def lost(self, line: Line) -> bool:
+    def lost(self, line: EdgeLog) -> bool:
         """A gate refused a write of it as another life's. True if that is so; otherwise the record may have
         been lost, and it is claimed again first."""
         claim = self._claimed.get(line)
@@ -170,7 +177,7 @@
         self._claims.add(line)
         return False
 
-    def _fence(self, line: Line) -> None:
+    def _fence(self, line: EdgeLog) -> None:
         self._fenced.add(line)
         self._held.discard(line)
         self._claimed.pop(line, None)
@@ -178,97 +185,105 @@
         self._claims.drop(line)
         self._drop_unbegun(line)
 
-    def _drop_unbegun(self, line: Line) -> None:
+    def _drop_unbegun(self, line: EdgeLog) -> None:
         """The word was on what this process sent. Another may have sent it since."""
-        for cause in [cause for cause, told in self._said.items() if told.unbegin and cause.line == line]:
-            self._unsay(cause)
+        for dependency in [
+            dependency for dependency, told in self._said.items() if told.unbegin and dependency.line == line
+        ]:
+            self._unsay(dependency)
 
     # --- What is to be told -----------------------------------------------------------
 
-    def tell(self, dot: Dot, fate: Fate) -> bool:
+    def tell(self, write_id: WriteId, write_status: WriteStatus) -> bool:
         """What became of an own write: UNKNOWN if it is parked no more. False if there is no room."""
-        cause = Cause(*dot)
-        if fate is Fate.IN and dot.number <= self._told_low.get(dot.line, 0):
-            self._unsay(cause)
+        dependency = Dependency(*write_id)
+        if write_status is WriteStatus.IN and write_id.number <= self._told_low.get(write_id.line, 0):
+            self._unsay(dependency)
             return True
-        before = self._said.get(cause)
-        if fate is Fate.UNKNOWN and (before is None or before.unbegin):
+        before = self._said.get(dependency)
+        if write_status is WriteStatus.UNKNOWN and (before is None or before.unbegin):
             return True
-        if not self._room(cause, fate):
+        if not self._room(dependency, write_status):
             return False
-        if fate is Fate.GONE:
-            self._ungiven.setdefault(dot.line, set()).add(dot.number)
-        self._say(cause, Told(dot, fate, self.life))
+        if write_status is WriteStatus.GONE:
+            self._ungiven.setdefault(write_id.line, set()).add(write_id.number)
+        self._say(dependency, StatusUpdate(write_id, write_status, self.life))
         return True
 
-    def unbegin(self, dot: Dot, parking: int) -> None:
-        """An operator says of a parking that it never ran. `News.unbegun` has it once the record says so."""
-        self._say(Cause(*dot), Told(dot, Fate.UNKNOWN, self.life, unbegin=True, parking=parking))
+    def unbegin(self, write_id: WriteId, parking: int) -> None:
+        """An operator says of a parking that it never ran. `QueryOutcome.unbegun` has it once the record
+        says so."""
+        self._say(
+            Dependency(*write_id),
+            StatusUpdate(write_id, WriteStatus.UNKNOWN, self.life, unbegin=True, parking=parking),
+        )
 
-    def low(self, line: Line, number: int) -> bool:
+    def low(self, line: EdgeLog, number: int) -> bool:
         """All of an own line up to a number are over."""
         if number <= self._low.get(line, 0):
             return True
         self._low[line] = number
-        cause = Cause(*line, 0, True)
-        told = Told(Dot(*line, number), Fate.IN, self.life, before=True)
+        dependency = Dependency(*line, 0, True)
+        told = StatusUpdate(WriteId(*line, number), WriteStatus.IN, self.life, before=True)
         if self._has_told_gone(line):
-            self._said[cause] = told  # rule 5
+            self._said[dependency] = told  # rule 5
         else:
-            self._say(cause, told, urgent=False)
+            self._say(dependency, told, urgent=False)
         return True
 
-    def telling(self, dot: Dot) -> bool:
-        return Cause(*dot) in self._untold
+    def telling(self, write_id: WriteId) -> bool:
+        return Dependency(*write_id) in self._untold
 
-    def _has_told_gone(self, line: Line) -> bool:
+    def _has_told_gone(self, line: EdgeLog) -> bool:
         return any(
-            told.fate is Fate.GONE and told.dot.line == line and cause not in self._untold
-            for cause, told in self._said.items()
+            told.write_status is WriteStatus.GONE
+            and told.write_id.line == line
+            and dependency not in self._untold
+            for dependency, told in self._said.items()
         )
 
-    def _room(self, cause: Cause, fate: Fate) -> bool:
+    def _room(self, dependency: Dependency, write_status: WriteStatus) -> bool:
         """Final ones make room for themselves among those parked, those given up that the record knows, and
         those of a fenced line, of which it would believe nothing."""
-        if cause in self._said or len(self._said) < SAID_MOST:
+        if dependency in self._said or len(self._said) < SAID_MOST:
             return True
-        if fate not in FINAL_FATES:
+        if write_status not in FINAL_FATES:
             return False
         for one, told in self._said.items():
-            known = one not in self._untold and told.fate is Fate.GONE
-            if known or told.fate is Fate.PARKED or one.line in self._fenced:
+            known = one not in self._untold and told.write_status is WriteStatus.GONE
+            if known or told.write_status is WriteStatus.PARKED or one.line in self._fenced:
                 self._unsay(one)
                 return True
         return False
 
-    def _say(self, cause: Cause, told: Told, urgent: bool = True) -> None:
-        self._said[cause] = told
-        self._untold.add(cause)
-        if cause.line in self._held:
-            self._tells.add(cause, urgent)
+    def _say(self, dependency: Dependency, told: StatusUpdate, urgent: bool = True) -> None:
+        self._said[dependency] = told
+        self._untold.add(dependency)
+        if dependency.line in self._held:
+            self._tells.add(dependency, urgent)
 
-    def _unsay(self, cause: Cause) -> None:
-        self._said.pop(cause, None)
-        self._untold.discard(cause)
-        self._tells.drop(cause)
-        self._given(cause)
+    def _unsay(self, dependency: Dependency) -> None:
+        self._said.pop(dependency, None)
+        self._untold.discard(dependency)
+        self._tells.drop(dependency)
+        self._given(dependency)
 
-    def _given(self, cause: Cause) -> None:
+    def _given(self, dependency: Dependency) -> None:
         """It was told, or is not to be told any more: the line's number may go."""
-        numbers = self._ungiven.get(cause.line)
+        numbers = self._ungiven.get(dependency.line)
         if numbers is None:
             return
-        numbers.discard(cause.number)
+        numbers.discard(dependency.number)
         if not numbers:
-            del self._ungiven[cause.line]
-            low = Cause(*cause.line, 0, True)
-            if low in self._untold and cause.line in self._held:
+            del self._ungiven[dependency.line]
+            low = Dependency(*dependency.line, 0, True)
+            if low in self._untold and dependency.line in self._held:
                 self._tells.add(low, urgent=False)
 
-    def _tellable(self, cause: Cause) -> bool:
-        if cause not in self._untold or cause.line not in self._held:
+    def _tellable(self, dependency: Dependency) -> bool:
+        if dependency not in self._untold or dependency.line not in self._held:
             return False
-        return not cause.before or cause.line not in self._ungiven
+        return not dependency.before or dependency.line not in self._ungiven
 
     # --- Asking -----------------------------------------------------------------------
 
@@ -283,7 +298,7 @@
             return 0
         return max(0, self._next_at - now)
 
-    def next(self, now: int, wonders: Callable[[Cause], bool]) -> Ask | None:
+    def next(self, now: int, wonders: Callable[[Dependency], bool]) -> ReplayQuery | None:
         """What is to be asked now; `answered` or `failed` is called for it. `wonders`: whether a fate is
         still of use."""
         if self._again_at is None:
@@ -297,24 +312,24 @@
             self._left = 1  # for what is new
         elif not self._left:
             most = max(len(self._asked), len(self._claims), len(self._tells))
-            self._left = min(ROUND_MOST, -(-most // ASKED_MOST))
-        ask = Ask(
+            self._left = min(ROUND_MOST, -(-most // QUERIED_MOST))
+        ask = ReplayQuery(
             tuple(self._asked.take(wonders)),
             tuple(self._claim_of(line) for line in self._claims.take(self._is_claim)),
-            tuple(self._said[cause] for cause in self._tells.take(self._tellable)),
+            tuple(self._said[dependency] for dependency in self._tells.take(self._tellable)),
         )
         self._left = max(0, self._left - 1)
-        if not (ask.fates or ask.claims or ask.told):
+        if not (ask.write_statuses or ask.claims or ask.told):
             return None
         self._out = ask
         return ask
 
-    def probe(self, now: int) -> Ask | None:
+    def probe(self, now: int) -> ReplayQuery | None:
         """While cut off: an ask without a question, at the pace of the others."""
         if self._out is not None or now < self._next_at:
             return None
         self._left = 0
-        self._out = Ask()
+        self._out = ReplayQuery()
         return self._out
 
     @property
@@ -322,20 +337,20 @@
         """There is something to ask or tell."""
         return bool(len(self._asked) or len(self._claims) or len(self._tells))
 
-    def _is_claim(self, line: Line) -> bool:
+    def _is_claim(self, line: EdgeLog) -> bool:
         return line in self._open_claims or line in self._claimed
 
-    def _claim_of(self, line: Line) -> Claim:
+    def _claim_of(self, line: EdgeLog) -> LeaseRequest:
         return self._open_claims.get(line) or self._claimed[line]
 
     def _tell_again(self) -> None:
         """Rule 5."""
-        for cause, told in self._said.items():
-            self._untold.add(cause)
-            if told.fate is Fate.GONE:
-                self._ungiven.setdefault(cause.line, set()).add(cause.number)
-            if cause.line in self._held:
-                self._tells.add(cause, urgent=False)
+        for dependency, told in self._said.items():
+            self._untold.add(dependency)
+            if told.write_status is WriteStatus.GONE:
+                self._ungiven.setdefault(dependency.line, set()).add(dependency.number)
+            if dependency.line in self._held:
+                self._tells.add(dependency, urgent=False)
         for line in self._claimed:
             self._claims.add(line, urgent=False)
 
@@ -348,15 +363,15 @@
         self._next_at = now + self._pause // 2 + self._random.randrange(self._pause // 2)
         self._pause = min(MOST_US, 2 * self._pause)
 
-    def answered(self, answer: Answered, now: int) -> News:
+    def answered(self, answer: QueryReply, now: int) -> QueryOutcome:
         """To the ask that is out. What an answer is too short for is asked again."""
         ask, self._out = self._out, None
-        news = News()
+        news = QueryOutcome()
         if ask is None:
             return news
-        moved = ask == Ask()  # a probe: the link may be back
-        for cause, fate in zip(ask.fates, answer.fates, strict=False):
-            moved |= self._learn(cause, fate, news)
+        moved = ask == ReplayQuery()  # a probe: the link may be back
+        for dependency, write_status in zip(ask.write_statuses, answer.write_statuses, strict=False):
+            moved |= self._learn(dependency, write_status, news)
         for claim, became in zip(ask.claims, answer.claims, strict=False):
             moved |= self._settle(claim, became, news)
         for told, known in zip(ask.told, answer.told, strict=False):
@@ -369,78 +384,78 @@
             self._rest(now)
         return news
 
-    def _learn(self, cause: Cause, fate: Fate, news: News) -> bool:
-        before = self.fate(cause)
-        if self._own(cause.line):
-            if fate is Fate.IN and not cause.before:
-                news.own_in.append(cause.dot)
-            return fate is Fate.IN
-        if before in FINAL_FATES or fate is before:
+    def _learn(self, dependency: Dependency, write_status: WriteStatus, news: QueryOutcome) -> bool:
+        before = self.write_status(dependency)
+        if self._own(dependency.line):
+            if write_status is WriteStatus.IN and not dependency.before:
+                news.own_in.append(dependency.write_id)
+            return write_status is WriteStatus.IN
+        if before in FINAL_FATES or write_status is before:
             if before in FINAL_FATES:
-                self._asked.drop(cause)
+                self._asked.drop(dependency)
             return False
-        self._fates[cause] = fate
-        self._fates.move_to_end(cause)
-        if fate in FINAL_FATES:
-            self._asked.drop(cause)
+        self._fates[dependency] = write_status
+        self._fates.move_to_end(dependency)
+        if write_status in FINAL_FATES:
+            self._asked.drop(dependency)
         if len(self._fates) > FATES_MOST:
             self._fates.popitem(last=False)
         news.changed = True
         return True
 
-    def _own(self, line: Line) -> bool:
+    def _own(self, line: EdgeLog) -> bool:
         return line.edge == self.line.edge and (
             line in self._held or line in self._fenced or line in self._open_claims
         )
 
-    def _settle(self, claim: Claim, became: Claimed, news: News) -> bool:
+    def _settle(self, claim: LeaseRequest, became: LeaseStatus, news: QueryOutcome) -> bool:
         line = claim.line
         if not self._is_claim(line) or self._claim_of(line) is not claim:
             return False  # something else is asked for it by now
-        if became is Claimed.FENCED:
+        if became is LeaseStatus.FENCED:
             self._fence(line)
             news.fenced.append(line)
             return True
-        if became is not Claimed.HELD:
+        if became is not LeaseStatus.HELD:
             return False
         self._claims.drop(line)
         if line in self._claimed:
             return False
         self._open_claims.pop(line)
         # Asked again without force: an operator's word counts once.
-        self._claimed[line] = Claim(line, claim.life, claim.known)
+        self._claimed[line] = LeaseRequest(line, claim.life, claim.known)
         self._held.add(line)
-        for cause in self._said:
-            if cause.line == line and cause in self._untold:
-                self._tells.add(cause)
+        for dependency in self._said:
+            if dependency.line == line and dependency in self._untold:
+                self._tells.add(dependency)
         news.held.append(line)
         news.changed = True
         return True
 
-    def _has_been_told(self, told: Told, news: News) -> None:
-        cause = Cause(*told.dot.line, 0, True) if told.before else Cause(*told.dot)
-        if self._said.get(cause) is not told:
+    def _has_been_told(self, told: StatusUpdate, news: QueryOutcome) -> None:
+        dependency = Dependency(*told.write_id.line, 0, True) if told.before else Dependency(*told.write_id)
+        if self._said.get(dependency) is not told:
             return  # something else is to be told of it by now
         if told.unbegin:
-            news.unbegun.append(told.dot)
+            news.unbegun.append(told.write_id)
             news.changed = True
         if told.before:
-            self._told_low[cause.line] = told.dot.number
-            self._drop_below(told.dot)
-        if told.fate is Fate.UNKNOWN:
-            self._unsay(cause)
+            self._told_low[dependency.line] = told.write_id.number
+            self._drop_below(told.write_id)
+        if told.write_status is WriteStatus.UNKNOWN:
+            self._unsay(dependency)
             return
-        self._untold.discard(cause)
-        self._tells.drop(cause)
-        self._given(cause)
+        self._untold.discard(dependency)
+        self._tells.drop(dependency)
+        self._given(dependency)
 
-    def _drop_below(self, dot: Dot) -> None:
+    def _drop_below(self, write_id: WriteId) -> None:
         """In, and told by a number now."""
         below = [
-            cause
-            for cause, told in self._said.items()
-            if cause.line == dot.line and not cause.before
-            and cause.number <= dot.number and told.fate is Fate.IN
+            dependency
+            for dependency, told in self._said.items()
+            if dependency.line == write_id.line and not dependency.before
+            and dependency.number <= write_id.number and told.write_status is WriteStatus.IN
         ]  # fmt: skip
-        for cause in below:
-            self._unsay(cause)
+        for dependency in below:
+            self._unsay(dependency)
--- a/laurelstep/outbox/shared/entries.py
+++ b/laurelstep/outbox/shared/entries.py
@@ -3,7 +3,7 @@
 1. All begin with the byte `KIND`, as one record and one link carry other things too (of an entry it is taken
    off before the record has it: `laurelstep.accord.machines`); then a tagged array in msgpack.
 2. An entry is also told as a word, to whoever leads. One that comes twice, late or before another says the
-   same: what depends on what was before names it (`Begin.ask`, `Hold.turn`, `Said.ask`).
+   same: what depends on what was before names it (`Intent.ask`, `LogLease.turn`, `StatusRecord.ask`).
 3. Fields are only ever added at the end. What can't be, or is of a later version, is no entry.
 """
 
@@ -16,12 +16,23 @@
 
 from laurelstep.accord.errors import EntryError
 from laurelstep.accord.terms import ENTRY_MOST, WORD_MOST
-from laurelstep.outbox.causes import Fate
-from laurelstep.outbox.dots import Dot, Line, check_edge
+from laurelstep.outbox.dependencies import WriteStatus
+from laurelstep.outbox.write_ids import EdgeLog, WriteId, check_edge
 
 __all__ = [
-    "ID_END", "KIND", "NUMBER_END", "Begin", "Entry", "Hold", "In", "Lost", "Said", "Unbegin", "pack",
-    "unpack", "unpack_word",
+    "ID_END",
+    "KIND",
+    "NUMBER_END",
+    "EdgeLost",
+    "Intent",
+    "IntentWithdrawal",
+    "LedgerEntry",
+    "LogLease",
+    "StatusRecord",
+    "WriteApplied",
+    "pack",
+    "unpack",
+    "unpack_word",
 ]  # fmt: skip
 
 KIND: Final = b"o"
@@ -35,63 +46,63 @@
     pass
 
 
-class Begin(_Entry, frozen=True, tag=1):
+class Intent(_Entry, frozen=True, tag=1):
     """BEGIN: an unsafe write of this life is about to be sent, by one ask of a gate: 64 random bits."""
 
-    dot: Dot
+    write_id: WriteId
     life: int
     ask: int
 
 
-class Unbegin(_Entry, frozen=True, tag=2):
+class IntentWithdrawal(_Entry, frozen=True, tag=2):
     """UNBEGIN, by the very ask: it has sent nothing, and never will."""
 
-    dot: Dot
+    write_id: WriteId
     ask: int
 
 
-class In(_Entry, frozen=True, tag=3):
+class WriteApplied(_Entry, frozen=True, tag=3):
     """IN: a final answer says that the write ran."""
 
-    dot: Dot
+    write_id: WriteId
 
 
-class Hold(_Entry, frozen=True, tag=4):
+class LogLease(_Entry, frozen=True, tag=4):
     """CLAIM: `life` holds the line instead of `of`, if `turn` is how often its holder changed before.
     `force`: an operator's word; `of` is not looked at."""
 
-    line: Line
+    line: EdgeLog
     life: int
     of: int
     turn: int
     force: bool = False
 
 
-class Said(_Entry, frozen=True, tag=5):
+class StatusRecord(_Entry, frozen=True, tag=5):
     """FATE, or with `before` LOW: what the holder says of one write or of all up to it. `ask`: an operator
     said that this ask never ran it, though it had begun; of which `parking`, if that is told."""
 
-    dot: Dot
-    fate: Fate
+    write_id: WriteId
+    write_status: WriteStatus
     life: int
     before: bool = False
     ask: int = 0
     parking: int = 0
 
 
-class Lost(_Entry, frozen=True, tag=6):
+class EdgeLost(_Entry, frozen=True, tag=6):
     """LOST: an operator declares an edge lost with all its lines; with an incarnation, that line alone."""
 
     edge: str
     incarnation: int = 0
 
 
-Entry = Begin | Unbegin | In | Hold | Said | Lost
+LedgerEntry = Intent | IntentWithdrawal | WriteApplied | LogLease | StatusRecord | EdgeLost
 _encode: Final = msgspec.msgpack.Encoder().encode
-_decoder: Final[msgspec.msgpack.Decoder[Entry]] = msgspec.msgpack.Decoder(Entry)
+_decoder: Final[msgspec.msgpack.Decoder[LedgerEntry]] = msgspec.msgpack.Decoder(LedgerEntry)
 
 
-def pack(entry: Entry) -> bytes:
+def pack(entry: LedgerEntry) -> bytes:
     """`EntryError` for what no copy would take."""
     try:
         _CHECKS[type(entry)](entry)
@@ -103,7 +114,7 @@
     return data
 
 
-def unpack(data: bytes) -> Entry | None:
+def unpack(data: bytes) -> LedgerEntry | None:
     """Without its first byte. None for what is no entry of kept writes."""
     if len(data) >= _MOST:
         return None
@@ -115,7 +126,7 @@
     return entry
 
 
-def unpack_word(data: bytes) -> Entry | None:
+def unpack_word(data: bytes) -> LedgerEntry | None:
     return unpack(data[1:]) if data[:1] == KIND else None
 
 
@@ -124,9 +135,9 @@
     _check_id(incarnation)
 
 
-def _check_dot(dot: Dot) -> None:
-    _check_line(dot.edge, dot.incarnation)
-    if not 0 < dot.number < NUMBER_END:
+def _check_dot(write_id: WriteId) -> None:
+    _check_line(write_id.edge, write_id.incarnation)
+    if not 0 < write_id.number < NUMBER_END:
         raise ValueError("a number that can't be")
 
 
@@ -135,46 +146,46 @@
         raise ValueError("a life, incarnation or ask that can't be")
 
 
-def _check_begin(entry: Begin) -> None:
-    _check_dot(entry.dot)
+def _check_begin(entry: Intent) -> None:
+    _check_dot(entry.write_id)
     _check_id(entry.life)
     _check_id(entry.ask)
 
 
-def _check_unbegin(entry: Unbegin) -> None:
-    _check_dot(entry.dot)
+def _check_unbegin(entry: IntentWithdrawal) -> None:
+    _check_dot(entry.write_id)
     _check_id(entry.ask)
 
 
-def _check_in(entry: In) -> None:
-    _check_dot(entry.dot)
+def _check_in(entry: WriteApplied) -> None:
+    _check_dot(entry.write_id)
 
 
-def _check_hold(entry: Hold) -> None:
+def _check_hold(entry: LogLease) -> None:
     _check_line(*entry.line)
     _check_id(entry.life)
     if not (0 <= entry.of < ID_END and 0 <= entry.turn < NUMBER_END):
         raise ValueError("a holder or turn that can't be")
 
 
-def _check_said(entry: Said) -> None:
-    _check_dot(entry.dot)
+def _check_said(entry: StatusRecord) -> None:
+    _check_dot(entry.write_id)
     _check_id(entry.life)
     if not (0 <= entry.ask < ID_END and 0 <= entry.parking < NUMBER_END):
         raise ValueError("an ask or parking that can't be")
 
 
-def _check_lost(entry: Lost) -> None:
+def _check_lost(entry: EdgeLost) -> None:
     check_edge(entry.edge)
     if not 0 <= entry.incarnation < ID_END:
         raise ValueError("an incarnation that can't be")
 
 
 _CHECKS: Final[dict[type, Callable[..., None]]] = {
-    Begin: _check_begin,
-    Unbegin: _check_unbegin,
-    In: _check_in,
-    Hold: _check_hold,
-    Said: _check_said,
-    Lost: _check_lost,
+    Intent: _check_begin,
+    IntentWithdrawal: _check_unbegin,
+    WriteApplied: _check_in,
+    LogLease: _check_hold,
+    StatusRecord: _check_said,
+    EdgeLost: _check_lost,
 }
--- a/laurelstep/outbox/shared/record.py
+++ b/laurelstep/outbox/shared/ledger.py
@@ -1,4 +1,4 @@
-"""What copies agreed on of kept writes. Pure: a `Machine` of accord, and the `Frontiers` that are read.
+"""What copies agreed on of kept writes. Pure: a `Machine` of accord, and the `VersionVectors` that are read.
 
 1. Of each line: its holder (at first the life of its own incarnation), up to which number all are over,
    the numbers above it that are in, the gone and the parked ones as ranges, and the unsafe ones that were
@@ -30,26 +30,26 @@
 import msgspec
 
 from laurelstep.accord.errors import KeptError
-from laurelstep.outbox.causes import Cause, Fate
-from laurelstep.outbox.dots import Dot, Line, check_edge
+from laurelstep.outbox.dependencies import Dependency, WriteStatus
 from laurelstep.outbox.shared.entries import (
     ID_END,
     NUMBER_END,
-    Begin,
-    Entry,
-    Hold,
-    In,
-    Lost,
-    Said,
-    Unbegin,
+    EdgeLost,
+    Intent,
+    IntentWithdrawal,
+    LedgerEntry,
+    LogLease,
+    StatusRecord,
+    WriteApplied,
     unpack,
 )
-from laurelstep.outbox.shared.spans import NONE, Spans, add, cut, has, missing, well_formed
-from laurelstep.outbox.shared.terms import Begun, Claim, Claimed, Told
+from laurelstep.outbox.shared.messages import IntentStatus, LeaseRequest, LeaseStatus, StatusUpdate
+from laurelstep.outbox.shared.ranges import NONE, Ranges, add, cut, has, missing, well_formed
+from laurelstep.outbox.write_ids import EdgeLog, WriteId, check_edge
 
 __all__ = [
     "BEGUN_MOST", "LINES_MOST", "LOST_MOST", "PARKED_MOST", "RANGES_MOST", "SPANS_MOST", "UNDONE_MOST",
-    "Record",
+    "ReplicatedLedger",
 ]  # fmt: skip
 
 # A life that kept something leaves one line for ever.
@@ -66,15 +66,15 @@
 UNDONE_MOST: Final = 512
 
 
-class _Row(msgspec.Struct, frozen=True, array_like=True):
+class _LogState(msgspec.Struct, frozen=True, array_like=True):
     """Of one line."""
 
     holder: int  # 0: lost
     turn: int = 0
     low: int = 0
-    ins: Spans = NONE  # above low
-    gone: Spans = NONE  # anywhere
-    parked: Spans = NONE  # above low
+    ins: Ranges = NONE  # above low
+    gone: Ranges = NONE  # anywhere
+    parked: Ranges = NONE  # above low
     # Number, ask, and the last parking that was judged never to have run; sorted. Ask 0: it is not begun.
     begun: tuple[tuple[int, int, int], ...] = ()
 
@@ -82,27 +82,27 @@
     def spans(self) -> int:
         return len(self.ins) + len(self.gone) + len(self.parked)
 
-    def fate(self, number: int) -> Fate:
+    def write_status(self, number: int) -> WriteStatus:
         if has(self.gone, number):
-            return Fate.GONE
+            return WriteStatus.GONE
         if number <= self.low or has(self.ins, number):
-            return Fate.IN
+            return WriteStatus.IN
         if self.holder == 0:
-            return Fate.GONE
-        return Fate.PARKED if has(self.parked, number) else Fate.UNKNOWN
+            return WriteStatus.GONE
+        return WriteStatus.PARKED if has(self.parked, number) else WriteStatus.UNKNOWN
 
-    def fate_up_to(self, number: int) -> Fate:
+    def fate_up_to(self, number: int) -> WriteStatus:
         if number <= self.low:
-            return Fate.IN
+            return WriteStatus.IN
         if self.holder == 0:
-            return Fate.GONE
-        return Fate.PARKED if self.parked and self.parked[0][0] <= number else Fate.UNKNOWN
+            return WriteStatus.GONE
+        return WriteStatus.PARKED if self.parked and self.parked[0][0] <= number else WriteStatus.UNKNOWN
 
     def begun_by(self, number: int) -> int:
         """The ask; 0 if it is not begun."""
         return self._begun(number)[0]
 
-    def judged(self, number: int) -> int:
+    def resolved(self, number: int) -> int:
         """The last parking of which it was said that it never ran."""
         return self._begun(number)[1]
 
@@ -112,21 +112,21 @@
             return self.begun[place][1:]
         return 0, 0
 
-    def with_begun(self, number: int, ask: int, parking: int) -> _Row:
+    def with_begun(self, number: int, ask: int, parking: int) -> _LogState:
         others = (one for one in self.begun if one[0] != number)
         new = ((number, ask, parking),) if ask or parking else ()
         return self._with(begun=tuple(sorted((*others, *new))))
 
-    def without_begun(self, first: int, last: int) -> _Row:
+    def without_begun(self, first: int, last: int) -> _LogState:
         if not any(first <= one[0] <= last for one in self.begun):
             return self
         return self._with(begun=tuple(one for one in self.begun if not first <= one[0] <= last))
 
-    def over(self, first: int, last: int, fate: Fate) -> _Row:
+    def over(self, first: int, last: int, write_status: WriteStatus) -> _LogState:
         """All of first..last that are not over have become `fate`, which is in or gone."""
         ins, gone = self.ins, self.gone
         for start, end in missing(self.gone, max(first, self.low + 1), last):
-            if fate is Fate.IN:
+            if write_status is WriteStatus.IN:
                 ins = add(ins, start, end)
             else:
                 for one in missing(self.ins, start, end):
@@ -135,7 +135,7 @@
         row = row._with(ins=ins, gone=gone, parked=cut(row.parked, first, last))
         return row._raised()
 
-    def _raised(self) -> _Row:
+    def _raised(self) -> _LogState:
         """`low` as high as it is true."""
         low, ins = self.low, self.ins
         while True:
@@ -146,23 +146,23 @@
             else:
                 return self if low == self.low else self._with(low=low, ins=ins)
 
-    def lost(self) -> _Row:
+    def lost(self) -> _LogState:
         return self._with(holder=0, turn=0, parked=NONE, begun=())
 
-    def _with(self, **changes: object) -> _Row:
+    def _with(self, **changes: object) -> _LogState:
         return msgspec.structs.replace(self, **changes)
 
 
-class _Saved(msgspec.Struct, frozen=True, array_like=True):
-    rows: tuple[tuple[str, int, _Row], ...] = ()
+class _LedgerSnapshot(msgspec.Struct, frozen=True, array_like=True):
+    rows: tuple[tuple[str, int, _LogState], ...] = ()
     lost: tuple[str, ...] = ()
     undone: tuple[int, ...] = ()
 
 
-_decoder: Final[msgspec.msgpack.Decoder[_Saved]] = msgspec.msgpack.Decoder(_Saved)
+_decoder: Final[msgspec.msgpack.Decoder[_LedgerSnapshot]] = msgspec.msgpack.Decoder(_LedgerSnapshot)
 
 
-class Record:
+class ReplicatedLedger:
     """See the rules."""
 
     def __init__(self) -> None:
@@ -170,7 +170,7 @@
         self.applied: Callable[[bytes], None] = lambda data: None
         self.ignored = 0  # entries that could not be read
         self.refused = dict.fromkeys(("lines", "ranges", "parked", "spans", "begun", "lost"), 0)
-        self._rows: dict[Line, _Row] = {}
+        self._rows: dict[EdgeLog, _LogState] = {}
         self._lost: set[str] = set()
         self._undone: dict[int, None] = {}  # in their order
         self._spans = self._begun = 0
@@ -187,17 +187,17 @@
 
     def dump(self) -> bytes:
         rows = tuple((*line, row) for line, row in sorted(self._rows.items(), key=lambda item: item[0]))
-        saved = _Saved(rows, tuple(sorted(self._lost)), tuple(self._undone))
+        saved = _LedgerSnapshot(rows, tuple(sorted(self._lost)), tuple(self._undone))
         return msgspec.msgpack.encode(saved)
 
     def load(self, raw: bytes) -> None:
         """`KeptError`, with nothing changed, if it can't be read."""
         try:
-            saved = _decoder.decode(raw) if raw else _Saved()
+            saved = _decoder.decode(raw) if raw else _LedgerSnapshot()
             _check(saved)
         except (msgspec.MsgspecError, ValueError, RecursionError, OverflowError) as error:
             raise KeptError(f"the record of kept writes: {error}") from None
-        self._rows = {Line(edge, incarnation): row for edge, incarnation, row in saved.rows}
+        self._rows = {EdgeLog(edge, incarnation): row for edge, incarnation, row in saved.rows}
         self._lost = set(saved.lost)
         self._undone = dict.fromkeys(saved.undone)
         self._spans = sum(row.spans for row in self._rows.values())
@@ -205,43 +205,43 @@
 
     # --- Frontiers --------------------------------------------------------------------
 
-    def fate(self, cause: Cause) -> Fate:
-        row = self._row(cause.line)
-        return row.fate_up_to(cause.number) if cause.before else row.fate(cause.number)
+    def write_status(self, dependency: Dependency) -> WriteStatus:
+        row = self._row(dependency.line)
+        return row.fate_up_to(dependency.number) if dependency.before else row.write_status(dependency.number)
 
-    def holder(self, line: Line) -> int:
+    def holder(self, line: EdgeLog) -> int:
         return self._row(line).holder
 
-    def begun(self, dot: Dot, life: int, ask: int) -> Begun:
-        row = self._row(dot.line)
-        fate = row.fate(dot.number)
-        if fate is Fate.IN:
-            return Begun.IN
-        if fate is Fate.GONE or row.holder != life:
-            return Begun.FENCED
-        by = row.begun_by(dot.number)
+    def begun(self, write_id: WriteId, life: int, ask: int) -> IntentStatus:
+        row = self._row(write_id.line)
+        write_status = row.write_status(write_id.number)
+        if write_status is WriteStatus.IN:
+            return IntentStatus.IN
+        if write_status is WriteStatus.GONE or row.holder != life:
+            return IntentStatus.FENCED
+        by = row.begun_by(write_id.number)
         if by == 0:
-            return Begun.OPEN
-        return Begun.MINE if by == ask else Begun.OTHERS
+            return IntentStatus.OPEN
+        return IntentStatus.MINE if by == ask else IntentStatus.OTHERS
 
-    def claimed(self, claim: Claim) -> Claimed:
+    def claimed(self, claim: LeaseRequest) -> LeaseStatus:
         """OPEN also where there is no room for the line yet."""
         holder = self._row(claim.line).holder
         if holder == 0:
-            return Claimed.FENCED
+            return LeaseStatus.FENCED
         if holder == claim.life:
-            return Claimed.HELD
-        return Claimed.OPEN if claim.force or holder in claim.known else Claimed.FENCED
+            return LeaseStatus.HELD
+        return LeaseStatus.OPEN if claim.force or holder in claim.known else LeaseStatus.FENCED
 
-    def says(self, told: Told) -> bool:
+    def says(self, told: StatusUpdate) -> bool:
         """True of what is over, also if it was told to be over otherwise: that is final."""
-        row, number = self._row(told.dot.line), told.dot.number
-        fate = row.fate_up_to(number) if told.before else row.fate(number)
-        if fate in (Fate.IN, Fate.GONE):
+        row, number = self._row(told.write_id.line), told.write_id.number
+        write_status = row.fate_up_to(number) if told.before else row.write_status(number)
+        if write_status in (WriteStatus.IN, WriteStatus.GONE):
             return True
         if told.unbegin and told.parking:
-            return row.judged(number) >= told.parking
-        return fate is told.fate and not (told.unbegin and row.begun_by(number))
+            return row.resolved(number) >= told.parking
+        return write_status is told.write_status and not (told.unbegin and row.begun_by(number))
 
     # --- What is to be agreed next ------------------------------------------------------
 
@@ -249,21 +249,21 @@
         """This ask was taken back: no BEGIN of it is granted, also if one comes late."""
         return ask in self._undone
 
-    def claim_entry(self, claim: Claim) -> Hold | None:
+    def claim_entry(self, claim: LeaseRequest) -> LogLease | None:
         """By which the claim would hold now; None if it is not open."""
-        if self.claimed(claim) is not Claimed.OPEN:
+        if self.claimed(claim) is not LeaseStatus.OPEN:
             return None
         row = self._row(claim.line)
-        return Hold(claim.line, claim.life, row.holder, row.turn, claim.force)
+        return LogLease(claim.line, claim.life, row.holder, row.turn, claim.force)
 
-    def said_entry(self, told: Told) -> Said | None:
+    def said_entry(self, told: StatusUpdate) -> StatusRecord | None:
         """By which the record would say so; None if it does."""
         if self.says(told):
             return None
         if not told.unbegin:
-            return Said(told.dot, told.fate, told.life, told.before)
-        ask = self._row(told.dot.line).begun_by(told.dot.number)
-        return Said(told.dot, told.fate, told.life, told.before, ask, told.parking)
+            return StatusRecord(told.write_id, told.write_status, told.life, told.before)
+        ask = self._row(told.write_id.line).begun_by(told.write_id.number)
+        return StatusRecord(told.write_id, told.write_status, told.life, told.before, ask, told.parking)
 
     def status(self) -> dict[str, int]:
         """For an operator, in JSON's types."""
@@ -279,40 +279,43 @@
 
     # --- Entries ----------------------------------------------------------------------
 
-    def _row(self, line: Line) -> _Row:
+    def _row(self, line: EdgeLog) -> _LogState:
         row = self._rows.get(line)
         return row if row is not None else self._new(line)
 
-    def _new(self, line: Line) -> _Row:
-        return _Row(0 if line.edge in self._lost else line.incarnation)
+    def _new(self, line: EdgeLog) -> _LogState:
+        return _LogState(0 if line.edge in self._lost else line.incarnation)
 
-    def _apply(self, entry: Entry) -> None:
+    def _apply(self, entry: LedgerEntry) -> None:
         match entry:
-            case Begin():
+            case Intent():
                 self._begin(entry)
-            case Unbegin():
+            case IntentWithdrawal():
                 self._unbegin(entry)
-            case In():
-                self._change(entry.dot, entry.dot.number, Fate.IN)
-            case Hold():
+            case WriteApplied():
+                self._change(entry.write_id, entry.write_id.number, WriteStatus.IN)
+            case LogLease():
                 self._hold(entry)
-            case Said():
+            case StatusRecord():
                 self._said(entry)
-            case Lost():
+            case EdgeLost():
                 self._lose(entry)
 
-    def _begin(self, entry: Begin) -> None:
-        row, number = self._row(entry.dot.line), entry.dot.number
-        if self.begun(entry.dot, entry.life, entry.ask) is not Begun.OPEN or entry.ask in self._undone:
+    def _begin(self, entry: Intent) -> None:
+        row, number = self._row(entry.write_id.line), entry.write_id.number
+        if (
+            self.begun(entry.write_id, entry.life, entry.ask) is not IntentStatus.OPEN
+            or entry.ask in self._undone
+        ):
             return
         # Its holder replays it: it is parked no more.
         row = msgspec.structs.replace(row, parked=cut(row.parked, number, number))
-        self._put(entry.dot.line, row.with_begun(number, entry.ask, row.judged(number)))
+        self._put(entry.write_id.line, row.with_begun(number, entry.ask, row.resolved(number)))
 
-    def _unbegin(self, entry: Unbegin) -> None:
-        row, number = self._row(entry.dot.line), entry.dot.number
+    def _unbegin(self, entry: IntentWithdrawal) -> None:
+        row, number = self._row(entry.write_id.line), entry.write_id.number
         if row.begun_by(number) == entry.ask:
-            self._put(entry.dot.line, row.with_begun(number, 0, row.judged(number)))
+            self._put(entry.write_id.line, row.with_begun(number, 0, row.resolved(number)))
         self._undo(entry.ask)
 
     def _undo(self, ask: int) -> None:
@@ -321,52 +324,52 @@
                 del self._undone[next(iter(self._undone))]
             self._undone[ask] = None
 
-    def _hold(self, entry: Hold) -> None:
+    def _hold(self, entry: LogLease) -> None:
         row = self._row(entry.line)
         if row.holder in (0, entry.life) or row.turn != entry.turn:
             return
         if entry.force or row.holder == entry.of:
             self._put(entry.line, msgspec.structs.replace(row, holder=entry.life, turn=row.turn + 1))
 
-    def _said(self, entry: Said) -> None:
-        row, number = self._row(entry.dot.line), entry.dot.number
+    def _said(self, entry: StatusRecord) -> None:
+        row, number = self._row(entry.write_id.line), entry.write_id.number
         if row.holder == 0 or row.holder != entry.life:
             return
         if (entry.ask or entry.parking) and not self._judge(entry, row):
             return
-        self._change(entry.dot, 1 if entry.before else number, entry.fate)
+        self._change(entry.write_id, 1 if entry.before else number, entry.write_status)
 
-    def _judge(self, entry: Said, row: _Row) -> bool:
+    def _judge(self, entry: StatusRecord, row: _LogState) -> bool:
         """It never ran. False for a word that is late, or of another ask."""
-        number, judged = entry.dot.number, row.judged(entry.dot.number)
-        if row.begun_by(number) != entry.ask or 0 < entry.parking <= judged:
+        number, resolved = entry.write_id.number, row.resolved(entry.write_id.number)
+        if row.begun_by(number) != entry.ask or 0 < entry.parking <= resolved:
             return False
-        if row.fate(number) in (Fate.IN, Fate.GONE):
+        if row.write_status(number) in (WriteStatus.IN, WriteStatus.GONE):
             return True
-        if not self._put(entry.dot.line, row.with_begun(number, 0, max(judged, entry.parking))):
+        if not self._put(entry.write_id.line, row.with_begun(number, 0, max(resolved, entry.parking))):
             return False
         if entry.ask:
             self._undo(entry.ask)
         return True
 
-    def _change(self, dot: Dot, first: int, fate: Fate) -> None:
+    def _change(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
         """What is not over of first..number becomes `fate`."""
-        row = self._row(dot.line)
+        row = self._row(write_id.line)
         if row.holder == 0:
             return
-        if fate in (Fate.IN, Fate.GONE):
-            self._put(dot.line, row.over(first, dot.number, fate))
+        if write_status in (WriteStatus.IN, WriteStatus.GONE):
+            self._put(write_id.line, row.over(first, write_id.number, write_status))
             return
-        parked = cut(row.parked, first, dot.number)
-        if fate is Fate.PARKED:
-            for start, end in missing(row.gone, max(first, row.low + 1), dot.number):
+        parked = cut(row.parked, first, write_id.number)
+        if write_status is WriteStatus.PARKED:
+            for start, end in missing(row.gone, max(first, row.low + 1), write_id.number):
                 for one in missing(row.ins, start, end):
                     parked = add(parked, *one)
-        self._put(dot.line, msgspec.structs.replace(row, parked=parked))
+        self._put(write_id.line, msgspec.structs.replace(row, parked=parked))
 
-    def _lose(self, entry: Lost) -> None:
+    def _lose(self, entry: EdgeLost) -> None:
         if entry.incarnation:
-            line = Line(entry.edge, entry.incarnation)
+            line = EdgeLog(entry.edge, entry.incarnation)
             self._put(line, self._row(line).lost())
         elif entry.edge not in self._lost:
             if len(self._lost) >= LOST_MOST:
@@ -376,7 +379,7 @@
             for line in [line for line in self._rows if line.edge == entry.edge]:
                 self._put(line, self._rows[line].lost())
 
-    def _put(self, line: Line, row: _Row) -> bool:
+    def _put(self, line: EdgeLog, row: _LogState) -> bool:
         """The line's new state, if it fits; one that says nothing is not kept."""
         old = self._rows.get(line)
         new = self._new(line)
@@ -395,7 +398,7 @@
             self._rows[line] = row
         return True
 
-    def _bound(self, is_new: bool, old: _Row, row: _Row, spans: int, begun: int) -> str | None:
+    def _bound(self, is_new: bool, old: _LogState, row: _LogState, spans: int, begun: int) -> str | None:
         """The bound that it would break; what takes no more than before breaks none."""
         if is_new and len(self._rows) >= LINES_MOST:
             return "lines"
@@ -408,7 +411,7 @@
         return "begun" if begun > 0 and self._begun + begun > BEGUN_MOST else None
 
 
-def _check(saved: _Saved) -> None:
+def _check(saved: _LedgerSnapshot) -> None:
     """ValueError for what no `dump` gives."""
     for edge, incarnation, row in saved.rows:
         check_edge(edge)
--- a/laurelstep/outbox/shared/seal.py
+++ b/laurelstep/outbox/shared/message_seal.py
@@ -22,11 +22,11 @@
 
 import msgspec
 
-from laurelstep.outbox.dots import Line, check_edge
 from laurelstep.outbox.errors import OutboxError
-from laurelstep.outbox.shared.terms import ASKED_MOST, Answered, Ask, Replayed
+from laurelstep.outbox.shared.messages import QUERIED_MOST, QueryReply, ReplayIdentity, ReplayQuery
+from laurelstep.outbox.write_ids import EdgeLog, check_edge
 
-__all__ = ["SEALED_MOST", "Seal", "SealError", "SealedLengthError"]
+__all__ = ["SEALED_MOST", "MessageSeal", "SealError", "SealedLengthError"]
 
 # Characters. The head of a request, which it is part of, may have 64 KiB.
 SEALED_MOST: Final = 16 * 1024
@@ -35,7 +35,7 @@
 _NUMBER_END: Final = 1 << 63
 _LIFE_END: Final = 1 << 64
 
-_Sealed = TypeVar("_Sealed", Replayed, Ask, Answered)
+_Sealed = TypeVar("_Sealed", ReplayIdentity, ReplayQuery, QueryReply)
 
 _Versioned = tuple[int, msgspec.Raw]
 _decoder: Final[msgspec.msgpack.Decoder[_Versioned]] = msgspec.msgpack.Decoder(_Versioned)
@@ -60,7 +60,7 @@
     remedy: ClassVar[str] = "report it with the text: the fault is in the program; nothing was sent"
 
 
-class Seal:
+class MessageSeal:
     """Makes and reads sealed texts with the secret of the edges and upstream's copies (16 bytes or more)."""
 
     def __init__(self, secret: bytes) -> None:
@@ -69,45 +69,45 @@
         self._keys: dict[type[Any], bytes] = {
             kind: blake2b(secret, digest_size=32, person=person).digest()
             for kind, person in (
-                (Replayed, b"outbox replay"),
-                (Ask, b"outbox ask"),
-                (Answered, b"outbox answer"),
+                (ReplayIdentity, b"outbox replay"),
+                (ReplayQuery, b"outbox ask"),
+                (QueryReply, b"outbox answer"),
             )
         }
 
-    def replayed(self, value: Replayed) -> str:
+    def replayed(self, value: ReplayIdentity) -> str:
         return self._text(value, b"")
 
-    def ask(self, value: Ask) -> str:
+    def ask(self, value: ReplayQuery) -> str:
         return self._text(value, b"")
 
-    def answered(self, value: Answered, to: str) -> str:
+    def answered(self, value: QueryReply, to: str) -> str:
         """`to`: the sealed ask."""
         return self._text(value, to.encode("latin-1", "replace"))
 
-    def open_replayed(self, text: str) -> Replayed:
+    def open_replayed(self, text: str) -> ReplayIdentity:
         """`SealError`, as of all that opens."""
-        value = self._open(Replayed, text, b"")
+        value = self._open(ReplayIdentity, text, b"")
         with _as_read():
-            _check_line(value.dot.line)
-            _check_number(value.dot.number)
+            _check_line(value.write_id.line)
+            _check_number(value.write_id.number)
             _check_life(value.life)
         return value
 
-    def open_ask(self, text: str) -> Ask:
-        value = self._open(Ask, text, b"")
+    def open_ask(self, text: str) -> ReplayQuery:
+        value = self._open(ReplayQuery, text, b"")
         with _as_read():
             _check_ask(value)
         return value
 
-    def open_answered(self, text: str, to: str) -> Answered:
+    def open_answered(self, text: str, to: str) -> QueryReply:
         """`to`: the sealed ask that it is to be an answer to."""
-        value = self._open(Answered, text, to.encode("latin-1", "replace"))
+        value = self._open(QueryReply, text, to.encode("latin-1", "replace"))
         with _as_read():
-            _check_count(value.fates, value.claims, value.told)
+            _check_count(value.write_statuses, value.claims, value.told)
         return value
 
-    def _text(self, value: Replayed | Ask | Answered, to: bytes) -> str:
+    def _text(self, value: ReplayIdentity | ReplayQuery | QueryReply, to: bytes) -> str:
         data = msgspec.msgpack.encode((_VERSION, value))
         text = _told(self._sign(type(value), data, to) + data)
         if len(text) > SEALED_MOST:
@@ -149,28 +149,28 @@
     return base64.urlsafe_b64encode(raw).rstrip(b"=").decode()
 
 
-def _check_ask(ask: Ask) -> None:
-    _check_count(ask.fates, ask.claims, ask.told)
-    for cause in ask.fates:
-        _check_line(cause.line)
-        _check_number(cause.number)
+def _check_ask(ask: ReplayQuery) -> None:
+    _check_count(ask.write_statuses, ask.claims, ask.told)
+    for dependency in ask.write_statuses:
+        _check_line(dependency.line)
+        _check_number(dependency.number)
     for claim in ask.claims:
         _check_line(claim.line)
         for life in (claim.life, *claim.known):
             _check_life(life)
     for told in ask.told:
-        _check_line(told.dot.line)
-        _check_number(told.dot.number)
+        _check_line(told.write_id.line)
+        _check_number(told.write_id.number)
         _check_life(told.life)
         _check_number(told.parking + 1)
 
 
 def _check_count(*parts: tuple[object, ...]) -> None:
-    if any(len(part) > ASKED_MOST for part in parts):
-        raise ValueError(f"more than {ASKED_MOST} of one kind")
+    if any(len(part) > QUERIED_MOST for part in parts):
+        raise ValueError(f"more than {QUERIED_MOST} of one kind")
 
 
-def _check_line(line: Line) -> None:
+def _check_line(line: EdgeLog) -> None:
     check_edge(line.edge)
     _check_life(line.incarnation)
 
--- a/laurelstep/outbox/shared/terms.py
+++ b/laurelstep/outbox/shared/messages.py
@@ -1,7 +1,7 @@
 """What an edge and a copy upstream say to each other of kept writes. Pure.
 
-1. What goes between them is sealed with the edges' common secret (`Seal`): it can't be made up, and a seal of
-   one use is of no use for another.
+1. What goes between them is sealed with the edges' common secret (`MessageSeal`): it can't be made up, and
+   a seal of one use is of no use for another.
 2. A life is the incarnation of one opening of an outbox's store. A line is held by one life at a time; at
    first by the life of its own incarnation.
 3. Everything that is said may come twice, late, or not at all, and means the same.
@@ -14,74 +14,74 @@
 
 import msgspec
 
-from laurelstep.outbox.causes import Cause, Fate
-from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
 __all__ = [
-    "ASKED_MOST",
     "FATE_HEADER",
     "KEPT_HEADER",
+    "QUERIED_MOST",
     "SHARED_PATH",
-    "Answered",
-    "Ask",
-    "Begun",
-    "Claim",
-    "Claimed",
-    "Frontiers",
-    "Replayed",
-    "Told",
+    "IntentStatus",
+    "LeaseRequest",
+    "LeaseStatus",
+    "QueryReply",
+    "ReplayIdentity",
+    "ReplayQuery",
+    "StatusUpdate",
+    "VersionVectors",
 ]
 
-# On a replay: a sealed `Replayed`. On an answer to one: "in", "begun" or "fenced".
+# On a replay: a sealed `ReplayIdentity`. On an answer to one: "in", "begun" or "fenced".
 KEPT_HEADER: Final = b"x-kept-write"
 FATE_HEADER: Final = b"x-kept-fate"
-# An edge asks with GET of this and a sealed `Ask`, at the callers' address.
+# An edge asks with GET of this and a sealed `ReplayQuery`, at the callers' address.
 SHARED_PATH: Final = b"/outbox/shared/"
 # Of fates asked, told and claims in one ask, each: the sealed ask must fit in a request line.
-ASKED_MOST: Final = 16
+QUERIED_MOST: Final = 16
 
 
-class Replayed(msgspec.Struct, array_like=True, frozen=True):
+class ReplayIdentity(msgspec.Struct, array_like=True, frozen=True):
     """A kept write on its way upstream."""
 
-    dot: Dot
+    write_id: WriteId
     life: int
     unsafe: bool
 
 
-class Claim(msgspec.Struct, array_like=True, frozen=True):
+class LeaseRequest(msgspec.Struct, array_like=True, frozen=True):
     """A life wants to replay a line: the holders that its disk has known, itself not among them.
     `force`: an operator says that this disk is the right one."""
 
-    line: Line
+    line: EdgeLog
     life: int
     known: tuple[int, ...]
     force: bool = False
 
 
-class Told(msgspec.Struct, array_like=True, frozen=True):
+class StatusUpdate(msgspec.Struct, array_like=True, frozen=True):
     """What the holder of a line says of one write, or with `before` of all up to it.
 
     `UNKNOWN`: it waits at its edge (parked no more). `IN`, `GONE`: final. `unbegin`: an operator said that it
     never ran, of this `parking` of it: one that comes late says nothing of what began since."""
 
-    dot: Dot
-    fate: Fate
+    write_id: WriteId
+    write_status: WriteStatus
     life: int
     before: bool = False
     unbegin: bool = False
     parking: int = 0
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True):
-    """Of an edge. At most `ASKED_MOST` of each."""
+class ReplayQuery(msgspec.Struct, array_like=True, frozen=True):
+    """Of an edge. At most `QUERIED_MOST` of each."""
 
-    fates: tuple[Cause, ...] = ()
-    claims: tuple[Claim, ...] = ()
-    told: tuple[Told, ...] = ()
+    write_statuses: tuple[Dependency, ...] = ()
+    claims: tuple[LeaseRequest, ...] = ()
+    told: tuple[StatusUpdate, ...] = ()
 
 
-class Claimed(IntEnum):
+class LeaseStatus(IntEnum):
     """What became of a claim."""
 
     OPEN = 0  # not agreed yet: ask again
@@ -89,15 +89,15 @@
     FENCED = 2  # another life holds it, or it is lost
 
 
-class Answered(msgspec.Struct, array_like=True, frozen=True):
+class QueryReply(msgspec.Struct, array_like=True, frozen=True):
     """To an ask, each in the order of what was asked. `told`: whether the record says so now."""
 
-    fates: tuple[Fate, ...] = ()
-    claims: tuple[Claimed, ...] = ()
+    write_statuses: tuple[WriteStatus, ...] = ()
+    claims: tuple[LeaseStatus, ...] = ()
     told: tuple[bool, ...] = ()
 
 
-class Begun(IntEnum):
+class IntentStatus(IntEnum):
     """What the record says of an unsafe write for one ask of a gate."""
 
     OPEN = 0  # nobody's
@@ -107,17 +107,17 @@
     FENCED = 4  # the line is another life's, lost, or gone
 
 
-class Frontiers(Protocol):
-    """The agreed record as it is read: `shared.record.Record` has these."""
+class VersionVectors(Protocol):
+    """The agreed record as it is read: `shared.record.ReplicatedLedger` has these."""
 
-    def fate(self, cause: Cause) -> Fate: ...
+    def write_status(self, dependency: Dependency) -> WriteStatus: ...
 
-    def holder(self, line: Line) -> int:
+    def holder(self, line: EdgeLog) -> int:
         """The life that may replay it; 0 if it is lost."""
 
-    def begun(self, dot: Dot, life: int, ask: int) -> Begun: ...
+    def begun(self, write_id: WriteId, life: int, ask: int) -> IntentStatus: ...
 
-    def claimed(self, claim: Claim) -> Claimed:
+    def claimed(self, claim: LeaseRequest) -> LeaseStatus:
         """OPEN while the claim, agreed now, would hold."""
 
-    def says(self, told: Told) -> bool: ...
+    def says(self, told: StatusUpdate) -> bool: ...
--- a/laurelstep/outbox/shared/ports.py
+++ b/laurelstep/outbox/shared/ports.py
@@ -1,4 +1,4 @@
-"""The record and its sharer, as the gate and a copy's own frontier need them."""
+"""The record and its sharer, as the gate and a copy's own version vector need them."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from laurelstep.outbox.shared.entries import Entry, Hold, Said
-from laurelstep.outbox.shared.terms import Claim, Frontiers, Told
+from laurelstep.outbox.shared.entries import LedgerEntry, LogLease, StatusRecord
+from laurelstep.outbox.shared.messages import LeaseRequest, StatusUpdate, VersionVectors
 
-__all__ = ["Ledger", "Sharing"]
+__all__ = ["AgreedLedger", "Agreement"]
 
 
-class Ledger(Frontiers, Protocol):
-    """The agreed record (`shared.record.Record`), with what would have to be agreed next."""
+class AgreedLedger(VersionVectors, Protocol):
+    """The agreed record (`shared.record.ReplicatedLedger`), with what would have to be agreed next."""
 
     def undone(self, ask: int) -> bool: ...
 
-    def claim_entry(self, claim: Claim) -> Hold | None: ...
+    def claim_entry(self, claim: LeaseRequest) -> LogLease | None: ...
 
-    def said_entry(self, told: Told) -> Said | None: ...
+    def said_entry(self, told: StatusUpdate) -> StatusRecord | None: ...
 
     def status(self) -> dict[str, int]: ...
 
 
-class Sharing(Protocol):
-    """Brings entries to agreement: `shared.sharer.Sharer`."""
+class Agreement(Protocol):
+    """Brings entries to agreement: `shared.sharer.AgreementDriver`."""
 
     @property
     def ready(self) -> bool: ...
 
-    def agree(self, entry: Entry, done: Callable[[], bool], until: int) -> asyncio.Future[bool]: ...
+    def agree(self, entry: LedgerEntry, done: Callable[[], bool], until: int) -> asyncio.Future[bool]: ...
--- a/laurelstep/outbox/shared/spans.py
+++ b/laurelstep/outbox/shared/ranges.py
@@ -6,19 +6,19 @@
 from collections.abc import Iterator
 from typing import Final
 
-__all__ = ["NONE", "Spans", "add", "cut", "has", "missing", "well_formed"]
+__all__ = ["NONE", "Ranges", "add", "cut", "has", "missing", "well_formed"]
 
 # (first, last), both in it.
-Spans = tuple[tuple[int, int], ...]
-NONE: Final[Spans] = ()
+Ranges = tuple[tuple[int, int], ...]
+NONE: Final[Ranges] = ()
 
 
-def has(spans: Spans, number: int) -> bool:
+def has(spans: Ranges, number: int) -> bool:
     place = bisect_right(spans, number, key=lambda span: span[0])
     return place > 0 and spans[place - 1][1] >= number
 
 
-def add(spans: Spans, first: int, last: int) -> Spans:
+def add(spans: Ranges, first: int, last: int) -> Ranges:
     """With all of first..last."""
     low = bisect_left(spans, first - 1, key=lambda span: span[1])
     high = bisect_right(spans, last + 1, key=lambda span: span[0])
@@ -27,7 +27,7 @@
     return (*spans[:low], (first, last), *spans[high:])
 
 
-def cut(spans: Spans, first: int, last: int) -> Spans:
+def cut(spans: Ranges, first: int, last: int) -> Ranges:
     """Without any of first..last."""
     low = bisect_left(spans, first, key=lambda span: span[1])
     high = bisect_right(spans, last, key=lambda span: span[0])
@@ -39,7 +39,7 @@
     return (*spans[:low], *left, *right, *spans[high:])
 
 
-def missing(spans: Spans, first: int, last: int) -> Iterator[tuple[int, int]]:
+def missing(spans: Ranges, first: int, last: int) -> Iterator[tuple[int, int]]:
     """The ranges of first..last that are not in it."""
     low = bisect_left(spans, first, key=lambda span: span[1])
     while first <= last:
@@ -52,7 +52,7 @@
         low += 1
 
 
-def well_formed(spans: Spans, end: int) -> bool:
+def well_formed(spans: Ranges, end: int) -> bool:
     """Whether it is in the one form, of numbers from 1 to below `end`."""
     before = -1
     for first, last in spans:
