--- a/laurelstep/outbox/shared/gate.py
+++ b/laurelstep/outbox/shared/replay_gate.py
@@ -30,22 +30,22 @@
 from laurelstep.accord.errors import EntryError
 from laurelstep.engine.call import Answer, Attempt, Call, Ending
 from laurelstep.engine.ports import Clock, Log, Recorded, Recorder
-from laurelstep.outbox.causes import Cause, Fate
-from laurelstep.outbox.dots import Dot, Line
-from laurelstep.outbox.shared.entries import Begin, Entry, In, Lost, Unbegin
-from laurelstep.outbox.shared.ports import Ledger, Sharing
-from laurelstep.outbox.shared.seal import Seal, SealError
-from laurelstep.outbox.shared.terms import (
+from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.shared.entries import EdgeLost, Intent, IntentWithdrawal, LedgerEntry, WriteApplied
+from laurelstep.outbox.shared.message_seal import MessageSeal, SealError
+from laurelstep.outbox.shared.messages import (
     FATE_HEADER,
-    Answered,
-    Ask,
-    Begun,
-    Claim,
-    Claimed,
-    Told,
+    IntentStatus,
+    LeaseRequest,
+    LeaseStatus,
+    QueryReply,
+    ReplayQuery,
+    StatusUpdate,
 )
+from laurelstep.outbox.shared.ports import AgreedLedger, Agreement
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
-__all__ = ["Gate"]
+__all__ = ["ReplayGate"]
 
 # What is agreed within a call waits so long at most; a leader is replaced in less.
 AGREE_US: Final = 5_000_000
@@ -67,26 +67,26 @@
 
 
 @dataclass(eq=False)
-class Hand:
+class GatedReplay:
     """One replay in hand."""
 
     call: Call
-    dot: Dot
+    write_id: WriteId
     life: int
     unsafe: bool
     ask: int = 0  # 0: no BEGIN was told
     admitted: bool = False
 
 
-class Gate:
+class ReplayGate:
     """The engine's `Recorder` at a copy upstream. `classes`: those that edges may keep, by number, and
     whether a write of each is unsafe."""
 
     def __init__(
         self,
-        record: Ledger,
-        sharer: Sharing,
-        seal: Seal,
+        record: AgreedLedger,
+        sharer: Agreement,
+        seal: MessageSeal,
         classes: Mapping[int, bool],
         clock: Clock,
         log: Log,
@@ -101,7 +101,7 @@
         self.log = log
         self.inner = inner
         self.draw = draw
-        self.hands: dict[Call, Hand] = {}
+        self.hands: dict[Call, GatedReplay] = {}
         self.asking = 0
         self.later = 0
         self.counters = {"replays": 0, "in": 0, "fenced": 0, "begun": 0, "refused": 0, "late": 0, "bad": 0}
@@ -137,15 +137,15 @@
         self.counters["replays"] += 1
         if call.cls not in self.classes:
             self._complain(
-                f"{replayed.dot.edge}: a kept write of a class that [orders] records here was refused"
+                f"{replayed.write_id.edge}: a kept write of a class that [orders] records here was refused"
             )
             engine.settle(call, self._refusal())
             return True
         unsafe = replayed.unsafe or self.classes[call.cls]
-        hand = Hand(call, replayed.dot, replayed.life, unsafe)
-        verdict = self._verdict(hand)
-        if verdict is not None:
-            engine.settle(call, verdict)
+        hand = GatedReplay(call, replayed.write_id, replayed.life, unsafe)
+        resolution = self._verdict(hand)
+        if resolution is not None:
+            engine.settle(call, resolution)
         elif unsafe:
             self.hands[call] = hand
             self._spawn(self._begin(hand, engine))
@@ -154,46 +154,46 @@
             self._admit(hand, engine)
         return True
 
-    def _verdict(self, hand: Hand) -> Answer | None:
+    def _verdict(self, hand: GatedReplay) -> Answer | None:
         """What can be answered from what is agreed; None if it may be sent, or its BEGIN be told."""
         if not self.sharer.ready:
             return self._refusal()
-        begun = self.record.begun(hand.dot, hand.life, hand.ask)
-        if begun is Begun.IN:
+        begun = self.record.begun(hand.write_id, hand.life, hand.ask)
+        if begun is IntentStatus.IN:
             self.counters["in"] += 1
             return Answer(Ending.SERVED, 200, ((FATE_HEADER, b"in"),))
-        if begun is Begun.FENCED:
+        if begun is IntentStatus.FENCED:
             self.counters["fenced"] += 1
             return Answer(Ending.REFUSED, 503, ((FATE_HEADER, b"fenced"),), retry_after_us=RETRY_US)
-        if begun is Begun.OTHERS:
+        if begun is IntentStatus.OTHERS:
             self.counters["begun"] += 1
             return Answer(Ending.FAILED, 502, ((FATE_HEADER, b"begun"),))
         return None
 
-    async def _begin(self, hand: Hand, engine: Recorded) -> None:
+    async def _begin(self, hand: GatedReplay, engine: Recorded) -> None:
         call, until = hand.call, self._until(hand.call)
         if until > self.clock.now():
             hand.ask = self.draw()
-            entry = Begin(hand.dot, hand.life, hand.ask)
-            await self._agree(entry, lambda: self._begun(hand) is not Begun.OPEN, until)
+            entry = Intent(hand.write_id, hand.life, hand.ask)
+            await self._agree(entry, lambda: self._begun(hand) is not IntentStatus.OPEN, until)
         if call not in self.hands:
             self._take_back_later(hand)  # its time is over, or its edge left
             return
         begun = self._begun(hand)
-        if begun is Begun.MINE and self.sharer.ready:
+        if begun is IntentStatus.MINE and self.sharer.ready:
             self._admit(hand, engine)
             return
         del self.hands[call]
-        if begun in (Begun.OPEN, Begun.MINE):
+        if begun in (IntentStatus.OPEN, IntentStatus.MINE):
             self._take_back_later(hand)  # it may still come through
             engine.settle(call, self._refusal())
         else:
             engine.settle(call, self._verdict(hand) or self._refusal())
 
-    def _begun(self, hand: Hand) -> Begun:
-        return self.record.begun(hand.dot, hand.life, hand.ask)
+    def _begun(self, hand: GatedReplay) -> IntentStatus:
+        return self.record.begun(hand.write_id, hand.life, hand.ask)
 
-    def _admit(self, hand: Hand, engine: Recorded) -> None:
+    def _admit(self, hand: GatedReplay, engine: Recorded) -> None:
         hand.admitted = True
         engine.admit(hand.call)
 
@@ -215,40 +215,43 @@
         else:
             engine.deliver(call, answer)
 
-    async def _say_in(self, hand: Hand, answer: Answer, engine: Recorded) -> None:
-        cause = Cause(*hand.dot)
+    async def _say_in(self, hand: GatedReplay, answer: Answer, engine: Recorded) -> None:
+        dependency = Dependency(*hand.write_id)
 
         def over() -> bool:
-            return self.record.fate(cause) in (Fate.IN, Fate.GONE)
+            return self.record.write_status(dependency) in (WriteStatus.IN, WriteStatus.GONE)
 
-        entry = In(hand.dot)
-        if await self._agree(entry, over, self._until(hand.call)) and self.record.fate(cause) is Fate.IN:
+        entry = WriteApplied(hand.write_id)
+        if (
+            await self._agree(entry, over, self._until(hand.call))
+            and self.record.write_status(dependency) is WriteStatus.IN
+        ):
             engine.deliver(hand.call, answer)
             return
         engine.deliver(hand.call, Answer(Ending.FAILED, 502))
         if not over():
             await self._tell_on(entry, over)
 
-    def _refuse(self, hand: Hand, answer: Answer, engine: Recorded) -> None:
+    def _refuse(self, hand: GatedReplay, answer: Answer, engine: Recorded) -> None:
         if hand.unsafe:
             self._spawn(self._take_back_and_refuse(hand, answer, engine))
         else:
             engine.deliver(hand.call, answer)
 
-    async def _take_back_and_refuse(self, hand: Hand, answer: Answer, engine: Recorded) -> None:
+    async def _take_back_and_refuse(self, hand: GatedReplay, answer: Answer, engine: Recorded) -> None:
         """Rule 5 says why the refusal leaves either way."""
-        entry = Unbegin(hand.dot, hand.ask)
+        entry = IntentWithdrawal(hand.write_id, hand.ask)
         agreed = await self._agree(entry, lambda: self.record.undone(hand.ask), self._until(hand.call))
         engine.deliver(hand.call, answer)
         if not agreed:
             await self._tell_on(entry, lambda: self.record.undone(hand.ask))
 
-    def _take_back_later(self, hand: Hand) -> None:
+    def _take_back_later(self, hand: GatedReplay) -> None:
         if hand.ask:
-            entry = Unbegin(hand.dot, hand.ask)
+            entry = IntentWithdrawal(hand.write_id, hand.ask)
             self._spawn(self._tell_on(entry, lambda: self.record.undone(hand.ask)))
 
-    async def _tell_on(self, entry: Entry, done: Callable[[], bool]) -> None:
+    async def _tell_on(self, entry: LedgerEntry, done: Callable[[], bool]) -> None:
         """Rule 6."""
         if self.later >= LATER_MOST:
             self.counters["late"] += 1
@@ -260,7 +263,7 @@
         finally:
             self.later -= 1
 
-    async def _agree(self, entry: Entry, done: Callable[[], bool], until: int) -> bool:
+    async def _agree(self, entry: LedgerEntry, done: Callable[[], bool], until: int) -> bool:
         try:
             return await self.sharer.agree(entry, done, until)
         except EntryError:
@@ -284,7 +287,7 @@
             # The module calls off what is out: only then it shows whether it can have run.
             self.clock.at(self.clock.now(), self._left, hand, tuple(call.attempts))
 
-    def _left(self, hand: Hand, attempts: tuple[Attempt, ...]) -> None:
+    def _left(self, hand: GatedReplay, attempts: tuple[Attempt, ...]) -> None:
         """Attempts that are all over are not here any more: they may have run."""
         is_known = bool(attempts) or not hand.call.tried
         if is_known and not _may_have_run(hand.call, attempts):
@@ -317,14 +320,14 @@
         if not self.sharer.ready:
             return self._refusal()
         record = self.record
-        answered = Answered(
-            fates=tuple(record.fate(cause) for cause in ask.fates),
+        answered = QueryReply(
+            write_statuses=tuple(record.write_status(dependency) for dependency in ask.write_statuses),
             claims=tuple(record.claimed(claim) for claim in ask.claims),
             told=tuple(record.says(told) for told in ask.told),
         )
         return Answer(Ending.SERVED, 200, (TEXT,), self.seal.answered(answered, text).encode())
 
-    async def _bring_about(self, ask: Ask) -> None:
+    async def _bring_about(self, ask: ReplayQuery) -> None:
         """What it claims and tells, as far as that is agreed within `ASK_US`."""
         record, until = self.record, self.clock.now() + ASK_US
         waits = []
@@ -338,10 +341,10 @@
                 waits.append(self._agree(said, self._said(told), until))
         await asyncio.gather(*waits)
 
-    def _claimed(self, claim: Claim) -> Callable[[], bool]:
-        return lambda: self.record.claimed(claim) is not Claimed.OPEN
+    def _claimed(self, claim: LeaseRequest) -> Callable[[], bool]:
+        return lambda: self.record.claimed(claim) is not LeaseStatus.OPEN
 
-    def _said(self, told: Told) -> Callable[[], bool]:
+    def _said(self, told: StatusUpdate) -> Callable[[], bool]:
         return lambda: self.record.says(told)
 
     def _unsealed(self, what: str, error: SealError) -> Answer:
@@ -360,7 +363,7 @@
 
     def lose(self, edge: str, incarnation: int = 0) -> bool:
         """Declare an edge lost, or one life of it. False if it is."""
-        line = Line(edge, incarnation or _ANY_LIFE)
+        line = EdgeLog(edge, incarnation or _ANY_LIFE)
 
         def lost() -> bool:
             return self.record.holder(line) == 0
@@ -368,7 +371,7 @@
         if lost():
             return False
         self.log(f"outbox: {edge}: declared lost{f', its life {incarnation:016x}' if incarnation else ''}")
-        self._spawn(self._tell_on(Lost(edge, incarnation), lost))
+        self._spawn(self._tell_on(EdgeLost(edge, incarnation), lost))
         return True
 
 
--- a/laurelstep/outbox/shared/own.py
+++ b/laurelstep/outbox/shared/replicated_version_vector.py
@@ -1,4 +1,5 @@
-"""The frontier of a copy's own outbox, where upstream's copies share: the record is read, and told by accord.
+"""The version vector of a copy's own outbox, where upstream's copies share: the record is read, and told
+by accord.
 
 The rules:
 
@@ -22,13 +23,13 @@
 import msgspec
 
 from laurelstep.engine.ports import Clock, Handle, Log
-from laurelstep.outbox.causes import Cause, Fate
-from laurelstep.outbox.dots import Dot, Line
-from laurelstep.outbox.shared.entries import Entry
-from laurelstep.outbox.shared.ports import Ledger, Sharing
-from laurelstep.outbox.shared.terms import Claim, Claimed, Told
+from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.shared.entries import LedgerEntry
+from laurelstep.outbox.shared.messages import LeaseRequest, LeaseStatus, StatusUpdate
+from laurelstep.outbox.shared.ports import AgreedLedger, Agreement
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
-__all__ = ["OwnFrontier"]
+__all__ = ["ReplicatedVersionVector"]
 
 SAID_MOST: Final = 4_096
 # Entries on their way at a time, and how long each is told before it is looked at again.
@@ -39,34 +40,36 @@
 SOON_US: Final = 20_000
 
 
-class OwnFrontier:
-    """A `Frontier` and a `Teller`. Made before the outbox is opened; `begin` once it is."""
+class ReplicatedVersionVector:
+    """A `VersionVector` and a `StatusPublisher`. Made before the outbox is opened; `begin` once it is."""
 
-    def __init__(self, record: Ledger, clock: Clock, log: Log) -> None:
+    def __init__(self, record: AgreedLedger, clock: Clock, log: Log) -> None:
         self.record = record
         self.clock = clock
         self.log = log
-        self.sharer: Sharing | None = None
+        self.sharer: Agreement | None = None
         self.life = 0
         self.changed: Callable[[], None] = lambda: None
-        self.claims: dict[Line, Claim] = {}  # of all lives
-        self.wanted: set[Line] = set()
-        self.fenced: set[Line] = set()
-        self.said: dict[Cause, tuple[Dot, Fate]] = {}
+        self.claims: dict[EdgeLog, LeaseRequest] = {}  # of all lives
+        self.wanted: set[EdgeLog] = set()
+        self.fenced: set[EdgeLog] = set()
+        self.said: dict[Dependency, tuple[WriteId, WriteStatus]] = {}
         self.out: dict[Hashable, asyncio.Future[bool]] = {}
         self.timer: Handle | None = None
         self.soon: Handle | None = None
 
-    def begin(self, sharer: Sharing, line: Line, lines: Iterable[Line], changed: Callable[[], None]) -> None:
+    def begin(
+        self, sharer: Agreement, line: EdgeLog, lines: Iterable[EdgeLog], changed: Callable[[], None]
+    ) -> None:
         """`line`: of this life; `lines`: all that this disk has known, durable. `changed` is called when the
         record has."""
         self.sharer = sharer
         self.life = line.incarnation
         self.changed = changed
         known = tuple(one.incarnation for one in lines if one != line)
-        self.claims = {one: Claim(one, self.life, known) for one in lines}
+        self.claims = {one: LeaseRequest(one, self.life, known) for one in lines}
         # Its own needs no claim; that another life has claimed it is to be seen.
-        self.claims[line] = Claim(line, self.life, ())
+        self.claims[line] = LeaseRequest(line, self.life, ())
         self.wanted.add(line)
         self._turn()
 
@@ -79,31 +82,31 @@
 
     # --- Frontier and Teller ------------------------------------------------------------
 
-    def fate(self, cause: Cause) -> Fate:
-        return self.record.fate(cause)
+    def write_status(self, dependency: Dependency) -> WriteStatus:
+        return self.record.write_status(dependency)
 
-    def holds(self, line: Line) -> bool:
+    def holds(self, line: EdgeLog) -> bool:
         self._want(line)
         return self.sharer is not None and self.sharer.ready and self._is_mine(line)
 
-    def tell(self, dot: Dot, fate: Fate) -> bool:
-        cause = Cause(*dot)
-        if cause not in self.said and len(self.said) >= SAID_MOST:
+    def tell(self, write_id: WriteId, write_status: WriteStatus) -> bool:
+        dependency = Dependency(*write_id)
+        if dependency not in self.said and len(self.said) >= SAID_MOST:
             return False
-        self.said.pop(cause, None)
-        self.said[cause] = dot, fate
-        self._want(dot.line)
+        self.said.pop(dependency, None)
+        self.said[dependency] = write_id, write_status
+        self._want(write_id.line)
         return True
 
-    def low(self, line: Line, number: int) -> bool:
-        self.said[Cause(*line, 0, True)] = Dot(*line, number), Fate.IN
+    def low(self, line: EdgeLog, number: int) -> bool:
+        self.said[Dependency(*line, 0, True)] = WriteId(*line, number), WriteStatus.IN
         self._want(line)
         return True
 
-    def telling(self, dot: Dot) -> bool:
-        return Cause(*dot) in self.said
+    def telling(self, write_id: WriteId) -> bool:
+        return Dependency(*write_id) in self.said
 
-    def force(self, line: Line) -> bool:
+    def force(self, line: EdgeLog) -> bool:
         """An operator says that this disk is the right one. False if it holds the line; KeyError if it never
         knew it."""
         claim = self.claims[line]
@@ -115,13 +118,13 @@
         self.heard()
         return True
 
-    def _want(self, line: Line) -> None:
+    def _want(self, line: EdgeLog) -> None:
         if line not in self.wanted:
             self.wanted.add(line)
             if self.sharer is not None:
                 self.heard()
 
-    def _is_mine(self, line: Line) -> bool:
+    def _is_mine(self, line: EdgeLog) -> bool:
         return self.record.holder(line) == self.life
 
     # --- Turns --------------------------------------------------------------------------
@@ -144,16 +147,20 @@
             return
         for line in sorted(self.wanted & self.claims.keys()):
             self._claim(line, self.claims[line])
-        waiting = {cause.line for cause, (_, fate) in self.said.items() if fate is Fate.GONE}
-        for cause in list(self.said):
-            if not (cause.before and cause.line in waiting):
-                self._say(cause)
-
-    def _claim(self, line: Line, claim: Claim) -> None:
+        waiting = {
+            dependency.line
+            for dependency, (_, write_status) in self.said.items()
+            if write_status is WriteStatus.GONE
+        }
+        for dependency in list(self.said):
+            if not (dependency.before and dependency.line in waiting):
+                self._say(dependency)
+
+    def _claim(self, line: EdgeLog, claim: LeaseRequest) -> None:
         became = self.record.claimed(claim)
-        if became is Claimed.HELD and claim.force:  # an operator's word counts once
+        if became is LeaseStatus.HELD and claim.force:  # an operator's word counts once
             self.claims[line] = msgspec.structs.replace(claim, force=False)
-        if became is Claimed.FENCED and line not in self.fenced:
+        if became is LeaseStatus.FENCED and line not in self.fenced:
             self.fenced.add(line)
             self.log(
                 f"outbox: {line.edge}/{line.incarnation:016x}: fenced: another process with a copy of this "
@@ -161,22 +168,22 @@
             )
         entry = self.record.claim_entry(claim)
         if entry is not None:
-            self._agree(line, entry, lambda: self.record.claimed(claim) is not Claimed.OPEN)
+            self._agree(line, entry, lambda: self.record.claimed(claim) is not LeaseStatus.OPEN)
 
-    def _say(self, cause: Cause) -> None:
-        if not self._is_mine(cause.line):
-            if cause.line in self.fenced:
-                del self.said[cause]  # nobody would believe it
+    def _say(self, dependency: Dependency) -> None:
+        if not self._is_mine(dependency.line):
+            if dependency.line in self.fenced:
+                del self.said[dependency]  # nobody would believe it
             return
-        dot, fate = self.said[cause]
-        told = Told(dot, fate, self.life, cause.before)
+        write_id, write_status = self.said[dependency]
+        told = StatusUpdate(write_id, write_status, self.life, dependency.before)
         entry = self.record.said_entry(told)
         if entry is None:
-            del self.said[cause]
+            del self.said[dependency]
         else:
-            self._agree(cause, entry, lambda: self.record.says(told))
+            self._agree(dependency, entry, lambda: self.record.says(told))
 
-    def _agree(self, key: Hashable, entry: Entry, done: Callable[[], bool]) -> None:
+    def _agree(self, key: Hashable, entry: LedgerEntry, done: Callable[[], bool]) -> None:
         if key in self.out or len(self.out) >= OUT_MOST or self.sharer is None:
             return
         future = self.out[key] = self.sharer.agree(entry, done, self.clock.now() + AGREE_US)
--- /dev/null
+++ b/laurelstep/outbox/version_vector.py
@@ -0,0 +1,38 @@
+"""What is known of other edges' writes where nothing is shared, and how others hear of ours. Pure."""
+
+from __future__ import annotations
+
+from typing import Protocol, runtime_checkable
+
+from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
+
+__all__ = ["LocalVersionVector", "StatusPublisher"]
+
+
+@runtime_checkable
+class StatusPublisher(Protocol):
+    """A `VersionVector` through which others hear of this process's writes. It may hear the same again."""
+
+    def tell(self, write_id: WriteId, write_status: WriteStatus) -> bool:
+        """What became of an own write. `IN`, `GONE`: over, with all that it follows. `UNKNOWN`: parked no
+        more. False if there is no room: it is told again later."""
+
+    def low(self, line: EdgeLog, number: int) -> bool:
+        """All of an own line up to a number are over. Those given up were told before."""
+
+    def telling(self, write_id: WriteId) -> bool:
+        """What was told of an own write is not known to the others yet."""
+
+
+class LocalVersionVector:
+    """The version vector of an edge that hears of no other: it replays its own lines."""
+
+    def __init__(self, edge: str) -> None:
+        self.edge = edge
+
+    def write_status(self, dependency: Dependency) -> WriteStatus:
+        return WriteStatus.UNKNOWN
+
+    def holds(self, line: EdgeLog) -> bool:
+        return line.edge == self.edge
--- a/laurelstep/outbox/dots.py
+++ b/laurelstep/outbox/write_ids.py
@@ -1,11 +1,11 @@
 """The names of kept writes. Pure.
 
-1. A dot is the edge's name, an incarnation and a number. One edge name has one installation.
+1. A write id is the edge's name, an incarnation and a number. One edge name has one installation.
 2. An incarnation is 64 random bits, drawn each time a process opens the store for writing. So two processes
    on copies of one disk never give one name to two writes, also while both are cut off from everybody.
 3. Numbers count from 1 within an incarnation, without gaps: a number whose write could not be kept is told
    as given up.
-4. A line is all dots of one edge and incarnation.
+4. A line is all write ids of one edge and incarnation.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from laurelstep.outbox.errors import TokenError
 
-__all__ = ["EDGE_MOST", "Dot", "Line", "check_edge", "read_dot"]
+__all__ = ["EDGE_MOST", "EdgeLog", "WriteId", "check_edge", "parse_write_id"]
 
 # Characters of an edge's name; guards a token's bound.
 EDGE_MOST: Final = 32
@@ -23,14 +23,14 @@
 _DOT: Final = re.compile(r"([a-z0-9.-]+)/([0-9a-f]{16})/([1-9][0-9]{0,17})\Z")
 
 
-class Line(NamedTuple):
+class EdgeLog(NamedTuple):
     """All writes of one edge in one life of its store."""
 
     edge: str
     incarnation: int
 
 
-class Dot(NamedTuple):
+class WriteId(NamedTuple):
     """One kept write. As text: `edge/incarnation in 16 hex digits/number`."""
 
     edge: str
@@ -38,8 +38,8 @@
     number: int
 
     @property
-    def line(self) -> Line:
-        return Line(self.edge, self.incarnation)
+    def line(self) -> EdgeLog:
+        return EdgeLog(self.edge, self.incarnation)
 
     def __str__(self) -> str:
         return f"{self.edge}/{self.incarnation:016x}/{self.number}"
@@ -54,9 +54,9 @@
     return name
 
 
-def read_dot(text: str) -> Dot:
-    """A dot from its text; `TokenError`."""
+def parse_write_id(text: str) -> WriteId:
+    """A write id from its text; `TokenError`."""
     found = _DOT.match(text)
     if found is None or not _EDGE.match(found[1]):
         raise TokenError("not the name of a kept write")
-    return Dot(found[1], int(found[2], 16), int(found[3]))
+    return WriteId(found[1], int(found[2], 16), int(found[3]))
--- a/laurelstep/outbox/rows.py
+++ b/laurelstep/outbox/write_table.py
@@ -1,10 +1,10 @@
 """What is known of each open write, in columns: an object for each would be five times as large. Pure.
 
 1. A row has the number of its node in the graph.
-2. `Places` is a hash table with open addressing and linear probing (Knuth, TAOCP 3, 6.4, algorithms L and R):
-   12 or 16 bytes a place, at most three quarters of them used, and in growth no fewer than three fifths. It
-   grows part by part, so that no call takes long.
-3. `Numbers` is for names given out one by one: 4 bytes a name, and a page for each 64 neighbours.
+2. `IntegerMap` is a hash table with open addressing and linear probing (Knuth, TAOCP 3, 6.4, algorithms L
+   and R): 12 or 16 bytes a place, at most three quarters of them used, and in growth no fewer than three
+   fifths. It grows part by part, so that no call takes long.
+3. `PagedIntegerMap` is for names given out one by one: 4 bytes a name, and a page for each 64 neighbours.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from hashlib import blake2b
 from typing import Final
 
-from laurelstep.outbox.journal import Reason, State
+from laurelstep.outbox.records import ParkingReason, WriteState
 
 __all__ = [
     "BARRIER",
@@ -24,10 +24,10 @@
     "JOIN",
     "ORPHAN",
     "SENT",
-    "Numbers",
-    "Places",
-    "Rows",
-    "short",
+    "IntegerMap",
+    "PagedIntegerMap",
+    "WriteTable",
+    "short_hash",
 ]
 
 FOREIGN: Final = 1  # a write of another line
@@ -40,8 +40,8 @@
 CLOSED: Final = 128  # final, but its followers still wait for its causes
 
 # As enums look them up, at a tenth of the time.
-_STATES: Final = {int(state): state for state in State}
-_REASONS: Final = {int(reason): reason for reason in Reason}
+_STATES: Final = {int(state): state for state in WriteState}
+_REASONS: Final = {int(reason): reason for reason in ParkingReason}
 _EMPTY: Final = 0
 _SMALLEST: Final = 8
 PARTS: Final = 61  # prime: the names need not be spread
@@ -51,7 +51,7 @@
 _WORD: Final = (1 << 64) - 1
 
 
-def short(*parts: bytes) -> int:
+def short_hash(*parts: bytes) -> int:
     """63 bits that stand for a name, never 0; 0 if the last part is empty. Two names that share them are
     taken for one: a write then follows one more than it must; a key's owner is compared with the record."""
     if not parts[-1]:
@@ -60,8 +60,8 @@
     return int.from_bytes(digest, "little") >> 1 or 1
 
 
-class _Part:
-    """One of the tables that a `Places` is made of."""
+class _MapPart:
+    """One of the tables that a `IntegerMap` is made of."""
 
     def __init__(self, kind: str) -> None:
         self._used = 0
@@ -120,12 +120,12 @@
                 self._keys[at], self._values[at] = key, value
 
 
-class Places:
+class IntegerMap:
     """From positive integers to integers; with `wide`, to those of 64 bits. No place has 0."""
 
     def __init__(self, wide: bool = False) -> None:
         self._kind = "q" if wide else "i"
-        self._parts: dict[int, _Part] = {}
+        self._parts: dict[int, _MapPart] = {}
 
     def __len__(self) -> int:
         return sum(map(len, self._parts.values()))
@@ -137,7 +137,7 @@
     def put(self, key: int, value: int) -> None:
         part = self._parts.get(key % PARTS)
         if part is None:
-            part = self._parts[key % PARTS] = _Part(self._kind)
+            part = self._parts[key % PARTS] = _MapPart(self._kind)
         part.put(key, value)
 
     def drop(self, key: int) -> None:
@@ -146,7 +146,7 @@
             part.drop(key)
 
 
-class Numbers:
+class PagedIntegerMap:
     """From integers that are given out one by one to integers that are not negative."""
 
     def __init__(self) -> None:
@@ -178,7 +178,7 @@
             del self._pages[name >> PAGE_BITS]
 
 
-class Rows:
+class WriteTable:
     """The columns. `since`: when its age and window began; `line`: its place in the outbox's list."""
 
     def __init__(self) -> None:
@@ -220,7 +220,7 @@
         else:
             for column in columns:
                 column[row] = 0
-        self.state[row], self.flags[row] = State.KEPT, flags
+        self.state[row], self.flags[row] = WriteState.KEPT, flags
 
     def has(self, row: int, flag: int) -> bool:
         return bool(self.flags[row] & flag)
@@ -228,8 +228,8 @@
     def set(self, row: int, flag: int, on: bool = True) -> None:
         self.flags[row] = self.flags[row] | flag if on else self.flags[row] & ~flag
 
-    def state_of(self, row: int) -> State:
+    def state_of(self, row: int) -> WriteState:
         return _STATES[self.state[row]]
 
-    def reason_of(self, row: int) -> Reason:
+    def reason_of(self, row: int) -> ParkingReason:
         return _REASONS[self.reason[row]]
--- a/laurelstep/settings/operator.py
+++ b/laurelstep/settings/operator.py
@@ -17,10 +17,10 @@
 from laurelstep.accord.options import AccordSettings, LinkKind, problem_of, seats_for
 from laurelstep.orders.book import OrderClass, Orders
 from laurelstep.outbox.options import (
+    EdgeLost,
     How,
-    KeptClass,
-    Lost,
     OutboxSettings,
+    QueuedClass,
     Upstream,
     class_problem,
     shared_problem,
@@ -44,7 +44,7 @@
     "seats": tuple(map(str, get_args(Seats))),
     "start_alone": get_args(StartAlone),
     "keep": get_args(How),
-    "lost": get_args(Lost),
+    "lost": get_args(EdgeLost),
     "upstream": get_args(Upstream),
 }
 
@@ -343,7 +343,7 @@
     cut_ms: Annotated[int, msgspec.Meta(ge=100)] = 3_000
     back_ms: Annotated[int, msgspec.Meta(ge=10)] = 1_000
     replay_most: Annotated[int, msgspec.Meta(ge=1, le=1024)] = 8
-    lost: Lost = "park"
+    lost: EdgeLost = "park"
     upstream: Upstream = "servers"
     shared: bool = False
 
@@ -362,7 +362,7 @@
 
     def settings(self) -> OutboxSettings:
         classes = {
-            one.name: KeptClass(one.keep, 0 if one.window_s is None else one.window_s * 1_000_000)
+            one.name: QueuedClass(one.keep, 0 if one.window_s is None else one.window_s * 1_000_000)
             for one in self.classes
         }
         return OutboxSettings(
--- a/laurelstep/testing/contracts/outbox.py
+++ b/laurelstep/testing/contracts/outbox.py
@@ -10,14 +10,14 @@
 
 from msgspec.structs import replace
 
-from laurelstep.outbox.dots import Dot, Line
-from laurelstep.outbox.journal import KeptWrite, Moved, State
 from laurelstep.outbox.options import CHUNK
-from laurelstep.outbox.store import Loaded
+from laurelstep.outbox.queue_store import LoadedWrites
+from laurelstep.outbox.records import QueuedWrite, StateChange, WriteState
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from laurelstep.store.disk import StoreError
 from laurelstep.testing.contracts.base import Contract, raises, turns
 
-LINE: Final = Line("studio-1", 7)
+LINE: Final = EdgeLog("studio-1", 7)
 # Of bodies: none, one part, its bound, and several parts.
 SIZES: Final = (0, 1, 65_536, 65_537, 400_000)
 # Turns of the loop after which the crash comes.
@@ -27,17 +27,17 @@
 class WriteStore(Protocol):
     """What the outbox's driver asks of it."""
 
-    async def load(self) -> Loaded: ...
-    async def keep(self, write: KeptWrite, body: bytes) -> None: ...
-    async def put_parts(self, dot: Dot, at: int, parts: Sequence[bytes]) -> None: ...
-    async def put_head(self, write: KeptWrite, first: bytes) -> None: ...
-    async def move(self, moved: Moved) -> None: ...
-    async def read(self, dot: Dot) -> tuple[KeptWrite, bytes] | None: ...
-    async def head(self, dot: Dot) -> tuple[KeptWrite, bytes] | None: ...
-    async def part(self, dot: Dot, at: int) -> bytes: ...
-    async def moved(self, dot: Dot) -> Moved | None: ...
-    async def forget(self, dot: Dot, size: int) -> bool: ...
-    async def put_lines(self, lines: Mapping[Line, int]) -> None: ...
+    async def load(self) -> LoadedWrites: ...
+    async def keep(self, write: QueuedWrite, body: bytes) -> None: ...
+    async def put_parts(self, write_id: WriteId, at: int, parts: Sequence[bytes]) -> None: ...
+    async def put_head(self, write: QueuedWrite, first: bytes) -> None: ...
+    async def move(self, moved: StateChange) -> None: ...
+    async def read(self, write_id: WriteId) -> tuple[QueuedWrite, bytes] | None: ...
+    async def head(self, write_id: WriteId) -> tuple[QueuedWrite, bytes] | None: ...
+    async def part(self, write_id: WriteId, at: int) -> bytes: ...
+    async def moved(self, write_id: WriteId) -> StateChange | None: ...
+    async def forget(self, write_id: WriteId, size: int) -> bool: ...
+    async def put_lines(self, lines: Mapping[EdgeLog, int]) -> None: ...
 
 
 class Lives(Protocol):
@@ -55,23 +55,35 @@
         """From now on, until the next process, nothing can be written."""
 
 
-def dot_of(number: int) -> Dot:
-    return Dot(*LINE, number)
+def dot_of(number: int) -> WriteId:
+    return WriteId(*LINE, number)
 
 
-def write_of(number: int, size: int) -> KeptWrite:
-    return KeptWrite(
-        dot=dot_of(number), cls="upload", start=b"POST /upload", headers=((b"x-request-id", b"%d" % number),),
-        size=size, digest=b"d" * 16, keyed=True, key=b"k%d" % number, session=b"", obj=b"", tenant="",
-        causes=(), wall=1, window_us=2, life=0,
-    )  # fmt: skip
+def write_of(number: int, size: int) -> QueuedWrite:
+    return QueuedWrite(
+        write_id=dot_of(number),
+        cls="upload",
+        start=b"POST /upload",
+        headers=((b"x-request-id", b"%d" % number),),
+        size=size,
+        digest=b"d" * 16,
+        keyed=True,
+        key=b"k%d" % number,
+        session=b"",
+        obj=b"",
+        tenant="",
+        dependencies=(),
+        wall=1,
+        window_us=2,
+        life=0,
+    )
 
 
 def body_of(number: int, size: int) -> bytes:
     return bytes((number + at) % 251 for at in range(251)) * (size // 251 + 1) if size else b""
 
 
-def made(number: int, size: int) -> tuple[KeptWrite, bytes]:
+def made(number: int, size: int) -> tuple[QueuedWrite, bytes]:
     return write_of(number, size), body_of(number, size)[:size]
 
 
@@ -80,15 +92,15 @@
     return [body[at : at + CHUNK] for at in range(0, len(body), CHUNK)]
 
 
-async def keep_in_parts(store: WriteStore, write: KeptWrite, body: bytes) -> None:
+async def keep_in_parts(store: WriteStore, write: QueuedWrite, body: bytes) -> None:
     """As a body that is still coming is kept: two parts at a time, the head last."""
     parts = parts_of(body)
     for at in range(1, len(parts), 2):
-        await store.put_parts(write.dot, at, parts[at : at + 2])
+        await store.put_parts(write.write_id, at, parts[at : at + 2])
     await store.put_head(write, parts[0])
 
 
-def as_loaded(write: KeptWrite) -> KeptWrite:
+def as_loaded(write: QueuedWrite) -> QueuedWrite:
     """Without what only a replay needs."""
     return replace(write, start=b"", headers=(), digest=b"")
 
@@ -141,7 +153,7 @@
                     await lives.crash()
                     keeping.cancel()
                     await asyncio.gather(keeping, return_exceptions=True)
-                    found = [one.dot.number for one, _ in (await lives.store.load()).writes]
+                    found = [one.write_id.number for one, _ in (await lives.store.load()).writes]
                     assert found in ([1], [1, 2]) and (not told or 2 in found), f"{found} after {crash}"
                     for number, size in zip(found, (10, 200_000), strict=False):
                         assert await lives.store.read(dot_of(number)) == made(number, size)
@@ -154,15 +166,15 @@
                 await lives.store.load()
                 for number in (1, 2):
                     await lives.store.keep(*made(number, 100_000))
-                out = Moved(dot_of(1), State.OUT)
-                done = Moved(dot_of(1), State.DONE, status=200, body=b"ok")
+                out = StateChange(dot_of(1), WriteState.OUT)
+                done = StateChange(dot_of(1), WriteState.DONE, status=200, body=b"ok")
                 await lives.store.move(out)
-                await lives.store.move(Moved(dot_of(2), State.OUT))
+                await lives.store.move(StateChange(dot_of(2), WriteState.OUT))
                 await lives.store.move(done)
                 for restart in (lives.restart, lives.crash):
                     await restart()
-                    found = {one.dot.number: moved for one, moved in (await lives.store.load()).writes}
-                    assert found == {1: replace(done, body=b""), 2: Moved(dot_of(2), State.OUT)}
+                    found = {one.write_id.number: moved for one, moved in (await lives.store.load()).writes}
+                    assert found == {1: replace(done, body=b""), 2: StateChange(dot_of(2), WriteState.OUT)}
                     assert await lives.store.moved(dot_of(1)) == done
                     assert await lives.store.read(dot_of(2)) == made(2, 100_000)
 
@@ -173,7 +185,7 @@
             async with self.lives() as lives:
                 await lives.store.load()
                 await lives.store.keep(*made(1, 200_000))
-                await lives.store.move(Moved(dot_of(1), State.PARKED))
+                await lives.store.move(StateChange(dot_of(1), WriteState.PARKED))
                 await lives.store.put_lines({LINE: 9})
                 assert await lives.store.forget(dot_of(1), 200_000)
                 assert await lives.store.read(dot_of(1)) is None
@@ -193,11 +205,11 @@
                 with raises(StoreError, "a write on a disk that fails"):
                     await lives.store.keep(*made(2, 200_000))
                 with raises(StoreError, "a state on a disk that fails"):
-                    await lives.store.move(Moved(dot_of(1), State.OUT))
+                    await lives.store.move(StateChange(dot_of(1), WriteState.OUT))
                 assert await lives.store.read(dot_of(1)) == made(1, 100_000)
                 assert await lives.store.read(dot_of(2)) is None
                 await lives.restart()
-                found = [one.dot.number for one, _ in (await lives.store.load()).writes]
+                found = [one.write_id.number for one, _ in (await lives.store.load()).writes]
                 assert found in ([1], [1, 2])
 
         self.run(main())
@@ -209,14 +221,14 @@
                 write, body = made(1, 400_000)
                 parts = parts_of(body)
                 for at in range(1, len(parts), 2):
-                    await lives.store.put_parts(write.dot, at, parts[at : at + 2])
-                    assert await lives.store.read(write.dot) is None
+                    await lives.store.put_parts(write.write_id, at, parts[at : at + 2])
+                    assert await lives.store.read(write.write_id) is None
                 await lives.store.put_head(write, parts[0])
                 for restart in (lives.restart, lives.crash):
-                    assert await lives.store.head(write.dot) == (write, parts[0])
-                    found = [await lives.store.part(write.dot, at) for at in range(1, len(parts))]
+                    assert await lives.store.head(write.write_id) == (write, parts[0])
+                    found = [await lives.store.part(write.write_id, at) for at in range(1, len(parts))]
                     assert found == parts[1:]
-                    assert await lives.store.read(write.dot) == (write, body)
+                    assert await lives.store.read(write.write_id) == (write, body)
                     await restart()
                     assert [one for one, _ in (await lives.store.load()).writes] == [as_loaded(write)]
 
@@ -227,16 +239,16 @@
             async with self.lives() as lives:
                 await lives.store.load()
                 write, body = made(1, 400_000)
-                await lives.store.put_parts(write.dot, 1, parts_of(body)[1:])
-                assert await lives.store.head(write.dot) is None
+                await lives.store.put_parts(write.write_id, 1, parts_of(body)[1:])
+                assert await lives.store.head(write.write_id) is None
                 await lives.crash()
                 assert (await lives.store.load()).writes == []
                 with raises(StoreError, "a part of a write that was never kept"):
-                    await lives.store.part(write.dot, 1)
-                await lives.store.put_parts(write.dot, 1, parts_of(body)[1:3])
-                assert await lives.store.forget(write.dot, len(body))
+                    await lives.store.part(write.write_id, 1)
+                await lives.store.put_parts(write.write_id, 1, parts_of(body)[1:3])
+                assert await lives.store.forget(write.write_id, len(body))
                 with raises(StoreError, "a part that was forgotten"):
-                    await lives.store.part(write.dot, 1)
+                    await lives.store.part(write.write_id, 1)
 
         self.run(main())
 
@@ -254,7 +266,7 @@
                     await asyncio.gather(keeping, return_exceptions=True)
                     found = [one for one, _ in (await lives.store.load()).writes]
                     assert found in ([], [as_loaded(write)]) and (not told or found), f"{found} after {crash}"
-                    assert await lives.store.read(write.dot) == ((write, body) if found else None)
+                    assert await lives.store.read(write.write_id) == ((write, body) if found else None)
 
         self.run(main())
 
@@ -264,13 +276,13 @@
                 await lives.store.load()
                 write, body = made(1, 100_000)
                 parts = parts_of(body)
-                await lives.store.put_parts(write.dot, 1, parts[1:])
+                await lives.store.put_parts(write.write_id, 1, parts[1:])
                 lives.break_()
                 with raises(StoreError, "a part on a disk that fails"):
-                    await lives.store.put_parts(write.dot, 2, [b"x"])
+                    await lives.store.put_parts(write.write_id, 2, [b"x"])
                 with raises(StoreError, "a head on a disk that fails"):
                     await lives.store.put_head(write, parts[0])
-                assert await lives.store.read(write.dot) is None
+                assert await lives.store.read(write.write_id) is None
                 await lives.restart()
                 found = [one for one, _ in (await lives.store.load()).writes]
                 assert found in ([], [as_loaded(write)])
--- a/tests/faulty_outbox.py
+++ b/tests/faulty_outbox.py
@@ -10,20 +10,20 @@
 import msgspec
 
 from laurelstep.engine.call import Answer, Call, Ending
-from laurelstep.outbox import driver, replay
-from laurelstep.outbox.dots import Dot
+from laurelstep.outbox import driver, replay_queue
 from laurelstep.outbox.driver import OutboxDriver
-from laurelstep.outbox.journal import KeptWrite, Verdict
+from laurelstep.outbox.messages import ReplayResult, Transition, WriteOffer, WriteTicket
 from laurelstep.outbox.outbox import Outbox
-from laurelstep.outbox.receipts import Receipt, show
-from laurelstep.outbox.terms import Change, End, Offer, Ticket
+from laurelstep.outbox.receipts import WriteReceipt, show
+from laurelstep.outbox.records import QueuedWrite, Resolution
+from laurelstep.outbox.write_ids import WriteId
 
 
 def forgets() -> None:
     """What earlier lives kept."""
     real = Outbox.restore
 
-    def restore(self: Outbox, writes: Any, *more: Any, **options: Any) -> list[Change]:
+    def restore(self: Outbox, writes: Any, *more: Any, **options: Any) -> list[Transition]:
         return real(self, [], *more)
 
     Outbox.restore = restore  # type: ignore[method-assign,assignment]
@@ -33,8 +33,8 @@
     """An unsafe write whose answer was lost."""
     real = Outbox.ended
 
-    def ended(self: Outbox, dot: Dot, end: End, *more: Any) -> Change:
-        return real(self, dot, End.NOT_RUN if end is End.MAY_HAVE_RUN else end, *more)
+    def ended(self: Outbox, write_id: WriteId, end: ReplayResult, *more: Any) -> Transition:
+        return real(self, write_id, ReplayResult.NOT_RUN if end is ReplayResult.MAY_HAVE_RUN else end, *more)
 
     Outbox.ended = ended  # type: ignore[method-assign,assignment]
 
@@ -43,27 +43,27 @@
     """What came last, whatever it follows."""
     real = Outbox.offer
 
-    def offer(self: Outbox, one: Offer, *more: Any) -> Ticket:
+    def offer(self: Outbox, one: WriteOffer, *more: Any) -> WriteTicket:
         return real(self, alone(one), *more)
 
-    def alone(one: Offer) -> Offer:
-        return Offer(one.cls, one.start, one.headers, one.size, one.digest, one.key, tenant=one.tenant)
+    def alone(one: WriteOffer) -> WriteOffer:
+        return WriteOffer(one.cls, one.start, one.headers, one.size, one.digest, one.key, tenant=one.tenant)
 
     Outbox.offer = offer  # type: ignore[method-assign,assignment]
-    replay.Turns.next = lambda self: self._ready.pop()  # type: ignore[method-assign]
+    replay_queue.ReplayQueue.next = lambda self: self._ready.pop()  # type: ignore[method-assign]
 
 
-def _replays(change: Callable[[KeptWrite, bytes], tuple[KeptWrite, bytes]]) -> None:
+def _replays(change: Callable[[QueuedWrite, bytes], tuple[QueuedWrite, bytes]]) -> None:
     real = OutboxDriver._call
 
-    def call(self: OutboxDriver, write: KeptWrite, body: bytes, *more: Any) -> Call:
+    def call(self: OutboxDriver, write: QueuedWrite, body: bytes, *more: Any) -> Call:
         return real(self, *change(write, body), *more)
 
     OutboxDriver._call = call  # type: ignore[method-assign,assignment]
 
 
 def drops_the_key() -> None:
-    def change(write: KeptWrite, body: bytes) -> tuple[KeptWrite, bytes]:
+    def change(write: QueuedWrite, body: bytes) -> tuple[QueuedWrite, bytes]:
         headers = tuple(one for one in write.headers if one[0] != b"idempotency-key")
         return msgspec.structs.replace(write, headers=headers), body
 
@@ -75,30 +75,30 @@
 
 
 def refuses_what_it_keeps() -> None:
-    OutboxDriver._kept = lambda self, dot: Answer(Ending.REFUSED, 503)  # type: ignore[method-assign]
+    OutboxDriver._kept = lambda self, write_id: Answer(Ending.REFUSED, 503)  # type: ignore[method-assign]
 
 
 def sends_nothing() -> None:
-    async def send(self: OutboxDriver, dot: Dot, *more: Any) -> None:
-        await self._end(dot, End.ANSWERED, Answer(Ending.SERVED, 200))
+    async def send(self: OutboxDriver, write_id: WriteId, *more: Any) -> None:
+        await self._end(write_id, ReplayResult.ANSWERED, Answer(Ending.SERVED, 200))
 
     OutboxDriver._send = send  # type: ignore[method-assign]
 
 
 def tells_no_reason() -> None:
-    def told(receipt: Receipt) -> bytes:
+    def told(receipt: WriteReceipt) -> bytes:
         return msgspec.json.encode({**msgspec.json.decode(show(receipt)), "reason": ""})
 
     driver.show = told  # type: ignore[attr-defined]
 
 
 def runs_what_is_given_up() -> None:
-    real = OutboxDriver.judge
+    real = OutboxDriver.resolve
 
-    def judge(self: OutboxDriver, text: str, parking: int, verdict: Verdict) -> bool:
-        return real(self, text, parking, Verdict.NEVER_RAN)
+    def resolve(self: OutboxDriver, text: str, parking: int, resolution: Resolution) -> bool:
+        return real(self, text, parking, Resolution.NEVER_RAN)
 
-    OutboxDriver.judge = judge  # type: ignore[method-assign]
+    OutboxDriver.resolve = resolve  # type: ignore[method-assign]
 
 
 FAULTS = {
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -15,12 +15,12 @@
 from laurelstep.library import Client
 from laurelstep.orders.book import answer_of, order_key
 from laurelstep.orders.recorder import OrderRecorder
-from laurelstep.outbox.causes import Tokens
-from laurelstep.outbox.dots import Dot, Line
-from laurelstep.outbox.frontier import Alone
-from laurelstep.outbox.journal import Event, Reason
-from laurelstep.outbox.outbox import Bounds, End, KeptClass, Offer, Outbox
-from laurelstep.outbox.store import KeptStore
+from laurelstep.outbox.dependencies import CausalityTokens
+from laurelstep.outbox.outbox import Outbox, OutboxBounds, QueuedClass, ReplayResult, WriteOffer
+from laurelstep.outbox.queue_store import QueueStore
+from laurelstep.outbox.records import ParkingReason, WriteEvent
+from laurelstep.outbox.version_vector import LocalVersionVector
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from laurelstep.store import FolderDisk, Options, Store
 from laurelstep.store.clock import (
     NOTE_INTERVAL_MS,
@@ -43,7 +43,7 @@
 FIXTURE_KEEP_MS = 60_000
 FIXTURE_DIGEST = bytes(range(16))
 WINDOW_MS = 10 * HOUR_MS
-ALBUM = KeptClass("album", True, WINDOW_MS * 1000)
+ALBUM = QueuedClass("album", True, WINDOW_MS * 1000)
 
 
 @dataclass
@@ -312,8 +312,8 @@
 
 
 @contextlib.asynccontextmanager
-async def kept(machine: Machine, disk: SimulatedDisk) -> AsyncIterator[KeptStore]:
-    store = await KeptStore.open(disk, 1 << 20, clocks=machine.clocks())
+async def kept(machine: Machine, disk: SimulatedDisk) -> AsyncIterator[QueueStore]:
+    store = await QueueStore.open(disk, 1 << 20, clocks=machine.clocks())
     try:
         yield store
     finally:
@@ -362,11 +362,17 @@
         self.machine, self.disk = Machine(), SimulatedDisk()
 
     @contextlib.asynccontextmanager
-    async def life(self, incarnation: int) -> AsyncIterator[tuple[KeptStore, Outbox]]:
+    async def life(self, incarnation: int) -> AsyncIterator[tuple[QueueStore, Outbox]]:
         async with kept(self.machine, self.disk) as store:
-            bounds = Bounds(replay_most=1_000)
-            line = Line("ash", incarnation)
-            outbox = Outbox(line, {"album": ALBUM}, bounds, Tokens(b"the secret of all edges"), Alone("ash"))
+            bounds = OutboxBounds(replay_most=1_000)
+            line = EdgeLog("ash", incarnation)
+            outbox = Outbox(
+                line,
+                {"album": ALBUM},
+                bounds,
+                CausalityTokens(b"the secret of all edges"),
+                LocalVersionVector("ash"),
+            )
             loaded = await store.load()
             changes = outbox.restore(
                 loaded.writes,
@@ -384,20 +390,20 @@
     def now_us(self) -> int:
         return self.machine.monotonic_ms * 1000
 
-    async def keep_and_send(self) -> Dot:
+    async def keep_and_send(self) -> WriteId:
         """One keyed write, sent, its answer lost with the process."""
         async with self.life(1) as (store, outbox):
-            offer = Offer("album", b"POST /", (), 0, b"", b"key")
+            offer = WriteOffer("album", b"POST /", (), 0, b"", b"key")
             ticket = outbox.offer(offer, self.now_us(), store.time_us())
             assert ticket.write is not None
             await store.keep(ticket.write, b"")
-            outbox.stored(ticket.dot, self.now_us())
+            outbox.stored(ticket.write_id, self.now_us())
             (change,) = outbox.due(self.now_us())
             await store.move(change.moved)
-            return ticket.dot
+            return ticket.write_id
 
-    def sends(self, outbox: Outbox) -> list[Dot]:
-        return [one.dot for one in outbox.due(self.now_us()) if one.event is Event.SEND]
+    def sends(self, outbox: Outbox) -> list[WriteId]:
+        return [one.write_id for one in outbox.due(self.now_us()) if one.event is WriteEvent.SEND]
 
 
 @pytest.mark.parametrize("step_ms", STEPS)
@@ -405,13 +411,13 @@
     async def main() -> None:
         for passed_ms, is_within in ((WINDOW_MS - HOUR_MS, True), (WINDOW_MS + 500, False)):
             edge = Edge()
-            dot = await edge.keep_and_send()
+            write_id = await edge.keep_and_send()
             edge.machine.steps(step_ms)
             edge.machine.passes(passed_ms)
             async with edge.life(2) as (_, outbox):
-                assert edge.sends(outbox) == ([dot] if is_within else [])
+                assert edge.sends(outbox) == ([write_id] if is_within else [])
                 if not is_within:
-                    assert outbox.receipt(dot).reason is Reason.MAY_HAVE_RUN
+                    assert outbox.receipt(write_id).reason is ParkingReason.MAY_HAVE_RUN
 
     run(main())
 
@@ -421,21 +427,21 @@
     async def main() -> None:
         for passed_ms in (HOUR_MS, WINDOW_MS - HOUR_MS // 2, WINDOW_MS + 500):
             edge = Edge()
-            dot = await edge.keep_and_send()
+            write_id = await edge.keep_and_send()
             edge.machine.steps(step_ms)
             edge.machine.reboots(down_ms=passed_ms)
             async with edge.life(2) as (_, outbox):
                 # An hour is allowed for a step back before that: so much of the window is not used.
                 is_sent = passed_ms + step_ms + STEP_MOST_MS < WINDOW_MS
                 assert not is_sent or passed_ms < WINDOW_MS
-                assert edge.sends(outbox) == ([dot] if is_sent else [])
-                assert is_sent or outbox.receipt(dot).reason is Reason.MAY_HAVE_RUN
+                assert edge.sends(outbox) == ([write_id] if is_sent else [])
+                assert is_sent or outbox.receipt(write_id).reason is ParkingReason.MAY_HAVE_RUN
         edge = Edge()
-        dot = await edge.keep_and_send()
+        write_id = await edge.keep_and_send()
         edge.machine.steps(-HOUR_MS)
         edge.machine.reboots(down_ms=HOUR_MS - 1)
         async with edge.life(2) as (_, outbox):
-            assert edge.sends(outbox) == [] and outbox.receipt(dot).reason is Reason.MAY_HAVE_RUN
+            assert edge.sends(outbox) == [] and outbox.receipt(write_id).reason is ParkingReason.MAY_HAVE_RUN
 
     run(main())
 
@@ -446,11 +452,11 @@
 
     async def main() -> None:
         edge = Edge()
-        dot = await edge.keep_and_send()
+        write_id = await edge.keep_and_send()
         async with edge.life(2) as (store, outbox):
             (change,) = outbox.due(edge.now_us())
-            assert change.event is Event.SEND and outbox.apply(change, edge.now_us())
-            change = outbox.ended(dot, End.ANSWERED, edge.now_us(), store.time_us(), 200)
+            assert change.event is WriteEvent.SEND and outbox.apply(change, edge.now_us())
+            change = outbox.ended(write_id, ReplayResult.ANSWERED, edge.now_us(), store.time_us(), 200)
             await store.move(change.moved)
         edge.machine.steps(step_ms)
         edge.machine.reboots(down_ms=30_000)
@@ -458,6 +464,6 @@
             edge.machine.passes(outbox.bounds.receipt_us // 1000 - 30_001)
             assert outbox.forgettable(edge.now_us()) == []
             edge.machine.passes(30_001 + STEP_MOST_MS)
-            assert outbox.forgettable(edge.now_us()) == [dot]
+            assert outbox.forgettable(edge.now_us()) == [write_id]
 
     run(main())
--- a/tests/test_folders_of_earlier_versions.py
+++ b/tests/test_folders_of_earlier_versions.py
@@ -12,9 +12,9 @@
 import pytest
 
 from laurelstep.outbox import driver as driving
-from laurelstep.outbox.dots import read_dot
-from laurelstep.outbox.journal import State
-from laurelstep.outbox.store import KeptStore
+from laurelstep.outbox.queue_store import QueueStore
+from laurelstep.outbox.records import WriteState
+from laurelstep.outbox.write_ids import parse_write_id
 from laurelstep.store.clock import SYSTEM_CLOCKS
 from tests.sockets import run
 from tests.test_node import Tier
@@ -37,28 +37,30 @@
 ) -> None:
     before = told("outbox-9af0195")
     an_hour_later = replace(SYSTEM_CLOCKS, wall_ms=lambda: (before["wall_us"] + HOUR_US) // 1000)
-    monkeypatch.setattr(KeptStore, "open", functools.partial(KeptStore.open, clocks=an_hour_later))
+    monkeypatch.setattr(QueueStore, "open", functools.partial(QueueStore.open, clocks=an_hour_later))
     monkeypatch.setattr(driving, "TURN_US", 10_000)
 
     async def main() -> None:
         folder = copy_of("outbox-9af0195", tmp_path)
         async with edge(str(folder), off=False) as one:  # type: ignore[arg-type]
             driver = one.driver
-            dots = {name: read_dot(found["write"]) for name, found in before["told"].items()}
+            write_ids = {name: parse_write_id(found["write"]) for name, found in before["told"].items()}
             for name, found in before["told"].items():
-                (cause,) = driver.tokens.read(found["receipt"])
-                assert cause.dot == dots[name], "the secret is the same, and so are the receipts"
-            done = await driver.receipt(dots["done"])
-            assert (done.state, done.status, done.body) == (State.DONE, 200, b"done")
-            assert (await driver.receipt(dots["parked"])).state is State.PARKED
-            assert list(driver.parked) == [dots["parked"]]
+                (dependency,) = driver.tokens.read(found["receipt"])
+                assert dependency.write_id == write_ids[name], (
+                    "the secret is the same, and so are the receipts"
+                )
+            done = await driver.receipt(write_ids["done"])
+            assert (done.state, done.status, done.body) == (WriteState.DONE, 200, b"done")
+            assert (await driver.receipt(write_ids["parked"])).state is WriteState.PARKED
+            assert list(driver.parked) == [write_ids["parked"]]
             await one.until(lambda: driver.outbox.count == 1)  # the parked one
             effects = one.endpoint.effects.by_id
             assert len(one.endpoint.got) == 2 and set(effects.values()) == {1}
             bodies = sorted((message.body for message in one.endpoint.got), key=len)
             assert bodies == [b"sum", b"album" * 20_000]
             for name in ("keyed", "unsafe"):
-                assert (await driver.receipt(dots[name])).state is State.DONE
+                assert (await driver.receipt(write_ids[name])).state is WriteState.DONE
 
     run(main())
 
--- a/tests/test_outbox.py
+++ b/tests/test_outbox.py
@@ -10,11 +10,17 @@
 
 import pytest
 
-from laurelstep.outbox.ages import Ages
-from laurelstep.outbox.aside import Aside
-from laurelstep.outbox.causes import CAUSES_MOST, TOKEN_MOST, Cause, Fate, Tokens, merge
-from laurelstep.outbox.cutoff import CutOff, CutOffRule
-from laurelstep.outbox.dots import Dot, Line, check_edge, read_dot
+from laurelstep.outbox.background_replay import BackgroundReplay
+from laurelstep.outbox.cutoff import CutOffDetector, CutOffRule
+from laurelstep.outbox.dependencies import (
+    DEPENDENCIES_MOST,
+    TOKEN_MOST,
+    CausalityTokens,
+    Dependency,
+    WriteStatus,
+    merge,
+)
+from laurelstep.outbox.dependency_graph import DependencyGraph
 from laurelstep.outbox.errors import (
     CycleError,
     FullError,
@@ -27,37 +33,38 @@
     UnknownWriteError,
     VerdictError,
 )
-from laurelstep.outbox.graph import Graph
-from laurelstep.outbox.journal import (
-    TABLE,
-    Event,
-    KeptWrite,
-    Moved,
-    Reason,
-    State,
-    Verdict,
-    decode_kept,
-    decode_moved,
+from laurelstep.outbox.expiry_queue import ExpiryQueue
+from laurelstep.outbox.outbox import Outbox, OutboxBounds, QueuedClass, ReplayResult, Transition, WriteOffer
+from laurelstep.outbox.receipts import REASONS, WriteReceipt, show
+from laurelstep.outbox.records import (
+    TRANSITIONS,
+    ParkingReason,
+    QueuedWrite,
+    Resolution,
+    StateChange,
+    WriteEvent,
+    WriteState,
+    decode_state_change,
+    decode_write,
     encode,
-    follow,
+    next_state,
 )
-from laurelstep.outbox.outbox import Bounds, Change, End, KeptClass, Offer, Outbox
-from laurelstep.outbox.receipts import REASONS, Receipt, show
-from laurelstep.outbox.replay import Pace, Turns
-from laurelstep.outbox.rows import Numbers, Places, short
+from laurelstep.outbox.replay_queue import ReplayPacer, ReplayQueue
+from laurelstep.outbox.write_ids import EdgeLog, WriteId, check_edge, parse_write_id
+from laurelstep.outbox.write_table import IntegerMap, PagedIntegerMap, short_hash
 from tests.once import once
 
 pytestmark = once
 
 
 class LocalFrontier:
-    """A `Frontier` that knows what it was told. What is declared lost is gone, and never taken back; `IN` and
-    `GONE` stay. All lines are its own."""
+    """A `VersionVector` that knows what it was told. What is declared lost is gone, and never taken back;
+    `IN` and `GONE` stay. All lines are its own."""
 
     def __init__(self) -> None:
         self.lost_edges: set[str] = set()
-        self.lost_lines: set[Line] = set()
-        self._told: dict[Dot, Fate] = {}
+        self.lost_lines: set[EdgeLog] = set()
+        self._told: dict[WriteId, WriteStatus] = {}
 
     def declare_lost(self, edge: str, incarnation: int | None = None) -> bool:
         """False if that was said before."""
@@ -65,22 +72,26 @@
             known = edge in self.lost_edges
             self.lost_edges.add(edge)
         else:
-            known = Line(edge, incarnation) in self.lost_lines
-            self.lost_lines.add(Line(edge, incarnation))
+            known = EdgeLog(edge, incarnation) in self.lost_lines
+            self.lost_lines.add(EdgeLog(edge, incarnation))
         return not known
 
-    def tell(self, dot: Dot, fate: Fate) -> None:
-        if self._told.get(dot) not in (Fate.IN, Fate.GONE):
-            self._told[dot] = fate
-
-    def fate(self, cause: Cause) -> Fate:
-        told = Fate.UNKNOWN if cause.before else self._told.get(cause.dot, Fate.UNKNOWN)
-        if told is Fate.IN:
+    def tell(self, write_id: WriteId, write_status: WriteStatus) -> None:
+        if self._told.get(write_id) not in (WriteStatus.IN, WriteStatus.GONE):
+            self._told[write_id] = write_status
+
+    def write_status(self, dependency: Dependency) -> WriteStatus:
+        told = (
+            WriteStatus.UNKNOWN
+            if dependency.before
+            else self._told.get(dependency.write_id, WriteStatus.UNKNOWN)
+        )
+        if told is WriteStatus.IN:
             return told
-        gone = cause.edge in self.lost_edges or cause.line in self.lost_lines
-        return Fate.GONE if gone else told
+        gone = dependency.edge in self.lost_edges or dependency.line in self.lost_lines
+        return WriteStatus.GONE if gone else told
 
-    def holds(self, line: Line) -> bool:
+    def holds(self, line: EdgeLog) -> bool:
         return True
 
 
@@ -88,83 +99,83 @@
 HOUR = 3_600 * SECOND
 YEAR = 365 * 24 * HOUR
 WALL = 1_790_000_000 * SECOND
-TOKENS = Tokens(b"the secret of all edges")
-CLASSES = {"album": KeptClass("album", True, 10 * HOUR), "print": KeptClass("print", False)}
-ASH = Line("ash", 7)
-ASH_LATER = Line("ash", 8)
+TOKENS = CausalityTokens(b"the secret of all edges")
+CLASSES = {"album": QueuedClass("album", True, 10 * HOUR), "print": QueuedClass("print", False)}
+ASH = EdgeLog("ash", 7)
+ASH_LATER = EdgeLog("ash", 8)
 
 
 class Known:
-    """A frontier that knows what a test says."""
+    """A version vector that knows what a test says."""
 
     def __init__(self) -> None:
-        self.fates: dict[Cause, Fate] = {}
+        self.write_statuses: dict[Dependency, WriteStatus] = {}
         self.held = True
 
-    def fate(self, cause: Cause) -> Fate:
-        return self.fates.get(cause, Fate.UNKNOWN)
+    def write_status(self, dependency: Dependency) -> WriteStatus:
+        return self.write_statuses.get(dependency, WriteStatus.UNKNOWN)
 
-    def holds(self, line: Line) -> bool:
+    def holds(self, line: EdgeLog) -> bool:
         return self.held
 
 
-class Desk:
+class OutboxApi:
     """An outbox, and its driver with a disk that never fails."""
 
-    def __init__(self, line: Line = ASH, bounds: Bounds | None = None) -> None:
+    def __init__(self, line: EdgeLog = ASH, bounds: OutboxBounds | None = None) -> None:
         self.known = Known()
-        self.bounds = bounds or Bounds(replay_most=1_000)
+        self.bounds = bounds or OutboxBounds(replay_most=1_000)
         self.outbox = Outbox(line, CLASSES, self.bounds, TOKENS, self.known)
         self.outbox.pace.limit = self.bounds.replay_most
-        self.kept: dict[Dot, KeptWrite] = {}
-        self.moved: dict[Dot, Moved] = {}
+        self.kept: dict[WriteId, QueuedWrite] = {}
+        self.moved: dict[WriteId, StateChange] = {}
         self.now = 0
 
-    def offer(self, cls: str = "print", follows: str = "", key: bytes = b"", **more: object) -> Offer:
+    def offer(self, cls: str = "print", follows: str = "", key: bytes = b"", **more: object) -> WriteOffer:
         named: dict[str, object] = {"start": b"POST /", "headers": (), "size": 10, "digest": b"", **more}
-        return Offer(cls, key=key, named=follows, **named)  # type: ignore[arg-type]
+        return WriteOffer(cls, key=key, named=follows, **named)  # type: ignore[arg-type]
 
-    def keep(self, cls: str = "print", follows: str = "", key: bytes = b"", **more: object) -> Dot:
+    def keep(self, cls: str = "print", follows: str = "", key: bytes = b"", **more: object) -> WriteId:
         ticket = self.outbox.offer(self.offer(cls, follows, key, **more), self.now, WALL + self.now)
         assert ticket.write is not None
-        self.kept[ticket.dot] = decode_kept(encode(ticket.write))
-        self.outbox.stored(ticket.dot, self.now)
-        return ticket.dot
+        self.kept[ticket.write_id] = decode_write(encode(ticket.write))
+        self.outbox.stored(ticket.write_id, self.now)
+        return ticket.write_id
 
-    def apply(self, change: Change | None) -> Dot:
+    def apply(self, change: Transition | None) -> WriteId:
         assert change is not None
-        self.moved[change.dot] = decode_moved(encode(change.moved))
+        self.moved[change.write_id] = decode_state_change(encode(change.moved))
         assert self.outbox.apply(change, self.now)
-        return change.dot
+        return change.write_id
 
-    def due(self) -> list[Dot]:
+    def due(self) -> list[WriteId]:
         """All that was due, applied; those that were sent come back."""
         changes = self.outbox.due(self.now)
         for change in changes:
             self.apply(change)
-        return [change.dot for change in changes if change.event is Event.SEND]
+        return [change.write_id for change in changes if change.event is WriteEvent.SEND]
 
-    def end(self, dot: Dot, end: End = End.ANSWERED) -> None:
-        self.apply(self.outbox.ended(dot, end, self.now, WALL + self.now, 200))
+    def end(self, write_id: WriteId, end: ReplayResult = ReplayResult.ANSWERED) -> None:
+        self.apply(self.outbox.ended(write_id, end, self.now, WALL + self.now, 200))
 
-    def judge(self, dot: Dot, parking: int, verdict: Verdict) -> Change | None:
-        change = self.outbox.judge(dot, parking, verdict, WALL + self.now)
+    def resolve(self, write_id: WriteId, parking: int, resolution: Resolution) -> Transition | None:
+        change = self.outbox.resolve(write_id, parking, resolution, WALL + self.now)
         if change is not None:
             self.apply(change)
         return change
 
-    def state(self, dot: Dot) -> State:
-        return self.outbox.receipt(dot).state
+    def state(self, write_id: WriteId) -> WriteState:
+        return self.outbox.receipt(write_id).state
 
-    def park(self, dot: Dot) -> None:
-        assert self.due() == [dot]
-        self.end(dot, End.DENIED)
+    def park(self, write_id: WriteId) -> None:
+        assert self.due() == [write_id]
+        self.end(write_id, ReplayResult.DENIED)
 
-    def again(self, wall: int, line: Line = ASH_LATER) -> Desk:
+    def again(self, wall: int, line: EdgeLog = ASH_LATER) -> OutboxApi:
         """Another life on the same disk."""
-        other = Desk(line, self.bounds)
+        other = OutboxApi(line, self.bounds)
         other.kept, other.moved = dict(self.kept), dict(self.moved)
-        pairs = [(write, other.moved.get(dot)) for dot, write in other.kept.items()]
+        pairs = [(write, other.moved.get(write_id)) for write_id, write in other.kept.items()]
         for change in other.outbox.restore(pairs, {ASH: self.outbox.lines()[ASH]}, 0, wall):
             other.apply(change)
         return other
@@ -174,27 +185,34 @@
 
 
 def test_a_dot_is_read_as_it_is_told() -> None:
-    dot = Dot("ash", 255, 3)
-    assert str(dot) == "ash/00000000000000ff/3" and read_dot(str(dot)) == dot
-    for text in ("", "ash/ff/3", "ash/00000000000000ff/0", "Ash/00000000000000ff/3", str(dot) + "\n"):
+    write_id = WriteId("ash", 255, 3)
+    assert str(write_id) == "ash/00000000000000ff/3" and parse_write_id(str(write_id)) == write_id
+    for text in ("", "ash/ff/3", "ash/00000000000000ff/0", "Ash/00000000000000ff/3", str(write_id) + "\n"):
         with pytest.raises(TokenError):
-            read_dot(text)
+            parse_write_id(text)
     for name in ("", "-a", "A", "a" * 33):
         with pytest.raises(ValueError, match="an edge's name"):
             check_edge(name)
 
 
 def test_a_token_says_what_it_was_made_of() -> None:
-    causes = merge([Cause("ash", 7, 3), Cause("ash", 7, 1), Cause("oak", 2, 9, True), Cause("oak", 2, 4)])
-    assert causes == (Cause("ash", 7, 1), Cause("ash", 7, 3), Cause("oak", 2, 9, True))
-    assert TOKENS.read(TOKENS.tell(causes)) == causes
+    dependencies = merge(
+        [
+            Dependency("ash", 7, 3),
+            Dependency("ash", 7, 1),
+            Dependency("oak", 2, 9, True),
+            Dependency("oak", 2, 4),
+        ]
+    )
+    assert dependencies == (Dependency("ash", 7, 1), Dependency("ash", 7, 3), Dependency("oak", 2, 9, True))
+    assert TOKENS.read(TOKENS.tell(dependencies)) == dependencies
     assert TOKENS.read("") == TOKENS.read(" , ") == ()
-    many = merge([Cause("ash", 7, number) for number in range(1, 6)])
-    assert many == (Cause("ash", 7, 5, True),)
+    many = merge([Dependency("ash", 7, number) for number in range(1, 6)])
+    assert many == (Dependency("ash", 7, 5, True),)
 
 
 def test_no_bit_of_a_token_can_be_changed() -> None:
-    token = TOKENS.receipt(Dot("ash", 7, 3))
+    token = TOKENS.receipt(WriteId("ash", 7, 3))
     raw = base64.urlsafe_b64decode(token + "=" * (-len(token) % 4))
     for place in range(8 * len(raw)):
         forged = bytearray(raw)
@@ -205,9 +223,9 @@
         with pytest.raises(TokenError):
             TOKENS.read(text)
     with pytest.raises(TokenError):
-        Tokens(b"another secret, as long").read(token)
+        CausalityTokens(b"another secret, as long").read(token)
     with pytest.raises(ValueError, match="16 bytes"):
-        Tokens(b"short")
+        CausalityTokens(b"short")
 
 
 def test_what_is_signed_by_another_version_is_read_as_strictly() -> None:
@@ -226,38 +244,42 @@
 
 
 def test_six_lines_of_the_longest_names_fit_and_500_edges_get_a_name_of_their_own() -> None:
-    longest = [Cause("e" * 31 + str(one), (1 << 64) - 1, (1 << 63) - 1) for one in range(6)]
+    longest = [Dependency("e" * 31 + str(one), (1 << 64) - 1, (1 << 63) - 1) for one in range(6)]
     assert len(TOKENS.tell(tuple(longest))) <= TOKEN_MOST
-    edges = tuple(Cause(f"edge{one}", one, 5) for one in range(500))
+    edges = tuple(Dependency(f"edge{one}", one, 5) for one in range(500))
     with pytest.raises(LooseError):
         TOKENS.tell(edges)
-    desk = Desk()
+    desk = OutboxApi()
     ticket = desk.outbox.join(edges, 0, WALL)
-    assert ticket.write is not None and len(TOKENS.receipt(ticket.dot)) <= TOKEN_MOST
-    desk.outbox.stored(ticket.dot, 0)
-    follower = desk.keep(follows=TOKENS.receipt(ticket.dot))
-    for cause in edges:
+    assert ticket.write is not None and len(TOKENS.receipt(ticket.write_id)) <= TOKEN_MOST
+    desk.outbox.stored(ticket.write_id, 0)
+    follower = desk.keep(follows=TOKENS.receipt(ticket.write_id))
+    for dependency in edges:
         assert desk.due() == []
-        desk.known.fates[cause] = Fate.IN
+        desk.known.write_statuses[dependency] = WriteStatus.IN
         desk.outbox.heard(0)
-    assert desk.due() == [] and desk.state(ticket.dot) is State.DONE  # the join has no effect of its own
+    assert (
+        desk.due() == [] and desk.state(ticket.write_id) is WriteState.DONE
+    )  # the join has no effect of its own
     assert desk.due() == [follower]
 
 
 def test_a_request_brings_no_more_than_so_many_names() -> None:
-    tokens = [TOKENS.tell(tuple(Cause(f"e{part}", one, 1) for one in range(6))) for part in range(100)]
+    tokens = [TOKENS.tell(tuple(Dependency(f"e{part}", one, 1) for one in range(6))) for part in range(100)]
     assert len(TOKENS.read(", ".join(tokens[:83]))) == 498
     for value in (", ".join(tokens), ",".join("a" * 200), "a" * 100_000):
         with pytest.raises(LooseError):
             TOKENS.read(value)
     with pytest.raises(LooseError):
-        Desk().outbox.join(tuple(Cause(f"e{one}", one, 1) for one in range(CAUSES_MOST + 1)), 0, WALL)
+        OutboxApi().outbox.join(
+            tuple(Dependency(f"e{one}", one, 1) for one in range(DEPENDENCIES_MOST + 1)), 0, WALL
+        )
 
 
 def test_a_receipt_from_the_future_and_a_circle_are_refused_in_one_line() -> None:
-    desk = Desk()
+    desk = OutboxApi()
     with pytest.raises(FutureError) as told:
-        desk.keep(follows=TOKENS.receipt(Dot(*ASH, 1)))
+        desk.keep(follows=TOKENS.receipt(WriteId(*ASH, 1)))
     assert "\n" not in str(told.value)
     first = desk.keep("album", key=b"k")
     second = desk.keep(follows=TOKENS.receipt(first))
@@ -267,34 +289,34 @@
             desk.outbox.offer(desk.offer("album", TOKENS.receipt(named), b"k"), 0, WALL)
         assert "\n" not in str(circle.value)
     ticket = desk.outbox.offer(desk.offer("album", "", b"k"), 0, WALL)
-    assert ticket.known and ticket.dot == first and desk.outbox.durable(first)
+    assert ticket.known and ticket.write_id == first and desk.outbox.durable(first)
     assert desk.outbox.count == 3
 
 
 # States
 
 
-@pytest.mark.parametrize("state", State)
-@pytest.mark.parametrize("event", Event)
-def test_only_the_table_moves_a_write(state: State, event: Event) -> None:
-    if (state, event) in TABLE:
-        assert follow(state, event) is TABLE[state, event]
+@pytest.mark.parametrize("state", WriteState)
+@pytest.mark.parametrize("event", WriteEvent)
+def test_only_the_table_moves_a_write(state: WriteState, event: WriteEvent) -> None:
+    if (state, event) in TRANSITIONS:
+        assert next_state(state, event) is TRANSITIONS[state, event]
     else:
         with pytest.raises(StepError, match=f"{event.name} does not follow in {state.name}"):
-            follow(state, event)
+            next_state(state, event)
 
 
 def test_each_step_of_the_table_is_taken() -> None:
-    taken: set[tuple[State, Event]] = set()
+    taken: set[tuple[WriteState, WriteEvent]] = set()
 
-    def seen(desk: Desk, change: Change | None) -> Dot:
+    def seen(desk: OutboxApi, change: Transition | None) -> WriteId:
         assert change is not None
-        row = desk.outbox._row(change.dot)
+        row = desk.outbox._row(change.write_id)
         taken.add((desk.outbox._rows.state_of(row), change.event))
         return desk.apply(change)
 
-    desk = Desk()
-    for end in End:
+    desk = OutboxApi()
+    for end in ReplayResult:
         last = desk.keep()
         for change in desk.outbox.due(desk.now):
             seen(desk, change)
@@ -304,53 +326,56 @@
     keyed = desk.keep("album", key=b"k")
     for change in desk.outbox.due(desk.now):
         seen(desk, change)
-    seen(desk, desk.outbox.ended(keyed, End.MAY_HAVE_RUN, desk.now, WALL))
-    parked = [dot for dot in desk.kept if desk.state(dot) is State.PARKED]
+    seen(desk, desk.outbox.ended(keyed, ReplayResult.MAY_HAVE_RUN, desk.now, WALL))
+    parked = [write_id for write_id in desk.kept if desk.state(write_id) is WriteState.PARKED]
     behind = desk.keep(follows=TOKENS.receipt(parked[0]))
     late = desk.keep(follows=TOKENS.receipt(parked[0]))
-    taken.add((State.KEPT, Event.CAUSES_IN))
-    seen(desk, desk.outbox.judge(behind, 1, Verdict.GIVE_UP, WALL))
-    seen(desk, desk.outbox.judge(parked[0], 1, Verdict.GIVE_UP, WALL))
-    seen(desk, next(change for change in desk.outbox.due(desk.now) if change.event is Event.ORPHANED))
-    seen(desk, desk.outbox.judge(late, 1, Verdict.NEVER_RAN, WALL))
-    seen(desk, desk.outbox.judge(parked[1], 1, Verdict.RAN, WALL))
-    waiting = desk.keep(follows=TOKENS.receipt(Dot("oak", 1, 1)))
+    taken.add((WriteState.KEPT, WriteEvent.CAUSES_IN))
+    seen(desk, desk.outbox.resolve(behind, 1, Resolution.GIVE_UP, WALL))
+    seen(desk, desk.outbox.resolve(parked[0], 1, Resolution.GIVE_UP, WALL))
+    seen(desk, next(change for change in desk.outbox.due(desk.now) if change.event is WriteEvent.ORPHANED))
+    seen(desk, desk.outbox.resolve(late, 1, Resolution.NEVER_RAN, WALL))
+    seen(desk, desk.outbox.resolve(parked[1], 1, Resolution.RAN, WALL))
+    waiting = desk.keep(follows=TOKENS.receipt(WriteId("oak", 1, 1)))
     desk.now += 8 * 24 * HOUR
     for change in desk.outbox.due(desk.now):
         seen(desk, change)
-    assert desk.outbox.receipt(waiting).reason is Reason.AGE
+    assert desk.outbox.receipt(waiting).reason is ParkingReason.AGE
     join = desk.outbox.join((), desk.now, WALL)
-    desk.outbox.stored(join.dot, desk.now)
-    seen(desk, next(change for change in desk.outbox.due(desk.now) if change.event is Event.JOINED))
+    desk.outbox.stored(join.write_id, desk.now)
+    seen(desk, next(change for change in desk.outbox.due(desk.now) if change.event is WriteEvent.JOINED))
     gone = desk.outbox.offer(desk.offer(), desk.now, WALL)
-    desk.outbox.unstored(gone.dot, desk.now)
-    taken.add((State.KEPT, Event.LOST))
-    desk = Desk()
-    desk.bounds = Bounds(replay_most=1)
-    unsure, ready, held = desk.keep(), desk.keep(), desk.keep(follows=TOKENS.receipt(Dot("oak", 1, 1)))
+    desk.outbox.unstored(gone.write_id, desk.now)
+    taken.add((WriteState.KEPT, WriteEvent.LOST))
+    desk = OutboxApi()
+    desk.bounds = OutboxBounds(replay_most=1)
+    unsure, ready, held = desk.keep(), desk.keep(), desk.keep(follows=TOKENS.receipt(WriteId("oak", 1, 1)))
     desk.outbox.pace.limit = 1
     assert desk.due() == [unsure]
-    desk.end(unsure, End.MAY_HAVE_RUN)
+    desk.end(unsure, ReplayResult.MAY_HAVE_RUN)
     seen(desk, desk.outbox.found_in(unsure, WALL))
-    assert desk.state(unsure) is State.DONE and desk.outbox.found_in(unsure, WALL) is None
+    assert desk.state(unsure) is WriteState.DONE and desk.outbox.found_in(unsure, WALL) is None
     desk.outbox.fence(ASH)
     for change in desk.outbox.due(desk.now):
         seen(desk, change)
-    assert [desk.outbox.receipt(dot).reason for dot in (ready, held)] == [Reason.FENCED] * 2
+    assert [desk.outbox.receipt(write_id).reason for write_id in (ready, held)] == [ParkingReason.FENCED] * 2
     with pytest.raises(KeepError):
         desk.keep()
     desk.outbox.unfence(ASH)
     for change in desk.outbox.due(desk.now):
         seen(desk, change)
-    assert [desk.state(dot) for dot in (ready, held)] == [State.READY, State.KEPT]
-    assert set(TABLE) - taken == set()
+    assert [desk.state(write_id) for write_id in (ready, held)] == [WriteState.READY, WriteState.KEPT]
+    assert set(TRANSITIONS) - taken == set()
 
 
 def test_no_record_is_read_of_which_a_byte_is_missing() -> None:
-    desk = Desk()
-    dot = desk.keep("album", key=b"k", session=b"s")
-    desk.park(dot)
-    for data, decode in ((encode(desk.kept[dot]), decode_kept), (encode(desk.moved[dot]), decode_moved)):
+    desk = OutboxApi()
+    write_id = desk.keep("album", key=b"k", session=b"s")
+    desk.park(write_id)
+    for data, decode in (
+        (encode(desk.kept[write_id]), decode_write),
+        (encode(desk.moved[write_id]), decode_state_change),
+    ):
         assert encode(decode(data)) == data
         for cut in range(len(data)):
             with pytest.raises(KeptRecordError):
@@ -358,14 +383,14 @@
 
 
 def test_what_is_not_as_its_class_demands_is_not_kept() -> None:
-    desk = Desk()
+    desk = OutboxApi()
     for offer in (desk.offer("view"), desk.offer("album")):
         with pytest.raises(KeepError):
             desk.outbox.offer(offer, 0, WALL)
 
 
 def test_the_bounds_say_when_to_return() -> None:
-    desk = Desk(bounds=Bounds(bytes_most=100, count_most=4, tenant_share=0.5))
+    desk = OutboxApi(bounds=OutboxBounds(bytes_most=100, count_most=4, tenant_share=0.5))
     desk.keep(tenant="a", size=50)
     with pytest.raises(FullError, match="tenant 'a'") as told:
         desk.keep(tenant="a", size=1)
@@ -377,8 +402,8 @@
     desk.keep(tenant="d", size=0)
     with pytest.raises(FullError, match="count_most"):
         desk.keep(tenant="e", size=0)
-    for dot in desk.due():
-        desk.end(dot)
+    for write_id in desk.due():
+        desk.end(write_id)
     assert (desk.outbox.count, desk.outbox.size) == (0, 0)
     desk.keep(tenant="a", size=50)
 
@@ -387,12 +412,12 @@
 
 
 def test_a_write_follows_its_session_its_object_and_what_it_names() -> None:
-    desk = Desk()
+    desk = OutboxApi()
     first = desk.keep(session=b"s")
     second = desk.keep(session=b"s", obj=b"o")
     third = desk.keep(obj=b"o")
     alone = desk.keep(session=b"t")
-    abroad = desk.keep(follows=TOKENS.receipt(Dot("oak", 1, 4)))
+    abroad = desk.keep(follows=TOKENS.receipt(WriteId("oak", 1, 4)))
     assert desk.due() == [first, alone]
     assert desk.outbox.receipt(third).behind == second
     desk.end(first)
@@ -400,26 +425,30 @@
     desk.end(second)
     assert desk.due() == [third]
     assert desk.outbox.must_keep(TOKENS.receipt(abroad)) and not desk.outbox.must_keep(TOKENS.receipt(first))
-    desk.known.fates[Cause("oak", 1, 4)] = Fate.IN
+    desk.known.write_statuses[Dependency("oak", 1, 4)] = WriteStatus.IN
     desk.outbox.heard(0)
     assert desk.due() == [abroad]
 
 
 def test_a_parked_album_with_10_000_followers_is_one_walk() -> None:
     for chain in (False, True):
-        desk = Desk(bounds=Bounds(replay_most=20_000, tenant_share=1.0))
+        desk = OutboxApi(bounds=OutboxBounds(replay_most=20_000, tenant_share=1.0))
         album = desk.keep()
         last = album
         for _ in range(10_000):
             last = desk.keep(follows=TOKENS.receipt(last if chain else album))
         free = desk.keep()
         assert desk.due() == [album, free]
-        desk.end(album, End.DENIED)
+        desk.end(album, ReplayResult.DENIED)
         assert desk.outbox._graph.touched == 10_000
         receipt = desk.outbox.receipt(last)
-        assert (receipt.state, receipt.reason, receipt.behind) == (State.PARKED, Reason.FOLLOWS, album)
+        assert (receipt.state, receipt.reason, receipt.behind) == (
+            WriteState.PARKED,
+            ParkingReason.FOLLOWS,
+            album,
+        )
         desk.end(free)
-        desk.judge(album, 1, Verdict.NEVER_RAN)
+        desk.resolve(album, 1, Resolution.NEVER_RAN)
         assert desk.outbox._graph.touched == 20_000
         assert desk.due() == [album]
         desk.end(album)
@@ -428,48 +457,48 @@
 
 def test_a_write_waits_through_one_that_was_judged() -> None:
     """B is given up or judged to have run while A waits: C still follows A."""
-    for verdict in (Verdict.RAN, Verdict.GIVE_UP):
-        desk = Desk(bounds=Bounds(orphans="release"))
+    for resolution in (Resolution.RAN, Resolution.GIVE_UP):
+        desk = OutboxApi(bounds=OutboxBounds(orphans="release"))
         first = desk.keep()
         second = desk.keep("album", TOKENS.receipt(first), b"k")
         third = desk.keep(follows=TOKENS.receipt(second))
         desk.park(first)
         desk.now = 11 * HOUR
-        assert desk.due() == [] and desk.outbox.receipt(second).reason is Reason.WINDOW
-        desk.judge(second, 1, verdict)
-        assert desk.due() == [] and desk.state(third) is State.PARKED
-        assert desk.outbox.fate(second) is Fate.PARKED
-        desk.judge(first, 1, Verdict.RAN)
-        assert desk.outbox.fate(second) in (Fate.IN, Fate.GONE)
+        assert desk.due() == [] and desk.outbox.receipt(second).reason is ParkingReason.WINDOW
+        desk.resolve(second, 1, resolution)
+        assert desk.due() == [] and desk.state(third) is WriteState.PARKED
+        assert desk.outbox.write_status(second) is WriteStatus.PARKED
+        desk.resolve(first, 1, Resolution.RAN)
+        assert desk.outbox.write_status(second) in (WriteStatus.IN, WriteStatus.GONE)
         assert desk.due() == [third]
 
 
 @pytest.mark.parametrize("orphans", ["park", "release"])
 def test_followers_of_a_lost_edge(orphans: str) -> None:
-    desk = Desk(bounds=Bounds(orphans=orphans))  # type: ignore[arg-type]
-    lost, dot = Cause("oak", 1, 4), Dot("oak", 1, 4)
-    follower = desk.keep(follows=TOKENS.receipt(dot))
-    desk.known.fates[lost] = Fate.GONE
+    desk = OutboxApi(bounds=OutboxBounds(orphans=orphans))  # type: ignore[arg-type]
+    lost, write_id = Dependency("oak", 1, 4), WriteId("oak", 1, 4)
+    follower = desk.keep(follows=TOKENS.receipt(write_id))
+    desk.known.write_statuses[lost] = WriteStatus.GONE
     desk.outbox.heard(0)
     if orphans == "release":
         assert desk.due() == [follower]
-        assert desk.due() == [] and not desk.outbox.must_keep(TOKENS.receipt(dot))
+        assert desk.due() == [] and not desk.outbox.must_keep(TOKENS.receipt(write_id))
         return
-    assert desk.due() == [] and desk.outbox.receipt(follower).reason is Reason.ORPHANED
+    assert desk.due() == [] and desk.outbox.receipt(follower).reason is ParkingReason.ORPHANED
     again = desk.again(WALL)
-    again.known.fates[lost] = Fate.GONE
+    again.known.write_statuses[lost] = WriteStatus.GONE
     assert again.due() == [] and again.outbox.receipt(follower).parking == 1
-    again.judge(follower, 1, Verdict.NEVER_RAN)
-    third = again.again(WALL, Line("ash", 9))
-    third.known.fates[lost] = Fate.GONE
+    again.resolve(follower, 1, Resolution.NEVER_RAN)
+    third = again.again(WALL, EdgeLog("ash", 9))
+    third.known.write_statuses[lost] = WriteStatus.GONE
     third.outbox.heard(0)
     assert third.due() == [follower]  # it is not made an orphan twice
 
 
 def test_a_cause_lost_in_a_crash_does_not_take_its_own_causes_along() -> None:
-    desk = Desk()
+    desk = OutboxApi()
     first = desk.keep(session=b"s")
-    lost = desk.outbox.offer(desk.offer(session=b"s", obj=b"o"), 0, WALL).dot
+    lost = desk.outbox.offer(desk.offer(session=b"s", obj=b"o"), 0, WALL).write_id
     third = desk.keep(obj=b"o")
     assert lost not in desk.kept and desk.outbox.receipt(third).behind is not None
     other = desk.again(WALL)
@@ -480,89 +509,90 @@
 
 
 def test_a_verdict_given_twice_counts_once() -> None:
-    desk = Desk()
-    dot = desk.keep()
-    desk.park(dot)
-    assert desk.judge(dot, 1, Verdict.NEVER_RAN) is not None
-    assert desk.judge(dot, 1, Verdict.NEVER_RAN) is None
-    desk.park(dot)
-    assert desk.judge(dot, 1, Verdict.NEVER_RAN) is None  # late: that was the parking before
-    assert desk.state(dot) is State.PARKED
-    for parking, verdict in ((1, Verdict.RAN), (3, Verdict.RAN)):
+    desk = OutboxApi()
+    write_id = desk.keep()
+    desk.park(write_id)
+    assert desk.resolve(write_id, 1, Resolution.NEVER_RAN) is not None
+    assert desk.resolve(write_id, 1, Resolution.NEVER_RAN) is None
+    desk.park(write_id)
+    assert desk.resolve(write_id, 1, Resolution.NEVER_RAN) is None  # late: that was the parking before
+    assert desk.state(write_id) is WriteState.PARKED
+    for parking, resolution in ((1, Resolution.RAN), (3, Resolution.RAN)):
         with pytest.raises(VerdictError):
-            desk.judge(dot, parking, verdict)
-    assert desk.judge(dot, 2, Verdict.RAN) is not None
-    assert desk.again(WALL).outbox.judge(dot, 2, Verdict.RAN, WALL) is None
+            desk.resolve(write_id, parking, resolution)
+    assert desk.resolve(write_id, 2, Resolution.RAN) is not None
+    assert desk.again(WALL).outbox.resolve(write_id, 2, Resolution.RAN, WALL) is None
     with pytest.raises(VerdictError, match="was judged ran"):
-        desk.judge(dot, 2, Verdict.GIVE_UP)
+        desk.resolve(write_id, 2, Resolution.GIVE_UP)
 
 
 def test_of_two_verdicts_at_once_the_first_stands() -> None:
-    desk = Desk()
-    dot = desk.keep()
-    desk.park(dot)
-    first = desk.outbox.judge(dot, 1, Verdict.RAN, WALL)
+    desk = OutboxApi()
+    write_id = desk.keep()
+    desk.park(write_id)
+    first = desk.outbox.resolve(write_id, 1, Resolution.RAN, WALL)
     with pytest.raises(VerdictError, match="on its way"):
-        desk.outbox.judge(dot, 1, Verdict.GIVE_UP, WALL)
+        desk.outbox.resolve(write_id, 1, Resolution.GIVE_UP, WALL)
     assert first is not None
     desk.outbox.undo(first, 0)  # its disk failed: it was never given
-    assert desk.judge(dot, 1, Verdict.GIVE_UP) is not None
-    assert desk.state(dot) is State.GIVEN_UP
+    assert desk.resolve(write_id, 1, Resolution.GIVE_UP) is not None
+    assert desk.state(write_id) is WriteState.GIVEN_UP
 
 
 def test_only_what_is_parked_is_judged() -> None:
-    desk = Desk()
-    dot = desk.keep()
-    behind = desk.keep(follows=TOKENS.receipt(dot))
+    desk = OutboxApi()
+    write_id = desk.keep()
+    behind = desk.keep(follows=TOKENS.receipt(write_id))
     with pytest.raises(VerdictError, match="not parked"):
-        desk.judge(dot, 1, Verdict.RAN)
-    desk.park(dot)
+        desk.resolve(write_id, 1, Resolution.RAN)
+    desk.park(write_id)
     with pytest.raises(VerdictError, match="judge what it follows"):
-        desk.judge(behind, 1, Verdict.NEVER_RAN)
+        desk.resolve(behind, 1, Resolution.NEVER_RAN)
     assert (
-        desk.judge(behind, 1, Verdict.GIVE_UP) is not None and desk.judge(behind, 1, Verdict.GIVE_UP) is None
+        desk.resolve(behind, 1, Resolution.GIVE_UP) is not None
+        and desk.resolve(behind, 1, Resolution.GIVE_UP) is None
     )
     with pytest.raises(UnknownWriteError):
-        desk.outbox.receipt(Dot("oak", 1, 1))
+        desk.outbox.receipt(WriteId("oak", 1, 1))
 
 
 # Restart
 
 
 def test_what_was_out_at_a_crash_goes_again_only_under_its_key() -> None:
-    desk = Desk()
+    desk = OutboxApi()
     keyed, unsafe = desk.keep("album", key=b"k"), desk.keep()
     assert desk.due() == [keyed, unsafe]
     other = desk.again(WALL + HOUR)
     assert other.due() == [keyed]
-    assert other.outbox.receipt(unsafe).reason is Reason.MAY_HAVE_RUN
+    assert other.outbox.receipt(unsafe).reason is ParkingReason.MAY_HAVE_RUN
     late = desk.again(WALL + 11 * HOUR)
-    assert late.due() == [] and late.outbox.receipt(keyed).reason is Reason.MAY_HAVE_RUN
+    assert late.due() == [] and late.outbox.receipt(keyed).reason is ParkingReason.MAY_HAVE_RUN
 
 
 def test_clocks_years_off() -> None:
-    desk = Desk()
+    desk = OutboxApi()
     sent, fresh = (
         desk.keep("album", key=b"k"),
-        desk.keep("album", key=b"l", follows=TOKENS.receipt(Dot(*ASH, 1))),
+        desk.keep("album", key=b"l", follows=TOKENS.receipt(WriteId(*ASH, 1))),
     )
     assert desk.due() == [sent]
     back = desk.again(WALL - 3 * YEAR)
-    assert back.outbox.receipt(sent).reason is Reason.MAY_HAVE_RUN  # the window can't be known
-    back.judge(sent, 1, Verdict.RAN)
+    assert back.outbox.receipt(sent).reason is ParkingReason.MAY_HAVE_RUN  # the window can't be known
+    back.resolve(sent, 1, Resolution.RAN)
     assert back.due() == [fresh]  # never sent: nothing to double
     ahead = desk.again(WALL + 3 * YEAR)
     assert ahead.due() == []
-    assert ahead.outbox.receipt(fresh).reason is Reason.WINDOW
-    ahead.judge(sent, 1, Verdict.RAN)
-    ahead.judge(fresh, 1, Verdict.NEVER_RAN)
-    assert ahead.due() == [fresh]  # the verdict begins its window anew
+    assert ahead.outbox.receipt(fresh).reason is ParkingReason.WINDOW
+    ahead.resolve(sent, 1, Resolution.RAN)
+    ahead.resolve(fresh, 1, Resolution.NEVER_RAN)
+    assert ahead.due() == [fresh]  # the resolution begins its window anew
 
 
 def test_a_copy_of_the_disk_started_twice_gives_no_name_twice_and_sends_nothing() -> None:
-    desk = Desk()
+    desk = OutboxApi()
     old = desk.keep()
-    one, two = desk.again(WALL, Line("ash", 8)), desk.again(WALL, Line("ash", 9))
+    one, two = desk.again(WALL, EdgeLog("ash", 8)), desk.again(WALL, EdgeLog("ash", 9))
     assert one.keep() != two.keep()
     two.known.held = False
     assert old in one.due() and two.due() == []
@@ -572,66 +602,69 @@
 
 
 def test_a_write_whose_record_took_longer_than_its_window_is_not_sent() -> None:
-    desk = Desk()
-    dot = desk.keep("album", key=b"k")
+    desk = OutboxApi()
+    write_id = desk.keep("album", key=b"k")
     (change,) = desk.outbox.due(0)
     assert desk.outbox.apply(change, 10 * HOUR) is False
     desk.now = 10 * HOUR
-    desk.end(dot, End.NOT_RUN)
+    desk.end(write_id, ReplayResult.NOT_RUN)
     desk.now += SECOND
-    assert desk.due() == [] and desk.outbox.receipt(dot).reason is Reason.WINDOW
+    assert desk.due() == [] and desk.outbox.receipt(write_id).reason is ParkingReason.WINDOW
 
 
 def test_a_keyed_write_goes_out_while_a_whole_try_fits_in_its_window() -> None:
     for late in (0, 1):
-        desk = Desk()
-        dot = desk.keep("album", key=b"k")
+        desk = OutboxApi()
+        write_id = desk.keep("album", key=b"k")
         desk.now = 10 * HOUR - desk.bounds.send_us + late
-        assert desk.due() == ([] if late else [dot])
+        assert desk.due() == ([] if late else [write_id])
         if not late:
             desk.now += 1
-            desk.end(dot, End.MAY_HAVE_RUN)
-            assert desk.outbox.receipt(dot).reason is Reason.MAY_HAVE_RUN
+            desk.end(write_id, ReplayResult.MAY_HAVE_RUN)
+            assert desk.outbox.receipt(write_id).reason is ParkingReason.MAY_HAVE_RUN
 
 
 def test_what_an_edge_knows_by_itself() -> None:
-    desk, frontier = Desk(), LocalFrontier()
-    desk.outbox.frontier = frontier
-    cause = Cause("oak", 1, 4)
-    assert frontier.fate(cause) is Fate.UNKNOWN and frontier.holds(ASH)
-    frontier.tell(cause.dot, Fate.PARKED)
-    assert frontier.fate(cause) is Fate.PARKED
-    frontier.tell(cause.dot, Fate.IN)
-    frontier.tell(cause.dot, Fate.PARKED)  # late
-    assert frontier.declare_lost("oak", 1) and not frontier.declare_lost("oak", 1)
-    assert frontier.fate(cause) is Fate.IN and frontier.fate(Cause("oak", 1, 5)) is Fate.GONE
-    assert frontier.fate(Cause("oak", 2, 1)) is Fate.UNKNOWN
-    assert frontier.declare_lost("oak") and not frontier.declare_lost("oak")
-    assert frontier.fate(Cause("oak", 2, 1, True)) is Fate.GONE
+    desk, version_vector = OutboxApi(), LocalFrontier()
+    desk.outbox.version_vector = version_vector
+    dependency = Dependency("oak", 1, 4)
+    assert version_vector.write_status(dependency) is WriteStatus.UNKNOWN and version_vector.holds(ASH)
+    version_vector.tell(dependency.write_id, WriteStatus.PARKED)
+    assert version_vector.write_status(dependency) is WriteStatus.PARKED
+    version_vector.tell(dependency.write_id, WriteStatus.IN)
+    version_vector.tell(dependency.write_id, WriteStatus.PARKED)  # late
+    assert version_vector.declare_lost("oak", 1) and not version_vector.declare_lost("oak", 1)
+    assert (
+        version_vector.write_status(dependency) is WriteStatus.IN
+        and version_vector.write_status(Dependency("oak", 1, 5)) is WriteStatus.GONE
+    )
+    assert version_vector.write_status(Dependency("oak", 2, 1)) is WriteStatus.UNKNOWN
+    assert version_vector.declare_lost("oak") and not version_vector.declare_lost("oak")
+    assert version_vector.write_status(Dependency("oak", 2, 1, True)) is WriteStatus.GONE
 
 
 def test_one_key_at_two_edges_is_two_writes_under_one_key() -> None:
     """Upstream tells them apart by the key; each edge has one of them."""
-    ash, oak = Desk(), Desk(Line("oak", 1))
+    ash, oak = OutboxApi(), OutboxApi(EdgeLog("oak", 1))
     here, there = ash.keep("album", key=b"k"), oak.keep("album", key=b"k")
     assert here != there and ash.kept[here].key == oak.kept[there].key
     assert ash.due() == [here] and oak.due() == [there]
 
 
 def test_receipts_are_kept_for_their_time_and_then_forgotten() -> None:
-    desk = Desk(bounds=Bounds(receipt_us=HOUR, receipts_most=2))
+    desk = OutboxApi(bounds=OutboxBounds(receipt_us=HOUR, receipts_most=2))
     first = desk.keep("album", key=b"k")
     assert desk.due() == [first]
     desk.end(first)
-    assert desk.outbox.over() == [(first, Fate.IN)] and desk.outbox.low(ASH) == 1
+    assert desk.outbox.over() == [(first, WriteStatus.IN)] and desk.outbox.low(ASH) == 1
     assert desk.outbox.forgettable(HOUR - 1) == []
     assert desk.outbox.offer(desk.offer("album", key=b"k"), 0, WALL).known
     assert desk.outbox.forgettable(HOUR) == [first]
     desk.outbox.forget(first)
     assert not desk.outbox.offer(desk.offer("album", key=b"k"), HOUR, WALL).known
     more = [desk.keep() for _ in range(3)]
-    for dot in desk.due():
-        desk.end(dot)
+    for write_id in desk.due():
+        desk.end(write_id)
     assert desk.outbox.forgettable(0) == more[:1]  # too many
 
 
@@ -639,7 +672,7 @@
 
 
 def test_thirty_edges_begin_with_thirty_writes() -> None:
-    paces = [Pace(8, SECOND) for _ in range(30)]
+    paces = [ReplayPacer(8, SECOND) for _ in range(30)]
     for pace in paces:
         while pace.may_send(0):
             pace.sent()
@@ -647,7 +680,7 @@
 
 
 def test_the_pace_grows_by_answers_and_is_halved_by_refusals() -> None:
-    pace = Pace(4, SECOND)
+    pace = ReplayPacer(4, SECOND)
     for _ in range(9):
         pace.sent()
         pace.answered()
@@ -659,7 +692,7 @@
     pace.refused(3 * SECOND)
     pace.refused(6 * SECOND)
     assert pace.limit == 1
-    turns = Turns()
+    turns = ReplayQueue()
     for row in (1, 2):
         turns.add(row)
     turns.again(turns.next())
@@ -667,11 +700,11 @@
 
 
 def test_one_time_out_or_one_endpoint_is_no_cut() -> None:
-    cut = CutOff(CutOffRule(), 10, 0)
+    cut = CutOffDetector(CutOffRule(), 10, 0)
     for second in range(100):
         cut.failed(1, second * SECOND)
     assert not cut.off and not cut.tick(1_000 * SECOND)
-    moment = CutOff(CutOffRule(), 10, 0)
+    moment = CutOffDetector(CutOffRule(), 10, 0)
     for endpoint in range(10):
         moment.failed(endpoint, 0)
     assert not moment.tick(HOUR)  # a moment's failures and a quiet hour
@@ -681,7 +714,7 @@
 
 
 def test_all_fail_for_a_while_and_the_edge_is_cut_off_until_the_way_holds() -> None:
-    cut = CutOff(CutOffRule(cut_us=5 * SECOND, fewest=3, back_us=2 * SECOND, answers=3), 10, 0)
+    cut = CutOffDetector(CutOffRule(cut_us=5 * SECOND, fewest=3, back_us=2 * SECOND, answers=3), 10, 0)
     for second in range(6):
         cut.failed(second, second * SECOND)
     assert cut.off
@@ -697,7 +730,7 @@
 
 
 def test_an_edge_without_endpoints_is_cut_off_in_time() -> None:
-    cut = CutOff(CutOffRule(), 2, 0)
+    cut = CutOffDetector(CutOffRule(), 2, 0)
     cut.listed(0, SECOND)
     assert not cut.tick(2 * SECOND) and cut.tick(6 * SECOND)
     cut.listed(2, 7 * SECOND)
@@ -713,25 +746,29 @@
 
 
 def test_a_receipt_tells_the_reason_and_what_can_be_said_of_it() -> None:
-    desk = Desk()
-    dot = desk.keep()
-    behind = desk.keep(follows=TOKENS.receipt(dot))
+    desk = OutboxApi()
+    write_id = desk.keep()
+    behind = desk.keep(follows=TOKENS.receipt(write_id))
     assert json.loads(show(desk.outbox.receipt(behind))) == {
         "write": str(behind),
         "state": "kept",
-        "behind": str(dot),
+        "behind": str(write_id),
     }
-    desk.park(dot)
-    told = json.loads(show(desk.outbox.receipt(dot)))
-    assert told["reason"] == REASONS[Reason.DENIED] and told["verdicts"] == ["ran", "never_ran", "give_up"]
+    desk.park(write_id)
+    told = json.loads(show(desk.outbox.receipt(write_id)))
+    assert told["reason"] == REASONS[ParkingReason.DENIED] and told["verdicts"] == [
+        "ran",
+        "never_ran",
+        "give_up",
+    ]
     assert json.loads(show(desk.outbox.receipt(behind)))["verdicts"] == ["give_up"]
-    done = Receipt(dot, State.DONE, status=201, headers=((b"a", b"b"),), body=b"\xff")
+    done = WriteReceipt(write_id, WriteState.DONE, status=201, headers=((b"a", b"b"),), body=b"\xff")
     assert json.loads(show(done))["status"] == 201
-    assert set(REASONS) == set(Reason) - {Reason.NONE}
+    assert set(REASONS) == set(ParkingReason) - {ParkingReason.NONE}
 
 
 def test_places_are_found_after_any_order_of_changes() -> None:
-    draw, places, real = random.Random(1), Places(), dict[int, int]()
+    draw, places, real = random.Random(1), IntegerMap(), dict[int, int]()
     for _ in range(20_000):
         key = draw.randrange(1, 400)
         if draw.random() < 0.5:
@@ -741,18 +778,18 @@
             places.drop(key)
             real.pop(key, None)
     assert len(places) == len(real) and all(places.get(key) == real.get(key, -1) for key in range(400))
-    assert short(b"s", b"") == 0 != short(b"s", b"a") != short(b"o", b"a")
+    assert short_hash(b"s", b"") == 0 != short_hash(b"s", b"a") != short_hash(b"o", b"a")
 
 
 def test_the_graph_counts_what_sticks_as_a_walk_would() -> None:
-    draw, graph = random.Random(2), Graph()
+    draw, graph = random.Random(2), DependencyGraph()
     nodes: list[int] = []
     for _ in range(1_000):
         deed = draw.random()
         if deed < 0.4 or not nodes:
             node = graph.add()
-            for cause in set(draw.sample(nodes, min(len(nodes), draw.randrange(4)))):
-                graph.link(cause, node)
+            for dependency in set(draw.sample(nodes, min(len(nodes), draw.randrange(4)))):
+                graph.link(dependency, node)
             nodes.append(node)
         elif deed < 0.7:
             (graph.halt if deed < 0.55 else graph.resume)(draw.choice(nodes))
@@ -760,13 +797,15 @@
             nodes.remove(done := draw.choice(ready))
             graph.over(done)
         for node in nodes:
-            assert graph.behind(node) == any(graph.sticks(cause) for cause in graph.causes(node))
-            assert graph.free(node) == (graph.causes(node) == [])
+            assert graph.behind(node) == any(
+                graph.sticks(dependency) for dependency in graph.dependencies(node)
+            )
+            assert graph.free(node) == (graph.dependencies(node) == [])
     assert len(graph) == len(nodes)
 
 
 def test_a_kept_write_takes_less_than_200_bytes() -> None:
-    desk = Desk(bounds=Bounds(tenant_share=1.0))
+    desk = OutboxApi(bounds=OutboxBounds(tenant_share=1.0))
     desk.keep()
     tracemalloc.start()
     try:
@@ -775,7 +814,7 @@
             offer = desk.offer(
                 "album", "", b"k%d" % one, session=b"s%d" % (one // 10), obj=b"o%d" % (one // 4)
             )
-            desk.outbox.stored(desk.outbox.offer(offer, 0, WALL).dot, 0)
+            desk.outbox.stored(desk.outbox.offer(offer, 0, WALL).write_id, 0)
         size = tracemalloc.get_traced_memory()[0]
     finally:
         tracemalloc.stop()
@@ -786,11 +825,11 @@
     looked: list[int] = []
 
     class Counted(Outbox):
-        def _expired(self, row: int, now: int) -> Reason:
+        def _expired(self, row: int, now: int) -> ParkingReason:
             looked.append(row)
             return super()._expired(row, now)
 
-    desk = Desk(bounds=Bounds(replay_most=1, tenant_share=1.0))
+    desk = OutboxApi(bounds=OutboxBounds(replay_most=1, tenant_share=1.0))
     desk.outbox = Counted(ASH, CLASSES, desk.bounds, TOKENS, desk.known)
     kept = [desk.keep("print" if number % 2 else "album", key=b"k%d" % number) for number in range(500)]
     looked.clear()
@@ -800,17 +839,17 @@
     assert len(looked) < 50
     desk.now = desk.bounds.age_us + 1
     rounds = 0
-    while any(desk.outbox.receipt(dot).state is not State.PARKED for dot in kept[1:]):
+    while any(desk.outbox.receipt(write_id).state is not WriteState.PARKED for write_id in kept[1:]):
         desk.due()
         rounds += 1
-    assert rounds <= 4 and desk.outbox.receipt(kept[0]).state is State.OUT
-    desk.end(kept[0], End.NOT_RUN)
+    assert rounds <= 4 and desk.outbox.receipt(kept[0]).state is WriteState.OUT
+    desk.end(kept[0], ReplayResult.NOT_RUN)
     desk.due()
-    assert desk.outbox.receipt(kept[0]).state is State.PARKED
+    assert desk.outbox.receipt(kept[0]).state is WriteState.PARKED
 
 
 def test_the_oldest_of_a_class_is_first_after_any_order_of_changes() -> None:
-    draw, ages = random.Random(5), Ages(2)
+    draw, ages = random.Random(5), ExpiryQueue(2)
     model: list[list[int]] = [[], []]
     free = list(range(50))
     for _ in range(5_000):
@@ -828,7 +867,7 @@
 
 
 def test_numbers_are_found_after_any_order_of_changes() -> None:
-    draw, numbers, model = random.Random(6), Numbers(), dict[int, int]()
+    draw, numbers, model = random.Random(6), PagedIntegerMap(), dict[int, int]()
     for step in range(10_000):
         name = draw.randrange(2) << 48 | draw.randrange(300)
         if draw.random() < 0.5:
@@ -845,7 +884,7 @@
 
 def test_sends_go_one_at_a_time_and_rest_while_live_requests_come() -> None:
     async def main() -> None:
-        aside, loop, order = Aside(), asyncio.get_running_loop(), list[str]()
+        aside, loop, order = BackgroundReplay(), asyncio.get_running_loop(), list[str]()
         slept: list[float] = []
         loop.call_later = lambda delay, call: (slept.append(delay), loop.call_soon(call))  # type: ignore
 
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -25,12 +25,12 @@
 from laurelstep.net.server import Server
 from laurelstep.outbox import bodies
 from laurelstep.outbox import driver as driving
-from laurelstep.outbox.bodies import HELD_EACH, WHOLE_MOST, Bodies, Body, Playback
-from laurelstep.outbox.dots import Dot
+from laurelstep.outbox.bodies import HELD_EACH, WHOLE_MOST, BodyReplay, BodySpool, IncomingBody
 from laurelstep.outbox.driver import OutboxDriver
-from laurelstep.outbox.journal import State
-from laurelstep.outbox.options import CHUNK, KeptClass, OutboxSettings
-from laurelstep.outbox.store import KeptStore
+from laurelstep.outbox.options import CHUNK, OutboxSettings, QueuedClass
+from laurelstep.outbox.queue_store import QueueStore
+from laurelstep.outbox.records import WriteState
+from laurelstep.outbox.write_ids import WriteId
 from laurelstep.settings import config_from
 from laurelstep.stream.pace import HOLD_EACH
 from laurelstep.testing import after, answer, serve, whole_list
@@ -45,7 +45,7 @@
 READ_MOST = 256 * 1024
 # Of one write: at first what had come before it was too large to be held, then the mark and one read.
 BOUND = max(HOLD_EACH, HELD_EACH) + READ_MOST
-CLASSES = {"put": KeptClass("keyed", 86_400_000_000), "pay": KeptClass("unsafe")}
+CLASSES = {"put": QueuedClass("keyed", 86_400_000_000), "pay": QueuedClass("unsafe")}
 
 
 class Disk(SimulatedDisk):
@@ -241,13 +241,13 @@
 def watch(monkeypatch: pytest.MonkeyPatch) -> list[int]:
     """What one body held, each time that it held more or less."""
     found: list[int] = []
-    hold = Body._hold
+    hold = IncomingBody._hold
 
-    def counted(self: Body, more: int) -> None:
+    def counted(self: IncomingBody, more: int) -> None:
         hold(self, more)
         found.append(self.held)
 
-    monkeypatch.setattr(Body, "_hold", counted)
+    monkeypatch.setattr(IncomingBody, "_hold", counted)
     return found
 
 
@@ -266,7 +266,7 @@
             await one.quiet()
             assert one.driver.outbox.size == len(body) and one.driver.bodies.held == 0
             assert len(held) > 12 and 0 < max(held) <= BOUND
-            head = await one.driver.store.head(Dot("studio-1", one.driver.store.incarnation, 2))
+            head = await one.driver.store.head(WriteId("studio-1", one.driver.store.incarnation, 2))
             assert head is not None
             write, _ = head
             assert write.digest == blake2b(b"POST /put\n" + body, digest_size=16).digest()
@@ -492,9 +492,9 @@
             written: list[int] = []
             put_parts = one.driver.store.put_parts
 
-            async def noted(dot: Dot, at: int, parts: Any) -> None:
+            async def noted(write_id: WriteId, at: int, parts: Any) -> None:
                 written.append(at)
-                await put_parts(dot, at, parts)
+                await put_parts(write_id, at, parts)
 
             one.driver.store.put_parts = noted  # type: ignore[method-assign]
             for chunked in (False, True):  # chunks count as 4 MB, which is over the share
@@ -565,9 +565,9 @@
             assert found.status == 503 and float(found.headers["retry-after"]) > 0
             assert any("not kept" in line for line in one.log)
             for again in (disk.lose_power(), disk.lose_power(all_=True)):
-                store = await KeptStore.open(again, 64 << 20)
+                store = await QueueStore.open(again, 64 << 20)
                 ((write, _),) = (await store.load()).writes
-                found_again = await store.head(write.dot)
+                found_again = await store.head(write.write_id)
                 assert found_again is not None and found_again[0].start == b"POST /put"
                 assert not [key for key in store.store.index.where if key[:1] == b"p"]
                 await store.close()
@@ -770,9 +770,9 @@
             journal.extend(disk.journal)
 
     async def recovered(disk: SimulatedDisk) -> list[bytes]:
-        store = await KeptStore.open(disk, 64 << 20)
+        store = await QueueStore.open(disk, 64 << 20)
         writes = (await store.load()).writes
-        found = [one for write, _ in writes if (one := await store.read(write.dot)) is not None]
+        found = [one for write, _ in writes if (one := await store.read(write.write_id)) is not None]
         assert len(found) == len(writes)
         parts = {key for key in store.store.index.where if key[:1] == b"p"}
         assert len(parts) == sum(-(-write.size // CHUNK) - 1 for write, _ in found if write.size)
@@ -822,21 +822,21 @@
         self.whole = whole
 
 
-def played(test: Callable[[KeptStore, Playback, Taker, list[int]], Coroutine[Any, Any, None]]) -> None:
+def played(test: Callable[[QueueStore, BodyReplay, Taker, list[int]], Coroutine[Any, Any, None]]) -> None:
     """A write of five parts in a store; the numbers of the parts that were read."""
 
     async def main() -> None:
         async with asyncio.timeout(TIMEOUT_S):
-            store = await KeptStore.open(SimulatedDisk(), 64 << 20)
+            store = await QueueStore.open(SimulatedDisk(), 64 << 20)
             await store.load()
             write, body = made(1, 300_000)
             await store.keep(write, body)
             read: list[int] = []
             part = store.part
 
-            async def counted(dot: Dot, at: int) -> bytes:
+            async def counted(write_id: WriteId, at: int) -> bytes:
                 read.append(at)
-                return await part(dot, at)
+                return await part(write_id, at)
 
             class Played:
                 engine = None
@@ -852,7 +852,7 @@
                 upload: Flow
 
             called = Called()
-            playback = Playback(cast(Bodies, Owner), cast(Any, called), write, body[:CHUNK])
+            playback = BodyReplay(cast(BodySpool, Owner), cast(Any, called), write, body[:CHUNK])
             called.upload = Flow(playback, write.size)
             await test(store, playback, Taker(called.upload), read)
             await store.close()
@@ -861,7 +861,7 @@
 
 
 def test_no_more_than_one_part_is_read_ahead_of_a_taker_that_holds_back() -> None:
-    async def test(store: KeptStore, playback: Playback, taker: Taker, read: list[int]) -> None:
+    async def test(store: QueueStore, playback: BodyReplay, taker: Taker, read: list[int]) -> None:
         taker.upload.attach(taker)
         assert playback.task is None, "nothing is read before somebody takes it"
         for number in range(1, 6):
@@ -879,7 +879,7 @@
 
 
 def test_a_part_that_is_missing_ends_the_flow_as_broken() -> None:
-    async def test(store: KeptStore, playback: Playback, taker: Taker, read: list[int]) -> None:
+    async def test(store: QueueStore, playback: BodyReplay, taker: Taker, read: list[int]) -> None:
         taker.holds = False
         await store.store.delete(sorted(key for key in store.store.index.where if key[:1] == b"p")[-1])
         taker.upload.attach(taker)
@@ -892,7 +892,7 @@
 
 
 def test_a_taker_that_leaves_ends_the_reading() -> None:
-    async def test(store: KeptStore, playback: Playback, taker: Taker, read: list[int]) -> None:
+    async def test(store: QueueStore, playback: BodyReplay, taker: Taker, read: list[int]) -> None:
         taker.upload.attach(taker)
         taker.upload.resume()
         while not taker.got:
@@ -915,10 +915,10 @@
             uploads = {}
             call = one.driver.bodies.call
 
-            async def seen(dot: Dot, replay: Any) -> Any:
-                found = await call(dot, replay)
+            async def seen(write_id: WriteId, replay: Any) -> Any:
+                found = await call(write_id, replay)
                 if found is not None:
-                    uploads[dot.number] = found.upload is not None, len(found.body)
+                    uploads[write_id.number] = found.upload is not None, len(found.body)
                 return found
 
             one.driver.bodies.call = seen  # type: ignore[method-assign]
@@ -926,8 +926,10 @@
             await one.done("large")
             assert uploads == {1: (False, 0), 2: (False, WHOLE_MOST), 3: (True, 0)}
             for number in (2, 3):
-                moved = await one.driver.store.moved(Dot("studio-1", one.driver.store.incarnation, number))
-                assert moved is not None and moved.state is State.DONE and moved.status == 200
+                moved = await one.driver.store.moved(
+                    WriteId("studio-1", one.driver.store.incarnation, number)
+                )
+                assert moved is not None and moved.state is WriteState.DONE and moved.status == 200
 
     run(main())
 
@@ -938,10 +940,10 @@
             assert (await one.write("photo", body_of(2 << 20))).status == 202
             assert (await one.write("order", body_of(2 << 20), cls="pay")).status == 202
             outbox, now = one.driver.outbox, one.driver._now()
-            photo, order = (Dot("studio-1", one.driver.store.incarnation, at) for at in (2, 3))
+            photo, order = (WriteId("studio-1", one.driver.store.incarnation, at) for at in (2, 3))
             for left, most in ((3_600_000_000, bodies.PASSING_MOST_US + 5_000_000), (7_000_000, 7_000_000)):
-                for dot in (photo, order):
-                    outbox._rows.since[outbox._must_row(dot)] = now - CLASSES["put"].window_us + left
+                for write_id in (photo, order):
+                    outbox._rows.since[outbox._must_row(write_id)] = now - CLASSES["put"].window_us + left
                 call = await one.driver.bodies.call(photo, cast(Any, None))
                 assert call is not None and 0 < call.expires - now <= most + 1_000_000
                 call = await one.driver.bodies.call(order, cast(Any, None))
--- a/tests/test_outbox_driver.py
+++ b/tests/test_outbox_driver.py
@@ -6,9 +6,9 @@
 from pathlib import Path
 
 from laurelstep.outbox.driver import OutboxDriver
-from laurelstep.outbox.journal import Event, Moved, Reason, State
-from laurelstep.outbox.options import KeptClass, OutboxSettings
-from laurelstep.outbox.terms import Offer
+from laurelstep.outbox.messages import WriteOffer
+from laurelstep.outbox.options import OutboxSettings, QueuedClass
+from laurelstep.outbox.records import ParkingReason, StateChange, WriteEvent, WriteState
 
 SECOND = 1_000_000
 
@@ -16,21 +16,24 @@
 def test_a_send_whose_record_took_longer_than_its_window_is_not_sent(tmp_path: Path) -> None:
     async def main() -> None:
         settings = OutboxSettings(
-            store_path=str(tmp_path / "store"), edge="ash", classes={"put": KeptClass("keyed", 60 * SECOND)},
-            share=1.0, send_us=2 * SECOND,
-        )  # fmt: skip
+            store_path=str(tmp_path / "store"),
+            edge="ash",
+            classes={"put": QueuedClass("keyed", 60 * SECOND)},
+            share=1.0,
+            send_us=2 * SECOND,
+        )
         driver = await OutboxDriver.open(settings, {"put": 1}, {}, lambda line: None)
         now = driver._now()
         driver._now = lambda: now  # type: ignore[method-assign]
-        ticket = driver.outbox.offer(Offer("put", b"POST /put", (), 0, b"", b"key"), now, 1)
+        ticket = driver.outbox.offer(WriteOffer("put", b"POST /put", (), 0, b"", b"key"), now, 1)
         assert ticket.write is not None
         await driver.store.keep(ticket.write, b"")
-        driver.outbox.stored(ticket.dot, now)
+        driver.outbox.stored(ticket.write_id, now)
         (change,) = driver.outbox.due(now)
-        assert change.event is Event.SEND
+        assert change.event is WriteEvent.SEND
         move = driver.store.move
 
-        async def slow(moved: Moved) -> None:
+        async def slow(moved: StateChange) -> None:
             nonlocal now
             await move(moved)
             now += 61 * SECOND
@@ -39,8 +42,8 @@
         await driver._step(change)  # there is no engine: to send would fail
         for change in driver.outbox.due(now):
             await driver._step(change)
-        found = driver.outbox.receipt(ticket.dot)
-        assert (found.state, found.reason) == (State.PARKED, Reason.WINDOW)
+        found = driver.outbox.receipt(ticket.write_id)
+        assert (found.state, found.reason) == (WriteState.PARKED, ParkingReason.WINDOW)
         await driver.close()
 
     asyncio.run(main())
--- a/tests/test_outbox_schedules.py
+++ b/tests/test_outbox_schedules.py
@@ -13,24 +13,24 @@
 
 import pytest
 
-from laurelstep.outbox.causes import Cause, Causes, Fate, Tokens
-from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.dependencies import CausalityTokens, Dependencies, Dependency, WriteStatus
+from laurelstep.outbox.dependency_tracker import NUMBERS
 from laurelstep.outbox.errors import FullError, StepError, UnknownWriteError, VerdictError
-from laurelstep.outbox.journal import (
+from laurelstep.outbox.outbox import Outbox, OutboxBounds, QueuedClass, ReplayResult, Transition, WriteOffer
+from laurelstep.outbox.records import (
     FINAL,
-    Event,
-    KeptWrite,
-    Moved,
-    Reason,
-    State,
-    Verdict,
-    decode_kept,
-    decode_moved,
+    ParkingReason,
+    QueuedWrite,
+    Resolution,
+    StateChange,
+    WriteEvent,
+    WriteState,
+    decode_state_change,
+    decode_write,
     encode,
 )
-from laurelstep.outbox.outbox import Bounds, Change, End, KeptClass, Offer, Outbox
-from laurelstep.outbox.rows import BUSY, CLOSED, DURABLE, ORPHAN
-from laurelstep.outbox.waiting import NUMBERS
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
+from laurelstep.outbox.write_table import BUSY, CLOSED, DURABLE, ORPHAN
 from tests.once import once
 
 pytestmark = once
@@ -38,7 +38,7 @@
 SECOND = 1_000_000
 SEND = 10 * SECOND
 STEPS = 110
-TOKENS = Tokens(b"the secret of all edges")
+TOKENS = CausalityTokens(b"the secret of all edges")
 
 
 class BrokenError(AssertionError):
@@ -58,7 +58,7 @@
     client: int
     after: set[bytes]
     join: bool = False
-    dot: Dot | None = None
+    write_id: WriteId | None = None
     told: bool = False  # its client has the 202
     durable: bool = False
     lost: bool = False  # with its edge
@@ -76,44 +76,46 @@
 class Flight:
     """One attempt on its way. `edge` is None once that crashed: nobody waits for its answer."""
 
-    dot: Dot
+    write_id: WriteId
     name: bytes
     edge: Edge | None
     until: int
 
 
-class Shared:
+class SharedOutbox:
     """What copies upstream share, as one truth that is told late."""
 
     def __init__(self, world: World) -> None:
         self.world = world
-        self.fates: dict[Dot, Fate] = {}
-        self.low: dict[Line, int] = {}
-        self.held: dict[Line, Fate] = {}  # the first that is not over
+        self.write_statuses: dict[WriteId, WriteStatus] = {}
+        self.low: dict[EdgeLog, int] = {}
+        self.held: dict[EdgeLog, WriteStatus] = {}  # the first that is not over
         self.gone: set[str] = set()
 
-    def fate(self, cause: Cause) -> Fate:
-        if cause.edge in self.gone:
-            return Fate.GONE
-        if not cause.before:
-            return self.fates.get(cause.dot, Fate.UNKNOWN)
-        low = self.low.get(cause.line, 0)
-        if low >= cause.number:
-            return Fate.IN
-        return self.held.get(cause.line, Fate.UNKNOWN)
+    def write_status(self, dependency: Dependency) -> WriteStatus:
+        if dependency.edge in self.gone:
+            return WriteStatus.GONE
+        if not dependency.before:
+            return self.write_statuses.get(dependency.write_id, WriteStatus.UNKNOWN)
+        low = self.low.get(dependency.line, 0)
+        if low >= dependency.number:
+            return WriteStatus.IN
+        return self.held.get(dependency.line, WriteStatus.UNKNOWN)
 
     def learn(self) -> None:
         """From each edge, what is over there."""
         for edge in self.world.living():
-            self.fates.update(edge.outbox.over())
+            self.write_statuses.update(edge.outbox.over())
             for line, high in edge.outbox.lines().items():
                 self.low[line] = low = edge.outbox.low(line)
-                self.held[line] = edge.outbox.fate(Dot(*line, low + 1)) if low < high else Fate.UNKNOWN
-            for dot in edge.kept:
-                if self.fates.get(dot) not in (Fate.IN, Fate.GONE):
-                    self.fates[dot] = edge.outbox.fate(dot)
-
-    def holds(self, line: Line) -> bool:
+                self.held[line] = (
+                    edge.outbox.write_status(WriteId(*line, low + 1)) if low < high else WriteStatus.UNKNOWN
+                )
+            for write_id in edge.kept:
+                if self.write_statuses.get(write_id) not in (WriteStatus.IN, WriteStatus.GONE):
+                    self.write_statuses[write_id] = edge.outbox.write_status(write_id)
+
+    def holds(self, line: EdgeLog) -> bool:
         return True
 
 
@@ -123,9 +125,9 @@
     def __init__(self, world: World, name: str) -> None:
         self.world = world
         self.name = name
-        self.kept: dict[Dot, bytes] = {}
-        self.moved: dict[Dot, bytes] = {}
-        self.marks: dict[Line, int] = {}
+        self.kept: dict[WriteId, bytes] = {}
+        self.moved: dict[WriteId, bytes] = {}
+        self.marks: dict[EdgeLog, int] = {}
         self.pending: list[tuple[str, Any]] = []  # writes on their way to the disk
         self.link = True
         self.lost = False
@@ -134,12 +136,15 @@
 
     def start(self) -> None:
         world = self.world
-        line = Line(self.name, world.draw.getrandbits(63) or 1)
+        line = EdgeLog(self.name, world.draw.getrandbits(63) or 1)
         self.outbox = world.make(line, world.classes, world.bounds, TOKENS, world.shared)
         self.pending = []
         pairs = [
-            (decode_kept(data), decode_moved(self.moved[dot]) if dot in self.moved else None)
-            for dot, data in self.kept.items()
+            (
+                decode_write(data),
+                decode_state_change(self.moved[write_id]) if write_id in self.moved else None,
+            )
+            for write_id, data in self.kept.items()
         ]
         changes = self.outbox.restore(pairs, self.marks, world.now, self.wall)
         self.marks = {**self.marks, **self.outbox.lines()}
@@ -150,7 +155,7 @@
     def wall(self) -> int:
         return 1_700_000_000 * SECOND + self.world.now + self.skew
 
-    def push(self, changes: list[Change]) -> None:
+    def push(self, changes: list[Transition]) -> None:
         self.pending += [("move", change) for change in changes]
 
     def crash(self) -> None:
@@ -166,15 +171,15 @@
     def persist(self, kind: str, what: Any) -> None:
         world = self.world
         if kind == "keep":
-            self.kept[what.dot] = encode(what)
-            world.written[world.names[what.dot]].durable = True
+            self.kept[what.write_id] = encode(what)
+            world.written[world.names[what.write_id]].durable = True
             return
-        dot, moved = what.dot, what.moved
-        if dot in self.moved and decode_moved(self.moved[dot]).state in FINAL:
-            raise BrokenError("final", f"{dot} moved after its end")
-        self.moved[dot] = encode(moved)
-        written = world.written[world.names[dot]]
-        if moved.state is State.GIVEN_UP:
+        write_id, moved = what.write_id, what.moved
+        if write_id in self.moved and decode_state_change(self.moved[write_id]).state in FINAL:
+            raise BrokenError("final", f"{write_id} moved after its end")
+        self.moved[write_id] = encode(moved)
+        written = world.written[world.names[write_id]]
+        if moved.state is WriteState.GIVEN_UP:
             written.given_up = True
 
     def disk(self) -> None:
@@ -188,31 +193,34 @@
             self.keep_ended(what, fails)
         elif fails:
             self.outbox.undo(what, world.now)
-            if what.event not in (Event.SEND, Event.EXPIRED, Event.ORPHANED, Event.JOINED) and (
-                what.event not in (Event.RAN, Event.NEVER_RAN, Event.GIVE_UP)
-            ):
-                self.outbox._rows.set(self.outbox._row(what.dot), BUSY)
+            if what.event not in (
+                WriteEvent.SEND,
+                WriteEvent.EXPIRED,
+                WriteEvent.ORPHANED,
+                WriteEvent.JOINED,
+            ) and (what.event not in (WriteEvent.RAN, WriteEvent.NEVER_RAN, WriteEvent.GIVE_UP)):
+                self.outbox._rows.set(self.outbox._row(what.write_id), BUSY)
                 self.pending.append((kind, what))  # an end is tried again
         elif not self.outbox.apply(what, world.now):
-            self.push([self.outbox.ended(what.dot, End.NOT_RUN, world.now, self.wall)])
-        elif what.event is Event.SEND:
-            world.send(self, what.dot)
+            self.push([self.outbox.ended(what.write_id, ReplayResult.NOT_RUN, world.now, self.wall)])
+        elif what.event is WriteEvent.SEND:
+            world.send(self, what.write_id)
 
-    def keep_ended(self, write: KeptWrite, fails: bool) -> None:
+    def keep_ended(self, write: QueuedWrite, fails: bool) -> None:
         world = self.world
-        name = world.names[write.dot]
+        name = world.names[write.write_id]
         written = world.written[name]
         if fails:
-            self.outbox.unstored(write.dot, world.now)
+            self.outbox.unstored(write.write_id, world.now)
             return
-        self.outbox.stored(write.dot, world.now)
-        if not self.outbox.durable(write.dot):
-            raise BrokenError("told", f"{write.dot} is stored and not durable")
+        self.outbox.stored(write.write_id, world.now)
+        if not self.outbox.durable(write.write_id):
+            raise BrokenError("told", f"{write.write_id} is stored and not durable")
         written.told = True
-        token = TOKENS.receipt(write.dot)
+        token = TOKENS.receipt(write.write_id)
         client = world.clients[written.client]
         if world.draw.random() < 0.1:
-            token = TOKENS.tell((Cause(*write.dot, True),))  # more than it must follow
+            token = TOKENS.tell((Dependency(*write.write_id, True),))  # more than it must follow
         kept = client.tokens[-3:] if world.draw.random() < 0.3 else []
         client.tokens = [*kept, (token, name)]
         if not written.join:
@@ -228,7 +236,7 @@
         self.make = make
         self.now = 1_000 * SECOND
         self.calm = False
-        self.bounds = Bounds(
+        self.bounds = OutboxBounds(
             bytes_most=2_000,
             count_most=self.draw.choice((6, 40)),
             tenant_share=0.75,
@@ -239,16 +247,19 @@
             orphans=self.draw.choice(("park", "release")),
         )
         self.window = self.draw.choice((60, 250, 900)) * SECOND
-        self.classes = {"album": KeptClass("album", True, self.window), "print": KeptClass("print", False)}
+        self.classes = {
+            "album": QueuedClass("album", True, self.window),
+            "print": QueuedClass("print", False),
+        }
         self.written: dict[bytes, Written] = {}
-        self.names: dict[Dot, bytes] = {}
+        self.names: dict[WriteId, bytes] = {}
         self.by_name: dict[tuple[str, bytes, bytes], list[bytes]] = {}
         self.flights: list[Flight] = []
         self.memory: dict[bytes, int] = {}  # upstream's keys, and when they were first seen
-        self.shared = Shared(self)
+        self.shared = SharedOutbox(self)
         self.clients = [Client(number) for number in range(4)]
         self.edges = [Edge(self, name) for name in ("ash", "birch", "cedar")[: self.draw.randint(1, 3)]]
-        self.said: list[tuple[Edge, Dot, int, Verdict]] = []
+        self.said: list[tuple[Edge, WriteId, int, Resolution]] = []
 
     # What befalls it
 
@@ -258,7 +269,7 @@
             + [self.disks] * 12
             + [self.work] * 5
             + [self.arrive] * 8
-            + [self.pass_time, self.judge, self.judge_again] * 2
+            + [self.pass_time, self.resolve, self.judge_again] * 2
             + [self.flap, self.crash, self.rare, self.hear, self.join]
         )
         for _ in range(STEPS):
@@ -278,7 +289,7 @@
         for kind, word in ((b"s", session), (b"o", obj)):
             after.update(self.by_name.get((edge.name, kind, word), ()))
         cls = "album" if keyed else "print"
-        offer = Offer(
+        offer = WriteOffer(
             cls,
             name,
             (),
@@ -297,15 +308,15 @@
                 raise BrokenError("bounds", "a full outbox does not say when to return") from None
             return
         if ticket.write is None:
-            raise BrokenError("invented", f"{ticket.dot} is said to be known")
+            raise BrokenError("invented", f"{ticket.write_id} is said to be known")
         self.note(edge, ticket.write, Written(name, keyed, client.number, after))
-        if keyed and edge.outbox.offer(offer, self.now, edge.wall).dot != ticket.dot:
-            raise BrokenError("once", f"the key of {ticket.dot} has two names")
+        if keyed and edge.outbox.offer(offer, self.now, edge.wall).write_id != ticket.write_id:
+            raise BrokenError("once", f"the key of {ticket.write_id} has two names")
 
-    def note(self, edge: Edge, write: KeptWrite, written: Written) -> None:
-        written.dot = write.dot
+    def note(self, edge: Edge, write: QueuedWrite, written: Written) -> None:
+        written.write_id = write.write_id
         self.written[written.name] = written
-        self.names[write.dot] = written.name
+        self.names[write.write_id] = written.name
         edge.pending.append(("keep", write))
 
     def join(self) -> None:
@@ -313,10 +324,10 @@
         client, edge = self.draw.choice(self.clients), self.draw.choice(self.living())
         if len(client.tokens) < 2:
             return
-        causes = TOKENS.read(", ".join(token for token, _ in client.tokens))
+        dependencies = TOKENS.read(", ".join(token for token, _ in client.tokens))
         after = {known for _, known in client.tokens}
         try:
-            ticket = edge.outbox.join(causes, self.now, edge.wall)
+            ticket = edge.outbox.join(dependencies, self.now, edge.wall)
         except FullError:
             return
         assert ticket.write is not None
@@ -331,8 +342,8 @@
         edge = self.draw.choice(self.living())
         edge.push(edge.outbox.due(self.now))
 
-    def send(self, edge: Edge, dot: Dot) -> None:
-        self.flights.append(Flight(dot, self.names[dot], edge, self.now + SEND))
+    def send(self, edge: Edge, write_id: WriteId) -> None:
+        self.flights.append(Flight(write_id, self.names[write_id], edge, self.now + SEND))
 
     def arrive(self) -> None:
         """An attempt ends, maybe after its edge has given it up."""
@@ -342,19 +353,19 @@
         edge, luck = flight.edge, self.draw.random()
         up = edge is None or edge.link
         if not self.calm and luck < 0.12:
-            self.end(edge, flight, End.MAY_HAVE_RUN)  # lost on the way there
+            self.end(edge, flight, ReplayResult.MAY_HAVE_RUN)  # lost on the way there
         elif not up or (not self.calm and luck < 0.2):
-            self.end(edge, flight, End.NOT_RUN)
+            self.end(edge, flight, ReplayResult.NOT_RUN)
         elif luck > 0.95:
-            self.end(edge, flight, End.DENIED)
+            self.end(edge, flight, ReplayResult.DENIED)
         else:
             self.effect(flight.name)
             lost = not self.calm and luck < 0.35
-            self.end(edge, flight, End.MAY_HAVE_RUN if lost else End.ANSWERED)
+            self.end(edge, flight, ReplayResult.MAY_HAVE_RUN if lost else ReplayResult.ANSWERED)
 
-    def end(self, edge: Edge | None, flight: Flight, end: End) -> None:
+    def end(self, edge: Edge | None, flight: Flight, end: ReplayResult) -> None:
         if edge is not None and not edge.lost:
-            edge.push([edge.outbox.ended(flight.dot, end, self.now, edge.wall, 200, (), b"told")])
+            edge.push([edge.outbox.ended(flight.write_id, end, self.now, edge.wall, 200, (), b"told")])
 
     def effect(self, name: bytes) -> None:
         written = self.written[name]
@@ -363,9 +374,9 @@
         self.memory[name] = self.now
         written.effects += 1
         if written.effects > 1:
-            raise BrokenError("once", f"{written.dot} took effect twice")
+            raise BrokenError("once", f"{written.write_id} took effect twice")
         if not written.durable:
-            raise BrokenError("invented", f"{written.dot} took effect and is on no disk")
+            raise BrokenError("invented", f"{written.write_id} took effect and is on no disk")
         self.check_order(written)
 
     def check_order(self, written: Written) -> None:
@@ -377,7 +388,7 @@
             seen.add(name)
             before = self.written[name]
             if not (before.effects or before.given_up or before.lost or before.join):
-                raise BrokenError("order", f"{written.dot} took effect before {before.dot}")
+                raise BrokenError("order", f"{written.write_id} took effect before {before.write_id}")
             if not before.lost:  # what a lost write followed is lost with it
                 work += before.after
 
@@ -395,7 +406,7 @@
                 self.effect(flight.name)
         self.now = end
         for flight in overdue:
-            self.end(flight.edge, flight, End.MAY_HAVE_RUN)
+            self.end(flight.edge, flight, ReplayResult.MAY_HAVE_RUN)
 
     def flap(self) -> None:
         edge = self.draw.choice(self.living())
@@ -419,55 +430,57 @@
             edge = self.draw.choice(self.living())
             edge.lost = True
             self.shared.gone.add(edge.name)
-            self.flights = [one for one in self.flights if one.edge is not edge and one.dot.edge != edge.name]
+            self.flights = [
+                one for one in self.flights if one.edge is not edge and one.write_id.edge != edge.name
+            ]
             for written in self.written.values():
-                if written.dot is not None and written.dot.edge == edge.name:
+                if written.write_id is not None and written.write_id.edge == edge.name:
                     written.lost = True
             self.hear()
 
     # Operators
 
-    def parked(self) -> list[tuple[Edge, Dot]]:
+    def parked(self) -> list[tuple[Edge, WriteId]]:
         found = []
         for edge in self.living():
-            for dot in edge.kept:
-                if dot in edge.moved and decode_moved(edge.moved[dot]).state in FINAL:
+            for write_id in edge.kept:
+                if write_id in edge.moved and decode_state_change(edge.moved[write_id]).state in FINAL:
                     continue
-                if edge.outbox.receipt(dot).state is State.PARKED:
-                    found.append((edge, dot))
+                if edge.outbox.receipt(write_id).state is WriteState.PARKED:
+                    found.append((edge, write_id))
         return found
 
-    def judge(self) -> None:
+    def resolve(self) -> None:
         found = self.parked()
         if found:
             self.judge_one(*self.draw.choice(found))
 
-    def judge_one(self, edge: Edge, dot: Dot) -> None:
+    def judge_one(self, edge: Edge, write_id: WriteId) -> None:
         """The truth, once nothing of it is on its way."""
-        if any(flight.dot == dot for flight in self.flights):
+        if any(flight.write_id == write_id for flight in self.flights):
             return
-        receipt = edge.outbox.receipt(dot)
-        written = self.written[self.names[dot]]
-        verdict = (
-            Verdict.RAN
+        receipt = edge.outbox.receipt(write_id)
+        written = self.written[self.names[write_id]]
+        resolution = (
+            Resolution.RAN
             if written.effects or written.join
-            else self.draw.choice((Verdict.NEVER_RAN, Verdict.GIVE_UP))
+            else self.draw.choice((Resolution.NEVER_RAN, Resolution.GIVE_UP))
         )
-        if verdict.name.lower() not in receipt.verdicts:
+        if resolution.name.lower() not in receipt.resolutions:
             return
-        self.say(edge, dot, receipt.parking, verdict)
-        self.said.append((edge, dot, receipt.parking, verdict))
+        self.say(edge, write_id, receipt.parking, resolution)
+        self.said.append((edge, write_id, receipt.parking, resolution))
 
     def judge_again(self) -> None:
-        """A verdict that was given is given again, late."""
+        """A resolution that was given is given again, late."""
         if self.said:
-            edge, dot, parking, verdict = self.draw.choice(self.said[-3:])
-            if not edge.lost and dot in edge.kept:
-                self.say(edge, dot, parking, verdict)
+            edge, write_id, parking, resolution = self.draw.choice(self.said[-3:])
+            if not edge.lost and write_id in edge.kept:
+                self.say(edge, write_id, parking, resolution)
 
-    def say(self, edge: Edge, dot: Dot, parking: int, verdict: Verdict) -> None:
+    def say(self, edge: Edge, write_id: WriteId, parking: int, resolution: Resolution) -> None:
         try:
-            change = edge.outbox.judge(dot, parking, verdict, edge.wall)
+            change = edge.outbox.resolve(write_id, parking, resolution, edge.wall)
         except VerdictError:
             return
         if change is not None:
@@ -486,18 +499,18 @@
         if edge.kept:
             self.check_told(edge, self.draw.choice(list(edge.kept)))
 
-    def check_told(self, edge: Edge, dot: Dot) -> None:
+    def check_told(self, edge: Edge, write_id: WriteId) -> None:
         """What a receipt says is on the disk."""
-        receipt = edge.outbox.receipt(dot)
-        kept = decode_moved(edge.moved[dot]) if dot in edge.moved else None
+        receipt = edge.outbox.receipt(write_id)
+        kept = decode_state_change(edge.moved[write_id]) if write_id in edge.moved else None
         final = kept is not None and kept.state in FINAL
         if receipt.state in FINAL and (kept is None or kept.state is not receipt.state):
-            raise BrokenError("told", f"{dot} is told {receipt.state.name} and is not on the disk")
-        waiting = any(kind == "move" and what.dot == dot for kind, what in edge.pending)
+            raise BrokenError("told", f"{write_id} is told {receipt.state.name} and is not on the disk")
+        waiting = any(kind == "move" and what.write_id == write_id for kind, what in edge.pending)
         if final and receipt.state not in FINAL and not waiting:
-            raise BrokenError("told", f"{dot} was final and is told {receipt.state.name}")
-        if receipt.state is State.PARKED and receipt.reason is Reason.NONE:
-            raise BrokenError("told", f"{dot} is parked without a reason")
+            raise BrokenError("told", f"{write_id} was final and is told {receipt.state.name}")
+        if receipt.state is WriteState.PARKED and receipt.reason is ParkingReason.NONE:
+            raise BrokenError("told", f"{write_id} is parked without a reason")
 
     def heal(self) -> None:
         """Faults end: all that was kept takes effect, or is parked with a reason. Operators judge that."""
@@ -509,11 +522,13 @@
             parked = self.parked()
             if not parked:
                 break
-            for edge, dot in parked:
-                self.judge_one(edge, dot)
+            for edge, write_id in parked:
+                self.judge_one(edge, write_id)
             self.settle()
-        for edge, dot in self.parked():
-            raise BrokenError("progress", f"{dot} stays parked: {edge.outbox.receipt(dot).reason.name}")
+        for edge, write_id in self.parked():
+            raise BrokenError(
+                "progress", f"{write_id} stays parked: {edge.outbox.receipt(write_id).reason.name}"
+            )
 
     def settle(self) -> None:
         for _ in range(400):
@@ -531,28 +546,32 @@
             if not busy and not self.open():
                 break
         self.check()
-        for edge, dot in self.open():
-            raise BrokenError("progress", f"{dot} stays {edge.outbox.receipt(dot).state.name}")
+        for edge, write_id in self.open():
+            raise BrokenError("progress", f"{write_id} stays {edge.outbox.receipt(write_id).state.name}")
         self.check_end()
 
-    def open(self) -> list[tuple[Edge, Dot]]:
+    def open(self) -> list[tuple[Edge, WriteId]]:
         return [
-            (edge, dot)
+            (edge, write_id)
             for edge in self.living()
-            for dot in edge.kept
-            if edge.outbox.receipt(dot).state not in (*FINAL, State.PARKED)
+            for write_id in edge.kept
+            if edge.outbox.receipt(write_id).state not in (*FINAL, WriteState.PARKED)
         ]
 
     def check_end(self) -> None:
         for written in self.written.values():
-            edge = next(one for one in self.edges if written.dot is not None and one.name == written.dot.edge)
-            if edge.lost or written.join or not written.told or written.dot is None:
+            edge = next(
+                one
+                for one in self.edges
+                if written.write_id is not None and one.name == written.write_id.edge
+            )
+            if edge.lost or written.join or not written.told or written.write_id is None:
                 continue
-            receipt = edge.outbox.receipt(written.dot)
-            if written.dot not in edge.kept:
-                raise BrokenError("told", f"{written.dot} was told and is on no disk")
-            if receipt.state is State.DONE and written.effects != 1:
-                raise BrokenError("once", f"{written.dot} is done with {written.effects} effects")
+            receipt = edge.outbox.receipt(written.write_id)
+            if written.write_id not in edge.kept:
+                raise BrokenError("told", f"{written.write_id} was told and is on no disk")
+            if receipt.state is WriteState.DONE and written.effects != 1:
+                raise BrokenError("once", f"{written.write_id} is done with {written.effects} effects")
 
 
 def play(seed: int, make: Callable[..., Outbox] = Outbox) -> World:
@@ -588,36 +607,36 @@
 class TwoSends(Outbox):
     """An unsafe write whose answer was lost goes out again."""
 
-    def _meaning(self, row: int, end: End, now: int) -> tuple[Event, Reason]:
+    def _meaning(self, row: int, end: ReplayResult, now: int) -> tuple[WriteEvent, ParkingReason]:
         event, reason = super()._meaning(row, end, now)
-        return (Event.AGAIN, Reason.NONE) if event is Event.UNSURE else (event, reason)
+        return (WriteEvent.AGAIN, ParkingReason.NONE) if event is WriteEvent.UNSURE else (event, reason)
 
 
 class NoWindow(Outbox):
     """A keyed write goes out also after its window."""
 
-    def _expired(self, row: int, now: int) -> Reason:
-        return Reason.NONE
+    def _expired(self, row: int, now: int) -> ParkingReason:
+        return ParkingReason.NONE
 
 
 class Slow(Outbox):
     """A write goes out although its record took longer than its window."""
 
-    def apply(self, change: Change, now: int) -> bool:
+    def apply(self, change: Transition, now: int) -> bool:
         return super().apply(change, now) or True
 
 
 class NoSession(Outbox):
     """A write does not follow the one before it of its session, nor of its object."""
 
-    def _enter(self, write: KeptWrite, line: int, key: int, session: int, obj: int, since: int) -> int:
+    def _enter(self, write: QueuedWrite, line: int, key: int, session: int, obj: int, since: int) -> int:
         return super()._enter(write, line, key, 0, 0, since)
 
 
 class NoForeign(Outbox):
     """Nobody waits for what is kept at another edge."""
 
-    def _follow_foreign(self, row: int, cause: Cause) -> int:
+    def _follow_foreign(self, row: int, dependency: Dependency) -> int:
         return -1
 
 
@@ -631,24 +650,24 @@
 class Forgetful(Outbox):
     """What is found out after a restart is taken for never sent."""
 
-    def _restore_out(self, row: int, now: int, clock_back: bool) -> Change:
-        return self._change(row, Event.NOT_RUN)
+    def _restore_out(self, row: int, now: int, clock_back: bool) -> Transition:
+        return self._change(row, WriteEvent.NOT_RUN)
 
 
 class OldClock(Outbox):
     """A clock that was set back is believed."""
 
     def _restore_states(
-        self, entered: list[int], moves: list[Moved | None], now: int, wall: int, clock_back: bool
-    ) -> list[Change]:
+        self, entered: list[int], moves: list[StateChange | None], now: int, wall: int, clock_back: bool
+    ) -> list[Transition]:
         return super()._restore_states(entered, moves, now, wall, False)
 
 
 class Early(Outbox):
     """A write goes out before its record is durable."""
 
-    def _link(self, row: int, causes: Causes, barriers: Any = None) -> None:
-        super()._link(row, causes, barriers)
+    def _link(self, row: int, dependencies: Dependencies, barriers: Any = None) -> None:
+        super()._link(row, dependencies, barriers)
         self._rows.set(row, DURABLE)
         self._wake(row)
 
@@ -656,8 +675,8 @@
 class Hole(Outbox):
     """A write does not take over the causes of one that may never be durable."""
 
-    def _through(self, causes: Causes) -> Causes:
-        return causes
+    def _through(self, dependencies: Dependencies) -> Dependencies:
+        return dependencies
 
 
 class Through(Outbox):
@@ -666,42 +685,44 @@
     def _retire(self, row: int) -> None:
         graph = self._graph
         while (arrow := graph._in[row]) >= 0:
-            cause = graph._source[arrow]
-            if graph._out[cause] == arrow:
-                graph._out[cause] = graph._next_out[arrow]
+            dependency = graph._source[arrow]
+            if graph._out[dependency] == arrow:
+                graph._out[dependency] = graph._next_out[arrow]
             else:
-                before = graph._out[cause]
+                before = graph._out[dependency]
                 while graph._next_out[before] != arrow:
                     before = graph._next_out[before]
                 graph._next_out[before] = graph._next_out[arrow]
-            graph._stuck[row] -= graph.sticks(cause)
+            graph._stuck[row] -= graph.sticks(dependency)
             graph._unlink_in(row, arrow)
         super()._retire(row)
 
 
 class AnyParking(Outbox):
-    """A verdict counts for whatever parking there is."""
+    """A resolution counts for whatever parking there is."""
 
-    def judge(self, dot: Dot, parking: int, verdict: Verdict, wall: int) -> Change | None:
-        row = self._row(dot)
-        if row >= 0 and not self._rows.has(row, CLOSED) and self._rows.state[row] == State.PARKED:
+    def resolve(
+        self, write_id: WriteId, parking: int, resolution: Resolution, wall: int
+    ) -> Transition | None:
+        row = self._row(write_id)
+        if row >= 0 and not self._rows.has(row, CLOSED) and self._rows.state[row] == WriteState.PARKED:
             parking = self._rows.parking[row]
-        return super().judge(dot, parking, verdict, wall)
+        return super().resolve(write_id, parking, resolution, wall)
 
 
 class NoOrphans(Outbox):
     """An orphan is halted and never parked."""
 
-    def _due_orphans(self) -> list[Change]:
+    def _due_orphans(self) -> list[Transition]:
         return []
 
 
-class Lost(Outbox):
+class EdgeLost(Outbox):
     """A send that the disk refused is not tried again."""
 
-    def undo(self, change: Change, now: int) -> None:
-        row = self._row(change.dot)
-        if change.event is not Event.SEND:
+    def undo(self, change: Transition, now: int) -> None:
+        row = self._row(change.write_id)
+        if change.event is not WriteEvent.SEND:
             super().undo(change, now)
         else:
             self.pace.unsent()
@@ -711,8 +732,8 @@
 class Unpaced(Outbox):
     """An end does not give its place back."""
 
-    def ended(self, dot: Dot, end: End, now: int, wall: int, *told: Any) -> Change:
-        change = super().ended(dot, end, now, wall, *told)
+    def ended(self, write_id: WriteId, end: ReplayResult, now: int, wall: int, *told: Any) -> Transition:
+        change = super().ended(write_id, end, now, wall, *told)
         self.pace.out += 1
         return change
 
@@ -720,17 +741,17 @@
 class Crowd(Outbox):
     """The count has no bound."""
 
-    def _check_bounds(self, offer: Offer) -> None:
+    def _check_bounds(self, offer: WriteOffer) -> None:
         return None
 
 
-class Told(Outbox):
+class StatusUpdate(Outbox):
     """A final answer is told before it is durable."""
 
-    def ended(self, dot: Dot, end: End, now: int, wall: int, *told: Any) -> Change:
-        change = super().ended(dot, end, now, wall, *told)
-        if change.event is Event.ANSWERED:
-            self._rows.state[self._row(dot)] = State.DONE
+    def ended(self, write_id: WriteId, end: ReplayResult, now: int, wall: int, *told: Any) -> Transition:
+        change = super().ended(write_id, end, now, wall, *told)
+        if change.event is WriteEvent.ANSWERED:
+            self._rows.state[self._row(write_id)] = WriteState.DONE
         return change
 
 
@@ -750,10 +771,10 @@
     (Through, {"order"}),
     (AnyParking, {"once", "order"}),
     (NoOrphans, {"progress"}),
-    (Lost, {"progress"}),
+    (EdgeLost, {"progress"}),
     (Unpaced, {"bounds", "progress"}),
     (Crowd, {"bounds"}),
-    (Told, {"told", "step"}),
+    (StatusUpdate, {"told", "step"}),
 ]
 
 
--- a/tests/test_outbox_store.py
+++ b/tests/test_outbox_store.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from laurelstep.outbox.journal import KeptWrite, Moved, State
-from laurelstep.outbox.store import FailedToKeepError, KeptStore, key_of
+from laurelstep.outbox.queue_store import FailedToKeepError, QueueStore, key_of
+from laurelstep.outbox.records import QueuedWrite, StateChange, WriteState
 from laurelstep.store import Disk, FolderDisk, StoreError
 from laurelstep.testing.contracts.outbox import Lives, WriteStoreContract, made
 from laurelstep.testing.disk import SimulatedDisk
@@ -33,11 +33,11 @@
         self.root = root
         self.lives = 0
         self.disk = Broken(root / "0")
-        self.store: KeptStore
-        self.left: list[KeptStore] = []
+        self.store: QueueStore
+        self.left: list[QueueStore] = []
 
     async def open(self) -> None:
-        self.store = await KeptStore.open(self.disk, MOST)
+        self.store = await QueueStore.open(self.disk, MOST)
 
     async def restart(self) -> None:
         await self.store.close()
@@ -87,11 +87,11 @@
     def __init__(self, draw: random.Random | None) -> None:
         self.draw = draw
         self.disk = SimulatedDisk()
-        self.store: KeptStore
-        self.left: list[KeptStore] = []
+        self.store: QueueStore
+        self.left: list[QueueStore] = []
 
     async def open(self) -> None:
-        self.store = await KeptStore.open(self.disk, MOST)
+        self.store = await QueueStore.open(self.disk, MOST)
 
     async def restart(self) -> None:
         await self.store.close()
@@ -138,7 +138,7 @@
 def test_every_byte_of_the_log_cut_leaves_all_of_a_write_or_nothing() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
-        store = await KeptStore.open(disk, MOST)
+        store = await QueueStore.open(disk, MOST)
         await store.load()
         written = [made(1, 40), made(2, 0)]
         for one in written:
@@ -156,17 +156,17 @@
     asyncio.run(main())
 
 
-async def _cut(disk: SimulatedDisk, name: str, data: bytes) -> list[tuple[KeptWrite, bytes]] | None:
+async def _cut(disk: SimulatedDisk, name: str, data: bytes) -> list[tuple[QueuedWrite, bytes]] | None:
     copy = SimulatedDisk()
     for one in disk.files():
         copy.create(one, data if one == name else disk.read(one))
     copy.sync_folder()
     try:
-        store = await KeptStore.open(copy, MOST)
+        store = await QueueStore.open(copy, MOST)
     except Exception as error:
         assert type(error).__name__ == "StoreError"
         return None
-    found = [await store.read(one.dot) for one, _ in (await store.load()).writes]
+    found = [await store.read(one.write_id) for one, _ in (await store.load()).writes]
     await store.close()
     return [one for one in found if one is not None]
 
@@ -174,16 +174,16 @@
 def test_a_body_that_meets_a_full_disk_leaves_nothing_and_says_whether_that_is_certain() -> None:
     async def main() -> None:
         disk: Disk = SimulatedDisk()
-        store = await KeptStore.open(disk, MOST)
+        store = await QueueStore.open(disk, MOST)
         await store.load()
         assert isinstance(disk, SimulatedDisk)
         disk.fail("write", NO_SPACE)
         with pytest.raises(FailedToKeepError) as caught:
             await store.keep(*made(1, 3 << 20))
         assert not caught.value.certain, "a later life might find what was begun"
-        assert await store.read(made(1, 0)[0].dot) is None
+        assert await store.read(made(1, 0)[0].write_id) is None
         await store.close()
-        again = await KeptStore.open(disk, MOST)
+        again = await QueueStore.open(disk, MOST)
         assert (await again.load()).writes == []
         assert [key for key in again.store.index.where if key[:1] == b"p"] == []
         await again.close()
@@ -196,7 +196,7 @@
         disk = SimulatedDisk()
         found = []
         for _ in range(2):
-            store = await KeptStore.open(disk, MOST)
+            store = await QueueStore.open(disk, MOST)
             found.append((store.incarnation, await store.secret()))
             await store.close()
         assert found[0][0] != found[1][0] and found[0][1] == found[1][1] and len(found[0][1]) >= 16
@@ -209,19 +209,19 @@
 ) -> None:
     async def main() -> None:
         disk = SimulatedDisk()
-        store = await KeptStore.open(disk, MOST)
+        store = await QueueStore.open(disk, MOST)
         await store.load()
         await store.keep(*made(1, 100_000))
-        await store.move(Moved(made(1, 0)[0].dot, State.DONE))
+        await store.move(StateChange(made(1, 0)[0].write_id, WriteState.DONE))
         await store.close()  # before its body went
-        monkeypatch.setattr("laurelstep.outbox.store.END_S", 0.0)
-        again = await KeptStore.open(disk, MOST)
+        monkeypatch.setattr("laurelstep.outbox.queue_store.END_S", 0.0)
+        again = await QueueStore.open(disk, MOST)
         await again.load()
         if again._ending is not None:
             await again._ending
         await again.close()
-        third = await KeptStore.open(disk, MOST)
-        size = len((await third.store.get(key_of(b"k", made(1, 0)[0].dot))) or b"")
+        third = await QueueStore.open(disk, MOST)
+        size = len((await third.store.get(key_of(b"k", made(1, 0)[0].write_id))) or b"")
         assert 0 < size < 1_000 and not [key for key in third.store.index.where if key[:1] == b"p"]
         await third.close()
 
@@ -229,11 +229,11 @@
 
 
 def test_a_body_that_could_not_be_read_as_it_was_to_go_goes_later(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("laurelstep.outbox.store.END_S", 0.0)
+    monkeypatch.setattr("laurelstep.outbox.queue_store.END_S", 0.0)
 
     async def main() -> None:
         disk = SimulatedDisk()
-        store = await KeptStore.open(disk, MOST)
+        store = await QueueStore.open(disk, MOST)
         await store.load()
         some, failed = store.store.some, 0
 
@@ -247,11 +247,11 @@
         monkeypatch.setattr(store.store, "some", fail_once)
         for number in (1, 2):
             await store.keep(*made(number, 100_000))
-            await store.move(Moved(made(number, 0)[0].dot, State.DONE))
+            await store.move(StateChange(made(number, 0)[0].write_id, WriteState.DONE))
         while store._ending is not None:
             await asyncio.sleep(0)
         await store.close()
-        again = await KeptStore.open(disk, MOST)
+        again = await QueueStore.open(disk, MOST)
         assert failed > 1 and not [key for key in again.store.index.where if key[:1] == b"p"]
         await again.close()
 
@@ -259,22 +259,22 @@
 
 
 def test_a_write_forgotten_while_its_body_goes_does_not_come_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("laurelstep.outbox.store.END_S", 0.0)
+    monkeypatch.setattr("laurelstep.outbox.queue_store.END_S", 0.0)
 
     async def main(turns: int) -> None:
         disk = SimulatedDisk()
-        store = await KeptStore.open(disk, MOST)
+        store = await QueueStore.open(disk, MOST)
         await store.load()
         write, body = made(1, 1_000)
         await store.keep(write, body)
-        await store.move(Moved(write.dot, State.DONE))
+        await store.move(StateChange(write.write_id, WriteState.DONE))
         for _ in range(turns):
             await asyncio.sleep(0)
-        assert await store.forget(write.dot, 0)
+        assert await store.forget(write.write_id, 0)
         if store._ending is not None:
             await store._ending
         await store.close()
-        again = await KeptStore.open(disk, MOST)
+        again = await QueueStore.open(disk, MOST)
         assert (await again.load()).writes == []
         await again.close()
 
--- a/tests/test_shared_daemon.py
+++ b/tests/test_shared_daemon.py
@@ -15,11 +15,18 @@
 
 import pytest
 
-from laurelstep.outbox import frontier
-from laurelstep.outbox.causes import Cause, Fate, Tokens
-from laurelstep.outbox.dots import Dot, Line
-from laurelstep.outbox.shared.seal import Seal
-from laurelstep.outbox.shared.terms import Answered, Ask, Claim, Claimed, Replayed, Told
+from laurelstep.outbox import version_vector
+from laurelstep.outbox.dependencies import CausalityTokens, Dependency, WriteStatus
+from laurelstep.outbox.shared.message_seal import MessageSeal
+from laurelstep.outbox.shared.messages import (
+    LeaseRequest,
+    LeaseStatus,
+    QueryReply,
+    ReplayIdentity,
+    ReplayQuery,
+    StatusUpdate,
+)
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from laurelstep.testing.messages import Message, read_message
 from laurelstep.testing.processes import Tier, until
 from laurelstep.testing.processes.program import LOOK_S
@@ -27,16 +34,18 @@
 from tests.sockets import run, start
 
 SECRET = b"of the edges and of the copies"
-SEAL, TOKENS = Seal(SECRET), Tokens(SECRET)
+SEAL, TOKENS = MessageSeal(SECRET), CausalityTokens(SECRET)
 LIFE, LATER_LIFE = 7, 8
-LINE = Line("edge-1", LIFE)
-DOT = Dot("edge-1", LIFE, 3)
+LINE = EdgeLog("edge-1", LIFE)
+DOT = WriteId("edge-1", LIFE, 3)
 KEPT = [{"name": "put", "keep": "keyed", "window_s": 86400}, {"name": "pay", "keep": "unsafe"}]
 TEST_S = 90.0  # for a test that hangs; nothing is measured by it
 
 
-# What becomes of its own writes a copy's outbox tells through a frontier that can be told.
-TELLS = pytest.mark.skipif(not hasattr(frontier, "Teller"), reason="the outbox tells its frontier nothing")
+# What becomes of its own writes a copy's outbox tells through a version vector that can be told.
+TELLS = pytest.mark.skipif(
+    not hasattr(version_vector, "Teller"), reason="the outbox tells its frontier nothing"
+)
 
 
 def play(test: Coroutine[Any, Any, None]) -> None:
@@ -66,20 +75,22 @@
         told = f"X-Request-Id: r-{self.count}\r\nX-Class: {cls}\r\nContent-Length: 1\r\n{key}{headers}"
         return await self.exchange(copy, f"POST /{cls}{query}", told, b"x")
 
-    async def replay(self, copy: int, dot: Dot = DOT, cls: str = "pay", life: int = LIFE) -> tuple[int, str]:
+    async def replay(
+        self, copy: int, write_id: WriteId = DOT, cls: str = "pay", life: int = LIFE
+    ) -> tuple[int, str]:
         """Again while it is refused as not run, as an edge would: another copy may come to lead."""
-        while (found := await self.replay_once(copy, dot, cls, life)) == (503, ""):
+        while (found := await self.replay_once(copy, write_id, cls, life)) == (503, ""):
             await asyncio.sleep(LOOK_S)
         return found
 
     async def replay_once(
-        self, copy: int, dot: Dot = DOT, cls: str = "pay", life: int = LIFE
+        self, copy: int, write_id: WriteId = DOT, cls: str = "pay", life: int = LIFE
     ) -> tuple[int, str]:
-        sealed = SEAL.replayed(Replayed(dot, life, cls == "pay"))
+        sealed = SEAL.replayed(ReplayIdentity(write_id, life, cls == "pay"))
         found = await self.write(copy, cls, f"X-Kept-Write: {sealed}\r\n")
         return found.status, found.headers.get("x-kept-fate", "")
 
-    async def ask(self, copy: int, ask: Ask) -> Answered | None:
+    async def ask(self, copy: int, ask: ReplayQuery) -> QueryReply | None:
         """None if it is refused."""
         sealed = SEAL.ask(ask)
         found = await self.exchange(copy, f"GET /outbox/shared/{sealed}")
@@ -89,14 +100,16 @@
         assert found.status == 200, (found.status, found.body)
         return SEAL.open_answered(found.body.decode(), sealed)
 
-    async def until_told(self, copy: int, ask: Ask, answer: Answered) -> None:
+    async def until_told(self, copy: int, ask: ReplayQuery, answer: QueryReply) -> None:
         async def look() -> bool:
             return await self.ask(copy, ask) == answer
 
         await until(look, f"{ask}: {answer} at {copy}")
 
-    async def until_fate(self, copy: int, cause: Cause, fate: Fate) -> None:
-        await self.until_told(copy, Ask(fates=(cause,)), Answered(fates=(fate,)))
+    async def until_fate(self, copy: int, dependency: Dependency, write_status: WriteStatus) -> None:
+        await self.until_told(
+            copy, ReplayQuery(write_statuses=(dependency,)), QueryReply(write_statuses=(write_status,))
+        )
 
     async def until_ready(self, copies: tuple[int, ...] = (0, 1, 2), ready: bool = True) -> None:
         async def look() -> bool:
@@ -144,7 +157,7 @@
         async with copies(tmp_path) as tier:
             assert await tier.replay(0) == (200, "")
             for copy in range(3):
-                await tier.until_fate(copy, Cause(*DOT), Fate.IN)
+                await tier.until_fate(copy, Dependency(*DOT), WriteStatus.IN)
                 assert await tier.replay(copy) == (200, "in")
             for copy in range(3):
                 await tier.tier.kill(copy)
@@ -180,8 +193,8 @@
             assert await tier.replay(0) == (502, "begun")
             assert tier.ran == 1
             # An operator looked, and says so at the edge: then it runs, once.
-            never_ran = Told(DOT, Fate.UNKNOWN, LIFE, unbegin=True, parking=1)
-            await tier.until_told(1, Ask(told=(never_ran,)), Answered(told=(True,)))
+            never_ran = StatusUpdate(DOT, WriteStatus.UNKNOWN, LIFE, unbegin=True, parking=1)
+            await tier.until_told(1, ReplayQuery(told=(never_ran,)), QueryReply(told=(True,)))
             assert await tier.replay(1) == (200, "") and await tier.replay(1) == (200, "in")
             assert tier.ran == 2
 
@@ -194,7 +207,7 @@
             tier.tier.cut({0}, {1, 2})
             await tier.until_ready((0,), ready=False)
             assert await tier.replay_once(0) == (503, "")
-            assert await tier.ask(0, Ask(fates=(Cause(*DOT),))) is None
+            assert await tier.ask(0, ReplayQuery(write_statuses=(Dependency(*DOT),))) is None
             await tier.until_ready((1, 2))
             assert await tier.replay(1) == (200, "")
             tier.tier.heal()
@@ -207,14 +220,14 @@
 def test_of_two_copies_of_a_disk_the_one_that_claims_first_replays(tmp_path: Path) -> None:
     async def main() -> None:
         async with copies(tmp_path) as tier:
-            mine, others = Claim(LINE, LATER_LIFE, (LIFE,)), Claim(LINE, 9, (LIFE,))
-            await tier.until_told(0, Ask(claims=(mine,)), Answered(claims=(Claimed.HELD,)))
-            await tier.until_told(1, Ask(claims=(others,)), Answered(claims=(Claimed.FENCED,)))
+            mine, others = LeaseRequest(LINE, LATER_LIFE, (LIFE,)), LeaseRequest(LINE, 9, (LIFE,))
+            await tier.until_told(0, ReplayQuery(claims=(mine,)), QueryReply(claims=(LeaseStatus.HELD,)))
+            await tier.until_told(1, ReplayQuery(claims=(others,)), QueryReply(claims=(LeaseStatus.FENCED,)))
             assert await tier.replay(1, life=9) == (503, "fenced")
             assert await tier.replay(1, life=LATER_LIFE) == (200, "") and tier.ran == 1
-            forced = Claim(LINE, 9, (LIFE,), force=True)
-            await tier.until_told(2, Ask(claims=(forced,)), Answered(claims=(Claimed.HELD,)))
-            assert await tier.replay(2, Dot("edge-1", LIFE, 4), life=9) == (200, "")
+            forced = LeaseRequest(LINE, 9, (LIFE,), force=True)
+            await tier.until_told(2, ReplayQuery(claims=(forced,)), QueryReply(claims=(LeaseStatus.HELD,)))
+            assert await tier.replay(2, WriteId("edge-1", LIFE, 4), life=9) == (200, "")
 
     play(main())
 
@@ -223,11 +236,11 @@
     async def main() -> None:
         async with copies(tmp_path) as tier:
             assert await tier.replay(0) == (200, "")
-            await tier.until_fate(2, Cause(*DOT), Fate.IN)
+            await tier.until_fate(2, Dependency(*DOT), WriteStatus.IN)
             assert (await tier.call(2, "lost?edge=edge-1"))[0] == 202
-            other = Dot("edge-1", LIFE, 4)
+            other = WriteId("edge-1", LIFE, 4)
             for copy in range(3):
-                await tier.until_fate(copy, Cause(*other), Fate.GONE)
+                await tier.until_fate(copy, Dependency(*other), WriteStatus.GONE)
                 assert await tier.replay(copy, other) == (503, "fenced")
             assert (await tier.call(2, "lost?edge=edge-1"))[0] == 200
             assert await tier.replay(1) == (200, "in")  # as before: that is final
@@ -238,10 +251,10 @@
                 ("claim?line=copy-1", 400), ("claim?line=copy-1/0000000000000007", 404),
             ):  # fmt: skip
                 assert (await tier.call(1, words))[0] == status, words
-            life = Dot("edge-2", LIFE, 1)
+            life = WriteId("edge-2", LIFE, 1)
             assert (await tier.call(1, f"lost?edge=edge-2&incarnation={LIFE:016x}"))[0] == 202
-            await tier.until_fate(0, Cause(*life), Fate.GONE)
-            assert await tier.replay(0, Dot("edge-2", LATER_LIFE, 1), life=LATER_LIFE) == (200, "")
+            await tier.until_fate(0, Dependency(*life), WriteStatus.GONE)
+            assert await tier.replay(0, WriteId("edge-2", LATER_LIFE, 1), life=LATER_LIFE) == (200, "")
 
     play(main())
 
@@ -264,8 +277,8 @@
 
             await until(is_done, "the kept one is done")
             own = kept.headers["x-causal-token"]
-            (cause,) = TOKENS.read(own)
-            await tier.until_fate(1, cause, Fate.IN)
+            (dependency,) = TOKENS.read(own)
+            await tier.until_fate(1, dependency, WriteStatus.IN)
             assert (await tier.write(1, "put", f"X-Causal-Token: {own}\r\n")).status == 200
             assert tier.ran == 4
 
@@ -283,8 +296,8 @@
             await tier.tier.kill(2)
             assert await tier.replay(0) == (200, "")
             await tier.tier.start(2)
-            (cause,) = TOKENS.read(kept.headers["x-causal-token"])
-            await tier.until_fate(1, cause, Fate.IN)
+            (dependency,) = TOKENS.read(kept.headers["x-causal-token"])
+            await tier.until_fate(1, dependency, WriteStatus.IN)
             assert tier.ran == 2 and (await tier.status(2))["kept"] == 0
 
     play(main())
@@ -296,9 +309,9 @@
     async def main() -> None:
         async with copies(tmp_path, off=0, seats=1) as tier:
             assert await tier.replay(1) == (200, "")
-            await tier.until_fate(2, Cause(*DOT), Fate.IN)
+            await tier.until_fate(2, Dependency(*DOT), WriteStatus.IN)
             assert await tier.replay(2) == (200, "in") and tier.ran == 1
-            found = await tier.exchange(0, f"GET /outbox/shared/{SEAL.ask(Ask())}")
+            found = await tier.exchange(0, f"GET /outbox/shared/{SEAL.ask(ReplayQuery())}")
             assert found.status == 400 and (await tier.call(0, "lost?edge=edge-1"))[0] == 400
             # A start of all from what it has kept: it holds what the others agreed.
             for copy in range(3):
@@ -314,13 +327,13 @@
 def test_asking_takes_no_body_and_get_alone(tmp_path: Path) -> None:
     async def main() -> None:
         async with copies(tmp_path) as tier:
-            path = f"/outbox/shared/{SEAL.ask(Ask())}"
+            path = f"/outbox/shared/{SEAL.ask(ReplayQuery())}"
             assert (await tier.exchange(0, f"GET {path}")).status == 200
             assert (await tier.exchange(0, f"POST {path}", "Content-Length: 0\r\n")).status == 405
             assert (await tier.exchange(0, f"GET {path}", "Content-Length: 1\r\n", b"x")).status == 400
             assert (await tier.exchange(0, f"GET {path}x")).status == 400
             assert (await tier.write(0, "pay", "X-Kept-Write: x\r\n")).status == 400
-            twice = f"X-Kept-Write: {SEAL.replayed(Replayed(DOT, LIFE, True))}\r\n" * 2
+            twice = f"X-Kept-Write: {SEAL.replayed(ReplayIdentity(DOT, LIFE, True))}\r\n" * 2
             assert (await tier.write(0, "pay", twice)).status == 400
             assert tier.ran == 0
 
@@ -357,7 +370,7 @@
     """Neither by a plain daemon, nor by one with an outbox alone."""
     words = (
         "import sys, laurelstep.__main__, laurelstep.daemon, laurelstep.settings.operator\n"
-        f"{'import laurelstep.outbox.driver, laurelstep.outbox.calls' if table else ''}\n"
+        f"{'import laurelstep.outbox.driver, laurelstep.outbox.api' if table else ''}\n"
         "print(*[name for name in sys.modules if 'outbox.shared' in name])"
     )
     told = subprocess.run([sys.executable, "-c", words], check=True, capture_output=True, text=True).stdout
