--- a/tests/test_shared_edge.py
+++ b/tests/test_shared_edge.py
@@ -16,13 +16,12 @@
 from laurelstep.engine.call import Answer, Call
 from laurelstep.net.assembly import Assembly
 from laurelstep.net.message import lines
-from laurelstep.outbox.causes import Cause, Fate, Tokens
-from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.dependencies import CausalityTokens, Dependency, WriteStatus
 from laurelstep.outbox.driver import OutboxDriver
 from laurelstep.outbox.errors import UnknownWriteError
-from laurelstep.outbox.journal import Event, Reason, State, Verdict
-from laurelstep.outbox.options import KeptClass, OutboxSettings
-from laurelstep.outbox.receipts import Receipt
+from laurelstep.outbox.options import OutboxSettings, QueuedClass
+from laurelstep.outbox.receipts import WriteReceipt
+from laurelstep.outbox.records import ParkingReason, Resolution, WriteEvent, WriteState
 from laurelstep.outbox.shared.edge import (
     AGAIN_US,
     KNOWN_MOST,
@@ -30,83 +29,91 @@
     MOST_US,
     ROUND_MOST,
     SAID_MOST,
-    News,
-    RemoteFrontier,
+    QueryOutcome,
+    RemoteVersionVector,
 )
-from laurelstep.outbox.shared.entries import Begin, Entry, Hold, In, Unbegin, pack
-from laurelstep.outbox.shared.record import Record
-from laurelstep.outbox.shared.seal import Seal
-from laurelstep.outbox.shared.terms import (
-    ASKED_MOST,
+from laurelstep.outbox.shared.entries import (
+    Intent,
+    IntentWithdrawal,
+    LedgerEntry,
+    LogLease,
+    WriteApplied,
+    pack,
+)
+from laurelstep.outbox.shared.ledger import ReplicatedLedger
+from laurelstep.outbox.shared.message_seal import MessageSeal
+from laurelstep.outbox.shared.messages import (
     KEPT_HEADER,
+    QUERIED_MOST,
     SHARED_PATH,
-    Answered,
-    Ask,
-    Begun,
-    Claim,
-    Claimed,
-    Replayed,
-    Told,
+    IntentStatus,
+    LeaseRequest,
+    LeaseStatus,
+    QueryReply,
+    ReplayIdentity,
+    ReplayQuery,
+    StatusUpdate,
 )
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from laurelstep.settings import config_from
 from laurelstep.testing import Endpoint, Message, Writer, answer
 from laurelstep.testing.endpoints import reset_connection
 from tests.sockets import TIMEOUT_S, run
 
-OWN, FORMER, OTHER = Line("ash", 7), Line("ash", 3), Line("oak", 9)
+OWN, FORMER, OTHER = EdgeLog("ash", 7), EdgeLog("ash", 3), EdgeLog("oak", 9)
 SECOND = 1_000_000
 
 
-def always(cause: Cause) -> bool:
+def always(dependency: Dependency) -> bool:
     return True
 
 
-class Agreed(Record):
+class Agreed(ReplicatedLedger):
     """A record whose entries are agreed at once."""
 
     def __init__(self) -> None:
         super().__init__()
         self.index = 0
 
-    def agree(self, entry: Entry | None) -> None:
+    def agree(self, entry: LedgerEntry | None) -> None:
         if entry is not None:
             self.index += 1
             self.apply(self.index, pack(entry)[1:])
 
-    def answer(self, ask: Ask) -> Answered:
+    def answer(self, ask: ReplayQuery) -> QueryReply:
         for claim in ask.claims:
             self.agree(self.claim_entry(claim))
         for told in ask.told:
             self.agree(self.said_entry(told))
-        return Answered(
-            tuple(map(self.fate, ask.fates)),
+        return QueryReply(
+            tuple(map(self.write_status, ask.write_statuses)),
             tuple(map(self.claimed, ask.claims)),
             tuple(map(self.says, ask.told)),
         )
 
 
 class Asker:
-    """A frontier, and its driver by hand."""
+    """A version vector, and its driver by hand."""
 
-    def __init__(self, record: Agreed | None = None, line: Line = OWN) -> None:
-        self.remote = RemoteFrontier(line, random.Random(1))
+    def __init__(self, record: Agreed | None = None, line: EdgeLog = OWN) -> None:
+        self.remote = RemoteVersionVector(line, random.Random(1))
         self.record = record or Agreed()
         self.now = 0
 
-    def next(self) -> Ask | None:
+    def next(self) -> ReplayQuery | None:
         return self.remote.next(self.now, always)
 
-    def must(self) -> Ask:
+    def must(self) -> ReplayQuery:
         ask = self.next()
         assert ask is not None
         return ask
 
-    def answer(self, ask: Ask) -> News:
+    def answer(self, ask: ReplayQuery) -> QueryOutcome:
         return self.remote.answered(self.record.answer(ask), self.now)
 
-    def until_still(self) -> News:
+    def until_still(self) -> QueryOutcome:
         """All that is to be asked without a pause."""
-        found = News()
+        found = QueryOutcome()
         while (ask := self.next()) is not None:
             news = self.answer(ask)
             found.held += news.held
@@ -122,10 +129,10 @@
 def test_what_is_new_is_asked_at_once_and_the_rest_after_pauses_that_double() -> None:
     one = Asker()
     assert one.next() is None
-    first = Cause(*OTHER, 1)
+    first = Dependency(*OTHER, 1)
     one.remote.follow([first])
     ask = one.must()
-    assert ask == Ask((first,)) and one.next() is None  # one is out at a time
+    assert ask == ReplayQuery((first,)) and one.next() is None  # one is out at a time
     pauses = []
     for _ in range(6):
         one.answer(ask)
@@ -138,58 +145,63 @@
         assert most * SECOND // 2 <= pause < most * SECOND
     one.answer(ask)
     assert one.next() is None
-    second = Cause(*OTHER, 2)
+    second = Dependency(*OTHER, 2)
     one.remote.follow([second])
-    assert one.must().fates == (second, first)
+    assert one.must().write_statuses == (second, first)
     one.remote.failed(one.now)
     assert one.next() is None
     one.remote.back(one.now)
-    assert one.must().fates == (second, first)
+    assert one.must().write_statuses == (second, first)
 
 
 def test_a_change_makes_the_pause_short_again_and_a_final_fate_ends_the_asking() -> None:
     one = Asker()
-    causes = [Cause(*OTHER, 1), Cause(*OTHER, 2)]
-    one.remote.follow(causes)
+    dependencies = [Dependency(*OTHER, 1), Dependency(*OTHER, 2)]
+    one.remote.follow(dependencies)
     for _ in range(5):
         one.answer(one.must())
         one.now += one.remote.wait(one.now)
-    one.record.agree(In(causes[0].dot))
+    one.record.agree(WriteApplied(dependencies[0].write_id))
     ask = one.must()
     news = one.answer(ask)
-    assert news.changed and one.remote.fate(causes[0]) is Fate.IN
+    assert news.changed and one.remote.write_status(dependencies[0]) is WriteStatus.IN
     assert LEAST_US // 2 <= one.remote.wait(one.now) < LEAST_US
     one.now += LEAST_US
-    assert one.must().fates == (causes[1],)
+    assert one.must().write_statuses == (dependencies[1],)
     # A later answer, of another record, takes nothing back.
-    one.remote.answered(Answered((Fate.PARKED,)), one.now)
-    assert one.remote.fate(causes[1]) is Fate.PARKED
-    one.remote.follow([causes[0]])
+    one.remote.answered(QueryReply((WriteStatus.PARKED,)), one.now)
+    assert one.remote.write_status(dependencies[1]) is WriteStatus.PARKED
+    one.remote.follow([dependencies[0]])
     one.now += MOST_US
-    assert one.must().fates == (causes[1],)
-    one.remote.answered(Answered((Fate.UNKNOWN,)), one.now)
-    assert one.remote.fate(causes[1]) is Fate.UNKNOWN and one.remote.fate(causes[0]) is Fate.IN
+    assert one.must().write_statuses == (dependencies[1],)
+    one.remote.answered(QueryReply((WriteStatus.UNKNOWN,)), one.now)
+    assert (
+        one.remote.write_status(dependencies[1]) is WriteStatus.UNKNOWN
+        and one.remote.write_status(dependencies[0]) is WriteStatus.IN
+    )
 
 
 def test_all_come_round_and_none_twice_before() -> None:
     one = Asker()
-    causes = [Cause(*OTHER, number) for number in range(1, 5 * ASKED_MOST + 4)]
-    one.remote.follow(causes)
-    seen: list[Cause] = []
-    while len(seen) < 2 * len(causes):
+    dependencies = [Dependency(*OTHER, number) for number in range(1, 5 * QUERIED_MOST + 4)]
+    one.remote.follow(dependencies)
+    seen: list[Dependency] = []
+    while len(seen) < 2 * len(dependencies):
         ask = one.next()
         if ask is None:
             one.now += one.remote.wait(one.now)
             continue
-        assert len(ask.fates) <= ASKED_MOST
-        seen += ask.fates
+        assert len(ask.write_statuses) <= QUERIED_MOST
+        seen += ask.write_statuses
         one.answer(ask)
-    assert seen[: len(causes)] == causes and set(seen[len(causes) : 2 * len(causes)]) == set(causes)
+    assert seen[: len(dependencies)] == dependencies and set(
+        seen[len(dependencies) : 2 * len(dependencies)]
+    ) == set(dependencies)
 
 
 def test_a_round_has_an_end() -> None:
     one = Asker()
-    one.remote.follow(Cause(*OTHER, number) for number in range(1, 2 * ROUND_MOST * ASKED_MOST))
+    one.remote.follow(Dependency(*OTHER, number) for number in range(1, 2 * ROUND_MOST * QUERIED_MOST))
     for _ in range(ROUND_MOST * 2):
         if (ask := one.next()) is not None:
             one.answer(ask)
@@ -203,19 +215,19 @@
 
 def test_what_is_of_no_use_any_more_is_not_asked() -> None:
     one = Asker()
-    one.remote.follow([Cause(*OTHER, 1), Cause(*OTHER, 2)])
-    ask = one.remote.next(0, lambda cause: cause.number == 2)
-    assert ask is not None and ask.fates == (Cause(*OTHER, 2),)
+    one.remote.follow([Dependency(*OTHER, 1), Dependency(*OTHER, 2)])
+    ask = one.remote.next(0, lambda dependency: dependency.number == 2)
+    assert ask is not None and ask.write_statuses == (Dependency(*OTHER, 2),)
 
 
 def test_while_cut_off_a_probe_goes_at_the_same_pace_and_an_answer_makes_it_quick() -> None:
     one = Asker()
     assert not one.remote.waits
-    one.remote.follow([Cause(*OTHER, 1)])
+    one.remote.follow([Dependency(*OTHER, 1)])
     assert one.remote.waits
     pauses = []
     for _ in range(5):
-        assert one.remote.probe(one.now) == Ask() and one.remote.probe(one.now) is None
+        assert one.remote.probe(one.now) == ReplayQuery() and one.remote.probe(one.now) is None
         one.remote.failed(one.now)
         before = one.now
         while one.remote.probe(one.now) is None:
@@ -228,7 +240,7 @@
     assert ask is not None
     one.answer(ask)
     one.now += LEAST_US
-    assert one.remote.probe(one.now) == Ask()
+    assert one.remote.probe(one.now) == ReplayQuery()
 
 
 # Lines
@@ -239,8 +251,8 @@
     assert one.remote.holds(OWN) and not one.remote.holds(FORMER) and not one.remote.holds(OTHER)
     one.remote.claim(FORMER, (FORMER.incarnation, 5, OWN.incarnation))
     ask = one.must()
-    assert ask.claims == (Claim(FORMER, 7, (3, 5)),) and not one.remote.holds(FORMER)
-    one.remote.answered(Answered((), (Claimed.OPEN,)), one.now)
+    assert ask.claims == (LeaseRequest(FORMER, 7, (3, 5)),) and not one.remote.holds(FORMER)
+    one.remote.answered(QueryReply((), (LeaseStatus.OPEN,)), one.now)
     assert not one.remote.holds(FORMER)
     one.now += LEAST_US
     assert one.answer(one.must()).held == [FORMER] and one.remote.holds(FORMER)
@@ -257,7 +269,7 @@
 
 def test_of_two_copies_of_a_disk_the_second_is_fenced_for_good_unless_it_is_told_otherwise() -> None:
     record = Agreed()
-    first, second = Asker(record, Line("ash", 7)), Asker(record, Line("ash", 8))
+    first, second = Asker(record, EdgeLog("ash", 7)), Asker(record, EdgeLog("ash", 8))
     first.remote.claim(FORMER, (3, 7))
     second.remote.claim(FORMER, (3, 8))
     assert first.until_still().held == [FORMER]
@@ -292,8 +304,8 @@
 def test_what_is_given_up_is_told_before_the_number_below_which_all_are_over() -> None:
     one = Asker()
     assert one.remote.low(OWN, 40)
-    for number in range(1, 2 * ASKED_MOST):
-        assert one.remote.tell(Dot(*OWN, number), Fate.GONE)
+    for number in range(1, 2 * QUERIED_MOST):
+        assert one.remote.tell(WriteId(*OWN, number), WriteStatus.GONE)
     lost = one.must()
     assert not any(told.before for told in lost.told)
     one.remote.failed(one.now)
@@ -301,17 +313,20 @@
     one.until_still()
     one.now += MOST_US
     one.until_still()
-    assert one.record.fate(Cause(*OWN, 1)) is Fate.GONE and one.record.fate(Cause(*OWN, 40)) is Fate.IN
-    assert one.remote.tell(Dot(*OWN, 40), Fate.IN)  # the number says so
+    assert (
+        one.record.write_status(Dependency(*OWN, 1)) is WriteStatus.GONE
+        and one.record.write_status(Dependency(*OWN, 40)) is WriteStatus.IN
+    )
+    assert one.remote.tell(WriteId(*OWN, 40), WriteStatus.IN)  # the number says so
     one.now += MOST_US
     assert one.next() is None
 
 
 def test_all_is_told_again_to_a_record_that_may_be_new() -> None:
     one = Asker()
-    one.remote.tell(Dot(*OWN, 1), Fate.GONE)
-    one.remote.tell(Dot(*OWN, 3), Fate.IN)
-    one.remote.tell(Dot(*OWN, 4), Fate.PARKED)
+    one.remote.tell(WriteId(*OWN, 1), WriteStatus.GONE)
+    one.remote.tell(WriteId(*OWN, 3), WriteStatus.IN)
+    one.remote.tell(WriteId(*OWN, 4), WriteStatus.PARKED)
     one.remote.low(OWN, 1)
     one.until_still()
     one.now += MOST_US
@@ -323,66 +338,69 @@
         one.until_still()
         one.now += MOST_US
         assert one.now < 10 * AGAIN_US
-    assert one.record.fate(Cause(*OWN, 1)) is Fate.GONE and one.record.fate(Cause(*OWN, 3)) is Fate.IN
+    assert (
+        one.record.write_status(Dependency(*OWN, 1)) is WriteStatus.GONE
+        and one.record.write_status(Dependency(*OWN, 3)) is WriteStatus.IN
+    )
     # Parked no more: told once, and then no more.
-    one.remote.tell(Dot(*OWN, 4), Fate.UNKNOWN)
+    one.remote.tell(WriteId(*OWN, 4), WriteStatus.UNKNOWN)
     one.until_still()
-    assert one.record.fate(Cause(*OWN, 4)) is Fate.UNKNOWN
+    assert one.record.write_status(Dependency(*OWN, 4)) is WriteStatus.UNKNOWN
 
 
 def test_that_it_never_ran_is_told_until_the_record_says_so() -> None:
     one = Asker()
-    dot = Dot(*OWN, 1)
-    one.record.agree(Begin(dot, 7, 5))
-    one.remote.tell(dot, Fate.PARKED)
+    write_id = WriteId(*OWN, 1)
+    one.record.agree(Intent(write_id, 7, 5))
+    one.remote.tell(write_id, WriteStatus.PARKED)
     one.until_still()
-    one.remote.unbegin(dot, 1)
-    one.remote.tell(dot, Fate.UNKNOWN)  # says less
+    one.remote.unbegin(write_id, 1)
+    one.remote.tell(write_id, WriteStatus.UNKNOWN)  # says less
     ask = one.must()
-    assert ask.told == (Told(dot, Fate.UNKNOWN, 7, unbegin=True, parking=1),)
-    assert not one.remote.answered(Answered((), (), (False,)), one.now).unbegun
+    assert ask.told == (StatusUpdate(write_id, WriteStatus.UNKNOWN, 7, unbegin=True, parking=1),)
+    assert not one.remote.answered(QueryReply((), (), (False,)), one.now).unbegun
     one.now += MOST_US
-    assert one.until_still().unbegun == [dot]
-    assert one.record.begun(dot, 7, 6) is Begun.OPEN
+    assert one.until_still().unbegun == [write_id]
+    assert one.record.begun(write_id, 7, 6) is IntentStatus.OPEN
 
 
 def test_that_it_never_ran_is_not_told_once_the_line_was_anothers() -> None:
     one = Asker()
-    dot = Dot(*OWN, 1)
-    one.remote.unbegin(dot, 1)
-    one.record.agree(one.record.claim_entry(Claim(OWN, 8, (OWN.incarnation,))))
-    one.record.agree(Begin(dot, 8, 5))  # the other process sends it
+    write_id = WriteId(*OWN, 1)
+    one.remote.unbegin(write_id, 1)
+    one.record.agree(one.record.claim_entry(LeaseRequest(OWN, 8, (OWN.incarnation,))))
+    one.record.agree(Intent(write_id, 8, 5))  # the other process sends it
     assert one.remote.lost(OWN)
     one.remote.claim(OWN, (7, 8), force=True)
     for _ in range(3):
         one.until_still()
         one.now += AGAIN_US
-    assert one.remote.holds(OWN) and one.record.begun(dot, 7, 6) is Begun.OTHERS
+    assert one.remote.holds(OWN) and one.record.begun(write_id, 7, 6) is IntentStatus.OTHERS
 
 
 def test_what_is_said_of_a_line_waits_until_it_is_held() -> None:
     one = Asker()
-    one.remote.tell(Dot(*FORMER, 1), Fate.PARKED)
+    one.remote.tell(WriteId(*FORMER, 1), WriteStatus.PARKED)
     assert one.next() is None
     one.remote.claim(FORMER, (3, 7))
     one.until_still()
     one.now += LEAST_US
     one.until_still()
-    assert one.record.fate(Cause(*FORMER, 1)) is Fate.PARKED
+    assert one.record.write_status(Dependency(*FORMER, 1)) is WriteStatus.PARKED
 
 
 def test_what_others_wait_for_finds_room_or_is_given_back() -> None:
     one = Asker()
     for number in range(1, SAID_MOST + 1):
-        assert one.remote.tell(Dot(*OWN, number), Fate.PARKED)
-    assert not one.remote.tell(Dot(*OWN, SAID_MOST + 1), Fate.PARKED)
+        assert one.remote.tell(WriteId(*OWN, number), WriteStatus.PARKED)
+    assert not one.remote.tell(WriteId(*OWN, SAID_MOST + 1), WriteStatus.PARKED)
     for number in range(SAID_MOST + 1, 2 * SAID_MOST + 1):
-        assert one.remote.tell(Dot(*OWN, number), Fate.GONE)
-    last = Dot(*OWN, 2 * SAID_MOST + 1)
-    assert not one.remote.tell(last, Fate.GONE)
+        assert one.remote.tell(WriteId(*OWN, number), WriteStatus.GONE)
+    last = WriteId(*OWN, 2 * SAID_MOST + 1)
+    assert not one.remote.tell(last, WriteStatus.GONE)
     assert len(one.remote._said) == SAID_MOST
     one.until_still()
-    assert one.remote.tell(last, Fate.GONE)  # what the record knows makes room
+    assert one.remote.tell(last, WriteStatus.GONE)  # what the record knows makes room
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -390,35 +408,43 @@
     """Asks and answers are lost, and so is the record; in the end all is known on both sides."""
     rng = random.Random(seed)
     one = Asker()
-    frontier = one.remote
-    truth: dict[Dot, Fate] = {}
-    asked: set[Cause] = set()
-    before: dict[Cause, Fate] = {}
-    out: Ask | None = None
+    version_vector = one.remote
+    truth: dict[WriteId, WriteStatus] = {}
+    asked: set[Dependency] = set()
+    before: dict[Dependency, WriteStatus] = {}
+    out: ReplayQuery | None = None
     low = 0
     claimed = False
     for _ in range(300):
         one.now += rng.randrange(SECOND)
         match rng.randrange(8):
             case 0:
-                cause = Cause(*OTHER, rng.randrange(1, 60))
-                one.remote.follow([cause])
-                asked.add(cause)
+                dependency = Dependency(*OTHER, rng.randrange(1, 60))
+                one.remote.follow([dependency])
+                asked.add(dependency)
             case 1:
-                one.record.agree(In(Dot(*OTHER, rng.randrange(1, 60))))
+                one.record.agree(WriteApplied(WriteId(*OTHER, rng.randrange(1, 60))))
             case 2:
-                dot = Dot(*OWN, rng.randrange(low + 1, low + 30))
-                fate = rng.choice((Fate.PARKED, Fate.UNKNOWN, Fate.GONE, Fate.IN))
-                if truth.get(dot) not in (Fate.IN, Fate.GONE) and one.remote.tell(dot, fate):
-                    truth[dot] = fate
+                write_id = WriteId(*OWN, rng.randrange(low + 1, low + 30))
+                write_status = rng.choice(
+                    (WriteStatus.PARKED, WriteStatus.UNKNOWN, WriteStatus.GONE, WriteStatus.IN)
+                )
+                if truth.get(write_id) not in (WriteStatus.IN, WriteStatus.GONE) and one.remote.tell(
+                    write_id, write_status
+                ):
+                    truth[write_id] = write_status
             case 3 if rng.randrange(5) == 0:
-                numbers = [dot.number for dot, fate in truth.items() if fate in (Fate.PARKED, Fate.UNKNOWN)]
+                numbers = [
+                    write_id.number
+                    for write_id, write_status in truth.items()
+                    if write_status in (WriteStatus.PARKED, WriteStatus.UNKNOWN)
+                ]
                 low = max(low, min([*numbers, low + 10]) - 1)
                 one.remote.low(OWN, low)
             case 4 if not claimed:
                 one.remote.claim(FORMER, (3, 7))
                 claimed = True
-            case 5 if rng.randrange(20) == 0 and not any(one.before for one in frontier._untold):
+            case 5 if rng.randrange(20) == 0 and not any(one.before for one in version_vector._untold):
                 one.record = Agreed()
             case _ if out is not None and rng.random() < 0.6:
                 if rng.randrange(3):
@@ -429,15 +455,18 @@
                 out = None
         ask = one.next()
         if ask is not None:
-            assert out is None and max(len(ask.fates), len(ask.claims), len(ask.told)) <= ASKED_MOST
+            assert (
+                out is None and max(len(ask.write_statuses), len(ask.claims), len(ask.told)) <= QUERIED_MOST
+            )
             assert all(
-                told.fate is not Fate.IN or not told.before or told.dot.number <= low for told in ask.told
+                told.write_status is not WriteStatus.IN or not told.before or told.write_id.number <= low
+                for told in ask.told
             )
             out = ask
-        for cause, fate in before.items():
-            if fate in (Fate.IN, Fate.GONE):
-                assert one.remote.fate(cause) is fate
-        before = {cause: one.remote.fate(cause) for cause in asked}
+        for dependency, write_status in before.items():
+            if write_status in (WriteStatus.IN, WriteStatus.GONE):
+                assert one.remote.write_status(dependency) is write_status
+        before = {dependency: one.remote.write_status(dependency) for dependency in asked}
         assert claimed or not one.remote.holds(FORMER)
     if out is not None:
         one.answer(out)
@@ -445,13 +474,21 @@
     for _ in range(50):
         one.until_still()
         one.now += MOST_US
-    for cause in asked:
-        known = one.remote.fate(cause)
-        assert known is one.record.fate(cause) or known is Fate.IN  # in a record that was lost
-    for dot, fate in truth.items():
-        expected = Fate.GONE if fate is Fate.GONE else Fate.IN if dot.number <= low else fate
-        assert one.record.fate(Cause(*dot)) is expected, dot
-    assert one.record.fate(Cause(*OWN, low, True)) is Fate.IN or not low
+    for dependency in asked:
+        known = one.remote.write_status(dependency)
+        assert (
+            known is one.record.write_status(dependency) or known is WriteStatus.IN
+        )  # in a record that was lost
+    for write_id, write_status in truth.items():
+        expected = (
+            WriteStatus.GONE
+            if write_status is WriteStatus.GONE
+            else WriteStatus.IN
+            if write_id.number <= low
+            else write_status
+        )
+        assert one.record.write_status(Dependency(*write_id)) is expected, write_id
+    assert one.record.write_status(Dependency(*OWN, low, True)) is WriteStatus.IN or not low
     assert one.remote.holds(FORMER) is claimed
 
 
@@ -479,12 +516,12 @@
 
     def __init__(self) -> None:
         self.record = Agreed()
-        self.seal = Seal(SECRET)
-        self.ran: list[Dot] = []
-        self.sent: list[Dot] = []  # every replay that came
-        self.asks: list[Ask] = []
-        self.lost: set[Dot] = set()  # answers that are lost after the effect
-        self.late: set[Dot] = set()  # the same, and nobody has agreed on IN yet
+        self.seal = MessageSeal(SECRET)
+        self.ran: list[WriteId] = []
+        self.sent: list[WriteId] = []  # every replay that came
+        self.asks: list[ReplayQuery] = []
+        self.lost: set[WriteId] = set()  # answers that are lost after the effect
+        self.late: set[WriteId] = set()  # the same, and nobody has agreed on IN yet
         self.silent = False  # asks get no answer
         self.refuses = False  # replays are refused
         self.asked = 0
@@ -507,26 +544,26 @@
             return
         writer.write(answer(200, self.seal.answered(self.record.answer(ask), sealed).encode()))
 
-    def _replay(self, one: Replayed, writer: Writer) -> None:
-        self.sent.append(one.dot)
+    def _replay(self, one: ReplayIdentity, writer: Writer) -> None:
+        self.sent.append(one.write_id)
         self.asked += 1
-        found = self.record.begun(one.dot, one.life, self.asked)
-        if found is Begun.FENCED:
+        found = self.record.begun(one.write_id, one.life, self.asked)
+        if found is IntentStatus.FENCED:
             writer.write(answer(503, b"", "X-Kept-Fate: fenced\r\nRetry-After: 1\r\n"))
-        elif found is Begun.IN:
+        elif found is IntentStatus.IN:
             writer.write(answer(200, b"", "X-Kept-Fate: in\r\n"))
-        elif found is Begun.OTHERS:
+        elif found is IntentStatus.OTHERS:
             writer.write(answer(502, b"", "X-Kept-Fate: begun\r\n"))
         else:
             self._run(one, writer)
 
-    def _run(self, one: Replayed, writer: Writer) -> None:
+    def _run(self, one: ReplayIdentity, writer: Writer) -> None:
         if one.unsafe:
-            self.record.agree(Begin(one.dot, one.life, self.asked))
-        self.ran.append(one.dot)
-        if one.dot not in self.late:
-            self.record.agree(In(one.dot))
-        if one.dot in self.lost | self.late:
+            self.record.agree(Intent(one.write_id, one.life, self.asked))
+        self.ran.append(one.write_id)
+        if one.write_id not in self.late:
+            self.record.agree(WriteApplied(one.write_id))
+        if one.write_id in self.lost | self.late:
             reset_connection(writer)
         else:
             writer.write(answer(200, b"ran"))
@@ -559,7 +596,7 @@
         parts.start()
         secret = folder / "secret"
         secret.write_bytes(SECRET)
-        classes = {"put": KeptClass("keyed", 86_400 * SECOND), "pay": KeptClass("unsafe")}
+        classes = {"put": QueuedClass("keyed", 86_400 * SECOND), "pay": QueuedClass("unsafe")}
         settings = OutboxSettings(
             store_path=str(folder / "store"), edge=edge, classes=classes, secret_file=str(secret),
             cut_us=3_600 * SECOND, back_us=0, send_us=5 * SECOND, upstream="copies",
@@ -597,24 +634,26 @@
         engine.take(call)
         return await front.answer
 
-    async def keep(self, cls: str, follows: bytes = b"") -> Dot:
+    async def keep(self, cls: str, follows: bytes = b"") -> WriteId:
         told = await self.write(cls, follows)
         assert told.status == 202, told.body
-        return Tokens(SECRET).read(dict(told.headers)[b"x-causal-token"].decode())[0].dot
+        return CausalityTokens(SECRET).read(dict(told.headers)[b"x-causal-token"].decode())[0].write_id
 
-    def receipt(self, dot: Dot) -> Receipt:
-        return self.driver.outbox.receipt(dot)
+    def receipt(self, write_id: WriteId) -> WriteReceipt:
+        return self.driver.outbox.receipt(write_id)
 
-    async def until(self, dot: Dot, state: State, reason: Reason | None = None) -> None:
-        while (found := self.receipt(dot)).state is not state or found.reason is not (reason or found.reason):
+    async def until(self, write_id: WriteId, state: WriteState, reason: ParkingReason | None = None) -> None:
+        while (found := self.receipt(write_id)).state is not state or found.reason is not (
+            reason or found.reason
+        ):
             await asyncio.sleep(0)
 
-    def judge(self, dot: Dot, verdict: Verdict) -> None:
-        assert self.driver.judge(str(dot), self.receipt(dot).parking, verdict)
+    def resolve(self, write_id: WriteId, resolution: Resolution) -> None:
+        assert self.driver.resolve(str(write_id), self.receipt(write_id).parking, resolution)
 
 
-def token(dot: Dot) -> bytes:
-    return Tokens(SECRET).receipt(dot).encode()
+def token(write_id: WriteId) -> bytes:
+    return CausalityTokens(SECRET).receipt(write_id).encode()
 
 
 async def until(condition: Callable[[], bool]) -> None:
@@ -642,8 +681,8 @@
             assert not one.copies.asks and not one.copies.sent  # cut off
             one.copies.lost.add(first)
             one.link(True)
-            await one.until(first, State.DONE)
-            await one.until(second, State.DONE)
+            await one.until(first, WriteState.DONE)
+            await one.until(second, WriteState.DONE)
             assert one.copies.ran == [first, second]
             assert any("upstream's record says that it is in" in line for line in one.log)
 
@@ -656,10 +695,10 @@
             first = await one.keep("pay")
             one.copies.late.add(first)
             one.link(True)
-            await one.until(first, State.PARKED, Reason.MAY_HAVE_RUN)
-            await until(lambda: one.copies.record.fate(Cause(*first)) is Fate.PARKED)
-            one.copies.record.agree(In(first))
-            await one.until(first, State.DONE)
+            await one.until(first, WriteState.PARKED, ParkingReason.MAY_HAVE_RUN)
+            await until(lambda: one.copies.record.write_status(Dependency(*first)) is WriteStatus.PARKED)
+            one.copies.record.agree(WriteApplied(first))
+            await one.until(first, WriteState.DONE)
             assert one.copies.sent == [first]
 
     run(main())
@@ -671,20 +710,20 @@
     async def main() -> None:
         async with studio(tmp_path) as one:
             first = await one.keep("pay")
-            one.copies.record.agree(Begin(first, first.incarnation, 99))
+            one.copies.record.agree(Intent(first, first.incarnation, 99))
             one.link(True)
-            await one.until(first, State.PARKED, Reason.MAY_HAVE_RUN)
+            await one.until(first, WriteState.PARKED, ParkingReason.MAY_HAVE_RUN)
             assert not one.copies.ran
             one.copies.silent = True
             assert one.driver.sharing is not None
             parked_at = one.driver.sharing.parked_at[first]
-            one.judge(first, Verdict.NEVER_RAN)
-            await one.until(first, State.READY)
+            one.resolve(first, Resolution.NEVER_RAN)
+            await one.until(first, WriteState.READY)
             asked = len(one.copies.asks)
             await until(lambda: len(one.copies.asks) > asked + 1)
-            assert one.copies.sent == [first] and one.receipt(first).state is State.READY
+            assert one.copies.sent == [first] and one.receipt(first).state is WriteState.READY
             one.copies.silent = False
-            await one.until(first, State.DONE)
+            await one.until(first, WriteState.DONE)
             assert one.copies.sent == [first, first] and one.copies.ran == [first]
             # Not before the last try's time was over: it might have run yet.
             assert one.driver.clock.now() >= parked_at + one.driver.settings.send_us
@@ -700,24 +739,24 @@
             record, sharing = one.copies.record, one.driver.sharing
             assert sharing is not None
             first = await one.keep("pay")
-            record.agree(Begin(first, first.incarnation, 99))
+            record.agree(Intent(first, first.incarnation, 99))
             one.link(True)
-            await one.until(first, State.PARKED, Reason.MAY_HAVE_RUN)
-            record.agree(Unbegin(first, 99))  # as if its try had been lost before the gate
-            one.judge(first, Verdict.NEVER_RAN)
-            await one.until(first, State.READY)
+            await one.until(first, WriteState.PARKED, ParkingReason.MAY_HAVE_RUN)
+            record.agree(IntentWithdrawal(first, 99))  # as if its try had been lost before the gate
+            one.resolve(first, Resolution.NEVER_RAN)
+            await one.until(first, WriteState.READY)
             # The process on a copy of the disk sends it; the answer is not agreed yet.
-            record.agree(Hold(first.line, 5, first.incarnation, 0, True))
-            record.agree(Begin(first, 5, 77))
+            record.agree(LogLease(first.line, 5, first.incarnation, 0, True))
+            record.agree(Intent(first, 5, 77))
             one.link(False)
             other = await one.keep("put")
             one.link(True)
-            await one.until(other, State.PARKED, Reason.FENCED)
-            await one.until(first, State.PARKED, Reason.FENCED)
+            await one.until(other, WriteState.PARKED, ParkingReason.FENCED)
+            await one.until(first, WriteState.PARKED, ParkingReason.FENCED)
             assert one.driver.claim(first.line)
-            await one.until(first, State.PARKED, Reason.MAY_HAVE_RUN)
+            await one.until(first, WriteState.PARKED, ParkingReason.MAY_HAVE_RUN)
             assert not sharing.words and not sharing.timers and first not in one.copies.ran
-            assert record.begun(first, first.incarnation, 1) is Begun.OTHERS
+            assert record.begun(first, first.incarnation, 1) is IntentStatus.OTHERS
 
     run(main())
 
@@ -729,17 +768,17 @@
             await stack.enter_async_context(copies.endpoint)
             async with studio(tmp_path, copies=copies) as one:
                 first = await one.keep("pay")
-                copies.record.agree(Begin(first, first.incarnation, 99))
+                copies.record.agree(Intent(first, first.incarnation, 99))
                 one.link(True)
-                await one.until(first, State.PARKED, Reason.MAY_HAVE_RUN)
+                await one.until(first, WriteState.PARKED, ParkingReason.MAY_HAVE_RUN)
             async with studio(tmp_path, copies=copies) as one:
                 assert one.driver.sharing is not None
                 one.driver.settings = dataclasses.replace(one.driver.settings, send_us=0)
-                one.judge(first, Verdict.NEVER_RAN)
-                await one.until(first, State.READY)
+                one.resolve(first, Resolution.NEVER_RAN)
+                await one.until(first, WriteState.READY)
                 assert first in one.driver.sharing.words and not copies.ran
                 one.link(True)
-                await one.until(first, State.DONE)
+                await one.until(first, WriteState.DONE)
                 assert copies.ran == [first] and not one.driver.sharing.words
 
     run(main())
@@ -753,14 +792,14 @@
             assert one.driver.turning is not None
             one.driver.turning.cancel()
             outbox.fence(first.line)
-            (change,) = [change for change in outbox.due(now) if change.dot == first]
+            (change,) = [change for change in outbox.due(now) if change.write_id == first]
             outbox.unfence(first.line)
             outbox.apply(change, now)
-            assert one.receipt(first).reason is Reason.FENCED
+            assert one.receipt(first).reason is ParkingReason.FENCED
             (change,) = outbox.due(now)
-            assert change.event is Event.CLAIMED
+            assert change.event is WriteEvent.CLAIMED
             outbox.apply(change, now)
-            assert one.receipt(first).state is State.READY
+            assert one.receipt(first).state is WriteState.READY
 
     run(main())
 
@@ -768,22 +807,24 @@
 def test_what_was_judged_while_it_was_fenced_has_one_age(tmp_path: Path) -> None:
     async def main() -> None:
         async with studio(tmp_path) as one:
-            dots = [await one.keep("pay") for _ in range(3)]
+            write_ids = [await one.keep("pay") for _ in range(3)]
             outbox, now = one.driver.outbox, one.driver.clock.now()
             assert one.driver.turning is not None
             one.driver.turning.cancel()
-            outbox.fence(dots[0].line)
+            outbox.fence(write_ids[0].line)
             for change in outbox.due(now):
                 outbox.apply(change, now)
-            judged = outbox.judge(dots[0], one.receipt(dots[0]).parking, Verdict.NEVER_RAN, 1)
-            assert judged is not None
-            outbox.apply(judged, now)
-            outbox.unfence(dots[0].line)
+            resolved = outbox.resolve(
+                write_ids[0], one.receipt(write_ids[0]).parking, Resolution.NEVER_RAN, 1
+            )
+            assert resolved is not None
+            outbox.apply(resolved, now)
+            outbox.unfence(write_ids[0].line)
             for change in outbox.due(now):
                 outbox.apply(change, now)
             later = now + 1_000 * outbox.bounds.age_us
-            expired = {change.dot for change in outbox.due(later) if change.event is Event.EXPIRED}
-            assert expired == set(dots[1:])  # the first is out
+            expired = {change.write_id for change in outbox.due(later) if change.event is WriteEvent.EXPIRED}
+            assert expired == set(write_ids[1:])  # the first is out
 
     run(main())
 
@@ -796,17 +837,17 @@
             outbox = one.driver.outbox
             outbox.bounds = dataclasses.replace(outbox.bounds, receipt_us=0)
             first = await one.keep("pay")
-            parked = outbox._change(outbox._must_row(first), Event.EXPIRED, Reason.AGE)
+            parked = outbox._change(outbox._must_row(first), WriteEvent.EXPIRED, ParkingReason.AGE)
             await one.driver._step(parked)
-            one.judge(first, Verdict.GIVE_UP)
-            await one.until(first, State.GIVEN_UP)
+            one.resolve(first, Resolution.GIVE_UP)
+            await one.until(first, WriteState.GIVEN_UP)
             assert one.driver.turning is not None
             one.driver.turning.cancel()
             one.driver._tell_over()
             now = one.driver.clock.now()
             assert not outbox.forgettable(now, one.driver._telling)
             one.link(True)
-            await until(lambda: one.copies.record.fate(Cause(*first)) is Fate.GONE)
+            await until(lambda: one.copies.record.write_status(Dependency(*first)) is WriteStatus.GONE)
             await until(lambda: not one.driver._telling(first))
             assert outbox.forgettable(one.driver.clock.now(), one.driver._telling) in ([first], [])
 
@@ -823,7 +864,7 @@
             while not one.copies.endpoint.got[-1].start.startswith("POST"):
                 await one.copies.endpoint.arrived.acquire()
             one.copies.refuses = False
-            await one.until(first, State.DONE)
+            await one.until(first, WriteState.DONE)
             assert one.copies.ran == [first]
 
     run(main())
@@ -835,21 +876,21 @@
             first = await one.keep("pay")
             second = await one.keep("put", token(first))
             line = first.line
-            one.copies.record.agree(one.copies.record.claim_entry(Claim(line, 5, (line.incarnation,))))
+            one.copies.record.agree(one.copies.record.claim_entry(LeaseRequest(line, 5, (line.incarnation,))))
             one.link(True)
-            await one.until(first, State.PARKED, Reason.FENCED)
-            await one.until(second, State.PARKED, Reason.FENCED)
+            await one.until(first, WriteState.PARKED, ParkingReason.FENCED)
+            await one.until(second, WriteState.PARKED, ParkingReason.FENCED)
             assert not one.copies.ran and one.copies.sent == [first]
             assert sum("another process with a copy of this disk" in text for text in one.log) == 1
             one.link(False)
             assert (await one.write("pay")).status in (502, 503)
             assert one.driver.outbox.count == 2
             # What the other process brought upstream is done here too.
-            one.copies.record.agree(In(first))
+            one.copies.record.agree(WriteApplied(first))
             one.link(True)
-            await one.until(first, State.DONE)
+            await one.until(first, WriteState.DONE)
             assert one.driver.claim(line)
-            await one.until(second, State.DONE)
+            await one.until(second, WriteState.DONE)
             assert one.copies.ran == [second] and not one.driver.claim(line)
             with pytest.raises(UnknownWriteError):
                 one.driver.claim(OTHER)
@@ -866,14 +907,14 @@
             second = await oak.keep("put", token(first))
             asked = len(ash.copies.asks)
             await until(lambda: len(ash.copies.asks) > asked)
-            assert oak.receipt(second).state is State.KEPT and oak.receipt(second).behind == first
+            assert oak.receipt(second).state is WriteState.KEPT and oak.receipt(second).behind == first
             ash.copies.late.add(first)
             ash.link(True)
-            await ash.until(first, State.PARKED, Reason.MAY_HAVE_RUN)
-            await oak.until(second, State.PARKED, Reason.FOLLOWS)
+            await ash.until(first, WriteState.PARKED, ParkingReason.MAY_HAVE_RUN)
+            await oak.until(second, WriteState.PARKED, ParkingReason.FOLLOWS)
             assert oak.receipt(second).behind == first
-            ash.judge(first, Verdict.RAN)
-            await oak.until(second, State.DONE)
+            ash.resolve(first, Resolution.RAN)
+            await oak.until(second, WriteState.DONE)
             assert ash.copies.ran == [first, second]
 
     run(main())
@@ -885,12 +926,12 @@
             first = await ash.keep("pay")
             ash.copies.late.add(first)
             ash.link(True)
-            await ash.until(first, State.PARKED, Reason.MAY_HAVE_RUN)
+            await ash.until(first, WriteState.PARKED, ParkingReason.MAY_HAVE_RUN)
             oak.link(True)
             second = await oak.keep("pay", token(first))
-            await oak.until(second, State.PARKED, Reason.FOLLOWS)
-            ash.judge(first, Verdict.GIVE_UP)
-            await oak.until(second, State.PARKED, Reason.ORPHANED)
+            await oak.until(second, WriteState.PARKED, ParkingReason.FOLLOWS)
+            ash.resolve(first, Resolution.GIVE_UP)
+            await oak.until(second, WriteState.PARKED, ParkingReason.ORPHANED)
             assert second not in ash.copies.ran
 
     run(main())
@@ -905,30 +946,30 @@
                 shutil.copytree(tmp_path / "1", tmp_path / "2")
             async with studio(tmp_path / "2", copies=copies) as two:
                 line, life = first.line, two.driver.store.incarnation
-                assert not two.driver.outbox.frontier.holds(line)
+                assert not two.driver.outbox.version_vector.holds(line)
                 copies.silent = True
                 two.link(True)
                 await until(lambda: any(ask.claims for ask in copies.asks))
                 # Killed as it asks: what the disk has by then names it.
                 shutil.copytree(tmp_path / "2", tmp_path / "3")
                 claim = next(ask.claims[0] for ask in copies.asks if ask.claims)
-                assert claim == Claim(line, life, (line.incarnation,)) and not copies.sent
+                assert claim == LeaseRequest(line, life, (line.incarnation,)) and not copies.sent
                 copies.silent = False
                 copies.refuses = True
                 await until(lambda: copies.record.holder(line) == life)
             copies.refuses = False
             async with studio(tmp_path / "3", copies=copies) as three:
                 three.link(True)
-                await three.until(first, State.DONE)
+                await three.until(first, WriteState.DONE)
                 assert copies.record.holder(line) == three.driver.store.incarnation
             assert copies.ran == [first]
             # The disk of the first life knows neither: it is fenced, and sends nothing.
             sent = len(copies.sent)
             async with studio(tmp_path / "1", copies=copies) as again:
                 again.link(True)
-                await until(lambda: again.receipt(first).state is not State.KEPT)
+                await until(lambda: again.receipt(first).state is not WriteState.KEPT)
                 await until(lambda: any("fenced" in text for text in again.log))
-                await again.until(first, State.DONE)
+                await again.until(first, WriteState.DONE)
             assert copies.ran == [first] and len(copies.sent) == sent
 
     run(main())
@@ -945,7 +986,7 @@
                     pass
             async with studio(tmp_path, copies=copies) as last:
                 last.link(True)
-                await last.until(first, State.DONE)
+                await last.until(first, WriteState.DONE)
             claims = [ask.claims[0] for ask in copies.asks if ask.claims]
             assert {claim.known for claim in claims} == {(first.incarnation,)}
 
@@ -955,43 +996,43 @@
 def test_an_edge_that_only_waits_sees_its_link_come_back(tmp_path: Path) -> None:
     async def main() -> None:
         async with studio(tmp_path) as one:
-            cause = Dot(*OTHER, 1)
-            kept = await one.keep("put", token(cause))
-            one.copies.record.agree(In(cause))
+            dependency = WriteId(*OTHER, 1)
+            kept = await one.keep("put", token(dependency))
+            one.copies.record.agree(WriteApplied(dependency))
             # The way is there; the edge does not know.
             one.lists += 1
             one.parts.engine.listed(one.lists, True, [one.copies.endpoint.entry("copy")])
             await until(lambda: bool(one.copies.asks))
-            assert one.driver.cutoff.off and one.copies.asks[0] == Ask()
-            await one.until(kept, State.DONE)
+            assert one.driver.cutoff.off and one.copies.asks[0] == ReplayQuery()
+            await one.until(kept, WriteState.DONE)
             assert not one.driver.cutoff.off and one.copies.ran == [kept]
 
     run(main())
 
 
-class Teller:
-    """A frontier as a copy upstream has one. All that others kept is gone."""
+class StatusPublisher:
+    """A version vector as a copy upstream has one. All that others kept is gone."""
 
     def __init__(self) -> None:
-        self.fates: list[tuple[Dot, Fate]] = []
-        self.lows: dict[Line, int] = {}
+        self.write_statuses: list[tuple[WriteId, WriteStatus]] = []
+        self.lows: dict[EdgeLog, int] = {}
         self.full = True
 
-    def fate(self, cause: Cause) -> Fate:
-        return Fate.GONE
+    def write_status(self, dependency: Dependency) -> WriteStatus:
+        return WriteStatus.GONE
 
-    def holds(self, line: Line) -> bool:
+    def holds(self, line: EdgeLog) -> bool:
         return True
 
-    def tell(self, dot: Dot, fate: Fate) -> bool:
-        self.fates.append((dot, fate))
+    def tell(self, write_id: WriteId, write_status: WriteStatus) -> bool:
+        self.write_statuses.append((write_id, write_status))
         return not self.full
 
-    def low(self, line: Line, number: int) -> bool:
+    def low(self, line: EdgeLog, number: int) -> bool:
         self.lows[line] = number
         return True
 
-    def telling(self, dot: Dot) -> bool:
+    def telling(self, write_id: WriteId) -> bool:
         return self.full
 
 
@@ -1002,33 +1043,36 @@
         config = config_from({"seed": "1", "settings": SETTINGS}, "test")
         (tmp_path / "secret").write_bytes(SECRET)
         settings = OutboxSettings(
-            store_path=str(tmp_path / "store"), edge="up", classes={"pay": KeptClass("unsafe")}, shared=True,
+            store_path=str(tmp_path / "store"),
+            edge="up",
+            classes={"pay": QueuedClass("unsafe")},
+            shared=True,
             secret_file=str(tmp_path / "secret"),
-        )  # fmt: skip
-        teller = Teller()
+        )
+        teller = StatusPublisher()
         parts = Assembly(asyncio.get_running_loop(), config, lambda line: None)
         parts.start()
         driver = await OutboxDriver.open(settings, config.names.classes, {}, lambda line: None, teller)
         driver.begin(parts.engine)
         driver.cutoff.off = True
 
-        async def ask(*causes: bytes) -> Answer:
+        async def ask(*dependencies: bytes) -> Answer:
             front = Front()
             call = Call(2, parts.engine.now() + 5 * SECOND, b"POST /pay", b"", b"x", front, b"r")
-            call.causes = causes
+            call.causes = dependencies
             parts.engine.take(call)
             return await front.answer
 
         async with asyncio.timeout(TIMEOUT_S):
             assert (await ask(b"", b"", b"", b"sealed")).status == 503  # its edge has it
-            assert (await ask(token(Dot(*OTHER, 1)), b"", b"", b"")).status == 202
-            dot = Dot("up", driver.store.incarnation, 1)
-            await until(lambda: (dot, Fate.PARKED) in teller.fates)
-            assert driver.judge(str(dot), 1, Verdict.GIVE_UP)
-            await until(lambda: (dot, Fate.GONE) in teller.fates)
+            assert (await ask(token(WriteId(*OTHER, 1)), b"", b"", b"")).status == 202
+            write_id = WriteId("up", driver.store.incarnation, 1)
+            await until(lambda: (write_id, WriteStatus.PARKED) in teller.write_statuses)
+            assert driver.resolve(str(write_id), 1, Resolution.GIVE_UP)
+            await until(lambda: (write_id, WriteStatus.GONE) in teller.write_statuses)
             assert not teller.lows  # it would say that the write is in
             teller.full = False
-            await until(lambda: teller.lows == {dot.line: 1})
+            await until(lambda: teller.lows == {write_id.line: 1})
             assert not driver.untold and not driver.outbox.over()
         await driver.close()
         parts.close()
--- a/tests/test_shared_gate.py
+++ b/tests/test_shared_gate.py
@@ -25,30 +25,46 @@
     RequestClass,
     Settings,
 )
-from laurelstep.outbox.causes import Cause, Fate
-from laurelstep.outbox.dots import Dot, Line
-from laurelstep.outbox.shared.entries import Begin, Entry, Hold, In, Lost, Said, Unbegin, pack
-from laurelstep.outbox.shared.gate import ASK_US, ASKS_MOST, COMPLAIN_US, LATER_MOST, LATER_US, Gate
-from laurelstep.outbox.shared.record import Record
-from laurelstep.outbox.shared.seal import Seal
-from laurelstep.outbox.shared.terms import (
+from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.shared.entries import (
+    EdgeLost,
+    Intent,
+    IntentWithdrawal,
+    LedgerEntry,
+    LogLease,
+    StatusRecord,
+    WriteApplied,
+    pack,
+)
+from laurelstep.outbox.shared.ledger import ReplicatedLedger
+from laurelstep.outbox.shared.message_seal import MessageSeal
+from laurelstep.outbox.shared.messages import (
     FATE_HEADER,
-    Answered,
-    Ask,
-    Begun,
-    Claim,
-    Claimed,
-    Replayed,
-    Told,
+    IntentStatus,
+    LeaseRequest,
+    LeaseStatus,
+    QueryReply,
+    ReplayIdentity,
+    ReplayQuery,
+    StatusUpdate,
+)
+from laurelstep.outbox.shared.replay_gate import (
+    ASK_US,
+    ASKS_MOST,
+    COMPLAIN_US,
+    LATER_MOST,
+    LATER_US,
+    ReplayGate,
 )
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from tests.fakes import Answers, ManualClock, PlayedUpstream, Sent, entry
 from tests.sockets import overrule
 
 SECRET = b"of the edges and of the copies"
-SEAL = Seal(SECRET)
+SEAL = MessageSeal(SECRET)
 LIFE, LATER_LIFE = 7, 8
-LINE = Line("edge-1", LIFE)
-DOT = Dot("edge-1", LIFE, 3)
+LINE = EdgeLog("edge-1", LIFE)
+DOT = WriteId("edge-1", LIFE, 3)
 PAY, PUT, POST = 0, 1, 2
 DEADLINE_US = 2_000_000
 
@@ -56,14 +72,14 @@
 class Agreed:
     """A sharer whose entries are agreed when the test says so."""
 
-    def __init__(self, record: Record, clock: ManualClock) -> None:
+    def __init__(self, record: ReplicatedLedger, clock: ManualClock) -> None:
         self.record = record
         self.clock = clock
         self.ready = True
         self.index = self.calls = 0
-        self.waiting: list[tuple[Entry, Callable[[], bool], asyncio.Future[bool]]] = []
+        self.waiting: list[tuple[LedgerEntry, Callable[[], bool], asyncio.Future[bool]]] = []
 
-    def agree(self, entry: Entry, done: Callable[[], bool], until: int) -> asyncio.Future[bool]:
+    def agree(self, entry: LedgerEntry, done: Callable[[], bool], until: int) -> asyncio.Future[bool]:
         self.calls += 1
         pack(entry)
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
@@ -88,10 +104,10 @@
         self.waiting = [one for one in self.waiting if not one[2].done()]
 
     @property
-    def asked(self) -> list[Entry]:
+    def asked(self) -> list[LedgerEntry]:
         return [one for one, _, _ in self.waiting]
 
-    def land(self, *entries: Entry) -> None:
+    def land(self, *entries: LedgerEntry) -> None:
         """These are agreed now; or all that is asked for."""
         for one in entries or self.asked:
             self.index += 1
@@ -127,11 +143,11 @@
         self.clock = ManualClock()
         self.upstream = PlayedUpstream(self.clock)
         self.front = Answers()
-        self.record = Record()
+        self.record = ReplicatedLedger()
         self.sharer = Agreed(self.record, self.clock)
         self.lines: list[str] = []
         self.asks = iter(range(1, 1000))
-        self.gate = Gate(
+        self.gate = ReplayGate(
             self.record, self.sharer, SEAL, {PAY: True, PUT: False}, self.clock, self.lines.append, inner,
             lambda: next(self.asks),
         )  # fmt: skip
@@ -149,18 +165,22 @@
         self.engine.listed(1, True, [entry("a")])
         self.count = 0
 
-    def call(self, cls: int = PAY, sealed: str | None = None, dot: Dot = DOT, life: int = LIFE) -> Call:
+    def call(
+        self, cls: int = PAY, sealed: str | None = None, write_id: WriteId = DOT, life: int = LIFE
+    ) -> Call:
         """A replay; `sealed`: with this in place of its name."""
         if sealed is None:
-            sealed = SEAL.replayed(Replayed(dot, life, cls == PAY))
+            sealed = SEAL.replayed(ReplayIdentity(write_id, life, cls == PAY))
         self.count += 1
         name = b"r%d" % self.count
         call = Call(cls, self.clock.now() + DEADLINE_US, b"POST /pay", b"host: x\r\n", b"x", self.front, name)
         call.causes = (b"", b"", b"", sealed.encode())
         return call
 
-    async def take(self, cls: int = PAY, sealed: str | None = None, dot: Dot = DOT, life: int = LIFE) -> Call:
-        call = self.call(cls, sealed, dot, life)
+    async def take(
+        self, cls: int = PAY, sealed: str | None = None, write_id: WriteId = DOT, life: int = LIFE
+    ) -> Call:
+        call = self.call(cls, sealed, write_id, life)
         self.engine.take(call)
         await self.turn()
         return call
@@ -171,7 +191,7 @@
             await asyncio.sleep(0)
             self.clock.advance(0)
 
-    async def land(self, *entries: Entry) -> None:
+    async def land(self, *entries: LedgerEntry) -> None:
         self.sharer.land(*entries)
         await self.turn()
 
@@ -208,12 +228,12 @@
     def told(self) -> list[tuple[int, bytes]]:
         return [(answer.status, dict(answer.headers).get(FATE_HEADER, b"")) for _, answer in self.front.given]
 
-    def begun(self) -> Begun:
+    def begun(self) -> IntentStatus:
         """As another ask would hear."""
         return self.record.begun(DOT, LIFE, 0)
 
-    def fate(self, dot: Dot = DOT) -> Fate:
-        return self.record.fate(Cause(*dot))
+    def write_status(self, write_id: WriteId = DOT) -> WriteStatus:
+        return self.record.write_status(Dependency(*write_id))
 
 
 def play(test: Callable[[World], Awaitable[None]], inner: Inner | None = None) -> World:
@@ -237,11 +257,11 @@
 def test_an_unsafe_write_is_sent_once_its_begin_is_agreed_and_answered_once_it_is_in() -> None:
     async def test(world: World) -> None:
         await world.take()
-        assert world.sharer.asked == [Begin(DOT, LIFE, 1)] and world.sent == []
+        assert world.sharer.asked == [Intent(DOT, LIFE, 1)] and world.sent == []
         await world.land()
         assert len(world.sent) == 1
         await world.play()
-        assert world.sharer.asked == [In(DOT)] and world.told == []
+        assert world.sharer.asked == [WriteApplied(DOT)] and world.told == []
         await world.land()
         assert world.told == [(200, b"")] and world.front.given[0][1].body == b"ok"
         assert not world.gate.hands and not world.engine.calls
@@ -254,7 +274,7 @@
         await world.take(PUT)
         assert len(world.sent) == 1 and world.sharer.asked == []
         await world.play()
-        assert world.sharer.asked == [In(DOT)] and world.told == []
+        assert world.sharer.asked == [WriteApplied(DOT)] and world.told == []
         await world.land()
         assert world.told == [(200, b"")]
 
@@ -263,8 +283,8 @@
 
 def test_a_class_that_is_unsafe_here_is_begun_also_if_its_edge_says_otherwise() -> None:
     async def test(world: World) -> None:
-        await world.take(PAY, SEAL.replayed(Replayed(DOT, LIFE, False)))
-        assert world.sharer.asked == [Begin(DOT, LIFE, 1)] and world.sent == []
+        await world.take(PAY, SEAL.replayed(ReplayIdentity(DOT, LIFE, False)))
+        assert world.sharer.asked == [Intent(DOT, LIFE, 1)] and world.sent == []
 
     play(test)
 
@@ -287,13 +307,13 @@
         begin = world.sharer.asked[0]
         await world.advance(DEADLINE_US)
         assert world.told == [(503, b"")] and world.front.given[0][1].ending is Ending.REFUSED
-        assert world.sharer.asked == [Unbegin(DOT, 1)]
+        assert world.sharer.asked == [IntentWithdrawal(DOT, 1)]
         await world.land(begin)
-        assert world.begun() is Begun.OTHERS  # what the next ask would hear
+        assert world.begun() is IntentStatus.OTHERS  # what the next ask would hear
         await world.land()
-        assert world.begun() is Begun.OPEN and world.upstream.writes == []
+        assert world.begun() is IntentStatus.OPEN and world.upstream.writes == []
         await world.land(begin)
-        assert world.begun() is Begun.OPEN  # also if it comes once more
+        assert world.begun() is IntentStatus.OPEN  # also if it comes once more
 
     play(test)
 
@@ -306,7 +326,7 @@
         world.clock.advance(DEADLINE_US)
         assert world.told == [(503, b"")] and world.front.given[0][1].ending is Ending.REFUSED
         await world.turn()
-        assert world.sharer.asked == [Unbegin(DOT, 1)] and len(world.told) == 1
+        assert world.sharer.asked == [IntentWithdrawal(DOT, 1)] and len(world.told) == 1
 
     play(test)
 
@@ -317,7 +337,7 @@
         world.sharer.ready = False
         await world.land()
         assert world.told == [(503, b"")] and not world.sent
-        assert world.sharer.asked == [Unbegin(DOT, 1)]
+        assert world.sharer.asked == [IntentWithdrawal(DOT, 1)]
 
     play(test)
 
@@ -325,7 +345,7 @@
 @pytest.mark.parametrize("cls", [PAY, PUT])
 def test_a_line_that_another_life_holds_is_fenced(cls: int) -> None:
     async def test(world: World) -> None:
-        await world.land(Hold(LINE, LATER_LIFE, LIFE, 0))
+        await world.land(LogLease(LINE, LATER_LIFE, LIFE, 0))
         await world.take(cls)
         assert world.told == [(503, b"fenced")] and world.front.given[0][1].ending is Ending.REFUSED
         await world.take(cls, life=LATER_LIFE)
@@ -336,8 +356,8 @@
 
 
 @pytest.mark.parametrize("cls", [PAY, PUT])
-@pytest.mark.parametrize("lost", [Lost("edge-1"), Lost("edge-1", LIFE)])
-def test_what_is_lost_is_fenced(cls: int, lost: Lost) -> None:
+@pytest.mark.parametrize("lost", [EdgeLost("edge-1"), EdgeLost("edge-1", LIFE)])
+def test_what_is_lost_is_fenced(cls: int, lost: EdgeLost) -> None:
     async def test(world: World) -> None:
         await world.land(lost)
         await world.take(cls)
@@ -349,7 +369,7 @@
 @pytest.mark.parametrize("cls", [PAY, PUT])
 def test_what_is_in_is_told_so_and_not_sent_again(cls: int) -> None:
     async def test(world: World) -> None:
-        await world.land(In(DOT))
+        await world.land(WriteApplied(DOT))
         await world.take(cls)
         assert world.told == [(200, b"in")] and world.front.given[0][1].body == b""
         assert world.upstream.writes == []
@@ -359,7 +379,7 @@
 
 def test_what_another_ask_has_begun_may_have_run() -> None:
     async def test(world: World) -> None:
-        await world.land(Begin(DOT, LIFE, 99))
+        await world.land(Intent(DOT, LIFE, 99))
         await world.take()
         answer = world.front.given[0][1]
         assert world.told == [(502, b"begun")] and answer.ending is Ending.FAILED
@@ -371,12 +391,12 @@
 @pytest.mark.parametrize(
     ("others", "told"),
     [
-        (Begin(DOT, LIFE, 99), (502, b"begun")),
-        (In(DOT), (200, b"in")),
-        (Hold(LINE, LATER_LIFE, LIFE, 0), (503, b"fenced")),
+        (Intent(DOT, LIFE, 99), (502, b"begun")),
+        (WriteApplied(DOT), (200, b"in")),
+        (LogLease(LINE, LATER_LIFE, LIFE, 0), (503, b"fenced")),
     ],
 )
-def test_of_two_that_begin_at_a_time_one_alone_is_sent(others: Entry, told: tuple[int, bytes]) -> None:
+def test_of_two_that_begin_at_a_time_one_alone_is_sent(others: LedgerEntry, told: tuple[int, bytes]) -> None:
     """What is agreed first, while this one's BEGIN is on its way, decides."""
 
     async def test(world: World) -> None:
@@ -391,7 +411,7 @@
     async def test(world: World) -> None:
         await world.take()
         await world.take()
-        assert world.sharer.asked == [Begin(DOT, LIFE, 1), Begin(DOT, LIFE, 2)]
+        assert world.sharer.asked == [Intent(DOT, LIFE, 1), Intent(DOT, LIFE, 2)]
         await world.land()
         assert len(world.sent) == 1 and world.told == [(502, b"begun")]
 
@@ -401,8 +421,8 @@
 def test_a_bad_seal_is_a_400_and_one_line_for_a_crowd() -> None:
     async def test(world: World) -> None:
         for _ in range(3):
-            await world.take(PUT, SEAL.replayed(Replayed(DOT, LIFE, False))[:-1] + "~")
-        await world.take(PUT, Seal(SECRET + b"!").replayed(Replayed(DOT, LIFE, False)))
+            await world.take(PUT, SEAL.replayed(ReplayIdentity(DOT, LIFE, False))[:-1] + "~")
+        await world.take(PUT, MessageSeal(SECRET + b"!").replayed(ReplayIdentity(DOT, LIFE, False)))
         assert world.told == [(400, b"")] * 4 and not world.sent
         assert len(world.lines) == 1 and "secret" in world.lines[0] and "\n" not in world.lines[0]
         await world.advance(COMPLAIN_US)
@@ -484,9 +504,9 @@
         await world.play()
         await world.advance(DEADLINE_US)
         assert world.told == [(502, b"")] and world.front.given[0][1].ending is Ending.FAILED
-        assert world.fate() is Fate.UNKNOWN and world.sharer.asked == [In(DOT)]
+        assert world.write_status() is WriteStatus.UNKNOWN and world.sharer.asked == [WriteApplied(DOT)]
         await world.land()
-        assert world.fate() is Fate.IN and len(world.told) == 1
+        assert world.write_status() is WriteStatus.IN and len(world.told) == 1
         await world.take(cls)
         assert world.told[1:] == [(200, b"in")] and len(world.upstream.writes) == 1
 
@@ -497,8 +517,8 @@
     async def test(world: World) -> None:
         await world.take(PUT)
         await world.play()
-        await world.land(Lost("edge-1"))
-        assert world.told == [(502, b"")] and world.fate() is Fate.GONE
+        await world.land(EdgeLost("edge-1"))
+        assert world.told == [(502, b"")] and world.write_status() is WriteStatus.GONE
 
     play(test)
 
@@ -511,9 +531,9 @@
             await world.play(FULL, runs=False)
             await world.advance(100_000)
         await world.advance(1_000_000)
-        assert world.sharer.asked == [Unbegin(DOT, 1)] and world.told == []
+        assert world.sharer.asked == [IntentWithdrawal(DOT, 1)] and world.told == []
         await world.land()
-        assert world.told == [(503, b"")] and world.begun() is Begun.OPEN
+        assert world.told == [(503, b"")] and world.begun() is IntentStatus.OPEN
 
     play(test)
 
@@ -527,7 +547,7 @@
             await world.advance(100_000)
         await world.advance(DEADLINE_US)
         answer = world.front.given[0][1]
-        assert world.told[0][0] == 503 and world.sharer.asked == [Unbegin(DOT, 1)]
+        assert world.told[0][0] == 503 and world.sharer.asked == [IntentWithdrawal(DOT, 1)]
         assert answer.ending is Ending.REFUSED
         await world.take()
         assert world.told[1:] == [(502, b"begun")]
@@ -559,10 +579,10 @@
         overrule(world.engine, request=fail)  # compiled, the module can't be patched
         await world.take()
         await world.land()
-        assert world.sharer.asked == [Unbegin(DOT, 1)] and world.told == []
+        assert world.sharer.asked == [IntentWithdrawal(DOT, 1)] and world.told == []
         await world.land()
         assert world.told == [(503, b"")] and world.front.given[0][1].ending is Ending.REFUSED
-        assert world.begun() is Begun.OPEN and world.upstream.writes == []
+        assert world.begun() is IntentStatus.OPEN and world.upstream.writes == []
 
     play(test)
 
@@ -574,7 +594,7 @@
         await world.land()
         await world.play(outcome, runs)
         assert [status for status, _ in world.told] == [502] and world.sharer.asked == []
-        assert world.begun() is Begun.OTHERS
+        assert world.begun() is IntentStatus.OTHERS
         await world.take()
         assert world.told[1:] == [(502, b"begun")] and len(world.upstream.writes) == 1
 
@@ -590,9 +610,9 @@
         begin = world.sharer.asked[0]
         world.engine.gone(call)
         await world.land(begin)
-        assert world.sharer.asked == [Unbegin(DOT, 1)] and not world.sent
+        assert world.sharer.asked == [IntentWithdrawal(DOT, 1)] and not world.sent
         await world.land()
-        assert world.begun() is Begun.OPEN and world.told == []
+        assert world.begun() is IntentStatus.OPEN and world.told == []
 
     play(test)
 
@@ -604,7 +624,7 @@
         assert len(world.sent) == 1
         world.engine.gone(call)
         await world.turn()
-        assert world.sharer.asked == [Unbegin(DOT, 1)]
+        assert world.sharer.asked == [IntentWithdrawal(DOT, 1)]
 
     play(test)
 
@@ -616,7 +636,7 @@
         world.upstream.write(world.sent[0], True)
         world.engine.gone(call)
         await world.advance(DEADLINE_US)
-        assert world.sharer.asked == [] and world.begun() is Begun.OTHERS
+        assert world.sharer.asked == [] and world.begun() is IntentStatus.OTHERS
 
     play(test)
 
@@ -632,7 +652,7 @@
         world.engine.gone(call)
         await world.turn()
         assert not call.attempts and call.tried == 1
-        assert world.sharer.asked == [] and world.begun() is Begun.OTHERS
+        assert world.sharer.asked == [] and world.begun() is IntentStatus.OTHERS
 
     play(test)
 
@@ -644,7 +664,7 @@
         await world.play()
         world.engine.gone(call)
         await world.land()
-        assert world.fate() is Fate.IN and world.told == [] and not world.engine.calls
+        assert world.write_status() is WriteStatus.IN and world.told == [] and not world.engine.calls
 
     play(test)
 
@@ -652,7 +672,7 @@
 def test_what_is_told_on_has_a_bound_and_an_end() -> None:
     async def test(world: World) -> None:
         for number in range(LATER_MOST + 5):
-            await world.take(dot=Dot("edge-1", LIFE, number + 1))
+            await world.take(write_id=WriteId("edge-1", LIFE, number + 1))
         await world.advance(DEADLINE_US)
         assert len(world.sharer.asked) == LATER_MOST and world.gate.later == LATER_MOST
         await world.advance(LATER_US)
@@ -678,14 +698,14 @@
         call.span, call.expires = DEADLINE_US, world.clock.now() + 600_000_000
         world.engine.take(call)
         await world.turn()
-        assert not world.sent and world.sharer.asked == [Begin(DOT, LIFE, 1)]
+        assert not world.sent and world.sharer.asked == [Intent(DOT, LIFE, 1)]
         await world.land()
         assert len(world.sent) == 1
         world.upstream.write(world.sent[0], True)  # what has come of it
         call.upload.end(True)
         world.engine.whole(call)
         await world.play()
-        assert world.sharer.asked == [In(DOT)]
+        assert world.sharer.asked == [WriteApplied(DOT)]
         await world.land()
         assert world.told == [(200, b"")]
 
@@ -703,7 +723,7 @@
         world.upstream.write(world.sent[0], True)
         world.engine.gone(call)
         await world.turn()
-        assert world.sharer.asked == [] and world.begun() is Begun.OTHERS
+        assert world.sharer.asked == [] and world.begun() is IntentStatus.OTHERS
 
     play(test)
 
@@ -724,18 +744,27 @@
 # --- Asked by edges ---------------------------------------------------------------------
 
 
-def answered(answer: Answer, sealed: str) -> Answered:
+def answered(answer: Answer, sealed: str) -> QueryReply:
     assert answer.status == 200, answer.body
     return SEAL.open_answered(answer.body.decode(), sealed)
 
 
 def test_fates_are_told_in_the_order_in_which_they_are_asked() -> None:
     async def test(world: World) -> None:
-        await world.land(In(Dot("edge-2", 5, 1)), Said(Dot("edge-2", 5, 2), Fate.GONE, 5))
-        await world.land(Said(Dot("edge-2", 5, 3), Fate.PARKED, 5))
-        sealed = SEAL.ask(Ask(fates=tuple(Cause("edge-2", 5, number) for number in (4, 3, 2, 1))))
+        await world.land(
+            WriteApplied(WriteId("edge-2", 5, 1)), StatusRecord(WriteId("edge-2", 5, 2), WriteStatus.GONE, 5)
+        )
+        await world.land(StatusRecord(WriteId("edge-2", 5, 3), WriteStatus.PARKED, 5))
+        sealed = SEAL.ask(
+            ReplayQuery(write_statuses=tuple(Dependency("edge-2", 5, number) for number in (4, 3, 2, 1)))
+        )
         told = answered(await world.ask(sealed), sealed)
-        assert told.fates == (Fate.UNKNOWN, Fate.PARKED, Fate.GONE, Fate.IN)
+        assert told.write_statuses == (
+            WriteStatus.UNKNOWN,
+            WriteStatus.PARKED,
+            WriteStatus.GONE,
+            WriteStatus.IN,
+        )
 
     play(test)
 
@@ -743,7 +772,9 @@
 def test_a_copy_that_does_not_know_the_record_answers_no_ask() -> None:
     async def test(world: World) -> None:
         world.sharer.ready = False
-        ask = Ask(fates=(Cause(*DOT),), claims=(Claim(LINE, LATER_LIFE, (LIFE,)),))
+        ask = ReplayQuery(
+            write_statuses=(Dependency(*DOT),), claims=(LeaseRequest(LINE, LATER_LIFE, (LIFE,)),)
+        )
         answer = await world.ask(SEAL.ask(ask))
         assert world.sharer.asked == []
         assert answer.status == 503 and answer.retry_after_us > 0 and answer.body == b""
@@ -753,19 +784,21 @@
 
 def test_a_claim_is_told_as_held_once_it_is_agreed_and_as_open_before() -> None:
     async def test(world: World) -> None:
-        sealed = SEAL.ask(Ask(claims=(Claim(LINE, LATER_LIFE, (LIFE,)), Claim(LINE, 9, (4,)))))
+        sealed = SEAL.ask(
+            ReplayQuery(claims=(LeaseRequest(LINE, LATER_LIFE, (LIFE,)), LeaseRequest(LINE, 9, (4,))))
+        )
         asking = Call(-1, 0, sealed.encode(), b"", b"", world.front)
         world.gate.ask(asking)
         await world.turn()
-        assert world.sharer.asked == [Hold(LINE, LATER_LIFE, LIFE, 0)] and world.told == []
+        assert world.sharer.asked == [LogLease(LINE, LATER_LIFE, LIFE, 0)] and world.told == []
         await world.land()
         told = answered(world.front.given[0][1], sealed)
-        assert told.claims == (Claimed.HELD, Claimed.FENCED)
-        other = SEAL.ask(Ask(claims=(Claim(LINE, 10, (LATER_LIFE,)),)))
+        assert told.claims == (LeaseStatus.HELD, LeaseStatus.FENCED)
+        other = SEAL.ask(ReplayQuery(claims=(LeaseRequest(LINE, 10, (LATER_LIFE,)),)))
         world.gate.ask(Call(-1, 0, other.encode(), b"", b"", world.front))
         await world.turn()
         await world.advance(ASK_US)
-        assert answered(world.front.given[1][1], other).claims == (Claimed.OPEN,)
+        assert answered(world.front.given[1][1], other).claims == (LeaseStatus.OPEN,)
         assert world.record.holder(LINE) == LATER_LIFE
 
     play(test)
@@ -773,9 +806,13 @@
 
 def test_what_can_be_no_entry_is_never_agreed() -> None:
     async def test(world: World) -> None:
-        sealed = SEAL.ask(Ask(claims=(Claim(LINE, 0, (LIFE,)),), told=(Told(DOT, Fate.PARKED, 0),)))
+        sealed = SEAL.ask(
+            ReplayQuery(
+                claims=(LeaseRequest(LINE, 0, (LIFE,)),), told=(StatusUpdate(DOT, WriteStatus.PARKED, 0),)
+            )
+        )
         told = answered(await world.ask(sealed), sealed)
-        assert told.claims == (Claimed.OPEN,) and told.told == (False,) and world.sharer.asked == []
+        assert told.claims == (LeaseStatus.OPEN,) and told.told == (False,) and world.sharer.asked == []
 
     play(test)
 
@@ -783,10 +820,11 @@
 def test_what_an_edge_tells_is_agreed_before_it_hears_so() -> None:
     async def test(world: World) -> None:
         tellings = (
-            Told(DOT, Fate.PARKED, LIFE), Told(Dot("edge-1", LIFE, 1), Fate.IN, LIFE, before=True),
-            Told(Dot("edge-1", LIFE, 9), Fate.GONE, LATER_LIFE),
-        )  # fmt: skip
-        sealed = SEAL.ask(Ask(told=tellings))
+            StatusUpdate(DOT, WriteStatus.PARKED, LIFE),
+            StatusUpdate(WriteId("edge-1", LIFE, 1), WriteStatus.IN, LIFE, before=True),
+            StatusUpdate(WriteId("edge-1", LIFE, 9), WriteStatus.GONE, LATER_LIFE),
+        )
+        sealed = SEAL.ask(ReplayQuery(told=tellings))
         world.gate.ask(Call(-1, 0, sealed.encode(), b"", b"", world.front))
         await world.turn()
         assert len(world.sharer.asked) == 3 and world.told == []
@@ -794,15 +832,18 @@
         await world.advance(ASK_US)
         told = answered(world.front.given[0][1], sealed)
         assert told.told == (True, True, False)  # the last is not its holder's word
-        assert world.fate() is Fate.PARKED and world.fate(Dot("edge-1", LIFE, 9)) is Fate.UNKNOWN
+        assert (
+            world.write_status() is WriteStatus.PARKED
+            and world.write_status(WriteId("edge-1", LIFE, 9)) is WriteStatus.UNKNOWN
+        )
 
     play(test)
 
 
 def test_a_word_that_it_never_ran_lets_it_run_once_more() -> None:
     async def test(world: World) -> None:
-        await world.land(Begin(DOT, LIFE, 99))
-        sealed = SEAL.ask(Ask(told=(Told(DOT, Fate.UNKNOWN, LIFE, unbegin=True),)))
+        await world.land(Intent(DOT, LIFE, 99))
+        sealed = SEAL.ask(ReplayQuery(told=(StatusUpdate(DOT, WriteStatus.UNKNOWN, LIFE, unbegin=True),)))
         world.gate.ask(Call(-1, 0, sealed.encode(), b"", b"", world.front))
         await world.turn()
         await world.land()
@@ -816,7 +857,7 @@
 
 def test_an_ask_with_a_bad_seal_is_a_400_and_changes_nothing() -> None:
     async def test(world: World) -> None:
-        for text in ("", "x", SEAL.replayed(Replayed(DOT, LIFE, True)), "\x80", "A" * 20_000):
+        for text in ("", "x", SEAL.replayed(ReplayIdentity(DOT, LIFE, True)), "\x80", "A" * 20_000):
             assert (await world.ask(text)).status == 400
         assert world.sharer.asked == [] and len(world.lines) == 1
 
@@ -825,7 +866,7 @@
 
 def test_asks_at_a_time_have_a_bound() -> None:
     async def test(world: World) -> None:
-        sealed = SEAL.ask(Ask(claims=(Claim(LINE, LATER_LIFE, (LIFE,)),)))
+        sealed = SEAL.ask(ReplayQuery(claims=(LeaseRequest(LINE, LATER_LIFE, (LIFE,)),)))
         for _ in range(ASKS_MOST + 1):
             world.gate.ask(Call(-1, 0, sealed.encode(), b"", b"", world.front))
         await world.turn()
@@ -844,13 +885,13 @@
     async def test(world: World) -> None:
         assert world.gate.lose("edge-1", incarnation)
         await world.turn()
-        assert world.sharer.asked == [Lost("edge-1", incarnation)]
+        assert world.sharer.asked == [EdgeLost("edge-1", incarnation)]
         await world.land()
         assert not world.gate.lose("edge-1", incarnation)
         await world.take()
-        assert world.told == [(503, b"fenced")] and world.fate() is Fate.GONE
-        other = Dot("edge-1", LATER_LIFE, 1)
-        assert (world.fate(other) is Fate.GONE) == (not incarnation)
+        assert world.told == [(503, b"fenced")] and world.write_status() is WriteStatus.GONE
+        other = WriteId("edge-1", LATER_LIFE, 1)
+        assert (world.write_status(other) is WriteStatus.GONE) == (not incarnation)
         status: dict[str, Any] = world.gate.status()
         assert status["ready"] and status["gate"]["fenced"] == 1 and "lines" in status
 
--- a/tests/test_shared_own.py
+++ b/tests/test_shared_own.py
@@ -1,4 +1,4 @@
-"""The frontier of a copy's own outbox: what it reads from the record, claims, and tells."""
+"""The version vector of a copy's own outbox: what it reads from the record, claims, and tells."""
 
 from __future__ import annotations
 
@@ -7,29 +7,36 @@
 
 import pytest
 
-from laurelstep.outbox.causes import Cause, Fate
-from laurelstep.outbox.dots import Dot, Line
-from laurelstep.outbox.shared.entries import Hold, In, Lost, Said
-from laurelstep.outbox.shared.own import AGREE_US, OUT_MOST, SAID_MOST, SOON_US, TURN_US, OwnFrontier
-from laurelstep.outbox.shared.record import Record
+from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.shared.entries import EdgeLost, LogLease, StatusRecord, WriteApplied
+from laurelstep.outbox.shared.ledger import ReplicatedLedger
+from laurelstep.outbox.shared.replicated_version_vector import (
+    AGREE_US,
+    OUT_MOST,
+    SAID_MOST,
+    SOON_US,
+    TURN_US,
+    ReplicatedVersionVector,
+)
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from tests.fakes import ManualClock
 from tests.test_shared_gate import Agreed
 
-OLD, FORMER, MINE = Line("copy-1", 1), Line("copy-1", 2), Line("copy-1", 3)
-FOREIGN = Cause("edge-1", 7, 3)
+OLD, FORMER, MINE = EdgeLog("copy-1", 1), EdgeLog("copy-1", 2), EdgeLog("copy-1", 3)
+FOREIGN = Dependency("edge-1", 7, 3)
 
 
 class World:
     def __init__(self) -> None:
         self.clock = ManualClock()
-        self.record = Record()
+        self.record = ReplicatedLedger()
         self.sharer = Agreed(self.record, self.clock)
         self.lines: list[str] = []
         self.heard = 0
-        self.frontier = OwnFrontier(self.record, self.clock, self.lines.append)
+        self.version_vector = ReplicatedVersionVector(self.record, self.clock, self.lines.append)
 
-    def begin(self, *lines: Line) -> None:
-        self.frontier.begin(self.sharer, MINE, (*lines, MINE), self._hear)
+    def begin(self, *lines: EdgeLog) -> None:
+        self.version_vector.begin(self.sharer, MINE, (*lines, MINE), self._hear)
 
     def _hear(self) -> None:
         self.heard += 1
@@ -50,7 +57,7 @@
     async def main() -> None:
         world = World()
         await test(world)
-        world.frontier.close()
+        world.version_vector.close()
         await asyncio.sleep(0)
 
     asyncio.run(asyncio.wait_for(main(), 20))
@@ -58,24 +65,24 @@
 
 def test_what_the_record_says_is_known_also_while_this_copy_is_behind() -> None:
     async def test(world: World) -> None:
-        assert world.frontier.fate(FOREIGN) is Fate.UNKNOWN
-        world.sharer.land(In(FOREIGN.dot))
+        assert world.version_vector.write_status(FOREIGN) is WriteStatus.UNKNOWN
+        world.sharer.land(WriteApplied(FOREIGN.write_id))
         world.sharer.ready = False
-        assert world.frontier.fate(FOREIGN) is Fate.IN
+        assert world.version_vector.write_status(FOREIGN) is WriteStatus.IN
 
     play(test)
 
 
 def test_its_own_line_is_held_while_it_is_in_touch_and_not_lost() -> None:
     async def test(world: World) -> None:
-        assert not world.frontier.holds(MINE)  # not begun
+        assert not world.version_vector.holds(MINE)  # not begun
         world.begin()
-        assert world.frontier.holds(MINE) and not world.frontier.holds(Line("edge-1", 7))
+        assert world.version_vector.holds(MINE) and not world.version_vector.holds(EdgeLog("edge-1", 7))
         world.sharer.ready = False
-        assert not world.frontier.holds(MINE)
+        assert not world.version_vector.holds(MINE)
         world.sharer.ready = True
-        world.sharer.land(Lost("copy-1", MINE.incarnation))
-        assert not world.frontier.holds(MINE)
+        world.sharer.land(EdgeLost("copy-1", MINE.incarnation))
+        assert not world.version_vector.holds(MINE)
 
     play(test)
 
@@ -85,13 +92,13 @@
         world.begin(OLD, FORMER)
         await world.turn(2 * TURN_US)
         assert world.sharer.asked == []  # a line of which nothing is left needs no claim
-        assert not world.frontier.holds(FORMER)
+        assert not world.version_vector.holds(FORMER)
         await world.turn()
-        assert world.sharer.asked == [Hold(FORMER, MINE.incarnation, FORMER.incarnation, 0)]
-        assert not world.frontier.holds(FORMER)
+        assert world.sharer.asked == [LogLease(FORMER, MINE.incarnation, FORMER.incarnation, 0)]
+        assert not world.version_vector.holds(FORMER)
         heard = world.heard
         await world.land()
-        assert world.frontier.holds(FORMER) and world.heard > heard and world.lines == []
+        assert world.version_vector.holds(FORMER) and world.heard > heard and world.lines == []
 
     play(test)
 
@@ -100,11 +107,11 @@
     """The life between claimed it and ended."""
 
     async def test(world: World) -> None:
-        world.sharer.land(Hold(OLD, FORMER.incarnation, OLD.incarnation, 0))
+        world.sharer.land(LogLease(OLD, FORMER.incarnation, OLD.incarnation, 0))
         world.begin(OLD, FORMER)
-        world.frontier.holds(OLD)
+        world.version_vector.holds(OLD)
         await world.turn()
-        assert world.sharer.asked == [Hold(OLD, MINE.incarnation, FORMER.incarnation, 1)]
+        assert world.sharer.asked == [LogLease(OLD, MINE.incarnation, FORMER.incarnation, 1)]
 
     play(test)
 
@@ -113,20 +120,20 @@
     None
 ):
     async def test(world: World) -> None:
-        world.sharer.land(Hold(OLD, 99, OLD.incarnation, 0))
+        world.sharer.land(LogLease(OLD, 99, OLD.incarnation, 0))
         world.begin(OLD)
-        world.frontier.holds(OLD)
+        world.version_vector.holds(OLD)
         await world.turn(3 * TURN_US)
-        assert world.sharer.asked == [] and not world.frontier.holds(OLD)
+        assert world.sharer.asked == [] and not world.version_vector.holds(OLD)
         assert len(world.lines) == 1 and "fenced" in world.lines[0]
         with pytest.raises(KeyError):
-            world.frontier.force(Line("copy-1", 50))
-        assert world.frontier.force(OLD)
+            world.version_vector.force(EdgeLog("copy-1", 50))
+        assert world.version_vector.force(OLD)
         await world.turn()
-        assert world.sharer.asked == [Hold(OLD, MINE.incarnation, 99, 1, True)]
+        assert world.sharer.asked == [LogLease(OLD, MINE.incarnation, 99, 1, True)]
         await world.land()
-        assert world.frontier.holds(OLD) and not world.frontier.force(OLD)
-        world.sharer.land(Hold(OLD, 98, MINE.incarnation, 2, True))
+        assert world.version_vector.holds(OLD) and not world.version_vector.force(OLD)
+        world.sharer.land(LogLease(OLD, 98, MINE.incarnation, 2, True))
         await world.turn(2 * TURN_US)
         assert world.sharer.asked == [] and len(world.lines) == 2  # its force counted once
 
@@ -136,29 +143,32 @@
 def test_a_line_of_this_very_life_that_a_copy_of_its_disk_claims_is_fenced_with_one_line() -> None:
     async def test(world: World) -> None:
         world.begin()
-        world.sharer.land(Hold(MINE, 99, MINE.incarnation, 0))
+        world.sharer.land(LogLease(MINE, 99, MINE.incarnation, 0))
         await world.turn(3 * TURN_US)
-        assert not world.frontier.holds(MINE) and len(world.lines) == 1 and "fenced" in world.lines[0]
-        assert world.frontier.force(MINE)
+        assert not world.version_vector.holds(MINE) and len(world.lines) == 1 and "fenced" in world.lines[0]
+        assert world.version_vector.force(MINE)
         await world.turn()
         await world.land()
-        assert world.frontier.holds(MINE)
+        assert world.version_vector.holds(MINE)
 
     play(test)
 
 
 def test_what_becomes_of_own_writes_is_told_until_the_record_says_so() -> None:
     async def test(world: World) -> None:
-        dots = [Dot(*MINE, number) for number in (1, 2, 3)]
-        world.frontier.tell(dots[0], Fate.PARKED)  # as it is restored
+        write_ids = [WriteId(*MINE, number) for number in (1, 2, 3)]
+        world.version_vector.tell(write_ids[0], WriteStatus.PARKED)  # as it is restored
         world.begin()
-        assert world.sharer.asked == [Said(dots[0], Fate.PARKED, 3)]
-        world.frontier.tell(dots[1], Fate.IN)
+        assert world.sharer.asked == [StatusRecord(write_ids[0], WriteStatus.PARKED, 3)]
+        world.version_vector.tell(write_ids[1], WriteStatus.IN)
         world.sharer.ready = False
         await world.turn(2 * TURN_US)
         assert len(world.sharer.asked) == 1
         world.sharer.ready = True
-        both = {Said(dots[0], Fate.PARKED, 3), Said(dots[1], Fate.IN, 3)}
+        both = {
+            StatusRecord(write_ids[0], WriteStatus.PARKED, 3),
+            StatusRecord(write_ids[1], WriteStatus.IN, 3),
+        }
         await world.turn(TURN_US)
         assert set(world.sharer.asked) == both
         for _ in range(2 * AGREE_US // SOON_US):  # it is not agreed, and told again
@@ -166,11 +176,14 @@
         assert set(world.sharer.asked) == both and world.sharer.calls > 3
         await world.land()
         await world.turn(TURN_US)
-        assert world.frontier.fate(Cause(*dots[1])) is Fate.IN and world.frontier.said == {}
-        world.frontier.tell(dots[0], Fate.UNKNOWN)
+        assert (
+            world.version_vector.write_status(Dependency(*write_ids[1])) is WriteStatus.IN
+            and world.version_vector.said == {}
+        )
+        world.version_vector.tell(write_ids[0], WriteStatus.UNKNOWN)
         await world.turn(TURN_US)
         await world.land()
-        assert world.frontier.fate(Cause(*dots[0])) is Fate.UNKNOWN
+        assert world.version_vector.write_status(Dependency(*write_ids[0])) is WriteStatus.UNKNOWN
 
     play(test)
 
@@ -178,16 +191,16 @@
 def test_all_up_to_a_number_waits_for_those_given_up() -> None:
     async def test(world: World) -> None:
         world.begin()
-        gone = Dot(*MINE, 1)
-        assert world.frontier.tell(gone, Fate.GONE) and world.frontier.low(MINE, 2)
+        gone = WriteId(*MINE, 1)
+        assert world.version_vector.tell(gone, WriteStatus.GONE) and world.version_vector.low(MINE, 2)
         await world.turn(TURN_US)
-        assert world.sharer.asked == [Said(gone, Fate.GONE, 3)]
+        assert world.sharer.asked == [StatusRecord(gone, WriteStatus.GONE, 3)]
         await world.land()
         await world.turn(TURN_US)
-        assert world.sharer.asked == [Said(Dot(*MINE, 2), Fate.IN, 3, True)]
+        assert world.sharer.asked == [StatusRecord(WriteId(*MINE, 2), WriteStatus.IN, 3, True)]
         await world.land()
-        assert world.frontier.fate(Cause(*gone)) is Fate.GONE
-        assert world.frontier.fate(Cause(*MINE, 2)) is Fate.IN
+        assert world.version_vector.write_status(Dependency(*gone)) is WriteStatus.GONE
+        assert world.version_vector.write_status(Dependency(*MINE, 2)) is WriteStatus.IN
 
     play(test)
 
@@ -196,24 +209,26 @@
     async def test(world: World) -> None:
         world.begin()
         for number in range(1, SAID_MOST + 1):
-            assert world.frontier.tell(Dot(*MINE, number), Fate.PARKED)
-        assert not world.frontier.tell(Dot(*MINE, SAID_MOST + 1), Fate.PARKED)
-        assert world.frontier.tell(Dot(*MINE, 1), Fate.IN)  # what is in it already may change
+            assert world.version_vector.tell(WriteId(*MINE, number), WriteStatus.PARKED)
+        assert not world.version_vector.tell(WriteId(*MINE, SAID_MOST + 1), WriteStatus.PARKED)
+        assert world.version_vector.tell(
+            WriteId(*MINE, 1), WriteStatus.IN
+        )  # what is in it already may change
         await world.turn(TURN_US)
         assert len(world.sharer.asked) == OUT_MOST
         await world.land()
-        assert len(world.frontier.said) == SAID_MOST - OUT_MOST
-        assert world.frontier.tell(Dot(*MINE, SAID_MOST + 1), Fate.PARKED)
+        assert len(world.version_vector.said) == SAID_MOST - OUT_MOST
+        assert world.version_vector.tell(WriteId(*MINE, SAID_MOST + 1), WriteStatus.PARKED)
 
     play(test)
 
 
 def test_of_a_fenced_line_nothing_is_told() -> None:
     async def test(world: World) -> None:
-        world.sharer.land(Lost("copy-1", OLD.incarnation))
+        world.sharer.land(EdgeLost("copy-1", OLD.incarnation))
         world.begin(OLD)
-        world.frontier.tell(Dot(*OLD, 1), Fate.IN)
+        world.version_vector.tell(WriteId(*OLD, 1), WriteStatus.IN)
         await world.turn(TURN_US)
-        assert world.sharer.asked == [] and world.frontier.said == {}
+        assert world.sharer.asked == [] and world.version_vector.said == {}
 
     play(test)
--- a/tests/test_shared_record.py
+++ b/tests/test_shared_record.py
@@ -22,76 +22,76 @@
 from laurelstep.accord.snapshots import SNAPSHOT_MOST
 from laurelstep.accord.stores.none import NoStore
 from laurelstep.accord.terms import ENTRY_MOST, WORD_MOST, Timing
-from laurelstep.outbox.causes import Cause, Fate
-from laurelstep.outbox.dots import EDGE_MOST, Dot, Line
-from laurelstep.outbox.shared import record as records
-from laurelstep.outbox.shared import spans
+from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.shared import ledger as records
+from laurelstep.outbox.shared import ranges
+from laurelstep.outbox.shared.agreement import AGAIN_MOST_US, AGAIN_US, FLIGHT_US, WAITS_MOST, AgreementDriver
 from laurelstep.outbox.shared.entries import (
     ID_END,
     KIND,
     NUMBER_END,
-    Begin,
-    Entry,
-    Hold,
-    In,
-    Lost,
-    Said,
-    Unbegin,
+    EdgeLost,
+    Intent,
+    IntentWithdrawal,
+    LedgerEntry,
+    LogLease,
+    StatusRecord,
+    WriteApplied,
     pack,
     unpack,
     unpack_word,
 )
-from laurelstep.outbox.shared.record import Record
-from laurelstep.outbox.shared.sharer import AGAIN_MOST_US, AGAIN_US, FLIGHT_US, WAITS_MOST, Sharer
-from laurelstep.outbox.shared.terms import Begun, Claim, Claimed, Told
+from laurelstep.outbox.shared.ledger import ReplicatedLedger
+from laurelstep.outbox.shared.messages import IntentStatus, LeaseRequest, LeaseStatus, StatusUpdate
+from laurelstep.outbox.write_ids import EDGE_MOST, EdgeLog, WriteId
 from tests.fakes import ManualClock
 from tests.test_node import Blank
 
-ASH = Line("ash", 7)
-OTHER = Line("ash", 8)
+ASH = EdgeLog("ash", 7)
+OTHER = EdgeLog("ash", 8)
 MS = 1_000
 
 
-def dot(number: int, line: Line = ASH) -> Dot:
-    return Dot(*line, number)
+def write_id(number: int, line: EdgeLog = ASH) -> WriteId:
+    return WriteId(*line, number)
 
 
-def apply(record: Record, *entries: Entry) -> Record:
+def apply(record: ReplicatedLedger, *entries: LedgerEntry) -> ReplicatedLedger:
     for entry in entries:
         record.apply(1, pack(entry)[1:])
     return record
 
 
-def after(*entries: Entry) -> Record:
-    return apply(Record(), *entries)
+def after(*entries: LedgerEntry) -> ReplicatedLedger:
+    return apply(ReplicatedLedger(), *entries)
 
 
-def fate(record: Record, number: int, line: Line = ASH) -> Fate:
-    return record.fate(Cause(*line, number))
+def write_status(record: ReplicatedLedger, number: int, line: EdgeLog = ASH) -> WriteStatus:
+    return record.write_status(Dependency(*line, number))
 
 
-def fate_up_to(record: Record, number: int, line: Line = ASH) -> Fate:
-    return record.fate(Cause(*line, number, True))
+def fate_up_to(record: ReplicatedLedger, number: int, line: EdgeLog = ASH) -> WriteStatus:
+    return record.write_status(Dependency(*line, number, True))
 
 
 # --- Entries ------------------------------------------------------------------------------
 
-LONG = Dot("e" * EDGE_MOST, ID_END - 1, NUMBER_END - 1)
+LONG = WriteId("e" * EDGE_MOST, ID_END - 1, NUMBER_END - 1)
 MOST = ID_END - 1
 
 
 @pytest.mark.parametrize(
     "entry",
     [
-        Begin(LONG, MOST, MOST),
-        Unbegin(LONG, MOST),
-        In(LONG),
-        Hold(LONG.line, MOST, MOST, NUMBER_END - 1, True),
-        Said(LONG, Fate.GONE, MOST, True, MOST, NUMBER_END - 1),
-        Lost(LONG.edge, MOST),
+        Intent(LONG, MOST, MOST),
+        IntentWithdrawal(LONG, MOST),
+        WriteApplied(LONG),
+        LogLease(LONG.line, MOST, MOST, NUMBER_END - 1, True),
+        StatusRecord(LONG, WriteStatus.GONE, MOST, True, MOST, NUMBER_END - 1),
+        EdgeLost(LONG.edge, MOST),
     ],
 )
-def test_the_longest_entries_fit_and_are_read_back(entry: Entry) -> None:
+def test_the_longest_entries_fit_and_are_read_back(entry: LedgerEntry) -> None:
     data = pack(entry)
     assert len(data) <= min(ENTRY_MOST, WORD_MOST) and data[:1] == KIND
     assert unpack(data[1:]) == entry == unpack_word(data)
@@ -100,31 +100,31 @@
 @pytest.mark.parametrize(
     "entry",
     [
-        In(Dot("Ash", 7, 1)),
-        In(Dot("e" * (EDGE_MOST + 1), 7, 1)),
-        In(dot(0)),
-        In(dot(NUMBER_END)),
-        In(Dot("ash", 0, 1)),
-        Begin(dot(1), 0, 1),
-        Begin(dot(1), 7, 0),
-        Unbegin(dot(1), ID_END),
-        Hold(ASH, 0, 7, 0),
-        Hold(ASH, 9, 7, -1),
-        Said(dot(1), Fate.IN, 0),
-        Said(dot(1), Fate.IN, 7, False, -1),
-        Said(dot(1), Fate.IN, 7, False, 0, -1),
-        Lost("ash", -1),
-        Lost(""),
+        WriteApplied(WriteId("Ash", 7, 1)),
+        WriteApplied(WriteId("e" * (EDGE_MOST + 1), 7, 1)),
+        WriteApplied(write_id(0)),
+        WriteApplied(write_id(NUMBER_END)),
+        WriteApplied(WriteId("ash", 0, 1)),
+        Intent(write_id(1), 0, 1),
+        Intent(write_id(1), 7, 0),
+        IntentWithdrawal(write_id(1), ID_END),
+        LogLease(ASH, 0, 7, 0),
+        LogLease(ASH, 9, 7, -1),
+        StatusRecord(write_id(1), WriteStatus.IN, 0),
+        StatusRecord(write_id(1), WriteStatus.IN, 7, False, -1),
+        StatusRecord(write_id(1), WriteStatus.IN, 7, False, 0, -1),
+        EdgeLost("ash", -1),
+        EdgeLost(""),
     ],
 )
-def test_what_can_not_be_is_no_entry(entry: Entry) -> None:
+def test_what_can_not_be_is_no_entry(entry: LedgerEntry) -> None:
     with pytest.raises(EntryError):
         pack(entry)
     try:
         data = msgspec.msgpack.encode(entry)
     except (OverflowError, msgspec.MsgspecError):
         return  # it has not even bytes
-    record = Record()
+    record = ReplicatedLedger()
     empty = record.dump()
     record.apply(1, data)
     assert unpack(data) is None and record.ignored == 1 and record.dump() == empty
@@ -144,23 +144,23 @@
     ],
 )
 def test_what_can_not_be_read_is_counted_and_changes_nothing(data: bytes) -> None:
-    record = after(In(dot(1)))
+    record = after(WriteApplied(write_id(1)))
     before = record.dump()
     record.apply(2, data)
     assert record.dump() == before and record.ignored == 1 and record.status()["ignored"] == 1
 
 
 def test_a_later_version_may_add_fields() -> None:
-    assert unpack(msgspec.msgpack.encode((3, ("ash", 7, 1), "new"))) == In(dot(1))
+    assert unpack(msgspec.msgpack.encode((3, ("ash", 7, 1), "new"))) == WriteApplied(write_id(1))
 
 
 def test_a_word_of_another_part_is_none_of_these() -> None:
-    assert unpack_word(b"u" + pack(In(dot(1)))[1:]) is None and unpack_word(b"") is None
+    assert unpack_word(b"u" + pack(WriteApplied(write_id(1)))[1:]) is None and unpack_word(b"") is None
 
 
 @given(st.binary(max_size=200))
 def test_no_bytes_raise(data: bytes) -> None:
-    record = Record()
+    record = ReplicatedLedger()
     record.apply(1, data)
     assert record.ignored + (unpack(data) is not None) == 1
 
@@ -170,19 +170,19 @@
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(1, 20), st.integers(0, 5)), max_size=20))
 def test_ranges_are_a_set_in_one_form(steps: list[tuple[bool, int, int]]) -> None:
-    found, naive = spans.NONE, set[int]()
+    found, naive = ranges.NONE, set[int]()
     for adds, first, more in steps:
         numbers = range(first, first + more + 1)
         gaps = [
             number
-            for start, end in spans.missing(found, first, first + more)
+            for start, end in ranges.missing(found, first, first + more)
             for number in range(start, end + 1)
         ]
         assert gaps == [number for number in numbers if number not in naive]
-        found = spans.add(found, first, first + more) if adds else spans.cut(found, first, first + more)
+        found = ranges.add(found, first, first + more) if adds else ranges.cut(found, first, first + more)
         naive = naive.union(numbers) if adds else naive.difference(numbers)
-        assert {number for number in range(30) if spans.has(found, number)} == naive
-        assert spans.well_formed(found, 30)
+        assert {number for number in range(30) if ranges.has(found, number)} == naive
+        assert ranges.well_formed(found, 30)
         assert len(found) == sum(number - 1 not in naive for number in naive)
 
 
@@ -190,132 +190,194 @@
 
 
 def test_in_comes_in_any_order_and_all_up_to_a_number_once_there_is_no_gap() -> None:
-    record = after(In(dot(1)), In(dot(3)))
-    assert [fate(record, n) for n in (1, 2, 3)] == [Fate.IN, Fate.UNKNOWN, Fate.IN]
-    assert [fate_up_to(record, n) for n in (1, 2, 3)] == [Fate.IN, Fate.UNKNOWN, Fate.UNKNOWN]
-    apply(record, Said(dot(2), Fate.PARKED, 7))
-    assert (fate(record, 2), fate_up_to(record, 3), fate_up_to(record, 1)) == (
-        Fate.PARKED,
-        Fate.PARKED,
-        Fate.IN,
+    record = after(WriteApplied(write_id(1)), WriteApplied(write_id(3)))
+    assert [write_status(record, n) for n in (1, 2, 3)] == [
+        WriteStatus.IN,
+        WriteStatus.UNKNOWN,
+        WriteStatus.IN,
+    ]
+    assert [fate_up_to(record, n) for n in (1, 2, 3)] == [
+        WriteStatus.IN,
+        WriteStatus.UNKNOWN,
+        WriteStatus.UNKNOWN,
+    ]
+    apply(record, StatusRecord(write_id(2), WriteStatus.PARKED, 7))
+    assert (write_status(record, 2), fate_up_to(record, 3), fate_up_to(record, 1)) == (
+        WriteStatus.PARKED,
+        WriteStatus.PARKED,
+        WriteStatus.IN,
     )
-    apply(record, Said(dot(2), Fate.GONE, 7))
-    assert (fate(record, 2), fate_up_to(record, 3)) == (Fate.GONE, Fate.IN)
+    apply(record, StatusRecord(write_id(2), WriteStatus.GONE, 7))
+    assert (write_status(record, 2), fate_up_to(record, 3)) == (WriteStatus.GONE, WriteStatus.IN)
 
 
 def test_parked_is_taken_back_by_its_holder_alone() -> None:
-    record = after(Said(dot(2), Fate.PARKED, 7), Said(dot(2), Fate.UNKNOWN, 9))
-    assert fate(record, 2) is Fate.PARKED
-    assert fate(apply(record, Said(dot(2), Fate.UNKNOWN, 7)), 2) is Fate.UNKNOWN
-    assert record.dump() == Record().dump()
+    record = after(
+        StatusRecord(write_id(2), WriteStatus.PARKED, 7), StatusRecord(write_id(2), WriteStatus.UNKNOWN, 9)
+    )
+    assert write_status(record, 2) is WriteStatus.PARKED
+    assert (
+        write_status(apply(record, StatusRecord(write_id(2), WriteStatus.UNKNOWN, 7)), 2)
+        is WriteStatus.UNKNOWN
+    )
+    assert record.dump() == ReplicatedLedger().dump()
 
 
 def test_what_is_over_stays_as_it_is() -> None:
-    record = after(In(dot(1)), Said(dot(2), Fate.GONE, 7))
+    record = after(WriteApplied(write_id(1)), StatusRecord(write_id(2), WriteStatus.GONE, 7))
     before = record.dump()
-    for told in (Fate.UNKNOWN, Fate.PARKED, Fate.IN, Fate.GONE):
-        apply(record, Said(dot(1), told, 7), Said(dot(2), told, 7), Said(dot(2), told, 7, True))
-    apply(record, In(dot(2)), Begin(dot(1), 7, 5), Begin(dot(2), 7, 5))
+    for told in (WriteStatus.UNKNOWN, WriteStatus.PARKED, WriteStatus.IN, WriteStatus.GONE):
+        apply(
+            record,
+            StatusRecord(write_id(1), told, 7),
+            StatusRecord(write_id(2), told, 7),
+            StatusRecord(write_id(2), told, 7, True),
+        )
+    apply(record, WriteApplied(write_id(2)), Intent(write_id(1), 7, 5), Intent(write_id(2), 7, 5))
     assert record.dump() == before
 
 
 def test_all_up_to_a_number_is_the_holders_word_and_leaves_gone_ones_gone() -> None:
-    record = after(Said(dot(3), Fate.GONE, 7), Said(dot(4), Fate.PARKED, 7), Begin(dot(5), 7, 1))
-    apply(record, Said(dot(6), Fate.IN, 9, True))
-    assert fate_up_to(record, 6) is Fate.PARKED
-    apply(record, Said(dot(6), Fate.IN, 7, True))
-    assert fate_up_to(record, 6) is Fate.IN and fate_up_to(record, 7) is Fate.UNKNOWN
-    assert [fate(record, n) for n in range(1, 8)] == [Fate.IN] * 2 + [Fate.GONE] + [Fate.IN] * 3 + [
-        Fate.UNKNOWN
-    ]
+    record = after(
+        StatusRecord(write_id(3), WriteStatus.GONE, 7),
+        StatusRecord(write_id(4), WriteStatus.PARKED, 7),
+        Intent(write_id(5), 7, 1),
+    )
+    apply(record, StatusRecord(write_id(6), WriteStatus.IN, 9, True))
+    assert fate_up_to(record, 6) is WriteStatus.PARKED
+    apply(record, StatusRecord(write_id(6), WriteStatus.IN, 7, True))
+    assert fate_up_to(record, 6) is WriteStatus.IN and fate_up_to(record, 7) is WriteStatus.UNKNOWN
+    assert [write_status(record, n) for n in range(1, 8)] == [WriteStatus.IN] * 2 + [WriteStatus.GONE] + [
+        WriteStatus.IN
+    ] * 3 + [WriteStatus.UNKNOWN]
     assert record.status()["begun"] == 0
 
 
 def test_all_up_to_a_number_may_be_gone_or_parked_but_what_is_in() -> None:
-    record = after(In(dot(2)), Said(dot(3), Fate.PARKED, 7, True))
-    assert [fate(record, n) for n in (1, 2, 3)] == [Fate.PARKED, Fate.IN, Fate.PARKED]
-    apply(record, Said(dot(3), Fate.GONE, 7, True))
-    assert [fate(record, n) for n in (1, 2, 3)] == [Fate.GONE, Fate.IN, Fate.GONE]
-    assert fate_up_to(record, 3) is Fate.IN
+    record = after(WriteApplied(write_id(2)), StatusRecord(write_id(3), WriteStatus.PARKED, 7, True))
+    assert [write_status(record, n) for n in (1, 2, 3)] == [
+        WriteStatus.PARKED,
+        WriteStatus.IN,
+        WriteStatus.PARKED,
+    ]
+    apply(record, StatusRecord(write_id(3), WriteStatus.GONE, 7, True))
+    assert [write_status(record, n) for n in (1, 2, 3)] == [
+        WriteStatus.GONE,
+        WriteStatus.IN,
+        WriteStatus.GONE,
+    ]
+    assert fate_up_to(record, 3) is WriteStatus.IN
 
 
 # --- Begun --------------------------------------------------------------------------------
 
 
 def test_one_ask_alone_gets_a_begin() -> None:
-    record = after(Begin(dot(1), 7, 5))
+    record = after(Intent(write_id(1), 7, 5))
     before = record.dump()
-    apply(record, Begin(dot(1), 7, 5), Begin(dot(1), 7, 6), Begin(dot(2), 9, 6))
+    apply(record, Intent(write_id(1), 7, 5), Intent(write_id(1), 7, 6), Intent(write_id(2), 9, 6))
     assert record.dump() == before
-    assert record.begun(dot(1), 7, 5) is Begun.MINE and record.begun(dot(1), 7, 6) is Begun.OTHERS
-    assert record.begun(dot(2), 7, 6) is Begun.OPEN and record.begun(dot(2), 9, 6) is Begun.FENCED
-    apply(record, In(dot(1)), Said(dot(2), Fate.GONE, 7))
-    assert record.begun(dot(1), 9, 6) is Begun.IN and record.begun(dot(2), 7, 6) is Begun.FENCED
+    assert (
+        record.begun(write_id(1), 7, 5) is IntentStatus.MINE
+        and record.begun(write_id(1), 7, 6) is IntentStatus.OTHERS
+    )
+    assert (
+        record.begun(write_id(2), 7, 6) is IntentStatus.OPEN
+        and record.begun(write_id(2), 9, 6) is IntentStatus.FENCED
+    )
+    apply(record, WriteApplied(write_id(1)), StatusRecord(write_id(2), WriteStatus.GONE, 7))
+    assert (
+        record.begun(write_id(1), 9, 6) is IntentStatus.IN
+        and record.begun(write_id(2), 7, 6) is IntentStatus.FENCED
+    )
     assert record.status()["begun"] == 0
 
 
 def test_a_begin_is_taken_back_by_its_ask_alone() -> None:
-    record = after(Begin(dot(1), 7, 5), Unbegin(dot(1), 6))
-    assert record.begun(dot(1), 7, 5) is Begun.MINE and record.undone(6) and not record.undone(5)
-    apply(record, Unbegin(dot(1), 5), Unbegin(dot(1), 5))
-    assert record.begun(dot(1), 7, 9) is Begun.OPEN and record.undone(5)
+    record = after(Intent(write_id(1), 7, 5), IntentWithdrawal(write_id(1), 6))
+    assert record.begun(write_id(1), 7, 5) is IntentStatus.MINE and record.undone(6) and not record.undone(5)
+    apply(record, IntentWithdrawal(write_id(1), 5), IntentWithdrawal(write_id(1), 5))
+    assert record.begun(write_id(1), 7, 9) is IntentStatus.OPEN and record.undone(5)
 
 
 def test_a_begin_that_comes_after_it_was_taken_back_is_not_granted() -> None:
-    record = after(Unbegin(dot(1), 5), Begin(dot(1), 7, 5))
-    assert record.begun(dot(1), 7, 5) is Begun.OPEN
-    apply(record, Begin(dot(1), 7, 6), Unbegin(dot(1), 6), Begin(dot(1), 7, 6), Begin(dot(1), 7, 8))
-    assert record.begun(dot(1), 7, 8) is Begun.MINE
+    record = after(IntentWithdrawal(write_id(1), 5), Intent(write_id(1), 7, 5))
+    assert record.begun(write_id(1), 7, 5) is IntentStatus.OPEN
+    apply(
+        record,
+        Intent(write_id(1), 7, 6),
+        IntentWithdrawal(write_id(1), 6),
+        Intent(write_id(1), 7, 6),
+        Intent(write_id(1), 7, 8),
+    )
+    assert record.begun(write_id(1), 7, 8) is IntentStatus.MINE
 
 
 def test_that_it_never_ran_is_the_holders_word_of_the_ask_that_it_saw() -> None:
-    record = after(Begin(dot(1), 7, 5), Said(dot(1), Fate.PARKED, 7))
-    told = Told(dot(1), Fate.UNKNOWN, 7, False, True)
+    record = after(Intent(write_id(1), 7, 5), StatusRecord(write_id(1), WriteStatus.PARKED, 7))
+    told = StatusUpdate(write_id(1), WriteStatus.UNKNOWN, 7, False, True)
     entry = record.said_entry(told)
-    assert entry == Said(dot(1), Fate.UNKNOWN, 7, False, 5) and not record.says(told)
+    assert entry == StatusRecord(write_id(1), WriteStatus.UNKNOWN, 7, False, 5) and not record.says(told)
     apply(record, msgspec.structs.replace(entry, life=9))
-    assert record.begun(dot(1), 7, 5) is Begun.MINE
+    assert record.begun(write_id(1), 7, 5) is IntentStatus.MINE
     apply(record, entry)
     assert record.says(told) and record.said_entry(told) is None
     # It comes once more: another ask has begun since.
-    apply(record, Begin(dot(1), 7, 6), entry, Begin(dot(1), 7, 5))
-    assert record.begun(dot(1), 7, 6) is Begun.MINE
+    apply(record, Intent(write_id(1), 7, 6), entry, Intent(write_id(1), 7, 5))
+    assert record.begun(write_id(1), 7, 6) is IntentStatus.MINE
 
 
 def test_each_parking_is_judged_once() -> None:
-    record = after(Begin(dot(1), 7, 5), Said(dot(1), Fate.PARKED, 7))
-    first, second = (Told(dot(1), Fate.UNKNOWN, 7, False, True, parking) for parking in (1, 2))
+    record = after(Intent(write_id(1), 7, 5), StatusRecord(write_id(1), WriteStatus.PARKED, 7))
+    first, second = (
+        StatusUpdate(write_id(1), WriteStatus.UNKNOWN, 7, False, True, parking) for parking in (1, 2)
+    )
     entry = record.said_entry(first)
-    assert entry == Said(dot(1), Fate.UNKNOWN, 7, False, 5, 1)
-    apply(record, entry, Begin(dot(1), 7, 6), Said(dot(1), Fate.PARKED, 7))
+    assert entry == StatusRecord(write_id(1), WriteStatus.UNKNOWN, 7, False, 5, 1)
+    apply(record, entry, Intent(write_id(1), 7, 6), StatusRecord(write_id(1), WriteStatus.PARKED, 7))
     # The first word comes late, at a gate that makes an entry of it by what it knows now, or did before.
     assert record.says(first) and record.said_entry(first) is None and not record.says(second)
-    apply(record, entry, Said(dot(1), Fate.UNKNOWN, 7, False, 6, 1))
-    assert record.begun(dot(1), 7, 6) is Begun.MINE and fate(record, 1) is Fate.PARKED
+    apply(record, entry, StatusRecord(write_id(1), WriteStatus.UNKNOWN, 7, False, 6, 1))
+    assert (
+        record.begun(write_id(1), 7, 6) is IntentStatus.MINE and write_status(record, 1) is WriteStatus.PARKED
+    )
     again = record.said_entry(second)
     assert again is not None
     apply(record, again)
     assert (
-        record.begun(dot(1), 7, 9) is Begun.OPEN and fate(record, 1) is Fate.UNKNOWN and record.says(second)
+        record.begun(write_id(1), 7, 9) is IntentStatus.OPEN
+        and write_status(record, 1) is WriteStatus.UNKNOWN
+        and record.says(second)
     )
     # Judged before anything of it began here: that counts too.
-    apply(record, Said(dot(2), Fate.UNKNOWN, 7, False, 0, 1), Begin(dot(2), 7, 8), Unbegin(dot(2), 8))
-    assert record.says(Told(dot(2), Fate.UNKNOWN, 7, False, True, 1)) and record.status()["begun"] == 2
-    apply(record, In(dot(1)), In(dot(2)))
+    apply(
+        record,
+        StatusRecord(write_id(2), WriteStatus.UNKNOWN, 7, False, 0, 1),
+        Intent(write_id(2), 7, 8),
+        IntentWithdrawal(write_id(2), 8),
+    )
+    assert (
+        record.says(StatusUpdate(write_id(2), WriteStatus.UNKNOWN, 7, False, True, 1))
+        and record.status()["begun"] == 2
+    )
+    apply(record, WriteApplied(write_id(1)), WriteApplied(write_id(2)))
     assert record.status()["begun"] == 0
 
 
 def test_a_begin_means_that_it_is_parked_no_more() -> None:
-    record = after(Said(dot(1), Fate.PARKED, 7), Begin(dot(1), 7, 5))
-    assert fate(record, 1) is Fate.UNKNOWN
-    apply(record, Said(dot(1), Fate.PARKED, 7))
-    assert fate(record, 1) is Fate.PARKED and record.begun(dot(1), 7, 6) is Begun.OTHERS
+    record = after(StatusRecord(write_id(1), WriteStatus.PARKED, 7), Intent(write_id(1), 7, 5))
+    assert write_status(record, 1) is WriteStatus.UNKNOWN
+    apply(record, StatusRecord(write_id(1), WriteStatus.PARKED, 7))
+    assert (
+        write_status(record, 1) is WriteStatus.PARKED
+        and record.begun(write_id(1), 7, 6) is IntentStatus.OTHERS
+    )
 
 
 # --- Claims -------------------------------------------------------------------------------
 
 
-def claim(record: Record, *claims: Claim) -> list[Claimed]:
+def claim(record: ReplicatedLedger, *claims: LeaseRequest) -> list[LeaseStatus]:
     """Each is agreed, and asked for again."""
     for one in claims:
         entry = record.claim_entry(one)
@@ -325,102 +387,132 @@
 
 
 def test_a_line_is_its_own_lifes_until_one_claims_it_that_knows_the_holder() -> None:
-    record = Record()
-    assert record.holder(ASH) == 7 and record.claimed(Claim(ASH, 7, ())) is Claimed.HELD
-    assert record.claimed(Claim(ASH, 9, (7,))) is Claimed.OPEN
+    record = ReplicatedLedger()
+    assert record.holder(ASH) == 7 and record.claimed(LeaseRequest(ASH, 7, ())) is LeaseStatus.HELD
+    assert record.claimed(LeaseRequest(ASH, 9, (7,))) is LeaseStatus.OPEN
     assert (
-        record.claimed(Claim(ASH, 9, (6,))) is Claimed.FENCED
-        and record.claim_entry(Claim(ASH, 9, (6,))) is None
+        record.claimed(LeaseRequest(ASH, 9, (6,))) is LeaseStatus.FENCED
+        and record.claim_entry(LeaseRequest(ASH, 9, (6,))) is None
     )
-    assert claim(record, Claim(ASH, 9, (6, 7))) == [Claimed.HELD]
-    assert record.holder(ASH) == 9 and record.claimed(Claim(ASH, 7, ())) is Claimed.FENCED
-    apply(record, Begin(dot(1), 7, 5), Said(dot(1), Fate.PARKED, 7))
-    assert fate(record, 1) is Fate.UNKNOWN and record.begun(dot(1), 7, 5) is Begun.FENCED
-    assert record.begun(dot(1), 9, 5) is Begun.OPEN
+    assert claim(record, LeaseRequest(ASH, 9, (6, 7))) == [LeaseStatus.HELD]
+    assert record.holder(ASH) == 9 and record.claimed(LeaseRequest(ASH, 7, ())) is LeaseStatus.FENCED
+    apply(record, Intent(write_id(1), 7, 5), StatusRecord(write_id(1), WriteStatus.PARKED, 7))
+    assert (
+        write_status(record, 1) is WriteStatus.UNKNOWN
+        and record.begun(write_id(1), 7, 5) is IntentStatus.FENCED
+    )
+    assert record.begun(write_id(1), 9, 5) is IntentStatus.OPEN
 
 
 def test_of_two_copies_of_a_disk_one_holds_the_line_until_an_operator_says_otherwise() -> None:
-    record = Record()
-    one, two = Claim(ASH, 11, (7,)), Claim(ASH, 12, (7,))
-    assert claim(record, one, two) == [Claimed.HELD, Claimed.FENCED]
+    record = ReplicatedLedger()
+    one, two = LeaseRequest(ASH, 11, (7,)), LeaseRequest(ASH, 12, (7,))
+    assert claim(record, one, two) == [LeaseStatus.HELD, LeaseStatus.FENCED]
     # The next life on each disk: it knows the lives of its own disk alone.
-    assert claim(record, Claim(ASH, 22, (7, 12))) == [Claimed.FENCED]
-    assert claim(record, Claim(ASH, 21, (7, 11))) == [Claimed.HELD]
-    forced = Claim(ASH, 23, (7, 12, 22), True)
-    assert claim(record, forced) == [Claimed.HELD]
-    assert record.claimed(Claim(ASH, 21, (7, 11))) is Claimed.FENCED
-    assert claim(record, Claim(ASH, 24, (7, 11, 21))) == [Claimed.FENCED]
+    assert claim(record, LeaseRequest(ASH, 22, (7, 12))) == [LeaseStatus.FENCED]
+    assert claim(record, LeaseRequest(ASH, 21, (7, 11))) == [LeaseStatus.HELD]
+    forced = LeaseRequest(ASH, 23, (7, 12, 22), True)
+    assert claim(record, forced) == [LeaseStatus.HELD]
+    assert record.claimed(LeaseRequest(ASH, 21, (7, 11))) is LeaseStatus.FENCED
+    assert claim(record, LeaseRequest(ASH, 24, (7, 11, 21))) == [LeaseStatus.FENCED]
 
 
 def test_a_claim_that_comes_late_or_twice_takes_nothing() -> None:
-    record = Record()
-    late, double = Hold(ASH, 11, 7, 0), Hold(ASH, 12, 7, 0)
-    forced = Hold(ASH, 7, 12, 1, True)
+    record = ReplicatedLedger()
+    late, double = LogLease(ASH, 11, 7, 0), LogLease(ASH, 12, 7, 0)
+    forced = LogLease(ASH, 7, 12, 1, True)
     apply(record, double, forced)
     assert record.holder(ASH) == 7
     apply(record, late, double)  # the holder that they name, but it changed since
     assert record.holder(ASH) == 7
-    apply(record, Hold(ASH, 13, 7, 2), forced)
+    apply(record, LogLease(ASH, 13, 7, 2), forced)
     assert record.holder(ASH) == 13
 
 
 def test_what_was_begun_stays_so_for_the_next_holder() -> None:
-    record = after(Begin(dot(1), 7, 5))
-    assert claim(record, Claim(ASH, 9, (7,))) == [Claimed.HELD]
-    assert record.begun(dot(1), 9, 6) is Begun.OTHERS and record.begun(dot(1), 7, 5) is Begun.FENCED
-    assert fate(apply(record, In(dot(1))), 1) is Fate.IN
+    record = after(Intent(write_id(1), 7, 5))
+    assert claim(record, LeaseRequest(ASH, 9, (7,))) == [LeaseStatus.HELD]
+    assert (
+        record.begun(write_id(1), 9, 6) is IntentStatus.OTHERS
+        and record.begun(write_id(1), 7, 5) is IntentStatus.FENCED
+    )
+    assert write_status(apply(record, WriteApplied(write_id(1))), 1) is WriteStatus.IN
 
 
 # --- Lost ---------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("lost", [Lost("ash"), Lost("ash", 7)])
-def test_what_is_in_of_a_lost_line_stays_in_and_all_else_is_gone(lost: Lost) -> None:
-    record = after(In(dot(1)), In(dot(3)), Begin(dot(4), 7, 5), Said(dot(5), Fate.PARKED, 7), lost)
-    assert [fate(record, n) for n in range(1, 7)] == [Fate.IN, Fate.GONE, Fate.IN] + [Fate.GONE] * 3
-    assert (fate_up_to(record, 1), fate_up_to(record, 3)) == (Fate.IN, Fate.GONE)
-    assert record.holder(ASH) == 0 and record.begun(dot(4), 7, 5) is Begun.FENCED
+@pytest.mark.parametrize("lost", [EdgeLost("ash"), EdgeLost("ash", 7)])
+def test_what_is_in_of_a_lost_line_stays_in_and_all_else_is_gone(lost: EdgeLost) -> None:
+    record = after(
+        WriteApplied(write_id(1)),
+        WriteApplied(write_id(3)),
+        Intent(write_id(4), 7, 5),
+        StatusRecord(write_id(5), WriteStatus.PARKED, 7),
+        lost,
+    )
+    assert [write_status(record, n) for n in range(1, 7)] == [
+        WriteStatus.IN,
+        WriteStatus.GONE,
+        WriteStatus.IN,
+    ] + [WriteStatus.GONE] * 3
+    assert (fate_up_to(record, 1), fate_up_to(record, 3)) == (WriteStatus.IN, WriteStatus.GONE)
+    assert record.holder(ASH) == 0 and record.begun(write_id(4), 7, 5) is IntentStatus.FENCED
     before = record.dump()
     apply(
-        record, In(dot(4)), Begin(dot(6), 7, 1), Said(dot(6), Fate.IN, 7), Said(dot(6), Fate.IN, 7, True),
-        Hold(ASH, 9, 7, 0, True), Hold(ASH, 9, 0, 0), lost,
-    )  # fmt: skip
+        record,
+        WriteApplied(write_id(4)),
+        Intent(write_id(6), 7, 1),
+        StatusRecord(write_id(6), WriteStatus.IN, 7),
+        StatusRecord(write_id(6), WriteStatus.IN, 7, True),
+        LogLease(ASH, 9, 7, 0, True),
+        LogLease(ASH, 9, 0, 0),
+        lost,
+    )
     assert record.dump() == before and record.status()["begun"] == 0
-    assert record.claimed(Claim(ASH, 9, (7,), True)) is Claimed.FENCED
-    assert record.claimed(Claim(ASH, 0, ())) is Claimed.FENCED
+    assert record.claimed(LeaseRequest(ASH, 9, (7,), True)) is LeaseStatus.FENCED
+    assert record.claimed(LeaseRequest(ASH, 0, ())) is LeaseStatus.FENCED
 
 
 def test_a_lost_edge_is_so_with_lines_to_come_and_a_lost_line_alone() -> None:
-    record = after(Lost("ash", 7))
-    assert (fate(record, 1, OTHER), fate(record, 1)) == (Fate.UNKNOWN, Fate.GONE)
-    apply(record, Lost("ash"))
-    assert fate(record, 1, OTHER) is Fate.GONE and record.holder(OTHER) == 0
-    apply(record, In(dot(1, OTHER)), In(dot(1, Line("birch", 7))))
-    assert fate(record, 1, OTHER) is Fate.GONE and fate(record, 1, Line("birch", 7)) is Fate.IN
-    again = Record()
+    record = after(EdgeLost("ash", 7))
+    assert (write_status(record, 1, OTHER), write_status(record, 1)) == (
+        WriteStatus.UNKNOWN,
+        WriteStatus.GONE,
+    )
+    apply(record, EdgeLost("ash"))
+    assert write_status(record, 1, OTHER) is WriteStatus.GONE and record.holder(OTHER) == 0
+    apply(record, WriteApplied(write_id(1, OTHER)), WriteApplied(write_id(1, EdgeLog("birch", 7))))
+    assert (
+        write_status(record, 1, OTHER) is WriteStatus.GONE
+        and write_status(record, 1, EdgeLog("birch", 7)) is WriteStatus.IN
+    )
+    again = ReplicatedLedger()
     again.load(record.dump())
-    assert fate(again, 1, Line("ash", 99)) is Fate.GONE
+    assert write_status(again, 1, EdgeLog("ash", 99)) is WriteStatus.GONE
 
 
 # --- What is told -------------------------------------------------------------------------
 
 
 def test_it_says_what_was_told_and_what_is_over_whatever_is_told() -> None:
-    record = after(In(dot(1)), Said(dot(2), Fate.GONE, 7))
-    for told in Fate:
-        assert record.says(Told(dot(1), told, 7)) and record.says(Told(dot(2), told, 7))
-        assert record.said_entry(Told(dot(2), told, 7, True)) is None
-    for told in (Fate.IN, Fate.PARKED, Fate.GONE):
-        one = Told(dot(3), told, 7)
+    record = after(WriteApplied(write_id(1)), StatusRecord(write_id(2), WriteStatus.GONE, 7))
+    for told in WriteStatus:
+        assert record.says(StatusUpdate(write_id(1), told, 7)) and record.says(
+            StatusUpdate(write_id(2), told, 7)
+        )
+        assert record.said_entry(StatusUpdate(write_id(2), told, 7, True)) is None
+    for told in (WriteStatus.IN, WriteStatus.PARKED, WriteStatus.GONE):
+        one = StatusUpdate(write_id(3), told, 7)
         entry = record.said_entry(one)
-        assert not record.says(one) and entry == Said(dot(3), told, 7)
-        assert apply(Record(), *[] if entry is None else [entry]).says(one)
+        assert not record.says(one) and entry == StatusRecord(write_id(3), told, 7)
+        assert apply(ReplicatedLedger(), *[] if entry is None else [entry]).says(one)
 
 
 # --- Bounds -------------------------------------------------------------------------------
 
 
-def refused(record: Record, name: str, *entries: Entry) -> None:
+def refused(record: ReplicatedLedger, name: str, *entries: LedgerEntry) -> None:
     """Each changes nothing, and is counted."""
     before, count = record.dump(), record.refused[name]
     apply(record, *entries)
@@ -428,72 +520,87 @@
 
 
 def test_ranges_of_a_line_have_a_bound_and_what_fills_a_gap_goes_in() -> None:
-    record = after(*(In(dot(2 * n)) for n in range(1, records.RANGES_MOST + 1)))
+    record = after(*(WriteApplied(write_id(2 * n)) for n in range(1, records.RANGES_MOST + 1)))
     high = 2 * records.RANGES_MOST + 2
-    refused(record, "ranges", In(dot(high)), Said(dot(high), Fate.GONE, 7))
-    assert fate(record, high) is Fate.UNKNOWN and fate(record, high - 2) is Fate.IN
-    apply(record, In(dot(3)), In(dot(high)))
-    assert fate(record, high) is Fate.IN and fate(record, 2) is Fate.IN
+    refused(record, "ranges", WriteApplied(write_id(high)), StatusRecord(write_id(high), WriteStatus.GONE, 7))
+    assert (
+        write_status(record, high) is WriteStatus.UNKNOWN and write_status(record, high - 2) is WriteStatus.IN
+    )
+    apply(record, WriteApplied(write_id(3)), WriteApplied(write_id(high)))
+    assert write_status(record, high) is WriteStatus.IN and write_status(record, 2) is WriteStatus.IN
 
 
 def test_parked_ranges_of_a_line_have_a_bound() -> None:
-    record = after(*(Said(dot(2 * n), Fate.PARKED, 7) for n in range(1, records.PARKED_MOST + 1)))
+    record = after(
+        *(StatusRecord(write_id(2 * n), WriteStatus.PARKED, 7) for n in range(1, records.PARKED_MOST + 1))
+    )
     high = 2 * records.PARKED_MOST + 2
-    refused(record, "parked", Said(dot(high), Fate.PARKED, 7))
-    apply(record, Said(dot(2), Fate.UNKNOWN, 7), Said(dot(high), Fate.PARKED, 7))
-    assert fate(record, high) is Fate.PARKED
+    refused(record, "parked", StatusRecord(write_id(high), WriteStatus.PARKED, 7))
+    apply(
+        record,
+        StatusRecord(write_id(2), WriteStatus.UNKNOWN, 7),
+        StatusRecord(write_id(high), WriteStatus.PARKED, 7),
+    )
+    assert write_status(record, high) is WriteStatus.PARKED
 
 
 def test_lines_have_a_bound() -> None:
-    record = after(*(In(Dot("ash", n, 1)) for n in range(1, records.LINES_MOST + 1)))
-    line = Line("birch", 1)
+    record = after(*(WriteApplied(WriteId("ash", n, 1)) for n in range(1, records.LINES_MOST + 1)))
+    line = EdgeLog("birch", 1)
     refused(
-        record, "lines", In(dot(1, line)), Begin(dot(1, line), 1, 5), Hold(line, 9, 1, 0), Lost("birch", 1),
-        Said(dot(1, line), Fate.PARKED, 1),
-    )  # fmt: skip
-    assert record.claimed(Claim(line, 9, (1,))) is Claimed.OPEN
-    apply(record, In(dot(2)), Lost("ash"))
-    assert fate(record, 2) is Fate.IN
+        record,
+        "lines",
+        WriteApplied(write_id(1, line)),
+        Intent(write_id(1, line), 1, 5),
+        LogLease(line, 9, 1, 0),
+        EdgeLost("birch", 1),
+        StatusRecord(write_id(1, line), WriteStatus.PARKED, 1),
+    )
+    assert record.claimed(LeaseRequest(line, 9, (1,))) is LeaseStatus.OPEN
+    apply(record, WriteApplied(write_id(2)), EdgeLost("ash"))
+    assert write_status(record, 2) is WriteStatus.IN
 
 
 def test_begun_ones_have_a_bound_over_all_lines() -> None:
-    entries = [Begin(dot(n, Line("ash", 1 + n % 2)), 1 + n % 2, n) for n in range(1, records.BEGUN_MOST + 1)]
+    entries = [
+        Intent(write_id(n, EdgeLog("ash", 1 + n % 2)), 1 + n % 2, n) for n in range(1, records.BEGUN_MOST + 1)
+    ]
     record = after(*entries)
-    refused(record, "begun", Begin(dot(1, Line("birch", 1)), 1, 5))
-    apply(record, In(entries[0].dot), Begin(dot(1, Line("birch", 1)), 1, 5))
-    assert record.begun(dot(1, Line("birch", 1)), 1, 5) is Begun.MINE
+    refused(record, "begun", Intent(write_id(1, EdgeLog("birch", 1)), 1, 5))
+    apply(record, WriteApplied(entries[0].write_id), Intent(write_id(1, EdgeLog("birch", 1)), 1, 5))
+    assert record.begun(write_id(1, EdgeLog("birch", 1)), 1, 5) is IntentStatus.MINE
 
 
 def test_lost_edges_have_a_bound() -> None:
-    record = after(*(Lost(f"ash{n}") for n in range(records.LOST_MOST)))
-    refused(record, "lost", Lost("birch"))
-    assert record.holder(Line("birch", 3)) == 3
+    record = after(*(EdgeLost(f"ash{n}") for n in range(records.LOST_MOST)))
+    refused(record, "lost", EdgeLost("birch"))
+    assert record.holder(EdgeLog("birch", 3)) == 3
 
 
 def test_of_asks_that_were_taken_back_the_last_ones_are_kept() -> None:
-    record = after(*(Unbegin(dot(1), n) for n in range(1, records.UNDONE_MOST + 2)))
+    record = after(*(IntentWithdrawal(write_id(1), n) for n in range(1, records.UNDONE_MOST + 2)))
     assert not record.undone(1) and record.undone(2) and record.undone(records.UNDONE_MOST + 1)
 
 
 def test_the_fullest_record_fits_in_a_snapshot_and_refuses_more_ranges(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    record, lines = Record(), [Line(f"{n:032d}", MOST - n) for n in range(records.LINES_MOST)]
+    record, lines = ReplicatedLedger(), [EdgeLog(f"{n:032d}", MOST - n) for n in range(records.LINES_MOST)]
     high = NUMBER_END - 1_000_000
     each = records.SPANS_MOST // records.LINES_MOST
     for line in lines:
         for n in range(each):
-            apply(record, In(dot(high + 2 * n, line)))
-        apply(record, Hold(line, MOST, line.incarnation, 0))
+            apply(record, WriteApplied(write_id(high + 2 * n, line)))
+        apply(record, LogLease(line, MOST, line.incarnation, 0))
     for n in range(records.BEGUN_MOST):
-        apply(record, Begin(dot(NUMBER_END - 1, lines[n]), MOST, MOST))
+        apply(record, Intent(write_id(NUMBER_END - 1, lines[n]), MOST, MOST))
     for n in range(records.LOST_MOST):
-        apply(record, Lost(f"x{n:031d}"))
+        apply(record, EdgeLost(f"x{n:031d}"))
     for n in range(records.UNDONE_MOST):
-        apply(record, Unbegin(LONG, MOST - n))
+        apply(record, IntentWithdrawal(LONG, MOST - n))
     assert len(record.dump()) < SNAPSHOT_MOST
-    refused(record, "spans", In(dot(high + 2 * each, lines[0])))
-    other = Record()
+    refused(record, "spans", WriteApplied(write_id(high + 2 * each, lines[0])))
+    other = ReplicatedLedger()
     other.load(record.dump())
     assert other.dump() == record.dump() and other.status()["spans"] == records.SPANS_MOST
 
@@ -502,9 +609,9 @@
 
 
 def test_nothing_is_a_new_record() -> None:
-    record = after(In(dot(1)), Lost("birch"), Unbegin(dot(2), 5))
+    record = after(WriteApplied(write_id(1)), EdgeLost("birch"), IntentWithdrawal(write_id(2), 5))
     record.load(b"")
-    assert record.dump() == Record().dump()
+    assert record.dump() == ReplicatedLedger().dump()
 
 
 def row(*fields: Any) -> bytes:
@@ -530,7 +637,7 @@
     ],
 )
 def test_a_snapshot_that_can_not_be_read_changes_nothing(raw: bytes) -> None:
-    record = after(In(dot(1)))
+    record = after(WriteApplied(write_id(1)))
     before = record.dump()
     with pytest.raises(KeptError):
         record.load(raw)
@@ -539,19 +646,25 @@
 
 # --- Any sequence -------------------------------------------------------------------------
 
-LINES = [Line("ash", 1), Line("ash", 2), Line("birch", 1)]
+LINES = [EdgeLog("ash", 1), EdgeLog("ash", 2), EdgeLog("birch", 1)]
 lives, asks, numbers = st.integers(1, 3), st.integers(1, 4), st.integers(1, 6)
-dots = st.builds(dot, numbers, st.sampled_from(LINES))
+write_ids = st.builds(write_id, numbers, st.sampled_from(LINES))
 sequences = st.lists(
     st.one_of(
-        st.builds(Begin, dots, lives, asks),
-        st.builds(Unbegin, dots, asks),
-        st.builds(In, dots),
-        st.builds(Hold, st.sampled_from(LINES), lives, lives, st.integers(0, 2), st.booleans()),
+        st.builds(Intent, write_ids, lives, asks),
+        st.builds(IntentWithdrawal, write_ids, asks),
+        st.builds(WriteApplied, write_ids),
+        st.builds(LogLease, st.sampled_from(LINES), lives, lives, st.integers(0, 2), st.booleans()),
         st.builds(
-            Said, dots, st.sampled_from(Fate), lives, st.booleans(), st.integers(0, 4), st.integers(0, 2)
+            StatusRecord,
+            write_ids,
+            st.sampled_from(WriteStatus),
+            lives,
+            st.booleans(),
+            st.integers(0, 4),
+            st.integers(0, 2),
         ),
-        st.builds(Lost, st.sampled_from(["ash", "birch"]), st.integers(0, 2)),
+        st.builds(EdgeLost, st.sampled_from(["ash", "birch"]), st.integers(0, 2)),
     ),
     max_size=24,
 )
@@ -561,88 +674,95 @@
     """The rules, number by number."""
 
     def __init__(self) -> None:
-        self.fates: dict[Dot, Fate] = {}
-        self.begun: dict[Dot, int] = {}
-        self.holders: dict[Line, int] = {}
-        self.turns: dict[Line, int] = {}
-        self.lost: set[str | Line] = set()
+        self.write_statuses: dict[WriteId, WriteStatus] = {}
+        self.begun: dict[WriteId, int] = {}
+        self.holders: dict[EdgeLog, int] = {}
+        self.turns: dict[EdgeLog, int] = {}
+        self.lost: set[str | EdgeLog] = set()
         self.undone: set[int] = set()
-        self.judged: dict[Dot, int] = {}
+        self.resolved: dict[WriteId, int] = {}
 
-    def is_lost(self, line: Line) -> bool:
+    def is_lost(self, line: EdgeLog) -> bool:
         return line in self.lost or line.edge in self.lost
 
-    def holder(self, line: Line) -> int:
+    def holder(self, line: EdgeLog) -> int:
         return 0 if self.is_lost(line) else self.holders.get(line, line.incarnation)
 
-    def fate(self, one: Dot) -> Fate:
-        found = self.fates.get(one, Fate.UNKNOWN)
-        return Fate.GONE if self.is_lost(one.line) and found is not Fate.IN else found
+    def write_status(self, one: WriteId) -> WriteStatus:
+        found = self.write_statuses.get(one, WriteStatus.UNKNOWN)
+        return WriteStatus.GONE if self.is_lost(one.line) and found is not WriteStatus.IN else found
 
-    def become(self, one: Dot, new: Fate) -> None:
-        if self.fate(one) not in (Fate.IN, Fate.GONE):
-            self.fates[one] = new
-            if new in (Fate.IN, Fate.GONE):
+    def become(self, one: WriteId, new: WriteStatus) -> None:
+        if self.write_status(one) not in (WriteStatus.IN, WriteStatus.GONE):
+            self.write_statuses[one] = new
+            if new in (WriteStatus.IN, WriteStatus.GONE):
                 self.begun.pop(one, None)
-                self.judged.pop(one, None)
+                self.resolved.pop(one, None)
 
-    def apply(self, entry: Entry) -> None:
+    def apply(self, entry: LedgerEntry) -> None:
         match entry:
-            case Begin(dot=one):
-                free = self.fate(one) in (Fate.UNKNOWN, Fate.PARKED) and one not in self.begun
+            case Intent(write_id=one):
+                free = (
+                    self.write_status(one) in (WriteStatus.UNKNOWN, WriteStatus.PARKED)
+                    and one not in self.begun
+                )
                 if free and self.holder(one.line) == entry.life and entry.ask not in self.undone:
                     self.begun[one] = entry.ask
-                    self.fates[one] = Fate.UNKNOWN
-            case Unbegin(dot=one):
+                    self.write_statuses[one] = WriteStatus.UNKNOWN
+            case IntentWithdrawal(write_id=one):
                 if self.begun.get(one) == entry.ask:
                     del self.begun[one]
                 self.undone.add(entry.ask)
-            case In(dot=one):
-                self.become(one, Fate.IN)
-            case Hold(line=line):
+            case WriteApplied(write_id=one):
+                self.become(one, WriteStatus.IN)
+            case LogLease(line=line):
                 if self.holder(line) in (0, entry.life) or self.turns.get(line, 0) != entry.turn:
                     return
                 if entry.force or self.holder(line) == entry.of:
                     self.holders[line], self.turns[line] = entry.life, entry.turn + 1
-            case Said(dot=one):
+            case StatusRecord(write_id=one):
                 self.say(entry, one)
-            case Lost():
-                self.lost.add(Line(entry.edge, entry.incarnation) if entry.incarnation else entry.edge)
+            case EdgeLost():
+                self.lost.add(EdgeLog(entry.edge, entry.incarnation) if entry.incarnation else entry.edge)
 
-    def say(self, entry: Said, one: Dot) -> None:
+    def say(self, entry: StatusRecord, one: WriteId) -> None:
         if self.holder(one.line) != entry.life:
             return
         if entry.ask or entry.parking:
-            if self.begun.get(one, 0) != entry.ask or 0 < entry.parking <= self.judged.get(one, 0):
+            if self.begun.get(one, 0) != entry.ask or 0 < entry.parking <= self.resolved.get(one, 0):
                 return
-            if self.fate(one) not in (Fate.IN, Fate.GONE):
+            if self.write_status(one) not in (WriteStatus.IN, WriteStatus.GONE):
                 self.begun.pop(one, None)
-                self.judged[one] = max(entry.parking, self.judged.get(one, 0))
+                self.resolved[one] = max(entry.parking, self.resolved.get(one, 0))
                 self.undone.update({entry.ask} - {0})
         for number in range(1 if entry.before else one.number, one.number + 1):
-            self.become(dot(number, one.line), entry.fate)
+            self.become(write_id(number, one.line), entry.write_status)
 
 
-def same(record: Record, naive: Naive) -> None:
-    for line in (*LINES, Line("birch", 9)):
+def same(record: ReplicatedLedger, naive: Naive) -> None:
+    for line in (*LINES, EdgeLog("birch", 9)):
         assert record.holder(line) == naive.holder(line)
-        fates = [naive.fate(dot(number, line)) for number in range(1, 8)]
-        assert [fate(record, number, line) for number in range(1, 8)] == fates
-        for number, found in enumerate(fates, 1):
-            over = all(one in (Fate.IN, Fate.GONE) for one in fates[:number])
+        write_statuses = [naive.write_status(write_id(number, line)) for number in range(1, 8)]
+        assert [write_status(record, number, line) for number in range(1, 8)] == write_statuses
+        for number, found in enumerate(write_statuses, 1):
+            over = all(one in (WriteStatus.IN, WriteStatus.GONE) for one in write_statuses[:number])
             if not naive.is_lost(line):
-                parked = Fate.PARKED if Fate.PARKED in fates[:number] else Fate.UNKNOWN
-                assert fate_up_to(record, number, line) is (Fate.IN if over else parked)
-            holder, by = naive.holder(line), naive.begun.get(dot(number, line), 0)
-            if holder and found not in (Fate.IN, Fate.GONE):
-                begun = record.begun(dot(number, line), holder, by or 9)
-                assert begun is (Begun.MINE if by else Begun.OPEN)
+                parked = (
+                    WriteStatus.PARKED
+                    if WriteStatus.PARKED in write_statuses[:number]
+                    else WriteStatus.UNKNOWN
+                )
+                assert fate_up_to(record, number, line) is (WriteStatus.IN if over else parked)
+            holder, by = naive.holder(line), naive.begun.get(write_id(number, line), 0)
+            if holder and found not in (WriteStatus.IN, WriteStatus.GONE):
+                begun = record.begun(write_id(number, line), holder, by or 9)
+                assert begun is (IntentStatus.MINE if by else IntentStatus.OPEN)
 
 
 @given(sequences)
 @settings(max_examples=300)
-def test_it_is_as_the_rules_are_number_by_number(entries: list[Entry]) -> None:
-    record, naive = Record(), Naive()
+def test_it_is_as_the_rules_are_number_by_number(entries: list[LedgerEntry]) -> None:
+    record, naive = ReplicatedLedger(), Naive()
     for entry in entries:
         apply(record, entry)
         naive.apply(entry)
@@ -652,9 +772,9 @@
 
 @given(sequences, st.data())
 @settings(max_examples=200)
-def test_a_snapshot_anywhere_makes_no_difference(entries: list[Entry], data: st.DataObject) -> None:
+def test_a_snapshot_anywhere_makes_no_difference(entries: list[LedgerEntry], data: st.DataObject) -> None:
     cut = data.draw(st.integers(0, len(entries)))
-    whole, first, second = after(*entries), after(*entries[:cut]), Record()
+    whole, first, second = after(*entries), after(*entries[:cut]), ReplicatedLedger()
     second.load(first.dump())
     assert second.dump() == first.dump()
     assert apply(second, *entries[cut:]).dump() == whole.dump() == apply(first, *entries[cut:]).dump()
@@ -663,26 +783,39 @@
 
 @given(sequences)
 @settings(max_examples=200)
-def test_an_entry_that_comes_twice_says_the_same(entries: list[Entry]) -> None:
+def test_an_entry_that_comes_twice_says_the_same(entries: list[LedgerEntry]) -> None:
     assert after(*entries).dump() == after(*(one for entry in entries for one in (entry, entry))).dump()
 
 
 @given(sequences, sequences, st.data())
 @settings(max_examples=200)
 def test_what_is_over_stays_so_whatever_comes_again(
-    first: list[Entry], more: list[Entry], data: st.DataObject
+    first: list[LedgerEntry], more: list[LedgerEntry], data: st.DataObject
 ) -> None:
     record = after(*first)
-    causes = [
-        Cause(*line, number, before) for line in LINES for number in range(1, 8) for before in (True, False)
+    dependencies = [
+        Dependency(*line, number, before)
+        for line in LINES
+        for number in range(1, 8)
+        for before in (True, False)
     ]
-    over = {cause: found for cause in causes if (found := record.fate(cause)) in (Fate.IN, Fate.GONE)}
+    over = {
+        dependency: found
+        for dependency in dependencies
+        if (found := record.write_status(dependency)) in (WriteStatus.IN, WriteStatus.GONE)
+    }
     apply(record, *data.draw(st.permutations([*first, *more])))
-    assert {cause: record.fate(cause) for cause in over} == over
+    assert {dependency: record.write_status(dependency) for dependency in over} == over
 
 
-@given(st.lists(st.one_of(st.builds(In, dots), st.builds(Unbegin, dots, st.just(1))), max_size=12), st.data())
-def test_the_order_of_ins_makes_no_difference(entries: list[Entry], data: st.DataObject) -> None:
+@given(
+    st.lists(
+        st.one_of(st.builds(WriteApplied, write_ids), st.builds(IntentWithdrawal, write_ids, st.just(1))),
+        max_size=12,
+    ),
+    st.data(),
+)
+def test_the_order_of_ins_makes_no_difference(entries: list[LedgerEntry], data: st.DataObject) -> None:
     assert after(*entries).dump() == after(*data.draw(st.permutations(entries))).dump()
 
 
@@ -718,33 +851,33 @@
         return {}
 
 
-class Desk:
+class OutboxApi:
     """A sharer on a played accord."""
 
     def __init__(self, leading: bool = True) -> None:
         self.clock = ManualClock()
         self.accord = PlayedAccord(leading)
-        self.record = Record()
-        self.sharer = Sharer(self.accord, self.record, self.clock)
+        self.record = ReplicatedLedger()
+        self.sharer = AgreementDriver(self.accord, self.record, self.clock)
 
-    def agree(self, entry: Entry, within: int = 3_000 * MS) -> asyncio.Future[bool]:
+    def agree(self, entry: LedgerEntry, within: int = 3_000 * MS) -> asyncio.Future[bool]:
         return self.sharer.agree(entry, self.said(entry), self.clock.now() + within)
 
-    def said(self, entry: Entry) -> Callable[[], bool]:
-        assert isinstance(entry, In)
-        return lambda: self.record.fate(Cause(*entry.dot)) is Fate.IN
+    def said(self, entry: LedgerEntry) -> Callable[[], bool]:
+        assert isinstance(entry, WriteApplied)
+        return lambda: self.record.write_status(Dependency(*entry.write_id)) is WriteStatus.IN
 
-    def land(self, entry: Entry) -> None:
+    def land(self, entry: LedgerEntry) -> None:
         apply(self.record, entry)
         self.accord.on_change()
 
 
-ONE = In(dot(1))
+ONE = WriteApplied(write_id(1))
 
 
 def test_who_leads_proposes_and_it_is_agreed_once_the_record_says_so() -> None:
     async def main() -> None:
-        desk = Desk()
+        desk = OutboxApi()
         future = desk.agree(ONE)
         assert desk.accord.proposed == [pack(ONE)] and not desk.accord.words
         desk.accord.on_change()
@@ -760,7 +893,7 @@
 
 def test_who_does_not_lead_tells_it_again_ever_more_slowly_until_its_time_is_over() -> None:
     async def main() -> None:
-        desk = Desk(leading=False)
+        desk = OutboxApi(leading=False)
         future = desk.agree(ONE, 4_000 * MS)
         told = [len(desk.accord.words)]
         for _ in range(40):
@@ -778,7 +911,7 @@
 
 def test_several_that_wait_for_one_entry_tell_it_once_and_each_has_its_time() -> None:
     async def main() -> None:
-        desk = Desk(leading=False)
+        desk = OutboxApi(leading=False)
         short, long = desk.agree(ONE, 150 * MS), desk.agree(ONE, 1_000 * MS)
         assert len(desk.accord.words) == 1
         desk.clock.advance(150 * MS)
@@ -791,12 +924,12 @@
 
 def test_what_became_true_in_the_last_moment_is_true() -> None:
     async def main() -> None:
-        desk = Desk()
+        desk = OutboxApi()
         future = desk.agree(ONE, 150 * MS)
         apply(desk.record, ONE)  # and nobody was told of a change
         desk.clock.advance(150 * MS)
         assert await future
-        late = desk.agree(In(dot(2)), 0)
+        late = desk.agree(WriteApplied(write_id(2)), 0)
         assert late.done() and not late.result()
 
     asyncio.run(main())
@@ -804,7 +937,7 @@
 
 def test_an_entry_on_its_way_is_not_proposed_again_but_under_another_reign_or_after_a_time() -> None:
     async def main() -> None:
-        desk = Desk()
+        desk = OutboxApi()
         desk.agree(ONE, 60_000 * MS)
         for _ in range(3):
             desk.accord.heard(2, 5, pack(ONE))
@@ -827,7 +960,7 @@
 @pytest.mark.parametrize("error", [BusyError("full"), NotLeadingError(2)])
 def test_a_proposal_that_is_not_taken_is_made_again(error: Exception) -> None:
     async def main() -> None:
-        desk = Desk()
+        desk = OutboxApi()
         desk.accord.error = error
         future = desk.agree(ONE)
         desk.accord.error = None
@@ -842,7 +975,7 @@
 
 def test_a_word_that_is_not_taken_is_told_again() -> None:
     async def main() -> None:
-        desk = Desk(leading=False)
+        desk = OutboxApi(leading=False)
         desk.accord.error = BusyError("full")
         desk.agree(ONE)
         desk.accord.error = None
@@ -853,7 +986,7 @@
 
 
 def test_words_that_are_no_entries_are_not_proposed() -> None:
-    desk = Desk()
+    desk = OutboxApi()
     for data in (b"", KIND, b"u" + pack(ONE)[1:], KIND + b"\xff"):
         desk.accord.heard(2, 5, data)
     assert not desk.accord.proposed and desk.sharer.counters["unread"] == 4
@@ -861,13 +994,13 @@
 
 def test_one_more_than_may_wait_hears_no_at_once_and_one_that_is_called_off_makes_room() -> None:
     async def main() -> None:
-        desk = Desk(leading=False)
-        waiting = [desk.agree(In(dot(n))) for n in range(1, WAITS_MOST + 1)]
-        full = desk.agree(In(dot(WAITS_MOST + 1)))
+        desk = OutboxApi(leading=False)
+        waiting = [desk.agree(WriteApplied(write_id(n))) for n in range(1, WAITS_MOST + 1)]
+        full = desk.agree(WriteApplied(write_id(WAITS_MOST + 1)))
         assert full.done() and not full.result() and desk.sharer.counters["full"] == 1
         waiting[0].cancel()
         await asyncio.sleep(0)
-        assert not desk.agree(In(dot(WAITS_MOST + 1))).done()
+        assert not desk.agree(WriteApplied(write_id(WAITS_MOST + 1))).done()
         count = len(desk.accord.words)
         desk.clock.advance(AGAIN_US)
         assert len(desk.accord.words) == count + WAITS_MOST and desk.accord.words.count(pack(ONE)) == 1
@@ -877,11 +1010,11 @@
 
 def test_closing_ends_all_waits_and_nothing_is_told_after() -> None:
     async def main() -> None:
-        desk = Desk()
-        futures = [desk.agree(In(dot(n))) for n in (1, 1, 2)]
+        desk = OutboxApi()
+        futures = [desk.agree(WriteApplied(write_id(n))) for n in (1, 1, 2)]
         desk.sharer.close()
         assert [await future for future in futures] == [False] * 3
-        assert not await desk.agree(In(dot(3))) and not desk.sharer.ready
+        assert not await desk.agree(WriteApplied(write_id(3))) and not desk.sharer.ready
         desk.accord.heard(2, 5, pack(ONE))
         desk.clock.advance(10 * AGAIN_MOST_US)
         assert len(desk.accord.proposed) == 2 and not desk.clock.due
@@ -890,7 +1023,7 @@
 
 
 def test_it_is_ready_where_the_record_is_known_and_a_leader_is_heard() -> None:
-    desk = Desk()
+    desk = OutboxApi()
     changes: list[bool] = []
     desk.sharer.on_change = lambda: changes.append(desk.sharer.ready)
     for known, in_touch in ((True, True), (False, True), (True, False)):
@@ -933,14 +1066,14 @@
         self.network = MemoryNetwork(self.clock, count, self.faults)
         self.count, self.seats = count, seats
         self.nodes: dict[int, Node] = {}
-        self.records: dict[int, Record] = {}
-        self.sharers: dict[int, Sharer] = {}
+        self.records: dict[int, ReplicatedLedger] = {}
+        self.sharers: dict[int, AgreementDriver] = {}
         self.others: dict[int, list[bytes]] = {}
         self.blanks: dict[int, Blank] = {}
         self.lines: list[str] = []
 
     async def start(self, me: int) -> None:
-        record, blank = Record(), Blank()
+        record, blank = ReplicatedLedger(), Blank()
         machines = Machines({KIND[0]: record, ord("u"): blank})
 
         def make_core(incarnation: int, kept: Mapping[bytes, bytes]) -> Core:
@@ -954,7 +1087,7 @@
             make_core, lambda: self.network.link(me), store, machines, self.clock, self.lines.append, me
         )
         parts = Parts(node)
-        self.sharers[me] = Sharer(parts.part(KIND), record, self.clock)
+        self.sharers[me] = AgreementDriver(parts.part(KIND), record, self.clock)
         self.others[me] = []
         parts.part(b"u").heard = lambda peer, incarnation, data: self.others[me].append(data)
         self.nodes[me], self.records[me], self.blanks[me] = node, record, blank
@@ -979,10 +1112,12 @@
         assert found is not None
         return found
 
-    def agree(self, me: int, entry: In, within: int = 20_000 * MS) -> asyncio.Future[bool]:
+    def agree(self, me: int, entry: WriteApplied, within: int = 20_000 * MS) -> asyncio.Future[bool]:
         record = self.records[me]
         return self.sharers[me].agree(
-            entry, lambda: record.fate(Cause(*entry.dot)) is Fate.IN, self.clock.now() + within
+            entry,
+            lambda: record.write_status(Dependency(*entry.write_id)) is WriteStatus.IN,
+            self.clock.now() + within,
         )
 
     async def close(self) -> None:
@@ -997,10 +1132,10 @@
         for me in range(4):
             await tier.start(me)
         await tier.settle()
-        futures = [tier.agree(me, In(dot(1 + me))) for me in range(4)]
+        futures = [tier.agree(me, WriteApplied(write_id(1 + me))) for me in range(4)]
         await tier.until(lambda: all(one.done() for one in futures))
         assert all(one.result() for one in futures)
-        await tier.until(lambda: all(fate_up_to(one, 4) is Fate.IN for one in tier.records.values()))
+        await tier.until(lambda: all(fate_up_to(one, 4) is WriteStatus.IN for one in tier.records.values()))
         assert len({one.dump() for one in tier.records.values()}) == 1
         # What each proposed, once in the record each; the other part hears its own words alone.
         assert sum(one.counters["proposed"] for one in tier.sharers.values()) == 4
@@ -1025,7 +1160,11 @@
         leader = await tier.settle()
         tier.faults.loss, tier.faults.double, tier.faults.delay_us = 0.2, 0.2, (500, 40_000)
         others = [me for me in range(4) if me != leader]
-        futures = [tier.agree(me, In(dot(1 + n, Line("ash", 1 + me)))) for n in range(5) for me in others]
+        futures = [
+            tier.agree(me, WriteApplied(write_id(1 + n, EdgeLog("ash", 1 + me))))
+            for n in range(5)
+            for me in others
+        ]
         tier.sharers[leader].close()
         await tier.nodes[leader].close()
         del tier.nodes[leader], tier.records[leader], tier.sharers[leader]
@@ -1050,7 +1189,7 @@
         await tier.until(lambda: not tier.sharers[lone].ready)
         future = tier.agree(lone, ONE, 2_000 * MS)
         await tier.until(future.done)
-        assert not future.result() and fate(tier.records[leader], 1) is Fate.UNKNOWN
+        assert not future.result() and write_status(tier.records[leader], 1) is WriteStatus.UNKNOWN
         tier.faults.heal()
         await tier.until(lambda: tier.sharers[lone].ready)
         again = tier.agree(lone, ONE)
@@ -1062,7 +1201,7 @@
         await tier.start(lone)
         assert not tier.sharers[lone].ready
         await tier.until(lambda: tier.sharers[lone].ready)
-        assert fate(tier.records[lone], 1) is Fate.IN
+        assert write_status(tier.records[lone], 1) is WriteStatus.IN
         await tier.close()
 
     asyncio.run(main())
--- a/tests/test_shared_schedules.py
+++ b/tests/test_shared_schedules.py
@@ -23,17 +23,34 @@
 import msgspec
 import pytest
 
-from laurelstep.outbox.causes import Cause, Fate
-from laurelstep.outbox.dots import Dot, Line
-from laurelstep.outbox.shared import record as records
-from laurelstep.outbox.shared import spans
-from laurelstep.outbox.shared.entries import Begin, Entry, Hold, In, Lost, Said, Unbegin, pack, unpack
-from laurelstep.outbox.shared.record import Record
-from laurelstep.outbox.shared.terms import Ask, Begun, Claim, Claimed, Replayed, Told
+from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.shared import ledger as records
+from laurelstep.outbox.shared import ranges
+from laurelstep.outbox.shared.entries import (
+    EdgeLost,
+    Intent,
+    IntentWithdrawal,
+    LedgerEntry,
+    LogLease,
+    StatusRecord,
+    WriteApplied,
+    pack,
+    unpack,
+)
+from laurelstep.outbox.shared.ledger import ReplicatedLedger
+from laurelstep.outbox.shared.messages import (
+    IntentStatus,
+    LeaseRequest,
+    LeaseStatus,
+    ReplayIdentity,
+    ReplayQuery,
+    StatusUpdate,
+)
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
 STEPS = 160
 ROUNDS = 40
-OVER = (Fate.IN, Fate.GONE)
+OVER = (WriteStatus.IN, WriteStatus.GONE)
 
 
 class BrokenError(AssertionError):
@@ -48,9 +65,9 @@
 class Kept:
     """A write on one disk. `state`: ready, out, parked, clearing, done, gone."""
 
-    dot: Dot
+    write_id: WriteId
     unsafe: bool
-    causes: tuple[Cause, ...]
+    dependencies: tuple[Dependency, ...]
     state: str = "ready"
     said: bool = True  # the record was told of this state
     parkings: int = 0
@@ -60,7 +77,7 @@
 @dataclass(eq=False)
 class Disk:
     lives: list[int] = field(default_factory=list)
-    kept: dict[Dot, Kept] = field(default_factory=dict)
+    kept: dict[WriteId, Kept] = field(default_factory=dict)
 
 
 @dataclass(eq=False)
@@ -70,7 +87,7 @@
     copy: Copy
     edge: Edge
     attempt: int
-    replayed: Replayed
+    replayed: ReplayIdentity
     key: str
     ask: int
     stage: str = "begin"
@@ -119,14 +136,17 @@
 
     # --- The gate ---------------------------------------------------------------------
 
-    def replay(self, edge: Edge, attempt: int, replayed: Replayed, key: str) -> None:
-        world, dot = self.world, replayed.dot
+    def replay(self, edge: Edge, attempt: int, replayed: ReplayIdentity, key: str) -> None:
+        world, write_id = self.world, replayed.write_id
         call = Call(self, edge, attempt, replayed, key, world.draw.getrandbits(63) or 1)
         if not self.ready:
             self.reply(call, "not run")
-        elif self.record.fate(Cause(*dot)) is Fate.IN:
+        elif self.record.write_status(Dependency(*write_id)) is WriteStatus.IN:
             self.reply(call, "in")
-        elif self.record.holder(dot.line) != replayed.life or self.record.fate(Cause(*dot)) is Fate.GONE:
+        elif (
+            self.record.holder(write_id.line) != replayed.life
+            or self.record.write_status(Dependency(*write_id)) is WriteStatus.GONE
+        ):
             self.reply(call, "fenced")
         else:
             world.calls.append(call)
@@ -137,7 +157,7 @@
 
     def send(self, call: Call) -> None:
         call.stage = "sent"
-        self.world.sends.append(Send(call.replayed.dot, call.key, call.ask, call))
+        self.world.sends.append(Send(call.replayed.write_id, call.key, call.ask, call))
 
     def work(self, call: Call) -> None:
         match call.stage:
@@ -150,19 +170,19 @@
 
     def begin(self, call: Call) -> None:
         replayed, world = call.replayed, self.world
-        match self.record.begun(replayed.dot, replayed.life, call.ask):
-            case Begun.MINE:
+        match self.record.begun(replayed.write_id, replayed.life, call.ask):
+            case IntentStatus.MINE:
                 self.send(call)
-            case Begun.OTHERS:
+            case IntentStatus.OTHERS:
                 self.reply(call, "begun")
-            case Begun.IN:
+            case IntentStatus.IN:
                 self.reply(call, "in")
-            case Begun.FENCED:
+            case IntentStatus.FENCED:
                 self.take_back(call, "fenced")
             case _ if world.draw.random() < world.impatience:
                 self.take_back(call, "not run")
             case _:
-                world.word(Begin(replayed.dot, replayed.life, call.ask))
+                world.word(Intent(replayed.write_id, replayed.life, call.ask))
 
     def take_back(self, call: Call, answer: str) -> None:
         call.stage, call.answer = "undo", answer
@@ -172,20 +192,20 @@
         if self.record.undone(call.ask) or self.world.draw.random() < self.world.impatience:
             self.reply(call, call.answer)
         else:
-            self.world.word(Unbegin(call.replayed.dot, call.ask))
+            self.world.word(IntentWithdrawal(call.replayed.write_id, call.ask))
 
     def served(self, call: Call) -> None:
         call.stage = "in"
         self.bring_in(call)
 
     def bring_in(self, call: Call) -> None:
-        fate = self.record.fate(Cause(*call.replayed.dot))
-        if fate is Fate.IN:
+        write_status = self.record.write_status(Dependency(*call.replayed.write_id))
+        if write_status is WriteStatus.IN:
             self.reply(call, "in")
-        elif fate is Fate.GONE or self.world.draw.random() < self.world.impatience:
+        elif write_status is WriteStatus.GONE or self.world.draw.random() < self.world.impatience:
             self.reply(call, "may")
         else:
-            self.world.word(In(call.replayed.dot))
+            self.world.word(WriteApplied(call.replayed.write_id))
 
     def unsent(self, call: Call) -> None:
         """Refused before a byte of it left."""
@@ -200,17 +220,17 @@
             world.calls.remove(call)
         world.seen[answer] += 1
         if answer == "in":
-            world.check_in(Cause(*call.replayed.dot), "a replay")
-        world.mail.append(lambda: call.edge.answered(call.replayed.dot, call.attempt, answer))
+            world.check_in(Dependency(*call.replayed.write_id), "a replay")
+        world.mail.append(lambda: call.edge.answered(call.replayed.write_id, call.attempt, answer))
 
-    def asked(self, edge: Edge, ask: Ask) -> None:
+    def asked(self, edge: Edge, ask: ReplayQuery) -> None:
         if not self.ready:
             return
         record, world = self.record, self.world
-        fates = tuple(record.fate(cause) for cause in ask.fates)
-        for cause, fate in zip(ask.fates, fates, strict=True):
-            if fate is Fate.IN:
-                world.check_in(cause, "an ask")
+        write_statuses = tuple(record.write_status(dependency) for dependency in ask.write_statuses)
+        for dependency, write_status in zip(ask.write_statuses, write_statuses, strict=True):
+            if write_status is WriteStatus.IN:
+                world.check_in(dependency, "an ask")
         for entry in (
             *(record.claim_entry(claim) for claim in ask.claims),
             *(record.said_entry(told) for told in ask.told),
@@ -219,7 +239,7 @@
                 world.word(entry)
         claims = tuple(record.claimed(claim) for claim in ask.claims)
         told = tuple(record.says(told) for told in ask.told)
-        world.mail.append(lambda: edge.heard(ask, fates, claims, told))
+        world.mail.append(lambda: edge.heard(ask, write_statuses, claims, told))
 
 
 class Edge:
@@ -234,12 +254,12 @@
         self.known = tuple(disk.lives)
         world.knowns[self.life] = frozenset(disk.lives)
         disk.lives.append(self.life)  # durable before it asks
-        self.line = Line(name, self.life)
+        self.line = EdgeLog(name, self.life)
         self.count = 0
-        self.claims: dict[Line, Claimed] = {self.line: Claimed.HELD}
-        self.fates: dict[Cause, Fate] = {}
+        self.claims: dict[EdgeLog, LeaseStatus] = {self.line: LeaseStatus.HELD}
+        self.write_statuses: dict[Dependency, WriteStatus] = {}
         for one in disk.kept.values():
-            self.claims.setdefault(one.dot.line, Claimed.OPEN)
+            self.claims.setdefault(one.write_id.line, LeaseStatus.OPEN)
             one.attempt = 0
             if one.state == "out":
                 self.found_out(one)
@@ -249,21 +269,25 @@
         one.state, one.said = ("parked", False) if one.unsafe else ("ready", True)
         one.parkings += one.unsafe
 
-    def keep(self, unsafe: bool, causes: tuple[Cause, ...]) -> Dot:
+    def keep(self, unsafe: bool, dependencies: tuple[Dependency, ...]) -> WriteId:
         self.count += 1
-        dot = Dot(*self.line, self.count)
-        self.disk.kept[dot] = Kept(dot, unsafe, causes)
-        return dot
+        write_id = WriteId(*self.line, self.count)
+        self.disk.kept[write_id] = Kept(write_id, unsafe, dependencies)
+        return write_id
 
     # --- What it does -----------------------------------------------------------------
 
-    def is_in(self, cause: Cause) -> bool:
-        own = None if cause.before else self.disk.kept.get(cause.dot)
-        return (own is not None and own.state == "done") or self.fates.get(cause) is Fate.IN
+    def is_in(self, dependency: Dependency) -> bool:
+        own = None if dependency.before else self.disk.kept.get(dependency.write_id)
+        return (own is not None and own.state == "done") or self.write_statuses.get(
+            dependency
+        ) is WriteStatus.IN
 
     def may_send(self, one: Kept) -> bool:
-        held = self.claims[one.dot.line] is Claimed.HELD
-        return held and one.state == "ready" and all(self.is_in(cause) for cause in one.causes)
+        held = self.claims[one.write_id.line] is LeaseStatus.HELD
+        return (
+            held and one.state == "ready" and all(self.is_in(dependency) for dependency in one.dependencies)
+        )
 
     def work(self) -> None:
         due = [one for one in self.disk.kept.values() if self.may_send(one)]
@@ -277,61 +301,70 @@
         one.state = "out"  # durable, then sent
         world.attempts += 1
         one.attempt = world.attempts
-        replayed, attempt, key = Replayed(one.dot, self.life, one.unsafe), one.attempt, self.key(one)
+        replayed, attempt, key = (
+            ReplayIdentity(one.write_id, self.life, one.unsafe),
+            one.attempt,
+            self.key(one),
+        )
 
         def arrive() -> None:
             world.draw.choice(world.copies).replay(self, attempt, replayed, key)
 
-        world.replays[arrive] = one.dot
+        world.replays[arrive] = one.write_id
         world.mail.append(arrive)
 
     def key(self, one: Kept) -> str:
-        return str(one.dot)
+        return str(one.write_id)
 
     def ask(self) -> None:
         world = self.world
-        fates = {
-            cause
+        write_statuses = {
+            dependency
             for one in self.disk.kept.values()
             if one.state == "ready"
-            for cause in one.causes
-            if not self.is_in(cause)
+            for dependency in one.dependencies
+            if not self.is_in(dependency)
         }
         claims = tuple(
-            Claim(line, self.life, self.known, (line, self.life) in world.forced)
+            LeaseRequest(line, self.life, self.known, (line, self.life) in world.forced)
             for line, claimed in self.claims.items()
-            if claimed is Claimed.OPEN
+            if claimed is LeaseStatus.OPEN
         )
         told = [said for one in self.disk.kept.values() if (said := self.to_say(one)) is not None]
         told += [
-            low for line, claimed in self.claims.items() if claimed is Claimed.HELD if (low := self.low(line))
+            low
+            for line, claimed in self.claims.items()
+            if claimed is LeaseStatus.HELD
+            if (low := self.low(line))
         ]
         if world.draw.random() < 0.5:
             told = told[:1]
-        ask = Ask(tuple(sorted(fates)), claims, tuple(told))
-        if ask != Ask():
+        ask = ReplayQuery(tuple(sorted(write_statuses)), claims, tuple(told))
+        if ask != ReplayQuery():
             world.mail.append(lambda: world.draw.choice(world.copies).asked(self, ask))
 
-    def to_say(self, one: Kept) -> Told | None:
-        if one.said or self.claims[one.dot.line] is not Claimed.HELD:
+    def to_say(self, one: Kept) -> StatusUpdate | None:
+        if one.said or self.claims[one.write_id.line] is not LeaseStatus.HELD:
             return None
-        fates = {"parked": Fate.PARKED, "done": Fate.IN, "gone": Fate.GONE}
-        fate = fates.get(one.state, Fate.UNKNOWN)
-        return Told(one.dot, fate, self.life, False, one.state == "clearing", one.parkings)
+        write_statuses = {"parked": WriteStatus.PARKED, "done": WriteStatus.IN, "gone": WriteStatus.GONE}
+        write_status = write_statuses.get(one.state, WriteStatus.UNKNOWN)
+        return StatusUpdate(
+            one.write_id, write_status, self.life, False, one.state == "clearing", one.parkings
+        )
 
-    def low(self, line: Line) -> Told | None:
+    def low(self, line: EdgeLog) -> StatusUpdate | None:
         number = 0
-        while (one := self.disk.kept.get(Dot(*line, number + 1))) is not None and self.is_over(one):
+        while (one := self.disk.kept.get(WriteId(*line, number + 1))) is not None and self.is_over(one):
             number += 1
-        return Told(Dot(*line, number), Fate.IN, self.life, True) if number else None
+        return StatusUpdate(WriteId(*line, number), WriteStatus.IN, self.life, True) if number else None
 
     def is_over(self, one: Kept) -> bool:
         return one.state == "done" or (one.state == "gone" and one.said)
 
     # --- What it hears ----------------------------------------------------------------
 
-    def answered(self, dot: Dot, attempt: int, answer: str) -> None:
-        one = self.disk.kept[dot]
+    def answered(self, write_id: WriteId, attempt: int, answer: str) -> None:
+        one = self.disk.kept[write_id]
         if not self.alive or one.state != "out" or one.attempt != attempt:
             return
         match answer:
@@ -341,23 +374,27 @@
                 one.state = "ready"
             case "fenced":
                 one.state = "ready"
-                self.claims[dot.line] = Claimed.FENCED
+                self.claims[write_id.line] = LeaseStatus.FENCED
             case _:
                 self.found_out(one)
 
     def heard(
-        self, ask: Ask, fates: tuple[Fate, ...], claims: tuple[Claimed, ...], told: tuple[bool, ...]
+        self,
+        ask: ReplayQuery,
+        write_statuses: tuple[WriteStatus, ...],
+        claims: tuple[LeaseStatus, ...],
+        told: tuple[bool, ...],
     ) -> None:
         if not self.alive:
             return
-        for cause, fate in zip(ask.fates, fates, strict=True):
-            if self.fates.get(cause) not in OVER:
-                self.fates[cause] = fate
+        for dependency, write_status in zip(ask.write_statuses, write_statuses, strict=True):
+            if self.write_statuses.get(dependency) not in OVER:
+                self.write_statuses[dependency] = write_status
         for claim, claimed in zip(ask.claims, claims, strict=True):
-            if self.claims[claim.line] is Claimed.OPEN:
+            if self.claims[claim.line] is LeaseStatus.OPEN:
                 self.claims[claim.line] = claimed
         for one, says in zip(ask.told, told, strict=True):
-            kept = self.disk.kept[one.dot]
+            kept = self.disk.kept[one.write_id]
             if says and not one.before and not kept.said and self.to_say(kept) == one:
                 kept.said = True
                 if kept.state == "clearing":
@@ -368,7 +405,7 @@
 class Send:
     """One attempt between a gate and a server. `call` is None once its gate died."""
 
-    dot: Dot
+    write_id: WriteId
     key: str
     ask: int
     call: Call | None
@@ -380,7 +417,7 @@
     def __init__(
         self,
         seed: int,
-        make: Callable[[], Record] = Record,
+        make: Callable[[], ReplicatedLedger] = ReplicatedLedger,
         copy_type: type[Copy] = Copy,
         edge_type: type[Edge] = Edge,
     ) -> None:
@@ -401,22 +438,22 @@
         self.truth = make()
         self.mail: list[Callable[[], None]] = []
         self.late: list[Callable[[], None]] = []  # what comes again, long after
-        self.replays: dict[Callable[[], None], Dot] = {}  # of the mail
+        self.replays: dict[Callable[[], None], WriteId] = {}  # of the mail
         self.calls: list[Call] = []
         self.sends: list[Send] = []
         self.attempts = 0
         self.knowns: dict[int, frozenset[int]] = {}
-        self.forced: set[tuple[Line, int]] = set()
+        self.forced: set[tuple[EdgeLog, int]] = set()
         # What the checker knows.
-        self.writes: dict[Dot, Kept] = {}  # as they were kept
-        self.lines: dict[Line, list[Dot]] = {}
-        self.effects: dict[Dot, set[str]] = {}
+        self.writes: dict[WriteId, Kept] = {}  # as they were kept
+        self.lines: dict[EdgeLog, list[WriteId]] = {}
+        self.effects: dict[WriteId, set[str]] = {}
         self.ran: set[int] = set()  # asks
         self.seen = Counter[str]()
-        self.given_up: set[Dot] = set()
-        self.finals: dict[Line, dict[Cause, Fate]] = {}
-        self.holders: dict[Line, int] = {}
-        self.lost: set[str | Line] = set()
+        self.given_up: set[WriteId] = set()
+        self.finals: dict[EdgeLog, dict[Dependency, WriteStatus]] = {}
+        self.holders: dict[EdgeLog, int] = {}
+        self.lost: set[str | EdgeLog] = set()
         names = ("ash",) if self.narrow or self.draw.random() < 0.3 else ("ash", "birch")
         self.copies = [copy_type(self) for _ in range(self.draw.randint(2, 3))]
         self.edges = [edge_type(self, name, Disk()) for name in names]
@@ -424,7 +461,7 @@
     def play(self) -> None:
         deeds: tuple[tuple[Callable[[], None], int], ...] = (
             (self.keep, 4), (self.work, 14), (self.deliver, 30), (self.gates, 12), (self.follow, 14),
-            (self.serve, 10), (self.judge, 5), (self.come_late, 4), (self.give_in, 2), (self.touch, 1),
+            (self.serve, 10), (self.resolve, 5), (self.come_late, 4), (self.give_in, 2), (self.touch, 1),
             (self.restart_copy, 1), (self.restart_edge, 1), (self.copy_disk, 1), (self.force, 1),
             (self.declare, 1),
         )  # fmt: skip
@@ -452,12 +489,12 @@
             room = len(self.writes) < self.writes_most
         if not room:
             return
-        dots = list(self.writes)
-        named = draw.sample(dots, min(len(dots), draw.choice((0, 0, 0, 1, 1, 2))))
-        causes = tuple(Cause(*dot, draw.random() < 0.25) for dot in named)
-        dot = edge.keep(self.narrow or draw.random() < 0.7, causes)
-        self.writes[dot] = Kept(dot, edge.disk.kept[dot].unsafe, causes)
-        self.lines.setdefault(dot.line, []).append(dot)
+        write_ids = list(self.writes)
+        named = draw.sample(write_ids, min(len(write_ids), draw.choice((0, 0, 0, 1, 1, 2))))
+        dependencies = tuple(Dependency(*write_id, draw.random() < 0.25) for write_id in named)
+        write_id = edge.keep(self.narrow or draw.random() < 0.7, dependencies)
+        self.writes[write_id] = Kept(write_id, edge.disk.kept[write_id].unsafe, dependencies)
+        self.lines.setdefault(write_id.line, []).append(write_id)
 
     def work(self) -> None:
         for edge in self.living():
@@ -486,7 +523,7 @@
         if self.late:
             self.late.pop(self.draw.randrange(len(self.late)))()
 
-    def word(self, entry: Entry) -> None:
+    def word(self, entry: LedgerEntry) -> None:
         data = pack(entry)[1:]
         self.mail.append(lambda: self.agree(data))
 
@@ -516,7 +553,7 @@
             else:
                 call.copy.served(call)
 
-    def judge(self) -> None:
+    def resolve(self) -> None:
         """Operators are right. That it never ran they say where the line is held, once all tries are over:
         one that is on its way could still run."""
         edge = self.draw.choice(self.living())
@@ -526,16 +563,18 @@
         one = self.draw.choice(parked)
         if self.draw.random() < 0.12:
             one.state, one.said = "gone", False
-            self.given_up.add(one.dot)
-        elif one.dot in self.effects:
+            self.given_up.add(one.write_id)
+        elif one.write_id in self.effects:
             one.state, one.said = "done", False
-        elif edge.claims[one.dot.line] is Claimed.HELD and not self.is_tried(one.dot):
+        elif edge.claims[one.write_id.line] is LeaseStatus.HELD and not self.is_tried(one.write_id):
             one.state, one.said = "clearing", False
 
-    def is_tried(self, dot: Dot) -> bool:
-        if any(one.dot == dot for one in self.sends) or any(one.replayed.dot == dot for one in self.calls):
+    def is_tried(self, write_id: WriteId) -> bool:
+        if any(one.write_id == write_id for one in self.sends) or any(
+            one.replayed.write_id == write_id for one in self.calls
+        ):
             return True
-        return any(self.replays.get(act) == dot for act in self.mail)
+        return any(self.replays.get(act) == write_id for act in self.mail)
 
     def give_in(self) -> None:
         """An edge's attempt has no more time."""
@@ -563,51 +602,51 @@
 
     def force(self) -> None:
         edge = self.draw.choice(self.living())
-        fenced = [line for line, claimed in edge.claims.items() if claimed is Claimed.FENCED]
+        fenced = [line for line, claimed in edge.claims.items() if claimed is LeaseStatus.FENCED]
         if fenced:
             line = self.draw.choice(fenced)
             self.forced.add((line, edge.life))
-            edge.claims[line] = Claimed.OPEN
+            edge.claims[line] = LeaseStatus.OPEN
 
     def declare(self) -> None:
         if self.lines and self.draw.random() < 0.15:
             line = self.draw.choice(list(self.lines))
-            self.word(Lost(line.edge, line.incarnation if self.draw.random() < 0.6 else 0))
+            self.word(EdgeLost(line.edge, line.incarnation if self.draw.random() < 0.6 else 0))
 
     # --- The checker --------------------------------------------------------------------
 
     def effect(self, send: Send) -> None:
-        kept, keys = self.writes[send.dot], self.effects.get(send.dot, set())
+        kept, keys = self.writes[send.write_id], self.effects.get(send.write_id, set())
         if keys and (kept.unsafe or send.key not in keys):
-            raise BrokenError("once", f"{send.dot} took effect twice")
+            raise BrokenError("once", f"{send.write_id} took effect twice")
         if keys:
             return  # the server knows the key
-        for cause in kept.causes:
-            for dot in self.meant(cause):
-                if not self.has_run(dot) and not (cause.before and self.is_given_up(dot)):
-                    raise BrokenError("order", f"{send.dot} took effect before {dot}")
-        self.effects.setdefault(send.dot, set()).add(send.key)
+        for dependency in kept.dependencies:
+            for write_id in self.meant(dependency):
+                if not self.has_run(write_id) and not (dependency.before and self.is_given_up(write_id)):
+                    raise BrokenError("order", f"{send.write_id} took effect before {write_id}")
+        self.effects.setdefault(send.write_id, set()).add(send.key)
         self.seen["unsafe effect" if kept.unsafe else "keyed effect"] += 1
         self.ran.add(send.ask)
 
-    def meant(self, cause: Cause) -> list[Dot]:
-        if not cause.before:
-            return [cause.dot]
-        return [dot for dot in self.lines[cause.line] if dot.number <= cause.number]
+    def meant(self, dependency: Dependency) -> list[WriteId]:
+        if not dependency.before:
+            return [dependency.write_id]
+        return [write_id for write_id in self.lines[dependency.line] if write_id.number <= dependency.number]
 
-    def has_run(self, dot: Dot) -> bool:
-        return dot in self.effects
+    def has_run(self, write_id: WriteId) -> bool:
+        return write_id in self.effects
 
-    def is_given_up(self, dot: Dot) -> bool:
-        return dot in self.given_up
+    def is_given_up(self, write_id: WriteId) -> bool:
+        return write_id in self.given_up
 
-    def check_in(self, cause: Cause, where: str) -> None:
+    def check_in(self, dependency: Dependency, where: str) -> None:
         """Somebody is told that this is in."""
-        if self.truth.fate(cause) is not Fate.IN:
-            raise BrokenError("told", f"{where} says that {cause} is in, that is not agreed")
-        for dot in self.meant(cause):
-            if not self.has_run(dot) and not (cause.before and self.is_given_up(dot)):
-                raise BrokenError("told", f"{where} says that {cause} is in, {dot} is not")
+        if self.truth.write_status(dependency) is not WriteStatus.IN:
+            raise BrokenError("told", f"{where} says that {dependency} is in, that is not agreed")
+        for write_id in self.meant(dependency):
+            if not self.has_run(write_id) and not (dependency.before and self.is_given_up(write_id)):
+                raise BrokenError("told", f"{where} says that {dependency} is in, {write_id} is not")
 
     def agree(self, data: bytes) -> None:
         """The next entry in order."""
@@ -619,48 +658,52 @@
             self.truth.apply(len(self.log), data)
         except Exception as error:
             raise BrokenError("step", f"{entry}: {error!r}") from error
-        if isinstance(entry, Begin):
+        if isinstance(entry, Intent):
             self.check_begun(entry, begun)
-        if isinstance(entry, Said | Unbegin):
+        if isinstance(entry, StatusRecord | IntentWithdrawal):
             self.check_taken_back(entry, begun)
-        if isinstance(entry, Lost):
-            self.lost.add(Line(entry.edge, entry.incarnation) if entry.incarnation else entry.edge)
+        if isinstance(entry, EdgeLost):
+            self.lost.add(EdgeLog(entry.edge, entry.incarnation) if entry.incarnation else entry.edge)
         touched = [line for line in self.lines if line.edge == edge_of(entry)]
         self.check_holders(entry, touched)
         self.check_finals(touched)
         self.check_bounds()
 
-    def check_begun(self, entry: Begin, before: int) -> None:
-        line = entry.dot.line
-        if before == entry.ask or self.truth._row(line).begun_by(entry.dot.number) != entry.ask:
+    def check_begun(self, entry: Intent, before: int) -> None:
+        line = entry.write_id.line
+        if before == entry.ask or self.truth._row(line).begun_by(entry.write_id.number) != entry.ask:
             return
         if entry.life != self.holder(line) or line in self.lost or line.edge in self.lost:
             raise BrokenError("fenced", f"{entry} was granted, {line} is another's")
 
-    def begun_by(self, entry: Entry) -> int:
-        if isinstance(entry, Begin | Said | Unbegin):
-            return self.truth._row(entry.dot.line).begun_by(entry.dot.number)
+    def begun_by(self, entry: LedgerEntry) -> int:
+        if isinstance(entry, Intent | StatusRecord | IntentWithdrawal):
+            return self.truth._row(entry.write_id.line).begun_by(entry.write_id.number)
         return 0
 
-    def check_taken_back(self, entry: Said | Unbegin, before: int) -> None:
+    def check_taken_back(self, entry: StatusRecord | IntentWithdrawal, before: int) -> None:
         """What is taken back has not run, and won't: also where the entry comes late."""
-        if not before or self.begun_by(entry) == before or self.truth.fate(Cause(*entry.dot)) in OVER:
+        if (
+            not before
+            or self.begun_by(entry) == before
+            or self.truth.write_status(Dependency(*entry.write_id)) in OVER
+        ):
             return
         self.seen[f"taken back by {type(entry).__name__}"] += 1
         out = any(call.ask == before and call.stage != "undo" for call in self.calls)
         if out or before in self.ran or any(send.ask == before for send in self.sends):
             raise BrokenError("once", f"{entry} takes back what may run, or ran")
 
-    def holder(self, line: Line) -> int:
+    def holder(self, line: EdgeLog) -> int:
         return self.holders.get(line, line.incarnation)
 
-    def check_holders(self, entry: Entry, touched: list[Line]) -> None:
+    def check_holders(self, entry: LedgerEntry, touched: list[EdgeLog]) -> None:
         for line in touched:
             holder, before = self.truth.holder(line), self.holder(line)
             if holder == before:
                 continue
             if holder:
-                asked = isinstance(entry, Hold) and entry.line == line and entry.life == holder
+                asked = isinstance(entry, LogLease) and entry.line == line and entry.life == holder
                 known = before in self.knowns[holder] or (line, holder) in self.forced
                 if not asked or not known or before == 0:
                     raise BrokenError("fenced", f"{line} went from {before} to {holder} by {entry}")
@@ -669,17 +712,21 @@
             self.holders[line] = holder
             self.seen["claimed" if holder else "lost"] += 1
 
-    def check_finals(self, touched: list[Line]) -> None:
+    def check_finals(self, touched: list[EdgeLog]) -> None:
         for line in touched:
             now, before = self.final_in(self.truth, line), self.finals.get(line, {})
             if not before.items() <= now.items():
                 raise BrokenError("final", f"{before} are {now}")
             self.finals[line] = now
 
-    def final_in(self, record: Record, line: Line) -> dict[Cause, Fate]:
-        asked = [Cause(*dot, before) for dot in self.lines[line] for before in (False, True)]
-        asked.append(Cause(line.edge, 1 << 63, 1))  # of a life to come
-        return {cause: fate for cause in asked if (fate := record.fate(cause)) in OVER}
+    def final_in(self, record: ReplicatedLedger, line: EdgeLog) -> dict[Dependency, WriteStatus]:
+        asked = [Dependency(*write_id, before) for write_id in self.lines[line] for before in (False, True)]
+        asked.append(Dependency(line.edge, 1 << 63, 1))  # of a life to come
+        return {
+            dependency: write_status
+            for dependency in asked
+            if (write_status := record.write_status(dependency)) in OVER
+        }
 
     def check_bounds(self) -> None:
         rows = self.truth._rows
@@ -703,10 +750,10 @@
         if (ranges, len(begun)) != (self.truth._spans, self.truth._begun):
             raise BrokenError("bounds", "what is counted is not what there is")
         for line, number in begun:
-            if self.truth.fate(Cause(*line, number)) in OVER:
+            if self.truth.write_status(Dependency(*line, number)) in OVER:
                 raise BrokenError("bounds", f"{number} of {line} is over and still begun")
 
-    def check_same(self, old: Record, new: Record) -> None:
+    def check_same(self, old: ReplicatedLedger, new: ReplicatedLedger) -> None:
         for line in self.lines:
             if not self.final_in(old, line).items() <= self.final_in(new, line).items():
                 raise BrokenError("final", "a snapshot forgot what was in or gone")
@@ -763,8 +810,8 @@
     def state(self) -> list[object]:
         found: list[object] = [len(self.log)]
         for edge in self.living():
-            found += [(one.dot, one.state, one.said) for one in edge.disk.kept.values()]
-            found += [dict(edge.claims), dict(edge.fates)]
+            found += [(one.write_id, one.state, one.said) for one in edge.disk.kept.values()]
+            found += [dict(edge.claims), dict(edge.write_statuses)]
         return found
 
     def check_progress(self) -> None:
@@ -772,21 +819,27 @@
             return  # what does not fit waits for an operator
         for edge in self.living():
             for one in edge.disk.kept.values():
-                if self.truth.holder(one.dot.line) != edge.life or one.state in ("done", "gone", "parked"):
+                if self.truth.holder(one.write_id.line) != edge.life or one.state in (
+                    "done",
+                    "gone",
+                    "parked",
+                ):
                     continue
-                free = all(self.truth.fate(cause) is Fate.IN for cause in one.causes)
-                if free and edge.claims[one.dot.line] is not Claimed.FENCED:
-                    raise BrokenError("progress", f"{one.dot} is {one.state} at the end")
+                free = all(
+                    self.truth.write_status(dependency) is WriteStatus.IN for dependency in one.dependencies
+                )
+                if free and edge.claims[one.write_id.line] is not LeaseStatus.FENCED:
+                    raise BrokenError("progress", f"{one.write_id} is {one.state} at the end")
 
 
-def edge_of(entry: Entry) -> str:
+def edge_of(entry: LedgerEntry) -> str:
     match entry:
-        case Hold():
+        case LogLease():
             return entry.line.edge
-        case Lost():
+        case EdgeLost():
             return entry.edge
         case _:
-            return entry.dot.edge
+            return entry.write_id.edge
 
 
 def play(first: int, last: int, **types: Any) -> Counter[str]:
@@ -832,61 +885,61 @@
 # --- That the checker can fail ------------------------------------------------------------
 
 
-class BegunTwice(Record):
+class BegunTwice(ReplicatedLedger):
     """A BEGIN is granted whoever began before."""
 
-    def _begin(self, entry: Begin) -> None:
-        row, number = self._row(entry.dot.line), entry.dot.number
-        if row.holder == entry.life and row.fate(number) not in OVER:
-            self._put(entry.dot.line, row.with_begun(number, entry.ask, 0))
+    def _begin(self, entry: Intent) -> None:
+        row, number = self._row(entry.write_id.line), entry.write_id.number
+        if row.holder == entry.life and row.write_status(number) not in OVER:
+            self._put(entry.write_id.line, row.with_begun(number, entry.ask, 0))
 
 
-class UnbegunByAny(Record):
+class UnbegunByAny(ReplicatedLedger):
     """An UNBEGIN takes back whoever's BEGIN there is."""
 
-    def _unbegin(self, entry: Unbegin) -> None:
-        number = entry.dot.number
-        self._put(entry.dot.line, self._row(entry.dot.line).without_begun(number, number))
+    def _unbegin(self, entry: IntentWithdrawal) -> None:
+        number = entry.write_id.number
+        self._put(entry.write_id.line, self._row(entry.write_id.line).without_begun(number, number))
         self._undo(entry.ask)
 
 
-class HolderUnchecked(Record):
+class HolderUnchecked(ReplicatedLedger):
     """Whoever asks gets a BEGIN."""
 
-    def _begin(self, entry: Begin) -> None:
-        super()._begin(msgspec.structs.replace(entry, life=self.holder(entry.dot.line)))
+    def _begin(self, entry: Intent) -> None:
+        super()._begin(msgspec.structs.replace(entry, life=self.holder(entry.write_id.line)))
 
 
-class ClaimedUnknown(Record):
+class ClaimedUnknown(ReplicatedLedger):
     """A claim need not name the holder."""
 
-    def claimed(self, claim: Claim) -> Claimed:
+    def claimed(self, claim: LeaseRequest) -> LeaseStatus:
         return super().claimed(msgspec.structs.replace(claim, force=True))
 
 
-class HeldByTheLast(Record):
+class HeldByTheLast(ReplicatedLedger):
     """A claim holds whatever became of the line since it was asked."""
 
-    def _hold(self, entry: Hold) -> None:
+    def _hold(self, entry: LogLease) -> None:
         row = self._row(entry.line)
         super()._hold(msgspec.structs.replace(entry, turn=row.turn, of=row.holder))
 
 
-class HeldWhenLost(Record):
+class HeldWhenLost(ReplicatedLedger):
     """A line that is lost can be claimed."""
 
-    def _hold(self, entry: Hold) -> None:
+    def _hold(self, entry: LogLease) -> None:
         row = self._row(entry.line)
         if row.holder == 0:
             self._rows[entry.line] = msgspec.structs.replace(row, holder=entry.life)
         else:
             super()._hold(entry)
 
-    def claimed(self, claim: Claim) -> Claimed:
-        return Claimed.OPEN if self.holder(claim.line) == 0 else super().claimed(claim)
+    def claimed(self, claim: LeaseRequest) -> LeaseStatus:
+        return LeaseStatus.OPEN if self.holder(claim.line) == 0 else super().claimed(claim)
 
 
-class LostForgotten(Record):
+class LostForgotten(ReplicatedLedger):
     """A snapshot does not say which edges are lost."""
 
     def dump(self) -> bytes:
@@ -896,7 +949,7 @@
         return raw
 
 
-class BegunForgotten(Record):
+class BegunForgotten(ReplicatedLedger):
     """A snapshot does not say what was begun."""
 
     def load(self, raw: bytes) -> None:
@@ -906,96 +959,96 @@
         self._begun = 0
 
 
-class GoneTakenBack(Record):
+class GoneTakenBack(ReplicatedLedger):
     """What runs after all is gone no more."""
 
-    def _change(self, dot: Dot, first: int, fate: Fate) -> None:
-        row = self._row(dot.line)
-        if fate is Fate.IN and row.holder:
+    def _change(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
+        row = self._row(write_id.line)
+        if write_status is WriteStatus.IN and row.holder:
             self._spans -= row.spans
-            row = msgspec.structs.replace(row, gone=spans.cut(row.gone, first, dot.number))
+            row = msgspec.structs.replace(row, gone=ranges.cut(row.gone, first, write_id.number))
             self._spans += row.spans
-            self._rows[dot.line] = row
-        super()._change(dot, first, fate)
+            self._rows[write_id.line] = row
+        super()._change(write_id, first, write_status)
 
 
-class InTakenBack(Record):
+class InTakenBack(ReplicatedLedger):
     """What is parked is not in, whatever was said before."""
 
-    def _change(self, dot: Dot, first: int, fate: Fate) -> None:
-        row = self._row(dot.line)
-        if fate is not Fate.IN and row.holder and row.low >= dot.number:
-            self._rows[dot.line] = msgspec.structs.replace(row, low=dot.number - 1)
-        super()._change(dot, first, fate)
+    def _change(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
+        row = self._row(write_id.line)
+        if write_status is not WriteStatus.IN and row.holder and row.low >= write_id.number:
+            self._rows[write_id.line] = msgspec.structs.replace(row, low=write_id.number - 1)
+        super()._change(write_id, first, write_status)
 
 
-class BegunKept(Record):
+class BegunKept(ReplicatedLedger):
     """What is over stays begun."""
 
-    def _change(self, dot: Dot, first: int, fate: Fate) -> None:
-        begun = self._row(dot.line).begun
-        super()._change(dot, first, fate)
-        row = self._row(dot.line)
+    def _change(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
+        begun = self._row(write_id.line).begun
+        super()._change(write_id, first, write_status)
+        row = self._row(write_id.line)
         if row.begun != begun:
-            self._rows[dot.line] = msgspec.structs.replace(row, begun=begun)
+            self._rows[write_id.line] = msgspec.structs.replace(row, begun=begun)
             self._begun += len(begun) - len(row.begun)
 
 
-class BegunClearedEarly(Record):
+class BegunClearedEarly(ReplicatedLedger):
     """A write that is parked counts as not begun."""
 
-    def _change(self, dot: Dot, first: int, fate: Fate) -> None:
-        if fate is Fate.PARKED:
-            self._put(dot.line, self._row(dot.line).without_begun(first, dot.number))
-        super()._change(dot, first, fate)
+    def _change(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
+        if write_status is WriteStatus.PARKED:
+            self._put(write_id.line, self._row(write_id.line).without_begun(first, write_id.number))
+        super()._change(write_id, first, write_status)
 
 
-class LowOverGaps(Record):
+class LowOverGaps(ReplicatedLedger):
     """One that is in means that all before it are over."""
 
-    def _change(self, dot: Dot, first: int, fate: Fate) -> None:
-        super()._change(dot, 1 if fate is Fate.IN else first, fate)
+    def _change(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
+        super()._change(write_id, 1 if write_status is WriteStatus.IN else first, write_status)
 
 
-class BoundIgnored(Record):
+class BoundIgnored(ReplicatedLedger):
     """Whatever comes is kept."""
 
     def _bound(self, *args: Any) -> None:
         return None
 
 
-class ForgetsForRoom(Record):
+class ForgetsForRoom(ReplicatedLedger):
     """Where a line has no more room for ranges, the first of them goes."""
 
-    def _put(self, line: Line, row: Any) -> bool:
+    def _put(self, line: EdgeLog, row: Any) -> bool:
         if len(row.ins) + len(row.gone) > records.RANGES_MOST and row.ins:
             row = msgspec.structs.replace(row, ins=row.ins[1:])
         return super()._put(line, row)
 
 
-class LostRaises(Record):
+class LostRaises(ReplicatedLedger):
     """What it does not expect, it raises at."""
 
-    def _lose(self, entry: Lost) -> None:
+    def _lose(self, entry: EdgeLost) -> None:
         if entry.incarnation:
-            self._rows[Line(entry.edge, entry.incarnation)]
+            self._rows[EdgeLog(entry.edge, entry.incarnation)]
         super()._lose(entry)
 
 
-class LateBegun(Record):
+class LateBegun(ReplicatedLedger):
     """An ask that was taken back can begin again."""
 
     def _undo(self, ask: int) -> None:
         self._undone.pop(ask, None)
 
 
-class JudgedAgain(Record):
+class JudgedAgain(ReplicatedLedger):
     """A word that it never ran is heard as often as it comes."""
 
-    def says(self, told: Told) -> bool:
+    def says(self, told: StatusUpdate) -> bool:
         return super().says(msgspec.structs.replace(told, parking=0))
 
-    def _said(self, entry: Said) -> None:
+    def _said(self, entry: StatusRecord) -> None:
         super()._said(msgspec.structs.replace(entry, parking=0))
 
 
@@ -1003,7 +1056,7 @@
     """IN is told before it is agreed."""
 
     def served(self, call: Call) -> None:
-        self.world.word(In(call.replayed.dot))
+        self.world.word(WriteApplied(call.replayed.write_id))
         self.reply(call, "in")
 
 
@@ -1012,8 +1065,8 @@
 
     def begin(self, call: Call) -> None:
         replayed = call.replayed
-        if self.record.begun(replayed.dot, replayed.life, call.ask) is Begun.OPEN:
-            self.world.word(Begin(replayed.dot, replayed.life, call.ask))
+        if self.record.begun(replayed.write_id, replayed.life, call.ask) is IntentStatus.OPEN:
+            self.world.word(Intent(replayed.write_id, replayed.life, call.ask))
             self.send(call)
         else:
             super().begin(call)
@@ -1024,7 +1077,7 @@
 
     def reply(self, call: Call, answer: str) -> None:
         if answer == "may" and call.replayed.unsafe:
-            self.world.word(Unbegin(call.replayed.dot, call.ask))
+            self.world.word(IntentWithdrawal(call.replayed.write_id, call.ask))
             answer = "not run"
         super().reply(call, answer)
 
@@ -1032,7 +1085,7 @@
 class SendsBefore(Edge):
     """A write does not wait for what it follows."""
 
-    def is_in(self, cause: Cause) -> bool:
+    def is_in(self, dependency: Dependency) -> bool:
         return True
 
 
@@ -1040,7 +1093,7 @@
     """Each try has a key of its own."""
 
     def key(self, one: Kept) -> str:
-        return f"{one.dot} {one.attempt}"
+        return f"{one.write_id} {one.attempt}"
 
 
 class LowOverParked(Edge):
@@ -1077,7 +1130,7 @@
 
 
 def types_of(fault: type[Any]) -> dict[str, Any]:
-    names = {Record: "make", Copy: "copy_type", Edge: "edge_type"}
+    names = {ReplicatedLedger: "make", Copy: "copy_type", Edge: "edge_type"}
     return next({name: fault} for base, name in names.items() if issubclass(fault, base))
 
 
