--- a/tests/test_shared_seal.py
+++ b/tests/test_shared_seal.py
@@ -6,41 +6,56 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from laurelstep.outbox.causes import Cause, Fate
-from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.dependencies import Dependency, WriteStatus
 from laurelstep.outbox.errors import OutboxError
-from laurelstep.outbox.shared.seal import SEALED_MOST, Seal, SealedLengthError, SealError
-from laurelstep.outbox.shared.terms import ASKED_MOST, Answered, Ask, Claim, Claimed, Replayed, Told
+from laurelstep.outbox.shared.message_seal import SEALED_MOST, MessageSeal, SealedLengthError, SealError
+from laurelstep.outbox.shared.messages import (
+    QUERIED_MOST,
+    LeaseRequest,
+    LeaseStatus,
+    QueryReply,
+    ReplayIdentity,
+    ReplayQuery,
+    StatusUpdate,
+)
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
 SECRET = b"of the edges and of the copies"
-SEAL = Seal(SECRET)
+SEAL = MessageSeal(SECRET)
 ALPHABET = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
 
 edges = st.from_regex(r"[a-z0-9][a-z0-9.-]{0,31}", fullmatch=True)
 lives = st.integers(0, (1 << 64) - 1)
 numbers = st.integers(1, (1 << 63) - 1)
-lines = st.builds(Line, edges, lives)
-dots = st.builds(Dot, edges, lives, numbers)
-replays = st.builds(Replayed, dots, lives, st.booleans())
-causes = st.builds(Cause, edges, lives, numbers, st.booleans())
-claims = st.builds(Claim, lines, lives, st.lists(lives, max_size=4).map(tuple), st.booleans())
-tellings = st.builds(Told, dots, st.sampled_from(Fate), lives, st.booleans(), st.booleans())
+lines = st.builds(EdgeLog, edges, lives)
+write_ids = st.builds(WriteId, edges, lives, numbers)
+replays = st.builds(ReplayIdentity, write_ids, lives, st.booleans())
+dependencies = st.builds(Dependency, edges, lives, numbers, st.booleans())
+claims = st.builds(LeaseRequest, lines, lives, st.lists(lives, max_size=4).map(tuple), st.booleans())
+tellings = st.builds(
+    StatusUpdate, write_ids, st.sampled_from(WriteStatus), lives, st.booleans(), st.booleans()
+)
 
 
 def several(one: st.SearchStrategy[object]) -> st.SearchStrategy[tuple[object, ...]]:
     return st.lists(one, max_size=3).map(tuple)
 
 
-asks = st.builds(Ask, several(causes), several(claims), several(tellings))
+asks = st.builds(ReplayQuery, several(dependencies), several(claims), several(tellings))
 answers = st.builds(
-    Answered, several(st.sampled_from(Fate)), several(st.sampled_from(Claimed)), several(st.booleans())
+    QueryReply,
+    several(st.sampled_from(WriteStatus)),
+    several(st.sampled_from(LeaseStatus)),
+    several(st.booleans()),
 )
-DOT = Dot("edge-1", 7, 3)
-REPLAYED = Replayed(DOT, 7, True)
+DOT = WriteId("edge-1", 7, 3)
+REPLAYED = ReplayIdentity(DOT, 7, True)
 
 
 @given(replays, asks, answers)
-def test_what_is_sealed_is_read_as_it_was(replay: Replayed, ask: Ask, answer: Answered) -> None:
+def test_what_is_sealed_is_read_as_it_was(
+    replay: ReplayIdentity, ask: ReplayQuery, answer: QueryReply
+) -> None:
     assert SEAL.open_replayed(SEAL.replayed(replay)) == replay
     sealed = SEAL.ask(ask)
     assert SEAL.open_ask(sealed) == ask
@@ -48,7 +63,7 @@
 
 
 @given(replays, st.data())
-def test_no_bit_of_a_seal_can_be_changed(replay: Replayed, data: st.DataObject) -> None:
+def test_no_bit_of_a_seal_can_be_changed(replay: ReplayIdentity, data: st.DataObject) -> None:
     text = SEAL.replayed(replay)
     at = data.draw(st.integers(0, len(text) - 1))
     other = data.draw(st.sampled_from([one for one in ALPHABET + "+/=~ " if one != text[at]]))
@@ -59,7 +74,7 @@
 def test_each_other_last_character_is_another_text() -> None:
     """Of its bits, those that base64 leaves over are told by no byte."""
     for number in range(1, 400):  # lengths of all three remainders
-        text = SEAL.replayed(Replayed(Dot("e" * (1 + number % 3), 7, number), 7, False))
+        text = SEAL.replayed(ReplayIdentity(WriteId("e" * (1 + number % 3), 7, number), 7, False))
         for other in ALPHABET:
             if other != text[-1]:
                 with pytest.raises(SealError):
@@ -67,7 +82,7 @@
 
 
 @given(asks, st.data())
-def test_a_text_cut_or_longer_is_none(ask: Ask, data: st.DataObject) -> None:
+def test_a_text_cut_or_longer_is_none(ask: ReplayQuery, data: st.DataObject) -> None:
     text = SEAL.ask(ask)
     for other in (text[: data.draw(st.integers(0, len(text) - 1))], text + "A", text + "AAAA", text + "="):
         with pytest.raises(SealError):
@@ -75,8 +90,8 @@
 
 
 def test_one_use_is_no_other() -> None:
-    replay, ask = SEAL.replayed(REPLAYED), SEAL.ask(Ask())
-    answer = SEAL.answered(Answered(), ask)
+    replay, ask = SEAL.replayed(REPLAYED), SEAL.ask(ReplayQuery())
+    answer = SEAL.answered(QueryReply(), ask)
     for text in (ask, answer):
         with pytest.raises(SealError):
             SEAL.open_replayed(text)
@@ -89,32 +104,32 @@
 
 
 def test_an_answer_is_to_its_ask_alone() -> None:
-    mine = SEAL.ask(Ask(fates=(Cause("edge-1", 7, 3),)))
-    others = SEAL.ask(Ask(fates=(Cause("edge-1", 7, 4),)))
-    answer = SEAL.answered(Answered(fates=(Fate.IN,)), others)
+    mine = SEAL.ask(ReplayQuery(write_statuses=(Dependency("edge-1", 7, 3),)))
+    others = SEAL.ask(ReplayQuery(write_statuses=(Dependency("edge-1", 7, 4),)))
+    answer = SEAL.answered(QueryReply(write_statuses=(WriteStatus.IN,)), others)
     with pytest.raises(SealError):
         SEAL.open_answered(answer, mine)
-    assert SEAL.open_answered(answer, others).fates == (Fate.IN,)
+    assert SEAL.open_answered(answer, others).write_statuses == (WriteStatus.IN,)
 
 
 def test_another_secret_opens_nothing() -> None:
-    other = Seal(SECRET + b"!")
+    other = MessageSeal(SECRET + b"!")
     with pytest.raises(SealError):
         other.open_replayed(SEAL.replayed(REPLAYED))
     with pytest.raises(ValueError, match="shorter than 16"):
-        Seal(b"too short")
+        MessageSeal(b"too short")
 
 
 @pytest.mark.parametrize(
     "value",
     [
-        Replayed(Dot("Edge", 7, 3), 7, False),
-        Replayed(Dot("edge", 7, 0), 7, False),
-        Replayed(Dot("edge", -1, 3), 7, False),
-        Replayed(Dot("edge", 7, 3), -1, False),
+        ReplayIdentity(WriteId("Edge", 7, 3), 7, False),
+        ReplayIdentity(WriteId("edge", 7, 0), 7, False),
+        ReplayIdentity(WriteId("edge", -1, 3), 7, False),
+        ReplayIdentity(WriteId("edge", 7, 3), -1, False),
     ],
 )
-def test_what_no_edge_could_say_is_refused_though_it_is_sealed(value: Replayed) -> None:
+def test_what_no_edge_could_say_is_refused_though_it_is_sealed(value: ReplayIdentity) -> None:
     with pytest.raises(SealError, match="can't be read"):
         SEAL.open_replayed(SEAL.replayed(value))
 
@@ -122,32 +137,35 @@
 @pytest.mark.parametrize(
     "ask",
     [
-        Ask(fates=(Cause("edge", 7, 0),)),
-        Ask(claims=(Claim(Line("edge", 7), 8, (-1,)),)),
-        Ask(told=(Told(DOT, Fate.IN, -1),)),
-        Ask(told=(Told(DOT, Fate.UNKNOWN, 7, unbegin=True, parking=-1),)),
+        ReplayQuery(write_statuses=(Dependency("edge", 7, 0),)),
+        ReplayQuery(claims=(LeaseRequest(EdgeLog("edge", 7), 8, (-1,)),)),
+        ReplayQuery(told=(StatusUpdate(DOT, WriteStatus.IN, -1),)),
+        ReplayQuery(told=(StatusUpdate(DOT, WriteStatus.UNKNOWN, 7, unbegin=True, parking=-1),)),
     ],
 )
-def test_an_ask_that_no_edge_could_make_is_refused_though_it_is_sealed(ask: Ask) -> None:
+def test_an_ask_that_no_edge_could_make_is_refused_though_it_is_sealed(ask: ReplayQuery) -> None:
     with pytest.raises(SealError, match="can't be read"):
         SEAL.open_ask(SEAL.ask(ask))
 
 
 def test_more_than_may_be_asked_at_once_is_refused_though_it_is_sealed() -> None:
-    cause = Cause("e", 1, 1)
-    assert len(SEAL.open_ask(SEAL.ask(Ask(fates=(cause,) * ASKED_MOST))).fates) == ASKED_MOST
+    dependency = Dependency("e", 1, 1)
+    assert (
+        len(SEAL.open_ask(SEAL.ask(ReplayQuery(write_statuses=(dependency,) * QUERIED_MOST))).write_statuses)
+        == QUERIED_MOST
+    )
     with pytest.raises(SealError, match="more than"):
-        SEAL.open_ask(SEAL.ask(Ask(fates=(cause,) * (ASKED_MOST + 1))))
+        SEAL.open_ask(SEAL.ask(ReplayQuery(write_statuses=(dependency,) * (QUERIED_MOST + 1))))
 
 
 def test_a_full_ask_fits_and_what_does_not_is_not_sealed() -> None:
     edge, last = "e" * 32, (1 << 64) - 1
-    claim = Claim(Line(edge, last), last, (last,) * 32, True)
-    told = Told(Dot(edge, last, (1 << 63) - 1), Fate.PARKED, last, True, True)
-    full = Ask((Cause(edge, last, (1 << 63) - 1, True),) * 16, (claim,) * 16, (told,) * 16)
+    claim = LeaseRequest(EdgeLog(edge, last), last, (last,) * 32, True)
+    told = StatusUpdate(WriteId(edge, last, (1 << 63) - 1), WriteStatus.PARKED, last, True, True)
+    full = ReplayQuery((Dependency(edge, last, (1 << 63) - 1, True),) * 16, (claim,) * 16, (told,) * 16)
     assert len(SEAL.ask(full)) <= SEALED_MOST
     with pytest.raises(SealedLengthError):
-        SEAL.ask(Ask(claims=(Claim(Line(edge, last), last, (last,) * 2000),)))
+        SEAL.ask(ReplayQuery(claims=(LeaseRequest(EdgeLog(edge, last), last, (last,) * 2000),)))
     with pytest.raises(SealError, match="longer"):
         SEAL.open_ask("A" * (SEALED_MOST + 1))
 
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -27,9 +27,9 @@
 from laurelstep.engine import Ending
 from laurelstep.library import Request
 from laurelstep.orders.book import ANSWERED, order_key
-from laurelstep.outbox.journal import FINAL, Moved
-from laurelstep.outbox.journal import State as WriteState
-from laurelstep.outbox.store import FailedToKeepError, KeptStore
+from laurelstep.outbox.queue_store import FailedToKeepError, QueueStore
+from laurelstep.outbox.records import FINAL, StateChange
+from laurelstep.outbox.records import WriteState as WriteState
 from laurelstep.store import Options, Store, StoreError, StoreUnavailableError
 from laurelstep.store.manifest import MANIFEST, segment_name
 from laurelstep.store.store import BACKOFF_MOST_S
@@ -441,13 +441,13 @@
 @pytest.fixture
 def short_ahead(monkeypatch: pytest.MonkeyPatch) -> None:
     """A log whose every byte can be cut in a moment: few zeros ahead of its end."""
-    monkeypatch.setattr("laurelstep.outbox.store.Options", functools.partial(Options, ahead_bytes=64))
+    monkeypatch.setattr("laurelstep.outbox.queue_store.Options", functools.partial(Options, ahead_bytes=64))
     monkeypatch.setattr(embedded, "OPTIONS", replace(embedded.OPTIONS, ahead_bytes=64, segment_bytes=1_000))
 
 
 @contextlib.asynccontextmanager
-async def kept_store(disk: SimulatedDisk, times: Times | None = None) -> AsyncIterator[KeptStore]:
-    store = await KeptStore.open(disk, MOST)
+async def kept_store(disk: SimulatedDisk, times: Times | None = None) -> AsyncIterator[QueueStore]:
+    store = await QueueStore.open(disk, MOST)
     store.store.clock = (times or Times()).clock
     try:
         yield store
@@ -467,14 +467,14 @@
             kept = [made(1, 100), made(2, 200_000)]
             for one in kept:
                 await store.keep(*one)
-            await store.move(Moved(kept[0][0].dot, WriteState.OUT))
+            await store.move(StateChange(kept[0][0].write_id, WriteState.OUT))
             disk.break_down(error, *operations)
             for n in (3, 4):
                 with pytest.raises(FailedToKeepError):
                     await store.keep(*made(n, 200_000))
                 with pytest.raises(StoreError):
-                    await store.move(Moved(kept[0][0].dot, WriteState.DONE))
-                assert not await store.forget(kept[1][0].dot, kept[1][0].size)
+                    await store.move(StateChange(kept[0][0].write_id, WriteState.DONE))
+                assert not await store.forget(kept[1][0].write_id, kept[1][0].size)
                 times.seconds += BACKOFF_MOST_S / 3
             during = disk.kill()
             disk.mend()
@@ -482,7 +482,7 @@
             await store.keep(*made(5, 70_000))
             kept.append(made(5, 70_000))
             for one in kept:
-                assert await store.read(one[0].dot) == one
+                assert await store.read(one[0].write_id) == one
         for after in deaths(disk, 8):
             assert await read_kept(after) == [*kept]
         during.mend()
@@ -496,7 +496,7 @@
 async def read_kept(disk: SimulatedDisk) -> list[Any]:
     """As a life finds it, with its body."""
     async with kept_store(disk) as store:
-        return [await store.read(one.dot) for one, _ in (await store.load()).writes]
+        return [await store.read(one.write_id) for one, _ in (await store.load()).writes]
 
 
 @pytest.mark.usefixtures("short_ahead")
@@ -507,27 +507,29 @@
             await store.load()
             for n in range(1, 4):
                 await store.keep(*made(n, 30 * n))
-                disk.mark("kept", made(n, 0)[0].dot)
+                disk.mark("kept", made(n, 0)[0].write_id)
             for n in (1, 2):
                 for state in (WriteState.OUT, WriteState.DONE):
-                    await store.move(Moved(made(n, 0)[0].dot, state))
-                    disk.mark(state.name, made(n, 0)[0].dot)
-            disk.mark("forgetting", made(1, 0)[0].dot)
-            assert await store.forget(made(1, 0)[0].dot, 0)
-            disk.mark("forgotten", made(1, 0)[0].dot)
+                    await store.move(StateChange(made(n, 0)[0].write_id, state))
+                    disk.mark(state.name, made(n, 0)[0].write_id)
+            disk.mark("forgetting", made(1, 0)[0].write_id)
+            assert await store.forget(made(1, 0)[0].write_id, 0)
+            disk.mark("forgotten", made(1, 0)[0].write_id)
         seen = 0
         for before, broken in cuts(disk.journal):
             async with kept_store(broken) as store:
-                writes = {one.dot: moved for one, moved in (await store.load()).writes}
-            for dot in marks(before, "kept"):
-                if dot in marks(before, "forgotten"):
-                    assert dot not in writes
-                elif dot not in marks(before, "forgetting"):
-                    assert dot in writes
-                if dot in writes and dot in marks(before, "OUT"):
-                    assert writes[dot] is not None, "it was sent, and is not sent as if it never had been"
-                if dot in writes and dot in marks(before, "DONE"):
-                    moved = writes[dot]
+                writes = {one.write_id: moved for one, moved in (await store.load()).writes}
+            for write_id in marks(before, "kept"):
+                if write_id in marks(before, "forgotten"):
+                    assert write_id not in writes
+                elif write_id not in marks(before, "forgetting"):
+                    assert write_id in writes
+                if write_id in writes and write_id in marks(before, "OUT"):
+                    assert writes[write_id] is not None, (
+                        "it was sent, and is not sent as if it never had been"
+                    )
+                if write_id in writes and write_id in marks(before, "DONE"):
+                    moved = writes[write_id]
                     assert moved is not None and moved.state in FINAL
             seen += 1
         assert seen > 800
@@ -544,10 +546,10 @@
             await store.load()
             write, body = made(1, 10)
             await store.keep(write, body)
-            await store.move(Moved(write.dot, WriteState.DONE))
+            await store.move(StateChange(write.write_id, WriteState.DONE))
             store.store.options = replace(store.store.options, batch_records=1)  # each change by itself
             begun = len(disk.journal)
-            assert await store.forget(write.dot, 0)
+            assert await store.forget(write.write_id, 0)
             calls = disk.journal
         for end in range(begun, len(calls)):
             async with kept_store(SimulatedDisk.replay(calls[:end]).lose_power(all_=True)) as store:
