--- a/laurelstep/outbox/bodies.py
+++ b/laurelstep/outbox/bodies.py
@@ -30,8 +30,9 @@
 from laurelstep.engine.ports import Recorded
 from laurelstep.orders.book import DIGEST_SIZE, another_body, digest_of
 from laurelstep.outbox.errors import OutboxError
+from laurelstep.outbox.intake import RETRY_US
+from laurelstep.outbox.messages import WriteTicket
 from laurelstep.outbox.options import CHUNK
-from laurelstep.outbox.outbox import RETRY_US, WriteTicket
 from laurelstep.outbox.queue_store import FailedToKeepError
 from laurelstep.outbox.records import QueuedWrite
 from laurelstep.outbox.write_ids import WriteId
--- a/laurelstep/outbox/dependencies.py
+++ b/laurelstep/outbox/dependencies.py
@@ -97,9 +97,9 @@
     """What is known of a write that is not of this edge's own lines."""
 
     UNKNOWN = 0
-    IN = 1  # its effect is upstream
+    APPLIED = 1  # its effect is upstream
     PARKED = 2  # it waits for an operator at its edge
-    GONE = 3  # given up, or lost with its edge
+    ABANDONED = 3  # given up, or lost with its edge
 
 
 class VersionVector(Protocol):
--- a/laurelstep/outbox/dependency_tracker.py
+++ b/laurelstep/outbox/dependency_tracker.py
@@ -210,9 +210,9 @@
         if node >= 0:
             return node
         write_status = self.version_vector.write_status(dependency)
-        if write_status is WriteStatus.GONE:
+        if write_status is WriteStatus.ABANDONED:
             self._orphan(row)
-        if write_status in (WriteStatus.IN, WriteStatus.GONE):
+        if write_status in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
             return -1
         node = self._graph.add()
         self._rows.clear(node, FOREIGN)
@@ -295,7 +295,10 @@
             self._excused.discard(row)
             self._withheld.discard(packed)
             self._over_now.append(
-                (self._write_id_of(row), WriteStatus.GONE if packed in self._given_up else WriteStatus.IN)
+                (
+                    self._write_id_of(row),
+                    WriteStatus.ABANDONED if packed in self._given_up else WriteStatus.APPLIED,
+                )
             )
             self._open.drop(packed)
             for places, name in ((self._sessions, rows.session[row]), (self._objects, rows.obj[row])):
--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -494,7 +494,7 @@
         if teller is None or not over:
             self.by_gate.clear()  # what is over later is told once more than it need be
             return
-        gone = [one for one in over if one[1] is WriteStatus.GONE]
+        gone = [one for one in over if one[1] is WriteStatus.ABANDONED]
         self.untold = [
             (write_id, write_status)
             for write_id, write_status in gone
@@ -505,7 +505,7 @@
                 if number := self.outbox.low(line):
                     teller.low(line, number)
         for write_id, write_status in over:
-            if write_status is WriteStatus.GONE:
+            if write_status is WriteStatus.ABANDONED:
                 continue
             if write_id in self.by_gate:
                 self.by_gate.discard(write_id)
--- a/laurelstep/outbox/options.py
+++ b/laurelstep/outbox/options.py
@@ -11,7 +11,7 @@
 # `keyed`: told apart by its key, within the class's scope and window. `unsafe`: one send, ever.
 How = Literal["keyed", "unsafe"]
 # What becomes of the followers of an edge that is declared lost.
-EdgeLost = Literal["park", "release"]
+OrphanPolicy = Literal["park", "release"]
 
 # What the endpoints of an edge are: servers, or copies of this program that share what is in.
 Upstream = Literal["servers", "copies"]
@@ -46,7 +46,7 @@
     back_us: int = 1_000_000
     replay_most: int = 8
     send_us: int = 30_000_000  # the longest deadline of the classes that are kept
-    lost: EdgeLost = "park"
+    lost: OrphanPolicy = "park"
     upstream: Upstream = "servers"
     shared: bool = False  # this copy shares with the others of its tier which writes of edges are in
 
--- a/laurelstep/outbox/shared/edge.py
+++ b/laurelstep/outbox/shared/edge.py
@@ -52,7 +52,7 @@
 # last that asked.
 KNOWN_MOST: Final = 16
 
-FINAL_FATES: Final = (WriteStatus.IN, WriteStatus.GONE)
+FINAL_FATES: Final = (WriteStatus.APPLIED, WriteStatus.ABANDONED)
 
 _K = TypeVar("_K", Dependency, EdgeLog)
 
@@ -197,7 +197,7 @@
     def tell(self, write_id: WriteId, write_status: WriteStatus) -> bool:
         """What became of an own write: UNKNOWN if it is parked no more. False if there is no room."""
         dependency = Dependency(*write_id)
-        if write_status is WriteStatus.IN and write_id.number <= self._told_low.get(write_id.line, 0):
+        if write_status is WriteStatus.APPLIED and write_id.number <= self._told_low.get(write_id.line, 0):
             self._unsay(dependency)
             return True
         before = self._said.get(dependency)
@@ -205,7 +205,7 @@
             return True
         if not self._room(dependency, write_status):
             return False
-        if write_status is WriteStatus.GONE:
+        if write_status is WriteStatus.ABANDONED:
             self._ungiven.setdefault(write_id.line, set()).add(write_id.number)
         self._say(dependency, StatusUpdate(write_id, write_status, self.life))
         return True
@@ -224,7 +224,7 @@
             return True
         self._low[line] = number
         dependency = Dependency(*line, 0, True)
-        told = StatusUpdate(WriteId(*line, number), WriteStatus.IN, self.life, before=True)
+        told = StatusUpdate(WriteId(*line, number), WriteStatus.APPLIED, self.life, before=True)
         if self._has_told_gone(line):
             self._said[dependency] = told  # rule 5
         else:
@@ -236,7 +236,7 @@
 
     def _has_told_gone(self, line: EdgeLog) -> bool:
         return any(
-            told.write_status is WriteStatus.GONE
+            told.write_status is WriteStatus.ABANDONED
             and told.write_id.line == line
             and dependency not in self._untold
             for dependency, told in self._said.items()
@@ -250,7 +250,7 @@
         if write_status not in FINAL_FATES:
             return False
         for one, told in self._said.items():
-            known = one not in self._untold and told.write_status is WriteStatus.GONE
+            known = one not in self._untold and told.write_status is WriteStatus.ABANDONED
             if known or told.write_status is WriteStatus.PARKED or one.line in self._fenced:
                 self._unsay(one)
                 return True
@@ -347,7 +347,7 @@
         """Rule 5."""
         for dependency, told in self._said.items():
             self._untold.add(dependency)
-            if told.write_status is WriteStatus.GONE:
+            if told.write_status is WriteStatus.ABANDONED:
                 self._ungiven.setdefault(dependency.line, set()).add(dependency.number)
             if dependency.line in self._held:
                 self._tells.add(dependency, urgent=False)
@@ -387,9 +387,9 @@
     def _learn(self, dependency: Dependency, write_status: WriteStatus, news: QueryOutcome) -> bool:
         before = self.write_status(dependency)
         if self._own(dependency.line):
-            if write_status is WriteStatus.IN and not dependency.before:
+            if write_status is WriteStatus.APPLIED and not dependency.before:
                 news.own_in.append(dependency.write_id)
-            return write_status is WriteStatus.IN
+            return write_status is WriteStatus.APPLIED
         if before in FINAL_FATES or write_status is before:
             if before in FINAL_FATES:
                 self._asked.drop(dependency)
@@ -455,7 +455,7 @@
             dependency
             for dependency, told in self._said.items()
             if dependency.line == write_id.line and not dependency.before
-            and dependency.number <= write_id.number and told.write_status is WriteStatus.IN
+            and dependency.number <= write_id.number and told.write_status is WriteStatus.APPLIED
         ]  # fmt: skip
         for dependency in below:
             self._unsay(dependency)
--- a/laurelstep/outbox/shared/ledger.py
+++ b/laurelstep/outbox/shared/ledger.py
@@ -84,18 +84,18 @@
 
     def write_status(self, number: int) -> WriteStatus:
         if has(self.gone, number):
-            return WriteStatus.GONE
+            return WriteStatus.ABANDONED
         if number <= self.low or has(self.ins, number):
-            return WriteStatus.IN
+            return WriteStatus.APPLIED
         if self.holder == 0:
-            return WriteStatus.GONE
+            return WriteStatus.ABANDONED
         return WriteStatus.PARKED if has(self.parked, number) else WriteStatus.UNKNOWN
 
     def fate_up_to(self, number: int) -> WriteStatus:
         if number <= self.low:
-            return WriteStatus.IN
+            return WriteStatus.APPLIED
         if self.holder == 0:
-            return WriteStatus.GONE
+            return WriteStatus.ABANDONED
         return WriteStatus.PARKED if self.parked and self.parked[0][0] <= number else WriteStatus.UNKNOWN
 
     def begun_by(self, number: int) -> int:
@@ -126,7 +126,7 @@
         """All of first..last that are not over have become `fate`, which is in or gone."""
         ins, gone = self.ins, self.gone
         for start, end in missing(self.gone, max(first, self.low + 1), last):
-            if write_status is WriteStatus.IN:
+            if write_status is WriteStatus.APPLIED:
                 ins = add(ins, start, end)
             else:
                 for one in missing(self.ins, start, end):
@@ -215,9 +215,9 @@
     def begun(self, write_id: WriteId, life: int, ask: int) -> IntentStatus:
         row = self._row(write_id.line)
         write_status = row.write_status(write_id.number)
-        if write_status is WriteStatus.IN:
-            return IntentStatus.IN
-        if write_status is WriteStatus.GONE or row.holder != life:
+        if write_status is WriteStatus.APPLIED:
+            return IntentStatus.APPLIED
+        if write_status is WriteStatus.ABANDONED or row.holder != life:
             return IntentStatus.FENCED
         by = row.begun_by(write_id.number)
         if by == 0:
@@ -237,7 +237,7 @@
         """True of what is over, also if it was told to be over otherwise: that is final."""
         row, number = self._row(told.write_id.line), told.write_id.number
         write_status = row.fate_up_to(number) if told.before else row.write_status(number)
-        if write_status in (WriteStatus.IN, WriteStatus.GONE):
+        if write_status in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
             return True
         if told.unbegin and told.parking:
             return row.resolved(number) >= told.parking
@@ -293,7 +293,7 @@
             case IntentWithdrawal():
                 self._unbegin(entry)
             case WriteApplied():
-                self._change(entry.write_id, entry.write_id.number, WriteStatus.IN)
+                self._change(entry.write_id, entry.write_id.number, WriteStatus.APPLIED)
             case LogLease():
                 self._hold(entry)
             case StatusRecord():
@@ -344,7 +344,7 @@
         number, resolved = entry.write_id.number, row.resolved(entry.write_id.number)
         if row.begun_by(number) != entry.ask or 0 < entry.parking <= resolved:
             return False
-        if row.write_status(number) in (WriteStatus.IN, WriteStatus.GONE):
+        if row.write_status(number) in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
             return True
         if not self._put(entry.write_id.line, row.with_begun(number, 0, max(resolved, entry.parking))):
             return False
@@ -357,7 +357,7 @@
         row = self._row(write_id.line)
         if row.holder == 0:
             return
-        if write_status in (WriteStatus.IN, WriteStatus.GONE):
+        if write_status in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
             self._put(write_id.line, row.over(first, write_id.number, write_status))
             return
         parked = cut(row.parked, first, write_id.number)
--- a/laurelstep/outbox/shared/messages.py
+++ b/laurelstep/outbox/shared/messages.py
@@ -62,8 +62,8 @@
 class StatusUpdate(msgspec.Struct, array_like=True, frozen=True):
     """What the holder of a line says of one write, or with `before` of all up to it.
 
-    `UNKNOWN`: it waits at its edge (parked no more). `IN`, `GONE`: final. `unbegin`: an operator said that it
-    never ran, of this `parking` of it: one that comes late says nothing of what began since."""
+    `UNKNOWN`: it waits at its edge (parked no more). `APPLIED`, `ABANDONED`: final. `unbegin`: an operator
+    said that it never ran, of this `parking` of it: one that comes late says nothing of what began since."""
 
     write_id: WriteId
     write_status: WriteStatus
@@ -103,7 +103,7 @@
     OPEN = 0  # nobody's
     MINE = 1  # this ask may send it
     OTHERS = 2  # another ask may have sent it: it may have run
-    IN = 3
+    APPLIED = 3
     FENCED = 4  # the line is another life's, lost, or gone
 
 
--- a/laurelstep/outbox/shared/replay_gate.py
+++ b/laurelstep/outbox/shared/replay_gate.py
@@ -159,7 +159,7 @@
         if not self.sharer.ready:
             return self._refusal()
         begun = self.record.begun(hand.write_id, hand.life, hand.ask)
-        if begun is IntentStatus.IN:
+        if begun is IntentStatus.APPLIED:
             self.counters["in"] += 1
             return Answer(Ending.SERVED, 200, ((FATE_HEADER, b"in"),))
         if begun is IntentStatus.FENCED:
@@ -219,12 +219,12 @@
         dependency = Dependency(*hand.write_id)
 
         def over() -> bool:
-            return self.record.write_status(dependency) in (WriteStatus.IN, WriteStatus.GONE)
+            return self.record.write_status(dependency) in (WriteStatus.APPLIED, WriteStatus.ABANDONED)
 
         entry = WriteApplied(hand.write_id)
         if (
             await self._agree(entry, over, self._until(hand.call))
-            and self.record.write_status(dependency) is WriteStatus.IN
+            and self.record.write_status(dependency) is WriteStatus.APPLIED
         ):
             engine.deliver(hand.call, answer)
             return
--- a/laurelstep/outbox/shared/replicated_version_vector.py
+++ b/laurelstep/outbox/shared/replicated_version_vector.py
@@ -99,7 +99,7 @@
         return True
 
     def low(self, line: EdgeLog, number: int) -> bool:
-        self.said[Dependency(*line, 0, True)] = WriteId(*line, number), WriteStatus.IN
+        self.said[Dependency(*line, 0, True)] = WriteId(*line, number), WriteStatus.APPLIED
         self._want(line)
         return True
 
@@ -150,7 +150,7 @@
         waiting = {
             dependency.line
             for dependency, (_, write_status) in self.said.items()
-            if write_status is WriteStatus.GONE
+            if write_status is WriteStatus.ABANDONED
         }
         for dependency in list(self.said):
             if not (dependency.before and dependency.line in waiting):
--- a/laurelstep/outbox/version_vector.py
+++ b/laurelstep/outbox/version_vector.py
@@ -15,8 +15,8 @@
     """A `VersionVector` through which others hear of this process's writes. It may hear the same again."""
 
     def tell(self, write_id: WriteId, write_status: WriteStatus) -> bool:
-        """What became of an own write. `IN`, `GONE`: over, with all that it follows. `UNKNOWN`: parked no
-        more. False if there is no room: it is told again later."""
+        """What became of an own write. `APPLIED`, `ABANDONED`: over, with all that it follows. `UNKNOWN`:
+        parked no more. False if there is no room: it is told again later."""
 
     def low(self, line: EdgeLog, number: int) -> bool:
         """All of an own line up to a number are over. Those given up were told before."""
--- a/laurelstep/settings/operator.py
+++ b/laurelstep/settings/operator.py
@@ -17,8 +17,8 @@
 from laurelstep.accord.options import AccordSettings, LinkKind, problem_of, seats_for
 from laurelstep.orders.book import OrderClass, Orders
 from laurelstep.outbox.options import (
-    EdgeLost,
     How,
+    OrphanPolicy,
     OutboxSettings,
     QueuedClass,
     Upstream,
@@ -44,7 +44,7 @@
     "seats": tuple(map(str, get_args(Seats))),
     "start_alone": get_args(StartAlone),
     "keep": get_args(How),
-    "lost": get_args(EdgeLost),
+    "lost": get_args(OrphanPolicy),
     "upstream": get_args(Upstream),
 }
 
@@ -343,7 +343,7 @@
     cut_ms: Annotated[int, msgspec.Meta(ge=100)] = 3_000
     back_ms: Annotated[int, msgspec.Meta(ge=10)] = 1_000
     replay_most: Annotated[int, msgspec.Meta(ge=1, le=1024)] = 8
-    lost: EdgeLost = "park"
+    lost: OrphanPolicy = "park"
     upstream: Upstream = "servers"
     shared: bool = False
 
--- a/tests/test_outbox.py
+++ b/tests/test_outbox.py
@@ -77,7 +77,7 @@
         return not known
 
     def tell(self, write_id: WriteId, write_status: WriteStatus) -> None:
-        if self._told.get(write_id) not in (WriteStatus.IN, WriteStatus.GONE):
+        if self._told.get(write_id) not in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
             self._told[write_id] = write_status
 
     def write_status(self, dependency: Dependency) -> WriteStatus:
@@ -86,10 +86,10 @@
             if dependency.before
             else self._told.get(dependency.write_id, WriteStatus.UNKNOWN)
         )
-        if told is WriteStatus.IN:
+        if told is WriteStatus.APPLIED:
             return told
         gone = dependency.edge in self.lost_edges or dependency.line in self.lost_lines
-        return WriteStatus.GONE if gone else told
+        return WriteStatus.ABANDONED if gone else told
 
     def holds(self, line: EdgeLog) -> bool:
         return True
@@ -256,7 +256,7 @@
     follower = desk.keep(follows=TOKENS.receipt(ticket.write_id))
     for dependency in edges:
         assert desk.due() == []
-        desk.known.write_statuses[dependency] = WriteStatus.IN
+        desk.known.write_statuses[dependency] = WriteStatus.APPLIED
         desk.outbox.heard(0)
     assert (
         desk.due() == [] and desk.state(ticket.write_id) is WriteState.DONE
@@ -425,7 +425,7 @@
     desk.end(second)
     assert desk.due() == [third]
     assert desk.outbox.must_keep(TOKENS.receipt(abroad)) and not desk.outbox.must_keep(TOKENS.receipt(first))
-    desk.known.write_statuses[Dependency("oak", 1, 4)] = WriteStatus.IN
+    desk.known.write_statuses[Dependency("oak", 1, 4)] = WriteStatus.APPLIED
     desk.outbox.heard(0)
     assert desk.due() == [abroad]
 
@@ -469,7 +469,7 @@
         assert desk.due() == [] and desk.state(third) is WriteState.PARKED
         assert desk.outbox.write_status(second) is WriteStatus.PARKED
         desk.resolve(first, 1, Resolution.RAN)
-        assert desk.outbox.write_status(second) in (WriteStatus.IN, WriteStatus.GONE)
+        assert desk.outbox.write_status(second) in (WriteStatus.APPLIED, WriteStatus.ABANDONED)
         assert desk.due() == [third]
 
 
@@ -478,7 +478,7 @@
     desk = OutboxApi(bounds=OutboxBounds(orphans=orphans))  # type: ignore[arg-type]
     lost, write_id = Dependency("oak", 1, 4), WriteId("oak", 1, 4)
     follower = desk.keep(follows=TOKENS.receipt(write_id))
-    desk.known.write_statuses[lost] = WriteStatus.GONE
+    desk.known.write_statuses[lost] = WriteStatus.ABANDONED
     desk.outbox.heard(0)
     if orphans == "release":
         assert desk.due() == [follower]
@@ -486,11 +486,11 @@
         return
     assert desk.due() == [] and desk.outbox.receipt(follower).reason is ParkingReason.ORPHANED
     again = desk.again(WALL)
-    again.known.write_statuses[lost] = WriteStatus.GONE
+    again.known.write_statuses[lost] = WriteStatus.ABANDONED
     assert again.due() == [] and again.outbox.receipt(follower).parking == 1
     again.resolve(follower, 1, Resolution.NEVER_RAN)
     third = again.again(WALL, EdgeLog("ash", 9))
-    third.known.write_statuses[lost] = WriteStatus.GONE
+    third.known.write_statuses[lost] = WriteStatus.ABANDONED
     third.outbox.heard(0)
     assert third.due() == [follower]  # it is not made an orphan twice
 
@@ -631,16 +631,16 @@
     assert version_vector.write_status(dependency) is WriteStatus.UNKNOWN and version_vector.holds(ASH)
     version_vector.tell(dependency.write_id, WriteStatus.PARKED)
     assert version_vector.write_status(dependency) is WriteStatus.PARKED
-    version_vector.tell(dependency.write_id, WriteStatus.IN)
+    version_vector.tell(dependency.write_id, WriteStatus.APPLIED)
     version_vector.tell(dependency.write_id, WriteStatus.PARKED)  # late
     assert version_vector.declare_lost("oak", 1) and not version_vector.declare_lost("oak", 1)
     assert (
-        version_vector.write_status(dependency) is WriteStatus.IN
-        and version_vector.write_status(Dependency("oak", 1, 5)) is WriteStatus.GONE
+        version_vector.write_status(dependency) is WriteStatus.APPLIED
+        and version_vector.write_status(Dependency("oak", 1, 5)) is WriteStatus.ABANDONED
     )
     assert version_vector.write_status(Dependency("oak", 2, 1)) is WriteStatus.UNKNOWN
     assert version_vector.declare_lost("oak") and not version_vector.declare_lost("oak")
-    assert version_vector.write_status(Dependency("oak", 2, 1, True)) is WriteStatus.GONE
+    assert version_vector.write_status(Dependency("oak", 2, 1, True)) is WriteStatus.ABANDONED
 
 
 def test_one_key_at_two_edges_is_two_writes_under_one_key() -> None:
@@ -656,7 +656,7 @@
     first = desk.keep("album", key=b"k")
     assert desk.due() == [first]
     desk.end(first)
-    assert desk.outbox.over() == [(first, WriteStatus.IN)] and desk.outbox.low(ASH) == 1
+    assert desk.outbox.over() == [(first, WriteStatus.APPLIED)] and desk.outbox.low(ASH) == 1
     assert desk.outbox.forgettable(HOUR - 1) == []
     assert desk.outbox.offer(desk.offer("album", key=b"k"), 0, WALL).known
     assert desk.outbox.forgettable(HOUR) == [first]
--- a/tests/test_outbox_schedules.py
+++ b/tests/test_outbox_schedules.py
@@ -94,12 +94,12 @@
 
     def write_status(self, dependency: Dependency) -> WriteStatus:
         if dependency.edge in self.gone:
-            return WriteStatus.GONE
+            return WriteStatus.ABANDONED
         if not dependency.before:
             return self.write_statuses.get(dependency.write_id, WriteStatus.UNKNOWN)
         low = self.low.get(dependency.line, 0)
         if low >= dependency.number:
-            return WriteStatus.IN
+            return WriteStatus.APPLIED
         return self.held.get(dependency.line, WriteStatus.UNKNOWN)
 
     def learn(self) -> None:
@@ -112,7 +112,7 @@
                     edge.outbox.write_status(WriteId(*line, low + 1)) if low < high else WriteStatus.UNKNOWN
                 )
             for write_id in edge.kept:
-                if self.write_statuses.get(write_id) not in (WriteStatus.IN, WriteStatus.GONE):
+                if self.write_statuses.get(write_id) not in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
                     self.write_statuses[write_id] = edge.outbox.write_status(write_id)
 
     def holds(self, line: EdgeLog) -> bool:
--- a/tests/test_shared_daemon.py
+++ b/tests/test_shared_daemon.py
@@ -157,7 +157,7 @@
         async with copies(tmp_path) as tier:
             assert await tier.replay(0) == (200, "")
             for copy in range(3):
-                await tier.until_fate(copy, Dependency(*DOT), WriteStatus.IN)
+                await tier.until_fate(copy, Dependency(*DOT), WriteStatus.APPLIED)
                 assert await tier.replay(copy) == (200, "in")
             for copy in range(3):
                 await tier.tier.kill(copy)
@@ -236,11 +236,11 @@
     async def main() -> None:
         async with copies(tmp_path) as tier:
             assert await tier.replay(0) == (200, "")
-            await tier.until_fate(2, Dependency(*DOT), WriteStatus.IN)
+            await tier.until_fate(2, Dependency(*DOT), WriteStatus.APPLIED)
             assert (await tier.call(2, "lost?edge=edge-1"))[0] == 202
             other = WriteId("edge-1", LIFE, 4)
             for copy in range(3):
-                await tier.until_fate(copy, Dependency(*other), WriteStatus.GONE)
+                await tier.until_fate(copy, Dependency(*other), WriteStatus.ABANDONED)
                 assert await tier.replay(copy, other) == (503, "fenced")
             assert (await tier.call(2, "lost?edge=edge-1"))[0] == 200
             assert await tier.replay(1) == (200, "in")  # as before: that is final
@@ -253,7 +253,7 @@
                 assert (await tier.call(1, words))[0] == status, words
             life = WriteId("edge-2", LIFE, 1)
             assert (await tier.call(1, f"lost?edge=edge-2&incarnation={LIFE:016x}"))[0] == 202
-            await tier.until_fate(0, Dependency(*life), WriteStatus.GONE)
+            await tier.until_fate(0, Dependency(*life), WriteStatus.ABANDONED)
             assert await tier.replay(0, WriteId("edge-2", LATER_LIFE, 1), life=LATER_LIFE) == (200, "")
 
     play(main())
@@ -278,7 +278,7 @@
             await until(is_done, "the kept one is done")
             own = kept.headers["x-causal-token"]
             (dependency,) = TOKENS.read(own)
-            await tier.until_fate(1, dependency, WriteStatus.IN)
+            await tier.until_fate(1, dependency, WriteStatus.APPLIED)
             assert (await tier.write(1, "put", f"X-Causal-Token: {own}\r\n")).status == 200
             assert tier.ran == 4
 
@@ -297,7 +297,7 @@
             assert await tier.replay(0) == (200, "")
             await tier.tier.start(2)
             (dependency,) = TOKENS.read(kept.headers["x-causal-token"])
-            await tier.until_fate(1, dependency, WriteStatus.IN)
+            await tier.until_fate(1, dependency, WriteStatus.APPLIED)
             assert tier.ran == 2 and (await tier.status(2))["kept"] == 0
 
     play(main())
@@ -309,7 +309,7 @@
     async def main() -> None:
         async with copies(tmp_path, off=0, seats=1) as tier:
             assert await tier.replay(1) == (200, "")
-            await tier.until_fate(2, Dependency(*DOT), WriteStatus.IN)
+            await tier.until_fate(2, Dependency(*DOT), WriteStatus.APPLIED)
             assert await tier.replay(2) == (200, "in") and tier.ran == 1
             found = await tier.exchange(0, f"GET /outbox/shared/{SEAL.ask(ReplayQuery())}")
             assert found.status == 400 and (await tier.call(0, "lost?edge=edge-1"))[0] == 400
--- a/tests/test_shared_edge.py
+++ b/tests/test_shared_edge.py
@@ -164,7 +164,7 @@
     one.record.agree(WriteApplied(dependencies[0].write_id))
     ask = one.must()
     news = one.answer(ask)
-    assert news.changed and one.remote.write_status(dependencies[0]) is WriteStatus.IN
+    assert news.changed and one.remote.write_status(dependencies[0]) is WriteStatus.APPLIED
     assert LEAST_US // 2 <= one.remote.wait(one.now) < LEAST_US
     one.now += LEAST_US
     assert one.must().write_statuses == (dependencies[1],)
@@ -177,7 +177,7 @@
     one.remote.answered(QueryReply((WriteStatus.UNKNOWN,)), one.now)
     assert (
         one.remote.write_status(dependencies[1]) is WriteStatus.UNKNOWN
-        and one.remote.write_status(dependencies[0]) is WriteStatus.IN
+        and one.remote.write_status(dependencies[0]) is WriteStatus.APPLIED
     )
 
 
@@ -305,7 +305,7 @@
     one = Asker()
     assert one.remote.low(OWN, 40)
     for number in range(1, 2 * QUERIED_MOST):
-        assert one.remote.tell(WriteId(*OWN, number), WriteStatus.GONE)
+        assert one.remote.tell(WriteId(*OWN, number), WriteStatus.ABANDONED)
     lost = one.must()
     assert not any(told.before for told in lost.told)
     one.remote.failed(one.now)
@@ -314,18 +314,18 @@
     one.now += MOST_US
     one.until_still()
     assert (
-        one.record.write_status(Dependency(*OWN, 1)) is WriteStatus.GONE
-        and one.record.write_status(Dependency(*OWN, 40)) is WriteStatus.IN
+        one.record.write_status(Dependency(*OWN, 1)) is WriteStatus.ABANDONED
+        and one.record.write_status(Dependency(*OWN, 40)) is WriteStatus.APPLIED
     )
-    assert one.remote.tell(WriteId(*OWN, 40), WriteStatus.IN)  # the number says so
+    assert one.remote.tell(WriteId(*OWN, 40), WriteStatus.APPLIED)  # the number says so
     one.now += MOST_US
     assert one.next() is None
 
 
 def test_all_is_told_again_to_a_record_that_may_be_new() -> None:
     one = Asker()
-    one.remote.tell(WriteId(*OWN, 1), WriteStatus.GONE)
-    one.remote.tell(WriteId(*OWN, 3), WriteStatus.IN)
+    one.remote.tell(WriteId(*OWN, 1), WriteStatus.ABANDONED)
+    one.remote.tell(WriteId(*OWN, 3), WriteStatus.APPLIED)
     one.remote.tell(WriteId(*OWN, 4), WriteStatus.PARKED)
     one.remote.low(OWN, 1)
     one.until_still()
@@ -339,8 +339,8 @@
         one.now += MOST_US
         assert one.now < 10 * AGAIN_US
     assert (
-        one.record.write_status(Dependency(*OWN, 1)) is WriteStatus.GONE
-        and one.record.write_status(Dependency(*OWN, 3)) is WriteStatus.IN
+        one.record.write_status(Dependency(*OWN, 1)) is WriteStatus.ABANDONED
+        and one.record.write_status(Dependency(*OWN, 3)) is WriteStatus.APPLIED
     )
     # Parked no more: told once, and then no more.
     one.remote.tell(WriteId(*OWN, 4), WriteStatus.UNKNOWN)
@@ -395,12 +395,12 @@
         assert one.remote.tell(WriteId(*OWN, number), WriteStatus.PARKED)
     assert not one.remote.tell(WriteId(*OWN, SAID_MOST + 1), WriteStatus.PARKED)
     for number in range(SAID_MOST + 1, 2 * SAID_MOST + 1):
-        assert one.remote.tell(WriteId(*OWN, number), WriteStatus.GONE)
+        assert one.remote.tell(WriteId(*OWN, number), WriteStatus.ABANDONED)
     last = WriteId(*OWN, 2 * SAID_MOST + 1)
-    assert not one.remote.tell(last, WriteStatus.GONE)
+    assert not one.remote.tell(last, WriteStatus.ABANDONED)
     assert len(one.remote._said) == SAID_MOST
     one.until_still()
-    assert one.remote.tell(last, WriteStatus.GONE)  # what the record knows makes room
+    assert one.remote.tell(last, WriteStatus.ABANDONED)  # what the record knows makes room
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -427,11 +427,12 @@
             case 2:
                 write_id = WriteId(*OWN, rng.randrange(low + 1, low + 30))
                 write_status = rng.choice(
-                    (WriteStatus.PARKED, WriteStatus.UNKNOWN, WriteStatus.GONE, WriteStatus.IN)
+                    (WriteStatus.PARKED, WriteStatus.UNKNOWN, WriteStatus.ABANDONED, WriteStatus.APPLIED)
                 )
-                if truth.get(write_id) not in (WriteStatus.IN, WriteStatus.GONE) and one.remote.tell(
-                    write_id, write_status
-                ):
+                if truth.get(write_id) not in (
+                    WriteStatus.APPLIED,
+                    WriteStatus.ABANDONED,
+                ) and one.remote.tell(write_id, write_status):
                     truth[write_id] = write_status
             case 3 if rng.randrange(5) == 0:
                 numbers = [
@@ -459,12 +460,12 @@
                 out is None and max(len(ask.write_statuses), len(ask.claims), len(ask.told)) <= QUERIED_MOST
             )
             assert all(
-                told.write_status is not WriteStatus.IN or not told.before or told.write_id.number <= low
+                told.write_status is not WriteStatus.APPLIED or not told.before or told.write_id.number <= low
                 for told in ask.told
             )
             out = ask
         for dependency, write_status in before.items():
-            if write_status in (WriteStatus.IN, WriteStatus.GONE):
+            if write_status in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
                 assert one.remote.write_status(dependency) is write_status
         before = {dependency: one.remote.write_status(dependency) for dependency in asked}
         assert claimed or not one.remote.holds(FORMER)
@@ -477,18 +478,18 @@
     for dependency in asked:
         known = one.remote.write_status(dependency)
         assert (
-            known is one.record.write_status(dependency) or known is WriteStatus.IN
+            known is one.record.write_status(dependency) or known is WriteStatus.APPLIED
         )  # in a record that was lost
     for write_id, write_status in truth.items():
         expected = (
-            WriteStatus.GONE
-            if write_status is WriteStatus.GONE
-            else WriteStatus.IN
+            WriteStatus.ABANDONED
+            if write_status is WriteStatus.ABANDONED
+            else WriteStatus.APPLIED
             if write_id.number <= low
             else write_status
         )
         assert one.record.write_status(Dependency(*write_id)) is expected, write_id
-    assert one.record.write_status(Dependency(*OWN, low, True)) is WriteStatus.IN or not low
+    assert one.record.write_status(Dependency(*OWN, low, True)) is WriteStatus.APPLIED or not low
     assert one.remote.holds(FORMER) is claimed
 
 
@@ -550,7 +551,7 @@
         found = self.record.begun(one.write_id, one.life, self.asked)
         if found is IntentStatus.FENCED:
             writer.write(answer(503, b"", "X-Kept-Fate: fenced\r\nRetry-After: 1\r\n"))
-        elif found is IntentStatus.IN:
+        elif found is IntentStatus.APPLIED:
             writer.write(answer(200, b"", "X-Kept-Fate: in\r\n"))
         elif found is IntentStatus.OTHERS:
             writer.write(answer(502, b"", "X-Kept-Fate: begun\r\n"))
@@ -847,7 +848,7 @@
             now = one.driver.clock.now()
             assert not outbox.forgettable(now, one.driver._telling)
             one.link(True)
-            await until(lambda: one.copies.record.write_status(Dependency(*first)) is WriteStatus.GONE)
+            await until(lambda: one.copies.record.write_status(Dependency(*first)) is WriteStatus.ABANDONED)
             await until(lambda: not one.driver._telling(first))
             assert outbox.forgettable(one.driver.clock.now(), one.driver._telling) in ([first], [])
 
@@ -1019,7 +1020,7 @@
         self.full = True
 
     def write_status(self, dependency: Dependency) -> WriteStatus:
-        return WriteStatus.GONE
+        return WriteStatus.ABANDONED
 
     def holds(self, line: EdgeLog) -> bool:
         return True
@@ -1069,7 +1070,7 @@
             write_id = WriteId("up", driver.store.incarnation, 1)
             await until(lambda: (write_id, WriteStatus.PARKED) in teller.write_statuses)
             assert driver.resolve(str(write_id), 1, Resolution.GIVE_UP)
-            await until(lambda: (write_id, WriteStatus.GONE) in teller.write_statuses)
+            await until(lambda: (write_id, WriteStatus.ABANDONED) in teller.write_statuses)
             assert not teller.lows  # it would say that the write is in
             teller.full = False
             await until(lambda: teller.lows == {write_id.line: 1})
--- a/tests/test_shared_gate.py
+++ b/tests/test_shared_gate.py
@@ -506,7 +506,7 @@
         assert world.told == [(502, b"")] and world.front.given[0][1].ending is Ending.FAILED
         assert world.write_status() is WriteStatus.UNKNOWN and world.sharer.asked == [WriteApplied(DOT)]
         await world.land()
-        assert world.write_status() is WriteStatus.IN and len(world.told) == 1
+        assert world.write_status() is WriteStatus.APPLIED and len(world.told) == 1
         await world.take(cls)
         assert world.told[1:] == [(200, b"in")] and len(world.upstream.writes) == 1
 
@@ -518,7 +518,7 @@
         await world.take(PUT)
         await world.play()
         await world.land(EdgeLost("edge-1"))
-        assert world.told == [(502, b"")] and world.write_status() is WriteStatus.GONE
+        assert world.told == [(502, b"")] and world.write_status() is WriteStatus.ABANDONED
 
     play(test)
 
@@ -664,7 +664,7 @@
         await world.play()
         world.engine.gone(call)
         await world.land()
-        assert world.write_status() is WriteStatus.IN and world.told == [] and not world.engine.calls
+        assert world.write_status() is WriteStatus.APPLIED and world.told == [] and not world.engine.calls
 
     play(test)
 
@@ -752,7 +752,8 @@
 def test_fates_are_told_in_the_order_in_which_they_are_asked() -> None:
     async def test(world: World) -> None:
         await world.land(
-            WriteApplied(WriteId("edge-2", 5, 1)), StatusRecord(WriteId("edge-2", 5, 2), WriteStatus.GONE, 5)
+            WriteApplied(WriteId("edge-2", 5, 1)),
+            StatusRecord(WriteId("edge-2", 5, 2), WriteStatus.ABANDONED, 5),
         )
         await world.land(StatusRecord(WriteId("edge-2", 5, 3), WriteStatus.PARKED, 5))
         sealed = SEAL.ask(
@@ -762,8 +763,8 @@
         assert told.write_statuses == (
             WriteStatus.UNKNOWN,
             WriteStatus.PARKED,
-            WriteStatus.GONE,
-            WriteStatus.IN,
+            WriteStatus.ABANDONED,
+            WriteStatus.APPLIED,
         )
 
     play(test)
@@ -821,8 +822,8 @@
     async def test(world: World) -> None:
         tellings = (
             StatusUpdate(DOT, WriteStatus.PARKED, LIFE),
-            StatusUpdate(WriteId("edge-1", LIFE, 1), WriteStatus.IN, LIFE, before=True),
-            StatusUpdate(WriteId("edge-1", LIFE, 9), WriteStatus.GONE, LATER_LIFE),
+            StatusUpdate(WriteId("edge-1", LIFE, 1), WriteStatus.APPLIED, LIFE, before=True),
+            StatusUpdate(WriteId("edge-1", LIFE, 9), WriteStatus.ABANDONED, LATER_LIFE),
         )
         sealed = SEAL.ask(ReplayQuery(told=tellings))
         world.gate.ask(Call(-1, 0, sealed.encode(), b"", b"", world.front))
@@ -889,9 +890,9 @@
         await world.land()
         assert not world.gate.lose("edge-1", incarnation)
         await world.take()
-        assert world.told == [(503, b"fenced")] and world.write_status() is WriteStatus.GONE
+        assert world.told == [(503, b"fenced")] and world.write_status() is WriteStatus.ABANDONED
         other = WriteId("edge-1", LATER_LIFE, 1)
-        assert (world.write_status(other) is WriteStatus.GONE) == (not incarnation)
+        assert (world.write_status(other) is WriteStatus.ABANDONED) == (not incarnation)
         status: dict[str, Any] = world.gate.status()
         assert status["ready"] and status["gate"]["fenced"] == 1 and "lines" in status
 
--- a/tests/test_shared_own.py
+++ b/tests/test_shared_own.py
@@ -68,7 +68,7 @@
         assert world.version_vector.write_status(FOREIGN) is WriteStatus.UNKNOWN
         world.sharer.land(WriteApplied(FOREIGN.write_id))
         world.sharer.ready = False
-        assert world.version_vector.write_status(FOREIGN) is WriteStatus.IN
+        assert world.version_vector.write_status(FOREIGN) is WriteStatus.APPLIED
 
     play(test)
 
@@ -160,14 +160,14 @@
         world.version_vector.tell(write_ids[0], WriteStatus.PARKED)  # as it is restored
         world.begin()
         assert world.sharer.asked == [StatusRecord(write_ids[0], WriteStatus.PARKED, 3)]
-        world.version_vector.tell(write_ids[1], WriteStatus.IN)
+        world.version_vector.tell(write_ids[1], WriteStatus.APPLIED)
         world.sharer.ready = False
         await world.turn(2 * TURN_US)
         assert len(world.sharer.asked) == 1
         world.sharer.ready = True
         both = {
             StatusRecord(write_ids[0], WriteStatus.PARKED, 3),
-            StatusRecord(write_ids[1], WriteStatus.IN, 3),
+            StatusRecord(write_ids[1], WriteStatus.APPLIED, 3),
         }
         await world.turn(TURN_US)
         assert set(world.sharer.asked) == both
@@ -177,7 +177,7 @@
         await world.land()
         await world.turn(TURN_US)
         assert (
-            world.version_vector.write_status(Dependency(*write_ids[1])) is WriteStatus.IN
+            world.version_vector.write_status(Dependency(*write_ids[1])) is WriteStatus.APPLIED
             and world.version_vector.said == {}
         )
         world.version_vector.tell(write_ids[0], WriteStatus.UNKNOWN)
@@ -192,15 +192,15 @@
     async def test(world: World) -> None:
         world.begin()
         gone = WriteId(*MINE, 1)
-        assert world.version_vector.tell(gone, WriteStatus.GONE) and world.version_vector.low(MINE, 2)
+        assert world.version_vector.tell(gone, WriteStatus.ABANDONED) and world.version_vector.low(MINE, 2)
         await world.turn(TURN_US)
-        assert world.sharer.asked == [StatusRecord(gone, WriteStatus.GONE, 3)]
+        assert world.sharer.asked == [StatusRecord(gone, WriteStatus.ABANDONED, 3)]
         await world.land()
         await world.turn(TURN_US)
-        assert world.sharer.asked == [StatusRecord(WriteId(*MINE, 2), WriteStatus.IN, 3, True)]
+        assert world.sharer.asked == [StatusRecord(WriteId(*MINE, 2), WriteStatus.APPLIED, 3, True)]
         await world.land()
-        assert world.version_vector.write_status(Dependency(*gone)) is WriteStatus.GONE
-        assert world.version_vector.write_status(Dependency(*MINE, 2)) is WriteStatus.IN
+        assert world.version_vector.write_status(Dependency(*gone)) is WriteStatus.ABANDONED
+        assert world.version_vector.write_status(Dependency(*MINE, 2)) is WriteStatus.APPLIED
 
     play(test)
 
@@ -212,7 +212,7 @@
             assert world.version_vector.tell(WriteId(*MINE, number), WriteStatus.PARKED)
         assert not world.version_vector.tell(WriteId(*MINE, SAID_MOST + 1), WriteStatus.PARKED)
         assert world.version_vector.tell(
-            WriteId(*MINE, 1), WriteStatus.IN
+            WriteId(*MINE, 1), WriteStatus.APPLIED
         )  # what is in it already may change
         await world.turn(TURN_US)
         assert len(world.sharer.asked) == OUT_MOST
@@ -227,7 +227,7 @@
     async def test(world: World) -> None:
         world.sharer.land(EdgeLost("copy-1", OLD.incarnation))
         world.begin(OLD)
-        world.version_vector.tell(WriteId(*OLD, 1), WriteStatus.IN)
+        world.version_vector.tell(WriteId(*OLD, 1), WriteStatus.APPLIED)
         await world.turn(TURN_US)
         assert world.sharer.asked == [] and world.version_vector.said == {}
 
--- a/tests/test_shared_record.py
+++ b/tests/test_shared_record.py
@@ -87,7 +87,7 @@
         IntentWithdrawal(LONG, MOST),
         WriteApplied(LONG),
         LogLease(LONG.line, MOST, MOST, NUMBER_END - 1, True),
-        StatusRecord(LONG, WriteStatus.GONE, MOST, True, MOST, NUMBER_END - 1),
+        StatusRecord(LONG, WriteStatus.ABANDONED, MOST, True, MOST, NUMBER_END - 1),
         EdgeLost(LONG.edge, MOST),
     ],
 )
@@ -110,9 +110,9 @@
         IntentWithdrawal(write_id(1), ID_END),
         LogLease(ASH, 0, 7, 0),
         LogLease(ASH, 9, 7, -1),
-        StatusRecord(write_id(1), WriteStatus.IN, 0),
-        StatusRecord(write_id(1), WriteStatus.IN, 7, False, -1),
-        StatusRecord(write_id(1), WriteStatus.IN, 7, False, 0, -1),
+        StatusRecord(write_id(1), WriteStatus.APPLIED, 0),
+        StatusRecord(write_id(1), WriteStatus.APPLIED, 7, False, -1),
+        StatusRecord(write_id(1), WriteStatus.APPLIED, 7, False, 0, -1),
         EdgeLost("ash", -1),
         EdgeLost(""),
     ],
@@ -192,12 +192,12 @@
 def test_in_comes_in_any_order_and_all_up_to_a_number_once_there_is_no_gap() -> None:
     record = after(WriteApplied(write_id(1)), WriteApplied(write_id(3)))
     assert [write_status(record, n) for n in (1, 2, 3)] == [
-        WriteStatus.IN,
+        WriteStatus.APPLIED,
         WriteStatus.UNKNOWN,
-        WriteStatus.IN,
+        WriteStatus.APPLIED,
     ]
     assert [fate_up_to(record, n) for n in (1, 2, 3)] == [
-        WriteStatus.IN,
+        WriteStatus.APPLIED,
         WriteStatus.UNKNOWN,
         WriteStatus.UNKNOWN,
     ]
@@ -205,10 +205,10 @@
     assert (write_status(record, 2), fate_up_to(record, 3), fate_up_to(record, 1)) == (
         WriteStatus.PARKED,
         WriteStatus.PARKED,
-        WriteStatus.IN,
+        WriteStatus.APPLIED,
     )
-    apply(record, StatusRecord(write_id(2), WriteStatus.GONE, 7))
-    assert (write_status(record, 2), fate_up_to(record, 3)) == (WriteStatus.GONE, WriteStatus.IN)
+    apply(record, StatusRecord(write_id(2), WriteStatus.ABANDONED, 7))
+    assert (write_status(record, 2), fate_up_to(record, 3)) == (WriteStatus.ABANDONED, WriteStatus.APPLIED)
 
 
 def test_parked_is_taken_back_by_its_holder_alone() -> None:
@@ -224,9 +224,9 @@
 
 
 def test_what_is_over_stays_as_it_is() -> None:
-    record = after(WriteApplied(write_id(1)), StatusRecord(write_id(2), WriteStatus.GONE, 7))
+    record = after(WriteApplied(write_id(1)), StatusRecord(write_id(2), WriteStatus.ABANDONED, 7))
     before = record.dump()
-    for told in (WriteStatus.UNKNOWN, WriteStatus.PARKED, WriteStatus.IN, WriteStatus.GONE):
+    for told in (WriteStatus.UNKNOWN, WriteStatus.PARKED, WriteStatus.APPLIED, WriteStatus.ABANDONED):
         apply(
             record,
             StatusRecord(write_id(1), told, 7),
@@ -239,17 +239,17 @@
 
 def test_all_up_to_a_number_is_the_holders_word_and_leaves_gone_ones_gone() -> None:
     record = after(
-        StatusRecord(write_id(3), WriteStatus.GONE, 7),
+        StatusRecord(write_id(3), WriteStatus.ABANDONED, 7),
         StatusRecord(write_id(4), WriteStatus.PARKED, 7),
         Intent(write_id(5), 7, 1),
     )
-    apply(record, StatusRecord(write_id(6), WriteStatus.IN, 9, True))
+    apply(record, StatusRecord(write_id(6), WriteStatus.APPLIED, 9, True))
     assert fate_up_to(record, 6) is WriteStatus.PARKED
-    apply(record, StatusRecord(write_id(6), WriteStatus.IN, 7, True))
-    assert fate_up_to(record, 6) is WriteStatus.IN and fate_up_to(record, 7) is WriteStatus.UNKNOWN
-    assert [write_status(record, n) for n in range(1, 8)] == [WriteStatus.IN] * 2 + [WriteStatus.GONE] + [
-        WriteStatus.IN
-    ] * 3 + [WriteStatus.UNKNOWN]
+    apply(record, StatusRecord(write_id(6), WriteStatus.APPLIED, 7, True))
+    assert fate_up_to(record, 6) is WriteStatus.APPLIED and fate_up_to(record, 7) is WriteStatus.UNKNOWN
+    assert [write_status(record, n) for n in range(1, 8)] == [WriteStatus.APPLIED] * 2 + [
+        WriteStatus.ABANDONED
+    ] + [WriteStatus.APPLIED] * 3 + [WriteStatus.UNKNOWN]
     assert record.status()["begun"] == 0
 
 
@@ -257,16 +257,16 @@
     record = after(WriteApplied(write_id(2)), StatusRecord(write_id(3), WriteStatus.PARKED, 7, True))
     assert [write_status(record, n) for n in (1, 2, 3)] == [
         WriteStatus.PARKED,
-        WriteStatus.IN,
+        WriteStatus.APPLIED,
         WriteStatus.PARKED,
     ]
-    apply(record, StatusRecord(write_id(3), WriteStatus.GONE, 7, True))
+    apply(record, StatusRecord(write_id(3), WriteStatus.ABANDONED, 7, True))
     assert [write_status(record, n) for n in (1, 2, 3)] == [
-        WriteStatus.GONE,
-        WriteStatus.IN,
-        WriteStatus.GONE,
+        WriteStatus.ABANDONED,
+        WriteStatus.APPLIED,
+        WriteStatus.ABANDONED,
     ]
-    assert fate_up_to(record, 3) is WriteStatus.IN
+    assert fate_up_to(record, 3) is WriteStatus.APPLIED
 
 
 # --- Begun --------------------------------------------------------------------------------
@@ -285,9 +285,9 @@
         record.begun(write_id(2), 7, 6) is IntentStatus.OPEN
         and record.begun(write_id(2), 9, 6) is IntentStatus.FENCED
     )
-    apply(record, WriteApplied(write_id(1)), StatusRecord(write_id(2), WriteStatus.GONE, 7))
+    apply(record, WriteApplied(write_id(1)), StatusRecord(write_id(2), WriteStatus.ABANDONED, 7))
     assert (
-        record.begun(write_id(1), 9, 6) is IntentStatus.IN
+        record.begun(write_id(1), 9, 6) is IntentStatus.APPLIED
         and record.begun(write_id(2), 7, 6) is IntentStatus.FENCED
     )
     assert record.status()["begun"] == 0
@@ -436,7 +436,7 @@
         record.begun(write_id(1), 9, 6) is IntentStatus.OTHERS
         and record.begun(write_id(1), 7, 5) is IntentStatus.FENCED
     )
-    assert write_status(apply(record, WriteApplied(write_id(1))), 1) is WriteStatus.IN
+    assert write_status(apply(record, WriteApplied(write_id(1))), 1) is WriteStatus.APPLIED
 
 
 # --- Lost ---------------------------------------------------------------------------------
@@ -452,19 +452,19 @@
         lost,
     )
     assert [write_status(record, n) for n in range(1, 7)] == [
-        WriteStatus.IN,
-        WriteStatus.GONE,
-        WriteStatus.IN,
-    ] + [WriteStatus.GONE] * 3
-    assert (fate_up_to(record, 1), fate_up_to(record, 3)) == (WriteStatus.IN, WriteStatus.GONE)
+        WriteStatus.APPLIED,
+        WriteStatus.ABANDONED,
+        WriteStatus.APPLIED,
+    ] + [WriteStatus.ABANDONED] * 3
+    assert (fate_up_to(record, 1), fate_up_to(record, 3)) == (WriteStatus.APPLIED, WriteStatus.ABANDONED)
     assert record.holder(ASH) == 0 and record.begun(write_id(4), 7, 5) is IntentStatus.FENCED
     before = record.dump()
     apply(
         record,
         WriteApplied(write_id(4)),
         Intent(write_id(6), 7, 1),
-        StatusRecord(write_id(6), WriteStatus.IN, 7),
-        StatusRecord(write_id(6), WriteStatus.IN, 7, True),
+        StatusRecord(write_id(6), WriteStatus.APPLIED, 7),
+        StatusRecord(write_id(6), WriteStatus.APPLIED, 7, True),
         LogLease(ASH, 9, 7, 0, True),
         LogLease(ASH, 9, 0, 0),
         lost,
@@ -478,31 +478,31 @@
     record = after(EdgeLost("ash", 7))
     assert (write_status(record, 1, OTHER), write_status(record, 1)) == (
         WriteStatus.UNKNOWN,
-        WriteStatus.GONE,
+        WriteStatus.ABANDONED,
     )
     apply(record, EdgeLost("ash"))
-    assert write_status(record, 1, OTHER) is WriteStatus.GONE and record.holder(OTHER) == 0
+    assert write_status(record, 1, OTHER) is WriteStatus.ABANDONED and record.holder(OTHER) == 0
     apply(record, WriteApplied(write_id(1, OTHER)), WriteApplied(write_id(1, EdgeLog("birch", 7))))
     assert (
-        write_status(record, 1, OTHER) is WriteStatus.GONE
-        and write_status(record, 1, EdgeLog("birch", 7)) is WriteStatus.IN
+        write_status(record, 1, OTHER) is WriteStatus.ABANDONED
+        and write_status(record, 1, EdgeLog("birch", 7)) is WriteStatus.APPLIED
     )
     again = ReplicatedLedger()
     again.load(record.dump())
-    assert write_status(again, 1, EdgeLog("ash", 99)) is WriteStatus.GONE
+    assert write_status(again, 1, EdgeLog("ash", 99)) is WriteStatus.ABANDONED
 
 
 # --- What is told -------------------------------------------------------------------------
 
 
 def test_it_says_what_was_told_and_what_is_over_whatever_is_told() -> None:
-    record = after(WriteApplied(write_id(1)), StatusRecord(write_id(2), WriteStatus.GONE, 7))
+    record = after(WriteApplied(write_id(1)), StatusRecord(write_id(2), WriteStatus.ABANDONED, 7))
     for told in WriteStatus:
         assert record.says(StatusUpdate(write_id(1), told, 7)) and record.says(
             StatusUpdate(write_id(2), told, 7)
         )
         assert record.said_entry(StatusUpdate(write_id(2), told, 7, True)) is None
-    for told in (WriteStatus.IN, WriteStatus.PARKED, WriteStatus.GONE):
+    for told in (WriteStatus.APPLIED, WriteStatus.PARKED, WriteStatus.ABANDONED):
         one = StatusUpdate(write_id(3), told, 7)
         entry = record.said_entry(one)
         assert not record.says(one) and entry == StatusRecord(write_id(3), told, 7)
@@ -522,12 +522,17 @@
 def test_ranges_of_a_line_have_a_bound_and_what_fills_a_gap_goes_in() -> None:
     record = after(*(WriteApplied(write_id(2 * n)) for n in range(1, records.RANGES_MOST + 1)))
     high = 2 * records.RANGES_MOST + 2
-    refused(record, "ranges", WriteApplied(write_id(high)), StatusRecord(write_id(high), WriteStatus.GONE, 7))
+    refused(
+        record, "ranges", WriteApplied(write_id(high)), StatusRecord(write_id(high), WriteStatus.ABANDONED, 7)
+    )
     assert (
-        write_status(record, high) is WriteStatus.UNKNOWN and write_status(record, high - 2) is WriteStatus.IN
+        write_status(record, high) is WriteStatus.UNKNOWN
+        and write_status(record, high - 2) is WriteStatus.APPLIED
     )
     apply(record, WriteApplied(write_id(3)), WriteApplied(write_id(high)))
-    assert write_status(record, high) is WriteStatus.IN and write_status(record, 2) is WriteStatus.IN
+    assert (
+        write_status(record, high) is WriteStatus.APPLIED and write_status(record, 2) is WriteStatus.APPLIED
+    )
 
 
 def test_parked_ranges_of_a_line_have_a_bound() -> None:
@@ -558,7 +563,7 @@
     )
     assert record.claimed(LeaseRequest(line, 9, (1,))) is LeaseStatus.OPEN
     apply(record, WriteApplied(write_id(2)), EdgeLost("ash"))
-    assert write_status(record, 2) is WriteStatus.IN
+    assert write_status(record, 2) is WriteStatus.APPLIED
 
 
 def test_begun_ones_have_a_bound_over_all_lines() -> None:
@@ -690,12 +695,12 @@
 
     def write_status(self, one: WriteId) -> WriteStatus:
         found = self.write_statuses.get(one, WriteStatus.UNKNOWN)
-        return WriteStatus.GONE if self.is_lost(one.line) and found is not WriteStatus.IN else found
+        return WriteStatus.ABANDONED if self.is_lost(one.line) and found is not WriteStatus.APPLIED else found
 
     def become(self, one: WriteId, new: WriteStatus) -> None:
-        if self.write_status(one) not in (WriteStatus.IN, WriteStatus.GONE):
+        if self.write_status(one) not in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
             self.write_statuses[one] = new
-            if new in (WriteStatus.IN, WriteStatus.GONE):
+            if new in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
                 self.begun.pop(one, None)
                 self.resolved.pop(one, None)
 
@@ -714,7 +719,7 @@
                     del self.begun[one]
                 self.undone.add(entry.ask)
             case WriteApplied(write_id=one):
-                self.become(one, WriteStatus.IN)
+                self.become(one, WriteStatus.APPLIED)
             case LogLease(line=line):
                 if self.holder(line) in (0, entry.life) or self.turns.get(line, 0) != entry.turn:
                     return
@@ -731,7 +736,7 @@
         if entry.ask or entry.parking:
             if self.begun.get(one, 0) != entry.ask or 0 < entry.parking <= self.resolved.get(one, 0):
                 return
-            if self.write_status(one) not in (WriteStatus.IN, WriteStatus.GONE):
+            if self.write_status(one) not in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
                 self.begun.pop(one, None)
                 self.resolved[one] = max(entry.parking, self.resolved.get(one, 0))
                 self.undone.update({entry.ask} - {0})
@@ -745,16 +750,16 @@
         write_statuses = [naive.write_status(write_id(number, line)) for number in range(1, 8)]
         assert [write_status(record, number, line) for number in range(1, 8)] == write_statuses
         for number, found in enumerate(write_statuses, 1):
-            over = all(one in (WriteStatus.IN, WriteStatus.GONE) for one in write_statuses[:number])
+            over = all(one in (WriteStatus.APPLIED, WriteStatus.ABANDONED) for one in write_statuses[:number])
             if not naive.is_lost(line):
                 parked = (
                     WriteStatus.PARKED
                     if WriteStatus.PARKED in write_statuses[:number]
                     else WriteStatus.UNKNOWN
                 )
-                assert fate_up_to(record, number, line) is (WriteStatus.IN if over else parked)
+                assert fate_up_to(record, number, line) is (WriteStatus.APPLIED if over else parked)
             holder, by = naive.holder(line), naive.begun.get(write_id(number, line), 0)
-            if holder and found not in (WriteStatus.IN, WriteStatus.GONE):
+            if holder and found not in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
                 begun = record.begun(write_id(number, line), holder, by or 9)
                 assert begun is (IntentStatus.MINE if by else IntentStatus.OPEN)
 
@@ -802,7 +807,7 @@
     over = {
         dependency: found
         for dependency in dependencies
-        if (found := record.write_status(dependency)) in (WriteStatus.IN, WriteStatus.GONE)
+        if (found := record.write_status(dependency)) in (WriteStatus.APPLIED, WriteStatus.ABANDONED)
     }
     apply(record, *data.draw(st.permutations([*first, *more])))
     assert {dependency: record.write_status(dependency) for dependency in over} == over
@@ -865,7 +870,7 @@
 
     def said(self, entry: LedgerEntry) -> Callable[[], bool]:
         assert isinstance(entry, WriteApplied)
-        return lambda: self.record.write_status(Dependency(*entry.write_id)) is WriteStatus.IN
+        return lambda: self.record.write_status(Dependency(*entry.write_id)) is WriteStatus.APPLIED
 
     def land(self, entry: LedgerEntry) -> None:
         apply(self.record, entry)
@@ -1116,7 +1121,7 @@
         record = self.records[me]
         return self.sharers[me].agree(
             entry,
-            lambda: record.write_status(Dependency(*entry.write_id)) is WriteStatus.IN,
+            lambda: record.write_status(Dependency(*entry.write_id)) is WriteStatus.APPLIED,
             self.clock.now() + within,
         )
 
@@ -1135,7 +1140,9 @@
         futures = [tier.agree(me, WriteApplied(write_id(1 + me))) for me in range(4)]
         await tier.until(lambda: all(one.done() for one in futures))
         assert all(one.result() for one in futures)
-        await tier.until(lambda: all(fate_up_to(one, 4) is WriteStatus.IN for one in tier.records.values()))
+        await tier.until(
+            lambda: all(fate_up_to(one, 4) is WriteStatus.APPLIED for one in tier.records.values())
+        )
         assert len({one.dump() for one in tier.records.values()}) == 1
         # What each proposed, once in the record each; the other part hears its own words alone.
         assert sum(one.counters["proposed"] for one in tier.sharers.values()) == 4
@@ -1201,7 +1208,7 @@
         await tier.start(lone)
         assert not tier.sharers[lone].ready
         await tier.until(lambda: tier.sharers[lone].ready)
-        assert write_status(tier.records[lone], 1) is WriteStatus.IN
+        assert write_status(tier.records[lone], 1) is WriteStatus.APPLIED
         await tier.close()
 
     asyncio.run(main())
--- a/tests/test_shared_schedules.py
+++ b/tests/test_shared_schedules.py
@@ -50,7 +50,7 @@
 
 STEPS = 160
 ROUNDS = 40
-OVER = (WriteStatus.IN, WriteStatus.GONE)
+OVER = (WriteStatus.APPLIED, WriteStatus.ABANDONED)
 
 
 class BrokenError(AssertionError):
@@ -141,11 +141,11 @@
         call = Call(self, edge, attempt, replayed, key, world.draw.getrandbits(63) or 1)
         if not self.ready:
             self.reply(call, "not run")
-        elif self.record.write_status(Dependency(*write_id)) is WriteStatus.IN:
+        elif self.record.write_status(Dependency(*write_id)) is WriteStatus.APPLIED:
             self.reply(call, "in")
         elif (
             self.record.holder(write_id.line) != replayed.life
-            or self.record.write_status(Dependency(*write_id)) is WriteStatus.GONE
+            or self.record.write_status(Dependency(*write_id)) is WriteStatus.ABANDONED
         ):
             self.reply(call, "fenced")
         else:
@@ -175,7 +175,7 @@
                 self.send(call)
             case IntentStatus.OTHERS:
                 self.reply(call, "begun")
-            case IntentStatus.IN:
+            case IntentStatus.APPLIED:
                 self.reply(call, "in")
             case IntentStatus.FENCED:
                 self.take_back(call, "fenced")
@@ -200,9 +200,9 @@
 
     def bring_in(self, call: Call) -> None:
         write_status = self.record.write_status(Dependency(*call.replayed.write_id))
-        if write_status is WriteStatus.IN:
+        if write_status is WriteStatus.APPLIED:
             self.reply(call, "in")
-        elif write_status is WriteStatus.GONE or self.world.draw.random() < self.world.impatience:
+        elif write_status is WriteStatus.ABANDONED or self.world.draw.random() < self.world.impatience:
             self.reply(call, "may")
         else:
             self.world.word(WriteApplied(call.replayed.write_id))
@@ -229,7 +229,7 @@
         record, world = self.record, self.world
         write_statuses = tuple(record.write_status(dependency) for dependency in ask.write_statuses)
         for dependency, write_status in zip(ask.write_statuses, write_statuses, strict=True):
-            if write_status is WriteStatus.IN:
+            if write_status is WriteStatus.APPLIED:
                 world.check_in(dependency, "an ask")
         for entry in (
             *(record.claim_entry(claim) for claim in ask.claims),
@@ -281,7 +281,7 @@
         own = None if dependency.before else self.disk.kept.get(dependency.write_id)
         return (own is not None and own.state == "done") or self.write_statuses.get(
             dependency
-        ) is WriteStatus.IN
+        ) is WriteStatus.APPLIED
 
     def may_send(self, one: Kept) -> bool:
         held = self.claims[one.write_id.line] is LeaseStatus.HELD
@@ -346,7 +346,11 @@
     def to_say(self, one: Kept) -> StatusUpdate | None:
         if one.said or self.claims[one.write_id.line] is not LeaseStatus.HELD:
             return None
-        write_statuses = {"parked": WriteStatus.PARKED, "done": WriteStatus.IN, "gone": WriteStatus.GONE}
+        write_statuses = {
+            "parked": WriteStatus.PARKED,
+            "done": WriteStatus.APPLIED,
+            "gone": WriteStatus.ABANDONED,
+        }
         write_status = write_statuses.get(one.state, WriteStatus.UNKNOWN)
         return StatusUpdate(
             one.write_id, write_status, self.life, False, one.state == "clearing", one.parkings
@@ -356,7 +360,7 @@
         number = 0
         while (one := self.disk.kept.get(WriteId(*line, number + 1))) is not None and self.is_over(one):
             number += 1
-        return StatusUpdate(WriteId(*line, number), WriteStatus.IN, self.life, True) if number else None
+        return StatusUpdate(WriteId(*line, number), WriteStatus.APPLIED, self.life, True) if number else None
 
     def is_over(self, one: Kept) -> bool:
         return one.state == "done" or (one.state == "gone" and one.said)
@@ -642,7 +646,7 @@
 
     def check_in(self, dependency: Dependency, where: str) -> None:
         """Somebody is told that this is in."""
-        if self.truth.write_status(dependency) is not WriteStatus.IN:
+        if self.truth.write_status(dependency) is not WriteStatus.APPLIED:
             raise BrokenError("told", f"{where} says that {dependency} is in, that is not agreed")
         for write_id in self.meant(dependency):
             if not self.has_run(write_id) and not (dependency.before and self.is_given_up(write_id)):
@@ -826,7 +830,8 @@
                 ):
                     continue
                 free = all(
-                    self.truth.write_status(dependency) is WriteStatus.IN for dependency in one.dependencies
+                    self.truth.write_status(dependency) is WriteStatus.APPLIED
+                    for dependency in one.dependencies
                 )
                 if free and edge.claims[one.write_id.line] is not LeaseStatus.FENCED:
                     raise BrokenError("progress", f"{one.write_id} is {one.state} at the end")
@@ -964,7 +969,7 @@
 
     def _change(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
         row = self._row(write_id.line)
-        if write_status is WriteStatus.IN and row.holder:
+        if write_status is WriteStatus.APPLIED and row.holder:
             self._spans -= row.spans
             row = msgspec.structs.replace(row, gone=ranges.cut(row.gone, first, write_id.number))
             self._spans += row.spans
@@ -977,7 +982,7 @@
 
     def _change(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
         row = self._row(write_id.line)
-        if write_status is not WriteStatus.IN and row.holder and row.low >= write_id.number:
+        if write_status is not WriteStatus.APPLIED and row.holder and row.low >= write_id.number:
             self._rows[write_id.line] = msgspec.structs.replace(row, low=write_id.number - 1)
         super()._change(write_id, first, write_status)
 
@@ -1007,7 +1012,7 @@
     """One that is in means that all before it are over."""
 
     def _change(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
-        super()._change(write_id, 1 if write_status is WriteStatus.IN else first, write_status)
+        super()._change(write_id, 1 if write_status is WriteStatus.APPLIED else first, write_status)
 
 
 class BoundIgnored(ReplicatedLedger):
--- a/tests/test_shared_seal.py
+++ b/tests/test_shared_seal.py
@@ -106,10 +106,10 @@
 def test_an_answer_is_to_its_ask_alone() -> None:
     mine = SEAL.ask(ReplayQuery(write_statuses=(Dependency("edge-1", 7, 3),)))
     others = SEAL.ask(ReplayQuery(write_statuses=(Dependency("edge-1", 7, 4),)))
-    answer = SEAL.answered(QueryReply(write_statuses=(WriteStatus.IN,)), others)
+    answer = SEAL.answered(QueryReply(write_statuses=(WriteStatus.APPLIED,)), others)
     with pytest.raises(SealError):
         SEAL.open_answered(answer, mine)
-    assert SEAL.open_answered(answer, others).write_statuses == (WriteStatus.IN,)
+    assert SEAL.open_answered(answer, others).write_statuses == (WriteStatus.APPLIED,)
 
 
 def test_another_secret_opens_nothing() -> None:
@@ -139,7 +139,7 @@
     [
         ReplayQuery(write_statuses=(Dependency("edge", 7, 0),)),
         ReplayQuery(claims=(LeaseRequest(EdgeLog("edge", 7), 8, (-1,)),)),
-        ReplayQuery(told=(StatusUpdate(DOT, WriteStatus.IN, -1),)),
+        ReplayQuery(told=(StatusUpdate(DOT, WriteStatus.APPLIED, -1),)),
         ReplayQuery(told=(StatusUpdate(DOT, WriteStatus.UNKNOWN, 7, unbegin=True, parking=-1),)),
     ],
 )
