--- a/benchmarks/outbox_child.py
+++ b/benchmarks/outbox_child.py
@@ -113,7 +113,7 @@
 async def fill(edge: Edge, first: int, count: int) -> None:
     """As the driver keeps them, without requests: so many would take too long."""
     driver = edge.driver
-    now, wall = driver._now(), time.time_ns() // 1000
+    now, wall = driver.now(), time.time_ns() // 1000
 
     async def one(number: int) -> None:
         offer = WriteOffer(
--- /dev/null
+++ b/laurelstep/outbox/admission.py
@@ -0,0 +1,226 @@
+"""Which requests are kept, and what their clients are told.
+
+A write is durable before its 202 leaves. One that could not be kept gets the answer it would have had; a
+refusal only where no later life can find the write, and a failure that says it may have run otherwise.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Final
+
+import msgspec
+
+from laurelstep.engine.call import Answer, Call, Ending
+from laurelstep.engine.ports import Recorded
+from laurelstep.orders.book import another_body, may_have_run
+from laurelstep.outbox.call_fields import (
+    SEALED,
+    causality_tokens_of,
+    forwarded_headers,
+    object_of,
+    session_of,
+)
+from laurelstep.outbox.errors import (
+    CauseError,
+    FullError,
+    KeepError,
+    OutboxError,
+)
+from laurelstep.outbox.outbox import (
+    WriteOffer,
+    WriteTicket,
+)
+from laurelstep.outbox.queue_store import FailedToKeepError
+from laurelstep.outbox.records import QueuedWrite
+from laurelstep.outbox.replay_driver import TURN_US, ReplayDriver
+from laurelstep.outbox.replay_front import ReplayFront
+from laurelstep.outbox.write_ids import WriteId
+from laurelstep.store import StoreError
+
+JSON: Final = (b"content-type", b"application/json")
+RECEIPTS: Final = b"/outbox/receipts/"
+
+
+class WriteAdmission(ReplayDriver):
+    """The engine's side of one driver: requests that may be kept."""
+
+    def comes_first(self, call: Call) -> bool:
+        if self._passes(call):
+            return False
+        self.aside.live = True
+        if call.cls not in self.classes or self.closing:
+            return False
+        return self.cutoff.off or self._follows(call)
+
+    def _passes(self, call: Call) -> bool:
+        """It is no client's: a replay, an ask, or a replay of another edge."""
+        if call.fate is not None or isinstance(call.front, ReplayFront):
+            return True
+        return self.settings.shared and len(call.causes) > SEALED and bool(call.causes[SEALED])
+
+    def _follows(self, call: Call) -> bool:
+        """Whether it follows what is not known to be in. One whose token can't be read is kept, or
+        rather told so, by `keep`."""
+        named, tenant = (
+            causality_tokens_of(call),
+            self.tenant_names.get(call.tenant, "") if call.tenant else "",
+        )
+        try:
+            if named and self.outbox.must_keep(named):
+                return True
+        except OutboxError:
+            return True
+        session, obj = session_of(call), object_of(call)
+        return bool(session or obj) and self.outbox.has_open(session, obj, tenant)
+
+    def keep(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
+        front = call.front
+        if isinstance(front, ReplayFront):
+            front.never_ran = True  # asked only where it can't have run
+            return False
+        if self._passes(call):
+            return False
+        now = self.now()
+        if answer is not None and answer.ending is Ending.REFUSED:
+            self.outbox.live_refused(now)
+        if call.cls not in self.classes or self.closing or now >= call.expires:
+            return False
+        if self.bodies.size(call) > self.settings.body_bytes or not self.bodies.has_room(call):
+            return self._overtakes(call, answer, engine)
+        try:
+            ticket = self.outbox.offer(self._offer(call), now, self.wall())
+        except CauseError as error:
+            engine.settle(call, Answer(Ending.FAILED, 400, (), f"{error}\n".encode()))
+            return True
+        except FullError as error:
+            if answer is not None and answer.ending is Ending.REFUSED:
+                answer.retry_after_us = max(answer.retry_after_us, error.retry_us)
+            return self._overtakes(call, answer, engine, error.retry_us)
+        except KeepError:
+            return self._overtakes(call, answer, engine)
+        self._take(call, ticket, answer, engine)
+        return True
+
+    def _overtakes(
+        self, call: Call, answer: Answer | None, engine: Recorded, retry_us: int = TURN_US
+    ) -> bool:
+        """It can't be kept: what would go past its causes is refused, and so in hand."""
+        if answer is None and self._follows(call):
+            engine.settle(call, Answer(Ending.REFUSED, 503, retry_after_us=retry_us))
+            return True
+        return False
+
+    def _offer(self, call: Call) -> WriteOffer:
+        headers = forwarded_headers(call.head)
+        return WriteOffer(
+            cls=self.classes[call.cls],
+            start=call.start,
+            headers=headers,
+            size=self.bodies.size(call),
+            digest=b"" if call.upload is not None else self.bodies.digest(call),
+            key=dict(headers).get(b"idempotency-key", b""),
+            session=session_of(call),
+            obj=object_of(call),
+            tenant=self.tenant_names.get(call.tenant, "") if call.tenant else "",
+            named=causality_tokens_of(call),
+        )
+
+    def _take(self, call: Call, ticket: WriteTicket, answer: Answer | None, engine: Recorded) -> None:
+        write_id = ticket.write_id
+        if call.upload is not None:
+            self.bodies.take(call, call.upload, ticket, answer, engine)
+        elif ticket.write is not None:
+            self.storing[write_id] = [call]
+            self.spawn(self._store(call, ticket.write, answer, engine))
+        else:
+            self.answer_repeat(call, write_id, engine)
+
+    def answer_repeat(self, call: Call, write_id: WriteId, engine: Recorded) -> None:
+        if write_id in self.storing:
+            # Compared with the first try, once both are told.
+            self.storing[write_id].append(call)
+        else:
+            self.spawn(self._known(call, write_id, engine))
+
+    async def _known(self, call: Call, write_id: WriteId, engine: Recorded) -> None:
+        """A key that a write has already: the same request gets the same receipt."""
+        digest = self.bodies.digest(call)
+        try:
+            found = await self.store.head(write_id)
+        except (StoreError, OutboxError) as error:
+            self.log(f"outbox: {write_id}: can't be read: {error}")
+            found = None
+        if found is None:
+            engine.settle(call, may_have_run())
+        elif found[0].digest != digest:
+            engine.settle(call, another_body())
+        else:
+            engine.settle(call, self._kept(write_id))
+
+    def left(self, call: Call) -> None:
+        """Found by its being closed, once the store is through; of a body that is coming no more is taken."""
+        self.bodies.left(call)
+
+    async def _store(self, call: Call, write: QueuedWrite, answer: Answer | None, engine: Recorded) -> None:
+        write_id, told = write.write_id, None
+        certain = kept = True
+        try:
+            keeping = self.store.keep(write, call.body)
+            await asyncio.sleep(0)  # what follows is done while the disk works
+            told = self._kept(write_id)
+            await keeping
+            if not any(one.open for one in self.storing[write_id]):
+                kept = not await self.store.forget(write_id, write.size)
+        except StoreError as error:
+            self.log(f"outbox: not kept: {error}")
+            kept, certain = False, isinstance(error, FailedToKeepError) and error.certain
+        self.on_stored(write, kept, certain, answer, engine, told)
+
+    def on_stored(
+        self,
+        write: QueuedWrite,
+        kept: bool,
+        certain: bool,
+        answer: Answer | None,
+        engine: Recorded,
+        told: Answer | None = None,
+    ) -> None:
+        """All that wait for it are told; the first of them `told`, where that is worded already."""
+        write_id = write.write_id
+        waiting = self.storing.pop(write_id)
+        if kept:
+            self.outbox.stored(write_id, self.now())
+            if not self.cutoff.off:  # else nothing but the turn of each second goes out anyway
+                self.wake()
+        else:
+            self.outbox.unstored(write_id, self.now())
+        for place, one in enumerate(waiting):
+            if kept and told is not None and place == 0:
+                engine.settle(one, told)
+                continue
+            digest = self.bodies.digest(one)
+            if not kept:
+                self.answer_unqueued(one, answer, certain, engine)
+            elif digest != write.digest:
+                engine.settle(one, another_body())
+            else:
+                engine.settle(one, self._kept(write_id))
+
+    def answer_unqueued(self, call: Call, answer: Answer | None, certain: bool, engine: Recorded) -> None:
+        if not call.open:
+            return
+        if not certain and (answer is None or answer.ending is Ending.REFUSED):
+            engine.settle(call, may_have_run())
+        elif answer is not None:
+            engine.settle(call, answer)
+        elif (refused := self.bodies.refused(call)) is not None:
+            engine.settle(call, refused)
+        elif not self._overtakes(call, None, engine):
+            engine.admit(call)
+
+    def _kept(self, write_id: WriteId) -> Answer:
+        token = self.tokens.receipt(write_id).encode()
+        told = {"state": "kept", "write": str(write_id), "receipt": token.decode()}
+        headers = (JSON, (b"location", RECEIPTS + token), (b"x-causal-token", token))
+        return Answer(Ending.SERVED, 202, headers, msgspec.json.encode(told) + b"\n")
--- a/laurelstep/outbox/bodies.py
+++ b/laurelstep/outbox/bodies.py
@@ -21,7 +21,7 @@
 import asyncio
 from collections import deque
 from hashlib import blake2b
-from typing import TYPE_CHECKING, Final
+from typing import Final
 
 import msgspec
 
@@ -33,14 +33,13 @@
 from laurelstep.outbox.intake import RETRY_US
 from laurelstep.outbox.messages import WriteTicket
 from laurelstep.outbox.options import CHUNK
+from laurelstep.outbox.ports import OutboxHost
 from laurelstep.outbox.queue_store import FailedToKeepError
 from laurelstep.outbox.records import QueuedWrite
+from laurelstep.outbox.replay_front import ReplayFront
 from laurelstep.outbox.write_ids import WriteId
 from laurelstep.store import StoreError
 
-if TYPE_CHECKING:
-    from laurelstep.outbox.driver import OutboxDriver, ReplayFront
-
 # Parts of one write that are on their way to the disk at a time.
 PUT_MOST: Final = 2
 # Past `HELD_EACH` a write's client is held back, until it is `HELD_LOW` again.
@@ -174,7 +173,7 @@
 class BodySpool:
     """The large bodies of one driver."""
 
-    def __init__(self, driver: OutboxDriver) -> None:
+    def __init__(self, driver: OutboxHost) -> None:
         self.driver = driver
         self.most = driver.settings.body_bytes
         self.held = 0
@@ -206,9 +205,9 @@
         if ticket.write is not None:
             self.stored[ticket.write_id] = body
             self.driver.storing[ticket.write_id] = [call]
-            self.driver._spawn(self._store(body, ticket.write, answer, engine))
+            self.driver.spawn(self._store(body, ticket.write, answer, engine))
         else:
-            self.driver._spawn(self._compare(body, ticket.write_id, answer, engine))
+            self.driver.spawn(self._compare(body, ticket.write_id, answer, engine))
         self.waiting.append(body)
         self._begin()
 
@@ -251,7 +250,7 @@
             del self.stored[write_id]
         body.kept = kept
         self.digests[body.call] = write.digest
-        driver._stored(write, kept, body.certain, answer, engine)
+        driver.on_stored(write, kept, body.certain, answer, engine)
         if not kept:
             await self._clear(write_id, came + PUT_MOST * CHUNK)
 
@@ -279,10 +278,10 @@
         elif not body.whole or not call.open:
             return
         elif first is not None and first.kept is False:
-            self.driver._not_kept(call, answer, first.certain, engine)
+            self.driver.answer_unqueued(call, answer, first.certain, engine)
         else:
             self.digests[call] = body.digest
-            self.driver._repeat(call, write_id, engine)
+            self.driver.answer_repeat(call, write_id, engine)
 
     def refused(self, call: Call) -> Answer | None:
         """Of one that is not kept, and of which nothing was sent; None if it can still be."""
@@ -302,12 +301,12 @@
             write, first = found
             if write.size <= WHOLE_MOST:
                 parts = [first, *[await store.part(write_id, at) for at in range(1, -(-write.size // CHUNK))]]
-                return self.driver._call(write, b"".join(parts), replay)
+                return self.driver.call_of(write, b"".join(parts), replay)
         except (StoreError, OutboxError) as error:
             self.driver.log(f"outbox: {write_id}: can't be read: {error}")
             return None
-        call = self.driver._call(write, b"", replay)
-        now = self.driver._now()
+        call = self.driver.call_of(write, b"", replay)
+        now = self.driver.now()
         call.span = call.expires - now
         call.expires = now + min(PASSING_MOST_US + call.span, self.driver.outbox.left(write_id, now))
         call.upload = Flow(BodyReplay(self, call, write, first), write.size)
--- /dev/null
+++ b/laurelstep/outbox/call_fields.py
@@ -0,0 +1,36 @@
+"""What a call's head says of its place among queued writes. Pure."""
+
+from __future__ import annotations
+
+from typing import Final
+
+from laurelstep.engine.call import Call
+
+__all__ = ["SEALED", "causality_tokens_of", "forwarded_headers", "object_of", "session_of"]
+
+# Where the name of another edge's kept write is among a call's causes.
+SEALED: Final = 3
+
+
+def forwarded_headers(head: bytes) -> tuple[tuple[bytes, bytes], ...]:
+    """Of the lines that are passed on."""
+    found = []
+    for line in head.split(b"\r\n"):
+        name, colon, value = line.partition(b":")
+        if colon:
+            found.append((name.lower(), value.strip()))
+    return tuple(found)
+
+
+def causality_tokens_of(call: Call) -> str:
+    """Receipts and tokens alike: each is a token."""
+    return ",".join(part.decode("latin-1") for part in call.causes[:2] if part)
+
+
+def session_of(call: Call) -> bytes:
+    return call.causes[2] if call.causes else b""
+
+
+def object_of(call: Call) -> bytes:
+    query = call.start.partition(b"?")[2]
+    return next((part[4:] for part in query.split(b"&") if part.startswith(b"obj=")), b"")
--- /dev/null
+++ b/laurelstep/outbox/driver_state.py
@@ -0,0 +1,86 @@
+"""What the parts of an outbox's driver share: its store, its outbox, and the requests in flight."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Coroutine, Mapping
+from typing import TYPE_CHECKING, Any
+
+from laurelstep.engine.call import Call
+from laurelstep.engine.clock import LoopClock
+from laurelstep.engine.engine import Engine
+from laurelstep.engine.ports import Log
+from laurelstep.outbox.background_replay import BackgroundReplay
+from laurelstep.outbox.bodies import BodySpool
+from laurelstep.outbox.cutoff import CutOffDetector, CutOffRule
+from laurelstep.outbox.dependencies import CausalityTokens, WriteStatus
+from laurelstep.outbox.options import OutboxSettings
+from laurelstep.outbox.outbox import (
+    Outbox,
+)
+from laurelstep.outbox.queue_store import QueueStore
+from laurelstep.outbox.replay_front import ReplayFront
+from laurelstep.outbox.version_vector import StatusPublisher
+from laurelstep.outbox.write_ids import WriteId
+
+if TYPE_CHECKING:
+    from laurelstep.outbox.shared.asking import EdgeSharing
+
+
+__all__ = ["DriverState"]
+
+
+class DriverState:
+    """The state of one `OutboxDriver`, whose parts act on it. Belongs to the loop that made it."""
+
+    def __init__(
+        self,
+        store: QueueStore,
+        outbox: Outbox,
+        tokens: CausalityTokens,
+        settings: OutboxSettings,
+        classes: Mapping[str, int],
+        tenants: Mapping[str, int],
+        log: Log,
+    ) -> None:
+        self.loop = asyncio.get_running_loop()
+        self.clock = LoopClock(self.loop)
+        self.store = store
+        self.outbox = outbox
+        self.tokens = tokens
+        self.settings = settings
+        self.classes = {classes[name]: name for name in settings.classes}
+        self.numbers = {name: classes[name] for name in settings.classes}
+        self.tenants = dict(tenants)
+        self.tenant_names = {number: name for name, number in tenants.items()}
+        self.log = log
+        rule = CutOffRule(cut_us=settings.cut_us, back_us=settings.back_us)
+        self.cutoff = CutOffDetector(rule, 0, self.now())
+        self.engine: Engine | None = None
+        self.bodies: BodySpool
+        self.storing: dict[WriteId, list[Call]] = {}  # requests that wait for a write to be durable
+        self.out: dict[WriteId, ReplayFront] = {}
+        self.aside = BackgroundReplay()
+        self.again: set[WriteId] = set()  # sent before, without a known end
+        self.parked: dict[WriteId, int] = {}  # the number of the parking
+        self.sharing: EdgeSharing | None = None  # where upstream is copies of this program
+        self.teller = outbox.version_vector if isinstance(outbox.version_vector, StatusPublisher) else None
+        self.untold: list[tuple[WriteId, WriteStatus]] = []  # over, and the version vector had no room for it
+        self.by_gate: set[WriteId] = set()  # done by an answer: upstream knows, and need not be told
+        self.tasks: set[asyncio.Task[None]] = set()
+        self.turning: asyncio.Handle | None = None
+        self.closing = False
+        self.was_off = False
+        self.look_at = 0
+
+    def now(self) -> int:
+        return self.clock.now()
+
+    def wall(self) -> int:
+        """The store's time in µs, as `Outbox` takes it."""
+        return self.store.time_us()
+
+    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
+        task = self.loop.create_task(work)
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
--- /dev/null
+++ b/laurelstep/outbox/ports.py
@@ -0,0 +1,74 @@
+"""What the parts around an outbox's driver need of it."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Coroutine
+from typing import Any, Protocol
+
+from laurelstep.engine.call import Answer, Call
+from laurelstep.engine.clock import LoopClock
+from laurelstep.engine.engine import Engine
+from laurelstep.engine.ports import Log, Recorded
+from laurelstep.outbox.cutoff import CutOffDetector
+from laurelstep.outbox.messages import Transition
+from laurelstep.outbox.options import OutboxSettings
+from laurelstep.outbox.outbox import Outbox
+from laurelstep.outbox.queue_store import QueueStore
+from laurelstep.outbox.records import QueuedWrite
+from laurelstep.outbox.replay_front import ReplayFront
+from laurelstep.outbox.write_ids import WriteId
+
+__all__ = ["OutboxHost"]
+
+
+class OutboxHost(Protocol):
+    """An outbox's driver, as the body spool and the edge's sharing know it."""
+
+    loop: asyncio.AbstractEventLoop
+    clock: LoopClock
+    store: QueueStore
+    outbox: Outbox
+    settings: OutboxSettings
+    classes: dict[int, str]
+    log: Log
+    cutoff: CutOffDetector
+    engine: Engine | None
+    storing: dict[WriteId, list[Call]]
+    by_gate: set[WriteId]
+    closing: bool
+
+    def now(self) -> int:
+        """Monotonic time in µs."""
+
+    def wall(self) -> int:
+        """The store's time in µs."""
+
+    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
+        """Run it as a task that `close` waits for."""
+
+    def wake(self) -> None:
+        """Look at once at what is due."""
+
+    async def take_step(self, change: Transition) -> None:
+        """Make a transition durable, then do what it announces."""
+
+    def call_of(self, write: QueuedWrite, body: bytes, replay: ReplayFront) -> Call:
+        """A queued write as a call to the engine."""
+
+    def on_stored(
+        self,
+        write: QueuedWrite,
+        kept: bool,
+        certain: bool,
+        answer: Answer | None,
+        engine: Recorded,
+        told: Answer | None = None,
+    ) -> None:
+        """Tell all that wait for a write whether it is kept."""
+
+    def answer_unqueued(self, call: Call, answer: Answer | None, certain: bool, engine: Recorded) -> None:
+        """Answer a call whose write could not be kept."""
+
+    def answer_repeat(self, call: Call, write_id: WriteId, engine: Recorded) -> None:
+        """Answer a call that names a write which was offered before."""
--- /dev/null
+++ b/laurelstep/outbox/replay_driver.py
@@ -0,0 +1,241 @@
+"""Replay: what is due is made durable, sent upstream, and its end written down.
+
+Each change of a write is durable before the step that it announces: OUT before it is sent, DONE before its
+receipt says so. An end that can't be written is written again until it is.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Final
+
+from laurelstep.engine.call import Answer, Call, Ending
+from laurelstep.interface import ERROR, FULL, NO_CONNECT, OK, RESET, TIMEOUT
+from laurelstep.net.message import lines as lines_of
+from laurelstep.net.request import hint, key_of
+from laurelstep.outbox.dependencies import WriteStatus
+from laurelstep.outbox.driver_state import DriverState
+from laurelstep.outbox.outbox import (
+    ReplayResult,
+    Transition,
+)
+from laurelstep.outbox.records import FINAL, QueuedWrite, WriteEvent, WriteState
+from laurelstep.outbox.replay_front import ReplayFront
+from laurelstep.outbox.write_ids import WriteId
+from laurelstep.store import StoreError
+
+# How an attempt ended where there is a way to its endpoint, and where none is known.
+ANSWERED: Final = frozenset((OK, ERROR, FULL))
+UNANSWERED: Final = frozenset((TIMEOUT, NO_CONNECT, RESET))
+# Of an answer that is told with its receipt, bytes.
+ANSWER_MOST: Final = 64 * 1024
+TURN_US: Final = 1_000_000
+# An end that could not be written is tried again after this.
+AGAIN_S: Final = 1.0
+UNPARKED: Final = (WriteEvent.NEVER_RAN, WriteEvent.CLAIMED)
+
+
+class ReplayDriver(DriverState):
+    """The turns of one driver: whether the edge is cut off, what goes out, what others hear."""
+
+    def heard(self, endpoint: int, outcome: int) -> None:
+        if outcome in ANSWERED:
+            self.cutoff.answered(self.now())
+        elif outcome in UNANSWERED:
+            self.cutoff.failed(endpoint, self.now())
+        if self.cutoff.off != self.was_off:
+            self._turned()
+
+    def _turned(self) -> None:
+        self.was_off = self.cutoff.off
+        self.log("outbox: cut off: writes are kept" if self.was_off else "outbox: back: writes go upstream")
+        if self.sharing is not None and not self.was_off:
+            self.sharing.remote.back(self.now())
+        self.wake()
+
+    def _look(self) -> None:
+        """What the list says, and the time. Looks at all endpoints: once in a while is enough."""
+        assert self.engine is not None
+        now = self.now()
+        if now < self.look_at:
+            return
+        self.look_at = now + TURN_US // 2
+        places = self.engine.members.places.values()
+        self.cutoff.listed(sum(1 for place in places if place.left_at is None), now)
+        if self.cutoff.off != self.was_off:
+            self._turned()
+
+    def wake(self) -> None:
+        if self.closing or self.engine is None:
+            return
+        if self.turning is not None:
+            self.turning.cancel()
+        self.turning = self.loop.call_soon(self._turn)
+
+    def _turn(self) -> None:
+        self.turning = self.loop.call_later(TURN_US / 1e6, self._turn)
+        if self.closing:
+            return
+        self._look()
+        for change in self.outbox.due(self.now()):
+            self.spawn(self.take_step(change))
+        self._tell_over()
+        followed = self.outbox.followed()
+        if self.sharing is not None:
+            self.sharing.remote.follow(followed)
+            self.sharing.turn()
+        if forgettable := self.outbox.forgettable(self.now(), self._telling):
+            self.spawn(self._forget(forgettable))
+
+    def _tell_over(self) -> None:
+        """What is over, to those who may wait for it: given up before all, since a number tells the rest."""
+        over, self.untold = self.untold + self.outbox.over(), []
+        teller = self.teller
+        if teller is None or not over:
+            self.by_gate.clear()  # what is over later is told once more than it need be
+            return
+        gone = [one for one in over if one[1] is WriteStatus.ABANDONED]
+        self.untold = [
+            (write_id, write_status)
+            for write_id, write_status in gone
+            if teller.tell(write_id, write_status) is False
+        ]
+        if not self.untold:
+            for line in {write_id.line for write_id, _ in over}:
+                if number := self.outbox.low(line):
+                    teller.low(line, number)
+        for write_id, write_status in over:
+            if write_status is WriteStatus.ABANDONED:
+                continue
+            if write_id in self.by_gate:
+                self.by_gate.discard(write_id)
+            elif teller.tell(write_id, write_status) is False:
+                self.untold.append((write_id, write_status))
+
+    def _telling(self, write_id: WriteId) -> bool:
+        """Others are still to hear that it was given up."""
+        return self.teller is not None and (
+            self.teller.telling(write_id) or any(one == write_id for one, _ in self.untold)
+        )
+
+    async def _forget(self, write_ids: list[WriteId]) -> None:
+        """Numbers first: what is forgotten must not look as if it were still to come."""
+        try:
+            await self.store.put_lines(self.outbox.lines())
+        except StoreError:
+            return
+        for write_id in write_ids:
+            if await self.store.forget(write_id, 0):
+                self.outbox.forget(write_id)
+
+    async def take_step(self, change: Transition) -> None:
+        try:
+            await self.store.move(change.moved)
+        except StoreError as error:
+            self.log(f"outbox: {change.write_id}: not written: {error}")
+            self.outbox.undo(change, self.now())
+            return
+        goes = self._apply(change)
+        if change.event is WriteEvent.SEND and goes:
+            await self._send(change.write_id)
+        elif change.event is WriteEvent.SEND:  # the disk took longer than its window
+            await self._end(change.write_id, ReplayResult.NOT_RUN, Answer(Ending.FAILED, 502))
+        self.wake()
+
+    def _apply(self, change: Transition) -> bool:
+        """False as `Outbox.apply`."""
+        if self.sharing is not None:
+            self.sharing.before(change)
+        goes = self.outbox.apply(change, self.now())
+        state = change.moved.state
+        if self.teller is not None and (state is WriteState.PARKED or change.event in UNPARKED):
+            self.teller.tell(
+                change.write_id, WriteStatus.PARKED if state is WriteState.PARKED else WriteStatus.UNKNOWN
+            )
+        if change.event is WriteEvent.FOUND_IN:
+            self.log(f"outbox: {change.write_id}: upstream's record says that it is in: done")
+        if state is WriteState.PARKED:
+            self.parked[change.write_id] = change.moved.parking
+            self.log(f"outbox: {change.write_id}: parked: {change.moved.reason.name.lower()}")
+        else:
+            self.parked.pop(change.write_id, None)
+        if state in FINAL:
+            self.again.discard(change.write_id)
+        if self.sharing is not None:
+            self.sharing.applied(change)
+        return goes
+
+    async def _send(self, write_id: WriteId) -> None:
+        """Upstream with it, and its end written down."""
+        replay = ReplayFront(write_id)
+        call = await self.bodies.call(write_id, replay)
+        if call is None:
+            await self._end(write_id, ReplayResult.NOT_RUN, Answer(Ending.FAILED, 502))
+            return
+        self.out[write_id] = replay
+        try:
+            async with self.aside:
+                assert self.engine is not None
+                self.engine.take(call)
+            answer = await replay.over
+        finally:
+            del self.out[write_id]
+            if call.upload is not None:
+                call.upload.leave()
+        if self.sharing is not None:
+            end = self.sharing.end_of(call, replay, answer)
+        elif answer.ending is Ending.SERVED:
+            end = ReplayResult.ANSWERED
+        elif answer.ending is Ending.REFUSED or replay.never_ran:
+            end = ReplayResult.NOT_RUN
+        else:
+            end = ReplayResult.MAY_HAVE_RUN
+        await self._end(write_id, end, answer)
+
+    def call_of(self, write: QueuedWrite, body: bytes, replay: ReplayFront) -> Call:
+        assert self.engine is not None
+        cls = self.numbers[write.cls]
+        fields = dict(write.headers)
+        call = Call(
+            cls=cls,
+            expires=self.engine.now() + self.engine.settings.classes[cls].deadline_us,
+            start=write.start,
+            head=lines_of(write.headers),
+            body=body,
+            front=replay,
+            name=b"outbox "
+            + str(write.write_id).encode(),  # its client may come again under the name that it has
+            tenant=self.tenants.get(write.tenant, 0),
+            key=key_of(write.start.partition(b"?")[2]),
+            work_us=hint(fields.get(b"x-cost-hint", b"")),
+            repeated=write.write_id in self.again,
+        )
+        if self.sharing is not None:
+            self.sharing.name(call, write)
+        return call
+
+    async def _end(self, write_id: WriteId, end: ReplayResult, answer: Answer) -> None:
+        if end is ReplayResult.MAY_HAVE_RUN:
+            self.again.add(write_id)
+        status, headers, body = answer.status, tuple(answer.headers), answer.body
+        if end is not ReplayResult.ANSWERED:
+            status, headers, body = 0, (), b""
+        change = self.outbox.ended(
+            write_id,
+            end,
+            self.now(),
+            self.wall(),
+            status,
+            headers,
+            body if len(body) <= ANSWER_MOST else b"",
+        )
+        while True:
+            try:
+                await self.store.move(change.moved)
+                break
+            except StoreError as error:
+                self.log(f"outbox: {write_id}: its end is not written: {error}")
+                if self.closing:
+                    return
+                await asyncio.sleep(AGAIN_S)
+        self._apply(change)
--- a/laurelstep/outbox/shared/asking.py
+++ b/laurelstep/outbox/shared/asking.py
@@ -17,24 +17,23 @@
 
 import asyncio
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Final
+from typing import Final
 
 from laurelstep.engine.call import Answer, Call, Ending, Handle
 from laurelstep.net.message import lines as lines_of
 from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.errors import OutboxError
 from laurelstep.outbox.messages import ReplayResult, Transition
+from laurelstep.outbox.ports import OutboxHost
 from laurelstep.outbox.queue_store import LoadedWrites
 from laurelstep.outbox.records import QueuedWrite, WriteEvent, WriteState
+from laurelstep.outbox.replay_front import ReplayFront
 from laurelstep.outbox.shared.edge import QueryOutcome, RemoteVersionVector, bounded
 from laurelstep.outbox.shared.message_seal import MessageSeal
 from laurelstep.outbox.shared.messages import KEPT_HEADER, SHARED_PATH, ReplayIdentity, ReplayQuery
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from laurelstep.store import StoreError
 
-if TYPE_CHECKING:
-    from laurelstep.outbox.driver import OutboxDriver, ReplayFront
-
 __all__ = ["EdgeSharing"]
 
 ASK_US: Final = 2_000_000
@@ -53,9 +52,9 @@
 
 
 class EdgeSharing:
-    """Of one `OutboxDriver` whose upstream is copies of this program."""
+    """Of one `OutboxHost` whose upstream is copies of this program."""
 
-    def __init__(self, driver: OutboxDriver, secret: bytes) -> None:
+    def __init__(self, driver: OutboxHost, secret: bytes) -> None:
         assert isinstance(driver.outbox.version_vector, RemoteVersionVector)
         self.driver = driver
         self.outbox = driver.outbox
@@ -103,7 +102,7 @@
         self.unnamed[line] = True
         self._drop_words(line)
         self.outbox.release_line(line)  # rule 3
-        self.driver._wake()
+        self.driver.wake()
         return True
 
     async def _name(self) -> None:
@@ -123,7 +122,7 @@
             return  # at the next turn
         finally:
             self.naming = False
-        self.driver._wake()
+        self.driver.wake()
 
     # --- Steps ------------------------------------------------------------------------
 
@@ -156,7 +155,7 @@
             if due <= now and self.remote.holds(write_id.line):
                 self._drop_word(write_id)
                 self.remote.unbegin(write_id, parking)
-                self.driver._wake()
+                self.driver.wake()
 
     def _drop_words(self, line: EdgeLog) -> None:
         """Another process may have sent them since."""
@@ -216,16 +215,16 @@
             return
         if driver.cutoff.off:
             if self.unnamed or self.remote.waits:
-                self._begin(self.remote.probe(driver._now()))
+                self._begin(self.remote.probe(driver.now()))
             return
         if self.unnamed and not self.naming:
             self.naming = True
-            driver._spawn(self._name())
-        self._begin(self.remote.next(driver._now(), self.outbox.wonders))
+            driver.spawn(self._name())
+        self._begin(self.remote.next(driver.now(), self.outbox.wonders))
 
     def _begin(self, ask: ReplayQuery | None) -> None:
         if ask is not None:
-            self.driver._spawn(self._ask(ask))
+            self.driver.spawn(self._ask(ask))
 
     def close(self) -> None:
         for handle in self.timers.values():
@@ -238,7 +237,7 @@
         answer = await self._answer(sealed)
         if driver.closing:
             return
-        now = driver._now()
+        now = driver.now()
         try:
             if answer.ending is not Ending.SERVED:
                 raise ValueError("no answer")
@@ -282,7 +281,7 @@
             self.outbox.unfence(line)
             # Whoever comes after on this disk comes after this life.
             self.holders[line] = (line.incarnation, self.remote.life)
-            driver._spawn(self._held(line))
+            driver.spawn(self._held(line))
         if news.held:
             self._tell_words()
         for write_id in news.unbegun:
@@ -290,10 +289,10 @@
         for write_id in news.own_in:
             change = self.outbox.found_in(write_id, driver.wall())
             if change is not None:
-                driver._spawn(driver._step(change))
+                driver.spawn(driver.take_step(change))
         if news.changed:
-            self.outbox.heard(driver._now())
-        driver._wake()
+            self.outbox.heard(driver.now())
+        driver.wake()
 
     async def _held(self, line: EdgeLog) -> None:
         try:
--- a/tests/faulty_outbox.py
+++ b/tests/faulty_outbox.py
@@ -54,12 +54,12 @@
 
 
 def _replays(change: Callable[[QueuedWrite, bytes], tuple[QueuedWrite, bytes]]) -> None:
-    real = OutboxDriver._call
+    real = OutboxDriver.call_of
 
     def call(self: OutboxDriver, write: QueuedWrite, body: bytes, *more: Any) -> Call:
         return real(self, *change(write, body), *more)
 
-    OutboxDriver._call = call  # type: ignore[method-assign,assignment]
+    OutboxDriver.call_of = call  # type: ignore[method-assign,assignment]
 
 
 def drops_the_key() -> None:
@@ -82,7 +82,7 @@
     async def send(self: OutboxDriver, write_id: WriteId, *more: Any) -> None:
         await self._end(write_id, ReplayResult.ANSWERED, Answer(Ending.SERVED, 200))
 
-    OutboxDriver._send = send  # type: ignore[method-assign]
+    OutboxDriver._send = send  # type: ignore[method-assign,assignment]
 
 
 def tells_no_reason() -> None:
--- a/tests/test_folders_of_earlier_versions.py
+++ b/tests/test_folders_of_earlier_versions.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from laurelstep.outbox import driver as driving
+from laurelstep.outbox import replay_driver
 from laurelstep.outbox.queue_store import QueueStore
 from laurelstep.outbox.records import WriteState
 from laurelstep.outbox.write_ids import parse_write_id
@@ -38,7 +38,7 @@
     before = told("outbox-9af0195")
     an_hour_later = replace(SYSTEM_CLOCKS, wall_ms=lambda: (before["wall_us"] + HOUR_US) // 1000)
     monkeypatch.setattr(QueueStore, "open", functools.partial(QueueStore.open, clocks=an_hour_later))
-    monkeypatch.setattr(driving, "TURN_US", 10_000)
+    monkeypatch.setattr(replay_driver, "TURN_US", 10_000)
 
     async def main() -> None:
         folder = copy_of("outbox-9af0195", tmp_path)
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -23,7 +23,7 @@
 from laurelstep.net.assembly import Assembly
 from laurelstep.net.message import LARGE_MAX
 from laurelstep.net.server import Server
-from laurelstep.outbox import bodies
+from laurelstep.outbox import bodies, replay_driver
 from laurelstep.outbox import driver as driving
 from laurelstep.outbox.bodies import HELD_EACH, WHOLE_MOST, BodyReplay, BodySpool, IncomingBody
 from laurelstep.outbox.driver import OutboxDriver
@@ -136,7 +136,9 @@
 
         def busy() -> bool:
             works = [cast(Any, task.get_coro()).__qualname__ for task in self.driver.tasks]
-            return bool(self.driver.bodies.coming) or any(one.startswith("Bodies.") for one in works)
+            return bool(self.driver.bodies.coming) or any(
+                one.startswith(f"{BodySpool.__name__}.") for one in works
+            )
 
         await self.until(lambda: not busy())
 
@@ -209,7 +211,7 @@
 def impatient(monkeypatch: pytest.MonkeyPatch) -> None:
     """What is tried again after a second is tried again at once."""
     monkeypatch.setattr(bodies, "AGAIN_S", 0.0)
-    monkeypatch.setattr(driving, "TURN_US", 10_000)
+    monkeypatch.setattr(replay_driver, "TURN_US", 10_000)
     monkeypatch.setattr(driving, "LAST_S", 0.0)
 
 
@@ -590,7 +592,7 @@
     number: int, operations: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A replay's end that could not be written is written once it can be; new ones are kept again."""
-    monkeypatch.setattr(driving, "AGAIN_S", 0.0)
+    monkeypatch.setattr(replay_driver, "AGAIN_S", 0.0)
 
     async def main() -> None:
         disk = Disk()
@@ -939,7 +941,7 @@
         async with edge() as one:
             assert (await one.write("photo", body_of(2 << 20))).status == 202
             assert (await one.write("order", body_of(2 << 20), cls="pay")).status == 202
-            outbox, now = one.driver.outbox, one.driver._now()
+            outbox, now = one.driver.outbox, one.driver.now()
             photo, order = (WriteId("studio-1", one.driver.store.incarnation, at) for at in (2, 3))
             for left, most in ((3_600_000_000, bodies.PASSING_MOST_US + 5_000_000), (7_000_000, 7_000_000)):
                 for write_id in (photo, order):
--- a/tests/test_outbox_driver.py
+++ b/tests/test_outbox_driver.py
@@ -23,8 +23,8 @@
             send_us=2 * SECOND,
         )
         driver = await OutboxDriver.open(settings, {"put": 1}, {}, lambda line: None)
-        now = driver._now()
-        driver._now = lambda: now  # type: ignore[method-assign]
+        now = driver.now()
+        driver.now = lambda: now  # type: ignore[method-assign]
         ticket = driver.outbox.offer(WriteOffer("put", b"POST /put", (), 0, b"", b"key"), now, 1)
         assert ticket.write is not None
         await driver.store.keep(ticket.write, b"")
@@ -39,9 +39,9 @@
             now += 61 * SECOND
 
         driver.store.move = slow  # type: ignore[method-assign]
-        await driver._step(change)  # there is no engine: to send would fail
+        await driver.take_step(change)  # there is no engine: to send would fail
         for change in driver.outbox.due(now):
-            await driver._step(change)
+            await driver.take_step(change)
         found = driver.outbox.receipt(ticket.write_id)
         assert (found.state, found.reason) == (WriteState.PARKED, ParkingReason.WINDOW)
         await driver.close()
--- a/tests/test_shared_edge.py
+++ b/tests/test_shared_edge.py
@@ -839,7 +839,7 @@
             outbox.bounds = dataclasses.replace(outbox.bounds, receipt_us=0)
             first = await one.keep("pay")
             parked = outbox._change(outbox._must_row(first), WriteEvent.EXPIRED, ParkingReason.AGE)
-            await one.driver._step(parked)
+            await one.driver.take_step(parked)
             one.resolve(first, Resolution.GIVE_UP)
             await one.until(first, WriteState.GIVEN_UP)
             assert one.driver.turning is not None
