--- a/laurelstep/outbox/shared/asking.py
+++ b/laurelstep/outbox/shared/asking.py
@@ -28,9 +28,10 @@
 from laurelstep.outbox.queue_store import LoadedWrites
 from laurelstep.outbox.records import QueuedWrite, WriteEvent, WriteState
 from laurelstep.outbox.replay_front import ReplayFront
-from laurelstep.outbox.shared.edge import QueryOutcome, RemoteVersionVector, bounded
+from laurelstep.outbox.shared.edge import RemoteVersionVector
 from laurelstep.outbox.shared.message_seal import MessageSeal
 from laurelstep.outbox.shared.messages import KEPT_HEADER, SHARED_PATH, ReplayIdentity, ReplayQuery
+from laurelstep.outbox.shared.query_round import QueryOutcome, bounded
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from laurelstep.store import StoreError
 
--- a/laurelstep/outbox/shared/edge.py
+++ b/laurelstep/outbox/shared/edge.py
@@ -22,10 +22,9 @@
 from __future__ import annotations
 
 from collections import OrderedDict
-from collections.abc import Callable, Iterable, Sequence
-from dataclasses import dataclass, field
+from collections.abc import Callable, Iterable
 from random import Random
-from typing import Final, Generic, TypeVar
+from typing import Final
 
 from laurelstep.outbox.dependencies import Dependency, WriteStatus
 from laurelstep.outbox.shared.messages import (
@@ -36,76 +35,18 @@
     ReplayQuery,
     StatusUpdate,
 )
+from laurelstep.outbox.shared.query_round import ROUND_MOST, QueryBackoff, QueryOutcome, QueryRound, bounded
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
-__all__ = ["QueryOutcome", "RemoteVersionVector", "bounded"]
+__all__ = ["RemoteVersionVector"]
 
-LEAST_US: Final = 1_000_000
-MOST_US: Final = 8_000_000
 AGAIN_US: Final = 60_000_000
-# Asks without a pause between them, if nothing in them is new.
-ROUND_MOST: Final = 16
 # Fates that are remembered, and statements of own writes.
 FATES_MOST: Final = 8_192
 SAID_MOST: Final = 4_096
-# Holders that one claim names: the first two, the line's own life and the last known to have held it, and the
-# last that asked.
-KNOWN_MOST: Final = 16
 
 FINAL_FATES: Final = (WriteStatus.APPLIED, WriteStatus.ABANDONED)
 
-_K = TypeVar("_K", Dependency, EdgeLog)
-
-
-def bounded(lives: Sequence[int]) -> Sequence[int]:
-    return lives if len(lives) <= KNOWN_MOST else (*lives[:2], *lives[2 - KNOWN_MOST :])
-
-
-class QueryRound(Generic[_K]):
-    """What is to be asked, each in its turn, what is new before all others."""
-
-    def __init__(self) -> None:
-        self.new: OrderedDict[_K, None] = OrderedDict()
-        self._old: OrderedDict[_K, None] = OrderedDict()
-
-    def __len__(self) -> int:
-        return len(self.new) + len(self._old)
-
-    def add(self, one: _K, urgent: bool = True) -> None:
-        if urgent:
-            self._old.pop(one, None)
-            self.new[one] = None
-        elif one not in self.new:
-            self._old[one] = None
-
-    def drop(self, one: _K) -> None:
-        self.new.pop(one, None)
-        self._old.pop(one, None)
-
-    def take(self, wanted: Callable[[_K], bool]) -> list[_K]:
-        """At most `QUERIED_MOST`, each once; they stay, behind all others. What is not wanted goes."""
-        found: list[_K] = []
-        looked = min(len(self), 4 * QUERIED_MOST)
-        while len(found) < QUERIED_MOST and looked:
-            looked -= 1
-            one, _ = (self.new or self._old).popitem(last=False)
-            if wanted(one):
-                found.append(one)
-        for one in found:
-            self._old[one] = None
-        return found
-
-
-@dataclass
-class QueryOutcome:
-    """What an answer changed. `own_in`: own ones of which the record says that they are in."""
-
-    changed: bool = False  # something that `Outbox.heard` is to hear of
-    held: list[EdgeLog] = field(default_factory=list)
-    fenced: list[EdgeLog] = field(default_factory=list)
-    own_in: list[WriteId] = field(default_factory=list)
-    unbegun: list[WriteId] = field(default_factory=list)
-
 
 class RemoteVersionVector:
     """A `VersionVector` behind which upstream's record stands. `line`: of this life, which needs no claim."""
@@ -113,7 +54,6 @@
     def __init__(self, line: EdgeLog, random: Random) -> None:
         self.line = line
         self.life = line.incarnation
-        self._random = random
         self._fates: OrderedDict[Dependency, WriteStatus] = OrderedDict()
         self._held = {line}
         self._fenced: set[EdgeLog] = set()
@@ -129,8 +69,7 @@
         self._tells: QueryRound[Dependency] = QueryRound()
         self._out: ReplayQuery | None = None
         self._left = 0  # asks of this round that are still to come
-        self._pause = LEAST_US
-        self._next_at = 0
+        self._backoff = QueryBackoff(random)
         self._again_at: int | None = None
 
     # --- What is known ----------------------------------------------------------------
@@ -289,14 +228,13 @@
 
     def back(self, now: int) -> None:
         """There is a way upstream again."""
-        self._pause = LEAST_US
-        self._next_at = now
+        self._backoff.end(now)
 
     def wait(self, now: int) -> int:
         """µs until something may be asked, if anything is to be."""
         if self._asked.new or self._claims.new or self._tells.new:
             return 0
-        return max(0, self._next_at - now)
+        return max(0, self._backoff.next_at - now)
 
     def next(self, now: int, wonders: Callable[[Dependency], bool]) -> ReplayQuery | None:
         """What is to be asked now; `answered` or `failed` is called for it. `wonders`: whether a fate is
@@ -308,7 +246,7 @@
             self._tell_again()
         if self._out is not None or self.wait(now):
             return None
-        if now < self._next_at:
+        if now < self._backoff.next_at:
             self._left = 1  # for what is new
         elif not self._left:
             most = max(len(self._asked), len(self._claims), len(self._tells))
@@ -326,7 +264,7 @@
 
     def probe(self, now: int) -> ReplayQuery | None:
         """While cut off: an ask without a question, at the pace of the others."""
-        if self._out is not None or now < self._next_at:
+        if self._out is not None or now < self._backoff.next_at:
             return None
         self._left = 0
         self._out = ReplayQuery()
@@ -357,11 +295,7 @@
     def failed(self, now: int) -> None:
         """No answer, or none that can be read."""
         self._out, self._left = None, 0
-        self._rest(now)
-
-    def _rest(self, now: int) -> None:
-        self._next_at = now + self._pause // 2 + self._random.randrange(self._pause // 2)
-        self._pause = min(MOST_US, 2 * self._pause)
+        self._backoff.begin(now)
 
     def answered(self, answer: QueryReply, now: int) -> QueryOutcome:
         """To the ask that is out. What an answer is too short for is asked again."""
@@ -379,9 +313,9 @@
             if known:
                 self._has_been_told(told, news)
         if moved:
-            self._pause = LEAST_US
+            self._backoff.shorten()
         if not self._left:
-            self._rest(now)
+            self._backoff.begin(now)
         return news
 
     def _learn(self, dependency: Dependency, write_status: WriteStatus, news: QueryOutcome) -> bool:
--- a/laurelstep/outbox/shared/ledger.py
+++ b/laurelstep/outbox/shared/ledger.py
@@ -23,7 +23,6 @@
 
 from __future__ import annotations
 
-from bisect import bisect_left
 from collections.abc import Callable
 from typing import Final
 
@@ -32,8 +31,6 @@
 from laurelstep.accord.errors import KeptError
 from laurelstep.outbox.dependencies import Dependency, WriteStatus
 from laurelstep.outbox.shared.entries import (
-    ID_END,
-    NUMBER_END,
     EdgeLost,
     Intent,
     IntentWithdrawal,
@@ -43,9 +40,10 @@
     WriteApplied,
     unpack,
 )
+from laurelstep.outbox.shared.log_state import LedgerSnapshot, LogState, check_snapshot
 from laurelstep.outbox.shared.messages import IntentStatus, LeaseRequest, LeaseStatus, StatusUpdate
-from laurelstep.outbox.shared.ranges import NONE, Ranges, add, cut, has, missing, well_formed
-from laurelstep.outbox.write_ids import EdgeLog, WriteId, check_edge
+from laurelstep.outbox.shared.ranges import add, cut, missing
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
 __all__ = [
     "BEGUN_MOST", "LINES_MOST", "LOST_MOST", "PARKED_MOST", "RANGES_MOST", "SPANS_MOST", "UNDONE_MOST",
@@ -66,100 +64,7 @@
 UNDONE_MOST: Final = 512
 
 
-class _LogState(msgspec.Struct, frozen=True, array_like=True):
-    """Of one line."""
-
-    holder: int  # 0: lost
-    turn: int = 0
-    low: int = 0
-    ins: Ranges = NONE  # above low
-    gone: Ranges = NONE  # anywhere
-    parked: Ranges = NONE  # above low
-    # Number, ask, and the last parking that was judged never to have run; sorted. Ask 0: it is not begun.
-    begun: tuple[tuple[int, int, int], ...] = ()
-
-    @property
-    def spans(self) -> int:
-        return len(self.ins) + len(self.gone) + len(self.parked)
-
-    def write_status(self, number: int) -> WriteStatus:
-        if has(self.gone, number):
-            return WriteStatus.ABANDONED
-        if number <= self.low or has(self.ins, number):
-            return WriteStatus.APPLIED
-        if self.holder == 0:
-            return WriteStatus.ABANDONED
-        return WriteStatus.PARKED if has(self.parked, number) else WriteStatus.UNKNOWN
-
-    def fate_up_to(self, number: int) -> WriteStatus:
-        if number <= self.low:
-            return WriteStatus.APPLIED
-        if self.holder == 0:
-            return WriteStatus.ABANDONED
-        return WriteStatus.PARKED if self.parked and self.parked[0][0] <= number else WriteStatus.UNKNOWN
-
-    def begun_by(self, number: int) -> int:
-        """The ask; 0 if it is not begun."""
-        return self._begun(number)[0]
-
-    def resolved(self, number: int) -> int:
-        """The last parking of which it was said that it never ran."""
-        return self._begun(number)[1]
-
-    def _begun(self, number: int) -> tuple[int, int]:
-        place = bisect_left(self.begun, (number,))
-        if place < len(self.begun) and self.begun[place][0] == number:
-            return self.begun[place][1:]
-        return 0, 0
-
-    def with_begun(self, number: int, ask: int, parking: int) -> _LogState:
-        others = (one for one in self.begun if one[0] != number)
-        new = ((number, ask, parking),) if ask or parking else ()
-        return self._with(begun=tuple(sorted((*others, *new))))
-
-    def without_begun(self, first: int, last: int) -> _LogState:
-        if not any(first <= one[0] <= last for one in self.begun):
-            return self
-        return self._with(begun=tuple(one for one in self.begun if not first <= one[0] <= last))
-
-    def over(self, first: int, last: int, write_status: WriteStatus) -> _LogState:
-        """All of first..last that are not over have become `fate`, which is in or gone."""
-        ins, gone = self.ins, self.gone
-        for start, end in missing(self.gone, max(first, self.low + 1), last):
-            if write_status is WriteStatus.APPLIED:
-                ins = add(ins, start, end)
-            else:
-                for one in missing(self.ins, start, end):
-                    gone = add(gone, *one)
-        row = self.without_begun(first, last)
-        row = row._with(ins=ins, gone=gone, parked=cut(row.parked, first, last))
-        return row._raised()
-
-    def _raised(self) -> _LogState:
-        """`low` as high as it is true."""
-        low, ins = self.low, self.ins
-        while True:
-            if ins and ins[0][0] <= low + 1:
-                low, ins = max(low, ins[0][1]), ins[1:]
-            elif has(self.gone, low + 1):
-                low = next(last for first, last in self.gone if first <= low + 1 <= last)
-            else:
-                return self if low == self.low else self._with(low=low, ins=ins)
-
-    def lost(self) -> _LogState:
-        return self._with(holder=0, turn=0, parked=NONE, begun=())
-
-    def _with(self, **changes: object) -> _LogState:
-        return msgspec.structs.replace(self, **changes)
-
-
-class _LedgerSnapshot(msgspec.Struct, frozen=True, array_like=True):
-    rows: tuple[tuple[str, int, _LogState], ...] = ()
-    lost: tuple[str, ...] = ()
-    undone: tuple[int, ...] = ()
-
-
-_decoder: Final[msgspec.msgpack.Decoder[_LedgerSnapshot]] = msgspec.msgpack.Decoder(_LedgerSnapshot)
+_decoder: Final[msgspec.msgpack.Decoder[LedgerSnapshot]] = msgspec.msgpack.Decoder(LedgerSnapshot)
 
 
 class ReplicatedLedger:
@@ -170,7 +75,7 @@
         self.applied: Callable[[bytes], None] = lambda data: None
         self.ignored = 0  # entries that could not be read
         self.refused = dict.fromkeys(("lines", "ranges", "parked", "spans", "begun", "lost"), 0)
-        self._rows: dict[EdgeLog, _LogState] = {}
+        self._rows: dict[EdgeLog, LogState] = {}
         self._lost: set[str] = set()
         self._undone: dict[int, None] = {}  # in their order
         self._spans = self._begun = 0
@@ -187,14 +92,14 @@
 
     def dump(self) -> bytes:
         rows = tuple((*line, row) for line, row in sorted(self._rows.items(), key=lambda item: item[0]))
-        saved = _LedgerSnapshot(rows, tuple(sorted(self._lost)), tuple(self._undone))
+        saved = LedgerSnapshot(rows, tuple(sorted(self._lost)), tuple(self._undone))
         return msgspec.msgpack.encode(saved)
 
     def load(self, raw: bytes) -> None:
         """`KeptError`, with nothing changed, if it can't be read."""
         try:
-            saved = _decoder.decode(raw) if raw else _LedgerSnapshot()
-            _check(saved)
+            saved = _decoder.decode(raw) if raw else LedgerSnapshot()
+            check_snapshot(saved)
         except (msgspec.MsgspecError, ValueError, RecursionError, OverflowError) as error:
             raise KeptError(f"the record of kept writes: {error}") from None
         self._rows = {EdgeLog(edge, incarnation): row for edge, incarnation, row in saved.rows}
@@ -279,12 +184,12 @@
 
     # --- Entries ----------------------------------------------------------------------
 
-    def _row(self, line: EdgeLog) -> _LogState:
+    def _row(self, line: EdgeLog) -> LogState:
         row = self._rows.get(line)
         return row if row is not None else self._new(line)
 
-    def _new(self, line: EdgeLog) -> _LogState:
-        return _LogState(0 if line.edge in self._lost else line.incarnation)
+    def _new(self, line: EdgeLog) -> LogState:
+        return LogState(0 if line.edge in self._lost else line.incarnation)
 
     def _apply(self, entry: LedgerEntry) -> None:
         match entry:
@@ -339,7 +244,7 @@
             return
         self._change(entry.write_id, 1 if entry.before else number, entry.write_status)
 
-    def _judge(self, entry: StatusRecord, row: _LogState) -> bool:
+    def _judge(self, entry: StatusRecord, row: LogState) -> bool:
         """It never ran. False for a word that is late, or of another ask."""
         number, resolved = entry.write_id.number, row.resolved(entry.write_id.number)
         if row.begun_by(number) != entry.ask or 0 < entry.parking <= resolved:
@@ -379,7 +284,7 @@
             for line in [line for line in self._rows if line.edge == entry.edge]:
                 self._put(line, self._rows[line].lost())
 
-    def _put(self, line: EdgeLog, row: _LogState) -> bool:
+    def _put(self, line: EdgeLog, row: LogState) -> bool:
         """The line's new state, if it fits; one that says nothing is not kept."""
         old = self._rows.get(line)
         new = self._new(line)
@@ -398,7 +303,7 @@
             self._rows[line] = row
         return True
 
-    def _bound(self, is_new: bool, old: _LogState, row: _LogState, spans: int, begun: int) -> str | None:
+    def _bound(self, is_new: bool, old: LogState, row: LogState, spans: int, begun: int) -> str | None:
         """The bound that it would break; what takes no more than before breaks none."""
         if is_new and len(self._rows) >= LINES_MOST:
             return "lines"
@@ -409,23 +314,3 @@
         if spans > 0 and self._spans + spans > SPANS_MOST:
             return "spans"
         return "begun" if begun > 0 and self._begun + begun > BEGUN_MOST else None
-
-
-def _check(saved: _LedgerSnapshot) -> None:
-    """ValueError for what no `dump` gives."""
-    for edge, incarnation, row in saved.rows:
-        check_edge(edge)
-        ids = (row.holder, *(ask for _, ask, _ in row.begun))
-        numbers = [number for number, _, _ in row.begun]
-        if not (0 < incarnation < ID_END and all(0 <= id < ID_END for id in ids)):
-            raise ValueError("a life, incarnation or ask that can't be")
-        if not (0 <= row.low < NUMBER_END and row.turn >= 0):
-            raise ValueError("a number that can't be")
-        if not all(well_formed(spans, NUMBER_END) for spans in (row.ins, row.gone, row.parked)):
-            raise ValueError("ranges that can't be")
-        if numbers != sorted(set(numbers)) or not all(ask or parking for _, ask, parking in row.begun):
-            raise ValueError("begun ones that can't be")
-    for edge in saved.lost:
-        check_edge(edge)
-    if not all(0 < ask < ID_END for ask in saved.undone):
-        raise ValueError("an ask that can't be")
--- a/tests/test_shared_edge.py
+++ b/tests/test_shared_edge.py
@@ -22,16 +22,7 @@
 from laurelstep.outbox.options import OutboxSettings, QueuedClass
 from laurelstep.outbox.receipts import WriteReceipt
 from laurelstep.outbox.records import ParkingReason, Resolution, WriteEvent, WriteState
-from laurelstep.outbox.shared.edge import (
-    AGAIN_US,
-    KNOWN_MOST,
-    LEAST_US,
-    MOST_US,
-    ROUND_MOST,
-    SAID_MOST,
-    QueryOutcome,
-    RemoteVersionVector,
-)
+from laurelstep.outbox.shared.edge import AGAIN_US, SAID_MOST, RemoteVersionVector
 from laurelstep.outbox.shared.entries import (
     Intent,
     IntentWithdrawal,
@@ -54,6 +45,7 @@
     ReplayQuery,
     StatusUpdate,
 )
+from laurelstep.outbox.shared.query_round import KNOWN_MOST, LEAST_US, MOST_US, ROUND_MOST, QueryOutcome
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from laurelstep.settings import config_from
 from laurelstep.testing import Endpoint, Message, Writer, answer
--- a/tests/test_shared_schedules.py
+++ b/tests/test_shared_schedules.py
@@ -877,7 +877,7 @@
     seen = play(first, first + 2_500)
     deeds = {"unsafe effect", "keyed effect", "in", "begun", "fenced", "not run", "may", "claimed", "lost"}
     assert all(seen[name] > 100 for name in deeds), seen
-    assert seen["taken back by Unbegin"] > 20 and seen["taken back by Said"] > 20, seen
+    assert seen["taken back by IntentWithdrawal"] > 20 and seen["taken back by StatusRecord"] > 20, seen
 
 
 @pytest.mark.parametrize("bounds", TIGHT)
