--- a/benchmarks/outbox.py
+++ b/benchmarks/outbox.py
@@ -114,7 +114,7 @@
     async def cut_off(self) -> None:
         """The list is empty, until it is known to be."""
         self.members()
-        while not self.driver.cutoff.off:
+        while not self.driver.cutoff.is_cut_off:
             await asyncio.sleep(0.01)
             self.driver.cutoff.tick(self.parts.engine.now())
 
--- a/laurelstep/outbox/admission.py
+++ b/laurelstep/outbox/admission.py
@@ -48,10 +48,10 @@
     def comes_first(self, call: Call) -> bool:
         if self._passes(call):
             return False
-        self.aside.live = True
+        self.background_replay.live = True
         if call.cls not in self.classes or self.closing:
             return False
-        return self.cutoff.off or self._follows(call)
+        return self.cutoff.is_cut_off or self._follows_queued(call)
 
     def _passes(self, call: Call) -> bool:
         """It is no client's: a replay, an ask, or a replay of another edge."""
@@ -59,7 +59,7 @@
             return True
         return self.settings.shared and len(call.causes) > SEALED and bool(call.causes[SEALED])
 
-    def _follows(self, call: Call) -> bool:
+    def _follows_queued(self, call: Call) -> bool:
         """Whether it follows what is not known to be in. One whose token can't be read is kept, or
         rather told so, by `keep`."""
         named, tenant = (
@@ -67,7 +67,7 @@
             self.tenant_names.get(call.tenant, "") if call.tenant else "",
         )
         try:
-            if named and self.outbox.must_keep(named):
+            if named and self.outbox.must_queue(named):
                 return True
         except OutboxError:
             return True
@@ -83,11 +83,11 @@
             return False
         now = self.now()
         if answer is not None and answer.ending is Ending.REFUSED:
-            self.outbox.live_refused(now)
+            self.outbox.on_live_rejection(now)
         if call.cls not in self.classes or self.closing or now >= call.expires:
             return False
         if self.bodies.size(call) > self.settings.body_bytes or not self.bodies.has_room(call):
-            return self._overtakes(call, answer, engine)
+            return self._refuse_overtaking(call, answer, engine)
         try:
             ticket = self.outbox.offer(self._offer(call), now, self.wall())
         except CauseError as error:
@@ -96,17 +96,17 @@
         except FullError as error:
             if answer is not None and answer.ending is Ending.REFUSED:
                 answer.retry_after_us = max(answer.retry_after_us, error.retry_us)
-            return self._overtakes(call, answer, engine, error.retry_us)
+            return self._refuse_overtaking(call, answer, engine, error.retry_us)
         except KeepError:
-            return self._overtakes(call, answer, engine)
+            return self._refuse_overtaking(call, answer, engine)
         self._take(call, ticket, answer, engine)
         return True
 
-    def _overtakes(
+    def _refuse_overtaking(
         self, call: Call, answer: Answer | None, engine: Recorded, retry_us: int = TURN_US
     ) -> bool:
         """It can't be kept: what would go past its causes is refused, and so in hand."""
-        if answer is None and self._follows(call):
+        if answer is None and self._follows_queued(call):
             engine.settle(call, Answer(Ending.REFUSED, 503, retry_after_us=retry_us))
             return True
         return False
@@ -191,10 +191,10 @@
         waiting = self.storing.pop(write_id)
         if kept:
             self.outbox.stored(write_id, self.now())
-            if not self.cutoff.off:  # else nothing but the turn of each second goes out anyway
+            if not self.cutoff.is_cut_off:  # else nothing but the turn of each second goes out anyway
                 self.wake()
         else:
-            self.outbox.unstored(write_id, self.now())
+            self.outbox.on_store_failed(write_id, self.now())
         for place, one in enumerate(waiting):
             if kept and told is not None and place == 0:
                 engine.settle(one, told)
@@ -216,7 +216,7 @@
             engine.settle(call, answer)
         elif (refused := self.bodies.refused(call)) is not None:
             engine.settle(call, refused)
-        elif not self._overtakes(call, None, engine):
+        elif not self._refuse_overtaking(call, None, engine):
             engine.admit(call)
 
     def _kept(self, write_id: WriteId) -> Answer:
--- a/laurelstep/outbox/api.py
+++ b/laurelstep/outbox/api.py
@@ -1,4 +1,4 @@
-"""The calls about kept writes at the second address, and their answers. Pure wording.
+"""The calls about queued writes at the second address, and their answers. Pure wording.
 
 Rules that everything here serves:
 
@@ -8,7 +8,7 @@
    `give_up`) as query parameters. It names the parking, so that a resolution given twice holds once.
 3. `POST /api/outbox/lost` with `edge`, and `incarnation` in 16 hex digits for one of its lives alone, at a
    copy that shares: that edge will not come back, and what of it is not in is given up. Never taken back.
-4. `POST /api/outbox/claim` with `line` as `edge/incarnation`, where a former life's line is fenced: of the
+4. `POST /api/outbox/claim` with `line` as `edge/incarnation`, where a former life's log is fenced: of the
    processes that have copies of this disk, this one replays it.
 5. 202: it is being written, and `GET` tells when it holds; 200: it was said already; 400, 404 and
    409: the error's name, cause and remedy, and nothing was changed.
@@ -55,9 +55,9 @@
 
 @runtime_checkable
 class LogClaimApi(Protocol):
-    """Who holds lines of former lives, as calls know it."""
+    """Who holds logs of former lives, as calls know it."""
 
-    def claim(self, line: EdgeLog) -> bool:
+    def claim(self, edge_log: EdgeLog) -> bool:
         """False if it is held. `UnknownWriteError`."""
 
 
@@ -156,12 +156,12 @@
 
 def _line(text: str) -> EdgeLog:
     try:
-        line = parse_write_id(f"{text}/1").line
+        edge_log = parse_write_id(f"{text}/1").edge_log
     except OutboxError:
-        line = EdgeLog("", 0)
-    if not line.incarnation:
+        edge_log = EdgeLog("", 0)
+    if not edge_log.incarnation:
         raise OutboxCallError(f"expected an edge's name and a life in 16 hex digits, got {text[:60]!r}")
-    return line
+    return edge_log
 
 
 def _fields(query: bytes, needed: tuple[str, ...], others: tuple[str, ...] = ()) -> dict[str, str]:
--- a/laurelstep/outbox/bodies.py
+++ b/laurelstep/outbox/bodies.py
@@ -234,7 +234,7 @@
         try:
             if await body.store(write_id):
                 write = msgspec.structs.replace(write, size=body.came, digest=body.digest)
-                driver.outbox.sized(write_id, body.came)
+                driver.outbox.on_size_known(write_id, body.came)
                 await driver.store.put_head(write, body.first)
                 kept = any(one.open for one in driver.storing[write_id]) or not await driver.store.forget(
                     write_id, body.came
@@ -292,7 +292,7 @@
     # --- Replay -----------------------------------------------------------------------
 
     async def call(self, write_id: WriteId, replay: ReplayFront) -> Call | None:
-        """A kept write as the engine's call; None if it can't be read."""
+        """A queued write as the engine's call; None if it can't be read."""
         store = self.driver.store
         try:
             found = await store.head(write_id)
--- a/laurelstep/outbox/call_fields.py
+++ b/laurelstep/outbox/call_fields.py
@@ -8,12 +8,12 @@
 
 __all__ = ["SEALED", "causality_tokens_of", "forwarded_headers", "object_of", "session_of"]
 
-# Where the name of another edge's kept write is among a call's causes.
+# Where the name of another edge's queued write is among a call's causes.
 SEALED: Final = 3
 
 
 def forwarded_headers(head: bytes) -> tuple[tuple[bytes, bytes], ...]:
-    """Of the lines that are passed on."""
+    """The headers that are passed on, names in lower case."""
     found = []
     for line in head.split(b"\r\n"):
         name, colon, value = line.partition(b":")
--- a/laurelstep/outbox/cutoff.py
+++ b/laurelstep/outbox/cutoff.py
@@ -40,7 +40,7 @@
         # While cut off: answers in a row, and when the first was.
         self._answers = 0
         self._answered_at = 0
-        self.off = False
+        self.is_cut_off = False
 
     def listed(self, count: int, now: int) -> None:
         """How many endpoints the list has now."""
@@ -51,7 +51,7 @@
 
     def answered(self, now: int) -> None:
         self._failed.clear()
-        if not self.off:
+        if not self.is_cut_off:
             return
         if not self._answers:
             self._answered_at = now
@@ -67,18 +67,18 @@
             return
         self._answers = 0
         if now - self._failed_at >= self._rule.cut_us:
-            self.off = True
+            self.is_cut_off = True
 
     def tick(self, now: int) -> bool:
         """Time has passed; `off` after it."""
         rule = self._rule
-        if not self.off:
+        if not self.is_cut_off:
             if not self._listed and now - self._empty_at >= rule.cut_us:
-                self.off, self._answers = True, 0
+                self.is_cut_off, self._answers = True, 0
         elif self._listed and self._answers >= rule.answers and now - self._answered_at >= rule.back_us:
-            self.off = False
+            self.is_cut_off = False
             self._failed.clear()
-        return self.off
+        return self.is_cut_off
 
     def _dark(self) -> bool:
         """As many as must have failed since the last answer."""
--- a/laurelstep/outbox/dependencies.py
+++ b/laurelstep/outbox/dependencies.py
@@ -5,8 +5,8 @@
 2. Up to `IDS_PER_LOG` write ids of one line stand as they are. More are told as one: "all up to the newest of
    them". That is more than was named, never less.
 3. A token is signed with the edges' common secret: it can't be made up, and no bit of it changed. It is at
-   most `TOKEN_MOST` characters; any `LOGS_FIT` lines fit. A set that does not fit gets a name of its own
-   instead: a join, a kept write without an effect that follows all of the set (`Outbox.join`).
+   most `TOKEN_MOST` characters; any `LOGS_FIT` logs fit. A set that does not fit gets a name of its own
+   instead: a join, a queued write without an effect that follows all of the set (`Outbox.join`).
 4. A request may bring several tokens, `DEPENDENCIES_MOST` write ids in all.
 5. The token is no secret of its client: it names writes, and asking for their receipts is another right.
 """
@@ -49,7 +49,7 @@
 
 
 class Dependency(NamedTuple):
-    """One write id; with `before`, all write ids of its line up to it."""
+    """One write id; with `before`, all write ids of its log up to it."""
 
     edge: str
     incarnation: int
@@ -57,7 +57,7 @@
     before: bool = False
 
     @property
-    def line(self) -> EdgeLog:
+    def edge_log(self) -> EdgeLog:
         return EdgeLog(self.edge, self.incarnation)
 
     @property
@@ -76,25 +76,25 @@
     if len(dependencies) < 2:  # as most are
         return tuple(dependencies)
     for dependency in dependencies:
-        line = dependency[:2]
+        edge_log = dependency[:2]
         if dependency.before:
-            before[line] = max(before.get(line, 0), dependency.number)
+            before[edge_log] = max(before.get(edge_log, 0), dependency.number)
         else:
-            exact.setdefault(line, set()).add(dependency.number)
+            exact.setdefault(edge_log, set()).add(dependency.number)
     found: list[Dependency] = []
-    for line in sorted(exact.keys() | before.keys()):
-        bound = before.get(line, 0)
-        numbers = sorted(number for number in exact.get(line, ()) if number > bound)
+    for edge_log in sorted(exact.keys() | before.keys()):
+        bound = before.get(edge_log, 0)
+        numbers = sorted(number for number in exact.get(edge_log, ()) if number > bound)
         if len(numbers) > IDS_PER_LOG:
             bound, numbers = numbers[-1], []
         if bound:
-            found.append(Dependency(*line, bound, True))
-        found += [Dependency(*line, number) for number in numbers]
+            found.append(Dependency(*edge_log, bound, True))
+        found += [Dependency(*edge_log, number) for number in numbers]
     return tuple(found)
 
 
 class WriteStatus(IntEnum):
-    """What is known of a write that is not of this edge's own lines."""
+    """What is known of a write that is not of this edge's own logs."""
 
     UNKNOWN = 0
     APPLIED = 1  # its effect is upstream
@@ -103,15 +103,15 @@
 
 
 class VersionVector(Protocol):
-    """What is known of other lines, and which lines this process may replay.
+    """What is known of other logs, and which logs this process may replay.
 
     The local one knows what was told to it at this edge. One that copies share stands behind the same two
     questions; it tells `Outbox.heard` when it has learned something."""
 
     def write_status(self, dependency: Dependency) -> WriteStatus: ...
 
-    def holds(self, line: EdgeLog) -> bool:
-        """This process, and no other with a copy of its disk, may send writes of this line."""
+    def holds(self, edge_log: EdgeLog) -> bool:
+        """This process, and no other with a copy of its disk, may send writes of this log."""
 
 
 _Told = tuple[int, list[tuple[str, int, list[int], int]]]
@@ -128,18 +128,21 @@
 
     def tell(self, dependencies: Dependencies) -> str:
         """The token of a set; `LooseError` if it is longer than a token may be (rule 3)."""
-        lines: dict[EdgeLog, tuple[list[int], int]] = {}
+        edge_logs: dict[EdgeLog, tuple[list[int], int]] = {}
         for dependency in merge(dependencies):
-            exact, _ = lines.setdefault(dependency.line, ([], 0))
+            exact, _ = edge_logs.setdefault(dependency.edge_log, ([], 0))
             if dependency.before:
-                lines[dependency.line] = (exact, dependency.number)
+                edge_logs[dependency.edge_log] = (exact, dependency.number)
             else:
                 exact.append(dependency.number)
-        told = [(line.edge, line.incarnation, exact, bound) for line, (exact, bound) in lines.items()]
+        told = [
+            (edge_log.edge, edge_log.incarnation, exact, bound)
+            for edge_log, (exact, bound) in edge_logs.items()
+        ]
         data = msgspec.msgpack.encode((_VERSION, told))
         text = base64.urlsafe_b64encode(self._sign(data) + data).rstrip(b"=").decode()
         if len(text) > TOKEN_MOST:
-            raise LooseError(f"{len(lines)} lines are more than one token tells")
+            raise LooseError(f"{len(edge_logs)} lines are more than one token tells")
         return text
 
     def receipt(self, write_id: WriteId) -> str:
@@ -178,10 +181,10 @@
     """Signed, but maybe by another version: read as strictly as if it were not."""
     found: list[Dependency] = []
     try:
-        version, lines = _decoder.decode(data)
+        version, edge_logs = _decoder.decode(data)
         if version != _VERSION:
             raise ValueError(f"a token of version {version}")
-        for edge, incarnation, numbers, bound in lines:
+        for edge, incarnation, numbers, bound in edge_logs:
             check_edge(edge)
             if not all(0 < number < _NUMBER_END for number in (*numbers, bound or 1)):
                 raise ValueError("a number that can't be")
--- a/laurelstep/outbox/dependency_graph.py
+++ b/laurelstep/outbox/dependency_graph.py
@@ -1,6 +1,6 @@
 """What waits for what. Pure.
 
-1. A node is a kept write, or a write of another line that one of ours follows, or a barrier: all writes of
+1. A node is a queued write, or a write of another log that one of ours follows, or a barrier: all writes of
    one line up to a number.
 2. An arrow goes from a cause to its follower, which was kept later. So no circle can come about.
 3. A node is free when no arrow comes in. When a node is over, its arrows go.
@@ -72,8 +72,8 @@
             self._prev_in[first] = arrow
         self._next_in[arrow], self._prev_in[arrow], self._in[follower] = first, NONE, arrow
         self._waits[follower] += 1
-        if self.sticks(dependency):
-            stuck = self.sticks(follower)
+        if self.is_blocked(dependency):
+            stuck = self.is_blocked(follower)
             self._stuck[follower] += 1
             if not stuck:
                 self._spread(follower, 1)
@@ -81,7 +81,7 @@
     def free(self, node: int) -> bool:
         return self._waits[node] == 0
 
-    def sticks(self, node: int) -> bool:
+    def is_blocked(self, node: int) -> bool:
         return self._halted[node] != 0 or self._stuck[node] > 0
 
     def behind(self, node: int) -> bool:
@@ -108,13 +108,13 @@
         """A halted one that this node follows, if it is behind one; else one that it waits for, or NONE."""
         dependencies = self.dependencies(node)
         while self._stuck[node]:
-            node = next(dependency for dependency in self.dependencies(node) if self.sticks(dependency))
+            node = next(dependency for dependency in self.dependencies(node) if self.is_blocked(dependency))
             if self._halted[node]:
                 return node
         return dependencies[0] if dependencies else NONE
 
     def halt(self, node: int) -> None:
-        stuck = self.sticks(node)
+        stuck = self.is_blocked(node)
         self._halted[node] = 1
         if not stuck:
             self._spread(node, 1)
@@ -132,9 +132,9 @@
         while work:
             for follower in self.followers(work.pop()):
                 self.touched += 1
-                before = self.sticks(follower)
+                before = self.is_blocked(follower)
                 self._stuck[follower] += step
-                if self.sticks(follower) != before:
+                if self.is_blocked(follower) != before:
                     work.append(follower)
 
     def over(self, node: int) -> list[int]:
--- a/laurelstep/outbox/dependency_tracker.py
+++ b/laurelstep/outbox/dependency_tracker.py
@@ -1,8 +1,8 @@
-"""Which kept writes there are, and what each waits for. Pure; `outbox` keeps, replays and tells on it.
+"""Which queued writes there are, and what each waits for. Pure; `outbox` keeps, replays and tells on it.
 
 1. A row stands for an own write until that is over: final, and all that it follows over too.
-2. A write of another line has a row while one of ours follows it; a barrier while it holds one up.
-3. A name of an own write is one integer here: its line's place in the list of lines, then its number. What
+2. A write of another log has a row while one of ours follows it; a barrier while it holds one up.
+3. A name of an own write is one integer here: its log's place in the list of logs, then its number. What
    has a number that was given out and no row is over.
 """
 
@@ -44,16 +44,17 @@
 
 __all__ = ["NUMBERS", "NUMBER_MASK", "DependencyTracker"]
 
-NUMBERS: Final = 48  # bits of a number, beside its line's place
+NUMBERS: Final = 48  # bits of a number, beside its log's place
 NUMBER_MASK: Final = (1 << NUMBERS) - 1
 
 
 class DependencyTracker:
-    """The rows, their names, and the graph. `line`: this life's name; `classes`: those that may be kept."""
+    """The rows, their names, and the graph. `edge_log`: this life's name; `classes`: those that may be
+    kept."""
 
     def __init__(
         self,
-        line: EdgeLog,
+        edge_log: EdgeLog,
         classes: Mapping[str, QueuedClass],
         bounds: OutboxBounds,
         tokens: CausalityTokens,
@@ -66,9 +67,9 @@
         self.pace = ReplayPacer(bounds.replay_most, bounds.hold_us)
         self._names = ["", *classes]  # the first is a join's
         self._places = {name: place for place, name in enumerate(self._names)}
-        # Own lines, and the highest number known of each.
-        self._lines = [line]
-        self._line_places: dict[tuple[str, int], int] = {line: 0}
+        # Own logs, and the highest number known of each.
+        self._edge_logs = [edge_log]
+        self._log_indexes: dict[tuple[str, int], int] = {edge_log: 0}
         self._high = [0]
         self._graph = DependencyGraph()
         self._rows = WriteTable()
@@ -81,20 +82,22 @@
         self._objects = IntegerMap()
         self._foreign: dict[Dependency, int] = {}
         self._foreign_of: dict[int, Dependency] = {}
-        self._barriers: dict[int, tuple[int, int]] = {}  # by line's place: up to which number, and its row
+        self._barriers: dict[int, tuple[int, int]] = {}  # by log's place: up to which number, and its row
         self._unsure: dict[int, Dependencies] = {}  # of rows whose record is not on the disk
-        self._followed: list[Dependency] = []  # foreign ones that are waited for since the last `followed`
+        self._followed: list[
+            Dependency
+        ] = []  # foreign ones that are waited for since the last `take_new_dependencies`
         self._withheld: set[int] = set()  # own write ids that are not to be sent yet
-        self._fenced: set[int] = set()  # places of lines that are another process's
+        self._fenced: set[int] = set()  # places of logs that are another process's
         self._to_fence: deque[int] = deque()  # rows of those, to be parked
-        self._to_claim: deque[int] = deque()  # rows parked so whose line is ours again
+        self._to_claim: deque[int] = deque()  # rows parked so whose log is ours again
         self._joins: deque[int] = deque()
         self._orphans: deque[int] = deque()
         # Final ones whose receipts are kept: own write id, when that is over, key.
         self._closed: deque[tuple[int, int, int]] = deque()
         self._given_up: set[int] = set()
-        self._over_now: list[tuple[WriteId, WriteStatus]] = []
-        self._low: list[int] = [0]  # of each line: all up to it are over
+        self._finished: list[tuple[WriteId, WriteStatus]] = []
+        self._low: list[int] = [0]  # of each log: all up to it are over
         self._resolutions: dict[int, tuple[int, Resolution, int]] = {}  # parking, resolution, unix time
         # Rows that are not to be parked for a cause that is gone: an operator said to go on without it.
         self._excused: set[int] = set()
@@ -109,14 +112,14 @@
     # Names
 
     def _pack(self, write_id: Dependency | WriteId) -> int:
-        """An own write id as one integer; -1 if it is of no line known here."""
-        place = self._line_places.get(write_id[:2], -1)
+        """An own write id as one integer; -1 if it is of no log known here."""
+        place = self._log_indexes.get(write_id[:2], -1)
         return place if place < 0 else place << NUMBERS | write_id.number
 
     def _write_id_of(self, row: int) -> WriteId:
         if self._rows.has(row, FOREIGN):
             return self._foreign_of[row].write_id
-        return WriteId(*self._lines[self._rows.line[row]], self._rows.number[row])
+        return WriteId(*self._edge_logs[self._rows.edge_log[row]], self._rows.number[row])
 
     def _row(self, write_id: WriteId) -> int:
         """Of a write that is in the graph, or -1."""
@@ -135,16 +138,16 @@
         more = [self._unsure[row] for row in rows if row in self._unsure]
         return merge(dependencies, *more) if more else dependencies
 
-    def _enter(self, write: QueuedWrite, line: int, key: int, session: int, obj: int, since: int) -> int:
+    def _enter(self, write: QueuedWrite, edge_log: int, key: int, session: int, obj: int, since: int) -> int:
         """A row for it, counted, without causes yet."""
         row = self._graph.add()
         rows = self._rows
         rows.clear(row, 0 if write.cls else JOIN)
         rows.cls[row] = self._places.get(write.cls, 0) if write.cls else 0
-        rows.line[row], rows.number[row], rows.since[row] = line, write.write_id.number, since
+        rows.edge_log[row], rows.number[row], rows.since[row] = edge_log, write.write_id.number, since
         rows.key[row], rows.session[row], rows.obj[row] = key, session, obj
         rows.size[row] = write.size
-        packed = line << NUMBERS | write.write_id.number
+        packed = edge_log << NUMBERS | write.write_id.number
         self._open.put(packed, row)
         for places, name, value in (
             (self._keys, key, packed),
@@ -186,10 +189,10 @@
     def _link(
         self, row: int, dependencies: Dependencies, barriers: Mapping[tuple[int, int], int] | None = None
     ) -> None:
-        """Its arrows, each once. `barriers`: those of a restart, by line's place and number."""
+        """Its arrows, each once. `barriers`: those of a restart, by log's place and number."""
         found: set[int] = set()
         for dependency in dependencies:
-            place = self._line_places.get(dependency[:2], -1)
+            place = self._log_indexes.get(dependency[:2], -1)
             if place < 0 or dependency.number > self._high[place]:
                 found.add(self._follow_foreign(row, dependency))
             elif dependency.before and barriers is not None:
@@ -205,7 +208,7 @@
             self._graph.link(node, row)
 
     def _follow_foreign(self, row: int, dependency: Dependency) -> int:
-        """The row of a write of another line, or -1 if it need not be waited for."""
+        """The row of a write of another log, or -1 if it need not be waited for."""
         node = self._foreign.get(dependency, -1)
         if node >= 0:
             return node
@@ -223,7 +226,7 @@
         return node
 
     def _barrier(self, place: int, upto: int) -> int:
-        """A row that is over when all of a line up to a number are, or a later one; each made on the one
+        """A row that is over when all of a log up to a number are, or a later one; each made on the one
         before it, so that all of them together have one arrow for each write. -1 if all are over."""
         last, before = self._barriers.get(place, (0, -1))
         if last >= upto:
@@ -235,7 +238,7 @@
             return -1
         barrier = self._graph.add()
         self._rows.clear(barrier, BARRIER)
-        self._rows.line[barrier] = place
+        self._rows.edge_log[barrier] = place
         for node in nodes:
             self._graph.link(node, barrier)
         self._barriers[place] = (upto, barrier)
@@ -285,16 +288,16 @@
         if rows.has(row, FOREIGN):
             del self._foreign[self._foreign_of.pop(row)]
         elif rows.has(row, BARRIER):
-            place = rows.line[row]
+            place = rows.edge_log[row]
             upto, last = self._barriers[place]
             if last == row:
                 self._barriers[place] = (upto, -1)
         else:
-            packed = rows.line[row] << NUMBERS | rows.number[row]
+            packed = rows.edge_log[row] << NUMBERS | rows.number[row]
             self._unsure.pop(row, None)
             self._excused.discard(row)
             self._withheld.discard(packed)
-            self._over_now.append(
+            self._finished.append(
                 (
                     self._write_id_of(row),
                     WriteStatus.ABANDONED if packed in self._given_up else WriteStatus.APPLIED,
--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -10,7 +10,7 @@
    out, and a life that follows finds that it may have run.
 4. A replay is a request of its own to the engine, with its class's rules and its own deadline.
 5. A live write that follows what is kept is kept too, or refused: it never overtakes.
-6. Where upstream is copies of this program, `shared.asking` adds what goes between them. A kept write of
+6. Where upstream is copies of this program, `shared.asking` adds what goes between them. A queued write of
    another edge that comes here as at a copy upstream is not kept again: its edge keeps it.
 """
 
@@ -103,13 +103,15 @@
                 name: QueuedClass(name, one.how == "keyed", one.window_us)
                 for name, one in settings.classes.items()
             }
-            line = EdgeLog(settings.edge, store.incarnation)
+            edge_log = EdgeLog(settings.edge, store.incarnation)
             asks = settings.upstream == "copies" and version_vector is None
             if asks:
                 from laurelstep.outbox.shared.edge import RemoteVersionVector
 
-                version_vector = RemoteVersionVector(line, Random())
-            outbox = Outbox(line, kept, bounds, tokens, version_vector or LocalVersionVector(settings.edge))
+                version_vector = RemoteVersionVector(edge_log, Random())
+            outbox = Outbox(
+                edge_log, kept, bounds, tokens, version_vector or LocalVersionVector(settings.edge)
+            )
             self = cls(store, outbox, tokens, settings, classes, tenants, log)
             if asks:
                 from laurelstep.outbox.shared.asking import EdgeSharing
@@ -125,13 +127,13 @@
         loaded = await self.store.load()
         changes = self.outbox.restore(
             loaded.writes,
-            loaded.lines,
+            loaded.edge_logs,
             self.now(),
             self.wall(),
             is_elapsed_known=self.store.is_elapsed_known,
             doubt_us=self.store.opening_doubt_us,
         )
-        await self.store.put_lines(self.outbox.lines())
+        await self.store.put_logs(self.outbox.edge_logs())
         for write, moved in loaded.writes:
             if moved is not None and moved.state is WriteState.PARKED:
                 self.parked[write.write_id] = moved.parking
@@ -145,14 +147,14 @@
     def _restore_shared(self, loaded: LoadedWrites) -> None:
         if self.sharing is not None:
             self.sharing.restored(loaded)
-        if self.teller is not None:
+        if self.status_publisher is not None:
             for write_id in self.parked:
-                self.teller.tell(write_id, WriteStatus.PARKED)
+                self.status_publisher.tell(write_id, WriteStatus.PARKED)
 
     def begin(self, engine: Engine) -> None:
         self.engine = engine
         engine.keeper = self
-        self._look()
+        self._check_endpoints()
         self.wake()
 
     async def close(self) -> None:
@@ -171,7 +173,7 @@
         if self.tasks:
             await asyncio.wait(set(self.tasks))
         try:
-            await self.store.put_lines(self.outbox.lines())
+            await self.store.put_logs(self.outbox.edge_logs())
         except StoreError as error:
             self.log(f"outbox: not written at the end: {error}")
         await self.store.close()
@@ -207,22 +209,24 @@
         self.spawn(self.take_step(change))
         return True
 
-    def claim(self, line: EdgeLog) -> bool:
-        """An operator's word: of the processes that have copies of this disk, this one replays that line.
+    def claim(self, edge_log: EdgeLog) -> bool:
+        """An operator's word: of the processes that have copies of this disk, this one replays that log.
         False if it does. `UnknownWriteError`."""
-        if self.sharing is None or line not in self.outbox.lines():
-            raise UnknownWriteError(f"no line {line.edge}/{line.incarnation:016x} that others could have")
-        return self.sharing.force(line)
+        if self.sharing is None or edge_log not in self.outbox.edge_logs():
+            raise UnknownWriteError(
+                f"no line {edge_log.edge}/{edge_log.incarnation:016x} that others could have"
+            )
+        return self.sharing.force(edge_log)
 
     def status(self) -> dict[str, Any]:
         """For an operator."""
         shown = list(self.parked)[:SHOWN_MOST]
         return {
             "edge": self.settings.edge,
-            "cut_off": self.cutoff.off,
+            "cut_off": self.cutoff.is_cut_off,
             "kept": self.outbox.count,
             "bytes": self.outbox.size,
-            "out": len(self.out),
+            "out": len(self.in_flight),
             "parked": len(self.parked),
             "disk_bytes": self.store.size,
             "writes": [msgspec.json.decode(show(self.outbox.receipt(write_id))) for write_id in shown],
--- a/laurelstep/outbox/driver_state.py
+++ b/laurelstep/outbox/driver_state.py
@@ -59,18 +59,22 @@
         self.engine: Engine | None = None
         self.bodies: BodySpool
         self.storing: dict[WriteId, list[Call]] = {}  # requests that wait for a write to be durable
-        self.out: dict[WriteId, ReplayFront] = {}
-        self.aside = BackgroundReplay()
+        self.in_flight: dict[WriteId, ReplayFront] = {}
+        self.background_replay = BackgroundReplay()
         self.again: set[WriteId] = set()  # sent before, without a known end
         self.parked: dict[WriteId, int] = {}  # the number of the parking
         self.sharing: EdgeSharing | None = None  # where upstream is copies of this program
-        self.teller = outbox.version_vector if isinstance(outbox.version_vector, StatusPublisher) else None
-        self.untold: list[tuple[WriteId, WriteStatus]] = []  # over, and the version vector had no room for it
-        self.by_gate: set[WriteId] = set()  # done by an answer: upstream knows, and need not be told
+        self.status_publisher = (
+            outbox.version_vector if isinstance(outbox.version_vector, StatusPublisher) else None
+        )
+        self.unpublished: list[
+            tuple[WriteId, WriteStatus]
+        ] = []  # over, and the version vector had no room for it
+        self.applied_by_gate: set[WriteId] = set()  # done by an answer: upstream knows, and need not be told
         self.tasks: set[asyncio.Task[None]] = set()
         self.turning: asyncio.Handle | None = None
         self.closing = False
-        self.was_off = False
+        self.was_cut_off = False
         self.look_at = 0
 
     def now(self) -> int:
--- a/laurelstep/outbox/intake.py
+++ b/laurelstep/outbox/intake.py
@@ -54,7 +54,7 @@
         known = self._keys.get(key) if key else -1
         if known >= 0:
             self._check_circle(known, named)
-            return WriteTicket(WriteId(*self._lines[known >> NUMBERS], known & NUMBER_MASK), None, True)
+            return WriteTicket(WriteId(*self._edge_logs[known >> NUMBERS], known & NUMBER_MASK), None, True)
         return self._keep(offer, cls, named, key, now, wall)
 
     def join(self, dependencies: Dependencies, now: int, wall: int) -> WriteTicket:
@@ -76,7 +76,7 @@
         self._check(dependencies)
         self._check_bounds(offer)
         self._high[0] += 1
-        write_id = WriteId(*self._lines[0], self._high[0])
+        write_id = WriteId(*self._edge_logs[0], self._high[0])
         write = QueuedWrite(
             write_id,
             cls.name,
@@ -104,9 +104,9 @@
     def _check(self, dependencies: Dependencies) -> None:
         if len(dependencies) > DEPENDENCIES_MOST:
             raise LooseError(f"{len(dependencies)} writes before one, {DEPENDENCIES_MOST} are the most")
-        line, high = self._lines[0], self._high[0]
+        edge_log, high = self._edge_logs[0], self._high[0]
         for dependency in dependencies:
-            if dependency.line == line and dependency.number > high:
+            if dependency.edge_log == edge_log and dependency.number > high:
                 raise FutureError(f"{dependency.write_id} was not given out")
         if len(self._foreign) + len(dependencies) > FOREIGN_MOST:
             raise FullError("too many writes of other edges are waited for", RETRY_US)
@@ -138,7 +138,7 @@
                 seen.add(row)
                 rows += self._graph.dependencies(row)
 
-    def must_keep(self, named: str) -> bool:
+    def must_queue(self, named: str) -> bool:
         """A write that names these tokens follows one that may not be in yet: it is kept although the link
         is well. `CauseError`."""
         dependencies = self.tokens.read(named)
@@ -155,7 +155,7 @@
         return max(own) >= 0
 
     def _is_open(self, dependency: Dependency) -> bool:
-        place = self._line_places.get(dependency[:2], -1)
+        place = self._log_indexes.get(dependency[:2], -1)
         if place >= 0 and dependency.number <= self._high[place]:
             if dependency.before:
                 return self._barrier(place, self._high[place]) >= 0
@@ -173,7 +173,7 @@
         self._unsure.pop(row, None)
         self._wake(row)
 
-    def sized(self, write_id: WriteId, size: int) -> None:
+    def on_size_known(self, write_id: WriteId, size: int) -> None:
         """What its body has, of which only the most was known when it was offered."""
         row = self._must_row(write_id)
         less = self._rows.size[row] - size
@@ -181,7 +181,7 @@
         self._usage[self._rows.tenant[row]][1] -= less
         self.size -= less
 
-    def unstored(self, write_id: WriteId, now: int) -> None:
+    def on_store_failed(self, write_id: WriteId, now: int) -> None:
         """Its record could not be made durable: as if it had not been offered."""
         row = self._must_row(write_id)
         next_state(self._rows.state_of(row), WriteEvent.LOST)
--- a/laurelstep/outbox/messages.py
+++ b/laurelstep/outbox/messages.py
@@ -37,7 +37,7 @@
     replay_most: int = 8
     # The longest time between a send and its run upstream: the deadline of one try.
     send_us: int = 30_000_000
-    # After a refusal, live or of a kept write, nothing is replayed for so long.
+    # After a refusal, live or of a queued write, nothing is replayed for so long.
     hold_us: int = 1_000_000
     # What becomes of those that follow a write that is given up or lost with its edge.
     orphans: Literal["park", "release"] = "park"
@@ -76,7 +76,7 @@
     DENIED = 2  # a final answer that says no
     NOT_RUN = 3  # no attempt of it can have run
     MAY_HAVE_RUN = 4
-    FENCED = 5  # not run: its line is another process's
+    FENCED = 5  # not run: its log is another process's
 
 
 @dataclass(frozen=True, slots=True)
--- a/laurelstep/outbox/outbox.py
+++ b/laurelstep/outbox/outbox.py
@@ -24,7 +24,7 @@
 7. After a restart the time that passed is told by `wall`, and never less than none. Where the store does not
    know how much that was, or `wall` stands before what was written by it, a keyed write that may have run is
    parked: its window can't be known.
-8. Of a line that is another process's nothing is sent and nothing new is kept; what was to be sent is parked.
+8. Of a log that is another process's nothing is sent and nothing new is kept; what was to be sent is parked.
 """
 
 from __future__ import annotations
--- a/laurelstep/outbox/ports.py
+++ b/laurelstep/outbox/ports.py
@@ -35,7 +35,7 @@
     cutoff: CutOffDetector
     engine: Engine | None
     storing: dict[WriteId, list[Call]]
-    by_gate: set[WriteId]
+    applied_by_gate: set[WriteId]
     closing: bool
 
     def now(self) -> int:
--- a/laurelstep/outbox/queue_store.py
+++ b/laurelstep/outbox/queue_store.py
@@ -64,12 +64,12 @@
 
 @dataclass
 class LoadedWrites:
-    """What earlier lives left: the writes with their newest states, and the highest number of each line. So
+    """What earlier lives left: the writes with their newest states, and the highest number of each log. So
     many take memory: what only a replay or a receipt needs is left out (start, headers, digest; an answer's
     headers and body)."""
 
     writes: list[tuple[QueuedWrite, StateChange | None]] = field(default_factory=list)
-    lines: dict[EdgeLog, int] = field(default_factory=dict)
+    edge_logs: dict[EdgeLog, int] = field(default_factory=dict)
     holders: dict[EdgeLog, tuple[int, ...]] = field(default_factory=dict)
 
 
@@ -77,11 +77,11 @@
     return kind + write_id.incarnation.to_bytes(8, "big") + write_id.number.to_bytes(8, "big")
 
 
-def _line_key(line: EdgeLog, kind: bytes = LINE) -> bytes:
-    return kind + line.incarnation.to_bytes(8, "big") + line.edge.encode()
+def _log_key(edge_log: EdgeLog, kind: bytes = LINE) -> bytes:
+    return kind + edge_log.incarnation.to_bytes(8, "big") + edge_log.edge.encode()
 
 
-def _line_of(key: bytes) -> EdgeLog:
+def _log_of(key: bytes) -> EdgeLog:
     return EdgeLog(key[9:].decode(), int.from_bytes(key[1:9], "big"))
 
 
@@ -109,7 +109,7 @@
         cls,
         place: str | Disk,
         max_bytes: int,
-        log: Callable[[str], None] = lambda line: None,
+        log: Callable[[str], None] = lambda edge_log: None,
         clocks: StoreClocks = SYSTEM_CLOCKS,
     ) -> QueueStore:
         """`max_bytes`: what its user keeps at most, which is for the user to see to. `StoreError` if it is
@@ -163,14 +163,14 @@
             elif key[:1] == MOVED:
                 moved[key[1:]] = replace(decode_state_change(value), headers=(), body=b"")
             elif key[:1] == HOLDERS:
-                found.holders[_line_of(key)] = _lives_of(value)
+                found.holders[_log_of(key)] = _lives_of(value)
             else:
-                found.lines[_line_of(key)] = int.from_bytes(value, "big")
+                found.edge_logs[_log_of(key)] = int.from_bytes(value, "big")
         stale = self._orphans(kept, moved)
         found.writes = [(one, moved.get(at)) for at, one in sorted(kept.items()) if KEPT + at not in stale]
         for write, _ in found.writes:
-            found.lines[write.write_id.line] = max(
-                found.lines.get(write.write_id.line, 0), write.write_id.number
+            found.edge_logs[write.write_id.edge_log] = max(
+                found.edge_logs.get(write.write_id.edge_log, 0), write.write_id.number
             )
         for write, state in found.writes:
             if state is not None and state.state in FINAL and key_of(KEPT, write.write_id)[1:] in whole:
@@ -309,16 +309,19 @@
         for one in begun:
             one.add_done_callback(lambda done: done.cancelled() or done.exception())
 
-    async def put_lines(self, lines: Mapping[EdgeLog, int]) -> None:
-        """The highest number that each own line gave out. `StoreError` if it is not written."""
+    async def put_logs(self, edge_logs: Mapping[EdgeLog, int]) -> None:
+        """The highest number that each own log gave out. `StoreError` if it is not written."""
         await asyncio.gather(
-            *(self.store.put(_line_key(line), number.to_bytes(8, "big")) for line, number in lines.items())
+            *(
+                self.store.put(_log_key(edge_log), number.to_bytes(8, "big"))
+                for edge_log, number in edge_logs.items()
+            )
         )
 
-    async def put_holders(self, line: EdgeLog, lives: tuple[int, ...]) -> None:
-        """The lives that this disk knows to have had a line, or to have asked for it. `StoreError`."""
+    async def put_holders(self, edge_log: EdgeLog, lives: tuple[int, ...]) -> None:
+        """The lives that this disk knows to have had a log, or to have asked for it. `StoreError`."""
         told = b"".join(life.to_bytes(8, "big") for life in lives)
-        await self.store.put(_line_key(line, HOLDERS), told)
+        await self.store.put(_log_key(edge_log, HOLDERS), told)
 
     # --- Reading ----------------------------------------------------------------------
 
--- a/laurelstep/outbox/receipt_log.py
+++ b/laurelstep/outbox/receipt_log.py
@@ -112,21 +112,21 @@
         row = self._row(write_id)
         return self._rows.has(row, DURABLE) if row >= 0 else self.receipt(write_id).state in FINAL
 
-    def forgettable(
-        self, now: int, telling: Callable[[WriteId], bool] = lambda write_id: False
+    def expired_receipts(
+        self, now: int, is_unpublished: Callable[[WriteId], bool] = lambda write_id: False
     ) -> list[WriteId]:
-        """Those whose receipt's time is over: make `lines` durable, delete their records, `forget` them.
-        Nothing that was given up while `telling` says that others do not know of it: a later life would
-        have only its number, which says that it is in."""
+        """Those whose receipt's time is over: make `edge_logs` durable, delete their records, `forget` them.
+        Nothing that was given up while `is_unpublished` says that others do not know of it: a later life
+        would have only its number, which says that it is in."""
         found: list[WriteId] = []
         for _ in range(min(SWEEP, len(self._closed))):
             packed, until, key = self._closed[0]
             if until > now and len(self._closed) <= self.bounds.receipts_most:
                 break
             self._closed.popleft()
-            write_id = WriteId(*self._lines[packed >> NUMBERS], packed & NUMBER_MASK)
+            write_id = WriteId(*self._edge_logs[packed >> NUMBERS], packed & NUMBER_MASK)
             # Its followers still wait for its causes, or others are to hear of it.
-            if self._open.get(packed) >= 0 or (packed in self._given_up and telling(write_id)):
+            if self._open.get(packed) >= 0 or (packed in self._given_up and is_unpublished(write_id)):
                 self._closed.append((packed, now + self.bounds.receipt_us, key))
                 continue
             if key and self._keys.get(key) == packed:
--- a/laurelstep/outbox/receipts.py
+++ b/laurelstep/outbox/receipts.py
@@ -1,4 +1,4 @@
-"""What is told of a kept write. Pure: asking changes nothing."""
+"""What is told of a queued write. Pure: asking changes nothing."""
 
 from __future__ import annotations
 
--- a/laurelstep/outbox/records.py
+++ b/laurelstep/outbox/records.py
@@ -1,4 +1,4 @@
-"""The states of a kept write, and their records. Pure.
+"""The states of a queued write, and their records. Pure.
 
 1. A state changes only as `TRANSITIONS` says.
 2. A change is durable before anybody is told, and before the step that it announces is taken: OUT before
@@ -11,7 +11,7 @@
    one.
 6. DONE and GIVEN_UP are final.
 7. What upstream's copies say moves a parked write only in two ways: one that may have run is DONE once they
-   say that it is in, and one whose line was another's is KEPT again once the line is this process's.
+   say that it is in, and one whose log was another's is KEPT again once the log is this process's.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 class WriteState(IntEnum):
-    """Where a kept write stands."""
+    """Where a queued write stands."""
 
     KEPT = 1  # durable; waits for what it follows
     READY = 2  # all that it follows is in; waits for its turn
@@ -61,7 +61,7 @@
     AGE = 4  # older than what may be kept
     ORPHANED = 5  # what it follows was given up, or lost with its edge
     FOLLOWS = 6  # never in a record: what it follows is parked
-    FENCED = 7  # another process with a copy of this disk replays its line
+    FENCED = 7  # another process with a copy of this disk replays its log
 
 
 class Resolution(IntEnum):
@@ -73,7 +73,7 @@
 
 
 class WriteEvent(IntEnum):
-    """What moves a kept write."""
+    """What moves a queued write."""
 
     CAUSES_IN = 1
     SEND = 2
@@ -89,8 +89,8 @@
     GIVE_UP = 12
     LOST = 13  # the record of it could not be kept
     JOINED = 14  # it has no effect of its own: all that it follows is in
-    FENCED = 15  # its line is another process's
-    CLAIMED = 16  # it was FENCED, and its line is this process's now
+    FENCED = 15  # its log is another process's
+    CLAIMED = 16  # it was FENCED, and its log is this process's now
     FOUND_IN = 17  # it may have run, and upstream's record says that it is in
 
 
--- a/laurelstep/outbox/remote_logs.py
+++ b/laurelstep/outbox/remote_logs.py
@@ -45,14 +45,14 @@
             else:
                 self._graph.resume(row)
 
-    def followed(self) -> list[Dependency]:
-        """Writes of other lines that are waited for since the last call."""
+    def take_new_dependencies(self) -> list[Dependency]:
+        """Writes of other logs that are waited for since the last call."""
         found, self._followed = self._followed, []
         return found
 
-    def wonders(self, dependency: Dependency) -> bool:
+    def needs_status(self, dependency: Dependency) -> bool:
         """Whether its fate is of use: an open write follows it, or it is an own one that is parked as it may
-        have run, here or at the process that has its line."""
+        have run, here or at the process that has its log."""
         if dependency in self._foreign:
             return True
         row = -1 if dependency.before else self._row(dependency.write_id)
@@ -60,36 +60,36 @@
             return False
         return self._rows.reason[row] in (ParkingReason.MAY_HAVE_RUN, ParkingReason.FENCED)
 
-    def found_in(self, write_id: WriteId, wall: int) -> Transition | None:
+    def on_found_applied(self, write_id: WriteId, wall: int) -> Transition | None:
         """The record says that it is in: None if that changes nothing now."""
         row = self._row(write_id)
-        if row < 0 or not self.wonders(Dependency(*write_id)) or self._rows.has(row, BUSY):
+        if row < 0 or not self.needs_status(Dependency(*write_id)) or self._rows.has(row, BUSY):
             return None
         change = self._change(row, WriteEvent.FOUND_IN)
         return Transition(write_id, change.event, msgspec.structs.replace(change.moved, wall=wall))
 
-    def fence(self, line: EdgeLog) -> None:
-        """Another process has this line."""
-        place = self._line_places.get(line, -1)
+    def fence(self, edge_log: EdgeLog) -> None:
+        """Another process has this log."""
+        place = self._log_indexes.get(edge_log, -1)
         if place >= 0 and place not in self._fenced:
             self._fenced.add(place)
-            self.release_line(line)
+            self.release_log(edge_log)
             self._to_fence.extend(self._rows_of(place, (WriteState.KEPT, WriteState.READY)))
 
-    def unfence(self, line: EdgeLog) -> None:
+    def unfence(self, edge_log: EdgeLog) -> None:
         """This process has it; so what was parked as it had not goes on, also from before a restart."""
-        place = self._line_places.get(line, -1)
+        place = self._log_indexes.get(edge_log, -1)
         if place >= 0:
             self._fenced.discard(place)
             self._to_claim.extend(self._rows_of(place, (WriteState.PARKED,)))
 
     def _rows_of(self, place: int, states: tuple[WriteState, ...]) -> list[int]:
         """Looks at all rows."""
-        line, fenced = self._rows.line, place in self._fenced
+        edge_log, fenced = self._rows.edge_log, place in self._fenced
         return [
             row
             for row in range(len(self._rows))
-            if line[row] == place and self._is_fenced(row, fenced, states)
+            if edge_log[row] == place and self._is_fenced(row, fenced, states)
         ]
 
     def withhold(self, write_id: WriteId) -> None:
@@ -100,8 +100,8 @@
         """`heard` is to follow."""
         self._withheld.discard(self._pack(write_id))
 
-    def release_line(self, line: EdgeLog) -> None:
-        place = self._line_places.get(line, -1)
+    def release_log(self, edge_log: EdgeLog) -> None:
+        place = self._log_indexes.get(edge_log, -1)
         self._withheld = {packed for packed in self._withheld if packed >> NUMBERS != place}
 
     def unsafe(self, write_id: WriteId) -> bool:
@@ -114,23 +114,23 @@
         """Own writes, since the last call, that are over with all that they follow: what the version
         vector may tell others as in or gone. After a restart those that still have a record are named
         again."""
-        told, self._over_now = self._over_now, []
+        told, self._finished = self._finished, []
         return told
 
     def write_status(self, write_id: WriteId) -> WriteStatus:
         """What the version vector may tell others of an own write. `UnknownWriteError`."""
         row = self._row(write_id)
         if row >= 0:
-            return WriteStatus.PARKED if self._graph.sticks(row) else WriteStatus.UNKNOWN
+            return WriteStatus.PARKED if self._graph.is_blocked(row) else WriteStatus.UNKNOWN
         return (
             WriteStatus.ABANDONED
             if self.receipt(write_id).state is WriteState.GIVEN_UP
             else WriteStatus.APPLIED
         )
 
-    def low(self, line: EdgeLog) -> int:
-        """Up to which number all of an own line are over, those that were never kept among them."""
-        place = self._line_places[line]
+    def low(self, edge_log: EdgeLog) -> int:
+        """Up to which number all of an own log are over, those that were never kept among them."""
+        place = self._log_indexes[edge_log]
         while self._low[place] < self._high[place] and (
             self._open.get(place << NUMBERS | self._low[place] + 1) < 0
         ):
--- a/laurelstep/outbox/replay_driver.py
+++ b/laurelstep/outbox/replay_driver.py
@@ -43,17 +43,19 @@
             self.cutoff.answered(self.now())
         elif outcome in UNANSWERED:
             self.cutoff.failed(endpoint, self.now())
-        if self.cutoff.off != self.was_off:
-            self._turned()
+        if self.cutoff.is_cut_off != self.was_cut_off:
+            self._on_cutoff_change()
 
-    def _turned(self) -> None:
-        self.was_off = self.cutoff.off
-        self.log("outbox: cut off: writes are kept" if self.was_off else "outbox: back: writes go upstream")
-        if self.sharing is not None and not self.was_off:
+    def _on_cutoff_change(self) -> None:
+        self.was_cut_off = self.cutoff.is_cut_off
+        self.log(
+            "outbox: cut off: writes are kept" if self.was_cut_off else "outbox: back: writes go upstream"
+        )
+        if self.sharing is not None and not self.was_cut_off:
             self.sharing.remote.back(self.now())
         self.wake()
 
-    def _look(self) -> None:
+    def _check_endpoints(self) -> None:
         """What the list says, and the time. Looks at all endpoints: once in a while is enough."""
         assert self.engine is not None
         now = self.now()
@@ -62,8 +64,8 @@
         self.look_at = now + TURN_US // 2
         places = self.engine.members.places.values()
         self.cutoff.listed(sum(1 for place in places if place.left_at is None), now)
-        if self.cutoff.off != self.was_off:
-            self._turned()
+        if self.cutoff.is_cut_off != self.was_cut_off:
+            self._on_cutoff_change()
 
     def wake(self) -> None:
         if self.closing or self.engine is None:
@@ -76,52 +78,53 @@
         self.turning = self.loop.call_later(TURN_US / 1e6, self._turn)
         if self.closing:
             return
-        self._look()
+        self._check_endpoints()
         for change in self.outbox.due(self.now()):
             self.spawn(self.take_step(change))
-        self._tell_over()
-        followed = self.outbox.followed()
+        self._publish_finished()
+        take_new_dependencies = self.outbox.take_new_dependencies()
         if self.sharing is not None:
-            self.sharing.remote.follow(followed)
+            self.sharing.remote.follow(take_new_dependencies)
             self.sharing.turn()
-        if forgettable := self.outbox.forgettable(self.now(), self._telling):
-            self.spawn(self._forget(forgettable))
+        if expired_receipts := self.outbox.expired_receipts(self.now(), self._is_unpublished):
+            self.spawn(self._forget(expired_receipts))
 
-    def _tell_over(self) -> None:
+    def _publish_finished(self) -> None:
         """What is over, to those who may wait for it: given up before all, since a number tells the rest."""
-        over, self.untold = self.untold + self.outbox.over(), []
-        teller = self.teller
-        if teller is None or not over:
-            self.by_gate.clear()  # what is over later is told once more than it need be
+        over, self.unpublished = self.unpublished + self.outbox.over(), []
+        status_publisher = self.status_publisher
+        if status_publisher is None or not over:
+            self.applied_by_gate.clear()  # what is over later is told once more than it need be
             return
         gone = [one for one in over if one[1] is WriteStatus.ABANDONED]
-        self.untold = [
+        self.unpublished = [
             (write_id, write_status)
             for write_id, write_status in gone
-            if teller.tell(write_id, write_status) is False
+            if status_publisher.tell(write_id, write_status) is False
         ]
-        if not self.untold:
-            for line in {write_id.line for write_id, _ in over}:
-                if number := self.outbox.low(line):
-                    teller.low(line, number)
+        if not self.unpublished:
+            for edge_log in {write_id.edge_log for write_id, _ in over}:
+                if number := self.outbox.low(edge_log):
+                    status_publisher.low(edge_log, number)
         for write_id, write_status in over:
             if write_status is WriteStatus.ABANDONED:
                 continue
-            if write_id in self.by_gate:
-                self.by_gate.discard(write_id)
-            elif teller.tell(write_id, write_status) is False:
-                self.untold.append((write_id, write_status))
+            if write_id in self.applied_by_gate:
+                self.applied_by_gate.discard(write_id)
+            elif status_publisher.tell(write_id, write_status) is False:
+                self.unpublished.append((write_id, write_status))
 
-    def _telling(self, write_id: WriteId) -> bool:
+    def _is_unpublished(self, write_id: WriteId) -> bool:
         """Others are still to hear that it was given up."""
-        return self.teller is not None and (
-            self.teller.telling(write_id) or any(one == write_id for one, _ in self.untold)
+        return self.status_publisher is not None and (
+            self.status_publisher.is_unpublished(write_id)
+            or any(one == write_id for one, _ in self.unpublished)
         )
 
     async def _forget(self, write_ids: list[WriteId]) -> None:
         """Numbers first: what is forgotten must not look as if it were still to come."""
         try:
-            await self.store.put_lines(self.outbox.lines())
+            await self.store.put_logs(self.outbox.edge_logs())
         except StoreError:
             return
         for write_id in write_ids:
@@ -148,8 +151,8 @@
             self.sharing.before(change)
         goes = self.outbox.apply(change, self.now())
         state = change.moved.state
-        if self.teller is not None and (state is WriteState.PARKED or change.event in UNPARKED):
-            self.teller.tell(
+        if self.status_publisher is not None and (state is WriteState.PARKED or change.event in UNPARKED):
+            self.status_publisher.tell(
                 change.write_id, WriteStatus.PARKED if state is WriteState.PARKED else WriteStatus.UNKNOWN
             )
         if change.event is WriteEvent.FOUND_IN:
@@ -172,14 +175,14 @@
         if call is None:
             await self._end(write_id, ReplayResult.NOT_RUN, Answer(Ending.FAILED, 502))
             return
-        self.out[write_id] = replay
+        self.in_flight[write_id] = replay
         try:
-            async with self.aside:
+            async with self.background_replay:
                 assert self.engine is not None
                 self.engine.take(call)
             answer = await replay.over
         finally:
-            del self.out[write_id]
+            del self.in_flight[write_id]
             if call.upload is not None:
                 call.upload.leave()
         if self.sharing is not None:
--- a/laurelstep/outbox/replay_front.py
+++ b/laurelstep/outbox/replay_front.py
@@ -13,7 +13,7 @@
 
 @dataclass(eq=False)
 class ReplayFront:
-    """A kept write on its way upstream: the front of its call."""
+    """A queued write on its way upstream: the front of its call."""
 
     write_id: WriteId
     never_ran: bool = False
--- a/laurelstep/outbox/replay_queue.py
+++ b/laurelstep/outbox/replay_queue.py
@@ -1,4 +1,4 @@
-"""In which order, and how fast, kept writes go out. Pure.
+"""In which order, and how fast, queued writes go out. Pure.
 
 1. A write has its turn once all that it follows is in, in the order in which that came about. Independent
    ones go side by side.
@@ -52,7 +52,7 @@
 
 
 class ReplayQueue:
-    """The rows that are ready, first come first, and those whose line another process may hold."""
+    """The rows that are ready, first come first, and those whose log another process may hold."""
 
     def __init__(self) -> None:
         self._ready: deque[int] = deque()
@@ -76,6 +76,6 @@
         self._aside.append(row)
 
     def bring_back(self) -> None:
-        """Who holds which line may have changed."""
+        """Who holds which log may have changed."""
         self._ready.extend(self._aside)
         self._aside.clear()
--- a/laurelstep/outbox/replay_schedule.py
+++ b/laurelstep/outbox/replay_schedule.py
@@ -60,7 +60,7 @@
         return [self._change(row, WriteEvent.JOINED) for row in rows if self._can_go(row)]
 
     def _due_fences(self) -> list[Transition]:
-        """What is to be parked as its line is another's, and what is not to be any more."""
+        """What is to be parked as its log is another's, and what is not to be any more."""
         found: list[Transition] = []
         for rows, states, event, reason in (
             (self._to_fence, (WriteState.KEPT, WriteState.READY), WriteEvent.FENCED, ParkingReason.FENCED),
@@ -77,11 +77,11 @@
         return found
 
     def _is_fenced(self, row: int, fenced: bool, states: tuple[WriteState, ...]) -> bool:
-        """Still to be parked, or not any more, for its line: a place in a queue may be older than that."""
+        """Still to be parked, or not any more, for its log: a place in a queue may be older than that."""
         rows = self._rows
         if rows.flags[row] & (FOREIGN | BARRIER | JOIN | CLOSED) or rows.state_of(row) not in states:
             return False
-        return (rows.line[row] in self._fenced) is fenced and (
+        return (rows.edge_log[row] in self._fenced) is fenced and (
             fenced or rows.reason[row] == ParkingReason.FENCED
         )
 
@@ -112,7 +112,7 @@
                 continue
             if reason := self._expired(row, now):
                 found.append(self._change(row, WriteEvent.EXPIRED, reason))
-            elif self._rows.line[row] in self._fenced:
+            elif self._rows.edge_log[row] in self._fenced:
                 self._to_fence.append(row)
             elif not self._may_go(row):
                 self._turns.set_aside(row)
@@ -122,9 +122,11 @@
         return found
 
     def _may_go(self, row: int) -> bool:
-        packed = self._rows.line[row] << NUMBERS | self._rows.number[row]
-        return packed not in self._withheld and self.version_vector.holds(self._lines[self._rows.line[row]])
+        packed = self._rows.edge_log[row] << NUMBERS | self._rows.number[row]
+        return packed not in self._withheld and self.version_vector.holds(
+            self._edge_logs[self._rows.edge_log[row]]
+        )
 
-    def live_refused(self, now: int) -> None:
+    def on_live_rejection(self, now: int) -> None:
         """The module refused a live request: kept ones stand back."""
         self.pace.refused(now)
--- a/laurelstep/outbox/restore.py
+++ b/laurelstep/outbox/restore.py
@@ -37,22 +37,24 @@
     def restore(
         self,
         kept: Iterable[tuple[QueuedWrite, StateChange | None]],
-        lines: Mapping[EdgeLog, int],
+        edge_logs: Mapping[EdgeLog, int],
         now: int,
         wall: int,
         *,
         is_elapsed_known: bool = True,
         doubt_us: int = 0,
     ) -> list[Transition]:
-        """All records of the store, once, before anything else. `lines`: the highest number found of each
+        """All records of the store, once, before anything else. `edge_logs`: the highest number found of each
         former life. `is_elapsed_known`: whether `wall` tells how much time passed between the lives;
         `doubt_us`: by how much it may tell too much. What comes back is to be made durable and applied."""
         records = sorted(kept, key=lambda pair: (pair[0].life, pair[0].write_id))
         self._life = max((write.life for write, _ in records), default=-1) + 1
-        for line in sorted({*lines, *(write.write_id.line for write, _ in records)} - {self._lines[0]}):
-            self._line_places[line] = len(self._lines)
-            self._lines.append(line)
-            self._high.append(lines.get(line, 0))
+        for edge_log in sorted(
+            {*edge_logs, *(write.write_id.edge_log for write, _ in records)} - {self._edge_logs[0]}
+        ):
+            self._log_indexes[edge_log] = len(self._edge_logs)
+            self._edge_logs.append(edge_log)
+            self._high.append(edge_logs.get(edge_log, 0))
             self._low.append(0)
         known = {*(write.wall for write, _ in records), *(moved.wall for _, moved in records if moved)}
         clock_back = not is_elapsed_known or wall < max(known, default=wall)
@@ -74,7 +76,7 @@
         return changes
 
     def _restore_one(self, write: QueuedWrite, moved: StateChange | None, now: int, wall: int) -> int:
-        place = self._line_places[write.write_id.line]
+        place = self._log_indexes[write.write_id.edge_log]
         self._high[place] = max(self._high[place], write.write_id.number)
         anew = moved is not None and moved.resolution == Resolution.NEVER_RAN
         began = moved.resolved_at if anew and moved is not None else write.wall
@@ -96,12 +98,12 @@
         return row
 
     def _restore_barriers(self, writes: list[QueuedWrite]) -> dict[tuple[int, int], int]:
-        """All that the writes name, each exactly as far as named: later ones of its line may follow it."""
+        """All that the writes name, each exactly as far as named: later ones of its log may follow it."""
         named = {
             (place, number)
             for write in writes
             for edge, incarnation, number, before in write.dependencies
-            if before and (place := self._line_places.get(EdgeLog(edge, incarnation), -1)) >= 0
+            if before and (place := self._log_indexes.get(EdgeLog(edge, incarnation), -1)) >= 0
         }
         return {one: self._barrier(*one) for one in sorted(named) if one[1] <= self._high[one[0]]}
 
@@ -146,9 +148,9 @@
             event, reason = WriteEvent.UNSURE, ParkingReason.MAY_HAVE_RUN
         return self._change(row, event, reason)
 
-    def lines(self) -> dict[EdgeLog, int]:
-        """The highest number known of each own line: durable before a life begins."""
-        return dict(zip(self._lines, self._high, strict=True))
+    def edge_logs(self) -> dict[EdgeLog, int]:
+        """The highest number known of each own log: durable before a life begins."""
+        return dict(zip(self._edge_logs, self._high, strict=True))
 
 
 def _went_on(moved: StateChange) -> bool:
--- a/laurelstep/outbox/shared/agreement.py
+++ b/laurelstep/outbox/shared/agreement.py
@@ -97,73 +97,73 @@
     def close(self) -> None:
         """All that waits hears False."""
         self._closed = True
-        for telling in list(self._tellings.values()):
-            for wait in list(telling.waits):
-                self._end(telling, wait, False)
+        for is_unpublished in list(self._tellings.values()):
+            for wait in list(is_unpublished.waits):
+                self._end(is_unpublished, wait, False)
         self._flights.clear()
 
     # --- What waits -------------------------------------------------------------------
 
     def _await(self, data: bytes, wait: _PendingEntry) -> None:
-        telling = self._tellings.get(data)
-        is_new = telling is None
-        if telling is None:
-            telling = self._tellings[data] = _PendingWord(data)
-        telling.waits.append(wait)
+        is_unpublished = self._tellings.get(data)
+        is_new = is_unpublished is None
+        if is_unpublished is None:
+            is_unpublished = self._tellings[data] = _PendingWord(data)
+        is_unpublished.waits.append(wait)
         self._count += 1
-        wait.future.add_done_callback(lambda future: self._called_off(telling, wait))
+        wait.future.add_done_callback(lambda future: self._called_off(is_unpublished, wait))
         if is_new:
-            telling.due = self.clock.now() + telling.again_us
+            is_unpublished.due = self.clock.now() + is_unpublished.again_us
             self._tell(data)
-        if telling.waits:
-            self._arm(telling)
+        if is_unpublished.waits:
+            self._arm(is_unpublished)
 
-    def _called_off(self, telling: _PendingWord, wait: _PendingEntry) -> None:
-        if wait in telling.waits:  # its asker cancelled it
-            self._end(telling, wait, False)
+    def _called_off(self, is_unpublished: _PendingWord, wait: _PendingEntry) -> None:
+        if wait in is_unpublished.waits:  # its asker cancelled it
+            self._end(is_unpublished, wait, False)
 
-    def _end(self, telling: _PendingWord, wait: _PendingEntry, resolution: bool) -> None:
-        telling.waits.remove(wait)
+    def _end(self, is_unpublished: _PendingWord, wait: _PendingEntry, resolution: bool) -> None:
+        is_unpublished.waits.remove(wait)
         self._count -= 1
-        if not telling.waits:
-            del self._tellings[telling.data]
-            if telling.timer is not None:
-                telling.timer.cancel()
+        if not is_unpublished.waits:
+            del self._tellings[is_unpublished.data]
+            if is_unpublished.timer is not None:
+                is_unpublished.timer.cancel()
         if not wait.future.done():
             self.counters["agreed" if resolution else "late"] += 1
             wait.future.set_result(resolution)
 
-    def _arm(self, telling: _PendingWord) -> None:
-        if telling.timer is not None:
-            telling.timer.cancel()
-        due = min(telling.due, *(wait.until for wait in telling.waits))
-        telling.timer = self.clock.at(due, self._wake, telling)
+    def _arm(self, is_unpublished: _PendingWord) -> None:
+        if is_unpublished.timer is not None:
+            is_unpublished.timer.cancel()
+        due = min(is_unpublished.due, *(wait.until for wait in is_unpublished.waits))
+        is_unpublished.timer = self.clock.at(due, self._wake, is_unpublished)
 
-    def _wake(self, telling: _PendingWord) -> None:
+    def _wake(self, is_unpublished: _PendingWord) -> None:
         """Told again, or too late. What became true meanwhile is true."""
-        telling.timer = None
+        is_unpublished.timer = None
         now = self.clock.now()
-        self._judge(telling, now)
-        if not telling.waits:
+        self._judge(is_unpublished, now)
+        if not is_unpublished.waits:
             return
-        if now >= telling.due:
-            telling.again_us = min(2 * telling.again_us, AGAIN_MOST_US)
-            telling.due = now + telling.again_us
-            self._tell(telling.data)
-        if telling.waits:
-            self._arm(telling)
-
-    def _judge(self, telling: _PendingWord, now: int) -> None:
-        for wait in list(telling.waits):
+        if now >= is_unpublished.due:
+            is_unpublished.again_us = min(2 * is_unpublished.again_us, AGAIN_MOST_US)
+            is_unpublished.due = now + is_unpublished.again_us
+            self._tell(is_unpublished.data)
+        if is_unpublished.waits:
+            self._arm(is_unpublished)
+
+    def _judge(self, is_unpublished: _PendingWord, now: int) -> None:
+        for wait in list(is_unpublished.waits):
             if wait.done():
-                self._end(telling, wait, True)
+                self._end(is_unpublished, wait, True)
             elif now >= wait.until:
-                self._end(telling, wait, False)
+                self._end(is_unpublished, wait, False)
 
     def _change(self) -> None:
         now = self.clock.now()
-        for telling in list(self._tellings.values()):
-            self._judge(telling, now)
+        for is_unpublished in list(self._tellings.values()):
+            self._judge(is_unpublished, now)
         self._look_who_leads()
         self.on_change()
 
--- a/laurelstep/outbox/shared/asking.py
+++ b/laurelstep/outbox/shared/asking.py
@@ -4,10 +4,10 @@
 
 1. An ask is a request of its own through the engine, of a class that is kept, with `ASK_US` at most. Its
    answer counts only if it was sealed as the answer to this very ask.
-2. A line of a former life is claimed only once the store has this life among those that its disk has known.
+2. A log of a former life is claimed only once the store has this life among those that its disk has known.
 3. An operator's "it never ran" is told upstream before the write is sent again, by the life that it was
-   given to, once the line is held. Of a disk that was copied, another may have sent it since: so a later
-   life does not tell one that was not heard, nor one whose line was another's; the write comes back as one
+   given to, once the log is held. Of a disk that was copied, another may have sent it since: so a later
+   life does not tell one that was not heard, nor one whose log was another's; the write comes back as one
    that may have run.
 4. A write that may have run is parked at once, so that a crash finds it so, and its fate is asked; where that
    is in, it is done.
@@ -64,8 +64,8 @@
         kept = driver.settings.classes
         # One whose attempts may be tried again, if there is any.
         self.cls = min(driver.classes, key=lambda cls: (kept[driver.classes[cls]].how != "keyed", cls))
-        self.holders: dict[EdgeLog, tuple[int, ...]] = {self.remote.line: (self.remote.life,)}
-        self.unnamed: dict[EdgeLog, bool] = {}  # lines to be claimed, with force or without
+        self.holders: dict[EdgeLog, tuple[int, ...]] = {self.remote.edge_log: (self.remote.life,)}
+        self.unnamed: dict[EdgeLog, bool] = {}  # logs to be claimed, with force or without
         self.naming = False
         self.parked_at: dict[WriteId, int] = {}  # those that are parked, since when
         # "It never ran": of which parking, and from when on it may be told.
@@ -79,30 +79,30 @@
     def restored(self, loaded: LoadedWrites) -> None:
         """Before anything else is done."""
         for write, moved in loaded.writes:
-            line = write.write_id.line
-            if line not in self.holders:
-                self.holders[line] = loaded.holders.get(line, (line.incarnation,))
-                self.unnamed[line] = False
+            edge_log = write.write_id.edge_log
+            if edge_log not in self.holders:
+                self.holders[edge_log] = loaded.holders.get(edge_log, (edge_log.incarnation,))
+                self.unnamed[edge_log] = False
             if moved is None:
                 continue
             if moved.state is WriteState.DONE and moved.status:
-                self.driver.by_gate.add(write.write_id)
+                self.driver.applied_by_gate.add(write.write_id)
             elif moved.state is WriteState.PARKED:
                 self.parked_at[write.write_id] = self.driver.clock.now()
-                self._wonder(write.write_id)
+                self._follow_own(write.write_id)
 
-    def _wonder(self, write_id: WriteId) -> None:
+    def _follow_own(self, write_id: WriteId) -> None:
         dependency = Dependency(*write_id)
-        if self.outbox.wonders(dependency):
+        if self.outbox.needs_status(dependency):
             self.remote.follow((dependency,))
 
-    def force(self, line: EdgeLog) -> bool:
-        if self.remote.holds(line):
+    def force(self, edge_log: EdgeLog) -> bool:
+        if self.remote.holds(edge_log):
             return False
-        self.holders.setdefault(line, (line.incarnation,))
-        self.unnamed[line] = True
-        self._drop_words(line)
-        self.outbox.release_line(line)  # rule 3
+        self.holders.setdefault(edge_log, (edge_log.incarnation,))
+        self.unnamed[edge_log] = True
+        self._drop_words(edge_log)
+        self.outbox.release_log(edge_log)  # rule 3
         self.driver.wake()
         return True
 
@@ -110,14 +110,14 @@
         """Rule 2."""
         life = self.remote.life
         try:
-            for line, force in list(self.unnamed.items()):
-                lives = self.holders[line]
+            for edge_log, force in list(self.unnamed.items()):
+                lives = self.holders[edge_log]
                 if life not in lives:
                     lives = tuple(bounded((*lives, life)))
-                    await self.driver.store.put_holders(line, lives)
-                    self.holders[line] = lives
-                del self.unnamed[line]
-                self.remote.claim(line, lives, force)
+                    await self.driver.store.put_holders(edge_log, lives)
+                    self.holders[edge_log] = lives
+                del self.unnamed[edge_log]
+                self.remote.claim(edge_log, lives, force)
         except StoreError as error:
             self.driver.log(f"outbox: a claim is not written: {error}")
             return  # at the next turn
@@ -133,18 +133,18 @@
             self.outbox.withhold(change.write_id)
             self._take_back(change.write_id, change.moved.resolved)
         elif change.event in (WriteEvent.ANSWERED, WriteEvent.FOUND_IN):
-            self.driver.by_gate.add(change.write_id)
+            self.driver.applied_by_gate.add(change.write_id)
 
     def applied(self, change: Transition) -> None:
         if change.moved.state is WriteState.PARKED:
             self.parked_at[change.write_id] = self.driver.clock.now()
-            self._wonder(change.write_id)
+            self._follow_own(change.write_id)
         else:
             self.parked_at.pop(change.write_id, None)
 
     def _take_back(self, write_id: WriteId, parking: int) -> None:
         """Told once the last try's time is over: one still on its way may run, and no record sees it. And
-        once the line is held."""
+        once the log is held."""
         now = self.driver.clock.now()
         due = self.parked_at.get(write_id, now) + self.driver.settings.send_us
         self.words[write_id] = parking, due
@@ -153,14 +153,14 @@
     def _tell_words(self) -> None:
         now = self.driver.clock.now()
         for write_id, (parking, due) in list(self.words.items()):
-            if due <= now and self.remote.holds(write_id.line):
+            if due <= now and self.remote.holds(write_id.edge_log):
                 self._drop_word(write_id)
-                self.remote.unbegin(write_id, parking)
+                self.remote.withdraw_intent(write_id, parking)
                 self.driver.wake()
 
-    def _drop_words(self, line: EdgeLog) -> None:
+    def _drop_words(self, edge_log: EdgeLog) -> None:
         """Another process may have sent them since."""
-        for write_id in [write_id for write_id in self.words if write_id.line == line]:
+        for write_id in [write_id for write_id in self.words if write_id.edge_log == edge_log]:
             self._drop_word(write_id)
 
     def _drop_word(self, write_id: WriteId) -> None:
@@ -176,8 +176,8 @@
     def end_of(self, call: Call, replay: ReplayFront, answer: Answer) -> ReplayResult:
         if answer.ending is Ending.SERVED:
             return ReplayResult.ANSWERED
-        line = replay.write_id.line
-        fenced = call.fate == b"fenced" and self._lost(line)
+        edge_log = replay.write_id.edge_log
+        fenced = call.fate == b"fenced" and self._lost(edge_log)
         if call.fate == b"begun":
             return ReplayResult.MAY_HAVE_RUN
         if not self._not_run(call, replay, answer):
@@ -191,18 +191,18 @@
         refused = call.fate in (b"fenced", b"refused")
         return refused and (call.tried <= 1 or self.outbox.unsafe(replay.write_id))
 
-    def _lost(self, line: EdgeLog) -> bool:
+    def _lost(self, edge_log: EdgeLog) -> bool:
         """A gate says that another life has it."""
-        if not self.remote.lost(line):
+        if not self.remote.lost(edge_log):
             return False
-        self._fence(line)
+        self._fence(edge_log)
         return True
 
-    def _fence(self, line: EdgeLog) -> None:
-        self._drop_words(line)
-        self.outbox.fence(line)
-        if line in self.holders:
-            name = f"{line.edge}/{line.incarnation:016x}"
+    def _fence(self, edge_log: EdgeLog) -> None:
+        self._drop_words(edge_log)
+        self.outbox.fence(edge_log)
+        if edge_log in self.holders:
+            name = f"{edge_log.edge}/{edge_log.incarnation:016x}"
             self.driver.log(
                 f"outbox: {name}: fenced: another process with a copy of this disk replays it; {REMEDY}"
             )
@@ -214,14 +214,14 @@
         driver = self.driver
         if driver.closing or driver.engine is None:
             return
-        if driver.cutoff.off:
+        if driver.cutoff.is_cut_off:
             if self.unnamed or self.remote.waits:
                 self._begin(self.remote.probe(driver.now()))
             return
         if self.unnamed and not self.naming:
             self.naming = True
             driver.spawn(self._name())
-        self._begin(self.remote.next(driver.now(), self.outbox.wonders))
+        self._begin(self.remote.next(driver.now(), self.outbox.needs_status))
 
     def _begin(self, ask: ReplayQuery | None) -> None:
         if ask is not None:
@@ -276,27 +276,27 @@
 
     def _act(self, news: QueryOutcome) -> None:
         driver = self.driver
-        for line in news.fenced:
-            self._fence(line)
-        for line in news.held:
-            self.outbox.unfence(line)
+        for edge_log in news.fenced:
+            self._fence(edge_log)
+        for edge_log in news.held:
+            self.outbox.unfence(edge_log)
             # Whoever comes after on this disk comes after this life.
-            self.holders[line] = (line.incarnation, self.remote.life)
-            driver.spawn(self._held(line))
+            self.holders[edge_log] = (edge_log.incarnation, self.remote.life)
+            driver.spawn(self._held(edge_log))
         if news.held:
             self._tell_words()
-        for write_id in news.unbegun:
+        for write_id in news.withdrawn:
             self.outbox.release(write_id)
-        for write_id in news.own_in:
-            change = self.outbox.found_in(write_id, driver.wall())
+        for write_id in news.own_applied:
+            change = self.outbox.on_found_applied(write_id, driver.wall())
             if change is not None:
                 driver.spawn(driver.take_step(change))
         if news.changed:
             self.outbox.heard(driver.now())
         driver.wake()
 
-    async def _held(self, line: EdgeLog) -> None:
+    async def _held(self, edge_log: EdgeLog) -> None:
         try:
-            await self.driver.store.put_holders(line, self.holders[line])
+            await self.driver.store.put_holders(edge_log, self.holders[edge_log])
         except StoreError as error:
             self.driver.log(f"outbox: a claim is not written: {error}")  # the longer list is as good
--- a/laurelstep/outbox/shared/assembly.py
+++ b/laurelstep/outbox/shared/assembly.py
@@ -1,4 +1,4 @@
-"""The parts of what copies share of kept writes, in one process, put together from its configuration."""
+"""The parts of what copies share of queued writes, in one process, put together from its configuration."""
 
 from __future__ import annotations
 
@@ -63,8 +63,8 @@
         """The outbox has begun with the engine."""
         driver, sharer = self.driver, self.carried.sharer
         assert driver is not None and sharer is not None
-        line = EdgeLog(driver.settings.edge, driver.store.incarnation)
-        self.version_vector.begin(sharer, line, driver.outbox.lines(), self._changed)
+        edge_log = EdgeLog(driver.settings.edge, driver.store.incarnation)
+        self.version_vector.begin(sharer, edge_log, driver.outbox.edge_logs(), self._changed)
 
     def _changed(self) -> None:
         assert self.driver is not None
@@ -77,11 +77,11 @@
         assert self.gate is not None
         return self.gate.lose(edge, incarnation)
 
-    def claim(self, line: EdgeLog) -> bool:
+    def claim(self, edge_log: EdgeLog) -> bool:
         try:
-            return self.version_vector.force(line)
+            return self.version_vector.force(edge_log)
         except KeyError:
-            told = f"{line.edge}/{line.incarnation:016x}"
+            told = f"{edge_log.edge}/{edge_log.incarnation:016x}"
             raise UnknownWriteError(f"no line {told} of a former life of this disk") from None
 
     def status(self) -> dict[str, Any]:
--- a/laurelstep/outbox/shared/carried_ledger.py
+++ b/laurelstep/outbox/shared/carried_ledger.py
@@ -1,4 +1,4 @@
-"""What each copy that takes part in accord has of kept writes, also one that shares none itself.
+"""What each copy that takes part in accord has of queued writes, also one that shares none itself.
 
 It may come to lead. Without the machine its snapshot would make the others forget; without the sharer their
 words would come to nothing."""
--- a/laurelstep/outbox/shared/edge.py
+++ b/laurelstep/outbox/shared/edge.py
@@ -1,16 +1,16 @@
 """What an edge has learned from upstream's copies, and what it asks and tells them next. Pure.
 
 1. Asked for are the fates of the foreign writes that the outbox waits for and of its own that may have run,
-   and claims of the lines of former lives. Told is what becomes of own writes that no gate saw: parked,
-   parked no more, given up, in by a resolution; and up to which number all of a line are over.
+   and claims of the logs of former lives. Told is what becomes of own writes that no gate saw: parked,
+   parked no more, given up, in by a resolution; and up to which number all of a log are over.
 2. One ask is out at a time. What is new goes at once; the rest in turns, `ROUND_MOST` asks of them, then a
    pause of 1 s, doubled up to 8 s while nothing changes, drawn between half and all of it. When the link
    is back, and when something has changed, the pause is the shortest again. While the edge is cut off nothing
    is asked but `probe`: where nothing is sent, as all waits for others or for claims, a link that is back is
    seen by nothing else.
-3. IN and GONE are final; PARKED may change. A line of a former life is held only once a claim is; one that is
+3. IN and GONE are final; PARKED may change. A log of a former life is held only once a claim is; one that is
    fenced is not held again unless an operator claims it.
-4. That the lines' holders are durable before a claim is asked is for the driver: it calls `claim` after that.
+4. That the logs' holders are durable before a claim is asked is for the driver: it calls `claim` after that.
 5. What was told is told again each `AGAIN_US`: the record may have been lost with all that kept it. "All up
    to a number are over" goes behind those given up, and where those were told before, only as they are told
    again: in a record that does not know them they would be taken for in.
@@ -49,20 +49,21 @@
 
 
 class RemoteVersionVector:
-    """A `VersionVector` behind which upstream's record stands. `line`: of this life, which needs no claim."""
+    """A `VersionVector` behind which upstream's record stands. `edge_log`: of this life, which needs no
+    claim."""
 
-    def __init__(self, line: EdgeLog, random: Random) -> None:
-        self.line = line
-        self.life = line.incarnation
+    def __init__(self, edge_log: EdgeLog, random: Random) -> None:
+        self.edge_log = edge_log
+        self.life = edge_log.incarnation
         self._fates: OrderedDict[Dependency, WriteStatus] = OrderedDict()
-        self._held = {line}
+        self._held = {edge_log}
         self._fenced: set[EdgeLog] = set()
         self._open_claims: dict[EdgeLog, LeaseRequest] = {}
         self._claimed: dict[EdgeLog, LeaseRequest] = {}  # of those that are held: asked again by rule 5
         self._said: dict[Dependency, StatusUpdate] = {}
         self._low: dict[EdgeLog, int] = {}
         self._told_low: dict[EdgeLog, int] = {}
-        self._ungiven: dict[EdgeLog, set[int]] = {}  # by line: given up, and not told yet
+        self._ungiven: dict[EdgeLog, set[int]] = {}  # by log: given up, and not told yet
         self._untold: set[Dependency] = set()
         self._asked: QueryRound[Dependency] = QueryRound()
         self._claims: QueryRound[EdgeLog] = QueryRound()
@@ -77,11 +78,11 @@
     def write_status(self, dependency: Dependency) -> WriteStatus:
         return self._fates.get(dependency, WriteStatus.UNKNOWN)
 
-    def holds(self, line: EdgeLog) -> bool:
-        return line in self._held
+    def holds(self, edge_log: EdgeLog) -> bool:
+        return edge_log in self._held
 
-    def fenced(self, line: EdgeLog) -> bool:
-        return line in self._fenced
+    def fenced(self, edge_log: EdgeLog) -> bool:
+        return edge_log in self._fenced
 
     # --- What is to be asked ----------------------------------------------------------
 
@@ -91,43 +92,45 @@
             if self.write_status(dependency) not in FINAL_FATES:
                 self._asked.add(dependency)
 
-    def claim(self, line: EdgeLog, known: Iterable[int], force: bool = False) -> None:
+    def claim(self, edge_log: EdgeLog, known: Iterable[int], force: bool = False) -> None:
         """Ask for it. `known`: as they came; that this life is among them is durable."""
         others = [life for life in dict.fromkeys(known) if life != self.life]
         others = list(bounded(others))
         if force:
-            self._fenced.discard(line)
-            self._drop_unbegun(line)
-        if line not in self._fenced:
-            self._open_claims[line] = LeaseRequest(line, self.life, tuple(others), force)
-            self._claims.add(line)
+            self._fenced.discard(edge_log)
+            self._drop_unbegun(edge_log)
+        if edge_log not in self._fenced:
+            self._open_claims[edge_log] = LeaseRequest(edge_log, self.life, tuple(others), force)
+            self._claims.add(edge_log)
 
-    def lost(self, line: EdgeLog) -> bool:
+    def lost(self, edge_log: EdgeLog) -> bool:
         """A gate refused a write of it as another life's. True if that is so; otherwise the record may have
         been lost, and it is claimed again first."""
-        claim = self._claimed.get(line)
-        if claim is None or line in self._fenced:
-            if line not in self._open_claims:
-                self._fence(line)
-            return line in self._fenced
-        self._held.discard(line)
-        del self._claimed[line]
-        self._open_claims[line] = claim
-        self._claims.add(line)
+        claim = self._claimed.get(edge_log)
+        if claim is None or edge_log in self._fenced:
+            if edge_log not in self._open_claims:
+                self._fence(edge_log)
+            return edge_log in self._fenced
+        self._held.discard(edge_log)
+        del self._claimed[edge_log]
+        self._open_claims[edge_log] = claim
+        self._claims.add(edge_log)
         return False
 
-    def _fence(self, line: EdgeLog) -> None:
-        self._fenced.add(line)
-        self._held.discard(line)
-        self._claimed.pop(line, None)
-        self._open_claims.pop(line, None)
-        self._claims.drop(line)
-        self._drop_unbegun(line)
+    def _fence(self, edge_log: EdgeLog) -> None:
+        self._fenced.add(edge_log)
+        self._held.discard(edge_log)
+        self._claimed.pop(edge_log, None)
+        self._open_claims.pop(edge_log, None)
+        self._claims.drop(edge_log)
+        self._drop_unbegun(edge_log)
 
-    def _drop_unbegun(self, line: EdgeLog) -> None:
+    def _drop_unbegun(self, edge_log: EdgeLog) -> None:
         """The word was on what this process sent. Another may have sent it since."""
         for dependency in [
-            dependency for dependency, told in self._said.items() if told.unbegin and dependency.line == line
+            dependency
+            for dependency, told in self._said.items()
+            if told.withdraw_intent and dependency.edge_log == edge_log
         ]:
             self._unsay(dependency)
 
@@ -136,61 +139,63 @@
     def tell(self, write_id: WriteId, write_status: WriteStatus) -> bool:
         """What became of an own write: UNKNOWN if it is parked no more. False if there is no room."""
         dependency = Dependency(*write_id)
-        if write_status is WriteStatus.APPLIED and write_id.number <= self._told_low.get(write_id.line, 0):
+        if write_status is WriteStatus.APPLIED and write_id.number <= self._told_low.get(
+            write_id.edge_log, 0
+        ):
             self._unsay(dependency)
             return True
         before = self._said.get(dependency)
-        if write_status is WriteStatus.UNKNOWN and (before is None or before.unbegin):
+        if write_status is WriteStatus.UNKNOWN and (before is None or before.withdraw_intent):
             return True
         if not self._room(dependency, write_status):
             return False
         if write_status is WriteStatus.ABANDONED:
-            self._ungiven.setdefault(write_id.line, set()).add(write_id.number)
+            self._ungiven.setdefault(write_id.edge_log, set()).add(write_id.number)
         self._say(dependency, StatusUpdate(write_id, write_status, self.life))
         return True
 
-    def unbegin(self, write_id: WriteId, parking: int) -> None:
+    def withdraw_intent(self, write_id: WriteId, parking: int) -> None:
         """An operator says of a parking that it never ran. `QueryOutcome.unbegun` has it once the record
         says so."""
         self._say(
             Dependency(*write_id),
-            StatusUpdate(write_id, WriteStatus.UNKNOWN, self.life, unbegin=True, parking=parking),
+            StatusUpdate(write_id, WriteStatus.UNKNOWN, self.life, withdraw_intent=True, parking=parking),
         )
 
-    def low(self, line: EdgeLog, number: int) -> bool:
-        """All of an own line up to a number are over."""
-        if number <= self._low.get(line, 0):
+    def low(self, edge_log: EdgeLog, number: int) -> bool:
+        """All of an own log up to a number are over."""
+        if number <= self._low.get(edge_log, 0):
             return True
-        self._low[line] = number
-        dependency = Dependency(*line, 0, True)
-        told = StatusUpdate(WriteId(*line, number), WriteStatus.APPLIED, self.life, before=True)
-        if self._has_told_gone(line):
+        self._low[edge_log] = number
+        dependency = Dependency(*edge_log, 0, True)
+        told = StatusUpdate(WriteId(*edge_log, number), WriteStatus.APPLIED, self.life, before=True)
+        if self._has_told_gone(edge_log):
             self._said[dependency] = told  # rule 5
         else:
             self._say(dependency, told, urgent=False)
         return True
 
-    def telling(self, write_id: WriteId) -> bool:
+    def is_unpublished(self, write_id: WriteId) -> bool:
         return Dependency(*write_id) in self._untold
 
-    def _has_told_gone(self, line: EdgeLog) -> bool:
+    def _has_told_gone(self, edge_log: EdgeLog) -> bool:
         return any(
             told.write_status is WriteStatus.ABANDONED
-            and told.write_id.line == line
+            and told.write_id.edge_log == edge_log
             and dependency not in self._untold
             for dependency, told in self._said.items()
         )
 
     def _room(self, dependency: Dependency, write_status: WriteStatus) -> bool:
         """Final ones make room for themselves among those parked, those given up that the record knows, and
-        those of a fenced line, of which it would believe nothing."""
+        those of a fenced log, of which it would believe nothing."""
         if dependency in self._said or len(self._said) < SAID_MOST:
             return True
         if write_status not in FINAL_FATES:
             return False
         for one, told in self._said.items():
             known = one not in self._untold and told.write_status is WriteStatus.ABANDONED
-            if known or told.write_status is WriteStatus.PARKED or one.line in self._fenced:
+            if known or told.write_status is WriteStatus.PARKED or one.edge_log in self._fenced:
                 self._unsay(one)
                 return True
         return False
@@ -198,7 +203,7 @@
     def _say(self, dependency: Dependency, told: StatusUpdate, urgent: bool = True) -> None:
         self._said[dependency] = told
         self._untold.add(dependency)
-        if dependency.line in self._held:
+        if dependency.edge_log in self._held:
             self._tells.add(dependency, urgent)
 
     def _unsay(self, dependency: Dependency) -> None:
@@ -208,21 +213,21 @@
         self._given(dependency)
 
     def _given(self, dependency: Dependency) -> None:
-        """It was told, or is not to be told any more: the line's number may go."""
-        numbers = self._ungiven.get(dependency.line)
+        """It was told, or is not to be told any more: the log's number may go."""
+        numbers = self._ungiven.get(dependency.edge_log)
         if numbers is None:
             return
         numbers.discard(dependency.number)
         if not numbers:
-            del self._ungiven[dependency.line]
-            low = Dependency(*dependency.line, 0, True)
-            if low in self._untold and dependency.line in self._held:
+            del self._ungiven[dependency.edge_log]
+            low = Dependency(*dependency.edge_log, 0, True)
+            if low in self._untold and dependency.edge_log in self._held:
                 self._tells.add(low, urgent=False)
 
     def _tellable(self, dependency: Dependency) -> bool:
-        if dependency not in self._untold or dependency.line not in self._held:
+        if dependency not in self._untold or dependency.edge_log not in self._held:
             return False
-        return not dependency.before or dependency.line not in self._ungiven
+        return not dependency.before or dependency.edge_log not in self._ungiven
 
     # --- Asking -----------------------------------------------------------------------
 
@@ -236,8 +241,8 @@
             return 0
         return max(0, self._backoff.next_at - now)
 
-    def next(self, now: int, wonders: Callable[[Dependency], bool]) -> ReplayQuery | None:
-        """What is to be asked now; `answered` or `failed` is called for it. `wonders`: whether a fate is
+    def next(self, now: int, needs_status: Callable[[Dependency], bool]) -> ReplayQuery | None:
+        """What is to be asked now; `answered` or `failed` is called for it. `needs_status`: whether a fate is
         still of use."""
         if self._again_at is None:
             self._again_at = now + AGAIN_US
@@ -252,8 +257,8 @@
             most = max(len(self._asked), len(self._claims), len(self._tells))
             self._left = min(ROUND_MOST, -(-most // QUERIED_MOST))
         ask = ReplayQuery(
-            tuple(self._asked.take(wonders)),
-            tuple(self._claim_of(line) for line in self._claims.take(self._is_claim)),
+            tuple(self._asked.take(needs_status)),
+            tuple(self._claim_of(edge_log) for edge_log in self._claims.take(self._is_claim)),
             tuple(self._said[dependency] for dependency in self._tells.take(self._tellable)),
         )
         self._left = max(0, self._left - 1)
@@ -275,22 +280,22 @@
         """There is something to ask or tell."""
         return bool(len(self._asked) or len(self._claims) or len(self._tells))
 
-    def _is_claim(self, line: EdgeLog) -> bool:
-        return line in self._open_claims or line in self._claimed
+    def _is_claim(self, edge_log: EdgeLog) -> bool:
+        return edge_log in self._open_claims or edge_log in self._claimed
 
-    def _claim_of(self, line: EdgeLog) -> LeaseRequest:
-        return self._open_claims.get(line) or self._claimed[line]
+    def _claim_of(self, edge_log: EdgeLog) -> LeaseRequest:
+        return self._open_claims.get(edge_log) or self._claimed[edge_log]
 
     def _tell_again(self) -> None:
         """Rule 5."""
         for dependency, told in self._said.items():
             self._untold.add(dependency)
             if told.write_status is WriteStatus.ABANDONED:
-                self._ungiven.setdefault(dependency.line, set()).add(dependency.number)
-            if dependency.line in self._held:
+                self._ungiven.setdefault(dependency.edge_log, set()).add(dependency.number)
+            if dependency.edge_log in self._held:
                 self._tells.add(dependency, urgent=False)
-        for line in self._claimed:
-            self._claims.add(line, urgent=False)
+        for edge_log in self._claimed:
+            self._claims.add(edge_log, urgent=False)
 
     def failed(self, now: int) -> None:
         """No answer, or none that can be read."""
@@ -320,9 +325,9 @@
 
     def _learn(self, dependency: Dependency, write_status: WriteStatus, news: QueryOutcome) -> bool:
         before = self.write_status(dependency)
-        if self._own(dependency.line):
+        if self._own(dependency.edge_log):
             if write_status is WriteStatus.APPLIED and not dependency.before:
-                news.own_in.append(dependency.write_id)
+                news.own_applied.append(dependency.write_id)
             return write_status is WriteStatus.APPLIED
         if before in FINAL_FATES or write_status is before:
             if before in FINAL_FATES:
@@ -337,44 +342,46 @@
         news.changed = True
         return True
 
-    def _own(self, line: EdgeLog) -> bool:
-        return line.edge == self.line.edge and (
-            line in self._held or line in self._fenced or line in self._open_claims
+    def _own(self, edge_log: EdgeLog) -> bool:
+        return edge_log.edge == self.edge_log.edge and (
+            edge_log in self._held or edge_log in self._fenced or edge_log in self._open_claims
         )
 
     def _settle(self, claim: LeaseRequest, became: LeaseStatus, news: QueryOutcome) -> bool:
-        line = claim.line
-        if not self._is_claim(line) or self._claim_of(line) is not claim:
+        edge_log = claim.edge_log
+        if not self._is_claim(edge_log) or self._claim_of(edge_log) is not claim:
             return False  # something else is asked for it by now
         if became is LeaseStatus.FENCED:
-            self._fence(line)
-            news.fenced.append(line)
+            self._fence(edge_log)
+            news.fenced.append(edge_log)
             return True
         if became is not LeaseStatus.HELD:
             return False
-        self._claims.drop(line)
-        if line in self._claimed:
+        self._claims.drop(edge_log)
+        if edge_log in self._claimed:
             return False
-        self._open_claims.pop(line)
+        self._open_claims.pop(edge_log)
         # Asked again without force: an operator's word counts once.
-        self._claimed[line] = LeaseRequest(line, claim.life, claim.known)
-        self._held.add(line)
+        self._claimed[edge_log] = LeaseRequest(edge_log, claim.life, claim.known)
+        self._held.add(edge_log)
         for dependency in self._said:
-            if dependency.line == line and dependency in self._untold:
+            if dependency.edge_log == edge_log and dependency in self._untold:
                 self._tells.add(dependency)
-        news.held.append(line)
+        news.held.append(edge_log)
         news.changed = True
         return True
 
     def _has_been_told(self, told: StatusUpdate, news: QueryOutcome) -> None:
-        dependency = Dependency(*told.write_id.line, 0, True) if told.before else Dependency(*told.write_id)
+        dependency = (
+            Dependency(*told.write_id.edge_log, 0, True) if told.before else Dependency(*told.write_id)
+        )
         if self._said.get(dependency) is not told:
             return  # something else is to be told of it by now
-        if told.unbegin:
-            news.unbegun.append(told.write_id)
+        if told.withdraw_intent:
+            news.withdrawn.append(told.write_id)
             news.changed = True
         if told.before:
-            self._told_low[dependency.line] = told.write_id.number
+            self._told_low[dependency.edge_log] = told.write_id.number
             self._drop_below(told.write_id)
         if told.write_status is WriteStatus.UNKNOWN:
             self._unsay(dependency)
@@ -388,7 +395,7 @@
         below = [
             dependency
             for dependency, told in self._said.items()
-            if dependency.line == write_id.line and not dependency.before
+            if dependency.edge_log == write_id.edge_log and not dependency.before
             and dependency.number <= write_id.number and told.write_status is WriteStatus.APPLIED
         ]  # fmt: skip
         for dependency in below:
--- a/laurelstep/outbox/shared/entries.py
+++ b/laurelstep/outbox/shared/entries.py
@@ -1,4 +1,4 @@
-"""What copies agree on of kept writes: the record's entries. Pure.
+"""What copies agree on of queued writes: the record's entries. Pure.
 
 1. All begin with the byte `KIND`, as one record and one link carry other things too (of an entry it is taken
    off before the record has it: `laurelstep.accord.machines`); then a tagged array in msgpack.
@@ -68,10 +68,10 @@
 
 
 class LogLease(_Entry, frozen=True, tag=4):
-    """CLAIM: `life` holds the line instead of `of`, if `turn` is how often its holder changed before.
+    """CLAIM: `life` holds the log instead of `of`, if `turn` is how often its holder changed before.
     `force`: an operator's word; `of` is not looked at."""
 
-    line: EdgeLog
+    edge_log: EdgeLog
     life: int
     of: int
     turn: int
@@ -91,7 +91,7 @@
 
 
 class EdgeLost(_Entry, frozen=True, tag=6):
-    """LOST: an operator declares an edge lost with all its lines; with an incarnation, that line alone."""
+    """LOST: an operator declares an edge lost with all its logs; with an incarnation, that log alone."""
 
     edge: str
     incarnation: int = 0
@@ -115,7 +115,7 @@
 
 
 def unpack(data: bytes) -> LedgerEntry | None:
-    """Without its first byte. None for what is no entry of kept writes."""
+    """Without its first byte. None for what is no entry of queued writes."""
     if len(data) >= _MOST:
         return None
     try:
@@ -162,7 +162,7 @@
 
 
 def _check_hold(entry: LogLease) -> None:
-    _check_line(*entry.line)
+    _check_line(*entry.edge_log)
     _check_id(entry.life)
     if not (0 <= entry.of < ID_END and 0 <= entry.turn < NUMBER_END):
         raise ValueError("a holder or turn that can't be")
--- a/laurelstep/outbox/shared/ledger.py
+++ b/laurelstep/outbox/shared/ledger.py
@@ -1,10 +1,11 @@
-"""What copies agreed on of kept writes. Pure: a `Machine` of accord, and the `VersionVectors` that are read.
+"""What copies agreed on of queued writes. Pure: a `Machine` of accord, and the `VersionVectors` that are
+read.
 
-1. Of each line: its holder (at first the life of its own incarnation), up to which number all are over,
+1. Of each log: its holder (at first the life of its own incarnation), up to which number all are over,
    the numbers above it that are in, the gone and the parked ones as ranges, and the unsafe ones that were
    begun with the ask that began them.
 2. In and gone are final: nothing that comes later takes either back, also where both are said.
-3. A BEGIN is granted only to the line's holder, for a write that is not over and not begun by another ask,
+3. A BEGIN is granted only to the log's holder, for a write that is not over and not begun by another ask,
    and never to an ask that was taken back. It ends with IN, with gone, by UNBEGIN of that very ask, or by the
    holder's word that this ask never ran it. Such a word names the parking that was judged, and each parking
    is judged once: one that comes late says nothing of what began since. An operator must not say it while a
@@ -13,9 +14,9 @@
    force need not name the holder. Then the former one gets nothing more.
 5. What the holder says holds of all that is not over. All up to a number are over: those that are not gone
    are in.
-6. Of a line or edge that is lost (an edge: all its lines, later ones too) what is not in is gone; nobody
+6. Of a log or edge that is lost (an edge: all its logs, later ones too) what is not in is gone; nobody
    holds it, and nothing of it changes any more.
-7. All up to a number are in once each of them is in or gone; where the line is lost first, they are gone.
+7. All up to a number are in once each of them is in or gone; where the log is lost first, they are gone.
 8. What does not fit in a bound is refused and counted: it changes nothing, and nothing is forgotten for it.
    The one exception is the list of asks that were taken back: an older one of them could only leave a write
    begun that was never sent.
@@ -55,7 +56,7 @@
 # Of one line: ranges of in and gone, and of parked.
 RANGES_MOST: Final = 256
 PARKED_MOST: Final = 256
-# Over all lines: ranges of any kind, and begun or judged ones. So a snapshot is within accord's bound.
+# Over all logs: ranges of any kind, and begun or judged ones. So a snapshot is within accord's bound.
 SPANS_MOST: Final = 16_384
 BEGUN_MOST: Final = 1_024
 # Edges declared lost.
@@ -91,7 +92,9 @@
         self.applied(data)
 
     def dump(self) -> bytes:
-        rows = tuple((*line, row) for line, row in sorted(self._rows.items(), key=lambda item: item[0]))
+        rows = tuple(
+            (*edge_log, row) for edge_log, row in sorted(self._rows.items(), key=lambda item: item[0])
+        )
         saved = LedgerSnapshot(rows, tuple(sorted(self._lost)), tuple(self._undone))
         return msgspec.msgpack.encode(saved)
 
@@ -104,21 +107,21 @@
             raise KeptError(f"the record of kept writes: {error}") from None
         self._rows = {EdgeLog(edge, incarnation): row for edge, incarnation, row in saved.rows}
         self._lost = set(saved.lost)
-        self._undone = dict.fromkeys(saved.undone)
+        self._undone = dict.fromkeys(saved.is_withdrawn)
         self._spans = sum(row.spans for row in self._rows.values())
         self._begun = sum(len(row.begun) for row in self._rows.values())
 
     # --- Frontiers --------------------------------------------------------------------
 
     def write_status(self, dependency: Dependency) -> WriteStatus:
-        row = self._row(dependency.line)
+        row = self._row(dependency.edge_log)
         return row.fate_up_to(dependency.number) if dependency.before else row.write_status(dependency.number)
 
-    def holder(self, line: EdgeLog) -> int:
-        return self._row(line).holder
+    def holder(self, edge_log: EdgeLog) -> int:
+        return self._row(edge_log).holder
 
     def begun(self, write_id: WriteId, life: int, ask: int) -> IntentStatus:
-        row = self._row(write_id.line)
+        row = self._row(write_id.edge_log)
         write_status = row.write_status(write_id.number)
         if write_status is WriteStatus.APPLIED:
             return IntentStatus.APPLIED
@@ -130,44 +133,44 @@
         return IntentStatus.MINE if by == ask else IntentStatus.OTHERS
 
     def claimed(self, claim: LeaseRequest) -> LeaseStatus:
-        """OPEN also where there is no room for the line yet."""
-        holder = self._row(claim.line).holder
+        """OPEN also where there is no room for the log yet."""
+        holder = self._row(claim.edge_log).holder
         if holder == 0:
             return LeaseStatus.FENCED
         if holder == claim.life:
             return LeaseStatus.HELD
         return LeaseStatus.OPEN if claim.force or holder in claim.known else LeaseStatus.FENCED
 
-    def says(self, told: StatusUpdate) -> bool:
+    def agrees_with(self, told: StatusUpdate) -> bool:
         """True of what is over, also if it was told to be over otherwise: that is final."""
-        row, number = self._row(told.write_id.line), told.write_id.number
+        row, number = self._row(told.write_id.edge_log), told.write_id.number
         write_status = row.fate_up_to(number) if told.before else row.write_status(number)
         if write_status in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
             return True
-        if told.unbegin and told.parking:
+        if told.withdraw_intent and told.parking:
             return row.resolved(number) >= told.parking
-        return write_status is told.write_status and not (told.unbegin and row.begun_by(number))
+        return write_status is told.write_status and not (told.withdraw_intent and row.begun_by(number))
 
     # --- What is to be agreed next ------------------------------------------------------
 
-    def undone(self, ask: int) -> bool:
+    def is_withdrawn(self, ask: int) -> bool:
         """This ask was taken back: no BEGIN of it is granted, also if one comes late."""
         return ask in self._undone
 
-    def claim_entry(self, claim: LeaseRequest) -> LogLease | None:
+    def lease_entry(self, claim: LeaseRequest) -> LogLease | None:
         """By which the claim would hold now; None if it is not open."""
         if self.claimed(claim) is not LeaseStatus.OPEN:
             return None
-        row = self._row(claim.line)
-        return LogLease(claim.line, claim.life, row.holder, row.turn, claim.force)
+        row = self._row(claim.edge_log)
+        return LogLease(claim.edge_log, claim.life, row.holder, row.turn, claim.force)
 
-    def said_entry(self, told: StatusUpdate) -> StatusRecord | None:
+    def status_entry(self, told: StatusUpdate) -> StatusRecord | None:
         """By which the record would say so; None if it does."""
-        if self.says(told):
+        if self.agrees_with(told):
             return None
-        if not told.unbegin:
+        if not told.withdraw_intent:
             return StatusRecord(told.write_id, told.write_status, told.life, told.before)
-        ask = self._row(told.write_id.line).begun_by(told.write_id.number)
+        ask = self._row(told.write_id.edge_log).begun_by(told.write_id.number)
         return StatusRecord(told.write_id, told.write_status, told.life, told.before, ask, told.parking)
 
     def status(self) -> dict[str, int]:
@@ -184,12 +187,12 @@
 
     # --- Entries ----------------------------------------------------------------------
 
-    def _row(self, line: EdgeLog) -> LogState:
-        row = self._rows.get(line)
-        return row if row is not None else self._new(line)
+    def _row(self, edge_log: EdgeLog) -> LogState:
+        row = self._rows.get(edge_log)
+        return row if row is not None else self._new(edge_log)
 
-    def _new(self, line: EdgeLog) -> LogState:
-        return LogState(0 if line.edge in self._lost else line.incarnation)
+    def _new(self, edge_log: EdgeLog) -> LogState:
+        return LogState(0 if edge_log.edge in self._lost else edge_log.incarnation)
 
     def _apply(self, entry: LedgerEntry) -> None:
         match entry:
@@ -207,7 +210,7 @@
                 self._lose(entry)
 
     def _begin(self, entry: Intent) -> None:
-        row, number = self._row(entry.write_id.line), entry.write_id.number
+        row, number = self._row(entry.write_id.edge_log), entry.write_id.number
         if (
             self.begun(entry.write_id, entry.life, entry.ask) is not IntentStatus.OPEN
             or entry.ask in self._undone
@@ -215,12 +218,12 @@
             return
         # Its holder replays it: it is parked no more.
         row = msgspec.structs.replace(row, parked=cut(row.parked, number, number))
-        self._put(entry.write_id.line, row.with_begun(number, entry.ask, row.resolved(number)))
+        self._put(entry.write_id.edge_log, row.with_begun(number, entry.ask, row.resolved(number)))
 
     def _unbegin(self, entry: IntentWithdrawal) -> None:
-        row, number = self._row(entry.write_id.line), entry.write_id.number
+        row, number = self._row(entry.write_id.edge_log), entry.write_id.number
         if row.begun_by(number) == entry.ask:
-            self._put(entry.write_id.line, row.with_begun(number, 0, row.resolved(number)))
+            self._put(entry.write_id.edge_log, row.with_begun(number, 0, row.resolved(number)))
         self._undo(entry.ask)
 
     def _undo(self, ask: int) -> None:
@@ -230,14 +233,14 @@
             self._undone[ask] = None
 
     def _hold(self, entry: LogLease) -> None:
-        row = self._row(entry.line)
+        row = self._row(entry.edge_log)
         if row.holder in (0, entry.life) or row.turn != entry.turn:
             return
         if entry.force or row.holder == entry.of:
-            self._put(entry.line, msgspec.structs.replace(row, holder=entry.life, turn=row.turn + 1))
+            self._put(entry.edge_log, msgspec.structs.replace(row, holder=entry.life, turn=row.turn + 1))
 
     def _said(self, entry: StatusRecord) -> None:
-        row, number = self._row(entry.write_id.line), entry.write_id.number
+        row, number = self._row(entry.write_id.edge_log), entry.write_id.number
         if row.holder == 0 or row.holder != entry.life:
             return
         if (entry.ask or entry.parking) and not self._judge(entry, row):
@@ -251,7 +254,7 @@
             return False
         if row.write_status(number) in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
             return True
-        if not self._put(entry.write_id.line, row.with_begun(number, 0, max(resolved, entry.parking))):
+        if not self._put(entry.write_id.edge_log, row.with_begun(number, 0, max(resolved, entry.parking))):
             return False
         if entry.ask:
             self._undo(entry.ask)
@@ -259,35 +262,35 @@
 
     def _change(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
         """What is not over of first..number becomes `fate`."""
-        row = self._row(write_id.line)
+        row = self._row(write_id.edge_log)
         if row.holder == 0:
             return
         if write_status in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
-            self._put(write_id.line, row.over(first, write_id.number, write_status))
+            self._put(write_id.edge_log, row.over(first, write_id.number, write_status))
             return
         parked = cut(row.parked, first, write_id.number)
         if write_status is WriteStatus.PARKED:
             for start, end in missing(row.gone, max(first, row.low + 1), write_id.number):
                 for one in missing(row.ins, start, end):
                     parked = add(parked, *one)
-        self._put(write_id.line, msgspec.structs.replace(row, parked=parked))
+        self._put(write_id.edge_log, msgspec.structs.replace(row, parked=parked))
 
     def _lose(self, entry: EdgeLost) -> None:
         if entry.incarnation:
-            line = EdgeLog(entry.edge, entry.incarnation)
-            self._put(line, self._row(line).lost())
+            edge_log = EdgeLog(entry.edge, entry.incarnation)
+            self._put(edge_log, self._row(edge_log).lost())
         elif entry.edge not in self._lost:
             if len(self._lost) >= LOST_MOST:
                 self.refused["lost"] += 1
                 return
             self._lost.add(entry.edge)
-            for line in [line for line in self._rows if line.edge == entry.edge]:
-                self._put(line, self._rows[line].lost())
+            for edge_log in [edge_log for edge_log in self._rows if edge_log.edge == entry.edge]:
+                self._put(edge_log, self._rows[edge_log].lost())
 
-    def _put(self, line: EdgeLog, row: LogState) -> bool:
-        """The line's new state, if it fits; one that says nothing is not kept."""
-        old = self._rows.get(line)
-        new = self._new(line)
+    def _put(self, edge_log: EdgeLog, row: LogState) -> bool:
+        """The log's new state, if it fits; one that says nothing is not kept."""
+        old = self._rows.get(edge_log)
+        new = self._new(edge_log)
         before = new if old is None else old
         if row == before and row != new:
             return True
@@ -298,9 +301,9 @@
         self._spans += spans
         self._begun += begun
         if row == new:
-            self._rows.pop(line, None)
+            self._rows.pop(edge_log, None)
         else:
-            self._rows[line] = row
+            self._rows[edge_log] = row
         return True
 
     def _bound(self, is_new: bool, old: LogState, row: LogState, spans: int, begun: int) -> str | None:
--- a/laurelstep/outbox/shared/log_state.py
+++ b/laurelstep/outbox/shared/log_state.py
@@ -110,7 +110,7 @@
 class LedgerSnapshot(msgspec.Struct, frozen=True, array_like=True):
     rows: tuple[tuple[str, int, LogState], ...] = ()
     lost: tuple[str, ...] = ()
-    undone: tuple[int, ...] = ()
+    is_withdrawn: tuple[int, ...] = ()
 
 
 def check_snapshot(saved: LedgerSnapshot) -> None:
@@ -129,5 +129,5 @@
             raise ValueError("begun ones that can't be")
     for edge in saved.lost:
         check_edge(edge)
-    if not all(0 < ask < ID_END for ask in saved.undone):
+    if not all(0 < ask < ID_END for ask in saved.is_withdrawn):
         raise ValueError("an ask that can't be")
--- a/laurelstep/outbox/shared/message_seal.py
+++ b/laurelstep/outbox/shared/message_seal.py
@@ -89,7 +89,7 @@
         """`SealError`, as of all that opens."""
         value = self._open(ReplayIdentity, text, b"")
         with _as_read():
-            _check_line(value.write_id.line)
+            _check_line(value.write_id.edge_log)
             _check_number(value.write_id.number)
             _check_life(value.life)
         return value
@@ -152,14 +152,14 @@
 def _check_ask(ask: ReplayQuery) -> None:
     _check_count(ask.write_statuses, ask.claims, ask.told)
     for dependency in ask.write_statuses:
-        _check_line(dependency.line)
+        _check_line(dependency.edge_log)
         _check_number(dependency.number)
     for claim in ask.claims:
-        _check_line(claim.line)
+        _check_line(claim.edge_log)
         for life in (claim.life, *claim.known):
             _check_life(life)
     for told in ask.told:
-        _check_line(told.write_id.line)
+        _check_line(told.write_id.edge_log)
         _check_number(told.write_id.number)
         _check_life(told.life)
         _check_number(told.parking + 1)
@@ -170,9 +170,9 @@
         raise ValueError(f"more than {QUERIED_MOST} of one kind")
 
 
-def _check_line(line: EdgeLog) -> None:
-    check_edge(line.edge)
-    _check_life(line.incarnation)
+def _check_line(edge_log: EdgeLog) -> None:
+    check_edge(edge_log.edge)
+    _check_life(edge_log.incarnation)
 
 
 def _check_life(life: int) -> None:
--- a/laurelstep/outbox/shared/messages.py
+++ b/laurelstep/outbox/shared/messages.py
@@ -1,8 +1,8 @@
-"""What an edge and a copy upstream say to each other of kept writes. Pure.
+"""What an edge and a copy upstream say to each other of queued writes. Pure.
 
 1. What goes between them is sealed with the edges' common secret (`MessageSeal`): it can't be made up, and
    a seal of one use is of no use for another.
-2. A life is the incarnation of one opening of an outbox's store. A line is held by one life at a time; at
+2. A life is the incarnation of one opening of an outbox's store. A log is held by one life at a time; at
    first by the life of its own incarnation.
 3. Everything that is said may come twice, late, or not at all, and means the same.
 """
@@ -42,7 +42,7 @@
 
 
 class ReplayIdentity(msgspec.Struct, array_like=True, frozen=True):
-    """A kept write on its way upstream."""
+    """A queued write on its way upstream."""
 
     write_id: WriteId
     life: int
@@ -50,26 +50,27 @@
 
 
 class LeaseRequest(msgspec.Struct, array_like=True, frozen=True):
-    """A life wants to replay a line: the holders that its disk has known, itself not among them.
+    """A life wants to replay a log: the holders that its disk has known, itself not among them.
     `force`: an operator says that this disk is the right one."""
 
-    line: EdgeLog
+    edge_log: EdgeLog
     life: int
     known: tuple[int, ...]
     force: bool = False
 
 
 class StatusUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """What the holder of a line says of one write, or with `before` of all up to it.
+    """What the holder of a log says of one write, or with `before` of all up to it.
 
-    `UNKNOWN`: it waits at its edge (parked no more). `APPLIED`, `ABANDONED`: final. `unbegin`: an operator
-    said that it never ran, of this `parking` of it: one that comes late says nothing of what began since."""
+    `UNKNOWN`: it waits at its edge (parked no more). `APPLIED`, `ABANDONED`: final. `withdraw_intent`: an
+    operator said that it never ran, of this `parking` of it: one that comes late says nothing of what
+    began since."""
 
     write_id: WriteId
     write_status: WriteStatus
     life: int
     before: bool = False
-    unbegin: bool = False
+    withdraw_intent: bool = False
     parking: int = 0
 
 
@@ -104,7 +105,7 @@
     MINE = 1  # this ask may send it
     OTHERS = 2  # another ask may have sent it: it may have run
     APPLIED = 3
-    FENCED = 4  # the line is another life's, lost, or gone
+    FENCED = 4  # the log is another life's, lost, or gone
 
 
 class VersionVectors(Protocol):
@@ -112,7 +113,7 @@
 
     def write_status(self, dependency: Dependency) -> WriteStatus: ...
 
-    def holder(self, line: EdgeLog) -> int:
+    def holder(self, edge_log: EdgeLog) -> int:
         """The life that may replay it; 0 if it is lost."""
 
     def begun(self, write_id: WriteId, life: int, ask: int) -> IntentStatus: ...
@@ -120,4 +121,4 @@
     def claimed(self, claim: LeaseRequest) -> LeaseStatus:
         """OPEN while the claim, agreed now, would hold."""
 
-    def says(self, told: StatusUpdate) -> bool: ...
+    def agrees_with(self, told: StatusUpdate) -> bool: ...
--- a/laurelstep/outbox/shared/query_round.py
+++ b/laurelstep/outbox/shared/query_round.py
@@ -24,7 +24,7 @@
 # Queries without a pause between them, if nothing in them is new.
 ROUND_MOST: Final = 16
 
-# Holders that one claim names: the first two, the line's own life and the last known to have held it, and the
+# Holders that one claim names: the first two, the log's own life and the last known to have held it, and the
 # last that asked.
 KNOWN_MOST: Final = 16
 
@@ -72,13 +72,13 @@
 
 @dataclass
 class QueryOutcome:
-    """What an answer changed. `own_in`: own ones of which the record says that they are in."""
+    """What an answer changed. `own_applied`: own ones of which the record says that they are in."""
 
     changed: bool = False  # something that `Outbox.heard` is to hear of
     held: list[EdgeLog] = field(default_factory=list)
     fenced: list[EdgeLog] = field(default_factory=list)
-    own_in: list[WriteId] = field(default_factory=list)
-    unbegun: list[WriteId] = field(default_factory=list)
+    own_applied: list[WriteId] = field(default_factory=list)
+    withdrawn: list[WriteId] = field(default_factory=list)
 
 
 class QueryBackoff:
--- a/laurelstep/outbox/shared/replay_gate.py
+++ b/laurelstep/outbox/shared/replay_gate.py
@@ -58,9 +58,9 @@
 LATER_MOST: Final = 256
 # When an edge may come again.
 RETRY_US: Final = 1_000_000
-# Between two lines about replays and asks that were refused for what they are.
+# Between two log lines about replays and asks that were refused for what they are.
 COMPLAIN_US: Final = 10_000_000
-# Of an edge that is lost every line is, also one that never was: this one stands for all.
+# Of an edge that is lost every log is, also one that never was: this one stands for all.
 _ANY_LIFE: Final = (1 << 64) - 1
 
 TEXT: Final = (b"content-type", b"text/plain")
@@ -241,15 +241,15 @@
     async def _take_back_and_refuse(self, hand: GatedReplay, answer: Answer, engine: Recorded) -> None:
         """Rule 5 says why the refusal leaves either way."""
         entry = IntentWithdrawal(hand.write_id, hand.ask)
-        agreed = await self._agree(entry, lambda: self.record.undone(hand.ask), self._until(hand.call))
+        agreed = await self._agree(entry, lambda: self.record.is_withdrawn(hand.ask), self._until(hand.call))
         engine.deliver(hand.call, answer)
         if not agreed:
-            await self._tell_on(entry, lambda: self.record.undone(hand.ask))
+            await self._tell_on(entry, lambda: self.record.is_withdrawn(hand.ask))
 
     def _take_back_later(self, hand: GatedReplay) -> None:
         if hand.ask:
             entry = IntentWithdrawal(hand.write_id, hand.ask)
-            self._spawn(self._tell_on(entry, lambda: self.record.undone(hand.ask)))
+            self._spawn(self._tell_on(entry, lambda: self.record.is_withdrawn(hand.ask)))
 
     async def _tell_on(self, entry: LedgerEntry, done: Callable[[], bool]) -> None:
         """Rule 6."""
@@ -323,7 +323,7 @@
         answered = QueryReply(
             write_statuses=tuple(record.write_status(dependency) for dependency in ask.write_statuses),
             claims=tuple(record.claimed(claim) for claim in ask.claims),
-            told=tuple(record.says(told) for told in ask.told),
+            told=tuple(record.agrees_with(told) for told in ask.told),
         )
         return Answer(Ending.SERVED, 200, (TEXT,), self.seal.answered(answered, text).encode())
 
@@ -332,11 +332,11 @@
         record, until = self.record, self.clock.now() + ASK_US
         waits = []
         for claim in ask.claims:
-            hold = record.claim_entry(claim)
+            hold = record.lease_entry(claim)
             if hold is not None:
                 waits.append(self._agree(hold, self._claimed(claim), until))
         for told in ask.told:
-            said = record.said_entry(told)
+            said = record.status_entry(told)
             if said is not None:
                 waits.append(self._agree(said, self._said(told), until))
         await asyncio.gather(*waits)
@@ -345,7 +345,7 @@
         return lambda: self.record.claimed(claim) is not LeaseStatus.OPEN
 
     def _said(self, told: StatusUpdate) -> Callable[[], bool]:
-        return lambda: self.record.says(told)
+        return lambda: self.record.agrees_with(told)
 
     def _unsealed(self, what: str, error: SealError) -> Answer:
         self.counters["bad"] += 1
@@ -353,7 +353,7 @@
         return Answer(Ending.FAILED, 400, (TEXT,), f"{error}\n".encode())
 
     def _complain(self, text: str) -> None:
-        """One line for the operator, and not one for each of a crowd."""
+        """One log line for the operator, and not one for each of a crowd."""
         now = self.clock.now()
         if now >= self.complained + COMPLAIN_US:
             self.complained = now
@@ -363,10 +363,10 @@
 
     def lose(self, edge: str, incarnation: int = 0) -> bool:
         """Declare an edge lost, or one life of it. False if it is."""
-        line = EdgeLog(edge, incarnation or _ANY_LIFE)
+        edge_log = EdgeLog(edge, incarnation or _ANY_LIFE)
 
         def lost() -> bool:
-            return self.record.holder(line) == 0
+            return self.record.holder(edge_log) == 0
 
         if lost():
             return False
--- a/laurelstep/outbox/shared/replicated_version_vector.py
+++ b/laurelstep/outbox/shared/replicated_version_vector.py
@@ -3,14 +3,14 @@
 
 The rules:
 
-1. What the record says of other lines is read as it is here. In and gone are final, so a copy that is behind
+1. What the record says of other logs is read as it is here. In and gone are final, so a copy that is behind
    knows less, and nothing that is false.
-2. A line is replayed only while this copy knows the record, is in touch, and holds the line there. That of
+2. A log is replayed only while this copy knows the record, is in touch, and holds the log there. That of
    this life is its own; that of a former life is claimed first, once something of it is to be sent or told.
-3. A claim names all lives that this disk has known. Each of them has a line in the store before it does
+3. A claim names all lives that this disk has known. Each of them has a log in the store before it does
    anything, this life too; so a copy of the disk that was started apart names fewer, and is fenced.
 4. What becomes of own writes is told until the record says so, in the order in which it was told here. "All
-   up to a number are over" waits until those given up on its line are told: else they would be taken for in.
+   up to a number are over" waits until those given up on its log are told: else they would be taken for in.
 5. At most `SAID_MOST` are to be told; one more finds no room, and is told again later.
 """
 
@@ -59,18 +59,18 @@
         self.soon: Handle | None = None
 
     def begin(
-        self, sharer: Agreement, line: EdgeLog, lines: Iterable[EdgeLog], changed: Callable[[], None]
+        self, sharer: Agreement, edge_log: EdgeLog, edge_logs: Iterable[EdgeLog], changed: Callable[[], None]
     ) -> None:
-        """`line`: of this life; `lines`: all that this disk has known, durable. `changed` is called when the
-        record has."""
+        """`edge_log`: of this life; `edge_logs`: all that this disk has known, durable. `changed` is
+        called when the record has."""
         self.sharer = sharer
-        self.life = line.incarnation
+        self.life = edge_log.incarnation
         self.changed = changed
-        known = tuple(one.incarnation for one in lines if one != line)
-        self.claims = {one: LeaseRequest(one, self.life, known) for one in lines}
+        known = tuple(one.incarnation for one in edge_logs if one != edge_log)
+        self.claims = {one: LeaseRequest(one, self.life, known) for one in edge_logs}
         # Its own needs no claim; that another life has claimed it is to be seen.
-        self.claims[line] = LeaseRequest(line, self.life, ())
-        self.wanted.add(line)
+        self.claims[edge_log] = LeaseRequest(edge_log, self.life, ())
+        self.wanted.add(edge_log)
         self._turn()
 
     def close(self) -> None:
@@ -85,9 +85,9 @@
     def write_status(self, dependency: Dependency) -> WriteStatus:
         return self.record.write_status(dependency)
 
-    def holds(self, line: EdgeLog) -> bool:
-        self._want(line)
-        return self.sharer is not None and self.sharer.ready and self._is_mine(line)
+    def holds(self, edge_log: EdgeLog) -> bool:
+        self._want(edge_log)
+        return self.sharer is not None and self.sharer.ready and self._is_mine(edge_log)
 
     def tell(self, write_id: WriteId, write_status: WriteStatus) -> bool:
         dependency = Dependency(*write_id)
@@ -95,46 +95,46 @@
             return False
         self.said.pop(dependency, None)
         self.said[dependency] = write_id, write_status
-        self._want(write_id.line)
+        self._want(write_id.edge_log)
         return True
 
-    def low(self, line: EdgeLog, number: int) -> bool:
-        self.said[Dependency(*line, 0, True)] = WriteId(*line, number), WriteStatus.APPLIED
-        self._want(line)
+    def low(self, edge_log: EdgeLog, number: int) -> bool:
+        self.said[Dependency(*edge_log, 0, True)] = WriteId(*edge_log, number), WriteStatus.APPLIED
+        self._want(edge_log)
         return True
 
-    def telling(self, write_id: WriteId) -> bool:
+    def is_unpublished(self, write_id: WriteId) -> bool:
         return Dependency(*write_id) in self.said
 
-    def force(self, line: EdgeLog) -> bool:
-        """An operator says that this disk is the right one. False if it holds the line; KeyError if it never
+    def force(self, edge_log: EdgeLog) -> bool:
+        """An operator says that this disk is the right one. False if it holds the log; KeyError if it never
         knew it."""
-        claim = self.claims[line]
-        if self._is_mine(line):
+        claim = self.claims[edge_log]
+        if self._is_mine(edge_log):
             return False
-        self.claims[line] = msgspec.structs.replace(claim, force=True)
-        self.fenced.discard(line)
-        self._want(line)
+        self.claims[edge_log] = msgspec.structs.replace(claim, force=True)
+        self.fenced.discard(edge_log)
+        self._want(edge_log)
         self.heard()
         return True
 
-    def _want(self, line: EdgeLog) -> None:
-        if line not in self.wanted:
-            self.wanted.add(line)
+    def _want(self, edge_log: EdgeLog) -> None:
+        if edge_log not in self.wanted:
+            self.wanted.add(edge_log)
             if self.sharer is not None:
                 self.heard()
 
-    def _is_mine(self, line: EdgeLog) -> bool:
-        return self.record.holder(line) == self.life
+    def _is_mine(self, edge_log: EdgeLog) -> bool:
+        return self.record.holder(edge_log) == self.life
 
     # --- Turns --------------------------------------------------------------------------
 
     def heard(self) -> None:
         """The record has changed, or how it is in touch."""
         if self.soon is None:
-            self.soon = self.clock.at(self.clock.now() + SOON_US, self._look)
+            self.soon = self.clock.at(self.clock.now() + SOON_US, self._check_endpoints)
 
-    def _look(self) -> None:
+    def _check_endpoints(self) -> None:
         self.soon = None
         self._turn()
         self.changed()
@@ -145,43 +145,44 @@
         self.timer = self.clock.at(self.clock.now() + TURN_US, self._turn)
         if self.sharer is None or not self.sharer.ready:
             return
-        for line in sorted(self.wanted & self.claims.keys()):
-            self._claim(line, self.claims[line])
+        for edge_log in sorted(self.wanted & self.claims.keys()):
+            self._claim(edge_log, self.claims[edge_log])
         waiting = {
-            dependency.line
+            dependency.edge_log
             for dependency, (_, write_status) in self.said.items()
             if write_status is WriteStatus.ABANDONED
         }
         for dependency in list(self.said):
-            if not (dependency.before and dependency.line in waiting):
+            if not (dependency.before and dependency.edge_log in waiting):
                 self._say(dependency)
 
-    def _claim(self, line: EdgeLog, claim: LeaseRequest) -> None:
+    def _claim(self, edge_log: EdgeLog, claim: LeaseRequest) -> None:
         became = self.record.claimed(claim)
         if became is LeaseStatus.HELD and claim.force:  # an operator's word counts once
-            self.claims[line] = msgspec.structs.replace(claim, force=False)
-        if became is LeaseStatus.FENCED and line not in self.fenced:
-            self.fenced.add(line)
+            self.claims[edge_log] = msgspec.structs.replace(claim, force=False)
+        if became is LeaseStatus.FENCED and edge_log not in self.fenced:
+            self.fenced.add(edge_log)
+            name = f"{edge_log.edge}/{edge_log.incarnation:016x}"
             self.log(
-                f"outbox: {line.edge}/{line.incarnation:016x}: fenced: another process with a copy of this "
+                f"outbox: {name}: fenced: another process with a copy of this "
                 "disk replays it, or it is lost; stop one of the two"
             )
-        entry = self.record.claim_entry(claim)
+        entry = self.record.lease_entry(claim)
         if entry is not None:
-            self._agree(line, entry, lambda: self.record.claimed(claim) is not LeaseStatus.OPEN)
+            self._agree(edge_log, entry, lambda: self.record.claimed(claim) is not LeaseStatus.OPEN)
 
     def _say(self, dependency: Dependency) -> None:
-        if not self._is_mine(dependency.line):
-            if dependency.line in self.fenced:
+        if not self._is_mine(dependency.edge_log):
+            if dependency.edge_log in self.fenced:
                 del self.said[dependency]  # nobody would believe it
             return
         write_id, write_status = self.said[dependency]
         told = StatusUpdate(write_id, write_status, self.life, dependency.before)
-        entry = self.record.said_entry(told)
+        entry = self.record.status_entry(told)
         if entry is None:
             del self.said[dependency]
         else:
-            self._agree(dependency, entry, lambda: self.record.says(told))
+            self._agree(dependency, entry, lambda: self.record.agrees_with(told))
 
     def _agree(self, key: Hashable, entry: LedgerEntry, done: Callable[[], bool]) -> None:
         if key in self.out or len(self.out) >= OUT_MOST or self.sharer is None:
--- a/laurelstep/outbox/transitions.py
+++ b/laurelstep/outbox/transitions.py
@@ -149,7 +149,7 @@
         rows = self._rows
         if event is not WriteEvent.FENCED:  # one that is claimed goes on with the age that it has
             self._ages.drop(rows.cls[row], row)
-        elif rows.line[row] not in self._fenced:  # claimed while this was being written
+        elif rows.edge_log[row] not in self._fenced:  # claimed while this was being written
             self._to_claim.append(row)
         self._graph.halt(row)
 
--- a/laurelstep/outbox/version_vector.py
+++ b/laurelstep/outbox/version_vector.py
@@ -18,15 +18,15 @@
         """What became of an own write. `APPLIED`, `ABANDONED`: over, with all that it follows. `UNKNOWN`:
         parked no more. False if there is no room: it is told again later."""
 
-    def low(self, line: EdgeLog, number: int) -> bool:
-        """All of an own line up to a number are over. Those given up were told before."""
+    def low(self, edge_log: EdgeLog, number: int) -> bool:
+        """All of an own log up to a number are over. Those given up were told before."""
 
-    def telling(self, write_id: WriteId) -> bool:
+    def is_unpublished(self, write_id: WriteId) -> bool:
         """What was told of an own write is not known to the others yet."""
 
 
 class LocalVersionVector:
-    """The version vector of an edge that hears of no other: it replays its own lines."""
+    """The version vector of an edge that hears of no other: it replays its own logs."""
 
     def __init__(self, edge: str) -> None:
         self.edge = edge
@@ -34,5 +34,5 @@
     def write_status(self, dependency: Dependency) -> WriteStatus:
         return WriteStatus.UNKNOWN
 
-    def holds(self, line: EdgeLog) -> bool:
-        return line.edge == self.edge
+    def holds(self, edge_log: EdgeLog) -> bool:
+        return edge_log.edge == self.edge
--- a/laurelstep/outbox/write_ids.py
+++ b/laurelstep/outbox/write_ids.py
@@ -1,11 +1,11 @@
-"""The names of kept writes. Pure.
+"""The names of queued writes. Pure.
 
 1. A write id is the edge's name, an incarnation and a number. One edge name has one installation.
 2. An incarnation is 64 random bits, drawn each time a process opens the store for writing. So two processes
    on copies of one disk never give one name to two writes, also while both are cut off from everybody.
 3. Numbers count from 1 within an incarnation, without gaps: a number whose write could not be kept is told
    as given up.
-4. A line is all write ids of one edge and incarnation.
+4. A log is all write ids of one edge and incarnation.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 
 
 class WriteId(NamedTuple):
-    """One kept write. As text: `edge/incarnation in 16 hex digits/number`."""
+    """One queued write. As text: `edge/incarnation in 16 hex digits/number`."""
 
     edge: str
     incarnation: int
     number: int
 
     @property
-    def line(self) -> EdgeLog:
+    def edge_log(self) -> EdgeLog:
         return EdgeLog(self.edge, self.incarnation)
 
     def __str__(self) -> str:
--- a/laurelstep/outbox/write_table.py
+++ b/laurelstep/outbox/write_table.py
@@ -30,7 +30,7 @@
     "short_hash",
 ]
 
-FOREIGN: Final = 1  # a write of another line
+FOREIGN: Final = 1  # a write of another log
 BARRIER: Final = 2
 JOIN: Final = 4
 DURABLE: Final = 8
@@ -179,7 +179,7 @@
 
 
 class WriteTable:
-    """The columns. `since`: when its age and window began; `line`: its place in the outbox's list."""
+    """The columns. `since`: when its age and window began; `edge_log`: its place in the outbox's list."""
 
     def __init__(self) -> None:
         self.state = array("b")
@@ -187,7 +187,7 @@
         self.reason = array("b")
         self.parking = array("H")
         self.cls = array("h")
-        self.line = array("h")
+        self.edge_log = array("h")
         self.tenant = array("i")
         self.size = array("I")
         self.number = array("q")
@@ -205,7 +205,7 @@
             self.reason,
             self.parking,
             self.cls,
-            self.line,
+            self.edge_log,
             self.tenant,
             self.size,
             self.number,
--- a/laurelstep/testing/contracts/outbox.py
+++ b/laurelstep/testing/contracts/outbox.py
@@ -37,7 +37,7 @@
     async def part(self, write_id: WriteId, at: int) -> bytes: ...
     async def moved(self, write_id: WriteId) -> StateChange | None: ...
     async def forget(self, write_id: WriteId, size: int) -> bool: ...
-    async def put_lines(self, lines: Mapping[EdgeLog, int]) -> None: ...
+    async def put_logs(self, lines: Mapping[EdgeLog, int]) -> None: ...
 
 
 class Lives(Protocol):
@@ -135,7 +135,7 @@
                     assert [one for one, _ in found.writes] == [
                         as_loaded(write_of(number, size)) for number, size in enumerate(SIZES, start=1)
                     ]
-                    assert found.lines == {LINE: len(SIZES)}
+                    assert found.edge_logs == {LINE: len(SIZES)}
                     for number, size in enumerate(SIZES, start=1):
                         assert await lives.store.read(dot_of(number)) == made(number, size)
 
@@ -186,12 +186,12 @@
                 await lives.store.load()
                 await lives.store.keep(*made(1, 200_000))
                 await lives.store.move(StateChange(dot_of(1), WriteState.PARKED))
-                await lives.store.put_lines({LINE: 9})
+                await lives.store.put_logs({LINE: 9})
                 assert await lives.store.forget(dot_of(1), 200_000)
                 assert await lives.store.read(dot_of(1)) is None
                 await lives.restart()
                 found = await lives.store.load()
-                assert found.writes == [] and found.lines == {LINE: 9}
+                assert found.writes == [] and found.edge_logs == {LINE: 9}
                 assert await lives.store.moved(dot_of(1)) is None
 
         self.run(main())
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -376,7 +376,7 @@
             loaded = await store.load()
             changes = outbox.restore(
                 loaded.writes,
-                loaded.lines,
+                loaded.edge_logs,
                 self.now_us(),
                 store.time_us(),
                 is_elapsed_known=store.is_elapsed_known,
@@ -462,8 +462,8 @@
         edge.machine.reboots(down_ms=30_000)
         async with edge.life(3) as (_, outbox):
             edge.machine.passes(outbox.bounds.receipt_us // 1000 - 30_001)
-            assert outbox.forgettable(edge.now_us()) == []
+            assert outbox.expired_receipts(edge.now_us()) == []
             edge.machine.passes(30_001 + STEP_MOST_MS)
-            assert outbox.forgettable(edge.now_us()) == [write_id]
+            assert outbox.expired_receipts(edge.now_us()) == [write_id]
 
     run(main())
--- a/tests/test_outbox.py
+++ b/tests/test_outbox.py
@@ -88,7 +88,7 @@
         )
         if told is WriteStatus.APPLIED:
             return told
-        gone = dependency.edge in self.lost_edges or dependency.line in self.lost_lines
+        gone = dependency.edge in self.lost_edges or dependency.edge_log in self.lost_lines
         return WriteStatus.ABANDONED if gone else told
 
     def holds(self, line: EdgeLog) -> bool:
@@ -176,7 +176,7 @@
         other = OutboxApi(line, self.bounds)
         other.kept, other.moved = dict(self.kept), dict(self.moved)
         pairs = [(write, other.moved.get(write_id)) for write_id, write in other.kept.items()]
-        for change in other.outbox.restore(pairs, {ASH: self.outbox.lines()[ASH]}, 0, wall):
+        for change in other.outbox.restore(pairs, {ASH: self.outbox.edge_logs()[ASH]}, 0, wall):
             other.apply(change)
         return other
 
@@ -345,7 +345,7 @@
     desk.outbox.stored(join.write_id, desk.now)
     seen(desk, next(change for change in desk.outbox.due(desk.now) if change.event is WriteEvent.JOINED))
     gone = desk.outbox.offer(desk.offer(), desk.now, WALL)
-    desk.outbox.unstored(gone.write_id, desk.now)
+    desk.outbox.on_store_failed(gone.write_id, desk.now)
     taken.add((WriteState.KEPT, WriteEvent.LOST))
     desk = OutboxApi()
     desk.bounds = OutboxBounds(replay_most=1)
@@ -353,8 +353,8 @@
     desk.outbox.pace.limit = 1
     assert desk.due() == [unsure]
     desk.end(unsure, ReplayResult.MAY_HAVE_RUN)
-    seen(desk, desk.outbox.found_in(unsure, WALL))
-    assert desk.state(unsure) is WriteState.DONE and desk.outbox.found_in(unsure, WALL) is None
+    seen(desk, desk.outbox.on_found_applied(unsure, WALL))
+    assert desk.state(unsure) is WriteState.DONE and desk.outbox.on_found_applied(unsure, WALL) is None
     desk.outbox.fence(ASH)
     for change in desk.outbox.due(desk.now):
         seen(desk, change)
@@ -424,7 +424,9 @@
     assert desk.due() == [second]
     desk.end(second)
     assert desk.due() == [third]
-    assert desk.outbox.must_keep(TOKENS.receipt(abroad)) and not desk.outbox.must_keep(TOKENS.receipt(first))
+    assert desk.outbox.must_queue(TOKENS.receipt(abroad)) and not desk.outbox.must_queue(
+        TOKENS.receipt(first)
+    )
     desk.known.write_statuses[Dependency("oak", 1, 4)] = WriteStatus.APPLIED
     desk.outbox.heard(0)
     assert desk.due() == [abroad]
@@ -482,7 +484,7 @@
     desk.outbox.heard(0)
     if orphans == "release":
         assert desk.due() == [follower]
-        assert desk.due() == [] and not desk.outbox.must_keep(TOKENS.receipt(write_id))
+        assert desk.due() == [] and not desk.outbox.must_queue(TOKENS.receipt(write_id))
         return
     assert desk.due() == [] and desk.outbox.receipt(follower).reason is ParkingReason.ORPHANED
     again = desk.again(WALL)
@@ -657,15 +659,15 @@
     assert desk.due() == [first]
     desk.end(first)
     assert desk.outbox.over() == [(first, WriteStatus.APPLIED)] and desk.outbox.low(ASH) == 1
-    assert desk.outbox.forgettable(HOUR - 1) == []
+    assert desk.outbox.expired_receipts(HOUR - 1) == []
     assert desk.outbox.offer(desk.offer("album", key=b"k"), 0, WALL).known
-    assert desk.outbox.forgettable(HOUR) == [first]
+    assert desk.outbox.expired_receipts(HOUR) == [first]
     desk.outbox.forget(first)
     assert not desk.outbox.offer(desk.offer("album", key=b"k"), HOUR, WALL).known
     more = [desk.keep() for _ in range(3)]
     for write_id in desk.due():
         desk.end(write_id)
-    assert desk.outbox.forgettable(0) == more[:1]  # too many
+    assert desk.outbox.expired_receipts(0) == more[:1]  # too many
 
 
 # Pace and cut-off
@@ -703,30 +705,30 @@
     cut = CutOffDetector(CutOffRule(), 10, 0)
     for second in range(100):
         cut.failed(1, second * SECOND)
-    assert not cut.off and not cut.tick(1_000 * SECOND)
+    assert not cut.is_cut_off and not cut.tick(1_000 * SECOND)
     moment = CutOffDetector(CutOffRule(), 10, 0)
     for endpoint in range(10):
         moment.failed(endpoint, 0)
     assert not moment.tick(HOUR)  # a moment's failures and a quiet hour
     moment.answered(HOUR)
     moment.failed(1, HOUR)
-    assert not moment.off
+    assert not moment.is_cut_off
 
 
 def test_all_fail_for_a_while_and_the_edge_is_cut_off_until_the_way_holds() -> None:
     cut = CutOffDetector(CutOffRule(cut_us=5 * SECOND, fewest=3, back_us=2 * SECOND, answers=3), 10, 0)
     for second in range(6):
         cut.failed(second, second * SECOND)
-    assert cut.off
+    assert cut.is_cut_off
     for second in range(6, 60):  # the link flaps each second
         cut.answered(second * SECOND)
         for endpoint in range(3):
             cut.failed(endpoint, second * SECOND + SECOND // 2)
-    assert cut.off
+    assert cut.is_cut_off
     for second in (60, 61, 62):
-        assert cut.off
+        assert cut.is_cut_off
         cut.answered(second * SECOND)
-    assert not cut.off
+    assert not cut.is_cut_off
 
 
 def test_an_edge_without_endpoints_is_cut_off_in_time() -> None:
@@ -736,10 +738,10 @@
     cut.listed(2, 7 * SECOND)
     for second in (8, 9, 10):
         cut.answered(second * SECOND)
-    assert not cut.off
+    assert not cut.is_cut_off
     cut.failed(0, 11 * SECOND)
     cut.failed(1, 16 * SECOND)  # both there are
-    assert cut.off
+    assert cut.is_cut_off
 
 
 # Receipts, rows, graph
@@ -798,7 +800,7 @@
             graph.over(done)
         for node in nodes:
             assert graph.behind(node) == any(
-                graph.sticks(dependency) for dependency in graph.dependencies(node)
+                graph.is_blocked(dependency) for dependency in graph.dependencies(node)
             )
             assert graph.free(node) == (graph.dependencies(node) == [])
     assert len(graph) == len(nodes)
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -124,7 +124,7 @@
         """Its link goes down, and an attempt shows it."""
         self.endpoint.stop()
         self.driver.heard(1, NO_CONNECT)
-        assert self.driver.cutoff.off
+        assert self.driver.cutoff.is_cut_off
         assert (await self.write("prime", b"")).status == 202
 
     async def until(self, condition: Callable[[], bool]) -> None:
@@ -355,7 +355,7 @@
             album = await one.write("album", b"a", "X-Session: anna\r\n")
             one.endpoint.handler = after(gate, serve())
             await one.endpoint.restart(0)
-            await one.until(lambda: not one.driver.cutoff.off or bool(one.driver.out))
+            await one.until(lambda: not one.driver.cutoff.is_cut_off or bool(one.driver.in_flight))
             photo = await one.write("photo", body, "X-Session: anna\r\n")
             named = await one.write(
                 "named", body, f"X-Follows: {photo.headers['x-causal-token']}\r\n", cls="pay"
@@ -393,7 +393,7 @@
         async with edge(off=False, cut_us=3_600_000_000) as one:
             one.endpoint.stop()
             assert (await one.write("photo", body)).status == 202
-            assert not one.driver.cutoff.off
+            assert not one.driver.cutoff.is_cut_off
             await one.endpoint.restart(0)
             await one.done("photo")
             assert one.got("photo").body == body
--- a/tests/test_outbox_schedules.py
+++ b/tests/test_outbox_schedules.py
@@ -97,16 +97,16 @@
             return WriteStatus.ABANDONED
         if not dependency.before:
             return self.write_statuses.get(dependency.write_id, WriteStatus.UNKNOWN)
-        low = self.low.get(dependency.line, 0)
+        low = self.low.get(dependency.edge_log, 0)
         if low >= dependency.number:
             return WriteStatus.APPLIED
-        return self.held.get(dependency.line, WriteStatus.UNKNOWN)
+        return self.held.get(dependency.edge_log, WriteStatus.UNKNOWN)
 
     def learn(self) -> None:
         """From each edge, what is over there."""
         for edge in self.world.living():
             self.write_statuses.update(edge.outbox.over())
-            for line, high in edge.outbox.lines().items():
+            for line, high in edge.outbox.edge_logs().items():
                 self.low[line] = low = edge.outbox.low(line)
                 self.held[line] = (
                     edge.outbox.write_status(WriteId(*line, low + 1)) if low < high else WriteStatus.UNKNOWN
@@ -147,7 +147,7 @@
             for write_id, data in self.kept.items()
         ]
         changes = self.outbox.restore(pairs, self.marks, world.now, self.wall)
-        self.marks = {**self.marks, **self.outbox.lines()}
+        self.marks = {**self.marks, **self.outbox.edge_logs()}
         self.marks.pop(line)
         self.push(changes)
 
@@ -211,7 +211,7 @@
         name = world.names[write.write_id]
         written = world.written[name]
         if fails:
-            self.outbox.unstored(write.write_id, world.now)
+            self.outbox.on_store_failed(write.write_id, world.now)
             return
         self.outbox.stored(write.write_id, world.now)
         if not self.outbox.durable(write.write_id):
@@ -412,7 +412,7 @@
         edge = self.draw.choice(self.living())
         edge.link = not edge.link
         if not edge.link:
-            edge.outbox.live_refused(self.now)
+            edge.outbox.on_live_rejection(self.now)
 
     def crash(self) -> None:
         edge = self.draw.choice(self.living())
@@ -693,7 +693,7 @@
                 while graph._next_out[before] != arrow:
                     before = graph._next_out[before]
                 graph._next_out[before] = graph._next_out[arrow]
-            graph._stuck[row] -= graph.sticks(dependency)
+            graph._stuck[row] -= graph.is_blocked(dependency)
             graph._unlink_in(row, arrow)
         super()._retire(row)
 
--- a/tests/test_shared_daemon.py
+++ b/tests/test_shared_daemon.py
@@ -193,7 +193,7 @@
             assert await tier.replay(0) == (502, "begun")
             assert tier.ran == 1
             # An operator looked, and says so at the edge: then it runs, once.
-            never_ran = StatusUpdate(DOT, WriteStatus.UNKNOWN, LIFE, unbegin=True, parking=1)
+            never_ran = StatusUpdate(DOT, WriteStatus.UNKNOWN, LIFE, withdraw_intent=True, parking=1)
             await tier.until_told(1, ReplayQuery(told=(never_ran,)), QueryReply(told=(True,)))
             assert await tier.replay(1) == (200, "") and await tier.replay(1) == (200, "in")
             assert tier.ran == 2
--- a/tests/test_shared_edge.py
+++ b/tests/test_shared_edge.py
@@ -74,13 +74,13 @@
 
     def answer(self, ask: ReplayQuery) -> QueryReply:
         for claim in ask.claims:
-            self.agree(self.claim_entry(claim))
+            self.agree(self.lease_entry(claim))
         for told in ask.told:
-            self.agree(self.said_entry(told))
+            self.agree(self.status_entry(told))
         return QueryReply(
             tuple(map(self.write_status, ask.write_statuses)),
             tuple(map(self.claimed, ask.claims)),
-            tuple(map(self.says, ask.told)),
+            tuple(map(self.agrees_with, ask.told)),
         )
 
 
@@ -110,8 +110,8 @@
             news = self.answer(ask)
             found.held += news.held
             found.fenced += news.fenced
-            found.own_in += news.own_in
-            found.unbegun += news.unbegun
+            found.own_applied += news.own_applied
+            found.withdrawn += news.withdrawn
         return found
 
 
@@ -346,21 +346,21 @@
     one.record.agree(Intent(write_id, 7, 5))
     one.remote.tell(write_id, WriteStatus.PARKED)
     one.until_still()
-    one.remote.unbegin(write_id, 1)
+    one.remote.withdraw_intent(write_id, 1)
     one.remote.tell(write_id, WriteStatus.UNKNOWN)  # says less
     ask = one.must()
-    assert ask.told == (StatusUpdate(write_id, WriteStatus.UNKNOWN, 7, unbegin=True, parking=1),)
-    assert not one.remote.answered(QueryReply((), (), (False,)), one.now).unbegun
+    assert ask.told == (StatusUpdate(write_id, WriteStatus.UNKNOWN, 7, withdraw_intent=True, parking=1),)
+    assert not one.remote.answered(QueryReply((), (), (False,)), one.now).withdrawn
     one.now += MOST_US
-    assert one.until_still().unbegun == [write_id]
+    assert one.until_still().withdrawn == [write_id]
     assert one.record.begun(write_id, 7, 6) is IntentStatus.OPEN
 
 
 def test_that_it_never_ran_is_not_told_once_the_line_was_anothers() -> None:
     one = Asker()
     write_id = WriteId(*OWN, 1)
-    one.remote.unbegin(write_id, 1)
-    one.record.agree(one.record.claim_entry(LeaseRequest(OWN, 8, (OWN.incarnation,))))
+    one.remote.withdraw_intent(write_id, 1)
+    one.record.agree(one.record.lease_entry(LeaseRequest(OWN, 8, (OWN.incarnation,))))
     one.record.agree(Intent(write_id, 8, 5))  # the other process sends it
     assert one.remote.lost(OWN)
     one.remote.claim(OWN, (7, 8), force=True)
@@ -604,9 +604,9 @@
         """Without it there is nowhere to go."""
         self.lists += 1
         self.parts.engine.listed(self.lists, True, [self.copies.endpoint.entry("copy")] if on else [])
-        self.driver.cutoff.off = not on
-        if self.driver.was_off is on:
-            self.driver._turned()
+        self.driver.cutoff.is_cut_off = not on
+        if self.driver.was_cut_off is on:
+            self.driver._on_cutoff_change()
 
     async def close(self) -> None:
         await self.driver.close()
@@ -739,14 +739,14 @@
             one.resolve(first, Resolution.NEVER_RAN)
             await one.until(first, WriteState.READY)
             # The process on a copy of the disk sends it; the answer is not agreed yet.
-            record.agree(LogLease(first.line, 5, first.incarnation, 0, True))
+            record.agree(LogLease(first.edge_log, 5, first.incarnation, 0, True))
             record.agree(Intent(first, 5, 77))
             one.link(False)
             other = await one.keep("put")
             one.link(True)
             await one.until(other, WriteState.PARKED, ParkingReason.FENCED)
             await one.until(first, WriteState.PARKED, ParkingReason.FENCED)
-            assert one.driver.claim(first.line)
+            assert one.driver.claim(first.edge_log)
             await one.until(first, WriteState.PARKED, ParkingReason.MAY_HAVE_RUN)
             assert not sharing.words and not sharing.timers and first not in one.copies.ran
             assert record.begun(first, first.incarnation, 1) is IntentStatus.OTHERS
@@ -784,9 +784,9 @@
             outbox, now = one.driver.outbox, one.driver.clock.now()
             assert one.driver.turning is not None
             one.driver.turning.cancel()
-            outbox.fence(first.line)
+            outbox.fence(first.edge_log)
             (change,) = [change for change in outbox.due(now) if change.write_id == first]
-            outbox.unfence(first.line)
+            outbox.unfence(first.edge_log)
             outbox.apply(change, now)
             assert one.receipt(first).reason is ParkingReason.FENCED
             (change,) = outbox.due(now)
@@ -804,7 +804,7 @@
             outbox, now = one.driver.outbox, one.driver.clock.now()
             assert one.driver.turning is not None
             one.driver.turning.cancel()
-            outbox.fence(write_ids[0].line)
+            outbox.fence(write_ids[0].edge_log)
             for change in outbox.due(now):
                 outbox.apply(change, now)
             resolved = outbox.resolve(
@@ -812,7 +812,7 @@
             )
             assert resolved is not None
             outbox.apply(resolved, now)
-            outbox.unfence(write_ids[0].line)
+            outbox.unfence(write_ids[0].edge_log)
             for change in outbox.due(now):
                 outbox.apply(change, now)
             later = now + 1_000 * outbox.bounds.age_us
@@ -836,13 +836,16 @@
             await one.until(first, WriteState.GIVEN_UP)
             assert one.driver.turning is not None
             one.driver.turning.cancel()
-            one.driver._tell_over()
+            one.driver._publish_finished()
             now = one.driver.clock.now()
-            assert not outbox.forgettable(now, one.driver._telling)
+            assert not outbox.expired_receipts(now, one.driver._is_unpublished)
             one.link(True)
             await until(lambda: one.copies.record.write_status(Dependency(*first)) is WriteStatus.ABANDONED)
-            await until(lambda: not one.driver._telling(first))
-            assert outbox.forgettable(one.driver.clock.now(), one.driver._telling) in ([first], [])
+            await until(lambda: not one.driver._is_unpublished(first))
+            assert outbox.expired_receipts(one.driver.clock.now(), one.driver._is_unpublished) in (
+                [first],
+                [],
+            )
 
     run(main())
 
@@ -868,8 +871,8 @@
         async with studio(tmp_path) as one:
             first = await one.keep("pay")
             second = await one.keep("put", token(first))
-            line = first.line
-            one.copies.record.agree(one.copies.record.claim_entry(LeaseRequest(line, 5, (line.incarnation,))))
+            line = first.edge_log
+            one.copies.record.agree(one.copies.record.lease_entry(LeaseRequest(line, 5, (line.incarnation,))))
             one.link(True)
             await one.until(first, WriteState.PARKED, ParkingReason.FENCED)
             await one.until(second, WriteState.PARKED, ParkingReason.FENCED)
@@ -938,7 +941,7 @@
                 first = await one.keep("pay")
                 shutil.copytree(tmp_path / "1", tmp_path / "2")
             async with studio(tmp_path / "2", copies=copies) as two:
-                line, life = first.line, two.driver.store.incarnation
+                line, life = first.edge_log, two.driver.store.incarnation
                 assert not two.driver.outbox.version_vector.holds(line)
                 copies.silent = True
                 two.link(True)
@@ -996,9 +999,9 @@
             one.lists += 1
             one.parts.engine.listed(one.lists, True, [one.copies.endpoint.entry("copy")])
             await until(lambda: bool(one.copies.asks))
-            assert one.driver.cutoff.off and one.copies.asks[0] == ReplayQuery()
+            assert one.driver.cutoff.is_cut_off and one.copies.asks[0] == ReplayQuery()
             await one.until(kept, WriteState.DONE)
-            assert not one.driver.cutoff.off and one.copies.ran == [kept]
+            assert not one.driver.cutoff.is_cut_off and one.copies.ran == [kept]
 
     run(main())
 
@@ -1025,7 +1028,7 @@
         self.lows[line] = number
         return True
 
-    def telling(self, write_id: WriteId) -> bool:
+    def is_unpublished(self, write_id: WriteId) -> bool:
         return self.full
 
 
@@ -1042,12 +1045,14 @@
             shared=True,
             secret_file=str(tmp_path / "secret"),
         )
-        teller = StatusPublisher()
+        status_publisher = StatusPublisher()
         parts = Assembly(asyncio.get_running_loop(), config, lambda line: None)
         parts.start()
-        driver = await OutboxDriver.open(settings, config.names.classes, {}, lambda line: None, teller)
+        driver = await OutboxDriver.open(
+            settings, config.names.classes, {}, lambda line: None, status_publisher
+        )
         driver.begin(parts.engine)
-        driver.cutoff.off = True
+        driver.cutoff.is_cut_off = True
 
         async def ask(*dependencies: bytes) -> Answer:
             front = Front()
@@ -1060,13 +1065,13 @@
             assert (await ask(b"", b"", b"", b"sealed")).status == 503  # its edge has it
             assert (await ask(token(WriteId(*OTHER, 1)), b"", b"", b"")).status == 202
             write_id = WriteId("up", driver.store.incarnation, 1)
-            await until(lambda: (write_id, WriteStatus.PARKED) in teller.write_statuses)
+            await until(lambda: (write_id, WriteStatus.PARKED) in status_publisher.write_statuses)
             assert driver.resolve(str(write_id), 1, Resolution.GIVE_UP)
-            await until(lambda: (write_id, WriteStatus.ABANDONED) in teller.write_statuses)
-            assert not teller.lows  # it would say that the write is in
-            teller.full = False
-            await until(lambda: teller.lows == {write_id.line: 1})
-            assert not driver.untold and not driver.outbox.over()
+            await until(lambda: (write_id, WriteStatus.ABANDONED) in status_publisher.write_statuses)
+            assert not status_publisher.lows  # it would say that the write is in
+            status_publisher.full = False
+            await until(lambda: status_publisher.lows == {write_id.edge_log: 1})
+            assert not driver.unpublished and not driver.outbox.over()
         await driver.close()
         parts.close()
 
--- a/tests/test_shared_gate.py
+++ b/tests/test_shared_gate.py
@@ -95,9 +95,9 @@
     def _end(self, future: asyncio.Future[bool]) -> None:
         if not future.done():
             future.set_result(False)
-        self._look()
+        self._check_endpoints()
 
-    def _look(self) -> None:
+    def _check_endpoints(self) -> None:
         for _, done, future in self.waiting:
             if not future.done() and done():
                 future.set_result(True)
@@ -112,7 +112,7 @@
         for one in entries or self.asked:
             self.index += 1
             self.record.apply(self.index, pack(one)[1:])
-        self._look()
+        self._check_endpoints()
 
 
 class Inner:
@@ -844,7 +844,9 @@
 def test_a_word_that_it_never_ran_lets_it_run_once_more() -> None:
     async def test(world: World) -> None:
         await world.land(Intent(DOT, LIFE, 99))
-        sealed = SEAL.ask(ReplayQuery(told=(StatusUpdate(DOT, WriteStatus.UNKNOWN, LIFE, unbegin=True),)))
+        sealed = SEAL.ask(
+            ReplayQuery(told=(StatusUpdate(DOT, WriteStatus.UNKNOWN, LIFE, withdraw_intent=True),))
+        )
         world.gate.ask(Call(-1, 0, sealed.encode(), b"", b"", world.front))
         await world.turn()
         await world.land()
--- a/tests/test_shared_record.py
+++ b/tests/test_shared_record.py
@@ -86,7 +86,7 @@
         Intent(LONG, MOST, MOST),
         IntentWithdrawal(LONG, MOST),
         WriteApplied(LONG),
-        LogLease(LONG.line, MOST, MOST, NUMBER_END - 1, True),
+        LogLease(LONG.edge_log, MOST, MOST, NUMBER_END - 1, True),
         StatusRecord(LONG, WriteStatus.ABANDONED, MOST, True, MOST, NUMBER_END - 1),
         EdgeLost(LONG.edge, MOST),
     ],
@@ -295,9 +295,13 @@
 
 def test_a_begin_is_taken_back_by_its_ask_alone() -> None:
     record = after(Intent(write_id(1), 7, 5), IntentWithdrawal(write_id(1), 6))
-    assert record.begun(write_id(1), 7, 5) is IntentStatus.MINE and record.undone(6) and not record.undone(5)
+    assert (
+        record.begun(write_id(1), 7, 5) is IntentStatus.MINE
+        and record.is_withdrawn(6)
+        and not record.is_withdrawn(5)
+    )
     apply(record, IntentWithdrawal(write_id(1), 5), IntentWithdrawal(write_id(1), 5))
-    assert record.begun(write_id(1), 7, 9) is IntentStatus.OPEN and record.undone(5)
+    assert record.begun(write_id(1), 7, 9) is IntentStatus.OPEN and record.is_withdrawn(5)
 
 
 def test_a_begin_that_comes_after_it_was_taken_back_is_not_granted() -> None:
@@ -316,12 +320,14 @@
 def test_that_it_never_ran_is_the_holders_word_of_the_ask_that_it_saw() -> None:
     record = after(Intent(write_id(1), 7, 5), StatusRecord(write_id(1), WriteStatus.PARKED, 7))
     told = StatusUpdate(write_id(1), WriteStatus.UNKNOWN, 7, False, True)
-    entry = record.said_entry(told)
-    assert entry == StatusRecord(write_id(1), WriteStatus.UNKNOWN, 7, False, 5) and not record.says(told)
+    entry = record.status_entry(told)
+    assert entry == StatusRecord(write_id(1), WriteStatus.UNKNOWN, 7, False, 5) and not record.agrees_with(
+        told
+    )
     apply(record, msgspec.structs.replace(entry, life=9))
     assert record.begun(write_id(1), 7, 5) is IntentStatus.MINE
     apply(record, entry)
-    assert record.says(told) and record.said_entry(told) is None
+    assert record.agrees_with(told) and record.status_entry(told) is None
     # It comes once more: another ask has begun since.
     apply(record, Intent(write_id(1), 7, 6), entry, Intent(write_id(1), 7, 5))
     assert record.begun(write_id(1), 7, 6) is IntentStatus.MINE
@@ -332,22 +338,22 @@
     first, second = (
         StatusUpdate(write_id(1), WriteStatus.UNKNOWN, 7, False, True, parking) for parking in (1, 2)
     )
-    entry = record.said_entry(first)
+    entry = record.status_entry(first)
     assert entry == StatusRecord(write_id(1), WriteStatus.UNKNOWN, 7, False, 5, 1)
     apply(record, entry, Intent(write_id(1), 7, 6), StatusRecord(write_id(1), WriteStatus.PARKED, 7))
     # The first word comes late, at a gate that makes an entry of it by what it knows now, or did before.
-    assert record.says(first) and record.said_entry(first) is None and not record.says(second)
+    assert record.agrees_with(first) and record.status_entry(first) is None and not record.agrees_with(second)
     apply(record, entry, StatusRecord(write_id(1), WriteStatus.UNKNOWN, 7, False, 6, 1))
     assert (
         record.begun(write_id(1), 7, 6) is IntentStatus.MINE and write_status(record, 1) is WriteStatus.PARKED
     )
-    again = record.said_entry(second)
+    again = record.status_entry(second)
     assert again is not None
     apply(record, again)
     assert (
         record.begun(write_id(1), 7, 9) is IntentStatus.OPEN
         and write_status(record, 1) is WriteStatus.UNKNOWN
-        and record.says(second)
+        and record.agrees_with(second)
     )
     # Judged before anything of it began here: that counts too.
     apply(
@@ -357,7 +363,7 @@
         IntentWithdrawal(write_id(2), 8),
     )
     assert (
-        record.says(StatusUpdate(write_id(2), WriteStatus.UNKNOWN, 7, False, True, 1))
+        record.agrees_with(StatusUpdate(write_id(2), WriteStatus.UNKNOWN, 7, False, True, 1))
         and record.status()["begun"] == 2
     )
     apply(record, WriteApplied(write_id(1)), WriteApplied(write_id(2)))
@@ -380,7 +386,7 @@
 def claim(record: ReplicatedLedger, *claims: LeaseRequest) -> list[LeaseStatus]:
     """Each is agreed, and asked for again."""
     for one in claims:
-        entry = record.claim_entry(one)
+        entry = record.lease_entry(one)
         if entry is not None:
             apply(record, entry)
     return [record.claimed(one) for one in claims]
@@ -392,7 +398,7 @@
     assert record.claimed(LeaseRequest(ASH, 9, (7,))) is LeaseStatus.OPEN
     assert (
         record.claimed(LeaseRequest(ASH, 9, (6,))) is LeaseStatus.FENCED
-        and record.claim_entry(LeaseRequest(ASH, 9, (6,))) is None
+        and record.lease_entry(LeaseRequest(ASH, 9, (6,))) is None
     )
     assert claim(record, LeaseRequest(ASH, 9, (6, 7))) == [LeaseStatus.HELD]
     assert record.holder(ASH) == 9 and record.claimed(LeaseRequest(ASH, 7, ())) is LeaseStatus.FENCED
@@ -498,15 +504,15 @@
 def test_it_says_what_was_told_and_what_is_over_whatever_is_told() -> None:
     record = after(WriteApplied(write_id(1)), StatusRecord(write_id(2), WriteStatus.ABANDONED, 7))
     for told in WriteStatus:
-        assert record.says(StatusUpdate(write_id(1), told, 7)) and record.says(
+        assert record.agrees_with(StatusUpdate(write_id(1), told, 7)) and record.agrees_with(
             StatusUpdate(write_id(2), told, 7)
         )
-        assert record.said_entry(StatusUpdate(write_id(2), told, 7, True)) is None
+        assert record.status_entry(StatusUpdate(write_id(2), told, 7, True)) is None
     for told in (WriteStatus.APPLIED, WriteStatus.PARKED, WriteStatus.ABANDONED):
         one = StatusUpdate(write_id(3), told, 7)
-        entry = record.said_entry(one)
-        assert not record.says(one) and entry == StatusRecord(write_id(3), told, 7)
-        assert apply(ReplicatedLedger(), *[] if entry is None else [entry]).says(one)
+        entry = record.status_entry(one)
+        assert not record.agrees_with(one) and entry == StatusRecord(write_id(3), told, 7)
+        assert apply(ReplicatedLedger(), *[] if entry is None else [entry]).agrees_with(one)
 
 
 # --- Bounds -------------------------------------------------------------------------------
@@ -584,7 +590,9 @@
 
 def test_of_asks_that_were_taken_back_the_last_ones_are_kept() -> None:
     record = after(*(IntentWithdrawal(write_id(1), n) for n in range(1, records.UNDONE_MOST + 2)))
-    assert not record.undone(1) and record.undone(2) and record.undone(records.UNDONE_MOST + 1)
+    assert (
+        not record.is_withdrawn(1) and record.is_withdrawn(2) and record.is_withdrawn(records.UNDONE_MOST + 1)
+    )
 
 
 def test_the_fullest_record_fits_in_a_snapshot_and_refuses_more_ranges(
@@ -684,7 +692,7 @@
         self.holders: dict[EdgeLog, int] = {}
         self.turns: dict[EdgeLog, int] = {}
         self.lost: set[str | EdgeLog] = set()
-        self.undone: set[int] = set()
+        self.is_withdrawn: set[int] = set()
         self.resolved: dict[WriteId, int] = {}
 
     def is_lost(self, line: EdgeLog) -> bool:
@@ -695,7 +703,11 @@
 
     def write_status(self, one: WriteId) -> WriteStatus:
         found = self.write_statuses.get(one, WriteStatus.UNKNOWN)
-        return WriteStatus.ABANDONED if self.is_lost(one.line) and found is not WriteStatus.APPLIED else found
+        return (
+            WriteStatus.ABANDONED
+            if self.is_lost(one.edge_log) and found is not WriteStatus.APPLIED
+            else found
+        )
 
     def become(self, one: WriteId, new: WriteStatus) -> None:
         if self.write_status(one) not in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
@@ -711,16 +723,16 @@
                     self.write_status(one) in (WriteStatus.UNKNOWN, WriteStatus.PARKED)
                     and one not in self.begun
                 )
-                if free and self.holder(one.line) == entry.life and entry.ask not in self.undone:
+                if free and self.holder(one.edge_log) == entry.life and entry.ask not in self.is_withdrawn:
                     self.begun[one] = entry.ask
                     self.write_statuses[one] = WriteStatus.UNKNOWN
             case IntentWithdrawal(write_id=one):
                 if self.begun.get(one) == entry.ask:
                     del self.begun[one]
-                self.undone.add(entry.ask)
+                self.is_withdrawn.add(entry.ask)
             case WriteApplied(write_id=one):
                 self.become(one, WriteStatus.APPLIED)
-            case LogLease(line=line):
+            case LogLease(edge_log=line):
                 if self.holder(line) in (0, entry.life) or self.turns.get(line, 0) != entry.turn:
                     return
                 if entry.force or self.holder(line) == entry.of:
@@ -731,7 +743,7 @@
                 self.lost.add(EdgeLog(entry.edge, entry.incarnation) if entry.incarnation else entry.edge)
 
     def say(self, entry: StatusRecord, one: WriteId) -> None:
-        if self.holder(one.line) != entry.life:
+        if self.holder(one.edge_log) != entry.life:
             return
         if entry.ask or entry.parking:
             if self.begun.get(one, 0) != entry.ask or 0 < entry.parking <= self.resolved.get(one, 0):
@@ -739,9 +751,9 @@
             if self.write_status(one) not in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
                 self.begun.pop(one, None)
                 self.resolved[one] = max(entry.parking, self.resolved.get(one, 0))
-                self.undone.update({entry.ask} - {0})
+                self.is_withdrawn.update({entry.ask} - {0})
         for number in range(1 if entry.before else one.number, one.number + 1):
-            self.become(write_id(number, one.line), entry.write_status)
+            self.become(write_id(number, one.edge_log), entry.write_status)
 
 
 def same(record: ReplicatedLedger, naive: Naive) -> None:
--- a/tests/test_shared_schedules.py
+++ b/tests/test_shared_schedules.py
@@ -144,7 +144,7 @@
         elif self.record.write_status(Dependency(*write_id)) is WriteStatus.APPLIED:
             self.reply(call, "in")
         elif (
-            self.record.holder(write_id.line) != replayed.life
+            self.record.holder(write_id.edge_log) != replayed.life
             or self.record.write_status(Dependency(*write_id)) is WriteStatus.ABANDONED
         ):
             self.reply(call, "fenced")
@@ -189,7 +189,7 @@
         self.undo(call)
 
     def undo(self, call: Call) -> None:
-        if self.record.undone(call.ask) or self.world.draw.random() < self.world.impatience:
+        if self.record.is_withdrawn(call.ask) or self.world.draw.random() < self.world.impatience:
             self.reply(call, call.answer)
         else:
             self.world.word(IntentWithdrawal(call.replayed.write_id, call.ask))
@@ -232,13 +232,13 @@
             if write_status is WriteStatus.APPLIED:
                 world.check_in(dependency, "an ask")
         for entry in (
-            *(record.claim_entry(claim) for claim in ask.claims),
-            *(record.said_entry(told) for told in ask.told),
+            *(record.lease_entry(claim) for claim in ask.claims),
+            *(record.status_entry(told) for told in ask.told),
         ):
             if entry is not None:
                 world.word(entry)
         claims = tuple(record.claimed(claim) for claim in ask.claims)
-        told = tuple(record.says(told) for told in ask.told)
+        told = tuple(record.agrees_with(told) for told in ask.told)
         world.mail.append(lambda: edge.heard(ask, write_statuses, claims, told))
 
 
@@ -254,12 +254,12 @@
         self.known = tuple(disk.lives)
         world.knowns[self.life] = frozenset(disk.lives)
         disk.lives.append(self.life)  # durable before it asks
-        self.line = EdgeLog(name, self.life)
+        self.edge_log = EdgeLog(name, self.life)
         self.count = 0
-        self.claims: dict[EdgeLog, LeaseStatus] = {self.line: LeaseStatus.HELD}
+        self.claims: dict[EdgeLog, LeaseStatus] = {self.edge_log: LeaseStatus.HELD}
         self.write_statuses: dict[Dependency, WriteStatus] = {}
         for one in disk.kept.values():
-            self.claims.setdefault(one.write_id.line, LeaseStatus.OPEN)
+            self.claims.setdefault(one.write_id.edge_log, LeaseStatus.OPEN)
             one.attempt = 0
             if one.state == "out":
                 self.found_out(one)
@@ -271,7 +271,7 @@
 
     def keep(self, unsafe: bool, dependencies: tuple[Dependency, ...]) -> WriteId:
         self.count += 1
-        write_id = WriteId(*self.line, self.count)
+        write_id = WriteId(*self.edge_log, self.count)
         self.disk.kept[write_id] = Kept(write_id, unsafe, dependencies)
         return write_id
 
@@ -284,7 +284,7 @@
         ) is WriteStatus.APPLIED
 
     def may_send(self, one: Kept) -> bool:
-        held = self.claims[one.write_id.line] is LeaseStatus.HELD
+        held = self.claims[one.write_id.edge_log] is LeaseStatus.HELD
         return (
             held and one.state == "ready" and all(self.is_in(dependency) for dependency in one.dependencies)
         )
@@ -344,7 +344,7 @@
             world.mail.append(lambda: world.draw.choice(world.copies).asked(self, ask))
 
     def to_say(self, one: Kept) -> StatusUpdate | None:
-        if one.said or self.claims[one.write_id.line] is not LeaseStatus.HELD:
+        if one.said or self.claims[one.write_id.edge_log] is not LeaseStatus.HELD:
             return None
         write_statuses = {
             "parked": WriteStatus.PARKED,
@@ -378,7 +378,7 @@
                 one.state = "ready"
             case "fenced":
                 one.state = "ready"
-                self.claims[write_id.line] = LeaseStatus.FENCED
+                self.claims[write_id.edge_log] = LeaseStatus.FENCED
             case _:
                 self.found_out(one)
 
@@ -395,8 +395,8 @@
             if self.write_statuses.get(dependency) not in OVER:
                 self.write_statuses[dependency] = write_status
         for claim, claimed in zip(ask.claims, claims, strict=True):
-            if self.claims[claim.line] is LeaseStatus.OPEN:
-                self.claims[claim.line] = claimed
+            if self.claims[claim.edge_log] is LeaseStatus.OPEN:
+                self.claims[claim.edge_log] = claimed
         for one, says in zip(ask.told, told, strict=True):
             kept = self.disk.kept[one.write_id]
             if says and not one.before and not kept.said and self.to_say(kept) == one:
@@ -498,7 +498,7 @@
         dependencies = tuple(Dependency(*write_id, draw.random() < 0.25) for write_id in named)
         write_id = edge.keep(self.narrow or draw.random() < 0.7, dependencies)
         self.writes[write_id] = Kept(write_id, edge.disk.kept[write_id].unsafe, dependencies)
-        self.lines.setdefault(write_id.line, []).append(write_id)
+        self.lines.setdefault(write_id.edge_log, []).append(write_id)
 
     def work(self) -> None:
         for edge in self.living():
@@ -570,7 +570,7 @@
             self.given_up.add(one.write_id)
         elif one.write_id in self.effects:
             one.state, one.said = "done", False
-        elif edge.claims[one.write_id.line] is LeaseStatus.HELD and not self.is_tried(one.write_id):
+        elif edge.claims[one.write_id.edge_log] is LeaseStatus.HELD and not self.is_tried(one.write_id):
             one.state, one.said = "clearing", False
 
     def is_tried(self, write_id: WriteId) -> bool:
@@ -636,7 +636,9 @@
     def meant(self, dependency: Dependency) -> list[WriteId]:
         if not dependency.before:
             return [dependency.write_id]
-        return [write_id for write_id in self.lines[dependency.line] if write_id.number <= dependency.number]
+        return [
+            write_id for write_id in self.lines[dependency.edge_log] if write_id.number <= dependency.number
+        ]
 
     def has_run(self, write_id: WriteId) -> bool:
         return write_id in self.effects
@@ -674,7 +676,7 @@
         self.check_bounds()
 
     def check_begun(self, entry: Intent, before: int) -> None:
-        line = entry.write_id.line
+        line = entry.write_id.edge_log
         if before == entry.ask or self.truth._row(line).begun_by(entry.write_id.number) != entry.ask:
             return
         if entry.life != self.holder(line) or line in self.lost or line.edge in self.lost:
@@ -682,7 +684,7 @@
 
     def begun_by(self, entry: LedgerEntry) -> int:
         if isinstance(entry, Intent | StatusRecord | IntentWithdrawal):
-            return self.truth._row(entry.write_id.line).begun_by(entry.write_id.number)
+            return self.truth._row(entry.write_id.edge_log).begun_by(entry.write_id.number)
         return 0
 
     def check_taken_back(self, entry: StatusRecord | IntentWithdrawal, before: int) -> None:
@@ -707,7 +709,7 @@
             if holder == before:
                 continue
             if holder:
-                asked = isinstance(entry, LogLease) and entry.line == line and entry.life == holder
+                asked = isinstance(entry, LogLease) and entry.edge_log == line and entry.life == holder
                 known = before in self.knowns[holder] or (line, holder) in self.forced
                 if not asked or not known or before == 0:
                     raise BrokenError("fenced", f"{line} went from {before} to {holder} by {entry}")
@@ -823,7 +825,7 @@
             return  # what does not fit waits for an operator
         for edge in self.living():
             for one in edge.disk.kept.values():
-                if self.truth.holder(one.write_id.line) != edge.life or one.state in (
+                if self.truth.holder(one.write_id.edge_log) != edge.life or one.state in (
                     "done",
                     "gone",
                     "parked",
@@ -833,14 +835,14 @@
                     self.truth.write_status(dependency) is WriteStatus.APPLIED
                     for dependency in one.dependencies
                 )
-                if free and edge.claims[one.write_id.line] is not LeaseStatus.FENCED:
+                if free and edge.claims[one.write_id.edge_log] is not LeaseStatus.FENCED:
                     raise BrokenError("progress", f"{one.write_id} is {one.state} at the end")
 
 
 def edge_of(entry: LedgerEntry) -> str:
     match entry:
         case LogLease():
-            return entry.line.edge
+            return entry.edge_log.edge
         case EdgeLost():
             return entry.edge
         case _:
@@ -894,9 +896,9 @@
     """A BEGIN is granted whoever began before."""
 
     def _begin(self, entry: Intent) -> None:
-        row, number = self._row(entry.write_id.line), entry.write_id.number
+        row, number = self._row(entry.write_id.edge_log), entry.write_id.number
         if row.holder == entry.life and row.write_status(number) not in OVER:
-            self._put(entry.write_id.line, row.with_begun(number, entry.ask, 0))
+            self._put(entry.write_id.edge_log, row.with_begun(number, entry.ask, 0))
 
 
 class UnbegunByAny(ReplicatedLedger):
@@ -904,7 +906,7 @@
 
     def _unbegin(self, entry: IntentWithdrawal) -> None:
         number = entry.write_id.number
-        self._put(entry.write_id.line, self._row(entry.write_id.line).without_begun(number, number))
+        self._put(entry.write_id.edge_log, self._row(entry.write_id.edge_log).without_begun(number, number))
         self._undo(entry.ask)
 
 
@@ -912,7 +914,7 @@
     """Whoever asks gets a BEGIN."""
 
     def _begin(self, entry: Intent) -> None:
-        super()._begin(msgspec.structs.replace(entry, life=self.holder(entry.write_id.line)))
+        super()._begin(msgspec.structs.replace(entry, life=self.holder(entry.write_id.edge_log)))
 
 
 class ClaimedUnknown(ReplicatedLedger):
@@ -926,7 +928,7 @@
     """A claim holds whatever became of the line since it was asked."""
 
     def _hold(self, entry: LogLease) -> None:
-        row = self._row(entry.line)
+        row = self._row(entry.edge_log)
         super()._hold(msgspec.structs.replace(entry, turn=row.turn, of=row.holder))
 
 
@@ -934,14 +936,14 @@
     """A line that is lost can be claimed."""
 
     def _hold(self, entry: LogLease) -> None:
-        row = self._row(entry.line)
+        row = self._row(entry.edge_log)
         if row.holder == 0:
-            self._rows[entry.line] = msgspec.structs.replace(row, holder=entry.life)
+            self._rows[entry.edge_log] = msgspec.structs.replace(row, holder=entry.life)
         else:
             super()._hold(entry)
 
     def claimed(self, claim: LeaseRequest) -> LeaseStatus:
-        return LeaseStatus.OPEN if self.holder(claim.line) == 0 else super().claimed(claim)
+        return LeaseStatus.OPEN if self.holder(claim.edge_log) == 0 else super().claimed(claim)
 
 
 class LostForgotten(ReplicatedLedger):
@@ -968,12 +970,12 @@
     """What runs after all is gone no more."""
 
     def _change(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
-        row = self._row(write_id.line)
+        row = self._row(write_id.edge_log)
         if write_status is WriteStatus.APPLIED and row.holder:
             self._spans -= row.spans
             row = msgspec.structs.replace(row, gone=ranges.cut(row.gone, first, write_id.number))
             self._spans += row.spans
-            self._rows[write_id.line] = row
+            self._rows[write_id.edge_log] = row
         super()._change(write_id, first, write_status)
 
 
@@ -981,9 +983,9 @@
     """What is parked is not in, whatever was said before."""
 
     def _change(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
-        row = self._row(write_id.line)
+        row = self._row(write_id.edge_log)
         if write_status is not WriteStatus.APPLIED and row.holder and row.low >= write_id.number:
-            self._rows[write_id.line] = msgspec.structs.replace(row, low=write_id.number - 1)
+            self._rows[write_id.edge_log] = msgspec.structs.replace(row, low=write_id.number - 1)
         super()._change(write_id, first, write_status)
 
 
@@ -991,11 +993,11 @@
     """What is over stays begun."""
 
     def _change(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
-        begun = self._row(write_id.line).begun
+        begun = self._row(write_id.edge_log).begun
         super()._change(write_id, first, write_status)
-        row = self._row(write_id.line)
+        row = self._row(write_id.edge_log)
         if row.begun != begun:
-            self._rows[write_id.line] = msgspec.structs.replace(row, begun=begun)
+            self._rows[write_id.edge_log] = msgspec.structs.replace(row, begun=begun)
             self._begun += len(begun) - len(row.begun)
 
 
@@ -1004,7 +1006,7 @@
 
     def _change(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
         if write_status is WriteStatus.PARKED:
-            self._put(write_id.line, self._row(write_id.line).without_begun(first, write_id.number))
+            self._put(write_id.edge_log, self._row(write_id.edge_log).without_begun(first, write_id.number))
         super()._change(write_id, first, write_status)
 
 
@@ -1050,8 +1052,8 @@
 class JudgedAgain(ReplicatedLedger):
     """A word that it never ran is heard as often as it comes."""
 
-    def says(self, told: StatusUpdate) -> bool:
-        return super().says(msgspec.structs.replace(told, parking=0))
+    def agrees_with(self, told: StatusUpdate) -> bool:
+        return super().agrees_with(msgspec.structs.replace(told, parking=0))
 
     def _said(self, entry: StatusRecord) -> None:
         super()._said(msgspec.structs.replace(entry, parking=0))
--- a/tests/test_shared_seal.py
+++ b/tests/test_shared_seal.py
@@ -140,7 +140,7 @@
         ReplayQuery(write_statuses=(Dependency("edge", 7, 0),)),
         ReplayQuery(claims=(LeaseRequest(EdgeLog("edge", 7), 8, (-1,)),)),
         ReplayQuery(told=(StatusUpdate(DOT, WriteStatus.APPLIED, -1),)),
-        ReplayQuery(told=(StatusUpdate(DOT, WriteStatus.UNKNOWN, 7, unbegin=True, parking=-1),)),
+        ReplayQuery(told=(StatusUpdate(DOT, WriteStatus.UNKNOWN, 7, withdraw_intent=True, parking=-1),)),
     ],
 )
 def test_an_ask_that_no_edge_could_make_is_refused_though_it_is_sealed(ask: ReplayQuery) -> None:
