--- a/tests/test_shared_own.py
+++ b/tests/test_outbox_replicated_version_vector.py
@@ -20,7 +20,7 @@
 )
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from tests.fakes import ManualClock
-from tests.test_shared_gate import Agreed
+from tests.test_outbox_replay_gate import Agreed
 
 OLD, FORMER, MINE = EdgeLog("copy-1", 1), EdgeLog("copy-1", 2), EdgeLog("copy-1", 3)
 FOREIGN = Dependency("edge-1", 7, 3)
