--- a/laurelstep/outbox/admission.py
+++ b/laurelstep/outbox/admission.py
@@ -46,6 +46,7 @@
     """The engine's side of one driver: requests that may be kept."""
 
     def comes_first(self, call: Call) -> bool:
+        """Whether a request is to be offered to the outbox before it is sent."""
         if self._passes(call):
             return False
         self.background_replay.live = True
@@ -75,6 +76,8 @@
         return bool(session or obj) and self.outbox.has_open(session, obj, tenant)
 
     def keep(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
+        """Keep a request's write if that may be; True if the request is answered from here. `answer` is
+        what it would get otherwise; None if it was not sent yet."""
         front = call.front
         if isinstance(front, ReplayFront):
             front.never_ran = True  # asked only where it can't have run
@@ -137,6 +140,7 @@
             self.answer_repeat(call, write_id, engine)
 
     def answer_repeat(self, call: Call, write_id: WriteId, engine: Recorded) -> None:
+        """Answer a call whose write has a number already, once its record is durable."""
         if write_id in self.storing:
             # Compared with the first try, once both are told.
             self.storing[write_id].append(call)
@@ -208,6 +212,7 @@
                 engine.settle(one, self._kept(write_id))
 
     def answer_unqueued(self, call: Call, answer: Answer | None, certain: bool, engine: Recorded) -> None:
+        """Answer a call whose write could not be kept. `certain`: no later life can find it."""
         if not call.open:
             return
         if not certain and (answer is None or answer.ending is Ending.REFUSED):
--- a/laurelstep/outbox/api.py
+++ b/laurelstep/outbox/api.py
@@ -38,7 +38,8 @@
 class OutboxApi(Protocol):
     """The driver, as calls know it."""
 
-    def status(self) -> dict[str, Any]: ...
+    def status(self) -> dict[str, Any]:
+        """For an operator, in JSON's types."""
 
     def resolve(self, text: str, parking: int, resolution: Resolution) -> bool:
         """False if it was given already. `OutboxError`."""
@@ -50,7 +51,8 @@
     def lose(self, edge: str, incarnation: int) -> bool:
         """An edge is lost, or with an incarnation one life of it. False if that was said already."""
 
-    def status(self) -> dict[str, Any]: ...
+    def status(self) -> dict[str, Any]:
+        """For an operator, in JSON's types."""
 
 
 @runtime_checkable
--- a/laurelstep/outbox/bodies.py
+++ b/laurelstep/outbox/bodies.py
@@ -82,15 +82,18 @@
 
     @property
     def fits(self) -> bool:
+        """Not longer than a kept body may be."""
         return self.came <= self.bodies.most
 
     def begin(self) -> None:
+        """Take what comes from now on."""
         self.begun = True
         self.upload.attach(self)
         if not self.paused:
             self.upload.resume()
 
     def flow(self, data: bytes) -> None:
+        """A part of it came."""
         if self.over:
             return
         self.came += len(data)
@@ -110,6 +113,7 @@
         self.news.set()
 
     def flowed(self, whole: bool) -> None:
+        """No more comes; `whole` if that is all of it."""
         self.end(whole)
 
     def end(self, whole: bool) -> None:
@@ -158,6 +162,7 @@
                 await self.news.wait()
 
     async def ended(self) -> None:
+        """Wait until no more comes."""
         while not self.over:
             self.news.clear()
             await self.news.wait()
@@ -191,6 +196,7 @@
         return call.upload.length if call.upload.length >= 0 else self.most
 
     def has_room(self, call: Call) -> bool:
+        """Whether a call with a body that is still to come may be taken."""
         return call.upload is None or len(self.coming) < TAKEN_MOST + WAITING_MOST
 
     def digest(self, call: Call) -> bytes:
@@ -325,14 +331,17 @@
         self.free = asyncio.Event()
 
     def hold(self) -> None:
+        """The taker wants no more for now."""
         self.free.clear()
 
     def go_on(self) -> None:
+        """The taker wants more."""
         self.free.set()
         if self.task is None:
             self.task = asyncio.get_running_loop().create_task(self._play())
 
     def unwanted(self) -> None:
+        """The taker is gone."""
         if self.task is not None:
             self.task.cancel()
 
--- a/laurelstep/outbox/call_fields.py
+++ b/laurelstep/outbox/call_fields.py
@@ -28,9 +28,11 @@
 
 
 def session_of(call: Call) -> bytes:
+    """The session that the call names; empty if none."""
     return call.causes[2] if call.causes else b""
 
 
 def object_of(call: Call) -> bytes:
+    """The object that the call's query names; empty if none."""
     query = call.start.partition(b"?")[2]
     return next((part[4:] for part in query.split(b"&") if part.startswith(b"obj=")), b"")
--- a/laurelstep/outbox/cutoff.py
+++ b/laurelstep/outbox/cutoff.py
@@ -50,6 +50,7 @@
         self.tick(now)
 
     def answered(self, now: int) -> None:
+        """An attempt had a response, at `now` in µs."""
         self._failed.clear()
         if not self.is_cut_off:
             return
@@ -59,6 +60,7 @@
         self.tick(now)
 
     def failed(self, endpoint: int, now: int) -> None:
+        """An attempt at this endpoint had no response, at `now` in µs."""
         if not self._failed:
             self._failed_at = now
         if len(self._failed) < self._rule.fewest:
--- a/laurelstep/outbox/dependencies.py
+++ b/laurelstep/outbox/dependencies.py
@@ -58,10 +58,12 @@
 
     @property
     def edge_log(self) -> EdgeLog:
+        """The log of the write."""
         return EdgeLog(self.edge, self.incarnation)
 
     @property
     def write_id(self) -> WriteId:
+        """The write, without those before it."""
         return WriteId(self.edge, self.incarnation, self.number)
 
 
@@ -108,7 +110,8 @@
     The local one knows what was told to it at this edge. One that copies share stands behind the same two
     questions; it tells `Outbox.heard` when it has learned something."""
 
-    def write_status(self, dependency: Dependency) -> WriteStatus: ...
+    def write_status(self, dependency: Dependency) -> WriteStatus:
+        """What is known of a write of another log."""
 
     def holds(self, edge_log: EdgeLog) -> bool:
         """This process, and no other with a copy of its disk, may send writes of this log."""
--- a/laurelstep/outbox/dependency_graph.py
+++ b/laurelstep/outbox/dependency_graph.py
@@ -42,6 +42,7 @@
 
     @property
     def arrows(self) -> int:
+        """How many arrows there are."""
         return len(self._source) - len(self._free_arrows)
 
     def add(self) -> int:
@@ -79,9 +80,11 @@
                 self._spread(follower, 1)
 
     def free(self, node: int) -> bool:
+        """Nothing comes in: it waits for none."""
         return self._waits[node] == 0
 
     def is_blocked(self, node: int) -> bool:
+        """It is halted, or depends on one that is."""
         return self._halted[node] != 0 or self._stuck[node] > 0
 
     def behind(self, node: int) -> bool:
@@ -114,12 +117,14 @@
         return dependencies[0] if dependencies else NONE
 
     def halt(self, node: int) -> None:
+        """It blocks all that depend on it."""
         stuck = self.is_blocked(node)
         self._halted[node] = 1
         if not stuck:
             self._spread(node, 1)
 
     def resume(self, node: int) -> None:
+        """It blocks none any more, unless what it depends on does."""
         if not self._halted[node]:
             return
         self._halted[node] = 0
--- a/laurelstep/outbox/dependency_tracker.py
+++ b/laurelstep/outbox/dependency_tracker.py
@@ -84,9 +84,12 @@
         self._foreign_of: dict[int, Dependency] = {}
         self._barriers: dict[int, tuple[int, int]] = {}  # by log's place: up to which number, and its row
         self._unsure: dict[int, Dependencies] = {}  # of rows whose record is not on the disk
-        self._followed: list[
-            Dependency
-        ] = []  # foreign ones that are waited for since the last `take_new_dependencies`
+        self._followed: list[Dependency] = []  # foreign ones, since the last `take_new_dependencies`
+        self._begin_queues()
+        self._begin_usage()
+
+    def _begin_queues(self) -> None:
+        """What is to be done, and what is over."""
         self._withheld: set[int] = set()  # own write ids that are not to be sent yet
         self._fenced: set[int] = set()  # places of logs that are another process's
         self._to_fence: deque[int] = deque()  # rows of those, to be parked
@@ -101,11 +104,14 @@
         self._resolutions: dict[int, tuple[int, Resolution, int]] = {}  # parking, resolution, unix time
         # Rows that are not to be parked for a cause that is gone: an operator said to go on without it.
         self._excused: set[int] = set()
+        self._life = 0
+
+    def _begin_usage(self) -> None:
+        """What is kept, in all and by tenant."""
         self._tenants: dict[str, int] = {}
         self._tenant_names: dict[int, str] = {}
         self._usage: dict[int, list[int]] = {}  # by tenant's place: count, bytes
         self._tenant_next = 0
-        self._life = 0
         self.count = 0
         self.size = 0
 
--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -83,35 +83,20 @@
         version_vector: VersionVector | None = None,
     ) -> OutboxDriver:
         """With all that earlier lives kept. `StoreError` or `OutboxError` if that can't be read, OSError
-        or ValueError if the secret can't be. `version vector`: that of a copy upstream which shares."""
+        or ValueError if the secret can't be. `version_vector`: that of a copy upstream which shares."""
         keep_blocks_apart()
         store = await QueueStore.open(settings.store_path, settings.max_bytes, log)
         try:
             secret = await store.secret() if not settings.secret_file else _read_secret(settings.secret_file)
             tokens = CausalityTokens(secret)
-            bounds = OutboxBounds(
-                bytes_most=settings.max_bytes,
-                count_most=settings.most,
-                tenant_share=settings.share,
-                age_us=settings.age_us,
-                receipt_us=settings.receipt_us,
-                replay_most=settings.replay_most,
-                send_us=settings.send_us,
-                orphans=settings.lost,
-            )
-            kept = {
-                name: QueuedClass(name, one.how == "keyed", one.window_us)
-                for name, one in settings.classes.items()
-            }
             edge_log = EdgeLog(settings.edge, store.incarnation)
             asks = settings.upstream == "copies" and version_vector is None
             if asks:
                 from laurelstep.outbox.shared.edge import RemoteVersionVector
 
                 version_vector = RemoteVersionVector(edge_log, Random())
-            outbox = Outbox(
-                edge_log, kept, bounds, tokens, version_vector or LocalVersionVector(settings.edge)
-            )
+            version_vector = version_vector or LocalVersionVector(settings.edge)
+            outbox = Outbox(edge_log, _classes_of(settings), _bounds_of(settings), tokens, version_vector)
             self = cls(store, outbox, tokens, settings, classes, tenants, log)
             if asks:
                 from laurelstep.outbox.shared.asking import EdgeSharing
@@ -152,6 +137,7 @@
                 self.status_publisher.tell(write_id, WriteStatus.PARKED)
 
     def begin(self, engine: Engine) -> None:
+        """Take part in the engine's requests, and replay."""
         self.engine = engine
         engine.keeper = self
         self._check_endpoints()
@@ -233,6 +219,25 @@
         }
 
 
+def _bounds_of(settings: OutboxSettings) -> OutboxBounds:
+    return OutboxBounds(
+        bytes_most=settings.max_bytes,
+        count_most=settings.most,
+        tenant_share=settings.share,
+        age_us=settings.age_us,
+        receipt_us=settings.receipt_us,
+        replay_most=settings.replay_most,
+        send_us=settings.send_us,
+        orphans=settings.lost,
+    )
+
+
+def _classes_of(settings: OutboxSettings) -> dict[str, QueuedClass]:
+    return {
+        name: QueuedClass(name, one.how == "keyed", one.window_us) for name, one in settings.classes.items()
+    }
+
+
 def _read_secret(path: str) -> bytes:
     with open(path, "rb") as file:
         return file.read(4096).strip()
--- a/laurelstep/outbox/driver_state.py
+++ b/laurelstep/outbox/driver_state.py
@@ -58,15 +58,18 @@
         self.cutoff = CutOffDetector(rule, 0, self.now())
         self.engine: Engine | None = None
         self.bodies: BodySpool
+        self.sharing: EdgeSharing | None = None  # where upstream is copies of this program
+        self._begin_requests()
+
+    def _begin_requests(self) -> None:
+        """What is under way, and what others are to hear."""
+        version_vector = self.outbox.version_vector
+        self.status_publisher = version_vector if isinstance(version_vector, StatusPublisher) else None
         self.storing: dict[WriteId, list[Call]] = {}  # requests that wait for a write to be durable
         self.in_flight: dict[WriteId, ReplayFront] = {}
         self.background_replay = BackgroundReplay()
         self.again: set[WriteId] = set()  # sent before, without a known end
         self.parked: dict[WriteId, int] = {}  # the number of the parking
-        self.sharing: EdgeSharing | None = None  # where upstream is copies of this program
-        self.status_publisher = (
-            outbox.version_vector if isinstance(outbox.version_vector, StatusPublisher) else None
-        )
         self.unpublished: list[
             tuple[WriteId, WriteStatus]
         ] = []  # over, and the version vector had no room for it
@@ -78,6 +81,7 @@
         self.look_at = 0
 
     def now(self) -> int:
+        """Monotonic time in µs."""
         return self.clock.now()
 
     def wall(self) -> int:
@@ -85,6 +89,7 @@
         return self.store.time_us()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
+        """Run it as a task that `close` waits for."""
         task = self.loop.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
--- a/laurelstep/outbox/queue_store.py
+++ b/laurelstep/outbox/queue_store.py
@@ -74,6 +74,7 @@
 
 
 def key_of(kind: bytes, write_id: WriteId) -> bytes:
+    """The store's key of one kind of record of a write."""
     return kind + write_id.incarnation.to_bytes(8, "big") + write_id.number.to_bytes(8, "big")
 
 
@@ -86,6 +87,7 @@
 
 
 def part_key(write_id: WriteId, at: int) -> bytes:
+    """The store's key of one part of a body, counted from 1."""
     return key_of(PART, write_id) + at.to_bytes(4, "big")
 
 
@@ -352,6 +354,8 @@
         return part
 
     async def moved(self, write_id: WriteId) -> StateChange | None:
+        """The newest record of its state, with the answer; None if there is none. `StoreError`,
+        `KeptRecordError`."""
         value = await self.store.get(key_of(MOVED, write_id))
         return None if value is None else decode_state_change(value)
 
--- a/laurelstep/outbox/receipt_log.py
+++ b/laurelstep/outbox/receipt_log.py
@@ -135,6 +135,7 @@
         return found
 
     def forget(self, write_id: WriteId) -> None:
+        """Its records are deleted: nothing is known of it any more but its number."""
         packed = self._pack(write_id)
         self._given_up.discard(packed)
         self._resolutions.pop(packed, None)
--- a/laurelstep/outbox/records.py
+++ b/laurelstep/outbox/records.py
@@ -175,6 +175,7 @@
 
 
 def encode(record: QueuedWrite | StateChange) -> bytes:
+    """The record's bytes, as they are stored."""
     return _encoder.encode(record)
 
 
--- a/laurelstep/outbox/remote_logs.py
+++ b/laurelstep/outbox/remote_logs.py
@@ -101,6 +101,7 @@
         self._withheld.discard(self._pack(write_id))
 
     def release_log(self, edge_log: EdgeLog) -> None:
+        """`release` for all writes of a log."""
         place = self._log_indexes.get(edge_log, -1)
         self._withheld = {packed for packed in self._withheld if packed >> NUMBERS != place}
 
--- a/laurelstep/outbox/replay_driver.py
+++ b/laurelstep/outbox/replay_driver.py
@@ -39,6 +39,7 @@
     """The turns of one driver: whether the edge is cut off, what goes out, what others hear."""
 
     def heard(self, endpoint: int, outcome: int) -> None:
+        """An attempt of any request ended so: one of `laurelstep.interface`'s outcomes."""
         if outcome in ANSWERED:
             self.cutoff.answered(self.now())
         elif outcome in UNANSWERED:
@@ -68,6 +69,7 @@
             self._on_cutoff_change()
 
     def wake(self) -> None:
+        """Look at once at what is due."""
         if self.closing or self.engine is None:
             return
         if self.turning is not None:
@@ -132,6 +134,7 @@
                 self.outbox.forget(write_id)
 
     async def take_step(self, change: Transition) -> None:
+        """Make a transition durable, then do what it announces."""
         try:
             await self.store.move(change.moved)
         except StoreError as error:
@@ -196,6 +199,7 @@
         await self._end(write_id, end, answer)
 
     def call_of(self, write: QueuedWrite, body: bytes, replay: ReplayFront) -> Call:
+        """A queued write as a call to the engine."""
         assert self.engine is not None
         cls = self.numbers[write.cls]
         fields = dict(write.headers)
--- a/laurelstep/outbox/replay_front.py
+++ b/laurelstep/outbox/replay_front.py
@@ -20,5 +20,6 @@
     over: asyncio.Future[Answer] = field(default_factory=lambda: asyncio.get_running_loop().create_future())
 
     def answered(self, call: Call, answer: Answer) -> None:
+        """The engine's final answer to the replay."""
         if not self.over.done():
             self.over.set_result(answer)
--- a/laurelstep/outbox/replay_queue.py
+++ b/laurelstep/outbox/replay_queue.py
@@ -26,9 +26,11 @@
         self.out = 0
 
     def may_send(self, now: int) -> bool:
+        """Whether one more may go out, at `now` in µs."""
         return self.out < self.limit and now >= self._until
 
     def sent(self) -> None:
+        """One went out."""
         self.out += 1
 
     def unsent(self) -> None:
@@ -36,6 +38,7 @@
         self.out -= 1
 
     def answered(self) -> None:
+        """One that was out has its final answer."""
         self.out -= 1
         self.limit = min(self._most, self.limit + 1)
 
@@ -62,6 +65,7 @@
         return len(self._ready)
 
     def add(self, row: int) -> None:
+        """A row is ready for the first time."""
         self._ready.append(row)
 
     def again(self, row: int) -> None:
@@ -73,6 +77,7 @@
         return self._ready.popleft()
 
     def set_aside(self, row: int) -> None:
+        """A row's log may be another process's: it waits until `bring_back`."""
         self._aside.append(row)
 
     def bring_back(self) -> None:
--- a/laurelstep/outbox/shared/asking.py
+++ b/laurelstep/outbox/shared/asking.py
@@ -48,6 +48,7 @@
     over: asyncio.Future[Answer] = field(default_factory=lambda: asyncio.get_running_loop().create_future())
 
     def answered(self, call: Call, answer: Answer) -> None:
+        """The engine's final answer to the query."""
         if not self.over.done():
             self.over.set_result(answer)
 
@@ -97,6 +98,7 @@
             self.remote.follow((dependency,))
 
     def force(self, edge_log: EdgeLog) -> bool:
+        """An operator's word: this process has the log. False if it holds it already."""
         if self.remote.holds(edge_log):
             return False
         self.holders.setdefault(edge_log, (edge_log.incarnation,))
@@ -136,6 +138,7 @@
             self.driver.applied_by_gate.add(change.write_id)
 
     def applied(self, change: Transition) -> None:
+        """A change was applied."""
         if change.moved.state is WriteState.PARKED:
             self.parked_at[change.write_id] = self.driver.clock.now()
             self._follow_own(change.write_id)
@@ -174,6 +177,7 @@
         call.fate = b""
 
     def end_of(self, call: Call, replay: ReplayFront, answer: Answer) -> ReplayResult:
+        """What a copy's answer to a replay means."""
         if answer.ending is Ending.SERVED:
             return ReplayResult.ANSWERED
         edge_log = replay.write_id.edge_log
@@ -228,6 +232,7 @@
             self.driver.spawn(self._ask(ask))
 
     def close(self) -> None:
+        """Ask and tell nothing any more."""
         for handle in self.timers.values():
             handle.cancel()
         if self.asking is not None:
--- a/laurelstep/outbox/shared/assembly.py
+++ b/laurelstep/outbox/shared/assembly.py
@@ -37,6 +37,7 @@
 
     @property
     def machines(self) -> dict[int, Machine]:
+        """What the agreed entries act on, by their first byte."""
         return self.carried.machines
 
     def join(self, part: Part, driver: OutboxDriver, inner: Recorder | None) -> ReplayGate:
@@ -74,10 +75,12 @@
     # --- An operator's words ----------------------------------------------------------------
 
     def lose(self, edge: str, incarnation: int) -> bool:
+        """An operator declares an edge lost, or one life of it. False if that was said already."""
         assert self.gate is not None
         return self.gate.lose(edge, incarnation)
 
     def claim(self, edge_log: EdgeLog) -> bool:
+        """An operator's word: this process replays that log. `UnknownWriteError`."""
         try:
             return self.version_vector.force(edge_log)
         except KeyError:
@@ -85,9 +88,11 @@
             raise UnknownWriteError(f"no line {told} of a former life of this disk") from None
 
     def status(self) -> dict[str, Any]:
+        """For an operator, in JSON's types."""
         return {} if self.gate is None else self.gate.status()
 
     async def close(self) -> None:
+        """Agree on nothing any more."""
         self.version_vector.close()
         if self.gate is not None:
             await self.gate.close()
--- a/laurelstep/outbox/shared/carried_ledger.py
+++ b/laurelstep/outbox/shared/carried_ledger.py
@@ -18,6 +18,8 @@
 
 
 class CarriedLedger:
+    """The ledger of one process, and what brings entries to agreement once it takes part."""
+
     def __init__(self) -> None:
         self.record: Final = ReplicatedLedger()
         self.machines: Final[dict[int, Machine]] = {KIND[0]: self.record}
@@ -29,5 +31,6 @@
         return self.sharer
 
     def close(self) -> None:
+        """Agree on nothing any more."""
         if self.sharer is not None:
             self.sharer.close()
--- a/laurelstep/outbox/shared/edge.py
+++ b/laurelstep/outbox/shared/edge.py
@@ -8,8 +8,8 @@
    is back, and when something has changed, the pause is the shortest again. While the edge is cut off nothing
    is asked but `probe`: where nothing is sent, as all waits for others or for claims, a link that is back is
    seen by nothing else.
-3. IN and GONE are final; PARKED may change. A log of a former life is held only once a claim is; one that is
-   fenced is not held again unless an operator claims it.
+3. APPLIED and ABANDONED are final; PARKED may change. A log of a former life is held only once a claim is;
+   one that is fenced is not held again unless an operator claims it.
 4. That the logs' holders are durable before a claim is asked is for the driver: it calls `claim` after that.
 5. What was told is told again each `AGAIN_US`: the record may have been lost with all that kept it. "All up
    to a number are over" goes behind those given up, and where those were told before, only as they are told
@@ -21,12 +21,12 @@
 
 from __future__ import annotations
 
-from collections import OrderedDict
 from collections.abc import Callable, Iterable
 from random import Random
 from typing import Final
 
 from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.shared.known_statuses import FINAL_STATUSES, KnownStatuses
 from laurelstep.outbox.shared.messages import (
     QUERIED_MOST,
     LeaseRequest,
@@ -41,12 +41,9 @@
 __all__ = ["RemoteVersionVector"]
 
 AGAIN_US: Final = 60_000_000
-# Fates that are remembered, and statements of own writes.
-FATES_MOST: Final = 8_192
+# Statements of own writes that are remembered.
 SAID_MOST: Final = 4_096
 
-FINAL_FATES: Final = (WriteStatus.APPLIED, WriteStatus.ABANDONED)
-
 
 class RemoteVersionVector:
     """A `VersionVector` behind which upstream's record stands. `edge_log`: of this life, which needs no
@@ -55,7 +52,7 @@
     def __init__(self, edge_log: EdgeLog, random: Random) -> None:
         self.edge_log = edge_log
         self.life = edge_log.incarnation
-        self._fates: OrderedDict[Dependency, WriteStatus] = OrderedDict()
+        self._statuses = KnownStatuses()
         self._held = {edge_log}
         self._fenced: set[EdgeLog] = set()
         self._open_claims: dict[EdgeLog, LeaseRequest] = {}
@@ -76,12 +73,15 @@
     # --- What is known ----------------------------------------------------------------
 
     def write_status(self, dependency: Dependency) -> WriteStatus:
-        return self._fates.get(dependency, WriteStatus.UNKNOWN)
+        """What was last heard of a write of another log."""
+        return self._statuses.get(dependency)
 
     def holds(self, edge_log: EdgeLog) -> bool:
+        """This process may replay the log."""
         return edge_log in self._held
 
     def fenced(self, edge_log: EdgeLog) -> bool:
+        """Another process holds the log."""
         return edge_log in self._fenced
 
     # --- What is to be asked ----------------------------------------------------------
@@ -89,7 +89,7 @@
     def follow(self, dependencies: Iterable[Dependency]) -> None:
         """Their fates are of use from now on."""
         for dependency in dependencies:
-            if self.write_status(dependency) not in FINAL_FATES:
+            if not self._statuses.is_final(dependency):
                 self._asked.add(dependency)
 
     def claim(self, edge_log: EdgeLog, known: Iterable[int], force: bool = False) -> None:
@@ -176,6 +176,7 @@
         return True
 
     def is_unpublished(self, write_id: WriteId) -> bool:
+        """What was told of an own write is not known upstream yet."""
         return Dependency(*write_id) in self._untold
 
     def _has_told_gone(self, edge_log: EdgeLog) -> bool:
@@ -191,7 +192,7 @@
         those of a fenced log, of which it would believe nothing."""
         if dependency in self._said or len(self._said) < SAID_MOST:
             return True
-        if write_status not in FINAL_FATES:
+        if write_status not in FINAL_STATUSES:
             return False
         for one, told in self._said.items():
             known = one not in self._untold and told.write_status is WriteStatus.ABANDONED
@@ -324,23 +325,15 @@
         return news
 
     def _learn(self, dependency: Dependency, write_status: WriteStatus, news: QueryOutcome) -> bool:
-        before = self.write_status(dependency)
         if self._own(dependency.edge_log):
             if write_status is WriteStatus.APPLIED and not dependency.before:
                 news.own_applied.append(dependency.write_id)
             return write_status is WriteStatus.APPLIED
-        if before in FINAL_FATES or write_status is before:
-            if before in FINAL_FATES:
-                self._asked.drop(dependency)
-            return False
-        self._fates[dependency] = write_status
-        self._fates.move_to_end(dependency)
-        if write_status in FINAL_FATES:
+        is_new = self._statuses.learn(dependency, write_status)
+        if self._statuses.is_final(dependency):
             self._asked.drop(dependency)
-        if len(self._fates) > FATES_MOST:
-            self._fates.popitem(last=False)
-        news.changed = True
-        return True
+        news.changed |= is_new
+        return is_new
 
     def _own(self, edge_log: EdgeLog) -> bool:
         return edge_log.edge == self.edge_log.edge and (
--- a/laurelstep/outbox/shared/entries.py
+++ b/laurelstep/outbox/shared/entries.py
@@ -127,6 +127,7 @@
 
 
 def unpack_word(data: bytes) -> LedgerEntry | None:
+    """An entry that was told as a word, with its first byte. None for what is no entry of queued writes."""
     return unpack(data[1:]) if data[:1] == KIND else None
 
 
--- a/laurelstep/outbox/shared/ledger.py
+++ b/laurelstep/outbox/shared/ledger.py
@@ -84,6 +84,7 @@
     # --- Machine ----------------------------------------------------------------------
 
     def apply(self, index: int, data: bytes) -> None:
+        """Act on an agreed entry; what can't be read is counted."""
         entry = unpack(data)
         if entry is None:
             self.ignored += 1
@@ -92,6 +93,7 @@
         self.applied(data)
 
     def dump(self) -> bytes:
+        """All of it as bytes: equal states give equal bytes."""
         rows = tuple(
             (*edge_log, row) for edge_log, row in sorted(self._rows.items(), key=lambda item: item[0])
         )
@@ -114,13 +116,16 @@
     # --- Frontiers --------------------------------------------------------------------
 
     def write_status(self, dependency: Dependency) -> WriteStatus:
+        """What is agreed of a write, or of all writes of a log up to one."""
         row = self._row(dependency.edge_log)
         return row.fate_up_to(dependency.number) if dependency.before else row.write_status(dependency.number)
 
     def holder(self, edge_log: EdgeLog) -> int:
+        """The life that may replay the log; 0 if it is lost."""
         return self._row(edge_log).holder
 
     def begun(self, write_id: WriteId, life: int, ask: int) -> IntentStatus:
+        """What is agreed of an unsafe write for one query of a gate."""
         row = self._row(write_id.edge_log)
         write_status = row.write_status(write_id.number)
         if write_status is WriteStatus.APPLIED:
--- a/laurelstep/outbox/shared/log_state.py
+++ b/laurelstep/outbox/shared/log_state.py
@@ -34,9 +34,11 @@
 
     @property
     def spans(self) -> int:
+        """How many ranges it takes."""
         return len(self.ins) + len(self.gone) + len(self.parked)
 
     def write_status(self, number: int) -> WriteStatus:
+        """What became of one write."""
         if has(self.gone, number):
             return WriteStatus.ABANDONED
         if number <= self.low or has(self.ins, number):
@@ -46,6 +48,7 @@
         return WriteStatus.PARKED if has(self.parked, number) else WriteStatus.UNKNOWN
 
     def fate_up_to(self, number: int) -> WriteStatus:
+        """What became of all writes up to one."""
         if number <= self.low:
             return WriteStatus.APPLIED
         if self.holder == 0:
@@ -67,11 +70,13 @@
         return 0, 0
 
     def with_begun(self, number: int, ask: int, parking: int) -> LogState:
+        """With an intent of this query, or none for 0, and the last parking that was resolved."""
         others = (one for one in self.begun if one[0] != number)
         new = ((number, ask, parking),) if ask or parking else ()
         return self._with(begun=tuple(sorted((*others, *new))))
 
     def without_begun(self, first: int, last: int) -> LogState:
+        """Without the intents of a range of writes."""
         if not any(first <= one[0] <= last for one in self.begun):
             return self
         return self._with(begun=tuple(one for one in self.begun if not first <= one[0] <= last))
@@ -101,6 +106,7 @@
                 return self if low == self.low else self._with(low=low, ins=ins)
 
     def lost(self) -> LogState:
+        """The log of an edge that will not come back."""
         return self._with(holder=0, turn=0, parked=NONE, begun=())
 
     def _with(self, **changes: object) -> LogState:
@@ -108,6 +114,8 @@
 
 
 class LedgerSnapshot(msgspec.Struct, frozen=True, array_like=True):
+    """All logs, the edges that are lost, and the queries that were withdrawn."""
+
     rows: tuple[tuple[str, int, LogState], ...] = ()
     lost: tuple[str, ...] = ()
     is_withdrawn: tuple[int, ...] = ()
--- a/laurelstep/outbox/shared/message_seal.py
+++ b/laurelstep/outbox/shared/message_seal.py
@@ -76,9 +76,11 @@
         }
 
     def replayed(self, value: ReplayIdentity) -> str:
+        """Seal the name of a replay."""
         return self._text(value, b"")
 
     def ask(self, value: ReplayQuery) -> str:
+        """Seal a query; `SealedLengthError` if it is too long for a request line."""
         return self._text(value, b"")
 
     def answered(self, value: QueryReply, to: str) -> str:
@@ -95,6 +97,7 @@
         return value
 
     def open_ask(self, text: str) -> ReplayQuery:
+        """The query that was sealed. `SealError`."""
         value = self._open(ReplayQuery, text, b"")
         with _as_read():
             _check_ask(value)
--- a/laurelstep/outbox/shared/messages.py
+++ b/laurelstep/outbox/shared/messages.py
@@ -111,14 +111,17 @@
 class VersionVectors(Protocol):
     """The agreed record as it is read: `shared.record.ReplicatedLedger` has these."""
 
-    def write_status(self, dependency: Dependency) -> WriteStatus: ...
+    def write_status(self, dependency: Dependency) -> WriteStatus:
+        """What is agreed of a write, or of all writes of a log up to one."""
 
     def holder(self, edge_log: EdgeLog) -> int:
         """The life that may replay it; 0 if it is lost."""
 
-    def begun(self, write_id: WriteId, life: int, ask: int) -> IntentStatus: ...
+    def begun(self, write_id: WriteId, life: int, ask: int) -> IntentStatus:
+        """What is agreed of an unsafe write for one query of a gate."""
 
     def claimed(self, claim: LeaseRequest) -> LeaseStatus:
         """OPEN while the claim, agreed now, would hold."""
 
-    def agrees_with(self, told: StatusUpdate) -> bool: ...
+    def agrees_with(self, told: StatusUpdate) -> bool:
+        """The record says so now, or what it says of the write is final."""
--- a/laurelstep/outbox/shared/query_round.py
+++ b/laurelstep/outbox/shared/query_round.py
@@ -32,6 +32,7 @@
 
 
 def bounded(lives: Sequence[int]) -> Sequence[int]:
+    """The holders that one request may name."""
     return lives if len(lives) <= KNOWN_MOST else (*lives[:2], *lives[2 - KNOWN_MOST :])
 
 
@@ -46,6 +47,7 @@
         return len(self.new) + len(self._old)
 
     def add(self, one: _K, urgent: bool = True) -> None:
+        """It is to be asked; `urgent` ones before all others."""
         if urgent:
             self._old.pop(one, None)
             self.new[one] = None
@@ -53,6 +55,7 @@
             self._old[one] = None
 
     def drop(self, one: _K) -> None:
+        """It is not to be asked any more."""
         self.new.pop(one, None)
         self._old.pop(one, None)
 
--- a/laurelstep/outbox/shared/ranges.py
+++ b/laurelstep/outbox/shared/ranges.py
@@ -14,6 +14,7 @@
 
 
 def has(spans: Ranges, number: int) -> bool:
+    """Whether the number is in one of the ranges."""
     place = bisect_right(spans, number, key=lambda span: span[0])
     return place > 0 and spans[place - 1][1] >= number
 
--- a/laurelstep/outbox/shared/replay_gate.py
+++ b/laurelstep/outbox/shared/replay_gate.py
@@ -109,6 +109,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def close(self) -> None:
+        """Wait for nothing any more."""
         for task in set(self.tasks):
             task.cancel()
         if self.tasks:
@@ -126,6 +127,7 @@
     # --- Before the module is told ------------------------------------------------------
 
     def begin(self, call: Call, engine: Recorded) -> bool:
+        """As an engine's `Recorder`: True if the replay is in hand here."""
         sealed = call.causes[3] if len(call.causes) > 3 else b""
         if not sealed:
             return self.inner is not None and self.inner.begin(call, engine)
@@ -200,6 +202,7 @@
     # --- Before the final answer leaves -------------------------------------------------
 
     def finish(self, call: Call, answer: Answer, engine: Recorded) -> None:
+        """As an engine's `Recorder`: the final answer of a replay."""
         hand = self.hands.pop(call, None)
         if hand is None:
             if self.inner is not None:
@@ -219,6 +222,7 @@
         dependency = Dependency(*hand.write_id)
 
         def over() -> bool:
+            """What is to be agreed is so, or can't be any more."""
             return self.record.write_status(dependency) in (WriteStatus.APPLIED, WriteStatus.ABANDONED)
 
         entry = WriteApplied(hand.write_id)
@@ -279,6 +283,7 @@
     # --- Those that leave ---------------------------------------------------------------
 
     def gone(self, call: Call, engine: Recorded) -> None:
+        """As an engine's `Recorder`: the caller left."""
         hand = self.hands.pop(call, None)
         if hand is None:
             if self.inner is not None:
@@ -366,6 +371,7 @@
         edge_log = EdgeLog(edge, incarnation or _ANY_LIFE)
 
         def lost() -> bool:
+            """The record has the edge as lost."""
             return self.record.holder(edge_log) == 0
 
         if lost():
--- a/laurelstep/outbox/shared/replicated_version_vector.py
+++ b/laurelstep/outbox/shared/replicated_version_vector.py
@@ -74,6 +74,7 @@
         self._turn()
 
     def close(self) -> None:
+        """Ask and tell nothing any more."""
         for handle in (self.timer, self.soon):
             if handle is not None:
                 handle.cancel()
@@ -83,13 +84,16 @@
     # --- Frontier and Teller ------------------------------------------------------------
 
     def write_status(self, dependency: Dependency) -> WriteStatus:
+        """What the record says of a write."""
         return self.record.write_status(dependency)
 
     def holds(self, edge_log: EdgeLog) -> bool:
+        """This process may replay the log now."""
         self._want(edge_log)
         return self.sharer is not None and self.sharer.ready and self._is_mine(edge_log)
 
     def tell(self, write_id: WriteId, write_status: WriteStatus) -> bool:
+        """What became of an own write. False if there is no room."""
         dependency = Dependency(*write_id)
         if dependency not in self.said and len(self.said) >= SAID_MOST:
             return False
@@ -99,11 +103,13 @@
         return True
 
     def low(self, edge_log: EdgeLog, number: int) -> bool:
+        """All of an own log up to a number are over."""
         self.said[Dependency(*edge_log, 0, True)] = WriteId(*edge_log, number), WriteStatus.APPLIED
         self._want(edge_log)
         return True
 
     def is_unpublished(self, write_id: WriteId) -> bool:
+        """What was told of an own write is not in the record yet."""
         return Dependency(*write_id) in self.said
 
     def force(self, edge_log: EdgeLog) -> bool:
--- a/laurelstep/outbox/version_vector.py
+++ b/laurelstep/outbox/version_vector.py
@@ -32,7 +32,9 @@
         self.edge = edge
 
     def write_status(self, dependency: Dependency) -> WriteStatus:
+        """Nothing is known of any other write."""
         return WriteStatus.UNKNOWN
 
     def holds(self, edge_log: EdgeLog) -> bool:
+        """The logs of this edge."""
         return edge_log.edge == self.edge
--- a/laurelstep/outbox/write_ids.py
+++ b/laurelstep/outbox/write_ids.py
@@ -39,6 +39,7 @@
 
     @property
     def edge_log(self) -> EdgeLog:
+        """The log that it is of."""
         return EdgeLog(self.edge, self.incarnation)
 
     def __str__(self) -> str:
--- a/laurelstep/outbox/write_table.py
+++ b/laurelstep/outbox/write_table.py
@@ -81,10 +81,12 @@
         return at
 
     def get(self, key: int, default: int = -1) -> int:
+        """The value of a key, or `default`."""
         at = self._place(key)
         return self._values[at] if self._keys[at] == key != _EMPTY else default
 
     def put(self, key: int, value: int) -> None:
+        """Set the value of a key."""
         at = self._place(key)
         if self._keys[at] == _EMPTY:
             self._used += 1
@@ -93,6 +95,7 @@
             self._resize(len(self._keys) * 5 // 4)
 
     def drop(self, key: int) -> None:
+        """Forget a key, if it is there."""
         at = self._place(key)
         if self._keys[at] != key:
             return
@@ -131,16 +134,19 @@
         return sum(map(len, self._parts.values()))
 
     def get(self, key: int, default: int = -1) -> int:
+        """The value of a key, or `default`."""
         part = self._parts.get(key % PARTS)
         return default if part is None else part.get(key, default)
 
     def put(self, key: int, value: int) -> None:
+        """Set the value of a key."""
         part = self._parts.get(key % PARTS)
         if part is None:
             part = self._parts[key % PARTS] = _MapPart(self._kind)
         part.put(key, value)
 
     def drop(self, key: int) -> None:
+        """Forget a key, if it is there."""
         part = self._parts.get(key % PARTS)
         if part is not None:
             part.drop(key)
@@ -159,6 +165,7 @@
         return -1 if page is None else page[name & PAGE_MASK]
 
     def put(self, name: int, value: int) -> None:
+        """Set the value of a key."""
         page = self._pages.get(name >> PAGE_BITS)
         if page is None:
             page = self._pages[name >> PAGE_BITS] = array("i", [-1]) * (PAGE_MASK + 2)
@@ -223,13 +230,17 @@
         self.state[row], self.flags[row] = WriteState.KEPT, flags
 
     def has(self, row: int, flag: int) -> bool:
+        """Whether a row has one of these flags."""
         return bool(self.flags[row] & flag)
 
     def set(self, row: int, flag: int, on: bool = True) -> None:
+        """Set or clear flags of a row."""
         self.flags[row] = self.flags[row] | flag if on else self.flags[row] & ~flag
 
     def state_of(self, row: int) -> WriteState:
+        """The state of a row."""
         return _STATES[self.state[row]]
 
     def reason_of(self, row: int) -> ParkingReason:
+        """Why a row is parked."""
         return _REASONS[self.reason[row]]
