--- a/benchmarks/outbox_child.py
+++ b/benchmarks/outbox_child.py
@@ -122,7 +122,7 @@
         ticket = driver.outbox.offer(offer, now, wall)
         assert ticket.write is not None
         await driver.store.keep(ticket.write, BODY)
-        driver.outbox.stored(ticket.write_id, now)
+        driver.outbox.on_stored(ticket.write_id, now)
 
     for at in range(first, first + count, TOGETHER):
         await asyncio.gather(*(one(number) for number in range(at, min(at + TOGETHER, first + count))))
--- a/laurelstep/outbox/admission.py
+++ b/laurelstep/outbox/admission.py
@@ -194,7 +194,7 @@
         write_id = write.write_id
         waiting = self.storing.pop(write_id)
         if kept:
-            self.outbox.stored(write_id, self.now())
+            self.outbox.on_stored(write_id, self.now())
             if not self.cutoff.is_cut_off:  # else nothing but the turn of each second goes out anyway
                 self.wake()
         else:
--- a/laurelstep/outbox/bodies.py
+++ b/laurelstep/outbox/bodies.py
@@ -314,7 +314,7 @@
         call = self.driver.call_of(write, b"", replay)
         now = self.driver.now()
         call.span = call.expires - now
-        call.expires = now + min(PASSING_MOST_US + call.span, self.driver.outbox.left(write_id, now))
+        call.expires = now + min(PASSING_MOST_US + call.span, self.driver.outbox.window_left(write_id, now))
         call.upload = Flow(BodyReplay(self, call, write, first), write.size)
         return call
 
--- a/laurelstep/outbox/dependencies.py
+++ b/laurelstep/outbox/dependencies.py
@@ -129,7 +129,7 @@
             raise ValueError("the secret is shorter than 16 bytes")
         self._secret = blake2b(secret, digest_size=32, person=b"outbox token").digest()
 
-    def tell(self, dependencies: Dependencies) -> str:
+    def encode(self, dependencies: Dependencies) -> str:
         """The token of a set; `LooseError` if it is longer than a token may be (rule 3)."""
         edge_logs: dict[EdgeLog, tuple[list[int], int]] = {}
         for dependency in merge(dependencies):
@@ -150,7 +150,7 @@
 
     def receipt(self, write_id: WriteId) -> str:
         """The token of one write."""
-        return self.tell((Dependency(*write_id),))
+        return self.encode((Dependency(*write_id),))
 
     def read(self, value: str) -> Dependencies:
         """What a header's tokens say, parted by commas; `TokenError`, or `LooseError` by rule 4."""
--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -134,7 +134,7 @@
             self.sharing.restored(loaded)
         if self.status_publisher is not None:
             for write_id in self.parked:
-                self.status_publisher.tell(write_id, WriteStatus.PARKED)
+                self.status_publisher.publish(write_id, WriteStatus.PARKED)
 
     def begin(self, engine: Engine) -> None:
         """Take part in the engine's requests, and replay."""
--- a/laurelstep/outbox/intake.py
+++ b/laurelstep/outbox/intake.py
@@ -166,7 +166,7 @@
             write_status is WriteStatus.ABANDONED and self.bounds.orphans == "release"
         )
 
-    def stored(self, write_id: WriteId, now: int) -> None:
+    def on_stored(self, write_id: WriteId, now: int) -> None:
         """Its record is durable: it counts, and may be told."""
         row = self._must_row(write_id)
         self._rows.set(row, DURABLE)
--- a/laurelstep/outbox/receipt_log.py
+++ b/laurelstep/outbox/receipt_log.py
@@ -107,7 +107,7 @@
             holder = self._graph.holder(holder)
         return holder
 
-    def durable(self, write_id: WriteId) -> bool:
+    def is_durable(self, write_id: WriteId) -> bool:
         """`stored` was called for it. `UnknownWriteError`."""
         row = self._row(write_id)
         return self._rows.has(row, DURABLE) if row >= 0 else self.receipt(write_id).state in FINAL
--- a/laurelstep/outbox/remote_logs.py
+++ b/laurelstep/outbox/remote_logs.py
@@ -30,7 +30,7 @@
 class RemoteLogs(ReplaySchedule, ReceiptLog):
     """The outbox's side of the version vector."""
 
-    def heard(self, now: int) -> None:
+    def on_remote_change(self, now: int) -> None:
         """The version vector has learned something."""
         self._turns.bring_back()
         for dependency, row in list(self._foreign.items()):
@@ -105,13 +105,13 @@
         place = self._log_indexes.get(edge_log, -1)
         self._withheld = {packed for packed in self._withheld if packed >> NUMBERS != place}
 
-    def unsafe(self, write_id: WriteId) -> bool:
+    def is_unsafe(self, write_id: WriteId) -> bool:
         """It may be sent once, ever."""
         row = self._row(write_id)
         cls = self.classes.get(self._names[self._rows.cls[row]]) if row >= 0 else None
         return cls is None or not cls.keyed
 
-    def over(self) -> list[tuple[WriteId, WriteStatus]]:
+    def take_finished(self) -> list[tuple[WriteId, WriteStatus]]:
         """Own writes, since the last call, that are over with all that they follow: what the version
         vector may tell others as in or gone. After a restart those that still have a record are named
         again."""
@@ -129,7 +129,7 @@
             else WriteStatus.APPLIED
         )
 
-    def low(self, edge_log: EdgeLog) -> int:
+    def low_watermark(self, edge_log: EdgeLog) -> int:
         """Up to which number all of an own log are over, those that were never kept among them."""
         place = self._log_indexes[edge_log]
         while self._low[place] < self._high[place] and (
--- a/laurelstep/outbox/replay_driver.py
+++ b/laurelstep/outbox/replay_driver.py
@@ -53,7 +53,7 @@
             "outbox: cut off: writes are kept" if self.was_cut_off else "outbox: back: writes go upstream"
         )
         if self.sharing is not None and not self.was_cut_off:
-            self.sharing.remote.back(self.now())
+            self.sharing.remote.on_link_up(self.now())
         self.wake()
 
     def _check_endpoints(self) -> None:
@@ -86,14 +86,14 @@
         self._publish_finished()
         take_new_dependencies = self.outbox.take_new_dependencies()
         if self.sharing is not None:
-            self.sharing.remote.follow(take_new_dependencies)
+            self.sharing.remote.watch(take_new_dependencies)
             self.sharing.turn()
         if expired_receipts := self.outbox.expired_receipts(self.now(), self._is_unpublished):
             self.spawn(self._forget(expired_receipts))
 
     def _publish_finished(self) -> None:
         """What is over, to those who may wait for it: given up before all, since a number tells the rest."""
-        over, self.unpublished = self.unpublished + self.outbox.over(), []
+        over, self.unpublished = self.unpublished + self.outbox.take_finished(), []
         status_publisher = self.status_publisher
         if status_publisher is None or not over:
             self.applied_by_gate.clear()  # what is over later is told once more than it need be
@@ -102,18 +102,18 @@
         self.unpublished = [
             (write_id, write_status)
             for write_id, write_status in gone
-            if status_publisher.tell(write_id, write_status) is False
+            if status_publisher.publish(write_id, write_status) is False
         ]
         if not self.unpublished:
             for edge_log in {write_id.edge_log for write_id, _ in over}:
-                if number := self.outbox.low(edge_log):
-                    status_publisher.low(edge_log, number)
+                if number := self.outbox.low_watermark(edge_log):
+                    status_publisher.publish_low_watermark(edge_log, number)
         for write_id, write_status in over:
             if write_status is WriteStatus.ABANDONED:
                 continue
             if write_id in self.applied_by_gate:
                 self.applied_by_gate.discard(write_id)
-            elif status_publisher.tell(write_id, write_status) is False:
+            elif status_publisher.publish(write_id, write_status) is False:
                 self.unpublished.append((write_id, write_status))
 
     def _is_unpublished(self, write_id: WriteId) -> bool:
@@ -155,7 +155,7 @@
         goes = self.outbox.apply(change, self.now())
         state = change.moved.state
         if self.status_publisher is not None and (state is WriteState.PARKED or change.event in UNPARKED):
-            self.status_publisher.tell(
+            self.status_publisher.publish(
                 change.write_id, WriteStatus.PARKED if state is WriteState.PARKED else WriteStatus.UNKNOWN
             )
         if change.event is WriteEvent.FOUND_IN:
@@ -227,7 +227,7 @@
         status, headers, body = answer.status, tuple(answer.headers), answer.body
         if end is not ReplayResult.ANSWERED:
             status, headers, body = 0, (), b""
-        change = self.outbox.ended(
+        change = self.outbox.on_replay_end(
             write_id,
             end,
             self.now(),
--- a/laurelstep/outbox/shared/asking.py
+++ b/laurelstep/outbox/shared/asking.py
@@ -95,7 +95,7 @@
     def _follow_own(self, write_id: WriteId) -> None:
         dependency = Dependency(*write_id)
         if self.outbox.needs_status(dependency):
-            self.remote.follow((dependency,))
+            self.remote.watch((dependency,))
 
     def force(self, edge_log: EdgeLog) -> bool:
         """An operator's word: this process has the log. False if it holds it already."""
@@ -131,7 +131,7 @@
 
     def before(self, change: Transition) -> None:
         """A change is durable, and not applied yet."""
-        if change.event is WriteEvent.NEVER_RAN and self.outbox.unsafe(change.write_id):
+        if change.event is WriteEvent.NEVER_RAN and self.outbox.is_unsafe(change.write_id):
             self.outbox.withhold(change.write_id)
             self._take_back(change.write_id, change.moved.resolved)
         elif change.event in (WriteEvent.ANSWERED, WriteEvent.FOUND_IN):
@@ -193,11 +193,11 @@
         if answer.ending is Ending.REFUSED or replay.never_ran:
             return True
         refused = call.fate in (b"fenced", b"refused")
-        return refused and (call.tried <= 1 or self.outbox.unsafe(replay.write_id))
+        return refused and (call.tried <= 1 or self.outbox.is_unsafe(replay.write_id))
 
     def _lost(self, edge_log: EdgeLog) -> bool:
         """A gate says that another life has it."""
-        if not self.remote.lost(edge_log):
+        if not self.remote.on_fencing_reported(edge_log):
             return False
         self._fence(edge_log)
         return True
@@ -251,9 +251,9 @@
         except (OutboxError, ValueError) as error:
             if answer.ending is Ending.SERVED:
                 driver.log(f"outbox: upstream's answer can't be used: {error}")
-            self.remote.failed(now)
+            self.remote.on_query_failed(now)
             return
-        self._act(self.remote.answered(told, now))
+        self._act(self.remote.on_reply(told, now))
 
     async def _answer(self, sealed: str) -> Answer:
         engine = self.driver.engine
@@ -297,7 +297,7 @@
             if change is not None:
                 driver.spawn(driver.take_step(change))
         if news.changed:
-            self.outbox.heard(driver.now())
+            self.outbox.on_remote_change(driver.now())
         driver.wake()
 
     async def _held(self, edge_log: EdgeLog) -> None:
--- a/laurelstep/outbox/shared/assembly.py
+++ b/laurelstep/outbox/shared/assembly.py
@@ -69,7 +69,7 @@
 
     def _changed(self) -> None:
         assert self.driver is not None
-        self.driver.outbox.heard(self.clock.now())
+        self.driver.outbox.on_remote_change(self.clock.now())
         self.driver.wake()
 
     # --- An operator's words ----------------------------------------------------------------
--- a/laurelstep/outbox/shared/edge.py
+++ b/laurelstep/outbox/shared/edge.py
@@ -86,7 +86,7 @@
 
     # --- What is to be asked ----------------------------------------------------------
 
-    def follow(self, dependencies: Iterable[Dependency]) -> None:
+    def watch(self, dependencies: Iterable[Dependency]) -> None:
         """Their fates are of use from now on."""
         for dependency in dependencies:
             if not self._statuses.is_final(dependency):
@@ -103,7 +103,7 @@
             self._open_claims[edge_log] = LeaseRequest(edge_log, self.life, tuple(others), force)
             self._claims.add(edge_log)
 
-    def lost(self, edge_log: EdgeLog) -> bool:
+    def on_fencing_reported(self, edge_log: EdgeLog) -> bool:
         """A gate refused a write of it as another life's. True if that is so; otherwise the record may have
         been lost, and it is claimed again first."""
         claim = self._claimed.get(edge_log)
@@ -136,7 +136,7 @@
 
     # --- What is to be told -----------------------------------------------------------
 
-    def tell(self, write_id: WriteId, write_status: WriteStatus) -> bool:
+    def publish(self, write_id: WriteId, write_status: WriteStatus) -> bool:
         """What became of an own write: UNKNOWN if it is parked no more. False if there is no room."""
         dependency = Dependency(*write_id)
         if write_status is WriteStatus.APPLIED and write_id.number <= self._told_low.get(
@@ -162,7 +162,7 @@
             StatusUpdate(write_id, WriteStatus.UNKNOWN, self.life, withdraw_intent=True, parking=parking),
         )
 
-    def low(self, edge_log: EdgeLog, number: int) -> bool:
+    def publish_low_watermark(self, edge_log: EdgeLog, number: int) -> bool:
         """All of an own log up to a number are over."""
         if number <= self._low.get(edge_log, 0):
             return True
@@ -232,7 +232,7 @@
 
     # --- Asking -----------------------------------------------------------------------
 
-    def back(self, now: int) -> None:
+    def on_link_up(self, now: int) -> None:
         """There is a way upstream again."""
         self._backoff.end(now)
 
@@ -298,12 +298,12 @@
         for edge_log in self._claimed:
             self._claims.add(edge_log, urgent=False)
 
-    def failed(self, now: int) -> None:
+    def on_query_failed(self, now: int) -> None:
         """No answer, or none that can be read."""
         self._out, self._left = None, 0
         self._backoff.begin(now)
 
-    def answered(self, answer: QueryReply, now: int) -> QueryOutcome:
+    def on_reply(self, answer: QueryReply, now: int) -> QueryOutcome:
         """To the ask that is out. What an answer is too short for is asked again."""
         ask, self._out = self._out, None
         news = QueryOutcome()
--- a/laurelstep/outbox/shared/ledger.py
+++ b/laurelstep/outbox/shared/ledger.py
@@ -118,13 +118,17 @@
     def write_status(self, dependency: Dependency) -> WriteStatus:
         """What is agreed of a write, or of all writes of a log up to one."""
         row = self._row(dependency.edge_log)
-        return row.fate_up_to(dependency.number) if dependency.before else row.write_status(dependency.number)
+        return (
+            row.write_status_up_to(dependency.number)
+            if dependency.before
+            else row.write_status(dependency.number)
+        )
 
     def holder(self, edge_log: EdgeLog) -> int:
         """The life that may replay the log; 0 if it is lost."""
         return self._row(edge_log).holder
 
-    def begun(self, write_id: WriteId, life: int, ask: int) -> IntentStatus:
+    def intent_status(self, write_id: WriteId, life: int, ask: int) -> IntentStatus:
         """What is agreed of an unsafe write for one query of a gate."""
         row = self._row(write_id.edge_log)
         write_status = row.write_status(write_id.number)
@@ -137,7 +141,7 @@
             return IntentStatus.OPEN
         return IntentStatus.MINE if by == ask else IntentStatus.OTHERS
 
-    def claimed(self, claim: LeaseRequest) -> LeaseStatus:
+    def lease_status(self, claim: LeaseRequest) -> LeaseStatus:
         """OPEN also where there is no room for the log yet."""
         holder = self._row(claim.edge_log).holder
         if holder == 0:
@@ -149,7 +153,7 @@
     def agrees_with(self, told: StatusUpdate) -> bool:
         """True of what is over, also if it was told to be over otherwise: that is final."""
         row, number = self._row(told.write_id.edge_log), told.write_id.number
-        write_status = row.fate_up_to(number) if told.before else row.write_status(number)
+        write_status = row.write_status_up_to(number) if told.before else row.write_status(number)
         if write_status in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
             return True
         if told.withdraw_intent and told.parking:
@@ -164,7 +168,7 @@
 
     def lease_entry(self, claim: LeaseRequest) -> LogLease | None:
         """By which the claim would hold now; None if it is not open."""
-        if self.claimed(claim) is not LeaseStatus.OPEN:
+        if self.lease_status(claim) is not LeaseStatus.OPEN:
             return None
         row = self._row(claim.edge_log)
         return LogLease(claim.edge_log, claim.life, row.holder, row.turn, claim.force)
@@ -217,7 +221,7 @@
     def _begin(self, entry: Intent) -> None:
         row, number = self._row(entry.write_id.edge_log), entry.write_id.number
         if (
-            self.begun(entry.write_id, entry.life, entry.ask) is not IntentStatus.OPEN
+            self.intent_status(entry.write_id, entry.life, entry.ask) is not IntentStatus.OPEN
             or entry.ask in self._undone
         ):
             return
--- a/laurelstep/outbox/shared/log_state.py
+++ b/laurelstep/outbox/shared/log_state.py
@@ -47,7 +47,7 @@
             return WriteStatus.ABANDONED
         return WriteStatus.PARKED if has(self.parked, number) else WriteStatus.UNKNOWN
 
-    def fate_up_to(self, number: int) -> WriteStatus:
+    def write_status_up_to(self, number: int) -> WriteStatus:
         """What became of all writes up to one."""
         if number <= self.low:
             return WriteStatus.APPLIED
--- a/laurelstep/outbox/shared/messages.py
+++ b/laurelstep/outbox/shared/messages.py
@@ -117,10 +117,10 @@
     def holder(self, edge_log: EdgeLog) -> int:
         """The life that may replay it; 0 if it is lost."""
 
-    def begun(self, write_id: WriteId, life: int, ask: int) -> IntentStatus:
+    def intent_status(self, write_id: WriteId, life: int, ask: int) -> IntentStatus:
         """What is agreed of an unsafe write for one query of a gate."""
 
-    def claimed(self, claim: LeaseRequest) -> LeaseStatus:
+    def lease_status(self, claim: LeaseRequest) -> LeaseStatus:
         """OPEN while the claim, agreed now, would hold."""
 
     def agrees_with(self, told: StatusUpdate) -> bool:
--- a/laurelstep/outbox/shared/replay_gate.py
+++ b/laurelstep/outbox/shared/replay_gate.py
@@ -160,7 +160,7 @@
         """What can be answered from what is agreed; None if it may be sent, or its BEGIN be told."""
         if not self.sharer.ready:
             return self._refusal()
-        begun = self.record.begun(hand.write_id, hand.life, hand.ask)
+        begun = self.record.intent_status(hand.write_id, hand.life, hand.ask)
         if begun is IntentStatus.APPLIED:
             self.counters["in"] += 1
             return Answer(Ending.SERVED, 200, ((FATE_HEADER, b"in"),))
@@ -193,7 +193,7 @@
             engine.settle(call, self._verdict(hand) or self._refusal())
 
     def _begun(self, hand: GatedReplay) -> IntentStatus:
-        return self.record.begun(hand.write_id, hand.life, hand.ask)
+        return self.record.intent_status(hand.write_id, hand.life, hand.ask)
 
     def _admit(self, hand: GatedReplay, engine: Recorded) -> None:
         hand.admitted = True
@@ -327,7 +327,7 @@
         record = self.record
         answered = QueryReply(
             write_statuses=tuple(record.write_status(dependency) for dependency in ask.write_statuses),
-            claims=tuple(record.claimed(claim) for claim in ask.claims),
+            claims=tuple(record.lease_status(claim) for claim in ask.claims),
             told=tuple(record.agrees_with(told) for told in ask.told),
         )
         return Answer(Ending.SERVED, 200, (TEXT,), self.seal.answered(answered, text).encode())
@@ -347,7 +347,7 @@
         await asyncio.gather(*waits)
 
     def _claimed(self, claim: LeaseRequest) -> Callable[[], bool]:
-        return lambda: self.record.claimed(claim) is not LeaseStatus.OPEN
+        return lambda: self.record.lease_status(claim) is not LeaseStatus.OPEN
 
     def _said(self, told: StatusUpdate) -> Callable[[], bool]:
         return lambda: self.record.agrees_with(told)
--- a/laurelstep/outbox/shared/replicated_version_vector.py
+++ b/laurelstep/outbox/shared/replicated_version_vector.py
@@ -92,7 +92,7 @@
         self._want(edge_log)
         return self.sharer is not None and self.sharer.ready and self._is_mine(edge_log)
 
-    def tell(self, write_id: WriteId, write_status: WriteStatus) -> bool:
+    def publish(self, write_id: WriteId, write_status: WriteStatus) -> bool:
         """What became of an own write. False if there is no room."""
         dependency = Dependency(*write_id)
         if dependency not in self.said and len(self.said) >= SAID_MOST:
@@ -102,7 +102,7 @@
         self._want(write_id.edge_log)
         return True
 
-    def low(self, edge_log: EdgeLog, number: int) -> bool:
+    def publish_low_watermark(self, edge_log: EdgeLog, number: int) -> bool:
         """All of an own log up to a number are over."""
         self.said[Dependency(*edge_log, 0, True)] = WriteId(*edge_log, number), WriteStatus.APPLIED
         self._want(edge_log)
@@ -163,7 +163,7 @@
                 self._say(dependency)
 
     def _claim(self, edge_log: EdgeLog, claim: LeaseRequest) -> None:
-        became = self.record.claimed(claim)
+        became = self.record.lease_status(claim)
         if became is LeaseStatus.HELD and claim.force:  # an operator's word counts once
             self.claims[edge_log] = msgspec.structs.replace(claim, force=False)
         if became is LeaseStatus.FENCED and edge_log not in self.fenced:
@@ -175,7 +175,7 @@
             )
         entry = self.record.lease_entry(claim)
         if entry is not None:
-            self._agree(edge_log, entry, lambda: self.record.claimed(claim) is not LeaseStatus.OPEN)
+            self._agree(edge_log, entry, lambda: self.record.lease_status(claim) is not LeaseStatus.OPEN)
 
     def _say(self, dependency: Dependency) -> None:
         if not self._is_mine(dependency.edge_log):
--- a/laurelstep/outbox/transitions.py
+++ b/laurelstep/outbox/transitions.py
@@ -62,7 +62,7 @@
             return ParkingReason.MAY_HAVE_RUN if self._rows.has(row, SENT) else ParkingReason.WINDOW
         return ParkingReason.AGE if age > self.bounds.age_us else ParkingReason.NONE
 
-    def left(self, write_id: WriteId, now: int) -> int:
+    def window_left(self, write_id: WriteId, now: int) -> int:
         """How much of its window is left; an unsafe one has none, and so all the time there is."""
         row = self._must_row(write_id)
         cls = self.classes.get(self._names[self._rows.cls[row]])
@@ -74,7 +74,7 @@
         """Ready still: a place in the queue may be older than the row's use."""
         return self._rows.state[row] == WriteState.READY and not self._rows.flags[row] & (BUSY | CLOSED)
 
-    def ended(
+    def on_replay_end(
         self,
         write_id: WriteId,
         end: ReplayResult,
--- a/laurelstep/outbox/version_vector.py
+++ b/laurelstep/outbox/version_vector.py
@@ -14,11 +14,11 @@
 class StatusPublisher(Protocol):
     """A `VersionVector` through which others hear of this process's writes. It may hear the same again."""
 
-    def tell(self, write_id: WriteId, write_status: WriteStatus) -> bool:
+    def publish(self, write_id: WriteId, write_status: WriteStatus) -> bool:
         """What became of an own write. `APPLIED`, `ABANDONED`: over, with all that it follows. `UNKNOWN`:
         parked no more. False if there is no room: it is told again later."""
 
-    def low(self, edge_log: EdgeLog, number: int) -> bool:
+    def publish_low_watermark(self, edge_log: EdgeLog, number: int) -> bool:
         """All of an own log up to a number are over. Those given up were told before."""
 
     def is_unpublished(self, write_id: WriteId) -> bool:
--- a/tests/faulty_outbox.py
+++ b/tests/faulty_outbox.py
@@ -31,12 +31,12 @@
 
 def sends_again() -> None:
     """An unsafe write whose answer was lost."""
-    real = Outbox.ended
+    real = Outbox.on_replay_end
 
-    def ended(self: Outbox, write_id: WriteId, end: ReplayResult, *more: Any) -> Transition:
+    def on_replay_end(self: Outbox, write_id: WriteId, end: ReplayResult, *more: Any) -> Transition:
         return real(self, write_id, ReplayResult.NOT_RUN if end is ReplayResult.MAY_HAVE_RUN else end, *more)
 
-    Outbox.ended = ended  # type: ignore[method-assign,assignment]
+    Outbox.on_replay_end = on_replay_end  # type: ignore[method-assign,assignment]
 
 
 def goes_first() -> None:
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -397,7 +397,7 @@
             ticket = outbox.offer(offer, self.now_us(), store.time_us())
             assert ticket.write is not None
             await store.keep(ticket.write, b"")
-            outbox.stored(ticket.write_id, self.now_us())
+            outbox.on_stored(ticket.write_id, self.now_us())
             (change,) = outbox.due(self.now_us())
             await store.move(change.moved)
             return ticket.write_id
@@ -456,7 +456,9 @@
         async with edge.life(2) as (store, outbox):
             (change,) = outbox.due(edge.now_us())
             assert change.event is WriteEvent.SEND and outbox.apply(change, edge.now_us())
-            change = outbox.ended(write_id, ReplayResult.ANSWERED, edge.now_us(), store.time_us(), 200)
+            change = outbox.on_replay_end(
+                write_id, ReplayResult.ANSWERED, edge.now_us(), store.time_us(), 200
+            )
             await store.move(change.moved)
         edge.machine.steps(step_ms)
         edge.machine.reboots(down_ms=30_000)
--- a/tests/test_outbox.py
+++ b/tests/test_outbox.py
@@ -76,7 +76,7 @@
             self.lost_lines.add(EdgeLog(edge, incarnation))
         return not known
 
-    def tell(self, write_id: WriteId, write_status: WriteStatus) -> None:
+    def publish(self, write_id: WriteId, write_status: WriteStatus) -> None:
         if self._told.get(write_id) not in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
             self._told[write_id] = write_status
 
@@ -139,7 +139,7 @@
         ticket = self.outbox.offer(self.offer(cls, follows, key, **more), self.now, WALL + self.now)
         assert ticket.write is not None
         self.kept[ticket.write_id] = decode_write(encode(ticket.write))
-        self.outbox.stored(ticket.write_id, self.now)
+        self.outbox.on_stored(ticket.write_id, self.now)
         return ticket.write_id
 
     def apply(self, change: Transition | None) -> WriteId:
@@ -156,7 +156,7 @@
         return [change.write_id for change in changes if change.event is WriteEvent.SEND]
 
     def end(self, write_id: WriteId, end: ReplayResult = ReplayResult.ANSWERED) -> None:
-        self.apply(self.outbox.ended(write_id, end, self.now, WALL + self.now, 200))
+        self.apply(self.outbox.on_replay_end(write_id, end, self.now, WALL + self.now, 200))
 
     def resolve(self, write_id: WriteId, parking: int, resolution: Resolution) -> Transition | None:
         change = self.outbox.resolve(write_id, parking, resolution, WALL + self.now)
@@ -205,7 +205,7 @@
         ]
     )
     assert dependencies == (Dependency("ash", 7, 1), Dependency("ash", 7, 3), Dependency("oak", 2, 9, True))
-    assert TOKENS.read(TOKENS.tell(dependencies)) == dependencies
+    assert TOKENS.read(TOKENS.encode(dependencies)) == dependencies
     assert TOKENS.read("") == TOKENS.read(" , ") == ()
     many = merge([Dependency("ash", 7, number) for number in range(1, 6)])
     assert many == (Dependency("ash", 7, 5, True),)
@@ -245,19 +245,19 @@
 
 def test_six_lines_of_the_longest_names_fit_and_500_edges_get_a_name_of_their_own() -> None:
     longest = [Dependency("e" * 31 + str(one), (1 << 64) - 1, (1 << 63) - 1) for one in range(6)]
-    assert len(TOKENS.tell(tuple(longest))) <= TOKEN_MOST
+    assert len(TOKENS.encode(tuple(longest))) <= TOKEN_MOST
     edges = tuple(Dependency(f"edge{one}", one, 5) for one in range(500))
     with pytest.raises(LooseError):
-        TOKENS.tell(edges)
+        TOKENS.encode(edges)
     desk = OutboxApi()
     ticket = desk.outbox.join(edges, 0, WALL)
     assert ticket.write is not None and len(TOKENS.receipt(ticket.write_id)) <= TOKEN_MOST
-    desk.outbox.stored(ticket.write_id, 0)
+    desk.outbox.on_stored(ticket.write_id, 0)
     follower = desk.keep(follows=TOKENS.receipt(ticket.write_id))
     for dependency in edges:
         assert desk.due() == []
         desk.known.write_statuses[dependency] = WriteStatus.APPLIED
-        desk.outbox.heard(0)
+        desk.outbox.on_remote_change(0)
     assert (
         desk.due() == [] and desk.state(ticket.write_id) is WriteState.DONE
     )  # the join has no effect of its own
@@ -265,7 +265,7 @@
 
 
 def test_a_request_brings_no_more_than_so_many_names() -> None:
-    tokens = [TOKENS.tell(tuple(Dependency(f"e{part}", one, 1) for one in range(6))) for part in range(100)]
+    tokens = [TOKENS.encode(tuple(Dependency(f"e{part}", one, 1) for one in range(6))) for part in range(100)]
     assert len(TOKENS.read(", ".join(tokens[:83]))) == 498
     for value in (", ".join(tokens), ",".join("a" * 200), "a" * 100_000):
         with pytest.raises(LooseError):
@@ -289,7 +289,7 @@
             desk.outbox.offer(desk.offer("album", TOKENS.receipt(named), b"k"), 0, WALL)
         assert "\n" not in str(circle.value)
     ticket = desk.outbox.offer(desk.offer("album", "", b"k"), 0, WALL)
-    assert ticket.known and ticket.write_id == first and desk.outbox.durable(first)
+    assert ticket.known and ticket.write_id == first and desk.outbox.is_durable(first)
     assert desk.outbox.count == 3
 
 
@@ -320,13 +320,13 @@
         last = desk.keep()
         for change in desk.outbox.due(desk.now):
             seen(desk, change)
-        seen(desk, desk.outbox.ended(last, end, desk.now, WALL))
+        seen(desk, desk.outbox.on_replay_end(last, end, desk.now, WALL))
         desk.now += 2 * SECOND
     # NOT_RUN left one ready; MAY_HAVE_RUN and DENIED are parked.
     keyed = desk.keep("album", key=b"k")
     for change in desk.outbox.due(desk.now):
         seen(desk, change)
-    seen(desk, desk.outbox.ended(keyed, ReplayResult.MAY_HAVE_RUN, desk.now, WALL))
+    seen(desk, desk.outbox.on_replay_end(keyed, ReplayResult.MAY_HAVE_RUN, desk.now, WALL))
     parked = [write_id for write_id in desk.kept if desk.state(write_id) is WriteState.PARKED]
     behind = desk.keep(follows=TOKENS.receipt(parked[0]))
     late = desk.keep(follows=TOKENS.receipt(parked[0]))
@@ -342,7 +342,7 @@
         seen(desk, change)
     assert desk.outbox.receipt(waiting).reason is ParkingReason.AGE
     join = desk.outbox.join((), desk.now, WALL)
-    desk.outbox.stored(join.write_id, desk.now)
+    desk.outbox.on_stored(join.write_id, desk.now)
     seen(desk, next(change for change in desk.outbox.due(desk.now) if change.event is WriteEvent.JOINED))
     gone = desk.outbox.offer(desk.offer(), desk.now, WALL)
     desk.outbox.on_store_failed(gone.write_id, desk.now)
@@ -428,7 +428,7 @@
         TOKENS.receipt(first)
     )
     desk.known.write_statuses[Dependency("oak", 1, 4)] = WriteStatus.APPLIED
-    desk.outbox.heard(0)
+    desk.outbox.on_remote_change(0)
     assert desk.due() == [abroad]
 
 
@@ -481,7 +481,7 @@
     lost, write_id = Dependency("oak", 1, 4), WriteId("oak", 1, 4)
     follower = desk.keep(follows=TOKENS.receipt(write_id))
     desk.known.write_statuses[lost] = WriteStatus.ABANDONED
-    desk.outbox.heard(0)
+    desk.outbox.on_remote_change(0)
     if orphans == "release":
         assert desk.due() == [follower]
         assert desk.due() == [] and not desk.outbox.must_queue(TOKENS.receipt(write_id))
@@ -493,7 +493,7 @@
     again.resolve(follower, 1, Resolution.NEVER_RAN)
     third = again.again(WALL, EdgeLog("ash", 9))
     third.known.write_statuses[lost] = WriteStatus.ABANDONED
-    third.outbox.heard(0)
+    third.outbox.on_remote_change(0)
     assert third.due() == [follower]  # it is not made an orphan twice
 
 
@@ -599,7 +599,7 @@
     two.known.held = False
     assert old in one.due() and two.due() == []
     two.known.held = True
-    two.outbox.heard(0)
+    two.outbox.on_remote_change(0)
     assert len(two.due()) == 2
 
 
@@ -631,10 +631,10 @@
     desk.outbox.version_vector = version_vector
     dependency = Dependency("oak", 1, 4)
     assert version_vector.write_status(dependency) is WriteStatus.UNKNOWN and version_vector.holds(ASH)
-    version_vector.tell(dependency.write_id, WriteStatus.PARKED)
+    version_vector.publish(dependency.write_id, WriteStatus.PARKED)
     assert version_vector.write_status(dependency) is WriteStatus.PARKED
-    version_vector.tell(dependency.write_id, WriteStatus.APPLIED)
-    version_vector.tell(dependency.write_id, WriteStatus.PARKED)  # late
+    version_vector.publish(dependency.write_id, WriteStatus.APPLIED)
+    version_vector.publish(dependency.write_id, WriteStatus.PARKED)  # late
     assert version_vector.declare_lost("oak", 1) and not version_vector.declare_lost("oak", 1)
     assert (
         version_vector.write_status(dependency) is WriteStatus.APPLIED
@@ -658,7 +658,9 @@
     first = desk.keep("album", key=b"k")
     assert desk.due() == [first]
     desk.end(first)
-    assert desk.outbox.over() == [(first, WriteStatus.APPLIED)] and desk.outbox.low(ASH) == 1
+    assert (
+        desk.outbox.take_finished() == [(first, WriteStatus.APPLIED)] and desk.outbox.low_watermark(ASH) == 1
+    )
     assert desk.outbox.expired_receipts(HOUR - 1) == []
     assert desk.outbox.offer(desk.offer("album", key=b"k"), 0, WALL).known
     assert desk.outbox.expired_receipts(HOUR) == [first]
@@ -816,7 +818,7 @@
             offer = desk.offer(
                 "album", "", b"k%d" % one, session=b"s%d" % (one // 10), obj=b"o%d" % (one // 4)
             )
-            desk.outbox.stored(desk.outbox.offer(offer, 0, WALL).write_id, 0)
+            desk.outbox.on_stored(desk.outbox.offer(offer, 0, WALL).write_id, 0)
         size = tracemalloc.get_traced_memory()[0]
     finally:
         tracemalloc.stop()
--- a/tests/test_outbox_driver.py
+++ b/tests/test_outbox_driver.py
@@ -28,7 +28,7 @@
         ticket = driver.outbox.offer(WriteOffer("put", b"POST /put", (), 0, b"", b"key"), now, 1)
         assert ticket.write is not None
         await driver.store.keep(ticket.write, b"")
-        driver.outbox.stored(ticket.write_id, now)
+        driver.outbox.on_stored(ticket.write_id, now)
         (change,) = driver.outbox.due(now)
         assert change.event is WriteEvent.SEND
         move = driver.store.move
--- a/tests/test_outbox_edge.py
+++ b/tests/test_outbox_edge.py
@@ -79,7 +79,7 @@
             self.agree(self.status_entry(told))
         return QueryReply(
             tuple(map(self.write_status, ask.write_statuses)),
-            tuple(map(self.claimed, ask.claims)),
+            tuple(map(self.lease_status, ask.claims)),
             tuple(map(self.agrees_with, ask.told)),
         )
 
@@ -101,7 +101,7 @@
         return ask
 
     def answer(self, ask: ReplayQuery) -> QueryOutcome:
-        return self.remote.answered(self.record.answer(ask), self.now)
+        return self.remote.on_reply(self.record.answer(ask), self.now)
 
     def until_still(self) -> QueryOutcome:
         """All that is to be asked without a pause."""
@@ -122,7 +122,7 @@
     one = Asker()
     assert one.next() is None
     first = Dependency(*OTHER, 1)
-    one.remote.follow([first])
+    one.remote.watch([first])
     ask = one.must()
     assert ask == ReplayQuery((first,)) and one.next() is None  # one is out at a time
     pauses = []
@@ -138,18 +138,18 @@
     one.answer(ask)
     assert one.next() is None
     second = Dependency(*OTHER, 2)
-    one.remote.follow([second])
+    one.remote.watch([second])
     assert one.must().write_statuses == (second, first)
-    one.remote.failed(one.now)
+    one.remote.on_query_failed(one.now)
     assert one.next() is None
-    one.remote.back(one.now)
+    one.remote.on_link_up(one.now)
     assert one.must().write_statuses == (second, first)
 
 
 def test_a_change_makes_the_pause_short_again_and_a_final_fate_ends_the_asking() -> None:
     one = Asker()
     dependencies = [Dependency(*OTHER, 1), Dependency(*OTHER, 2)]
-    one.remote.follow(dependencies)
+    one.remote.watch(dependencies)
     for _ in range(5):
         one.answer(one.must())
         one.now += one.remote.wait(one.now)
@@ -161,12 +161,12 @@
     one.now += LEAST_US
     assert one.must().write_statuses == (dependencies[1],)
     # A later answer, of another record, takes nothing back.
-    one.remote.answered(QueryReply((WriteStatus.PARKED,)), one.now)
+    one.remote.on_reply(QueryReply((WriteStatus.PARKED,)), one.now)
     assert one.remote.write_status(dependencies[1]) is WriteStatus.PARKED
-    one.remote.follow([dependencies[0]])
+    one.remote.watch([dependencies[0]])
     one.now += MOST_US
     assert one.must().write_statuses == (dependencies[1],)
-    one.remote.answered(QueryReply((WriteStatus.UNKNOWN,)), one.now)
+    one.remote.on_reply(QueryReply((WriteStatus.UNKNOWN,)), one.now)
     assert (
         one.remote.write_status(dependencies[1]) is WriteStatus.UNKNOWN
         and one.remote.write_status(dependencies[0]) is WriteStatus.APPLIED
@@ -176,7 +176,7 @@
 def test_all_come_round_and_none_twice_before() -> None:
     one = Asker()
     dependencies = [Dependency(*OTHER, number) for number in range(1, 5 * QUERIED_MOST + 4)]
-    one.remote.follow(dependencies)
+    one.remote.watch(dependencies)
     seen: list[Dependency] = []
     while len(seen) < 2 * len(dependencies):
         ask = one.next()
@@ -193,7 +193,7 @@
 
 def test_a_round_has_an_end() -> None:
     one = Asker()
-    one.remote.follow(Dependency(*OTHER, number) for number in range(1, 2 * ROUND_MOST * QUERIED_MOST))
+    one.remote.watch(Dependency(*OTHER, number) for number in range(1, 2 * ROUND_MOST * QUERIED_MOST))
     for _ in range(ROUND_MOST * 2):
         if (ask := one.next()) is not None:
             one.answer(ask)
@@ -207,7 +207,7 @@
 
 def test_what_is_of_no_use_any_more_is_not_asked() -> None:
     one = Asker()
-    one.remote.follow([Dependency(*OTHER, 1), Dependency(*OTHER, 2)])
+    one.remote.watch([Dependency(*OTHER, 1), Dependency(*OTHER, 2)])
     ask = one.remote.next(0, lambda dependency: dependency.number == 2)
     assert ask is not None and ask.write_statuses == (Dependency(*OTHER, 2),)
 
@@ -215,16 +215,16 @@
 def test_while_cut_off_a_probe_goes_at_the_same_pace_and_an_answer_makes_it_quick() -> None:
     one = Asker()
     assert not one.remote.waits
-    one.remote.follow([Dependency(*OTHER, 1)])
+    one.remote.watch([Dependency(*OTHER, 1)])
     assert one.remote.waits
     pauses = []
     for _ in range(5):
         assert one.remote.probe(one.now) == ReplayQuery() and one.remote.probe(one.now) is None
-        one.remote.failed(one.now)
+        one.remote.on_query_failed(one.now)
         before = one.now
         while one.remote.probe(one.now) is None:
             one.now += SECOND // 10
-        one.remote.failed(one.now)
+        one.remote.on_query_failed(one.now)
         pauses.append(one.now - before)
         one.now += MOST_US
     assert pauses[0] <= SECOND and pauses[-1] >= MOST_US // 2
@@ -244,7 +244,7 @@
     one.remote.claim(FORMER, (FORMER.incarnation, 5, OWN.incarnation))
     ask = one.must()
     assert ask.claims == (LeaseRequest(FORMER, 7, (3, 5)),) and not one.remote.holds(FORMER)
-    one.remote.answered(QueryReply((), (LeaseStatus.OPEN,)), one.now)
+    one.remote.on_reply(QueryReply((), (LeaseStatus.OPEN,)), one.now)
     assert not one.remote.holds(FORMER)
     one.now += LEAST_US
     assert one.answer(one.must()).held == [FORMER] and one.remote.holds(FORMER)
@@ -272,7 +272,7 @@
     second.remote.claim(FORMER, (3, 8), force=True)
     assert second.until_still().held == [FORMER] and record.holder(FORMER) == 8
     # The first hears it from a gate: it asks once more, and is fenced.
-    assert not first.remote.lost(FORMER) and not first.remote.holds(FORMER)
+    assert not first.remote.on_fencing_reported(FORMER) and not first.remote.holds(FORMER)
     assert first.until_still().fenced == [FORMER]
 
 
@@ -281,13 +281,13 @@
     one.remote.claim(FORMER, (3, 7))
     one.until_still()
     one.record = Agreed()
-    assert not one.remote.lost(FORMER) and one.until_still().held == [FORMER]
+    assert not one.remote.on_fencing_reported(FORMER) and one.until_still().held == [FORMER]
     one.record = Agreed()
     one.now += AGAIN_US
     one.until_still()
     assert one.record.holder(FORMER) == 7
     # Its own running line needs no claim: whoever has that instead took it.
-    assert one.remote.lost(OWN) and not one.remote.holds(OWN)
+    assert one.remote.on_fencing_reported(OWN) and not one.remote.holds(OWN)
 
 
 # Telling
@@ -295,12 +295,12 @@
 
 def test_what_is_given_up_is_told_before_the_number_below_which_all_are_over() -> None:
     one = Asker()
-    assert one.remote.low(OWN, 40)
+    assert one.remote.publish_low_watermark(OWN, 40)
     for number in range(1, 2 * QUERIED_MOST):
-        assert one.remote.tell(WriteId(*OWN, number), WriteStatus.ABANDONED)
+        assert one.remote.publish(WriteId(*OWN, number), WriteStatus.ABANDONED)
     lost = one.must()
     assert not any(told.before for told in lost.told)
-    one.remote.failed(one.now)
+    one.remote.on_query_failed(one.now)
     one.now += MOST_US
     one.until_still()
     one.now += MOST_US
@@ -309,17 +309,17 @@
         one.record.write_status(Dependency(*OWN, 1)) is WriteStatus.ABANDONED
         and one.record.write_status(Dependency(*OWN, 40)) is WriteStatus.APPLIED
     )
-    assert one.remote.tell(WriteId(*OWN, 40), WriteStatus.APPLIED)  # the number says so
+    assert one.remote.publish(WriteId(*OWN, 40), WriteStatus.APPLIED)  # the number says so
     one.now += MOST_US
     assert one.next() is None
 
 
 def test_all_is_told_again_to_a_record_that_may_be_new() -> None:
     one = Asker()
-    one.remote.tell(WriteId(*OWN, 1), WriteStatus.ABANDONED)
-    one.remote.tell(WriteId(*OWN, 3), WriteStatus.APPLIED)
-    one.remote.tell(WriteId(*OWN, 4), WriteStatus.PARKED)
-    one.remote.low(OWN, 1)
+    one.remote.publish(WriteId(*OWN, 1), WriteStatus.ABANDONED)
+    one.remote.publish(WriteId(*OWN, 3), WriteStatus.APPLIED)
+    one.remote.publish(WriteId(*OWN, 4), WriteStatus.PARKED)
+    one.remote.publish_low_watermark(OWN, 1)
     one.until_still()
     one.now += MOST_US
     one.until_still()
@@ -335,7 +335,7 @@
         and one.record.write_status(Dependency(*OWN, 3)) is WriteStatus.APPLIED
     )
     # Parked no more: told once, and then no more.
-    one.remote.tell(WriteId(*OWN, 4), WriteStatus.UNKNOWN)
+    one.remote.publish(WriteId(*OWN, 4), WriteStatus.UNKNOWN)
     one.until_still()
     assert one.record.write_status(Dependency(*OWN, 4)) is WriteStatus.UNKNOWN
 
@@ -344,16 +344,16 @@
     one = Asker()
     write_id = WriteId(*OWN, 1)
     one.record.agree(Intent(write_id, 7, 5))
-    one.remote.tell(write_id, WriteStatus.PARKED)
+    one.remote.publish(write_id, WriteStatus.PARKED)
     one.until_still()
     one.remote.withdraw_intent(write_id, 1)
-    one.remote.tell(write_id, WriteStatus.UNKNOWN)  # says less
+    one.remote.publish(write_id, WriteStatus.UNKNOWN)  # says less
     ask = one.must()
     assert ask.told == (StatusUpdate(write_id, WriteStatus.UNKNOWN, 7, withdraw_intent=True, parking=1),)
-    assert not one.remote.answered(QueryReply((), (), (False,)), one.now).withdrawn
+    assert not one.remote.on_reply(QueryReply((), (), (False,)), one.now).withdrawn
     one.now += MOST_US
     assert one.until_still().withdrawn == [write_id]
-    assert one.record.begun(write_id, 7, 6) is IntentStatus.OPEN
+    assert one.record.intent_status(write_id, 7, 6) is IntentStatus.OPEN
 
 
 def test_that_it_never_ran_is_not_told_once_the_line_was_anothers() -> None:
@@ -362,17 +362,17 @@
     one.remote.withdraw_intent(write_id, 1)
     one.record.agree(one.record.lease_entry(LeaseRequest(OWN, 8, (OWN.incarnation,))))
     one.record.agree(Intent(write_id, 8, 5))  # the other process sends it
-    assert one.remote.lost(OWN)
+    assert one.remote.on_fencing_reported(OWN)
     one.remote.claim(OWN, (7, 8), force=True)
     for _ in range(3):
         one.until_still()
         one.now += AGAIN_US
-    assert one.remote.holds(OWN) and one.record.begun(write_id, 7, 6) is IntentStatus.OTHERS
+    assert one.remote.holds(OWN) and one.record.intent_status(write_id, 7, 6) is IntentStatus.OTHERS
 
 
 def test_what_is_said_of_a_line_waits_until_it_is_held() -> None:
     one = Asker()
-    one.remote.tell(WriteId(*FORMER, 1), WriteStatus.PARKED)
+    one.remote.publish(WriteId(*FORMER, 1), WriteStatus.PARKED)
     assert one.next() is None
     one.remote.claim(FORMER, (3, 7))
     one.until_still()
@@ -384,15 +384,15 @@
 def test_what_others_wait_for_finds_room_or_is_given_back() -> None:
     one = Asker()
     for number in range(1, SAID_MOST + 1):
-        assert one.remote.tell(WriteId(*OWN, number), WriteStatus.PARKED)
-    assert not one.remote.tell(WriteId(*OWN, SAID_MOST + 1), WriteStatus.PARKED)
+        assert one.remote.publish(WriteId(*OWN, number), WriteStatus.PARKED)
+    assert not one.remote.publish(WriteId(*OWN, SAID_MOST + 1), WriteStatus.PARKED)
     for number in range(SAID_MOST + 1, 2 * SAID_MOST + 1):
-        assert one.remote.tell(WriteId(*OWN, number), WriteStatus.ABANDONED)
+        assert one.remote.publish(WriteId(*OWN, number), WriteStatus.ABANDONED)
     last = WriteId(*OWN, 2 * SAID_MOST + 1)
-    assert not one.remote.tell(last, WriteStatus.ABANDONED)
+    assert not one.remote.publish(last, WriteStatus.ABANDONED)
     assert len(one.remote._said) == SAID_MOST
     one.until_still()
-    assert one.remote.tell(last, WriteStatus.ABANDONED)  # what the record knows makes room
+    assert one.remote.publish(last, WriteStatus.ABANDONED)  # what the record knows makes room
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -412,7 +412,7 @@
         match rng.randrange(8):
             case 0:
                 dependency = Dependency(*OTHER, rng.randrange(1, 60))
-                one.remote.follow([dependency])
+                one.remote.watch([dependency])
                 asked.add(dependency)
             case 1:
                 one.record.agree(WriteApplied(WriteId(*OTHER, rng.randrange(1, 60))))
@@ -424,7 +424,7 @@
                 if truth.get(write_id) not in (
                     WriteStatus.APPLIED,
                     WriteStatus.ABANDONED,
-                ) and one.remote.tell(write_id, write_status):
+                ) and one.remote.publish(write_id, write_status):
                     truth[write_id] = write_status
             case 3 if rng.randrange(5) == 0:
                 numbers = [
@@ -433,7 +433,7 @@
                     if write_status in (WriteStatus.PARKED, WriteStatus.UNKNOWN)
                 ]
                 low = max(low, min([*numbers, low + 10]) - 1)
-                one.remote.low(OWN, low)
+                one.remote.publish_low_watermark(OWN, low)
             case 4 if not claimed:
                 one.remote.claim(FORMER, (3, 7))
                 claimed = True
@@ -444,7 +444,7 @@
                     one.answer(out)
                 else:
                     one.record.answer(out)  # the answer is lost
-                    one.remote.failed(one.now)
+                    one.remote.on_query_failed(one.now)
                 out = None
         ask = one.next()
         if ask is not None:
@@ -540,7 +540,7 @@
     def _replay(self, one: ReplayIdentity, writer: Writer) -> None:
         self.sent.append(one.write_id)
         self.asked += 1
-        found = self.record.begun(one.write_id, one.life, self.asked)
+        found = self.record.intent_status(one.write_id, one.life, self.asked)
         if found is IntentStatus.FENCED:
             writer.write(answer(503, b"", "X-Kept-Fate: fenced\r\nRetry-After: 1\r\n"))
         elif found is IntentStatus.APPLIED:
@@ -749,7 +749,7 @@
             assert one.driver.claim(first.edge_log)
             await one.until(first, WriteState.PARKED, ParkingReason.MAY_HAVE_RUN)
             assert not sharing.words and not sharing.timers and first not in one.copies.ran
-            assert record.begun(first, first.incarnation, 1) is IntentStatus.OTHERS
+            assert record.intent_status(first, first.incarnation, 1) is IntentStatus.OTHERS
 
     run(main())
 
@@ -1020,11 +1020,11 @@
     def holds(self, line: EdgeLog) -> bool:
         return True
 
-    def tell(self, write_id: WriteId, write_status: WriteStatus) -> bool:
+    def publish(self, write_id: WriteId, write_status: WriteStatus) -> bool:
         self.write_statuses.append((write_id, write_status))
         return not self.full
 
-    def low(self, line: EdgeLog, number: int) -> bool:
+    def publish_low_watermark(self, line: EdgeLog, number: int) -> bool:
         self.lows[line] = number
         return True
 
@@ -1071,7 +1071,7 @@
             assert not status_publisher.lows  # it would say that the write is in
             status_publisher.full = False
             await until(lambda: status_publisher.lows == {write_id.edge_log: 1})
-            assert not driver.unpublished and not driver.outbox.over()
+            assert not driver.unpublished and not driver.outbox.take_finished()
         await driver.close()
         parts.close()
 
--- a/tests/test_outbox_ledger.py
+++ b/tests/test_outbox_ledger.py
@@ -278,17 +278,17 @@
     apply(record, Intent(write_id(1), 7, 5), Intent(write_id(1), 7, 6), Intent(write_id(2), 9, 6))
     assert record.dump() == before
     assert (
-        record.begun(write_id(1), 7, 5) is IntentStatus.MINE
-        and record.begun(write_id(1), 7, 6) is IntentStatus.OTHERS
+        record.intent_status(write_id(1), 7, 5) is IntentStatus.MINE
+        and record.intent_status(write_id(1), 7, 6) is IntentStatus.OTHERS
     )
     assert (
-        record.begun(write_id(2), 7, 6) is IntentStatus.OPEN
-        and record.begun(write_id(2), 9, 6) is IntentStatus.FENCED
+        record.intent_status(write_id(2), 7, 6) is IntentStatus.OPEN
+        and record.intent_status(write_id(2), 9, 6) is IntentStatus.FENCED
     )
     apply(record, WriteApplied(write_id(1)), StatusRecord(write_id(2), WriteStatus.ABANDONED, 7))
     assert (
-        record.begun(write_id(1), 9, 6) is IntentStatus.APPLIED
-        and record.begun(write_id(2), 7, 6) is IntentStatus.FENCED
+        record.intent_status(write_id(1), 9, 6) is IntentStatus.APPLIED
+        and record.intent_status(write_id(2), 7, 6) is IntentStatus.FENCED
     )
     assert record.status()["begun"] == 0
 
@@ -296,17 +296,17 @@
 def test_a_begin_is_taken_back_by_its_ask_alone() -> None:
     record = after(Intent(write_id(1), 7, 5), IntentWithdrawal(write_id(1), 6))
     assert (
-        record.begun(write_id(1), 7, 5) is IntentStatus.MINE
+        record.intent_status(write_id(1), 7, 5) is IntentStatus.MINE
         and record.is_withdrawn(6)
         and not record.is_withdrawn(5)
     )
     apply(record, IntentWithdrawal(write_id(1), 5), IntentWithdrawal(write_id(1), 5))
-    assert record.begun(write_id(1), 7, 9) is IntentStatus.OPEN and record.is_withdrawn(5)
+    assert record.intent_status(write_id(1), 7, 9) is IntentStatus.OPEN and record.is_withdrawn(5)
 
 
 def test_a_begin_that_comes_after_it_was_taken_back_is_not_granted() -> None:
     record = after(IntentWithdrawal(write_id(1), 5), Intent(write_id(1), 7, 5))
-    assert record.begun(write_id(1), 7, 5) is IntentStatus.OPEN
+    assert record.intent_status(write_id(1), 7, 5) is IntentStatus.OPEN
     apply(
         record,
         Intent(write_id(1), 7, 6),
@@ -314,7 +314,7 @@
         Intent(write_id(1), 7, 6),
         Intent(write_id(1), 7, 8),
     )
-    assert record.begun(write_id(1), 7, 8) is IntentStatus.MINE
+    assert record.intent_status(write_id(1), 7, 8) is IntentStatus.MINE
 
 
 def test_that_it_never_ran_is_the_holders_word_of_the_ask_that_it_saw() -> None:
@@ -325,12 +325,12 @@
         told
     )
     apply(record, msgspec.structs.replace(entry, life=9))
-    assert record.begun(write_id(1), 7, 5) is IntentStatus.MINE
+    assert record.intent_status(write_id(1), 7, 5) is IntentStatus.MINE
     apply(record, entry)
     assert record.agrees_with(told) and record.status_entry(told) is None
     # It comes once more: another ask has begun since.
     apply(record, Intent(write_id(1), 7, 6), entry, Intent(write_id(1), 7, 5))
-    assert record.begun(write_id(1), 7, 6) is IntentStatus.MINE
+    assert record.intent_status(write_id(1), 7, 6) is IntentStatus.MINE
 
 
 def test_each_parking_is_judged_once() -> None:
@@ -345,13 +345,14 @@
     assert record.agrees_with(first) and record.status_entry(first) is None and not record.agrees_with(second)
     apply(record, entry, StatusRecord(write_id(1), WriteStatus.UNKNOWN, 7, False, 6, 1))
     assert (
-        record.begun(write_id(1), 7, 6) is IntentStatus.MINE and write_status(record, 1) is WriteStatus.PARKED
+        record.intent_status(write_id(1), 7, 6) is IntentStatus.MINE
+        and write_status(record, 1) is WriteStatus.PARKED
     )
     again = record.status_entry(second)
     assert again is not None
     apply(record, again)
     assert (
-        record.begun(write_id(1), 7, 9) is IntentStatus.OPEN
+        record.intent_status(write_id(1), 7, 9) is IntentStatus.OPEN
         and write_status(record, 1) is WriteStatus.UNKNOWN
         and record.agrees_with(second)
     )
@@ -376,7 +377,7 @@
     apply(record, StatusRecord(write_id(1), WriteStatus.PARKED, 7))
     assert (
         write_status(record, 1) is WriteStatus.PARKED
-        and record.begun(write_id(1), 7, 6) is IntentStatus.OTHERS
+        and record.intent_status(write_id(1), 7, 6) is IntentStatus.OTHERS
     )
 
 
@@ -389,25 +390,25 @@
         entry = record.lease_entry(one)
         if entry is not None:
             apply(record, entry)
-    return [record.claimed(one) for one in claims]
+    return [record.lease_status(one) for one in claims]
 
 
 def test_a_line_is_its_own_lifes_until_one_claims_it_that_knows_the_holder() -> None:
     record = ReplicatedLedger()
-    assert record.holder(ASH) == 7 and record.claimed(LeaseRequest(ASH, 7, ())) is LeaseStatus.HELD
-    assert record.claimed(LeaseRequest(ASH, 9, (7,))) is LeaseStatus.OPEN
+    assert record.holder(ASH) == 7 and record.lease_status(LeaseRequest(ASH, 7, ())) is LeaseStatus.HELD
+    assert record.lease_status(LeaseRequest(ASH, 9, (7,))) is LeaseStatus.OPEN
     assert (
-        record.claimed(LeaseRequest(ASH, 9, (6,))) is LeaseStatus.FENCED
+        record.lease_status(LeaseRequest(ASH, 9, (6,))) is LeaseStatus.FENCED
         and record.lease_entry(LeaseRequest(ASH, 9, (6,))) is None
     )
     assert claim(record, LeaseRequest(ASH, 9, (6, 7))) == [LeaseStatus.HELD]
-    assert record.holder(ASH) == 9 and record.claimed(LeaseRequest(ASH, 7, ())) is LeaseStatus.FENCED
+    assert record.holder(ASH) == 9 and record.lease_status(LeaseRequest(ASH, 7, ())) is LeaseStatus.FENCED
     apply(record, Intent(write_id(1), 7, 5), StatusRecord(write_id(1), WriteStatus.PARKED, 7))
     assert (
         write_status(record, 1) is WriteStatus.UNKNOWN
-        and record.begun(write_id(1), 7, 5) is IntentStatus.FENCED
+        and record.intent_status(write_id(1), 7, 5) is IntentStatus.FENCED
     )
-    assert record.begun(write_id(1), 9, 5) is IntentStatus.OPEN
+    assert record.intent_status(write_id(1), 9, 5) is IntentStatus.OPEN
 
 
 def test_of_two_copies_of_a_disk_one_holds_the_line_until_an_operator_says_otherwise() -> None:
@@ -419,7 +420,7 @@
     assert claim(record, LeaseRequest(ASH, 21, (7, 11))) == [LeaseStatus.HELD]
     forced = LeaseRequest(ASH, 23, (7, 12, 22), True)
     assert claim(record, forced) == [LeaseStatus.HELD]
-    assert record.claimed(LeaseRequest(ASH, 21, (7, 11))) is LeaseStatus.FENCED
+    assert record.lease_status(LeaseRequest(ASH, 21, (7, 11))) is LeaseStatus.FENCED
     assert claim(record, LeaseRequest(ASH, 24, (7, 11, 21))) == [LeaseStatus.FENCED]
 
 
@@ -439,8 +440,8 @@
     record = after(Intent(write_id(1), 7, 5))
     assert claim(record, LeaseRequest(ASH, 9, (7,))) == [LeaseStatus.HELD]
     assert (
-        record.begun(write_id(1), 9, 6) is IntentStatus.OTHERS
-        and record.begun(write_id(1), 7, 5) is IntentStatus.FENCED
+        record.intent_status(write_id(1), 9, 6) is IntentStatus.OTHERS
+        and record.intent_status(write_id(1), 7, 5) is IntentStatus.FENCED
     )
     assert write_status(apply(record, WriteApplied(write_id(1))), 1) is WriteStatus.APPLIED
 
@@ -463,7 +464,7 @@
         WriteStatus.APPLIED,
     ] + [WriteStatus.ABANDONED] * 3
     assert (fate_up_to(record, 1), fate_up_to(record, 3)) == (WriteStatus.APPLIED, WriteStatus.ABANDONED)
-    assert record.holder(ASH) == 0 and record.begun(write_id(4), 7, 5) is IntentStatus.FENCED
+    assert record.holder(ASH) == 0 and record.intent_status(write_id(4), 7, 5) is IntentStatus.FENCED
     before = record.dump()
     apply(
         record,
@@ -476,8 +477,8 @@
         lost,
     )
     assert record.dump() == before and record.status()["begun"] == 0
-    assert record.claimed(LeaseRequest(ASH, 9, (7,), True)) is LeaseStatus.FENCED
-    assert record.claimed(LeaseRequest(ASH, 0, ())) is LeaseStatus.FENCED
+    assert record.lease_status(LeaseRequest(ASH, 9, (7,), True)) is LeaseStatus.FENCED
+    assert record.lease_status(LeaseRequest(ASH, 0, ())) is LeaseStatus.FENCED
 
 
 def test_a_lost_edge_is_so_with_lines_to_come_and_a_lost_line_alone() -> None:
@@ -567,7 +568,7 @@
         EdgeLost("birch", 1),
         StatusRecord(write_id(1, line), WriteStatus.PARKED, 1),
     )
-    assert record.claimed(LeaseRequest(line, 9, (1,))) is LeaseStatus.OPEN
+    assert record.lease_status(LeaseRequest(line, 9, (1,))) is LeaseStatus.OPEN
     apply(record, WriteApplied(write_id(2)), EdgeLost("ash"))
     assert write_status(record, 2) is WriteStatus.APPLIED
 
@@ -579,7 +580,7 @@
     record = after(*entries)
     refused(record, "begun", Intent(write_id(1, EdgeLog("birch", 1)), 1, 5))
     apply(record, WriteApplied(entries[0].write_id), Intent(write_id(1, EdgeLog("birch", 1)), 1, 5))
-    assert record.begun(write_id(1, EdgeLog("birch", 1)), 1, 5) is IntentStatus.MINE
+    assert record.intent_status(write_id(1, EdgeLog("birch", 1)), 1, 5) is IntentStatus.MINE
 
 
 def test_lost_edges_have_a_bound() -> None:
@@ -772,7 +773,7 @@
                 assert fate_up_to(record, number, line) is (WriteStatus.APPLIED if over else parked)
             holder, by = naive.holder(line), naive.begun.get(write_id(number, line), 0)
             if holder and found not in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
-                begun = record.begun(write_id(number, line), holder, by or 9)
+                begun = record.intent_status(write_id(number, line), holder, by or 9)
                 assert begun is (IntentStatus.MINE if by else IntentStatus.OPEN)
 
 
--- a/tests/test_outbox_replay_gate.py
+++ b/tests/test_outbox_replay_gate.py
@@ -230,7 +230,7 @@
 
     def begun(self) -> IntentStatus:
         """As another ask would hear."""
-        return self.record.begun(DOT, LIFE, 0)
+        return self.record.intent_status(DOT, LIFE, 0)
 
     def write_status(self, write_id: WriteId = DOT) -> WriteStatus:
         return self.record.write_status(Dependency(*write_id))
--- a/tests/test_outbox_replicated_version_vector.py
+++ b/tests/test_outbox_replicated_version_vector.py
@@ -157,10 +157,10 @@
 def test_what_becomes_of_own_writes_is_told_until_the_record_says_so() -> None:
     async def test(world: World) -> None:
         write_ids = [WriteId(*MINE, number) for number in (1, 2, 3)]
-        world.version_vector.tell(write_ids[0], WriteStatus.PARKED)  # as it is restored
+        world.version_vector.publish(write_ids[0], WriteStatus.PARKED)  # as it is restored
         world.begin()
         assert world.sharer.asked == [StatusRecord(write_ids[0], WriteStatus.PARKED, 3)]
-        world.version_vector.tell(write_ids[1], WriteStatus.APPLIED)
+        world.version_vector.publish(write_ids[1], WriteStatus.APPLIED)
         world.sharer.ready = False
         await world.turn(2 * TURN_US)
         assert len(world.sharer.asked) == 1
@@ -180,7 +180,7 @@
             world.version_vector.write_status(Dependency(*write_ids[1])) is WriteStatus.APPLIED
             and world.version_vector.said == {}
         )
-        world.version_vector.tell(write_ids[0], WriteStatus.UNKNOWN)
+        world.version_vector.publish(write_ids[0], WriteStatus.UNKNOWN)
         await world.turn(TURN_US)
         await world.land()
         assert world.version_vector.write_status(Dependency(*write_ids[0])) is WriteStatus.UNKNOWN
@@ -192,7 +192,9 @@
     async def test(world: World) -> None:
         world.begin()
         gone = WriteId(*MINE, 1)
-        assert world.version_vector.tell(gone, WriteStatus.ABANDONED) and world.version_vector.low(MINE, 2)
+        assert world.version_vector.publish(
+            gone, WriteStatus.ABANDONED
+        ) and world.version_vector.publish_low_watermark(MINE, 2)
         await world.turn(TURN_US)
         assert world.sharer.asked == [StatusRecord(gone, WriteStatus.ABANDONED, 3)]
         await world.land()
@@ -209,16 +211,16 @@
     async def test(world: World) -> None:
         world.begin()
         for number in range(1, SAID_MOST + 1):
-            assert world.version_vector.tell(WriteId(*MINE, number), WriteStatus.PARKED)
-        assert not world.version_vector.tell(WriteId(*MINE, SAID_MOST + 1), WriteStatus.PARKED)
-        assert world.version_vector.tell(
+            assert world.version_vector.publish(WriteId(*MINE, number), WriteStatus.PARKED)
+        assert not world.version_vector.publish(WriteId(*MINE, SAID_MOST + 1), WriteStatus.PARKED)
+        assert world.version_vector.publish(
             WriteId(*MINE, 1), WriteStatus.APPLIED
         )  # what is in it already may change
         await world.turn(TURN_US)
         assert len(world.sharer.asked) == OUT_MOST
         await world.land()
         assert len(world.version_vector.said) == SAID_MOST - OUT_MOST
-        assert world.version_vector.tell(WriteId(*MINE, SAID_MOST + 1), WriteStatus.PARKED)
+        assert world.version_vector.publish(WriteId(*MINE, SAID_MOST + 1), WriteStatus.PARKED)
 
     play(test)
 
@@ -227,7 +229,7 @@
     async def test(world: World) -> None:
         world.sharer.land(EdgeLost("copy-1", OLD.incarnation))
         world.begin(OLD)
-        world.version_vector.tell(WriteId(*OLD, 1), WriteStatus.APPLIED)
+        world.version_vector.publish(WriteId(*OLD, 1), WriteStatus.APPLIED)
         await world.turn(TURN_US)
         assert world.sharer.asked == [] and world.version_vector.said == {}
 
--- a/tests/test_outbox_schedules.py
+++ b/tests/test_outbox_schedules.py
@@ -105,9 +105,9 @@
     def learn(self) -> None:
         """From each edge, what is over there."""
         for edge in self.world.living():
-            self.write_statuses.update(edge.outbox.over())
+            self.write_statuses.update(edge.outbox.take_finished())
             for line, high in edge.outbox.edge_logs().items():
-                self.low[line] = low = edge.outbox.low(line)
+                self.low[line] = low = edge.outbox.low_watermark(line)
                 self.held[line] = (
                     edge.outbox.write_status(WriteId(*line, low + 1)) if low < high else WriteStatus.UNKNOWN
                 )
@@ -202,7 +202,7 @@
                 self.outbox._rows.set(self.outbox._row(what.write_id), BUSY)
                 self.pending.append((kind, what))  # an end is tried again
         elif not self.outbox.apply(what, world.now):
-            self.push([self.outbox.ended(what.write_id, ReplayResult.NOT_RUN, world.now, self.wall)])
+            self.push([self.outbox.on_replay_end(what.write_id, ReplayResult.NOT_RUN, world.now, self.wall)])
         elif what.event is WriteEvent.SEND:
             world.send(self, what.write_id)
 
@@ -213,14 +213,14 @@
         if fails:
             self.outbox.on_store_failed(write.write_id, world.now)
             return
-        self.outbox.stored(write.write_id, world.now)
-        if not self.outbox.durable(write.write_id):
+        self.outbox.on_stored(write.write_id, world.now)
+        if not self.outbox.is_durable(write.write_id):
             raise BrokenError("told", f"{write.write_id} is stored and not durable")
         written.told = True
         token = TOKENS.receipt(write.write_id)
         client = world.clients[written.client]
         if world.draw.random() < 0.1:
-            token = TOKENS.tell((Dependency(*write.write_id, True),))  # more than it must follow
+            token = TOKENS.encode((Dependency(*write.write_id, True),))  # more than it must follow
         kept = client.tokens[-3:] if world.draw.random() < 0.3 else []
         client.tokens = [*kept, (token, name)]
         if not written.join:
@@ -365,7 +365,9 @@
 
     def end(self, edge: Edge | None, flight: Flight, end: ReplayResult) -> None:
         if edge is not None and not edge.lost:
-            edge.push([edge.outbox.ended(flight.write_id, end, self.now, edge.wall, 200, (), b"told")])
+            edge.push(
+                [edge.outbox.on_replay_end(flight.write_id, end, self.now, edge.wall, 200, (), b"told")]
+            )
 
     def effect(self, name: bytes) -> None:
         written = self.written[name]
@@ -423,7 +425,7 @@
     def hear(self) -> None:
         self.shared.learn()
         for edge in self.living():
-            edge.outbox.heard(self.now)
+            edge.outbox.on_remote_change(self.now)
 
     def rare(self) -> None:
         if self.draw.random() < 0.15 and len(self.living()) > 1:
@@ -732,8 +734,10 @@
 class Unpaced(Outbox):
     """An end does not give its place back."""
 
-    def ended(self, write_id: WriteId, end: ReplayResult, now: int, wall: int, *told: Any) -> Transition:
-        change = super().ended(write_id, end, now, wall, *told)
+    def on_replay_end(
+        self, write_id: WriteId, end: ReplayResult, now: int, wall: int, *told: Any
+    ) -> Transition:
+        change = super().on_replay_end(write_id, end, now, wall, *told)
         self.pace.out += 1
         return change
 
@@ -748,8 +752,10 @@
 class StatusUpdate(Outbox):
     """A final answer is told before it is durable."""
 
-    def ended(self, write_id: WriteId, end: ReplayResult, now: int, wall: int, *told: Any) -> Transition:
-        change = super().ended(write_id, end, now, wall, *told)
+    def on_replay_end(
+        self, write_id: WriteId, end: ReplayResult, now: int, wall: int, *told: Any
+    ) -> Transition:
+        change = super().on_replay_end(write_id, end, now, wall, *told)
         if change.event is WriteEvent.ANSWERED:
             self._rows.state[self._row(write_id)] = WriteState.DONE
         return change
--- a/tests/test_outbox_shared_schedules.py
+++ b/tests/test_outbox_shared_schedules.py
@@ -170,7 +170,7 @@
 
     def begin(self, call: Call) -> None:
         replayed, world = call.replayed, self.world
-        match self.record.begun(replayed.write_id, replayed.life, call.ask):
+        match self.record.intent_status(replayed.write_id, replayed.life, call.ask):
             case IntentStatus.MINE:
                 self.send(call)
             case IntentStatus.OTHERS:
@@ -237,7 +237,7 @@
         ):
             if entry is not None:
                 world.word(entry)
-        claims = tuple(record.claimed(claim) for claim in ask.claims)
+        claims = tuple(record.lease_status(claim) for claim in ask.claims)
         told = tuple(record.agrees_with(told) for told in ask.told)
         world.mail.append(lambda: edge.heard(ask, write_statuses, claims, told))
 
@@ -920,8 +920,8 @@
 class ClaimedUnknown(ReplicatedLedger):
     """A claim need not name the holder."""
 
-    def claimed(self, claim: LeaseRequest) -> LeaseStatus:
-        return super().claimed(msgspec.structs.replace(claim, force=True))
+    def lease_status(self, claim: LeaseRequest) -> LeaseStatus:
+        return super().lease_status(msgspec.structs.replace(claim, force=True))
 
 
 class HeldByTheLast(ReplicatedLedger):
@@ -942,8 +942,8 @@
         else:
             super()._hold(entry)
 
-    def claimed(self, claim: LeaseRequest) -> LeaseStatus:
-        return LeaseStatus.OPEN if self.holder(claim.edge_log) == 0 else super().claimed(claim)
+    def lease_status(self, claim: LeaseRequest) -> LeaseStatus:
+        return LeaseStatus.OPEN if self.holder(claim.edge_log) == 0 else super().lease_status(claim)
 
 
 class LostForgotten(ReplicatedLedger):
@@ -1072,7 +1072,7 @@
 
     def begin(self, call: Call) -> None:
         replayed = call.replayed
-        if self.record.begun(replayed.write_id, replayed.life, call.ask) is IntentStatus.OPEN:
+        if self.record.intent_status(replayed.write_id, replayed.life, call.ask) is IntentStatus.OPEN:
             self.world.word(Intent(replayed.write_id, replayed.life, call.ask))
             self.send(call)
         else:
