--- a/laurelstep/outbox/dependency_tracker.py
+++ b/laurelstep/outbox/dependency_tracker.py
@@ -12,14 +12,8 @@
 from collections.abc import Mapping
 from typing import Final
 
-from laurelstep.outbox.dependencies import (
-    CausalityTokens,
-    Dependencies,
-    Dependency,
-    VersionVector,
-    WriteStatus,
-    merge,
-)
+from laurelstep.outbox.causality_tokens import CausalityTokens
+from laurelstep.outbox.dependencies import Dependencies, Dependency, merge
 from laurelstep.outbox.dependency_graph import DependencyGraph
 from laurelstep.outbox.errors import (
     UnknownWriteError,
@@ -28,6 +22,7 @@
 from laurelstep.outbox.messages import OutboxBounds, QueuedClass
 from laurelstep.outbox.records import QueuedWrite, Resolution, WriteEvent, WriteState, next_state
 from laurelstep.outbox.replay_queue import ReplayPacer, ReplayQueue
+from laurelstep.outbox.version_vector import VersionVector, WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from laurelstep.outbox.write_table import (
     BARRIER,
--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -29,7 +29,8 @@
 from laurelstep.engine.ports import Log
 from laurelstep.outbox.admission import JSON, WriteAdmission
 from laurelstep.outbox.bodies import BodySpool
-from laurelstep.outbox.dependencies import CausalityTokens, Dependencies, VersionVector, WriteStatus
+from laurelstep.outbox.causality_tokens import CausalityTokens
+from laurelstep.outbox.dependencies import Dependencies
 from laurelstep.outbox.errors import (
     CauseError,
     OutboxError,
@@ -46,7 +47,7 @@
 from laurelstep.outbox.queue_store import LoadedWrites, QueueStore
 from laurelstep.outbox.receipts import WriteReceipt, show
 from laurelstep.outbox.records import FINAL, Resolution, WriteState
-from laurelstep.outbox.version_vector import LocalVersionVector
+from laurelstep.outbox.version_vector import LocalVersionVector, VersionVector, WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId, parse_write_id
 from laurelstep.settings.config import ConfigError
 from laurelstep.store import StoreError
--- a/laurelstep/outbox/driver_state.py
+++ b/laurelstep/outbox/driver_state.py
@@ -12,15 +12,15 @@
 from laurelstep.engine.ports import Log
 from laurelstep.outbox.background_replay import BackgroundReplay
 from laurelstep.outbox.bodies import BodySpool
+from laurelstep.outbox.causality_tokens import CausalityTokens
 from laurelstep.outbox.cutoff import CutOffDetector, CutOffRule
-from laurelstep.outbox.dependencies import CausalityTokens, WriteStatus
 from laurelstep.outbox.options import OutboxSettings
 from laurelstep.outbox.outbox import (
     Outbox,
 )
 from laurelstep.outbox.queue_store import QueueStore
 from laurelstep.outbox.replay_front import ReplayFront
-from laurelstep.outbox.version_vector import StatusPublisher
+from laurelstep.outbox.version_vector import StatusPublisher, WriteStatus
 from laurelstep.outbox.write_ids import WriteId
 
 if TYPE_CHECKING:
--- a/laurelstep/outbox/intake.py
+++ b/laurelstep/outbox/intake.py
@@ -4,7 +4,7 @@
 
 from typing import Final
 
-from laurelstep.outbox.dependencies import DEPENDENCIES_MOST, Dependencies, Dependency, WriteStatus, merge
+from laurelstep.outbox.dependencies import DEPENDENCIES_MOST, Dependencies, Dependency, merge
 from laurelstep.outbox.dependency_tracker import NUMBER_MASK, NUMBERS
 from laurelstep.outbox.errors import (
     CycleError,
@@ -24,6 +24,7 @@
     next_state,
 )
 from laurelstep.outbox.transitions import TransitionTracker
+from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import WriteId
 from laurelstep.outbox.write_table import (
     DURABLE,
@@ -58,7 +59,7 @@
         return self._keep(offer, cls, named, key, now, wall)
 
     def join(self, dependencies: Dependencies, now: int, wall: int) -> WriteTicket:
-        """A name for a set that no token tells (causes.py, rule 3): kept as any write, without a body."""
+        """A name for a set that no token tells (causality_tokens.py, rule 1): kept as any write, without a body."""
         return self._keep(WriteOffer("", b"", (), 0, b""), QueuedClass("", False), dependencies, 0, now, wall)
 
     def _keep(
--- a/laurelstep/outbox/records.py
+++ b/laurelstep/outbox/records.py
@@ -146,7 +146,7 @@
     session: bytes
     obj: bytes
     tenant: str
-    dependencies: tuple[tuple[str, int, int, bool], ...]  # see causes.Causes
+    dependencies: tuple[tuple[str, int, int, bool], ...]  # see dependencies.Dependencies
     wall: int
     window_us: int
     life: int  # how many lives of this store, of which there were records, came before
--- a/laurelstep/outbox/remote_logs.py
+++ b/laurelstep/outbox/remote_logs.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.dependency_tracker import NUMBERS
 from laurelstep.outbox.messages import (
     Transition,
@@ -18,6 +18,7 @@
     WriteState,
 )
 from laurelstep.outbox.replay_schedule import ReplaySchedule
+from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from laurelstep.outbox.write_table import (
     BUSY,
--- a/laurelstep/outbox/replay_driver.py
+++ b/laurelstep/outbox/replay_driver.py
@@ -13,7 +13,6 @@
 from laurelstep.interface import ERROR, FULL, NO_CONNECT, OK, RESET, TIMEOUT
 from laurelstep.net.message import lines as lines_of
 from laurelstep.net.request import hint, key_of
-from laurelstep.outbox.dependencies import WriteStatus
 from laurelstep.outbox.driver_state import DriverState
 from laurelstep.outbox.outbox import (
     ReplayResult,
@@ -21,6 +20,7 @@
 )
 from laurelstep.outbox.records import FINAL, QueuedWrite, WriteEvent, WriteState
 from laurelstep.outbox.replay_front import ReplayFront
+from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import WriteId
 from laurelstep.store import StoreError
 
--- a/laurelstep/outbox/shared/edge.py
+++ b/laurelstep/outbox/shared/edge.py
@@ -25,7 +25,7 @@
 from random import Random
 from typing import Final
 
-from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.shared.known_statuses import FINAL_STATUSES, KnownStatuses
 from laurelstep.outbox.shared.messages import (
     QUERIED_MOST,
@@ -36,6 +36,7 @@
     StatusUpdate,
 )
 from laurelstep.outbox.shared.query_round import ROUND_MOST, QueryBackoff, QueryOutcome, QueryRound, bounded
+from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
 __all__ = ["RemoteVersionVector"]
--- a/laurelstep/outbox/shared/entries.py
+++ b/laurelstep/outbox/shared/entries.py
@@ -16,7 +16,7 @@
 
 from laurelstep.accord.errors import EntryError
 from laurelstep.accord.terms import ENTRY_MOST, WORD_MOST
-from laurelstep.outbox.dependencies import WriteStatus
+from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId, check_edge
 
 __all__ = [
--- a/laurelstep/outbox/shared/known_statuses.py
+++ b/laurelstep/outbox/shared/known_statuses.py
@@ -5,7 +5,8 @@
 from collections import OrderedDict
 from typing import Final
 
-from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.dependencies import Dependency
+from laurelstep.outbox.version_vector import WriteStatus
 
 __all__ = ["FINAL_STATUSES", "KnownStatuses"]
 
--- a/laurelstep/outbox/shared/ledger.py
+++ b/laurelstep/outbox/shared/ledger.py
@@ -30,7 +30,7 @@
 import msgspec
 
 from laurelstep.accord.errors import KeptError
-from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.shared.entries import (
     EdgeLost,
     Intent,
@@ -44,6 +44,7 @@
 from laurelstep.outbox.shared.log_state import LedgerSnapshot, LogState, check_snapshot
 from laurelstep.outbox.shared.messages import IntentStatus, LeaseRequest, LeaseStatus, StatusUpdate
 from laurelstep.outbox.shared.ranges import add, cut, missing
+from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
 __all__ = [
--- a/laurelstep/outbox/shared/log_state.py
+++ b/laurelstep/outbox/shared/log_state.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
-from laurelstep.outbox.dependencies import WriteStatus
 from laurelstep.outbox.shared.entries import (
     ID_END,
     NUMBER_END,
 )
 from laurelstep.outbox.shared.ranges import NONE, Ranges, add, cut, has, missing, well_formed
+from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import check_edge
 
 __all__ = ["LedgerSnapshot", "LogState", "check_snapshot"]
--- a/laurelstep/outbox/shared/messages.py
+++ b/laurelstep/outbox/shared/messages.py
@@ -14,7 +14,8 @@
 
 import msgspec
 
-from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.dependencies import Dependency
+from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
 __all__ = [
--- a/laurelstep/outbox/shared/replay_gate.py
+++ b/laurelstep/outbox/shared/replay_gate.py
@@ -30,7 +30,7 @@
 from laurelstep.accord.errors import EntryError
 from laurelstep.engine.call import Answer, Attempt, Call, Ending
 from laurelstep.engine.ports import Clock, Log, Recorded, Recorder
-from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.shared.entries import EdgeLost, Intent, IntentWithdrawal, LedgerEntry, WriteApplied
 from laurelstep.outbox.shared.message_seal import MessageSeal, SealError
 from laurelstep.outbox.shared.messages import (
@@ -43,6 +43,7 @@
     StatusUpdate,
 )
 from laurelstep.outbox.shared.ports import AgreedLedger, Agreement
+from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
 __all__ = ["ReplayGate"]
--- a/laurelstep/outbox/shared/replicated_version_vector.py
+++ b/laurelstep/outbox/shared/replicated_version_vector.py
@@ -23,10 +23,11 @@
 import msgspec
 
 from laurelstep.engine.ports import Clock, Handle, Log
-from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.shared.entries import LedgerEntry
 from laurelstep.outbox.shared.messages import LeaseRequest, LeaseStatus, StatusUpdate
 from laurelstep.outbox.shared.ports import AgreedLedger, Agreement
+from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
 __all__ = ["ReplicatedVersionVector"]
--- a/laurelstep/outbox/version_vector.py
+++ b/laurelstep/outbox/version_vector.py
@@ -2,12 +2,35 @@
 
 from __future__ import annotations
 
+from enum import IntEnum
 from typing import Protocol, runtime_checkable
 
-from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
-__all__ = ["LocalVersionVector", "StatusPublisher"]
+__all__ = ["LocalVersionVector", "StatusPublisher", "VersionVector", "WriteStatus"]
+
+
+class WriteStatus(IntEnum):
+    """What is known of a write that is not of this edge's own logs."""
+
+    UNKNOWN = 0
+    APPLIED = 1  # its effect is upstream
+    PARKED = 2  # it waits for an operator at its edge
+    ABANDONED = 3  # given up, or lost with its edge
+
+
+class VersionVector(Protocol):
+    """What is known of other logs, and which logs this process may replay.
+
+    The local one knows what was told to it at this edge. One that copies share stands behind the same two
+    questions; it tells `Outbox.heard` when it has learned something."""
+
+    def write_status(self, dependency: Dependency) -> WriteStatus:
+        """What is known of a write of another log."""
+
+    def holds(self, edge_log: EdgeLog) -> bool:
+        """This process, and no other with a copy of its disk, may send writes of this log."""
 
 
 @runtime_checkable
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -15,7 +15,7 @@
 from laurelstep.library import Client
 from laurelstep.orders.book import answer_of, order_key
 from laurelstep.orders.recorder import OrderRecorder
-from laurelstep.outbox.dependencies import CausalityTokens
+from laurelstep.outbox.causality_tokens import CausalityTokens
 from laurelstep.outbox.outbox import Outbox, OutboxBounds, QueuedClass, ReplayResult, WriteOffer
 from laurelstep.outbox.queue_store import QueueStore
 from laurelstep.outbox.records import ParkingReason, WriteEvent
--- a/tests/test_outbox.py
+++ b/tests/test_outbox.py
@@ -11,15 +11,9 @@
 import pytest
 
 from laurelstep.outbox.background_replay import BackgroundReplay
+from laurelstep.outbox.causality_tokens import TOKEN_MOST, CausalityTokens
 from laurelstep.outbox.cutoff import CutOffDetector, CutOffRule
-from laurelstep.outbox.dependencies import (
-    DEPENDENCIES_MOST,
-    TOKEN_MOST,
-    CausalityTokens,
-    Dependency,
-    WriteStatus,
-    merge,
-)
+from laurelstep.outbox.dependencies import DEPENDENCIES_MOST, Dependency, merge
 from laurelstep.outbox.dependency_graph import DependencyGraph
 from laurelstep.outbox.errors import (
     CycleError,
@@ -50,6 +44,7 @@
     next_state,
 )
 from laurelstep.outbox.replay_queue import ReplayPacer, ReplayQueue
+from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId, check_edge, parse_write_id
 from laurelstep.outbox.write_table import IntegerMap, PagedIntegerMap, short_hash
 from tests.once import once
--- a/tests/test_outbox_edge.py
+++ b/tests/test_outbox_edge.py
@@ -16,7 +16,8 @@
 from laurelstep.engine.call import Answer, Call
 from laurelstep.net.assembly import Assembly
 from laurelstep.net.message import lines
-from laurelstep.outbox.dependencies import CausalityTokens, Dependency, WriteStatus
+from laurelstep.outbox.causality_tokens import CausalityTokens
+from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.driver import OutboxDriver
 from laurelstep.outbox.errors import UnknownWriteError
 from laurelstep.outbox.options import OutboxSettings, QueuedClass
@@ -46,6 +47,7 @@
     StatusUpdate,
 )
 from laurelstep.outbox.shared.query_round import KNOWN_MOST, LEAST_US, MOST_US, ROUND_MOST, QueryOutcome
+from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from laurelstep.settings import config_from
 from laurelstep.testing import Endpoint, Message, Writer, answer
--- a/tests/test_outbox_ledger.py
+++ b/tests/test_outbox_ledger.py
@@ -22,7 +22,7 @@
 from laurelstep.accord.snapshots import SNAPSHOT_MOST
 from laurelstep.accord.stores.none import NoStore
 from laurelstep.accord.terms import ENTRY_MOST, WORD_MOST, Timing
-from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.shared import ledger as records
 from laurelstep.outbox.shared import ranges
 from laurelstep.outbox.shared.agreement import AGAIN_MOST_US, AGAIN_US, FLIGHT_US, WAITS_MOST, AgreementDriver
@@ -43,6 +43,7 @@
 )
 from laurelstep.outbox.shared.ledger import ReplicatedLedger
 from laurelstep.outbox.shared.messages import IntentStatus, LeaseRequest, LeaseStatus, StatusUpdate
+from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EDGE_MOST, EdgeLog, WriteId
 from tests.fakes import ManualClock
 from tests.test_node import Blank
--- a/tests/test_outbox_message_seal.py
+++ b/tests/test_outbox_message_seal.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.errors import OutboxError
 from laurelstep.outbox.shared.message_seal import SEALED_MOST, MessageSeal, SealedLengthError, SealError
 from laurelstep.outbox.shared.messages import (
@@ -18,6 +18,7 @@
     ReplayQuery,
     StatusUpdate,
 )
+from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
 SECRET = b"of the edges and of the copies"
--- a/tests/test_outbox_replay_gate.py
+++ b/tests/test_outbox_replay_gate.py
@@ -25,7 +25,7 @@
     RequestClass,
     Settings,
 )
-from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.shared.entries import (
     EdgeLost,
     Intent,
@@ -56,6 +56,7 @@
     LATER_US,
     ReplayGate,
 )
+from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from tests.fakes import Answers, ManualClock, PlayedUpstream, Sent, entry
 from tests.sockets import overrule
--- a/tests/test_outbox_replicated_version_vector.py
+++ b/tests/test_outbox_replicated_version_vector.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.shared.entries import EdgeLost, LogLease, StatusRecord, WriteApplied
 from laurelstep.outbox.shared.ledger import ReplicatedLedger
 from laurelstep.outbox.shared.replicated_version_vector import (
@@ -18,6 +18,7 @@
     TURN_US,
     ReplicatedVersionVector,
 )
+from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from tests.fakes import ManualClock
 from tests.test_outbox_replay_gate import Agreed
--- a/tests/test_outbox_schedules.py
+++ b/tests/test_outbox_schedules.py
@@ -13,7 +13,8 @@
 
 import pytest
 
-from laurelstep.outbox.dependencies import CausalityTokens, Dependencies, Dependency, WriteStatus
+from laurelstep.outbox.causality_tokens import CausalityTokens
+from laurelstep.outbox.dependencies import Dependencies, Dependency
 from laurelstep.outbox.dependency_tracker import NUMBERS
 from laurelstep.outbox.errors import FullError, StepError, UnknownWriteError, VerdictError
 from laurelstep.outbox.outbox import Outbox, OutboxBounds, QueuedClass, ReplayResult, Transition, WriteOffer
@@ -29,6 +30,7 @@
     decode_write,
     encode,
 )
+from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from laurelstep.outbox.write_table import BUSY, CLOSED, DURABLE, ORPHAN
 from tests.once import once
--- a/tests/test_outbox_shared_daemon.py
+++ b/tests/test_outbox_shared_daemon.py
@@ -16,7 +16,8 @@
 import pytest
 
 from laurelstep.outbox import version_vector
-from laurelstep.outbox.dependencies import CausalityTokens, Dependency, WriteStatus
+from laurelstep.outbox.causality_tokens import CausalityTokens
+from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.shared.message_seal import MessageSeal
 from laurelstep.outbox.shared.messages import (
     LeaseRequest,
@@ -26,6 +27,7 @@
     ReplayQuery,
     StatusUpdate,
 )
+from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from laurelstep.testing.messages import Message, read_message
 from laurelstep.testing.processes import Tier, until
--- a/tests/test_outbox_shared_schedules.py
+++ b/tests/test_outbox_shared_schedules.py
@@ -23,7 +23,7 @@
 import msgspec
 import pytest
 
-from laurelstep.outbox.dependencies import Dependency, WriteStatus
+from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.shared import ledger as records
 from laurelstep.outbox.shared import ranges
 from laurelstep.outbox.shared.entries import (
@@ -46,6 +46,7 @@
     ReplayQuery,
     StatusUpdate,
 )
+from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
 STEPS = 160
