--- a/laurelstep/outbox/__init__.py
+++ b/laurelstep/outbox/__init__.py
@@ -1,10 +1,11 @@
 """Writes kept at an edge that is cut off, and replayed upstream in causal order, each once.
 
-Pure: `write_ids` (names of queued writes), `dependencies` (what a write follows, and the token that tells
-it), `records` (states and records), `write_table` and `dependency_graph` (what is open, what waits for what),
-`replay_queue` (order and pace), `cutoff` (when the edge is cut off), `receipts` (what is told),
-`version_vector` (what is known of other edges), and `dependency_tracker` and `outbox`, which join them;
-`messages` has what goes in and out. The others do I/O.
+Pure: names and dependencies (`write_ids`, `dependencies`, `causality_tokens`), states and records
+(`records`), what is open and what waits for what (`write_table`, `dependency_graph`,
+`dependency_tracker`), the steps of the outbox (`transitions`, `intake`, `replay_schedule`, `remote_logs`,
+`receipt_log`, `restore`, joined in `outbox`), order and pace (`replay_queue`, `expiry_queue`), and what
+others know (`version_vector`). With I/O: the records on the disk (`queue_store`, `bodies`) and the joint
+with the engine (`driver` and its parts).
 
 Nothing is imported here: a program without `[outbox]` pays nothing.
 """
--- a/laurelstep/outbox/intake.py
+++ b/laurelstep/outbox/intake.py
@@ -59,7 +59,8 @@
         return self._keep(offer, cls, named, key, now, wall)
 
     def join(self, dependencies: Dependencies, now: int, wall: int) -> WriteTicket:
-        """A name for a set that no token tells (causality_tokens.py, rule 1): kept as any write, without a body."""
+        """A name for a set that no token tells (causality_tokens.py, rule 1): kept as any write, without a
+        body."""
         return self._keep(WriteOffer("", b"", (), 0, b""), QueuedClass("", False), dependencies, 0, now, wall)
 
     def _keep(
