--- a/benchmarks/outbox_child.py
+++ b/benchmarks/outbox_child.py
@@ -121,7 +121,7 @@
         )
         ticket = driver.outbox.offer(offer, now, wall)
         assert ticket.write is not None
-        await driver.store.keep(ticket.write, BODY)
+        await driver.store.put_write(ticket.write, BODY)
         driver.outbox.on_stored(ticket.write_id, now)
 
     for at in range(first, first + count, TOGETHER):
--- a/laurelstep/outbox/admission.py
+++ b/laurelstep/outbox/admission.py
@@ -170,12 +170,12 @@
         write_id, told = write.write_id, None
         certain = kept = True
         try:
-            keeping = self.store.keep(write, call.body)
+            keeping = self.store.put_write(write, call.body)
             await asyncio.sleep(0)  # what follows is done while the disk works
             told = self._kept(write_id)
             await keeping
             if not any(one.open for one in self.storing[write_id]):
-                kept = not await self.store.forget(write_id, write.size)
+                kept = not await self.store.delete_write(write_id, write.size)
         except StoreError as error:
             self.log(f"outbox: not kept: {error}")
             kept, certain = False, isinstance(error, FailedToKeepError) and error.certain
--- a/laurelstep/outbox/bodies.py
+++ b/laurelstep/outbox/bodies.py
@@ -242,9 +242,9 @@
                 write = msgspec.structs.replace(write, size=body.came, digest=body.digest)
                 driver.outbox.on_size_known(write_id, body.came)
                 await driver.store.put_head(write, body.first)
-                kept = any(one.open for one in driver.storing[write_id]) or not await driver.store.forget(
-                    write_id, body.came
-                )
+                kept = any(
+                    one.open for one in driver.storing[write_id]
+                ) or not await driver.store.delete_write(write_id, body.came)
             elif not body.fits:
                 driver.log(f"outbox: not kept: a body of more than {self.most} bytes")
         except StoreError as error:
@@ -267,7 +267,7 @@
 
     async def _clear(self, write_id: WriteId, size: int) -> None:
         """Its parts. On a disk that fails, once that writes again; at the latest as the store is opened."""
-        while not await self.driver.store.forget(write_id, size) and not self.driver.closing:
+        while not await self.driver.store.delete_write(write_id, size) and not self.driver.closing:
             await asyncio.sleep(AGAIN_S)
 
     async def _compare(
--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -125,7 +125,7 @@
                 self.parked[write.write_id] = moved.parking
         self._restore_shared(loaded)
         for change in changes:
-            await self.store.move(change.moved)
+            await self.store.put_state(change.moved)
             self._apply(change)
         if loaded.writes:
             self.log(f"outbox: {len(loaded.writes)} writes of earlier lives, {len(self.parked)} parked")
@@ -184,7 +184,7 @@
     async def receipt(self, write_id: WriteId) -> WriteReceipt:
         """With the final answer, where there is one. `UnknownWriteError`, `StoreError`."""
         receipt = self.outbox.receipt(write_id)
-        if receipt.state in FINAL and (moved := await self.store.moved(write_id)) is not None:
+        if receipt.state in FINAL and (moved := await self.store.state_change(write_id)) is not None:
             receipt = replace(receipt, status=moved.status, headers=moved.headers, body=moved.body)
         return receipt
 
--- a/laurelstep/outbox/queue_store.py
+++ b/laurelstep/outbox/queue_store.py
@@ -198,7 +198,7 @@
 
     # --- Writing ----------------------------------------------------------------------
 
-    def keep(self, write: QueuedWrite, body: bytes) -> Coroutine[Any, Any, None]:
+    def put_write(self, write: QueuedWrite, body: bytes) -> Coroutine[Any, Any, None]:
         """Begun by the call itself. `FailedToKeepError`, with nothing of it left where that is certain."""
         record = encode(write)
         first = len(record).to_bytes(4, "big") + record + body[:CHUNK]
@@ -242,7 +242,7 @@
 
     async def put_head(self, write: QueuedWrite, first: bytes) -> None:
         """The head, with the first part of the body, of a write whose other parts are durable: it is kept.
-        `FailedToKeepError`; its parts are for the caller to `forget`."""
+        `FailedToKeepError`; its parts are for the caller to `delete_write`."""
         record = encode(write)
         try:
             await self.store.put(
@@ -251,7 +251,7 @@
         except StoreError as error:
             raise FailedToKeepError(str(error), self.store.failed is None) from None
 
-    async def forget(self, write_id: WriteId, size: int) -> bool:
+    async def delete_write(self, write_id: WriteId, size: int) -> bool:
         """All of a write. False if that can't be written. Its state is deleted after its record: a record
         without a state, if only one batch of two is durable, would be sent again."""
         moved = key_of(MOVED, write_id)
@@ -265,7 +265,7 @@
         finally:
             self._forgetting.discard(write_id)
 
-    async def move(self, moved: StateChange) -> None:
+    async def put_state(self, moved: StateChange) -> None:
         """Its state from now on. `StoreError` if it is not written."""
         await self.store.put(key_of(MOVED, moved.write_id), encode(moved))
         if moved.state in FINAL:
@@ -353,7 +353,7 @@
             raise StoreError(f"a part of the body of {write_id} is missing")
         return part
 
-    async def moved(self, write_id: WriteId) -> StateChange | None:
+    async def state_change(self, write_id: WriteId) -> StateChange | None:
         """The newest record of its state, with the answer; None if there is none. `StoreError`,
         `KeptRecordError`."""
         value = await self.store.get(key_of(MOVED, write_id))
--- a/laurelstep/outbox/replay_driver.py
+++ b/laurelstep/outbox/replay_driver.py
@@ -130,13 +130,13 @@
         except StoreError:
             return
         for write_id in write_ids:
-            if await self.store.forget(write_id, 0):
+            if await self.store.delete_write(write_id, 0):
                 self.outbox.forget(write_id)
 
     async def take_step(self, change: Transition) -> None:
         """Make a transition durable, then do what it announces."""
         try:
-            await self.store.move(change.moved)
+            await self.store.put_state(change.moved)
         except StoreError as error:
             self.log(f"outbox: {change.write_id}: not written: {error}")
             self.outbox.undo(change, self.now())
@@ -238,7 +238,7 @@
         )
         while True:
             try:
-                await self.store.move(change.moved)
+                await self.store.put_state(change.moved)
                 break
             except StoreError as error:
                 self.log(f"outbox: {write_id}: its end is not written: {error}")
--- a/laurelstep/testing/contracts/outbox.py
+++ b/laurelstep/testing/contracts/outbox.py
@@ -28,15 +28,15 @@
     """What the outbox's driver asks of it."""
 
     async def load(self) -> LoadedWrites: ...
-    async def keep(self, write: QueuedWrite, body: bytes) -> None: ...
+    async def put_write(self, write: QueuedWrite, body: bytes) -> None: ...
     async def put_parts(self, write_id: WriteId, at: int, parts: Sequence[bytes]) -> None: ...
     async def put_head(self, write: QueuedWrite, first: bytes) -> None: ...
-    async def move(self, moved: StateChange) -> None: ...
+    async def put_state(self, moved: StateChange) -> None: ...
     async def read(self, write_id: WriteId) -> tuple[QueuedWrite, bytes] | None: ...
     async def head(self, write_id: WriteId) -> tuple[QueuedWrite, bytes] | None: ...
     async def part(self, write_id: WriteId, at: int) -> bytes: ...
-    async def moved(self, write_id: WriteId) -> StateChange | None: ...
-    async def forget(self, write_id: WriteId, size: int) -> bool: ...
+    async def state_change(self, write_id: WriteId) -> StateChange | None: ...
+    async def delete_write(self, write_id: WriteId, size: int) -> bool: ...
     async def put_logs(self, lines: Mapping[EdgeLog, int]) -> None: ...
 
 
@@ -128,7 +128,7 @@
             async with self.lives() as lives:
                 assert (await lives.store.load()).writes == []
                 for number, size in enumerate(SIZES, start=1):
-                    await lives.store.keep(*made(number, size))
+                    await lives.store.put_write(*made(number, size))
                 for restart in (lives.restart, lives.crash):
                     await restart()
                     found = await lives.store.load()
@@ -146,8 +146,8 @@
             for crash in CRASHES:
                 async with self.lives() as lives:
                     await lives.store.load()
-                    await lives.store.keep(*made(1, 10))
-                    keeping = asyncio.create_task(lives.store.keep(*made(2, 200_000)))
+                    await lives.store.put_write(*made(1, 10))
+                    keeping = asyncio.create_task(lives.store.put_write(*made(2, 200_000)))
                     await turns(crash)
                     told = keeping.done() and keeping.exception() is None
                     await lives.crash()
@@ -165,17 +165,17 @@
             async with self.lives() as lives:
                 await lives.store.load()
                 for number in (1, 2):
-                    await lives.store.keep(*made(number, 100_000))
+                    await lives.store.put_write(*made(number, 100_000))
                 out = StateChange(dot_of(1), WriteState.OUT)
                 done = StateChange(dot_of(1), WriteState.DONE, status=200, body=b"ok")
-                await lives.store.move(out)
-                await lives.store.move(StateChange(dot_of(2), WriteState.OUT))
-                await lives.store.move(done)
+                await lives.store.put_state(out)
+                await lives.store.put_state(StateChange(dot_of(2), WriteState.OUT))
+                await lives.store.put_state(done)
                 for restart in (lives.restart, lives.crash):
                     await restart()
                     found = {one.write_id.number: moved for one, moved in (await lives.store.load()).writes}
                     assert found == {1: replace(done, body=b""), 2: StateChange(dot_of(2), WriteState.OUT)}
-                    assert await lives.store.moved(dot_of(1)) == done
+                    assert await lives.store.state_change(dot_of(1)) == done
                     assert await lives.store.read(dot_of(2)) == made(2, 100_000)
 
         self.run(main())
@@ -184,15 +184,15 @@
         async def main() -> None:
             async with self.lives() as lives:
                 await lives.store.load()
-                await lives.store.keep(*made(1, 200_000))
-                await lives.store.move(StateChange(dot_of(1), WriteState.PARKED))
+                await lives.store.put_write(*made(1, 200_000))
+                await lives.store.put_state(StateChange(dot_of(1), WriteState.PARKED))
                 await lives.store.put_logs({LINE: 9})
-                assert await lives.store.forget(dot_of(1), 200_000)
+                assert await lives.store.delete_write(dot_of(1), 200_000)
                 assert await lives.store.read(dot_of(1)) is None
                 await lives.restart()
                 found = await lives.store.load()
                 assert found.writes == [] and found.edge_logs == {LINE: 9}
-                assert await lives.store.moved(dot_of(1)) is None
+                assert await lives.store.state_change(dot_of(1)) is None
 
         self.run(main())
 
@@ -200,12 +200,12 @@
         async def main() -> None:
             async with self.lives() as lives:
                 await lives.store.load()
-                await lives.store.keep(*made(1, 100_000))
+                await lives.store.put_write(*made(1, 100_000))
                 lives.break_()
                 with raises(StoreError, "a write on a disk that fails"):
-                    await lives.store.keep(*made(2, 200_000))
+                    await lives.store.put_write(*made(2, 200_000))
                 with raises(StoreError, "a state on a disk that fails"):
-                    await lives.store.move(StateChange(dot_of(1), WriteState.OUT))
+                    await lives.store.put_state(StateChange(dot_of(1), WriteState.OUT))
                 assert await lives.store.read(dot_of(1)) == made(1, 100_000)
                 assert await lives.store.read(dot_of(2)) is None
                 await lives.restart()
@@ -246,7 +246,7 @@
                 with raises(StoreError, "a part of a write that was never kept"):
                     await lives.store.part(write.write_id, 1)
                 await lives.store.put_parts(write.write_id, 1, parts_of(body)[1:3])
-                assert await lives.store.forget(write.write_id, len(body))
+                assert await lives.store.delete_write(write.write_id, len(body))
                 with raises(StoreError, "a part that was forgotten"):
                     await lives.store.part(write.write_id, 1)
 
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -832,7 +832,7 @@
             store = await QueueStore.open(SimulatedDisk(), 64 << 20)
             await store.load()
             write, body = made(1, 300_000)
-            await store.keep(write, body)
+            await store.put_write(write, body)
             read: list[int] = []
             part = store.part
 
@@ -928,7 +928,7 @@
             await one.done("large")
             assert uploads == {1: (False, 0), 2: (False, WHOLE_MOST), 3: (True, 0)}
             for number in (2, 3):
-                moved = await one.driver.store.moved(
+                moved = await one.driver.store.state_change(
                     WriteId("studio-1", one.driver.store.incarnation, number)
                 )
                 assert moved is not None and moved.state is WriteState.DONE and moved.status == 200
--- a/tests/test_outbox_driver.py
+++ b/tests/test_outbox_driver.py
@@ -27,18 +27,18 @@
         driver.now = lambda: now  # type: ignore[method-assign]
         ticket = driver.outbox.offer(WriteOffer("put", b"POST /put", (), 0, b"", b"key"), now, 1)
         assert ticket.write is not None
-        await driver.store.keep(ticket.write, b"")
+        await driver.store.put_write(ticket.write, b"")
         driver.outbox.on_stored(ticket.write_id, now)
         (change,) = driver.outbox.due(now)
         assert change.event is WriteEvent.SEND
-        move = driver.store.move
+        move = driver.store.put_state
 
         async def slow(moved: StateChange) -> None:
             nonlocal now
             await move(moved)
             now += 61 * SECOND
 
-        driver.store.move = slow  # type: ignore[method-assign]
+        driver.store.put_state = slow  # type: ignore[method-assign]
         await driver.take_step(change)  # there is no engine: to send would fail
         for change in driver.outbox.due(now):
             await driver.take_step(change)
--- a/tests/test_outbox_store.py
+++ b/tests/test_outbox_store.py
@@ -142,7 +142,7 @@
         await store.load()
         written = [made(1, 40), made(2, 0)]
         for one in written:
-            await store.keep(*one)
+            await store.put_write(*one)
         await store.close()
         name = max(disk.files(), key=lambda one: disk.files()[one])
         data = disk.read(name)
@@ -179,7 +179,7 @@
         assert isinstance(disk, SimulatedDisk)
         disk.fail("write", NO_SPACE)
         with pytest.raises(FailedToKeepError) as caught:
-            await store.keep(*made(1, 3 << 20))
+            await store.put_write(*made(1, 3 << 20))
         assert not caught.value.certain, "a later life might find what was begun"
         assert await store.read(made(1, 0)[0].write_id) is None
         await store.close()
@@ -211,8 +211,8 @@
         disk = SimulatedDisk()
         store = await QueueStore.open(disk, MOST)
         await store.load()
-        await store.keep(*made(1, 100_000))
-        await store.move(StateChange(made(1, 0)[0].write_id, WriteState.DONE))
+        await store.put_write(*made(1, 100_000))
+        await store.put_state(StateChange(made(1, 0)[0].write_id, WriteState.DONE))
         await store.close()  # before its body went
         monkeypatch.setattr("laurelstep.outbox.queue_store.END_S", 0.0)
         again = await QueueStore.open(disk, MOST)
@@ -246,8 +246,8 @@
 
         monkeypatch.setattr(store.store, "some", fail_once)
         for number in (1, 2):
-            await store.keep(*made(number, 100_000))
-            await store.move(StateChange(made(number, 0)[0].write_id, WriteState.DONE))
+            await store.put_write(*made(number, 100_000))
+            await store.put_state(StateChange(made(number, 0)[0].write_id, WriteState.DONE))
         while store._ending is not None:
             await asyncio.sleep(0)
         await store.close()
@@ -266,11 +266,11 @@
         store = await QueueStore.open(disk, MOST)
         await store.load()
         write, body = made(1, 1_000)
-        await store.keep(write, body)
-        await store.move(StateChange(write.write_id, WriteState.DONE))
+        await store.put_write(write, body)
+        await store.put_state(StateChange(write.write_id, WriteState.DONE))
         for _ in range(turns):
             await asyncio.sleep(0)
-        assert await store.forget(write.write_id, 0)
+        assert await store.delete_write(write.write_id, 0)
         if store._ending is not None:
             await store._ending
         await store.close()
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -466,20 +466,20 @@
             await store.load()
             kept = [made(1, 100), made(2, 200_000)]
             for one in kept:
-                await store.keep(*one)
-            await store.move(StateChange(kept[0][0].write_id, WriteState.OUT))
+                await store.put_write(*one)
+            await store.put_state(StateChange(kept[0][0].write_id, WriteState.OUT))
             disk.break_down(error, *operations)
             for n in (3, 4):
                 with pytest.raises(FailedToKeepError):
-                    await store.keep(*made(n, 200_000))
+                    await store.put_write(*made(n, 200_000))
                 with pytest.raises(StoreError):
-                    await store.move(StateChange(kept[0][0].write_id, WriteState.DONE))
-                assert not await store.forget(kept[1][0].write_id, kept[1][0].size)
+                    await store.put_state(StateChange(kept[0][0].write_id, WriteState.DONE))
+                assert not await store.delete_write(kept[1][0].write_id, kept[1][0].size)
                 times.seconds += BACKOFF_MOST_S / 3
             during = disk.kill()
             disk.mend()
             times.seconds += BACKOFF_MOST_S
-            await store.keep(*made(5, 70_000))
+            await store.put_write(*made(5, 70_000))
             kept.append(made(5, 70_000))
             for one in kept:
                 assert await store.read(one[0].write_id) == one
@@ -506,14 +506,14 @@
         async with kept_store(disk) as store:
             await store.load()
             for n in range(1, 4):
-                await store.keep(*made(n, 30 * n))
+                await store.put_write(*made(n, 30 * n))
                 disk.mark("kept", made(n, 0)[0].write_id)
             for n in (1, 2):
                 for state in (WriteState.OUT, WriteState.DONE):
-                    await store.move(StateChange(made(n, 0)[0].write_id, state))
+                    await store.put_state(StateChange(made(n, 0)[0].write_id, state))
                     disk.mark(state.name, made(n, 0)[0].write_id)
             disk.mark("forgetting", made(1, 0)[0].write_id)
-            assert await store.forget(made(1, 0)[0].write_id, 0)
+            assert await store.delete_write(made(1, 0)[0].write_id, 0)
             disk.mark("forgotten", made(1, 0)[0].write_id)
         seen = 0
         for before, broken in cuts(disk.journal):
@@ -545,11 +545,11 @@
         async with kept_store(disk) as store:
             await store.load()
             write, body = made(1, 10)
-            await store.keep(write, body)
-            await store.move(StateChange(write.write_id, WriteState.DONE))
+            await store.put_write(write, body)
+            await store.put_state(StateChange(write.write_id, WriteState.DONE))
             store.store.options = replace(store.store.options, batch_records=1)  # each change by itself
             begun = len(disk.journal)
-            assert await store.forget(write.write_id, 0)
+            assert await store.delete_write(write.write_id, 0)
             calls = disk.journal
         for end in range(begun, len(calls)):
             async with kept_store(SimulatedDisk.replay(calls[:end]).lose_power(all_=True)) as store:
