--- a/tests/test_outbox_shared_daemon.py
+++ b/tests/test_outbox_shared_daemon.py
@@ -15,7 +15,6 @@
 
 import pytest
 
-from laurelstep.outbox import version_vector
 from laurelstep.outbox.causality_tokens import CausalityTokens
 from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.shared.message_seal import MessageSeal
@@ -44,12 +43,6 @@
 TEST_S = 90.0  # for a test that hangs; nothing is measured by it
 
 
-# What becomes of its own writes a copy's outbox tells through a version vector that can be told.
-TELLS = pytest.mark.skipif(
-    not hasattr(version_vector, "Teller"), reason="the outbox tells its frontier nothing"
-)
-
-
 def play(test: Coroutine[Any, Any, None]) -> None:
     async def limited() -> None:
         async with asyncio.timeout(TEST_S):
@@ -261,7 +254,6 @@
     play(main())
 
 
-@TELLS
 def test_a_customer_that_comes_straight_upstream_waits_for_what_its_token_names(tmp_path: Path) -> None:
     """Kept by the copy that it came to, sent once what it follows is in; and others know of it by then."""
 
@@ -287,7 +279,6 @@
     play(main())
 
 
-@TELLS
 def test_a_copy_that_comes_again_sends_and_tells_what_it_had_kept(tmp_path: Path) -> None:
     """Its former life's line is claimed for that."""
 
