--- a/benchmarks/outbox_child.py
+++ b/benchmarks/outbox_child.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from benchmarks.outbox import CHAINS, Edge, resident_kb
-from laurelstep.outbox.terms import Offer
+from laurelstep.outbox.messages import WriteOffer
 
 SERVICE_S, TIGHT_S = 0.002, 0.02
 WARM, ASKED = 2_000, 10_000
@@ -113,16 +113,16 @@
 async def fill(edge: Edge, first: int, count: int) -> None:
     """As the driver keeps them, without requests: so many would take too long."""
     driver = edge.driver
-    now, wall = driver._now(), time.time_ns() // 1000
+    now, wall = driver.now(), time.time_ns() // 1000
 
     async def one(number: int) -> None:
-        offer = Offer(
+        offer = WriteOffer(
             "put", b"POST /put", HEADERS, len(BODY), b"d" * 16, b"f%d" % number, b"s%d" % (number % TOGETHER)
         )
         ticket = driver.outbox.offer(offer, now, wall)
         assert ticket.write is not None
-        await driver.store.keep(ticket.write, BODY)
-        driver.outbox.stored(ticket.dot, now)
+        await driver.store.put_write(ticket.write, BODY)
+        driver.outbox.on_stored(ticket.write_id, now)
 
     for at in range(first, first + count, TOGETHER):
         await asyncio.gather(*(one(number) for number in range(at, min(at + TOGETHER, first + count))))
--- a/laurelstep/outbox/cutoff.py
+++ b/laurelstep/outbox/cutoff.py
@@ -14,7 +14,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["CutOff", "CutOffRule"]
+__all__ = ["CutOffDetector", "CutOffRule"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
     answers: int = 3
 
 
-class CutOff:
+class CutOffDetector:
     """The evidence so far. `off`: the edge is cut off."""
 
     def __init__(self, rule: CutOffRule, listed: int, now: int) -> None:
@@ -40,7 +40,7 @@
         # While cut off: answers in a row, and when the first was.
         self._answers = 0
         self._answered_at = 0
-        self.off = False
+        self.is_cut_off = False
 
     def listed(self, count: int, now: int) -> None:
         """How many endpoints the list has now."""
@@ -50,8 +50,9 @@
         self.tick(now)
 
     def answered(self, now: int) -> None:
+        """An attempt had a response, at `now` in µs."""
         self._failed.clear()
-        if not self.off:
+        if not self.is_cut_off:
             return
         if not self._answers:
             self._answered_at = now
@@ -59,6 +60,7 @@
         self.tick(now)
 
     def failed(self, endpoint: int, now: int) -> None:
+        """An attempt at this endpoint had no response, at `now` in µs."""
         if not self._failed:
             self._failed_at = now
         if len(self._failed) < self._rule.fewest:
@@ -67,18 +69,18 @@
             return
         self._answers = 0
         if now - self._failed_at >= self._rule.cut_us:
-            self.off = True
+            self.is_cut_off = True
 
     def tick(self, now: int) -> bool:
         """Time has passed; `off` after it."""
         rule = self._rule
-        if not self.off:
+        if not self.is_cut_off:
             if not self._listed and now - self._empty_at >= rule.cut_us:
-                self.off, self._answers = True, 0
+                self.is_cut_off, self._answers = True, 0
         elif self._listed and self._answers >= rule.answers and now - self._answered_at >= rule.back_us:
-            self.off = False
+            self.is_cut_off = False
             self._failed.clear()
-        return self.off
+        return self.is_cut_off
 
     def _dark(self) -> bool:
         """As many as must have failed since the last answer."""
--- a/laurelstep/outbox/rows.py
+++ b/laurelstep/outbox/write_table.py
@@ -1,10 +1,10 @@
 """What is known of each open write, in columns: an object for each would be five times as large. Pure.
 
 1. A row has the number of its node in the graph.
-2. `Places` is a hash table with open addressing and linear probing (Knuth, TAOCP 3, 6.4, algorithms L and R):
-   12 or 16 bytes a place, at most three quarters of them used, and in growth no fewer than three fifths. It
-   grows part by part, so that no call takes long.
-3. `Numbers` is for names given out one by one: 4 bytes a name, and a page for each 64 neighbours.
+2. `IntegerMap` is a hash table with open addressing and linear probing (Knuth, TAOCP 3, 6.4, algorithms L
+   and R): 12 or 16 bytes a place, at most three quarters of them used, and in growth no fewer than three
+   fifths. It grows part by part, so that no call takes long.
+3. `PagedIntegerMap` is for names given out one by one: 4 bytes a name, and a page for each 64 neighbours.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from hashlib import blake2b
 from typing import Final
 
-from laurelstep.outbox.journal import Reason, State
+from laurelstep.outbox.records import ParkingReason, WriteState
 
 __all__ = [
     "BARRIER",
@@ -24,13 +24,13 @@
     "JOIN",
     "ORPHAN",
     "SENT",
-    "Numbers",
-    "Places",
-    "Rows",
-    "short",
+    "IntegerMap",
+    "PagedIntegerMap",
+    "WriteTable",
+    "short_hash",
 ]
 
-FOREIGN: Final = 1  # a write of another line
+FOREIGN: Final = 1  # a write of another log
 BARRIER: Final = 2
 JOIN: Final = 4
 DURABLE: Final = 8
@@ -40,8 +40,8 @@
 CLOSED: Final = 128  # final, but its followers still wait for its causes
 
 # As enums look them up, at a tenth of the time.
-_STATES: Final = {int(state): state for state in State}
-_REASONS: Final = {int(reason): reason for reason in Reason}
+_STATES: Final = {int(state): state for state in WriteState}
+_REASONS: Final = {int(reason): reason for reason in ParkingReason}
 _EMPTY: Final = 0
 _SMALLEST: Final = 8
 PARTS: Final = 61  # prime: the names need not be spread
@@ -51,7 +51,7 @@
 _WORD: Final = (1 << 64) - 1
 
 
-def short(*parts: bytes) -> int:
+def short_hash(*parts: bytes) -> int:
     """63 bits that stand for a name, never 0; 0 if the last part is empty. Two names that share them are
     taken for one: a write then follows one more than it must; a key's owner is compared with the record."""
     if not parts[-1]:
@@ -60,8 +60,8 @@
     return int.from_bytes(digest, "little") >> 1 or 1
 
 
-class _Part:
-    """One of the tables that a `Places` is made of."""
+class _MapPart:
+    """One of the tables that a `IntegerMap` is made of."""
 
     def __init__(self, kind: str) -> None:
         self._used = 0
@@ -81,10 +81,12 @@
         return at
 
     def get(self, key: int, default: int = -1) -> int:
+        """The value of a key, or `default`."""
         at = self._place(key)
         return self._values[at] if self._keys[at] == key != _EMPTY else default
 
     def put(self, key: int, value: int) -> None:
+        """Set the value of a key."""
         at = self._place(key)
         if self._keys[at] == _EMPTY:
             self._used += 1
@@ -93,6 +95,7 @@
             self._resize(len(self._keys) * 5 // 4)
 
     def drop(self, key: int) -> None:
+        """Forget a key, if it is there."""
         at = self._place(key)
         if self._keys[at] != key:
             return
@@ -120,33 +123,36 @@
                 self._keys[at], self._values[at] = key, value
 
 
-class Places:
+class IntegerMap:
     """From positive integers to integers; with `wide`, to those of 64 bits. No place has 0."""
 
     def __init__(self, wide: bool = False) -> None:
         self._kind = "q" if wide else "i"
-        self._parts: dict[int, _Part] = {}
+        self._parts: dict[int, _MapPart] = {}
 
     def __len__(self) -> int:
         return sum(map(len, self._parts.values()))
 
     def get(self, key: int, default: int = -1) -> int:
+        """The value of a key, or `default`."""
         part = self._parts.get(key % PARTS)
         return default if part is None else part.get(key, default)
 
     def put(self, key: int, value: int) -> None:
+        """Set the value of a key."""
         part = self._parts.get(key % PARTS)
         if part is None:
-            part = self._parts[key % PARTS] = _Part(self._kind)
+            part = self._parts[key % PARTS] = _MapPart(self._kind)
         part.put(key, value)
 
     def drop(self, key: int) -> None:
+        """Forget a key, if it is there."""
         part = self._parts.get(key % PARTS)
         if part is not None:
             part.drop(key)
 
 
-class Numbers:
+class PagedIntegerMap:
     """From integers that are given out one by one to integers that are not negative."""
 
     def __init__(self) -> None:
@@ -159,6 +165,7 @@
         return -1 if page is None else page[name & PAGE_MASK]
 
     def put(self, name: int, value: int) -> None:
+        """Set the value of a key."""
         page = self._pages.get(name >> PAGE_BITS)
         if page is None:
             page = self._pages[name >> PAGE_BITS] = array("i", [-1]) * (PAGE_MASK + 2)
@@ -178,8 +185,8 @@
             del self._pages[name >> PAGE_BITS]
 
 
-class Rows:
-    """The columns. `since`: when its age and window began; `line`: its place in the outbox's list."""
+class WriteTable:
+    """The columns. `since`: when its age and window began; `edge_log`: its place in the outbox's list."""
 
     def __init__(self) -> None:
         self.state = array("b")
@@ -187,7 +194,7 @@
         self.reason = array("b")
         self.parking = array("H")
         self.cls = array("h")
-        self.line = array("h")
+        self.edge_log = array("h")
         self.tenant = array("i")
         self.size = array("I")
         self.number = array("q")
@@ -205,7 +212,7 @@
             self.reason,
             self.parking,
             self.cls,
-            self.line,
+            self.edge_log,
             self.tenant,
             self.size,
             self.number,
@@ -220,16 +227,20 @@
         else:
             for column in columns:
                 column[row] = 0
-        self.state[row], self.flags[row] = State.KEPT, flags
+        self.state[row], self.flags[row] = WriteState.KEPT, flags
 
     def has(self, row: int, flag: int) -> bool:
+        """Whether a row has one of these flags."""
         return bool(self.flags[row] & flag)
 
     def set(self, row: int, flag: int, on: bool = True) -> None:
+        """Set or clear flags of a row."""
         self.flags[row] = self.flags[row] | flag if on else self.flags[row] & ~flag
 
-    def state_of(self, row: int) -> State:
+    def state_of(self, row: int) -> WriteState:
+        """The state of a row."""
         return _STATES[self.state[row]]
 
-    def reason_of(self, row: int) -> Reason:
+    def reason_of(self, row: int) -> ParkingReason:
+        """Why a row is parked."""
         return _REASONS[self.reason[row]]
--- a/laurelstep/settings/operator/document.py
+++ b/laurelstep/settings/operator/document.py
@@ -12,7 +12,14 @@
 
 from laurelstep.consensus.options import LinkKind
 from laurelstep.maintenance.settings import StartAlone
-from laurelstep.outbox.options import How, Lost, Upstream, class_problem, shared_problem, store_problem
+from laurelstep.outbox.options import (
+    How,
+    OrphanPolicy,
+    Upstream,
+    class_problem,
+    shared_problem,
+    store_problem,
+)
 from laurelstep.request_journal.settings import JournalSettings
 from laurelstep.settings.config import Config, ConfigError, Join, config_from
 from laurelstep.settings.operator.accord import AccordTable, Seats
@@ -33,7 +40,7 @@
     "seats": tuple(map(str, get_args(Seats))),
     "start_alone": get_args(StartAlone),
     "keep": get_args(How),
-    "lost": get_args(Lost),
+    "lost": get_args(OrphanPolicy),
     "upstream": get_args(Upstream),
 }
 
--- a/laurelstep/subsystems/consensus.py
+++ b/laurelstep/subsystems/consensus.py
@@ -93,12 +93,12 @@
     from laurelstep.consensus.state_machines import CompositeStateMachine
     from laurelstep.engine.clock import LoopClock
     from laurelstep.maintenance.assembly import passive_state_machines
-    from laurelstep.outbox.shared.carried import Carried
+    from laurelstep.outbox.shared.carried_ledger import CarriedLedger
     from laurelstep.outbox.shared.entries import KIND as QUEUED_WRITES
 
     check_store_folder(settings.store_path)
     clock = LoopClock(context.loop)
-    passive = Carried()  # of the outbox, where that is off
+    passive = CarriedLedger()  # of the outbox, where that is off
     state_machines = {
         **(passive_state_machines() if maintenance is None else maintenance),
         **(passive.machines if outbox is None else outbox),
--- a/laurelstep/subsystems/outbox.py
+++ b/laurelstep/subsystems/outbox.py
@@ -17,13 +17,13 @@
     from laurelstep.management.calls import Reply
     from laurelstep.net.server import Server
     from laurelstep.outbox.driver import OutboxDriver
-    from laurelstep.outbox.shared.assembly import Shared
+    from laurelstep.outbox.shared.assembly import SharedOutbox
 
 
 class OutboxSubsystem(Subsystem):
     """The driver of queued writes; `shared` where this copy takes part in what copies share of them."""
 
-    def __init__(self, driver: OutboxDriver, shared: Shared | None) -> None:
+    def __init__(self, driver: OutboxDriver, shared: SharedOutbox | None) -> None:
         self.driver = driver
         self.shared = shared
         self.holds_bodies = False  # a recorder behind the gate does: they are bounded by its own limit
@@ -38,17 +38,17 @@
         shared = None
         if settings.shared:
             try:
-                from laurelstep.outbox.shared.assembly import Shared
+                from laurelstep.outbox.shared.assembly import SharedOutbox
             except ImportError as error:
                 raise _missing(context, "outbox.shared", error) from None
-            shared = Shared(context.loop, context.config, log)
+            shared = SharedOutbox(context.loop, context.config, log)
         try:
             from laurelstep.outbox.driver import open_driver
         except ImportError as error:
             raise _missing(context, "outbox", error) from None
-        frontier = None if shared is None else shared.frontier
+        version_vector = None if shared is None else shared.version_vector
         driver = await open_driver(
-            settings, names.classes, names.tenants, log, context.error_prefix, frontier
+            settings, names.classes, names.tenants, log, context.error_prefix, version_vector
         )
         return cls(driver, shared)
 
@@ -85,9 +85,9 @@
 
     def reply(self, method: bytes, target: bytes) -> Reply | None:
         """To an operator who asks about queued writes, or resolves one."""
-        from laurelstep.outbox.calls import Claimer, reply_about
+        from laurelstep.outbox.api import LogClaimApi, reply_about
 
-        claimer = self.shared or (self.driver if isinstance(self.driver, Claimer) else None)
+        claimer = self.shared or (self.driver if isinstance(self.driver, LogClaimApi) else None)
         return reply_about(method, target, desk=self.driver, shared=self.shared, claimer=claimer)
 
 
