--- a/laurelstep/outbox/graph.py
+++ b/laurelstep/outbox/dependency_graph.py
@@ -1,6 +1,6 @@
 """What waits for what. Pure.
 
-1. A node is a kept write, or a write of another line that one of ours follows, or a barrier: all writes of
+1. A node is a queued write, or a write of another log that one of ours follows, or a barrier: all writes of
    one line up to a number.
 2. An arrow goes from a cause to its follower, which was kept later. So no circle can come about.
 3. A node is free when no arrow comes in. When a node is over, its arrows go.
@@ -14,12 +14,12 @@
 from array import array
 from typing import Final
 
-__all__ = ["Graph"]
+__all__ = ["DependencyGraph"]
 
 NONE: Final = -1
 
 
-class Graph:
+class DependencyGraph:
     """See the rules. Nodes are small integers."""
 
     def __init__(self) -> None:
@@ -42,6 +42,7 @@
 
     @property
     def arrows(self) -> int:
+        """How many arrows there are."""
         return len(self._source) - len(self._free_arrows)
 
     def add(self) -> int:
@@ -57,7 +58,7 @@
         self._in.append(NONE)
         return len(self._waits) - 1
 
-    def link(self, cause: int, follower: int) -> None:
+    def link(self, dependency: int, follower: int) -> None:
         """The follower waits for the cause, which does not follow it."""
         if self._free_arrows:
             arrow = self._free_arrows.pop()
@@ -65,30 +66,32 @@
             arrow = len(self._source)
             for column in (self._source, self._target, self._next_out, self._next_in, self._prev_in):
                 column.append(NONE)
-        self._source[arrow], self._target[arrow] = cause, follower
-        self._next_out[arrow], self._out[cause] = self._out[cause], arrow
+        self._source[arrow], self._target[arrow] = dependency, follower
+        self._next_out[arrow], self._out[dependency] = self._out[dependency], arrow
         first = self._in[follower]
         if first != NONE:
             self._prev_in[first] = arrow
         self._next_in[arrow], self._prev_in[arrow], self._in[follower] = first, NONE, arrow
         self._waits[follower] += 1
-        if self.sticks(cause):
-            stuck = self.sticks(follower)
+        if self.is_blocked(dependency):
+            stuck = self.is_blocked(follower)
             self._stuck[follower] += 1
             if not stuck:
                 self._spread(follower, 1)
 
     def free(self, node: int) -> bool:
+        """Nothing comes in: it waits for none."""
         return self._waits[node] == 0
 
-    def sticks(self, node: int) -> bool:
+    def is_blocked(self, node: int) -> bool:
+        """It is halted, or depends on one that is."""
         return self._halted[node] != 0 or self._stuck[node] > 0
 
     def behind(self, node: int) -> bool:
         """One that it follows sticks."""
         return self._stuck[node] > 0
 
-    def causes(self, node: int) -> list[int]:
+    def dependencies(self, node: int) -> list[int]:
         """Those that it waits for, without those behind them."""
         found, arrow = [], self._in[node]
         while arrow != NONE:
@@ -106,20 +109,22 @@
 
     def holder(self, node: int) -> int:
         """A halted one that this node follows, if it is behind one; else one that it waits for, or NONE."""
-        causes = self.causes(node)
+        dependencies = self.dependencies(node)
         while self._stuck[node]:
-            node = next(cause for cause in self.causes(node) if self.sticks(cause))
+            node = next(dependency for dependency in self.dependencies(node) if self.is_blocked(dependency))
             if self._halted[node]:
                 return node
-        return causes[0] if causes else NONE
+        return dependencies[0] if dependencies else NONE
 
     def halt(self, node: int) -> None:
-        stuck = self.sticks(node)
+        """It blocks all that depend on it."""
+        stuck = self.is_blocked(node)
         self._halted[node] = 1
         if not stuck:
             self._spread(node, 1)
 
     def resume(self, node: int) -> None:
+        """It blocks none any more, unless what it depends on does."""
         if not self._halted[node]:
             return
         self._halted[node] = 0
@@ -132,9 +137,9 @@
         while work:
             for follower in self.followers(work.pop()):
                 self.touched += 1
-                before = self.sticks(follower)
+                before = self.is_blocked(follower)
                 self._stuck[follower] += step
-                if self.sticks(follower) != before:
+                if self.is_blocked(follower) != before:
                     work.append(follower)
 
     def over(self, node: int) -> list[int]:
--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -10,129 +10,69 @@
    out, and a life that follows finds that it may have run.
 4. A replay is a request of its own to the engine, with its class's rules and its own deadline.
 5. A live write that follows what is kept is kept too, or refused: it never overtakes.
-6. Where upstream is copies of this program, `shared.asking` adds what goes between them. A kept write of
+6. Where upstream is copies of this program, `shared.asking` adds what goes between them. A queued write of
    another edge that comes here as at a copy upstream is not kept again: its edge keeps it.
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Coroutine, Mapping
-from dataclasses import dataclass, field, replace
+from collections.abc import Mapping
+from dataclasses import replace
 from random import Random
-from typing import TYPE_CHECKING, Any, Final
+from typing import Any, Final
 
 import msgspec
 
-from laurelstep.balancing.events import ERROR, FULL, NO_CONNECT, OK, RESET, TIMEOUT
 from laurelstep.engine.call import Answer, Call, Ending
-from laurelstep.engine.clock import LoopClock
 from laurelstep.engine.engine import Engine
-from laurelstep.engine.ports import Log, Recorded
-from laurelstep.net.message import lines as lines_of
-from laurelstep.net.request import hint, key_of
-from laurelstep.outbox.aside import Aside
-from laurelstep.outbox.bodies import Bodies
-from laurelstep.outbox.causes import Causes, Fate, Frontier, Tokens
-from laurelstep.outbox.cutoff import CutOff, CutOffRule
-from laurelstep.outbox.dots import Dot, Line, read_dot
+from laurelstep.engine.ports import Log
+from laurelstep.outbox.admission import JSON, WriteAdmission
+from laurelstep.outbox.bodies import BodySpool
+from laurelstep.outbox.causality_tokens import CausalityTokens
+from laurelstep.outbox.dependencies import Dependencies
 from laurelstep.outbox.errors import (
     CauseError,
-    FullError,
-    KeepError,
     OutboxError,
     TokenError,
     UnknownWriteError,
 )
-from laurelstep.outbox.frontier import Alone, Teller
-from laurelstep.outbox.journal import FINAL, Event, KeptWrite, State, Verdict
 from laurelstep.outbox.memory import keep_blocks_apart
 from laurelstep.outbox.options import OutboxSettings
-from laurelstep.outbox.outbox import Bounds, Change, End, KeptClass, Offer, Outbox, Ticket
-from laurelstep.outbox.receipts import Receipt, show
-from laurelstep.outbox.store import FailedToKeepError, KeptStore, Loaded
-from laurelstep.request_journal.records import key_conflict_answer, may_have_run_answer
+from laurelstep.outbox.outbox import (
+    Outbox,
+    OutboxBounds,
+    QueuedClass,
+)
+from laurelstep.outbox.queue_store import LoadedWrites, QueueStore
+from laurelstep.outbox.receipts import WriteReceipt, show
+from laurelstep.outbox.records import FINAL, Resolution, WriteState
+from laurelstep.outbox.version_vector import LocalVersionVector, VersionVector, WriteStatus
+from laurelstep.outbox.write_ids import EdgeLog, WriteId, parse_write_id
 from laurelstep.settings.config import ConfigError
 from laurelstep.store import StoreError
 
-if TYPE_CHECKING:
-    from laurelstep.outbox.shared.asking import EdgeSharing
-
-JSON: Final = (b"content-type", b"application/json")
-RECEIPTS: Final = b"/outbox/receipts/"
-# How an attempt ended where there is a way to its endpoint, and where none is known.
-ANSWERED: Final = frozenset((OK, ERROR, FULL))
-UNANSWERED: Final = frozenset((TIMEOUT, NO_CONNECT, RESET))
-# Of an answer that is told with its receipt, bytes.
-ANSWER_MOST: Final = 64 * 1024
-TURN_US: Final = 1_000_000
-# An end that could not be written is tried again after this.
-AGAIN_S: Final = 1.0
 # What is out as the process ends is waited for so long.
 LAST_S: Final = 5.0
-# Where the name of another edge's kept write is among a call's causes.
-SEALED: Final = 3
-UNPARKED: Final = (Event.NEVER_RAN, Event.CLAIMED)
 # Parked writes that an operator sees at once.
 SHOWN_MOST: Final = 100
 
 
-@dataclass(eq=False)
-class Replay:
-    """A kept write on its way upstream: the front of its call."""
-
-    driver: OutboxDriver
-    dot: Dot
-    never_ran: bool = False
-    over: asyncio.Future[Answer] = field(default_factory=lambda: asyncio.get_running_loop().create_future())
-
-    def answered(self, call: Call, answer: Answer) -> None:
-        if not self.over.done():
-            self.over.set_result(answer)
-
-
-class OutboxDriver:
+class OutboxDriver(WriteAdmission):
     """The engine's `WriteQueue`. Made by `open`, then `begin` with the engine; `close` at the end."""
 
     def __init__(
         self,
-        store: KeptStore,
+        store: QueueStore,
         outbox: Outbox,
-        tokens: Tokens,
+        tokens: CausalityTokens,
         settings: OutboxSettings,
         classes: Mapping[str, int],
         tenants: Mapping[str, int],
         log: Log,
     ) -> None:
-        self.loop = asyncio.get_running_loop()
-        self.clock = LoopClock(self.loop)
-        self.store = store
-        self.outbox = outbox
-        self.tokens = tokens
-        self.settings = settings
-        self.classes = {classes[name]: name for name in settings.classes}
-        self.numbers = {name: classes[name] for name in settings.classes}
-        self.tenants = dict(tenants)
-        self.tenant_names = {number: name for name, number in tenants.items()}
-        self.log = log
-        rule = CutOffRule(cut_us=settings.cut_us, back_us=settings.back_us)
-        self.cutoff = CutOff(rule, 0, self._now())
-        self.engine: Engine | None = None
-        self.bodies = Bodies(self)
-        self.storing: dict[Dot, list[Call]] = {}  # requests that wait for a write to be durable
-        self.out: dict[Dot, Replay] = {}
-        self.aside = Aside()
-        self.again: set[Dot] = set()  # sent before, without a known end
-        self.parked: dict[Dot, int] = {}  # the number of the parking
-        self.sharing: EdgeSharing | None = None  # where upstream is copies of this program
-        self.teller = outbox.frontier if isinstance(outbox.frontier, Teller) else None
-        self.untold: list[tuple[Dot, Fate]] = []  # over, and the frontier had no room for it
-        self.by_gate: set[Dot] = set()  # done by an answer: upstream knows, and need not be told
-        self.tasks: set[asyncio.Task[None]] = set()
-        self.turning: asyncio.Handle | None = None
-        self.closing = False
-        self.was_off = False
-        self.look_at = 0
+        super().__init__(store, outbox, tokens, settings, classes, tenants, log)
+        self.bodies = BodySpool(self)
 
     @classmethod
     async def open(
@@ -141,36 +81,23 @@
         classes: Mapping[str, int],
         tenants: Mapping[str, int],
         log: Log,
-        frontier: Frontier | None = None,
+        version_vector: VersionVector | None = None,
     ) -> OutboxDriver:
         """With all that earlier lives kept. `StoreError` or `OutboxError` if that can't be read, OSError
-        or ValueError if the secret can't be. `frontier`: that of a copy upstream which shares."""
+        or ValueError if the secret can't be. `version_vector`: that of a copy upstream which shares."""
         keep_blocks_apart()
-        store = await KeptStore.open(settings.store_path, settings.max_bytes, log)
+        store = await QueueStore.open(settings.store_path, settings.max_bytes, log)
         try:
             secret = await store.secret() if not settings.secret_file else _read_secret(settings.secret_file)
-            tokens = Tokens(secret)
-            bounds = Bounds(
-                bytes_most=settings.max_bytes,
-                count_most=settings.most,
-                tenant_share=settings.share,
-                age_us=settings.age_us,
-                receipt_us=settings.receipt_us,
-                replay_most=settings.replay_most,
-                send_us=settings.send_us,
-                orphans=settings.lost,
-            )
-            kept = {
-                name: KeptClass(name, one.how == "keyed", one.window_us)
-                for name, one in settings.classes.items()
-            }
-            line = Line(settings.edge, store.incarnation)
-            asks = settings.upstream == "copies" and frontier is None
+            tokens = CausalityTokens(secret)
+            edge_log = EdgeLog(settings.edge, store.incarnation)
+            asks = settings.upstream == "copies" and version_vector is None
             if asks:
-                from laurelstep.outbox.shared.edge import RemoteFrontier
+                from laurelstep.outbox.shared.edge import RemoteVersionVector
 
-                frontier = RemoteFrontier(line, Random())
-            outbox = Outbox(line, kept, bounds, tokens, frontier or Alone(settings.edge))
+                version_vector = RemoteVersionVector(edge_log, Random())
+            version_vector = version_vector or LocalVersionVector(settings.edge)
+            outbox = Outbox(edge_log, _classes_of(settings), _bounds_of(settings), tokens, version_vector)
             self = cls(store, outbox, tokens, settings, classes, tenants, log)
             if asks:
                 from laurelstep.outbox.shared.asking import EdgeSharing
@@ -186,47 +113,36 @@
         loaded = await self.store.load()
         changes = self.outbox.restore(
             loaded.writes,
-            loaded.lines,
-            self._now(),
+            loaded.edge_logs,
+            self.now(),
             self.wall(),
             is_elapsed_known=self.store.is_elapsed_known,
             doubt_us=self.store.opening_doubt_us,
         )
-        await self.store.put_lines(self.outbox.lines())
+        await self.store.put_logs(self.outbox.edge_logs())
         for write, moved in loaded.writes:
-            if moved is not None and moved.state is State.PARKED:
-                self.parked[write.dot] = moved.parking
+            if moved is not None and moved.state is WriteState.PARKED:
+                self.parked[write.write_id] = moved.parking
         self._restore_shared(loaded)
         for change in changes:
-            await self.store.move(change.moved)
+            await self.store.put_state(change.moved)
             self._apply(change)
         if loaded.writes:
             self.log(f"outbox: {len(loaded.writes)} writes of earlier lives, {len(self.parked)} parked")
 
-    def _restore_shared(self, loaded: Loaded) -> None:
+    def _restore_shared(self, loaded: LoadedWrites) -> None:
         if self.sharing is not None:
             self.sharing.restored(loaded)
-        if self.teller is not None:
-            for dot in self.parked:
-                self.teller.tell(dot, Fate.PARKED)
+        if self.status_publisher is not None:
+            for write_id in self.parked:
+                self.status_publisher.publish(write_id, WriteStatus.PARKED)
 
     def begin(self, engine: Engine) -> None:
+        """Take part in the engine's requests, and replay."""
         self.engine = engine
         engine.write_queue = self
-        self._look()
-        self._wake()
-
-    def _now(self) -> int:
-        return self.clock.now()
-
-    def wall(self) -> int:
-        """The store's time in µs, as `Outbox` takes it."""
-        return self.store.time_us()
-
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = self.loop.create_task(work)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+        self._check_endpoints()
+        self.wake()
 
     async def close(self) -> None:
         """What is being written is finished first; what is out gets a moment for its answer."""
@@ -244,386 +160,14 @@
         if self.tasks:
             await asyncio.wait(set(self.tasks))
         try:
-            await self.store.put_lines(self.outbox.lines())
+            await self.store.put_logs(self.outbox.edge_logs())
         except StoreError as error:
             self.log(f"outbox: not written at the end: {error}")
         await self.store.close()
 
-    # --- The engine's step ------------------------------------------------------------
-
-    def on_attempt_ended(self, endpoint: int, outcome: int) -> None:
-        if outcome in ANSWERED:
-            self.cutoff.answered(self._now())
-        elif outcome in UNANSWERED:
-            self.cutoff.failed(endpoint, self._now())
-        if self.cutoff.off != self.was_off:
-            self._turned()
-
-    def _turned(self) -> None:
-        self.was_off = self.cutoff.off
-        self.log("outbox: cut off: writes are kept" if self.was_off else "outbox: back: writes go upstream")
-        if self.sharing is not None and not self.was_off:
-            self.sharing.remote.back(self._now())
-        self._wake()
-
-    def _look(self) -> None:
-        """What the list says, and the time. Looks at all endpoints: once in a while is enough."""
-        assert self.engine is not None
-        now = self._now()
-        if now < self.look_at:
-            return
-        self.look_at = now + TURN_US // 2
-        places = self.engine.members.places.values()
-        self.cutoff.listed(sum(1 for place in places if place.withdrawn_at is None), now)
-        if self.cutoff.off != self.was_off:
-            self._turned()
-
-    def must_queue(self, call: Call) -> bool:
-        if self._passes(call):
-            return False
-        self.aside.live = True
-        if call.cls not in self.classes or self.closing:
-            return False
-        return self.cutoff.off or self._follows(call)
-
-    def _passes(self, call: Call) -> bool:
-        """It is no client's: a replay, an ask, or a replay of another edge."""
-        if call.fate is not None or isinstance(call.front, Replay):
-            return True
-        return self.settings.shared and len(call.causes) > SEALED and bool(call.causes[SEALED])
-
-    def _follows(self, call: Call) -> bool:
-        """Whether it follows what is not known to be in. One whose token can't be read is kept, or
-        rather told so, by `enqueue`."""
-        named, tenant = _named(call), self.tenant_names.get(call.tenant, "") if call.tenant else ""
-        try:
-            if named and self.outbox.must_keep(named):
-                return True
-        except OutboxError:
-            return True
-        session, obj = _session(call), _object(call)
-        return bool(session or obj) and self.outbox.has_open(session, obj, tenant)
-
-    def enqueue(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
-        front = call.front
-        if isinstance(front, Replay):
-            front.never_ran = True  # asked only where it can't have run
-            return False
-        if self._passes(call):
-            return False
-        now = self._now()
-        if answer is not None and answer.ending is Ending.REFUSED:
-            self.outbox.live_refused(now)
-        if call.cls not in self.classes or self.closing or now >= call.expires:
-            return False
-        if self.bodies.size(call) > self.settings.body_bytes or not self.bodies.has_room(call):
-            return self._overtakes(call, answer, engine)
-        try:
-            ticket = self.outbox.offer(self._offer(call), now, self.wall())
-        except CauseError as error:
-            engine.settle(call, Answer(Ending.FAILED, 400, (), f"{error}\n".encode()))
-            return True
-        except FullError as error:
-            if answer is not None and answer.ending is Ending.REFUSED:
-                answer.retry_after_us = max(answer.retry_after_us, error.retry_us)
-            return self._overtakes(call, answer, engine, error.retry_us)
-        except KeepError:
-            return self._overtakes(call, answer, engine)
-        self._take(call, ticket, answer, engine)
-        return True
-
-    def _overtakes(
-        self, call: Call, answer: Answer | None, engine: Recorded, retry_us: int = TURN_US
-    ) -> bool:
-        """It can't be kept: what would go past its causes is refused, and so in hand."""
-        if answer is None and self._follows(call):
-            engine.settle(call, Answer(Ending.REFUSED, 503, retry_after_us=retry_us))
-            return True
-        return False
-
-    def _offer(self, call: Call) -> Offer:
-        headers = _headers(call.head)
-        return Offer(
-            cls=self.classes[call.cls],
-            start=call.start,
-            headers=headers,
-            size=self.bodies.size(call),
-            digest=b"" if call.upload is not None else self.bodies.digest(call),
-            key=dict(headers).get(b"idempotency-key", b""),
-            session=_session(call),
-            obj=_object(call),
-            tenant=self.tenant_names.get(call.tenant, "") if call.tenant else "",
-            named=_named(call),
-        )
-
-    def _take(self, call: Call, ticket: Ticket, answer: Answer | None, engine: Recorded) -> None:
-        dot = ticket.dot
-        if call.upload is not None:
-            self.bodies.take(call, call.upload, ticket, answer, engine)
-        elif ticket.write is not None:
-            self.storing[dot] = [call]
-            self._spawn(self._store(call, ticket.write, answer, engine))
-        else:
-            self._repeat(call, dot, engine)
-
-    def _repeat(self, call: Call, dot: Dot, engine: Recorded) -> None:
-        if dot in self.storing:
-            # Compared with the first try, once both are told.
-            self.storing[dot].append(call)
-        else:
-            self._spawn(self._known(call, dot, engine))
-
-    async def _known(self, call: Call, dot: Dot, engine: Recorded) -> None:
-        """A key that a write has already: the same request gets the same receipt."""
-        digest = self.bodies.digest(call)
-        try:
-            found = await self.store.head(dot)
-        except (StoreError, OutboxError) as error:
-            self.log(f"outbox: {dot}: can't be read: {error}")
-            found = None
-        if found is None:
-            engine.settle(call, may_have_run_answer())
-        elif found[0].digest != digest:
-            engine.settle(call, key_conflict_answer())
-        else:
-            engine.settle(call, self._kept(dot))
-
-    def on_call_closed(self, call: Call) -> None:
-        """Found by its being closed, once the store is through; of a body that is coming no more is taken."""
-        self.bodies.left(call)
-
-    async def _store(self, call: Call, write: KeptWrite, answer: Answer | None, engine: Recorded) -> None:
-        dot, told = write.dot, None
-        certain = kept = True
-        try:
-            keeping = self.store.keep(write, call.body)
-            await asyncio.sleep(0)  # what follows is done while the disk works
-            told = self._kept(dot)
-            await keeping
-            if not any(one.open for one in self.storing[dot]):
-                kept = not await self.store.forget(dot, write.size)
-        except StoreError as error:
-            self.log(f"outbox: not kept: {error}")
-            kept, certain = False, isinstance(error, FailedToKeepError) and error.certain
-        self._stored(write, kept, certain, answer, engine, told)
-
-    def _stored(
-        self,
-        write: KeptWrite,
-        kept: bool,
-        certain: bool,
-        answer: Answer | None,
-        engine: Recorded,
-        told: Answer | None = None,
-    ) -> None:
-        """All that wait for it are told; the first of them `told`, where that is worded already."""
-        dot = write.dot
-        waiting = self.storing.pop(dot)
-        if kept:
-            self.outbox.stored(dot, self._now())
-            if not self.cutoff.off:  # else nothing but the turn of each second goes out anyway
-                self._wake()
-        else:
-            self.outbox.unstored(dot, self._now())
-        for place, one in enumerate(waiting):
-            if kept and told is not None and place == 0:
-                engine.settle(one, told)
-                continue
-            digest = self.bodies.digest(one)
-            if not kept:
-                self._not_kept(one, answer, certain, engine)
-            elif digest != write.digest:
-                engine.settle(one, key_conflict_answer())
-            else:
-                engine.settle(one, self._kept(dot))
-
-    def _not_kept(self, call: Call, answer: Answer | None, certain: bool, engine: Recorded) -> None:
-        if not call.open:
-            return
-        if not certain and (answer is None or answer.ending is Ending.REFUSED):
-            engine.settle(call, may_have_run_answer())
-        elif answer is not None:
-            engine.settle(call, answer)
-        elif (refused := self.bodies.refused(call)) is not None:
-            engine.settle(call, refused)
-        elif not self._overtakes(call, None, engine):
-            engine.admit(call)
-
-    def _kept(self, dot: Dot) -> Answer:
-        token = self.tokens.receipt(dot).encode()
-        told = {"state": "kept", "write": str(dot), "receipt": token.decode()}
-        headers = (JSON, (b"location", RECEIPTS + token), (b"x-causal-token", token))
-        return Answer(Ending.SERVED, 202, headers, msgspec.json.encode(told) + b"\n")
-
-    # --- Replay -----------------------------------------------------------------------
-
-    def _wake(self) -> None:
-        if self.closing or self.engine is None:
-            return
-        if self.turning is not None:
-            self.turning.cancel()
-        self.turning = self.loop.call_soon(self._turn)
-
-    def _turn(self) -> None:
-        self.turning = self.loop.call_later(TURN_US / 1e6, self._turn)
-        if self.closing:
-            return
-        self._look()
-        for change in self.outbox.due(self._now()):
-            self._spawn(self._step(change))
-        self._tell_over()
-        followed = self.outbox.followed()
-        if self.sharing is not None:
-            self.sharing.remote.follow(followed)
-            self.sharing.turn()
-        if forgettable := self.outbox.forgettable(self._now(), self._telling):
-            self._spawn(self._forget(forgettable))
-
-    def _tell_over(self) -> None:
-        """What is over, to those who may wait for it: given up before all, since a number tells the rest."""
-        over, self.untold = self.untold + self.outbox.over(), []
-        teller = self.teller
-        if teller is None or not over:
-            self.by_gate.clear()  # what is over later is told once more than it need be
-            return
-        gone = [one for one in over if one[1] is Fate.GONE]
-        self.untold = [(dot, fate) for dot, fate in gone if teller.tell(dot, fate) is False]
-        if not self.untold:
-            for line in {dot.line for dot, _ in over}:
-                if number := self.outbox.low(line):
-                    teller.low(line, number)
-        for dot, fate in over:
-            if fate is Fate.GONE:
-                continue
-            if dot in self.by_gate:
-                self.by_gate.discard(dot)
-            elif teller.tell(dot, fate) is False:
-                self.untold.append((dot, fate))
-
-    def _telling(self, dot: Dot) -> bool:
-        """Others are still to hear that it was given up."""
-        return self.teller is not None and (
-            self.teller.telling(dot) or any(one == dot for one, _ in self.untold)
-        )
-
-    async def _forget(self, dots: list[Dot]) -> None:
-        """Numbers first: what is forgotten must not look as if it were still to come."""
-        try:
-            await self.store.put_lines(self.outbox.lines())
-        except StoreError:
-            return
-        for dot in dots:
-            if await self.store.forget(dot, 0):
-                self.outbox.forget(dot)
-
-    async def _step(self, change: Change) -> None:
-        try:
-            await self.store.move(change.moved)
-        except StoreError as error:
-            self.log(f"outbox: {change.dot}: not written: {error}")
-            self.outbox.undo(change, self._now())
-            return
-        goes = self._apply(change)
-        if change.event is Event.SEND and goes:
-            await self._send(change.dot)
-        elif change.event is Event.SEND:  # the disk took longer than its window
-            await self._end(change.dot, End.NOT_RUN, Answer(Ending.FAILED, 502))
-        self._wake()
-
-    def _apply(self, change: Change) -> bool:
-        """False as `Outbox.apply`."""
-        if self.sharing is not None:
-            self.sharing.before(change)
-        goes = self.outbox.apply(change, self._now())
-        state = change.moved.state
-        if self.teller is not None and (state is State.PARKED or change.event in UNPARKED):
-            self.teller.tell(change.dot, Fate.PARKED if state is State.PARKED else Fate.UNKNOWN)
-        if change.event is Event.FOUND_IN:
-            self.log(f"outbox: {change.dot}: upstream's record says that it is in: done")
-        if state is State.PARKED:
-            self.parked[change.dot] = change.moved.parking
-            self.log(f"outbox: {change.dot}: parked: {change.moved.reason.name.lower()}")
-        else:
-            self.parked.pop(change.dot, None)
-        if state in FINAL:
-            self.again.discard(change.dot)
-        if self.sharing is not None:
-            self.sharing.applied(change)
-        return goes
-
-    async def _send(self, dot: Dot) -> None:
-        """Upstream with it, and its end written down."""
-        replay = Replay(self, dot)
-        call = await self.bodies.call(dot, replay)
-        if call is None:
-            await self._end(dot, End.NOT_RUN, Answer(Ending.FAILED, 502))
-            return
-        self.out[dot] = replay
-        try:
-            async with self.aside:
-                assert self.engine is not None
-                self.engine.take(call)
-            answer = await replay.over
-        finally:
-            del self.out[dot]
-            if call.upload is not None:
-                call.upload.abandon()
-        if self.sharing is not None:
-            end = self.sharing.end_of(call, replay, answer)
-        elif answer.ending is Ending.SERVED:
-            end = End.ANSWERED
-        elif answer.ending is Ending.REFUSED or replay.never_ran:
-            end = End.NOT_RUN
-        else:
-            end = End.MAY_HAVE_RUN
-        await self._end(dot, end, answer)
-
-    def _call(self, write: KeptWrite, body: bytes, replay: Replay) -> Call:
-        assert self.engine is not None
-        cls = self.numbers[write.cls]
-        fields = dict(write.headers)
-        call = Call(
-            cls=cls,
-            expires=self.engine.now() + self.engine.settings.classes[cls].deadline_us,
-            start=write.start,
-            head=lines_of(write.headers),
-            body=body,
-            front=replay,
-            name=b"outbox " + str(write.dot).encode(),  # its client may come again under the name that it has
-            tenant=self.tenants.get(write.tenant, 0),
-            key=key_of(write.start.partition(b"?")[2]),
-            work_us=hint(fields.get(b"x-cost-hint", b"")),
-            repeated=write.dot in self.again,
-        )
-        if self.sharing is not None:
-            self.sharing.name(call, write)
-        return call
-
-    async def _end(self, dot: Dot, end: End, answer: Answer) -> None:
-        if end is End.MAY_HAVE_RUN:
-            self.again.add(dot)
-        status, headers, body = answer.status, tuple(answer.headers), answer.body
-        if end is not End.ANSWERED:
-            status, headers, body = 0, (), b""
-        change = self.outbox.ended(
-            dot, end, self._now(), self.wall(), status, headers, body if len(body) <= ANSWER_MOST else b""
-        )
-        while True:
-            try:
-                await self.store.move(change.moved)
-                break
-            except StoreError as error:
-                self.log(f"outbox: {dot}: its end is not written: {error}")
-                if self.closing:
-                    return
-                await asyncio.sleep(AGAIN_S)
-        self._apply(change)
-
-    # --- Asking -----------------------------------------------------------------------
-
     def ask(self, call: Call) -> None:
         """A client asks for a receipt: `call.start` is its token."""
-        self._spawn(self._tell(call))
+        self.spawn(self._tell(call))
 
     async def _tell(self, call: Call) -> None:
         try:
@@ -637,76 +181,73 @@
             answer = Answer(Ending.FAILED, 503, (), f"{error}\n".encode())
         call.front.answered(call, answer)
 
-    async def receipt(self, dot: Dot) -> Receipt:
+    async def receipt(self, write_id: WriteId) -> WriteReceipt:
         """With the final answer, where there is one. `UnknownWriteError`, `StoreError`."""
-        receipt = self.outbox.receipt(dot)
-        if receipt.state in FINAL and (moved := await self.store.moved(dot)) is not None:
+        receipt = self.outbox.receipt(write_id)
+        if receipt.state in FINAL and (moved := await self.store.state_change(write_id)) is not None:
             receipt = replace(receipt, status=moved.status, headers=moved.headers, body=moved.body)
         return receipt
 
-    def judge(self, text: str, parking: int, verdict: Verdict) -> bool:
+    def resolve(self, text: str, parking: int, resolution: Resolution) -> bool:
         """An operator's word on a parked write; False if it was given already. `OutboxError`."""
-        change = self.outbox.judge(read_dot(text), parking, verdict, self.wall())
+        change = self.outbox.resolve(parse_write_id(text), parking, resolution, self.wall())
         if change is None:
             return False
-        self._spawn(self._step(change))
+        self.spawn(self.take_step(change))
         return True
 
-    def claim(self, line: Line) -> bool:
-        """An operator's word: of the processes that have copies of this disk, this one replays that line.
+    def claim(self, edge_log: EdgeLog) -> bool:
+        """An operator's word: of the processes that have copies of this disk, this one replays that log.
         False if it does. `UnknownWriteError`."""
-        if self.sharing is None or line not in self.outbox.lines():
-            raise UnknownWriteError(f"no line {line.edge}/{line.incarnation:016x} that others could have")
-        return self.sharing.force(line)
+        if self.sharing is None or edge_log not in self.outbox.edge_logs():
+            raise UnknownWriteError(
+                f"no line {edge_log.edge}/{edge_log.incarnation:016x} that others could have"
+            )
+        return self.sharing.force(edge_log)
 
     def status(self) -> dict[str, Any]:
         """For an operator."""
         shown = list(self.parked)[:SHOWN_MOST]
         return {
             "edge": self.settings.edge,
-            "cut_off": self.cutoff.off,
+            "cut_off": self.cutoff.is_cut_off,
             "kept": self.outbox.count,
             "bytes": self.outbox.size,
-            "out": len(self.out),
+            "out": len(self.in_flight),
             "parked": len(self.parked),
             "disk_bytes": self.store.size,
-            "writes": [msgspec.json.decode(show(self.outbox.receipt(dot))) for dot in shown],
+            "writes": [msgspec.json.decode(show(self.outbox.receipt(write_id))) for write_id in shown],
         }
 
 
-def _read_secret(path: str) -> bytes:
-    with open(path, "rb") as file:
-        return file.read(4096).strip()
-
+def _bounds_of(settings: OutboxSettings) -> OutboxBounds:
+    return OutboxBounds(
+        bytes_most=settings.max_bytes,
+        count_most=settings.most,
+        tenant_share=settings.share,
+        age_us=settings.age_us,
+        receipt_us=settings.receipt_us,
+        replay_most=settings.replay_most,
+        send_us=settings.send_us,
+        orphans=settings.lost,
+    )
 
-def _headers(head: bytes) -> tuple[tuple[bytes, bytes], ...]:
-    """Of the lines that are passed on."""
-    found = []
-    for line in head.split(b"\r\n"):
-        name, colon, value = line.partition(b":")
-        if colon:
-            found.append((name.lower(), value.strip()))
-    return tuple(found)
 
+def _classes_of(settings: OutboxSettings) -> dict[str, QueuedClass]:
+    return {
+        name: QueuedClass(name, one.how == "keyed", one.window_us) for name, one in settings.classes.items()
+    }
 
-def _named(call: Call) -> str:
-    """Receipts and tokens alike: each is a token."""
-    return ",".join(part.decode("latin-1") for part in call.causes[:2] if part)
 
-
-def _session(call: Call) -> bytes:
-    return call.causes[2] if call.causes else b""
-
-
-def _object(call: Call) -> bytes:
-    query = call.start.partition(b"?")[2]
-    return next((part[4:] for part in query.split(b"&") if part.startswith(b"obj=")), b"")
+def _read_secret(path: str) -> bytes:
+    with open(path, "rb") as file:
+        return file.read(4096).strip()
 
 
-def _one(causes: Causes) -> Dot:
-    if len(causes) != 1 or causes[0].before:
+def _one(dependencies: Dependencies) -> WriteId:
+    if len(dependencies) != 1 or dependencies[0].before:
         raise TokenError("not the receipt of one write")
-    return causes[0].dot
+    return dependencies[0].write_id
 
 
 async def open_driver(
@@ -715,7 +256,7 @@
     tenants: Mapping[str, int],
     log: Log,
     file: str = "",
-    frontier: Frontier | None = None,
+    version_vector: VersionVector | None = None,
 ) -> OutboxDriver:
     """As `OutboxDriver.open`; `ConfigError` with the key, `file` before it, if that can't be."""
     if settings.secret_file:
@@ -725,7 +266,7 @@
             problem = f"{error.strerror}: expected a file that this user may read"
             raise ConfigError(f"{file}outbox.secret_file: {settings.secret_file}: {problem}") from None
     try:
-        return await OutboxDriver.open(settings, classes, tenants, log, frontier)
+        return await OutboxDriver.open(settings, classes, tenants, log, version_vector)
     except ValueError as error:
         if isinstance(error, OutboxError):
             raise ConfigError(f"{file}outbox.store_path: {settings.store_path}: {error}") from None
--- a/laurelstep/outbox/replay.py
+++ b/laurelstep/outbox/replay_queue.py
@@ -1,4 +1,4 @@
-"""In which order, and how fast, kept writes go out. Pure.
+"""In which order, and how fast, queued writes go out. Pure.
 
 1. A write has its turn once all that it follows is in, in the order in which that came about. Independent
    ones go side by side.
@@ -12,10 +12,10 @@
 
 from collections import deque
 
-__all__ = ["Pace", "Turns"]
+__all__ = ["ReplayPacer", "ReplayQueue"]
 
 
-class Pace:
+class ReplayPacer:
     """How many may be out."""
 
     def __init__(self, most: int, hold_us: int) -> None:
@@ -26,9 +26,11 @@
         self.out = 0
 
     def may_send(self, now: int) -> bool:
+        """Whether one more may go out, at `now` in µs."""
         return self.out < self.limit and now >= self._until
 
     def sent(self) -> None:
+        """One went out."""
         self.out += 1
 
     def unsent(self) -> None:
@@ -36,6 +38,7 @@
         self.out -= 1
 
     def answered(self) -> None:
+        """One that was out has its final answer."""
         self.out -= 1
         self.limit = min(self._most, self.limit + 1)
 
@@ -51,8 +54,8 @@
         self._until = now + self._hold
 
 
-class Turns:
-    """The rows that are ready, first come first, and those whose line another process may hold."""
+class ReplayQueue:
+    """The rows that are ready, first come first, and those whose log another process may hold."""
 
     def __init__(self) -> None:
         self._ready: deque[int] = deque()
@@ -62,6 +65,7 @@
         return len(self._ready)
 
     def add(self, row: int) -> None:
+        """A row is ready for the first time."""
         self._ready.append(row)
 
     def again(self, row: int) -> None:
@@ -73,9 +77,10 @@
         return self._ready.popleft()
 
     def set_aside(self, row: int) -> None:
+        """A row's log may be another process's: it waits until `bring_back`."""
         self._aside.append(row)
 
     def bring_back(self) -> None:
-        """Who holds which line may have changed."""
+        """Who holds which log may have changed."""
         self._ready.extend(self._aside)
         self._aside.clear()
--- a/laurelstep/outbox/shared/asking.py
+++ b/laurelstep/outbox/shared/asking.py
@@ -4,10 +4,10 @@
 
 1. An ask is a request of its own through the engine, of a class that is kept, with `ASK_US` at most. Its
    answer counts only if it was sealed as the answer to this very ask.
-2. A line of a former life is claimed only once the store has this life among those that its disk has known.
+2. A log of a former life is claimed only once the store has this life among those that its disk has known.
 3. An operator's "it never ran" is told upstream before the write is sent again, by the life that it was
-   given to, once the line is held. Of a disk that was copied, another may have sent it since: so a later
-   life does not tell one that was not heard, nor one whose line was another's; the write comes back as one
+   given to, once the log is held. Of a disk that was copied, another may have sent it since: so a later
+   life does not tell one that was not heard, nor one whose log was another's; the write comes back as one
    that may have run.
 4. A write that may have run is parked at once, so that a crash finds it so, and its fate is asked; where that
    is in, it is done.
@@ -17,24 +17,24 @@
 
 import asyncio
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Final
+from typing import Final
 
 from laurelstep.engine.call import Answer, Call, Ending, Handle
 from laurelstep.net.message import lines as lines_of
-from laurelstep.outbox.causes import Cause
-from laurelstep.outbox.dots import Dot, Line
+from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.errors import OutboxError
-from laurelstep.outbox.journal import Event, KeptWrite, State
-from laurelstep.outbox.shared.edge import News, RemoteFrontier, bounded
-from laurelstep.outbox.shared.seal import Seal
-from laurelstep.outbox.shared.terms import KEPT_HEADER, SHARED_PATH, Ask, Replayed
-from laurelstep.outbox.store import Loaded
-from laurelstep.outbox.terms import Change, End
+from laurelstep.outbox.messages import ReplayResult, Transition
+from laurelstep.outbox.ports import OutboxHost
+from laurelstep.outbox.queue_store import LoadedWrites
+from laurelstep.outbox.records import QueuedWrite, WriteEvent, WriteState
+from laurelstep.outbox.replay_front import ReplayFront
+from laurelstep.outbox.shared.edge import RemoteVersionVector
+from laurelstep.outbox.shared.message_seal import MessageSeal
+from laurelstep.outbox.shared.messages import KEPT_HEADER, SHARED_PATH, ReplayIdentity, ReplayQuery
+from laurelstep.outbox.shared.query_round import QueryOutcome, bounded
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from laurelstep.store import StoreError
 
-if TYPE_CHECKING:
-    from laurelstep.outbox.driver import OutboxDriver, Replay
-
 __all__ = ["EdgeSharing"]
 
 ASK_US: Final = 2_000_000
@@ -42,167 +42,171 @@
 
 
 @dataclass(eq=False)
-class Asking:
+class QueryFront:
     """The front of an ask's call."""
 
     over: asyncio.Future[Answer] = field(default_factory=lambda: asyncio.get_running_loop().create_future())
 
     def answered(self, call: Call, answer: Answer) -> None:
+        """The engine's final answer to the query."""
         if not self.over.done():
             self.over.set_result(answer)
 
 
 class EdgeSharing:
-    """Of one `OutboxDriver` whose upstream is copies of this program."""
+    """Of one `OutboxHost` whose upstream is copies of this program."""
 
-    def __init__(self, driver: OutboxDriver, secret: bytes) -> None:
-        assert isinstance(driver.outbox.frontier, RemoteFrontier)
+    def __init__(self, driver: OutboxHost, secret: bytes) -> None:
+        assert isinstance(driver.outbox.version_vector, RemoteVersionVector)
         self.driver = driver
         self.outbox = driver.outbox
-        self.remote = driver.outbox.frontier
-        self.seal = Seal(secret)
+        self.remote = driver.outbox.version_vector
+        self.seal = MessageSeal(secret)
         kept = driver.settings.classes
         # One whose attempts may be tried again, if there is any.
         self.cls = min(driver.classes, key=lambda cls: (kept[driver.classes[cls]].how != "keyed", cls))
-        self.holders: dict[Line, tuple[int, ...]] = {self.remote.line: (self.remote.life,)}
-        self.unnamed: dict[Line, bool] = {}  # lines to be claimed, with force or without
+        self.holders: dict[EdgeLog, tuple[int, ...]] = {self.remote.edge_log: (self.remote.life,)}
+        self.unnamed: dict[EdgeLog, bool] = {}  # logs to be claimed, with force or without
         self.naming = False
-        self.parked_at: dict[Dot, int] = {}  # those that are parked, since when
+        self.parked_at: dict[WriteId, int] = {}  # those that are parked, since when
         # "It never ran": of which parking, and from when on it may be told.
-        self.words: dict[Dot, tuple[int, int]] = {}
-        self.timers: dict[Dot, Handle] = {}
+        self.words: dict[WriteId, tuple[int, int]] = {}
+        self.timers: dict[WriteId, Handle] = {}
         self.asking: asyncio.Future[Answer] | None = None
         self.asked = 0
 
     # --- A life's beginning -----------------------------------------------------------
 
-    def restored(self, loaded: Loaded) -> None:
+    def restored(self, loaded: LoadedWrites) -> None:
         """Before anything else is done."""
         for write, moved in loaded.writes:
-            line = write.dot.line
-            if line not in self.holders:
-                self.holders[line] = loaded.holders.get(line, (line.incarnation,))
-                self.unnamed[line] = False
+            edge_log = write.write_id.edge_log
+            if edge_log not in self.holders:
+                self.holders[edge_log] = loaded.holders.get(edge_log, (edge_log.incarnation,))
+                self.unnamed[edge_log] = False
             if moved is None:
                 continue
-            if moved.state is State.DONE and moved.status:
-                self.driver.by_gate.add(write.dot)
-            elif moved.state is State.PARKED:
-                self.parked_at[write.dot] = self.driver.clock.now()
-                self._wonder(write.dot)
-
-    def _wonder(self, dot: Dot) -> None:
-        cause = Cause(*dot)
-        if self.outbox.wonders(cause):
-            self.remote.follow((cause,))
-
-    def force(self, line: Line) -> bool:
-        if self.remote.holds(line):
+            if moved.state is WriteState.DONE and moved.status:
+                self.driver.applied_by_gate.add(write.write_id)
+            elif moved.state is WriteState.PARKED:
+                self.parked_at[write.write_id] = self.driver.clock.now()
+                self._follow_own(write.write_id)
+
+    def _follow_own(self, write_id: WriteId) -> None:
+        dependency = Dependency(*write_id)
+        if self.outbox.needs_status(dependency):
+            self.remote.watch((dependency,))
+
+    def force(self, edge_log: EdgeLog) -> bool:
+        """An operator's word: this process has the log. False if it holds it already."""
+        if self.remote.holds(edge_log):
             return False
-        self.holders.setdefault(line, (line.incarnation,))
-        self.unnamed[line] = True
-        self._drop_words(line)
-        self.outbox.release_line(line)  # rule 3
-        self.driver._wake()
+        self.holders.setdefault(edge_log, (edge_log.incarnation,))
+        self.unnamed[edge_log] = True
+        self._drop_words(edge_log)
+        self.outbox.release_log(edge_log)  # rule 3
+        self.driver.wake()
         return True
 
     async def _name(self) -> None:
         """Rule 2."""
         life = self.remote.life
         try:
-            for line, force in list(self.unnamed.items()):
-                lives = self.holders[line]
+            for edge_log, force in list(self.unnamed.items()):
+                lives = self.holders[edge_log]
                 if life not in lives:
                     lives = tuple(bounded((*lives, life)))
-                    await self.driver.store.put_holders(line, lives)
-                    self.holders[line] = lives
-                del self.unnamed[line]
-                self.remote.claim(line, lives, force)
+                    await self.driver.store.put_holders(edge_log, lives)
+                    self.holders[edge_log] = lives
+                del self.unnamed[edge_log]
+                self.remote.claim(edge_log, lives, force)
         except StoreError as error:
             self.driver.log(f"outbox: a claim is not written: {error}")
             return  # at the next turn
         finally:
             self.naming = False
-        self.driver._wake()
+        self.driver.wake()
 
     # --- Steps ------------------------------------------------------------------------
 
-    def before(self, change: Change) -> None:
+    def before(self, change: Transition) -> None:
         """A change is durable, and not applied yet."""
-        if change.event is Event.NEVER_RAN and self.outbox.unsafe(change.dot):
-            self.outbox.withhold(change.dot)
-            self._take_back(change.dot, change.moved.judged)
-        elif change.event in (Event.ANSWERED, Event.FOUND_IN):
-            self.driver.by_gate.add(change.dot)
-
-    def applied(self, change: Change) -> None:
-        if change.moved.state is State.PARKED:
-            self.parked_at[change.dot] = self.driver.clock.now()
-            self._wonder(change.dot)
+        if change.event is WriteEvent.NEVER_RAN and self.outbox.is_unsafe(change.write_id):
+            self.outbox.withhold(change.write_id)
+            self._take_back(change.write_id, change.moved.resolved)
+        elif change.event in (WriteEvent.ANSWERED, WriteEvent.FOUND_IN):
+            self.driver.applied_by_gate.add(change.write_id)
+
+    def applied(self, change: Transition) -> None:
+        """A change was applied."""
+        if change.moved.state is WriteState.PARKED:
+            self.parked_at[change.write_id] = self.driver.clock.now()
+            self._follow_own(change.write_id)
         else:
-            self.parked_at.pop(change.dot, None)
+            self.parked_at.pop(change.write_id, None)
 
-    def _take_back(self, dot: Dot, parking: int) -> None:
+    def _take_back(self, write_id: WriteId, parking: int) -> None:
         """Told once the last try's time is over: one still on its way may run, and no record sees it. And
-        once the line is held."""
+        once the log is held."""
         now = self.driver.clock.now()
-        due = self.parked_at.get(dot, now) + self.driver.settings.send_us
-        self.words[dot] = parking, due
-        self.timers[dot] = self.driver.clock.at(due, self._tell_words)
+        due = self.parked_at.get(write_id, now) + self.driver.settings.send_us
+        self.words[write_id] = parking, due
+        self.timers[write_id] = self.driver.clock.at(due, self._tell_words)
 
     def _tell_words(self) -> None:
         now = self.driver.clock.now()
-        for dot, (parking, due) in list(self.words.items()):
-            if due <= now and self.remote.holds(dot.line):
-                self._drop_word(dot)
-                self.remote.unbegin(dot, parking)
-                self.driver._wake()
+        for write_id, (parking, due) in list(self.words.items()):
+            if due <= now and self.remote.holds(write_id.edge_log):
+                self._drop_word(write_id)
+                self.remote.withdraw_intent(write_id, parking)
+                self.driver.wake()
 
-    def _drop_words(self, line: Line) -> None:
+    def _drop_words(self, edge_log: EdgeLog) -> None:
         """Another process may have sent them since."""
-        for dot in [dot for dot in self.words if dot.line == line]:
-            self._drop_word(dot)
+        for write_id in [write_id for write_id in self.words if write_id.edge_log == edge_log]:
+            self._drop_word(write_id)
 
-    def _drop_word(self, dot: Dot) -> None:
-        del self.words[dot]
-        self.timers.pop(dot).cancel()
+    def _drop_word(self, write_id: WriteId) -> None:
+        del self.words[write_id]
+        self.timers.pop(write_id).cancel()
 
-    def name(self, call: Call, write: KeptWrite) -> None:
+    def name(self, call: Call, write: QueuedWrite) -> None:
         """Make it a replay to a copy upstream."""
-        sealed = self.seal.replayed(Replayed(write.dot, self.remote.life, not write.keyed))
+        sealed = self.seal.replayed(ReplayIdentity(write.write_id, self.remote.life, not write.keyed))
         call.head = lines_of((*write.headers, (KEPT_HEADER, sealed.encode())))
         call.fate = b""
 
-    def end_of(self, call: Call, replay: Replay, answer: Answer) -> End:
+    def end_of(self, call: Call, replay: ReplayFront, answer: Answer) -> ReplayResult:
+        """What a copy's answer to a replay means."""
         if answer.ending is Ending.SERVED:
-            return End.ANSWERED
-        line = replay.dot.line
-        fenced = call.fate == b"fenced" and self._lost(line)
+            return ReplayResult.ANSWERED
+        edge_log = replay.write_id.edge_log
+        fenced = call.fate == b"fenced" and self._lost(edge_log)
         if call.fate == b"begun":
-            return End.MAY_HAVE_RUN
+            return ReplayResult.MAY_HAVE_RUN
         if not self._not_run(call, replay, answer):
-            return End.MAY_HAVE_RUN
-        return End.FENCED if fenced else End.NOT_RUN
+            return ReplayResult.MAY_HAVE_RUN
+        return ReplayResult.FENCED if fenced else ReplayResult.NOT_RUN
 
-    def _not_run(self, call: Call, replay: Replay, answer: Answer) -> bool:
+    def _not_run(self, call: Call, replay: ReplayFront, answer: Answer) -> bool:
         """`fate` is of the last attempt. Of an unsafe write there was none before it that may have run."""
         if answer.ending is Ending.REFUSED or replay.never_ran:
             return True
         refused = call.fate in (b"fenced", b"refused")
-        return refused and (call.tried <= 1 or self.outbox.unsafe(replay.dot))
+        return refused and (call.tried <= 1 or self.outbox.is_unsafe(replay.write_id))
 
-    def _lost(self, line: Line) -> bool:
+    def _lost(self, edge_log: EdgeLog) -> bool:
         """A gate says that another life has it."""
-        if not self.remote.lost(line):
+        if not self.remote.on_fencing_reported(edge_log):
             return False
-        self._fence(line)
+        self._fence(edge_log)
         return True
 
-    def _fence(self, line: Line) -> None:
-        self._drop_words(line)
-        self.outbox.fence(line)
-        if line in self.holders:
-            name = f"{line.edge}/{line.incarnation:016x}"
+    def _fence(self, edge_log: EdgeLog) -> None:
+        self._drop_words(edge_log)
+        self.outbox.fence(edge_log)
+        if edge_log in self.holders:
+            name = f"{edge_log.edge}/{edge_log.incarnation:016x}"
             self.driver.log(
                 f"outbox: {name}: fenced: another process with a copy of this disk replays it; {REMEDY}"
             )
@@ -214,31 +218,32 @@
         driver = self.driver
         if driver.closing or driver.engine is None:
             return
-        if driver.cutoff.off:
+        if driver.cutoff.is_cut_off:
             if self.unnamed or self.remote.waits:
-                self._begin(self.remote.probe(driver._now()))
+                self._begin(self.remote.probe(driver.now()))
             return
         if self.unnamed and not self.naming:
             self.naming = True
-            driver._spawn(self._name())
-        self._begin(self.remote.next(driver._now(), self.outbox.wonders))
+            driver.spawn(self._name())
+        self._begin(self.remote.next(driver.now(), self.outbox.needs_status))
 
-    def _begin(self, ask: Ask | None) -> None:
+    def _begin(self, ask: ReplayQuery | None) -> None:
         if ask is not None:
-            self.driver._spawn(self._ask(ask))
+            self.driver.spawn(self._ask(ask))
 
     def close(self) -> None:
+        """Ask and tell nothing any more."""
         for handle in self.timers.values():
             handle.cancel()
         if self.asking is not None:
             self.asking.cancel()
 
-    async def _ask(self, ask: Ask) -> None:
+    async def _ask(self, ask: ReplayQuery) -> None:
         driver, sealed = self.driver, self.seal.ask(ask)
         answer = await self._answer(sealed)
         if driver.closing:
             return
-        now = driver._now()
+        now = driver.now()
         try:
             if answer.ending is not Ending.SERVED:
                 raise ValueError("no answer")
@@ -246,14 +251,14 @@
         except (OutboxError, ValueError) as error:
             if answer.ending is Ending.SERVED:
                 driver.log(f"outbox: upstream's answer can't be used: {error}")
-            self.remote.failed(now)
+            self.remote.on_query_failed(now)
             return
-        self._act(self.remote.answered(told, now))
+        self._act(self.remote.on_reply(told, now))
 
     async def _answer(self, sealed: str) -> Answer:
         engine = self.driver.engine
         assert engine is not None
-        asking = Asking()
+        asking = QueryFront()
         self.asked += 1
         name = b"outbox ask %x/%d" % (self.remote.life, self.asked)
         wait = min(ASK_US, engine.settings.classes[self.cls].deadline_us)
@@ -274,29 +279,29 @@
         finally:
             self.asking = None
 
-    def _act(self, news: News) -> None:
+    def _act(self, news: QueryOutcome) -> None:
         driver = self.driver
-        for line in news.fenced:
-            self._fence(line)
-        for line in news.held:
-            self.outbox.unfence(line)
+        for edge_log in news.fenced:
+            self._fence(edge_log)
+        for edge_log in news.held:
+            self.outbox.unfence(edge_log)
             # Whoever comes after on this disk comes after this life.
-            self.holders[line] = (line.incarnation, self.remote.life)
-            driver._spawn(self._held(line))
+            self.holders[edge_log] = (edge_log.incarnation, self.remote.life)
+            driver.spawn(self._held(edge_log))
         if news.held:
             self._tell_words()
-        for dot in news.unbegun:
-            self.outbox.release(dot)
-        for dot in news.own_in:
-            change = self.outbox.found_in(dot, driver.wall())
+        for write_id in news.withdrawn:
+            self.outbox.release(write_id)
+        for write_id in news.own_applied:
+            change = self.outbox.on_found_applied(write_id, driver.wall())
             if change is not None:
-                driver._spawn(driver._step(change))
+                driver.spawn(driver.take_step(change))
         if news.changed:
-            self.outbox.heard(driver._now())
-        driver._wake()
+            self.outbox.on_remote_change(driver.now())
+        driver.wake()
 
-    async def _held(self, line: Line) -> None:
+    async def _held(self, edge_log: EdgeLog) -> None:
         try:
-            await self.driver.store.put_holders(line, self.holders[line])
+            await self.driver.store.put_holders(edge_log, self.holders[edge_log])
         except StoreError as error:
             self.driver.log(f"outbox: a claim is not written: {error}")  # the longer list is as good
--- a/laurelstep/outbox/shared/edge.py
+++ b/laurelstep/outbox/shared/edge.py
@@ -1,16 +1,16 @@
 """What an edge has learned from upstream's copies, and what it asks and tells them next. Pure.
 
 1. Asked for are the fates of the foreign writes that the outbox waits for and of its own that may have run,
-   and claims of the lines of former lives. Told is what becomes of own writes that no gate saw: parked,
-   parked no more, given up, in by a verdict; and up to which number all of a line are over.
+   and claims of the logs of former lives. Told is what becomes of own writes that no gate saw: parked,
+   parked no more, given up, in by a resolution; and up to which number all of a log are over.
 2. One ask is out at a time. What is new goes at once; the rest in turns, `ROUND_MOST` asks of them, then a
    pause of 1 s, doubled up to 8 s while nothing changes, drawn between half and all of it. When the link
    is back, and when something has changed, the pause is the shortest again. While the edge is cut off nothing
    is asked but `probe`: where nothing is sent, as all waits for others or for claims, a link that is back is
    seen by nothing else.
-3. IN and GONE are final; PARKED may change. A line of a former life is held only once a claim is; one that is
-   fenced is not held again unless an operator claims it.
-4. That the lines' holders are durable before a claim is asked is for the driver: it calls `claim` after that.
+3. APPLIED and ABANDONED are final; PARKED may change. A log of a former life is held only once a claim is;
+   one that is fenced is not held again unless an operator claims it.
+4. That the logs' holders are durable before a claim is asked is for the driver: it calls `claim` after that.
 5. What was told is told again each `AGAIN_US`: the record may have been lost with all that kept it. "All up
    to a number are over" goes behind those given up, and where those were told before, only as they are told
    again: in a record that does not know them they would be taken for in.
@@ -21,270 +21,230 @@
 
 from __future__ import annotations
 
-from collections import OrderedDict
-from collections.abc import Callable, Iterable, Sequence
-from dataclasses import dataclass, field
+from collections.abc import Callable, Iterable
 from random import Random
-from typing import Final, Generic, TypeVar
+from typing import Final
+
+from laurelstep.outbox.dependencies import Dependency
+from laurelstep.outbox.shared.known_statuses import FINAL_STATUSES, KnownStatuses
+from laurelstep.outbox.shared.messages import (
+    QUERIED_MOST,
+    LeaseRequest,
+    LeaseStatus,
+    QueryReply,
+    ReplayQuery,
+    StatusUpdate,
+)
+from laurelstep.outbox.shared.query_round import ROUND_MOST, QueryBackoff, QueryOutcome, QueryRound, bounded
+from laurelstep.outbox.version_vector import WriteStatus
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
+
+__all__ = ["RemoteVersionVector"]
 
-from laurelstep.outbox.causes import Cause, Fate
-from laurelstep.outbox.dots import Dot, Line
-from laurelstep.outbox.shared.terms import ASKED_MOST, Answered, Ask, Claim, Claimed, Told
-
-__all__ = ["News", "RemoteFrontier", "bounded"]
-
-LEAST_US: Final = 1_000_000
-MOST_US: Final = 8_000_000
 AGAIN_US: Final = 60_000_000
-# Asks without a pause between them, if nothing in them is new.
-ROUND_MOST: Final = 16
-# Fates that are remembered, and statements of own writes.
-FATES_MOST: Final = 8_192
+# Statements of own writes that are remembered.
 SAID_MOST: Final = 4_096
-# Holders that one claim names: the first two, the line's own life and the last known to have held it, and the
-# last that asked.
-KNOWN_MOST: Final = 16
-
-FINAL_FATES: Final = (Fate.IN, Fate.GONE)
-
-_K = TypeVar("_K", Cause, Line)
-
-
-def bounded(lives: Sequence[int]) -> Sequence[int]:
-    return lives if len(lives) <= KNOWN_MOST else (*lives[:2], *lives[2 - KNOWN_MOST :])
-
-
-class Round(Generic[_K]):
-    """What is to be asked, each in its turn, what is new before all others."""
-
-    def __init__(self) -> None:
-        self.new: OrderedDict[_K, None] = OrderedDict()
-        self._old: OrderedDict[_K, None] = OrderedDict()
-
-    def __len__(self) -> int:
-        return len(self.new) + len(self._old)
-
-    def add(self, one: _K, urgent: bool = True) -> None:
-        if urgent:
-            self._old.pop(one, None)
-            self.new[one] = None
-        elif one not in self.new:
-            self._old[one] = None
-
-    def drop(self, one: _K) -> None:
-        self.new.pop(one, None)
-        self._old.pop(one, None)
-
-    def take(self, wanted: Callable[[_K], bool]) -> list[_K]:
-        """At most `ASKED_MOST`, each once; they stay, behind all others. What is not wanted goes."""
-        found: list[_K] = []
-        looked = min(len(self), 4 * ASKED_MOST)
-        while len(found) < ASKED_MOST and looked:
-            looked -= 1
-            one, _ = (self.new or self._old).popitem(last=False)
-            if wanted(one):
-                found.append(one)
-        for one in found:
-            self._old[one] = None
-        return found
-
-
-@dataclass
-class News:
-    """What an answer changed. `own_in`: own ones of which the record says that they are in."""
-
-    changed: bool = False  # something that `Outbox.heard` is to hear of
-    held: list[Line] = field(default_factory=list)
-    fenced: list[Line] = field(default_factory=list)
-    own_in: list[Dot] = field(default_factory=list)
-    unbegun: list[Dot] = field(default_factory=list)
-
-
-class RemoteFrontier:
-    """A `Frontier` behind which upstream's record stands. `line`: of this life, which needs no claim."""
-
-    def __init__(self, line: Line, random: Random) -> None:
-        self.line = line
-        self.life = line.incarnation
-        self._random = random
-        self._fates: OrderedDict[Cause, Fate] = OrderedDict()
-        self._held = {line}
-        self._fenced: set[Line] = set()
-        self._open_claims: dict[Line, Claim] = {}
-        self._claimed: dict[Line, Claim] = {}  # of those that are held: asked again by rule 5
-        self._said: dict[Cause, Told] = {}
-        self._low: dict[Line, int] = {}
-        self._told_low: dict[Line, int] = {}
-        self._ungiven: dict[Line, set[int]] = {}  # by line: given up, and not told yet
-        self._untold: set[Cause] = set()
-        self._asked: Round[Cause] = Round()
-        self._claims: Round[Line] = Round()
-        self._tells: Round[Cause] = Round()
-        self._out: Ask | None = None
+
+
+class RemoteVersionVector:
+    """A `VersionVector` behind which upstream's record stands. `edge_log`: of this life, which needs no
+    claim."""
+
+    def __init__(self, edge_log: EdgeLog, random: Random) -> None:
+        self.edge_log = edge_log
+        self.life = edge_log.incarnation
+        self._statuses = KnownStatuses()
+        self._held = {edge_log}
+        self._fenced: set[EdgeLog] = set()
+        self._open_claims: dict[EdgeLog, LeaseRequest] = {}
+        self._claimed: dict[EdgeLog, LeaseRequest] = {}  # of those that are held: asked again by rule 5
+        self._said: dict[Dependency, StatusUpdate] = {}
+        self._low: dict[EdgeLog, int] = {}
+        self._told_low: dict[EdgeLog, int] = {}
+        self._ungiven: dict[EdgeLog, set[int]] = {}  # by log: given up, and not told yet
+        self._untold: set[Dependency] = set()
+        self._asked: QueryRound[Dependency] = QueryRound()
+        self._claims: QueryRound[EdgeLog] = QueryRound()
+        self._tells: QueryRound[Dependency] = QueryRound()
+        self._out: ReplayQuery | None = None
         self._left = 0  # asks of this round that are still to come
-        self._pause = LEAST_US
-        self._next_at = 0
+        self._backoff = QueryBackoff(random)
         self._again_at: int | None = None
 
     # --- What is known ----------------------------------------------------------------
 
-    def fate(self, cause: Cause) -> Fate:
-        return self._fates.get(cause, Fate.UNKNOWN)
+    def write_status(self, dependency: Dependency) -> WriteStatus:
+        """What was last heard of a write of another log."""
+        return self._statuses.get(dependency)
 
-    def holds(self, line: Line) -> bool:
-        return line in self._held
+    def holds(self, edge_log: EdgeLog) -> bool:
+        """This process may replay the log."""
+        return edge_log in self._held
 
-    def fenced(self, line: Line) -> bool:
-        return line in self._fenced
+    def fenced(self, edge_log: EdgeLog) -> bool:
+        """Another process holds the log."""
+        return edge_log in self._fenced
 
     # --- What is to be asked ----------------------------------------------------------
 
-    def follow(self, causes: Iterable[Cause]) -> None:
+    def watch(self, dependencies: Iterable[Dependency]) -> None:
         """Their fates are of use from now on."""
-        for cause in causes:
-            if self.fate(cause) not in FINAL_FATES:
-                self._asked.add(cause)
+        for dependency in dependencies:
+            if not self._statuses.is_final(dependency):
+                self._asked.add(dependency)
 
-    def claim(self, line: Line, known: Iterable[int], force: bool = False) -> None:
+    def claim(self, edge_log: EdgeLog, known: Iterable[int], force: bool = False) -> None:
         """Ask for it. `known`: as they came; that this life is among them is durable."""
         others = [life for life in dict.fromkeys(known) if life != self.life]
         others = list(bounded(others))
         if force:
-            self._fenced.discard(line)
-            self._drop_unbegun(line)
-        if line not in self._fenced:
-            self._open_claims[line] = Claim(line, self.life, tuple(others), force)
-            self._claims.add(line)
+            self._fenced.discard(edge_log)
+            self._drop_unbegun(edge_log)
+        if edge_log not in self._fenced:
+            self._open_claims[edge_log] = LeaseRequest(edge_log, self.life, tuple(others), force)
+            self._claims.add(edge_log)
 
-    def lost(self, line: Line) -> bool:
+    def on_fencing_reported(self, edge_log: EdgeLog) -> bool:
         """A gate refused a write of it as another life's. True if that is so; otherwise the record may have
         been lost, and it is claimed again first."""
-        claim = self._claimed.get(line)
-        if claim is None or line in self._fenced:
-            if line not in self._open_claims:
-                self._fence(line)
-            return line in self._fenced
-        self._held.discard(line)
-        del self._claimed[line]
-        self._open_claims[line] = claim
-        self._claims.add(line)
+        claim = self._claimed.get(edge_log)
+        if claim is None or edge_log in self._fenced:
+            if edge_log not in self._open_claims:
+                self._fence(edge_log)
+            return edge_log in self._fenced
+        self._held.discard(edge_log)
+        del self._claimed[edge_log]
+        self._open_claims[edge_log] = claim
+        self._claims.add(edge_log)
         return False
 
-    def _fence(self, line: Line) -> None:
-        self._fenced.add(line)
-        self._held.discard(line)
-        self._claimed.pop(line, None)
-        self._open_claims.pop(line, None)
-        self._claims.drop(line)
-        self._drop_unbegun(line)
+    def _fence(self, edge_log: EdgeLog) -> None:
+        self._fenced.add(edge_log)
+        self._held.discard(edge_log)
+        self._claimed.pop(edge_log, None)
+        self._open_claims.pop(edge_log, None)
+        self._claims.drop(edge_log)
+        self._drop_unbegun(edge_log)
 
-    def _drop_unbegun(self, line: Line) -> None:
+    def _drop_unbegun(self, edge_log: EdgeLog) -> None:
         """The word was on what this process sent. Another may have sent it since."""
-        for cause in [cause for cause, told in self._said.items() if told.unbegin and cause.line == line]:
-            self._unsay(cause)
+        for dependency in [
+            dependency
+            for dependency, told in self._said.items()
+            if told.withdraw_intent and dependency.edge_log == edge_log
+        ]:
+            self._unsay(dependency)
 
     # --- What is to be told -----------------------------------------------------------
 
-    def tell(self, dot: Dot, fate: Fate) -> bool:
+    def publish(self, write_id: WriteId, write_status: WriteStatus) -> bool:
         """What became of an own write: UNKNOWN if it is parked no more. False if there is no room."""
-        cause = Cause(*dot)
-        if fate is Fate.IN and dot.number <= self._told_low.get(dot.line, 0):
-            self._unsay(cause)
+        dependency = Dependency(*write_id)
+        if write_status is WriteStatus.APPLIED and write_id.number <= self._told_low.get(
+            write_id.edge_log, 0
+        ):
+            self._unsay(dependency)
             return True
-        before = self._said.get(cause)
-        if fate is Fate.UNKNOWN and (before is None or before.unbegin):
+        before = self._said.get(dependency)
+        if write_status is WriteStatus.UNKNOWN and (before is None or before.withdraw_intent):
             return True
-        if not self._room(cause, fate):
+        if not self._room(dependency, write_status):
             return False
-        if fate is Fate.GONE:
-            self._ungiven.setdefault(dot.line, set()).add(dot.number)
-        self._say(cause, Told(dot, fate, self.life))
+        if write_status is WriteStatus.ABANDONED:
+            self._ungiven.setdefault(write_id.edge_log, set()).add(write_id.number)
+        self._say(dependency, StatusUpdate(write_id, write_status, self.life))
         return True
 
-    def unbegin(self, dot: Dot, parking: int) -> None:
-        """An operator says of a parking that it never ran. `News.unbegun` has it once the record says so."""
-        self._say(Cause(*dot), Told(dot, Fate.UNKNOWN, self.life, unbegin=True, parking=parking))
+    def withdraw_intent(self, write_id: WriteId, parking: int) -> None:
+        """An operator says of a parking that it never ran. `QueryOutcome.unbegun` has it once the record
+        says so."""
+        self._say(
+            Dependency(*write_id),
+            StatusUpdate(write_id, WriteStatus.UNKNOWN, self.life, withdraw_intent=True, parking=parking),
+        )
 
-    def low(self, line: Line, number: int) -> bool:
-        """All of an own line up to a number are over."""
-        if number <= self._low.get(line, 0):
+    def publish_low_watermark(self, edge_log: EdgeLog, number: int) -> bool:
+        """All of an own log up to a number are over."""
+        if number <= self._low.get(edge_log, 0):
             return True
-        self._low[line] = number
-        cause = Cause(*line, 0, True)
-        told = Told(Dot(*line, number), Fate.IN, self.life, before=True)
-        if self._has_told_gone(line):
-            self._said[cause] = told  # rule 5
+        self._low[edge_log] = number
+        dependency = Dependency(*edge_log, 0, True)
+        told = StatusUpdate(WriteId(*edge_log, number), WriteStatus.APPLIED, self.life, before=True)
+        if self._has_told_gone(edge_log):
+            self._said[dependency] = told  # rule 5
         else:
-            self._say(cause, told, urgent=False)
+            self._say(dependency, told, urgent=False)
         return True
 
-    def telling(self, dot: Dot) -> bool:
-        return Cause(*dot) in self._untold
+    def is_unpublished(self, write_id: WriteId) -> bool:
+        """What was told of an own write is not known upstream yet."""
+        return Dependency(*write_id) in self._untold
 
-    def _has_told_gone(self, line: Line) -> bool:
+    def _has_told_gone(self, edge_log: EdgeLog) -> bool:
         return any(
-            told.fate is Fate.GONE and told.dot.line == line and cause not in self._untold
-            for cause, told in self._said.items()
+            told.write_status is WriteStatus.ABANDONED
+            and told.write_id.edge_log == edge_log
+            and dependency not in self._untold
+            for dependency, told in self._said.items()
         )
 
-    def _room(self, cause: Cause, fate: Fate) -> bool:
+    def _room(self, dependency: Dependency, write_status: WriteStatus) -> bool:
         """Final ones make room for themselves among those parked, those given up that the record knows, and
-        those of a fenced line, of which it would believe nothing."""
-        if cause in self._said or len(self._said) < SAID_MOST:
+        those of a fenced log, of which it would believe nothing."""
+        if dependency in self._said or len(self._said) < SAID_MOST:
             return True
-        if fate not in FINAL_FATES:
+        if write_status not in FINAL_STATUSES:
             return False
         for one, told in self._said.items():
-            known = one not in self._untold and told.fate is Fate.GONE
-            if known or told.fate is Fate.PARKED or one.line in self._fenced:
+            known = one not in self._untold and told.write_status is WriteStatus.ABANDONED
+            if known or told.write_status is WriteStatus.PARKED or one.edge_log in self._fenced:
                 self._unsay(one)
                 return True
         return False
 
-    def _say(self, cause: Cause, told: Told, urgent: bool = True) -> None:
-        self._said[cause] = told
-        self._untold.add(cause)
-        if cause.line in self._held:
-            self._tells.add(cause, urgent)
-
-    def _unsay(self, cause: Cause) -> None:
-        self._said.pop(cause, None)
-        self._untold.discard(cause)
-        self._tells.drop(cause)
-        self._given(cause)
-
-    def _given(self, cause: Cause) -> None:
-        """It was told, or is not to be told any more: the line's number may go."""
-        numbers = self._ungiven.get(cause.line)
+    def _say(self, dependency: Dependency, told: StatusUpdate, urgent: bool = True) -> None:
+        self._said[dependency] = told
+        self._untold.add(dependency)
+        if dependency.edge_log in self._held:
+            self._tells.add(dependency, urgent)
+
+    def _unsay(self, dependency: Dependency) -> None:
+        self._said.pop(dependency, None)
+        self._untold.discard(dependency)
+        self._tells.drop(dependency)
+        self._given(dependency)
+
+    def _given(self, dependency: Dependency) -> None:
+        """It was told, or is not to be told any more: the log's number may go."""
+        numbers = self._ungiven.get(dependency.edge_log)
         if numbers is None:
             return
-        numbers.discard(cause.number)
+        numbers.discard(dependency.number)
         if not numbers:
-            del self._ungiven[cause.line]
-            low = Cause(*cause.line, 0, True)
-            if low in self._untold and cause.line in self._held:
+            del self._ungiven[dependency.edge_log]
+            low = Dependency(*dependency.edge_log, 0, True)
+            if low in self._untold and dependency.edge_log in self._held:
                 self._tells.add(low, urgent=False)
 
-    def _tellable(self, cause: Cause) -> bool:
-        if cause not in self._untold or cause.line not in self._held:
+    def _tellable(self, dependency: Dependency) -> bool:
+        if dependency not in self._untold or dependency.edge_log not in self._held:
             return False
-        return not cause.before or cause.line not in self._ungiven
+        return not dependency.before or dependency.edge_log not in self._ungiven
 
     # --- Asking -----------------------------------------------------------------------
 
-    def back(self, now: int) -> None:
+    def on_link_up(self, now: int) -> None:
         """There is a way upstream again."""
-        self._pause = LEAST_US
-        self._next_at = now
+        self._backoff.end(now)
 
     def wait(self, now: int) -> int:
         """µs until something may be asked, if anything is to be."""
         if self._asked.new or self._claims.new or self._tells.new:
             return 0
-        return max(0, self._next_at - now)
+        return max(0, self._backoff.next_at - now)
 
-    def next(self, now: int, wonders: Callable[[Cause], bool]) -> Ask | None:
-        """What is to be asked now; `answered` or `failed` is called for it. `wonders`: whether a fate is
+    def next(self, now: int, needs_status: Callable[[Dependency], bool]) -> ReplayQuery | None:
+        """What is to be asked now; `answered` or `failed` is called for it. `needs_status`: whether a fate is
         still of use."""
         if self._again_at is None:
             self._again_at = now + AGAIN_US
@@ -293,28 +253,28 @@
             self._tell_again()
         if self._out is not None or self.wait(now):
             return None
-        if now < self._next_at:
+        if now < self._backoff.next_at:
             self._left = 1  # for what is new
         elif not self._left:
             most = max(len(self._asked), len(self._claims), len(self._tells))
-            self._left = min(ROUND_MOST, -(-most // ASKED_MOST))
-        ask = Ask(
-            tuple(self._asked.take(wonders)),
-            tuple(self._claim_of(line) for line in self._claims.take(self._is_claim)),
-            tuple(self._said[cause] for cause in self._tells.take(self._tellable)),
+            self._left = min(ROUND_MOST, -(-most // QUERIED_MOST))
+        ask = ReplayQuery(
+            tuple(self._asked.take(needs_status)),
+            tuple(self._claim_of(edge_log) for edge_log in self._claims.take(self._is_claim)),
+            tuple(self._said[dependency] for dependency in self._tells.take(self._tellable)),
         )
         self._left = max(0, self._left - 1)
-        if not (ask.fates or ask.claims or ask.told):
+        if not (ask.write_statuses or ask.claims or ask.told):
             return None
         self._out = ask
         return ask
 
-    def probe(self, now: int) -> Ask | None:
+    def probe(self, now: int) -> ReplayQuery | None:
         """While cut off: an ask without a question, at the pace of the others."""
-        if self._out is not None or now < self._next_at:
+        if self._out is not None or now < self._backoff.next_at:
             return None
         self._left = 0
-        self._out = Ask()
+        self._out = ReplayQuery()
         return self._out
 
     @property
@@ -322,41 +282,37 @@
         """There is something to ask or tell."""
         return bool(len(self._asked) or len(self._claims) or len(self._tells))
 
-    def _is_claim(self, line: Line) -> bool:
-        return line in self._open_claims or line in self._claimed
+    def _is_claim(self, edge_log: EdgeLog) -> bool:
+        return edge_log in self._open_claims or edge_log in self._claimed
 
-    def _claim_of(self, line: Line) -> Claim:
-        return self._open_claims.get(line) or self._claimed[line]
+    def _claim_of(self, edge_log: EdgeLog) -> LeaseRequest:
+        return self._open_claims.get(edge_log) or self._claimed[edge_log]
 
     def _tell_again(self) -> None:
         """Rule 5."""
-        for cause, told in self._said.items():
-            self._untold.add(cause)
-            if told.fate is Fate.GONE:
-                self._ungiven.setdefault(cause.line, set()).add(cause.number)
-            if cause.line in self._held:
-                self._tells.add(cause, urgent=False)
-        for line in self._claimed:
-            self._claims.add(line, urgent=False)
-
-    def failed(self, now: int) -> None:
+        for dependency, told in self._said.items():
+            self._untold.add(dependency)
+            if told.write_status is WriteStatus.ABANDONED:
+                self._ungiven.setdefault(dependency.edge_log, set()).add(dependency.number)
+            if dependency.edge_log in self._held:
+                self._tells.add(dependency, urgent=False)
+        for edge_log in self._claimed:
+            self._claims.add(edge_log, urgent=False)
+
+    def on_query_failed(self, now: int) -> None:
         """No answer, or none that can be read."""
         self._out, self._left = None, 0
-        self._rest(now)
-
-    def _rest(self, now: int) -> None:
-        self._next_at = now + self._pause // 2 + self._random.randrange(self._pause // 2)
-        self._pause = min(MOST_US, 2 * self._pause)
+        self._backoff.begin(now)
 
-    def answered(self, answer: Answered, now: int) -> News:
+    def on_reply(self, answer: QueryReply, now: int) -> QueryOutcome:
         """To the ask that is out. What an answer is too short for is asked again."""
         ask, self._out = self._out, None
-        news = News()
+        news = QueryOutcome()
         if ask is None:
             return news
-        moved = ask == Ask()  # a probe: the link may be back
-        for cause, fate in zip(ask.fates, answer.fates, strict=False):
-            moved |= self._learn(cause, fate, news)
+        moved = ask == ReplayQuery()  # a probe: the link may be back
+        for dependency, write_status in zip(ask.write_statuses, answer.write_statuses, strict=False):
+            moved |= self._learn(dependency, write_status, news)
         for claim, became in zip(ask.claims, answer.claims, strict=False):
             moved |= self._settle(claim, became, news)
         for told, known in zip(ask.told, answer.told, strict=False):
@@ -364,83 +320,77 @@
             if known:
                 self._has_been_told(told, news)
         if moved:
-            self._pause = LEAST_US
+            self._backoff.shorten()
         if not self._left:
-            self._rest(now)
+            self._backoff.begin(now)
         return news
 
-    def _learn(self, cause: Cause, fate: Fate, news: News) -> bool:
-        before = self.fate(cause)
-        if self._own(cause.line):
-            if fate is Fate.IN and not cause.before:
-                news.own_in.append(cause.dot)
-            return fate is Fate.IN
-        if before in FINAL_FATES or fate is before:
-            if before in FINAL_FATES:
-                self._asked.drop(cause)
-            return False
-        self._fates[cause] = fate
-        self._fates.move_to_end(cause)
-        if fate in FINAL_FATES:
-            self._asked.drop(cause)
-        if len(self._fates) > FATES_MOST:
-            self._fates.popitem(last=False)
-        news.changed = True
-        return True
-
-    def _own(self, line: Line) -> bool:
-        return line.edge == self.line.edge and (
-            line in self._held or line in self._fenced or line in self._open_claims
+    def _learn(self, dependency: Dependency, write_status: WriteStatus, news: QueryOutcome) -> bool:
+        if self._own(dependency.edge_log):
+            if write_status is WriteStatus.APPLIED and not dependency.before:
+                news.own_applied.append(dependency.write_id)
+            return write_status is WriteStatus.APPLIED
+        is_new = self._statuses.learn(dependency, write_status)
+        if self._statuses.is_final(dependency):
+            self._asked.drop(dependency)
+        news.changed |= is_new
+        return is_new
+
+    def _own(self, edge_log: EdgeLog) -> bool:
+        return edge_log.edge == self.edge_log.edge and (
+            edge_log in self._held or edge_log in self._fenced or edge_log in self._open_claims
         )
 
-    def _settle(self, claim: Claim, became: Claimed, news: News) -> bool:
-        line = claim.line
-        if not self._is_claim(line) or self._claim_of(line) is not claim:
+    def _settle(self, claim: LeaseRequest, became: LeaseStatus, news: QueryOutcome) -> bool:
+        edge_log = claim.edge_log
+        if not self._is_claim(edge_log) or self._claim_of(edge_log) is not claim:
             return False  # something else is asked for it by now
-        if became is Claimed.FENCED:
-            self._fence(line)
-            news.fenced.append(line)
+        if became is LeaseStatus.FENCED:
+            self._fence(edge_log)
+            news.fenced.append(edge_log)
             return True
-        if became is not Claimed.HELD:
+        if became is not LeaseStatus.HELD:
             return False
-        self._claims.drop(line)
-        if line in self._claimed:
+        self._claims.drop(edge_log)
+        if edge_log in self._claimed:
             return False
-        self._open_claims.pop(line)
+        self._open_claims.pop(edge_log)
         # Asked again without force: an operator's word counts once.
-        self._claimed[line] = Claim(line, claim.life, claim.known)
-        self._held.add(line)
-        for cause in self._said:
-            if cause.line == line and cause in self._untold:
-                self._tells.add(cause)
-        news.held.append(line)
+        self._claimed[edge_log] = LeaseRequest(edge_log, claim.life, claim.known)
+        self._held.add(edge_log)
+        for dependency in self._said:
+            if dependency.edge_log == edge_log and dependency in self._untold:
+                self._tells.add(dependency)
+        news.held.append(edge_log)
         news.changed = True
         return True
 
-    def _has_been_told(self, told: Told, news: News) -> None:
-        cause = Cause(*told.dot.line, 0, True) if told.before else Cause(*told.dot)
-        if self._said.get(cause) is not told:
+    def _has_been_told(self, told: StatusUpdate, news: QueryOutcome) -> None:
+        dependency = (
+            Dependency(*told.write_id.edge_log, 0, True) if told.before else Dependency(*told.write_id)
+        )
+        if self._said.get(dependency) is not told:
             return  # something else is to be told of it by now
-        if told.unbegin:
-            news.unbegun.append(told.dot)
+        if told.withdraw_intent:
+            news.withdrawn.append(told.write_id)
             news.changed = True
         if told.before:
-            self._told_low[cause.line] = told.dot.number
-            self._drop_below(told.dot)
-        if told.fate is Fate.UNKNOWN:
-            self._unsay(cause)
+            self._told_low[dependency.edge_log] = told.write_id.number
+            self._drop_below(told.write_id)
+        if told.write_status is WriteStatus.UNKNOWN:
+            self._unsay(dependency)
             return
-        self._untold.discard(cause)
-        self._tells.drop(cause)
-        self._given(cause)
+        self._untold.discard(dependency)
+        self._tells.drop(dependency)
+        self._given(dependency)
 
-    def _drop_below(self, dot: Dot) -> None:
+    def _drop_below(self, write_id: WriteId) -> None:
         """In, and told by a number now."""
         below = [
-            cause
-            for cause, told in self._said.items()
-            if cause.line == dot.line and not cause.before
-            and cause.number <= dot.number and told.fate is Fate.IN
+            dependency
+            for dependency, told in self._said.items()
+            if dependency.edge_log == write_id.edge_log and not dependency.before
+            and dependency.number <= write_id.number and told.write_status is WriteStatus.APPLIED
         ]  # fmt: skip
-        for cause in below:
-            self._unsay(cause)
+        for dependency in below:
+            self._unsay(dependency)
--- a/laurelstep/outbox/shared/ports.py
+++ b/laurelstep/outbox/shared/ports.py
@@ -1,4 +1,4 @@
-"""The record and its sharer, as the gate and a copy's own frontier need them."""
+"""The record and its sharer, as the gate and a copy's own version vector need them."""
 
 from __future__ import annotations
 
@@ -6,28 +6,35 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from laurelstep.outbox.shared.entries import Entry, Hold, Said
-from laurelstep.outbox.shared.terms import Claim, Frontiers, Told
+from laurelstep.outbox.shared.entries import LedgerEntry, LogLease, StatusRecord
+from laurelstep.outbox.shared.messages import LeaseRequest, StatusUpdate, VersionVectors
 
-__all__ = ["Ledger", "Sharing"]
+__all__ = ["AgreedLedger", "Agreement"]
 
 
-class Ledger(Frontiers, Protocol):
-    """The agreed record (`shared.record.Record`), with what would have to be agreed next."""
+class AgreedLedger(VersionVectors, Protocol):
+    """The agreed record (`shared.record.ReplicatedLedger`), with what would have to be agreed next."""
 
-    def undone(self, ask: int) -> bool: ...
+    def is_withdrawn(self, ask: int) -> bool:
+        """The query's intent was withdrawn: none of it is granted any more."""
 
-    def claim_entry(self, claim: Claim) -> Hold | None: ...
+    def lease_entry(self, claim: LeaseRequest) -> LogLease | None:
+        """The entry by which the request would hold now; None if it is not open."""
 
-    def said_entry(self, told: Told) -> Said | None: ...
+    def status_entry(self, told: StatusUpdate) -> StatusRecord | None:
+        """The entry by which the record would say so; None if it does."""
 
-    def status(self) -> dict[str, int]: ...
+    def status(self) -> dict[str, int]:
+        """For an operator, in JSON's types."""
 
 
-class Sharing(Protocol):
-    """Brings entries to agreement: `shared.sharer.Sharer`."""
+class Agreement(Protocol):
+    """Brings entries to agreement: `shared.sharer.AgreementDriver`."""
 
     @property
-    def ready(self) -> bool: ...
+    def ready(self) -> bool:
+        """The record is known here, and a leader is heard."""
 
-    def agree(self, entry: Entry, done: Callable[[], bool], until: int) -> asyncio.Future[bool]: ...
+    def agree(self, entry: LedgerEntry, done: Callable[[], bool], until: int) -> asyncio.Future[bool]:
+        """Bring an entry to agreement: True once `done` says so, False if that is not by `until`,
+        monotonic µs."""
--- a/laurelstep/outbox/shared/gate.py
+++ b/laurelstep/outbox/shared/replay_gate.py
@@ -30,22 +30,23 @@
 from laurelstep.consensus.errors import EntryError
 from laurelstep.engine.call import Answer, Attempt, Call, Ending
 from laurelstep.engine.ports import Clock, Log, Recorded, Recorder
-from laurelstep.outbox.causes import Cause, Fate
-from laurelstep.outbox.dots import Dot, Line
-from laurelstep.outbox.shared.entries import Begin, Entry, In, Lost, Unbegin
-from laurelstep.outbox.shared.ports import Ledger, Sharing
-from laurelstep.outbox.shared.seal import Seal, SealError
-from laurelstep.outbox.shared.terms import (
+from laurelstep.outbox.dependencies import Dependency
+from laurelstep.outbox.shared.entries import EdgeLost, Intent, IntentWithdrawal, LedgerEntry, WriteApplied
+from laurelstep.outbox.shared.message_seal import MessageSeal, SealError
+from laurelstep.outbox.shared.messages import (
     FATE_HEADER,
-    Answered,
-    Ask,
-    Begun,
-    Claim,
-    Claimed,
-    Told,
+    IntentStatus,
+    LeaseRequest,
+    LeaseStatus,
+    QueryReply,
+    ReplayQuery,
+    StatusUpdate,
 )
+from laurelstep.outbox.shared.ports import AgreedLedger, Agreement
+from laurelstep.outbox.version_vector import WriteStatus
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
-__all__ = ["Gate"]
+__all__ = ["ReplayGate"]
 
 # What is agreed within a call waits so long at most; a leader is replaced in less.
 AGREE_US: Final = 5_000_000
@@ -58,35 +59,35 @@
 LATER_MOST: Final = 256
 # When an edge may come again.
 RETRY_US: Final = 1_000_000
-# Between two lines about replays and asks that were refused for what they are.
+# Between two log lines about replays and asks that were refused for what they are.
 COMPLAIN_US: Final = 10_000_000
-# Of an edge that is lost every line is, also one that never was: this one stands for all.
+# Of an edge that is lost every log is, also one that never was: this one stands for all.
 _ANY_LIFE: Final = (1 << 64) - 1
 
 TEXT: Final = (b"content-type", b"text/plain")
 
 
 @dataclass(eq=False)
-class Hand:
+class GatedReplay:
     """One replay in hand."""
 
     call: Call
-    dot: Dot
+    write_id: WriteId
     life: int
     unsafe: bool
     ask: int = 0  # 0: no BEGIN was told
     admitted: bool = False
 
 
-class Gate:
+class ReplayGate:
     """The engine's `Recorder` at a copy upstream. `classes`: those that edges may keep, by number, and
     whether a write of each is unsafe."""
 
     def __init__(
         self,
-        record: Ledger,
-        sharer: Sharing,
-        seal: Seal,
+        record: AgreedLedger,
+        sharer: Agreement,
+        seal: MessageSeal,
         classes: Mapping[int, bool],
         clock: Clock,
         log: Log,
@@ -101,7 +102,7 @@
         self.log = log
         self.inner = inner
         self.draw = draw
-        self.hands: dict[Call, Hand] = {}
+        self.hands: dict[Call, GatedReplay] = {}
         self.asking = 0
         self.later = 0
         self.counters = {"replays": 0, "in": 0, "fenced": 0, "begun": 0, "refused": 0, "late": 0, "bad": 0}
@@ -109,6 +110,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def close(self) -> None:
+        """Wait for nothing any more."""
         for task in set(self.tasks):
             task.cancel()
         if self.tasks:
@@ -126,6 +128,7 @@
     # --- Before the module is told ------------------------------------------------------
 
     def begin(self, call: Call, engine: Recorded) -> bool:
+        """As an engine's `Recorder`: True if the replay is in hand here."""
         sealed = call.causes[3] if len(call.causes) > 3 else b""
         if not sealed:
             return self.inner is not None and self.inner.begin(call, engine)
@@ -137,15 +140,15 @@
         self.counters["replays"] += 1
         if call.cls not in self.classes:
             self._complain(
-                f"{replayed.dot.edge}: a kept write of a class that [orders] records here was refused"
+                f"{replayed.write_id.edge}: a kept write of a class that [orders] records here was refused"
             )
             engine.settle(call, self._refusal())
             return True
         unsafe = replayed.unsafe or self.classes[call.cls]
-        hand = Hand(call, replayed.dot, replayed.life, unsafe)
-        verdict = self._verdict(hand)
-        if verdict is not None:
-            engine.settle(call, verdict)
+        hand = GatedReplay(call, replayed.write_id, replayed.life, unsafe)
+        resolution = self._verdict(hand)
+        if resolution is not None:
+            engine.settle(call, resolution)
         elif unsafe:
             self.hands[call] = hand
             self._spawn(self._begin(hand, engine))
@@ -154,52 +157,53 @@
             self._admit(hand, engine)
         return True
 
-    def _verdict(self, hand: Hand) -> Answer | None:
+    def _verdict(self, hand: GatedReplay) -> Answer | None:
         """What can be answered from what is agreed; None if it may be sent, or its BEGIN be told."""
         if not self.sharer.ready:
             return self._refusal()
-        begun = self.record.begun(hand.dot, hand.life, hand.ask)
-        if begun is Begun.IN:
+        begun = self.record.intent_status(hand.write_id, hand.life, hand.ask)
+        if begun is IntentStatus.APPLIED:
             self.counters["in"] += 1
             return Answer(Ending.SERVED, 200, ((FATE_HEADER, b"in"),))
-        if begun is Begun.FENCED:
+        if begun is IntentStatus.FENCED:
             self.counters["fenced"] += 1
             return Answer(Ending.REFUSED, 503, ((FATE_HEADER, b"fenced"),), retry_after_us=RETRY_US)
-        if begun is Begun.OTHERS:
+        if begun is IntentStatus.OTHERS:
             self.counters["begun"] += 1
             return Answer(Ending.FAILED, 502, ((FATE_HEADER, b"begun"),))
         return None
 
-    async def _begin(self, hand: Hand, engine: Recorded) -> None:
+    async def _begin(self, hand: GatedReplay, engine: Recorded) -> None:
         call, until = hand.call, self._until(hand.call)
         if until > self.clock.now():
             hand.ask = self.draw()
-            entry = Begin(hand.dot, hand.life, hand.ask)
-            await self._agree(entry, lambda: self._begun(hand) is not Begun.OPEN, until)
+            entry = Intent(hand.write_id, hand.life, hand.ask)
+            await self._agree(entry, lambda: self._begun(hand) is not IntentStatus.OPEN, until)
         if call not in self.hands:
             self._take_back_later(hand)  # its time is over, or its edge left
             return
         begun = self._begun(hand)
-        if begun is Begun.MINE and self.sharer.ready:
+        if begun is IntentStatus.MINE and self.sharer.ready:
             self._admit(hand, engine)
             return
         del self.hands[call]
-        if begun in (Begun.OPEN, Begun.MINE):
+        if begun in (IntentStatus.OPEN, IntentStatus.MINE):
             self._take_back_later(hand)  # it may still come through
             engine.settle(call, self._refusal())
         else:
             engine.settle(call, self._verdict(hand) or self._refusal())
 
-    def _begun(self, hand: Hand) -> Begun:
-        return self.record.begun(hand.dot, hand.life, hand.ask)
+    def _begun(self, hand: GatedReplay) -> IntentStatus:
+        return self.record.intent_status(hand.write_id, hand.life, hand.ask)
 
-    def _admit(self, hand: Hand, engine: Recorded) -> None:
+    def _admit(self, hand: GatedReplay, engine: Recorded) -> None:
         hand.admitted = True
         engine.admit(hand.call)
 
     # --- Before the final answer leaves -------------------------------------------------
 
     def finish(self, call: Call, answer: Answer, engine: Recorded) -> None:
+        """As an engine's `Recorder`: the final answer of a replay."""
         hand = self.hands.pop(call, None)
         if hand is None:
             if self.inner is not None:
@@ -215,40 +219,44 @@
         else:
             engine.deliver(call, answer)
 
-    async def _say_in(self, hand: Hand, answer: Answer, engine: Recorded) -> None:
-        cause = Cause(*hand.dot)
+    async def _say_in(self, hand: GatedReplay, answer: Answer, engine: Recorded) -> None:
+        dependency = Dependency(*hand.write_id)
 
         def over() -> bool:
-            return self.record.fate(cause) in (Fate.IN, Fate.GONE)
-
-        entry = In(hand.dot)
-        if await self._agree(entry, over, self._until(hand.call)) and self.record.fate(cause) is Fate.IN:
+            """What is to be agreed is so, or can't be any more."""
+            return self.record.write_status(dependency) in (WriteStatus.APPLIED, WriteStatus.ABANDONED)
+
+        entry = WriteApplied(hand.write_id)
+        if (
+            await self._agree(entry, over, self._until(hand.call))
+            and self.record.write_status(dependency) is WriteStatus.APPLIED
+        ):
             engine.deliver(hand.call, answer)
             return
         engine.deliver(hand.call, Answer(Ending.FAILED, 502))
         if not over():
             await self._tell_on(entry, over)
 
-    def _refuse(self, hand: Hand, answer: Answer, engine: Recorded) -> None:
+    def _refuse(self, hand: GatedReplay, answer: Answer, engine: Recorded) -> None:
         if hand.unsafe:
             self._spawn(self._take_back_and_refuse(hand, answer, engine))
         else:
             engine.deliver(hand.call, answer)
 
-    async def _take_back_and_refuse(self, hand: Hand, answer: Answer, engine: Recorded) -> None:
+    async def _take_back_and_refuse(self, hand: GatedReplay, answer: Answer, engine: Recorded) -> None:
         """Rule 5 says why the refusal leaves either way."""
-        entry = Unbegin(hand.dot, hand.ask)
-        agreed = await self._agree(entry, lambda: self.record.undone(hand.ask), self._until(hand.call))
+        entry = IntentWithdrawal(hand.write_id, hand.ask)
+        agreed = await self._agree(entry, lambda: self.record.is_withdrawn(hand.ask), self._until(hand.call))
         engine.deliver(hand.call, answer)
         if not agreed:
-            await self._tell_on(entry, lambda: self.record.undone(hand.ask))
+            await self._tell_on(entry, lambda: self.record.is_withdrawn(hand.ask))
 
-    def _take_back_later(self, hand: Hand) -> None:
+    def _take_back_later(self, hand: GatedReplay) -> None:
         if hand.ask:
-            entry = Unbegin(hand.dot, hand.ask)
-            self._spawn(self._tell_on(entry, lambda: self.record.undone(hand.ask)))
+            entry = IntentWithdrawal(hand.write_id, hand.ask)
+            self._spawn(self._tell_on(entry, lambda: self.record.is_withdrawn(hand.ask)))
 
-    async def _tell_on(self, entry: Entry, done: Callable[[], bool]) -> None:
+    async def _tell_on(self, entry: LedgerEntry, done: Callable[[], bool]) -> None:
         """Rule 6."""
         if self.later >= LATER_MOST:
             self.counters["late"] += 1
@@ -260,7 +268,7 @@
         finally:
             self.later -= 1
 
-    async def _agree(self, entry: Entry, done: Callable[[], bool], until: int) -> bool:
+    async def _agree(self, entry: LedgerEntry, done: Callable[[], bool], until: int) -> bool:
         try:
             return await self.sharer.agree(entry, done, until)
         except EntryError:
@@ -276,6 +284,7 @@
     # --- Those that leave ---------------------------------------------------------------
 
     def gone(self, call: Call, engine: Recorded) -> None:
+        """As an engine's `Recorder`: the caller left."""
         hand = self.hands.pop(call, None)
         if hand is None:
             if self.inner is not None:
@@ -284,7 +293,7 @@
             # The module calls off what is out: only then it shows whether it can have run.
             self.clock.at(self.clock.now(), self._left, hand, tuple(call.attempts))
 
-    def _left(self, hand: Hand, attempts: tuple[Attempt, ...]) -> None:
+    def _left(self, hand: GatedReplay, attempts: tuple[Attempt, ...]) -> None:
         """Attempts that are all over are not here any more: they may have run."""
         is_known = bool(attempts) or not hand.call.tried
         if is_known and not _may_have_run(hand.call, attempts):
@@ -317,32 +326,32 @@
         if not self.sharer.ready:
             return self._refusal()
         record = self.record
-        answered = Answered(
-            fates=tuple(record.fate(cause) for cause in ask.fates),
-            claims=tuple(record.claimed(claim) for claim in ask.claims),
-            told=tuple(record.says(told) for told in ask.told),
+        answered = QueryReply(
+            write_statuses=tuple(record.write_status(dependency) for dependency in ask.write_statuses),
+            claims=tuple(record.lease_status(claim) for claim in ask.claims),
+            told=tuple(record.agrees_with(told) for told in ask.told),
         )
         return Answer(Ending.SERVED, 200, (TEXT,), self.seal.answered(answered, text).encode())
 
-    async def _bring_about(self, ask: Ask) -> None:
+    async def _bring_about(self, ask: ReplayQuery) -> None:
         """What it claims and tells, as far as that is agreed within `ASK_US`."""
         record, until = self.record, self.clock.now() + ASK_US
         waits = []
         for claim in ask.claims:
-            hold = record.claim_entry(claim)
+            hold = record.lease_entry(claim)
             if hold is not None:
                 waits.append(self._agree(hold, self._claimed(claim), until))
         for told in ask.told:
-            said = record.said_entry(told)
+            said = record.status_entry(told)
             if said is not None:
                 waits.append(self._agree(said, self._said(told), until))
         await asyncio.gather(*waits)
 
-    def _claimed(self, claim: Claim) -> Callable[[], bool]:
-        return lambda: self.record.claimed(claim) is not Claimed.OPEN
+    def _claimed(self, claim: LeaseRequest) -> Callable[[], bool]:
+        return lambda: self.record.lease_status(claim) is not LeaseStatus.OPEN
 
-    def _said(self, told: Told) -> Callable[[], bool]:
-        return lambda: self.record.says(told)
+    def _said(self, told: StatusUpdate) -> Callable[[], bool]:
+        return lambda: self.record.agrees_with(told)
 
     def _unsealed(self, what: str, error: SealError) -> Answer:
         self.counters["bad"] += 1
@@ -350,7 +359,7 @@
         return Answer(Ending.FAILED, 400, (TEXT,), f"{error}\n".encode())
 
     def _complain(self, text: str) -> None:
-        """One line for the operator, and not one for each of a crowd."""
+        """One log line for the operator, and not one for each of a crowd."""
         now = self.clock.now()
         if now >= self.complained + COMPLAIN_US:
             self.complained = now
@@ -360,15 +369,16 @@
 
     def lose(self, edge: str, incarnation: int = 0) -> bool:
         """Declare an edge lost, or one life of it. False if it is."""
-        line = Line(edge, incarnation or _ANY_LIFE)
+        edge_log = EdgeLog(edge, incarnation or _ANY_LIFE)
 
         def lost() -> bool:
-            return self.record.holder(line) == 0
+            """The record has the edge as lost."""
+            return self.record.holder(edge_log) == 0
 
         if lost():
             return False
         self.log(f"outbox: {edge}: declared lost{f', its life {incarnation:016x}' if incarnation else ''}")
-        self._spawn(self._tell_on(Lost(edge, incarnation), lost))
+        self._spawn(self._tell_on(EdgeLost(edge, incarnation), lost))
         return True
 
 
--- a/laurelstep/settings/operator/outbox.py
+++ b/laurelstep/settings/operator/outbox.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from laurelstep.outbox.options import How, KeptClass, Lost, OutboxSettings, Upstream
+from laurelstep.outbox.options import How, OrphanPolicy, OutboxSettings, QueuedClass, Upstream
 from laurelstep.settings.operator.fields import Count, Name, OperatorTable, Part, Whole, has_duplicates
 
 
@@ -34,7 +34,7 @@
     cut_ms: Annotated[int, msgspec.Meta(ge=100)] = 3_000
     back_ms: Annotated[int, msgspec.Meta(ge=10)] = 1_000
     replay_most: Annotated[int, msgspec.Meta(ge=1, le=1024)] = 8
-    lost: Lost = "park"
+    lost: OrphanPolicy = "park"
     upstream: Upstream = "servers"
     shared: bool = False
 
@@ -55,7 +55,7 @@
     def settings(self) -> OutboxSettings:
         """The same as the driver takes it."""
         classes = {
-            one.name: KeptClass(one.keep, 0 if one.window_s is None else one.window_s * 1_000_000)
+            one.name: QueuedClass(one.keep, 0 if one.window_s is None else one.window_s * 1_000_000)
             for one in self.classes
         }
         return OutboxSettings(
--- a/laurelstep/testing/contracts/outbox.py
+++ b/laurelstep/testing/contracts/outbox.py
@@ -10,14 +10,14 @@
 
 from msgspec.structs import replace
 
-from laurelstep.outbox.dots import Dot, Line
-from laurelstep.outbox.journal import KeptWrite, Moved, State
 from laurelstep.outbox.options import CHUNK
-from laurelstep.outbox.store import Loaded
+from laurelstep.outbox.queue_store import LoadedWrites
+from laurelstep.outbox.records import QueuedWrite, StateChange, WriteState
+from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from laurelstep.store.disk import StoreError
 from laurelstep.testing.contracts.base import Contract, raises, run_ready_callbacks
 
-LINE: Final = Line("studio-1", 7)
+LINE: Final = EdgeLog("studio-1", 7)
 # Body lengths: empty, one part, the limits of a part, several parts.
 BODY_SIZES: Final = (0, 1, 65_536, 65_537, 400_000)
 # Turns of the loop after which the crash comes.
@@ -27,37 +27,37 @@
 class WriteStore(Protocol):
     """What the outbox's driver needs of its store."""
 
-    async def load(self) -> Loaded:
+    async def load(self) -> LoadedWrites:
         """All writes, without bodies, and the known logs."""
 
-    async def keep(self, write: KeptWrite, body: bytes) -> None:
+    async def put_write(self, write: QueuedWrite, body: bytes) -> None:
         """Store a write with its complete body."""
 
-    async def put_parts(self, dot: Dot, at: int, parts: Sequence[bytes]) -> None:
+    async def put_parts(self, write_id: WriteId, at: int, parts: Sequence[bytes]) -> None:
         """Store parts of a body that is still arriving, from part `at` on."""
 
-    async def put_head(self, write: KeptWrite, first: bytes) -> None:
+    async def put_head(self, write: QueuedWrite, first: bytes) -> None:
         """Complete a write whose further parts are stored."""
 
-    async def move(self, moved: Moved) -> None:
+    async def put_state(self, moved: StateChange) -> None:
         """Store a new state of a write."""
 
-    async def read(self, dot: Dot) -> tuple[KeptWrite, bytes] | None:
+    async def read(self, write_id: WriteId) -> tuple[QueuedWrite, bytes] | None:
         """A write and its complete body; None if it is not there."""
 
-    async def head(self, dot: Dot) -> tuple[KeptWrite, bytes] | None:
+    async def head(self, write_id: WriteId) -> tuple[QueuedWrite, bytes] | None:
         """A write and the first part of its body; None if it is not there."""
 
-    async def part(self, dot: Dot, at: int) -> bytes:
+    async def part(self, write_id: WriteId, at: int) -> bytes:
         """Part `at` of a body."""
 
-    async def moved(self, dot: Dot) -> Moved | None:
+    async def state_change(self, write_id: WriteId) -> StateChange | None:
         """The last state that was stored of a write; None if there is none."""
 
-    async def forget(self, dot: Dot, size: int) -> bool:
+    async def delete_write(self, write_id: WriteId, size: int) -> bool:
         """Delete a write whose body has this size. False if the deletion can't be written."""
 
-    async def put_lines(self, lines: Mapping[Line, int]) -> None:
+    async def put_logs(self, lines: Mapping[EdgeLog, int]) -> None:
         """Store how far each log has come."""
 
 
@@ -78,18 +78,30 @@
         """Let all writes fail until the next process."""
 
 
-def dot_of(number: int) -> Dot:
+def dot_of(number: int) -> WriteId:
     """The id of the write with this number."""
-    return Dot(*LINE, number)
+    return WriteId(*LINE, number)
 
 
-def write_of(number: int, size: int) -> KeptWrite:
+def write_of(number: int, size: int) -> QueuedWrite:
     """A queued write with a body of this many bytes."""
-    return KeptWrite(
-        dot=dot_of(number), cls="upload", start=b"POST /upload", headers=((b"x-request-id", b"%d" % number),),
-        size=size, digest=b"d" * 16, keyed=True, key=b"k%d" % number, session=b"", obj=b"", tenant="",
-        causes=(), wall=1, window_us=2, life=0,
-    )  # fmt: skip
+    return QueuedWrite(
+        write_id=dot_of(number),
+        cls="upload",
+        start=b"POST /upload",
+        headers=((b"x-request-id", b"%d" % number),),
+        size=size,
+        digest=b"d" * 16,
+        keyed=True,
+        key=b"k%d" % number,
+        session=b"",
+        obj=b"",
+        tenant="",
+        dependencies=(),
+        wall=1,
+        window_us=2,
+        life=0,
+    )
 
 
 def body_of(number: int, size: int) -> bytes:
@@ -97,7 +109,7 @@
     return bytes((number + at) % 251 for at in range(251)) * (size // 251 + 1) if size else b""
 
 
-def write_with_body(number: int, size: int) -> tuple[KeptWrite, bytes]:
+def write_with_body(number: int, size: int) -> tuple[QueuedWrite, bytes]:
     """A queued write and its body."""
     return write_of(number, size), body_of(number, size)[:size]
 
@@ -107,15 +119,15 @@
     return [body[at : at + CHUNK] for at in range(0, len(body), CHUNK)]
 
 
-async def store_in_parts(store: WriteStore, write: KeptWrite, body: bytes) -> None:
+async def store_in_parts(store: WriteStore, write: QueuedWrite, body: bytes) -> None:
     """Store a write as one whose body is still arriving: two parts at a time, the head last."""
     parts = parts_of(body)
     for at in range(1, len(parts), 2):
-        await store.put_parts(write.dot, at, parts[at : at + 2])
+        await store.put_parts(write.write_id, at, parts[at : at + 2])
     await store.put_head(write, parts[0])
 
 
-def as_loaded(write: KeptWrite) -> KeptWrite:
+def as_loaded(write: QueuedWrite) -> QueuedWrite:
     """The write as `load` gives it: without what only a replay needs."""
     return replace(write, start=b"", headers=(), digest=b"")
 
@@ -143,14 +155,14 @@
             async with self.incarnations() as incarnations:
                 assert (await incarnations.store.load()).writes == []
                 for number, size in enumerate(BODY_SIZES, start=1):
-                    await incarnations.store.keep(*write_with_body(number, size))
+                    await incarnations.store.put_write(*write_with_body(number, size))
                 for restart in (incarnations.restart, incarnations.crash):
                     await restart()
                     found = await incarnations.store.load()
                     assert [one for one, _ in found.writes] == [
                         as_loaded(write_of(number, size)) for number, size in enumerate(BODY_SIZES, start=1)
                     ]
-                    assert found.lines == {LINE: len(BODY_SIZES)}
+                    assert found.edge_logs == {LINE: len(BODY_SIZES)}
                     for number, size in enumerate(BODY_SIZES, start=1):
                         assert await incarnations.store.read(dot_of(number)) == write_with_body(number, size)
 
@@ -161,14 +173,14 @@
             for crash in CRASH_TURNS:
                 async with self.incarnations() as incarnations:
                     await incarnations.store.load()
-                    await incarnations.store.keep(*write_with_body(1, 10))
-                    keeping = asyncio.create_task(incarnations.store.keep(*write_with_body(2, 200_000)))
+                    await incarnations.store.put_write(*write_with_body(1, 10))
+                    keeping = asyncio.create_task(incarnations.store.put_write(*write_with_body(2, 200_000)))
                     await run_ready_callbacks(crash)
                     told = keeping.done() and keeping.exception() is None
                     await incarnations.crash()
                     keeping.cancel()
                     await asyncio.gather(keeping, return_exceptions=True)
-                    found = [one.dot.number for one, _ in (await incarnations.store.load()).writes]
+                    found = [one.write_id.number for one, _ in (await incarnations.store.load()).writes]
                     assert found in ([1], [1, 2]) and (not told or 2 in found), f"{found} after {crash}"
                     for number, size in zip(found, (10, 200_000), strict=False):
                         assert await incarnations.store.read(dot_of(number)) == write_with_body(number, size)
@@ -180,17 +192,19 @@
             async with self.incarnations() as incarnations:
                 await incarnations.store.load()
                 for number in (1, 2):
-                    await incarnations.store.keep(*write_with_body(number, 100_000))
-                out = Moved(dot_of(1), State.OUT)
-                done = Moved(dot_of(1), State.DONE, status=200, body=b"ok")
-                await incarnations.store.move(out)
-                await incarnations.store.move(Moved(dot_of(2), State.OUT))
-                await incarnations.store.move(done)
+                    await incarnations.store.put_write(*write_with_body(number, 100_000))
+                out = StateChange(dot_of(1), WriteState.OUT)
+                done = StateChange(dot_of(1), WriteState.DONE, status=200, body=b"ok")
+                await incarnations.store.put_state(out)
+                await incarnations.store.put_state(StateChange(dot_of(2), WriteState.OUT))
+                await incarnations.store.put_state(done)
                 for restart in (incarnations.restart, incarnations.crash):
                     await restart()
-                    found = {one.dot.number: moved for one, moved in (await incarnations.store.load()).writes}
-                    assert found == {1: replace(done, body=b""), 2: Moved(dot_of(2), State.OUT)}
-                    assert await incarnations.store.moved(dot_of(1)) == done
+                    found = {
+                        one.write_id.number: moved for one, moved in (await incarnations.store.load()).writes
+                    }
+                    assert found == {1: replace(done, body=b""), 2: StateChange(dot_of(2), WriteState.OUT)}
+                    assert await incarnations.store.state_change(dot_of(1)) == done
                     assert await incarnations.store.read(dot_of(2)) == write_with_body(2, 100_000)
 
         self.run(main())
@@ -199,15 +213,15 @@
         async def main() -> None:
             async with self.incarnations() as incarnations:
                 await incarnations.store.load()
-                await incarnations.store.keep(*write_with_body(1, 200_000))
-                await incarnations.store.move(Moved(dot_of(1), State.PARKED))
-                await incarnations.store.put_lines({LINE: 9})
-                assert await incarnations.store.forget(dot_of(1), 200_000)
+                await incarnations.store.put_write(*write_with_body(1, 200_000))
+                await incarnations.store.put_state(StateChange(dot_of(1), WriteState.PARKED))
+                await incarnations.store.put_logs({LINE: 9})
+                assert await incarnations.store.delete_write(dot_of(1), 200_000)
                 assert await incarnations.store.read(dot_of(1)) is None
                 await incarnations.restart()
                 found = await incarnations.store.load()
-                assert found.writes == [] and found.lines == {LINE: 9}
-                assert await incarnations.store.moved(dot_of(1)) is None
+                assert found.writes == [] and found.edge_logs == {LINE: 9}
+                assert await incarnations.store.state_change(dot_of(1)) is None
 
         self.run(main())
 
@@ -215,16 +229,16 @@
         async def main() -> None:
             async with self.incarnations() as incarnations:
                 await incarnations.store.load()
-                await incarnations.store.keep(*write_with_body(1, 100_000))
+                await incarnations.store.put_write(*write_with_body(1, 100_000))
                 incarnations.fail_writes()
                 with raises(StoreError, "a write on a disk that fails"):
-                    await incarnations.store.keep(*write_with_body(2, 200_000))
+                    await incarnations.store.put_write(*write_with_body(2, 200_000))
                 with raises(StoreError, "a state on a disk that fails"):
-                    await incarnations.store.move(Moved(dot_of(1), State.OUT))
+                    await incarnations.store.put_state(StateChange(dot_of(1), WriteState.OUT))
                 assert await incarnations.store.read(dot_of(1)) == write_with_body(1, 100_000)
                 assert await incarnations.store.read(dot_of(2)) is None
                 await incarnations.restart()
-                found = [one.dot.number for one, _ in (await incarnations.store.load()).writes]
+                found = [one.write_id.number for one, _ in (await incarnations.store.load()).writes]
                 assert found in ([1], [1, 2])
 
         self.run(main())
@@ -236,14 +250,14 @@
                 write, body = write_with_body(1, 400_000)
                 parts = parts_of(body)
                 for at in range(1, len(parts), 2):
-                    await incarnations.store.put_parts(write.dot, at, parts[at : at + 2])
-                    assert await incarnations.store.read(write.dot) is None
+                    await incarnations.store.put_parts(write.write_id, at, parts[at : at + 2])
+                    assert await incarnations.store.read(write.write_id) is None
                 await incarnations.store.put_head(write, parts[0])
                 for restart in (incarnations.restart, incarnations.crash):
-                    assert await incarnations.store.head(write.dot) == (write, parts[0])
-                    found = [await incarnations.store.part(write.dot, at) for at in range(1, len(parts))]
+                    assert await incarnations.store.head(write.write_id) == (write, parts[0])
+                    found = [await incarnations.store.part(write.write_id, at) for at in range(1, len(parts))]
                     assert found == parts[1:]
-                    assert await incarnations.store.read(write.dot) == (write, body)
+                    assert await incarnations.store.read(write.write_id) == (write, body)
                     await restart()
                     assert [one for one, _ in (await incarnations.store.load()).writes] == [as_loaded(write)]
 
@@ -254,16 +268,16 @@
             async with self.incarnations() as incarnations:
                 await incarnations.store.load()
                 write, body = write_with_body(1, 400_000)
-                await incarnations.store.put_parts(write.dot, 1, parts_of(body)[1:])
-                assert await incarnations.store.head(write.dot) is None
+                await incarnations.store.put_parts(write.write_id, 1, parts_of(body)[1:])
+                assert await incarnations.store.head(write.write_id) is None
                 await incarnations.crash()
                 assert (await incarnations.store.load()).writes == []
                 with raises(StoreError, "a part of a write that was never kept"):
-                    await incarnations.store.part(write.dot, 1)
-                await incarnations.store.put_parts(write.dot, 1, parts_of(body)[1:3])
-                assert await incarnations.store.forget(write.dot, len(body))
+                    await incarnations.store.part(write.write_id, 1)
+                await incarnations.store.put_parts(write.write_id, 1, parts_of(body)[1:3])
+                assert await incarnations.store.delete_write(write.write_id, len(body))
                 with raises(StoreError, "a part that was forgotten"):
-                    await incarnations.store.part(write.dot, 1)
+                    await incarnations.store.part(write.write_id, 1)
 
         self.run(main())
 
@@ -281,7 +295,7 @@
                     await asyncio.gather(keeping, return_exceptions=True)
                     found = [one for one, _ in (await incarnations.store.load()).writes]
                     assert found in ([], [as_loaded(write)]) and (not told or found), f"{found} after {crash}"
-                    assert await incarnations.store.read(write.dot) == ((write, body) if found else None)
+                    assert await incarnations.store.read(write.write_id) == ((write, body) if found else None)
 
         self.run(main())
 
@@ -291,13 +305,13 @@
                 await incarnations.store.load()
                 write, body = write_with_body(1, 100_000)
                 parts = parts_of(body)
-                await incarnations.store.put_parts(write.dot, 1, parts[1:])
+                await incarnations.store.put_parts(write.write_id, 1, parts[1:])
                 incarnations.fail_writes()
                 with raises(StoreError, "a part on a disk that fails"):
-                    await incarnations.store.put_parts(write.dot, 2, [b"x"])
+                    await incarnations.store.put_parts(write.write_id, 2, [b"x"])
                 with raises(StoreError, "a head on a disk that fails"):
                     await incarnations.store.put_head(write, parts[0])
-                assert await incarnations.store.read(write.dot) is None
+                assert await incarnations.store.read(write.write_id) is None
                 await incarnations.restart()
                 found = [one for one, _ in (await incarnations.store.load()).writes]
                 assert found in ([], [as_loaded(write)])
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -26,9 +26,8 @@
 from laurelstep.consensus.stores.embedded import EmbeddedStore, StateFaultError
 from laurelstep.engine import Ending
 from laurelstep.library import Request
-from laurelstep.outbox.journal import FINAL, Moved
-from laurelstep.outbox.journal import State as WriteState
-from laurelstep.outbox.store import FailedToKeepError, KeptStore
+from laurelstep.outbox.queue_store import FailedToKeepError, QueueStore
+from laurelstep.outbox.records import FINAL, StateChange, WriteState
 from laurelstep.request_journal.records import ResponseRecord, decode_record, store_key
 from laurelstep.store import Store, StoreError, StoreOptions, StoreUnavailableError
 from laurelstep.store.availability import MAX_BACKOFF_S
@@ -442,7 +441,7 @@
 def short_ahead(monkeypatch: pytest.MonkeyPatch) -> None:
     """A log whose every byte can be cut in a moment: few zeros ahead of its end."""
     monkeypatch.setattr(
-        "laurelstep.outbox.store.StoreOptions", functools.partial(StoreOptions, preallocated_bytes=64)
+        "laurelstep.outbox.queue_store.StoreOptions", functools.partial(StoreOptions, preallocated_bytes=64)
     )
     monkeypatch.setattr(
         embedded, "OPTIONS", replace(embedded.OPTIONS, preallocated_bytes=64, segment_bytes=1_000)
@@ -450,8 +449,8 @@
 
 
 @contextlib.asynccontextmanager
-async def kept_store(disk: SimulatedDisk, times: Machine | None = None) -> AsyncIterator[KeptStore]:
-    store = await KeptStore.open(disk, MOST, clocks=(times or Machine()).clocks())
+async def kept_store(disk: SimulatedDisk, times: Machine | None = None) -> AsyncIterator[QueueStore]:
+    store = await QueueStore.open(disk, MOST, clocks=(times or Machine()).clocks())
     try:
         yield store
     finally:
@@ -469,23 +468,23 @@
             await store.load()
             kept = [write_with_body(1, 100), write_with_body(2, 200_000)]
             for one in kept:
-                await store.keep(*one)
-            await store.move(Moved(kept[0][0].dot, WriteState.OUT))
+                await store.put_write(*one)
+            await store.put_state(StateChange(kept[0][0].write_id, WriteState.OUT))
             disk.break_down(error, *operations)
             for n in (3, 4):
                 with pytest.raises(FailedToKeepError):
-                    await store.keep(*write_with_body(n, 200_000))
+                    await store.put_write(*write_with_body(n, 200_000))
                 with pytest.raises(StoreError):
-                    await store.move(Moved(kept[0][0].dot, WriteState.DONE))
-                assert not await store.forget(kept[1][0].dot, kept[1][0].size)
+                    await store.put_state(StateChange(kept[0][0].write_id, WriteState.DONE))
+                assert not await store.delete_write(kept[1][0].write_id, kept[1][0].size)
                 times.seconds += MAX_BACKOFF_S / 3
             during = disk.kill()
             disk.mend()
             times.seconds += MAX_BACKOFF_S
-            await store.keep(*write_with_body(5, 70_000))
+            await store.put_write(*write_with_body(5, 70_000))
             kept.append(write_with_body(5, 70_000))
             for one in kept:
-                assert await store.read(one[0].dot) == one
+                assert await store.read(one[0].write_id) == one
         for after in deaths(disk, 8):
             assert await read_kept(after) == [*kept]
         during.mend()
@@ -501,7 +500,7 @@
 async def read_kept(disk: SimulatedDisk) -> list[Any]:
     """As a life finds it, with its body."""
     async with kept_store(disk) as store:
-        return [await store.read(one.dot) for one, _ in (await store.load()).writes]
+        return [await store.read(one.write_id) for one, _ in (await store.load()).writes]
 
 
 @pytest.mark.usefixtures("short_ahead")
@@ -511,28 +510,30 @@
         async with kept_store(disk) as store:
             await store.load()
             for n in range(1, 4):
-                await store.keep(*write_with_body(n, 30 * n))
-                disk.mark("kept", write_with_body(n, 0)[0].dot)
+                await store.put_write(*write_with_body(n, 30 * n))
+                disk.mark("kept", write_with_body(n, 0)[0].write_id)
             for n in (1, 2):
                 for state in (WriteState.OUT, WriteState.DONE):
-                    await store.move(Moved(write_with_body(n, 0)[0].dot, state))
-                    disk.mark(state.name, write_with_body(n, 0)[0].dot)
-            disk.mark("forgetting", write_with_body(1, 0)[0].dot)
-            assert await store.forget(write_with_body(1, 0)[0].dot, 0)
-            disk.mark("forgotten", write_with_body(1, 0)[0].dot)
+                    await store.put_state(StateChange(write_with_body(n, 0)[0].write_id, state))
+                    disk.mark(state.name, write_with_body(n, 0)[0].write_id)
+            disk.mark("forgetting", write_with_body(1, 0)[0].write_id)
+            assert await store.delete_write(write_with_body(1, 0)[0].write_id, 0)
+            disk.mark("forgotten", write_with_body(1, 0)[0].write_id)
         seen = 0
         for before, broken in cuts(disk.journal):
             async with kept_store(broken) as store:
-                writes = {one.dot: moved for one, moved in (await store.load()).writes}
-            for dot in marks(before, "kept"):
-                if dot in marks(before, "forgotten"):
-                    assert dot not in writes
-                elif dot not in marks(before, "forgetting"):
-                    assert dot in writes
-                if dot in writes and dot in marks(before, "OUT"):
-                    assert writes[dot] is not None, "it was sent, and is not sent as if it never had been"
-                if dot in writes and dot in marks(before, "DONE"):
-                    moved = writes[dot]
+                writes = {one.write_id: moved for one, moved in (await store.load()).writes}
+            for write_id in marks(before, "kept"):
+                if write_id in marks(before, "forgotten"):
+                    assert write_id not in writes
+                elif write_id not in marks(before, "forgetting"):
+                    assert write_id in writes
+                if write_id in writes and write_id in marks(before, "OUT"):
+                    assert writes[write_id] is not None, (
+                        "it was sent, and is not sent as if it never had been"
+                    )
+                if write_id in writes and write_id in marks(before, "DONE"):
+                    moved = writes[write_id]
                     assert moved is not None and moved.state in FINAL
             seen += 1
         assert seen > 800
@@ -548,12 +549,12 @@
         async with kept_store(disk) as store:
             await store.load()
             write, body = write_with_body(1, 10)
-            await store.keep(write, body)
-            await store.move(Moved(write.dot, WriteState.DONE))
+            await store.put_write(write, body)
+            await store.put_state(StateChange(write.write_id, WriteState.DONE))
             writer = store.store.writer
             writer.options = replace(writer.options, batch_records=1)  # each change by itself
             begun = len(disk.journal)
-            assert await store.forget(write.dot, 0)
+            assert await store.delete_write(write.write_id, 0)
             calls = disk.journal
         for end in range(begun, len(calls)):
             async with kept_store(SimulatedDisk.replay(calls[:end]).lose_power(all_=True)) as store:
