--- a/benchmarks/accord.py
+++ b/benchmarks/accord.py
@@ -99,7 +99,8 @@
 
     def kill(self) -> tuple[float, float]:
         """Kill who leads: how long until another leads, and until it has agreed on an entry, s. It
-        comes again from nothing."""
+        comes again from nothing.
+        """
         at = self.settle()
         began = time.monotonic()
         self.children[at].process.kill()
--- a/benchmarks/accord_child.py
+++ b/benchmarks/accord_child.py
@@ -2,7 +2,8 @@
 
 `python -m benchmarks.accord_child PLAN`, a JSON object: `peers` (their addresses), `seats`, and `here`, the
 numbers that this process plays. Each line that comes is a command, each answer one JSON object: `status`;
-`agree N`, in the process that leads: N entries one after the other, and how long each took."""
+`agree N`, in the process that leads: N entries one after the other, and how long each took.
+"""
 
 from __future__ import annotations
 
--- a/benchmarks/children.py
+++ b/benchmarks/children.py
@@ -1,6 +1,7 @@
 """The processes of `hotpath`: endpoint, bare relay, host of the library, library alone.
 
-`python -m benchmarks.children ROLE [ARGUMENT...]`; each prints its port as its first line."""
+`python -m benchmarks.children ROLE [ARGUMENT...]`; each prints its port as its first line.
+"""
 
 from __future__ import annotations
 
--- a/benchmarks/outbox.py
+++ b/benchmarks/outbox.py
@@ -7,7 +7,8 @@
 
 `thirty`: so many edges come back at once to a stand-in upstream that serves `PLACES` requests at a time,
 lets as many wait and refuses the rest, while live requests come to it past them; with the replay's pace, and
-with all sent at once, turn about."""
+with all sent at once, turn about.
+"""
 
 from __future__ import annotations
 
--- a/benchmarks/outbox_child.py
+++ b/benchmarks/outbox_child.py
@@ -3,7 +3,8 @@
 `endpoint`: answers after 2 ms. A POST's body says `chain number`: it counts what takes effect twice, and what
 comes before its cause. Each line that it is told is answered with these figures.
 `tight PLACES`: serves so many at a time, lets as many wait, and answers the rest with 503.
-`held FOLDER COUNT`: keeps so many writes while cut off, and tells what memory and time they took."""
+`held FOLDER COUNT`: keeps so many writes while cut off, and tells what memory and time they took.
+"""
 
 from __future__ import annotations
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -3,7 +3,8 @@
 Durable writes a second of 1 and 64 writers: the store, an fsync for each write of the same
 bytes, and SQLite (WAL, synchronous=FULL). SQLite has one writer: with 64, what waits is put
 into one transaction, as a program that groups its commits would. Recovery and memory are
-those of a store of `--keys` keys; stalls are the loop's longest turn while it is compacted."""
+those of a store of `--keys` keys; stalls are the loop's longest turn while it is compacted.
+"""
 
 from __future__ import annotations
 
--- a/benchmarks/stream_child.py
+++ b/benchmarks/stream_child.py
@@ -1,6 +1,7 @@
 """The endpoint of `stream`: gives as many bytes as the target asks for, and drops what it is sent.
 
-Prints its port as its first line. `GET .../N` is answered with N bytes, whatever else it says."""
+Prints its port as its first line. `GET .../N` is answered with N bytes, whatever else it says.
+"""
 
 from __future__ import annotations
 
--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -8,7 +8,8 @@
 
 `lost`: no answer, or a failure; `late`: after its class's aim. `doubles`: executed twice.
 `sent_after_clear`: requests that came to a machine after a copy had said clear, or after the wait.
-`over_limit`: looks that found more out than allowed. The first keys are those of the wishes."""
+`over_limit`: looks that found more out than allowed. The first keys are those of the wishes.
+"""
 
 from __future__ import annotations
 
--- a/laurelstep/__main__.py
+++ b/laurelstep/__main__.py
@@ -79,7 +79,8 @@
 
 def hold_reload() -> None:
     """From before the configuration is read until there is something to reload, SIGHUP waits: what
-    is told in between must not be lost, or this process would stay with the old discovery."""
+    is told in between must not be lost, or this process would stay with the old discovery.
+    """
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
 
--- a/laurelstep/balancing/admission.py
+++ b/laurelstep/balancing/admission.py
@@ -86,7 +86,8 @@
 
     def record_outcome(self, now: int, request: Request, outcome: int) -> None:
         """Take how a request ended. Errors and resets are left out: they come from broken
-        endpoints, which fewer requests would not cure."""
+        endpoints, which fewer requests would not cure.
+        """
         if outcome in (ERROR, RESET) or request.body_pending:
             return
         took_us = now - request.arrived_at
@@ -143,7 +144,8 @@
 
     def _was_lost(self, request: Request) -> bool:
         """Whether its endpoint answered a request that was sent when this one was already overdue:
-        a queue answers in order, so this one was lost."""
+        a queue answers in order, so this one was lost.
+        """
         if not request.attempts or not self.latencies.is_known():
             return False
         last = request.attempts[-1]
--- a/laurelstep/balancing/balancer.py
+++ b/laurelstep/balancing/balancer.py
@@ -286,7 +286,8 @@
 
     def _enqueue(self, now: int, request: Request) -> bool:
         """Whether to take the request into its key's queue. One that those before
-        it leave no time is refused at once, unsent: a key runs one at a time."""
+        it leave no time is refused at once, unsent: a key runs one at a time.
+        """
         ahead = self.key_queues.enqueue(now, request)
         ahead_us = ahead * self.latencies.by_class[request.class_index].mean
         last_chance = request.give_up_at() - self.retries.backoff(request.cls)
@@ -340,7 +341,8 @@
 
     def _end(self, now: int, request: Request) -> None:
         """The one place that gives final answers. A refusal promises that a
-        retry is harmless, so it is given only where that is sure."""
+        retry is harmless, so it is given only where that is sure.
+        """
         if request.streaming:
             return
         if self.retries.is_refusal_safe(request):
--- a/laurelstep/balancing/concurrency_limit.py
+++ b/laurelstep/balancing/concurrency_limit.py
@@ -145,7 +145,8 @@
     def _settle(self, arrived_at: int, took_us: int, answered: bool) -> None:
         """Take the unloaded time from the first requests, not from the first answers: those
         are the quick ones. A number of requests ends this phase, not a multiple of the
-        service time: answers that slow down from the start would extend it for ever."""
+        service time: answers that slow down from the start would extend it for ever.
+        """
         self.base_us = self.smoothed_us
         if answered and (self.early_end_at < 0 or arrived_at <= self.early_end_at):
             self.early = self.early[0] + 1, self.early[1] + took_us
@@ -197,7 +198,8 @@
         """Guards against shedding without effect, as other copies take what this one refuses:
         where the requests admitted under the tight limit take no less time, that time is the
         unloaded one by now. Requests admitted before do not count: their slowest results are
-        still to come."""
+        still to come.
+        """
         since, smoothed_us = self.tight
         if is_tight:
             acted_long = now - since > FUTILE_WINDOWS * WINDOW_MEMORY * smoothed_us
--- a/laurelstep/balancing/connections.py
+++ b/laurelstep/balancing/connections.py
@@ -75,7 +75,8 @@
     def record_lost(self, attempt: Attempt) -> None:
         """Count evidence of connections that die while idle, in the handshakes that it pays for:
         a lost request is worth as many as its value buys. A loss on a new connection has other
-        causes and takes as much back."""
+        causes and takes as much back.
+        """
         suspect_us = SUSPECT_PART * attempt.connection_idle_us
         least_us = IDLE_LEAST * self.latencies.longest_objective_us
         if attempt.connection_idle_us > least_us and not attempt.counted_as_lost:
@@ -90,7 +91,8 @@
 
     def record_answered(self, attempt: Attempt) -> None:
         """An answer takes a counted loss back, as slowness has other causes; one on a
-        connection that had been idle counts against the suspicion."""
+        connection that had been idle counts against the suspicion.
+        """
         if attempt.counted_as_lost:
             self.closes_left = max(0.0, self.closes_left - self.credit)
         elif attempt.connection_idle_us > 0 and self.closes_left < 1.0:
--- a/laurelstep/balancing/endpoints.py
+++ b/laurelstep/balancing/endpoints.py
@@ -22,7 +22,8 @@
 
 def ring_key(cell: int, endpoint: int) -> RingKey:
     """An endpoint's place on the shared ring: cells stay together, so that a retry bound to a cell
-    finds warm connections; both parts are hashed, as ids have an order of their own."""
+    finds warm connections; both parts are hashed, as ids have an order of their own.
+    """
     return mix(cell), mix(endpoint), endpoint
 
 
--- a/laurelstep/balancing/events.py
+++ b/laurelstep/balancing/events.py
@@ -109,7 +109,8 @@
     absent; they are the careful choice, never a figure of some deployment.
     Times in µs; prices in points of service, each for its rate or share.
     Fields are named as the platform's settings are, since errors and the
-    log of a reload name them to operators."""
+    log of a reload name them to operators.
+    """
 
     classes: tuple[RequestClass, ...]
     me: int = 0  # this copy's number; may be past `instances` while a tier grows
--- a/laurelstep/balancing/key_queues.py
+++ b/laurelstep/balancing/key_queues.py
@@ -32,7 +32,8 @@
 
     def has_turn(self, now: int, request: Request) -> bool:
         """Guards order: first of those not over, no attempt of others out, no rest.
-        One that was sent keeps its turn, for retries and hedged requests too."""
+        One that was sent keeps its turn, for retries and hedged requests too.
+        """
         if not request.key or request.attempts:
             return True
         queue = self.queues[request.key]
@@ -71,7 +72,8 @@
 
     def next_request(self, now: int, key: int) -> Request | None:
         """The request whose turn it is, now or after the key's rest; forgets a key once all
-        of it is over."""
+        of it is over.
+        """
         queue = self.queues.get(key)
         if queue is None or queue.attempts_out or (queue.waiting and queue.waiting[0].attempts):
             return None
--- a/laurelstep/balancing/membership.py
+++ b/laurelstep/balancing/membership.py
@@ -117,7 +117,8 @@
     def remove(self, endpoint: Endpoint) -> bool:
         """Guards drains: an endpoint that is draining or gone leaves at once.
 
-        Returns whether it was on the ring."""
+        Returns whether it was on the ring.
+        """
         if not endpoint.inflight:
             self.by_id.pop(endpoint.id, None)
         was_ready = endpoint.ready
@@ -130,7 +131,8 @@
 
     def settle_attempt(self, endpoint: Endpoint) -> None:
         """Any ending of an attempt lowers the endpoint's count; one that left and owes nothing
-        more is forgotten."""
+        more is forgotten.
+        """
         endpoint.inflight = max(0, endpoint.inflight - 1)
         is_needed = endpoint.ready or endpoint.staged or endpoint.inflight
         if not is_needed and self.by_id.get(endpoint.id) is endpoint:
--- a/laurelstep/balancing/outliers.py
+++ b/laurelstep/balancing/outliers.py
@@ -98,7 +98,8 @@
     ) -> None:
         """Guards against endpoints that fail fast, drain their count and so
         keep winning: a failure makes them unlikely to be drawn. Other classes
-        and tenants are suspected too, but less: it may fail these alone."""
+        and tenants are suspected too, but less: it may fail these alone.
+        """
         if outcome == FULL and self.full_is_a_fault:
             outcome = TIMEOUT
         sends = max(self.sends.per_us(now), SENDS_LEAST / self.latencies.longest_objective_us)
--- a/laurelstep/balancing/priorities.py
+++ b/laurelstep/balancing/priorities.py
@@ -55,7 +55,8 @@
     def _gains(self, parts: list[float], weights: list[float]) -> list[float]:
         """What the goal gains from a unit of each kind's work. To serve all classes alike
         gains the mean for the whole and again for the worst class; a class gives way only
-        to one that gains more than that."""
+        to one that gains more than that.
+        """
         goal, classes = self.settings.goal, len(self.settings.classes)
         mean = fsum(p * w for p, w in zip(parts, weights, strict=True)) / fsum(parts)
         alike = (goal.whole + goal.worst_class) * mean
@@ -66,7 +67,8 @@
 
     def _is_over_quota(self, now: int, tenant: int) -> bool:
         """Guards the others' quota against a tenant that asks for more than
-        its own: each copy meters an equal part of the quota."""
+        its own: each copy meters an equal part of the quota.
+        """
         if tenant >= len(self.quota_meters) or not self.settings.tenants[tenant]:
             return False
         rate = self.settings.tenants[tenant] / self.settings.instances / 1e6
--- a/laurelstep/balancing/selection.py
+++ b/laurelstep/balancing/selection.py
@@ -95,7 +95,8 @@
 
     def _choose(self, now: int, request: Request, subsets: Sequence[Subset]) -> Endpoint | None:
         """The design's rule: one draw from each subset, fewer own calls in
-        flight wins, ties go left; a subset without an eligible endpoint yields."""
+        flight wins, ties go left; a subset without an eligible endpoint yields.
+        """
         drawn = [one for one in (self._draw(now, request, subset) for subset in subsets) if one is not None]
         best = min(drawn, key=lambda one: one.inflight, default=None)
         for other in drawn:
--- a/laurelstep/consensus/links/udp.py
+++ b/laurelstep/consensus/links/udp.py
@@ -1,5 +1,6 @@
 """UDP, as the protocol page has it between sidecars: datagrams to an address of `peers`, which arrive at
-`peer_listen` from the sender's address in `peers`."""
+`peer_listen` from the sender's address in `peers`.
+"""
 
 from __future__ import annotations
 
--- a/laurelstep/demo/__init__.py
+++ b/laurelstep/demo/__init__.py
@@ -1,7 +1,8 @@
 """`laurelstep demo`: a daemon on loopback under load, while one endpoint stalls and another drains.
 
 Everything in it is real: a daemon in a process of its own, discovery, eight endpoints of
-three speeds and clients on sockets. It ends by itself with a summary."""
+three speeds and clients on sockets. It ends by itself with a summary.
+"""
 
 from __future__ import annotations
 
--- a/laurelstep/demo/run.py
+++ b/laurelstep/demo/run.py
@@ -57,7 +57,8 @@
 
     async def run(self, on_view: OnView | None = None) -> Summary:
         """Play the run to its end; `on_view` is called ten times a second. RuntimeError if the daemon
-        ends before it is ready."""
+        ends before it is ready.
+        """
         async with contextlib.AsyncExitStack() as stack:
             self.endpoints = make_endpoints(self.draw, self.effects)
             for endpoint in self.endpoints:
--- a/laurelstep/engine/__init__.py
+++ b/laurelstep/engine/__init__.py
@@ -1,6 +1,7 @@
 """The engine: drives one `Balancer` on a clock. Requests come in, attempts go out, and
 each request gets exactly one final answer. It knows no HTTP caller, no ASGI and no
-subsystem; what it works with is named in `laurelstep.engine.ports`."""
+subsystem; what it works with is named in `laurelstep.engine.ports`.
+"""
 
 from laurelstep.engine.call import Answer, Attempt, Call, Ending, Headers
 from laurelstep.engine.clock import LoopClock
--- a/laurelstep/engine/attempts.py
+++ b/laurelstep/engine/attempts.py
@@ -78,7 +78,8 @@
     def may_start(self, attempt: Attempt, now: int) -> bool:
         """Whether its first byte may be written at the time `now`, in us. Guards against an attempt for a
         client whose close the loop has not read yet: that lies there for as long as the loop is held up,
-        and behind bytes that are not read."""
+        and behind bytes that are not read.
+        """
         if not self._is_allowed(attempt, now):
             return False
         client = attempt.call.client
@@ -94,7 +95,8 @@
 
     def _retry_window_end(self, call: Call) -> int:
         """When the window for retries of an idempotent call ends; else its deadline. Guards against a retry
-        that was decided within the window and is written past it, on a connection that came up late."""
+        that was decided within the window and is written past it, on a connection that came up late.
+        """
         cls = self.settings.classes[call.cls]
         if cls.effect == KEYED:
             for attempt in call.attempts:
@@ -110,7 +112,8 @@
 
     def _end_unwritten(self, attempt: Attempt) -> None:
         """It may be written no longer. Guards against last bytes that the endpoint takes past the
-        window for retries; and its client need not wait for a connection that is of no more use."""
+        window for retries; and its client need not wait for a connection that is of no more use.
+        """
         if attempt.may_have_run:
             self._arm_timeout(attempt)
         else:
--- a/laurelstep/engine/body_stream.py
+++ b/laurelstep/engine/body_stream.py
@@ -46,7 +46,8 @@
 
 class BodyStream:
     """The pipe between one source and one sink. `length` is that of the whole body in bytes; -1 where it
-    is not known ahead."""
+    is not known ahead.
+    """
 
     __slots__ = (
         "abandoned", "buffered", "closed", "complete", "length", "observer", "sink", "source", "started",
--- a/laurelstep/engine/counters.py
+++ b/laurelstep/engine/counters.py
@@ -9,7 +9,8 @@
     """Counts since the start. By class number: final answers by their ending, and those
     whose client left before; each request that was taken ends in one of them.
 
-    What is open is not counted here: the engine's own table has it."""
+    What is open is not counted here: the engine's own table has it.
+    """
 
     __slots__ = ("abandoned", "answered", "deferred", "errored", "sends", "taken")
 
--- a/laurelstep/engine/endpoint_table.py
+++ b/laurelstep/engine/endpoint_table.py
@@ -37,7 +37,8 @@
 
 def endpoint_number(instance: str) -> int:
     """From the name alone, so that all sidecars sort and group alike, and do
-    so after a restart; 64 bits, so that two hardly ever meet."""
+    so after a restart; 64 bits, so that two hardly ever meet.
+    """
     return int.from_bytes(blake2b(instance.encode(), digest_size=8).digest(), "big")
 
 
@@ -71,7 +72,8 @@
 
     def boot(self, started_ms: int, earlier_seen_at: int | None, now: int, wall: int) -> int:
         """When it started by the monotonic clock; 0 for long ago. `earlier_seen_at`: when an earlier start
-        of the same endpoint was told, None if none was."""
+        of the same endpoint was told, None if none was.
+        """
         if started_ms <= 0:
             return 0
         boot = started_ms * 1000 - self._wall_offset(now, wall)
@@ -121,7 +123,8 @@
 
     def apply(self, whole: bool, raw: Sequence[Any]) -> list[Entry]:
         """Take a list in discovery's form and give its entries for the module;
-        ValueError if it can't be read, with nothing changed."""
+        ValueError if it can't be read, with nothing changed.
+        """
         read = [self.read(one) for one in raw]
         now = self.clock.now()
         self.forget(now)
--- a/laurelstep/engine/engine.py
+++ b/laurelstep/engine/engine.py
@@ -252,7 +252,8 @@
 
     def _enqueue(self, call: Call, answer: Answer | None) -> bool:
         """Whether the write queue has a call from here on. It is never asked about one that may have run, or
-        may yet, nor about an upload that an endpoint had the beginning of: that is not here any more."""
+        may yet, nor about an upload that an endpoint had the beginning of: that is not here any more.
+        """
         if self.write_queue is None or call.recorded or (call.upload is not None and call.upload.started):
             return False
         for attempt in call.attempts:
@@ -320,7 +321,8 @@
 
     def out_at(self, endpoint: int) -> int:
         """Attempts that are out at an endpoint, and answers that still come from it. Looks at
-        all that is open: for one who asks now and then."""
+        all that is open: for one who asks now and then.
+        """
         out = sum(1 for _, where in self.forwarding.values() if where == endpoint)
         for call in self.calls.values():
             for attempt in call.attempts:
--- a/laurelstep/engine/list_updates.py
+++ b/laurelstep/engine/list_updates.py
@@ -49,7 +49,8 @@
 
 def parse_in_steps(text: str) -> Generator[None, None, dict[str, Any]]:
     """A JSON object (RFC 8259), as `json.loads` reads it; that of a long array, the
-    value of `instances`, takes a step for every `STEP` of its items. ValueError."""
+    value of `instances`, takes a step for every `STEP` of its items. ValueError.
+    """
     decode = json.JSONDecoder().raw_decode
     found: dict[str, Any] = {}
     _, at = _mark(text, 0, "{")
@@ -93,7 +94,8 @@
     """An entry of discovery as the engine can use it, and what is wrong with it, if anything is.
 
     Guards the good entries of a list against a bad one. An endpoint whose state or address can't be
-    read wants nothing new; without a name there is nothing to use. Null is as good as absent."""
+    read wants nothing new; without a name there is nothing to use. Null is as good as absent.
+    """
     name = raw.get("instanceId") if isinstance(raw, dict) else None
     if not isinstance(name, str) or (not name.isascii() and not _is_text(name)):
         return None, f"an entry with no instanceId: {str(raw)[:80]!r}"
@@ -142,7 +144,8 @@
 ) -> Iterator[None]:
     """A list in discovery's form that was told at `told_at`, µs. ValueError comes before
     anything is changed; `tell` is last called with no more to come. Takes its items out of
-    `raw`: to free them all at the end would be a step as long as the list."""
+    `raw`: to free them all at the end would be a step as long as the list.
+    """
     read: Read = {}
     raw.reverse()
     while raw:
@@ -197,7 +200,8 @@
 
 def dump_in_steps(members: EndpointTable, generation: int, taken: list[bytes]) -> Iterator[None]:
     """The endpoints that have not left, as a whole list in discovery's form: JSON, put
-    into `taken` with the last step."""
+    into `taken` with the last step.
+    """
     zones = {number: name for name, number in members.names.zones.items()}
     kinds = {number: name for name, number in members.names.kinds.items()}
     parts: list[str] = []
--- a/laurelstep/engine/names.py
+++ b/laurelstep/engine/names.py
@@ -22,7 +22,8 @@
 class Names:
     """Made from the settings object of the platform's configuration. `order_headers` are the
     headers, by class, with which requests name their order; `keepable` the classes that an outbox may
-    keep, here or at an edge of this copy."""
+    keep, here or at an edge of this copy.
+    """
 
     def __init__(
         self, raw: dict[str, Any], settings: Settings, order_headers: Mapping[str, bytes] | None = None
--- a/laurelstep/engine/ports.py
+++ b/laurelstep/engine/ports.py
@@ -96,14 +96,16 @@
 
     def listed(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
         """A whole list, or changes, in discovery's form; ValueError, with nothing of it
-        taken, if it is bad."""
+        taken, if it is bad.
+        """
 
     def now(self) -> int:
         """The time on the clock of `told_at`, µs."""
 
     def list_in_steps(self, whole: bool, entries: list[Any], told_at: int) -> Iterator[None]:
         """The same for a long list, one step with each item. ValueError comes, as there,
-        with nothing taken; after the last item all of it is. `entries` is used up."""
+        with nothing taken; after the last item all of it is. `entries` is used up.
+        """
 
     def list_failed(self) -> None:
         """What was asked for did not come."""
@@ -140,7 +142,8 @@
 
     def deliver(self, call: Call, answer: Answer) -> None:
         """The final answer that was handed to `Recorder.finish` leaves, or another in its
-        place. Only the first for a call counts."""
+        place. Only the first for a call counts.
+        """
 
 
 class Recorder(Protocol):
@@ -148,7 +151,8 @@
 
     def begin(self, call: Call, engine: Recorded) -> bool:
         """Before the module is told. True if it is recorded: then one of `admit` and `settle`
-        is called for it, now or later."""
+        is called for it, now or later.
+        """
 
     def finish(self, call: Call, answer: Answer, engine: Recorded) -> None:
         """Before the final answer of a recorded call leaves: `deliver` is called, now or later."""
@@ -160,16 +164,19 @@
 class WriteQueue(Protocol):
     """May keep a write that can't be sent now, and bring it upstream later. Asked at one step: before
     a refusal or a failure leaves whose request can't have run, and as a request is taken that
-    `must_queue` to it."""
+    `must_queue` to it.
+    """
 
     def must_queue(self, call: Call) -> bool:
         """Whether `enqueue` is asked before the module is told: the edge is cut off, or the call follows
-        what is kept."""
+        what is kept.
+        """
 
     def enqueue(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
         """`answer`: what it would get now; None where the module was not told of it yet. True if it is
         in hand: one of `settle` and `admit` is then called for it, now or later. Of an upload no
-        endpoint had anything: the queue attaches to it, and after that calls `settle`."""
+        endpoint had anything: the queue attaches to it, and after that calls `settle`.
+        """
 
     def on_call_closed(self, call: Call) -> None:
         """A call that is in hand is not open any more: its client left, or its time is over."""
--- a/laurelstep/flow_control/buffer_budget.py
+++ b/laurelstep/flow_control/buffer_budget.py
@@ -51,7 +51,8 @@
 
     def reserve(self, size: int, reserved: int) -> int:
         """What so much of a message takes of the budget in all, `reserved` of it so far; -1 if it
-        may be buffered no longer. In bytes."""
+        may be buffered no longer. In bytes.
+        """
         want = max(0, size - UNCOUNTED)
         if size > MAX_BUFFERED or self.used + want - reserved > self.limit:
             return -1
@@ -60,7 +61,8 @@
 
     def force(self, size: int, reserved: int) -> int:
         """The same for what has come complete at once, or can't be streamed: it is buffered all the
-        same, and others find less."""
+        same, and others find less.
+        """
         want = max(0, size - UNCOUNTED)
         self.used += want - reserved
         return want
--- a/laurelstep/hot_restart/predecessor.py
+++ b/laurelstep/hot_restart/predecessor.py
@@ -103,7 +103,8 @@
 
 class HotRestartServer:
     """Waits for a successor at the rendezvous until `close`. `on_stage_changed` is called after each
-    change."""
+    change.
+    """
 
     def __init__(
         self,
--- a/laurelstep/hot_restart/rendezvous.py
+++ b/laurelstep/hot_restart/rendezvous.py
@@ -23,7 +23,8 @@
 
 class RendezvousPoint:
     """Where the processes that serve at one address find each other. OSError where the folder can't be
-    used."""
+    used.
+    """
 
     def __init__(self, listen: tuple[str, int], folder: str) -> None:
         self.folder = folder
--- a/laurelstep/hot_restart/successor.py
+++ b/laurelstep/hot_restart/successor.py
@@ -69,7 +69,8 @@
 
 def _read_header(channel: socket.socket, descriptors: list[int], deadline: float) -> bytes:
     """The first line, byte by byte: what follows is the state. Adds to `descriptors` those that come with
-    it."""
+    it.
+    """
     line = b""
     while not line.endswith(b"\n"):
         _set_timeout(channel, deadline)
--- a/laurelstep/library/client.py
+++ b/laurelstep/library/client.py
@@ -108,7 +108,8 @@
 @dataclass(frozen=True, slots=True)
 class Reply:
     """The one final answer. `retry_after_s` comes with some rejections; `attempts` and `endpoint` (the
-    instance id of the last attempt's) are for logs."""
+    instance id of the last attempt's) are for logs.
+    """
 
     outcome: Ending
     status: int
--- a/laurelstep/maintenance/acknowledgements.py
+++ b/laurelstep/maintenance/acknowledgements.py
@@ -55,7 +55,8 @@
 
     def record(self, peer: int, incarnation: int, drained_index: int) -> None:
         """An acknowledgement was received. Of one incarnation the highest counts, as messages are
-        reordered."""
+        reordered.
+        """
         if incarnation in self.superseded.get(peer, ()):
             return
         last = self.by_peer.get(peer)
--- a/laurelstep/maintenance/api.py
+++ b/laurelstep/maintenance/api.py
@@ -98,7 +98,8 @@
 
     def withdraw_request(self, name: str) -> PendingCommand | None:
         """Take a request back: what is drained or drains returns, what is worked on stays out until
-        finished."""
+        finished.
+        """
         request = self._state.find_request(name)
         if request is not None:
             if request.is_withdrawn:
--- a/laurelstep/maintenance/commands.py
+++ b/laurelstep/maintenance/commands.py
@@ -71,7 +71,8 @@
 
 class CommandQueue:
     """The commands of one process. `send` takes a message to the leader, `on_submitted` is called after each
-    submission."""
+    submission.
+    """
 
     def __init__(
         self,
@@ -132,7 +133,8 @@
 
     def _expected_version(self, verb: CommandVerb, argument: CommandArgument) -> int:
         """The incarnation, request or drain that a command is meant for: late, it must not hit the next
-        one."""
+        one.
+        """
         if verb == CommandVerb.DECLARE_ABSENT and isinstance(argument, int):
             return self.state.incarnations.get(argument, 0)
         if verb == CommandVerb.WITHDRAW and isinstance(argument, str):
--- a/laurelstep/maintenance/controller.py
+++ b/laurelstep/maintenance/controller.py
@@ -51,7 +51,8 @@
 @dataclass(frozen=True, slots=True)
 class SentAcknowledgement:
     """The last acknowledgement that was sent, when it is sent again, and how long that is after it was
-    sent."""
+    sent.
+    """
 
     drained_index: int
     resend_at_us: int
--- a/laurelstep/maintenance/records.py
+++ b/laurelstep/maintenance/records.py
@@ -60,7 +60,8 @@
 
 class LastCommand(msgspec.Struct, array_like=True):
     """The last command of a replica that was committed. `verdict` is an `ErrorCode`, or empty if it took
-    effect."""
+    effect.
+    """
 
     incarnation: int
     sequence_number: int
--- a/laurelstep/maintenance/requests.py
+++ b/laurelstep/maintenance/requests.py
@@ -32,7 +32,8 @@
 
 class DisruptionLimits(msgspec.Struct, frozen=True, array_like=True):
     """What must stay in service: at most `max_unavailable` machines out at once in each zone, each cell or
-    the tier (`scope`), and at least `min_capacity_share` (0 to 1) of the tier's capacity."""
+    the tier (`scope`), and at least `min_capacity_share` (0 to 1) of the tier's capacity.
+    """
 
     max_unavailable: int = 1
     scope: LimitScope = "tier"
--- a/laurelstep/maintenance/selection.py
+++ b/laurelstep/maintenance/selection.py
@@ -14,7 +14,8 @@
 
 def selected_machines(request: MaintenanceRequest, table: MachineTable) -> list[ListedMachine]:
     """The listed machines that a request selects, by zone, cell and id; at most
-    `MAX_MACHINES_PER_REQUEST`."""
+    `MAX_MACHINES_PER_REQUEST`.
+    """
     selected = []
     for machine_id in _candidate_ids(request, table):
         machine = table.machines.get(machine_id)
--- a/laurelstep/maintenance/source.py
+++ b/laurelstep/maintenance/source.py
@@ -251,14 +251,16 @@
 
     def drained_index(self) -> int:
         """See `EndpointOverlay.drained_index`; `UNKNOWN_STATE` while this process does not go by the
-        state."""
+        state.
+        """
         if not self.has_learned_state or not self.is_forwarding or not self.is_state_known():
             return UNKNOWN_STATE
         is_list_on_its_way = self.is_publishing or self.is_reading
 
         def in_flight(machine_id: str) -> int:
             """The requests in flight at a machine; at least one while a list on its way may change where they
-            go."""
+            go.
+            """
             return 1 if is_list_on_its_way else self.in_flight_at(endpoint_number(machine_id))
 
         return self.overlay.drained_index(self.state, self.clock.now(), self.grace_us, in_flight)
--- a/laurelstep/management/calls.py
+++ b/laurelstep/management/calls.py
@@ -59,7 +59,8 @@
     more: MoreCalls | None = None,
 ) -> Reply:
     """What a call is answered: by a subsystem whose call it is (`more`), by the figures, or by what the
-    lifecycle says, at the time `now` on the loop's clock, in s."""
+    lifecycle says, at the time `now` on the loop's clock, in s.
+    """
     if more is not None and (found := more(method, target)) is not None:
         return found
     path = target.partition(b"?")[0]
--- a/laurelstep/management/telemetry.py
+++ b/laurelstep/management/telemetry.py
@@ -1,7 +1,8 @@
 """The figures in Prometheus's text format (exposition formats, version 0.0.4). Pure.
 
 Written here and not by prometheus-client: its registry would be a second tally beside the
-engine's own, and it adds some megabytes to a process that may have 32."""
+engine's own, and it adds some megabytes to a process that may have 32.
+"""
 
 from __future__ import annotations
 
--- a/laurelstep/net/assembly.py
+++ b/laurelstep/net/assembly.py
@@ -33,7 +33,8 @@
     """An engine with its upstream and its source of members, which a front is plugged into.
 
     The members are `given`, or the configuration's where it names no discovery. `holding`: what
-    stands between them and the engine, where something does."""
+    stands between them and the engine, where something does.
+    """
 
     def __init__(
         self,
--- a/laurelstep/net/client_connection.py
+++ b/laurelstep/net/client_connection.py
@@ -35,7 +35,8 @@
     """One connection of a client; one request is read, and answered, at a time.
 
     An `asyncio.Protocol` in all but the base class: compiled, one with a base that is
-    not compiled would lose its fixed layout."""
+    not compiled would lose its fixed layout.
+    """
 
     def __init__(self, server: ServerState[Any]) -> None:
         super().__init__(server)
@@ -59,7 +60,8 @@
 
     def eof_received(self) -> None:
         """The client has ended its side, so it has gone: the protocol knows no client that waits on for its
-        answer. The transport closes, but tells so a turn later, behind timers that may send the request."""
+        answer. The transport closes, but tells so a turn later, behind timers that may send the request.
+        """
         self.closing = True
         self._abandon()
 
@@ -166,7 +168,8 @@
 
     def close(self) -> None:
         """A lingering close: this side ends behind what is written, what still comes is dropped, and the
-        client's own end closes the connection."""
+        client's own end closes the connection.
+        """
         self.closing = True
         if self.transport is None or self.transport.is_closing():
             return
@@ -183,7 +186,8 @@
 
     def evict(self) -> None:
         """Its descriptor is freed at once. The last byte of a half-sent request may be on its way: it is
-        refused past the transport, which would keep the bytes until the turn ends."""
+        refused past the transport, which would keep the bytes until the turn ends.
+        """
         if self.received and self.call is None and not self.closing and self.transport is not None:
             with contextlib.suppress(OSError):
                 refusal = rejection(BadRequestError(503, "too many connections"))
@@ -198,7 +202,8 @@
 
     def close_if_idle(self) -> None:
         """Guards a request that crosses the end of its connection: one that has come is
-        served; what comes behind the close is sent once more by its connection."""
+        served; what comes behind the close is sent once more by its connection.
+        """
         if not self.has_unread():
             self.close()
 
@@ -212,7 +217,8 @@
 
     def close_unforwarded(self) -> None:
         """The process stops. What has come is read first. Of a half-sent request the last byte may be on its
-        way: it is refused, as nothing of it was sent on."""
+        way: it is refused, as nothing of it was sent on.
+        """
         if self.received and not self.has_unread():
             self.reject(BadRequestError(503, STOPS))
         else:
@@ -220,7 +226,8 @@
 
     def reject_upload(self) -> None:
         """The process stops. No endpoint has the last byte of an upload that is not whole: it is refused,
-        and its attempt ends."""
+        and its attempt ends.
+        """
         if self.upload is not None:
             self.reject(BadRequestError(503, STOPS))
 
--- a/laurelstep/net/collector.py
+++ b/laurelstep/net/collector.py
@@ -12,7 +12,8 @@
     """Guards the loop against walks over all that a large fleet holds: the collector rests
     while a long list is applied, and what stands then is set apart from its walks.
 
-    That happens only as the fleet grows: garbage in cycles that is set apart stays."""
+    That happens only as the fleet grows: garbage in cycles that is set apart stays.
+    """
 
     def __init__(self) -> None:
         self.apart = 0  # endpoints listed when it last was
--- a/laurelstep/net/connect.py
+++ b/laurelstep/net/connect.py
@@ -1,7 +1,8 @@
 """Opening a connection: the one coroutine of a request's way, in a module of its own.
 
 It stays plain Python where the rest is compiled: a compiled coroutine and its frame hold
-each other, so that each connection would be left to the collector."""
+each other, so that each connection would be left to the collector.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +33,8 @@
 
 async def open_connection(loop: asyncio.AbstractEventLoop, one: ConnectHandler, host: str, port: int) -> None:
     """It knows no time-out: who waits cancels it, and only before the connection is up. One that
-    came due in the turn in which the connection was made closed that behind its protocol's back."""
+    came due in the turn in which the connection was made closed that behind its protocol's back.
+    """
     failure: Exception | None = None
     try:
         await loop.create_connection(lambda: cast(asyncio.Protocol, one), host, port)
--- a/laurelstep/net/connection_pool.py
+++ b/laurelstep/net/connection_pool.py
@@ -12,7 +12,8 @@
 
 class PooledConnection:
     """A connection to an endpoint, as its pool and the sweepers know it. `EndpointConnection` is the
-    only one there is; it stands apart so that neither module needs the other."""
+    only one there is; it stands apart so that neither module needs the other.
+    """
 
     def __init__(self, pool: ConnectionPool[Any], attempt: Attempt) -> None:
         self.pool = pool
--- a/laurelstep/net/cooperative_task.py
+++ b/laurelstep/net/cooperative_task.py
@@ -9,7 +9,8 @@
 
 class CooperativeTask:
     """Runs one iterator at a time: its steps go on until a slice is used up, and the next
-    slice begins once the loop has served what was ready. A slice is a step at least."""
+    slice begins once the loop has served what was ready. A slice is a step at least.
+    """
 
     def __init__(self, loop: AbstractEventLoop, seconds: float = 0.001) -> None:
         self.loop = loop
--- a/laurelstep/net/discovery.py
+++ b/laurelstep/net/discovery.py
@@ -118,7 +118,8 @@
 
     def move(self, address: str) -> None:
         """Watch at another address, from now on and from the start: the versions
-        of its lists may be others. What was to be fetched is fetched there."""
+        of its lists may be others. What was to be fetched is fetched there.
+        """
         if self.closed:
             return
         self.address, self.generation, self.retry_s = address, 0, RETRY_S
@@ -174,7 +175,8 @@
 
     def on_object(self, raw: bytearray, stream: DiscoveryStream, told_at: int | None) -> None:
         """One list; ValueError on anything else, before any of it is used. A long one
-        is only begun, and its stream hears of its end."""
+        is only begun, and its stream hears of its end.
+        """
         if len(raw) <= SHORT_OBJECT:
             version, whole, entries = parse_list(json.loads(raw), stream.watch)
             self._check_restart(stream, version, whole)
@@ -209,14 +211,16 @@
 
     def _check_restart(self, stream: DiscoveryStream, version: int, whole: bool) -> None:
         """Guards against a discovery that counts anew and tells changes of a list that is not known
-        here: they were passed over for ever. The whole list is asked for; ValueError."""
+        here: they were passed over for ever. The whole list is asked for; ValueError.
+        """
         if stream.watch and not whole and version < self.generation and not stream.is_closed:
             known, self.generation = self.generation, 0
             raise ValueError(f"changes of version {version} after {known}")
 
     def _counts(self, stream: DiscoveryStream, version: int, whole: bool) -> bool:
         """Whether a list says more than what was told before. A watch may begin anew with a
-        whole list of any version; one that was fetched may come after newer changes."""
+        whole list of any version; one that was fetched may come after newer changes.
+        """
         return version >= self.generation or (whole and stream.watch)
 
     def _in_steps(
--- a/laurelstep/net/discovery_stream.py
+++ b/laurelstep/net/discovery_stream.py
@@ -137,7 +137,8 @@
 
     def _on_truncated(self) -> None:
         """Guards against an answer that is over without what was asked for: its connection may
-        stay open, and say nothing."""
+        stay open, and say nothing.
+        """
         if self.decoder.begun:
             self.reject(ValueError("an object that stops short"))
         else:
@@ -157,7 +158,8 @@
 
     def pause(self) -> None:
         """Read no more, so that what waits is bounded. It counts as told from now on: so nothing is
-        paused before there is something, or the next list would count from then, however late it comes."""
+        paused before there is something, or the next list would count from then, however late it comes.
+        """
         if self.transport is not None and self.owner.sink is not None:
             if self.paused_at is None:
                 self.paused_at = self.owner.sink.now()
--- a/laurelstep/net/endpoint_connection.py
+++ b/laurelstep/net/endpoint_connection.py
@@ -32,7 +32,8 @@
 
 class EndpointConnection(ResponseReceiver):
     """One connection, carrying one attempt at a time; an `asyncio.Protocol` in all but the
-    base class, as `ClientConnection` is."""
+    base class, as `ClientConnection` is.
+    """
 
     def __init__(self, owner: EndpointState[Any], pool: ConnectionPool[Any], attempt: Attempt) -> None:
         super().__init__(owner, pool, attempt)
@@ -197,7 +198,8 @@
     def is_reusable(self) -> bool:
         """Whether a resting connection may carry a request. Guards against bytes that
         came behind an earlier answer and would answer the next request, and against
-        an end not yet read."""
+        an end not yet read.
+        """
         if self.transport is None or self.transport.is_closing():
             return False
         try:
@@ -253,7 +255,8 @@
 
     def _end_attempt(self, outcome: int) -> None:
         """It had no whole answer: its outcome is told behind the turn that closes the descriptor.
-        Guards against a next attempt that is written before this one is off the wire."""
+        Guards against a next attempt that is written before this one is off the wire.
+        """
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
             self.owner.by_attempt.pop(attempt, None)
@@ -262,7 +265,8 @@
 
     def reject_response(self) -> None:
         """No answer of this protocol: the request may have run, if it was written whole, and the
-        connection is of no more use. That it came says that the connection did not die, so no reset."""
+        connection is of no more use. That it came says that the connection did not die, so no reset.
+        """
         self.owner.on_malformed_response()
         self.close()
         self._abandon_upload()
@@ -311,7 +315,8 @@
 
     def _answers_earlier_request(self) -> bool:
         """Whether it says that a request was served whose last byte is not written yet: it came for an
-        earlier one. Uploads may be answered early."""
+        earlier one. Uploads may be answered early.
+        """
         attempt = self.attempt
         return self.unwritten and self.status == 200 and attempt is not None and attempt.call.upload is None
 
--- a/laurelstep/net/endpoint_request.py
+++ b/laurelstep/net/endpoint_request.py
@@ -15,7 +15,8 @@
 
 def endpoint_deadline_ms(left_us: int) -> int:
     """The deadline to tell an endpoint, ms, where so many us are left to the client: rounded down, and
-    one at least."""
+    one at least.
+    """
     return max(1, (left_us - min(DEADLINE_MARGIN_US, left_us // DEADLINE_MARGIN_PART)) // 1000)
 
 
--- a/laurelstep/net/endpoint_state.py
+++ b/laurelstep/net/endpoint_state.py
@@ -54,7 +54,8 @@
         memory_mb: int = 0,
     ) -> None:
         """`now` is the engine's clock, in us. For `idle_us` an endpoint keeps an idle connection; 0 where
-        the settings do not say, as for `connect_us`."""
+        the settings do not say, as for `connect_us`.
+        """
         self.loop, self.now = loop, now
         self.answer_budget = BufferBudget(budget_for(memory_mb, ANSWERS_PART))
         self.max_connections = max_connections
--- a/laurelstep/net/errors.py
+++ b/laurelstep/net/errors.py
@@ -1,7 +1,8 @@
 """Errors of what comes over sockets, in a module of their own that stays plain Python.
 
 Compiled, an exception with attributes loses the dictionary that holds them, three blocks each
-time it is made (mypyc 1.18)."""
+time it is made (mypyc 1.18).
+"""
 
 from __future__ import annotations
 
--- a/laurelstep/net/json_stream.py
+++ b/laurelstep/net/json_stream.py
@@ -52,7 +52,8 @@
 
     def take(self) -> bytearray | None:
         """The next object that is whole. None if there is none, or, with `more` set, if it was
-        not found within the bytes of one call."""
+        not found within the bytes of one call.
+        """
         self.more = False
         if not self.depth and not self._opens():
             return None
--- a/laurelstep/net/log.py
+++ b/laurelstep/net/log.py
@@ -10,7 +10,8 @@
 
 def log(text: str) -> None:
     """Lines for the operator. Guards the process against a log that nobody reads: with
-    `unblock_log` called, what finds no room there is lost and holds nothing up."""
+    `unblock_log` called, what finds no room there is lost and holds nothing up.
+    """
     with contextlib.suppress(OSError, ValueError):
         os.write(sys.stderr.fileno(), f"laurelstep: {text}\n".encode())
 
--- a/laurelstep/net/message.py
+++ b/laurelstep/net/message.py
@@ -36,7 +36,8 @@
     """Header lines as they are written, of those that are named or of all.
 
     Formatted, here and wherever bytes are put together in a compiled module: `+` of two
-    `bytes` is compiled to a function that never frees the left one (mypyc 1.18)."""
+    `bytes` is compiled to a function that never frees the left one (mypyc 1.18).
+    """
     parts: list[bytes] = []
     for name, value in headers:
         if named is None or name in named:
--- a/laurelstep/net/request.py
+++ b/laurelstep/net/request.py
@@ -62,7 +62,8 @@
 
 def checked(headers: Headers, most: int = BODY_MAX) -> dict[bytes, bytes]:
     """The fields of a head whose framing has one reading and whose body is not too
-    large: judged by what it declares, before any of the body is read."""
+    large: judged by what it declares, before any of the body is read.
+    """
     try:
         fields = single(headers, ONCE)
         length = body_length(fields)
@@ -112,7 +113,8 @@
     most: int = BODY_MAX,
 ) -> Call:
     """The call that a head asks for; `expires` is still a span, which counts from the
-    request's last byte on, and the body, `most` bytes of it, is still to come."""
+    request's last byte on, and the body, `most` bytes of it, is still to come.
+    """
     fields = checked(headers, most)
     cls = class_of(target, fields, names.classes)
     rules = settings.classes[cls]
@@ -140,7 +142,8 @@
 
 def causes_of(headers: Headers) -> tuple[bytes, ...]:
     """What a write says that it follows: the values of `CAUSE_HEADERS`, in their order. One that comes
-    twice leaves it open which counts."""
+    twice leaves it open which counts.
+    """
     found = [b""] * len(CAUSE_HEADERS)
     for name, value in headers:
         if name in CAUSE_HEADERS:
--- a/laurelstep/net/request_receiver.py
+++ b/laurelstep/net/request_receiver.py
@@ -273,7 +273,8 @@
 
     def check_hangup(self) -> None:
         """The client's end lies behind what is not read: the rest of an upload, or what came behind a
-        request whose answer is streamed."""
+        request whose answer is streamed.
+        """
         if self.has_left():
             self._abandon()
             self.abort()
--- a/laurelstep/net/response_receiver.py
+++ b/laurelstep/net/response_receiver.py
@@ -29,7 +29,8 @@
 
 def checked(headers: Headers, most: int) -> tuple[dict[bytes, bytes], int]:
     """The fields of an answer's head and the length of its body, if that lies within the
-    limit: judged by what it declares, before any of the body is read."""
+    limit: judged by what it declares, before any of the body is read.
+    """
     try:
         fields = single(headers, ONCE)
         length = body_length(fields)
@@ -125,7 +126,8 @@
 
     def _stream_answer(self) -> None:
         """Large: its head is the final answer, and what follows goes the same way. There is
-        no other attempt from here on."""
+        no other attempt from here on.
+        """
         attempt, self.attempt = self.attempt, None
         assert attempt is not None
         self.owner.by_attempt.pop(attempt, None)
--- a/laurelstep/net/server.py
+++ b/laurelstep/net/server.py
@@ -19,7 +19,8 @@
         self, host: str, port: int, shared: bool = False, handed: socket.socket | None = None
     ) -> int:
         """The port it listens at; `shared` with other processes that say so too, or at a
-        listener that another process handed over."""
+        listener that another process handed over.
+        """
         if handed is not None:
             handed.setblocking(False)
             listener = Acceptor(self.loop, [handed], self._new_connection)
--- a/laurelstep/net/server_state.py
+++ b/laurelstep/net/server_state.py
@@ -36,7 +36,8 @@
 
 class TrackedConnection:
     """A client's connection, as the sweepers, the eviction and the shutdown know it. `ClientConnection`
-    is the only one there is; it stands apart so that neither module needs the other."""
+    is the only one there is; it stands apart so that neither module needs the other.
+    """
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
@@ -176,7 +177,8 @@
     def _evict_one(self) -> None:
         """Guards the limit on descriptors against a crowd. None gives way while a part of its answer
         waits here: that would be lost. Nor one whose request has come and is not read yet, where
-        another can."""
+        another can.
+        """
         candidates: list[tuple[DeadlineSweeper[C], C]] = []
         for waits in eviction_order(len(self.awaiting_request.since), self.max_connections):
             sweep = (
@@ -198,7 +200,8 @@
 
     def reserve_head(self, connection: C) -> None:
         """Guards memory against a crowd of half-written heads: there the one that has been
-        owed for longest gives way. Refused, as nothing of it was sent on."""
+        owed for longest gives way. Refused, as nothing of it was sent on.
+        """
         while not connection.reserve(connection.received):
             held = (one for one in self.awaiting_request.since if one.reserved > 0 and one.parsed is None)
             oldest = next(held, connection)
--- a/laurelstep/net/shutdown.py
+++ b/laurelstep/net/shutdown.py
@@ -168,7 +168,8 @@
 
     def stop_listening(self, turns: int = BACKLOG) -> None:
         """Guards a connection that the system has accepted, and this process not yet: it would be reset.
-        A turn of the loop accepts one at least, so all that are there now are accepted in so many."""
+        A turn of the loop accepts one at least, so all that are there now are accepted in so many.
+        """
         listener = self.server.listener
         if listener is None:
             return
@@ -200,7 +201,8 @@
 
     def end_unsent(self) -> None:
         """No request begins any more: half-sent ones and silent clients keep nothing up. Asked again until
-        all have gone: the last to join, and those of which something had come, have their turn so."""
+        all have gone: the last to join, and those of which something had come, have their turn so.
+        """
         for connection in list(self.server.connections):
             if connection.has_nothing_forwarded():
                 connection.close_unforwarded()
@@ -210,7 +212,8 @@
 
     def end_partial(self) -> None:
         """Guards against a request whose last byte comes later than 0.7 s after SIGTERM: with short
-        deadlines SIGKILL comes before its answer."""
+        deadlines SIGKILL comes before its answer.
+        """
         self.refuses_partial = True
         for connection in list(self.server.connections):
             connection.reject_upload()
--- a/laurelstep/net/upstream.py
+++ b/laurelstep/net/upstream.py
@@ -95,7 +95,8 @@
 
     def retire(self) -> None:
         """Keep no connection past its attempt: those that a sidecar on its way out
-        kept at rest left no room for the one that took its callers over."""
+        kept at rest left no room for the one that took its callers over.
+        """
         self.retiring = True
         for pool in self.pools.values():
             pool.close_idle()
--- a/laurelstep/outbox/admission.py
+++ b/laurelstep/outbox/admission.py
@@ -62,7 +62,8 @@
 
     def _follows_queued(self, call: Call) -> bool:
         """Whether it follows what is not known to be in. One whose token can't be read is kept, or
-        rather told so, by `enqueue`."""
+        rather told so, by `enqueue`.
+        """
         named, tenant = (
             causality_tokens_of(call),
             self.tenant_names.get(call.tenant, "") if call.tenant else "",
@@ -77,7 +78,8 @@
 
     def enqueue(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
         """Keep a request's write if that may be; True if the request is answered from here. `answer` is
-        what it would get otherwise; None if it was not sent yet."""
+        what it would get otherwise; None if it was not sent yet.
+        """
         front = call.front
         if isinstance(front, ReplayFront):
             front.never_ran = True  # asked only where it can't have run
--- a/laurelstep/outbox/background_replay.py
+++ b/laurelstep/outbox/background_replay.py
@@ -1,7 +1,8 @@
 """Replay's share of the loop: its sends go one at a time, apart from each other while live requests come.
 
 What a batch of the store lets go would else go all at once, and a live request that comes then waits for all
-of it. A send that took some time is followed by `REST` times as much for others, if any have come."""
+of it. A send that took some time is followed by `REST` times as much for others, if any have come.
+"""
 
 from __future__ import annotations
 
--- a/laurelstep/outbox/dependency_graph.py
+++ b/laurelstep/outbox/dependency_graph.py
@@ -145,7 +145,8 @@
     def over(self, node: int) -> list[int]:
         """A free node is done with: it goes, and those come back that are free by it.
 
-        One that still waits must stay: its followers wait for its causes through it."""
+        One that still waits must stay: its followers wait for its causes through it.
+        """
         assert self.free(node)
         self.resume(node)
         freed, arrow = [], self._out[node]
--- a/laurelstep/outbox/dependency_tracker.py
+++ b/laurelstep/outbox/dependency_tracker.py
@@ -45,7 +45,8 @@
 
 class DependencyTracker:
     """The rows, their names, and the graph. `edge_log`: this life's name; `classes`: those that may be
-    kept."""
+    kept.
+    """
 
     def __init__(
         self,
@@ -228,7 +229,8 @@
 
     def _barrier(self, place: int, upto: int) -> int:
         """A row that is over when all of a log up to a number are, or a later one; each made on the one
-        before it, so that all of them together have one arrow for each write. -1 if all are over."""
+        before it, so that all of them together have one arrow for each write. -1 if all are over.
+        """
         last, before = self._barriers.get(place, (0, -1))
         if last >= upto:
             return before
--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -84,7 +84,8 @@
         version_vector: VersionVector | None = None,
     ) -> OutboxDriver:
         """With all that earlier lives kept. `StoreError` or `OutboxError` if that can't be read, OSError
-        or ValueError if the secret can't be. `version_vector`: that of a copy upstream which shares."""
+        or ValueError if the secret can't be. `version_vector`: that of a copy upstream which shares.
+        """
         keep_blocks_apart()
         store = await QueueStore.open(settings.store_path, settings.max_bytes, log)
         try:
@@ -198,7 +199,8 @@
 
     def claim(self, edge_log: EdgeLog) -> bool:
         """An operator's word: of the processes that have copies of this disk, this one replays that log.
-        False if it does. `UnknownWriteError`."""
+        False if it does. `UnknownWriteError`.
+        """
         if self.sharing is None or edge_log not in self.outbox.edge_logs():
             raise UnknownWriteError(
                 f"no line {edge_log.edge}/{edge_log.incarnation:016x} that others could have"
--- a/laurelstep/outbox/intake.py
+++ b/laurelstep/outbox/intake.py
@@ -60,7 +60,8 @@
 
     def join(self, dependencies: Dependencies, now: int, wall: int) -> WriteTicket:
         """A name for a set that no token tells (causality_tokens.py, rule 1): kept as any write, without a
-        body."""
+        body.
+        """
         return self._keep(WriteOffer("", b"", (), 0, b""), QueuedClass("", False), dependencies, 0, now, wall)
 
     def _keep(
@@ -142,14 +143,16 @@
 
     def must_queue(self, named: str) -> bool:
         """A write that names these tokens follows one that may not be in yet: it is kept although the link
-        is well. `CauseError`."""
+        is well. `CauseError`.
+        """
         dependencies = self.tokens.read(named)
         self._check(dependencies)
         return any(self._is_open(dependency) for dependency in dependencies)
 
     def has_open(self, session: bytes, obj: bytes, tenant: str) -> bool:
         """An earlier write of the session or the object is still open: by rule 3 the next one follows it,
-        and is kept although the link is well."""
+        and is kept although the link is well.
+        """
         own = (
             self._sessions.get(short_hash(b"s", session)),
             self._objects.get(short_hash(b"o", tenant.encode(), obj)),
--- a/laurelstep/outbox/memory.py
+++ b/laurelstep/outbox/memory.py
@@ -1,7 +1,8 @@
 """What the arrays of a large outbox leave behind as they grow goes back to the system.
 
 glibc raises the size from which a block has pages of its own as large blocks are freed, up to 32 MiB; growing
-arrays then leave holes in its heap, half as large again as all that is kept. A size that is set stays."""
+arrays then leave holes in its heap, half as large again as all that is kept. A size that is set stays.
+"""
 
 from __future__ import annotations
 
--- a/laurelstep/outbox/messages.py
+++ b/laurelstep/outbox/messages.py
@@ -15,7 +15,8 @@
 @dataclass(frozen=True, slots=True)
 class QueuedClass:
     """How writes of one class are kept. `keyed`: upstream tells repeats apart by their key for `window_us`
-    after the first; otherwise unsafe: sent once, ever."""
+    after the first; otherwise unsafe: sent once, ever.
+    """
 
     name: str
     keyed: bool
@@ -62,7 +63,8 @@
 @dataclass(frozen=True, slots=True)
 class WriteTicket:
     """A number for an offer. `known`: it has this key already, and nothing is to be kept: compare its
-    record's key and digest with the offer's, and give its receipt once it is `durable`."""
+    record's key and digest with the offer's, and give its receipt once it is `durable`.
+    """
 
     write_id: WriteId
     write: QueuedWrite | None
--- a/laurelstep/outbox/options.py
+++ b/laurelstep/outbox/options.py
@@ -1,5 +1,6 @@
 """The settings of `[outbox]`, and what can't be of them beside a deployment's classes. Pure but for the
-resolving of paths."""
+resolving of paths.
+"""
 
 from __future__ import annotations
 
@@ -55,7 +56,8 @@
     settings: OutboxSettings, effects: Mapping[str, tuple[str, int, int]], recorded: Sequence[str] = ()
 ) -> str | None:
     """What can't be beside the classes of the deployment: `effects` has the effect, the window and the
-    deadline in µs of each, `recorded` those of `[orders]`."""
+    deadline in µs of each, `recorded` those of `[orders]`.
+    """
     keepable = sorted(name for name, (effect, _, _) in effects.items() if effect != "safe")
     for name, one in settings.classes.items():
         if name not in effects:
@@ -90,7 +92,8 @@
 
 def shared_problem(settings: OutboxSettings, accord_path: str | None) -> str | None:
     """Why it can't share, or can't be an edge of copies: `accord_path` is `accord.store_path`, None without
-    the table `[accord]`."""
+    the table `[accord]`.
+    """
     if settings.shared and settings.upstream == "copies":
         # An edge's write would have a name in its copies' record, and none in that of the copies beyond: a
         # repeat that goes through another copy would run there as another write.
--- a/laurelstep/outbox/queue_store.py
+++ b/laurelstep/outbox/queue_store.py
@@ -65,7 +65,8 @@
 class LoadedWrites:
     """What earlier lives left: the writes with their newest states, and the highest number of each log. So
     many take memory: what only a replay or a receipt needs is left out (start, headers, digest; an answer's
-    headers and body)."""
+    headers and body).
+    """
 
     writes: list[tuple[QueuedWrite, StateChange | None]] = field(default_factory=list)
     edge_logs: dict[EdgeLog, int] = field(default_factory=dict)
@@ -114,7 +115,8 @@
         clocks: StoreClocks = SYSTEM_CLOCKS,
     ) -> QueueStore:
         """`max_bytes`: what its user keeps at most, which is for the user to see to. `StoreError` if it is
-        in use, damaged or can't be read."""
+        in use, damaged or can't be read.
+        """
         disk: Disk = FolderDisk(place) if isinstance(place, str) else place
         segment = min(SEGMENT_MOST, max(SEGMENT_LEAST, max_bytes // 8))
         options = StoreOptions(
@@ -124,7 +126,8 @@
 
     def time_us(self) -> int:
         """By which the ages of writes are told, across lives too: it never stays behind the time that has
-        truly passed. Unix time where no clock was stepped and the machine runs on."""
+        truly passed. Unix time where no clock was stepped and the machine runs on.
+        """
         return self.store.expiry_clock.most_ms() * 1000
 
     @property
@@ -228,7 +231,8 @@
 
     async def put_parts(self, write_id: WriteId, at: int, parts: Sequence[bytes]) -> None:
         """Parts behind the first of a body that is still coming, from number `at` on: all of `CHUNK` bytes
-        but the last of the body. `FailedToKeepError`; no life finds a write without its head."""
+        but the last of the body. `FailedToKeepError`; no life finds a write without its head.
+        """
         puts = [
             self.store.put(part_key(write_id, number), part) for number, part in enumerate(parts, start=at)
         ]
@@ -239,7 +243,8 @@
 
     async def put_head(self, write: QueuedWrite, first: bytes) -> None:
         """The head, with the first part of the body, of a write whose other parts are durable: it is kept.
-        `FailedToKeepError`; its parts are for the caller to `delete_write`."""
+        `FailedToKeepError`; its parts are for the caller to `delete_write`.
+        """
         record = encode(write)
         try:
             await self.store.put(
@@ -250,7 +255,8 @@
 
     async def delete_write(self, write_id: WriteId, size: int) -> bool:
         """All of a write. False if that can't be written. Its state is deleted after its record: a record
-        without a state, if only one batch of two is durable, would be sent again."""
+        without a state, if only one batch of two is durable, would be sent again.
+        """
         moved = key_of(MOVED, write_id)
         self._forgetting.add(write_id)
         try:
@@ -352,7 +358,8 @@
 
     async def state_change(self, write_id: WriteId) -> StateChange | None:
         """The newest record of its state, with the answer; None if there is none. `StoreError`,
-        `KeptRecordError`."""
+        `KeptRecordError`.
+        """
         value = await self.store.get(key_of(MOVED, write_id))
         return None if value is None else decode_state_change(value)
 
--- a/laurelstep/outbox/receipt_log.py
+++ b/laurelstep/outbox/receipt_log.py
@@ -41,7 +41,8 @@
         self, write_id: WriteId, parking: int, resolution: Resolution, wall: int
     ) -> Transition | None:
         """An operator's resolution on a parking; None if this one was given already. `VerdictError`,
-        `UnknownWriteError`."""
+        `UnknownWriteError`.
+        """
         before = self._resolutions.get(self._pack(write_id))
         if before is not None and before[:2] == (parking, resolution):
             return None
@@ -82,7 +83,8 @@
 
     def receipt(self, write_id: WriteId) -> WriteReceipt:
         """Its state; `status` and body are in its record. Of one that is over, only that it is: where it has
-        no record, it is unknown. `UnknownWriteError`."""
+        no record, it is unknown. `UnknownWriteError`.
+        """
         packed, row = self._pack(write_id), self._row(write_id)
         if row < 0 or self._rows.has(row, CLOSED):
             if packed in self._given_up:
@@ -117,7 +119,8 @@
     ) -> list[WriteId]:
         """Those whose receipt's time is over: make `edge_logs` durable, delete their records, `forget` them.
         Nothing that was given up while `is_unpublished` says that others do not know of it: a later life
-        would have only its number, which says that it is in."""
+        would have only its number, which says that it is in.
+        """
         found: list[WriteId] = []
         for _ in range(min(SWEEP, len(self._closed))):
             packed, until, key = self._closed[0]
--- a/laurelstep/outbox/records.py
+++ b/laurelstep/outbox/records.py
@@ -133,7 +133,8 @@
     """The record of a write as it was kept. Its body stands apart, in the store's segments.
 
     `keyed`: the class's writes are told apart by their key, for `window_us` after keeping. Times that are
-    kept are unix times in µs by the edge's clock."""
+    kept are unix times in µs by the edge's clock.
+    """
 
     write_id: WriteId
     cls: str
--- a/laurelstep/outbox/remote_logs.py
+++ b/laurelstep/outbox/remote_logs.py
@@ -1,6 +1,7 @@
 """What other processes know and are to know of writes and logs. Pure.
 
-Writes of other logs that ours depend on, logs that are fenced, and own writes that are over."""
+Writes of other logs that ours depend on, logs that are fenced, and own writes that are over.
+"""
 
 from __future__ import annotations
 
@@ -53,7 +54,8 @@
 
     def needs_status(self, dependency: Dependency) -> bool:
         """Whether its fate is of use: an open write follows it, or it is an own one that is parked as it may
-        have run, here or at the process that has its log."""
+        have run, here or at the process that has its log.
+        """
         if dependency in self._foreign:
             return True
         row = -1 if dependency.before else self._row(dependency.write_id)
@@ -115,7 +117,8 @@
     def take_finished(self) -> list[tuple[WriteId, WriteStatus]]:
         """Own writes, since the last call, that are over with all that they follow: what the version
         vector may tell others as in or gone. After a restart those that still have a record are named
-        again."""
+        again.
+        """
         told, self._finished = self._finished, []
         return told
 
--- a/laurelstep/outbox/restore.py
+++ b/laurelstep/outbox/restore.py
@@ -46,7 +46,8 @@
     ) -> list[Transition]:
         """All records of the store, once, before anything else. `edge_logs`: the highest number found of each
         former life. `is_elapsed_known`: whether `wall` tells how much time passed between the lives;
-        `doubt_us`: by how much it may tell too much. What comes back is to be made durable and applied."""
+        `doubt_us`: by how much it may tell too much. What comes back is to be made durable and applied.
+        """
         records = sorted(kept, key=lambda pair: (pair[0].life, pair[0].write_id))
         self._life = max((write.life for write, _ in records), default=-1) + 1
         for edge_log in sorted(
--- a/laurelstep/outbox/shared/agreement.py
+++ b/laurelstep/outbox/shared/agreement.py
@@ -55,7 +55,8 @@
     """See the rules. Takes the client's `on_leader_message` and `on_change`, and the record's `applied`.
 
     `on_change` of its own is called after entries were applied, and when it is known, led or in touch
-    otherwise."""
+    otherwise.
+    """
 
     def __init__(self, accord: ProposalClient, record: ReplicatedLedger, clock: Clock) -> None:
         self.accord = accord
@@ -79,7 +80,8 @@
 
     def agree(self, entry: LedgerEntry, done: Callable[[], bool], until: int) -> asyncio.Future[bool]:
         """Whether `done()` holds on the record by `until`. Told from now on, also if nobody awaits it yet;
-        cancel it to tell no more. `EntryError` for what is no entry."""
+        cancel it to tell no more. `EntryError` for what is no entry.
+        """
         data = pack(entry)
         future = asyncio.get_running_loop().create_future()
         if done():
--- a/laurelstep/outbox/shared/asking.py
+++ b/laurelstep/outbox/shared/asking.py
@@ -147,7 +147,8 @@
 
     def _take_back(self, write_id: WriteId, parking: int) -> None:
         """Told once the last try's time is over: one still on its way may run, and no record sees it. And
-        once the log is held."""
+        once the log is held.
+        """
         now = self.driver.clock.now()
         due = self.parked_at.get(write_id, now) + self.driver.settings.send_us
         self.words[write_id] = parking, due
--- a/laurelstep/outbox/shared/assembly.py
+++ b/laurelstep/outbox/shared/assembly.py
@@ -24,7 +24,8 @@
 
 class SharedOutbox:
     """In the order of a start: `version_vector` into the outbox, `carried` into the record, `join` for the
-    engine's recorder, `begin`."""
+    engine's recorder, `begin`.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, log: Log) -> None:
         self.config = config
--- a/laurelstep/outbox/shared/carried_ledger.py
+++ b/laurelstep/outbox/shared/carried_ledger.py
@@ -1,7 +1,8 @@
 """What each copy that takes part in consensus has of queued writes, also one that shares none itself.
 
 It may come to lead. Without the machine its snapshot would make the others forget; without the sharer their
-words would come to nothing."""
+words would come to nothing.
+"""
 
 from __future__ import annotations
 
--- a/laurelstep/outbox/shared/edge.py
+++ b/laurelstep/outbox/shared/edge.py
@@ -48,7 +48,8 @@
 
 class RemoteVersionVector:
     """A `VersionVector` behind which upstream's record stands. `edge_log`: of this life, which needs no
-    claim."""
+    claim.
+    """
 
     def __init__(self, edge_log: EdgeLog, random: Random) -> None:
         self.edge_log = edge_log
@@ -106,7 +107,8 @@
 
     def on_fencing_reported(self, edge_log: EdgeLog) -> bool:
         """A gate refused a write of it as another life's. True if that is so; otherwise the record may have
-        been lost, and it is claimed again first."""
+        been lost, and it is claimed again first.
+        """
         claim = self._claimed.get(edge_log)
         if claim is None or edge_log in self._fenced:
             if edge_log not in self._open_claims:
@@ -157,7 +159,8 @@
 
     def withdraw_intent(self, write_id: WriteId, parking: int) -> None:
         """An operator says of a parking that it never ran. `QueryOutcome.unbegun` has it once the record
-        says so."""
+        says so.
+        """
         self._say(
             Dependency(*write_id),
             StatusUpdate(write_id, WriteStatus.UNKNOWN, self.life, withdraw_intent=True, parking=parking),
@@ -190,7 +193,8 @@
 
     def _room(self, dependency: Dependency, write_status: WriteStatus) -> bool:
         """Final ones make room for themselves among those parked, those given up that the record knows, and
-        those of a fenced log, of which it would believe nothing."""
+        those of a fenced log, of which it would believe nothing.
+        """
         if dependency in self._said or len(self._said) < SAID_MOST:
             return True
         if write_status not in FINAL_STATUSES:
@@ -245,7 +249,8 @@
 
     def next(self, now: int, needs_status: Callable[[Dependency], bool]) -> ReplayQuery | None:
         """What is to be asked now; `answered` or `failed` is called for it. `needs_status`: whether a fate is
-        still of use."""
+        still of use.
+        """
         if self._again_at is None:
             self._again_at = now + AGAIN_US
         elif now >= self._again_at:
--- a/laurelstep/outbox/shared/entries.py
+++ b/laurelstep/outbox/shared/entries.py
@@ -69,7 +69,8 @@
 
 class LogLease(_Entry, frozen=True, tag=4):
     """CLAIM: `life` holds the log instead of `of`, if `turn` is how often its holder changed before.
-    `force`: an operator's word; `of` is not looked at."""
+    `force`: an operator's word; `of` is not looked at.
+    """
 
     edge_log: EdgeLog
     life: int
@@ -80,7 +81,8 @@
 
 class StatusRecord(_Entry, frozen=True, tag=5):
     """FATE, or with `before` LOW: what the holder says of one write or of all up to it. `ask`: an operator
-    said that this ask never ran it, though it had begun; of which `parking`, if that is told."""
+    said that this ask never ran it, though it had begun; of which `parking`, if that is told.
+    """
 
     write_id: WriteId
     write_status: WriteStatus
--- a/laurelstep/outbox/shared/messages.py
+++ b/laurelstep/outbox/shared/messages.py
@@ -52,7 +52,8 @@
 
 class LeaseRequest(msgspec.Struct, array_like=True, frozen=True):
     """A life wants to replay a log: the holders that its disk has known, itself not among them.
-    `force`: an operator says that this disk is the right one."""
+    `force`: an operator says that this disk is the right one.
+    """
 
     edge_log: EdgeLog
     life: int
@@ -65,7 +66,8 @@
 
     `UNKNOWN`: it waits at its edge (parked no more). `APPLIED`, `ABANDONED`: final. `withdraw_intent`: an
     operator said that it never ran, of this `parking` of it: one that comes late says nothing of what
-    began since."""
+    began since.
+    """
 
     write_id: WriteId
     write_status: WriteStatus
--- a/laurelstep/outbox/shared/ports.py
+++ b/laurelstep/outbox/shared/ports.py
@@ -37,4 +37,5 @@
 
     def agree(self, entry: LedgerEntry, done: Callable[[], bool], until: int) -> asyncio.Future[bool]:
         """Bring an entry to agreement: True once `done` says so, False if that is not by `until`,
-        monotonic µs."""
+        monotonic µs.
+        """
--- a/laurelstep/outbox/shared/query_round.py
+++ b/laurelstep/outbox/shared/query_round.py
@@ -86,7 +86,8 @@
 
 class QueryBackoff:
     """The pause between rounds: doubled while nothing changes, drawn between half and all of it. Times in
-    µs."""
+    µs.
+    """
 
     def __init__(self, random: Random) -> None:
         self._random = random
--- a/laurelstep/outbox/shared/replay_gate.py
+++ b/laurelstep/outbox/shared/replay_gate.py
@@ -81,7 +81,8 @@
 
 class ReplayGate:
     """The engine's `Recorder` at a copy upstream. `classes`: those that edges may keep, by number, and
-    whether a write of each is unsafe."""
+    whether a write of each is unsafe.
+    """
 
     def __init__(
         self,
--- a/laurelstep/outbox/shared/replicated_version_vector.py
+++ b/laurelstep/outbox/shared/replicated_version_vector.py
@@ -63,7 +63,8 @@
         self, sharer: Agreement, edge_log: EdgeLog, edge_logs: Iterable[EdgeLog], changed: Callable[[], None]
     ) -> None:
         """`edge_log`: of this life; `edge_logs`: all that this disk has known, durable. `changed` is
-        called when the record has."""
+        called when the record has.
+        """
         self.sharer = sharer
         self.life = edge_log.incarnation
         self.changed = changed
@@ -115,7 +116,8 @@
 
     def force(self, edge_log: EdgeLog) -> bool:
         """An operator says that this disk is the right one. False if it holds the log; KeyError if it never
-        knew it."""
+        knew it.
+        """
         claim = self.claims[edge_log]
         if self._is_mine(edge_log):
             return False
--- a/laurelstep/outbox/transitions.py
+++ b/laurelstep/outbox/transitions.py
@@ -116,7 +116,8 @@
 
     def apply(self, change: Transition, now: int) -> bool:
         """The change is durable. False for a `SEND` that took so long that its window is over: it is not
-        sent, but `ended` as `NOT_RUN`."""
+        sent, but `ended` as `NOT_RUN`.
+        """
         row = self._must_row(change.write_id)
         rows, event = self._rows, change.event
         rows.state[row] = next_state(rows.state_of(row), event)
@@ -168,7 +169,8 @@
 
     def undo(self, change: Transition, now: int) -> None:
         """The change could not be made durable: it is found again by `due`, but for a resolution or an end,
-        which the driver tries again."""
+        which the driver tries again.
+        """
         row = self._must_row(change.write_id)
         rows = self._rows
         rows.set(row, BUSY, False)
--- a/laurelstep/outbox/version_vector.py
+++ b/laurelstep/outbox/version_vector.py
@@ -24,7 +24,8 @@
     """What is known of other logs, and which logs this process may replay.
 
     The local one knows what was told to it at this edge. One that copies share stands behind the same two
-    questions; it tells `Outbox.heard` when it has learned something."""
+    questions; it tells `Outbox.heard` when it has learned something.
+    """
 
     def write_status(self, dependency: Dependency) -> WriteStatus:
         """What is known of a write of another log."""
@@ -39,7 +40,8 @@
 
     def publish(self, write_id: WriteId, write_status: WriteStatus) -> bool:
         """What became of an own write. `APPLIED`, `ABANDONED`: over, with all that it follows. `UNKNOWN`:
-        parked no more. False if there is no room: it is told again later."""
+        parked no more. False if there is no room: it is told again later.
+        """
 
     def publish_low_watermark(self, edge_log: EdgeLog, number: int) -> bool:
         """All of an own log up to a number are over. Those given up were told before."""
--- a/laurelstep/outbox/write_table.py
+++ b/laurelstep/outbox/write_table.py
@@ -53,7 +53,8 @@
 
 def short_hash(*parts: bytes) -> int:
     """63 bits that stand for a name, never 0; 0 if the last part is empty. Two names that share them are
-    taken for one: a write then follows one more than it must; a key's owner is compared with the record."""
+    taken for one: a write then follows one more than it must; a key's owner is compared with the record.
+    """
     if not parts[-1]:
         return 0
     digest = blake2b(b"\0".join(parts), digest_size=8).digest()
--- a/laurelstep/reload.py
+++ b/laurelstep/reload.py
@@ -32,7 +32,8 @@
 def reloaded_config(environ: dict[str, str], read_config: ReadConfig, running: Config) -> Config | None:
     """The configuration as the file has it now, also against the environment of the start; None, with a
     line in the log, if it can't be used. What it changes beside discovery waits for the next start, which
-    a line says: requests under way keep the rules they came under."""
+    a line says: requests under way keep the rules they came under.
+    """
     try:
         config = read_config({name: value for name, value in environ.items() if name != "LB_DISCOVERY"})
     except ConfigError as error:
--- a/laurelstep/request_journal/__init__.py
+++ b/laurelstep/request_journal/__init__.py
@@ -2,7 +2,8 @@
 
 The intent is durable before anything is sent; the final answer is durable before it leaves. A retry with
 the same idempotency key gets the recorded answer, or is told that the request may have run; it is never
-sent again. `records` decides without I/O; `journal` joins the engine and the store."""
+sent again. `records` decides without I/O; `journal` joins the engine and the store.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +23,8 @@
     settings: JournalSettings, class_numbers: Mapping[str, int], log: Log
 ) -> RequestJournal:
     """Open a journal with its store. `class_numbers`: the engine's number of each class of requests.
-    `ConfigError` if the store can't be opened. The store's library is loaded only here."""
+    `ConfigError` if the store can't be opened. The store's library is loaded only here.
+    """
     from laurelstep.settings.config import ConfigError
 
     try:
--- a/laurelstep/request_journal/settings.py
+++ b/laurelstep/request_journal/settings.py
@@ -12,7 +12,8 @@
 @dataclass(frozen=True, slots=True)
 class JournalClass:
     """How requests of one class carry their idempotency key: in a header, or in a top-level field of a JSON
-    body. A record is kept for `retention_ms` of real time."""
+    body. A record is kept for `retention_ms` of real time.
+    """
 
     header: bytes = b""
     body_field: str = ""
@@ -22,7 +23,8 @@
 @dataclass(frozen=True)
 class JournalSettings:
     """The settings of one journal. `unavailable` says what becomes of a request that can't be recorded: it
-    fails with nothing sent, or passes as without a journal. `max_bytes` bounds the store on the disk."""
+    fails with nothing sent, or passes as without a journal. `max_bytes` bounds the store on the disk.
+    """
 
     store_path: str
     classes: Mapping[str, JournalClass]
--- a/laurelstep/resources/__init__.py
+++ b/laurelstep/resources/__init__.py
@@ -1,3 +1,4 @@
 """What many connections share: descriptors, and which connection is evicted for want of one.
 
-`descriptors` decides and does no I/O. Buffers have a budget of their own in `flow_control`."""
+`descriptors` decides and does no I/O. Buffers have a budget of their own in `flow_control`.
+"""
--- a/laurelstep/resources/descriptors.py
+++ b/laurelstep/resources/descriptors.py
@@ -37,7 +37,8 @@
 def connections_per_side(sockets: int, has_management: bool, processes: int = 1) -> int:
     """Connections that clients, and endpoints, may each hold in one of so many processes.
 
-    `sockets` is the platform's limit for all of them; `has_management` tells of a second address."""
+    `sockets` is the platform's limit for all of them; `has_management` tells of a second address.
+    """
     reserved = RESERVED + (RESERVED_FOR_MANAGEMENT if has_management else 0)
     return max(2 * MIN_PER_SIDE, min(sockets, MAX_SOCKETS) // processes - reserved) // 2
 
@@ -45,7 +46,8 @@
 def eviction_order(awaiting_request: int, limit: int) -> tuple[int, ...]:
     """The states whose longest waiting connection is evicted first, second and third.
 
-    `awaiting_request` connections of `limit` places owe a request."""
+    `awaiting_request` connections of `limit` places owe a request.
+    """
     if awaiting_request > limit // AWAITING_PART:
         return (CLOSING, AWAITING_REQUEST, IDLE)
     return (CLOSING, IDLE, AWAITING_REQUEST)
--- a/laurelstep/settings/config.py
+++ b/laurelstep/settings/config.py
@@ -30,7 +30,8 @@
 @dataclass(frozen=True)
 class Config:
     """Times in µs. `listen` is None where no front of its own is asked for, `discovery`
-    where the members are given in another way."""
+    where the members are given in another way.
+    """
 
     listen: tuple[str, int] | None
     discovery: str | None
@@ -101,7 +102,8 @@
 
 def _check_classes(classes: Any) -> None:
     """What can't be meant, with its key and the remedy; `ConfigError`. An aim past its deadline is let be:
-    it holds up to the deadline."""
+    it holds up to the deadline.
+    """
     if not isinstance(classes, list) or not classes:
         raise ConfigError("settings.classes: expected one class at least")
     names: set[str] = set()
@@ -137,7 +139,8 @@
 def config_from(raw: Any, source: str, orders: JournalSettings | None = None) -> Config:
     """The configuration that an object in the platform's form holds; `source` is what
     its errors name. Absent `listen` and `discovery` are None here: whether they may be
-    is for the caller to say."""
+    is for the caller to say.
+    """
     try:
         raw = {
             **raw,
--- a/laurelstep/settings/operator/__init__.py
+++ b/laurelstep/settings/operator/__init__.py
@@ -1,7 +1,8 @@
 """The operator's own file: TOML, read by msgspec into frozen, typed settings, one module a table.
 
 Every key has a default that changes nothing. `[deployment]` describes a deployment where there is no
-platform to do so: for the library, or a daemon of its own."""
+platform to do so: for the library, or a daemon of its own.
+"""
 
 from laurelstep.settings.operator.accord import AccordTable
 from laurelstep.settings.operator.deployment import Deployment, Member, RequestClass, Tenant
--- a/laurelstep/settings/operator/document.py
+++ b/laurelstep/settings/operator/document.py
@@ -106,7 +106,8 @@
 
     def joining(self, path: str) -> Join | None:
         """What adds `[accord]`, `[upkeep]` and `[outbox]` to a configuration of the platform's; None
-        where they are off. It raises `ConfigError`."""
+        where they are off. It raises `ConfigError`.
+        """
         if self.accord is None and self.outbox is None:
             return None
         return functools.partial(self._join, path)
--- a/laurelstep/settings/platform.py
+++ b/laurelstep/settings/platform.py
@@ -37,7 +37,8 @@
 
 def _known(raw: Any, path: str, log: Log) -> dict[str, Any] | None:
     """What can be used of the list that the platform kept. It may be old, and discovery has the word:
-    guards a start against one that can't be read."""
+    guards a start against one that can't be read.
+    """
     if raw is None:
         return None
     try:
@@ -61,7 +62,8 @@
 ) -> Config:
     """What a daemon under the platform needs: LB_LISTEN, LB_DISCOVERY and LB_MANAGEMENT
     go before the file's `listen`, `discovery` and `management`; all but the last there must be.
-    A `known` that can't be read is left out, and `log` is told."""
+    A `known` that can't be read is left out, and `log` is told.
+    """
     path = environ.get("LB_CONFIG")
     if not path:
         raise ConfigError("LB_CONFIG is not set")
--- a/laurelstep/store/__init__.py
+++ b/laurelstep/store/__init__.py
@@ -1,7 +1,8 @@
 """A small embedded store: an append-only, segmented log of keys and values, with an index in memory.
 
 What is reported as written survives the loss of power; damage is reported, never guessed around.
-`log_format`, `manifest`, `index` and `clock` decide without I/O; `disk` does it; `store` is for use."""
+`log_format`, `manifest`, `index` and `clock` decide without I/O; `disk` does it; `store` is for use.
+"""
 
 from laurelstep.store.availability import StoreUnavailableError
 from laurelstep.store.clock import SYSTEM_CLOCKS, StoreClocks
--- a/laurelstep/store/cli.py
+++ b/laurelstep/store/cli.py
@@ -1,7 +1,8 @@
 """`laurelstep store verify|dump|compact|stats PATH`: a store, looked at from outside.
 
 `verify`, `dump` and `stats` never write. A store that is in use is not touched by `compact`;
-the others say so, as what they see may be half a batch."""
+the others say so, as what they see may be half a batch.
+"""
 
 from __future__ import annotations
 
--- a/laurelstep/store/clock.py
+++ b/laurelstep/store/clock.py
@@ -77,7 +77,8 @@
 @dataclass(frozen=True, slots=True)
 class StoreClocks:
     """Where a store reads time: seconds that never go back, Unix time in ms, and what names this start of the
-    machine. Tests pass their own."""
+    machine. Tests pass their own.
+    """
 
     monotonic: Callable[[], float] = time.monotonic
     wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000
--- a/laurelstep/store/compaction.py
+++ b/laurelstep/store/compaction.py
@@ -190,7 +190,8 @@
 
 class Compactor:
     """Compacts by itself where enough is garbage, and when asked. `is_writing` says whether a batch is in
-    progress."""
+    progress.
+    """
 
     def __init__(
         self,
@@ -240,7 +241,8 @@
 
     async def compact(self) -> None:
         """Compact all that is written, after a run in progress. OSError as the disk fails; the store is then
-        as it was."""
+        as it was.
+        """
         if self.task is not None:
             await asyncio.wait((self.task,))
         if self.segments.has_frames and self.availability.fault is None:
@@ -253,7 +255,8 @@
 
     async def _roll(self) -> None:
         """If the manifest is unsure, the active segment may be sealed: writing ends until a later manifest is
-        durable."""
+        durable.
+        """
         async with self.segments.appending:
             try:
                 await self.segments.roll()
--- a/laurelstep/store/disk.py
+++ b/laurelstep/store/disk.py
@@ -25,7 +25,8 @@
 
 class Disk(Protocol):
     """A folder's files. All calls may block; each raises OSError as the system does. Offsets and sizes are in
-    bytes."""
+    bytes.
+    """
 
     def lock(self) -> None:
         """Own the folder until `close`; `StoreError` if another owner lives."""
@@ -38,7 +39,8 @@
 
     def create(self, name: str, data: bytes) -> None:
         """Write and sync a new file, or one in the place of an old. Its name is durable only after
-        `sync_folder`."""
+        `sync_folder`.
+        """
 
     def write(self, name: str, offset: int, data: bytes) -> None:
         """Write all of it at that place; it is not yet durable."""
--- a/laurelstep/store/index.py
+++ b/laurelstep/store/index.py
@@ -2,7 +2,8 @@
 
 A key costs its dictionary slot, its bytes and one integer: some 110 bytes and the key's own
 length beyond 16; far less for keys that end with a sequence number (`numbered_keys`). A location is a
-segment's number and an offset in it, packed into one integer."""
+segment's number and an offset in it, packed into one integer.
+"""
 
 from __future__ import annotations
 
@@ -49,7 +50,8 @@
 
 class KeyIndex:
     """Keys to locations, with the usage of each segment. `numbered_prefixes`: the first bytes of keys that
-    end with a sequence number."""
+    end with a sequence number.
+    """
 
     def __init__(self, numbered_prefixes: bytes = b"") -> None:
         self.locations: MutableMapping[bytes, int] = (
@@ -88,7 +90,8 @@
 
     def must_copy(self, location: int, record: RecordHeader, now_ms: int) -> bool:
         """Whether compaction copies the record at this location of the log's beginning: only what the index
-        points at, and only until it expires. Deletions there hide nothing any more."""
+        points at, and only until it expires. Deletions there hide nothing any more.
+        """
         if record.kind == _CLOCK_NOTE:
             return location == self.clock_note_location
         if record.kind == _DELETE or self.locations.get(record.key) != location:
@@ -97,7 +100,8 @@
 
     def on_copied(self, segment: int, record: RecordHeader, old: int) -> None:
         """Compaction wrote the record at the location `old` anew. The key stays where it is if it has changed
-        since."""
+        since.
+        """
         new = pack_location(segment, record.offset)
         if record.kind == _CLOCK_NOTE:
             if self.clock_note_location == old:
--- a/laurelstep/store/io_thread.py
+++ b/laurelstep/store/io_thread.py
@@ -20,7 +20,8 @@
 
     def run(self, work: Callable[..., T], *args: Any) -> asyncio.Future[T]:
         """Begin a call; its result, or what it raises, comes by the future. It costs the loop half of what
-        `run_in_executor` does."""
+        `run_in_executor` does.
+        """
         done: asyncio.Future[T] = self._loop.create_future()
         self._executor.submit(self._work, done, work, args)
         return done
--- a/laurelstep/store/log_format.py
+++ b/laurelstep/store/log_format.py
@@ -208,7 +208,8 @@
 
 def read_record(data: bytes, place: str) -> LogRecord:
     """The record that these bytes begin with, checked by itself; `LogError`, which names `place`, if it is
-    damaged."""
+    damaged.
+    """
     if len(data) < RECORD_HEADER.size:
         raise LogError(f"{place}: the record is cut off")
     crc, sequence, expires_ms, kind, key_bytes, value_bytes = RECORD_HEADER.unpack_from(data)
--- a/laurelstep/store/numbered_keys.py
+++ b/laurelstep/store/numbered_keys.py
@@ -2,7 +2,8 @@
 
 In a dictionary most of the memory goes to the keys. Here keys that differ in the last six bits only share
 one page, and each costs its 8 bytes in that: some 12 in all, instead of 130. A key alone in its page costs
-800."""
+800.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +21,8 @@
 
 class NumberedKeyMap(MutableMapping[bytes, int]):
     """A dictionary of locations. Keys that begin with one of the bytes `prefixes` share pages; all others
-    have entries of their own."""
+    have entries of their own.
+    """
 
     def __init__(self, prefixes: bytes) -> None:
         self._prefixes = frozenset(prefixes)
--- a/laurelstep/store/recovery.py
+++ b/laurelstep/store/recovery.py
@@ -81,7 +81,8 @@
 
 def write_manifest(disk: Disk, manifest: Manifest) -> None:
     """Replace the manifest, durably and as one step. OSError: it is as if it had not been tried.
-    `UnsureManifestError`: the old one or the new one may be found."""
+    `UnsureManifestError`: the old one or the new one may be found.
+    """
     disk.create(NEW_MANIFEST, encode_manifest(manifest))
     try:
         disk.rename(NEW_MANIFEST, MANIFEST)
@@ -203,7 +204,8 @@
 
 def _write_commit_frame(disk: Disk, name: str, store: RecoveredStore) -> None:
     """After the last batch, until there is a next one. Without it, as on a full disk, the next process makes
-    that batch durable once more."""
+    that batch durable once more.
+    """
     commit_frame = encode_frame(store.salts[store.active_segment], (), store.index.highest_sequence)
     try:
         disk.write(name, store.tail, commit_frame)
@@ -215,7 +217,8 @@
 
 def _confirm_manifest(disk: Disk, store: RecoveredStore) -> bool:
     """Make the manifest that was read durable, also where the process before could not sync its name. False
-    on a full disk: then files that it does not name must stay."""
+    on a full disk: then files that it does not name must stay.
+    """
     manifest = replace(store.manifest, generation=store.manifest.generation + 1)
     try:
         write_manifest(disk, manifest)
--- a/laurelstep/store/segment_log.py
+++ b/laurelstep/store/segment_log.py
@@ -21,7 +21,8 @@
 
 class SegmentLog:
     """A store's segments. `salts` and `sizes`, in bytes, are by the segment's number; `tail` is where the
-    next frame of the active segment goes: everything before it is durable."""
+    next frame of the active segment goes: everything before it is durable.
+    """
 
     def __init__(self, disk: Disk, io: IoThread, recovered: RecoveredStore, preallocated_bytes: int) -> None:
         self.disk = disk
@@ -76,7 +77,8 @@
 
     async def append(self, frame: bytes, highest_sequence: int, segment_bytes: int) -> OSError | None:
         """Write a frame at the tail, durably, then a commit frame that says so; OSError if the first fails.
-        A failure of the commit frame comes back: the batch is durable all the same."""
+        A failure of the commit frame comes back: the batch is durable all the same.
+        """
         commit_frame = encode_frame(self.active_salt, (), highest_sequence)
         end = self.tail + len(frame) + len(commit_frame)
         zeros_from, zeros_to = self._allocated_bytes, self._allocated_bytes
@@ -94,7 +96,8 @@
         self, name: str, offset: int, frame: bytes, commit_frame: bytes, zeros_from: int, zeros_to: int
     ) -> OSError | None:
         """On the thread. The commit frame needs no sync, and the next batch, which says the same, takes its
-        place: after that batch, a lost commit frame would look like damage."""
+        place: after that batch, a lost commit frame would look like damage.
+        """
         if zeros_to > zeros_from:
             self.disk.write(name, zeros_from, bytes(zeros_to - zeros_from))
         self.disk.write(name, offset, frame)
@@ -109,7 +112,8 @@
 
     async def roll(self) -> None:
         """Seal the active segment at its durable length and begin a new one. OSError as the disk fails; the
-        caller holds `appending`."""
+        caller holds `appending`.
+        """
         async with self._replacing_manifest:
             number, salt = self.take_number(), secrets.randbits(32)
             manifest = self.manifest.with_new_segment(self.tail, number)
--- a/laurelstep/store/store.py
+++ b/laurelstep/store/store.py
@@ -88,7 +88,8 @@
         progress: Progress | None = None,
     ) -> Store:
         """The store as it was last reported. `log` takes lines for the operator, `progress` how many segments
-        of how many have been read. `StoreError` if it is in use, damaged, of another format or unreadable."""
+        of how many have been read. `StoreError` if it is in use, damaged, of another format or unreadable.
+        """
         options = options or StoreOptions()
         io = IoThread()
         try:
@@ -167,7 +168,8 @@
 
     async def get(self, key: bytes) -> bytes | None:
         """The value last reported as written, or None if there is none or it has expired.
-        `StoreError` if it can't be read or is damaged."""
+        `StoreError` if it can't be read or is damaged.
+        """
         while True:
             location = self.index.locations.get(key)
             if location is None:
@@ -192,7 +194,8 @@
     async def some(self, keys: Iterable[bytes]) -> AsyncIterator[tuple[bytes, bytes]]:
         """Those of the keys that are there, with their values, in the log's order. Many are read at once;
         what changes before its turn may be missing. `StoreError` as from `get`, and if compaction moved
-        them."""
+        them.
+        """
         locations = self.index.locations
         found = array("Q", sorted(place for key in keys if (place := locations.get(key)) is not None))
         for group in group_neighbours(found):
--- a/laurelstep/store/writer.py
+++ b/laurelstep/store/writer.py
@@ -71,7 +71,8 @@
 
 class GroupCommitWriter:
     """Takes writes, and makes them durable batch by batch. `on_full` is called as a batch finds no room,
-    `on_committed` after each batch."""
+    `on_committed` after each batch.
+    """
 
     def __init__(
         self,
--- a/laurelstep/subsystems/consensus.py
+++ b/laurelstep/subsystems/consensus.py
@@ -46,7 +46,8 @@
     ) -> ConsensusSubsystem | None:
         """Not yet started; None where it is off. `maintenance`, `outbox`: their replicated state machines,
         where they are on: each copy carries both all the same. `state`: a predecessor's. `ConfigError` if
-        its folder can't be used."""
+        its folder can't be used.
+        """
         settings = context.config.accord
         if settings is None:
             return None
@@ -87,7 +88,8 @@
     outbox: Mapping[int, StateMachine] | None,
 ) -> tuple[ConsensusNode, ConsensusMultiplexer]:
     """Each copy carries the state machines of all subsystems, also of those that are off here: it may come
-    to lead, and a snapshot without them would make the others forget."""
+    to lead, and a snapshot without them would make the others forget.
+    """
     from laurelstep.consensus.assembly import build_node, check_store_folder
     from laurelstep.consensus.multiplexer import ConsensusMultiplexer
     from laurelstep.consensus.state_machines import CompositeStateMachine
--- a/laurelstep/subsystems/hot_restart.py
+++ b/laurelstep/subsystems/hot_restart.py
@@ -46,7 +46,8 @@
 
 def arrive(config: Config, environ: Mapping[str, str]) -> Arrival | None:
     """None where no process can take over: without a second address, which tells one version
-    from the next, or with a request journal or an outbox, whose stores have one owner."""
+    from the next, or with a request journal or an outbox, whose stores have one owner.
+    """
     has_store = config.orders is not None or config.outbox is not None
     if config.management is None or config.listen is None or has_store:
         return None
@@ -70,7 +71,8 @@
 
 def check_free(host: str, port: int) -> None:
     """OSError if somebody listens there. Guards against another daemon's callers: the address is
-    then bound so that a next version may share it, and so would anybody's daemon."""
+    then bound so that a next version may share it, and so would anybody's daemon.
+    """
     if port == 0:
         return
     family, kind, _, _, found = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM)[0]
@@ -105,7 +107,8 @@
 
     def is_only_version(self) -> bool:
         """Whether no process of the version before sends to endpoints any more. Asked at the lock:
-        one that has given this process up may live on."""
+        one that has given this process up may live on.
+        """
         if self.has_predecessor:
             return False
         if not self.was_alone:
@@ -114,7 +117,8 @@
 
     async def wait_while_followed(self, *events: asyncio.Event) -> None:
         """Until one of the events, of which one tells that this process may send. `ConfigError` if the
-        predecessor did not wait as long, and serves on: two of them would take clients."""
+        predecessor did not wait as long, and serves on: two of them would take clients.
+        """
         predecessor = self.arrival.predecessor
         if predecessor is None:
             await first_of(events)
--- a/laurelstep/subsystems/outbox.py
+++ b/laurelstep/subsystems/outbox.py
@@ -31,7 +31,8 @@
     @classmethod
     async def open(cls, context: ProcessContext) -> OutboxSubsystem | None:
         """With the writes that earlier processes queued; None where it is off. `ConfigError` if they
-        can't be read."""
+        can't be read.
+        """
         settings, names = context.config.outbox, context.config.names
         if settings is None:
             return None
--- a/laurelstep/testing/contracts/base.py
+++ b/laurelstep/testing/contracts/base.py
@@ -33,7 +33,8 @@
 
     def run(self, test: Coroutine[Any, Any, None]) -> None:
         """Run a test on an event loop of its own. An error in a callback, which a loop would only log, fails
-        it too."""
+        it too.
+        """
         raised: list[BaseException] = []
 
         def note(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
--- a/laurelstep/testing/contracts/link.py
+++ b/laurelstep/testing/contracts/link.py
@@ -189,7 +189,8 @@
 
 class ReachableLinkContract(LinkContract, ABC):
     """Further, for a link that others can reach: datagrams of somebody whom no list names are not
-    received."""
+    received.
+    """
 
     @abstractmethod
     def connected_links(self) -> AbstractAsyncContextManager[ExposedLinks]: ...
--- a/laurelstep/testing/contracts/members.py
+++ b/laurelstep/testing/contracts/members.py
@@ -234,7 +234,8 @@
 
 class PolledSourceContract(MemberSourceContract):
     """Further, for a source that asks somebody when the engine says so: a question that gets no answer
-    is told as `list_failed`, once, and the next one is asked all the same."""
+    is told as `list_failed`, once, and the next one is asked all the same.
+    """
 
     @abstractmethod
     def environment(self) -> AbstractAsyncContextManager[FaultySourceEnvironment]: ...
--- a/laurelstep/testing/disk.py
+++ b/laurelstep/testing/disk.py
@@ -16,7 +16,8 @@
     """A file's bytes: those that are durable, the writes since, and those that a failed sync gave up.
 
     As on Linux: after a failed sync a process still reads what it wrote, and a later sync that succeeds
-    makes durable only what was written since."""
+    makes durable only what was written since.
+    """
 
     durable: bytearray = field(default_factory=bytearray)
     pending: list[tuple[int, bytes]] = field(default_factory=list)
@@ -69,7 +70,8 @@
 
 class SimulatedDisk:
     """The store's `Disk` in memory. `journal` keeps every call, with the marks that a test
-    adds, so that `replay` can stop at any of them. `another` opens the same disk once more."""
+    adds, so that `replay` can stop at any of them. `another` opens the same disk once more.
+    """
 
     def __init__(self) -> None:
         self.names: dict[str, Inode] = {}
@@ -218,7 +220,8 @@
         """The disk as the next start finds it: names as far as the folder was synced, and a
         part of the changes since, in their order; bytes as far as a file was synced, and any
         of the blocks written since. Without `keep` all that was not synced is lost, or with
-        `all_` none of it."""
+        `all_` none of it.
+        """
         changes = len(self.pending_names) if all_ else keep.randint(0, len(self.pending_names)) if keep else 0
         names = changed_names(self.durable_names, self.pending_names[:changes])
         after = SimulatedDisk()
@@ -252,7 +255,8 @@
 
 def blocks(writes: list[tuple[int, bytes]], size: int = 16) -> Iterator[tuple[int, bytes]]:
     """Writes in the pieces that a disk may keep or lose by themselves; small, so that a short
-    log has many."""
+    log has many.
+    """
     for offset, part in writes:
         for at in range(0, len(part), size):
             yield offset + at, part[at : at + size]
--- a/laurelstep/testing/endpoints.py
+++ b/laurelstep/testing/endpoints.py
@@ -252,7 +252,8 @@
 
     def entry(self, name: str = "s-1", **changes: Any) -> dict[str, Any]:
         """The endpoint's entry of a list in discovery's form, with `changes` such as
-        `lifecycle="draining"`."""
+        `lifecycle="draining"`.
+        """
         return {
             "instanceId": name, "hostPort": f"127.0.0.1:{self.port}", "zone": "here", "machineType": "small",
             "cell": 1, "lifecycle": "ready", "weight": 1.0, "startedAtMs": self.started_ms, **changes,
--- a/laurelstep/testing/processes/files.py
+++ b/laurelstep/testing/processes/files.py
@@ -50,7 +50,8 @@
 
 def fill_disk(pid: int) -> None:
     """From now on no regular file takes a byte from this process: EFBIG, where a full disk says
-    ENOSPC; OSError both. What is open may still be read, and synced. Linux only."""
+    ENOSPC; OSError both. What is open may still be read, and synced. Linux only.
+    """
     _, hard_limit = resource.prlimit(pid, resource.RLIMIT_FSIZE)
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (_FULL_DISK_BYTES, hard_limit))
 
@@ -64,7 +65,8 @@
 def truncate_tail(path: Path, draw: random.Random, max_bytes: int = 4096) -> int:
     """Take away a part of the last `most` bytes that were written, as power that fails in a write does;
     gives how many. A file that was made long before it was filled keeps its length, with zeros. For a
-    process that is down. 0 if nothing was written."""
+    process that is down. 0 if nothing was written.
+    """
     data = path.read_bytes()
     written = len(data.rstrip(b"\0"))
     lost = draw.randint(1, min(max_bytes, written)) if written else 0
--- a/laurelstep/testing/processes/history_checks.py
+++ b/laurelstep/testing/processes/history_checks.py
@@ -124,7 +124,8 @@
         self, request: RequestStarted, failure: RequestFailed | None, was_forwarded: bool, limits: CheckLimits
     ) -> bool:
         """Whether the process was down while the request was open, within its deadline; or had been
-        told to stop before; or the request crossed the end of an idle connection."""
+        told to stop before; or the request crossed the end of an idle connection.
+        """
         crosses_close = failure is not None and failure.is_reused_connection and not was_forwarded
         if failure is not None and crosses_close and _touches(self.replaced, request.at_us, failure.at_us):
             return True
--- a/laurelstep/testing/processes/launch.py
+++ b/laurelstep/testing/processes/launch.py
@@ -2,7 +2,8 @@
 run ...`. CLOCK is a file of eight bytes: the sum of all steps in ns, signed.
 
 `time.time` and `time.time_ns` are shifted at their source, so that no code of the program is changed.
-Its monotonic time is the system's: a step of the wall clock leaves that alone on a real machine too."""
+Its monotonic time is the system's: a step of the wall clock leaves that alone on a real machine too.
+"""
 
 from __future__ import annotations
 
--- a/laurelstep/testing/processes/program.py
+++ b/laurelstep/testing/processes/program.py
@@ -57,7 +57,8 @@
         command_prefix: Sequence[str] = PROGRAM_ARGUMENTS,
     ) -> None:
         """`command_prefix` are the interpreter's arguments before the program's own. With `has_clock` the
-        process has a wall clock that can be stepped."""
+        process has a wall clock that can be stepped.
+        """
         self.number = number
         self.folder = folder
         self.history = history
@@ -116,7 +117,8 @@
 
     async def replace(self) -> int:
         """Start a successor beside this process, at the same address and with another management
-        address, and stop the older one once the successor is ready; the older one's exit status."""
+        address, and stop the older one once the successor is ready; the older one's exit status.
+        """
         older, exit_status = self.process, self._exit_status
         assert older is not None and exit_status is not None and self.is_running
         self.management = (HOST, free_port())
--- a/laurelstep/testing/processes/relays.py
+++ b/laurelstep/testing/processes/relays.py
@@ -7,7 +7,8 @@
 the network is back: nothing sent before is lost for good, and it may arrive when its sender has long given
 up. One thing differs from a partitioned network: a new connection comes up, and is silent, so that a
 request written into it may have run for all that its sender can tell. That is the harder case;
-`StreamRelay.refuse` is the other one."""
+`StreamRelay.refuse` is the other one.
+"""
 
 from __future__ import annotations
 
@@ -182,7 +183,8 @@
 
     def is_read(self) -> bool:
         """Whether the process has read all that was returned to it: no byte waits here or in a socket's
-        queue. Linux only."""
+        queue. Linux only.
+        """
         if self.client.transport.is_closing() or self.client.transport.get_write_buffer_size():
             return False
         near_port, far_port = (self.client.get_extra_info(name)[1] for name in ("sockname", "peername"))
@@ -192,7 +194,8 @@
 
 def _queue_sizes(near_port: int, far_port: int) -> tuple[int, int] | None:
     """Bytes of a loopback connection that were not acknowledged, and bytes that the far process has not
-    read; None if the connection is gone (proc(5), `/proc/net/tcp`)."""
+    read; None if the connection is gone (proc(5), `/proc/net/tcp`).
+    """
     ours = theirs = None
     with open("/proc/net/tcp", encoding="ascii") as file:
         next(file)
--- a/laurelstep/testing/processes/tier.py
+++ b/laurelstep/testing/processes/tier.py
@@ -74,7 +74,8 @@
         texts `{process}` and `{folder}` stand for its number and a folder of its own that stays.
         `platform` and `settings` replace keys of the platform's JSON and of its settings. With
         `with_clocks` each process has a wall clock that can be stepped. `command_prefix` starts another
-        program instead: a faulty one that the checker must find; not with `with_clocks`."""
+        program instead: a faulty one that the checker must find; not with `with_clocks`.
+        """
         assert not with_clocks or command_prefix == PROGRAM_ARGUMENTS, "a clock needs the prefix itself"
         self.operator_tables, self.process_tables = operator_tables or {}, process_tables or {}
         self.platform, self.settings = platform or {}, settings or {}
--- a/laurelstep/testing/schedules/world.py
+++ b/laurelstep/testing/schedules/world.py
@@ -268,7 +268,7 @@
     def _step(self, process: SimulatedProcess, step: Callable[[ConsensusCore, int], StepEffects]) -> None:
         core = process.core
         if core is None:
-            return
+            return None
         now = process.local_time_us(self.time)
         effects = step(core, now)
         self.step_count += 1
--- a/laurelstep/workers/plan.py
+++ b/laurelstep/workers/plan.py
@@ -58,7 +58,8 @@
 
 class SupervisorPlan:
     """The state of all slots. `now_us` never goes back; call `advance` after each event, and at
-    `next_due_us`."""
+    `next_due_us`.
+    """
 
     def __init__(
         self, processes: int, initial_backoff_us: int, max_backoff_us: int, ready_timeout_us: int
--- a/laurelstep/workers/supervisor.py
+++ b/laurelstep/workers/supervisor.py
@@ -42,7 +42,8 @@
 
 def interpreter_command() -> list[str]:
     """How this process was started, without the command's own arguments: the interpreter, its options, and
-    the module or script."""
+    the module or script.
+    """
     options = len(sys.orig_argv) - len(sys.argv) + 1
     return [sys.executable, *sys.orig_argv[1:options]]
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,8 +6,8 @@
 
 import pytest
 from hypothesis import HealthCheck, settings
-
 from laurelstep.balancing import balancer
+
 from tests import fronts
 from tests.sockets import FRONT
 
--- a/tests/consensus_nodes.py
+++ b/tests/consensus_nodes.py
@@ -15,6 +15,7 @@
 from laurelstep.consensus.ports import Link, Store
 from laurelstep.consensus.state import ReplicaRole
 from laurelstep.consensus.stores.none import NoStore
+
 from tests.fakes import ManualClock
 
 
--- a/tests/consensus_tiers.py
+++ b/tests/consensus_tiers.py
@@ -11,6 +11,7 @@
 from laurelstep.consensus.node import ConsensusNode
 from laurelstep.consensus.options import ConsensusSettings
 from laurelstep.engine.clock import LoopClock
+
 from tests.consensus_nodes import RecordingStateMachine
 from tests.datagrams import free_udp_ports
 from tests.sockets import TIMEOUT_S
--- a/tests/datagrams.py
+++ b/tests/datagrams.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 
 from laurelstep.testing import free_udp_port
+
 from tests.sockets import TIMEOUT_S
 
 
--- a/tests/faulty_outbox.py
+++ b/tests/faulty_outbox.py
@@ -8,7 +8,6 @@
 from typing import Any
 
 import msgspec
-
 from laurelstep.engine.call import Answer, Call, Ending
 from laurelstep.outbox import driver, replay_queue
 from laurelstep.outbox.driver import OutboxDriver
--- a/tests/journals.py
+++ b/tests/journals.py
@@ -15,6 +15,7 @@
 from laurelstep.store import SYSTEM_CLOCKS, Store, StoreClocks, StoreOptions
 from laurelstep.store.disk import Disk
 from laurelstep.testing import Endpoint
+
 from tests.sockets import SETTINGS
 from tests.test_library import member
 
--- a/tests/maintenance.py
+++ b/tests/maintenance.py
@@ -23,6 +23,7 @@
 from laurelstep.maintenance.settings import MaintenanceSettings
 from laurelstep.maintenance.source import MaintenanceSource
 from laurelstep.maintenance.state import MaintenanceState
+
 from tests.fakes import ManualClock
 
 SECOND = 1_000_000
--- a/tests/maintenance_checker.py
+++ b/tests/maintenance_checker.py
@@ -12,6 +12,7 @@
 )
 from laurelstep.maintenance.settings import MaintenanceSettings
 from laurelstep.maintenance.states import CORDONED_STATES, DRAINED_STATES, MachineState
+
 from tests.maintenance import SECOND, Replica, Tier, listed_entry
 
 
--- a/tests/maintenance_mutants.py
+++ b/tests/maintenance_mutants.py
@@ -6,7 +6,6 @@
 from typing import Any
 
 import pytest
-
 from laurelstep.maintenance import limits as limits_module
 from laurelstep.maintenance import state as state_module
 from laurelstep.maintenance.acknowledgements import DrainAcknowledgements, PeerAcknowledgement
@@ -19,6 +18,7 @@
 from laurelstep.maintenance.source import MaintenanceSource
 from laurelstep.maintenance.state import MaintenanceState
 from laurelstep.maintenance.states import MachineState
+
 from tests.maintenance import Replica
 
 
--- a/tests/maintenance_processes.py
+++ b/tests/maintenance_processes.py
@@ -12,6 +12,7 @@
 from laurelstep.testing.processes import LoadGenerator, NetworkFaults, ProcessTier, wait_until
 from laurelstep.testing.processes.program import POLL_INTERVAL_S
 from laurelstep.testing.processes.tier_settings import SETTINGS, endpoint_index, endpoint_name
+
 from tests.sockets import run
 
 TEST_S = 300.0  # for a test that hangs; nothing is measured by it
--- a/tests/maintenance_states.py
+++ b/tests/maintenance_states.py
@@ -13,6 +13,7 @@
 )
 from laurelstep.maintenance.state import MaintenanceState
 from laurelstep.maintenance.states import MachineState
+
 from tests.maintenance import request_for
 
 
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -16,6 +16,7 @@
 from laurelstep.maintenance.errors import MaintenanceError
 from laurelstep.maintenance.states import DRAINED_STATES
 from laurelstep.maintenance.status import StatusReport
+
 from tests.maintenance import SECOND, Replica, listed_entry, request_for
 from tests.maintenance_checker import CheckedTier, Proposal
 
--- a/tests/outboxing.py
+++ b/tests/outboxing.py
@@ -50,6 +50,7 @@
 from laurelstep.testing.processes.relays import HOST, now_us
 from laurelstep.testing.processes.tier_settings import LATENESS_US
 from laurelstep.testing.registry import whole_list
+
 from tests.sockets import run
 
 TEST_S: Final = 60.0  # for a test that hangs; nothing is measured by it
--- a/tests/player.py
+++ b/tests/player.py
@@ -9,6 +9,7 @@
 
 from laurelstep.balancing import balancer
 from laurelstep.balancing.events import LIST_FULL, READY, Entry, Settings
+
 from tests.test_rules import CLASSES, Ledger
 
 CONFIGS: tuple[dict[str, Any], ...] = (
--- a/tests/recorded_decisions/world.py
+++ b/tests/recorded_decisions/world.py
@@ -43,6 +43,7 @@
     Timer,
     Watch,
 )
+
 from tests.recorded_decisions.scenarios import MS, SECOND, Scenario
 
 ACTIONS_PER_DIGEST = 100
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -15,9 +15,6 @@
 
 import uvicorn
 import uvloop
-from starlette.applications import Starlette
-from starlette.middleware import Middleware
-
 from laurelstep.balancing.events import Action, Outcome
 from laurelstep.engine import Engine
 from laurelstep.engine.ports import Decisions
@@ -45,6 +42,8 @@
     stall,
     whole_list,
 )
+from starlette.applications import Starlette
+from starlette.middleware import Middleware
 
 __all__ = [
     "Endpoint",
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -11,6 +11,11 @@
 from typing import Any
 
 import pytest
+from laurelstep.balancing.events import CANCELLED
+from laurelstep.library import BalancerMiddleware, Client, ClientError, Member
+from laurelstep.library.asgi import Message, Receive, Scope, Send
+from laurelstep.library.client import ClientState, Exchange
+from laurelstep.testing import Endpoint, after, read_message, request, serve, stall
 from starlette.applications import Starlette
 from starlette.middleware import Middleware
 from starlette.requests import Request as HttpRequest
@@ -18,11 +23,6 @@
 from starlette.routing import Mount, Route, WebSocketRoute
 from starlette.websockets import WebSocket
 
-from laurelstep.balancing.events import CANCELLED
-from laurelstep.library import BalancerMiddleware, Client, ClientError, Member
-from laurelstep.library.asgi import Message, Receive, Scope, Send
-from laurelstep.library.client import ClientState, Exchange
-from laurelstep.testing import Endpoint, after, read_message, request, serve, stall
 from tests.sockets import TIMEOUT_S, hosted, outcomes
 from tests.test_library import config, member, nothing_held
 
--- a/tests/test_balancing_admission.py
+++ b/tests/test_balancing_admission.py
@@ -7,6 +7,7 @@
 
 from laurelstep.balancing.balancer import Balancer
 from laurelstep.balancing.events import OK, TIMEOUT, Arrival, Outcome
+
 from tests.helpers import MS, PATIENT, SECOND, SETTINGS, Driver, sends, started
 
 
--- a/tests/test_balancing_concurrency_limit.py
+++ b/tests/test_balancing_concurrency_limit.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 
 import pytest
-
 from laurelstep.balancing.events import OK, Outcome
+
 from tests.helpers import MS, PATIENT, SECOND, SETTINGS, Driver, first_refused, sends, started
 
 
--- a/tests/test_balancing_connections.py
+++ b/tests/test_balancing_connections.py
@@ -5,6 +5,7 @@
 from dataclasses import replace
 
 from laurelstep.balancing.events import OK, UNSAFE, Action, Close, Outcome, RequestClass
+
 from tests.helpers import MS, SECOND, SETTINGS, Driver, sends, started
 
 RESTED = RequestClass(UNSAFE, aim_us=2_500 * MS, deadline_us=6 * SECOND)
--- a/tests/test_balancing_key_queues.py
+++ b/tests/test_balancing_key_queues.py
@@ -5,6 +5,7 @@
 from dataclasses import replace
 
 from laurelstep.balancing.events import OK, RESET, SAFE, TIMEOUT, UNSAFE, Outcome, Refuse, RequestClass, Timer
+
 from tests.helpers import MS, SECOND, SETTINGS, Driver, sends, started
 
 ORDERED = RequestClass(UNSAFE, aim_us=500 * MS, deadline_us=SECOND, sequential=True)
--- a/tests/test_balancing_membership.py
+++ b/tests/test_balancing_membership.py
@@ -5,9 +5,9 @@
 from dataclasses import replace
 
 import pytest
-
 from laurelstep.balancing.endpoints import SegmentHealth
 from laurelstep.balancing.events import DRAINING, GONE, LIST_CACHED, LIST_DELTA, LIST_FAILED, LIST_FULL, Timer
+
 from tests.helpers import MS, SECOND, SETTINGS, fleet, on_ring, started
 
 
--- a/tests/test_balancing_outliers.py
+++ b/tests/test_balancing_outliers.py
@@ -5,6 +5,7 @@
 from dataclasses import replace
 
 from laurelstep.balancing.events import FULL, OK, TIMEOUT, Arrival, Outcome
+
 from tests.helpers import MS, PAGE, SECOND, SETTINGS, Driver, sends, started
 
 
--- a/tests/test_balancing_priorities.py
+++ b/tests/test_balancing_priorities.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 
 import pytest
-
 from laurelstep.balancing.events import Goal
+
 from tests.helpers import MS, PATIENT, SECOND, SETTINGS, Driver, sends, started
 
 
--- a/tests/test_balancing_retries.py
+++ b/tests/test_balancing_retries.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 
 import pytest
-
 from laurelstep.balancing.events import FULL, KEYED, SCOPE_CELL, UNSAFE, Fail, Outcome, RequestClass
+
 from tests.helpers import MS, SECOND, SETTINGS, Driver, sends, started
 
 
--- a/tests/test_balancing_selection.py
+++ b/tests/test_balancing_selection.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from laurelstep.balancing.events import Refuse, Timer
+
 from tests.helpers import PAGE, SECOND, Driver, sends, started
 
 
--- a/tests/test_balancing_slow_start.py
+++ b/tests/test_balancing_slow_start.py
@@ -6,6 +6,7 @@
 
 from laurelstep.balancing.balancer import Balancer
 from laurelstep.balancing.events import FULL, LIST_FULL, OK, Outcome
+
 from tests.helpers import MS, SECOND, SETTINGS, Driver, fleet, sends, started
 
 
--- a/tests/test_balancing_zones.py
+++ b/tests/test_balancing_zones.py
@@ -5,6 +5,7 @@
 from dataclasses import replace
 
 from laurelstep.balancing.events import OK, Outcome
+
 from tests.helpers import MS, SECOND, SETTINGS, Driver, sends, started
 
 
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -11,7 +11,6 @@
 from typing import Any
 
 import pytest
-
 from laurelstep.library import Client
 from laurelstep.outbox.causality_tokens import CausalityTokens
 from laurelstep.outbox.outbox import Outbox, OutboxBounds, QueuedClass, ReplayResult, WriteOffer
@@ -32,6 +31,7 @@
 )
 from laurelstep.testing import Endpoint
 from laurelstep.testing.disk import SimulatedDisk
+
 from tests.journals import AGAIN, ORDER, SERVED, client_with_journal, pay, said
 from tests.stores import SMALL, Machine, opened
 
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 import pytest
-
 from laurelstep.testing import Endpoint, read_message, request
+
 from tests.sockets import connect_until_up, free_port, run
 from tests.test_settings import CLASS
 
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -17,9 +17,9 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-
 from laurelstep.balancing import balancer
 from laurelstep.balancing.events import DRAINING, GONE, LIST_DELTA, LIST_FULL, LIST_PART, READY
+
 from tests.player import CONFIGS, play
 from tests.test_memory import compiled_modules
 from tests.test_rules import STEPS
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -5,13 +5,13 @@
 import dataclasses
 
 import pytest
-
 from laurelstep.consensus import messages as m
 from laurelstep.consensus.epoch import NO_EPOCH, ClusterEpoch
 from laurelstep.consensus.errors import NotLeaderError
 from laurelstep.consensus.timing import NEVER_US, ConsensusTiming
 from laurelstep.testing.schedules import BrokenError, ConsensusSimulation, SimulationOptions
 from laurelstep.testing.schedules.script import QUICK_TIMING, run_until_progress
+
 from tests.consensus_worlds import (
     SECOND,
     core_of,
--- a/tests/test_consensus_bounds.py
+++ b/tests/test_consensus_bounds.py
@@ -8,7 +8,6 @@
 import hypothesis.strategies as st
 import pytest
 from hypothesis import given, settings
-
 from laurelstep.consensus import messages as m
 from laurelstep.consensus.core import ConsensusCore
 from laurelstep.consensus.epoch import NO_EPOCH, ClusterEpoch
@@ -18,6 +17,7 @@
 from laurelstep.consensus.ports import MAX_DATAGRAM_BYTES
 from laurelstep.testing.schedules import RecordingStateMachine
 from laurelstep.testing.schedules.script import QUICK_TIMING
+
 from tests.consensus_worlds import (
     core_of,
     founded_world,
--- a/tests/test_consensus_daemon.py
+++ b/tests/test_consensus_daemon.py
@@ -9,7 +9,6 @@
 from typing import Any
 
 import pytest
-
 from laurelstep.consensus import messages
 from laurelstep.consensus.links.udp import UdpLink
 from laurelstep.hot_restart.rendezvous import RendezvousPoint
@@ -17,6 +16,7 @@
 from laurelstep.hot_restart.successor import PredecessorHandle, take_over
 from laurelstep.store import StoreError
 from laurelstep.store.manifest import MANIFEST
+
 from tests.datagrams import free_udp_ports
 from tests.sockets import SETTINGS, Endpoint, request, run
 from tests.upgrades import Site, Version, kill
--- a/tests/test_consensus_encoding.py
+++ b/tests/test_consensus_encoding.py
@@ -9,7 +9,6 @@
 import random
 
 import pytest
-
 from laurelstep.consensus import messages as m
 from laurelstep.consensus import stored_state
 from laurelstep.consensus.epoch import ClusterEpoch
@@ -17,6 +16,7 @@
 from laurelstep.consensus.log import ClusterConfig, decode_members, encode_members
 from laurelstep.consensus.snapshots import Snapshot
 from laurelstep.consensus.state_machines import CompositeStateMachine
+
 from tests.once import once
 
 pytestmark = once
--- a/tests/test_consensus_leases.py
+++ b/tests/test_consensus_leases.py
@@ -5,12 +5,12 @@
 import random
 
 import pytest
-
 from laurelstep.consensus.epoch import ClusterEpoch
 from laurelstep.consensus.errors import EntryError
 from laurelstep.consensus.leases import LeaseTable
 from laurelstep.consensus.state_machines import CompositeStateMachine
 from laurelstep.testing.schedules import RecordingStateMachine
+
 from tests.once import once
 
 pytestmark = once
--- a/tests/test_consensus_links.py
+++ b/tests/test_consensus_links.py
@@ -11,13 +11,13 @@
 from pathlib import Path
 
 import pytest
-
 from laurelstep.consensus.errors import LinkError
 from laurelstep.consensus.links.memory import LATENCY_US, FaultSchedule, MemoryNetwork
 from laurelstep.consensus.links.sockets import MAX_DATAGRAMS_PER_TURN, SocketLink
 from laurelstep.consensus.links.udp import UdpLink
 from laurelstep.consensus.links.unix import UnixLink
 from laurelstep.consensus.ports import MAX_DATAGRAM_BYTES, Link
+
 from tests.datagrams import ReceivedDatagrams, free_udp_ports
 from tests.fakes import ManualClock
 from tests.sockets import run
--- a/tests/test_consensus_log.py
+++ b/tests/test_consensus_log.py
@@ -8,7 +8,6 @@
 import hypothesis.strategies as st
 import pytest
 from hypothesis import given, settings
-
 from laurelstep.consensus import messages as m
 from laurelstep.consensus import stored_state
 from laurelstep.consensus.core import ConsensusCore
@@ -19,6 +18,7 @@
 from laurelstep.consensus.state_machines import CompositeStateMachine
 from laurelstep.testing.schedules import RecordingStateMachine
 from laurelstep.testing.schedules.script import QUICK_TIMING
+
 from tests.consensus_worlds import (
     core_of,
     founded_world,
--- a/tests/test_consensus_node.py
+++ b/tests/test_consensus_node.py
@@ -10,7 +10,6 @@
 from typing import Any
 
 import pytest
-
 from laurelstep.consensus.core import ConsensusCore
 from laurelstep.consensus.effects import StepEffects
 from laurelstep.consensus.epoch import NO_EPOCH, ClusterEpoch
@@ -25,6 +24,7 @@
 from laurelstep.consensus.stores.none import NoStore
 from laurelstep.store import StoreError
 from laurelstep.testing.disk import SimulatedDisk
+
 from tests.consensus_nodes import (
     SAY,
     ControlledStore,
--- a/tests/test_consensus_schedules.py
+++ b/tests/test_consensus_schedules.py
@@ -7,7 +7,6 @@
 
 import msgspec
 import pytest
-
 from laurelstep.consensus.bootstrap import Bootstrap
 from laurelstep.consensus.core import ConsensusCore
 from laurelstep.consensus.election import Election
@@ -23,6 +22,7 @@
 from laurelstep.consensus.state import ReplicaState
 from laurelstep.testing.schedules import BrokenError, ScheduleShape, SimulationOptions, play_schedule
 from laurelstep.testing.schedules.script import run_until_progress
+
 from tests.consensus_worlds import founded_world, wait_for_leader
 from tests.once import once
 
--- a/tests/test_consensus_sockets.py
+++ b/tests/test_consensus_sockets.py
@@ -8,11 +8,11 @@
 from pathlib import Path
 
 import pytest
-
 from laurelstep.consensus import messages
 from laurelstep.consensus.links.udp import UdpLink
 from laurelstep.consensus.node import NodeStage
 from laurelstep.consensus.stores.embedded import EmbeddedStore
+
 from tests.consensus_tiers import Tier
 from tests.datagrams import ReceivedDatagrams
 from tests.sockets import run
--- a/tests/test_consensus_stores.py
+++ b/tests/test_consensus_stores.py
@@ -8,12 +8,12 @@
 from pathlib import Path
 
 import pytest
-
 from laurelstep.consensus.stores.embedded import MAX_BATCH_BYTES, EmbeddedStore
 from laurelstep.consensus.stores.none import NoStore
 from laurelstep.store import StoreError
 from laurelstep.store.manifest import segment_name
 from laurelstep.testing.disk import SimulatedDisk
+
 from tests.sockets import run
 
 
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -22,7 +22,6 @@
 
 import pytest
 import uvloop
-
 from laurelstep.balancing.events import ERROR, FULL, NO_CONNECT, OK, RESET
 from laurelstep.consensus.links.memory import LATENCY_US, MemoryLink, MemoryNetwork
 from laurelstep.consensus.links.sockets import SocketLink
@@ -79,6 +78,7 @@
 from laurelstep.testing.contracts.upstream import EndpointBehaviour, UpstreamContract, UpstreamEnvironment
 from laurelstep.testing.disk import SimulatedDisk
 from laurelstep.testing.endpoints import Listener, reset_connection
+
 from tests.event_loops import VirtualTimeLoop
 from tests.fakes import Due, ManualClock, PlayedUpstream, Sent
 
--- a/tests/test_crossings_balancing.py
+++ b/tests/test_crossings_balancing.py
@@ -12,7 +12,6 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-
 from laurelstep.balancing.balancer import Balancer
 from laurelstep.balancing.endpoints import Endpoint
 from laurelstep.balancing.events import (
@@ -59,6 +58,7 @@
 from laurelstep.balancing.requests import Request
 from laurelstep.balancing.retries import RetryPolicy
 from laurelstep.balancing.selection import EndpointSelector
+
 from tests.conftest import plain_only
 from tests.helpers import PATIENT, SETTINGS, Driver, fleet, on_ring, sends, started
 
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -19,13 +19,13 @@
 from typing import Any, cast
 
 import pytest
-
 from laurelstep.balancing.events import FULL, Action, Outcome, Send
 from laurelstep.engine import Call
 from laurelstep.engine.loop_watch import HELD_US
 from laurelstep.hot_restart.rendezvous import RendezvousPoint
 from laurelstep.hot_restart.successor import take_over
 from laurelstep.net.client_connection import ClientConnection
+
 from tests.sockets import (
     SETTINGS,
     Endpoint,
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -14,11 +14,11 @@
 from typing import Any, Self
 
 import pytest
-
 from laurelstep.engine.endpoint_table import endpoint_number
 from laurelstep.net.discovery import LIST_PATH, Discovery
 from laurelstep.settings import read_platform
 from laurelstep.testing import Listener, Reader, Writer, push, push_raw, read_message
+
 from tests.event_loops import run_on_virtual_time
 from tests.test_discovery import Sink, begin, entry, listing
 from tests.test_listing import Copy
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -18,7 +18,6 @@
 import hypothesis.strategies as st
 import pytest
 from hypothesis import given
-
 from laurelstep.balancing.events import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET, TIMEOUT, Action, Outcome
 from laurelstep.engine import Attempt, Call, Clock, Engine
 from laurelstep.engine.clock import Timer
@@ -28,6 +27,7 @@
 from laurelstep.net.endpoint_state import SETTLE_US
 from laurelstep.settings import config_from
 from laurelstep.testing import after, reset, serve, stall
+
 from tests.fakes import Answers, ManualClock, PlayedUpstream, entry
 from tests.sockets import (
     SETTINGS,
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 import pytest
-
 from laurelstep.testing import Listener
+
 from tests.sockets import (
     Endpoint,
     Reader,
--- a/tests/test_crossings_settings.py
+++ b/tests/test_crossings_settings.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 import pytest
-
 from laurelstep.settings import ConfigError, config_from
+
 from tests.sockets import SETTINGS
 
 FIRST = SETTINGS["classes"][0]
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -4,6 +4,7 @@
 
 from laurelstep.demo.run import DemoRun
 from laurelstep.testing import Endpoint, close, in_turn, serve
+
 from tests.event_loops import run_limited
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,12 +12,12 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-
 from laurelstep.net import discovery as module
 from laurelstep.net.discovery import LIST_PATH, Discovery
 from laurelstep.net.json_stream import SCAN, JsonStreamDecoder
 from laurelstep.net.log import log
 from laurelstep.testing import Listener, Reader, Writer, push, push_raw, read_message
+
 from tests.conftest import Logged
 from tests.sockets import run
 
--- a/tests/test_discovery_server.py
+++ b/tests/test_discovery_server.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 import pytest
-
 from laurelstep.net.discovery import LIST_PATH, SILENT_S, Discovery
 from laurelstep.testing import DiscoveryServer, Endpoint, Reader, Writer, read_message
 from laurelstep.testing.discovery import HEARTBEAT_INTERVAL_S
+
 from tests.event_loops import run_limited, run_on_virtual_time
 from tests.test_discovery import Sink
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -8,9 +8,8 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-import pytest
-
 import laurelstep
+import pytest
 from laurelstep.errors import LaurelstepError
 from laurelstep.library import ClientError, RequestError
 from laurelstep.net.errors import BadRequestError
--- a/tests/test_flow_control.py
+++ b/tests/test_flow_control.py
@@ -9,13 +9,13 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-
 from laurelstep.balancing.events import ERROR, MOOT, NO_CONNECT, OK, RESET
 from laurelstep.engine.body_stream import BodyStream
 from laurelstep.flow_control.buffer_budget import MAX_BUFFERED, UNCOUNTED, BufferBudget, budget_for
 from laurelstep.flow_control.throughput import GRACE_S, MIN_RATE, has_min_throughput
 from laurelstep.net.message import LARGE_MAX
 from laurelstep.testing.endpoints import reset_connection
+
 from tests.sockets import (
     Endpoint,
     Message,
--- a/tests/test_folders_of_earlier_versions.py
+++ b/tests/test_folders_of_earlier_versions.py
@@ -9,10 +9,10 @@
 from typing import Any, Final
 
 import pytest
-
 from laurelstep.outbox import replay_driver
 from laurelstep.outbox.records import WriteState
 from laurelstep.outbox.write_ids import parse_write_id
+
 from tests.consensus_tiers import Tier
 from tests.sockets import run
 from tests.test_outbox_bodies import edge
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -15,7 +15,6 @@
 from typing import Any, cast
 
 import pytest
-
 from laurelstep.hot_restart import predecessor, successor
 from laurelstep.hot_restart.messages import (
     HELLO,
@@ -42,6 +41,7 @@
 from laurelstep.settings import config_from
 from laurelstep.subsystems.hot_restart import arrive, check_free
 from laurelstep.testing import Effects, push
+
 from tests.sockets import (
     SETTINGS,
     TIMEOUT_S,
--- a/tests/test_hot_restart_encoding.py
+++ b/tests/test_hot_restart_encoding.py
@@ -9,7 +9,6 @@
 from typing import Any, cast
 
 import pytest
-
 from laurelstep.engine.static_members import StaticMembers
 from laurelstep.hot_restart.messages import (
     HELLO,
@@ -34,6 +33,7 @@
     receive_known_list,
     slot_from_environ,
 )
+
 from tests.sockets import SETTINGS, run
 
 
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -13,7 +13,6 @@
 import hypothesis.strategies as st
 from hypothesis import HealthCheck, given, settings
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
-
 from laurelstep.balancing.events import ERROR, FULL, KEYED, OK, RESET, UNSAFE
 from laurelstep.engine import Call, Ending, Engine
 from laurelstep.engine.body_stream import BodyStream
@@ -23,6 +22,7 @@
 from laurelstep.settings import config_from
 from laurelstep.testing import Effects, Endpoint, Message, Writer, answer
 from laurelstep.testing.endpoints import reset_connection
+
 from tests.fakes import Answers, ManualClock, PlayedUpstream, entry, number
 from tests.sockets import SETTINGS, TIMEOUT_S
 from tests.test_library import member, nothing_held
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -12,7 +12,6 @@
 
 import pytest
 import uvloop
-
 from laurelstep.balancing.events import CANCELLED, MOOT, OK, Action
 from laurelstep.engine import endpoint_number
 from laurelstep.library import Client, ClientError, ConfigError, Ending, Member, Reply, Request, RequestError
@@ -32,6 +31,7 @@
     stall,
     status,
 )
+
 from tests.sockets import SETTINGS, TIMEOUT_S, outcomes, overrule
 
 VIEW = Request("page", "/page?obj=7f", tenant="acme")
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import pytest
-
 from laurelstep.lifecycle import Lifecycle, Phase
 from laurelstep.lifecycle.phases import REST_S
 
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -11,7 +11,6 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-
 from laurelstep.balancing.events import LIST_DELTA, LIST_PART, Action, Entry, RequestClass, Settings
 from laurelstep.engine import Engine, Names, endpoint_number
 from laurelstep.engine.endpoint_table import EndpointTable
@@ -19,6 +18,7 @@
 from laurelstep.engine.ports import Decisions
 from laurelstep.engine.static_members import StaticMembers
 from laurelstep.net.discovery import SHORT_OBJECT, Discovery
+
 from tests.conftest import Logged
 from tests.fakes import ManualClock, PlayedUpstream
 from tests.helpers import on_ring
--- a/tests/test_loop_watch.py
+++ b/tests/test_loop_watch.py
@@ -7,6 +7,7 @@
 from typing import Any
 
 from laurelstep.engine.loop_watch import HELD_US, LATE_US, STALE_US, LoopWatch
+
 from tests.fakes import Due
 
 
--- a/tests/test_maintenance_commands.py
+++ b/tests/test_maintenance_commands.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import pytest
-
 from laurelstep.consensus.errors import BusyError, NotLeaderError
 from laurelstep.maintenance.bounds import MAX_OPEN_REQUESTS
 from laurelstep.maintenance.commands import COMMAND_TIMEOUT_US, MAX_COMMANDS
@@ -21,6 +20,7 @@
     UnknownRequestError,
     UnsatisfiableRequestError,
 )
+
 from tests.maintenance import (
     SECOND,
     Replica,
--- a/tests/test_maintenance_contracts.py
+++ b/tests/test_maintenance_contracts.py
@@ -20,6 +20,7 @@
     PolledSourceContract,
     SourceEnvironment,
 )
+
 from tests.maintenance import GRACE_US
 from tests.test_contracts import GivenEnvironment, OnDiscovery
 
--- a/tests/test_maintenance_core.py
+++ b/tests/test_maintenance_core.py
@@ -8,7 +8,6 @@
 from typing import Any
 
 import pytest
-
 from laurelstep.consensus.core import ConsensusCore
 from laurelstep.consensus.effects import StepEffects
 from laurelstep.consensus.epoch import ClusterEpoch
@@ -20,6 +19,7 @@
 from laurelstep.maintenance.settings import MaintenanceSettings
 from laurelstep.maintenance.state import MaintenanceState
 from laurelstep.maintenance.states import DRAINED_STATES
+
 from tests.fakes import ManualClock
 from tests.maintenance import (
     SECOND,
--- a/tests/test_maintenance_daemon.py
+++ b/tests/test_maintenance_daemon.py
@@ -11,10 +11,10 @@
 from typing import Any
 
 import pytest
-
 from laurelstep.hot_restart.predecessor import HotRestartServer
 from laurelstep.hot_restart.rendezvous import RendezvousPoint
 from laurelstep.testing import whole_list
+
 from tests.sockets import TIMEOUT_S, Endpoint, free_port, read_message, request, run
 from tests.upgrades import Site, Version
 
--- a/tests/test_maintenance_encoding.py
+++ b/tests/test_maintenance_encoding.py
@@ -8,7 +8,6 @@
 import json
 
 import pytest
-
 from laurelstep.maintenance.entries import (
     SUBSYSTEM_TAG,
     CommandVerb,
@@ -28,6 +27,7 @@
 from laurelstep.maintenance.requests import DisruptionLimits, MaintenanceRequest
 from laurelstep.maintenance.routes import METHODS, handle_call
 from laurelstep.maintenance.state import MaintenanceState
+
 from tests.maintenance import Tier, listed_entry, request_for
 
 REQUEST = MaintenanceRequest("disk", DisruptionLimits(2, "zone", 0.75), ("m1", "m2"), "a", 4, "small", 60)
--- a/tests/test_maintenance_faults.py
+++ b/tests/test_maintenance_faults.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import pytest
-
 from laurelstep.maintenance.entries import (
     CommandVerb,
 )
@@ -11,6 +10,7 @@
     UnsatisfiableRequestError,
 )
 from laurelstep.maintenance.records import DroppedMachine
+
 from tests.maintenance import (
     COLD_US,
     LISTED,
--- a/tests/test_maintenance_lifecycle.py
+++ b/tests/test_maintenance_lifecycle.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import pytest
-
 from laurelstep.maintenance.entries import (
     CommandVerb,
     OperatorCommand,
@@ -15,6 +14,7 @@
 from laurelstep.maintenance.states import (
     MachineState,
 )
+
 from tests.maintenance import (
     COLD_US,
     LISTED,
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -11,9 +11,9 @@
 from typing import Final
 
 import pytest
-
 from laurelstep.testing.processes import NetworkFaults
 from laurelstep.testing.processes.history_checks import SENT_AFTER_DRAINED
+
 from tests.maintenance_processes import (
     OperatorAtWork,
     inject_fault,
--- a/tests/test_maintenance_requests.py
+++ b/tests/test_maintenance_requests.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import pytest
-
 from laurelstep.errors import LaurelstepError
 from laurelstep.maintenance.bounds import MAX_ENTRY_BYTES
 from laurelstep.maintenance.entries import (
@@ -20,6 +19,7 @@
     UnknownMachineError,
 )
 from laurelstep.maintenance.requests import MaintenanceRequest, parse_request
+
 from tests.maintenance import (
     request_for,
 )
--- a/tests/test_maintenance_routes.py
+++ b/tests/test_maintenance_routes.py
@@ -6,11 +6,11 @@
 from typing import Any
 
 import pytest
-
 from laurelstep.lifecycle import Lifecycle
 from laurelstep.maintenance.api import MaintenanceApi
 from laurelstep.maintenance.routes import METHODS, handle_call
 from laurelstep.management.calls import Reply, reply_to
+
 from tests.maintenance import (
     COLD_US,
     SECOND,
--- a/tests/test_maintenance_schedules.py
+++ b/tests/test_maintenance_schedules.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 import pytest
-
 from laurelstep.maintenance import planner as planner_module
 from laurelstep.maintenance.acknowledgements import DrainAcknowledgements
 from laurelstep.maintenance.entries import (
@@ -16,6 +15,7 @@
     decode_message,
     encode,
 )
+
 from tests.maintenance_checker import BrokenError
 from tests.maintenance_mutants import FAULTS, Fault
 from tests.maintenance_world import World
--- a/tests/test_maintenance_source.py
+++ b/tests/test_maintenance_source.py
@@ -7,7 +7,6 @@
 from typing import Any
 
 import pytest
-
 from laurelstep.balancing.events import OK, RequestClass, Settings
 from laurelstep.engine import Answer, Call, Ending, Engine, Names, endpoint_number
 from laurelstep.engine.body_stream import BodyStream
@@ -19,6 +18,7 @@
 from laurelstep.maintenance.machines import MachineTable, parse_listed_machine
 from laurelstep.maintenance.source import MAX_DIRECT_ENTRIES, MaintenanceSource
 from laurelstep.maintenance.state import MaintenanceState
+
 from tests.fakes import Answers, ManualClock, PlayedUpstream, entry
 from tests.maintenance import (
     GRACE_US,
--- a/tests/test_maintenance_state.py
+++ b/tests/test_maintenance_state.py
@@ -7,7 +7,6 @@
 
 import msgspec
 import pytest
-
 from laurelstep.consensus.state_machines import CompositeStateMachine
 from laurelstep.maintenance.assembly import passive_state_machines
 from laurelstep.maintenance.bounds import MAX_ENTRY_BYTES, MAX_MACHINES_OUT, MAX_OPEN_REQUESTS
@@ -34,6 +33,7 @@
     MachineState,
     next_state,
 )
+
 from tests.maintenance import (
     request_for,
 )
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -12,7 +12,6 @@
 from typing import Any
 
 import pytest
-
 from laurelstep.balancing.balancer import Balancer
 from laurelstep.balancing.events import ERROR, LIST_FULL, Arrival, Outcome
 from laurelstep.lifecycle import Phase
@@ -20,6 +19,7 @@
 from laurelstep.management.server import CALL_MAX, CALLS_MOST, ManagementConnection, ManagementServer
 from laurelstep.management.telemetry import escaped, figures
 from laurelstep.settings import ConfigError, config_from, read_platform
+
 from tests.helpers import MS, SECOND, fleet, sends
 from tests.sockets import (
     SETTINGS,
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -12,9 +12,9 @@
 from pathlib import Path
 
 import pytest
-
 from laurelstep.testing import Caller
 from laurelstep.testing.endpoints import reset_connection
+
 from tests.sockets import (
     Endpoint,
     Handler,
--- a/tests/test_outbox.py
+++ b/tests/test_outbox.py
@@ -9,7 +9,6 @@
 import tracemalloc
 
 import pytest
-
 from laurelstep.outbox.background_replay import BackgroundReplay
 from laurelstep.outbox.causality_tokens import TOKEN_MOST, CausalityTokens
 from laurelstep.outbox.cutoff import CutOffDetector, CutOffRule
@@ -47,6 +46,7 @@
 from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId, check_edge, parse_write_id
 from laurelstep.outbox.write_table import IntegerMap, PagedIntegerMap, short_hash
+
 from tests.once import once
 
 pytestmark = once
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -17,7 +17,6 @@
 from typing import Any, cast
 
 import pytest
-
 from laurelstep.balancing.events import NO_CONNECT
 from laurelstep.engine.body_stream import BodyStream
 from laurelstep.flow_control.buffer_budget import MAX_BUFFERED
@@ -37,6 +36,7 @@
 from laurelstep.testing.contracts.outbox import write_with_body
 from laurelstep.testing.disk import SimulatedDisk
 from laurelstep.testing.endpoints import Listener
+
 from tests.sockets import SETTINGS, TIMEOUT_S, Endpoint, Message, Reader, Writer, read_message, run
 from tests.test_outbox_daemon import edge as process
 
--- a/tests/test_outbox_daemon.py
+++ b/tests/test_outbox_daemon.py
@@ -15,10 +15,10 @@
 from typing import Any
 
 import pytest
-
 from laurelstep.__main__ import main as command
 from laurelstep.testing import after, in_turn, reset, serve, stall, whole_list
 from laurelstep.testing.processes.files import fill_disk, free_disk
+
 from tests.sockets import (
     SETTINGS,
     TIMEOUT_S,
--- a/tests/test_outbox_edge.py
+++ b/tests/test_outbox_edge.py
@@ -12,7 +12,6 @@
 from pathlib import Path
 
 import pytest
-
 from laurelstep.engine.call import Answer, Call
 from laurelstep.net.assembly import Assembly
 from laurelstep.net.message import lines
@@ -52,6 +51,7 @@
 from laurelstep.settings import config_from
 from laurelstep.testing import Endpoint, Message, Writer, answer
 from laurelstep.testing.endpoints import reset_connection
+
 from tests.sockets import TIMEOUT_S, run
 
 OWN, FORMER, OTHER = EdgeLog("ash", 7), EdgeLog("ash", 3), EdgeLog("oak", 9)
--- a/tests/test_outbox_ledger.py
+++ b/tests/test_outbox_ledger.py
@@ -12,7 +12,6 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-
 from laurelstep.consensus.core import ConsensusCore
 from laurelstep.consensus.errors import BusyError, EntryError, NotLeaderError, StoredStateError
 from laurelstep.consensus.limits import MAX_ENTRY_BYTES, MAX_LEADER_MESSAGE_BYTES
@@ -47,6 +46,7 @@
 from laurelstep.outbox.shared.messages import IntentStatus, LeaseRequest, LeaseStatus, StatusUpdate
 from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EDGE_MOST, EdgeLog, WriteId
+
 from tests.consensus_nodes import RecordingStateMachine
 from tests.fakes import ManualClock
 
--- a/tests/test_outbox_message_seal.py
+++ b/tests/test_outbox_message_seal.py
@@ -5,7 +5,6 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-
 from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.errors import OutboxError
 from laurelstep.outbox.shared.message_seal import SEALED_MOST, MessageSeal, SealedLengthError, SealError
--- a/tests/test_outbox_processes.py
+++ b/tests/test_outbox_processes.py
@@ -11,7 +11,6 @@
 from pathlib import Path
 
 import pytest
-
 from laurelstep.testing.processes import wait_until
 from laurelstep.testing.processes.queued_writes import (
     ABANDONED_AND_EXECUTED,
@@ -34,6 +33,7 @@
     WriteQueued,
     check_queued_writes,
 )
+
 from tests.outboxing import Chain, Client, Node, play
 
 # --- The checker ----------------------------------------------------------------------------
--- a/tests/test_outbox_replay_gate.py
+++ b/tests/test_outbox_replay_gate.py
@@ -7,7 +7,6 @@
 from typing import Any
 
 import pytest
-
 from laurelstep.balancing.events import (
     ERROR,
     FULL,
@@ -58,6 +57,7 @@
 )
 from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
+
 from tests.fakes import Answers, ManualClock, PlayedUpstream, Sent, entry
 from tests.sockets import overrule
 
--- a/tests/test_outbox_replicated_version_vector.py
+++ b/tests/test_outbox_replicated_version_vector.py
@@ -6,7 +6,6 @@
 from collections.abc import Awaitable, Callable
 
 import pytest
-
 from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.shared.entries import EdgeLost, LogLease, StatusRecord, WriteApplied
 from laurelstep.outbox.shared.ledger import ReplicatedLedger
@@ -20,6 +19,7 @@
 )
 from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
+
 from tests.fakes import ManualClock
 from tests.test_outbox_replay_gate import Agreed
 
--- a/tests/test_outbox_schedules.py
+++ b/tests/test_outbox_schedules.py
@@ -12,7 +12,6 @@
 from typing import Any
 
 import pytest
-
 from laurelstep.outbox.causality_tokens import CausalityTokens
 from laurelstep.outbox.dependencies import Dependencies, Dependency
 from laurelstep.outbox.dependency_tracker import NUMBERS
@@ -33,6 +32,7 @@
 from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from laurelstep.outbox.write_table import BUSY, CLOSED, DURABLE, ORPHAN
+
 from tests.once import once
 
 pytestmark = once
--- a/tests/test_outbox_shared_daemon.py
+++ b/tests/test_outbox_shared_daemon.py
@@ -14,7 +14,6 @@
 from typing import Any
 
 import pytest
-
 from laurelstep.outbox.causality_tokens import CausalityTokens
 from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.shared.message_seal import MessageSeal
@@ -32,6 +31,7 @@
 from laurelstep.testing.processes import ProcessTier, wait_until
 from laurelstep.testing.processes.program import POLL_INTERVAL_S
 from laurelstep.testing.processes.tier_settings import SETTINGS
+
 from tests.sockets import run, start
 
 SECRET = b"of the edges and of the copies"
--- a/tests/test_outbox_shared_schedules.py
+++ b/tests/test_outbox_shared_schedules.py
@@ -22,7 +22,6 @@
 
 import msgspec
 import pytest
-
 from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.shared import ledger as records
 from laurelstep.outbox.shared import ranges
--- a/tests/test_outbox_store.py
+++ b/tests/test_outbox_store.py
@@ -12,12 +12,12 @@
 from pathlib import Path
 
 import pytest
-
 from laurelstep.outbox.queue_store import FailedToKeepError, QueueStore, key_of
 from laurelstep.outbox.records import QueuedWrite, StateChange, WriteState
 from laurelstep.store import Disk, FolderDisk, StoreError
 from laurelstep.testing.contracts.outbox import WriteStoreContract, WriteStoreIncarnations, write_with_body
 from laurelstep.testing.disk import SimulatedDisk
+
 from tests.once import once
 
 pytestmark = once
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -20,7 +20,6 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-
 from laurelstep.testing import Caller, free_port, request
 from laurelstep.testing.processes import (
     CheckLimits,
@@ -62,6 +61,7 @@
 from laurelstep.testing.processes.launch import create_clock, step_clock
 from laurelstep.testing.processes.relays import MAX_DATAGRAM_BYTES
 from laurelstep.testing.processes.tier_settings import SETTINGS
+
 from tests.sockets import Endpoint, run
 
 TEST_S = 300.0  # for a test that hangs; nothing is measured by it
--- a/tests/test_request_journal.py
+++ b/tests/test_request_journal.py
@@ -13,7 +13,6 @@
 from typing import Any
 
 import pytest
-
 from laurelstep.engine import Answer, Call, Ending
 from laurelstep.library import ConfigError, Request
 from laurelstep.request_journal import JournalClass
@@ -42,6 +41,7 @@
     stall,
     whole_list,
 )
+
 from tests.journals import (
     AGAIN,
     MAY_HAVE_RUN,
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -6,7 +6,6 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-
 from laurelstep.flow_control.buffer_budget import UNCOUNTED
 from laurelstep.resources.descriptors import (
     AWAITING_REQUEST,
@@ -20,6 +19,7 @@
     eviction_order,
 )
 from laurelstep.testing import Caller
+
 from tests.sockets import Endpoint, Reader, Sidecar, Writer, answer, read_message, request, run, sidecar
 from tests.sockets import hold as hold_back
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -7,6 +7,7 @@
 from pathlib import Path
 
 from laurelstep.testing import Reader, Writer
+
 from tests.sockets import (
     Endpoint,
     Registry,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,7 +10,6 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-
 from laurelstep.balancing.balancer import Balancer
 from laurelstep.balancing.events import (
     CANCELLED,
@@ -51,6 +50,7 @@
 from laurelstep.balancing.key_queues import KeyQueues
 from laurelstep.balancing.membership import Membership
 from laurelstep.balancing.retries import RetryPolicy
+
 from tests.conftest import plain_only
 
 MS = 1_000
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -13,7 +13,6 @@
 from typing import cast
 
 import pytest
-
 from laurelstep.balancing.concurrency_limit import HELD_MIN
 from laurelstep.balancing.events import CANCELLED, ERROR, FULL, OK
 from laurelstep.engine import Answer, Attempt, Call, Clock
@@ -22,6 +21,7 @@
 from laurelstep.net.connection_pool import MIN_IDLE
 from laurelstep.net.endpoint_connection import EndpointConnection
 from laurelstep.net.request_receiver import LINGER_MOST
+
 from tests.sockets import (
     Endpoint,
     Handler,
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,7 +9,6 @@
 from typing import Any
 
 import pytest
-
 from laurelstep.__main__ import main, read_config
 from laurelstep.balancing.events import KEYED, SAFE, SCOPE_CELL, UNSAFE
 from laurelstep.consensus.options import ConsensusSettings, default_seats
@@ -17,6 +16,7 @@
 from laurelstep.maintenance.settings import MaintenanceSettings
 from laurelstep.settings import ConfigError, read_file, read_platform
 from laurelstep.settings.operator import AccordTable, Operator, read_operator
+
 from tests.sockets import SETTINGS
 
 SHOWN = ("link", "store_path", "heartbeat_ms", "election_ms", "drift")  # with their defaults
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -13,7 +13,6 @@
 from typing import Any, cast
 
 import pytest
-
 from laurelstep.balancing.events import (
     CANCELLED,
     DRAINING,
@@ -36,6 +35,7 @@
 from laurelstep.net.discovery import Discovery
 from laurelstep.net.request import key_of
 from laurelstep.testing import status as fails_with
+
 from tests.conftest import Logged, plain_only
 from tests.sockets import (
     Endpoint,
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -17,7 +17,6 @@
 from math import sqrt
 
 import pytest
-
 from laurelstep.balancing.balancer import Balancer
 from laurelstep.balancing.events import (
     FULL,
@@ -37,6 +36,7 @@
     Settings,
     Timer,
 )
+
 from tests.helpers import MS, SECOND, Driver, fleet, started
 
 VIEW = RequestClass(effect=SAFE, aim_us=SECOND, deadline_us=3 * SECOND)
--- a/tests/test_slow_start_fleets.py
+++ b/tests/test_slow_start_fleets.py
@@ -17,9 +17,9 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-
 from laurelstep.balancing.balancer import Balancer
 from laurelstep.balancing.events import NO_CONNECT, READY, TIMEOUT, Entry, Outcome, Send, Settings
+
 from tests.helpers import on_ring
 from tests.test_slow_start import SETTINGS, VIEW, WARM_UP, Case, Fleet, Server
 
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -6,7 +6,6 @@
 from typing import Any, cast
 
 import pytest
-
 from laurelstep.balancing.events import RequestClass, Settings
 from laurelstep.engine.endpoint_table import CLOCK_TOLERANCE_US, EndpointTable, StartDating, endpoint_number
 from laurelstep.engine.names import Names
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -18,7 +18,6 @@
 from typing import Any
 
 import pytest
-
 from laurelstep.consensus.effects import StepEffects
 from laurelstep.consensus.node import MAX_REOPEN_DELAY_US, MIN_REOPEN_DELAY_US, NodeStage
 from laurelstep.consensus.ports import Store as StateStore
@@ -35,6 +34,7 @@
 from laurelstep.testing import Endpoint, refuse, serve
 from laurelstep.testing.contracts.outbox import write_with_body
 from laurelstep.testing.disk import Op, SimulatedDisk
+
 from tests.consensus_nodes import SAY, NodeBench, loop_turns
 from tests.journals import AGAIN, MAY_HAVE_RUN, SERVED, pay, recorded, said
 from tests.stores import SMALL, Machine, State, opened, state_of
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -19,7 +19,6 @@
 import pytest
 from hypothesis import settings
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
-
 from laurelstep.store import (
     FolderDisk,
     LogError,
@@ -44,6 +43,7 @@
 from laurelstep.store.numbered_keys import NumberedKeyMap
 from laurelstep.store.recovery import inspect_folder, read_store, recover_store
 from laurelstep.testing.disk import Op, SimulatedDisk
+
 from tests.once import once
 from tests.stores import SMALL, Machine, State, logged, opened, state_of
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -14,8 +14,8 @@
 from typing import Any, Final
 
 import pytest
-
 from laurelstep.testing import Effects, serve
+
 from tests.sockets import (
     SETTINGS,
     Endpoint,
--- a/tests/test_testing.py
+++ b/tests/test_testing.py
@@ -10,7 +10,6 @@
 from typing import Any
 
 import pytest
-
 from laurelstep.testing import (
     Caller,
     Effects,
@@ -35,6 +34,7 @@
     whole_list,
 )
 from laurelstep.testing.messages import BLOCK, Ports
+
 from tests.event_loops import run_limited
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,11 +10,11 @@
 from typing import cast
 
 import pytest
-
 from laurelstep import wire
 from laurelstep.adapter import Host, serve
 from laurelstep.balancing import events
 from laurelstep.balancing.balancer import Balancer
+
 from tests.sockets import Replaced
 
 NOW = 0x805C5A
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -14,7 +14,6 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-
 from laurelstep.settings import ConfigError
 from laurelstep.settings.operator import read_operator
 from laurelstep.testing import (
@@ -29,6 +28,7 @@
     request,
 )
 from laurelstep.workers.plan import KillWorker, StartWorker, StopWorker, SupervisorAction, SupervisorPlan
+
 from tests.sockets import connect_until_up, free_port, run
 from tests.test_settings import CLASS
 
--- a/tests/test_write_queue.py
+++ b/tests/test_write_queue.py
@@ -5,13 +5,13 @@
 from typing import Any
 
 import pytest
-
 from laurelstep.balancing.events import ERROR, FULL, OK, RESET, UNSAFE, RequestClass, Settings
 from laurelstep.engine import Answer, Call, Ending, Engine
 from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.names import Names
 from laurelstep.engine.ports import Recorded
 from laurelstep.engine.static_members import StaticMembers
+
 from tests.fakes import Answers, ManualClock, PlayedUpstream, Sent, entry
 
 PAY = RequestClass(effect=UNSAFE, aim_us=500_000, deadline_us=2_000_000)
--- a/tests/upgrades.py
+++ b/tests/upgrades.py
@@ -12,6 +12,7 @@
 from typing import Any, Self
 
 from laurelstep.testing import Caller
+
 from tests.sockets import (
     TIMEOUT_S,
     Endpoint,
