--- a/laurelstep/__main__.py
+++ b/laurelstep/__main__.py
@@ -49,6 +49,7 @@
 
 
 def run(arguments: Sequence[str]) -> int:
+    """Run the balancer, a worker or the supervisor, as the settings say; the process's exit status."""
     environ = dict(os.environ)
     if arguments[:1] == ["--operator"] and len(arguments) == 2:
         environ["LB_OPERATOR"] = arguments[1]
@@ -144,6 +145,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
+    """Run the subcommand that the arguments name (`sys.argv` by default); the process's exit status."""
     words = list(sys.argv[1:] if arguments is None else arguments)
     try:
         match words:
--- a/laurelstep/consensus/links/memory.py
+++ b/laurelstep/consensus/links/memory.py
@@ -55,6 +55,7 @@
         self.cut.clear()
 
     def __call__(self, sender: int, receiver: int, data: bytes) -> Sequence[int]:
+        """The delay of each copy of a datagram that is delivered, µs; none where it is lost."""
         if (sender, receiver) in self.cut or self.rng.random() < self.loss:
             return ()
         copies = 2 if self.rng.random() < self.duplication else 1
--- a/laurelstep/library/asgi.py
+++ b/laurelstep/library/asgi.py
@@ -47,6 +47,7 @@
         self.read_s = read_s
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
+        """Serve one ASGI scope: balance requests under the prefix, and pass the others to the app."""
         if scope["type"] == "lifespan":
             await ClientLifespan(self.app, self.client, scope, receive, send).run()
         elif scope["type"] == "http" and self._is_balanced(scope["path"]):
--- a/laurelstep/testing/contracts/clock.py
+++ b/laurelstep/testing/contracts/clock.py
@@ -55,6 +55,8 @@
         """A clock on the running loop."""
 
     def test_now_never_goes_back(self) -> None:
+        """`now` is a whole number of µs, never decreases, and advances with time."""
+
         async def main() -> None:
             async with self.running_clock() as one:
                 seen = [one.clock.now() for _ in range(1_000)]
@@ -67,6 +69,8 @@
         self.run(main())
 
     def test_wall_is_unix_time_in_microseconds(self) -> None:
+        """`wall` is a whole number of µs in the plausible range of Unix time."""
+
         async def main() -> None:
             async with self.running_clock() as one:
                 wall = one.clock.wall()
@@ -75,6 +79,8 @@
         self.run(main())
 
     def test_calls_come_once_and_never_before_their_time(self) -> None:
+        """Each scheduled call runs exactly once, and not before its due time."""
+
         async def main() -> None:
             async with self.running_clock() as one:
                 calls = CallLog(one.clock)
@@ -89,6 +95,8 @@
         self.run(main())
 
     def test_a_time_that_has_passed_is_soon_but_not_at_once(self) -> None:
+        """A call that is already due runs soon, but only after `at` has returned."""
+
         async def main() -> None:
             async with self.running_clock() as one:
                 calls = CallLog(one.clock)
@@ -101,6 +109,8 @@
         self.run(main())
 
     def test_a_call_may_ask_for_the_next(self) -> None:
+        """A call may schedule another from within, which also runs once and not early."""
+
         async def main() -> None:
             async with self.running_clock() as one:
                 calls = CallLog(one.clock)
@@ -121,6 +131,8 @@
         self.run(main())
 
     def test_a_cancelled_call_never_comes(self) -> None:
+        """Cancelled calls never run, also when cancelled twice; other calls still run."""
+
         async def main() -> None:
             async with self.running_clock() as one:
                 calls = CallLog(one.clock)
@@ -161,6 +173,8 @@
         self.run(main())
 
     def test_cancelling_what_was_called_does_nothing(self) -> None:
+        """Cancelling a call that has run has no effect, and later calls still run."""
+
         async def main() -> None:
             async with self.running_clock() as one:
                 calls = CallLog(one.clock)
--- a/laurelstep/testing/contracts/disk.py
+++ b/laurelstep/testing/contracts/disk.py
@@ -58,10 +58,12 @@
     # --- 1. Reading and writing ---------------------------------------------------------
 
     def test_a_new_folder_holds_no_file_not_even_that_of_its_lock(self) -> None:
+        """`files` of a new folder is empty and doesn't list the lock file."""
         with self.locked_disk() as disk:
             assert disk.files() == {}
 
     def test_a_file_is_created_with_its_bytes(self) -> None:
+        """`create` stores the given bytes, and `files` reports their size; empty files too."""
         with self.locked_disk() as disk:
             disk.create("one", b"0123456789")
             disk.create("none", b"")
@@ -69,6 +71,7 @@
             assert (disk.read("one"), disk.read("none")) == (b"0123456789", b"")
 
     def test_a_part_is_read_and_no_more_than_there_is(self) -> None:
+        """`read` honours offset and size, and stops at the end of the file."""
         with self.locked_disk() as disk:
             disk.create("one", b"0123456789")
             assert disk.read("one", 4) == b"456789"
@@ -78,6 +81,7 @@
             assert disk.read("one", 10, 5) == b"" == disk.read("one", 12)
 
     def test_a_write_lands_at_its_place(self) -> None:
+        """`write` replaces bytes at its offset, and extends the file past its end."""
         with self.locked_disk() as disk:
             disk.create("one", b"0123456789")
             disk.write("one", 3, b"abc")
@@ -86,12 +90,14 @@
             assert (disk.read("one"), disk.files()) == (b"012abc67xyz", {"one": 11})
 
     def test_a_gap_is_zeros(self) -> None:
+        """A write behind the end of a file fills the gap with zeros."""
         with self.locked_disk() as disk:
             disk.create("one", b"ab")
             disk.write("one", 5, b"c")
             assert disk.read("one") == b"ab\0\0\0c"
 
     def test_a_large_write_is_whole(self) -> None:
+        """A write of 2 MiB is stored completely."""
         data = bytes(range(256)) * 8192
         with self.locked_disk() as disk:
             disk.create("one", b"")
@@ -99,12 +105,14 @@
             assert disk.read("one") == b"\0" + data
 
     def test_created_again_it_is_another_file(self) -> None:
+        """`create` with an existing name replaces the whole file."""
         with self.locked_disk() as disk:
             disk.create("one", b"a long one")
             disk.create("one", b"short")
             assert (disk.read("one"), disk.files()) == (b"short", {"one": 5})
 
     def test_a_cut_leaves_the_beginning(self) -> None:
+        """`truncate` keeps the bytes before the given size, and writing can go on there."""
         with self.locked_disk() as disk:
             disk.create("one", b"0123456789")
             disk.truncate("one", 4)
@@ -113,6 +121,7 @@
             assert disk.read("one") == b"0123x"
 
     def test_a_renamed_file_takes_the_others_place(self) -> None:
+        """`rename` replaces the file of the new name, and later writes go to it."""
         with self.locked_disk() as disk:
             disk.create("old", b"of old")
             disk.create("new", b"of new")
@@ -124,6 +133,7 @@
             assert disk.read("new") == b"Of old!"
 
     def test_a_deleted_file_is_gone_and_may_come_anew(self) -> None:
+        """A deleted file raises FileNotFoundError, may be deleted again, and may be created again."""
         with self.locked_disk() as disk:
             disk.create("one", b"first")
             disk.delete("one")
@@ -135,6 +145,7 @@
             assert disk.read("one") == b"second"
 
     def test_many_files_are_used_in_turn(self) -> None:
+        """Many files can be written and read in turn without mixing up their bytes."""
         with self.locked_disk() as disk:
             for n in range(MANY_FILES):
                 disk.create(f"f{n}", b"%d" % n)
@@ -147,6 +158,7 @@
     # --- 2. What is not there -------------------------------------------------------------
 
     def test_what_is_not_there_is_an_error_of_the_system(self) -> None:
+        """Calls on a missing file raise OSError (`read`: FileNotFoundError), and create nothing."""
         with self.locked_disk() as disk:
             with raises(FileNotFoundError, "a read of no file"):
                 disk.read("none")
@@ -163,6 +175,7 @@
     # --- 3. One owner ---------------------------------------------------------------------
 
     def test_a_second_owner_is_refused_until_the_first_has_closed(self) -> None:
+        """`lock` raises StoreError while another owner is open, also after a refused one has closed."""
         with self.empty_folder() as opener:
             first, second = opener(), opener()
             first.lock()
@@ -184,6 +197,7 @@
     # --- 4. Power -------------------------------------------------------------------------
 
     def test_a_created_file_is_there_once_its_folder_is_synced(self) -> None:
+        """A created file survives a loss of power once `sync_folder` has returned."""
         with self.disk_with_power() as (disk, next_start):
             disk.create("one", b"whole")
             disk.sync_folder()
@@ -192,6 +206,7 @@
             later.close()
 
     def test_a_created_file_is_whole_or_not_there(self) -> None:
+        """After a loss of power, a file whose folder wasn't synced is complete or missing."""
         with self.disk_with_power() as (disk, next_start):
             disk.create("one", b"x" * 100)
             later = next_start()
@@ -200,6 +215,7 @@
             later.close()
 
     def test_synced_bytes_stay(self) -> None:
+        """Synced bytes survive a loss of power; a write after the sync may or may not."""
         with self.disk_with_power() as (disk, next_start):
             disk.create("one", b"0123456789")
             disk.sync_folder()
@@ -213,6 +229,7 @@
             later.close()
 
     def test_a_cut_stays(self) -> None:
+        """`truncate` survives a loss of power, with the writes before it, without a further sync."""
         with self.disk_with_power() as (disk, next_start):
             disk.create("one", b"0123456789")
             disk.sync_folder()
@@ -223,6 +240,7 @@
             later.close()
 
     def test_a_rename_and_a_deletion_stay_once_the_folder_is_synced(self) -> None:
+        """Renames and deletions survive a loss of power once `sync_folder` has returned."""
         with self.disk_with_power() as (disk, next_start):
             disk.create("manifest", b"old")
             disk.create("spare", b"spare")
@@ -236,6 +254,7 @@
             later.close()
 
     def test_a_rename_not_yet_synced_is_the_old_file_or_the_new_one(self) -> None:
+        """After a loss of power, an unsynced rename shows the complete old or new file."""
         with self.disk_with_power() as (disk, next_start):
             disk.create("manifest", b"old")
             disk.sync_folder()
--- a/laurelstep/testing/contracts/link.py
+++ b/laurelstep/testing/contracts/link.py
@@ -77,6 +77,10 @@
         await self.wait_for(wait(), f"{len(data)} bytes from {sender}, sent again and again")
 
     def test_each_hears_each_by_its_number_and_whole(self) -> None:
+        """Datagrams of every size arrive as complete `bytes` under the sender's number, for each pair of
+        peers.
+        """
+
         async def main() -> None:
             async with self.connected_links() as joined:
                 heard = [LinkRecorder(link) for link in joined.links]
@@ -96,6 +100,8 @@
         self.run(main())
 
     def test_what_is_too_long_or_for_nobody_is_an_error_and_does_not_leave(self) -> None:
+        """`send` raises LinkError for an oversized datagram or an unknown peer, and sends nothing."""
+
         async def main() -> None:
             async with self.connected_links() as joined:
                 heard = [LinkRecorder(link) for link in joined.links]
@@ -115,6 +121,8 @@
         self.run(main())
 
     def test_sending_to_nobody_there_is_no_error(self) -> None:
+        """Sending to a peer that was never opened, or is closed, raises nothing."""
+
         async def main() -> None:
             async with self.connected_links() as joined:
                 heard = [LinkRecorder(joined.links[0]), LinkRecorder(joined.links[1])]
@@ -131,6 +139,8 @@
         self.run(main())
 
     def test_more_than_is_read_is_lost_and_no_error(self) -> None:
+        """A burst may lose datagrams, but raises nothing and corrupts none; the link works after it."""
+
         async def main() -> None:
             async with self.connected_links() as joined:
                 heard = [LinkRecorder(link) for link in joined.links]
@@ -150,6 +160,8 @@
         self.run(main())
 
     def test_after_close_nothing_is_received(self) -> None:
+        """A closed link receives nothing, datagrams in flight included; other links go on."""
+
         async def main() -> None:
             async with self.connected_links() as joined:
                 heard = [LinkRecorder(link) for link in joined.links]
@@ -170,6 +182,8 @@
         self.run(main())
 
     def test_a_process_that_comes_anew_has_its_number(self) -> None:
+        """A restarted peer sends and receives under the number that it had."""
+
         async def main() -> None:
             async with self.connected_links() as joined:
                 heard = [LinkRecorder(link) for link in joined.links]
@@ -193,9 +207,14 @@
     """
 
     @abstractmethod
-    def connected_links(self) -> AbstractAsyncContextManager[ExposedLinks]: ...
+    def connected_links(self) -> AbstractAsyncContextManager[ExposedLinks]:
+        """The links of three peers on the running loop, which a stranger can reach."""
 
     def test_what_no_listed_peer_sent_is_not_received(self) -> None:
+        """Datagrams from a sender outside the list are dropped, whatever their size; peers are still
+        received.
+        """
+
         async def main() -> None:
             async with self.connected_links() as joined:
                 heard = [LinkRecorder(link) for link in joined.links]
--- a/laurelstep/testing/contracts/members.py
+++ b/laurelstep/testing/contracts/members.py
@@ -147,6 +147,8 @@
         return sink
 
     def test_the_present_list_comes_whole(self) -> None:
+        """The sink receives the complete list with all its fields."""
+
         async def main() -> None:
             async with self.environment() as environment:
                 await self.start_source(
@@ -156,6 +158,8 @@
         self.run(main())
 
     def test_changes_come_while_it_is_watched(self) -> None:
+        """A watched source delivers changed entries and replaced lists."""
+
         async def main() -> None:
             async with self.environment() as environment:
                 sink = await self.start_source(environment, [entry("s-1"), entry("s-2")])
@@ -167,6 +171,8 @@
         self.run(main())
 
     def test_asked_again_it_tells_the_list_of_then(self) -> None:
+        """Each `fetch` delivers the current complete list again."""
+
         async def main() -> None:
             async with self.environment() as environment:
                 sink = await self.start_source(environment, [entry("s-1")])
@@ -184,6 +190,8 @@
         self.run(main())
 
     def test_a_long_list_is_whole_and_not_overtaken(self) -> None:
+        """A list long enough to be applied in steps arrives complete, and before the change after it."""
+
         async def main() -> None:
             async with self.environment() as environment:
                 sink = await self.start_source(environment, [entry("s-1")])
@@ -196,6 +204,8 @@
         self.run(main())
 
     def test_a_list_that_is_refused_costs_that_list_alone(self) -> None:
+        """After a list that the sink refuses, the next list still arrives."""
+
         async def main() -> None:
             async with self.environment() as environment:
                 sink = await self.start_source(environment, [entry("s-1")])
@@ -216,6 +226,8 @@
         self.run(main())
 
     def test_watched_twice_and_not_at_all_it_still_answers(self) -> None:
+        """`watch` may be repeated, and `fetch` delivers lists also while the source isn't watched."""
+
         async def main() -> None:
             async with self.environment() as environment:
                 sink = await self.start_source(environment, [entry("s-1")])
@@ -238,9 +250,12 @@
     """
 
     @abstractmethod
-    def environment(self) -> AbstractAsyncContextManager[FaultySourceEnvironment]: ...
+    def environment(self) -> AbstractAsyncContextManager[FaultySourceEnvironment]:
+        """A source on the running loop, not started yet, with an empty list and an origin that can fail."""
 
     def test_a_question_without_an_answer_is_told_once(self) -> None:
+        """Each failed fetch calls `list_failed` exactly once, and the next fetch succeeds."""
+
         async def main() -> None:
             async with self.environment() as environment:
                 sink = RecordingSink()
--- a/laurelstep/testing/contracts/outbox.py
+++ b/laurelstep/testing/contracts/outbox.py
@@ -151,6 +151,8 @@
         """A first process on an empty store."""
 
     def test_a_kept_write_is_found_with_its_body(self) -> None:
+        """Stored writes are found with their bodies, of every size, after a restart and after a crash."""
+
         async def main() -> None:
             async with self.incarnations() as incarnations:
                 assert (await incarnations.store.load()).writes == []
@@ -169,6 +171,10 @@
         self.run(main())
 
     def test_a_crash_leaves_all_of_a_write_or_nothing(self) -> None:
+        """After a crash at any point of `put_write`, the write is complete or missing; an acknowledged one is
+        complete.
+        """
+
         async def main() -> None:
             for crash in CRASH_TURNS:
                 async with self.incarnations() as incarnations:
@@ -188,6 +194,8 @@
         self.run(main())
 
     def test_the_last_state_holds_and_a_final_one_ends_the_body(self) -> None:
+        """The last state written survives restart and crash, and `load` leaves out its answer's body."""
+
         async def main() -> None:
             async with self.incarnations() as incarnations:
                 await incarnations.store.load()
@@ -210,6 +218,8 @@
         self.run(main())
 
     def test_what_was_forgotten_is_gone_and_its_number_is_known(self) -> None:
+        """A deleted write and its state are gone after a restart, while the edge log's last number stays."""
+
         async def main() -> None:
             async with self.incarnations() as incarnations:
                 await incarnations.store.load()
@@ -226,6 +236,8 @@
         self.run(main())
 
     def test_nothing_is_kept_on_a_disk_that_fails(self) -> None:
+        """Writes to a failing disk raise StoreError, and what was stored before stays readable."""
+
         async def main() -> None:
             async with self.incarnations() as incarnations:
                 await incarnations.store.load()
@@ -244,6 +256,8 @@
         self.run(main())
 
     def test_a_body_kept_part_by_part_is_found_with_its_head(self) -> None:
+        """A body stored in parts isn't readable before its head is stored, and complete after it."""
+
         async def main() -> None:
             async with self.incarnations() as incarnations:
                 await incarnations.store.load()
@@ -264,6 +278,10 @@
         self.run(main())
 
     def test_parts_without_a_head_are_nothing(self) -> None:
+        """Parts without a head are no write after a crash, and can be deleted; a missing part raises
+        StoreError.
+        """
+
         async def main() -> None:
             async with self.incarnations() as incarnations:
                 await incarnations.store.load()
@@ -282,6 +300,10 @@
         self.run(main())
 
     def test_a_crash_in_a_body_kept_part_by_part_leaves_all_or_nothing(self) -> None:
+        """After a crash at any point of storing in parts, the write is complete or missing; an acknowledged
+        one is complete.
+        """
+
         async def main() -> None:
             for crash in CRASH_TURNS:
                 async with self.incarnations() as incarnations:
@@ -300,6 +322,8 @@
         self.run(main())
 
     def test_no_part_and_no_head_is_kept_on_a_disk_that_fails(self) -> None:
+        """Storing a part or a head on a failing disk raises StoreError, and the write isn't readable."""
+
         async def main() -> None:
             async with self.incarnations() as incarnations:
                 await incarnations.store.load()
--- a/laurelstep/testing/contracts/recorder.py
+++ b/laurelstep/testing/contracts/recorder.py
@@ -143,6 +143,8 @@
     # --- Tests --------------------------------------------------------------------------
 
     def test_what_it_does_not_take_is_never_heard_of(self) -> None:
+        """A call that the recorder doesn't take is neither admitted nor settled by it."""
+
         async def main() -> None:
             async with self.incarnations() as life:
                 engine = EngineStandIn(life)
@@ -156,6 +158,8 @@
         self.run(main())
 
     def test_each_ending_is_delivered(self) -> None:
+        """Each kind of ending is delivered with its status and body."""
+
         async def main() -> None:
             async with self.incarnations() as life:
                 engine = EngineStandIn(life)
@@ -175,6 +179,8 @@
         self.run(main())
 
     def test_of_one_order_one_at_a_time_is_admitted(self) -> None:
+        """Of concurrent calls of one order only one is admitted; the others get its answer."""
+
         async def main() -> None:
             async with self.incarnations() as life:
                 engine = EngineStandIn(life)
@@ -190,6 +196,8 @@
         self.run(main())
 
     def test_what_was_served_is_not_admitted_again_nor_after_a_restart(self) -> None:
+        """A served order gets its recorded answer and isn't sent again, also after a restart."""
+
         async def main() -> None:
             async with self.incarnations() as life:
                 engine = EngineStandIn(life)
@@ -206,6 +214,8 @@
         self.run(main())
 
     def test_what_was_admitted_and_not_finished_is_not_admitted_by_the_next_life(self) -> None:
+        """An order whose attempt may have run before a restart is settled as failed, and not sent again."""
+
         async def main() -> None:
             async with self.incarnations() as life:
                 engine = EngineStandIn(life)
@@ -220,6 +230,8 @@
         self.run(main())
 
     def test_what_was_refused_may_be_sent_again(self) -> None:
+        """An order that was refused is admitted again, also after a restart."""
+
         async def main() -> None:
             async with self.incarnations() as life:
                 engine = EngineStandIn(life)
@@ -232,6 +244,8 @@
         self.run(main())
 
     def test_those_that_wait_hear_though_the_first_leaves(self) -> None:
+        """Waiting calls are answered although the admitted client leaves; a tried order isn't sent again."""
+
         async def main() -> None:
             for tried in (0, 1):
                 async with self.incarnations() as life:
@@ -250,6 +264,8 @@
         self.run(main())
 
     def test_a_client_that_leaves_at_once_does_not_hold_up_the_next(self) -> None:
+        """A call that leaves before its admission gets nothing, and the next of its order is admitted."""
+
         async def main() -> None:
             async with self.incarnations() as life:
                 engine = EngineStandIn(life)
@@ -263,6 +279,8 @@
         self.run(main())
 
     def test_where_nothing_can_be_kept_everybody_hears(self) -> None:
+        """While writes fail, every call is still answered."""
+
         async def main() -> None:
             async with self.incarnations() as life:
                 engine = EngineStandIn(life)
--- a/laurelstep/testing/contracts/store.py
+++ b/laurelstep/testing/contracts/store.py
@@ -65,6 +65,8 @@
             assert await lives.store.load() == (expected if is_durable else {})
 
     def test_at_first_there_is_nothing(self) -> None:
+        """A new store is empty, also after restarts."""
+
         async def main() -> None:
             async with self.incarnations() as lives:
                 assert type(lives.store.is_durable) is bool
@@ -74,6 +76,8 @@
         self.run(main())
 
     def test_what_was_written_is_found_and_what_was_deleted_is_not(self) -> None:
+        """A durable store finds written keys, and no deleted ones, after restarts; another starts empty."""
+
         async def main() -> None:
             async with self.incarnations() as lives:
                 await self.wait_for(lives.store.write({b"a": b"1", b"b": b"", b"c": bytes(5_000)}), "a write")
@@ -88,6 +92,8 @@
         self.run(main())
 
     def test_no_change_is_written_too(self) -> None:
+        """An empty write completes, and doesn't disturb the write before it."""
+
         async def main() -> None:
             async with self.incarnations() as lives:
                 await self.wait_for(lives.store.write({}), "an empty write")
@@ -99,6 +105,8 @@
         self.run(main())
 
     def test_the_last_write_holds(self) -> None:
+        """Of many writes that don't wait for each other, the last value of each key holds."""
+
         async def main() -> None:
             async with self.incarnations() as lives:
                 waiting = [
@@ -114,6 +122,8 @@
         self.run(main())
 
     def test_one_that_does_not_last_is_done_at_once(self) -> None:
+        """A write to a store that isn't durable is done when `write` returns."""
+
         async def main() -> None:
             async with self.incarnations() as lives:
                 done = lives.store.write({b"a": b"1"})
@@ -132,9 +142,12 @@
     """
 
     @abstractmethod
-    def incarnations(self) -> AbstractAsyncContextManager[FaultyStoreIncarnations]: ...
+    def incarnations(self) -> AbstractAsyncContextManager[FaultyStoreIncarnations]:
+        """A first process on an empty store whose writes can be made to fail, and which can crash."""
 
     def test_it_lasts(self) -> None:
+        """The store reports that it is durable."""
+
         async def main() -> None:
             async with self.incarnations() as lives:
                 assert lives.store.is_durable
@@ -142,6 +155,8 @@
         self.run(main())
 
     def test_what_was_reported_survives_a_crash(self) -> None:
+        """Every write that was reported as done survives a crash."""
+
         async def main() -> None:
             async with self.incarnations() as lives:
                 for n in range(5):
@@ -153,6 +168,8 @@
         self.run(main())
 
     def test_a_call_is_found_whole_or_not_at_all(self) -> None:
+        """After a crash at any point, the changes of one `write` are found completely or not at all."""
+
         async def main() -> None:
             for count in CRASH_TURNS:
                 async with self.incarnations() as lives:
@@ -167,6 +184,8 @@
         self.run(main())
 
     def test_no_call_is_found_without_those_before_it(self) -> None:
+        """After a crash at any point, the writes found are a prefix of those made, with all reported ones."""
+
         async def main() -> None:
             for count in CRASH_TURNS:
                 async with self.incarnations() as lives:
@@ -182,6 +201,8 @@
         self.run(main())
 
     def test_what_can_not_be_written_is_told_and_takes_nothing_away(self) -> None:
+        """A write that fails raises StoreError, and loses nothing that was reported before."""
+
         async def main() -> None:
             async with self.incarnations() as lives:
                 await self.wait_for(lives.store.write({b"a": b"1"}), "a write")
--- a/laurelstep/testing/contracts/upstream.py
+++ b/laurelstep/testing/contracts/upstream.py
@@ -133,6 +133,8 @@
     # --- One attempt --------------------------------------------------------------------
 
     def test_it_keeps_connections_for_a_time(self) -> None:
+        """`idle_us` is a positive whole number of µs."""
+
         async def main() -> None:
             async with self.environment() as environment:
                 assert type(environment.upstream.idle_us) is int and environment.upstream.idle_us > 0
@@ -140,6 +142,8 @@
         self.run(main())
 
     def test_what_is_served_is_told_with_its_answer(self) -> None:
+        """A served attempt ends as OK with its answer, and runs once, at its endpoint only."""
+
         async def main() -> None:
             async with self.environment() as environment:
                 environment.upstream.place(1, environment.addresses[0])
@@ -160,6 +164,8 @@
         self.run(main())
 
     def test_each_way_to_fail_has_its_outcome_and_is_sent_once(self) -> None:
+        """A rejection, an error and a reset have an outcome each, and the attempt isn't sent again."""
+
         async def main() -> None:
             for behaviour, expected in (
                 (EndpointBehaviour.REJECT, FULL),
@@ -181,6 +187,8 @@
         self.run(main())
 
     def test_where_nobody_listens_nothing_was_connected(self) -> None:
+        """An attempt to a closed port ends as NO_CONNECT, with nothing written."""
+
         async def main() -> None:
             async with self.environment() as environment:
                 environment.upstream.place(1, environment.closed_address)
@@ -191,6 +199,8 @@
         self.run(main())
 
     def test_an_endpoint_without_a_place_is_not_connected(self) -> None:
+        """An endpoint without an address, never set or removed, ends as NO_CONNECT."""
+
         async def main() -> None:
             async with self.environment() as environment:
                 assert await self.send_and_wait(environment, AttemptOwner(environment, "never")) == NO_CONNECT
@@ -206,6 +216,10 @@
         self.run(main())
 
     def test_what_may_not_start_any_more_is_moot(self) -> None:
+        """An attempt that may not be sent any more ends as MOOT and writes nothing, also on an idle
+        connection.
+        """
+
         async def main() -> None:
             async with self.environment() as environment:
                 environment.upstream.place(1, environment.addresses[0])
@@ -220,6 +234,8 @@
     # --- Several ------------------------------------------------------------------------
 
     def test_one_after_the_other_and_many_at_once_each_run_once(self) -> None:
+        """Sequential and concurrent attempts each run exactly once; sequential ones in order."""
+
         async def main() -> None:
             async with self.environment() as environment:
                 environment.upstream.place(1, environment.addresses[0])
@@ -237,6 +253,8 @@
         self.run(main())
 
     def test_a_failure_does_no_harm_to_the_next(self) -> None:
+        """After each kind of failure the next attempt succeeds."""
+
         async def main() -> None:
             async with self.environment() as environment:
                 environment.upstream.place(1, environment.addresses[0])
@@ -254,6 +272,8 @@
         self.run(main())
 
     def test_a_place_set_anew_gets_nothing_by_its_old_address(self) -> None:
+        """After `place` with another address, attempts go to that address only."""
+
         async def main() -> None:
             async with self.environment() as environment:
                 old, new = environment.addresses
@@ -271,6 +291,8 @@
         self.run(main())
 
     def test_an_endpoint_freed_is_sent_to_as_before(self) -> None:
+        """`free` leaves an endpoint usable, and does nothing for an unknown one."""
+
         async def main() -> None:
             async with self.environment() as environment:
                 environment.upstream.free(7)  # never heard of
@@ -285,6 +307,8 @@
     # --- Leaving ------------------------------------------------------------------------
 
     def test_after_cancel_nothing_is_told_and_the_endpoint_notices(self) -> None:
+        """A cancelled attempt has no outcome, its endpoint notices, and the next attempt succeeds."""
+
         async def main() -> None:
             async with self.environment() as environment:
                 environment.upstream.place(1, environment.addresses[0])
@@ -307,6 +331,8 @@
         self.run(main())
 
     def test_an_attempt_cancelled_at_once_is_never_told_of(self) -> None:
+        """An attempt cancelled right after `send` has no outcome, and runs once at most."""
+
         async def main() -> None:
             async with self.environment() as environment:
                 environment.upstream.place(1, environment.addresses[0])
@@ -320,6 +346,8 @@
         self.run(main())
 
     def test_a_place_removed_lets_what_is_out_end(self) -> None:
+        """Attempts in flight at a removed endpoint each end with one outcome."""
+
         async def main() -> None:
             async with self.environment() as environment:
                 environment.upstream.place(1, environment.addresses[0])
--- a/laurelstep/testing/disk.py
+++ b/laurelstep/testing/disk.py
@@ -113,6 +113,7 @@
     # --- The protocol -------------------------------------------------------------
 
     def lock(self) -> None:
+        """Take the folder; StoreError if another owner has it."""
         # Imported when called: the store needs a library that this module does not.
         from laurelstep.store.disk import StoreError
 
@@ -121,6 +122,7 @@
         self.owner.append(self)
 
     def close(self) -> None:
+        """Give up the folder, if this disk owns it."""
         if self.owner and self.owner[0] is self:
             self.owner.clear()
 
@@ -129,14 +131,17 @@
             raise FileNotFoundError(errno.ENOENT, os.strerror(errno.ENOENT), name)
 
     def files(self) -> dict[str, int]:
+        """The size of each file by name, bytes."""
         return {name: len(inode.view()) for name, inode in self.names.items()}
 
     def read(self, name: str, offset: int = 0, size: int | None = None) -> bytes:
+        """Bytes of a file from an offset on, at most `size`; FileNotFoundError if it is missing."""
         self._present(name)
         data = self.names[name].view()
         return bytes(data[offset:] if size is None else data[offset : offset + size])
 
     def create(self, name: str, data: bytes) -> None:
+        """Create or replace a file with synced content, whose name is durable after `sync_folder`."""
         self._begin("create", name, data)
         inode = Inode()
         self.names[name] = inode
@@ -145,11 +150,13 @@
         inode.sync()
 
     def write(self, name: str, offset: int, data: bytes) -> None:
+        """Write at an offset, durable after `sync`; FileNotFoundError if missing, or an injected OSError."""
         self._present(name)
         self._begin("write", name, offset, data)
         self.names[name].pending.append((offset, data))
 
     def sync(self, name: str) -> None:
+        """Make a file's bytes durable; FileNotFoundError if missing, or an injected OSError."""
         self._present(name)
         try:
             self._begin("sync", name)
@@ -165,17 +172,22 @@
         self.journal.append(("fail_sync", name))
 
     def truncate(self, name: str, size: int) -> None:
+        """Cut a file durably to a size in bytes; FileNotFoundError if missing, or an injected OSError."""
         self._present(name)
         self._begin("truncate", name, size)
         self.names[name].truncate(size)
 
     def rename(self, old: str, new: str) -> None:
+        """Rename a file, replacing that of the new name; FileNotFoundError if missing, or an injected
+        OSError.
+        """
         self._present(old)
         self._begin("rename", old, new)
         self.names[new] = self.names.pop(old)
         self.pending_names.append(("rename", old, new))
 
     def sync_folder(self) -> None:
+        """Make the changes of names durable, or raise an injected OSError."""
         try:
             self._begin("sync_folder")
         except OSError:
@@ -192,6 +204,7 @@
         self.journal.append(("fail_sync_folder",))
 
     def delete(self, name: str) -> None:
+        """Delete a file, if it is there; durable after `sync_folder`."""
         self._begin("delete", name)
         self.names.pop(name, None)
         self.pending_names.append(("unlink", name))
--- a/laurelstep/testing/schedules/process.py
+++ b/laurelstep/testing/schedules/process.py
@@ -118,6 +118,7 @@
         return self._options.lease_table_type(self.peer, timing.max_clock_drift, timing.lease_us, self._draw)
 
     def start(self) -> None:
+        """Start or restart the process with what it stored, and with new volatile state."""
         made = self._options
         self.recording = RecordingStateMachine()
         self.leases = self._new_leases()
