--- a/benchmarks/accord.py
+++ b/benchmarks/accord.py
@@ -21,9 +21,10 @@
 from pathlib import Path
 from typing import Any
 
+from laurelstep.testing import free_port
+
 from benchmarks.common import Child, compiled, median, percentile, pin, progress
 from benchmarks.hotpath import MANY, Subject, configured, over
-from laurelstep.testing import free_port
 
 # Size of the tier, seats, processes.
 TIERS = ((3, 3, 3), (7, 7, 7), (30, 5, 2), (200, 5, 3))
--- a/benchmarks/accord_child.py
+++ b/benchmarks/accord_child.py
@@ -15,7 +15,6 @@
 from typing import Any
 
 import uvloop
-
 from laurelstep.consensus.assembly import build_node
 from laurelstep.consensus.errors import ConsensusError
 from laurelstep.consensus.node import ConsensusNode
--- a/benchmarks/children.py
+++ b/benchmarks/children.py
@@ -13,7 +13,6 @@
 
 import uvicorn
 import uvloop
-
 from laurelstep.library import BalancerMiddleware, Client, Ending, Request
 from laurelstep.library.asgi import Receive, Scope, Send
 
--- a/benchmarks/fleet_child.py
+++ b/benchmarks/fleet_child.py
@@ -11,9 +11,6 @@
 from typing import Any
 
 import uvloop
-
-from benchmarks.common import median, percentile
-from benchmarks.fleet import STORM, entry
 from laurelstep.balancing.events import OK
 from laurelstep.engine import Answer, Attempt, Call, Ending
 from laurelstep.engine.engine import Engine
@@ -22,6 +19,9 @@
 from laurelstep.net.discovery import Discovery
 from laurelstep.settings import config_from
 
+from benchmarks.common import median, percentile
+from benchmarks.fleet import STORM, entry
+
 CHANGES, REQUESTS, ROUNDS = 1_000, 1_000, 15
 CLASSES = [{"name": "view", "aim-us": 500_000, "deadline-us": 2_000_000, "repeat": "retryable"}]
 
--- a/benchmarks/hotpath.py
+++ b/benchmarks/hotpath.py
@@ -24,9 +24,9 @@
 from typing import Any, cast
 
 import uvloop
+from laurelstep.testing import free_port, request
 
 from benchmarks.common import ROOT, Child, compiled, median, package, percentile, pin, progress
-from laurelstep.testing import free_port, request
 
 MANY = 32
 ROUNDS, LOAD_S, ALONE_S = 7, 1.0, 0.4
--- a/benchmarks/outbox.py
+++ b/benchmarks/outbox.py
@@ -22,8 +22,6 @@
 from typing import Any
 
 import uvloop
-
-from benchmarks.common import Child, median, percentile, progress
 from laurelstep.engine.call import Answer, Call, Ending
 from laurelstep.net.assembly import Assembly
 from laurelstep.net.message import lines
@@ -32,6 +30,8 @@
 from laurelstep.outbox.replay_queue import ReplayPacer
 from laurelstep.settings import config_from
 
+from benchmarks.common import Child, median, percentile, progress
+
 SETTINGS = {
     "classes": [
         {"name": "page", "aim-us": 500_000, "deadline-us": 2_000_000, "repeat": "retryable"},
--- a/benchmarks/outbox_child.py
+++ b/benchmarks/outbox_child.py
@@ -17,9 +17,9 @@
 
 import httptools
 import uvloop
+from laurelstep.outbox.messages import WriteOffer
 
 from benchmarks.outbox import CHAINS, Edge, resident_kb
-from laurelstep.outbox.messages import WriteOffer
 
 SERVICE_S, TIGHT_S = 0.002, 0.02
 WARM, ASKED = 2_000, 10_000
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -23,14 +23,14 @@
 from typing import Any
 
 import uvloop
-
-from benchmarks.common import median, percentile, progress
 from laurelstep.library import Client, Member, Request
 from laurelstep.request_journal import JournalClass, JournalSettings
 from laurelstep.settings import config_from
 from laurelstep.store import FolderDisk, Store, StoreOptions
 from laurelstep.testing import Endpoint
 
+from benchmarks.common import median, percentile, progress
+
 VALUE = b"v" * 100
 ROUNDS, SLICE_S = 5, 0.7
 MANY = 64
--- a/benchmarks/stream.py
+++ b/benchmarks/stream.py
@@ -20,11 +20,11 @@
 from typing import Any
 
 import uvloop
+from laurelstep.flow_control.buffer_budget import max_total
+from laurelstep.testing import free_port, request
 
 from benchmarks.common import ROOT, Child, compiled, median, percentile, pin, progress
 from benchmarks.hotpath import await_port
-from laurelstep.flow_control.buffer_budget import max_total
-from laurelstep.testing import free_port, request
 
 MB = 1 << 20
 ROUNDS, LARGE, FIRSTS = 5, 24 * MB, 40
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -20,9 +20,10 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.common import ROOT, Child, compiled, pin, progress
 from laurelstep.testing import Caller, Effects, Endpoint, Message, free_port, request
 
+from benchmarks.common import ROOT, Child, compiled, pin, progress
+
 UPGRADES = 12
 CALLERS = 24
 SETTINGS: dict[str, Any] = {
--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -24,7 +24,6 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.common import ROOT, Child, compiled, pin, progress
 from laurelstep.testing import (
     Caller,
     Effects,
@@ -39,6 +38,8 @@
 )
 from laurelstep.testing.endpoints import reset_connection
 
+from benchmarks.common import ROOT, Child, compiled, pin, progress
+
 MACHINES, OUT, COPIES, CALLERS = 30, 5, 3, 24
 SERVICE_S, WORK_S, THINK_S = 0.004, 0.3, 0.01
 GRACE_MS, COLD_MS = 500, 1000
--- a/laurelstep/testing/schedules/world.py
+++ b/laurelstep/testing/schedules/world.py
@@ -268,14 +268,15 @@
     def _step(self, process: SimulatedProcess, step: Callable[[ConsensusCore, int], StepEffects]) -> None:
         core = process.core
         if core is None:
-            return None
+            return
         now = process.local_time_us(self.time)
         effects = step(core, now)
         self.step_count += 1
         sends = effects.outgoing
         if process.crashes_in_next_step:
             if self.draw.random() < 0.5:
-                return self._end(process)
+                self._end(process)
+                return
             sends = sends[: self.draw.randint(0, len(sends))]
         self._store(process, effects.persist)
         for peer, raw in sends:
@@ -284,7 +285,8 @@
         process.leases.observe(now, core.epoch)
         self.checker.on_step(process, self.time)
         if process.crashes_in_next_step:
-            return self._end(process)
+            self._end(process)
+            return
         self._schedule_tick(process)
 
     def _store(self, process: SimulatedProcess, changes: Mapping[bytes, bytes | None]) -> None:
--- a/setup.py
+++ b/setup.py
@@ -50,7 +50,10 @@
 
 
 class BuildWherePossible(build_ext):
+    """Compiles, or leaves the plain modules where there is no compiler that works."""
+
     def run(self) -> None:
+        """Build the extension modules; a failure is told and ends nothing."""
         try:
             super().run()
         except Exception as error:
@@ -60,6 +63,7 @@
 
 
 def extensions() -> list:
+    """The extension modules of `MODULES`; none with LAURELSTEP_PLAIN set."""
     if os.environ.get("LAURELSTEP_PLAIN"):
         return []
     from mypyc.build import mypycify
