--- a/laurelstep/consensus/node.py
+++ b/laurelstep/consensus/node.py
@@ -270,7 +270,7 @@
         except Exception as error:  # whatever a store may raise, requests go on
             self._fail(error)
             return
-        self.stage = NodeStage.RUNNING
+        self.stage, self.failure = NodeStage.RUNNING, ""
         core.on_leader_message = functools.partial(self._notify_leader_message, core)
         self.runner = StepRunner(
             core,
@@ -326,7 +326,8 @@
             return
         text = _one_line(f"{type(error).__name__}: {error}")
         remedy = getattr(error, "remedy", DEFAULT_REMEDY)
-        if self._reopen_delay_us == MIN_REOPEN_DELAY_US:
+        is_repeated = isinstance(error, StoreFaultError) and self._reopen_delay_us != MIN_REOPEN_DELAY_US
+        if not is_repeated:
             self.log(f"accord: this process takes no part any more, requests go on: {text}; {remedy}")
         self.failure = text
         self.stage = NodeStage.FAILED
@@ -357,8 +358,6 @@
             self.stage = NodeStage.NEW
             self.state_machine.load(b"")
             await self._start_or_fail(None)
-            if self.core is not None:
-                self.failure = ""
 
     def _note_durable(self) -> None:
         """Say, after failures of the disk, that it writes again."""
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -716,7 +716,33 @@
         world.disk.mend()
         await node.restart()
         await world.settle()
-        assert node.is_running
+        assert node.is_running and not node.failure
+        await node.close()
+
+    run(main())
+
+
+def test_what_ends_a_nodes_part_for_good_is_logged_also_while_it_waits_for_its_disk() -> None:
+    async def damaged() -> StateStore:
+        raise StoreError("damaged at byte 7")
+
+    async def main() -> None:
+        world = Reopened()
+        bench, node = world.bench, world.bench.node
+        await node.start()
+        await world.settle()
+        world.disk.break_down(IO_ERROR, "sync")
+        bench.core.answers["receive"] = StepEffects(persist={b"vote": b"2"})
+        bench.receive(b"x")
+        await world.settle()
+        await world.wait(MAX_REOPEN_DELAY_US)
+        assert len(bench.lines) == 1, "the disk's fault is said once"
+        node.open_store = damaged
+        await world.wait(MAX_REOPEN_DELAY_US)
+        assert node.stage is NodeStage.FAILED and len(bench.lines) == 2 and "damaged" in bench.lines[1]
+        opened_before = world.opened
+        await world.wait(10 * MAX_REOPEN_DELAY_US)
+        assert world.opened == opened_before and len(bench.lines) == 2
         await node.close()
 
     run(main())
