--- a/benchmarks/fleet_child.py
+++ b/benchmarks/fleet_child.py
@@ -136,7 +136,7 @@
     changes = time_changes(parts.engine)
     found["delta_ms"] = round(median(changes), 4)
     found["delta_p99_ms"] = round(percentile(changes, 0.99), 4)
-    small = Assembly(loop, config_from(raw, "fleet"), print, given=[entry(name) for name in range(30)])
+    small = Assembly(loop, config_from(raw, "fleet"), print, members=[entry(name) for name in range(30)])
     small.start()
     small.engine.upstream = Instant()
     # Turn about with a copy of a fleet of 30 in the same process: its speed changes from one
--- a/benchmarks/outbox.py
+++ b/benchmarks/outbox.py
@@ -24,7 +24,7 @@
 import uvloop
 from laurelstep.engine.call import Answer, Call, Ending
 from laurelstep.net.assembly import Assembly
-from laurelstep.net.message import lines
+from laurelstep.net.message import encode_headers
 from laurelstep.outbox.driver import OutboxDriver
 from laurelstep.outbox.options import OutboxSettings, QueuedClass
 from laurelstep.outbox.replay_queue import ReplayPacer
@@ -126,7 +126,7 @@
         if cls:
             headers.append((b"idempotency-key", name))
         front, engine = Frontend(), self.parts.engine
-        call = Call(cls, engine.now() + 2_000_000, start, lines(headers), body, front, name)
+        call = Call(cls, engine.now() + 2_000_000, start, encode_headers(headers), body, front, name)
         call.causes = (token, b"", b"") if cls else ()
         engine.take(call)
         return await front.answer
--- a/laurelstep/daemon.py
+++ b/laurelstep/daemon.py
@@ -121,7 +121,7 @@
         config = self.config
         holding = None if self.maintenance is None else self.maintenance.assembly.wrap_source
         self.sockets = Assembly(
-            self.loop, config, log, self._recorder(), collector=Collector(), holding=holding
+            self.loop, config, log, self._recorder(), collector=Collector(), create_holding_source=holding
         )
         self.sockets.start()
         self.server = Server(
@@ -155,7 +155,7 @@
         if not await self._may_serve():
             return
         if hot_restart is None:
-            await self.server.listen(*config.listen, shared=shared)
+            await self.server.listen(*config.listen, reuse_port=shared)
         else:
             await hot_restart.listen(self.server, *config.listen)
             await self._start(hot_restart)
--- a/laurelstep/hot_restart/predecessor.py
+++ b/laurelstep/hot_restart/predecessor.py
@@ -11,7 +11,7 @@
 from laurelstep.hot_restart.messages import MAX_HEADER_BYTES, READY, encode_header, encode_state, is_hello
 from laurelstep.hot_restart.rendezvous import RendezvousPoint, require_same_user
 from laurelstep.hot_restart.stages import HotRestartEvent, HotRestartProgress
-from laurelstep.net.acceptor import SHORTAGE_PAUSE_S, SHORTAGES
+from laurelstep.net.acceptor import SHORTAGE_ERRNOS, SHORTAGE_PAUSE_S
 
 # From connecting until a successor has said what it speaks, and until it accepts clients: a start on a
 # starved core is due within 6 s.
@@ -134,7 +134,7 @@
         try:
             accepted, _ = self.meeting_socket.accept()
         except OSError as error:
-            if error.errno in SHORTAGES:
+            if error.errno in SHORTAGE_ERRNOS:
                 self._pause_accepting(self.meeting_socket)
             return
         try:
--- a/laurelstep/library/asgi.py
+++ b/laurelstep/library/asgi.py
@@ -16,7 +16,7 @@
 from laurelstep.engine.call import Headers
 from laurelstep.library.client import Client, ClientError, ClientState, Exchange, Reply
 from laurelstep.net.errors import BadRequestError
-from laurelstep.net.message import BODY_MAX, OWS, READ_S
+from laurelstep.net.message import MAX_BUFFERED_BODY_BYTES, OWS, REQUEST_TIMEOUT_S
 from laurelstep.settings import ConfigError
 
 Scope = MutableMapping[str, Any]
@@ -37,7 +37,7 @@
     already is left to its owner. A body must arrive within `read_s` seconds.
     """
 
-    def __init__(self, app: App, client: Client, prefix: str = "", read_s: float = READ_S) -> None:
+    def __init__(self, app: App, client: Client, prefix: str = "", read_s: float = REQUEST_TIMEOUT_S) -> None:
         """ValueError if the prefix is neither empty nor a path without an end slash."""
         if prefix and (not prefix.startswith("/") or prefix.endswith("/")):
             raise ValueError(f"no prefix: {prefix!r}")
@@ -107,7 +107,7 @@
                         return None
                     part: bytes = message.get("body", b"")
                     size += len(part)
-                    if size > BODY_MAX:
+                    if size > MAX_BUFFERED_BODY_BYTES:
                         raise BadRequestError(413, "the body is too large")
                     parts.append(part)
                     if not message.get("more_body", False):
--- a/laurelstep/library/client.py
+++ b/laurelstep/library/client.py
@@ -27,8 +27,8 @@
 from laurelstep.errors import LaurelstepError
 from laurelstep.net.assembly import Assembly
 from laurelstep.net.errors import BadRequestError
-from laurelstep.net.message import BODY_MAX
-from laurelstep.net.request import call_from
+from laurelstep.net.message import MAX_BUFFERED_BODY_BYTES
+from laurelstep.net.request import build_call
 from laurelstep.request_journal import open_journal
 from laurelstep.settings import Config, ConfigError, config_from, read_file
 
@@ -167,7 +167,7 @@
         """`BadRequestError` if the head is malformed."""
         self.client = client
         config = client.config
-        call = call_from(method, target, headers, config.names, config.settings, self)
+        call = build_call(method, target, headers, config.names, config.settings, self)
         self.call: Call | None = call  # None once it is over: each refers to the other
         self.rules = config.settings.classes[call.cls]
         self.final_reply: asyncio.Future[Reply | None] = asyncio.get_running_loop().create_future()
@@ -318,7 +318,7 @@
         nothing was sent. A cancelled call stops waiting and sends nothing more.
         """
         self.require_open()
-        if len(request.body) > BODY_MAX:
+        if len(request.body) > MAX_BUFFERED_BODY_BYTES:
             raise RequestError(413, "the body is too large")
         try:
             target = request.target.encode("ascii")
--- a/laurelstep/management/server.py
+++ b/laurelstep/management/server.py
@@ -119,7 +119,7 @@
         """Take it in; above the bound the oldest without a whole call gives way."""
         self.open.add(connection)
         self.waiting.add(connection)
-        if len(self.open.since) > CALLS_MOST:
+        if len(self.open.waiting_since) > CALLS_MOST:
             oldest = self.waiting.oldest() or self.open.oldest()
             assert oldest is not None
             self.on_disconnect(oldest)  # its descriptor is freed in this turn of the loop
@@ -134,7 +134,7 @@
         """Close the listener and reset what is open."""
         if self.listener is not None:
             self.listener.close()
-        for connection in list(self.open.since):
+        for connection in list(self.open.waiting_since):
             connection.abort()
         self.open.close()
         self.waiting.close()
--- a/laurelstep/net/acceptor.py
+++ b/laurelstep/net/acceptor.py
@@ -17,7 +17,7 @@
 
 # What the process, or the machine, has too few of: asked again after a pause, as the listener
 # stays readable meanwhile and the loop would turn for nothing.
-SHORTAGES: Final = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
+SHORTAGE_ERRNOS: Final = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 SHORTAGE_PAUSE_S: Final = 0.02
 
 ProtocolFactory = Callable[[], Any]
@@ -54,7 +54,7 @@
             accepted, _ = listener.accept()
         except OSError as error:
             # Of others the connection itself has gone (accept(2)), or nothing waits.
-            if error.errno in SHORTAGES:
+            if error.errno in SHORTAGE_ERRNOS:
                 self._pause(listener)
             return
         accepted.setblocking(False)
--- a/laurelstep/net/assembly.py
+++ b/laurelstep/net/assembly.py
@@ -16,13 +16,13 @@
 from laurelstep.settings import Config, ConfigError
 
 # Puts a source between one of members and the engine.
-Holding = Callable[[MemberSource, Clock], HoldingSource]
+HoldingSourceFactory = Callable[[MemberSource, Clock], HoldingSource]
 
 
-def source_of(
+def create_source(
     loop: asyncio.AbstractEventLoop, config: Config, log: Log, collector: Collector | None
 ) -> Discovery | StaticMembers:
-    """Discovery, where the configuration names one; else a source that is given its members."""
+    """Discovery, where the configuration names one; else a source that is members its members."""
     if config.discovery is None:
         return StaticMembers()
     is_pushed = not config.settings.asks_discovery
@@ -32,8 +32,9 @@
 class Assembly:
     """An engine with its upstream and its source of members, which a front is plugged into.
 
-    The members are `given`, or the configuration's where it names no discovery. `holding`: what
-    stands between them and the engine, where something does.
+    Without discovery, the members are the argument `members` or, if that is None, the list in the
+    configuration. `create_holding_source` wraps the member source before the engine uses it;
+    None wraps nothing.
     """
 
     def __init__(
@@ -42,9 +43,9 @@
         config: Config,
         log: Log,
         recorder: Recorder | None = None,
-        given: Sequence[Any] | None = None,
+        members: Sequence[Any] | None = None,
         collector: Collector | None = None,
-        holding: Holding | None = None,
+        create_holding_source: HoldingSourceFactory | None = None,
     ) -> None:
         self.config = config
         settings = config.settings
@@ -57,18 +58,20 @@
             config.side_sockets,
             config.memory_mb,
         )
-        self.source = source_of(loop, config, log, collector) if given is None else StaticMembers()
-        if given is None:
-            given = config.known["instances"] if config.known else ()
-        self.given = given
-        self.held = None if holding is None else holding(self.source, clock)
+        self.source = create_source(loop, config, log, collector) if members is None else StaticMembers()
+        if members is None:
+            members = config.known["instances"] if config.known else ()
+        self.members = members
+        self.holding_source = (
+            None if create_holding_source is None else create_holding_source(self.source, clock)
+        )
         self.engine = Engine(
             clock,
             config.seed,
             settings,
             config.names,
             self.upstream,
-            self.held or self.source,
+            self.holding_source or self.source,
             config.drain_grace_us,
             log,
             recorder,
@@ -79,10 +82,10 @@
         try:
             if isinstance(self.source, StaticMembers):
                 self.engine.start()
-                self.source.give(self.given)
-            elif self.held is not None:
+                self.source.give(self.members)
+            elif self.holding_source is not None:
                 if (known := self.config.known) is not None:
-                    self.held.give_known(int(known["generation"]), known["instances"])
+                    self.holding_source.give_known(int(known["generation"]), known["instances"])
                 self.engine.start()
             else:
                 self.engine.start(self.config.known)
--- a/laurelstep/net/client_connection.py
+++ b/laurelstep/net/client_connection.py
@@ -14,7 +14,7 @@
 from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.call import Answer, Call
 from laurelstep.net.errors import BadRequestError
-from laurelstep.net.message import lines
+from laurelstep.net.message import encode_headers
 from laurelstep.net.request_receiver import STOPS, RequestReceiver
 from laurelstep.net.server_state import ServerState
 
@@ -95,7 +95,7 @@
         if self.transport is None or self.transport.is_closing():
             return
         keep = self.keep_alive and self.server.lifecycle.keeps and not unread
-        head = lines(answer.headers)
+        head = encode_headers(answer.headers)
         if answer.retry_after_us > 0:
             head = b"%bRetry-After: %.3f\r\n" % (head, answer.retry_after_us / 1e6)
         close = b"" if keep else b"Connection: close\r\n"
@@ -122,7 +122,7 @@
         close = b"" if self.keep_alive else b"Connection: close\r\n"
         self.answer = flow
         self.transport.write(
-            b"%b%b%b%b\r\n" % (START_LINES[answer.status], framing, lines(answer.headers), close)
+            b"%b%b%b%b\r\n" % (START_LINES[answer.status], framing, encode_headers(answer.headers), close)
         )
         flow.attach(self)
 
--- a/laurelstep/net/collector.py
+++ b/laurelstep/net/collector.py
@@ -16,15 +16,15 @@
     """
 
     def __init__(self) -> None:
-        self.apart = 0  # endpoints listed when it last was
+        self.frozen_endpoint_count = 0  # endpoints listed when it last was
 
-    def begin(self) -> None:
-        """Collect no garbage until `end`."""
+    def pause(self) -> None:
+        """Collect no garbage until `resume`."""
         gc.disable()
 
-    def end(self, listed: int) -> None:
+    def resume(self, endpoint_count: int) -> None:
         """Collect again, with so many endpoints listed now."""
-        if listed > GROWN * self.apart + GROWN_LEAST:
+        if endpoint_count > GROWN * self.frozen_endpoint_count + GROWN_LEAST:
             gc.freeze()
-            self.apart = listed
+            self.frozen_endpoint_count = endpoint_count
         gc.enable()
--- a/laurelstep/net/cooperative_task.py
+++ b/laurelstep/net/cooperative_task.py
@@ -12,25 +12,25 @@
     slice begins once the loop has served what was ready. A slice is a step at least.
     """
 
-    def __init__(self, loop: AbstractEventLoop, seconds: float = 0.001) -> None:
+    def __init__(self, loop: AbstractEventLoop, slice_s: float = 0.001) -> None:
         self.loop = loop
-        self.seconds = seconds
+        self.slice_s = slice_s
         self.closed = False
 
-    def run(self, steps: Iterator[None], ended: Callable[[Exception | None], None]) -> None:
-        """`ended` is called once, with what the steps raised; not after `close`."""
+    def run(self, steps: Iterator[None], on_end: Callable[[Exception | None], None]) -> None:
+        """`on_end` is called once, with what the steps raised; not after `close`."""
         if self.closed:
             return
-        end = time.monotonic() + self.seconds
+        end = time.monotonic() + self.slice_s
         try:
             for _ in steps:
                 if time.monotonic() >= end:
-                    self.loop.call_soon(self.run, steps, ended)
+                    self.loop.call_soon(self.run, steps, on_end)
                     return
         except Exception as error:
-            ended(error)
+            on_end(error)
         else:
-            ended(None)
+            on_end(None)
 
     def close(self) -> None:
         """Run no further step."""
--- a/laurelstep/net/discovery.py
+++ b/laurelstep/net/discovery.py
@@ -187,7 +187,7 @@
         elif self.sink is not None:
             self.busy = True
             if self.collector is not None:
-                self.collector.begin()
+                self.collector.pause()
             told_at = self.sink.now() if told_at is None else told_at
             steps = self._in_steps(raw, stream, self.sink, told_at)
             self.background.run(steps, functools.partial(self._on_list_applied, stream))
@@ -245,7 +245,7 @@
     def _on_list_applied(self, stream: DiscoveryStream, error: Exception | None) -> None:
         self.busy = False
         if self.collector is not None:
-            self.collector.end(self.last_list_size)
+            self.collector.resume(self.last_list_size)
         if error is not None and not stream.is_closed:
             stream.reject(error)
         elif not stream.watch:
--- a/laurelstep/net/endpoint_connection.py
+++ b/laurelstep/net/endpoint_connection.py
@@ -19,7 +19,7 @@
 from laurelstep.net.connection_pool import MIN_IDLE, ConnectionPool
 from laurelstep.net.endpoint_request import encode_request, encode_upload_head
 from laurelstep.net.endpoint_state import EndpointState
-from laurelstep.net.message import ANSWER_HEADERS, FRAMING_EACH, FRAMING_MAX, HEAD_MAX, pass_on
+from laurelstep.net.message import ANSWER_HEADERS, FRAMING_EACH, FRAMING_MAX, MAX_HEAD_BYTES, pass_on
 from laurelstep.net.response_receiver import UNTIL_CLOSE, ResponseReceiver
 
 # A connection that can't be opened for a fault of this machine (no port, no buffer, no descriptor) is
@@ -301,7 +301,7 @@
             if spoilt or self.has_trailing_data:
                 self.owner.on_malformed_response()
             self._complete()
-        elif spoilt or (self.fields is None and self.received > HEAD_MAX):
+        elif spoilt or (self.fields is None and self.received > MAX_HEAD_BYTES):
             self.reject_response()
         elif self.answer is not None:
             self._check_throughput()
@@ -309,7 +309,7 @@
             self._abandon_upload()
             self._stream_answer()
         else:
-            if self not in self.owner.receiving.since:
+            if self not in self.owner.receiving.waiting_since:
                 self.received_at_check = self.received
             self.owner.receiving.add(self)
 
--- a/laurelstep/net/message.py
+++ b/laurelstep/net/message.py
@@ -8,17 +8,17 @@
 
 from laurelstep.engine.call import Headers
 
-# Bodies up to BODY_MAX are held whole; larger ones, up to LARGE_MAX, may be passed on while
-# they come.
-BODY_MAX = HEAD_MAX = 64 * 1024
-LARGE_MAX: Final = 32 << 20
+# Bodies up to MAX_BUFFERED_BODY_BYTES are buffered whole; larger ones, up to MAX_STREAMED_BODY_BYTES,
+# may be streamed as they arrive.
+MAX_BUFFERED_BODY_BYTES = MAX_HEAD_BYTES = 64 * 1024
+MAX_STREAMED_BODY_BYTES: Final = 32 << 20
 # Of one message beside its body, and for each byte of that (chunks of one byte take six);
 # guards against chunks that are mostly framing.
-FRAMING_MAX: Final = HEAD_MAX + BODY_MAX
+FRAMING_MAX: Final = MAX_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES
 FRAMING_EACH: Final = 8
 # A request must be whole so long after its connection came or its first byte: guards
 # descriptors and memory against clients that say nothing or never end.
-READ_S: Final = 2.2
+REQUEST_TIMEOUT_S: Final = 2.2
 # What an endpoint needs of a request, and a client of an answer, beside what is
 # set anew on each side. Whatever else a socket brings ends here.
 REQUEST_HEADERS: Final = frozenset(
@@ -32,7 +32,7 @@
 OWS: Final = b" \t"
 
 
-def lines(headers: Iterable[tuple[bytes, bytes]], named: frozenset[bytes] | None = None) -> bytes:
+def encode_headers(headers: Iterable[tuple[bytes, bytes]], named: frozenset[bytes] | None = None) -> bytes:
     """Header lines as they are written, of those that are named or of all.
 
     Formatted, here and wherever bytes are put together in a compiled module: `+` of two
--- a/laurelstep/net/request.py
+++ b/laurelstep/net/request.py
@@ -15,7 +15,13 @@
 from laurelstep.engine.call import Call, Frontend, Headers
 from laurelstep.engine.names import Names
 from laurelstep.net.errors import BadRequestError
-from laurelstep.net.message import BODY_MAX, REQUEST_HEADERS, body_length, lines, single
+from laurelstep.net.message import (
+    MAX_BUFFERED_BODY_BYTES,
+    REQUEST_HEADERS,
+    body_length,
+    encode_headers,
+    single,
+)
 
 MAX_U63 = 2**63
 
@@ -43,12 +49,12 @@
     return int(raw)
 
 
-def hint(raw: bytes) -> int:
+def parse_cost_hint(raw: bytes) -> int:
     """A guess may be missing or unreadable; that is no reason to refuse."""
     return int(raw) if raw.isdigit() and len(raw) <= 15 else 0
 
 
-def key_of(query: bytes) -> int:
+def parse_object_key(query: bytes) -> int:
     """The number of what a request is about; 0 = nothing named."""
     for part in query.split(b"&"):
         if part.startswith(b"obj="):
@@ -60,7 +66,7 @@
     return 0
 
 
-def checked(headers: Headers, most: int = BODY_MAX) -> dict[bytes, bytes]:
+def checked(headers: Headers, most: int = MAX_BUFFERED_BODY_BYTES) -> dict[bytes, bytes]:
     """The fields of a head whose framing has one reading and whose body is not too
     large: judged by what it declares, before any of the body is read.
     """
@@ -103,14 +109,14 @@
         raise BadRequestError(411, "Content-Length is missing")
 
 
-def call_from(
+def build_call(
     method: bytes,
     target: bytes,
     headers: Headers,
     names: Names,
     settings: Settings,
     front: Frontend,
-    most: int = BODY_MAX,
+    most: int = MAX_BUFFERED_BODY_BYTES,
 ) -> Call:
     """The call that a head asks for; `expires` is still a span, which counts from the
     request's last byte on, and the body, `most` bytes of it, is still to come.
@@ -125,13 +131,13 @@
         cls=cls,
         expires=rules.deadline_us if wait_ms is None else min(wait_ms * 1000, rules.deadline_us),
         start=b"%b %b" % (method, target),
-        head=lines(headers, REQUEST_HEADERS),
+        head=encode_headers(headers, REQUEST_HEADERS),
         body=b"",
         front=front,
         name=fields[b"x-request-id"],
         tenant=names.tenants.get(tenant, 0),
-        key=key_of(target.partition(b"?")[2]),
-        work_us=hint(fields.get(b"x-cost-hint", b"")),
+        key=parse_object_key(target.partition(b"?")[2]),
+        work_us=parse_cost_hint(fields.get(b"x-cost-hint", b"")),
         repeated=fields.get(b"x-retry") == b"1",
         order=fields.get(names.order_headers[cls], b"") if cls in names.order_headers else b"",
     )
--- a/laurelstep/net/request_receiver.py
+++ b/laurelstep/net/request_receiver.py
@@ -14,8 +14,15 @@
 from laurelstep.engine.call import Answer, Call, Ending, Headers
 from laurelstep.flow_control.throughput import has_min_throughput
 from laurelstep.net.errors import BadRequestError
-from laurelstep.net.message import FRAMING_EACH, FRAMING_MAX, HEAD_MAX, OWS, body_length, declared_length
-from laurelstep.net.request import call_from, checked
+from laurelstep.net.message import (
+    FRAMING_EACH,
+    FRAMING_MAX,
+    MAX_HEAD_BYTES,
+    OWS,
+    body_length,
+    declared_length,
+)
+from laurelstep.net.request import build_call, checked
 from laurelstep.net.server_state import ServerState, TrackedConnection
 
 READY_PATH: Final = b"/health/ready"
@@ -26,7 +33,7 @@
 OUTBOX_QUERY: Final = -1  # in place of a class: it is no request of the engine's
 # How much of what a client still sends behind the end of its connection is read and dropped: a close
 # over unread bytes is a reset, which takes the answer with it.
-LINGER_MOST: Final = 1 << 20
+MAX_DISCARDED_BYTES: Final = 1 << 20
 STOPS: Final = "this sidecar stops"
 # An upload's provisional time: it counts from the last byte, once that has come.
 UPLOAD_MOST_US: Final = 600_000_000
@@ -93,7 +100,7 @@
                 # Guards against a request hidden behind another: clients send one at a time.
                 raise BadRequestError(400, "more than one request")
             self.parser.feed_data(data)
-            if self.parsed is None and self.received > HEAD_MAX:
+            if self.parsed is None and self.received > MAX_HEAD_BYTES:
                 raise BadRequestError(431, "the head is too large")
             if self.received > FRAMING_MAX + FRAMING_EACH * self.size:
                 raise BadRequestError(413, "the request is mostly framing")
@@ -115,7 +122,11 @@
     def _discard(self, data: bytes) -> None:
         """Behind the end of the connection: none of it is a request any more."""
         self.dropped += len(data)
-        if self.dropped > LINGER_MOST and self.transport is not None and not self.transport.is_closing():
+        if (
+            self.dropped > MAX_DISCARDED_BYTES
+            and self.transport is not None
+            and not self.transport.is_closing()
+        ):
             self.transport.pause_reading()
 
     def _continue_reading(self) -> None:
@@ -124,7 +135,7 @@
         if server.shutdown.refuses_partial:
             self.reject(BadRequestError(503, STOPS))
             return
-        server.latecomers.discard(self)
+        server.late_connections.discard(self)
         if self.parsed is None:
             server.awaiting_request.add(self)
             server.reserve_head(self)
@@ -136,7 +147,7 @@
             self._begin_upload()
             return
         waiting = server.uploading if self.upload is not None else server.awaiting_request
-        if self.upload is None or self in waiting.since:  # an upload that is held back is not late
+        if self.upload is None or self in waiting.waiting_since:  # an upload that is held back is not late
             waiting.discard(self)
             waiting.add(self)
 
@@ -164,7 +175,7 @@
 
     def on_headers_complete(self) -> None:
         """The parser: the head has come. `BadRequestError` if it can't be served."""
-        if self.received > HEAD_MAX and sum(len(n) + len(v) for n, v in self.headers) > HEAD_MAX:
+        if self.received > MAX_HEAD_BYTES and sum(len(n) + len(v) for n, v in self.headers) > MAX_HEAD_BYTES:
             raise BadRequestError(431, "the head is too large")
         self.parsed = self._parse_head()
         self.head_at = self.server.loop.time()
@@ -179,7 +190,7 @@
     def on_body(self, data: bytes) -> None:
         """The parser: a part of the body."""
         self.size += len(data)
-        if self.size > self.server.max_body:
+        if self.size > self.server.max_body_bytes:
             raise BadRequestError(413, "the body is too large")
         if self.upload is not None:
             self.upload.feed(data)
@@ -200,8 +211,8 @@
         if self.server.on_shared_query is not None and self.target.startswith(SHARED_PATH):
             return self._outbox_query(method, SHARED_PATH, "what is shared")
         engine = self.server.engine
-        most = self.server.max_body
-        call = call_from(method, self.target, self.headers, engine.names, engine.settings, self, most)
+        most = self.server.max_body_bytes
+        call = build_call(method, self.target, self.headers, engine.names, engine.settings, self, most)
         call.client = self
         return call
 
@@ -290,7 +301,7 @@
         asked, body = self.parsed, bytes(self.body)
         self._reset()
         self.server.awaiting_request.discard(self)
-        self.server.latecomers.discard(self)
+        self.server.late_connections.discard(self)
         engine = self.server.engine
         if isinstance(asked, Answer):
             self._release_body()
--- a/laurelstep/net/response_receiver.py
+++ b/laurelstep/net/response_receiver.py
@@ -18,7 +18,15 @@
 from laurelstep.net.connection_pool import ConnectionPool, PooledConnection
 from laurelstep.net.endpoint_state import EndpointState
 from laurelstep.net.errors import MalformedResponseError
-from laurelstep.net.message import ANSWER_HEADERS, BODY_MAX, LARGE_MAX, OWS, body_length, pass_on, single
+from laurelstep.net.message import (
+    ANSWER_HEADERS,
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_STREAMED_BODY_BYTES,
+    OWS,
+    body_length,
+    pass_on,
+    single,
+)
 
 # The length of an answer that ends with its connection (RFC 9112, 6.3, case 8), and of chunks.
 UNTIL_CLOSE: Final = -2
@@ -103,7 +111,7 @@
 
     def _may_buffer(self) -> bool:
         """Whether the answer may wait here until it is whole."""
-        if max(self.length, self.size) > BODY_MAX:
+        if max(self.length, self.size) > MAX_BUFFERED_BODY_BYTES:
             return False
         budget = self.owner.answer_budget
         reserved = budget.reserve(self.size, self.reserved)
@@ -114,8 +122,8 @@
 
     def _max_body(self) -> int:
         if self.attempt is not None and not self.attempt.call.streams:
-            return BODY_MAX
-        return LARGE_MAX
+            return MAX_BUFFERED_BODY_BYTES
+        return MAX_STREAMED_BODY_BYTES
 
     def on_message_complete(self) -> None:
         """The parser: the last byte has come."""
@@ -148,7 +156,7 @@
     def _check_throughput(self) -> None:
         """Guards a client against an answer that goes on for ever, a little at a time."""
         passing = self.owner.streaming
-        if self not in passing.since:
+        if self not in passing.waiting_since:
             return  # it is held: what comes was under way
         passing.discard(self)
         if has_min_throughput(self.size, self.owner.loop.time() - self.streaming_since):
@@ -158,7 +166,7 @@
 
     def pause(self) -> None:
         """The client has no room: read no more for now."""
-        if self in self.owner.streaming.since:
+        if self in self.owner.streaming.waiting_since:
             self.owner.streaming.discard(self)
             self.paused_since = self.owner.loop.time()
         if self.transport is not None and not self.transport.is_closing():
@@ -167,7 +175,7 @@
     def resume(self) -> None:
         """The client has room again."""
         if self.transport is not None and not self.transport.is_closing():
-            if self not in self.owner.streaming.since:
+            if self not in self.owner.streaming.waiting_since:
                 self.owner.streaming.add(self)
                 self.streaming_since += self.owner.loop.time() - self.paused_since
             self.transport.resume_reading()
--- a/laurelstep/net/server.py
+++ b/laurelstep/net/server.py
@@ -16,16 +16,18 @@
     """The listener and its connections."""
 
     async def listen(
-        self, host: str, port: int, shared: bool = False, handed: socket.socket | None = None
+        self, host: str, port: int, reuse_port: bool = False, inherited_listener: socket.socket | None = None
     ) -> int:
-        """The port it listens at; `shared` with other processes that say so too, or at a
+        """The port it listens at; `reuse_port` with other processes that say so too, or at a
         listener that another process handed over.
         """
-        if handed is not None:
-            handed.setblocking(False)
-            listener = Acceptor(self.loop, [handed], self._new_connection)
+        if inherited_listener is not None:
+            inherited_listener.setblocking(False)
+            listener = Acceptor(self.loop, [inherited_listener], self._new_connection)
         else:
-            listener = await listen(self.loop, self._new_connection, host, port, BACKLOG, reuse_port=shared)
+            listener = await listen(
+                self.loop, self._new_connection, host, port, BACKLOG, reuse_port=reuse_port
+            )
         self.listener = listener
         self.lifecycle.serve(self.loop.time())
         return listener.port
--- a/laurelstep/net/server_state.py
+++ b/laurelstep/net/server_state.py
@@ -16,7 +16,12 @@
 from laurelstep.net.acceptor import Acceptor
 from laurelstep.net.deadline_sweeper import DeadlineSweeper
 from laurelstep.net.errors import BadRequestError
-from laurelstep.net.message import BODY_MAX, LARGE_MAX, READ_S, has_event
+from laurelstep.net.message import (
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_STREAMED_BODY_BYTES,
+    REQUEST_TIMEOUT_S,
+    has_event,
+)
 from laurelstep.net.shutdown import GracefulShutdown
 from laurelstep.resources.descriptors import CLOSING, IDLE, eviction_order
 
@@ -24,7 +29,7 @@
 REST_S: Final = 5.0
 # How long the client of a connection that was ended may take to end its own side.
 LINGER_S: Final = 1.0
-LINGER_MOST: Final = 1 << 20
+MAX_DISCARDED_BYTES: Final = 1 << 20
 # How often it is asked whether the client of an upload that is not read has left: no attempt may begin for it
 # 0.1 s after its close.
 HELD_S: Final = 0.05
@@ -140,20 +145,20 @@
         self.loop = loop
         self.request_budget = BufferBudget(budget_for(memory_mb))
         # An order's record holds all of it.
-        self.max_body = LARGE_MAX if engine.recorder is None else BODY_MAX
+        self.max_body_bytes = MAX_STREAMED_BODY_BYTES if engine.recorder is None else MAX_BUFFERED_BODY_BYTES
         self.lifecycle = lifecycle or Lifecycle()
         self.engine = engine
         self.max_connections = max_connections
         self.connections: set[C] = set()
         # A request is owed; it is being streamed; the same, paused.
-        self.awaiting_request = self._sweeper(READ_S, lambda one: one.on_request_timeout())
-        self.uploading = self._sweeper(READ_S, lambda one: one.on_request_timeout())
+        self.awaiting_request = self._sweeper(REQUEST_TIMEOUT_S, lambda one: one.on_request_timeout())
+        self.uploading = self._sweeper(REQUEST_TIMEOUT_S, lambda one: one.on_request_timeout())
         self.paused = self._sweeper(HELD_S, lambda one: one.check_hangup())
         # Does not read its answer; between requests; half-closed; came when others had gone.
         self.write_stalled = self._sweeper(STUCK_S, lambda one: one.abort())
         self.idle = self._sweeper(REST_S, lambda one: one.close_if_idle())
         self.lingering = self._sweeper(LINGER_S, lambda one: one.on_linger_timeout())
-        self.latecomers = self._sweeper(LATE_S, lambda one: one.close_if_idle())
+        self.late_connections = self._sweeper(LATE_S, lambda one: one.close_if_idle())
         self.listener: Acceptor | None = None
         self.shutdown = GracefulShutdown(loop, self.lifecycle, self, on_stop)
         # Asked for the receipt of a kept write, and for what copies share; the call is answered later.
@@ -165,12 +170,12 @@
 
     def on_connect(self, connection: C) -> None:
         """A client has connected; for want of a place another connection is evicted."""
-        if self.shutdown.over:
+        if self.shutdown.is_finished:
             connection.abort()  # guards a request that would run and go unanswered
             return
         self.connections.add(connection)
         late = self.listener is None or self.lifecycle.is_late(self.loop.time())
-        (self.latecomers if late else self.awaiting_request).add(connection)
+        (self.late_connections if late else self.awaiting_request).add(connection)
         if len(self.connections) > self.max_connections:
             self._evict_one()
 
@@ -180,11 +185,11 @@
         another can.
         """
         candidates: list[tuple[DeadlineSweeper[C], C]] = []
-        for waits in eviction_order(len(self.awaiting_request.since), self.max_connections):
+        for waits in eviction_order(len(self.awaiting_request.waiting_since), self.max_connections):
             sweep = (
                 self.lingering if waits == CLOSING else self.idle if waits == IDLE else self.awaiting_request
             )
-            written = (one for one in sweep.since if one.has_written())
+            written = (one for one in sweep.waiting_since if one.has_written())
             candidates += [(sweep, one) for one in itertools.islice(written, CANDIDATES)]
         for sweep, one in candidates:
             if one.closing or not one.has_unread():
@@ -203,7 +208,9 @@
         owed for longest gives way. Refused, as nothing of it was sent on.
         """
         while not connection.reserve(connection.received):
-            held = (one for one in self.awaiting_request.since if one.reserved > 0 and one.parsed is None)
+            held = (
+                one for one in self.awaiting_request.waiting_since if one.reserved > 0 and one.parsed is None
+            )
             oldest = next(held, connection)
             oldest.reject(BadRequestError(503, "too much is half-written"))
             if oldest is connection:
@@ -211,7 +218,7 @@
 
     def on_closing(self, connection: C) -> None:
         """A connection's answer was its last: its client is to end its own side."""
-        for sweep in (self.awaiting_request, self.uploading, self.paused, self.idle, self.latecomers):
+        for sweep in (self.awaiting_request, self.uploading, self.paused, self.idle, self.late_connections):
             sweep.discard(connection)
         self.lingering.add(connection)
 
@@ -220,7 +227,7 @@
         self.connections.discard(connection)
         for sweep in (
             *(self.awaiting_request, self.uploading, self.paused, self.write_stalled),
-            *(self.idle, self.lingering, self.latecomers),
+            *(self.idle, self.lingering, self.late_connections),
         ):
             sweep.discard(connection)
-        self.shutdown.maybe_end()
+        self.shutdown.finish_if_done()
--- a/laurelstep/net/shutdown.py
+++ b/laurelstep/net/shutdown.py
@@ -53,9 +53,9 @@
 
 # For each way: so many s after it began, the step. The end of a drain calls off what is to come of it.
 STEPS: Final = {
-    ClosePolicy.DRAIN: ((REST_S, "end_resting"), (DRAIN_S, "end_drain")),
-    ClosePolicy.STOP: ((0.0, "end_at_rest"), (ACCEPT_S + LAST_S, "stop_listening")),
-    ClosePolicy.SUCCEEDED: ((0.0, "close_listener"), (LEAVE_S, "end_unsent")),
+    ClosePolicy.DRAIN: ((REST_S, "close_idle_and_silent"), (DRAIN_S, "finish_drain")),
+    ClosePolicy.STOP: ((0.0, "close_idle"), (ACCEPT_S + LAST_S, "stop_listening")),
+    ClosePolicy.SUCCEEDED: ((0.0, "close_listener"), (LEAVE_S, "close_all_unforwarded")),
 }
 
 
@@ -114,11 +114,11 @@
         self.server = server
         self.on_stop = on_stop
         self.on_end: Callable[[], None] = lambda: None
-        self.succeeded: Callable[[], bool] = lambda: False  # whether another process takes clients
+        self.has_successor: Callable[[], bool] = lambda: False  # whether another process takes clients
         self.pending: list[asyncio.TimerHandle] = []  # the steps to come
         self.refuses_partial = False  # a request that is not whole is not waited for any more
-        self.closed = False  # the listener is, and what it had accepted has joined
-        self.over = False  # the process ends
+        self.is_listener_closed = False  # the listener is, and what it had accepted has joined
+        self.is_finished = False  # the process ends
         lifecycle.watchers.append(self._moved)
 
     def stop(self, on_end: Callable[[], None]) -> None:
@@ -128,7 +128,7 @@
         self.on_end = on_end
         if self.on_stop is not None:
             self.on_stop()
-        self._begin(ClosePolicy.SUCCEEDED if self.succeeded() else ClosePolicy.STOP)
+        self._begin(ClosePolicy.SUCCEEDED if self.has_successor() else ClosePolicy.STOP)
 
     def _moved(self) -> None:
         """The daemon's phase is another."""
@@ -148,21 +148,21 @@
 
     # --- Steps ------------------------------------------------------------------------
 
-    def end_at_rest(self) -> None:
+    def close_idle(self) -> None:
         """Close the idle connections."""
-        for connection in list(self.server.idle.since):
+        for connection in list(self.server.idle.waiting_since):
             connection.close_if_idle()
 
-    def end_resting(self) -> None:
+    def close_idle_and_silent(self) -> None:
         """Clients that ask now and then have heard that their connection ends; others have not."""
-        self.end_at_rest()
-        for connection in list(self.server.awaiting_request.since):
+        self.close_idle()
+        for connection in list(self.server.awaiting_request.waiting_since):
             if connection.is_silent():
                 connection.close_if_idle()
 
-    def end_drain(self) -> None:
+    def finish_drain(self) -> None:
         """What is half here would still be open when all have to be gone."""
-        for connection in list(self.server.awaiting_request.since):
+        for connection in list(self.server.awaiting_request.waiting_since):
             connection.reject(BadRequestError(503, "this sidecar is being drained"))
         self.lifecycle.drained(self.loop.time())
 
@@ -182,7 +182,7 @@
                 self.loop.call_soon(self.stop_listening, turns - 1)
             return
         self.close_listener()
-        self.end_unsent()
+        self.close_all_unforwarded()
 
     def close_listener(self) -> None:
         """Accept nothing more."""
@@ -196,31 +196,31 @@
         if listener.connecting:
             self.loop.call_soon(self._listener_closed, listener)
             return
-        self.closed = True
-        self.maybe_end()
+        self.is_listener_closed = True
+        self.finish_if_done()
 
-    def end_unsent(self) -> None:
+    def close_all_unforwarded(self) -> None:
         """No request begins any more: half-sent ones and silent clients keep nothing up. Asked again until
         all have gone: the last to join, and those of which something had come, have their turn so.
         """
         for connection in list(self.server.connections):
             if connection.has_nothing_forwarded():
                 connection.close_unforwarded()
-        self.maybe_end()
-        if not self.over:
-            self.loop.call_later(LAST_S, self.end_partial)
+        self.finish_if_done()
+        if not self.is_finished:
+            self.loop.call_later(LAST_S, self.refuse_partial)
 
-    def end_partial(self) -> None:
+    def refuse_partial(self) -> None:
         """Guards against a request whose last byte comes later than 0.7 s after SIGTERM: with short
         deadlines SIGKILL comes before its answer.
         """
         self.refuses_partial = True
         for connection in list(self.server.connections):
             connection.reject_upload()
-        self.end_unsent()
+        self.close_all_unforwarded()
 
-    def maybe_end(self) -> None:
+    def finish_if_done(self) -> None:
         """The shutdown is over if no connection is left."""
-        if self.closed and not self.server.connections and not self.over:
-            self.over = True
+        if self.is_listener_closed and not self.server.connections and not self.is_finished:
+            self.is_finished = True
             self.on_end()
--- a/laurelstep/net/upstream.py
+++ b/laurelstep/net/upstream.py
@@ -34,7 +34,7 @@
     @property
     def idle_us(self) -> int:
         """For how long an idle connection is kept, us."""
-        return int(self.idle_connections.seconds * 1e6)
+        return int(self.idle_connections.timeout_s * 1e6)
 
     def place(self, endpoint: int, address: str) -> None:
         """A new process or address: what was open to the old one is of no use."""
--- a/laurelstep/outbox/replay_driver.py
+++ b/laurelstep/outbox/replay_driver.py
@@ -11,8 +11,8 @@
 
 from laurelstep.balancing.events import ERROR, FULL, NO_CONNECT, OK, RESET, TIMEOUT
 from laurelstep.engine.call import Answer, Call, Ending
-from laurelstep.net.message import lines as lines_of
-from laurelstep.net.request import hint, key_of
+from laurelstep.net.message import encode_headers as lines_of
+from laurelstep.net.request import parse_cost_hint, parse_object_key
 from laurelstep.outbox.driver_state import DriverState
 from laurelstep.outbox.outbox import (
     ReplayResult,
@@ -213,8 +213,8 @@
             name=b"outbox "
             + str(write.write_id).encode(),  # its client may come again under the name that it has
             tenant=self.tenants.get(write.tenant, 0),
-            key=key_of(write.start.partition(b"?")[2]),
-            work_us=hint(fields.get(b"x-cost-hint", b"")),
+            key=parse_object_key(write.start.partition(b"?")[2]),
+            work_us=parse_cost_hint(fields.get(b"x-cost-hint", b"")),
             repeated=write.write_id in self.again,
         )
         if self.sharing is not None:
--- a/laurelstep/outbox/shared/asking.py
+++ b/laurelstep/outbox/shared/asking.py
@@ -20,7 +20,7 @@
 from typing import Final
 
 from laurelstep.engine.call import Answer, Call, Ending, Handle
-from laurelstep.net.message import lines as lines_of
+from laurelstep.net.message import encode_headers as lines_of
 from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.errors import OutboxError
 from laurelstep.outbox.messages import ReplayResult, Transition
--- a/laurelstep/subsystems/hot_restart.py
+++ b/laurelstep/subsystems/hot_restart.py
@@ -158,12 +158,12 @@
     async def listen(self, server: Server, host: str, port: int) -> None:
         """Serve at the address: at the predecessor's listener where it was handed over."""
         if self.arrival.predecessor is not None:
-            await server.listen(host, port, handed=self.arrival.predecessor.listener)
+            await server.listen(host, port, inherited_listener=self.arrival.predecessor.listener)
             return
         if not self.arrival.has_others:
             check_free(host, port)
         # Shared with the process that comes next, should that not get the listener.
-        await server.listen(host, port, shared=True)
+        await server.listen(host, port, reuse_port=True)
 
     async def start(self, engine: Engine, server: Server) -> None:
         """Tell the process before this one that this one serves, and wait for the one after it."""
@@ -185,7 +185,7 @@
         except OSError as error:
             log(f"no hot restart to a next version: {error}")
         else:
-            server.shutdown.succeeded = self._is_taken_over
+            server.shutdown.has_successor = self._is_taken_over
         self._share_descriptors()
 
     async def stop(self) -> None:
--- a/laurelstep/subsystems/outbox.py
+++ b/laurelstep/subsystems/outbox.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from laurelstep.net.log import log
-from laurelstep.net.message import LARGE_MAX
+from laurelstep.net.message import MAX_STREAMED_BODY_BYTES
 from laurelstep.settings import ConfigError
 from laurelstep.subsystems.base import ProcessContext, Subsystem
 
@@ -74,7 +74,7 @@
         if self.shared is None or self.shared.gate is None:
             return
         if not self.holds_bodies:
-            server.max_body = LARGE_MAX
+            server.max_body_bytes = MAX_STREAMED_BODY_BYTES
         server.on_shared_query = self.shared.gate.ask
         self.shared.begin()
 
--- a/tests/consensus_tiers.py
+++ b/tests/consensus_tiers.py
@@ -14,7 +14,7 @@
 
 from tests.consensus_nodes import RecordingStateMachine
 from tests.datagrams import free_udp_ports
-from tests.sockets import TIMEOUT_S
+from tests.sockets import TEST_TIMEOUT_S
 
 FAST = {"heartbeat_us": 20_000, "election_us": 100_000}
 
@@ -56,7 +56,7 @@
 
     async def until(self, done: Callable[[], bool]) -> None:
         """Looks after each change, and now and then: not all is notified."""
-        async with asyncio.timeout(TIMEOUT_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while not done():
                 self.changed.clear()
                 try:
--- a/tests/datagrams.py
+++ b/tests/datagrams.py
@@ -7,7 +7,7 @@
 
 from laurelstep.testing import free_udp_port
 
-from tests.sockets import TIMEOUT_S
+from tests.sockets import TEST_TIMEOUT_S
 
 
 class ReceivedDatagrams:
@@ -22,7 +22,7 @@
         self.came.set()
 
     async def until(self, done: Callable[[], bool]) -> None:
-        async with asyncio.timeout(TIMEOUT_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while not done():
                 self.came.clear()
                 await self.came.wait()
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -78,13 +78,13 @@
     "zones": ["here"], "kinds": ["small"], "discovery": "push", "stage": 1,
 }  # fmt: skip
 
-TIMEOUT_S = 60.0  # for a test that hangs; nothing is measured by it
+TEST_TIMEOUT_S = 60.0  # for a test that hangs; nothing is measured by it
 
 # The front that `sidecar` puts before the engine; tests/conftest.py plays each test on both.
 FRONT: ContextVar[str] = ContextVar("FRONT", default="daemon")
 
 serve_ok = serve()
-hold = stall()
+never_answer = stall()
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
@@ -107,20 +107,20 @@
         return self.daemon
 
     @property
-    def callers(self) -> int:
+    def connection_count(self) -> int:
         """Connections open at the front."""
         if self.daemon is not None:
             return len(self.daemon.connections)
         assert self.host is not None
         return len(self.host.server_state.connections)
 
-    def told(self, *entries: dict[str, Any], whole: bool = True) -> None:
+    def apply_list(self, *entries: dict[str, Any], whole: bool = True) -> None:
         self.engine.listed(1, whole, list(entries))
 
     async def connect(self) -> tuple[Reader, Writer]:
         return await asyncio.open_connection("127.0.0.1", self.port)
 
-    async def ask(self, raw: bytes) -> Message:
+    async def send(self, raw: bytes) -> Message:
         reader, writer = await self.connect()
         writer.write(raw)
         message = await read_message(reader)
@@ -138,7 +138,7 @@
 ) -> AsyncIterator[Sidecar]:
     """A sidecar whose list holds the endpoints, all on ports that the system picks."""
     settings = {**SETTINGS, "ceilings": {**SETTINGS["ceilings"], **(ceilings or {})}, "stage": stage}
-    async with contextlib.AsyncExitStack() as stack, asyncio.timeout(TIMEOUT_S):
+    async with contextlib.AsyncExitStack() as stack, asyncio.timeout(TEST_TIMEOUT_S):
         for endpoint in endpoints:
             listener = await endpoint.start()
             stack.callback(listener.close)
@@ -172,13 +172,13 @@
     """The library in a Starlette app on uvicorn, on the test's own loop."""
     client = Client.open(config)
     app = Starlette(middleware=[Middleware(BalancerMiddleware, client=client)])
-    async with hosted(app) as (host, port):
+    async with serve_app(app) as (host, port):
         yield Sidecar(client.engine, client._parts.upstream, port, host=host)
     assert client.state is ClientState.CLOSED and not client._parts.upstream.connections
 
 
 @contextlib.asynccontextmanager
-async def hosted(app: Any) -> AsyncIterator[tuple[uvicorn.Server, int]]:
+async def serve_app(app: Any) -> AsyncIterator[tuple[uvicorn.Server, int]]:
     """An ASGI app on uvicorn; at the end its connections are cut and its lifespan ends."""
     config = uvicorn.Config(
         app, "127.0.0.1", 0, http="httptools", lifespan="on", log_config=None, access_log=False
@@ -197,7 +197,7 @@
         await host.lifespan.shutdown()
 
 
-class Replaced:
+class MethodProxy:
     """An object with some of its methods replaced; also one of a compiled class."""
 
     def __init__(self, real: object, **methods: Callable[..., Any]) -> None:
@@ -208,14 +208,14 @@
         return getattr(self.real, name)
 
 
-def overrule(engine: Engine, **methods: Callable[..., list[Action]]) -> Decisions:
+def override_decisions(engine: Engine, **methods: Callable[..., list[Action]]) -> Decisions:
     """Replace some methods of the engine's module; gives it as it was."""
     real = engine.decisions
-    engine.decisions = cast(Decisions, Replaced(real, **methods))
+    engine.decisions = cast(Decisions, MethodProxy(real, **methods))
     return real
 
 
-def outcomes(engine: Engine) -> list[Outcome]:
+def record_outcomes(engine: Engine) -> list[Outcome]:
     """All that the module is told of attempts from now on."""
     told: list[Outcome] = []
 
@@ -223,11 +223,11 @@
         told.append(event)
         return real.outcome(now, event)
 
-    real = overrule(engine, outcome=outcome)
+    real = override_decisions(engine, outcome=outcome)
     return told
 
 
-def config(tmp_path: Path, registry: Registry, *endpoints: Endpoint, **changes: Any) -> dict[str, str]:
+def write_config(tmp_path: Path, registry: Registry, *endpoints: Endpoint, **changes: Any) -> dict[str, str]:
     raw = {
         "name": "n1", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{registry.port}", "seed": "8c1f",
         "limits": {"sockets": 1024}, "settings": SETTINGS,
@@ -239,10 +239,12 @@
     return {**os.environ, "LB_CONFIG": str(path)}
 
 
-async def start(environ: dict[str, str], errors: int = asyncio.subprocess.PIPE) -> asyncio.subprocess.Process:
+async def start_daemon(
+    environ: dict[str, str], stderr: int = asyncio.subprocess.PIPE
+) -> asyncio.subprocess.Process:
     pipe = asyncio.subprocess.PIPE
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "laurelstep", env=environ, stdout=pipe, stderr=errors
+        sys.executable, "-m", "laurelstep", env=environ, stdout=pipe, stderr=stderr
     )
 
 
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -23,7 +23,7 @@
 from starlette.routing import Mount, Route, WebSocketRoute
 from starlette.websockets import WebSocket
 
-from tests.sockets import TIMEOUT_S, hosted, outcomes
+from tests.sockets import TEST_TIMEOUT_S, record_outcomes, serve_app
 from tests.test_library import config, member, nothing_held
 
 
@@ -79,7 +79,7 @@
 
 @contextlib.asynccontextmanager
 async def wrapped(*endpoints: Endpoint, **options: Any) -> AsyncIterator[tuple[BalancerMiddleware, Client]]:
-    async with contextlib.AsyncExitStack() as stack, asyncio.timeout(TIMEOUT_S):
+    async with contextlib.AsyncExitStack() as stack, asyncio.timeout(TEST_TIMEOUT_S):
         for endpoint in endpoints:
             await stack.enter_async_context(endpoint)
         members = [member(one, f"s-{n}") for n, one in enumerate(endpoints)]
@@ -184,7 +184,7 @@
         client = Client.open(config(), [])
         inner = Starlette(routes=[WebSocketRoute("/page", socket)], lifespan=lifespan)
         middleware = BalancerMiddleware(inner, client)
-        async with hosted(middleware):
+        async with serve_app(middleware):
             host = Host()
             host.told.put_nowait({"type": "websocket.connect"})
             scope = {**http(), "type": "websocket", "subprotocols": [], "extensions": {}}
@@ -251,7 +251,7 @@
     async def main() -> None:
         endpoint = Endpoint(stall())
         async with wrapped(endpoint) as (middleware, client):
-            told = outcomes(client.engine)
+            told = record_outcomes(client.engine)
             host = Host()
             host.body(b"sum")
             task = asyncio.create_task(middleware(http("pay", "POST"), host.receive, host.send))
@@ -306,7 +306,7 @@
             host.body()
             task = asyncio.create_task(middleware(http(), host.receive, never))
             await stuck.wait()
-            assert nothing_held(client) and len(client._parts.upstream.idle_connections.since) == 1
+            assert nothing_held(client) and len(client._parts.upstream.idle_connections.waiting_since) == 1
             await client.close()
             task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -499,13 +499,13 @@
         async def home(request: HttpRequest) -> PlainTextResponse:
             return PlainTextResponse("kiosk")
 
-        async with Endpoint() as endpoint, asyncio.timeout(TIMEOUT_S):
+        async with Endpoint() as endpoint, asyncio.timeout(TEST_TIMEOUT_S):
             client = Client.open(config(), [member(endpoint)])
             inner = Starlette(
                 routes=[Mount("/inner", routes=[Route("/", home)]), Route("/", home)],
                 middleware=[Middleware(BalancerMiddleware, client=client, prefix="/albums")],
             )
-            async with hosted(inner) as (_, port):
+            async with serve_app(inner) as (_, port):
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 for raw, body in (
                     (b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", b"kiosk"),
--- a/tests/test_consensus_node.py
+++ b/tests/test_consensus_node.py
@@ -32,7 +32,7 @@
     ScriptedCore,
     loop_turns,
 )
-from tests.sockets import TIMEOUT_S, run
+from tests.sockets import TEST_TIMEOUT_S, run
 
 # --- Steps ------------------------------------------------------------------------------
 
@@ -525,7 +525,7 @@
 
             bench.node.open_store = open_store
             await bench.node.start()
-            async with asyncio.timeout(TIMEOUT_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 while not bench.arrive():  # said once it is durable
                     await asyncio.sleep(0)
             found.append(bench.core.incarnation)
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -30,23 +30,23 @@
     SETTINGS,
     Endpoint,
     Message,
+    MethodProxy,
     Registry,
-    Replaced,
     Sidecar,
     Writer,
     answer,
-    config,
     connect_until_up,
     free_port,
-    hold,
-    overrule,
+    never_answer,
+    override_decisions,
     push,
     read_message,
     request,
     run,
     serve_ok,
     sidecar,
-    start,
+    start_daemon,
+    write_config,
 )
 from tests.upgrades import Site
 
@@ -137,13 +137,13 @@
         step(event)
         return real.outcome(now, event)
 
-    real = overrule(one.engine, outcome=outcome)
+    real = override_decisions(one.engine, outcome=outcome)
 
 
 def due(sweep: Any) -> None:
     """The sweep's time is over for all in it: it runs before the loop reads anything more."""
-    for each in sweep.since:
-        sweep.since[each] -= sweep.seconds
+    for each in sweep.waiting_since:
+        sweep.waiting_since[each] -= sweep.timeout_s
     sweep.run()
 
 
@@ -192,7 +192,7 @@
 @pytest.mark.parametrize("behind", [b"x" * 100, b"x" * (1 << 18)], ids=["some", "much"])
 def test_a_refusal_outlives_what_its_caller_goes_on_sending(behind: bytes) -> None:
     async def main() -> None:
-        endpoint = Endpoint(hold)
+        endpoint = Endpoint(never_answer)
         async with sidecar(endpoint) as one:
             with client(one) as caller:
                 caller.send(PAY)
@@ -204,7 +204,7 @@
                         caller.raw.send(behind)
                     return real.client_disconnected(now, rid)
 
-                overrule(one.engine, client_disconnected=gone)
+                override_decisions(one.engine, client_disconnected=gone)
                 caller.send(request(rid="r2"))
                 (back,) = await parsed(await caller.read())
                 assert back.status == 400 and len(endpoint.got) == 1
@@ -221,7 +221,7 @@
             with client(one, window=4096) as caller:
                 await small_buffer(one)
                 caller.send(LAST)
-                await until(lambda: bool(one.server.lingering.since))
+                await until(lambda: bool(one.server.lingering.waiting_since))
                 due(one.server.lingering)
                 (back,) = await parsed(await caller.read())
                 assert back.body == LARGE
@@ -257,7 +257,7 @@
 
 
 @pytest.mark.parametrize("first", ["request", "close"])
-@pytest.mark.parametrize("sweep", ["idle", "latecomers", "awaiting_request"])
+@pytest.mark.parametrize("sweep", ["idle", "late_connections", "awaiting_request"])
 def test_a_request_and_the_idle_close_cross(sweep: str, first: str) -> None:
     """One that has come is served; behind the close none is sent on, and the caller sees an end, no reset."""
 
@@ -269,9 +269,9 @@
                 if sweep == "idle":
                     caller.send(request(rid="before"))
                     assert (await caller.read_answer()).status == 200
-                elif sweep == "latecomers":
+                elif sweep == "late_connections":
                     one.server.awaiting_request.discard(ended)
-                    one.server.latecomers.add(ended)
+                    one.server.late_connections.add(ended)
                 before = len(endpoint.got)
                 if first == "request":
                     caller.send(LAST)
@@ -390,7 +390,7 @@
                 one.server.stop(ended.set)
                 one.server.shutdown.stop_listening()
                 assert not endpoint.got
-                one.told(endpoint.entry())
+                one.apply_list(endpoint.entry())
                 (back,) = await parsed(await caller.read())
                 assert back.body == b"ok" and len(endpoint.got) == 1
             await ended.wait()
@@ -448,7 +448,7 @@
                 if behind:
                     caller.send(request(rid="r2"))
                     await until(lambda: bool(passing.pipelined))
-                one.server.idle.seconds = 3600.0  # not by this
+                one.server.idle.timeout_s = 3600.0  # not by this
                 if why == "stop":
                     one.server.stop(ended.set)
                     one.server.shutdown.stop_listening()
@@ -456,8 +456,8 @@
                     one.server.lifecycle.evacuate(asyncio.get_running_loop().time())
                     for step in one.server.shutdown.pending:
                         step.cancel()  # they are taken here
-                    one.server.shutdown.end_resting()
-                    one.server.shutdown.end_drain()
+                    one.server.shutdown.close_idle_and_silent()
+                    one.server.shutdown.finish_drain()
                 go.set()
                 found = await parsed(await caller.read())
                 assert [back.body for back in found] == [large, b"ok"][: len(found)]
@@ -525,7 +525,9 @@
                     caller.raw, last = ours, caller.raw
                     last.close()
                     await until(lambda: late not in one.server.connections and bool(one.server.connections))
-                one.server.latecomers.seconds = one.server.awaiting_request.seconds = 3600.0  # not by these
+                one.server.late_connections.timeout_s = one.server.awaiting_request.timeout_s = (
+                    3600.0  # not by these
+                )
                 if brings == "late-request":
                     caller.send(PAGE)
                 found = await parsed(await caller.read())
@@ -541,7 +543,7 @@
     shutdown = one.server.shutdown
     shutdown.loop = cast(
         asyncio.AbstractEventLoop,
-        Replaced(shutdown.loop, call_later=lambda *of: shutdown.loop.call_at(1e12, print)),
+        MethodProxy(shutdown.loop, call_later=lambda *of: shutdown.loop.call_at(1e12, print)),
     )
 
 
@@ -558,7 +560,7 @@
             if is_upload:
                 one.server.request_budget.limit = 0
             if comes == "upload-held-back":
-                overrule(one.engine, request=lambda now, event: [])  # nobody takes it
+                override_decisions(one.engine, request=lambda now, event: [])  # nobody takes it
             with client(one) as caller:
                 caller.send(whole[:-20])
                 begun = await caller_of(one)
@@ -574,7 +576,7 @@
                 await until(lambda: not begun.has_unread() or not transport.is_reading())
                 assert not begun.closing
                 caller.send(whole[-10:] if comes == "whole" else whole[-10:-5])
-                one.server.shutdown.end_partial()
+                one.server.shutdown.refuse_partial()
                 (back,) = await parsed(await caller.read())
                 assert (back.status, len(endpoint.got)) == ((200, 1) if comes == "whole" else (503, 0))
                 assert back.headers["connection"] == "close"
@@ -637,14 +639,14 @@
     async def main() -> None:
         endpoint = Endpoint()
         async with stopping(endpoint) as (one, ended):
-            one.server.shutdown.succeeded = lambda: True
+            one.server.shutdown.has_successor = lambda: True
             with client(one) as caller:
                 caller.send(request(rid="before"))
                 await caller.read_answer()
                 one.server.stop(ended.set)
                 if first == "request":
                     caller.send(PAGE)
-                one.server.shutdown.end_unsent()
+                one.server.shutdown.close_all_unforwarded()
                 if first == "end":
                     caller.send(PAGE)
                 found = await parsed(await caller.read())
@@ -668,11 +670,11 @@
     }
 
     async def main() -> None:
-        endpoint, registry = Endpoint(hold), Registry()
+        endpoint, registry = Endpoint(never_answer), Registry()
         async with await endpoint.start(), await registry.start():
             port = free_port()
-            environ = config(tmp_path, registry, endpoint, settings=settings)
-            process = await start({**environ, "LB_LISTEN": f"127.0.0.1:{port}"})
+            environ = write_config(tmp_path, registry, endpoint, settings=settings)
+            process = await start_daemon({**environ, "LB_LISTEN": f"127.0.0.1:{port}"})
             _, writer = await connect_until_up(port)
             writer.close()
             with contextlib.ExitStack() as stack:
@@ -696,8 +698,8 @@
         registry, endpoint = Registry(), Endpoint()
         async with await registry.start(), endpoint:
             port = free_port()
-            environ = {**config(tmp_path, registry, known=None), "LB_LISTEN": f"127.0.0.1:{port}"}
-            process = await start(environ)
+            environ = {**write_config(tmp_path, registry, known=None), "LB_LISTEN": f"127.0.0.1:{port}"}
+            process = await start_daemon(environ)
             _, watch = await registry.asked.get()
             reader, writer = await connect_until_up(port)
             resting, resting_writer = await asyncio.open_connection("127.0.0.1", port)
@@ -732,8 +734,8 @@
         registry, endpoint = Registry(), Endpoint(slow)
         async with await registry.start(), endpoint:
             port = free_port()
-            environ = {**config(tmp_path, registry, endpoint), "LB_LISTEN": f"127.0.0.1:{port}"}
-            process = await start(environ)
+            environ = {**write_config(tmp_path, registry, endpoint), "LB_LISTEN": f"127.0.0.1:{port}"}
+            process = await start_daemon(environ)
             reader, writer = await connect_until_up(port)
             writer.write(PAY)
             await endpoint.arrived.acquire()
@@ -831,7 +833,7 @@
         async with await registry.start(), endpoint:
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-c", AT_LISTEN, moment, LAST.decode(),
-                env=config(tmp_path, registry, endpoint), stdout=asyncio.subprocess.PIPE,
+                env=write_config(tmp_path, registry, endpoint), stdout=asyncio.subprocess.PIPE,
                 stderr=asyncio.subprocess.PIPE,
             )  # fmt: skip
             out, errors = await process.communicate()
@@ -876,7 +878,7 @@
                 else:
                     go.set()
                     assert (await caller.read_answer()).body == 2 * LARGE
-                    assert not one.server.paused.since
+                    assert not one.server.paused.waiting_since
 
     run(main())
 
@@ -890,9 +892,9 @@
     async def main() -> None:
         endpoint = Endpoint()
         async with sidecar(endpoint) as one:
-            assert (await one.ask(PAGE)).body == b"ok"  # so there is a connection that needs no opening
+            assert (await one.send(PAGE)).body == b"ok"  # so there is a connection that needs no opening
             await until(lambda: not one.server.connections)
-            overrule(one.engine, request=lambda now, event: [])  # the module holds what comes
+            override_decisions(one.engine, request=lambda now, event: [])  # the module holds what comes
             caller = Client(one.port)
             caller.send(request(rid="held"))
             left = await caller_of(one)
@@ -905,7 +907,7 @@
             await until(transport.is_closing)
             one.engine._carry_out(Send(rid, number, 0))  # as the module may decide then
             one.engine.decisions = one.engine.balancer
-            assert (await one.ask(request(rid="r2"))).body == b"ok"
+            assert (await one.send(request(rid="r2"))).body == b"ok"
             assert [got.headers["x-request-id"] for got in endpoint.got] == ["r1", "r2"]
 
     run(main())
@@ -937,10 +939,10 @@
             made.connection_made(transport)
 
         return await real.create_connection(
-            lambda: cast(asyncio.Protocol, Replaced(made, connection_made=connection_made)), host, port
+            lambda: cast(asyncio.Protocol, MethodProxy(made, connection_made=connection_made)), host, port
         )
 
-    one.upstream.loop = cast(asyncio.AbstractEventLoop, Replaced(real, create_connection=create))
+    one.upstream.loop = cast(asyncio.AbstractEventLoop, MethodProxy(real, create_connection=create))
 
 
 LEAVES = (Client.close, end_sending, close_behind_bytes, reset)
@@ -958,9 +960,9 @@
         endpoint = Endpoint()
         async with sidecar(endpoint) as one:
             if pooled:
-                assert (await one.ask(PAGE)).body == b"ok"
+                assert (await one.send(PAGE)).body == b"ok"
                 await until(lambda: not one.server.connections)
-            overrule(one.engine, request=lambda now, event: [])  # the module holds what comes
+            override_decisions(one.engine, request=lambda now, event: [])  # the module holds what comes
             caller = Client(one.port)
             caller.send(request(rid="left"))
             await until(lambda: len(one.engine.calls) == 1)
@@ -974,7 +976,7 @@
             await until(lambda: not one.engine.calls and not one.server.connections)
             one.engine.decisions = one.engine.balancer
             assert one.engine.counters.abandoned == [1, 0, 0]
-            assert (await one.ask(request(rid="r2"))).body == b"ok"
+            assert (await one.send(request(rid="r2"))).body == b"ok"
             assert "left" not in [got.headers["x-request-id"] for got in endpoint.got]
             caller.close()
 
@@ -992,8 +994,8 @@
             for caller in crowd:
                 caller.close()
             await until(lambda: not one.engine.calls)
-            one.told(endpoint.entry())
-            assert (await one.ask(PAGE)).body == b"ok"
+            one.apply_list(endpoint.entry())
+            assert (await one.send(PAGE)).body == b"ok"
             assert [got.headers["x-request-id"] for got in endpoint.got] == ["r1"]
 
     run(main())
@@ -1019,11 +1021,11 @@
             if leaves:
                 caller.close()
             due(one.server.paused)
-            one.told(endpoint.entry())
+            one.apply_list(endpoint.entry())
             (number,) = one.engine.members.places
             one.engine._carry_out(Send(rid, number, 0))  # as the module may decide at once
             if leaves:
-                assert (await one.ask(request(rid="r2"))).body == b"ok"
+                assert (await one.send(request(rid="r2"))).body == b"ok"
                 assert [got.headers["x-request-id"] for got in endpoint.got] == ["r2"]
                 assert endpoint.opened == 1, "not even its first byte was sent"
             else:
@@ -1091,7 +1093,7 @@
             with client(one, window=4096) as slow, contextlib.ExitStack() as stack:
                 await small_buffer(one)
                 slow.send(PAGE)
-                await until(lambda: bool(one.server.idle.since))
+                await until(lambda: bool(one.server.idle.waiting_since))
                 crowd: list[Client] = []
                 for n in range(3):
                     crowd.append(stack.enter_context(client(one)))
@@ -1116,7 +1118,7 @@
                     callers.append(stack.enter_context(client(one)))
                     callers[n].send(request(rid=f"r{n}"))
                     assert (await callers[n].read_answer()).body == b"ok"
-                kept = list(one.server.idle.since)
+                kept = list(one.server.idle.waiting_since)
                 for caller in callers if unread == "all" else callers[:1]:
                     caller.send(request(rid="again"))
                 one.server._evict_one()  # in this turn: nothing was read
--- a/tests/test_crossings_descriptors.py
+++ b/tests/test_crossings_descriptors.py
@@ -16,13 +16,13 @@
     Endpoint,
     Registry,
     Writer,
-    config,
     connect_until_up,
     free_port,
     push,
     read_message,
     request,
     run,
+    write_config,
 )
 
 # What the platform allows. Where the system's own limit is the same, one too many is an EMFILE; where
@@ -55,7 +55,10 @@
             port = free_port()
             changes = {"limits": {"sockets": SOCKETS}, "discovery": f"127.0.0.1:{away}"}
             async with await registry.start():
-                environ = {**config(tmp_path, registry, drains, **changes), "LB_LISTEN": f"127.0.0.1:{port}"}
+                environ = {
+                    **write_config(tmp_path, registry, drains, **changes),
+                    "LB_LISTEN": f"127.0.0.1:{port}",
+                }
                 process = limited(environ, most)
                 try:
                     crowd: list[Writer] = [(await connect_until_up(port))[1] for _ in range(CROWD)]
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -33,13 +33,13 @@
     SETTINGS,
     Endpoint,
     Message,
-    Replaced,
+    MethodProxy,
     Sidecar,
     Writer,
     answer,
-    outcomes,
-    overrule,
+    override_decisions,
     read_message,
+    record_outcomes,
     request,
     run,
     sidecar,
@@ -64,7 +64,7 @@
         self.small = False  # connections whose buffer for sending is the system's least
         self.begun = begun  # in the same turn, before what the program does in it
         self.real = one.upstream.loop
-        held = Replaced(self.real, create_connection=self._create)
+        held = MethodProxy(self.real, create_connection=self._create)
         one.upstream.loop = cast(asyncio.AbstractEventLoop, held)
 
     async def _create(self, factory: Callable[[], Any], host: str, port: int) -> Any:
@@ -83,13 +83,13 @@
             if self.made is not None:
                 self.made()
 
-        return Replaced(protocol, connection_made=connection_made)
+        return MethodProxy(protocol, connection_made=connection_made)
 
 
 def shift(one: Sidecar, span_us: int) -> None:
     """Set forward the clock by which the engine and the upstream judge."""
     real = one.engine.clock.now
-    one.engine.clock = cast(Clock, Replaced(one.engine.clock, now=lambda: real() + span_us))
+    one.engine.clock = cast(Clock, MethodProxy(one.engine.clock, now=lambda: real() + span_us))
     one.upstream.now = one.engine.clock.now
 
 
@@ -196,7 +196,7 @@
     peer = Peer()
     with contextlib.closing(peer):
         async with sidecar(ceilings={key.replace("_", "-"): value for key, value in ceilings.items()}) as one:
-            one.told(Endpoint().entry("s-0", hostPort=f"127.0.0.1:{peer.port}"))
+            one.apply_list(Endpoint().entry("s-0", hostPort=f"127.0.0.1:{peer.port}"))
             yield one, peer
 
 
@@ -216,9 +216,9 @@
                     pass
 
             Opening(one, made=stay_past_the_timeout).may_open.set()
-            assert (await one.ask(request("pay"))).body == b"ok"
+            assert (await one.send(request("pay"))).body == b"ok"
             assert endpoint.effects.by_id["r1"] == 1
-            assert len(one.upstream.connections) == len(one.upstream.idle_connections.since) == 1
+            assert len(one.upstream.connections) == len(one.upstream.idle_connections.waiting_since) == 1
 
     run(main())
 
@@ -229,17 +229,17 @@
     async def main() -> None:
         endpoints = [Endpoint(), Endpoint()]
         async with sidecar(*endpoints) as one:
-            told = outcomes(one.engine)
+            told = record_outcomes(one.engine)
             connecting = one.upstream.connecting
 
             def time_out_the_first() -> None:
                 if not told:
-                    (link,) = connecting.since
-                    connecting.since[link] -= connecting.seconds
+                    (link,) = connecting.waiting_since
+                    connecting.waiting_since[link] -= connecting.timeout_s
                     connecting.run()
 
             Opening(one, begun=time_out_the_first).may_open.set()
-            assert (await one.ask(request("pay"))).body == b"ok"
+            assert (await one.send(request("pay"))).body == b"ok"
             assert [event.outcome for event in told] == [NO_CONNECT, OK]
             assert sorted(len(endpoint.got) for endpoint in endpoints) == [0, 1]
             assert len(one.upstream.connections) == 1
@@ -251,9 +251,9 @@
     async def main() -> None:
         endpoint = Endpoint()
         async with sidecar(endpoint, ceilings={"max-attempts": 1}) as one:
-            one.told(endpoint.entry("s-0", hostPort="a..b:80"))
-            told = outcomes(one.engine)
-            assert (await one.ask(request("pay"))).status == 503
+            one.apply_list(endpoint.entry("s-0", hostPort="a..b:80"))
+            told = record_outcomes(one.engine)
+            assert (await one.send(request("pay"))).status == 503
             assert [event.outcome for event in told] == [NO_CONNECT]
             assert not one.upstream.connections
 
@@ -282,7 +282,7 @@
 
             for endpoint in endpoints:
                 endpoint.handler = break_off
-            asked = asyncio.create_task(one.ask(request("put", b"b")))
+            asked = asyncio.create_task(one.send(request("put", b"b")))
             for _ in range(2):
                 await opening.asked.get()
             shift(one, span_us)
@@ -367,22 +367,22 @@
     async def main() -> None:
         old, new = Endpoint(), Endpoint()
         async with sidecar(old, new) as one:
-            one.told(old.entry("s-0"))
-            told = outcomes(one.engine)
+            one.apply_list(old.entry("s-0"))
+            told = record_outcomes(one.engine)
             opening = Opening(one)
-            asked = asyncio.create_task(one.ask(request("pay")))
+            asked = asyncio.create_task(one.send(request("pay")))
             await opening.asked.get()
             if change == "address":
-                one.told(new.entry("s-0"), new.entry("s-1"))
+                one.apply_list(new.entry("s-0"), new.entry("s-1"))
             elif change == "start":
-                one.told(old.entry("s-0", startedAtMs=1), new.entry("s-1"))
+                one.apply_list(old.entry("s-0", startedAtMs=1), new.entry("s-1"))
             elif change == "drain":
-                one.told(old.entry("s-0", lifecycle="draining"))
+                one.apply_list(old.entry("s-0", lifecycle="draining"))
             elif change == "drained":
-                one.told(old.entry("s-0", lifecycle="draining"), new.entry("s-1"))
+                one.apply_list(old.entry("s-0", lifecycle="draining"), new.entry("s-1"))
                 shift(one, 500_000)
             elif change == "held-up":
-                one.told(old.entry("s-0", lifecycle="draining"), new.entry("s-1"))
+                one.apply_list(old.entry("s-0", lifecycle="draining"), new.entry("s-1"))
                 shift(one, 500_000 - 150_000)
             opening.may_open.set()
             assert (await asked).status == 200
@@ -409,16 +409,16 @@
                 ended.append(has_ended(peer.taken[0]))
                 return real.outcome(now, event)
 
-            real = overrule(one.engine, outcome=outcome)
-            asked = asyncio.create_task(one.ask(request()))
+            real = override_decisions(one.engine, outcome=outcome)
+            asked = asyncio.create_task(one.send(request()))
             taken = await peer.accept()
             await peer.read(taken)
             await peer.loop.sock_sendall(taken, spoilt)
             if spoilt.startswith(b"HTTP"):  # it never ends
                 answering = one.upstream.receiving
-                await until(lambda: bool(answering.since))
-                (link,) = answering.since
-                answering.since[link] -= answering.seconds
+                await until(lambda: bool(answering.waiting_since))
+                (link,) = answering.waiting_since
+                answering.waiting_since[link] -= answering.timeout_s
                 answering.run()
             assert (await asked).status == 503, "a class that is safe to repeat"
             assert ended == [True]
@@ -440,7 +440,7 @@
 
     def ask(self) -> asyncio.Task[Message]:
         self.asked += 1
-        return asyncio.create_task(self.one.ask(request(self.cls, rid=f"r{self.asked}")))
+        return asyncio.create_task(self.one.send(request(self.cls, rid=f"r{self.asked}")))
 
     async def serve(self, behind: bytes = b"") -> socket.socket:
         """A whole exchange on a new connection, and what comes with its answer."""
@@ -519,7 +519,7 @@
             await serve_by(taken)
             for _ in range(MIN_IDLE):
                 await kept.serve()
-            assert len(one.upstream.idle_connections.since) == MIN_IDLE + 1
+            assert len(one.upstream.idle_connections.waiting_since) == MIN_IDLE + 1
             await serve_by(taken)
 
     run(main())
@@ -536,7 +536,7 @@
     opening = Opening(one)
     opening.small = True
     opening.may_open.set()
-    asked = asyncio.create_task(one.ask(request(cls, b"x" * 65_000)))
+    asked = asyncio.create_task(one.send(request(cls, b"x" * 65_000)))
     if cls == "put":  # its first attempt is written, and breaks
         taken = await peer.accept()
         await peer.read_all(taken, 65_000)
@@ -552,7 +552,7 @@
 def test_what_was_not_written_whole_never_ran(how: str) -> None:
     async def main() -> None:
         async with by_hand(max_attempts=1) as (one, peer):
-            told = outcomes(one.engine)
+            told = record_outcomes(one.engine)
             asked, taken = await half_written(one, peer)
             if how == "reset":
                 reset_by(taken)
@@ -573,7 +573,7 @@
 
     async def main() -> None:
         async with by_hand(max_attempts=1) as (one, peer):
-            told = outcomes(one.engine)
+            told = record_outcomes(one.engine)
             asked, taken = await half_written(one, peer)
             await peer.read_all(taken, 65_000)
             await until(lambda: not any(link.write_paused for link in one.upstream.connections))
@@ -590,9 +590,9 @@
     async def main() -> None:
         async with by_hand() as (one, peer):
             at = f"127.0.0.1:{peer.port}"
-            one.told(*(Endpoint().entry(f"s-{n}", hostPort=at) for n in range(2)))
+            one.apply_list(*(Endpoint().entry(f"s-{n}", hostPort=at) for n in range(2)))
             set_window(one, 3_000_000)
-            told = outcomes(one.engine)
+            told = record_outcomes(one.engine)
             asked, taken = await half_written(one, peer, "put")
             (call,) = one.engine.calls.values()
             come_due(one, call.attempts[1])
@@ -649,7 +649,7 @@
                 await until(lambda: sum(len(endpoint.got) for endpoint in endpoints) == 1 + before)
                 writer.close()
             await until(lambda: not one.engine.calls or not cancel)
-            await until(lambda: not one.upstream.connecting.since)
+            await until(lambda: not one.upstream.connecting.waiting_since)
             assert await count_got(endpoints) == before + (leaves == "behind")
 
     run(main())
@@ -675,7 +675,7 @@
         async with sidecar(*endpoints) as one:
             opening = Opening(one)
             await ends_first(one, endpoints, opening)
-            asked = asyncio.create_task(one.ask(request("put", b"b", deadline_ms=4000)))
+            asked = asyncio.create_task(one.send(request("put", b"b", deadline_ms=4000)))
             for _ in range(2):
                 await opening.asked.get()
             shift(one, 1_500_000)
@@ -691,7 +691,7 @@
 def test_a_deadline_in_the_turn_of_the_answer_gives_one_answer(first: str) -> None:
     async def main() -> None:
         async with by_hand() as (one, peer):
-            told = outcomes(one.engine)
+            told = record_outcomes(one.engine)
             reader, writer = await one.connect()
             writer.write(request("pay"))
             taken = await peer.accept()
@@ -724,7 +724,7 @@
 
     async def main() -> None:
         async with by_hand(max_attempts=1) as (one, peer):
-            asked = asyncio.create_task(one.ask(request("pay")))
+            asked = asyncio.create_task(one.send(request("pay")))
             taken = await peer.accept()
             await peer.read(taken)
             taken.send(b"HTTP/1.1 200 OK\r\n\r\nok")
@@ -746,7 +746,7 @@
     async def main() -> None:
         async with by_hand(max_attempts=1) as (one, peer):
             if when != "under-a-request":
-                asked = asyncio.create_task(one.ask(request("pay")))
+                asked = asyncio.create_task(one.send(request("pay")))
                 taken = await peer.accept()
                 await peer.read(taken)
                 await peer.loop.sock_sendall(taken, answer())
@@ -761,7 +761,7 @@
                 link.transport.pause_reading()  # as though the loop had no turn since
                 taken.send(half)
                 taken.close()
-            asked = asyncio.create_task(one.ask(request("pay", rid="r2")))
+            asked = asyncio.create_task(one.send(request("pay", rid="r2")))
             other = await peer.accept()
             await peer.read(other)
             if when == "under-a-request":
@@ -786,15 +786,15 @@
         release = asyncio.Event()
         old, new = Endpoint(after(release, serve(b"old"))), Endpoint(serve(b"new"))
         async with sidecar(old, new) as one:
-            one.told(old.entry("s-0"))
-            asked = asyncio.create_task(one.ask(request("pay")))
+            one.apply_list(old.entry("s-0"))
+            asked = asyncio.create_task(one.send(request("pay")))
             await old.arrived.acquire()
-            one.told(old.entry("s-0", **change), new.entry("s-1"), whole=False)
+            one.apply_list(old.entry("s-0", **change), new.entry("s-1"), whole=False)
             release.set()
             assert (await asked).body == b"old"
             await old.closed.acquire()
             if "lifecycle" in change:
-                assert (await one.ask(request("pay", rid="r2"))).body == b"new"
+                assert (await one.send(request("pay", rid="r2"))).body == b"new"
             assert await count_got([old]) == 1
 
     run(main())
@@ -806,12 +806,12 @@
     async def main() -> None:
         endpoints = [Endpoint(), Endpoint(), Endpoint(), Endpoint()]
         async with sidecar(*endpoints) as one:
-            told = outcomes(one.engine)
+            told = record_outcomes(one.engine)
             one.upstream.max_connections = 0
-            assert (await one.ask(request("pay"))).status == 503
+            assert (await one.send(request("pay"))).status == 503
             assert [event.outcome for event in told] == [MOOT] * len(told) and len(told) <= 4
             assert not await count_got(endpoints)
             one.upstream.max_connections = 1
-            assert (await one.ask(request("pay", rid="r2"))).status == 200
+            assert (await one.send(request("pay", rid="r2"))).status == 200
 
     run(main())
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -18,14 +18,14 @@
     Reader,
     Registry,
     Writer,
-    config,
     connect_until_up,
     free_port,
     push,
     read_message,
     request,
     run,
-    start,
+    start_daemon,
+    write_config,
 )
 
 # The daemon, held by its script until a line comes on its standard input: before the first of its
@@ -74,7 +74,7 @@
     async def main() -> None:
         old, new = Registry(), Registry()
         async with asyncio.timeout(60), await old.start(), await new.start():
-            environ = {**config(tmp_path, old), "LB_LISTEN": f"127.0.0.1:{free_port()}"}
+            environ = {**write_config(tmp_path, old), "LB_LISTEN": f"127.0.0.1:{free_port()}"}
             environ["LB_DISCOVERY"] = f"127.0.0.1:{old.port}"
             environ["PYTHONPATH"] = os.getcwd()
             process = await held(environ, at)
@@ -98,8 +98,8 @@
     async def main() -> None:
         old, new = Registry(), Registry()
         async with asyncio.timeout(60), await old.start(), await new.start():
-            environ = {**config(tmp_path, old), "LB_LISTEN": f"127.0.0.1:{free_port()}"}
-            process = await start(environ)
+            environ = {**write_config(tmp_path, old), "LB_LISTEN": f"127.0.0.1:{free_port()}"}
+            process = await start_daemon(environ)
             await old.asked.get()
             file = Path(environ["LB_CONFIG"])
             raw = json.loads(file.read_text())
@@ -165,7 +165,9 @@
         registry.port = at
         async with await known.start(), await listed.start():
             listener = await unwell.start(at) if unwell is not None else None
-            process = await start({**config(tmp_path, registry, known), "LB_LISTEN": f"127.0.0.1:{port}"})
+            process = await start_daemon(
+                {**write_config(tmp_path, registry, known), "LB_LISTEN": f"127.0.0.1:{port}"}
+            )
             reader, writer = await connect_until_up(port)
             writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
             assert (await read_message(reader)).status == 200
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -375,7 +375,7 @@
         sink = Sink()
         async with Agent() as agent:
             one = source(agent, sink, pushed=True, silent_s=60.0, answer_s=60.0)
-            one.background.seconds = 0.0  # a step a turn
+            one.background.slice_s = 0.0  # a step a turn
             _, watch = await agent.asked.get()
             begin(watch)
             entries = [entry(f"s-{n}") for n in range(1_000)]
@@ -402,7 +402,7 @@
         sink = Sink()
         async with Agent() as agent:
             one = source(agent, sink, pushed=True, silent_s=60.0, answer_s=60.0)
-            one.background.seconds = 0.0
+            one.background.slice_s = 0.0
             _, watch = await agent.asked.get()
             begin(watch)
             raw = json.dumps(listing(43, *(entry(f"s-{n}") for n in range(1_000)), whole=True)).encode()
@@ -430,7 +430,7 @@
         sink = Sink()
         async with Agent() as old, Agent() as new:
             one = source(old, sink, pushed=True, silent_s=60.0, answer_s=60.0)
-            one.background.seconds = 0.0  # a step a turn
+            one.background.slice_s = 0.0  # a step a turn
             _, watch = await old.asked.get()
             begin(watch)
             push(watch, 90, True, *(entry(f"s-{n}") for n in range(3_000)))
--- a/tests/test_flow_control.py
+++ b/tests/test_flow_control.py
@@ -13,7 +13,7 @@
 from laurelstep.engine.body_stream import BodyStream
 from laurelstep.flow_control.buffer_budget import MAX_BUFFERED, UNCOUNTED, BufferBudget, budget_for
 from laurelstep.flow_control.throughput import GRACE_S, MIN_RATE, has_min_throughput
-from laurelstep.net.message import LARGE_MAX
+from laurelstep.net.message import MAX_STREAMED_BODY_BYTES
 from laurelstep.testing.endpoints import reset_connection
 
 from tests.sockets import (
@@ -23,9 +23,9 @@
     Sidecar,
     Writer,
     answer,
-    hold,
-    outcomes,
+    never_answer,
     read_message,
+    record_outcomes,
     request,
     run,
     serve_ok,
@@ -168,8 +168,8 @@
 def nothing_held(one: Sidecar) -> None:
     daemon = one.server
     assert daemon.request_budget.used == 0 and not one.engine.calls and not one.engine.forwarding
-    assert not daemon.uploading.since and not daemon.write_stalled.since
-    assert not one.upstream.streaming.since and not one.upstream.write_stalled.since
+    assert not daemon.uploading.waiting_since and not daemon.write_stalled.waiting_since
+    assert not one.upstream.streaming.waiting_since and not one.upstream.write_stalled.waiting_since
 
 
 @pytest.mark.parametrize("size", [100, 64 * 1024 + 1, MAX_BUFFERED, MAX_BUFFERED + 1, len(BIG)])
@@ -230,7 +230,7 @@
     async def main() -> None:
         endpoints = Breaks(), Breaks()
         async with sidecar(*endpoints) as one:
-            told = outcomes(one.engine)
+            told = record_outcomes(one.engine)
             reader, writer = await one.connect()
             writer.write(head(len(BIG)) + BIG[: 2 * MB])
             back = await read_message(reader)
@@ -267,8 +267,8 @@
 
         endpoint = Endpoint(broken)
         async with sidecar(endpoint) as one:
-            told = outcomes(one.engine)
-            back = await one.ask(head(len(BIG)) + BIG)
+            told = record_outcomes(one.engine)
+            back = await one.send(head(len(BIG)) + BIG)
             assert back.status == 502 and [event.outcome for event in told] == [RESET]
             assert len(endpoint.got) == 1
             nothing_held(one)
@@ -306,7 +306,7 @@
         endpoint = Deaf()
         async with sidecar(endpoint) as one:
             reader, writer = await one.connect()
-            writer.write(head(LARGE_MAX))
+            writer.write(head(MAX_STREAMED_BODY_BYTES))
             writer.transport.set_write_buffer_limits(high=0)
 
             async def pour() -> None:
@@ -317,9 +317,9 @@
 
             pouring = asyncio.create_task(pour())
             stalled = one.upstream.write_stalled
-            await until(lambda: bool(stalled.since))
-            for link in stalled.since:
-                stalled.since[link] -= stalled.seconds  # nothing was read for so long
+            await until(lambda: bool(stalled.waiting_since))
+            for link in stalled.waiting_since:
+                stalled.waiting_since[link] -= stalled.timeout_s  # nothing was read for so long
             stalled.run()
             back = await read_message(reader)
             assert back.status in (502, 503) and back.headers["connection"] == "close"
@@ -328,7 +328,7 @@
             writer.transport.abort()
             for open_ in endpoint.open:
                 open_.transport.abort()
-            await until(lambda: not one.callers)
+            await until(lambda: not one.connection_count)
 
     run(main())
 
@@ -338,7 +338,7 @@
         endpoint = Deaf()
         async with sidecar(endpoint) as one:
             _, writer = await one.connect()
-            writer.write(head(LARGE_MAX))
+            writer.write(head(MAX_STREAMED_BODY_BYTES))
             writer.transport.set_write_buffer_limits(high=0)
             body = bytes(MB)
 
@@ -348,7 +348,7 @@
                     await writer.drain()
 
             pouring = asyncio.create_task(pour())
-            await until(lambda: bool(one.upstream.write_stalled.since))
+            await until(lambda: bool(one.upstream.write_stalled.waiting_since))
             (caller,) = one.server.connections
             (link,) = one.upstream.connections
             size = caller.size
@@ -372,7 +372,7 @@
         async with sidecar(endpoint) as one:
             reader, writer = await one.connect()
             writer.write(head(3000))
-            waiting = one.server.awaiting_request.since
+            waiting = one.server.awaiting_request.waiting_since
             for part in pieces(BIG[:3000], 1000):
                 await until(lambda: bool(waiting) and next(iter(waiting)).parsed is not None)
                 (caller,) = waiting
@@ -410,7 +410,7 @@
             assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
             writer.write(b"12345")
             assert (await read_message(reader)).status == 200 and endpoint.got[0].body == b"12345"
-            writer.write(head(LARGE_MAX + 1, rid="r2", headers="Expect: 100-continue\r\n"))
+            writer.write(head(MAX_STREAMED_BODY_BYTES + 1, rid="r2", headers="Expect: 100-continue\r\n"))
             assert (await read_message(reader)).status == 413
 
     run(main())
@@ -457,7 +457,7 @@
         if how == "end":
             endpoint = giving(framed(BIG[:size], how), end)
         async with sidecar(endpoint) as one:
-            told = outcomes(one.engine)
+            told = record_outcomes(one.engine)
             reader, writer = await one.connect()
             for rid in ("r1", "r2"):
                 writer.write(request(rid=rid))
@@ -508,10 +508,12 @@
 
 def test_an_answer_too_large_by_its_length_is_none() -> None:
     async def main() -> None:
-        endpoint = giving(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (LARGE_MAX + 1) + BIG)
+        endpoint = giving(
+            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_STREAMED_BODY_BYTES + 1) + BIG
+        )
         async with sidecar(endpoint) as one:
-            told = outcomes(one.engine)
-            back = await one.ask(request("pay", b"b"))
+            told = record_outcomes(one.engine)
+            back = await one.send(request("pay", b"b"))
             assert back.status == 502 and [event.outcome for event in told] == [ERROR]
 
     run(main())
@@ -533,13 +535,13 @@
             reader, writer = await one.connect()
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             writer.write(request())
-            await until(lambda: bool(one.server.write_stalled.since))
+            await until(lambda: bool(one.server.write_stalled.waiting_since))
             (caller,) = one.server.connections
             assert caller.transport is not None
             for _ in range(200):
                 await asyncio.sleep(0)
             assert caller.transport.get_write_buffer_size() < MB and not poured.is_set()
-            assert one.server.write_stalled.since and not one.upstream.streaming.since
+            assert one.server.write_stalled.waiting_since and not one.upstream.streaming.waiting_since
             writer.transport.resume_reading()  # type: ignore[attr-defined]
             await reader.readuntil(b"\r\n\r\n")
             assert len(await reader.readexactly(32 * (MB - 1))) == 32 * (MB - 1)
@@ -563,9 +565,9 @@
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             writer.write(request())
             stuck = one.server.write_stalled
-            await until(lambda: bool(stuck.since))
-            for caller in stuck.since:
-                stuck.since[caller] -= stuck.seconds  # it has not read for so long
+            await until(lambda: bool(stuck.waiting_since))
+            for caller in stuck.waiting_since:
+                stuck.waiting_since[caller] -= stuck.timeout_s  # it has not read for so long
             stuck.run()
             await until(lambda: not one.server.connections and not one.upstream.connections)
             assert counted(one) == (0, 0, 0, 1, 0), "it counts as one who left"
@@ -638,12 +640,12 @@
 
         endpoint = giving(answer(200, b"123456789")[:-4], rest)
         async with sidecar(endpoint) as one:
-            asked = asyncio.create_task(one.ask(request("pay", b"b")))
-            await until(lambda: bool(one.upstream.receiving.since))
-            (link,) = one.upstream.receiving.since
+            asked = asyncio.create_task(one.send(request("pay", b"b")))
+            await until(lambda: bool(one.upstream.receiving.waiting_since))
+            (link,) = one.upstream.receiving.waiting_since
             if stays:
                 link.received_at_check = 0  # something came since it was looked at last
-                del one.upstream.receiving.since[link]
+                del one.upstream.receiving.waiting_since[link]
                 link.on_response_timeout()
                 go.set()
                 assert (await asked).body == b"123456789"
@@ -672,7 +674,7 @@
             writer.write(request())
             await reader.readuntil(b"\r\n\r\n")
             await reader.readexactly(128 * 1024)
-            (link,) = one.upstream.streaming.since
+            (link,) = one.upstream.streaming.waiting_since
             pace_s = GRACE_S + link.size / MIN_RATE
             if held:
                 link.pause()
@@ -698,7 +700,7 @@
     """Forty uploads at once, none of them whole: what is over the budget is streamed."""
 
     async def main() -> None:
-        endpoint = Endpoint(hold)
+        endpoint = Endpoint(never_answer)
         async with sidecar(endpoint) as one:
             one.server.request_budget.limit = MB
             streams = [await one.connect() for _ in range(40)]
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -44,17 +44,17 @@
 
 from tests.sockets import (
     SETTINGS,
-    TIMEOUT_S,
+    TEST_TIMEOUT_S,
     Endpoint,
     Message,
     Registry,
     Writer,
     answer,
-    config,
     free_port,
     request,
     run,
-    start,
+    start_daemon,
+    write_config,
 )
 from tests.upgrades import Load, Site, Version, kill
 
@@ -574,9 +574,9 @@
 def test_without_a_second_address_nothing_is_put_into_the_folder(tmp_path: Path) -> None:
     async def main() -> None:
         registry = Registry()
-        async with await registry.start(), asyncio.timeout(TIMEOUT_S):
-            told = {**config(tmp_path, registry), "TMPDIR": str(tmp_path)}
-            process = await start({**told, "LB_LISTEN": f"127.0.0.1:{free_port()}"})
+        async with await registry.start(), asyncio.timeout(TEST_TIMEOUT_S):
+            told = {**write_config(tmp_path, registry), "TMPDIR": str(tmp_path)}
+            process = await start_daemon({**told, "LB_LISTEN": f"127.0.0.1:{free_port()}"})
             await registry.asked.get()
             assert [path.name for path in tmp_path.iterdir()] == ["config.json"]
             process.terminate()
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -24,7 +24,7 @@
 from laurelstep.testing.endpoints import reset_connection
 
 from tests.fakes import Answers, ManualClock, PlayedUpstream, entry, number
-from tests.sockets import SETTINGS, TIMEOUT_S
+from tests.sockets import SETTINGS, TEST_TIMEOUT_S
 from tests.test_library import member, nothing_held
 
 GRACE_US = 500_000
@@ -359,7 +359,7 @@
 
 async def play(steps: list[tuple[Any, ...]]) -> None:
     gates = Gates()
-    async with contextlib.AsyncExitStack() as stack, asyncio.timeout(TIMEOUT_S):
+    async with contextlib.AsyncExitStack() as stack, asyncio.timeout(TEST_TIMEOUT_S):
         for endpoint in gates.endpoints:
             await stack.enter_async_context(endpoint)
         members = [member(one, f"s-{n}") for n, one in enumerate(gates.endpoints)]
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -32,7 +32,7 @@
     status,
 )
 
-from tests.sockets import SETTINGS, TIMEOUT_S, outcomes, overrule
+from tests.sockets import SETTINGS, TEST_TIMEOUT_S, override_decisions, record_outcomes
 
 VIEW = Request("page", "/page?obj=7f", tenant="acme")
 PAY = Request("pay", "/pay", method="POST", body=b"sum")
@@ -50,7 +50,7 @@
 @contextlib.asynccontextmanager
 async def opened(*endpoints: Endpoint, **ceilings: Any) -> AsyncIterator[Client]:
     """A client of these endpoints, which are `s-0`, `s-1` and so on."""
-    async with contextlib.AsyncExitStack() as stack, asyncio.timeout(TIMEOUT_S):
+    async with contextlib.AsyncExitStack() as stack, asyncio.timeout(TEST_TIMEOUT_S):
         for endpoint in endpoints:
             await stack.enter_async_context(endpoint)
         members = [member(one, f"s-{n}") for n, one in enumerate(endpoints)]
@@ -210,7 +210,7 @@
                 raise RuntimeError("broken")
 
             counting = asyncio.create_task(count())
-            overrule(client.engine, request=broken)
+            override_decisions(client.engine, request=broken)
             for _ in range(10):
                 reply = await client.send(VIEW)
                 assert reply.outcome is Ending.FAILED, "a fault of the module is answered"
@@ -250,7 +250,7 @@
     async def main() -> None:
         endpoint = Endpoint()
         async with opened(endpoint) as client:
-            told = outcomes(client.engine)
+            told = record_outcomes(client.engine)
             task = asyncio.create_task(client.send(PAY))
             await asyncio.sleep(0)
             (link,) = client._parts.upstream.connections
@@ -268,7 +268,7 @@
         effects = Effects()
         endpoints = [Endpoint(stall(), effects=effects), Endpoint(stall(), effects=effects)]
         async with opened(*endpoints) as client:
-            told = outcomes(client.engine)
+            told = record_outcomes(client.engine)
             task = asyncio.create_task(client.send(PAY))
             first = {asyncio.create_task(one.arrived.acquire()) for one in endpoints}
             _, pending = await asyncio.wait(first, return_when=asyncio.FIRST_COMPLETED)
@@ -295,7 +295,7 @@
         endpoint = Endpoint(in_turn(half, serve()))
         async with opened(endpoint) as client:
             task = asyncio.create_task(client.send(PAY))
-            while not client._parts.upstream.receiving.since:
+            while not client._parts.upstream.receiving.waiting_since:
                 await asyncio.sleep(0)
             await cancelled(task)
             await endpoint.closed.acquire()
@@ -309,7 +309,7 @@
     async def main() -> None:
         endpoint = Endpoint()
         async with opened(endpoint) as client:
-            told = outcomes(client.engine)
+            told = record_outcomes(client.engine)
             task = asyncio.create_task(client.send(PAY))
             (exchange,) = await until_taken(client)
             while not exchange.final_reply.done():
@@ -577,7 +577,7 @@
     async def main() -> None:
         endpoint = Endpoint()
         async with opened(endpoint) as client:
-            told = outcomes(client.engine)
+            told = record_outcomes(client.engine)
             asked = asyncio.create_task(client.send(Request("pay", "/pay", "POST", deadline_s=0.2)))
             await asyncio.sleep(0)
             (link,) = client._parts.upstream.connections
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -22,7 +22,7 @@
 from tests.conftest import Logged
 from tests.fakes import ManualClock, PlayedUpstream
 from tests.helpers import on_ring
-from tests.sockets import Endpoint, Registry, Sidecar, outcomes, push, push_raw, request, run, sidecar
+from tests.sockets import Endpoint, Registry, Sidecar, push, push_raw, record_outcomes, request, run, sidecar
 
 ZONES = ("east", "west")
 SETTINGS = Settings(
@@ -256,15 +256,15 @@
     async def main() -> None:
         stays, drains, registry = Endpoint(), Endpoint(), Registry()
         async with sidecar(stays, drains, registry=registry) as one:
-            source(one).background.seconds = 0.0  # each step a slice of its own
+            source(one).background.slice_s = 0.0  # each step a slice of its own
             _, watch = await registry.asked.get()
-            told = outcomes(one.engine)
+            told = record_outcomes(one.engine)
             listed = [stays.entry("s-a"), *(raw(n, "draining") for n in range(10_000))]
             listed.append(drains.entry("s-1", lifecycle="draining"))
             push(watch, 42, True, *listed)
             served = 0
             while endpoint_number("s-a") not in one.engine.members.places:
-                assert (await one.ask(request(rid=f"r{served}"))).body == b"ok"
+                assert (await one.send(request(rid=f"r{served}"))).body == b"ok"
                 served += 1
             while source(one).busy:
                 await asyncio.sleep(0)
@@ -272,7 +272,7 @@
             assert one.engine.members.places[endpoint_number("s-1")].withdrawn_at is not None
             before = len(drains.got)
             for n in range(20):
-                assert (await one.ask(request(rid=f"x{n}"))).body == b"ok"
+                assert (await one.send(request(rid=f"x{n}"))).body == b"ok"
             assert len(drains.got) == before and len(told) >= served
             assert on_ring(one.engine.balancer) == [endpoint_number("s-a")]
 
@@ -283,7 +283,7 @@
     async def main() -> None:
         first, second, registry = Endpoint(), Endpoint(), Registry()
         async with sidecar(first, second, registry=registry) as one:
-            source(one).background.seconds = 0.0
+            source(one).background.slice_s = 0.0
             _, watch = await registry.asked.get()
             push(watch, 42, True, *entries(2_000, first.entry("s-a")))
             push(
@@ -314,7 +314,7 @@
             push_raw(watch, line[:-2].encode() + b"}\n")
             await registry.asked.get()
             assert source(one).generation == 41
-            assert (await one.ask(request())).body == b"ok"
+            assert (await one.send(request())).body == b"ok"
 
     run(main())
     assert "bad line from discovery" in logged()
--- a/tests/test_maintenance_daemon.py
+++ b/tests/test_maintenance_daemon.py
@@ -15,7 +15,7 @@
 from laurelstep.hot_restart.rendezvous import RendezvousPoint
 from laurelstep.testing import whole_list
 
-from tests.sockets import TIMEOUT_S, Endpoint, free_port, read_message, request, run
+from tests.sockets import TEST_TIMEOUT_S, Endpoint, free_port, read_message, request, run
 from tests.upgrades import Site, Version
 
 OPERATOR = "[accord]\nheartbeat_ms = 20\nelection_ms = 60\n[upkeep]\n"
@@ -102,7 +102,7 @@
 
 def test_a_start_waits_until_the_record_is_known_and_may_be_stopped(tmp_path: Path) -> None:
     async def main() -> None:
-        async with site(tmp_path, Endpoint(), copies=3) as one, asyncio.timeout(TIMEOUT_S):
+        async with site(tmp_path, Endpoint(), copies=3) as one, asyncio.timeout(TEST_TIMEOUT_S):
             version = await start(one)
             await answers(version)
             status, found = await told(version)
@@ -125,7 +125,7 @@
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        async with site(tmp_path, Endpoint(), copies=3) as one, asyncio.timeout(TIMEOUT_S):
+        async with site(tmp_path, Endpoint(), copies=3) as one, asyncio.timeout(TEST_TIMEOUT_S):
             rendezvous = RendezvousPoint(("127.0.0.1", one.port), str(tmp_path))
             rendezvous.register()
             with socket.create_server(("127.0.0.1", one.port)) as listener:
@@ -152,7 +152,7 @@
     async def main() -> None:
         endpoint = Endpoint()
         more = 'start_alone = "serve"\nlearn_ms = 50\n'
-        async with site(tmp_path, endpoint, copies=3, more=more) as one, asyncio.timeout(TIMEOUT_S):
+        async with site(tmp_path, endpoint, copies=3, more=more) as one, asyncio.timeout(TEST_TIMEOUT_S):
             version = await start(one)
             await version.until_ready()
             assert (await one.ask(request())).status == 200
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -23,7 +23,7 @@
 from tests.helpers import MS, SECOND, fleet, sends
 from tests.sockets import (
     SETTINGS,
-    TIMEOUT_S,
+    TEST_TIMEOUT_S,
     Endpoint,
     Message,
     Reader,
@@ -31,15 +31,15 @@
     Sidecar,
     Writer,
     answer,
-    config,
     connect_until_up,
     free_port,
-    hold,
+    never_answer,
     read_message,
     request,
     run,
     sidecar,
-    start,
+    start_daemon,
+    write_config,
 )
 
 HEALTH = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -151,7 +151,7 @@
             for _, writer in stuck[::2]:
                 writer.write(b"G")
             assert await one.call("GET /api/ready") == 200
-            assert len(one.management.open.since) <= CALLS_MOST
+            assert len(one.management.open.waiting_since) <= CALLS_MOST
             assert await stuck[0][0].read() == b"", "of too many the oldest is ended"
             for _, writer in stuck:
                 writer.close()
@@ -164,12 +164,12 @@
         async with desk() as one:
             reader, writer = await one.connect()
             writer.write(b"GET /api")
-            while not any(visitor.size for visitor in one.management.open.since):
+            while not any(visitor.size for visitor in one.management.open.waiting_since):
                 await asyncio.sleep(0)
-            one.management.waiting.seconds = 0.0
+            one.management.waiting.timeout_s = 0.0
             one.management.waiting.run()
             assert await reader.read() == b""
-            assert not one.management.open.since
+            assert not one.management.open.waiting_since
             writer.close()
 
     run(main())
@@ -178,10 +178,10 @@
 def test_one_that_asks_and_never_reads_is_cut() -> None:
     async def main() -> None:
         async with desk() as one:
-            one.management.open.seconds = 0.0
+            one.management.open.timeout_s = 0.0
             _, writer = await one.connect()
             writer.write(call("GET /api/telemetry"))
-            while one.management.open.since or not one.management.listener:
+            while one.management.open.waiting_since or not one.management.listener:
                 await asyncio.sleep(0)
             writer.close()
 
@@ -192,7 +192,7 @@
 
 
 async def health(one: Sidecar) -> int:
-    return (await one.ask(HEALTH)).status
+    return (await one.send(HEALTH)).status
 
 
 def test_a_drain_sends_callers_away_and_its_end_brings_them_back() -> None:
@@ -208,7 +208,7 @@
             back = await read_message(reader)
             assert back.body == b"ok" and back.headers["connection"] == "close"
             assert await reader.read() == b""
-            assert (await one.one.ask(request(rid="c"))).body == b"ok", "what still comes is served"
+            assert (await one.one.send(request(rid="c"))).body == b"ok", "what still comes is served"
             assert await one.call("POST /api/evacuate") == 200, "a second call does no harm"
             assert await one.call("POST /api/rejoin") == 200
             assert await health(one.one) == 200 and await one.call("GET /api/ready") == 200
@@ -229,15 +229,15 @@
             half, half_writer = await one.one.connect()
             half_writer.write(request("pay", b"body", rid="b")[:-2])
             while len(one.one.server.connections) < 3 or not all(
-                c.received for c in one.one.server.awaiting_request.since
+                c.received for c in one.one.server.awaiting_request.waiting_since
             ):
                 await asyncio.sleep(0)
                 if sum(1 for c in one.one.server.connections if c.received) == 1:
                     break
             one.one.server.lifecycle.evacuate(asyncio.get_running_loop().time())
-            one.one.server.shutdown.end_resting()
+            one.one.server.shutdown.close_idle_and_silent()
             assert await resting.read() == b"" and await silent.read() == b""
-            one.one.server.shutdown.end_drain()
+            one.one.server.shutdown.finish_drain()
             back = await read_message(half)
             assert back.status == 503 and await half.read() == b"" and len(endpoint.got) == 1
             assert one.one.server.lifecycle.phase == Phase.DRAINED
@@ -261,7 +261,7 @@
             writer.write(request(rid="b"))
             while not caller.has_unread():  # it has come, and was not read
                 pass
-            one.one.server.shutdown.end_resting()
+            one.one.server.shutdown.close_idle_and_silent()
             back = await read_message(reader)
             assert back.body == b"ok" and back.headers["connection"] == "close"
             writer.close()
@@ -280,10 +280,10 @@
             whole = request("pay", b"body")
             writer.write(whole[:-1])
             while not all(
-                caller.received == len(whole) - 1 for caller in one.one.server.awaiting_request.since
+                caller.received == len(whole) - 1 for caller in one.one.server.awaiting_request.waiting_since
             ):
                 await asyncio.sleep(0)
-            while not one.one.server.awaiting_request.since:
+            while not one.one.server.awaiting_request.waiting_since:
                 await asyncio.sleep(0)
             (caller,) = one.one.server.connections
             one.one.server.lifecycle.evacuate(asyncio.get_running_loop().time())
@@ -291,7 +291,7 @@
                 writer.write(whole[-1:])
                 while not caller.has_unread():  # it has come, and was not read
                     pass
-            one.one.server.shutdown.end_drain()
+            one.one.server.shutdown.finish_drain()
             if first == "end":
                 writer.write(whole[-1:])
             back = await read_message(reader)
@@ -324,7 +324,7 @@
     async def main() -> None:
         async with desk() as one:
             server = one.one.server
-            server.latecomers.seconds = 0.0
+            server.late_connections.timeout_s = 0.0
             server.lifecycle.evacuate(asyncio.get_running_loop().time() - 1.5)
             reader, writer = await one.one.connect()
             assert await reader.read() == b""
@@ -359,14 +359,14 @@
 def test_a_stop_wins_over_a_drain(tmp_path: Path) -> None:
     async def main() -> None:
         registry = Registry()
-        async with await registry.start(), asyncio.timeout(TIMEOUT_S):
+        async with await registry.start(), asyncio.timeout(TEST_TIMEOUT_S):
             port, second = free_port(), free_port()
             environ = {
-                **config(tmp_path, registry),
+                **write_config(tmp_path, registry),
                 "LB_LISTEN": f"127.0.0.1:{port}",
                 "LB_MANAGEMENT": f"127.0.0.1:{second}",
             }
-            process = await start(environ)
+            process = await start_daemon(environ)
             for words, status in (("POST /api/evacuate", 200), ("GET /api/ready", 503)):
                 reader, writer = await connect_until_up(second)
                 if words.startswith("POST"):
@@ -394,8 +394,8 @@
 
         endpoint = Endpoint(by_class)
         async with desk(endpoint) as one:
-            assert (await one.one.ask(request(rid="a"))).status == 200
-            assert (await one.one.ask(request("pay", b"b", rid="b"))).status == 502
+            assert (await one.one.send(request(rid="a"))).status == 200
+            assert (await one.one.send(request("pay", b"b", rid="b"))).status == 502
             _, writer = await one.one.connect()
             writer.write(request("put", b"b", rid="c"))
             while len(endpoint.got) < 3:
@@ -419,8 +419,8 @@
     """Counted when its last byte is with the system, not when the first is."""
 
     async def main() -> None:
-        async with desk(Endpoint(hold)) as one:
-            asked = asyncio.create_task(one.one.ask(request("pay", b"x" * 60_000, rid="a")))
+        async with desk(Endpoint(never_answer)) as one:
+            asked = asyncio.create_task(one.one.send(request("pay", b"x" * 60_000, rid="a")))
             while not one.one.upstream.connections:
                 await asyncio.sleep(0)
             (link,) = one.one.upstream.connections
@@ -439,14 +439,14 @@
     async def main() -> None:
         first, second = Endpoint(), Endpoint()
         async with desk(first, second) as one:
-            one.one.told(second.entry("s-1", lifecycle="draining"), whole=False)
+            one.one.apply_list(second.entry("s-1", lifecycle="draining"), whole=False)
             seen = await one.figures()
             assert (seen["lb_cluster_size"], seen["lb_cluster_unhealthy"]) == (2, 1)
-            one.one.told(second.entry("s-1", lifecycle="gone"), whole=False)
+            one.one.apply_list(second.entry("s-1", lifecycle="gone"), whole=False)
             seen = await one.figures()
             assert (seen["lb_cluster_size"], seen["lb_cluster_unhealthy"]) == (1, 0)
-            one.one.told(second.entry("s-1", lifecycle="draining"), whole=False)
-            one.one.told(first.entry("s-0"))
+            one.one.apply_list(second.entry("s-1", lifecycle="draining"), whole=False)
+            one.one.apply_list(first.entry("s-0"))
             assert (await one.figures())["lb_cluster_size"] == 1
 
     run(main())
@@ -507,11 +507,11 @@
 
 def test_a_second_address_in_use_is_one_line_and_status_2(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Endpoint() as taken, asyncio.timeout(TIMEOUT_S):
+        async with Endpoint() as taken, asyncio.timeout(TEST_TIMEOUT_S):
             registry = Registry()
             registry.port = 1
-            environ = {**config(tmp_path, registry), "LB_MANAGEMENT": f"127.0.0.1:{taken.port}"}
-            process = await start(environ)
+            environ = {**write_config(tmp_path, registry), "LB_MANAGEMENT": f"127.0.0.1:{taken.port}"}
+            process = await start_daemon(environ)
             _, errors = await process.communicate()
             assert process.returncode == 2 and errors.count(b"\n") == 1 and b"can't listen" in errors
 
@@ -522,9 +522,9 @@
     async def main() -> None:
         async with desk() as one:
             reader, writer = await one.connect()
-            while not one.management.open.since:
+            while not one.management.open.waiting_since:
                 await asyncio.sleep(0)
-            (visitor,) = one.management.open.since
+            (visitor,) = one.management.open.waiting_since
             assert isinstance(visitor, ManagementConnection)
             one.management.close()
             assert await reader.read() == b"" and visitor.is_over
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -90,7 +90,7 @@
     for n in range(first, first + ROUNDS):
         await ask(one, caller, way, n)
     caller.close()
-    while one.callers or one.engine.calls:
+    while one.connection_count or one.engine.calls:
         await asyncio.sleep(0)
     gc.collect()
     return sys.getallocatedblocks()
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -21,7 +21,7 @@
 from laurelstep.engine.body_stream import BodyStream
 from laurelstep.flow_control.buffer_budget import MAX_BUFFERED
 from laurelstep.net.assembly import Assembly
-from laurelstep.net.message import LARGE_MAX
+from laurelstep.net.message import MAX_STREAMED_BODY_BYTES
 from laurelstep.net.server import Server
 from laurelstep.outbox import bodies, replay_driver
 from laurelstep.outbox import driver as driving
@@ -37,7 +37,7 @@
 from laurelstep.testing.disk import SimulatedDisk
 from laurelstep.testing.endpoints import Listener
 
-from tests.sockets import SETTINGS, TIMEOUT_S, Endpoint, Message, Reader, Writer, read_message, run
+from tests.sockets import SETTINGS, TEST_TIMEOUT_S, Endpoint, Message, Reader, Writer, read_message, run
 from tests.test_outbox_daemon import edge as process
 
 NO_SPACE = OSError(errno.ENOSPC, "No space left on device")
@@ -70,7 +70,7 @@
         super().create(name, data)
 
     def sync(self, name: str) -> None:
-        self.open.wait(TIMEOUT_S)
+        self.open.wait(TEST_TIMEOUT_S)
         super().sync(name)
 
 
@@ -182,7 +182,7 @@
     parts.start()
     driver.begin(parts.engine)
     server = Server(loop, parts.engine)
-    server.uploading.seconds = TIMEOUT_S  # the tests leave some half sent, and the machine may be slow
+    server.uploading.timeout_s = TEST_TIMEOUT_S  # the tests leave some half sent, and the machine may be slow
     port = await server.listen("127.0.0.1", 0)
     assert server.listener is not None
     stack.callback(server.listener.close)
@@ -194,7 +194,7 @@
 @contextlib.asynccontextmanager
 async def edge(disk: SimulatedDisk | None = None, off: bool = True, **changes: Any) -> AsyncIterator[Edge]:
     """It is cut off at first, and one small write `prime` is kept."""
-    async with asyncio.timeout(TIMEOUT_S), Endpoint() as endpoint, contextlib.AsyncExitStack() as stack:
+    async with asyncio.timeout(TEST_TIMEOUT_S), Endpoint() as endpoint, contextlib.AsyncExitStack() as stack:
         found = await _life(disk or Disk(), endpoint, stack, changes)
         if off:
             await found.cut_off()
@@ -308,7 +308,7 @@
 
 def test_the_count_would_show_a_client_that_is_not_held_back(monkeypatch: pytest.MonkeyPatch) -> None:
     held = watch(monkeypatch)
-    monkeypatch.setattr(bodies, "HELD_EACH", LARGE_MAX)
+    monkeypatch.setattr(bodies, "HELD_EACH", MAX_STREAMED_BODY_BYTES)
 
     async def main() -> None:
         disk = Disk()
@@ -829,7 +829,7 @@
     """A write of five parts in a store; the numbers of the parts that were read."""
 
     async def main() -> None:
-        async with asyncio.timeout(TIMEOUT_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             store = await QueueStore.open(SimulatedDisk(), 64 << 20)
             await store.load()
             write, body = write_with_body(1, 300_000)
--- a/tests/test_outbox_daemon.py
+++ b/tests/test_outbox_daemon.py
@@ -21,7 +21,7 @@
 
 from tests.sockets import (
     SETTINGS,
-    TIMEOUT_S,
+    TEST_TIMEOUT_S,
     Endpoint,
     Handler,
     Message,
@@ -30,7 +30,7 @@
     free_port,
     read_message,
     run,
-    start,
+    start_daemon,
 )
 
 TABLE = """
@@ -72,7 +72,7 @@
             **os.environ, "LB_CONFIG": str(self.folder / "config.json"),
             "LB_OPERATOR": str(self.folder / "operator.toml"),
         }  # fmt: skip
-        self.process = await start(environ)
+        self.process = await start_daemon(environ)
         while self.process.returncode is None:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 if (await self.exchange("GET /api/ready", port=self.management)).status == 200:
@@ -126,7 +126,7 @@
 async def edge(folder: Path, more: str = "", up: bool = False) -> AsyncIterator[Edge]:
     """Its link is down at first."""
     endpoint, registry = Endpoint(), Registry()
-    async with contextlib.AsyncExitStack() as stack, asyncio.timeout(TIMEOUT_S):
+    async with contextlib.AsyncExitStack() as stack, asyncio.timeout(TEST_TIMEOUT_S):
         listener = await registry.start()
         stack.callback(listener.close)
         await stack.enter_async_context(endpoint)
@@ -440,7 +440,7 @@
         ):
             path = tmp_path / "operator.toml"
             path.write_text(DEPLOYMENT + ON.replace("/s/outbox", str(store)) + text)
-            process = await start({**os.environ, "LB_OPERATOR": str(path), "LB_CONFIG": ""})
+            process = await start_daemon({**os.environ, "LB_OPERATOR": str(path), "LB_CONFIG": ""})
             _, told = await process.communicate()
             assert process.returncode == 2, told
             assert told.decode().count("\n") == 1 and f"{path}: {line}" in told.decode()
--- a/tests/test_outbox_edge.py
+++ b/tests/test_outbox_edge.py
@@ -14,7 +14,7 @@
 import pytest
 from laurelstep.engine.call import Answer, Call
 from laurelstep.net.assembly import Assembly
-from laurelstep.net.message import lines
+from laurelstep.net.message import encode_headers
 from laurelstep.outbox.causality_tokens import CausalityTokens
 from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.driver import OutboxDriver
@@ -52,7 +52,7 @@
 from laurelstep.testing import Endpoint, Message, Writer, answer
 from laurelstep.testing.endpoints import reset_connection
 
-from tests.sockets import TIMEOUT_S, run
+from tests.sockets import TEST_TIMEOUT_S, run
 
 OWN, FORMER, OTHER = EdgeLog("ash", 7), EdgeLog("ash", 3), EdgeLog("oak", 9)
 SECOND = 1_000_000
@@ -622,8 +622,8 @@
             headers.append((b"idempotency-key", name))
         front, engine = Frontend(), self.parts.engine
         call = Call(
-            {"put": 1, "pay": 2}[cls], engine.now() + 5 * SECOND, b"POST /" + cls.encode(), lines(headers),
-            b"body", front, name,
+            {"put": 1, "pay": 2}[cls], engine.now() + 5 * SECOND, b"POST /" + cls.encode(),
+            encode_headers(headers), b"body", front, name,
         )  # fmt: skip
         call.causes = (follows, b"", b"")
         engine.take(call)
@@ -658,7 +658,7 @@
 
 @contextlib.asynccontextmanager
 async def studio(folder: Path, edge: str = "ash", copies: Copies | None = None) -> AsyncIterator[Studio]:
-    async with contextlib.AsyncExitStack() as stack, asyncio.timeout(TIMEOUT_S):
+    async with contextlib.AsyncExitStack() as stack, asyncio.timeout(TEST_TIMEOUT_S):
         if copies is None:
             copies = Copies()
             await stack.enter_async_context(copies.endpoint)
@@ -938,7 +938,7 @@
 def test_a_new_life_claims_before_it_replays_and_its_name_is_durable_before(tmp_path: Path) -> None:
     async def main() -> None:
         copies = Copies()
-        async with copies.endpoint, asyncio.timeout(TIMEOUT_S):
+        async with copies.endpoint, asyncio.timeout(TEST_TIMEOUT_S):
             async with studio(tmp_path / "1", copies=copies) as one:
                 first = await one.keep("pay")
                 shutil.copytree(tmp_path / "1", tmp_path / "2")
@@ -976,7 +976,7 @@
 def test_a_life_that_was_cut_off_all_the_time_is_not_named(tmp_path: Path) -> None:
     async def main() -> None:
         copies = Copies()
-        async with copies.endpoint, asyncio.timeout(TIMEOUT_S):
+        async with copies.endpoint, asyncio.timeout(TEST_TIMEOUT_S):
             async with studio(tmp_path, copies=copies) as one:
                 first = await one.keep("put")
             for _ in range(3):
@@ -1063,7 +1063,7 @@
             parts.engine.take(call)
             return await front.answer
 
-        async with asyncio.timeout(TIMEOUT_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             assert (await ask(b"", b"", b"", b"sealed")).status == 503  # its edge has it
             assert (await ask(token(WriteId(*OTHER, 1)), b"", b"", b"")).status == 202
             write_id = WriteId("up", driver.store.incarnation, 1)
--- a/tests/test_outbox_replay_gate.py
+++ b/tests/test_outbox_replay_gate.py
@@ -59,7 +59,7 @@
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
 from tests.fakes import Answers, ManualClock, PlayedUpstream, Sent, entry
-from tests.sockets import overrule
+from tests.sockets import override_decisions
 
 SECRET = b"of the edges and of the copies"
 SEAL = MessageSeal(SECRET)
@@ -577,7 +577,7 @@
         def fail(now: int, event: Arrival) -> list[Action]:
             raise RuntimeError("a fault of the module")
 
-        overrule(world.engine, request=fail)  # compiled, the module can't be patched
+        override_decisions(world.engine, request=fail)  # compiled, the module can't be patched
         await world.take()
         await world.land()
         assert world.sharer.asked == [IntentWithdrawal(DOT, 1)] and world.told == []
--- a/tests/test_outbox_shared_daemon.py
+++ b/tests/test_outbox_shared_daemon.py
@@ -32,7 +32,7 @@
 from laurelstep.testing.processes.program import POLL_INTERVAL_S
 from laurelstep.testing.processes.tier_settings import SETTINGS
 
-from tests.sockets import run, start
+from tests.sockets import run, start_daemon
 
 SECRET = b"of the edges and of the copies"
 SEAL, TOKENS = MessageSeal(SECRET), CausalityTokens(SECRET)
@@ -350,7 +350,7 @@
             '[[outbox.classes]]\nname = "pay"\nkeep = "unsafe"\n'
         )
         told = {"LB_CONFIG": str(tmp_path / "config.json"), "LB_OPERATOR": str(tmp_path / "operator.toml")}
-        process = await start({**os.environ, **told})
+        process = await start_daemon({**os.environ, **told})
         _, log = await process.communicate()
         assert process.returncode == 2 and log.count(b"\n") == 1, log
         assert b"peers, peer_listen: expected them where outbox.shared is on" in log
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -21,7 +21,7 @@
 from laurelstep.testing import Caller
 
 from tests.sockets import Endpoint, Reader, Sidecar, Writer, answer, read_message, request, run, sidecar
-from tests.sockets import hold as hold_back
+from tests.sockets import never_answer as hold_back
 
 PAGE = request()
 HALF = PAGE.replace(b"\r\n\r\n", b"\r\nX-Extras: " + b"x" * 20_000)
@@ -74,7 +74,7 @@
             assert one.server.request_budget.used <= one.server.request_budget.limit
             streams[1][1].write(b"\r\n\r\n")
             assert (await read_message(streams[1][0])).body == b"ok", "one that comes in time is served"
-            assert (await one.ask(request(rid="r2"))).body == b"ok"
+            assert (await one.send(request(rid="r2"))).body == b"ok"
             for _, writer in streams:
                 writer.transport.abort()
             while one.server.connections:
@@ -107,7 +107,7 @@
             taken = []
             for n in range(5):
                 body = b"x" * 40_000
-                taken.append(asyncio.create_task(one.ask(request("pay", body, rid=f"r{n}"))))
+                taken.append(asyncio.create_task(one.send(request("pay", body, rid=f"r{n}"))))
                 await endpoint.arrived.acquire()
             reader, writer = await one.connect()
             writer.write(HALF)
@@ -153,10 +153,10 @@
         async with sidecar(endpoint, endpoint) as one:
             budget = one.upstream.answer_budget
             budget.limit = 3 * (len(part) - UNCOUNTED)
-            asked = [asyncio.create_task(one.ask(request(rid=f"r{n}"))) for n in range(8)]
-            while len(one.upstream.receiving.since) + len(one.upstream.streaming.since) < 8:
+            asked = [asyncio.create_task(one.send(request(rid=f"r{n}"))) for n in range(8)]
+            while len(one.upstream.receiving.waiting_since) + len(one.upstream.streaming.waiting_since) < 8:
                 await asyncio.sleep(0)
-            assert budget.used <= budget.limit and len(one.upstream.streaming.since) >= 5
+            assert budget.used <= budget.limit and len(one.upstream.streaming.waiting_since) >= 5
             go.set()
             assert all(message.body == 2 * part for message in await asyncio.gather(*asked))
             assert budget.used == 0
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -11,13 +11,13 @@
 from tests.sockets import (
     Endpoint,
     Registry,
-    config,
     connect_until_up,
     free_port,
     read_message,
     request,
     run,
-    start,
+    start_daemon,
+    write_config,
 )
 
 RESTARTS, CALLERS = 20, 5
@@ -53,7 +53,7 @@
 
 async def life(environ: dict[str, str], port: int, number: int) -> list[Asker]:
     """One process from its start to its end, asked on while it is told to stop."""
-    process = await start(environ)
+    process = await start_daemon(environ)
     streams = [await connect_until_up(port) for _ in range(CALLERS)]
     askers = [Asker(f"r{number}c{n}", *one) for n, one in enumerate(streams)]
     asking = [asyncio.create_task(one.ask_on()) for one in askers]
@@ -75,7 +75,7 @@
         endpoint, registry = Endpoint(), Registry()
         async with await endpoint.start(), await registry.start():
             port = free_port()
-            environ = {**config(tmp_path, registry, endpoint), "LB_LISTEN": f"127.0.0.1:{port}"}
+            environ = {**write_config(tmp_path, registry, endpoint), "LB_LISTEN": f"127.0.0.1:{port}"}
             for number in range(RESTARTS):
                 for one in await life(environ, port, number):
                     assert len(one.answered) >= 3
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -20,30 +20,30 @@
 from laurelstep.net.client_connection import ClientConnection
 from laurelstep.net.connection_pool import MIN_IDLE
 from laurelstep.net.endpoint_connection import EndpointConnection
-from laurelstep.net.request_receiver import LINGER_MOST
+from laurelstep.net.request_receiver import MAX_DISCARDED_BYTES
 
 from tests.sockets import (
     Endpoint,
     Handler,
     Message,
+    MethodProxy,
     Registry,
-    Replaced,
     Sidecar,
     Writer,
     answer,
-    config,
     connect_until_up,
     free_port,
-    hold,
-    outcomes,
+    never_answer,
     push,
     push_raw,
     read_message,
+    record_outcomes,
     request,
     run,
     serve_ok,
     sidecar,
-    start,
+    start_daemon,
+    write_config,
 )
 
 PAGE, PUT, PAY = request(), request("put", b"b"), request("pay", b"b")
@@ -123,7 +123,7 @@
         async with sidecar(endpoint) as one:
             raw = PAY.replace(b"Content-Length: 1", b"Transfer-Encoding: chunked")
             raw = raw[:-1] + b"1\r\nb\r\n0\r\nX-Request-Id: r2\r\nX-Class: page\r\n\r\n"
-            assert (await one.ask(raw)).body == b"ok"
+            assert (await one.send(raw)).body == b"ok"
             (got,) = endpoint.got
             assert got.headers["x-request-id"] == "r1" and got.body == b"b"
 
@@ -140,21 +140,21 @@
 
         endpoint = Endpoint(slow)
         async with sidecar(endpoint) as one:
-            first = asyncio.create_task(one.ask(PAGE))
+            first = asyncio.create_task(one.send(PAGE))
             await endpoint.arrived.acquire()
-            assert (await one.ask(PAGE)).start.split()[1] == "409"
+            assert (await one.send(PAGE)).start.split()[1] == "409"
             release.set()
             assert (await first).body == b"ok"
-            assert (await one.ask(PAGE)).body == b"ok" and not one.engine.open_names
+            assert (await one.send(PAGE)).body == b"ok" and not one.engine.open_names
 
     run(main())
 
 
 def test_a_second_request_while_the_first_is_open_ends_both() -> None:
     async def main() -> None:
-        endpoint = Endpoint(hold)
+        endpoint = Endpoint(never_answer)
         async with sidecar(endpoint) as one:
-            told = outcomes(one.engine)
+            told = record_outcomes(one.engine)
             reader, writer = await one.connect()
             writer.write(PAY)
             await endpoint.arrived.acquire()
@@ -171,7 +171,7 @@
 def shift(one: Sidecar, span_us: int) -> None:
     """Set the engine's clock forward."""
     real = one.engine.clock.now
-    one.engine.clock = cast(Clock, Replaced(one.engine.clock, now=lambda: real() + span_us))
+    one.engine.clock = cast(Clock, MethodProxy(one.engine.clock, now=lambda: real() + span_us))
 
 
 def the_caller(one: Sidecar) -> ClientConnection:
@@ -195,8 +195,10 @@
             writer.write(b"x" * 62914560)
             while transport.is_reading():
                 await asyncio.sleep(0)
-            assert LINGER_MOST < caller.dropped <= LINGER_MOST + (256 << 10), "one read over the bound"
-            one.server.lingering.since[caller] -= 60.0
+            assert MAX_DISCARDED_BYTES < caller.dropped <= MAX_DISCARDED_BYTES + (256 << 10), (
+                "one read over the bound"
+            )
+            one.server.lingering.waiting_since[caller] -= 60.0
             one.server.lingering.run()
             while one.server.connections:
                 await asyncio.sleep(0)
@@ -218,8 +220,10 @@
             writer.write(raw)
             while not one.server.connections or (raw and not the_caller(one).received):
                 await asyncio.sleep(0)
-            assert one.server.awaiting_request.seconds < 3.0
-            one.server.awaiting_request.since[the_caller(one)] -= one.server.awaiting_request.seconds
+            assert one.server.awaiting_request.timeout_s < 3.0
+            one.server.awaiting_request.waiting_since[the_caller(one)] -= (
+                one.server.awaiting_request.timeout_s
+            )
             one.server.awaiting_request.run()
             if expected is not None:
                 assert (await read_message(reader)).start.split()[1] == expected
@@ -235,8 +239,8 @@
             reader, writer = await one.connect()
             writer.write(PAGE)
             assert (await read_message(reader)).body == b"ok"
-            assert one.server.idle.seconds >= 2.0, "a connection may not be closed sooner"
-            one.server.idle.since[the_caller(one)] -= one.server.idle.seconds
+            assert one.server.idle.timeout_s >= 2.0, "a connection may not be closed sooner"
+            one.server.idle.waiting_since[the_caller(one)] -= one.server.idle.timeout_s
             one.server.idle.run()
             assert await reader.read() == b""
             while one.server.connections:
@@ -248,10 +252,10 @@
 
 def test_a_crowd_of_silent_callers_makes_room_for_those_that_ask() -> None:
     async def main() -> None:
-        endpoint = Endpoint(hold)
+        endpoint = Endpoint(never_answer)
         async with sidecar(endpoint) as one:
             one.server.max_connections = 9
-            asked = asyncio.create_task(one.ask(PAGE))
+            asked = asyncio.create_task(one.send(PAGE))
             await endpoint.arrived.acquire()
             endpoint.handler = serve_ok
             kept, kept_writer = await one.connect()
@@ -259,7 +263,7 @@
             assert (await read_message(kept)).body == b"ok"
             crowd = [await one.connect() for _ in range(40)]
             assert await crowd[0][0].read() == b"", "the one silent for longest"
-            assert (await one.ask(request(rid="r3"))).body == b"ok"
+            assert (await one.send(request(rid="r3"))).body == b"ok"
             assert len(one.server.connections) <= 9
             kept_writer.write(request(rid="r4"))
             assert (await read_message(kept)).body == b"ok", "one at rest does not give way to them"
@@ -293,7 +297,7 @@
     async def main() -> None:
         endpoint = Endpoint()
         async with sidecar(endpoint) as one:
-            assert (await one.ask(request(deadline_ms=10**12))).body == b"ok"
+            assert (await one.send(request(deadline_ms=10**12))).body == b"ok"
             assert int(endpoint.got[0].headers["x-deadline-ms"]) <= 5000
 
     run(main())
@@ -331,8 +335,8 @@
     async def main() -> None:
         endpoint = Endpoint(raw_answer(raw))
         async with sidecar(endpoint) as one:
-            told = outcomes(one.engine)
-            assert (await one.ask(PAY)).start.split()[1] == "502"
+            told = record_outcomes(one.engine)
+            assert (await one.send(PAY)).start.split()[1] == "502"
             assert [event.outcome for event in told] == [ERROR]
             await endpoint.closed.acquire()  # of no further use
             while one.upstream.connections:
@@ -353,12 +357,12 @@
     async def main() -> None:
         endpoint = Endpoint(raw_answer(raw))
         async with sidecar(endpoint) as one:
-            told = outcomes(one.engine)
-            asked = asyncio.create_task(one.ask(PAY))
-            while not one.upstream.receiving.since:
+            told = record_outcomes(one.engine)
+            asked = asyncio.create_task(one.send(PAY))
+            while not one.upstream.receiving.waiting_since:
                 await asyncio.sleep(0)
             (link,) = one.upstream.connections
-            one.upstream.receiving.since[link] -= one.upstream.receiving.seconds
+            one.upstream.receiving.waiting_since[link] -= one.upstream.receiving.timeout_s
             one.upstream.receiving.run()
             assert (await asked).start.split()[1] == "502"
             assert [event.outcome for event in told] == [ERROR]
@@ -371,11 +375,11 @@
     async def main() -> None:
         endpoint = Endpoint(raw_answer(answer() + behind))
         async with sidecar(endpoint) as one:
-            told = outcomes(one.engine)
-            assert (await one.ask(PAGE)).body == b"ok"
+            told = record_outcomes(one.engine)
+            assert (await one.send(PAGE)).body == b"ok"
             await endpoint.closed.acquire()
             endpoint.handler = serve_ok
-            assert (await one.ask(request(rid="r2"))).body == b"ok"
+            assert (await one.send(request(rid="r2"))).body == b"ok"
             assert [event.outcome for event in told] == [OK, OK] and endpoint.opened == 2
 
     run(main())
@@ -393,14 +397,14 @@
 
         endpoint = Endpoint(keep)
         async with sidecar(endpoint) as one:
-            assert (await one.ask(PAGE)).body == b"ok"
+            assert (await one.send(PAGE)).body == b"ok"
             (link,) = one.upstream.connections
             assert link.transport is not None and link.is_reusable()
             link.transport.pause_reading()  # as though the loop had no turn since
             writers[0].write(answer(body=b"stray"))
             while link.is_reusable():
                 await asyncio.sleep(0)
-            assert (await one.ask(request(rid="r2"))).body == b"ok"
+            assert (await one.send(request(rid="r2"))).body == b"ok"
             assert endpoint.opened == 2
 
     run(main())
@@ -411,11 +415,11 @@
         interim = b"HTTP/1.1 102 Processing\r\nX-Not-Run: 1\r\nX-Load: queue=9\r\n\r\n"
         endpoint = Endpoint(raw_answer(interim + answer(503)))
         async with sidecar(endpoint) as one:
-            told = outcomes(one.engine)
-            assert (await one.ask(PAY)).start.split()[1] == "502"
+            told = record_outcomes(one.engine)
+            assert (await one.send(PAY)).start.split()[1] == "502"
             assert [(event.outcome, event.report) for event in told] == [(ERROR, None)]
             endpoint.handler = raw_answer(interim + answer(503, headers="X-Not-Run: 1\r\n"))
-            await one.ask(request("pay", rid="r2"))
+            await one.send(request("pay", rid="r2"))
             assert told[1].outcome == FULL
 
     run(main())
@@ -449,9 +453,9 @@
 
         endpoint = Endpoint(slow)
         async with sidecar(endpoint) as one:
-            asked = asyncio.create_task(one.ask(request(rid="slow")))
+            asked = asyncio.create_task(one.send(request(rid="slow")))
             await endpoint.arrived.acquire()
-            assert (await one.ask(request(rid="r2"))).body == b"ok"
+            assert (await one.send(request(rid="r2"))).body == b"ok"
             one.server.stop(lambda: None)
             await endpoint.closed.acquire()
             release.set()
@@ -466,8 +470,10 @@
 def test_what_a_rush_opened_is_not_kept_for_long() -> None:
     async def main() -> None:
         async with sidecar(Endpoint()) as one:
-            assert one.upstream.idle_connections.seconds <= 6.0, "though the endpoint would keep it for 30 s"
-            assert one.engine.balancer.settings.idle_us == one.upstream.idle_connections.seconds * 1e6, (
+            assert one.upstream.idle_connections.timeout_s <= 6.0, (
+                "though the endpoint would keep it for 30 s"
+            )
+            assert one.engine.balancer.settings.idle_us == one.upstream.idle_connections.timeout_s * 1e6, (
                 "the module too"
             )
 
@@ -486,16 +492,18 @@
 
         endpoint = Endpoint(rush)
         async with sidecar(endpoint) as one:
-            asked = [asyncio.create_task(one.ask(request(rid=f"r{n}"))) for n in range(MIN_IDLE + 3)]
+            asked = [asyncio.create_task(one.send(request(rid=f"r{n}"))) for n in range(MIN_IDLE + 3)]
             for _ in asked:
                 await endpoint.arrived.acquire()
             release.set()
             assert [(await each).body for each in asked] == [b"ok"] * len(asked)
             for _ in range(3):
                 await endpoint.closed.acquire()
-            while one.upstream.surplus_connections.since:
+            while one.upstream.surplus_connections.waiting_since:
                 await asyncio.sleep(0)
-            assert len(one.upstream.connections) == len(one.upstream.idle_connections.since) == MIN_IDLE
+            assert (
+                len(one.upstream.connections) == len(one.upstream.idle_connections.waiting_since) == MIN_IDLE
+            )
 
     run(main())
 
@@ -506,7 +514,7 @@
 async def settle(one: Sidecar) -> None:
     """Serve requests until the entry bounds what it holds."""
     while not one.engine.balancer.admission.limit.settled:
-        assert (await one.ask(PAGE)).body == b"ok"
+        assert (await one.send(PAGE)).body == b"ok"
 
 
 def test_requests_that_hang_do_not_shut_the_entry() -> None:
@@ -527,7 +535,7 @@
                 writer.write(request(rid=f"lost{n}"))
                 await endpoint.arrived.acquire()
             shift(one, 1_000_000)
-            assert (await one.ask(PAGE)).body == b"ok"
+            assert (await one.send(PAGE)).body == b"ok"
             for _, writer in lost:
                 writer.close()
 
@@ -552,9 +560,9 @@
 
         endpoint = Endpoint(one_connection)
         async with sidecar(endpoint) as one:
-            told = outcomes(one.engine)
+            told = record_outcomes(one.engine)
             for rid in ("slow1", "slow2"):
-                asked = asyncio.create_task(one.ask(request(rid=rid)))
+                asked = asyncio.create_task(one.send(request(rid=rid)))
                 await endpoint.arrived.acquire()
                 if rid == "slow1":  # answers take long: as long is a full endpoint left alone
                     shift(one, 1_900_000)
@@ -565,7 +573,7 @@
                         await asyncio.sleep(0)
                 release.put_nowait(None)
                 assert (await asked).body == b"ok"
-            back = await one.ask(request(rid="next", deadline_ms=500))
+            back = await one.send(request(rid="next", deadline_ms=500))
             assert back.body == b"ok" and endpoint.opened == 2
             crossing.close()
 
@@ -591,14 +599,14 @@
             gc.disable()
             try:
                 _, writer = await one.connect()
-                endpoint.handler = hold
+                endpoint.handler = never_answer
                 writer.write(PAGE)
                 await endpoint.arrived.acquire()
                 assert alive() == before + 4
                 writer.close()
                 await endpoint.closed.acquire()
-                one.told()
-                while one.callers or one.upstream.connections:
+                one.apply_list()
+                while one.connection_count or one.upstream.connections:
                     await asyncio.sleep(0)
                 await asyncio.sleep(0)
                 assert alive() == before
@@ -617,7 +625,9 @@
         registry = Registry()
         async with await registry.start():
             port = free_port()
-            process = await start({**config(tmp_path, registry), "LB_LISTEN": f"127.0.0.1:{port}"})
+            process = await start_daemon(
+                {**write_config(tmp_path, registry), "LB_LISTEN": f"127.0.0.1:{port}"}
+            )
             _, silent = await connect_until_up(port)
             half_reader, half = await asyncio.open_connection("127.0.0.1", port)
             half.write(PAY[:-1])
@@ -644,8 +654,8 @@
         os.set_blocking(write_end, True)
         async with await registry.start(), await endpoint.start():
             port = free_port()
-            environ = {**config(tmp_path, registry, endpoint), "LB_LISTEN": f"127.0.0.1:{port}"}
-            process = await start(environ, write_end)
+            environ = {**write_config(tmp_path, registry, endpoint), "LB_LISTEN": f"127.0.0.1:{port}"}
+            process = await start_daemon(environ, write_end)
             _, writer = await connect_until_up(port)
             writer.close()
             _, watch = await registry.asked.get()
@@ -669,11 +679,11 @@
         async with await old.start(), await new.start(), await endpoint.start():
             port = free_port()
             environ = {
-                **config(tmp_path, old),
+                **write_config(tmp_path, old),
                 "LB_LISTEN": f"127.0.0.1:{port}",
                 "LB_DISCOVERY": f"127.0.0.1:{old.port}",
             }
-            process = await start(environ)
+            process = await start_daemon(environ)
             _, writer = await connect_until_up(port)
             writer.close()
             assert "from=1 " in (await old.asked.get())[0]
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -33,7 +33,7 @@
 )
 from laurelstep.engine import Clock, endpoint_number
 from laurelstep.net.discovery import Discovery
-from laurelstep.net.request import key_of
+from laurelstep.net.request import parse_object_key
 from laurelstep.testing import status as fails_with
 
 from tests.conftest import Logged, plain_only
@@ -41,25 +41,25 @@
     Endpoint,
     Handler,
     Message,
+    MethodProxy,
     Registry,
-    Replaced,
     Sidecar,
     Writer,
     answer,
-    config,
     connect_until_up,
     free_port,
-    hold,
-    outcomes,
-    overrule,
+    never_answer,
+    override_decisions,
     push,
     push_raw,
     read_message,
+    record_outcomes,
     request,
     run,
     serve_ok,
     sidecar,
-    start,
+    start_daemon,
+    write_config,
 )
 
 
@@ -71,7 +71,7 @@
         told.put_nowait((mode, list(entries)))
         return real.members(now, mode, entries)
 
-    real = overrule(one.engine, members=members)
+    real = override_decisions(one.engine, members=members)
     return told
 
 
@@ -89,7 +89,7 @@
     async def main() -> None:
         endpoint = Endpoint(reply)
         async with sidecar(endpoint) as one:
-            back = await one.ask(request("put", b"b" * 50_000, "X-Other: 1\r\n"))
+            back = await one.send(request("put", b"b" * 50_000, "X-Other: 1\r\n"))
             assert back.start.startswith("HTTP/1.1 200") and back.body == b"x" * 60_000
             assert back.headers["content-type"] == "image/png"
             (got,) = endpoint.got
@@ -113,7 +113,7 @@
             for n in range(5):
                 writer.write(request(cls, rid=f"r{n}"))
                 assert (await read_message(reader)).body == b"ok"
-            assert endpoint.opened == 1 and one.callers == 1
+            assert endpoint.opened == 1 and one.connection_count == 1
             assert not one.engine.calls and not one.engine.balancer.requests
 
     run(main())
@@ -126,7 +126,7 @@
     async def main() -> None:
         first, second = Endpoint(), Endpoint()
         async with sidecar(first, second) as one, sidecar(second, first, known=False) as other:
-            other.told(second.entry("s-1"), first.entry("s-0"))
+            other.apply_list(second.entry("s-1"), first.entry("s-0"))
             assert set(one.engine.balancer.endpoints) == set(other.engine.balancer.endpoints)
             assert endpoint_number("s-0") in one.engine.balancer.endpoints
         assert endpoint_number("s-5be2a07c") == 0x850D21AD14919D0C, "the same after a restart"
@@ -139,15 +139,15 @@
         endpoint = Endpoint()
         async with sidecar(endpoint) as one:
             wall = 1_700_000_000_000_000
-            one.engine.members.clock = cast(Clock, Replaced(one.engine.clock, wall=lambda: wall))
+            one.engine.members.clock = cast(Clock, MethodProxy(one.engine.clock, wall=lambda: wall))
             started = endpoint.entry(startedAtMs=wall // 1000 - 4_000)
             before = one.engine.now()
-            one.told(started)
+            one.apply_list(started)
             (known,) = one.engine.balancer.endpoints.values()
             boot = known.boot
             assert before - 4_000_000 <= boot <= one.engine.now() - 4_000_000
             wall += 3_600_000_000  # the wall clock is set: no restart
-            one.told(started)
+            one.apply_list(started)
             assert known.boot == boot
 
     run(main())
@@ -158,8 +158,8 @@
     async def main() -> None:
         endpoint = Endpoint()
         async with sidecar(endpoint) as one:
-            await one.ask(request())
-            one.told(endpoint.entry("s-0", **change), whole=False)
+            await one.send(request())
+            one.apply_list(endpoint.entry("s-0", **change), whole=False)
             await endpoint.closed.acquire()
             assert not one.upstream.connections
 
@@ -170,11 +170,11 @@
     async def main() -> None:
         old, new = Endpoint(), Endpoint()
         async with sidecar(old, new) as one:
-            one.told(old.entry("s-0"))
-            await one.ask(request())
-            one.told(new.entry("s-0"), whole=False)
+            one.apply_list(old.entry("s-0"))
+            await one.send(request())
+            one.apply_list(new.entry("s-0"), whole=False)
             await old.closed.acquire()
-            assert (await one.ask(request(rid="r2"))).body == b"ok"
+            assert (await one.send(request(rid="r2"))).body == b"ok"
             assert len(old.got) == len(new.got) == 1
 
     run(main())
@@ -190,9 +190,9 @@
 
         endpoint = Endpoint(slow)
         async with sidecar(endpoint) as one:
-            asked = asyncio.create_task(one.ask(request()))
+            asked = asyncio.create_task(one.send(request()))
             await endpoint.arrived.acquire()
-            one.told()
+            one.apply_list()
             release.set()
             assert (await asked).body == b"ok", "what was sent is finished"
             await endpoint.closed.acquire()
@@ -273,7 +273,7 @@
             push_raw(watch, line)
             start, watch = await registry.asked.get()
             assert "from=41 " in start, "nothing of the bad line was taken"
-            assert (await one.ask(request())).body == b"ok"
+            assert (await one.send(request())).body == b"ok"
 
     run(main())
     assert "bad line from discovery" in logged()
@@ -293,7 +293,7 @@
             while one.engine.members.may_receive(endpoint_number("s-0"), one.engine.now() + 600_000):
                 await asyncio.sleep(0)
             assert not one.engine.members.may_receive(endpoint_number("s-3"), one.engine.now())
-            assert (await one.ask(request())).body == b"ok"
+            assert (await one.send(request())).body == b"ok"
             assert len(new.got) == 1 and not old.got
             assert registry.asked.empty(), "the watch goes on"
 
@@ -321,7 +321,7 @@
             assert "from=42 " in start
             assert one.engine.members.size() == 2 and endpoint_number("s-9") not in one.engine.members.places
             for n in range(20):
-                assert (await one.ask(request(rid=f"r{n}"))).body == b"ok"
+                assert (await one.send(request(rid=f"r{n}"))).body == b"ok"
             assert not old.got and len(new.got) == 20
             push(watch, 43, False, later.entry("s-9"))
             while one.engine.members.size() != 3:
@@ -356,13 +356,13 @@
     async def main() -> None:
         endpoint = Endpoint()
         async with sidecar(endpoint) as one:
-            one.told()
+            one.apply_list()
             (place,) = one.engine.members.places.values()
             assert place.withdrawn_at is not None, "kept for the grace"
             clock = one.engine.clock
-            later = Replaced(clock, now=lambda: clock.now() + 500_000)
+            later = MethodProxy(clock, now=lambda: clock.now() + 500_000)
             one.engine.members.clock = cast(Clock, later)
-            one.told(whole=False)
+            one.apply_list(whole=False)
             assert not one.engine.members.places and not one.upstream.pools
 
     run(main())
@@ -411,8 +411,8 @@
     async def main() -> None:
         endpoint = Endpoint(handler)
         async with sidecar(endpoint, ceilings={"max-attempts": 1}) as one:
-            told = outcomes(one.engine)
-            back = await one.ask(request("pay", b"sum"))
+            told = record_outcomes(one.engine)
+            back = await one.send(request("pay", b"sum"))
             assert [event.outcome for event in told] == [expected]
             assert back.start.split()[1] == str(final)
             assert len(endpoint.got) == 1
@@ -427,9 +427,9 @@
         async with sidecar(endpoint, ceilings={"max-attempts": 1}) as one:
             with socket.socket() as closed:
                 closed.bind(("127.0.0.1", 0))
-                one.told(endpoint.entry("s-0", hostPort=address(closed)))
-                told = outcomes(one.engine)
-                back = await one.ask(request("pay"))
+                one.apply_list(endpoint.entry("s-0", hostPort=address(closed)))
+                told = record_outcomes(one.engine)
+                back = await one.send(request("pay"))
             assert [event.outcome for event in told] == [NO_CONNECT]
             assert back.start.split()[1] == "503" and not one.upstream.connections
 
@@ -449,10 +449,10 @@
             listener.setblocking(False)
             endpoint = Endpoint()
             async with sidecar(endpoint, ceilings={"max-attempts": 1}) as one:
-                one.told(endpoint.entry("s-0", hostPort=address(listener)))
-                told = outcomes(one.engine)
+                one.apply_list(endpoint.entry("s-0", hostPort=address(listener)))
+                told = record_outcomes(one.engine)
                 attempts = one.upstream.connections
-                asked = asyncio.create_task(one.ask(request("pay", b"x")))
+                asked = asyncio.create_task(one.send(request("pay", b"x")))
                 peer, _ = await loop.sock_accept(listener)
                 await loop.sock_recv(peer, 4096)
                 (link,) = attempts
@@ -467,11 +467,11 @@
 
 def test_at_the_deadline_the_module_hears_timeout_and_answers() -> None:
     async def main() -> None:
-        endpoint = Endpoint(hold)
+        endpoint = Endpoint(never_answer)
         async with sidecar(endpoint) as one:
-            told = outcomes(one.engine)
+            told = record_outcomes(one.engine)
             asked = one.engine.now()
-            back = await one.ask(request("pay", deadline_ms=80))
+            back = await one.send(request("pay", deadline_ms=80))
             assert one.engine.now() - asked >= 80_000, "never early"
             assert back.start.split()[1] == "504"
             assert [(event.outcome, event.over) for event in told] == [(TIMEOUT, False)]
@@ -483,7 +483,7 @@
 def test_a_request_that_no_endpoint_takes_is_refused_in_time() -> None:
     async def main() -> None:
         async with sidecar(known=False, ceilings={"max-retry-after-us": 2_000_000}) as one:
-            back = await one.ask(request(deadline_ms=100))
+            back = await one.send(request(deadline_ms=100))
             assert back.start.split()[1] == "503"
             assert back.headers["retry-after"] == "0.040", "a 50th of the aim, as the module waits itself"
             assert not one.engine.calls and not one.engine.balancer.requests
@@ -494,8 +494,8 @@
 def test_a_refusal_tells_when_to_come_back() -> None:
     async def main() -> None:
         async with sidecar(Endpoint()) as one:
-            overrule(one.engine, request=lambda now, event: [Refuse(event.request, 1_250_000)])
-            back = await one.ask(request())
+            override_decisions(one.engine, request=lambda now, event: [Refuse(event.request, 1_250_000)])
+            back = await one.send(request())
             assert back.start.split()[1] == "503" and back.headers["retry-after"] == "1.250"
 
     run(main())
@@ -508,10 +508,10 @@
             def broken(now: int, event: object) -> list[Action]:
                 raise RuntimeError("broken")
 
-            real = overrule(one.engine, request=broken)
-            assert (await one.ask(request())).start.split()[1] == "500"
+            real = override_decisions(one.engine, request=broken)
+            assert (await one.send(request())).start.split()[1] == "500"
             one.engine.decisions = real
-            assert (await one.ask(request())).body == b"ok"
+            assert (await one.send(request())).body == b"ok"
 
     run(main())
     assert "broken" in logged()
@@ -532,22 +532,22 @@
                     real.request(now, event)
                 raise RuntimeError("broken")
 
-            overrule(one.engine, **{step: broken})
+            override_decisions(one.engine, **{step: broken})
             wanted = "500" if step == "request" else status
-            assert (await one.ask(request())).start.split()[1] == wanted
+            assert (await one.send(request())).start.split()[1] == wanted
             one.engine.decisions = real
             assert not one.engine.balancer.requests and not one.engine.calls
             endpoint.handler = serve_ok
-            assert (await one.ask(request())).body == b"ok"
+            assert (await one.send(request())).body == b"ok"
 
     run(main())
 
 
 def test_the_client_that_leaves_calls_its_attempt_off() -> None:
     async def main() -> None:
-        endpoint = Endpoint(hold)
+        endpoint = Endpoint(never_answer)
         async with sidecar(endpoint) as one:
-            told = outcomes(one.engine)
+            told = record_outcomes(one.engine)
             _, writer = await one.connect()
             writer.write(request("pay"))
             await endpoint.arrived.acquire()
@@ -563,10 +563,10 @@
     """Guards a slow connect: the driver is asked at the moment of writing."""
 
     async def main() -> None:
-        endpoint = Endpoint(hold)
+        endpoint = Endpoint(never_answer)
         async with sidecar(endpoint) as one:
-            told = outcomes(one.engine)
-            asked = asyncio.create_task(one.ask(request("pay", deadline_ms=4000)))
+            told = record_outcomes(one.engine)
+            asked = asyncio.create_task(one.send(request("pay", deadline_ms=4000)))
             await endpoint.arrived.acquire()
             ((_, call),) = one.engine.calls.items()
             (attempt,) = call.attempts
@@ -591,8 +591,8 @@
         endpoints = [Endpoint(status(503, "X-Not-Run: 1\r\n")) for _ in range(4)]
         async with sidecar(*endpoints) as one:
             one.engine.attempts.settings = replace(one.engine.settings, max_attempts=2)
-            told = outcomes(one.engine)
-            await one.ask(request("pay"))
+            told = record_outcomes(one.engine)
+            await one.send(request("pay"))
             assert sum(len(endpoint.got) for endpoint in endpoints) == 2
             assert [event.outcome for event in told][:3] == [FULL, FULL, MOOT]
 
@@ -631,18 +631,18 @@
         async with sidecar(endpoint, ceilings={"conn-idle-us": 30_000_000}) as one:
             asked = []
             for rid in gates:
-                asked.append(asyncio.create_task(one.ask(request(rid=rid))))
+                asked.append(asyncio.create_task(one.send(request(rid=rid))))
                 await endpoint.arrived.acquire()
             for gate, task in zip(gates.values(), asked, strict=True):
                 gate.set()
                 await task
-            await one.ask(request(rid="r3"))
+            await one.send(request(rid="r3"))
             ports = dict(served)
             assert ports["r3"] == ports["r2"] != ports["r1"]
-            assert one.upstream.idle_connections.seconds <= 24.0, "well before the endpoint's idle time"
+            assert one.upstream.idle_connections.timeout_s <= 24.0, "well before the endpoint's idle time"
             oldest = one.upstream.idle_connections.oldest()
             assert oldest is not None
-            one.upstream.idle_connections.since[oldest] -= 24.0
+            one.upstream.idle_connections.waiting_since[oldest] -= 24.0
             one.upstream.idle_connections.run()
             await endpoint.closed.acquire()
             assert len(one.upstream.connections) == 1
@@ -658,9 +658,9 @@
 
         endpoint = Endpoint(once)
         async with sidecar(endpoint) as one:
-            told = outcomes(one.engine)
+            told = record_outcomes(one.engine)
             for n in range(3):
-                await one.ask(request("pay", rid=f"r{n}"))
+                await one.send(request("pay", rid=f"r{n}"))
                 while one.upstream.connections:
                     await asyncio.sleep(0)
             assert [event.outcome for event in told] == [OK, OK, OK]
@@ -673,13 +673,15 @@
         first, second = Endpoint(), Endpoint()
         async with sidecar(first, second) as one:
             one.upstream.max_connections = 1
-            one.told(first.entry("s-0"))
-            await one.ask(request())
-            one.told(first.entry("s-0"), second.entry("s-1"))
+            one.apply_list(first.entry("s-0"))
+            await one.send(request())
+            one.apply_list(first.entry("s-0"), second.entry("s-1"))
             assert one.upstream.pools[endpoint_number("s-0")].idle
-            one.told(second.entry("s-1", lifecycle="ready"), whole=False)
-            overrule(one.engine, request=lambda now, event: [Send(event.request, endpoint_number("s-1"), 0)])
-            assert (await one.ask(request(rid="r2"))).body == b"ok"
+            one.apply_list(second.entry("s-1", lifecycle="ready"), whole=False)
+            override_decisions(
+                one.engine, request=lambda now, event: [Send(event.request, endpoint_number("s-1"), 0)]
+            )
+            assert (await one.send(request(rid="r2"))).body == b"ok"
             await first.closed.acquire()  # the longest idle made room
             assert len(one.upstream.connections) == 1
 
@@ -712,7 +714,7 @@
             assert back.start.split()[1] == expected and back.headers["connection"] == "close"
             assert await reader.read() == b""
             writer.close()
-            assert (await one.ask(request())).body == b"ok"
+            assert (await one.send(request())).body == b"ok"
             assert len(endpoint.got) == 1
 
     run(main())
@@ -721,7 +723,7 @@
 def test_an_unreadable_hint_refuses_nobody() -> None:
     async def main() -> None:
         async with sidecar(Endpoint()) as one:
-            assert (await one.ask(request(headers="X-Cost-Hint: 12.5e3\r\n"))).body == b"ok"
+            assert (await one.send(request(headers="X-Cost-Hint: 12.5e3\r\n"))).body == b"ok"
 
     run(main())
 
@@ -730,7 +732,7 @@
     async def main() -> None:
         endpoint = Endpoint()
         async with sidecar(endpoint) as one:
-            back = await one.ask(request("pay", deadline_ms=0))
+            back = await one.send(request("pay", deadline_ms=0))
             assert back.start.split()[1] in ("503", "504")
             assert not endpoint.got and not one.engine.calls and not one.engine.balancer.requests
 
@@ -740,16 +742,16 @@
 def test_ready_does_not_wait_for_discovery() -> None:
     async def main() -> None:
         async with sidecar(known=False) as one:
-            back = await one.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+            back = await one.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
             assert back.start.startswith("HTTP/1.1 200")
 
     run(main())
 
 
 def test_keys_are_numbers_of_what_a_request_is_about() -> None:
-    assert key_of(b"a=1&obj=7f3a9c21e0b4d655") == 0x7F3A9C21E0B4D655
-    assert key_of(b"a=1") == 0
-    assert key_of(b"obj=no-number") == key_of(b"obj=no-number") != 0
+    assert parse_object_key(b"a=1&obj=7f3a9c21e0b4d655") == 0x7F3A9C21E0B4D655
+    assert parse_object_key(b"a=1") == 0
+    assert parse_object_key(b"obj=no-number") == parse_object_key(b"obj=no-number") != 0
 
 
 # --- The process ------------------------------------------------------------------------
@@ -767,8 +769,8 @@
         endpoint, registry = Endpoint(slow), Registry()
         async with await endpoint.start(), await registry.start():
             port = free_port()
-            environ = {**config(tmp_path, registry, endpoint), "LB_LISTEN": f"127.0.0.1:{port}"}
-            process = await start(environ)
+            environ = {**write_config(tmp_path, registry, endpoint), "LB_LISTEN": f"127.0.0.1:{port}"}
+            process = await start_daemon(environ)
             await registry.asked.get()
             reader, writer = await connect_until_up(port)
             idle, idle_writer = await asyncio.open_connection("127.0.0.1", port)
@@ -806,7 +808,7 @@
     async def main() -> None:
         registry = Registry()
         registry.port = 1
-        process = await start(config(tmp_path, registry, **changes))
+        process = await start_daemon(write_config(tmp_path, registry, **changes))
         out, errors = await process.communicate()
         assert process.returncode == 2 and out == b""
         assert errors.count(b"\n") == 1 and errors.startswith(b"laurelstep: ")
@@ -817,7 +819,7 @@
 def test_no_configuration_is_one_line_and_an_exit() -> None:
     async def main() -> None:
         environ = {name: value for name, value in os.environ.items() if name != "LB_CONFIG"}
-        process = await start(environ)
+        process = await start_daemon(environ)
         _, errors = await process.communicate()
         assert (process.returncode, errors) == (2, b"laurelstep: LB_CONFIG is not set\n")
 
@@ -836,9 +838,9 @@
 
         endpoint = Endpoint(spaced)
         async with sidecar(endpoint) as one:
-            told = outcomes(one.engine)
+            told = record_outcomes(one.engine)
             raw = request("pay", b"b").replace(b": ", b":\t ").replace(b"\r\n", b" \t\r\n")
-            back = await one.ask(
+            back = await one.send(
                 raw.replace(b"HTTP/1.1 \t", b"HTTP/1.1").replace(b" \t\r\n \t\r\n", b" \t\r\n\r\n")
             )
             assert back.body == b"ok" and back.headers["content-type"] == "x"
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -23,14 +23,14 @@
     Message,
     Registry,
     Writer,
-    config,
     connect_until_up,
     free_port,
     push,
     read_message,
     request,
     run,
-    start,
+    start_daemon,
+    write_config,
 )
 from tests.syscall_faults.shim import COMPILER, UNTIL_CLEARED, Fault, FaultShim, SystemCall
 
@@ -137,7 +137,7 @@
     async def successor(self) -> None:
         """The next version comes and takes over; the one before it ends. What either logs is an error."""
         self.management = free_port()
-        process = await start({**self.environ, "LB_MANAGEMENT": f"127.0.0.1:{self.management}"})
+        process = await start_daemon({**self.environ, "LB_MANAGEMENT": f"127.0.0.1:{self.management}"})
         older, self.process = self.process, process
         _, self.watch = await self.registry.asked.get()
         while not await self.is_taken():
@@ -170,12 +170,12 @@
         port, management = free_port(), free_port()
         addresses = {"LB_LISTEN": f"127.0.0.1:{port}", "LB_MANAGEMENT": f"127.0.0.1:{management}"}
         environ = {
-            **config(tmp_path, registry, **changes),
+            **write_config(tmp_path, registry, **changes),
             **shim.environ,
             **addresses,
             "TMPDIR": str(tmp_path),
         }
-        process = await start(environ)
+        process = await start_daemon(environ)
         try:
             _, watch = await registry.asked.get()
             found = Site(port, management, environ, registry, endpoints, effects, process, watch)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -15,7 +15,7 @@
 from laurelstep.balancing import events
 from laurelstep.balancing.balancer import Balancer
 
-from tests.sockets import Replaced
+from tests.sockets import MethodProxy
 
 NOW = 0x805C5A
 
@@ -177,7 +177,7 @@
     def broken(*args: object) -> list[events.Action]:
         raise RuntimeError("no such luck")
 
-    host.instances[3] = cast(Balancer, Replaced(host.instances[3], request=broken))
+    host.instances[3] = cast(Balancer, MethodProxy(host.instances[3], request=broken))
     raw = host.batch(body(record(REQ)))
     assert replies(raw)[0][0] == 69
     assert raw.endswith(b"RuntimeError: no such luck")
--- a/tests/upgrades.py
+++ b/tests/upgrades.py
@@ -14,14 +14,14 @@
 from laurelstep.testing import Caller
 
 from tests.sockets import (
-    TIMEOUT_S,
+    TEST_TIMEOUT_S,
     Endpoint,
     Registry,
-    config,
     free_port,
     read_message,
     request,
-    start,
+    start_daemon,
+    write_config,
 )
 
 Process = asyncio.subprocess.Process
@@ -74,10 +74,10 @@
         self.stack = contextlib.AsyncExitStack()
 
     async def __aenter__(self) -> Self:
-        await self.stack.enter_async_context(asyncio.timeout(5 * TIMEOUT_S))
+        await self.stack.enter_async_context(asyncio.timeout(5 * TEST_TIMEOUT_S))
         for listener in (self.registry, *self.endpoints):
             await self.stack.enter_async_context(await listener.start())
-        environ = config(self.folder, self.registry, *self.endpoints, **self.changes)
+        environ = write_config(self.folder, self.registry, *self.endpoints, **self.changes)
         self.environ = {**environ, "LB_LISTEN": f"127.0.0.1:{self.port}", "TMPDIR": str(self.folder)}
         return self
 
@@ -94,7 +94,7 @@
         """A process that has only just been started."""
         management = free_port()
         told = {**self.environ, "LB_MANAGEMENT": f"127.0.0.1:{management}", **environ}
-        version = Version(await start(told), management)
+        version = Version(await start_daemon(told), management)
         self.versions.append(version)
         return version
 
