--- a/laurelstep/testing/processes/relays.py
+++ b/laurelstep/testing/processes/relays.py
@@ -23,7 +23,7 @@
 from typing import Final, Literal, cast
 
 from laurelstep.testing.endpoints import reset_connection
-from laurelstep.testing.messages import Reader, Writer
+from laurelstep.testing.messages import Reader, Writer, free_port
 from laurelstep.testing.processes.faults import Datagram, Route, RouteTable
 
 Address = tuple[str, int]
@@ -235,9 +235,13 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen, at the port of before after a `refuse`."""
+        """Listen on a reserved port, the same one again after `refuse`.
+
+        Guards against another process's listener that gets this port from the system while the relay
+        refuses: it would answer in place of the relay's target.
+        """
+        self.port = self.port or free_port()
         self._listener = await asyncio.start_server(self._serve, HOST, self.port, backlog=1024)
-        self.port = self._listener.sockets[0].getsockname()[1]
 
     @property
     def address(self) -> str:
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -21,6 +21,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from laurelstep.testing import Caller, free_port, request
+from laurelstep.testing.messages import PORTS
 from laurelstep.testing.processes import (
     CheckLimits,
     DatagramRelay,
@@ -432,6 +433,22 @@
     play(main())
 
 
+def test_a_relay_that_refuses_keeps_a_port_that_the_system_gives_nobody_else() -> None:
+    """Guards against a parallel test process that is given the port and answers in the relay's place."""
+
+    async def main() -> None:
+        relay = StreamRelay(("127.0.0.1", free_port()))
+        await relay.start()
+        port = relay.port
+        assert port in PORTS
+        relay.refuse()
+        await relay.accept()
+        assert relay.port == port
+        relay.close()
+
+    play(main())
+
+
 def test_a_relay_finds_ids_that_reads_cut_through_once() -> None:
     async def main() -> None:
         sent: list[str] = []
