--- a/tests/test_folders_of_earlier_versions.py
+++ b/tests/test_folders_of_earlier_versions.py
@@ -5,6 +5,7 @@
 import json
 import shutil
 import time
+from dataclasses import replace
 from pathlib import Path
 from typing import Any, Final
 
@@ -14,10 +15,12 @@
 from laurelstep.outbox.write_ids import parse_write_id
 
 from tests.consensus_tiers import Tier
-from tests.sockets import run
+from tests.journals import AGAIN, MAY_HAVE_RUN, ORDER, SERVED, client_with_journal, pay, said
+from tests.sockets import Endpoint, run
 from tests.test_outbox_bodies import edge
 
 FIXTURES: Final = Path(__file__).parent / "fixtures"
+VERSIONS: Final = ("9af0195", "136a9fe")
 HOUR_US: Final = 3_600_000_000
 
 
@@ -29,15 +32,16 @@
     return Path(shutil.copytree(FIXTURES / name, to / name))
 
 
-def test_an_outbox_of_9af0195_is_opened_and_what_it_kept_goes_upstream_once(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("version", VERSIONS)
+def test_an_outbox_of_an_earlier_version_is_opened_and_what_it_kept_goes_upstream_once(
+    version: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    before = told("outbox-9af0195")
+    before = told(f"outbox-{version}")
     monkeypatch.setattr(time, "time_ns", lambda: (before["wall_us"] + HOUR_US) * 1000)
     monkeypatch.setattr(replay_driver, "TURN_US", 10_000)
 
     async def main() -> None:
-        folder = copy_of("outbox-9af0195", tmp_path)
+        folder = copy_of(f"outbox-{version}", tmp_path)
         async with edge(str(folder), off=False) as one:  # type: ignore[arg-type]
             driver = one.driver
             write_ids = {name: parse_write_id(found["write"]) for name, found in before["told"].items()}
@@ -61,11 +65,14 @@
     run(main())
 
 
-def test_the_consensus_folders_of_9af0195_are_opened_and_agree_on(tmp_path: Path) -> None:
-    before = told("consensus-9af0195")
+@pytest.mark.parametrize("version", VERSIONS)
+def test_the_consensus_folders_of_an_earlier_version_are_opened_and_agree_on(
+    version: str, tmp_path: Path
+) -> None:
+    before = told(f"consensus-{version}")
 
     async def main() -> None:
-        tier = Tier(3, 3, copy_of("consensus-9af0195", tmp_path))
+        tier = Tier(3, 3, copy_of(f"consensus-{version}", tmp_path))
         for me in range(3):
             await tier.start(me, durable=True)
         await tier.agree(b"after")
@@ -77,3 +84,23 @@
         assert not tier.lines
 
     run(main())
+
+
+def test_a_request_journal_of_136a9fe_is_opened_and_answers_from_its_records(tmp_path: Path) -> None:
+    before = told("request-journal-136a9fe")
+    journal_class = replace(ORDER, retention_ms=before["retention_ms"])
+
+    async def main() -> None:
+        folder = copy_of("request-journal-136a9fe", tmp_path)
+        async with (
+            Endpoint() as endpoint,
+            client_with_journal(folder, endpoint, settings=journal_class) as client,
+        ):
+            answered = await client.send(pay("answered"))
+            assert said(answered) == AGAIN
+            assert answered.body.decode() == before["answered"]
+            assert said(await client.send(pay("unanswered"))) == MAY_HAVE_RUN
+            assert said(await client.send(pay("new"))) == SERVED
+            assert endpoint.count == 1
+
+    run(main())
