--- a/laurelstep/outbox/shared/agreement.py
+++ b/laurelstep/outbox/shared/agreement.py
@@ -74,7 +74,7 @@
         record.applied = self._landed
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """All that was agreed when this copy came is known here, and a leader with a majority is heard."""
         return not self._closed and self.accord.is_caught_up and self.accord.has_leader_contact
 
--- a/laurelstep/outbox/shared/assembly.py
+++ b/laurelstep/outbox/shared/assembly.py
@@ -33,13 +33,13 @@
         self.clock = LoopClock(loop)
         self.carried: Final = CarriedLedger()
         self.version_vector = ReplicatedVersionVector(self.carried.record, self.clock, log)
-        self.gate: ReplayGate | None = None
+        self.replay_gate: ReplayGate | None = None
         self.driver: OutboxDriver | None = None
 
     @property
-    def machines(self) -> dict[int, StateMachine]:
+    def state_machines(self) -> dict[int, StateMachine]:
         """What the agreed entries act on, by their first byte."""
-        return self.carried.machines
+        return self.carried.state_machines
 
     def join(self, part: ConsensusChannel, driver: OutboxDriver, inner: Recorder | None) -> ReplayGate:
         """`inner`: that of `[orders]`; what it records no edge may keep."""
@@ -56,10 +56,10 @@
             if rules[cls].effect != SAFE and name not in recorded
         }
         self.driver = driver
-        self.gate = ReplayGate(
+        self.replay_gate = ReplayGate(
             self.carried.record, sharer, MessageSeal(secret), classes, self.clock, self.log, inner
         )
-        return self.gate
+        return self.replay_gate
 
     def begin(self) -> None:
         """The outbox has begun with the engine."""
@@ -77,8 +77,8 @@
 
     def lose(self, edge: str, incarnation: int) -> bool:
         """An operator declares an edge lost, or one life of it. False if that was said already."""
-        assert self.gate is not None
-        return self.gate.lose(edge, incarnation)
+        assert self.replay_gate is not None
+        return self.replay_gate.lose(edge, incarnation)
 
     def claim(self, edge_log: EdgeLog) -> bool:
         """An operator's word: this process replays that log. `UnknownWriteError`."""
@@ -90,11 +90,11 @@
 
     def status(self) -> dict[str, Any]:
         """For an operator, in JSON's types."""
-        return {} if self.gate is None else self.gate.status()
+        return {} if self.replay_gate is None else self.replay_gate.status()
 
     async def close(self) -> None:
         """Agree on nothing any more."""
         self.version_vector.close()
-        if self.gate is not None:
-            await self.gate.close()
+        if self.replay_gate is not None:
+            await self.replay_gate.close()
         self.carried.close()
--- a/laurelstep/outbox/shared/carried_ledger.py
+++ b/laurelstep/outbox/shared/carried_ledger.py
@@ -23,7 +23,7 @@
 
     def __init__(self) -> None:
         self.record: Final = ReplicatedLedger()
-        self.machines: Final[dict[int, StateMachine]] = {KIND[0]: self.record}
+        self.state_machines: Final[dict[int, StateMachine]] = {KIND[0]: self.record}
         self.sharer: AgreementDriver | None = None
 
     def join(self, part: ConsensusChannel, clock: Clock) -> AgreementDriver:
--- a/laurelstep/outbox/shared/edge.py
+++ b/laurelstep/outbox/shared/edge.py
@@ -335,7 +335,7 @@
             if write_status is WriteStatus.APPLIED and not dependency.before:
                 news.own_applied.append(dependency.write_id)
             return write_status is WriteStatus.APPLIED
-        is_new = self._statuses.learn(dependency, write_status)
+        is_new = self._statuses.update(dependency, write_status)
         if self._statuses.is_final(dependency):
             self._asked.drop(dependency)
         news.changed |= is_new
--- a/laurelstep/outbox/shared/known_statuses.py
+++ b/laurelstep/outbox/shared/known_statuses.py
@@ -29,7 +29,7 @@
         """Nothing more need be heard of it."""
         return self.get(dependency) in FINAL_STATUSES
 
-    def learn(self, dependency: Dependency, write_status: WriteStatus) -> bool:
+    def update(self, dependency: Dependency, write_status: WriteStatus) -> bool:
         """True if that is news."""
         if self.is_final(dependency) or write_status is self.get(dependency):
             return False
--- a/laurelstep/outbox/shared/ports.py
+++ b/laurelstep/outbox/shared/ports.py
@@ -32,7 +32,7 @@
     """Brings entries to agreement: `shared.sharer.AgreementDriver`."""
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """The record is known here, and a leader is heard."""
 
     def agree(self, entry: LedgerEntry, done: Callable[[], bool], until: int) -> asyncio.Future[bool]:
--- a/laurelstep/outbox/shared/replay_gate.py
+++ b/laurelstep/outbox/shared/replay_gate.py
@@ -119,7 +119,7 @@
 
     def status(self) -> dict[str, Any]:
         """For an operator."""
-        return {"ready": self.sharer.ready, **self.record.status(), "gate": dict(self.counters)}
+        return {"ready": self.sharer.is_ready, **self.record.status(), "gate": dict(self.counters)}
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -160,7 +160,7 @@
 
     def _verdict(self, hand: GatedReplay) -> Answer | None:
         """What can be answered from what is agreed; None if it may be sent, or its BEGIN be told."""
-        if not self.sharer.ready:
+        if not self.sharer.is_ready:
             return self._refusal()
         begun = self.record.intent_status(hand.write_id, hand.life, hand.ask)
         if begun is IntentStatus.APPLIED:
@@ -184,7 +184,7 @@
             self._take_back_later(hand)  # its time is over, or its edge left
             return
         begun = self._begun(hand)
-        if begun is IntentStatus.MINE and self.sharer.ready:
+        if begun is IntentStatus.MINE and self.sharer.is_ready:
             self._admit(hand, engine)
             return
         del self.hands[call]
@@ -322,9 +322,9 @@
             ask = self.seal.open_ask(text)
         except SealError as error:
             return self._unsealed("an ask", error)
-        if self.sharer.ready:
+        if self.sharer.is_ready:
             await self._bring_about(ask)
-        if not self.sharer.ready:
+        if not self.sharer.is_ready:
             return self._refusal()
         record = self.record
         answered = QueryReply(
--- a/laurelstep/outbox/shared/replicated_version_vector.py
+++ b/laurelstep/outbox/shared/replicated_version_vector.py
@@ -92,7 +92,7 @@
     def holds(self, edge_log: EdgeLog) -> bool:
         """This process may replay the log now."""
         self._want(edge_log)
-        return self.sharer is not None and self.sharer.ready and self._is_mine(edge_log)
+        return self.sharer is not None and self.sharer.is_ready and self._is_mine(edge_log)
 
     def publish(self, write_id: WriteId, write_status: WriteStatus) -> bool:
         """What became of an own write. False if there is no room."""
@@ -152,7 +152,7 @@
         if self.timer is not None:
             self.timer.cancel()
         self.timer = self.clock.at(self.clock.now() + TURN_US, self._turn)
-        if self.sharer is None or not self.sharer.ready:
+        if self.sharer is None or not self.sharer.is_ready:
             return
         for edge_log in sorted(self.wanted & self.claims.keys()):
             self._claim(edge_log, self.claims[edge_log])
--- a/laurelstep/subsystems/consensus.py
+++ b/laurelstep/subsystems/consensus.py
@@ -103,7 +103,7 @@
     passive = CarriedLedger()  # of the outbox, where that is off
     state_machines = {
         **(passive_state_machines() if maintenance is None else maintenance),
-        **(passive.machines if outbox is None else outbox),
+        **(passive.state_machines if outbox is None else outbox),
     }
     node = build_node(settings, CompositeStateMachine(state_machines), context.loop, clock, log)
     multiplexer = ConsensusMultiplexer(node)
--- a/laurelstep/subsystems/outbox.py
+++ b/laurelstep/subsystems/outbox.py
@@ -56,7 +56,7 @@
     @property
     def machines(self) -> dict[int, StateMachine] | None:
         """Its part of the replicated state; None where copies share nothing."""
-        return None if self.shared is None else self.shared.machines
+        return None if self.shared is None else self.shared.state_machines
 
     def recorder(self, multiplexer: ConsensusMultiplexer, journal: Recorder | None) -> Recorder | None:
         """The gate for edges' replays, in front of the request journal's recorder where there is one."""
@@ -71,11 +71,11 @@
         """Queue and replay from now on; take part in what copies share."""
         self.driver.begin(engine)
         server.on_receipt_query = self.driver.ask
-        if self.shared is None or self.shared.gate is None:
+        if self.shared is None or self.shared.replay_gate is None:
             return
         if not self.holds_bodies:
             server.max_body = LARGE_MAX
-        server.on_shared_query = self.shared.gate.ask
+        server.on_shared_query = self.shared.replay_gate.ask
         self.shared.begin()
 
     async def stop(self) -> None:
--- a/tests/test_outbox_ledger.py
+++ b/tests/test_outbox_ledger.py
@@ -1035,7 +1035,7 @@
         futures = [desk.agree(WriteApplied(write_id(n))) for n in (1, 1, 2)]
         desk.sharer.close()
         assert [await future for future in futures] == [False] * 3
-        assert not await desk.agree(WriteApplied(write_id(3))) and not desk.sharer.ready
+        assert not await desk.agree(WriteApplied(write_id(3))) and not desk.sharer.is_ready
         desk.accord.on_leader_message(2, 5, pack(ONE))
         desk.clock.advance(10 * AGAIN_MOST_US)
         assert len(desk.accord.proposed) == 2 and not desk.clock.due
@@ -1046,7 +1046,7 @@
 def test_it_is_ready_where_the_record_is_known_and_a_leader_is_heard() -> None:
     desk = OutboxApi()
     changes: list[bool] = []
-    desk.sharer.on_change = lambda: changes.append(desk.sharer.ready)
+    desk.sharer.on_change = lambda: changes.append(desk.sharer.is_ready)
     for known, in_touch in ((True, True), (False, True), (True, False)):
         desk.accord.is_caught_up, desk.accord.has_leader_contact = known, in_touch
         desk.accord.on_change()
@@ -1133,7 +1133,7 @@
 
     async def settle(self) -> int:
         await self.until(
-            lambda: self.leader() is not None and all(one.ready for one in self.sharers.values())
+            lambda: self.leader() is not None and all(one.is_ready for one in self.sharers.values())
         )
         found = self.leader()
         assert found is not None
@@ -1215,12 +1215,12 @@
         leader = await tier.settle()
         lone = next(me for me in range(4) if me != leader)
         tier.faults.partition([lone], [me for me in range(4) if me != lone])
-        await tier.until(lambda: not tier.sharers[lone].ready)
+        await tier.until(lambda: not tier.sharers[lone].is_ready)
         future = tier.agree(lone, ONE, 2_000 * MS)
         await tier.until(future.done)
         assert not future.result() and write_status(tier.records[leader], 1) is WriteStatus.UNKNOWN
         tier.faults.heal()
-        await tier.until(lambda: tier.sharers[lone].ready)
+        await tier.until(lambda: tier.sharers[lone].is_ready)
         again = tier.agree(lone, ONE)
         await tier.until(again.done)
         assert again.result()
@@ -1228,8 +1228,8 @@
         tier.sharers[lone].close()
         await tier.nodes[lone].close()
         await tier.start(lone)
-        assert not tier.sharers[lone].ready
-        await tier.until(lambda: tier.sharers[lone].ready)
+        assert not tier.sharers[lone].is_ready
+        await tier.until(lambda: tier.sharers[lone].is_ready)
         assert write_status(tier.records[lone], 1) is WriteStatus.APPLIED
         await tier.close()
 
--- a/tests/test_outbox_replay_gate.py
+++ b/tests/test_outbox_replay_gate.py
@@ -76,7 +76,7 @@
     def __init__(self, record: ReplicatedLedger, clock: ManualClock) -> None:
         self.record = record
         self.clock = clock
-        self.ready = True
+        self.is_ready = True
         self.index = self.calls = 0
         self.waiting: list[tuple[LedgerEntry, Callable[[], bool], asyncio.Future[bool]]] = []
 
@@ -293,7 +293,7 @@
 @pytest.mark.parametrize("cls", [PAY, PUT])
 def test_nothing_is_sent_while_the_record_is_not_known(cls: int) -> None:
     async def test(world: World) -> None:
-        world.sharer.ready = False
+        world.sharer.is_ready = False
         await world.take(cls)
         answer = world.front.given[0][1]
         assert world.told == [(503, b"")] and answer.ending is Ending.REFUSED and answer.retry_after_us > 0
@@ -335,7 +335,7 @@
 def test_a_copy_that_lost_touch_while_its_begin_was_agreed_sends_nothing() -> None:
     async def test(world: World) -> None:
         await world.take()
-        world.sharer.ready = False
+        world.sharer.is_ready = False
         await world.land()
         assert world.told == [(503, b"")] and not world.sent
         assert world.sharer.asked == [IntentWithdrawal(DOT, 1)]
@@ -773,7 +773,7 @@
 
 def test_a_copy_that_does_not_know_the_record_answers_no_ask() -> None:
     async def test(world: World) -> None:
-        world.sharer.ready = False
+        world.sharer.is_ready = False
         ask = ReplayQuery(
             write_statuses=(Dependency(*DOT),), claims=(LeaseRequest(LINE, LATER_LIFE, (LIFE,)),)
         )
--- a/tests/test_outbox_replicated_version_vector.py
+++ b/tests/test_outbox_replicated_version_vector.py
@@ -68,7 +68,7 @@
     async def test(world: World) -> None:
         assert world.version_vector.write_status(FOREIGN) is WriteStatus.UNKNOWN
         world.sharer.land(WriteApplied(FOREIGN.write_id))
-        world.sharer.ready = False
+        world.sharer.is_ready = False
         assert world.version_vector.write_status(FOREIGN) is WriteStatus.APPLIED
 
     play(test)
@@ -79,9 +79,9 @@
         assert not world.version_vector.holds(MINE)  # not begun
         world.begin()
         assert world.version_vector.holds(MINE) and not world.version_vector.holds(EdgeLog("edge-1", 7))
-        world.sharer.ready = False
+        world.sharer.is_ready = False
         assert not world.version_vector.holds(MINE)
-        world.sharer.ready = True
+        world.sharer.is_ready = True
         world.sharer.land(EdgeLost("copy-1", MINE.incarnation))
         assert not world.version_vector.holds(MINE)
 
@@ -162,10 +162,10 @@
         world.begin()
         assert world.sharer.asked == [StatusRecord(write_ids[0], WriteStatus.PARKED, 3)]
         world.version_vector.publish(write_ids[1], WriteStatus.APPLIED)
-        world.sharer.ready = False
+        world.sharer.is_ready = False
         await world.turn(2 * TURN_US)
         assert len(world.sharer.asked) == 1
-        world.sharer.ready = True
+        world.sharer.is_ready = True
         both = {
             StatusRecord(write_ids[0], WriteStatus.PARKED, 3),
             StatusRecord(write_ids[1], WriteStatus.APPLIED, 3),
