--- a/laurelstep/net/__init__.py
+++ b/laurelstep/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real sidecar round the decision module: sockets, timers and names, no decisions."""
+"""Network I/O of the sidecar: sockets, timeouts and HTTP framing. Balancing decisions are made elsewhere."""
--- a/laurelstep/net/acceptor.py
+++ b/laurelstep/net/acceptor.py
@@ -1,10 +1,10 @@
-"""Accepts connections at listening sockets, also while the system can give no descriptor for them.
+"""Accepts connections on listening sockets, and tolerates a shortage of file descriptors.
 
-The loop's own server is not used: with a descriptor that it keeps in reserve, libuv accepts and closes
-whatever waits when `accept` fails with EMFILE or ENFILE. Each of those clients would have lost the
-request that it had sent already. Here a connection that can't be accepted waits in the backlog.
+The event loop's own server is not used: when `accept` fails with EMFILE or ENFILE, libuv uses a reserved
+descriptor to accept and close every waiting connection, and each of those clients loses the request that
+it has already sent. Here, a connection that cannot be accepted stays in the listen backlog.
 
-It stays plain Python where the rest is compiled: see `net.connect`.
+This module is not compiled with mypyc: see `net.connect`.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from collections.abc import Callable
 from typing import Any, Final
 
-# What the process, or the machine, has too few of: asked again after a pause, as the listener
-# stays readable meanwhile and the loop would turn for nothing.
+# Errors of `accept` that mean the process or the machine lacks a resource. The listener stays readable
+# meanwhile, so accepting is retried after a pause instead of in a busy loop.
 SHORTAGE_ERRNOS: Final = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 SHORTAGE_PAUSE_S: Final = 0.02
 
@@ -24,36 +24,36 @@
 
 
 class Acceptor:
-    """Listens until `close`; each connection gets a protocol of its own from `factory`."""
+    """Accepts connections until `close` and gives each a new protocol object from `factory`."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, sockets: list[socket.socket], factory: ProtocolFactory
     ) -> None:
-        """`sockets` listen and do not block; they are this object's from now on."""
+        """`sockets` are listening and non-blocking; this object closes them."""
         self.loop = loop
         self.sockets = sockets
         self.factory = factory
-        self.connecting: set[asyncio.Task[None]] = set()  # accepted, and their protocols not told yet
-        self.resuming: dict[socket.socket, asyncio.TimerHandle] = {}
-        for one in sockets:
-            loop.add_reader(one.fileno(), self._accept, one)
+        self.connecting: set[asyncio.Task[None]] = set()  # accepted; `connection_made` not called yet
+        self.resume_timers: dict[socket.socket, asyncio.TimerHandle] = {}
+        for listener in sockets:
+            loop.add_reader(listener.fileno(), self._accept, listener)
 
     @property
     def port(self) -> int:
-        """Of the first socket."""
+        """The local port of the first socket."""
         return int(self.sockets[0].getsockname()[1])
 
     @property
     def is_short(self) -> bool:
-        """Whether a pause runs because nothing more can be accepted just now."""
-        return bool(self.resuming)
+        """Whether accepting is paused on some socket for lack of a resource."""
+        return bool(self.resume_timers)
 
     def _accept(self, listener: socket.socket) -> None:
-        """One connection in a turn of the loop: what else is ready has its turn between them."""
+        """Accept one connection per event loop iteration, so that other ready callbacks run in between."""
         try:
             accepted, _ = listener.accept()
         except OSError as error:
-            # Of others the connection itself has gone (accept(2)), or nothing waits.
+            # After any other error the connection itself has failed (accept(2)), or none is waiting.
             if error.errno in SHORTAGE_ERRNOS:
                 self._pause(listener)
             return
@@ -70,21 +70,21 @@
 
     def _pause(self, listener: socket.socket) -> None:
         self.loop.remove_reader(listener.fileno())
-        self.resuming[listener] = self.loop.call_later(SHORTAGE_PAUSE_S, self._resume, listener)
+        self.resume_timers[listener] = self.loop.call_later(SHORTAGE_PAUSE_S, self._resume, listener)
 
     def _resume(self, listener: socket.socket) -> None:
-        del self.resuming[listener]
+        del self.resume_timers[listener]
         self.loop.add_reader(listener.fileno(), self._accept, listener)
 
     def close(self) -> None:
-        """Accept nothing more; what was accepted still comes up. May be called again."""
-        for handle in self.resuming.values():
+        """Stop accepting. Connections already accepted are still set up. May be called again."""
+        for handle in self.resume_timers.values():
             handle.cancel()
-        self.resuming.clear()
+        self.resume_timers.clear()
         listeners, self.sockets = self.sockets, []
-        for one in listeners:
-            self.loop.remove_reader(one.fileno())
-            one.close()
+        for listener in listeners:
+            self.loop.remove_reader(listener.fileno())
+            listener.close()
 
 
 async def listen(
@@ -95,32 +95,32 @@
     backlog: int,
     reuse_port: bool = False,
 ) -> Acceptor:
-    """Listen at all addresses of the host. OSError if one can't be had."""
+    """Listen on all addresses of the host. OSError if one cannot be bound."""
     flags = socket.AI_PASSIVE
-    found = await loop.getaddrinfo(host or None, port, type=socket.SOCK_STREAM, flags=flags)
+    address_infos = await loop.getaddrinfo(host or None, port, type=socket.SOCK_STREAM, flags=flags)
     sockets: list[socket.socket] = []
     try:
-        for family, kind, protocol, _, address in dict.fromkeys(found):
-            one = socket.socket(family, kind, protocol)
-            sockets.append(one)
-            _bind(one, address, reuse_port)
-            one.listen(backlog)
-            one.setblocking(False)
+        for family, kind, protocol, _, address in dict.fromkeys(address_infos):
+            listener = socket.socket(family, kind, protocol)
+            sockets.append(listener)
+            _bind(listener, address, reuse_port)
+            listener.listen(backlog)
+            listener.setblocking(False)
     except OSError:
-        for one in sockets:
-            one.close()
+        for listener in sockets:
+            listener.close()
         raise
     return Acceptor(loop, sockets, factory)
 
 
-def _bind(one: socket.socket, address: Any, reuse_port: bool) -> None:
-    one.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+def _bind(listener: socket.socket, address: Any, reuse_port: bool) -> None:
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     if reuse_port:
-        one.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    if one.family == socket.AF_INET6:
-        one.setsockopt(socket.IPPROTO_IPV6, socket.IPV6_V6ONLY, 1)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    if listener.family == socket.AF_INET6:
+        listener.setsockopt(socket.IPPROTO_IPV6, socket.IPV6_V6ONLY, 1)
     try:
-        one.bind(address)
+        listener.bind(address)
     except OSError as error:
         reason = (error.strerror or str(error)).lower()
         text = f"error while attempting to bind on address {address!r}: {reason}"
--- a/laurelstep/net/assembly.py
+++ b/laurelstep/net/assembly.py
@@ -1,4 +1,4 @@
-"""The parts of one copy, put together from its configuration: alike for daemon and library."""
+"""Builds the engine, its upstream and its member source from a configuration, for daemon and library."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from laurelstep.net.upstream import Upstream
 from laurelstep.settings import Config, ConfigError
 
-# Puts a source between one of members and the engine.
+# Wraps a member source in one that may hold its lists back before the engine receives them.
 HoldingSourceFactory = Callable[[MemberSource, Clock], HoldingSource]
 
 
 def create_source(
     loop: asyncio.AbstractEventLoop, config: Config, log: Log, collector: Collector | None
 ) -> Discovery | StaticMembers:
-    """Discovery, where the configuration names one; else a source that is members its members."""
+    """Discovery if the configuration names an address, else a source with a fixed list of members."""
     if config.discovery is None:
         return StaticMembers()
     is_pushed = not config.settings.asks_discovery
@@ -30,7 +30,7 @@
 
 
 class Assembly:
-    """An engine with its upstream and its source of members, which a front is plugged into.
+    """An engine with its upstream and its member source. A front end (daemon or library) is attached to it.
 
     Without discovery, the members are the argument `members` or, if that is None, the list in the
     configuration. `create_holding_source` wraps the member source before the engine uses it;
@@ -78,7 +78,7 @@
         )
 
     def start(self) -> None:
-        """`ConfigError` if the members that are known can't be read."""
+        """Start the engine with the members known so far. `ConfigError` if that list is malformed."""
         try:
             if isinstance(self.source, StaticMembers):
                 self.engine.start()
@@ -93,11 +93,11 @@
             raise ConfigError(f"members: {error}") from None
 
     def close(self) -> None:
-        """Stop asking discovery, and close all connections to endpoints."""
+        """Stop watching discovery and close all connections to endpoints."""
         self.source.close()
         self.upstream.close()
 
     async def wait_closed(self) -> None:
-        """After `close`: until no task and no socket is left."""
+        """Wait, after `close`, until no task and no socket is left."""
         await self.source.wait_closed()
         await self.upstream.wait_closed()
--- a/laurelstep/net/client_connection.py
+++ b/laurelstep/net/client_connection.py
@@ -1,6 +1,6 @@
-"""One connection of a client: writes final answers, and says how the connection ends.
+"""One connection of a client: writes final answers and closes the connection.
 
-`net.shutdown` says when connections end.
+`net.shutdown` decides when connections are closed at a drain or a shutdown.
 """
 
 from __future__ import annotations
@@ -15,32 +15,34 @@
 from laurelstep.engine.call import Answer, Call
 from laurelstep.net.errors import BadRequestError
 from laurelstep.net.message import encode_headers
-from laurelstep.net.request_receiver import STOPS, RequestReceiver
+from laurelstep.net.request_receiver import STOPPING_MESSAGE, RequestReceiver
 from laurelstep.net.server_state import ServerState
 
-REASONS: Final = {status.value: status.phrase.encode() for status in HTTPStatus}
-START_LINES: Final = {status: b"HTTP/1.1 %d %b\r\n" % (status, reason) for status, reason in REASONS.items()}
+REASON_PHRASES: Final = {status.value: status.phrase.encode() for status in HTTPStatus}
+STATUS_LINES: Final = {
+    status: b"HTTP/1.1 %d %b\r\n" % (status, reason) for status, reason in REASON_PHRASES.items()
+}
 
 
-def rejection(error: BadRequestError) -> bytes:
-    """The whole answer that says so, and ends the connection."""
+def encode_rejection(error: BadRequestError) -> bytes:
+    """The encoded answer for a rejected request, which also announces that the connection is closed."""
     text = f"{error}\n".encode()
     return (
         b"HTTP/1.1 %d %b\r\nContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%b"
-        % (error.status, REASONS[error.status], len(text), text)
+        % (error.status, REASON_PHRASES[error.status], len(text), text)
     )
 
 
 class ClientConnection(RequestReceiver):
-    """One connection of a client; one request is read, and answered, at a time.
+    """One connection of a client, which reads and answers one request at a time.
 
-    An `asyncio.Protocol` in all but the base class: compiled, one with a base that is
-    not compiled would lose its fixed layout.
+    It has the methods of an `asyncio.Protocol` but not the base class: mypyc cannot give a class with a base
+    that is not compiled a fixed layout.
     """
 
     def __init__(self, server: ServerState[Any]) -> None:
         super().__init__(server)
-        self.chunked = False  # the answer goes out in chunks
+        self.chunked = False  # the answer being streamed uses chunked framing
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """asyncio: the client has connected."""
@@ -48,10 +50,10 @@
         self.server.on_connect(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """asyncio: the connection is closed; what was owed on it is given up."""
+        """asyncio: the connection is closed. Abandons its request and its answer."""
         self.closing = True
-        self.parser = None  # it holds this object's methods: the cycle ends here
-        self.parsed = None  # a call that was not complete holds this object, too
+        self.parser = None  # breaks the reference cycle: the parser holds bound methods of this object
+        self.parsed = None  # the call of an incomplete request refers to this object, too
         self._abandon()
         answer, self.answer = self.answer, None
         if answer is not None:
@@ -59,21 +61,23 @@
         self.server.on_disconnect(self)
 
     def eof_received(self) -> None:
-        """The client has ended its side, so it has gone: the protocol knows no client that waits on for its
-        answer. The transport closes, but tells so a turn later, behind timers that may send the request.
+        """asyncio: the client has closed its side. No client of this protocol then still waits for an answer.
+
+        Abandons the request now: asyncio calls `connection_lost` an event loop iteration later, after timers
+        that might send the request.
         """
         self.closing = True
         self._abandon()
 
     def pause_writing(self) -> None:
-        """asyncio: the client does not read its answer."""
+        """asyncio: the send buffer is full, as the client does not read its answer."""
         self.server.write_stalled.add(self)
         if self.answer is not None:
             self.answer.pause()
 
     def resume_writing(self) -> None:
-        """asyncio: the client reads again."""
-        if not self.closing:  # an end that waits for this keeps its bound
+        """asyncio: the send buffer has room again."""
+        if not self.closing:  # a closing connection keeps its timeout
             self.server.write_stalled.discard(self)
         if self.answer is not None:
             self.answer.resume()
@@ -81,7 +85,7 @@
     # --- Writing --------------------------------------------------------------------
 
     def answered(self, call: Call, answer: Answer) -> None:
-        """The final answer to the call in hand, as `engine.call.Frontend` has it."""
+        """`Frontend`: write the final answer of the current call."""
         self.call = None
         unread = self.upload is not None
         self._release_body()
@@ -91,43 +95,43 @@
             self.write_answer(answer, unread)
 
     def write_answer(self, answer: Answer, unread: bool = False) -> None:
-        """`unread`: more of the request may come, and is not waited for."""
+        """Write an answer. `unread`: the request is incomplete, and the rest of it is not read."""
         if self.transport is None or self.transport.is_closing():
             return
-        keep = self.keep_alive and self.server.lifecycle.keeps and not unread
+        keep_alive = self.keep_alive and self.server.lifecycle.keeps and not unread
         head = encode_headers(answer.headers)
         if answer.retry_after_us > 0:
             head = b"%bRetry-After: %.3f\r\n" % (head, answer.retry_after_us / 1e6)
-        close = b"" if keep else b"Connection: close\r\n"
+        close = b"" if keep_alive else b"Connection: close\r\n"
         self.transport.write(
             b"%bContent-Length: %d\r\n%b%b\r\n%b"
-            % (START_LINES[answer.status], len(answer.body), head, close, answer.body)
+            % (STATUS_LINES[answer.status], len(answer.body), head, close, answer.body)
         )
-        if keep:
+        if keep_alive:
             self.server.idle.add(self)
         else:
             self.close()
 
     # --- Streaming ---------------------------------------------------------------------
 
-    def _stream_answer(self, answer: Answer, flow: BodyStream, unread: bool) -> None:
+    def _stream_answer(self, answer: Answer, body: BodyStream, unread: bool) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        self.chunked = flow.length < 0 and self.parser.get_http_version() == "1.1"
+        self.chunked = body.length < 0 and self.parser.get_http_version() == "1.1"
         self.keep_alive = self.keep_alive and self.server.lifecycle.keeps and not unread
-        self.keep_alive = self.keep_alive and (self.chunked or flow.length >= 0)
+        self.keep_alive = self.keep_alive and (self.chunked or body.length >= 0)
         framing = b"Transfer-Encoding: chunked\r\n" if self.chunked else b""
-        if flow.length >= 0:
-            framing = b"Content-Length: %d\r\n" % flow.length
+        if body.length >= 0:
+            framing = b"Content-Length: %d\r\n" % body.length
         close = b"" if self.keep_alive else b"Connection: close\r\n"
-        self.answer = flow
+        self.answer = body
         self.transport.write(
-            b"%b%b%b%b\r\n" % (START_LINES[answer.status], framing, encode_headers(answer.headers), close)
+            b"%b%b%b%b\r\n" % (STATUS_LINES[answer.status], framing, encode_headers(answer.headers), close)
         )
-        flow.attach(self)
+        body.attach(self)
 
     def on_data(self, data: bytes) -> None:
-        """A part of an answer that is streamed, as `engine.body_stream.BodySink` has it."""
+        """`BodySink`: write a part of the streamed answer."""
         if self.transport is None or self.transport.is_closing():
             return
         if self.chunked:
@@ -136,7 +140,7 @@
             self.transport.write(data)
 
     def on_end(self, complete: bool) -> None:
-        """The end of an answer that is streamed."""
+        """`BodySink`: the streamed answer has ended; `complete` if all of it has arrived."""
         self.answer = None
         self.server.paused.discard(self)
         if self.transport is None or self.transport.is_closing():
@@ -145,30 +149,30 @@
             self.transport.write(b"0\r\n\r\n")
         if complete and self.keep_alive:
             self.server.idle.add(self)
-            if self.pipelined and self.has_left():  # its end lay behind what was not read
+            if self.pipelined and self.has_left():  # the client has closed its side after unread bytes
                 self.close()
             elif self.pipelined:
                 self._resume_pipelined()
-            elif not self.server.lifecycle.keeps:  # it did when the answer's head was written
+            elif not self.server.lifecycle.keeps:  # a drain began after the answer's head was written
                 self.close_if_idle()
         elif complete or self.chunked or self.keep_alive:
-            # What has been given is still read; that it is not complete shows in its framing.
+            # The client can still read what was written, and its framing shows whether it is complete.
             self.close()
         else:
             self.abort()
 
     def reject(self, error: BadRequestError) -> None:
-        """A plain 4xx, then the end."""
+        """Answer a rejected request with the error's status, and close the connection."""
         self.closing = True
         self._abandon()
         if self.transport is None or self.transport.is_closing():
             return
-        self.transport.write(rejection(error))
+        self.transport.write(encode_rejection(error))
         self.close()
 
     def close(self) -> None:
-        """A lingering close: this side ends behind what is written, what still comes is dropped, and the
-        client's own end closes the connection.
+        """Close this side after the bytes already written, and discard what still arrives until the client
+        closes its side (a lingering close).
         """
         self.closing = True
         if self.transport is None or self.transport.is_closing():
@@ -178,61 +182,67 @@
         self.transport.resume_reading()
 
     def on_linger_timeout(self) -> None:
-        """A client that still takes its answer has as long as any that reads slowly."""
+        """The client has not closed its side in time. If it is still reading its answer, allow more time."""
         if self.has_written():
             self.abort()
         else:
             self.server.write_stalled.add(self)
 
     def evict(self) -> None:
-        """Its descriptor is freed at once. The last byte of a half-sent request may be on its way: it is
-        refused past the transport, which would keep the bytes until the turn ends.
+        """Close the connection at once to free its descriptor, and refuse an incomplete request.
+
+        Its last byte may be on its way. The refusal is written to the socket directly, as the transport would
+        buffer it until the event loop iteration ends.
         """
         if self.received and self.call is None and not self.closing and self.transport is not None:
             with contextlib.suppress(OSError):
-                refusal = rejection(BadRequestError(503, "too many connections"))
+                refusal = encode_rejection(BadRequestError(503, "too many connections"))
                 os.write(self.transport.get_extra_info("socket").fileno(), refusal)
         self.abort()
 
     def abort(self) -> None:
-        """Close it at once; what is not with the system yet is lost."""
+        """Close the connection at once. Bytes that the kernel has not taken yet are lost."""
         self.closing = True
         if self.transport is not None:
             self.transport.abort()
 
     def close_if_idle(self) -> None:
-        """Guards a request that crosses the end of its connection: one that has come is
-        served; what comes behind the close is sent once more by its connection.
+        """Close the connection unless unread bytes have arrived.
+
+        Guards a request that crosses the close: one that has arrived is served; one that arrives later is
+        discarded unread, and its client sends it again on another connection.
         """
         if not self.has_unread():
             self.close()
 
     def is_silent(self) -> bool:
-        """Whether nothing of a request has come."""
+        """Whether no byte of a request has been read."""
         return not self.received
 
     def has_nothing_forwarded(self) -> bool:
-        """Whether it waits for a request, or for the rest of one, of which no endpoint had anything."""
+        """Whether it waits for a request, or for the rest of a request of which no part was forwarded."""
         return self.call is None and self.answer is None and not self.closing
 
     def close_unforwarded(self) -> None:
-        """The process stops. What has come is read first. Of a half-sent request the last byte may be on its
-        way: it is refused, as nothing of it was sent on.
+        """Close the connection because the process stops, after unread bytes have been read.
+
+        An incomplete request is refused: its last byte may be on its way, and no part of it was forwarded.
         """
         if self.received and not self.has_unread():
-            self.reject(BadRequestError(503, STOPS))
+            self.reject(BadRequestError(503, STOPPING_MESSAGE))
         else:
             self.close_if_idle()
 
     def reject_upload(self) -> None:
-        """The process stops. No endpoint has the last byte of an upload that is not whole: it is refused,
-        and its attempt ends.
+        """Refuse an incomplete upload because the process stops, which also ends its attempt.
+
+        No endpoint has received its last byte.
         """
         if self.upload is not None:
-            self.reject(BadRequestError(503, STOPS))
+            self.reject(BadRequestError(503, STOPPING_MESSAGE))
 
     def on_request_timeout(self) -> None:
-        """The request did not come in time; a client that sent none is just left."""
+        """The request has not arrived in time: reject it, or close the connection if it has not begun."""
         if self.received:
             self.reject(BadRequestError(408, "the request came too slowly"))
         else:
--- a/laurelstep/net/collector.py
+++ b/laurelstep/net/collector.py
@@ -1,30 +1,30 @@
-"""The garbage collector of a process that is the balancer's own."""
+"""Control of the garbage collector in a process that runs only the balancer."""
 
 from __future__ import annotations
 
 import gc
 
-# What stands is set apart again once the fleet has grown by this factor, and by so many.
-GROWN, GROWN_LEAST = 1.25, 1_000
+# Objects are frozen again once the number of endpoints has grown by this factor and by this number.
+FREEZE_GROWTH_FACTOR, FREEZE_GROWTH_ENDPOINTS = 1.25, 1_000
 
 
 class Collector:
-    """Guards the loop against walks over all that a large fleet holds: the collector rests
-    while a long list is applied, and what stands then is set apart from its walks.
+    """Keeps the collector from traversing all objects of a large fleet, which would block the event loop:
+    it is off while a long endpoint list is applied, and the objects that exist afterwards are frozen.
 
-    That happens only as the fleet grows: garbage in cycles that is set apart stays.
+    Objects are frozen only when the fleet has grown, as cyclic garbage among frozen objects is never freed.
     """
 
     def __init__(self) -> None:
-        self.frozen_endpoint_count = 0  # endpoints listed when it last was
+        self.frozen_endpoint_count = 0  # endpoints listed at the last freeze
 
     def pause(self) -> None:
-        """Collect no garbage until `resume`."""
+        """Turn the collector off until `resume`."""
         gc.disable()
 
     def resume(self, endpoint_count: int) -> None:
-        """Collect again, with so many endpoints listed now."""
-        if endpoint_count > GROWN * self.frozen_endpoint_count + GROWN_LEAST:
+        """Turn the collector on again; `endpoint_count` endpoints are listed now."""
+        if endpoint_count > FREEZE_GROWTH_FACTOR * self.frozen_endpoint_count + FREEZE_GROWTH_ENDPOINTS:
             gc.freeze()
             self.frozen_endpoint_count = endpoint_count
         gc.enable()
--- a/laurelstep/net/connect.py
+++ b/laurelstep/net/connect.py
@@ -1,7 +1,7 @@
-"""Opening a connection: the one coroutine of a request's way, in a module of its own.
+"""Opens a connection to an endpoint: the only coroutine on the path of a request.
 
-It stays plain Python where the rest is compiled: a compiled coroutine and its frame hold
-each other, so that each connection would be left to the collector.
+This module is not compiled with mypyc: a compiled coroutine and its frame refer to each other, so each
+connection would stay in memory until the garbage collector runs.
 """
 
 from __future__ import annotations
@@ -10,37 +10,42 @@
 import errno
 from typing import Final, Protocol, cast
 
-# What this machine has too few of: ports, buffers, descriptors. They tell nothing of the endpoint.
+# Errors for lack of local ports, buffers or descriptors. They say nothing about the endpoint.
 LOCAL_FAULTS: Final = frozenset(
     (errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENFILE, errno.EMFILE, errno.ENOMEM, errno.EAGAIN)
 )
 
 
 class ConnectHandler(Protocol):
-    """A protocol of asyncio that is told when its connection does not come up."""
+    """An asyncio protocol that is notified when its connection cannot be established."""
 
     def on_connect_failed(self, is_local_fault: bool) -> None:
-        """`is_local_fault`: for a want of this machine's, and none of the endpoint's."""
+        """The connection was not established. `is_local_fault`: for lack of a local resource."""
 
     def on_connect_ended(self) -> None:
-        """The attempt to connect is over, however it ended."""
+        """The attempt to connect has ended, successfully or not."""
 
 
 def is_local_fault(error: BaseException | None) -> bool:
-    """Whether a call failed for a want of this machine's."""
+    """Whether a system call failed for lack of a local resource."""
     return isinstance(error, OSError) and error.errno in LOCAL_FAULTS
 
 
-async def open_connection(loop: asyncio.AbstractEventLoop, one: ConnectHandler, host: str, port: int) -> None:
-    """It knows no time-out: who waits cancels it, and only before the connection is up. One that
-    came due in the turn in which the connection was made closed that behind its protocol's back.
+async def open_connection(
+    loop: asyncio.AbstractEventLoop, protocol: ConnectHandler, host: str, port: int
+) -> None:
+    """Connect, and report the end of the attempt to `protocol`.
+
+    There is no timeout here: the caller cancels the task, and only before the connection is established.
+    A timeout that expired in the event loop iteration in which the connection was made would close the
+    transport without the protocol's knowledge.
     """
     failure: Exception | None = None
     try:
-        await loop.create_connection(lambda: cast(asyncio.Protocol, one), host, port)
-    except (OSError, ValueError) as error:  # ValueError: a host that no name can have
+        await loop.create_connection(lambda: cast(asyncio.Protocol, protocol), host, port)
+    except (OSError, ValueError) as error:  # ValueError: not a valid host name
         failure = error
     finally:
-        one.on_connect_ended()
+        protocol.on_connect_ended()
     if failure is not None:
-        one.on_connect_failed(is_local_fault(failure))
+        protocol.on_connect_failed(is_local_fault(failure))
--- a/laurelstep/net/connection_pool.py
+++ b/laurelstep/net/connection_pool.py
@@ -1,4 +1,4 @@
-"""The idle connections to one endpoint, and what a pool and the sweepers know of a connection."""
+"""The pool of idle connections to one endpoint, and the interface of a pooled connection."""
 
 from __future__ import annotations
 
@@ -6,42 +6,43 @@
 
 from laurelstep.engine.call import Attempt
 
-# So many idle connections of an endpoint are kept though nothing is in use there.
+# Idle connections kept for an endpoint even if none of its connections is in use.
 MIN_IDLE: Final = 2
 
 
 class PooledConnection:
-    """A connection to an endpoint, as its pool and the sweepers know it. `EndpointConnection` is the
-    only one there is; it stands apart so that neither module needs the other.
+    """The interface of a connection to an endpoint that its pool and the deadline sweepers use.
+
+    `EndpointConnection` is the only implementation; this base class avoids an import cycle.
     """
 
     def __init__(self, pool: ConnectionPool[Any], attempt: Attempt) -> None:
         self.pool = pool
-        self.attempt: Attempt | None = attempt  # what it carries
-        self.idle_since = 0  # on the engine's clock, us
+        self.attempt: Attempt | None = attempt  # the attempt that uses this connection
+        self.idle_since = 0  # engine's clock, µs
 
     def is_reusable(self) -> bool:
-        """Whether an idle connection may carry a request."""
+        """Whether an idle connection can be used for a request."""
         raise NotImplementedError
 
     def write(self) -> None:
-        """Write the request of its attempt, if that may still start."""
+        """Write the attempt's request, if the attempt may still start."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Close it at once; its attempt ends by its own time."""
+        """Close the connection at once; its attempt is ended by its own timeout."""
         raise NotImplementedError
 
     def close_surplus(self) -> None:
-        """Close it, if more rest at its endpoint than are in use there, and `MIN_IDLE`."""
+        """Close the connection if its endpoint has more idle connections than used ones plus `MIN_IDLE`."""
         raise NotImplementedError
 
     def on_connect_timeout(self) -> None:
-        """It did not come up in time."""
+        """The connection was not established within the connect timeout."""
         raise NotImplementedError
 
     def on_response_timeout(self) -> None:
-        """Nothing complete came of an answer for a while."""
+        """An answer has begun and has not been completed in time."""
         raise NotImplementedError
 
 
@@ -49,7 +50,7 @@
 
 
 class ConnectionPool(Generic[C]):
-    """The idle connections to one process at one address, the last used last."""
+    """The idle connections to one process at one address, ordered by last use, latest last."""
 
     __slots__ = ("closed", "host", "idle", "port")
 
@@ -59,19 +60,22 @@
         self.closed = False
 
     def acquire(self, now: int, settle_us: int) -> C | None:
-        """The last used of those that were idle for so long, in us; None if there is none."""
-        for at in range(len(self.idle) - 1, -1, -1):
-            if now - self.idle[at].idle_since >= settle_us:
-                return self.idle.pop(at)
+        """Take the most recently used connection that has been idle for at least `settle_us` µs.
+
+        If none has, take the one idle longest, provided that more than `MIN_IDLE` are idle; else None.
+        """
+        for index in range(len(self.idle) - 1, -1, -1):
+            if now - self.idle[index].idle_since >= settle_us:
+                return self.idle.pop(index)
         return self.idle.pop(0) if len(self.idle) > MIN_IDLE else None
 
     def close_idle(self) -> None:
-        """Close what is idle; connections in use stay."""
+        """Close the idle connections; those in use stay open."""
         connections, self.idle = self.idle, []
         for connection in connections:
             connection.close()
 
     def close(self) -> None:
-        """The endpoint is listed no more, or another process is in its place."""
+        """Close the pool: the endpoint was removed from the list, or replaced by another process."""
         self.closed = True
         self.close_idle()
--- a/laurelstep/net/cooperative_task.py
+++ b/laurelstep/net/cooperative_task.py
@@ -1,4 +1,4 @@
-"""Long work on the loop, in slices with a turn of the loop after each."""
+"""Runs long work on the event loop in short slices, so that other callbacks run in between."""
 
 from __future__ import annotations
 
@@ -8,8 +8,9 @@
 
 
 class CooperativeTask:
-    """Runs one iterator at a time: its steps go on until a slice is used up, and the next
-    slice begins once the loop has served what was ready. A slice is a step at least.
+    """Advances an iterator in slices of `slice_s` seconds, at least one step each.
+
+    The next slice begins in a later iteration of the event loop.
     """
 
     def __init__(self, loop: AbstractEventLoop, slice_s: float = 0.001) -> None:
@@ -18,7 +19,7 @@
         self.closed = False
 
     def run(self, steps: Iterator[None], on_end: Callable[[Exception | None], None]) -> None:
-        """`on_end` is called once, with what the steps raised; not after `close`."""
+        """Run all steps, then call `on_end` with the exception raised or None; neither after `close`."""
         if self.closed:
             return
         end = time.monotonic() + self.slice_s
@@ -33,5 +34,5 @@
             on_end(None)
 
     def close(self) -> None:
-        """Run no further step."""
+        """Run no further steps."""
         self.closed = True
--- a/laurelstep/net/deadline_sweeper.py
+++ b/laurelstep/net/deadline_sweeper.py
@@ -1,4 +1,4 @@
-"""One timer for all connections that wait for the same, in place of a timer for each."""
+"""A timeout shared by many objects that uses one timer instead of one per object."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class DeadlineSweeper(Generic[T]):
-    """What waits, the longest first; one timer calls `expire` with each that waits `timeout_s`."""
+    """Objects with a start time, oldest first; `expire` is called with each after `timeout_s` seconds."""
 
     def __init__(self, loop: AbstractEventLoop, timeout_s: float, expire: Callable[[T], None]) -> None:
         self.loop, self.timeout_s, self.expire = loop, timeout_s, expire
@@ -20,24 +20,24 @@
         self.timer: TimerHandle | None = None
 
     def close(self) -> None:
-        """Forget all of them and set no timer any more."""
+        """Remove all objects and cancel the timer."""
         self.waiting_since.clear()
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
-    def add(self, one: T) -> None:
-        """Its wait starts now, unless it waits already."""
-        if one not in self.waiting_since:
-            self.waiting_since[one] = self.loop.time()
+    def add(self, item: T) -> None:
+        """Start the timeout of an object, unless it is running."""
+        if item not in self.waiting_since:
+            self.waiting_since[item] = self.loop.time()
             self._arm()
 
-    def discard(self, one: T) -> None:
-        """It waits no longer. Nothing happens if it did not."""
-        self.waiting_since.pop(one, None)
+    def discard(self, item: T) -> None:
+        """Stop the timeout of an object, if it is running."""
+        self.waiting_since.pop(item, None)
 
     def oldest(self) -> T | None:
-        """What has waited longest; None if nothing waits."""
+        """The object whose timeout started first; None if there is none."""
         return next(iter(self.waiting_since), None)
 
     def _arm(self) -> None:
@@ -45,10 +45,10 @@
             self.timer = self.loop.call_at(self.waiting_since[oldest] + self.timeout_s, self.run)
 
     def run(self) -> None:
-        """The timer's callback: end all whose time is over."""
+        """The timer's callback: call `expire` with each object whose timeout has passed."""
         self.timer = None
-        limit = self.loop.time() - self.timeout_s
-        while (oldest := self.oldest()) is not None and self.waiting_since[oldest] <= limit:
+        expired_before = self.loop.time() - self.timeout_s
+        while (oldest := self.oldest()) is not None and self.waiting_since[oldest] <= expired_before:
             del self.waiting_since[oldest]
             self.expire(oldest)
         self._arm()
--- a/laurelstep/net/endpoint_connection.py
+++ b/laurelstep/net/endpoint_connection.py
@@ -1,7 +1,6 @@
-"""One connection to an endpoint: how it is opened, what is written, and the outcome of its attempt.
+"""One connection to an endpoint: opens it, writes the request, and reports the outcome of its attempt.
 
-Whether an attempt may still start is asked of the attempt at the moment of writing; a request is never
-sent again from here.
+Whether an attempt may still start is checked at the moment of writing. This module never retries a request.
 """
 
 from __future__ import annotations
@@ -19,40 +18,48 @@
 from laurelstep.net.connection_pool import MIN_IDLE, ConnectionPool
 from laurelstep.net.endpoint_request import encode_request, encode_upload_head
 from laurelstep.net.endpoint_state import EndpointState
-from laurelstep.net.message import ANSWER_HEADERS, FRAMING_EACH, FRAMING_MAX, MAX_HEAD_BYTES, pass_on
+from laurelstep.net.message import (
+    ANSWER_HEADERS,
+    MAX_FRAMING_BYTES,
+    MAX_FRAMING_BYTES_PER_BODY_BYTE,
+    MAX_HEAD_BYTES,
+    select_headers,
+)
 from laurelstep.net.response_receiver import UNTIL_CLOSE, ResponseReceiver
 
-# A connection that can't be opened for a fault of this machine (no port, no buffer, no descriptor) is
-# tried again after a pause, which doubles, while the attempt waits. After so long another endpoint, at
-# which a connection may rest, gets its chance; the client is refused before its patience ends.
+# If a connection cannot be opened for lack of a local resource (port, buffer, descriptor), opening it is
+# retried after a pause, which doubles each time, while the attempt waits. After REOPEN_TIMEOUT_S the attempt
+# ends, so that another endpoint, which may have an idle connection, is tried, or the client is refused before
+# its deadline.
 REOPEN_PAUSE_S: Final = 0.01
 MAX_REOPEN_PAUSE_S: Final = 0.08
-MAX_REOPEN_S: Final = 0.25
+REOPEN_TIMEOUT_S: Final = 0.25
 
 
 class EndpointConnection(ResponseReceiver):
-    """One connection, carrying one attempt at a time; an `asyncio.Protocol` in all but the
-    base class, as `ClientConnection` is.
+    """A connection to an endpoint that is used by one attempt at a time.
+
+    It has the methods of an `asyncio.Protocol` but not the base class: see `ClientConnection`.
     """
 
     def __init__(self, owner: EndpointState[Any], pool: ConnectionPool[Any], attempt: Attempt) -> None:
         super().__init__(owner, pool, attempt)
         self.connect_task: asyncio.Task[None] | None = None
-        # After a fault of this machine: the next trial to open it, the pause before the one
-        # after that, and when the last one begins, in s of the loop.
+        # For retries after a local fault: the timer of the next one, the pause before the one after that, and
+        # the loop time after which none begins.
         self.reopen_timer: asyncio.TimerHandle | None = None
         self.reopen_pause_s = REOPEN_PAUSE_S
         self.reopen_until = 0.0
-        self.poller = select.poll()  # made once: it is asked at each reuse
-        self.unwritten = True  # the request's last byte is not yet with the system
-        self.write_paused = False  # the transport holds bytes that the system did not take yet
-        self.upload: BodyStream | None = None  # a request that is streamed
+        self.poller = select.poll()  # created once, as it is used for each request
+        self.unwritten = True  # the kernel has not taken the request's last byte
+        self.write_paused = False  # the transport buffers bytes that the kernel has not taken
+        self.upload: BodyStream | None = None  # the body of a request that is being streamed
 
     # --- Connection -----------------------------------------------------------
 
     def open(self) -> None:
-        """Connect to the endpoint; the request is written once that is done."""
-        self.reopen_until = self.owner.loop.time() + MAX_REOPEN_S
+        """Connect to the endpoint, then write the request."""
+        self.reopen_until = self.owner.loop.time() + REOPEN_TIMEOUT_S
         self.owner.connecting.add(self)
         self._open()
 
@@ -62,8 +69,8 @@
         self.connect_task = owner.loop.create_task(open_connection(owner.loop, self, pool.host, pool.port))
 
     def on_connect_failed(self, is_local_fault: bool) -> None:
-        """Try again after a fault of this machine, or end the attempt: nothing of it left."""
-        # Once it has come up, `connection_lost` knows whether the request left.
+        """Retry after a local fault, or end the attempt: none of its request was sent."""
+        # Once the connection was established, `connection_lost` knows whether the request was sent.
         if self.transport is not None:
             return
         if self.attempt is not None:
@@ -76,46 +83,52 @@
         self._end_attempt(MOOT if is_local_fault else NO_CONNECT)
 
     def on_connect_timeout(self) -> None:
-        """It did not come up in time."""
+        """The connection was not established within the connect timeout."""
         lacks_socket = self.attempt is not None and self.attempt.lacks_socket
         self.close()
         self.reopen_until = 0.0
         self.on_connect_failed(lacks_socket)
 
     def on_connect_ended(self) -> None:
-        """The attempt to connect is over, however it ended."""
+        """The attempt to connect has ended, successfully or not."""
         self.connect_task = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """asyncio: the endpoint has accepted."""
+        """asyncio: the connection is established."""
         self.transport = cast(asyncio.Transport, transport)
         self.owner.connecting.discard(self)
         self.poller.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
-        self.transport.set_write_buffer_limits(high=0)  # `pause_writing` tells of unwritten bytes
-        if self.attempt is None:  # called off while it came up
+        # `pause_writing` is called as soon as any bytes are buffered.
+        self.transport.set_write_buffer_limits(high=0)
+        if self.attempt is None:  # cancelled while connecting
             self.transport.abort()
             return
         if self.attempt.lacks_socket:
             self.attempt.lacks_socket = False
-            self.attempt.sent = self.owner.now()  # the wait for a socket is none of the endpoint's
+            # The endpoint is not charged with the wait for a local socket.
+            self.attempt.sent = self.owner.now()
         self.write()
 
     def eof_received(self) -> None:
-        """The endpoint has ended its side: the transport closes."""
-        ends_here = self.fields is not None and self.length == UNTIL_CLOSE
-        if ends_here and not self.is_complete and (self.attempt is not None or self.answer is not None):
+        """asyncio: the endpoint has closed its side. The transport is closed next."""
+        is_end_of_answer = self.fields is not None and self.length == UNTIL_CLOSE
+        if (
+            is_end_of_answer
+            and not self.is_complete
+            and (self.attempt is not None or self.answer is not None)
+        ):
             self.is_complete, self.keep_alive = True, False
             self._complete()
 
     def pause_writing(self) -> None:
-        """asyncio: the system takes no more for now."""
+        """asyncio: the kernel's send buffer is full."""
         self.write_paused = self.unwritten = True
         if self.upload is not None:
             self.upload.pause()
             self.owner.write_stalled.add(self)
 
     def resume_writing(self) -> None:
-        """asyncio: the system has all that was written."""
+        """asyncio: the kernel has taken all bytes written so far."""
         self.write_paused = False
         self.owner.write_stalled.discard(self)
         if self.upload is not None:
@@ -129,15 +142,15 @@
             self.attempt.written()
 
     def write(self) -> None:
-        """Write the request of its attempt, if that may still start."""
+        """Write the attempt's request, if the attempt may still start."""
         attempt, transport = self.attempt, self.transport
         assert attempt is not None and transport is not None
         now = self.owner.now()
-        replaced = self.pool.closed and attempt.endpoint in self.owner.addresses
-        if replaced or not attempt.may_start(now):
-            # Guards the rules after a slow connect: past the drain grace, the deadline, the window
-            # for repeats or the final answer nothing may start, and nothing at a process in whose
-            # place another one was listed meanwhile.
+        is_replaced = self.pool.closed and attempt.endpoint in self.owner.addresses
+        if is_replaced or not attempt.may_start(now):
+            # The connection may have taken long. No attempt may start after the drain grace, the deadline,
+            # the window for retries or the final answer, nor at a process that another one has replaced in
+            # the endpoint list.
             self.attempt = None
             self.owner.by_attempt.pop(attempt, None)
             self.return_to_pool()
@@ -150,7 +163,7 @@
         self.unwritten = False
         transport.write(encode_request(attempt, now))
         if transport.is_closing():
-            self.unwritten = True  # the first write failed: nothing left
+            self.unwritten = True  # the first write failed: nothing was sent
         elif not self.unwritten:
             attempt.written()
 
@@ -163,10 +176,10 @@
         self.transport.write(encode_upload_head(attempt, upload, now))
         upload.attach(self)
         if not self.write_paused:
-            upload.resume()  # does nothing if it was whole already
+            upload.resume()  # does nothing if the upload is complete
 
     def on_data(self, data: bytes) -> None:
-        """A part of a request that is streamed, as `engine.body_stream.BodySink` has it."""
+        """`BodySink`: write a part of the upload."""
         if self.transport is None or self.transport.is_closing():
             return
         if self.upload is not None and self.upload.length < 0:
@@ -175,7 +188,7 @@
             self.transport.write(data)
 
     def on_end(self, complete: bool) -> None:
-        """The end of a request that is streamed."""
+        """`BodySink`: the upload has ended; `complete` if all of it has arrived."""
         upload, self.upload = self.upload, None
         self.owner.write_stalled.discard(self)
         if self.transport is None or self.transport.is_closing():
@@ -193,24 +206,25 @@
         if upload is not None:
             upload.abandon()
 
-    # --- At rest ------------------------------------------------------------------
+    # --- Idle connections ---------------------------------------------------------
 
     def is_reusable(self) -> bool:
-        """Whether a resting connection may carry a request. Guards against bytes that
-        came behind an earlier answer and would answer the next request, and against
-        an end not yet read.
+        """Whether an idle connection can be used for a request.
+
+        Guards against unread bytes after an earlier answer, which would be taken for the answer to the next
+        request, and against an end of the connection that is not read yet.
         """
         if self.transport is None or self.transport.is_closing():
             return False
         try:
             return not self.poller.poll(0)
-        except OSError:  # not known: a new connection is the safe choice
+        except OSError:  # state unknown: a new connection is the safe choice
             return False
 
     def return_to_pool(self) -> None:
-        """The connection carries nothing now: keep it for the next attempt."""
-        done = self.pool.closed or self.owner.retiring
-        if done or self.transport is None or self.transport.is_closing():
+        """Keep the connection for the next attempt, or close it if it cannot be reused."""
+        must_close = self.pool.closed or self.owner.retiring
+        if must_close or self.transport is None or self.transport.is_closing():
             self.close()
             return
         self._reset()
@@ -220,20 +234,20 @@
         self.owner.surplus_connections.add(self)
 
     def close_surplus(self) -> None:
-        """Close it, if more rest at its endpoint than are in use there, and `MIN_IDLE`."""
-        used = sum(1 for connection in self.owner.connections if connection.pool is self.pool) - len(
+        """Close the connection if its endpoint has more idle connections than used ones plus `MIN_IDLE`."""
+        used_count = sum(1 for connection in self.owner.connections if connection.pool is self.pool) - len(
             self.pool.idle
         )
-        if len(self.pool.idle) > used + MIN_IDLE:
+        if len(self.pool.idle) > used_count + MIN_IDLE:
             self.close()
-            self.owner.on_disconnect(self)  # at once: it must not count for the next one
+            self.owner.on_disconnect(self)  # now, so that it is not counted for the next connection
 
     def close(self) -> None:
-        """Close it at once, or call its opening off."""
+        """Close the connection at once, or cancel opening it."""
         if self.transport is not None:
             self.transport.abort()
         elif self.connect_task is not None:
-            # A task that never ran has no chance to tell of its end.
+            # A task cancelled before it first ran does not call `on_connect_ended`.
             self.connect_task.cancel()
             self.owner.on_disconnect(self)
         elif self.reopen_timer is not None:
@@ -242,20 +256,21 @@
             self.owner.on_disconnect(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """asyncio: the connection is closed; its attempt ends, if it had no whole answer."""
+        """asyncio: the connection is closed. Ends its attempt, if that has no complete answer."""
         self.owner.on_disconnect(self)
         self._release_budget()
         answer, self.answer = self.answer, None
         if answer is not None:
             answer.finish(False)
         self._abandon_upload()
-        not_run = MOOT if is_local_fault(exc) else NO_CONNECT
-        self._end_attempt(not_run if self.unwritten else RESET)
-        self.parser = None  # it holds this object's methods: the cycle ends here
+        outcome_if_not_run = MOOT if is_local_fault(exc) else NO_CONNECT
+        self._end_attempt(outcome_if_not_run if self.unwritten else RESET)
+        self.parser = None  # breaks the reference cycle: the parser holds bound methods of this object
 
     def _end_attempt(self, outcome: int) -> None:
-        """It had no whole answer: its outcome is told behind the turn that closes the descriptor.
-        Guards against a next attempt that is written before this one is off the wire.
+        """Report the outcome of an attempt without a complete answer, after the descriptor has been closed.
+
+        Guards against a next attempt that is written while this one's connection is still open.
         """
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
@@ -264,8 +279,10 @@
             self.owner.loop.call_soon(attempt.end, outcome, None, load)
 
     def reject_response(self) -> None:
-        """No answer of this protocol: the request may have run, if it was written whole, and the
-        connection is of no more use. That it came says that the connection did not die, so no reset.
+        """Close the connection after a malformed response, and end its attempt.
+
+        If the request was fully written, it may have run. The outcome is an error and not a reset, as the
+        connection was alive.
         """
         self.owner.on_malformed_response()
         self.close()
@@ -273,7 +290,7 @@
         self._end_attempt(NO_CONNECT if self.unwritten else ERROR)
 
     def on_response_timeout(self) -> None:
-        """Nothing whole for `ANSWER_S`: it may go on as long as something comes."""
+        """No complete answer within `ANSWER_IDLE_TIMEOUT_S`: reject it, unless more of it has arrived."""
         if self.received == self.received_at_check:
             self.reject_response()
             return
@@ -283,25 +300,27 @@
     # --- Answers ------------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
-        """asyncio: bytes of an answer."""
+        """asyncio: bytes of an answer have arrived."""
         if self.attempt is None and self.answer is None:
             self.owner.on_malformed_response()
-            self.close()  # nobody asked: whatever it is, it ends the connection
+            self.close()  # no request is open, so these bytes are not an answer
             return
         self.received += len(data)
-        spoilt = False
+        malformed = False
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            spoilt, self.keep_alive = True, False
-        spoilt = spoilt or self.received > FRAMING_MAX + FRAMING_EACH * self.size
+            malformed, self.keep_alive = True, False
+        malformed = (
+            malformed or self.received > MAX_FRAMING_BYTES + MAX_FRAMING_BYTES_PER_BODY_BYTE * self.size
+        )
         if self._answers_earlier_request():
             self.reject_response()
         elif self.is_complete:
-            if spoilt or self.has_trailing_data:
+            if malformed or self.has_trailing_data:
                 self.owner.on_malformed_response()
             self._complete()
-        elif spoilt or (self.fields is None and self.received > MAX_HEAD_BYTES):
+        elif malformed or (self.fields is None and self.received > MAX_HEAD_BYTES):
             self.reject_response()
         elif self.answer is not None:
             self._check_throughput()
@@ -314,8 +333,8 @@
             self.owner.receiving.add(self)
 
     def _answers_earlier_request(self) -> bool:
-        """Whether it says that a request was served whose last byte is not written yet: it came for an
-        earlier one. Uploads may be answered early.
+        """Whether a 200 answer arrived before the request was fully written, so that it belongs to an earlier
+        request. An upload may be answered early.
         """
         attempt = self.attempt
         return self.unwritten and self.status == 200 and attempt is not None and attempt.call.upload is None
@@ -328,27 +347,27 @@
             answer.finish(True)
             return
         self._abandon_upload()
-        self._report()
+        self._report_answer()
 
     def _end_exchange(self) -> None:
-        # A request not yet read whole leaves the connection unfit for the next.
+        # If the request was not fully written, the connection cannot be used for another one.
         if self.keep_alive and not self.unwritten:
             self.return_to_pool()
         else:
             self.close()
 
-    def _report(self) -> None:
+    def _report_answer(self) -> None:
         fields, status = self.fields or {}, self.status
         outcome, answer = ERROR, None
         if status == 200:
             outcome = OK
-            passed = pass_on(self.headers, ANSWER_HEADERS)
-            answer = Answer(Ending.SERVED, 200, passed, bytes(self.body))
+            forwarded_headers = select_headers(self.headers, ANSWER_HEADERS)
+            answer = Answer(Ending.SERVED, 200, forwarded_headers, bytes(self.body))
         elif status in (503, 504) and fields.get(b"x-not-run", b"").strip() == b"1":
             outcome = FULL
         attempt, self.attempt = self.attempt, None
         if attempt is not None and attempt.call.fate is not None:
-            # From a copy of this program, whose 503 promises that nothing ran.
+            # Another copy of this program sent the answer: its 503 guarantees that nothing ran.
             outcome = FULL if status == 503 else outcome
             attempt.call.fate = fields.get(b"x-kept-fate", b"refused" if status == 503 else b"")
         self.owner.receiving.discard(self)
--- a/laurelstep/net/endpoint_request.py
+++ b/laurelstep/net/endpoint_request.py
@@ -1,4 +1,4 @@
-"""A request as it is written to an endpoint."""
+"""Encodes a request for an endpoint."""
 
 from __future__ import annotations
 
@@ -7,35 +7,36 @@
 from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.call import Attempt
 
-# Of the time left to the client an endpoint is told so much less, or this part of it if that is less: the
-# request may have waited to be read, and what is written leaves at the end of the event loop's turn.
+# The deadline sent to an endpoint is shorter than the client's remaining time by the smaller of
+# DEADLINE_MARGIN_US and the remaining time divided by DEADLINE_MARGIN_DIVISOR: the request may have waited to
+# be read, and written bytes leave only at the end of the event loop iteration.
 DEADLINE_MARGIN_US: Final = 20_000
-DEADLINE_MARGIN_PART: Final = 8
+DEADLINE_MARGIN_DIVISOR: Final = 8
 
 
 def endpoint_deadline_ms(left_us: int) -> int:
-    """The deadline to tell an endpoint, ms, where so many us are left to the client: rounded down, and
-    one at least.
+    """The deadline to send to an endpoint, in ms, when the client has `left_us` µs left: rounded down, at
+    least 1.
     """
-    return max(1, (left_us - min(DEADLINE_MARGIN_US, left_us // DEADLINE_MARGIN_PART)) // 1000)
+    return max(1, (left_us - min(DEADLINE_MARGIN_US, left_us // DEADLINE_MARGIN_DIVISOR)) // 1000)
 
 
 def encode_request(attempt: Attempt, now: int) -> bytes:
-    """All of a request whose body is here, at the time `now` in us."""
+    """Encode a request with its whole body. `now` is the engine's time, in µs."""
     call = attempt.call
-    wait_ms = endpoint_deadline_ms(attempt.until - now)
-    plain = call.start.startswith(b"GET ") and not call.body
-    length = b"" if plain else b"Content-Length: %d\r\n" % len(call.body)
-    wait = b"X-Deadline-Ms: %d\r\n" % wait_ms
-    return b"%b HTTP/1.1\r\n%b%b%b\r\n%b" % (call.start, call.head, wait, length, call.body)
+    deadline_ms = endpoint_deadline_ms(attempt.until - now)
+    has_no_body = call.start.startswith(b"GET ") and not call.body
+    length = b"" if has_no_body else b"Content-Length: %d\r\n" % len(call.body)
+    deadline = b"X-Deadline-Ms: %d\r\n" % deadline_ms
+    return b"%b HTTP/1.1\r\n%b%b%b\r\n%b" % (call.start, call.head, deadline, length, call.body)
 
 
 def encode_upload_head(attempt: Attempt, upload: BodyStream, now: int) -> bytes:
-    """The head of a request whose body follows as it comes, at the time `now` in us."""
+    """Encode the head of a request whose body is streamed after it. `now` is the engine's time, in µs."""
     call = attempt.call
-    # Counted by the endpoint from the last byte on, as by the client.
-    wait = b"X-Deadline-Ms: %d\r\n" % endpoint_deadline_ms(min(call.span, call.expires - now))
+    # The endpoint counts the deadline from the last byte of the body, as the client does.
+    deadline = b"X-Deadline-Ms: %d\r\n" % endpoint_deadline_ms(min(call.span, call.expires - now))
     framing = b"Transfer-Encoding: chunked\r\n"
     if upload.length >= 0:
         framing = b"Content-Length: %d\r\n" % upload.length
-    return b"%b HTTP/1.1\r\n%b%b%b\r\n" % (call.start, call.head, wait, framing)
+    return b"%b HTTP/1.1\r\n%b%b%b\r\n" % (call.start, call.head, deadline, framing)
--- a/laurelstep/net/endpoint_state.py
+++ b/laurelstep/net/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What all connections to endpoints share: limits, budgets, and the deadlines of what they wait for."""
+"""State shared by all connections to endpoints: limits, buffer budget and timeouts."""
 
 from __future__ import annotations
 
@@ -11,50 +11,48 @@
 from laurelstep.net.connection_pool import PooledConnection
 from laurelstep.net.deadline_sweeper import DeadlineSweeper
 
-# Part of an endpoint's idle time for which a connection is kept: the rest guards
-# against a request that crosses the endpoint's own close. No longer than MAX_IDLE_S:
-# endpoints hold only so many, and what one sidecar kept from a rush was missing to
-# another that started anew and found every table full.
-IDLE_PART, MAX_IDLE_S = 0.8, 6.0
-# A connection that rested this long is given up if more rest at its endpoint than are in
-# use, and MIN_IDLE. Guards another sidecar's share of the places there: after a rush one kept
-# most of them, and one that had just started found none. Does harm where load comes in
-# waves longer than this: each pays for new connections.
-SURPLUS_S: Final = 1.0
-# Of an answer that has begun something more must come within this: guards against one that
-# never ends, which would cost the request all the time that its client has.
-ANSWER_S: Final = 0.5
-# The same once it is streamed, and for an endpoint that does not read: nothing can be tried
-# again then, so the connection has longer.
-STALL_S: Final = 5.0
-# For DISTRUST_US after something spoilt came from any endpoint, a connection rests for SETTLE_US behind
-# an answer before it carries another request, unless MIN_IDLE others rest there: guards against an
-# endpoint that answers twice, the second time some milliseconds late, and so answers the next
-# request: nothing tells those two apart. Not always: it costs new connections, and an endpoint
-# that holds no more turns them away.
+# An idle connection is kept for this fraction of the endpoint's idle timeout: the rest guards against a
+# request that crosses the endpoint's own close. It is kept for at most MAX_IDLE_S, as endpoints limit their
+# connections: those that one sidecar kept after a load peak left no room for a sidecar that had just started.
+IDLE_FRACTION, MAX_IDLE_S = 0.8, 6.0
+# A connection idle for this long is closed if its endpoint has more idle connections than used ones plus
+# MIN_IDLE. Guards another sidecar's share of the endpoint's connections: after a load peak one sidecar kept
+# most of them, and one that had just started got none. The cost: if load comes in waves longer than this,
+# each wave opens new connections.
+SURPLUS_IDLE_S: Final = 1.0
+# Once an answer has begun, more of it must arrive within this time: guards against an answer that never
+# ends, which would use up the client's whole deadline.
+ANSWER_IDLE_TIMEOUT_S: Final = 0.5
+# The same for an answer that is being streamed, and for an endpoint that does not read its request. It is
+# longer because no other attempt can be made at that point.
+STREAM_STALL_TIMEOUT_S: Final = 5.0
+# For DISTRUST_US after a malformed response from any endpoint, a connection must be idle for SETTLE_US after
+# an answer before it is reused, unless more than MIN_IDLE are idle there. Guards against an endpoint that
+# answers twice: the second answer, some milliseconds late, cannot be distinguished from the answer to the
+# next request. Not applied permanently, as it costs new connections, which an endpoint at its limit refuses.
 SETTLE_US: Final = 20_000
 DISTRUST_US: Final = 60_000_000
-# Where the settings name none.
-IDLE_DEFAULT_US, CONNECT_DEFAULT_US = 10_000_000, 1_000_000
+# Used where the settings name no time.
+DEFAULT_IDLE_US, DEFAULT_CONNECT_TIMEOUT_US = 10_000_000, 1_000_000
 
 
 C = TypeVar("C", bound=PooledConnection)
 
 
 class EndpointState(Generic[C]):
-    """Held by `Upstream`, and known to each of its connections, which are all of one class."""
+    """The base of `Upstream`, which each of its connections refers to. `C` is the class of connections."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         now: Callable[[], int],
         idle_us: int,
-        connect_us: int,
+        connect_timeout_us: int,
         max_connections: int,
         memory_mb: int = 0,
     ) -> None:
-        """`now` is the engine's clock, in us. For `idle_us` an endpoint keeps an idle connection; 0 where
-        the settings do not say, as for `connect_us`.
+        """`now` returns the engine's time in µs. `idle_us` is how long an endpoint keeps an idle connection
+        and `connect_timeout_us` the limit for establishing one; 0 selects the default.
         """
         self.loop, self.now = loop, now
         self.answer_budget = BufferBudget(budget_for(memory_mb, ANSWERS_PART))
@@ -64,34 +62,42 @@
         self.distrust_until = 0
         self.connections: set[C] = set()
         self.by_attempt: dict[Attempt, C] = {}
-        self.emptied: asyncio.Event | None = None
-        idle_s = min(MAX_IDLE_S, IDLE_PART * (idle_us or IDLE_DEFAULT_US) / 1e6)
-        connect_s = (connect_us or CONNECT_DEFAULT_US) / 1e6
-        self.connecting = self._sweeper(connect_s, lambda one: one.on_connect_timeout())
-        self.idle_connections = self._sweeper(idle_s, lambda one: one.close())
-        self.surplus_connections = self._sweeper(SURPLUS_S, lambda one: one.close_surplus())
-        # An answer has begun, and is not complete; the same, being streamed; a request is not read.
-        self.receiving = self._sweeper(ANSWER_S, lambda one: one.on_response_timeout())
-        self.streaming = self._sweeper(STALL_S, lambda one: one.close())
-        self.write_stalled = self._sweeper(STALL_S, lambda one: one.close())
-        self.sweeps = (
+        self.all_closed: asyncio.Event | None = None
+        idle_s = min(MAX_IDLE_S, IDLE_FRACTION * (idle_us or DEFAULT_IDLE_US) / 1e6)
+        connect_timeout_s = (connect_timeout_us or DEFAULT_CONNECT_TIMEOUT_US) / 1e6
+        self.connecting = self._create_sweeper(
+            connect_timeout_s, lambda connection: connection.on_connect_timeout()
+        )
+        self.idle_connections = self._create_sweeper(idle_s, lambda connection: connection.close())
+        self.surplus_connections = self._create_sweeper(
+            SURPLUS_IDLE_S, lambda connection: connection.close_surplus()
+        )
+        # An answer has begun and is incomplete; an answer is being streamed; a request is not being read.
+        self.receiving = self._create_sweeper(
+            ANSWER_IDLE_TIMEOUT_S, lambda connection: connection.on_response_timeout()
+        )
+        self.streaming = self._create_sweeper(STREAM_STALL_TIMEOUT_S, lambda connection: connection.close())
+        self.write_stalled = self._create_sweeper(
+            STREAM_STALL_TIMEOUT_S, lambda connection: connection.close()
+        )
+        self.sweepers = (
             *(self.connecting, self.idle_connections, self.surplus_connections),
             *(self.receiving, self.streaming, self.write_stalled),
         )
 
-    def _sweeper(self, seconds: float, expire: Callable[[C], None]) -> DeadlineSweeper[C]:
-        return DeadlineSweeper(self.loop, seconds, expire)
+    def _create_sweeper(self, timeout_s: float, expire: Callable[[C], None]) -> DeadlineSweeper[C]:
+        return DeadlineSweeper(self.loop, timeout_s, expire)
 
     def on_malformed_response(self) -> None:
-        """Something came that is no answer of this protocol."""
+        """An endpoint sent bytes that are not a valid answer."""
         self.distrust_until = self.now() + DISTRUST_US
 
     def on_disconnect(self, connection: C) -> None:
-        """It is closed, or about to be: nothing waits for it any more. May be called again."""
+        """A connection is closed or being closed: stop its timeouts. May be called again."""
         self.connections.discard(connection)
-        if not self.connections and self.emptied is not None:
-            self.emptied.set()
-        for sweep in self.sweeps:
-            sweep.discard(connection)
+        if not self.connections and self.all_closed is not None:
+            self.all_closed.set()
+        for sweeper in self.sweepers:
+            sweeper.discard(connection)
         if connection in connection.pool.idle:
             connection.pool.idle.remove(connection)
--- a/laurelstep/net/errors.py
+++ b/laurelstep/net/errors.py
@@ -1,7 +1,7 @@
-"""Errors of what comes over sockets, in a module of their own that stays plain Python.
+"""Errors in requests and responses received over sockets. This module is not compiled with mypyc.
 
-Compiled, an exception with attributes loses the dictionary that holds them, three blocks each
-time it is made (mypyc 1.18).
+A compiled exception class with attributes leaks their dictionary, three memory blocks for each instance
+(mypyc 1.18).
 """
 
 from __future__ import annotations
@@ -10,10 +10,12 @@
 
 
 class BadRequestError(LaurelstepError):
-    """A caller's fault; the status tells it so."""
+    """A request that is rejected. `status` is the HTTP status of the rejection."""
 
-    cause = "a caller's request is not in form, comes too slowly, or meets a sidecar that is full or drained"
-    remedy = "correct the caller by the status and the text of its answer; nothing was sent to an endpoint"
+    cause = (
+        "a client's request is malformed, arrives too slowly, or reaches a sidecar that is full or draining"
+    )
+    remedy = "correct the client as the answer's status and text indicate; nothing was sent to an endpoint"
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -21,7 +23,7 @@
 
 
 class MalformedResponseError(LaurelstepError):
-    """An answer that is none of this protocol."""
+    """An endpoint's answer that is malformed or too large."""
 
-    cause = "an endpoint's answer is not HTTP/1.1 as this program reads it, or longer than it may be"
-    remedy = "look at the endpoint's server and at what stands between; its request may have run there"
+    cause = "an endpoint's answer is not HTTP/1.1 as this program accepts it, or exceeds the size limit"
+    remedy = "check the endpoint's server and any proxy in between; the request may have run there"
--- a/laurelstep/net/message.py
+++ b/laurelstep/net/message.py
@@ -1,4 +1,4 @@
-"""What both HTTP sides share: limits and the rules of heads."""
+"""HTTP limits and header rules shared by the client side and the endpoint side."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 # may be streamed as they arrive.
 MAX_BUFFERED_BODY_BYTES = MAX_HEAD_BYTES = 64 * 1024
 MAX_STREAMED_BODY_BYTES: Final = 32 << 20
-# Of one message beside its body, and for each byte of that (chunks of one byte take six);
-# guards against chunks that are mostly framing.
-FRAMING_MAX: Final = MAX_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES
-FRAMING_EACH: Final = 8
-# A request must be whole so long after its connection came or its first byte: guards
-# descriptors and memory against clients that say nothing or never end.
+# Bytes of a message beside its body: a fixed part, and a part for each body byte, as a chunk of one byte has
+# six bytes of framing. Guards against messages that consist mostly of framing.
+MAX_FRAMING_BYTES: Final = MAX_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES
+MAX_FRAMING_BYTES_PER_BODY_BYTE: Final = 8
+# A request must be complete within this time after its connection was accepted or its first byte arrived:
+# guards descriptors and memory against clients that send nothing or never finish a request.
 REQUEST_TIMEOUT_S: Final = 2.2
-# What an endpoint needs of a request, and a client of an answer, beside what is
-# set anew on each side. Whatever else a socket brings ends here.
+# Headers forwarded to endpoints, and those forwarded to clients; others are dropped. Headers about framing
+# and the connection are written anew on each side.
 REQUEST_HEADERS: Final = frozenset(
     (b"host", b"x-request-id", b"x-class", b"x-tenant", b"x-retry", b"x-cost-hint", b"x-extras",
      b"idempotency-key", b"content-type", b"content-encoding")
@@ -28,43 +28,44 @@
 ANSWER_HEADERS: Final = frozenset((b"content-type", b"content-encoding"))
 
 
-# Around a field's value, and no part of it (RFC 9110, 5.5 and 5.6.3): the parser leaves what trails.
+# Optional whitespace around a header value (RFC 9110, 5.5 and 5.6.3); the parser does not strip it at the
+# end.
 OWS: Final = b" \t"
 
 
-def encode_headers(headers: Iterable[tuple[bytes, bytes]], named: frozenset[bytes] | None = None) -> bytes:
-    """Header lines as they are written, of those that are named or of all.
+def encode_headers(headers: Iterable[tuple[bytes, bytes]], allowed: frozenset[bytes] | None = None) -> bytes:
+    """Encode header lines: of all headers, or of those whose names are in `allowed`.
 
-    Formatted, here and wherever bytes are put together in a compiled module: `+` of two
-    `bytes` is compiled to a function that never frees the left one (mypyc 1.18).
+    Here, and wherever a compiled module joins `bytes`, `%` is used instead of `+`: mypyc 1.18 compiles `+` of
+    two `bytes` to a function that never frees the left operand.
     """
     parts: list[bytes] = []
     for name, value in headers:
-        if named is None or name in named:
+        if allowed is None or name in allowed:
             parts.append(b"%b: %b\r\n" % (name, value))
     return b"".join(parts)
 
 
-def pass_on(headers: Headers, named: frozenset[bytes]) -> Headers:
-    """The headers that travel end to end."""
-    return [pair for pair in headers if pair[0] in named]
+def select_headers(headers: Headers, allowed: frozenset[bytes]) -> Headers:
+    """The headers whose names are in `allowed`."""
+    return [pair for pair in headers if pair[0] in allowed]
 
 
-def single(headers: Headers, once: frozenset[bytes]) -> dict[bytes, bytes]:
-    """The headers by name; ValueError if one that may stand only once is repeated."""
+def index_headers(headers: Headers, unique: frozenset[bytes]) -> dict[bytes, bytes]:
+    """The headers by name. ValueError if a header named in `unique` occurs more than once."""
     fields = dict(headers)
     if len(fields) < len(headers):
         names = [name for name, _ in headers]
-        if any(names.count(name) > 1 for name in once):
+        if any(names.count(name) > 1 for name in unique):
             raise ValueError("a header is repeated")
     return fields
 
 
 def body_length(fields: dict[bytes, bytes]) -> int | None:
-    """The length that a head declares, -1 for chunks, None for neither.
+    """The body length that a head declares: -1 for a chunked body, None if it declares neither.
 
-    Guards against two readings of one message, which hide another in its body:
-    ValueError for both framings, other codings, and what is no length.
+    Guards against request smuggling, in which a message with two readings hides another one in its body:
+    ValueError if both framings are declared, for other transfer codings, and for a malformed length.
     """
     length, coding = fields.get(b"content-length"), fields.get(b"transfer-encoding")
     if coding is not None:
@@ -79,7 +80,7 @@
 
 
 def declared_length(headers: Headers) -> int:
-    """What a head that was checked declares; -1 for chunks."""
+    """The body length that a validated head declares; -1 for a chunked body."""
     for name, value in headers:
         if name == b"content-length":
             return int(value)
@@ -87,10 +88,10 @@
 
 
 def has_event(descriptor: int, events: int, if_unknown: bool) -> bool:
-    """Whether any of these has happened to it by now; `if_unknown` where the system can't tell."""
-    news = select.poll()
-    news.register(descriptor, events)
+    """Whether one of the poll `events` is pending on a descriptor; `if_unknown` if poll itself fails."""
+    poller = select.poll()
+    poller.register(descriptor, events)
     try:
-        return bool(news.poll(0))
-    except OSError:  # ENOMEM, poll(2)
+        return bool(poller.poll(0))
+    except OSError:  # ENOMEM: poll(2)
         return if_unknown
--- a/laurelstep/net/request.py
+++ b/laurelstep/net/request.py
@@ -1,8 +1,8 @@
-"""What is let in: one request's head judged, alike on every front.
+"""Validates the head of a request, in the same way for the daemon and the library.
 
-The rules: one well-formed id, a class that agrees with the path, the method, key and
-body of that class, one reading of the framing, no more body than is allowed. Whatever
-breaks one of them is a `BadRequestError` with the status that tells the client so.
+A request has one well-formed id, a class that agrees with its path, the method, idempotency key and body
+that the class requires, unambiguous framing, and a body within the size limit. Otherwise it is rejected with
+a `BadRequestError`, which has the HTTP status of the rejection.
 """
 
 from __future__ import annotations
@@ -20,27 +20,28 @@
     REQUEST_HEADERS,
     body_length,
     encode_headers,
-    single,
+    index_headers,
 )
 
-MAX_U63 = 2**63
+OBJECT_KEY_LIMIT = 2**63
 
-# Headers that decide something: a second one would leave it open which counts.
-ONCE: Final = frozenset(
+# Headers that affect how a request is handled: a repeated one would be ambiguous.
+UNIQUE_HEADERS: Final = frozenset(
     (b"host", b"content-length", b"transfer-encoding", b"x-request-id", b"x-class", b"x-tenant",
      b"x-deadline-ms", b"idempotency-key", b"x-retry", b"x-cost-hint")
 )  # fmt: skip
-# What a write follows, where its class may be kept: receipts, the token of the client's last answer, and
-# its session; and of an edge's replay, which one it is. Of each so many bytes. None is forwarded.
+# Headers of a write whose class may be queued by the outbox. The first three name its causal dependencies:
+# receipts, the token of the client's last answer, and the session. The last one identifies a write that an
+# edge replays. The value of each is limited to MAX_CAUSE_BYTES. They are not forwarded to endpoints.
 CAUSE_HEADERS: Final = (b"x-follows", b"x-causal-token", b"x-session", b"x-kept-write")
-CAUSES_MOST: Final = 1024
+MAX_CAUSE_BYTES: Final = 1024
 TOKEN: Final = re.compile(rb"[0-9A-Za-z._~+/=:-]{1,128}")
-# Origin form and nothing else: no second word, no control characters, no fragment.
+# The origin form of a request target only: no spaces, no control characters, no fragment.
 TARGET: Final = re.compile(rb"/[!\"$-~]*")
 
 
-def number(fields: dict[bytes, bytes], name: bytes) -> int | None:
-    """The value of a head's field as a number, None where it is absent; `BadRequestError` if it is none."""
+def parse_number(fields: dict[bytes, bytes], name: bytes) -> int | None:
+    """The value of a header as a number, None if it is absent. `BadRequestError` if it is malformed."""
     raw = fields.get(name)
     if raw is None:
         return None
@@ -50,38 +51,38 @@
 
 
 def parse_cost_hint(raw: bytes) -> int:
-    """A guess may be missing or unreadable; that is no reason to refuse."""
+    """The cost hint of a request; 0 if it is missing or malformed, as a bad hint is no reason to reject."""
     return int(raw) if raw.isdigit() and len(raw) <= 15 else 0
 
 
 def parse_object_key(query: bytes) -> int:
-    """The number of what a request is about; 0 = nothing named."""
+    """The number of the object that the query names with `obj=`, below 2**63; 0 if it names none."""
     for part in query.split(b"&"):
         if part.startswith(b"obj="):
             value = part[4:]
             try:
-                return int(value, 16) % MAX_U63 if len(value) <= 16 else zlib.crc32(value)
+                return int(value, 16) % OBJECT_KEY_LIMIT if len(value) <= 16 else zlib.crc32(value)
             except ValueError:
                 return zlib.crc32(value)
     return 0
 
 
-def checked(headers: Headers, most: int = MAX_BUFFERED_BODY_BYTES) -> dict[bytes, bytes]:
-    """The fields of a head whose framing has one reading and whose body is not too
-    large: judged by what it declares, before any of the body is read.
+def validate_framing(headers: Headers, max_body_bytes: int = MAX_BUFFERED_BODY_BYTES) -> dict[bytes, bytes]:
+    """The headers by name. `BadRequestError` if the framing is ambiguous or the declared body length exceeds
+    `max_body_bytes`; called before any of the body is read.
     """
     try:
-        fields = single(headers, ONCE)
+        fields = index_headers(headers, UNIQUE_HEADERS)
         length = body_length(fields)
     except ValueError as error:
         raise BadRequestError(400, str(error)) from None
-    if length is not None and length > most:
+    if length is not None and length > max_body_bytes:
         raise BadRequestError(413, "the body is too large")
     return fields
 
 
-def class_of(target: bytes, fields: dict[bytes, bytes], classes: dict[str, int]) -> int:
-    """The number of a request's class; `BadRequestError` if target or class are none of this deployment."""
+def resolve_class(target: bytes, fields: dict[bytes, bytes], classes: dict[str, int]) -> int:
+    """The number of a request's class. `BadRequestError` if the target or the class is invalid."""
     if not TARGET.fullmatch(target):
         raise BadRequestError(400, "the target is no path")
     name = fields.get(b"x-class", b"")
@@ -93,8 +94,8 @@
     return cls
 
 
-def check_form(method: bytes, fields: dict[bytes, bytes], cls: RequestClass) -> None:
-    """The id, and the method, key and body that the class demands."""
+def validate_form(method: bytes, fields: dict[bytes, bytes], cls: RequestClass) -> None:
+    """Check the request id, and the method, idempotency key and body that the class requires."""
     if not TOKEN.fullmatch(fields.get(b"x-request-id", b"")):
         raise BadRequestError(400, "X-Request-Id is missing or malformed")
     if method != (b"GET" if cls.effect == SAFE else b"POST"):
@@ -116,20 +117,24 @@
     names: Names,
     settings: Settings,
     front: Frontend,
-    most: int = MAX_BUFFERED_BODY_BYTES,
+    max_body_bytes: int = MAX_BUFFERED_BODY_BYTES,
 ) -> Call:
-    """The call that a head asks for; `expires` is still a span, which counts from the
-    request's last byte on, and the body, `most` bytes of it, is still to come.
+    """The call for a validated head. `BadRequestError` if the head is not valid.
+
+    The caller sets the body, which may have up to `max_body_bytes`, when it has arrived. `expires` is still a
+    duration in µs: the caller adds the time at which the request's last byte arrived.
     """
-    fields = checked(headers, most)
-    cls = class_of(target, fields, names.classes)
-    rules = settings.classes[cls]
-    check_form(method, fields, rules)
-    wait_ms = number(fields, b"x-deadline-ms")
+    fields = validate_framing(headers, max_body_bytes)
+    cls = resolve_class(target, fields, names.classes)
+    request_class = settings.classes[cls]
+    validate_form(method, fields, request_class)
+    deadline_ms = parse_number(fields, b"x-deadline-ms")
     tenant = fields.get(b"x-tenant", b"").decode("latin-1")
     call = Call(
         cls=cls,
-        expires=rules.deadline_us if wait_ms is None else min(wait_ms * 1000, rules.deadline_us),
+        expires=request_class.deadline_us
+        if deadline_ms is None
+        else min(deadline_ms * 1000, request_class.deadline_us),
         start=b"%b %b" % (method, target),
         head=encode_headers(headers, REQUEST_HEADERS),
         body=b"",
@@ -142,19 +147,19 @@
         order=fields.get(names.order_headers[cls], b"") if cls in names.order_headers else b"",
     )
     if cls in names.keepable:
-        call.causes = causes_of(headers)
+        call.causes = parse_causes(headers)
     return call
 
 
-def causes_of(headers: Headers) -> tuple[bytes, ...]:
-    """What a write says that it follows: the values of `CAUSE_HEADERS`, in their order. One that comes
-    twice leaves it open which counts.
+def parse_causes(headers: Headers) -> tuple[bytes, ...]:
+    """The values of `CAUSE_HEADERS` in their order, empty if absent. `BadRequestError` if one is repeated,
+    which would be ambiguous, or too long.
     """
-    found = [b""] * len(CAUSE_HEADERS)
+    values = [b""] * len(CAUSE_HEADERS)
     for name, value in headers:
         if name in CAUSE_HEADERS:
-            at = CAUSE_HEADERS.index(name)
-            if found[at] or len(value) > CAUSES_MOST:
+            index = CAUSE_HEADERS.index(name)
+            if values[index] or len(value) > MAX_CAUSE_BYTES:
                 raise BadRequestError(400, f"{name.decode()} comes twice or is too long")
-            found[at] = value
-    return tuple(found)
+            values[index] = value
+    return tuple(values)
--- a/laurelstep/net/request_receiver.py
+++ b/laurelstep/net/request_receiver.py
@@ -1,7 +1,7 @@
-"""The receiving side of a client's connection: reads one request at a time, buffers or streams its body.
+"""The receiving side of a client's connection: reads one request at a time and buffers or streams its body.
 
-A request is buffered until it is complete, within the budget for requests; a larger one is streamed: its
-first attempt takes the body while it comes.
+A request is buffered until it is complete, within the buffer budget for requests. A larger one is streamed:
+its first attempt forwards the body as it arrives.
 """
 
 from __future__ import annotations
@@ -15,56 +15,57 @@
 from laurelstep.flow_control.throughput import has_min_throughput
 from laurelstep.net.errors import BadRequestError
 from laurelstep.net.message import (
-    FRAMING_EACH,
-    FRAMING_MAX,
+    MAX_FRAMING_BYTES,
+    MAX_FRAMING_BYTES_PER_BODY_BYTE,
     MAX_HEAD_BYTES,
     OWS,
     body_length,
     declared_length,
 )
-from laurelstep.net.request import build_call, checked
+from laurelstep.net.request import build_call, validate_framing
 from laurelstep.net.server_state import ServerState, TrackedConnection
 
 READY_PATH: Final = b"/health/ready"
-# Where a receipt of a kept write is asked for, as no class is named so: by a client, so at its address.
+# Clients query receipts of queued writes under this path. No class of requests may have this name.
 RECEIPTS_PATH: Final = b"/outbox/receipts/"
-# What edges ask a copy upstream of kept writes; here, as nothing of the outbox is loaded where it is off.
+# Edges query an upstream copy of this program about queued writes under this path. It is defined here, as the
+# outbox package is not loaded when the outbox is off.
 SHARED_PATH: Final = b"/outbox/shared/"
-OUTBOX_QUERY: Final = -1  # in place of a class: it is no request of the engine's
-# How much of what a client still sends behind the end of its connection is read and dropped: a close
-# over unread bytes is a reset, which takes the answer with it.
+OUTBOX_QUERY: Final = -1  # the class number of outbox queries, which the engine does not handle
+# Bytes read and discarded after this side of a connection was closed: closing a socket with unread bytes
+# resets the connection, and the client may lose the answer.
 MAX_DISCARDED_BYTES: Final = 1 << 20
-STOPS: Final = "this sidecar stops"
-# An upload's provisional time: it counts from the last byte, once that has come.
-UPLOAD_MOST_US: Final = 600_000_000
+STOPPING_MESSAGE: Final = "this sidecar stops"
+# Provisional limit for an upload, until its last byte has arrived and its deadline starts.
+MAX_UPLOAD_US: Final = 600_000_000
 
 
 class RequestReceiver(TrackedConnection):
-    """One connection's request at a time. The parser calls the `on_...` methods."""
+    """Reads one request at a time from a connection. The HTTP parser calls the `on_...` methods."""
 
     def __init__(self, server: ServerState[Any]) -> None:
         super().__init__()
         self.server = server
         self.call: Call | None = None
-        self.dropped = 0  # bytes that came behind the end
+        self.discarded_bytes = 0  # bytes discarded after this side was closed
         self.keep_alive = True
-        self.upload: BodyStream | None = None  # a request that is streamed
-        self.answer: BodyStream | None = None  # an answer that is
-        self.pipelined = b""  # what came meanwhile: the next request waits for its end
+        self.upload: BodyStream | None = None  # the body of a request that is being streamed
+        self.answer: BodyStream | None = None  # the body of an answer that is being streamed
+        self.pipelined = b""  # bytes of the next request, read while an answer is being streamed
         self.parser: Any = httptools.HttpRequestParser(self)
         self._reset()
 
     def write_answer(self, answer: Answer, unread: bool = False) -> None:
-        """`unread`: more of the request may come, and is not waited for."""
+        """Write an answer. `unread`: the request is incomplete, and the rest of it is not read."""
         raise NotImplementedError
 
     def _reset(self) -> None:
         self.target = b""
         self.headers: Headers = []
-        self.body = bytearray()  # not a list of parts: of one byte each they would take forty
+        self.body = bytearray()  # not a list of parts: a part of one byte would take forty
         self.size = self.received = 0
-        self.parsed: Call | Answer | None = None  # what the head says
-        self.head_at = 0.0  # when it had come
+        self.parsed: Call | Answer | None = None  # the call for the head, or the answer to a health check
+        self.head_at = 0.0  # loop time at which the head was complete
         self.has_begun = self.is_complete = False
 
     def _abandon(self) -> None:
@@ -74,7 +75,7 @@
         self._release_body()
 
     def _release_body(self) -> None:
-        """Of the request in hand nothing more is held here."""
+        """Abandon an upload and release the reserved buffer budget."""
         upload, self.upload = self.upload, None
         if upload is not None:
             upload.abandon()
@@ -84,7 +85,7 @@
     # --- Reading --------------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
-        """asyncio: bytes of a request."""
+        """asyncio: bytes of a request have arrived."""
         if self.closing:
             self._discard(data)
             return
@@ -93,16 +94,16 @@
             return
         if not self.received and self.call is None:
             self.server.idle.discard(self)
-            self.server.awaiting_request.discard(self)  # its time counts from the first byte
+            self.server.awaiting_request.discard(self)  # the timeout restarts at the first byte
         self.received += len(data)
         try:
             if self.call is not None and self.upload is None:
-                # Guards against a request hidden behind another: clients send one at a time.
+                # Guards against request smuggling: clients send one request at a time.
                 raise BadRequestError(400, "more than one request")
             self.parser.feed_data(data)
             if self.parsed is None and self.received > MAX_HEAD_BYTES:
                 raise BadRequestError(431, "the head is too large")
-            if self.received > FRAMING_MAX + FRAMING_EACH * self.size:
+            if self.received > MAX_FRAMING_BYTES + MAX_FRAMING_BYTES_PER_BODY_BYTE * self.size:
                 raise BadRequestError(413, "the request is mostly framing")
         except httptools.HttpParserCallbackError as error:
             cause = error.__context__
@@ -120,20 +121,20 @@
                 self._dispatch()
 
     def _discard(self, data: bytes) -> None:
-        """Behind the end of the connection: none of it is a request any more."""
-        self.dropped += len(data)
+        """Discard bytes that arrive after this side was closed, and stop reading if there are too many."""
+        self.discarded_bytes += len(data)
         if (
-            self.dropped > MAX_DISCARDED_BYTES
+            self.discarded_bytes > MAX_DISCARDED_BYTES
             and self.transport is not None
             and not self.transport.is_closing()
         ):
             self.transport.pause_reading()
 
     def _continue_reading(self) -> None:
-        """More of the request is owed: its head by one time, its body at a pace."""
+        """Wait for the rest of a request: its head has a time limit, its body a minimum throughput."""
         server = self.server
         if server.shutdown.refuses_partial:
-            self.reject(BadRequestError(503, STOPS))
+            self.reject(BadRequestError(503, STOPPING_MESSAGE))
             return
         server.late_connections.discard(self)
         if self.parsed is None:
@@ -146,36 +147,39 @@
         if self.upload is None and not self.reserve(self.size):
             self._begin_upload()
             return
-        waiting = server.uploading if self.upload is not None else server.awaiting_request
-        if self.upload is None or self in waiting.waiting_since:  # an upload that is held back is not late
-            waiting.discard(self)
-            waiting.add(self)
+        sweeper = server.uploading if self.upload is not None else server.awaiting_request
+        if self.upload is None or self in sweeper.waiting_since:  # a paused upload has no timeout
+            sweeper.discard(self)
+            sweeper.add(self)
 
     def reserve(self, size: int) -> bool:
-        """Whether so many bytes of the request may wait here until it is complete."""
+        """Reserve buffer budget for `size` bytes of the request; False if the budget is used up."""
         reserved = self.server.request_budget.reserve(size, self.reserved)
         if reserved >= 0:
             self.reserved = reserved
         return reserved >= 0
 
     def on_message_begin(self) -> None:
-        """The parser: a request begins."""
+        """HTTP parser: a request begins."""
         if self.has_begun:
             raise BadRequestError(400, "more than one request")
         self.has_begun = True
 
     def on_url(self, url: bytes) -> None:
-        """The parser: a part of the target."""
+        """HTTP parser: a part of the target."""
         self.target = b"%b%b" % (self.target, url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """The parser: a field of the head, or a trailer."""
-        if self.parsed is None:  # not a trailer: those end here
+        """HTTP parser: a header, or a trailer, which is ignored."""
+        if self.parsed is None:
             self.headers.append((name.lower(), value.strip(OWS)))
 
     def on_headers_complete(self) -> None:
-        """The parser: the head has come. `BadRequestError` if it can't be served."""
-        if self.received > MAX_HEAD_BYTES and sum(len(n) + len(v) for n, v in self.headers) > MAX_HEAD_BYTES:
+        """HTTP parser: the head is complete. `BadRequestError` if the request is not valid."""
+        if (
+            self.received > MAX_HEAD_BYTES
+            and sum(len(name) + len(value) for name, value in self.headers) > MAX_HEAD_BYTES
+        ):
             raise BadRequestError(431, "the head is too large")
         self.parsed = self._parse_head()
         self.head_at = self.server.loop.time()
@@ -183,12 +187,12 @@
             self._send_continue()
 
     def _send_continue(self) -> None:
-        """The client waits for a word before it sends the body (RFC 9110, 10.1.1)."""
+        """Send the interim answer that the client awaits before it sends the body (RFC 9110, 10.1.1)."""
         if self.transport is not None and self.parser.get_http_version() == "1.1":
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
-        """The parser: a part of the body."""
+        """HTTP parser: a part of the body."""
         self.size += len(data)
         if self.size > self.server.max_body_bytes:
             raise BadRequestError(413, "the body is too large")
@@ -198,48 +202,52 @@
             self.body += data
 
     def on_message_complete(self) -> None:
-        """The parser: the last byte has come."""
+        """HTTP parser: the last byte of the request has arrived."""
         self.is_complete, self.keep_alive = True, self.parser.should_keep_alive()
 
     def _parse_head(self) -> Call | Answer:
         method = self.parser.get_method()
         if method == b"GET" and self.target == READY_PATH:
-            checked(self.headers)
+            validate_framing(self.headers)
             return Answer(Ending.SERVED, 200) if self.server.lifecycle.ready else Answer(Ending.FAILED, 503)
         if self.server.on_receipt_query is not None and self.target.startswith(RECEIPTS_PATH):
             return self._outbox_query(method, RECEIPTS_PATH, "a receipt")
         if self.server.on_shared_query is not None and self.target.startswith(SHARED_PATH):
             return self._outbox_query(method, SHARED_PATH, "what is shared")
         engine = self.server.engine
-        most = self.server.max_body_bytes
-        call = build_call(method, self.target, self.headers, engine.names, engine.settings, self, most)
+        max_body_bytes = self.server.max_body_bytes
+        call = build_call(
+            method, self.target, self.headers, engine.names, engine.settings, self, max_body_bytes
+        )
         call.client = self
         return call
 
-    def _outbox_query(self, method: bytes, path: bytes, what: str) -> Call:
-        """Asked of the outbox: a call that is not open, as the engine never has it; `order` is the path."""
-        if body_length(checked(self.headers)):
-            raise BadRequestError(400, f"asking for {what} has no body")
+    def _outbox_query(self, method: bytes, path: bytes, subject: str) -> Call:
+        """The call for an outbox query. It is not open, as the engine does not handle it; `order` is the
+        path.
+        """
+        if body_length(validate_framing(self.headers)):
+            raise BadRequestError(400, f"asking for {subject} has no body")
         if method != b"GET":
-            raise BadRequestError(405, f"ask for {what} with GET")
-        asking = Call(OUTBOX_QUERY, 0, self.target[len(path) :], b"", b"", self, order=path)
-        asking.open = False
-        return asking
+            raise BadRequestError(405, f"ask for {subject} with GET")
+        query = Call(OUTBOX_QUERY, 0, self.target[len(path) :], b"", b"", self, order=path)
+        query.open = False
+        return query
 
-    def _forward_query(self, asking: Call) -> None:
-        asked = self.server.on_shared_query if asking.order == SHARED_PATH else self.server.on_receipt_query
-        assert asked is not None
-        asked(asking)
+    def _forward_query(self, query: Call) -> None:
+        handler = self.server.on_shared_query if query.order == SHARED_PATH else self.server.on_receipt_query
+        assert handler is not None
+        handler(query)
 
     # --- Streaming ---------------------------------------------------------------------
 
     def _begin_upload(self) -> None:
-        """Too large to be held: the first attempt takes it as it comes."""
-        server, asked = self.server, self.parsed
-        if not isinstance(asked, Call):
+        """Stream the body, as it is too large to be buffered: the first attempt forwards it as it arrives."""
+        server, parsed = self.server, self.parsed
+        if not isinstance(parsed, Call):
             self.reject(BadRequestError(413, "the body is too large"))
             return
-        if asked.name in server.engine.open_names:
+        if parsed.name in server.engine.open_names:
             self.reject(BadRequestError(409, "X-Request-Id is that of an open request"))
             return
         upload = BodyStream(self, declared_length(self.headers))
@@ -247,17 +255,17 @@
             upload.feed(bytes(self.body))
             self.body = bytearray()
         self._release_body()
-        self.upload = asked.upload = upload
-        asked.span = asked.expires
-        asked.expires += server.engine.now() + UPLOAD_MOST_US
-        asked.streams = True
-        self.call = asked
+        self.upload = parsed.upload = upload
+        parsed.span = parsed.expires
+        parsed.expires += server.engine.now() + MAX_UPLOAD_US
+        parsed.streams = True
+        self.call = parsed
         server.awaiting_request.discard(self)
         server.uploading.add(self)
-        server.engine.take(asked)
-        # Not `self.upload` again: to the compiler that is what was assigned above.
+        server.engine.take(parsed)
+        # `self.upload` is not read again here: mypyc would assume the value that was assigned above.
         if not upload.closed and not upload.started:
-            self.pause()  # nobody takes it yet
+            self.pause()  # no attempt reads it yet
 
     def _end_upload(self) -> None:
         upload, self.upload, call = self.upload, None, self.call
@@ -269,22 +277,24 @@
             self.server.engine.whole(call)
 
     def pause(self) -> None:
-        """The upload's taker has no room: read no more for now."""
+        """The receiver of the upload has no room: stop reading."""
         self.server.uploading.discard(self)
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
             self.server.paused.add(self)
 
     def resume(self) -> None:
-        """The upload's taker has room again."""
+        """The receiver of the upload has room again: go on reading."""
         if self.transport is not None and not self.transport.is_closing() and self.upload is not None:
             self.server.paused.discard(self)
             self.server.uploading.add(self)
             self.transport.resume_reading()
 
     def check_hangup(self) -> None:
-        """The client's end lies behind what is not read: the rest of an upload, or what came behind a
-        request whose answer is streamed.
+        """Abort the connection if the client has closed it, which reading does not show while it is paused.
+
+        Reading is paused for an upload that no attempt reads, and for pipelined bytes while an answer is
+        streamed.
         """
         if self.has_left():
             self._abandon()
@@ -293,38 +303,41 @@
             self.server.paused.add(self)
 
     def on_abandoned(self) -> None:
-        """The final answer comes, and ends the connection."""
+        """The receiver needs no more of the upload. The final answer follows and closes the connection."""
 
-    # --- A request that has come whole ------------------------------------------------
+    # --- Complete requests ------------------------------------------------------------
 
     def _dispatch(self) -> None:
-        asked, body = self.parsed, bytes(self.body)
+        parsed, body = self.parsed, bytes(self.body)
         self._reset()
         self.server.awaiting_request.discard(self)
         self.server.late_connections.discard(self)
         engine = self.server.engine
-        if isinstance(asked, Answer):
+        if isinstance(parsed, Answer):
             self._release_body()
-            self.write_answer(asked)
-        elif asked is not None and asked.cls == OUTBOX_QUERY:
+            self.write_answer(parsed)
+        elif parsed is not None and parsed.cls == OUTBOX_QUERY:
             self._release_body()
-            self.call = asked
-            self._forward_query(asked)
-        elif asked is not None and asked.name in engine.open_names:
+            self.call = parsed
+            self._forward_query(parsed)
+        elif parsed is not None and parsed.name in engine.open_names:
             self.reject(BadRequestError(409, "X-Request-Id is that of an open request"))
-        elif asked is not None:
-            asked.expires += engine.now()
-            asked.body = body
+        elif parsed is not None:
+            parsed.expires += engine.now()
+            parsed.body = body
             if body:
                 self.reserved = self.server.request_budget.force(len(body), self.reserved)
-            asked.streams = True
-            self.call = asked
-            engine.take(asked)
+            parsed.streams = True
+            self.call = parsed
+            engine.take(parsed)
 
-    # --- Behind an answer that is streamed ---------------------------------------------
+    # --- Pipelined bytes while an answer is streamed -----------------------------------
 
     def _hold_pipelined(self, data: bytes) -> None:
-        """Read on until there is something: that the client leaves is seen in this way alone."""
+        """Keep bytes that arrive while an answer is streamed, and pause reading.
+
+        Until then reading goes on, as only reading shows that the client has closed the connection.
+        """
         self.pipelined = b"%b%b" % (self.pipelined, data)
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
--- a/laurelstep/net/response_receiver.py
+++ b/laurelstep/net/response_receiver.py
@@ -1,7 +1,7 @@
-"""The receiving side of a connection to an endpoint: reads an answer, buffers it or streams it.
+"""The receiving side of a connection to an endpoint: reads an answer and buffers or streams it.
 
-An answer is buffered until it is complete, within the budget for answers; a larger one is streamed to
-its client while it comes. What the answer says of the attempt is for `net.endpoint_connection`.
+An answer is buffered until it is complete, within the buffer budget for answers; a larger one is streamed to
+its client as it arrives. `net.endpoint_connection` derives the attempt's outcome from it.
 """
 
 from __future__ import annotations
@@ -24,50 +24,54 @@
     MAX_STREAMED_BODY_BYTES,
     OWS,
     body_length,
-    pass_on,
-    single,
+    index_headers,
+    select_headers,
 )
 
-# The length of an answer that ends with its connection (RFC 9112, 6.3, case 8), and of chunks.
+# Values of `length` where no number is declared: the answer ends with its connection (RFC 9112, 6.3, case 8),
+# or it is chunked.
 UNTIL_CLOSE: Final = -2
 CHUNKED: Final = -1
-# Fields that stand once in a head, or the framing is unclear.
-ONCE: Final = frozenset((b"content-length", b"transfer-encoding"))
+# Headers that may occur only once in a head, as the framing would be ambiguous otherwise.
+UNIQUE_HEADERS: Final = frozenset((b"content-length", b"transfer-encoding"))
 
 
-def checked(headers: Headers, most: int) -> tuple[dict[bytes, bytes], int]:
-    """The fields of an answer's head and the length of its body, if that lies within the
-    limit: judged by what it declares, before any of the body is read.
+def validate_framing(headers: Headers, max_body_bytes: int) -> tuple[dict[bytes, bytes], int]:
+    """The headers by name and the declared body length, before any of the body is read.
+
+    `MalformedResponseError` if the framing is ambiguous or the length exceeds `max_body_bytes`.
     """
     try:
-        fields = single(headers, ONCE)
+        fields = index_headers(headers, UNIQUE_HEADERS)
         length = body_length(fields)
     except ValueError as error:
         raise MalformedResponseError(str(error)) from None
     if length is None:
         return fields, UNTIL_CLOSE
-    if length > most:
-        raise MalformedResponseError("too large")
+    if length > max_body_bytes:
+        raise MalformedResponseError("the declared body is too large")
     return fields, length
 
 
 class ResponseReceiver(PooledConnection):
-    """One connection's answer at a time. The parser calls the `on_...` methods."""
+    """Reads one answer at a time from a connection. The HTTP parser calls the `on_...` methods."""
 
     def __init__(self, owner: EndpointState[Any], pool: ConnectionPool[Any], attempt: Attempt) -> None:
         super().__init__(pool, attempt)
         self.owner = owner
         self.transport: asyncio.Transport | None = None
-        self.answer: BodyStream | None = None  # an answer that is streamed
-        self.reserved = 0  # bytes of the budget for answers
-        self.streaming_since = 0.0  # when streaming began, without the time that it was paused; s of the loop
-        self.paused_since = 0.0  # when its client last had no room
+        self.answer: BodyStream | None = None  # the body of an answer that is being streamed
+        self.reserved = 0  # bytes reserved in the answer budget
+        self.streaming_since = 0.0  # loop time at which streaming began, moved forward by each pause
+        self.paused_since = 0.0  # loop time of the last pause
         self.parser: Any = httptools.HttpResponseParser(self)
         self._reset()
 
     def _reset(self) -> None:
         self.headers: Headers = []
-        self.fields: dict[bytes, bytes] | None = None  # of the final answer's head
+        self.fields: dict[bytes, bytes] | None = (
+            None  # headers of the final answer by name; None before its head is complete
+        )
         self.body = bytearray()
         self.size = self.received = self.received_at_check = self.status = 0
         self.length = CHUNKED
@@ -81,36 +85,36 @@
     # --- Parsing ------------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """The parser: an answer begins."""
+        """HTTP parser: an answer begins."""
         if self.is_complete:
-            self.has_trailing_data, self.keep_alive = True, False  # something stands behind the answer
+            self.has_trailing_data, self.keep_alive = True, False  # another message follows the answer
         else:
-            self.headers.clear()  # an interim answer's say nothing of the real one
+            self.headers.clear()  # those of an interim answer (1xx)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """The parser: a field of the head, or a trailer."""
+        """HTTP parser: a header, or a trailer, which is ignored."""
         if self.fields is None:
             self.headers.append((name.lower(), value.strip(OWS)))
 
     def on_headers_complete(self) -> None:
-        """The parser: a head has come. `MalformedResponseError` if its framing is unclear."""
+        """HTTP parser: a head is complete. `MalformedResponseError` if its framing is ambiguous."""
         if not self.is_complete and self.parser.get_status_code() >= 200:
             self.status = self.parser.get_status_code()
-            self.fields, self.length = checked(self.headers, self._max_body())
+            self.fields, self.length = validate_framing(self.headers, self._max_body())
 
     def on_body(self, data: bytes) -> None:
-        """The parser: a part of the body."""
+        """HTTP parser: a part of the body."""
         if not self.is_complete:
             self.size += len(data)
             if self.size > self._max_body():
-                raise MalformedResponseError("too large")
+                raise MalformedResponseError("the body is too large")
             if self.answer is not None:
                 self.answer.feed(data)
             else:
                 self.body += data
 
     def _may_buffer(self) -> bool:
-        """Whether the answer may wait here until it is whole."""
+        """Whether the answer may be buffered until it is complete."""
         if max(self.length, self.size) > MAX_BUFFERED_BODY_BYTES:
             return False
         budget = self.owner.answer_budget
@@ -126,16 +130,14 @@
         return MAX_STREAMED_BODY_BYTES
 
     def on_message_complete(self) -> None:
-        """The parser: the last byte has come."""
+        """HTTP parser: the last byte of a message has arrived."""
         if self.fields is not None and not self.is_complete:
             self.is_complete, self.keep_alive = True, self.parser.should_keep_alive()
 
     # --- Streaming ----------------------------------------------------------------
 
     def _stream_answer(self) -> None:
-        """Large: its head is the final answer, and what follows goes the same way. There is
-        no other attempt from here on.
-        """
+        """Report the answer as final with its body as a stream. No other attempt can be made afterwards."""
         attempt, self.attempt = self.attempt, None
         assert attempt is not None
         self.owner.by_attempt.pop(attempt, None)
@@ -147,25 +149,25 @@
         self._release_budget()
         self.streaming_since = self.owner.loop.time()
         self.owner.streaming.add(self)
-        passed = pass_on(self.headers, ANSWER_HEADERS)
-        final = Answer(Ending.SERVED, 200, passed, stream=answer)
+        forwarded_headers = select_headers(self.headers, ANSWER_HEADERS)
+        final = Answer(Ending.SERVED, 200, forwarded_headers, stream=answer)
         attempt.end(OK, final, (self.fields or {}).get(b"x-load", b""))
         if not answer.started:
-            answer.abandon()  # nobody waits for it any more
+            answer.abandon()  # no client takes it
 
     def _check_throughput(self) -> None:
-        """Guards a client against an answer that goes on for ever, a little at a time."""
-        passing = self.owner.streaming
-        if self not in passing.waiting_since:
-            return  # it is held: what comes was under way
-        passing.discard(self)
+        """Close the connection if the answer arrives too slowly: guards against one that trickles forever."""
+        streaming = self.owner.streaming
+        if self not in streaming.waiting_since:
+            return  # paused: these bytes were already on their way
+        streaming.discard(self)
         if has_min_throughput(self.size, self.owner.loop.time() - self.streaming_since):
-            passing.add(self)
+            streaming.add(self)
         else:
             self.close()
 
     def pause(self) -> None:
-        """The client has no room: read no more for now."""
+        """The client's buffer is full: stop reading."""
         if self in self.owner.streaming.waiting_since:
             self.owner.streaming.discard(self)
             self.paused_since = self.owner.loop.time()
@@ -173,7 +175,7 @@
             self.transport.pause_reading()
 
     def resume(self) -> None:
-        """The client has room again."""
+        """The client's buffer has room again: go on reading."""
         if self.transport is not None and not self.transport.is_closing():
             if self not in self.owner.streaming.waiting_since:
                 self.owner.streaming.add(self)
@@ -181,6 +183,6 @@
             self.transport.resume_reading()
 
     def on_abandoned(self) -> None:
-        """The client takes no more of the answer."""
+        """The rest of the answer is not needed: close the connection."""
         self.answer = None
         self.close()
--- a/laurelstep/net/server.py
+++ b/laurelstep/net/server.py
@@ -1,4 +1,4 @@
-"""The clients' side: the listener, and a connection for each that it accepts."""
+"""The HTTP server for clients: its listener, and a `ClientConnection` for each accepted connection."""
 
 from __future__ import annotations
 
@@ -13,13 +13,15 @@
 
 
 class Server(ServerState[ClientConnection]):
-    """The listener and its connections."""
+    """Listens for clients and holds their connections."""
 
     async def listen(
         self, host: str, port: int, reuse_port: bool = False, inherited_listener: socket.socket | None = None
     ) -> int:
-        """The port it listens at; `reuse_port` with other processes that say so too, or at a
-        listener that another process handed over.
+        """Listen at an address, or on a listener inherited from another process; returns the port.
+
+        With `reuse_port`, other processes that set it may listen at the same address. OSError if the address
+        cannot be bound.
         """
         if inherited_listener is not None:
             inherited_listener.setblocking(False)
@@ -36,5 +38,7 @@
         return ClientConnection(self)
 
     def stop(self, on_end: Callable[[], None]) -> None:
-        """Graceful shutdown: `on_end` is called when all that was taken is answered and all have gone."""
+        """Begin a graceful shutdown. `on_end` is called when all requests are answered and no client is
+        connected.
+        """
         self.shutdown.stop(on_end)
--- a/laurelstep/net/server_state.py
+++ b/laurelstep/net/server_state.py
@@ -1,4 +1,4 @@
-"""What all connections of clients share: limits, budgets, deadlines, and which one is evicted."""
+"""State shared by all client connections: limits, buffer budget, timeouts, and eviction."""
 
 from __future__ import annotations
 
@@ -25,96 +25,97 @@
 from laurelstep.net.shutdown import GracefulShutdown
 from laurelstep.resources.descriptors import CLOSING, IDLE, eviction_order
 
-# A connection rests so long between requests at most: some clients never come back.
-REST_S: Final = 5.0
-# How long the client of a connection that was ended may take to end its own side.
-LINGER_S: Final = 1.0
+# An idle client connection is closed after this time, as some clients never send another request.
+IDLE_TIMEOUT_S: Final = 5.0
+# After this side of a connection is closed, the client has this long to close its side.
+LINGER_TIMEOUT_S: Final = 1.0
 MAX_DISCARDED_BYTES: Final = 1 << 20
-# How often it is asked whether the client of an upload that is not read has left: no attempt may begin for it
+# How often a paused connection is checked for a client that has left: no attempt may begin for it later than
 # 0.1 s after its close.
-HELD_S: Final = 0.05
-# So many of each kind, those that have waited longest, are looked at when one has to give way.
-CANDIDATES: Final = 4
-# A client that does not read what it is sent is cut after this.
-STUCK_S: Final = 10.0
+HANGUP_CHECK_INTERVAL_S: Final = 0.05
+# How many connections of each kind, the longest waiting first, are considered for eviction.
+EVICTION_CANDIDATES: Final = 4
+# A connection is aborted if its client does not read its answer for this long.
+WRITE_STALL_TIMEOUT_S: Final = 10.0
 
 
 class TrackedConnection:
-    """A client's connection, as the sweepers, the eviction and the shutdown know it. `ClientConnection`
-    is the only one there is; it stands apart so that neither module needs the other.
+    """The interface of a client connection that the sweepers, the eviction and the shutdown use.
+
+    `ClientConnection` is the only implementation; this base class avoids an import cycle.
     """
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
-        self.closing = False  # what comes is dropped
+        self.closing = False  # bytes that still arrive are discarded
         self.received = 0  # bytes of the request that is being read
-        self.reserved = 0  # bytes of the budget for requests
-        self.parsed: Call | Answer | None = None  # what the head of that request says
-        self.hangup_poller: Any = None  # for the client's end, made when it is first asked
+        self.reserved = 0  # bytes reserved in the request budget
+        self.parsed: Call | Answer | None = None  # the call for its head, or the answer to a health check
+        self.hangup_poller: Any = None  # polls for the client's close; created on first use
 
     def answered(self, call: Call, answer: Answer) -> None:
-        """The engine's final answer to a call of this connection."""
+        """`Frontend`: write the final answer of the current call."""
         raise NotImplementedError
 
     def reserve(self, size: int) -> bool:
-        """Whether so many bytes of the request may wait here until it is complete."""
+        """Reserve buffer budget for `size` bytes of the request; False if the budget is used up."""
         raise NotImplementedError
 
     def reject(self, error: BadRequestError) -> None:
-        """Answer by the error's status, and close behind it."""
+        """Answer with the error's status, and close the connection."""
         raise NotImplementedError
 
     def is_silent(self) -> bool:
-        """Whether nothing of a request has come."""
+        """Whether no byte of a request has been read."""
         raise NotImplementedError
 
     def has_nothing_forwarded(self) -> bool:
-        """Whether it waits for a request, or for the rest of one, of which no endpoint had anything."""
+        """Whether it waits for a request, or for the rest of a request of which no part was forwarded."""
         raise NotImplementedError
 
     def close_unforwarded(self) -> None:
-        """End it though a request is half here: that is rejected."""
+        """Close the connection after unread bytes have been read; an incomplete request is rejected."""
         raise NotImplementedError
 
     def reject_upload(self) -> None:
-        """Reject a request that is streamed and not complete."""
+        """Reject an incomplete upload, if there is one."""
         raise NotImplementedError
 
     def close_if_idle(self) -> None:
-        """Close it, unless a request has come that was not read yet."""
+        """Close the connection unless unread bytes have arrived."""
         raise NotImplementedError
 
     def abort(self) -> None:
-        """Close it at once, whatever is owed."""
+        """Close the connection at once, even if a request is unanswered."""
         raise NotImplementedError
 
     def evict(self) -> None:
-        """Free its descriptor at once; a half-sent request is rejected."""
+        """Close the connection at once to free its descriptor; an incomplete request is rejected."""
         raise NotImplementedError
 
     def check_hangup(self) -> None:
-        """End it if its client has left behind bytes that are not read."""
+        """Abort the connection if its client has closed it after bytes that are not read."""
         raise NotImplementedError
 
     def on_request_timeout(self) -> None:
-        """The request did not come in time."""
+        """The request has not arrived in time."""
         raise NotImplementedError
 
     def on_linger_timeout(self) -> None:
-        """The client did not end its side in time."""
+        """The client has not closed its side in time."""
         raise NotImplementedError
 
     def has_written(self) -> bool:
-        """Whether all that it was answered is with the system."""
+        """Whether the kernel has taken all bytes written to the client."""
         return self.transport is None or self.transport.get_write_buffer_size() == 0
 
     def has_unread(self) -> bool:
-        """Whether bytes have come that were not read yet."""
+        """Whether bytes have arrived that are not read yet; True if that cannot be determined."""
         assert self.transport is not None
         return has_event(self.transport.get_extra_info("socket").fileno(), select.POLLIN, True)
 
     def has_left(self) -> bool:
-        """Whether the client has ended its side, though bytes before that may not be read yet."""
+        """Whether the client has closed its side, even if bytes before that are not read yet."""
         if self.transport is None or self.transport.is_closing():
             return True
         if self.hangup_poller is None:
@@ -122,7 +123,7 @@
             self.hangup_poller.register(self.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
         try:
             return bool(self.hangup_poller.poll(0))
-        except OSError:  # ENOMEM, poll(2): not known, so it stays
+        except OSError:  # ENOMEM: poll(2). Unknown, so the connection stays open
             return False
 
 
@@ -130,7 +131,7 @@
 
 
 class ServerState(Generic[C]):
-    """Held by `Server`, and known to each of its connections, which are all of one class."""
+    """The base of `Server`, which each of its connections refers to. `C` is the class of connections."""
 
     def __init__(
         self,
@@ -144,90 +145,109 @@
         """`on_stop` is called when a graceful shutdown begins."""
         self.loop = loop
         self.request_budget = BufferBudget(budget_for(memory_mb))
-        # An order's record holds all of it.
+        # The request journal records the whole body of an order, so that body cannot be streamed.
         self.max_body_bytes = MAX_STREAMED_BODY_BYTES if engine.recorder is None else MAX_BUFFERED_BODY_BYTES
         self.lifecycle = lifecycle or Lifecycle()
         self.engine = engine
         self.max_connections = max_connections
         self.connections: set[C] = set()
-        # A request is owed; it is being streamed; the same, paused.
-        self.awaiting_request = self._sweeper(REQUEST_TIMEOUT_S, lambda one: one.on_request_timeout())
-        self.uploading = self._sweeper(REQUEST_TIMEOUT_S, lambda one: one.on_request_timeout())
-        self.paused = self._sweeper(HELD_S, lambda one: one.check_hangup())
-        # Does not read its answer; between requests; half-closed; came when others had gone.
-        self.write_stalled = self._sweeper(STUCK_S, lambda one: one.abort())
-        self.idle = self._sweeper(REST_S, lambda one: one.close_if_idle())
-        self.lingering = self._sweeper(LINGER_S, lambda one: one.on_linger_timeout())
-        self.late_connections = self._sweeper(LATE_S, lambda one: one.close_if_idle())
+        # No complete request yet; an upload is being streamed; reading is paused.
+        self.awaiting_request = self._create_sweeper(
+            REQUEST_TIMEOUT_S, lambda connection: connection.on_request_timeout()
+        )
+        self.uploading = self._create_sweeper(
+            REQUEST_TIMEOUT_S, lambda connection: connection.on_request_timeout()
+        )
+        self.paused = self._create_sweeper(
+            HANGUP_CHECK_INTERVAL_S, lambda connection: connection.check_hangup()
+        )
+        # The client does not read its answer; between requests; this side closed; accepted late in a drain or
+        # a shutdown.
+        self.write_stalled = self._create_sweeper(
+            WRITE_STALL_TIMEOUT_S, lambda connection: connection.abort()
+        )
+        self.idle = self._create_sweeper(IDLE_TIMEOUT_S, lambda connection: connection.close_if_idle())
+        self.lingering = self._create_sweeper(
+            LINGER_TIMEOUT_S, lambda connection: connection.on_linger_timeout()
+        )
+        self.late_connections = self._create_sweeper(LATE_S, lambda connection: connection.close_if_idle())
         self.listener: Acceptor | None = None
         self.shutdown = GracefulShutdown(loop, self.lifecycle, self, on_stop)
-        # Asked for the receipt of a kept write, and for what copies share; the call is answered later.
+        # Handlers of outbox queries: for the receipt of a queued write, and from edges to an upstream copy.
+        # None if the outbox does not offer them. The handler answers the call later.
         self.on_receipt_query: Callable[[Call], None] | None = None
         self.on_shared_query: Callable[[Call], None] | None = None
 
-    def _sweeper(self, seconds: float, expire: Callable[[C], None]) -> DeadlineSweeper[C]:
-        return DeadlineSweeper(self.loop, seconds, expire)
+    def _create_sweeper(self, timeout_s: float, expire: Callable[[C], None]) -> DeadlineSweeper[C]:
+        return DeadlineSweeper(self.loop, timeout_s, expire)
 
     def on_connect(self, connection: C) -> None:
-        """A client has connected; for want of a place another connection is evicted."""
+        """Register a new connection, and evict another one if there are too many."""
         if self.shutdown.is_finished:
-            connection.abort()  # guards a request that would run and go unanswered
+            connection.abort()  # its request would run, but not be answered
             return
         self.connections.add(connection)
-        late = self.listener is None or self.lifecycle.is_late(self.loop.time())
-        (self.late_connections if late else self.awaiting_request).add(connection)
+        is_late = self.listener is None or self.lifecycle.is_late(self.loop.time())
+        (self.late_connections if is_late else self.awaiting_request).add(connection)
         if len(self.connections) > self.max_connections:
             self._evict_one()
 
     def _evict_one(self) -> None:
-        """Guards the limit on descriptors against a crowd. None gives way while a part of its answer
-        waits here: that would be lost. Nor one whose request has come and is not read yet, where
-        another can.
+        """Close a connection to keep within the limit on descriptors.
+
+        A connection whose answer is not fully written is never chosen, as the rest of the answer would be
+        lost. One with an unread request is chosen only if there is no other.
         """
         candidates: list[tuple[DeadlineSweeper[C], C]] = []
-        for waits in eviction_order(len(self.awaiting_request.waiting_since), self.max_connections):
-            sweep = (
-                self.lingering if waits == CLOSING else self.idle if waits == IDLE else self.awaiting_request
+        for kind in eviction_order(len(self.awaiting_request.waiting_since), self.max_connections):
+            sweeper = (
+                self.lingering if kind == CLOSING else self.idle if kind == IDLE else self.awaiting_request
             )
-            written = (one for one in sweep.waiting_since if one.has_written())
-            candidates += [(sweep, one) for one in itertools.islice(written, CANDIDATES)]
-        for sweep, one in candidates:
-            if one.closing or not one.has_unread():
-                self._evict(sweep, one)
+            written = (connection for connection in sweeper.waiting_since if connection.has_written())
+            candidates += [
+                (sweeper, connection) for connection in itertools.islice(written, EVICTION_CANDIDATES)
+            ]
+        for sweeper, connection in candidates:
+            if connection.closing or not connection.has_unread():
+                self._evict(sweeper, connection)
                 return
         if candidates:
             self._evict(*candidates[0])
 
-    def _evict(self, sweep: DeadlineSweeper[C], connection: C) -> None:
-        sweep.discard(connection)
+    def _evict(self, sweeper: DeadlineSweeper[C], connection: C) -> None:
+        sweeper.discard(connection)
         connection.evict()
-        self.connections.discard(connection)  # its descriptor is freed in this turn of the loop
+        self.connections.discard(connection)  # its descriptor is freed in this event loop iteration
 
     def reserve_head(self, connection: C) -> None:
-        """Guards memory against a crowd of half-written heads: there the one that has been
-        owed for longest gives way. Refused, as nothing of it was sent on.
+        """Reserve buffer budget for an incomplete head; while there is none, refuse the oldest incomplete
+        head.
+
+        Guards memory against many incomplete heads. No part of them was forwarded, so they are refused.
         """
         while not connection.reserve(connection.received):
-            held = (
-                one for one in self.awaiting_request.waiting_since if one.reserved > 0 and one.parsed is None
+            partial_heads = (
+                candidate
+                for candidate in self.awaiting_request.waiting_since
+                if candidate.reserved > 0 and candidate.parsed is None
             )
-            oldest = next(held, connection)
+            oldest = next(partial_heads, connection)
             oldest.reject(BadRequestError(503, "too much is half-written"))
             if oldest is connection:
                 return
 
     def on_closing(self, connection: C) -> None:
-        """A connection's answer was its last: its client is to end its own side."""
-        for sweep in (self.awaiting_request, self.uploading, self.paused, self.idle, self.late_connections):
-            sweep.discard(connection)
+        """This side of a connection is closed: wait for the client to close its side."""
+        for sweeper in (self.awaiting_request, self.uploading, self.paused, self.idle, self.late_connections):
+            sweeper.discard(connection)
         self.lingering.add(connection)
 
     def on_disconnect(self, connection: C) -> None:
-        """A connection is closed."""
+        """A connection is closed: remove it everywhere, and finish a shutdown if it was the last one."""
         self.connections.discard(connection)
-        for sweep in (
+        for sweeper in (
             *(self.awaiting_request, self.uploading, self.paused, self.write_stalled),
             *(self.idle, self.lingering, self.late_connections),
         ):
-            sweep.discard(connection)
+            sweeper.discard(connection)
         self.shutdown.finish_if_done()
--- a/laurelstep/net/shutdown.py
+++ b/laurelstep/net/shutdown.py
@@ -1,19 +1,19 @@
-"""How clients are let go: at a drain, which the process outlives, and at its graceful shutdown.
-
-Rules that everything here serves:
-
-1. What was taken is answered, and its answer ends the connection; none is closed before.
-2. What has come when a connection is to end is read first, and served. What comes behind its end is
-   dropped there and never sent on: its client sends it once more.
-3. Of a half-sent request nothing was sent on. In the end it is refused, not left: its last byte may be
-   on its way.
-4. A stop waits for no request past 0.7 s after SIGTERM: of later ones SIGKILL may find one unanswered.
-   From then on one that is not whole is refused, though its bytes still come, and an upload too.
-5. The listener closes once nothing waits there that the system has accepted. Where another process has
-   it too, that one accepts what waits.
-6. A stop is over when no connection is left; what joins after that is cut, unread.
-
-`STEPS` says what is done when; the steps are methods of `GracefulShutdown`.
+"""Closes client connections at a drain, after which the process goes on, and at a graceful shutdown.
+
+The rules:
+
+1. Every request that was accepted is answered. Its connection is closed after the answer, not before.
+2. Bytes that have arrived when a connection is to be closed are read first, and their request is served.
+   Bytes that arrive after the close are discarded and never forwarded: the client sends its request again.
+3. No part of an incomplete buffered request was forwarded. At the end it is refused instead of abandoned, as
+   its last byte may be on its way.
+4. A shutdown waits for no request longer than 0.7 s after SIGTERM, as SIGKILL could come before the answer to
+   a later one. From then on, incomplete requests and uploads are refused even if their bytes still arrive.
+5. The listener is closed once its backlog is empty. If another process listens on it, too, that process
+   accepts the connections in the backlog.
+6. A shutdown ends when no connection is left. A connection set up after that is aborted without being read.
+
+`STEPS` lists the steps and their times; the steps are methods of `GracefulShutdown`.
 """
 
 from __future__ import annotations
@@ -32,75 +32,76 @@
 from laurelstep.net.message import has_event
 
 BACKLOG: Final = 1024
-# New connections come for this long after SIGTERM, and a last one gets this
-# long to bring its request.
-ACCEPT_S, LAST_S = 0.4, 0.15
-# Where another process takes the clients: so long their next answer ends their connections,
-# then they are closed. Not longer: a request may come until the last moment, and what is open
-# at the end of a stop is lost unless it came within 0.7 s.
-LEAVE_S: Final = 0.5
-# So many pauses of the listener are waited for where no descriptor can be had at the end: rule 4.
-SHORTAGE_PAUSES: Final = 6
+# New connections are accepted for ACCEPT_AFTER_STOP_S after SIGTERM, and the last ones get LAST_REQUEST_S to
+# send their request.
+ACCEPT_AFTER_STOP_S, LAST_REQUEST_S = 0.4, 0.15
+# If a successor process takes over the clients, connections are closed after their next answer for this long,
+# then all of them. Not longer, as a request may arrive until the last moment, and one that is open at the end
+# of a shutdown is lost unless it arrived within 0.7 s after SIGTERM.
+SUCCESSOR_GRACE_S: Final = 0.5
+# How many pauses of the listener are waited for if no descriptor is available at the end: see rule 4.
+MAX_SHORTAGE_PAUSES: Final = 6
 
 
 class ClosePolicy(StrEnum):
-    """Why clients are let go, which says how."""
+    """Why client connections are closed, which determines the steps."""
 
-    DRAIN = "drain"  # by a call: the process stays
+    DRAIN = "drain"  # an operator's drain: the process goes on
     STOP = "stop"  # SIGTERM
-    SUCCEEDED = "succeeded"  # the same, and another process takes the clients
+    SUCCEEDED = "succeeded"  # SIGTERM, and a successor process takes over the clients
 
 
-# For each way: so many s after it began, the step. The end of a drain calls off what is to come of it.
+# For each policy, its steps: seconds after the beginning, and a method name. The end of a drain cancels the
+# steps that are still to come.
 STEPS: Final = {
     ClosePolicy.DRAIN: ((REST_S, "close_idle_and_silent"), (DRAIN_S, "finish_drain")),
-    ClosePolicy.STOP: ((0.0, "close_idle"), (ACCEPT_S + LAST_S, "stop_listening")),
-    ClosePolicy.SUCCEEDED: ((0.0, "close_listener"), (LEAVE_S, "close_all_unforwarded")),
+    ClosePolicy.STOP: ((0.0, "close_idle"), (ACCEPT_AFTER_STOP_S + LAST_REQUEST_S, "stop_listening")),
+    ClosePolicy.SUCCEEDED: ((0.0, "close_listener"), (SUCCESSOR_GRACE_S, "close_all_unforwarded")),
 }
 
 
 class Connection(Protocol):
-    """A client's."""
+    """A client connection as the shutdown uses it."""
 
     def is_silent(self) -> bool:
-        """Nothing of a request was read."""
+        """Whether no byte of a request has been read."""
 
     def has_nothing_forwarded(self) -> bool:
-        """It waits for a request, or for the rest of one, of which nothing was sent on."""
+        """Whether it waits for a request, or for the rest of a request of which no part was forwarded."""
 
     def close_if_idle(self) -> None:
-        """Close it, unless a request has come that was not read yet."""
+        """Close the connection unless unread bytes have arrived."""
 
     def close_unforwarded(self) -> None:
-        """End it though a request is half here: that is rejected."""
+        """Close the connection after unread bytes have been read; an incomplete request is rejected."""
 
     def reject_upload(self) -> None:
-        """Reject a request that is streamed and not complete."""
+        """Reject an incomplete upload, if there is one."""
 
     def reject(self, error: BadRequestError) -> None:
-        """Answer by the error's status, and close behind it."""
+        """Answer with the error's status, and close the connection."""
 
 
 class Connections(Protocol):
-    """The server's."""
+    """The server's listener and connections as the shutdown uses them."""
 
     listener: Acceptor | None
 
     @property
     def connections(self) -> Collection[Connection]:
-        """All that are open."""
+        """All open connections."""
 
     @property
     def idle(self) -> DeadlineSweeper[Any]:
-        """Those between requests."""
+        """Connections between two requests."""
 
     @property
     def awaiting_request(self) -> DeadlineSweeper[Any]:
-        """Those that owe a request, or the rest of one."""
+        """Connections without a complete request, except those with an upload."""
 
 
 class GracefulShutdown:
-    """`on_stop` is called when a stop begins."""
+    """Runs the steps of a drain or a shutdown. `on_stop` is called when a shutdown begins."""
 
     def __init__(
         self,
@@ -114,15 +115,16 @@
         self.server = server
         self.on_stop = on_stop
         self.on_end: Callable[[], None] = lambda: None
-        self.has_successor: Callable[[], bool] = lambda: False  # whether another process takes clients
-        self.pending: list[asyncio.TimerHandle] = []  # the steps to come
-        self.refuses_partial = False  # a request that is not whole is not waited for any more
-        self.is_listener_closed = False  # the listener is, and what it had accepted has joined
-        self.is_finished = False  # the process ends
-        lifecycle.watchers.append(self._moved)
+        # Whether a successor process accepts the clients.
+        self.has_successor: Callable[[], bool] = lambda: False
+        self.pending: list[asyncio.TimerHandle] = []  # timers of the steps to come
+        self.refuses_partial = False  # incomplete requests are refused from now on
+        self.is_listener_closed = False  # and every connection that it accepted is set up
+        self.is_finished = False  # no connection is left: the process ends
+        lifecycle.watchers.append(self._on_phase_change)
 
     def stop(self, on_end: Callable[[], None]) -> None:
-        """SIGTERM: serve what comes while it comes, then finish and end. A second changes nothing."""
+        """Begin a shutdown at SIGTERM and call `on_end` when it has finished. A second call does nothing."""
         if not self.lifecycle.stop(self.loop.time()):
             return
         self.on_end = on_end
@@ -130,16 +132,16 @@
             self.on_stop()
         self._begin(ClosePolicy.SUCCEEDED if self.has_successor() else ClosePolicy.STOP)
 
-    def _moved(self) -> None:
-        """The daemon's phase is another."""
+    def _on_phase_change(self) -> None:
+        """The lifecycle's phase has changed: cancel the pending steps, and begin a drain if it is one."""
         for handle in self.pending:
             handle.cancel()
         self.pending.clear()
         if self.lifecycle.phase == Phase.DRAINING:
             self._begin(ClosePolicy.DRAIN)
 
-    def _begin(self, way: ClosePolicy) -> None:
-        for seconds, name in STEPS[way]:
+    def _begin(self, policy: ClosePolicy) -> None:
+        for seconds, name in STEPS[policy]:
             step: Callable[[], None] = getattr(self, name)
             if seconds:
                 self.pending.append(self.loop.call_later(seconds, step))
@@ -154,42 +156,47 @@
             connection.close_if_idle()
 
     def close_idle_and_silent(self) -> None:
-        """Clients that ask now and then have heard that their connection ends; others have not."""
+        """Close the connections that are idle or have sent nothing.
+
+        Clients that send requests now and then have already been told by an answer to close; these have not.
+        """
         self.close_idle()
         for connection in list(self.server.awaiting_request.waiting_since):
             if connection.is_silent():
                 connection.close_if_idle()
 
     def finish_drain(self) -> None:
-        """What is half here would still be open when all have to be gone."""
+        """End a drain: reject incomplete requests, which would keep their connections open past its end."""
         for connection in list(self.server.awaiting_request.waiting_since):
             connection.reject(BadRequestError(503, "this sidecar is being drained"))
         self.lifecycle.drained(self.loop.time())
 
-    def stop_listening(self, turns: int = BACKLOG) -> None:
-        """Guards a connection that the system has accepted, and this process not yet: it would be reset.
-        A turn of the loop accepts one at least, so all that are there now are accepted in so many.
+    def stop_listening(self, iterations: int = BACKLOG) -> None:
+        """Close the listener once its backlog is empty; a connection left in it would be reset.
+
+        Each event loop iteration accepts at least one connection, so all that are waiting now are accepted
+        within `iterations` of them.
         """
         listener = self.server.listener
         if listener is None:
             return
-        if turns > 0 and has_event(listener.sockets[0].fileno(), select.POLLIN, True):
+        if iterations > 0 and has_event(listener.sockets[0].fileno(), select.POLLIN, True):
             if listener.is_short:
                 self.loop.call_later(
-                    SHORTAGE_PAUSE_S, self.stop_listening, turns - BACKLOG // SHORTAGE_PAUSES
+                    SHORTAGE_PAUSE_S, self.stop_listening, iterations - BACKLOG // MAX_SHORTAGE_PAUSES
                 )
             else:
-                self.loop.call_soon(self.stop_listening, turns - 1)
+                self.loop.call_soon(self.stop_listening, iterations - 1)
             return
         self.close_listener()
         self.close_all_unforwarded()
 
     def close_listener(self) -> None:
-        """Accept nothing more."""
+        """Stop accepting connections."""
         listener, self.server.listener = self.server.listener, None
         assert listener is not None
         listener.close()
-        # Guards a request accepted in this very turn: its connection joins in a later one.
+        # A connection accepted in this event loop iteration is set up in a later one: wait for it.
         self.loop.call_soon(self._listener_closed, listener)
 
     def _listener_closed(self, listener: Acceptor) -> None:
@@ -200,19 +207,22 @@
         self.finish_if_done()
 
     def close_all_unforwarded(self) -> None:
-        """No request begins any more: half-sent ones and silent clients keep nothing up. Asked again until
-        all have gone: the last to join, and those of which something had come, have their turn so.
+        """Close every connection that has no complete request, and repeat until no connection is left.
+
+        The repetition covers connections that are set up last, and those with unread bytes.
         """
         for connection in list(self.server.connections):
             if connection.has_nothing_forwarded():
                 connection.close_unforwarded()
         self.finish_if_done()
         if not self.is_finished:
-            self.loop.call_later(LAST_S, self.refuse_partial)
+            self.loop.call_later(LAST_REQUEST_S, self.refuse_partial)
 
     def refuse_partial(self) -> None:
-        """Guards against a request whose last byte comes later than 0.7 s after SIGTERM: with short
-        deadlines SIGKILL comes before its answer.
+        """Refuse incomplete requests and uploads from now on.
+
+        Guards against a request whose last byte arrives later than 0.7 s after SIGTERM: with short deadlines,
+        SIGKILL comes before its answer.
         """
         self.refuses_partial = True
         for connection in list(self.server.connections):
@@ -220,7 +230,7 @@
         self.close_all_unforwarded()
 
     def finish_if_done(self) -> None:
-        """The shutdown is over if no connection is left."""
+        """Finish the shutdown if the listener is closed and no connection is left."""
         if self.is_listener_closed and not self.server.connections and not self.is_finished:
             self.is_finished = True
             self.on_end()
--- a/laurelstep/net/upstream.py
+++ b/laurelstep/net/upstream.py
@@ -1,6 +1,6 @@
-"""Attempts at endpoints: which connection carries each.
+"""Assigns a connection to each attempt: opens, reuses and closes connections to endpoints.
 
-It opens, reuses and drops connections; each attempt has one outcome, told by its connection.
+Each attempt has exactly one outcome, which its connection reports.
 """
 
 from __future__ import annotations
@@ -17,52 +17,57 @@
 
 
 class Upstream(EndpointState[EndpointConnection]):
-    """All pools and open connections of this sidecar."""
+    """All connection pools and open endpoint connections of this sidecar."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         now: Callable[[], int],
         idle_us: int,
-        connect_us: int,
+        connect_timeout_us: int,
         max_connections: int,
         memory_mb: int = 0,
     ) -> None:
-        super().__init__(loop, now, idle_us, connect_us, max_connections, memory_mb)
-        self.pools: dict[int, ConnectionPool[EndpointConnection]] = {}  # of those that were sent something
+        super().__init__(loop, now, idle_us, connect_timeout_us, max_connections, memory_mb)
+        self.pools: dict[
+            int, ConnectionPool[EndpointConnection]
+        ] = {}  # only of endpoints that were sent a request
 
     @property
     def idle_us(self) -> int:
-        """For how long an idle connection is kept, us."""
+        """How long an idle connection is kept, in µs."""
         return int(self.idle_connections.timeout_s * 1e6)
 
     def place(self, endpoint: int, address: str) -> None:
-        """A new process or address: what was open to the old one is of no use."""
+        """Set an endpoint's address, and close idle connections to the previous one.
+
+        Called for each new process and each new address of an endpoint.
+        """
         self.remove(endpoint)
         self.addresses[endpoint] = address
 
     def remove(self, endpoint: int) -> None:
-        """The endpoint is listed no more."""
+        """Forget an endpoint that is no longer listed, and close its idle connections."""
         self.addresses.pop(endpoint, None)
         if (pool := self.pools.pop(endpoint, None)) is not None:
             pool.close()
 
     def free(self, endpoint: int) -> None:
-        """Close the connections that rest at an endpoint."""
+        """Close the idle connections to an endpoint."""
         if (pool := self.pools.get(endpoint)) is not None:
             pool.close_idle()
 
     def send(self, attempt: Attempt) -> None:
-        """Start an attempt, on an idle connection or a new one."""
+        """Start an attempt on an idle connection or a new one."""
         if attempt.call.fate is not None:
-            attempt.call.fate = b""  # of the last attempt alone
+            attempt.call.fate = b""  # describes only the latest attempt
         pool = self.pools.get(attempt.endpoint)
         if pool is None:
             address = self.addresses.get(attempt.endpoint)
             if address is None:
                 attempt.end(NO_CONNECT)
                 return
-            # Made when first drawn: of a large fleet most endpoints never are.
+            # Created on first use: in a large fleet most endpoints are never chosen.
             pool = self.pools[attempt.endpoint] = ConnectionPool(*split_address(address))
         now = self.now()
         settle_us = SETTLE_US if now < self.distrust_until else 0
@@ -85,7 +90,7 @@
             oldest.close()
             self.on_disconnect(oldest)
         if len(self.connections) >= self.max_connections:
-            # Guards the limit on descriptors; no fault of the endpoint.
+            # Keeps within the limit on descriptors; not a failure of the endpoint.
             attempt.end(MOOT)
             return
         connection = EndpointConnection(self, pool, attempt)
@@ -94,30 +99,30 @@
         connection.open()
 
     def retire(self) -> None:
-        """Keep no connection past its attempt: those that a sidecar on its way out
-        kept at rest left no room for the one that took its callers over.
+        """Close every connection after its attempt. Idle connections kept by a stopping sidecar left no room
+        at the endpoints for the sidecar that took over its clients.
         """
         self.retiring = True
         for pool in self.pools.values():
             pool.close_idle()
 
     def cancel(self, attempt: Attempt) -> None:
-        """Stop waiting for an attempt: the endpoint sees its connection close."""
+        """Cancel an attempt by closing its connection."""
         connection = self.by_attempt.pop(attempt, None)
         if connection is not None and connection.attempt is attempt:
             connection.attempt = None
             connection.close()
 
     def close(self) -> None:
-        """Close all connections; attempts end by their own time."""
+        """Close all connections. Their attempts are ended by their own timeouts."""
         self.retiring = True
         for connection in list(self.connections):
             connection.close()
-        for sweep in self.sweeps:
-            sweep.close()
+        for sweeper in self.sweepers:
+            sweeper.close()
 
     async def wait_closed(self) -> None:
-        """After `close`: until no connection is left."""
+        """Wait, after `close`, until no connection is left."""
         if self.connections:
-            self.emptied = self.emptied or asyncio.Event()
-            await self.emptied.wait()
+            self.all_closed = self.all_closed or asyncio.Event()
+            await self.all_closed.wait()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -195,7 +195,7 @@
             writer.write(b"x" * 62914560)
             while transport.is_reading():
                 await asyncio.sleep(0)
-            assert MAX_DISCARDED_BYTES < caller.dropped <= MAX_DISCARDED_BYTES + (256 << 10), (
+            assert MAX_DISCARDED_BYTES < caller.discarded_bytes <= MAX_DISCARDED_BYTES + (256 << 10), (
                 "one read over the bound"
             )
             one.server.lingering.waiting_since[caller] -= 60.0
