--- a/laurelstep/consensus/leases.py
+++ b/laurelstep/consensus/leases.py
@@ -108,7 +108,7 @@
         # The newest epoch that this process learned of, and when.
         self._epoch: tuple[ClusterEpoch, int] | None = None
         self._requests: dict[int, _LeaseRequest] = {}
-        self.ignored = 0
+        self.ignored_count = 0
 
     # The state machine
 
@@ -117,7 +117,7 @@
         try:
             entry = _entry_decoder.decode(data)
         except (msgspec.DecodeError, ValueError):
-            self.ignored += 1
+            self.ignored_count += 1
             return
         last = self._leases.get(entry.name)
         last_number = 0 if last is None else last.number
@@ -127,7 +127,7 @@
         elif entry.previous_number == last_number and self._is_within_bounds(entry, last):
             self._leases[entry.name] = _Lease(index, entry)
         else:
-            self.ignored += 1
+            self.ignored_count += 1
 
     def _is_within_bounds(self, grant: LeaseGrant, last: _Lease | None) -> bool:
         has_room = last is not None or len(self._leases) < MAX_LEASES
@@ -217,14 +217,14 @@
         try:
             asked = _entry_decoder.decode(message)
         except (msgspec.DecodeError, ValueError):
-            self.ignored += 1
+            self.ignored_count += 1
             return None
         last = self._leases.get(asked.name)
         if isinstance(asked, _LeaseRelease):
             is_holder = last is not None and last.number == asked.number and last.grant.peer == peer
             return message if is_holder else None
         if (asked.peer, asked.incarnation) != (peer, incarnation):
-            self.ignored += 1
+            self.ignored_count += 1
             return None
         if not self._may_grant(now_us, last, asked):
             return None
--- a/laurelstep/consensus/multiplexer.py
+++ b/laurelstep/consensus/multiplexer.py
@@ -140,7 +140,7 @@
         """Takes the node's `on_leader_message` and `on_change`."""
         self._node = node
         self._channels: dict[int, ConsensusChannel] = {}
-        self.ignored = 0
+        self.ignored_count = 0
         node.on_leader_message = self._dispatch
         node.on_change = self._notify
 
@@ -151,7 +151,7 @@
     def _dispatch(self, peer: int, incarnation: int, data: bytes) -> None:
         channel = self._channels.get(data[0]) if data else None
         if channel is None:
-            self.ignored += 1
+            self.ignored_count += 1
         else:
             channel.on_leader_message(peer, incarnation, data)
 
--- a/laurelstep/consensus/options.py
+++ b/laurelstep/consensus/options.py
@@ -10,9 +10,9 @@
     "ConsensusSettings",
     "LinkKind",
     "SettingsProblem",
-    "default_seats",
+    "default_voter_count",
+    "find_settings_problem",
     "parse_udp_address",
-    "settings_problem",
 ]
 
 MAX_DEFAULT_SEATS: Final = 5
@@ -43,7 +43,7 @@
     drift: float = 0.01
 
     @property
-    def is_linked(self) -> bool:
+    def has_peers(self) -> bool:
         """Whether there are peers to replicate with."""
         return bool(self.peers)
 
@@ -55,7 +55,7 @@
     expected: str
 
 
-def default_seats(peer_count: int) -> int:
+def default_voter_count(peer_count: int) -> int:
     """Return how many voters there are by default: as many as possible, an odd number."""
     most = min(MAX_DEFAULT_SEATS, peer_count)
     return most - 1 + most % 2
@@ -78,7 +78,7 @@
         return None
 
 
-def settings_problem(settings: ConsensusSettings) -> SettingsProblem | None:
+def find_settings_problem(settings: ConsensusSettings) -> SettingsProblem | None:
     """Return the first problem of the settings, if there is one."""
     peers, count = settings.peers, len(settings.peers)
     if not peers:
--- a/laurelstep/consensus/state_machines.py
+++ b/laurelstep/consensus/state_machines.py
@@ -26,13 +26,13 @@
         """`machines` by their byte, 0 to 255."""
         self._machines = dict(machines)
         self._unknown_dumps: dict[int, bytes] = {}
-        self.ignored = 0
+        self.ignored_count = 0
 
     def apply(self, index: int, data: bytes) -> None:
         """Apply an entry to the state machine that it names."""
         machine = self._machines.get(data[0]) if data else None
         if machine is None:
-            self.ignored += 1
+            self.ignored_count += 1
         else:
             machine.apply(index, data[1:])
 
--- a/laurelstep/settings/operator/accord.py
+++ b/laurelstep/settings/operator/accord.py
@@ -6,7 +6,12 @@
 
 import msgspec
 
-from laurelstep.consensus.options import ConsensusSettings, LinkKind, default_seats, settings_problem
+from laurelstep.consensus.options import (
+    ConsensusSettings,
+    LinkKind,
+    default_voter_count,
+    find_settings_problem,
+)
 from laurelstep.settings.operator.fields import OperatorTable, Whole
 
 Seats = Literal[1, 3, 5, 7]
@@ -55,12 +60,12 @@
             listen=listen,
             me=number,
             link=self.link,
-            seats=self.seats or default_seats(len(peers)),
+            seats=self.seats or default_voter_count(len(peers)),
             store_path=self.store_path,
             heartbeat_us=self.heartbeat_ms * 1000,
             election_us=self.election_ms * 1000,
             drift=self.drift,
         )
-        if (problem := settings_problem(found)) is not None:
+        if (problem := find_settings_problem(found)) is not None:
             raise ValueError(f"{problem.key}: {problem.expected}")
         return found
--- a/laurelstep/settings/operator/document.py
+++ b/laurelstep/settings/operator/document.py
@@ -166,7 +166,7 @@
             told = str(error).startswith(("peer_listen:", "peers:", "me:"))
             where = f"{source}: " if source and told else f"{path}: accord."
             raise ConfigError(f"{where}{error}") from None
-        if config.outbox is not None and config.outbox.shared and not accord.is_linked:
+        if config.outbox is not None and config.outbox.shared and not accord.has_peers:
             problem = f"expected them where outbox.shared is on in {path}"
             raise ConfigError(f"{source}: peers, peer_listen: {problem}")
         maintenance = None if self.upkeep is None else self.upkeep.settings()
--- a/laurelstep/subsystems/consensus.py
+++ b/laurelstep/subsystems/consensus.py
@@ -51,7 +51,7 @@
         settings = context.config.accord
         if settings is None:
             return None
-        if not settings.is_linked:
+        if not settings.has_peers:
             log("accord: off, and what rests on it: the configuration has no peers and peer_listen")
             return None
         from laurelstep.hot_restart.state import decode_replica
--- a/laurelstep/subsystems/maintenance.py
+++ b/laurelstep/subsystems/maintenance.py
@@ -29,7 +29,7 @@
     def create(cls, context: ProcessContext) -> MaintenanceSubsystem | None:
         """None where it is off, or has no consensus to rest on."""
         settings, accord = context.config.maintenance, context.config.accord
-        if settings is None or accord is None or not accord.is_linked:
+        if settings is None or accord is None or not accord.has_peers:
             return None
 
         from laurelstep.maintenance.assembly import MaintenanceAssembly
--- a/tests/consensus_nodes.py
+++ b/tests/consensus_nodes.py
@@ -118,36 +118,36 @@
             done.set_result(None)
         else:
             done.set_exception(error)
-        await loop_turns()
+        await run_ready_callbacks()
 
     async def close(self) -> None:
         self.closed = True
 
 
-async def loop_turns() -> None:
+async def run_ready_callbacks() -> None:
     """What is ready on the loop has run."""
     for _ in range(3):
         await asyncio.sleep(0)
 
 
-class NodeBench:
+class NodeHarness:
     """One node as peer 0 of three; peers 1 and 2 are links of the test's own."""
 
     def __init__(self, store: Store | None = None) -> None:
         self.clock = ManualClock()
         self.network = MemoryNetwork(self.clock, 3)
         self.store = store or NoStore()
-        self.machine = RecordingStateMachine()
+        self.state_machine = RecordingStateMachine()
         self.cores: list[ScriptedCore] = []
-        self.lines: list[str] = []
+        self.log_lines: list[str] = []
         self.received: list[tuple[int, bytes]] = []
-        self.changes = 0
+        self.change_count = 0
         self.peers = [self.network.link(n) for n in (1, 2)]
         for peer in self.peers:
             peer.open(lambda number, data, me=peer.replica_id: self.received.append((me, data)))  # type: ignore[misc]
-        self.node = self.make()
+        self.node = self.make_node()
 
-    def make(self, link: Callable[[], Link] | None = None) -> ConsensusNode:
+    def make_node(self, link: Callable[[], Link] | None = None) -> ConsensusNode:
         def make_core(incarnation: int, records: Mapping[bytes, bytes]) -> ConsensusCore:
             self.cores.append(ScriptedCore(incarnation, records))
             return self.cores[-1]
@@ -159,19 +159,19 @@
             return self.network.link(0)
 
         node = ConsensusNode(
-            make_core, link or make_link, open_store, self.machine, self.clock, self.lines.append
+            make_core, link or make_link, open_store, self.state_machine, self.clock, self.log_lines.append
         )
-        node.on_change = self.changed
+        node.on_change = self.on_change
         return node
 
-    def changed(self) -> None:
-        self.changes += 1
+    def on_change(self) -> None:
+        self.change_count += 1
 
     @property
     def core(self) -> ScriptedCore:
         return self.cores[-1]
 
-    def arrive(self) -> list[tuple[int, bytes]]:
+    def take_delivered(self) -> list[tuple[int, bytes]]:
         """What has come to the peers by now."""
         self.clock.advance(LATENCY_US)
         found, self.received = self.received, []
@@ -183,4 +183,4 @@
         self.network.deliver(peer, 0, data)
 
 
-SAY = StepEffects(outgoing=[(1, b"said")], state_changed=True)
+SEND_AND_NOTIFY = StepEffects(outgoing=[(1, b"said")], state_changed=True)
--- a/tests/consensus_tiers.py
+++ b/tests/consensus_tiers.py
@@ -32,9 +32,9 @@
         self.folder = folder
         self.seats = seats
         self.unix = unix
-        self.lines: list[str] = []
+        self.log_lines: list[str] = []
         self.nodes: dict[int, ConsensusNode] = {}
-        self.records: dict[int, RecordingStateMachine] = {}
+        self.state_machines: dict[int, RecordingStateMachine] = {}
         self.changed = asyncio.Event()
 
     async def start(self, me: int, durable: bool = False) -> ConsensusNode:
@@ -48,13 +48,13 @@
             **FAST,
         )
         record = RecordingStateMachine()
-        node = build_node(settings, record, self.loop, LoopClock(self.loop), self.lines.append)
+        node = build_node(settings, record, self.loop, LoopClock(self.loop), self.log_lines.append)
         node.on_change = self.changed.set
-        self.nodes[me], self.records[me] = node, record
+        self.nodes[me], self.state_machines[me] = node, record
         await node.start()
         return node
 
-    async def until(self, done: Callable[[], bool]) -> None:
+    async def wait_until(self, done: Callable[[], bool]) -> None:
         """Looks after each change, and now and then: not all is notified."""
         async with asyncio.timeout(TIMEOUT_S):
             while not done():
@@ -64,9 +64,9 @@
                 except TimeoutError:
                     continue
 
-    async def all_know(self) -> ConsensusNode:
+    async def wait_for_leader(self) -> ConsensusNode:
         """Who leads, once all know the record."""
-        await self.until(
+        await self.wait_until(
             lambda: all(one.is_caught_up for one in self.nodes.values()) and self._leader() is not None
         )
         found = self._leader()
@@ -76,18 +76,18 @@
     def _leader(self) -> ConsensusNode | None:
         return next((one for one in self.nodes.values() if one.is_leader), None)
 
-    async def agree(self, data: bytes) -> None:
+    async def replicate(self, data: bytes) -> None:
         """The entry is applied by all that take part."""
         while True:
-            node = await self.all_know()
+            node = await self.wait_for_leader()
             try:
                 node.propose(data)
                 break
             except (BusyError, NotLeaderError):
                 continue
-        await self.until(lambda: all(data in self.records[me].applied for me in self.nodes))
+        await self.wait_until(lambda: all(data in self.state_machines[me].applied for me in self.nodes))
 
     async def stop(self, *numbers: int) -> None:
         for me in numbers or tuple(self.nodes):
             await self.nodes.pop(me).close()
-            del self.records[me]
+            del self.state_machines[me]
--- a/tests/once.py
+++ b/tests/once.py
@@ -16,7 +16,7 @@
 once = pytest.mark.skipif(COMPILED, reason="uses nothing that is compiled")
 
 
-def seeds(plain: int) -> int:
+def schedule_count(plain: int) -> int:
     """Of schedules whose rules are all plain and that only name endpoints by what is compiled: a tenth of
     them shows there that the names are the same."""
     return plain // 10 if COMPILED else plain
--- a/tests/test_consensus_leases.py
+++ b/tests/test_consensus_leases.py
@@ -27,7 +27,7 @@
     one.load(both.dump())
     one.apply(3, b"\7c")
     one.apply(4, b"")
-    assert one.ignored == 2
+    assert one.ignored_count == 2
     assert one.dump() == both.dump()
     both.load(b"")
     assert first.applied == second.applied == []
@@ -87,7 +87,7 @@
         one.apply(1, second)
         one.apply(2, first)
     assert b.holds(now, "name") and not a.holds(now, "name")
-    assert a.ignored == 1
+    assert a.ignored_count == 1
     assert a.dump() == b.dump()
 
 
--- a/tests/test_consensus_sockets.py
+++ b/tests/test_consensus_sockets.py
@@ -25,20 +25,20 @@
         for me in range(4):
             await tier.start(me)
         for n in range(5):
-            await tier.agree(b"entry %d" % n)
-        orders = {tuple(one.applied) for one in tier.records.values()}
+            await tier.replicate(b"entry %d" % n)
+        orders = {tuple(one.applied) for one in tier.state_machines.values()}
         assert len(orders) == 1
         status = tier.nodes[3].status()
         assert status["role"] == "learner" and status["known"] and status["link"]["received"]
         # The leader gets a message of a learner.
         messages_received: list[tuple[int, int, bytes]] = []
-        leader = await tier.all_know()
+        leader = await tier.wait_for_leader()
         leader.on_leader_message = lambda *one: (messages_received.append(one), tier.changed.set())[0]  # type: ignore[func-returns-value]
         tier.nodes[3].send_to_leader(b"a message")
-        await tier.until(lambda: bool(messages_received))
+        await tier.wait_until(lambda: bool(messages_received))
         assert messages_received[0] == (3, tier.nodes[3].incarnation, b"a message")
         await tier.stop()
-        assert not tier.lines
+        assert not tier.log_lines
 
     run(main())
 
@@ -48,14 +48,14 @@
         tier = Tier(3, 3)
         for me in range(3):
             await tier.start(me)
-        await tier.agree(b"before")
+        await tier.replicate(b"before")
         first = tier.nodes[1].incarnation
         await tier.stop(1)
-        await tier.agree(b"meanwhile")
+        await tier.replicate(b"meanwhile")
         await tier.start(1)
-        await tier.agree(b"after")
+        await tier.replicate(b"after")
         assert tier.nodes[1].incarnation != first
-        assert tier.records[1].applied[-1] == b"after" and tier.nodes[1].is_caught_up
+        assert tier.state_machines[1].applied[-1] == b"after" and tier.nodes[1].is_caught_up
         await tier.stop()
 
     run(main())
@@ -66,18 +66,18 @@
         tier = Tier(3, 3, tmp_path)
         for me in range(3):
             await tier.start(me, durable=True)
-        await tier.agree(b"before")
+        await tier.replicate(b"before")
         first = {me: node.incarnation for me, node in tier.nodes.items()}
         epoch = tier.nodes[0].epoch
         await tier.stop()
         for me in range(3):
             await tier.start(me, durable=True)
-        await tier.agree(b"after")
+        await tier.replicate(b"after")
         assert {me: node.incarnation for me, node in tier.nodes.items()} == first
         assert tier.nodes[0].epoch == epoch and tier.nodes[0].status()["lasting"]
-        assert all(b"before" in one.applied for one in tier.records.values())
+        assert all(b"before" in one.applied for one in tier.state_machines.values())
         await tier.stop()
-        assert not tier.lines
+        assert not tier.log_lines
 
     run(main())
 
@@ -87,7 +87,7 @@
         tier = Tier(3, 3, tmp_path)
         for me in range(3):
             await tier.start(me, durable=True)
-        await tier.agree(b"before")
+        await tier.replicate(b"before")
         failing = tier.nodes[2].store
         assert isinstance(failing, EmbeddedStore)
 
@@ -97,11 +97,11 @@
         failing.store.disk.write = full  # type: ignore[method-assign]
         leader = next(node for node in tier.nodes.values() if node.is_leader)
         leader.propose(b"one it can't keep")
-        await tier.until(lambda: tier.nodes[2].stage is NodeStage.FAILED)
-        assert sum("takes no part any more" in line for line in tier.lines) == 1
+        await tier.wait_until(lambda: tier.nodes[2].stage is NodeStage.FAILED)
+        assert sum("takes no part any more" in line for line in tier.log_lines) == 1
         assert not tier.nodes[2].is_caught_up and tier.nodes[2].status()["failure"]
         await tier.stop(2)
-        await tier.agree(b"after")
+        await tier.replicate(b"after")
         await tier.stop()
 
     run(main())
@@ -112,7 +112,7 @@
         tier = Tier(3, 3)
         for me in range(3):
             await tier.start(me)
-        await tier.agree(b"before")
+        await tier.replicate(b"before")
         await tier.stop(2)
         host, port = "127.0.0.1", [int(one.rpartition(":")[2]) for one in tier.peers]
         peer = UdpLink(tier.loop, (host, port[2]), [(host, one) for one in port], 2)
@@ -138,10 +138,10 @@
             found = node.status()["counters"]
             return bool(found["future"] >= len(future) and found["unreadable"] >= 4)
 
-        await tier.until(counted)
+        await tier.wait_until(counted)
         peer.close()
-        await tier.agree(b"after")
-        assert not tier.lines
+        await tier.replicate(b"after")
+        assert not tier.log_lines
         await tier.stop()
 
     run(main())
--- a/tests/test_folders_of_earlier_versions.py
+++ b/tests/test_folders_of_earlier_versions.py
@@ -68,12 +68,12 @@
         tier = Tier(3, 3, copy_of("consensus-9af0195", tmp_path))
         for me in range(3):
             await tier.start(me, durable=True)
-        await tier.agree(b"after")
+        await tier.replicate(b"after")
         assert [tier.nodes[me].incarnation for me in range(3)] == before["incarnations"]
-        for record in tier.records.values():
+        for record in tier.state_machines.values():
             entries = [one for one in record.applied if one]
             assert entries == [*(one.encode() for one in before["entries"]), b"after"]
         await tier.stop()
-        assert not tier.lines
+        assert not tier.log_lines
 
     run(main())
--- a/tests/test_maintenance_schedules.py
+++ b/tests/test_maintenance_schedules.py
@@ -19,9 +19,9 @@
 from tests.maintenance_checker import BrokenError
 from tests.maintenance_mutants import FAULTS, Fault
 from tests.maintenance_world import World
-from tests.once import seeds
+from tests.once import schedule_count
 
-SEEDS = seeds(3000)
+SEEDS = schedule_count(3000)
 # Of one deliberate fault: found by the first schedules, or not at all.
 FAULT_SEEDS = 600
 
--- a/tests/test_outbox_ledger.py
+++ b/tests/test_outbox_ledger.py
@@ -1070,7 +1070,7 @@
     for data in (b"o1", b"u2", b"x3", b""):
         accord.on_leader_message(2, 5, data)
     accord.on_change()
-    assert heard == [(b"o", 2, b"o1"), (b"u", 2, b"u2"), b"o", b"u"] and multiplexer.ignored == 2
+    assert heard == [(b"o", 2, b"o1"), (b"u", 2, b"u2"), b"o", b"u"] and multiplexer.ignored_count == 2
     multiplexer.channel(b"o").propose(b"o4")
     multiplexer.channel(b"o").send_to_leader(b"o5")
     assert accord.proposed == [b"o4"] and accord.words == [b"o5"]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -11,7 +11,7 @@
 import pytest
 from laurelstep.__main__ import main, read_config
 from laurelstep.balancing.events import KEYED, SAFE, SCOPE_CELL, UNSAFE
-from laurelstep.consensus.options import ConsensusSettings, default_seats
+from laurelstep.consensus.options import ConsensusSettings, default_voter_count
 from laurelstep.library import Client
 from laurelstep.maintenance.settings import MaintenanceSettings
 from laurelstep.settings import ConfigError, read_file, read_platform
@@ -251,7 +251,7 @@
 
 @pytest.mark.parametrize(("peers", "seats"), [(1, 1), (2, 1), (3, 3), (4, 3), (5, 5), (6, 5), (200, 5)])
 def test_as_many_seats_as_can_be_unless_told(peers: int, seats: int) -> None:
-    assert default_seats(peers) == seats
+    assert default_voter_count(peers) == seats
 
 
 @pytest.mark.parametrize(
@@ -308,7 +308,7 @@
     assert found == ConsensusSettings(PEERS, "127.0.0.1:9", 2)
     for key, value in (("peers", None), ("peers", []), ("peer_listen", None)):
         unlinked = joined(tmp_path, "[accord]", **{key: value})
-        assert unlinked is not None and not unlinked.is_linked
+        assert unlinked is not None and not unlinked.has_peers
     unix = joined(tmp_path, UNIX)
     assert unix is not None and (unix.listen, unix.me) == ("/run/c", 2)
     assert joined(tmp_path, "") is None, "what the platform allows is not yet wanted"
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -35,7 +35,7 @@
 from laurelstep.testing.contracts.outbox import write_with_body
 from laurelstep.testing.disk import Op, SimulatedDisk
 
-from tests.consensus_nodes import SAY, NodeBench, loop_turns
+from tests.consensus_nodes import SEND_AND_NOTIFY, NodeHarness, run_ready_callbacks
 from tests.journals import AGAIN, MAY_HAVE_RUN, SERVED, pay, recorded, said
 from tests.stores import SMALL, Machine, State, opened, state_of
 
@@ -645,7 +645,7 @@
 
     def __init__(self) -> None:
         self.disk = SimulatedDisk()
-        self.bench = NodeBench()
+        self.bench = NodeHarness()
         self.bench.node.open_store = self.open
         self.opened = 0
 
@@ -658,7 +658,7 @@
         node = self.bench.node
         while node._tasks or (node.runner is not None and node.runner.is_busy):
             await asyncio.sleep(0)
-        await loop_turns()
+        await run_ready_callbacks()
 
     async def wait(self, us: int) -> None:
         self.bench.clock.advance(us)
@@ -675,24 +675,28 @@
         bench, node = world.bench, world.bench.node
         await node.start()
         await world.settle()
-        bench.core.answers["receive"] = StepEffects(persist={b"vote": b"1"}, outgoing=SAY.outgoing)
+        bench.core.answers["receive"] = StepEffects(
+            persist={b"vote": b"1"}, outgoing=SEND_AND_NOTIFY.outgoing
+        )
         bench.receive(b"x")
         await world.settle()
-        assert (1, b"said") in bench.arrive(), "acknowledged"
+        assert (1, b"said") in bench.take_delivered(), "acknowledged"
         world.disk.break_down(error, *operations)
-        bench.core.answers["receive"] = StepEffects(persist={b"vote": b"2"}, outgoing=SAY.outgoing)
+        bench.core.answers["receive"] = StepEffects(
+            persist={b"vote": b"2"}, outgoing=SEND_AND_NOTIFY.outgoing
+        )
         bench.receive(b"x")
         await world.settle()
-        assert node.stage is NodeStage.FAILED and not bench.arrive(), "what is not kept is not said"
+        assert node.stage is NodeStage.FAILED and not bench.take_delivered(), "what is not kept is not said"
         for _ in range(4):
             await world.wait(MAX_REOPEN_DELAY_US)
         assert node.stage is NodeStage.FAILED and world.opened > 3
-        assert len(bench.lines) == 1 and StateFaultError.remedy in bench.lines[0]
+        assert len(bench.log_lines) == 1 and StateFaultError.remedy in bench.log_lines[0]
         world.disk.mend()
         await world.wait(MAX_REOPEN_DELAY_US)
         assert node.is_running and node.status()["stage"] == "takes part" and not node.failure
         assert bench.core.records[b"vote"] in (b"1", b"2"), "what was acknowledged is still owed"
-        assert bench.lines[1:] == ["accord: the disk writes again: this process takes part"]
+        assert bench.log_lines[1:] == ["accord: the disk writes again: this process takes part"]
         await node.close()
 
     run(main())
@@ -736,13 +740,15 @@
         bench.receive(b"x")
         await world.settle()
         await world.wait(MAX_REOPEN_DELAY_US)
-        assert len(bench.lines) == 1, "the disk's fault is said once"
+        assert len(bench.log_lines) == 1, "the disk's fault is said once"
         node.open_store = damaged
         await world.wait(MAX_REOPEN_DELAY_US)
-        assert node.stage is NodeStage.FAILED and len(bench.lines) == 2 and "damaged" in bench.lines[1]
+        assert (
+            node.stage is NodeStage.FAILED and len(bench.log_lines) == 2 and "damaged" in bench.log_lines[1]
+        )
         opened_before = world.opened
         await world.wait(10 * MAX_REOPEN_DELAY_US)
-        assert world.opened == opened_before and len(bench.lines) == 2
+        assert world.opened == opened_before and len(bench.log_lines) == 2
         await node.close()
 
     run(main())
