--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -12,41 +12,41 @@
 _CONNECTIONS = "the host server owns the callers' connections, their waits and their number"
 _PIPELINE = "the host server reads what comes behind a request, and answers it in its turn"
 _PROCESS = "signals, configuration by environment and exit status are the process's"
-_FORM = "test_what_is_not_in_form_is_refused_and_nothing_sent"
-_PLAIN_4XX = "test_a_bad_request_gets_a_plain_4xx_and_the_connection_closed"
+_FORM = "test_a_malformed_request_is_rejected_and_not_forwarded"
+_PLAIN_4XX = "test_an_invalid_request_gets_a_4xx_and_its_connection_is_closed"
 
 HOST_ONLY: dict[str, str] = {
     f"{_FORM}[absolute-form]": _HEADS,
     f"{_FORM}[fragment]": _HEADS,
     f"{_FORM}[two-slashes]": _PATHS,
     f"{_FORM}[no-length]": _PIPELINE,
-    f"{_FORM}[request-behind]": _PIPELINE,
+    f"{_FORM}[pipelined-request]": _PIPELINE,
     f"{_PLAIN_4XX}[class]": _PATHS,
     f"{_PLAIN_4XX}[head]": _HEADS,
-    "test_a_trailer_is_no_header": _HEADS,
-    "test_a_second_request_while_the_first_is_open_ends_both": _PIPELINE,
-    "test_the_rest_of_a_body_too_large_is_dropped_within_a_bound": _CONNECTIONS,
-    "test_a_connection_that_comes_up_after_the_last_one_is_not_read": _CONNECTIONS,
-    "test_a_connection_accepted_in_the_turn_that_closes_the_listener_is_served": _CONNECTIONS,
-    "test_a_caller_that_brings_no_request_is_ended[silent]": _CONNECTIONS,
-    "test_a_caller_that_brings_no_request_is_ended[half-head]": _CONNECTIONS,
-    "test_a_caller_that_brings_no_request_is_ended[half-body]": (
+    "test_a_trailer_is_not_treated_as_a_header": _HEADS,
+    "test_a_pipelined_request_is_rejected_and_cancels_the_open_one": _PIPELINE,
+    "test_the_rest_of_an_oversized_body_is_discarded_up_to_a_limit": _CONNECTIONS,
+    "test_a_connection_set_up_after_the_shutdown_is_not_read": _CONNECTIONS,
+    "test_a_connection_accepted_while_the_listener_closes_is_served": _CONNECTIONS,
+    "test_a_connection_without_a_complete_request_is_closed[silent]": _CONNECTIONS,
+    "test_a_connection_without_a_complete_request_is_closed[half-head]": _CONNECTIONS,
+    "test_a_connection_without_a_complete_request_is_closed[half-body]": (
         "the library's own wait has its test: test_a_body_that_comes_too_slowly_gets_408"
     ),
-    "test_a_caller_that_asked_once_and_stays_is_ended": _CONNECTIONS,
-    "test_a_crowd_of_silent_callers_makes_room_for_those_that_ask": _CONNECTIONS,
-    "test_of_those_at_rest_the_longest_gives_way": _CONNECTIONS,
-    "test_a_stopping_sidecar_keeps_no_connection_at_rest": (
+    "test_an_idle_client_connection_is_closed": _CONNECTIONS,
+    "test_silent_connections_are_evicted_for_new_ones": _CONNECTIONS,
+    "test_the_longest_idle_connection_is_evicted_first": _CONNECTIONS,
+    "test_a_stopping_sidecar_keeps_no_idle_connection": (
         "SIGTERM is the process's; the library's close has its test: "
         "test_closing_waits_for_what_was_taken_and_keeps_nothing"
     ),
-    "test_ready_does_not_wait_for_discovery": _PATHS,
-    "test_sigterm_finishes_what_was_taken_and_exits": _PROCESS,
-    "test_a_bad_configuration_is_one_line_and_an_exit": _PROCESS,
-    "test_no_configuration_is_one_line_and_an_exit": _PROCESS,
-    "test_sigterm_ends_it_though_half_sent_and_silent_callers_stay": _PROCESS,
-    "test_a_log_that_nobody_reads_holds_nothing_up": _PROCESS,
-    "test_sighup_moves_the_watch_to_what_the_file_names": _PROCESS,
+    "test_readiness_does_not_wait_for_discovery": _PATHS,
+    "test_sigterm_finishes_open_requests_and_exits": _PROCESS,
+    "test_an_invalid_configuration_logs_one_line_and_exits": _PROCESS,
+    "test_a_missing_configuration_logs_one_line_and_exits": _PROCESS,
+    "test_sigterm_ends_the_process_despite_incomplete_requests_and_silent_clients": _PROCESS,
+    "test_a_full_log_pipe_does_not_block_the_process": _PROCESS,
+    "test_sighup_moves_the_watch_to_the_new_discovery_address": _PROCESS,
 }
 
 SEEN: set[tuple[str, str, str]] = set()
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""One copy of the balancer behind either of its fronts, with stand-ins on loopback."""
+"""Runs one copy of the balancer behind the daemon or the library, with stand-in endpoints on loopback."""
 
 from __future__ import annotations
 
@@ -78,9 +78,9 @@
     "zones": ["here"], "kinds": ["small"], "discovery": "push", "stage": 1,
 }  # fmt: skip
 
-TEST_TIMEOUT_S = 60.0  # for a test that hangs; nothing is measured by it
+TEST_TIMEOUT_S = 60.0  # ends a test that hangs
 
-# The front that `sidecar` puts before the engine; tests/conftest.py plays each test on both.
+# The front end that `sidecar` uses, "daemon" or "library"; tests/conftest.py runs the shared tests on both.
 FRONT: ContextVar[str] = ContextVar("FRONT", default="daemon")
 
 serve_ok = serve()
@@ -88,12 +88,14 @@
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    """On the loop that the sidecar runs on."""
+    """Run a test coroutine on uvloop, which the sidecar uses."""
     uvloop.run(test)
 
 
 @dataclass
 class Sidecar:
+    """A running copy of the balancer. `daemon` is None if the front is the library, else `host` is None."""
+
     engine: Engine
     upstream: Upstream
     port: int
@@ -102,25 +104,27 @@
 
     @property
     def server(self) -> Server:
-        """The daemon's own side of callers; the library has none."""
+        """The daemon's HTTP server for clients; the library has none."""
         assert self.daemon is not None
         return self.daemon
 
     @property
     def connection_count(self) -> int:
-        """Connections open at the front."""
+        """The number of open client connections."""
         if self.daemon is not None:
             return len(self.daemon.connections)
         assert self.host is not None
         return len(self.host.server_state.connections)
 
     def apply_list(self, *entries: dict[str, Any], whole: bool = True) -> None:
+        """Pass an endpoint list to the engine: a full list, or changes if `whole` is False."""
         self.engine.listed(1, whole, list(entries))
 
     async def connect(self) -> tuple[Reader, Writer]:
         return await asyncio.open_connection("127.0.0.1", self.port)
 
     async def send(self, raw: bytes) -> Message:
+        """Send a request on a new connection and return the answer."""
         reader, writer = await self.connect()
         writer.write(raw)
         message = await read_message(reader)
@@ -136,7 +140,10 @@
     ceilings: dict[str, Any] | None = None,
     stage: int = 1,
 ) -> AsyncIterator[Sidecar]:
-    """A sidecar whose list holds the endpoints, all on ports that the system picks."""
+    """A sidecar and its endpoints, all on ports picked by the system.
+
+    The configuration lists the endpoints if `known`. `ceilings` overrides entries of `SETTINGS["ceilings"]`.
+    """
     settings = {**SETTINGS, "ceilings": {**SETTINGS["ceilings"], **(ceilings or {})}, "stage": stage}
     async with contextlib.AsyncExitStack() as stack, asyncio.timeout(TEST_TIMEOUT_S):
         for endpoint in endpoints:
@@ -148,7 +155,7 @@
             stack.callback(listener.close)
             raw["discovery"] = f"127.0.0.1:{registry.port}"
         if known:
-            entries = [one.entry(f"s-{n}") for n, one in enumerate(endpoints)]
+            entries = [endpoint.entry(f"s-{n}") for n, endpoint in enumerate(endpoints)]
             raw["known"] = whole_list(*entries, generation=41)
         front = daemon if FRONT.get() == "daemon" else library
         yield await stack.enter_async_context(front(config_from(raw, "test")))
@@ -156,6 +163,7 @@
 
 @contextlib.asynccontextmanager
 async def daemon(config: Config) -> AsyncIterator[Sidecar]:
+    """The daemon's server and engine on the test's own loop."""
     loop = asyncio.get_running_loop()
     parts = Assembly(loop, config, log)
     parts.start()
@@ -179,7 +187,7 @@
 
 @contextlib.asynccontextmanager
 async def serve_app(app: Any) -> AsyncIterator[tuple[uvicorn.Server, int]]:
-    """An ASGI app on uvicorn; at the end its connections are cut and its lifespan ends."""
+    """Serve an ASGI app with uvicorn; at the end, abort its connections and end its lifespan."""
     config = uvicorn.Config(
         app, "127.0.0.1", 0, http="httptools", lifespan="on", log_config=None, access_log=False
     )
@@ -198,7 +206,7 @@
 
 
 class MethodProxy:
-    """An object with some of its methods replaced; also one of a compiled class."""
+    """Wraps an object and replaces some of its methods. Works for compiled classes, too."""
 
     def __init__(self, real: object, **methods: Callable[..., Any]) -> None:
         self.real = real
@@ -209,29 +217,30 @@
 
 
 def override_decisions(engine: Engine, **methods: Callable[..., list[Action]]) -> Decisions:
-    """Replace some methods of the engine's module; gives it as it was."""
+    """Replace some methods of the engine's balancer; returns the original one."""
     real = engine.decisions
     engine.decisions = cast(Decisions, MethodProxy(real, **methods))
     return real
 
 
 def record_outcomes(engine: Engine) -> list[Outcome]:
-    """All that the module is told of attempts from now on."""
-    told: list[Outcome] = []
+    """A list to which every outcome that the balancer receives from now on is appended."""
+    recorded: list[Outcome] = []
 
     def outcome(now: int, event: Outcome) -> list[Action]:
-        told.append(event)
+        recorded.append(event)
         return real.outcome(now, event)
 
     real = override_decisions(engine, outcome=outcome)
-    return told
+    return recorded
 
 
 def write_config(tmp_path: Path, registry: Registry, *endpoints: Endpoint, **changes: Any) -> dict[str, str]:
+    """Write a configuration file, with `changes` to its keys; returns the environment for `start_daemon`."""
     raw = {
         "name": "n1", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{registry.port}", "seed": "8c1f",
         "limits": {"sockets": 1024}, "settings": SETTINGS,
-        "known": whole_list(*(one.entry() for one in endpoints)),
+        "known": whole_list(*(endpoint.entry() for endpoint in endpoints)),
         **changes,
     }  # fmt: skip
     path = tmp_path / "config.json"
@@ -242,6 +251,7 @@
 async def start_daemon(
     environ: dict[str, str], stderr: int = asyncio.subprocess.PIPE
 ) -> asyncio.subprocess.Process:
+    """Start a daemon process with the given environment; `stderr` is a descriptor or a pipe by default."""
     pipe = asyncio.subprocess.PIPE
     return await asyncio.create_subprocess_exec(
         sys.executable, "-m", "laurelstep", env=environ, stdout=pipe, stderr=stderr
@@ -249,6 +259,7 @@
 
 
 async def connect_until_up(port: int) -> tuple[Reader, Writer]:
+    """Connect to a port of this machine, repeating until something listens there."""
     while True:
         try:
             return await asyncio.open_connection("127.0.0.1", port)
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -54,7 +54,7 @@
 
     def __init__(
         self,
-        one: Sidecar,
+        proxy: Sidecar,
         made: Callable[[], None] | None = None,
         begun: Callable[[], None] | None = None,
     ) -> None:
@@ -63,9 +63,9 @@
         self.made = made  # in the turn in which it came up, behind what the program does in it
         self.small = False  # connections whose buffer for sending is the system's least
         self.begun = begun  # in the same turn, before what the program does in it
-        self.real = one.upstream.loop
+        self.real = proxy.upstream.loop
         held = MethodProxy(self.real, create_connection=self._create)
-        one.upstream.loop = cast(asyncio.AbstractEventLoop, held)
+        proxy.upstream.loop = cast(asyncio.AbstractEventLoop, held)
 
     async def _create(self, factory: Callable[[], Any], host: str, port: int) -> Any:
         self.asked.put_nowait(port)
@@ -86,27 +86,27 @@
         return MethodProxy(protocol, connection_made=connection_made)
 
 
-def shift(one: Sidecar, span_us: int) -> None:
+def shift(proxy: Sidecar, span_us: int) -> None:
     """Set forward the clock by which the engine and the upstream judge."""
-    real = one.engine.clock.now
-    one.engine.clock = cast(Clock, MethodProxy(one.engine.clock, now=lambda: real() + span_us))
-    one.upstream.now = one.engine.clock.now
+    real = proxy.engine.clock.now
+    proxy.engine.clock = cast(Clock, MethodProxy(proxy.engine.clock, now=lambda: real() + span_us))
+    proxy.upstream.now = proxy.engine.clock.now
 
 
-def come_due(one: Sidecar, attempt: Attempt) -> None:
+def come_due(proxy: Sidecar, attempt: Attempt) -> None:
     """Its timer, now."""
     timer = cast(Timer, attempt.timer)
     assert timer.handle is not None
     timer.handle.cancel()
-    timer.due = one.engine.now()
+    timer.due = proxy.engine.now()
     timer.woken()
 
 
-def set_window(one: Sidecar, window_us: int) -> None:
+def set_window(proxy: Sidecar, window_us: int) -> None:
     """Give all classes this window for repeats."""
-    classes = tuple(replace(cls, window_us=window_us) for cls in one.engine.settings.classes)
-    one.engine.settings = one.engine.attempts.settings = replace(one.engine.settings, classes=classes)
-    one.engine.balancer.settings = replace(one.engine.balancer.settings, classes=classes)
+    classes = tuple(replace(cls, window_us=window_us) for cls in proxy.engine.settings.classes)
+    proxy.engine.settings = proxy.engine.attempts.settings = replace(proxy.engine.settings, classes=classes)
+    proxy.engine.balancer.settings = replace(proxy.engine.balancer.settings, classes=classes)
 
 
 def got_in_turn(endpoints: list[Endpoint]) -> list[Message]:
@@ -124,7 +124,7 @@
             writer.write(request(rid=f"behind{n}"))
             await until(lambda at=endpoint, n=n: f"behind{n}" in ids(at))  # type: ignore[misc]
             writer.close()
-    return sum(not one.startswith("behind") for endpoint in endpoints for one in ids(endpoint))
+    return sum(not rid.startswith("behind") for endpoint in endpoints for rid in ids(endpoint))
 
 
 def ids(endpoint: Endpoint) -> list[str]:
@@ -147,43 +147,43 @@
         self.taken: list[socket.socket] = []
 
     async def accept(self) -> socket.socket:
-        taken, _ = await self.loop.sock_accept(self.listener)
-        self.taken.append(taken)
-        return taken
+        accepted, _ = await self.loop.sock_accept(self.listener)
+        self.taken.append(accepted)
+        return accepted
 
-    async def read(self, taken: socket.socket) -> bytes:
+    async def read(self, accepted: socket.socket) -> bytes:
         """The next request: a head, with no body."""
         data = b""
         while not data.endswith(b"\r\n\r\n"):
-            more = await self.loop.sock_recv(taken, 4096)
+            more = await self.loop.sock_recv(accepted, 4096)
             assert more, "it ended before its request was whole"
             data += more
         return data
 
-    async def read_all(self, taken: socket.socket, size: int) -> None:
+    async def read_all(self, accepted: socket.socket, size: int) -> None:
         """A request whose body is so many times `x`."""
         data = b""
         while not data.endswith(b"x" * size):
-            data += await self.loop.sock_recv(taken, 65_536)
+            data += await self.loop.sock_recv(accepted, 65_536)
 
     def close(self) -> None:
-        for one in (self.listener, *self.taken):
-            one.close()
+        for sock in (self.listener, *self.taken):
+            sock.close()
 
 
-def reset_by(taken: socket.socket) -> None:
-    taken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    taken.close()
+def reset_by(accepted: socket.socket) -> None:
+    accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    accepted.close()
 
 
-def is_readable(one: socket.socket) -> bool:
-    return bool(select.select([one], [], [], 0)[0])
+def is_readable(sock: socket.socket) -> bool:
+    return bool(select.select([sock], [], [], 0)[0])
 
 
-def has_ended(taken: socket.socket) -> bool:
+def has_ended(accepted: socket.socket) -> bool:
     """Whether the other side has ended its sending, by now."""
     try:
-        return taken.recv(1) == b""
+        return accepted.recv(1) == b""
     except BlockingIOError:
         return False
     except ConnectionError:
@@ -195,67 +195,69 @@
     """A sidecar whose one endpoint is a peer by hand."""
     peer = Peer()
     with contextlib.closing(peer):
-        async with sidecar(ceilings={key.replace("_", "-"): value for key, value in ceilings.items()}) as one:
-            one.apply_list(Endpoint().entry("s-0", hostPort=f"127.0.0.1:{peer.port}"))
-            yield one, peer
+        async with sidecar(
+            ceilings={key.replace("_", "-"): value for key, value in ceilings.items()}
+        ) as proxy:
+            proxy.apply_list(Endpoint().entry("s-0", hostPort=f"127.0.0.1:{peer.port}"))
+            yield proxy, peer
 
 
 # --- Connect timeout --------------------------------------------------------------------
 
 
-def test_a_connection_that_comes_up_as_its_time_is_over_still_has_one_outcome() -> None:
+def test_a_connection_made_as_its_timeout_expires_has_one_outcome() -> None:
     """The request is written in the turn whose end is past the connect timeout."""
 
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint, ceilings={"connect-timeout-us": 200_000}) as one:
+        async with sidecar(endpoint, ceilings={"connect-timeout-us": 200_000}) as proxy:
             begun = time.monotonic()
 
             def stay_past_the_timeout() -> None:
                 while time.monotonic() < begun + 0.25:
                     pass
 
-            Opening(one, made=stay_past_the_timeout).may_open.set()
-            assert (await one.send(request("pay"))).body == b"ok"
+            Opening(proxy, made=stay_past_the_timeout).may_open.set()
+            assert (await proxy.send(request("pay"))).body == b"ok"
             assert endpoint.effects.by_id["r1"] == 1
-            assert len(one.upstream.connections) == len(one.upstream.idle_connections.waiting_since) == 1
+            assert len(proxy.upstream.connections) == len(proxy.upstream.idle_connections.waiting_since) == 1
 
     run(main())
 
 
-def test_a_connection_that_comes_up_behind_its_time_out_carries_nothing() -> None:
+def test_a_connection_made_after_its_timeout_is_not_used() -> None:
     """The other order: the timeout comes first, and the connection is up in the same turn."""
 
     async def main() -> None:
         endpoints = [Endpoint(), Endpoint()]
-        async with sidecar(*endpoints) as one:
-            told = record_outcomes(one.engine)
-            connecting = one.upstream.connecting
+        async with sidecar(*endpoints) as proxy:
+            recorded = record_outcomes(proxy.engine)
+            connecting = proxy.upstream.connecting
 
             def time_out_the_first() -> None:
-                if not told:
-                    (link,) = connecting.waiting_since
-                    connecting.waiting_since[link] -= connecting.timeout_s
+                if not recorded:
+                    (connection,) = connecting.waiting_since
+                    connecting.waiting_since[connection] -= connecting.timeout_s
                     connecting.run()
 
-            Opening(one, begun=time_out_the_first).may_open.set()
-            assert (await one.send(request("pay"))).body == b"ok"
-            assert [event.outcome for event in told] == [NO_CONNECT, OK]
+            Opening(proxy, begun=time_out_the_first).may_open.set()
+            assert (await proxy.send(request("pay"))).body == b"ok"
+            assert [event.outcome for event in recorded] == [NO_CONNECT, OK]
             assert sorted(len(endpoint.got) for endpoint in endpoints) == [0, 1]
-            assert len(one.upstream.connections) == 1
+            assert len(proxy.upstream.connections) == 1
 
     run(main())
 
 
-def test_a_host_that_no_name_can_have_is_no_connection() -> None:
+def test_an_invalid_host_name_is_a_failed_connection() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint, ceilings={"max-attempts": 1}) as one:
-            one.apply_list(endpoint.entry("s-0", hostPort="a..b:80"))
-            told = record_outcomes(one.engine)
-            assert (await one.send(request("pay"))).status == 503
-            assert [event.outcome for event in told] == [NO_CONNECT]
-            assert not one.upstream.connections
+        async with sidecar(endpoint, ceilings={"max-attempts": 1}) as proxy:
+            proxy.apply_list(endpoint.entry("s-0", hostPort="a..b:80"))
+            recorded = record_outcomes(proxy.engine)
+            assert (await proxy.send(request("pay"))).status == 503
+            assert [event.outcome for event in recorded] == [NO_CONNECT]
+            assert not proxy.upstream.connections
 
     run(main())
 
@@ -264,14 +266,14 @@
 
 
 @pytest.mark.parametrize(("span_us", "sent"), [(0, 2), (3_000_000, 1)], ids=["within", "past"])
-def test_a_repeat_is_within_its_window_where_it_is_written(span_us: int, sent: int) -> None:
+def test_a_retry_is_written_only_within_its_window(span_us: int, sent: int) -> None:
     """Decided in time, but its connection came up late."""
 
     async def main() -> None:
         endpoints = [Endpoint(), Endpoint()]
-        async with sidecar(*endpoints) as one:
-            set_window(one, 3_000_000)
-            opening = Opening(one)
+        async with sidecar(*endpoints) as proxy:
+            set_window(proxy, 3_000_000)
+            opening = Opening(proxy)
             opening.may_open.set()
 
             async def break_off(endpoint: Endpoint, message: Message, writer: Writer) -> None:
@@ -282,14 +284,14 @@
 
             for endpoint in endpoints:
                 endpoint.handler = break_off
-            asked = asyncio.create_task(one.send(request("put", b"b")))
+            answering = asyncio.create_task(proxy.send(request("put", b"b")))
             for _ in range(2):
                 await opening.asked.get()
-            shift(one, span_us)
+            shift(proxy, span_us)
             opening.may_open.set()
-            back = await asked
+            response = await answering
             assert await count_got(endpoints) == sent
-            assert back.status == (200 if sent == 2 else 502)
+            assert response.status == (200 if sent == 2 else 502)
 
     run(main())
 
@@ -307,7 +309,7 @@
 
 
 @given(steps=STEPS)
-def test_no_keyed_attempt_is_written_past_the_window_of_one_that_may_have_run(
+def test_no_keyed_attempt_is_written_after_the_window_of_one_that_may_have_run(
     steps: list[tuple[str, Any]],
 ) -> None:
     """The engine alone: connections come up, answers come and time passes in any order."""
@@ -357,37 +359,35 @@
         ("nothing", (1, 0)),
     ],
 )
-def test_what_was_to_go_to_a_replaced_endpoint_goes_to_the_new_one(
-    change: str, sent: tuple[int, int]
-) -> None:
+def test_a_request_for_a_replaced_endpoint_goes_to_the_new_one(change: str, sent: tuple[int, int]) -> None:
     """A list comes while the connection does. A drain leaves its grace; another address or start is
     another process, and nothing is known of the one that the connection was asked of. Where the process may
     be held up over the end of the grace as it writes, nothing is written."""
 
     async def main() -> None:
         old, new = Endpoint(), Endpoint()
-        async with sidecar(old, new) as one:
-            one.apply_list(old.entry("s-0"))
-            told = record_outcomes(one.engine)
-            opening = Opening(one)
-            asked = asyncio.create_task(one.send(request("pay")))
+        async with sidecar(old, new) as proxy:
+            proxy.apply_list(old.entry("s-0"))
+            recorded = record_outcomes(proxy.engine)
+            opening = Opening(proxy)
+            answering = asyncio.create_task(proxy.send(request("pay")))
             await opening.asked.get()
             if change == "address":
-                one.apply_list(new.entry("s-0"), new.entry("s-1"))
+                proxy.apply_list(new.entry("s-0"), new.entry("s-1"))
             elif change == "start":
-                one.apply_list(old.entry("s-0", startedAtMs=1), new.entry("s-1"))
+                proxy.apply_list(old.entry("s-0", startedAtMs=1), new.entry("s-1"))
             elif change == "drain":
-                one.apply_list(old.entry("s-0", lifecycle="draining"))
+                proxy.apply_list(old.entry("s-0", lifecycle="draining"))
             elif change == "drained":
-                one.apply_list(old.entry("s-0", lifecycle="draining"), new.entry("s-1"))
-                shift(one, 500_000)
+                proxy.apply_list(old.entry("s-0", lifecycle="draining"), new.entry("s-1"))
+                shift(proxy, 500_000)
             elif change == "held-up":
-                one.apply_list(old.entry("s-0", lifecycle="draining"), new.entry("s-1"))
-                shift(one, 500_000 - 150_000)
+                proxy.apply_list(old.entry("s-0", lifecycle="draining"), new.entry("s-1"))
+                shift(proxy, 500_000 - 150_000)
             opening.may_open.set()
-            assert (await asked).status == 200
+            assert (await answering).status == 200
             if change == "start":
-                assert told[0].outcome == MOOT
+                assert recorded[0].outcome == MOOT
             else:
                 assert (len(old.got), len(new.got)) == sent
 
@@ -398,29 +398,29 @@
 
 
 @pytest.mark.parametrize("spoilt", [b"what?\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx"])
-def test_a_spoilt_attempt_is_off_the_wire_before_the_next_is_decided(spoilt: bytes) -> None:
+def test_a_malformed_answer_closes_its_connection_before_the_next_attempt(spoilt: bytes) -> None:
     """The next may go out in the same turn: the one before would be a second copy beside it."""
 
     async def main() -> None:
-        async with by_hand() as (one, peer):
+        async with by_hand() as (proxy, peer):
             ended: list[bool] = []
 
             def outcome(now: int, event: Outcome) -> list[Action]:
                 ended.append(has_ended(peer.taken[0]))
                 return real.outcome(now, event)
 
-            real = override_decisions(one.engine, outcome=outcome)
-            asked = asyncio.create_task(one.send(request()))
-            taken = await peer.accept()
-            await peer.read(taken)
-            await peer.loop.sock_sendall(taken, spoilt)
+            real = override_decisions(proxy.engine, outcome=outcome)
+            answering = asyncio.create_task(proxy.send(request()))
+            accepted = await peer.accept()
+            await peer.read(accepted)
+            await peer.loop.sock_sendall(accepted, spoilt)
             if spoilt.startswith(b"HTTP"):  # it never ends
-                answering = one.upstream.receiving
-                await until(lambda: bool(answering.waiting_since))
-                (link,) = answering.waiting_since
-                answering.waiting_since[link] -= answering.timeout_s
-                answering.run()
-            assert (await asked).status == 503, "a class that is safe to repeat"
+                receiving = proxy.upstream.receiving
+                await until(lambda: bool(receiving.waiting_since))
+                (connection,) = receiving.waiting_since
+                receiving.waiting_since[connection] -= receiving.timeout_s
+                receiving.run()
+            assert (await answering).status == 503, "a class that is safe to repeat"
             assert ended == [True]
 
     run(main())
@@ -432,11 +432,11 @@
 class Kept:
     """One request after the other, to a peer by hand that keeps its connections."""
 
-    def __init__(self, one: Sidecar, peer: Peer, cls: str) -> None:
-        self.one, self.peer, self.cls = one, peer, cls
+    def __init__(self, proxy: Sidecar, peer: Peer, cls: str) -> None:
+        self.one, self.peer, self.cls = proxy, peer, cls
         self.asked = 0
-        self.time = one.engine.now()  # stands still where connections are chosen
-        one.upstream.now = lambda: self.time
+        self.time = proxy.engine.now()  # stands still where connections are chosen
+        proxy.upstream.now = lambda: self.time
 
     def ask(self) -> asyncio.Task[Message]:
         self.asked += 1
@@ -444,18 +444,18 @@
 
     async def serve(self, behind: bytes = b"") -> socket.socket:
         """A whole exchange on a new connection, and what comes with its answer."""
-        asked = self.ask()
-        taken = await self.peer.accept()
-        await self.peer.read(taken)
+        answering = self.ask()
+        accepted = await self.peer.accept()
+        await self.peer.read(accepted)
         body = b"%d" % self.asked
-        await self.peer.loop.sock_sendall(taken, answer(body=body) + behind)
-        assert (await asked).body == body
-        return taken
+        await self.peer.loop.sock_sendall(accepted, answer(body=body) + behind)
+        assert (await answering).body == body
+        return accepted
 
 
 async def spoil_at_rest(kept: Kept) -> None:
-    taken = await kept.serve()
-    await kept.peer.loop.sock_sendall(taken, b"HT")
+    accepted = await kept.serve()
+    await kept.peer.loop.sock_sendall(accepted, b"HT")
     await until(lambda: not kept.one.upstream.connections)
 
 
@@ -472,55 +472,55 @@
 @pytest.mark.parametrize("spoil", [spoil_at_rest, spoil_behind, spoil_noise])
 @pytest.mark.parametrize("cls", ["page", "pay"])
 @pytest.mark.parametrize("late", ["at-rest", "under-the-next"])
-def test_a_second_answer_that_comes_late_answers_no_other_request(
+def test_a_late_second_answer_answers_no_other_request(
     late: str, cls: str, spoil: Callable[[Kept], Awaitable[None]]
 ) -> None:
     """Once an endpoint was seen to spoil its answers. It may come before the next request is
     written, or behind that; to an unsafe one it would say that it never ran."""
 
     async def main() -> None:
-        async with by_hand() as (one, peer):
-            kept = Kept(one, peer, cls)
+        async with by_hand() as (proxy, peer):
+            kept = Kept(proxy, peer, cls)
             await spoil(kept)
-            taken = await kept.serve()
+            accepted = await kept.serve()
             second = answer(503, b"", "X-Not-Run: 1\r\n") if cls == "pay" else answer(body=b"2")
             if late == "at-rest":
-                await peer.loop.sock_sendall(taken, second)
-            asked = kept.ask()
+                await peer.loop.sock_sendall(accepted, second)
+            answering = kept.ask()
             if late == "under-the-next":
-                await until(lambda: is_readable(peer.listener) or is_readable(taken))
-                assert not is_readable(taken), "where a second answer may still come"
+                await until(lambda: is_readable(peer.listener) or is_readable(accepted))
+                assert not is_readable(accepted), "where a second answer may still come"
             other = await peer.accept()
             await peer.read(other)
             if late == "under-the-next":
-                await peer.loop.sock_sendall(taken, second)
+                await peer.loop.sock_sendall(accepted, second)
             await peer.loop.sock_sendall(other, answer(body=b"3"))
-            assert (await asked).body == b"3"
+            assert (await answering).body == b"3"
 
     run(main())
 
 
-def test_a_connection_that_has_settled_is_used_again() -> None:
+def test_a_connection_is_reused_after_its_settle_time() -> None:
     """Also once answers were seen spoilt; and of many that have not, the one that rested longest."""
 
     async def main() -> None:
-        async with by_hand() as (one, peer):
-            kept = Kept(one, peer, "page")
+        async with by_hand() as (proxy, peer):
+            kept = Kept(proxy, peer, "page")
             await spoil_at_rest(kept)
-            taken = await kept.serve()
+            accepted = await kept.serve()
 
             async def serve_by(expected: socket.socket) -> None:
-                asked = kept.ask()
+                answering = kept.ask()
                 await peer.read(expected)
                 await peer.loop.sock_sendall(expected, answer(body=b"%d" % kept.asked))
-                assert (await asked).body == b"%d" % kept.asked
+                assert (await answering).body == b"%d" % kept.asked
 
             kept.time += SETTLE_US
-            await serve_by(taken)
+            await serve_by(accepted)
             for _ in range(MIN_IDLE):
                 await kept.serve()
-            assert len(one.upstream.idle_connections.waiting_since) == MIN_IDLE + 1
-            await serve_by(taken)
+            assert len(proxy.upstream.idle_connections.waiting_since) == MIN_IDLE + 1
+            await serve_by(accepted)
 
     run(main())
 
@@ -529,78 +529,79 @@
 
 
 async def half_written(
-    one: Sidecar, peer: Peer, cls: str = "pay"
+    proxy: Sidecar, peer: Peer, cls: str = "pay"
 ) -> tuple[asyncio.Task[Message], socket.socket]:
     """A request whose last bytes wait in the transport: the peer reads nothing of its body."""
     peer.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-    opening = Opening(one)
+    opening = Opening(proxy)
     opening.small = True
     opening.may_open.set()
-    asked = asyncio.create_task(one.send(request(cls, b"x" * 65_000)))
+    answering = asyncio.create_task(proxy.send(request(cls, b"x" * 65_000)))
     if cls == "put":  # its first attempt is written, and breaks
-        taken = await peer.accept()
-        await peer.read_all(taken, 65_000)
-        reset_by(taken)
-    taken = await peer.accept()
+        accepted = await peer.accept()
+        await peer.read_all(accepted, 65_000)
+        reset_by(accepted)
+    accepted = await peer.accept()
     await until(
-        lambda: bool(one.upstream.connections) and all(link.write_paused for link in one.upstream.connections)
+        lambda: bool(proxy.upstream.connections)
+        and all(connection.write_paused for connection in proxy.upstream.connections)
     )
-    return asked, taken
+    return answering, accepted
 
 
 @pytest.mark.parametrize("how", ["reset", "end", "second-answer", "refusal"])
-def test_what_was_not_written_whole_never_ran(how: str) -> None:
+def test_a_partially_written_request_never_ran(how: str) -> None:
     async def main() -> None:
-        async with by_hand(max_attempts=1) as (one, peer):
-            told = record_outcomes(one.engine)
-            asked, taken = await half_written(one, peer)
+        async with by_hand(max_attempts=1) as (proxy, peer):
+            recorded = record_outcomes(proxy.engine)
+            answering, accepted = await half_written(proxy, peer)
             if how == "reset":
-                reset_by(taken)
+                reset_by(accepted)
             elif how == "end":
-                taken.close()
+                accepted.close()
             elif how == "second-answer":
-                await peer.loop.sock_sendall(taken, answer(body=b"another's"))
+                await peer.loop.sock_sendall(accepted, answer(body=b"another's"))
             else:
-                await peer.loop.sock_sendall(taken, answer(503, b"", "X-Not-Run: 1\r\n"))
-            assert (await asked).status == 503
-            assert told[0].outcome == (FULL if how == "refusal" else NO_CONNECT)
+                await peer.loop.sock_sendall(accepted, answer(503, b"", "X-Not-Run: 1\r\n"))
+            assert (await answering).status == 503
+            assert recorded[0].outcome == (FULL if how == "refusal" else NO_CONNECT)
 
     run(main())
 
 
-def test_what_the_system_took_late_may_have_run() -> None:
+def test_a_request_that_the_kernel_took_late_may_have_run() -> None:
     """The other order: the last bytes left before the connection broke."""
 
     async def main() -> None:
-        async with by_hand(max_attempts=1) as (one, peer):
-            told = record_outcomes(one.engine)
-            asked, taken = await half_written(one, peer)
-            await peer.read_all(taken, 65_000)
-            await until(lambda: not any(link.write_paused for link in one.upstream.connections))
-            reset_by(taken)
-            assert (await asked).status == 502
-            assert told[0].outcome == RESET
+        async with by_hand(max_attempts=1) as (proxy, peer):
+            recorded = record_outcomes(proxy.engine)
+            answering, accepted = await half_written(proxy, peer)
+            await peer.read_all(accepted, 65_000)
+            await until(lambda: not any(connection.write_paused for connection in proxy.upstream.connections))
+            reset_by(accepted)
+            assert (await answering).status == 502
+            assert recorded[0].outcome == RESET
 
     run(main())
 
 
-def test_a_repeat_whose_last_bytes_wait_past_its_window_is_given_up() -> None:
+def test_a_retry_with_unwritten_bytes_is_cancelled_after_its_window() -> None:
     """They would still be sent, were the endpoint to read at last."""
 
     async def main() -> None:
-        async with by_hand() as (one, peer):
+        async with by_hand() as (proxy, peer):
             at = f"127.0.0.1:{peer.port}"
-            one.apply_list(*(Endpoint().entry(f"s-{n}", hostPort=at) for n in range(2)))
-            set_window(one, 3_000_000)
-            told = record_outcomes(one.engine)
-            asked, taken = await half_written(one, peer, "put")
-            (call,) = one.engine.calls.values()
-            come_due(one, call.attempts[1])
-            assert (await asked).status == 502
-            assert [event.outcome for event in told] == [RESET, MOOT]
+            proxy.apply_list(*(Endpoint().entry(f"s-{n}", hostPort=at) for n in range(2)))
+            set_window(proxy, 3_000_000)
+            recorded = record_outcomes(proxy.engine)
+            answering, accepted = await half_written(proxy, peer, "put")
+            (call,) = proxy.engine.calls.values()
+            come_due(proxy, call.attempts[1])
+            assert (await answering).status == 502
+            assert [event.outcome for event in recorded] == [RESET, MOOT]
             got = 0
             with contextlib.suppress(ConnectionError):
-                while more := await peer.loop.sock_recv(taken, 65_536):
+                while more := await peer.loop.sock_recv(accepted, 65_536):
                     got += len(more)
             assert 0 < got < 65_000
 
@@ -610,7 +611,7 @@
 # --- A client that leaves, and its deadline ---------------------------------------------------
 
 
-async def ends_first(one: Sidecar, endpoints: list[Endpoint], opening: Opening) -> None:
+async def ends_first(proxy: Sidecar, endpoints: list[Endpoint], opening: Opening) -> None:
     """The first attempt breaks; the connection of the next one is held."""
 
     async def break_off(endpoint: Endpoint, message: Message, writer: Writer) -> None:
@@ -627,36 +628,36 @@
 @pytest.mark.parametrize("cancel", [True, False], ids=["cancels", "does-not"])
 @pytest.mark.parametrize("attempt", ["first", "further"])
 @pytest.mark.parametrize("leaves", ["before", "behind"])
-def test_nothing_begins_for_a_client_that_has_left(leaves: str, attempt: str, cancel: bool) -> None:
+def test_no_attempt_begins_for_a_client_that_has_left(leaves: str, attempt: str, cancel: bool) -> None:
     """It leaves while a connection comes up for it, or once its request is there."""
 
     async def main() -> None:
         endpoints = [Endpoint(stall()), Endpoint(stall())]
-        async with sidecar(*endpoints, ceilings={"cancel": cancel}) as one:
-            opening = Opening(one)
+        async with sidecar(*endpoints, ceilings={"cancel": cancel}) as proxy:
+            opening = Opening(proxy)
             before = int(attempt == "further")
             if before:
-                await ends_first(one, endpoints, opening)
-            _, writer = await one.connect()
+                await ends_first(proxy, endpoints, opening)
+            _, writer = await proxy.connect()
             writer.write(request())
             for _ in range(1 + before):
                 await opening.asked.get()
             if leaves == "before":
                 writer.close()
-                await until(lambda: not any(call.open for call in one.engine.calls.values()))
+                await until(lambda: not any(call.open for call in proxy.engine.calls.values()))
             opening.may_open.set()
             if leaves == "behind":
                 await until(lambda: sum(len(endpoint.got) for endpoint in endpoints) == 1 + before)
                 writer.close()
-            await until(lambda: not one.engine.calls or not cancel)
-            await until(lambda: not one.upstream.connecting.waiting_since)
+            await until(lambda: not proxy.engine.calls or not cancel)
+            await until(lambda: not proxy.upstream.connecting.waiting_since)
             assert await count_got(endpoints) == before + (leaves == "behind")
 
     run(main())
 
 
 @pytest.mark.parametrize("left_us", [1_000, 8_000, 100_000, 159_999, 160_000, 480_000, 3_000_000])
-def test_a_process_that_is_held_up_as_it_writes_tells_no_more_time_than_is_left(left_us: int) -> None:
+def test_a_stalled_process_sends_no_longer_deadline_than_is_left(left_us: int) -> None:
     """Held up for 0.15 s between its clock and the write, with the page's slack of as much, and the loop's
     turn takes an eighth of the time or 20 ms beside that."""
     turn_us = min(20_000, left_us // 8)
@@ -667,20 +668,20 @@
     )
 
 
-def test_a_further_attempt_tells_no_more_time_than_is_left() -> None:
+def test_another_attempt_sends_no_longer_deadline_than_is_left() -> None:
     """Counted where it is written, not where it was decided."""
 
     async def main() -> None:
         endpoints = [Endpoint(), Endpoint()]
-        async with sidecar(*endpoints) as one:
-            opening = Opening(one)
-            await ends_first(one, endpoints, opening)
-            asked = asyncio.create_task(one.send(request("put", b"b", deadline_ms=4000)))
+        async with sidecar(*endpoints) as proxy:
+            opening = Opening(proxy)
+            await ends_first(proxy, endpoints, opening)
+            answering = asyncio.create_task(proxy.send(request("put", b"b", deadline_ms=4000)))
             for _ in range(2):
                 await opening.asked.get()
-            shift(one, 1_500_000)
+            shift(proxy, 1_500_000)
             opening.may_open.set()
-            assert (await asked).status == 200
+            assert (await answering).status == 200
             first, second = [int(message.headers["x-deadline-ms"]) for message in got_in_turn(endpoints)]
             assert first <= 4000 and second <= 2500
 
@@ -688,25 +689,25 @@
 
 
 @pytest.mark.parametrize("first", ["deadline", "answer"])
-def test_a_deadline_in_the_turn_of_the_answer_gives_one_answer(first: str) -> None:
+def test_a_deadline_in_the_same_loop_iteration_as_the_answer_gives_one_answer(first: str) -> None:
     async def main() -> None:
-        async with by_hand() as (one, peer):
-            told = record_outcomes(one.engine)
-            reader, writer = await one.connect()
+        async with by_hand() as (proxy, peer):
+            recorded = record_outcomes(proxy.engine)
+            reader, writer = await proxy.connect()
             writer.write(request("pay"))
-            taken = await peer.accept()
-            await peer.read(taken)
-            (call,) = one.engine.calls.values()
-            taken.send(answer(body=b"in time"))  # in the kernel, not yet read
+            accepted = await peer.accept()
+            await peer.read(accepted)
+            (call,) = proxy.engine.calls.values()
+            accepted.send(answer(body=b"in time"))  # in the kernel, not yet read
             if first == "answer":
-                await until(lambda: bool(told))
-            shift(one, call.expires - one.engine.now())
-            one.engine._on_deadline(call)
-            back = await read_message(reader)
-            assert back.status == (504 if first == "deadline" else 200)
-            assert [event.outcome for event in told] == [TIMEOUT if first == "deadline" else OK]
+                await until(lambda: bool(recorded))
+            shift(proxy, call.expires - proxy.engine.now())
+            proxy.engine._on_deadline(call)
+            response = await read_message(reader)
+            assert response.status == (504 if first == "deadline" else 200)
+            assert [event.outcome for event in recorded] == [TIMEOUT if first == "deadline" else OK]
             writer.write(request("pay", rid="r2"))
-            other = taken if first == "answer" else await peer.accept()
+            other = accepted if first == "answer" else await peer.accept()
             await peer.read(other)
             await peer.loop.sock_sendall(other, answer(body=b"next"))
             assert (await read_message(reader)).body == b"next", "what came late answers nothing"
@@ -719,58 +720,58 @@
 
 
 @pytest.mark.parametrize("how", ["end", "reset", "end-and-reset"])
-def test_only_an_orderly_end_ends_an_answer_without_a_length(how: str) -> None:
+def test_only_an_orderly_close_ends_an_answer_without_a_length(how: str) -> None:
     """What breaks it is there in the same turn as its last bytes."""
 
     async def main() -> None:
-        async with by_hand(max_attempts=1) as (one, peer):
-            asked = asyncio.create_task(one.send(request("pay")))
-            taken = await peer.accept()
-            await peer.read(taken)
-            taken.send(b"HTTP/1.1 200 OK\r\n\r\nok")
+        async with by_hand(max_attempts=1) as (proxy, peer):
+            answering = asyncio.create_task(proxy.send(request("pay")))
+            accepted = await peer.accept()
+            await peer.read(accepted)
+            accepted.send(b"HTTP/1.1 200 OK\r\n\r\nok")
             if how == "end-and-reset":
-                taken.shutdown(socket.SHUT_WR)
+                accepted.shutdown(socket.SHUT_WR)
             if how == "end":
-                taken.close()
+                accepted.close()
             else:
-                reset_by(taken)
-            back = await asked
-            assert (back.status, back.body) == ((502, b"") if how == "reset" else (200, b"ok"))
+                reset_by(accepted)
+            response = await answering
+            assert (response.status, response.body) == ((502, b"") if how == "reset" else (200, b"ok"))
 
     run(main())
 
 
 @pytest.mark.parametrize("half", [b"H", b"HTTP/1.1 20", b"HTTP/1.1 200 OK\r\nContent-Le"])
 @pytest.mark.parametrize("when", ["under-a-request", "at-rest", "as-it-is-used-again"])
-def test_half_a_line_and_an_end_are_no_answer(when: str, half: bytes) -> None:
+def test_a_partial_line_followed_by_a_close_is_not_an_answer(when: str, half: bytes) -> None:
     async def main() -> None:
-        async with by_hand(max_attempts=1) as (one, peer):
+        async with by_hand(max_attempts=1) as (proxy, peer):
             if when != "under-a-request":
-                asked = asyncio.create_task(one.send(request("pay")))
-                taken = await peer.accept()
-                await peer.read(taken)
-                await peer.loop.sock_sendall(taken, answer())
-                assert (await asked).status == 200
+                answering = asyncio.create_task(proxy.send(request("pay")))
+                accepted = await peer.accept()
+                await peer.read(accepted)
+                await peer.loop.sock_sendall(accepted, answer())
+                assert (await answering).status == 200
             if when == "at-rest":
-                await peer.loop.sock_sendall(taken, half)
-                taken.close()
-                await until(lambda: not one.upstream.connections)
+                await peer.loop.sock_sendall(accepted, half)
+                accepted.close()
+                await until(lambda: not proxy.upstream.connections)
             elif when == "as-it-is-used-again":
-                (link,) = one.upstream.connections
-                assert link.transport is not None
-                link.transport.pause_reading()  # as though the loop had no turn since
-                taken.send(half)
-                taken.close()
-            asked = asyncio.create_task(one.send(request("pay", rid="r2")))
+                (connection,) = proxy.upstream.connections
+                assert connection.transport is not None
+                connection.transport.pause_reading()  # as though the loop had no turn since
+                accepted.send(half)
+                accepted.close()
+            answering = asyncio.create_task(proxy.send(request("pay", rid="r2")))
             other = await peer.accept()
             await peer.read(other)
             if when == "under-a-request":
                 await peer.loop.sock_sendall(other, half)
                 other.close()
-                assert (await asked).status == 502
+                assert (await answering).status == 502
             else:
                 await peer.loop.sock_sendall(other, answer(body=b"whole"))
-                assert (await asked).body == b"whole"
+                assert (await answering).body == b"whole"
 
     run(main())
 
@@ -779,39 +780,39 @@
 
 
 @pytest.mark.parametrize("change", [{"startedAtMs": 1}, {"lifecycle": "draining"}, {"lifecycle": "gone"}])
-def test_a_list_that_replaces_the_endpoint_of_an_attempt_leaves_it_its_answer(change: dict[str, Any]) -> None:
+def test_an_attempt_gets_its_answer_after_its_endpoint_was_replaced(change: dict[str, Any]) -> None:
     """But nothing more goes over its connection, and that ends with the answer."""
 
     async def main() -> None:
         release = asyncio.Event()
         old, new = Endpoint(after(release, serve(b"old"))), Endpoint(serve(b"new"))
-        async with sidecar(old, new) as one:
-            one.apply_list(old.entry("s-0"))
-            asked = asyncio.create_task(one.send(request("pay")))
+        async with sidecar(old, new) as proxy:
+            proxy.apply_list(old.entry("s-0"))
+            answering = asyncio.create_task(proxy.send(request("pay")))
             await old.arrived.acquire()
-            one.apply_list(old.entry("s-0", **change), new.entry("s-1"), whole=False)
+            proxy.apply_list(old.entry("s-0", **change), new.entry("s-1"), whole=False)
             release.set()
-            assert (await asked).body == b"old"
+            assert (await answering).body == b"old"
             await old.closed.acquire()
             if "lifecycle" in change:
-                assert (await one.send(request("pay", rid="r2"))).body == b"new"
+                assert (await proxy.send(request("pay", rid="r2"))).body == b"new"
             assert await count_got([old]) == 1
 
     run(main())
 
 
-def test_no_room_for_a_connection_is_told_and_does_not_spin() -> None:
+def test_at_the_connection_limit_requests_are_refused_at_once() -> None:
     """At the limit on descriptors nothing is sent, and the client gets its answer at once."""
 
     async def main() -> None:
         endpoints = [Endpoint(), Endpoint(), Endpoint(), Endpoint()]
-        async with sidecar(*endpoints) as one:
-            told = record_outcomes(one.engine)
-            one.upstream.max_connections = 0
-            assert (await one.send(request("pay"))).status == 503
-            assert [event.outcome for event in told] == [MOOT] * len(told) and len(told) <= 4
+        async with sidecar(*endpoints) as proxy:
+            recorded = record_outcomes(proxy.engine)
+            proxy.upstream.max_connections = 0
+            assert (await proxy.send(request("pay"))).status == 503
+            assert [event.outcome for event in recorded] == [MOOT] * len(recorded) and len(recorded) <= 4
             assert not await count_got(endpoints)
-            one.upstream.max_connections = 1
-            assert (await one.send(request("pay", rid="r2"))).status == 200
+            proxy.upstream.max_connections = 1
+            assert (await proxy.send(request("pay", rid="r2"))).status == 200
 
     run(main())
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -230,7 +230,7 @@
 TestEngine.settings = settings(max_examples=80, stateful_step_count=50, deadline=None)
 
 
-def test_an_upload_that_outlives_its_endpoints_entry_is_not_counted_at_the_next() -> None:
+def test_an_upload_is_counted_at_the_endpoint_that_it_was_sent_to() -> None:
     """Its endpoint leaves the list and is listed anew before the upload's last byte has come: the attempt
     then counts at the endpoint that it was sent to, also when it ends."""
     state = Interleaving()
@@ -409,5 +409,5 @@
 
 @given(st.lists(STEPS, max_size=40))
 @settings(max_examples=60, deadline=None, suppress_health_check=[HealthCheck.too_slow])
-def test_a_client_on_sockets_keeps_its_promises(steps: list[tuple[Any, ...]]) -> None:
+def test_a_client_on_sockets_upholds_its_guarantees(steps: list[tuple[Any, ...]]) -> None:
     asyncio.run(play(steps))
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Service days over loopback sockets: bad callers, spoilt answers, crowds, reloads."""
+"""End-to-end tests over loopback sockets: invalid requests, malformed answers, many clients, reloads."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 PAGE, PUT, PAY = request(), request("put", b"b"), request("pay", b"b")
 
 
-# --- Bad callers ------------------------------------------------------------------------
+# --- Invalid requests -------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -99,38 +99,38 @@
         "coding",
         "length-huge",
         "length-absurd",
-        "noise-behind",
-        "request-behind",
+        "trailing-noise",
+        "pipelined-request",
     ],
 )
-def test_what_is_not_in_form_is_refused_and_nothing_sent(raw: bytes, expected: str) -> None:
+def test_a_malformed_request_is_rejected_and_not_forwarded(raw: bytes, expected: str) -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint) as one:
-            reader, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(raw)
-            back = await read_message(reader)
-            assert back.start.split()[1] == expected and back.headers["connection"] == "close"
+            response = await read_message(reader)
+            assert response.start.split()[1] == expected and response.headers["connection"] == "close"
             assert await reader.read() == b"" and not endpoint.got
             writer.close()
 
     run(main())
 
 
-def test_a_trailer_is_no_header() -> None:
+def test_a_trailer_is_not_treated_as_a_header() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint) as one:
+        async with sidecar(endpoint) as proxy:
             raw = PAY.replace(b"Content-Length: 1", b"Transfer-Encoding: chunked")
             raw = raw[:-1] + b"1\r\nb\r\n0\r\nX-Request-Id: r2\r\nX-Class: page\r\n\r\n"
-            assert (await one.send(raw)).body == b"ok"
-            (got,) = endpoint.got
-            assert got.headers["x-request-id"] == "r1" and got.body == b"b"
+            assert (await proxy.send(raw)).body == b"ok"
+            (received,) = endpoint.got
+            assert received.headers["x-request-id"] == "r1" and received.body == b"b"
 
     run(main())
 
 
-def test_the_id_of_an_open_request_is_refused_until_that_is_answered() -> None:
+def test_a_duplicate_id_is_rejected_while_the_first_request_is_open() -> None:
     async def main() -> None:
         release = asyncio.Event()
 
@@ -139,68 +139,69 @@
             writer.write(answer())
 
         endpoint = Endpoint(slow)
-        async with sidecar(endpoint) as one:
-            first = asyncio.create_task(one.send(PAGE))
+        async with sidecar(endpoint) as proxy:
+            first = asyncio.create_task(proxy.send(PAGE))
             await endpoint.arrived.acquire()
-            assert (await one.send(PAGE)).start.split()[1] == "409"
+            assert (await proxy.send(PAGE)).start.split()[1] == "409"
             release.set()
             assert (await first).body == b"ok"
-            assert (await one.send(PAGE)).body == b"ok" and not one.engine.open_names
+            assert (await proxy.send(PAGE)).body == b"ok" and not proxy.engine.open_names
 
     run(main())
 
 
-def test_a_second_request_while_the_first_is_open_ends_both() -> None:
+def test_a_pipelined_request_is_rejected_and_cancels_the_open_one() -> None:
     async def main() -> None:
         endpoint = Endpoint(never_answer)
-        async with sidecar(endpoint) as one:
-            told = record_outcomes(one.engine)
-            reader, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            recorded = record_outcomes(proxy.engine)
+            reader, writer = await proxy.connect()
             writer.write(PAY)
             await endpoint.arrived.acquire()
             writer.write(request("pay", b"b", rid="r2"))
             assert (await read_message(reader)).start.split()[1] == "400"
             assert await reader.read() == b""
             await endpoint.closed.acquire()
-            assert [event.outcome for event in told] == [CANCELLED] and len(endpoint.got) == 1
+            assert [event.outcome for event in recorded] == [CANCELLED] and len(endpoint.got) == 1
             writer.close()
 
     run(main())
 
 
-def shift(one: Sidecar, span_us: int) -> None:
+def advance_clock(proxy: Sidecar, span_us: int) -> None:
     """Set the engine's clock forward."""
-    real = one.engine.clock.now
-    one.engine.clock = cast(Clock, MethodProxy(one.engine.clock, now=lambda: real() + span_us))
+    real = proxy.engine.clock.now
+    proxy.engine.clock = cast(Clock, MethodProxy(proxy.engine.clock, now=lambda: real() + span_us))
 
 
-def the_caller(one: Sidecar) -> ClientConnection:
-    (caller,) = one.server.connections
-    return caller
+def only_connection(proxy: Sidecar) -> ClientConnection:
+    (client,) = proxy.server.connections
+    return client
 
 
-def test_the_rest_of_a_body_too_large_is_dropped_within_a_bound() -> None:
-    """So much is read that no close resets the answer away, and no more, nor for longer."""
+def test_the_rest_of_an_oversized_body_is_discarded_up_to_a_limit() -> None:
+    """Enough is read that the close does not reset the connection and lose the answer, but the bytes and the
+    time are limited."""
 
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint) as one:
-            reader, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(PAY.replace(b"Content-Length: 1", b"Content-Length: 62914560"))
             assert (await read_message(reader)).start.split()[1] == "413"
             assert await reader.read() == b""
-            caller = the_caller(one)
-            transport = caller.transport
+            client = only_connection(proxy)
+            transport = client.transport
             assert transport is not None
             writer.write(b"x" * 62914560)
             while transport.is_reading():
                 await asyncio.sleep(0)
-            assert MAX_DISCARDED_BYTES < caller.discarded_bytes <= MAX_DISCARDED_BYTES + (256 << 10), (
-                "one read over the bound"
+            assert MAX_DISCARDED_BYTES < client.discarded_bytes <= MAX_DISCARDED_BYTES + (256 << 10), (
+                "at most one read beyond the limit"
             )
-            one.server.lingering.waiting_since[caller] -= 60.0
-            one.server.lingering.run()
-            while one.server.connections:
+            proxy.server.lingering.waiting_since[client] -= 60.0
+            proxy.server.lingering.run()
+            while proxy.server.connections:
                 await asyncio.sleep(0)
             assert not endpoint.got
             writer.close()
@@ -213,18 +214,18 @@
     [(b"", None), (b"GET /pa", "408"), (PAY[:-1], "408")],
     ids=["silent", "half-head", "half-body"],
 )
-def test_a_caller_that_brings_no_request_is_ended(raw: bytes, expected: str | None) -> None:
+def test_a_connection_without_a_complete_request_is_closed(raw: bytes, expected: str | None) -> None:
     async def main() -> None:
-        async with sidecar(Endpoint()) as one:
-            reader, writer = await one.connect()
+        async with sidecar(Endpoint()) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(raw)
-            while not one.server.connections or (raw and not the_caller(one).received):
+            while not proxy.server.connections or (raw and not only_connection(proxy).received):
                 await asyncio.sleep(0)
-            assert one.server.awaiting_request.timeout_s < 3.0
-            one.server.awaiting_request.waiting_since[the_caller(one)] -= (
-                one.server.awaiting_request.timeout_s
+            assert proxy.server.awaiting_request.timeout_s < 3.0
+            proxy.server.awaiting_request.waiting_since[only_connection(proxy)] -= (
+                proxy.server.awaiting_request.timeout_s
             )
-            one.server.awaiting_request.run()
+            proxy.server.awaiting_request.run()
             if expected is not None:
                 assert (await read_message(reader)).start.split()[1] == expected
             assert await reader.read() == b""
@@ -233,57 +234,57 @@
     run(main())
 
 
-def test_a_caller_that_asked_once_and_stays_is_ended() -> None:
+def test_an_idle_client_connection_is_closed() -> None:
     async def main() -> None:
-        async with sidecar(Endpoint()) as one:
-            reader, writer = await one.connect()
+        async with sidecar(Endpoint()) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(PAGE)
             assert (await read_message(reader)).body == b"ok"
-            assert one.server.idle.timeout_s >= 2.0, "a connection may not be closed sooner"
-            one.server.idle.waiting_since[the_caller(one)] -= one.server.idle.timeout_s
-            one.server.idle.run()
+            assert proxy.server.idle.timeout_s >= 2.0, "an idle connection must stay open for at least 2 s"
+            proxy.server.idle.waiting_since[only_connection(proxy)] -= proxy.server.idle.timeout_s
+            proxy.server.idle.run()
             assert await reader.read() == b""
-            while one.server.connections:
+            while proxy.server.connections:
                 await asyncio.sleep(0)
             writer.close()
 
     run(main())
 
 
-def test_a_crowd_of_silent_callers_makes_room_for_those_that_ask() -> None:
+def test_silent_connections_are_evicted_for_new_ones() -> None:
     async def main() -> None:
         endpoint = Endpoint(never_answer)
-        async with sidecar(endpoint) as one:
-            one.server.max_connections = 9
-            asked = asyncio.create_task(one.send(PAGE))
+        async with sidecar(endpoint) as proxy:
+            proxy.server.max_connections = 9
+            answering = asyncio.create_task(proxy.send(PAGE))
             await endpoint.arrived.acquire()
             endpoint.handler = serve_ok
-            kept, kept_writer = await one.connect()
+            kept, kept_writer = await proxy.connect()
             kept_writer.write(request(rid="r2"))
             assert (await read_message(kept)).body == b"ok"
-            crowd = [await one.connect() for _ in range(40)]
-            assert await crowd[0][0].read() == b"", "the one silent for longest"
-            assert (await one.send(request(rid="r3"))).body == b"ok"
-            assert len(one.server.connections) <= 9
+            crowd = [await proxy.connect() for _ in range(40)]
+            assert await crowd[0][0].read() == b"", "the connection that was silent longest is evicted"
+            assert (await proxy.send(request(rid="r3"))).body == b"ok"
+            assert len(proxy.server.connections) <= 9
             kept_writer.write(request(rid="r4"))
-            assert (await read_message(kept)).body == b"ok", "one at rest does not give way to them"
-            assert not asked.done(), "nor does one that waits for its answer"
-            asked.cancel()
+            assert (await read_message(kept)).body == b"ok", "an idle connection is not evicted for them"
+            assert not answering.done(), "nor is one that waits for its answer"
+            answering.cancel()
             for _, writer in [*crowd, (None, kept_writer)]:
                 writer.close()
 
     run(main())
 
 
-def test_of_those_at_rest_the_longest_gives_way() -> None:
+def test_the_longest_idle_connection_is_evicted_first() -> None:
     async def main() -> None:
-        async with sidecar(Endpoint()) as one:
-            one.server.max_connections = 4
-            kept = [await one.connect() for _ in range(4)]
+        async with sidecar(Endpoint()) as proxy:
+            proxy.server.max_connections = 4
+            kept = [await proxy.connect() for _ in range(4)]
             for n, (reader, writer) in enumerate(kept):
                 writer.write(request(rid=f"r{n}"))
                 assert (await read_message(reader)).body == b"ok"
-            _, extra = await one.connect()
+            _, extra = await proxy.connect()
             assert await kept[0][0].read() == b""
             kept[1][1].write(request(rid="again"))
             assert (await read_message(kept[1][0])).body == b"ok"
@@ -293,22 +294,22 @@
     run(main())
 
 
-def test_the_deadline_is_no_longer_than_the_class_allows() -> None:
+def test_the_deadline_is_limited_by_the_class() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint) as one:
-            assert (await one.send(request(deadline_ms=10**12))).body == b"ok"
+        async with sidecar(endpoint) as proxy:
+            assert (await proxy.send(request(deadline_ms=10**12))).body == b"ok"
             assert int(endpoint.got[0].headers["x-deadline-ms"]) <= 5000
 
     run(main())
 
 
-# --- Spoilt answers ---------------------------------------------------------------------
+# --- Malformed answers ------------------------------------------------------------------
 
 
-class Nobody:
+class IgnoringFrontend:
     def answered(self, call: Call, answer: Answer) -> None:
-        """Is not told."""
+        """Ignores the answer."""
 
 
 def raw_answer(raw: bytes) -> Handler:
@@ -331,15 +332,15 @@
         b"\x16\x03\x01\x02",
     ],
 )
-def test_a_spoilt_answer_fails_at_once_and_may_have_run(raw: bytes) -> None:
+def test_a_malformed_answer_fails_at_once_and_counts_as_possibly_run(raw: bytes) -> None:
     async def main() -> None:
         endpoint = Endpoint(raw_answer(raw))
-        async with sidecar(endpoint) as one:
-            told = record_outcomes(one.engine)
-            assert (await one.send(PAY)).start.split()[1] == "502"
-            assert [event.outcome for event in told] == [ERROR]
-            await endpoint.closed.acquire()  # of no further use
-            while one.upstream.connections:
+        async with sidecar(endpoint) as proxy:
+            recorded = record_outcomes(proxy.engine)
+            assert (await proxy.send(PAY)).start.split()[1] == "502"
+            assert [event.outcome for event in recorded] == [ERROR]
+            await endpoint.closed.acquire()  # it cannot be reused
+            while proxy.upstream.connections:
                 await asyncio.sleep(0)
 
     run(main())
@@ -353,40 +354,40 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
     ],
 )
-def test_an_answer_that_never_ends_does_not_eat_the_request(raw: bytes) -> None:
+def test_an_answer_that_never_ends_times_out_before_the_deadline(raw: bytes) -> None:
     async def main() -> None:
         endpoint = Endpoint(raw_answer(raw))
-        async with sidecar(endpoint) as one:
-            told = record_outcomes(one.engine)
-            asked = asyncio.create_task(one.send(PAY))
-            while not one.upstream.receiving.waiting_since:
+        async with sidecar(endpoint) as proxy:
+            recorded = record_outcomes(proxy.engine)
+            answering = asyncio.create_task(proxy.send(PAY))
+            while not proxy.upstream.receiving.waiting_since:
                 await asyncio.sleep(0)
-            (link,) = one.upstream.connections
-            one.upstream.receiving.waiting_since[link] -= one.upstream.receiving.timeout_s
-            one.upstream.receiving.run()
-            assert (await asked).start.split()[1] == "502"
-            assert [event.outcome for event in told] == [ERROR]
+            (connection,) = proxy.upstream.connections
+            proxy.upstream.receiving.waiting_since[connection] -= proxy.upstream.receiving.timeout_s
+            proxy.upstream.receiving.run()
+            assert (await answering).start.split()[1] == "502"
+            assert [event.outcome for event in recorded] == [ERROR]
 
     run(main())
 
 
-@pytest.mark.parametrize("behind", [answer(body=b"other"), b"noise", b"HT", b"\x00"])
-def test_what_comes_behind_an_answer_is_dropped_with_the_connection(behind: bytes) -> None:
+@pytest.mark.parametrize("trailing", [answer(body=b"other"), b"noise", b"HT", b"\x00"])
+def test_bytes_after_an_answer_close_the_connection(trailing: bytes) -> None:
     async def main() -> None:
-        endpoint = Endpoint(raw_answer(answer() + behind))
-        async with sidecar(endpoint) as one:
-            told = record_outcomes(one.engine)
-            assert (await one.send(PAGE)).body == b"ok"
+        endpoint = Endpoint(raw_answer(answer() + trailing))
+        async with sidecar(endpoint) as proxy:
+            recorded = record_outcomes(proxy.engine)
+            assert (await proxy.send(PAGE)).body == b"ok"
             await endpoint.closed.acquire()
             endpoint.handler = serve_ok
-            assert (await one.send(request(rid="r2"))).body == b"ok"
-            assert [event.outcome for event in told] == [OK, OK] and endpoint.opened == 2
+            assert (await proxy.send(request(rid="r2"))).body == b"ok"
+            assert [event.outcome for event in recorded] == [OK, OK] and endpoint.opened == 2
 
     run(main())
 
 
-def test_bytes_that_came_to_a_resting_connection_answer_nothing() -> None:
-    """The stray answer is in the kernel, not yet read, when the next request comes."""
+def test_stray_bytes_on_an_idle_connection_answer_no_request() -> None:
+    """A stray answer is in the kernel's buffer, unread, when the next request is to be sent."""
 
     async def main() -> None:
         writers: list[Writer] = []
@@ -396,52 +397,52 @@
             writer.write(answer())
 
         endpoint = Endpoint(keep)
-        async with sidecar(endpoint) as one:
-            assert (await one.send(PAGE)).body == b"ok"
-            (link,) = one.upstream.connections
-            assert link.transport is not None and link.is_reusable()
-            link.transport.pause_reading()  # as though the loop had no turn since
+        async with sidecar(endpoint) as proxy:
+            assert (await proxy.send(PAGE)).body == b"ok"
+            (connection,) = proxy.upstream.connections
+            assert connection.transport is not None and connection.is_reusable()
+            connection.transport.pause_reading()  # as if the event loop had not run since
             writers[0].write(answer(body=b"stray"))
-            while link.is_reusable():
+            while connection.is_reusable():
                 await asyncio.sleep(0)
-            assert (await one.send(request(rid="r2"))).body == b"ok"
+            assert (await proxy.send(request(rid="r2"))).body == b"ok"
             assert endpoint.opened == 2
 
     run(main())
 
 
-def test_an_interim_answer_says_nothing_of_the_real_one() -> None:
+def test_headers_of_an_interim_answer_are_ignored() -> None:
     async def main() -> None:
         interim = b"HTTP/1.1 102 Processing\r\nX-Not-Run: 1\r\nX-Load: queue=9\r\n\r\n"
         endpoint = Endpoint(raw_answer(interim + answer(503)))
-        async with sidecar(endpoint) as one:
-            told = record_outcomes(one.engine)
-            assert (await one.send(PAY)).start.split()[1] == "502"
-            assert [(event.outcome, event.report) for event in told] == [(ERROR, None)]
+        async with sidecar(endpoint) as proxy:
+            recorded = record_outcomes(proxy.engine)
+            assert (await proxy.send(PAY)).start.split()[1] == "502"
+            assert [(event.outcome, event.report) for event in recorded] == [(ERROR, None)]
             endpoint.handler = raw_answer(interim + answer(503, headers="X-Not-Run: 1\r\n"))
-            await one.send(request("pay", rid="r2"))
-            assert told[1].outcome == FULL
+            await proxy.send(request("pay", rid="r2"))
+            assert recorded[1].outcome == FULL
 
     run(main())
 
 
-def test_an_attempt_called_off_before_it_was_opened_leaves_nothing() -> None:
+def test_an_attempt_cancelled_before_connecting_leaves_no_connection() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint) as one:
-            call = Call(0, 0, b"GET /page", b"", b"", Nobody())
-            (number,) = one.upstream.addresses
-            attempt = Attempt(one.engine.attempts, call, 0, number, 0, 0)
-            one.upstream.send(attempt)
-            assert len(one.upstream.connections) == 1
-            one.upstream.cancel(attempt)  # the task that opens it has not had a turn yet
-            assert not one.upstream.connections
+        async with sidecar(endpoint) as proxy:
+            call = Call(0, 0, b"GET /page", b"", b"", IgnoringFrontend())
+            (number,) = proxy.upstream.addresses
+            attempt = Attempt(proxy.engine.attempts, call, 0, number, 0, 0)
+            proxy.upstream.send(attempt)
+            assert len(proxy.upstream.connections) == 1
+            proxy.upstream.cancel(attempt)  # the task that opens the connection has not run yet
+            assert not proxy.upstream.connections
 
     run(main())
 
 
-def test_a_stopping_sidecar_keeps_no_connection_at_rest() -> None:
-    """They left no room at the endpoints for the sidecar that took its callers over."""
+def test_a_stopping_sidecar_keeps_no_idle_connection() -> None:
+    """Its idle connections would leave no room at the endpoints for the sidecar that replaces it."""
 
     async def main() -> None:
         release = asyncio.Event()
@@ -452,73 +453,77 @@
             writer.write(answer())
 
         endpoint = Endpoint(slow)
-        async with sidecar(endpoint) as one:
-            asked = asyncio.create_task(one.send(request(rid="slow")))
+        async with sidecar(endpoint) as proxy:
+            answering = asyncio.create_task(proxy.send(request(rid="slow")))
             await endpoint.arrived.acquire()
-            assert (await one.send(request(rid="r2"))).body == b"ok"
-            one.server.stop(lambda: None)
+            assert (await proxy.send(request(rid="r2"))).body == b"ok"
+            proxy.server.stop(lambda: None)
             await endpoint.closed.acquire()
             release.set()
-            assert (await asked).body == b"ok", "what was taken is finished"
+            assert (await answering).body == b"ok", "an open request is completed"
             await endpoint.closed.acquire()
-            while one.upstream.connections:
+            while proxy.upstream.connections:
                 await asyncio.sleep(0)
 
     run(main())
 
 
-def test_what_a_rush_opened_is_not_kept_for_long() -> None:
+def test_idle_connections_are_kept_for_a_limited_time() -> None:
     async def main() -> None:
-        async with sidecar(Endpoint()) as one:
-            assert one.upstream.idle_connections.timeout_s <= 6.0, (
-                "though the endpoint would keep it for 30 s"
-            )
-            assert one.engine.balancer.settings.idle_us == one.upstream.idle_connections.timeout_s * 1e6, (
-                "the module too"
+        async with sidecar(Endpoint()) as proxy:
+            assert proxy.upstream.idle_connections.timeout_s <= 6.0, (
+                "although the endpoint would keep it for 30 s"
             )
+            assert (
+                proxy.engine.balancer.settings.idle_us == proxy.upstream.idle_connections.timeout_s * 1e6
+            ), "the balancer uses the same time"
 
     run(main())
 
 
-def test_what_rests_beyond_what_is_in_use_leaves_its_places_to_others() -> None:
-    """One sidecar kept nearly all after a rush, and one just started found no room."""
+def test_surplus_idle_connections_are_closed() -> None:
+    """Guards against a sidecar that keeps nearly all connections to an endpoint after a load peak, so that
+    one
+    that has just started gets none."""
 
     async def main() -> None:
         release = asyncio.Event()
 
-        async def rush(endpoint: Endpoint, message: Message, writer: Writer) -> None:
+        async def hold_until_released(endpoint: Endpoint, message: Message, writer: Writer) -> None:
             await release.wait()
             writer.write(answer())
 
-        endpoint = Endpoint(rush)
-        async with sidecar(endpoint) as one:
-            asked = [asyncio.create_task(one.send(request(rid=f"r{n}"))) for n in range(MIN_IDLE + 3)]
-            for _ in asked:
+        endpoint = Endpoint(hold_until_released)
+        async with sidecar(endpoint) as proxy:
+            answering = [asyncio.create_task(proxy.send(request(rid=f"r{n}"))) for n in range(MIN_IDLE + 3)]
+            for _ in answering:
                 await endpoint.arrived.acquire()
             release.set()
-            assert [(await each).body for each in asked] == [b"ok"] * len(asked)
+            assert [(await each).body for each in answering] == [b"ok"] * len(answering)
             for _ in range(3):
                 await endpoint.closed.acquire()
-            while one.upstream.surplus_connections.waiting_since:
+            while proxy.upstream.surplus_connections.waiting_since:
                 await asyncio.sleep(0)
             assert (
-                len(one.upstream.connections) == len(one.upstream.idle_connections.waiting_since) == MIN_IDLE
+                len(proxy.upstream.connections)
+                == len(proxy.upstream.idle_connections.waiting_since)
+                == MIN_IDLE
             )
 
     run(main())
 
 
-# --- Trouble below ----------------------------------------------------------------------
+# --- Hanging and full endpoints ---------------------------------------------------------
 
 
-async def settle(one: Sidecar) -> None:
-    """Serve requests until the entry bounds what it holds."""
-    while not one.engine.balancer.admission.limit.settled:
-        assert (await one.send(PAGE)).body == b"ok"
+async def settle_concurrency_limit(proxy: Sidecar) -> None:
+    """Send requests until the concurrency limit of admission has settled."""
+    while not proxy.engine.balancer.admission.limit.settled:
+        assert (await proxy.send(PAGE)).body == b"ok"
 
 
-def test_requests_that_hang_do_not_shut_the_entry() -> None:
-    """They are as many as may always be held, and no answer comes to raise the bound."""
+def test_hanging_requests_do_not_block_admission() -> None:
+    """As many requests hang as may always be held, and no answer arrives that would raise the limit."""
 
     async def main() -> None:
         async def some(endpoint: Endpoint, message: Message, writer: Writer) -> None:
@@ -526,24 +531,26 @@
                 writer.write(answer())
 
         endpoint = Endpoint(some)
-        async with sidecar(endpoint, stage=0) as one:
-            await settle(one)
-            lost = [await one.connect() for _ in range(HELD_MIN)]
-            while not endpoint.arrived.locked():  # those of the settling
+        async with sidecar(endpoint, stage=0) as proxy:
+            await settle_concurrency_limit(proxy)
+            lost = [await proxy.connect() for _ in range(HELD_MIN)]
+            while not endpoint.arrived.locked():  # the requests that `settle_concurrency_limit` sent
                 await endpoint.arrived.acquire()
             for n, (_, writer) in enumerate(lost):
                 writer.write(request(rid=f"lost{n}"))
                 await endpoint.arrived.acquire()
-            shift(one, 1_000_000)
-            assert (await one.send(PAGE)).body == b"ok"
+            advance_clock(proxy, 1_000_000)
+            assert (await proxy.send(PAGE)).body == b"ok"
             for _, writer in lost:
                 writer.close()
 
     run(main())
 
 
-def test_no_room_for_a_new_connection_leaves_those_at_rest_in_use() -> None:
-    """Every copy left such an endpoint alone, waited with free connections, then rushed."""
+def test_an_endpoint_at_its_connection_limit_is_used_over_idle_connections() -> None:
+    """Guards against copies that all avoid an endpoint which refused a new connection, wait although they
+    have
+    idle connections there, and then send to it all at once."""
 
     async def main() -> None:
         release: asyncio.Queue[None] = asyncio.Queue()
@@ -559,22 +566,22 @@
             writer.write(answer())
 
         endpoint = Endpoint(one_connection)
-        async with sidecar(endpoint) as one:
-            told = record_outcomes(one.engine)
+        async with sidecar(endpoint) as proxy:
+            recorded = record_outcomes(proxy.engine)
             for rid in ("slow1", "slow2"):
-                asked = asyncio.create_task(one.send(request(rid=rid)))
+                answering = asyncio.create_task(proxy.send(request(rid=rid)))
                 await endpoint.arrived.acquire()
-                if rid == "slow1":  # answers take long: as long is a full endpoint left alone
-                    shift(one, 1_900_000)
+                if rid == "slow1":  # a full endpoint is avoided for as long as answers take
+                    advance_clock(proxy, 1_900_000)
                 else:
-                    _, crossing = await one.connect()
+                    _, crossing = await proxy.connect()
                     crossing.write(request(rid="crossing"))
-                    while FULL not in [event.outcome for event in told]:
+                    while FULL not in [event.outcome for event in recorded]:
                         await asyncio.sleep(0)
                 release.put_nowait(None)
-                assert (await asked).body == b"ok"
-            back = await one.send(request(rid="next", deadline_ms=500))
-            assert back.body == b"ok" and endpoint.opened == 2
+                assert (await answering).body == b"ok"
+            response = await proxy.send(request(rid="next", deadline_ms=500))
+            assert response.body == b"ok" and endpoint.opened == 2
             crossing.close()
 
     run(main())
@@ -583,34 +590,34 @@
 # --- Memory -----------------------------------------------------------------------------
 
 
-def alive() -> int:
+def count_alive() -> int:
     return sum(
-        type(one) in (ClientConnection, Exchange, EndpointConnection, Call, Attempt)
-        for one in gc.get_objects()
+        type(found) in (ClientConnection, Exchange, EndpointConnection, Call, Attempt)
+        for found in gc.get_objects()
     )
 
 
-def test_what_is_over_is_freed_without_the_collector() -> None:
+def test_finished_requests_are_freed_without_the_garbage_collector() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint) as one:
+        async with sidecar(endpoint) as proxy:
             gc.collect()
-            before = alive()  # loops that other tests closed may have left some
+            before = count_alive()  # event loops that other tests closed may have left some
             gc.disable()
             try:
-                _, writer = await one.connect()
+                _, writer = await proxy.connect()
                 endpoint.handler = never_answer
                 writer.write(PAGE)
                 await endpoint.arrived.acquire()
-                assert alive() == before + 4
+                assert count_alive() == before + 4
                 writer.close()
                 await endpoint.closed.acquire()
-                one.apply_list()
-                while one.connection_count or one.upstream.connections:
+                proxy.apply_list()
+                while proxy.connection_count or proxy.upstream.connections:
                     await asyncio.sleep(0)
                 await asyncio.sleep(0)
-                assert alive() == before
-                assert not one.engine.calls and not one.engine.open_names
+                assert count_alive() == before
+                assert not proxy.engine.calls and not proxy.engine.open_names
             finally:
                 gc.enable()
 
@@ -620,7 +627,7 @@
 # --- Signals ----------------------------------------------------------------------------
 
 
-def test_sigterm_ends_it_though_half_sent_and_silent_callers_stay(tmp_path: Path) -> None:
+def test_sigterm_ends_the_process_despite_incomplete_requests_and_silent_clients(tmp_path: Path) -> None:
     async def main() -> None:
         registry = Registry()
         async with await registry.start():
@@ -634,16 +641,16 @@
             process.send_signal(signal.SIGTERM)
             process.send_signal(signal.SIGHUP)
             assert await process.wait() == 0
-            back = await read_message(half_reader)
-            assert back.status == 503, "its last byte may be on its way: it is told that it was not sent on"
-            assert back.headers["connection"] == "close" and await half_reader.read() == b""
+            response = await read_message(half_reader)
+            assert response.status == 503, "the request is incomplete, so it is refused: it was not forwarded"
+            assert response.headers["connection"] == "close" and await half_reader.read() == b""
             silent.close()
             half.close()
 
     run(main())
 
 
-def test_a_log_that_nobody_reads_holds_nothing_up(tmp_path: Path) -> None:
+def test_a_full_log_pipe_does_not_block_the_process(tmp_path: Path) -> None:
     async def main() -> None:
         registry, endpoint = Registry(), Endpoint()
         read_end, write_end = os.pipe()
@@ -659,7 +666,7 @@
             _, writer = await connect_until_up(port)
             writer.close()
             _, watch = await registry.asked.get()
-            push_raw(watch, b"{not json\n")  # a line for the log
+            push_raw(watch, b"{not json\n")  # causes a log line
             await registry.asked.get()
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(PAGE)
@@ -673,7 +680,7 @@
     run(main())
 
 
-def test_sighup_moves_the_watch_to_what_the_file_names(tmp_path: Path) -> None:
+def test_sighup_moves_the_watch_to_the_new_discovery_address(tmp_path: Path) -> None:
     async def main() -> None:
         old, new, endpoint = Registry(), Registry(), Endpoint()
         async with await old.start(), await new.start(), await endpoint.start():
@@ -696,14 +703,14 @@
             file.write_text(json.dumps({**good, "discovery": f"127.0.0.1:{new.port}"}))
             process.send_signal(signal.SIGHUP)
             target, watch = await new.asked.get()
-            assert "from=0 " in target, "the versions there may be others"
+            assert "from=0 " in target, "the generations there may differ"
             push(watch, 1, True, endpoint.entry("s-1"))
             while True:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(PAGE)
-                back = await read_message(reader)
+                response = await read_message(reader)
                 writer.close()
-                if back.body == b"ok":
+                if response.body == b"ok":
                     break
             for _ in range(3):
                 process.send_signal(signal.SIGHUP)
@@ -715,48 +722,48 @@
     run(main())
 
 
-async def accepted(one: Sidecar, raw: bytes) -> socket.socket:
-    """A connection that the closed listener had accepted, with a request on it."""
+async def accepted(proxy: Sidecar, raw: bytes) -> socket.socket:
+    """A connection that the listener accepted before it was closed, with a request on it."""
     ours, theirs = socket.socketpair()
     ours.sendall(raw)
     ours.setblocking(False)
-    await asyncio.get_running_loop().connect_accepted_socket(one.server._new_connection, theirs)
+    await asyncio.get_running_loop().connect_accepted_socket(proxy.server._new_connection, theirs)
     return ours
 
 
-def test_a_connection_accepted_in_the_turn_that_closes_the_listener_is_served() -> None:
+def test_a_connection_accepted_while_the_listener_closes_is_served() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint) as one:
+        async with sidecar(endpoint) as proxy:
             ended = asyncio.Event()
-            one.server.stop(ended.set)
-            connecting = asyncio.create_task(accepted(one, PAY))
-            await asyncio.sleep(0)  # accepted, and not yet told to the server
-            assert not one.server.connections
-            one.server.shutdown.close_listener()
+            proxy.server.stop(ended.set)
+            connecting = asyncio.create_task(accepted(proxy, PAY))
+            await asyncio.sleep(0)  # accepted, and not yet passed to the server
+            assert not proxy.server.connections
+            proxy.server.shutdown.close_listener()
             ours = await connecting
-            back = await asyncio.get_running_loop().sock_recv(ours, 1000)
-            assert b"Connection: close" in back and back.endswith(b"ok")
+            response = await asyncio.get_running_loop().sock_recv(ours, 1000)
+            assert b"Connection: close" in response and response.endswith(b"ok")
             ours.close()
             await ended.wait()
 
     run(main())
 
 
-def test_a_connection_that_comes_up_after_the_last_one_is_not_read() -> None:
-    """The process ends: its request must not run unanswered."""
+def test_a_connection_set_up_after_the_shutdown_is_not_read() -> None:
+    """The process is about to exit: its request must not run, as it would not be answered."""
 
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint) as one:
+        async with sidecar(endpoint) as proxy:
             ended = asyncio.Event()
-            one.server.stop(ended.set)
-            one.server.shutdown.stop_listening()
+            proxy.server.stop(ended.set)
+            proxy.server.shutdown.stop_listening()
             await ended.wait()
-            ours = await accepted(one, PAY)
+            ours = await accepted(proxy, PAY)
             with contextlib.suppress(ConnectionResetError):
                 assert await asyncio.get_running_loop().sock_recv(ours, 100) == b""
-            assert not endpoint.got and not one.engine.calls and not one.server.connections
+            assert not endpoint.got and not proxy.engine.calls and not proxy.server.connections
             ours.close()
 
     run(main())
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -1,4 +1,4 @@
-"""The real sidecar over loopback sockets, each test for one trap."""
+"""End-to-end tests of the sidecar over loopback sockets: each test guards against one failure."""
 
 from __future__ import annotations
 
@@ -63,16 +63,16 @@
 )
 
 
-def lists(one: Sidecar) -> asyncio.Queue[tuple[int, list[Entry]]]:
-    """All lists that the module is told from now on."""
-    told: asyncio.Queue[tuple[int, list[Entry]]] = asyncio.Queue()
+def record_lists(proxy: Sidecar) -> asyncio.Queue[tuple[int, list[Entry]]]:
+    """A queue of the endpoint lists that the balancer receives from now on, with their modes."""
+    recorded: asyncio.Queue[tuple[int, list[Entry]]] = asyncio.Queue()
 
     def members(now: int, mode: int, entries: list[Entry]) -> list[Action]:
-        told.put_nowait((mode, list(entries)))
+        recorded.put_nowait((mode, list(entries)))
         return real.members(now, mode, entries)
 
-    real = override_decisions(one.engine, members=members)
-    return told
+    real = override_decisions(proxy.engine, members=members)
+    return recorded
 
 
 def address(bound: socket.socket) -> str:
@@ -80,7 +80,7 @@
     return f"{host}:{port}"
 
 
-def test_a_request_passes_and_its_answer_comes_back_whole() -> None:
+def test_a_request_is_forwarded_and_its_answer_returned_unchanged() -> None:
     async def reply(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         writer.write(
             answer(body=b"x" * 60_000, headers="Content-Type: image/png\r\nX-Load: queue=2,qps=9\r\n")
@@ -88,33 +88,33 @@
 
     async def main() -> None:
         endpoint = Endpoint(reply)
-        async with sidecar(endpoint) as one:
-            back = await one.send(request("put", b"b" * 50_000, "X-Other: 1\r\n"))
-            assert back.start.startswith("HTTP/1.1 200") and back.body == b"x" * 60_000
-            assert back.headers["content-type"] == "image/png"
-            (got,) = endpoint.got
-            assert got.start == "POST /put?obj=7f3a HTTP/1.1" and got.body == b"b" * 50_000
-            assert got.headers["x-request-id"] == "r1" and got.headers["idempotency-key"] == "k1"
-            assert 0 < int(got.headers["x-deadline-ms"]) <= 4000
-            assert "x-other" not in got.headers, "only what an endpoint needs"
-            assert "x-load" not in back.headers, "only what a caller needs"
-            (told,) = one.engine.balancer.endpoints.values()
-            assert told.reported_waiting == 2.0, "the socket's queue is the settings' waiting"
+        async with sidecar(endpoint) as proxy:
+            response = await proxy.send(request("put", b"b" * 50_000, "X-Other: 1\r\n"))
+            assert response.start.startswith("HTTP/1.1 200") and response.body == b"x" * 60_000
+            assert response.headers["content-type"] == "image/png"
+            (received,) = endpoint.got
+            assert received.start == "POST /put?obj=7f3a HTTP/1.1" and received.body == b"b" * 50_000
+            assert received.headers["x-request-id"] == "r1" and received.headers["idempotency-key"] == "k1"
+            assert 0 < int(received.headers["x-deadline-ms"]) <= 4000
+            assert "x-other" not in received.headers, "only headers that endpoints need are forwarded"
+            assert "x-load" not in response.headers, "only headers that clients need are returned"
+            (recorded,) = proxy.engine.balancer.endpoints.values()
+            assert recorded.reported_waiting == 2.0, "`queue` on the wire is `waiting` in the settings"
 
     run(main())
 
 
 @pytest.mark.parametrize("cls", ["page", "pay"])
-def test_connections_are_kept_on_both_sides(cls: str) -> None:
+def test_connections_are_reused_on_both_sides(cls: str) -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint) as one:
-            reader, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            reader, writer = await proxy.connect()
             for n in range(5):
                 writer.write(request(cls, rid=f"r{n}"))
                 assert (await read_message(reader)).body == b"ok"
-            assert endpoint.opened == 1 and one.connection_count == 1
-            assert not one.engine.calls and not one.engine.balancer.requests
+            assert endpoint.opened == 1 and proxy.connection_count == 1
+            assert not proxy.engine.calls and not proxy.engine.balancer.requests
 
     run(main())
 
@@ -122,65 +122,65 @@
 # --- Endpoints and discovery ------------------------------------------------------
 
 
-def test_endpoint_numbers_come_from_the_name_alone() -> None:
+def test_endpoint_numbers_depend_on_the_name_alone() -> None:
     async def main() -> None:
         first, second = Endpoint(), Endpoint()
-        async with sidecar(first, second) as one, sidecar(second, first, known=False) as other:
+        async with sidecar(first, second) as proxy, sidecar(second, first, known=False) as other:
             other.apply_list(second.entry("s-1"), first.entry("s-0"))
-            assert set(one.engine.balancer.endpoints) == set(other.engine.balancer.endpoints)
-            assert endpoint_number("s-0") in one.engine.balancer.endpoints
+            assert set(proxy.engine.balancer.endpoints) == set(other.engine.balancer.endpoints)
+            assert endpoint_number("s-0") in proxy.engine.balancer.endpoints
         assert endpoint_number("s-5be2a07c") == 0x850D21AD14919D0C, "the same after a restart"
 
     run(main())
 
 
-def test_a_start_in_wall_time_is_converted_once() -> None:
+def test_a_start_time_is_converted_from_wall_time_once() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint) as one:
+        async with sidecar(endpoint) as proxy:
             wall = 1_700_000_000_000_000
-            one.engine.members.clock = cast(Clock, MethodProxy(one.engine.clock, wall=lambda: wall))
+            proxy.engine.members.clock = cast(Clock, MethodProxy(proxy.engine.clock, wall=lambda: wall))
             started = endpoint.entry(startedAtMs=wall // 1000 - 4_000)
-            before = one.engine.now()
-            one.apply_list(started)
-            (known,) = one.engine.balancer.endpoints.values()
+            before = proxy.engine.now()
+            proxy.apply_list(started)
+            (known,) = proxy.engine.balancer.endpoints.values()
             boot = known.boot
-            assert before - 4_000_000 <= boot <= one.engine.now() - 4_000_000
-            wall += 3_600_000_000  # the wall clock is set: no restart
-            one.apply_list(started)
+            assert before - 4_000_000 <= boot <= proxy.engine.now() - 4_000_000
+            wall += 3_600_000_000  # the wall clock is changed: the endpoint did not restart
+            proxy.apply_list(started)
             assert known.boot == boot
 
     run(main())
 
 
 @pytest.mark.parametrize("change", [{"startedAtMs": 5}, {"lifecycle": "draining"}, {"lifecycle": "gone"}])
-def test_a_new_start_or_a_drain_drops_the_idle_connections(change: dict[str, Any]) -> None:
+def test_a_restart_or_a_drain_closes_the_idle_connections(change: dict[str, Any]) -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint) as one:
-            await one.send(request())
-            one.apply_list(endpoint.entry("s-0", **change), whole=False)
+        async with sidecar(endpoint) as proxy:
+            await proxy.send(request())
+            proxy.apply_list(endpoint.entry("s-0", **change), whole=False)
             await endpoint.closed.acquire()
-            assert not one.upstream.connections
+            assert not proxy.upstream.connections
 
     run(main())
 
 
-def test_a_new_address_drops_the_old_pool() -> None:
+def test_a_new_address_closes_the_old_pool() -> None:
     async def main() -> None:
         old, new = Endpoint(), Endpoint()
-        async with sidecar(old, new) as one:
-            one.apply_list(old.entry("s-0"))
-            await one.send(request())
-            one.apply_list(new.entry("s-0"), whole=False)
+        async with sidecar(old, new) as proxy:
+            proxy.apply_list(old.entry("s-0"))
+            await proxy.send(request())
+            proxy.apply_list(new.entry("s-0"), whole=False)
             await old.closed.acquire()
-            assert (await one.send(request(rid="r2"))).body == b"ok"
+            assert (await proxy.send(request(rid="r2"))).body == b"ok"
             assert len(old.got) == len(new.got) == 1
 
     run(main())
 
 
-def test_a_whole_list_replaces_and_a_connection_out_is_not_kept() -> None:
+def test_a_full_list_replaces_the_old_one_and_used_connections_are_not_kept() -> None:
     async def main() -> None:
         release = asyncio.Event()
 
@@ -189,40 +189,40 @@
             writer.write(answer())
 
         endpoint = Endpoint(slow)
-        async with sidecar(endpoint) as one:
-            asked = asyncio.create_task(one.send(request()))
+        async with sidecar(endpoint) as proxy:
+            asked = asyncio.create_task(proxy.send(request()))
             await endpoint.arrived.acquire()
-            one.apply_list()
+            proxy.apply_list()
             release.set()
-            assert (await asked).body == b"ok", "what was sent is finished"
+            assert (await asked).body == b"ok", "a request that was sent is completed"
             await endpoint.closed.acquire()
 
     run(main())
 
 
-def test_known_goes_in_as_cached_and_the_watch_resumes_where_it_ended() -> None:
+def test_the_watch_resumes_after_the_last_generation() -> None:
     async def main() -> None:
         endpoint, registry = Endpoint(), Registry()
-        async with sidecar(endpoint, registry=registry) as one:
-            told = lists(one)
+        async with sidecar(endpoint, registry=registry) as proxy:
+            recorded = record_lists(proxy)
             start, watch = await registry.asked.get()
             assert start == "GET /registry/instances?watch=1&from=41 HTTP/1.1"
             push(watch, 44, False, endpoint.entry("s-0", lifecycle="draining"))
-            mode, (entry,) = await told.get()
+            mode, (entry,) = await recorded.get()
             assert (mode, entry.phase) == (LIST_DELTA, DRAINING)
             watch.close()
             start, watch = await registry.asked.get()
             assert "from=44 " in start
             push(watch, 45, True, endpoint.entry("s-9"))
-            mode, (entry,) = await told.get()
+            mode, (entry,) = await recorded.get()
             assert (mode, entry.endpoint) == (LIST_FULL, endpoint_number("s-9"))
-            assert list(one.engine.balancer.endpoints) == [endpoint_number("s-9")]
+            assert list(proxy.engine.balancer.endpoints) == [endpoint_number("s-9")]
 
     run(main())
 
 
 @plain_only
-def test_known_is_told_as_the_cached_list(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_configured_list_is_passed_to_the_balancer_as_cached(monkeypatch: pytest.MonkeyPatch) -> None:
     modes: list[int] = []
 
     async def main() -> None:
@@ -242,11 +242,11 @@
     assert modes == [LIST_CACHED]
 
 
-def test_a_silent_watch_is_opened_anew() -> None:
+def test_a_silent_watch_is_reopened() -> None:
     async def main() -> None:
         registry = Registry()
-        async with sidecar(Endpoint(), registry=registry) as one:
-            source = one.engine.source
+        async with sidecar(Endpoint(), registry=registry) as proxy:
+            source = proxy.engine.source
             assert isinstance(source, Discovery)
             source.silent_s = 0.05
             await registry.asked.get()
@@ -265,15 +265,15 @@
         b'{"generation": Infinity, "reset": true, "instances": []}\n',
     ],
 )
-def test_a_bad_line_is_logged_and_the_watch_restarted(line: bytes, logged: Logged) -> None:
+def test_a_malformed_line_is_logged_and_the_watch_reopened(line: bytes, logged: Logged) -> None:
     async def main() -> None:
         registry = Registry()
-        async with sidecar(Endpoint(), registry=registry) as one:
+        async with sidecar(Endpoint(), registry=registry) as proxy:
             _, watch = await registry.asked.get()
             push_raw(watch, line)
             start, watch = await registry.asked.get()
-            assert "from=41 " in start, "nothing of the bad line was taken"
-            assert (await one.send(request())).body == b"ok"
+            assert "from=41 " in start, "nothing of the malformed line was applied"
+            assert (await proxy.send(request())).body == b"ok"
 
     run(main())
     assert "bad line from discovery" in logged()
@@ -282,88 +282,93 @@
 @pytest.mark.parametrize(
     "bad", [{"instanceId": "s-3", "lifecycle": "odd"}, {"instanceId": 3, "lifecycle": "ready"}]
 )
-def test_a_bad_entry_is_logged_and_the_rest_of_its_line_is_used(bad: dict[str, Any], logged: Logged) -> None:
-    """Else the same list would come at each call, and no change would ever be learned."""
+def test_a_malformed_entry_is_logged_and_the_rest_of_its_line_is_used(
+    bad: dict[str, Any], logged: Logged
+) -> None:
+    """If the whole line were rejected, the same list would arrive after each reconnect, and no change would
+    ever be applied."""
 
     async def main() -> None:
         registry, old, new = Registry(), Endpoint(), Endpoint()
-        async with sidecar(old, new, registry=registry) as one:
+        async with sidecar(old, new, registry=registry) as proxy:
             _, watch = await registry.asked.get()
             push(watch, 43, True, bad, new.entry("s-1"))
-            while one.engine.members.may_receive(endpoint_number("s-0"), one.engine.now() + 600_000):
+            while proxy.engine.members.may_receive(endpoint_number("s-0"), proxy.engine.now() + 600_000):
                 await asyncio.sleep(0)
-            assert not one.engine.members.may_receive(endpoint_number("s-3"), one.engine.now())
-            assert (await one.send(request())).body == b"ok"
+            assert not proxy.engine.members.may_receive(endpoint_number("s-3"), proxy.engine.now())
+            assert (await proxy.send(request())).body == b"ok"
             assert len(new.got) == 1 and not old.got
-            assert registry.asked.empty(), "the watch goes on"
+            assert registry.asked.empty(), "the watch stays open"
 
     run(main())
     assert "bad entry from discovery" in logged()
 
 
-def test_a_watch_that_breaks_in_a_line_is_renewed_and_what_was_told_holds() -> None:
-    """A drain and a new endpoint, told before the break, hold across it; of the line that
-    broke nothing is used, and the watch goes on from the last whole version."""
+def test_a_watch_that_breaks_within_a_line_resumes_and_keeps_earlier_changes() -> None:
+    """Changes received before the break stay in effect. Nothing of the incomplete line is applied, and the
+    watch resumes from the last complete generation."""
 
     async def main() -> None:
         registry = Registry()
         old, new, later = Endpoint(), Endpoint(), Endpoint()
-        async with sidecar(old, new, later, registry=registry) as one:
+        async with sidecar(old, new, later, registry=registry) as proxy:
             _, watch = await registry.asked.get()
             leaving = {**old.entry("s-0"), "lifecycle": "draining"}
             push(watch, 42, True, leaving, new.entry("s-1"))
-            while one.engine.members.size() != 2:
+            while proxy.engine.members.size() != 2:
                 await asyncio.sleep(0)
             line = json.dumps({"generation": 43, "reset": False, "instances": [later.entry("s-9")]})
             push_raw(watch, line[:-20].encode())
             watch.close()
             start, watch = await registry.asked.get()
             assert "from=42 " in start
-            assert one.engine.members.size() == 2 and endpoint_number("s-9") not in one.engine.members.places
+            assert (
+                proxy.engine.members.size() == 2 and endpoint_number("s-9") not in proxy.engine.members.places
+            )
             for n in range(20):
-                assert (await one.send(request(rid=f"r{n}"))).body == b"ok"
+                assert (await proxy.send(request(rid=f"r{n}"))).body == b"ok"
             assert not old.got and len(new.got) == 20
             push(watch, 43, False, later.entry("s-9"))
-            while one.engine.members.size() != 3:
+            while proxy.engine.members.size() != 3:
                 await asyncio.sleep(0)
 
     run(main())
 
 
-@pytest.mark.parametrize(("bad", "pauses"), [(False, (0.2, 0.2, 0.2)), (True, (0.2, 0.4, 0.8, 1.6))])
-def test_a_fleet_that_lost_its_discovery_does_not_come_back_at_once(
-    bad: bool, pauses: tuple[float, ...]
-) -> None:
+@pytest.mark.parametrize(("is_malformed", "pauses"), [(False, (0.2, 0.2, 0.2)), (True, (0.2, 0.4, 0.8, 1.6))])
+def test_discovery_reconnects_are_spread_with_backoff(is_malformed: bool, pauses: tuple[float, ...]) -> None:
     waits: list[list[float]] = []
     for seed in range(8):
-        told: list[float] = []
+        delays: list[float] = []
         loop = cast(
             asyncio.AbstractEventLoop,
-            SimpleNamespace(call_later=lambda delay, *_, told=told: told.append(delay)),
+            SimpleNamespace(call_later=lambda delay, *_, delays=delays: delays.append(delay)),
         )
         discovery = Discovery(loop, "127.0.0.1:1", "/x", True, print, seed=seed)
         discovery.sink = cast(Any, object())
         for _ in range(6):
-            discovery.stream = cast(Any, SimpleNamespace(watch=True, is_renewal=False, is_malformed=bad))
+            discovery.stream = cast(
+                Any, SimpleNamespace(watch=True, is_renewal=False, is_malformed=is_malformed)
+            )
             discovery.on_lost(discovery.stream, silent=False)
-        waits.append(told)
-    for step, most in enumerate((0.05, 0.1, *pauses)):
-        waited = [told[step] for told in waits]
-        assert all(most / 2 <= wait <= most for wait in waited) and len(set(waited)) == 8
+        waits.append(delays)
+    for step, max_wait in enumerate((0.05, 0.1, *pauses)):
+        waited = [delays[step] for delays in waits]
+        assert all(max_wait / 2 <= wait <= max_wait for wait in waited) and len(set(waited)) == 8
 
 
-def test_endpoints_that_left_are_forgotten_after_the_grace() -> None:
+def test_removed_endpoints_are_forgotten_after_the_drain_grace() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint) as one:
-            one.apply_list()
-            (place,) = one.engine.members.places.values()
+        async with sidecar(endpoint) as proxy:
+            proxy.apply_list()
+            (place,) = proxy.engine.members.places.values()
             assert place.withdrawn_at is not None, "kept for the grace"
-            clock = one.engine.clock
+            clock = proxy.engine.clock
             later = MethodProxy(clock, now=lambda: clock.now() + 500_000)
-            one.engine.members.clock = cast(Clock, later)
-            one.apply_list(whole=False)
-            assert not one.engine.members.places and not one.upstream.pools
+            proxy.engine.members.clock = cast(Clock, later)
+            proxy.apply_list(whole=False)
+            assert not proxy.engine.members.places and not proxy.upstream.pools
 
     run(main())
 
@@ -405,40 +410,40 @@
         (status(504, "X-Not-Run: 1\r\n"), FULL, 503),
     ],
 )
-def test_one_outcome_for_each_attempt(handler: Handler, expected: int, final: int) -> None:
-    """An unsafe request: refused only when it is sure that it never ran."""
+def test_each_attempt_has_one_outcome(handler: Handler, expected: int, final: int) -> None:
+    """An unsafe request is refused only if it is certain that it never ran; otherwise it fails."""
 
     async def main() -> None:
         endpoint = Endpoint(handler)
-        async with sidecar(endpoint, ceilings={"max-attempts": 1}) as one:
-            told = record_outcomes(one.engine)
-            back = await one.send(request("pay", b"sum"))
-            assert [event.outcome for event in told] == [expected]
-            assert back.start.split()[1] == str(final)
+        async with sidecar(endpoint, ceilings={"max-attempts": 1}) as proxy:
+            recorded = record_outcomes(proxy.engine)
+            response = await proxy.send(request("pay", b"sum"))
+            assert [event.outcome for event in recorded] == [expected]
+            assert response.start.split()[1] == str(final)
             assert len(endpoint.got) == 1
-            assert not one.engine.calls
+            assert not proxy.engine.calls
 
     run(main())
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_a_request_whose_connection_was_refused_never_ran() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint, ceilings={"max-attempts": 1}) as one:
+        async with sidecar(endpoint, ceilings={"max-attempts": 1}) as proxy:
             with socket.socket() as closed:
                 closed.bind(("127.0.0.1", 0))
-                one.apply_list(endpoint.entry("s-0", hostPort=address(closed)))
-                told = record_outcomes(one.engine)
-                back = await one.send(request("pay"))
-            assert [event.outcome for event in told] == [NO_CONNECT]
-            assert back.start.split()[1] == "503" and not one.upstream.connections
+                proxy.apply_list(endpoint.entry("s-0", hostPort=address(closed)))
+                recorded = record_outcomes(proxy.engine)
+                response = await proxy.send(request("pay"))
+            assert [event.outcome for event in recorded] == [NO_CONNECT]
+            assert response.start.split()[1] == "503" and not proxy.upstream.connections
 
     run(main())
 
 
-def test_a_connection_that_breaks_before_the_last_byte_is_written_never_ran() -> None:
-    """The endpoint reads nothing and its window is small, so the rest of the
-    body waits in the sidecar when the connection is reset."""
+def test_a_request_that_was_not_fully_written_never_ran() -> None:
+    """The endpoint reads nothing and its receive window is small, so the rest of the body is still in the
+    sidecar when the connection is reset."""
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
@@ -448,70 +453,72 @@
             listener.listen()
             listener.setblocking(False)
             endpoint = Endpoint()
-            async with sidecar(endpoint, ceilings={"max-attempts": 1}) as one:
-                one.apply_list(endpoint.entry("s-0", hostPort=address(listener)))
-                told = record_outcomes(one.engine)
-                attempts = one.upstream.connections
-                asked = asyncio.create_task(one.send(request("pay", b"x")))
+            async with sidecar(endpoint, ceilings={"max-attempts": 1}) as proxy:
+                proxy.apply_list(endpoint.entry("s-0", hostPort=address(listener)))
+                recorded = record_outcomes(proxy.engine)
+                attempts = proxy.upstream.connections
+                asked = asyncio.create_task(proxy.send(request("pay", b"x")))
                 peer, _ = await loop.sock_accept(listener)
                 await loop.sock_recv(peer, 4096)
-                (link,) = attempts
-                link.pause_writing()  # as the loop tells it of bytes left over
+                (connection,) = attempts
+                connection.pause_writing()  # as asyncio calls it when bytes remain buffered
                 peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
                 peer.close()
                 assert (await asked).start.split()[1] == "503"
-                assert [event.outcome for event in told] == [NO_CONNECT]
+                assert [event.outcome for event in recorded] == [NO_CONNECT]
 
     run(main())
 
 
-def test_at_the_deadline_the_module_hears_timeout_and_answers() -> None:
+def test_at_the_deadline_the_attempt_times_out_and_the_client_is_answered() -> None:
     async def main() -> None:
         endpoint = Endpoint(never_answer)
-        async with sidecar(endpoint) as one:
-            told = record_outcomes(one.engine)
-            asked = one.engine.now()
-            back = await one.send(request("pay", deadline_ms=80))
-            assert one.engine.now() - asked >= 80_000, "never early"
-            assert back.start.split()[1] == "504"
-            assert [(event.outcome, event.over) for event in told] == [(TIMEOUT, False)]
-            await endpoint.closed.acquire()  # giving up closes the connection
+        async with sidecar(endpoint) as proxy:
+            recorded = record_outcomes(proxy.engine)
+            asked = proxy.engine.now()
+            response = await proxy.send(request("pay", deadline_ms=80))
+            assert proxy.engine.now() - asked >= 80_000, "never early"
+            assert response.start.split()[1] == "504"
+            assert [(event.outcome, event.over) for event in recorded] == [(TIMEOUT, False)]
+            await endpoint.closed.acquire()  # cancelling the attempt closes its connection
 
     run(main())
 
 
-def test_a_request_that_no_endpoint_takes_is_refused_in_time() -> None:
+def test_a_request_without_an_endpoint_is_refused_before_its_deadline() -> None:
     async def main() -> None:
-        async with sidecar(known=False, ceilings={"max-retry-after-us": 2_000_000}) as one:
-            back = await one.send(request(deadline_ms=100))
-            assert back.start.split()[1] == "503"
-            assert back.headers["retry-after"] == "0.040", "a 50th of the aim, as the module waits itself"
-            assert not one.engine.calls and not one.engine.balancer.requests
+        async with sidecar(known=False, ceilings={"max-retry-after-us": 2_000_000}) as proxy:
+            response = await proxy.send(request(deadline_ms=100))
+            assert response.start.split()[1] == "503"
+            assert response.headers["retry-after"] == "0.040", (
+                "a 50th of the objective, the balancer's own retry interval"
+            )
+            assert not proxy.engine.calls and not proxy.engine.balancer.requests
 
     run(main())
 
 
-def test_a_refusal_tells_when_to_come_back() -> None:
+def test_a_refusal_has_a_retry_after_header() -> None:
     async def main() -> None:
-        async with sidecar(Endpoint()) as one:
-            override_decisions(one.engine, request=lambda now, event: [Refuse(event.request, 1_250_000)])
-            back = await one.send(request())
-            assert back.start.split()[1] == "503" and back.headers["retry-after"] == "1.250"
+        async with sidecar(Endpoint()) as proxy:
+            override_decisions(proxy.engine, request=lambda now, event: [Refuse(event.request, 1_250_000)])
+            response = await proxy.send(request())
+            assert response.start.split()[1] == "503" and response.headers["retry-after"] == "1.250"
 
     run(main())
 
 
-def test_a_fault_of_the_module_is_answered_and_survived(logged: Logged) -> None:
+def test_an_exception_in_the_balancer_is_answered_with_500(logged: Logged) -> None:
     async def main() -> None:
-        async with sidecar(Endpoint()) as one:
+        async with sidecar(Endpoint()) as proxy:
 
             def broken(now: int, event: object) -> list[Action]:
                 raise RuntimeError("broken")
 
-            real = override_decisions(one.engine, request=broken)
-            assert (await one.send(request())).start.split()[1] == "500"
-            one.engine.decisions = real
-            assert (await one.send(request())).body == b"ok"
+            real = override_decisions(proxy.engine, request=broken)
+            assert (await proxy.send(request())).start.split()[1] == "500"
+            proxy.engine.decisions = real
+            assert (await proxy.send(request())).body == b"ok"
 
     run(main())
     assert "broken" in logged()
@@ -519,93 +526,94 @@
 
 @pytest.mark.parametrize("status", ["200", "500"])
 @pytest.mark.parametrize("step", ["request", "outcome"])
-def test_a_fault_of_the_module_leaves_no_request_counted_as_held(step: str, status: str) -> None:
-    """Whatever it had noted of the request when it broke, admission would count it for ever."""
+def test_an_exception_in_the_balancer_leaves_no_request_counted_as_held(step: str, status: str) -> None:
+    """Guards against a request that admission would count for ever, as the balancer had registered it before
+    the exception."""
 
     async def main() -> None:
         endpoint = Endpoint(serve_ok if status == "200" else fails_with(500))
-        async with sidecar(endpoint) as one:
-            real = one.engine.decisions
+        async with sidecar(endpoint) as proxy:
+            real = proxy.engine.decisions
 
             def broken(now: int, event: Any) -> list[Action]:
                 if step == "request":
                     real.request(now, event)
                 raise RuntimeError("broken")
 
-            override_decisions(one.engine, **{step: broken})
+            override_decisions(proxy.engine, **{step: broken})
             wanted = "500" if step == "request" else status
-            assert (await one.send(request())).start.split()[1] == wanted
-            one.engine.decisions = real
-            assert not one.engine.balancer.requests and not one.engine.calls
+            assert (await proxy.send(request())).start.split()[1] == wanted
+            proxy.engine.decisions = real
+            assert not proxy.engine.balancer.requests and not proxy.engine.calls
             endpoint.handler = serve_ok
-            assert (await one.send(request())).body == b"ok"
+            assert (await proxy.send(request())).body == b"ok"
 
     run(main())
 
 
-def test_the_client_that_leaves_calls_its_attempt_off() -> None:
+def test_a_client_that_disconnects_cancels_its_attempt() -> None:
     async def main() -> None:
         endpoint = Endpoint(never_answer)
-        async with sidecar(endpoint) as one:
-            told = record_outcomes(one.engine)
-            _, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            recorded = record_outcomes(proxy.engine)
+            _, writer = await proxy.connect()
             writer.write(request("pay"))
             await endpoint.arrived.acquire()
             writer.close()
             await endpoint.closed.acquire()
-            assert [(event.outcome, event.over) for event in told] == [(CANCELLED, True)]
-            assert not one.engine.calls and not one.engine.balancer.requests
+            assert [(event.outcome, event.over) for event in recorded] == [(CANCELLED, True)]
+            assert not proxy.engine.calls and not proxy.engine.balancer.requests
 
     run(main())
 
 
-def test_nothing_starts_past_the_drain_grace_the_deadline_or_the_answer() -> None:
-    """Guards a slow connect: the driver is asked at the moment of writing."""
+def test_no_attempt_starts_after_the_drain_grace_the_deadline_or_the_answer() -> None:
+    """Guards against a slow connect: whether an attempt may start is checked at the moment of writing."""
 
     async def main() -> None:
         endpoint = Endpoint(never_answer)
-        async with sidecar(endpoint) as one:
-            told = record_outcomes(one.engine)
-            asked = asyncio.create_task(one.send(request("pay", deadline_ms=4000)))
+        async with sidecar(endpoint) as proxy:
+            recorded = record_outcomes(proxy.engine)
+            asked = asyncio.create_task(proxy.send(request("pay", deadline_ms=4000)))
             await endpoint.arrived.acquire()
-            ((_, call),) = one.engine.calls.items()
+            ((_, call),) = proxy.engine.calls.items()
             (attempt,) = call.attempts
-            place = one.engine.members.places[attempt.endpoint]
-            now = one.engine.now()
-            assert one.engine.attempts.may_start(attempt, now)
-            assert not one.engine.attempts.may_start(attempt, call.expires)
+            place = proxy.engine.members.places[attempt.endpoint]
+            now = proxy.engine.now()
+            assert proxy.engine.attempts.may_start(attempt, now)
+            assert not proxy.engine.attempts.may_start(attempt, call.expires)
             place.withdrawn_at = now - (500_000 - 150_000) + 1
-            assert one.engine.attempts.may_start(attempt, now)
+            assert proxy.engine.attempts.may_start(attempt, now)
             place.withdrawn_at = now - (500_000 - 150_000)
-            assert not one.engine.attempts.may_start(attempt, now)
-            link = one.upstream.by_attempt[attempt]
-            link.write()  # as a connect that took so long would
-            assert [event.outcome for event in told] == [MOOT] and len(endpoint.got) == 1
+            assert not proxy.engine.attempts.may_start(attempt, now)
+            connection = proxy.upstream.by_attempt[attempt]
+            connection.write()  # as after a connect that took too long
+            assert [event.outcome for event in recorded] == [MOOT] and len(endpoint.got) == 1
             asked.cancel()
 
     run(main())
 
 
-def test_an_attempt_past_the_most_is_not_sent() -> None:
+def test_an_attempt_beyond_the_limit_is_not_sent() -> None:
     async def main() -> None:
         endpoints = [Endpoint(status(503, "X-Not-Run: 1\r\n")) for _ in range(4)]
-        async with sidecar(*endpoints) as one:
-            one.engine.attempts.settings = replace(one.engine.settings, max_attempts=2)
-            told = record_outcomes(one.engine)
-            await one.send(request("pay"))
+        async with sidecar(*endpoints) as proxy:
+            proxy.engine.attempts.settings = replace(proxy.engine.settings, max_attempts=2)
+            recorded = record_outcomes(proxy.engine)
+            await proxy.send(request("pay"))
             assert sum(len(endpoint.got) for endpoint in endpoints) == 2
-            assert [event.outcome for event in told][:3] == [FULL, FULL, MOOT]
+            assert [event.outcome for event in recorded][:3] == [FULL, FULL, MOOT]
 
     run(main())
 
 
 def test_timers_never_fire_early() -> None:
     async def main() -> None:
-        async with sidecar() as one:
+        async with sidecar() as proxy:
             fired: asyncio.Queue[int] = asyncio.Queue()
             for delay in (1, 400, 1_499, 2_501, 7_777):
-                due = one.engine.now() + delay
-                one.engine.clock.at(due, lambda due: fired.put_nowait(one.engine.now() - due), due)
+                due = proxy.engine.now() + delay
+                proxy.engine.clock.at(due, lambda due: fired.put_nowait(proxy.engine.now() - due), due)
             for _ in range(5):
                 assert await fired.get() >= 0
 
@@ -615,7 +623,7 @@
 # --- Connections ------------------------------------------------------------------------
 
 
-def test_the_latest_used_connection_is_reused_and_the_idle_are_dropped() -> None:
+def test_the_most_recently_used_connection_is_reused_and_idle_ones_are_closed() -> None:
     async def main() -> None:
         gates = {"r1": asyncio.Event(), "r2": asyncio.Event()}
         served: list[tuple[str, int]] = []
@@ -628,24 +636,24 @@
             writer.write(answer())
 
         endpoint = Endpoint(gated)
-        async with sidecar(endpoint, ceilings={"conn-idle-us": 30_000_000}) as one:
+        async with sidecar(endpoint, ceilings={"conn-idle-us": 30_000_000}) as proxy:
             asked = []
             for rid in gates:
-                asked.append(asyncio.create_task(one.send(request(rid=rid))))
+                asked.append(asyncio.create_task(proxy.send(request(rid=rid))))
                 await endpoint.arrived.acquire()
             for gate, task in zip(gates.values(), asked, strict=True):
                 gate.set()
                 await task
-            await one.send(request(rid="r3"))
+            await proxy.send(request(rid="r3"))
             ports = dict(served)
             assert ports["r3"] == ports["r2"] != ports["r1"]
-            assert one.upstream.idle_connections.timeout_s <= 24.0, "well before the endpoint's idle time"
-            oldest = one.upstream.idle_connections.oldest()
+            assert proxy.upstream.idle_connections.timeout_s <= 24.0, "well before the endpoint's idle time"
+            oldest = proxy.upstream.idle_connections.oldest()
             assert oldest is not None
-            one.upstream.idle_connections.waiting_since[oldest] -= 24.0
-            one.upstream.idle_connections.run()
+            proxy.upstream.idle_connections.waiting_since[oldest] -= 24.0
+            proxy.upstream.idle_connections.run()
             await endpoint.closed.acquire()
-            assert len(one.upstream.connections) == 1
+            assert len(proxy.upstream.connections) == 1
 
     run(main())
 
@@ -657,13 +665,13 @@
             writer.close()
 
         endpoint = Endpoint(once)
-        async with sidecar(endpoint) as one:
-            told = record_outcomes(one.engine)
+        async with sidecar(endpoint) as proxy:
+            recorded = record_outcomes(proxy.engine)
             for n in range(3):
-                await one.send(request("pay", rid=f"r{n}"))
-                while one.upstream.connections:
+                await proxy.send(request("pay", rid=f"r{n}"))
+                while proxy.upstream.connections:
                     await asyncio.sleep(0)
-            assert [event.outcome for event in told] == [OK, OK, OK]
+            assert [event.outcome for event in recorded] == [OK, OK, OK]
 
     run(main())
 
@@ -671,24 +679,24 @@
 def test_open_connections_stay_within_their_limit() -> None:
     async def main() -> None:
         first, second = Endpoint(), Endpoint()
-        async with sidecar(first, second) as one:
-            one.upstream.max_connections = 1
-            one.apply_list(first.entry("s-0"))
-            await one.send(request())
-            one.apply_list(first.entry("s-0"), second.entry("s-1"))
-            assert one.upstream.pools[endpoint_number("s-0")].idle
-            one.apply_list(second.entry("s-1", lifecycle="ready"), whole=False)
+        async with sidecar(first, second) as proxy:
+            proxy.upstream.max_connections = 1
+            proxy.apply_list(first.entry("s-0"))
+            await proxy.send(request())
+            proxy.apply_list(first.entry("s-0"), second.entry("s-1"))
+            assert proxy.upstream.pools[endpoint_number("s-0")].idle
+            proxy.apply_list(second.entry("s-1", lifecycle="ready"), whole=False)
             override_decisions(
-                one.engine, request=lambda now, event: [Send(event.request, endpoint_number("s-1"), 0)]
+                proxy.engine, request=lambda now, event: [Send(event.request, endpoint_number("s-1"), 0)]
             )
-            assert (await one.send(request(rid="r2"))).body == b"ok"
-            await first.closed.acquire()  # the longest idle made room
-            assert len(one.upstream.connections) == 1
+            assert (await proxy.send(request(rid="r2"))).body == b"ok"
+            await first.closed.acquire()  # the longest idle connection was closed to make room
+            assert len(proxy.upstream.connections) == 1
 
     run(main())
 
 
-# --- Callers ----------------------------------------------------------------------------
+# --- Clients ----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -704,51 +712,51 @@
     ],
     ids=["nonsense", "class", "key", "deadline", "body", "head", "method"],
 )
-def test_a_bad_request_gets_a_plain_4xx_and_the_connection_closed(raw: bytes, expected: str) -> None:
+def test_an_invalid_request_gets_a_4xx_and_its_connection_is_closed(raw: bytes, expected: str) -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint) as one:
-            reader, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(raw)
-            back = await read_message(reader)
-            assert back.start.split()[1] == expected and back.headers["connection"] == "close"
+            response = await read_message(reader)
+            assert response.start.split()[1] == expected and response.headers["connection"] == "close"
             assert await reader.read() == b""
             writer.close()
-            assert (await one.send(request())).body == b"ok"
+            assert (await proxy.send(request())).body == b"ok"
             assert len(endpoint.got) == 1
 
     run(main())
 
 
-def test_an_unreadable_hint_refuses_nobody() -> None:
+def test_a_malformed_cost_hint_is_ignored() -> None:
     async def main() -> None:
-        async with sidecar(Endpoint()) as one:
-            assert (await one.send(request(headers="X-Cost-Hint: 12.5e3\r\n"))).body == b"ok"
+        async with sidecar(Endpoint()) as proxy:
+            assert (await proxy.send(request(headers="X-Cost-Hint: 12.5e3\r\n"))).body == b"ok"
 
     run(main())
 
 
-def test_a_deadline_that_has_passed_sends_nothing() -> None:
+def test_a_request_past_its_deadline_is_not_forwarded() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint) as one:
-            back = await one.send(request("pay", deadline_ms=0))
-            assert back.start.split()[1] in ("503", "504")
-            assert not endpoint.got and not one.engine.calls and not one.engine.balancer.requests
+        async with sidecar(endpoint) as proxy:
+            response = await proxy.send(request("pay", deadline_ms=0))
+            assert response.start.split()[1] in ("503", "504")
+            assert not endpoint.got and not proxy.engine.calls and not proxy.engine.balancer.requests
 
     run(main())
 
 
-def test_ready_does_not_wait_for_discovery() -> None:
+def test_readiness_does_not_wait_for_discovery() -> None:
     async def main() -> None:
-        async with sidecar(known=False) as one:
-            back = await one.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-            assert back.start.startswith("HTTP/1.1 200")
+        async with sidecar(known=False) as proxy:
+            response = await proxy.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+            assert response.start.startswith("HTTP/1.1 200")
 
     run(main())
 
 
-def test_keys_are_numbers_of_what_a_request_is_about() -> None:
+def test_object_keys_are_parsed_from_the_query() -> None:
     assert parse_object_key(b"a=1&obj=7f3a9c21e0b4d655") == 0x7F3A9C21E0B4D655
     assert parse_object_key(b"a=1") == 0
     assert parse_object_key(b"obj=no-number") == parse_object_key(b"obj=no-number") != 0
@@ -757,7 +765,7 @@
 # --- The process ------------------------------------------------------------------------
 
 
-def test_sigterm_finishes_what_was_taken_and_exits(tmp_path: Path) -> None:
+def test_sigterm_finishes_open_requests_and_exits(tmp_path: Path) -> None:
     async def main() -> None:
         release = asyncio.Event()
 
@@ -782,15 +790,15 @@
             assert await idle.read() == b"", "the idle connection is closed"
             new, new_writer = await asyncio.open_connection("127.0.0.1", port)
             new_writer.write(request(rid="new"))
-            back = await read_message(new)
-            assert back.body == b"ok" and back.headers["connection"] == "close"
+            response = await read_message(new)
+            assert response.body == b"ok" and response.headers["connection"] == "close"
             release.set()
-            back = await read_message(reader)
-            assert back.body == b"ok" and back.headers["connection"] == "close"
+            response = await read_message(reader)
+            assert response.body == b"ok" and response.headers["connection"] == "close"
             _, errors = await process.communicate()
             assert (process.returncode, errors) == (0, b"")
-            for one in (writer, idle_writer, new_writer):
-                one.close()
+            for open_writer in (writer, idle_writer, new_writer):
+                open_writer.close()
 
     run(main())
 
@@ -804,7 +812,7 @@
         {"seed": "xyz"},
     ],
 )
-def test_a_bad_configuration_is_one_line_and_an_exit(tmp_path: Path, changes: dict[str, Any]) -> None:
+def test_an_invalid_configuration_logs_one_line_and_exits(tmp_path: Path, changes: dict[str, Any]) -> None:
     async def main() -> None:
         registry = Registry()
         registry.port = 1
@@ -816,7 +824,7 @@
     run(main())
 
 
-def test_no_configuration_is_one_line_and_an_exit() -> None:
+def test_a_missing_configuration_logs_one_line_and_exits() -> None:
     async def main() -> None:
         environ = {name: value for name, value in os.environ.items() if name != "LB_CONFIG"}
         process = await start_daemon(environ)
@@ -826,8 +834,8 @@
     run(main())
 
 
-def test_white_space_around_a_value_is_no_part_of_it() -> None:
-    """RFC 9110, 5.6.3: none, or any number of spaces and tabs, on both sides."""
+def test_whitespace_around_a_header_value_is_stripped() -> None:
+    """RFC 9110, 5.6.3: any number of spaces and tabs, or none, on both sides of the value."""
 
     async def main() -> None:
         async def spaced(endpoint: Endpoint, message: Message, writer: Writer) -> None:
@@ -837,15 +845,15 @@
             )
 
         endpoint = Endpoint(spaced)
-        async with sidecar(endpoint) as one:
-            told = record_outcomes(one.engine)
+        async with sidecar(endpoint) as proxy:
+            recorded = record_outcomes(proxy.engine)
             raw = request("pay", b"b").replace(b": ", b":\t ").replace(b"\r\n", b" \t\r\n")
-            back = await one.send(
+            response = await proxy.send(
                 raw.replace(b"HTTP/1.1 \t", b"HTTP/1.1").replace(b" \t\r\n \t\r\n", b" \t\r\n\r\n")
             )
-            assert back.body == b"ok" and back.headers["content-type"] == "x"
-            (got,) = endpoint.got
-            assert got.headers["x-request-id"] == "r1" and got.headers["x-class"] == "pay"
-            assert told[0].outcome == OK and told[0].report == [2.0, 1.0]
+            assert response.body == b"ok" and response.headers["content-type"] == "x"
+            (received,) = endpoint.got
+            assert received.headers["x-request-id"] == "r1" and received.headers["x-class"] == "pay"
+            assert recorded[0].outcome == OK and recorded[0].report == [2.0, 1.0]
 
     run(main())
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -196,7 +196,7 @@
 # --- Accept -----------------------------------------------------------------------------
 
 
-def test_a_failed_accept_costs_no_request(shim: FaultShim, tmp_path: Path) -> None:
+def test_a_failed_accept_loses_no_request(shim: FaultShim, tmp_path: Path) -> None:
     """One, two and three failures in a row, and eight; on either address."""
 
     async def main() -> None:
@@ -215,7 +215,9 @@
 
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM], ids=name_of)
-def test_connections_wait_while_none_can_be_accepted(shim: FaultShim, tmp_path: Path, error: int) -> None:
+def test_connections_wait_in_the_backlog_while_accept_fails(
+    shim: FaultShim, tmp_path: Path, error: int
+) -> None:
     """The failure lasts for many calls; what came meanwhile is served once it ends."""
 
     async def main() -> None:
@@ -232,7 +234,7 @@
     run(main())
 
 
-def test_a_stop_while_none_can_be_accepted_still_serves_what_waits(shim: FaultShim, tmp_path: Path) -> None:
+def test_a_shutdown_while_accept_fails_serves_the_backlog(shim: FaultShim, tmp_path: Path) -> None:
     async def main() -> None:
         async with site(shim, tmp_path) as one:
             fault = shim.add(Fault(SystemCall.ACCEPT, errno.ENFILE, UNTIL_CLEARED, one.port))
@@ -252,7 +254,7 @@
 # --- Socket and connect -----------------------------------------------------------------
 
 
-def test_a_connection_that_fails_at_first_costs_no_request(shim: FaultShim, tmp_path: Path) -> None:
+def test_a_failed_connect_loses_no_request(shim: FaultShim, tmp_path: Path) -> None:
     async def main() -> None:
         async with site(shim, tmp_path, serve(headers=ENDS_EACH)) as one:
             at_connect = [
@@ -270,7 +272,7 @@
 
 
 @pytest.mark.parametrize("call", [SystemCall.SOCKET, SystemCall.CONNECT], ids=call_name)
-def test_faults_of_this_machine_eject_no_endpoint_and_service_is_back_with_their_end(
+def test_local_faults_eject_no_endpoint_and_service_resumes_after_them(
     shim: FaultShim, tmp_path: Path, call: SystemCall
 ) -> None:
     async def main() -> None:
@@ -301,7 +303,7 @@
     run(main())
 
 
-def test_requests_outwait_a_fault_of_this_machine_that_is_short(shim: FaultShim, tmp_path: Path) -> None:
+def test_requests_outlast_a_short_local_fault(shim: FaultShim, tmp_path: Path) -> None:
     async def main() -> None:
         async with site(shim, tmp_path, serve(headers=ENDS_EACH), count=1) as one:
             fault = shim.add(Fault(SystemCall.CONNECT, errno.EADDRNOTAVAIL, 3, port=one.endpoints[0].port))
@@ -311,7 +313,7 @@
     run(main())
 
 
-def test_a_deadline_that_passes_while_no_socket_can_be_had_ejects_no_endpoint(
+def test_a_deadline_that_passes_without_a_local_socket_ejects_no_endpoint(
     shim: FaultShim, tmp_path: Path
 ) -> None:
     """It comes before the attempt that waits for one is given up: not run, so refused."""
@@ -331,7 +333,7 @@
 # --- Connections that break under a request ---------------------------------------------
 
 
-def test_a_connection_that_breaks_under_a_request_may_have_run_it(shim: FaultShim, tmp_path: Path) -> None:
+def test_a_request_whose_connection_breaks_may_have_run(shim: FaultShim, tmp_path: Path) -> None:
     """The endpoint has run it and answers; the read of that answer fails."""
 
     async def main() -> None:
@@ -370,7 +372,7 @@
 
 # All but `socket`, for which Linux documents no EINTR.
 @pytest.mark.parametrize("call", [one for one in SystemCall if one is not SystemCall.SOCKET], ids=call_name)
-def test_interrupted_calls_are_made_again(shim: FaultShim, tmp_path: Path, call: SystemCall) -> None:
+def test_interrupted_calls_are_retried(shim: FaultShim, tmp_path: Path, call: SystemCall) -> None:
     async def main() -> None:
         # What is polled is a connection at rest; what is connected, one that is not there yet.
         ends = "" if call is SystemCall.POLL else ENDS_EACH
@@ -420,7 +422,7 @@
     run(main())
 
 
-def test_short_calls_change_no_list_and_no_answer_of_the_second_address(
+def test_short_calls_corrupt_no_endpoint_list_and_no_management_answer(
     shim: FaultShim, tmp_path: Path
 ) -> None:
     """All calls on the watch and at the second address move one byte each."""
@@ -442,7 +444,7 @@
     run(main())
 
 
-def test_a_poll_that_fails_costs_no_request(shim: FaultShim, tmp_path: Path) -> None:
+def test_a_failed_poll_loses_no_request(shim: FaultShim, tmp_path: Path) -> None:
     """It is asked of resting connections, and of clients' that are to end."""
 
     async def main() -> None:
@@ -466,7 +468,7 @@
 
 
 @pytest.mark.parametrize("call", DISCOVERY_FAULTS, ids=call_name)
-def test_discovery_is_watched_again_behind_failed_calls(
+def test_discovery_is_watched_again_after_failed_calls(
     shim: FaultShim, tmp_path: Path, call: SystemCall
 ) -> None:
     """The watch breaks, and so do the first calls for another; the list that comes then holds."""
@@ -506,7 +508,7 @@
 
 
 @pytest.mark.parametrize("fault", HANDOVER_FAULTS, ids=str)
-def test_a_version_takes_over_behind_failed_and_short_calls(
+def test_a_successor_takes_over_despite_failed_and_short_calls(
     shim: FaultShim, tmp_path: Path, fault: Fault
 ) -> None:
     """Neither logs a line, so nothing was given up, and what is asked on the way is served."""
