--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -1,7 +1,8 @@
-"""Crossings on the endpoints' side: something ends in the instant in which something is still owed.
+"""Race conditions between attempts and the connections to endpoints, endpoint lists, timeouts and deadlines.
 
-A scripted peer, or a held step of the code, keeps one side until the other has come to that instant.
-The rules are judged by what the stand-ins saw: answers, effects, requests and ends of connections."""
+A scripted peer, or a step of the code that the test holds back, keeps one side until the other has reached
+the
+critical moment. The tests check what the stand-in endpoints saw: requests, effects and closed connections."""
 
 from __future__ import annotations
 
@@ -49,20 +50,21 @@
 
 
 class Opening:
-    """Takes the place of the upstream's loop: holds connections that are about to be opened, and has a
-    look in when one has come up."""
+    """Replaces the upstream's event loop: holds back connections that are being opened, and calls the test
+    when
+    one is established."""
 
     def __init__(
         self,
         proxy: Sidecar,
-        made: Callable[[], None] | None = None,
-        begun: Callable[[], None] | None = None,
+        on_connected: Callable[[], None] | None = None,
+        on_connecting: Callable[[], None] | None = None,
     ) -> None:
-        self.asked: asyncio.Queue[int] = asyncio.Queue()  # the ports, in the order asked for
+        self.asked: asyncio.Queue[int] = asyncio.Queue()  # the ports of the connections requested, in order
         self.may_open = asyncio.Event()
-        self.made = made  # in the turn in which it came up, behind what the program does in it
-        self.small = False  # connections whose buffer for sending is the system's least
-        self.begun = begun  # in the same turn, before what the program does in it
+        self.on_connected = on_connected  # called in the loop iteration of `connection_made`, after it
+        self.shrink_send_buffer = False  # give connections the smallest send buffer that the system allows
+        self.on_connecting = on_connecting  # called in the same loop iteration, before it
         self.real = proxy.upstream.loop
         held = MethodProxy(self.real, create_connection=self._create)
         proxy.upstream.loop = cast(asyncio.AbstractEventLoop, held)
@@ -70,31 +72,31 @@
     async def _create(self, factory: Callable[[], Any], host: str, port: int) -> Any:
         self.asked.put_nowait(port)
         await self.may_open.wait()
-        if self.begun is not None:
-            self.real.call_soon(self.begun)
+        if self.on_connecting is not None:
+            self.real.call_soon(self.on_connecting)
         return await self.real.create_connection(lambda: self._watched(factory()), host, port)
 
     def _watched(self, protocol: Any) -> Any:
         def connection_made(transport: asyncio.BaseTransport) -> None:
-            if self.small:
+            if self.shrink_send_buffer:
                 found = transport.get_extra_info("socket")
                 found.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
             protocol.connection_made(transport)
-            if self.made is not None:
-                self.made()
+            if self.on_connected is not None:
+                self.on_connected()
 
         return MethodProxy(protocol, connection_made=connection_made)
 
 
-def shift(proxy: Sidecar, span_us: int) -> None:
-    """Set forward the clock by which the engine and the upstream judge."""
+def advance_clock(proxy: Sidecar, span_us: int) -> None:
+    """Set the clock of the engine and the upstream forward."""
     real = proxy.engine.clock.now
     proxy.engine.clock = cast(Clock, MethodProxy(proxy.engine.clock, now=lambda: real() + span_us))
     proxy.upstream.now = proxy.engine.clock.now
 
 
-def come_due(proxy: Sidecar, attempt: Attempt) -> None:
-    """Its timer, now."""
+def fire_timer(proxy: Sidecar, attempt: Attempt) -> None:
+    """Fire the timer of an attempt now."""
     timer = cast(Timer, attempt.timer)
     assert timer.handle is not None
     timer.handle.cancel()
@@ -103,21 +105,24 @@
 
 
 def set_window(proxy: Sidecar, window_us: int) -> None:
-    """Give all classes this window for repeats."""
+    """Set the retry window of all classes."""
     classes = tuple(replace(cls, window_us=window_us) for cls in proxy.engine.settings.classes)
     proxy.engine.settings = proxy.engine.attempts.settings = replace(proxy.engine.settings, classes=classes)
     proxy.engine.balancer.settings = replace(proxy.engine.balancer.settings, classes=classes)
 
 
-def got_in_turn(endpoints: list[Endpoint]) -> list[Message]:
-    """What two endpoints got: first the one whose script broke off."""
+def received_in_order(endpoints: list[Endpoint]) -> list[Message]:
+    """The requests received by two endpoints, first those of the one that broke its connection."""
     first, second = sorted(endpoints, key=lambda endpoint: endpoint.effects.by_id["r1"])
     return [*first.got, *second.got]
 
 
-async def count_got(endpoints: list[Endpoint]) -> int:
-    """The requests that have been written to endpoints by now: what they have not read yet is waited
-    for, by requests of the test's own that are written behind it, twice one after the other."""
+async def count_requests(endpoints: list[Endpoint]) -> int:
+    """The number of requests written to the endpoints so far.
+
+    To be sure that the endpoints have read them all, the test sends requests of its own after them, twice in
+    a
+    row, and waits until those have been read."""
     for n in range(2):
         for endpoint in endpoints:
             _, writer = await asyncio.open_connection("127.0.0.1", endpoint.port)
@@ -137,7 +142,7 @@
 
 
 class Peer:
-    """An endpoint by hand: a listening socket whose connections the test reads and writes itself."""
+    """An endpoint whose connections the test accepts, reads and writes itself."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -152,16 +157,16 @@
         return accepted
 
     async def read(self, accepted: socket.socket) -> bytes:
-        """The next request: a head, with no body."""
+        """Read the next request, which has no body."""
         data = b""
         while not data.endswith(b"\r\n\r\n"):
             more = await self.loop.sock_recv(accepted, 4096)
-            assert more, "it ended before its request was whole"
+            assert more, "the connection ended before the request was complete"
             data += more
         return data
 
     async def read_all(self, accepted: socket.socket, size: int) -> None:
-        """A request whose body is so many times `x`."""
+        """Read a request whose body is `size` times `x`."""
         data = b""
         while not data.endswith(b"x" * size):
             data += await self.loop.sock_recv(accepted, 65_536)
@@ -171,7 +176,7 @@
             sock.close()
 
 
-def reset_by(accepted: socket.socket) -> None:
+def reset_connection(accepted: socket.socket) -> None:
     accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     accepted.close()
 
@@ -180,8 +185,8 @@
     return bool(select.select([sock], [], [], 0)[0])
 
 
-def has_ended(accepted: socket.socket) -> bool:
-    """Whether the other side has ended its sending, by now."""
+def is_closed_by_peer(accepted: socket.socket) -> bool:
+    """Whether the other side has closed the connection by now."""
     try:
         return accepted.recv(1) == b""
     except BlockingIOError:
@@ -191,8 +196,8 @@
 
 
 @contextlib.asynccontextmanager
-async def by_hand(**ceilings: Any) -> AsyncIterator[tuple[Sidecar, Peer]]:
-    """A sidecar whose one endpoint is a peer by hand."""
+async def scripted_endpoint(**ceilings: Any) -> AsyncIterator[tuple[Sidecar, Peer]]:
+    """A sidecar whose only endpoint is a `Peer`."""
     peer = Peer()
     with contextlib.closing(peer):
         async with sidecar(
@@ -206,18 +211,18 @@
 
 
 def test_a_connection_made_as_its_timeout_expires_has_one_outcome() -> None:
-    """The request is written in the turn whose end is past the connect timeout."""
+    """The request is written in a loop iteration that ends after the connect timeout."""
 
     async def main() -> None:
         endpoint = Endpoint()
         async with sidecar(endpoint, ceilings={"connect-timeout-us": 200_000}) as proxy:
-            begun = time.monotonic()
+            started = time.monotonic()
 
             def stay_past_the_timeout() -> None:
-                while time.monotonic() < begun + 0.25:
+                while time.monotonic() < started + 0.25:
                     pass
 
-            Opening(proxy, made=stay_past_the_timeout).may_open.set()
+            Opening(proxy, on_connected=stay_past_the_timeout).may_open.set()
             assert (await proxy.send(request("pay"))).body == b"ok"
             assert endpoint.effects.by_id["r1"] == 1
             assert len(proxy.upstream.connections) == len(proxy.upstream.idle_connections.waiting_since) == 1
@@ -226,7 +231,9 @@
 
 
 def test_a_connection_made_after_its_timeout_is_not_used() -> None:
-    """The other order: the timeout comes first, and the connection is up in the same turn."""
+    """The other order: the timeout expires first, and the connection is established in the same loop
+    iteration.
+    """
 
     async def main() -> None:
         endpoints = [Endpoint(), Endpoint()]
@@ -240,7 +247,7 @@
                     connecting.waiting_since[connection] -= connecting.timeout_s
                     connecting.run()
 
-            Opening(proxy, begun=time_out_the_first).may_open.set()
+            Opening(proxy, on_connecting=time_out_the_first).may_open.set()
             assert (await proxy.send(request("pay"))).body == b"ok"
             assert [event.outcome for event in recorded] == [NO_CONNECT, OK]
             assert sorted(len(endpoint.got) for endpoint in endpoints) == [0, 1]
@@ -262,12 +269,12 @@
     run(main())
 
 
-# --- Repeats ----------------------------------------------------------------------------
+# --- Retries ----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(("span_us", "sent"), [(0, 2), (3_000_000, 1)], ids=["within", "past"])
 def test_a_retry_is_written_only_within_its_window(span_us: int, sent: int) -> None:
-    """Decided in time, but its connection came up late."""
+    """The retry is decided within the window, but its connection is established late."""
 
     async def main() -> None:
         endpoints = [Endpoint(), Endpoint()]
@@ -287,10 +294,10 @@
             answering = asyncio.create_task(proxy.send(request("put", b"b")))
             for _ in range(2):
                 await opening.asked.get()
-            shift(proxy, span_us)
+            advance_clock(proxy, span_us)
             opening.may_open.set()
             response = await answering
-            assert await count_got(endpoints) == sent
+            assert await count_requests(endpoints) == sent
             assert response.status == (200 if sent == 2 else 502)
 
     run(main())
@@ -312,7 +319,7 @@
 def test_no_keyed_attempt_is_written_after_the_window_of_one_that_may_have_run(
     steps: list[tuple[str, Any]],
 ) -> None:
-    """The engine alone: connections come up, answers come and time passes in any order."""
+    """The engine without sockets: writes, answers and the passing of time come in any order."""
     put = {**SETTINGS["classes"][1], "repeat-window-us": WINDOW_US}
     config = config_from({"seed": "7", "settings": {**SETTINGS, "classes": [put]}}, "test")
     clock, source, front = ManualClock(), StaticMembers(), Answers()
@@ -323,7 +330,7 @@
     engine.start()
     source.give([entry(f"s-{n}", cell=1) for n in range(4)])
     engine.take(Call(0, clock.now() + 4_000_000, b"POST /put", b"", b"", front, b"r1"))
-    doubt_since: int | None = None  # the first write that may have run
+    may_have_run_since: int | None = None  # the time of the first write that may have run
     for kind, value in steps:
         if kind == "advance":
             clock.advance(value * 1000)
@@ -333,19 +340,19 @@
             (sent,) = upstream.out.values()
             written, ran = sent.written, sent.ran
             upstream.answer(sent, value)
-            if written and not (value == FULL and not ran) and doubt_since is None:
-                doubt_since = upstream.writes[-1][0]
+            if written and not (value == FULL and not ran) and may_have_run_since is None:
+                may_have_run_since = upstream.writes[-1][0]
         else:
             (sent,) = upstream.out.values()
             before = len(upstream.writes)
             upstream.write(sent, value)
-            if len(upstream.writes) > before and doubt_since is not None:
-                assert clock.now() < doubt_since + WINDOW_US
+            if len(upstream.writes) > before and may_have_run_since is not None:
+                assert clock.now() < may_have_run_since + WINDOW_US
     clock.advance(4_000_000)
     assert len(front.given) == 1 and not engine.calls
 
 
-# --- Lists ------------------------------------------------------------------------------
+# --- Endpoint lists ---------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -360,9 +367,10 @@
     ],
 )
 def test_a_request_for_a_replaced_endpoint_goes_to_the_new_one(change: str, sent: tuple[int, int]) -> None:
-    """A list comes while the connection does. A drain leaves its grace; another address or start is
-    another process, and nothing is known of the one that the connection was asked of. Where the process may
-    be held up over the end of the grace as it writes, nothing is written."""
+    """An endpoint list arrives while the connection is being opened. After a drain, requests may still start
+    within the drain grace. A new address or start time means another process, so the connection is not used.
+    Nothing is
+    written so late that a stall of the process could delay the write past the drain grace."""
 
     async def main() -> None:
         old, new = Endpoint(), Endpoint()
@@ -380,10 +388,10 @@
                 proxy.apply_list(old.entry("s-0", lifecycle="draining"))
             elif change == "drained":
                 proxy.apply_list(old.entry("s-0", lifecycle="draining"), new.entry("s-1"))
-                shift(proxy, 500_000)
+                advance_clock(proxy, 500_000)
             elif change == "held-up":
                 proxy.apply_list(old.entry("s-0", lifecycle="draining"), new.entry("s-1"))
-                shift(proxy, 500_000 - 150_000)
+                advance_clock(proxy, 500_000 - 150_000)
             opening.may_open.set()
             assert (await answering).status == 200
             if change == "start":
@@ -394,102 +402,105 @@
     run(main())
 
 
-# --- Second copies ----------------------------------------------------------------------
+# --- One attempt at a time --------------------------------------------------------------
 
 
-@pytest.mark.parametrize("spoilt", [b"what?\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx"])
-def test_a_malformed_answer_closes_its_connection_before_the_next_attempt(spoilt: bytes) -> None:
-    """The next may go out in the same turn: the one before would be a second copy beside it."""
+@pytest.mark.parametrize("malformed", [b"what?\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx"])
+def test_a_malformed_answer_closes_its_connection_before_the_next_attempt(malformed: bytes) -> None:
+    """The next attempt may be sent in the same loop iteration: the old one must not be open beside it."""
 
     async def main() -> None:
-        async with by_hand() as (proxy, peer):
+        async with scripted_endpoint() as (proxy, peer):
             ended: list[bool] = []
 
             def outcome(now: int, event: Outcome) -> list[Action]:
-                ended.append(has_ended(peer.taken[0]))
+                ended.append(is_closed_by_peer(peer.taken[0]))
                 return real.outcome(now, event)
 
             real = override_decisions(proxy.engine, outcome=outcome)
             answering = asyncio.create_task(proxy.send(request()))
             accepted = await peer.accept()
             await peer.read(accepted)
-            await peer.loop.sock_sendall(accepted, spoilt)
-            if spoilt.startswith(b"HTTP"):  # it never ends
+            await peer.loop.sock_sendall(accepted, malformed)
+            if malformed.startswith(b"HTTP"):  # the answer never ends
                 receiving = proxy.upstream.receiving
                 await until(lambda: bool(receiving.waiting_since))
                 (connection,) = receiving.waiting_since
                 receiving.waiting_since[connection] -= receiving.timeout_s
                 receiving.run()
-            assert (await answering).status == 503, "a class that is safe to repeat"
+            assert (await answering).status == 503, "the class is safe to retry"
             assert ended == [True]
 
     run(main())
 
 
-# --- Spoilt answers ---------------------------------------------------------------------
+# --- Malformed answers ------------------------------------------------------------------
 
 
-class Kept:
-    """One request after the other, to a peer by hand that keeps its connections."""
+class Exchanges:
+    """Sends requests one after another to a `Peer`, which keeps its connections open."""
 
     def __init__(self, proxy: Sidecar, peer: Peer, cls: str) -> None:
-        self.one, self.peer, self.cls = proxy, peer, cls
-        self.asked = 0
-        self.time = proxy.engine.now()  # stands still where connections are chosen
+        self.proxy, self.peer, self.cls = proxy, peer, cls
+        self.request_count = 0
+        self.time = proxy.engine.now()  # a fixed time, by which connections are chosen
         proxy.upstream.now = lambda: self.time
 
-    def ask(self) -> asyncio.Task[Message]:
-        self.asked += 1
-        return asyncio.create_task(self.one.send(request(self.cls, rid=f"r{self.asked}")))
+    def send(self) -> asyncio.Task[Message]:
+        self.request_count += 1
+        return asyncio.create_task(self.proxy.send(request(self.cls, rid=f"r{self.request_count}")))
 
-    async def serve(self, behind: bytes = b"") -> socket.socket:
-        """A whole exchange on a new connection, and what comes with its answer."""
-        answering = self.ask()
+    async def serve(self, trailing: bytes = b"") -> socket.socket:
+        """Complete a request on a new connection; `trailing` is sent together with the answer."""
+        answering = self.send()
         accepted = await self.peer.accept()
         await self.peer.read(accepted)
-        body = b"%d" % self.asked
-        await self.peer.loop.sock_sendall(accepted, answer(body=body) + behind)
+        body = b"%d" % self.request_count
+        await self.peer.loop.sock_sendall(accepted, answer(body=body) + trailing)
         assert (await answering).body == body
         return accepted
 
 
-async def spoil_at_rest(kept: Kept) -> None:
-    accepted = await kept.serve()
-    await kept.peer.loop.sock_sendall(accepted, b"HT")
-    await until(lambda: not kept.one.upstream.connections)
+async def send_bytes_when_idle(exchanges: Exchanges) -> None:
+    accepted = await exchanges.serve()
+    await exchanges.peer.loop.sock_sendall(accepted, b"HT")
+    await until(lambda: not exchanges.proxy.upstream.connections)
 
 
-async def spoil_behind(kept: Kept) -> None:
-    await kept.serve(behind=answer(body=b"twice"))
-    await until(lambda: not kept.one.upstream.connections)
+async def send_second_answer(exchanges: Exchanges) -> None:
+    await exchanges.serve(trailing=answer(body=b"twice"))
+    await until(lambda: not exchanges.proxy.upstream.connections)
 
 
-async def spoil_noise(kept: Kept) -> None:
-    await kept.serve(behind=b"\0\1")
-    await until(lambda: not kept.one.upstream.connections)
+async def send_trailing_noise(exchanges: Exchanges) -> None:
+    await exchanges.serve(trailing=b"\0\1")
+    await until(lambda: not exchanges.proxy.upstream.connections)
 
 
-@pytest.mark.parametrize("spoil", [spoil_at_rest, spoil_behind, spoil_noise])
+@pytest.mark.parametrize("send_malformed", [send_bytes_when_idle, send_second_answer, send_trailing_noise])
 @pytest.mark.parametrize("cls", ["page", "pay"])
 @pytest.mark.parametrize("late", ["at-rest", "under-the-next"])
 def test_a_late_second_answer_answers_no_other_request(
-    late: str, cls: str, spoil: Callable[[Kept], Awaitable[None]]
+    late: str, cls: str, send_malformed: Callable[[Exchanges], Awaitable[None]]
 ) -> None:
-    """Once an endpoint was seen to spoil its answers. It may come before the next request is
-    written, or behind that; to an unsafe one it would say that it never ran."""
+    """After a malformed answer from any endpoint. The second answer arrives before the next request is
+    written, or
+    after that. It would answer the next request; to an unsafe one it would say that it never ran."""
 
     async def main() -> None:
-        async with by_hand() as (proxy, peer):
-            kept = Kept(proxy, peer, cls)
-            await spoil(kept)
-            accepted = await kept.serve()
+        async with scripted_endpoint() as (proxy, peer):
+            exchanges = Exchanges(proxy, peer, cls)
+            await send_malformed(exchanges)
+            accepted = await exchanges.serve()
             second = answer(503, b"", "X-Not-Run: 1\r\n") if cls == "pay" else answer(body=b"2")
             if late == "at-rest":
                 await peer.loop.sock_sendall(accepted, second)
-            answering = kept.ask()
+            answering = exchanges.send()
             if late == "under-the-next":
                 await until(lambda: is_readable(peer.listener) or is_readable(accepted))
-                assert not is_readable(accepted), "where a second answer may still come"
+                assert not is_readable(accepted), (
+                    "a connection on which a second answer may still arrive is not used"
+                )
             other = await peer.accept()
             await peer.read(other)
             if late == "under-the-next":
@@ -501,46 +512,48 @@
 
 
 def test_a_connection_is_reused_after_its_settle_time() -> None:
-    """Also once answers were seen spoilt; and of many that have not, the one that rested longest."""
+    """Also after a malformed answer. If no idle connection has settled and there are more than `MIN_IDLE`,
+    the one
+    idle longest is used."""
 
     async def main() -> None:
-        async with by_hand() as (proxy, peer):
-            kept = Kept(proxy, peer, "page")
-            await spoil_at_rest(kept)
-            accepted = await kept.serve()
+        async with scripted_endpoint() as (proxy, peer):
+            exchanges = Exchanges(proxy, peer, "page")
+            await send_bytes_when_idle(exchanges)
+            accepted = await exchanges.serve()
 
             async def serve_by(expected: socket.socket) -> None:
-                answering = kept.ask()
+                answering = exchanges.send()
                 await peer.read(expected)
-                await peer.loop.sock_sendall(expected, answer(body=b"%d" % kept.asked))
-                assert (await answering).body == b"%d" % kept.asked
+                await peer.loop.sock_sendall(expected, answer(body=b"%d" % exchanges.request_count))
+                assert (await answering).body == b"%d" % exchanges.request_count
 
-            kept.time += SETTLE_US
+            exchanges.time += SETTLE_US
             await serve_by(accepted)
             for _ in range(MIN_IDLE):
-                await kept.serve()
+                await exchanges.serve()
             assert len(proxy.upstream.idle_connections.waiting_since) == MIN_IDLE + 1
             await serve_by(accepted)
 
     run(main())
 
 
-# --- Bytes that the system has not taken yet ------------------------------------------------
+# --- Bytes that the kernel has not taken yet ------------------------------------------------
 
 
-async def half_written(
+async def send_half_written(
     proxy: Sidecar, peer: Peer, cls: str = "pay"
 ) -> tuple[asyncio.Task[Message], socket.socket]:
-    """A request whose last bytes wait in the transport: the peer reads nothing of its body."""
+    """Send a request whose last bytes stay in the transport, as the peer does not read its body."""
     peer.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
     opening = Opening(proxy)
-    opening.small = True
+    opening.shrink_send_buffer = True
     opening.may_open.set()
     answering = asyncio.create_task(proxy.send(request(cls, b"x" * 65_000)))
-    if cls == "put":  # its first attempt is written, and breaks
+    if cls == "put":  # its first attempt is fully written, then reset
         accepted = await peer.accept()
         await peer.read_all(accepted, 65_000)
-        reset_by(accepted)
+        reset_connection(accepted)
     accepted = await peer.accept()
     await until(
         lambda: bool(proxy.upstream.connections)
@@ -552,11 +565,11 @@
 @pytest.mark.parametrize("how", ["reset", "end", "second-answer", "refusal"])
 def test_a_partially_written_request_never_ran(how: str) -> None:
     async def main() -> None:
-        async with by_hand(max_attempts=1) as (proxy, peer):
+        async with scripted_endpoint(max_attempts=1) as (proxy, peer):
             recorded = record_outcomes(proxy.engine)
-            answering, accepted = await half_written(proxy, peer)
+            answering, accepted = await send_half_written(proxy, peer)
             if how == "reset":
-                reset_by(accepted)
+                reset_connection(accepted)
             elif how == "end":
                 accepted.close()
             elif how == "second-answer":
@@ -570,15 +583,15 @@
 
 
 def test_a_request_that_the_kernel_took_late_may_have_run() -> None:
-    """The other order: the last bytes left before the connection broke."""
+    """The other order: the kernel takes the last bytes before the connection is reset."""
 
     async def main() -> None:
-        async with by_hand(max_attempts=1) as (proxy, peer):
+        async with scripted_endpoint(max_attempts=1) as (proxy, peer):
             recorded = record_outcomes(proxy.engine)
-            answering, accepted = await half_written(proxy, peer)
+            answering, accepted = await send_half_written(proxy, peer)
             await peer.read_all(accepted, 65_000)
             await until(lambda: not any(connection.write_paused for connection in proxy.upstream.connections))
-            reset_by(accepted)
+            reset_connection(accepted)
             assert (await answering).status == 502
             assert recorded[0].outcome == RESET
 
@@ -586,17 +599,17 @@
 
 
 def test_a_retry_with_unwritten_bytes_is_cancelled_after_its_window() -> None:
-    """They would still be sent, were the endpoint to read at last."""
+    """The bytes would still be sent if the endpoint began to read."""
 
     async def main() -> None:
-        async with by_hand() as (proxy, peer):
+        async with scripted_endpoint() as (proxy, peer):
             at = f"127.0.0.1:{peer.port}"
             proxy.apply_list(*(Endpoint().entry(f"s-{n}", hostPort=at) for n in range(2)))
             set_window(proxy, 3_000_000)
             recorded = record_outcomes(proxy.engine)
-            answering, accepted = await half_written(proxy, peer, "put")
+            answering, accepted = await send_half_written(proxy, peer, "put")
             (call,) = proxy.engine.calls.values()
-            come_due(proxy, call.attempts[1])
+            fire_timer(proxy, call.attempts[1])
             assert (await answering).status == 502
             assert [event.outcome for event in recorded] == [RESET, MOOT]
             got = 0
@@ -608,11 +621,11 @@
     run(main())
 
 
-# --- A client that leaves, and its deadline ---------------------------------------------------
+# --- Clients that leave, and deadlines --------------------------------------------------------
 
 
-async def ends_first(proxy: Sidecar, endpoints: list[Endpoint], opening: Opening) -> None:
-    """The first attempt breaks; the connection of the next one is held."""
+async def break_first_attempt(proxy: Sidecar, endpoints: list[Endpoint], opening: Opening) -> None:
+    """Let the first attempt be reset, and hold back the connection of the next one."""
 
     async def break_off(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         opening.may_open.clear()
@@ -629,7 +642,7 @@
 @pytest.mark.parametrize("attempt", ["first", "further"])
 @pytest.mark.parametrize("leaves", ["before", "behind"])
 def test_no_attempt_begins_for_a_client_that_has_left(leaves: str, attempt: str, cancel: bool) -> None:
-    """It leaves while a connection comes up for it, or once its request is there."""
+    """The client leaves while a connection is being opened for its request, or after that was sent."""
 
     async def main() -> None:
         endpoints = [Endpoint(stall()), Endpoint(stall())]
@@ -637,7 +650,7 @@
             opening = Opening(proxy)
             before = int(attempt == "further")
             if before:
-                await ends_first(proxy, endpoints, opening)
+                await break_first_attempt(proxy, endpoints, opening)
             _, writer = await proxy.connect()
             writer.write(request())
             for _ in range(1 + before):
@@ -651,38 +664,39 @@
                 writer.close()
             await until(lambda: not proxy.engine.calls or not cancel)
             await until(lambda: not proxy.upstream.connecting.waiting_since)
-            assert await count_got(endpoints) == before + (leaves == "behind")
+            assert await count_requests(endpoints) == before + (leaves == "behind")
 
     run(main())
 
 
 @pytest.mark.parametrize("left_us", [1_000, 8_000, 100_000, 159_999, 160_000, 480_000, 3_000_000])
 def test_a_stalled_process_sends_no_longer_deadline_than_is_left(left_us: int) -> None:
-    """Held up for 0.15 s between its clock and the write, with the page's slack of as much, and the loop's
-    turn takes an eighth of the time or 20 ms beside that."""
+    """The process stalls for 0.15 s between reading the clock and the write, which the allowed slack of 0.15
+    s
+    covers; the loop iteration takes up to 20 ms, or an eighth of the remaining time, in addition."""
     turn_us = min(20_000, left_us // 8)
     left_at_write_us = left_us - turn_us - 150_000
     assert endpoint_deadline_ms(left_us) * 1000 <= max(1_000, left_at_write_us + 150_000)
-    assert endpoint_deadline_ms(left_us) * 1000 > 0.7 * left_us, (
-        "an endpoint has to have the time that is left"
-    )
+    assert endpoint_deadline_ms(left_us) * 1000 > 0.7 * left_us, "an endpoint gets most of the remaining time"
 
 
 def test_another_attempt_sends_no_longer_deadline_than_is_left() -> None:
-    """Counted where it is written, not where it was decided."""
+    """The remaining time is computed when the request is written, not when the attempt was decided."""
 
     async def main() -> None:
         endpoints = [Endpoint(), Endpoint()]
         async with sidecar(*endpoints) as proxy:
             opening = Opening(proxy)
-            await ends_first(proxy, endpoints, opening)
+            await break_first_attempt(proxy, endpoints, opening)
             answering = asyncio.create_task(proxy.send(request("put", b"b", deadline_ms=4000)))
             for _ in range(2):
                 await opening.asked.get()
-            shift(proxy, 1_500_000)
+            advance_clock(proxy, 1_500_000)
             opening.may_open.set()
             assert (await answering).status == 200
-            first, second = [int(message.headers["x-deadline-ms"]) for message in got_in_turn(endpoints)]
+            first, second = [
+                int(message.headers["x-deadline-ms"]) for message in received_in_order(endpoints)
+            ]
             assert first <= 4000 and second <= 2500
 
     run(main())
@@ -691,17 +705,17 @@
 @pytest.mark.parametrize("first", ["deadline", "answer"])
 def test_a_deadline_in_the_same_loop_iteration_as_the_answer_gives_one_answer(first: str) -> None:
     async def main() -> None:
-        async with by_hand() as (proxy, peer):
+        async with scripted_endpoint() as (proxy, peer):
             recorded = record_outcomes(proxy.engine)
             reader, writer = await proxy.connect()
             writer.write(request("pay"))
             accepted = await peer.accept()
             await peer.read(accepted)
             (call,) = proxy.engine.calls.values()
-            accepted.send(answer(body=b"in time"))  # in the kernel, not yet read
+            accepted.send(answer(body=b"in time"))  # unread in the kernel's buffer
             if first == "answer":
                 await until(lambda: bool(recorded))
-            shift(proxy, call.expires - proxy.engine.now())
+            advance_clock(proxy, call.expires - proxy.engine.now())
             proxy.engine._on_deadline(call)
             response = await read_message(reader)
             assert response.status == (504 if first == "deadline" else 200)
@@ -710,21 +724,21 @@
             other = accepted if first == "answer" else await peer.accept()
             await peer.read(other)
             await peer.loop.sock_sendall(other, answer(body=b"next"))
-            assert (await read_message(reader)).body == b"next", "what came late answers nothing"
+            assert (await read_message(reader)).body == b"next", "the late answer is not used"
             writer.close()
 
     run(main())
 
 
-# --- Ends of an answer ------------------------------------------------------------------------
+# --- The end of an answer ---------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("how", ["end", "reset", "end-and-reset"])
 def test_only_an_orderly_close_ends_an_answer_without_a_length(how: str) -> None:
-    """What breaks it is there in the same turn as its last bytes."""
+    """The reset arrives in the same loop iteration as the last bytes of the answer."""
 
     async def main() -> None:
-        async with by_hand(max_attempts=1) as (proxy, peer):
+        async with scripted_endpoint(max_attempts=1) as (proxy, peer):
             answering = asyncio.create_task(proxy.send(request("pay")))
             accepted = await peer.accept()
             await peer.read(accepted)
@@ -734,7 +748,7 @@
             if how == "end":
                 accepted.close()
             else:
-                reset_by(accepted)
+                reset_connection(accepted)
             response = await answering
             assert (response.status, response.body) == ((502, b"") if how == "reset" else (200, b"ok"))
 
@@ -745,7 +759,7 @@
 @pytest.mark.parametrize("when", ["under-a-request", "at-rest", "as-it-is-used-again"])
 def test_a_partial_line_followed_by_a_close_is_not_an_answer(when: str, half: bytes) -> None:
     async def main() -> None:
-        async with by_hand(max_attempts=1) as (proxy, peer):
+        async with scripted_endpoint(max_attempts=1) as (proxy, peer):
             if when != "under-a-request":
                 answering = asyncio.create_task(proxy.send(request("pay")))
                 accepted = await peer.accept()
@@ -759,7 +773,7 @@
             elif when == "as-it-is-used-again":
                 (connection,) = proxy.upstream.connections
                 assert connection.transport is not None
-                connection.transport.pause_reading()  # as though the loop had no turn since
+                connection.transport.pause_reading()  # as if the event loop had not run since
                 accepted.send(half)
                 accepted.close()
             answering = asyncio.create_task(proxy.send(request("pay", rid="r2")))
@@ -776,12 +790,12 @@
     run(main())
 
 
-# --- Attempts under way -----------------------------------------------------------------------
+# --- Open attempts ----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("change", [{"startedAtMs": 1}, {"lifecycle": "draining"}, {"lifecycle": "gone"}])
 def test_an_attempt_gets_its_answer_after_its_endpoint_was_replaced(change: dict[str, Any]) -> None:
-    """But nothing more goes over its connection, and that ends with the answer."""
+    """No other request uses its connection, which is closed after the answer."""
 
     async def main() -> None:
         release = asyncio.Event()
@@ -796,13 +810,13 @@
             await old.closed.acquire()
             if "lifecycle" in change:
                 assert (await proxy.send(request("pay", rid="r2"))).body == b"new"
-            assert await count_got([old]) == 1
+            assert await count_requests([old]) == 1
 
     run(main())
 
 
 def test_at_the_connection_limit_requests_are_refused_at_once() -> None:
-    """At the limit on descriptors nothing is sent, and the client gets its answer at once."""
+    """At the limit on descriptors nothing is sent, and the client is answered without a busy loop."""
 
     async def main() -> None:
         endpoints = [Endpoint(), Endpoint(), Endpoint(), Endpoint()]
@@ -811,7 +825,7 @@
             proxy.upstream.max_connections = 0
             assert (await proxy.send(request("pay"))).status == 503
             assert [event.outcome for event in recorded] == [MOOT] * len(recorded) and len(recorded) <= 4
-            assert not await count_got(endpoints)
+            assert not await count_requests(endpoints)
             proxy.upstream.max_connections = 1
             assert (await proxy.send(request("pay", rid="r2"))).status == 200
 
