--- a/laurelstep/net/assembly.py
+++ b/laurelstep/net/assembly.py
@@ -33,8 +33,8 @@
     """An engine with its upstream and its member source. A front end (daemon or library) is attached to it.
 
     Without discovery, the members are the argument `members` or, if that is None, the list in the
-    configuration. `create_holding_source` wraps the member source before the engine uses it;
-    None wraps nothing.
+    configuration. `create_holding_source` wraps the member source before the engine uses it; None wraps
+    nothing.
     """
 
     def __init__(
--- a/tests/syscall_faults/shim.py
+++ b/tests/syscall_faults/shim.py
@@ -1,4 +1,4 @@
-"""The Python side of the shim that makes system calls fail: compiles it, and writes its rules."""
+"""Compiles the shim that makes system calls fail, and writes its rules."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 SOURCE: Final = Path(__file__).parent / "shim.c"
 COMPILER: Final = shutil.which("cc") or shutil.which("gcc")
 RULES_VARIABLE: Final = "LAURELSTEP_SYSCALL_FAULTS"
-RULES_MOST: Final = 16
+MAX_RULES: Final = 16
 UNTIL_CLEARED: Final = -1
-# call, family, type, port, skip, remaining, error, length, hits; as `struct rule` of the source.
+# call, family, type, port, skip, remaining, error, length, hits: the layout of `struct rule` in shim.c.
 RULE: Final = struct.Struct("=9i")
 CALL_OFFSET: Final = 0
 HITS_OFFSET: Final = 32
 
 
 class SystemCall(IntEnum):
-    """What may fail; each stands for all calls of its kind (`READ`: read, recv, recvfrom, recvmsg)."""
+    """System calls that a rule can match, each with its variants (`READ`: read, recv, recvfrom, recvmsg)."""
 
     ACCEPT = 1
     SOCKET = 2
@@ -38,11 +38,11 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """Which calls fail, and how.
+    """Which system calls fail, and how.
 
-    `error` is an errno; without one the call moves `length` bytes at most. `port` is the socket's own
-    or its peer's, `family` and `kind` are of the `socket` module; 0 is any. The first `skip` calls that
-    match are let through, the next `count` fail, `UNTIL_CLEARED` for all."""
+    `error` is an errno; if it is 0, the call moves at most `length` bytes. `port` is the socket's own port or
+    its peer's; `family` and `kind` are constants of the `socket` module; 0 matches any. The first `skip`
+    matching calls succeed and the next `count` fail; `UNTIL_CLEARED` lets all further calls fail."""
 
     call: SystemCall
     error: int = 0
@@ -54,26 +54,26 @@
     length: int = 0
 
     def __str__(self) -> str:
-        how = errors.errorcode[self.error] if self.error else f"{self.length} bytes"
-        return f"{self.call.name}-{how}"
+        effect = errors.errorcode[self.error] if self.error else f"{self.length} bytes"
+        return f"{self.call.name}-{effect}"
 
 
 class FaultShim:
-    """The shim with the rules of one process. A context manager; `environ` is for the process."""
+    """The compiled shim and the rules for one process, which is started with `environ`. A context manager."""
 
     def __init__(self, folder: Path) -> None:
-        """Compiles the shim into the folder. `CalledProcessError` if the compiler fails."""
-        assert COMPILER is not None, "ask COMPILER first"
+        """Compile the shim into `folder`. `CalledProcessError` if the compiler fails."""
+        assert COMPILER is not None, "no C compiler: check COMPILER before"
         self.library = folder / "syscall_faults.so"
         subprocess.run(
             [COMPILER, "-shared", "-fPIC", "-O1", "-Wall", "-Werror", "-o", self.library, SOURCE, "-ldl"],
             check=True,
         )
         self.path = folder / "syscall_faults.rules"
-        self.path.write_bytes(bytes(RULES_MOST * RULE.size))
+        self.path.write_bytes(bytes(MAX_RULES * RULE.size))
         self._file = self.path.open("r+b")
-        self._rules = mmap.mmap(self._file.fileno(), RULES_MOST * RULE.size)
-        self._used = 0
+        self._rules = mmap.mmap(self._file.fileno(), MAX_RULES * RULE.size)
+        self._rule_count = 0
 
     def __enter__(self) -> Self:
         return self
@@ -86,26 +86,26 @@
 
     @property
     def environ(self) -> dict[str, str]:
-        """What the process needs in its environment."""
+        """Environment variables for the process."""
         return {"LD_PRELOAD": str(self.library), RULES_VARIABLE: str(self.path)}
 
     def add(self, fault: Fault) -> int:
-        """Holds from now on; its number, for `hits`."""
-        number, self._used = self._used, self._used + 1
-        assert number < RULES_MOST, "more rules than the shim has room for"
-        at = number * RULE.size
-        rest = (fault.family, fault.kind, fault.port, fault.skip, fault.count, fault.error, fault.length, 0)
-        self._rules[at : at + RULE.size] = RULE.pack(0, *rest)
-        # The call is written last: until then the rule matches nothing.
-        struct.pack_into("=i", self._rules, at + CALL_OFFSET, fault.call)
+        """Add a rule, which applies at once; returns its number for `hits`."""
+        number, self._rule_count = self._rule_count, self._rule_count + 1
+        assert number < MAX_RULES, "too many rules for the shim"
+        offset = number * RULE.size
+        fields = (fault.family, fault.kind, fault.port, fault.skip, fault.count, fault.error, fault.length, 0)
+        self._rules[offset : offset + RULE.size] = RULE.pack(0, *fields)
+        # The call is written last: the rule matches nothing until then.
+        struct.pack_into("=i", self._rules, offset + CALL_OFFSET, fault.call)
         return number
 
     def hits(self, number: int) -> int:
-        """Calls that this rule has decided."""
+        """The number of calls that failed or were shortened by this rule."""
         return int(struct.unpack_from("=i", self._rules, number * RULE.size + HITS_OFFSET)[0])
 
     def clear(self) -> None:
-        """No call fails any more."""
-        for number in range(self._used):
+        """Remove all rules."""
+        for number in range(self._rule_count):
             struct.pack_into("=i", self._rules, number * RULE.size + CALL_OFFSET, 0)
-        self._used = 0
+        self._rule_count = 0
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -125,8 +125,7 @@
 
 async def shrink_send_buffer(proxy: Sidecar) -> None:
     """Shrink the send buffer of the only client connection, so that a part of a large answer stays in the
-    process
-    until the client reads."""
+    process until the client reads."""
     transport = (await only_connection(proxy)).transport
     assert transport is not None
     transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -134,8 +133,7 @@
 
 def at_outcome(proxy: Sidecar, step: Callable[[Outcome], None]) -> None:
     """Call `step` in the event loop iteration in which an outcome is reported, before the kernel has any of
-    the
-    answer."""
+    the answer."""
 
     def outcome(now: int, event: Outcome) -> list[Action]:
         step(event)
@@ -237,8 +235,7 @@
 
 def test_an_incomplete_request_is_freed_without_the_garbage_collector() -> None:
     """The call refers to the connection, which refers to the call while the body is incomplete: the cycle
-    must be
-    broken when the connection ends."""
+    must be broken when the connection ends."""
 
     def alive() -> int:
         return sum(type(found) in (ClientConnection, Call) for found in gc.get_objects())
@@ -268,8 +265,7 @@
 @pytest.mark.parametrize("sweeper", ["idle", "late_connections", "awaiting_request"])
 def test_a_request_crosses_the_idle_close(sweeper: str, first: str) -> None:
     """A request that has arrived is served. After the close none is forwarded, and the client sees an orderly
-    end
-    of the connection instead of a reset."""
+    end of the connection instead of a reset."""
 
     async def main() -> None:
         endpoint = Endpoint()
@@ -519,8 +515,7 @@
 @pytest.mark.parametrize("brings", ["nothing", "head", "late-request"])
 def test_late_connections_at_a_shutdown_are_closed_before_a_request_could_be_lost(brings: str) -> None:
     """Connections that are set up after the listener was closed, or have sent a part of a request. A request
-    that
-    begins later than 0.7 s after SIGTERM is lost if SIGKILL comes before its answer."""
+    that begins later than 0.7 s after SIGTERM is lost if SIGKILL comes before its answer."""
 
     async def main() -> None:
         endpoint = Endpoint()
@@ -571,8 +566,7 @@
 @pytest.mark.parametrize("comes", ["whole", "in-pieces", "upload", "upload-held-back"])
 def test_a_request_completed_too_late_after_sigterm_is_refused(comes: str) -> None:
     """A request that is completed later than 0.7 s after SIGTERM may be unanswered when SIGKILL comes, which
-    is
-    early with short deadlines. So it is refused, even if a part of it is unread at each check."""
+    is early with short deadlines. So it is refused, even if a part of it is unread at each check."""
 
     async def main() -> None:
         endpoint = Endpoint()
@@ -685,8 +679,7 @@
 def test_a_shutdown_with_short_deadlines_and_hanging_endpoints_answers_all_requests(tmp_path: Path) -> None:
     """With short deadlines SIGKILL comes 0.9 s after SIGTERM, so no wait of the shutdown may rely on long
     deadlines. A request in flight, an incomplete one and one on a connection made after the signal each get
-    one
-    answer by their deadline. No connection waits for its client in order to close."""
+    one answer by their deadline. No connection waits for its client in order to close."""
     settings = {
         **SETTINGS,
         "classes": [{**cls, "aim-us": 100_000, "deadline-us": 200_000} for cls in SETTINGS["classes"]],
@@ -876,8 +869,7 @@
 @pytest.mark.parametrize("leaves", [True, False])
 def test_a_client_that_leaves_after_unread_bytes_during_a_streamed_answer_is_detected(leaves: bool) -> None:
     """Reading is paused while the answer is streamed, as a part of another request arrived. So the client's
-    close
-    is behind unread bytes, and the endpoint sends nothing more for now."""
+    close is behind unread bytes, and the endpoint sends nothing more for now."""
 
     async def main() -> None:
         go = asyncio.Event()
@@ -1144,8 +1136,7 @@
 @pytest.mark.parametrize("unread", ["one", "all"])
 def test_a_connection_with_an_unread_request_is_evicted_last(unread: str) -> None:
     """The request is unread in the kernel, on the connection that has been idle longest, when another
-    connection
-    is accepted."""
+    connection is accepted."""
 
     async def main() -> None:
         endpoint = Endpoint()
--- a/tests/test_crossings_descriptors.py
+++ b/tests/test_crossings_descriptors.py
@@ -46,8 +46,7 @@
     tmp_path: Path, fd_limit: int
 ) -> None:
     """Idle clients take all client connections while discovery is unreachable. Afterwards its endpoint list
-    still
-    arrives, and a request is served by an endpoint on it."""
+    still arrives, and a request is served by an endpoint on it."""
     assert resource.getrlimit(resource.RLIMIT_NOFILE)[0] > 2 * CLIENTS
 
     async def main() -> None:
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -1,8 +1,8 @@
 """Race conditions between attempts and the connections to endpoints, endpoint lists, timeouts and deadlines.
 
 A scripted peer, or a step of the code that the test holds back, keeps one side until the other has reached
-the
-critical moment. The tests check what the stand-in endpoints saw: requests, effects and closed connections."""
+the critical moment. The tests check what the stand-in endpoints saw: requests, effects and closed
+connections."""
 
 from __future__ import annotations
 
@@ -51,8 +51,7 @@
 
 class Opening:
     """Replaces the upstream's event loop: holds back connections that are being opened, and calls the test
-    when
-    one is established."""
+    when one is established."""
 
     def __init__(
         self,
@@ -121,8 +120,7 @@
     """The number of requests written to the endpoints so far.
 
     To be sure that the endpoints have read them all, the test sends requests of its own after them, twice in
-    a
-    row, and waits until those have been read."""
+    a row, and waits until those have been read."""
     for n in range(2):
         for endpoint in endpoints:
             _, writer = await asyncio.open_connection("127.0.0.1", endpoint.port)
@@ -369,8 +367,7 @@
 def test_a_request_for_a_replaced_endpoint_goes_to_the_new_one(change: str, sent: tuple[int, int]) -> None:
     """An endpoint list arrives while the connection is being opened. After a drain, requests may still start
     within the drain grace. A new address or start time means another process, so the connection is not used.
-    Nothing is
-    written so late that a stall of the process could delay the write past the drain grace."""
+    Nothing is written so late that a stall of the process could delay the write past the drain grace."""
 
     async def main() -> None:
         old, new = Endpoint(), Endpoint()
@@ -484,8 +481,8 @@
     late: str, cls: str, send_malformed: Callable[[Exchanges], Awaitable[None]]
 ) -> None:
     """After a malformed answer from any endpoint. The second answer arrives before the next request is
-    written, or
-    after that. It would answer the next request; to an unsafe one it would say that it never ran."""
+    written, or after that. It would answer the next request; to an unsafe one it would say that it never ran.
+    """
 
     async def main() -> None:
         async with scripted_endpoint() as (proxy, peer):
@@ -513,8 +510,7 @@
 
 def test_a_connection_is_reused_after_its_settle_time() -> None:
     """Also after a malformed answer. If no idle connection has settled and there are more than `MIN_IDLE`,
-    the one
-    idle longest is used."""
+    the one idle longest is used."""
 
     async def main() -> None:
         async with scripted_endpoint() as (proxy, peer):
@@ -672,8 +668,7 @@
 @pytest.mark.parametrize("left_us", [1_000, 8_000, 100_000, 159_999, 160_000, 480_000, 3_000_000])
 def test_a_stalled_process_sends_no_longer_deadline_than_is_left(left_us: int) -> None:
     """The process stalls for 0.15 s between reading the clock and the write, which the allowed slack of 0.15
-    s
-    covers; the loop iteration takes up to 20 ms, or an eighth of the remaining time, in addition."""
+    s covers; the loop iteration takes up to 20 ms, or an eighth of the remaining time, in addition."""
     turn_us = min(20_000, left_us // 8)
     left_at_write_us = left_us - turn_us - 150_000
     assert endpoint_deadline_ms(left_us) * 1000 <= max(1_000, left_at_write_us + 150_000)
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -1,8 +1,8 @@
-"""Random interleavings of arrivals, answers, cancels, drains and closes.
+"""Random interleavings of arrivals, answers, cancellations, drains and closes.
 
-First the engine on a clock that is moved by hand, then the client on real sockets. After
-each: one final answer for each request, no unsafe effect twice, nothing sent later than
-500 ms after a drain was told, nothing left open."""
+First the engine on a manual clock, then the client on real sockets. After each run, every request has one
+final answer, no unsafe effect happened twice, nothing was sent later than 500 ms after a drain was listed,
+and nothing is left open."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 CLASSES = ("page", "put", "pay")
 
 
-class Pace:
-    """Where an upload comes from: it does not mind."""
+class IgnoringSource:
+    """The source of an upload, which ignores all flow control."""
 
     def pause(self) -> None: ...
 
@@ -43,7 +43,7 @@
 
 
 class Interleaving(RuleBasedStateMachine):
-    """One engine, four endpoints in two cells, and a world that does what it likes."""
+    """One engine and four endpoints in two cells, to which any event can happen in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -65,15 +65,15 @@
         )
         self.engine.start()
         self.listed = dict.fromkeys(NAMES, "ready")
-        self.told_at: dict[int, int] = {}  # since when an endpoint may get nothing new
+        self.drained_at: dict[int, int] = {}  # when an endpoint was listed as draining or gone
         self.calls: list[Call] = []
-        self.left: set[Call] = set()
-        self._tell()
+        self.cancelled: set[Call] = set()
+        self._give_list()
 
-    def _tell(self) -> None:
+    def _give_list(self) -> None:
         entries = [
-            entry(name, lifecycle=phase, cell=at // 2)
-            for at, (name, phase) in enumerate(self.listed.items())
+            entry(name, lifecycle=phase, cell=index // 2)
+            for index, (name, phase) in enumerate(self.listed.items())
             if phase != "gone"
         ]
         self.source.give(entries)
@@ -87,63 +87,63 @@
         self.engine.take(call)
 
     @rule(cls=st.integers(1, 2), span_ms=st.integers(1, 3_000))
-    def arrive_while_it_comes(self, cls: int, span_ms: int) -> None:
-        """An upload: its time counts from its last byte, which may never come."""
+    def arrive_as_upload(self, cls: int, span_ms: int) -> None:
+        """An upload: its deadline counts from its last byte, which may never arrive."""
         name = b"r%d" % len(self.calls)
         call = Call(cls, self.clock.now() + 8_000_000, b"POST /x", b"", b"", self.front, name)
-        call.upload, call.span = BodyStream(Pace(), -1), span_ms * 1000
+        call.upload, call.span = BodyStream(IgnoringSource(), -1), span_ms * 1000
         self.calls.append(call)
         self.engine.take(call)
 
-    def _coming(self) -> list[Call]:
+    def _uploading(self) -> list[Call]:
         return [call for call in self.calls if call.open and call.upload and not call.upload.closed]
 
-    @precondition(lambda self: self._coming())
-    @rule(at=st.integers(0, 1_000), span_ms=st.sampled_from([0, 700, 2_900]))
-    def end_upload(self, at: int, span_ms: int) -> None:
+    @precondition(lambda self: self._uploading())
+    @rule(index=st.integers(0, 1_000), span_ms=st.sampled_from([0, 700, 2_900]))
+    def end_upload(self, index: int, span_ms: int) -> None:
         self.clock.advance(span_ms * 1000)
-        if coming := self._coming():
-            call = coming[at % len(coming)]
+        if uploading := self._uploading():
+            call = uploading[index % len(uploading)]
             assert call.upload is not None
             call.upload.finish(True)
             self.engine.whole(call)
 
     @precondition(lambda self: self.upstream.out)
-    @rule(at=st.integers(0, 1_000), runs=st.booleans())
-    def write(self, at: int, runs: bool) -> None:
+    @rule(index=st.integers(0, 1_000), runs=st.booleans())
+    def write(self, index: int, runs: bool) -> None:
         waiting = list(self.upstream.out.values())
-        self.upstream.write(waiting[at % len(waiting)], runs)
+        self.upstream.write(waiting[index % len(waiting)], runs)
 
     @precondition(lambda self: self.upstream.out)
-    @rule(at=st.integers(0, 1_000), outcome=st.sampled_from([OK, OK, ERROR, FULL, RESET]))
-    def answer(self, at: int, outcome: int) -> None:
+    @rule(index=st.integers(0, 1_000), outcome=st.sampled_from([OK, OK, ERROR, FULL, RESET]))
+    def answer(self, index: int, outcome: int) -> None:
         waiting = list(self.upstream.out.values())
-        self.upstream.answer(waiting[at % len(waiting)], outcome)
+        self.upstream.answer(waiting[index % len(waiting)], outcome)
 
     @precondition(lambda self: self.calls)
-    @rule(at=st.integers(0, 1_000))
-    def cancel(self, at: int) -> None:
-        call = self.calls[at % len(self.calls)]
+    @rule(index=st.integers(0, 1_000))
+    def cancel(self, index: int) -> None:
+        call = self.calls[index % len(self.calls)]
         if call.open:
-            self.left.add(call)
+            self.cancelled.add(call)
         self.engine.gone(call)
 
     @rule(name=st.sampled_from(NAMES), phase=st.sampled_from(["draining", "gone", "ready"]))
     def relist(self, name: str, phase: str) -> None:
         if phase == "ready":
-            self.told_at.pop(number(name), None)
+            self.drained_at.pop(number(name), None)
         elif self.listed[name] == "ready":
-            self.told_at[number(name)] = self.clock.now()
+            self.drained_at[number(name)] = self.clock.now()
         self.listed[name] = phase
-        self._tell()
+        self._give_list()
 
     @precondition(lambda self: self.upstream.out)
-    @rule(at=st.integers(0, 1_000), span_ms=st.sampled_from([1, 499, 500, 501]))
-    def drain_while_connecting(self, at: int, span_ms: int) -> None:
-        """The connection comes up about when the drain's grace ends."""
+    @rule(index=st.integers(0, 1_000), span_ms=st.sampled_from([1, 499, 500, 501]))
+    def drain_while_connecting(self, index: int, span_ms: int) -> None:
+        """The connection is established at about the end of the drain grace."""
         waiting = list(self.upstream.out.values())
-        sent = waiting[at % len(waiting)]
-        (name,) = [one for one in NAMES if number(one) == sent.attempt.endpoint]
+        sent = waiting[index % len(waiting)]
+        (name,) = [listed for listed in NAMES if number(listed) == sent.attempt.endpoint]
         self.relist(name, "draining")
         self.clock.advance(span_ms * 1000)
         if sent.attempt in self.upstream.out:
@@ -154,39 +154,40 @@
         self.clock.advance(span_ms * 1000)
 
     @invariant()
-    def nothing_new_goes_past_a_drains_grace(self) -> None:
+    def no_attempt_starts_after_the_drain_grace(self) -> None:
         if self.upstream.writes:
-            when, where, _ = self.upstream.writes[-1]
-            told = self.told_at.get(where)
-            assert told is None or when < told + GRACE_US or when < told
+            written_at, endpoint, _ = self.upstream.writes[-1]
+            drained_at = self.drained_at.get(endpoint)
+            assert drained_at is None or written_at < drained_at + GRACE_US or written_at < drained_at
 
     @invariant()
-    def one_answer_at_most_and_in_time(self) -> None:
+    def each_call_has_at_most_one_answer_and_in_time(self) -> None:
         names = [call.name for call, _ in self.front.given]
         assert len(set(names)) == len(names)
         for call in self.calls:
             assert not call.open or self.clock.now() <= call.expires
 
     @invariant()
-    def every_request_taken_is_counted_once(self) -> None:
-        accounted(self.engine)
+    def every_accepted_request_is_counted_once(self) -> None:
+        check_counters(self.engine)
         assert self.engine.current() == sum(call.open for call in self.calls)
         assert self.engine.counters.sends == len(self.upstream.writes)
         assert self.engine.members.size() == sum(phase != "gone" for phase in self.listed.values())
 
     @invariant()
-    def the_module_counts_what_endpoints_have_whole(self) -> None:
-        """Each call that is out and whole counts at its endpoint, once; an upload on its way
-        counts nowhere."""
+    def the_balancer_counts_complete_requests_in_flight(self) -> None:
+        """Each complete request in flight counts once, at its endpoint; an incomplete upload does not."""
         balancer = self.engine.balancer
         held = [*balancer.requests.values(), *balancer.request_table.ended.values()]
-        out = [one for request in held for one in request.attempts if one.outstanding]
+        in_flight = [attempt for request in held for attempt in request.attempts if attempt.outstanding]
         for endpoint in balancer.endpoints.values():
-            assert endpoint.inflight == sum(one.endpoint is endpoint and not one.body_pending for one in out)
+            assert endpoint.inflight == sum(
+                attempt.endpoint is endpoint and not attempt.body_pending for attempt in in_flight
+            )
         pending = [request for request in balancer.requests.values() if request.body_pending]
         assert balancer.request_table.uploading == len(pending)
-        coming = {call.id for call in self._coming()}
-        assert {request.id for request in pending} == coming
+        uploading = {call.id for call in self._uploading()}
+        assert {request.id for request in pending} == uploading
 
     def teardown(self) -> None:
         self.clock.advance(9_000_000)
@@ -194,36 +195,38 @@
             self.upstream.answer(sent, RESET)
         self.clock.advance(6_000_000)
         answered = {call for call, _ in self.front.given}
-        assert answered | self.left == set(self.calls) and not answered & self.left
+        assert answered | self.cancelled == set(self.calls) and not answered & self.cancelled
         for call, given_answer in self.front.given:
             self._check_effects(call, given_answer.ending)
-        for call in self.left:
+        for call in self.cancelled:
             self._check_effects(call, None)
         assert not (self.engine.calls or self.engine.open_names or self.engine.balancer.requests)
-        assert not any(one.inflight for one in self.engine.balancer.endpoints.values())
-        assert not self.logged, "no fault of the module"
+        assert not any(endpoint.inflight for endpoint in self.engine.balancer.endpoints.values())
+        assert not self.logged, "the balancer raised no exception"
 
     def _check_effects(self, call: Call, ending: Ending | None) -> None:
         effect = self.engine.settings.classes[call.cls].effect
         ran = self.upstream.ran.get(call.name, [])
         if effect == UNSAFE:
-            assert len(ran) <= 1, "an unsafe effect twice"
-            assert ending is not Ending.REFUSED or not ran, "refused, and it ran"
+            assert len(ran) <= 1, "an unsafe effect happened twice"
+            assert ending is not Ending.REFUSED or not ran, "a refused request ran"
         if effect == KEYED:
-            cells = {at // 2 for at, name in enumerate(NAMES) for where in ran if where == number(name)}
+            cells = {
+                index // 2 for index, name in enumerate(NAMES) for endpoint in ran if endpoint == number(name)
+            }
             assert len(cells) <= 1, "a keyed effect outside its scope"
             assert ending is not Ending.REFUSED or not ran
         if ending is Ending.SERVED:
             assert ran
 
 
-def accounted(engine: Engine) -> None:
-    """Taken = answered + deferred + errored + abandoned + current, class by class."""
+def check_counters(engine: Engine) -> None:
+    """For each class: taken = answered + deferred + errored + abandoned + current."""
     counters = engine.counters
     for cls, taken in enumerate(counters.taken):
         ended = (counters.answered, counters.deferred, counters.errored, counters.abandoned)
-        still = sum(call.cls == cls and (call.open or call.held) for call in engine.calls.values())
-        assert taken == sum(counts[cls] for counts in ended) + still
+        open_count = sum(call.cls == cls and (call.open or call.held) for call in engine.calls.values())
+        assert taken == sum(counts[cls] for counts in ended) + open_count
 
 
 TestEngine = Interleaving.TestCase
@@ -231,183 +234,185 @@
 
 
 def test_an_upload_is_counted_at_the_endpoint_that_it_was_sent_to() -> None:
-    """Its endpoint leaves the list and is listed anew before the upload's last byte has come: the attempt
-    then counts at the endpoint that it was sent to, also when it ends."""
+    """Its endpoint leaves the list and is listed again before the last byte of the upload has arrived. The
+    attempt must still count at the old entry, also when it ends, and not at the new one."""
     state = Interleaving()
     state.arrive(cls=0, deadline_ms=1)
-    state.answer(at=0, outcome=OK)
-    state.answer(at=0, outcome=OK)
-    state.arrive_while_it_comes(cls=1, span_ms=1)
+    state.answer(index=0, outcome=OK)
+    state.answer(index=0, outcome=OK)
+    state.arrive_as_upload(cls=1, span_ms=1)
     upload = state.calls[1].attempts[0].endpoint
-    (name,) = [one for one in NAMES if number(one) == upload]
+    (name,) = [listed for listed in NAMES if number(listed) == upload]
     state.relist(name, "draining")
     state.relist(name, "ready")
     state.arrive(cls=0, deadline_ms=1)
     assert state.calls[2].attempts[0].endpoint == upload, "another request is sent to it meanwhile"
-    state.end_upload(at=0, span_ms=0)
-    state.cancel(at=1)
-    state.the_module_counts_what_endpoints_have_whole()
+    state.end_upload(index=0, span_ms=0)
+    state.cancel(index=1)
+    state.the_balancer_counts_complete_requests_in_flight()
     state.teardown()
 
 
 # --- On sockets --------------------------------------------------------------------------
 
 
-class Gates:
-    """Endpoints that hold every request until the test says how it ends."""
+class HeldEndpoints:
+    """Endpoints that hold every request until the test decides how it ends."""
 
     def __init__(self) -> None:
         self.effects = Effects()
         self.held: list[tuple[Message, asyncio.Future[str]]] = []
-        self.arrived: list[tuple[str, str]] = []  # request id, endpoint's name
+        self.arrived: list[tuple[str, str]] = []  # request id, endpoint name
         self.endpoints = [Endpoint(self.handler, effects=self.effects) for _ in range(3)]
 
     async def handler(self, endpoint: Endpoint, message: Message, writer: Writer) -> None:
         name = f"s-{self.endpoints.index(endpoint)}"
         self.arrived.append((message.headers["x-request-id"], name))
-        ends: asyncio.Future[str] = asyncio.get_running_loop().create_future()
-        self.held.append((message, ends))
-        how = await ends
-        if how != "refuse":
+        decision: asyncio.Future[str] = asyncio.get_running_loop().create_future()
+        self.held.append((message, decision))
+        ending = await decision
+        if ending != "refuse":
             self.effects.execute(message)
-        if how == "serve":
+        if ending == "serve":
             writer.write(answer())
-        elif how == "refuse":
+        elif ending == "refuse":
             writer.write(answer(503, headers="X-Not-Run: 1\r\n"))
-        elif how == "error":
+        elif ending == "error":
             writer.write(answer(500))
         else:
             reset_connection(writer)
 
-    def end(self, at: int, how: str) -> None:
-        waiting = [ends for _, ends in self.held if not ends.done()]
+    def end(self, index: int, ending: str) -> None:
+        waiting = [decision for _, decision in self.held if not decision.done()]
         if waiting:
-            waiting[at % len(waiting)].set_result(how)
+            waiting[index % len(waiting)].set_result(ending)
 
     def end_all(self) -> None:
-        for _, ends in self.held:
-            if not ends.done():
-                ends.set_result("serve")
+        for _, decision in self.held:
+            if not decision.done():
+                decision.set_result("serve")
 
 
 STEPS = st.one_of(
-    st.tuples(st.just("ask"), st.integers(0, 2)),
+    st.tuples(st.just("send"), st.integers(0, 2)),
     st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(["serve", "refuse", "error", "reset"])),
     st.tuples(st.just("cancel"), st.integers(0, 50)),
     st.tuples(st.just("drain"), st.integers(0, 2)),
-    st.tuples(st.just("turns"), st.integers(1, 30)),
+    st.tuples(st.just("yield"), st.integers(1, 30)),
 )
 
 
-class Played:
-    """One client on sockets, driven by a list of steps."""
+class ClientRun:
+    """A client on sockets, driven by a list of steps."""
 
-    def __init__(self, client: Client, gates: Gates) -> None:
+    def __init__(self, client: Client, held_endpoints: HeldEndpoints) -> None:
         self.client = client
-        self.gates = gates
-        self.asked: list[asyncio.Task[Reply]] = []
-        # By name: how many had arrived anywhere, and what was on its way there.
+        self.held_endpoints = held_endpoints
+        self.requests: list[asyncio.Task[Reply]] = []
+        # By endpoint name: how many requests had arrived anywhere, and which were on their way to it.
         self.drained: dict[str, tuple[int, set[str]]] = {}
 
-    async def step(self, words: tuple[Any, ...]) -> None:
-        match words:
-            case ("ask", cls):
+    async def step(self, step: tuple[Any, ...]) -> None:
+        match step:
+            case ("send", cls):
                 name = CLASSES[cls]
                 method = "GET" if cls == 0 else "POST"
-                key = f"k{len(self.asked)}" if cls == 1 else None
-                request = Request(name, f"/{name}", method, key=key, id=f"r{len(self.asked)}")
-                self.asked.append(asyncio.create_task(self.client.send(request)))
-            case ("end", at, how):
-                self.gates.end(at, how)
-            case ("cancel", at) if self.asked:
-                self.asked[at % len(self.asked)].cancel()
-            case ("drain", at):
-                self.drain(f"s-{at}")
-            case ("turns", turns):
-                for _ in range(turns):
+                key = f"k{len(self.requests)}" if cls == 1 else None
+                request = Request(name, f"/{name}", method, key=key, id=f"r{len(self.requests)}")
+                self.requests.append(asyncio.create_task(self.client.send(request)))
+            case ("end", index, ending):
+                self.held_endpoints.end(index, ending)
+            case ("cancel", index) if self.requests:
+                self.requests[index % len(self.requests)].cancel()
+            case ("drain", index):
+                self.drain(f"s-{index}")
+            case ("yield", iterations):
+                for _ in range(iterations):
                     await asyncio.sleep(0)
 
     def drain(self, name: str) -> None:
-        """Told, and at once past its grace: nothing at all may go there from now on."""
+        """List an endpoint as draining with its grace already over: nothing may be sent there afterwards."""
         if name in self.drained:
             return
         members = []
-        for at, one in enumerate(self.gates.endpoints):
-            draining = f"s-{at}" == name or f"s-{at}" in self.drained
-            members.append(Member(f"s-{at}", f"127.0.0.1:{one.port}", cell=1, draining=draining))
+        for index, endpoint in enumerate(self.held_endpoints.endpoints):
+            draining = f"s-{index}" == name or f"s-{index}" in self.drained
+            members.append(Member(f"s-{index}", f"127.0.0.1:{endpoint.port}", cell=1, draining=draining))
         self.client.members(members)
         places = self.client.engine.members.places
         place = places[number(name)]
         assert place.withdrawn_at is not None
         place.withdrawn_at -= GRACE_US
-        # Only what is written already may still arrive.
+        # Only requests that are already written may still arrive.
         written = {
             attempt.call.name.decode()
-            for attempt, link in self.client._parts.upstream.by_attempt.items()
-            if attempt.endpoint == number(name) and link.transport is not None
+            for attempt, connection in self.client._parts.upstream.by_attempt.items()
+            if attempt.endpoint == number(name) and connection.transport is not None
         }
-        self.drained[name] = len(self.gates.arrived), written
+        self.drained[name] = len(self.held_endpoints.arrived), written
 
     async def finish(self) -> None:
-        """Close while requests are open, and let the endpoints answer."""
+        """Close the client while requests are open, and let the endpoints answer."""
         closing = asyncio.create_task(self.client.close())
         while not closing.done():
-            self.gates.end_all()
+            self.held_endpoints.end_all()
             await asyncio.sleep(0)
         await closing
 
 
-async def play(steps: list[tuple[Any, ...]]) -> None:
-    gates = Gates()
+async def run_steps(steps: list[tuple[Any, ...]]) -> None:
+    held_endpoints = HeldEndpoints()
     async with contextlib.AsyncExitStack() as stack, asyncio.timeout(TEST_TIMEOUT_S):
-        for endpoint in gates.endpoints:
+        for endpoint in held_endpoints.endpoints:
             await stack.enter_async_context(endpoint)
-        members = [member(one, f"s-{n}") for n, one in enumerate(gates.endpoints)]
+        members = [member(endpoint, f"s-{n}") for n, endpoint in enumerate(held_endpoints.endpoints)]
         raw = {"seed": "3", "settings": SETTINGS, "limits": {"sockets": 1024}}
         client = Client.open(raw, members)
         await client.start()
-        played = Played(client, gates)
-        for words in steps:
-            await played.step(words)
-        await played.finish()
+        run = ClientRun(client, held_endpoints)
+        for step in steps:
+            await run.step(step)
+        await run.finish()
         assert client.state is ClientState.CLOSED and nothing_held(client)
         assert not client._parts.upstream.connections and not client._parts.upstream.by_attempt
-        found = await asyncio.gather(*played.asked, return_exceptions=True)
-        replies = [one for one in found if isinstance(one, Reply)]
-        accounted(client.engine)
+        results = await asyncio.gather(*run.requests, return_exceptions=True)
+        replies = [result for result in results if isinstance(result, Reply)]
+        check_counters(client.engine)
         counters = client.engine.counters
-        assert sum(counters.answered) == sum(one.outcome is Ending.SERVED for one in replies)
-        assert sum(counters.deferred) == sum(one.outcome is Ending.REFUSED for one in replies)
-        assert sum(counters.errored) == sum(one.outcome is Ending.FAILED for one in replies)
-        assert counters.sends >= len(gates.held)
-        others = [one for one in found if not isinstance(one, Reply)]
-        assert all(isinstance(one, asyncio.CancelledError | Exception) for one in others)
-        assert all(type(one).__name__ in ("CancelledError", "ClientError") for one in others)
-        assert len(replies) + len(others) == len(played.asked)
-        check(played, gates, found)
-
-
-def check(played: Played, gates: Gates, found: list[Any]) -> None:
-    assert not [rid for rid in gates.effects.twice() if is_order(played, rid)], "an order ran twice"
-    for at, reply in enumerate(found):
-        ran = gates.effects.by_id[f"r{at}"]
+        assert sum(counters.answered) == sum(reply.outcome is Ending.SERVED for reply in replies)
+        assert sum(counters.deferred) == sum(reply.outcome is Ending.REFUSED for reply in replies)
+        assert sum(counters.errored) == sum(reply.outcome is Ending.FAILED for reply in replies)
+        assert counters.sends >= len(held_endpoints.held)
+        errors = [result for result in results if not isinstance(result, Reply)]
+        assert all(isinstance(error, asyncio.CancelledError | Exception) for error in errors)
+        assert all(type(error).__name__ in ("CancelledError", "ClientError") for error in errors)
+        assert len(replies) + len(errors) == len(run.requests)
+        check_run(run, held_endpoints, results)
+
+
+def check_run(run: ClientRun, held_endpoints: HeldEndpoints, results: list[Any]) -> None:
+    assert not [rid for rid in held_endpoints.effects.twice() if is_unsafe(run, rid)], (
+        "an unsafe request ran twice"
+    )
+    for index, reply in enumerate(results):
+        ran = held_endpoints.effects.by_id[f"r{index}"]
         if isinstance(reply, Reply) and reply.outcome is Ending.SERVED:
             assert ran or reply.status == 200
-        if isinstance(reply, Reply) and reply.outcome is Ending.REFUSED and is_order(played, f"r{at}"):
-            assert not ran, "refused, and it ran"
-    for name, (before, written) in played.drained.items():
-        late = [rid for rid, where in gates.arrived[before:] if where == name]
-        assert set(late) <= written and len(late) == len(set(late)), "sent past the drain's grace"
+        if isinstance(reply, Reply) and reply.outcome is Ending.REFUSED and is_unsafe(run, f"r{index}"):
+            assert not ran, "a refused request ran"
+    for name, (before, written) in run.drained.items():
+        late = [rid for rid, endpoint in held_endpoints.arrived[before:] if endpoint == name]
+        assert set(late) <= written and len(late) == len(set(late)), "sent after the drain grace"
 
 
-def is_order(played: Played, rid: str) -> bool:
+def is_unsafe(run: ClientRun, rid: str) -> bool:
     return any(
         message.headers["x-request-id"] == rid and message.headers["x-class"] == "pay"
-        for message, _ in played.gates.held
+        for message, _ in run.held_endpoints.held
     )
 
 
 @given(st.lists(STEPS, max_size=40))
 @settings(max_examples=60, deadline=None, suppress_health_check=[HealthCheck.too_slow])
 def test_a_client_on_sockets_upholds_its_guarantees(steps: list[tuple[Any, ...]]) -> None:
-    asyncio.run(play(steps))
+    asyncio.run(run_steps(steps))
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -483,8 +483,7 @@
 
 def test_surplus_idle_connections_are_closed() -> None:
     """Guards against a sidecar that keeps nearly all connections to an endpoint after a load peak, so that
-    one
-    that has just started gets none."""
+    one that has just started gets none."""
 
     async def main() -> None:
         release = asyncio.Event()
@@ -549,8 +548,7 @@
 
 def test_an_endpoint_at_its_connection_limit_is_used_over_idle_connections() -> None:
     """Guards against copies that all avoid an endpoint which refused a new connection, wait although they
-    have
-    idle connections there, and then send to it all at once."""
+    have idle connections there, and then send to it all at once."""
 
     async def main() -> None:
         release: asyncio.Queue[None] = asyncio.Queue()
