--- a/benchmarks/fleet_child.py
+++ b/benchmarks/fleet_child.py
@@ -52,11 +52,11 @@
 
     idle_us = 6_000_000
 
-    def place(self, endpoint: int, address: str) -> None: ...
+    def set_address(self, endpoint: int, address: str) -> None: ...
 
     def remove(self, endpoint: int) -> None: ...
 
-    def free(self, endpoint: int) -> None: ...
+    def close_idle(self, endpoint: int) -> None: ...
 
     def cancel(self, attempt: Attempt) -> None: ...
 
@@ -67,7 +67,7 @@
 class Frontend:
     answered_count = 0
 
-    def answered(self, call: Call, answer: Answer) -> None:
+    def on_answer(self, call: Call, answer: Answer) -> None:
         self.answered_count += answer.status == 200
 
 
@@ -92,7 +92,7 @@
         phase = ("draining", "ready")[number % 2]
         listed = [entry(number // 2 % 30, lifecycle=phase)]
         began = time.perf_counter()
-        engine.listed(engine.next_id, False, listed)
+        engine.on_list(engine.next_id, False, listed)
         times.append(1000 * (time.perf_counter() - began))
     return times
 
@@ -144,7 +144,7 @@
     pairs = [(time_requests(small.engine), time_requests(parts.engine)) for _ in range(ROUNDS)]
     found["request_us"] = round(median([big for _, big in pairs]), 2)
     found["request_over_30"] = round(median([big / least for least, big in pairs]), 3)
-    found["listed"] = len(parts.engine.members.places)
+    found["listed"] = len(parts.engine.endpoints.by_number)
     parts.close()
     return found
 
--- a/benchmarks/outbox.py
+++ b/benchmarks/outbox.py
@@ -65,7 +65,7 @@
     def __init__(self) -> None:
         self.answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
 
-    def answered(self, call: Call, answer: Answer) -> None:
+    def on_answer(self, call: Call, answer: Answer) -> None:
         self.answer.set_result(answer)
 
 
@@ -97,7 +97,7 @@
             store_path=folder, edge=name, classes={"put": QueuedClass("keyed", 86_400_000_000)}, most=most,
             share=1.0, cut_us=10_000, back_us=10_000, send_us=2_000_000,
         )  # fmt: skip
-        config.names.keepable = frozenset((1,))
+        config.names.queueable_classes = frozenset((1,))
         driver = await OutboxDriver.open(settings, config.names.classes, {}, lambda line: None)
         driver.begin(parts.engine)
         return cls(parts, driver, name)
@@ -110,7 +110,7 @@
             }
             for port in ports
         ]  # fmt: skip
-        self.parts.engine.listed(1, True, entries)
+        self.parts.engine.on_list(1, True, entries)
 
     async def cut_off(self) -> None:
         """The list is empty, until it is known to be."""
@@ -127,7 +127,7 @@
             headers.append((b"idempotency-key", name))
         front, engine = Frontend(), self.parts.engine
         call = Call(cls, engine.now() + 2_000_000, start, lines(headers), body, front, name)
-        call.causes = (token, b"", b"") if cls else ()
+        call.causal_dependencies = (token, b"", b"") if cls else ()
         engine.take(call)
         return await front.answer
 
--- a/benchmarks/stream.py
+++ b/benchmarks/stream.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 import uvloop
-from laurelstep.flow_control.buffer_budget import max_total
+from laurelstep.flow_control.buffer_budget import max_total_bytes
 from laurelstep.testing import free_port, request
 
 from benchmarks.common import ROOT, Child, compiled, median, percentile, pin, progress
@@ -158,7 +158,7 @@
         before = child.memory_kb()
         most = uvloop.run(crowd(subjects["daemon"], child))
         held = (most - before) * 1024
-        allowed = max_total(MEMORY_MB, UPLOADS + READERS)
+        allowed = max_total_bytes(MEMORY_MB, UPLOADS + READERS)
         pairs = list(zip(rates["daemon"], rates["relay"], strict=True))
         return {
             "compiled": bool(environ),
--- a/laurelstep/engine/__init__.py
+++ b/laurelstep/engine/__init__.py
@@ -7,15 +7,15 @@
 from laurelstep.engine.clock import LoopClock
 from laurelstep.engine.endpoint_table import endpoint_number
 from laurelstep.engine.engine import Engine
-from laurelstep.engine.names import Names
+from laurelstep.engine.names import NameTable
 from laurelstep.engine.ports import (
+    CallHost,
     Clock,
     Frontend,
     Handle,
     Log,
     MemberSink,
     MemberSource,
-    Recorded,
     Recorder,
     Upstream,
 )
@@ -24,6 +24,7 @@
     "Answer",
     "Attempt",
     "Call",
+    "CallHost",
     "Clock",
     "Ending",
     "Engine",
@@ -34,8 +35,7 @@
     "LoopClock",
     "MemberSink",
     "MemberSource",
-    "Names",
-    "Recorded",
+    "NameTable",
     "Recorder",
     "Upstream",
     "endpoint_number",
--- a/laurelstep/engine/attempts.py
+++ b/laurelstep/engine/attempts.py
@@ -26,7 +26,7 @@
     def now(self) -> int:
         """The time on its clock, in us."""
 
-    def gone(self, call: Call) -> None:
+    def on_client_left(self, call: Call) -> None:
         """The client of an open call has left."""
 
     def on_attempt_ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
@@ -49,7 +49,7 @@
         self.clock = clock
         self.settings = settings
         self.upstream = upstream
-        self.members = members
+        self.endpoints = members
         self.counters = counters
         self.loop_watch = LoopWatch(clock)
 
@@ -58,18 +58,18 @@
     def start(self, call: Call, action: Send) -> None:
         """Send a call to an endpoint; an attempt that may not begin ends at once as MOOT."""
         now = self.host.now()
-        until = min(call.expires, now + action.timeout_us) if action.timeout_us else call.expires
+        until = min(call.expires_at, now + action.timeout_us) if action.timeout_us else call.expires_at
         attempt = Attempt(self, call, len(call.attempts), action.endpoint, now, until)
         attempt.write_by = min(until, self._retry_window_end(call))
         call.attempts.append(attempt)
         # An upload that an endpoint had the beginning of is not here any more.
-        spent = call.upload is not None and call.upload.started
+        spent = call.upload is not None and call.upload.was_attached
         if spent or attempt.copy >= self.settings.max_attempts or not self._is_allowed(attempt, now):
-            self.ended(attempt, MOOT, None, b"")
+            self.on_ended(attempt, MOOT, None, b"")
             return
-        call.tried += 1
-        call.endpoint = self.members.places[attempt.endpoint].name
-        if attempt.write_by < attempt.until:
+        call.attempts_sent += 1
+        call.last_instance_id = self.endpoints.by_number[attempt.endpoint].name
+        if attempt.write_by < attempt.times_out_at:
             attempt.timer = self.clock.at(attempt.write_by, self._end_unwritten, attempt)
         else:
             self._arm_timeout(attempt)
@@ -82,33 +82,33 @@
         """
         if not self._is_allowed(attempt, now):
             return False
-        client = attempt.call.client
+        client = attempt.call.client_connection
         if client is None or not self.loop_watch.is_late(now) or not client.has_left():
             return True
-        self.host.gone(attempt.call)
+        self.host.on_client_left(attempt.call)
         return False
 
     def _is_allowed(self, attempt: Attempt, now: int) -> bool:
-        if not attempt.call.open or now >= min(attempt.until, attempt.write_by):
+        if not attempt.call.is_open or now >= min(attempt.times_out_at, attempt.write_by):
             return False
-        return self.members.may_receive(attempt.endpoint, now)
+        return self.endpoints.may_receive(attempt.endpoint, now)
 
     def _retry_window_end(self, call: Call) -> int:
         """When the window for retries of an idempotent call ends; else its deadline. Guards against a retry
         that was decided within the window and is written past it, on a connection that came up late.
         """
-        cls = self.settings.classes[call.cls]
+        cls = self.settings.classes[call.request_class]
         if cls.effect == KEYED:
             for attempt in call.attempts:
-                if attempt.out or attempt.may_have_run:
-                    return attempt.sent + cls.window_us
-        return call.expires
+                if attempt.is_in_flight or attempt.may_have_run:
+                    return attempt.sent_at + cls.window_us
+        return call.expires_at
 
     # --- Waiting ----------------------------------------------------------------------
 
     def _arm_timeout(self, attempt: Attempt) -> None:
-        if attempt.until < attempt.call.expires:
-            attempt.timer = self.clock.at(attempt.until, self.time_out, attempt)
+        if attempt.times_out_at < attempt.call.expires_at:
+            attempt.timer = self.clock.at(attempt.times_out_at, self.time_out, attempt)
 
     def _end_unwritten(self, attempt: Attempt) -> None:
         """It may be written no longer. Guards against last bytes that the endpoint takes past the
@@ -118,14 +118,14 @@
             self._arm_timeout(attempt)
         else:
             self.upstream.cancel(attempt)
-            self.ended(attempt, MOOT, None, b"")
+            self.on_ended(attempt, MOOT, None, b"")
 
-    def written(self, attempt: Attempt) -> None:
+    def on_written(self, attempt: Attempt) -> None:
         """The last byte of an attempt was written: from now on it may run."""
         self.counters.sends += 1
         attempt.may_have_run = True
         if attempt.call.upload is not None:
-            attempt.sent = self.host.now()  # what the endpoint takes counts from here
+            attempt.sent_at = self.host.now()  # what the endpoint takes counts from here
 
     def time_out(self, attempt: Attempt) -> None:
         """Wait no longer for an attempt; nothing happens if it has its outcome."""
@@ -136,17 +136,17 @@
         self._stop(attempt, CANCELLED)
 
     def _stop(self, attempt: Attempt, outcome: int) -> None:
-        if attempt.out:
+        if attempt.is_in_flight:
             self.upstream.cancel(attempt)
-            self.ended(attempt, outcome, None, b"")
+            self.on_ended(attempt, outcome, None, b"")
 
     # --- Outcomes ---------------------------------------------------------------------
 
-    def ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
+    def on_ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
         """The one outcome of an attempt, with the load report that came along."""
-        if not attempt.out:
+        if not attempt.is_in_flight:
             return
-        attempt.out = False
+        attempt.is_in_flight = False
         if attempt.timer is not None:
             attempt.timer.cancel()
             attempt.timer = None
--- a/laurelstep/engine/body_stream.py
+++ b/laurelstep/engine/body_stream.py
@@ -50,7 +50,15 @@
     """
 
     __slots__ = (
-        "abandoned", "buffered", "closed", "complete", "length", "observer", "sink", "source", "started",
+        "buffered",
+        "is_abandoned",
+        "is_closed",
+        "is_complete",
+        "length",
+        "observer",
+        "sink",
+        "source",
+        "was_attached",
     )  # fmt: skip
 
     def __init__(self, source: BodySource, length: int) -> None:
@@ -59,16 +67,16 @@
         self.sink: BodySink | None = None
         self.observer: StreamObserver | None = None
         self.buffered: list[bytes] = []
-        self.started = False  # a sink was given what came first
-        self.closed = False
-        self.complete = False
-        self.abandoned = False
+        self.was_attached = False  # a sink was given what came first
+        self.is_closed = False
+        self.is_complete = False
+        self.is_abandoned = False
 
     # --- The source's side ------------------------------------------------------------
 
     def feed(self, data: bytes) -> None:
         """The next part was received. Ignored once the stream is closed."""
-        if self.closed:
+        if self.is_closed:
             return
         if self.sink is None:
             self.buffered.append(data)
@@ -77,9 +85,9 @@
 
     def finish(self, complete: bool) -> None:
         """The last part was received, or the source broke. Only the first call counts."""
-        if self.closed:
+        if self.is_closed:
             return
-        self.closed, self.complete = True, complete
+        self.is_closed, self.is_complete = True, complete
         self.source = None
         sink, self.sink = self.sink, None
         if sink is not None:
@@ -90,14 +98,14 @@
 
     def attach(self, sink: BodySink) -> None:
         """Give the sink all that was buffered; what follows is given as it is received."""
-        self.started = True
+        self.was_attached = True
         buffered, self.buffered = self.buffered, []
         self.sink = sink
         for part in buffered:
             sink.on_data(part)
-        if self.closed:
+        if self.is_closed:
             self.sink = None
-            sink.on_end(self.complete)
+            sink.on_end(self.is_complete)
 
     def pause(self) -> None:
         """The sink has no capacity: the source is paused."""
@@ -111,9 +119,9 @@
 
     def abandon(self) -> None:
         """No sink wants the rest. Ignored once the stream is closed."""
-        if self.closed:
+        if self.is_closed:
             return
-        self.closed = self.abandoned = True
+        self.is_closed = self.is_abandoned = True
         source, self.source, self.sink = self.source, None, None
         self.buffered = []
         if source is not None:
--- a/laurelstep/engine/call.py
+++ b/laurelstep/engine/call.py
@@ -55,8 +55,8 @@
 class Frontend(Protocol):
     """Who gets the final answer of a call."""
 
-    def answered(self, call: Call, answer: Answer) -> None:
-        """Called once at most for a call, and never after `Engine.gone`."""
+    def on_answer(self, call: Call, answer: Answer) -> None:
+        """Called once at most for a call, and never after `Engine.on_client_left`."""
 
 
 class ClientConnection(Protocol):
@@ -79,10 +79,10 @@
     def may_start(self, attempt: Attempt, now: int) -> bool:
         """See `Attempt.may_start`."""
 
-    def written(self, attempt: Attempt) -> None:
-        """See `Attempt.written`."""
+    def on_written(self, attempt: Attempt) -> None:
+        """See `Attempt.on_written`."""
 
-    def ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
+    def on_ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
         """See `Attempt.end`."""
 
 
@@ -91,84 +91,95 @@
 
     __slots__ = (
         "attempts",
+        "attempts_sent",
         "body",
-        "causes",
-        "client",
-        "cls",
-        "endpoint",
-        "expires",
-        "fate",
-        "front",
-        "head",
-        "held",
+        "can_stream_answer",
+        "causal_dependencies",
+        "client_connection",
+        "client_request_id",
+        "deadline_timer",
+        "expires_at",
+        "frontend",
+        "header_lines",
         "id",
+        "is_answer_held",
+        "is_open",
+        "is_queued",
+        "is_recorded",
+        "is_retry",
         "key",
-        "name",
-        "open",
-        "order",
-        "queued",
-        "recorded",
-        "repeated",
-        "span",
-        "start",
-        "streams",
+        "last_instance_id",
+        "method_and_target",
+        "order_id",
+        "queued_write_fate",
+        "request_class",
         "tenant",
-        "timer",
-        "tried",
+        "time_after_upload_us",
         "upload",
         "work_us",
     )  # fmt: skip
 
     def __init__(
         self,
-        cls: int,
-        expires: int,
-        start: bytes,
-        head: bytes,
+        request_class: int,
+        expires_at: int,
+        method_and_target: bytes,
+        header_lines: bytes,
         body: bytes,
-        front: Frontend,
-        name: bytes = b"",
+        frontend: Frontend,
+        client_request_id: bytes = b"",
         tenant: int = 0,
         key: int = 0,
         work_us: int = 0,
-        repeated: bool = False,
-        order: bytes = b"",
+        is_retry: bool = False,
+        order_id: bytes = b"",
     ) -> None:
-        self.cls = cls
-        self.expires = expires  # on the engine's clock
-        self.start = start  # method and target as they came
-        self.head = head  # header lines to pass on
+        self.request_class = request_class
+        self.expires_at = expires_at  # on the engine's clock
+        self.method_and_target = method_and_target  # method and target as they came
+        self.header_lines = header_lines  # header lines to pass on
         self.body = body
-        self.front = front
-        self.client: ClientConnection | None = None  # looked at before an attempt begins
-        self.name = name  # its X-Request-Id
+        self.frontend = frontend
+        self.client_connection: ClientConnection | None = None  # looked at before an attempt begins
+        self.client_request_id = client_request_id  # its X-Request-Id
         self.tenant = tenant
         self.key = key  # the number of what it is about; 0 = nothing named
         self.work_us = work_us  # a hint of its cost; 0 = none given
-        self.repeated = repeated
-        self.order = order  # the header by which it names its order, where its class has one
+        self.is_retry = is_retry
+        self.order_id = order_id  # the header by which it names its order, where its class has one
         self.id = 0
-        self.open = True  # no final answer yet, and its client is there
+        self.is_open = True  # no final answer yet, and its client is there
         self.attempts: list[Attempt] = []
-        self.timer: Handle | None = None
-        self.tried = 0  # attempts that were handed to the upstream
-        self.endpoint = ""  # the instance id of the last of them
-        self.recorded = False  # a recorder sees its answer before its front does
-        self.held = False  # its final answer waits for the recorder
-        self.queued = False  # a write queue has it in hand: the module has no part in it
-        self.causes: tuple[bytes, ...] = ()  # what it says that it follows, where its class may be kept
-        self.streams = False  # its front can pass on an answer that is still coming
+        self.deadline_timer: Handle | None = None
+        self.attempts_sent = 0  # attempts that were handed to the upstream
+        self.last_instance_id = ""  # the instance id of the last of them
+        self.is_recorded = False  # a recorder sees its answer before its front does
+        self.is_answer_held = False  # its final answer waits for the recorder
+        self.is_queued = False  # a write queue has it in hand: the module has no part in it
+        self.causal_dependencies: tuple[
+            bytes, ...
+        ] = ()  # what it says that it follows, where its class may be kept
+        self.can_stream_answer = False  # its front can pass on an answer that is still coming
         # What a copy upstream says of a kept write, beside its answer; None where no copy is asked.
-        self.fate: bytes | None = None
+        self.queued_write_fate: bytes | None = None
         self.upload: BodyStream | None = None  # in place of the body, where that is still coming
-        self.span = 0  # upload: the time it has from its last byte on
+        self.time_after_upload_us = 0  # upload: the time it has from its last byte on
 
 
 class Attempt:
     """One sending of a call to one endpoint."""
 
     __slots__ = (
-        "call", "copy", "endpoint", "lacks_socket", "may_have_run", "out", "owner", "sent", "timer", "until",
+        "call",
+        "copy",
+        "endpoint",
+        "is_in_flight",
+        "lacks_socket",
+        "may_have_run",
+        "owner",
+        "sent_at",
+        "timer",
+        "times_out_at",
         "write_by",
     )  # fmt: skip
 
@@ -179,10 +190,10 @@
         self.call = call
         self.copy = copy
         self.endpoint = endpoint
-        self.sent = now
-        self.until = until  # when the wait for it ends
+        self.sent_at = now
+        self.times_out_at = until  # when the wait for it ends
         self.write_by = until  # none of it is written at this time or after
-        self.out = True  # no outcome yet
+        self.is_in_flight = True  # no outcome yet
         self.lacks_socket = False  # it waits as this machine can open no connection: no endpoint's fault
         self.may_have_run = False  # written whole, and not proven since that it never ran
         self.timer: Handle | None = None
@@ -191,10 +202,10 @@
         """Whether its first byte may be written now."""
         return self.owner.may_start(self, now)
 
-    def written(self) -> None:
+    def on_written(self) -> None:
         """Its last byte was written. Told once at most, and not after its outcome."""
-        self.owner.written(self)
+        self.owner.on_written(self)
 
     def end(self, outcome: int, answer: Answer | None = None, load: bytes = b"") -> None:
         """Its one outcome (of `laurelstep.balancing.events`), with the load report that came along."""
-        self.owner.ended(self, outcome, answer, load)
+        self.owner.on_ended(self, outcome, answer, load)
--- a/laurelstep/engine/counters.py
+++ b/laurelstep/engine/counters.py
@@ -22,7 +22,7 @@
         self.abandoned = [0] * classes
         self.sends = 0  # attempts whose last byte was written
 
-    def end(self, cls: int, ending: Ending) -> None:
+    def count_answer(self, cls: int, ending: Ending) -> None:
         """A request of a class has its final answer."""
         if ending == Ending.SERVED:
             self.answered[cls] += 1
--- a/laurelstep/engine/endpoint_table.py
+++ b/laurelstep/engine/endpoint_table.py
@@ -23,7 +23,7 @@
 from typing import Any, Final
 
 from laurelstep.balancing.events import DRAINING, GONE, READY, Entry
-from laurelstep.engine.names import Names
+from laurelstep.engine.names import NameTable
 from laurelstep.engine.ports import Clock, Upstream
 
 # The clocks are read one after the other, and a machine may be held up between the two: a difference up to
@@ -92,29 +92,31 @@
 class EndpointTable:
     """Listed endpoints by their number, those withdrawn among them while the drain grace lasts."""
 
-    def __init__(self, clock: Clock, names: Names, upstream: Upstream, drain_grace_us: int) -> None:
+    def __init__(self, clock: Clock, names: NameTable, upstream: Upstream, drain_grace_us: int) -> None:
         self.clock = clock
-        self.starts = StartDating(clock.now(), clock.wall())
+        self.start_dating = StartDating(clock.now(), clock.wall())
         self.names = names
         self.upstream = upstream
         self.drain_grace_us = drain_grace_us
         self.start_grace_us = drain_grace_us - HELD_UP_US  # an attempt may begin within this
-        self.places: dict[int, ListedEndpoint] = {}
+        self.by_number: dict[int, ListedEndpoint] = {}
         self.draining: set[int] = set()  # listed, and wants nothing new
-        self.withdrawn: deque[tuple[int, int]] = deque()  # when, and which; it may be back since
+        self.withdrawals: deque[tuple[int, int]] = deque()  # when, and which; it may be back since
 
     def may_receive(self, endpoint: int, now: int) -> bool:
         """Whether an attempt may begin there at the time `now`, in us."""
-        listed = self.places.get(endpoint)
+        listed = self.by_number.get(endpoint)
         if listed is None:
             return False
         return listed.withdrawn_at is None or now < listed.withdrawn_at + self.start_grace_us
 
     def size(self) -> int:
         """How many endpoints the list holds, the draining ones among them."""
-        return sum(1 for listed in self.places.values() if listed.withdrawn_at is None) + len(self.draining)
+        return sum(1 for listed in self.by_number.values() if listed.withdrawn_at is None) + len(
+            self.draining
+        )
 
-    def note_phase(self, endpoint: int, phase: int) -> None:
+    def note_draining(self, endpoint: int, phase: int) -> None:
         """Count it among the draining ones, or no longer."""
         if phase == DRAINING:
             self.draining.add(endpoint)
@@ -125,22 +127,22 @@
         """Take a list in discovery's form and give its entries for the module;
         ValueError if it can't be read, with nothing changed.
         """
-        read = [self.read(one) for one in raw]
+        read = [self.read_entry(one) for one in raw]
         now = self.clock.now()
-        self.forget(now)
+        self.forget_withdrawn(now)
         if whole:  # it replaces: what it leaves out is gone
             named = {entry.endpoint for entry, _ in read}
-            for number, listed in self.places.items():
+            for number, listed in self.by_number.items():
                 if number not in named:
                     self.withdraw(now, number, listed)
             self.draining &= named
         for entry, listed in read:
-            self.record(now, entry, listed)
+            self.apply_entry(now, entry, listed)
         return [entry for entry, _ in read]
 
     def is_unchanged(self, entry: Entry, listed: ListedEndpoint) -> bool:
         """Whether nothing changed: neither the module nor the upstream need hear of it."""
-        old = self.places.get(entry.endpoint)
+        old = self.by_number.get(entry.endpoint)
         return (
             old is not None
             and old.withdrawn_at is None
@@ -148,20 +150,20 @@
             and old.entry == entry
         )
 
-    def read(self, raw: Any) -> tuple[Entry, ListedEndpoint]:
+    def read_entry(self, raw: Any) -> tuple[Entry, ListedEndpoint]:
         """An entry in discovery's form; ValueError if it can't be read."""
         try:
             return self._entry(raw)
         except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
             raise ValueError(f"no entry: {error!r}") from None
 
-    def forget(self, now: int) -> None:
+    def forget_withdrawn(self, now: int) -> None:
         """Guards memory where endpoints come and go: past the grace nothing may start there."""
-        while self.withdrawn and now >= self.withdrawn[0][0] + self.drain_grace_us:
-            withdrawn_at, number = self.withdrawn.popleft()
-            listed = self.places.get(number)
+        while self.withdrawals and now >= self.withdrawals[0][0] + self.drain_grace_us:
+            withdrawn_at, number = self.withdrawals.popleft()
+            listed = self.by_number.get(number)
             if listed is not None and listed.withdrawn_at == withdrawn_at:
-                del self.places[number]
+                del self.by_number[number]
 
     def _entry(self, raw: dict[str, Any]) -> tuple[Entry, ListedEndpoint]:
         name = raw["instanceId"]
@@ -171,7 +173,7 @@
         started_ms = int(raw.get("startedAtMs", 0))
         if phase == READY:
             split_address(address)
-        old = self.places.get(number)
+        old = self.by_number.get(number)
         # Converted once: a clock that is set must not feign a restart.
         same = old is not None and old.started_ms == started_ms
         if old is not None and same:
@@ -180,7 +182,7 @@
             is_later = old is not None and 0 < old.started_ms < started_ms
             earlier_seen_at = old.seen_at if old is not None and is_later else None
             seen_at = self.clock.now()
-            boot = self.starts.boot(started_ms, earlier_seen_at, seen_at, self.clock.wall())
+            boot = self.start_dating.boot(started_ms, earlier_seen_at, seen_at, self.clock.wall())
         entry = Entry(
             endpoint=number,
             phase=phase,
@@ -192,23 +194,23 @@
         )
         return entry, ListedEndpoint(name, address, started_ms, entry, seen_at)
 
-    def record(self, now: int, entry: Entry, listed: ListedEndpoint) -> None:
+    def apply_entry(self, now: int, entry: Entry, listed: ListedEndpoint) -> None:
         """Take what a list says of one endpoint; another address or start is another process."""
         number = entry.endpoint
-        old = self.places.get(number)
-        self.note_phase(number, entry.phase)
+        old = self.by_number.get(number)
+        self.note_draining(number, entry.phase)
         if entry.phase != READY:
             if old is not None:
                 self.withdraw(now, number, old)
             return
-        self.places[number] = listed
+        self.by_number[number] = listed
         same = old is not None and old.withdrawn_at is None
         if old is None or not same or (old.address, old.started_ms) != (listed.address, listed.started_ms):
-            self.upstream.place(number, listed.address)
+            self.upstream.set_address(number, listed.address)
 
     def withdraw(self, now: int, number: int, listed: ListedEndpoint) -> None:
         """It was told draining or gone, or left out of a complete list; the first time counts."""
         if listed.withdrawn_at is None:
             listed.withdrawn_at = now
-            self.withdrawn.append((now, number))
+            self.withdrawals.append((now, number))
             self.upstream.remove(number)
--- a/laurelstep/engine/list_updates.py
+++ b/laurelstep/engine/list_updates.py
@@ -5,7 +5,7 @@
 1. A list is read whole, entry by entry, before any of it is used.
 2. What leaves is told first, then what comes or changed; what did not change is passed
    over. The module gets what comes as parts, and uses none of them before the last.
-3. A step reads, compares or tells `STEP` entries at most. It does no I/O; who runs it
+3. A step reads, compares or tells `STEP_ENTRIES` entries at most. It does no I/O; who runs it
    decides how many steps go before the next pause.
 
 Its generators stay plain Python where the rest is compiled: a compiled one and its frame
@@ -24,7 +24,7 @@
 from laurelstep.engine.endpoint_table import PHASES, EndpointTable, ListedEndpoint, split_address
 
 # Some tenths of a millisecond, also in plain Python.
-STEP = 32
+STEP_ENTRIES = 32
 
 # Takes a part of what changed, and whether there is more to come.
 Tell = Callable[[Sequence[Entry], bool], None]
@@ -49,7 +49,7 @@
 
 def parse_in_steps(text: str) -> Generator[None, None, dict[str, Any]]:
     """A JSON object (RFC 8259), as `json.loads` reads it; that of a long array, the
-    value of `instances`, takes a step for every `STEP` of its items. ValueError.
+    value of `instances`, takes a step for every `STEP_ENTRIES` of its items. ValueError.
     """
     decode = json.JSONDecoder().raw_decode
     found: dict[str, Any] = {}
@@ -85,12 +85,12 @@
         item, at = decode(text, at)
         items.append(item)
         mark, at = _mark(text, at, ",]")
-        if len(items) % STEP == 0:
+        if len(items) % STEP_ENTRIES == 0:
             yield
     return items, at
 
 
-def usable(raw: Any) -> tuple[dict[str, Any] | None, str]:
+def normalize_entry(raw: Any) -> tuple[dict[str, Any] | None, str]:
     """An entry of discovery as the engine can use it, and what is wrong with it, if anything is.
 
     Guards the good entries of a list against a bad one. An endpoint whose state or address can't be
@@ -149,22 +149,22 @@
     read: Read = {}
     raw.reverse()
     while raw:
-        entry, place = members.read(raw.pop())
+        entry, place = members.read_entry(raw.pop())
         read[entry.endpoint] = entry, place
-        if len(raw) % STEP == 0:
+        if len(raw) % STEP_ENTRIES == 0:
             yield
-    members.forget(members.clock.now())
+    members.forget_withdrawn(members.clock.now())
     if whole:
         members.draining.intersection_update(read)
     yield from _withdraw_in_steps(members, whole, read, told_at, tell)
     part: list[Entry] = []
     while read:
         _, (entry, place) = read.popitem()
-        members.note_phase(entry.endpoint, entry.phase)
+        members.note_draining(entry.endpoint, entry.phase)
         if entry.phase == READY and not members.is_unchanged(entry, place):
-            members.record(told_at, entry, place)
+            members.apply_entry(told_at, entry, place)
             part.append(entry)
-        if len(read) % STEP == 0:
+        if len(read) % STEP_ENTRIES == 0:
             tell(part, True)
             part = []
             yield
@@ -175,12 +175,12 @@
     members: EndpointTable, whole: bool, read: Read, told_at: int, tell: Tell
 ) -> Iterator[None]:
     part: list[Entry] = []
-    for at, (number, place) in enumerate(list(members.places.items()), 1):
+    for at, (number, place) in enumerate(list(members.by_number.items()), 1):
         entry = _leaving(number, place, read, whole)
         if entry is not None:
             members.withdraw(told_at, number, place)
             part.append(entry)
-        if at % STEP == 0:
+        if at % STEP_ENTRIES == 0:
             tell(part, True)
             part = []
             yield
@@ -205,7 +205,7 @@
     zones = {number: name for name, number in members.names.zones.items()}
     kinds = {number: name for name, number in members.names.kinds.items()}
     parts: list[str] = []
-    for at, place in enumerate(list(members.places.values()), 1):
+    for at, place in enumerate(list(members.by_number.values()), 1):
         if place.withdrawn_at is None:
             raw = {
                 "instanceId": place.name, "hostPort": place.address, "zone": zones.get(place.entry.zone, ""),
@@ -213,7 +213,7 @@
                 "lifecycle": "ready", "weight": place.entry.rating, "startedAtMs": place.started_ms,
             }  # fmt: skip
             parts.append(json.dumps(raw))
-        if at % STEP == 0:
+        if at % STEP_ENTRIES == 0:
             yield
     text = ",".join(parts)
     taken.append(f'{{"generation":{generation},"reset":true,"instances":[{text}]}}'.encode())
--- a/laurelstep/engine/names.py
+++ b/laurelstep/engine/names.py
@@ -19,31 +19,31 @@
 }
 
 
-class Names:
+class NameTable:
     """Made from the settings object of the platform's configuration. `order_headers` are the
-    headers, by class, with which requests name their order; `keepable` the classes that an outbox may
-    keep, here or at an edge of this copy.
+    headers, by class, with which requests name their order; `queueable_classes` the classes that an outbox
+    may keep, here or at an edge of this copy.
     """
 
     def __init__(
         self, raw: dict[str, Any], settings: Settings, order_headers: Mapping[str, bytes] | None = None
     ) -> None:
-        self.keepable: frozenset[int] = frozenset()
+        self.queueable_classes: frozenset[int] = frozenset()
         self.classes = {str(entry["name"]): n for n, entry in enumerate(raw["classes"])}
         self.order_headers = {self.classes[name]: one for name, one in (order_headers or {}).items()}
         self.tenants = {str(entry["name"]): n for n, entry in enumerate(raw.get("accounts", ()))}
         self.zones = {str(name): n for n, name in enumerate(raw.get("zones", ()))}
         self.kinds = {str(name): n for n, name in enumerate(raw.get("kinds", ()))}
-        self.fields = {name: at for at, name in enumerate(settings.report_fields)}
+        self.report_fields = {name: at for at, name in enumerate(settings.report_fields)}
 
-    def report(self, raw: bytes) -> list[float] | None:
+    def parse_load_report(self, raw: bytes) -> list[float] | None:
         """A load report in the settings' order; what can't be read is left out."""
-        if not raw or not self.fields:
+        if not raw or not self.report_fields:
             return None
-        values = [nan] * len(self.fields)
+        values = [nan] * len(self.report_fields)
         for part in raw.split(b","):
             name, _, value = part.decode("latin-1").strip().partition("=")
-            at = self.fields.get(REPORT_NAMES.get(name, name))
+            at = self.report_fields.get(REPORT_NAMES.get(name, name))
             if at is not None:
                 try:
                     values[at] = float(value)
--- a/laurelstep/engine/ports.py
+++ b/laurelstep/engine/ports.py
@@ -9,15 +9,15 @@
 from laurelstep.engine.call import Answer, Attempt, Call, Frontend, Handle
 
 __all__ = [
+    "CallHost",
     "Clock",
     "Decisions",
+    "FilteringSource",
     "Frontend",
     "Handle",
-    "HoldingSource",
     "Log",
     "MemberSink",
     "MemberSource",
-    "Recorded",
     "Recorder",
     "Upstream",
     "WriteQueue",
@@ -75,13 +75,13 @@
     def idle_us(self) -> int:
         """How long it keeps a connection at rest."""
 
-    def place(self, endpoint: int, address: str) -> None:
+    def set_address(self, endpoint: int, address: str) -> None:
         """A new process or address: nothing of the old one is used again."""
 
     def remove(self, endpoint: int) -> None:
         """It has left: no connection to it is kept."""
 
-    def free(self, endpoint: int) -> None:
+    def close_idle(self, endpoint: int) -> None:
         """Close the connections that rest at an endpoint."""
 
     def send(self, attempt: Attempt) -> None:
@@ -94,7 +94,7 @@
 class MemberSink(Protocol):
     """Takes what a source of members has to tell."""
 
-    def listed(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
+    def on_list(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
         """A whole list, or changes, in discovery's form; ValueError, with nothing of it
         taken, if it is bad.
         """
@@ -102,12 +102,12 @@
     def now(self) -> int:
         """The time on the clock of `told_at`, µs."""
 
-    def list_in_steps(self, whole: bool, entries: list[Any], told_at: int) -> Iterator[None]:
+    def apply_list_in_steps(self, whole: bool, entries: list[Any], told_at: int) -> Iterator[None]:
         """The same for a long list, one step with each item. ValueError comes, as there,
         with nothing taken; after the last item all of it is. `entries` is used up.
         """
 
-    def list_failed(self) -> None:
+    def on_list_failed(self) -> None:
         """What was asked for did not come."""
 
 
@@ -124,14 +124,14 @@
         """Bring the whole list once."""
 
 
-class HoldingSource(MemberSource, Protocol):
+class FilteringSource(MemberSource, Protocol):
     """A source that stands between another one and the engine, and may hold members back."""
 
-    def give_known(self, generation: int, entries: Sequence[Any]) -> None:
+    def set_initial_list(self, generation: int, entries: Sequence[Any]) -> None:
         """The list that the process was started with, before `start`. ValueError if it can't be read."""
 
 
-class Recorded(Protocol):
+class CallHost(Protocol):
     """The engine, as a recorder knows it."""
 
     def admit(self, call: Call) -> None:
@@ -149,15 +149,15 @@
 class Recorder(Protocol):
     """Keeps what must be known of a request after a restart. Joins at three steps."""
 
-    def begin(self, call: Call, engine: Recorded) -> bool:
+    def begin(self, call: Call, engine: CallHost) -> bool:
         """Before the module is told. True if it is recorded: then one of `admit` and `settle`
         is called for it, now or later.
         """
 
-    def finish(self, call: Call, answer: Answer, engine: Recorded) -> None:
+    def finish(self, call: Call, answer: Answer, engine: CallHost) -> None:
         """Before the final answer of a recorded call leaves: `deliver` is called, now or later."""
 
-    def gone(self, call: Call, engine: Recorded) -> None:
+    def on_client_left(self, call: Call, engine: CallHost) -> None:
         """The client of a recorded call left."""
 
 
@@ -172,7 +172,7 @@
         what is kept.
         """
 
-    def enqueue(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
+    def enqueue(self, call: Call, answer: Answer | None, engine: CallHost) -> bool:
         """`answer`: what it would get now; None where the module was not told of it yet. True if it is
         in hand: one of `settle` and `admit` is then called for it, now or later. Of an upload no
         endpoint had anything: the queue attaches to it, and after that calls `settle`.
--- a/laurelstep/engine/static_members.py
+++ b/laurelstep/engine/static_members.py
@@ -21,10 +21,10 @@
         self.sink = sink
         self.generation = generation
 
-    def give(self, entries: Sequence[Any]) -> None:
+    def replace_list(self, entries: Sequence[Any]) -> None:
         """A new whole list; ValueError, with the old one kept, if it can't be read."""
         if self.sink is not None:
-            self.sink.listed(self.generation + 1, True, entries)
+            self.sink.on_list(self.generation + 1, True, entries)
         self.generation += 1
         self.entries = list(entries)
 
@@ -34,7 +34,7 @@
     def fetch(self) -> None:
         """The whole list once more."""
         if self.sink is not None:
-            self.sink.listed(self.generation, True, self.entries)
+            self.sink.on_list(self.generation, True, self.entries)
 
     def close(self) -> None:
         """Tell nothing more."""
--- a/laurelstep/library/client.py
+++ b/laurelstep/library/client.py
@@ -4,7 +4,7 @@
 
 1. A client belongs to the loop and the process that opened it, and shares nothing with another client.
 2. An exchange ends once: by its final answer, or by being abandoned (a cancelled task, a client that
-   disconnected), which the engine hears as `gone`.
+   disconnected), which the engine hears as `on_client_left`.
 3. Once closing has begun no request is taken; those taken before are finished first; after that no task and
    no socket is left.
 """
@@ -169,7 +169,7 @@
         config = client.config
         call = call_from(method, target, headers, config.names, config.settings, self)
         self.call: Call | None = call  # None once it is over: each refers to the other
-        self.rules = config.settings.classes[call.cls]
+        self.rules = config.settings.classes[call.request_class]
         self.final_reply: asyncio.Future[Reply | None] = asyncio.get_running_loop().create_future()
 
     async def run(self, body: bytes) -> Reply | None:
@@ -182,10 +182,10 @@
         call = self.call
         if call is None:
             return None
-        if call.name in engine.open_names:
+        if call.client_request_id in engine.open_request_ids:
             raise BadRequestError(409, "X-Request-Id is that of an open request")
         call.body = body
-        call.expires += engine.now()
+        call.expires_at += engine.now()
         self.client.on_exchange_started(self)
         try:
             engine.take(call)
@@ -197,7 +197,7 @@
         finally:
             self.abandon()
 
-    def answered(self, call: Call, answer: Answer) -> None:
+    def on_answer(self, call: Call, answer: Answer) -> None:
         """Take the final answer from the engine."""
         after_us = answer.retry_after_us
         headers = tuple((n.decode("latin-1"), v.decode("latin-1")) for n, v in answer.headers)
@@ -208,8 +208,8 @@
                 headers=headers,
                 body=answer.body,
                 retry_after_s=after_us / 1e6 if after_us > 0 else None,
-                attempts=call.tried,
-                endpoint=call.endpoint,
+                attempts=call.attempts_sent,
+                endpoint=call.last_instance_id,
             )
         )
 
@@ -217,8 +217,8 @@
         """Stop waiting. Once there is an answer this only drops the call."""
         call, self.call = self.call, None
         self._finish(None)
-        if call is not None and call.open and call.id:
-            self.client.engine.gone(call)
+        if call is not None and call.is_open and call.id:
+            self.client.engine.on_client_left(call)
 
     def _finish(self, reply: Reply | None) -> None:
         if not self.final_reply.done():  # a cancelled task has cancelled it too
@@ -341,7 +341,7 @@
         source = self._parts.source
         if not isinstance(source, StaticMembers):
             raise ClientError("the members of this client come from discovery")
-        source.give([one.entry() for one in members])
+        source.replace_list([one.entry() for one in members])
 
     def require_open(self) -> Engine:
         """The engine, if the client is open on this loop; `ClientError` otherwise."""
--- a/laurelstep/lifecycle/phases.py
+++ b/laurelstep/lifecycle/phases.py
@@ -46,11 +46,11 @@
 }
 # A front asks every 0.1 s and sends connections for 0.2 s more. Callers that ask again within
 # this hear that their connection ends; those that rest longer are closed.
-REST_S: Final = 1.0
+IDLE_CLOSE_DELAY_S: Final = 1.0
 # What is not whole by now would still be open when all has to be gone, at 4 s.
 DRAIN_S: Final = 2.0
 # How long a connection that comes after its time may take to bring a request.
-LATE_S: Final = 0.3
+LATE_REQUEST_TIMEOUT_S: Final = 0.3
 
 
 class Lifecycle:
@@ -59,7 +59,7 @@
     def __init__(self) -> None:
         self.phase = Phase.STARTING
         self.since = 0.0
-        self.watchers: list[Callable[[], None]] = []
+        self.observers: list[Callable[[], None]] = []
 
     def _move(self, now: float, asked: str) -> bool:
         """Whether it may be asked now; it is done then."""
@@ -68,7 +68,7 @@
             return False
         if phase != self.phase:
             self.phase, self.since = phase, now
-            for watcher in self.watchers:
+            for watcher in self.observers:
                 watcher()
         return True
 
@@ -93,22 +93,22 @@
         return self._move(now, "stop")
 
     @property
-    def stopping(self) -> bool:
+    def is_stopping(self) -> bool:
         """Whether a graceful shutdown has begun."""
         return self.phase == Phase.STOPPING
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether new clients are welcome."""
         return self.phase == Phase.SERVING
 
     @property
-    def keeps(self) -> bool:
+    def allows_keep_alive(self) -> bool:
         """Whether a connection may stay open behind an answer."""
         return self.phase == Phase.SERVING
 
-    def is_late(self, now: float) -> bool:
+    def has_short_request_timeout(self, now: float) -> bool:
         """Whether a new connection has but a moment to bring its request."""
         if self.phase == Phase.DRAINING:
-            return now - self.since >= REST_S
+            return now - self.since >= IDLE_CLOSE_DELAY_S
         return self.phase == Phase.DRAINED
--- a/laurelstep/maintenance/assembly.py
+++ b/laurelstep/maintenance/assembly.py
@@ -57,7 +57,7 @@
     def start(self, consensus: ConsensusClient, engine: Engine, may_acknowledge: Callable[[], bool]) -> None:
         """Begin. `may_acknowledge`: whether no predecessor of this process sends any more."""
         assert self.source is not None
-        self.source.in_flight_at = engine.out_at
+        self.source.in_flight_at = engine.in_flight_at
         self.controller = MaintenanceController(
             consensus,
             self.state,
--- a/laurelstep/maintenance/source.py
+++ b/laurelstep/maintenance/source.py
@@ -16,7 +16,7 @@
 
 from laurelstep.balancing.events import READY
 from laurelstep.engine.endpoint_table import endpoint_number
-from laurelstep.engine.list_updates import STEP
+from laurelstep.engine.list_updates import STEP_ENTRIES
 from laurelstep.engine.ports import Clock, Log, MemberSink, MemberSource
 from laurelstep.maintenance.entries import UNKNOWN_STATE
 from laurelstep.maintenance.machines import ListedMachine, MachineTable, parse_listed_machine
@@ -24,7 +24,7 @@
 from laurelstep.maintenance.state import MaintenanceState
 
 # What is published at once; longer lists go in steps.
-MAX_DIRECT_ENTRIES: Final = 2 * STEP
+MAX_DIRECT_ENTRIES: Final = 2 * STEP_ENTRIES
 
 # Runs the steps in time slices, then calls its second argument with the exception that they raised, if any.
 RunInSteps = Callable[[Iterator[None], Callable[[Exception | None], None]], None]
@@ -83,7 +83,7 @@
         """Passed on to the inner source."""
         self.inner.fetch()
 
-    def give_known(self, generation: int, entries: Sequence[Any]) -> None:
+    def set_initial_list(self, generation: int, entries: Sequence[Any]) -> None:
         """The list that the process was started with. ValueError if it can't be read."""
         self._store(True, [parse_listed_machine(raw) for raw in entries])
         self.generation = generation
@@ -96,17 +96,17 @@
         """The time on the clock, in µs."""
         return self.clock.now()
 
-    def list_failed(self) -> None:
+    def on_list_failed(self) -> None:
         """Passed on to the engine."""
         if self.sink is not None:
-            self.sink.list_failed()
+            self.sink.on_list_failed()
 
-    def listed(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
+    def on_list(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
         """A complete list, or changes. ValueError, with nothing changed, if an entry can't be read."""
         machines = [parse_listed_machine(raw) for raw in entries]
         if self.can_publish and self.sink is not None:
             overlaid = [self._overlaid(machine, raw) for machine, raw in zip(machines, entries, strict=True)]
-            self.sink.listed(version, whole, overlaid)
+            self.sink.on_list(version, whole, overlaid)
             self._on_published(whole, [machine.machine_id for machine in machines])
         else:
             self._defer(whole, machines)
@@ -114,7 +114,7 @@
         self._store(whole, machines)
         self._on_list_stored()
 
-    def list_in_steps(self, whole: bool, entries: list[Any], told_at: int) -> Iterator[None]:
+    def apply_list_in_steps(self, whole: bool, entries: list[Any], told_at: int) -> Iterator[None]:
         """The same for a long list, in steps. `entries` is used up, so that freeing it is no long step."""
         machines: dict[str, ListedMachine] = {}
         overlaid: list[Any] = []
@@ -128,10 +128,10 @@
                 machines[machine.machine_id] = machine
                 if can_publish:
                     overlaid.append(self._overlaid(machine, raw))
-                if len(entries) % STEP == 0:
+                if len(entries) % STEP_ENTRIES == 0:
                     yield
             if can_publish and self.sink is not None:
-                yield from self.sink.list_in_steps(whole, overlaid, told_at)
+                yield from self.sink.apply_list_in_steps(whole, overlaid, told_at)
                 self._on_published(whole, machines)
             else:
                 self._defer(whole, machines.values())
@@ -168,7 +168,7 @@
     def _store_in_steps(self, is_complete: bool, machines: dict[str, ListedMachine]) -> Iterator[None]:
         each = self.table.replace(machines) if is_complete else self._put_each(machines.values())
         for count, _ in enumerate(each, 1):
-            if count % STEP == 0:
+            if count % STEP_ENTRIES == 0:
                 yield
 
     def _put_each(self, machines: Iterable[ListedMachine]) -> Iterator[None]:
@@ -214,7 +214,7 @@
             return
         try:
             entries = [self._entry_of(machine_id) for machine_id in machine_ids]
-            self.sink.listed(self.generation, is_complete, entries)
+            self.sink.on_list(self.generation, is_complete, entries)
         except ValueError as error:
             self._log_rejected(error)
         else:
@@ -227,9 +227,9 @@
         entries = []
         for count, machine_id in enumerate(machine_ids, 1):
             entries.append(self._entry_of(machine_id))
-            if count % STEP == 0:
+            if count % STEP_ENTRIES == 0:
                 yield
-        yield from sink.list_in_steps(is_complete, entries, published_at)
+        yield from sink.apply_list_in_steps(is_complete, entries, published_at)
         self._on_published(is_complete, machine_ids)
 
     def _on_steps_ended(self, error: Exception | None) -> None:
@@ -274,7 +274,7 @@
         for count, machine in enumerate(list(self.table.machines.values()), 1):
             if machine.phase == READY:
                 entries.append(json.dumps(machine.to_entry(READY, machine.started_ms)))
-            if count % STEP == 0:
+            if count % STEP_ENTRIES == 0:
                 yield
         instances = ",".join(entries)
         taken.append(f'{{"generation":{generation},"reset":true,"instances":[{instances}]}}'.encode())
--- a/laurelstep/management/calls.py
+++ b/laurelstep/management/calls.py
@@ -72,6 +72,6 @@
     if path == TELEMETRY:
         return Reply(200, figures(), FIGURES_TYPE)
     if path == READY:
-        return Reply(200 if lifecycle.ready else 503, f"{lifecycle.phase}\n")
+        return Reply(200 if lifecycle.is_ready else 503, f"{lifecycle.phase}\n")
     done = lifecycle.evacuate(now) if path == EVACUATE else lifecycle.rejoin(now)
     return Reply(200 if done else 409, f"{lifecycle.phase}\n")
--- a/laurelstep/management/telemetry.py
+++ b/laurelstep/management/telemetry.py
@@ -33,7 +33,7 @@
 
 def figures(engine: Engine) -> str:
     """All of them, as they stand now."""
-    counters, members = engine.counters, engine.members
+    counters, members = engine.counters, engine.endpoints
     classes = [name for name, _ in sorted(engine.names.classes.items(), key=lambda pair: pair[1])]
     avoided = engine.decisions.ejected(engine.now()) + len(members.draining)
     return "".join(
@@ -43,7 +43,7 @@
             family("errored_total", "counter", "Requests failed.", by_class(classes, counters.errored)),
             family("abandoned_total", "counter", "Clients that left.", by_class(classes, counters.abandoned)),
             family("sends_total", "counter", "Attempts written whole to endpoints.", [("", counters.sends)]),
-            family("current", "gauge", "Requests taken and not ended.", [("", engine.current())]),
+            family("current", "gauge", "Requests taken and not ended.", [("", engine.open_request_count())]),
             family("cluster_size", "gauge", "Endpoints in the list.", [("", members.size())]),
             family("cluster_unhealthy", "gauge", "Listed endpoints avoided now.", [("", avoided)]),
         )
--- a/laurelstep/net/assembly.py
+++ b/laurelstep/net/assembly.py
@@ -8,7 +8,7 @@
 
 from laurelstep.engine.clock import LoopClock
 from laurelstep.engine.engine import Engine
-from laurelstep.engine.ports import Clock, HoldingSource, Log, MemberSource, Recorder
+from laurelstep.engine.ports import Clock, FilteringSource, Log, MemberSource, Recorder
 from laurelstep.engine.static_members import StaticMembers
 from laurelstep.net.collector import Collector
 from laurelstep.net.discovery import LIST_PATH, Discovery
@@ -16,7 +16,7 @@
 from laurelstep.settings import Config, ConfigError
 
 # Puts a source between one of members and the engine.
-Holding = Callable[[MemberSource, Clock], HoldingSource]
+Holding = Callable[[MemberSource, Clock], FilteringSource]
 
 
 def source_of(
@@ -79,10 +79,10 @@
         try:
             if isinstance(self.source, StaticMembers):
                 self.engine.start()
-                self.source.give(self.given)
+                self.source.replace_list(self.given)
             elif self.held is not None:
                 if (known := self.config.known) is not None:
-                    self.held.give_known(int(known["generation"]), known["instances"])
+                    self.held.set_initial_list(int(known["generation"]), known["instances"])
                 self.engine.start()
             else:
                 self.engine.start(self.config.known)
--- a/laurelstep/net/client_connection.py
+++ b/laurelstep/net/client_connection.py
@@ -80,7 +80,7 @@
 
     # --- Writing --------------------------------------------------------------------
 
-    def answered(self, call: Call, answer: Answer) -> None:
+    def on_answer(self, call: Call, answer: Answer) -> None:
         """The final answer to the call in hand, as `engine.call.Frontend` has it."""
         self.call = None
         unread = self.upload is not None
@@ -94,7 +94,7 @@
         """`unread`: more of the request may come, and is not waited for."""
         if self.transport is None or self.transport.is_closing():
             return
-        keep = self.keep_alive and self.server.lifecycle.keeps and not unread
+        keep = self.keep_alive and self.server.lifecycle.allows_keep_alive and not unread
         head = lines(answer.headers)
         if answer.retry_after_us > 0:
             head = b"%bRetry-After: %.3f\r\n" % (head, answer.retry_after_us / 1e6)
@@ -114,7 +114,7 @@
         if self.transport is None or self.transport.is_closing():
             return
         self.chunked = flow.length < 0 and self.parser.get_http_version() == "1.1"
-        self.keep_alive = self.keep_alive and self.server.lifecycle.keeps and not unread
+        self.keep_alive = self.keep_alive and self.server.lifecycle.allows_keep_alive and not unread
         self.keep_alive = self.keep_alive and (self.chunked or flow.length >= 0)
         framing = b"Transfer-Encoding: chunked\r\n" if self.chunked else b""
         if flow.length >= 0:
@@ -149,7 +149,7 @@
                 self.close()
             elif self.pipelined:
                 self._resume_pipelined()
-            elif not self.server.lifecycle.keeps:  # it did when the answer's head was written
+            elif not self.server.lifecycle.allows_keep_alive:  # it did when the answer's head was written
                 self.close_if_idle()
         elif complete or self.chunked or self.keep_alive:
             # What has been given is still read; that it is not complete shows in its framing.
--- a/laurelstep/net/discovery.py
+++ b/laurelstep/net/discovery.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from laurelstep.engine.list_updates import STEP, parse_in_steps, usable
+from laurelstep.engine.list_updates import STEP_ENTRIES, normalize_entry, parse_in_steps
 from laurelstep.engine.ports import Log, MemberSink
 from laurelstep.net.collector import Collector
 from laurelstep.net.cooperative_task import CooperativeTask
@@ -55,7 +55,7 @@
 class Discovery:
     """Lists over HTTP, as the engine's source of members.
 
-    `pushed`: the watch is kept open from the start on, and opened anew when it ends.
+    `is_pushed`: the watch is kept open from the start on, and opened anew when it ends.
     Otherwise it is opened, and lists are fetched, when the engine says so.
 
     What falls silent is asked again at once, on a connection of its own and from the last
@@ -68,7 +68,7 @@
         loop: asyncio.AbstractEventLoop,
         address: str,
         path: str,
-        pushed: bool,
+        is_pushed: bool,
         log: Log,
         collector: Collector | None = None,
         seed: int = 0,
@@ -77,7 +77,7 @@
         self.draw = random.Random(seed)
         self.address = address
         self.path = path
-        self.pushed = pushed
+        self.is_pushed = is_pushed
         self.log = log
         self.logged_at = -LOG_EVERY_S  # when a line was last logged
         self.unlogged = 0  # lines since then that were not
@@ -87,7 +87,7 @@
         self.stream: DiscoveryStream | None = None  # the watch
         self.retry_s = RETRY_S
         self.silent_s = SILENT_S
-        self.answer_s = ANSWER_S if pushed else ANSWER_ASKED_S
+        self.answer_s = ANSWER_S if is_pushed else ANSWER_ASKED_S
         self.spread_s = SPREAD_S
         self.tasks: set[asyncio.Task[None]] = set()
         self.closed = False
@@ -100,7 +100,7 @@
         """Tell lists to the sink, of later versions than `generation`."""
         self.sink = sink
         self.generation = generation
-        if self.pushed:
+        if self.is_pushed:
             self.watch(True)
 
     def watch(self, on: bool) -> None:
@@ -116,7 +116,7 @@
             target = f"{self.path}?watch=1&from={self.generation}"
             self.stream = self._ask(DiscoveryStream(self, target, True, is_renewal))
 
-    def move(self, address: str) -> None:
+    def change_address(self, address: str) -> None:
         """Watch at another address, from now on and from the start: the versions
         of its lists may be others. What was to be fetched is fetched there.
         """
@@ -181,7 +181,7 @@
             version, whole, entries = parse_list(json.loads(raw), stream.watch)
             self._check_restart(stream, version, whole)
             if self.sink is not None and self._counts(stream, version, whole):
-                self.sink.listed(version, whole, list(self._usable_entries(entries)))
+                self.sink.on_list(version, whole, list(self._usable_entries(entries)))
                 self.generation = version
             self.retry_s = RETRY_S
         elif self.sink is not None:
@@ -194,7 +194,7 @@
 
     def _usable_entries(self, entries: list[Any]) -> Iterator[dict[str, Any]]:
         for raw in entries:
-            entry, wrong = usable(raw)
+            entry, wrong = normalize_entry(raw)
             if wrong:
                 self.log_rarely(f"bad entry from discovery: {wrong}")
             if entry is not None:
@@ -230,14 +230,14 @@
         version, whole, found = parse_list(told, stream.watch)
         self.last_list_size = len(found)
         entries: list[Any] = []
-        for at in range(0, len(found), STEP):
-            entries.extend(self._usable_entries(found[at : at + STEP]))
+        for at in range(0, len(found), STEP_ENTRIES):
+            entries.extend(self._usable_entries(found[at : at + STEP_ENTRIES]))
             yield
         if stream.address != self.address:
             return  # moved while it was read: the new address has the word
         self._check_restart(stream, version, whole)
         if self._counts(stream, version, whole):
-            yield from sink.list_in_steps(whole, entries, told_at)
+            yield from sink.apply_list_in_steps(whole, entries, told_at)
             if not stream.is_closed:  # another source may be watched since
                 self.generation = version
         self.retry_s = RETRY_S
@@ -258,8 +258,8 @@
         """Ask again: at once behind a silence, else after a back-off."""
         if self.closed or self.sink is None or (stream.watch and stream is not self.stream):
             return
-        if not self.pushed and (stream.is_renewal or not silent):
-            self.sink.list_failed()  # the module may ask sooner than the back-off below
+        if not self.is_pushed and (stream.is_renewal or not silent):
+            self.sink.on_list_failed()  # the module may ask sooner than the back-off below
         if silent:  # whoever waited for it need not pause, and the verdict was spread already
             self._renew(stream, is_renewal=True)
         else:
@@ -268,7 +268,7 @@
     def _back_off(self, stream: DiscoveryStream) -> float:
         """How long to wait after a call that failed, s."""
         part = RETRY_PART + (1.0 - RETRY_PART) * self.draw.random()
-        if not self.pushed:
+        if not self.is_pushed:
             return part * RETRY_ASKED_S
         pause = part * self.retry_s
         self.retry_s = min(MAX_RETRY_MALFORMED_S if stream.is_malformed else MAX_RETRY_S, 2.0 * self.retry_s)
--- a/laurelstep/net/discovery_stream.py
+++ b/laurelstep/net/discovery_stream.py
@@ -13,7 +13,7 @@
 MAX_OBJECT: Final = 64 * 1024 * 1024  # of some 300,000 endpoints
 # An object under way counts as silent while less than this comes of it, bytes/s: some entries a second.
 # What trickles for ever would starve the changes behind it.
-MIN_RATE: Final = 1024
+MIN_RATE_BYTES_PER_S: Final = 1024
 
 
 class StreamOwner(Protocol):
@@ -94,9 +94,11 @@
         """The parser: bytes of the body."""
         now = self.owner.loop.time()
         if not data.isspace():
-            began = self.heard_at + len(data) / MIN_RATE if self.decoder.begun else now
+            began = (
+                self.heard_at + len(data) / MIN_RATE_BYTES_PER_S if self.decoder.has_partial_object else now
+            )
             self.heard_at = min(began, now)
-        elif self.is_current and not self.decoder.begun and b"\n" in data:
+        elif self.is_current and not self.decoder.has_partial_object and b"\n" in data:
             self.heard_at = now  # empty lines say that a watch lives, but not that something owed still comes
         self.decoder.feed(data)
 
@@ -117,17 +119,17 @@
             return
         while not self.is_closed:
             if self.owner.busy:
-                if self.decoder.begun:
+                if self.decoder.has_partial_object:
                     self.pause()
                 return
             try:
-                found = self.decoder.take()
+                found = self.decoder.next_object()
             except ValueError as error:
                 self.reject(error)
                 return
             if found is not None:
                 self._take(found)
-            elif self.decoder.more:  # a turn of the loop for what else is ready
+            elif self.decoder.has_more:  # a turn of the loop for what else is ready
                 self.reading = self.owner.loop.call_soon(self.read)
                 return
             else:
@@ -139,7 +141,7 @@
         """Guards against an answer that is over without what was asked for: its connection may
         stay open, and say nothing.
         """
-        if self.decoder.begun:
+        if self.decoder.has_partial_object:
             self.reject(ValueError("an object that stops short"))
         else:
             self.fail()
@@ -187,7 +189,7 @@
     def fail(self, silent: bool = False) -> None:
         """Close it, and tell its owner."""
         if not self.is_closed:
-            if silent and self.decoder.begun:
+            if silent and self.decoder.has_partial_object:
                 self.owner.log_rarely("bad line from discovery: silent in the middle of an object")
             self.stop()
             self.owner.on_lost(self, silent)
--- a/laurelstep/net/endpoint_connection.py
+++ b/laurelstep/net/endpoint_connection.py
@@ -97,7 +97,7 @@
             return
         if self.attempt.lacks_socket:
             self.attempt.lacks_socket = False
-            self.attempt.sent = self.owner.now()  # the wait for a socket is none of the endpoint's
+            self.attempt.sent_at = self.owner.now()  # the wait for a socket is none of the endpoint's
         self.write()
 
     def eof_received(self) -> None:
@@ -126,7 +126,7 @@
     def _written(self) -> None:
         self.unwritten = False
         if self.attempt is not None:
-            self.attempt.written()
+            self.attempt.on_written()
 
     def write(self) -> None:
         """Write the request of its attempt, if that may still start."""
@@ -152,7 +152,7 @@
         if transport.is_closing():
             self.unwritten = True  # the first write failed: nothing left
         elif not self.unwritten:
-            attempt.written()
+            attempt.on_written()
 
     # --- Streaming ---------------------------------------------------------------------
 
@@ -347,10 +347,10 @@
         elif status in (503, 504) and fields.get(b"x-not-run", b"").strip() == b"1":
             outcome = FULL
         attempt, self.attempt = self.attempt, None
-        if attempt is not None and attempt.call.fate is not None:
+        if attempt is not None and attempt.call.queued_write_fate is not None:
             # From a copy of this program, whose 503 promises that nothing ran.
             outcome = FULL if status == 503 else outcome
-            attempt.call.fate = fields.get(b"x-kept-fate", b"refused" if status == 503 else b"")
+            attempt.call.queued_write_fate = fields.get(b"x-kept-fate", b"refused" if status == 503 else b"")
         self.owner.receiving.discard(self)
         self._end_exchange()
         if attempt is not None:
--- a/laurelstep/net/endpoint_state.py
+++ b/laurelstep/net/endpoint_state.py
@@ -7,7 +7,7 @@
 from typing import Final, Generic, TypeVar
 
 from laurelstep.engine.call import Attempt
-from laurelstep.flow_control.buffer_budget import ANSWERS_PART, BufferBudget, budget_for
+from laurelstep.flow_control.buffer_budget import ANSWERS_SHARE, BufferBudget, budget_bytes
 from laurelstep.net.connection_pool import PooledConnection
 from laurelstep.net.deadline_sweeper import DeadlineSweeper
 
@@ -57,7 +57,7 @@
         the settings do not say, as for `connect_us`.
         """
         self.loop, self.now = loop, now
-        self.answer_budget = BufferBudget(budget_for(memory_mb, ANSWERS_PART))
+        self.answer_budget = BufferBudget(budget_bytes(memory_mb, ANSWERS_SHARE))
         self.max_connections = max_connections
         self.addresses: dict[int, str] = {}
         self.retiring = False
--- a/laurelstep/net/request.py
+++ b/laurelstep/net/request.py
@@ -13,7 +13,7 @@
 
 from laurelstep.balancing.events import KEYED, SAFE, RequestClass, Settings
 from laurelstep.engine.call import Call, Frontend, Headers
-from laurelstep.engine.names import Names
+from laurelstep.engine.names import NameTable
 from laurelstep.net.errors import BadRequestError
 from laurelstep.net.message import BODY_MAX, REQUEST_HEADERS, body_length, lines, single
 
@@ -107,12 +107,12 @@
     method: bytes,
     target: bytes,
     headers: Headers,
-    names: Names,
+    names: NameTable,
     settings: Settings,
     front: Frontend,
     most: int = BODY_MAX,
 ) -> Call:
-    """The call that a head asks for; `expires` is still a span, which counts from the
+    """The call that a head asks for; `expires_at` is still a span, which counts from the
     request's last byte on, and the body, `most` bytes of it, is still to come.
     """
     fields = checked(headers, most)
@@ -122,21 +122,21 @@
     wait_ms = number(fields, b"x-deadline-ms")
     tenant = fields.get(b"x-tenant", b"").decode("latin-1")
     call = Call(
-        cls=cls,
-        expires=rules.deadline_us if wait_ms is None else min(wait_ms * 1000, rules.deadline_us),
-        start=b"%b %b" % (method, target),
-        head=lines(headers, REQUEST_HEADERS),
+        request_class=cls,
+        expires_at=rules.deadline_us if wait_ms is None else min(wait_ms * 1000, rules.deadline_us),
+        method_and_target=b"%b %b" % (method, target),
+        header_lines=lines(headers, REQUEST_HEADERS),
         body=b"",
-        front=front,
-        name=fields[b"x-request-id"],
+        frontend=front,
+        client_request_id=fields[b"x-request-id"],
         tenant=names.tenants.get(tenant, 0),
         key=key_of(target.partition(b"?")[2]),
         work_us=hint(fields.get(b"x-cost-hint", b"")),
-        repeated=fields.get(b"x-retry") == b"1",
-        order=fields.get(names.order_headers[cls], b"") if cls in names.order_headers else b"",
+        is_retry=fields.get(b"x-retry") == b"1",
+        order_id=fields.get(names.order_headers[cls], b"") if cls in names.order_headers else b"",
     )
-    if cls in names.keepable:
-        call.causes = causes_of(headers)
+    if cls in names.queueable_classes:
+        call.causal_dependencies = causes_of(headers)
     return call
 
 
--- a/laurelstep/net/request_receiver.py
+++ b/laurelstep/net/request_receiver.py
@@ -63,7 +63,7 @@
     def _abandon(self) -> None:
         call, self.call = self.call, None
         if call is not None:
-            self.server.engine.gone(call)
+            self.server.engine.on_client_left(call)
         self._release_body()
 
     def _release_body(self) -> None:
@@ -194,7 +194,9 @@
         method = self.parser.get_method()
         if method == b"GET" and self.target == READY_PATH:
             checked(self.headers)
-            return Answer(Ending.SERVED, 200) if self.server.lifecycle.ready else Answer(Ending.FAILED, 503)
+            return (
+                Answer(Ending.SERVED, 200) if self.server.lifecycle.is_ready else Answer(Ending.FAILED, 503)
+            )
         if self.server.on_receipt_query is not None and self.target.startswith(RECEIPTS_PATH):
             return self._outbox_query(method, RECEIPTS_PATH, "a receipt")
         if self.server.on_shared_query is not None and self.target.startswith(SHARED_PATH):
@@ -202,7 +204,7 @@
         engine = self.server.engine
         most = self.server.max_body
         call = call_from(method, self.target, self.headers, engine.names, engine.settings, self, most)
-        call.client = self
+        call.client_connection = self
         return call
 
     def _outbox_query(self, method: bytes, path: bytes, what: str) -> Call:
@@ -211,12 +213,14 @@
             raise BadRequestError(400, f"asking for {what} has no body")
         if method != b"GET":
             raise BadRequestError(405, f"ask for {what} with GET")
-        asking = Call(OUTBOX_QUERY, 0, self.target[len(path) :], b"", b"", self, order=path)
-        asking.open = False
+        asking = Call(OUTBOX_QUERY, 0, self.target[len(path) :], b"", b"", self, order_id=path)
+        asking.is_open = False
         return asking
 
     def _forward_query(self, asking: Call) -> None:
-        asked = self.server.on_shared_query if asking.order == SHARED_PATH else self.server.on_receipt_query
+        asked = (
+            self.server.on_shared_query if asking.order_id == SHARED_PATH else self.server.on_receipt_query
+        )
         assert asked is not None
         asked(asking)
 
@@ -228,7 +232,7 @@
         if not isinstance(asked, Call):
             self.reject(BadRequestError(413, "the body is too large"))
             return
-        if asked.name in server.engine.open_names:
+        if asked.client_request_id in server.engine.open_request_ids:
             self.reject(BadRequestError(409, "X-Request-Id is that of an open request"))
             return
         upload = BodyStream(self, declared_length(self.headers))
@@ -237,15 +241,15 @@
             self.body = bytearray()
         self._release_body()
         self.upload = asked.upload = upload
-        asked.span = asked.expires
-        asked.expires += server.engine.now() + UPLOAD_MOST_US
-        asked.streams = True
+        asked.time_after_upload_us = asked.expires_at
+        asked.expires_at += server.engine.now() + UPLOAD_MOST_US
+        asked.can_stream_answer = True
         self.call = asked
         server.awaiting_request.discard(self)
         server.uploading.add(self)
         server.engine.take(asked)
         # Not `self.upload` again: to the compiler that is what was assigned above.
-        if not upload.closed and not upload.started:
+        if not upload.is_closed and not upload.was_attached:
             self.pause()  # nobody takes it yet
 
     def _end_upload(self) -> None:
@@ -255,7 +259,7 @@
         if upload is not None:
             upload.finish(True)
         if call is not None:
-            self.server.engine.whole(call)
+            self.server.engine.on_upload_complete(call)
 
     def pause(self) -> None:
         """The upload's taker has no room: read no more for now."""
@@ -295,18 +299,18 @@
         if isinstance(asked, Answer):
             self._release_body()
             self.write_answer(asked)
-        elif asked is not None and asked.cls == OUTBOX_QUERY:
+        elif asked is not None and asked.request_class == OUTBOX_QUERY:
             self._release_body()
             self.call = asked
             self._forward_query(asked)
-        elif asked is not None and asked.name in engine.open_names:
+        elif asked is not None and asked.client_request_id in engine.open_request_ids:
             self.reject(BadRequestError(409, "X-Request-Id is that of an open request"))
         elif asked is not None:
-            asked.expires += engine.now()
+            asked.expires_at += engine.now()
             asked.body = body
             if body:
-                self.reserved = self.server.request_budget.force(len(body), self.reserved)
-            asked.streams = True
+                self.reserved = self.server.request_budget.reserve_unconditionally(len(body), self.reserved)
+            asked.can_stream_answer = True
             self.call = asked
             engine.take(asked)
 
--- a/laurelstep/net/response_receiver.py
+++ b/laurelstep/net/response_receiver.py
@@ -107,13 +107,13 @@
             return False
         budget = self.owner.answer_budget
         reserved = budget.reserve(self.size, self.reserved)
-        if reserved < 0 and self.attempt is not None and self.attempt.call.streams:
+        if reserved < 0 and self.attempt is not None and self.attempt.call.can_stream_answer:
             return False
-        self.reserved = budget.force(self.size, self.reserved) if reserved < 0 else reserved
+        self.reserved = budget.reserve_unconditionally(self.size, self.reserved) if reserved < 0 else reserved
         return True
 
     def _max_body(self) -> int:
-        if self.attempt is not None and not self.attempt.call.streams:
+        if self.attempt is not None and not self.attempt.call.can_stream_answer:
             return BODY_MAX
         return LARGE_MAX
 
@@ -142,7 +142,7 @@
         passed = pass_on(self.headers, ANSWER_HEADERS)
         final = Answer(Ending.SERVED, 200, passed, stream=answer)
         attempt.end(OK, final, (self.fields or {}).get(b"x-load", b""))
-        if not answer.started:
+        if not answer.was_attached:
             answer.abandon()  # nobody waits for it any more
 
     def _check_throughput(self) -> None:
--- a/laurelstep/net/server_state.py
+++ b/laurelstep/net/server_state.py
@@ -10,9 +10,9 @@
 
 from laurelstep.engine.call import Answer, Call
 from laurelstep.engine.engine import Engine
-from laurelstep.flow_control.buffer_budget import BufferBudget, budget_for
+from laurelstep.flow_control.buffer_budget import BufferBudget, budget_bytes
 from laurelstep.lifecycle import Lifecycle
-from laurelstep.lifecycle.phases import LATE_S
+from laurelstep.lifecycle.phases import LATE_REQUEST_TIMEOUT_S
 from laurelstep.net.acceptor import Acceptor
 from laurelstep.net.deadline_sweeper import DeadlineSweeper
 from laurelstep.net.errors import BadRequestError
@@ -47,7 +47,7 @@
         self.parsed: Call | Answer | None = None  # what the head of that request says
         self.hangup_poller: Any = None  # for the client's end, made when it is first asked
 
-    def answered(self, call: Call, answer: Answer) -> None:
+    def on_answer(self, call: Call, answer: Answer) -> None:
         """The engine's final answer to a call of this connection."""
         raise NotImplementedError
 
@@ -138,7 +138,7 @@
     ) -> None:
         """`on_stop` is called when a graceful shutdown begins."""
         self.loop = loop
-        self.request_budget = BufferBudget(budget_for(memory_mb))
+        self.request_budget = BufferBudget(budget_bytes(memory_mb))
         # An order's record holds all of it.
         self.max_body = LARGE_MAX if engine.recorder is None else BODY_MAX
         self.lifecycle = lifecycle or Lifecycle()
@@ -153,7 +153,7 @@
         self.write_stalled = self._sweeper(STUCK_S, lambda one: one.abort())
         self.idle = self._sweeper(REST_S, lambda one: one.close_if_idle())
         self.lingering = self._sweeper(LINGER_S, lambda one: one.on_linger_timeout())
-        self.latecomers = self._sweeper(LATE_S, lambda one: one.close_if_idle())
+        self.latecomers = self._sweeper(LATE_REQUEST_TIMEOUT_S, lambda one: one.close_if_idle())
         self.listener: Acceptor | None = None
         self.shutdown = GracefulShutdown(loop, self.lifecycle, self, on_stop)
         # Asked for the receipt of a kept write, and for what copies share; the call is answered later.
@@ -169,7 +169,7 @@
             connection.abort()  # guards a request that would run and go unanswered
             return
         self.connections.add(connection)
-        late = self.listener is None or self.lifecycle.is_late(self.loop.time())
+        late = self.listener is None or self.lifecycle.has_short_request_timeout(self.loop.time())
         (self.latecomers if late else self.awaiting_request).add(connection)
         if len(self.connections) > self.max_connections:
             self._evict_one()
--- a/laurelstep/net/shutdown.py
+++ b/laurelstep/net/shutdown.py
@@ -25,7 +25,7 @@
 from typing import Any, Final, Protocol
 
 from laurelstep.lifecycle import Lifecycle, Phase
-from laurelstep.lifecycle.phases import DRAIN_S, REST_S
+from laurelstep.lifecycle.phases import DRAIN_S, IDLE_CLOSE_DELAY_S
 from laurelstep.net.acceptor import SHORTAGE_PAUSE_S, Acceptor
 from laurelstep.net.deadline_sweeper import DeadlineSweeper
 from laurelstep.net.errors import BadRequestError
@@ -53,7 +53,7 @@
 
 # For each way: so many s after it began, the step. The end of a drain calls off what is to come of it.
 STEPS: Final = {
-    ClosePolicy.DRAIN: ((REST_S, "end_resting"), (DRAIN_S, "end_drain")),
+    ClosePolicy.DRAIN: ((IDLE_CLOSE_DELAY_S, "end_resting"), (DRAIN_S, "end_drain")),
     ClosePolicy.STOP: ((0.0, "end_at_rest"), (ACCEPT_S + LAST_S, "stop_listening")),
     ClosePolicy.SUCCEEDED: ((0.0, "close_listener"), (LEAVE_S, "end_unsent")),
 }
@@ -119,7 +119,7 @@
         self.refuses_partial = False  # a request that is not whole is not waited for any more
         self.closed = False  # the listener is, and what it had accepted has joined
         self.over = False  # the process ends
-        lifecycle.watchers.append(self._moved)
+        lifecycle.observers.append(self._moved)
 
     def stop(self, on_end: Callable[[], None]) -> None:
         """SIGTERM: serve what comes while it comes, then finish and end. A second changes nothing."""
--- a/laurelstep/net/upstream.py
+++ b/laurelstep/net/upstream.py
@@ -36,7 +36,7 @@
         """For how long an idle connection is kept, us."""
         return int(self.idle_connections.seconds * 1e6)
 
-    def place(self, endpoint: int, address: str) -> None:
+    def set_address(self, endpoint: int, address: str) -> None:
         """A new process or address: what was open to the old one is of no use."""
         self.remove(endpoint)
         self.addresses[endpoint] = address
@@ -47,15 +47,15 @@
         if (pool := self.pools.pop(endpoint, None)) is not None:
             pool.close()
 
-    def free(self, endpoint: int) -> None:
+    def close_idle(self, endpoint: int) -> None:
         """Close the connections that rest at an endpoint."""
         if (pool := self.pools.get(endpoint)) is not None:
             pool.close_idle()
 
     def send(self, attempt: Attempt) -> None:
         """Start an attempt, on an idle connection or a new one."""
-        if attempt.call.fate is not None:
-            attempt.call.fate = b""  # of the last attempt alone
+        if attempt.call.queued_write_fate is not None:
+            attempt.call.queued_write_fate = b""  # of the last attempt alone
         pool = self.pools.get(attempt.endpoint)
         if pool is None:
             address = self.addresses.get(attempt.endpoint)
--- a/laurelstep/outbox/admission.py
+++ b/laurelstep/outbox/admission.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from laurelstep.engine.call import Answer, Call, Ending
-from laurelstep.engine.ports import Recorded
+from laurelstep.engine.ports import CallHost
 from laurelstep.outbox.call_fields import (
     SEALED,
     causality_tokens_of,
@@ -50,15 +50,19 @@
         if self._passes(call):
             return False
         self.background_replay.live = True
-        if call.cls not in self.classes or self.closing:
+        if call.request_class not in self.classes or self.closing:
             return False
         return self.cutoff.is_cut_off or self._follows_queued(call)
 
     def _passes(self, call: Call) -> bool:
         """It is no client's: a replay, an ask, or a replay of another edge."""
-        if call.fate is not None or isinstance(call.front, ReplayFront):
+        if call.queued_write_fate is not None or isinstance(call.frontend, ReplayFront):
             return True
-        return self.settings.shared and len(call.causes) > SEALED and bool(call.causes[SEALED])
+        return (
+            self.settings.shared
+            and len(call.causal_dependencies) > SEALED
+            and bool(call.causal_dependencies[SEALED])
+        )
 
     def _follows_queued(self, call: Call) -> bool:
         """Whether it follows what is not known to be in. One whose token can't be read is kept, or
@@ -76,11 +80,11 @@
         session, obj = session_of(call), object_of(call)
         return bool(session or obj) and self.outbox.has_open(session, obj, tenant)
 
-    def enqueue(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
+    def enqueue(self, call: Call, answer: Answer | None, engine: CallHost) -> bool:
         """Keep a request's write if that may be; True if the request is answered from here. `answer` is
         what it would get otherwise; None if it was not sent yet.
         """
-        front = call.front
+        front = call.frontend
         if isinstance(front, ReplayFront):
             front.never_ran = True  # asked only where it can't have run
             return False
@@ -89,7 +93,7 @@
         now = self.now()
         if answer is not None and answer.ending is Ending.REFUSED:
             self.outbox.on_live_rejection(now)
-        if call.cls not in self.classes or self.closing or now >= call.expires:
+        if call.request_class not in self.classes or self.closing or now >= call.expires_at:
             return False
         if self.bodies.size(call) > self.settings.body_bytes or not self.bodies.has_room(call):
             return self._refuse_overtaking(call, answer, engine)
@@ -108,7 +112,7 @@
         return True
 
     def _refuse_overtaking(
-        self, call: Call, answer: Answer | None, engine: Recorded, retry_us: int = TURN_US
+        self, call: Call, answer: Answer | None, engine: CallHost, retry_us: int = TURN_US
     ) -> bool:
         """It can't be kept: what would go past its causes is refused, and so in hand."""
         if answer is None and self._follows_queued(call):
@@ -117,10 +121,10 @@
         return False
 
     def _offer(self, call: Call) -> WriteOffer:
-        headers = forwarded_headers(call.head)
+        headers = forwarded_headers(call.header_lines)
         return WriteOffer(
-            cls=self.classes[call.cls],
-            start=call.start,
+            cls=self.classes[call.request_class],
+            start=call.method_and_target,
             headers=headers,
             size=self.bodies.size(call),
             digest=b"" if call.upload is not None else self.bodies.digest(call),
@@ -131,7 +135,7 @@
             named=causality_tokens_of(call),
         )
 
-    def _take(self, call: Call, ticket: WriteTicket, answer: Answer | None, engine: Recorded) -> None:
+    def _take(self, call: Call, ticket: WriteTicket, answer: Answer | None, engine: CallHost) -> None:
         write_id = ticket.write_id
         if call.upload is not None:
             self.bodies.take(call, call.upload, ticket, answer, engine)
@@ -141,7 +145,7 @@
         else:
             self.answer_repeat(call, write_id, engine)
 
-    def answer_repeat(self, call: Call, write_id: WriteId, engine: Recorded) -> None:
+    def answer_repeat(self, call: Call, write_id: WriteId, engine: CallHost) -> None:
         """Answer a call whose write has a number already, once its record is durable."""
         if write_id in self.storing:
             # Compared with the first try, once both are told.
@@ -149,7 +153,7 @@
         else:
             self.spawn(self._known(call, write_id, engine))
 
-    async def _known(self, call: Call, write_id: WriteId, engine: Recorded) -> None:
+    async def _known(self, call: Call, write_id: WriteId, engine: CallHost) -> None:
         """A key that a write has already: the same request gets the same receipt."""
         digest = self.bodies.digest(call)
         try:
@@ -168,7 +172,7 @@
         """Found by its being closed, once the store is through; of a body that is coming no more is taken."""
         self.bodies.left(call)
 
-    async def _store(self, call: Call, write: QueuedWrite, answer: Answer | None, engine: Recorded) -> None:
+    async def _store(self, call: Call, write: QueuedWrite, answer: Answer | None, engine: CallHost) -> None:
         write_id, told = write.write_id, None
         certain = kept = True
         try:
@@ -176,7 +180,7 @@
             await asyncio.sleep(0)  # what follows is done while the disk works
             told = self._kept(write_id)
             await keeping
-            if not any(one.open for one in self.storing[write_id]):
+            if not any(one.is_open for one in self.storing[write_id]):
                 kept = not await self.store.delete_write(write_id, write.size)
         except StoreError as error:
             self.log(f"outbox: not kept: {error}")
@@ -189,7 +193,7 @@
         kept: bool,
         certain: bool,
         answer: Answer | None,
-        engine: Recorded,
+        engine: CallHost,
         told: Answer | None = None,
     ) -> None:
         """All that wait for it are told; the first of them `told`, where that is worded already."""
@@ -213,9 +217,9 @@
             else:
                 engine.settle(one, self._kept(write_id))
 
-    def answer_unqueued(self, call: Call, answer: Answer | None, certain: bool, engine: Recorded) -> None:
+    def answer_unqueued(self, call: Call, answer: Answer | None, certain: bool, engine: CallHost) -> None:
         """Answer a call whose write could not be kept. `certain`: no later life can find it."""
-        if not call.open:
+        if not call.is_open:
             return
         if not certain and (answer is None or answer.ending is Ending.REFUSED):
             engine.settle(call, may_have_run_answer())
--- a/laurelstep/outbox/bodies.py
+++ b/laurelstep/outbox/bodies.py
@@ -27,7 +27,7 @@
 
 from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.call import Answer, Call, Ending
-from laurelstep.engine.ports import Recorded
+from laurelstep.engine.ports import CallHost
 from laurelstep.outbox.errors import OutboxError
 from laurelstep.outbox.intake import RETRY_US
 from laurelstep.outbox.messages import WriteTicket
@@ -73,7 +73,7 @@
         self.kept: bool | None = None
         self.certain = True
         self.news = asyncio.Event()
-        self._digest = blake2b(call.start + b"\n", digest_size=DIGEST_BYTES)
+        self._digest = blake2b(call.method_and_target + b"\n", digest_size=DIGEST_BYTES)
 
     @property
     def digest(self) -> bytes:
@@ -204,7 +204,7 @@
         return self.digests.pop(call, None) or request_digest(call)
 
     def take(
-        self, call: Call, upload: BodyStream, ticket: WriteTicket, answer: Answer | None, engine: Recorded
+        self, call: Call, upload: BodyStream, ticket: WriteTicket, answer: Answer | None, engine: CallHost
     ) -> None:
         """A write that has a number, while its body comes."""
         body = self.coming[call] = IncomingBody(self, call, upload, ticket.write is not None)
@@ -233,7 +233,7 @@
             body.end(False)
 
     async def _store(
-        self, body: IncomingBody, write: QueuedWrite, answer: Answer | None, engine: Recorded
+        self, body: IncomingBody, write: QueuedWrite, answer: Answer | None, engine: CallHost
     ) -> None:
         driver, write_id = self.driver, write.write_id
         kept = False
@@ -243,7 +243,7 @@
                 driver.outbox.on_size_known(write_id, body.came)
                 await driver.store.put_head(write, body.first)
                 kept = any(
-                    one.open for one in driver.storing[write_id]
+                    one.is_open for one in driver.storing[write_id]
                 ) or not await driver.store.delete_write(write_id, body.came)
             elif not body.fits:
                 driver.log(f"outbox: not kept: a body of more than {self.most} bytes")
@@ -271,7 +271,7 @@
             await asyncio.sleep(AGAIN_S)
 
     async def _compare(
-        self, body: IncomingBody, write_id: WriteId, answer: Answer | None, engine: Recorded
+        self, body: IncomingBody, write_id: WriteId, answer: Answer | None, engine: CallHost
     ) -> None:
         first = self.stored.get(write_id)
         try:
@@ -281,7 +281,7 @@
         call = body.call
         if not body.fits:
             engine.settle(call, key_conflict_answer())
-        elif not body.whole or not call.open:
+        elif not body.whole or not call.is_open:
             return
         elif first is not None and first.kept is False:
             self.driver.answer_unqueued(call, answer, first.certain, engine)
@@ -291,7 +291,7 @@
 
     def refused(self, call: Call) -> Answer | None:
         """Of one that is not kept, and of which nothing was sent; None if it can still be."""
-        if call.upload is None or not call.upload.started:
+        if call.upload is None or not call.upload.was_attached:
             return None
         return Answer(Ending.REFUSED, 503, retry_after_us=RETRY_US)
 
@@ -313,8 +313,10 @@
             return None
         call = self.driver.call_of(write, b"", replay)
         now = self.driver.now()
-        call.span = call.expires - now
-        call.expires = now + min(PASSING_MOST_US + call.span, self.driver.outbox.window_left(write_id, now))
+        call.time_after_upload_us = call.expires_at - now
+        call.expires_at = now + min(
+            PASSING_MOST_US + call.time_after_upload_us, self.driver.outbox.window_left(write_id, now)
+        )
         call.upload = BodyStream(BodyReplay(self, call, write, first), write.size)
         return call
 
@@ -360,4 +362,4 @@
         upload.finish(True)
         engine = self.bodies.driver.engine
         if engine is not None:
-            engine.whole(self.call)
+            engine.on_upload_complete(self.call)
--- a/laurelstep/outbox/call_fields.py
+++ b/laurelstep/outbox/call_fields.py
@@ -24,15 +24,15 @@
 
 def causality_tokens_of(call: Call) -> str:
     """Receipts and tokens alike: each is a token."""
-    return ",".join(part.decode("latin-1") for part in call.causes[:2] if part)
+    return ",".join(part.decode("latin-1") for part in call.causal_dependencies[:2] if part)
 
 
 def session_of(call: Call) -> bytes:
     """The session that the call names; empty if none."""
-    return call.causes[2] if call.causes else b""
+    return call.causal_dependencies[2] if call.causal_dependencies else b""
 
 
 def object_of(call: Call) -> bytes:
     """The object that the call's query names; empty if none."""
-    query = call.start.partition(b"?")[2]
+    query = call.method_and_target.partition(b"?")[2]
     return next((part[4:] for part in query.split(b"&") if part.startswith(b"obj=")), b"")
--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -172,7 +172,7 @@
 
     async def _tell(self, call: Call) -> None:
         try:
-            receipt = await self.receipt(_one(self.tokens.read(call.start.decode("ascii"))))
+            receipt = await self.receipt(_one(self.tokens.read(call.method_and_target.decode("ascii"))))
             answer = Answer(Ending.SERVED, 200, (JSON,), show(receipt))
         except UnknownWriteError as error:
             answer = Answer(Ending.FAILED, 404, (), f"{error}\n".encode())
@@ -180,7 +180,7 @@
             answer = Answer(Ending.FAILED, 400, (), f"{error}\n".encode())
         except (StoreError, OutboxError) as error:
             answer = Answer(Ending.FAILED, 503, (), f"{error}\n".encode())
-        call.front.answered(call, answer)
+        call.frontend.on_answer(call, answer)
 
     async def receipt(self, write_id: WriteId) -> WriteReceipt:
         """With the final answer, where there is one. `UnknownWriteError`, `StoreError`."""
--- a/laurelstep/outbox/ports.py
+++ b/laurelstep/outbox/ports.py
@@ -9,7 +9,7 @@
 from laurelstep.engine.call import Answer, Call
 from laurelstep.engine.clock import LoopClock
 from laurelstep.engine.engine import Engine
-from laurelstep.engine.ports import Log, Recorded
+from laurelstep.engine.ports import CallHost, Log
 from laurelstep.outbox.cutoff import CutOffDetector
 from laurelstep.outbox.messages import Transition
 from laurelstep.outbox.options import OutboxSettings
@@ -62,13 +62,13 @@
         kept: bool,
         certain: bool,
         answer: Answer | None,
-        engine: Recorded,
+        engine: CallHost,
         told: Answer | None = None,
     ) -> None:
         """Tell all that wait for a write whether it is kept."""
 
-    def answer_unqueued(self, call: Call, answer: Answer | None, certain: bool, engine: Recorded) -> None:
+    def answer_unqueued(self, call: Call, answer: Answer | None, certain: bool, engine: CallHost) -> None:
         """Answer a call whose write could not be kept."""
 
-    def answer_repeat(self, call: Call, write_id: WriteId, engine: Recorded) -> None:
+    def answer_repeat(self, call: Call, write_id: WriteId, engine: CallHost) -> None:
         """Answer a call that names a write which was offered before."""
--- a/laurelstep/outbox/replay_driver.py
+++ b/laurelstep/outbox/replay_driver.py
@@ -63,7 +63,7 @@
         if now < self.look_at:
             return
         self.look_at = now + TURN_US // 2
-        places = self.engine.members.places.values()
+        places = self.engine.endpoints.by_number.values()
         self.cutoff.listed(sum(1 for place in places if place.withdrawn_at is None), now)
         if self.cutoff.is_cut_off != self.was_cut_off:
             self._on_cutoff_change()
@@ -204,18 +204,18 @@
         cls = self.numbers[write.cls]
         fields = dict(write.headers)
         call = Call(
-            cls=cls,
-            expires=self.engine.now() + self.engine.settings.classes[cls].deadline_us,
-            start=write.start,
-            head=lines_of(write.headers),
+            request_class=cls,
+            expires_at=self.engine.now() + self.engine.settings.classes[cls].deadline_us,
+            method_and_target=write.start,
+            header_lines=lines_of(write.headers),
             body=body,
-            front=replay,
-            name=b"outbox "
+            frontend=replay,
+            client_request_id=b"outbox "
             + str(write.write_id).encode(),  # its client may come again under the name that it has
             tenant=self.tenants.get(write.tenant, 0),
             key=key_of(write.start.partition(b"?")[2]),
             work_us=hint(fields.get(b"x-cost-hint", b"")),
-            repeated=write.write_id in self.again,
+            is_retry=write.write_id in self.again,
         )
         if self.sharing is not None:
             self.sharing.name(call, write)
--- a/laurelstep/outbox/replay_front.py
+++ b/laurelstep/outbox/replay_front.py
@@ -19,7 +19,7 @@
     never_ran: bool = False
     over: asyncio.Future[Answer] = field(default_factory=lambda: asyncio.get_running_loop().create_future())
 
-    def answered(self, call: Call, answer: Answer) -> None:
+    def on_answer(self, call: Call, answer: Answer) -> None:
         """The engine's final answer to the replay."""
         if not self.over.done():
             self.over.set_result(answer)
--- a/laurelstep/outbox/shared/asking.py
+++ b/laurelstep/outbox/shared/asking.py
@@ -47,7 +47,7 @@
 
     over: asyncio.Future[Answer] = field(default_factory=lambda: asyncio.get_running_loop().create_future())
 
-    def answered(self, call: Call, answer: Answer) -> None:
+    def on_answer(self, call: Call, answer: Answer) -> None:
         """The engine's final answer to the query."""
         if not self.over.done():
             self.over.set_result(answer)
@@ -174,16 +174,16 @@
     def name(self, call: Call, write: QueuedWrite) -> None:
         """Make it a replay to a copy upstream."""
         sealed = self.seal.replayed(ReplayIdentity(write.write_id, self.remote.life, not write.keyed))
-        call.head = lines_of((*write.headers, (KEPT_HEADER, sealed.encode())))
-        call.fate = b""
+        call.header_lines = lines_of((*write.headers, (KEPT_HEADER, sealed.encode())))
+        call.queued_write_fate = b""
 
     def end_of(self, call: Call, replay: ReplayFront, answer: Answer) -> ReplayResult:
         """What a copy's answer to a replay means."""
         if answer.ending is Ending.SERVED:
             return ReplayResult.ANSWERED
         edge_log = replay.write_id.edge_log
-        fenced = call.fate == b"fenced" and self._lost(edge_log)
-        if call.fate == b"begun":
+        fenced = call.queued_write_fate == b"fenced" and self._lost(edge_log)
+        if call.queued_write_fate == b"begun":
             return ReplayResult.MAY_HAVE_RUN
         if not self._not_run(call, replay, answer):
             return ReplayResult.MAY_HAVE_RUN
@@ -193,8 +193,8 @@
         """`fate` is of the last attempt. Of an unsafe write there was none before it that may have run."""
         if answer.ending is Ending.REFUSED or replay.never_ran:
             return True
-        refused = call.fate in (b"fenced", b"refused")
-        return refused and (call.tried <= 1 or self.outbox.is_unsafe(replay.write_id))
+        refused = call.queued_write_fate in (b"fenced", b"refused")
+        return refused and (call.attempts_sent <= 1 or self.outbox.is_unsafe(replay.write_id))
 
     def _lost(self, edge_log: EdgeLog) -> bool:
         """A gate says that another life has it."""
@@ -272,7 +272,7 @@
             asking,
             name,
         )
-        call.fate = b""
+        call.queued_write_fate = b""
         self.asking = asking.over
         engine.take(call)
         try:
--- a/laurelstep/outbox/shared/replay_gate.py
+++ b/laurelstep/outbox/shared/replay_gate.py
@@ -29,7 +29,7 @@
 
 from laurelstep.consensus.errors import EntryError
 from laurelstep.engine.call import Answer, Attempt, Call, Ending
-from laurelstep.engine.ports import Clock, Log, Recorded, Recorder
+from laurelstep.engine.ports import CallHost, Clock, Log, Recorder
 from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.shared.entries import EdgeLost, Intent, IntentWithdrawal, LedgerEntry, WriteApplied
 from laurelstep.outbox.shared.message_seal import MessageSeal, SealError
@@ -128,9 +128,9 @@
 
     # --- Before the module is told ------------------------------------------------------
 
-    def begin(self, call: Call, engine: Recorded) -> bool:
+    def begin(self, call: Call, engine: CallHost) -> bool:
         """As an engine's `Recorder`: True if the replay is in hand here."""
-        sealed = call.causes[3] if len(call.causes) > 3 else b""
+        sealed = call.causal_dependencies[3] if len(call.causal_dependencies) > 3 else b""
         if not sealed:
             return self.inner is not None and self.inner.begin(call, engine)
         try:
@@ -139,13 +139,13 @@
             engine.settle(call, self._unsealed("a kept write's name", error))
             return True
         self.counters["replays"] += 1
-        if call.cls not in self.classes:
+        if call.request_class not in self.classes:
             self._complain(
                 f"{replayed.write_id.edge}: a kept write of a class that [orders] records here was refused"
             )
             engine.settle(call, self._refusal())
             return True
-        unsafe = replayed.unsafe or self.classes[call.cls]
+        unsafe = replayed.unsafe or self.classes[call.request_class]
         hand = GatedReplay(call, replayed.write_id, replayed.life, unsafe)
         resolution = self._verdict(hand)
         if resolution is not None:
@@ -174,7 +174,7 @@
             return Answer(Ending.FAILED, 502, ((FATE_HEADER, b"begun"),))
         return None
 
-    async def _begin(self, hand: GatedReplay, engine: Recorded) -> None:
+    async def _begin(self, hand: GatedReplay, engine: CallHost) -> None:
         call, until = hand.call, self._until(hand.call)
         if until > self.clock.now():
             hand.ask = self.draw()
@@ -197,13 +197,13 @@
     def _begun(self, hand: GatedReplay) -> IntentStatus:
         return self.record.intent_status(hand.write_id, hand.life, hand.ask)
 
-    def _admit(self, hand: GatedReplay, engine: Recorded) -> None:
+    def _admit(self, hand: GatedReplay, engine: CallHost) -> None:
         hand.admitted = True
         engine.admit(hand.call)
 
     # --- Before the final answer leaves -------------------------------------------------
 
-    def finish(self, call: Call, answer: Answer, engine: Recorded) -> None:
+    def finish(self, call: Call, answer: Answer, engine: CallHost) -> None:
         """As an engine's `Recorder`: the final answer of a replay."""
         hand = self.hands.pop(call, None)
         if hand is None:
@@ -220,7 +220,7 @@
         else:
             engine.deliver(call, answer)
 
-    async def _say_in(self, hand: GatedReplay, answer: Answer, engine: Recorded) -> None:
+    async def _say_in(self, hand: GatedReplay, answer: Answer, engine: CallHost) -> None:
         dependency = Dependency(*hand.write_id)
 
         def over() -> bool:
@@ -238,13 +238,13 @@
         if not over():
             await self._tell_on(entry, over)
 
-    def _refuse(self, hand: GatedReplay, answer: Answer, engine: Recorded) -> None:
+    def _refuse(self, hand: GatedReplay, answer: Answer, engine: CallHost) -> None:
         if hand.unsafe:
             self._spawn(self._take_back_and_refuse(hand, answer, engine))
         else:
             engine.deliver(hand.call, answer)
 
-    async def _take_back_and_refuse(self, hand: GatedReplay, answer: Answer, engine: Recorded) -> None:
+    async def _take_back_and_refuse(self, hand: GatedReplay, answer: Answer, engine: CallHost) -> None:
         """Rule 5 says why the refusal leaves either way."""
         entry = IntentWithdrawal(hand.write_id, hand.ask)
         agreed = await self._agree(entry, lambda: self.record.is_withdrawn(hand.ask), self._until(hand.call))
@@ -276,7 +276,7 @@
             return False  # sealed, but no entry: no edge says so
 
     def _until(self, call: Call) -> int:
-        return min(self.clock.now() + AGREE_US, call.expires - LEFT_US)
+        return min(self.clock.now() + AGREE_US, call.expires_at - LEFT_US)
 
     def _refusal(self) -> Answer:
         self.counters["refused"] += 1
@@ -284,19 +284,19 @@
 
     # --- Those that leave ---------------------------------------------------------------
 
-    def gone(self, call: Call, engine: Recorded) -> None:
+    def on_client_left(self, call: Call, engine: CallHost) -> None:
         """As an engine's `Recorder`: the caller left."""
         hand = self.hands.pop(call, None)
         if hand is None:
             if self.inner is not None:
-                self.inner.gone(call, engine)
+                self.inner.on_client_left(call, engine)
         elif hand.admitted:
             # The module calls off what is out: only then it shows whether it can have run.
             self.clock.at(self.clock.now(), self._left, hand, tuple(call.attempts))
 
     def _left(self, hand: GatedReplay, attempts: tuple[Attempt, ...]) -> None:
         """Attempts that are all over are not here any more: they may have run."""
-        is_known = bool(attempts) or not hand.call.tried
+        is_known = bool(attempts) or not hand.call.attempts_sent
         if is_known and not _may_have_run(hand.call, attempts):
             self._take_back_later(hand)
 
@@ -305,17 +305,17 @@
     def ask(self, call: Call) -> None:
         """`call.start` is a sealed ask; its front is answered later."""
         if self.asking >= ASKS_MOST:
-            call.front.answered(call, self._refusal())
+            call.frontend.on_answer(call, self._refusal())
             return
         self.asking += 1
         self._spawn(self._ask(call))
 
     async def _ask(self, call: Call) -> None:
         try:
-            answer = await self._answer(call.start.decode("latin-1"))
+            answer = await self._answer(call.method_and_target.decode("latin-1"))
         finally:
             self.asking -= 1
-        call.front.answered(call, answer)
+        call.frontend.on_answer(call, answer)
 
     async def _answer(self, text: str) -> Answer:
         try:
@@ -385,6 +385,6 @@
 
 def _may_have_run(call: Call, attempts: Sequence[Attempt]) -> bool:
     """Of an upload, any part that an endpoint had counts."""
-    if call.upload is not None and call.upload.started:
+    if call.upload is not None and call.upload.was_attached:
         return True
-    return any(attempt.out or attempt.may_have_run for attempt in attempts)
+    return any(attempt.is_in_flight or attempt.may_have_run for attempt in attempts)
--- a/laurelstep/reload.py
+++ b/laurelstep/reload.py
@@ -47,4 +47,4 @@
 def move_discovery(source: MemberSource, config: Config) -> None:
     """Follow the discovery that the configuration names."""
     if isinstance(source, Discovery) and config.discovery is not None:
-        source.move(config.discovery)
+        source.change_address(config.discovery)
--- a/laurelstep/request_journal/journal.py
+++ b/laurelstep/request_journal/journal.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 
 from laurelstep.engine.call import Answer, Call, Ending
-from laurelstep.engine.ports import Log, Recorded
+from laurelstep.engine.ports import CallHost, Log
 from laurelstep.request_journal.records import (
     IntentRecord,
     ResponseRecord,
@@ -83,19 +83,19 @@
 
     # --- Before the request is sent ---------------------------------------------------
 
-    def begin(self, call: Call, engine: Recorded) -> bool:
+    def begin(self, call: Call, engine: CallHost) -> bool:
         """Take a call that carries an idempotency key; False if it carries none. See `Recorder`."""
-        found = self.classes.get(call.cls)
+        found = self.classes.get(call.request_class)
         if found is None:
             return False
         class_name, journal_class = found
-        key = idempotency_key(journal_class, call.order, call.body)
+        key = idempotency_key(journal_class, call.order_id, call.body)
         if key is None:
             return False
         self._take(call, store_key(class_name, key), journal_class.retention_ms, engine)
         return True
 
-    def _take(self, call: Call, key: bytes, retention_ms: int, engine: Recorded) -> None:
+    def _take(self, call: Call, key: bytes, retention_ms: int, engine: CallHost) -> None:
         """As the leader of its key, or as a follower of the request in progress."""
         digest = request_digest(call)
         request = self.in_progress.get(key)
@@ -110,7 +110,7 @@
         else:
             request.followers.append(call)
 
-    async def _begin(self, request: JournaledRequest, engine: Recorded) -> None:
+    async def _begin(self, request: JournaledRequest, engine: CallHost) -> None:
         """Answer from the record if there is one; else admit once the intent is durable."""
         try:
             data = await self.store.get(request.store_key)
@@ -126,9 +126,9 @@
                 return
         await self._admit(request, engine)
 
-    async def _admit(self, request: JournaledRequest, engine: Recorded) -> None:
+    async def _admit(self, request: JournaledRequest, engine: CallHost) -> None:
         """Admit the first call of this request that is still open; the intent is durable."""
-        while not request.leader.open:
+        while not request.leader.is_open:
             self.by_leader.pop(request.leader, None)
             if not request.followers:
                 await self._withdraw_intent(request)
@@ -149,7 +149,7 @@
 
     # --- Before the final answer leaves -----------------------------------------------
 
-    def finish(self, call: Call, answer: Answer, engine: Recorded) -> None:
+    def finish(self, call: Call, answer: Answer, engine: CallHost) -> None:
         """Record a final answer, then let it leave. See `Recorder`."""
         request = self.by_leader.get(call)
         if request is None or not request.is_admitted:
@@ -159,7 +159,7 @@
             engine.deliver(call, answer)
         self._spawn(self._finish(request, answer, engine))
 
-    async def _finish(self, request: JournaledRequest, answer: Answer, engine: Recorded) -> None:
+    async def _finish(self, request: JournaledRequest, answer: Answer, engine: CallHost) -> None:
         final = answer
         try:
             if answer.ending is Ending.REFUSED:
@@ -175,12 +175,12 @@
 
     # --- Calls that end early ---------------------------------------------------------
 
-    def gone(self, call: Call, engine: Recorded) -> None:
+    def on_client_left(self, call: Call, engine: CallHost) -> None:
         """The client of a recorded call disconnected. See `Recorder`."""
         request = self.by_leader.get(call)
         if request is None:
             self._remove_follower(call)
-        elif request.is_admitted and call.tried:
+        elif request.is_admitted and call.attempts_sent:
             self._settle_all(request, may_have_run_answer(), engine)
         elif request.is_admitted:
             request.is_admitted = False
@@ -192,7 +192,7 @@
                 request.followers.remove(call)
                 return
 
-    def _settle_all(self, request: JournaledRequest, answer: Answer, engine: Recorded) -> None:
+    def _settle_all(self, request: JournaledRequest, answer: Answer, engine: CallHost) -> None:
         """Give all calls of a request this answer; its key is no longer in progress."""
         followers, request.followers = request.followers, []
         self._drop(request)
--- a/laurelstep/request_journal/records.py
+++ b/laurelstep/request_journal/records.py
@@ -73,7 +73,7 @@
 
 def request_digest(call: Call) -> bytes:
     """Identify a request by its method, target and body."""
-    return blake2b(call.start + b"\n" + call.body, digest_size=DIGEST_BYTES).digest()
+    return blake2b(call.method_and_target + b"\n" + call.body, digest_size=DIGEST_BYTES).digest()
 
 
 def idempotency_key(settings: JournalClass, header: bytes, body: bytes) -> bytes | None:
--- a/laurelstep/resources/descriptors.py
+++ b/laurelstep/resources/descriptors.py
@@ -20,11 +20,11 @@
 DEFAULT_SOCKETS: Final = 1024
 MAX_SOCKETS: Final = 1024  # more are of no use to one process of one core
 # The listener, the watch and one that follows it, the loop, standard streams, a hot restart.
-RESERVED: Final = 24
+RESERVED_DESCRIPTORS: Final = 24
 # Reserved for the second address, where there is one: a crowd of clients must not shut it out.
 RESERVED_FOR_MANAGEMENT: Final = 16
 # A side has so many at least, whatever the settings say.
-MIN_PER_SIDE: Final = 8
+MIN_CONNECTIONS_PER_SIDE: Final = 8
 # Part of the clients' places that those which owe a request may hold at the cost of idle ones.
 AWAITING_PART: Final = 3
 
@@ -39,8 +39,8 @@
 
     `sockets` is the platform's limit for all of them; `has_management` tells of a second address.
     """
-    reserved = RESERVED + (RESERVED_FOR_MANAGEMENT if has_management else 0)
-    return max(2 * MIN_PER_SIDE, min(sockets, MAX_SOCKETS) // processes - reserved) // 2
+    reserved = RESERVED_DESCRIPTORS + (RESERVED_FOR_MANAGEMENT if has_management else 0)
+    return max(2 * MIN_CONNECTIONS_PER_SIDE, min(sockets, MAX_SOCKETS) // processes - reserved) // 2
 
 
 def eviction_order(awaiting_request: int, limit: int) -> tuple[int, ...]:
--- a/laurelstep/settings/config.py
+++ b/laurelstep/settings/config.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 from laurelstep.balancing.events import KEYED, Settings
-from laurelstep.engine.names import Names
+from laurelstep.engine.names import NameTable
 from laurelstep.errors import LaurelstepError
 from laurelstep.request_journal.settings import JournalSettings
 from laurelstep.resources.descriptors import DEFAULT_SOCKETS, connections_per_side
@@ -38,7 +38,7 @@
     seed: int
     sockets: int
     settings: Settings
-    names: Names
+    names: NameTable
     drain_grace_us: int
     known: dict[str, Any] | None
     orders: JournalSettings | None = None
@@ -163,7 +163,7 @@
             sockets=int(raw.get("limits", {}).get("sockets", DEFAULT_SOCKETS)),
             memory_mb=int(raw.get("limits", {}).get("memory_mb", 0)),
             settings=settings,
-            names=Names(raw["settings"], settings, _order_headers(raw, orders)),
+            names=NameTable(raw["settings"], settings, _order_headers(raw, orders)),
             drain_grace_us=int(rules.get("drain-grace-us", 0)),
             known=known,
             orders=orders,
--- a/laurelstep/settings/operator/document.py
+++ b/laurelstep/settings/operator/document.py
@@ -135,7 +135,7 @@
         }
         # A copy upstream minds what its edges keep, whether it would keep that itself or not.
         minded = [one for one, (effect, _, _) in effects.items() if effect != "safe"]
-        config.names.keepable = frozenset(
+        config.names.queueable_classes = frozenset(
             config.names.classes[one] for one in (minded if settings.shared else classes)
         )
         send_us = max(rules[name].deadline_us for name in classes)
--- a/laurelstep/settings/platform.py
+++ b/laurelstep/settings/platform.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from laurelstep.engine.list_updates import usable
+from laurelstep.engine.list_updates import normalize_entry
 from laurelstep.engine.ports import Log
 from laurelstep.request_journal.settings import JournalSettings
 from laurelstep.settings.config import Config, ConfigError, Join, config_from
@@ -48,7 +48,7 @@
     except (KeyError, TypeError, ValueError, OverflowError) as error:
         log(f"{path}: known: started without it: {type(error).__name__}: {error}")
         return None
-    found = [usable(one) for one in entries]
+    found = [normalize_entry(one) for one in entries]
     if wrong := [text for _, text in found if text]:
         log(f"{path}: known: {len(wrong)} bad entries, the first is {wrong[0]}")
     return {"generation": version, "reset": True, "instances": [one for one, _ in found if one is not None]}
--- a/laurelstep/subsystems/hot_restart.py
+++ b/laurelstep/subsystems/hot_restart.py
@@ -230,7 +230,7 @@
             # What is held back is not in the engine's list, and is the next process's all the same.
             steps = self.maintenance.assembly.source.dump_in_steps(generation, known)
         else:
-            steps = dump_in_steps(self.sockets.engine.members, generation, known)
+            steps = dump_in_steps(self.sockets.engine.endpoints, generation, known)
         self.slices.run(steps, on_end)
 
     async def _retire(self, consensus: ConsensusSubsystem, state: dict[str, bytes], give: Give) -> None:
--- a/laurelstep/testing/contracts/members.py
+++ b/laurelstep/testing/contracts/members.py
@@ -77,7 +77,7 @@
         for one in entries:
             self.entries_by_id[one["instanceId"]] = one
 
-    def listed(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
+    def on_list(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
         """Apply a list or changes."""
         self._on_update()
         self._apply(whole, entries)
@@ -87,7 +87,7 @@
         """A fixed time, µs."""
         return 1_000_000
 
-    def list_in_steps(self, whole: bool, entries: list[Any], told_at: int) -> Iterator[None]:
+    def apply_list_in_steps(self, whole: bool, entries: list[Any], told_at: int) -> Iterator[None]:
         """Apply a long list, with other work in between."""
         self._on_update()
         assert type(told_at) is int
@@ -101,7 +101,7 @@
             self.is_applying = False
             self.changed.set()
 
-    def list_failed(self) -> None:
+    def on_list_failed(self) -> None:
         """Count a question that got no answer."""
         self._on_update()
         self.failure_count += 1
@@ -246,7 +246,7 @@
 
 class PolledSourceContract(MemberSourceContract):
     """Further, for a source that asks somebody when the engine says so: a question that gets no answer
-    is told as `list_failed`, once, and the next one is asked all the same.
+    is told as `on_list_failed`, once, and the next one is asked all the same.
     """
 
     @abstractmethod
@@ -254,7 +254,7 @@
         """A source on the running loop, not started yet, with an empty list and an origin that can fail."""
 
     def test_a_question_without_an_answer_is_told_once(self) -> None:
-        """Each failed fetch calls `list_failed` exactly once, and the next fetch succeeds."""
+        """Each failed fetch calls `on_list_failed` exactly once, and the next fetch succeeds."""
 
         async def main() -> None:
             async with self.environment() as environment:
--- a/laurelstep/testing/contracts/recorder.py
+++ b/laurelstep/testing/contracts/recorder.py
@@ -53,7 +53,7 @@
     def admit(self, call: Call) -> None:
         """The call may run."""
         progress = self.calls[call]
-        if call.open:
+        if call.is_open:
             assert not progress.admitted and progress.settled is None, "admit and settle: one of them, once"
             progress.admitted = True
             progress.changed.set()
@@ -61,17 +61,17 @@
     def settle(self, call: Call, answer: Answer) -> None:
         """The call has this answer, and does not run."""
         progress = self.calls[call]
-        if call.open:
+        if call.is_open:
             assert answer.stream is None, "an answer that is still coming can't be of a record"
-            call.open = False
+            call.is_open = False
             progress.settled = answer
             progress.changed.set()
 
     def deliver(self, call: Call, answer: Answer) -> None:
         """The answer of a finished call may leave."""
         progress = self.calls[call]
-        if call.held:
-            call.held = False
+        if call.is_answer_held:
+            call.is_answer_held = False
             progress.delivered = answer
             progress.changed.set()
 
@@ -80,8 +80,8 @@
     def begin(self, call: Call) -> CallProgress:
         """Offer a call to the recorder."""
         progress = self.calls[call] = CallProgress(call)
-        call.recorded = True
-        call.recorded = progress.taken = self.incarnations.recorder.begin(call, self)
+        call.is_recorded = True
+        call.is_recorded = progress.taken = self.incarnations.recorder.begin(call, self)
         return progress
 
     def begin_recorded(self, name: str) -> CallProgress:
@@ -92,14 +92,14 @@
 
     def finish(self, progress: CallProgress, answer: Answer) -> None:
         """Pass on the final answer of a call."""
-        progress.call.open, progress.call.held = False, True
+        progress.call.is_open, progress.call.is_answer_held = False, True
         self.incarnations.recorder.finish(progress.call, answer, self)
 
     def leave(self, progress: CallProgress) -> None:
         """Let the call's client disconnect."""
-        if progress.call.open:
-            progress.call.open = False
-            self.incarnations.recorder.gone(progress.call, self)
+        if progress.call.is_open:
+            progress.call.is_open = False
+            self.incarnations.recorder.on_client_left(progress.call, self)
 
 
 class RecorderContract(Contract, ABC):
@@ -221,7 +221,7 @@
                 engine = EngineStandIn(life)
                 lost = engine.begin_recorded("o-1")
                 assert await self.wait_admitted(lost)
-                lost.call.tried = 1  # it may run somewhere
+                lost.call.attempts_sent = 1  # it may run somewhere
                 await life.restart()
                 again = engine.begin_recorded("o-1")
                 assert not await self.wait_admitted(again), "sent twice"
@@ -253,7 +253,7 @@
                     first = engine.begin_recorded("o-1")
                     second, third = (engine.begin_recorded("o-1") for _ in range(2))
                     assert await self.wait_admitted(first)
-                    first.call.tried = tried
+                    first.call.attempts_sent = tried
                     engine.leave(second)
                     engine.leave(first)
                     if await self.wait_admitted(third):
--- a/laurelstep/testing/contracts/upstream.py
+++ b/laurelstep/testing/contracts/upstream.py
@@ -57,7 +57,7 @@
 class UnusedFrontend:
     """A frontend that gets no answer: the contract owns the attempts."""
 
-    def answered(self, call: Call, answer: Answer) -> None:
+    def on_answer(self, call: Call, answer: Answer) -> None:
         """Fail: only the engine answers a frontend."""
         raise AssertionError("an upstream has no answer for a frontend")
 
@@ -82,11 +82,11 @@
         self.steps.append("asked")
         return self.may_send
 
-    def written(self, attempt: Attempt) -> None:
+    def on_written(self, attempt: Attempt) -> None:
         """The attempt's last byte was written."""
         self.steps.append("written")
 
-    def ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
+    def on_ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
         """The attempt has this outcome."""
         assert attempt is self.attempt
         self.steps.append("ended")
@@ -100,7 +100,7 @@
     1. An attempt has one outcome at most, and one exactly unless it was cancelled.
     2. `may_start` is called before any byte is written; where it gives False the outcome is MOOT, and
        nothing is written.
-    3. `written` is called once at most, after `may_start` and before the outcome; an attempt that was
+    3. `on_written` is called once at most, after `may_start` and before the outcome; an attempt that was
        answered was written. An attempt that was never connected has the outcome NO_CONNECT.
     4. An attempt is sent once: no failure makes the upstream send it again.
     5. An endpoint that was removed, or placed at another address, gets nothing more at its old one.
@@ -121,7 +121,7 @@
 
     async def outcome(self, owner: AttemptOwner) -> int:
         """Wait for the outcome of an attempt, and check the order of its steps."""
-        await self.wait_for(owner.over.wait(), f"the outcome of {owner.attempt.call.name!r}")
+        await self.wait_for(owner.over.wait(), f"the outcome of {owner.attempt.call.client_request_id!r}")
         await run_ready_callbacks()
         assert len(owner.outcomes) == 1, f"one outcome: {owner.steps}"
         assert owner.steps in (["ended"], ["asked", "ended"], ["asked", "written", "ended"]), owner.steps
@@ -146,7 +146,7 @@
 
         async def main() -> None:
             async with self.environment() as environment:
-                environment.upstream.place(1, environment.addresses[0])
+                environment.upstream.set_address(1, environment.addresses[0])
                 owner = AttemptOwner(environment, "one")
                 assert await self.send_and_wait(environment, owner) == OK
                 assert owner.steps == ["asked", "written", "ended"]
@@ -173,8 +173,8 @@
                 (EndpointBehaviour.RESET, RESET),
             ):
                 async with self.environment() as environment:
-                    environment.upstream.place(1, environment.addresses[0])
-                    environment.upstream.place(2, environment.addresses[1])
+                    environment.upstream.set_address(1, environment.addresses[0])
+                    environment.upstream.set_address(2, environment.addresses[1])
                     environment.set_behaviour(behaviour)
                     owner = AttemptOwner(environment, "one")
                     assert await self.send_and_wait(environment, owner) == expected, behaviour
@@ -191,7 +191,7 @@
 
         async def main() -> None:
             async with self.environment() as environment:
-                environment.upstream.place(1, environment.closed_address)
+                environment.upstream.set_address(1, environment.closed_address)
                 owner = AttemptOwner(environment, "one")
                 assert await self.send_and_wait(environment, owner) == NO_CONNECT
                 assert "written" not in owner.steps
@@ -204,7 +204,7 @@
         async def main() -> None:
             async with self.environment() as environment:
                 assert await self.send_and_wait(environment, AttemptOwner(environment, "never")) == NO_CONNECT
-                environment.upstream.place(1, environment.addresses[0])
+                environment.upstream.set_address(1, environment.addresses[0])
                 assert await self.send_and_wait(environment, AttemptOwner(environment, "there")) == OK
                 environment.upstream.remove(1)
                 environment.upstream.remove(1)
@@ -222,7 +222,7 @@
 
         async def main() -> None:
             async with self.environment() as environment:
-                environment.upstream.place(1, environment.addresses[0])
+                environment.upstream.set_address(1, environment.addresses[0])
                 for may in (False, True, False):  # on a new connection, and on one at rest
                     owner = AttemptOwner(environment, "may" if may else "may not", may_send=may)
                     assert await self.send_and_wait(environment, owner) == (OK if may else MOOT)
@@ -238,7 +238,7 @@
 
         async def main() -> None:
             async with self.environment() as environment:
-                environment.upstream.place(1, environment.addresses[0])
+                environment.upstream.set_address(1, environment.addresses[0])
                 for n in range(5):
                     assert await self.send_and_wait(environment, AttemptOwner(environment, f"turn-{n}")) == OK
                 many = [AttemptOwner(environment, f"once-{n}") for n in range(10)]
@@ -257,7 +257,7 @@
 
         async def main() -> None:
             async with self.environment() as environment:
-                environment.upstream.place(1, environment.addresses[0])
+                environment.upstream.set_address(1, environment.addresses[0])
                 for behaviour in (EndpointBehaviour.FAIL, EndpointBehaviour.RESET, EndpointBehaviour.REJECT):
                     environment.set_behaviour(behaviour)
                     await self.send_and_wait(environment, AttemptOwner(environment, behaviour.name))
@@ -272,16 +272,16 @@
         self.run(main())
 
     def test_a_place_set_anew_gets_nothing_by_its_old_address(self) -> None:
-        """After `place` with another address, attempts go to that address only."""
+        """After `set_address` with another address, attempts go to that address only."""
 
         async def main() -> None:
             async with self.environment() as environment:
                 old, new = environment.addresses
-                environment.upstream.place(1, old)
+                environment.upstream.set_address(1, old)
                 assert await self.send_and_wait(environment, AttemptOwner(environment, "one")) == OK
-                environment.upstream.place(1, new)
+                environment.upstream.set_address(1, new)
                 assert await self.send_and_wait(environment, AttemptOwner(environment, "two")) == OK
-                environment.upstream.place(1, old)  # another process at the same address
+                environment.upstream.set_address(1, old)  # another process at the same address
                 assert await self.send_and_wait(environment, AttemptOwner(environment, "three")) == OK
                 assert (environment.executed(old), environment.executed(new)) == (
                     [b"one", b"three"],
@@ -291,15 +291,15 @@
         self.run(main())
 
     def test_an_endpoint_freed_is_sent_to_as_before(self) -> None:
-        """`free` leaves an endpoint usable, and does nothing for an unknown one."""
+        """`close_idle` leaves an endpoint usable, and does nothing for an unknown one."""
 
         async def main() -> None:
             async with self.environment() as environment:
-                environment.upstream.free(7)  # never heard of
-                environment.upstream.place(1, environment.addresses[0])
+                environment.upstream.close_idle(7)  # never heard of
+                environment.upstream.set_address(1, environment.addresses[0])
                 for name in ("one", "two"):
                     assert await self.send_and_wait(environment, AttemptOwner(environment, name)) == OK
-                    environment.upstream.free(1)
+                    environment.upstream.close_idle(1)
                 assert environment.executed(environment.addresses[0]) == [b"one", b"two"]
 
         self.run(main())
@@ -311,7 +311,7 @@
 
         async def main() -> None:
             async with self.environment() as environment:
-                environment.upstream.place(1, environment.addresses[0])
+                environment.upstream.set_address(1, environment.addresses[0])
                 environment.set_behaviour(EndpointBehaviour.HOLD)
                 owner = AttemptOwner(environment, "held")
                 environment.upstream.send(owner.attempt)
@@ -335,7 +335,7 @@
 
         async def main() -> None:
             async with self.environment() as environment:
-                environment.upstream.place(1, environment.addresses[0])
+                environment.upstream.set_address(1, environment.addresses[0])
                 owner = AttemptOwner(environment, "left")
                 environment.upstream.send(owner.attempt)
                 environment.upstream.cancel(owner.attempt)
@@ -350,7 +350,7 @@
 
         async def main() -> None:
             async with self.environment() as environment:
-                environment.upstream.place(1, environment.addresses[0])
+                environment.upstream.set_address(1, environment.addresses[0])
                 owners = [AttemptOwner(environment, f"out-{n}") for n in range(3)]
                 for owner in owners:
                     environment.upstream.send(owner.attempt)
--- a/laurelstep/workers/worker.py
+++ b/laurelstep/workers/worker.py
@@ -96,7 +96,7 @@
         dumped: list[bytes] = []
         source = self.engine.source
         generation = source.generation if isinstance(source, Discovery) else 0
-        steps = dump_in_steps(self.engine.members, generation, dumped)
+        steps = dump_in_steps(self.engine.endpoints, generation, dumped)
         self.slices.run(steps, functools.partial(self._send_known_list, dumped))
 
     def _send_known_list(self, dumped: list[bytes], error: Exception | None) -> None:
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -74,13 +74,13 @@
         self.writes: list[tuple[int, int, Call]] = []  # when, where, what
         self.ran: dict[bytes, list[int]] = {}  # by request id: where it took effect
 
-    def place(self, endpoint: int, address: str) -> None:
+    def set_address(self, endpoint: int, address: str) -> None:
         self.placed.add(endpoint)
 
     def remove(self, endpoint: int) -> None:
         self.placed.discard(endpoint)
 
-    def free(self, endpoint: int) -> None: ...
+    def close_idle(self, endpoint: int) -> None: ...
 
     def send(self, attempt: Attempt) -> None:
         if attempt.endpoint in self.placed:
@@ -101,16 +101,16 @@
             sent.attempt.end(MOOT)
             return
         call = sent.attempt.call
-        if call.upload is not None and not call.upload.closed:
-            call.upload.started = True  # a part of it has gone; the rest is still to come
+        if call.upload is not None and not call.upload.is_closed:
+            call.upload.was_attached = True  # a part of it has gone; the rest is still to come
             return
         if call.upload is not None:
-            call.upload.started = True
+            call.upload.was_attached = True
         sent.written, sent.ran = True, runs
-        sent.attempt.written()
+        sent.attempt.on_written()
         self.writes.append((now, sent.attempt.endpoint, call))
         if runs:
-            self.ran.setdefault(call.name, []).append(sent.attempt.endpoint)
+            self.ran.setdefault(call.client_request_id, []).append(sent.attempt.endpoint)
 
     def answer(self, sent: Sent, outcome: int) -> None:
         """How it ends: as far as that can be, from what has become of it."""
@@ -131,7 +131,7 @@
     def __init__(self) -> None:
         self.given: list[tuple[Call, Answer]] = []
 
-    def answered(self, call: Call, answer: Answer) -> None:
+    def on_answer(self, call: Call, answer: Answer) -> None:
         self.given.append((call, answer))
 
 
--- a/tests/maintenance.py
+++ b/tests/maintenance.py
@@ -67,9 +67,9 @@
     def now(self) -> int:
         return self.clock.now()
 
-    def list_failed(self) -> None: ...
+    def on_list_failed(self) -> None: ...
 
-    def listed(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
+    def on_list(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
         self.lists += 1
         named = {raw["instanceId"]: raw for raw in entries}
         if whole:
@@ -82,10 +82,10 @@
             elif id in self.ready:
                 self._leave(id)
 
-    def list_in_steps(self, whole: bool, entries: list[Any], told_at: int) -> Iterator[None]:
+    def apply_list_in_steps(self, whole: bool, entries: list[Any], told_at: int) -> Iterator[None]:
         for _ in entries:
             yield
-        self.listed(0, whole, entries)
+        self.on_list(0, whole, entries)
 
     def _leave(self, id: str) -> None:
         del self.ready[id]
@@ -97,7 +97,7 @@
     def is_out(self, id: str) -> bool:
         return self.may_send(id) or self.out[id] > 0
 
-    def out_at(self, endpoint: int) -> int:
+    def in_flight_at(self, endpoint: int) -> int:
         return sum(count for id, count in self.out.items() if number_of(id) == endpoint)
 
 
@@ -136,7 +136,7 @@
     """Wired, with its source started; the controller is not."""
     engine = FakeEngine(clock)
     source = MaintenanceSource(FakeDiscovery(), state, clock, GRACE_US, run_at_once, log)
-    source.in_flight_at = engine.out_at
+    source.in_flight_at = engine.in_flight_at
     source.start(engine, 0)
     controller = MaintenanceController(
         consensus,
@@ -236,7 +236,7 @@
         """Discovery's list, as it is now."""
         if self.list_version < self.tier.list_version:
             self.list_version = self.tier.list_version
-            self.source.listed(self.list_version, True, list(self.tier.list.values()))
+            self.source.on_list(self.list_version, True, list(self.tier.list.values()))
 
     def crash(self) -> None:
         self.is_dead = True
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -115,7 +115,7 @@
         return len(self.host.server_state.connections)
 
     def told(self, *entries: dict[str, Any], whole: bool = True) -> None:
-        self.engine.listed(1, whole, list(entries))
+        self.engine.on_list(1, whole, list(entries))
 
     async def connect(self) -> tuple[Reader, Writer]:
         return await asyncio.open_connection("127.0.0.1", self.port)
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -32,7 +32,7 @@
 from laurelstep.consensus.stores.embedded import EmbeddedStore
 from laurelstep.consensus.stores.none import NoStore
 from laurelstep.engine import Answer, Attempt, Call, Ending, LoopClock
-from laurelstep.engine.ports import Clock, MemberSink, MemberSource, Recorded, Recorder
+from laurelstep.engine.ports import CallHost, Clock, MemberSink, MemberSource, Recorder
 from laurelstep.engine.ports import Upstream as UpstreamSide
 from laurelstep.engine.static_members import StaticMembers
 from laurelstep.net.discovery import Discovery
@@ -585,7 +585,7 @@
             if sent.attempt not in self.played.out:
                 continue
             if sent.ran:
-                self.runs.setdefault(address, []).append(sent.attempt.call.name)
+                self.runs.setdefault(address, []).append(sent.attempt.call.client_request_id)
             if self.way is EndpointBehaviour.HOLD:
                 self.held.append(sent.attempt)
             else:
@@ -612,8 +612,8 @@
         places: dict[int, str] = {}
 
         class Placed(self.kind):  # type: ignore[misc, name-defined]
-            def place(self, endpoint: int, address: str) -> None:
-                super().place(endpoint, address)
+            def set_address(self, endpoint: int, address: str) -> None:
+                super().set_address(endpoint, address)
                 places[endpoint] = address
 
         yield Played(Placed(ManualClock()), places)
@@ -628,7 +628,7 @@
 class NeverAsks(PlayedUpstream):
     def write(self, sent: Sent, runs: bool) -> None:
         sent.written, sent.ran = True, runs
-        sent.attempt.written()
+        sent.attempt.on_written()
 
 
 class Tells(PlayedUpstream):
@@ -651,7 +651,7 @@
     def answer(self, sent: Sent, outcome: int) -> None:
         if outcome == RESET:
             sent.attempt.may_start(self.clock.now())
-            sent.attempt.written()
+            sent.attempt.on_written()
         super().answer(sent, outcome)
 
 
@@ -709,17 +709,17 @@
     def __init__(self, real: UpstreamSide) -> None:
         self.real = real
         self.known: set[int] = set()
-        self.remove, self.free = real.remove, real.free
+        self.remove, self.close_idle = real.remove, real.close_idle
         self.send, self.cancel = real.send, real.cancel
 
     @property
     def idle_us(self) -> int:
         return self.real.idle_us
 
-    def place(self, endpoint: int, address: str) -> None:
+    def set_address(self, endpoint: int, address: str) -> None:
         if endpoint not in self.known:
             self.known.add(endpoint)
-            self.real.place(endpoint, address)
+            self.real.set_address(endpoint, address)
 
 
 # --- Members ------------------------------------------------------------------------------------
@@ -737,7 +737,7 @@
 
     async def set_list(self, version: int, entries: Entries) -> None:
         with contextlib.suppress(ValueError):  # refused: the one who gave it hears so
-            self.given.give(entries)
+            self.given.replace_list(entries)
             self.entries = entries
 
     async def change_entries(self, version: int, entries: Entries) -> None:
@@ -869,7 +869,7 @@
 class LosesTheLast(StaticMembers):
     def fetch(self) -> None:
         if self.sink is not None:
-            self.sink.listed(self.generation, True, self.entries[:-1])
+            self.sink.on_list(self.generation, True, self.entries[:-1])
 
 
 class Ages(StaticMembers):
@@ -877,7 +877,7 @@
 
     def give(self, entries: Sequence[Any]) -> None:
         self.generation -= 2
-        super().give(entries)
+        super().replace_list(entries)
 
 
 class Sulks(StaticMembers):
@@ -885,7 +885,7 @@
 
     def give(self, entries: Sequence[Any]) -> None:
         try:
-            super().give(entries)
+            super().replace_list(entries)
         except ValueError:
             self.sink = None
             raise
@@ -893,7 +893,7 @@
 
 class Rewords(StaticMembers):
     def give(self, entries: Sequence[Any]) -> None:
-        super().give([{**one, "weight": 1.0} for one in entries])
+        super().replace_list([{**one, "weight": 1.0} for one in entries])
 
 
 @pytest.mark.parametrize(
@@ -957,7 +957,7 @@
 
 
 class Nobody:
-    def answered(self, call: Call, answer: Answer) -> None: ...
+    def on_answer(self, call: Call, answer: Answer) -> None: ...
 
 
 class JournalIncarnations:
@@ -983,7 +983,7 @@
 
     def _call(self, order: bytes) -> Call:
         name = b"%d" % next(self.names)
-        return Call(2, 1 << 60, b"POST /pay", b"", b"sum", Nobody(), name, order=order)
+        return Call(2, 1 << 60, b"POST /pay", b"", b"sum", Nobody(), name, order_id=order)
 
     async def restart(self) -> None:
         await self.own.close()
@@ -1013,26 +1013,26 @@
 
 
 class TakesAll(RequestJournal):
-    def begin(self, call: Call, engine: Recorded) -> bool:
+    def begin(self, call: Call, engine: CallHost) -> bool:
         return super().begin(call, engine) or True
 
 
 class Admits(RequestJournal):
     """Does not wait for the intent, nor for another request of the same order."""
 
-    def begin(self, call: Call, engine: Recorded) -> bool:
-        if call.order:
+    def begin(self, call: Call, engine: CallHost) -> bool:
+        if call.order_id:
             engine.admit(call)
-        return bool(call.order)
+        return bool(call.order_id)
 
-    def finish(self, call: Call, answer: Answer, engine: Recorded) -> None:
+    def finish(self, call: Call, answer: Answer, engine: CallHost) -> None:
         engine.deliver(call, answer)
 
 
 class Forgets(RequestJournal):
     """Those that wait hear nothing."""
 
-    def _settle_all(self, request: JournaledRequest, answer: Answer, engine: Recorded) -> None:
+    def _settle_all(self, request: JournaledRequest, answer: Answer, engine: CallHost) -> None:
         request.followers.clear()
         super()._settle_all(request, answer, engine)
 
@@ -1040,7 +1040,7 @@
 class KeepsFailures(RequestJournal):
     """Does not deliver what it need not keep."""
 
-    def finish(self, call: Call, answer: Answer, engine: Recorded) -> None:
+    def finish(self, call: Call, answer: Answer, engine: CallHost) -> None:
         if answer.ending is not Ending.FAILED:
             super().finish(call, answer, engine)
 
@@ -1048,7 +1048,7 @@
 class Clears(RequestJournal):
     """Deletes the record of an order that is over."""
 
-    async def _finish(self, request: JournaledRequest, answer: Answer, engine: Recorded) -> None:
+    async def _finish(self, request: JournaledRequest, answer: Answer, engine: CallHost) -> None:
         await super()._finish(request, answer, engine)
         await self.store.delete(request.store_key)
 
@@ -1056,7 +1056,7 @@
 class Dies(RequestJournal):
     """Does not expect that its store fails."""
 
-    async def _finish(self, request: JournaledRequest, answer: Answer, engine: Recorded) -> None:
+    async def _finish(self, request: JournaledRequest, answer: Answer, engine: CallHost) -> None:
         await self.store.put(request.store_key, b"", request.retention_ms)
         await super()._finish(request, answer, engine)
 
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -897,7 +897,7 @@
             caller.send(request(rid="held"))
             left = await caller_of(one)
             await until(lambda: len(one.engine.calls) == 1)
-            (rid,), (number,) = one.engine.calls, one.engine.members.places
+            (rid,), (number,) = one.engine.calls, one.engine.endpoints.by_number
             transport = left.transport
             assert transport is not None
             caller.close()
@@ -964,7 +964,7 @@
             caller = Client(one.port)
             caller.send(request(rid="left"))
             await until(lambda: len(one.engine.calls) == 1)
-            (rid,), (number,) = one.engine.calls, one.engine.members.places
+            (rid,), (number,) = one.engine.calls, one.engine.endpoints.by_number
             if pooled:
                 leave(caller)
             else:
@@ -1020,7 +1020,7 @@
                 caller.close()
             due(one.server.paused)
             one.told(endpoint.entry())
-            (number,) = one.engine.members.places
+            (number,) = one.engine.endpoints.by_number
             one.engine._carry_out(Send(rid, number, 0))  # as the module may decide at once
             if leaves:
                 assert (await one.ask(request(rid="r2"))).body == b"ok"
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -404,7 +404,7 @@
             assert len(agent.targets) == 1
             one.close()
             await one.wait_closed()
-        places = copy.engine.members.places
+        places = copy.engine.endpoints.by_number
         assert places[endpoint_number("s-1")].withdrawn_at is not None
         assert (places[endpoint_number("s-bad")].withdrawn_at is not None) == (phase == "draining")
         assert len(said) <= 1, "one line, however many there are"
@@ -434,6 +434,6 @@
     found = read_platform(environ, log=said.append)
     copy = Copy()
     assert found.known is not None
-    copy.engine.listed(7, True, found.known["instances"])
-    assert endpoint_number("s-1") in copy.engine.members.places
+    copy.engine.on_list(7, True, found.known["instances"])
+    assert endpoint_number("s-1") in copy.engine.endpoints.by_number
     assert len(said) == 1
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -319,7 +319,7 @@
         clock, config.seed, config.settings, config.names, upstream, source, config.drain_grace_us, print
     )
     engine.start()
-    source.give([entry(f"s-{n}", cell=1) for n in range(4)])
+    source.replace_list([entry(f"s-{n}", cell=1) for n in range(4)])
     engine.take(Call(0, clock.now() + 4_000_000, b"POST /put", b"", b"", front, b"r1"))
     doubt_since: int | None = None  # the first write that may have run
     for kind, value in steps:
@@ -643,7 +643,7 @@
                 await opening.asked.get()
             if leaves == "before":
                 writer.close()
-                await until(lambda: not any(call.open for call in one.engine.calls.values()))
+                await until(lambda: not any(call.is_open for call in one.engine.calls.values()))
             opening.may_open.set()
             if leaves == "behind":
                 await until(lambda: sum(len(endpoint.got) for endpoint in endpoints) == 1 + before)
@@ -700,7 +700,7 @@
             taken.send(answer(body=b"in time"))  # in the kernel, not yet read
             if first == "answer":
                 await until(lambda: bool(told))
-            shift(one, call.expires - one.engine.now())
+            shift(one, call.expires_at - one.engine.now())
             one.engine._on_deadline(call)
             back = await read_message(reader)
             assert back.status == (504 if first == "deadline" else 200)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -37,7 +37,7 @@
 
 def taken(objects: JsonStreamDecoder) -> list[Any]:
     found = []
-    while (raw := objects.take()) is not None or objects.more:
+    while (raw := objects.next_object()) is not None or objects.has_more:
         if raw is not None:
             found.append(json.loads(raw))
     return found
@@ -54,7 +54,7 @@
         objects.feed(raw[:cut])
         found = taken(objects)
         objects.feed(raw[cut:])
-        assert [*found, *taken(objects)] == list(TWO) and not objects.begun
+        assert [*found, *taken(objects)] == list(TWO) and not objects.has_partial_object
 
 
 def test_two_objects_in_one_chunk_need_no_line_between_them() -> None:
@@ -107,7 +107,7 @@
 def test_what_only_stops_short_is_waited_for(raw: bytes) -> None:
     objects = JsonStreamDecoder(MOST)
     objects.feed(raw)
-    assert taken(objects) == [] and objects.begun
+    assert taken(objects) == [] and objects.has_partial_object
 
 
 def test_what_is_kept_is_bounded() -> None:
@@ -128,11 +128,11 @@
     objects.feed(json.dumps(value, indent=2).encode())
     calls, found, before = 0, None, 0
     while found is None:
-        found = objects.take()
+        found = objects.next_object()
         calls += 1
         if found is None:
-            assert objects.more and objects.at - before <= 2 * SCAN
-            before = objects.at
+            assert objects.has_more and objects.position - before <= 2 * SCAN
+            before = objects.position
     assert json.loads(found) == value and calls > 10
 
 
@@ -174,16 +174,16 @@
     def now(self) -> int:
         return int(asyncio.get_running_loop().time() * 1e6)
 
-    def listed(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
+    def on_list(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
         self.told.put_nowait((version, [one["instanceId"] for one in entries]))
 
-    def list_in_steps(self, whole: bool, entries: list[Any], told_at: int) -> Iterator[None]:
+    def apply_list_in_steps(self, whole: bool, entries: list[Any], told_at: int) -> Iterator[None]:
         names = [one["instanceId"] for one in entries]
         self.told_at.append(told_at)
         yield
         self.told.put_nowait((-1, names))
 
-    def list_failed(self) -> None:
+    def on_list_failed(self) -> None:
         self.failed.put_nowait(None)
 
 
@@ -357,7 +357,7 @@
             begin(watch)
             push(watch, 90, True, entry("s-old"))
             reply(poll, json.dumps(listing(91, entry("s-old"), whole=True)).encode())
-            one.move(f"127.0.0.1:{new.port}")
+            one.change_address(f"127.0.0.1:{new.port}")
             starts = {(await new.asked.get())[0].split()[1] for _ in range(2)}
             assert starts == {LIST_PATH, f"{LIST_PATH}?watch=1&from=0"}
             while old.open:
@@ -436,7 +436,7 @@
             push(watch, 90, True, *(entry(f"s-{n}") for n in range(3_000)))
             while not one.busy:
                 await asyncio.sleep(0)
-            one.move(f"127.0.0.1:{new.port}")
+            one.change_address(f"127.0.0.1:{new.port}")
             _, watch = await new.asked.get()
             begin(watch)
             push(watch, 3, True, entry("t-0"))
@@ -489,7 +489,7 @@
                 await asyncio.sleep(0)
             push_raw(watch, b"{")  # but once an object has begun they say nothing
             push_raw(watch, b"\n")
-            while not stream.decoder.begun:
+            while not stream.decoder.has_partial_object:
                 await asyncio.sleep(0)
             assert one.stream is stream
             one.close()
--- a/tests/test_flow_control.py
+++ b/tests/test_flow_control.py
@@ -11,8 +11,13 @@
 from hypothesis import strategies as st
 from laurelstep.balancing.events import ERROR, MOOT, NO_CONNECT, OK, RESET
 from laurelstep.engine.body_stream import BodyStream
-from laurelstep.flow_control.buffer_budget import MAX_BUFFERED, UNCOUNTED, BufferBudget, budget_for
-from laurelstep.flow_control.throughput import GRACE_S, MIN_RATE, has_min_throughput
+from laurelstep.flow_control.buffer_budget import (
+    MAX_BUFFERED_BYTES,
+    UNCOUNTED_BYTES,
+    BufferBudget,
+    budget_bytes,
+)
+from laurelstep.flow_control.throughput import GRACE_S, MIN_RATE_BYTES_PER_S, has_min_throughput
 from laurelstep.net.message import LARGE_MAX
 from laurelstep.testing.endpoints import reset_connection
 
@@ -41,15 +46,15 @@
 
 def test_a_body_may_be_as_slow_as_its_rate_and_no_slower() -> None:
     assert has_min_throughput(0, GRACE_S) and not has_min_throughput(0, GRACE_S + 0.1)
-    assert has_min_throughput(int(MIN_RATE), GRACE_S + 1.0) and not has_min_throughput(
-        int(MIN_RATE), GRACE_S + 1.1
+    assert has_min_throughput(int(MIN_RATE_BYTES_PER_S), GRACE_S + 1.0) and not has_min_throughput(
+        int(MIN_RATE_BYTES_PER_S), GRACE_S + 1.1
     )
     assert all(has_min_throughput(int(64_000 * s), s) for s in range(1, 500)), "what callers may do"
 
 
 @pytest.mark.parametrize(("memory", "least", "most"), [(0, 16, 32), (32, 1, 4), (80, 8, 16), (192, 32, 48)])
 def test_the_budget_leaves_memory_for_all_else(memory: int, least: int, most: int) -> None:
-    assert least * MB <= budget_for(memory) <= most * MB
+    assert least * MB <= budget_bytes(memory) <= most * MB
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), st.integers(1, 400_000)), max_size=80))
@@ -64,7 +69,7 @@
         else:
             sizes[which] += more
             held[which] = took
-            assert took == max(0, sizes[which] - UNCOUNTED) and sizes[which] <= MAX_BUFFERED
+            assert took == max(0, sizes[which] - UNCOUNTED_BYTES) and sizes[which] <= MAX_BUFFERED_BYTES
         assert 0 <= budget.used == sum(held) <= budget.limit
     for one in held:
         budget.release(one)
@@ -93,7 +98,7 @@
         self.told.append(complete)
 
     def on_stream_closed(self, flow: BodyStream) -> None:
-        self.told.append((flow.complete, flow.abandoned))
+        self.told.append((flow.is_complete, flow.is_abandoned))
 
 
 @pytest.mark.parametrize("whole", [True, False])
@@ -160,7 +165,7 @@
     """Answered, deferred, errored, abandoned, current; together they are those taken."""
     counters = one.engine.counters
     each = (counters.answered, counters.deferred, counters.errored, counters.abandoned)
-    found = (*(sum(kind) for kind in each), one.engine.current())
+    found = (*(sum(kind) for kind in each), one.engine.open_request_count())
     assert sum(found) == sum(counters.taken)
     return found
 
@@ -172,7 +177,7 @@
     assert not one.upstream.streaming.since and not one.upstream.write_stalled.since
 
 
-@pytest.mark.parametrize("size", [100, 64 * 1024 + 1, MAX_BUFFERED, MAX_BUFFERED + 1, len(BIG)])
+@pytest.mark.parametrize("size", [100, 64 * 1024 + 1, MAX_BUFFERED_BYTES, MAX_BUFFERED_BYTES + 1, len(BIG)])
 @pytest.mark.parametrize("framed", ["length", "chunks"])
 def test_a_body_of_any_size_comes_through_whole(size: int, framed: str) -> None:
     async def main() -> None:
@@ -205,7 +210,7 @@
 
         endpoints = Endpoint(once), Endpoint(once)
         async with sidecar(*endpoints) as one:
-            for rid, size, attempts in (("r1", MAX_BUFFERED, 2), ("r2", 2 * MAX_BUFFERED, 1)):
+            for rid, size, attempts in (("r1", MAX_BUFFERED_BYTES, 2), ("r2", 2 * MAX_BUFFERED_BYTES, 1)):
                 reader, writer = await one.connect()
                 writer.write(head(size, rid=rid) + BIG[:size])
                 back = await read_message(reader)
@@ -673,7 +678,7 @@
             await reader.readuntil(b"\r\n\r\n")
             await reader.readexactly(128 * 1024)
             (link,) = one.upstream.streaming.since
-            pace_s = GRACE_S + link.size / MIN_RATE
+            pace_s = GRACE_S + link.size / MIN_RATE_BYTES_PER_S
             if held:
                 link.pause()
                 link.paused_since -= pace_s + 60.0
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -76,7 +76,7 @@
             for at, (name, phase) in enumerate(self.listed.items())
             if phase != "gone"
         ]
-        self.source.give(entries)
+        self.source.replace_list(entries)
 
     @rule(cls=st.integers(0, 2), deadline_ms=st.integers(0, 3_000))
     def arrive(self, cls: int, deadline_ms: int) -> None:
@@ -91,12 +91,12 @@
         """An upload: its time counts from its last byte, which may never come."""
         name = b"r%d" % len(self.calls)
         call = Call(cls, self.clock.now() + 8_000_000, b"POST /x", b"", b"", self.front, name)
-        call.upload, call.span = BodyStream(Pace(), -1), span_ms * 1000
+        call.upload, call.time_after_upload_us = BodyStream(Pace(), -1), span_ms * 1000
         self.calls.append(call)
         self.engine.take(call)
 
     def _coming(self) -> list[Call]:
-        return [call for call in self.calls if call.open and call.upload and not call.upload.closed]
+        return [call for call in self.calls if call.is_open and call.upload and not call.upload.is_closed]
 
     @precondition(lambda self: self._coming())
     @rule(at=st.integers(0, 1_000), span_ms=st.sampled_from([0, 700, 2_900]))
@@ -106,7 +106,7 @@
             call = coming[at % len(coming)]
             assert call.upload is not None
             call.upload.finish(True)
-            self.engine.whole(call)
+            self.engine.on_upload_complete(call)
 
     @precondition(lambda self: self.upstream.out)
     @rule(at=st.integers(0, 1_000), runs=st.booleans())
@@ -124,9 +124,9 @@
     @rule(at=st.integers(0, 1_000))
     def cancel(self, at: int) -> None:
         call = self.calls[at % len(self.calls)]
-        if call.open:
+        if call.is_open:
             self.left.add(call)
-        self.engine.gone(call)
+        self.engine.on_client_left(call)
 
     @rule(name=st.sampled_from(NAMES), phase=st.sampled_from(["draining", "gone", "ready"]))
     def relist(self, name: str, phase: str) -> None:
@@ -162,17 +162,17 @@
 
     @invariant()
     def one_answer_at_most_and_in_time(self) -> None:
-        names = [call.name for call, _ in self.front.given]
+        names = [call.client_request_id for call, _ in self.front.given]
         assert len(set(names)) == len(names)
         for call in self.calls:
-            assert not call.open or self.clock.now() <= call.expires
+            assert not call.is_open or self.clock.now() <= call.expires_at
 
     @invariant()
     def every_request_taken_is_counted_once(self) -> None:
         accounted(self.engine)
-        assert self.engine.current() == sum(call.open for call in self.calls)
+        assert self.engine.open_request_count() == sum(call.is_open for call in self.calls)
         assert self.engine.counters.sends == len(self.upstream.writes)
-        assert self.engine.members.size() == sum(phase != "gone" for phase in self.listed.values())
+        assert self.engine.endpoints.size() == sum(phase != "gone" for phase in self.listed.values())
 
     @invariant()
     def the_module_counts_what_endpoints_have_whole(self) -> None:
@@ -199,13 +199,13 @@
             self._check_effects(call, given_answer.ending)
         for call in self.left:
             self._check_effects(call, None)
-        assert not (self.engine.calls or self.engine.open_names or self.engine.balancer.requests)
+        assert not (self.engine.calls or self.engine.open_request_ids or self.engine.balancer.requests)
         assert not any(one.inflight for one in self.engine.balancer.endpoints.values())
         assert not self.logged, "no fault of the module"
 
     def _check_effects(self, call: Call, ending: Ending | None) -> None:
-        effect = self.engine.settings.classes[call.cls].effect
-        ran = self.upstream.ran.get(call.name, [])
+        effect = self.engine.settings.classes[call.request_class].effect
+        ran = self.upstream.ran.get(call.client_request_id, [])
         if effect == UNSAFE:
             assert len(ran) <= 1, "an unsafe effect twice"
             assert ending is not Ending.REFUSED or not ran, "refused, and it ran"
@@ -222,7 +222,10 @@
     counters = engine.counters
     for cls, taken in enumerate(counters.taken):
         ended = (counters.answered, counters.deferred, counters.errored, counters.abandoned)
-        still = sum(call.cls == cls and (call.open or call.held) for call in engine.calls.values())
+        still = sum(
+            call.request_class == cls and (call.is_open or call.is_answer_held)
+            for call in engine.calls.values()
+        )
         assert taken == sum(counts[cls] for counts in ended) + still
 
 
@@ -336,13 +339,13 @@
             draining = f"s-{at}" == name or f"s-{at}" in self.drained
             members.append(Member(f"s-{at}", f"127.0.0.1:{one.port}", cell=1, draining=draining))
         self.client.members(members)
-        places = self.client.engine.members.places
+        places = self.client.engine.endpoints.by_number
         place = places[number(name)]
         assert place.withdrawn_at is not None
         place.withdrawn_at -= GRACE_US
         # Only what is written already may still arrive.
         written = {
-            attempt.call.name.decode()
+            attempt.call.client_request_id.decode()
             for attempt, link in self.client._parts.upstream.by_attempt.items()
             if attempt.endpoint == number(name) and link.transport is not None
         }
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -65,7 +65,7 @@
 def nothing_held(client: Client) -> bool:
     engine = client.engine
     counts = [one.inflight for one in engine.balancer.endpoints.values()]
-    return not (engine.calls or engine.open_names or engine.balancer.requests or any(counts))
+    return not (engine.calls or engine.open_request_ids or engine.balancer.requests or any(counts))
 
 
 Test = Callable[[], Coroutine[Any, Any, None]]
@@ -357,7 +357,7 @@
         async with opened(old, new) as client:
             await client.send(VIEW)
             client.members([member(old, "s-0", draining=True), member(new, "s-1")])
-            place = client.engine.members.places[endpoint_number("s-0")]
+            place = client.engine.endpoints.by_number[endpoint_number("s-0")]
             assert place.withdrawn_at is not None
             before = len(old.got)
             for _ in range(20):
@@ -581,7 +581,7 @@
             asked = asyncio.create_task(client.send(Request("pay", "/pay", "POST", deadline_s=0.2)))
             await asyncio.sleep(0)
             (link,) = client._parts.upstream.connections
-            place = client.engine.members.places[endpoint_number("s-0")]
+            place = client.engine.endpoints.by_number[endpoint_number("s-0")]
             place.withdrawn_at = client.engine.now() - 500_000
             reply = await asked
             assert told[0].outcome == MOOT and reply.outcome is Ending.REFUSED
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -4,7 +4,7 @@
 
 import pytest
 from laurelstep.lifecycle import Lifecycle, Phase
-from laurelstep.lifecycle.phases import REST_S
+from laurelstep.lifecycle.phases import IDLE_CLOSE_DELAY_S
 
 WAYS = {
     Phase.STARTING: (),
@@ -54,12 +54,12 @@
 def test_ready_is_said_and_connections_are_kept_while_serving_alone() -> None:
     for phase in Phase:
         one = led_to(phase)
-        assert one.ready == one.keeps == (phase == Phase.SERVING)
+        assert one.is_ready == one.allows_keep_alive == (phase == Phase.SERVING)
 
 
 def test_what_is_asked_twice_changes_nothing_and_is_told_to_nobody() -> None:
     one, heard = led_to(Phase.SERVING), []
-    one.watchers.append(lambda: heard.append(one.phase))
+    one.observers.append(lambda: heard.append(one.phase))
     assert one.evacuate(10.0) and one.evacuate(11.0)
     assert one.since == 10.0, "a second call does not put the drain off"
     assert one.rejoin(12.0) and one.rejoin(13.0)
@@ -68,10 +68,12 @@
 
 def test_a_connection_is_late_once_those_at_rest_are_gone() -> None:
     one = led_to(Phase.SERVING)
-    assert not one.is_late(100.0)
+    assert not one.has_short_request_timeout(100.0)
     one.evacuate(100.0)
-    assert not one.is_late(100.0 + REST_S - 0.1) and one.is_late(100.0 + REST_S)
+    assert not one.has_short_request_timeout(
+        100.0 + IDLE_CLOSE_DELAY_S - 0.1
+    ) and one.has_short_request_timeout(100.0 + IDLE_CLOSE_DELAY_S)
     one.drained(103.0)
-    assert one.is_late(103.0)
+    assert one.has_short_request_timeout(103.0)
     one.rejoin(104.0)
-    assert not one.is_late(104.0)
+    assert not one.has_short_request_timeout(104.0)
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -12,9 +12,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from laurelstep.balancing.events import LIST_DELTA, LIST_PART, Action, Entry, RequestClass, Settings
-from laurelstep.engine import Engine, Names, endpoint_number
+from laurelstep.engine import Engine, NameTable, endpoint_number
 from laurelstep.engine.endpoint_table import EndpointTable
-from laurelstep.engine.list_updates import STEP, apply_in_steps, parse_in_steps
+from laurelstep.engine.list_updates import STEP_ENTRIES, apply_in_steps, parse_in_steps
 from laurelstep.engine.ports import Decisions
 from laurelstep.engine.static_members import StaticMembers
 from laurelstep.net.discovery import SHORT_OBJECT, Discovery
@@ -28,7 +28,7 @@
 SETTINGS = Settings(
     classes=(RequestClass(),), me=1, instances=3, zones=2, cross_zone_price=0.1, stage=1, max_attempts=3
 )
-NAMES = Names({"classes": [{"name": "page"}], "zones": ZONES}, SETTINGS)
+NAMES = NameTable({"classes": [{"name": "page"}], "zones": ZONES}, SETTINGS)
 
 
 def raw(name: int, lifecycle: str = "ready", **changes: Any) -> dict[str, Any]:
@@ -52,10 +52,10 @@
         self.engine.start()
 
     def at_once(self, whole: bool, entries: list[dict[str, Any]]) -> None:
-        self.engine.listed(1, whole, entries)
+        self.engine.on_list(1, whole, entries)
 
     def in_steps(self, whole: bool, entries: list[dict[str, Any]]) -> Iterator[None]:
-        return self.engine.list_in_steps(whole, entries, self.clock.now())
+        return self.engine.apply_list_in_steps(whole, entries, self.clock.now())
 
     def seen(self) -> object:
         """What decides where requests may go."""
@@ -67,7 +67,7 @@
             [[(one.id, share) for one, share in subset.members] for subset in balancer.subsets.pair],
             {
                 number: (place.address, place.withdrawn_at)
-                for number, place in self.engine.members.places.items()
+                for number, place in self.engine.endpoints.by_number.items()
             },
             self.upstream.placed,
             sorted((one.id, one.boot, one.rating) for one in balancer.endpoints.values()),
@@ -155,7 +155,7 @@
     """The longest hold, counted in entries: steady where a time would not be."""
     copy = Copy()
     counted = {"read": 0, "told": 0}
-    real_read, real_told = copy.engine.members.read, copy.engine.decisions.members
+    real_read, real_told = copy.engine.endpoints.read_entry, copy.engine.decisions.members
 
     class Watched:
         def __getattr__(self, name: str) -> Any:
@@ -170,11 +170,11 @@
         def __getattr__(self, name: str) -> Any:
             return getattr(members, name)
 
-        def read(self, one: Any) -> Any:
+        def read_entry(self, one: Any) -> Any:
             counted["read"] += 1
             return real_read(one)
 
-    members = copy.engine.members
+    members = copy.engine.endpoints
     copy.engine.decisions = cast(Decisions, Watched())
     entries = [raw(name) for name in range(10_000)]
     tell = copy.engine._dispatch_part
@@ -184,10 +184,10 @@
         at = 0, 0
         for _ in apply_in_steps(cast(EndpointTable, Reading()), True, listed, copy.clock.now(), tell):
             now = counted["read"], counted["told"]
-            assert now[0] - at[0] <= STEP and now[1] - at[1] <= STEP
+            assert now[0] - at[0] <= STEP_ENTRIES and now[1] - at[1] <= STEP_ENTRIES
             at = now
             steps += 1
-        assert counted["read"] - at[0] <= STEP and counted["told"] - at[1] <= STEP
+        assert counted["read"] - at[0] <= STEP_ENTRIES and counted["told"] - at[1] <= STEP_ENTRIES
     assert steps > 1_000 and not on_ring(copy.engine.balancer)
 
 
@@ -237,7 +237,7 @@
         copy.clock.advance(1_000)
     ready = {endpoint_number(f"s-{name}") for name in listed}
     assert set(on_ring(copy.engine.balancer)) == ready == copy.upstream.placed
-    assert len(copy.engine.members.places) <= 30, "what left is forgotten after the grace"
+    assert len(copy.engine.endpoints.by_number) <= 30, "what left is forgotten after the grace"
 
 
 # --- On sockets -------------------------------------------------------------------------
@@ -263,13 +263,13 @@
             listed.append(drains.entry("s-1", lifecycle="draining"))
             push(watch, 42, True, *listed)
             served = 0
-            while endpoint_number("s-a") not in one.engine.members.places:
+            while endpoint_number("s-a") not in one.engine.endpoints.by_number:
                 assert (await one.ask(request(rid=f"r{served}"))).body == b"ok"
                 served += 1
             while source(one).busy:
                 await asyncio.sleep(0)
             assert served > 3, "requests were served while the list was read"
-            assert one.engine.members.places[endpoint_number("s-1")].withdrawn_at is not None
+            assert one.engine.endpoints.by_number[endpoint_number("s-1")].withdrawn_at is not None
             before = len(drains.got)
             for n in range(20):
                 assert (await one.ask(request(rid=f"x{n}"))).body == b"ok"
--- a/tests/test_maintenance_core.py
+++ b/tests/test_maintenance_core.py
@@ -59,7 +59,7 @@
         parts = assemble(self, self.state, world.clock, SETTINGS, world.logged.append)
         self.engine, self.source = parts.engine, parts.source
         self.controller, self.api = parts.controller, parts.api
-        self.source.listed(1, True, list(world.list))
+        self.source.on_list(1, True, list(world.list))
         self.step(lambda now: self.core.start(now))
         self.controller.start()
 
--- a/tests/test_maintenance_faults.py
+++ b/tests/test_maintenance_faults.py
@@ -197,9 +197,9 @@
 def test_lists_of_different_age_at_the_replicas() -> None:
     """One does not know the machine, one has it draining, one would be left with none."""
     one = Tier(4, LISTED)
-    one.replicas[1].source.listed(1, True, LISTED[1:])
-    one.replicas[2].source.listed(1, True, [listed_entry("m0", "a", "draining"), *LISTED[1:]])
-    one.replicas[3].source.listed(1, True, [LISTED[0]])
+    one.replicas[1].source.on_list(1, True, LISTED[1:])
+    one.replicas[2].source.on_list(1, True, [listed_entry("m0", "a", "draining"), *LISTED[1:]])
+    one.replicas[3].source.on_list(1, True, [LISTED[0]])
     for replica in one.replicas[1:]:
         replica.list_version = 10**6
     one.settle(2)
--- a/tests/test_maintenance_source.py
+++ b/tests/test_maintenance_source.py
@@ -8,7 +8,7 @@
 
 import pytest
 from laurelstep.balancing.events import OK, RequestClass, Settings
-from laurelstep.engine import Answer, Call, Ending, Engine, Names, endpoint_number
+from laurelstep.engine import Answer, Call, Ending, Engine, NameTable, endpoint_number
 from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.call import Attempt
 from laurelstep.engine.static_members import StaticMembers
@@ -75,7 +75,7 @@
 def test_a_long_list_stays_in_steps() -> None:
     world = World()
     raws = [dict(raw) for raw in LONG]
-    steps = world.source.list_in_steps(True, raws, 5)
+    steps = world.source.apply_list_in_steps(True, raws, 5)
     count = sum(1 for _ in steps)
     assert count > 1000 / MAX_DIRECT_ENTRIES and not raws, "used up"
     assert len(world.engine.ready) == len(world.source.table.machines) == 1000
@@ -86,7 +86,7 @@
 
 def test_what_changes_while_a_long_list_is_on_its_way_is_told_behind_it() -> None:
     world = World()
-    steps = world.source.list_in_steps(True, [dict(raw) for raw in LONG], 5)
+    steps = world.source.apply_list_in_steps(True, [dict(raw) for raw in LONG], 5)
     next(steps)
     world.hold("m7")
     world.source.refresh()
@@ -100,26 +100,26 @@
 
 def test_a_list_that_is_held_back_is_told_in_steps_once_the_record_is_known() -> None:
     world = World(known=False)
-    for _ in world.source.list_in_steps(True, [dict(raw) for raw in LONG], 5):
+    for _ in world.source.apply_list_in_steps(True, [dict(raw) for raw in LONG], 5):
         pass
-    world.source.listed(2, False, [listed_entry("m3", phase="draining")])
+    world.source.on_list(2, False, [listed_entry("m3", phase="draining")])
     assert not world.engine.ready and world.source.drained_index() == -1
     world.hold("m7")
     world.source.start_forwarding(True)
-    world.source.listed(3, False, [listed_entry("m4", phase="gone"), listed_entry("new")])
+    world.source.on_list(3, False, [listed_entry("m4", phase="gone"), listed_entry("new")])
     assert not world.engine.ready and world.source.drained_index() < world.state.index
     assert world.run() > 1000 / MAX_DIRECT_ENTRIES
     assert world.engine.ready.keys() == {raw["instanceId"] for raw in LONG} - {"m3", "m4", "m7"} | {"new"}
-    world.source.listed(4, True, [listed_entry("m8")])
+    world.source.on_list(4, True, [listed_entry("m8")])
     assert world.engine.ready.keys() == {"m8"}
 
 
 def test_a_whole_list_while_ours_is_on_its_way_is_told_behind_it() -> None:
     world = World(known=False)
-    world.source.give_known(41, LONG)
+    world.source.set_initial_list(41, LONG)
     world.source.start_forwarding(True)
-    world.source.listed(3, True, [listed_entry("m8")])
-    for _ in world.source.list_in_steps(True, [listed_entry("m8"), listed_entry("m9")], 5):
+    world.source.on_list(3, True, [listed_entry("m8")])
+    for _ in world.source.apply_list_in_steps(True, [listed_entry("m8"), listed_entry("m9")], 5):
         pass
     world.run()
     assert world.engine.ready.keys() == {"m8", "m9"}
@@ -127,15 +127,15 @@
 
 def test_a_process_that_stands_still_as_it_tells_is_not_quiet_before_the_grace_is_over() -> None:
     world = World()
-    world.source.listed(1, True, [listed_entry("m0"), listed_entry("m1")])
+    world.source.on_list(1, True, [listed_entry("m0"), listed_entry("m1")])
     world.hold("m0")
-    listed = world.engine.listed
+    listed = world.engine.on_list
 
     def late(version: int, whole: bool, entries: Sequence[Any]) -> None:
         world.clock.advance(2 * GRACE_US)  # stopped between the hold and the engine
         listed(version, whole, entries)
 
-    world.engine.listed = late  # type: ignore[method-assign]
+    world.engine.on_list = late  # type: ignore[method-assign]
     world.source.refresh()
     left = world.state.machines["m0"].drain_index
     assert world.engine.may_send("m0") and world.source.drained_index() < left
@@ -145,19 +145,19 @@
 
 def test_what_the_engine_did_not_take_is_never_quiet() -> None:
     world = World()
-    world.source.listed(1, True, [listed_entry("m0"), listed_entry("m1")])
+    world.source.on_list(1, True, [listed_entry("m0"), listed_entry("m1")])
     world.hold("m0")
 
     def refuse(version: int, whole: bool, entries: Sequence[Any]) -> None:
         raise ValueError("no entry")
 
-    listed, world.engine.listed = world.engine.listed, refuse  # type: ignore[method-assign]
+    listed, world.engine.on_list = world.engine.on_list, refuse  # type: ignore[method-assign]
     world.source.refresh()
     left = world.state.machines["m0"].drain_index
     world.clock.advance(2 * GRACE_US)
     assert world.engine.may_send("m0") and world.source.drained_index() < left
-    world.engine.listed = listed  # type: ignore[method-assign]
-    world.source.listed(2, True, [listed_entry("m0"), listed_entry("m1")])
+    world.engine.on_list = listed  # type: ignore[method-assign]
+    world.source.on_list(2, True, [listed_entry("m0"), listed_entry("m1")])
     world.clock.advance(2 * GRACE_US)
     assert not world.engine.may_send("m0") and world.source.drained_index() >= left
 
@@ -177,14 +177,14 @@
 def test_a_bad_list_changes_nothing(bad: Any) -> None:
     for known in (True, False):
         world = World(known)
-        world.source.listed(1, True, LISTED)
+        world.source.on_list(1, True, LISTED)
         with pytest.raises(ValueError, match="no entry"):
-            world.source.listed(2, True, [listed_entry("m1"), bad])
+            world.source.on_list(2, True, [listed_entry("m1"), bad])
         with pytest.raises(ValueError, match="no entry"):
-            list(world.source.list_in_steps(True, [listed_entry("m1"), bad], 5))
+            list(world.source.apply_list_in_steps(True, [listed_entry("m1"), bad], 5))
         assert len(world.source.table.machines) == 6 and not world.source.is_reading
         assert len(world.engine.ready) == (6 if known else 0)
-        world.source.listed(3, False, [listed_entry("m1", phase="gone")])
+        world.source.on_list(3, False, [listed_entry("m1", phase="gone")])
         assert len(world.source.table.machines) == 5
 
 
@@ -192,24 +192,24 @@
     told: list[str] = []
 
     class Sink(FakeEngine):
-        def list_failed(self) -> None:
+        def on_list_failed(self) -> None:
             told.append("failed")
 
     clock = ManualClock()
     given = StaticMembers(LISTED)
     source = MaintenanceSource(given, MaintenanceState(), clock, GRACE_US, lambda *run: None, told.append)
-    source.list_failed()
+    source.on_list_failed()
     source.start(Sink(clock), 3)
     assert given.generation == 3 and source.now() == clock.now()
     source.watch(True)
     source.fetch()
-    source.list_failed()
+    source.on_list_failed()
     assert told == ["failed"] and len(source.table.machines) == 6
 
 
 def test_a_return_is_told_as_a_start_until_discovery_tells_a_later_one() -> None:
     world = World()
-    world.source.listed(1, True, LISTED)
+    world.source.on_list(1, True, LISTED)
     world.hold("m0")
     world.source.refresh()
     apply_event(world.state, "clear")
@@ -217,17 +217,17 @@
     world.source.refresh()
     began = world.engine.ready["m0"]
     assert began == world.clock.wall() // 1000
-    world.source.listed(2, True, LISTED)
+    world.source.on_list(2, True, LISTED)
     assert world.engine.ready["m0"] == began, "a start told is never taken back"
-    world.source.listed(3, False, [listed_entry("m0", started_ms=began + 5)])
+    world.source.on_list(3, False, [listed_entry("m0", started_ms=began + 5)])
     assert world.engine.ready["m0"] == began + 5
-    world.source.listed(4, False, [listed_entry("m0", phase="gone")])
+    world.source.on_list(4, False, [listed_entry("m0", phase="gone")])
     assert not world.source.overlay.returned_ms
 
 
 def test_the_list_for_the_next_version_has_what_is_held() -> None:
     world = World()
-    world.source.listed(1, True, [*LISTED, listed_entry("m9", phase="draining")])
+    world.source.on_list(1, True, [*LISTED, listed_entry("m9", phase="draining")])
     world.hold("m0")
     world.source.refresh()
     taken: list[bytes] = []
@@ -263,17 +263,17 @@
     clock = ManualClock()
     upstream = PlayedUpstream(clock)
     settings = Settings(classes=(RequestClass(),), max_attempts=2, second_copies=True)
-    names = Names({"classes": [{"name": "page"}]}, settings)
+    names = NameTable({"classes": [{"name": "page"}]}, settings)
     engine = Engine(clock, 1, settings, names, upstream, StaticMembers(), 500_000, lambda text: None)
     engine.start()
-    engine.listed(1, True, [entry("s-0")])
+    engine.on_list(1, True, [entry("s-0")])
     where = endpoint_number("s-0")
     calls = [
         Call(0, clock.now() + SECOND, b"GET / HTTP/1.1", b"", b"", Answers(), b"%d" % n) for n in range(2)
     ]
     for call in calls:
         engine.take(call)
-    assert engine.out_at(where) == 2 and engine.out_at(where + 1) == 0
+    assert engine.in_flight_at(where) == 2 and engine.in_flight_at(where + 1) == 0
 
     class Body:
         def pause(self) -> None: ...
@@ -284,6 +284,6 @@
     flow = BodyStream(Body(), 10)
     attempts[0].end(OK, Answer(Ending.SERVED, 200, stream=flow))
     attempts[1].end(OK, Answer(Ending.SERVED, 200))
-    assert engine.out_at(where) == 1, "its answer still comes from there"
+    assert engine.in_flight_at(where) == 1, "its answer still comes from there"
     flow.finish(True)
-    assert engine.out_at(where) == 0
+    assert engine.in_flight_at(where) == 0
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -19,7 +19,7 @@
 import pytest
 from laurelstep.balancing.events import NO_CONNECT
 from laurelstep.engine.body_stream import BodyStream
-from laurelstep.flow_control.buffer_budget import MAX_BUFFERED
+from laurelstep.flow_control.buffer_budget import MAX_BUFFERED_BYTES
 from laurelstep.net.assembly import Assembly
 from laurelstep.net.message import LARGE_MAX
 from laurelstep.net.server import Server
@@ -44,7 +44,7 @@
 # What one read of a socket brings at most.
 READ_MOST = 256 * 1024
 # Of one write: at first what had come before it was too large to be held, then the mark and one read.
-BOUND = max(MAX_BUFFERED, HELD_EACH) + READ_MOST
+BOUND = max(MAX_BUFFERED_BYTES, HELD_EACH) + READ_MOST
 CLASSES = {"put": QueuedClass("keyed", 86_400_000_000), "pay": QueuedClass("unsafe")}
 
 
@@ -168,7 +168,7 @@
         "known": whole_list(endpoint.entry()),
     }  # fmt: skip
     config = config_from(raw, "test")
-    config.names.keepable = frozenset(config.names.classes[name] for name in CLASSES)
+    config.names.queueable_classes = frozenset(config.names.classes[name] for name in CLASSES)
     log: list[str] = []
     chosen = {"cut_us": 0, "back_us": 1, "body_bytes": 16 << 20, **changes}
     # A disk stands for its folder: the store takes either.
@@ -948,9 +948,9 @@
                 for write_id in (photo, order):
                     outbox._rows.since[outbox._must_row(write_id)] = now - CLASSES["put"].window_us + left
                 call = await one.driver.bodies.call(photo, cast(Any, None))
-                assert call is not None and 0 < call.expires - now <= most + 1_000_000
+                assert call is not None and 0 < call.expires_at - now <= most + 1_000_000
                 call = await one.driver.bodies.call(order, cast(Any, None))
-                assert call is not None and call.expires > now + bodies.PASSING_MOST_US
+                assert call is not None and call.expires_at > now + bodies.PASSING_MOST_US
 
     run(main())
 
--- a/tests/test_outbox_edge.py
+++ b/tests/test_outbox_edge.py
@@ -568,7 +568,7 @@
     def __init__(self) -> None:
         self.answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
 
-    def answered(self, call: Call, answer: Answer) -> None:
+    def on_answer(self, call: Call, answer: Answer) -> None:
         self.answer.set_result(answer)
 
 
@@ -585,7 +585,7 @@
     @classmethod
     async def open(cls, folder: Path, copies: Copies, edge: str = "ash") -> Studio:
         config = config_from({"seed": "1", "settings": SETTINGS}, "test")
-        config.names.keepable = frozenset((1, 2))
+        config.names.queueable_classes = frozenset((1, 2))
         log: list[str] = []
         parts = Assembly(asyncio.get_running_loop(), config, log.append)
         parts.start()
@@ -605,7 +605,7 @@
     def link(self, on: bool) -> None:
         """Without it there is nowhere to go."""
         self.lists += 1
-        self.parts.engine.listed(self.lists, True, [self.copies.endpoint.entry("copy")] if on else [])
+        self.parts.engine.on_list(self.lists, True, [self.copies.endpoint.entry("copy")] if on else [])
         self.driver.cutoff.is_cut_off = not on
         if self.driver.was_cut_off is on:
             self.driver._on_cutoff_change()
@@ -625,7 +625,7 @@
             {"put": 1, "pay": 2}[cls], engine.now() + 5 * SECOND, b"POST /" + cls.encode(), lines(headers),
             b"body", front, name,
         )  # fmt: skip
-        call.causes = (follows, b"", b"")
+        call.causal_dependencies = (follows, b"", b"")
         engine.take(call)
         return await front.answer
 
@@ -999,7 +999,7 @@
             one.copies.record.agree(WriteApplied(dependency))
             # The way is there; the edge does not know.
             one.lists += 1
-            one.parts.engine.listed(one.lists, True, [one.copies.endpoint.entry("copy")])
+            one.parts.engine.on_list(one.lists, True, [one.copies.endpoint.entry("copy")])
             await until(lambda: bool(one.copies.asks))
             assert one.driver.cutoff.is_cut_off and one.copies.asks[0] == ReplayQuery()
             await one.until(kept, WriteState.DONE)
@@ -1059,7 +1059,7 @@
         async def ask(*dependencies: bytes) -> Answer:
             front = Frontend()
             call = Call(2, parts.engine.now() + 5 * SECOND, b"POST /pay", b"", b"x", front, b"r")
-            call.causes = dependencies
+            call.causal_dependencies = dependencies
             parts.engine.take(call)
             return await front.answer
 
--- a/tests/test_outbox_replay_gate.py
+++ b/tests/test_outbox_replay_gate.py
@@ -21,8 +21,8 @@
 )
 from laurelstep.engine import Answer, Call, Ending, Engine
 from laurelstep.engine.body_stream import BodyStream
-from laurelstep.engine.names import Names
-from laurelstep.engine.ports import Recorded
+from laurelstep.engine.names import NameTable
+from laurelstep.engine.ports import CallHost
 from laurelstep.engine.static_members import StaticMembers
 from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.shared.entries import (
@@ -125,17 +125,17 @@
         self.finished: list[Call] = []
         self.left: list[Call] = []
 
-    def begin(self, call: Call, engine: Recorded) -> bool:
+    def begin(self, call: Call, engine: CallHost) -> bool:
         self.begun.append(call)
         if self.takes:
             engine.admit(call)
         return self.takes
 
-    def finish(self, call: Call, answer: Answer, engine: Recorded) -> None:
+    def finish(self, call: Call, answer: Answer, engine: CallHost) -> None:
         self.finished.append(call)
         engine.deliver(call, answer)
 
-    def gone(self, call: Call, engine: Recorded) -> None:
+    def on_client_left(self, call: Call, engine: CallHost) -> None:
         self.left.append(call)
 
 
@@ -158,12 +158,12 @@
             RequestClass(effect=UNSAFE, aim_us=500_000, deadline_us=DEADLINE_US),
         )
         found = Settings(classes=classes, can_cancel=True, max_attempts=3)
-        names = Names({"classes": [{"name": "pay"}, {"name": "put"}, {"name": "post"}]}, found)
+        names = NameTable({"classes": [{"name": "pay"}, {"name": "put"}, {"name": "post"}]}, found)
         self.engine = Engine(
             self.clock, 1, found, names, self.upstream, StaticMembers(), 500_000, lambda line: None, self.gate
         )
         self.engine.start()
-        self.engine.listed(1, True, [entry("a")])
+        self.engine.on_list(1, True, [entry("a")])
         self.count = 0
 
     def call(
@@ -175,7 +175,7 @@
         self.count += 1
         name = b"r%d" % self.count
         call = Call(cls, self.clock.now() + DEADLINE_US, b"POST /pay", b"host: x\r\n", b"x", self.front, name)
-        call.causes = (b"", b"", b"", sealed.encode())
+        call.causal_dependencies = (b"", b"", b"", sealed.encode())
         return call
 
     async def take(
@@ -214,7 +214,7 @@
 
     async def ask(self, text: str) -> Answer:
         call = Call(-1, 0, text.encode(), b"", b"", self.front)
-        call.open = False
+        call.is_open = False
         before = len(self.front.given)
         self.gate.ask(call)
         await self.turn()
@@ -444,9 +444,9 @@
 def test_a_call_without_the_header_is_as_without_a_gate() -> None:
     async def test(world: World) -> None:
         call = world.call(PUT, "")
-        call.streams = True
+        call.can_stream_answer = True
         world.engine.take(call)
-        assert len(world.sent) == 1 and not call.recorded and call.streams
+        assert len(world.sent) == 1 and not call.is_recorded and call.can_stream_answer
         await world.play()
         assert world.told == [(200, b"")] and world.sharer.asked == []
 
@@ -461,7 +461,7 @@
         first = await world.take(POST, "")
         await world.play()
         second = await world.take(POST, "")
-        world.engine.gone(second)
+        world.engine.on_client_left(second)
         assert inner.begun == [first, second] and world.told == [(200, b"")]
         assert inner.finished == ([first] if takes else []) and inner.left == ([second] if takes else [])
         await world.take(PUT)
@@ -477,7 +477,7 @@
         def must_queue(self, call: Call) -> bool:
             return True
 
-        def enqueue(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
+        def enqueue(self, call: Call, answer: Answer | None, engine: CallHost) -> bool:
             engine.settle(call, Answer(Ending.SERVED, 202))
             return True
 
@@ -609,7 +609,7 @@
     async def test(world: World) -> None:
         call = await world.take()
         begin = world.sharer.asked[0]
-        world.engine.gone(call)
+        world.engine.on_client_left(call)
         await world.land(begin)
         assert world.sharer.asked == [IntentWithdrawal(DOT, 1)] and not world.sent
         await world.land()
@@ -623,7 +623,7 @@
         call = await world.take()
         await world.land()
         assert len(world.sent) == 1
-        world.engine.gone(call)
+        world.engine.on_client_left(call)
         await world.turn()
         assert world.sharer.asked == [IntentWithdrawal(DOT, 1)]
 
@@ -635,7 +635,7 @@
         call = await world.take()
         await world.land()
         world.upstream.write(world.sent[0], True)
-        world.engine.gone(call)
+        world.engine.on_client_left(call)
         await world.advance(DEADLINE_US)
         assert world.sharer.asked == [] and world.begun() is IntentStatus.OTHERS
 
@@ -649,10 +649,10 @@
         call = await world.take()
         await world.land()
         world.upstream.write(world.sent[0], True)
-        world.sent[0].attempt.out = False  # its outcome came, and nobody has answered yet
-        world.engine.gone(call)
+        world.sent[0].attempt.is_in_flight = False  # its outcome came, and nobody has answered yet
+        world.engine.on_client_left(call)
         await world.turn()
-        assert not call.attempts and call.tried == 1
+        assert not call.attempts and call.attempts_sent == 1
         assert world.sharer.asked == [] and world.begun() is IntentStatus.OTHERS
 
     play(test)
@@ -663,7 +663,7 @@
         call = await world.take()
         await world.land()
         await world.play()
-        world.engine.gone(call)
+        world.engine.on_client_left(call)
         await world.land()
         assert world.write_status() is WriteStatus.APPLIED and world.told == [] and not world.engine.calls
 
@@ -696,7 +696,7 @@
     async def test(world: World) -> None:
         call = world.call()
         call.upload, call.body = BodyStream(Source(), 10), b""
-        call.span, call.expires = DEADLINE_US, world.clock.now() + 600_000_000
+        call.time_after_upload_us, call.expires_at = DEADLINE_US, world.clock.now() + 600_000_000
         world.engine.take(call)
         await world.turn()
         assert not world.sent and world.sharer.asked == [Intent(DOT, LIFE, 1)]
@@ -704,7 +704,7 @@
         assert len(world.sent) == 1
         world.upstream.write(world.sent[0], True)  # what has come of it
         call.upload.finish(True)
-        world.engine.whole(call)
+        world.engine.on_upload_complete(call)
         await world.play()
         assert world.sharer.asked == [WriteApplied(DOT)]
         await world.land()
@@ -717,12 +717,12 @@
     async def test(world: World) -> None:
         call = world.call()
         call.upload, call.body = BodyStream(Source(), 10), b""
-        call.span, call.expires = DEADLINE_US, world.clock.now() + 600_000_000
+        call.time_after_upload_us, call.expires_at = DEADLINE_US, world.clock.now() + 600_000_000
         world.engine.take(call)
         await world.turn()
         await world.land()
         world.upstream.write(world.sent[0], True)
-        world.engine.gone(call)
+        world.engine.on_client_left(call)
         await world.turn()
         assert world.sharer.asked == [] and world.begun() is IntentStatus.OTHERS
 
@@ -733,7 +733,7 @@
     async def test(world: World) -> None:
         call = world.call()
         call.upload, call.body = BodyStream(Source(), 10), b""
-        call.span, call.expires = DEADLINE_US, world.clock.now() + 600_000_000
+        call.time_after_upload_us, call.expires_at = DEADLINE_US, world.clock.now() + 600_000_000
         world.engine.take(call)
         await world.turn()
         await world.advance(10_000_000)
--- a/tests/test_request_journal.py
+++ b/tests/test_request_journal.py
@@ -65,7 +65,7 @@
 
 
 class Nobody:
-    def answered(self, call: Call, answer: Answer) -> None:
+    def on_answer(self, call: Call, answer: Answer) -> None:
         """Is not told."""
 
 
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -6,14 +6,14 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from laurelstep.flow_control.buffer_budget import UNCOUNTED
+from laurelstep.flow_control.buffer_budget import UNCOUNTED_BYTES
 from laurelstep.resources.descriptors import (
     AWAITING_REQUEST,
     CLOSING,
     IDLE,
     MAX_SOCKETS,
-    MIN_PER_SIDE,
-    RESERVED,
+    MIN_CONNECTIONS_PER_SIDE,
+    RESERVED_DESCRIPTORS,
     RESERVED_FOR_MANAGEMENT,
     connections_per_side,
     eviction_order,
@@ -30,9 +30,9 @@
 @given(st.integers(0, 5000), st.booleans(), st.integers(1, 2))
 def test_the_shares_of_all_are_within_what_is_allowed(sockets: int, managed: bool, processes: int) -> None:
     side = connections_per_side(sockets, managed, processes)
-    apart = RESERVED + RESERVED_FOR_MANAGEMENT * managed
-    assert side >= MIN_PER_SIDE
-    if side > MIN_PER_SIDE:
+    apart = RESERVED_DESCRIPTORS + RESERVED_FOR_MANAGEMENT * managed
+    assert side >= MIN_CONNECTIONS_PER_SIDE
+    if side > MIN_CONNECTIONS_PER_SIDE:
         assert processes * (2 * side + apart) <= min(sockets, MAX_SOCKETS)
     assert connections_per_side(sockets, managed, 2) <= connections_per_side(sockets, managed, 1)
 
@@ -60,7 +60,7 @@
 def test_half_written_heads_are_bounded_and_the_oldest_gives_way() -> None:
     async def main() -> None:
         async with sidecar(Endpoint()) as one:
-            one.server.request_budget.limit = 10 * (len(HALF) - UNCOUNTED)
+            one.server.request_budget.limit = 10 * (len(HALF) - UNCOUNTED_BYTES)
             streams: list[tuple[Reader, Writer]] = []
             for n in range(10):
                 streams.append(await one.connect())
@@ -152,7 +152,7 @@
         endpoint = Endpoint(handler)
         async with sidecar(endpoint, endpoint) as one:
             budget = one.upstream.answer_budget
-            budget.limit = 3 * (len(part) - UNCOUNTED)
+            budget.limit = 3 * (len(part) - UNCOUNTED_BYTES)
             asked = [asyncio.create_task(one.ask(request(rid=f"r{n}"))) for n in range(8)]
             while len(one.upstream.receiving.since) + len(one.upstream.streaming.since) < 8:
                 await asyncio.sleep(0)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -145,7 +145,7 @@
             assert (await one.ask(PAGE)).start.split()[1] == "409"
             release.set()
             assert (await first).body == b"ok"
-            assert (await one.ask(PAGE)).body == b"ok" and not one.engine.open_names
+            assert (await one.ask(PAGE)).body == b"ok" and not one.engine.open_request_ids
 
     run(main())
 
@@ -303,7 +303,7 @@
 
 
 class Nobody:
-    def answered(self, call: Call, answer: Answer) -> None:
+    def on_answer(self, call: Call, answer: Answer) -> None:
         """Is not told."""
 
 
@@ -602,7 +602,7 @@
                     await asyncio.sleep(0)
                 await asyncio.sleep(0)
                 assert alive() == before
-                assert not one.engine.calls and not one.engine.open_names
+                assert not one.engine.calls and not one.engine.open_request_ids
             finally:
                 gc.enable()
 
