--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -75,7 +75,7 @@
     assert settings.second_copies and settings.can_cancel and settings.retry_after
     assert (settings.cold_share, settings.cold_us, settings.tenants) == (0.13, 23_000_000, (20.0,))
     assert settings.report_fields == ("waiting", "served_rate")
-    assert config.names.report(b"qps=9,queue=2") == [2.0, 9.0], "by the names on the sockets"
+    assert config.names.parse_load_report(b"qps=9,queue=2") == [2.0, 9.0], "by the names on the sockets"
     assert config.names.zones == {"a": 0, "b": 1} and config.names.tenants == {"acme": 0}
 
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -139,7 +139,7 @@
         endpoint = Endpoint()
         async with sidecar(endpoint) as one:
             wall = 1_700_000_000_000_000
-            one.engine.members.clock = cast(Clock, Replaced(one.engine.clock, wall=lambda: wall))
+            one.engine.endpoints.clock = cast(Clock, Replaced(one.engine.clock, wall=lambda: wall))
             started = endpoint.entry(startedAtMs=wall // 1000 - 4_000)
             before = one.engine.now()
             one.told(started)
@@ -290,9 +290,9 @@
         async with sidecar(old, new, registry=registry) as one:
             _, watch = await registry.asked.get()
             push(watch, 43, True, bad, new.entry("s-1"))
-            while one.engine.members.may_receive(endpoint_number("s-0"), one.engine.now() + 600_000):
+            while one.engine.endpoints.may_receive(endpoint_number("s-0"), one.engine.now() + 600_000):
                 await asyncio.sleep(0)
-            assert not one.engine.members.may_receive(endpoint_number("s-3"), one.engine.now())
+            assert not one.engine.endpoints.may_receive(endpoint_number("s-3"), one.engine.now())
             assert (await one.ask(request())).body == b"ok"
             assert len(new.got) == 1 and not old.got
             assert registry.asked.empty(), "the watch goes on"
@@ -312,19 +312,22 @@
             _, watch = await registry.asked.get()
             leaving = {**old.entry("s-0"), "lifecycle": "draining"}
             push(watch, 42, True, leaving, new.entry("s-1"))
-            while one.engine.members.size() != 2:
+            while one.engine.endpoints.size() != 2:
                 await asyncio.sleep(0)
             line = json.dumps({"generation": 43, "reset": False, "instances": [later.entry("s-9")]})
             push_raw(watch, line[:-20].encode())
             watch.close()
             start, watch = await registry.asked.get()
             assert "from=42 " in start
-            assert one.engine.members.size() == 2 and endpoint_number("s-9") not in one.engine.members.places
+            assert (
+                one.engine.endpoints.size() == 2
+                and endpoint_number("s-9") not in one.engine.endpoints.by_number
+            )
             for n in range(20):
                 assert (await one.ask(request(rid=f"r{n}"))).body == b"ok"
             assert not old.got and len(new.got) == 20
             push(watch, 43, False, later.entry("s-9"))
-            while one.engine.members.size() != 3:
+            while one.engine.endpoints.size() != 3:
                 await asyncio.sleep(0)
 
     run(main())
@@ -357,13 +360,13 @@
         endpoint = Endpoint()
         async with sidecar(endpoint) as one:
             one.told()
-            (place,) = one.engine.members.places.values()
+            (place,) = one.engine.endpoints.by_number.values()
             assert place.withdrawn_at is not None, "kept for the grace"
             clock = one.engine.clock
             later = Replaced(clock, now=lambda: clock.now() + 500_000)
-            one.engine.members.clock = cast(Clock, later)
+            one.engine.endpoints.clock = cast(Clock, later)
             one.told(whole=False)
-            assert not one.engine.members.places and not one.upstream.pools
+            assert not one.engine.endpoints.by_number and not one.upstream.pools
 
     run(main())
 
@@ -570,10 +573,10 @@
             await endpoint.arrived.acquire()
             ((_, call),) = one.engine.calls.items()
             (attempt,) = call.attempts
-            place = one.engine.members.places[attempt.endpoint]
+            place = one.engine.endpoints.by_number[attempt.endpoint]
             now = one.engine.now()
             assert one.engine.attempts.may_start(attempt, now)
-            assert not one.engine.attempts.may_start(attempt, call.expires)
+            assert not one.engine.attempts.may_start(attempt, call.expires_at)
             place.withdrawn_at = now - (500_000 - 150_000) + 1
             assert one.engine.attempts.may_start(attempt, now)
             place.withdrawn_at = now - (500_000 - 150_000)
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -8,13 +8,13 @@
 import pytest
 from laurelstep.balancing.events import RequestClass, Settings
 from laurelstep.engine.endpoint_table import CLOCK_TOLERANCE_US, EndpointTable, StartDating, endpoint_number
-from laurelstep.engine.names import Names
+from laurelstep.engine.names import NameTable
 
 SECOND_US = 1_000_000
 SETTINGS = Settings(
     classes=(RequestClass(),), me=1, instances=3, zones=1, cross_zone_price=0.1, stage=1, max_attempts=3
 )
-NAMES = Names({"classes": [{"name": "page"}]}, SETTINGS)
+NAMES = NameTable({"classes": [{"name": "page"}]}, SETTINGS)
 START_US = 1_700_000_000_000_000
 
 
@@ -37,7 +37,7 @@
 class NoUpstream:
     """Takes no connection."""
 
-    def place(self, number: int, address: str) -> None: ...
+    def set_address(self, number: int, address: str) -> None: ...
 
     def remove(self, number: int) -> None: ...
 
@@ -63,7 +63,7 @@
                 }
             ],
         )
-        boot = self.members.places[endpoint_number(name)].entry.boot
+        boot = self.members.by_number[endpoint_number(name)].entry.boot
         return None if boot == 0 else self.clock.time - boot
 
 
@@ -96,7 +96,7 @@
 def test_a_later_start_is_no_older_than_the_telling_of_the_earlier_one() -> None:
     """The clock was an hour ahead when this process began: only what it was told shows that."""
     fleet = Fleet()
-    fleet.members.starts = StartDating(fleet.clock.now(), fleet.clock.wall() + 3_600 * SECOND_US)
+    fleet.members.start_dating = StartDating(fleet.clock.now(), fleet.clock.wall() + 3_600 * SECOND_US)
     fleet.clock.offset += 3_600 * SECOND_US
     assert fleet.age_us("one", fleet.clock.time - 60 * SECOND_US) == 3_660 * SECOND_US, "nothing tells more"
     fleet.clock.time += 8 * SECOND_US
--- a/tests/test_write_queue.py
+++ b/tests/test_write_queue.py
@@ -8,8 +8,8 @@
 from laurelstep.balancing.events import ERROR, FULL, OK, RESET, UNSAFE, RequestClass, Settings
 from laurelstep.engine import Answer, Call, Ending, Engine
 from laurelstep.engine.body_stream import BodyStream
-from laurelstep.engine.names import Names
-from laurelstep.engine.ports import Recorded
+from laurelstep.engine.names import NameTable
+from laurelstep.engine.ports import CallHost
 from laurelstep.engine.static_members import StaticMembers
 
 from tests.fakes import Answers, ManualClock, PlayedUpstream, Sent, entry
@@ -30,7 +30,7 @@
     def must_queue(self, call: Call) -> bool:
         return self.first
 
-    def enqueue(self, call: Call, answer: Answer | None, engine: Recorded) -> bool:
+    def enqueue(self, call: Call, answer: Answer | None, engine: CallHost) -> bool:
         self.asked.append((call, answer))
         return self.takes
 
@@ -48,14 +48,14 @@
         self.front = Answers()
         self.keeper = keeper
         found = Settings(classes=(PAY,), can_cancel=True, max_attempts=3, **settings)
-        names = Names({"classes": [{"name": "pay"}]}, found)
+        names = NameTable({"classes": [{"name": "pay"}]}, found)
         source = StaticMembers()
         self.engine = Engine(
             self.clock, 1, found, names, self.upstream, source, 500_000, lambda line: None
         )  # fmt: skip
         self.engine.write_queue = keeper
         self.engine.start()
-        self.engine.listed(1, True, [entry("a")])
+        self.engine.on_list(1, True, [entry("a")])
 
     def ask(self) -> Call:
         call = Call(0, self.clock.now() + 2_000_000, b"POST /pay", b"", b"x", self.front, b"r1")
@@ -112,7 +112,7 @@
         world.play(False, FULL)
         world.clock.advance(5_000_000)
         assert bool(world.keeper.asked) != unproven
-        assert call.open is False
+        assert call.is_open is False
 
 
 def test_one_that_the_keeper_declines_gets_the_answer_it_would_have_had() -> None:
@@ -138,7 +138,7 @@
 def test_one_in_hand_whose_client_leaves_or_whose_time_is_over() -> None:
     world = World(Notes(first=True))
     call = world.ask()
-    world.engine.gone(call)
+    world.engine.on_client_left(call)
     assert world.keeper.gone == [call] and not world.engine.calls
     world.engine.settle(call, Answer(Ending.SERVED, 202))
     late = world.ask()
@@ -174,11 +174,11 @@
 def test_an_upload_in_hand_has_its_time_from_its_last_byte_and_the_module_hears_nothing_of_it() -> None:
     world = World(Notes(first=True))
     call = Call(0, world.clock.now() + 600_000_000, b"POST /pay", b"", b"", world.front, b"r1")
-    call.upload, call.span = BodyStream(Coming(), 100_000), 2_000_000
+    call.upload, call.time_after_upload_us = BodyStream(Coming(), 100_000), 2_000_000
     world.engine.take(call)
     world.clock.advance(60_000_000)
     assert world.told == [] and not world.sent
-    world.engine.whole(call)
+    world.engine.on_upload_complete(call)
     world.clock.advance(1_999_999)
     assert world.told == []
     world.clock.advance(1)
