--- a/laurelstep/subsystems/consensus.py
+++ b/laurelstep/subsystems/consensus.py
@@ -51,7 +51,7 @@
         settings = context.config.accord
         if settings is None:
             return None
-        if not settings.is_linked:
+        if not settings.has_peers:
             log("accord: off, and what rests on it: the configuration has no peers and peer_listen")
             return None
         from laurelstep.hot_restart.state import decode_replica
@@ -103,7 +103,7 @@
     passive = CarriedLedger()  # of the outbox, where that is off
     state_machines = {
         **(passive_state_machines() if maintenance is None else maintenance),
-        **(passive.machines if outbox is None else outbox),
+        **(passive.state_machines if outbox is None else outbox),
     }
     node = build_node(settings, CompositeStateMachine(state_machines), context.loop, clock, log)
     multiplexer = ConsensusMultiplexer(node)
