--- a/laurelstep/adapter.py
+++ b/laurelstep/adapter.py
@@ -12,7 +12,7 @@
 
 from laurelstep import wire
 from laurelstep.balancing.balancer import Balancer
-from laurelstep.balancing.events import LIST_FAILED, OK, Action, Arrival, Entry, Outcome, Probed
+from laurelstep.balancing.events import LIST_FAILED, OK, Action, Arrival, Entry, Outcome, ProbeResult
 
 Lists = dict[int, tuple[Entry, ...]]
 
@@ -118,7 +118,7 @@
             if raw not in wire.OUTCOMES:
                 raise wire.WireError(f"unknown outcome {raw}")
             report = load[:n] if n else None
-            return balancer.probed(now, Probed(endpoint, wire.OUTCOMES[raw], delay, report))
+            return balancer.probed(now, ProbeResult(endpoint, wire.OUTCOMES[raw], delay, report))
         _, sender, start, size = wire.MAIL.unpack_from(body, at)
         return balancer.gossip_received(now, sender, wire.tail_bytes(tail, start, size))
 
--- a/laurelstep/balancing/admission.py
+++ b/laurelstep/balancing/admission.py
@@ -6,7 +6,7 @@
 from math import exp, log
 from typing import Final
 
-from laurelstep.balancing.concurrency_limit import WINDOW_SAMPLES, ConcurrencyLimit
+from laurelstep.balancing.concurrency_limit import WINDOW_RESULTS_MIN, ConcurrencyLimit
 from laurelstep.balancing.events import ERROR, OK, RESET, Goal
 from laurelstep.balancing.latency import LOST_DEVIATIONS, LatencyTracker
 from laurelstep.balancing.requests import Request
@@ -16,25 +16,25 @@
 GOOD_SHARE: Final = 0.85
 # Part of that share that is still required when almost nothing is admitted.
 # Guards against shedding for lateness that fewer requests do not cure.
-GOOD_SHARE_PART: Final = 0.5
+GOOD_SHARE_MIN_PART: Final = 0.5
 # One window of good results raises the admitted share by this factor.
-SHARE_RISE: Final = 2.0
+ADMITTED_SHARE_GROWTH: Final = 2.0
 # Good results save up as much as one bad one takes: a single heavy request sheds no load.
-SHARE_MOST: Final = SHARE_RISE ** (GOOD_SHARE / (1.0 - GOOD_SHARE) / WINDOW_SAMPLES)
+ADMITTED_SHARE_MAX: Final = ADMITTED_SHARE_GROWTH ** (GOOD_SHARE / (1.0 - GOOD_SHARE) / WINDOW_RESULTS_MIN)
 # Least share admitted: the trial that shows recovery. By chance it may admit none for many
 # seconds, and requests that hang further down may fill the limit: after this many refusals in a
 # row, and this long, the next request is admitted.
-SHARE_LEAST: Final = 0.1
-TRIAL_AFTER: Final = 10
-TRIAL_EVERY_US: Final = 1_000_000
+ADMITTED_SHARE_MIN: Final = 0.1
+TRIAL_AFTER_REFUSALS: Final = 10
+TRIAL_INTERVAL_US: Final = 1_000_000
 # Work of the highest priority may exceed the concurrency limit by this much more than work of
 # the lowest, so that the lowest is shed first.
-HIGH_PRIORITY_MORE: Final = 0.5
+HIGH_PRIORITY_EXTRA: Final = 0.5
 # Work of the lowest priority still gets this part of an equal share: no class may starve.
-LOW_PRIORITY_PART: Final = 0.5
+LOW_PRIORITY_MIN_PART: Final = 0.5
 # A request is not stuck before this part of the longest objective, however quick and even
 # answers are: a queue that forms at once must first meet the concurrency limit.
-STUCK_LEAST: Final = 0.25
+STUCK_OBJECTIVES_MIN: Final = 0.25
 
 
 def good_part_of_objective(goal: Goal) -> float:
@@ -56,14 +56,21 @@
     in time falls, fewer are admitted, and recovery doubles the share.
     """
 
-    __slots__ = ("admitted_at", "good_part", "latencies", "limit", "refused_in_a_row", "share")
+    __slots__ = (
+        "admitted_share",
+        "consecutive_refusals",
+        "good_objective_share",
+        "last_admitted_at",
+        "latencies",
+        "limit",
+    )
 
     def __init__(self, latencies: LatencyTracker, goal: Goal) -> None:
         self.latencies = latencies
-        self.good_part = good_part_of_objective(goal)
+        self.good_objective_share = good_part_of_objective(goal)
         self.limit = ConcurrencyLimit(latencies.longest_objective_us)
-        self.refused_in_a_row = self.admitted_at = 0
-        self.share = 1.0  # of requests admitted; above 1 it is saved up
+        self.consecutive_refusals = self.last_admitted_at = 0
+        self.admitted_share = 1.0  # of requests admitted; above 1 it is saved up
 
     def admits(self, now: int, held: int, rank: tuple[float, float], chance: float) -> bool:
         """Whether to admit a request: work of the lowest priority is shed first.
@@ -73,14 +80,17 @@
         """
         less, more = rank
         alike = max(1e-9, 1.0 - less - more)
-        share = min(1.0, self.share)
-        part = max(LOW_PRIORITY_PART * share, min(1.0, (share - more) / alike))
-        is_trial = self.refused_in_a_row >= TRIAL_AFTER and now - self.admitted_at >= TRIAL_EVERY_US
-        scaled = held / (1.0 + HIGH_PRIORITY_MORE * less)
+        share = min(1.0, self.admitted_share)
+        part = max(LOW_PRIORITY_MIN_PART * share, min(1.0, (share - more) / alike))
+        is_trial = (
+            self.consecutive_refusals >= TRIAL_AFTER_REFUSALS
+            and now - self.last_admitted_at >= TRIAL_INTERVAL_US
+        )
+        scaled = held / (1.0 + HIGH_PRIORITY_EXTRA * less)
         if not is_trial and (chance >= part or self.limit.exceeds_concurrency_limit(now, scaled)):
-            self.refused_in_a_row += 1
+            self.consecutive_refusals += 1
             return False
-        self.admitted_at, self.refused_in_a_row = now, 0
+        self.last_admitted_at, self.consecutive_refusals = now, 0
         self.limit.record_admitted(now)
         return True
 
@@ -88,12 +98,12 @@
         """Take how a request ended. Errors and resets are left out: they come from broken
         endpoints, which fewer requests would not cure.
         """
-        if outcome in (ERROR, RESET) or request.body_pending:
+        if outcome in (ERROR, RESET) or request.has_pending_body:
             return
         took_us = now - request.arrived_at
-        is_good = outcome == OK and took_us <= self.good_part * request.cls.aim_us
+        is_good = outcome == OK and took_us <= self.good_objective_share * request.request_class.aim_us
         was_lost = outcome != OK and self._was_lost(request)
-        self.record_result(now, took_us, is_good, outcome == OK, request.cls.aim_us, was_lost)
+        self.record_result(now, took_us, is_good, outcome == OK, request.request_class.aim_us, was_lost)
 
     def record_result(
         self,
@@ -106,19 +116,23 @@
     ) -> None:
         """Take one result; the steps balance at GOOD_SHARE, at less the more load is shed."""
         window = self.limit.record_result(now, took_us, answered, objective_us, was_lost)
-        step = log(SHARE_RISE) / window
-        if not is_good and now - took_us <= self.limit.bounded_at:
+        step = log(ADMITTED_SHARE_GROWTH) / window
+        if not is_good and now - took_us <= self.limit.last_refused_at:
             return  # admitted before the limit last refused one, which was the response to it
         if not is_good:
-            asked = GOOD_SHARE * (GOOD_SHARE_PART + (1.0 - GOOD_SHARE_PART) * min(1.0, self.share))
+            asked = GOOD_SHARE * (
+                GOOD_SHARE_MIN_PART + (1.0 - GOOD_SHARE_MIN_PART) * min(1.0, self.admitted_share)
+            )
             step *= -asked / (1.0 - asked)
             if not answered:  # not just heavy work: the saved-up share is void
-                self.share = min(1.0, self.share)
-        self.share = min(SHARE_MOST, max(SHARE_LEAST, self.share * exp(step)))
+                self.admitted_share = min(1.0, self.admitted_share)
+        self.admitted_share = min(
+            ADMITTED_SHARE_MAX, max(ADMITTED_SHARE_MIN, self.admitted_share * exp(step))
+        )
 
     def is_answer_due(self, now: int, request: Request) -> bool:
         """Whether an answer was due by now: a client that left earlier is no sign of lateness."""
-        due_us = min(self.limit.took_us, self.good_part * request.cls.aim_us)
+        due_us = min(self.limit.service_us, self.good_objective_share * request.request_class.aim_us)
         return now - request.arrived_at > due_us
 
     def count_stuck(self, now: int, requests: Iterable[Request]) -> int:
@@ -131,7 +145,7 @@
         """
         stuck = 0
         for request in requests:
-            if request.body_pending:
+            if request.has_pending_body:
                 continue
             if not self._is_stuck(now - request.arrived_at):
                 break
@@ -139,7 +153,7 @@
         return stuck
 
     def _is_stuck(self, held_us: int) -> bool:
-        least_us = STUCK_LEAST * self.latencies.longest_objective_us
+        least_us = STUCK_OBJECTIVES_MIN * self.latencies.longest_objective_us
         return held_us >= least_us and self.latencies.is_overdue(held_us, LOST_DEVIATIONS)
 
     def _was_lost(self, request: Request) -> bool:
--- a/laurelstep/balancing/balancer.py
+++ b/laurelstep/balancing/balancer.py
@@ -21,9 +21,9 @@
     KEYED,
     LIST_FAILED,
     OK,
+    QUEUED,
     RESET,
     TIMEOUT,
-    WAITING,
     Action,
     Arrival,
     Cancel,
@@ -31,7 +31,7 @@
     Entry,
     Fail,
     Outcome,
-    Probed,
+    ProbeResult,
     Refuse,
     Send,
     Settings,
@@ -41,7 +41,7 @@
 from laurelstep.balancing.key_queues import KeyQueues
 from laurelstep.balancing.latency import LatencyTracker
 from laurelstep.balancing.membership import Membership
-from laurelstep.balancing.outliers import HEALTH_LEFT, OutlierDetector
+from laurelstep.balancing.outliers import HEALTH_FACTORS, OutlierDetector
 from laurelstep.balancing.priorities import PriorityWeights
 from laurelstep.balancing.requests import Attempt, Request, RequestTable
 from laurelstep.balancing.retries import RetryPolicy
@@ -51,11 +51,11 @@
 from laurelstep.balancing.zones import ZoneSpillover
 
 # A timer's token is a value (a request's id, or 0) times the number of kinds, and its kind.
-TIMER_HOLD: Final = 0
-TIMER_WATCH: Final = 1
+TIMER_HELD_REQUEST: Final = 0
+TIMER_SUBSCRIBE: Final = 1
 TIMER_KINDS: Final = 2
 # What a load report may say of requests queued at an endpoint; more is nonsense.
-REPORTED_WAITING_MAX: Final = 1e6
+REPORTED_QUEUED_MAX: Final = 1e6
 
 
 class Balancer:
@@ -86,7 +86,7 @@
             self.spillover,
         )
         fields = settings.report_fields
-        self._waiting_field = fields.index(WAITING) if WAITING in fields else len(fields)
+        self._queued_field = fields.index(QUEUED) if QUEUED in fields else len(fields)
         self._actions: list[Action] = []
 
     @property
@@ -110,7 +110,7 @@
         self.outliers.start(now)
         self.slow_start.start(now)
         if self.settings.asks_discovery:
-            self._timer(TIMER_WATCH, 0, self.membership.first_poll_delay())
+            self._set_timer(TIMER_SUBSCRIBE, 0, self.membership.first_poll_delay())
         return self._take_actions(now)
 
     def members(self, now: int, mode: int, entries: Sequence[Entry]) -> list[Action]:
@@ -118,15 +118,15 @@
         if mode == LIST_FAILED:
             # Guards against a lost subscription: ask again, spread out.
             if self.settings.asks_discovery:
-                self._timer(TIMER_WATCH, 0, self.membership.poll_backoff())
+                self._set_timer(TIMER_SUBSCRIBE, 0, self.membership.poll_backoff())
         elif self.membership.apply_list(now, mode, entries):
             self.subsets.rebuild_subsets(self.membership.ring)
             self.admission.limit.set_endpoints_per_copy(self.subsets.endpoints_per_copy)
         return self._take_actions(now)
 
-    def ejected(self, now: int) -> int:
+    def count_ejected(self, now: int) -> int:
         """How many ready endpoints get next to nothing now. Changes nothing."""
-        return self.outliers.ejected(now, self.membership.by_id.values())
+        return self.outliers.count_ejected(now, self.membership.by_id.values())
 
     # --- Requests ----------------------------------------------------------------------
 
@@ -134,14 +134,14 @@
         """A request to be answered exactly once."""
         request = Request(now, event, self.settings.classes[event.cls], max(1, len(self.settings.tenants)))
         self.request_table.add(request)
-        self.retries.earn()
+        self.retries.earn_tokens()
         # Nothing was spent on a request yet where it enters; further down, a
         # refusal would waste what the tiers above have done for it.
         admitted = self.settings.stage > 0 or self._admits(now, event)
         if admitted and (not request.key or self._enqueue(now, request)):
-            self._attempt(now, request)
+            self._send_or_hold(now, request)
         else:
-            self._end(now, request)
+            self._refuse_or_fail(now, request)
         return self._take_actions(now)
 
     def request_completed(self, now: int, request_id: int, expires_at: int) -> list[Action]:
@@ -152,18 +152,18 @@
         """
         request = self.request_table.open.get(request_id)
         if request is not None:
-            was_pending = request.body_pending
+            was_pending = request.has_pending_body
             self.request_table.complete_body(now, request, expires_at)
             for attempt in request.attempts:
-                if was_pending and attempt.outstanding and attempt.body_pending:
-                    self._begin(now, attempt)
+                if was_pending and attempt.is_outstanding and attempt.has_pending_body:
+                    self._begin_attempt(now, attempt)
         return self._take_actions(now)
 
     def head(self, now: int, event: Outcome) -> list[Action]:
         """The answer of a streamed class has started."""
         request = self.request_table.open.get(event.request)
         if request is not None:
-            request.streaming = True
+            request.is_streaming = True
         return self._take_actions(now)
 
     def client_disconnected(self, now: int, request_id: int) -> list[Action]:
@@ -172,19 +172,19 @@
         if request is not None:
             if self.admission.is_answer_due(now, request):
                 self.admission.record_outcome(now, request, TIMEOUT)
-            self._forget(request)
+            self._close_request(request)
         return self._take_actions(now)
 
     def timer(self, now: int, token: int) -> list[Action]:
         """A `Timer` that was asked for has come due."""
         value, kind = divmod(token, TIMER_KINDS)
-        if kind == TIMER_WATCH and self.settings.asks_discovery:
+        if kind == TIMER_SUBSCRIBE and self.settings.asks_discovery:
             self._actions.append(Watch(True))
         elif (request := self.request_table.open.get(value)) and not request.has_outstanding_attempt():
-            self._attempt(now, request)
+            self._send_or_hold(now, request)
         return self._take_actions(now)
 
-    def probed(self, now: int, event: Probed) -> list[Action]:
+    def probed(self, now: int, event: ProbeResult) -> list[Action]:
         """What a `Probe` found."""
         return self._take_actions(now)
 
@@ -197,7 +197,11 @@
     def outcome(self, now: int, event: Outcome) -> list[Action]:
         """How one attempt ended; each `Send` gets one."""
         request = self.request_table.find(event.request)
-        attempt = request.attempts[event.copy] if request and event.copy < len(request.attempts) else None
+        attempt = (
+            request.attempts[event.attempt_index]
+            if request and event.attempt_index < len(request.attempts)
+            else None
+        )
         # Rejected on a new connection: there may be no capacity for just that, and idle ones
         # still serve. Guards against copies that leave an endpoint alone, wait together and
         # rush; also against idle capacity where another copy keeps the rest of it. Does harm
@@ -206,47 +210,47 @@
         endpoint = self.membership.by_id.get(event.endpoint)
         if endpoint is not None:
             self._observe_endpoint(now, event, endpoint, attempt)
-            if event.outcome in HEALTH_LEFT:
+            if event.outcome in HEALTH_FACTORS:
                 segment = request.segment if request else 0
                 self.outliers.record_failure(now, endpoint, event.outcome, segment, no_connection_left)
         if request is not None and attempt is not None:
-            if not request.body_pending:
-                self._learn(now, event, request, attempt, endpoint)
+            if not request.has_pending_body:
+                self._learn_from_attempt(now, event, request, attempt, endpoint)
             self._end_attempt(now, event.outcome, attempt, no_connection_left)
             self.key_queues.record_outcome(now, request, event.outcome)
-            self._continue(now, event, request)
+            self._retry_or_close(now, event, request)
         return self._take_actions(now)
 
     def _observe_endpoint(
         self, now: int, event: Outcome, endpoint: Endpoint, attempt: Attempt | None
     ) -> None:
-        if attempt is None or not attempt.body_pending:
+        if attempt is None or not attempt.has_pending_body:
             # An upload may outlive its endpoint's entry: it counted at that, not at the one listed since.
             counted_at = endpoint if attempt is None else attempt.endpoint
-            self.membership.settle_attempt(counted_at)
+            self.membership.record_attempt_end(counted_at)
             counted_at.silent_since = now
-        if event.report and self._waiting_field < len(event.report):
-            waiting = event.report[self._waiting_field]
-            if 0.0 <= waiting < REPORTED_WAITING_MAX:
-                endpoint.reported_waiting, endpoint.reported_at = waiting, now
+        if event.report and self._queued_field < len(event.report):
+            waiting = event.report[self._queued_field]
+            if 0.0 <= waiting < REPORTED_QUEUED_MAX:
+                endpoint.reported_queued, endpoint.reported_at = waiting, now
 
-    def _learn(
+    def _learn_from_attempt(
         self, now: int, event: Outcome, request: Request, attempt: Attempt, endpoint: Endpoint | None
     ) -> None:
         """Update what is known of the zone and the endpoint from an attempt of a complete request."""
         is_served = event.outcome == OK
         if self.subsets.local_halves and event.outcome != CANCELLED:
-            took_us = event.delay_us if is_served else max(event.delay_us, request.cls.aim_us)
+            took_us = event.latency_us if is_served else max(event.latency_us, request.request_class.aim_us)
             self.spillover.record(now, attempt.zone == self.settings.zone, took_us)
         if endpoint is not None and is_served:
             self.outliers.record_success(now, endpoint, request.segment)
             self.slow_start.record_served(now, endpoint)
-            self.latencies.record(request.class_index, event.delay_us)
-            self.outliers.learn_speed(now, endpoint, request.class_index, event.delay_us)
+            self.latencies.record(request.class_index, event.latency_us)
+            self.outliers.learn_speed(now, endpoint, request.class_index, event.latency_us)
             endpoint.latest_answered_sent_at = max(endpoint.latest_answered_sent_at, attempt.sent_at)
 
     def _end_attempt(self, now: int, outcome: int, attempt: Attempt, no_connection_left: bool) -> None:
-        attempt.outstanding = False
+        attempt.is_outstanding = False
         attempt.never_ran = self.retries.proves_never_ran(outcome)
         if outcome in (OK, ERROR, FULL):
             if not no_connection_left:
@@ -255,32 +259,32 @@
         elif outcome == RESET:
             self.connections.record_lost(attempt)
 
-    def _continue(self, now: int, event: Outcome, request: Request) -> None:
+    def _retry_or_close(self, now: int, event: Outcome, request: Request) -> None:
         """What follows for the request: nothing, its end, or a retry."""
         if request.id not in self.request_table.open:
             self.key_queues.mark_changed(request)
-            self.request_table.settle(request)
-        elif event.over or event.outcome == OK:
+            self.request_table.forget_if_complete(request)
+        elif event.is_final or event.outcome == OK:
             self.admission.record_outcome(now, request, event.outcome)
-            self._forget(request)
+            self._close_request(request)
         elif not request.has_outstanding_attempt():
             self._schedule_retry(now, request, event.outcome)
 
     def _schedule_retry(self, now: int, request: Request, outcome: int) -> None:
         """Every attempt so far has failed: retry within the budget, or end it."""
-        if not self.retries.spend(outcome):
+        if not self.retries.spend_token(outcome):
             self.admission.record_outcome(now, request, outcome)
-            self._end(now, request)
+            self._refuse_or_fail(now, request)
             return
-        if not self.retries.may_retry(now, request):
+        if not self.retries.can_attempt(now, request):
             self.admission.record_outcome(now, request, outcome)
-        self._attempt(now, request)
+        self._send_or_hold(now, request)
 
     # --- Attempts ----------------------------------------------------------------------
 
     def _admits(self, now: int, event: Arrival) -> bool:
         stuck = self.admission.count_stuck(now, self.request_table.open.values())
-        held = len(self.request_table.open) - self.request_table.uploading - stuck
+        held = len(self.request_table.open) - self.request_table.uploading_count - stuck
         rank = self.priorities.rank(now, event, self.latencies.by_class)
         return self.admission.admits(now, held, rank, self.rng.random())
 
@@ -290,82 +294,82 @@
         """
         ahead = self.key_queues.enqueue(now, request)
         ahead_us = ahead * self.latencies.by_class[request.class_index].mean
-        last_chance = request.give_up_at() - self.retries.backoff(request.cls)
-        self._timer(TIMER_HOLD, request.id, max(0, last_chance - now))
-        return ahead_us < request.cls.aim_us
+        last_chance = request.held_until() - self.retries.backoff_us(request.request_class)
+        self._set_timer(TIMER_HELD_REQUEST, request.id, max(0, last_chance - now))
+        return ahead_us < request.request_class.aim_us
 
-    def _attempt(self, now: int, request: Request) -> None:
+    def _send_or_hold(self, now: int, request: Request) -> None:
         """Send the request somewhere, hold it within its objective, or end it."""
-        if not self.retries.may_retry(now, request):
-            self._end(now, request)
+        if not self.retries.can_attempt(now, request):
+            self._refuse_or_fail(now, request)
             return
         has_turn = self.key_queues.has_turn(now, request)
         if has_turn:
             endpoint = self.selector.pick(now, request)
             if endpoint is not None and self._send(now, request, endpoint):
                 return
-        backoff_us = self.retries.backoff(request.cls)
-        if now + backoff_us >= request.give_up_at():
-            self._end(now, request)
+        backoff_us = self.retries.backoff_us(request.request_class)
+        if now + backoff_us >= request.held_until():
+            self._refuse_or_fail(now, request)
         elif has_turn:
-            self._timer(TIMER_HOLD, request.id, backoff_us)
+            self._set_timer(TIMER_HELD_REQUEST, request.id, backoff_us)
 
     def _may_send(self, now: int, request: Request, endpoint: Endpoint) -> bool:
         """Attempts, hedged requests, repeat scope and window, drain, order."""
-        if not self.retries.may_retry(now, request) or not endpoint.ready:
+        if not self.retries.can_attempt(now, request) or not endpoint.is_ready:
             return False
         if not self.key_queues.has_turn(now, request):
             return False
-        return request.cls.effect != KEYED or self.retries.is_in_scope(request, endpoint)
+        return request.request_class.effect != KEYED or self.retries.is_in_scope(request, endpoint)
 
     def _send(self, now: int, request: Request, endpoint: Endpoint) -> bool:
         """The one guard: every send passes here and keeps the rules, also slow start's budget."""
         if not self._may_send(now, request, endpoint) or not self.slow_start.spend(now, endpoint):
             return False
-        attempt = Attempt(endpoint, now, request.body_pending)
+        attempt = Attempt(endpoint, now, request.has_pending_body)
         request.attempts.append(attempt)
         if self.connections.choose_connection(now, attempt):
             self._actions.append(Close(endpoint.id))
-        if not request.body_pending:
-            self._begin(now, attempt)
+        if not request.has_pending_body:
+            self._begin_attempt(now, attempt)
         self.key_queues.record_send(request)
         self.outliers.record_send(now)
         self._actions.append(Send(request.id, endpoint.id, request.expires_at - now))
         return True
 
-    def _begin(self, now: int, attempt: Attempt) -> None:
+    def _begin_attempt(self, now: int, attempt: Attempt) -> None:
         attempt.begin(now)
         self.connections.watch(attempt)
 
     # --- Ends --------------------------------------------------------------------------
 
-    def _end(self, now: int, request: Request) -> None:
+    def _refuse_or_fail(self, now: int, request: Request) -> None:
         """The one place that gives final answers. A refusal promises that a
         retry is harmless, so it is given only where that is sure.
         """
-        if request.streaming:
+        if request.is_streaming:
             return
         if self.retries.is_refusal_safe(request):
-            self._actions.append(Refuse(request.id, self.retries.retry_after(request.cls)))
+            self._actions.append(Refuse(request.id, self.retries.retry_after_us(request.request_class)))
         else:
             self._actions.append(Fail(request.id))
-        self._forget(request)
+        self._close_request(request)
 
-    def _forget(self, request: Request) -> None:
+    def _close_request(self, request: Request) -> None:
         """The request is over: nothing more is sent; stop what is still outstanding."""
         self.request_table.close(request)
         self.key_queues.remove(request)
-        if self.settings.can_cancel and not request.streaming:
+        if self.settings.can_cancel and not request.is_streaming:
             for copy, attempt in enumerate(request.attempts):
-                if attempt.outstanding:
+                if attempt.is_outstanding:
                     self._actions.append(Cancel(request.id, copy))
 
-    def _timer(self, kind: int, value: int, delay_us: int) -> None:
+    def _set_timer(self, kind: int, value: int, delay_us: int) -> None:
         self._actions.append(Timer(value * TIMER_KINDS + kind, delay_us))
 
     def _take_actions(self, now: int) -> list[Action]:
-        while self.key_queues.changed:
-            self._advance_key(now, self.key_queues.changed.pop())
+        while self.key_queues.changed_keys:
+            self._advance_key(now, self.key_queues.changed_keys.pop())
         actions, self._actions = self._actions, []
         return actions
 
@@ -374,8 +378,8 @@
         request = self.key_queues.next_request(now, key)
         if request is None:
             return
-        rest_us = self.key_queues.rest_left_us(now, request)
+        rest_us = self.key_queues.remaining_rest_us(now, request)
         if rest_us > 0:
-            self._timer(TIMER_HOLD, request.id, rest_us)
+            self._set_timer(TIMER_HELD_REQUEST, request.id, rest_us)
         else:
-            self._attempt(now, request)
+            self._send_or_hold(now, request)
--- a/laurelstep/balancing/connections.py
+++ b/laurelstep/balancing/connections.py
@@ -11,11 +11,11 @@
 
 # A lost attempt makes connections suspect that were idle for this part as long:
 # each halving on the way down would cost another loss.
-SUSPECT_PART: Final = 0.25
+SUSPECT_IDLE_PART: Final = 0.25
 # A shorter idle time, in longest objectives, kills no connection: who drops flows waits longer.
-IDLE_LEAST: Final = 0.1
+SUSPECT_IDLE_OBJECTIVES_MIN: Final = 0.1
 # A handshake costs at least this part of a request's value, priced or not.
-HANDSHAKE_LEAST: Final = 0.01
+HANDSHAKE_PRICE_MIN: Final = 0.01
 
 
 class IdleConnectionMonitor:
@@ -25,9 +25,9 @@
         "answered_idle_us",
         "answered_sent_at",
         "closes_left",
-        "credit",
         "idle_us",
         "latencies",
+        "loss_credit",
         "suspect_idle_us",
         "unconfirmed",
     )
@@ -35,7 +35,7 @@
     def __init__(self, settings: Settings, latencies: LatencyTracker) -> None:
         self.latencies = latencies
         self.idle_us = settings.idle_us
-        self.credit = 1.0 / max(settings.handshake_price, HANDSHAKE_LEAST)
+        self.loss_credit = 1.0 / max(settings.handshake_price, HANDSHAKE_PRICE_MIN)
         self.unconfirmed: deque[Attempt] = deque()  # in the order sent
         self.answered_sent_at = self.answered_idle_us = 0  # of the last attempt answered
         self.suspect_idle_us = 0.0  # connections idle for this long are suspect,
@@ -66,10 +66,10 @@
     def _count_overdue(self, now: int) -> None:
         while self.unconfirmed:
             oldest = self.unconfirmed[0]
-            if oldest.outstanding and not self.latencies.is_overdue(now - oldest.sent_at, LOST_DEVIATIONS):
+            if oldest.is_outstanding and not self.latencies.is_overdue(now - oldest.sent_at, LOST_DEVIATIONS):
                 break
             self.unconfirmed.popleft()
-            if oldest.outstanding:
+            if oldest.is_outstanding:
                 self.record_lost(oldest)
 
     def record_lost(self, attempt: Attempt) -> None:
@@ -77,25 +77,25 @@
         a lost request is worth as many as its value buys. A loss on a new connection has other
         causes and takes as much back.
         """
-        suspect_us = SUSPECT_PART * attempt.connection_idle_us
-        least_us = IDLE_LEAST * self.latencies.longest_objective_us
-        if attempt.connection_idle_us > least_us and not attempt.counted_as_lost:
+        suspect_us = SUSPECT_IDLE_PART * attempt.connection_idle_us
+        least_us = SUSPECT_IDLE_OBJECTIVES_MIN * self.latencies.longest_objective_us
+        if attempt.connection_idle_us > least_us and not attempt.is_counted_as_lost:
             if self.answered_sent_at > attempt.sent_at and self.answered_idle_us >= suspect_us:
                 return  # one sent since, on a connection idle alike, was answered
             is_first = self.closes_left < 1.0
             self.suspect_idle_us = suspect_us if is_first else min(self.suspect_idle_us, suspect_us)
-            self.closes_left += self.credit
-        elif not attempt.counted_as_lost:
-            self.closes_left = max(0.0, self.closes_left - self.credit)
-        attempt.counted_as_lost = True
+            self.closes_left += self.loss_credit
+        elif not attempt.is_counted_as_lost:
+            self.closes_left = max(0.0, self.closes_left - self.loss_credit)
+        attempt.is_counted_as_lost = True
 
     def record_answered(self, attempt: Attempt) -> None:
         """An answer takes a counted loss back, as slowness has other causes; one on a
         connection that had been idle counts against the suspicion.
         """
-        if attempt.counted_as_lost:
-            self.closes_left = max(0.0, self.closes_left - self.credit)
+        if attempt.is_counted_as_lost:
+            self.closes_left = max(0.0, self.closes_left - self.loss_credit)
         elif attempt.connection_idle_us > 0 and self.closes_left < 1.0:
-            self.closes_left = max(-self.credit / 2.0, self.closes_left - 1.0)
+            self.closes_left = max(-self.loss_credit / 2.0, self.closes_left - 1.0)
         self.answered_sent_at, self.answered_idle_us = attempt.sent_at, attempt.connection_idle_us
-        attempt.counted_as_lost = False
+        attempt.is_counted_as_lost = False
--- a/laurelstep/balancing/endpoints.py
+++ b/laurelstep/balancing/endpoints.py
@@ -7,16 +7,16 @@
 from laurelstep.balancing.events import Entry
 
 # All bits of a part of the ring's keys.
-KEY_BITS: Final = 0xFFFFFFFFFFFFFFFF
+KEY_MASK: Final = 0xFFFFFFFFFFFFFFFF
 
 RingKey = tuple[int, int, int]
 
 
 def mix(value: int) -> int:
     """A fixed 64-bit mixing (splitmix64), the same in every copy."""
-    value = (value + 0x9E3779B97F4A7C15) & KEY_BITS
-    value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & KEY_BITS
-    value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & KEY_BITS
+    value = (value + 0x9E3779B97F4A7C15) & KEY_MASK
+    value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & KEY_MASK
+    value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & KEY_MASK
     return value ^ (value >> 31)
 
 
@@ -30,7 +30,7 @@
 class SegmentHealth:
     """Health of an endpoint for one segment (class and tenant) when it was last updated.
 
-    Nobody changes one: all segments without a failure share `WELL`, so that an endpoint of a
+    Nobody changes one: all segments without a failure share `HEALTHY`, so that an endpoint of a
     long list costs little however many classes and tenants there are.
     """
 
@@ -42,63 +42,63 @@
         self.failures = failures  # in a row; an answer halves them
 
 
-WELL: Final = SegmentHealth(1.0, 0, 0.0)
+HEALTHY: Final = SegmentHealth(1.0, 0, 0.0)
 
 
 class Endpoint:
     """What this copy knows of one endpoint."""
 
     __slots__ = (
-        "boot",
         "cell",
         "health",
         "id",
         "idle_since",
-        "inflight",
-        "key",
+        "in_flight",
+        "is_ready",
+        "is_staged",
         "latest_answered_sent_at",
         "no_new_connections_until",
         "overloaded_until",
         "rating",
-        "ready",
         "reported_at",
-        "reported_waiting",
-        "samples",
-        "segments",
+        "reported_queued",
+        "ring_key",
+        "segment_count",
         "silent_since",
         "slow_start_budget",
         "slow_start_budget_at",
         "slowness",
         "slowness_at",
-        "staged",
+        "speed_samples",
+        "started_at",
         "zone",
     )
 
     def __init__(self, entry: Entry, segments: int) -> None:
         self.id = entry.endpoint
-        self.segments = segments  # classes times tenants
+        self.segment_count = segments  # classes times tenants
         self.relocate(entry)
-        self.boot = entry.boot
+        self.started_at = entry.boot
         self.rating = entry.rating
-        self.ready = False
-        self.inflight = 0  # attempts without an outcome whose request it has completely
+        self.is_ready = False
+        self.in_flight = 0  # attempts without an outcome whose request it has completely
         self.silent_since = 0  # its last answer, or the first send while it owed none
         self.slow_start_budget, self.slow_start_budget_at = 0.0, 0
-        self.staged = False  # it waits for the end of the list that it came with
+        self.is_staged = False  # it waits for the end of the list that it came with
         self.reset_observations()
 
     def relocate(self, entry: Entry) -> None:
         """Take its cell and zone, and so its place on the ring, from a list's entry."""
-        self.key = ring_key(entry.cell, entry.endpoint)
+        self.ring_key = ring_key(entry.cell, entry.endpoint)
         self.cell, self.zone = entry.cell, entry.zone
 
     def reset_observations(self) -> None:
         """Forget what was learned of its process."""
         self.slowness = 1.0  # observed latency over the peers' mean
-        self.slowness_at = self.samples = 0
+        self.slowness_at = self.speed_samples = 0
         self.latest_answered_sent_at = 0  # when the latest sent of those that it answered was sent
         self.idle_since: list[int] = []  # idle connections: since when, the last used last
         self.overloaded_until = 0  # it was full: nothing is sent before this
         self.no_new_connections_until = 0  # it had no capacity for a connection more
-        self.reported_waiting, self.reported_at = 0.0, 0  # requests queued there, by a load report
-        self.health = [WELL] * self.segments
+        self.reported_queued, self.reported_at = 0.0, 0  # requests queued there, by a load report
+        self.health = [HEALTHY] * self.segment_count
--- a/laurelstep/balancing/events.py
+++ b/laurelstep/balancing/events.py
@@ -13,7 +13,7 @@
     head(now, Outcome)                    the answer of a streamed class has started
     client_disconnected(now, request)     the client left; nothing more is owed
     timer(now, token)                     a `Timer` that was asked for has come due
-    probed(now, Probed)                   what a `Probe` found
+    probed(now, ProbeResult)                   what a `Probe` found
     gossip_received(now, sender, bytes)   a message of another sidecar of this tier
 
 What is made for every request or entry has its `__init__` written out and is not frozen:
@@ -30,7 +30,7 @@
 
 # Final, here and elsewhere: compiled, a name that is not Final is looked up at each use.
 
-# How an attempt ended. FULL, NO_CONNECT and MOOT prove that it never ran, FULL
+# How an attempt ended. FULL, NO_CONNECT and NOT_SENT prove that it never ran, FULL
 # only where `Settings.full_unproven` does not say otherwise.
 OK: Final = 0
 ERROR: Final = 1
@@ -39,8 +39,8 @@
 NO_CONNECT: Final = 4
 RESET: Final = 5
 CANCELLED: Final = 6
-MOOT: Final = 7
-NEVER_RAN = frozenset((FULL, NO_CONNECT, MOOT))
+NOT_SENT: Final = 7
+NEVER_RAN = frozenset((FULL, NO_CONNECT, NOT_SENT))
 # Whether a class may be retried, and among which endpoints an idempotency key is known.
 SAFE: Final = 0
 KEYED: Final = 1
@@ -56,12 +56,12 @@
 LIST_FAILED: Final = 1
 LIST_DELTA: Final = 2
 LIST_CACHED: Final = 3
-LIST_PART: Final = 4  # changes of a list too long for one call: what joins waits for the next other list
+LIST_PARTIAL: Final = 4  # changes of a list too long for one call: what joins waits for the next other list
 # Names in a load report: requests held, requests waiting, share of CPU in use,
 # recent service time in ms, requests served a second, errors a second.
-HELD = "held"
-WAITING = "waiting"
-BUSY = "busy"
+IN_FLIGHT = "held"
+QUEUED = "waiting"
+CPU_UTILIZATION = "busy"
 LATENCY_MS = "latency_ms"
 SERVED_RATE = "served_rate"
 ERROR_RATE = "error_rate"
@@ -225,8 +225,8 @@
     tenant: int
     key: int  # what it is about; 0 = none
     work_us: int  # hint of its cost; 0 = none given
-    repeated: bool  # the client marked it as a retry
-    body_pending: bool  # its last byte is still to come: see `Balancer.request_completed`
+    is_retry: bool  # the client marked it as a retry
+    has_pending_body: bool  # its last byte is still to come: see `Balancer.request_completed`
 
     def __init__(
         self,
@@ -236,17 +236,17 @@
         tenant: int = 0,
         key: int = 0,
         work_us: int = 0,
-        repeated: bool = False,
-        body_pending: bool = False,
+        is_retry: bool = False,
+        has_pending_body: bool = False,
     ) -> None:
-        self.body_pending = body_pending
+        self.has_pending_body = has_pending_body
         self.request = request
         self.cls = cls
         self.expires = expires
         self.tenant = tenant
         self.key = key
         self.work_us = work_us
-        self.repeated = repeated
+        self.is_retry = is_retry
 
 
 @dataclass(slots=True, init=False)
@@ -254,39 +254,39 @@
     """How one attempt ended, or (for `head`) that its answer has started."""
 
     request: int
-    copy: int
+    attempt_index: int
     endpoint: int
     outcome: int
-    delay_us: int  # since it was sent
-    over: bool  # the request has its final answer
+    latency_us: int  # since it was sent
+    is_final: bool  # the request has its final answer
     report: Sequence[float] | None
 
     def __init__(
         self,
         request: int,
-        copy: int,
+        attempt_index: int,
         endpoint: int,
         outcome: int,
-        delay_us: int,
-        over: bool = False,
+        latency_us: int,
+        is_final: bool = False,
         report: Sequence[float] | None = None,
     ) -> None:
         self.request = request
-        self.copy = copy
+        self.attempt_index = attempt_index
         self.endpoint = endpoint
         self.outcome = outcome
-        self.delay_us = delay_us
-        self.over = over
+        self.latency_us = latency_us
+        self.is_final = is_final
         self.report = report
 
 
 @dataclass(slots=True, frozen=True)
-class Probed:
+class ProbeResult:
     """What one probe found."""
 
     endpoint: int
     outcome: int
-    delay_us: int
+    latency_us: int
     report: Sequence[float] | None = None
 
 
@@ -343,11 +343,11 @@
     """Stop waiting on one attempt."""
 
     request: int
-    copy: int
+    attempt_index: int
 
-    def __init__(self, request: int, copy: int) -> None:
+    def __init__(self, request: int, attempt_index: int) -> None:
         self.request = request
-        self.copy = copy
+        self.attempt_index = attempt_index
 
 
 @dataclass(slots=True, frozen=True)
@@ -368,7 +368,7 @@
 class Watch:
     """Subscribe to discovery's changes, or end that."""
 
-    on: bool
+    is_enabled: bool
 
 
 @dataclass(slots=True, frozen=True)
--- a/laurelstep/balancing/latency.py
+++ b/laurelstep/balancing/latency.py
@@ -11,7 +11,7 @@
 # Gain of the running mean and deviation, as in TCP's retransmission timer.
 LATENCY_GAIN: Final = 0.05
 # Fewer samples than this are mostly chance; the longest objective is used instead.
-LEARN_SAMPLES: Final = 16
+SAMPLES_MIN: Final = 16
 # An endpoint that owes answers and gave none for the mean plus this many deviations counts as
 # frozen.
 STALL_DEVIATIONS: Final = 4.0
@@ -20,9 +20,9 @@
 LOST_DEVIATIONS: Final = 6.0
 # Memory of the copy's own rates, in longest objectives: long enough to average, short enough to
 # follow a ramp.
-RATE_MEMORY: Final = 1.0
+RATE_MEMORY_OBJECTIVES: Final = 1.0
 # A rate is not extrapolated from less than this part of its memory: that would be chance.
-RATE_LEAST_SEEN: Final = 0.02
+RATE_MEMORY_SEEN_MIN: Final = 0.02
 
 
 class LatencyEstimator:
@@ -51,24 +51,24 @@
 class DecayingRate:
     """Events per µs with exponential forgetting, unbiased from the start."""
 
-    __slots__ = ("began_at", "memory_us", "sum", "updated_at")
+    __slots__ = ("decayed_sum", "memory_us", "started_at", "updated_at")
 
     def __init__(self, memory_us: float, now: int) -> None:
         self.memory_us = memory_us
-        self.sum = 0.0
-        self.updated_at = self.began_at = now
+        self.decayed_sum = 0.0
+        self.updated_at = self.started_at = now
 
     def add(self, now: int, amount: float = 1.0) -> None:
         """Count an event, or a part of one."""
         if now > self.updated_at:
-            self.sum *= exp((self.updated_at - now) / self.memory_us)
+            self.decayed_sum *= exp((self.updated_at - now) / self.memory_us)
             self.updated_at = now
-        self.sum += amount
+        self.decayed_sum += amount
 
     def per_us(self, now: int) -> float:
         """The present rate, in events per µs."""
-        seen = max(RATE_LEAST_SEEN, 1.0 - exp((self.began_at - now) / self.memory_us))
-        return self.sum * exp((self.updated_at - now) / self.memory_us) / (self.memory_us * seen)
+        seen = max(RATE_MEMORY_SEEN_MIN, 1.0 - exp((self.started_at - now) / self.memory_us))
+        return self.decayed_sum * exp((self.updated_at - now) / self.memory_us) / (self.memory_us * seen)
 
 
 class LatencyTracker:
@@ -80,7 +80,7 @@
         self.by_class = [LatencyEstimator() for _ in classes]
         self.overall = LatencyEstimator()
         self.longest_objective_us = max(cls.aim_us for cls in classes)
-        self.rate_memory_us = RATE_MEMORY * self.longest_objective_us
+        self.rate_memory_us = RATE_MEMORY_OBJECTIVES * self.longest_objective_us
 
     def record(self, class_index: int, delay_us: int) -> None:
         """Take how long one served attempt took."""
@@ -89,7 +89,7 @@
 
     def is_known(self) -> bool:
         """Whether enough answers came to judge others by."""
-        return self.overall.samples >= LEARN_SAMPLES
+        return self.overall.samples >= SAMPLES_MIN
 
     def is_overdue(self, waited_us: int, deviations: float) -> bool:
         """Whether this is too long for the work and the queues that are now usual."""
--- a/laurelstep/balancing/membership.py
+++ b/laurelstep/balancing/membership.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from laurelstep.balancing.endpoints import Endpoint
-from laurelstep.balancing.events import LIST_DELTA, LIST_PART, READY, Entry, Settings
+from laurelstep.balancing.events import LIST_DELTA, LIST_PARTIAL, READY, Entry, Settings
 from laurelstep.balancing.subsets import EndpointRing
 
 # Mean back-off after a failed call for lists, µs. A change counts as announced 6 s after discovery
@@ -23,20 +23,20 @@
         "list_backoff_us",
         "ring",
         "rng",
-        "segments",
+        "segment_count",
         "settings",
-        "staged",
+        "staged_endpoints",
         "staged_ring",
     )
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self.settings = settings
         self.rng = rng
-        self.segments = len(settings.classes) * max(1, len(settings.tenants))
+        self.segment_count = len(settings.classes) * max(1, len(settings.tenants))
         self.by_id: dict[int, Endpoint] = {}  # also those that left and still owe an outcome
         self.ring = EndpointRing(settings)
         self.staged_ring: EndpointRing | None = None  # that of a list which is not yet complete
-        self.staged: list[Endpoint] = []  # those that only it has
+        self.staged_endpoints: list[Endpoint] = []  # those that only it has
         self.list_backoff_us = min(settings.ask_within_us // 4, LIST_BACKOFF_US)
 
     def first_poll_delay(self) -> int:
@@ -50,14 +50,14 @@
     def apply_list(self, now: int, mode: int, entries: Sequence[Entry]) -> bool:
         """Take a list that came; returns whether the ring changed."""
         changed = False
-        if mode not in (LIST_DELTA, LIST_PART):
+        if mode not in (LIST_DELTA, LIST_PARTIAL):
             named = {entry.endpoint for entry in entries}
             for endpoint in list(self.by_id.values()):
                 if endpoint.id not in named:
                     changed |= self.remove(endpoint)
         for entry in entries:
-            changed |= self._apply_entry(now, entry, mode == LIST_PART)
-        if self.staged_ring is not None and mode != LIST_PART:
+            changed |= self._apply_entry(now, entry, mode == LIST_PARTIAL)
+        if self.staged_ring is not None and mode != LIST_PARTIAL:
             self._join_staged()
             changed = True
         return changed
@@ -68,30 +68,30 @@
             return self.remove(endpoint) if endpoint else False
         moved = False
         if endpoint is None:
-            endpoint = Endpoint(entry, self.segments)
+            endpoint = Endpoint(entry, self.segment_count)
         elif (endpoint.cell, endpoint.zone) != (entry.cell, entry.zone):
             # Guards repeats: they stay with the cell or zone that it is in by now.
             moved = self.remove(endpoint)
             endpoint.relocate(entry)
         self.by_id[endpoint.id] = endpoint
         endpoint.rating = entry.rating if entry.rating > 0 else 1.0
-        if entry.boot != endpoint.boot or not endpoint.ready:
+        if entry.boot != endpoint.started_at or not endpoint.is_ready:
             self._start_process(now, endpoint, entry.boot)
-        if endpoint.ready or endpoint.staged:
+        if endpoint.is_ready or endpoint.is_staged:
             return False
         if is_part:
             self._stage(endpoint)
             return moved
-        endpoint.ready = True
+        endpoint.is_ready = True
         self.ring.add(endpoint)
         if self.staged_ring is not None:
             self.staged_ring.add(endpoint)
         return True
 
     def _start_process(self, now: int, endpoint: Endpoint, boot: int) -> None:
-        if boot != endpoint.boot:
+        if boot != endpoint.started_at:
             endpoint.reset_observations()  # a new process: nothing seen of the old one holds
-        endpoint.boot = boot
+        endpoint.started_at = boot
         # The budget of an endpoint in slow start begins part-filled at random, so that
         # the copies' first sends to it do not coincide.
         endpoint.slow_start_budget = self.rng.random()
@@ -100,40 +100,40 @@
     def _stage(self, endpoint: Endpoint) -> None:
         """Guards the first to be read of a long list against the traffic of all."""
         if self.staged_ring is None:
-            self.staged_ring = self.ring.copied(self.settings)
+            self.staged_ring = self.ring.copy(self.settings)
         self.staged_ring.add(endpoint)
-        self.staged.append(endpoint)
-        endpoint.staged = True
+        self.staged_endpoints.append(endpoint)
+        endpoint.is_staged = True
 
     def _join_staged(self) -> None:
         """All staged endpoints join the ring at once."""
         if self.staged_ring is not None:
             self.ring, self.staged_ring = self.staged_ring, None
-        for endpoint in self.staged:
-            if endpoint.staged:
-                endpoint.ready, endpoint.staged = True, False
-        self.staged = []
+        for endpoint in self.staged_endpoints:
+            if endpoint.is_staged:
+                endpoint.is_ready, endpoint.is_staged = True, False
+        self.staged_endpoints = []
 
     def remove(self, endpoint: Endpoint) -> bool:
         """Guards drains: an endpoint that is draining or gone leaves at once.
 
         Returns whether it was on the ring.
         """
-        if not endpoint.inflight:
+        if not endpoint.in_flight:
             self.by_id.pop(endpoint.id, None)
-        was_ready = endpoint.ready
+        was_ready = endpoint.is_ready
         if was_ready:
             self.ring.remove(endpoint)
-        if self.staged_ring is not None and (was_ready or endpoint.staged):
+        if self.staged_ring is not None and (was_ready or endpoint.is_staged):
             self.staged_ring.remove(endpoint)
-        endpoint.ready = endpoint.staged = False
+        endpoint.is_ready = endpoint.is_staged = False
         return was_ready
 
-    def settle_attempt(self, endpoint: Endpoint) -> None:
+    def record_attempt_end(self, endpoint: Endpoint) -> None:
         """Any ending of an attempt lowers the endpoint's count; one that left and owes nothing
         more is forgotten.
         """
-        endpoint.inflight = max(0, endpoint.inflight - 1)
-        is_needed = endpoint.ready or endpoint.staged or endpoint.inflight
+        endpoint.in_flight = max(0, endpoint.in_flight - 1)
+        is_needed = endpoint.is_ready or endpoint.is_staged or endpoint.in_flight
         if not is_needed and self.by_id.get(endpoint.id) is endpoint:
             del self.by_id[endpoint.id]
--- a/laurelstep/balancing/priorities.py
+++ b/laurelstep/balancing/priorities.py
@@ -10,9 +10,9 @@
 from laurelstep.balancing.latency import LatencyEstimator
 
 # Requests over which the mix of the work is remembered.
-MIX_MEMORY: Final = 100.0
+WORK_MIX_MEMORY_REQUESTS: Final = 100.0
 # A tenant may save up its part of the quota for this long, in longest objectives.
-QUOTA_BURST: Final = 2.0
+QUOTA_BURST_OBJECTIVES: Final = 2.0
 
 
 class PriorityWeights:
@@ -22,14 +22,14 @@
     which parts of the recent work have less priority, and more.
     """
 
-    __slots__ = ("burst_us", "kinds", "mix", "quota_meters", "settings")
+    __slots__ = ("burst_us", "quota_meters", "settings", "weights", "work_mix")
 
     def __init__(self, settings: Settings, longest_objective_us: float) -> None:
         self.settings = settings
-        self.burst_us = QUOTA_BURST * longest_objective_us
+        self.burst_us = QUOTA_BURST_OBJECTIVES * longest_objective_us
         weights = [cls.worth for cls in settings.classes]
-        self.kinds = weights + [weight * settings.over_share_worth for weight in weights]
-        self.mix = [0.0] * len(self.kinds)
+        self.weights = weights + [weight * settings.over_share_worth for weight in weights]
+        self.work_mix = [0.0] * len(self.weights)
         # Of each tenant: the requests it may send at once, and when that was reckoned.
         self.quota_meters = [(0.0, 0)] * len(settings.tenants)
 
@@ -41,12 +41,12 @@
         """
         classes = len(self.settings.classes)
         kind = event.cls + classes * self._is_over_quota(now, event.tenant)
-        keep = 1.0 - 1.0 / MIX_MEMORY
-        self.mix = [part * keep for part in self.mix]
-        self.mix[kind] += event.work_us or 1.0
+        keep = 1.0 - 1.0 / WORK_MIX_MEMORY_REQUESTS
+        self.work_mix = [part * keep for part in self.work_mix]
+        self.work_mix[kind] += event.work_us or 1.0
         takes = [1.0 if self.settings.worth_by_work else max(1.0, one.mean) for one in usual] * 2
-        parts = self.mix if event.work_us else [p * t for p, t in zip(self.mix, takes, strict=True)]
-        gains = self._gains(parts, [w / t for w, t in zip(self.kinds, takes, strict=True)])
+        parts = self.work_mix if event.work_us else [p * t for p, t in zip(self.work_mix, takes, strict=True)]
+        gains = self._gains(parts, [w / t for w, t in zip(self.weights, takes, strict=True)])
         total = fsum(parts)
         less = fsum(part for part, other in zip(parts, gains, strict=True) if other < gains[kind])
         more = fsum(part for part, other in zip(parts, gains, strict=True) if other > gains[kind])
--- a/laurelstep/balancing/requests.py
+++ b/laurelstep/balancing/requests.py
@@ -10,33 +10,33 @@
     """One attempt of a request at an endpoint, whose place is kept as it was then."""
 
     __slots__ = (
-        "body_pending",
         "cell",
         "connection_idle_us",
-        "counted_as_lost",
         "endpoint",
+        "has_pending_body",
+        "is_counted_as_lost",
+        "is_outstanding",
         "never_ran",
-        "outstanding",
         "sent_at",
         "zone",
     )
 
     def __init__(self, endpoint: Endpoint, now: int, body_pending: bool) -> None:
         self.endpoint = endpoint
-        self.body_pending = body_pending  # it counts at the endpoint once that has the complete request
+        self.has_pending_body = body_pending  # it counts at the endpoint once that has the complete request
         self.cell, self.zone = endpoint.cell, endpoint.zone
         self.sent_at = now
         self.connection_idle_us = -1  # how long its connection was idle; a new one was not
-        self.outstanding = True  # without an outcome
+        self.is_outstanding = True  # without an outcome
         self.never_ran = False
-        self.counted_as_lost = False  # as evidence of connections that die while idle
+        self.is_counted_as_lost = False  # as evidence of connections that die while idle
 
     def begin(self, now: int) -> None:
         """The endpoint has the complete request, or will at once: it counts there until its outcome."""
-        self.sent_at, self.body_pending = now, False
-        if not self.endpoint.inflight:
+        self.sent_at, self.has_pending_body = now, False
+        if not self.endpoint.in_flight:
             self.endpoint.silent_since = now
-        self.endpoint.inflight += 1
+        self.endpoint.in_flight += 1
 
 
 class Request:
@@ -45,14 +45,14 @@
     __slots__ = (
         "arrived_at",
         "attempts",
-        "body_pending",
         "class_index",
-        "cls",
         "expires_at",
+        "has_pending_body",
         "id",
+        "is_streaming",
         "key",
+        "request_class",
         "segment",
-        "streaming",
         "tenant",
     )
 
@@ -61,17 +61,17 @@
         self.arrived_at = now
         self.class_index = event.cls
         self.segment = event.cls * tenants + min(event.tenant, tenants - 1)
-        self.cls = cls
+        self.request_class = cls
         self.tenant = event.tenant
         self.key = event.key if cls.sequential else 0  # 0: nothing to run in sequence with
         self.expires_at = event.expires
         self.attempts: list[Attempt] = []
-        self.streaming = False  # its answer flows to the client already
-        self.body_pending = event.body_pending  # its last byte is still to come
+        self.is_streaming = False  # its answer flows to the client already
+        self.has_pending_body = event.has_pending_body  # its last byte is still to come
 
     def has_outstanding_attempt(self) -> bool:
         """Whether an attempt is without its outcome."""
-        return any(attempt.outstanding for attempt in self.attempts)
+        return any(attempt.is_outstanding for attempt in self.attempts)
 
     def first_possible_execution(self) -> Attempt | None:
         """The earliest attempt that may have run, or may be running."""
@@ -80,46 +80,46 @@
                 return attempt
         return None
 
-    def give_up_at(self) -> int:
+    def held_until(self) -> int:
         """When it is held no longer for an endpoint: its deadline or its objective, in µs."""
-        return min(self.expires_at, self.arrived_at + self.cls.aim_us)
+        return min(self.expires_at, self.arrived_at + self.request_class.aim_us)
 
 
 class RequestTable:
     """All requests without a final answer, and those over with attempts still outstanding."""
 
-    __slots__ = ("ended", "open", "uploading")
+    __slots__ = ("awaiting_outcomes", "open", "uploading_count")
 
     def __init__(self) -> None:
         self.open: dict[int, Request] = {}  # in the order in which they were complete
-        self.ended: dict[int, Request] = {}
-        self.uploading = 0  # of the open ones, those whose last byte is still to come
+        self.awaiting_outcomes: dict[int, Request] = {}
+        self.uploading_count = 0  # of the open ones, those whose last byte is still to come
 
     def add(self, request: Request) -> None:
         """Take a new request."""
         self.open[request.id] = request
-        self.uploading += request.body_pending
+        self.uploading_count += request.has_pending_body
 
     def find(self, request: int) -> Request | None:
         """A request by its id, also one that is over with attempts outstanding."""
-        return self.open.get(request) or self.ended.get(request)
+        return self.open.get(request) or self.awaiting_outcomes.get(request)
 
     def complete_body(self, now: int, request: Request, expires_at: int) -> None:
         """The last byte of an open request has come: from now on its time counts."""
         del self.open[request.id]
         self.open[request.id] = request
-        if request.body_pending:
-            request.arrived_at, request.expires_at, request.body_pending = now, expires_at, False
-            self.uploading -= 1
+        if request.has_pending_body:
+            request.arrived_at, request.expires_at, request.has_pending_body = now, expires_at, False
+            self.uploading_count -= 1
 
     def close(self, request: Request) -> None:
         """The request has its final answer, or nobody waits for one."""
         del self.open[request.id]
-        self.uploading -= request.body_pending
+        self.uploading_count -= request.has_pending_body
         if request.has_outstanding_attempt():
-            self.ended[request.id] = request
+            self.awaiting_outcomes[request.id] = request
 
-    def settle(self, request: Request) -> None:
+    def forget_if_complete(self, request: Request) -> None:
         """Forget a request that is over once its last attempt has its outcome."""
         if not request.has_outstanding_attempt():
-            del self.ended[request.id]
+            del self.awaiting_outcomes[request.id]
--- a/laurelstep/balancing/retries.py
+++ b/laurelstep/balancing/retries.py
@@ -20,7 +20,7 @@
 # Retry tokens earned by each first attempt, and the most that may be saved up:
 # retries can add this share to the traffic, never multiply it.
 TOKENS_EARNED: Final = 0.2
-TOKENS_MOST: Final = 5.0
+TOKENS_MAX: Final = 5.0
 # Pause before the next attempt when no endpoint may be drawn, as a share of the objective.
 BACKOFF_SHARE: Final = 0.02
 
@@ -34,13 +34,13 @@
         self.settings = settings
         # Outcomes that prove an attempt never ran.
         self.never_ran_outcomes = NEVER_RAN - {FULL} if settings.full_unproven else NEVER_RAN
-        self.tokens = TOKENS_MOST / 2
+        self.tokens = TOKENS_MAX / 2
 
-    def earn(self) -> None:
+    def earn_tokens(self) -> None:
         """A new request adds to the budget."""
-        self.tokens = min(TOKENS_MOST, self.tokens + TOKENS_EARNED)
+        self.tokens = min(TOKENS_MAX, self.tokens + TOKENS_EARNED)
 
-    def spend(self, outcome: int) -> bool:
+    def spend_token(self, outcome: int) -> bool:
         """Pay for one more attempt after this outcome; False where the budget is spent.
 
         Guards the endpoints' work; an attempt that never ran took none.
@@ -55,42 +55,44 @@
         """Whether an attempt with this outcome had no effect for sure."""
         return outcome in self.never_ran_outcomes
 
-    def may_retry(self, now: int, request: Request) -> bool:
+    def can_attempt(self, now: int, request: Request) -> bool:
         """Whether an attempt, the first or a further one, is allowed at all, wherever it goes."""
         if len(request.attempts) >= self.settings.max_attempts:
             return False
-        if request.streaming or now >= request.expires_at:
+        if request.is_streaming or now >= request.expires_at:
             return False
         if not self.settings.second_copies and request.has_outstanding_attempt():
             return False
         possible = request.first_possible_execution()
-        if possible is None or request.cls.effect == SAFE:
+        if possible is None or request.request_class.effect == SAFE:
             return True
-        return request.cls.effect == KEYED and now - possible.sent_at < request.cls.window_us
+        return (
+            request.request_class.effect == KEYED and now - possible.sent_at < request.request_class.window_us
+        )
 
     def is_in_scope(self, request: Request, endpoint: Endpoint) -> bool:
         """Whether a repeat at this endpoint would be recognized by its key."""
         possible = request.first_possible_execution()
-        if possible is None or request.cls.scope == SCOPE_ALL:
+        if possible is None or request.request_class.scope == SCOPE_ALL:
             return True
-        if request.cls.scope == SCOPE_ZONE:
+        if request.request_class.scope == SCOPE_ZONE:
             return endpoint.zone == possible.zone
         return endpoint.cell == possible.cell
 
     def is_refusal_safe(self, request: Request) -> bool:
         """Whether a client may be asked to retry: that has no second effect."""
-        cls = request.cls
+        cls = request.request_class
         is_idempotent = cls.effect == SAFE or (cls.effect == KEYED and cls.scope == SCOPE_ALL)
         return is_idempotent or request.first_possible_execution() is None
 
-    def backoff(self, cls: RequestClass) -> int:
+    def backoff_us(self, cls: RequestClass) -> int:
         """Pause before the next attempt where none can be sent now, in µs."""
         return max(self.settings.resolution_us, int(BACKOFF_SHARE * cls.aim_us))
 
-    def retry_after(self, cls: RequestClass) -> int:
+    def retry_after_us(self, cls: RequestClass) -> int:
         """The advice to a refused client, in µs; 0 where none is given.
 
         It may come back when this copy would itself try again; longer advice had retries
         come back together, and too late to be in time.
         """
-        return self.backoff(cls) if self.settings.retry_after else 0
+        return self.backoff_us(cls) if self.settings.retry_after else 0
--- a/laurelstep/balancing/selection.py
+++ b/laurelstep/balancing/selection.py
@@ -12,7 +12,7 @@
 from math import exp
 from typing import Final
 
-from laurelstep.balancing.endpoints import KEY_BITS, Endpoint, mix
+from laurelstep.balancing.endpoints import KEY_MASK, Endpoint, mix
 from laurelstep.balancing.events import KEYED, SCOPE_ALL, SCOPE_ZONE
 from laurelstep.balancing.latency import LatencyTracker
 from laurelstep.balancing.membership import Membership
@@ -62,17 +62,21 @@
 
     def pick(self, now: int, request: Request) -> Endpoint | None:
         """An endpoint for the next attempt, or None where none may be drawn now."""
-        if request.attempts and request.cls.effect == KEYED and request.cls.scope != SCOPE_ALL:
+        if (
+            request.attempts
+            and request.request_class.effect == KEYED
+            and request.request_class.scope != SCOPE_ALL
+        ):
             possible = request.first_possible_execution()
             if possible is not None:
                 return self._pick_in_scope(now, request, possible)
         found = None
-        if self.subsets.local_halves and self.rng.random() >= self.spillover.share:
+        if self.subsets.local_halves and self.rng.random() >= self.spillover.remote_share:
             found = self._choose(now, request, self.subsets.local_halves)
         if found is None:
             found = self._choose(now, request, self.subsets.pair)
         ring = self.membership.ring.all
-        if found is None and self.subsets.span < len(ring):
+        if found is None and self.subsets.endpoints_in_subsets < len(ring):
             # None of the own subsets is usable: fall back on the whole ring.
             found = self._choose_among(now, request, ring, 0, len(ring))
         return found
@@ -80,13 +84,13 @@
     def _pick_in_scope(self, now: int, request: Request, possible: Attempt) -> Endpoint | None:
         """Among the endpoints that know the key of an attempt that may have run."""
         ring = self.membership.ring.all
-        if request.cls.scope == SCOPE_ZONE:
+        if request.request_class.scope == SCOPE_ZONE:
             zone = self.membership.ring.by_zone.get(possible.zone, ring)
             return self._choose_among(now, request, zone, 0, len(zone))
         # A cell's endpoints are neighbours on the ring.
         cell = mix(possible.cell)
         start = bisect_left(ring, ((cell, -1, 0), possible.endpoint))
-        end = bisect_left(ring, ((cell, KEY_BITS + 1, 0), possible.endpoint))
+        end = bisect_left(ring, ((cell, KEY_MASK + 1, 0), possible.endpoint))
         return self._choose_among(now, request, ring, start, end)
 
     def _choose_among(self, now: int, request: Request, ring: Ring, start: int, end: int) -> Endpoint | None:
@@ -98,9 +102,9 @@
         flight wins, ties go left; a subset without an eligible endpoint yields.
         """
         drawn = [one for one in (self._draw(now, request, subset) for subset in subsets) if one is not None]
-        best = min(drawn, key=lambda one: one.inflight, default=None)
+        best = min(drawn, key=lambda one: one.in_flight, default=None)
         for other in drawn:
-            if best and other.inflight == best.inflight and other is not best:
+            if best and other.in_flight == best.in_flight and other is not best:
                 other_weight = self._weight(now, other, request.segment)
                 worse = other_weight / self._weight(now, best, request.segment) - 1.0
                 if worse > self.rng.random():
@@ -135,7 +139,7 @@
             weight *= self.outliers.health(now, endpoint, segment)
         if self.outliers.is_stalled(now, endpoint):
             weight *= STALLED_WEIGHT
-        if endpoint.reported_waiting > 0.0:
+        if endpoint.reported_queued > 0.0:
             age = (endpoint.reported_at - now) / self.latencies.longest_objective_us
-            weight /= 1.0 + endpoint.reported_waiting * exp(age)
+            weight /= 1.0 + endpoint.reported_queued * exp(age)
         return weight
--- a/laurelstep/balancing/slow_start.py
+++ b/laurelstep/balancing/slow_start.py
@@ -11,52 +11,52 @@
 
 # Part of the budget that tips an endpoint over which a copy allows itself: the rest covers
 # copies that carry more than their share and work heavier than the average.
-SAFETY: Final = 0.5
+BUDGET_PART: Final = 0.5
 
 
 class SlowStart:
     """Owns the budgets of endpoints in slow start."""
 
-    __slots__ = ("latencies", "served", "settings", "subsets")
+    __slots__ = ("latencies", "served_rate", "settings", "subsets")
 
     def __init__(self, settings: Settings, latencies: LatencyTracker, subsets: SubsetPlan) -> None:
         self.settings = settings
         self.latencies = latencies
         self.subsets = subsets
-        self.served = DecayingRate(self.latencies.rate_memory_us, 0)
+        self.served_rate = DecayingRate(self.latencies.rate_memory_us, 0)
 
     def start(self, now: int) -> None:
         """The rate of answers counts from here."""
-        self.served = DecayingRate(max(self.latencies.rate_memory_us, self.settings.cold_us), now)
+        self.served_rate = DecayingRate(max(self.latencies.rate_memory_us, self.settings.cold_us), now)
 
     def is_warming_up(self, now: int, endpoint: Endpoint) -> bool:
         """Whether the endpoint's process started within the slow-start window."""
-        return endpoint.boot != 0 and max(0, now - endpoint.boot) < self.settings.cold_us
+        return endpoint.started_at != 0 and max(0, now - endpoint.started_at) < self.settings.cold_us
 
     def warmup_fraction(self, now: int, endpoint: Endpoint) -> float:
         """Share of its capacity that an endpoint is sure to have by now."""
         if not self.is_warming_up(now, endpoint):
             return 1.0
-        age = max(0, now - endpoint.boot) / self.settings.cold_us
+        age = max(0, now - endpoint.started_at) / self.settings.cold_us
         return self.settings.cold_share + (1.0 - self.settings.cold_share) * age
 
     def record_served(self, now: int, endpoint: Endpoint) -> None:
         """An answer of an endpoint; only those of the own subsets count."""
-        self.served.add(now, self.subsets.contains(endpoint) / self.subsets.endpoints_per_copy)
+        self.served_rate.add(now, self.subsets.contains(endpoint) / self.subsets.endpoints_per_copy)
 
     def allows(self, now: int, endpoint: Endpoint) -> bool:
         """Whether one more attempt fits into the endpoint's budget, if it has one."""
-        return not self.is_warming_up(now, endpoint) or self.slow_start_budget(now, endpoint) >= 1.0
+        return not self.is_warming_up(now, endpoint) or self.refill_budget(now, endpoint) >= 1.0
 
     def spend(self, now: int, endpoint: Endpoint) -> bool:
         """Take one attempt from the endpoint's budget; False where there is none left."""
         if self.is_warming_up(now, endpoint):
-            if self.slow_start_budget(now, endpoint) < 1.0:
+            if self.refill_budget(now, endpoint) < 1.0:
                 return False
             endpoint.slow_start_budget -= 1.0
         return True
 
-    def slow_start_budget(self, now: int, endpoint: Endpoint) -> float:
+    def refill_budget(self, now: int, endpoint: Endpoint) -> float:
         """Guards endpoints in slow start: this copy's part of what all may send, in attempts.
 
         What an average endpoint of its subsets serves this copy, times the
@@ -69,12 +69,12 @@
         """
         if not self.subsets.contains(endpoint):
             return 0.0  # only copies that have it in their subsets share its budget
-        own, span = self.subsets.endpoints_per_copy, self.subsets.span
-        usual = self.served.per_us(now) * own / span
+        own, span = self.subsets.endpoints_per_copy, self.subsets.endpoints_in_subsets
+        usual = self.served_rate.per_us(now) * own / span
         # Guards against a start where all warm up: nothing sent, so nothing earned. A useful
         # endpoint serves at least one request an objective, from all copies together, once warm.
         usual = max(usual, own / (span * self.latencies.longest_objective_us))
-        rate = usual * SAFETY * self.settings.tip_multiple * self.warmup_fraction(now, endpoint)
+        rate = usual * BUDGET_PART * self.settings.tip_multiple * self.warmup_fraction(now, endpoint)
         elapsed, endpoint.slow_start_budget_at = now - endpoint.slow_start_budget_at, now
         endpoint.slow_start_budget += rate * elapsed
         # Guards against copies that saved up while others were drawn and then all
--- a/laurelstep/balancing/subsets.py
+++ b/laurelstep/balancing/subsets.py
@@ -13,14 +13,14 @@
 
 # Each endpoint should be drawn by at least this many copies, so that copies with unequal
 # traffic even out; sets the length of the subsets where copies are many.
-COVERAGE: Final = 4
+COPIES_PER_ENDPOINT_MIN: Final = 4
 # Endpoints that a subset spans at least: one leaves no draw. More is no gain: a copy with
 # little traffic would hear of each too seldom to learn of a fault.
 SUBSET_MIN: Final = 2
 # A longer subset is sampled first: bounds the work of a pick on the whole ring.
-DRAW_MAX: Final = 32
+SAMPLE_MAX: Final = 32
 # Rounding error of a position on the ring.
-EDGE: Final = 1e-6
+POSITION_ERROR: Final = 1e-6
 
 # The key is unique, so that no two endpoints are ever compared.
 Ring = list[tuple[RingKey, Endpoint]]
@@ -37,10 +37,10 @@
     def __init__(self, ring: Ring, start: float, end: float) -> None:
         self.ring, self.start, self.end = ring, start, end
         self.first = int(start)
-        if self.first + 1 - start <= EDGE:
+        if self.first + 1 - start <= POSITION_ERROR:
             self.first += 1
-        self.count = max(0, ceil(end - EDGE) - self.first)
-        self.members = [self.member(n) for n in range(self.count if self.count <= DRAW_MAX else 0)]
+        self.count = max(0, ceil(end - POSITION_ERROR) - self.first)
+        self.members = [self.member(n) for n in range(self.count if self.count <= SAMPLE_MAX else 0)]
 
     def member(self, number: int) -> tuple[Endpoint, float]:
         """The endpoint of this number along the subset, and its share inside."""
@@ -48,14 +48,14 @@
         return self.ring[at % len(self.ring)][1], min(self.end, at + 1) - max(self.start, at)
 
     def sample(self, rng: random.Random) -> list[tuple[Endpoint, float]]:
-        """All members, or `DRAW_MAX` of them drawn at random where there are more."""
-        if self.count <= DRAW_MAX:
+        """All members, or `SAMPLE_MAX` of them drawn at random where there are more."""
+        if self.count <= SAMPLE_MAX:
             return self.members
-        return [self.member(number) for number in rng.sample(range(self.count), DRAW_MAX)]
+        return [self.member(number) for number in rng.sample(range(self.count), SAMPLE_MAX)]
 
     def contains(self, endpoint: Endpoint) -> bool:
         """Whether the endpoint lies in this stretch of the ring."""
-        at = bisect_left(self.ring, (endpoint.key, endpoint))
+        at = bisect_left(self.ring, (endpoint.ring_key, endpoint))
         found = at < len(self.ring) and self.ring[at][1] is endpoint
         return found and (at - self.first) % len(self.ring) < self.count
 
@@ -85,14 +85,14 @@
     def add(self, endpoint: Endpoint) -> None:
         """Put an endpoint at its place."""
         for ring in self._rings_of(endpoint):
-            insort(ring, (endpoint.key, endpoint))
+            insort(ring, (endpoint.ring_key, endpoint))
 
     def remove(self, endpoint: Endpoint) -> None:
         """Take out an endpoint that stands on the ring."""
         for ring in self._rings_of(endpoint):
-            del ring[bisect_left(ring, (endpoint.key, endpoint))]
+            del ring[bisect_left(ring, (endpoint.ring_key, endpoint))]
 
-    def copied(self, settings: Settings) -> EndpointRing:
+    def copy(self, settings: Settings) -> EndpointRing:
         """A ring of its own with the same endpoints."""
         copy = EndpointRing(settings)
         copy.all, copy.remote = self.all[:], self.remote[:]
@@ -103,13 +103,13 @@
 class SubsetPlan:
     """The subsets that this copy draws from, rebuilt whenever the ring changes."""
 
-    __slots__ = ("endpoints_per_copy", "local_halves", "pair", "settings", "span")
+    __slots__ = ("endpoints_in_subsets", "endpoints_per_copy", "local_halves", "pair", "settings")
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.pair: list[Subset] = []  # left and right
         self.local_halves: list[Subset] = []  # of the own zone, where leaving it has a price
-        self.span = 1.0  # endpoints in the subsets
+        self.endpoints_in_subsets = 1.0  # endpoints in the subsets
         self.endpoints_per_copy = 1.0
 
     def contains(self, endpoint: Endpoint) -> bool:
@@ -139,22 +139,24 @@
         start, end = self.pair[0].start, self.pair[0].end
         middle = start + ceil((end - start) / 2.0)
         self.local_halves = [Subset(local, start, middle), Subset(local, middle, end)]
-        self.span = float(sum(subset.count for subset in self.pair))
+        self.endpoints_in_subsets = float(sum(subset.count for subset in self.pair))
 
     def _divide_evenly(self, ring: Ring) -> None:
         self.local_halves = []
         size, copies = len(ring), self.settings.instances
         step = size / copies
         count, start = 2, self.settings.me * step
-        depth = min(copies, max(COVERAGE, ceil(count * SUBSET_MIN / step))) if size else 0
+        depth = min(copies, max(COPIES_PER_ENDPOINT_MIN, ceil(count * SUBSET_MIN / step))) if size else 0
         parts = [depth * k / count for k in range(count + 1)]
         if depth >= count:  # whole spacings, all subsets alike
             parts = [float(round(part)) for part in parts]
         self.pair = [Subset(ring, start + a * step, start + b * step) for a, b in pairwise(parts)]
-        self.span = max(1.0, depth * step)
+        self.endpoints_in_subsets = max(1.0, depth * step)
 
     def _own_stretch(self, ring: Ring, copies: float) -> Subset:
         """One subset on a part of the ring, from the copy's own offset there."""
         step = len(ring) / copies
         start = self.settings.me * step
-        return Subset(ring, start, start + min(len(ring), max(SUBSET_MIN, COVERAGE / 2 * step)))
+        return Subset(
+            ring, start, start + min(len(ring), max(SUBSET_MIN, COPIES_PER_ENDPOINT_MIN / 2 * step))
+        )
--- a/laurelstep/balancing/zones.py
+++ b/laurelstep/balancing/zones.py
@@ -5,7 +5,7 @@
 from math import exp
 from typing import Final
 
-from laurelstep.balancing.latency import LATENCY_GAIN, LEARN_SAMPLES, LatencyEstimator
+from laurelstep.balancing.latency import LATENCY_GAIN, SAMPLES_MIN, LatencyEstimator
 
 # The share of the draws that may leave the zone rises with each answer of the own zone that
 # takes more than this multiple of what is usual there, or of what other zones take if that is
@@ -14,12 +14,12 @@
 # leave together and come back together.
 SPILLOVER_TOLERANCE: Final = 1.1
 SPILLOVER_GAIN: Final = 0.01
-SPILLOVER_MOST: Final = 4.0
+SPILLOVER_RATIO_MAX: Final = 4.0
 # Memory of what either side takes, in longest objectives: bad news must fade, or nobody returns.
-SPILLOVER_MEMORY: Final = 2.0
+SPILLOVER_MEMORY_OBJECTIVES: Final = 2.0
 # Rise per answer, in gains of the mean, of what the own zone is taken to take unloaded: slow, so
 # that a long queue does not soon pass for usual, but a changed service does in time.
-SPILLOVER_BASE_RISE: Final = 0.01
+SPILLOVER_UNLOADED_GROWTH: Final = 0.01
 
 
 class ZoneSpillover:
@@ -30,41 +30,55 @@
     two halves of the own zone.
     """
 
-    __slots__ = ("base", "local", "local_at", "memory_us", "remote", "remote_at", "share")
+    __slots__ = (
+        "last_local_at",
+        "last_remote_at",
+        "local",
+        "memory_us",
+        "remote",
+        "remote_share",
+        "unloaded_local_us",
+    )
 
     def __init__(self, longest_objective_us: float) -> None:
         self.local, self.remote = LatencyEstimator(), LatencyEstimator()
-        self.base = 0.0  # the least that the own zone took, µs
-        self.local_at = self.remote_at = 0  # of the last answer of each
-        self.memory_us = SPILLOVER_MEMORY * longest_objective_us
-        self.share = 1.0
+        self.unloaded_local_us = 0.0  # the least that the own zone took, µs
+        self.last_local_at = self.last_remote_at = 0  # of the last answer of each
+        self.memory_us = SPILLOVER_MEMORY_OBJECTIVES * longest_objective_us
+        self.remote_share = 1.0
 
     def record(self, now: int, is_local: bool, took_us: float) -> None:
         """How long an attempt took, in µs; one that failed took its objective at least."""
         if is_local:
             self.local.add(took_us)
-            self.local_at = now
+            self.last_local_at = now
         else:
-            self.remote.mean = self._faded(now, self.remote.mean, self.remote_at)
-            self.remote_at = now
+            self.remote.mean = self._faded(now, self.remote.mean, self.last_remote_at)
+            self.last_remote_at = now
             self.remote.add(took_us)
-        if self.local.samples <= LEARN_SAMPLES:
-            self.share -= is_local / LEARN_SAMPLES
+        if self.local.samples <= SAMPLES_MIN:
+            self.remote_share -= is_local / SAMPLES_MIN
             return
         if is_local:
             mean = self.local.mean
-            rise = 1.0 + SPILLOVER_BASE_RISE * LATENCY_GAIN
-            self.base = min(self.base * rise, mean) if self.base else mean
+            rise = 1.0 + SPILLOVER_UNLOADED_GROWTH * LATENCY_GAIN
+            self.unloaded_local_us = (
+                min(self.unloaded_local_us * rise, mean) if self.unloaded_local_us else mean
+            )
         else:
-            took_us = self._faded(now, self.local.mean, self.local_at)
+            took_us = self._faded(now, self.local.mean, self.last_local_at)
         self._adjust(now, is_local, took_us)
 
     def _adjust(self, now: int, is_local: bool, took_us: float) -> None:
-        usual = max(1.0, self.base, self._faded(now, self.remote.mean, self.remote_at))
-        over = min(took_us / usual, SPILLOVER_MOST) - SPILLOVER_TOLERANCE
+        usual = max(1.0, self.unloaded_local_us, self._faded(now, self.remote.mean, self.last_remote_at))
+        over = min(took_us / usual, SPILLOVER_RATIO_MAX) - SPILLOVER_TOLERANCE
         if is_local or over < 0.0:  # Guards against staying away for good: nothing sent, nothing heard
-            self.share = min(1.0, max(0.0, self.share + SPILLOVER_GAIN * over))
+            self.remote_share = min(1.0, max(0.0, self.remote_share + SPILLOVER_GAIN * over))
 
     def _faded(self, now: int, took_us: float, at: int) -> float:
         """The last latency of a side; without new answers it fades to the usual one."""
-        return self.base + (took_us - self.base) * exp((at - now) / self.memory_us) if self.base else took_us
+        return (
+            self.unloaded_local_us + (took_us - self.unloaded_local_us) * exp((at - now) / self.memory_us)
+            if self.unloaded_local_us
+            else took_us
+        )
--- a/laurelstep/engine/attempts.py
+++ b/laurelstep/engine/attempts.py
@@ -12,7 +12,7 @@
 
 from typing import Protocol
 
-from laurelstep.balancing.events import CANCELLED, FULL, KEYED, MOOT, NEVER_RAN, TIMEOUT, Send, Settings
+from laurelstep.balancing.events import CANCELLED, FULL, KEYED, NEVER_RAN, NOT_SENT, TIMEOUT, Send, Settings
 from laurelstep.engine.call import Answer, Attempt, Call
 from laurelstep.engine.counters import RequestCounters
 from laurelstep.engine.endpoint_table import EndpointTable
@@ -56,7 +56,7 @@
     # --- Starting ---------------------------------------------------------------------
 
     def start(self, call: Call, action: Send) -> None:
-        """Send a call to an endpoint; an attempt that may not begin ends at once as MOOT."""
+        """Send a call to an endpoint; an attempt that may not begin ends at once as NOT_SENT."""
         now = self.host.now()
         until = min(call.expires, now + action.timeout_us) if action.timeout_us else call.expires
         attempt = Attempt(self, call, len(call.attempts), action.endpoint, now, until)
@@ -65,7 +65,7 @@
         # An upload that an endpoint had the beginning of is not here any more.
         spent = call.upload is not None and call.upload.started
         if spent or attempt.copy >= self.settings.max_attempts or not self._is_allowed(attempt, now):
-            self.ended(attempt, MOOT, None, b"")
+            self.ended(attempt, NOT_SENT, None, b"")
             return
         call.tried += 1
         call.endpoint = self.members.places[attempt.endpoint].name
@@ -118,7 +118,7 @@
             self._arm_timeout(attempt)
         else:
             self.upstream.cancel(attempt)
-            self.ended(attempt, MOOT, None, b"")
+            self.ended(attempt, NOT_SENT, None, b"")
 
     def written(self, attempt: Attempt) -> None:
         """The last byte of an attempt was written: from now on it may run."""
@@ -129,7 +129,7 @@
 
     def time_out(self, attempt: Attempt) -> None:
         """Wait no longer for an attempt; nothing happens if it has its outcome."""
-        self._stop(attempt, MOOT if attempt.lacks_socket else TIMEOUT)
+        self._stop(attempt, NOT_SENT if attempt.lacks_socket else TIMEOUT)
 
     def cancel(self, attempt: Attempt) -> None:
         """The module wants it no more; nothing happens if it has its outcome."""
--- a/laurelstep/engine/engine.py
+++ b/laurelstep/engine/engine.py
@@ -23,7 +23,7 @@
     LIST_DELTA,
     LIST_FAILED,
     LIST_FULL,
-    LIST_PART,
+    LIST_PARTIAL,
     OK,
     Action,
     Arrival,
@@ -157,7 +157,7 @@
 
     def _dispatch_part(self, entries: Sequence[Entry], more: bool) -> None:
         if entries or not more:
-            self._dispatch_list(LIST_PART if more else LIST_DELTA, entries)
+            self._dispatch_list(LIST_PARTIAL if more else LIST_DELTA, entries)
 
     def list_failed(self) -> None:
         """See `MemberSink.list_failed`."""
--- a/laurelstep/engine/names.py
+++ b/laurelstep/engine/names.py
@@ -6,13 +6,21 @@
 from math import nan
 from typing import Any
 
-from laurelstep.balancing.events import BUSY, ERROR_RATE, HELD, LATENCY_MS, SERVED_RATE, WAITING, Settings
+from laurelstep.balancing.events import (
+    CPU_UTILIZATION,
+    ERROR_RATE,
+    IN_FLIGHT,
+    LATENCY_MS,
+    QUEUED,
+    SERVED_RATE,
+    Settings,
+)
 
 # Load-report names on the socket; those of the settings may differ.
 REPORT_NAMES = {
-    "inflight": HELD,
-    "queue": WAITING,
-    "util": BUSY,
+    "inflight": IN_FLIGHT,
+    "queue": QUEUED,
+    "util": CPU_UTILIZATION,
     "latency_ms": LATENCY_MS,
     "qps": SERVED_RATE,
     "eps": ERROR_RATE,
--- a/laurelstep/engine/ports.py
+++ b/laurelstep/engine/ports.py
@@ -64,7 +64,7 @@
     def timer(self, now: int, token: int) -> list[Action]:
         """A timer that it asked for is due."""
 
-    def ejected(self, now: int) -> int:
+    def count_ejected(self, now: int) -> int:
         """How many endpoints that are ready get next to nothing now. Changes nothing."""
 
 
--- a/laurelstep/management/telemetry.py
+++ b/laurelstep/management/telemetry.py
@@ -35,7 +35,7 @@
     """All of them, as they stand now."""
     counters, members = engine.counters, engine.members
     classes = [name for name, _ in sorted(engine.names.classes.items(), key=lambda pair: pair[1])]
-    avoided = engine.decisions.ejected(engine.now()) + len(members.draining)
+    avoided = engine.decisions.count_ejected(engine.now()) + len(members.draining)
     return "".join(
         (
             family("answered_total", "counter", "Requests served.", by_class(classes, counters.answered)),
--- a/laurelstep/net/endpoint_connection.py
+++ b/laurelstep/net/endpoint_connection.py
@@ -12,7 +12,7 @@
 
 import httptools
 
-from laurelstep.balancing.events import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
+from laurelstep.balancing.events import ERROR, FULL, NO_CONNECT, NOT_SENT, OK, RESET
 from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.call import Answer, Attempt, Ending
 from laurelstep.net.connect import is_local_fault, open_connection
@@ -73,7 +73,7 @@
                 self.reopen_pause_s = min(2.0 * self.reopen_pause_s, MAX_REOPEN_PAUSE_S)
                 return
         self.owner.on_disconnect(self)
-        self._end_attempt(MOOT if is_local_fault else NO_CONNECT)
+        self._end_attempt(NOT_SENT if is_local_fault else NO_CONNECT)
 
     def on_connect_timeout(self) -> None:
         """It did not come up in time."""
@@ -141,7 +141,7 @@
             self.attempt = None
             self.owner.by_attempt.pop(attempt, None)
             self.return_to_pool()
-            attempt.end(MOOT)
+            attempt.end(NOT_SENT)
             return
         upload = attempt.call.upload
         if upload is not None:
@@ -249,7 +249,7 @@
         if answer is not None:
             answer.finish(False)
         self._abandon_upload()
-        not_run = MOOT if is_local_fault(exc) else NO_CONNECT
+        not_run = NOT_SENT if is_local_fault(exc) else NO_CONNECT
         self._end_attempt(not_run if self.unwritten else RESET)
         self.parser = None  # it holds this object's methods: the cycle ends here
 
--- a/laurelstep/net/upstream.py
+++ b/laurelstep/net/upstream.py
@@ -8,7 +8,7 @@
 import asyncio
 from collections.abc import Callable
 
-from laurelstep.balancing.events import MOOT, NO_CONNECT
+from laurelstep.balancing.events import NO_CONNECT, NOT_SENT
 from laurelstep.engine.call import Attempt
 from laurelstep.engine.endpoint_table import split_address
 from laurelstep.net.connection_pool import ConnectionPool
@@ -86,7 +86,7 @@
             self.on_disconnect(oldest)
         if len(self.connections) >= self.max_connections:
             # Guards the limit on descriptors; no fault of the endpoint.
-            attempt.end(MOOT)
+            attempt.end(NOT_SENT)
             return
         connection = EndpointConnection(self, pool, attempt)
         self.by_attempt[attempt] = connection
--- a/laurelstep/testing/contracts/upstream.py
+++ b/laurelstep/testing/contracts/upstream.py
@@ -8,14 +8,14 @@
 from enum import Enum
 from typing import Protocol
 
-from laurelstep.balancing.events import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
+from laurelstep.balancing.events import ERROR, FULL, NO_CONNECT, NOT_SENT, OK, RESET
 from laurelstep.engine.call import Answer, Attempt, Call, Ending
 from laurelstep.engine.ports import Upstream
 from laurelstep.testing.contracts.base import Contract, run_ready_callbacks
 
 WAIT_US = 60_000_000
 # The outcomes that an upstream may report; the engine reports the others itself.
-OUTCOMES = (OK, FULL, ERROR, RESET, NO_CONNECT, MOOT)
+OUTCOMES = (OK, FULL, ERROR, RESET, NO_CONNECT, NOT_SENT)
 
 
 class EndpointBehaviour(Enum):
@@ -98,7 +98,7 @@
     """The rules:
 
     1. An attempt has one outcome at most, and one exactly unless it was cancelled.
-    2. `may_start` is called before any byte is written; where it gives False the outcome is MOOT, and
+    2. `may_start` is called before any byte is written; where it gives False the outcome is NOT_SENT, and
        nothing is written.
     3. `written` is called once at most, after `may_start` and before the outcome; an attempt that was
        answered was written. An attempt that was never connected has the outcome NO_CONNECT.
@@ -216,7 +216,7 @@
         self.run(main())
 
     def test_what_may_not_start_any_more_is_moot(self) -> None:
-        """An attempt that may not be sent any more ends as MOOT and writes nothing, also on an idle
+        """An attempt that may not be sent any more ends as NOT_SENT and writes nothing, also on an idle
         connection.
         """
 
@@ -225,7 +225,7 @@
                 environment.upstream.place(1, environment.addresses[0])
                 for may in (False, True, False):  # on a new connection, and on one at rest
                     owner = AttemptOwner(environment, "may" if may else "may not", may_send=may)
-                    assert await self.send_and_wait(environment, owner) == (OK if may else MOOT)
+                    assert await self.send_and_wait(environment, owner) == (OK if may else NOT_SENT)
                     assert ("written" in owner.steps) == may
                 assert environment.executed(environment.addresses[0]) == [b"may"]
 
--- a/laurelstep/wire.py
+++ b/laurelstep/wire.py
@@ -86,15 +86,15 @@
     111: events.NO_CONNECT,
     104: events.RESET,
     125: events.CANCELLED,
-    114: events.MOOT,
+    114: events.NOT_SENT,
 }
 MODES = {0: events.LIST_FULL, 1: events.LIST_FAILED, 2: events.LIST_DELTA, 3: events.LIST_CACHED}
 PHASES = {0: events.GONE, 1: events.READY, 2: events.DRAINING}
 EFFECTS = {"retryable": events.SAFE, "dedup": events.KEYED, "fragile": events.UNSAFE}
 REPORT_FIELDS = {
-    "active": events.HELD,
-    "waiting": events.WAITING,
-    "cpu": events.BUSY,
+    "active": events.IN_FLIGHT,
+    "waiting": events.QUEUED,
+    "cpu": events.CPU_UTILIZATION,
     "avg_ms": events.LATENCY_MS,
     "rps": events.SERVED_RATE,
     "err_rps": events.ERROR_RATE,
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from laurelstep.balancing.events import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
+from laurelstep.balancing.events import ERROR, FULL, NO_CONNECT, NOT_SENT, OK, RESET
 from laurelstep.engine import Answer, Attempt, Call, Ending
 from laurelstep.engine.endpoint_table import endpoint_number
 
@@ -98,7 +98,7 @@
             return
         if not sent.attempt.may_start(now):
             del self.out[sent.attempt]
-            sent.attempt.end(MOOT)
+            sent.attempt.end(NOT_SENT)
             return
         call = sent.attempt.call
         if call.upload is not None and not call.upload.closed:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -78,6 +78,6 @@
         rid, actions = self.ask(now, cls)
         if not (sent := sends(actions)):
             return False
-        done = Outcome(rid, 0, sent[0].endpoint, OK, delay, over=True)
+        done = Outcome(rid, 0, sent[0].endpoint, OK, delay, is_final=True)
         self.balancer.outcome(now + delay, done)
         return True
--- a/tests/recorded_decisions/scenarios.py
+++ b/tests/recorded_decisions/scenarios.py
@@ -7,14 +7,14 @@
 
 from laurelstep.balancing.events import (
     ERROR_RATE,
-    HELD,
+    IN_FLIGHT,
     KEYED,
+    QUEUED,
     SAFE,
     SCOPE_ALL,
     SCOPE_CELL,
     SCOPE_ZONE,
     UNSAFE,
-    WAITING,
     Goal,
     RequestClass,
 )
@@ -129,7 +129,7 @@
             "classes": (SAFE_CLASS, UNSAFE_CLASS),
             "max_attempts": 3,
             "instances": 2,
-            "report_fields": (HELD, WAITING, ERROR_RATE),
+            "report_fields": (IN_FLIGHT, QUEUED, ERROR_RATE),
             "idle_us": 4 * SECOND,
             "handshake_price": 0.5,
             "rated": True,
--- a/tests/recorded_decisions/world.py
+++ b/tests/recorded_decisions/world.py
@@ -22,9 +22,9 @@
     LIST_DELTA,
     LIST_FAILED,
     LIST_FULL,
-    LIST_PART,
-    MOOT,
+    LIST_PARTIAL,
     NO_CONNECT,
+    NOT_SENT,
     OK,
     READY,
     RESET,
@@ -36,7 +36,7 @@
     Entry,
     Fail,
     Outcome,
-    Probed,
+    ProbeResult,
     Refuse,
     Send,
     Settings,
@@ -55,9 +55,9 @@
     Timer: ("T", ("token", "delay_us")),
     Refuse: ("R", ("request", "retry_after_us")),
     Fail: ("F", ("request",)),
-    Cancel: ("C", ("request", "copy")),
+    Cancel: ("C", ("request", "attempt_index")),
     Close: ("X", ("endpoint",)),
-    Watch: ("W", ("on",)),
+    Watch: ("W", ("is_enabled",)),
 }
 
 
@@ -164,8 +164,8 @@
             elif isinstance(action, Refuse | Fail):
                 self._open.pop(action.request, None)
             elif isinstance(action, Cancel):
-                outcome = CANCELLED if self.random.random() < 0.8 else MOOT
-                self._at(MS, self._outcome(action.request, action.copy, outcome))
+                outcome = CANCELLED if self.random.random() < 0.8 else NOT_SENT
+                self._at(MS, self._outcome(action.request, action.attempt_index, outcome))
             elif isinstance(action, Watch):
                 self._at(20 * MS, self._listing)
 
@@ -203,7 +203,7 @@
         else:
             self._at(event.expires - self.now, self._leave(event.request))
         if self._next_request % 50 == 0:
-            self.recording.add(self.now, f"J{self.balancer.ejected(self.now)}")
+            self.recording.add(self.now, f"J{self.balancer.count_ejected(self.now)}")
         return self.balancer.request(self.now, event)
 
     def _complete_upload(self, event: Arrival) -> Callable[[], list[Action]]:
@@ -309,7 +309,7 @@
         if self._next_request < self.scenario.arrivals:
             self._at(int(self.scenario.fault_every_us * (0.5 + self.random.random())), self._change_fault)
         number = self.random.choice(sorted(self._endpoints))
-        actions = self.balancer.probed(self.now, Probed(number, OK, 2 * MS))
+        actions = self.balancer.probed(self.now, ProbeResult(number, OK, 2 * MS))
         return actions + self.balancer.gossip_received(self.now, 0, b"gossip")
 
     # --- Discovery --------------------------------------------------------------------------
@@ -335,7 +335,7 @@
             self._at(60 * MS, self._listing)
             return self.balancer.members(self.now, LIST_FULL, ())
         if kind < 0.6 and self.scenario.partial_lists:
-            return self.balancer.members(self.now, LIST_PART, self._changes())
+            return self.balancer.members(self.now, LIST_PARTIAL, self._changes())
         return self.balancer.members(self.now, LIST_DELTA, self._changes())
 
     def _changes(self) -> list[Entry]:
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -264,7 +264,7 @@
             else:
                 host.disconnect()
                 await task
-            assert [(one.outcome, one.over) for one in told] == [(CANCELLED, True)]
+            assert [(one.outcome, one.is_final) for one in told] == [(CANCELLED, True)]
             await endpoint.closed.acquire()
             assert not host.sent and nothing_held(client) and len(endpoint.got) == 1
 
--- a/tests/test_balancing_admission.py
+++ b/tests/test_balancing_admission.py
@@ -43,7 +43,7 @@
     driver = Driver(started())
     for k in range(40):
         driver.balancer.admission.record_result(k * 50 * MS, 2 * MS, False, False)
-    assert driver.balancer.admission.limit.base_us > 10 * MS
+    assert driver.balancer.admission.limit.unloaded_us > 10 * MS
 
 
 def test_a_copy_that_starts_holds_few_at_first_and_more_with_each_answer() -> None:
@@ -52,7 +52,7 @@
     out = [(rid, sent[0].endpoint) for rid, actions in held if (sent := sends(actions))]
     assert 16 <= len(out) < 40, "a rush on a copy just back would choke the endpoints"
     for rid, endpoint in out[:10]:
-        driver.balancer.outcome(500 * MS, Outcome(rid, 0, endpoint, OK, 400 * MS, over=True))
+        driver.balancer.outcome(500 * MS, Outcome(rid, 0, endpoint, OK, 400 * MS, is_final=True))
     more = [driver.ask(501 * MS + k) for k in range(100)]
     assert sum(bool(sends(actions)) for _, actions in more) >= 20
 
@@ -67,7 +67,7 @@
         else:
             rid, _ = driver.ask(6 * SECOND)
             driver.balancer.client_disconnected(6_900 * MS, rid)
-        assert (driver.balancer.admission.share < 1.0) is refused
+        assert (driver.balancer.admission.admitted_share < 1.0) is refused
 
 
 def test_a_copy_overloaded_from_its_start_sheds_too() -> None:
@@ -80,13 +80,13 @@
         now = k * 10 * MS
         while due and due[0][0] <= now:
             end, rid, endpoint, began = due.pop(0)
-            balancer.outcome(end, Outcome(rid, 0, endpoint, OK, end - began, over=True))
+            balancer.outcome(end, Outcome(rid, 0, endpoint, OK, end - began, is_final=True))
         rid, actions = driver.ask(now)
         if sent := sends(actions):
             let += 1
             free = max(now + 200 * MS, due[-1][0] + 20 * MS if due else 0)
             due.append((free, rid, sent[0].endpoint, now))
-    assert balancer.admission.limit.settled
+    assert balancer.admission.limit.is_unloaded_known
     assert len(due) < 50, "held by now: one second's work at most"
     assert let > 900, "what can be done is let through"
 
@@ -97,22 +97,22 @@
     for _ in range(200):
         now += 30 * MS
         assert driver.serve(now, 20 * MS)
-    usual = balancer.admission.limit.took_us
+    usual = balancer.admission.limit.service_us
     for _ in range(20):
         now += 30 * MS
         driver.next += 1
-        asked = Arrival(driver.next, 0, now + 600 * SECOND, body_pending=True)
+        asked = Arrival(driver.next, 0, now + 600 * SECOND, has_pending_body=True)
         (send,) = sends(balancer.request(now, asked))
         now += 8 * SECOND  # its body comes slowly
         balancer.request_completed(now, driver.next, now + SECOND)
         assert balancer.requests[driver.next].expires_at == now + SECOND
         now += 20 * MS
-        balancer.outcome(now, Outcome(driver.next, 0, send.endpoint, OK, 20 * MS, over=True))
-    assert balancer.admission.limit.took_us < 1.1 * usual and balancer.admission.share >= 1.0
-    count = balancer.admission.limit.count
-    balancer.request(now, Arrival(9_999, 0, now + 600 * SECOND, body_pending=True))
+        balancer.outcome(now, Outcome(driver.next, 0, send.endpoint, OK, 20 * MS, is_final=True))
+    assert balancer.admission.limit.service_us < 1.1 * usual and balancer.admission.admitted_share >= 1.0
+    count = balancer.admission.limit.result_count
+    balancer.request(now, Arrival(9_999, 0, now + 600 * SECOND, has_pending_body=True))
     balancer.client_disconnected(now + 8 * SECOND, 9_999)
-    assert balancer.admission.limit.count == count, "its client left before it was whole"
+    assert balancer.admission.limit.result_count == count, "its client left before it was whole"
     balancer.request_completed(now, 9_999, now)  # of one that is over: nothing
 
 
@@ -124,21 +124,21 @@
         assert driver.serve(now, 20 * MS)
     for _ in range(300):
         driver.next += 1
-        balancer.request(now, Arrival(driver.next, 0, now + 600 * SECOND, body_pending=True))
-    assert balancer.request_table.uploading == 300
+        balancer.request(now, Arrival(driver.next, 0, now + 600 * SECOND, has_pending_body=True))
+    assert balancer.request_table.uploading_count == 300
     now += 30 * MS
     assert driver.serve(now, 20 * MS), "what is still coming is no load yet"
     for rid in list(balancer.requests):
         balancer.client_disconnected(now, rid)
-    assert balancer.request_table.uploading == 0
-    assert all(endpoint.inflight == 0 for endpoint in balancer.endpoints.values())
+    assert balancer.request_table.uploading_count == 0
+    assert all(endpoint.in_flight == 0 for endpoint in balancer.endpoints.values())
 
 
 def timed_out(balancer: Balancer, now: int, waited: int, rid: int) -> None:
     """A request sent `waited` ago, whose client gives up now."""
     request = balancer.requests[rid]
     endpoint = request.attempts[0].endpoint.id
-    balancer.outcome(now, Outcome(rid, 0, endpoint, TIMEOUT, waited, over=True))
+    balancer.outcome(now, Outcome(rid, 0, endpoint, TIMEOUT, waited, is_final=True))
 
 
 def test_how_long_a_lost_request_was_waited_for_is_not_what_answers_take() -> None:
@@ -156,11 +156,14 @@
         if n == 1_000:
             hung, where = rid, send.endpoint
         else:
-            out.append((now + 20 * MS, Outcome(rid, 0, send.endpoint, OK, 20 * MS, over=True)))
+            out.append((now + 20 * MS, Outcome(rid, 0, send.endpoint, OK, 20 * MS, is_final=True)))
             served += hung > 0 and send.endpoint == where
     assert served > 100, "it got others meanwhile"
     timed_out(balancer, now, 4 * SECOND, hung)
-    assert balancer.admission.limit.took_us < 40 * MS and balancer.admission.limit.smoothed_us < 40 * MS
+    assert (
+        balancer.admission.limit.service_us < 40 * MS
+        and balancer.admission.limit.smoothed_service_us < 40 * MS
+    )
 
 
 def test_what_times_out_in_a_queue_tells_what_answers_take() -> None:
@@ -174,4 +177,4 @@
     now += SECOND
     for rid in waiting:
         timed_out(balancer, now, SECOND, rid)
-    assert balancer.admission.limit.took_us > 200 * MS
+    assert balancer.admission.limit.service_us > 200 * MS
--- a/tests/test_balancing_concurrency_limit.py
+++ b/tests/test_balancing_concurrency_limit.py
@@ -19,7 +19,7 @@
     assert all(held[:8]), "a few are always let through"
     assert sum(map(bool, held)) < 60
     for sent in filter(None, held):
-        done = Outcome(sent[0].request, 0, sent[0].endpoint, OK, SECOND, over=True)
+        done = Outcome(sent[0].request, 0, sent[0].endpoint, OK, SECOND, is_final=True)
         driver.balancer.outcome(6 * SECOND, done)
     assert sends(driver.ask(6 * SECOND)[1]), "open again once they are answered"
 
@@ -59,9 +59,9 @@
         took = 100 * MS if k % 2 else 500 * MS
         due.append((k * MS + took, rid, sends(actions)[0].endpoint, took))
     for end, rid, endpoint, took in sorted(due):
-        assert not admission.limit.settled or end >= 500 * MS
-        driver.balancer.outcome(end, Outcome(rid, 0, endpoint, OK, took, over=True))
-    assert admission.limit.settled and 200 * MS < admission.limit.base_us < 400 * MS
+        assert not admission.limit.is_unloaded_known or end >= 500 * MS
+        driver.balancer.outcome(end, Outcome(rid, 0, endpoint, OK, took, is_final=True))
+    assert admission.limit.is_unloaded_known and 200 * MS < admission.limit.unloaded_us < 400 * MS
 
 
 def test_time_outs_do_not_widen_the_bound() -> None:
@@ -81,8 +81,8 @@
 def test_few_copies_before_many_endpoints_hold_more_each() -> None:
     """Chikushi: three copies before eleven endpoints of three cores; eight requests for each
     copy left most cores idle while the bound found its way up again."""
-    few = started(11, instances=3).admission.limit.held_at_least
-    many = started(11, instances=22).admission.limit.held_at_least
+    few = started(11, instances=3).admission.limit.in_flight_min
+    many = started(11, instances=22).admission.limit.in_flight_min
     assert few == pytest.approx(8 * 11 / 3) and many == pytest.approx(4)
 
 
--- a/tests/test_balancing_connections.py
+++ b/tests/test_balancing_connections.py
@@ -41,7 +41,7 @@
     (sent,) = sends(actions)
     driver.ask(13 * SECOND)
     assert driver.balancer.connections.closes_left >= 1.0
-    driver.balancer.outcome(14 * SECOND, Outcome(rid, 0, sent.endpoint, OK, 4 * SECOND, over=True))
+    driver.balancer.outcome(14 * SECOND, Outcome(rid, 0, sent.endpoint, OK, 4 * SECOND, is_final=True))
     assert driver.balancer.connections.closes_left < 1.0
 
 
--- a/tests/test_balancing_key_queues.py
+++ b/tests/test_balancing_key_queues.py
@@ -58,4 +58,4 @@
         rid, actions = driver.ask(now, key=key)
         (sent,) = sends(actions)
         driver.balancer.outcome(now + MS, Outcome(rid, 0, sent.endpoint, RESET, MS, True))
-    assert len(driver.balancer.key_queues.queues) < 10 and len(driver.balancer.key_queues.resting) < 10
+    assert len(driver.balancer.key_queues.queues) < 10 and len(driver.balancer.key_queues.resting_keys) < 10
--- a/tests/test_balancing_membership.py
+++ b/tests/test_balancing_membership.py
@@ -15,12 +15,12 @@
     balancer = started()
     endpoint = balancer.endpoints[100]
     endpoint.health[0] = SegmentHealth(0.01, 0, 5.0)
-    endpoint.slowness, endpoint.samples = 4.0, 9
-    endpoint.idle_since, endpoint.overloaded_until, endpoint.reported_waiting = [1, 2], 9 * SECOND, 7.0
+    endpoint.slowness, endpoint.speed_samples = 4.0, 9
+    endpoint.idle_since, endpoint.overloaded_until, endpoint.reported_queued = [1, 2], 9 * SECOND, 7.0
     balancer.members(SECOND, LIST_DELTA, [replace(fleet(1)[0], boot=SECOND)])
     healths = [(one.value, one.updated_at, one.failures) for one in endpoint.health]
-    assert (healths, endpoint.slowness, endpoint.samples) == ([(1.0, 0, 0.0)], 1.0, 0)
-    assert (endpoint.idle_since, endpoint.overloaded_until, endpoint.reported_waiting) == ([], 0, 0.0)
+    assert (healths, endpoint.slowness, endpoint.speed_samples) == ([(1.0, 0, 0.0)], 1.0, 0)
+    assert (endpoint.idle_since, endpoint.overloaded_until, endpoint.reported_queued) == ([], 0, 0.0)
 
 
 def test_list_modes_add_keep_and_remove() -> None:
--- a/tests/test_balancing_outliers.py
+++ b/tests/test_balancing_outliers.py
@@ -37,7 +37,7 @@
         rid, cls, tenant = k, k % 2, k // 2 % 2
         (sent,) = sends(balancer.request(k * SECOND, Arrival(rid, cls, (k + 1) * SECOND, tenant)))
         bad = (cls, tenant) == (0, 1)
-        done = Outcome(rid, 0, sent.endpoint, FULL if bad else OK, MS, over=not bad)
+        done = Outcome(rid, 0, sent.endpoint, FULL if bad else OK, MS, is_final=not bad)
         balancer.outcome(k * SECOND + MS, done)
     healths = [balancer.outliers.health(20 * SECOND, endpoint, sort) for sort in range(4)]
     assert min(healths) == healths[1] < 0.5 * min(healths[:1] + healths[2:])
@@ -61,16 +61,16 @@
     for _ in range(200):
         now += 30 * MS
         assert driver.serve(now, 20 * MS)
-    (send,) = sends(balancer.request(now, Arrival(5_000, 0, now + 600 * SECOND, body_pending=True)))
+    (send,) = sends(balancer.request(now, Arrival(5_000, 0, now + 600 * SECOND, has_pending_body=True)))
     endpoint = balancer.endpoints[send.endpoint]
     now += 8 * SECOND  # longer than any answer takes, and its endpoint owes none
-    assert endpoint.inflight == 0 and balancer.ejected(now) == 0
+    assert endpoint.in_flight == 0 and balancer.count_ejected(now) == 0
     for _ in range(40):
         now += 30 * MS
         assert driver.serve(now, 20 * MS)
     assert balancer.connections.closes_left < 1.0, "its connection is not lost"
     balancer.request_completed(now, 5_000, now + SECOND)
-    assert endpoint.inflight == 1 and balancer.ejected(now) == 0
-    assert balancer.ejected(now + SECOND) == 1
-    balancer.outcome(now + SECOND, Outcome(5_000, 0, send.endpoint, OK, SECOND, over=True))
-    assert endpoint.inflight == 0 and balancer.request_table.uploading == 0
+    assert endpoint.in_flight == 1 and balancer.count_ejected(now) == 0
+    assert balancer.count_ejected(now + SECOND) == 1
+    balancer.outcome(now + SECOND, Outcome(5_000, 0, send.endpoint, OK, SECOND, is_final=True))
+    assert endpoint.in_flight == 0 and balancer.request_table.uploading_count == 0
--- a/tests/test_balancing_retries.py
+++ b/tests/test_balancing_retries.py
@@ -24,7 +24,7 @@
         assert not balancer._send(SECOND + 100 * MS, request, near), "past the key's window"
         may = copies and attempts > 1
         assert balancer._send(SECOND + MS, request, near) is may
-        near.ready = False
+        near.is_ready = False
         assert not balancer._send(SECOND + 2 * MS, request, near), "draining"
 
 
--- a/tests/test_balancing_selection.py
+++ b/tests/test_balancing_selection.py
@@ -27,7 +27,7 @@
     first = [sends(driver.ask(SECOND)[1])[0].endpoint for _ in range(len(left))]
     assert first[0] in left, "all counts are 0"
     for endpoint in balancer.endpoints.values():
-        endpoint.inflight = 5 if endpoint.id in left else 0
+        endpoint.in_flight = 5 if endpoint.id in left else 0
     assert all(sends(driver.ask(SECOND)[1])[0].endpoint in right for _ in range(3))
 
 
--- a/tests/test_balancing_slow_start.py
+++ b/tests/test_balancing_slow_start.py
@@ -30,11 +30,11 @@
         for k in range(1, 400):
             rid, actions = driver.ask(k * 10 * MS)
             for send in sends(actions):
-                done = Outcome(rid, 0, send.endpoint, outcome, 5 * MS, over=outcome == OK)
+                done = Outcome(rid, 0, send.endpoint, outcome, 5 * MS, is_final=outcome == OK)
                 balancer.outcome(k * 10 * MS + 5 * MS, done)
         cold = balancer.endpoints[100]
-        cold.boot, cold.slow_start_budget, cold.slow_start_budget_at = 4 * SECOND, 0.0, 4 * SECOND
-        balancer.slow_start.slow_start_budget(4 * SECOND + 50 * MS, cold)
+        cold.started_at, cold.slow_start_budget, cold.slow_start_budget_at = 4 * SECOND, 0.0, 4 * SECOND
+        balancer.slow_start.refill_budget(4 * SECOND + 50 * MS, cold)
         sent.append(cold.slow_start_budget)
     assert sent[1] < 0.5 * sent[0]
 
@@ -44,6 +44,6 @@
     driver = Driver(balancer := started(4))
     assert all(driver.serve(k * 50 * MS, 20 * MS) for k in range(1, 100))
     cold = balancer.endpoints[100]
-    cold.boot = cold.slow_start_budget_at = 5 * SECOND
-    budgets = [balancer.slow_start.slow_start_budget(5 * SECOND + k * 37 * MS, cold) for k in range(100)]
+    cold.started_at = cold.slow_start_budget_at = 5 * SECOND
+    budgets = [balancer.slow_start.refill_budget(5 * SECOND + k * 37 * MS, cold) for k in range(100)]
     assert max(budgets) < 4.0 and min(budgets[50:]) < 1.0
--- a/tests/test_balancing_zones.py
+++ b/tests/test_balancing_zones.py
@@ -32,7 +32,7 @@
         (sent,) = sends(actions)
         away = driver.balancer.endpoints[sent.endpoint].zone != 1
         crossed += away
-        done = Outcome(rid, 0, sent.endpoint, OK, far if away else near, over=True)
+        done = Outcome(rid, 0, sent.endpoint, OK, far if away else near, is_final=True)
         driver.balancer.outcome(at + (far if away else near), done)
     return crossed / count
 
@@ -68,6 +68,6 @@
     abroad(driver, 0, 200, 50 * MS, 52 * MS)
     for k in range(100):
         driver.balancer.spillover.record(2 * SECOND + k * 10 * MS, False, 200 * MS)
-    assert driver.balancer.spillover.share < 0.05
+    assert driver.balancer.spillover.remote_share < 0.05
     abroad(driver, 4 * SECOND, 400, 150 * MS, 52 * MS)
     assert abroad(driver, 8 * SECOND, 200, 150 * MS, 52 * MS) > 0.4
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -18,7 +18,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from laurelstep.balancing import balancer
-from laurelstep.balancing.events import DRAINING, GONE, LIST_DELTA, LIST_FULL, LIST_PART, READY
+from laurelstep.balancing.events import DRAINING, GONE, LIST_DELTA, LIST_FULL, LIST_PARTIAL, READY
 
 from tests.player import CONFIGS, play
 from tests.test_memory import compiled_modules
@@ -68,7 +68,7 @@
     st.tuples(st.integers(1, 60), st.sampled_from((READY, READY, DRAINING, GONE)), st.sampled_from((0, 1))),
     max_size=20,
 )
-MEMBERS = st.tuples(st.just("members"), st.sampled_from((LIST_FULL, LIST_DELTA, LIST_PART)), LISTED)
+MEMBERS = st.tuples(st.just("members"), st.sampled_from((LIST_FULL, LIST_DELTA, LIST_PARTIAL)), LISTED)
 
 
 def events(steps: list[Any]) -> list[Any]:
--- a/tests/test_crossings_balancing.py
+++ b/tests/test_crossings_balancing.py
@@ -25,9 +25,9 @@
     LIST_DELTA,
     LIST_FAILED,
     LIST_FULL,
-    LIST_PART,
-    MOOT,
+    LIST_PARTIAL,
     NO_CONNECT,
+    NOT_SENT,
     OK,
     READY,
     RESET,
@@ -98,7 +98,7 @@
         self.parted = False  # a list is not whole yet
         self.asked: dict[int, Asked] = {}
         self.timers: list[tuple[int, int]] = []
-        self.proofs = {NO_CONNECT, MOOT} if config.full_unproven else {NO_CONNECT, MOOT, FULL}
+        self.proofs = {NO_CONNECT, NOT_SENT} if config.full_unproven else {NO_CONNECT, NOT_SENT, FULL}
         self.balancer = Balancer(seed, config)
         self.take(self.balancer.start(self.now))
 
@@ -112,7 +112,7 @@
                 self.answered(action)
             elif isinstance(action, Cancel):
                 assert self.config.can_cancel, "cancels are not allowed here"
-                tried = self.asked[action.request].tries[action.copy]
+                tried = self.asked[action.request].tries[action.attempt_index]
                 assert not tried.begun, "no cancel of a stream that flows"
             elif isinstance(action, Timer):
                 assert 0 <= action.delay_us < 71 * 60 * SECOND
@@ -176,7 +176,7 @@
         self.asked[rid] = Asked(kind, expires, coming=marks == 2)
         work = 1000 * (rid % 5)
         event = Arrival(
-            rid, cls, expires, tenant, rid % 3, work, repeated=marks == 1, body_pending=marks == 2
+            rid, cls, expires, tenant, rid % 3, work, is_retry=marks == 1, has_pending_body=marks == 2
         )
         self.take(self.balancer.request(self.now, event))
 
@@ -268,8 +268,8 @@
     return st.lists(one, max_size=most, unique_by=lambda entry: entry.endpoint)
 
 
-MODES = (LIST_FULL, LIST_DELTA, LIST_DELTA, LIST_CACHED, LIST_FAILED, LIST_PART)
-OUTCOMES = (OK, ERROR, FULL, TIMEOUT, NO_CONNECT, RESET, CANCELLED, MOOT)
+MODES = (LIST_FULL, LIST_DELTA, LIST_DELTA, LIST_CACHED, LIST_FAILED, LIST_PARTIAL)
+OUTCOMES = (OK, ERROR, FULL, TIMEOUT, NO_CONNECT, RESET, CANCELLED, NOT_SENT)
 STEPS = st.lists(
     st.one_of(
         st.tuples(st.just("members"), st.sampled_from(MODES), entries(4)),
@@ -345,9 +345,15 @@
         assert one.over, "each request ends"
         assert one.ends <= 1
     balancer = referee.balancer
-    assert not balancer.requests and not balancer.request_table.ended and not balancer.request_table.uploading
-    assert not any(queue.waiting or queue.attempts_out for queue in balancer.key_queues.queues.values())
-    assert all(endpoint.inflight == 0 for endpoint in balancer.endpoints.values())
+    assert (
+        not balancer.requests
+        and not balancer.request_table.awaiting_outcomes
+        and not balancer.request_table.uploading_count
+    )
+    assert not any(
+        queue.open_requests or queue.outstanding_attempts for queue in balancer.key_queues.queues.values()
+    )
+    assert all(endpoint.in_flight == 0 for endpoint in balancer.endpoints.values())
 
 
 def warming_up(balancer: Balancer, now: int) -> list[bool]:
@@ -387,7 +393,7 @@
     referee.outcome(0, ERROR)
     referee.pass_time(SECOND)
     assert len(referee.asked[1].tries) == 1 and referee.asked[1].over
-    assert on_ring(referee.balancer) == sorted((1, 2), key=lambda n: referee.balancer.endpoints[n].key)
+    assert on_ring(referee.balancer) == sorted((1, 2), key=lambda n: referee.balancer.endpoints[n].ring_key)
 
 
 def test_a_moved_endpoint_keeps_its_calls_in_flight_and_its_budget_of_a_start() -> None:
@@ -397,13 +403,13 @@
     entry = next(one for one in fleet(4) if one.endpoint == sent.endpoint)
     balancer.members(SECOND, LIST_DELTA, [replace(entry, cell=9, zone=2)])
     endpoint = balancer.endpoints[sent.endpoint]
-    assert (endpoint.cell, endpoint.zone, endpoint.inflight) == (9, 2, 1)
+    assert (endpoint.cell, endpoint.zone, endpoint.in_flight) == (9, 2, 1)
     assert len(on_ring(balancer)) == 4 and len(balancer.membership.ring.by_zone[2]) == 1
-    balancer.members(SECOND, LIST_PART, [replace(entry, cell=8, zone=1)])
+    balancer.members(SECOND, LIST_PARTIAL, [replace(entry, cell=8, zone=1)])
     balancer.members(SECOND, LIST_DELTA, [])
-    assert (endpoint.cell, endpoint.zone, endpoint.inflight) == (8, 1, 1)
-    balancer.outcome(SECOND, Outcome(1, 0, sent.endpoint, OK, MS, over=True))
-    assert endpoint.inflight == 0
+    assert (endpoint.cell, endpoint.zone, endpoint.in_flight) == (8, 1, 1)
+    balancer.outcome(SECOND, Outcome(1, 0, sent.endpoint, OK, MS, is_final=True))
+    assert endpoint.in_flight == 0
     assert len(on_ring(balancer)) == 4 and not balancer.membership.ring.by_zone[2]
 
 
@@ -419,10 +425,10 @@
             through += 1
             if k % 10 < leaving:
                 assert not sends(balancer.client_disconnected(now + 10 * MS, rid))
-                done = Outcome(rid, 0, sent.endpoint, CANCELLED, 10 * MS, over=True)
+                done = Outcome(rid, 0, sent.endpoint, CANCELLED, 10 * MS, is_final=True)
             else:
-                done = Outcome(rid, 0, sent.endpoint, OK, 100 * MS, over=True)
-            balancer.outcome(now + done.delay_us, done)
+                done = Outcome(rid, 0, sent.endpoint, OK, 100 * MS, is_final=True)
+            balancer.outcome(now + done.latency_us, done)
     assert through == 300
 
 
@@ -434,9 +440,9 @@
         rid, actions = driver.ask(now)
         if sent := sends(actions):
             driver.balancer.client_disconnected(now + 900 * MS, rid)
-            done = Outcome(rid, 0, sent[0].endpoint, CANCELLED, 900 * MS, over=True)
+            done = Outcome(rid, 0, sent[0].endpoint, CANCELLED, 900 * MS, is_final=True)
             driver.balancer.outcome(now + 900 * MS, done)
-    assert driver.balancer.admission.share < 0.3
+    assert driver.balancer.admission.admitted_share < 0.3
 
 
 def test_a_client_that_leaves_while_its_request_waits_ends_all_of_it() -> None:
@@ -455,7 +461,11 @@
         timers += [one.token for one in left if isinstance(one, Timer)]
     balancer.members(20, LIST_FULL, fleet(4))
     assert [balancer.timer(30, token) for token in timers] == [[]] * len(timers)
-    assert not balancer.requests and not balancer.request_table.ended and not balancer.key_queues.queues
+    assert (
+        not balancer.requests
+        and not balancer.request_table.awaiting_outcomes
+        and not balancer.key_queues.queues
+    )
 
 
 def longest_pause(seed: int, gap: int, trouble: tuple[int, int], copies: int) -> int:
@@ -473,7 +483,7 @@
         for sent in sends(actions):
             worst, last = max(worst, now - max(well, last)), now
             outcome, took = trouble if 20 * SECOND <= now < well else (OK, 300 * MS)
-            due.append((now + took, Outcome(rid, 0, sent.endpoint, outcome, took, over=True)))
+            due.append((now + took, Outcome(rid, 0, sent.endpoint, outcome, took, is_final=True)))
         due.sort(key=lambda one: one[0])
     return max(worst, end - last)
 
@@ -536,7 +546,7 @@
         copy = 0
         while sent := sends(actions):
             assert outcome is not None
-            done = Outcome(rid, copy, sent[0].endpoint, outcome, MS, over=False)
+            done = Outcome(rid, copy, sent[0].endpoint, outcome, MS, is_final=False)
             actions, copy = balancer.outcome(now + MS, done), copy + 1
     if outcome is None:
         balancer.members(17 * SECOND, LIST_FULL, fleet(6))
@@ -558,11 +568,11 @@
 @pytest.mark.parametrize(
     ("owner", "guard", "broken", "effect", "why"),
     [
-        (RetryPolicy, "may_retry", True, UNSAFE, "no effect twice"),
+        (RetryPolicy, "can_attempt", True, UNSAFE, "no effect twice"),
         (RetryPolicy, "is_in_scope", True, KEYED, "out of scope"),
         (Membership, "remove", False, SAFE, "nothing is sent to one that drains"),
-        (Balancer, "_end", None, SAFE, "each request ends"),
-        (Balancer, "_forget", None, SAFE, "one end|nothing is sent after the end"),
+        (Balancer, "_refuse_or_fail", None, SAFE, "each request ends"),
+        (Balancer, "_close_request", None, SAFE, "one end|nothing is sent after the end"),
     ],
 )
 def test_the_referee_sees_each_rule_broken(
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -18,7 +18,7 @@
 import hypothesis.strategies as st
 import pytest
 from hypothesis import given
-from laurelstep.balancing.events import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET, TIMEOUT, Action, Outcome
+from laurelstep.balancing.events import ERROR, FULL, NO_CONNECT, NOT_SENT, OK, RESET, TIMEOUT, Action, Outcome
 from laurelstep.engine import Attempt, Call, Clock, Engine
 from laurelstep.engine.clock import Timer
 from laurelstep.engine.static_members import StaticMembers
@@ -387,7 +387,7 @@
             opening.may_open.set()
             assert (await asked).status == 200
             if change == "start":
-                assert told[0].outcome == MOOT
+                assert told[0].outcome == NOT_SENT
             else:
                 assert (len(old.got), len(new.got)) == sent
 
@@ -597,7 +597,7 @@
             (call,) = one.engine.calls.values()
             come_due(one, call.attempts[1])
             assert (await asked).status == 502
-            assert [event.outcome for event in told] == [RESET, MOOT]
+            assert [event.outcome for event in told] == [RESET, NOT_SENT]
             got = 0
             with contextlib.suppress(ConnectionError):
                 while more := await peer.loop.sock_recv(taken, 65_536):
@@ -809,7 +809,7 @@
             told = outcomes(one.engine)
             one.upstream.max_connections = 0
             assert (await one.ask(request("pay"))).status == 503
-            assert [event.outcome for event in told] == [MOOT] * len(told) and len(told) <= 4
+            assert [event.outcome for event in told] == [NOT_SENT] * len(told) and len(told) <= 4
             assert not await count_got(endpoints)
             one.upstream.max_connections = 1
             assert (await one.ask(request("pay", rid="r2"))).status == 200
--- a/tests/test_flow_control.py
+++ b/tests/test_flow_control.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from laurelstep.balancing.events import ERROR, MOOT, NO_CONNECT, OK, RESET
+from laurelstep.balancing.events import ERROR, NO_CONNECT, NOT_SENT, OK, RESET
 from laurelstep.engine.body_stream import BodyStream
 from laurelstep.flow_control.buffer_budget import MAX_BUFFERED, UNCOUNTED, BufferBudget, budget_for
 from laurelstep.flow_control.throughput import GRACE_S, MIN_RATE, has_min_throughput
@@ -237,7 +237,7 @@
             assert back.status in (502, 503) and back.headers["connection"] == "close"
             assert endpoints[0].opened + endpoints[1].opened == 1
             assert told[0].outcome == NO_CONNECT, "not whole: it can't have run"
-            assert all(later.outcome == MOOT for later in told[1:])
+            assert all(later.outcome == NOT_SENT for later in told[1:])
             assert counted(one)[4] == 0
             writer.close()
 
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -179,12 +179,14 @@
         """Each call that is out and whole counts at its endpoint, once; an upload on its way
         counts nowhere."""
         balancer = self.engine.balancer
-        held = [*balancer.requests.values(), *balancer.request_table.ended.values()]
-        out = [one for request in held for one in request.attempts if one.outstanding]
+        held = [*balancer.requests.values(), *balancer.request_table.awaiting_outcomes.values()]
+        out = [one for request in held for one in request.attempts if one.is_outstanding]
         for endpoint in balancer.endpoints.values():
-            assert endpoint.inflight == sum(one.endpoint is endpoint and not one.body_pending for one in out)
-        pending = [request for request in balancer.requests.values() if request.body_pending]
-        assert balancer.request_table.uploading == len(pending)
+            assert endpoint.in_flight == sum(
+                one.endpoint is endpoint and not one.has_pending_body for one in out
+            )
+        pending = [request for request in balancer.requests.values() if request.has_pending_body]
+        assert balancer.request_table.uploading_count == len(pending)
         coming = {call.id for call in self._coming()}
         assert {request.id for request in pending} == coming
 
@@ -200,7 +202,7 @@
         for call in self.left:
             self._check_effects(call, None)
         assert not (self.engine.calls or self.engine.open_names or self.engine.balancer.requests)
-        assert not any(one.inflight for one in self.engine.balancer.endpoints.values())
+        assert not any(one.in_flight for one in self.engine.balancer.endpoints.values())
         assert not self.logged, "no fault of the module"
 
     def _check_effects(self, call: Call, ending: Ending | None) -> None:
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -12,7 +12,7 @@
 
 import pytest
 import uvloop
-from laurelstep.balancing.events import CANCELLED, MOOT, OK, Action
+from laurelstep.balancing.events import CANCELLED, NOT_SENT, OK, Action
 from laurelstep.engine import endpoint_number
 from laurelstep.library import Client, ClientError, ConfigError, Ending, Member, Reply, Request, RequestError
 from laurelstep.library.client import ClientState, Exchange
@@ -64,7 +64,7 @@
 
 def nothing_held(client: Client) -> bool:
     engine = client.engine
-    counts = [one.inflight for one in engine.balancer.endpoints.values()]
+    counts = [one.in_flight for one in engine.balancer.endpoints.values()]
     return not (engine.calls or engine.open_names or engine.balancer.requests or any(counts))
 
 
@@ -256,7 +256,7 @@
             (link,) = client._parts.upstream.connections
             assert link.transport is None, "the connection is still coming up"
             await cancelled(task)
-            assert [(one.outcome, one.over) for one in told] == [(CANCELLED, True)]
+            assert [(one.outcome, one.is_final) for one in told] == [(CANCELLED, True)]
             assert nothing_held(client) and not client._parts.upstream.by_attempt
         assert not endpoint.got
 
@@ -276,11 +276,11 @@
                 await cancelled(one)
             (used,) = [one for one in endpoints if one.got]
             counts = client.engine.balancer.endpoints
-            assert sum(one.inflight for one in counts.values()) == 1
+            assert sum(one.in_flight for one in counts.values()) == 1
             await cancelled(task)
-            assert sum(one.inflight for one in counts.values()) == 0, "its count is down by one"
+            assert sum(one.in_flight for one in counts.values()) == 0, "its count is down by one"
             await used.closed.acquire()  # the endpoint sees its connection close
-            assert [(one.outcome, one.over) for one in told] == [(CANCELLED, True)]
+            assert [(one.outcome, one.is_final) for one in told] == [(CANCELLED, True)]
             assert nothing_held(client)
         assert sum(len(one.got) for one in endpoints) == 1 and not effects.twice()
 
@@ -317,7 +317,7 @@
             task.cancel()  # it was answered, and has not had its turn since
             with contextlib.suppress(asyncio.CancelledError):
                 await task
-            assert [(one.outcome, one.over) for one in told] == [(OK, True)]
+            assert [(one.outcome, one.is_final) for one in told] == [(OK, True)]
             assert nothing_held(client) and len(endpoint.got) == 1
 
     play(main)
@@ -584,7 +584,7 @@
             place = client.engine.members.places[endpoint_number("s-0")]
             place.withdrawn_at = client.engine.now() - 500_000
             reply = await asked
-            assert told[0].outcome == MOOT and reply.outcome is Ending.REFUSED
+            assert told[0].outcome == NOT_SENT and reply.outcome is Ending.REFUSED
             assert not endpoint.got and link.attempt is None
 
     play(main)
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -11,7 +11,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from laurelstep.balancing.events import LIST_DELTA, LIST_PART, Action, Entry, RequestClass, Settings
+from laurelstep.balancing.events import LIST_DELTA, LIST_PARTIAL, Action, Entry, RequestClass, Settings
 from laurelstep.engine import Engine, Names, endpoint_number
 from laurelstep.engine.endpoint_table import EndpointTable
 from laurelstep.engine.list_updates import STEP, apply_in_steps, parse_in_steps
@@ -70,7 +70,7 @@
                 for number, place in self.engine.members.places.items()
             },
             self.upstream.placed,
-            sorted((one.id, one.boot, one.rating) for one in balancer.endpoints.values()),
+            sorted((one.id, one.started_at, one.rating) for one in balancer.endpoints.values()),
         )
 
 
@@ -163,7 +163,7 @@
 
         def members(self, now: int, mode: int, entries: list[Entry]) -> list[Action]:
             counted["told"] += len(entries)
-            assert mode in (LIST_PART, LIST_DELTA)
+            assert mode in (LIST_PARTIAL, LIST_DELTA)
             return real_told(now, mode, entries)
 
     class Reading:
@@ -207,8 +207,8 @@
     listed = [*(raw(name) for name in range(50, 1_000)), raw(99, "draining")]
     left = {endpoint_number(f"s-{name}") for name in (*range(50), 99)}
     for _ in copy.in_steps(True, [one for one in listed if one != raw(99)]):
-        ready = {one.id for one in copy.engine.balancer.endpoints.values() if one.ready}
-        if any(one.staged for one in copy.engine.balancer.endpoints.values()):
+        ready = {one.id for one in copy.engine.balancer.endpoints.values() if one.is_ready}
+        if any(one.is_staged for one in copy.engine.balancer.endpoints.values()):
             assert not ready & left
     assert not set(on_ring(copy.engine.balancer)) & left
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -456,19 +456,19 @@
     balancer = Balancer(1, config_from({"settings": SETTINGS}, "test").settings)
     balancer.start(0)
     balancer.members(0, LIST_FULL, fleet(1))
-    assert balancer.ejected(0) == 0
+    assert balancer.count_ejected(0) == 0
     for n in range(3):
         (sent, *_) = sends(balancer.request(n * MS, Arrival(n, 2, SECOND)))
         balancer.outcome(n * MS, Outcome(n, 0, sent.endpoint, ERROR, 500))
     (endpoint,) = balancer.endpoints.values()
-    assert balancer.ejected(3 * MS) == 1
+    assert balancer.count_ejected(3 * MS) == 1
 
     def seen() -> object:
         healths = [(one.value, one.updated_at, one.failures) for one in endpoint.health]
-        return healths, endpoint.inflight, endpoint.overloaded_until
+        return healths, endpoint.in_flight, endpoint.overloaded_until
 
     before = seen()
-    assert balancer.ejected(1000 * SECOND) == 0
+    assert balancer.count_ejected(1000 * SECOND) == 0
     assert before == seen(), "it only looks"
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -22,8 +22,8 @@
     LIST_DELTA,
     LIST_FAILED,
     LIST_FULL,
-    MOOT,
     NO_CONNECT,
+    NOT_SENT,
     OK,
     READY,
     RESET,
@@ -40,7 +40,7 @@
     Fail,
     Outcome,
     Probe,
-    Probed,
+    ProbeResult,
     Refuse,
     RequestClass,
     Send,
@@ -100,7 +100,7 @@
         self.timers: list[tuple[int, int]] = []
         self.probes: list[int] = []
         self.cold: list[tuple[int, int]] = []
-        self.proofs = {NO_CONNECT, MOOT} if config.full_unproven else {NO_CONNECT, MOOT, FULL}
+        self.proofs = {NO_CONNECT, NOT_SENT} if config.full_unproven else {NO_CONNECT, NOT_SENT, FULL}
         self.take(self.balancer.start(self.now))
 
     def group(self, cls: RequestClass, endpoint: int) -> int:
@@ -121,7 +121,7 @@
                 self.probes.append(action.endpoint)
             elif isinstance(action, Cancel):
                 assert self.config.can_cancel
-                assert action.copy < len(self.asked[action.request].tries)
+                assert action.attempt_index < len(self.asked[action.request].tries)
 
     def sent(self, action: Send) -> None:
         one = self.asked[action.request]
@@ -213,7 +213,7 @@
 
     def probe(self, ok: bool) -> None:
         if self.probes:
-            found = Probed(self.probes.pop(0), OK if ok else TIMEOUT, MS, (3.0,) if ok else None)
+            found = ProbeResult(self.probes.pop(0), OK if ok else TIMEOUT, MS, (3.0,) if ok else None)
             self.take(self.balancer.probed(self.now, found))
 
     def pass_time(self, span: int) -> None:
@@ -261,7 +261,7 @@
         st.tuples(
             st.just("outcome"),
             st.integers(0, 50),
-            st.sampled_from((OK, ERROR, FULL, TIMEOUT, NO_CONNECT, RESET, CANCELLED, MOOT)),
+            st.sampled_from((OK, ERROR, FULL, TIMEOUT, NO_CONNECT, RESET, CANCELLED, NOT_SENT)),
         ),
         st.tuples(st.just("storm"), st.sampled_from((ERROR, FULL, TIMEOUT, NO_CONNECT)), st.integers(1, 4)),
         st.tuples(st.just("leave"), st.integers(0, 50)),
@@ -310,7 +310,7 @@
     assert not unanswered, "every request is answered in the end"
     assert not ledger.balancer.requests
     queues = ledger.balancer.key_queues.queues.values()
-    assert not any(queue.waiting or queue.attempts_out for queue in queues)
+    assert not any(queue.open_requests or queue.outstanding_attempts for queue in queues)
 
 
 def run_twice(seed: int, steps: list[tuple[str, *tuple[object, ...]]]) -> list[list[tuple[int, int]]]:
@@ -338,7 +338,7 @@
     ("owner", "guard", "broken", "cls", "why"),
     [
         (KeyQueues, "has_turn", True, 5, "one of a key at a time"),
-        (RetryPolicy, "may_retry", True, 1, "no effect twice"),
+        (RetryPolicy, "can_attempt", True, 1, "no effect twice"),
         (Membership, "remove", False, 0, "only to endpoints that are ready"),
     ],
 )
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -13,7 +13,7 @@
 from typing import cast
 
 import pytest
-from laurelstep.balancing.concurrency_limit import HELD_MIN
+from laurelstep.balancing.concurrency_limit import IN_FLIGHT_MIN
 from laurelstep.balancing.events import CANCELLED, ERROR, FULL, OK
 from laurelstep.engine import Answer, Attempt, Call, Clock
 from laurelstep.library.client import Exchange
@@ -505,7 +505,7 @@
 
 async def settle(one: Sidecar) -> None:
     """Serve requests until the entry bounds what it holds."""
-    while not one.engine.balancer.admission.limit.settled:
+    while not one.engine.balancer.admission.limit.is_unloaded_known:
         assert (await one.ask(PAGE)).body == b"ok"
 
 
@@ -520,7 +520,7 @@
         endpoint = Endpoint(some)
         async with sidecar(endpoint, stage=0) as one:
             await settle(one)
-            lost = [await one.connect() for _ in range(HELD_MIN)]
+            lost = [await one.connect() for _ in range(IN_FLIGHT_MIN)]
             while not endpoint.arrived.locked():  # those of the settling
                 await endpoint.arrived.acquire()
             for n, (_, writer) in enumerate(lost):
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -21,8 +21,8 @@
     LIST_CACHED,
     LIST_DELTA,
     LIST_FULL,
-    MOOT,
     NO_CONNECT,
+    NOT_SENT,
     OK,
     RESET,
     TIMEOUT,
@@ -99,7 +99,7 @@
             assert "x-other" not in got.headers, "only what an endpoint needs"
             assert "x-load" not in back.headers, "only what a caller needs"
             (told,) = one.engine.balancer.endpoints.values()
-            assert told.reported_waiting == 2.0, "the socket's queue is the settings' waiting"
+            assert told.reported_queued == 2.0, "the socket's queue is the settings' waiting"
 
     run(main())
 
@@ -144,11 +144,11 @@
             before = one.engine.now()
             one.told(started)
             (known,) = one.engine.balancer.endpoints.values()
-            boot = known.boot
+            boot = known.started_at
             assert before - 4_000_000 <= boot <= one.engine.now() - 4_000_000
             wall += 3_600_000_000  # the wall clock is set: no restart
             one.told(started)
-            assert known.boot == boot
+            assert known.started_at == boot
 
     run(main())
 
@@ -474,7 +474,7 @@
             back = await one.ask(request("pay", deadline_ms=80))
             assert one.engine.now() - asked >= 80_000, "never early"
             assert back.start.split()[1] == "504"
-            assert [(event.outcome, event.over) for event in told] == [(TIMEOUT, False)]
+            assert [(event.outcome, event.is_final) for event in told] == [(TIMEOUT, False)]
             await endpoint.closed.acquire()  # giving up closes the connection
 
     run(main())
@@ -553,7 +553,7 @@
             await endpoint.arrived.acquire()
             writer.close()
             await endpoint.closed.acquire()
-            assert [(event.outcome, event.over) for event in told] == [(CANCELLED, True)]
+            assert [(event.outcome, event.is_final) for event in told] == [(CANCELLED, True)]
             assert not one.engine.calls and not one.engine.balancer.requests
 
     run(main())
@@ -580,7 +580,7 @@
             assert not one.engine.attempts.may_start(attempt, now)
             link = one.upstream.by_attempt[attempt]
             link.write()  # as a connect that took so long would
-            assert [event.outcome for event in told] == [MOOT] and len(endpoint.got) == 1
+            assert [event.outcome for event in told] == [NOT_SENT] and len(endpoint.got) == 1
             asked.cancel()
 
     run(main())
@@ -594,7 +594,7 @@
             told = outcomes(one.engine)
             await one.ask(request("pay"))
             assert sum(len(endpoint.got) for endpoint in endpoints) == 2
-            assert [event.outcome for event in told][:3] == [FULL, FULL, MOOT]
+            assert [event.outcome for event in told][:3] == [FULL, FULL, NOT_SENT]
 
     run(main())
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -301,11 +301,11 @@
     for now in range(gap, 40 * SECOND, gap):
         assert driver.serve(now, gap // 2)
         if now == 5 * SECOND:
-            cold.boot = cold.slow_start_budget_at = now
+            cold.started_at = cold.slow_start_budget_at = now
         if now > thrifty + 2 * SECOND:
             thrifty = now + rng.randrange(3 * SECOND)  # it saves up to here, and then takes all it may
-        while now > thrifty and cold.boot and balancer.slow_start.is_warming_up(now, cold):
-            if balancer.slow_start.slow_start_budget(now, cold) < 1.0:
+        while now > thrifty and cold.started_at and balancer.slow_start.is_warming_up(now, cold):
+            if balancer.slow_start.refill_budget(now, cold) < 1.0:
                 break
             cold.slow_start_budget -= 1.0
             spent.append(now)
@@ -343,8 +343,8 @@
         for size in (20, 4):
             balancer.members(5 * SECOND, LIST_FULL, fleet(size))
             cold = next(one for one in balancer.endpoints.values() if balancer.subsets.pair[0].contains(one))
-            holders = balancer.subsets.span * balancer.settings.instances / size
-            cold.boot = cold.slow_start_budget_at = 5 * SECOND
+            holders = balancer.subsets.endpoints_in_subsets * balancer.settings.instances / size
+            cold.started_at = cold.slow_start_budget_at = 5 * SECOND
             cold.slow_start_budget = 0.0
-            parts.append(balancer.slow_start.slow_start_budget(5 * SECOND + 10 * MS, cold) * holders)
+            parts.append(balancer.slow_start.refill_budget(5 * SECOND + 10 * MS, cold) * holders)
         assert parts[1] <= 1.1 * parts[0], changes
--- a/tests/test_slow_start_fleets.py
+++ b/tests/test_slow_start_fleets.py
@@ -135,7 +135,7 @@
         sent = super()._sent(now, send)
         if len(server.got) > before:
             known = self.copies[self.sender].endpoints[send.endpoint]
-            server.told.append(known.boot == server.boot)
+            server.told.append(known.started_at == server.boot)
         return sent
 
 
