--- a/laurelstep/engine/loop_watch.py
+++ b/laurelstep/engine/loop_watch.py
@@ -1,11 +1,10 @@
-"""Whether the event loop may have been held up, so that what has come to a socket is not read yet.
+"""Detects that the event loop may have been blocked, so that data which arrived at a socket is still unread.
 
-Rules that everything here serves:
+Rules of this module:
 
-1. Whoever is told that the loop is not late may count on this: what came to a socket `STALE_US` ago or
-   earlier has been read.
-2. Asking costs no system call and no wake-up of an idle loop. Where nobody has asked for `HELD_US`
-   nothing is known, so the loop counts as late.
+1. While the loop is not late, all data that arrived at a socket `STALE_US` ago or earlier has been read.
+2. A check costs no system call and does not wake an idle loop. After `BLOCKED_US` without a check nothing is
+   known of the loop, so it counts as late.
 """
 
 from __future__ import annotations
@@ -14,40 +13,42 @@
 
 from laurelstep.engine.ports import Clock
 
-# A longer gap between two questions may be a loop that was held, or an idle one.
-HELD_US: Final = 20_000
-# A turn of the loop is awaited no more often than this.
-TURN_EACH_US: Final = 10_000
-# Behind a hold: what came during it is read within two turns.
+# After a longer time between two checks the loop may have been blocked; it may also have been idle.
+BLOCKED_US: Final = 20_000
+# The shortest time between two iterations of the loop that are observed.
+ITERATION_INTERVAL_US: Final = 10_000
+# How long the loop counts as late after it was blocked. Data that arrived meanwhile is read within two
+# iterations.
 LATE_US: Final = 50_000
+# Data that arrived longer ago than this has been read, unless the loop is late.
 STALE_US: Final = 100_000
 
 
 class LoopWatch:
-    """Asked before an attempt begins; keeps one callback pending on the loop at most."""
+    """Checked before an attempt begins. At most one callback of it is pending on the loop. Times in µs."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.asked_at = 0
-        self.turn_at = 0  # when the last turn came, or was asked for
-        self.awaits_turn = False
+        self.last_checked_at = 0
+        self.iteration_at = 0  # when the last observed iteration ran, or the next one was requested
+        self.awaits_iteration = False
         self.late_until = 0
 
     def is_late(self, now: int) -> bool:
-        """Whether something older than `STALE_US` may be unread at the time `now`, in us."""
-        held = now - self.asked_at > HELD_US
-        self.asked_at = now
-        if self.awaits_turn:
-            held = held or now - self.turn_at > HELD_US
-        elif now - self.turn_at > TURN_EACH_US:
-            self.awaits_turn, self.turn_at = True, now
-            self.clock.at(now, self._on_turn)
-        if held:
+        """Whether data that arrived more than `STALE_US` ago may be unread at the time `now`, in µs."""
+        was_blocked = now - self.last_checked_at > BLOCKED_US
+        self.last_checked_at = now
+        if self.awaits_iteration:
+            was_blocked = was_blocked or now - self.iteration_at > BLOCKED_US
+        elif now - self.iteration_at > ITERATION_INTERVAL_US:
+            self.awaits_iteration, self.iteration_at = True, now
+            self.clock.at(now, self._on_iteration)
+        if was_blocked:
             self.late_until = now + LATE_US
         return now < self.late_until
 
-    def _on_turn(self) -> None:
+    def _on_iteration(self) -> None:
         now = self.clock.now()
-        if now - self.turn_at > HELD_US:
+        if now - self.iteration_at > BLOCKED_US:
             self.late_until = now + LATE_US
-        self.awaits_turn, self.turn_at = False, now
+        self.awaits_iteration, self.iteration_at = False, now
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -21,7 +21,7 @@
 import pytest
 from laurelstep.balancing.events import FULL, Action, Outcome, Send
 from laurelstep.engine import Call
-from laurelstep.engine.loop_watch import HELD_US
+from laurelstep.engine.loop_watch import BLOCKED_US
 from laurelstep.hot_restart.rendezvous import RendezvousPoint
 from laurelstep.hot_restart.successor import take_over
 from laurelstep.net.client_connection import ClientConnection
@@ -971,7 +971,7 @@
                 leave(caller)
             else:
                 leave_before_connection_made(one, lambda: leave(caller))
-            one.engine.attempts.loop_watch.asked_at -= HELD_US  # the loop was held for so long
+            one.engine.attempts.loop_watch.last_checked_at -= BLOCKED_US  # the loop was held for so long
             one.engine._carry_out(Send(rid, number, 0))
             await until(lambda: not one.engine.calls and not one.server.connections)
             one.engine.decisions = one.engine.balancer
--- a/tests/test_loop_watch.py
+++ b/tests/test_loop_watch.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from laurelstep.engine.loop_watch import HELD_US, LATE_US, STALE_US, LoopWatch
+from laurelstep.engine.loop_watch import BLOCKED_US, LATE_US, STALE_US, LoopWatch
 
 from tests.fakes import Due
 
@@ -66,7 +66,7 @@
         loop.passes(1_000)
         loop.turn()
         loop.is_late()
-    loop.passes(HELD_US + 1)
+    loop.passes(BLOCKED_US + 1)
     assert loop.is_late()
     loop.passes(1_000)
     assert loop.is_late(), "the same turn"
