--- a/laurelstep/outbox/shared/agreement.py
+++ b/laurelstep/outbox/shared/agreement.py
@@ -1,11 +1,13 @@
-"""Brings entries of the record to agreement: from whichever copy, through whoever leads.
-
-1. An entry is proposed where this process leads, else told to the leader as a word; again after `AGAIN_US`,
-   each time twice as long up to `AGAIN_MOST_US`: until the record says so, or the asker's time is over.
-2. What is agreed is seen in the record alone: a proposal that was taken says nothing.
-3. An entry that is on its way is not proposed again, whoever tells it: until it is applied, another leads, or
-   `FLIGHT_US` are over.
-4. `WAITS_MOST` wait at a time; one more hears False at once. So do all, once this is closed.
+"""Gets ledger entries agreed: from any copy, through the copy that leads consensus.
+
+1. A copy that leads proposes an entry; another copy sends it to the leader as a message. Both submit it again
+   after `RESUBMIT_MIN_US`, each time after twice as long up to `RESUBMIT_MAX_US`, until the ledger shows the
+   entry's effect or the caller's deadline passes.
+2. Only the ledger shows that an entry is agreed. That consensus accepted a proposal does not.
+3. An entry whose proposal is in flight is not proposed again, whoever submits it, until the entry is applied,
+   the leadership changes, or `PROPOSAL_TIMEOUT_US` pass.
+4. At most `MAX_WAITERS` calls of `agree` wait at a time. A further call gets False at once, as does every
+   call after `close`.
 """
 
 from __future__ import annotations
@@ -17,200 +19,210 @@
 from laurelstep.consensus.errors import BusyError, NotLeaderError
 from laurelstep.consensus.multiplexer import ProposalClient
 from laurelstep.engine.ports import Clock, Handle
-from laurelstep.outbox.shared.entries import KIND, LedgerEntry, pack, unpack_word
+from laurelstep.outbox.shared.entries import KIND, LedgerEntry, pack, unpack_message
 from laurelstep.outbox.shared.ledger import ReplicatedLedger
 
-__all__ = ["AGAIN_MOST_US", "AGAIN_US", "FLIGHT_US", "WAITS_MOST", "AgreementDriver"]
+__all__ = ["MAX_WAITERS", "PROPOSAL_TIMEOUT_US", "RESUBMIT_MAX_US", "RESUBMIT_MIN_US", "AgreementDriver"]
 
-AGAIN_US: Final = 100_000
-AGAIN_MOST_US: Final = 800_000
-FLIGHT_US: Final = 1_000_000
-WAITS_MOST: Final = 512
-_FLIGHTS_MOST: Final = 1_024
+RESUBMIT_MIN_US: Final = 100_000
+RESUBMIT_MAX_US: Final = 800_000
+PROPOSAL_TIMEOUT_US: Final = 1_000_000
+MAX_WAITERS: Final = 512
+_MAX_PROPOSALS: Final = 1_024
 
 
-class _PendingWord:
-    """One entry that somebody here waits for."""
+class _PendingEntry:
+    """An entry that at least one caller on this copy waits for."""
 
-    __slots__ = ("again_us", "data", "due", "timer", "waits")
+    __slots__ = ("data", "resubmit_at", "resubmit_delay_us", "timer", "waiters")
 
     def __init__(self, data: bytes) -> None:
         self.data = data
-        self.again_us = AGAIN_US
-        self.due = 0  # when it is told again
+        self.resubmit_delay_us = RESUBMIT_MIN_US
+        self.resubmit_at = 0
         self.timer: Handle | None = None
-        self.waits: list[_PendingEntry] = []
+        self.waiters: list[_Waiter] = []
 
 
-class _PendingEntry:
-    __slots__ = ("done", "future", "until")
+class _Waiter:
+    __slots__ = ("deadline", "future", "is_agreed")
 
-    def __init__(self, done: Callable[[], bool], until: int, future: asyncio.Future[bool]) -> None:
-        self.done = done
-        self.until = until
+    def __init__(self, is_agreed: Callable[[], bool], deadline: int, future: asyncio.Future[bool]) -> None:
+        self.is_agreed = is_agreed
+        self.deadline = deadline
         self.future = future
 
 
 class AgreementDriver:
-    """See the rules. Takes the client's `on_leader_message` and `on_change`, and the record's `applied`.
+    """Submits entries by the rules at the head of the module and reports which ones the ledger shows.
 
-    `on_change` of its own is called after entries were applied, and when it is known, led or in touch
-    otherwise.
+    It takes over `on_leader_message` and `on_change` of the consensus client and `on_applied` of the ledger.
+    Its own `on_change` is called after entries were applied, and when the consensus client is caught up, has
+    a leader or is in contact with one differently than before.
     """
 
-    def __init__(self, accord: ProposalClient, record: ReplicatedLedger, clock: Clock) -> None:
-        self.accord = accord
-        self.record = record
+    def __init__(self, consensus: ProposalClient, ledger: ReplicatedLedger, clock: Clock) -> None:
+        self.consensus = consensus
+        self.ledger = ledger
         self.clock = clock
         self.on_change: Callable[[], None] = lambda: None
         self.counters = {"agreed": 0, "late": 0, "full": 0, "told": 0, "proposed": 0, "unread": 0}
-        self._tellings: dict[bytes, _PendingWord] = {}
-        self._count = 0  # of waits
-        self._flights: dict[bytes, int] = {}  # until when each counts as on its way
-        self._reign: tuple[object, ...] = ()
-        self._closed = False
-        accord.on_leader_message = self._hear
-        accord.on_change = self._change
-        record.applied = self._landed
+        self._pending: dict[bytes, _PendingEntry] = {}
+        self._waiter_count = 0
+        self._proposals: dict[bytes, int] = {}  # in flight, with the time at which each counts as lost
+        self._leadership: tuple[object, ...] = ()
+        self._is_closed = False
+        consensus.on_leader_message = self._on_leader_message
+        consensus.on_change = self._on_consensus_change
+        ledger.on_applied = self._on_applied
 
     @property
     def is_ready(self) -> bool:
-        """All that was agreed when this copy came is known here, and a leader with a majority is heard."""
-        return not self._closed and self.accord.is_caught_up and self.accord.has_leader_contact
+        """Whether this copy has all entries that were committed when it joined, and is in contact with a
+        leader that a majority follows.
+        """
+        return not self._is_closed and self.consensus.is_caught_up and self.consensus.has_leader_contact
 
-    def agree(self, entry: LedgerEntry, done: Callable[[], bool], until: int) -> asyncio.Future[bool]:
-        """Whether `done()` holds on the record by `until`. Told from now on, also if nobody awaits it yet;
-        cancel it to tell no more. `EntryError` for what is no entry.
+    def agree(self, entry: LedgerEntry, is_agreed: Callable[[], bool], deadline: int) -> asyncio.Future[bool]:
+        """Submit an entry. The future is True once `is_agreed` holds on the ledger, False if it does not by
+        `deadline`, in µs of the clock. The entry is submitted even before the future is awaited; cancelling
+        the future stops that. `EntryError` for an invalid entry.
         """
         data = pack(entry)
         future = asyncio.get_running_loop().create_future()
-        if done():
+        if is_agreed():
             self.counters["agreed"] += 1
             future.set_result(True)
-        elif self._closed or until <= self.clock.now():
+        elif self._is_closed or deadline <= self.clock.now():
             future.set_result(False)
-        elif self._count >= WAITS_MOST:
+        elif self._waiter_count >= MAX_WAITERS:
             self.counters["full"] += 1
             future.set_result(False)
         else:
-            self._await(data, _PendingEntry(done, until, future))
+            self._add_waiter(data, _Waiter(is_agreed, deadline, future))
         return future
 
     def close(self) -> None:
-        """All that waits hears False."""
-        self._closed = True
-        for is_unpublished in list(self._tellings.values()):
-            for wait in list(is_unpublished.waits):
-                self._end(is_unpublished, wait, False)
-        self._flights.clear()
-
-    # --- What waits -------------------------------------------------------------------
-
-    def _await(self, data: bytes, wait: _PendingEntry) -> None:
-        is_unpublished = self._tellings.get(data)
-        is_new = is_unpublished is None
-        if is_unpublished is None:
-            is_unpublished = self._tellings[data] = _PendingWord(data)
-        is_unpublished.waits.append(wait)
-        self._count += 1
-        wait.future.add_done_callback(lambda future: self._called_off(is_unpublished, wait))
+        """Resolve all futures that still wait to False, and submit nothing more."""
+        self._is_closed = True
+        for pending in list(self._pending.values()):
+            for waiter in list(pending.waiters):
+                self._finish(pending, waiter, False)
+        self._proposals.clear()
+
+    # --- Waiters ----------------------------------------------------------------------
+
+    def _add_waiter(self, data: bytes, waiter: _Waiter) -> None:
+        pending = self._pending.get(data)
+        is_new = pending is None
+        if pending is None:
+            pending = self._pending[data] = _PendingEntry(data)
+        pending.waiters.append(waiter)
+        self._waiter_count += 1
+        waiter.future.add_done_callback(lambda future: self._on_future_done(pending, waiter))
         if is_new:
-            is_unpublished.due = self.clock.now() + is_unpublished.again_us
-            self._tell(data)
-        if is_unpublished.waits:
-            self._arm(is_unpublished)
-
-    def _called_off(self, is_unpublished: _PendingWord, wait: _PendingEntry) -> None:
-        if wait in is_unpublished.waits:  # its asker cancelled it
-            self._end(is_unpublished, wait, False)
-
-    def _end(self, is_unpublished: _PendingWord, wait: _PendingEntry, resolution: bool) -> None:
-        is_unpublished.waits.remove(wait)
-        self._count -= 1
-        if not is_unpublished.waits:
-            del self._tellings[is_unpublished.data]
-            if is_unpublished.timer is not None:
-                is_unpublished.timer.cancel()
-        if not wait.future.done():
-            self.counters["agreed" if resolution else "late"] += 1
-            wait.future.set_result(resolution)
-
-    def _arm(self, is_unpublished: _PendingWord) -> None:
-        if is_unpublished.timer is not None:
-            is_unpublished.timer.cancel()
-        due = min(is_unpublished.due, *(wait.until for wait in is_unpublished.waits))
-        is_unpublished.timer = self.clock.at(due, self._wake, is_unpublished)
-
-    def _wake(self, is_unpublished: _PendingWord) -> None:
-        """Told again, or too late. What became true meanwhile is true."""
-        is_unpublished.timer = None
+            pending.resubmit_at = self.clock.now() + pending.resubmit_delay_us
+            self._submit(data)
+        if pending.waiters:
+            self._set_timer(pending)
+
+    def _on_future_done(self, pending: _PendingEntry, waiter: _Waiter) -> None:
+        if waiter in pending.waiters:  # the caller cancelled the future
+            self._finish(pending, waiter, False)
+
+    def _finish(self, pending: _PendingEntry, waiter: _Waiter, result: bool) -> None:
+        pending.waiters.remove(waiter)
+        self._waiter_count -= 1
+        if not pending.waiters:
+            del self._pending[pending.data]
+            if pending.timer is not None:
+                pending.timer.cancel()
+        if not waiter.future.done():
+            self.counters["agreed" if result else "late"] += 1
+            waiter.future.set_result(result)
+
+    def _set_timer(self, pending: _PendingEntry) -> None:
+        if pending.timer is not None:
+            pending.timer.cancel()
+        due = min(pending.resubmit_at, *(waiter.deadline for waiter in pending.waiters))
+        pending.timer = self.clock.at(due, self._on_timer, pending)
+
+    def _on_timer(self, pending: _PendingEntry) -> None:
+        """Finish the waiters that are agreed or late, and submit the entry again if that is due. An effect
+        that the ledger shows by now counts, also at the deadline.
+        """
+        pending.timer = None
         now = self.clock.now()
-        self._judge(is_unpublished, now)
-        if not is_unpublished.waits:
+        self._check_waiters(pending, now)
+        if not pending.waiters:
             return
-        if now >= is_unpublished.due:
-            is_unpublished.again_us = min(2 * is_unpublished.again_us, AGAIN_MOST_US)
-            is_unpublished.due = now + is_unpublished.again_us
-            self._tell(is_unpublished.data)
-        if is_unpublished.waits:
-            self._arm(is_unpublished)
-
-    def _judge(self, is_unpublished: _PendingWord, now: int) -> None:
-        for wait in list(is_unpublished.waits):
-            if wait.done():
-                self._end(is_unpublished, wait, True)
-            elif now >= wait.until:
-                self._end(is_unpublished, wait, False)
-
-    def _change(self) -> None:
+        if now >= pending.resubmit_at:
+            pending.resubmit_delay_us = min(2 * pending.resubmit_delay_us, RESUBMIT_MAX_US)
+            pending.resubmit_at = now + pending.resubmit_delay_us
+            self._submit(pending.data)
+        if pending.waiters:
+            self._set_timer(pending)
+
+    def _check_waiters(self, pending: _PendingEntry, now: int) -> None:
+        for waiter in list(pending.waiters):
+            if waiter.is_agreed():
+                self._finish(pending, waiter, True)
+            elif now >= waiter.deadline:
+                self._finish(pending, waiter, False)
+
+    def _on_consensus_change(self) -> None:
         now = self.clock.now()
-        for is_unpublished in list(self._tellings.values()):
-            self._judge(is_unpublished, now)
-        self._look_who_leads()
+        for pending in list(self._pending.values()):
+            self._check_waiters(pending, now)
+        self._check_leadership()
         self.on_change()
 
-    # --- On its way -------------------------------------------------------------------
+    # --- Proposals in flight ------------------------------------------------------------
 
-    def _tell(self, data: bytes) -> None:
+    def _submit(self, data: bytes) -> None:
         self.counters["told"] += 1
-        if self.accord.is_leader:
+        if self.consensus.is_leader:
             self._propose(data)
             return
         try:
-            self.accord.send_to_leader(data)
+            self.consensus.send_to_leader(data)
         except BusyError:
-            return  # as if it were lost
+            return  # the same as a lost message: the entry is submitted again
 
-    def _hear(self, peer: int, incarnation: int, data: bytes) -> None:
-        """A word came to this process, which leads."""
-        if unpack_word(data) is None:
+    def _on_leader_message(self, peer: int, incarnation: int, data: bytes) -> None:
+        """Propose an entry that another copy sent to this one, which leads."""
+        if unpack_message(data) is None:
             self.counters["unread"] += 1
         else:
             self._propose(data)
 
     def _propose(self, data: bytes) -> None:
-        self._look_who_leads()
+        self._check_leadership()
         now = self.clock.now()
-        if self._closed or self._flights.get(data, now) > now:
+        if self._is_closed or self._proposals.get(data, now) > now:
             return
-        if len(self._flights) >= _FLIGHTS_MOST:
-            self._flights = {one: until for one, until in self._flights.items() if until > now}
-            if len(self._flights) >= _FLIGHTS_MOST:
+        if len(self._proposals) >= _MAX_PROPOSALS:
+            self._proposals = {
+                proposed: lost_at for proposed, lost_at in self._proposals.items() if lost_at > now
+            }
+            if len(self._proposals) >= _MAX_PROPOSALS:
                 return
-        self._flights[data] = now + FLIGHT_US  # it may land at once
+        self._proposals[data] = (
+            now + PROPOSAL_TIMEOUT_US
+        )  # before `propose`, which may apply the entry at once
         try:
-            self.accord.propose(data)
+            self.consensus.propose(data)
         except (NotLeaderError, BusyError):
-            self._flights.pop(data, None)  # its asker tells it again
+            self._proposals.pop(data, None)  # its caller submits it again
         else:
             self.counters["proposed"] += 1
 
-    def _landed(self, data: bytes) -> None:
-        self._flights.pop(KIND + data, None)
+    def _on_applied(self, data: bytes) -> None:
+        self._proposals.pop(KIND + data, None)
 
-    def _look_who_leads(self) -> None:
-        """What was on its way under another leader may be lost."""
-        reign = self.accord.epoch, self.accord.leader_id, self.accord.is_leader
-        if reign != self._reign:
-            self._reign = reign
-            self._flights.clear()
+    def _check_leadership(self) -> None:
+        """Forget the proposals in flight if the leadership changed: they may be lost."""
+        leadership = self.consensus.epoch, self.consensus.leader_id, self.consensus.is_leader
+        if leadership != self._leadership:
+            self._leadership = leadership
+            self._proposals.clear()
--- a/laurelstep/outbox/shared/carried_ledger.py
+++ b/laurelstep/outbox/shared/carried_ledger.py
@@ -1,7 +1,8 @@
-"""What each copy that takes part in consensus has of queued writes, also one that shares none itself.
+"""The ledger of queued writes on each copy that takes part in consensus, also where the shared outbox is off.
 
-It may come to lead. Without the machine its snapshot would make the others forget; without the sharer their
-words would come to nothing.
+Any such copy may come to lead. Without the state machine, the snapshots that it sends would lack the ledger
+and make the other copies forget it. Without the agreement driver, it would not propose the entries that the
+other copies send to it.
 """
 
 from __future__ import annotations
@@ -19,19 +20,19 @@
 
 
 class CarriedLedger:
-    """The ledger of one process, and what brings entries to agreement once it takes part."""
+    """The ledger of one process, and the driver that gets entries agreed once the process has joined."""
 
     def __init__(self) -> None:
-        self.record: Final = ReplicatedLedger()
-        self.state_machines: Final[dict[int, StateMachine]] = {KIND[0]: self.record}
-        self.sharer: AgreementDriver | None = None
+        self.ledger: Final = ReplicatedLedger()
+        self.state_machines: Final[dict[int, StateMachine]] = {KIND[0]: self.ledger}
+        self.agreement: AgreementDriver | None = None
 
-    def join(self, part: ConsensusChannel, clock: Clock) -> AgreementDriver:
-        """`part`: that of `KIND`."""
-        self.sharer = AgreementDriver(part, self.record, clock)
-        return self.sharer
+    def join(self, channel: ConsensusChannel, clock: Clock) -> AgreementDriver:
+        """Start to agree on entries through the consensus channel of `KIND`."""
+        self.agreement = AgreementDriver(channel, self.ledger, clock)
+        return self.agreement
 
     def close(self) -> None:
-        """Agree on nothing any more."""
-        if self.sharer is not None:
-            self.sharer.close()
+        """Stop agreeing on entries. Nothing happens if `join` was never called."""
+        if self.agreement is not None:
+            self.agreement.close()
--- a/laurelstep/outbox/shared/entries.py
+++ b/laurelstep/outbox/shared/entries.py
@@ -1,10 +1,13 @@
-"""What copies agree on of queued writes: the record's entries. Pure.
-
-1. All begin with the byte `KIND`, as one record and one link carry other things too (of an entry it is taken
-   off before the record has it: `laurelstep.consensus.state_machines`); then a tagged array in msgpack.
-2. An entry is also told as a word, to whoever leads. One that comes twice, late or before another says the
-   same: what depends on what was before names it (`Intent.ask`, `LogLease.turn`, `StatusRecord.ask`).
-3. Fields are only ever added at the end. What can't be, or is of a later version, is no entry.
+"""Entries of the replicated ledger: what the copies upstream agree on about queued writes. Pure.
+
+1. Each entry begins with the byte `KIND`, because the consensus log and its links also carry entries of other
+   kinds. `laurelstep.consensus.state_machines` removes that byte before the ledger applies the entry. The
+   rest is a tagged array in msgpack.
+2. A copy that does not lead sends the entry as a message to the leader. An entry that arrives twice, late or
+   out of order has no further effect: an entry that depends on earlier state names that state
+   (`Intent.intent_id`, `LogLease.holder_changes`, `StatusRecord.intent_id`).
+3. New fields are only ever added at the end. An entry with a value out of range, or of a tag that only a
+   later version knows, is not an entry.
 """
 
 from __future__ import annotations
@@ -32,14 +35,14 @@
     "WriteApplied",
     "pack",
     "unpack",
-    "unpack_word",
+    "unpack_message",
 ]  # fmt: skip
 
 KIND: Final = b"o"
-# Lives, incarnations and asks are 1 to below this; numbers of writes 1 to below NUMBER_END.
+# Incarnations and intent ids are from 1 to below ID_END, numbers of writes from 1 to below NUMBER_END.
 ID_END: Final = 1 << 64
 NUMBER_END: Final = 1 << 63
-_MOST: Final = min(MAX_ENTRY_BYTES, MAX_LEADER_MESSAGE_BYTES)
+_MAX_BYTES: Final = min(MAX_ENTRY_BYTES, MAX_LEADER_MESSAGE_BYTES)
 
 
 class _Entry(msgspec.Struct, frozen=True, array_like=True, tag_field="t"):
@@ -47,53 +50,59 @@
 
 
 class Intent(_Entry, frozen=True, tag=1):
-    """BEGIN: an unsafe write of this life is about to be sent, by one ask of a gate: 64 random bits."""
+    """A replay gate is about to send an unsafe write, which the edge process `incarnation` replays.
+
+    `intent_id`: 64 random bits that the gate draws for each replay.
+    """
 
     write_id: WriteId
-    life: int
-    ask: int
+    incarnation: int
+    intent_id: int
 
 
 class IntentWithdrawal(_Entry, frozen=True, tag=2):
-    """UNBEGIN, by the very ask: it has sent nothing, and never will."""
+    """The gate that recorded the intent has sent nothing under it and never will."""
 
     write_id: WriteId
-    ask: int
+    intent_id: int
 
 
 class WriteApplied(_Entry, frozen=True, tag=3):
-    """IN: a final answer says that the write ran."""
+    """A final answer shows that the write was applied."""
 
     write_id: WriteId
 
 
 class LogLease(_Entry, frozen=True, tag=4):
-    """CLAIM: `life` holds the log instead of `of`, if `turn` is how often its holder changed before.
-    `force`: an operator's word; `of` is not looked at.
+    """`incarnation` takes the lease on the log from `previous_holder`, if the log's holder has changed
+    `holder_changes` times before. `is_forced`: an operator demanded it; `previous_holder` is not compared.
     """
 
     edge_log: EdgeLog
-    life: int
-    of: int
-    turn: int
-    force: bool = False
+    incarnation: int
+    previous_holder: int
+    holder_changes: int
+    is_forced: bool = False
 
 
 class StatusRecord(_Entry, frozen=True, tag=5):
-    """FATE, or with `before` LOW: what the holder says of one write or of all up to it. `ask`: an operator
-    said that this ask never ran it, though it had begun; of which `parking`, if that is told.
+    """The log's holder `incarnation` records the status of one write, or with `before` of all writes up to
+    it.
+
+    `intent_id`: an operator resolved that this intent never ran the write. `parking`: the number of the
+    parking that was resolved; 0 if the sender did not name it.
     """
 
     write_id: WriteId
     write_status: WriteStatus
-    life: int
+    incarnation: int
     before: bool = False
-    ask: int = 0
+    intent_id: int = 0
     parking: int = 0
 
 
 class EdgeLost(_Entry, frozen=True, tag=6):
-    """LOST: an operator declares an edge lost with all its logs; with an incarnation, that log alone."""
+    """An operator declares an edge lost with all its logs, or just the log of `incarnation` if not 0."""
 
     edge: str
     incarnation: int = 0
@@ -105,20 +114,20 @@
 
 
 def pack(entry: LedgerEntry) -> bytes:
-    """`EntryError` for what no copy would take."""
+    """Encode an entry, with `KIND` first. `EntryError` if other copies would reject it."""
     try:
         _CHECKS[type(entry)](entry)
     except (ValueError, TypeError) as error:
-        raise EntryError(f"no entry of kept writes: {error}") from None
+        raise EntryError(f"invalid ledger entry: {error}") from None
     data = KIND + _encode(entry)
-    if len(data) > _MOST:
-        raise EntryError(f"an entry of {len(data)} bytes, {_MOST} at most")
+    if len(data) > _MAX_BYTES:
+        raise EntryError(f"ledger entry too large: {len(data)} bytes, {_MAX_BYTES} at most")
     return data
 
 
 def unpack(data: bytes) -> LedgerEntry | None:
-    """Without its first byte. None for what is no entry of queued writes."""
-    if len(data) >= _MOST:
+    """Decode an entry without its first byte. None if it is not a valid ledger entry."""
+    if len(data) >= _MAX_BYTES:
         return None
     try:
         entry = _decoder.decode(data)
@@ -128,67 +137,67 @@
     return entry
 
 
-def unpack_word(data: bytes) -> LedgerEntry | None:
-    """An entry that was told as a word, with its first byte. None for what is no entry of queued writes."""
+def unpack_message(data: bytes) -> LedgerEntry | None:
+    """Decode an entry with its first byte, as it is sent to the leader. None if it is not a ledger entry."""
     return unpack(data[1:]) if data[:1] == KIND else None
 
 
-def _check_line(edge: str, incarnation: int) -> None:
+def _check_edge_log(edge: str, incarnation: int) -> None:
     check_edge(edge)
     _check_id(incarnation)
 
 
-def _check_dot(write_id: WriteId) -> None:
-    _check_line(write_id.edge, write_id.incarnation)
+def _check_write_id(write_id: WriteId) -> None:
+    _check_edge_log(write_id.edge, write_id.incarnation)
     if not 0 < write_id.number < NUMBER_END:
-        raise ValueError("a number that can't be")
+        raise ValueError("write number out of range")
 
 
 def _check_id(id: int) -> None:
     if not 0 < id < ID_END:
-        raise ValueError("a life, incarnation or ask that can't be")
+        raise ValueError("incarnation or intent id out of range")
 
 
-def _check_begin(entry: Intent) -> None:
-    _check_dot(entry.write_id)
-    _check_id(entry.life)
-    _check_id(entry.ask)
+def _check_intent(entry: Intent) -> None:
+    _check_write_id(entry.write_id)
+    _check_id(entry.incarnation)
+    _check_id(entry.intent_id)
 
 
-def _check_unbegin(entry: IntentWithdrawal) -> None:
-    _check_dot(entry.write_id)
-    _check_id(entry.ask)
+def _check_withdrawal(entry: IntentWithdrawal) -> None:
+    _check_write_id(entry.write_id)
+    _check_id(entry.intent_id)
 
 
-def _check_in(entry: WriteApplied) -> None:
-    _check_dot(entry.write_id)
+def _check_applied(entry: WriteApplied) -> None:
+    _check_write_id(entry.write_id)
 
 
-def _check_hold(entry: LogLease) -> None:
-    _check_line(*entry.edge_log)
-    _check_id(entry.life)
-    if not (0 <= entry.of < ID_END and 0 <= entry.turn < NUMBER_END):
-        raise ValueError("a holder or turn that can't be")
+def _check_lease(entry: LogLease) -> None:
+    _check_edge_log(*entry.edge_log)
+    _check_id(entry.incarnation)
+    if not (0 <= entry.previous_holder < ID_END and 0 <= entry.holder_changes < NUMBER_END):
+        raise ValueError("previous holder or count of holder changes out of range")
 
 
-def _check_said(entry: StatusRecord) -> None:
-    _check_dot(entry.write_id)
-    _check_id(entry.life)
-    if not (0 <= entry.ask < ID_END and 0 <= entry.parking < NUMBER_END):
-        raise ValueError("an ask or parking that can't be")
+def _check_status_record(entry: StatusRecord) -> None:
+    _check_write_id(entry.write_id)
+    _check_id(entry.incarnation)
+    if not (0 <= entry.intent_id < ID_END and 0 <= entry.parking < NUMBER_END):
+        raise ValueError("intent id or parking number out of range")
 
 
 def _check_lost(entry: EdgeLost) -> None:
     check_edge(entry.edge)
     if not 0 <= entry.incarnation < ID_END:
-        raise ValueError("an incarnation that can't be")
+        raise ValueError("incarnation out of range")
 
 
 _CHECKS: Final[dict[type, Callable[..., None]]] = {
-    Intent: _check_begin,
-    IntentWithdrawal: _check_unbegin,
-    WriteApplied: _check_in,
-    LogLease: _check_hold,
-    StatusRecord: _check_said,
+    Intent: _check_intent,
+    IntentWithdrawal: _check_withdrawal,
+    WriteApplied: _check_applied,
+    LogLease: _check_lease,
+    StatusRecord: _check_status_record,
     EdgeLost: _check_lost,
 }
--- a/laurelstep/outbox/shared/ports.py
+++ b/laurelstep/outbox/shared/ports.py
@@ -1,4 +1,6 @@
-"""The record and its sharer, as the gate and a copy's own version vector need them."""
+"""Protocols of the ledger and its agreement driver, as the replay gate and a copy's own version vector use
+them.
+"""
 
 from __future__ import annotations
 
@@ -13,29 +15,29 @@
 
 
 class AgreedLedger(VersionVectors, Protocol):
-    """The agreed record (`shared.record.ReplicatedLedger`), with what would have to be agreed next."""
+    """The agreed ledger, and the entries to propose next. Implemented by `ReplicatedLedger`."""
 
-    def is_withdrawn(self, ask: int) -> bool:
-        """The query's intent was withdrawn: none of it is granted any more."""
+    def is_withdrawn(self, intent_id: int) -> bool:
+        """Whether the intent was withdrawn: none is granted under this id any more."""
 
-    def lease_entry(self, claim: LeaseRequest) -> LogLease | None:
-        """The entry by which the request would hold now; None if it is not open."""
+    def lease_entry(self, request: LeaseRequest) -> LogLease | None:
+        """The entry that would grant the request now; None if the request is not open."""
 
-    def status_entry(self, told: StatusUpdate) -> StatusRecord | None:
-        """The entry by which the record would say so; None if it does."""
+    def status_entry(self, update: StatusUpdate) -> StatusRecord | None:
+        """The entry that would make the ledger agree with the update; None if it agrees already."""
 
     def status(self) -> dict[str, int]:
-        """For an operator, in JSON's types."""
+        """Sizes and counters for the operator's status report, as JSON types."""
 
 
 class Agreement(Protocol):
-    """Brings entries to agreement: `shared.sharer.AgreementDriver`."""
+    """Gets ledger entries agreed. Implemented by `AgreementDriver`."""
 
     @property
     def is_ready(self) -> bool:
-        """The record is known here, and a leader is heard."""
+        """Whether the ledger is up to date on this copy and a leader is in contact."""
 
-    def agree(self, entry: LedgerEntry, done: Callable[[], bool], until: int) -> asyncio.Future[bool]:
-        """Bring an entry to agreement: True once `done` says so, False if that is not by `until`,
+    def agree(self, entry: LedgerEntry, is_agreed: Callable[[], bool], deadline: int) -> asyncio.Future[bool]:
+        """Submit an entry. The future is True once `is_agreed` holds, False if it does not by `deadline`, in
         monotonic µs.
         """
--- a/laurelstep/outbox/shared/replicated_version_vector.py
+++ b/laurelstep/outbox/shared/replicated_version_vector.py
@@ -1,17 +1,19 @@
-"""The version vector of a copy's own outbox, where upstream's copies share: the record is read, and told
-by consensus.
+"""The version vector of a copy's own outbox where copies share one: it reads the ledger and publishes to it.
 
 The rules:
 
-1. What the record says of other logs is read as it is here. In and gone are final, so a copy that is behind
-   knows less, and nothing that is false.
-2. A log is replayed only while this copy knows the record, is in touch, and holds the log there. That of
-   this life is its own; that of a former life is claimed first, once something of it is to be sent or told.
-3. A claim names all lives that this disk has known. Each of them has a log in the store before it does
-   anything, this life too; so a copy of the disk that was started apart names fewer, and is fenced.
-4. What becomes of own writes is told until the record says so, in the order in which it was told here. "All
-   up to a number are over" waits until those given up on its log are told: else they would be taken for in.
-5. At most `SAID_MOST` are to be told; one more finds no room, and is told again later.
+1. Statuses of writes in other logs are read from this copy's replica of the ledger. Applied and abandoned are
+   final, so a copy that lags knows less, but nothing false.
+2. A log is replayed only while this copy's agreement driver is ready and this process holds the log in the
+   ledger. A process holds the log of its own incarnation from the start. It requests the lease on a
+   log of an earlier incarnation first, once a write of that log is to be sent or its status published.
+3. A lease request names all incarnations that this disk has known. Each of them, this one included, has its
+   log in the store before the process does anything else. A process that was started on another copy of the
+   disk therefore names fewer, and is fenced.
+4. Statuses of own writes are published until the ledger shows them, in the order in which the outbox reported
+   them. "All writes up to a number are final" waits until the abandoned writes of its log are published:
+   otherwise the ledger would take them for applied.
+5. At most `MAX_UNPUBLISHED` statuses wait to be published. The outbox reports a further one again later.
 """
 
 from __future__ import annotations
@@ -32,174 +34,186 @@
 
 __all__ = ["ReplicatedVersionVector"]
 
-SAID_MOST: Final = 4_096
-# Entries on their way at a time, and how long each is told before it is looked at again.
-OUT_MOST: Final = 16
-AGREE_US: Final = 5_000_000
-TURN_US: Final = 1_000_000
-# Changes of the record that come together are heard of once.
-SOON_US: Final = 20_000
+MAX_UNPUBLISHED: Final = 4_096
+# Entries that wait for agreement at a time, and for how long each is submitted before it is looked at again.
+MAX_PENDING: Final = 16
+AGREE_TIMEOUT_US: Final = 5_000_000
+SUBMIT_INTERVAL_US: Final = 1_000_000
+# Delay after a change of the ledger, so that changes in quick succession are handled once.
+CHANGE_DELAY_US: Final = 20_000
 
 
 class ReplicatedVersionVector:
-    """A `VersionVector` and a `StatusPublisher`. Made before the outbox is opened; `begin` once it is."""
+    """A `VersionVector` and a `StatusPublisher`. It is created before the outbox opens, and does nothing
+    until `begin` is called on the open outbox.
+    """
 
-    def __init__(self, record: AgreedLedger, clock: Clock, log: Log) -> None:
-        self.record = record
+    def __init__(self, ledger: AgreedLedger, clock: Clock, log: Log) -> None:
+        self.ledger = ledger
         self.clock = clock
         self.log = log
-        self.sharer: Agreement | None = None
-        self.life = 0
-        self.changed: Callable[[], None] = lambda: None
-        self.claims: dict[EdgeLog, LeaseRequest] = {}  # of all lives
-        self.wanted: set[EdgeLog] = set()
-        self.fenced: set[EdgeLog] = set()
-        self.said: dict[Dependency, tuple[WriteId, WriteStatus]] = {}
-        self.out: dict[Hashable, asyncio.Future[bool]] = {}
-        self.timer: Handle | None = None
-        self.soon: Handle | None = None
+        self.agreement: Agreement | None = None
+        self.incarnation = 0
+        self.on_change: Callable[[], None] = lambda: None
+        self.lease_requests: dict[EdgeLog, LeaseRequest] = {}  # for the logs of all incarnations of this disk
+        self.wanted_logs: set[EdgeLog] = set()
+        self.fenced_logs: set[EdgeLog] = set()
+        self.unpublished: dict[Dependency, tuple[WriteId, WriteStatus]] = {}
+        self.pending: dict[Hashable, asyncio.Future[bool]] = {}
+        self.submit_timer: Handle | None = None
+        self.change_timer: Handle | None = None
 
     def begin(
-        self, sharer: Agreement, edge_log: EdgeLog, edge_logs: Iterable[EdgeLog], changed: Callable[[], None]
+        self,
+        agreement: Agreement,
+        edge_log: EdgeLog,
+        edge_logs: Iterable[EdgeLog],
+        on_change: Callable[[], None],
     ) -> None:
-        """`edge_log`: of this life; `edge_logs`: all that this disk has known, durable. `changed` is
-        called when the record has.
+        """Start to request leases and publish statuses. `edge_log`: of this incarnation; `edge_logs`: all
+        that this disk has known, stored durably. `on_change` is called after the ledger has changed.
         """
-        self.sharer = sharer
-        self.life = edge_log.incarnation
-        self.changed = changed
-        known = tuple(one.incarnation for one in edge_logs if one != edge_log)
-        self.claims = {one: LeaseRequest(one, self.life, known) for one in edge_logs}
-        # Its own needs no claim; that another life has claimed it is to be seen.
-        self.claims[edge_log] = LeaseRequest(edge_log, self.life, ())
-        self.wanted.add(edge_log)
-        self._turn()
+        self.agreement = agreement
+        self.incarnation = edge_log.incarnation
+        self.on_change = on_change
+        known = tuple(known_log.incarnation for known_log in edge_logs if known_log != edge_log)
+        self.lease_requests = {
+            known_log: LeaseRequest(known_log, self.incarnation, known) for known_log in edge_logs
+        }
+        # This incarnation holds its own log without a request, but another one may take the lease on it.
+        self.lease_requests[edge_log] = LeaseRequest(edge_log, self.incarnation, ())
+        self.wanted_logs.add(edge_log)
+        self._submit()
 
     def close(self) -> None:
-        """Ask and tell nothing any more."""
-        for handle in (self.timer, self.soon):
+        """Stop requesting leases and publishing statuses."""
+        for handle in (self.submit_timer, self.change_timer):
             if handle is not None:
                 handle.cancel()
-        for future in list(self.out.values()):
+        for future in list(self.pending.values()):
             future.cancel()
 
     # --- VersionVector and StatusPublisher -------------------------------------------------
 
     def write_status(self, dependency: Dependency) -> WriteStatus:
-        """What the record says of a write."""
-        return self.record.write_status(dependency)
+        """The status of a write in this copy's replica of the ledger."""
+        return self.ledger.write_status(dependency)
 
     def holds(self, edge_log: EdgeLog) -> bool:
-        """This process may replay the log now."""
+        """Whether this process may replay the log now. If it does not hold the log, it requests the lease."""
         self._want(edge_log)
-        return self.sharer is not None and self.sharer.is_ready and self._is_mine(edge_log)
+        return self.agreement is not None and self.agreement.is_ready and self._is_held(edge_log)
 
     def publish(self, write_id: WriteId, write_status: WriteStatus) -> bool:
-        """What became of an own write. False if there is no room."""
+        """Publish the status of an own write. False if there is no room."""
         dependency = Dependency(*write_id)
-        if dependency not in self.said and len(self.said) >= SAID_MOST:
+        if dependency not in self.unpublished and len(self.unpublished) >= MAX_UNPUBLISHED:
             return False
-        self.said.pop(dependency, None)
-        self.said[dependency] = write_id, write_status
+        self.unpublished.pop(dependency, None)
+        self.unpublished[dependency] = write_id, write_status
         self._want(write_id.edge_log)
         return True
 
     def publish_low_watermark(self, edge_log: EdgeLog, number: int) -> bool:
-        """All of an own log up to a number are over."""
-        self.said[Dependency(*edge_log, 0, True)] = WriteId(*edge_log, number), WriteStatus.APPLIED
+        """Publish that all writes of an own log up to a number are final. Always True."""
+        self.unpublished[Dependency(*edge_log, 0, True)] = WriteId(*edge_log, number), WriteStatus.APPLIED
         self._want(edge_log)
         return True
 
     def is_unpublished(self, write_id: WriteId) -> bool:
-        """What was told of an own write is not in the record yet."""
-        return Dependency(*write_id) in self.said
+        """Whether the ledger does not show the published status of an own write yet."""
+        return Dependency(*write_id) in self.unpublished
 
-    def force(self, edge_log: EdgeLog) -> bool:
-        """An operator says that this disk is the right one. False if it holds the log; KeyError if it never
-        knew it.
+    def force_lease(self, edge_log: EdgeLog) -> bool:
+        """Take the lease on a log from whichever process holds it, because an operator says that this disk is
+        the right one. False if this process holds the log; KeyError if this disk never had it.
         """
-        claim = self.claims[edge_log]
-        if self._is_mine(edge_log):
+        request = self.lease_requests[edge_log]
+        if self._is_held(edge_log):
             return False
-        self.claims[edge_log] = msgspec.structs.replace(claim, force=True)
-        self.fenced.discard(edge_log)
+        self.lease_requests[edge_log] = msgspec.structs.replace(request, force=True)
+        self.fenced_logs.discard(edge_log)
         self._want(edge_log)
-        self.heard()
+        self.on_ledger_change()
         return True
 
     def _want(self, edge_log: EdgeLog) -> None:
-        if edge_log not in self.wanted:
-            self.wanted.add(edge_log)
-            if self.sharer is not None:
-                self.heard()
-
-    def _is_mine(self, edge_log: EdgeLog) -> bool:
-        return self.record.holder(edge_log) == self.life
-
-    # --- Turns --------------------------------------------------------------------------
-
-    def heard(self) -> None:
-        """The record has changed, or how it is in touch."""
-        if self.soon is None:
-            self.soon = self.clock.at(self.clock.now() + SOON_US, self._check_endpoints)
-
-    def _check_endpoints(self) -> None:
-        self.soon = None
-        self._turn()
-        self.changed()
-
-    def _turn(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-        self.timer = self.clock.at(self.clock.now() + TURN_US, self._turn)
-        if self.sharer is None or not self.sharer.is_ready:
+        if edge_log not in self.wanted_logs:
+            self.wanted_logs.add(edge_log)
+            if self.agreement is not None:
+                self.on_ledger_change()
+
+    def _is_held(self, edge_log: EdgeLog) -> bool:
+        return self.ledger.holder(edge_log) == self.incarnation
+
+    # --- Submitting entries ---------------------------------------------------------------
+
+    def on_ledger_change(self) -> None:
+        """Submit entries and report the change after `CHANGE_DELAY_US`, because the ledger or the contact
+        with a leader has changed.
+        """
+        if self.change_timer is None:
+            self.change_timer = self.clock.at(self.clock.now() + CHANGE_DELAY_US, self._handle_change)
+
+    def _handle_change(self) -> None:
+        self.change_timer = None
+        self._submit()
+        self.on_change()
+
+    def _submit(self) -> None:
+        if self.submit_timer is not None:
+            self.submit_timer.cancel()
+        self.submit_timer = self.clock.at(self.clock.now() + SUBMIT_INTERVAL_US, self._submit)
+        if self.agreement is None or not self.agreement.is_ready:
             return
-        for edge_log in sorted(self.wanted & self.claims.keys()):
-            self._claim(edge_log, self.claims[edge_log])
-        waiting = {
+        for edge_log in sorted(self.wanted_logs & self.lease_requests.keys()):
+            self._request_lease(edge_log, self.lease_requests[edge_log])
+        logs_with_abandoned = {
             dependency.edge_log
-            for dependency, (_, write_status) in self.said.items()
+            for dependency, (_, write_status) in self.unpublished.items()
             if write_status is WriteStatus.ABANDONED
         }
-        for dependency in list(self.said):
-            if not (dependency.before and dependency.edge_log in waiting):
-                self._say(dependency)
-
-    def _claim(self, edge_log: EdgeLog, claim: LeaseRequest) -> None:
-        became = self.record.lease_status(claim)
-        if became is LeaseStatus.HELD and claim.force:  # an operator's word counts once
-            self.claims[edge_log] = msgspec.structs.replace(claim, force=False)
-        if became is LeaseStatus.FENCED and edge_log not in self.fenced:
-            self.fenced.add(edge_log)
+        for dependency in list(self.unpublished):
+            if not (dependency.before and dependency.edge_log in logs_with_abandoned):
+                self._submit_status(dependency)
+
+    def _request_lease(self, edge_log: EdgeLog, request: LeaseRequest) -> None:
+        lease_status = self.ledger.lease_status(request)
+        if lease_status is LeaseStatus.HELD and request.force:  # the operator's demand is used up
+            self.lease_requests[edge_log] = msgspec.structs.replace(request, force=False)
+        if lease_status is LeaseStatus.FENCED and edge_log not in self.fenced_logs:
+            self.fenced_logs.add(edge_log)
             name = f"{edge_log.edge}/{edge_log.incarnation:016x}"
             self.log(
                 f"outbox: {name}: fenced: another process with a copy of this "
-                "disk replays it, or it is lost; stop one of the two"
+                "disk replays this log, or the log is lost; stop one of the two processes"
             )
-        entry = self.record.lease_entry(claim)
+        entry = self.ledger.lease_entry(request)
         if entry is not None:
-            self._agree(edge_log, entry, lambda: self.record.lease_status(claim) is not LeaseStatus.OPEN)
+            self._agree(edge_log, entry, lambda: self.ledger.lease_status(request) is not LeaseStatus.OPEN)
 
-    def _say(self, dependency: Dependency) -> None:
-        if not self._is_mine(dependency.edge_log):
-            if dependency.edge_log in self.fenced:
-                del self.said[dependency]  # nobody would believe it
+    def _submit_status(self, dependency: Dependency) -> None:
+        if not self._is_held(dependency.edge_log):
+            if dependency.edge_log in self.fenced_logs:
+                del self.unpublished[dependency]  # the ledger accepts a status from the holder only
             return
-        write_id, write_status = self.said[dependency]
-        told = StatusUpdate(write_id, write_status, self.life, dependency.before)
-        entry = self.record.status_entry(told)
+        write_id, write_status = self.unpublished[dependency]
+        update = StatusUpdate(write_id, write_status, self.incarnation, dependency.before)
+        entry = self.ledger.status_entry(update)
         if entry is None:
-            del self.said[dependency]
+            del self.unpublished[dependency]
         else:
-            self._agree(dependency, entry, lambda: self.record.agrees_with(told))
+            self._agree(dependency, entry, lambda: self.ledger.agrees_with(update))
 
-    def _agree(self, key: Hashable, entry: LedgerEntry, done: Callable[[], bool]) -> None:
-        if key in self.out or len(self.out) >= OUT_MOST or self.sharer is None:
+    def _agree(self, key: Hashable, entry: LedgerEntry, is_agreed: Callable[[], bool]) -> None:
+        if key in self.pending or len(self.pending) >= MAX_PENDING or self.agreement is None:
             return
-        future = self.out[key] = self.sharer.agree(entry, done, self.clock.now() + AGREE_US)
-        future.add_done_callback(lambda _: self._agreed(key))
-
-    def _agreed(self, key: Hashable) -> None:
-        del self.out[key]
-        if self.timer is not None:
-            self.heard()
+        future = self.pending[key] = self.agreement.agree(
+            entry, is_agreed, self.clock.now() + AGREE_TIMEOUT_US
+        )
+        future.add_done_callback(lambda _: self._on_agreement_done(key))
+
+    def _on_agreement_done(self, key: Hashable) -> None:
+        del self.pending[key]
+        if self.submit_timer is not None:
+            self.on_ledger_change()
--- a/tests/test_outbox_ledger.py
+++ b/tests/test_outbox_ledger.py
@@ -24,9 +24,15 @@
 from laurelstep.consensus.stores.none import NoStore
 from laurelstep.consensus.timing import ConsensusTiming
 from laurelstep.outbox.dependencies import Dependency
-from laurelstep.outbox.shared import ledger as records
+from laurelstep.outbox.shared import ledger as ledger_module
 from laurelstep.outbox.shared import ranges
-from laurelstep.outbox.shared.agreement import AGAIN_MOST_US, AGAIN_US, FLIGHT_US, WAITS_MOST, AgreementDriver
+from laurelstep.outbox.shared.agreement import (
+    MAX_WAITERS,
+    PROPOSAL_TIMEOUT_US,
+    RESUBMIT_MAX_US,
+    RESUBMIT_MIN_US,
+    AgreementDriver,
+)
 from laurelstep.outbox.shared.entries import (
     ID_END,
     KIND,
@@ -40,7 +46,7 @@
     WriteApplied,
     pack,
     unpack,
-    unpack_word,
+    unpack_message,
 )
 from laurelstep.outbox.shared.ledger import ReplicatedLedger
 from laurelstep.outbox.shared.messages import IntentStatus, LeaseRequest, LeaseStatus, StatusUpdate
@@ -52,52 +58,52 @@
 
 ASH = EdgeLog("ash", 7)
 OTHER = EdgeLog("ash", 8)
-MS = 1_000
+US_PER_MS = 1_000
 
 
-def write_id(number: int, line: EdgeLog = ASH) -> WriteId:
-    return WriteId(*line, number)
+def write_id(number: int, edge_log: EdgeLog = ASH) -> WriteId:
+    return WriteId(*edge_log, number)
 
 
-def apply(record: ReplicatedLedger, *entries: LedgerEntry) -> ReplicatedLedger:
+def apply(ledger: ReplicatedLedger, *entries: LedgerEntry) -> ReplicatedLedger:
     for entry in entries:
-        record.apply(1, pack(entry)[1:])
-    return record
+        ledger.apply(1, pack(entry)[1:])
+    return ledger
 
 
-def after(*entries: LedgerEntry) -> ReplicatedLedger:
+def ledger_after(*entries: LedgerEntry) -> ReplicatedLedger:
     return apply(ReplicatedLedger(), *entries)
 
 
-def write_status(record: ReplicatedLedger, number: int, line: EdgeLog = ASH) -> WriteStatus:
-    return record.write_status(Dependency(*line, number))
+def write_status(ledger: ReplicatedLedger, number: int, edge_log: EdgeLog = ASH) -> WriteStatus:
+    return ledger.write_status(Dependency(*edge_log, number))
 
 
-def fate_up_to(record: ReplicatedLedger, number: int, line: EdgeLog = ASH) -> WriteStatus:
-    return record.write_status(Dependency(*line, number, True))
+def write_status_up_to(ledger: ReplicatedLedger, number: int, edge_log: EdgeLog = ASH) -> WriteStatus:
+    return ledger.write_status(Dependency(*edge_log, number, True))
 
 
 # --- Entries ------------------------------------------------------------------------------
 
-LONG = WriteId("e" * EDGE_MOST, ID_END - 1, NUMBER_END - 1)
-MOST = ID_END - 1
+LONGEST_WRITE_ID = WriteId("e" * EDGE_MOST, ID_END - 1, NUMBER_END - 1)
+MAX_ID = ID_END - 1
 
 
 @pytest.mark.parametrize(
     "entry",
     [
-        Intent(LONG, MOST, MOST),
-        IntentWithdrawal(LONG, MOST),
-        WriteApplied(LONG),
-        LogLease(LONG.edge_log, MOST, MOST, NUMBER_END - 1, True),
-        StatusRecord(LONG, WriteStatus.ABANDONED, MOST, True, MOST, NUMBER_END - 1),
-        EdgeLost(LONG.edge, MOST),
+        Intent(LONGEST_WRITE_ID, MAX_ID, MAX_ID),
+        IntentWithdrawal(LONGEST_WRITE_ID, MAX_ID),
+        WriteApplied(LONGEST_WRITE_ID),
+        LogLease(LONGEST_WRITE_ID.edge_log, MAX_ID, MAX_ID, NUMBER_END - 1, True),
+        StatusRecord(LONGEST_WRITE_ID, WriteStatus.ABANDONED, MAX_ID, True, MAX_ID, NUMBER_END - 1),
+        EdgeLost(LONGEST_WRITE_ID.edge, MAX_ID),
     ],
 )
 def test_the_longest_entries_fit_and_are_read_back(entry: LedgerEntry) -> None:
     data = pack(entry)
     assert len(data) <= min(MAX_ENTRY_BYTES, MAX_LEADER_MESSAGE_BYTES) and data[:1] == KIND
-    assert unpack(data[1:]) == entry == unpack_word(data)
+    assert unpack(data[1:]) == entry == unpack_message(data)
 
 
 @pytest.mark.parametrize(
@@ -127,10 +133,10 @@
         data = msgspec.msgpack.encode(entry)
     except (OverflowError, msgspec.MsgspecError):
         return  # it has not even bytes
-    record = ReplicatedLedger()
-    empty = record.dump()
-    record.apply(1, data)
-    assert unpack(data) is None and record.ignored == 1 and record.dump() == empty
+    ledger = ReplicatedLedger()
+    empty = ledger.dump()
+    ledger.apply(1, data)
+    assert unpack(data) is None and ledger.ignored_count == 1 and ledger.dump() == empty
 
 
 @pytest.mark.parametrize(
@@ -147,10 +153,10 @@
     ],
 )
 def test_what_can_not_be_read_is_counted_and_changes_nothing(data: bytes) -> None:
-    record = after(WriteApplied(write_id(1)))
-    before = record.dump()
-    record.apply(2, data)
-    assert record.dump() == before and record.ignored == 1 and record.status()["ignored"] == 1
+    ledger = ledger_after(WriteApplied(write_id(1)))
+    before = ledger.dump()
+    ledger.apply(2, data)
+    assert ledger.dump() == before and ledger.ignored_count == 1 and ledger.status()["ignored"] == 1
 
 
 def test_a_later_version_may_add_fields() -> None:
@@ -158,14 +164,14 @@
 
 
 def test_a_word_of_another_part_is_none_of_these() -> None:
-    assert unpack_word(b"u" + pack(WriteApplied(write_id(1)))[1:]) is None and unpack_word(b"") is None
+    assert unpack_message(b"u" + pack(WriteApplied(write_id(1)))[1:]) is None and unpack_message(b"") is None
 
 
 @given(st.binary(max_size=200))
 def test_no_bytes_raise(data: bytes) -> None:
-    record = ReplicatedLedger()
-    record.apply(1, data)
-    assert record.ignored + (unpack(data) is not None) == 1
+    ledger = ReplicatedLedger()
+    ledger.apply(1, data)
+    assert ledger.ignored_count + (unpack(data) is not None) == 1
 
 
 # --- Ranges -------------------------------------------------------------------------------
@@ -173,280 +179,286 @@
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(1, 20), st.integers(0, 5)), max_size=20))
 def test_ranges_are_a_set_in_one_form(steps: list[tuple[bool, int, int]]) -> None:
-    found, naive = ranges.NONE, set[int]()
+    found, reference = ranges.EMPTY, set[int]()
     for adds, first, more in steps:
         numbers = range(first, first + more + 1)
         gaps = [
             number
-            for start, end in ranges.missing(found, first, first + more)
+            for start, end in ranges.gaps(found, first, first + more)
             for number in range(start, end + 1)
         ]
-        assert gaps == [number for number in numbers if number not in naive]
-        found = ranges.add(found, first, first + more) if adds else ranges.cut(found, first, first + more)
-        naive = naive.union(numbers) if adds else naive.difference(numbers)
-        assert {number for number in range(30) if ranges.has(found, number)} == naive
-        assert ranges.well_formed(found, 30)
-        assert len(found) == sum(number - 1 not in naive for number in naive)
+        assert gaps == [number for number in numbers if number not in reference]
+        found = ranges.add(found, first, first + more) if adds else ranges.remove(found, first, first + more)
+        reference = reference.union(numbers) if adds else reference.difference(numbers)
+        assert {number for number in range(30) if ranges.contains(found, number)} == reference
+        assert ranges.is_canonical(found, 30)
+        assert len(found) == sum(number - 1 not in reference for number in reference)
 
 
 # --- Fates --------------------------------------------------------------------------------
 
 
 def test_in_comes_in_any_order_and_all_up_to_a_number_once_there_is_no_gap() -> None:
-    record = after(WriteApplied(write_id(1)), WriteApplied(write_id(3)))
-    assert [write_status(record, n) for n in (1, 2, 3)] == [
+    ledger = ledger_after(WriteApplied(write_id(1)), WriteApplied(write_id(3)))
+    assert [write_status(ledger, n) for n in (1, 2, 3)] == [
         WriteStatus.APPLIED,
         WriteStatus.UNKNOWN,
         WriteStatus.APPLIED,
     ]
-    assert [fate_up_to(record, n) for n in (1, 2, 3)] == [
+    assert [write_status_up_to(ledger, n) for n in (1, 2, 3)] == [
         WriteStatus.APPLIED,
         WriteStatus.UNKNOWN,
         WriteStatus.UNKNOWN,
     ]
-    apply(record, StatusRecord(write_id(2), WriteStatus.PARKED, 7))
-    assert (write_status(record, 2), fate_up_to(record, 3), fate_up_to(record, 1)) == (
+    apply(ledger, StatusRecord(write_id(2), WriteStatus.PARKED, 7))
+    assert (write_status(ledger, 2), write_status_up_to(ledger, 3), write_status_up_to(ledger, 1)) == (
         WriteStatus.PARKED,
         WriteStatus.PARKED,
         WriteStatus.APPLIED,
     )
-    apply(record, StatusRecord(write_id(2), WriteStatus.ABANDONED, 7))
-    assert (write_status(record, 2), fate_up_to(record, 3)) == (WriteStatus.ABANDONED, WriteStatus.APPLIED)
+    apply(ledger, StatusRecord(write_id(2), WriteStatus.ABANDONED, 7))
+    assert (write_status(ledger, 2), write_status_up_to(ledger, 3)) == (
+        WriteStatus.ABANDONED,
+        WriteStatus.APPLIED,
+    )
 
 
 def test_parked_is_taken_back_by_its_holder_alone() -> None:
-    record = after(
+    ledger = ledger_after(
         StatusRecord(write_id(2), WriteStatus.PARKED, 7), StatusRecord(write_id(2), WriteStatus.UNKNOWN, 9)
     )
-    assert write_status(record, 2) is WriteStatus.PARKED
+    assert write_status(ledger, 2) is WriteStatus.PARKED
     assert (
-        write_status(apply(record, StatusRecord(write_id(2), WriteStatus.UNKNOWN, 7)), 2)
+        write_status(apply(ledger, StatusRecord(write_id(2), WriteStatus.UNKNOWN, 7)), 2)
         is WriteStatus.UNKNOWN
     )
-    assert record.dump() == ReplicatedLedger().dump()
+    assert ledger.dump() == ReplicatedLedger().dump()
 
 
 def test_what_is_over_stays_as_it_is() -> None:
-    record = after(WriteApplied(write_id(1)), StatusRecord(write_id(2), WriteStatus.ABANDONED, 7))
-    before = record.dump()
+    ledger = ledger_after(WriteApplied(write_id(1)), StatusRecord(write_id(2), WriteStatus.ABANDONED, 7))
+    before = ledger.dump()
     for told in (WriteStatus.UNKNOWN, WriteStatus.PARKED, WriteStatus.APPLIED, WriteStatus.ABANDONED):
         apply(
-            record,
+            ledger,
             StatusRecord(write_id(1), told, 7),
             StatusRecord(write_id(2), told, 7),
             StatusRecord(write_id(2), told, 7, True),
         )
-    apply(record, WriteApplied(write_id(2)), Intent(write_id(1), 7, 5), Intent(write_id(2), 7, 5))
-    assert record.dump() == before
+    apply(ledger, WriteApplied(write_id(2)), Intent(write_id(1), 7, 5), Intent(write_id(2), 7, 5))
+    assert ledger.dump() == before
 
 
 def test_all_up_to_a_number_is_the_holders_word_and_leaves_gone_ones_gone() -> None:
-    record = after(
+    ledger = ledger_after(
         StatusRecord(write_id(3), WriteStatus.ABANDONED, 7),
         StatusRecord(write_id(4), WriteStatus.PARKED, 7),
         Intent(write_id(5), 7, 1),
     )
-    apply(record, StatusRecord(write_id(6), WriteStatus.APPLIED, 9, True))
-    assert fate_up_to(record, 6) is WriteStatus.PARKED
-    apply(record, StatusRecord(write_id(6), WriteStatus.APPLIED, 7, True))
-    assert fate_up_to(record, 6) is WriteStatus.APPLIED and fate_up_to(record, 7) is WriteStatus.UNKNOWN
-    assert [write_status(record, n) for n in range(1, 8)] == [WriteStatus.APPLIED] * 2 + [
+    apply(ledger, StatusRecord(write_id(6), WriteStatus.APPLIED, 9, True))
+    assert write_status_up_to(ledger, 6) is WriteStatus.PARKED
+    apply(ledger, StatusRecord(write_id(6), WriteStatus.APPLIED, 7, True))
+    assert (
+        write_status_up_to(ledger, 6) is WriteStatus.APPLIED
+        and write_status_up_to(ledger, 7) is WriteStatus.UNKNOWN
+    )
+    assert [write_status(ledger, n) for n in range(1, 8)] == [WriteStatus.APPLIED] * 2 + [
         WriteStatus.ABANDONED
     ] + [WriteStatus.APPLIED] * 3 + [WriteStatus.UNKNOWN]
-    assert record.status()["begun"] == 0
+    assert ledger.status()["begun"] == 0
 
 
 def test_all_up_to_a_number_may_be_gone_or_parked_but_what_is_in() -> None:
-    record = after(WriteApplied(write_id(2)), StatusRecord(write_id(3), WriteStatus.PARKED, 7, True))
-    assert [write_status(record, n) for n in (1, 2, 3)] == [
+    ledger = ledger_after(WriteApplied(write_id(2)), StatusRecord(write_id(3), WriteStatus.PARKED, 7, True))
+    assert [write_status(ledger, n) for n in (1, 2, 3)] == [
         WriteStatus.PARKED,
         WriteStatus.APPLIED,
         WriteStatus.PARKED,
     ]
-    apply(record, StatusRecord(write_id(3), WriteStatus.ABANDONED, 7, True))
-    assert [write_status(record, n) for n in (1, 2, 3)] == [
+    apply(ledger, StatusRecord(write_id(3), WriteStatus.ABANDONED, 7, True))
+    assert [write_status(ledger, n) for n in (1, 2, 3)] == [
         WriteStatus.ABANDONED,
         WriteStatus.APPLIED,
         WriteStatus.ABANDONED,
     ]
-    assert fate_up_to(record, 3) is WriteStatus.APPLIED
+    assert write_status_up_to(ledger, 3) is WriteStatus.APPLIED
 
 
 # --- Begun --------------------------------------------------------------------------------
 
 
 def test_one_ask_alone_gets_a_begin() -> None:
-    record = after(Intent(write_id(1), 7, 5))
-    before = record.dump()
-    apply(record, Intent(write_id(1), 7, 5), Intent(write_id(1), 7, 6), Intent(write_id(2), 9, 6))
-    assert record.dump() == before
+    ledger = ledger_after(Intent(write_id(1), 7, 5))
+    before = ledger.dump()
+    apply(ledger, Intent(write_id(1), 7, 5), Intent(write_id(1), 7, 6), Intent(write_id(2), 9, 6))
+    assert ledger.dump() == before
     assert (
-        record.intent_status(write_id(1), 7, 5) is IntentStatus.MINE
-        and record.intent_status(write_id(1), 7, 6) is IntentStatus.OTHERS
+        ledger.intent_status(write_id(1), 7, 5) is IntentStatus.MINE
+        and ledger.intent_status(write_id(1), 7, 6) is IntentStatus.OTHERS
     )
     assert (
-        record.intent_status(write_id(2), 7, 6) is IntentStatus.OPEN
-        and record.intent_status(write_id(2), 9, 6) is IntentStatus.FENCED
+        ledger.intent_status(write_id(2), 7, 6) is IntentStatus.OPEN
+        and ledger.intent_status(write_id(2), 9, 6) is IntentStatus.FENCED
     )
-    apply(record, WriteApplied(write_id(1)), StatusRecord(write_id(2), WriteStatus.ABANDONED, 7))
+    apply(ledger, WriteApplied(write_id(1)), StatusRecord(write_id(2), WriteStatus.ABANDONED, 7))
     assert (
-        record.intent_status(write_id(1), 9, 6) is IntentStatus.APPLIED
-        and record.intent_status(write_id(2), 7, 6) is IntentStatus.FENCED
+        ledger.intent_status(write_id(1), 9, 6) is IntentStatus.APPLIED
+        and ledger.intent_status(write_id(2), 7, 6) is IntentStatus.FENCED
     )
-    assert record.status()["begun"] == 0
+    assert ledger.status()["begun"] == 0
 
 
 def test_a_begin_is_taken_back_by_its_ask_alone() -> None:
-    record = after(Intent(write_id(1), 7, 5), IntentWithdrawal(write_id(1), 6))
+    ledger = ledger_after(Intent(write_id(1), 7, 5), IntentWithdrawal(write_id(1), 6))
     assert (
-        record.intent_status(write_id(1), 7, 5) is IntentStatus.MINE
-        and record.is_withdrawn(6)
-        and not record.is_withdrawn(5)
+        ledger.intent_status(write_id(1), 7, 5) is IntentStatus.MINE
+        and ledger.is_withdrawn(6)
+        and not ledger.is_withdrawn(5)
     )
-    apply(record, IntentWithdrawal(write_id(1), 5), IntentWithdrawal(write_id(1), 5))
-    assert record.intent_status(write_id(1), 7, 9) is IntentStatus.OPEN and record.is_withdrawn(5)
+    apply(ledger, IntentWithdrawal(write_id(1), 5), IntentWithdrawal(write_id(1), 5))
+    assert ledger.intent_status(write_id(1), 7, 9) is IntentStatus.OPEN and ledger.is_withdrawn(5)
 
 
 def test_a_begin_that_comes_after_it_was_taken_back_is_not_granted() -> None:
-    record = after(IntentWithdrawal(write_id(1), 5), Intent(write_id(1), 7, 5))
-    assert record.intent_status(write_id(1), 7, 5) is IntentStatus.OPEN
+    ledger = ledger_after(IntentWithdrawal(write_id(1), 5), Intent(write_id(1), 7, 5))
+    assert ledger.intent_status(write_id(1), 7, 5) is IntentStatus.OPEN
     apply(
-        record,
+        ledger,
         Intent(write_id(1), 7, 6),
         IntentWithdrawal(write_id(1), 6),
         Intent(write_id(1), 7, 6),
         Intent(write_id(1), 7, 8),
     )
-    assert record.intent_status(write_id(1), 7, 8) is IntentStatus.MINE
+    assert ledger.intent_status(write_id(1), 7, 8) is IntentStatus.MINE
 
 
 def test_that_it_never_ran_is_the_holders_word_of_the_ask_that_it_saw() -> None:
-    record = after(Intent(write_id(1), 7, 5), StatusRecord(write_id(1), WriteStatus.PARKED, 7))
+    ledger = ledger_after(Intent(write_id(1), 7, 5), StatusRecord(write_id(1), WriteStatus.PARKED, 7))
     told = StatusUpdate(write_id(1), WriteStatus.UNKNOWN, 7, False, True)
-    entry = record.status_entry(told)
-    assert entry == StatusRecord(write_id(1), WriteStatus.UNKNOWN, 7, False, 5) and not record.agrees_with(
+    entry = ledger.status_entry(told)
+    assert entry == StatusRecord(write_id(1), WriteStatus.UNKNOWN, 7, False, 5) and not ledger.agrees_with(
         told
     )
-    apply(record, msgspec.structs.replace(entry, life=9))
-    assert record.intent_status(write_id(1), 7, 5) is IntentStatus.MINE
-    apply(record, entry)
-    assert record.agrees_with(told) and record.status_entry(told) is None
+    apply(ledger, msgspec.structs.replace(entry, incarnation=9))
+    assert ledger.intent_status(write_id(1), 7, 5) is IntentStatus.MINE
+    apply(ledger, entry)
+    assert ledger.agrees_with(told) and ledger.status_entry(told) is None
     # It comes once more: another ask has begun since.
-    apply(record, Intent(write_id(1), 7, 6), entry, Intent(write_id(1), 7, 5))
-    assert record.intent_status(write_id(1), 7, 6) is IntentStatus.MINE
+    apply(ledger, Intent(write_id(1), 7, 6), entry, Intent(write_id(1), 7, 5))
+    assert ledger.intent_status(write_id(1), 7, 6) is IntentStatus.MINE
 
 
 def test_each_parking_is_judged_once() -> None:
-    record = after(Intent(write_id(1), 7, 5), StatusRecord(write_id(1), WriteStatus.PARKED, 7))
+    ledger = ledger_after(Intent(write_id(1), 7, 5), StatusRecord(write_id(1), WriteStatus.PARKED, 7))
     first, second = (
         StatusUpdate(write_id(1), WriteStatus.UNKNOWN, 7, False, True, parking) for parking in (1, 2)
     )
-    entry = record.status_entry(first)
+    entry = ledger.status_entry(first)
     assert entry == StatusRecord(write_id(1), WriteStatus.UNKNOWN, 7, False, 5, 1)
-    apply(record, entry, Intent(write_id(1), 7, 6), StatusRecord(write_id(1), WriteStatus.PARKED, 7))
+    apply(ledger, entry, Intent(write_id(1), 7, 6), StatusRecord(write_id(1), WriteStatus.PARKED, 7))
     # The first word comes late, at a gate that makes an entry of it by what it knows now, or did before.
-    assert record.agrees_with(first) and record.status_entry(first) is None and not record.agrees_with(second)
-    apply(record, entry, StatusRecord(write_id(1), WriteStatus.UNKNOWN, 7, False, 6, 1))
+    assert ledger.agrees_with(first) and ledger.status_entry(first) is None and not ledger.agrees_with(second)
+    apply(ledger, entry, StatusRecord(write_id(1), WriteStatus.UNKNOWN, 7, False, 6, 1))
     assert (
-        record.intent_status(write_id(1), 7, 6) is IntentStatus.MINE
-        and write_status(record, 1) is WriteStatus.PARKED
+        ledger.intent_status(write_id(1), 7, 6) is IntentStatus.MINE
+        and write_status(ledger, 1) is WriteStatus.PARKED
     )
-    again = record.status_entry(second)
+    again = ledger.status_entry(second)
     assert again is not None
-    apply(record, again)
+    apply(ledger, again)
     assert (
-        record.intent_status(write_id(1), 7, 9) is IntentStatus.OPEN
-        and write_status(record, 1) is WriteStatus.UNKNOWN
-        and record.agrees_with(second)
+        ledger.intent_status(write_id(1), 7, 9) is IntentStatus.OPEN
+        and write_status(ledger, 1) is WriteStatus.UNKNOWN
+        and ledger.agrees_with(second)
     )
     # Judged before anything of it began here: that counts too.
     apply(
-        record,
+        ledger,
         StatusRecord(write_id(2), WriteStatus.UNKNOWN, 7, False, 0, 1),
         Intent(write_id(2), 7, 8),
         IntentWithdrawal(write_id(2), 8),
     )
     assert (
-        record.agrees_with(StatusUpdate(write_id(2), WriteStatus.UNKNOWN, 7, False, True, 1))
-        and record.status()["begun"] == 2
+        ledger.agrees_with(StatusUpdate(write_id(2), WriteStatus.UNKNOWN, 7, False, True, 1))
+        and ledger.status()["begun"] == 2
     )
-    apply(record, WriteApplied(write_id(1)), WriteApplied(write_id(2)))
-    assert record.status()["begun"] == 0
+    apply(ledger, WriteApplied(write_id(1)), WriteApplied(write_id(2)))
+    assert ledger.status()["begun"] == 0
 
 
 def test_a_begin_means_that_it_is_parked_no_more() -> None:
-    record = after(StatusRecord(write_id(1), WriteStatus.PARKED, 7), Intent(write_id(1), 7, 5))
-    assert write_status(record, 1) is WriteStatus.UNKNOWN
-    apply(record, StatusRecord(write_id(1), WriteStatus.PARKED, 7))
+    ledger = ledger_after(StatusRecord(write_id(1), WriteStatus.PARKED, 7), Intent(write_id(1), 7, 5))
+    assert write_status(ledger, 1) is WriteStatus.UNKNOWN
+    apply(ledger, StatusRecord(write_id(1), WriteStatus.PARKED, 7))
     assert (
-        write_status(record, 1) is WriteStatus.PARKED
-        and record.intent_status(write_id(1), 7, 6) is IntentStatus.OTHERS
+        write_status(ledger, 1) is WriteStatus.PARKED
+        and ledger.intent_status(write_id(1), 7, 6) is IntentStatus.OTHERS
     )
 
 
 # --- Claims -------------------------------------------------------------------------------
 
 
-def claim(record: ReplicatedLedger, *claims: LeaseRequest) -> list[LeaseStatus]:
+def request_leases(ledger: ReplicatedLedger, *requests: LeaseRequest) -> list[LeaseStatus]:
     """Each is agreed, and asked for again."""
-    for one in claims:
-        entry = record.lease_entry(one)
+    for one in requests:
+        entry = ledger.lease_entry(one)
         if entry is not None:
-            apply(record, entry)
-    return [record.lease_status(one) for one in claims]
+            apply(ledger, entry)
+    return [ledger.lease_status(one) for one in requests]
 
 
 def test_a_line_is_its_own_lifes_until_one_claims_it_that_knows_the_holder() -> None:
-    record = ReplicatedLedger()
-    assert record.holder(ASH) == 7 and record.lease_status(LeaseRequest(ASH, 7, ())) is LeaseStatus.HELD
-    assert record.lease_status(LeaseRequest(ASH, 9, (7,))) is LeaseStatus.OPEN
+    ledger = ReplicatedLedger()
+    assert ledger.holder(ASH) == 7 and ledger.lease_status(LeaseRequest(ASH, 7, ())) is LeaseStatus.HELD
+    assert ledger.lease_status(LeaseRequest(ASH, 9, (7,))) is LeaseStatus.OPEN
     assert (
-        record.lease_status(LeaseRequest(ASH, 9, (6,))) is LeaseStatus.FENCED
-        and record.lease_entry(LeaseRequest(ASH, 9, (6,))) is None
+        ledger.lease_status(LeaseRequest(ASH, 9, (6,))) is LeaseStatus.FENCED
+        and ledger.lease_entry(LeaseRequest(ASH, 9, (6,))) is None
     )
-    assert claim(record, LeaseRequest(ASH, 9, (6, 7))) == [LeaseStatus.HELD]
-    assert record.holder(ASH) == 9 and record.lease_status(LeaseRequest(ASH, 7, ())) is LeaseStatus.FENCED
-    apply(record, Intent(write_id(1), 7, 5), StatusRecord(write_id(1), WriteStatus.PARKED, 7))
+    assert request_leases(ledger, LeaseRequest(ASH, 9, (6, 7))) == [LeaseStatus.HELD]
+    assert ledger.holder(ASH) == 9 and ledger.lease_status(LeaseRequest(ASH, 7, ())) is LeaseStatus.FENCED
+    apply(ledger, Intent(write_id(1), 7, 5), StatusRecord(write_id(1), WriteStatus.PARKED, 7))
     assert (
-        write_status(record, 1) is WriteStatus.UNKNOWN
-        and record.intent_status(write_id(1), 7, 5) is IntentStatus.FENCED
+        write_status(ledger, 1) is WriteStatus.UNKNOWN
+        and ledger.intent_status(write_id(1), 7, 5) is IntentStatus.FENCED
     )
-    assert record.intent_status(write_id(1), 9, 5) is IntentStatus.OPEN
+    assert ledger.intent_status(write_id(1), 9, 5) is IntentStatus.OPEN
 
 
 def test_of_two_copies_of_a_disk_one_holds_the_line_until_an_operator_says_otherwise() -> None:
-    record = ReplicatedLedger()
+    ledger = ReplicatedLedger()
     one, two = LeaseRequest(ASH, 11, (7,)), LeaseRequest(ASH, 12, (7,))
-    assert claim(record, one, two) == [LeaseStatus.HELD, LeaseStatus.FENCED]
+    assert request_leases(ledger, one, two) == [LeaseStatus.HELD, LeaseStatus.FENCED]
     # The next life on each disk: it knows the lives of its own disk alone.
-    assert claim(record, LeaseRequest(ASH, 22, (7, 12))) == [LeaseStatus.FENCED]
-    assert claim(record, LeaseRequest(ASH, 21, (7, 11))) == [LeaseStatus.HELD]
+    assert request_leases(ledger, LeaseRequest(ASH, 22, (7, 12))) == [LeaseStatus.FENCED]
+    assert request_leases(ledger, LeaseRequest(ASH, 21, (7, 11))) == [LeaseStatus.HELD]
     forced = LeaseRequest(ASH, 23, (7, 12, 22), True)
-    assert claim(record, forced) == [LeaseStatus.HELD]
-    assert record.lease_status(LeaseRequest(ASH, 21, (7, 11))) is LeaseStatus.FENCED
-    assert claim(record, LeaseRequest(ASH, 24, (7, 11, 21))) == [LeaseStatus.FENCED]
+    assert request_leases(ledger, forced) == [LeaseStatus.HELD]
+    assert ledger.lease_status(LeaseRequest(ASH, 21, (7, 11))) is LeaseStatus.FENCED
+    assert request_leases(ledger, LeaseRequest(ASH, 24, (7, 11, 21))) == [LeaseStatus.FENCED]
 
 
 def test_a_claim_that_comes_late_or_twice_takes_nothing() -> None:
-    record = ReplicatedLedger()
+    ledger = ReplicatedLedger()
     late, double = LogLease(ASH, 11, 7, 0), LogLease(ASH, 12, 7, 0)
     forced = LogLease(ASH, 7, 12, 1, True)
-    apply(record, double, forced)
-    assert record.holder(ASH) == 7
-    apply(record, late, double)  # the holder that they name, but it changed since
-    assert record.holder(ASH) == 7
-    apply(record, LogLease(ASH, 13, 7, 2), forced)
-    assert record.holder(ASH) == 13
+    apply(ledger, double, forced)
+    assert ledger.holder(ASH) == 7
+    apply(ledger, late, double)  # the holder that they name, but it changed since
+    assert ledger.holder(ASH) == 7
+    apply(ledger, LogLease(ASH, 13, 7, 2), forced)
+    assert ledger.holder(ASH) == 13
 
 
 def test_what_was_begun_stays_so_for_the_next_holder() -> None:
-    record = after(Intent(write_id(1), 7, 5))
-    assert claim(record, LeaseRequest(ASH, 9, (7,))) == [LeaseStatus.HELD]
+    ledger = ledger_after(Intent(write_id(1), 7, 5))
+    assert request_leases(ledger, LeaseRequest(ASH, 9, (7,))) == [LeaseStatus.HELD]
     assert (
-        record.intent_status(write_id(1), 9, 6) is IntentStatus.OTHERS
-        and record.intent_status(write_id(1), 7, 5) is IntentStatus.FENCED
+        ledger.intent_status(write_id(1), 9, 6) is IntentStatus.OTHERS
+        and ledger.intent_status(write_id(1), 7, 5) is IntentStatus.FENCED
     )
-    assert write_status(apply(record, WriteApplied(write_id(1))), 1) is WriteStatus.APPLIED
+    assert write_status(apply(ledger, WriteApplied(write_id(1))), 1) is WriteStatus.APPLIED
 
 
 # --- Lost ---------------------------------------------------------------------------------
@@ -454,23 +466,26 @@
 
 @pytest.mark.parametrize("lost", [EdgeLost("ash"), EdgeLost("ash", 7)])
 def test_what_is_in_of_a_lost_line_stays_in_and_all_else_is_gone(lost: EdgeLost) -> None:
-    record = after(
+    ledger = ledger_after(
         WriteApplied(write_id(1)),
         WriteApplied(write_id(3)),
         Intent(write_id(4), 7, 5),
         StatusRecord(write_id(5), WriteStatus.PARKED, 7),
         lost,
     )
-    assert [write_status(record, n) for n in range(1, 7)] == [
+    assert [write_status(ledger, n) for n in range(1, 7)] == [
         WriteStatus.APPLIED,
         WriteStatus.ABANDONED,
         WriteStatus.APPLIED,
     ] + [WriteStatus.ABANDONED] * 3
-    assert (fate_up_to(record, 1), fate_up_to(record, 3)) == (WriteStatus.APPLIED, WriteStatus.ABANDONED)
-    assert record.holder(ASH) == 0 and record.intent_status(write_id(4), 7, 5) is IntentStatus.FENCED
-    before = record.dump()
+    assert (write_status_up_to(ledger, 1), write_status_up_to(ledger, 3)) == (
+        WriteStatus.APPLIED,
+        WriteStatus.ABANDONED,
+    )
+    assert ledger.holder(ASH) == 0 and ledger.intent_status(write_id(4), 7, 5) is IntentStatus.FENCED
+    before = ledger.dump()
     apply(
-        record,
+        ledger,
         WriteApplied(write_id(4)),
         Intent(write_id(6), 7, 1),
         StatusRecord(write_id(6), WriteStatus.APPLIED, 7),
@@ -479,26 +494,26 @@
         LogLease(ASH, 9, 0, 0),
         lost,
     )
-    assert record.dump() == before and record.status()["begun"] == 0
-    assert record.lease_status(LeaseRequest(ASH, 9, (7,), True)) is LeaseStatus.FENCED
-    assert record.lease_status(LeaseRequest(ASH, 0, ())) is LeaseStatus.FENCED
+    assert ledger.dump() == before and ledger.status()["begun"] == 0
+    assert ledger.lease_status(LeaseRequest(ASH, 9, (7,), True)) is LeaseStatus.FENCED
+    assert ledger.lease_status(LeaseRequest(ASH, 0, ())) is LeaseStatus.FENCED
 
 
 def test_a_lost_edge_is_so_with_lines_to_come_and_a_lost_line_alone() -> None:
-    record = after(EdgeLost("ash", 7))
-    assert (write_status(record, 1, OTHER), write_status(record, 1)) == (
+    ledger = ledger_after(EdgeLost("ash", 7))
+    assert (write_status(ledger, 1, OTHER), write_status(ledger, 1)) == (
         WriteStatus.UNKNOWN,
         WriteStatus.ABANDONED,
     )
-    apply(record, EdgeLost("ash"))
-    assert write_status(record, 1, OTHER) is WriteStatus.ABANDONED and record.holder(OTHER) == 0
-    apply(record, WriteApplied(write_id(1, OTHER)), WriteApplied(write_id(1, EdgeLog("birch", 7))))
+    apply(ledger, EdgeLost("ash"))
+    assert write_status(ledger, 1, OTHER) is WriteStatus.ABANDONED and ledger.holder(OTHER) == 0
+    apply(ledger, WriteApplied(write_id(1, OTHER)), WriteApplied(write_id(1, EdgeLog("birch", 7))))
     assert (
-        write_status(record, 1, OTHER) is WriteStatus.ABANDONED
-        and write_status(record, 1, EdgeLog("birch", 7)) is WriteStatus.APPLIED
+        write_status(ledger, 1, OTHER) is WriteStatus.ABANDONED
+        and write_status(ledger, 1, EdgeLog("birch", 7)) is WriteStatus.APPLIED
     )
     again = ReplicatedLedger()
-    again.load(record.dump())
+    again.load(ledger.dump())
     assert write_status(again, 1, EdgeLog("ash", 99)) is WriteStatus.ABANDONED
 
 
@@ -506,132 +521,145 @@
 
 
 def test_it_says_what_was_told_and_what_is_over_whatever_is_told() -> None:
-    record = after(WriteApplied(write_id(1)), StatusRecord(write_id(2), WriteStatus.ABANDONED, 7))
+    ledger = ledger_after(WriteApplied(write_id(1)), StatusRecord(write_id(2), WriteStatus.ABANDONED, 7))
     for told in WriteStatus:
-        assert record.agrees_with(StatusUpdate(write_id(1), told, 7)) and record.agrees_with(
+        assert ledger.agrees_with(StatusUpdate(write_id(1), told, 7)) and ledger.agrees_with(
             StatusUpdate(write_id(2), told, 7)
         )
-        assert record.status_entry(StatusUpdate(write_id(2), told, 7, True)) is None
+        assert ledger.status_entry(StatusUpdate(write_id(2), told, 7, True)) is None
     for told in (WriteStatus.APPLIED, WriteStatus.PARKED, WriteStatus.ABANDONED):
         one = StatusUpdate(write_id(3), told, 7)
-        entry = record.status_entry(one)
-        assert not record.agrees_with(one) and entry == StatusRecord(write_id(3), told, 7)
+        entry = ledger.status_entry(one)
+        assert not ledger.agrees_with(one) and entry == StatusRecord(write_id(3), told, 7)
         assert apply(ReplicatedLedger(), *[] if entry is None else [entry]).agrees_with(one)
 
 
 # --- Bounds -------------------------------------------------------------------------------
 
 
-def refused(record: ReplicatedLedger, name: str, *entries: LedgerEntry) -> None:
+def assert_refused(ledger: ReplicatedLedger, name: str, *entries: LedgerEntry) -> None:
     """Each changes nothing, and is counted."""
-    before, count = record.dump(), record.refused[name]
-    apply(record, *entries)
-    assert record.dump() == before and record.refused[name] == count + len(entries)
+    before, count = ledger.dump(), ledger.refusal_counts[name]
+    apply(ledger, *entries)
+    assert ledger.dump() == before and ledger.refusal_counts[name] == count + len(entries)
 
 
 def test_ranges_of_a_line_have_a_bound_and_what_fills_a_gap_goes_in() -> None:
-    record = after(*(WriteApplied(write_id(2 * n)) for n in range(1, records.RANGES_MOST + 1)))
-    high = 2 * records.RANGES_MOST + 2
-    refused(
-        record, "ranges", WriteApplied(write_id(high)), StatusRecord(write_id(high), WriteStatus.ABANDONED, 7)
+    ledger = ledger_after(*(WriteApplied(write_id(2 * n)) for n in range(1, ledger_module.MAX_RANGES + 1)))
+    high = 2 * ledger_module.MAX_RANGES + 2
+    assert_refused(
+        ledger, "ranges", WriteApplied(write_id(high)), StatusRecord(write_id(high), WriteStatus.ABANDONED, 7)
     )
     assert (
-        write_status(record, high) is WriteStatus.UNKNOWN
-        and write_status(record, high - 2) is WriteStatus.APPLIED
+        write_status(ledger, high) is WriteStatus.UNKNOWN
+        and write_status(ledger, high - 2) is WriteStatus.APPLIED
     )
-    apply(record, WriteApplied(write_id(3)), WriteApplied(write_id(high)))
+    apply(ledger, WriteApplied(write_id(3)), WriteApplied(write_id(high)))
     assert (
-        write_status(record, high) is WriteStatus.APPLIED and write_status(record, 2) is WriteStatus.APPLIED
+        write_status(ledger, high) is WriteStatus.APPLIED and write_status(ledger, 2) is WriteStatus.APPLIED
     )
 
 
 def test_parked_ranges_of_a_line_have_a_bound() -> None:
-    record = after(
-        *(StatusRecord(write_id(2 * n), WriteStatus.PARKED, 7) for n in range(1, records.PARKED_MOST + 1))
+    ledger = ledger_after(
+        *(
+            StatusRecord(write_id(2 * n), WriteStatus.PARKED, 7)
+            for n in range(1, ledger_module.MAX_PARKED + 1)
+        )
     )
-    high = 2 * records.PARKED_MOST + 2
-    refused(record, "parked", StatusRecord(write_id(high), WriteStatus.PARKED, 7))
+    high = 2 * ledger_module.MAX_PARKED + 2
+    assert_refused(ledger, "parked", StatusRecord(write_id(high), WriteStatus.PARKED, 7))
     apply(
-        record,
+        ledger,
         StatusRecord(write_id(2), WriteStatus.UNKNOWN, 7),
         StatusRecord(write_id(high), WriteStatus.PARKED, 7),
     )
-    assert write_status(record, high) is WriteStatus.PARKED
+    assert write_status(ledger, high) is WriteStatus.PARKED
 
 
 def test_lines_have_a_bound() -> None:
-    record = after(*(WriteApplied(WriteId("ash", n, 1)) for n in range(1, records.LINES_MOST + 1)))
-    line = EdgeLog("birch", 1)
-    refused(
-        record,
+    ledger = ledger_after(
+        *(WriteApplied(WriteId("ash", n, 1)) for n in range(1, ledger_module.MAX_LINES + 1))
+    )
+    edge_log = EdgeLog("birch", 1)
+    assert_refused(
+        ledger,
         "lines",
-        WriteApplied(write_id(1, line)),
-        Intent(write_id(1, line), 1, 5),
-        LogLease(line, 9, 1, 0),
+        WriteApplied(write_id(1, edge_log)),
+        Intent(write_id(1, edge_log), 1, 5),
+        LogLease(edge_log, 9, 1, 0),
         EdgeLost("birch", 1),
-        StatusRecord(write_id(1, line), WriteStatus.PARKED, 1),
+        StatusRecord(write_id(1, edge_log), WriteStatus.PARKED, 1),
     )
-    assert record.lease_status(LeaseRequest(line, 9, (1,))) is LeaseStatus.OPEN
-    apply(record, WriteApplied(write_id(2)), EdgeLost("ash"))
-    assert write_status(record, 2) is WriteStatus.APPLIED
+    assert ledger.lease_status(LeaseRequest(edge_log, 9, (1,))) is LeaseStatus.OPEN
+    apply(ledger, WriteApplied(write_id(2)), EdgeLost("ash"))
+    assert write_status(ledger, 2) is WriteStatus.APPLIED
 
 
 def test_begun_ones_have_a_bound_over_all_lines() -> None:
     entries = [
-        Intent(write_id(n, EdgeLog("ash", 1 + n % 2)), 1 + n % 2, n) for n in range(1, records.BEGUN_MOST + 1)
+        Intent(write_id(n, EdgeLog("ash", 1 + n % 2)), 1 + n % 2, n)
+        for n in range(1, ledger_module.MAX_BEGUN + 1)
     ]
-    record = after(*entries)
-    refused(record, "begun", Intent(write_id(1, EdgeLog("birch", 1)), 1, 5))
-    apply(record, WriteApplied(entries[0].write_id), Intent(write_id(1, EdgeLog("birch", 1)), 1, 5))
-    assert record.intent_status(write_id(1, EdgeLog("birch", 1)), 1, 5) is IntentStatus.MINE
+    ledger = ledger_after(*entries)
+    assert_refused(ledger, "begun", Intent(write_id(1, EdgeLog("birch", 1)), 1, 5))
+    apply(ledger, WriteApplied(entries[0].write_id), Intent(write_id(1, EdgeLog("birch", 1)), 1, 5))
+    assert ledger.intent_status(write_id(1, EdgeLog("birch", 1)), 1, 5) is IntentStatus.MINE
 
 
 def test_lost_edges_have_a_bound() -> None:
-    record = after(*(EdgeLost(f"ash{n}") for n in range(records.LOST_MOST)))
-    refused(record, "lost", EdgeLost("birch"))
-    assert record.holder(EdgeLog("birch", 3)) == 3
+    ledger = ledger_after(*(EdgeLost(f"ash{n}") for n in range(ledger_module.MAX_LOST)))
+    assert_refused(ledger, "lost", EdgeLost("birch"))
+    assert ledger.holder(EdgeLog("birch", 3)) == 3
 
 
 def test_of_asks_that_were_taken_back_the_last_ones_are_kept() -> None:
-    record = after(*(IntentWithdrawal(write_id(1), n) for n in range(1, records.UNDONE_MOST + 2)))
+    ledger = ledger_after(
+        *(IntentWithdrawal(write_id(1), n) for n in range(1, ledger_module.MAX_WITHDRAWN + 2))
+    )
     assert (
-        not record.is_withdrawn(1) and record.is_withdrawn(2) and record.is_withdrawn(records.UNDONE_MOST + 1)
+        not ledger.is_withdrawn(1)
+        and ledger.is_withdrawn(2)
+        and ledger.is_withdrawn(ledger_module.MAX_WITHDRAWN + 1)
     )
 
 
 def test_the_fullest_record_fits_in_a_snapshot_and_refuses_more_ranges(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    record, lines = ReplicatedLedger(), [EdgeLog(f"{n:032d}", MOST - n) for n in range(records.LINES_MOST)]
+    ledger, lines = (
+        ReplicatedLedger(),
+        [EdgeLog(f"{n:032d}", MAX_ID - n) for n in range(ledger_module.MAX_LINES)],
+    )
     high = NUMBER_END - 1_000_000
-    each = records.SPANS_MOST // records.LINES_MOST
-    for line in lines:
+    each = ledger_module.MAX_SPANS // ledger_module.MAX_LINES
+    for edge_log in lines:
         for n in range(each):
-            apply(record, WriteApplied(write_id(high + 2 * n, line)))
-        apply(record, LogLease(line, MOST, line.incarnation, 0))
-    for n in range(records.BEGUN_MOST):
-        apply(record, Intent(write_id(NUMBER_END - 1, lines[n]), MOST, MOST))
-    for n in range(records.LOST_MOST):
-        apply(record, EdgeLost(f"x{n:031d}"))
-    for n in range(records.UNDONE_MOST):
-        apply(record, IntentWithdrawal(LONG, MOST - n))
-    assert len(record.dump()) < MAX_SNAPSHOT_BYTES
-    refused(record, "spans", WriteApplied(write_id(high + 2 * each, lines[0])))
+            apply(ledger, WriteApplied(write_id(high + 2 * n, edge_log)))
+        apply(ledger, LogLease(edge_log, MAX_ID, edge_log.incarnation, 0))
+    for n in range(ledger_module.MAX_BEGUN):
+        apply(ledger, Intent(write_id(NUMBER_END - 1, lines[n]), MAX_ID, MAX_ID))
+    for n in range(ledger_module.MAX_LOST):
+        apply(ledger, EdgeLost(f"x{n:031d}"))
+    for n in range(ledger_module.MAX_WITHDRAWN):
+        apply(ledger, IntentWithdrawal(LONGEST_WRITE_ID, MAX_ID - n))
+    assert len(ledger.dump()) < MAX_SNAPSHOT_BYTES
+    assert_refused(ledger, "spans", WriteApplied(write_id(high + 2 * each, lines[0])))
     other = ReplicatedLedger()
-    other.load(record.dump())
-    assert other.dump() == record.dump() and other.status()["spans"] == records.SPANS_MOST
+    other.load(ledger.dump())
+    assert other.dump() == ledger.dump() and other.status()["spans"] == ledger_module.MAX_SPANS
 
 
 # --- Snapshots ----------------------------------------------------------------------------
 
 
 def test_nothing_is_a_new_record() -> None:
-    record = after(WriteApplied(write_id(1)), EdgeLost("birch"), IntentWithdrawal(write_id(2), 5))
-    record.load(b"")
-    assert record.dump() == ReplicatedLedger().dump()
+    ledger = ledger_after(WriteApplied(write_id(1)), EdgeLost("birch"), IntentWithdrawal(write_id(2), 5))
+    ledger.load(b"")
+    assert ledger.dump() == ReplicatedLedger().dump()
 
 
-def row(*fields: Any) -> bytes:
+def packed_snapshot(*fields: Any) -> bytes:
     return msgspec.msgpack.encode([[["ash", 7, fields]], [], []])
 
 
@@ -640,13 +668,13 @@
     [
         b"\xff",
         b"\xa3abc",
-        row(7, 0, -1),
-        row(-7),
-        row(7, 0, 0, [[3, 2]]),
-        row(7, 0, 0, [[1, 2], [3, 4]]),
-        row(7, 0, 0, [], [], [], [[2, 1, 0], [1, 1, 0]]),
-        row(7, 0, 0, [], [], [], [[1, 0, 0]]),
-        row(7, 0, 0, [], [], [], [[1, 5]]),
+        packed_snapshot(7, 0, -1),
+        packed_snapshot(-7),
+        packed_snapshot(7, 0, 0, [[3, 2]]),
+        packed_snapshot(7, 0, 0, [[1, 2], [3, 4]]),
+        packed_snapshot(7, 0, 0, [], [], [], [[2, 1, 0], [1, 1, 0]]),
+        packed_snapshot(7, 0, 0, [], [], [], [[1, 0, 0]]),
+        packed_snapshot(7, 0, 0, [], [], [], [[1, 5]]),
         msgspec.msgpack.encode([[["ash", 0, [1]]], [], []]),
         msgspec.msgpack.encode([[["Ash", 7, [1]]], [], []]),
         msgspec.msgpack.encode([[], ["Ash"], []]),
@@ -654,29 +682,31 @@
     ],
 )
 def test_a_snapshot_that_can_not_be_read_changes_nothing(raw: bytes) -> None:
-    record = after(WriteApplied(write_id(1)))
-    before = record.dump()
+    ledger = ledger_after(WriteApplied(write_id(1)))
+    before = ledger.dump()
     with pytest.raises(StoredStateError):
-        record.load(raw)
-    assert record.dump() == before
+        ledger.load(raw)
+    assert ledger.dump() == before
 
 
 # --- Any sequence -------------------------------------------------------------------------
 
-LINES = [EdgeLog("ash", 1), EdgeLog("ash", 2), EdgeLog("birch", 1)]
-lives, asks, numbers = st.integers(1, 3), st.integers(1, 4), st.integers(1, 6)
-write_ids = st.builds(write_id, numbers, st.sampled_from(LINES))
-sequences = st.lists(
+EDGE_LOGS = [EdgeLog("ash", 1), EdgeLog("ash", 2), EdgeLog("birch", 1)]
+incarnations, intent_ids, numbers = st.integers(1, 3), st.integers(1, 4), st.integers(1, 6)
+write_ids = st.builds(write_id, numbers, st.sampled_from(EDGE_LOGS))
+entry_sequences = st.lists(
     st.one_of(
-        st.builds(Intent, write_ids, lives, asks),
-        st.builds(IntentWithdrawal, write_ids, asks),
+        st.builds(Intent, write_ids, incarnations, intent_ids),
+        st.builds(IntentWithdrawal, write_ids, intent_ids),
         st.builds(WriteApplied, write_ids),
-        st.builds(LogLease, st.sampled_from(LINES), lives, lives, st.integers(0, 2), st.booleans()),
+        st.builds(
+            LogLease, st.sampled_from(EDGE_LOGS), incarnations, incarnations, st.integers(0, 2), st.booleans()
+        ),
         st.builds(
             StatusRecord,
             write_ids,
             st.sampled_from(WriteStatus),
-            lives,
+            incarnations,
             st.booleans(),
             st.integers(0, 4),
             st.integers(0, 2),
@@ -687,23 +717,23 @@
 )
 
 
-class Naive:
+class ReferenceLedger:
     """The rules, number by number."""
 
     def __init__(self) -> None:
         self.write_statuses: dict[WriteId, WriteStatus] = {}
         self.begun: dict[WriteId, int] = {}
         self.holders: dict[EdgeLog, int] = {}
-        self.turns: dict[EdgeLog, int] = {}
-        self.lost: set[str | EdgeLog] = set()
-        self.is_withdrawn: set[int] = set()
+        self.holder_changes: dict[EdgeLog, int] = {}
+        self.lost_logs: set[str | EdgeLog] = set()
+        self.withdrawn_intents: set[int] = set()
         self.resolved: dict[WriteId, int] = {}
 
-    def is_lost(self, line: EdgeLog) -> bool:
-        return line in self.lost or line.edge in self.lost
+    def is_lost(self, edge_log: EdgeLog) -> bool:
+        return edge_log in self.lost_logs or edge_log.edge in self.lost_logs
 
-    def holder(self, line: EdgeLog) -> int:
-        return 0 if self.is_lost(line) else self.holders.get(line, line.incarnation)
+    def holder(self, edge_log: EdgeLog) -> int:
+        return 0 if self.is_lost(edge_log) else self.holders.get(edge_log, edge_log.incarnation)
 
     def write_status(self, one: WriteId) -> WriteStatus:
         found = self.write_statuses.get(one, WriteStatus.UNKNOWN)
@@ -727,106 +757,123 @@
                     self.write_status(one) in (WriteStatus.UNKNOWN, WriteStatus.PARKED)
                     and one not in self.begun
                 )
-                if free and self.holder(one.edge_log) == entry.life and entry.ask not in self.is_withdrawn:
-                    self.begun[one] = entry.ask
+                if (
+                    free
+                    and self.holder(one.edge_log) == entry.incarnation
+                    and entry.intent_id not in self.withdrawn_intents
+                ):
+                    self.begun[one] = entry.intent_id
                     self.write_statuses[one] = WriteStatus.UNKNOWN
             case IntentWithdrawal(write_id=one):
-                if self.begun.get(one) == entry.ask:
+                if self.begun.get(one) == entry.intent_id:
                     del self.begun[one]
-                self.is_withdrawn.add(entry.ask)
+                self.withdrawn_intents.add(entry.intent_id)
             case WriteApplied(write_id=one):
                 self.become(one, WriteStatus.APPLIED)
-            case LogLease(edge_log=line):
-                if self.holder(line) in (0, entry.life) or self.turns.get(line, 0) != entry.turn:
+            case LogLease(edge_log=edge_log):
+                if (
+                    self.holder(edge_log) in (0, entry.incarnation)
+                    or self.holder_changes.get(edge_log, 0) != entry.holder_changes
+                ):
                     return
-                if entry.force or self.holder(line) == entry.of:
-                    self.holders[line], self.turns[line] = entry.life, entry.turn + 1
+                if entry.is_forced or self.holder(edge_log) == entry.previous_holder:
+                    self.holders[edge_log], self.holder_changes[edge_log] = (
+                        entry.incarnation,
+                        entry.holder_changes + 1,
+                    )
             case StatusRecord(write_id=one):
                 self.say(entry, one)
             case EdgeLost():
-                self.lost.add(EdgeLog(entry.edge, entry.incarnation) if entry.incarnation else entry.edge)
+                self.lost_logs.add(
+                    EdgeLog(entry.edge, entry.incarnation) if entry.incarnation else entry.edge
+                )
 
     def say(self, entry: StatusRecord, one: WriteId) -> None:
-        if self.holder(one.edge_log) != entry.life:
+        if self.holder(one.edge_log) != entry.incarnation:
             return
-        if entry.ask or entry.parking:
-            if self.begun.get(one, 0) != entry.ask or 0 < entry.parking <= self.resolved.get(one, 0):
+        if entry.intent_id or entry.parking:
+            if self.begun.get(one, 0) != entry.intent_id or 0 < entry.parking <= self.resolved.get(one, 0):
                 return
             if self.write_status(one) not in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
                 self.begun.pop(one, None)
                 self.resolved[one] = max(entry.parking, self.resolved.get(one, 0))
-                self.is_withdrawn.update({entry.ask} - {0})
+                self.withdrawn_intents.update({entry.intent_id} - {0})
         for number in range(1 if entry.before else one.number, one.number + 1):
             self.become(write_id(number, one.edge_log), entry.write_status)
 
 
-def same(record: ReplicatedLedger, naive: Naive) -> None:
-    for line in (*LINES, EdgeLog("birch", 9)):
-        assert record.holder(line) == naive.holder(line)
-        write_statuses = [naive.write_status(write_id(number, line)) for number in range(1, 8)]
-        assert [write_status(record, number, line) for number in range(1, 8)] == write_statuses
+def assert_same(ledger: ReplicatedLedger, reference: ReferenceLedger) -> None:
+    for edge_log in (*EDGE_LOGS, EdgeLog("birch", 9)):
+        assert ledger.holder(edge_log) == reference.holder(edge_log)
+        write_statuses = [reference.write_status(write_id(number, edge_log)) for number in range(1, 8)]
+        assert [write_status(ledger, number, edge_log) for number in range(1, 8)] == write_statuses
         for number, found in enumerate(write_statuses, 1):
             over = all(one in (WriteStatus.APPLIED, WriteStatus.ABANDONED) for one in write_statuses[:number])
-            if not naive.is_lost(line):
+            if not reference.is_lost(edge_log):
                 parked = (
                     WriteStatus.PARKED
                     if WriteStatus.PARKED in write_statuses[:number]
                     else WriteStatus.UNKNOWN
                 )
-                assert fate_up_to(record, number, line) is (WriteStatus.APPLIED if over else parked)
-            holder, by = naive.holder(line), naive.begun.get(write_id(number, line), 0)
+                assert write_status_up_to(ledger, number, edge_log) is (
+                    WriteStatus.APPLIED if over else parked
+                )
+            holder, by = reference.holder(edge_log), reference.begun.get(write_id(number, edge_log), 0)
             if holder and found not in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
-                begun = record.intent_status(write_id(number, line), holder, by or 9)
+                begun = ledger.intent_status(write_id(number, edge_log), holder, by or 9)
                 assert begun is (IntentStatus.MINE if by else IntentStatus.OPEN)
 
 
-@given(sequences)
+@given(entry_sequences)
 @settings(max_examples=300)
 def test_it_is_as_the_rules_are_number_by_number(entries: list[LedgerEntry]) -> None:
-    record, naive = ReplicatedLedger(), Naive()
+    ledger, reference = ReplicatedLedger(), ReferenceLedger()
     for entry in entries:
-        apply(record, entry)
-        naive.apply(entry)
-        same(record, naive)
-    assert not record.ignored
+        apply(ledger, entry)
+        reference.apply(entry)
+        assert_same(ledger, reference)
+    assert not ledger.ignored_count
 
 
-@given(sequences, st.data())
+@given(entry_sequences, st.data())
 @settings(max_examples=200)
 def test_a_snapshot_anywhere_makes_no_difference(entries: list[LedgerEntry], data: st.DataObject) -> None:
     cut = data.draw(st.integers(0, len(entries)))
-    whole, first, second = after(*entries), after(*entries[:cut]), ReplicatedLedger()
+    whole, first, second = ledger_after(*entries), ledger_after(*entries[:cut]), ReplicatedLedger()
     second.load(first.dump())
     assert second.dump() == first.dump()
     assert apply(second, *entries[cut:]).dump() == whole.dump() == apply(first, *entries[cut:]).dump()
     assert {**second.status(), **dict.fromkeys(("ignored",), 0)} == whole.status()
 
 
-@given(sequences)
+@given(entry_sequences)
 @settings(max_examples=200)
 def test_an_entry_that_comes_twice_says_the_same(entries: list[LedgerEntry]) -> None:
-    assert after(*entries).dump() == after(*(one for entry in entries for one in (entry, entry))).dump()
+    assert (
+        ledger_after(*entries).dump()
+        == ledger_after(*(one for entry in entries for one in (entry, entry))).dump()
+    )
 
 
-@given(sequences, sequences, st.data())
+@given(entry_sequences, entry_sequences, st.data())
 @settings(max_examples=200)
 def test_what_is_over_stays_so_whatever_comes_again(
     first: list[LedgerEntry], more: list[LedgerEntry], data: st.DataObject
 ) -> None:
-    record = after(*first)
+    ledger = ledger_after(*first)
     dependencies = [
-        Dependency(*line, number, before)
-        for line in LINES
+        Dependency(*edge_log, number, before)
+        for edge_log in EDGE_LOGS
         for number in range(1, 8)
         for before in (True, False)
     ]
     over = {
         dependency: found
         for dependency in dependencies
-        if (found := record.write_status(dependency)) in (WriteStatus.APPLIED, WriteStatus.ABANDONED)
+        if (found := ledger.write_status(dependency)) in (WriteStatus.APPLIED, WriteStatus.ABANDONED)
     }
-    apply(record, *data.draw(st.permutations([*first, *more])))
-    assert {dependency: record.write_status(dependency) for dependency in over} == over
+    apply(ledger, *data.draw(st.permutations([*first, *more])))
+    assert {dependency: ledger.write_status(dependency) for dependency in over} == over
 
 
 @given(
@@ -837,23 +884,23 @@
     st.data(),
 )
 def test_the_order_of_ins_makes_no_difference(entries: list[LedgerEntry], data: st.DataObject) -> None:
-    assert after(*entries).dump() == after(*data.draw(st.permutations(entries))).dump()
+    assert ledger_after(*entries).dump() == ledger_after(*data.draw(st.permutations(entries))).dump()
 
 
 # --- The sharer ---------------------------------------------------------------------------
 
 
-class PlayedAccord:
+class ScriptedConsensus:
     """One copy's: proposals and words wait for the test."""
 
-    def __init__(self, leading: bool = True) -> None:
+    def __init__(self, is_leader: bool = True) -> None:
         self.on_leader_message: Callable[[int, int, bytes], None] = lambda peer, incarnation, data: None
         self.on_change: Callable[[], None] = lambda: None
         self.replica_id, self.peer_count, self.incarnation, self.epoch = 0, 3, 1, "epoch"
-        self.is_leader, self.leader_id = leading, 0 if leading else 1
+        self.is_leader, self.leader_id = is_leader, 0 if is_leader else 1
         self.is_caught_up = self.has_leader_contact = True
         self.proposed: list[bytes] = []
-        self.words: list[bytes] = []
+        self.messages: list[bytes] = []
         self.error: Exception | None = None
 
     def propose(self, data: bytes) -> None:
@@ -866,78 +913,78 @@
     def send_to_leader(self, data: bytes) -> None:
         if self.error is not None:
             raise self.error
-        self.words.append(data)
+        self.messages.append(data)
 
     def status(self) -> dict[str, Any]:
         return {}
 
 
-class OutboxApi:
+class AgreementWorld:
     """A sharer on a played accord."""
 
-    def __init__(self, leading: bool = True) -> None:
+    def __init__(self, is_leader: bool = True) -> None:
         self.clock = ManualClock()
-        self.accord = PlayedAccord(leading)
-        self.record = ReplicatedLedger()
-        self.sharer = AgreementDriver(self.accord, self.record, self.clock)
+        self.consensus = ScriptedConsensus(is_leader)
+        self.ledger = ReplicatedLedger()
+        self.agreement = AgreementDriver(self.consensus, self.ledger, self.clock)
 
-    def agree(self, entry: LedgerEntry, within: int = 3_000 * MS) -> asyncio.Future[bool]:
-        return self.sharer.agree(entry, self.said(entry), self.clock.now() + within)
+    def agree(self, entry: LedgerEntry, timeout_us: int = 3_000 * US_PER_MS) -> asyncio.Future[bool]:
+        return self.agreement.agree(entry, self.is_applied(entry), self.clock.now() + timeout_us)
 
-    def said(self, entry: LedgerEntry) -> Callable[[], bool]:
+    def is_applied(self, entry: LedgerEntry) -> Callable[[], bool]:
         assert isinstance(entry, WriteApplied)
-        return lambda: self.record.write_status(Dependency(*entry.write_id)) is WriteStatus.APPLIED
+        return lambda: self.ledger.write_status(Dependency(*entry.write_id)) is WriteStatus.APPLIED
 
     def land(self, entry: LedgerEntry) -> None:
-        apply(self.record, entry)
-        self.accord.on_change()
+        apply(self.ledger, entry)
+        self.consensus.on_change()
 
 
-ONE = WriteApplied(write_id(1))
+ENTRY = WriteApplied(write_id(1))
 
 
 def test_who_leads_proposes_and_it_is_agreed_once_the_record_says_so() -> None:
     async def main() -> None:
-        desk = OutboxApi()
-        future = desk.agree(ONE)
-        assert desk.accord.proposed == [pack(ONE)] and not desk.accord.words
-        desk.accord.on_change()
+        world = AgreementWorld()
+        future = world.agree(ENTRY)
+        assert world.consensus.proposed == [pack(ENTRY)] and not world.consensus.messages
+        world.consensus.on_change()
         assert not future.done()
-        desk.land(ONE)
+        world.land(ENTRY)
         assert await future
-        assert await desk.agree(ONE) and desk.accord.proposed == [pack(ONE)]
-        desk.clock.advance(10 * AGAIN_MOST_US)
-        assert desk.accord.proposed == [pack(ONE)] and not desk.clock.due
+        assert await world.agree(ENTRY) and world.consensus.proposed == [pack(ENTRY)]
+        world.clock.advance(10 * RESUBMIT_MAX_US)
+        assert world.consensus.proposed == [pack(ENTRY)] and not world.clock.due
 
     asyncio.run(main())
 
 
 def test_who_does_not_lead_tells_it_again_ever_more_slowly_until_its_time_is_over() -> None:
     async def main() -> None:
-        desk = OutboxApi(leading=False)
-        future = desk.agree(ONE, 4_000 * MS)
-        told = [len(desk.accord.words)]
+        world = AgreementWorld(is_leader=False)
+        future = world.agree(ENTRY, 4_000 * US_PER_MS)
+        told = [len(world.consensus.messages)]
         for _ in range(40):
-            desk.clock.advance(AGAIN_US)
-            told.append(len(desk.accord.words))
+            world.clock.advance(RESUBMIT_MIN_US)
+            told.append(len(world.consensus.messages))
         # 0, then after 100, 200, 400 and 800 ms each.
         assert [told.index(count) for count in range(1, 9)] == [0, 1, 3, 7, 15, 23, 31, 39]
-        assert future.done() and not await future and set(desk.accord.words) == {pack(ONE)}
-        assert desk.sharer.counters["late"] == 1
-        desk.clock.advance(4_000 * MS)
-        assert len(desk.accord.words) == 8 and not desk.accord.proposed
+        assert future.done() and not await future and set(world.consensus.messages) == {pack(ENTRY)}
+        assert world.agreement.counters["late"] == 1
+        world.clock.advance(4_000 * US_PER_MS)
+        assert len(world.consensus.messages) == 8 and not world.consensus.proposed
 
     asyncio.run(main())
 
 
 def test_several_that_wait_for_one_entry_tell_it_once_and_each_has_its_time() -> None:
     async def main() -> None:
-        desk = OutboxApi(leading=False)
-        short, long = desk.agree(ONE, 150 * MS), desk.agree(ONE, 1_000 * MS)
-        assert len(desk.accord.words) == 1
-        desk.clock.advance(150 * MS)
+        world = AgreementWorld(is_leader=False)
+        short, long = world.agree(ENTRY, 150 * US_PER_MS), world.agree(ENTRY, 1_000 * US_PER_MS)
+        assert len(world.consensus.messages) == 1
+        world.clock.advance(150 * US_PER_MS)
         assert short.done() and not short.result() and not long.done()
-        desk.land(ONE)
+        world.land(ENTRY)
         assert await long
 
     asyncio.run(main())
@@ -945,12 +992,12 @@
 
 def test_what_became_true_in_the_last_moment_is_true() -> None:
     async def main() -> None:
-        desk = OutboxApi()
-        future = desk.agree(ONE, 150 * MS)
-        apply(desk.record, ONE)  # and nobody was told of a change
-        desk.clock.advance(150 * MS)
+        world = AgreementWorld()
+        future = world.agree(ENTRY, 150 * US_PER_MS)
+        apply(world.ledger, ENTRY)  # and nobody was told of a change
+        world.clock.advance(150 * US_PER_MS)
         assert await future
-        late = desk.agree(WriteApplied(write_id(2)), 0)
+        late = world.agree(WriteApplied(write_id(2)), 0)
         assert late.done() and not late.result()
 
     asyncio.run(main())
@@ -958,22 +1005,22 @@
 
 def test_an_entry_on_its_way_is_not_proposed_again_but_under_another_reign_or_after_a_time() -> None:
     async def main() -> None:
-        desk = OutboxApi()
-        desk.agree(ONE, 60_000 * MS)
+        world = AgreementWorld()
+        world.agree(ENTRY, 60_000 * US_PER_MS)
         for _ in range(3):
-            desk.accord.on_leader_message(2, 5, pack(ONE))
-        desk.clock.advance(FLIGHT_US - 1)
-        assert len(desk.accord.proposed) == 1
-        desk.clock.advance(AGAIN_MOST_US)
-        assert len(desk.accord.proposed) == 2
-        desk.accord.is_leader = False
-        desk.accord.on_change()
-        desk.accord.is_leader = True
-        desk.accord.on_leader_message(2, 5, pack(ONE))
-        assert len(desk.accord.proposed) == 3
-        desk.land(ONE)
-        desk.accord.on_leader_message(2, 5, pack(ONE))  # a late word: it says the same again
-        assert len(desk.accord.proposed) == 4
+            world.consensus.on_leader_message(2, 5, pack(ENTRY))
+        world.clock.advance(PROPOSAL_TIMEOUT_US - 1)
+        assert len(world.consensus.proposed) == 1
+        world.clock.advance(RESUBMIT_MAX_US)
+        assert len(world.consensus.proposed) == 2
+        world.consensus.is_leader = False
+        world.consensus.on_change()
+        world.consensus.is_leader = True
+        world.consensus.on_leader_message(2, 5, pack(ENTRY))
+        assert len(world.consensus.proposed) == 3
+        world.land(ENTRY)
+        world.consensus.on_leader_message(2, 5, pack(ENTRY))  # a late word: it says the same again
+        assert len(world.consensus.proposed) == 4
 
     asyncio.run(main())
 
@@ -981,14 +1028,14 @@
 @pytest.mark.parametrize("error", [BusyError("full"), NotLeaderError(2)])
 def test_a_proposal_that_is_not_taken_is_made_again(error: Exception) -> None:
     async def main() -> None:
-        desk = OutboxApi()
-        desk.accord.error = error
-        future = desk.agree(ONE)
-        desk.accord.error = None
-        assert not desk.accord.proposed
-        desk.clock.advance(AGAIN_US)
-        assert desk.accord.proposed == [pack(ONE)]
-        desk.land(ONE)
+        world = AgreementWorld()
+        world.consensus.error = error
+        future = world.agree(ENTRY)
+        world.consensus.error = None
+        assert not world.consensus.proposed
+        world.clock.advance(RESUBMIT_MIN_US)
+        assert world.consensus.proposed == [pack(ENTRY)]
+        world.land(ENTRY)
         assert await future
 
     asyncio.run(main())
@@ -996,60 +1043,63 @@
 
 def test_a_word_that_is_not_taken_is_told_again() -> None:
     async def main() -> None:
-        desk = OutboxApi(leading=False)
-        desk.accord.error = BusyError("full")
-        desk.agree(ONE)
-        desk.accord.error = None
-        desk.clock.advance(AGAIN_US)
-        assert desk.accord.words == [pack(ONE)]
+        world = AgreementWorld(is_leader=False)
+        world.consensus.error = BusyError("full")
+        world.agree(ENTRY)
+        world.consensus.error = None
+        world.clock.advance(RESUBMIT_MIN_US)
+        assert world.consensus.messages == [pack(ENTRY)]
 
     asyncio.run(main())
 
 
 def test_words_that_are_no_entries_are_not_proposed() -> None:
-    desk = OutboxApi()
-    for data in (b"", KIND, b"u" + pack(ONE)[1:], KIND + b"\xff"):
-        desk.accord.on_leader_message(2, 5, data)
-    assert not desk.accord.proposed and desk.sharer.counters["unread"] == 4
+    world = AgreementWorld()
+    for data in (b"", KIND, b"u" + pack(ENTRY)[1:], KIND + b"\xff"):
+        world.consensus.on_leader_message(2, 5, data)
+    assert not world.consensus.proposed and world.agreement.counters["unread"] == 4
 
 
 def test_one_more_than_may_wait_hears_no_at_once_and_one_that_is_called_off_makes_room() -> None:
     async def main() -> None:
-        desk = OutboxApi(leading=False)
-        waiting = [desk.agree(WriteApplied(write_id(n))) for n in range(1, WAITS_MOST + 1)]
-        full = desk.agree(WriteApplied(write_id(WAITS_MOST + 1)))
-        assert full.done() and not full.result() and desk.sharer.counters["full"] == 1
+        world = AgreementWorld(is_leader=False)
+        waiting = [world.agree(WriteApplied(write_id(n))) for n in range(1, MAX_WAITERS + 1)]
+        full = world.agree(WriteApplied(write_id(MAX_WAITERS + 1)))
+        assert full.done() and not full.result() and world.agreement.counters["full"] == 1
         waiting[0].cancel()
         await asyncio.sleep(0)
-        assert not desk.agree(WriteApplied(write_id(WAITS_MOST + 1))).done()
-        count = len(desk.accord.words)
-        desk.clock.advance(AGAIN_US)
-        assert len(desk.accord.words) == count + WAITS_MOST and desk.accord.words.count(pack(ONE)) == 1
+        assert not world.agree(WriteApplied(write_id(MAX_WAITERS + 1))).done()
+        count = len(world.consensus.messages)
+        world.clock.advance(RESUBMIT_MIN_US)
+        assert (
+            len(world.consensus.messages) == count + MAX_WAITERS
+            and world.consensus.messages.count(pack(ENTRY)) == 1
+        )
 
     asyncio.run(main())
 
 
 def test_closing_ends_all_waits_and_nothing_is_told_after() -> None:
     async def main() -> None:
-        desk = OutboxApi()
-        futures = [desk.agree(WriteApplied(write_id(n))) for n in (1, 1, 2)]
-        desk.sharer.close()
+        world = AgreementWorld()
+        futures = [world.agree(WriteApplied(write_id(n))) for n in (1, 1, 2)]
+        world.agreement.close()
         assert [await future for future in futures] == [False] * 3
-        assert not await desk.agree(WriteApplied(write_id(3))) and not desk.sharer.is_ready
-        desk.accord.on_leader_message(2, 5, pack(ONE))
-        desk.clock.advance(10 * AGAIN_MOST_US)
-        assert len(desk.accord.proposed) == 2 and not desk.clock.due
+        assert not await world.agree(WriteApplied(write_id(3))) and not world.agreement.is_ready
+        world.consensus.on_leader_message(2, 5, pack(ENTRY))
+        world.clock.advance(10 * RESUBMIT_MAX_US)
+        assert len(world.consensus.proposed) == 2 and not world.clock.due
 
     asyncio.run(main())
 
 
 def test_it_is_ready_where_the_record_is_known_and_a_leader_is_heard() -> None:
-    desk = OutboxApi()
+    world = AgreementWorld()
     changes: list[bool] = []
-    desk.sharer.on_change = lambda: changes.append(desk.sharer.is_ready)
+    world.agreement.on_change = lambda: changes.append(world.agreement.is_ready)
     for known, in_touch in ((True, True), (False, True), (True, False)):
-        desk.accord.is_caught_up, desk.accord.has_leader_contact = known, in_touch
-        desk.accord.on_change()
+        world.consensus.is_caught_up, world.consensus.has_leader_contact = known, in_touch
+        world.consensus.on_change()
     assert changes == [True, False, False]
 
 
@@ -1057,8 +1107,8 @@
 
 
 def test_each_part_gets_its_own_words_and_all_hear_of_changes() -> None:
-    accord = PlayedAccord()
-    multiplexer = ConsensusMultiplexer(accord)
+    consensus = ScriptedConsensus()
+    multiplexer = ConsensusMultiplexer(consensus)
     heard: list[object] = []
     for kind in (b"o", b"u"):
         channel = multiplexer.channel(kind)
@@ -1068,114 +1118,135 @@
         )
         channel.on_change = lambda kind=kind: heard.append(kind)  # type: ignore[misc]
     for data in (b"o1", b"u2", b"x3", b""):
-        accord.on_leader_message(2, 5, data)
-    accord.on_change()
+        consensus.on_leader_message(2, 5, data)
+    consensus.on_change()
     assert heard == [(b"o", 2, b"o1"), (b"u", 2, b"u2"), b"o", b"u"] and multiplexer.ignored == 2
     multiplexer.channel(b"o").propose(b"o4")
     multiplexer.channel(b"o").send_to_leader(b"o5")
-    assert accord.proposed == [b"o4"] and accord.words == [b"o5"]
+    assert consensus.proposed == [b"o4"] and consensus.messages == [b"o5"]
     one = multiplexer.channel(b"u")
     assert (one.replica_id, one.peer_count, one.incarnation, one.epoch) == (0, 3, 1, "epoch")
     assert (one.is_leader, one.leader_id) == (True, 0)
     assert one.is_caught_up and one.has_leader_contact and one.status() == {}
 
 
-class Tier:
+class Cluster:
     """Nodes over a memory link on a clock of their own; on each, kept writes and another part."""
 
-    def __init__(self, seed: int, count: int = 4, seats: int = 3) -> None:
+    def __init__(self, seed: int, count: int = 4, voter_count: int = 3) -> None:
         self.clock = ManualClock()
-        self.draw = random.Random(seed)
-        self.faults = FaultSchedule(self.draw)
+        self.rng = random.Random(seed)
+        self.faults = FaultSchedule(self.rng)
         self.network = MemoryNetwork(self.clock, count, self.faults)
-        self.count, self.seats = count, seats
+        self.node_count, self.voter_count = count, voter_count
         self.nodes: dict[int, ConsensusNode] = {}
-        self.records: dict[int, ReplicatedLedger] = {}
-        self.sharers: dict[int, AgreementDriver] = {}
-        self.others: dict[int, list[bytes]] = {}
-        self.blanks: dict[int, RecordingStateMachine] = {}
-        self.lines: list[str] = []
-
-    async def start(self, me: int) -> None:
-        record, blank = ReplicatedLedger(), RecordingStateMachine()
-        machines = CompositeStateMachine({KIND[0]: record, ord("u"): blank})
-
-        def make_core(incarnation: int, kept: Mapping[bytes, bytes]) -> ConsensusCore:
-            draw = random.Random(self.draw.getrandbits(32))
+        self.ledgers: dict[int, ReplicatedLedger] = {}
+        self.agreements: dict[int, AgreementDriver] = {}
+        self.other_messages: dict[int, list[bytes]] = {}
+        self.other_machines: dict[int, RecordingStateMachine] = {}
+        self.log_lines: list[str] = []
+
+    async def start(self, replica_id: int) -> None:
+        ledger, other_machine = ReplicatedLedger(), RecordingStateMachine()
+        machines = CompositeStateMachine({KIND[0]: ledger, ord("u"): other_machine})
+
+        def make_core(incarnation: int, stored: Mapping[bytes, bytes]) -> ConsensusCore:
+            draw = random.Random(self.rng.getrandbits(32))
             timing = ConsensusTiming()
-            return ConsensusCore(me, self.count, self.seats, incarnation, machines, timing, draw, kept)
+            return ConsensusCore(
+                replica_id, self.node_count, self.voter_count, incarnation, machines, timing, draw, stored
+            )
 
         async def store() -> Store:
             return NoStore()
 
         node = ConsensusNode(
-            make_core, lambda: self.network.link(me), store, machines, self.clock, self.lines.append, me
+            make_core,
+            lambda: self.network.link(replica_id),
+            store,
+            machines,
+            self.clock,
+            self.log_lines.append,
+            replica_id,
         )
         multiplexer = ConsensusMultiplexer(node)
-        self.sharers[me] = AgreementDriver(multiplexer.channel(KIND), record, self.clock)
-        self.others[me] = []
-        multiplexer.channel(b"u").on_leader_message = lambda peer, incarnation, data: self.others[me].append(
-            data
+        self.agreements[replica_id] = AgreementDriver(multiplexer.channel(KIND), ledger, self.clock)
+        self.other_messages[replica_id] = []
+        multiplexer.channel(b"u").on_leader_message = lambda peer, incarnation, data: self.other_messages[
+            replica_id
+        ].append(data)
+        self.nodes[replica_id], self.ledgers[replica_id], self.other_machines[replica_id] = (
+            node,
+            ledger,
+            other_machine,
         )
-        self.nodes[me], self.records[me], self.blanks[me] = node, record, blank
         await node.start()
 
-    async def until(self, done: Callable[[], bool]) -> None:
+    async def run_until(self, done: Callable[[], bool]) -> None:
         for _ in range(6_000):
             if done():
                 return
-            self.clock.advance(10 * MS)
+            self.clock.advance(10 * US_PER_MS)
             await asyncio.sleep(0)
         raise AssertionError("not in a minute of its clock")
 
     def leader(self) -> int | None:
-        return next((me for me, node in self.nodes.items() if node.is_leader and node.is_caught_up), None)
+        return next(
+            (replica_id for replica_id, node in self.nodes.items() if node.is_leader and node.is_caught_up),
+            None,
+        )
 
-    async def settle(self) -> int:
-        await self.until(
-            lambda: self.leader() is not None and all(one.is_ready for one in self.sharers.values())
+    async def wait_until_ready(self) -> int:
+        await self.run_until(
+            lambda: self.leader() is not None and all(one.is_ready for one in self.agreements.values())
         )
         found = self.leader()
         assert found is not None
         return found
 
-    def agree(self, me: int, entry: WriteApplied, within: int = 20_000 * MS) -> asyncio.Future[bool]:
-        record = self.records[me]
-        return self.sharers[me].agree(
+    def agree(
+        self, replica_id: int, entry: WriteApplied, timeout_us: int = 20_000 * US_PER_MS
+    ) -> asyncio.Future[bool]:
+        ledger = self.ledgers[replica_id]
+        return self.agreements[replica_id].agree(
             entry,
-            lambda: record.write_status(Dependency(*entry.write_id)) is WriteStatus.APPLIED,
-            self.clock.now() + within,
+            lambda: ledger.write_status(Dependency(*entry.write_id)) is WriteStatus.APPLIED,
+            self.clock.now() + timeout_us,
         )
 
     async def close(self) -> None:
-        for me, node in self.nodes.items():
-            self.sharers[me].close()
+        for replica_id, node in self.nodes.items():
+            self.agreements[replica_id].close()
             await node.close()
 
 
 def test_real_nodes_agree_from_whichever_copy_beside_another_part() -> None:
     async def main() -> None:
-        tier = Tier(1)
-        for me in range(4):
-            await tier.start(me)
-        await tier.settle()
-        futures = [tier.agree(me, WriteApplied(write_id(1 + me))) for me in range(4)]
-        await tier.until(lambda: all(one.done() for one in futures))
+        cluster = Cluster(1)
+        for replica_id in range(4):
+            await cluster.start(replica_id)
+        await cluster.wait_until_ready()
+        futures = [
+            cluster.agree(replica_id, WriteApplied(write_id(1 + replica_id))) for replica_id in range(4)
+        ]
+        await cluster.run_until(lambda: all(one.done() for one in futures))
         assert all(one.result() for one in futures)
-        await tier.until(
-            lambda: all(fate_up_to(one, 4) is WriteStatus.APPLIED for one in tier.records.values())
+        await cluster.run_until(
+            lambda: all(write_status_up_to(one, 4) is WriteStatus.APPLIED for one in cluster.ledgers.values())
         )
-        assert len({one.dump() for one in tier.records.values()}) == 1
+        assert len({one.dump() for one in cluster.ledgers.values()}) == 1
         # What each proposed, once in the record each; the other part hears its own words alone.
-        assert sum(one.counters["proposed"] for one in tier.sharers.values()) == 4
-        leader = await tier.settle()
-        tier.nodes[3].send_to_leader(b"u word")
-        tier.nodes[leader].propose(b"u entry")
-        await tier.until(lambda: tier.others[leader] == [b"u word"])
-        await tier.until(lambda: all(one.applied == [b" entry"] for one in tier.blanks.values()))
-        assert len({one.dump() for one in tier.records.values()}) == 1
-        await tier.close()
-        assert not tier.lines
+        assert sum(one.counters["proposed"] for one in cluster.agreements.values()) == 4
+        leader = await cluster.wait_until_ready()
+        cluster.nodes[3].send_to_leader(b"u word")
+        cluster.nodes[leader].propose(b"u entry")
+        await cluster.run_until(lambda: cluster.other_messages[leader] == [b"u word"])
+        await cluster.run_until(
+            lambda: all(one.applied == [b" entry"] for one in cluster.other_machines.values())
+        )
+        assert len({one.dump() for one in cluster.ledgers.values()}) == 1
+        await cluster.close()
+        assert not cluster.log_lines
 
     asyncio.run(main())
 
@@ -1183,54 +1254,56 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_real_nodes_agree_through_loss_doubling_and_the_leaders_death(seed: int) -> None:
     async def main() -> None:
-        tier = Tier(seed)
-        for me in range(4):
-            await tier.start(me)
-        leader = await tier.settle()
-        tier.faults.loss, tier.faults.duplication, tier.faults.delay_us = 0.2, 0.2, (500, 40_000)
-        others = [me for me in range(4) if me != leader]
+        cluster = Cluster(seed)
+        for replica_id in range(4):
+            await cluster.start(replica_id)
+        leader = await cluster.wait_until_ready()
+        cluster.faults.loss, cluster.faults.duplication, cluster.faults.delay_us = 0.2, 0.2, (500, 40_000)
+        others = [replica_id for replica_id in range(4) if replica_id != leader]
         futures = [
-            tier.agree(me, WriteApplied(write_id(1 + n, EdgeLog("ash", 1 + me))))
+            cluster.agree(replica_id, WriteApplied(write_id(1 + n, EdgeLog("ash", 1 + replica_id))))
             for n in range(5)
-            for me in others
+            for replica_id in others
         ]
-        tier.sharers[leader].close()
-        await tier.nodes[leader].close()
-        del tier.nodes[leader], tier.records[leader], tier.sharers[leader]
-        await tier.until(lambda: all(one.done() for one in futures))
+        cluster.agreements[leader].close()
+        await cluster.nodes[leader].close()
+        del cluster.nodes[leader], cluster.ledgers[leader], cluster.agreements[leader]
+        await cluster.run_until(lambda: all(one.done() for one in futures))
         assert all(one.result() for one in futures)
-        tier.faults.loss = 0.0
-        await tier.until(lambda: all(one.status()["lines"] == 3 for one in tier.records.values()))
-        await tier.until(lambda: len({one.dump() for one in tier.records.values()}) == 1)
-        await tier.close()
+        cluster.faults.loss = 0.0
+        await cluster.run_until(lambda: all(one.status()["lines"] == 3 for one in cluster.ledgers.values()))
+        await cluster.run_until(lambda: len({one.dump() for one in cluster.ledgers.values()}) == 1)
+        await cluster.close()
 
     asyncio.run(main())
 
 
 def test_a_copy_that_is_cut_off_is_not_ready_and_hears_no_in_time() -> None:
     async def main() -> None:
-        tier = Tier(5)
-        for me in range(4):
-            await tier.start(me)
-        leader = await tier.settle()
-        lone = next(me for me in range(4) if me != leader)
-        tier.faults.partition([lone], [me for me in range(4) if me != lone])
-        await tier.until(lambda: not tier.sharers[lone].is_ready)
-        future = tier.agree(lone, ONE, 2_000 * MS)
-        await tier.until(future.done)
-        assert not future.result() and write_status(tier.records[leader], 1) is WriteStatus.UNKNOWN
-        tier.faults.heal()
-        await tier.until(lambda: tier.sharers[lone].is_ready)
-        again = tier.agree(lone, ONE)
-        await tier.until(again.done)
+        cluster = Cluster(5)
+        for replica_id in range(4):
+            await cluster.start(replica_id)
+        leader = await cluster.wait_until_ready()
+        isolated = next(replica_id for replica_id in range(4) if replica_id != leader)
+        cluster.faults.partition(
+            [isolated], [replica_id for replica_id in range(4) if replica_id != isolated]
+        )
+        await cluster.run_until(lambda: not cluster.agreements[isolated].is_ready)
+        future = cluster.agree(isolated, ENTRY, 2_000 * US_PER_MS)
+        await cluster.run_until(future.done)
+        assert not future.result() and write_status(cluster.ledgers[leader], 1) is WriteStatus.UNKNOWN
+        cluster.faults.heal()
+        await cluster.run_until(lambda: cluster.agreements[isolated].is_ready)
+        again = cluster.agree(isolated, ENTRY)
+        await cluster.run_until(again.done)
         assert again.result()
         # From nothing: it knows what was agreed before it is ready.
-        tier.sharers[lone].close()
-        await tier.nodes[lone].close()
-        await tier.start(lone)
-        assert not tier.sharers[lone].is_ready
-        await tier.until(lambda: tier.sharers[lone].is_ready)
-        assert write_status(tier.records[lone], 1) is WriteStatus.APPLIED
-        await tier.close()
+        cluster.agreements[isolated].close()
+        await cluster.nodes[isolated].close()
+        await cluster.start(isolated)
+        assert not cluster.agreements[isolated].is_ready
+        await cluster.run_until(lambda: cluster.agreements[isolated].is_ready)
+        assert write_status(cluster.ledgers[isolated], 1) is WriteStatus.APPLIED
+        await cluster.close()
 
     asyncio.run(main())
--- a/tests/test_outbox_shared_schedules.py
+++ b/tests/test_outbox_shared_schedules.py
@@ -23,7 +23,7 @@
 import msgspec
 import pytest
 from laurelstep.outbox.dependencies import Dependency
-from laurelstep.outbox.shared import ledger as records
+from laurelstep.outbox.shared import ledger as ledger_module
 from laurelstep.outbox.shared import ranges
 from laurelstep.outbox.shared.entries import (
     EdgeLost,
@@ -99,7 +99,7 @@
 
     def __init__(self, world: World) -> None:
         self.world = world
-        self.record = world.make()
+        self.ledger = world.make()
         self.place = 0  # how many entries it has applied
         self.known_at = 0
         self.in_touch = True
@@ -112,7 +112,7 @@
         log = self.world.log
         for data in log[self.place : self.place + count]:
             self.place += 1
-            self.record.apply(self.place, data)
+            self.ledger.apply(self.place, data)
 
     def restart(self) -> None:
         """Its calls are gone, what it sent is not. It begins from its own snapshot, another's, or nothing."""
@@ -125,13 +125,13 @@
         source = self if luck < 0.6 else world.draw.choice(world.copies)
         new = world.make()
         if luck < 0.9:
-            raw = source.record.dump()
+            raw = source.ledger.dump()
             new.load(raw)
-            world.check_same(source.record, new)
+            world.check_same(source.ledger, new)
             self.place = source.place
         else:
             self.place = 0
-        self.record = new
+        self.ledger = new
         self.known_at = len(world.log)
 
     # --- The gate ---------------------------------------------------------------------
@@ -141,11 +141,11 @@
         call = Call(self, edge, attempt, replayed, key, world.draw.getrandbits(63) or 1)
         if not self.ready:
             self.reply(call, "not run")
-        elif self.record.write_status(Dependency(*write_id)) is WriteStatus.APPLIED:
+        elif self.ledger.write_status(Dependency(*write_id)) is WriteStatus.APPLIED:
             self.reply(call, "in")
         elif (
-            self.record.holder(write_id.edge_log) != replayed.life
-            or self.record.write_status(Dependency(*write_id)) is WriteStatus.ABANDONED
+            self.ledger.holder(write_id.edge_log) != replayed.life
+            or self.ledger.write_status(Dependency(*write_id)) is WriteStatus.ABANDONED
         ):
             self.reply(call, "fenced")
         else:
@@ -170,7 +170,7 @@
 
     def begin(self, call: Call) -> None:
         replayed, world = call.replayed, self.world
-        match self.record.intent_status(replayed.write_id, replayed.life, call.ask):
+        match self.ledger.intent_status(replayed.write_id, replayed.life, call.ask):
             case IntentStatus.MINE:
                 self.send(call)
             case IntentStatus.OTHERS:
@@ -189,7 +189,7 @@
         self.undo(call)
 
     def undo(self, call: Call) -> None:
-        if self.record.is_withdrawn(call.ask) or self.world.draw.random() < self.world.impatience:
+        if self.ledger.is_withdrawn(call.ask) or self.world.draw.random() < self.world.impatience:
             self.reply(call, call.answer)
         else:
             self.world.word(IntentWithdrawal(call.replayed.write_id, call.ask))
@@ -199,7 +199,7 @@
         self.bring_in(call)
 
     def bring_in(self, call: Call) -> None:
-        write_status = self.record.write_status(Dependency(*call.replayed.write_id))
+        write_status = self.ledger.write_status(Dependency(*call.replayed.write_id))
         if write_status is WriteStatus.APPLIED:
             self.reply(call, "in")
         elif write_status is WriteStatus.ABANDONED or self.world.draw.random() < self.world.impatience:
@@ -226,19 +226,19 @@
     def asked(self, edge: Edge, ask: ReplayQuery) -> None:
         if not self.ready:
             return
-        record, world = self.record, self.world
-        write_statuses = tuple(record.write_status(dependency) for dependency in ask.write_statuses)
+        ledger, world = self.ledger, self.world
+        write_statuses = tuple(ledger.write_status(dependency) for dependency in ask.write_statuses)
         for dependency, write_status in zip(ask.write_statuses, write_statuses, strict=True):
             if write_status is WriteStatus.APPLIED:
                 world.check_in(dependency, "an ask")
         for entry in (
-            *(record.lease_entry(claim) for claim in ask.claims),
-            *(record.status_entry(told) for told in ask.told),
+            *(ledger.lease_entry(claim) for claim in ask.claims),
+            *(ledger.status_entry(told) for told in ask.told),
         ):
             if entry is not None:
                 world.word(entry)
-        claims = tuple(record.lease_status(claim) for claim in ask.claims)
-        told = tuple(record.agrees_with(told) for told in ask.told)
+        claims = tuple(ledger.lease_status(claim) for claim in ask.claims)
+        told = tuple(ledger.agrees_with(told) for told in ask.told)
         world.mail.append(lambda: edge.heard(ask, write_statuses, claims, told))
 
 
@@ -326,16 +326,16 @@
             if not self.is_in(dependency)
         }
         claims = tuple(
-            LeaseRequest(line, self.life, self.known, (line, self.life) in world.forced)
-            for line, claimed in self.claims.items()
+            LeaseRequest(edge_log, self.life, self.known, (edge_log, self.life) in world.forced)
+            for edge_log, claimed in self.claims.items()
             if claimed is LeaseStatus.OPEN
         )
         told = [said for one in self.disk.kept.values() if (said := self.to_say(one)) is not None]
         told += [
             low
-            for line, claimed in self.claims.items()
+            for edge_log, claimed in self.claims.items()
             if claimed is LeaseStatus.HELD
-            if (low := self.low(line))
+            if (low := self.low_watermark(edge_log))
         ]
         if world.draw.random() < 0.5:
             told = told[:1]
@@ -356,11 +356,13 @@
             one.write_id, write_status, self.life, False, one.state == "clearing", one.parkings
         )
 
-    def low(self, line: EdgeLog) -> StatusUpdate | None:
+    def low_watermark(self, edge_log: EdgeLog) -> StatusUpdate | None:
         number = 0
-        while (one := self.disk.kept.get(WriteId(*line, number + 1))) is not None and self.is_over(one):
+        while (one := self.disk.kept.get(WriteId(*edge_log, number + 1))) is not None and self.is_over(one):
             number += 1
-        return StatusUpdate(WriteId(*line, number), WriteStatus.APPLIED, self.life, True) if number else None
+        return (
+            StatusUpdate(WriteId(*edge_log, number), WriteStatus.APPLIED, self.life, True) if number else None
+        )
 
     def is_over(self, one: Kept) -> bool:
         return one.state == "done" or (one.state == "gone" and one.said)
@@ -606,16 +608,16 @@
 
     def force(self) -> None:
         edge = self.draw.choice(self.living())
-        fenced = [line for line, claimed in edge.claims.items() if claimed is LeaseStatus.FENCED]
+        fenced = [edge_log for edge_log, claimed in edge.claims.items() if claimed is LeaseStatus.FENCED]
         if fenced:
-            line = self.draw.choice(fenced)
-            self.forced.add((line, edge.life))
-            edge.claims[line] = LeaseStatus.OPEN
+            edge_log = self.draw.choice(fenced)
+            self.forced.add((edge_log, edge.life))
+            edge.claims[edge_log] = LeaseStatus.OPEN
 
     def declare(self) -> None:
         if self.lines and self.draw.random() < 0.15:
-            line = self.draw.choice(list(self.lines))
-            self.word(EdgeLost(line.edge, line.incarnation if self.draw.random() < 0.6 else 0))
+            edge_log = self.draw.choice(list(self.lines))
+            self.word(EdgeLost(edge_log.edge, edge_log.incarnation if self.draw.random() < 0.6 else 0))
 
     # --- The checker --------------------------------------------------------------------
 
@@ -659,7 +661,7 @@
         self.log.append(data)
         entry = unpack(data)
         assert entry is not None
-        begun = self.begun_by(entry)
+        begun = self.intent_id_of(entry)
         try:
             self.truth.apply(len(self.log), data)
         except Exception as error:
@@ -670,28 +672,31 @@
             self.check_taken_back(entry, begun)
         if isinstance(entry, EdgeLost):
             self.lost.add(EdgeLog(entry.edge, entry.incarnation) if entry.incarnation else entry.edge)
-        touched = [line for line in self.lines if line.edge == edge_of(entry)]
+        touched = [edge_log for edge_log in self.lines if edge_log.edge == edge_of(entry)]
         self.check_holders(entry, touched)
         self.check_finals(touched)
         self.check_bounds()
 
     def check_begun(self, entry: Intent, before: int) -> None:
-        line = entry.write_id.edge_log
-        if before == entry.ask or self.truth._row(line).begun_by(entry.write_id.number) != entry.ask:
+        edge_log = entry.write_id.edge_log
+        if (
+            before == entry.intent_id
+            or self.truth._log_state(edge_log).intent_id(entry.write_id.number) != entry.intent_id
+        ):
             return
-        if entry.life != self.holder(line) or line in self.lost or line.edge in self.lost:
-            raise BrokenError("fenced", f"{entry} was granted, {line} is another's")
+        if entry.incarnation != self.holder(edge_log) or edge_log in self.lost or edge_log.edge in self.lost:
+            raise BrokenError("fenced", f"{entry} was granted, {edge_log} is another's")
 
-    def begun_by(self, entry: LedgerEntry) -> int:
+    def intent_id_of(self, entry: LedgerEntry) -> int:
         if isinstance(entry, Intent | StatusRecord | IntentWithdrawal):
-            return self.truth._row(entry.write_id.edge_log).begun_by(entry.write_id.number)
+            return self.truth._log_state(entry.write_id.edge_log).intent_id(entry.write_id.number)
         return 0
 
     def check_taken_back(self, entry: StatusRecord | IntentWithdrawal, before: int) -> None:
         """What is taken back has not run, and won't: also where the entry comes late."""
         if (
             not before
-            or self.begun_by(entry) == before
+            or self.intent_id_of(entry) == before
             or self.truth.write_status(Dependency(*entry.write_id)) in OVER
         ):
             return
@@ -700,68 +705,72 @@
         if out or before in self.ran or any(send.ask == before for send in self.sends):
             raise BrokenError("once", f"{entry} takes back what may run, or ran")
 
-    def holder(self, line: EdgeLog) -> int:
-        return self.holders.get(line, line.incarnation)
+    def holder(self, edge_log: EdgeLog) -> int:
+        return self.holders.get(edge_log, edge_log.incarnation)
 
     def check_holders(self, entry: LedgerEntry, touched: list[EdgeLog]) -> None:
-        for line in touched:
-            holder, before = self.truth.holder(line), self.holder(line)
+        for edge_log in touched:
+            holder, before = self.truth.holder(edge_log), self.holder(edge_log)
             if holder == before:
                 continue
             if holder:
-                asked = isinstance(entry, LogLease) and entry.edge_log == line and entry.life == holder
-                known = before in self.knowns[holder] or (line, holder) in self.forced
+                asked = (
+                    isinstance(entry, LogLease) and entry.edge_log == edge_log and entry.incarnation == holder
+                )
+                known = before in self.knowns[holder] or (edge_log, holder) in self.forced
                 if not asked or not known or before == 0:
-                    raise BrokenError("fenced", f"{line} went from {before} to {holder} by {entry}")
-            elif line not in self.lost and line.edge not in self.lost:
-                raise BrokenError("fenced", f"{line} is nobody's by {entry}")
-            self.holders[line] = holder
+                    raise BrokenError("fenced", f"{edge_log} went from {before} to {holder} by {entry}")
+            elif edge_log not in self.lost and edge_log.edge not in self.lost:
+                raise BrokenError("fenced", f"{edge_log} is nobody's by {entry}")
+            self.holders[edge_log] = holder
             self.seen["claimed" if holder else "lost"] += 1
 
     def check_finals(self, touched: list[EdgeLog]) -> None:
-        for line in touched:
-            now, before = self.final_in(self.truth, line), self.finals.get(line, {})
+        for edge_log in touched:
+            now, before = self.final_in(self.truth, edge_log), self.finals.get(edge_log, {})
             if not before.items() <= now.items():
                 raise BrokenError("final", f"{before} are {now}")
-            self.finals[line] = now
+            self.finals[edge_log] = now
 
-    def final_in(self, record: ReplicatedLedger, line: EdgeLog) -> dict[Dependency, WriteStatus]:
-        asked = [Dependency(*write_id, before) for write_id in self.lines[line] for before in (False, True)]
-        asked.append(Dependency(line.edge, 1 << 63, 1))  # of a life to come
+    def final_in(self, ledger: ReplicatedLedger, edge_log: EdgeLog) -> dict[Dependency, WriteStatus]:
+        asked = [
+            Dependency(*write_id, before) for write_id in self.lines[edge_log] for before in (False, True)
+        ]
+        asked.append(Dependency(edge_log.edge, 1 << 63, 1))  # of a life to come
         return {
             dependency: write_status
             for dependency in asked
-            if (write_status := record.write_status(dependency)) in OVER
+            if (write_status := ledger.write_status(dependency)) in OVER
         }
 
     def check_bounds(self) -> None:
-        rows = self.truth._rows
-        ranges = sum(row.spans for row in rows.values())
-        begun = [(line, one[0]) for line, row in rows.items() for one in row.begun]
+        rows = self.truth._log_states
+        ranges = sum(row.range_count for row in rows.values())
+        begun = [(edge_log, one[0]) for edge_log, row in rows.items() for one in row.intents]
         for name, found, most in (
-            ("lines", len(rows), records.LINES_MOST),
+            ("lines", len(rows), ledger_module.MAX_LINES),
             (
                 "ranges",
-                max((len(row.ins) + len(row.gone) for row in rows.values()), default=0),
-                records.RANGES_MOST,
+                max((len(row.applied) + len(row.abandoned) for row in rows.values()), default=0),
+                ledger_module.MAX_RANGES,
             ),
-            ("parked", max((len(row.parked) for row in rows.values()), default=0), records.PARKED_MOST),
-            ("spans", ranges, records.SPANS_MOST),
-            ("begun", len(begun), records.BEGUN_MOST),
-            ("undone", len(self.truth._undone), records.UNDONE_MOST),
-            ("lost", len(self.truth._lost), records.LOST_MOST),
+            ("parked", max((len(row.parked) for row in rows.values()), default=0), ledger_module.MAX_PARKED),
+            ("spans", ranges, ledger_module.MAX_SPANS),
+            ("begun", len(begun), ledger_module.MAX_BEGUN),
+            ("undone", len(self.truth._withdrawn_intents), ledger_module.MAX_WITHDRAWN),
+            ("lost", len(self.truth._lost_edges), ledger_module.MAX_LOST),
         ):
             if found > most:
                 raise BrokenError("bounds", f"{found} {name}, {most} at most")
-        if (ranges, len(begun)) != (self.truth._spans, self.truth._begun):
+        if (ranges, len(begun)) != (self.truth._range_count, self.truth._intent_count):
             raise BrokenError("bounds", "what is counted is not what there is")
-        for line, number in begun:
-            if self.truth.write_status(Dependency(*line, number)) in OVER:
-                raise BrokenError("bounds", f"{number} of {line} is over and still begun")
+        for edge_log, number in begun:
+            if self.truth.write_status(Dependency(*edge_log, number)) in OVER:
+                raise BrokenError("bounds", f"{number} of {edge_log} is over and still begun")
 
     def check_same(self, old: ReplicatedLedger, new: ReplicatedLedger) -> None:
-        for line in self.lines:
-            if not self.final_in(old, line).items() <= self.final_in(new, line).items():
+        for edge_log in self.lines:
+            if not self.final_in(old, edge_log).items() <= self.final_in(new, edge_log).items():
                 raise BrokenError("final", "a snapshot forgot what was in or gone")
         if old.dump() != new.dump():
             raise BrokenError("step", "a snapshot does not give back what it was made of")
@@ -769,7 +778,7 @@
     def check_copies(self) -> None:
         self.all_follow()
         for one in self.copies:
-            if one.record.dump() != self.truth.dump():
+            if one.ledger.dump() != self.truth.dump():
                 raise BrokenError("step", "copies at the same place are not the same")
 
     # --- The end ------------------------------------------------------------------------
@@ -821,7 +830,7 @@
         return found
 
     def check_progress(self) -> None:
-        if sum(self.truth.refused.values()):
+        if sum(self.truth.refusal_counts.values()):
             return  # what does not fit waits for an operator
         for edge in self.living():
             for one in edge.disk.kept.values():
@@ -859,19 +868,19 @@
         except BrokenError as error:
             error.add_note(f"seed {seed}")
             raise
-        seen += world.seen + Counter({f"refused {name}": n for name, n in world.truth.refused.items()})
+        seen += world.seen + Counter({f"refused {name}": n for name, n in world.truth.refusal_counts.items()})
     return seen
 
 
 TIGHT = {
-    "lines": {"LINES": 3, "PARKED": 1, "UNDONE": 2},
-    "ranges": {"RANGES": 1, "SPANS": 2, "BEGUN": 1, "UNDONE": 2},
+    "lines": {"LINES": 3, "PARKED": 1, "WITHDRAWN": 2},
+    "ranges": {"RANGES": 1, "SPANS": 2, "BEGUN": 1, "WITHDRAWN": 2},
 }
 
 
 def tighten(monkeypatch: pytest.MonkeyPatch, bounds: str) -> None:
     for name, most in TIGHT[bounds].items():
-        monkeypatch.setattr(records, f"{name}_MOST", most)
+        monkeypatch.setattr(ledger_module, f"MAX_{name}", most)
 
 
 @pytest.mark.parametrize("first", range(0, 10_000, 2_500))
@@ -886,7 +895,7 @@
 def test_none_does_where_bounds_are_reached(bounds: str, monkeypatch: pytest.MonkeyPatch) -> None:
     tighten(monkeypatch, bounds)
     seen = play(0, 700)
-    assert all(seen[f"refused {name.lower()}"] for name in TIGHT[bounds] if name != "UNDONE"), seen
+    assert all(seen[f"refused {name.lower()}"] for name in TIGHT[bounds] if name != "WITHDRAWN"), seen
 
 
 # --- That the checker can fail ------------------------------------------------------------
@@ -895,26 +904,30 @@
 class BegunTwice(ReplicatedLedger):
     """A BEGIN is granted whoever began before."""
 
-    def _begin(self, entry: Intent) -> None:
-        row, number = self._row(entry.write_id.edge_log), entry.write_id.number
-        if row.holder == entry.life and row.write_status(number) not in OVER:
-            self._put(entry.write_id.edge_log, row.with_begun(number, entry.ask, 0))
+    def _apply_intent(self, entry: Intent) -> None:
+        row, number = self._log_state(entry.write_id.edge_log), entry.write_id.number
+        if row.holder == entry.incarnation and row.write_status(number) not in OVER:
+            self._put(entry.write_id.edge_log, row.with_intent(number, entry.intent_id, 0))
 
 
 class UnbegunByAny(ReplicatedLedger):
     """An UNBEGIN takes back whoever's BEGIN there is."""
 
-    def _unbegin(self, entry: IntentWithdrawal) -> None:
+    def _apply_withdrawal(self, entry: IntentWithdrawal) -> None:
         number = entry.write_id.number
-        self._put(entry.write_id.edge_log, self._row(entry.write_id.edge_log).without_begun(number, number))
-        self._undo(entry.ask)
+        self._put(
+            entry.write_id.edge_log, self._log_state(entry.write_id.edge_log).without_intents(number, number)
+        )
+        self._remember_withdrawn(entry.intent_id)
 
 
 class HolderUnchecked(ReplicatedLedger):
     """Whoever asks gets a BEGIN."""
 
-    def _begin(self, entry: Intent) -> None:
-        super()._begin(msgspec.structs.replace(entry, life=self.holder(entry.write_id.edge_log)))
+    def _apply_intent(self, entry: Intent) -> None:
+        super()._apply_intent(
+            msgspec.structs.replace(entry, incarnation=self.holder(entry.write_id.edge_log))
+        )
 
 
 class ClaimedUnknown(ReplicatedLedger):
@@ -927,20 +940,22 @@
 class HeldByTheLast(ReplicatedLedger):
     """A claim holds whatever became of the line since it was asked."""
 
-    def _hold(self, entry: LogLease) -> None:
-        row = self._row(entry.edge_log)
-        super()._hold(msgspec.structs.replace(entry, turn=row.turn, of=row.holder))
+    def _apply_lease(self, entry: LogLease) -> None:
+        row = self._log_state(entry.edge_log)
+        super()._apply_lease(
+            msgspec.structs.replace(entry, holder_changes=row.holder_changes, previous_holder=row.holder)
+        )
 
 
 class HeldWhenLost(ReplicatedLedger):
     """A line that is lost can be claimed."""
 
-    def _hold(self, entry: LogLease) -> None:
-        row = self._row(entry.edge_log)
+    def _apply_lease(self, entry: LogLease) -> None:
+        row = self._log_state(entry.edge_log)
         if row.holder == 0:
-            self._rows[entry.edge_log] = msgspec.structs.replace(row, holder=entry.life)
+            self._log_states[entry.edge_log] = msgspec.structs.replace(row, holder=entry.incarnation)
         else:
-            super()._hold(entry)
+            super()._apply_lease(entry)
 
     def lease_status(self, claim: LeaseRequest) -> LeaseStatus:
         return LeaseStatus.OPEN if self.holder(claim.edge_log) == 0 else super().lease_status(claim)
@@ -950,9 +965,9 @@
     """A snapshot does not say which edges are lost."""
 
     def dump(self) -> bytes:
-        lost, self._lost = self._lost, set()
+        lost, self._lost_edges = self._lost_edges, set()
         raw = super().dump()
-        self._lost = lost
+        self._lost_edges = lost
         return raw
 
 
@@ -961,92 +976,96 @@
 
     def load(self, raw: bytes) -> None:
         super().load(raw)
-        for line, row in self._rows.items():
-            self._rows[line] = msgspec.structs.replace(row, begun=())
-        self._begun = 0
+        for edge_log, row in self._log_states.items():
+            self._log_states[edge_log] = msgspec.structs.replace(row, intents=())
+        self._intent_count = 0
 
 
 class GoneTakenBack(ReplicatedLedger):
     """What runs after all is gone no more."""
 
-    def _change(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
-        row = self._row(write_id.edge_log)
+    def _set_status(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
+        row = self._log_state(write_id.edge_log)
         if write_status is WriteStatus.APPLIED and row.holder:
-            self._spans -= row.spans
-            row = msgspec.structs.replace(row, gone=ranges.cut(row.gone, first, write_id.number))
-            self._spans += row.spans
-            self._rows[write_id.edge_log] = row
-        super()._change(write_id, first, write_status)
+            self._range_count -= row.range_count
+            row = msgspec.structs.replace(row, abandoned=ranges.remove(row.abandoned, first, write_id.number))
+            self._range_count += row.range_count
+            self._log_states[write_id.edge_log] = row
+        super()._set_status(write_id, first, write_status)
 
 
 class InTakenBack(ReplicatedLedger):
     """What is parked is not in, whatever was said before."""
 
-    def _change(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
-        row = self._row(write_id.edge_log)
-        if write_status is not WriteStatus.APPLIED and row.holder and row.low >= write_id.number:
-            self._rows[write_id.edge_log] = msgspec.structs.replace(row, low=write_id.number - 1)
-        super()._change(write_id, first, write_status)
+    def _set_status(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
+        row = self._log_state(write_id.edge_log)
+        if write_status is not WriteStatus.APPLIED and row.holder and row.low_watermark >= write_id.number:
+            self._log_states[write_id.edge_log] = msgspec.structs.replace(
+                row, low_watermark=write_id.number - 1
+            )
+        super()._set_status(write_id, first, write_status)
 
 
 class BegunKept(ReplicatedLedger):
     """What is over stays begun."""
 
-    def _change(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
-        begun = self._row(write_id.edge_log).begun
-        super()._change(write_id, first, write_status)
-        row = self._row(write_id.edge_log)
-        if row.begun != begun:
-            self._rows[write_id.edge_log] = msgspec.structs.replace(row, begun=begun)
-            self._begun += len(begun) - len(row.begun)
+    def _set_status(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
+        begun = self._log_state(write_id.edge_log).intents
+        super()._set_status(write_id, first, write_status)
+        row = self._log_state(write_id.edge_log)
+        if row.intents != begun:
+            self._log_states[write_id.edge_log] = msgspec.structs.replace(row, intents=begun)
+            self._intent_count += len(begun) - len(row.intents)
 
 
 class BegunClearedEarly(ReplicatedLedger):
     """A write that is parked counts as not begun."""
 
-    def _change(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
+    def _set_status(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
         if write_status is WriteStatus.PARKED:
-            self._put(write_id.edge_log, self._row(write_id.edge_log).without_begun(first, write_id.number))
-        super()._change(write_id, first, write_status)
+            self._put(
+                write_id.edge_log, self._log_state(write_id.edge_log).without_intents(first, write_id.number)
+            )
+        super()._set_status(write_id, first, write_status)
 
 
 class LowOverGaps(ReplicatedLedger):
     """One that is in means that all before it are over."""
 
-    def _change(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
-        super()._change(write_id, 1 if write_status is WriteStatus.APPLIED else first, write_status)
+    def _set_status(self, write_id: WriteId, first: int, write_status: WriteStatus) -> None:
+        super()._set_status(write_id, 1 if write_status is WriteStatus.APPLIED else first, write_status)
 
 
 class BoundIgnored(ReplicatedLedger):
     """Whatever comes is kept."""
 
-    def _bound(self, *args: Any) -> None:
+    def _exceeded_limit(self, *args: Any) -> None:
         return None
 
 
 class ForgetsForRoom(ReplicatedLedger):
     """Where a line has no more room for ranges, the first of them goes."""
 
-    def _put(self, line: EdgeLog, row: Any) -> bool:
-        if len(row.ins) + len(row.gone) > records.RANGES_MOST and row.ins:
-            row = msgspec.structs.replace(row, ins=row.ins[1:])
-        return super()._put(line, row)
+    def _put(self, edge_log: EdgeLog, row: Any) -> bool:
+        if len(row.applied) + len(row.abandoned) > ledger_module.MAX_RANGES and row.applied:
+            row = msgspec.structs.replace(row, applied=row.applied[1:])
+        return super()._put(edge_log, row)
 
 
 class LostRaises(ReplicatedLedger):
     """What it does not expect, it raises at."""
 
-    def _lose(self, entry: EdgeLost) -> None:
+    def _apply_lost(self, entry: EdgeLost) -> None:
         if entry.incarnation:
-            self._rows[EdgeLog(entry.edge, entry.incarnation)]
-        super()._lose(entry)
+            self._log_states[EdgeLog(entry.edge, entry.incarnation)]
+        super()._apply_lost(entry)
 
 
 class LateBegun(ReplicatedLedger):
     """An ask that was taken back can begin again."""
 
-    def _undo(self, ask: int) -> None:
-        self._undone.pop(ask, None)
+    def _remember_withdrawn(self, ask: int) -> None:
+        self._withdrawn_intents.pop(ask, None)
 
 
 class JudgedAgain(ReplicatedLedger):
@@ -1055,8 +1074,8 @@
     def agrees_with(self, told: StatusUpdate) -> bool:
         return super().agrees_with(msgspec.structs.replace(told, parking=0))
 
-    def _said(self, entry: StatusRecord) -> None:
-        super()._said(msgspec.structs.replace(entry, parking=0))
+    def _apply_status_record(self, entry: StatusRecord) -> None:
+        super()._apply_status_record(msgspec.structs.replace(entry, parking=0))
 
 
 class TellsEarly(Copy):
@@ -1072,7 +1091,7 @@
 
     def begin(self, call: Call) -> None:
         replayed = call.replayed
-        if self.record.intent_status(replayed.write_id, replayed.life, call.ask) is IntentStatus.OPEN:
+        if self.ledger.intent_status(replayed.write_id, replayed.life, call.ask) is IntentStatus.OPEN:
             self.world.word(Intent(replayed.write_id, replayed.life, call.ask))
             self.send(call)
         else:
