--- a/tests/test_outbox_ledger.py
+++ b/tests/test_outbox_ledger.py
@@ -1120,7 +1120,7 @@
     for data in (b"o1", b"u2", b"x3", b""):
         consensus.on_leader_message(2, 5, data)
     consensus.on_change()
-    assert heard == [(b"o", 2, b"o1"), (b"u", 2, b"u2"), b"o", b"u"] and multiplexer.ignored == 2
+    assert heard == [(b"o", 2, b"o1"), (b"u", 2, b"u2"), b"o", b"u"] and multiplexer.ignored_count == 2
     multiplexer.channel(b"o").propose(b"o4")
     multiplexer.channel(b"o").send_to_leader(b"o5")
     assert consensus.proposed == [b"o4"] and consensus.messages == [b"o5"]
