--- a/tests/test_outbox_replicated_version_vector.py
+++ b/tests/test_outbox_replicated_version_vector.py
@@ -1,4 +1,4 @@
-"""The version vector of a copy's own outbox: what it reads from the record, claims, and tells."""
+"""The version vector of a copy's own outbox: reading the ledger, requesting leases, publishing statuses."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
         for _ in range(5):
             await asyncio.sleep(0)
 
-    async def land(self) -> None:
+    async def commit(self) -> None:
         self.agreement.land()
         await self.advance()
 
@@ -64,7 +64,7 @@
     asyncio.run(asyncio.wait_for(main(), 20))
 
 
-def test_what_the_record_says_is_known_also_while_this_copy_is_behind() -> None:
+def test_statuses_in_the_ledger_are_known_while_this_copy_is_not_ready() -> None:
     async def test(world: World) -> None:
         assert world.version_vector.write_status(FOREIGN_WRITE) is WriteStatus.UNKNOWN
         world.agreement.land(WriteApplied(FOREIGN_WRITE.write_id))
@@ -74,9 +74,9 @@
     run_in_world(test)
 
 
-def test_its_own_line_is_held_while_it_is_in_touch_and_not_lost() -> None:
+def test_the_own_log_is_held_while_the_copy_is_ready_and_the_log_not_lost() -> None:
     async def test(world: World) -> None:
-        assert not world.version_vector.holds(OWN_LOG)  # not begun
+        assert not world.version_vector.holds(OWN_LOG)  # `begin` was not called yet
         world.begin()
         assert world.version_vector.holds(OWN_LOG) and not world.version_vector.holds(EdgeLog("edge-1", 7))
         world.agreement.is_ready = False
@@ -88,11 +88,11 @@
     run_in_world(test)
 
 
-def test_a_former_line_is_claimed_once_it_is_wanted_and_held_once_that_is_agreed() -> None:
+def test_an_earlier_log_is_requested_once_wanted_and_held_once_agreed() -> None:
     async def test(world: World) -> None:
         world.begin(OLDEST_LOG, PREVIOUS_LOG)
         await world.advance(2 * SUBMIT_INTERVAL_US)
-        assert world.agreement.asked == []  # a line of which nothing is left needs no claim
+        assert world.agreement.asked == []  # no lease is requested for a log that nothing is wanted of
         assert not world.version_vector.holds(PREVIOUS_LOG)
         await world.advance()
         assert world.agreement.asked == [
@@ -100,7 +100,7 @@
         ]
         assert not world.version_vector.holds(PREVIOUS_LOG)
         change_count = world.change_count
-        await world.land()
+        await world.commit()
         assert (
             world.version_vector.holds(PREVIOUS_LOG)
             and world.change_count > change_count
@@ -110,8 +110,8 @@
     run_in_world(test)
 
 
-def test_a_line_whose_holder_this_disk_knows_is_claimed_from_it() -> None:
-    """The life between claimed it and ended."""
+def test_a_log_is_requested_from_the_known_incarnation_that_holds_it() -> None:
+    """An incarnation between the oldest and the present one took the lease on the oldest log, and ended."""
 
     async def test(world: World) -> None:
         world.agreement.land(LogLease(OLDEST_LOG, PREVIOUS_LOG.incarnation, OLDEST_LOG.incarnation, 0))
@@ -125,9 +125,7 @@
     run_in_world(test)
 
 
-def test_a_line_that_a_life_holds_which_this_disk_does_not_know_is_fenced_until_an_operator_claims_it() -> (
-    None
-):
+def test_a_log_held_by_an_unknown_incarnation_is_fenced_until_an_operator_forces_the_lease() -> None:
     async def test(world: World) -> None:
         world.agreement.land(LogLease(OLDEST_LOG, 99, OLDEST_LOG.incarnation, 0))
         world.begin(OLDEST_LOG)
@@ -140,16 +138,16 @@
         assert world.version_vector.force_lease(OLDEST_LOG)
         await world.advance()
         assert world.agreement.asked == [LogLease(OLDEST_LOG, OWN_LOG.incarnation, 99, 1, True)]
-        await world.land()
+        await world.commit()
         assert world.version_vector.holds(OLDEST_LOG) and not world.version_vector.force_lease(OLDEST_LOG)
         world.agreement.land(LogLease(OLDEST_LOG, 98, OWN_LOG.incarnation, 2, True))
         await world.advance(2 * SUBMIT_INTERVAL_US)
-        assert world.agreement.asked == [] and len(world.log_lines) == 2  # its force counted once
+        assert world.agreement.asked == [] and len(world.log_lines) == 2  # the operator's demand was used up
 
     run_in_world(test)
 
 
-def test_a_line_of_this_very_life_that_a_copy_of_its_disk_claims_is_fenced_with_one_line() -> None:
+def test_the_own_log_is_fenced_with_one_log_line_when_a_copy_of_the_disk_takes_the_lease() -> None:
     async def test(world: World) -> None:
         world.begin()
         world.agreement.land(LogLease(OWN_LOG, 99, OWN_LOG.incarnation, 0))
@@ -161,16 +159,17 @@
         )
         assert world.version_vector.force_lease(OWN_LOG)
         await world.advance()
-        await world.land()
+        await world.commit()
         assert world.version_vector.holds(OWN_LOG)
 
     run_in_world(test)
 
 
-def test_what_becomes_of_own_writes_is_told_until_the_record_says_so() -> None:
+def test_statuses_of_own_writes_are_published_until_the_ledger_shows_them() -> None:
     async def test(world: World) -> None:
         write_ids = [WriteId(*OWN_LOG, number) for number in (1, 2, 3)]
-        world.version_vector.publish(write_ids[0], WriteStatus.PARKED)  # as it is restored
+        # Before `begin`, as when the outbox is restored.
+        world.version_vector.publish(write_ids[0], WriteStatus.PARKED)
         world.begin()
         assert world.agreement.asked == [StatusRecord(write_ids[0], WriteStatus.PARKED, 3)]
         world.version_vector.publish(write_ids[1], WriteStatus.APPLIED)
@@ -184,10 +183,11 @@
         }
         await world.advance(SUBMIT_INTERVAL_US)
         assert set(world.agreement.asked) == updates
-        for _ in range(2 * AGREE_TIMEOUT_US // CHANGE_DELAY_US):  # it is not agreed, and told again
+        # The entries are not agreed, and are submitted again.
+        for _ in range(2 * AGREE_TIMEOUT_US // CHANGE_DELAY_US):
             await world.advance()
         assert set(world.agreement.asked) == updates and world.agreement.calls > 3
-        await world.land()
+        await world.commit()
         await world.advance(SUBMIT_INTERVAL_US)
         assert (
             world.version_vector.write_status(Dependency(*write_ids[1])) is WriteStatus.APPLIED
@@ -195,13 +195,13 @@
         )
         world.version_vector.publish(write_ids[0], WriteStatus.UNKNOWN)
         await world.advance(SUBMIT_INTERVAL_US)
-        await world.land()
+        await world.commit()
         assert world.version_vector.write_status(Dependency(*write_ids[0])) is WriteStatus.UNKNOWN
 
     run_in_world(test)
 
 
-def test_all_up_to_a_number_waits_for_those_given_up() -> None:
+def test_the_low_watermark_waits_until_abandoned_writes_are_published() -> None:
     async def test(world: World) -> None:
         world.begin()
         abandoned = WriteId(*OWN_LOG, 1)
@@ -210,35 +210,34 @@
         ) and world.version_vector.publish_low_watermark(OWN_LOG, 2)
         await world.advance(SUBMIT_INTERVAL_US)
         assert world.agreement.asked == [StatusRecord(abandoned, WriteStatus.ABANDONED, 3)]
-        await world.land()
+        await world.commit()
         await world.advance(SUBMIT_INTERVAL_US)
         assert world.agreement.asked == [StatusRecord(WriteId(*OWN_LOG, 2), WriteStatus.APPLIED, 3, True)]
-        await world.land()
+        await world.commit()
         assert world.version_vector.write_status(Dependency(*abandoned)) is WriteStatus.ABANDONED
         assert world.version_vector.write_status(Dependency(*OWN_LOG, 2)) is WriteStatus.APPLIED
 
     run_in_world(test)
 
 
-def test_what_is_to_be_told_has_bounds() -> None:
+def test_unpublished_statuses_and_pending_entries_are_limited() -> None:
     async def test(world: World) -> None:
         world.begin()
         for number in range(1, MAX_UNPUBLISHED + 1):
             assert world.version_vector.publish(WriteId(*OWN_LOG, number), WriteStatus.PARKED)
         assert not world.version_vector.publish(WriteId(*OWN_LOG, MAX_UNPUBLISHED + 1), WriteStatus.PARKED)
-        assert world.version_vector.publish(
-            WriteId(*OWN_LOG, 1), WriteStatus.APPLIED
-        )  # what is in it already may change
+        # A status that waits already can be replaced.
+        assert world.version_vector.publish(WriteId(*OWN_LOG, 1), WriteStatus.APPLIED)
         await world.advance(SUBMIT_INTERVAL_US)
         assert len(world.agreement.asked) == MAX_PENDING
-        await world.land()
+        await world.commit()
         assert len(world.version_vector.unpublished) == MAX_UNPUBLISHED - MAX_PENDING
         assert world.version_vector.publish(WriteId(*OWN_LOG, MAX_UNPUBLISHED + 1), WriteStatus.PARKED)
 
     run_in_world(test)
 
 
-def test_of_a_fenced_line_nothing_is_told() -> None:
+def test_nothing_is_published_for_a_fenced_log() -> None:
     async def test(world: World) -> None:
         world.agreement.land(EdgeLost("copy-1", OLDEST_LOG.incarnation))
         world.begin(OLDEST_LOG)
