--- a/laurelstep/outbox/shared/agreement.py
+++ b/laurelstep/outbox/shared/agreement.py
@@ -1,8 +1,8 @@
 """Gets ledger entries agreed: from any copy, through the copy that leads consensus.
 
-1. A copy that leads proposes an entry; another copy sends it to the leader as a message. Both submit it again
-   after `RESUBMIT_MIN_US`, each time after twice as long up to `RESUBMIT_MAX_US`, until the ledger shows the
-   entry's effect or the caller's deadline passes.
+1. The copy that leads proposes an entry; any other copy sends it to the leader as a message. The copy submits
+   the entry again after `RESUBMIT_MIN_US`, and then after twice as long each time, up to `RESUBMIT_MAX_US`,
+   until the ledger shows the entry's effect or the caller's deadline passes.
 2. Only the ledger shows that an entry is agreed. That consensus accepted a proposal does not.
 3. An entry whose proposal is in flight is not proposed again, whoever submits it, until the entry is applied,
    the leadership changes, or `PROPOSAL_TIMEOUT_US` pass.
@@ -57,8 +57,8 @@
     """Submits entries by the rules at the head of the module and reports which ones the ledger shows.
 
     It takes over `on_leader_message` and `on_change` of the consensus client and `on_applied` of the ledger.
-    Its own `on_change` is called after entries were applied, and when the consensus client is caught up, has
-    a leader or is in contact with one differently than before.
+    Its own `on_change` is called after entries were applied, and when this copy has caught up, the leader
+    has changed, or contact with the leader was lost or regained.
     """
 
     def __init__(self, consensus: ProposalClient, ledger: ReplicatedLedger, clock: Clock) -> None:
--- a/laurelstep/outbox/shared/entries.py
+++ b/laurelstep/outbox/shared/entries.py
@@ -3,8 +3,8 @@
 1. Each entry begins with the byte `KIND`, because the consensus log and its links also carry entries of other
    kinds. `laurelstep.consensus.state_machines` removes that byte before the ledger applies the entry. The
    rest is a tagged array in msgpack.
-2. A copy that does not lead sends the entry as a message to the leader. An entry that arrives twice, late or
-   out of order has no further effect: an entry that depends on earlier state names that state
+2. A copy that does not lead sends the entry as a message to the leader. An entry means the same if it
+   arrives twice, late or out of order, because one that depends on earlier state names that state
    (`Intent.intent_id`, `LogLease.holder_changes`, `StatusRecord.intent_id`).
 3. New fields are only ever added at the end. An entry with a value out of range, or of a tag that only a
    later version knows, is not an entry.
--- a/laurelstep/outbox/shared/ledger.py
+++ b/laurelstep/outbox/shared/ledger.py
@@ -5,7 +5,7 @@
 1. For each edge log the ledger holds: the log's holder, which is at first the log's own incarnation; the low
    watermark, up to which all writes are final; the applied numbers above it; the abandoned and the parked
    numbers, as ranges; and the intents of unsafe writes with their ids.
-2. Applied and abandoned are final. No later entry takes either back, also if it records the other one.
+2. Applied and abandoned are final. No later entry takes either back, even one that records the other.
 3. An intent is granted only to the log's holder, for a write that is not final and has no other intent, and
    never under an intent id that was withdrawn. It ends when the write becomes final, when this very intent is
    withdrawn, or when the holder records that the write never ran under it. Such a record names the
@@ -56,6 +56,7 @@
 ]  # fmt: skip
 
 # Each limit but the last is named after the key under which `status` counts what it refused.
+
 # Edge logs. An incarnation that queued a write leaves one log in the ledger for ever.
 MAX_LINES: Final = 4_096
 # Ranges of applied and abandoned writes in one log, and of parked writes in one log.
@@ -67,7 +68,7 @@
 MAX_BEGUN: Final = 1_024
 # Edges declared lost.
 MAX_LOST: Final = 1_024
-# Ids of withdrawn intents; the oldest are evicted.
+# Ids of withdrawn intents. The oldest are evicted.
 MAX_WITHDRAWN: Final = 512
 
 
--- a/tests/test_outbox_replicated_version_vector.py
+++ b/tests/test_outbox_replicated_version_vector.py
@@ -92,7 +92,7 @@
     async def test(world: World) -> None:
         world.begin(OLDEST_LOG, PREVIOUS_LOG)
         await world.advance(2 * SUBMIT_INTERVAL_US)
-        assert world.agreement.asked == []  # no lease is requested for a log that nothing is wanted of
+        assert world.agreement.asked == []  # nothing has asked for an earlier log yet
         assert not world.version_vector.holds(PREVIOUS_LOG)
         await world.advance()
         assert world.agreement.asked == [
