--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -13,7 +13,7 @@
 from typing import cast
 
 import pytest
-from laurelstep.balancing.concurrency_limit import HELD_MIN
+from laurelstep.balancing.concurrency_limit import IN_FLIGHT_MIN
 from laurelstep.balancing.events import CANCELLED, ERROR, FULL, OK
 from laurelstep.engine import Answer, Attempt, Call, Clock
 from laurelstep.library.client import Exchange
@@ -145,7 +145,7 @@
             assert (await one.send(PAGE)).start.split()[1] == "409"
             release.set()
             assert (await first).body == b"ok"
-            assert (await one.send(PAGE)).body == b"ok" and not one.engine.open_names
+            assert (await one.send(PAGE)).body == b"ok" and not one.engine.open_request_ids
 
     run(main())
 
@@ -307,7 +307,7 @@
 
 
 class Nobody:
-    def answered(self, call: Call, answer: Answer) -> None:
+    def on_answer(self, call: Call, answer: Answer) -> None:
         """Is not told."""
 
 
@@ -513,7 +513,7 @@
 
 async def settle(one: Sidecar) -> None:
     """Serve requests until the entry bounds what it holds."""
-    while not one.engine.balancer.admission.limit.settled:
+    while not one.engine.balancer.admission.limit.is_unloaded_known:
         assert (await one.send(PAGE)).body == b"ok"
 
 
@@ -528,7 +528,7 @@
         endpoint = Endpoint(some)
         async with sidecar(endpoint, stage=0) as one:
             await settle(one)
-            lost = [await one.connect() for _ in range(HELD_MIN)]
+            lost = [await one.connect() for _ in range(IN_FLIGHT_MIN)]
             while not endpoint.arrived.locked():  # those of the settling
                 await endpoint.arrived.acquire()
             for n, (_, writer) in enumerate(lost):
@@ -610,7 +610,7 @@
                     await asyncio.sleep(0)
                 await asyncio.sleep(0)
                 assert alive() == before
-                assert not one.engine.calls and not one.engine.open_names
+                assert not one.engine.calls and not one.engine.open_request_ids
             finally:
                 gc.enable()
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -21,8 +21,8 @@
     LIST_CACHED,
     LIST_DELTA,
     LIST_FULL,
-    MOOT,
     NO_CONNECT,
+    NOT_SENT,
     OK,
     RESET,
     TIMEOUT,
@@ -99,7 +99,7 @@
             assert "x-other" not in got.headers, "only what an endpoint needs"
             assert "x-load" not in back.headers, "only what a caller needs"
             (told,) = one.engine.balancer.endpoints.values()
-            assert told.reported_waiting == 2.0, "the socket's queue is the settings' waiting"
+            assert told.reported_queued == 2.0, "the socket's queue is the settings' waiting"
 
     run(main())
 
@@ -139,16 +139,16 @@
         endpoint = Endpoint()
         async with sidecar(endpoint) as one:
             wall = 1_700_000_000_000_000
-            one.engine.members.clock = cast(Clock, MethodProxy(one.engine.clock, wall=lambda: wall))
+            one.engine.endpoints.clock = cast(Clock, MethodProxy(one.engine.clock, wall=lambda: wall))
             started = endpoint.entry(startedAtMs=wall // 1000 - 4_000)
             before = one.engine.now()
             one.apply_list(started)
             (known,) = one.engine.balancer.endpoints.values()
-            boot = known.boot
+            boot = known.started_at
             assert before - 4_000_000 <= boot <= one.engine.now() - 4_000_000
             wall += 3_600_000_000  # the wall clock is set: no restart
             one.apply_list(started)
-            assert known.boot == boot
+            assert known.started_at == boot
 
     run(main())
 
@@ -290,9 +290,9 @@
         async with sidecar(old, new, registry=registry) as one:
             _, watch = await registry.asked.get()
             push(watch, 43, True, bad, new.entry("s-1"))
-            while one.engine.members.may_receive(endpoint_number("s-0"), one.engine.now() + 600_000):
+            while one.engine.endpoints.may_receive(endpoint_number("s-0"), one.engine.now() + 600_000):
                 await asyncio.sleep(0)
-            assert not one.engine.members.may_receive(endpoint_number("s-3"), one.engine.now())
+            assert not one.engine.endpoints.may_receive(endpoint_number("s-3"), one.engine.now())
             assert (await one.send(request())).body == b"ok"
             assert len(new.got) == 1 and not old.got
             assert registry.asked.empty(), "the watch goes on"
@@ -312,19 +312,22 @@
             _, watch = await registry.asked.get()
             leaving = {**old.entry("s-0"), "lifecycle": "draining"}
             push(watch, 42, True, leaving, new.entry("s-1"))
-            while one.engine.members.size() != 2:
+            while one.engine.endpoints.size() != 2:
                 await asyncio.sleep(0)
             line = json.dumps({"generation": 43, "reset": False, "instances": [later.entry("s-9")]})
             push_raw(watch, line[:-20].encode())
             watch.close()
             start, watch = await registry.asked.get()
             assert "from=42 " in start
-            assert one.engine.members.size() == 2 and endpoint_number("s-9") not in one.engine.members.places
+            assert (
+                one.engine.endpoints.size() == 2
+                and endpoint_number("s-9") not in one.engine.endpoints.by_number
+            )
             for n in range(20):
                 assert (await one.send(request(rid=f"r{n}"))).body == b"ok"
             assert not old.got and len(new.got) == 20
             push(watch, 43, False, later.entry("s-9"))
-            while one.engine.members.size() != 3:
+            while one.engine.endpoints.size() != 3:
                 await asyncio.sleep(0)
 
     run(main())
@@ -357,13 +360,13 @@
         endpoint = Endpoint()
         async with sidecar(endpoint) as one:
             one.apply_list()
-            (place,) = one.engine.members.places.values()
+            (place,) = one.engine.endpoints.by_number.values()
             assert place.withdrawn_at is not None, "kept for the grace"
             clock = one.engine.clock
             later = MethodProxy(clock, now=lambda: clock.now() + 500_000)
-            one.engine.members.clock = cast(Clock, later)
+            one.engine.endpoints.clock = cast(Clock, later)
             one.apply_list(whole=False)
-            assert not one.engine.members.places and not one.upstream.pools
+            assert not one.engine.endpoints.by_number and not one.upstream.pools
 
     run(main())
 
@@ -474,7 +477,7 @@
             back = await one.send(request("pay", deadline_ms=80))
             assert one.engine.now() - asked >= 80_000, "never early"
             assert back.start.split()[1] == "504"
-            assert [(event.outcome, event.over) for event in told] == [(TIMEOUT, False)]
+            assert [(event.outcome, event.is_final) for event in told] == [(TIMEOUT, False)]
             await endpoint.closed.acquire()  # giving up closes the connection
 
     run(main())
@@ -553,7 +556,7 @@
             await endpoint.arrived.acquire()
             writer.close()
             await endpoint.closed.acquire()
-            assert [(event.outcome, event.over) for event in told] == [(CANCELLED, True)]
+            assert [(event.outcome, event.is_final) for event in told] == [(CANCELLED, True)]
             assert not one.engine.calls and not one.engine.balancer.requests
 
     run(main())
@@ -570,17 +573,17 @@
             await endpoint.arrived.acquire()
             ((_, call),) = one.engine.calls.items()
             (attempt,) = call.attempts
-            place = one.engine.members.places[attempt.endpoint]
+            place = one.engine.endpoints.by_number[attempt.endpoint]
             now = one.engine.now()
             assert one.engine.attempts.may_start(attempt, now)
-            assert not one.engine.attempts.may_start(attempt, call.expires)
+            assert not one.engine.attempts.may_start(attempt, call.expires_at)
             place.withdrawn_at = now - (500_000 - 150_000) + 1
             assert one.engine.attempts.may_start(attempt, now)
             place.withdrawn_at = now - (500_000 - 150_000)
             assert not one.engine.attempts.may_start(attempt, now)
             link = one.upstream.by_attempt[attempt]
             link.write()  # as a connect that took so long would
-            assert [event.outcome for event in told] == [MOOT] and len(endpoint.got) == 1
+            assert [event.outcome for event in told] == [NOT_SENT] and len(endpoint.got) == 1
             asked.cancel()
 
     run(main())
@@ -594,7 +597,7 @@
             told = record_outcomes(one.engine)
             await one.send(request("pay"))
             assert sum(len(endpoint.got) for endpoint in endpoints) == 2
-            assert [event.outcome for event in told][:3] == [FULL, FULL, MOOT]
+            assert [event.outcome for event in told][:3] == [FULL, FULL, NOT_SENT]
 
     run(main())
 
