--- a/tests/test_outbox_shared_schedules.py
+++ b/tests/test_outbox_shared_schedules.py
@@ -11,7 +11,8 @@
 - once: an unsafe write takes effect at most once, a keyed write only under its own key.
 - reported: a write that is reported as applied has taken effect, and the ledger agrees.
 - order: a write takes effect after its dependencies.
-- fenced: only the holder of a log is granted intents, and a lease goes only to a process that may have it.
+- fenced: only the holder of a log is granted intents. A lease goes only to a process whose disk knew the
+  holder, or for which an operator forced the lease.
 - final: applied and abandoned statuses never change.
 - limits: no limit of the ledger is exceeded, and its counters are right.
 - step: copies that have applied the same entries have equal state, and no entry raises.
