--- a/laurelstep/engine/__init__.py
+++ b/laurelstep/engine/__init__.py
@@ -1,6 +1,6 @@
-"""The engine: drives one `Balancer` on a clock. Requests come in, attempts go out, and
-each request gets exactly one final answer. It knows no HTTP caller, no ASGI and no
-subsystem; what it works with is named in `laurelstep.engine.ports`.
+"""The engine: runs one `Balancer` in real time. It takes requests, sends attempts to endpoints and gives
+each request exactly one final answer. It depends on no HTTP server, ASGI application or subsystem; the
+interfaces that it uses are declared in `laurelstep.engine.ports`.
 """
 
 from laurelstep.engine.call import Answer, Attempt, Call, Ending, Headers
--- a/laurelstep/engine/attempts.py
+++ b/laurelstep/engine/attempts.py
@@ -1,10 +1,11 @@
-"""Sending calls to endpoints: when an attempt may begin, how long it is waited for, and its one outcome.
+"""Attempts at endpoints: when one may begin, when it times out, and its one outcome.
 
-Rules that everything here serves:
+Rules of this module:
 
-1. An attempt begins only while its call is open, its client is there, its endpoint may receive it, and
-   its time and the window for retries are not over. This is judged again as its first byte is written.
-2. An attempt has exactly one outcome. What its carrier reports after that is ignored.
+1. An attempt begins only while its call is open, its client has not left, its endpoint may receive
+   requests, and neither its timeout nor the retry window has passed. This is checked again when its first
+   byte is written.
+2. An attempt has exactly one outcome. Later reports of the upstream are ignored.
 3. An attempt whose last byte was written may have run, unless its outcome proves that it did not.
 """
 
@@ -21,20 +22,20 @@
 
 
 class AttemptHost(Protocol):
-    """The engine, as far as attempts concern it."""
+    """The part of the engine's interface that `AttemptController` uses."""
 
     def now(self) -> int:
-        """The time on its clock, in us."""
+        """The time on the engine's clock, in µs."""
 
     def on_client_left(self, call: Call) -> None:
         """The client of an open call has left."""
 
     def on_attempt_ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
-        """An attempt has its one outcome, with the answer and the load report that came along."""
+        """An attempt has its one outcome; `answer` and the load report `load` came with it."""
 
 
 class AttemptController:
-    """Starts attempts, carries their timers, and reports their outcomes to the engine."""
+    """Starts attempts, runs their timers, and reports their outcomes to the engine."""
 
     def __init__(
         self,
@@ -42,29 +43,33 @@
         clock: Clock,
         settings: Settings,
         upstream: Upstream,
-        members: EndpointTable,
+        endpoints: EndpointTable,
         counters: RequestCounters,
     ) -> None:
         self.host = host
         self.clock = clock
         self.settings = settings
         self.upstream = upstream
-        self.endpoints = members
+        self.endpoints = endpoints
         self.counters = counters
         self.loop_watch = LoopWatch(clock)
 
-    # --- Starting ---------------------------------------------------------------------
+    # Starting attempts
 
     def start(self, call: Call, action: Send) -> None:
-        """Send a call to an endpoint; an attempt that may not begin ends at once as MOOT."""
+        """Begin an attempt at the endpoint of `action`. One that may not begin ends at once as MOOT."""
         now = self.host.now()
-        until = min(call.expires_at, now + action.timeout_us) if action.timeout_us else call.expires_at
-        attempt = Attempt(self, call, len(call.attempts), action.endpoint, now, until)
-        attempt.write_by = min(until, self._retry_window_end(call))
+        times_out_at = min(call.expires_at, now + action.timeout_us) if action.timeout_us else call.expires_at
+        attempt = Attempt(self, call, len(call.attempts), action.endpoint, now, times_out_at)
+        attempt.write_by = min(times_out_at, self._retry_window_end(call))
         call.attempts.append(attempt)
-        # An upload that an endpoint had the beginning of is not here any more.
-        spent = call.upload is not None and call.upload.was_attached
-        if spent or attempt.copy >= self.settings.max_attempts or not self._is_allowed(attempt, now):
+        # What was sent of an upload to an earlier endpoint is no longer buffered, so it can't be sent again.
+        is_upload_consumed = call.upload is not None and call.upload.was_attached
+        if (
+            is_upload_consumed
+            or attempt.copy >= self.settings.max_attempts
+            or not self._is_allowed(attempt, now)
+        ):
             self.on_ended(attempt, MOOT, None, b"")
             return
         call.attempts_sent += 1
@@ -76,9 +81,9 @@
         self.upstream.send(attempt)
 
     def may_start(self, attempt: Attempt, now: int) -> bool:
-        """Whether its first byte may be written at the time `now`, in us. Guards against an attempt for a
-        client whose close the loop has not read yet: that lies there for as long as the loop is held up,
-        and behind bytes that are not read.
+        """Whether the first byte of an attempt may be written at the time `now`, in µs. Guards against an
+        attempt for a client that has closed its connection without the event loop having read the close: it
+        stays unread while the loop is blocked, and behind bytes that have not been read.
         """
         if not self._is_allowed(attempt, now):
             return False
@@ -94,8 +99,9 @@
         return self.endpoints.may_receive(attempt.endpoint, now)
 
     def _retry_window_end(self, call: Call) -> int:
-        """When the window for retries of an idempotent call ends; else its deadline. Guards against a retry
-        that was decided within the window and is written past it, on a connection that came up late.
+        """When the retry window of a keyed call ends that an earlier attempt may have run; the call's
+        deadline if no window applies. Guards against a retry that is decided within the window and written
+        after it, because its connection was established late.
         """
         cls = self.settings.classes[call.request_class]
         if cls.effect == KEYED:
@@ -104,15 +110,16 @@
                     return attempt.sent_at + cls.window_us
         return call.expires_at
 
-    # --- Waiting ----------------------------------------------------------------------
+    # Timeouts and cancellation
 
     def _arm_timeout(self, attempt: Attempt) -> None:
         if attempt.times_out_at < attempt.call.expires_at:
             attempt.timer = self.clock.at(attempt.times_out_at, self.time_out, attempt)
 
     def _end_unwritten(self, attempt: Attempt) -> None:
-        """It may be written no longer. Guards against last bytes that the endpoint takes past the
-        window for retries; and its client need not wait for a connection that is of no more use.
+        """`write_by` has passed: end an attempt that is not written completely. Guards against an endpoint
+        that receives the last bytes after the retry window, and spares the client the wait for a connection
+        that can no longer be used.
         """
         if attempt.may_have_run:
             self._arm_timeout(attempt)
@@ -121,18 +128,18 @@
             self.on_ended(attempt, MOOT, None, b"")
 
     def on_written(self, attempt: Attempt) -> None:
-        """The last byte of an attempt was written: from now on it may run."""
+        """The last byte of an attempt was written: from now on the request may run."""
         self.counters.sends += 1
         attempt.may_have_run = True
         if attempt.call.upload is not None:
-            attempt.sent_at = self.host.now()  # what the endpoint takes counts from here
+            attempt.sent_at = self.host.now()  # the endpoint's latency counts from the last byte
 
     def time_out(self, attempt: Attempt) -> None:
-        """Wait no longer for an attempt; nothing happens if it has its outcome."""
+        """Stop waiting for an attempt. Does nothing if it has its outcome."""
         self._stop(attempt, MOOT if attempt.lacks_socket else TIMEOUT)
 
     def cancel(self, attempt: Attempt) -> None:
-        """The module wants it no more; nothing happens if it has its outcome."""
+        """Cancel an attempt for the balancer. Does nothing if it has its outcome."""
         self._stop(attempt, CANCELLED)
 
     def _stop(self, attempt: Attempt, outcome: int) -> None:
@@ -140,10 +147,10 @@
             self.upstream.cancel(attempt)
             self.on_ended(attempt, outcome, None, b"")
 
-    # --- Outcomes ---------------------------------------------------------------------
+    # Outcomes
 
     def on_ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
-        """The one outcome of an attempt, with the load report that came along."""
+        """Record the one outcome of an attempt and report it to the engine. Later calls are ignored."""
         if not attempt.is_in_flight:
             return
         attempt.is_in_flight = False
--- a/laurelstep/engine/body_stream.py
+++ b/laurelstep/engine/body_stream.py
@@ -1,12 +1,12 @@
 """A body that is forwarded while it is received: a request's to an endpoint, a response's to a client.
 
-Rules that everything here serves:
+Rules of this module:
 
-1. A stream closes once: complete, broken at its source, or abandoned by its sink. Nothing of it is
-   forwarded after that.
-2. What is received before there is a sink is buffered, in order, and given to the first sink. There is
-   no second one: what has been forwarded is not buffered any more.
-3. A sink without capacity pauses the source, so nothing between the two grows without bound.
+1. A stream closes once: complete, broken at its source, or abandoned by its sink. Nothing is forwarded
+   after that.
+2. Data that is received before a sink is attached is buffered, in order, and given to that sink. There can
+   be no second sink, because data that was forwarded is no longer buffered.
+3. A sink without capacity pauses the source, so that no buffer between the two grows without bound.
 """
 
 from __future__ import annotations
@@ -18,35 +18,35 @@
     """The connection that a body is read from."""
 
     def pause(self) -> None:
-        """Read no more until `resume`."""
+        """Stop reading until `resume`."""
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue reading."""
 
     def on_abandoned(self) -> None:
-        """The rest is not wanted."""
+        """The sink does not want the rest of the body. Called at most once."""
 
 
 class BodySink(Protocol):
     """The connection that a body is written to."""
 
     def on_data(self, data: bytes) -> None:
-        """The next part."""
+        """The next part of the body was received."""
 
-    def on_end(self, complete: bool) -> None:
-        """The end, told once; not `complete` where the source broke."""
+    def on_end(self, is_complete: bool) -> None:
+        """The body has ended; not `is_complete` if its source broke. Called once."""
 
 
 class StreamObserver(Protocol):
-    """Learns how a stream ended."""
+    """Is notified when a stream closes."""
 
     def on_stream_closed(self, stream: BodyStream) -> None:
-        """It is closed: complete, abandoned, or neither where its source broke."""
+        """The stream is closed: complete, abandoned, or neither of them if its source broke."""
 
 
 class BodyStream:
-    """The pipe between one source and one sink. `length` is that of the whole body in bytes; -1 where it
-    is not known ahead.
+    """Forwards a body from one source to one sink. `length`: bytes of the whole body; -1 if it is not known
+    in advance.
     """
 
     __slots__ = (
@@ -67,15 +67,15 @@
         self.sink: BodySink | None = None
         self.observer: StreamObserver | None = None
         self.buffered: list[bytes] = []
-        self.was_attached = False  # a sink was given what came first
+        self.was_attached = False  # a sink has received the beginning of the body
         self.is_closed = False
         self.is_complete = False
         self.is_abandoned = False
 
-    # --- The source's side ------------------------------------------------------------
+    # Called by the source
 
     def feed(self, data: bytes) -> None:
-        """The next part was received. Ignored once the stream is closed."""
+        """Forward or buffer the next part of the body. Ignored once the stream is closed."""
         if self.is_closed:
             return
         if self.sink is None:
@@ -83,21 +83,23 @@
         else:
             self.sink.on_data(data)
 
-    def finish(self, complete: bool) -> None:
-        """The last part was received, or the source broke. Only the first call counts."""
+    def finish(self, is_complete: bool) -> None:
+        """Close the stream, because its last part was received or its source broke. Only the first call
+        counts.
+        """
         if self.is_closed:
             return
-        self.is_closed, self.is_complete = True, complete
+        self.is_closed, self.is_complete = True, is_complete
         self.source = None
         sink, self.sink = self.sink, None
         if sink is not None:
-            sink.on_end(complete)
+            sink.on_end(is_complete)
         self._notify_observer()
 
-    # --- The sink's side --------------------------------------------------------------
+    # Called by the sink
 
     def attach(self, sink: BodySink) -> None:
-        """Give the sink all that was buffered; what follows is given as it is received."""
+        """Give the sink all buffered data, and later data as it is received. Called at most once."""
         self.was_attached = True
         buffered, self.buffered = self.buffered, []
         self.sink = sink
@@ -108,17 +110,17 @@
             sink.on_end(self.is_complete)
 
     def pause(self) -> None:
-        """The sink has no capacity: the source is paused."""
+        """Pause the source, because the sink has no capacity."""
         if self.source is not None:
             self.source.pause()
 
     def resume(self) -> None:
-        """The sink has capacity again."""
+        """Resume the source, because the sink has capacity again."""
         if self.source is not None:
             self.source.resume()
 
     def abandon(self) -> None:
-        """No sink wants the rest. Ignored once the stream is closed."""
+        """Close the stream without its rest. Ignored once the stream is closed."""
         if self.is_closed:
             return
         self.is_closed = self.is_abandoned = True
--- a/laurelstep/engine/call.py
+++ b/laurelstep/engine/call.py
@@ -1,13 +1,13 @@
-"""A request on its way: the call, its attempts and its final answer.
+"""A request in progress: the call, its attempts and its final answer.
 
-Rules that everything here serves:
+Rules of this module:
 
-1. A `Call` is open from the moment the engine takes it until its one final `Answer`, or
-   until its client has left. It never opens again.
-2. An `Attempt` is out until its one outcome. Whoever carries it asks `may_start` at the
-   moment of writing and tells `end` once; what it tells later is ignored.
-3. A call is forgotten when it is not open, its answer is not held, and none of its
-   attempts is out.
+1. A `Call` is open from the moment the engine takes it until its one final `Answer` is given or its client
+   has left. It never opens again.
+2. An `Attempt` is in flight until its one outcome. The upstream asks `may_start` at the moment of writing
+   and calls `end` once; later calls of `end` are ignored.
+3. The engine forgets a call when it is not open, its answer is not held, and none of its attempts is in
+   flight.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Ending(StrEnum):
-    """What a final answer says. Only a refusal promises that trying again is harmless."""
+    """The kind of a final answer. Only a refusal promises that a retry by the client is harmless."""
 
     SERVED = "served"
     REFUSED = "refused"
@@ -30,7 +30,7 @@
 
 
 class Answer:
-    """A final answer, in the terms that every front can word."""
+    """A final answer, independent of the protocol in which a frontend sends it."""
 
     __slots__ = ("body", "ending", "endpoint", "headers", "retry_after_us", "status", "stream")
 
@@ -47,34 +47,36 @@
         self.status = status  # 200; 503 where refused; 500, 502 or 504 where failed
         self.headers = headers
         self.body = body
-        self.retry_after_us = retry_after_us  # refused: when to come back; 0 = not told
-        self.stream = stream  # in place of the body, where that is still coming
-        self.endpoint = 0  # where it comes from; 0 where no endpoint gave it
+        self.retry_after_us = retry_after_us  # of a refusal: how long to wait before a retry; 0 = unknown
+        self.stream = stream  # replaces `body` while the body is still being received
+        self.endpoint = 0  # number of the endpoint that answered; 0 if none did
 
 
 class Frontend(Protocol):
-    """Who gets the final answer of a call."""
+    """The receiver of final answers: a client's connection, the library or an internal sender."""
 
     def on_answer(self, call: Call, answer: Answer) -> None:
-        """Called once at most for a call, and never after `Engine.on_client_left`."""
+        """The final answer of a call. Called at most once for a call, and never after
+        `Engine.on_client_left`.
+        """
 
 
 class ClientConnection(Protocol):
-    """The connection that a call's client waits on, where there is one to look at."""
+    """The connection on which the client waits for the answer of a call."""
 
     def has_left(self) -> bool:
-        """Whether the client has closed it by now, though the event loop may not have read that yet."""
+        """Whether the client has closed the connection, even if the event loop has not read the close yet."""
 
 
 class Handle(Protocol):
-    """Something that will be called, unless it is cancelled before."""
+    """A scheduled callback."""
 
     def cancel(self) -> None:
-        """It will not be called."""
+        """Prevent the callback. Does nothing if it has been called or cancelled."""
 
 
 class AttemptOwner(Protocol):
-    """The engine, as an attempt knows it."""
+    """The part of the engine's interface that an `Attempt` uses."""
 
     def may_start(self, attempt: Attempt, now: int) -> bool:
         """See `Attempt.may_start`."""
@@ -87,7 +89,7 @@
 
 
 class Call:
-    """One request, taken and not yet forgotten. Times in µs."""
+    """One request that the engine has taken and not yet forgotten. Times are in µs."""
 
     __slots__ = (
         "attempts",
@@ -136,38 +138,38 @@
     ) -> None:
         self.request_class = request_class
         self.expires_at = expires_at  # on the engine's clock
-        self.method_and_target = method_and_target  # method and target as they came
-        self.header_lines = header_lines  # header lines to pass on
+        self.method_and_target = method_and_target  # as received, separated by a space
+        self.header_lines = header_lines  # the header lines to forward
         self.body = body
         self.frontend = frontend
-        self.client_connection: ClientConnection | None = None  # looked at before an attempt begins
-        self.client_request_id = client_request_id  # its X-Request-Id
+        self.client_connection: ClientConnection | None = None  # checked before an attempt begins
+        self.client_request_id = client_request_id  # the value of X-Request-Id
         self.tenant = tenant
-        self.key = key  # the number of what it is about; 0 = nothing named
-        self.work_us = work_us  # a hint of its cost; 0 = none given
+        self.key = key  # number of the object that the request names, for affinity; 0 = none named
+        self.work_us = work_us  # the client's estimate of the cost; 0 = none given
         self.is_retry = is_retry
-        self.order_id = order_id  # the header by which it names its order, where its class has one
+        self.order_id = order_id  # value of the class's order header; empty if there is none
         self.id = 0
-        self.is_open = True  # no final answer yet, and its client is there
+        self.is_open = True  # has no final answer yet, and its client has not left
         self.attempts: list[Attempt] = []
         self.deadline_timer: Handle | None = None
-        self.attempts_sent = 0  # attempts that were handed to the upstream
-        self.last_instance_id = ""  # the instance id of the last of them
-        self.is_recorded = False  # a recorder sees its answer before its front does
-        self.is_answer_held = False  # its final answer waits for the recorder
-        self.is_queued = False  # a write queue has it in hand: the module has no part in it
-        self.causal_dependencies: tuple[
-            bytes, ...
-        ] = ()  # what it says that it follows, where its class may be kept
-        self.can_stream_answer = False  # its front can pass on an answer that is still coming
-        # What a copy upstream says of a kept write, beside its answer; None where no copy is asked.
+        self.attempts_sent = 0  # attempts that were passed to the upstream
+        self.last_instance_id = ""  # instance id of the endpoint of the last of them
+        self.is_recorded = False  # the recorder gets the answer before the frontend does
+        self.is_answer_held = False  # the final answer waits for the recorder
+        self.is_queued = False  # the write queue has taken over the call from the balancer
+        # Values of the headers that name the writes this one depends on; empty if its class is never queued.
+        self.causal_dependencies: tuple[bytes, ...] = ()
+        self.can_stream_answer = False  # the frontend can forward an answer while it is being received
+        # Value of X-Kept-Fate: what an upstream copy reports of a replayed write beside its answer. None if
+        # the call is no replay to a copy.
         self.queued_write_fate: bytes | None = None
-        self.upload: BodyStream | None = None  # in place of the body, where that is still coming
-        self.time_after_upload_us = 0  # upload: the time it has from its last byte on
+        self.upload: BodyStream | None = None  # replaces `body` while the body is still being received
+        self.time_after_upload_us = 0  # of an upload: time limit for the answer, counted from its last byte
 
 
 class Attempt:
-    """One sending of a call to one endpoint."""
+    """One try to get a call answered by one endpoint. Times are in µs on the engine's clock."""
 
     __slots__ = (
         "call",
@@ -184,28 +186,32 @@
     )  # fmt: skip
 
     def __init__(
-        self, owner: AttemptOwner, call: Call, copy: int, endpoint: int, now: int, until: int
+        self, owner: AttemptOwner, call: Call, copy: int, endpoint: int, now: int, times_out_at: int
     ) -> None:
         self.owner = owner
         self.call = call
         self.copy = copy
         self.endpoint = endpoint
         self.sent_at = now
-        self.times_out_at = until  # when the wait for it ends
-        self.write_by = until  # none of it is written at this time or after
-        self.is_in_flight = True  # no outcome yet
-        self.lacks_socket = False  # it waits as this machine can open no connection: no endpoint's fault
-        self.may_have_run = False  # written whole, and not proven since that it never ran
+        self.times_out_at = times_out_at
+        self.write_by = times_out_at  # nothing of the request is written at this time or later
+        self.is_in_flight = True  # has no outcome yet
+        self.lacks_socket = (
+            False  # waits because this machine can open no connection; not the endpoint's fault
+        )
+        self.may_have_run = False  # was written completely, and no outcome has proven that it did not run
         self.timer: Handle | None = None
 
     def may_start(self, now: int) -> bool:
-        """Whether its first byte may be written now."""
+        """Whether the first byte of the attempt may be written at the time `now`."""
         return self.owner.may_start(self, now)
 
     def on_written(self) -> None:
-        """Its last byte was written. Told once at most, and not after its outcome."""
+        """The last byte of the attempt was written. Called at most once, and not after `end`."""
         self.owner.on_written(self)
 
     def end(self, outcome: int, answer: Answer | None = None, load: bytes = b"") -> None:
-        """Its one outcome (of `laurelstep.balancing.events`), with the load report that came along."""
+        """Report the one outcome (a constant of `laurelstep.balancing.events`), with the answer and the load
+        report that came with it. Only the first call counts.
+        """
         self.owner.on_ended(self, outcome, answer, load)
--- a/laurelstep/engine/counters.py
+++ b/laurelstep/engine/counters.py
@@ -1,4 +1,4 @@
-"""What became of the requests that an engine took: counted once each, where it happens."""
+"""Counters of the requests that an engine has taken, by their result."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 
 class RequestCounters:
-    """Counts since the start. By class number: final answers by their ending, and those
-    whose client left before; each request that was taken ends in one of them.
+    """Counts since the start, indexed by class number. Each request in `taken` that is no longer open is
+    counted once: in `answered`, `deferred` or `errored` by the `Ending` of its final answer, or in
+    `abandoned` if its client left first.
 
-    What is open is not counted here: the engine's own table has it.
+    Open requests are counted by `Engine.open_request_count`.
     """
 
     __slots__ = ("abandoned", "answered", "deferred", "errored", "sends", "taken")
@@ -23,7 +24,7 @@
         self.sends = 0  # attempts whose last byte was written
 
     def count_answer(self, cls: int, ending: Ending) -> None:
-        """A request of a class has its final answer."""
+        """Count the final answer of a request, by class and ending."""
         if ending == Ending.SERVED:
             self.answered[cls] += 1
         elif ending == Ending.REFUSED:
--- a/laurelstep/engine/endpoint_table.py
+++ b/laurelstep/engine/endpoint_table.py
@@ -1,18 +1,18 @@
-"""The endpoints that this copy was told of: entries read, starts dated, drains timed.
-
-Rules that everything here serves:
-
-1. A list is read whole before any of it is used; a bad entry loses nothing of the state.
-2. An endpoint told draining or gone, or left out of a whole list, gets nothing new once
-   the drain grace is over, counted from the first time it was told: a list that takes
-   long to apply counts from when it came.
-3. A new start or address inherits no connection of the old one.
-4. A long list is applied in steps: `laurelstep.engine.list_updates`.
-5. A start is told in wall time, and this machine's wall clock may have been stepped. It is dated by the
-   least that this clock has shown against the monotonic one since the process began, so that a step ahead
-   makes no endpoint look older. An endpoint that is listed with a later start than before can't have started
-   before the earlier one was told; and none starts after it is told. Where these disagree with the wall
-   clock, the younger age holds.
+"""The table of listed endpoints: parses list entries, dates endpoint starts and times drains.
+
+Rules of this module:
+
+1. A list is parsed completely before any of it is applied, so that a malformed entry changes nothing.
+2. An endpoint that is listed as draining or gone, or missing from a full list, gets no new request once the
+   drain grace is over. The grace counts from the first list that says so; for a list that takes long to
+   apply, from when it was received.
+3. A new start time or address means a new process: no connection to the old one is used again.
+4. A long list is applied in steps by `laurelstep.engine.list_updates`.
+5. Start times are given in wall-clock time, and the wall clock of this machine may have been stepped. They
+   are converted with the smallest offset between the wall clock and the monotonic clock since this process
+   began, so that a forward step makes no endpoint look older. An endpoint that is listed with a later start
+   than before can't have started before the earlier start was listed, and no endpoint starts after it is
+   listed. Where these bounds contradict the wall clock, the younger age applies.
 """
 
 from __future__ import annotations
@@ -26,24 +26,27 @@
 from laurelstep.engine.names import NameTable
 from laurelstep.engine.ports import Clock, Upstream
 
-# The clocks are read one after the other, and a machine may be held up between the two: a difference up to
-# this is no step.
+# The two clocks are read one after the other, and the process may be suspended in between: a smaller change
+# of their offset does not count as a step.
 CLOCK_TOLERANCE_US: Final = 500_000
 
-# The process may be held up so long between reading its clock and writing: the drain grace covers it.
-HELD_UP_US: Final = 150_000
+# The process may be suspended this long between reading its clock and writing a request, so no attempt begins
+# in this last part of the drain grace.
+MAX_WRITE_DELAY_US: Final = 150_000
 PHASES: Final = {"ready": READY, "draining": DRAINING, "gone": GONE}
 
 
 def endpoint_number(instance: str) -> int:
-    """From the name alone, so that all sidecars sort and group alike, and do
-    so after a restart; 64 bits, so that two hardly ever meet.
+    """The number of an endpoint, derived from its instance id alone, so that all sidecars order and group
+    endpoints alike, also after a restart. 64 bits, so that collisions are very unlikely.
     """
     return int.from_bytes(blake2b(instance.encode(), digest_size=8).digest(), "big")
 
 
 class ListedEndpoint:
-    """What is kept of one listed endpoint. `seen_at`: when its present start was first told, µs."""
+    """One listed endpoint. `started_ms`: its start in Unix time as listed, 0 if not given. `seen_at`: when
+    that start was first listed, in µs on the engine's clock.
+    """
 
     __slots__ = ("address", "entry", "name", "seen_at", "started_ms", "withdrawn_at")
 
@@ -53,26 +56,29 @@
         self.started_ms = started_ms
         self.entry = entry
         self.seen_at = seen_at
-        self.withdrawn_at: int | None = None  # told draining or gone
+        self.withdrawn_at: int | None = None  # when it was first listed as draining or gone, or was left out
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port; ValueError if there are none."""
+    """Host and port of a `host:port` address; ValueError if it is malformed."""
     host, _, port = address.rpartition(":")
     if not host or not 0 < int(port) < 65536:
-        raise ValueError(f"no address: {address}")
+        raise ValueError(f"malformed address, expected host:port: {address}")
     return host, int(port)
 
 
 class StartDating:
-    """Wall times of starts on the monotonic clock. See rule 5 in the head. Times in µs but `started_ms`."""
+    """Converts start times of endpoints from wall-clock to monotonic time by rule 5 of this module. Times
+    are in µs, except `started_ms`.
+    """
 
     def __init__(self, now: int, wall: int) -> None:
-        self.least_offset = wall - now
+        self.min_offset = wall - now
 
     def boot(self, started_ms: int, earlier_seen_at: int | None, now: int, wall: int) -> int:
-        """When it started by the monotonic clock; 0 for long ago. `earlier_seen_at`: when an earlier start
-        of the same endpoint was told, None if none was.
+        """When an endpoint started, on the monotonic clock; 0 for long ago. `started_ms`: its start as
+        listed, Unix time in ms, 0 or less if unknown. `earlier_seen_at`: when an earlier start of the same
+        endpoint was first listed, None if there was none.
         """
         if started_ms <= 0:
             return 0
@@ -82,15 +88,15 @@
         return min(boot, now) or 1  # 0 would mean long ago
 
     def _wall_offset(self, now: int, wall: int) -> int:
-        """Wall time at the monotonic clock's zero."""
+        """The wall-clock time at the zero of the monotonic clock."""
         offset = wall - now
-        if offset < self.least_offset - CLOCK_TOLERANCE_US:
-            self.least_offset = offset
-        return self.least_offset if offset > self.least_offset + CLOCK_TOLERANCE_US else offset
+        if offset < self.min_offset - CLOCK_TOLERANCE_US:
+            self.min_offset = offset
+        return self.min_offset if offset > self.min_offset + CLOCK_TOLERANCE_US else offset
 
 
 class EndpointTable:
-    """Listed endpoints by their number, those withdrawn among them while the drain grace lasts."""
+    """Listed endpoints by their number. A withdrawn endpoint stays until the drain grace is over."""
 
     def __init__(self, clock: Clock, names: NameTable, upstream: Upstream, drain_grace_us: int) -> None:
         self.clock = clock
@@ -98,50 +104,53 @@
         self.names = names
         self.upstream = upstream
         self.drain_grace_us = drain_grace_us
-        self.start_grace_us = drain_grace_us - HELD_UP_US  # an attempt may begin within this
+        self.start_grace_us = (
+            drain_grace_us - MAX_WRITE_DELAY_US
+        )  # how long after its withdrawal an attempt may begin
         self.by_number: dict[int, ListedEndpoint] = {}
-        self.draining: set[int] = set()  # listed, and wants nothing new
-        self.withdrawals: deque[tuple[int, int]] = deque()  # when, and which; it may be back since
+        self.draining: set[int] = set()  # numbers of the endpoints that are listed as draining
+        # Time and endpoint number of each withdrawal, in order. The endpoint may be listed again by now.
+        self.withdrawals: deque[tuple[int, int]] = deque()
 
     def may_receive(self, endpoint: int, now: int) -> bool:
-        """Whether an attempt may begin there at the time `now`, in us."""
+        """Whether an attempt may begin at an endpoint at the time `now`, in µs."""
         listed = self.by_number.get(endpoint)
         if listed is None:
             return False
         return listed.withdrawn_at is None or now < listed.withdrawn_at + self.start_grace_us
 
     def size(self) -> int:
-        """How many endpoints the list holds, the draining ones among them."""
+        """How many endpoints are listed, draining ones included."""
         return sum(1 for listed in self.by_number.values() if listed.withdrawn_at is None) + len(
             self.draining
         )
 
     def note_draining(self, endpoint: int, phase: int) -> None:
-        """Count it among the draining ones, or no longer."""
+        """Add an endpoint to `draining`, or remove it, by the phase in which it is listed."""
         if phase == DRAINING:
             self.draining.add(endpoint)
         else:
             self.draining.discard(endpoint)
 
-    def apply(self, whole: bool, raw: Sequence[Any]) -> list[Entry]:
-        """Take a list in discovery's form and give its entries for the module;
-        ValueError if it can't be read, with nothing changed.
+    def apply(self, is_full: bool, raw: Sequence[Any]) -> list[Entry]:
+        """Apply a list in the format of discovery, full or of changes, and return its entries for the
+        balancer. ValueError, with nothing changed, if an entry is malformed.
         """
-        read = [self.read_entry(one) for one in raw]
+        parsed = [self.read_entry(raw_entry) for raw_entry in raw]
         now = self.clock.now()
         self.forget_withdrawn(now)
-        if whole:  # it replaces: what it leaves out is gone
-            named = {entry.endpoint for entry, _ in read}
+        if is_full:  # an endpoint that it leaves out is gone
+            listed_numbers = {entry.endpoint for entry, _ in parsed}
             for number, listed in self.by_number.items():
-                if number not in named:
+                if number not in listed_numbers:
                     self.withdraw(now, number, listed)
-            self.draining &= named
-        for entry, listed in read:
+            self.draining &= listed_numbers
+        for entry, listed in parsed:
             self.apply_entry(now, entry, listed)
-        return [entry for entry, _ in read]
+        return [entry for entry, _ in parsed]
 
     def is_unchanged(self, entry: Entry, listed: ListedEndpoint) -> bool:
-        """Whether nothing changed: neither the module nor the upstream need hear of it."""
+        """Whether an entry is the same as before, so that neither the balancer nor the upstream needs it."""
         old = self.by_number.get(entry.endpoint)
         return (
             old is not None
@@ -151,14 +160,16 @@
         )
 
     def read_entry(self, raw: Any) -> tuple[Entry, ListedEndpoint]:
-        """An entry in discovery's form; ValueError if it can't be read."""
+        """Parse an entry in the format of discovery; ValueError if it is malformed."""
         try:
             return self._entry(raw)
         except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
-            raise ValueError(f"no entry: {error!r}") from None
+            raise ValueError(f"malformed entry: {error!r}") from None
 
     def forget_withdrawn(self, now: int) -> None:
-        """Guards memory where endpoints come and go: past the grace nothing may start there."""
+        """Remove withdrawn endpoints whose drain grace is over. Guards against a table that grows as
+        endpoints come and go.
+        """
         while self.withdrawals and now >= self.withdrawals[0][0] + self.drain_grace_us:
             withdrawn_at, number = self.withdrawals.popleft()
             listed = self.by_number.get(number)
@@ -174,9 +185,9 @@
         if phase == READY:
             split_address(address)
         old = self.by_number.get(number)
-        # Converted once: a clock that is set must not feign a restart.
-        same = old is not None and old.started_ms == started_ms
-        if old is not None and same:
+        # Each start is converted once: setting the clock must not look like a restart of the endpoint.
+        is_same_start = old is not None and old.started_ms == started_ms
+        if old is not None and is_same_start:
             boot, seen_at = old.entry.boot, old.seen_at
         else:
             is_later = old is not None and 0 < old.started_ms < started_ms
@@ -195,7 +206,7 @@
         return entry, ListedEndpoint(name, address, started_ms, entry, seen_at)
 
     def apply_entry(self, now: int, entry: Entry, listed: ListedEndpoint) -> None:
-        """Take what a list says of one endpoint; another address or start is another process."""
+        """Apply the entry of one endpoint. Another address or start time means another process."""
         number = entry.endpoint
         old = self.by_number.get(number)
         self.note_draining(number, entry.phase)
@@ -204,12 +215,18 @@
                 self.withdraw(now, number, old)
             return
         self.by_number[number] = listed
-        same = old is not None and old.withdrawn_at is None
-        if old is None or not same or (old.address, old.started_ms) != (listed.address, listed.started_ms):
+        was_listed = old is not None and old.withdrawn_at is None
+        if (
+            old is None
+            or not was_listed
+            or (old.address, old.started_ms) != (listed.address, listed.started_ms)
+        ):
             self.upstream.set_address(number, listed.address)
 
     def withdraw(self, now: int, number: int, listed: ListedEndpoint) -> None:
-        """It was told draining or gone, or left out of a complete list; the first time counts."""
+        """Withdraw an endpoint that was listed as draining or gone, or left out of a full list. Only the
+        first time counts.
+        """
         if listed.withdrawn_at is None:
             listed.withdrawn_at = now
             self.withdrawals.append((now, number))
--- a/laurelstep/engine/engine.py
+++ b/laurelstep/engine/engine.py
@@ -1,12 +1,13 @@
-"""Drives one `Balancer` in real time: clock, timers, ids, and its actions.
+"""Runs one `Balancer` in real time: supplies its clock, timers and request ids, and executes its actions.
 
-What happens is told to the module as one event at a time, and the actions that come back are carried
-out in their order; events that an action brings about wait until the present one is done.
+The balancer is given one event at a time, and the actions that it returns are executed in order. Events
+that an action causes are queued until the current event is done.
 
-The steps of a request, each by its name here: `take` (a recorder may come in between), `admit` (the
-module is told), `AttemptController.start` and `on_attempt_ended` (an attempt and its one outcome),
-`_enqueue` (a write queue may take what can't have run), `_answer` (the final answer leaves), `on_client_left`
-(its client left). Lists come by `on_list`.
+The steps of a request, by the methods that perform them: `take` accepts it (a recorder may claim it here),
+`admit` passes it to the balancer, `AttemptController.start` and `on_attempt_ended` begin an attempt and
+report its one outcome, `_enqueue` offers a request that can't have run to the write queue, `_answer` gives
+the final answer, and `on_client_left` ends a request whose client has left. Endpoint lists arrive through
+`on_list`.
 """
 
 from __future__ import annotations
@@ -59,16 +60,15 @@
     WriteQueue,
 )
 
-# Tells the module one thing: the time, and what happened.
-Method = Callable[[int, Any], list[Action]]
+# A method of `Decisions`: takes the time, in µs, and an event, and returns the actions to execute.
+DecisionMethod = Callable[[int, Any], list[Action]]
 
 
 class Engine:
-    """One copy of the balancer with all that it holds.
+    """One balancer with its endpoints, open calls and attempts.
 
-    `known` of `start` and the lists of `source` are in discovery's form. Every call
-    handed to `take` gets one answer through its front by its `expires_at`, unless `on_client_left`
-    is called first.
+    Endpoint lists are in the format of discovery. Every call that is passed to `take` gets one answer
+    through its frontend by its `expires_at`, unless `on_client_left` is called first.
     """
 
     def __init__(
@@ -90,35 +90,37 @@
         self.source = source
         self.log = log
         self.recorder = recorder
-        self.write_queue: WriteQueue | None = None  # set before the first request, where there is one
-        # The module's view of resting connections is to be that of the sockets.
+        self.write_queue: WriteQueue | None = None  # if there is one, set before the first request
+        # The balancer must assume the same idle timeout of connections as the upstream uses.
         self.balancer = Balancer(seed, replace(settings, idle_us=upstream.idle_us))
         self.decisions: Decisions = self.balancer
         self.endpoints = EndpointTable(clock, names, upstream, drain_grace_us)
         self.calls: dict[int, Call] = {}
-        self.open_request_ids: set[bytes] = set()  # the ids of the requests that are open
+        self.open_request_ids: set[bytes] = set()  # X-Request-Id of each open call
         self.counters = RequestCounters(len(settings.classes))
         self.attempts = AttemptController(self, clock, settings, upstream, self.endpoints, self.counters)
-        # Answers on their way to a caller: their class, and the endpoint they come from.
+        # Answers that are being streamed to a client: the request's class and the endpoint that answers.
         self.forwarding: dict[BodyStream, tuple[int, int]] = {}
         self.next_id = 0
-        self.events: deque[tuple[Method, object, Call | None]] = deque()
+        self.events: deque[tuple[DecisionMethod, object, Call | None]] = deque()
         self.dispatching = False
 
     def now(self) -> int:
-        """The time on the engine's clock, in us."""
+        """The time on the engine's clock, in µs."""
         return self.clock.now()
 
-    # --- Events -------------------------------------------------------------------
+    # Events
 
     def start(self, known: dict[str, Any] | None = None) -> None:
-        """ValueError if the known list can't be read."""
+        """Start the source of endpoint lists and the balancer. `known`: a cached endpoint list, if there is
+        one; ValueError if it can't be parsed.
+        """
         self.source.start(self, int(known["generation"]) if known else 0)
         self._dispatch(lambda now, _: self.decisions.start(now), None)
         if known is not None:
             self._apply_list(LIST_CACHED, known["instances"])
 
-    def _dispatch(self, method: Method, event: object, call: Call | None = None) -> None:
+    def _dispatch(self, method: DecisionMethod, event: object, call: Call | None = None) -> None:
         if self.dispatching:
             self.events.append((method, event, call))
             return
@@ -130,34 +132,35 @@
         finally:
             self.dispatching = False
 
-    def _handle_event(self, method: Method, event: object, call: Call | None) -> None:
+    def _handle_event(self, method: DecisionMethod, event: object, call: Call | None) -> None:
         try:
             for action in method(self.now(), event):
                 self._carry_out(action)
         except Exception:
-            # Guards the process and its callers against a fault of the module.
+            # Guards the process and its clients against an exception in the balancer: the call is answered
+            # with 500.
             self.log(traceback.format_exc().rstrip())
             self.balancer.discard_actions()
             if call is None:
                 return
             if call.is_open:
                 self._answer(call, Answer(Ending.FAILED, 500))
-            # The module may still count it among the requests that it holds.
+            # The balancer may still count the request as open.
             self._dispatch(self.decisions.client_disconnected, call.id)
 
-    # --- Endpoint lists -------------------------------------------------------------
+    # Endpoint lists
 
-    def on_list(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
+    def on_list(self, version: int, is_full: bool, entries: Sequence[Any]) -> None:
         """See `MemberSink.on_list`."""
-        self._apply_list(LIST_FULL if whole else LIST_DELTA, entries)
+        self._apply_list(LIST_FULL if is_full else LIST_DELTA, entries)
 
-    def apply_list_in_steps(self, whole: bool, entries: list[Any], told_at: int) -> Iterator[None]:
-        """A long list that was told at a time, applied step by step as this is iterated."""
-        return apply_in_steps(self.endpoints, whole, entries, told_at, self._dispatch_part)
+    def apply_list_in_steps(self, is_full: bool, entries: list[Any], received_at: int) -> Iterator[None]:
+        """See `MemberSink.apply_list_in_steps`."""
+        return apply_in_steps(self.endpoints, is_full, entries, received_at, self._dispatch_part)
 
-    def _dispatch_part(self, entries: Sequence[Entry], more: bool) -> None:
-        if entries or not more:
-            self._dispatch_list(LIST_PART if more else LIST_DELTA, entries)
+    def _dispatch_part(self, entries: Sequence[Entry], has_more: bool) -> None:
+        if entries or not has_more:
+            self._dispatch_list(LIST_PART if has_more else LIST_DELTA, entries)
 
     def on_list_failed(self) -> None:
         """See `MemberSink.on_list_failed`."""
@@ -170,10 +173,10 @@
     def _dispatch_list(self, mode: int, entries: Sequence[Entry]) -> None:
         self._dispatch(lambda now, _: self.decisions.members(now, mode, entries), None)
 
-    # --- Requests -----------------------------------------------------------------
+    # Requests
 
     def take(self, call: Call) -> None:
-        """Take a request. Its front may be answered before this returns."""
+        """Accept a request. Its frontend may get the answer before this returns."""
         self.next_id += 1
         call.id = self.next_id
         self.calls[call.id] = call
@@ -187,22 +190,22 @@
         self.admit(call)
 
     def _is_recorded(self, call: Call) -> bool:
-        """Whether a recorder has it in hand."""
+        """Whether the recorder has taken over the call."""
         if self.recorder is None:
             return False
-        streams = call.can_stream_answer
-        call.is_recorded, call.can_stream_answer = True, False  # the record holds whole answers
+        can_stream_answer = call.can_stream_answer
+        call.is_recorded, call.can_stream_answer = True, False  # the recorder stores complete answers
         if self.recorder.begin(call, self):
             return True
-        call.is_recorded, call.can_stream_answer = False, streams
+        call.is_recorded, call.can_stream_answer = False, can_stream_answer
         return False
 
     def admit(self, call: Call) -> None:
-        """The module is told of a call that is open."""
+        """Pass a call to the balancer. Does nothing if the call is no longer open."""
         if not call.is_open:
             return
         call.is_queued = False
-        coming = call.upload is not None and not call.upload.is_closed
+        is_uploading = call.upload is not None and not call.upload.is_closed
         event = Arrival(
             call.id,
             call.request_class,
@@ -211,12 +214,12 @@
             call.key,
             call.work_us,
             call.is_retry,
-            coming,
+            is_uploading,
         )
         self._dispatch(self.decisions.request, event, call)
 
     def on_upload_complete(self, call: Call) -> None:
-        """The last byte of a call's upload has come: its time counts from now."""
+        """The last byte of a call's upload was received: its time limit for the answer counts from now."""
         if not call.is_open:
             return
         call.expires_at = min(call.expires_at, self.now() + call.time_after_upload_us)
@@ -232,13 +235,13 @@
         return self.decisions.request_completed(now, call.id, call.expires_at)
 
     def on_client_left(self, call: Call) -> None:
-        """The client left: nothing more is owed. Nothing happens if it was answered."""
+        """The client has left: the call gets no answer. Does nothing if the call was answered."""
         if call.is_answer_held:
             self.counters.abandoned[call.request_class] += 1
-            self._release(call)
+            self._release_held_answer(call)
         elif call.is_open:
             self.counters.abandoned[call.request_class] += 1
-            self._close(call)
+            self._close_call(call)
             if call.is_queued:
                 self._leave_queue(call)
                 return
@@ -247,19 +250,20 @@
             self._dispatch(self.decisions.client_disconnected, call.id)
 
     def _on_deadline(self, call: Call) -> None:
-        """The client's deadline: what is out timed out, and the module answers."""
+        """The call's deadline: time out its attempts in flight, upon which the balancer fails the call."""
         for attempt in call.attempts:
             self.attempts.time_out(attempt)
         if call.is_queued:
             self._answer(call, Answer(Ending.FAILED, 504))
             self._leave_queue(call)
-        elif call.is_open:  # guards the caller should the module have held it to the end
+        elif call.is_open:  # guards the client against a balancer that still holds the request
             self._refuse_or_enqueue(call, Answer(Ending.FAILED, 504))
             self._dispatch(self.decisions.client_disconnected, call.id)
 
     def _enqueue(self, call: Call, answer: Answer | None) -> bool:
-        """Whether the write queue has a call from here on. It is never asked about one that may have run, or
-        may yet, nor about an upload that an endpoint had the beginning of: that is not here any more.
+        """Offer a call to the write queue; whether the queue has taken it over. The queue is never offered a
+        call that may have run or may still run, nor an upload of which an endpoint received the beginning:
+        that part is no longer buffered.
         """
         if (
             self.write_queue is None
@@ -270,7 +274,7 @@
         for attempt in call.attempts:
             if attempt.is_in_flight or attempt.may_have_run:
                 return False
-        call.is_queued = True  # before it is asked: it may settle at once
+        call.is_queued = True  # set before `enqueue`, which may settle the call at once
         if not self.write_queue.enqueue(call, answer, self):
             call.is_queued = False
             return False
@@ -282,13 +286,13 @@
             self.write_queue.on_call_closed(call)
 
     def _refuse_or_enqueue(self, call: Call, answer: Answer) -> None:
-        """The module refuses it, or fails it."""
+        """The balancer has refused or failed a call: offer it to the write queue, else answer it."""
         if not self._enqueue(call, answer):
             self._answer(call, answer)
 
     def _answer(self, call: Call, answer: Answer) -> None:
         call.is_answer_held = call.is_recorded and self.recorder is not None
-        self._close(call)
+        self._close_call(call)
         if call.is_answer_held and self.recorder is not None:
             call.deadline_timer = self.clock.at(
                 call.expires_at, self.deliver, call, Answer(Ending.FAILED, 504)
@@ -298,20 +302,22 @@
             self._send_final_answer(call, answer)
 
     def settle(self, call: Call, answer: Answer) -> None:
-        """A final answer that the module has no part in."""
+        """Give a call its final answer without the balancer. Does nothing if the call is not open."""
         if call.is_open:
             call.is_queued = False
-            self._close(call)
+            self._close_call(call)
             self._send_final_answer(call, answer)
 
     def deliver(self, call: Call, answer: Answer) -> None:
-        """A held answer leaves; at the call's time, what is known by then."""
+        """Give a call the final answer that was held for the recorder, or another in its place. At the
+        call's deadline that is a 504. Only the first answer of a call counts.
+        """
         if call.is_answer_held:
-            self._release(call)
+            self._release_held_answer(call)
             self._send_final_answer(call, answer)
 
     def _send_final_answer(self, call: Call, answer: Answer) -> None:
-        """The one place where a final answer leaves."""
+        """Count and deliver a final answer. Every final answer goes through here."""
         stream = answer.stream
         if stream is None or stream.is_closed:
             self.counters.count_answer(call.request_class, answer.ending)
@@ -321,7 +327,7 @@
         call.frontend.on_answer(call, answer)
 
     def on_stream_closed(self, stream: BodyStream) -> None:
-        """The last of an answer that was passed on while it came has left, or never will."""
+        """A streamed answer has ended: complete, broken by the endpoint, or abandoned by the client."""
         cls, _ = self.forwarding.pop(stream)
         if stream.is_abandoned:
             self.counters.abandoned[cls] += 1
@@ -329,49 +335,49 @@
             self.counters.count_answer(cls, Ending.SERVED if stream.is_complete else Ending.FAILED)
 
     def open_request_count(self) -> int:
-        """Requests taken that have no final answer yet, their clients still there."""
+        """How many requests have been taken, are not answered, and have a client that still waits."""
         return len(self.forwarding) + sum(
             1 for call in self.calls.values() if call.is_open or call.is_answer_held
         )
 
     def in_flight_at(self, endpoint: int) -> int:
-        """Attempts that are out at an endpoint, and answers that still come from it. Looks at
-        all that is open: for one who asks now and then.
+        """How many attempts are in flight at an endpoint, answers that it still streams included. Scans all
+        open calls, so it is meant for occasional use.
         """
-        out = sum(1 for _, where in self.forwarding.values() if where == endpoint)
+        in_flight = sum(1 for _, source in self.forwarding.values() if source == endpoint)
         for call in self.calls.values():
             for attempt in call.attempts:
-                out += attempt.is_in_flight and attempt.endpoint == endpoint
-        return out
+                in_flight += attempt.is_in_flight and attempt.endpoint == endpoint
+        return in_flight
 
-    def _release(self, call: Call) -> None:
+    def _release_held_answer(self, call: Call) -> None:
         call.is_answer_held = False
         if call.deadline_timer is not None:
             call.deadline_timer.cancel()
             call.deadline_timer = None
-        self._forget(call)
+        self._forget_if_done(call)
 
-    def _close(self, call: Call) -> None:
+    def _close_call(self, call: Call) -> None:
         call.is_open = False
         self.open_request_ids.discard(call.client_request_id)
         if call.deadline_timer is not None:
             call.deadline_timer.cancel()
             call.deadline_timer = None
-        self._forget(call)
+        self._forget_if_done(call)
 
-    def _forget(self, call: Call) -> None:
+    def _forget_if_done(self, call: Call) -> None:
         if call.is_open or call.is_answer_held:
             return
         for attempt in call.attempts:
             if attempt.is_in_flight:
                 return
         self.calls.pop(call.id, None)
-        call.attempts.clear()  # each holds the call: the cycle ends here
+        call.attempts.clear()  # each attempt refers to the call: breaks the reference cycle
 
-    # --- Attempts -----------------------------------------------------------------
+    # Attempts
 
     def on_attempt_ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
-        """An attempt has its one outcome: it may be the final answer, and the module is told."""
+        """An attempt has its one outcome: answer the call if the attempt succeeded, and tell the balancer."""
         if self.write_queue is not None:
             self.write_queue.on_attempt_ended(attempt.endpoint, outcome)
         call = attempt.call
@@ -383,9 +389,9 @@
             call.id, attempt.copy, attempt.endpoint, outcome, delay_us, not call.is_open, report
         )  # fmt: skip
         self._dispatch(self.decisions.outcome, event, call)
-        self._forget(call)
+        self._forget_if_done(call)
 
-    # --- Actions ------------------------------------------------------------------
+    # Actions
 
     def _carry_out(self, action: Action) -> None:
         match action:
@@ -413,7 +419,7 @@
             case LogLine(text):
                 self.log(text)
             case _:
-                raise TypeError(f"{action!r} is not of this deployment")
+                raise TypeError(f"the engine has no handler for the action {action!r}")
 
     def _open_call(self, request: int) -> Call | None:
         call = self.calls.get(request)
--- a/laurelstep/engine/list_updates.py
+++ b/laurelstep/engine/list_updates.py
@@ -1,15 +1,15 @@
-"""Long lists of endpoints, read and applied in steps, so that requests go on in between.
+"""Parses and applies long endpoint lists in steps, so that requests are served in between.
 
-Rules that everything here serves:
+Rules of this module:
 
-1. A list is read whole, entry by entry, before any of it is used.
-2. What leaves is told first, then what comes or changed; what did not change is passed
-   over. The module gets what comes as parts, and uses none of them before the last.
-3. A step reads, compares or tells `STEP_ENTRIES` entries at most. It does no I/O; who runs it
-   decides how many steps go before the next pause.
+1. A list is parsed completely, entry by entry, before any of it is applied.
+2. Withdrawn endpoints are reported first, then new and changed ones; unchanged entries are skipped. The
+   balancer receives the entries in parts, and uses none of them before the last part.
+3. A step parses, compares or reports `STEP_ENTRIES` entries at most. It does no I/O; the caller decides how
+   many steps run before the next pause.
 
-Its generators stay plain Python where the rest is compiled: a compiled one and its frame
-hold each other, and with them the list, until the collector comes by.
+This module is not compiled with mypyc, because it consists of generators: a compiled generator and its frame
+refer to each other, and keep the list in memory until the garbage collector runs.
 """
 
 from __future__ import annotations
@@ -23,53 +23,55 @@
 from laurelstep.balancing.events import GONE, READY, Entry
 from laurelstep.engine.endpoint_table import PHASES, EndpointTable, ListedEndpoint, split_address
 
-# Some tenths of a millisecond, also in plain Python.
+# Entries in a step, which then takes some tenths of a millisecond, also as plain Python.
 STEP_ENTRIES = 32
 
-# Takes a part of what changed, and whether there is more to come.
-Tell = Callable[[Sequence[Entry], bool], None]
-Read = dict[int, tuple[Entry, ListedEndpoint]]
+# Receives a part of the changed entries, and whether more parts follow.
+OnPart = Callable[[Sequence[Entry], bool], None]
+ParsedEntries = dict[int, tuple[Entry, ListedEndpoint]]
 
-_SPACE = re.compile(r"[ \t\n\r]*")
+_WHITE_SPACE = re.compile(r"[ \t\n\r]*")
 
 
-def _after_space(text: str, at: int) -> int:
-    found = _SPACE.match(text, at)
-    assert found is not None  # it matches nothing, too
+def _skip_space(text: str, at: int) -> int:
+    found = _WHITE_SPACE.match(text, at)
+    assert found is not None  # the pattern also matches the empty string
     return found.end()
 
 
-def _mark(text: str, at: int, marks: str) -> tuple[str, int]:
-    """One of the marks, and where the text goes on; ValueError for anything else."""
-    at = _after_space(text, at)
-    if text[at : at + 1] not in marks or at == len(text):
-        raise ValueError(f"expected one of {marks} at character {at}")
-    return text[at], _after_space(text, at + 1)
+def _read_delimiter(text: str, at: int, delimiters: str) -> tuple[str, int]:
+    """The delimiter at a position, white space before it skipped, and the position of the next token.
+    ValueError if it is none of `delimiters`.
+    """
+    at = _skip_space(text, at)
+    if text[at : at + 1] not in delimiters or at == len(text):
+        raise ValueError(f"expected one of {delimiters} at character {at}")
+    return text[at], _skip_space(text, at + 1)
 
 
 def parse_in_steps(text: str) -> Generator[None, None, dict[str, Any]]:
-    """A JSON object (RFC 8259), as `json.loads` reads it; that of a long array, the
-    value of `instances`, takes a step for every `STEP_ENTRIES` of its items. ValueError.
+    """Parse a JSON object (RFC 8259) as `json.loads` does. The array `instances`, which may be long, takes a
+    step for every `STEP_ENTRIES` items. ValueError if the text is malformed or no object.
     """
     decode = json.JSONDecoder().raw_decode
     found: dict[str, Any] = {}
-    _, at = _mark(text, 0, "{")
-    more = text[at : at + 1] != "}"
-    if not more:
+    _, at = _read_delimiter(text, 0, "{")
+    has_more = text[at : at + 1] != "}"
+    if not has_more:
         at += 1
-    while more:
+    while has_more:
         key, at = decode(text, at)
         if not isinstance(key, str):
-            raise ValueError("a key is no string")
-        _, at = _mark(text, at, ":")
+            raise ValueError("malformed JSON: a key is not a string")
+        _, at = _read_delimiter(text, at, ":")
         if key == "instances" and text[at : at + 1] == "[":
             found[key], at = yield from _items_in_steps(text, at, decode)
         else:
             found[key], at = decode(text, at)
-        mark, at = _mark(text, at, ",}")
-        more = mark == ","
-    if _after_space(text, at) != len(text):
-        raise ValueError("something follows the object")
+        delimiter, at = _read_delimiter(text, at, ",}")
+        has_more = delimiter == ","
+    if _skip_space(text, at) != len(text):
+        raise ValueError("malformed JSON: data after the end of the object")
     return found
 
 
@@ -77,47 +79,48 @@
     text: str, at: int, decode: Callable[[str, int], tuple[Any, int]]
 ) -> Generator[None, None, tuple[list[Any], int]]:
     items: list[Any] = []
-    _, at = _mark(text, at, "[")
+    _, at = _read_delimiter(text, at, "[")
     if text[at : at + 1] == "]":
         return items, at + 1
-    mark = ","
-    while mark == ",":
+    delimiter = ","
+    while delimiter == ",":
         item, at = decode(text, at)
         items.append(item)
-        mark, at = _mark(text, at, ",]")
+        delimiter, at = _read_delimiter(text, at, ",]")
         if len(items) % STEP_ENTRIES == 0:
             yield
     return items, at
 
 
 def normalize_entry(raw: Any) -> tuple[dict[str, Any] | None, str]:
-    """An entry of discovery as the engine can use it, and what is wrong with it, if anything is.
+    """An entry of discovery with its malformed fields replaced by defaults, and a description of the last
+    malformed field; the description is empty if the entry is well-formed.
 
-    Guards the good entries of a list against a bad one. An endpoint whose state or address can't be
-    read wants nothing new; without a name there is nothing to use. Null is as good as absent.
+    Guards the good entries of a list against a malformed one. An endpoint whose lifecycle or address is
+    malformed counts as draining. The entry is None if it has no usable instance id. Null counts as absent.
     """
     name = raw.get("instanceId") if isinstance(raw, dict) else None
-    if not isinstance(name, str) or (not name.isascii() and not _is_text(name)):
-        return None, f"an entry with no instanceId: {str(raw)[:80]!r}"
-    found, wrong = dict(raw), ""
-    for key, least in (("zone", ""), ("machineType", ""), ("weight", 1.0), ("cell", 0), ("startedAtMs", 0)):
+    if not isinstance(name, str) or (not name.isascii() and not _is_encodable(name)):
+        return None, f"an entry has no usable instanceId: {str(raw)[:80]!r}"
+    found, problem = dict(raw), ""
+    for key, default in (("zone", ""), ("machineType", ""), ("weight", 1.0), ("cell", 0), ("startedAtMs", 0)):
         value = raw.get(key)
         if value is None:
-            found[key] = least
-        elif not _is_like(value, least):
-            found[key] = least
-            wrong = f"{name}: {key}: {value!r:.80}"
+            found[key] = default
+        elif not _has_type_of(value, default):
+            found[key] = default
+            problem = f"{name}: {key}: {value!r:.80}"
     phase, address = raw.get("lifecycle"), raw.get("hostPort")
     found["hostPort"] = str(address or "")
     if not isinstance(phase, str) or phase not in PHASES:
-        found["lifecycle"], wrong = "draining", f"{name}: lifecycle: {phase!r:.80}"
+        found["lifecycle"], problem = "draining", f"{name}: lifecycle: {phase!r:.80}"
     elif phase == "ready" and not _is_address(found["hostPort"]):
-        found["lifecycle"], wrong = "draining", f"{name}: hostPort: {address!r:.80}"
-    return found, wrong
+        found["lifecycle"], problem = "draining", f"{name}: hostPort: {address!r:.80}"
+    return found, problem
 
 
-def _is_text(name: str) -> bool:
-    """Whether it has a number: half of a pair of code units has none."""
+def _is_encodable(name: str) -> bool:
+    """Whether a name can be encoded as UTF-8, as `endpoint_number` requires; a lone surrogate can't."""
     try:
         name.encode()
     except UnicodeEncodeError:
@@ -133,87 +136,91 @@
     return True
 
 
-def _is_like(value: Any, least: str | float) -> bool:
-    if isinstance(least, str):
+def _has_type_of(value: Any, default: str | float) -> bool:
+    if isinstance(default, str):
         return isinstance(value, str)
     return isinstance(value, int | float) and math.isfinite(value)
 
 
 def apply_in_steps(
-    members: EndpointTable, whole: bool, raw: list[Any], told_at: int, tell: Tell
+    table: EndpointTable, is_full: bool, raw: list[Any], received_at: int, on_part: OnPart
 ) -> Iterator[None]:
-    """A list in discovery's form that was told at `told_at`, µs. ValueError comes before
-    anything is changed; `tell` is last called with no more to come. Takes its items out of
-    `raw`: to free them all at the end would be a step as long as the list.
+    """Apply a list in the format of discovery, full or of changes, that was received at `received_at`, µs.
+    ValueError, before anything is changed, if an entry is malformed. The last call of `on_part` says that no
+    more parts follow. Empties `raw` on the way: freeing all its items at the end would take as long as a
+    step over the whole list.
     """
-    read: Read = {}
+    parsed: ParsedEntries = {}
     raw.reverse()
     while raw:
-        entry, place = members.read_entry(raw.pop())
-        read[entry.endpoint] = entry, place
+        entry, listed = table.read_entry(raw.pop())
+        parsed[entry.endpoint] = entry, listed
         if len(raw) % STEP_ENTRIES == 0:
             yield
-    members.forget_withdrawn(members.clock.now())
-    if whole:
-        members.draining.intersection_update(read)
-    yield from _withdraw_in_steps(members, whole, read, told_at, tell)
+    table.forget_withdrawn(table.clock.now())
+    if is_full:
+        table.draining.intersection_update(parsed)
+    yield from _withdraw_in_steps(table, is_full, parsed, received_at, on_part)
     part: list[Entry] = []
-    while read:
-        _, (entry, place) = read.popitem()
-        members.note_draining(entry.endpoint, entry.phase)
-        if entry.phase == READY and not members.is_unchanged(entry, place):
-            members.apply_entry(told_at, entry, place)
+    while parsed:
+        _, (entry, listed) = parsed.popitem()
+        table.note_draining(entry.endpoint, entry.phase)
+        if entry.phase == READY and not table.is_unchanged(entry, listed):
+            table.apply_entry(received_at, entry, listed)
             part.append(entry)
-        if len(read) % STEP_ENTRIES == 0:
-            tell(part, True)
+        if len(parsed) % STEP_ENTRIES == 0:
+            on_part(part, True)
             part = []
             yield
-    tell(part, False)
+    on_part(part, False)
 
 
 def _withdraw_in_steps(
-    members: EndpointTable, whole: bool, read: Read, told_at: int, tell: Tell
+    table: EndpointTable, is_full: bool, parsed: ParsedEntries, received_at: int, on_part: OnPart
 ) -> Iterator[None]:
     part: list[Entry] = []
-    for at, (number, place) in enumerate(list(members.by_number.items()), 1):
-        entry = _leaving(number, place, read, whole)
+    for count, (number, listed) in enumerate(list(table.by_number.items()), 1):
+        entry = _withdrawn_entry(number, listed, parsed, is_full)
         if entry is not None:
-            members.withdraw(told_at, number, place)
+            table.withdraw(received_at, number, listed)
             part.append(entry)
-        if at % STEP_ENTRIES == 0:
-            tell(part, True)
+        if count % STEP_ENTRIES == 0:
+            on_part(part, True)
             part = []
             yield
-    tell(part, True)
+    on_part(part, True)
 
 
-def _leaving(number: int, place: ListedEndpoint, read: Read, whole: bool) -> Entry | None:
-    """What a list makes of a place that leaves with it; None if it stays, or has left."""
-    if place.withdrawn_at is not None:
+def _withdrawn_entry(
+    number: int, listed: ListedEndpoint, parsed: ParsedEntries, is_full: bool
+) -> Entry | None:
+    """The entry that withdraws an endpoint; None if the list keeps it, or if it was withdrawn before."""
+    if listed.withdrawn_at is not None:
         return None
-    pair = read.get(number)
+    pair = parsed.get(number)
     if pair is not None:
         return None if pair[0].phase == READY else pair[0]
-    old = place.entry
-    return Entry(number, GONE, old.boot, old.rating, old.cell, old.zone, old.kind) if whole else None
+    old = listed.entry
+    return Entry(number, GONE, old.boot, old.rating, old.cell, old.zone, old.kind) if is_full else None
 
 
-def dump_in_steps(members: EndpointTable, generation: int, taken: list[bytes]) -> Iterator[None]:
-    """The endpoints that have not left, as a whole list in discovery's form: JSON, put
-    into `taken` with the last step.
+def dump_in_steps(table: EndpointTable, generation: int, output: list[bytes]) -> Iterator[None]:
+    """Encode the endpoints that are not withdrawn as a full list in the format of discovery: JSON, which the
+    last step appends to `output`.
     """
-    zones = {number: name for name, number in members.names.zones.items()}
-    kinds = {number: name for name, number in members.names.kinds.items()}
+    zones = {number: name for name, number in table.names.zones.items()}
+    kinds = {number: name for name, number in table.names.kinds.items()}
     parts: list[str] = []
-    for at, place in enumerate(list(members.by_number.values()), 1):
-        if place.withdrawn_at is None:
+    for count, listed in enumerate(list(table.by_number.values()), 1):
+        if listed.withdrawn_at is None:
             raw = {
-                "instanceId": place.name, "hostPort": place.address, "zone": zones.get(place.entry.zone, ""),
-                "machineType": kinds.get(place.entry.kind, ""), "cell": place.entry.cell,
-                "lifecycle": "ready", "weight": place.entry.rating, "startedAtMs": place.started_ms,
+                "instanceId": listed.name, "hostPort": listed.address,
+                "zone": zones.get(listed.entry.zone, ""),
+                "machineType": kinds.get(listed.entry.kind, ""), "cell": listed.entry.cell,
+                "lifecycle": "ready", "weight": listed.entry.rating, "startedAtMs": listed.started_ms,
             }  # fmt: skip
             parts.append(json.dumps(raw))
-        if at % STEP_ENTRIES == 0:
+        if count % STEP_ENTRIES == 0:
             yield
     text = ",".join(parts)
-    taken.append(f'{{"generation":{generation},"reset":true,"instances":[{text}]}}'.encode())
+    output.append(f'{{"generation":{generation},"reset":true,"instances":[{text}]}}'.encode())
--- a/laurelstep/engine/names.py
+++ b/laurelstep/engine/names.py
@@ -1,4 +1,4 @@
-"""Numbers of the names that travel on the sockets."""
+"""Maps the names of classes, tenants, zones, kinds and load-report fields to their numbers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from laurelstep.balancing.events import BUSY, ERROR_RATE, HELD, LATENCY_MS, SERVED_RATE, WAITING, Settings
 
-# Load-report names on the socket; those of the settings may differ.
+# Field names in a load report from an endpoint, with the names that the settings use.
 REPORT_NAMES = {
     "inflight": HELD,
     "queue": WAITING,
@@ -20,9 +20,10 @@
 
 
 class NameTable:
-    """Made from the settings object of the platform's configuration. `order_headers` are the
-    headers, by class, with which requests name their order; `queueable_classes` the classes that an outbox
-    may keep, here or at an edge of this copy.
+    """Numbers by name, from the `settings` object of the platform's configuration.
+
+    `order_headers`: the header that carries the order of a request, by class number. `queueable_classes`:
+    numbers of the classes whose writes an outbox may queue, in this process or at an edge of it.
     """
 
     def __init__(
@@ -30,23 +31,25 @@
     ) -> None:
         self.queueable_classes: frozenset[int] = frozenset()
         self.classes = {str(entry["name"]): n for n, entry in enumerate(raw["classes"])}
-        self.order_headers = {self.classes[name]: one for name, one in (order_headers or {}).items()}
+        self.order_headers = {self.classes[name]: header for name, header in (order_headers or {}).items()}
         self.tenants = {str(entry["name"]): n for n, entry in enumerate(raw.get("accounts", ()))}
         self.zones = {str(name): n for n, name in enumerate(raw.get("zones", ()))}
         self.kinds = {str(name): n for n, name in enumerate(raw.get("kinds", ()))}
-        self.report_fields = {name: at for at, name in enumerate(settings.report_fields)}
+        self.report_fields = {name: index for index, name in enumerate(settings.report_fields)}
 
     def parse_load_report(self, raw: bytes) -> list[float] | None:
-        """A load report in the settings' order; what can't be read is left out."""
+        """The values of a load report, in the order of `Settings.report_fields`; nan for a field that is
+        missing or malformed. None if there is no report or no field is configured.
+        """
         if not raw or not self.report_fields:
             return None
         values = [nan] * len(self.report_fields)
         for part in raw.split(b","):
             name, _, value = part.decode("latin-1").strip().partition("=")
-            at = self.report_fields.get(REPORT_NAMES.get(name, name))
-            if at is not None:
+            index = self.report_fields.get(REPORT_NAMES.get(name, name))
+            if index is not None:
                 try:
-                    values[at] = float(value)
+                    values[index] = float(value)
                 except ValueError:
                     continue
         return values
--- a/laurelstep/engine/ports.py
+++ b/laurelstep/engine/ports.py
@@ -1,4 +1,4 @@
-"""The sides of the engine, each as narrow as the engine needs it."""
+"""The interfaces between the engine and its surroundings, each limited to what the engine needs."""
 
 from __future__ import annotations
 
@@ -23,31 +23,33 @@
     "WriteQueue",
 ]
 
-# Takes one line for the operator.
+# Writes one line to the operator's log.
 Log = Callable[[str], None]
 
 
 class Clock(Protocol):
-    """Time in µs that never goes back, and calls at a time."""
+    """Clocks and timers. Times in µs."""
 
     def now(self) -> int:
-        """The monotonic time."""
+        """The monotonic time, µs."""
 
     def wall(self) -> int:
-        """Unix time in µs, which may be set."""
+        """Unix time, µs. It can jump when the system's clock is set."""
 
     def at(self, due: int, callback: Callable[..., None], *args: Any) -> Handle:
-        """Call at `due` or after, never before."""
+        """Schedule a callback for the monotonic time `due`. It is never called earlier."""
 
 
 class Decisions(Protocol):
-    """The decision module, as the engine calls it: `laurelstep.balancing.events` has the terms."""
+    """The interface of the balancer. Each method but `ejected` reports an event and returns the actions to
+    execute; both are defined in `laurelstep.balancing.events`. `now` is the engine's time in µs.
+    """
 
     def start(self, now: int) -> list[Action]:
-        """Before anything else; `now` is the engine's time in us, here and below."""
+        """Called once, before any other method."""
 
     def members(self, now: int, mode: int, entries: Sequence[Entry]) -> list[Action]:
-        """A list of endpoints, or a part of one, by `mode`."""
+        """An endpoint list or a part of one has arrived; `mode` is one of the LIST_ constants."""
 
     def request(self, now: int, event: Arrival) -> list[Action]:
         """A request has arrived."""
@@ -56,130 +58,135 @@
         """An attempt has its one outcome."""
 
     def request_completed(self, now: int, request_id: int, expires_at: int) -> list[Action]:
-        """The last byte of a request that is forwarded while it is received has come."""
+        """The last byte of an upload was received; its request now expires at `expires_at`, µs."""
 
     def client_disconnected(self, now: int, request_id: int) -> list[Action]:
-        """The client of a request has left; one that is not open is ignored."""
+        """The client of a request has left. Ignored if the request is not open."""
 
     def timer(self, now: int, token: int) -> list[Action]:
-        """A timer that it asked for is due."""
+        """A timer that the balancer requested with the action `Timer` is due."""
 
     def ejected(self, now: int) -> int:
-        """How many endpoints that are ready get next to nothing now. Changes nothing."""
+        """How many ready endpoints are ejected as outliers and get next to no requests. Changes nothing."""
 
 
 class Upstream(Protocol):
-    """Carries attempts to endpoints."""
+    """Sends attempts to endpoints over pooled connections."""
 
     @property
     def idle_us(self) -> int:
-        """How long it keeps a connection at rest."""
+        """How long an idle connection is kept open, µs."""
 
     def set_address(self, endpoint: int, address: str) -> None:
-        """A new process or address: nothing of the old one is used again."""
+        """An endpoint is new, or has a new process or address: no older connection to it is used again."""
 
     def remove(self, endpoint: int) -> None:
-        """It has left: no connection to it is kept."""
+        """An endpoint is withdrawn: no idle connection to it is kept."""
 
     def close_idle(self, endpoint: int) -> None:
-        """Close the connections that rest at an endpoint."""
+        """Close the idle connections to an endpoint. Does nothing for an unknown endpoint."""
 
     def send(self, attempt: Attempt) -> None:
-        """Start it. `Attempt.end` is called once, possibly before this returns."""
+        """Begin an attempt. `Attempt.end` is called once, possibly before this returns."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """Stop waiting for it, in such a way that the endpoint notices."""
+        """Abandon an attempt in flight, in such a way that the endpoint notices."""
 
 
 class MemberSink(Protocol):
-    """Takes what a source of members has to tell."""
+    """Receives the endpoint lists of a `MemberSource`."""
 
-    def on_list(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
-        """A whole list, or changes, in discovery's form; ValueError, with nothing of it
-        taken, if it is bad.
+    def on_list(self, version: int, is_full: bool, entries: Sequence[Any]) -> None:
+        """Apply a full list, or one of changes, in the format of discovery. ValueError, with nothing
+        applied, if an entry is malformed.
         """
 
     def now(self) -> int:
-        """The time on the clock of `told_at`, µs."""
+        """The time on the clock of `received_at`, µs."""
 
-    def apply_list_in_steps(self, whole: bool, entries: list[Any], told_at: int) -> Iterator[None]:
-        """The same for a long list, one step with each item. ValueError comes, as there,
-        with nothing taken; after the last item all of it is. `entries` is used up.
+    def apply_list_in_steps(self, is_full: bool, entries: list[Any], received_at: int) -> Iterator[None]:
+        """Apply a long list in steps, one with each item of the iterator. `received_at`: when it was
+        received, µs. ValueError, with nothing applied, if an entry is malformed; after the last item the
+        whole list is applied. `entries` is emptied.
         """
 
     def on_list_failed(self) -> None:
-        """What was asked for did not come."""
+        """A list that was requested did not arrive."""
 
 
 class MemberSource(Protocol):
-    """Where lists of endpoints come from."""
+    """A source of endpoint lists."""
 
     def start(self, sink: MemberSink, generation: int) -> None:
-        """Begin to tell, after the given version. Called once, by the engine's start."""
+        """Start to pass lists later than `generation` to the sink. Called once, by the engine's start."""
 
-    def watch(self, on: bool) -> None:
-        """Follow changes from now on, or no longer."""
+    def watch(self, is_on: bool) -> None:
+        """Start or stop following changes of the list."""
 
     def fetch(self) -> None:
-        """Bring the whole list once."""
+        """Request the full list once."""
 
 
 class FilteringSource(MemberSource, Protocol):
-    """A source that stands between another one and the engine, and may hold members back."""
+    """A source that passes on the lists of another one, and may leave out or change endpoints."""
 
     def set_initial_list(self, generation: int, entries: Sequence[Any]) -> None:
-        """The list that the process was started with, before `start`. ValueError if it can't be read."""
+        """Set the list that the process was started with. Called before `start`. ValueError if an entry is
+        malformed.
+        """
 
 
 class CallHost(Protocol):
-    """The engine, as a recorder knows it."""
+    """The part of the engine's interface that a `Recorder` or a `WriteQueue` uses."""
 
     def admit(self, call: Call) -> None:
-        """The module is told of it now. Nothing happens if it is no longer open."""
+        """Pass a call to the balancer. Does nothing if the call is no longer open."""
 
     def settle(self, call: Call, answer: Answer) -> None:
-        """Its final answer, of which the module hears nothing."""
+        """Give a call its final answer without the balancer. Does nothing if the call is not open."""
 
     def deliver(self, call: Call, answer: Answer) -> None:
-        """The final answer that was handed to `Recorder.finish` leaves, or another in its
-        place. Only the first for a call counts.
+        """Give a call the final answer that was passed to `Recorder.finish`, or another in its place. Only
+        the first answer of a call counts.
         """
 
 
 class Recorder(Protocol):
-    """Keeps what must be known of a request after a restart. Joins at three steps."""
+    """Stores what must be known of a request after a restart. The engine calls it at three steps."""
 
     def begin(self, call: Call, engine: CallHost) -> bool:
-        """Before the module is told. True if it is recorded: then one of `admit` and `settle`
-        is called for it, now or later.
+        """Called before the balancer gets a call. Whether the recorder takes over the call: it then calls
+        either `admit` or `settle`, now or later.
         """
 
     def finish(self, call: Call, answer: Answer, engine: CallHost) -> None:
-        """Before the final answer of a recorded call leaves: `deliver` is called, now or later."""
+        """Called before the frontend of a recorded call gets its final answer. The recorder calls `deliver`,
+        now or later.
+        """
 
     def on_client_left(self, call: Call, engine: CallHost) -> None:
-        """The client of a recorded call left."""
+        """The client of a recorded call has left before the answer."""
 
 
 class WriteQueue(Protocol):
-    """May keep a write that can't be sent now, and bring it upstream later. Asked at one step: before
-    a refusal or a failure leaves whose request can't have run, and as a request is taken that
-    `must_queue` to it.
+    """May store a write that can't be sent now, to replay it upstream later. The engine offers it a call
+    before it refuses or fails one that can't have run, and on arrival if `must_queue` says so.
     """
 
     def must_queue(self, call: Call) -> bool:
-        """Whether `enqueue` is asked before the module is told: the edge is cut off, or the call follows
-        what is kept.
+        """Whether `enqueue` is called before the balancer gets the call: the edge is cut off, or the call
+        depends on a queued write.
         """
 
     def enqueue(self, call: Call, answer: Answer | None, engine: CallHost) -> bool:
-        """`answer`: what it would get now; None where the module was not told of it yet. True if it is
-        in hand: one of `settle` and `admit` is then called for it, now or later. Of an upload no
-        endpoint had anything: the queue attaches to it, and after that calls `settle`.
+        """Offer a call. `answer`: the one that the client gets otherwise; None before the balancer gets the
+        call. True if the queue takes over the call: it then calls either `settle` or `admit`, now or later.
+        No endpoint has received any part of an upload that is offered; once the queue has attached to the
+        upload, it calls `settle`.
         """
 
     def on_call_closed(self, call: Call) -> None:
-        """A call that is in hand is not open any more: its client left, or its time is over."""
+        """A call that the queue has taken over is no longer open: its client left, or its time is over."""
 
     def on_attempt_ended(self, endpoint: int, outcome: int) -> None:
-        """How an attempt at any endpoint ended."""
+        """An attempt of any call has ended."""
--- a/laurelstep/engine/static_members.py
+++ b/laurelstep/engine/static_members.py
@@ -1,4 +1,4 @@
-"""EndpointTable that are given and changed in code, as the engine's source of members."""
+"""An endpoint list that is set in code, as the engine's `MemberSource`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class StaticMembers:
-    """Holds the whole list, in discovery's form, and tells it when it changes."""
+    """Holds a full endpoint list in the format of discovery, and passes it to the sink when it changes."""
 
     def __init__(self, entries: Sequence[Any] = ()) -> None:
         self.entries = list(entries)
@@ -22,23 +22,23 @@
         self.generation = generation
 
     def replace_list(self, entries: Sequence[Any]) -> None:
-        """A new whole list; ValueError, with the old one kept, if it can't be read."""
+        """Replace the list. ValueError, with the old list kept, if an entry is malformed."""
         if self.sink is not None:
             self.sink.on_list(self.generation + 1, True, entries)
         self.generation += 1
         self.entries = list(entries)
 
     def watch(self, on: bool) -> None:
-        """Changes are told as they are given."""
+        """See `MemberSource.watch`. Does nothing: `replace_list` always notifies the sink."""
 
     def fetch(self) -> None:
-        """The whole list once more."""
+        """See `MemberSource.fetch`."""
         if self.sink is not None:
             self.sink.on_list(self.generation, True, self.entries)
 
     def close(self) -> None:
-        """Tell nothing more."""
+        """Disconnect the sink."""
         self.sink = None
 
     async def wait_closed(self) -> None:
-        """There is nothing to wait for."""
+        """Return at once, because there are no tasks or connections."""
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -218,7 +218,7 @@
     copy.at_once(True, [raw(name) for name in range(100)])
     before = copy.seen()
     bad = [*(raw(name, "draining") for name in range(100)), {"instanceId": "s-1"}]
-    with pytest.raises(ValueError, match="no entry"):
+    with pytest.raises(ValueError, match="malformed entry"):
         for _ in copy.in_steps(True, bad):
             pass
     assert copy.seen() == before
