--- a/laurelstep/engine/engine.py
+++ b/laurelstep/engine/engine.py
@@ -24,7 +24,7 @@
     LIST_DELTA,
     LIST_FAILED,
     LIST_FULL,
-    LIST_PART,
+    LIST_PARTIAL,
     OK,
     Action,
     Arrival,
@@ -160,7 +160,7 @@
 
     def _dispatch_part(self, entries: Sequence[Entry], has_more: bool) -> None:
         if entries or not has_more:
-            self._dispatch_list(LIST_PART if has_more else LIST_DELTA, entries)
+            self._dispatch_list(LIST_PARTIAL if has_more else LIST_DELTA, entries)
 
     def on_list_failed(self) -> None:
         """See `MemberSink.on_list_failed`."""
--- a/laurelstep/engine/ports.py
+++ b/laurelstep/engine/ports.py
@@ -66,7 +66,7 @@
     def timer(self, now: int, token: int) -> list[Action]:
         """A timer that the balancer requested with the action `Timer` is due."""
 
-    def ejected(self, now: int) -> int:
+    def count_ejected(self, now: int) -> int:
         """How many ready endpoints are ejected as outliers and get next to no requests. Changes nothing."""
 
 
