--- a/laurelstep/net/discovery.py
+++ b/laurelstep/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: keeps the watch open, or asks when told to, and hands lists on."""
+"""The client of discovery: watches or fetches endpoint lists over HTTP, and passes them to the engine."""
 
 from __future__ import annotations
 
@@ -15,52 +15,57 @@
 from laurelstep.net.cooperative_task import CooperativeTask
 from laurelstep.net.discovery_stream import DiscoveryStream
 
-# While nothing changes an empty line comes every 2 s: one that is half a second late is missed, and
-# the watch is dead, as a network that is cut off says nothing. What it misses counts as told 6 s after
-# the silence began: that leaves time for a second watch that is as silent behind its head, and a third.
-SILENT_S = 2.5
-# An agent on the own machine answers at once; a service of all sidecars takes calls in turn.
-ANSWER_S, ANSWER_ASKED_S = 1.0, 2.0
-# A silence is acted on this much later at most, drawn by each sidecar for itself: a fault that
-# silences the watches of a fleet must not have them all ask at once.
-SPREAD_S = 0.3
-# The back-off after a call that failed at once. An agent costs nothing to ask, and what it has counts
-# from when it has it: the longest pause leaves a short drain grace (250 ms) time for the answer. One
-# that answers with what can't be read will not be better soon.
-RETRY_S, MAX_RETRY_S, MAX_RETRY_MALFORMED_S = 0.05, 0.2, 2.0
-# A service of all sidecars is asked less often. A change counts as told 6 s after it could be had: this
-# pause and a call that is not answered leave more than a second for the next.
-RETRY_ASKED_S = 2.5
-# A renewal waits for a part of that between half and all of it, drawn by each sidecar for itself:
-# when discovery comes back, a fleet must not ask at once.
-RETRY_PART = 0.5
-# A discovery that answers with what can't be read does so at every call.
-LOG_EVERY_S = 10.0
+# While nothing changes, discovery sends an empty line as a heartbeat every 2 s. If one is half a second late,
+# the watch counts as stalled, because a network partition gives no other sign. Changes that it misses count
+# as received 6 s after the stall began: that leaves time for a second watch that stalls after its head, and
+# for a third.
+STALL_TIMEOUT_S = 2.5
+# Limits for the head of a response. An agent on the same machine answers at once; a discovery service that
+# all sidecars share, and that is used on demand, answers requests in turn.
+RESPONSE_TIMEOUT_S, RESPONSE_TIMEOUT_ON_DEMAND_S = 1.0, 2.0
+# Each sidecar reacts to a stall after a random delay of up to this: a fault that stalls the watches of a
+# whole fleet must not make all of them send a request at once.
+MAX_JITTER_S = 0.3
+# The back-off after a failed request to an agent, from the first to the longest pause. A request to an agent
+# is cheap, and a change counts as received as soon as the agent has it: the longest pause leaves time for the
+# answer within a short drain grace (250 ms). An agent that sends malformed lists will not recover soon.
+RETRY_DELAY_S, MAX_RETRY_DELAY_S, MAX_RETRY_DELAY_MALFORMED_S = 0.05, 0.2, 2.0
+# The pause after a failed request to a shared service, which gets fewer requests. A change counts as received
+# 6 s after it was available: this pause and one request without an answer leave more than a second for the
+# next.
+RETRY_DELAY_ON_DEMAND_S = 2.5
+# Each pause is multiplied by a random factor between this and 1: when discovery comes back, a fleet must not
+# send its requests all at once.
+MIN_RETRY_FACTOR = 0.5
+# A discovery that sends malformed lists does so in every response.
+LOG_INTERVAL_S = 10.0
 LIST_PATH = "/registry/instances"
-# A longer object is read and applied in slices: this much takes a millisecond or two.
-SHORT_OBJECT = 32 * 1024
+# A longer object is parsed and applied in steps; one of this size takes a millisecond or two.
+SHORT_OBJECT_BYTES = 32 * 1024
 
 
-def parse_list(told: Any, watch: bool) -> tuple[int, bool, list[Any]]:
-    """Version, whether it is whole, and entries; ValueError. What was fetched is whole."""
+def parse_list(parsed: Any, watch: bool) -> tuple[int, bool, list[Any]]:
+    """The generation of a list, whether it is full, and its entries. A list that was fetched, without
+    `watch`, is always full. ValueError if `parsed` is no list of endpoints.
+    """
     try:
-        version, whole, entries = int(told["generation"]), told.get("reset"), told["instances"]
+        generation, is_full, entries = int(parsed["generation"]), parsed.get("reset"), parsed["instances"]
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
-        raise ValueError(f"no list: {error!r}") from None
+        raise ValueError(f"not an endpoint list: {error!r}") from None
     if not isinstance(entries, list):
-        raise ValueError("instances is no list")
-    return version, not watch or bool(whole), entries
+        raise ValueError("not an endpoint list: instances is not an array")
+    return generation, not watch or bool(is_full), entries
 
 
 class Discovery:
-    """Lists over HTTP, as the engine's source of members.
+    """Fetches and watches endpoint lists over HTTP, as the engine's `MemberSource`.
 
-    `is_pushed`: the watch is kept open from the start on, and opened anew when it ends.
-    Otherwise it is opened, and lists are fetched, when the engine says so.
+    `is_pushed`: the watch is kept open from the start, and opened again when it ends. Otherwise lists are
+    watched and fetched when the engine requests it.
 
-    What falls silent is asked again at once, on a connection of its own and from the last
-    version that was whole; what ends or fails is asked again after a back-off. Where lists are not
-    pushed the engine hears of it, and may ask sooner.
+    A request that stalls is repeated at once, on a new connection and from the last generation that was
+    applied completely. One that ends or fails is repeated after a back-off. If lists are not pushed, the
+    engine is notified of that and may repeat the request sooner.
     """
 
     def __init__(
@@ -74,37 +79,37 @@
         seed: int = 0,
     ) -> None:
         self.loop = loop
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self.address = address
         self.path = path
         self.is_pushed = is_pushed
         self.log = log
-        self.logged_at = -LOG_EVERY_S  # when a line was last logged
-        self.unlogged = 0  # lines since then that were not
-        self.collector = collector  # of the process, where it is the balancer's
+        self.last_logged_at = -LOG_INTERVAL_S  # when a line was last logged
+        self.suppressed_lines = 0  # lines since then that were not logged
+        self.collector = collector  # the garbage collector; None where the balancer does not own the process
         self.sink: MemberSink | None = None
         self.generation = 0
         self.stream: DiscoveryStream | None = None  # the watch
-        self.retry_s = RETRY_S
-        self.silent_s = SILENT_S
-        self.answer_s = ANSWER_S if is_pushed else ANSWER_ASKED_S
-        self.spread_s = SPREAD_S
+        self.retry_delay_s = RETRY_DELAY_S
+        self.stall_timeout_s = STALL_TIMEOUT_S
+        self.response_timeout_s = RESPONSE_TIMEOUT_S if is_pushed else RESPONSE_TIMEOUT_ON_DEMAND_S
+        self.max_jitter_s = MAX_JITTER_S
         self.tasks: set[asyncio.Task[None]] = set()
         self.closed = False
         self.background = CooperativeTask(loop)
-        self.last_list_size = 0  # entries of the last long list
-        self.busy = False  # a long list is being read and applied
-        self.streams: set[DiscoveryStream] = set()  # those that may have objects to read
+        self.last_list_size = 0  # number of entries of the last long list
+        self.is_applying_list = False  # a long list is being parsed and applied in steps
+        self.streams: set[DiscoveryStream] = set()  # all that are not closed
 
     def start(self, sink: MemberSink, generation: int) -> None:
-        """Tell lists to the sink, of later versions than `generation`."""
+        """Start to pass lists later than `generation` to the sink."""
         self.sink = sink
         self.generation = generation
         if self.is_pushed:
             self.watch(True)
 
     def watch(self, on: bool) -> None:
-        """Nothing changes for a watch that is open, or on its way."""
+        """Open or close the watch. Does nothing if it is to be opened and is open or connecting."""
         if not on or self.stream is None or self.stream.is_closed:
             self._watch(on)
 
@@ -114,183 +119,191 @@
             self.stream = None
         if on and not self.closed:
             target = f"{self.path}?watch=1&from={self.generation}"
-            self.stream = self._ask(DiscoveryStream(self, target, True, is_renewal))
+            self.stream = self._request(DiscoveryStream(self, target, True, is_renewal))
 
     def change_address(self, address: str) -> None:
-        """Watch at another address, from now on and from the start: the versions
-        of its lists may be others. What was to be fetched is fetched there.
+        """Use another address from now on. Its generations are unrelated, so the new watch starts without
+        one. Fetches in progress are repeated there.
         """
         if self.closed:
             return
-        self.address, self.generation, self.retry_s = address, 0, RETRY_S
-        fetching = [one for one in self.streams if not one.watch]
-        for one in fetching:
-            one.stop()
+        self.address, self.generation, self.retry_delay_s = address, 0, RETRY_DELAY_S
+        fetching = [stream for stream in self.streams if not stream.watch]
+        for stream in fetching:
+            stream.stop()
         self._watch(True)
         if fetching:
             self.fetch()
 
     def fetch(self) -> None:
-        """Ask for the whole list once."""
+        """Request the full list once."""
         self._fetch()
 
     def _fetch(self, is_renewal: bool = False) -> None:
         if not self.closed:
-            self._ask(DiscoveryStream(self, self.path, False, is_renewal))
+            self._request(DiscoveryStream(self, self.path, False, is_renewal))
 
-    def _ask(self, stream: DiscoveryStream) -> DiscoveryStream:
+    def _request(self, stream: DiscoveryStream) -> DiscoveryStream:
         self.streams.add(stream)
         task = self.loop.create_task(self._connect(stream))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
-        self.loop.call_at(stream.silent_at, self._check, stream)
+        self.loop.call_at(stream.stalls_at, self._check_stall, stream)
         return stream
 
     async def _connect(self, stream: DiscoveryStream) -> None:
         host, _, port = self.address.rpartition(":")
         try:
-            async with asyncio.timeout(self.answer_s):
+            async with asyncio.timeout(self.response_timeout_s):
                 await self.loop.create_connection(lambda: stream, host, int(port))
         except TimeoutError:
-            stream.fail(silent=True)
+            stream.fail(is_stalled=True)
         except OSError:
             stream.fail()
 
-    def _check(self, stream: DiscoveryStream) -> None:
-        """Guards against an answer that never comes, and one that stops without a word."""
+    def _check_stall(self, stream: DiscoveryStream) -> None:
+        """Guards against a response that never arrives, and one that stalls without being closed."""
         if stream.is_closed:
             return
-        if self.busy:
-            stream.heard_at = self.loop.time()  # it was not listened to
-        if stream.silent_at > self.loop.time():
-            self.loop.call_at(stream.silent_at, self._check, stream)
-        else:  # what came while this process stood still is read before the verdict
-            self.loop.call_later(self.spread_s * self.draw.random(), self._on_silence, stream)
-
-    def _on_silence(self, stream: DiscoveryStream) -> None:
-        if stream.silent_at > self.loop.time() or self.busy:
-            self._check(stream)
+        if self.is_applying_list:
+            stream.last_progress_at = self.loop.time()  # reading was paused, so it may have sent data
+        if stream.stalls_at > self.loop.time():
+            self.loop.call_at(stream.stalls_at, self._check_stall, stream)
+        else:  # data that arrived while this process was suspended is read before the stream is given up
+            self.loop.call_later(self.max_jitter_s * self.rng.random(), self._on_stall, stream)
+
+    def _on_stall(self, stream: DiscoveryStream) -> None:
+        if stream.stalls_at > self.loop.time() or self.is_applying_list:
+            self._check_stall(stream)
         else:
-            stream.fail(silent=True)
+            stream.fail(is_stalled=True)
 
-    def on_object(self, raw: bytearray, stream: DiscoveryStream, told_at: int | None) -> None:
-        """One list; ValueError on anything else, before any of it is used. A long one
-        is only begun, and its stream hears of its end.
+    def on_object(self, raw: bytearray, stream: DiscoveryStream, received_at: int | None) -> None:
+        """Apply a list. A long one is applied in the background, and its stream is resumed afterwards.
+        ValueError, with nothing applied, if `raw` is no list.
         """
-        if len(raw) <= SHORT_OBJECT:
-            version, whole, entries = parse_list(json.loads(raw), stream.watch)
-            self._check_restart(stream, version, whole)
-            if self.sink is not None and self._counts(stream, version, whole):
-                self.sink.on_list(version, whole, list(self._usable_entries(entries)))
-                self.generation = version
-            self.retry_s = RETRY_S
+        if len(raw) <= SHORT_OBJECT_BYTES:
+            generation, is_full, entries = parse_list(json.loads(raw), stream.watch)
+            self._check_restart(stream, generation, is_full)
+            if self.sink is not None and self._is_newer(stream, generation, is_full):
+                self.sink.on_list(generation, is_full, list(self._usable_entries(entries)))
+                self.generation = generation
+            self.retry_delay_s = RETRY_DELAY_S
         elif self.sink is not None:
-            self.busy = True
+            self.is_applying_list = True
             if self.collector is not None:
                 self.collector.pause()
-            told_at = self.sink.now() if told_at is None else told_at
-            steps = self._in_steps(raw, stream, self.sink, told_at)
+            received_at = self.sink.now() if received_at is None else received_at
+            steps = self._apply_in_steps(raw, stream, self.sink, received_at)
             self.background.run(steps, functools.partial(self._on_list_applied, stream))
 
     def _usable_entries(self, entries: list[Any]) -> Iterator[dict[str, Any]]:
         for raw in entries:
-            entry, wrong = normalize_entry(raw)
-            if wrong:
-                self.log_rarely(f"bad entry from discovery: {wrong}")
+            entry, problem = normalize_entry(raw)
+            if problem:
+                self.log_limited(f"bad entry from discovery: {problem}")
             if entry is not None:
                 yield entry
 
-    def log_rarely(self, text: str) -> None:
-        """Guards the log against what goes on for hours: a line now and then, with how many came."""
+    def log_limited(self, text: str) -> None:
+        """Guards the log against a fault that lasts for hours: logs one line per `LOG_INTERVAL_S`, with the
+        number of suppressed lines.
+        """
         now = self.loop.time()
-        if now < self.logged_at + LOG_EVERY_S:
-            self.unlogged += 1
+        if now < self.last_logged_at + LOG_INTERVAL_S:
+            self.suppressed_lines += 1
             return
-        self.log(f"{text} ({self.unlogged} more like it before)" if self.unlogged else text)
-        self.logged_at, self.unlogged = now, 0
-
-    def _check_restart(self, stream: DiscoveryStream, version: int, whole: bool) -> None:
-        """Guards against a discovery that counts anew and tells changes of a list that is not known
-        here: they were passed over for ever. The whole list is asked for; ValueError.
+        self.log(
+            f"{text} ({self.suppressed_lines} similar lines suppressed)" if self.suppressed_lines else text
+        )
+        self.last_logged_at, self.suppressed_lines = now, 0
+
+    def _check_restart(self, stream: DiscoveryStream, generation: int, is_full: bool) -> None:
+        """Guards against a discovery that has restarted its generations and sends changes of a list that is
+        not known here: such changes would be ignored for ever. ValueError for these; the next watch requests
+        the full list.
         """
-        if stream.watch and not whole and version < self.generation and not stream.is_closed:
+        if stream.watch and not is_full and generation < self.generation and not stream.is_closed:
             known, self.generation = self.generation, 0
-            raise ValueError(f"changes of version {version} after {known}")
+            raise ValueError(f"changes of generation {generation} after generation {known}")
 
-    def _counts(self, stream: DiscoveryStream, version: int, whole: bool) -> bool:
-        """Whether a list says more than what was told before. A watch may begin anew with a
-        whole list of any version; one that was fetched may come after newer changes.
+    def _is_newer(self, stream: DiscoveryStream, generation: int, is_full: bool) -> bool:
+        """Whether a list is to be applied. A full list of a watch always is, whatever its generation. A list
+        that was fetched may arrive after newer changes, and is not.
         """
-        return version >= self.generation or (whole and stream.watch)
+        return generation >= self.generation or (is_full and stream.watch)
 
-    def _in_steps(
-        self, raw: bytearray, stream: DiscoveryStream, sink: MemberSink, told_at: int
+    def _apply_in_steps(
+        self, raw: bytearray, stream: DiscoveryStream, sink: MemberSink, received_at: int
     ) -> Iterator[None]:
-        told = yield from parse_in_steps(raw.decode())
-        version, whole, found = parse_list(told, stream.watch)
+        parsed = yield from parse_in_steps(raw.decode())
+        generation, is_full, found = parse_list(parsed, stream.watch)
         self.last_list_size = len(found)
         entries: list[Any] = []
         for at in range(0, len(found), STEP_ENTRIES):
             entries.extend(self._usable_entries(found[at : at + STEP_ENTRIES]))
             yield
         if stream.address != self.address:
-            return  # moved while it was read: the new address has the word
-        self._check_restart(stream, version, whole)
-        if self._counts(stream, version, whole):
-            yield from sink.apply_list_in_steps(whole, entries, told_at)
-            if not stream.is_closed:  # another source may be watched since
-                self.generation = version
-        self.retry_s = RETRY_S
+            return  # the address was changed meanwhile, and only lists of the new one count
+        self._check_restart(stream, generation, is_full)
+        if self._is_newer(stream, generation, is_full):
+            yield from sink.apply_list_in_steps(is_full, entries, received_at)
+            if not stream.is_closed:  # the address may have been changed meanwhile
+                self.generation = generation
+        self.retry_delay_s = RETRY_DELAY_S
 
     def _on_list_applied(self, stream: DiscoveryStream, error: Exception | None) -> None:
-        self.busy = False
+        self.is_applying_list = False
         if self.collector is not None:
             self.collector.resume(self.last_list_size)
         if error is not None and not stream.is_closed:
             stream.reject(error)
         elif not stream.watch:
             stream.stop()
-        for one in list(self.streams):
-            if not self.busy:
-                one.resume()
+        for open_stream in list(self.streams):
+            if not self.is_applying_list:
+                open_stream.resume()
 
-    def on_lost(self, stream: DiscoveryStream, silent: bool) -> None:
-        """Ask again: at once behind a silence, else after a back-off."""
+    def on_stream_lost(self, stream: DiscoveryStream, is_stalled: bool) -> None:
+        """Repeat a request: at once if it stalled, else after a back-off."""
         if self.closed or self.sink is None or (stream.watch and stream is not self.stream):
             return
-        if not self.is_pushed and (stream.is_renewal or not silent):
-            self.sink.on_list_failed()  # the module may ask sooner than the back-off below
-        if silent:  # whoever waited for it need not pause, and the verdict was spread already
-            self._renew(stream, is_renewal=True)
+        if not self.is_pushed and (stream.is_renewal or not is_stalled):
+            self.sink.on_list_failed()  # the balancer may request it sooner than the back-off below
+        if is_stalled:  # a stall has taken long enough, and the reaction to it was delayed at random already
+            self._retry(stream, is_renewal=True)
         else:
-            self.loop.call_later(self._back_off(stream), self._renew, stream)
+            self.loop.call_later(self._back_off(stream), self._retry, stream)
 
     def _back_off(self, stream: DiscoveryStream) -> float:
-        """How long to wait after a call that failed, s."""
-        part = RETRY_PART + (1.0 - RETRY_PART) * self.draw.random()
+        """How long to wait after a request that failed, s."""
+        factor = MIN_RETRY_FACTOR + (1.0 - MIN_RETRY_FACTOR) * self.rng.random()
         if not self.is_pushed:
-            return part * RETRY_ASKED_S
-        pause = part * self.retry_s
-        self.retry_s = min(MAX_RETRY_MALFORMED_S if stream.is_malformed else MAX_RETRY_S, 2.0 * self.retry_s)
+            return factor * RETRY_DELAY_ON_DEMAND_S
+        pause = factor * self.retry_delay_s
+        self.retry_delay_s = min(
+            MAX_RETRY_DELAY_MALFORMED_S if stream.is_malformed else MAX_RETRY_DELAY_S,
+            2.0 * self.retry_delay_s,
+        )
         return pause
 
-    def _renew(self, stream: DiscoveryStream, is_renewal: bool = False) -> None:
+    def _retry(self, stream: DiscoveryStream, is_renewal: bool = False) -> None:
         if not stream.watch:
             self._fetch(is_renewal)
         elif stream is self.stream:
             self._watch(True, is_renewal)
 
     def close(self) -> None:
-        """Ask nothing more, and close what is open."""
+        """Close all streams, and send no more requests."""
         self.closed = True
         self.background.close()
         self.watch(False)
-        for one in list(self.streams):
-            one.stop()
+        for stream in list(self.streams):
+            stream.stop()
         for task in self.tasks:
             task.cancel()
 
     async def wait_closed(self) -> None:
-        """After `close`: until no task is left."""
+        """Wait until all tasks have ended. Called after `close`."""
         if self.tasks:
             await asyncio.wait(set(self.tasks))
--- a/laurelstep/net/discovery_stream.py
+++ b/laurelstep/net/discovery_stream.py
@@ -1,4 +1,4 @@
-"""One answer of discovery, a watch or one whole list: reads its objects and judges its silence."""
+"""One HTTP response of discovery, a watch or one full list: reads its objects and detects when it stalls."""
 
 from __future__ import annotations
 
@@ -10,55 +10,59 @@
 from laurelstep.engine.ports import MemberSink
 from laurelstep.net.json_stream import JsonStreamDecoder
 
-MAX_OBJECT: Final = 64 * 1024 * 1024  # of some 300,000 endpoints
-# An object under way counts as silent while less than this comes of it, bytes/s: some entries a second.
-# What trickles for ever would starve the changes behind it.
+MAX_OBJECT_BYTES: Final = 64 * 1024 * 1024  # a list of some 300,000 endpoints
+# An object that arrives more slowly counts as stalled. This is a few entries a second; an object that
+# trickles in for ever would hold up the changes behind it.
 MIN_RATE_BYTES_PER_S: Final = 1024
 
 
 class StreamOwner(Protocol):
-    """`Discovery`, as its streams know it. Spans in s."""
+    """The part of the interface of `Discovery` that its streams use. Durations in s."""
 
     loop: asyncio.AbstractEventLoop
     address: str
     generation: int
-    answer_s: float
-    silent_s: float
-    busy: bool
+    response_timeout_s: float
+    stall_timeout_s: float
+    is_applying_list: bool
     sink: MemberSink | None
     streams: set[DiscoveryStream]
 
-    def on_object(self, raw: bytearray, stream: DiscoveryStream, told_at: int | None) -> None:
-        """One object has come; ValueError if it is no list, before any of it is used."""
+    def on_object(self, raw: bytearray, stream: DiscoveryStream, received_at: int | None) -> None:
+        """A complete object has arrived. `received_at`: when reading was paused before it, in µs on the
+        engine's clock; None if it was not. ValueError, with nothing applied, if it is no list.
+        """
 
-    def on_lost(self, stream: DiscoveryStream, silent: bool) -> None:
-        """The stream ended, or fell silent, before it was closed from here."""
+    def on_stream_lost(self, stream: DiscoveryStream, is_stalled: bool) -> None:
+        """The stream failed or ended before `stop`; `is_stalled` if it stalled."""
 
-    def log_rarely(self, text: str) -> None:
-        """A line for the operator, now and then."""
+    def log_limited(self, text: str) -> None:
+        """Log a line for the operator, with a limit on the rate of lines."""
 
 
 class DiscoveryStream(asyncio.Protocol):
-    """One answer of discovery: a watch, or one whole list."""
+    """One HTTP response of discovery: a watch, or one full list. Times in s on the loop's clock."""
 
     def __init__(self, owner: StreamOwner, target: str, watch: bool, is_renewal: bool = False) -> None:
         self.owner, self.target, self.watch = owner, target, watch
         self.address = owner.address
-        self.is_renewal = is_renewal  # it was asked because the one before fell silent
+        self.is_renewal = is_renewal  # it replaces a stream that stalled
         self.parser = httptools.HttpResponseParser(self)
-        self.decoder = JsonStreamDecoder(MAX_OBJECT)
-        self.paused_at: int | None = None  # on the engine's clock; objects since then wait
+        self.decoder = JsonStreamDecoder(MAX_OBJECT_BYTES)
+        self.paused_at: int | None = None  # when reading was paused, in µs on the engine's clock
         self.transport: asyncio.Transport | None = None
-        self.is_closed = False  # whole, or given up: its end says nothing
-        self.is_malformed = False  # it held what can't be read
-        self.answered = False  # its head has come
-        self.complete = False  # its last byte has come
-        self.reading: asyncio.Handle | None = None
-        self.is_current = watch and owner.generation > 0  # the whole list is not owed
-        self.heard_at = owner.loop.time()
+        self.is_closed = False  # complete or given up: its end is not reported
+        self.is_malformed = False  # it held data that can't be parsed_objects
+        self.has_head = False  # the head of the response has arrived
+        self.is_complete = False  # the last byte has arrived
+        self.next_read: asyncio.Handle | None = None
+        self.is_current = (
+            watch and owner.generation > 0
+        )  # a list is known, so no full list has to arrive first
+        self.last_progress_at = owner.loop.time()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """asyncio: discovery has accepted; ask it."""
+        """Called by asyncio: the connection is established; send the request."""
         self.transport = cast(asyncio.Transport, transport)
         if self.is_closed:
             self.transport.abort()
@@ -66,7 +70,7 @@
         self.transport.write(f"GET {self.target} HTTP/1.1\r\nHost: {self.address}\r\n\r\n".encode())
 
     def data_received(self, data: bytes) -> None:
-        """asyncio: bytes of the answer."""
+        """Called by asyncio: bytes of the response have arrived."""
         if self.is_closed:
             return
         try:
@@ -74,51 +78,57 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self.reject(error)
         else:
-            if self.reading is None:
-                self.read()
+            if self.next_read is None:
+                self.read_objects()
 
     def reject(self, error: Exception) -> None:
-        """What came can't be read: log it, and give the stream up."""
-        self.owner.log_rarely(f"bad line from discovery: {error}")
+        """Log that the response can't be parsed, and give the stream up."""
+        self.owner.log_limited(f"bad line from discovery: {error}")
         self.is_malformed = True
         self.fail()
 
     def on_headers_complete(self) -> None:
-        """The parser: a head has come."""
+        """Called by the parser: a head has arrived."""
         if self.parser.get_status_code() < 200:
-            return  # an interim head says nothing of the answer (RFC 9110, section 15.2)
-        self.answered = True
-        self.heard_at = self.owner.loop.time()
+            return  # an interim response (RFC 9110, section 15.2): the final one follows
+        self.has_head = True
+        self.last_progress_at = self.owner.loop.time()
 
     def on_body(self, data: bytes) -> None:
-        """The parser: bytes of the body."""
+        """Called by the parser: bytes of the body have arrived."""
         now = self.owner.loop.time()
         if not data.isspace():
             began = (
-                self.heard_at + len(data) / MIN_RATE_BYTES_PER_S if self.decoder.has_partial_object else now
+                self.last_progress_at + len(data) / MIN_RATE_BYTES_PER_S
+                if self.decoder.has_partial_object
+                else now
             )
-            self.heard_at = min(began, now)
+            self.last_progress_at = min(began, now)
         elif self.is_current and not self.decoder.has_partial_object and b"\n" in data:
-            self.heard_at = now  # empty lines say that a watch lives, but not that something owed still comes
+            self.last_progress_at = (
+                now  # an empty line is a heartbeat, but no progress on a list that has to arrive
+            )
         self.decoder.feed(data)
 
     def on_message_complete(self) -> None:
-        """The parser: the last byte has come."""
-        self.complete = self.answered
+        """Called by the parser: the last byte has arrived."""
+        self.is_complete = self.has_head
 
     @property
-    def silent_at(self) -> float:
-        """When it is taken for dead, should nothing more come: time of the loop, s."""
-        return self.heard_at + (self.owner.silent_s if self.answered else self.owner.answer_s)
-
-    def read(self) -> None:
-        """The objects that are whole, until one is so long that the next must wait."""
-        self.reading = None
-        if self.answered and self.parser.get_status_code() != 200:
+    def stalls_at(self) -> float:
+        """When the stream counts as stalled if nothing more arrives, in s on the loop's clock."""
+        return self.last_progress_at + (
+            self.owner.stall_timeout_s if self.has_head else self.owner.response_timeout_s
+        )
+
+    def read_objects(self) -> None:
+        """Process the complete objects, up to one so long that the next has to wait until it is applied."""
+        self.next_read = None
+        if self.has_head and self.parser.get_status_code() != 200:
             self.fail()
             return
         while not self.is_closed:
-            if self.owner.busy:
+            if self.owner.is_applying_list:
                 if self.decoder.has_partial_object:
                     self.pause()
                 return
@@ -128,39 +138,40 @@
                 self.reject(error)
                 return
             if found is not None:
-                self._take(found)
-            elif self.decoder.has_more:  # a turn of the loop for what else is ready
-                self.reading = self.owner.loop.call_soon(self.read)
+                self._process(found)
+            elif self.decoder.has_more:  # let other callbacks of the loop run first
+                self.next_read = self.owner.loop.call_soon(self.read_objects)
                 return
             else:
                 break
-        if self.complete and not self.is_closed:
+        if self.is_complete and not self.is_closed:
             self._on_truncated()
 
     def _on_truncated(self) -> None:
-        """Guards against an answer that is over without what was asked for: its connection may
-        stay open, and say nothing.
+        """Guards against a response that ends without the list that was requested: its connection may stay
+        open without any more data.
         """
         if self.decoder.has_partial_object:
-            self.reject(ValueError("an object that stops short"))
+            self.reject(ValueError("the response ends within a JSON object"))
         else:
             self.fail()
 
-    def _take(self, raw: bytearray) -> None:
-        told_at, self.paused_at = self.paused_at, None
-        self.heard_at = self.owner.loop.time()
+    def _process(self, raw: bytearray) -> None:
+        received_at, self.paused_at = self.paused_at, None
+        self.last_progress_at = self.owner.loop.time()
         try:
-            self.owner.on_object(raw, self, told_at)
+            self.owner.on_object(raw, self, received_at)
         except ValueError as error:
             self.reject(error)
         else:
             self.is_current = self.watch
-            if not self.watch and not self.owner.busy:
+            if not self.watch and not self.owner.is_applying_list:
                 self.stop()
 
     def pause(self) -> None:
-        """Read no more, so that what waits is bounded. It counts as told from now on: so nothing is
-        paused before there is something, or the next list would count from then, however late it comes.
+        """Stop reading, so that the buffered data is bounded. The data that waits counts as received from now
+        on. That is why a stream is paused only once it has data: else the next list would count from the
+        pause, however late it arrives.
         """
         if self.transport is not None and self.owner.sink is not None:
             if self.paused_at is None:
@@ -168,33 +179,33 @@
             self.transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on, once the list in hand is applied."""
+        """Continue reading, because the long list is applied."""
         if self.is_closed or self.transport is None:
             return
-        self.heard_at = self.owner.loop.time()
+        self.last_progress_at = self.owner.loop.time()
         if self.paused_at is not None and not self.transport.is_closing():
             self.transport.resume_reading()
-        if self.reading is None:
-            self.read()
+        if self.next_read is None:
+            self.read_objects()
 
     def stop(self) -> None:
-        """Close it; its owner hears no more of it."""
+        """Close the stream without notifying its owner."""
         self.is_closed = True
         self.owner.streams.discard(self)
-        if self.reading is not None:
-            self.reading.cancel()
+        if self.next_read is not None:
+            self.next_read.cancel()
         if self.transport is not None:
             self.transport.abort()
 
-    def fail(self, silent: bool = False) -> None:
-        """Close it, and tell its owner."""
+    def fail(self, is_stalled: bool = False) -> None:
+        """Close the stream and notify its owner, `is_stalled` if it stalled. Does nothing once closed."""
         if not self.is_closed:
-            if silent and self.decoder.has_partial_object:
-                self.owner.log_rarely("bad line from discovery: silent in the middle of an object")
+            if is_stalled and self.decoder.has_partial_object:
+                self.owner.log_limited("bad line from discovery: it stalled within a JSON object")
             self.stop()
-            self.owner.on_lost(self, silent)
+            self.owner.on_stream_lost(self, is_stalled)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """asyncio: the connection is closed."""
-        if self.watch or not self.complete:
-            self.fail()  # a fetched list that is whole is read though its connection is over
+        """Called by asyncio: the connection is closed."""
+        if self.watch or not self.is_complete:
+            self.fail()  # a complete response to a fetch is processed even after its connection has closed
--- a/laurelstep/net/json_stream.py
+++ b/laurelstep/net/json_stream.py
@@ -1,15 +1,15 @@
-"""Where JSON objects end in a stream of bytes, however they are laid out in lines and chunks.
+"""Splits a stream of bytes into JSON objects, independent of line breaks and chunks.
 
-Rules that everything here serves:
+Rules of this module:
 
-1. An object is given whole, or not at all; what is between two objects is white space.
-2. What can't become JSON any more is an error at once; what only stops short is not: whoever
-   reads the stream judges its silence.
-3. A call looks at `SCAN` bytes at most, and what is kept is bounded: an object by `max_object`, what
-   stands between two braces by `SCAN`, the depth by `DEPTH_MOST`.
-4. Nothing is decoded here: what an object says is for its reader.
+1. An object is returned complete, or not at all. Only white space may stand between two objects.
+2. Bytes that can't become valid JSON are an error at once. An incomplete object is not: the reader of the
+   stream decides when it has waited too long.
+3. A call scans about `SCAN_BYTES` at most, and the buffer is bounded: an object by `max_object_bytes`, the
+   bytes between two braces by `SCAN_BYTES`, the nesting depth by `MAX_DEPTH`.
+4. Objects are not decoded here; that is done by the caller.
 
-The grammar is RFC 8259's, section 2, read loosely: braces count outside strings only.
+The grammar is that of RFC 8259, section 2, checked loosely: only braces outside strings are matched.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 import re
 from typing import Final
 
-# Bytes looked at in one call: some milliseconds of the loop at most. Of a list's entry, no
-# string comes near it.
-SCAN: Final = 64 * 1024
-DEPTH_MOST: Final = 64
+# Bytes that one call scans, so that it takes some milliseconds at most. No string in a list entry is nearly
+# as long.
+SCAN_BYTES: Final = 64 * 1024
+MAX_DEPTH: Final = 64
 
-_WORDS: Final = (b"true", b"false", b"null")
+_LITERALS: Final = (b"true", b"false", b"null")
 _BETWEEN: Final = rb'(?:[\s,:\[\]0-9+\-.eE]++|"(?:[^"\\]++|\\.)*+"|true|false|null)*+'
 _TO_BRACE: Final = re.compile(_BETWEEN + rb"([{}])", re.DOTALL)
 _READABLE: Final = re.compile(_BETWEEN, re.DOTALL)
@@ -30,85 +30,89 @@
 
 
 class JsonStreamDecoder:
-    """Takes bytes with `feed` and gives objects with `next_object`. ValueError for what is no JSON."""
+    """Takes bytes with `feed` and returns objects with `next_object`, which raises ValueError for bytes that
+    are not JSON.
+    """
 
-    __slots__ = ("buffer", "depth", "has_more", "max_object", "position")
+    __slots__ = ("buffer", "depth", "has_more", "max_object_bytes", "position")
 
-    def __init__(self, max_object: int) -> None:
-        self.max_object = max_object  # bytes of one object
+    def __init__(self, max_object_bytes: int) -> None:
+        self.max_object_bytes = max_object_bytes
         self.buffer = bytearray()
-        self.position = 0  # up to here it was looked at
-        self.depth = 0
-        self.has_more = False  # the last call stopped at its bound: call again
+        self.position = 0  # bytes of the buffer that were scanned
+        self.depth = 0  # braces that are open at `position`
+        self.has_more = False  # the last call stopped at its limit, so `next_object` has to be called again
 
     @property
     def has_partial_object(self) -> bool:
-        """Whether an object has begun that is not whole."""
-        return bool(self.depth) or self._space() < len(self.buffer)
+        """Whether the buffer holds the beginning of an object that is not complete."""
+        return bool(self.depth) or self._white_space_end() < len(self.buffer)
 
     def feed(self, data: bytes) -> None:
-        """More bytes of the stream."""
+        """Append bytes of the stream to the buffer."""
         self.buffer += data
 
     def next_object(self) -> bytearray | None:
-        """The next object that is whole. None if there is none, or, with `has_more` set, if it was
-        not found within the bytes of one call.
+        """Remove the next complete object from the buffer and return it. None if there is none, or, with
+        `has_more` set, if its end was not found within the bytes that one call scans.
         """
         self.has_more = False
-        if not self.depth and not self._opens():
+        if not self.depth and not self._has_object_start():
             return None
         begin = self.position
-        while self.position - begin < SCAN:
-            found = _TO_BRACE.match(self.buffer, self.position, self.position + SCAN)
+        while self.position - begin < SCAN_BYTES:
+            found = _TO_BRACE.match(self.buffer, self.position, self.position + SCAN_BYTES)
             if found is None:
-                self._judge_rest()
+                self._check_incomplete()
                 return None
             self.position = found.end()
             self.depth += 1 if found[1] == b"{" else -1
             if not self.depth:
-                return self._cut()
-            if self.depth > DEPTH_MOST:
-                raise ValueError(f"nested deeper than {DEPTH_MOST}")
+                return self._take_object()
+            if self.depth > MAX_DEPTH:
+                raise ValueError(f"JSON nested deeper than {MAX_DEPTH} levels")
         self.has_more = True
-        self._bound()
+        self._check_size()
         return None
 
-    def _opens(self) -> bool:
-        """Whether an object begins; what comes before it is dropped."""
-        del self.buffer[: self._space()]
+    def _has_object_start(self) -> bool:
+        """Whether the buffer holds the start of an object; drops the white space before it."""
+        del self.buffer[: self._white_space_end()]
         self.position = 0
         if not self.buffer:
             return False
         if self.buffer[:1] != b"{":
-            raise ValueError(f"expected an object, got {bytes(self.buffer[:16])!r}")
+            raise ValueError(f"expected a JSON object, got {bytes(self.buffer[:16])!r}")
         return True
 
-    def _space(self) -> int:
-        """Where the white space ends that the buffer begins with."""
+    def _white_space_end(self) -> int:
+        """The length of the white space at the start of the buffer."""
         space = _SPACE.match(self.buffer)
-        assert space is not None  # it matches nothing, too
+        assert space is not None  # the pattern also matches the empty string
         return space.end()
 
-    def _cut(self) -> bytearray:
-        if self.position == len(self.buffer):  # most often: it need not be copied
-            whole, self.buffer = self.buffer, bytearray()
+    def _take_object(self) -> bytearray:
+        if self.position == len(self.buffer):  # the usual case, which needs no copy
+            complete, self.buffer = self.buffer, bytearray()
         else:
-            whole = self.buffer[: self.position]
+            complete = self.buffer[: self.position]
             del self.buffer[: self.position]
         self.position = 0
-        return whole
+        return complete
 
-    def _judge_rest(self) -> None:
-        """No brace in what is left: more has to come, unless it can't be JSON."""
-        self._bound()
-        if len(self.buffer) - self.position >= SCAN:
-            raise ValueError(f"{SCAN} bytes without a brace")
+    def _check_incomplete(self) -> None:
+        """Check the unscanned bytes, which hold no brace outside a string; ValueError if they can't become
+        JSON.
+        """
+        self._check_size()
+        if len(self.buffer) - self.position >= SCAN_BYTES:
+            raise ValueError(f"{SCAN_BYTES} bytes of JSON without a brace")
         found = _READABLE.match(self.buffer, self.position)
         assert found is not None
         rest = bytes(self.buffer[found.end() : found.end() + 5])
-        if rest and rest[:1] != b'"' and not any(word.startswith(rest) for word in _WORDS):
-            raise ValueError(f"no JSON: {rest!r}")
+        if rest and rest[:1] != b'"' and not any(literal.startswith(rest) for literal in _LITERALS):
+            raise ValueError(f"malformed JSON: {rest!r}")
 
-    def _bound(self) -> None:
-        if len(self.buffer) > self.max_object:
-            raise ValueError(f"an object of more than {self.max_object} bytes")
+    def _check_size(self) -> None:
+        if len(self.buffer) > self.max_object_bytes:
+            raise ValueError(f"JSON object of more than {self.max_object_bytes} bytes")
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -169,7 +169,7 @@
     """With the times of service, and the longest of each pause."""
     loop = asyncio.get_running_loop()
     one = Discovery(loop, f"127.0.0.1:{agent.port}", LIST_PATH, pushed, print)
-    one.draw = Highest()  # type: ignore[assignment]
+    one.rng = Highest()  # type: ignore[assignment]
     one.start(sink, generation)
     if not pushed:
         one.watch(True)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 from laurelstep.net import discovery as module
 from laurelstep.net.discovery import LIST_PATH, Discovery
-from laurelstep.net.json_stream import SCAN, JsonStreamDecoder
+from laurelstep.net.json_stream import SCAN_BYTES, JsonStreamDecoder
 from laurelstep.net.log import log
 from laurelstep.testing import Listener, Reader, Writer, push, push_raw, read_message
 
@@ -116,7 +116,7 @@
     deep = JsonStreamDecoder(MOST)
     deep.feed(b'{"a":' * 100)
     wordy = JsonStreamDecoder(MOST)
-    wordy.feed(b'{"a": "' + b"x" * SCAN)
+    wordy.feed(b'{"a": "' + b"x" * SCAN_BYTES)
     for objects, match in ((endless, "more than 1000"), (deep, "deeper"), (wordy, "without a brace")):
         with pytest.raises(ValueError, match=match):
             taken(objects)
@@ -131,7 +131,7 @@
         found = objects.next_object()
         calls += 1
         if found is None:
-            assert objects.has_more and objects.position - before <= 2 * SCAN
+            assert objects.has_more and objects.position - before <= 2 * SCAN_BYTES
             before = objects.position
     assert json.loads(found) == value and calls > 10
 
@@ -201,17 +201,19 @@
 ) -> Discovery:
     """One that loses patience soon; how soon it does in service is another test's."""
     one = Discovery(asyncio.get_running_loop(), f"127.0.0.1:{agent.port}", LIST_PATH, pushed, print)
-    one.silent_s, one.answer_s, one.spread_s = silent_s, answer_s, 0.0
+    one.stall_timeout_s, one.response_timeout_s, one.max_jitter_s = silent_s, answer_s, 0.0
     one.start(sink, 41)
     return one
 
 
 def test_the_times_leave_room_for_a_second_try_before_the_list_counts_as_told() -> None:
-    for answer_s in (module.ANSWER_S, module.ANSWER_ASKED_S):
-        assert module.SILENT_S + module.SPREAD_S + answer_s < 6.0
-    three = module.SILENT_S + module.ANSWER_S + 2 * module.SPREAD_S + module.RETRY_S
+    for answer_s in (module.RESPONSE_TIMEOUT_S, module.RESPONSE_TIMEOUT_ON_DEMAND_S):
+        assert module.STALL_TIMEOUT_S + module.MAX_JITTER_S + answer_s < 6.0
+    three = (
+        module.STALL_TIMEOUT_S + module.RESPONSE_TIMEOUT_S + 2 * module.MAX_JITTER_S + module.RETRY_DELAY_S
+    )
     assert three < 6.0, "an agent is asked a third time"
-    assert module.SILENT_S > 2.0, "an empty line comes every 2 s"
+    assert module.STALL_TIMEOUT_S > 2.0, "an empty line comes every 2 s"
 
 
 @pytest.mark.parametrize("pushed", [True, False])
@@ -380,12 +382,12 @@
             begin(watch)
             entries = [entry(f"s-{n}") for n in range(1_000)]
             push(watch, 42, True, *entries)
-            while not one.busy:
+            while not one.is_applying_list:
                 await asyncio.sleep(0)
             if meanwhile:
                 push_raw(watch, meanwhile)
             assert (await sink.told.get())[0] == -1
-            while one.busy:
+            while one.is_applying_list:
                 await asyncio.sleep(0)
             before = sink.now()
             push(watch, 43, True, *entries)
@@ -414,7 +416,7 @@
                 await asyncio.sleep(0)
             paused_at = stream.paused_at
             assert (await sink.told.get())[0] == -1
-            while one.busy:
+            while one.is_applying_list:
                 await asyncio.sleep(0)
             push_raw(watch, raw[100:])
             assert (await sink.told.get())[0] == -1
@@ -434,7 +436,7 @@
             _, watch = await old.asked.get()
             begin(watch)
             push(watch, 90, True, *(entry(f"s-{n}") for n in range(3_000)))
-            while not one.busy:
+            while not one.is_applying_list:
                 await asyncio.sleep(0)
             one.change_address(f"127.0.0.1:{new.port}")
             _, watch = await new.asked.get()
@@ -481,11 +483,11 @@
             stream = one.stream
             assert stream is not None
             push_raw(watch, b"\n")
-            while not stream.answered:
+            while not stream.has_head:
                 await asyncio.sleep(0)
-            stream.heard_at = 0.0
+            stream.last_progress_at = 0.0
             push_raw(watch, b"\n")
-            while stream.heard_at == 0.0:
+            while stream.last_progress_at == 0.0:
                 await asyncio.sleep(0)
             push_raw(watch, b"{")  # but once an object has begun they say nothing
             push_raw(watch, b"\n")
--- a/tests/test_discovery_server.py
+++ b/tests/test_discovery_server.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from laurelstep.net.discovery import LIST_PATH, SILENT_S, Discovery
+from laurelstep.net.discovery import LIST_PATH, STALL_TIMEOUT_S, Discovery
 from laurelstep.testing import DiscoveryServer, Endpoint, Reader, Writer, read_message
 from laurelstep.testing.discovery import HEARTBEAT_INTERVAL_S
 
@@ -211,7 +211,7 @@
         async with DiscoveryServer([entry("s-1")], generation=41) as discovery:
             client = client_of(discovery, sink)
             assert await sink.told.get() == (41, [])
-            await asyncio.sleep(6 * SILENT_S)  # made time
+            await asyncio.sleep(6 * STALL_TIMEOUT_S)  # made time
             discovery.publish(entry("s-1", "draining"))
             assert await sink.told.get() == (42, ["s-1"])
             assert discovery.opened.get_nowait() == 41
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -17,7 +17,7 @@
 from laurelstep.engine.list_updates import STEP_ENTRIES, apply_in_steps, parse_in_steps
 from laurelstep.engine.ports import Decisions
 from laurelstep.engine.static_members import StaticMembers
-from laurelstep.net.discovery import SHORT_OBJECT, Discovery
+from laurelstep.net.discovery import SHORT_OBJECT_BYTES, Discovery
 
 from tests.conftest import Logged
 from tests.fakes import ManualClock, PlayedUpstream
@@ -266,7 +266,7 @@
             while endpoint_number("s-a") not in one.engine.endpoints.by_number:
                 assert (await one.send(request(rid=f"r{served}"))).body == b"ok"
                 served += 1
-            while source(one).busy:
+            while source(one).is_applying_list:
                 await asyncio.sleep(0)
             assert served > 3, "requests were served while the list was read"
             assert one.engine.endpoints.by_number[endpoint_number("s-1")].withdrawn_at is not None
@@ -310,7 +310,7 @@
         async with sidecar(endpoint, registry=registry) as one:
             _, watch = await registry.asked.get()
             line = json.dumps({"generation": 42, "reset": True, "instances": entries(1_000)})
-            assert len(line) > SHORT_OBJECT
+            assert len(line) > SHORT_OBJECT_BYTES
             push_raw(watch, line[:-2].encode() + b"}\n")
             await registry.asked.get()
             assert source(one).generation == 41
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -248,7 +248,7 @@
         async with sidecar(Endpoint(), registry=registry) as one:
             source = one.engine.source
             assert isinstance(source, Discovery)
-            source.silent_s = 0.05
+            source.stall_timeout_s = 0.05
             await registry.asked.get()
             start, _ = await registry.asked.get()
             assert "from=41 " in start
@@ -348,7 +348,7 @@
         discovery.sink = cast(Any, object())
         for _ in range(6):
             discovery.stream = cast(Any, SimpleNamespace(watch=True, is_renewal=False, is_malformed=bad))
-            discovery.on_lost(discovery.stream, silent=False)
+            discovery.on_stream_lost(discovery.stream, is_stalled=False)
         waits.append(told)
     for step, most in enumerate((0.05, 0.1, *pauses)):
         waited = [told[step] for told in waits]
