--- a/laurelstep/engine/__init__.py
+++ b/laurelstep/engine/__init__.py
@@ -1,21 +1,21 @@
-"""The engine: drives one `Balancer` on a clock. Requests come in, attempts go out, and
-each request gets exactly one final answer. It knows no HTTP caller, no ASGI and no
-subsystem; what it works with is named in `laurelstep.engine.ports`.
+"""The engine: runs one `Balancer` in real time. It takes requests, sends attempts to endpoints and gives
+each request exactly one final answer. It depends on no HTTP server, ASGI application or subsystem; the
+interfaces that it uses are declared in `laurelstep.engine.ports`.
 """
 
 from laurelstep.engine.call import Answer, Attempt, Call, Ending, Headers
 from laurelstep.engine.clock import LoopClock
 from laurelstep.engine.endpoint_table import endpoint_number
 from laurelstep.engine.engine import Engine
-from laurelstep.engine.names import Names
+from laurelstep.engine.names import NameTable
 from laurelstep.engine.ports import (
+    CallHost,
     Clock,
     Frontend,
     Handle,
     Log,
     MemberSink,
     MemberSource,
-    Recorded,
     Recorder,
     Upstream,
 )
@@ -24,6 +24,7 @@
     "Answer",
     "Attempt",
     "Call",
+    "CallHost",
     "Clock",
     "Ending",
     "Engine",
@@ -34,8 +35,7 @@
     "LoopClock",
     "MemberSink",
     "MemberSource",
-    "Names",
-    "Recorded",
+    "NameTable",
     "Recorder",
     "Upstream",
     "endpoint_number",
--- a/laurelstep/engine/names.py
+++ b/laurelstep/engine/names.py
@@ -1,4 +1,4 @@
-"""Numbers of the names that travel on the sockets."""
+"""Maps the names of classes, tenants, zones, kinds and load-report fields to their numbers."""
 
 from __future__ import annotations
 
@@ -6,47 +6,58 @@
 from math import nan
 from typing import Any
 
-from laurelstep.balancing.events import BUSY, ERROR_RATE, HELD, LATENCY_MS, SERVED_RATE, WAITING, Settings
-
-# Load-report names on the socket; those of the settings may differ.
+from laurelstep.balancing.events import (
+    CPU_UTILIZATION,
+    ERROR_RATE,
+    IN_FLIGHT,
+    LATENCY_MS,
+    QUEUED,
+    SERVED_RATE,
+    Settings,
+)
+
+# Field names in a load report from an endpoint, with the names that the settings use.
 REPORT_NAMES = {
-    "inflight": HELD,
-    "queue": WAITING,
-    "util": BUSY,
+    "inflight": IN_FLIGHT,
+    "queue": QUEUED,
+    "util": CPU_UTILIZATION,
     "latency_ms": LATENCY_MS,
     "qps": SERVED_RATE,
     "eps": ERROR_RATE,
 }
 
 
-class Names:
-    """Made from the settings object of the platform's configuration. `order_headers` are the
-    headers, by class, with which requests name their order; `keepable` the classes that an outbox may
-    keep, here or at an edge of this copy.
+class NameTable:
+    """Numbers by name, from the `settings` object of the platform's configuration.
+
+    `order_headers`: the header that carries the order of a request, by class number. `queueable_classes`:
+    numbers of the classes whose writes an outbox may queue, in this process or at an edge of it.
     """
 
     def __init__(
         self, raw: dict[str, Any], settings: Settings, order_headers: Mapping[str, bytes] | None = None
     ) -> None:
-        self.keepable: frozenset[int] = frozenset()
+        self.queueable_classes: frozenset[int] = frozenset()
         self.classes = {str(entry["name"]): n for n, entry in enumerate(raw["classes"])}
-        self.order_headers = {self.classes[name]: one for name, one in (order_headers or {}).items()}
+        self.order_headers = {self.classes[name]: header for name, header in (order_headers or {}).items()}
         self.tenants = {str(entry["name"]): n for n, entry in enumerate(raw.get("accounts", ()))}
         self.zones = {str(name): n for n, name in enumerate(raw.get("zones", ()))}
         self.kinds = {str(name): n for n, name in enumerate(raw.get("kinds", ()))}
-        self.fields = {name: at for at, name in enumerate(settings.report_fields)}
+        self.report_fields = {name: index for index, name in enumerate(settings.report_fields)}
 
-    def report(self, raw: bytes) -> list[float] | None:
-        """A load report in the settings' order; what can't be read is left out."""
-        if not raw or not self.fields:
+    def parse_load_report(self, raw: bytes) -> list[float] | None:
+        """The values of a load report, in the order of `Settings.report_fields`; nan for a field that is
+        missing or malformed. None if there is no report or no field is configured.
+        """
+        if not raw or not self.report_fields:
             return None
-        values = [nan] * len(self.fields)
+        values = [nan] * len(self.report_fields)
         for part in raw.split(b","):
             name, _, value = part.decode("latin-1").strip().partition("=")
-            at = self.fields.get(REPORT_NAMES.get(name, name))
-            if at is not None:
+            index = self.report_fields.get(REPORT_NAMES.get(name, name))
+            if index is not None:
                 try:
-                    values[at] = float(value)
+                    values[index] = float(value)
                 except ValueError:
                     continue
         return values
--- a/laurelstep/net/client_connection.py
+++ b/laurelstep/net/client_connection.py
@@ -84,7 +84,7 @@
 
     # --- Writing --------------------------------------------------------------------
 
-    def answered(self, call: Call, answer: Answer) -> None:
+    def on_answer(self, call: Call, answer: Answer) -> None:
         """`Frontend`: write the final answer of the current call."""
         self.call = None
         unread = self.upload is not None
@@ -98,7 +98,7 @@
         """Write an answer. `unread`: the request is incomplete, and the rest of it is not read."""
         if self.transport is None or self.transport.is_closing():
             return
-        keep_alive = self.keep_alive and self.server.lifecycle.keeps and not unread
+        keep_alive = self.keep_alive and self.server.lifecycle.allows_keep_alive and not unread
         head = encode_headers(answer.headers)
         if answer.retry_after_us > 0:
             head = b"%bRetry-After: %.3f\r\n" % (head, answer.retry_after_us / 1e6)
@@ -118,7 +118,7 @@
         if self.transport is None or self.transport.is_closing():
             return
         self.chunked = body.length < 0 and self.parser.get_http_version() == "1.1"
-        self.keep_alive = self.keep_alive and self.server.lifecycle.keeps and not unread
+        self.keep_alive = self.keep_alive and self.server.lifecycle.allows_keep_alive and not unread
         self.keep_alive = self.keep_alive and (self.chunked or body.length >= 0)
         framing = b"Transfer-Encoding: chunked\r\n" if self.chunked else b""
         if body.length >= 0:
@@ -153,7 +153,9 @@
                 self.close()
             elif self.pipelined:
                 self._resume_pipelined()
-            elif not self.server.lifecycle.keeps:  # a drain began after the answer's head was written
+            elif (
+                not self.server.lifecycle.allows_keep_alive
+            ):  # a drain began after the answer's head was written
                 self.close_if_idle()
         elif complete or self.chunked or self.keep_alive:
             # The client can still read what was written, and its framing shows whether it is complete.
--- a/laurelstep/net/endpoint_connection.py
+++ b/laurelstep/net/endpoint_connection.py
@@ -11,7 +11,7 @@
 
 import httptools
 
-from laurelstep.balancing.events import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
+from laurelstep.balancing.events import ERROR, FULL, NO_CONNECT, NOT_SENT, OK, RESET
 from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.call import Answer, Attempt, Ending
 from laurelstep.net.connect import is_local_fault, open_connection
@@ -80,7 +80,7 @@
                 self.reopen_pause_s = min(2.0 * self.reopen_pause_s, MAX_REOPEN_PAUSE_S)
                 return
         self.owner.on_disconnect(self)
-        self._end_attempt(MOOT if is_local_fault else NO_CONNECT)
+        self._end_attempt(NOT_SENT if is_local_fault else NO_CONNECT)
 
     def on_connect_timeout(self) -> None:
         """The connection was not established within the connect timeout."""
@@ -106,7 +106,7 @@
         if self.attempt.lacks_socket:
             self.attempt.lacks_socket = False
             # The endpoint is not charged with the wait for a local socket.
-            self.attempt.sent = self.owner.now()
+            self.attempt.sent_at = self.owner.now()
         self.write()
 
     def eof_received(self) -> None:
@@ -139,7 +139,7 @@
     def _written(self) -> None:
         self.unwritten = False
         if self.attempt is not None:
-            self.attempt.written()
+            self.attempt.on_written()
 
     def write(self) -> None:
         """Write the attempt's request, if the attempt may still start."""
@@ -154,7 +154,7 @@
             self.attempt = None
             self.owner.by_attempt.pop(attempt, None)
             self.return_to_pool()
-            attempt.end(MOOT)
+            attempt.end(NOT_SENT)
             return
         upload = attempt.call.upload
         if upload is not None:
@@ -165,7 +165,7 @@
         if transport.is_closing():
             self.unwritten = True  # the first write failed: nothing was sent
         elif not self.unwritten:
-            attempt.written()
+            attempt.on_written()
 
     # --- Streaming ---------------------------------------------------------------------
 
@@ -263,7 +263,7 @@
         if answer is not None:
             answer.finish(False)
         self._abandon_upload()
-        outcome_if_not_run = MOOT if is_local_fault(exc) else NO_CONNECT
+        outcome_if_not_run = NOT_SENT if is_local_fault(exc) else NO_CONNECT
         self._end_attempt(outcome_if_not_run if self.unwritten else RESET)
         self.parser = None  # breaks the reference cycle: the parser holds bound methods of this object
 
@@ -366,10 +366,10 @@
         elif status in (503, 504) and fields.get(b"x-not-run", b"").strip() == b"1":
             outcome = FULL
         attempt, self.attempt = self.attempt, None
-        if attempt is not None and attempt.call.fate is not None:
+        if attempt is not None and attempt.call.queued_write_fate is not None:
             # Another copy of this program sent the answer: its 503 guarantees that nothing ran.
             outcome = FULL if status == 503 else outcome
-            attempt.call.fate = fields.get(b"x-kept-fate", b"refused" if status == 503 else b"")
+            attempt.call.queued_write_fate = fields.get(b"x-kept-fate", b"refused" if status == 503 else b"")
         self.owner.receiving.discard(self)
         self._end_exchange()
         if attempt is not None:
--- a/laurelstep/net/endpoint_request.py
+++ b/laurelstep/net/endpoint_request.py
@@ -24,19 +24,27 @@
 def encode_request(attempt: Attempt, now: int) -> bytes:
     """Encode a request with its whole body. `now` is the engine's time, in µs."""
     call = attempt.call
-    deadline_ms = endpoint_deadline_ms(attempt.until - now)
-    has_no_body = call.start.startswith(b"GET ") and not call.body
+    deadline_ms = endpoint_deadline_ms(attempt.times_out_at - now)
+    has_no_body = call.method_and_target.startswith(b"GET ") and not call.body
     length = b"" if has_no_body else b"Content-Length: %d\r\n" % len(call.body)
     deadline = b"X-Deadline-Ms: %d\r\n" % deadline_ms
-    return b"%b HTTP/1.1\r\n%b%b%b\r\n%b" % (call.start, call.head, deadline, length, call.body)
+    return b"%b HTTP/1.1\r\n%b%b%b\r\n%b" % (
+        call.method_and_target,
+        call.header_lines,
+        deadline,
+        length,
+        call.body,
+    )
 
 
 def encode_upload_head(attempt: Attempt, upload: BodyStream, now: int) -> bytes:
     """Encode the head of a request whose body is streamed after it. `now` is the engine's time, in µs."""
     call = attempt.call
     # The endpoint counts the deadline from the last byte of the body, as the client does.
-    deadline = b"X-Deadline-Ms: %d\r\n" % endpoint_deadline_ms(min(call.span, call.expires - now))
+    deadline = b"X-Deadline-Ms: %d\r\n" % endpoint_deadline_ms(
+        min(call.time_after_upload_us, call.expires_at - now)
+    )
     framing = b"Transfer-Encoding: chunked\r\n"
     if upload.length >= 0:
         framing = b"Content-Length: %d\r\n" % upload.length
-    return b"%b HTTP/1.1\r\n%b%b%b\r\n" % (call.start, call.head, deadline, framing)
+    return b"%b HTTP/1.1\r\n%b%b%b\r\n" % (call.method_and_target, call.header_lines, deadline, framing)
--- a/laurelstep/net/endpoint_state.py
+++ b/laurelstep/net/endpoint_state.py
@@ -7,7 +7,7 @@
 from typing import Final, Generic, TypeVar
 
 from laurelstep.engine.call import Attempt
-from laurelstep.flow_control.buffer_budget import ANSWERS_PART, BufferBudget, budget_for
+from laurelstep.flow_control.buffer_budget import ANSWERS_SHARE, BufferBudget, budget_bytes
 from laurelstep.net.connection_pool import PooledConnection
 from laurelstep.net.deadline_sweeper import DeadlineSweeper
 
@@ -55,7 +55,7 @@
         and `connect_timeout_us` the limit for establishing one; 0 selects the default.
         """
         self.loop, self.now = loop, now
-        self.answer_budget = BufferBudget(budget_for(memory_mb, ANSWERS_PART))
+        self.answer_budget = BufferBudget(budget_bytes(memory_mb, ANSWERS_SHARE))
         self.max_connections = max_connections
         self.addresses: dict[int, str] = {}
         self.retiring = False
--- a/laurelstep/net/request.py
+++ b/laurelstep/net/request.py
@@ -13,7 +13,7 @@
 
 from laurelstep.balancing.events import KEYED, SAFE, RequestClass, Settings
 from laurelstep.engine.call import Call, Frontend, Headers
-from laurelstep.engine.names import Names
+from laurelstep.engine.names import NameTable
 from laurelstep.net.errors import BadRequestError
 from laurelstep.net.message import (
     MAX_BUFFERED_BODY_BYTES,
@@ -114,40 +114,40 @@
     method: bytes,
     target: bytes,
     headers: Headers,
-    names: Names,
+    names: NameTable,
     settings: Settings,
     front: Frontend,
     max_body_bytes: int = MAX_BUFFERED_BODY_BYTES,
 ) -> Call:
     """The call for a validated head. `BadRequestError` if the head is not valid.
 
-    The caller sets the body, which may have up to `max_body_bytes`, when it has arrived. `expires` is still a
-    duration in µs: the caller adds the time at which the request's last byte arrived.
+    The caller sets the body, which may have up to `max_body_bytes`, when it has arrived. `expires_at` is
+    still a duration in µs: the caller adds the time at which the request's last byte arrived.
     """
     fields = validate_framing(headers, max_body_bytes)
     cls = resolve_class(target, fields, names.classes)
-    request_class = settings.classes[cls]
-    validate_form(method, fields, request_class)
+    class_settings = settings.classes[cls]
+    validate_form(method, fields, class_settings)
     deadline_ms = parse_number(fields, b"x-deadline-ms")
     tenant = fields.get(b"x-tenant", b"").decode("latin-1")
     call = Call(
-        cls=cls,
-        expires=request_class.deadline_us
+        request_class=cls,
+        expires_at=class_settings.deadline_us
         if deadline_ms is None
-        else min(deadline_ms * 1000, request_class.deadline_us),
-        start=b"%b %b" % (method, target),
-        head=encode_headers(headers, REQUEST_HEADERS),
+        else min(deadline_ms * 1000, class_settings.deadline_us),
+        method_and_target=b"%b %b" % (method, target),
+        header_lines=encode_headers(headers, REQUEST_HEADERS),
         body=b"",
-        front=front,
-        name=fields[b"x-request-id"],
+        frontend=front,
+        client_request_id=fields[b"x-request-id"],
         tenant=names.tenants.get(tenant, 0),
         key=parse_object_key(target.partition(b"?")[2]),
         work_us=parse_cost_hint(fields.get(b"x-cost-hint", b"")),
-        repeated=fields.get(b"x-retry") == b"1",
-        order=fields.get(names.order_headers[cls], b"") if cls in names.order_headers else b"",
+        is_retry=fields.get(b"x-retry") == b"1",
+        order_id=fields.get(names.order_headers[cls], b"") if cls in names.order_headers else b"",
     )
-    if cls in names.keepable:
-        call.causes = parse_causes(headers)
+    if cls in names.queueable_classes:
+        call.causal_dependencies = parse_causes(headers)
     return call
 
 
--- a/laurelstep/net/request_receiver.py
+++ b/laurelstep/net/request_receiver.py
@@ -71,7 +71,7 @@
     def _abandon(self) -> None:
         call, self.call = self.call, None
         if call is not None:
-            self.server.engine.gone(call)
+            self.server.engine.on_client_left(call)
         self._release_body()
 
     def _release_body(self) -> None:
@@ -209,7 +209,9 @@
         method = self.parser.get_method()
         if method == b"GET" and self.target == READY_PATH:
             validate_framing(self.headers)
-            return Answer(Ending.SERVED, 200) if self.server.lifecycle.ready else Answer(Ending.FAILED, 503)
+            return (
+                Answer(Ending.SERVED, 200) if self.server.lifecycle.is_ready else Answer(Ending.FAILED, 503)
+            )
         if self.server.on_receipt_query is not None and self.target.startswith(RECEIPTS_PATH):
             return self._outbox_query(method, RECEIPTS_PATH, "a receipt")
         if self.server.on_shared_query is not None and self.target.startswith(SHARED_PATH):
@@ -219,7 +221,7 @@
         call = build_call(
             method, self.target, self.headers, engine.names, engine.settings, self, max_body_bytes
         )
-        call.client = self
+        call.client_connection = self
         return call
 
     def _outbox_query(self, method: bytes, path: bytes, subject: str) -> Call:
@@ -230,12 +232,14 @@
             raise BadRequestError(400, f"asking for {subject} has no body")
         if method != b"GET":
             raise BadRequestError(405, f"ask for {subject} with GET")
-        query = Call(OUTBOX_QUERY, 0, self.target[len(path) :], b"", b"", self, order=path)
-        query.open = False
+        query = Call(OUTBOX_QUERY, 0, self.target[len(path) :], b"", b"", self, order_id=path)
+        query.is_open = False
         return query
 
     def _forward_query(self, query: Call) -> None:
-        handler = self.server.on_shared_query if query.order == SHARED_PATH else self.server.on_receipt_query
+        handler = (
+            self.server.on_shared_query if query.order_id == SHARED_PATH else self.server.on_receipt_query
+        )
         assert handler is not None
         handler(query)
 
@@ -247,7 +251,7 @@
         if not isinstance(parsed, Call):
             self.reject(BadRequestError(413, "the body is too large"))
             return
-        if parsed.name in server.engine.open_names:
+        if parsed.client_request_id in server.engine.open_request_ids:
             self.reject(BadRequestError(409, "X-Request-Id is that of an open request"))
             return
         upload = BodyStream(self, declared_length(self.headers))
@@ -256,15 +260,15 @@
             self.body = bytearray()
         self._release_body()
         self.upload = parsed.upload = upload
-        parsed.span = parsed.expires
-        parsed.expires += server.engine.now() + MAX_UPLOAD_US
-        parsed.streams = True
+        parsed.time_after_upload_us = parsed.expires_at
+        parsed.expires_at += server.engine.now() + MAX_UPLOAD_US
+        parsed.can_stream_answer = True
         self.call = parsed
         server.awaiting_request.discard(self)
         server.uploading.add(self)
         server.engine.take(parsed)
         # `self.upload` is not read again here: mypyc would assume the value that was assigned above.
-        if not upload.closed and not upload.started:
+        if not upload.is_closed and not upload.was_attached:
             self.pause()  # no attempt reads it yet
 
     def _end_upload(self) -> None:
@@ -274,7 +278,7 @@
         if upload is not None:
             upload.finish(True)
         if call is not None:
-            self.server.engine.whole(call)
+            self.server.engine.on_upload_complete(call)
 
     def pause(self) -> None:
         """The receiver of the upload has no room: stop reading."""
@@ -316,18 +320,18 @@
         if isinstance(parsed, Answer):
             self._release_body()
             self.write_answer(parsed)
-        elif parsed is not None and parsed.cls == OUTBOX_QUERY:
+        elif parsed is not None and parsed.request_class == OUTBOX_QUERY:
             self._release_body()
             self.call = parsed
             self._forward_query(parsed)
-        elif parsed is not None and parsed.name in engine.open_names:
+        elif parsed is not None and parsed.client_request_id in engine.open_request_ids:
             self.reject(BadRequestError(409, "X-Request-Id is that of an open request"))
         elif parsed is not None:
-            parsed.expires += engine.now()
+            parsed.expires_at += engine.now()
             parsed.body = body
             if body:
-                self.reserved = self.server.request_budget.force(len(body), self.reserved)
-            parsed.streams = True
+                self.reserved = self.server.request_budget.reserve_unconditionally(len(body), self.reserved)
+            parsed.can_stream_answer = True
             self.call = parsed
             engine.take(parsed)
 
--- a/laurelstep/net/response_receiver.py
+++ b/laurelstep/net/response_receiver.py
@@ -119,13 +119,13 @@
             return False
         budget = self.owner.answer_budget
         reserved = budget.reserve(self.size, self.reserved)
-        if reserved < 0 and self.attempt is not None and self.attempt.call.streams:
+        if reserved < 0 and self.attempt is not None and self.attempt.call.can_stream_answer:
             return False
-        self.reserved = budget.force(self.size, self.reserved) if reserved < 0 else reserved
+        self.reserved = budget.reserve_unconditionally(self.size, self.reserved) if reserved < 0 else reserved
         return True
 
     def _max_body(self) -> int:
-        if self.attempt is not None and not self.attempt.call.streams:
+        if self.attempt is not None and not self.attempt.call.can_stream_answer:
             return MAX_BUFFERED_BODY_BYTES
         return MAX_STREAMED_BODY_BYTES
 
@@ -152,7 +152,7 @@
         forwarded_headers = select_headers(self.headers, ANSWER_HEADERS)
         final = Answer(Ending.SERVED, 200, forwarded_headers, stream=answer)
         attempt.end(OK, final, (self.fields or {}).get(b"x-load", b""))
-        if not answer.started:
+        if not answer.was_attached:
             answer.abandon()  # no client takes it
 
     def _check_throughput(self) -> None:
--- a/laurelstep/net/server_state.py
+++ b/laurelstep/net/server_state.py
@@ -10,9 +10,9 @@
 
 from laurelstep.engine.call import Answer, Call
 from laurelstep.engine.engine import Engine
-from laurelstep.flow_control.buffer_budget import BufferBudget, budget_for
+from laurelstep.flow_control.buffer_budget import BufferBudget, budget_bytes
 from laurelstep.lifecycle import Lifecycle
-from laurelstep.lifecycle.phases import LATE_S
+from laurelstep.lifecycle.phases import LATE_REQUEST_TIMEOUT_S
 from laurelstep.net.acceptor import Acceptor
 from laurelstep.net.deadline_sweeper import DeadlineSweeper
 from laurelstep.net.errors import BadRequestError
@@ -53,7 +53,7 @@
         self.parsed: Call | Answer | None = None  # the call for its head, or the answer to a health check
         self.hangup_poller: Any = None  # polls for the client's close; created on first use
 
-    def answered(self, call: Call, answer: Answer) -> None:
+    def on_answer(self, call: Call, answer: Answer) -> None:
         """`Frontend`: write the final answer of the current call."""
         raise NotImplementedError
 
@@ -144,7 +144,7 @@
     ) -> None:
         """`on_stop` is called when a graceful shutdown begins."""
         self.loop = loop
-        self.request_budget = BufferBudget(budget_for(memory_mb))
+        self.request_budget = BufferBudget(budget_bytes(memory_mb))
         # The request journal records the whole body of an order, so that body cannot be streamed.
         self.max_body_bytes = MAX_STREAMED_BODY_BYTES if engine.recorder is None else MAX_BUFFERED_BODY_BYTES
         self.lifecycle = lifecycle or Lifecycle()
@@ -170,7 +170,9 @@
         self.lingering = self._create_sweeper(
             LINGER_TIMEOUT_S, lambda connection: connection.on_linger_timeout()
         )
-        self.late_connections = self._create_sweeper(LATE_S, lambda connection: connection.close_if_idle())
+        self.late_connections = self._create_sweeper(
+            LATE_REQUEST_TIMEOUT_S, lambda connection: connection.close_if_idle()
+        )
         self.listener: Acceptor | None = None
         self.shutdown = GracefulShutdown(loop, self.lifecycle, self, on_stop)
         # Handlers of outbox queries: for the receipt of a queued write, and from edges to an upstream copy.
@@ -187,7 +189,7 @@
             connection.abort()  # its request would run, but not be answered
             return
         self.connections.add(connection)
-        is_late = self.listener is None or self.lifecycle.is_late(self.loop.time())
+        is_late = self.listener is None or self.lifecycle.has_short_request_timeout(self.loop.time())
         (self.late_connections if is_late else self.awaiting_request).add(connection)
         if len(self.connections) > self.max_connections:
             self._evict_one()
--- a/laurelstep/net/shutdown.py
+++ b/laurelstep/net/shutdown.py
@@ -25,7 +25,7 @@
 from typing import Any, Final, Protocol
 
 from laurelstep.lifecycle import Lifecycle, Phase
-from laurelstep.lifecycle.phases import DRAIN_S, REST_S
+from laurelstep.lifecycle.phases import DRAIN_S, IDLE_CLOSE_DELAY_S
 from laurelstep.net.acceptor import SHORTAGE_PAUSE_S, Acceptor
 from laurelstep.net.deadline_sweeper import DeadlineSweeper
 from laurelstep.net.errors import BadRequestError
@@ -54,7 +54,7 @@
 # For each policy, its steps: seconds after the beginning, and a method name. The end of a drain cancels the
 # steps that are still to come.
 STEPS: Final = {
-    ClosePolicy.DRAIN: ((REST_S, "close_idle_and_silent"), (DRAIN_S, "finish_drain")),
+    ClosePolicy.DRAIN: ((IDLE_CLOSE_DELAY_S, "close_idle_and_silent"), (DRAIN_S, "finish_drain")),
     ClosePolicy.STOP: ((0.0, "close_idle"), (ACCEPT_AFTER_STOP_S + LAST_REQUEST_S, "stop_listening")),
     ClosePolicy.SUCCEEDED: ((0.0, "close_listener"), (SUCCESSOR_GRACE_S, "close_all_unforwarded")),
 }
@@ -121,7 +121,7 @@
         self.refuses_partial = False  # incomplete requests are refused from now on
         self.is_listener_closed = False  # and every connection that it accepted is set up
         self.is_finished = False  # no connection is left: the process ends
-        lifecycle.watchers.append(self._on_phase_change)
+        lifecycle.observers.append(self._on_phase_change)
 
     def stop(self, on_end: Callable[[], None]) -> None:
         """Begin a shutdown at SIGTERM and call `on_end` when it has finished. A second call does nothing."""
--- a/laurelstep/net/upstream.py
+++ b/laurelstep/net/upstream.py
@@ -8,7 +8,7 @@
 import asyncio
 from collections.abc import Callable
 
-from laurelstep.balancing.events import MOOT, NO_CONNECT
+from laurelstep.balancing.events import NO_CONNECT, NOT_SENT
 from laurelstep.engine.call import Attempt
 from laurelstep.engine.endpoint_table import split_address
 from laurelstep.net.connection_pool import ConnectionPool
@@ -38,7 +38,7 @@
         """How long an idle connection is kept, in µs."""
         return int(self.idle_connections.timeout_s * 1e6)
 
-    def place(self, endpoint: int, address: str) -> None:
+    def set_address(self, endpoint: int, address: str) -> None:
         """Set an endpoint's address, and close idle connections to the previous one.
 
         Called for each new process and each new address of an endpoint.
@@ -52,15 +52,15 @@
         if (pool := self.pools.pop(endpoint, None)) is not None:
             pool.close()
 
-    def free(self, endpoint: int) -> None:
+    def close_idle(self, endpoint: int) -> None:
         """Close the idle connections to an endpoint."""
         if (pool := self.pools.get(endpoint)) is not None:
             pool.close_idle()
 
     def send(self, attempt: Attempt) -> None:
         """Start an attempt on an idle connection or a new one."""
-        if attempt.call.fate is not None:
-            attempt.call.fate = b""  # describes only the latest attempt
+        if attempt.call.queued_write_fate is not None:
+            attempt.call.queued_write_fate = b""  # describes only the latest attempt
         pool = self.pools.get(attempt.endpoint)
         if pool is None:
             address = self.addresses.get(attempt.endpoint)
@@ -91,7 +91,7 @@
             self.on_disconnect(oldest)
         if len(self.connections) >= self.max_connections:
             # Keeps within the limit on descriptors; not a failure of the endpoint.
-            attempt.end(MOOT)
+            attempt.end(NOT_SENT)
             return
         connection = EndpointConnection(self, pool, attempt)
         self.by_attempt[attempt] = connection
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -118,7 +118,7 @@
 
     def apply_list(self, *entries: dict[str, Any], whole: bool = True) -> None:
         """Pass an endpoint list to the engine: a full list, or changes if `whole` is False."""
-        self.engine.listed(1, whole, list(entries))
+        self.engine.on_list(1, whole, list(entries))
 
     async def connect(self) -> tuple[Reader, Writer]:
         return await asyncio.open_connection("127.0.0.1", self.port)
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -22,7 +22,7 @@
 import pytest
 from laurelstep.balancing.events import FULL, Action, Outcome, Send
 from laurelstep.engine import Call
-from laurelstep.engine.loop_watch import HELD_US
+from laurelstep.engine.loop_watch import BLOCKED_US
 from laurelstep.hot_restart.rendezvous import RendezvousPoint
 from laurelstep.hot_restart.successor import take_over
 from laurelstep.net.client_connection import ClientConnection
@@ -921,7 +921,7 @@
             caller.send(request(rid="held"))
             left = await only_connection(proxy)
             await until(lambda: len(proxy.engine.calls) == 1)
-            (rid,), (number,) = proxy.engine.calls, proxy.engine.members.places
+            (rid,), (number,) = proxy.engine.calls, proxy.engine.endpoints.by_number
             transport = left.transport
             assert transport is not None
             caller.close()
@@ -990,13 +990,13 @@
             caller = Client(proxy.port)
             caller.send(request(rid="left"))
             await until(lambda: len(proxy.engine.calls) == 1)
-            (rid,), (number,) = proxy.engine.calls, proxy.engine.members.places
+            (rid,), (number,) = proxy.engine.calls, proxy.engine.endpoints.by_number
             if pooled:
                 leave(caller)
             else:
                 leave_before_connection_made(proxy, lambda: leave(caller))
-            proxy.engine.attempts.loop_watch.asked_at -= (
-                HELD_US  # as if the event loop had been blocked for that long
+            proxy.engine.attempts.loop_watch.last_checked_at -= (
+                BLOCKED_US  # as if the event loop had been blocked for that long
             )
             proxy.engine._carry_out(Send(rid, number, 0))
             await until(lambda: not proxy.engine.calls and not proxy.server.connections)
@@ -1048,7 +1048,7 @@
                 caller.close()
             expire(proxy.server.paused)
             proxy.apply_list(endpoint.entry())
-            (number,) = proxy.engine.members.places
+            (number,) = proxy.engine.endpoints.by_number
             proxy.engine._carry_out(Send(rid, number, 0))  # a decision that the balancer may make at once
             if leaves:
                 assert (await proxy.send(request(rid="r2"))).body == b"ok"
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -19,7 +19,7 @@
 import hypothesis.strategies as st
 import pytest
 from hypothesis import given
-from laurelstep.balancing.events import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET, TIMEOUT, Action, Outcome
+from laurelstep.balancing.events import ERROR, FULL, NO_CONNECT, NOT_SENT, OK, RESET, TIMEOUT, Action, Outcome
 from laurelstep.engine import Attempt, Call, Clock, Engine
 from laurelstep.engine.clock import Timer
 from laurelstep.engine.static_members import StaticMembers
@@ -326,7 +326,7 @@
         clock, config.seed, config.settings, config.names, upstream, source, config.drain_grace_us, print
     )
     engine.start()
-    source.give([entry(f"s-{n}", cell=1) for n in range(4)])
+    source.replace_list([entry(f"s-{n}", cell=1) for n in range(4)])
     engine.take(Call(0, clock.now() + 4_000_000, b"POST /put", b"", b"", front, b"r1"))
     may_have_run_since: int | None = None  # the time of the first write that may have run
     for kind, value in steps:
@@ -392,7 +392,7 @@
             opening.may_open.set()
             assert (await answering).status == 200
             if change == "start":
-                assert recorded[0].outcome == MOOT
+                assert recorded[0].outcome == NOT_SENT
             else:
                 assert (len(old.got), len(new.got)) == sent
 
@@ -607,7 +607,7 @@
             (call,) = proxy.engine.calls.values()
             fire_timer(proxy, call.attempts[1])
             assert (await answering).status == 502
-            assert [event.outcome for event in recorded] == [RESET, MOOT]
+            assert [event.outcome for event in recorded] == [RESET, NOT_SENT]
             got = 0
             with contextlib.suppress(ConnectionError):
                 while more := await peer.loop.sock_recv(accepted, 65_536):
@@ -653,7 +653,7 @@
                 await opening.asked.get()
             if leaves == "before":
                 writer.close()
-                await until(lambda: not any(call.open for call in proxy.engine.calls.values()))
+                await until(lambda: not any(call.is_open for call in proxy.engine.calls.values()))
             opening.may_open.set()
             if leaves == "behind":
                 await until(lambda: sum(len(endpoint.got) for endpoint in endpoints) == 1 + before)
@@ -710,7 +710,7 @@
             accepted.send(answer(body=b"in time"))  # unread in the kernel's buffer
             if first == "answer":
                 await until(lambda: bool(recorded))
-            advance_clock(proxy, call.expires - proxy.engine.now())
+            advance_clock(proxy, call.expires_at - proxy.engine.now())
             proxy.engine._on_deadline(call)
             response = await read_message(reader)
             assert response.status == (504 if first == "deadline" else 200)
@@ -819,7 +819,7 @@
             recorded = record_outcomes(proxy.engine)
             proxy.upstream.max_connections = 0
             assert (await proxy.send(request("pay"))).status == 503
-            assert [event.outcome for event in recorded] == [MOOT] * len(recorded) and len(recorded) <= 4
+            assert [event.outcome for event in recorded] == [NOT_SENT] * len(recorded) and len(recorded) <= 4
             assert not await count_requests(endpoints)
             proxy.upstream.max_connections = 1
             assert (await proxy.send(request("pay", rid="r2"))).status == 200
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -76,7 +76,7 @@
             for index, (name, phase) in enumerate(self.listed.items())
             if phase != "gone"
         ]
-        self.source.give(entries)
+        self.source.replace_list(entries)
 
     @rule(cls=st.integers(0, 2), deadline_ms=st.integers(0, 3_000))
     def arrive(self, cls: int, deadline_ms: int) -> None:
@@ -91,12 +91,12 @@
         """An upload: its deadline counts from its last byte, which may never arrive."""
         name = b"r%d" % len(self.calls)
         call = Call(cls, self.clock.now() + 8_000_000, b"POST /x", b"", b"", self.front, name)
-        call.upload, call.span = BodyStream(IgnoringSource(), -1), span_ms * 1000
+        call.upload, call.time_after_upload_us = BodyStream(IgnoringSource(), -1), span_ms * 1000
         self.calls.append(call)
         self.engine.take(call)
 
     def _uploading(self) -> list[Call]:
-        return [call for call in self.calls if call.open and call.upload and not call.upload.closed]
+        return [call for call in self.calls if call.is_open and call.upload and not call.upload.is_closed]
 
     @precondition(lambda self: self._uploading())
     @rule(index=st.integers(0, 1_000), span_ms=st.sampled_from([0, 700, 2_900]))
@@ -106,7 +106,7 @@
             call = uploading[index % len(uploading)]
             assert call.upload is not None
             call.upload.finish(True)
-            self.engine.whole(call)
+            self.engine.on_upload_complete(call)
 
     @precondition(lambda self: self.upstream.out)
     @rule(index=st.integers(0, 1_000), runs=st.booleans())
@@ -124,9 +124,9 @@
     @rule(index=st.integers(0, 1_000))
     def cancel(self, index: int) -> None:
         call = self.calls[index % len(self.calls)]
-        if call.open:
+        if call.is_open:
             self.cancelled.add(call)
-        self.engine.gone(call)
+        self.engine.on_client_left(call)
 
     @rule(name=st.sampled_from(NAMES), phase=st.sampled_from(["draining", "gone", "ready"]))
     def relist(self, name: str, phase: str) -> None:
@@ -162,30 +162,30 @@
 
     @invariant()
     def each_call_has_at_most_one_answer_and_in_time(self) -> None:
-        names = [call.name for call, _ in self.front.given]
+        names = [call.client_request_id for call, _ in self.front.given]
         assert len(set(names)) == len(names)
         for call in self.calls:
-            assert not call.open or self.clock.now() <= call.expires
+            assert not call.is_open or self.clock.now() <= call.expires_at
 
     @invariant()
     def every_accepted_request_is_counted_once(self) -> None:
         check_counters(self.engine)
-        assert self.engine.current() == sum(call.open for call in self.calls)
+        assert self.engine.open_request_count() == sum(call.is_open for call in self.calls)
         assert self.engine.counters.sends == len(self.upstream.writes)
-        assert self.engine.members.size() == sum(phase != "gone" for phase in self.listed.values())
+        assert self.engine.endpoints.size() == sum(phase != "gone" for phase in self.listed.values())
 
     @invariant()
     def the_balancer_counts_complete_requests_in_flight(self) -> None:
         """Each complete request in flight counts once, at its endpoint; an incomplete upload does not."""
         balancer = self.engine.balancer
-        held = [*balancer.requests.values(), *balancer.request_table.ended.values()]
-        in_flight = [attempt for request in held for attempt in request.attempts if attempt.outstanding]
+        held = [*balancer.requests.values(), *balancer.request_table.awaiting_outcomes.values()]
+        in_flight = [attempt for request in held for attempt in request.attempts if attempt.is_outstanding]
         for endpoint in balancer.endpoints.values():
-            assert endpoint.inflight == sum(
-                attempt.endpoint is endpoint and not attempt.body_pending for attempt in in_flight
+            assert endpoint.in_flight == sum(
+                attempt.endpoint is endpoint and not attempt.has_pending_body for attempt in in_flight
             )
-        pending = [request for request in balancer.requests.values() if request.body_pending]
-        assert balancer.request_table.uploading == len(pending)
+        pending = [request for request in balancer.requests.values() if request.has_pending_body]
+        assert balancer.request_table.uploading_count == len(pending)
         uploading = {call.id for call in self._uploading()}
         assert {request.id for request in pending} == uploading
 
@@ -200,13 +200,13 @@
             self._check_effects(call, given_answer.ending)
         for call in self.cancelled:
             self._check_effects(call, None)
-        assert not (self.engine.calls or self.engine.open_names or self.engine.balancer.requests)
-        assert not any(endpoint.inflight for endpoint in self.engine.balancer.endpoints.values())
+        assert not (self.engine.calls or self.engine.open_request_ids or self.engine.balancer.requests)
+        assert not any(endpoint.in_flight for endpoint in self.engine.balancer.endpoints.values())
         assert not self.logged, "the balancer raised no exception"
 
     def _check_effects(self, call: Call, ending: Ending | None) -> None:
-        effect = self.engine.settings.classes[call.cls].effect
-        ran = self.upstream.ran.get(call.name, [])
+        effect = self.engine.settings.classes[call.request_class].effect
+        ran = self.upstream.ran.get(call.client_request_id, [])
         if effect == UNSAFE:
             assert len(ran) <= 1, "an unsafe effect happened twice"
             assert ending is not Ending.REFUSED or not ran, "a refused request ran"
@@ -225,7 +225,10 @@
     counters = engine.counters
     for cls, taken in enumerate(counters.taken):
         ended = (counters.answered, counters.deferred, counters.errored, counters.abandoned)
-        open_count = sum(call.cls == cls and (call.open or call.held) for call in engine.calls.values())
+        open_count = sum(
+            call.request_class == cls and (call.is_open or call.is_answer_held)
+            for call in engine.calls.values()
+        )
         assert taken == sum(counts[cls] for counts in ended) + open_count
 
 
@@ -339,13 +342,13 @@
             draining = f"s-{index}" == name or f"s-{index}" in self.drained
             members.append(Member(f"s-{index}", f"127.0.0.1:{endpoint.port}", cell=1, draining=draining))
         self.client.members(members)
-        places = self.client.engine.members.places
+        places = self.client.engine.endpoints.by_number
         place = places[number(name)]
         assert place.withdrawn_at is not None
         place.withdrawn_at -= GRACE_US
         # Only requests that are already written may still arrive.
         written = {
-            attempt.call.name.decode()
+            attempt.call.client_request_id.decode()
             for attempt, connection in self.client._parts.upstream.by_attempt.items()
             if attempt.endpoint == number(name) and connection.transport is not None
         }
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -13,7 +13,7 @@
 from typing import cast
 
 import pytest
-from laurelstep.balancing.concurrency_limit import HELD_MIN
+from laurelstep.balancing.concurrency_limit import IN_FLIGHT_MIN
 from laurelstep.balancing.events import CANCELLED, ERROR, FULL, OK
 from laurelstep.engine import Answer, Attempt, Call, Clock
 from laurelstep.library.client import Exchange
@@ -145,7 +145,7 @@
             assert (await proxy.send(PAGE)).start.split()[1] == "409"
             release.set()
             assert (await first).body == b"ok"
-            assert (await proxy.send(PAGE)).body == b"ok" and not proxy.engine.open_names
+            assert (await proxy.send(PAGE)).body == b"ok" and not proxy.engine.open_request_ids
 
     run(main())
 
@@ -308,7 +308,7 @@
 
 
 class IgnoringFrontend:
-    def answered(self, call: Call, answer: Answer) -> None:
+    def on_answer(self, call: Call, answer: Answer) -> None:
         """Ignores the answer."""
 
 
@@ -517,7 +517,7 @@
 
 async def settle_concurrency_limit(proxy: Sidecar) -> None:
     """Send requests until the concurrency limit of admission has settled."""
-    while not proxy.engine.balancer.admission.limit.settled:
+    while not proxy.engine.balancer.admission.limit.is_unloaded_known:
         assert (await proxy.send(PAGE)).body == b"ok"
 
 
@@ -532,7 +532,7 @@
         endpoint = Endpoint(some)
         async with sidecar(endpoint, stage=0) as proxy:
             await settle_concurrency_limit(proxy)
-            lost = [await proxy.connect() for _ in range(HELD_MIN)]
+            lost = [await proxy.connect() for _ in range(IN_FLIGHT_MIN)]
             while not endpoint.arrived.locked():  # the requests that `settle_concurrency_limit` sent
                 await endpoint.arrived.acquire()
             for n, (_, writer) in enumerate(lost):
@@ -615,7 +615,7 @@
                     await asyncio.sleep(0)
                 await asyncio.sleep(0)
                 assert count_alive() == before
-                assert not proxy.engine.calls and not proxy.engine.open_names
+                assert not proxy.engine.calls and not proxy.engine.open_request_ids
             finally:
                 gc.enable()
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -21,8 +21,8 @@
     LIST_CACHED,
     LIST_DELTA,
     LIST_FULL,
-    MOOT,
     NO_CONNECT,
+    NOT_SENT,
     OK,
     RESET,
     TIMEOUT,
@@ -99,7 +99,7 @@
             assert "x-other" not in received.headers, "only headers that endpoints need are forwarded"
             assert "x-load" not in response.headers, "only headers that clients need are returned"
             (recorded,) = proxy.engine.balancer.endpoints.values()
-            assert recorded.reported_waiting == 2.0, "`queue` on the wire is `waiting` in the settings"
+            assert recorded.reported_queued == 2.0, "`queue` on the wire is `waiting` in the settings"
 
     run(main())
 
@@ -139,16 +139,16 @@
         endpoint = Endpoint()
         async with sidecar(endpoint) as proxy:
             wall = 1_700_000_000_000_000
-            proxy.engine.members.clock = cast(Clock, MethodProxy(proxy.engine.clock, wall=lambda: wall))
+            proxy.engine.endpoints.clock = cast(Clock, MethodProxy(proxy.engine.clock, wall=lambda: wall))
             started = endpoint.entry(startedAtMs=wall // 1000 - 4_000)
             before = proxy.engine.now()
             proxy.apply_list(started)
             (known,) = proxy.engine.balancer.endpoints.values()
-            boot = known.boot
-            assert before - 4_000_000 <= boot <= proxy.engine.now() - 4_000_000
+            started_at = known.started_at
+            assert before - 4_000_000 <= started_at <= proxy.engine.now() - 4_000_000
             wall += 3_600_000_000  # the wall clock is changed: the endpoint did not restart
             proxy.apply_list(started)
-            assert known.boot == boot
+            assert known.started_at == started_at
 
     run(main())
 
@@ -248,7 +248,7 @@
         async with sidecar(Endpoint(), registry=registry) as proxy:
             source = proxy.engine.source
             assert isinstance(source, Discovery)
-            source.silent_s = 0.05
+            source.stall_timeout_s = 0.05
             await registry.asked.get()
             start, _ = await registry.asked.get()
             assert "from=41 " in start
@@ -293,9 +293,9 @@
         async with sidecar(old, new, registry=registry) as proxy:
             _, watch = await registry.asked.get()
             push(watch, 43, True, bad, new.entry("s-1"))
-            while proxy.engine.members.may_receive(endpoint_number("s-0"), proxy.engine.now() + 600_000):
+            while proxy.engine.endpoints.may_receive(endpoint_number("s-0"), proxy.engine.now() + 600_000):
                 await asyncio.sleep(0)
-            assert not proxy.engine.members.may_receive(endpoint_number("s-3"), proxy.engine.now())
+            assert not proxy.engine.endpoints.may_receive(endpoint_number("s-3"), proxy.engine.now())
             assert (await proxy.send(request())).body == b"ok"
             assert len(new.got) == 1 and not old.got
             assert registry.asked.empty(), "the watch stays open"
@@ -315,7 +315,7 @@
             _, watch = await registry.asked.get()
             leaving = {**old.entry("s-0"), "lifecycle": "draining"}
             push(watch, 42, True, leaving, new.entry("s-1"))
-            while proxy.engine.members.size() != 2:
+            while proxy.engine.endpoints.size() != 2:
                 await asyncio.sleep(0)
             line = json.dumps({"generation": 43, "reset": False, "instances": [later.entry("s-9")]})
             push_raw(watch, line[:-20].encode())
@@ -323,13 +323,14 @@
             start, watch = await registry.asked.get()
             assert "from=42 " in start
             assert (
-                proxy.engine.members.size() == 2 and endpoint_number("s-9") not in proxy.engine.members.places
+                proxy.engine.endpoints.size() == 2
+                and endpoint_number("s-9") not in proxy.engine.endpoints.by_number
             )
             for n in range(20):
                 assert (await proxy.send(request(rid=f"r{n}"))).body == b"ok"
             assert not old.got and len(new.got) == 20
             push(watch, 43, False, later.entry("s-9"))
-            while proxy.engine.members.size() != 3:
+            while proxy.engine.endpoints.size() != 3:
                 await asyncio.sleep(0)
 
     run(main())
@@ -350,7 +351,7 @@
             discovery.stream = cast(
                 Any, SimpleNamespace(watch=True, is_renewal=False, is_malformed=is_malformed)
             )
-            discovery.on_lost(discovery.stream, silent=False)
+            discovery.on_stream_lost(discovery.stream, is_stalled=False)
         waits.append(delays)
     for step, max_wait in enumerate((0.05, 0.1, *pauses)):
         waited = [delays[step] for delays in waits]
@@ -362,13 +363,13 @@
         endpoint = Endpoint()
         async with sidecar(endpoint) as proxy:
             proxy.apply_list()
-            (place,) = proxy.engine.members.places.values()
+            (place,) = proxy.engine.endpoints.by_number.values()
             assert place.withdrawn_at is not None, "kept for the grace"
             clock = proxy.engine.clock
             later = MethodProxy(clock, now=lambda: clock.now() + 500_000)
-            proxy.engine.members.clock = cast(Clock, later)
+            proxy.engine.endpoints.clock = cast(Clock, later)
             proxy.apply_list(whole=False)
-            assert not proxy.engine.members.places and not proxy.upstream.pools
+            assert not proxy.engine.endpoints.by_number and not proxy.upstream.pools
 
     run(main())
 
@@ -479,7 +480,7 @@
             response = await proxy.send(request("pay", deadline_ms=80))
             assert proxy.engine.now() - asked >= 80_000, "never early"
             assert response.start.split()[1] == "504"
-            assert [(event.outcome, event.over) for event in recorded] == [(TIMEOUT, False)]
+            assert [(event.outcome, event.is_final) for event in recorded] == [(TIMEOUT, False)]
             await endpoint.closed.acquire()  # cancelling the attempt closes its connection
 
     run(main())
@@ -561,7 +562,7 @@
             await endpoint.arrived.acquire()
             writer.close()
             await endpoint.closed.acquire()
-            assert [(event.outcome, event.over) for event in recorded] == [(CANCELLED, True)]
+            assert [(event.outcome, event.is_final) for event in recorded] == [(CANCELLED, True)]
             assert not proxy.engine.calls and not proxy.engine.balancer.requests
 
     run(main())
@@ -578,17 +579,17 @@
             await endpoint.arrived.acquire()
             ((_, call),) = proxy.engine.calls.items()
             (attempt,) = call.attempts
-            place = proxy.engine.members.places[attempt.endpoint]
+            place = proxy.engine.endpoints.by_number[attempt.endpoint]
             now = proxy.engine.now()
             assert proxy.engine.attempts.may_start(attempt, now)
-            assert not proxy.engine.attempts.may_start(attempt, call.expires)
+            assert not proxy.engine.attempts.may_start(attempt, call.expires_at)
             place.withdrawn_at = now - (500_000 - 150_000) + 1
             assert proxy.engine.attempts.may_start(attempt, now)
             place.withdrawn_at = now - (500_000 - 150_000)
             assert not proxy.engine.attempts.may_start(attempt, now)
             connection = proxy.upstream.by_attempt[attempt]
             connection.write()  # as after a connect that took too long
-            assert [event.outcome for event in recorded] == [MOOT] and len(endpoint.got) == 1
+            assert [event.outcome for event in recorded] == [NOT_SENT] and len(endpoint.got) == 1
             asked.cancel()
 
     run(main())
@@ -602,7 +603,7 @@
             recorded = record_outcomes(proxy.engine)
             await proxy.send(request("pay"))
             assert sum(len(endpoint.got) for endpoint in endpoints) == 2
-            assert [event.outcome for event in recorded][:3] == [FULL, FULL, MOOT]
+            assert [event.outcome for event in recorded][:3] == [FULL, FULL, NOT_SENT]
 
     run(main())
 
