--- a/laurelstep/net/acceptor.py
+++ b/laurelstep/net/acceptor.py
@@ -24,16 +24,16 @@
 
 
 class Acceptor:
-    """Accepts connections until `close` and gives each a new protocol object from `factory`."""
+    """Accepts connections until `close` and gives each a new protocol object from `protocol_factory`."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, sockets: list[socket.socket], factory: ProtocolFactory
+        self, loop: asyncio.AbstractEventLoop, sockets: list[socket.socket], protocol_factory: ProtocolFactory
     ) -> None:
         """`sockets` are listening and non-blocking; this object closes them."""
         self.loop = loop
         self.sockets = sockets
-        self.factory = factory
-        self.connecting: set[asyncio.Task[None]] = set()  # accepted; `connection_made` not called yet
+        self.protocol_factory = protocol_factory
+        self.setup_tasks: set[asyncio.Task[None]] = set()  # accepted; `connection_made` not called yet
         self.resume_timers: dict[socket.socket, asyncio.TimerHandle] = {}
         for listener in sockets:
             loop.add_reader(listener.fileno(), self._accept, listener)
@@ -59,12 +59,12 @@
             return
         accepted.setblocking(False)
         task = self.loop.create_task(self._connect(accepted))
-        self.connecting.add(task)
-        task.add_done_callback(self.connecting.discard)
+        self.setup_tasks.add(task)
+        task.add_done_callback(self.setup_tasks.discard)
 
     async def _connect(self, accepted: socket.socket) -> None:
         try:
-            await self.loop.connect_accepted_socket(self.factory, accepted)
+            await self.loop.connect_accepted_socket(self.protocol_factory, accepted)
         except OSError:
             accepted.close()
 
@@ -89,7 +89,7 @@
 
 async def listen(
     loop: asyncio.AbstractEventLoop,
-    factory: ProtocolFactory,
+    protocol_factory: ProtocolFactory,
     host: str,
     port: int,
     backlog: int,
@@ -110,7 +110,7 @@
         for listener in sockets:
             listener.close()
         raise
-    return Acceptor(loop, sockets, factory)
+    return Acceptor(loop, sockets, protocol_factory)
 
 
 def _bind(listener: socket.socket, address: Any, reuse_port: bool) -> None:
--- a/laurelstep/net/client_connection.py
+++ b/laurelstep/net/client_connection.py
@@ -42,7 +42,7 @@
 
     def __init__(self, server: ServerState[Any]) -> None:
         super().__init__(server)
-        self.chunked = False  # the answer being streamed uses chunked framing
+        self.is_answer_chunked = False  # the answer being streamed uses chunked framing
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """asyncio: the client has connected."""
@@ -51,7 +51,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """asyncio: the connection is closed. Abandons its request and its answer."""
-        self.closing = True
+        self.is_closing = True
         self.parser = None  # breaks the reference cycle: the parser holds bound methods of this object
         self.parsed = None  # the call of an incomplete request refers to this object, too
         self._abandon()
@@ -66,7 +66,7 @@
         Abandons the request now: asyncio calls `connection_lost` an event loop iteration later, after timers
         that might send the request.
         """
-        self.closing = True
+        self.is_closing = True
         self._abandon()
 
     def pause_writing(self) -> None:
@@ -77,7 +77,7 @@
 
     def resume_writing(self) -> None:
         """asyncio: the send buffer has room again."""
-        if not self.closing:  # a closing connection keeps its timeout
+        if not self.is_closing:  # a closing connection keeps its timeout
             self.server.write_stalled.discard(self)
         if self.answer is not None:
             self.answer.resume()
@@ -87,18 +87,18 @@
     def on_answer(self, call: Call, answer: Answer) -> None:
         """`Frontend`: write the final answer of the current call."""
         self.call = None
-        unread = self.upload is not None
+        is_incomplete = self.upload is not None
         self._release_body()
         if answer.stream is not None:
-            self._stream_answer(answer, answer.stream, unread)
+            self._stream_answer(answer, answer.stream, is_incomplete)
         else:
-            self.write_answer(answer, unread)
+            self.write_answer(answer, is_incomplete)
 
-    def write_answer(self, answer: Answer, unread: bool = False) -> None:
-        """Write an answer. `unread`: the request is incomplete, and the rest of it is not read."""
+    def write_answer(self, answer: Answer, is_incomplete: bool = False) -> None:
+        """Write an answer. `is_incomplete`: the request is incomplete, and the rest of it is not read."""
         if self.transport is None or self.transport.is_closing():
             return
-        keep_alive = self.keep_alive and self.server.lifecycle.allows_keep_alive and not unread
+        keep_alive = self.keep_alive and self.server.lifecycle.allows_keep_alive and not is_incomplete
         head = encode_headers(answer.headers)
         if answer.retry_after_us > 0:
             head = b"%bRetry-After: %.3f\r\n" % (head, answer.retry_after_us / 1e6)
@@ -114,13 +114,13 @@
 
     # --- Streaming ---------------------------------------------------------------------
 
-    def _stream_answer(self, answer: Answer, body: BodyStream, unread: bool) -> None:
+    def _stream_answer(self, answer: Answer, body: BodyStream, is_incomplete: bool) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        self.chunked = body.length < 0 and self.parser.get_http_version() == "1.1"
-        self.keep_alive = self.keep_alive and self.server.lifecycle.allows_keep_alive and not unread
-        self.keep_alive = self.keep_alive and (self.chunked or body.length >= 0)
-        framing = b"Transfer-Encoding: chunked\r\n" if self.chunked else b""
+        self.is_answer_chunked = body.length < 0 and self.parser.get_http_version() == "1.1"
+        self.keep_alive = self.keep_alive and self.server.lifecycle.allows_keep_alive and not is_incomplete
+        self.keep_alive = self.keep_alive and (self.is_answer_chunked or body.length >= 0)
+        framing = b"Transfer-Encoding: chunked\r\n" if self.is_answer_chunked else b""
         if body.length >= 0:
             framing = b"Content-Length: %d\r\n" % body.length
         close = b"" if self.keep_alive else b"Connection: close\r\n"
@@ -134,7 +134,7 @@
         """`BodySink`: write a part of the streamed answer."""
         if self.transport is None or self.transport.is_closing():
             return
-        if self.chunked:
+        if self.is_answer_chunked:
             self.transport.write(b"%x\r\n%b\r\n" % (len(data), data))
         else:
             self.transport.write(data)
@@ -145,7 +145,7 @@
         self.server.paused.discard(self)
         if self.transport is None or self.transport.is_closing():
             return
-        if complete and self.chunked:
+        if complete and self.is_answer_chunked:
             self.transport.write(b"0\r\n\r\n")
         if complete and self.keep_alive:
             self.server.idle.add(self)
@@ -157,7 +157,7 @@
                 not self.server.lifecycle.allows_keep_alive
             ):  # a drain began after the answer's head was written
                 self.close_if_idle()
-        elif complete or self.chunked or self.keep_alive:
+        elif complete or self.is_answer_chunked or self.keep_alive:
             # The client can still read what was written, and its framing shows whether it is complete.
             self.close()
         else:
@@ -165,7 +165,7 @@
 
     def reject(self, error: BadRequestError) -> None:
         """Answer a rejected request with the error's status, and close the connection."""
-        self.closing = True
+        self.is_closing = True
         self._abandon()
         if self.transport is None or self.transport.is_closing():
             return
@@ -176,7 +176,7 @@
         """Close this side after the bytes already written, and discard what still arrives until the client
         closes its side (a lingering close).
         """
-        self.closing = True
+        self.is_closing = True
         if self.transport is None or self.transport.is_closing():
             return
         self.server.on_closing(self)
@@ -196,7 +196,7 @@
         Its last byte may be on its way. The refusal is written to the socket directly, as the transport would
         buffer it until the event loop iteration ends.
         """
-        if self.received and self.call is None and not self.closing and self.transport is not None:
+        if self.received_bytes and self.call is None and not self.is_closing and self.transport is not None:
             with contextlib.suppress(OSError):
                 refusal = encode_rejection(BadRequestError(503, "too many connections"))
                 os.write(self.transport.get_extra_info("socket").fileno(), refusal)
@@ -204,7 +204,7 @@
 
     def abort(self) -> None:
         """Close the connection at once. Bytes that the kernel has not taken yet are lost."""
-        self.closing = True
+        self.is_closing = True
         if self.transport is not None:
             self.transport.abort()
 
@@ -219,18 +219,18 @@
 
     def is_silent(self) -> bool:
         """Whether no byte of a request has been read."""
-        return not self.received
+        return not self.received_bytes
 
     def has_nothing_forwarded(self) -> bool:
         """Whether it waits for a request, or for the rest of a request of which no part was forwarded."""
-        return self.call is None and self.answer is None and not self.closing
+        return self.call is None and self.answer is None and not self.is_closing
 
     def close_unforwarded(self) -> None:
         """Close the connection because the process stops, after unread bytes have been read.
 
         An incomplete request is refused: its last byte may be on its way, and no part of it was forwarded.
         """
-        if self.received and not self.has_unread():
+        if self.received_bytes and not self.has_unread():
             self.reject(BadRequestError(503, STOPPING_MESSAGE))
         else:
             self.close_if_idle()
@@ -245,7 +245,7 @@
 
     def on_request_timeout(self) -> None:
         """The request has not arrived in time: reject it, or close the connection if it has not begun."""
-        if self.received:
+        if self.received_bytes:
             self.reject(BadRequestError(408, "the request came too slowly"))
         else:
             self.close_if_idle()
--- a/laurelstep/net/connection_pool.py
+++ b/laurelstep/net/connection_pool.py
@@ -52,12 +52,12 @@
 class ConnectionPool(Generic[C]):
     """The idle connections to one process at one address, ordered by last use, latest last."""
 
-    __slots__ = ("closed", "host", "idle", "port")
+    __slots__ = ("is_closed", "host", "idle", "port")
 
     def __init__(self, host: str, port: int) -> None:
         self.host, self.port = host, port
         self.idle: list[C] = []
-        self.closed = False
+        self.is_closed = False
 
     def acquire(self, now: int, settle_us: int) -> C | None:
         """Take the most recently used connection that has been idle for at least `settle_us` µs.
@@ -77,5 +77,5 @@
 
     def close(self) -> None:
         """Close the pool: the endpoint was removed from the list, or replaced by another process."""
-        self.closed = True
+        self.is_closed = True
         self.close_idle()
--- a/laurelstep/net/cooperative_task.py
+++ b/laurelstep/net/cooperative_task.py
@@ -16,11 +16,11 @@
     def __init__(self, loop: AbstractEventLoop, slice_s: float = 0.001) -> None:
         self.loop = loop
         self.slice_s = slice_s
-        self.closed = False
+        self.is_closed = False
 
     def run(self, steps: Iterator[None], on_end: Callable[[Exception | None], None]) -> None:
         """Run all steps, then call `on_end` with the exception raised or None; neither after `close`."""
-        if self.closed:
+        if self.is_closed:
             return
         end = time.monotonic() + self.slice_s
         try:
@@ -35,4 +35,4 @@
 
     def close(self) -> None:
         """Run no further steps."""
-        self.closed = True
+        self.is_closed = True
--- a/laurelstep/net/endpoint_connection.py
+++ b/laurelstep/net/endpoint_connection.py
@@ -51,8 +51,8 @@
         self.reopen_pause_s = REOPEN_PAUSE_S
         self.reopen_until = 0.0
         self.poller = select.poll()  # created once, as it is used for each request
-        self.unwritten = True  # the kernel has not taken the request's last byte
-        self.write_paused = False  # the transport buffers bytes that the kernel has not taken
+        self.has_unwritten_bytes = True  # the kernel has not taken the request's last byte
+        self.is_write_paused = False  # the transport buffers bytes that the kernel has not taken
         self.upload: BodyStream | None = None  # the body of a request that is being streamed
 
     # --- Connection -----------------------------------------------------------
@@ -122,14 +122,14 @@
 
     def pause_writing(self) -> None:
         """asyncio: the kernel's send buffer is full."""
-        self.write_paused = self.unwritten = True
+        self.is_write_paused = self.has_unwritten_bytes = True
         if self.upload is not None:
             self.upload.pause()
             self.owner.write_stalled.add(self)
 
     def resume_writing(self) -> None:
         """asyncio: the kernel has taken all bytes written so far."""
-        self.write_paused = False
+        self.is_write_paused = False
         self.owner.write_stalled.discard(self)
         if self.upload is not None:
             self.upload.resume()
@@ -137,7 +137,7 @@
             self._written()
 
     def _written(self) -> None:
-        self.unwritten = False
+        self.has_unwritten_bytes = False
         if self.attempt is not None:
             self.attempt.on_written()
 
@@ -146,13 +146,13 @@
         attempt, transport = self.attempt, self.transport
         assert attempt is not None and transport is not None
         now = self.owner.now()
-        is_replaced = self.pool.closed and attempt.endpoint in self.owner.addresses
+        is_replaced = self.pool.is_closed and attempt.endpoint in self.owner.addresses
         if is_replaced or not attempt.may_start(now):
             # The connection may have taken long. No attempt may start after the drain grace, the deadline,
             # the window for retries or the final answer, nor at a process that another one has replaced in
             # the endpoint list.
             self.attempt = None
-            self.owner.by_attempt.pop(attempt, None)
+            self.owner.connections_by_attempt.pop(attempt, None)
             self.return_to_pool()
             attempt.end(NOT_SENT)
             return
@@ -160,22 +160,22 @@
         if upload is not None:
             self._begin_upload(attempt, upload, now)
             return
-        self.unwritten = False
+        self.has_unwritten_bytes = False
         transport.write(encode_request(attempt, now))
         if transport.is_closing():
-            self.unwritten = True  # the first write failed: nothing was sent
-        elif not self.unwritten:
+            self.has_unwritten_bytes = True  # the first write failed: nothing was sent
+        elif not self.has_unwritten_bytes:
             attempt.on_written()
 
     # --- Streaming ---------------------------------------------------------------------
 
     def _begin_upload(self, attempt: Attempt, upload: BodyStream, now: int) -> None:
         assert self.transport is not None
-        self.unwritten = True
+        self.has_unwritten_bytes = True
         self.upload = upload
         self.transport.write(encode_upload_head(attempt, upload, now))
         upload.attach(self)
-        if not self.write_paused:
+        if not self.is_write_paused:
             upload.resume()  # does nothing if the upload is complete
 
     def on_data(self, data: bytes) -> None:
@@ -198,7 +198,7 @@
             return
         if upload is not None and upload.length < 0:
             self.transport.write(b"0\r\n\r\n")
-        if not self.write_paused and not self.transport.is_closing():
+        if not self.is_write_paused and not self.transport.is_closing():
             self._written()
 
     def _abandon_upload(self) -> None:
@@ -223,7 +223,7 @@
 
     def return_to_pool(self) -> None:
         """Keep the connection for the next attempt, or close it if it cannot be reused."""
-        must_close = self.pool.closed or self.owner.retiring
+        must_close = self.pool.is_closed or self.owner.is_retiring
         if must_close or self.transport is None or self.transport.is_closing():
             self.close()
             return
@@ -264,7 +264,7 @@
             answer.finish(False)
         self._abandon_upload()
         outcome_if_not_run = NOT_SENT if is_local_fault(exc) else NO_CONNECT
-        self._end_attempt(outcome_if_not_run if self.unwritten else RESET)
+        self._end_attempt(outcome_if_not_run if self.has_unwritten_bytes else RESET)
         self.parser = None  # breaks the reference cycle: the parser holds bound methods of this object
 
     def _end_attempt(self, outcome: int) -> None:
@@ -274,7 +274,7 @@
         """
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
-            self.owner.by_attempt.pop(attempt, None)
+            self.owner.connections_by_attempt.pop(attempt, None)
             load = (self.fields or {}).get(b"x-load", b"")
             self.owner.loop.call_soon(attempt.end, outcome, None, load)
 
@@ -287,14 +287,14 @@
         self.owner.on_malformed_response()
         self.close()
         self._abandon_upload()
-        self._end_attempt(NO_CONNECT if self.unwritten else ERROR)
+        self._end_attempt(NO_CONNECT if self.has_unwritten_bytes else ERROR)
 
     def on_response_timeout(self) -> None:
         """No complete answer within `ANSWER_IDLE_TIMEOUT_S`: reject it, unless more of it has arrived."""
-        if self.received == self.received_at_check:
+        if self.received_bytes == self.received_bytes_at_check:
             self.reject_response()
             return
-        self.received_at_check = self.received
+        self.received_bytes_at_check = self.received_bytes
         self.owner.receiving.add(self)
 
     # --- Answers ------------------------------------------------------------------
@@ -305,14 +305,14 @@
             self.owner.on_malformed_response()
             self.close()  # no request is open, so these bytes are not an answer
             return
-        self.received += len(data)
+        self.received_bytes += len(data)
         malformed = False
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             malformed, self.keep_alive = True, False
         malformed = (
-            malformed or self.received > MAX_FRAMING_BYTES + MAX_FRAMING_BYTES_PER_BODY_BYTE * self.size
+            malformed or self.received_bytes > MAX_FRAMING_BYTES + MAX_FRAMING_BYTES_PER_BODY_BYTE * self.size
         )
         if self._answers_earlier_request():
             self.reject_response()
@@ -320,7 +320,7 @@
             if malformed or self.has_trailing_data:
                 self.owner.on_malformed_response()
             self._complete()
-        elif malformed or (self.fields is None and self.received > MAX_HEAD_BYTES):
+        elif malformed or (self.fields is None and self.received_bytes > MAX_HEAD_BYTES):
             self.reject_response()
         elif self.answer is not None:
             self._check_throughput()
@@ -329,7 +329,7 @@
             self._stream_answer()
         else:
             if self not in self.owner.receiving.waiting_since:
-                self.received_at_check = self.received
+                self.received_bytes_at_check = self.received_bytes
             self.owner.receiving.add(self)
 
     def _answers_earlier_request(self) -> bool:
@@ -337,7 +337,12 @@
         request. An upload may be answered early.
         """
         attempt = self.attempt
-        return self.unwritten and self.status == 200 and attempt is not None and attempt.call.upload is None
+        return (
+            self.has_unwritten_bytes
+            and self.status == 200
+            and attempt is not None
+            and attempt.call.upload is None
+        )
 
     def _complete(self) -> None:
         answer, self.answer = self.answer, None
@@ -351,7 +356,7 @@
 
     def _end_exchange(self) -> None:
         # If the request was not fully written, the connection cannot be used for another one.
-        if self.keep_alive and not self.unwritten:
+        if self.keep_alive and not self.has_unwritten_bytes:
             self.return_to_pool()
         else:
             self.close()
@@ -373,5 +378,5 @@
         self.owner.receiving.discard(self)
         self._end_exchange()
         if attempt is not None:
-            self.owner.by_attempt.pop(attempt, None)
+            self.owner.connections_by_attempt.pop(attempt, None)
             attempt.end(outcome, answer, fields.get(b"x-load", b""))
--- a/laurelstep/net/endpoint_state.py
+++ b/laurelstep/net/endpoint_state.py
@@ -58,10 +58,10 @@
         self.answer_budget = BufferBudget(budget_bytes(memory_mb, ANSWERS_SHARE))
         self.max_connections = max_connections
         self.addresses: dict[int, str] = {}
-        self.retiring = False
+        self.is_retiring = False
         self.distrust_until = 0
         self.connections: set[C] = set()
-        self.by_attempt: dict[Attempt, C] = {}
+        self.connections_by_attempt: dict[Attempt, C] = {}
         self.all_closed: asyncio.Event | None = None
         idle_s = min(MAX_IDLE_S, IDLE_FRACTION * (idle_us or DEFAULT_IDLE_US) / 1e6)
         connect_timeout_s = (connect_timeout_us or DEFAULT_CONNECT_TIMEOUT_US) / 1e6
--- a/laurelstep/net/request.py
+++ b/laurelstep/net/request.py
@@ -35,9 +35,9 @@
 # edge replays. The value of each is limited to MAX_CAUSE_BYTES. They are not forwarded to endpoints.
 CAUSE_HEADERS: Final = (b"x-follows", b"x-causal-token", b"x-session", b"x-kept-write")
 MAX_CAUSE_BYTES: Final = 1024
-TOKEN: Final = re.compile(rb"[0-9A-Za-z._~+/=:-]{1,128}")
+TOKEN_PATTERN: Final = re.compile(rb"[0-9A-Za-z._~+/=:-]{1,128}")
 # The origin form of a request target only: no spaces, no control characters, no fragment.
-TARGET: Final = re.compile(rb"/[!\"$-~]*")
+TARGET_PATTERN: Final = re.compile(rb"/[!\"$-~]*")
 
 
 def parse_number(fields: dict[bytes, bytes], name: bytes) -> int | None:
@@ -83,7 +83,7 @@
 
 def resolve_class(target: bytes, fields: dict[bytes, bytes], classes: dict[str, int]) -> int:
     """The number of a request's class. `BadRequestError` if the target or the class is invalid."""
-    if not TARGET.fullmatch(target):
+    if not TARGET_PATTERN.fullmatch(target):
         raise BadRequestError(400, "the target is no path")
     name = fields.get(b"x-class", b"")
     if target != b"/%b" % name and not target.startswith((b"/%b?" % name, b"/%b/" % name)):
@@ -96,12 +96,12 @@
 
 def validate_form(method: bytes, fields: dict[bytes, bytes], cls: RequestClass) -> None:
     """Check the request id, and the method, idempotency key and body that the class requires."""
-    if not TOKEN.fullmatch(fields.get(b"x-request-id", b"")):
+    if not TOKEN_PATTERN.fullmatch(fields.get(b"x-request-id", b"")):
         raise BadRequestError(400, "X-Request-Id is missing or malformed")
     if method != (b"GET" if cls.effect == SAFE else b"POST"):
         raise BadRequestError(405, "not the method of this class")
     key = fields.get(b"idempotency-key")
-    if (key is not None) != (cls.effect == KEYED) or (key is not None and not TOKEN.fullmatch(key)):
+    if (key is not None) != (cls.effect == KEYED) or (key is not None and not TOKEN_PATTERN.fullmatch(key)):
         raise BadRequestError(400, "Idempotency-Key is not as the class demands")
     length = body_length(fields)
     if cls.effect == SAFE and length:
--- a/laurelstep/net/request_receiver.py
+++ b/laurelstep/net/request_receiver.py
@@ -55,17 +55,17 @@
         self.parser: Any = httptools.HttpRequestParser(self)
         self._reset()
 
-    def write_answer(self, answer: Answer, unread: bool = False) -> None:
-        """Write an answer. `unread`: the request is incomplete, and the rest of it is not read."""
+    def write_answer(self, answer: Answer, is_incomplete: bool = False) -> None:
+        """Write an answer. `is_incomplete`: the request is incomplete, and the rest of it is not read."""
         raise NotImplementedError
 
     def _reset(self) -> None:
         self.target = b""
         self.headers: Headers = []
         self.body = bytearray()  # not a list of parts: a part of one byte would take forty
-        self.size = self.received = 0
+        self.size = self.received_bytes = 0
         self.parsed: Call | Answer | None = None  # the call for the head, or the answer to a health check
-        self.head_at = 0.0  # loop time at which the head was complete
+        self.head_completed_at = 0.0  # loop time at which the head was complete
         self.has_begun = self.is_complete = False
 
     def _abandon(self) -> None:
@@ -79,31 +79,31 @@
         upload, self.upload = self.upload, None
         if upload is not None:
             upload.abandon()
-        reserved, self.reserved = self.reserved, 0
+        reserved, self.reserved_bytes = self.reserved_bytes, 0
         self.server.request_budget.release(reserved)
 
     # --- Reading --------------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
         """asyncio: bytes of a request have arrived."""
-        if self.closing:
+        if self.is_closing:
             self._discard(data)
             return
         if self.answer is not None:
             self._hold_pipelined(data)
             return
-        if not self.received and self.call is None:
+        if not self.received_bytes and self.call is None:
             self.server.idle.discard(self)
             self.server.awaiting_request.discard(self)  # the timeout restarts at the first byte
-        self.received += len(data)
+        self.received_bytes += len(data)
         try:
             if self.call is not None and self.upload is None:
                 # Guards against request smuggling: clients send one request at a time.
                 raise BadRequestError(400, "more than one request")
             self.parser.feed_data(data)
-            if self.parsed is None and self.received > MAX_HEAD_BYTES:
+            if self.parsed is None and self.received_bytes > MAX_HEAD_BYTES:
                 raise BadRequestError(431, "the head is too large")
-            if self.received > MAX_FRAMING_BYTES + MAX_FRAMING_BYTES_PER_BODY_BYTE * self.size:
+            if self.received_bytes > MAX_FRAMING_BYTES + MAX_FRAMING_BYTES_PER_BODY_BYTE * self.size:
                 raise BadRequestError(413, "the request is mostly framing")
         except httptools.HttpParserCallbackError as error:
             cause = error.__context__
@@ -133,7 +133,7 @@
     def _continue_reading(self) -> None:
         """Wait for the rest of a request: its head has a time limit, its body a minimum throughput."""
         server = self.server
-        if server.shutdown.refuses_partial:
+        if server.shutdown.refuses_incomplete:
             self.reject(BadRequestError(503, STOPPING_MESSAGE))
             return
         server.late_connections.discard(self)
@@ -141,7 +141,7 @@
             server.awaiting_request.add(self)
             server.reserve_head(self)
             return
-        if not has_min_throughput(self.size, server.loop.time() - self.head_at):
+        if not has_min_throughput(self.size, server.loop.time() - self.head_completed_at):
             self.reject(BadRequestError(408, "the body came too slowly"))
             return
         if self.upload is None and not self.reserve(self.size):
@@ -154,9 +154,9 @@
 
     def reserve(self, size: int) -> bool:
         """Reserve buffer budget for `size` bytes of the request; False if the budget is used up."""
-        reserved = self.server.request_budget.reserve(size, self.reserved)
+        reserved = self.server.request_budget.reserve(size, self.reserved_bytes)
         if reserved >= 0:
-            self.reserved = reserved
+            self.reserved_bytes = reserved
         return reserved >= 0
 
     def on_message_begin(self) -> None:
@@ -177,12 +177,12 @@
     def on_headers_complete(self) -> None:
         """HTTP parser: the head is complete. `BadRequestError` if the request is not valid."""
         if (
-            self.received > MAX_HEAD_BYTES
+            self.received_bytes > MAX_HEAD_BYTES
             and sum(len(name) + len(value) for name, value in self.headers) > MAX_HEAD_BYTES
         ):
             raise BadRequestError(431, "the head is too large")
         self.parsed = self._parse_head()
-        self.head_at = self.server.loop.time()
+        self.head_completed_at = self.server.loop.time()
         if any(name == b"expect" and value.lower() == b"100-continue" for name, value in self.headers):
             self._send_continue()
 
@@ -330,7 +330,9 @@
             parsed.expires_at += engine.now()
             parsed.body = body
             if body:
-                self.reserved = self.server.request_budget.reserve_unconditionally(len(body), self.reserved)
+                self.reserved_bytes = self.server.request_budget.reserve_unconditionally(
+                    len(body), self.reserved_bytes
+                )
             parsed.can_stream_answer = True
             self.call = parsed
             engine.take(parsed)
--- a/laurelstep/net/response_receiver.py
+++ b/laurelstep/net/response_receiver.py
@@ -61,7 +61,7 @@
         self.owner = owner
         self.transport: asyncio.Transport | None = None
         self.answer: BodyStream | None = None  # the body of an answer that is being streamed
-        self.reserved = 0  # bytes reserved in the answer budget
+        self.reserved_bytes = 0  # bytes reserved in the answer budget
         self.streaming_since = 0.0  # loop time at which streaming began, moved forward by each pause
         self.paused_since = 0.0  # loop time of the last pause
         self.parser: Any = httptools.HttpResponseParser(self)
@@ -73,13 +73,13 @@
             None  # headers of the final answer by name; None before its head is complete
         )
         self.body = bytearray()
-        self.size = self.received = self.received_at_check = self.status = 0
+        self.size = self.received_bytes = self.received_bytes_at_check = self.status = 0
         self.length = CHUNKED
         self.is_complete = self.keep_alive = self.has_trailing_data = False
         self._release_budget()
 
     def _release_budget(self) -> None:
-        reserved, self.reserved = self.reserved, 0
+        reserved, self.reserved_bytes = self.reserved_bytes, 0
         self.owner.answer_budget.release(reserved)
 
     # --- Parsing ------------------------------------------------------------------
@@ -100,13 +100,13 @@
         """HTTP parser: a head is complete. `MalformedResponseError` if its framing is ambiguous."""
         if not self.is_complete and self.parser.get_status_code() >= 200:
             self.status = self.parser.get_status_code()
-            self.fields, self.length = validate_framing(self.headers, self._max_body())
+            self.fields, self.length = validate_framing(self.headers, self._max_body_bytes())
 
     def on_body(self, data: bytes) -> None:
         """HTTP parser: a part of the body."""
         if not self.is_complete:
             self.size += len(data)
-            if self.size > self._max_body():
+            if self.size > self._max_body_bytes():
                 raise MalformedResponseError("the body is too large")
             if self.answer is not None:
                 self.answer.feed(data)
@@ -118,13 +118,15 @@
         if max(self.length, self.size) > MAX_BUFFERED_BODY_BYTES:
             return False
         budget = self.owner.answer_budget
-        reserved = budget.reserve(self.size, self.reserved)
+        reserved = budget.reserve(self.size, self.reserved_bytes)
         if reserved < 0 and self.attempt is not None and self.attempt.call.can_stream_answer:
             return False
-        self.reserved = budget.reserve_unconditionally(self.size, self.reserved) if reserved < 0 else reserved
+        self.reserved_bytes = (
+            budget.reserve_unconditionally(self.size, self.reserved_bytes) if reserved < 0 else reserved
+        )
         return True
 
-    def _max_body(self) -> int:
+    def _max_body_bytes(self) -> int:
         if self.attempt is not None and not self.attempt.call.can_stream_answer:
             return MAX_BUFFERED_BODY_BYTES
         return MAX_STREAMED_BODY_BYTES
@@ -140,7 +142,7 @@
         """Report the answer as final with its body as a stream. No other attempt can be made afterwards."""
         attempt, self.attempt = self.attempt, None
         assert attempt is not None
-        self.owner.by_attempt.pop(attempt, None)
+        self.owner.connections_by_attempt.pop(attempt, None)
         self.owner.receiving.discard(self)
         answer = self.answer = BodyStream(self, max(self.length, CHUNKED))
         if self.body:
--- a/laurelstep/net/server_state.py
+++ b/laurelstep/net/server_state.py
@@ -47,9 +47,9 @@
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
-        self.closing = False  # bytes that still arrive are discarded
-        self.received = 0  # bytes of the request that is being read
-        self.reserved = 0  # bytes reserved in the request budget
+        self.is_closing = False  # bytes that still arrive are discarded
+        self.received_bytes = 0  # bytes of the request that is being read
+        self.reserved_bytes = 0  # bytes reserved in the request budget
         self.parsed: Call | Answer | None = None  # the call for its head, or the answer to a health check
         self.hangup_poller: Any = None  # polls for the client's close; created on first use
 
@@ -210,7 +210,7 @@
                 (sweeper, connection) for connection in itertools.islice(written, EVICTION_CANDIDATES)
             ]
         for sweeper, connection in candidates:
-            if connection.closing or not connection.has_unread():
+            if connection.is_closing or not connection.has_unread():
                 self._evict(sweeper, connection)
                 return
         if candidates:
@@ -227,11 +227,11 @@
 
         Guards memory against many incomplete heads. No part of them was forwarded, so they are refused.
         """
-        while not connection.reserve(connection.received):
+        while not connection.reserve(connection.received_bytes):
             partial_heads = (
                 candidate
                 for candidate in self.awaiting_request.waiting_since
-                if candidate.reserved > 0 and candidate.parsed is None
+                if candidate.reserved_bytes > 0 and candidate.parsed is None
             )
             oldest = next(partial_heads, connection)
             oldest.reject(BadRequestError(503, "too much is half-written"))
--- a/laurelstep/net/shutdown.py
+++ b/laurelstep/net/shutdown.py
@@ -82,7 +82,7 @@
         """Answer with the error's status, and close the connection."""
 
 
-class Connections(Protocol):
+class ConnectionHolder(Protocol):
     """The server's listener and connections as the shutdown uses them."""
 
     listener: Acceptor | None
@@ -93,11 +93,11 @@
 
     @property
     def idle(self) -> DeadlineSweeper[Any]:
-        """Connections between two requests."""
+        """ConnectionHolder between two requests."""
 
     @property
     def awaiting_request(self) -> DeadlineSweeper[Any]:
-        """Connections without a complete request, except those with an upload."""
+        """ConnectionHolder without a complete request, except those with an upload."""
 
 
 class GracefulShutdown:
@@ -107,7 +107,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         lifecycle: Lifecycle,
-        server: Connections,
+        server: ConnectionHolder,
         on_stop: Callable[[], None] | None,
     ) -> None:
         self.loop = loop
@@ -118,7 +118,7 @@
         # Whether a successor process accepts the clients.
         self.has_successor: Callable[[], bool] = lambda: False
         self.pending: list[asyncio.TimerHandle] = []  # timers of the steps to come
-        self.refuses_partial = False  # incomplete requests are refused from now on
+        self.refuses_incomplete = False  # incomplete requests are refused from now on
         self.is_listener_closed = False  # and every connection that it accepted is set up
         self.is_finished = False  # no connection is left: the process ends
         lifecycle.observers.append(self._on_phase_change)
@@ -200,7 +200,7 @@
         self.loop.call_soon(self._listener_closed, listener)
 
     def _listener_closed(self, listener: Acceptor) -> None:
-        if listener.connecting:
+        if listener.setup_tasks:
             self.loop.call_soon(self._listener_closed, listener)
             return
         self.is_listener_closed = True
@@ -216,15 +216,15 @@
                 connection.close_unforwarded()
         self.finish_if_done()
         if not self.is_finished:
-            self.loop.call_later(LAST_REQUEST_S, self.refuse_partial)
+            self.loop.call_later(LAST_REQUEST_S, self.refuse_incomplete)
 
-    def refuse_partial(self) -> None:
+    def refuse_incomplete(self) -> None:
         """Refuse incomplete requests and uploads from now on.
 
         Guards against a request whose last byte arrives later than 0.7 s after SIGTERM: with short deadlines,
         SIGKILL comes before its answer.
         """
-        self.refuses_partial = True
+        self.refuses_incomplete = True
         for connection in list(self.server.connections):
             connection.reject_upload()
         self.close_all_unforwarded()
--- a/laurelstep/net/upstream.py
+++ b/laurelstep/net/upstream.py
@@ -76,7 +76,7 @@
             self.surplus_connections.discard(connection)
             if connection.is_reusable():
                 connection.attempt = attempt
-                self.by_attempt[attempt] = connection
+                self.connections_by_attempt[attempt] = connection
                 connection.write()
                 return
             connection.close()
@@ -94,7 +94,7 @@
             attempt.end(NOT_SENT)
             return
         connection = EndpointConnection(self, pool, attempt)
-        self.by_attempt[attempt] = connection
+        self.connections_by_attempt[attempt] = connection
         self.connections.add(connection)
         connection.open()
 
@@ -102,20 +102,20 @@
         """Close every connection after its attempt. Idle connections kept by a stopping sidecar left no room
         at the endpoints for the sidecar that took over its clients.
         """
-        self.retiring = True
+        self.is_retiring = True
         for pool in self.pools.values():
             pool.close_idle()
 
     def cancel(self, attempt: Attempt) -> None:
         """Cancel an attempt by closing its connection."""
-        connection = self.by_attempt.pop(attempt, None)
+        connection = self.connections_by_attempt.pop(attempt, None)
         if connection is not None and connection.attempt is attempt:
             connection.attempt = None
             connection.close()
 
     def close(self) -> None:
         """Close all connections. Their attempts are ended by their own timeouts."""
-        self.retiring = True
+        self.is_retiring = True
         for connection in list(self.connections):
             connection.close()
         for sweeper in self.sweepers:
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -340,7 +340,7 @@
                 (head, rest) = PAY[:-2], PAY[-2:]
                 caller.send(head)
                 connection = await only_connection(proxy)
-                await until(lambda: connection.received == len(head))
+                await until(lambda: connection.received_bytes == len(head))
                 proxy.server.stop(ended.set)
                 if last_byte == "read":
                     caller.send(rest)
@@ -582,7 +582,9 @@
                 connection = await only_connection(proxy)
                 transport = connection.transport
                 assert transport is not None
-                await until(lambda: connection.received == len(whole) - 20 or not transport.is_reading())
+                await until(
+                    lambda: connection.received_bytes == len(whole) - 20 or not transport.is_reading()
+                )
                 if comes == "upload":
                     await until(lambda: endpoint.opened == 1)
                 take_steps_by_hand(proxy)
@@ -590,9 +592,9 @@
                 caller.send(whole[-20:-10])
                 proxy.server.shutdown.stop_listening()
                 await until(lambda: not connection.has_unread() or not transport.is_reading())
-                assert not connection.closing
+                assert not connection.is_closing
                 caller.send(whole[-10:] if comes == "whole" else whole[-10:-5])
-                proxy.server.shutdown.refuse_partial()
+                proxy.server.shutdown.refuse_incomplete()
                 (response,) = await parsed(await caller.read())
                 assert (response.status, len(endpoint.got)) == ((200, 1) if comes == "whole" else (503, 0))
                 assert response.headers["connection"] == "close"
@@ -1169,7 +1171,7 @@
             with client(proxy) as half:
                 half.send(PAY[:-1])
                 connection = await only_connection(proxy)
-                await until(lambda: connection.received == len(PAY) - 1)
+                await until(lambda: connection.received_bytes == len(PAY) - 1)
                 with client(proxy) as other:
                     (response,) = await parsed(await half.read())
                     assert response.status == 503 and response.headers["connection"] == "close"
--- a/tests/test_flow_control.py
+++ b/tests/test_flow_control.py
@@ -398,7 +398,7 @@
             writer.write(head(200_000) + b"x" * 10)
             await until(lambda: any(caller.parsed is not None for caller in one.server.connections))
             (caller,) = one.server.connections
-            caller.head_at -= 60.0  # as if the head had come a minute ago
+            caller.head_completed_at -= 60.0  # as if the head had come a minute ago
             writer.write(b"x" * 1000)
             back = await read_message(reader)
             assert back.status == 408 and not endpoint.got
@@ -649,7 +649,7 @@
             await until(lambda: bool(one.upstream.receiving.waiting_since))
             (link,) = one.upstream.receiving.waiting_since
             if stays:
-                link.received_at_check = 0  # something came since it was looked at last
+                link.received_bytes_at_check = 0  # something came since it was looked at last
                 del one.upstream.receiving.waiting_since[link]
                 link.on_response_timeout()
                 go.set()
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -257,7 +257,7 @@
             assert link.transport is None, "the connection is still coming up"
             await cancelled(task)
             assert [(one.outcome, one.is_final) for one in told] == [(CANCELLED, True)]
-            assert nothing_held(client) and not client._parts.upstream.by_attempt
+            assert nothing_held(client) and not client._parts.upstream.connections_by_attempt
         assert not endpoint.got
 
     play(main)
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -229,10 +229,10 @@
             half, half_writer = await one.one.connect()
             half_writer.write(request("pay", b"body", rid="b")[:-2])
             while len(one.one.server.connections) < 3 or not all(
-                c.received for c in one.one.server.awaiting_request.waiting_since
+                c.received_bytes for c in one.one.server.awaiting_request.waiting_since
             ):
                 await asyncio.sleep(0)
-                if sum(1 for c in one.one.server.connections if c.received) == 1:
+                if sum(1 for c in one.one.server.connections if c.received_bytes) == 1:
                     break
             one.one.server.lifecycle.evacuate(asyncio.get_running_loop().time())
             one.one.server.shutdown.close_idle_and_silent()
@@ -280,7 +280,8 @@
             whole = request("pay", b"body")
             writer.write(whole[:-1])
             while not all(
-                caller.received == len(whole) - 1 for caller in one.one.server.awaiting_request.waiting_since
+                caller.received_bytes == len(whole) - 1
+                for caller in one.one.server.awaiting_request.waiting_since
             ):
                 await asyncio.sleep(0)
             while not one.one.server.awaiting_request.waiting_since:
@@ -426,10 +427,10 @@
             (link,) = one.one.upstream.connections
             while link.transport is None:
                 await asyncio.sleep(0)
-            assert link.unwritten != bool(one.one.engine.counters.sends)
+            assert link.has_unwritten_bytes != bool(one.one.engine.counters.sends)
             while not one.one.engine.counters.sends:
                 await asyncio.sleep(0)
-            assert not link.unwritten and one.one.engine.counters.sends == 1
+            assert not link.has_unwritten_bytes and one.one.engine.counters.sends == 1
             asked.cancel()
 
     run(main())
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -45,7 +45,7 @@
 
 
 async def until_counted(one: Sidecar, halves: int) -> None:
-    while sum(caller.received > 20_000 for caller in one.server.connections) < halves:
+    while sum(caller.received_bytes > 20_000 for caller in one.server.connections) < halves:
         await asyncio.sleep(0)
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -219,7 +219,7 @@
         async with sidecar(Endpoint()) as proxy:
             reader, writer = await proxy.connect()
             writer.write(raw)
-            while not proxy.server.connections or (raw and not only_connection(proxy).received):
+            while not proxy.server.connections or (raw and not only_connection(proxy).received_bytes):
                 await asyncio.sleep(0)
             assert proxy.server.awaiting_request.timeout_s < 3.0
             proxy.server.awaiting_request.waiting_since[only_connection(proxy)] -= (
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -587,7 +587,7 @@
             assert proxy.engine.attempts.may_start(attempt, now)
             place.withdrawn_at = now - (500_000 - 150_000)
             assert not proxy.engine.attempts.may_start(attempt, now)
-            connection = proxy.upstream.by_attempt[attempt]
+            connection = proxy.upstream.connections_by_attempt[attempt]
             connection.write()  # as after a connect that took too long
             assert [event.outcome for event in recorded] == [NOT_SENT] and len(endpoint.got) == 1
             asked.cancel()
