--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -133,7 +133,7 @@
 
     def _restore_shared(self, loaded: LoadedWrites) -> None:
         if self.sharing is not None:
-            self.sharing.restored(loaded)
+            self.sharing.restore(loaded)
         if self.status_publisher is not None:
             for write_id in self.parked:
                 self.status_publisher.publish(write_id, WriteStatus.PARKED)
@@ -205,7 +205,7 @@
             raise UnknownWriteError(
                 f"no line {edge_log.edge}/{edge_log.incarnation:016x} that others could have"
             )
-        return self.sharing.force(edge_log)
+        return self.sharing.force_lease(edge_log)
 
     def status(self) -> dict[str, Any]:
         """For an operator."""
--- a/laurelstep/outbox/replay_driver.py
+++ b/laurelstep/outbox/replay_driver.py
@@ -53,7 +53,7 @@
             "outbox: cut off: writes are kept" if self.was_cut_off else "outbox: back: writes go upstream"
         )
         if self.sharing is not None and not self.was_cut_off:
-            self.sharing.remote.on_link_up(self.now())
+            self.sharing.version_vector.on_link_up(self.now())
         self.wake()
 
     def _check_endpoints(self) -> None:
@@ -86,8 +86,8 @@
         self._publish_finished()
         take_new_dependencies = self.outbox.take_new_dependencies()
         if self.sharing is not None:
-            self.sharing.remote.watch(take_new_dependencies)
-            self.sharing.turn()
+            self.sharing.version_vector.watch(take_new_dependencies)
+            self.sharing.send_due_query()
         if expired_receipts := self.outbox.expired_receipts(self.now(), self._is_unpublished):
             self.spawn(self._forget(expired_receipts))
 
@@ -151,7 +151,7 @@
     def _apply(self, change: Transition) -> bool:
         """False as `Outbox.apply`."""
         if self.sharing is not None:
-            self.sharing.before(change)
+            self.sharing.on_step_durable(change)
         goes = self.outbox.apply(change, self.now())
         state = change.moved.state
         if self.status_publisher is not None and (state is WriteState.PARKED or change.event in UNPARKED):
@@ -168,7 +168,7 @@
         if state in FINAL:
             self.again.discard(change.write_id)
         if self.sharing is not None:
-            self.sharing.applied(change)
+            self.sharing.on_step_applied(change)
         return goes
 
     async def _send(self, write_id: WriteId) -> None:
@@ -189,7 +189,7 @@
             if call.upload is not None:
                 call.upload.abandon()
         if self.sharing is not None:
-            end = self.sharing.end_of(call, replay, answer)
+            end = self.sharing.replay_result(call, replay, answer)
         elif answer.ending is Ending.SERVED:
             end = ReplayResult.ANSWERED
         elif answer.ending is Ending.REFUSED or replay.never_ran:
@@ -218,7 +218,7 @@
             is_retry=write.write_id in self.again,
         )
         if self.sharing is not None:
-            self.sharing.name(call, write)
+            self.sharing.mark_as_replay(call, write)
         return call
 
     async def _end(self, write_id: WriteId, end: ReplayResult, answer: Answer) -> None:
--- a/laurelstep/outbox/shared/asking.py
+++ b/laurelstep/outbox/shared/asking.py
@@ -60,12 +60,14 @@
         assert isinstance(driver.outbox.version_vector, RemoteVersionVector)
         self.driver = driver
         self.outbox = driver.outbox
-        self.remote = driver.outbox.version_vector
+        self.version_vector = driver.outbox.version_vector
         self.seal = MessageSeal(secret)
         kept = driver.settings.classes
         # One whose attempts may be tried again, if there is any.
         self.cls = min(driver.classes, key=lambda cls: (kept[driver.classes[cls]].how != "keyed", cls))
-        self.holders: dict[EdgeLog, tuple[int, ...]] = {self.remote.edge_log: (self.remote.life,)}
+        self.holders: dict[EdgeLog, tuple[int, ...]] = {
+            self.version_vector.edge_log: (self.version_vector.incarnation,)
+        }
         self.unnamed: dict[EdgeLog, bool] = {}  # logs to be claimed, with force or without
         self.naming = False
         self.parked_at: dict[WriteId, int] = {}  # those that are parked, since when
@@ -77,7 +79,7 @@
 
     # --- A life's beginning -----------------------------------------------------------
 
-    def restored(self, loaded: LoadedWrites) -> None:
+    def restore(self, loaded: LoadedWrites) -> None:
         """Before anything else is done."""
         for write, moved in loaded.writes:
             edge_log = write.write_id.edge_log
@@ -95,11 +97,11 @@
     def _follow_own(self, write_id: WriteId) -> None:
         dependency = Dependency(*write_id)
         if self.outbox.needs_status(dependency):
-            self.remote.watch((dependency,))
+            self.version_vector.watch((dependency,))
 
-    def force(self, edge_log: EdgeLog) -> bool:
+    def force_lease(self, edge_log: EdgeLog) -> bool:
         """An operator's word: this process has the log. False if it holds it already."""
-        if self.remote.holds(edge_log):
+        if self.version_vector.holds(edge_log):
             return False
         self.holders.setdefault(edge_log, (edge_log.incarnation,))
         self.unnamed[edge_log] = True
@@ -110,16 +112,16 @@
 
     async def _name(self) -> None:
         """Rule 2."""
-        life = self.remote.life
+        incarnation = self.version_vector.incarnation
         try:
-            for edge_log, force in list(self.unnamed.items()):
-                lives = self.holders[edge_log]
-                if life not in lives:
-                    lives = tuple(bounded((*lives, life)))
-                    await self.driver.store.put_holders(edge_log, lives)
-                    self.holders[edge_log] = lives
+            for edge_log, is_forced in list(self.unnamed.items()):
+                incarnations = self.holders[edge_log]
+                if incarnation not in incarnations:
+                    incarnations = tuple(bounded((*incarnations, incarnation)))
+                    await self.driver.store.put_holders(edge_log, incarnations)
+                    self.holders[edge_log] = incarnations
                 del self.unnamed[edge_log]
-                self.remote.claim(edge_log, lives, force)
+                self.version_vector.request_lease(edge_log, incarnations, is_forced)
         except StoreError as error:
             self.driver.log(f"outbox: a claim is not written: {error}")
             return  # at the next turn
@@ -129,7 +131,7 @@
 
     # --- Steps ------------------------------------------------------------------------
 
-    def before(self, change: Transition) -> None:
+    def on_step_durable(self, change: Transition) -> None:
         """A change is durable, and not applied yet."""
         if change.event is WriteEvent.NEVER_RAN and self.outbox.is_unsafe(change.write_id):
             self.outbox.withhold(change.write_id)
@@ -137,7 +139,7 @@
         elif change.event in (WriteEvent.ANSWERED, WriteEvent.FOUND_IN):
             self.driver.applied_by_gate.add(change.write_id)
 
-    def applied(self, change: Transition) -> None:
+    def on_step_applied(self, change: Transition) -> None:
         """A change was applied."""
         if change.moved.state is WriteState.PARKED:
             self.parked_at[change.write_id] = self.driver.clock.now()
@@ -157,9 +159,9 @@
     def _tell_words(self) -> None:
         now = self.driver.clock.now()
         for write_id, (parking, due) in list(self.words.items()):
-            if due <= now and self.remote.holds(write_id.edge_log):
+            if due <= now and self.version_vector.holds(write_id.edge_log):
                 self._drop_word(write_id)
-                self.remote.withdraw_intent(write_id, parking)
+                self.version_vector.withdraw_intent(write_id, parking)
                 self.driver.wake()
 
     def _drop_words(self, edge_log: EdgeLog) -> None:
@@ -171,13 +173,15 @@
         del self.words[write_id]
         self.timers.pop(write_id).cancel()
 
-    def name(self, call: Call, write: QueuedWrite) -> None:
+    def mark_as_replay(self, call: Call, write: QueuedWrite) -> None:
         """Make it a replay to a copy upstream."""
-        sealed = self.seal.replayed(ReplayIdentity(write.write_id, self.remote.life, not write.keyed))
+        sealed = self.seal.replayed(
+            ReplayIdentity(write.write_id, self.version_vector.incarnation, not write.keyed)
+        )
         call.header_lines = lines_of((*write.headers, (KEPT_HEADER, sealed.encode())))
         call.queued_write_fate = b""
 
-    def end_of(self, call: Call, replay: ReplayFront, answer: Answer) -> ReplayResult:
+    def replay_result(self, call: Call, replay: ReplayFront, answer: Answer) -> ReplayResult:
         """What a copy's answer to a replay means."""
         if answer.ending is Ending.SERVED:
             return ReplayResult.ANSWERED
@@ -198,7 +202,7 @@
 
     def _lost(self, edge_log: EdgeLog) -> bool:
         """A gate says that another life has it."""
-        if not self.remote.on_fencing_reported(edge_log):
+        if not self.version_vector.on_fencing_reported(edge_log):
             return False
         self._fence(edge_log)
         return True
@@ -214,19 +218,19 @@
 
     # --- Asking -----------------------------------------------------------------------
 
-    def turn(self) -> None:
+    def send_due_query(self) -> None:
         """Once a second, and when something has happened."""
         driver = self.driver
         if driver.closing or driver.engine is None:
             return
         if driver.cutoff.is_cut_off:
-            if self.unnamed or self.remote.waits:
-                self._begin(self.remote.probe(driver.now()))
+            if self.unnamed or self.version_vector.waits:
+                self._begin(self.version_vector.probe(driver.now()))
             return
         if self.unnamed and not self.naming:
             self.naming = True
             driver.spawn(self._name())
-        self._begin(self.remote.next(driver.now(), self.outbox.needs_status))
+        self._begin(self.version_vector.next(driver.now(), self.outbox.needs_status))
 
     def _begin(self, ask: ReplayQuery | None) -> None:
         if ask is not None:
@@ -252,16 +256,16 @@
         except (OutboxError, ValueError) as error:
             if answer.ending is Ending.SERVED:
                 driver.log(f"outbox: upstream's answer can't be used: {error}")
-            self.remote.on_query_failed(now)
+            self.version_vector.on_query_failed(now)
             return
-        self._act(self.remote.on_reply(told, now))
+        self._act(self.version_vector.on_reply(told, now))
 
     async def _answer(self, sealed: str) -> Answer:
         engine = self.driver.engine
         assert engine is not None
         asking = QueryFront()
         self.asked += 1
-        name = b"outbox ask %x/%d" % (self.remote.life, self.asked)
+        name = b"outbox ask %x/%d" % (self.version_vector.incarnation, self.asked)
         wait = min(ASK_US, engine.settings.classes[self.cls].deadline_us)
         call = Call(
             self.cls,
@@ -287,7 +291,7 @@
         for edge_log in news.held:
             self.outbox.unfence(edge_log)
             # Whoever comes after on this disk comes after this life.
-            self.holders[edge_log] = (edge_log.incarnation, self.remote.life)
+            self.holders[edge_log] = (edge_log.incarnation, self.version_vector.incarnation)
             driver.spawn(self._held(edge_log))
         if news.held:
             self._tell_words()
--- a/laurelstep/outbox/shared/assembly.py
+++ b/laurelstep/outbox/shared/assembly.py
@@ -84,7 +84,7 @@
         already.
         """
         assert self.replay_gate is not None
-        return self.replay_gate.lose(edge, incarnation)
+        return self.replay_gate.declare_lost(edge, incarnation)
 
     def claim(self, edge_log: EdgeLog) -> bool:
         """Let this process replay a log of an earlier incarnation. False if it holds the log already.
--- a/laurelstep/outbox/shared/edge.py
+++ b/laurelstep/outbox/shared/edge.py
@@ -53,7 +53,7 @@
 
     def __init__(self, edge_log: EdgeLog, random: Random) -> None:
         self.edge_log = edge_log
-        self.life = edge_log.incarnation
+        self.incarnation = edge_log.incarnation
         self._statuses = KnownStatuses()
         self._held = {edge_log}
         self._fenced: set[EdgeLog] = set()
@@ -94,29 +94,31 @@
             if not self._statuses.is_final(dependency):
                 self._asked.add(dependency)
 
-    def claim(self, edge_log: EdgeLog, known: Iterable[int], force: bool = False) -> None:
+    def request_lease(self, edge_log: EdgeLog, known_holders: Iterable[int], is_forced: bool = False) -> None:
         """Ask for it. `known`: as they came; that this life is among them is durable."""
-        others = [life for life in dict.fromkeys(known) if life != self.life]
+        others = [
+            incarnation for incarnation in dict.fromkeys(known_holders) if incarnation != self.incarnation
+        ]
         others = list(bounded(others))
-        if force:
+        if is_forced:
             self._fenced.discard(edge_log)
             self._drop_unbegun(edge_log)
         if edge_log not in self._fenced:
-            self._open_claims[edge_log] = LeaseRequest(edge_log, self.life, tuple(others), force)
+            self._open_claims[edge_log] = LeaseRequest(edge_log, self.incarnation, tuple(others), is_forced)
             self._claims.add(edge_log)
 
     def on_fencing_reported(self, edge_log: EdgeLog) -> bool:
         """A gate refused a write of it as another life's. True if that is so; otherwise the record may have
         been lost, and it is claimed again first.
         """
-        claim = self._claimed.get(edge_log)
-        if claim is None or edge_log in self._fenced:
+        request = self._claimed.get(edge_log)
+        if request is None or edge_log in self._fenced:
             if edge_log not in self._open_claims:
                 self._fence(edge_log)
             return edge_log in self._fenced
         self._held.discard(edge_log)
         del self._claimed[edge_log]
-        self._open_claims[edge_log] = claim
+        self._open_claims[edge_log] = request
         self._claims.add(edge_log)
         return False
 
@@ -154,7 +156,7 @@
             return False
         if write_status is WriteStatus.ABANDONED:
             self._ungiven.setdefault(write_id.edge_log, set()).add(write_id.number)
-        self._say(dependency, StatusUpdate(write_id, write_status, self.life))
+        self._say(dependency, StatusUpdate(write_id, write_status, self.incarnation))
         return True
 
     def withdraw_intent(self, write_id: WriteId, parking: int) -> None:
@@ -163,7 +165,9 @@
         """
         self._say(
             Dependency(*write_id),
-            StatusUpdate(write_id, WriteStatus.UNKNOWN, self.life, withdraw_intent=True, parking=parking),
+            StatusUpdate(
+                write_id, WriteStatus.UNKNOWN, self.incarnation, withdraw_intent=True, parking=parking
+            ),
         )
 
     def publish_low_watermark(self, edge_log: EdgeLog, number: int) -> bool:
@@ -172,7 +176,7 @@
             return True
         self._low[edge_log] = number
         dependency = Dependency(*edge_log, 0, True)
-        told = StatusUpdate(WriteId(*edge_log, number), WriteStatus.APPLIED, self.life, before=True)
+        told = StatusUpdate(WriteId(*edge_log, number), WriteStatus.APPLIED, self.incarnation, before=True)
         if self._has_told_gone(edge_log):
             self._said[dependency] = told  # rule 5
         else:
@@ -200,8 +204,8 @@
         if write_status not in FINAL_STATUSES:
             return False
         for one, told in self._said.items():
-            known = one not in self._untold and told.write_status is WriteStatus.ABANDONED
-            if known or told.write_status is WriteStatus.PARKED or one.edge_log in self._fenced:
+            is_known = one not in self._untold and told.write_status is WriteStatus.ABANDONED
+            if is_known or told.write_status is WriteStatus.PARKED or one.edge_log in self._fenced:
                 self._unsay(one)
                 return True
         return False
@@ -269,7 +273,7 @@
             tuple(self._said[dependency] for dependency in self._tells.take(self._tellable)),
         )
         self._left = max(0, self._left - 1)
-        if not (ask.write_statuses or ask.claims or ask.told):
+        if not (ask.dependencies or ask.lease_requests or ask.status_updates):
             return None
         self._out = ask
         return ask
@@ -316,13 +320,13 @@
         if ask is None:
             return news
         moved = ask == ReplayQuery()  # a probe: the link may be back
-        for dependency, write_status in zip(ask.write_statuses, answer.write_statuses, strict=False):
+        for dependency, write_status in zip(ask.dependencies, answer.write_statuses, strict=False):
             moved |= self._learn(dependency, write_status, news)
-        for claim, became in zip(ask.claims, answer.claims, strict=False):
-            moved |= self._settle(claim, became, news)
-        for told, known in zip(ask.told, answer.told, strict=False):
-            moved |= known
-            if known:
+        for request, became in zip(ask.lease_requests, answer.lease_statuses, strict=False):
+            moved |= self._settle(request, became, news)
+        for told, is_agreed in zip(ask.status_updates, answer.agreements, strict=False):
+            moved |= is_agreed
+            if is_agreed:
                 self._has_been_told(told, news)
         if moved:
             self._backoff.shorten()
@@ -346,9 +350,9 @@
             edge_log in self._held or edge_log in self._fenced or edge_log in self._open_claims
         )
 
-    def _settle(self, claim: LeaseRequest, became: LeaseStatus, news: QueryOutcome) -> bool:
-        edge_log = claim.edge_log
-        if not self._is_claim(edge_log) or self._claim_of(edge_log) is not claim:
+    def _settle(self, request: LeaseRequest, became: LeaseStatus, news: QueryOutcome) -> bool:
+        edge_log = request.edge_log
+        if not self._is_claim(edge_log) or self._claim_of(edge_log) is not request:
             return False  # something else is asked for it by now
         if became is LeaseStatus.FENCED:
             self._fence(edge_log)
@@ -361,7 +365,7 @@
             return False
         self._open_claims.pop(edge_log)
         # Asked again without force: an operator's word counts once.
-        self._claimed[edge_log] = LeaseRequest(edge_log, claim.life, claim.known)
+        self._claimed[edge_log] = LeaseRequest(edge_log, request.incarnation, request.known_holders)
         self._held.add(edge_log)
         for dependency in self._said:
             if dependency.edge_log == edge_log and dependency in self._untold:
--- a/laurelstep/outbox/shared/ledger.py
+++ b/laurelstep/outbox/shared/ledger.py
@@ -160,9 +160,11 @@
         holder = self._log_state(request.edge_log).holder
         if holder == 0:
             return LeaseStatus.FENCED
-        if holder == request.life:
+        if holder == request.incarnation:
             return LeaseStatus.HELD
-        return LeaseStatus.OPEN if request.force or holder in request.known else LeaseStatus.FENCED
+        return (
+            LeaseStatus.OPEN if request.is_forced or holder in request.known_holders else LeaseStatus.FENCED
+        )
 
     def agrees_with(self, update: StatusUpdate) -> bool:
         """Whether the ledger shows the update's status. True also for a write that is final with another
@@ -189,17 +191,19 @@
         if self.lease_status(request) is not LeaseStatus.OPEN:
             return None
         state = self._log_state(request.edge_log)
-        return LogLease(request.edge_log, request.life, state.holder, state.holder_changes, request.force)
+        return LogLease(
+            request.edge_log, request.incarnation, state.holder, state.holder_changes, request.is_forced
+        )
 
     def status_entry(self, update: StatusUpdate) -> StatusRecord | None:
         """The entry that would make the ledger agree with the update; None if it agrees already."""
         if self.agrees_with(update):
             return None
         if not update.withdraw_intent:
-            return StatusRecord(update.write_id, update.write_status, update.life, update.before)
+            return StatusRecord(update.write_id, update.write_status, update.incarnation, update.before)
         intent_id = self._log_state(update.write_id.edge_log).intent_id(update.write_id.number)
         return StatusRecord(
-            update.write_id, update.write_status, update.life, update.before, intent_id, update.parking
+            update.write_id, update.write_status, update.incarnation, update.before, intent_id, update.parking
         )
 
     def status(self) -> dict[str, int]:
--- a/laurelstep/outbox/shared/message_seal.py
+++ b/laurelstep/outbox/shared/message_seal.py
@@ -33,7 +33,7 @@
 _SIGN_SIZE: Final = 16
 _VERSION: Final = 1
 _NUMBER_END: Final = 1 << 63
-_LIFE_END: Final = 1 << 64
+_INCARNATION_END: Final = 1 << 64
 
 _Sealed = TypeVar("_Sealed", ReplayIdentity, ReplayQuery, QueryReply)
 
@@ -93,7 +93,7 @@
         with _as_read():
             _check_line(value.write_id.edge_log)
             _check_number(value.write_id.number)
-            _check_life(value.life)
+            _check_incarnation(value.incarnation)
         return value
 
     def open_ask(self, text: str) -> ReplayQuery:
@@ -107,7 +107,7 @@
         """`to`: the sealed ask that it is to be an answer to."""
         value = self._open(QueryReply, text, to.encode("latin-1", "replace"))
         with _as_read():
-            _check_count(value.write_statuses, value.claims, value.told)
+            _check_count(value.write_statuses, value.lease_statuses, value.agreements)
         return value
 
     def _text(self, value: ReplayIdentity | ReplayQuery | QueryReply, to: bytes) -> str:
@@ -153,18 +153,18 @@
 
 
 def _check_ask(ask: ReplayQuery) -> None:
-    _check_count(ask.write_statuses, ask.claims, ask.told)
-    for dependency in ask.write_statuses:
+    _check_count(ask.dependencies, ask.lease_requests, ask.status_updates)
+    for dependency in ask.dependencies:
         _check_line(dependency.edge_log)
         _check_number(dependency.number)
-    for claim in ask.claims:
+    for claim in ask.lease_requests:
         _check_line(claim.edge_log)
-        for life in (claim.life, *claim.known):
-            _check_life(life)
-    for told in ask.told:
+        for incarnation in (claim.incarnation, *claim.known_holders):
+            _check_incarnation(incarnation)
+    for told in ask.status_updates:
         _check_line(told.write_id.edge_log)
         _check_number(told.write_id.number)
-        _check_life(told.life)
+        _check_incarnation(told.incarnation)
         _check_number(told.parking + 1)
 
 
@@ -175,11 +175,11 @@
 
 def _check_line(edge_log: EdgeLog) -> None:
     check_edge(edge_log.edge)
-    _check_life(edge_log.incarnation)
+    _check_incarnation(edge_log.incarnation)
 
 
-def _check_life(life: int) -> None:
-    if not 0 <= life < _LIFE_END:
+def _check_incarnation(incarnation: int) -> None:
+    if not 0 <= incarnation < _INCARNATION_END:
         raise ValueError("an incarnation that can't be")
 
 
--- a/laurelstep/outbox/shared/messages.py
+++ b/laurelstep/outbox/shared/messages.py
@@ -46,7 +46,7 @@
     """A queued write on its way upstream."""
 
     write_id: WriteId
-    life: int
+    incarnation: int
     unsafe: bool
 
 
@@ -56,9 +56,9 @@
     """
 
     edge_log: EdgeLog
-    life: int
-    known: tuple[int, ...]
-    force: bool = False
+    incarnation: int
+    known_holders: tuple[int, ...]
+    is_forced: bool = False
 
 
 class StatusUpdate(msgspec.Struct, array_like=True, frozen=True):
@@ -71,7 +71,7 @@
 
     write_id: WriteId
     write_status: WriteStatus
-    life: int
+    incarnation: int
     before: bool = False
     withdraw_intent: bool = False
     parking: int = 0
@@ -80,9 +80,9 @@
 class ReplayQuery(msgspec.Struct, array_like=True, frozen=True):
     """Of an edge. At most `QUERIED_MOST` of each."""
 
-    write_statuses: tuple[Dependency, ...] = ()
-    claims: tuple[LeaseRequest, ...] = ()
-    told: tuple[StatusUpdate, ...] = ()
+    dependencies: tuple[Dependency, ...] = ()
+    lease_requests: tuple[LeaseRequest, ...] = ()
+    status_updates: tuple[StatusUpdate, ...] = ()
 
 
 class LeaseStatus(IntEnum):
@@ -97,8 +97,8 @@
     """To an ask, each in the order of what was asked. `told`: whether the record says so now."""
 
     write_statuses: tuple[WriteStatus, ...] = ()
-    claims: tuple[LeaseStatus, ...] = ()
-    told: tuple[bool, ...] = ()
+    lease_statuses: tuple[LeaseStatus, ...] = ()
+    agreements: tuple[bool, ...] = ()
 
 
 class IntentStatus(IntEnum):
@@ -120,11 +120,11 @@
     def holder(self, edge_log: EdgeLog) -> int:
         """The life that may replay it; 0 if it is lost."""
 
-    def intent_status(self, write_id: WriteId, life: int, ask: int) -> IntentStatus:
+    def intent_status(self, write_id: WriteId, incarnation: int, intent_id: int) -> IntentStatus:
         """What is agreed of an unsafe write for one query of a gate."""
 
-    def lease_status(self, claim: LeaseRequest) -> LeaseStatus:
+    def lease_status(self, request: LeaseRequest) -> LeaseStatus:
         """OPEN while the claim, agreed now, would hold."""
 
-    def agrees_with(self, told: StatusUpdate) -> bool:
+    def agrees_with(self, update: StatusUpdate) -> bool:
         """The record says so now, or what it says of the write is final."""
--- a/laurelstep/outbox/shared/query_round.py
+++ b/laurelstep/outbox/shared/query_round.py
@@ -31,9 +31,13 @@
 _K = TypeVar("_K", Dependency, EdgeLog)
 
 
-def bounded(lives: Sequence[int]) -> Sequence[int]:
+def bounded(incarnations: Sequence[int]) -> Sequence[int]:
     """The holders that one request may name."""
-    return lives if len(lives) <= KNOWN_MOST else (*lives[:2], *lives[2 - KNOWN_MOST :])
+    return (
+        incarnations
+        if len(incarnations) <= KNOWN_MOST
+        else (*incarnations[:2], *incarnations[2 - KNOWN_MOST :])
+    )
 
 
 class QueryRound(Generic[_K]):
--- a/laurelstep/outbox/shared/replay_gate.py
+++ b/laurelstep/outbox/shared/replay_gate.py
@@ -62,7 +62,7 @@
 # Between two log lines about replays and asks that were refused for what they are.
 COMPLAIN_US: Final = 10_000_000
 # Of an edge that is lost every log is, also one that never was: this one stands for all.
-_ANY_LIFE: Final = (1 << 64) - 1
+_ANY_INCARNATION: Final = (1 << 64) - 1
 
 TEXT: Final = (b"content-type", b"text/plain")
 
@@ -73,7 +73,7 @@
 
     call: Call
     write_id: WriteId
-    life: int
+    incarnation: int
     unsafe: bool
     ask: int = 0  # 0: no BEGIN was told
     admitted: bool = False
@@ -146,7 +146,7 @@
             engine.settle(call, self._refusal())
             return True
         unsafe = replayed.unsafe or self.classes[call.request_class]
-        hand = GatedReplay(call, replayed.write_id, replayed.life, unsafe)
+        hand = GatedReplay(call, replayed.write_id, replayed.incarnation, unsafe)
         resolution = self._verdict(hand)
         if resolution is not None:
             engine.settle(call, resolution)
@@ -162,7 +162,7 @@
         """What can be answered from what is agreed; None if it may be sent, or its BEGIN be told."""
         if not self.sharer.is_ready:
             return self._refusal()
-        begun = self.record.intent_status(hand.write_id, hand.life, hand.ask)
+        begun = self.record.intent_status(hand.write_id, hand.incarnation, hand.ask)
         if begun is IntentStatus.APPLIED:
             self.counters["in"] += 1
             return Answer(Ending.SERVED, 200, ((FATE_HEADER, b"in"),))
@@ -178,7 +178,7 @@
         call, until = hand.call, self._until(hand.call)
         if until > self.clock.now():
             hand.ask = self.draw()
-            entry = Intent(hand.write_id, hand.life, hand.ask)
+            entry = Intent(hand.write_id, hand.incarnation, hand.ask)
             await self._agree(entry, lambda: self._begun(hand) is not IntentStatus.OPEN, until)
         if call not in self.hands:
             self._take_back_later(hand)  # its time is over, or its edge left
@@ -195,7 +195,7 @@
             engine.settle(call, self._verdict(hand) or self._refusal())
 
     def _begun(self, hand: GatedReplay) -> IntentStatus:
-        return self.record.intent_status(hand.write_id, hand.life, hand.ask)
+        return self.record.intent_status(hand.write_id, hand.incarnation, hand.ask)
 
     def _admit(self, hand: GatedReplay, engine: CallHost) -> None:
         hand.admitted = True
@@ -302,7 +302,7 @@
 
     # --- Asked by edges -----------------------------------------------------------------
 
-    def ask(self, call: Call) -> None:
+    def on_query(self, call: Call) -> None:
         """`call.start` is a sealed ask; its front is answered later."""
         if self.asking >= ASKS_MOST:
             call.frontend.on_answer(call, self._refusal())
@@ -328,9 +328,9 @@
             return self._refusal()
         record = self.record
         answered = QueryReply(
-            write_statuses=tuple(record.write_status(dependency) for dependency in ask.write_statuses),
-            claims=tuple(record.lease_status(claim) for claim in ask.claims),
-            told=tuple(record.agrees_with(told) for told in ask.told),
+            write_statuses=tuple(record.write_status(dependency) for dependency in ask.dependencies),
+            lease_statuses=tuple(record.lease_status(claim) for claim in ask.lease_requests),
+            agreements=tuple(record.agrees_with(told) for told in ask.status_updates),
         )
         return Answer(Ending.SERVED, 200, (TEXT,), self.seal.answered(answered, text).encode())
 
@@ -338,11 +338,11 @@
         """What it claims and tells, as far as that is agreed within `ASK_US`."""
         record, until = self.record, self.clock.now() + ASK_US
         waits = []
-        for claim in ask.claims:
+        for claim in ask.lease_requests:
             hold = record.lease_entry(claim)
             if hold is not None:
                 waits.append(self._agree(hold, self._claimed(claim), until))
-        for told in ask.told:
+        for told in ask.status_updates:
             said = record.status_entry(told)
             if said is not None:
                 waits.append(self._agree(said, self._said(told), until))
@@ -368,9 +368,9 @@
 
     # --- An operator's word -------------------------------------------------------------
 
-    def lose(self, edge: str, incarnation: int = 0) -> bool:
+    def declare_lost(self, edge: str, incarnation: int = 0) -> bool:
         """Declare an edge lost, or one life of it. False if it is."""
-        edge_log = EdgeLog(edge, incarnation or _ANY_LIFE)
+        edge_log = EdgeLog(edge, incarnation or _ANY_INCARNATION)
 
         def lost() -> bool:
             """The record has the edge as lost."""
--- a/laurelstep/outbox/shared/replicated_version_vector.py
+++ b/laurelstep/outbox/shared/replicated_version_vector.py
@@ -131,7 +131,7 @@
         request = self.lease_requests[edge_log]
         if self._is_held(edge_log):
             return False
-        self.lease_requests[edge_log] = msgspec.structs.replace(request, force=True)
+        self.lease_requests[edge_log] = msgspec.structs.replace(request, is_forced=True)
         self.fenced_logs.discard(edge_log)
         self._want(edge_log)
         self.on_ledger_change()
@@ -179,8 +179,8 @@
 
     def _request_lease(self, edge_log: EdgeLog, request: LeaseRequest) -> None:
         lease_status = self.ledger.lease_status(request)
-        if lease_status is LeaseStatus.HELD and request.force:  # the operator's demand is used up
-            self.lease_requests[edge_log] = msgspec.structs.replace(request, force=False)
+        if lease_status is LeaseStatus.HELD and request.is_forced:  # the operator's demand is used up
+            self.lease_requests[edge_log] = msgspec.structs.replace(request, is_forced=False)
         if lease_status is LeaseStatus.FENCED and edge_log not in self.fenced_logs:
             self.fenced_logs.add(edge_log)
             name = f"{edge_log.edge}/{edge_log.incarnation:016x}"
--- a/laurelstep/subsystems/outbox.py
+++ b/laurelstep/subsystems/outbox.py
@@ -75,7 +75,7 @@
             return
         if not self.holds_bodies:
             server.max_body_bytes = MAX_STREAMED_BODY_BYTES
-        server.on_shared_query = self.shared.replay_gate.ask
+        server.on_shared_query = self.shared.replay_gate.on_query
         self.shared.begin()
 
     async def stop(self) -> None:
--- a/tests/test_outbox_edge.py
+++ b/tests/test_outbox_edge.py
@@ -75,14 +75,14 @@
             self.apply(self.index, pack(entry)[1:])
 
     def answer(self, ask: ReplayQuery) -> QueryReply:
-        for claim in ask.claims:
+        for claim in ask.lease_requests:
             self.agree(self.lease_entry(claim))
-        for told in ask.told:
+        for told in ask.status_updates:
             self.agree(self.status_entry(told))
         return QueryReply(
-            tuple(map(self.write_status, ask.write_statuses)),
-            tuple(map(self.lease_status, ask.claims)),
-            tuple(map(self.agrees_with, ask.told)),
+            tuple(map(self.write_status, ask.dependencies)),
+            tuple(map(self.lease_status, ask.lease_requests)),
+            tuple(map(self.agrees_with, ask.status_updates)),
         )
 
 
@@ -141,11 +141,11 @@
     assert one.next() is None
     second = Dependency(*OTHER, 2)
     one.remote.watch([second])
-    assert one.must().write_statuses == (second, first)
+    assert one.must().dependencies == (second, first)
     one.remote.on_query_failed(one.now)
     assert one.next() is None
     one.remote.on_link_up(one.now)
-    assert one.must().write_statuses == (second, first)
+    assert one.must().dependencies == (second, first)
 
 
 def test_a_change_makes_the_pause_short_again_and_a_final_fate_ends_the_asking() -> None:
@@ -161,13 +161,13 @@
     assert news.changed and one.remote.write_status(dependencies[0]) is WriteStatus.APPLIED
     assert LEAST_US // 2 <= one.remote.wait(one.now) < LEAST_US
     one.now += LEAST_US
-    assert one.must().write_statuses == (dependencies[1],)
+    assert one.must().dependencies == (dependencies[1],)
     # A later answer, of another record, takes nothing back.
     one.remote.on_reply(QueryReply((WriteStatus.PARKED,)), one.now)
     assert one.remote.write_status(dependencies[1]) is WriteStatus.PARKED
     one.remote.watch([dependencies[0]])
     one.now += MOST_US
-    assert one.must().write_statuses == (dependencies[1],)
+    assert one.must().dependencies == (dependencies[1],)
     one.remote.on_reply(QueryReply((WriteStatus.UNKNOWN,)), one.now)
     assert (
         one.remote.write_status(dependencies[1]) is WriteStatus.UNKNOWN
@@ -185,8 +185,8 @@
         if ask is None:
             one.now += one.remote.wait(one.now)
             continue
-        assert len(ask.write_statuses) <= QUERIED_MOST
-        seen += ask.write_statuses
+        assert len(ask.dependencies) <= QUERIED_MOST
+        seen += ask.dependencies
         one.answer(ask)
     assert seen[: len(dependencies)] == dependencies and set(
         seen[len(dependencies) : 2 * len(dependencies)]
@@ -211,7 +211,7 @@
     one = Asker()
     one.remote.watch([Dependency(*OTHER, 1), Dependency(*OTHER, 2)])
     ask = one.remote.next(0, lambda dependency: dependency.number == 2)
-    assert ask is not None and ask.write_statuses == (Dependency(*OTHER, 2),)
+    assert ask is not None and ask.dependencies == (Dependency(*OTHER, 2),)
 
 
 def test_while_cut_off_a_probe_goes_at_the_same_pace_and_an_answer_makes_it_quick() -> None:
@@ -243,9 +243,9 @@
 def test_a_former_line_is_held_only_once_its_claim_is() -> None:
     one = Asker()
     assert one.remote.holds(OWN) and not one.remote.holds(FORMER) and not one.remote.holds(OTHER)
-    one.remote.claim(FORMER, (FORMER.incarnation, 5, OWN.incarnation))
+    one.remote.request_lease(FORMER, (FORMER.incarnation, 5, OWN.incarnation))
     ask = one.must()
-    assert ask.claims == (LeaseRequest(FORMER, 7, (3, 5)),) and not one.remote.holds(FORMER)
+    assert ask.lease_requests == (LeaseRequest(FORMER, 7, (3, 5)),) and not one.remote.holds(FORMER)
     one.remote.on_reply(QueryReply((), (LeaseStatus.OPEN,)), one.now)
     assert not one.remote.holds(FORMER)
     one.now += LEAST_US
@@ -255,23 +255,23 @@
 
 def test_a_claim_names_a_bounded_number_the_first_among_them() -> None:
     one = Asker()
-    lives = tuple(range(100, 200))
-    one.remote.claim(FORMER, lives)
-    known = one.must().claims[0].known
-    assert len(known) == KNOWN_MOST and known == (100, 101, *lives[2 - KNOWN_MOST :])
+    incarnations = tuple(range(100, 200))
+    one.remote.request_lease(FORMER, incarnations)
+    known = one.must().lease_requests[0].known_holders
+    assert len(known) == KNOWN_MOST and known == (100, 101, *incarnations[2 - KNOWN_MOST :])
 
 
 def test_of_two_copies_of_a_disk_the_second_is_fenced_for_good_unless_it_is_told_otherwise() -> None:
     record = Agreed()
     first, second = Asker(record, EdgeLog("ash", 7)), Asker(record, EdgeLog("ash", 8))
-    first.remote.claim(FORMER, (3, 7))
-    second.remote.claim(FORMER, (3, 8))
+    first.remote.request_lease(FORMER, (3, 7))
+    second.remote.request_lease(FORMER, (3, 8))
     assert first.until_still().held == [FORMER]
     assert second.until_still().fenced == [FORMER]
     assert not second.remote.holds(FORMER) and second.remote.fenced(FORMER)
-    second.remote.claim(FORMER, (3, 8))
+    second.remote.request_lease(FORMER, (3, 8))
     assert second.next() is None
-    second.remote.claim(FORMER, (3, 8), force=True)
+    second.remote.request_lease(FORMER, (3, 8), is_forced=True)
     assert second.until_still().held == [FORMER] and record.holder(FORMER) == 8
     # The first hears it from a gate: it asks once more, and is fenced.
     assert not first.remote.on_fencing_reported(FORMER) and not first.remote.holds(FORMER)
@@ -280,7 +280,7 @@
 
 def test_a_record_that_was_lost_is_told_the_claims_again() -> None:
     one = Asker()
-    one.remote.claim(FORMER, (3, 7))
+    one.remote.request_lease(FORMER, (3, 7))
     one.until_still()
     one.record = Agreed()
     assert not one.remote.on_fencing_reported(FORMER) and one.until_still().held == [FORMER]
@@ -301,7 +301,7 @@
     for number in range(1, 2 * QUERIED_MOST):
         assert one.remote.publish(WriteId(*OWN, number), WriteStatus.ABANDONED)
     lost = one.must()
-    assert not any(told.before for told in lost.told)
+    assert not any(told.before for told in lost.status_updates)
     one.remote.on_query_failed(one.now)
     one.now += MOST_US
     one.until_still()
@@ -351,7 +351,9 @@
     one.remote.withdraw_intent(write_id, 1)
     one.remote.publish(write_id, WriteStatus.UNKNOWN)  # says less
     ask = one.must()
-    assert ask.told == (StatusUpdate(write_id, WriteStatus.UNKNOWN, 7, withdraw_intent=True, parking=1),)
+    assert ask.status_updates == (
+        StatusUpdate(write_id, WriteStatus.UNKNOWN, 7, withdraw_intent=True, parking=1),
+    )
     assert not one.remote.on_reply(QueryReply((), (), (False,)), one.now).withdrawn
     one.now += MOST_US
     assert one.until_still().withdrawn == [write_id]
@@ -365,7 +367,7 @@
     one.record.agree(one.record.lease_entry(LeaseRequest(OWN, 8, (OWN.incarnation,))))
     one.record.agree(Intent(write_id, 8, 5))  # the other process sends it
     assert one.remote.on_fencing_reported(OWN)
-    one.remote.claim(OWN, (7, 8), force=True)
+    one.remote.request_lease(OWN, (7, 8), is_forced=True)
     for _ in range(3):
         one.until_still()
         one.now += AGAIN_US
@@ -376,7 +378,7 @@
     one = Asker()
     one.remote.publish(WriteId(*FORMER, 1), WriteStatus.PARKED)
     assert one.next() is None
-    one.remote.claim(FORMER, (3, 7))
+    one.remote.request_lease(FORMER, (3, 7))
     one.until_still()
     one.now += LEAST_US
     one.until_still()
@@ -437,7 +439,7 @@
                 low = max(low, min([*numbers, low + 10]) - 1)
                 one.remote.publish_low_watermark(OWN, low)
             case 4 if not claimed:
-                one.remote.claim(FORMER, (3, 7))
+                one.remote.request_lease(FORMER, (3, 7))
                 claimed = True
             case 5 if rng.randrange(20) == 0 and not any(one.before for one in version_vector._untold):
                 one.record = Agreed()
@@ -451,11 +453,13 @@
         ask = one.next()
         if ask is not None:
             assert (
-                out is None and max(len(ask.write_statuses), len(ask.claims), len(ask.told)) <= QUERIED_MOST
+                out is None
+                and max(len(ask.dependencies), len(ask.lease_requests), len(ask.status_updates))
+                <= QUERIED_MOST
             )
             assert all(
                 told.write_status is not WriteStatus.APPLIED or not told.before or told.write_id.number <= low
-                for told in ask.told
+                for told in ask.status_updates
             )
             out = ask
         for dependency, write_status in before.items():
@@ -542,7 +546,7 @@
     def _replay(self, one: ReplayIdentity, writer: Writer) -> None:
         self.sent.append(one.write_id)
         self.asked += 1
-        found = self.record.intent_status(one.write_id, one.life, self.asked)
+        found = self.record.intent_status(one.write_id, one.incarnation, self.asked)
         if found is IntentStatus.FENCED:
             writer.write(answer(503, b"", "X-Kept-Fate: fenced\r\nRetry-After: 1\r\n"))
         elif found is IntentStatus.APPLIED:
@@ -554,7 +558,7 @@
 
     def _run(self, one: ReplayIdentity, writer: Writer) -> None:
         if one.unsafe:
-            self.record.agree(Intent(one.write_id, one.life, self.asked))
+            self.record.agree(Intent(one.write_id, one.incarnation, self.asked))
         self.ran.append(one.write_id)
         if one.write_id not in self.late:
             self.record.agree(WriteApplied(one.write_id))
@@ -943,18 +947,18 @@
                 first = await one.keep("pay")
                 shutil.copytree(tmp_path / "1", tmp_path / "2")
             async with studio(tmp_path / "2", copies=copies) as two:
-                line, life = first.edge_log, two.driver.store.incarnation
+                line, incarnation = first.edge_log, two.driver.store.incarnation
                 assert not two.driver.outbox.version_vector.holds(line)
                 copies.silent = True
                 two.link(True)
-                await until(lambda: any(ask.claims for ask in copies.asks))
+                await until(lambda: any(ask.lease_requests for ask in copies.asks))
                 # Killed as it asks: what the disk has by then names it.
                 shutil.copytree(tmp_path / "2", tmp_path / "3")
-                claim = next(ask.claims[0] for ask in copies.asks if ask.claims)
-                assert claim == LeaseRequest(line, life, (line.incarnation,)) and not copies.sent
+                claim = next(ask.lease_requests[0] for ask in copies.asks if ask.lease_requests)
+                assert claim == LeaseRequest(line, incarnation, (line.incarnation,)) and not copies.sent
                 copies.silent = False
                 copies.refuses = True
-                await until(lambda: copies.record.holder(line) == life)
+                await until(lambda: copies.record.holder(line) == incarnation)
             copies.refuses = False
             async with studio(tmp_path / "3", copies=copies) as three:
                 three.link(True)
@@ -985,8 +989,8 @@
             async with studio(tmp_path, copies=copies) as last:
                 last.link(True)
                 await last.until(first, WriteState.DONE)
-            claims = [ask.claims[0] for ask in copies.asks if ask.claims]
-            assert {claim.known for claim in claims} == {(first.incarnation,)}
+            claims = [ask.lease_requests[0] for ask in copies.asks if ask.lease_requests]
+            assert {claim.known_holders for claim in claims} == {(first.incarnation,)}
 
     run(main())
 
--- a/tests/test_outbox_message_seal.py
+++ b/tests/test_outbox_message_seal.py
@@ -25,15 +25,17 @@
 ALPHABET = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
 
 edges = st.from_regex(r"[a-z0-9][a-z0-9.-]{0,31}", fullmatch=True)
-lives = st.integers(0, (1 << 64) - 1)
+incarnations = st.integers(0, (1 << 64) - 1)
 numbers = st.integers(1, (1 << 63) - 1)
-lines = st.builds(EdgeLog, edges, lives)
-write_ids = st.builds(WriteId, edges, lives, numbers)
-replays = st.builds(ReplayIdentity, write_ids, lives, st.booleans())
-dependencies = st.builds(Dependency, edges, lives, numbers, st.booleans())
-claims = st.builds(LeaseRequest, lines, lives, st.lists(lives, max_size=4).map(tuple), st.booleans())
+lines = st.builds(EdgeLog, edges, incarnations)
+write_ids = st.builds(WriteId, edges, incarnations, numbers)
+replays = st.builds(ReplayIdentity, write_ids, incarnations, st.booleans())
+dependencies = st.builds(Dependency, edges, incarnations, numbers, st.booleans())
+claims = st.builds(
+    LeaseRequest, lines, incarnations, st.lists(incarnations, max_size=4).map(tuple), st.booleans()
+)
 tellings = st.builds(
-    StatusUpdate, write_ids, st.sampled_from(WriteStatus), lives, st.booleans(), st.booleans()
+    StatusUpdate, write_ids, st.sampled_from(WriteStatus), incarnations, st.booleans(), st.booleans()
 )
 
 
@@ -104,8 +106,8 @@
 
 
 def test_an_answer_is_to_its_ask_alone() -> None:
-    mine = SEAL.ask(ReplayQuery(write_statuses=(Dependency("edge-1", 7, 3),)))
-    others = SEAL.ask(ReplayQuery(write_statuses=(Dependency("edge-1", 7, 4),)))
+    mine = SEAL.ask(ReplayQuery(dependencies=(Dependency("edge-1", 7, 3),)))
+    others = SEAL.ask(ReplayQuery(dependencies=(Dependency("edge-1", 7, 4),)))
     answer = SEAL.answered(QueryReply(write_statuses=(WriteStatus.APPLIED,)), others)
     with pytest.raises(SealError):
         SEAL.open_answered(answer, mine)
@@ -137,10 +139,12 @@
 @pytest.mark.parametrize(
     "ask",
     [
-        ReplayQuery(write_statuses=(Dependency("edge", 7, 0),)),
-        ReplayQuery(claims=(LeaseRequest(EdgeLog("edge", 7), 8, (-1,)),)),
-        ReplayQuery(told=(StatusUpdate(DOT, WriteStatus.APPLIED, -1),)),
-        ReplayQuery(told=(StatusUpdate(DOT, WriteStatus.UNKNOWN, 7, withdraw_intent=True, parking=-1),)),
+        ReplayQuery(dependencies=(Dependency("edge", 7, 0),)),
+        ReplayQuery(lease_requests=(LeaseRequest(EdgeLog("edge", 7), 8, (-1,)),)),
+        ReplayQuery(status_updates=(StatusUpdate(DOT, WriteStatus.APPLIED, -1),)),
+        ReplayQuery(
+            status_updates=(StatusUpdate(DOT, WriteStatus.UNKNOWN, 7, withdraw_intent=True, parking=-1),)
+        ),
     ],
 )
 def test_an_ask_that_no_edge_could_make_is_refused_though_it_is_sealed(ask: ReplayQuery) -> None:
@@ -151,11 +155,11 @@
 def test_more_than_may_be_asked_at_once_is_refused_though_it_is_sealed() -> None:
     dependency = Dependency("e", 1, 1)
     assert (
-        len(SEAL.open_ask(SEAL.ask(ReplayQuery(write_statuses=(dependency,) * QUERIED_MOST))).write_statuses)
+        len(SEAL.open_ask(SEAL.ask(ReplayQuery(dependencies=(dependency,) * QUERIED_MOST))).dependencies)
         == QUERIED_MOST
     )
     with pytest.raises(SealError, match="more than"):
-        SEAL.open_ask(SEAL.ask(ReplayQuery(write_statuses=(dependency,) * (QUERIED_MOST + 1))))
+        SEAL.open_ask(SEAL.ask(ReplayQuery(dependencies=(dependency,) * (QUERIED_MOST + 1))))
 
 
 def test_a_full_ask_fits_and_what_does_not_is_not_sealed() -> None:
@@ -165,7 +169,7 @@
     full = ReplayQuery((Dependency(edge, last, (1 << 63) - 1, True),) * 16, (claim,) * 16, (told,) * 16)
     assert len(SEAL.ask(full)) <= SEALED_MOST
     with pytest.raises(SealedLengthError):
-        SEAL.ask(ReplayQuery(claims=(LeaseRequest(EdgeLog(edge, last), last, (last,) * 2000),)))
+        SEAL.ask(ReplayQuery(lease_requests=(LeaseRequest(EdgeLog(edge, last), last, (last,) * 2000),)))
     with pytest.raises(SealError, match="longer"):
         SEAL.open_ask("A" * (SEALED_MOST + 1))
 
--- a/tests/test_outbox_replay_gate.py
+++ b/tests/test_outbox_replay_gate.py
@@ -63,25 +63,25 @@
 
 SECRET = b"of the edges and of the copies"
 SEAL = MessageSeal(SECRET)
-LIFE, LATER_LIFE = 7, 8
-LINE = EdgeLog("edge-1", LIFE)
-DOT = WriteId("edge-1", LIFE, 3)
+INCARNATION, LATER_INCARNATION = 7, 8
+LINE = EdgeLog("edge-1", INCARNATION)
+DOT = WriteId("edge-1", INCARNATION, 3)
 PAY, PUT, POST = 0, 1, 2
 DEADLINE_US = 2_000_000
 
 
-class Agreed:
+class ManualAgreement:
     """A sharer whose entries are agreed when the test says so."""
 
     def __init__(self, record: ReplicatedLedger, clock: ManualClock) -> None:
         self.record = record
         self.clock = clock
         self.is_ready = True
-        self.index = self.calls = 0
+        self.index = self.submission_count = 0
         self.waiting: list[tuple[LedgerEntry, Callable[[], bool], asyncio.Future[bool]]] = []
 
     def agree(self, entry: LedgerEntry, done: Callable[[], bool], until: int) -> asyncio.Future[bool]:
-        self.calls += 1
+        self.submission_count += 1
         pack(entry)
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         if done():
@@ -105,12 +105,12 @@
         self.waiting = [one for one in self.waiting if not one[2].done()]
 
     @property
-    def asked(self) -> list[LedgerEntry]:
+    def submitted_entries(self) -> list[LedgerEntry]:
         return [one for one, _, _ in self.waiting]
 
-    def land(self, *entries: LedgerEntry) -> None:
+    def apply_entries(self, *entries: LedgerEntry) -> None:
         """These are agreed now; or all that is asked for."""
-        for one in entries or self.asked:
+        for one in entries or self.submitted_entries:
             self.index += 1
             self.record.apply(self.index, pack(one)[1:])
         self._check_endpoints()
@@ -145,7 +145,7 @@
         self.upstream = PlayedUpstream(self.clock)
         self.front = Answers()
         self.record = ReplicatedLedger()
-        self.sharer = Agreed(self.record, self.clock)
+        self.sharer = ManualAgreement(self.record, self.clock)
         self.lines: list[str] = []
         self.asks = iter(range(1, 1000))
         self.gate = ReplayGate(
@@ -167,11 +167,15 @@
         self.count = 0
 
     def call(
-        self, cls: int = PAY, sealed: str | None = None, write_id: WriteId = DOT, life: int = LIFE
+        self,
+        cls: int = PAY,
+        sealed: str | None = None,
+        write_id: WriteId = DOT,
+        incarnation: int = INCARNATION,
     ) -> Call:
         """A replay; `sealed`: with this in place of its name."""
         if sealed is None:
-            sealed = SEAL.replayed(ReplayIdentity(write_id, life, cls == PAY))
+            sealed = SEAL.replayed(ReplayIdentity(write_id, incarnation, cls == PAY))
         self.count += 1
         name = b"r%d" % self.count
         call = Call(cls, self.clock.now() + DEADLINE_US, b"POST /pay", b"host: x\r\n", b"x", self.front, name)
@@ -179,9 +183,13 @@
         return call
 
     async def take(
-        self, cls: int = PAY, sealed: str | None = None, write_id: WriteId = DOT, life: int = LIFE
+        self,
+        cls: int = PAY,
+        sealed: str | None = None,
+        write_id: WriteId = DOT,
+        incarnation: int = INCARNATION,
     ) -> Call:
-        call = self.call(cls, sealed, write_id, life)
+        call = self.call(cls, sealed, write_id, incarnation)
         self.engine.take(call)
         await self.turn()
         return call
@@ -193,7 +201,7 @@
             self.clock.advance(0)
 
     async def land(self, *entries: LedgerEntry) -> None:
-        self.sharer.land(*entries)
+        self.sharer.apply_entries(*entries)
         await self.turn()
 
     async def advance(self, span_us: int) -> None:
@@ -216,7 +224,7 @@
         call = Call(-1, 0, text.encode(), b"", b"", self.front)
         call.is_open = False
         before = len(self.front.given)
-        self.gate.ask(call)
+        self.gate.on_query(call)
         await self.turn()
         assert len(self.front.given) == before + 1
         return self.front.given[-1][1]
@@ -231,7 +239,7 @@
 
     def begun(self) -> IntentStatus:
         """As another ask would hear."""
-        return self.record.intent_status(DOT, LIFE, 0)
+        return self.record.intent_status(DOT, INCARNATION, 0)
 
     def write_status(self, write_id: WriteId = DOT) -> WriteStatus:
         return self.record.write_status(Dependency(*write_id))
@@ -258,11 +266,11 @@
 def test_an_unsafe_write_is_sent_once_its_begin_is_agreed_and_answered_once_it_is_in() -> None:
     async def test(world: World) -> None:
         await world.take()
-        assert world.sharer.asked == [Intent(DOT, LIFE, 1)] and world.sent == []
+        assert world.sharer.submitted_entries == [Intent(DOT, INCARNATION, 1)] and world.sent == []
         await world.land()
         assert len(world.sent) == 1
         await world.play()
-        assert world.sharer.asked == [WriteApplied(DOT)] and world.told == []
+        assert world.sharer.submitted_entries == [WriteApplied(DOT)] and world.told == []
         await world.land()
         assert world.told == [(200, b"")] and world.front.given[0][1].body == b"ok"
         assert not world.gate.hands and not world.engine.calls
@@ -273,9 +281,9 @@
 def test_a_keyed_write_needs_no_begin_but_is_answered_once_it_is_in() -> None:
     async def test(world: World) -> None:
         await world.take(PUT)
-        assert len(world.sent) == 1 and world.sharer.asked == []
+        assert len(world.sent) == 1 and world.sharer.submitted_entries == []
         await world.play()
-        assert world.sharer.asked == [WriteApplied(DOT)] and world.told == []
+        assert world.sharer.submitted_entries == [WriteApplied(DOT)] and world.told == []
         await world.land()
         assert world.told == [(200, b"")]
 
@@ -284,8 +292,8 @@
 
 def test_a_class_that_is_unsafe_here_is_begun_also_if_its_edge_says_otherwise() -> None:
     async def test(world: World) -> None:
-        await world.take(PAY, SEAL.replayed(ReplayIdentity(DOT, LIFE, False)))
-        assert world.sharer.asked == [Intent(DOT, LIFE, 1)] and world.sent == []
+        await world.take(PAY, SEAL.replayed(ReplayIdentity(DOT, INCARNATION, False)))
+        assert world.sharer.submitted_entries == [Intent(DOT, INCARNATION, 1)] and world.sent == []
 
     play(test)
 
@@ -297,7 +305,7 @@
         await world.take(cls)
         answer = world.front.given[0][1]
         assert world.told == [(503, b"")] and answer.ending is Ending.REFUSED and answer.retry_after_us > 0
-        assert not world.upstream.writes and world.sharer.asked == []
+        assert not world.upstream.writes and world.sharer.submitted_entries == []
 
     play(test)
 
@@ -305,10 +313,10 @@
 def test_a_begin_that_is_not_agreed_in_time_is_refused_and_taken_back_when_it_comes_late() -> None:
     async def test(world: World) -> None:
         await world.take()
-        begin = world.sharer.asked[0]
+        begin = world.sharer.submitted_entries[0]
         await world.advance(DEADLINE_US)
         assert world.told == [(503, b"")] and world.front.given[0][1].ending is Ending.REFUSED
-        assert world.sharer.asked == [IntentWithdrawal(DOT, 1)]
+        assert world.sharer.submitted_entries == [IntentWithdrawal(DOT, 1)]
         await world.land(begin)
         assert world.begun() is IntentStatus.OTHERS  # what the next ask would hear
         await world.land()
@@ -327,7 +335,7 @@
         world.clock.advance(DEADLINE_US)
         assert world.told == [(503, b"")] and world.front.given[0][1].ending is Ending.REFUSED
         await world.turn()
-        assert world.sharer.asked == [IntentWithdrawal(DOT, 1)] and len(world.told) == 1
+        assert world.sharer.submitted_entries == [IntentWithdrawal(DOT, 1)] and len(world.told) == 1
 
     play(test)
 
@@ -338,7 +346,7 @@
         world.sharer.is_ready = False
         await world.land()
         assert world.told == [(503, b"")] and not world.sent
-        assert world.sharer.asked == [IntentWithdrawal(DOT, 1)]
+        assert world.sharer.submitted_entries == [IntentWithdrawal(DOT, 1)]
 
     play(test)
 
@@ -346,18 +354,18 @@
 @pytest.mark.parametrize("cls", [PAY, PUT])
 def test_a_line_that_another_life_holds_is_fenced(cls: int) -> None:
     async def test(world: World) -> None:
-        await world.land(LogLease(LINE, LATER_LIFE, LIFE, 0))
+        await world.land(LogLease(LINE, LATER_INCARNATION, INCARNATION, 0))
         await world.take(cls)
         assert world.told == [(503, b"fenced")] and world.front.given[0][1].ending is Ending.REFUSED
-        await world.take(cls, life=LATER_LIFE)
-        await world.land(*world.sharer.asked)
+        await world.take(cls, incarnation=LATER_INCARNATION)
+        await world.land(*world.sharer.submitted_entries)
         assert len(world.sent) == 1  # its holder's is not
 
     play(test)
 
 
 @pytest.mark.parametrize("cls", [PAY, PUT])
-@pytest.mark.parametrize("lost", [EdgeLost("edge-1"), EdgeLost("edge-1", LIFE)])
+@pytest.mark.parametrize("lost", [EdgeLost("edge-1"), EdgeLost("edge-1", INCARNATION)])
 def test_what_is_lost_is_fenced(cls: int, lost: EdgeLost) -> None:
     async def test(world: World) -> None:
         await world.land(lost)
@@ -380,11 +388,11 @@
 
 def test_what_another_ask_has_begun_may_have_run() -> None:
     async def test(world: World) -> None:
-        await world.land(Intent(DOT, LIFE, 99))
+        await world.land(Intent(DOT, INCARNATION, 99))
         await world.take()
         answer = world.front.given[0][1]
         assert world.told == [(502, b"begun")] and answer.ending is Ending.FAILED
-        assert world.upstream.writes == [] and world.sharer.asked == []
+        assert world.upstream.writes == [] and world.sharer.submitted_entries == []
 
     play(test)
 
@@ -392,9 +400,9 @@
 @pytest.mark.parametrize(
     ("others", "told"),
     [
-        (Intent(DOT, LIFE, 99), (502, b"begun")),
+        (Intent(DOT, INCARNATION, 99), (502, b"begun")),
         (WriteApplied(DOT), (200, b"in")),
-        (LogLease(LINE, LATER_LIFE, LIFE, 0), (503, b"fenced")),
+        (LogLease(LINE, LATER_INCARNATION, INCARNATION, 0), (503, b"fenced")),
     ],
 )
 def test_of_two_that_begin_at_a_time_one_alone_is_sent(others: LedgerEntry, told: tuple[int, bytes]) -> None:
@@ -402,7 +410,7 @@
 
     async def test(world: World) -> None:
         await world.take()
-        await world.land(others, *world.sharer.asked)
+        await world.land(others, *world.sharer.submitted_entries)
         assert world.told == [told] and world.upstream.writes == [] and not world.sent
 
     play(test)
@@ -412,7 +420,7 @@
     async def test(world: World) -> None:
         await world.take()
         await world.take()
-        assert world.sharer.asked == [Intent(DOT, LIFE, 1), Intent(DOT, LIFE, 2)]
+        assert world.sharer.submitted_entries == [Intent(DOT, INCARNATION, 1), Intent(DOT, INCARNATION, 2)]
         await world.land()
         assert len(world.sent) == 1 and world.told == [(502, b"begun")]
 
@@ -422,8 +430,8 @@
 def test_a_bad_seal_is_a_400_and_one_line_for_a_crowd() -> None:
     async def test(world: World) -> None:
         for _ in range(3):
-            await world.take(PUT, SEAL.replayed(ReplayIdentity(DOT, LIFE, False))[:-1] + "~")
-        await world.take(PUT, MessageSeal(SECRET + b"!").replayed(ReplayIdentity(DOT, LIFE, False)))
+            await world.take(PUT, SEAL.replayed(ReplayIdentity(DOT, INCARNATION, False))[:-1] + "~")
+        await world.take(PUT, MessageSeal(SECRET + b"!").replayed(ReplayIdentity(DOT, INCARNATION, False)))
         assert world.told == [(400, b"")] * 4 and not world.sent
         assert len(world.lines) == 1 and "secret" in world.lines[0] and "\n" not in world.lines[0]
         await world.advance(COMPLAIN_US)
@@ -448,7 +456,7 @@
         world.engine.take(call)
         assert len(world.sent) == 1 and not call.is_recorded and call.can_stream_answer
         await world.play()
-        assert world.told == [(200, b"")] and world.sharer.asked == []
+        assert world.told == [(200, b"")] and world.sharer.submitted_entries == []
 
     play(test)
 
@@ -505,7 +513,9 @@
         await world.play()
         await world.advance(DEADLINE_US)
         assert world.told == [(502, b"")] and world.front.given[0][1].ending is Ending.FAILED
-        assert world.write_status() is WriteStatus.UNKNOWN and world.sharer.asked == [WriteApplied(DOT)]
+        assert world.write_status() is WriteStatus.UNKNOWN and world.sharer.submitted_entries == [
+            WriteApplied(DOT)
+        ]
         await world.land()
         assert world.write_status() is WriteStatus.APPLIED and len(world.told) == 1
         await world.take(cls)
@@ -532,7 +542,7 @@
             await world.play(FULL, runs=False)
             await world.advance(100_000)
         await world.advance(1_000_000)
-        assert world.sharer.asked == [IntentWithdrawal(DOT, 1)] and world.told == []
+        assert world.sharer.submitted_entries == [IntentWithdrawal(DOT, 1)] and world.told == []
         await world.land()
         assert world.told == [(503, b"")] and world.begun() is IntentStatus.OPEN
 
@@ -548,7 +558,7 @@
             await world.advance(100_000)
         await world.advance(DEADLINE_US)
         answer = world.front.given[0][1]
-        assert world.told[0][0] == 503 and world.sharer.asked == [IntentWithdrawal(DOT, 1)]
+        assert world.told[0][0] == 503 and world.sharer.submitted_entries == [IntentWithdrawal(DOT, 1)]
         assert answer.ending is Ending.REFUSED
         await world.take()
         assert world.told[1:] == [(502, b"begun")]
@@ -567,7 +577,7 @@
             await world.play(FULL, runs=False)
             await world.advance(100_000)
         await world.advance(DEADLINE_US)
-        assert [status for status, _ in world.told] == [503] and world.sharer.asked == []
+        assert [status for status, _ in world.told] == [503] and world.sharer.submitted_entries == []
 
     play(test)
 
@@ -580,7 +590,7 @@
         override_decisions(world.engine, request=fail)  # compiled, the module can't be patched
         await world.take()
         await world.land()
-        assert world.sharer.asked == [IntentWithdrawal(DOT, 1)] and world.told == []
+        assert world.sharer.submitted_entries == [IntentWithdrawal(DOT, 1)] and world.told == []
         await world.land()
         assert world.told == [(503, b"")] and world.front.given[0][1].ending is Ending.REFUSED
         assert world.begun() is IntentStatus.OPEN and world.upstream.writes == []
@@ -594,7 +604,7 @@
         await world.take()
         await world.land()
         await world.play(outcome, runs)
-        assert [status for status, _ in world.told] == [502] and world.sharer.asked == []
+        assert [status for status, _ in world.told] == [502] and world.sharer.submitted_entries == []
         assert world.begun() is IntentStatus.OTHERS
         await world.take()
         assert world.told[1:] == [(502, b"begun")] and len(world.upstream.writes) == 1
@@ -608,10 +618,10 @@
 def test_an_edge_that_leaves_before_its_begin_is_agreed_has_nothing_sent() -> None:
     async def test(world: World) -> None:
         call = await world.take()
-        begin = world.sharer.asked[0]
+        begin = world.sharer.submitted_entries[0]
         world.engine.on_client_left(call)
         await world.land(begin)
-        assert world.sharer.asked == [IntentWithdrawal(DOT, 1)] and not world.sent
+        assert world.sharer.submitted_entries == [IntentWithdrawal(DOT, 1)] and not world.sent
         await world.land()
         assert world.begun() is IntentStatus.OPEN and world.told == []
 
@@ -625,7 +635,7 @@
         assert len(world.sent) == 1
         world.engine.on_client_left(call)
         await world.turn()
-        assert world.sharer.asked == [IntentWithdrawal(DOT, 1)]
+        assert world.sharer.submitted_entries == [IntentWithdrawal(DOT, 1)]
 
     play(test)
 
@@ -637,7 +647,7 @@
         world.upstream.write(world.sent[0], True)
         world.engine.on_client_left(call)
         await world.advance(DEADLINE_US)
-        assert world.sharer.asked == [] and world.begun() is IntentStatus.OTHERS
+        assert world.sharer.submitted_entries == [] and world.begun() is IntentStatus.OTHERS
 
     play(test)
 
@@ -653,7 +663,7 @@
         world.engine.on_client_left(call)
         await world.turn()
         assert not call.attempts and call.attempts_sent == 1
-        assert world.sharer.asked == [] and world.begun() is IntentStatus.OTHERS
+        assert world.sharer.submitted_entries == [] and world.begun() is IntentStatus.OTHERS
 
     play(test)
 
@@ -673,11 +683,11 @@
 def test_what_is_told_on_has_a_bound_and_an_end() -> None:
     async def test(world: World) -> None:
         for number in range(LATER_MOST + 5):
-            await world.take(write_id=WriteId("edge-1", LIFE, number + 1))
+            await world.take(write_id=WriteId("edge-1", INCARNATION, number + 1))
         await world.advance(DEADLINE_US)
-        assert len(world.sharer.asked) == LATER_MOST and world.gate.later == LATER_MOST
+        assert len(world.sharer.submitted_entries) == LATER_MOST and world.gate.later == LATER_MOST
         await world.advance(LATER_US)
-        assert world.sharer.asked == [] and not world.gate.tasks and world.gate.later == 0
+        assert world.sharer.submitted_entries == [] and not world.gate.tasks and world.gate.later == 0
         assert world.gate.counters["late"] == LATER_MOST + 5
 
     play(test)
@@ -699,14 +709,14 @@
         call.time_after_upload_us, call.expires_at = DEADLINE_US, world.clock.now() + 600_000_000
         world.engine.take(call)
         await world.turn()
-        assert not world.sent and world.sharer.asked == [Intent(DOT, LIFE, 1)]
+        assert not world.sent and world.sharer.submitted_entries == [Intent(DOT, INCARNATION, 1)]
         await world.land()
         assert len(world.sent) == 1
         world.upstream.write(world.sent[0], True)  # what has come of it
         call.upload.finish(True)
         world.engine.on_upload_complete(call)
         await world.play()
-        assert world.sharer.asked == [WriteApplied(DOT)]
+        assert world.sharer.submitted_entries == [WriteApplied(DOT)]
         await world.land()
         assert world.told == [(200, b"")]
 
@@ -724,7 +734,7 @@
         world.upstream.write(world.sent[0], True)
         world.engine.on_client_left(call)
         await world.turn()
-        assert world.sharer.asked == [] and world.begun() is IntentStatus.OTHERS
+        assert world.sharer.submitted_entries == [] and world.begun() is IntentStatus.OTHERS
 
     play(test)
 
@@ -758,7 +768,7 @@
         )
         await world.land(StatusRecord(WriteId("edge-2", 5, 3), WriteStatus.PARKED, 5))
         sealed = SEAL.ask(
-            ReplayQuery(write_statuses=tuple(Dependency("edge-2", 5, number) for number in (4, 3, 2, 1)))
+            ReplayQuery(dependencies=tuple(Dependency("edge-2", 5, number) for number in (4, 3, 2, 1)))
         )
         told = answered(await world.ask(sealed), sealed)
         assert told.write_statuses == (
@@ -775,10 +785,11 @@
     async def test(world: World) -> None:
         world.sharer.is_ready = False
         ask = ReplayQuery(
-            write_statuses=(Dependency(*DOT),), claims=(LeaseRequest(LINE, LATER_LIFE, (LIFE,)),)
+            dependencies=(Dependency(*DOT),),
+            lease_requests=(LeaseRequest(LINE, LATER_INCARNATION, (INCARNATION,)),),
         )
         answer = await world.ask(SEAL.ask(ask))
-        assert world.sharer.asked == []
+        assert world.sharer.submitted_entries == []
         assert answer.status == 503 and answer.retry_after_us > 0 and answer.body == b""
 
     play(test)
@@ -787,21 +798,29 @@
 def test_a_claim_is_told_as_held_once_it_is_agreed_and_as_open_before() -> None:
     async def test(world: World) -> None:
         sealed = SEAL.ask(
-            ReplayQuery(claims=(LeaseRequest(LINE, LATER_LIFE, (LIFE,)), LeaseRequest(LINE, 9, (4,))))
+            ReplayQuery(
+                lease_requests=(
+                    LeaseRequest(LINE, LATER_INCARNATION, (INCARNATION,)),
+                    LeaseRequest(LINE, 9, (4,)),
+                )
+            )
         )
         asking = Call(-1, 0, sealed.encode(), b"", b"", world.front)
-        world.gate.ask(asking)
+        world.gate.on_query(asking)
         await world.turn()
-        assert world.sharer.asked == [LogLease(LINE, LATER_LIFE, LIFE, 0)] and world.told == []
+        assert (
+            world.sharer.submitted_entries == [LogLease(LINE, LATER_INCARNATION, INCARNATION, 0)]
+            and world.told == []
+        )
         await world.land()
         told = answered(world.front.given[0][1], sealed)
-        assert told.claims == (LeaseStatus.HELD, LeaseStatus.FENCED)
-        other = SEAL.ask(ReplayQuery(claims=(LeaseRequest(LINE, 10, (LATER_LIFE,)),)))
-        world.gate.ask(Call(-1, 0, other.encode(), b"", b"", world.front))
+        assert told.lease_statuses == (LeaseStatus.HELD, LeaseStatus.FENCED)
+        other = SEAL.ask(ReplayQuery(lease_requests=(LeaseRequest(LINE, 10, (LATER_INCARNATION,)),)))
+        world.gate.on_query(Call(-1, 0, other.encode(), b"", b"", world.front))
         await world.turn()
         await world.advance(ASK_US)
-        assert answered(world.front.given[1][1], other).claims == (LeaseStatus.OPEN,)
-        assert world.record.holder(LINE) == LATER_LIFE
+        assert answered(world.front.given[1][1], other).lease_statuses == (LeaseStatus.OPEN,)
+        assert world.record.holder(LINE) == LATER_INCARNATION
 
     play(test)
 
@@ -810,11 +829,16 @@
     async def test(world: World) -> None:
         sealed = SEAL.ask(
             ReplayQuery(
-                claims=(LeaseRequest(LINE, 0, (LIFE,)),), told=(StatusUpdate(DOT, WriteStatus.PARKED, 0),)
+                lease_requests=(LeaseRequest(LINE, 0, (INCARNATION,)),),
+                status_updates=(StatusUpdate(DOT, WriteStatus.PARKED, 0),),
             )
         )
         told = answered(await world.ask(sealed), sealed)
-        assert told.claims == (LeaseStatus.OPEN,) and told.told == (False,) and world.sharer.asked == []
+        assert (
+            told.lease_statuses == (LeaseStatus.OPEN,)
+            and told.agreements == (False,)
+            and world.sharer.submitted_entries == []
+        )
 
     play(test)
 
@@ -822,21 +846,21 @@
 def test_what_an_edge_tells_is_agreed_before_it_hears_so() -> None:
     async def test(world: World) -> None:
         tellings = (
-            StatusUpdate(DOT, WriteStatus.PARKED, LIFE),
-            StatusUpdate(WriteId("edge-1", LIFE, 1), WriteStatus.APPLIED, LIFE, before=True),
-            StatusUpdate(WriteId("edge-1", LIFE, 9), WriteStatus.ABANDONED, LATER_LIFE),
+            StatusUpdate(DOT, WriteStatus.PARKED, INCARNATION),
+            StatusUpdate(WriteId("edge-1", INCARNATION, 1), WriteStatus.APPLIED, INCARNATION, before=True),
+            StatusUpdate(WriteId("edge-1", INCARNATION, 9), WriteStatus.ABANDONED, LATER_INCARNATION),
         )
-        sealed = SEAL.ask(ReplayQuery(told=tellings))
-        world.gate.ask(Call(-1, 0, sealed.encode(), b"", b"", world.front))
+        sealed = SEAL.ask(ReplayQuery(status_updates=tellings))
+        world.gate.on_query(Call(-1, 0, sealed.encode(), b"", b"", world.front))
         await world.turn()
-        assert len(world.sharer.asked) == 3 and world.told == []
+        assert len(world.sharer.submitted_entries) == 3 and world.told == []
         await world.land()
         await world.advance(ASK_US)
         told = answered(world.front.given[0][1], sealed)
-        assert told.told == (True, True, False)  # the last is not its holder's word
+        assert told.agreements == (True, True, False)  # the last is not its holder's word
         assert (
             world.write_status() is WriteStatus.PARKED
-            and world.write_status(WriteId("edge-1", LIFE, 9)) is WriteStatus.UNKNOWN
+            and world.write_status(WriteId("edge-1", INCARNATION, 9)) is WriteStatus.UNKNOWN
         )
 
     play(test)
@@ -844,14 +868,16 @@
 
 def test_a_word_that_it_never_ran_lets_it_run_once_more() -> None:
     async def test(world: World) -> None:
-        await world.land(Intent(DOT, LIFE, 99))
+        await world.land(Intent(DOT, INCARNATION, 99))
         sealed = SEAL.ask(
-            ReplayQuery(told=(StatusUpdate(DOT, WriteStatus.UNKNOWN, LIFE, withdraw_intent=True),))
+            ReplayQuery(
+                status_updates=(StatusUpdate(DOT, WriteStatus.UNKNOWN, INCARNATION, withdraw_intent=True),)
+            )
         )
-        world.gate.ask(Call(-1, 0, sealed.encode(), b"", b"", world.front))
+        world.gate.on_query(Call(-1, 0, sealed.encode(), b"", b"", world.front))
         await world.turn()
         await world.land()
-        assert answered(world.front.given[0][1], sealed).told == (True,)
+        assert answered(world.front.given[0][1], sealed).agreements == (True,)
         await world.take()
         await world.land()
         assert len(world.sent) == 1
@@ -861,21 +887,23 @@
 
 def test_an_ask_with_a_bad_seal_is_a_400_and_changes_nothing() -> None:
     async def test(world: World) -> None:
-        for text in ("", "x", SEAL.replayed(ReplayIdentity(DOT, LIFE, True)), "\x80", "A" * 20_000):
+        for text in ("", "x", SEAL.replayed(ReplayIdentity(DOT, INCARNATION, True)), "\x80", "A" * 20_000):
             assert (await world.ask(text)).status == 400
-        assert world.sharer.asked == [] and len(world.lines) == 1
+        assert world.sharer.submitted_entries == [] and len(world.lines) == 1
 
     play(test)
 
 
 def test_asks_at_a_time_have_a_bound() -> None:
     async def test(world: World) -> None:
-        sealed = SEAL.ask(ReplayQuery(claims=(LeaseRequest(LINE, LATER_LIFE, (LIFE,)),)))
+        sealed = SEAL.ask(
+            ReplayQuery(lease_requests=(LeaseRequest(LINE, LATER_INCARNATION, (INCARNATION,)),))
+        )
         for _ in range(ASKS_MOST + 1):
-            world.gate.ask(Call(-1, 0, sealed.encode(), b"", b"", world.front))
+            world.gate.on_query(Call(-1, 0, sealed.encode(), b"", b"", world.front))
         await world.turn()
         assert world.told == [(503, b"")] and world.gate.asking == ASKS_MOST
-        await world.land(world.sharer.asked[0])
+        await world.land(world.sharer.submitted_entries[0])
         assert [status for status, _ in world.told] == [503] + [200] * ASKS_MOST and world.gate.asking == 0
 
     play(test)
@@ -884,17 +912,17 @@
 # --- An operator's word -----------------------------------------------------------------
 
 
-@pytest.mark.parametrize("incarnation", [0, LIFE])
+@pytest.mark.parametrize("incarnation", [0, INCARNATION])
 def test_an_edge_that_is_declared_lost_is_refused_from_then_on(incarnation: int) -> None:
     async def test(world: World) -> None:
-        assert world.gate.lose("edge-1", incarnation)
+        assert world.gate.declare_lost("edge-1", incarnation)
         await world.turn()
-        assert world.sharer.asked == [EdgeLost("edge-1", incarnation)]
+        assert world.sharer.submitted_entries == [EdgeLost("edge-1", incarnation)]
         await world.land()
-        assert not world.gate.lose("edge-1", incarnation)
+        assert not world.gate.declare_lost("edge-1", incarnation)
         await world.take()
         assert world.told == [(503, b"fenced")] and world.write_status() is WriteStatus.ABANDONED
-        other = WriteId("edge-1", LATER_LIFE, 1)
+        other = WriteId("edge-1", LATER_INCARNATION, 1)
         assert (world.write_status(other) is WriteStatus.ABANDONED) == (not incarnation)
         status: dict[str, Any] = world.gate.status()
         assert status["ready"] and status["gate"]["fenced"] == 1 and "lines" in status
--- a/tests/test_outbox_replicated_version_vector.py
+++ b/tests/test_outbox_replicated_version_vector.py
@@ -21,7 +21,7 @@
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
 from tests.fakes import ManualClock
-from tests.test_outbox_replay_gate import Agreed
+from tests.test_outbox_replay_gate import ManualAgreement
 
 OLDEST_LOG, PREVIOUS_LOG, OWN_LOG = EdgeLog("copy-1", 1), EdgeLog("copy-1", 2), EdgeLog("copy-1", 3)
 FOREIGN_WRITE = Dependency("edge-1", 7, 3)
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         self.clock = ManualClock()
         self.ledger = ReplicatedLedger()
-        self.agreement = Agreed(self.ledger, self.clock)
+        self.agreement = ManualAgreement(self.ledger, self.clock)
         self.log_lines: list[str] = []
         self.change_count = 0
         self.version_vector = ReplicatedVersionVector(self.ledger, self.clock, self.log_lines.append)
@@ -50,7 +50,7 @@
             await asyncio.sleep(0)
 
     async def commit(self) -> None:
-        self.agreement.land()
+        self.agreement.apply_entries()
         await self.advance()
 
 
@@ -67,7 +67,7 @@
 def test_statuses_in_the_ledger_are_known_while_this_copy_is_not_ready() -> None:
     async def test(world: World) -> None:
         assert world.version_vector.write_status(FOREIGN_WRITE) is WriteStatus.UNKNOWN
-        world.agreement.land(WriteApplied(FOREIGN_WRITE.write_id))
+        world.agreement.apply_entries(WriteApplied(FOREIGN_WRITE.write_id))
         world.agreement.is_ready = False
         assert world.version_vector.write_status(FOREIGN_WRITE) is WriteStatus.APPLIED
 
@@ -82,7 +82,7 @@
         world.agreement.is_ready = False
         assert not world.version_vector.holds(OWN_LOG)
         world.agreement.is_ready = True
-        world.agreement.land(EdgeLost("copy-1", OWN_LOG.incarnation))
+        world.agreement.apply_entries(EdgeLost("copy-1", OWN_LOG.incarnation))
         assert not world.version_vector.holds(OWN_LOG)
 
     run_in_world(test)
@@ -92,10 +92,10 @@
     async def test(world: World) -> None:
         world.begin(OLDEST_LOG, PREVIOUS_LOG)
         await world.advance(2 * SUBMIT_INTERVAL_US)
-        assert world.agreement.asked == []  # nothing has asked for an earlier log yet
+        assert world.agreement.submitted_entries == []  # nothing has asked for an earlier log yet
         assert not world.version_vector.holds(PREVIOUS_LOG)
         await world.advance()
-        assert world.agreement.asked == [
+        assert world.agreement.submitted_entries == [
             LogLease(PREVIOUS_LOG, OWN_LOG.incarnation, PREVIOUS_LOG.incarnation, 0)
         ]
         assert not world.version_vector.holds(PREVIOUS_LOG)
@@ -114,11 +114,13 @@
     """An incarnation between the oldest and the present one took the lease on the oldest log, and ended."""
 
     async def test(world: World) -> None:
-        world.agreement.land(LogLease(OLDEST_LOG, PREVIOUS_LOG.incarnation, OLDEST_LOG.incarnation, 0))
+        world.agreement.apply_entries(
+            LogLease(OLDEST_LOG, PREVIOUS_LOG.incarnation, OLDEST_LOG.incarnation, 0)
+        )
         world.begin(OLDEST_LOG, PREVIOUS_LOG)
         world.version_vector.holds(OLDEST_LOG)
         await world.advance()
-        assert world.agreement.asked == [
+        assert world.agreement.submitted_entries == [
             LogLease(OLDEST_LOG, OWN_LOG.incarnation, PREVIOUS_LOG.incarnation, 1)
         ]
 
@@ -127,22 +129,24 @@
 
 def test_a_log_held_by_an_unknown_incarnation_is_fenced_until_an_operator_forces_the_lease() -> None:
     async def test(world: World) -> None:
-        world.agreement.land(LogLease(OLDEST_LOG, 99, OLDEST_LOG.incarnation, 0))
+        world.agreement.apply_entries(LogLease(OLDEST_LOG, 99, OLDEST_LOG.incarnation, 0))
         world.begin(OLDEST_LOG)
         world.version_vector.holds(OLDEST_LOG)
         await world.advance(3 * SUBMIT_INTERVAL_US)
-        assert world.agreement.asked == [] and not world.version_vector.holds(OLDEST_LOG)
+        assert world.agreement.submitted_entries == [] and not world.version_vector.holds(OLDEST_LOG)
         assert len(world.log_lines) == 1 and "fenced" in world.log_lines[0]
         with pytest.raises(KeyError):
             world.version_vector.force_lease(EdgeLog("copy-1", 50))
         assert world.version_vector.force_lease(OLDEST_LOG)
         await world.advance()
-        assert world.agreement.asked == [LogLease(OLDEST_LOG, OWN_LOG.incarnation, 99, 1, True)]
+        assert world.agreement.submitted_entries == [LogLease(OLDEST_LOG, OWN_LOG.incarnation, 99, 1, True)]
         await world.commit()
         assert world.version_vector.holds(OLDEST_LOG) and not world.version_vector.force_lease(OLDEST_LOG)
-        world.agreement.land(LogLease(OLDEST_LOG, 98, OWN_LOG.incarnation, 2, True))
+        world.agreement.apply_entries(LogLease(OLDEST_LOG, 98, OWN_LOG.incarnation, 2, True))
         await world.advance(2 * SUBMIT_INTERVAL_US)
-        assert world.agreement.asked == [] and len(world.log_lines) == 2  # the operator's demand was used up
+        assert (
+            world.agreement.submitted_entries == [] and len(world.log_lines) == 2
+        )  # the operator's demand was used up
 
     run_in_world(test)
 
@@ -150,7 +154,7 @@
 def test_the_own_log_is_fenced_with_one_log_line_when_a_copy_of_the_disk_takes_the_lease() -> None:
     async def test(world: World) -> None:
         world.begin()
-        world.agreement.land(LogLease(OWN_LOG, 99, OWN_LOG.incarnation, 0))
+        world.agreement.apply_entries(LogLease(OWN_LOG, 99, OWN_LOG.incarnation, 0))
         await world.advance(3 * SUBMIT_INTERVAL_US)
         assert (
             not world.version_vector.holds(OWN_LOG)
@@ -171,22 +175,22 @@
         # Before `begin`, as when the outbox is restored.
         world.version_vector.publish(write_ids[0], WriteStatus.PARKED)
         world.begin()
-        assert world.agreement.asked == [StatusRecord(write_ids[0], WriteStatus.PARKED, 3)]
+        assert world.agreement.submitted_entries == [StatusRecord(write_ids[0], WriteStatus.PARKED, 3)]
         world.version_vector.publish(write_ids[1], WriteStatus.APPLIED)
         world.agreement.is_ready = False
         await world.advance(2 * SUBMIT_INTERVAL_US)
-        assert len(world.agreement.asked) == 1
+        assert len(world.agreement.submitted_entries) == 1
         world.agreement.is_ready = True
         updates = {
             StatusRecord(write_ids[0], WriteStatus.PARKED, 3),
             StatusRecord(write_ids[1], WriteStatus.APPLIED, 3),
         }
         await world.advance(SUBMIT_INTERVAL_US)
-        assert set(world.agreement.asked) == updates
+        assert set(world.agreement.submitted_entries) == updates
         # The entries are not agreed, and are submitted again.
         for _ in range(2 * AGREE_TIMEOUT_US // CHANGE_DELAY_US):
             await world.advance()
-        assert set(world.agreement.asked) == updates and world.agreement.calls > 3
+        assert set(world.agreement.submitted_entries) == updates and world.agreement.submission_count > 3
         await world.commit()
         await world.advance(SUBMIT_INTERVAL_US)
         assert (
@@ -209,10 +213,12 @@
             abandoned, WriteStatus.ABANDONED
         ) and world.version_vector.publish_low_watermark(OWN_LOG, 2)
         await world.advance(SUBMIT_INTERVAL_US)
-        assert world.agreement.asked == [StatusRecord(abandoned, WriteStatus.ABANDONED, 3)]
+        assert world.agreement.submitted_entries == [StatusRecord(abandoned, WriteStatus.ABANDONED, 3)]
         await world.commit()
         await world.advance(SUBMIT_INTERVAL_US)
-        assert world.agreement.asked == [StatusRecord(WriteId(*OWN_LOG, 2), WriteStatus.APPLIED, 3, True)]
+        assert world.agreement.submitted_entries == [
+            StatusRecord(WriteId(*OWN_LOG, 2), WriteStatus.APPLIED, 3, True)
+        ]
         await world.commit()
         assert world.version_vector.write_status(Dependency(*abandoned)) is WriteStatus.ABANDONED
         assert world.version_vector.write_status(Dependency(*OWN_LOG, 2)) is WriteStatus.APPLIED
@@ -229,7 +235,7 @@
         # A status that waits already can be replaced.
         assert world.version_vector.publish(WriteId(*OWN_LOG, 1), WriteStatus.APPLIED)
         await world.advance(SUBMIT_INTERVAL_US)
-        assert len(world.agreement.asked) == MAX_PENDING
+        assert len(world.agreement.submitted_entries) == MAX_PENDING
         await world.commit()
         assert len(world.version_vector.unpublished) == MAX_UNPUBLISHED - MAX_PENDING
         assert world.version_vector.publish(WriteId(*OWN_LOG, MAX_UNPUBLISHED + 1), WriteStatus.PARKED)
@@ -239,10 +245,10 @@
 
 def test_nothing_is_published_for_a_fenced_log() -> None:
     async def test(world: World) -> None:
-        world.agreement.land(EdgeLost("copy-1", OLDEST_LOG.incarnation))
+        world.agreement.apply_entries(EdgeLost("copy-1", OLDEST_LOG.incarnation))
         world.begin(OLDEST_LOG)
         world.version_vector.publish(WriteId(*OLDEST_LOG, 1), WriteStatus.APPLIED)
         await world.advance(SUBMIT_INTERVAL_US)
-        assert world.agreement.asked == [] and world.version_vector.unpublished == {}
+        assert world.agreement.submitted_entries == [] and world.version_vector.unpublished == {}
 
     run_in_world(test)
--- a/tests/test_outbox_shared_daemon.py
+++ b/tests/test_outbox_shared_daemon.py
@@ -36,9 +36,9 @@
 
 SECRET = b"of the edges and of the copies"
 SEAL, TOKENS = MessageSeal(SECRET), CausalityTokens(SECRET)
-LIFE, LATER_LIFE = 7, 8
-LINE = EdgeLog("edge-1", LIFE)
-DOT = WriteId("edge-1", LIFE, 3)
+INCARNATION, LATER_INCARNATION = 7, 8
+LINE = EdgeLog("edge-1", INCARNATION)
+DOT = WriteId("edge-1", INCARNATION, 3)
 KEPT = [{"name": "put", "keep": "keyed", "window_s": 86400}, {"name": "pay", "keep": "unsafe"}]
 TEST_S = 90.0  # for a test that hangs; nothing is measured by it
 
@@ -71,17 +71,17 @@
         return await self.exchange(copy, f"POST /{cls}{query}", told, b"x")
 
     async def replay(
-        self, copy: int, write_id: WriteId = DOT, cls: str = "pay", life: int = LIFE
+        self, copy: int, write_id: WriteId = DOT, cls: str = "pay", incarnation: int = INCARNATION
     ) -> tuple[int, str]:
         """Again while it is refused as not run, as an edge would: another copy may come to lead."""
-        while (found := await self.replay_once(copy, write_id, cls, life)) == (503, ""):
+        while (found := await self.replay_once(copy, write_id, cls, incarnation)) == (503, ""):
             await asyncio.sleep(POLL_INTERVAL_S)
         return found
 
     async def replay_once(
-        self, copy: int, write_id: WriteId = DOT, cls: str = "pay", life: int = LIFE
+        self, copy: int, write_id: WriteId = DOT, cls: str = "pay", incarnation: int = INCARNATION
     ) -> tuple[int, str]:
-        sealed = SEAL.replayed(ReplayIdentity(write_id, life, cls == "pay"))
+        sealed = SEAL.replayed(ReplayIdentity(write_id, incarnation, cls == "pay"))
         found = await self.write(copy, cls, f"X-Kept-Write: {sealed}\r\n")
         return found.status, found.headers.get("x-kept-fate", "")
 
@@ -103,7 +103,7 @@
 
     async def until_fate(self, copy: int, dependency: Dependency, write_status: WriteStatus) -> None:
         await self.until_told(
-            copy, ReplayQuery(write_statuses=(dependency,)), QueryReply(write_statuses=(write_status,))
+            copy, ReplayQuery(dependencies=(dependency,)), QueryReply(write_statuses=(write_status,))
         )
 
     async def until_ready(self, copies: tuple[int, ...] = (0, 1, 2), ready: bool = True) -> None:
@@ -188,8 +188,8 @@
             assert await tier.replay(0) == (502, "begun")
             assert tier.ran == 1
             # An operator looked, and says so at the edge: then it runs, once.
-            never_ran = StatusUpdate(DOT, WriteStatus.UNKNOWN, LIFE, withdraw_intent=True, parking=1)
-            await tier.until_told(1, ReplayQuery(told=(never_ran,)), QueryReply(told=(True,)))
+            never_ran = StatusUpdate(DOT, WriteStatus.UNKNOWN, INCARNATION, withdraw_intent=True, parking=1)
+            await tier.until_told(1, ReplayQuery(status_updates=(never_ran,)), QueryReply(agreements=(True,)))
             assert await tier.replay(1) == (200, "") and await tier.replay(1) == (200, "in")
             assert tier.ran == 2
 
@@ -202,7 +202,7 @@
             tier.tier.partition({0}, {1, 2})
             await tier.until_ready((0,), ready=False)
             assert await tier.replay_once(0) == (503, "")
-            assert await tier.ask(0, ReplayQuery(write_statuses=(Dependency(*DOT),))) is None
+            assert await tier.ask(0, ReplayQuery(dependencies=(Dependency(*DOT),))) is None
             await tier.until_ready((1, 2))
             assert await tier.replay(1) == (200, "")
             tier.tier.heal_partition()
@@ -215,14 +215,23 @@
 def test_of_two_copies_of_a_disk_the_one_that_claims_first_replays(tmp_path: Path) -> None:
     async def main() -> None:
         async with copies(tmp_path) as tier:
-            mine, others = LeaseRequest(LINE, LATER_LIFE, (LIFE,)), LeaseRequest(LINE, 9, (LIFE,))
-            await tier.until_told(0, ReplayQuery(claims=(mine,)), QueryReply(claims=(LeaseStatus.HELD,)))
-            await tier.until_told(1, ReplayQuery(claims=(others,)), QueryReply(claims=(LeaseStatus.FENCED,)))
-            assert await tier.replay(1, life=9) == (503, "fenced")
-            assert await tier.replay(1, life=LATER_LIFE) == (200, "") and tier.ran == 1
-            forced = LeaseRequest(LINE, 9, (LIFE,), force=True)
-            await tier.until_told(2, ReplayQuery(claims=(forced,)), QueryReply(claims=(LeaseStatus.HELD,)))
-            assert await tier.replay(2, WriteId("edge-1", LIFE, 4), life=9) == (200, "")
+            mine, others = (
+                LeaseRequest(LINE, LATER_INCARNATION, (INCARNATION,)),
+                LeaseRequest(LINE, 9, (INCARNATION,)),
+            )
+            await tier.until_told(
+                0, ReplayQuery(lease_requests=(mine,)), QueryReply(lease_statuses=(LeaseStatus.HELD,))
+            )
+            await tier.until_told(
+                1, ReplayQuery(lease_requests=(others,)), QueryReply(lease_statuses=(LeaseStatus.FENCED,))
+            )
+            assert await tier.replay(1, incarnation=9) == (503, "fenced")
+            assert await tier.replay(1, incarnation=LATER_INCARNATION) == (200, "") and tier.ran == 1
+            forced = LeaseRequest(LINE, 9, (INCARNATION,), is_forced=True)
+            await tier.until_told(
+                2, ReplayQuery(lease_requests=(forced,)), QueryReply(lease_statuses=(LeaseStatus.HELD,))
+            )
+            assert await tier.replay(2, WriteId("edge-1", INCARNATION, 4), incarnation=9) == (200, "")
 
     play(main())
 
@@ -233,7 +242,7 @@
             assert await tier.replay(0) == (200, "")
             await tier.until_fate(2, Dependency(*DOT), WriteStatus.APPLIED)
             assert (await tier.call(2, "lost?edge=edge-1"))[0] == 202
-            other = WriteId("edge-1", LIFE, 4)
+            other = WriteId("edge-1", INCARNATION, 4)
             for copy in range(3):
                 await tier.until_fate(copy, Dependency(*other), WriteStatus.ABANDONED)
                 assert await tier.replay(copy, other) == (503, "fenced")
@@ -246,10 +255,12 @@
                 ("claim?line=copy-1", 400), ("claim?line=copy-1/0000000000000007", 404),
             ):  # fmt: skip
                 assert (await tier.call(1, words))[0] == status, words
-            life = WriteId("edge-2", LIFE, 1)
-            assert (await tier.call(1, f"lost?edge=edge-2&incarnation={LIFE:016x}"))[0] == 202
-            await tier.until_fate(0, Dependency(*life), WriteStatus.ABANDONED)
-            assert await tier.replay(0, WriteId("edge-2", LATER_LIFE, 1), life=LATER_LIFE) == (200, "")
+            incarnation = WriteId("edge-2", INCARNATION, 1)
+            assert (await tier.call(1, f"lost?edge=edge-2&incarnation={INCARNATION:016x}"))[0] == 202
+            await tier.until_fate(0, Dependency(*incarnation), WriteStatus.ABANDONED)
+            assert await tier.replay(
+                0, WriteId("edge-2", LATER_INCARNATION, 1), incarnation=LATER_INCARNATION
+            ) == (200, "")
 
     play(main())
 
@@ -326,7 +337,7 @@
             assert (await tier.exchange(0, f"GET {path}", "Content-Length: 1\r\n", b"x")).status == 400
             assert (await tier.exchange(0, f"GET {path}x")).status == 400
             assert (await tier.write(0, "pay", "X-Kept-Write: x\r\n")).status == 400
-            twice = f"X-Kept-Write: {SEAL.replayed(ReplayIdentity(DOT, LIFE, True))}\r\n" * 2
+            twice = f"X-Kept-Write: {SEAL.replayed(ReplayIdentity(DOT, INCARNATION, True))}\r\n" * 2
             assert (await tier.write(0, "pay", twice)).status == 400
             assert tier.ran == 0
 
--- a/tests/test_outbox_shared_schedules.py
+++ b/tests/test_outbox_shared_schedules.py
@@ -158,7 +158,7 @@
         elif self.ledger.write_status(Dependency(*write_id)) is WriteStatus.APPLIED:
             self.reply(call, "in")
         elif (
-            self.ledger.holder(write_id.edge_log) != identity.life
+            self.ledger.holder(write_id.edge_log) != identity.incarnation
             or self.ledger.write_status(Dependency(*write_id)) is WriteStatus.ABANDONED
         ):
             self.reply(call, "fenced")
@@ -184,7 +184,7 @@
 
     def request_intent(self, call: Call) -> None:
         identity, world = call.identity, self.world
-        match self.ledger.intent_status(identity.write_id, identity.life, call.intent_id):
+        match self.ledger.intent_status(identity.write_id, identity.incarnation, call.intent_id):
             case IntentStatus.MINE:
                 self.send(call)
             case IntentStatus.OTHERS:
@@ -196,7 +196,7 @@
             case _ if world.rng.random() < world.timeout_probability:
                 self.withdraw_intent(call, "not run")
             case _:
-                world.send_to_leader(Intent(identity.write_id, identity.life, call.intent_id))
+                world.send_to_leader(Intent(identity.write_id, identity.incarnation, call.intent_id))
 
     def withdraw_intent(self, call: Call, answer: str) -> None:
         call.stage, call.answer = "withdrawal", answer
@@ -246,18 +246,18 @@
         if not self.is_ready:
             return
         ledger, world = self.ledger, self.world
-        write_statuses = tuple(ledger.write_status(dependency) for dependency in query.write_statuses)
-        for dependency, write_status in zip(query.write_statuses, write_statuses, strict=True):
+        write_statuses = tuple(ledger.write_status(dependency) for dependency in query.dependencies)
+        for dependency, write_status in zip(query.dependencies, write_statuses, strict=True):
             if write_status is WriteStatus.APPLIED:
                 world.check_applied(dependency, "a query")
         for entry in (
-            *(ledger.lease_entry(request) for request in query.claims),
-            *(ledger.status_entry(update) for update in query.told),
+            *(ledger.lease_entry(request) for request in query.lease_requests),
+            *(ledger.status_entry(update) for update in query.status_updates),
         ):
             if entry is not None:
                 world.send_to_leader(entry)
-        lease_statuses = tuple(ledger.lease_status(request) for request in query.claims)
-        agreements = tuple(ledger.agrees_with(update) for update in query.told)
+        lease_statuses = tuple(ledger.lease_status(request) for request in query.lease_requests)
+        agreements = tuple(ledger.agrees_with(update) for update in query.status_updates)
         world.messages.append(lambda: edge.on_query_reply(query, write_statuses, lease_statuses, agreements))
 
 
@@ -430,13 +430,13 @@
     ) -> None:
         if not self.is_alive:
             return
-        for dependency, write_status in zip(query.write_statuses, write_statuses, strict=True):
+        for dependency, write_status in zip(query.dependencies, write_statuses, strict=True):
             if self.write_statuses.get(dependency) not in FINAL_STATUSES:
                 self.write_statuses[dependency] = write_status
-        for request, lease_status in zip(query.claims, lease_statuses, strict=True):
+        for request, lease_status in zip(query.lease_requests, lease_statuses, strict=True):
             if self.lease_statuses[request.edge_log] is LeaseStatus.OPEN:
                 self.lease_statuses[request.edge_log] = lease_status
-        for update, is_agreed in zip(query.told, agreements, strict=True):
+        for update, is_agreed in zip(query.status_updates, agreements, strict=True):
             write = self.disk.writes[update.write_id]
             if (
                 is_agreed
@@ -1048,7 +1048,7 @@
     """Grants a lease although the request does not name the holder."""
 
     def lease_status(self, request: LeaseRequest) -> LeaseStatus:
-        return super().lease_status(msgspec.structs.replace(request, force=True))
+        return super().lease_status(msgspec.structs.replace(request, is_forced=True))
 
 
 class IgnoresHolderChanges(ReplicatedLedger):
@@ -1213,8 +1213,11 @@
 
     def request_intent(self, call: Call) -> None:
         identity = call.identity
-        if self.ledger.intent_status(identity.write_id, identity.life, call.intent_id) is IntentStatus.OPEN:
-            self.world.send_to_leader(Intent(identity.write_id, identity.life, call.intent_id))
+        if (
+            self.ledger.intent_status(identity.write_id, identity.incarnation, call.intent_id)
+            is IntentStatus.OPEN
+        ):
+            self.world.send_to_leader(Intent(identity.write_id, identity.incarnation, call.intent_id))
             self.send(call)
         else:
             super().request_intent(call)
