--- a/laurelstep/engine/engine.py
+++ b/laurelstep/engine/engine.py
@@ -150,7 +150,7 @@
 
     # Endpoint lists
 
-    def on_list(self, version: int, is_full: bool, entries: Sequence[Any]) -> None:
+    def on_list(self, generation: int, is_full: bool, entries: Sequence[Any]) -> None:
         """See `MemberSink.on_list`."""
         self._apply_list(LIST_FULL if is_full else LIST_DELTA, entries)
 
--- a/laurelstep/engine/ports.py
+++ b/laurelstep/engine/ports.py
@@ -96,7 +96,7 @@
 class MemberSink(Protocol):
     """Receives the endpoint lists of a `MemberSource`."""
 
-    def on_list(self, version: int, is_full: bool, entries: Sequence[Any]) -> None:
+    def on_list(self, generation: int, is_full: bool, entries: Sequence[Any]) -> None:
         """Apply a full list, or one of changes, in the format of discovery. ValueError, with nothing
         applied, if an entry is malformed.
         """
--- a/laurelstep/flow_control/__init__.py
+++ b/laurelstep/flow_control/__init__.py
@@ -1,4 +1,4 @@
-"""Large and slow bodies: the minimum throughput of one, and the budget of what is buffered of all.
+"""Limits for large and slow bodies: a minimum throughput, and a budget of buffered bytes.
 
-Both modules decide and do no I/O; bytes pass through `laurelstep.engine.body_stream`.
+Both modules make decisions and do no I/O; the bytes are forwarded by `laurelstep.engine.body_stream`.
 """
--- a/laurelstep/flow_control/buffer_budget.py
+++ b/laurelstep/flow_control/buffer_budget.py
@@ -1,47 +1,50 @@
-"""The budget of buffered bodies: how much of them a process holds in memory. Pure.
+"""The budget of buffered bodies: how many of their bytes a process holds in memory. Does no I/O.
 
-Rules that everything here serves:
+Rules of this module:
 
 1. A request is buffered until it is complete, so that it can be sent again, up to `MAX_BUFFERED_BYTES` and
-   while all that are buffered fit into the budget. Past that its body is streamed while it comes; one
-   whose head is not complete is refused. The same holds for answers, which have a budget of their own.
-2. What was reserved is released once, when its request, or answer, is over.
+   as long as all buffered requests fit into the budget. Beyond that its body is streamed as it is received,
+   and a request whose head is not complete is refused. The same applies to answers, which have their own
+   budget.
+2. Reserved bytes are released once, when their request or answer is done.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-# Of one body, in bytes, at most; up to `UNCOUNTED_BYTES` it does not count: each connection may hold that,
-# which is no more than its own buffers take.
+# Limit of one buffered message. The first `UNCOUNTED_BYTES` of it are not charged to the budget: each
+# connection may hold them, which is no more than its own buffers take.
 MAX_BUFFERED_BYTES: Final = 1 << 20
 UNCOUNTED_BYTES: Final = 8 * 1024
-# What a process needs beside bodies, and the part of the rest that bodies may have: two
-# processes share the memory during an upgrade.
+# MiB that a process needs without any bodies, and the shares of the remaining memory for buffered requests
+# and answers. The shares are small because two processes share the memory during a hot restart.
 BASE_MB: Final = 20
 REQUESTS_SHARE: Final = 0.25
 ANSWERS_SHARE: Final = 0.125
 MIN_BUDGET_BYTES: Final = 1 << 20
-# What one body that is streamed holds: a write buffer up to its mark, and the read, of 256 KiB
-# at most, that went over that.
+# Memory that one streamed body holds at most: a write buffer of 64 KiB at its high-water mark, and the last
+# read, of 256 KiB at most, that exceeded it.
 STREAMED_BODY_BYTES: Final = (64 + 256) * 1024
-# Where no limit of memory is set.
+# MiB that are assumed if no memory limit is set.
 DEFAULT_MEMORY_MB: Final = 128
 
 
-def budget_bytes(memory_mb: int, part: float = REQUESTS_SHARE) -> int:
-    """Bytes of bodies that may be buffered with that limit of memory, in MiB; 0 = none is set."""
-    left = (memory_mb or DEFAULT_MEMORY_MB) - BASE_MB
-    return max(MIN_BUDGET_BYTES, int(left * part) << 20)
+def budget_bytes(memory_mb: int, share: float = REQUESTS_SHARE) -> int:
+    """Bytes that may be buffered of requests, or of answers, by their `share`. `memory_mb`: the memory limit
+    of the process in MiB; 0 = none is set.
+    """
+    remaining_mb = (memory_mb or DEFAULT_MEMORY_MB) - BASE_MB
+    return max(MIN_BUDGET_BYTES, int(remaining_mb * share) << 20)
 
 
 def max_total_bytes(memory_mb: int, streamed: int) -> int:
-    """Bytes that all bodies together hold at most, with so many streamed in either direction."""
+    """Bytes that all bodies together hold at most. `streamed`: how many are streamed, in either direction."""
     return budget_bytes(memory_mb) + budget_bytes(memory_mb, ANSWERS_SHARE) + streamed * STREAMED_BODY_BYTES
 
 
 class BufferBudget:
-    """Bytes that are buffered, past what each connection has anyway."""
+    """Counts the buffered bytes of all messages, without the first `UNCOUNTED_BYTES` of each."""
 
     __slots__ = ("limit", "used")
 
@@ -50,23 +53,23 @@
         self.used = 0
 
     def reserve(self, size: int, reserved: int) -> int:
-        """What so much of a message takes of the budget in all, `reserved` of it so far; -1 if it
-        may be buffered no longer. In bytes.
+        """Reserve budget for a message of which `size` bytes are buffered and `reserved` bytes were reserved
+        before. Returns the bytes that are now reserved for it; -1 if it may not be buffered any longer.
         """
-        want = max(0, size - UNCOUNTED_BYTES)
-        if size > MAX_BUFFERED_BYTES or self.used + want - reserved > self.limit:
+        wanted = max(0, size - UNCOUNTED_BYTES)
+        if size > MAX_BUFFERED_BYTES or self.used + wanted - reserved > self.limit:
             return -1
-        self.used += want - reserved
-        return want
+        self.used += wanted - reserved
+        return wanted
 
     def reserve_unconditionally(self, size: int, reserved: int) -> int:
-        """The same for what has come complete at once, or can't be streamed: it is buffered all the
-        same, and others find less.
+        """As `reserve`, for a message that was received at once or can't be streamed: it is buffered even
+        beyond the limit, which leaves less for others.
         """
-        want = max(0, size - UNCOUNTED_BYTES)
-        self.used += want - reserved
-        return want
+        wanted = max(0, size - UNCOUNTED_BYTES)
+        self.used += wanted - reserved
+        return wanted
 
     def release(self, reserved: int) -> None:
-        """Give back what `reserve` or `reserve_unconditionally` gave last."""
+        """Return to the budget what `reserve` or `reserve_unconditionally` returned last for a message."""
         self.used -= reserved
--- a/laurelstep/lifecycle/__init__.py
+++ b/laurelstep/lifecycle/__init__.py
@@ -1,4 +1,4 @@
-"""Whether a daemon takes callers: from its start over drains by call to its stop. Pure."""
+"""The lifecycle of a daemon: start, drain on request, stop. Does no I/O."""
 
 from laurelstep.lifecycle.phases import Lifecycle, Phase
 
--- a/laurelstep/lifecycle/phases.py
+++ b/laurelstep/lifecycle/phases.py
@@ -1,13 +1,13 @@
-"""The phases of a daemon, and what each means for its callers. Time is passed in, in s.
+"""The phases of a daemon, and what each means for its clients. Times are passed in, in s.
 
-Rules that everything here serves:
+Rules of this module:
 
-1. Phases change as `MOVES` says and in no other way; what is asked twice changes nothing.
-2. A stop is final, and wins over a drain.
-3. Ready is said while serving, and at no other time: those who send callers here ask that.
-4. Only while serving does a connection outlive the answer on it.
-5. In a drain nothing that comes is turned away before `DRAIN_S`: those who send callers
-   hear of it late. From then on no half-sent request is waited for.
+1. Phases change only as `TRANSITIONS` says; a repeated event changes nothing.
+2. A stop is final, and takes precedence over a drain.
+3. The daemon reports itself ready only while serving: the load balancer in front of it polls that.
+4. Only while serving is a client's connection kept open after an answer.
+5. In a drain no new request is refused before `DRAIN_S`, because the load balancer in front of it notices
+   the drain late. From then on the daemon does not wait for requests that are received only in part.
 """
 
 from __future__ import annotations
@@ -18,23 +18,22 @@
 
 
 class Phase(StrEnum):
-    """Where a daemon stands between its start and its end."""
+    """The phase of a daemon's life."""
 
     STARTING = "starting"
     SERVING = "serving"
-    DRAINING = "draining"  # by a call: callers are sent away, the process stays
-    DRAINED = "drained"  # they have been sent away
+    DRAINING = "draining"  # by a management call: clients are sent away, the process keeps running
+    DRAINED = "drained"  # all clients have been sent away
     STOPPING = "stopping"
 
 
-# What is asked of a daemon, in each phase: the phase that follows. What stands nowhere is
-# refused.
-MOVES: Final = {
+# The next phase, by event and current phase. An event that is not listed for a phase is refused.
+TRANSITIONS: Final = {
     ("serve", Phase.STARTING): Phase.SERVING,
     ("evacuate", Phase.SERVING): Phase.DRAINING,
     ("evacuate", Phase.DRAINING): Phase.DRAINING,
     ("evacuate", Phase.DRAINED): Phase.DRAINED,
-    ("evacuate", Phase.STOPPING): Phase.STOPPING,  # it leaves anyway: what was asked is so
+    ("evacuate", Phase.STOPPING): Phase.STOPPING,  # a stop sends the clients away as well
     ("rejoin", Phase.SERVING): Phase.SERVING,
     ("rejoin", Phase.DRAINING): Phase.SERVING,
     ("rejoin", Phase.DRAINED): Phase.SERVING,
@@ -44,53 +43,55 @@
     ("stop", Phase.DRAINING): Phase.STOPPING,
     ("stop", Phase.DRAINED): Phase.STOPPING,
 }
-# A front asks every 0.1 s and sends connections for 0.2 s more. Callers that ask again within
-# this hear that their connection ends; those that rest longer are closed.
+# How long after the start of a drain idle connections are closed. A load balancer polls readiness every 0.1 s
+# and still sends connections for 0.2 s after that. Clients that send a request within this time are told in
+# the answer that their connection closes.
 IDLE_CLOSE_DELAY_S: Final = 1.0
-# What is not whole by now would still be open when all has to be gone, at 4 s.
+# How long a drain waits for requests that are received only in part. One that is incomplete by then would
+# still be open at 4 s, when all connections have to be closed.
 DRAIN_S: Final = 2.0
-# How long a connection that comes after its time may take to bring a request.
+# How long a connection that is accepted late in a drain, or after it, may take to send a request.
 LATE_REQUEST_TIMEOUT_S: Final = 0.3
 
 
 class Lifecycle:
-    """The phase of one daemon, and who is notified of its changes: `phase` is the new one by then."""
+    """The phase of one daemon. `since`: when it began, s. `observers` are called after each change."""
 
     def __init__(self) -> None:
         self.phase = Phase.STARTING
         self.since = 0.0
         self.observers: list[Callable[[], None]] = []
 
-    def _move(self, now: float, asked: str) -> bool:
-        """Whether it may be asked now; it is done then."""
-        phase = MOVES.get((asked, self.phase))
+    def _transition(self, now: float, event: str) -> bool:
+        """Apply an event; False if it is refused in the current phase."""
+        phase = TRANSITIONS.get((event, self.phase))
         if phase is None:
             return False
         if phase != self.phase:
             self.phase, self.since = phase, now
-            for watcher in self.observers:
-                watcher()
+            for observer in self.observers:
+                observer()
         return True
 
     def serve(self, now: float) -> bool:
-        """The listener is open. Like each call here: `now` in s, True if it may be asked in this phase."""
-        return self._move(now, "serve")
+        """The listener is open. As for each event: `now` in s; False if it is refused in this phase."""
+        return self._transition(now, "serve")
 
     def evacuate(self, now: float) -> bool:
-        """Send the clients away; the process stays."""
-        return self._move(now, "evacuate")
+        """Start a drain: send the clients away, and keep the process running."""
+        return self._transition(now, "evacuate")
 
     def rejoin(self, now: float) -> bool:
-        """Take clients again."""
-        return self._move(now, "rejoin")
+        """End a drain: accept clients again."""
+        return self._transition(now, "rejoin")
 
     def drained(self, now: float) -> bool:
-        """The time of the drain is over."""
-        return self._move(now, "drained")
+        """The drain has ended."""
+        return self._transition(now, "drained")
 
     def stop(self, now: float) -> bool:
-        """False if it stops already."""
-        return self._move(now, "stop")
+        """Start a graceful shutdown. False if one has begun already."""
+        return self._transition(now, "stop")
 
     @property
     def is_stopping(self) -> bool:
@@ -99,16 +100,16 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether new clients are welcome."""
+        """Whether new clients are accepted, as reported to the load balancer in front."""
         return self.phase == Phase.SERVING
 
     @property
     def allows_keep_alive(self) -> bool:
-        """Whether a connection may stay open behind an answer."""
+        """Whether a client's connection may stay open after an answer."""
         return self.phase == Phase.SERVING
 
     def has_short_request_timeout(self, now: float) -> bool:
-        """Whether a new connection has but a moment to bring its request."""
+        """Whether a new connection has only `LATE_REQUEST_TIMEOUT_S` to send its request."""
         if self.phase == Phase.DRAINING:
             return now - self.since >= IDLE_CLOSE_DELAY_S
         return self.phase == Phase.DRAINED
--- a/laurelstep/resources/__init__.py
+++ b/laurelstep/resources/__init__.py
@@ -1,4 +1,5 @@
-"""What many connections share: descriptors, and which connection is evicted for want of one.
+"""Resources that all connections of a process share: descriptors, and which connection is evicted when they
+run out.
 
-`descriptors` decides and does no I/O. Buffers have a budget of their own in `flow_control`.
+`descriptors` makes decisions and does no I/O. The budget of buffers is in `laurelstep.flow_control`.
 """
--- a/laurelstep/resources/descriptors.py
+++ b/laurelstep/resources/descriptors.py
@@ -1,16 +1,16 @@
-"""The descriptor budget of a process: who may hold how many, and who is evicted. Pure.
-
-Rules that everything here serves:
-
-1. The shares add up to what the platform allows; what a start, the watch and staff need is
-   reserved before clients and endpoints get anything.
-2. Clients and endpoints have equal shares: a request that was taken needs one of each. A
-   crowd of the one leaves the other its own.
-3. Two processes that are one sidecar have half of it all each, from the offer of a hot restart
-   until one of them has ended.
-4. For want of a place the connection that waits longest is evicted: first those that were told their
-   end, then idle ones, then those that owe a request. Of these, silent or half-written, a third
-   of the places at most is taken from idle ones. A request that was taken is never evicted.
+"""The descriptor budget of a process: limits of connections, and the order of eviction. Does no I/O.
+
+Rules of this module:
+
+1. The limits add up to the number of sockets that the platform allows. Descriptors for the start, the
+   discovery watch and the operator are reserved first; clients and endpoints share the rest.
+2. Clients and endpoints get equal shares, because each request needs one connection on either side. Many
+   connections on one side leave the share of the other untouched.
+3. During a hot restart two processes act as one sidecar. Each has half of the sockets, from the offer of the
+   restart until one of them has ended.
+4. When a limit is reached, the connection that has waited longest is evicted: first those that were told to
+   close, then idle ones, then those whose request has not arrived completely. These may displace idle ones
+   from a third of the places at most. A connection with a request in progress is never evicted.
 """
 
 from __future__ import annotations
@@ -18,36 +18,37 @@
 from typing import Final
 
 DEFAULT_SOCKETS: Final = 1024
-MAX_SOCKETS: Final = 1024  # more are of no use to one process of one core
-# The listener, the watch and one that follows it, the loop, standard streams, a hot restart.
+MAX_SOCKETS: Final = 1024  # one process on one core can't make use of more
+# For the listener, the discovery watch and its successor, the event loop, standard streams and a hot restart.
 RESERVED_DESCRIPTORS: Final = 24
-# Reserved for the second address, where there is one: a crowd of clients must not shut it out.
+# For the management address, if there is one: many clients must not shut out the operator.
 RESERVED_FOR_MANAGEMENT: Final = 16
-# A side has so many at least, whatever the settings say.
+# The least number of connections of clients, and of endpoints, whatever the settings say.
 MIN_CONNECTIONS_PER_SIDE: Final = 8
-# Part of the clients' places that those which owe a request may hold at the cost of idle ones.
-AWAITING_PART: Final = 3
+# Connections whose request has not arrived may displace idle ones from 1/3 of the places of clients.
+AWAITING_SHARE_DIVISOR: Final = 3
 
-# What a client's connection waits for. Plain integers: the module is compiled.
-CLOSING: Final = 0  # it was told its end, and has not closed
-IDLE: Final = 1  # between requests
-AWAITING_REQUEST: Final = 2  # a request is owed: nothing came, or not all of it
+# States of a client's connection that waits for the client. Plain integers, because the module is compiled.
+CLOSING: Final = 0  # the client was told to close it, and has not
+IDLE: Final = 1  # between two requests
+AWAITING_REQUEST: Final = 2  # no request has arrived, or only a part of one
 
 
 def connections_per_side(sockets: int, has_management: bool, processes: int = 1) -> int:
-    """Connections that clients, and endpoints, may each hold in one of so many processes.
+    """How many connections clients may hold in one process, and endpoints likewise.
 
-    `sockets` is the platform's limit for all of them; `has_management` tells of a second address.
+    `sockets`: the platform's limit for all `processes` that share it. `has_management`: whether there is a
+    management address.
     """
     reserved = RESERVED_DESCRIPTORS + (RESERVED_FOR_MANAGEMENT if has_management else 0)
     return max(2 * MIN_CONNECTIONS_PER_SIDE, min(sockets, MAX_SOCKETS) // processes - reserved) // 2
 
 
 def eviction_order(awaiting_request: int, limit: int) -> tuple[int, ...]:
-    """The states whose longest waiting connection is evicted first, second and third.
+    """The states in the order of eviction; within a state the connection that has waited longest goes first.
 
-    `awaiting_request` connections of `limit` places owe a request.
+    `awaiting_request`: how many of the `limit` places are held by connections in that state.
     """
-    if awaiting_request > limit // AWAITING_PART:
+    if awaiting_request > limit // AWAITING_SHARE_DIVISOR:
         return (CLOSING, AWAITING_REQUEST, IDLE)
     return (CLOSING, IDLE, AWAITING_REQUEST)
