--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -44,6 +44,6 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    kept = [item for item in items if not fronts.is_hosts(item)]
+    kept = [item for item in items if not fronts.is_host_only(item)]
     fronts.SEEN.update(fronts.case(item) for item in items if fronts.is_shared(item))
     items[:] = kept
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -11,7 +11,7 @@
 from laurelstep.engine.endpoint_table import endpoint_number
 
 
-class Due:
+class ScheduledCall:
     """A call at a time, unless it is cancelled."""
 
     def __init__(self, callback: Callable[..., None], args: tuple[Any, ...]) -> None:
@@ -28,8 +28,8 @@
 
     def __init__(self) -> None:
         self.time = 1_000_000
-        self.due: list[tuple[int, int, Due]] = []
-        self.made = 0
+        self.due: list[tuple[int, int, ScheduledCall]] = []
+        self.scheduled_count = 0
 
     def now(self) -> int:
         return self.time
@@ -37,10 +37,10 @@
     def wall(self) -> int:
         return 1_700_000_000_000_000 + self.time
 
-    def at(self, due: int, callback: Callable[..., None], *args: Any) -> Due:
-        self.made += 1
-        handle = Due(callback, args)
-        heapq.heappush(self.due, (max(due, self.time), self.made, handle))
+    def at(self, due: int, callback: Callable[..., None], *args: Any) -> ScheduledCall:
+        self.scheduled_count += 1
+        handle = ScheduledCall(callback, args)
+        heapq.heappush(self.due, (max(due, self.time), self.scheduled_count, handle))
         return handle
 
     def advance(self, span_us: int) -> None:
@@ -53,51 +53,51 @@
         self.time = end
 
 
-class Sent:
+class SentAttempt:
     """One attempt as the endpoint has it."""
 
     def __init__(self, attempt: Attempt) -> None:
         self.attempt = attempt
-        self.written = False
-        self.ran = False
+        self.is_written = False
+        self.has_run = False
 
 
-class PlayedUpstream:
+class FakeUpstream:
     """Attempts wait until the test writes and answers them; writes and effects are kept."""
 
     idle_us = 6_000_000
 
     def __init__(self, clock: ManualClock) -> None:
         self.clock = clock
-        self.placed: set[int] = set()
-        self.out: dict[Attempt, Sent] = {}
+        self.known_endpoints: set[int] = set()
+        self.in_flight: dict[Attempt, SentAttempt] = {}
         self.writes: list[tuple[int, int, Call]] = []  # when, where, what
-        self.ran: dict[bytes, list[int]] = {}  # by request id: where it took effect
+        self.executions: dict[bytes, list[int]] = {}  # by request id: where it took effect
 
     def set_address(self, endpoint: int, address: str) -> None:
-        self.placed.add(endpoint)
+        self.known_endpoints.add(endpoint)
 
     def remove(self, endpoint: int) -> None:
-        self.placed.discard(endpoint)
+        self.known_endpoints.discard(endpoint)
 
     def close_idle(self, endpoint: int) -> None: ...
 
     def send(self, attempt: Attempt) -> None:
-        if attempt.endpoint in self.placed:
-            self.out[attempt] = Sent(attempt)
+        if attempt.endpoint in self.known_endpoints:
+            self.in_flight[attempt] = SentAttempt(attempt)
         else:
             attempt.end(NO_CONNECT)
 
     def cancel(self, attempt: Attempt) -> None:
-        self.out.pop(attempt, None)
+        self.in_flight.pop(attempt, None)
 
-    def write(self, sent: Sent, runs: bool) -> None:
+    def write(self, sent: SentAttempt, runs: bool) -> None:
         """The connection is up: the request goes out, and takes effect or does not."""
         now = self.clock.now()
-        if sent.written:
+        if sent.is_written:
             return
         if not sent.attempt.may_start(now):
-            del self.out[sent.attempt]
+            del self.in_flight[sent.attempt]
             sent.attempt.end(NOT_SENT)
             return
         call = sent.attempt.call
@@ -106,33 +106,33 @@
             return
         if call.upload is not None:
             call.upload.was_attached = True
-        sent.written, sent.ran = True, runs
+        sent.is_written, sent.has_run = True, runs
         sent.attempt.on_written()
         self.writes.append((now, sent.attempt.endpoint, call))
         if runs:
-            self.ran.setdefault(call.client_request_id, []).append(sent.attempt.endpoint)
+            self.executions.setdefault(call.client_request_id, []).append(sent.attempt.endpoint)
 
-    def answer(self, sent: Sent, outcome: int) -> None:
+    def answer(self, sent: SentAttempt, outcome: int) -> None:
         """How it ends: as far as that can be, from what has become of it."""
-        del self.out[sent.attempt]
-        if not sent.written:
+        del self.in_flight[sent.attempt]
+        if not sent.is_written:
             sent.attempt.end(NO_CONNECT)
-        elif outcome == OK and sent.ran:
+        elif outcome == OK and sent.has_run:
             sent.attempt.end(OK, Answer(Ending.SERVED, 200, (), b"ok"))
-        elif outcome == FULL and not sent.ran:
+        elif outcome == FULL and not sent.has_run:
             sent.attempt.end(FULL)
         else:
             sent.attempt.end(RESET if outcome == RESET else ERROR)
 
 
-class Answers:
+class RecordingFrontend:
     """A front that keeps what it is told."""
 
     def __init__(self) -> None:
-        self.given: list[tuple[Call, Answer]] = []
+        self.answers: list[tuple[Call, Answer]] = []
 
     def on_answer(self, call: Call, answer: Answer) -> None:
-        self.given.append((call, answer))
+        self.answers.append((call, answer))
 
 
 def entry(name: str, **changes: Any) -> dict[str, Any]:
--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -64,7 +64,7 @@
     return isinstance(item, pytest.Function) and item.module.__name__ in SHARED
 
 
-def is_hosts(item: pytest.Item) -> bool:
+def is_host_only(item: pytest.Item) -> bool:
     if not is_shared(item):
         return False
     _, name, front = case(item)
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -80,7 +80,7 @@
 from laurelstep.testing.endpoints import Listener, reset_connection
 
 from tests.event_loops import VirtualTimeLoop
-from tests.fakes import Due, ManualClock, PlayedUpstream, Sent
+from tests.fakes import FakeUpstream, ManualClock, ScheduledCall, SentAttempt
 
 ROOT = Path(__file__).parent.parent
 
@@ -257,30 +257,30 @@
 
 
 class EarlyClock(ManualClock):
-    def at(self, due: int, callback: Callable[..., None], *args: Any) -> Due:
+    def at(self, due: int, callback: Callable[..., None], *args: Any) -> ScheduledCall:
         return super().at(due - 1, callback, *args)
 
 
 class DeafClock(ManualClock):
     """Its calls can't be cancelled."""
 
-    def at(self, due: int, callback: Callable[..., None], *args: Any) -> Due:
+    def at(self, due: int, callback: Callable[..., None], *args: Any) -> ScheduledCall:
         super().at(due, callback, *args)
-        return Due(callback, args)
+        return ScheduledCall(callback, args)
 
 
 class HastyClock(ManualClock):
-    def at(self, due: int, callback: Callable[..., None], *args: Any) -> Due:
+    def at(self, due: int, callback: Callable[..., None], *args: Any) -> ScheduledCall:
         if due <= self.time:
             callback(*args)
-            return Due(callback, args)
+            return ScheduledCall(callback, args)
         return super().at(due, callback, *args)
 
 
 class TwiceClock(ManualClock):
-    def at(self, due: int, callback: Callable[..., None], *args: Any) -> Due:
+    def at(self, due: int, callback: Callable[..., None], *args: Any) -> ScheduledCall:
         handle = super().at(due, callback, *args)
-        self.due.append((self.due[-1][0], self.made + 1_000_000, handle))
+        self.due.append((self.due[-1][0], self.scheduled_count + 1_000_000, handle))
         return handle
 
 
@@ -561,7 +561,7 @@
     addresses = ("127.0.0.1:1001", "127.0.0.1:1002")
     closed_address = "127.0.0.1:1003"
 
-    def __init__(self, upstream: PlayedUpstream, places: dict[int, str]) -> None:
+    def __init__(self, upstream: FakeUpstream, places: dict[int, str]) -> None:
         self.played = upstream
         self.upstream: UpstreamSide = upstream
         self.places = places
@@ -576,15 +576,15 @@
         self.way = behaviour
 
     async def wait_sent(self) -> None:
-        for sent in list(self.played.out.values()):
+        for sent in list(self.played.in_flight.values()):
             address = self.places[sent.attempt.endpoint]
             if address == self.closed_address:
                 self.played.answer(sent, NO_CONNECT)
                 continue
             self.played.write(sent, runs=self.way not in (EndpointBehaviour.REJECT, EndpointBehaviour.FAIL))
-            if sent.attempt not in self.played.out:
+            if sent.attempt not in self.played.in_flight:
                 continue
-            if sent.ran:
+            if sent.has_run:
                 self.runs.setdefault(address, []).append(sent.attempt.call.client_request_id)
             if self.way is EndpointBehaviour.HOLD:
                 self.held.append(sent.attempt)
@@ -598,14 +598,14 @@
                 self.played.answer(sent, told[self.way])
 
     async def wait_noticed(self) -> None:
-        assert not [one for one in self.held if one in self.played.out]
+        assert not [one for one in self.held if one in self.played.in_flight]
 
     def executed(self, address: str) -> list[bytes]:
         return self.runs.get(address, [])
 
 
 class TestPlayedUpstream(UpstreamContract):
-    kind: ClassVar[type[PlayedUpstream]] = PlayedUpstream
+    kind: ClassVar[type[FakeUpstream]] = FakeUpstream
 
     @contextlib.asynccontextmanager
     async def environment(self) -> AsyncIterator[UpstreamEnvironment]:
@@ -619,19 +619,19 @@
         yield Played(Placed(ManualClock()), places)
 
 
-class EndsTwice(PlayedUpstream):
-    def answer(self, sent: Sent, outcome: int) -> None:
+class EndsTwice(FakeUpstream):
+    def answer(self, sent: SentAttempt, outcome: int) -> None:
         super().answer(sent, outcome)
         sent.attempt.end(outcome)
 
 
-class NeverAsks(PlayedUpstream):
-    def write(self, sent: Sent, runs: bool) -> None:
-        sent.written, sent.ran = True, runs
+class NeverAsks(FakeUpstream):
+    def write(self, sent: SentAttempt, runs: bool) -> None:
+        sent.is_written, sent.has_run = True, runs
         sent.attempt.on_written()
 
 
-class Tells(PlayedUpstream):
+class Tells(FakeUpstream):
     """Of what was cancelled, too."""
 
     def cancel(self, attempt: Attempt) -> None:
@@ -639,34 +639,34 @@
         attempt.end(RESET)
 
 
-class Clings(PlayedUpstream):
+class Clings(FakeUpstream):
     """Cancelled, it goes on."""
 
     def cancel(self, attempt: Attempt) -> None: ...
 
 
-class Repeats(PlayedUpstream):
+class Repeats(FakeUpstream):
     """A connection that dies is tried again."""
 
-    def answer(self, sent: Sent, outcome: int) -> None:
+    def answer(self, sent: SentAttempt, outcome: int) -> None:
         if outcome == RESET:
             sent.attempt.may_start(self.clock.now())
             sent.attempt.on_written()
         super().answer(sent, outcome)
 
 
-class Excuses(PlayedUpstream):
+class Excuses(FakeUpstream):
     """What died after it was written was never connected, it says."""
 
-    def answer(self, sent: Sent, outcome: int) -> None:
+    def answer(self, sent: SentAttempt, outcome: int) -> None:
         if outcome == RESET:
-            del self.out[sent.attempt]
+            del self.in_flight[sent.attempt]
             sent.attempt.end(NO_CONNECT)
         else:
             super().answer(sent, outcome)
 
 
-class Anywhere(PlayedUpstream):
+class Anywhere(FakeUpstream):
     """Sends to a place that was removed."""
 
     def remove(self, endpoint: int) -> None: ...
@@ -684,7 +684,7 @@
         (Anywhere, "test_an_endpoint_without_a_place_is_not_connected"),
     ],
 )
-def test_a_faulty_upstream_is_caught(kind: type[PlayedUpstream], name: str) -> None:
+def test_a_faulty_upstream_is_caught(kind: type[FakeUpstream], name: str) -> None:
     class Faulty(TestPlayedUpstream):
         timeout_s = 0.2
 
@@ -875,7 +875,7 @@
 class Ages(StaticMembers):
     """Its versions fall."""
 
-    def give(self, entries: Sequence[Any]) -> None:
+    def replace_list(self, entries: Sequence[Any]) -> None:
         self.generation -= 2
         super().replace_list(entries)
 
@@ -883,7 +883,7 @@
 class Sulks(StaticMembers):
     """Refused once, it says no more."""
 
-    def give(self, entries: Sequence[Any]) -> None:
+    def replace_list(self, entries: Sequence[Any]) -> None:
         try:
             super().replace_list(entries)
         except ValueError:
@@ -892,7 +892,7 @@
 
 
 class Rewords(StaticMembers):
-    def give(self, entries: Sequence[Any]) -> None:
+    def replace_list(self, entries: Sequence[Any]) -> None:
         super().replace_list([{**one, "weight": 1.0} for one in entries])
 
 
@@ -920,13 +920,13 @@
 
     def on_object(self, raw: bytearray, stream: Any, told_at: int | None) -> None:
         super().on_object(raw, stream, told_at)
-        self.busy = False
+        self.is_applying_list = False
 
 
 class Silent(Discovery):
     """Doesn't say that a list did not come."""
 
-    def on_lost(self, stream: Any, silent: bool) -> None: ...
+    def on_stream_lost(self, stream: Any, is_stalled: bool) -> None: ...
 
 
 @pytest.mark.parametrize(
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -20,7 +20,7 @@
 from laurelstep.testing import Listener, Reader, Writer, push, push_raw, read_message
 
 from tests.event_loops import run_on_virtual_time
-from tests.test_discovery import Sink, begin, entry, listing
+from tests.test_discovery import Sink, begin_response, entry, listing
 from tests.test_listing import Copy
 from tests.test_settings import file, platform
 
@@ -84,7 +84,7 @@
 
 async def tells(one: Scripted, writer: Writer) -> None:
     """A watch in form: what changed, then an empty line every 2 s."""
-    begin(writer)
+    begin_response(writer)
     push(writer, 43, False, *one.has)
     while True:
         one.heard_at = now()
@@ -93,7 +93,7 @@
 
 
 async def tells_and_falls_silent(one: Scripted, writer: Writer) -> None:
-    begin(writer)
+    begin_response(writer)
     push(writer, 42, True, entry("s-1"), entry("s-2"))
     one.heard_at = now()
 
@@ -107,7 +107,7 @@
 
 
 async def head_only(one: Scripted, writer: Writer) -> None:
-    begin(writer)
+    begin_response(writer)
 
 
 async def unavailable(one: Scripted, writer: Writer) -> None:
@@ -115,12 +115,12 @@
 
 
 async def ends_at_once(one: Scripted, writer: Writer) -> None:
-    begin(writer)
+    begin_response(writer)
     writer.write(b"0\r\n\r\n")
 
 
 async def half_an_object(one: Scripted, writer: Writer) -> None:
-    begin(writer)
+    begin_response(writer)
     push_raw(writer, json.dumps(listing(43, entry("s-1", "draining")), indent=1).encode()[:40])
 
 
@@ -133,14 +133,14 @@
 
 async def spaces(one: Scripted, writer: Writer) -> None:
     """Bytes that end no line."""
-    begin(writer)
+    begin_response(writer)
     while True:
         push_raw(writer, b" ")
         await asyncio.sleep(0.3)
 
 
 async def endless_object(one: Scripted, writer: Writer) -> None:
-    begin(writer)
+    begin_response(writer)
     push_raw(writer, b'{"generation":43,"reset":false,"instances":[')
     while True:
         push_raw(writer, b'{"instanceId":"s-9"},')
@@ -148,14 +148,14 @@
 
 
 async def lines_only(one: Scripted, writer: Writer) -> None:
-    begin(writer)
+    begin_response(writer)
     while True:
         push_raw(writer, b"\n")
         await asyncio.sleep(2.0)
 
 
 async def comes_slowly(one: Scripted, writer: Writer) -> None:
-    begin(writer)
+    begin_response(writer)
     raw = json.dumps(listing(43, *(entry(f"s-{n}") for n in range(500)), whole=True), indent=2).encode()
     for at in range(0, len(raw), 4096):
         push_raw(writer, raw[at : at + 4096])
@@ -181,10 +181,10 @@
     sink = Sink()
     async with Scripted([tells_and_falls_silent, *faults, tells]) as agent:
         one = discovery(agent, sink, pushed)
-        assert (await sink.told.get())[0] == 42
+        assert (await sink.lists.get())[0] == 42
         fell_silent = agent.heard_at
         agent.has = [entry("s-1", "draining")]
-        assert await sink.told.get() == (43, ["s-1"])
+        assert await sink.lists.get() == (43, ["s-1"])
         found = now() - fell_silent
         assert len(agent.targets) == len(faults) + 2
         assert all("from=42" in target for target in agent.targets[1:] if target)
@@ -239,7 +239,7 @@
             back_at = now()
             agent.has = [entry("s-1", "draining")]
             agent.scripts = [tells]
-            assert await sink.told.get() == (43, ["s-1"])
+            assert await sink.lists.get() == (43, ["s-1"])
             assert now() - back_at < (GRACE_S if pushed else TOLD_S)
             one.close()
             await one.wait_closed()
@@ -258,7 +258,7 @@
                 await asyncio.sleep(0.001)
             back_at = now()
             agent.has = [entry("s-1", "draining")]
-            assert await sink.told.get() == (43, ["s-1"])
+            assert await sink.lists.get() == (43, ["s-1"])
             assert now() - back_at < TOLD_S
             one.close()
             await one.wait_closed()
@@ -274,7 +274,7 @@
         async with Scripted([resets, tells]) as agent:
             one = discovery(agent, sink, pushed=False)
             await sink.failed.get()
-            assert (await sink.told.get())[0] == 43
+            assert (await sink.lists.get())[0] == 43
             one.watch(True)
             await asyncio.sleep(5.0)
             assert len(agent.targets) == 2
@@ -291,7 +291,7 @@
         sink = Sink()
         async with Scripted([lines_only, tells]) as agent:
             one = discovery(agent, sink, pushed=True, generation=0)
-            assert (await sink.told.get())[0] == 43
+            assert (await sink.lists.get())[0] == 43
             assert now() < 1.0 + TOLD_S and len(agent.targets) == 2
             await asyncio.sleep(20.0)
             assert len(agent.targets) == 2, "with the list known, empty lines do keep it open"
@@ -308,7 +308,7 @@
         sink = Sink()
         async with Scripted([comes_slowly]) as agent:
             one = discovery(agent, sink, pushed=True)
-            version, names = await sink.told.get()
+            version, names = await sink.lists.get()
             assert (version, len(names)) == (-1, 500) or (version, len(names)) == (43, 500)
             assert now() > 1.0 + TOLD_S and len(agent.targets) == 1
             one.close()
@@ -321,18 +321,18 @@
     """It opens with changes of a lower version, where the list that is known is another's."""
 
     async def counts_anew(one: Scripted, writer: Writer) -> None:
-        begin(writer)
+        begin_response(writer)
         push(writer, 7, False, entry("s-1", "draining"))
 
     async def tells_all(one: Scripted, writer: Writer) -> None:
-        begin(writer)
+        begin_response(writer)
         push(writer, 7, True, entry("s-2"))
 
     async def main() -> None:
         sink = Sink()
         async with Scripted([counts_anew, tells_all]) as agent:
             one = discovery(agent, sink, pushed=True)
-            assert await sink.told.get() == (7, ["s-2"])
+            assert await sink.lists.get() == (7, ["s-2"])
             assert [target.rpartition("=")[2] for target in agent.targets] == ["41", "0"]
             one.close()
             await one.wait_closed()
@@ -361,7 +361,7 @@
         sink = Sink()
         async with Scripted([told]) as agent:
             one = discovery(agent, sink, pushed=True)
-            assert await sink.told.get() == (43, ["s-1"]) and len(agent.targets) == 1
+            assert await sink.lists.get() == (43, ["s-1"]) and len(agent.targets) == 1
             one.close()
             await one.wait_closed()
 
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -28,7 +28,7 @@
 from laurelstep.settings import config_from
 from laurelstep.testing import after, reset, serve, stall
 
-from tests.fakes import Answers, ManualClock, PlayedUpstream, entry
+from tests.fakes import FakeUpstream, ManualClock, RecordingFrontend, entry
 from tests.sockets import (
     SETTINGS,
     Endpoint,
@@ -313,8 +313,8 @@
     """The engine alone: connections come up, answers come and time passes in any order."""
     put = {**SETTINGS["classes"][1], "repeat-window-us": WINDOW_US}
     config = config_from({"seed": "7", "settings": {**SETTINGS, "classes": [put]}}, "test")
-    clock, source, front = ManualClock(), StaticMembers(), Answers()
-    upstream = PlayedUpstream(clock)
+    clock, source, front = ManualClock(), StaticMembers(), RecordingFrontend()
+    upstream = FakeUpstream(clock)
     engine = Engine(
         clock, config.seed, config.settings, config.names, upstream, source, config.drain_grace_us, print
     )
@@ -325,22 +325,22 @@
     for kind, value in steps:
         if kind == "advance":
             clock.advance(value * 1000)
-        elif not upstream.out:
+        elif not upstream.in_flight:
             continue
         elif kind == "answer":
-            (sent,) = upstream.out.values()
-            written, ran = sent.written, sent.ran
+            (sent,) = upstream.in_flight.values()
+            written, ran = sent.is_written, sent.has_run
             upstream.answer(sent, value)
             if written and not (value == FULL and not ran) and doubt_since is None:
                 doubt_since = upstream.writes[-1][0]
         else:
-            (sent,) = upstream.out.values()
+            (sent,) = upstream.in_flight.values()
             before = len(upstream.writes)
             upstream.write(sent, value)
             if len(upstream.writes) > before and doubt_since is not None:
                 assert clock.now() < doubt_since + WINDOW_US
     clock.advance(4_000_000)
-    assert len(front.given) == 1 and not engine.calls
+    assert len(front.answers) == 1 and not engine.calls
 
 
 # --- Lists ------------------------------------------------------------------------------
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -167,27 +167,27 @@
 class Sink:
     """Takes lists, and remembers them."""
 
-    told: asyncio.Queue[tuple[int, list[str]]] = field(default_factory=asyncio.Queue)
+    lists: asyncio.Queue[tuple[int, list[str]]] = field(default_factory=asyncio.Queue)
     failed: asyncio.Queue[None] = field(default_factory=asyncio.Queue)
-    told_at: list[int] = field(default_factory=list)  # of long lists
+    received_at: list[int] = field(default_factory=list)  # of long lists
 
     def now(self) -> int:
         return int(asyncio.get_running_loop().time() * 1e6)
 
     def on_list(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
-        self.told.put_nowait((version, [one["instanceId"] for one in entries]))
+        self.lists.put_nowait((version, [one["instanceId"] for one in entries]))
 
     def apply_list_in_steps(self, whole: bool, entries: list[Any], told_at: int) -> Iterator[None]:
         names = [one["instanceId"] for one in entries]
-        self.told_at.append(told_at)
+        self.received_at.append(told_at)
         yield
-        self.told.put_nowait((-1, names))
+        self.lists.put_nowait((-1, names))
 
     def on_list_failed(self) -> None:
         self.failed.put_nowait(None)
 
 
-def begin(writer: Writer) -> None:
+def begin_response(writer: Writer) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 
 
@@ -225,16 +225,16 @@
             if not pushed:
                 one.watch(True)
             _, watch = await agent.asked.get()
-            begin(watch)
+            begin_response(watch)
             push(watch, 42, False, entry("s-1"))
-            assert await sink.told.get() == (42, ["s-1"])
+            assert await sink.lists.get() == (42, ["s-1"])
             push_raw(watch, json.dumps(listing(43, entry("s-2")), indent=1).encode()[:-9])
             push_raw(watch, b"\n")  # an empty line is no rest of an object
             start, watch = await agent.asked.get()
             assert "from=42 " in start, "from the last version that was whole"
-            begin(watch)
+            begin_response(watch)
             push(watch, 43, False, entry("s-2"))
-            assert await sink.told.get() == (43, ["s-2"])
+            assert await sink.lists.get() == (43, ["s-2"])
             assert sink.failed.empty()
             one.close()
             await one.wait_closed()
@@ -253,7 +253,7 @@
             while polls < (3 if pushed else 2):
                 start, watch = await agent.asked.get()
                 if "watch" in start:
-                    begin(watch)
+                    begin_response(watch)
                 else:
                     polls += 1
             if not pushed:
@@ -275,7 +275,7 @@
             reply(first, b'{"generation": 50, "reset": true, "instances": [' + tail, declared=500)
             _, second = await agent.asked.get()
             reply(second, json.dumps(listing(50, entry("s-1"), whole=True), indent=2).encode())
-            assert await sink.told.get() == (50, ["s-1"])
+            assert await sink.lists.get() == (50, ["s-1"])
             one.close()
             await one.wait_closed()
 
@@ -295,7 +295,7 @@
             _, first = await agent.asked.get()
             reply(first, b'{"generation": 50, "reset": true, "instances": [', more=kept)
             await sink.failed.get()
-            assert sink.told.empty()
+            assert sink.lists.empty()
             one.close()
             await one.wait_closed()
 
@@ -314,7 +314,7 @@
             raw = json.dumps(listing(50, *map(entry, names), whole=True), indent=2).encode()
             reply(first, raw, more=b"Connection: close\r\n")
             first.close()
-            version, told = await sink.told.get()
+            version, told = await sink.lists.get()
             assert version == -1 and sorted(told) == sorted(names)
             while one.streams:
                 await asyncio.sleep(0)
@@ -333,15 +333,15 @@
             _, watch = await agent.asked.get()
             one.fetch()
             _, poll = await agent.asked.get()
-            begin(watch)
+            begin_response(watch)
             push(watch, 44, False, entry("s-1", "draining"))
-            assert await sink.told.get() == (44, ["s-1"])
+            assert await sink.lists.get() == (44, ["s-1"])
             reply(poll, json.dumps(listing(43, entry("s-1"), whole=True)).encode())
             while len(one.streams) > 1:
                 await asyncio.sleep(0)
-            assert sink.told.empty() and one.generation == 44
+            assert sink.lists.empty() and one.generation == 44
             push(watch, 1, True, entry("s-9"))  # a watch may begin anew
-            assert await sink.told.get() == (1, ["s-9"])
+            assert await sink.lists.get() == (1, ["s-9"])
             one.close()
             await one.wait_closed()
 
@@ -356,7 +356,7 @@
             _, watch = await old.asked.get()
             one.fetch()
             _, poll = await old.asked.get()
-            begin(watch)
+            begin_response(watch)
             push(watch, 90, True, entry("s-old"))
             reply(poll, json.dumps(listing(91, entry("s-old"), whole=True)).encode())
             one.change_address(f"127.0.0.1:{new.port}")
@@ -364,7 +364,7 @@
             assert starts == {LIST_PATH, f"{LIST_PATH}?watch=1&from=0"}
             while old.open:
                 await asyncio.sleep(0)
-            assert sink.told.empty(), "nothing of the old address is taken"
+            assert sink.lists.empty(), "nothing of the old address is taken"
             one.close()
             await one.wait_closed()
 
@@ -379,20 +379,20 @@
             one = source(agent, sink, pushed=True, silent_s=60.0, answer_s=60.0)
             one.background.slice_s = 0.0  # a step a turn
             _, watch = await agent.asked.get()
-            begin(watch)
+            begin_response(watch)
             entries = [entry(f"s-{n}") for n in range(1_000)]
             push(watch, 42, True, *entries)
             while not one.is_applying_list:
                 await asyncio.sleep(0)
             if meanwhile:
                 push_raw(watch, meanwhile)
-            assert (await sink.told.get())[0] == -1
+            assert (await sink.lists.get())[0] == -1
             while one.is_applying_list:
                 await asyncio.sleep(0)
             before = sink.now()
             push(watch, 43, True, *entries)
-            assert (await sink.told.get())[0] == -1
-            assert sink.told_at[0] <= before <= sink.told_at[1]
+            assert (await sink.lists.get())[0] == -1
+            assert sink.received_at[0] <= before <= sink.received_at[1]
             one.close()
             await one.wait_closed()
 
@@ -406,7 +406,7 @@
             one = source(agent, sink, pushed=True, silent_s=60.0, answer_s=60.0)
             one.background.slice_s = 0.0
             _, watch = await agent.asked.get()
-            begin(watch)
+            begin_response(watch)
             raw = json.dumps(listing(43, *(entry(f"s-{n}") for n in range(1_000)), whole=True)).encode()
             push_raw(watch, json.dumps(listing(42, *(entry(f"s-{n}") for n in range(20_000)))).encode())
             push_raw(watch, raw[:100])
@@ -415,12 +415,12 @@
             while stream.paused_at is None:
                 await asyncio.sleep(0)
             paused_at = stream.paused_at
-            assert (await sink.told.get())[0] == -1
+            assert (await sink.lists.get())[0] == -1
             while one.is_applying_list:
                 await asyncio.sleep(0)
             push_raw(watch, raw[100:])
-            assert (await sink.told.get())[0] == -1
-            assert sink.told_at[1] == paused_at
+            assert (await sink.lists.get())[0] == -1
+            assert sink.received_at[1] == paused_at
             one.close()
             await one.wait_closed()
 
@@ -434,15 +434,15 @@
             one = source(old, sink, pushed=True, silent_s=60.0, answer_s=60.0)
             one.background.slice_s = 0.0  # a step a turn
             _, watch = await old.asked.get()
-            begin(watch)
+            begin_response(watch)
             push(watch, 90, True, *(entry(f"s-{n}") for n in range(3_000)))
             while not one.is_applying_list:
                 await asyncio.sleep(0)
             one.change_address(f"127.0.0.1:{new.port}")
             _, watch = await new.asked.get()
-            begin(watch)
+            begin_response(watch)
             push(watch, 3, True, entry("t-0"))
-            assert await sink.told.get() == (3, ["t-0"]) and one.generation == 3
+            assert await sink.lists.get() == (3, ["t-0"]) and one.generation == 3
             one.close()
             await one.wait_closed()
 
@@ -457,15 +457,15 @@
         async with Agent() as agent:
             one = source(agent, sink, pushed=True)
             _, watch = await agent.asked.get()
-            begin(watch)
+            begin_response(watch)
             push(watch, 42, True, *(entry(f"s-{n}") for n in range(10)))
-            await sink.told.get()
+            await sink.lists.get()
             start, watch = await agent.asked.get()  # nothing came, not even an empty line
             assert "from=42 " in start
-            begin(watch)
+            begin_response(watch)
             gone = [entry(f"s-{n}", "gone") for n in range(6)]
             push(watch, 48, False, *gone, *(entry(f"t-{n}") for n in range(6)))
-            version, names = await sink.told.get()
+            version, names = await sink.lists.get()
             assert version == 48 and len(names) == 12
             one.close()
             await one.wait_closed()
@@ -479,7 +479,7 @@
         async with Agent() as agent:
             one = source(agent, sink, pushed=True, silent_s=60.0, answer_s=60.0)
             _, watch = await agent.asked.get()
-            begin(watch)
+            begin_response(watch)
             stream = one.stream
             assert stream is not None
             push_raw(watch, b"\n")
--- a/tests/test_discovery_server.py
+++ b/tests/test_discovery_server.py
@@ -210,10 +210,10 @@
         sink = Sink()
         async with DiscoveryServer([entry("s-1")], generation=41) as discovery:
             client = client_of(discovery, sink)
-            assert await sink.told.get() == (41, [])
+            assert await sink.lists.get() == (41, [])
             await asyncio.sleep(6 * STALL_TIMEOUT_S)  # made time
             discovery.publish(entry("s-1", "draining"))
-            assert await sink.told.get() == (42, ["s-1"])
+            assert await sink.lists.get() == (42, ["s-1"])
             assert discovery.opened.get_nowait() == 41
             assert discovery.opened.empty() and discovery.watch_count == 1
             client.close()
@@ -250,11 +250,11 @@
         sink = Sink()
         async with DiscoveryServer([entry("s-1")], generation=41) as discovery:
             client = client_of(discovery, sink)
-            assert await sink.told.get() == (41, [])
+            assert await sink.lists.get() == (41, [])
             discovery.end_watches()
             assert discovery.watch_count == 0
             discovery.publish(entry("s-1", "draining"))
-            assert await sink.told.get() == (42, ["s-1"])
+            assert await sink.lists.get() == (42, ["s-1"])
             assert [discovery.opened.get_nowait() for _ in range(2)] == [41, 41]
             client.close()
             await client.wait_closed()
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -23,7 +23,7 @@
 from laurelstep.testing import Effects, Endpoint, Message, Writer, answer
 from laurelstep.testing.endpoints import reset_connection
 
-from tests.fakes import Answers, ManualClock, PlayedUpstream, entry, number
+from tests.fakes import FakeUpstream, ManualClock, RecordingFrontend, entry, number
 from tests.sockets import SETTINGS, TEST_TIMEOUT_S
 from tests.test_library import member, nothing_held
 
@@ -49,8 +49,8 @@
         super().__init__()
         config = config_from({"seed": "7", "settings": SETTINGS}, "test")
         self.clock = ManualClock()
-        self.upstream = PlayedUpstream(self.clock)
-        self.front = Answers()
+        self.upstream = FakeUpstream(self.clock)
+        self.front = RecordingFrontend()
         self.logged: list[str] = []
         self.source = StaticMembers()
         self.engine = Engine(
@@ -108,16 +108,16 @@
             call.upload.finish(True)
             self.engine.on_upload_complete(call)
 
-    @precondition(lambda self: self.upstream.out)
+    @precondition(lambda self: self.upstream.in_flight)
     @rule(at=st.integers(0, 1_000), runs=st.booleans())
     def write(self, at: int, runs: bool) -> None:
-        waiting = list(self.upstream.out.values())
+        waiting = list(self.upstream.in_flight.values())
         self.upstream.write(waiting[at % len(waiting)], runs)
 
-    @precondition(lambda self: self.upstream.out)
+    @precondition(lambda self: self.upstream.in_flight)
     @rule(at=st.integers(0, 1_000), outcome=st.sampled_from([OK, OK, ERROR, FULL, RESET]))
     def answer(self, at: int, outcome: int) -> None:
-        waiting = list(self.upstream.out.values())
+        waiting = list(self.upstream.in_flight.values())
         self.upstream.answer(waiting[at % len(waiting)], outcome)
 
     @precondition(lambda self: self.calls)
@@ -137,16 +137,16 @@
         self.listed[name] = phase
         self._tell()
 
-    @precondition(lambda self: self.upstream.out)
+    @precondition(lambda self: self.upstream.in_flight)
     @rule(at=st.integers(0, 1_000), span_ms=st.sampled_from([1, 499, 500, 501]))
     def drain_while_connecting(self, at: int, span_ms: int) -> None:
         """The connection comes up about when the drain's grace ends."""
-        waiting = list(self.upstream.out.values())
+        waiting = list(self.upstream.in_flight.values())
         sent = waiting[at % len(waiting)]
         (name,) = [one for one in NAMES if number(one) == sent.attempt.endpoint]
         self.relist(name, "draining")
         self.clock.advance(span_ms * 1000)
-        if sent.attempt in self.upstream.out:
+        if sent.attempt in self.upstream.in_flight:
             self.upstream.write(sent, True)
 
     @rule(span_ms=st.sampled_from([1, 40, 100, 499, 500, 501, 1_200]))
@@ -162,7 +162,7 @@
 
     @invariant()
     def one_answer_at_most_and_in_time(self) -> None:
-        names = [call.client_request_id for call, _ in self.front.given]
+        names = [call.client_request_id for call, _ in self.front.answers]
         assert len(set(names)) == len(names)
         for call in self.calls:
             assert not call.is_open or self.clock.now() <= call.expires_at
@@ -192,12 +192,12 @@
 
     def teardown(self) -> None:
         self.clock.advance(9_000_000)
-        for sent in list(self.upstream.out.values()):
+        for sent in list(self.upstream.in_flight.values()):
             self.upstream.answer(sent, RESET)
         self.clock.advance(6_000_000)
-        answered = {call for call, _ in self.front.given}
+        answered = {call for call, _ in self.front.answers}
         assert answered | self.left == set(self.calls) and not answered & self.left
-        for call, given_answer in self.front.given:
+        for call, given_answer in self.front.answers:
             self._check_effects(call, given_answer.ending)
         for call in self.left:
             self._check_effects(call, None)
@@ -207,7 +207,7 @@
 
     def _check_effects(self, call: Call, ending: Ending | None) -> None:
         effect = self.engine.settings.classes[call.request_class].effect
-        ran = self.upstream.ran.get(call.client_request_id, [])
+        ran = self.upstream.executions.get(call.client_request_id, [])
         if effect == UNSAFE:
             assert len(ran) <= 1, "an unsafe effect twice"
             assert ending is not Ending.REFUSED or not ran, "refused, and it ran"
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -20,7 +20,7 @@
 from laurelstep.net.discovery import SHORT_OBJECT_BYTES, Discovery
 
 from tests.conftest import Logged
-from tests.fakes import ManualClock, PlayedUpstream
+from tests.fakes import FakeUpstream, ManualClock
 from tests.helpers import on_ring
 from tests.sockets import Endpoint, Registry, Sidecar, push, push_raw, record_outcomes, request, run, sidecar
 
@@ -44,7 +44,7 @@
 
     def __init__(self, seed: int = 1) -> None:
         self.clock = ManualClock()
-        self.upstream = PlayedUpstream(self.clock)
+        self.upstream = FakeUpstream(self.clock)
         self.source = StaticMembers()
         self.engine = Engine(
             self.clock, seed, SETTINGS, NAMES, self.upstream, self.source, 500_000, lambda _: None
@@ -69,7 +69,7 @@
                 number: (place.address, place.withdrawn_at)
                 for number, place in self.engine.endpoints.by_number.items()
             },
-            self.upstream.placed,
+            self.upstream.known_endpoints,
             sorted((one.id, one.started_at, one.rating) for one in balancer.endpoints.values()),
         )
 
@@ -236,7 +236,7 @@
         copy.at_once(False, [raw(name, phase)])
         copy.clock.advance(1_000)
     ready = {endpoint_number(f"s-{name}") for name in listed}
-    assert set(on_ring(copy.engine.balancer)) == ready == copy.upstream.placed
+    assert set(on_ring(copy.engine.balancer)) == ready == copy.upstream.known_endpoints
     assert len(copy.engine.endpoints.by_number) <= 30, "what left is forgotten after the grace"
 
 
--- a/tests/test_loop_watch.py
+++ b/tests/test_loop_watch.py
@@ -8,7 +8,7 @@
 
 from laurelstep.engine.loop_watch import BLOCKED_US, LATE_US, STALE_US, LoopWatch
 
-from tests.fakes import Due
+from tests.fakes import ScheduledCall
 
 
 class Loop:
@@ -26,10 +26,10 @@
     def wall(self) -> int:
         raise AssertionError("no use of the wall clock")
 
-    def at(self, due: int, callback: Callable[..., None], *args: Any) -> Due:
+    def at(self, due: int, callback: Callable[..., None], *args: Any) -> ScheduledCall:
         assert due <= self.time
         self.pending.append(callback)
-        return Due(callback, args)
+        return ScheduledCall(callback, args)
 
     def passes(self, span_us: int) -> None:
         """Time passes within a turn."""
--- a/tests/test_maintenance_source.py
+++ b/tests/test_maintenance_source.py
@@ -19,7 +19,7 @@
 from laurelstep.maintenance.source import MAX_DIRECT_ENTRIES, MaintenanceSource
 from laurelstep.maintenance.state import MaintenanceState
 
-from tests.fakes import Answers, ManualClock, PlayedUpstream, entry
+from tests.fakes import FakeUpstream, ManualClock, RecordingFrontend, entry
 from tests.maintenance import (
     GRACE_US,
     LISTED,
@@ -261,7 +261,7 @@
 
 def test_the_engine_counts_what_is_out_at_an_endpoint() -> None:
     clock = ManualClock()
-    upstream = PlayedUpstream(clock)
+    upstream = FakeUpstream(clock)
     settings = Settings(classes=(RequestClass(),), max_attempts=2, second_copies=True)
     names = NameTable({"classes": [{"name": "page"}]}, settings)
     engine = Engine(clock, 1, settings, names, upstream, StaticMembers(), 500_000, lambda text: None)
@@ -269,7 +269,8 @@
     engine.on_list(1, True, [entry("s-0")])
     where = endpoint_number("s-0")
     calls = [
-        Call(0, clock.now() + SECOND, b"GET / HTTP/1.1", b"", b"", Answers(), b"%d" % n) for n in range(2)
+        Call(0, clock.now() + SECOND, b"GET / HTTP/1.1", b"", b"", RecordingFrontend(), b"%d" % n)
+        for n in range(2)
     ]
     for call in calls:
         engine.take(call)
@@ -280,7 +281,7 @@
         def resume(self) -> None: ...
         def on_abandoned(self) -> None: ...
 
-    attempts: list[Attempt] = list(upstream.out)
+    attempts: list[Attempt] = list(upstream.in_flight)
     flow = BodyStream(Body(), 10)
     attempts[0].end(OK, Answer(Ending.SERVED, 200, stream=flow))
     attempts[1].end(OK, Answer(Ending.SERVED, 200))
--- a/tests/test_outbox_replay_gate.py
+++ b/tests/test_outbox_replay_gate.py
@@ -58,7 +58,7 @@
 from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
-from tests.fakes import Answers, ManualClock, PlayedUpstream, Sent, entry
+from tests.fakes import FakeUpstream, ManualClock, RecordingFrontend, SentAttempt, entry
 from tests.sockets import override_decisions
 
 SECRET = b"of the edges and of the copies"
@@ -142,8 +142,8 @@
 class World:
     def __init__(self, inner: Inner | None = None) -> None:
         self.clock = ManualClock()
-        self.upstream = PlayedUpstream(self.clock)
-        self.front = Answers()
+        self.upstream = FakeUpstream(self.clock)
+        self.front = RecordingFrontend()
         self.record = ReplicatedLedger()
         self.sharer = Agreed(self.record, self.clock)
         self.lines: list[str] = []
@@ -215,19 +215,21 @@
     async def ask(self, text: str) -> Answer:
         call = Call(-1, 0, text.encode(), b"", b"", self.front)
         call.is_open = False
-        before = len(self.front.given)
+        before = len(self.front.answers)
         self.gate.ask(call)
         await self.turn()
-        assert len(self.front.given) == before + 1
-        return self.front.given[-1][1]
+        assert len(self.front.answers) == before + 1
+        return self.front.answers[-1][1]
 
     @property
-    def sent(self) -> list[Sent]:
-        return list(self.upstream.out.values())
+    def sent(self) -> list[SentAttempt]:
+        return list(self.upstream.in_flight.values())
 
     @property
     def told(self) -> list[tuple[int, bytes]]:
-        return [(answer.status, dict(answer.headers).get(FATE_HEADER, b"")) for _, answer in self.front.given]
+        return [
+            (answer.status, dict(answer.headers).get(FATE_HEADER, b"")) for _, answer in self.front.answers
+        ]
 
     def begun(self) -> IntentStatus:
         """As another ask would hear."""
@@ -264,7 +266,7 @@
         await world.play()
         assert world.sharer.asked == [WriteApplied(DOT)] and world.told == []
         await world.land()
-        assert world.told == [(200, b"")] and world.front.given[0][1].body == b"ok"
+        assert world.told == [(200, b"")] and world.front.answers[0][1].body == b"ok"
         assert not world.gate.hands and not world.engine.calls
 
     play(test)
@@ -295,7 +297,7 @@
     async def test(world: World) -> None:
         world.sharer.is_ready = False
         await world.take(cls)
-        answer = world.front.given[0][1]
+        answer = world.front.answers[0][1]
         assert world.told == [(503, b"")] and answer.ending is Ending.REFUSED and answer.retry_after_us > 0
         assert not world.upstream.writes and world.sharer.asked == []
 
@@ -307,7 +309,7 @@
         await world.take()
         begin = world.sharer.asked[0]
         await world.advance(DEADLINE_US)
-        assert world.told == [(503, b"")] and world.front.given[0][1].ending is Ending.REFUSED
+        assert world.told == [(503, b"")] and world.front.answers[0][1].ending is Ending.REFUSED
         assert world.sharer.asked == [IntentWithdrawal(DOT, 1)]
         await world.land(begin)
         assert world.begun() is IntentStatus.OTHERS  # what the next ask would hear
@@ -325,7 +327,7 @@
     async def test(world: World) -> None:
         await world.take()
         world.clock.advance(DEADLINE_US)
-        assert world.told == [(503, b"")] and world.front.given[0][1].ending is Ending.REFUSED
+        assert world.told == [(503, b"")] and world.front.answers[0][1].ending is Ending.REFUSED
         await world.turn()
         assert world.sharer.asked == [IntentWithdrawal(DOT, 1)] and len(world.told) == 1
 
@@ -348,7 +350,7 @@
     async def test(world: World) -> None:
         await world.land(LogLease(LINE, LATER_LIFE, LIFE, 0))
         await world.take(cls)
-        assert world.told == [(503, b"fenced")] and world.front.given[0][1].ending is Ending.REFUSED
+        assert world.told == [(503, b"fenced")] and world.front.answers[0][1].ending is Ending.REFUSED
         await world.take(cls, life=LATER_LIFE)
         await world.land(*world.sharer.asked)
         assert len(world.sent) == 1  # its holder's is not
@@ -372,7 +374,7 @@
     async def test(world: World) -> None:
         await world.land(WriteApplied(DOT))
         await world.take(cls)
-        assert world.told == [(200, b"in")] and world.front.given[0][1].body == b""
+        assert world.told == [(200, b"in")] and world.front.answers[0][1].body == b""
         assert world.upstream.writes == []
 
     play(test)
@@ -382,7 +384,7 @@
     async def test(world: World) -> None:
         await world.land(Intent(DOT, LIFE, 99))
         await world.take()
-        answer = world.front.given[0][1]
+        answer = world.front.answers[0][1]
         assert world.told == [(502, b"begun")] and answer.ending is Ending.FAILED
         assert world.upstream.writes == [] and world.sharer.asked == []
 
@@ -504,7 +506,7 @@
         await world.land()
         await world.play()
         await world.advance(DEADLINE_US)
-        assert world.told == [(502, b"")] and world.front.given[0][1].ending is Ending.FAILED
+        assert world.told == [(502, b"")] and world.front.answers[0][1].ending is Ending.FAILED
         assert world.write_status() is WriteStatus.UNKNOWN and world.sharer.asked == [WriteApplied(DOT)]
         await world.land()
         assert world.write_status() is WriteStatus.APPLIED and len(world.told) == 1
@@ -547,7 +549,7 @@
             await world.play(FULL, runs=False)
             await world.advance(100_000)
         await world.advance(DEADLINE_US)
-        answer = world.front.given[0][1]
+        answer = world.front.answers[0][1]
         assert world.told[0][0] == 503 and world.sharer.asked == [IntentWithdrawal(DOT, 1)]
         assert answer.ending is Ending.REFUSED
         await world.take()
@@ -555,7 +557,7 @@
         await world.land()
         await world.take()
         await world.land()
-        assert len(world.sent) == 1 and world.upstream.ran == {}
+        assert len(world.sent) == 1 and world.upstream.executions == {}
 
     play(test)
 
@@ -582,7 +584,7 @@
         await world.land()
         assert world.sharer.asked == [IntentWithdrawal(DOT, 1)] and world.told == []
         await world.land()
-        assert world.told == [(503, b"")] and world.front.given[0][1].ending is Ending.REFUSED
+        assert world.told == [(503, b"")] and world.front.answers[0][1].ending is Ending.REFUSED
         assert world.begun() is IntentStatus.OPEN and world.upstream.writes == []
 
     play(test)
@@ -794,13 +796,13 @@
         await world.turn()
         assert world.sharer.asked == [LogLease(LINE, LATER_LIFE, LIFE, 0)] and world.told == []
         await world.land()
-        told = answered(world.front.given[0][1], sealed)
+        told = answered(world.front.answers[0][1], sealed)
         assert told.claims == (LeaseStatus.HELD, LeaseStatus.FENCED)
         other = SEAL.ask(ReplayQuery(claims=(LeaseRequest(LINE, 10, (LATER_LIFE,)),)))
         world.gate.ask(Call(-1, 0, other.encode(), b"", b"", world.front))
         await world.turn()
         await world.advance(ASK_US)
-        assert answered(world.front.given[1][1], other).claims == (LeaseStatus.OPEN,)
+        assert answered(world.front.answers[1][1], other).claims == (LeaseStatus.OPEN,)
         assert world.record.holder(LINE) == LATER_LIFE
 
     play(test)
@@ -832,7 +834,7 @@
         assert len(world.sharer.asked) == 3 and world.told == []
         await world.land()
         await world.advance(ASK_US)
-        told = answered(world.front.given[0][1], sealed)
+        told = answered(world.front.answers[0][1], sealed)
         assert told.told == (True, True, False)  # the last is not its holder's word
         assert (
             world.write_status() is WriteStatus.PARKED
@@ -851,7 +853,7 @@
         world.gate.ask(Call(-1, 0, sealed.encode(), b"", b"", world.front))
         await world.turn()
         await world.land()
-        assert answered(world.front.given[0][1], sealed).told == (True,)
+        assert answered(world.front.answers[0][1], sealed).told == (True,)
         await world.take()
         await world.land()
         assert len(world.sent) == 1
--- a/tests/test_write_queue.py
+++ b/tests/test_write_queue.py
@@ -12,7 +12,7 @@
 from laurelstep.engine.ports import CallHost
 from laurelstep.engine.static_members import StaticMembers
 
-from tests.fakes import Answers, ManualClock, PlayedUpstream, Sent, entry
+from tests.fakes import FakeUpstream, ManualClock, RecordingFrontend, SentAttempt, entry
 
 PAY = RequestClass(effect=UNSAFE, aim_us=500_000, deadline_us=2_000_000)
 
@@ -44,8 +44,8 @@
 class World:
     def __init__(self, keeper: Notes, **settings: Any) -> None:
         self.clock = ManualClock()
-        self.upstream = PlayedUpstream(self.clock)
-        self.front = Answers()
+        self.upstream = FakeUpstream(self.clock)
+        self.front = RecordingFrontend()
         self.keeper = keeper
         found = Settings(classes=(PAY,), can_cancel=True, max_attempts=3, **settings)
         names = NameTable({"classes": [{"name": "pay"}]}, found)
@@ -63,12 +63,12 @@
         return call
 
     @property
-    def sent(self) -> list[Sent]:
-        return list(self.upstream.out.values())
+    def sent(self) -> list[SentAttempt]:
+        return list(self.upstream.in_flight.values())
 
     @property
     def told(self) -> list[int]:
-        return [answer.status for _, answer in self.front.given]
+        return [answer.status for _, answer in self.front.answers]
 
     def play(self, runs: bool, outcome: int, written: bool = True) -> None:
         """All that is sent, until nothing more is."""
