--- a/tests/test_outbox_replay_gate.py
+++ b/tests/test_outbox_replay_gate.py
@@ -58,7 +58,7 @@
 from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
-from tests.fakes import Answers, ManualClock, PlayedUpstream, Sent, entry
+from tests.fakes import FakeUpstream, ManualClock, RecordingFrontend, SentAttempt, entry
 from tests.sockets import override_decisions
 
 SECRET = b"of the edges and of the copies"
@@ -142,8 +142,8 @@
 class World:
     def __init__(self, inner: Inner | None = None) -> None:
         self.clock = ManualClock()
-        self.upstream = PlayedUpstream(self.clock)
-        self.front = Answers()
+        self.upstream = FakeUpstream(self.clock)
+        self.front = RecordingFrontend()
         self.record = ReplicatedLedger()
         self.sharer = ManualAgreement(self.record, self.clock)
         self.lines: list[str] = []
@@ -223,19 +223,21 @@
     async def ask(self, text: str) -> Answer:
         call = Call(-1, 0, text.encode(), b"", b"", self.front)
         call.is_open = False
-        before = len(self.front.given)
+        before = len(self.front.answers)
         self.gate.on_query(call)
         await self.turn()
-        assert len(self.front.given) == before + 1
-        return self.front.given[-1][1]
+        assert len(self.front.answers) == before + 1
+        return self.front.answers[-1][1]
 
     @property
-    def sent(self) -> list[Sent]:
-        return list(self.upstream.out.values())
+    def sent(self) -> list[SentAttempt]:
+        return list(self.upstream.in_flight.values())
 
     @property
     def told(self) -> list[tuple[int, bytes]]:
-        return [(answer.status, dict(answer.headers).get(FATE_HEADER, b"")) for _, answer in self.front.given]
+        return [
+            (answer.status, dict(answer.headers).get(FATE_HEADER, b"")) for _, answer in self.front.answers
+        ]
 
     def begun(self) -> IntentStatus:
         """As another ask would hear."""
@@ -272,7 +274,7 @@
         await world.play()
         assert world.sharer.submitted_entries == [WriteApplied(DOT)] and world.told == []
         await world.land()
-        assert world.told == [(200, b"")] and world.front.given[0][1].body == b"ok"
+        assert world.told == [(200, b"")] and world.front.answers[0][1].body == b"ok"
         assert not world.gate.hands and not world.engine.calls
 
     play(test)
@@ -303,7 +305,7 @@
     async def test(world: World) -> None:
         world.sharer.is_ready = False
         await world.take(cls)
-        answer = world.front.given[0][1]
+        answer = world.front.answers[0][1]
         assert world.told == [(503, b"")] and answer.ending is Ending.REFUSED and answer.retry_after_us > 0
         assert not world.upstream.writes and world.sharer.submitted_entries == []
 
@@ -315,7 +317,7 @@
         await world.take()
         begin = world.sharer.submitted_entries[0]
         await world.advance(DEADLINE_US)
-        assert world.told == [(503, b"")] and world.front.given[0][1].ending is Ending.REFUSED
+        assert world.told == [(503, b"")] and world.front.answers[0][1].ending is Ending.REFUSED
         assert world.sharer.submitted_entries == [IntentWithdrawal(DOT, 1)]
         await world.land(begin)
         assert world.begun() is IntentStatus.OTHERS  # what the next ask would hear
@@ -333,7 +335,7 @@
     async def test(world: World) -> None:
         await world.take()
         world.clock.advance(DEADLINE_US)
-        assert world.told == [(503, b"")] and world.front.given[0][1].ending is Ending.REFUSED
+        assert world.told == [(503, b"")] and world.front.answers[0][1].ending is Ending.REFUSED
         await world.turn()
         assert world.sharer.submitted_entries == [IntentWithdrawal(DOT, 1)] and len(world.told) == 1
 
@@ -356,7 +358,7 @@
     async def test(world: World) -> None:
         await world.land(LogLease(LINE, LATER_INCARNATION, INCARNATION, 0))
         await world.take(cls)
-        assert world.told == [(503, b"fenced")] and world.front.given[0][1].ending is Ending.REFUSED
+        assert world.told == [(503, b"fenced")] and world.front.answers[0][1].ending is Ending.REFUSED
         await world.take(cls, incarnation=LATER_INCARNATION)
         await world.land(*world.sharer.submitted_entries)
         assert len(world.sent) == 1  # its holder's is not
@@ -380,7 +382,7 @@
     async def test(world: World) -> None:
         await world.land(WriteApplied(DOT))
         await world.take(cls)
-        assert world.told == [(200, b"in")] and world.front.given[0][1].body == b""
+        assert world.told == [(200, b"in")] and world.front.answers[0][1].body == b""
         assert world.upstream.writes == []
 
     play(test)
@@ -390,7 +392,7 @@
     async def test(world: World) -> None:
         await world.land(Intent(DOT, INCARNATION, 99))
         await world.take()
-        answer = world.front.given[0][1]
+        answer = world.front.answers[0][1]
         assert world.told == [(502, b"begun")] and answer.ending is Ending.FAILED
         assert world.upstream.writes == [] and world.sharer.submitted_entries == []
 
@@ -512,7 +514,7 @@
         await world.land()
         await world.play()
         await world.advance(DEADLINE_US)
-        assert world.told == [(502, b"")] and world.front.given[0][1].ending is Ending.FAILED
+        assert world.told == [(502, b"")] and world.front.answers[0][1].ending is Ending.FAILED
         assert world.write_status() is WriteStatus.UNKNOWN and world.sharer.submitted_entries == [
             WriteApplied(DOT)
         ]
@@ -557,7 +559,7 @@
             await world.play(FULL, runs=False)
             await world.advance(100_000)
         await world.advance(DEADLINE_US)
-        answer = world.front.given[0][1]
+        answer = world.front.answers[0][1]
         assert world.told[0][0] == 503 and world.sharer.submitted_entries == [IntentWithdrawal(DOT, 1)]
         assert answer.ending is Ending.REFUSED
         await world.take()
@@ -565,7 +567,7 @@
         await world.land()
         await world.take()
         await world.land()
-        assert len(world.sent) == 1 and world.upstream.ran == {}
+        assert len(world.sent) == 1 and world.upstream.executions == {}
 
     play(test)
 
@@ -592,7 +594,7 @@
         await world.land()
         assert world.sharer.submitted_entries == [IntentWithdrawal(DOT, 1)] and world.told == []
         await world.land()
-        assert world.told == [(503, b"")] and world.front.given[0][1].ending is Ending.REFUSED
+        assert world.told == [(503, b"")] and world.front.answers[0][1].ending is Ending.REFUSED
         assert world.begun() is IntentStatus.OPEN and world.upstream.writes == []
 
     play(test)
@@ -813,13 +815,13 @@
             and world.told == []
         )
         await world.land()
-        told = answered(world.front.given[0][1], sealed)
+        told = answered(world.front.answers[0][1], sealed)
         assert told.lease_statuses == (LeaseStatus.HELD, LeaseStatus.FENCED)
         other = SEAL.ask(ReplayQuery(lease_requests=(LeaseRequest(LINE, 10, (LATER_INCARNATION,)),)))
         world.gate.on_query(Call(-1, 0, other.encode(), b"", b"", world.front))
         await world.turn()
         await world.advance(ASK_US)
-        assert answered(world.front.given[1][1], other).lease_statuses == (LeaseStatus.OPEN,)
+        assert answered(world.front.answers[1][1], other).lease_statuses == (LeaseStatus.OPEN,)
         assert world.record.holder(LINE) == LATER_INCARNATION
 
     play(test)
@@ -856,7 +858,7 @@
         assert len(world.sharer.submitted_entries) == 3 and world.told == []
         await world.land()
         await world.advance(ASK_US)
-        told = answered(world.front.given[0][1], sealed)
+        told = answered(world.front.answers[0][1], sealed)
         assert told.agreements == (True, True, False)  # the last is not its holder's word
         assert (
             world.write_status() is WriteStatus.PARKED
@@ -877,7 +879,7 @@
         world.gate.on_query(Call(-1, 0, sealed.encode(), b"", b"", world.front))
         await world.turn()
         await world.land()
-        assert answered(world.front.given[0][1], sealed).agreements == (True,)
+        assert answered(world.front.answers[0][1], sealed).agreements == (True,)
         await world.take()
         await world.land()
         assert len(world.sent) == 1
