--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -105,10 +105,10 @@
     reader = asyncio.StreamReader()
     reader.feed_data(data)
     reader.feed_eof()
-    found: list[Message] = []
+    answers: list[Message] = []
     while not reader.at_eof():
-        found.append(await read_message(reader))
-    return found
+        answers.append(await read_message(reader))
+    return answers
 
 
 async def until(condition: Callable[[], bool]) -> None:
@@ -158,15 +158,15 @@
             with client(proxy):
                 caller = await only_connection(proxy)
                 assert caller.transport is not None
-                found = caller.transport.get_extra_info("socket")
-                assert found.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+                sock = caller.transport.get_extra_info("socket")
+                assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
     run(main())
 
 
 @pytest.mark.parametrize("is_crossed", [True, False], ids=["before-its-close", "never"])
-@pytest.mark.parametrize("why", ["asked", "stop"])
-def test_bytes_that_cross_the_close_after_an_answer_do_not_truncate_it(why: str, is_crossed: bool) -> None:
+@pytest.mark.parametrize("reason", ["connection-close", "stop"])
+def test_bytes_that_cross_the_close_after_an_answer_do_not_truncate_it(reason: str, is_crossed: bool) -> None:
     """The client's receive window is small, so most of the answer is still in the sidecar's kernel buffer.
 
     Guards against a close with unread bytes, which resets the connection and truncates the answer."""
@@ -183,18 +183,18 @@
                         caller.send(request(rid="crossing"))
 
                 at_outcome(proxy, cross)
-                if why == "stop":
+                if reason == "stop":
                     await only_connection(proxy)
                     proxy.server.stop(lambda: None)
-                caller.send(LAST if why == "asked" else PAGE)
+                caller.send(LAST if reason == "connection-close" else PAGE)
                 (response,) = await parsed(await caller.read())
                 assert response.status == 200 and response.body == LARGE
 
     run(main())
 
 
-@pytest.mark.parametrize("behind", [b"x" * 100, b"x" * (1 << 18)], ids=["some", "much"])
-def test_a_rejection_arrives_although_its_client_goes_on_sending(behind: bytes) -> None:
+@pytest.mark.parametrize("extra", [b"x" * 100, b"x" * (1 << 18)], ids=["some", "much"])
+def test_a_rejection_arrives_although_its_client_goes_on_sending(extra: bytes) -> None:
     async def main() -> None:
         endpoint = Endpoint(never_answer)
         async with sidecar(endpoint) as proxy:
@@ -205,7 +205,7 @@
 
                 def send_more(now: int, rid: int) -> list[Action]:
                     with contextlib.suppress(BlockingIOError):
-                        caller.raw.send(behind)
+                        caller.raw.send(extra)
                     return real.client_disconnected(now, rid)
 
                 override_decisions(proxy.engine, client_disconnected=send_more)
@@ -238,7 +238,7 @@
     must be broken when the connection ends."""
 
     def alive() -> int:
-        return sum(type(found) in (ClientConnection, Call) for found in gc.get_objects())
+        return sum(type(answers) in (ClientConnection, Call) for answers in gc.get_objects())
 
     async def main() -> None:
         async with sidecar(Endpoint()) as proxy:
@@ -329,7 +329,7 @@
 
 @pytest.mark.parametrize("last_byte", ["read", "unread", "late", "never"])
 def test_shutdown_between_head_and_body(last_byte: str) -> None:
-    """A request of which a part was read gets an answer even if its last byte is_crossed the end of the
+    """A request of which a part was read gets an answer even if its last byte crosses the end of the
     shutdown.
     """
 
@@ -337,19 +337,19 @@
         endpoint = Endpoint()
         async with stopping(endpoint) as (proxy, ended):
             with client(proxy) as caller:
-                (head, rest) = PAY[:-2], PAY[-2:]
+                (head, last_bytes) = PAY[:-2], PAY[-2:]
                 caller.send(head)
                 connection = await only_connection(proxy)
                 await until(lambda: connection.received_bytes == len(head))
                 proxy.server.stop(ended.set)
                 if last_byte == "read":
-                    caller.send(rest)
+                    caller.send(last_bytes)
                     await endpoint.arrived.acquire()
                 elif last_byte == "unread":
-                    caller.send(rest)
+                    caller.send(last_bytes)
                 proxy.server.shutdown.stop_listening()
                 if last_byte == "late":
-                    caller.send(rest)
+                    caller.send(last_bytes)
                 (response,) = await parsed(await caller.read())
                 served = last_byte in ("read", "unread")
                 assert (response.status, len(endpoint.got)) == ((200, 1) if served else (503, 0))
@@ -361,7 +361,7 @@
 
 @pytest.mark.parametrize("sends", [True, False], ids=["its-request", "nothing"])
 def test_shutdown_with_connections_in_the_listen_backlog(sends: bool) -> None:
-    """The listener closes only when its backlog is empty: closing it earlier would reset_connection those
+    """The listener closes only when its backlog is empty: closing it earlier would reset those
     connections.
     """
 
@@ -433,22 +433,22 @@
     run(main())
 
 
-@pytest.mark.parametrize("behind", [True, False], ids=["request-behind", "nothing-behind"])
-@pytest.mark.parametrize("why", ["stop", "drain"])
+@pytest.mark.parametrize("is_pipelined", [True, False], ids=["pipelined-request", "no-pipelined-request"])
+@pytest.mark.parametrize("reason", ["stop", "drain"])
 def test_no_connection_stays_open_after_an_answer_that_was_streamed_during_the_stop(
-    why: str, behind: bool
+    reason: str, is_pipelined: bool
 ) -> None:
     """The answer's head announced that the connection stays open. A request read meanwhile is answered."""
 
     async def main() -> None:
-        go, large = asyncio.Event(), LARGE * 4
+        may_finish, large = asyncio.Event(), LARGE * 4
 
         async def in_parts(endpoint: Endpoint, message: Message, writer: Writer) -> None:
             if message.headers["x-request-id"] != "r1":
                 writer.write(answer())
                 return
             writer.write(answer(body=large)[:-1])
-            await go.wait()
+            await may_finish.wait()
             writer.write(large[-1:])
 
         endpoint = Endpoint(in_parts)
@@ -457,11 +457,11 @@
                 caller.send(PAGE)
                 streaming = await only_connection(proxy)
                 await until(lambda: streaming.answer is not None)
-                if behind:
+                if is_pipelined:
                     caller.send(request(rid="r2"))
                     await until(lambda: bool(streaming.pipelined))
                 proxy.server.idle.timeout_s = 3600.0  # not closed by this timeout
-                if why == "stop":
+                if reason == "stop":
                     proxy.server.stop(ended.set)
                     proxy.server.shutdown.stop_listening()
                 else:
@@ -470,11 +470,11 @@
                         step.cancel()  # the test calls the steps itself
                     proxy.server.shutdown.close_idle_and_silent()
                     proxy.server.shutdown.finish_drain()
-                go.set()
-                found = await parsed(await caller.read())
-                assert [response.body for response in found] == [large, b"ok"][: len(found)]
-                assert len(found) == len(endpoint.got) == (2 if behind else 1)
-            if why == "stop":
+                may_finish.set()
+                answers = await parsed(await caller.read())
+                assert [response.body for response in answers] == [large, b"ok"][: len(answers)]
+                assert len(answers) == len(endpoint.got) == (2 if is_pipelined else 1)
+            if reason == "stop":
                 await ended.wait()
 
     run(main())
@@ -512,8 +512,8 @@
     run(main())
 
 
-@pytest.mark.parametrize("brings", ["nothing", "head", "late-request"])
-def test_late_connections_at_a_shutdown_are_closed_before_a_request_could_be_lost(brings: str) -> None:
+@pytest.mark.parametrize("client_sends", ["nothing", "head", "late-request"])
+def test_late_connections_at_a_shutdown_are_closed_before_a_request_could_be_lost(client_sends: str) -> None:
     """Connections that are set up after the listener was closed, or have sent a part of a request. A request
     that begins later than 0.7 s after SIGTERM is lost if SIGKILL comes before its answer."""
 
@@ -521,34 +521,35 @@
         endpoint = Endpoint()
         async with stopping(endpoint) as (proxy, ended):
             with client(proxy) as caller:
-                late = await only_connection(proxy)
+                late_connection = await only_connection(proxy)
                 proxy.server.stop(ended.set)
-                if brings == "head":
+                if client_sends == "head":
                     caller.send(PAY[:-2])
                     proxy.server.shutdown.stop_listening()  # the bytes are unread, so they are read first
                 else:
                     proxy.server.shutdown.stop_listening()
                     assert await caller.read() == b""
-                    ours, theirs = socket.socketpair()
-                    ours.setblocking(False)
+                    client_socket, server_socket = socket.socketpair()
+                    client_socket.setblocking(False)
                     await asyncio.get_running_loop().connect_accepted_socket(
-                        proxy.server._new_connection, theirs
+                        proxy.server._new_connection, server_socket
                     )
-                    caller.raw, last = ours, caller.raw
+                    caller.raw, last = client_socket, caller.raw
                     last.close()
                     await until(
-                        lambda: late not in proxy.server.connections and bool(proxy.server.connections)
+                        lambda: late_connection not in proxy.server.connections
+                        and bool(proxy.server.connections)
                     )
                 proxy.server.late_connections.timeout_s = proxy.server.awaiting_request.timeout_s = (
                     3600.0  # not closed by these timeouts
                 )
-                if brings == "late-request":
+                if client_sends == "late-request":
                     caller.send(PAGE)
-                found = await parsed(await caller.read())
-                assert [response.status for response in found] == {"nothing": [], "head": [503]}.get(
-                    brings, [200]
+                answers = await parsed(await caller.read())
+                assert [response.status for response in answers] == {"nothing": [], "head": [503]}.get(
+                    client_sends, [200]
                 )
-                assert len(endpoint.got) == (brings == "late-request")
+                assert len(endpoint.got) == (client_sends == "late-request")
             await ended.wait()
 
     run(main())
@@ -563,20 +564,22 @@
     )
 
 
-@pytest.mark.parametrize("comes", ["whole", "in-pieces", "upload", "upload-held-back"])
-def test_a_request_completed_too_late_after_sigterm_is_refused(comes: str) -> None:
+@pytest.mark.parametrize("arrival", ["whole", "in-pieces", "upload", "upload-held-back"])
+def test_a_request_completed_too_late_after_sigterm_is_refused(arrival: str) -> None:
     """A request that is completed later than 0.7 s after SIGTERM may be unanswered when SIGKILL comes, which
     is early with short deadlines. So it is refused, even if a part of it is unread at each check."""
 
     async def main() -> None:
         endpoint = Endpoint()
         async with stopping(endpoint) as (proxy, ended):
-            is_upload = comes.startswith("upload")
+            is_upload = arrival.startswith("upload")
             whole = request("pay", LARGE) if is_upload else PAY
             if is_upload:
                 proxy.server.request_budget.limit = 0
-            if comes == "upload-held-back":
-                override_decisions(proxy.engine, request=lambda now, event: [])  # no attempt begins
+            if arrival == "upload-held-back":
+                override_decisions(
+                    proxy.engine, request=lambda now, event: []
+                )  # the balancer starts no attempt
             with client(proxy) as caller:
                 caller.send(whole[:-20])
                 connection = await only_connection(proxy)
@@ -585,7 +588,7 @@
                 await until(
                     lambda: connection.received_bytes == len(whole) - 20 or not transport.is_reading()
                 )
-                if comes == "upload":
+                if arrival == "upload":
                     await until(lambda: endpoint.opened == 1)
                 take_steps_by_hand(proxy)
                 proxy.server.stop(ended.set)
@@ -593,10 +596,10 @@
                 proxy.server.shutdown.stop_listening()
                 await until(lambda: not connection.has_unread() or not transport.is_reading())
                 assert not connection.is_closing
-                caller.send(whole[-10:] if comes == "whole" else whole[-10:-5])
+                caller.send(whole[-10:] if arrival == "whole" else whole[-10:-5])
                 proxy.server.shutdown.refuse_incomplete()
                 (response,) = await parsed(await caller.read())
-                assert (response.status, len(endpoint.got)) == ((200, 1) if comes == "whole" else (503, 0))
+                assert (response.status, len(endpoint.got)) == ((200, 1) if arrival == "whole" else (503, 0))
                 assert response.headers["connection"] == "close"
                 assert not proxy.engine.calls
             await ended.wait()
@@ -642,9 +645,9 @@
                 proxy.server.stop(ended.set)
                 if first == "close":
                     caller.send(PAGE)
-                found = await parsed(await caller.read())
-                assert [response.body for response in found] == ([b"ok"] if first == "request" else [])
-                assert len(endpoint.got) == 1 + len(found)
+                answers = await parsed(await caller.read())
+                assert [response.body for response in answers] == ([b"ok"] if first == "request" else [])
+                assert len(endpoint.got) == 1 + len(answers)
             await ended.wait()
 
     run(main())
@@ -667,9 +670,9 @@
                 proxy.server.shutdown.close_all_unforwarded()
                 if first == "end":
                     caller.send(PAGE)
-                found = await parsed(await caller.read())
-                assert [response.body for response in found] == ([b"ok"] if first == "request" else [])
-                assert len(endpoint.got) == 1 + len(found)
+                answers = await parsed(await caller.read())
+                assert [response.body for response in answers] == ([b"ok"] if first == "request" else [])
+                assert len(endpoint.got) == 1 + len(answers)
             await ended.wait()
 
     run(main())
@@ -696,20 +699,25 @@
             _, writer = await connect_until_up(port)
             writer.close()
             with contextlib.ExitStack() as stack:
-                out, half, late = (stack.enter_context(contextlib.closing(Client(port))) for _ in range(3))
-                out.send(request("pay", b"b", rid="out"))
-                half.send(PAY[:-1])
+                open_client, incomplete_client, late_client = (
+                    stack.enter_context(contextlib.closing(Client(port))) for _ in range(3)
+                )
+                open_client.send(request("pay", b"b", rid="out"))
+                incomplete_client.send(PAY[:-1])
                 await endpoint.arrived.acquire()
                 process.send_signal(signal.SIGTERM)
-                late.send(request("pay", b"b", rid="late"))
+                late_client.send(request("pay", b"b", rid="late"))
                 await endpoint.arrived.acquire()
-                found = [await parsed(await caller.read()) for caller in (out, half, late)]
-                assert [[response.status for response in answers] for answers in found] == [
+                answers_by_client = [
+                    await parsed(await caller.read())
+                    for caller in (open_client, incomplete_client, late_client)
+                ]
+                assert [[response.status for response in answers] for answers in answers_by_client] == [
                     [504],
                     [503],
                     [504],
                 ]
-                assert all(response.headers["connection"] == "close" for (response,) in found)
+                assert all(response.headers["connection"] == "close" for (response,) in answers_by_client)
             assert await process.wait() == 0
 
     run(main())
@@ -802,9 +810,9 @@
             assert await ended == b""
             with contextlib.closing(Client(site.port)) as caller:  # the listener is still open
                 caller.send(PAGE)
-                theirs, _ = await loop.sock_accept(predecessor.listener)
-                assert await loop.sock_recv(theirs, 1000) == PAGE
-                theirs.close()
+                server_socket, _ = await loop.sock_accept(predecessor.listener)
+                assert await loop.sock_recv(server_socket, 1000) == PAGE
+                server_socket.close()
             predecessor.listener.close()
             predecessor.channel.close()
             rendezvous.leave()
@@ -834,7 +842,7 @@
         while not self.ended.is_set():
             await daemon.asyncio.sleep(0)
     await real(self, shared)
-    if moment == "behind":
+    if moment == "after":
         ask(self.server.listener.sockets[0].getsockname()[:2])
         os.kill(os.getpid(), signal.SIGTERM)
     print("listens", self.server.listener is not None, flush=True)
@@ -848,7 +856,7 @@
 """
 
 
-@pytest.mark.parametrize("moment", ["before", "behind"])
+@pytest.mark.parametrize("moment", ["before", "after"])
 def test_sigterm_while_the_listener_opens_leaves_no_request_unanswered(tmp_path: Path, moment: str) -> None:
     async def main() -> None:
         registry, endpoint = Registry(), Endpoint()
@@ -874,12 +882,12 @@
     close is behind unread bytes, and the endpoint sends nothing more for now."""
 
     async def main() -> None:
-        go = asyncio.Event()
+        may_finish = asyncio.Event()
 
         async def large(endpoint: Endpoint, message: Message, writer: Writer) -> None:
             whole = answer(body=2 * LARGE)
             writer.write(whole[:-5])
-            await go.wait()
+            await may_finish.wait()
             writer.write(whole[-5:])
 
         endpoint = Endpoint(large)
@@ -898,7 +906,7 @@
                     await until(lambda: not proxy.server.connections and not proxy.upstream.connections)
                     assert proxy.engine.counters.abandoned == [1, 0, 0]
                 else:
-                    go.set()
+                    may_finish.set()
                     assert (await caller.read_answer()).body == 2 * LARGE
                     assert not proxy.server.paused.waiting_since
 
@@ -921,10 +929,10 @@
             )  # the balancer holds every request
             caller = Client(proxy.port)
             caller.send(request(rid="held"))
-            left = await only_connection(proxy)
+            leaving_connection = await only_connection(proxy)
             await until(lambda: len(proxy.engine.calls) == 1)
             (rid,), (number,) = proxy.engine.calls, proxy.engine.endpoints.by_number
-            transport = left.transport
+            transport = leaving_connection.transport
             assert transport is not None
             caller.close()
             # This task resumes before the callbacks that the closing transport has scheduled.
@@ -956,14 +964,14 @@
     real = proxy.upstream.loop
 
     async def create(factory: Callable[[], Any], host: str, port: int) -> Any:
-        made = factory()
+        protocol = factory()
 
         def connection_made(transport: asyncio.BaseTransport) -> None:
             leave()
-            made.connection_made(transport)
+            protocol.connection_made(transport)
 
         return await real.create_connection(
-            lambda: cast(asyncio.Protocol, MethodProxy(made, connection_made=connection_made)), host, port
+            lambda: cast(asyncio.Protocol, MethodProxy(protocol, connection_made=connection_made)), host, port
         )
 
     proxy.upstream.loop = cast(asyncio.AbstractEventLoop, MethodProxy(real, create_connection=create))
@@ -972,7 +980,7 @@
 LEAVES = (Client.close, end_sending, close_behind_bytes, reset_connection)
 
 
-@pytest.mark.parametrize("pooled", [True, False], ids=["at-rest", "new"])
+@pytest.mark.parametrize("pooled", [True, False], ids=["idle", "new"])
 @pytest.mark.parametrize("leave", LEAVES, ids=lambda leave: leave.__name__)
 def test_no_attempt_begins_for_a_client_whose_close_is_not_read_yet(
     leave: Callable[[Client], None], pooled: bool
@@ -1015,11 +1023,11 @@
     async def main() -> None:
         endpoint = Endpoint()
         async with endpoint, sidecar(known=False) as proxy:
-            crowd = [Client(proxy.port) for _ in range(20)]
-            for n, caller in enumerate(crowd):
+            clients = [Client(proxy.port) for _ in range(20)]
+            for n, caller in enumerate(clients):
                 caller.send(request(rid=f"left{n}"))
-            await until(lambda: len(proxy.engine.calls) == len(crowd))
-            for caller in crowd:
+            await until(lambda: len(proxy.engine.calls) == len(clients))
+            for caller in clients:
                 caller.close()
             await until(lambda: not proxy.engine.calls)
             proxy.apply_list(endpoint.entry())
@@ -1040,10 +1048,10 @@
             whole = request("pay", LARGE)
             caller = Client(proxy.port)
             caller.send(whole[:30_000])
-            held = await only_connection(proxy)
-            transport = held.transport
+            paused = await only_connection(proxy)
+            transport = paused.transport
             assert transport is not None
-            await until(lambda: held.upload is not None and not transport.is_reading())
+            await until(lambda: paused.upload is not None and not transport.is_reading())
             caller.send(whole[30_000:50_000])
             (rid,) = proxy.engine.calls
             if leaves:
@@ -1067,7 +1075,7 @@
 @pytest.mark.parametrize("leaves", [True, False])
 def test_a_pipelined_request_is_not_sent_for_a_client_that_left(leaves: bool) -> None:
     async def main() -> None:
-        go = asyncio.Event()
+        may_finish = asyncio.Event()
         large = LARGE * 4
 
         async def in_halves(endpoint: Endpoint, message: Message, writer: Writer) -> None:
@@ -1076,7 +1084,7 @@
                 return
             raw = answer(body=large)
             writer.write(raw[:-1])
-            await go.wait()
+            await may_finish.wait()
             writer.write(raw[-1:])
 
         endpoint = Endpoint(in_halves)
@@ -1085,14 +1093,14 @@
             caller.send(PAGE)
             streaming = await only_connection(proxy)
             await until(lambda: streaming.answer is not None)
-            caller.send(request(rid="behind"))
+            caller.send(request(rid="pipelined"))
             await until(lambda: bool(streaming.pipelined))
             read = 0
             while read < len(large):
                 read += len(await asyncio.get_running_loop().sock_recv(caller.raw, 1 << 20))
             if leaves:
                 caller.raw.shutdown(socket.SHUT_WR)
-            go.set()
+            may_finish.set()
             if leaves:
                 await caller.read()
             else:
@@ -1101,7 +1109,7 @@
             caller.close()
             await until(lambda: not proxy.server.connections)
             ids = [got.headers["x-request-id"] for got in endpoint.got]
-            assert ids == (["r1"] if leaves else ["r1", "behind"])
+            assert ids == (["r1"] if leaves else ["r1", "pipelined"])
 
     run(main())
 
@@ -1122,12 +1130,12 @@
                 await shrink_send_buffer(proxy)
                 slow.send(PAGE)
                 await until(lambda: bool(proxy.server.idle.waiting_since))
-                crowd: list[Client] = []
+                clients: list[Client] = []
                 for n in range(3):
-                    crowd.append(stack.enter_context(client(proxy)))
-                    crowd[n].send(request(rid=f"crowd{n}"))
-                    assert (await crowd[n].read_answer()).body == b"ok"
-                assert await crowd[0].read() == b"", (
+                    clients.append(stack.enter_context(client(proxy)))
+                    clients[n].send(request(rid=f"crowd{n}"))
+                    assert (await clients[n].read_answer()).body == b"ok"
+                assert await clients[0].read() == b"", (
                     "an idle connection whose answer is fully written is evicted"
                 )
                 assert (await slow.read_answer()).body == LARGE
@@ -1153,8 +1161,8 @@
                 for caller in callers if unread == "all" else callers[:1]:
                     caller.send(request(rid="again"))
                 proxy.server._evict_one()  # in this event loop iteration, in which nothing was read
-                (gone,) = set(kept) - proxy.server.connections
-                assert gone is kept[0 if unread == "all" else 1]
+                (evicted,) = set(kept) - proxy.server.connections
+                assert evicted is kept[0 if unread == "all" else 1]
                 if unread == "one":
                     assert (await callers[0].read_answer()).body == b"ok"
                     assert await callers[1].read() == b""
@@ -1168,12 +1176,12 @@
     async def main() -> None:
         async with sidecar(Endpoint()) as proxy:
             proxy.server.max_connections = 1
-            with client(proxy) as half:
-                half.send(PAY[:-1])
+            with client(proxy) as incomplete_client:
+                incomplete_client.send(PAY[:-1])
                 connection = await only_connection(proxy)
                 await until(lambda: connection.received_bytes == len(PAY) - 1)
                 with client(proxy) as other:
-                    (response,) = await parsed(await half.read())
+                    (response,) = await parsed(await incomplete_client.read())
                     assert response.status == 503 and response.headers["connection"] == "close"
                     other.send(PAGE)
                     assert (await other.read_answer()).body == b"ok"
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -59,17 +59,19 @@
         on_connected: Callable[[], None] | None = None,
         on_connecting: Callable[[], None] | None = None,
     ) -> None:
-        self.asked: asyncio.Queue[int] = asyncio.Queue()  # the ports of the connections requested, in order
+        self.requested_ports: asyncio.Queue[int] = (
+            asyncio.Queue()
+        )  # the ports of the connections requested, in order
         self.may_open = asyncio.Event()
         self.on_connected = on_connected  # called in the loop iteration of `connection_made`, after it
         self.shrink_send_buffer = False  # give connections the smallest send buffer that the system allows
         self.on_connecting = on_connecting  # called in the same loop iteration, before it
         self.real = proxy.upstream.loop
-        held = MethodProxy(self.real, create_connection=self._create)
-        proxy.upstream.loop = cast(asyncio.AbstractEventLoop, held)
+        held_loop = MethodProxy(self.real, create_connection=self._create)
+        proxy.upstream.loop = cast(asyncio.AbstractEventLoop, held_loop)
 
     async def _create(self, factory: Callable[[], Any], host: str, port: int) -> Any:
-        self.asked.put_nowait(port)
+        self.requested_ports.put_nowait(port)
         await self.may_open.wait()
         if self.on_connecting is not None:
             self.real.call_soon(self.on_connecting)
@@ -78,8 +80,8 @@
     def _watched(self, protocol: Any) -> Any:
         def connection_made(transport: asyncio.BaseTransport) -> None:
             if self.shrink_send_buffer:
-                found = transport.get_extra_info("socket")
-                found.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
+                sock = transport.get_extra_info("socket")
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
             protocol.connection_made(transport)
             if self.on_connected is not None:
                 self.on_connected()
@@ -124,10 +126,10 @@
     for n in range(2):
         for endpoint in endpoints:
             _, writer = await asyncio.open_connection("127.0.0.1", endpoint.port)
-            writer.write(request(rid=f"behind{n}"))
-            await until(lambda at=endpoint, n=n: f"behind{n}" in ids(at))  # type: ignore[misc]
+            writer.write(request(rid=f"probe{n}"))
+            await until(lambda at=endpoint, n=n: f"probe{n}" in ids(at))  # type: ignore[misc]
             writer.close()
-    return sum(not rid.startswith("behind") for endpoint in endpoints for rid in ids(endpoint))
+    return sum(not rid.startswith("probe") for endpoint in endpoints for rid in ids(endpoint))
 
 
 def ids(endpoint: Endpoint) -> list[str]:
@@ -147,11 +149,11 @@
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
         self.port = self.listener.getsockname()[1]
-        self.taken: list[socket.socket] = []
+        self.accepted: list[socket.socket] = []
 
     async def accept(self) -> socket.socket:
         accepted, _ = await self.loop.sock_accept(self.listener)
-        self.taken.append(accepted)
+        self.accepted.append(accepted)
         return accepted
 
     async def read(self, accepted: socket.socket) -> bytes:
@@ -170,7 +172,7 @@
             data += await self.loop.sock_recv(accepted, 65_536)
 
     def close(self) -> None:
-        for sock in (self.listener, *self.taken):
+        for sock in (self.listener, *self.accepted):
             sock.close()
 
 
@@ -291,7 +293,7 @@
                 endpoint.handler = break_off
             answering = asyncio.create_task(proxy.send(request("put", b"b")))
             for _ in range(2):
-                await opening.asked.get()
+                await opening.requested_ports.get()
             advance_clock(proxy, span_us)
             opening.may_open.set()
             response = await answering
@@ -359,8 +361,8 @@
         ("address", (0, 1)),
         ("start", (0, 1)),
         ("drain", (1, 0)),
-        ("drained", (0, 1)),
-        ("held-up", (0, 1)),
+        ("drain-grace-over", (0, 1)),
+        ("process-stall", (0, 1)),
         ("nothing", (1, 0)),
     ],
 )
@@ -376,17 +378,17 @@
             recorded = record_outcomes(proxy.engine)
             opening = Opening(proxy)
             answering = asyncio.create_task(proxy.send(request("pay")))
-            await opening.asked.get()
+            await opening.requested_ports.get()
             if change == "address":
                 proxy.apply_list(new.entry("s-0"), new.entry("s-1"))
             elif change == "start":
                 proxy.apply_list(old.entry("s-0", startedAtMs=1), new.entry("s-1"))
             elif change == "drain":
                 proxy.apply_list(old.entry("s-0", lifecycle="draining"))
-            elif change == "drained":
+            elif change == "drain-grace-over":
                 proxy.apply_list(old.entry("s-0", lifecycle="draining"), new.entry("s-1"))
                 advance_clock(proxy, 500_000)
-            elif change == "held-up":
+            elif change == "process-stall":
                 proxy.apply_list(old.entry("s-0", lifecycle="draining"), new.entry("s-1"))
                 advance_clock(proxy, 500_000 - 150_000)
             opening.may_open.set()
@@ -411,7 +413,7 @@
             ended: list[bool] = []
 
             def outcome(now: int, event: Outcome) -> list[Action]:
-                ended.append(is_closed_by_peer(peer.taken[0]))
+                ended.append(is_closed_by_peer(peer.accepted[0]))
                 return real.outcome(now, event)
 
             real = override_decisions(proxy.engine, outcome=outcome)
@@ -476,12 +478,13 @@
 
 @pytest.mark.parametrize("send_malformed", [send_bytes_when_idle, send_second_answer, send_trailing_noise])
 @pytest.mark.parametrize("cls", ["page", "pay"])
-@pytest.mark.parametrize("late", ["at-rest", "under-the-next"])
+@pytest.mark.parametrize("timing", ["idle", "during-the-next-request"])
 def test_a_late_second_answer_answers_no_other_request(
-    late: str, cls: str, send_malformed: Callable[[Exchanges], Awaitable[None]]
+    timing: str, cls: str, send_malformed: Callable[[Exchanges], Awaitable[None]]
 ) -> None:
-    """After a malformed answer from any endpoint. The second answer arrives before the next request is
-    written, or after that. It would answer the next request; to an unsafe one it would say that it never ran.
+    """After a malformed answer, connections are reused only when they have settled. Guards against an endpoint
+    that answers a request twice: the second answer, which arrives before or after the next request is written,
+    would be taken for the answer to that one; an unsafe one would seem never to have run.
     """
 
     async def main() -> None:
@@ -490,17 +493,17 @@
             await send_malformed(exchanges)
             accepted = await exchanges.serve()
             second = answer(503, b"", "X-Not-Run: 1\r\n") if cls == "pay" else answer(body=b"2")
-            if late == "at-rest":
+            if timing == "idle":
                 await peer.loop.sock_sendall(accepted, second)
             answering = exchanges.send()
-            if late == "under-the-next":
+            if timing == "during-the-next-request":
                 await until(lambda: is_readable(peer.listener) or is_readable(accepted))
                 assert not is_readable(accepted), (
                     "a connection on which a second answer may still arrive is not used"
                 )
             other = await peer.accept()
             await peer.read(other)
-            if late == "under-the-next":
+            if timing == "during-the-next-request":
                 await peer.loop.sock_sendall(accepted, second)
             await peer.loop.sock_sendall(other, answer(body=b"3"))
             assert (await answering).body == b"3"
@@ -509,8 +512,8 @@
 
 
 def test_a_connection_is_reused_after_its_settle_time() -> None:
-    """Also after a malformed answer. If no idle connection has settled and there are more than `MIN_IDLE`,
-    the one idle longest is used."""
+    """A settled connection is reused, also after a malformed answer. If no idle connection has settled and
+    there are more than `MIN_IDLE`, the one idle longest is used."""
 
     async def main() -> None:
         async with scripted_endpoint() as (proxy, peer):
@@ -601,8 +604,8 @@
 
     async def main() -> None:
         async with scripted_endpoint() as (proxy, peer):
-            at = f"127.0.0.1:{peer.port}"
-            proxy.apply_list(*(Endpoint().entry(f"s-{n}", hostPort=at) for n in range(2)))
+            address = f"127.0.0.1:{peer.port}"
+            proxy.apply_list(*(Endpoint().entry(f"s-{n}", hostPort=address) for n in range(2)))
             set_window(proxy, 3_000_000)
             recorded = record_outcomes(proxy.engine)
             answering, accepted = await send_half_written(proxy, peer, "put")
@@ -638,7 +641,7 @@
 
 @pytest.mark.parametrize("cancel", [True, False], ids=["cancels", "does-not"])
 @pytest.mark.parametrize("attempt", ["first", "further"])
-@pytest.mark.parametrize("leaves", ["before", "behind"])
+@pytest.mark.parametrize("leaves", ["before", "after"])
 def test_no_attempt_begins_for_a_client_that_has_left(leaves: str, attempt: str, cancel: bool) -> None:
     """The client leaves while a connection is being opened for its request, or after that was sent."""
 
@@ -652,17 +655,17 @@
             _, writer = await proxy.connect()
             writer.write(request())
             for _ in range(1 + before):
-                await opening.asked.get()
+                await opening.requested_ports.get()
             if leaves == "before":
                 writer.close()
                 await until(lambda: not any(call.is_open for call in proxy.engine.calls.values()))
             opening.may_open.set()
-            if leaves == "behind":
+            if leaves == "after":
                 await until(lambda: sum(len(endpoint.got) for endpoint in endpoints) == 1 + before)
                 writer.close()
             await until(lambda: not proxy.engine.calls or not cancel)
             await until(lambda: not proxy.upstream.connecting.waiting_since)
-            assert await count_requests(endpoints) == before + (leaves == "behind")
+            assert await count_requests(endpoints) == before + (leaves == "after")
 
     run(main())
 
@@ -687,7 +690,7 @@
             await break_first_attempt(proxy, endpoints, opening)
             answering = asyncio.create_task(proxy.send(request("put", b"b", deadline_ms=4000)))
             for _ in range(2):
-                await opening.asked.get()
+                await opening.requested_ports.get()
             advance_clock(proxy, 1_500_000)
             opening.may_open.set()
             assert (await answering).status == 200
@@ -752,32 +755,32 @@
     run(main())
 
 
-@pytest.mark.parametrize("half", [b"H", b"HTTP/1.1 20", b"HTTP/1.1 200 OK\r\nContent-Le"])
-@pytest.mark.parametrize("when", ["under-a-request", "at-rest", "as-it-is-used-again"])
-def test_a_partial_line_followed_by_a_close_is_not_an_answer(when: str, half: bytes) -> None:
+@pytest.mark.parametrize("partial_line", [b"H", b"HTTP/1.1 20", b"HTTP/1.1 200 OK\r\nContent-Le"])
+@pytest.mark.parametrize("when", ["during-a-request", "idle", "on-reuse"])
+def test_a_partial_line_followed_by_a_close_is_not_an_answer(when: str, partial_line: bytes) -> None:
     async def main() -> None:
         async with scripted_endpoint(max_attempts=1) as (proxy, peer):
-            if when != "under-a-request":
+            if when != "during-a-request":
                 answering = asyncio.create_task(proxy.send(request("pay")))
                 accepted = await peer.accept()
                 await peer.read(accepted)
                 await peer.loop.sock_sendall(accepted, answer())
                 assert (await answering).status == 200
-            if when == "at-rest":
-                await peer.loop.sock_sendall(accepted, half)
+            if when == "idle":
+                await peer.loop.sock_sendall(accepted, partial_line)
                 accepted.close()
                 await until(lambda: not proxy.upstream.connections)
-            elif when == "as-it-is-used-again":
+            elif when == "on-reuse":
                 (connection,) = proxy.upstream.connections
                 assert connection.transport is not None
                 connection.transport.pause_reading()  # as if the event loop had not run since
-                accepted.send(half)
+                accepted.send(partial_line)
                 accepted.close()
             answering = asyncio.create_task(proxy.send(request("pay", rid="r2")))
             other = await peer.accept()
             await peer.read(other)
-            if when == "under-a-request":
-                await peer.loop.sock_sendall(other, half)
+            if when == "during-a-request":
+                await peer.loop.sock_sendall(other, partial_line)
                 other.close()
                 assert (await answering).status == 502
             else:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -262,15 +262,17 @@
             kept, kept_writer = await proxy.connect()
             kept_writer.write(request(rid="r2"))
             assert (await read_message(kept)).body == b"ok"
-            crowd = [await proxy.connect() for _ in range(40)]
-            assert await crowd[0][0].read() == b"", "the connection that was silent longest is evicted"
+            silent_clients = [await proxy.connect() for _ in range(40)]
+            assert await silent_clients[0][0].read() == b"", (
+                "the connection that was silent longest is evicted"
+            )
             assert (await proxy.send(request(rid="r3"))).body == b"ok"
             assert len(proxy.server.connections) <= 9
             kept_writer.write(request(rid="r4"))
             assert (await read_message(kept)).body == b"ok", "an idle connection is not evicted for them"
             assert not answering.done(), "nor is one that waits for its answer"
             answering.cancel()
-            for _, writer in [*crowd, (None, kept_writer)]:
+            for _, writer in [*silent_clients, (None, kept_writer)]:
                 writer.close()
 
     run(main())
@@ -634,16 +636,16 @@
                 {**write_config(tmp_path, registry), "LB_LISTEN": f"127.0.0.1:{port}"}
             )
             _, silent = await connect_until_up(port)
-            half_reader, half = await asyncio.open_connection("127.0.0.1", port)
-            half.write(PAY[:-1])
+            incomplete_reader, incomplete_writer = await asyncio.open_connection("127.0.0.1", port)
+            incomplete_writer.write(PAY[:-1])
             process.send_signal(signal.SIGTERM)
             process.send_signal(signal.SIGHUP)
             assert await process.wait() == 0
-            response = await read_message(half_reader)
+            response = await read_message(incomplete_reader)
             assert response.status == 503, "the request is incomplete, so it is refused: it was not forwarded"
-            assert response.headers["connection"] == "close" and await half_reader.read() == b""
+            assert response.headers["connection"] == "close" and await incomplete_reader.read() == b""
             silent.close()
-            half.close()
+            incomplete_writer.close()
 
     run(main())
 
@@ -722,11 +724,11 @@
 
 async def accepted(proxy: Sidecar, raw: bytes) -> socket.socket:
     """A connection that the listener accepted before it was closed, with a request on it."""
-    ours, theirs = socket.socketpair()
-    ours.sendall(raw)
-    ours.setblocking(False)
-    await asyncio.get_running_loop().connect_accepted_socket(proxy.server._new_connection, theirs)
-    return ours
+    client_socket, server_socket = socket.socketpair()
+    client_socket.sendall(raw)
+    client_socket.setblocking(False)
+    await asyncio.get_running_loop().connect_accepted_socket(proxy.server._new_connection, server_socket)
+    return client_socket
 
 
 def test_a_connection_accepted_while_the_listener_closes_is_served() -> None:
@@ -739,10 +741,10 @@
             await asyncio.sleep(0)  # accepted, and not yet passed to the server
             assert not proxy.server.connections
             proxy.server.shutdown.close_listener()
-            ours = await connecting
-            response = await asyncio.get_running_loop().sock_recv(ours, 1000)
+            client_socket = await connecting
+            response = await asyncio.get_running_loop().sock_recv(client_socket, 1000)
             assert b"Connection: close" in response and response.endswith(b"ok")
-            ours.close()
+            client_socket.close()
             await ended.wait()
 
     run(main())
@@ -758,10 +760,10 @@
             proxy.server.stop(ended.set)
             proxy.server.shutdown.stop_listening()
             await ended.wait()
-            ours = await accepted(proxy, PAY)
+            client_socket = await accepted(proxy, PAY)
             with contextlib.suppress(ConnectionResetError):
-                assert await asyncio.get_running_loop().sock_recv(ours, 100) == b""
+                assert await asyncio.get_running_loop().sock_recv(client_socket, 100) == b""
             assert not endpoint.got and not proxy.engine.calls and not proxy.server.connections
-            ours.close()
+            client_socket.close()
 
     run(main())
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -190,11 +190,11 @@
 
         endpoint = Endpoint(slow)
         async with sidecar(endpoint) as proxy:
-            asked = asyncio.create_task(proxy.send(request()))
+            answering = asyncio.create_task(proxy.send(request()))
             await endpoint.arrived.acquire()
             proxy.apply_list()
             release.set()
-            assert (await asked).body == b"ok", "a request that was sent is completed"
+            assert (await answering).body == b"ok", "a request that was sent is completed"
             await endpoint.closed.acquire()
 
     run(main())
@@ -458,14 +458,14 @@
                 proxy.apply_list(endpoint.entry("s-0", hostPort=address(listener)))
                 recorded = record_outcomes(proxy.engine)
                 attempts = proxy.upstream.connections
-                asked = asyncio.create_task(proxy.send(request("pay", b"x")))
+                answering = asyncio.create_task(proxy.send(request("pay", b"x")))
                 peer, _ = await loop.sock_accept(listener)
                 await loop.sock_recv(peer, 4096)
                 (connection,) = attempts
                 connection.pause_writing()  # as asyncio calls it when bytes remain buffered
                 peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
                 peer.close()
-                assert (await asked).start.split()[1] == "503"
+                assert (await answering).start.split()[1] == "503"
                 assert [event.outcome for event in recorded] == [NO_CONNECT]
 
     run(main())
@@ -476,9 +476,9 @@
         endpoint = Endpoint(never_answer)
         async with sidecar(endpoint) as proxy:
             recorded = record_outcomes(proxy.engine)
-            asked = proxy.engine.now()
+            sent_at = proxy.engine.now()
             response = await proxy.send(request("pay", deadline_ms=80))
-            assert proxy.engine.now() - asked >= 80_000, "never early"
+            assert proxy.engine.now() - sent_at >= 80_000, "never early"
             assert response.start.split()[1] == "504"
             assert [(event.outcome, event.is_final) for event in recorded] == [(TIMEOUT, False)]
             await endpoint.closed.acquire()  # cancelling the attempt closes its connection
@@ -575,7 +575,7 @@
         endpoint = Endpoint(never_answer)
         async with sidecar(endpoint) as proxy:
             recorded = record_outcomes(proxy.engine)
-            asked = asyncio.create_task(proxy.send(request("pay", deadline_ms=4000)))
+            answering = asyncio.create_task(proxy.send(request("pay", deadline_ms=4000)))
             await endpoint.arrived.acquire()
             ((_, call),) = proxy.engine.calls.items()
             (attempt,) = call.attempts
@@ -590,7 +590,7 @@
             connection = proxy.upstream.connections_by_attempt[attempt]
             connection.write()  # as after a connect that took too long
             assert [event.outcome for event in recorded] == [NOT_SENT] and len(endpoint.got) == 1
-            asked.cancel()
+            answering.cancel()
 
     run(main())
 
@@ -638,11 +638,11 @@
 
         endpoint = Endpoint(gated)
         async with sidecar(endpoint, ceilings={"conn-idle-us": 30_000_000}) as proxy:
-            asked = []
+            answering = []
             for rid in gates:
-                asked.append(asyncio.create_task(proxy.send(request(rid=rid))))
+                answering.append(asyncio.create_task(proxy.send(request(rid=rid))))
                 await endpoint.arrived.acquire()
-            for gate, task in zip(gates.values(), asked, strict=True):
+            for gate, task in zip(gates.values(), answering, strict=True):
                 gate.set()
                 await task
             await proxy.send(request(rid="r3"))
