--- a/laurelstep/net/connection_pool.py
+++ b/laurelstep/net/connection_pool.py
@@ -52,7 +52,7 @@
 class ConnectionPool(Generic[C]):
     """The idle connections to one process at one address, ordered by last use, latest last."""
 
-    __slots__ = ("is_closed", "host", "idle", "port")
+    __slots__ = ("host", "idle", "is_closed", "port")
 
     def __init__(self, host: str, port: int) -> None:
         self.host, self.port = host, port
