--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -482,9 +482,9 @@
 def test_a_late_second_answer_answers_no_other_request(
     timing: str, cls: str, send_malformed: Callable[[Exchanges], Awaitable[None]]
 ) -> None:
-    """After a malformed answer, connections are reused only when they have settled. Guards against an endpoint
-    that answers a request twice: the second answer, which arrives before or after the next request is written,
-    would be taken for the answer to that one; an unsafe one would seem never to have run.
+    """After a malformed answer, connections are reused only when they have settled. Guards against an
+    endpoint that answers a request twice: the second answer, which arrives before or after the next request
+    is written, would be taken for the answer to that one; an unsafe one would seem never to have run.
     """
 
     async def main() -> None:
