--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -407,7 +407,7 @@
             client = Client.open(config(), [Member("s-1", "nowhere")])
             sent = await lifespan(BalancerMiddleware(inner, client), "startup")
             assert [one["type"] for one in sent] == ["lifespan.startup.failed"]
-            assert "no address" in sent[0]["message"] and client.state is ClientState.NEW
+            assert "malformed address" in sent[0]["message"] and client.state is ClientState.NEW
 
     run(main())
 
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -371,7 +371,7 @@
     async def main() -> None:
         endpoint = Endpoint()
         async with opened(endpoint) as client:
-            with pytest.raises(ValueError, match="no address"):
+            with pytest.raises(ValueError, match="malformed address"):
                 client.members([Member("s-9", "nowhere")])
             assert (await client.send(VIEW)).endpoint == "s-0"
 
