--- a/laurelstep/net/client_connection.py
+++ b/laurelstep/net/client_connection.py
@@ -153,9 +153,8 @@
                 self.close()
             elif self.pipelined:
                 self._resume_pipelined()
-            elif (
-                not self.server.lifecycle.allows_keep_alive
-            ):  # a drain began after the answer's head was written
+            elif not self.server.lifecycle.allows_keep_alive:
+                # A drain or a shutdown began after the answer's head was written.
                 self.close_if_idle()
         elif complete or self.is_answer_chunked or self.keep_alive:
             # The client can still read what was written, and its framing shows whether it is complete.
@@ -226,7 +225,7 @@
         return self.call is None and self.answer is None and not self.is_closing
 
     def close_unforwarded(self) -> None:
-        """Close the connection because the process stops, after unread bytes have been read.
+        """Close the connection because the process stops; unread bytes that have arrived are read first.
 
         An incomplete request is refused: its last byte may be on its way, and no part of it was forwarded.
         """
--- a/laurelstep/net/endpoint_connection.py
+++ b/laurelstep/net/endpoint_connection.py
@@ -312,7 +312,9 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             malformed, self.keep_alive = True, False
         malformed = (
-            malformed or self.received_bytes > MAX_FRAMING_BYTES + MAX_FRAMING_BYTES_PER_BODY_BYTE * self.size
+            malformed
+            or self.received_bytes
+            > MAX_FRAMING_BYTES + MAX_FRAMING_BYTES_PER_BODY_BYTE * self.body_byte_count
         )
         if self._answers_earlier_request():
             self.reject_response()
--- a/laurelstep/net/request_receiver.py
+++ b/laurelstep/net/request_receiver.py
@@ -63,7 +63,7 @@
         self.target = b""
         self.headers: Headers = []
         self.body = bytearray()  # not a list of parts: a part of one byte would take forty
-        self.size = self.received_bytes = 0
+        self.body_byte_count = self.received_bytes = 0
         self.parsed: Call | Answer | None = None  # the call for the head, or the answer to a health check
         self.head_completed_at = 0.0  # loop time at which the head was complete
         self.has_begun = self.is_complete = False
@@ -103,7 +103,10 @@
             self.parser.feed_data(data)
             if self.parsed is None and self.received_bytes > MAX_HEAD_BYTES:
                 raise BadRequestError(431, "the head is too large")
-            if self.received_bytes > MAX_FRAMING_BYTES + MAX_FRAMING_BYTES_PER_BODY_BYTE * self.size:
+            if (
+                self.received_bytes
+                > MAX_FRAMING_BYTES + MAX_FRAMING_BYTES_PER_BODY_BYTE * self.body_byte_count
+            ):
                 raise BadRequestError(413, "the request is mostly framing")
         except httptools.HttpParserCallbackError as error:
             cause = error.__context__
@@ -141,10 +144,10 @@
             server.awaiting_request.add(self)
             server.reserve_head(self)
             return
-        if not has_min_throughput(self.size, server.loop.time() - self.head_completed_at):
+        if not has_min_throughput(self.body_byte_count, server.loop.time() - self.head_completed_at):
             self.reject(BadRequestError(408, "the body came too slowly"))
             return
-        if self.upload is None and not self.reserve(self.size):
+        if self.upload is None and not self.reserve(self.body_byte_count):
             self._begin_upload()
             return
         sweeper = server.uploading if self.upload is not None else server.awaiting_request
@@ -193,8 +196,8 @@
 
     def on_body(self, data: bytes) -> None:
         """HTTP parser: a part of the body."""
-        self.size += len(data)
-        if self.size > self.server.max_body_bytes:
+        self.body_byte_count += len(data)
+        if self.body_byte_count > self.server.max_body_bytes:
             raise BadRequestError(413, "the body is too large")
         if self.upload is not None:
             self.upload.feed(data)
@@ -225,8 +228,9 @@
         return call
 
     def _outbox_query(self, method: bytes, path: bytes, subject: str) -> Call:
-        """The call for an outbox query. It is not open, as the engine does not handle it; `order` is the
-        path.
+        """The call for an outbox query. It is not open, as the engine does not handle it.
+
+        Its `order_id` is the path prefix, its target the rest of the path.
         """
         if body_length(validate_framing(self.headers)):
             raise BadRequestError(400, f"asking for {subject} has no body")
--- a/laurelstep/net/response_receiver.py
+++ b/laurelstep/net/response_receiver.py
@@ -69,11 +69,10 @@
 
     def _reset(self) -> None:
         self.headers: Headers = []
-        self.fields: dict[bytes, bytes] | None = (
-            None  # headers of the final answer by name; None before its head is complete
-        )
+        # Headers of the final answer by name; None before its head is complete.
+        self.fields: dict[bytes, bytes] | None = None
         self.body = bytearray()
-        self.size = self.received_bytes = self.received_bytes_at_check = self.status = 0
+        self.body_byte_count = self.received_bytes = self.received_bytes_at_check = self.status = 0
         self.length = CHUNKED
         self.is_complete = self.keep_alive = self.has_trailing_data = False
         self._release_budget()
@@ -105,8 +104,8 @@
     def on_body(self, data: bytes) -> None:
         """HTTP parser: a part of the body."""
         if not self.is_complete:
-            self.size += len(data)
-            if self.size > self._max_body_bytes():
+            self.body_byte_count += len(data)
+            if self.body_byte_count > self._max_body_bytes():
                 raise MalformedResponseError("the body is too large")
             if self.answer is not None:
                 self.answer.feed(data)
@@ -115,14 +114,16 @@
 
     def _may_buffer(self) -> bool:
         """Whether the answer may be buffered until it is complete."""
-        if max(self.length, self.size) > MAX_BUFFERED_BODY_BYTES:
+        if max(self.length, self.body_byte_count) > MAX_BUFFERED_BODY_BYTES:
             return False
         budget = self.owner.answer_budget
-        reserved = budget.reserve(self.size, self.reserved_bytes)
+        reserved = budget.reserve(self.body_byte_count, self.reserved_bytes)
         if reserved < 0 and self.attempt is not None and self.attempt.call.can_stream_answer:
             return False
         self.reserved_bytes = (
-            budget.reserve_unconditionally(self.size, self.reserved_bytes) if reserved < 0 else reserved
+            budget.reserve_unconditionally(self.body_byte_count, self.reserved_bytes)
+            if reserved < 0
+            else reserved
         )
         return True
 
@@ -163,7 +164,7 @@
         if self not in streaming.waiting_since:
             return  # paused: these bytes were already on their way
         streaming.discard(self)
-        if has_min_throughput(self.size, self.owner.loop.time() - self.streaming_since):
+        if has_min_throughput(self.body_byte_count, self.owner.loop.time() - self.streaming_since):
             streaming.add(self)
         else:
             self.close()
--- a/laurelstep/net/server_state.py
+++ b/laurelstep/net/server_state.py
@@ -74,7 +74,7 @@
         raise NotImplementedError
 
     def close_unforwarded(self) -> None:
-        """Close the connection after unread bytes have been read; an incomplete request is rejected."""
+        """Close the connection, but read unread bytes first; an incomplete request is rejected."""
         raise NotImplementedError
 
     def reject_upload(self) -> None:
--- a/laurelstep/net/shutdown.py
+++ b/laurelstep/net/shutdown.py
@@ -73,7 +73,7 @@
         """Close the connection unless unread bytes have arrived."""
 
     def close_unforwarded(self) -> None:
-        """Close the connection after unread bytes have been read; an incomplete request is rejected."""
+        """Close the connection, but read unread bytes first; an incomplete request is rejected."""
 
     def reject_upload(self) -> None:
         """Reject an incomplete upload, if there is one."""
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -577,9 +577,8 @@
             if is_upload:
                 proxy.server.request_budget.limit = 0
             if arrival == "upload-held-back":
-                override_decisions(
-                    proxy.engine, request=lambda now, event: []
-                )  # the balancer starts no attempt
+                # The balancer starts no attempt.
+                override_decisions(proxy.engine, request=lambda now, event: [])
             with client(proxy) as caller:
                 caller.send(whole[:-20])
                 connection = await only_connection(proxy)
@@ -924,9 +923,8 @@
         async with sidecar(endpoint) as proxy:
             assert (await proxy.send(PAGE)).body == b"ok"  # leaves an idle connection to the endpoint
             await until(lambda: not proxy.server.connections)
-            override_decisions(
-                proxy.engine, request=lambda now, event: []
-            )  # the balancer holds every request
+            # The balancer holds every request.
+            override_decisions(proxy.engine, request=lambda now, event: [])
             caller = Client(proxy.port)
             caller.send(request(rid="held"))
             leaving_connection = await only_connection(proxy)
@@ -994,9 +992,8 @@
             if pooled:
                 assert (await proxy.send(PAGE)).body == b"ok"
                 await until(lambda: not proxy.server.connections)
-            override_decisions(
-                proxy.engine, request=lambda now, event: []
-            )  # the balancer holds every request
+            # The balancer holds every request.
+            override_decisions(proxy.engine, request=lambda now, event: [])
             caller = Client(proxy.port)
             caller.send(request(rid="left"))
             await until(lambda: len(proxy.engine.calls) == 1)
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -59,9 +59,8 @@
         on_connected: Callable[[], None] | None = None,
         on_connecting: Callable[[], None] | None = None,
     ) -> None:
-        self.requested_ports: asyncio.Queue[int] = (
-            asyncio.Queue()
-        )  # the ports of the connections requested, in order
+        # The ports of the connections requested, in order.
+        self.requested_ports: asyncio.Queue[int] = asyncio.Queue()
         self.may_open = asyncio.Event()
         self.on_connected = on_connected  # called in the loop iteration of `connection_made`, after it
         self.shrink_send_buffer = False  # give connections the smallest send buffer that the system allows
@@ -482,9 +481,11 @@
 def test_a_late_second_answer_answers_no_other_request(
     timing: str, cls: str, send_malformed: Callable[[Exchanges], Awaitable[None]]
 ) -> None:
-    """After a malformed answer, connections are reused only when they have settled. Guards against an endpoint
-    that answers a request twice: the second answer, which arrives before or after the next request is written,
-    would be taken for the answer to that one; an unsafe one would seem never to have run.
+    """After a malformed answer, connections are reused only when they have settled.
+
+    Guards against an endpoint that answers a request twice: the second answer, which arrives before or after
+    the next request is written, would be taken for the answer to that one. An unsafe request would seem never
+    to have run.
     """
 
     async def main() -> None:
--- a/tests/test_flow_control.py
+++ b/tests/test_flow_control.py
@@ -356,10 +356,10 @@
             await until(lambda: bool(one.upstream.write_stalled.waiting_since))
             (caller,) = one.server.connections
             (link,) = one.upstream.connections
-            size = caller.size
+            size = caller.body_byte_count
             for _ in range(200):
                 await asyncio.sleep(0)
-            assert caller.size == size < 24 * MB and not pouring.done()
+            assert caller.body_byte_count == size < 24 * MB and not pouring.done()
             assert link.transport is not None and link.transport.get_write_buffer_size() <= MB
             assert not caller.upload or not caller.upload.buffered
             pouring.cancel()
@@ -680,7 +680,7 @@
             await reader.readuntil(b"\r\n\r\n")
             await reader.readexactly(128 * 1024)
             (link,) = one.upstream.streaming.waiting_since
-            pace_s = GRACE_S + link.size / MIN_RATE_BYTES_PER_S
+            pace_s = GRACE_S + link.body_byte_count / MIN_RATE_BYTES_PER_S
             if held:
                 link.pause()
                 link.paused_since -= pace_s + 60.0
@@ -711,7 +711,9 @@
             streams = [await one.connect() for _ in range(40)]
             for n, (_, writer) in enumerate(streams):
                 writer.write(head(MB, rid=f"r{n}") + BIG[:300_000])
-            await until(lambda: sum(caller.size >= 300_000 for caller in one.server.connections) == 40)
+            await until(
+                lambda: sum(caller.body_byte_count >= 300_000 for caller in one.server.connections) == 40
+            )
             assert one.server.request_budget.used <= MB
             assert sum(caller.upload is not None for caller in one.server.connections) > 30
             for _, writer in streams:
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -172,7 +172,7 @@
             reader, writer = await one.connect()
             framed = request("put").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
             writer.write(framed + b"1\r\nx\r\n" * 20_000)
-            while not any(caller.size == 20_000 for caller in one.server.connections):
+            while not any(caller.body_byte_count == 20_000 for caller in one.server.connections):
                 await asyncio.sleep(0)
             (caller,) = one.server.connections
             assert len(caller.body) == 20_000 and isinstance(caller.body, bytearray)
