--- a/laurelstep/consensus/__init__.py
+++ b/laurelstep/consensus/__init__.py
@@ -1,8 +1,8 @@
-"""Replicated state of a tier's processes: Raft among replicas that may lose their memory.
+"""State that is replicated among a tier's processes: Raft among replicas that may lose their stored state.
 
-The core is pure (`core.py` and the modules that it joins): time and datagrams are passed in, datagrams and
-the records to persist come out. `ports.py` has the interfaces to the network, the store and the state
-machine; `node.py` joins them to a clock.
+The core (`core.py` and the modules that it combines) does no I/O: it takes the time and received datagrams,
+and returns the datagrams to send and the records to persist. `ports.py` defines the interfaces to the
+network, the store and the state machine; `node.py` connects the core to them and to a clock.
 
-Nothing is imported here: a process without the settings section `[accord]` pays nothing.
+This package imports nothing, so that a process without the settings section `[accord]` does not load Raft.
 """
--- a/laurelstep/consensus/assembly.py
+++ b/laurelstep/consensus/assembly.py
@@ -1,4 +1,4 @@
-"""Builds a node from the settings: the link and the store are imported only where they are used."""
+"""Builds a node from the settings. The modules of links and stores are imported only if they are used."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 __all__ = ["build_node", "check_store_folder", "timing_from"]
 
-# A voter without a leader for so many election timeouts probes for a bootstrap.
+# A voter that had no leader for this many election timeouts probes for a bootstrap.
 BOOTSTRAP_ELECTION_TIMEOUTS: Final = 4
 
 
 def timing_from(settings: ConsensusSettings) -> ConsensusTiming:
-    """Return the durations that the settings describe."""
+    """Return the protocol timing for the settings."""
     return ConsensusTiming(
         heartbeat_us=settings.heartbeat_us,
         election_timeout_us=settings.election_us,
@@ -34,7 +34,10 @@
 
 
 def check_store_folder(path: str) -> None:
-    """Make the store's folder if it is missing. Raises OSError if it can't be used. Empty path: no store."""
+    """Create the store's folder if it is missing. Raises OSError if it can't be used.
+
+    An empty path means that there is no store.
+    """
     if path:
         os.makedirs(path, exist_ok=True)
         if not os.access(path, os.W_OK | os.X_OK):
@@ -48,16 +51,16 @@
     clock: Clock,
     log: Log,
 ) -> ConsensusNode:
-    """Return the node that the settings describe, not yet started.
+    """Return a node for the settings, not yet started.
 
-    Raises ImportError where the store's library is missing.
+    Raises ImportError if a library that the store needs is missing.
     """
     timing = timing_from(settings)
     rng = random.Random(secrets.randbits(64))
     replica_id, peer_count = settings.me, len(settings.peers)
 
     def make_core(incarnation: int, records: Mapping[bytes, bytes]) -> ConsensusCore:
-        """Make a core with this process's settings."""
+        """Create a core with this process's settings."""
         return ConsensusCore(
             replica_id, peer_count, settings.seats, incarnation, state_machine, timing, rng, records
         )
@@ -83,15 +86,15 @@
     if not settings.store_path:
         from laurelstep.consensus.stores.none import NoStore
 
-        async def without_store() -> Store:
-            """Open nothing."""
+        async def open_no_store() -> Store:
+            """Return a store that stores nothing."""
             return NoStore()
 
-        return without_store
+        return open_no_store
     from laurelstep.consensus.stores.embedded import EmbeddedStore
 
     async def open_embedded() -> Store:
-        """Open the store of the settings."""
+        """Open the store in the configured folder."""
         return await EmbeddedStore.open(settings.store_path, log)
 
     return open_embedded
--- a/laurelstep/consensus/core.py
+++ b/laurelstep/consensus/core.py
@@ -1,25 +1,27 @@
-"""The core: one replica of the log. Pure: time and datagrams in, datagrams and records to persist out.
+"""The consensus core: one replica of the log. No I/O: it takes the time and received datagrams, and returns
+the datagrams to send and the records to persist.
 
-Raft (Ongaro and Ousterhout 2014; Ongaro's dissertation 2014) among identities that carry an incarnation. The
-rules stand at the heads of the parts: `log`, `state`, `election`, `leader`, `follower`, `membership`,
-`bootstrap`, `snapshots`, `read_index`, `learner`.
+It implements Raft (Ongaro and Ousterhout 2014; Ongaro's dissertation 2014) among voters that are identified
+by their number and an incarnation. The rules are in the docstrings of the modules `log`, `state`, `election`,
+`leader`, `follower`, `membership`, `bootstrap`, `snapshots`, `read_index` and `learner`.
 
 1. Every call is one step. Its effects are carried out before the next step, `persist` before `outgoing`.
-2. A message is read by its epoch. One older than promised is dropped; but it frees a voter that is frozen for
-   too long (bootstrap.py, rule 7). A newer one that only a started epoch can send (an append, a chunk of a
-   snapshot, a request for a vote) takes this voter into that epoch.
-3. Nothing that a peer sends raises, and nothing of it is kept without a bound.
-
-The invariants after every step, by the names under which `laurelstep.testing.schedules` checks them:
-
-- one order: what two replicas apply at an index of one epoch is the same;
-- nothing lost: committed entries are in every later epoch's log, while a majority of the members that
-  committed them remembers;
-- one leader: in a term of an epoch at most one replica leads;
+2. A message is handled according to its epoch. A message of an epoch older than the promised one is dropped,
+   unless it releases a voter that has been frozen for too long (bootstrap.py, rule 7). A message of a newer
+   epoch that is sent only in a started epoch (an append, a snapshot chunk or a vote request) moves this voter
+   into that epoch.
+3. No message from a peer raises an exception, and all state that is stored because of messages is bounded.
+
+These invariants hold after every step. `laurelstep.testing.schedules` checks them under these names:
+
+- one order: replicas apply the same entry at the same index of an epoch;
+- nothing lost: committed entries are in the log of every later epoch, while a majority of the members that
+  committed them keeps its state;
+- one leader: at most one replica leads in a term of an epoch;
 - one vote: an incarnation votes for at most one candidate in a term of an epoch;
-- leases apart: no two processes hold a lease at once, while clocks drift within the bound;
+- leases apart: no two processes hold the same lease at once, while clocks drift within the bound;
 - no stale read: a replica that is caught up has applied all that was committed before it started;
-- progress: once faults end, what is proposed is committed, and all are caught up.
+- progress: once faults end, proposals are committed, and all replicas catch up.
 """
 
 from __future__ import annotations
@@ -53,14 +55,14 @@
 
 
 class ConsensusCore:
-    """One replica. Every method is a step: it takes the time in µs and returns what is to be done.
+    """One replica. Every step takes the time in µs and returns the effects to carry out.
 
-    `due_us` is the time of the next `tick`, and changes with every step (NEVER_US: none). `incarnation`
-    changes too, where a replica has to continue as another one (bootstrap.py, rule 7): read it, don't store
-    it.
+    `due_us` is the time at which `tick` must be called next (NEVER_US: not at all); it changes with every
+    step. `incarnation` may change too, if the replica continues as another one (bootstrap.py, rule 7), so
+    callers must read it each time.
     """
 
-    # The types of the parts, so that a test can inject a faulty one.
+    # The classes of the parts. Tests replace them to inject faults.
     state_type = ReplicaState
     election_type = Election
     leader_type = Leader
@@ -82,11 +84,11 @@
         rng: random.Random,
         records: Mapping[bytes, bytes] | None = None,
     ) -> None:
-        """The replicas with numbers below `voter_count` vote, the other ones learn.
+        """Replicas with an id below `voter_count` are voters, the others are learners.
 
-        `incarnation`: 64 random bits, for a start with an empty state; `records` have their own.
-        Incarnations, epochs and nonces are drawn from `rng`: in service one seeded by the system.
-        Raises StoredStateError.
+        `incarnation`: 64 random bits for a start with an empty state; if `records` holds stored state, its
+        incarnation is used instead. `rng` supplies incarnations, epoch ids and nonces; in production its seed
+        comes from the operating system. Raises StoredStateError.
         """
         identity = ReplicaIdentity(replica_id, peer_count, voter_count, incarnation)
         self._state = self.state_type(identity, state_machine, timing, rng)
@@ -123,93 +125,93 @@
             m.LeaderMessage: self._on_leader_message,
         }
 
-    # What can be observed
+    # Status
 
     @property
     def replica_id(self) -> int:
-        """The number of this replica among its peers."""
+        """The number of this replica in the list of peers."""
         return self._state.replica_id
 
     @property
     def role(self) -> ReplicaRole:
-        """What this replica does in its epoch."""
+        """The role of this replica in its epoch."""
         return self._state.role
 
     @property
     def leader_id(self) -> int | None:
-        """The number of the replica that leads, as far as this one heard."""
+        """The id of the leader that this replica knows, None if it knows none."""
         return self._state.leader_id
 
     @property
     def term(self) -> int:
-        """The term in the promised epoch."""
+        """The current term in the promised epoch."""
         return self._state.term
 
     @property
     def epoch(self) -> ClusterEpoch:
-        """The bootstrap that the log here comes from.
+        """The epoch of this replica's log.
 
-        NO_EPOCH with something applied: a learner's log is of an epoch that is over, and the new one is on
-        its way.
+        It is NO_EPOCH although entries are applied if a learner has discarded the log of an epoch that has
+        ended and has not received that of the new epoch yet.
         """
         return self._state.log.epoch
 
     @property
     def committed_index(self) -> int:
-        """The last index that is known to be committed."""
+        """The highest index that this replica knows to be committed."""
         return self._state.committed_index
 
     @property
     def applied_index(self) -> int:
-        """The last index that is applied."""
+        """The highest index that this replica has applied."""
         return self._state.applied_index
 
     @property
     def is_caught_up(self) -> bool:
-        """Whether all that was committed before this replica started is applied here (read_index.py)."""
+        """Whether this replica has applied all that was committed before it started (read_index.py)."""
         return self._state.is_caught_up
 
     @property
     def incarnation(self) -> int:
-        """The random number of this replica's memory."""
+        """The random number that identifies this replica since it last started with an empty state."""
         return self._state.incarnation
 
     @property
     def members(self) -> dict[int, int]:
-        """Who votes: voter to incarnation."""
+        """The voting members, as voter id to incarnation."""
         return dict(self._state.log.config.members)
 
     @property
     def log_entry_count(self) -> int:
-        """How many entries are held beside the snapshot."""
+        """The number of entries in the log, not counting those that only the snapshot covers."""
         return len(self._state.log.entries)
 
     @property
     def counters(self) -> Counter[str]:
-        """How often what happened, for operators."""
+        """The event counters (counters.py), for operators."""
         return self._state.counters
 
     @property
     def on_leader_message(self) -> Callable[[int, int, bytes], None]:
-        """Called with leader messages while this replica leads: peer, incarnation, data.
+        """Called with each leader message while this replica leads: peer, incarnation, data.
 
-        It is called within a step, as is the state machine: what it leads to is a later step.
+        Like the state machine, it is called within a step, so it must not start another step itself.
         """
         return self._state.on_leader_message
 
     @on_leader_message.setter
     def on_leader_message(self, callback: Callable[[int, int, bytes], None]) -> None:
-        """Set the callback."""
+        """Replace the callback for leader messages."""
         self._state.on_leader_message = callback
 
     def has_leader_contact(self, now_us: int) -> bool:
-        """Whether this replica heard lately from a leader that a majority follows."""
+        """Whether this replica heard recently from a leader with a majority. False once retired."""
         return not self._is_retired and self._state.has_leader_contact(now_us)
 
     # Steps
 
     def start(self, now_us: int) -> StepEffects:
-        """Start, once, before any other step."""
+        """Start the replica. Called once, before any other step."""
         self._begin_step(now_us)
         state = self._state
         state.last_leader_contact_us = state.frozen_at_us = now_us
@@ -220,7 +222,7 @@
         return self._end_step()
 
     def receive(self, now_us: int, peer: int, raw: bytes) -> StepEffects:
-        """Take a datagram. Never raises for any bytes: what is no message is dropped and counted."""
+        """Handle a datagram. Never raises: datagrams that are not valid messages are dropped and counted."""
         self._begin_step(now_us)
         state = self._state
         message = m.decode(raw)
@@ -230,14 +232,14 @@
             state.counters[ReplicaCounter.FOREIGN_SENDER] += 1
         elif message is None:
             is_known_version = raw[:1] <= bytes((m.PROTOCOL_VERSION,))
-            dropped = ReplicaCounter.UNREADABLE if is_known_version else ReplicaCounter.FUTURE_VERSION
-            state.counters[dropped] += 1
+            drop_counter = ReplicaCounter.UNREADABLE if is_known_version else ReplicaCounter.FUTURE_VERSION
+            state.counters[drop_counter] += 1
         else:
             self._handlers[type(message)](peer, message)
         return self._end_step()
 
     def tick(self, now_us: int) -> StepEffects:
-        """Do what is due. Harmless at any time."""
+        """Do the timed work that is due. Calling it early has no effect."""
         self._begin_step(now_us)
         if self._is_retired:
             return self._end_step()
@@ -252,7 +254,10 @@
         return self._end_step()
 
     def propose(self, now_us: int, data: bytes) -> StepEffects:
-        """Append an entry, as the leader. Raises NotLeaderError, BusyError; EntryError if it is too long."""
+        """Append an entry, as the leader.
+
+        Raises NotLeaderError, BusyError, or EntryError if it is too long.
+        """
         self._begin_step(now_us)
         index = self._leader.propose(data)
         effects = self._end_step()
@@ -260,13 +265,13 @@
         return effects
 
     def send_to_leader(self, now_us: int, data: bytes, epoch: ClusterEpoch | None = None) -> StepEffects:
-        """Send a small message to whoever leads; it may be lost. Raises EntryError if it is too long.
+        """Send a small message to the current leader; it may be lost. Raises EntryError if it is too long.
 
-        `epoch`: of the log that it speaks of, the present one by default. It reaches nobody who leads another
-        one: indexes there have other entries.
+        `epoch`: the epoch of the log that the message refers to, by default the current one. A leader of
+        another epoch does not receive the message, because its log has other entries at the same indexes.
         """
         if len(data) > MAX_LEADER_MESSAGE_BYTES:
-            raise EntryError(f"{len(data)} bytes, of {MAX_LEADER_MESSAGE_BYTES} at most")
+            raise EntryError(f"a message of {len(data)} bytes, the limit is {MAX_LEADER_MESSAGE_BYTES}")
         self._begin_step(now_us)
         state = self._state
         if epoch is not None and epoch != state.log.epoch:
@@ -280,7 +285,10 @@
         return self._end_step()
 
     def retire(self) -> dict[bytes, bytes]:
-        """Stop for good: later steps do nothing. Returns the records of a successor, the same incarnation."""
+        """Stop permanently: later steps do nothing.
+
+        Returns the records for a successor that continues as the same incarnation.
+        """
         self._is_retired = True
         self.due_us = NEVER_US
         state = self._state
@@ -297,7 +305,7 @@
         state = self._state
         if self._is_retired:
             return StepEffects()
-        self._read_index.settle()
+        self._read_index.advance()
         if state.effects.state_changed and state.is_voter:
             if state.role == ReplicaRole.LEADER:
                 self._leader.replicate_pending()
@@ -318,7 +326,7 @@
         self._membership.reset()
         self._leader.assume_leadership()
 
-    # Messages, by type
+    # Message handlers
 
     def _on_identity_request(self, peer: int, message: m.IdentityRequest) -> None:
         if self._state.is_voter and peer < self._state.voter_count:
--- a/laurelstep/consensus/counters.py
+++ b/laurelstep/consensus/counters.py
@@ -1,4 +1,4 @@
-"""What a replica counts, by the names under which a status shows it to operators."""
+"""The event counters of a replica, by the names that its status shows to operators."""
 
 from __future__ import annotations
 
@@ -8,23 +8,25 @@
 
 
 class ReplicaCounter(StrEnum):
-    """Events of one replica. Operators read the values: they may not change."""
+    """Counters of one replica's events. The values are shown to operators and may not change."""
 
-    # Datagrams that were dropped: not readable, of a later protocol version, of a sender that is no peer or
-    # may not send such a message, of an older epoch or for another incarnation.
+    # Dropped datagrams: undecodable; of a later protocol version; from a sender that is not a peer or may not
+    # send such a message; of an older epoch or addressed to another incarnation.
     UNREADABLE = "unreadable"
     FUTURE_VERSION = "future"
     FOREIGN_SENDER = "foreign"
     STALE = "past"
+    # Leader messages that had no leader to go to, or belonged to another epoch.
     LEADER_MESSAGES_LOST = "words_lost"
-    # Bootstraps that this replica initiated, and those of them that started an epoch.
+    # Bootstraps that this replica initiated, and how many of them started an epoch.
     BOOTSTRAPS_INITIATED = "foundings"
     EPOCHS_STARTED = "founded"
-    # A learner left an epoch that was over.
+    # Epochs that this learner discarded because they had ended.
     EPOCHS_DISCARDED = "eras_forgotten"
-    # A frozen replica continued as another incarnation.
+    # How often this replica, frozen for too long, continued as another incarnation.
     FROZEN_RESTARTS = "came_again"
-    # As the leader: how often it had no quorum any more, and its changes of the configuration.
+    # As the leader: how often it lost its quorum, and the members it removed from and added to the
+    # configuration.
     STEPPED_DOWN = "stepped_down"
     MEMBERS_REMOVED = "taken_out"
     MEMBERS_ADDED = "taken_in"
--- a/laurelstep/consensus/effects.py
+++ b/laurelstep/consensus/effects.py
@@ -1,4 +1,4 @@
-"""What a step of the core asks its driver to do."""
+"""The effects of a step of the core, which its driver carries out."""
 
 from __future__ import annotations
 
@@ -9,17 +9,18 @@
 
 @dataclasses.dataclass(slots=True)
 class StepEffects:
-    """The effects of one step: first `persist` is made durable, then `outgoing` is sent, then the next step.
+    """The effects of one step.
 
-    The core relies on that order. If `persist` can't be made durable, the replica must stop.
+    The core relies on their order: `persist` is made durable, then `outgoing` is sent, then the next step
+    runs. If `persist` can't be made durable, the replica must stop.
     """
 
-    # Peer and datagram.
+    # Datagrams to send: destination peer and bytes.
     outgoing: list[tuple[int, bytes]] = dataclasses.field(default_factory=list)
-    # Stored records by key; None deletes.
+    # Records to store, by key; None deletes the record.
     persist: dict[bytes, bytes | None] = dataclasses.field(default_factory=dict)
-    # The index of a proposal in the leader's log. It is committed once it is applied at this index with the
-    # same data; another leader may put another entry there.
+    # The index of a proposed entry in the leader's log. The entry is committed once an entry with the same
+    # data is applied at this index; another leader may have put another entry there.
     entry_index: int | None = None
-    # Entries were applied, or a snapshot was loaded.
+    # Whether entries were applied or a snapshot was loaded.
     state_changed: bool = False
--- a/laurelstep/consensus/election.py
+++ b/laurelstep/consensus/election.py
@@ -1,17 +1,16 @@
-"""Leader election within one epoch. Pure. Raft, section 5.2 and 5.4.1; dissertation 9.6 (PreVote).
-
-1. Only a voter whose incarnation is a member of its own log's configuration campaigns, and never a frozen
-   one.
-2. It first asks who would vote for it; only with a majority of those PreVotes does it begin a term. So a
-   replica that was partitioned brings no new term when it comes back.
-3. A voter grants a PreVote for a log that is as up to date as its own, for a later term, and where no leader
-   was heard from for an election timeout.
-4. A voter votes for one incarnation in one term, for a log that is as up to date as its own. Its vote is
+"""Leader election within one epoch. No I/O. Raft, sections 5.2 and 5.4.1; dissertation 9.6 (PreVote).
+
+1. A voter campaigns only if its incarnation is a member in its own log's configuration and it is not frozen.
+2. A campaign starts with PreVotes. The candidate increments the term only with a majority of PreVotes, so a
+   replica that was partitioned does not disrupt the leader with a new term when it returns.
+3. A voter grants a PreVote if the candidate's log is at least as up to date as its own, the requested term is
+   later than its own, and it has heard from no leader for an election timeout.
+4. A voter votes for one incarnation per term, whose log is at least as up to date as its own. The vote is
    persisted before it is sent.
-5. A vote counts only from the incarnation that the candidate's newest configuration names; a majority of that
-   configuration elects. A process that restarts with an empty state is another incarnation, so the vote that
-   it forgot can't be given twice.
-6. A voter with no log of this epoch yet has an empty one: any log is as up to date.
+5. A vote counts only if it comes from the incarnation that the candidate's newest configuration names; a
+   majority of that configuration elects the leader. A process that restarts with an empty state is another
+   incarnation, so it can't vote a second time because it forgot its first vote.
+6. A voter that has no log of this epoch yet treats any log as at least as up to date.
 """
 
 from __future__ import annotations
@@ -26,12 +25,12 @@
 
 
 def has_majority(members: Mapping[int, int], voters: Collection[int]) -> bool:
-    """Whether those voters are a majority of the members."""
+    """Whether `voters` include a majority of the members."""
     return 2 * sum(1 for voter_id in members if voter_id in voters) > len(members)
 
 
 class Election:
-    """Campaigns for the lead, and votes. See the rules."""
+    """Runs campaigns of this replica, and votes for others. See the rules of the module."""
 
     def __init__(self, state: ReplicaState, on_elected: Callable[[], None]) -> None:
         self._state = state
@@ -40,20 +39,20 @@
         self._votes: set[int] = set()
 
     def can_campaign(self) -> bool:
-        """Whether this replica is a member that votes (rule 1)."""
+        """Whether this replica may start a campaign (rule 1)."""
         state = self._state
         own_member = state.log.config.members.get(state.replica_id)
         return state.has_current_log and own_member == state.incarnation
 
     def due_us(self) -> int:
-        """When `tick` has to be called, in µs."""
+        """Return the time at which `tick` must be called, in µs; NEVER_US if not at all."""
         state = self._state
         if state.role in (ReplicaRole.FOLLOWER, ReplicaRole.CANDIDATE) and self.can_campaign():
             return state.election_deadline_us
         return NEVER_US
 
     def tick(self) -> None:
-        """Campaign, where no leader was heard from in time."""
+        """Start a campaign if the election timer has expired."""
         if self._state.now_us >= self.due_us():
             self._campaign(is_pre_vote=True)
 
@@ -82,7 +81,7 @@
         self._count_votes()
 
     def _requested_term(self) -> int:
-        """The term that the campaign is for."""
+        """Return the term that the current campaign asks votes for."""
         return self._state.term + 1 if self._is_pre_vote else self._state.term
 
     def _count_votes(self) -> None:
@@ -94,11 +93,11 @@
             self._on_elected()
 
     def has_enough_votes(self, votes: Collection[int]) -> bool:
-        """Whether the votes elect this replica (rule 5)."""
+        """Whether the votes are enough to elect this replica (rule 5)."""
         return has_majority(self._state.log.config.members, votes)
 
     def on_vote_request(self, peer: int, message: RequestVoteRequest) -> None:
-        """Answer a candidate of this replica's epoch: the core has checked that."""
+        """Answer a candidate. The caller has checked that the request is of this replica's epoch."""
         if message.is_pre_vote:
             self._answer_pre_vote(peer, message)
         else:
@@ -135,26 +134,26 @@
         state.send(peer, response)
 
     def _may_vote_for(self, peer: int, message: RequestVoteRequest) -> bool:
-        """Whether this term's vote is free, or the candidate's already (rule 4)."""
+        """Whether this replica has not voted in this term, or has voted for this candidate (rule 4)."""
         return self._state.voted_for in (None, (peer, message.incarnation))
 
     def _is_up_to_date(self, message: RequestVoteRequest) -> bool:
-        """Whether the candidate's log is as up to date as this one (Raft, section 5.4.1)."""
+        """Whether the candidate's log is at least as up to date as this one (Raft, section 5.4.1)."""
         log = self._state.log
         if log.epoch != message.epoch:
             return True
         return (message.last_log_term, message.last_log_index) >= (log.last_term, log.last_index)
 
     def _has_live_leader(self) -> bool:
-        """Whether a leader was heard from within an election timeout (rule 3)."""
+        """Whether a leader was heard from within the last election timeout (rule 3)."""
         state = self._state
         if state.role == ReplicaRole.LEADER:
             return True
-        silence_us = state.now_us - state.last_leader_contact_us
-        return state.leader_id is not None and silence_us < state.timing.election_timeout_us
+        since_contact_us = state.now_us - state.last_leader_contact_us
+        return state.leader_id is not None and since_contact_us < state.timing.election_timeout_us
 
     def on_vote_response(self, peer: int, message: RequestVoteResponse) -> None:
-        """Count a vote, or enter the later term of a refusal."""
+        """Count a granted vote, or enter the later term of a voter that refused."""
         state = self._state
         if message.epoch != state.promised_epoch or message.candidate != state.incarnation:
             return
--- a/laurelstep/consensus/epoch.py
+++ b/laurelstep/consensus/epoch.py
@@ -1,4 +1,4 @@
-"""Cluster epochs: which bootstrap of the replicated log a message or a record belongs to."""
+"""Cluster epochs: identify the bootstrap of the replicated log that a message or record belongs to."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ClusterEpoch(NamedTuple):
-    """One bootstrap of the replicated log. Compared by generation, then by its random id."""
+    """Identifies one bootstrap of the replicated log. Ordered by generation, then by the random id."""
 
     generation: int
     id: int
--- a/laurelstep/consensus/epoch_gate.py
+++ b/laurelstep/consensus/epoch_gate.py
@@ -1,6 +1,6 @@
-"""Which messages of a leader or candidate a voter takes, by their epoch. Pure.
+"""Decides by its epoch whether a voter accepts a message from a leader or candidate. No I/O.
 
-The rules are core.py, rule 2, messages.py, rule 4, and bootstrap.py, rule 7.
+It implements rule 2 of core.py, rule 4 of messages.py and rule 7 of bootstrap.py.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class EpochGate:
-    """Drops messages of the past, and takes the voter into the epoch of newer ones."""
+    """Drops messages of older epochs, and moves the voter into the epoch of newer messages."""
 
     def __init__(self, state: ReplicaState, bootstrap: Bootstrap, read_index: ReadIndexTracker) -> None:
         self._state = state
@@ -34,7 +34,7 @@
         self._read_index = read_index
 
     def admit(self, peer: int, message: EpochMessage) -> bool:
-        """Whether the message is of this replica's epoch, or has brought it there."""
+        """Whether the message is to be handled. Moves the voter into the epoch of a newer message."""
         state = self._state
         if peer >= state.voter_count or not state.is_voter:
             state.counters[ReplicaCounter.FOREIGN_SENDER] += 1
@@ -43,8 +43,8 @@
             if isinstance(message, AppendEntriesRequest):
                 self._reject_append(peer, message)
             return False
-        is_past = message.epoch < state.promised_epoch
-        if message.epoch == NO_EPOCH or (is_past and not self._restart_frozen(message)):
+        is_older_epoch = message.epoch < state.promised_epoch
+        if message.epoch == NO_EPOCH or (is_older_epoch and not self._restart_frozen(message)):
             state.counters[ReplicaCounter.STALE] += 1
             return False
         if message.epoch != state.promised_epoch or not state.has_epoch_started:
@@ -53,14 +53,14 @@
         return True
 
     def is_recipient(self, message: EpochMessage | LearnerUpdate) -> bool:
-        """Whether the message is for this incarnation; counts it where it is not."""
+        """Whether the message is addressed to this incarnation. If not, it is counted as stale."""
         if message.recipient == short_incarnation(self._state.incarnation):
             return True
         self._state.counters[ReplicaCounter.STALE] += 1
         return False
 
     def _reject_append(self, peer: int, message: AppendEntriesRequest) -> None:
-        """Let a leader learn early that another incarnation is here."""
+        """Inform a leader without delay that another incarnation runs here."""
         state = self._state
         response = AppendEntriesResponse(
             message.epoch, state.incarnation, 0, False, NEEDS_SNAPSHOT, message.heartbeat_round
@@ -68,7 +68,10 @@
         state.send(peer, response)
 
     def _restart_frozen(self, message: EpochMessage) -> bool:
-        """Continue as another incarnation, where this one is frozen for too long."""
+        """Continue as another incarnation if this one has been frozen for too long.
+
+        Returns whether it did.
+        """
         state = self._state
         if state.has_epoch_started or isinstance(message, RequestVoteRequest):
             return False
--- a/laurelstep/consensus/errors.py
+++ b/laurelstep/consensus/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the replicated log, each with its cause and what an operator can do."""
+"""Errors of the replicated log, each with its cause and the remedy for an operator."""
 
 from __future__ import annotations
 
@@ -18,53 +18,63 @@
 
 
 class ConsensusError(LaurelstepError):
-    """Any fault of the replicated log."""
+    """Base class of the errors of the replicated log."""
 
-    cause: ClassVar[str] = "an operation on the state that a tier replicates could not be done"
-    remedy: ClassVar[str] = "read the message; see that a majority of the voters is up and reaches each other"
+    cause: ClassVar[str] = "an operation on the replicated state of the tier failed"
+    remedy: ClassVar[str] = "read the message; check that a majority of the voters is up and connected"
 
 
 class NotLeaderError(ConsensusError):
-    """A proposal reached a replica that does not lead. `leader_id` is the leader's number, if known."""
+    """A proposal reached a replica that is not the leader.
 
-    cause: ClassVar[str] = "this process does not lead, so it can't append an entry"
-    remedy: ClassVar[str] = "ask the leader; where there is none, bring a majority of the voters back"
+    `leader_id` is the peer number of the leader, None if unknown.
+    """
+
+    cause: ClassVar[str] = "this process is not the leader, so it can't append an entry"
+    remedy: ClassVar[str] = (
+        "send the request to the leader; if there is none, bring a majority of the voters back up"
+    )
 
     def __init__(self, leader_id: int | None) -> None:
-        super().__init__("no process leads" if leader_id is None else f"peer {leader_id} leads")
+        super().__init__("no leader is known" if leader_id is None else f"peer {leader_id} is the leader")
         self.leader_id = leader_id
 
 
 class BusyError(ConsensusError):
     """Too many proposals or steps are pending."""
 
-    cause: ClassVar[str] = "as many proposals as are allowed are pending"
-    remedy: ClassVar[str] = "retry in a second; if it persists, see that a majority of the voters is up"
+    cause: ClassVar[str] = "the maximum number of proposals or steps is pending"
+    remedy: ClassVar[str] = "retry in a second; if it persists, check that a majority of the voters is up"
 
 
 class EntryError(ConsensusError, ValueError):
-    """An entry or a leader message exceeds its bounds, as what one datagram carries."""
+    """An entry or a leader message exceeds its limits, such as the size that fits into one datagram."""
 
-    cause: ClassVar[str] = "an entry is longer than one datagram carries"
-    remedy: ClassVar[str] = "name fewer things, or name them by zone, cell or kind"
+    cause: ClassVar[str] = "an entry or message does not fit into one datagram"
+    remedy: ClassVar[str] = "name fewer items, or select them by zone, cell or kind"
 
 
 class LinkError(ConsensusError, ValueError):
-    """A datagram is too long, or its destination is no listed peer."""
+    """A datagram is too long, or its destination is not a configured peer."""
 
-    cause: ClassVar[str] = "a datagram over 256 bytes, or to a peer that is not in the list"
-    remedy: ClassVar[str] = "see that `peers` lists every process of the tier, in the same order everywhere"
+    cause: ClassVar[str] = (
+        "a datagram is longer than 256 bytes, or its destination is not in the list of peers"
+    )
+    remedy: ClassVar[str] = "check that `peers` lists every process of the tier, in the same order everywhere"
 
 
 class StoredStateError(ConsensusError):
-    """The records of a durable store can't be read."""
+    """The records of a durable store can't be read, or belong to another replica or list of peers."""
 
-    cause: ClassVar[str] = "the stored state is not readable, or belongs to another list of peers"
+    cause: ClassVar[str] = "the stored state can't be read, or belongs to another list of peers"
     remedy: ClassVar[str] = "move the folder in `store_path` away; the process rejoins with an empty state"
 
 
 class StoreFaultError(ConsensusError):
-    """The disk under a durable store fails, for now: this store is of no more use, one opened anew may be."""
+    """The disk under a durable store fails, perhaps temporarily.
+
+    The store object can't be used any longer, but opening the store again may succeed.
+    """
 
-    cause: ClassVar[str] = "the disk under what a process keeps for the tier fails for now"
-    remedy: ClassVar[str] = "see to the disk; the process takes part again by itself"
+    cause: ClassVar[str] = "the disk under the store of the replicated state fails, perhaps temporarily"
+    remedy: ClassVar[str] = "repair the disk; the process rejoins automatically"
--- a/laurelstep/consensus/follower.py
+++ b/laurelstep/consensus/follower.py
@@ -1,10 +1,10 @@
-"""The follower's side of replication. Pure. Raft, section 5.3 and 7.
+"""The follower's side of replication. No I/O. Raft, sections 5.3 and 7.
 
-1. A message of an earlier term is answered with the later one, and changes nothing.
-2. Entries are taken where the one before them matches; entries that contradict them are truncated, never
-   committed ones.
-3. The leader's commit index counts as far as this log is known to match.
-4. A log of another epoch is replaced by the first complete snapshot of this one, and is kept until then.
+1. A message of an earlier term changes nothing; the response carries the current term.
+2. Entries are appended if the entry before them matches. Entries that conflict with them are truncated;
+   committed entries never conflict.
+3. The leader's commit index is accepted only up to the index at which this log is known to match.
+4. A log of another epoch is kept until the first snapshot of this epoch is complete, which then replaces it.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 
 
 class Follower:
-    """Takes entries and snapshots from the leader. See the rules."""
+    """Accepts entries and snapshots from the leader. See the rules of the module."""
 
     def __init__(self, state: ReplicaState) -> None:
         self._state = state
         self._assembly = SnapshotAssembly()
 
     def on_append_entries(self, peer: int, message: AppendEntriesRequest) -> None:
-        """Take entries of this replica's epoch: the core has checked that."""
+        """Append entries and respond. The caller has checked that the message is of this replica's epoch."""
         state = self._state
         if not self._accept_leader(peer, message):
             return
@@ -41,7 +41,7 @@
         if log.epoch != message.epoch:
             self._respond(peer, message, success=False, match_index=NEEDS_SNAPSHOT)
         elif message.prev_log_index < log.base_index:
-            # Committed long ago: continue after what is committed here.
+            # Compacted here, hence committed: the leader can continue after this log's commit index.
             self._respond(peer, message, success=False, match_index=state.committed_index)
         elif log.term_at(message.prev_log_index) != message.prev_log_term:
             match_index = min(log.last_index, max(state.committed_index, message.prev_log_index - 1))
@@ -52,7 +52,7 @@
             self._respond(peer, message, success=True, match_index=match_index)
 
     def _append_missing(self, message: AppendEntriesRequest) -> int:
-        """Append entries that are not here yet (rule 2), and return the last index that matches."""
+        """Append the missing entries (rule 2), and return the last index that matches the leader's log."""
         state = self._state
         index = message.prev_log_index
         for entry in message.entries:
@@ -66,7 +66,7 @@
         return index
 
     def on_install_snapshot(self, peer: int, message: InstallSnapshotRequest) -> None:
-        """Take a chunk, and install the snapshot once it is complete."""
+        """Add a snapshot chunk, and install the snapshot once it is complete."""
         state = self._state
         if not self._accept_leader(peer, message):
             return
@@ -86,7 +86,10 @@
         self._respond(peer, message, success=True, match_index=snapshot.index)
 
     def _request_chunk(self, peer: int, message: InstallSnapshotRequest, received_bytes: int) -> None:
-        """Say how much is here; nothing, where all chunks are here but the checksum does not hold."""
+        """Request the next chunk.
+
+        If the checksum of the complete snapshot did not match, request the first one.
+        """
         state = self._state
         response = InstallSnapshotResponse(
             message.epoch,
@@ -100,7 +103,7 @@
         state.send(peer, response)
 
     def _accept_leader(self, peer: int, message: AppendEntriesRequest | InstallSnapshotRequest) -> bool:
-        """Follow the sender, unless its term is over (rule 1)."""
+        """Follow the sender, unless its term is earlier than this replica's (rule 1)."""
         state = self._state
         if message.term < state.term:
             self._respond(peer, message, success=False, match_index=0)
--- a/laurelstep/consensus/leader.py
+++ b/laurelstep/consensus/leader.py
@@ -1,17 +1,17 @@
-"""The leader's side of replication: entries to the voters, and what is committed. Pure. Raft, section 5.3 and
-5.4.2.
-
-1. A leader begins with an empty entry of its own term: what it finds in its log is committed with that
-   (5.4.2).
-2. An entry is committed when a majority of the newest configuration's members has it, and it is of the
-   leader's own term; all before it is committed with it. Answers count only from the incarnation that the
-   configuration names.
-3. One batch is in flight to a voter; what is lost is sent again with the next heartbeat.
-4. A voter that needs entries which the log no longer has gets the snapshot.
-5. A leader that no majority answered for an election timeout becomes a follower (CheckQuorum, dissertation
-   6.2): nobody waits for a leader that is partitioned.
-6. Each round of heartbeats has a number, and the answers repeat it: answers of a majority to a round say that
-   there was no later leader when it began (dissertation 6.4; see read_index.py).
+"""The leader's side of replication: sends entries to the voters and advances the commit index. No I/O. Raft,
+sections 5.3 and 5.4.2.
+
+1. A new leader appends an empty entry of its own term. Committing it also commits the earlier entries in its
+   log (5.4.2).
+2. An entry is committed once a majority of the newest configuration's members has it and it is of the
+   leader's own term; all earlier entries are committed with it. Responses count only from the incarnation
+   that the configuration names.
+3. At most one batch is in flight to a voter. A lost batch is sent again with the next heartbeat.
+4. A voter that needs entries that are no longer in the log is sent the snapshot.
+5. A leader that got no response from a majority for an election timeout becomes a follower (CheckQuorum,
+   dissertation 6.2), so that clients do not wait for a partitioned leader.
+6. Heartbeat rounds are numbered, and responses repeat the number. If a majority answered a round, no later
+   leader existed when the round began (dissertation 6.4; see read_index.py).
 7. At most MAX_PENDING_PROPOSALS entries are uncommitted.
 """
 
@@ -43,39 +43,42 @@
 
 @dataclasses.dataclass(slots=True)
 class VoterProgress:
-    """How far the log of one incarnation of a voter is replicated."""
+    """The replication progress of one incarnation of a voter. Times in µs."""
 
     incarnation: int
-    # The next index to send, and the last one that is known to match: unknown before its first success.
+    # The next index to send.
     next_index: int
+    # The last index that is known to match; unknown before the first successful response.
     match_index: int = UNKNOWN_INDEX
-    # When it last answered, and the newest round that it answered.
+    # When the last response arrived.
     last_response_us: int = 0
+    # The newest heartbeat round that the voter answered.
     acked_round: int = 0
-    # The commit index that it was sent last.
+    # The commit index that was last sent to the voter.
     notified_commit_index: int = UNKNOWN_INDEX
     has_batch_in_flight: bool = False
-    # The snapshot that is sent to it, how much has arrived, and the round in which that last went back.
+    # The snapshot that is being sent, and how many bytes of it have arrived.
     snapshot: Snapshot | None = None
     snapshot_offset: int = 0
+    # The heartbeat round in which `snapshot_offset` last decreased.
     rewind_round: int = 0
 
     def is_behind(self, last_index: int, committed_index: int) -> bool:
-        """Whether there are entries or a commit index to send."""
+        """Whether there are entries or a commit index to send to the voter."""
         return self.next_index <= last_index or self.notified_commit_index < committed_index
 
 
 class Leader:
-    """Replicates the log to the voters while this replica leads. See the rules."""
+    """Replicates the log to the voters while this replica leads. See the rules of the module."""
 
     def __init__(self, state: ReplicaState) -> None:
         self._state = state
         self._heartbeat_due_us = 0
         self.heartbeat_round = 0
-        # The index of this term's first entry.
+        # The index of the first entry of this leader's term.
         self.term_start_index = 0
         self.progress: dict[int, VoterProgress] = {}
-        # Voters whose answers came from another incarnation than the expected one.
+        # Voters that answered as another incarnation than the tracked one.
         self.unexpected_voters: set[int] = set()
 
     @property
@@ -85,11 +88,11 @@
 
     @property
     def has_committed_in_term(self) -> bool:
-        """Whether an entry of this term is committed, and with it all that came before."""
+        """Whether this leader has committed an entry of its own term, and with it all earlier entries."""
         return self.is_leading and self._state.committed_index >= self.term_start_index
 
     def assume_leadership(self) -> None:
-        """Begin to lead: the election is won, or the epoch started."""
+        """Become the leader, after a won election or the start of an epoch."""
         state = self._state
         state.role, state.leader_id = ReplicaRole.LEADER, state.replica_id
         state.last_leader_contact_us = state.now_us
@@ -103,17 +106,17 @@
         self._advance_commit()
 
     def track(self, voter_id: int, incarnation: int) -> None:
-        """Replicate to that incarnation of a voter, from the end of the log."""
+        """Start replicating to an incarnation of a voter, from the end of the log."""
         state = self._state
         next_index = state.log.last_index + 1
         self.progress[voter_id] = VoterProgress(incarnation, next_index, last_response_us=state.now_us)
 
     def due_us(self) -> int:
-        """When `heartbeat` has to be called, in µs."""
+        """Return the time at which `heartbeat` must be called, in µs; NEVER_US if not at all."""
         return self._heartbeat_due_us if self.is_leading else NEVER_US
 
     def heartbeat(self) -> None:
-        """Send a round of heartbeats, or step down (rule 5)."""
+        """Send a round of heartbeats, or step down without contact to a majority (rule 5)."""
         state = self._state
         if not self._has_quorum_contact():
             state.counters[ReplicaCounter.STEPPED_DOWN] += 1
@@ -127,25 +130,25 @@
             self._replicate(voter_id, progress)
 
     def _has_quorum_contact(self) -> bool:
-        """Whether a majority answered within an election timeout."""
+        """Whether a majority answered within the last election timeout."""
         state = self._state
         since_us = state.now_us - state.timing.election_timeout_us
         members = state.log.config.members
-        responsive = {
+        responsive_voters = {
             voter_id
             for voter_id in members
             if self._tracks_member(voter_id) and self.progress[voter_id].last_response_us >= since_us
         }
-        return has_majority(members, responsive | {state.replica_id})
+        return has_majority(members, responsive_voters | {state.replica_id})
 
     def _tracks_member(self, voter_id: int) -> bool:
-        """Whether the tracked incarnation of a voter is the one that votes."""
+        """Whether the tracked incarnation of a voter is the one that is a member."""
         progress = self.progress.get(voter_id)
         member = self._state.log.config.members.get(voter_id)
         return progress is not None and progress.incarnation == member
 
     def _replicate(self, voter_id: int, progress: VoterProgress) -> None:
-        """Send a batch of entries, a heartbeat, or a chunk of the snapshot (rule 4)."""
+        """Send a batch of entries, which may be empty, or a chunk of the snapshot (rule 4)."""
         state = self._state
         log = state.log
         prev_log_index = progress.next_index - 1
@@ -180,7 +183,7 @@
         state.send(voter_id, progress.snapshot.chunk(recipient, state.term, offset, self.heartbeat_round))
 
     def replicate_pending(self) -> None:
-        """Send what is new to each voter that has nothing in flight (rule 3)."""
+        """Send new entries and the commit index to each voter that has no batch in flight (rule 3)."""
         for voter_id, progress in self.progress.items():
             if not progress.has_batch_in_flight and self._is_behind(progress):
                 self._replicate(voter_id, progress)
@@ -192,7 +195,7 @@
         """Append an entry and return its index. Raises NotLeaderError, BusyError, EntryError."""
         state = self._state
         if len(data) > MAX_ENTRY_BYTES:
-            raise EntryError(f"{len(data)} bytes, of {MAX_ENTRY_BYTES} at most")
+            raise EntryError(f"an entry of {len(data)} bytes, the limit is {MAX_ENTRY_BYTES}")
         if not self.is_leading:
             raise NotLeaderError(state.leader_id)
         if state.log.last_index - state.committed_index >= MAX_PENDING_PROPOSALS:
@@ -200,7 +203,10 @@
         return self._append(EntryKind.DATA, data)
 
     def propose_config(self, members: dict[int, int]) -> None:
-        """Append a configuration; membership.py says when that is allowed."""
+        """Append a configuration entry.
+
+        The caller has checked that a change is allowed (membership.py, rule 5).
+        """
         self._append(EntryKind.CONFIG, encode_members(members))
 
     def _append(self, kind: EntryKind, data: bytes) -> int:
@@ -210,8 +216,8 @@
         return index
 
     def on_append_response(self, peer: int, message: AppendEntriesResponse) -> None:
-        """Advance the voter's progress, or go back to where its log continues."""
-        progress = self._responding(peer, message)
+        """Advance the voter's progress, or after a mismatch continue at the index that it requests."""
+        progress = self._record_response(peer, message)
         if progress is None:
             return
         if message.success:
@@ -230,8 +236,11 @@
             self._replicate(peer, progress)
 
     def on_snapshot_response(self, peer: int, message: InstallSnapshotResponse) -> None:
-        """Send the next chunk, or go back once a round, where the receiver has less than it had."""
-        progress = self._responding(peer, message)
+        """Send the next chunk.
+
+        If the receiver has fewer bytes than before, go back to its offset, but only once per heartbeat round.
+        """
+        progress = self._record_response(peer, message)
         if progress is None or progress.snapshot is None:
             return
         snapshot = progress.snapshot
@@ -247,10 +256,14 @@
         progress.snapshot_offset = message.received_bytes
         self._send_chunk(peer, progress)
 
-    def _responding(
+    def _record_response(
         self, peer: int, message: AppendEntriesResponse | InstallSnapshotResponse
     ) -> VoterProgress | None:
-        """Return the progress of the sender, if it is the tracked incarnation, in this term."""
+        """Note a response, and return the sender's progress.
+
+        Returns None if the sender is not the tracked incarnation, or this replica does not lead in the
+        response's term.
+        """
         state = self._state
         progress = self.progress.get(peer)
         if progress is None or progress.incarnation != message.incarnation:
@@ -265,7 +278,7 @@
         return progress
 
     def _advance_commit(self) -> None:
-        """Commit what a majority has (rule 2)."""
+        """Commit the entries that a majority of the members has (rule 2)."""
         state = self._state
         index = self.majority_match_index()
         if index > state.committed_index and self.may_commit(index):
@@ -276,11 +289,14 @@
         return self._majority_value(self._state.log.last_index, lambda progress: progress.match_index)
 
     def may_commit(self, index: int) -> bool:
-        """Whether the entry is of this term: only with one are earlier ones committed (Raft, figure 8)."""
+        """Whether the entry is of this term.
+
+        Earlier terms' entries are committed only with it (Raft, figure 8).
+        """
         return self._state.log.term_at(index) == self._state.term
 
     def confirmed_round(self) -> int:
-        """Return the newest round that a majority answered."""
+        """Return the newest heartbeat round that a majority answered."""
         return self._majority_value(self.heartbeat_round, lambda progress: progress.acked_round)
 
     def _majority_value(self, own_value: int, value_of: Callable[[VoterProgress], int]) -> int:
--- a/laurelstep/consensus/learner.py
+++ b/laurelstep/consensus/learner.py
@@ -1,18 +1,19 @@
-"""Learners: replicas that do not vote, and apply what is committed. Pure.
+"""Learners: replicas that do not vote, and apply committed entries. No I/O.
 
-1. A learner polls one voter, chosen by its number to spread the load: now and then while idle, at once after
-   entries came. A voter that does not answer, or is not in contact with a leader, is left for the next one.
-2. A voter remembers who polled for three times that long, and pushes what is newly committed
+1. A learner polls one voter, which it chooses by its own number to spread the load. It polls at the learner
+   poll interval while idle, and immediately after it received entries. If the voter does not answer or has no
+   contact with a leader, the learner switches to the next voter.
+2. A voter remembers a learner for three poll intervals after a poll, and pushes newly committed entries to it
    (learner_publisher.py).
-3. Only committed entries go to learners, each with its index; a learner applies those that follow on what it
-   has.
-4. A learner of an older epoch, or too far behind, gets the snapshot. An older epoch's never replaces a newer
-   one's.
-5. Learners vote on nothing and store nothing.
-6. When all voters have lost their memory, the epoch that they bootstrap may not be greater than one that a
-   learner remembers. A learner that hears of a leader in an epoch before its own reads the index
-   (read_index.py): what a majority confirms after the question is the epoch that lives, and the learner takes
-   its snapshot.
+3. Learners are sent only committed entries, with their indexes. A learner applies an entry only if it
+   directly follows the last applied one.
+4. A learner of an older epoch, or one that is too far behind, is sent the snapshot. A snapshot of an older
+   epoch never replaces the state of a newer one.
+5. Learners do not vote, and store nothing.
+6. When all voters have lost their state, the epoch that they bootstrap may not be greater than one that a
+   learner still has. A learner that hears of a leader in an epoch before its own requests the read index
+   (read_index.py). The epoch that a majority confirms after the request is the current one, and the learner
+   installs its snapshot.
 """
 
 from __future__ import annotations
@@ -33,33 +34,34 @@
 
 __all__ = ["Learner"]
 
-# A poll that was not answered, or by a voter without a leader, is repeated after so many heartbeats.
+# A poll without an answer, or answered by a voter without a leader, is repeated after this many heartbeat
+# intervals.
 RETRY_HEARTBEATS = 5
 
 
 class Learner:
-    """Polls a voter, and applies its updates. See the rules."""
+    """Polls a voter, and applies its updates. See the rules of the module."""
 
     def __init__(self, state: ReplicaState) -> None:
         self._state = state
         self._voter_id = state.replica_id % state.voter_count
         self._poll_at_us = NEVER_US if state.is_voter else 0
-        # The voter has not answered the last poll, or has no leader.
-        self._is_voter_unhelpful = False
+        # Whether the voter has not answered the last poll, or answered without contact to a leader.
+        self._should_switch_voter = False
         self._assembly = SnapshotAssembly()
 
     def due_us(self) -> int:
-        """When `tick` has to be called, in µs."""
+        """Return the time at which `tick` must be called, in µs; NEVER_US for a voter."""
         return self._poll_at_us
 
     def tick(self) -> None:
-        """Poll a voter: the next one, where the last gave no useful answer."""
+        """Poll the voter, or the next one if the last poll got no useful answer."""
         state = self._state
         if state.now_us < self._poll_at_us:
             return
-        if self._is_voter_unhelpful:
+        if self._should_switch_voter:
             self._voter_id = (self._voter_id + 1) % state.voter_count
-        self._is_voter_unhelpful = True
+        self._should_switch_voter = True
         self._poll_at_us = state.now_us + RETRY_HEARTBEATS * state.timing.heartbeat_us
         self._poll(self._voter_id)
 
@@ -68,12 +70,12 @@
         state.send(voter_id, LearnerPoll(state.log.epoch, state.incarnation, state.applied_index))
 
     def on_update(self, peer: int, message: LearnerUpdate) -> None:
-        """Note who leads, apply the entries, and poll for more."""
+        """Note the leader, apply the entries, and poll for more."""
         state = self._state
         if message.has_leader_contact:
             state.leader_id = message.leader_id
             if message.epoch < state.log.epoch:
-                state.is_epoch_in_doubt = True
+                state.is_epoch_uncertain = True
             else:
                 state.last_leader_contact_us = state.now_us
         self._schedule_poll(peer, message.has_leader_contact)
@@ -84,17 +86,17 @@
             self._poll(peer)
 
     def _schedule_poll(self, peer: int, has_leader_contact: bool) -> None:
-        """The polled voter has answered: poll again when idle, or the next voter sooner."""
+        """Schedule the next poll after an answer; it comes sooner if the voter has no leader."""
         state = self._state
         if peer != self._voter_id:
             return
-        self._is_voter_unhelpful = not has_leader_contact
+        self._should_switch_voter = not has_leader_contact
         retry_us = RETRY_HEARTBEATS * state.timing.heartbeat_us
         delay_us = state.timing.learner_poll_us if has_leader_contact else retry_us
         self._poll_at_us = state.now_us + delay_us - state.rng.randrange(delay_us // 10 + 1)
 
     def _apply(self, message: LearnerUpdate) -> None:
-        """Apply the entries that follow on what is applied (rule 3)."""
+        """Apply the entries that directly follow the last applied one (rule 3)."""
         state = self._state
         index = message.prev_index
         for entry in message.entries:
@@ -107,7 +109,7 @@
                 state.state_machine.apply(index, entry.data)
 
     def on_install_snapshot(self, peer: int, message: InstallSnapshotRequest) -> None:
-        """Take a chunk, and install the snapshot once it is complete."""
+        """Add a snapshot chunk, and install the snapshot once it is complete."""
         state = self._state
         self._schedule_poll(peer, has_leader_contact=True)
         if not self._is_newer(message):
@@ -131,7 +133,7 @@
         state.send(peer, response)
 
     def _is_newer(self, message: InstallSnapshotRequest) -> bool:
-        """Whether the snapshot is past what is applied here (rule 4)."""
+        """Whether the snapshot is newer than the applied state (rule 4)."""
         state = self._state
         if message.epoch == state.log.epoch:
             return message.snapshot_index > state.applied_index
--- a/laurelstep/consensus/learner_publisher.py
+++ b/laurelstep/consensus/learner_publisher.py
@@ -1,7 +1,7 @@
-"""A voter's side of learners: it answers their polls and pushes what is newly committed. Pure.
+"""The voter's side of replication to learners: answers polls and pushes newly committed entries. No I/O.
 
-The rules stand at the head of learner.py. One batch is in flight to each learner; it is sent again after two
-heartbeats without an answer.
+The rules are in the docstring of learner.py. At most one batch is in flight to each learner. It is sent again
+after two heartbeat intervals without an answer.
 """
 
 from __future__ import annotations
@@ -22,25 +22,27 @@
 
 __all__ = ["LearnerPublisher"]
 
+# A batch without an answer is sent again after this many heartbeat intervals.
 RESEND_HEARTBEATS = 2
-REMEMBERED_POLLS = 3
+# A learner is forgotten this many poll intervals after its last poll.
+FORGET_POLL_INTERVALS = 3
 
 
 @dataclasses.dataclass(slots=True)
 class _LearnerProgress:
-    """What a voter knows of one learner."""
+    """The replication progress of one learner. Times in µs."""
 
     incarnation: int
     epoch: ClusterEpoch
     applied_index: int
     forget_at_us: int
-    # When the batch left that is not answered yet.
+    # When the batch in flight was sent, None if there is none.
     sent_at_us: int | None = None
     snapshot: Snapshot | None = None
     snapshot_offset: int = 0
 
-    def is_past(self, epoch: ClusterEpoch, index: int) -> bool:
-        """Whether the learner has applied all up to there."""
+    def has_applied(self, epoch: ClusterEpoch, index: int) -> bool:
+        """Whether the learner has applied all entries up to an index of an epoch."""
         return (self.epoch, self.applied_index) >= (epoch, index)
 
 
@@ -53,13 +55,13 @@
         self._resend_at_us = NEVER_US
 
     def due_us(self) -> int:
-        """When `resend` has to be called, in µs."""
+        """Return the time at which `resend` must be called, in µs; NEVER_US if not at all."""
         return self._resend_at_us
 
     def on_poll(self, peer: int, message: LearnerPoll) -> None:
-        """Answer a learner, and remember it."""
+        """Answer a learner's poll, and remember the learner."""
         state = self._state
-        forget_at_us = state.now_us + REMEMBERED_POLLS * state.timing.learner_poll_us
+        forget_at_us = state.now_us + FORGET_POLL_INTERVALS * state.timing.learner_poll_us
         learner = self._learners.get(peer)
         if learner is None or (learner.incarnation, learner.epoch) != (message.incarnation, message.epoch):
             learner = _LearnerProgress(
@@ -69,14 +71,14 @@
         elif learner.sent_at_us is not None and message.applied_index == learner.applied_index:
             learner.forget_at_us = forget_at_us
             if state.now_us - learner.sent_at_us < state.timing.heartbeat_us:
-                # A duplicate, or a poll that crossed with what is in flight.
+                # A duplicate, or a poll that was sent before the batch in flight arrived.
                 return
         learner.applied_index, learner.forget_at_us = message.applied_index, forget_at_us
         learner.sent_at_us = None
         self._update(peer, learner)
 
     def _update(self, peer: int, learner: _LearnerProgress) -> None:
-        """Send what follows on what the learner has: entries, or a chunk of the snapshot."""
+        """Send the entries after those that the learner has applied, or a chunk of the snapshot."""
         state = self._state
         log = state.log
         has_entries = learner.epoch == log.epoch and learner.applied_index >= log.base_index
@@ -103,7 +105,7 @@
     def _send_chunk(self, peer: int, learner: _LearnerProgress) -> None:
         state = self._state
         last = learner.snapshot
-        if last is None or last.epoch != state.log.epoch or learner.is_past(last.epoch, last.index):
+        if last is None or last.epoch != state.log.epoch or learner.has_applied(last.epoch, last.index):
             learner.snapshot, learner.snapshot_offset = state.snapshot, 0
         if learner.snapshot is not None:
             self._mark_sent(learner)
@@ -126,26 +128,28 @@
         snapshot = learner.snapshot
         if (message.snapshot_index, message.checksum) != (snapshot.index, snapshot.checksum):
             return
-        if message.received_bytes > learner.snapshot_offset or self._is_overdue(learner):
+        if message.received_bytes > learner.snapshot_offset or self._is_answer_overdue(learner):
             learner.snapshot_offset = message.received_bytes
             self._send_chunk(peer, learner)
 
-    def _is_overdue(self, learner: _LearnerProgress) -> bool:
+    def _is_answer_overdue(self, learner: _LearnerProgress) -> bool:
         state = self._state
         sent_at_us = learner.sent_at_us
         return sent_at_us is not None and state.now_us - sent_at_us >= state.timing.heartbeat_us
 
     def push(self) -> None:
-        """Send what is newly committed to all learners that have nothing in flight."""
+        """Send newly committed entries to all learners that have no batch in flight."""
         state = self._state
         for peer, learner in list(self._learners.items()):
             if learner.forget_at_us < state.now_us:
                 del self._learners[peer]
-            elif learner.sent_at_us is None and not learner.is_past(state.log.epoch, state.committed_index):
+            elif learner.sent_at_us is None and not learner.has_applied(
+                state.log.epoch, state.committed_index
+            ):
                 self._update(peer, learner)
 
     def resend(self) -> None:
-        """Send again what was not answered."""
+        """Send the batches again that were not answered in time."""
         state = self._state
         if state.now_us < self._resend_at_us:
             return
--- a/laurelstep/consensus/leases.py
+++ b/laurelstep/consensus/leases.py
@@ -1,25 +1,26 @@
-"""Leases by the replicated log: at most one process holds a name at a time, each by its own clock. Pure.
-
-1. A grant is an entry: name, holder, duration, and the number of the lease it follows. It is valid only if
-   that one is the last: so of two grants for one name, by a leader and by a former one, one has no effect.
-   Its number is its index.
-2. The holder counts from when it asked, which it recognizes by a number drawn for each request: a process
-   that restarted, with a durable store as the same incarnation, has not asked for what it was granted
-   before. It counts for (1 - drift) of the duration, by its own clock alone, whether or not it hears from
-   the others.
-3. All others count from when they learned of the grant, for (1 + drift) of the duration. A leader grants a
-   name to another process only when the lease is over by this count. What a snapshot brings is learned when
-   it arrives.
-4. As a grant is learned after it was asked for, and no clock is off by more than the drift, the holder stops
-   first.
-5. The holder may renew at any time. It may release the lease: it stops first, and says so then.
-6. A new epoch may have begun without grants that its predecessor committed (bootstrap.py, rule 6). Whoever
-   asked for those asked before it began: so after it learned of an epoch, a leader grants nothing for the
-   longest lease there may be, by the count of rule 3.
-7. No wall clock is read. A name is at most 64 characters, there are at most 64 names, and no lease is longer
-   than the longest.
-
-The field order and the tags are the encoded form of entries and snapshots: they may not change.
+"""Named leases on the replicated log: at most one process holds a name at a time. Each process measures time
+by its own clock. No I/O.
+
+1. A grant is an entry with the name, the holder, the duration and the number of the previous lease of the
+   name. It is valid only if that lease is still the latest one. So if a leader and a former leader both grant
+   a name, only one grant takes effect. The number of a lease is the index of its entry.
+2. The holder's lease runs from the time of its request, for (1 - drift) of the duration, by its own clock and
+   whether or not it is connected. It recognizes its request by a random id. A process that has restarted,
+   even as the same incarnation with a durable store, does not hold leases that it requested before.
+3. For all other processes the lease runs from the time at which they learned of the grant, for (1 + drift) of
+   the duration. A leader grants the name to another process only after that. Leases in a snapshot count as
+   learned when the snapshot arrives.
+4. A grant is learned after it was requested, and no clock drifts by more than the bound. So the lease ends
+   for the holder before it ends for the others.
+5. The holder may renew a lease at any time. To release it, the holder first stops using it and then sends a
+   message.
+6. A new epoch may lack grants that were committed in the previous one (bootstrap.py, rule 6). All of them
+   were requested before the new epoch began. So a leader grants nothing until the longest possible lease has
+   run out, counted by rule 3 from the time at which it learned of the epoch.
+7. No wall clock is read. A name has at most 64 characters, there are at most 64 names, and the duration of a
+   lease is bounded.
+
+The field order and the tags are the encoded form of entries and snapshots and may not change.
 """
 
 from __future__ import annotations
@@ -38,26 +39,26 @@
 
 MAX_LEASE_NAME_CHARACTERS: Final = 64
 MAX_LEASES: Final = 64
-# Requests that are remembered of one name: the newest, besides the one that holds.
+# How many of the newest requests of a name are remembered, besides the one that holds the lease.
 MAX_REQUESTS_PER_NAME: Final = 4
 
 LeaseName = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_LEASE_NAME_CHARACTERS)]
 
 
 class LeaseGrant(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """A grant (rule 1), and the message that asks for it; in that, `previous_number` is 0."""
+    """A grant (rule 1). Also the message that requests it, in which `previous_number` is 0."""
 
     name: LeaseName
     previous_number: int
     peer: int
     incarnation: int
-    # Drawn by the holder, which recognizes its request by it.
+    # Random id by which the holder recognizes its request.
     request_id: int
     lease_us: Annotated[int, msgspec.Meta(gt=0, lt=1 << 48)]
 
 
 class _LeaseRelease(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """The lease of that number is released (rule 5)."""
+    """Releases the lease with that number (rule 5)."""
 
     name: LeaseName
     number: int
@@ -77,7 +78,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _LeaseRequest:
-    """A request of this process."""
+    """A lease request made by this process."""
 
     name: str
     incarnation: int
@@ -85,35 +86,35 @@
 
 
 class _LearnedLease(NamedTuple):
-    """The number of a lease, and when this process learned of it."""
+    """The number of a lease, and the time at which this process learned of it."""
 
     number: int
     learned_at_us: int
 
 
 class LeaseTable:
-    """A state machine of the leases, with this process's count of time beside it. See the rules."""
+    """The leases as a state machine, and the times by this process's clock. See the rules of the module."""
 
     def __init__(
         self, replica_id: int, max_clock_drift: float, max_lease_us: int, rng: random.Random
     ) -> None:
-        """`max_clock_drift` and `max_lease_us` are the same in all processes."""
+        """`max_clock_drift`, a fraction, and `max_lease_us` must be the same in all processes."""
         self._replica_id = replica_id
         self._max_clock_drift = max_clock_drift
         self._max_lease_us = max_lease_us
         self._rng = rng
         self._leases: dict[str, _Lease] = {}
-        # By name; missing until `observe`.
+        # By name. An entry is missing until `observe` is called.
         self._learned: dict[str, _LearnedLease] = {}
-        # The newest epoch that this process learned of, and when.
+        # The newest epoch that this process learned of, and the time at which it did.
         self._epoch: tuple[ClusterEpoch, int] | None = None
         self._requests: dict[int, _LeaseRequest] = {}
         self.ignored_count = 0
 
-    # The state machine
+    # State machine
 
     def apply(self, index: int, data: bytes) -> None:
-        """Apply a grant or a release."""
+        """Apply a grant or a release. Invalid ones are ignored and counted."""
         try:
             entry = _entry_decoder.decode(data)
         except (msgspec.DecodeError, ValueError):
@@ -134,31 +135,31 @@
         return grant.lease_us <= self._max_lease_us and has_room
 
     def dump(self) -> bytes:
-        """Return all leases as bytes."""
+        """Return all leases in their encoded form."""
         return _encode(dict(sorted(self._leases.items())))
 
     def load(self, raw: bytes) -> None:
-        """Replace all leases by what `dump` gave; by none if empty."""
+        """Replace all leases with those of a dump; remove all if `raw` is empty."""
         self._leases = _dump_decoder.decode(raw) if raw else {}
 
-    # The holder's side
+    # Holder
 
     def request(self, now_us: int, incarnation: int, name: str, lease_us: int) -> bytes:
-        """Return the message to the leader that asks for the name, or renews it.
+        """Return the message to the leader that requests or renews a lease.
 
-        Raises EntryError out of bounds.
+        Raises EntryError if the name or the duration exceeds its bounds.
         """
         if not 0 < lease_us <= self._max_lease_us:
-            raise EntryError(f"a lease of {lease_us} µs, of {self._max_lease_us} at most")
+            raise EntryError(f"a lease of {lease_us} µs, the limit is {self._max_lease_us}")
         if not 0 < len(name) <= MAX_LEASE_NAME_CHARACTERS:
-            raise EntryError(f"a name of {len(name)} characters, of {MAX_LEASE_NAME_CHARACTERS} at most")
+            raise EntryError(f"a name of {len(name)} characters, the limit is {MAX_LEASE_NAME_CHARACTERS}")
         request_id = self._rng.getrandbits(64)
         self._requests[request_id] = _LeaseRequest(name, incarnation, now_us)
         self._drop_old_requests(name)
         return _encode(LeaseGrant(name, 0, self._replica_id, incarnation, request_id, lease_us))
 
     def _drop_old_requests(self, name: str) -> None:
-        """Keep the newest requests of a name, and the one that holds."""
+        """Keep only the newest requests of a name, and the one that holds the lease."""
         lease = self._leases.get(name)
         holding_id = lease.grant.request_id if lease is not None else 0
         request_ids = [
@@ -170,12 +171,12 @@
             del self._requests[request_id]
 
     def holds(self, now_us: int, name: str) -> bool:
-        """Whether this process holds the name (rule 2)."""
+        """Whether this process holds the lease of the name now (rule 2)."""
         lease = self._leases.get(name)
         return lease is not None and now_us < self.expires_at_us(lease.grant)
 
     def expires_at_us(self, grant: LeaseGrant) -> int:
-        """Return when this process stops to hold by that grant, in µs: 0 where it is another's."""
+        """Return when the grant ends for this process, in µs; 0 if this process did not request it."""
         request = self._requests.get(grant.request_id)
         if grant.peer != self._replica_id or request is None:
             return 0
@@ -184,7 +185,7 @@
         return request.requested_at_us + math.floor(grant.lease_us * (1 - self._max_clock_drift))
 
     def release(self, name: str) -> bytes | None:
-        """Stop holding; return the message that says so, None if there is no lease to release."""
+        """Stop holding the lease, and return the message that releases it, None if there is no lease."""
         lease = self._leases.get(name)
         self._requests = {
             request_id: request for request_id, request in self._requests.items() if request.name != name
@@ -193,53 +194,59 @@
             return None
         return _encode(_LeaseRelease(name, lease.number))
 
-    # The leader's side
+    # Leader
 
     def observe(self, now_us: int, epoch: ClusterEpoch) -> None:
-        """Note what is new as learned now. Called after every step that changed the state."""
+        """Note that new leases and a new epoch are learned now.
+
+        Called after every step that changed the state.
+        """
         if self._epoch is None or self._epoch[0] != epoch:
             self._epoch = (epoch, now_us)
         learned = {}
         for name, lease in self._leases.items():
-            before = self._learned.get(name)
-            is_known = before is not None and before.number == lease.number
-            learned[name] = before if before is not None and is_known else _LearnedLease(lease.number, now_us)
+            previous = self._learned.get(name)
+            is_known = previous is not None and previous.number == lease.number
+            learned[name] = (
+                previous if previous is not None and is_known else _LearnedLease(lease.number, now_us)
+            )
         self._learned = learned
 
     def entry_for(
         self, now_us: int, epoch: ClusterEpoch, peer: int, incarnation: int, message: bytes
     ) -> bytes | None:
-        """Return the entry that a leader proposes upon a process's message; None: nothing, or not yet.
+        """Return the entry that a leader proposes in response to a message of a holder or requester.
 
-        `epoch` is the one it leads in.
+        Returns None if the message is invalid or the lease can't be granted yet. `epoch` is the epoch in
+        which the leader leads.
         """
         self.observe(now_us, epoch)
         try:
-            asked = _entry_decoder.decode(message)
+            request = _entry_decoder.decode(message)
         except (msgspec.DecodeError, ValueError):
             self.ignored_count += 1
             return None
-        last = self._leases.get(asked.name)
-        if isinstance(asked, _LeaseRelease):
-            is_holder = last is not None and last.number == asked.number and last.grant.peer == peer
+        last = self._leases.get(request.name)
+        if isinstance(request, _LeaseRelease):
+            is_holder = last is not None and last.number == request.number and last.grant.peer == peer
             return message if is_holder else None
-        if (asked.peer, asked.incarnation) != (peer, incarnation):
+        if (request.peer, request.incarnation) != (peer, incarnation):
             self.ignored_count += 1
             return None
-        if not self._may_grant(now_us, last, asked):
+        if not self._may_grant(now_us, last, request):
             return None
         last_number = 0 if last is None else last.number
-        return _encode(msgspec.structs.replace(asked, previous_number=last_number))
+        return _encode(msgspec.structs.replace(request, previous_number=last_number))
 
-    def _may_grant(self, now_us: int, last: _Lease | None, asked: LeaseGrant) -> bool:
-        """Whether no other process may hold the name (rules 3 and 6)."""
+    def _may_grant(self, now_us: int, last: _Lease | None, request: LeaseGrant) -> bool:
+        """Whether no other process can still hold the name (rules 3 and 6)."""
         if self._epoch is None or now_us < self._epoch[1] + self.guard_us(self._max_lease_us):
             return False
-        if last is None or (last.grant.peer, last.grant.incarnation) == (asked.peer, asked.incarnation):
+        if last is None or (last.grant.peer, last.grant.incarnation) == (request.peer, request.incarnation):
             return True
-        learned_at_us = self._learned[asked.name].learned_at_us
+        learned_at_us = self._learned[request.name].learned_at_us
         return now_us >= learned_at_us + self.guard_us(last.grant.lease_us)
 
     def guard_us(self, lease_us: int) -> int:
-        """Return how long others count such a lease as held from when they learned of it, in µs."""
+        """Return for how long other processes treat a lease as held once they learned of it, in µs."""
         return math.ceil(lease_us * (1 + self._max_clock_drift)) + 1
--- a/laurelstep/consensus/limits.py
+++ b/laurelstep/consensus/limits.py
@@ -1,4 +1,4 @@
-"""Bounds on what is replicated. With their frame, entries and leader messages fit in one datagram."""
+"""Size limits of replicated data: entries and leader messages, with their framing, fit into one datagram."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 MAX_ENTRY_BYTES: Final = 160
 MAX_LEADER_MESSAGE_BYTES: Final = 160
-# Entries of the leader that may be uncommitted at a time.
+# Entries in the leader's log that may be uncommitted at a time.
 MAX_PENDING_PROPOSALS: Final = 64
--- a/laurelstep/consensus/links/__init__.py
+++ b/laurelstep/consensus/links/__init__.py
@@ -1,3 +1,3 @@
-"""Links: datagrams between the processes of a tier. In memory under a schedule, by UDP as the protocol page
-has it between sidecars, and by Unix sockets on one machine.
+"""Links: send datagrams between the processes of a tier, by UDP between machines, by Unix sockets on one
+machine, or in memory under a schedule for tests.
 """
--- a/laurelstep/consensus/links/memory.py
+++ b/laurelstep/consensus/links/memory.py
@@ -1,5 +1,5 @@
-"""Datagrams in memory, under a schedule: a function decides what becomes of each, and time is that of the
-clock that is passed in. One schedule, one course of events.
+"""In-memory link for tests. A schedule function decides when each datagram arrives and whether it is lost or
+duplicated; time is that of a given clock. The same schedule always gives the same sequence of events.
 
 Datagrams that are due at the same time arrive in the order in which they were sent.
 """
@@ -16,19 +16,19 @@
 
 __all__ = ["LATENCY_US", "FaultSchedule", "MemoryLink", "MemoryNetwork", "Schedule", "constant_latency"]
 
-# Sender, receiver, datagram: after how many µs each copy of it arrives. None at all: it is lost.
+# Takes sender, receiver and datagram. Returns the delay of each delivered copy in µs; empty if it is lost.
 Schedule = Callable[[int, int, bytes], Sequence[int]]
 
 LATENCY_US: Final = 500
 
 
 def constant_latency(sender: int, receiver: int, data: bytes) -> Sequence[int]:
-    """Schedule each datagram once, after LATENCY_US."""
+    """Deliver each datagram once, after LATENCY_US."""
     return (LATENCY_US,)
 
 
 class FaultSchedule:
-    """A schedule drawn from one seed: loss, duplicates and delay, which also reorders; and partitions."""
+    """A random schedule with loss, duplication, delays (and so reordering) and partitions."""
 
     def __init__(
         self,
@@ -37,33 +37,38 @@
         duplication: float = 0.0,
         delay_us: tuple[int, int] = (LATENCY_US, LATENCY_US),
     ) -> None:
-        """`loss` and `duplication` are probabilities, `delay_us` the least and the greatest delay."""
+        """`loss` and `duplication` are probabilities, `delay_us` the minimum and maximum delay."""
         self.rng = rng
         self.loss = loss
         self.duplication = duplication
         self.delay_us = delay_us
-        self.cut: set[tuple[int, int]] = set()  # sender, receiver
+        self.cut_routes: set[tuple[int, int]] = set()  # blocked routes: sender, receiver
 
     def partition(self, *groups: Sequence[int]) -> None:
-        """Cut both directions between any two groups."""
-        self.cut.update(
-            (a, b) for one in groups for other in groups if other is not one for a in one for b in other
+        """Block both directions between any two groups."""
+        self.cut_routes.update(
+            (sender, receiver)
+            for group in groups
+            for other in groups
+            if other is not group
+            for sender in group
+            for receiver in other
         )
 
     def heal(self) -> None:
         """End all partitions."""
-        self.cut.clear()
+        self.cut_routes.clear()
 
     def __call__(self, sender: int, receiver: int, data: bytes) -> Sequence[int]:
-        """The delay of each copy of a datagram that is delivered, µs; none where it is lost."""
-        if (sender, receiver) in self.cut or self.rng.random() < self.loss:
+        """Return the delay of each delivered copy of a datagram, in µs; empty if it is lost."""
+        if (sender, receiver) in self.cut_routes or self.rng.random() < self.loss:
             return ()
         copies = 2 if self.rng.random() < self.duplication else 1
         return [self.rng.randint(*self.delay_us) for _ in range(copies)]
 
 
 class MemoryNetwork:
-    """Joins the links of `peer_count` processes. `schedule` may be changed at any time."""
+    """Connects the links of `peer_count` processes. `schedule` may be replaced at any time."""
 
     def __init__(self, clock: Clock, peer_count: int, schedule: Schedule = constant_latency) -> None:
         self.clock = clock
@@ -72,13 +77,13 @@
         self.open_links: dict[int, MemoryLink] = {}
 
     def link(self, replica_id: int) -> MemoryLink:
-        """Return a new link of a process, to be opened once the one before is closed."""
+        """Return a new link for a process. It can be opened once the previous one is closed."""
         if not 0 <= replica_id < self.peer_count:
-            raise LinkError(f"no peer has the number {replica_id}")
+            raise LinkError(f"there is no peer with the number {replica_id}")
         return MemoryLink(self, replica_id)
 
     def deliver(self, sender: int, receiver: int, data: bytes) -> None:
-        """Hand a datagram to the receiver's link, if one is open."""
+        """Deliver a datagram to the receiver's link, if one is open."""
         if (link := self.open_links.get(receiver)) is not None:
             link.deliver(sender, data)
 
@@ -93,18 +98,21 @@
         self._receive: Callable[[int, bytes], None] | None = None
 
     def open(self, receive: Callable[[int, bytes], None]) -> None:
-        """Start receiving. Raises OSError while another link has this number."""
+        """Start receiving. Raises OSError while another link of this process is open."""
         if self.replica_id in self.network.open_links:
-            raise OSError(f"peer {self.replica_id} is open")
+            raise OSError(f"another link of peer {self.replica_id} is open")
         self.network.open_links[self.replica_id] = self
         self._receive = receive
 
     def send(self, peer: int, data: bytes) -> None:
-        """Send as the schedule has it. Raises LinkError."""
+        """Send a datagram according to the schedule.
+
+        Raises LinkError if the peer does not exist or the datagram is too long.
+        """
         if not 0 <= peer < self.network.peer_count or peer == self.replica_id:
-            raise LinkError(f"no peer has the number {peer}")
+            raise LinkError(f"there is no other peer with the number {peer}")
         if len(data) > MAX_DATAGRAM_BYTES:
-            raise LinkError(f"a datagram of {len(data)} bytes, at most {MAX_DATAGRAM_BYTES} are sent")
+            raise LinkError(f"a datagram of {len(data)} bytes, the limit is {MAX_DATAGRAM_BYTES}")
         if self._receive is None:
             self.counters["unsent"] += 1
             return
@@ -116,14 +124,14 @@
             network.clock.at(due_us, network.deliver, self.replica_id, peer, data)
 
     def deliver(self, sender: int, data: bytes) -> None:
-        """Take a datagram that has arrived."""
+        """Pass a datagram to the receive callback, if the link is open."""
         if self._receive is not None:
             self.counters["received"] += 1
             self.counters["received_bytes"] += len(data)
             self._receive(sender, data)
 
     def close(self) -> None:
-        """Stop receiving. May be called again."""
+        """Stop receiving. May be called more than once."""
         if self._receive is not None:
             del self.network.open_links[self.replica_id]
             self._receive = None
--- a/laurelstep/consensus/links/udp.py
+++ b/laurelstep/consensus/links/udp.py
@@ -1,4 +1,4 @@
-"""UDP, as the protocol page has it between sidecars: datagrams to an address of `peers`, which arrive at
+"""UDP link between sidecars. Datagrams are sent to the receiver's address in `peers`, and must arrive at
 `peer_listen` from the sender's address in `peers`.
 """
 
@@ -16,7 +16,7 @@
 
 
 class UdpLink(SocketLink):
-    """A link by UDP. `listen` and `peers` are IP addresses with ports, all of one family."""
+    """A link over UDP. `listen` and `peers` are IP addresses with ports, all of one family."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         family = socket.AF_INET6 if ":" in self.listen[0] else socket.AF_INET
         bound = socket.socket(family, socket.SOCK_DGRAM)
         try:
-            # Without SO_REUSEADDR and SO_REUSEPORT: a second process must not get a part of the datagrams.
+            # SO_REUSEADDR and SO_REUSEPORT stay off: a second process must not get part of the datagrams.
             bound.bind(self.listen)
             bound.setblocking(False)
         except OSError:
--- a/laurelstep/consensus/links/unix.py
+++ b/laurelstep/consensus/links/unix.py
@@ -1,8 +1,8 @@
-"""Unix datagram sockets between processes of one machine. Peers are absolute paths, and a sender is
-recognized by the path that its socket is bound to.
+"""Unix datagram link between processes on one machine. Peers are absolute paths, and a sender is identified
+by the path that its socket is bound to.
 
-A lock beside the path says which process is alive there: it goes with its process, however that ended, and
-the socket file that it left is then removed.
+A locked file next to the path shows that a live process uses it. The kernel releases the lock when the
+process ends in any way. The next process to lock the file removes the socket file that was left behind.
 """
 
 from __future__ import annotations
@@ -20,43 +20,44 @@
 
 __all__ = ["UnixLink"]
 
-NO_LOCK: Final = -1
+# The lock's descriptor while the link is not open.
+NO_LOCK_FD: Final = -1
 
 
 class UnixLink(SocketLink):
-    """A link by Unix sockets, which also owns the lock beside its path."""
+    """A link over a Unix socket. While open, it also holds the lock file next to its path."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, peers: Sequence[str], replica_id: int) -> None:
         super().__init__(loop, peers, replica_id)
         self.path = self.peers[replica_id]
-        self._lock = NO_LOCK
+        self._lock_fd = NO_LOCK_FD
 
     def _bind(self) -> socket.socket:
-        lock = os.open(self.path + ".lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        lock_fd = os.open(self.path + ".lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         bound = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         try:
             try:
-                fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+                fcntl.flock(lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except BlockingIOError:
-                raise OSError(errno.EADDRINUSE, "another process has the path") from None
+                raise OSError(errno.EADDRINUSE, "another process uses the path") from None
             with contextlib.suppress(FileNotFoundError):
                 os.unlink(self.path)
-            os.fchmod(bound.fileno(), 0o600)  # before the bind: the file has this mode from the first
+            os.fchmod(bound.fileno(), 0o600)  # before the bind, so that the file never has another mode
             bound.bind(self.path)
             bound.setblocking(False)
         except OSError:
             bound.close()
-            os.close(lock)
+            os.close(lock_fd)
             raise
-        self._lock = lock
+        self._lock_fd = lock_fd
         return bound
 
     def close(self) -> None:
-        """Stop receiving, and free the path. May be called again."""
-        if self._lock != NO_LOCK:
+        """Stop receiving, and free the path. May be called more than once."""
+        if self._lock_fd != NO_LOCK_FD:
             with contextlib.suppress(OSError):
                 os.unlink(self.path)
         super().close()
-        if self._lock != NO_LOCK:
-            os.close(self._lock)
-            self._lock = NO_LOCK
+        if self._lock_fd != NO_LOCK_FD:
+            os.close(self._lock_fd)
+            self._lock_fd = NO_LOCK_FD
--- a/laurelstep/consensus/log.py
+++ b/laurelstep/consensus/log.py
@@ -1,14 +1,14 @@
-"""The replicated log of one epoch, as one replica holds it. Pure.
+"""One replica's copy of the replicated log of one epoch. No I/O.
 
-1. Indexes are numbered from 1 and continue through all epochs that grew from each other. The log holds the
-   entries from `base_index` + 1 to `last_index`; a snapshot stands for those before.
-2. Entries of equal epoch, index and term are equal, and so are all before them (Raft, figure 3, Log
+1. Indexes start at 1 and continue from an epoch to the epochs bootstrapped from it. The log holds the entries
+   from `base_index` + 1 to `last_index`; a snapshot replaces the earlier ones.
+2. Entries with equal epoch, index and term are equal, and so are all entries before them (Raft, figure 3, Log
    Matching).
-3. The voters are those of the newest configuration in the log, committed or not (dissertation 4.1).
-   Truncation brings the one before back.
-4. A configuration names for each voter the incarnation that votes.
-5. Logs are compared by epoch, then the term of the last entry, then its index: the greatest of a majority
-   holds all that a majority has committed.
+3. The newest configuration in the log is in effect, committed or not (dissertation 4.1). Truncating it
+   restores the previous one.
+4. A configuration names the voters that are members, and for each the incarnation that may vote.
+5. Logs are compared by epoch, then by the term of the last entry, then by its index. The greatest log of any
+   majority contains all committed entries.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class LogPosition(NamedTuple):
-    """How up to date a log is (rule 5)."""
+    """A log's position for comparing which of two logs is more up to date (rule 5)."""
 
     epoch: ClusterEpoch
     last_term: int
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClusterConfig:
-    """The members that vote, as voter to incarnation, and the entry that made them so."""
+    """The voting members, as voter id to incarnation, and the index and term of the configuration entry."""
 
     index: int
     term: int
@@ -48,12 +48,12 @@
 
 
 def encode_members(members: Mapping[int, int]) -> bytes:
-    """Encode a configuration entry's data."""
+    """Encode the data of a configuration entry."""
     return msgspec.msgpack.encode(sorted(members.items()))
 
 
 def decode_members(raw: bytes) -> dict[int, int] | None:
-    """Decode a configuration entry's data; None where it can't be read."""
+    """Decode the data of a configuration entry; None if it is malformed."""
     try:
         return dict(_members_decoder.decode(raw))
     except msgspec.DecodeError:
@@ -61,7 +61,7 @@
 
 
 class ReplicatedLog:
-    """The entries after a base, and the configurations that they make."""
+    """The entries after a base index, and the configurations that they define."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
         base_term: int = 0,
         config: ClusterConfig | None = None,
     ) -> None:
-        """`config` is the one as of `base_index`."""
+        """`config` is the configuration in effect at `base_index`; by default it has no members."""
         self.epoch = epoch
         self.base_index = base_index
         self.base_term = base_term
@@ -79,12 +79,12 @@
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry, or of the base."""
+        """The index of the last entry, or `base_index` if there are no entries."""
         return self.base_index + len(self.entries)
 
     @property
     def last_term(self) -> int:
-        """The term of the last entry, or of the base."""
+        """The term of the last entry, or `base_term` if there are no entries."""
         return self.entries[-1].term if self.entries else self.base_term
 
     @property
@@ -94,24 +94,24 @@
 
     @property
     def base_config(self) -> ClusterConfig:
-        """The oldest configuration that is still known: the one at `base_index`."""
+        """The configuration in effect at `base_index`, the oldest that is still known."""
         return self._configs[0]
 
     @property
     def position(self) -> LogPosition:
-        """How up to date the log is (rule 5)."""
+        """The position of the log, for comparison with other logs (rule 5)."""
         return LogPosition(self.epoch, self.last_term, self.last_index)
 
     def config_at(self, index: int) -> ClusterConfig:
-        """Return the configuration as of an index, which is not before `base_index`."""
-        found = self._configs[0]
+        """Return the configuration in effect at an index that is not before `base_index`."""
+        result = self._configs[0]
         for config in self._configs:
             if config.index <= index:
-                found = config
-        return found
+                result = config
+        return result
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an index; None where the log does not hold it."""
+        """Return the term of the entry at an index, None if the log does not hold it."""
         if index == self.base_index:
             return self.base_term
         if self.base_index < index <= self.last_index:
@@ -119,7 +119,7 @@
         return None
 
     def entry(self, index: int) -> LogEntry:
-        """Return the entry at an index that the log holds."""
+        """Return the entry at an index. The log must hold it."""
         return self.entries[index - self.base_index - 1]
 
     def append(self, entry: LogEntry) -> int:
@@ -138,21 +138,24 @@
             self._configs.pop()
 
     def compact_to(self, index: int) -> None:
-        """Remove all entries up to an index, which a snapshot stands for. No effect where it is not held."""
+        """Remove the entries up to an index that a snapshot covers.
+
+        No effect if the log does not hold the index.
+        """
         term = self.term_at(index)
         if term is None or index <= self.base_index:
             return
         base_config = self.config_at(index)
         del self.entries[: index - self.base_index]
         self.base_index, self.base_term = index, term
-        newer = (config for config in self._configs if config.index > base_config.index)
-        self._configs = [base_config, *newer]
+        newer_configs = (config for config in self._configs if config.index > base_config.index)
+        self._configs = [base_config, *newer_configs]
 
-    def batch(self, first: int, last: int) -> list[LogEntry]:
-        """Return the entries from `first`, up to `last`, that fit in one message."""
+    def batch(self, first_index: int, last_index: int) -> list[LogEntry]:
+        """Return the entries from index `first` to at most `last` that fit into one message."""
         remaining_bytes = MAX_BATCH_BYTES
         batch: list[LogEntry] = []
-        for entry in self.entries[first - self.base_index - 1 : last - self.base_index]:
+        for entry in self.entries[first_index - self.base_index - 1 : last_index - self.base_index]:
             remaining_bytes -= max_encoded_bytes(entry)
             if remaining_bytes < 0:
                 break
--- a/laurelstep/consensus/messages.py
+++ b/laurelstep/consensus/messages.py
@@ -1,13 +1,15 @@
 """The messages between replicas, and their encoding. No I/O.
 
 1. A datagram is a version byte and one message as msgpack, an array headed by its tag; at most 256 bytes.
-2. A datagram of another version, not readable or out of bounds is no message: `decode` returns None, and the
-   caller counts it. The link tells who sent it.
-3. A message about a log names its epoch. One that binds its sender (the answer to a vote, an append or a
-   bootstrap) names the sender's incarnation, and counts for that incarnation alone.
-4. One that changes its receiver names the receiver's incarnation, shortened (`recipient`): a datagram to a
-   process that has restarted with an empty state since is dropped. Without this a late datagram of a lost
-   epoch could take a voter out of the epoch that followed, as epochs of one generation have no order in time.
+2. For a datagram of another version, or one that can't be decoded or exceeds a bound, `decode` returns None,
+   and the caller counts it. The link identifies the sender.
+3. A message about a log names the log's epoch. A message that commits its sender to something (the response
+   to a vote, append or bootstrap request) names the sender's incarnation, and counts for that incarnation
+   only.
+4. A message that changes the state of its receiver names the receiver's incarnation, shortened (`recipient`).
+   A datagram to a process that has since restarted with an empty state is dropped. Without this rule, a late
+   datagram of a lost epoch could move a voter out of the epoch that followed, because epochs of the same
+   generation have no order in time.
 
 The field order and the tags are the wire format: neither may change within a protocol version.
 """
@@ -56,17 +58,18 @@
 ]
 
 PROTOCOL_VERSION: Final = 1
-# The data of one snapshot chunk.
+# Limit for the data of one snapshot chunk.
 MAX_CHUNK_BYTES: Final = 160
-# The data of one message's entries, with ENTRY_OVERHEAD_BYTES for each.
+# Limit for the data of all entries in one message, counting ENTRY_OVERHEAD_BYTES for each entry.
 MAX_BATCH_BYTES: Final = 175
 ENTRY_OVERHEAD_BYTES: Final = 14
-# `match_index` of a replica that needs a snapshot.
+# Value of `match_index` if the replica needs a snapshot.
 NEEDS_SNAPSHOT: Final = -1
-# `leader_id` of a voter that knows no leader.
+# Value of `leader_id` if the voter knows no leader.
 NO_LEADER: Final = -1
 
-# Bounds far above any real value: one corrupt message can't bring in numbers that can't be encoded again.
+# These bounds are far above all real values. They keep a corrupt message from introducing numbers that can't
+# be encoded again.
 Count = Annotated[int, msgspec.Meta(ge=0, lt=1 << 48)]
 Uint32 = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
 RandomId = Annotated[int, msgspec.Meta(ge=0)]
@@ -75,7 +78,7 @@
 
 
 class MessageTag(IntEnum):
-    """The first element of an encoded message."""
+    """The first element of an encoded message. The values are the wire format and may not change."""
 
     IDENTITY_REQUEST = 1
     IDENTITY_RESPONSE = 2
@@ -95,7 +98,7 @@
 
 
 class EntryKind(IntEnum):
-    """What a log entry holds: nothing, data of the state machine, or the voters from here on."""
+    """The content of a log entry: nothing, data for the state machine, or a new set of voting members."""
 
     NOOP = 0
     DATA = 1
@@ -115,13 +118,13 @@
 
 
 class IdentityRequest(_Message, frozen=True, tag=MessageTag.IDENTITY_REQUEST.value):
-    """Asks a voter who it is. The answer repeats the nonce, so that it was made after the question."""
+    """Asks a voter for its identity. The response repeats the nonce, which proves that it is not older."""
 
     nonce: RandomId
 
 
 class IdentityResponse(_Message, frozen=True, tag=MessageTag.IDENTITY_RESPONSE.value):
-    """Which incarnation a voter is, what it has promised, how good its log is, and its configuration."""
+    """A voter's incarnation, promised epoch, log position and configuration."""
 
     nonce: RandomId
     incarnation: RandomId
@@ -136,7 +139,7 @@
 
 
 class BootstrapRequest(_Message, frozen=True, tag=MessageTag.BOOTSTRAP_REQUEST.value):
-    """Asks a voter to leave its epoch for a new one, which these incarnations, by voter, are to begin."""
+    """Asks a voter to leave its epoch for a new one with these incarnations, ordered by voter id."""
 
     epoch: ClusterEpoch
     nonce: RandomId
@@ -144,7 +147,7 @@
 
 
 class BootstrapResponse(_Message, frozen=True, tag=MessageTag.BOOTSTRAP_RESPONSE.value):
-    """Says that a voter has left every older epoch for this one, with a log as good as this."""
+    """Confirms that the voter has left all older epochs for this one, and gives its log position."""
 
     epoch: ClusterEpoch
     nonce: RandomId
@@ -155,7 +158,7 @@
 
 
 class RequestVoteRequest(_Message, frozen=True, tag=MessageTag.REQUEST_VOTE_REQUEST.value):
-    """RequestVote (Raft, figure 2), or PreVote (dissertation 9.6), which only asks for the intention."""
+    """RequestVote (Raft, figure 2), or PreVote (dissertation 9.6), which does not bind the voter."""
 
     epoch: ClusterEpoch
     recipient: Uint32
@@ -167,7 +170,7 @@
 
 
 class RequestVoteResponse(_Message, frozen=True, tag=MessageTag.REQUEST_VOTE_RESPONSE.value):
-    """The answer to the incarnation `candidate`. A granted PreVote has the term asked for."""
+    """The response to the incarnation `candidate`. A granted PreVote repeats the requested term."""
 
     epoch: ClusterEpoch
     incarnation: RandomId
@@ -178,7 +181,7 @@
 
 
 class AppendEntriesRequest(_Message, frozen=True, tag=MessageTag.APPEND_ENTRIES_REQUEST.value):
-    """AppendEntries (Raft, figure 2), with the number of the leader's heartbeat round."""
+    """AppendEntries (Raft, figure 2), plus the number of the leader's heartbeat round."""
 
     epoch: ClusterEpoch
     recipient: Uint32
@@ -191,7 +194,10 @@
 
 
 class AppendEntriesResponse(_Message, frozen=True, tag=MessageTag.APPEND_ENTRIES_RESPONSE.value):
-    """Without success, `match_index` is where to continue; NEEDS_SNAPSHOT asks for one."""
+    """The response to AppendEntries or a complete snapshot.
+
+    If `success` is False, the leader continues after `match_index`; NEEDS_SNAPSHOT requests a snapshot.
+    """
 
     epoch: ClusterEpoch
     incarnation: RandomId
@@ -202,7 +208,7 @@
 
 
 class InstallSnapshotRequest(_Message, frozen=True, tag=MessageTag.INSTALL_SNAPSHOT_REQUEST.value):
-    """One chunk of a snapshot, from a leader (with its term) or to a learner."""
+    """One chunk of a snapshot, from the leader to a voter, or from any voter to a learner."""
 
     epoch: ClusterEpoch
     recipient: Uint32
@@ -217,7 +223,7 @@
 
 
 class InstallSnapshotResponse(_Message, frozen=True, tag=MessageTag.INSTALL_SNAPSHOT_RESPONSE.value):
-    """How many bytes of that snapshot have arrived."""
+    """The number of bytes of the snapshot that have arrived."""
 
     epoch: ClusterEpoch
     incarnation: RandomId
@@ -229,7 +235,7 @@
 
 
 class LearnerPoll(_Message, frozen=True, tag=MessageTag.LEARNER_POLL.value):
-    """A learner asks for the entries committed after `applied_index`."""
+    """Sent by a learner to request the entries committed after `applied_index`."""
 
     epoch: ClusterEpoch
     incarnation: RandomId
@@ -237,7 +243,7 @@
 
 
 class LearnerUpdate(_Message, frozen=True, tag=MessageTag.LEARNER_UPDATE.value):
-    """Committed entries after `prev_index`, and who leads, polled for or pushed by a voter."""
+    """Committed entries after `prev_index`, and the leader, sent by a voter after a poll or a commit."""
 
     epoch: ClusterEpoch
     recipient: Uint32
@@ -248,14 +254,14 @@
 
 
 class ReadIndexRequest(_Message, frozen=True, tag=MessageTag.READ_INDEX_REQUEST.value):
-    """Asks the leader for a commit index that was valid after this question."""
+    """Asks the leader for a commit index that is valid as of a time after this request."""
 
     incarnation: RandomId
     nonce: RandomId
 
 
 class ReadIndexResponse(_Message, frozen=True, tag=MessageTag.READ_INDEX_RESPONSE.value):
-    """The commit index, confirmed by a majority after the question came."""
+    """The commit index, confirmed by a majority after the request arrived."""
 
     epoch: ClusterEpoch
     nonce: RandomId
@@ -263,7 +269,7 @@
 
 
 class LeaderMessage(_Message, frozen=True, tag=MessageTag.LEADER_MESSAGE.value):
-    """Data for whoever leads. `epoch` is of the log it speaks of, NO_EPOCH from a sender without one."""
+    """Data for the current leader. `epoch` is that of the sender's log, NO_EPOCH if the sender has no log."""
 
     epoch: ClusterEpoch
     incarnation: RandomId
@@ -294,12 +300,12 @@
 
 
 def encode(message: Message) -> bytes:
-    """Encode as one datagram. The bounds above keep it within MAX_DATAGRAM_BYTES."""
+    """Encode a message as one datagram. The field bounds keep it within MAX_DATAGRAM_BYTES."""
     return _HEADER + _encode(message)
 
 
 def decode(raw: bytes) -> Message | None:
-    """Decode a datagram; None where it is no message (rule 2). Never raises."""
+    """Decode a datagram. Returns None if it holds no valid message (rule 2). Never raises."""
     if len(raw) > MAX_DATAGRAM_BYTES or raw[:1] != _HEADER:
         return None
     try:
@@ -317,10 +323,10 @@
 
 
 def short_incarnation(incarnation: int) -> int:
-    """Return an incarnation's low 32 bits, as in `recipient`: 5 bytes of a heartbeat in place of 9."""
+    """Return the low 32 bits of an incarnation, for `recipient`: 5 bytes instead of 9 in each heartbeat."""
     return incarnation & 0xFFFFFFFF
 
 
 def max_encoded_bytes(entry: LogEntry) -> int:
-    """Return an upper bound of an entry's size in a message."""
+    """Return an upper bound for the size of an entry in a message."""
     return len(entry.data) + ENTRY_OVERHEAD_BYTES
--- a/laurelstep/consensus/multiplexer.py
+++ b/laurelstep/consensus/multiplexer.py
@@ -1,9 +1,9 @@
-"""Several subsystems of one process on one node: each gets its own leader messages, and all hear of changes.
-Pure.
+"""Shares one node among several subsystems of a process: each gets its own leader messages, and all are
+notified of changes. No I/O.
 
-1. A leader message's first byte names its subsystem, as an entry's does its state machine
-   (`laurelstep.consensus.state_machines`). A message for no subsystem here is counted and dropped.
-2. Each subsystem is notified of each change, in the order in which they joined.
+1. The first byte of a leader message selects its subsystem, as the first byte of an entry selects its state
+   machine (`laurelstep.consensus.state_machines`). A message for an unknown subsystem is counted and dropped.
+2. Every subsystem is notified of every change, in the order in which the channels were created.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 
 
 class ProposalClient(Protocol):
-    """Consensus as a subsystem needs it that only proposes entries."""
+    """The interface to consensus for a subsystem that only proposes entries."""
 
     # Called on the leader with each leader message: peer, incarnation, data.
     on_leader_message: Callable[[int, int, bytes], None]
-    # Called after entries were applied, and when another one of the properties below changed with them.
+    # Called after entries were applied, or when this process starts or stops taking part in consensus.
     on_change: Callable[[], None]
 
     @property
     def epoch(self) -> object:
-        """The bootstrap that the replicated log comes from."""
+        """The epoch of the replicated log."""
 
     @property
     def is_leader(self) -> bool:
@@ -32,48 +32,48 @@
 
     @property
     def leader_id(self) -> int | None:
-        """The number of the process that leads, as far as known."""
+        """The peer number of the leader, None if unknown."""
 
     @property
     def is_caught_up(self) -> bool:
-        """Whether all that was committed before this process started is applied here."""
+        """Whether this process has applied all that was committed before it started."""
 
     @property
     def has_leader_contact(self) -> bool:
-        """Whether a leader that a majority follows was heard from lately."""
+        """Whether a leader with a majority was heard from recently."""
 
     def propose(self, data: bytes) -> None:
         """Append an entry, as the leader. Raises NotLeaderError, BusyError."""
 
     def send_to_leader(self, data: bytes) -> None:
-        """Send to whoever leads, also if that is this process; it may be lost. Raises BusyError."""
+        """Send a message to the leader, which may be this process. It may be lost. Raises BusyError."""
 
 
 class ConsensusClient(ProposalClient, Protocol):
-    """The same with who is who: a node (`laurelstep.consensus.node`), or a subsystem's channel to it."""
+    """The complete interface of a node (`laurelstep.consensus.node`), or of a subsystem's channel to it."""
 
     @property
     def replica_id(self) -> int:
-        """The number of this process among its peers."""
+        """The peer number of this process."""
 
     @property
     def peer_count(self) -> int:
-        """How many processes the tier has."""
+        """The number of processes of the tier."""
 
     @property
     def incarnation(self) -> int:
-        """The random number of this process's memory; 0 while it takes no part."""
+        """The incarnation of this process's replica; 0 while this process does not take part."""
 
     def status(self) -> dict[str, Any]:
-        """Return the state for an operator, in JSON's types."""
+        """Return the status for an operator, in JSON types."""
 
 
 def _ignore(*args: Any) -> None:
-    """Do nothing, until a subsystem sets its callback."""
+    """Do nothing: used until a subsystem sets its callback."""
 
 
 class ConsensusChannel:
-    """The node as one subsystem sees it: all is the node's, but the callbacks are the subsystem's own."""
+    """A subsystem's access to the node: forwards to the node, but has callbacks of its own."""
 
     def __init__(self, node: ConsensusClient) -> None:
         self._node: Final = node
@@ -82,22 +82,22 @@
 
     @property
     def replica_id(self) -> int:
-        """The number of this process among its peers."""
+        """The peer number of this process."""
         return self._node.replica_id
 
     @property
     def peer_count(self) -> int:
-        """How many processes the tier has."""
+        """The number of processes of the tier."""
         return self._node.peer_count
 
     @property
     def incarnation(self) -> int:
-        """The random number of this process's memory; 0 while it takes no part."""
+        """The incarnation of this process's replica; 0 while this process does not take part."""
         return self._node.incarnation
 
     @property
     def epoch(self) -> object:
-        """The bootstrap that the replicated log comes from."""
+        """The epoch of the replicated log."""
         return self._node.epoch
 
     @property
@@ -107,17 +107,17 @@
 
     @property
     def leader_id(self) -> int | None:
-        """The number of the process that leads, as far as known."""
+        """The peer number of the leader, None if unknown."""
         return self._node.leader_id
 
     @property
     def is_caught_up(self) -> bool:
-        """Whether all that was committed before this process started is applied here."""
+        """Whether this process has applied all that was committed before it started."""
         return self._node.is_caught_up
 
     @property
     def has_leader_contact(self) -> bool:
-        """Whether a leader that a majority follows was heard from lately."""
+        """Whether a leader with a majority was heard from recently."""
         return self._node.has_leader_contact
 
     def propose(self, data: bytes) -> None:
@@ -125,28 +125,28 @@
         self._node.propose(data)
 
     def send_to_leader(self, data: bytes) -> None:
-        """Send to whoever leads; it may be lost. Raises BusyError."""
+        """Send a message to the leader. It may be lost. Raises BusyError."""
         self._node.send_to_leader(data)
 
     def status(self) -> dict[str, Any]:
-        """Return the state for an operator, in JSON's types."""
+        """Return the status for an operator, in JSON types."""
         return self._node.status()
 
 
 class ConsensusMultiplexer:
-    """Hands the node's callbacks on to the subsystems' channels. See the rules."""
+    """Forwards the node's callbacks to the channels of the subsystems. See the rules of the module."""
 
     def __init__(self, node: ConsensusClient) -> None:
-        """Takes the node's `on_leader_message` and `on_change`."""
+        """Sets `on_leader_message` and `on_change` of the node."""
         self._node = node
         self._channels: dict[int, ConsensusChannel] = {}
         self.ignored_count = 0
         node.on_leader_message = self._dispatch
         node.on_change = self._notify
 
-    def channel(self, kind: bytes) -> ConsensusChannel:
-        """Return the channel of a subsystem's byte; it is made when it is first asked for."""
-        return self._channels.setdefault(kind[0], ConsensusChannel(self._node))
+    def channel(self, subsystem: bytes) -> ConsensusChannel:
+        """Return the channel of the subsystem that a byte selects, creating it on first use."""
+        return self._channels.setdefault(subsystem[0], ConsensusChannel(self._node))
 
     def _dispatch(self, peer: int, incarnation: int, data: bytes) -> None:
         channel = self._channels.get(data[0]) if data else None
--- a/laurelstep/consensus/node.py
+++ b/laurelstep/consensus/node.py
@@ -1,14 +1,15 @@
-"""One process's replica: its lifecycle from the first bind to the last close.
-
-1. Steps and their effects are in the order of step_runner.py, rule 1.
-2. The link is open before there is a core, and its address belongs to one process: of two processes with one
-   number, one takes part. The other waits until the address is free.
-3. A store or a core that fails ends this process's participation, with one line for the operator. Nothing
-   else of the process notices. Where the disk under the store fails, the node restarts by itself, as after a
-   crash, once the store can be opened again; otherwise at the next start.
-4. Once retired, nothing is sent. The records that `retire` returns are one successor's; a process that starts
-   again after that is another member, or continues from its durable store.
-5. Callers are notified of leader messages and changes in a loop iteration of their own, never within a step.
+"""The node: the replica of one process and its lifecycle.
+
+1. Steps and their effects are ordered as rule 1 of step_runner.py requires.
+2. The link is opened before the core is created. Its address belongs to one process, so of two processes with
+   the same peer number only one takes part. The other one waits until the address is free.
+3. If the store or the core fails, this process stops taking part in consensus and logs one line. The rest of
+   the process is not affected. If the disk under the store failed, the node restarts automatically, as after
+   a crash, once the store can be opened again. After any other failure it stays off until the next start.
+4. A retired node sends nothing. The records that `retire` returns are for one successor. A node that restarts
+   after that is another member, or continues from its durable store.
+5. Callbacks for leader messages and changes run in their own iteration of the event loop, never within a
+   step.
 """
 
 from __future__ import annotations
@@ -39,23 +40,26 @@
     "NodeStage",
 ]
 
-# Between two attempts to bind an address that another process has.
+# Delay between attempts to bind an address that another process holds.
 BIND_RETRY_US: Final = 500_000
-# Before a store whose disk fails is opened anew; the delay doubles with each attempt.
+# Delay before a store is reopened after its disk failed. It doubles with each attempt.
 MIN_REOPEN_DELAY_US: Final = 1_000_000
 MAX_REOPEN_DELAY_US: Final = 8_000_000
-# Why an address can't be bound for a while: another process has it, or the machine has no socket to give.
-PASSING_FAULTS: Final = frozenset((errno.EADDRINUSE, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-DEFAULT_REMEDY: Final = "see that the disk and the network are well, and restart the process"
+# Errors that binding an address may raise temporarily: another process holds the address, or the machine has
+# no resources for a socket.
+TRANSIENT_BIND_ERRNOS: Final = frozenset(
+    (errno.EADDRINUSE, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+)
+DEFAULT_REMEDY: Final = "check the disk and the network, and restart the process"
 
 CoreFactory = Callable[[int, Mapping[bytes, bytes]], ConsensusCore]
 
 
 class NodeStage(StrEnum):
-    """Where a node is in its lifecycle. The values are shown to operators."""
+    """The lifecycle stage of a node. The values are shown to operators."""
 
     NEW = "new"
-    WAITING = "waiting"  # for its address
+    WAITING = "waiting"  # until its address can be bound
     RUNNING = "takes part"
     RETIRED = "retired"
     FAILED = "failed"
@@ -63,7 +67,7 @@
 
 
 def _ignore(*args: Any) -> None:
-    """Do nothing, until the owner sets its callback."""
+    """Do nothing: used until the owner sets its callback."""
 
 
 def _one_line(text: object) -> str:
@@ -71,10 +75,10 @@
 
 
 class ConsensusNode:
-    """Replicates a state machine with the other processes of the tier.
+    """Replicates a state machine among the processes of the tier.
 
-    `on_change()` is called after entries were applied, and when this process's participation begins or ends;
-    `on_leader_message(peer, incarnation, data)` for each leader message, while this process leads.
+    `on_change()` is called after entries were applied, and when this process starts or stops taking part.
+    `on_leader_message(peer, incarnation, data)` is called for each leader message while this process leads.
     """
 
     def __init__(
@@ -88,7 +92,7 @@
         replica_id: int = 0,
         peer_count: int = 1,
     ) -> None:
-        """`make_core` takes an incarnation for a start with an empty state, and the stored records."""
+        """`make_core` takes the incarnation to use if there is no stored state, and the stored records."""
         self.replica_id = replica_id
         self.peer_count = peer_count
         self.make_core = make_core
@@ -100,29 +104,31 @@
         self.on_change: Callable[[], None] = _ignore
         self.on_leader_message: Callable[[int, int, bytes], None] = _ignore
         self.stage = NodeStage.NEW
-        self.failure = ""  # why it failed, on one line
+        self.failure = ""  # the reason of the last failure, on one line
         self.counters = {"waited": 0, "dropped": 0, "refused": 0}
         self.runner: StepRunner | None = None
         self.link: Link | None = None
         self.store: Store | None = None
-        self._lifecycle_lock = asyncio.Lock()  # one start or stop at a time
-        self._retry_timer: Handle | None = None  # to the next attempt to bind, or to open the store
-        self._is_reopen_due = False  # failed, and the store is to be opened anew
+        self._lifecycle_lock = asyncio.Lock()  # held during a start or stop
+        self._retry_timer: Handle | None = None  # the next attempt to bind the address or to reopen the store
+        self._is_reopen_due = False  # the disk failed, and the store is to be reopened
         self._reopen_delay_us = MIN_REOPEN_DELAY_US
-        self._release_task: asyncio.Task[None] | None = None  # of the last failure
+        self._release_task: asyncio.Task[None] | None = (
+            None  # closes the store and the link after the last failure
+        )
         self._is_notification_due = False
         self._tasks: set[asyncio.Task[None]] = set()
 
-    # --- For use ----------------------------------------------------------------------
+    # Status and requests
 
     @property
     def core(self) -> ConsensusCore | None:
-        """The running core; None while this process takes no part."""
+        """The running core; None while this process does not take part."""
         return None if self.runner is None else self.runner.core
 
     @property
     def is_running(self) -> bool:
-        """Whether this process takes part."""
+        """Whether this process takes part in consensus."""
         return self.core is not None
 
     @property
@@ -132,59 +138,59 @@
 
     @property
     def leader_id(self) -> int | None:
-        """The number of the process that leads, as far as known."""
+        """The peer number of the leader, None if unknown."""
         return None if self.core is None else self.core.leader_id
 
     @property
     def incarnation(self) -> int:
-        """The random number of this process's memory; 0 while it takes no part."""
+        """The incarnation of this process's replica; 0 while this process does not take part."""
         return 0 if self.core is None else self.core.incarnation
 
     @property
     def epoch(self) -> ClusterEpoch:
-        """The bootstrap that the replicated log comes from."""
+        """The epoch of the replicated log; NO_EPOCH while this process does not take part."""
         return NO_EPOCH if self.core is None else self.core.epoch
 
     @property
     def is_caught_up(self) -> bool:
-        """Whether this process has applied all that was committed when it started."""
+        """Whether this process has applied all that was committed before it started."""
         return self.core is not None and self.core.is_caught_up
 
     @property
     def has_leader_contact(self) -> bool:
-        """Whether it has heard lately from a leader that a majority follows."""
+        """Whether this process has heard recently from a leader with a majority."""
         return self.core is not None and self.core.has_leader_contact(self.clock.now())
 
     def propose(self, data: bytes) -> None:
-        """Append an entry, if this process still leads when its turn comes.
+        """Append an entry. It is dropped if this process no longer leads when its queued step runs.
 
         Raises NotLeaderError, BusyError; EntryError if it is too long.
         """
         runner = self.runner
         if len(data) > MAX_ENTRY_BYTES:
-            raise EntryError(f"an entry of {len(data)} bytes, of {MAX_ENTRY_BYTES} at most")
+            raise EntryError(f"an entry of {len(data)} bytes, the limit is {MAX_ENTRY_BYTES}")
         if runner is None or not self.is_leader:
             raise NotLeaderError(self.leader_id)
         core = runner.core
-        runner.demand(lambda now_us: core.propose(now_us, data))
+        runner.submit(lambda now_us: core.propose(now_us, data))
 
     def send_to_leader(self, data: bytes) -> None:
-        """Send to whoever leads; it may be lost. Raises EntryError if it is too long; BusyError."""
+        """Send a message to the leader. It may be lost. Raises BusyError, or EntryError if it is too long."""
         runner = self.runner
         if len(data) > MAX_LEADER_MESSAGE_BYTES:
-            raise EntryError(f"a message of {len(data)} bytes, of {MAX_LEADER_MESSAGE_BYTES} at most")
+            raise EntryError(f"a message of {len(data)} bytes, the limit is {MAX_LEADER_MESSAGE_BYTES}")
         if runner is not None:
             core = runner.core
-            epoch = core.epoch  # it may have to wait, and the epoch be another one then
-            runner.demand(lambda now_us: core.send_to_leader(now_us, data, epoch))
+            epoch = core.epoch  # read now: the epoch may have changed when the queued step runs
+            runner.submit(lambda now_us: core.send_to_leader(now_us, data, epoch))
 
     def status(self) -> dict[str, Any]:
-        """Return the state for an operator, in JSON's types."""
-        core, found = self.core, {"stage": self.stage.value, "failure": self.failure}
+        """Return the status for an operator, in JSON types."""
+        core, status = self.core, {"stage": self.stage.value, "failure": self.failure}
         if core is None:
-            return found
+            return status
         return {
-            **found,
+            **status,
             "role": core.role,
             "leader": core.leader_id,
             "term": core.term,
@@ -199,27 +205,27 @@
             "link": dict(getattr(self.link, "counters", {})),
         }
 
-    # --- Lifecycle ----------------------------------------------------------------------
+    # Lifecycle
 
     async def start(self, records: Mapping[bytes, bytes] | None = None) -> None:
-        """Take part; wait, without holding the caller, while another process has the address.
+        """Start taking part. If another process holds the address, return and retry in the background.
 
-        `records`: what a process before this one returned from `retire`; those of a durable store take
-        precedence. Raises OSError if the address can't be bound at all.
+        `records` are those that the predecessor's `retire` returned; the records of a durable store take
+        precedence. Raises OSError if the address can't be bound for a lasting reason.
         """
         async with self._lifecycle_lock:
             if self.stage is NodeStage.NEW:
                 await self._start(records)
 
     async def restart(self) -> None:
-        """Take part again after `retire`, as another member, or from the durable store."""
+        """Take part again after `retire`, as another member or with the state of the durable store."""
         async with self._lifecycle_lock:
             if self.stage is NodeStage.RETIRED:
                 self.state_machine.load(b"")
                 await self._start_or_fail(None)
 
     async def retire(self) -> dict[bytes, bytes]:
-        """Stop, and return the records that a successor starts from; none if there are none.
+        """Stop, and return the records for a successor, empty if there are none.
 
         The address and the store are free once this returns.
         """
@@ -235,7 +241,7 @@
             return records
 
     async def close(self) -> None:
-        """Stop for good."""
+        """Stop permanently, and release the store and the address."""
         async with self._lifecycle_lock:
             if self.core is not None:
                 self.core.retire()
@@ -246,7 +252,7 @@
             await asyncio.wait(self._tasks)
 
     async def _retire_failed(self) -> None:
-        """Give up the attempts to open the store; its folder and the address are free afterwards."""
+        """Stop trying to reopen the store. Its folder and the address are free afterwards."""
         self._is_reopen_due = False
         self.stage = NodeStage.RETIRED
         await self._stop()
@@ -258,7 +264,7 @@
         try:
             link.open(self._receive)
         except OSError as error:
-            if error.errno not in PASSING_FAULTS:
+            if error.errno not in TRANSIENT_BIND_ERRNOS:
                 raise
             self._await_address(records, error)
             return
@@ -267,7 +273,7 @@
             store = self.store = await self.open_store()
             stored = await store.load()
             core = self._make_core(store, stored if store.is_durable else records or {})
-        except Exception as error:  # whatever a store may raise, requests go on
+        except Exception as error:  # no error of a store may stop the process from serving requests
             self._fail(error)
             return
         self.stage, self.failure = NodeStage.RUNNING, ""
@@ -279,7 +285,7 @@
             self.clock,
             self.counters,
             self._notify_change,
-            self._note_durable,
+            self._log_recovery,
             self._fail,
         )
         self.runner.start()
@@ -298,15 +304,15 @@
         except StoredStateError as error:
             if store.is_durable:
                 raise
-            self.log(f"accord: starts with an empty state, the predecessor's can't be used: {error}")
+            self.log(f"accord: starting with an empty state, the predecessor's can't be used: {error}")
             self.state_machine.load(b"")
             return self.make_core(incarnation, {})
 
     def _await_address(self, records: Mapping[bytes, bytes] | None, error: OSError) -> None:
         if self.stage is not NodeStage.WAITING and error.errno == errno.EADDRINUSE:
-            self.log("accord: another process has this one's address; waits until it is free")
+            self.log("accord: another process holds this process's address; waiting until it is free")
         elif self.stage is not NodeStage.WAITING:
-            self.log(f"accord: no socket for its address ({error.strerror}); waits until there is one")
+            self.log(f"accord: can't create a socket now ({error.strerror}); retrying until it succeeds")
         self.stage = NodeStage.WAITING
         retry_at_us = self.clock.now() + BIND_RETRY_US
         self._retry_timer = self.clock.at(retry_at_us, self._retry_bind, records)
@@ -321,14 +327,16 @@
                 await self._start_or_fail(records)
 
     def _fail(self, error: BaseException) -> None:
-        """End the participation, and say so once."""
+        """Stop taking part because of an error, and log it once."""
         if self.stage in (NodeStage.FAILED, NodeStage.CLOSED):
             return
         text = _one_line(f"{type(error).__name__}: {error}")
         remedy = getattr(error, "remedy", DEFAULT_REMEDY)
         is_repeated = isinstance(error, StoreFaultError) and self._reopen_delay_us != MIN_REOPEN_DELAY_US
         if not is_repeated:
-            self.log(f"accord: this process takes no part any more, requests go on: {text}; {remedy}")
+            self.log(
+                f"accord: this process no longer takes part, requests are still served: {text}; {remedy}"
+            )
         self.failure = text
         self.stage = NodeStage.FAILED
         self._is_reopen_due = isinstance(error, StoreFaultError)
@@ -338,7 +346,7 @@
         self._notify_change()
 
     async def _schedule_reopen(self, release: Awaitable[None]) -> None:
-        """Once the store is closed, wait before it is opened anew, if it is to be."""
+        """Once the store is closed, set the timer for reopening it, if it is to be reopened."""
         await release
         if self._is_reopen_due:
             reopen_at_us = self.clock.now() + self._reopen_delay_us
@@ -350,7 +358,7 @@
         self._spawn(self._reopen())
 
     async def _reopen(self) -> None:
-        """Start as after a crash: only what the store kept counts."""
+        """Start as after a crash, with the state in the store alone."""
         async with self._lifecycle_lock:
             if not self._is_reopen_due:
                 return
@@ -359,16 +367,16 @@
             self.state_machine.load(b"")
             await self._start_or_fail(None)
 
-    def _note_durable(self) -> None:
-        """Say, after failures of the disk, that it writes again."""
+    def _log_recovery(self) -> None:
+        """Log the first successful write after failures of the disk."""
         if self._reopen_delay_us != MIN_REOPEN_DELAY_US:
             self._reopen_delay_us = MIN_REOPEN_DELAY_US
-            self.log("accord: the disk writes again: this process takes part")
+            self.log("accord: the disk accepts writes again; this process takes part")
 
     def _stop(self) -> Awaitable[None]:
-        """Send and receive nothing from now on; the awaitable frees the store, then the address.
+        """Stop sending and receiving now. The returned awaitable closes the store, then frees the address.
 
-        Whoever binds the address finds the store free.
+        So a process that can bind the address can also open the store.
         """
         if self._retry_timer is not None:
             self._retry_timer.cancel()
@@ -384,7 +392,7 @@
         try:
             if store is not None:
                 await store.close()
-        except Exception as error:  # it may fail as it has failed before
+        except Exception as error:  # a store that failed before may also fail to close
             self.log(f"accord: the store was not closed: {_one_line(error)}")
         finally:
             if link is not None:
@@ -392,7 +400,7 @@
 
     def _spawn(self, work: Awaitable[None]) -> asyncio.Task[None]:
         async def run() -> None:
-            """A task takes a coroutine, not any awaitable."""
+            """Wrap the awaitable: a task can be created only from a coroutine."""
             await work
 
         task = asyncio.get_running_loop().create_task(run())
@@ -404,7 +412,7 @@
         if self.runner is not None:
             self.runner.receive(peer, data)
 
-    # --- Notifications ------------------------------------------------------------------
+    # Notifications
 
     def _notify_change(self) -> None:
         if not self._is_notification_due:
--- a/laurelstep/consensus/ports.py
+++ b/laurelstep/consensus/ports.py
@@ -1,6 +1,6 @@
 """The interfaces of a replica to the network, the store and the state machine.
 
-The clock is the engine's (`laurelstep.engine.ports.Clock`); only its `now()` and `at()` are used.
+The clock is `laurelstep.engine.ports.Clock`, of which only `now()` and `at()` are used.
 """
 
 from __future__ import annotations
@@ -11,39 +11,39 @@
 
 __all__ = ["MAX_DATAGRAM_BYTES", "Link", "StateMachine", "Store"]
 
-# The limit between sidecars, by the protocol page.
+# The protocol's limit for datagrams between sidecars.
 MAX_DATAGRAM_BYTES: Final = 256
 
 
 class Link(Protocol):
-    """Sends datagrams to peers by their number in the list. They may be lost, doubled, late and reordered."""
+    """Sends datagrams to peers by peer number. They may be lost, duplicated, delayed and reordered."""
 
     def open(self, receive: Callable[[int, bytes], None]) -> None:
-        """Start to call `receive(peer, datagram)`, for listed peers only. Called once."""
+        """Start to call `receive(peer, datagram)` for datagrams from configured peers. Called once."""
 
     def send(self, peer: int, data: bytes) -> None:
-        """Send, or lose. Never blocks, and never raises for what the network does.
+        """Send a datagram, or drop it. Never blocks, and raises nothing for errors of the network.
 
-        Raises LinkError over MAX_DATAGRAM_BYTES, or for a number that is no peer's.
+        Raises LinkError for more than MAX_DATAGRAM_BYTES, or for a number that is not another peer's.
         """
 
     def close(self) -> None:
-        """Stop receiving."""
+        """Stop receiving, and free the address."""
 
 
 class Store(Protocol):
-    """Keeps the records that must survive a crash, if any do."""
+    """Stores the records that must survive a crash, if the store is durable."""
 
-    # False: `load` is empty at every start, and `write` completes at once.
+    # If False, `load` returns nothing at every start and `write` completes immediately.
     is_durable: bool
 
     async def load(self) -> dict[bytes, bytes]:
-        """Return all records. Raises StoreError."""
+        """Return all records by key. Raises StoreError."""
 
     def write(self, changes: Mapping[bytes, bytes | None]) -> asyncio.Future[None]:
-        """Make the changes durable, all or none, in the order of the calls; None deletes.
+        """Make the changes durable atomically, in the order of the calls; None deletes a record.
 
-        The future raises StoreError; StoreFaultError where the disk fails.
+        The future raises StoreError, or StoreFaultError if the disk fails.
         """
 
     async def close(self) -> None:
@@ -51,13 +51,13 @@
 
 
 class StateMachine(Protocol):
-    """Applies committed entries: deterministic, the same in every replica, without a clock."""
+    """Applies committed entries: deterministically and without a clock, the same in all replicas."""
 
     def apply(self, index: int, data: bytes) -> None:
-        """Apply a committed entry. Never raises: data that can't be read is ignored and counted."""
+        """Apply a committed entry. Never raises: data that can't be decoded is ignored and counted."""
 
     def dump(self) -> bytes:
-        """Return the whole state as bytes: equal states give equal bytes."""
+        """Return the complete state as bytes: equal states give equal bytes."""
 
     def load(self, raw: bytes) -> None:
-        """Replace the state by what `dump` gave; by the initial state if empty."""
+        """Replace the state with a dump of `dump`, or with the initial state if `raw` is empty."""
--- a/laurelstep/consensus/snapshots.py
+++ b/laurelstep/consensus/snapshots.py
@@ -1,8 +1,10 @@
-"""Snapshots: what stands for the oldest entries of the log, and how it is transferred. Pure.
+"""Snapshots, which replace the oldest entries of the log, and their transfer. No I/O.
 
-1. A snapshot is the state machine as of a committed index, the index's term, and the voters as of it.
-2. It travels in chunks, each sent when the one before has arrived, from one sender at a time.
-3. It is used only when it is complete and its checksum holds; until then nothing is given up for it.
+1. A snapshot holds the state machine's state at a committed index, the term of that index, and the
+   configuration in effect at it.
+2. It is transferred in chunks by one sender at a time. Each chunk is sent after the previous one was
+   confirmed.
+3. It is installed only once it is complete and its checksum matches; until then the receiver keeps its state.
 """
 
 from __future__ import annotations
@@ -19,12 +21,12 @@
 
 __all__ = ["MAX_SNAPSHOT_BYTES", "Snapshot", "SnapshotAssembly"]
 
-# The longest snapshot that is taken in: the state of a thousand machines under maintenance is far below.
+# Longer snapshots are rejected. The state of a thousand machines under maintenance is far smaller.
 MAX_SNAPSHOT_BYTES: Final = 1 << 20
 
 
 class _Payload(msgspec.Struct, array_like=True):
-    """The encoded form: its field order may not change."""
+    """The encoded form of a snapshot. The field order may not change."""
 
     config_index: int
     config_term: int
@@ -37,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The state as of `index` (rule 1). `payload` holds the voters and the state machine's dump."""
+    """The state at `index` (rule 1). `payload` encodes the configuration and the state machine's dump."""
 
     epoch: ClusterEpoch
     index: int
@@ -49,23 +51,23 @@
     def create(
         cls, epoch: ClusterEpoch, index: int, term: int, config: ClusterConfig, dump: bytes
     ) -> Snapshot:
-        """Make a snapshot of a state machine's dump."""
+        """Create a snapshot from a state machine's dump."""
         payload = _Payload(config.index, config.term, sorted(config.members.items()), dump)
         return cls.from_payload(epoch, index, term, msgspec.msgpack.encode(payload))
 
     @classmethod
     def from_payload(cls, epoch: ClusterEpoch, index: int, term: int, payload: bytes) -> Snapshot:
-        """Make a snapshot of an encoded payload, which may have been received or stored."""
+        """Create a snapshot from an encoded payload that was received or stored."""
         return cls(epoch, index, term, payload, zlib.crc32(payload))
 
     def decode(self) -> tuple[ClusterConfig, bytes]:
-        """Return the voters and the state machine's dump. Raises msgspec.DecodeError."""
+        """Return the configuration and the state machine's dump. Raises msgspec.DecodeError."""
         payload = _payload_decoder.decode(self.payload)
         config = ClusterConfig(payload.config_index, payload.config_term, dict(payload.members))
         return config, payload.dump
 
     def chunk(self, recipient: int, term: int, offset: int, heartbeat_round: int) -> InstallSnapshotRequest:
-        """Return the message with the chunk at an offset, in bytes."""
+        """Return the message with the chunk that starts at an offset in bytes."""
         return InstallSnapshotRequest(
             self.epoch,
             recipient,
@@ -82,7 +84,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _SnapshotHeader:
-    """What all chunks of one snapshot have in common."""
+    """The fields that all chunks of one snapshot have in common."""
 
     epoch: ClusterEpoch
     index: int
@@ -91,7 +93,7 @@
     checksum: int
 
     @classmethod
-    def of(cls, message: InstallSnapshotRequest) -> _SnapshotHeader:
+    def from_chunk(cls, message: InstallSnapshotRequest) -> _SnapshotHeader:
         """Return the header of a chunk."""
         return cls(
             message.epoch,
@@ -103,17 +105,17 @@
 
 
 class SnapshotAssembly:
-    """Joins the chunks of one snapshot at a time."""
+    """Assembles one snapshot from its chunks. A chunk of another snapshot discards the earlier ones."""
 
     def __init__(self) -> None:
         self._header: _SnapshotHeader | None = None
         self._payload = bytearray()
 
     def add(self, message: InstallSnapshotRequest) -> int:
-        """Take a chunk, and return how many bytes are there: where the next chunk begins."""
+        """Add a chunk, and return the number of bytes received, which is the offset of the next chunk."""
         if message.total_bytes > MAX_SNAPSHOT_BYTES:
             return 0
-        header = _SnapshotHeader.of(message)
+        header = _SnapshotHeader.from_chunk(message)
         if header != self._header:
             self._header = header
             self._payload.clear()
@@ -123,7 +125,7 @@
         return len(self._payload)
 
     def take_complete(self) -> Snapshot | None:
-        """Return the snapshot, once; None while chunks are missing, or where the checksum does not hold."""
+        """Return the snapshot once; None while chunks are missing, or if the checksum does not match."""
         header = self._header
         if header is None or len(self._payload) < header.total_bytes:
             return None
--- a/laurelstep/consensus/state.py
+++ b/laurelstep/consensus/state.py
@@ -1,15 +1,15 @@
-"""The state of one replica, and the few steps that change it. Pure.
-
-1. `promised_epoch` is the epoch that this replica takes part in; it only grows, but for bootstrap.py, rule 7.
-   `log` may still be of an older one: until the first snapshot of the new epoch is complete here, nothing of
-   the old is given up.
-2. Frozen: an epoch was promised that is not known to have started. A frozen replica keeps its log as it is,
-   neither votes nor campaigns, and takes nothing from any older epoch.
-3. A vote is persisted before it is sent; it is for one incarnation, in one term of one epoch.
-4. Committed entries are applied in order, once; `applied_index` goes back only with a snapshot of a newer
-   epoch.
-5. The log is bounded: after `max_log_entries` applied entries a snapshot is made, and a quarter of them
-   stays.
+"""The state of one replica, and the operations that change it. No I/O.
+
+1. `promised_epoch` is the epoch that this replica takes part in. It only grows, except by rule 7 of
+   bootstrap.py. `log` may still belong to an older epoch: it is kept until the first snapshot of the new
+   epoch is complete.
+2. A replica is frozen while its promised epoch is not known to have started. A frozen replica leaves its log
+   unchanged, neither votes nor campaigns, and accepts nothing from older epochs.
+3. A vote is persisted before it is sent. It is given to one incarnation, in one term of one epoch.
+4. Committed entries are applied in order and once. `applied_index` decreases only when a snapshot of a newer
+   epoch is installed.
+5. The log is bounded: after `max_log_entries` applied entries a snapshot is taken, and only a quarter of them
+   is kept.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class ReplicaRole(StrEnum):
-    """What a replica does in its epoch. The values are shown to operators."""
+    """The role of a replica in its epoch. The values are shown to operators."""
 
     LEADER = "leader"
     CANDIDATE = "candidate"
@@ -45,11 +45,11 @@
 
 
 def _ignore_leader_message(peer: int, incarnation: int, data: bytes) -> None:
-    """Drop leader messages until somebody listens."""
+    """Drop a leader message: used until a callback is set."""
 
 
 class ReplicaState:
-    """The state that the parts of the core share. See the rules."""
+    """The state that the parts of the core share. See the rules of the module."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         timing: ConsensusTiming,
         rng: random.Random,
     ) -> None:
-        """The replicas with numbers below the identity's `voter_count` vote, the other ones learn."""
+        """Replicas whose id is below the identity's `voter_count` are voters, the others are learners."""
         self.replica_id = identity.replica_id
         self.peer_count = identity.peer_count
         self.voter_count = identity.voter_count
@@ -79,38 +79,43 @@
 
         self.role = ReplicaRole.FOLLOWER if self.is_voter else ReplicaRole.LEARNER
         self.leader_id: int | None = None
-        # When a leader of this epoch was heard from last, and until when a follower waits for one.
+        # When the last message of a leader of this epoch arrived.
         self.last_leader_contact_us = 0
+        # When a follower or candidate that has no leader starts an election.
         self.election_deadline_us = NEVER_US
-        # The log was read as of a time after this replica started (read_index.py).
+        # Whether all that was committed before this replica started is applied (read_index.py).
         self.is_caught_up = False
-        # A learner heard of a leader in an epoch that is not newer than its own: one of the two is over.
-        self.is_epoch_in_doubt = False
+        # Whether a learner heard of a leader in an epoch before its own, so that one of the two epochs has
+        # ended.
+        self.is_epoch_uncertain = False
         self.on_leader_message: Callable[[int, int, bytes], None] = _ignore_leader_message
 
         self.now_us = 0
         self.effects = StepEffects()
         self.counters: Counter[str] = Counter()
 
-    # Who this replica is
+    # Identity
 
     @property
     def is_voter(self) -> bool:
-        """Whether this replica may become a member that votes."""
+        """Whether this replica is a voter.
+
+        It votes only while the configuration has its incarnation as a member.
+        """
         return self.replica_id < self.voter_count
 
     @property
     def other_voters(self) -> list[int]:
-        """The numbers of the other voters."""
+        """The replica ids of the other voters."""
         return [voter_id for voter_id in range(self.voter_count) if voter_id != self.replica_id]
 
     @property
     def has_current_log(self) -> bool:
-        """Whether the log is of the epoch that this replica takes part in, and that epoch has started."""
+        """Whether the log belongs to the promised epoch, and that epoch has started."""
         return self.has_epoch_started and self.log.epoch == self.promised_epoch != NO_EPOCH
 
     def has_leader_contact(self, now_us: int) -> bool:
-        """Whether a leader that a majority follows was heard from lately."""
+        """Whether a leader with a majority was heard from recently."""
         if self.leader_id is None:
             return False
         timing = self.timing
@@ -120,7 +125,7 @@
     # Effects
 
     def send(self, peer: int, message: Message) -> None:
-        """Send a message once this step's records are durable."""
+        """Queue a message, to be sent once this step's records are durable."""
         self.effects.outgoing.append((peer, encode(message)))
 
     def _persist(self, key: bytes, record: HardState | ReplicaIdentity | LogBase | LogEntry) -> None:
@@ -132,7 +137,7 @@
         self._persist(stored_state.HARD_STATE_KEY, hard_state)
 
     def persist_identity(self) -> None:
-        """Persist whose records these are."""
+        """Persist the identity of the replica that the records belong to."""
         identity = ReplicaIdentity(self.replica_id, self.peer_count, self.voter_count, self.incarnation)
         self._persist(stored_state.IDENTITY_KEY, identity)
 
@@ -157,15 +162,15 @@
         for index in range(first, last + 1):
             self.effects.persist[stored_state.entry_key(index)] = None
 
-    # Epochs, terms, roles
+    # Epochs, terms and roles
 
     def reset_election_timer(self) -> None:
-        """Wait for a leader: between once and twice the election timeout."""
+        """Restart the election timer with a random duration of one to two election timeouts."""
         timeout_us = self.timing.election_timeout_us
         self.election_deadline_us = self.now_us + timeout_us + self.rng.randrange(timeout_us)
 
     def become_follower(self, leader_id: int | None) -> None:
-        """Follow a leader that was heard from, or wait for one."""
+        """Follow a leader that was heard from, or wait for one if `leader_id` is None."""
         self.role = ReplicaRole.FOLLOWER
         self.leader_id = leader_id
         if leader_id is not None:
@@ -173,7 +178,7 @@
         self.reset_election_timer()
 
     def enter_term(self, term: int) -> None:
-        """Enter a later term of this epoch."""
+        """Enter a later term of this epoch, without a vote or a leader."""
         self.term, self.voted_for = term, None
         self.persist_hard_state()
         self.become_follower(None)
@@ -191,17 +196,17 @@
         """Promise an epoch that is not known to have started (rule 2)."""
         self.promised_epoch, self.term, self.voted_for = epoch, 0, None
         self.has_epoch_started = False
-        self.is_caught_up = False  # with the new epoch: read_index.py, rule 3
+        self.is_caught_up = False  # must be reached again in the new epoch: read_index.py, rule 3
         self.frozen_at_us = self.now_us
         self.role = ReplicaRole.FROZEN
         self.leader_id = None
         self.election_deadline_us = NEVER_US
         self.persist_hard_state()
 
-    # The log
+    # Log
 
     def append_new(self, kind: EntryKind, data: bytes) -> int:
-        """Append an entry of this term, and return its index."""
+        """Append an entry with the current term, and return its index."""
         return self.append_entry(LogEntry(self.term, kind, data))
 
     def append_entry(self, entry: LogEntry) -> int:
@@ -216,7 +221,7 @@
         self.log.truncate_after(index)
 
     def commit_to(self, index: int) -> None:
-        """Apply what is committed, up to an index; compact where the log is too long."""
+        """Mark the entries up to an index committed and apply them; compact the log if it is too long."""
         index = min(index, self.log.last_index)
         if index <= self.committed_index:
             return
@@ -235,7 +240,7 @@
         self.effects.state_changed = True
 
     def compact(self) -> None:
-        """Make a snapshot of what is applied, and drop the entries that it stands for (rule 5)."""
+        """Take a snapshot of the applied state, and drop most of the entries that it covers (rule 5)."""
         term = self.log.term_at(self.applied_index)
         assert term is not None
         config = self.log.config_at(self.applied_index)
@@ -247,11 +252,11 @@
         self._persist_log_base()
 
     def install_snapshot(self, snapshot: Snapshot) -> None:
-        """Replace the state by a received snapshot. Raises msgspec.DecodeError, with nothing changed."""
+        """Replace the state with a received snapshot. Raises msgspec.DecodeError and then changes nothing."""
         epoch = snapshot.epoch
         config, dump = snapshot.decode()
         if epoch == self.log.epoch and self.log.term_at(snapshot.index) == snapshot.term:
-            # The entries after the snapshot's index are of the same log: they stay.
+            # The entries after the snapshot's index belong to the same log and are kept.
             old_base = self.log.base_index
             self.log.compact_to(snapshot.index)
             self._delete_entries(old_base + 1, self.log.base_index)
@@ -265,13 +270,16 @@
         self._persist_log_base()
 
     def discard_epoch(self) -> None:
-        """A learner's epoch is over, and the one that lives is not greater (learner.py, rule 6)."""
+        """Leave an ended epoch as a learner, although no greater epoch exists (learner.py, rule 6)."""
         self.log = ReplicatedLog()
         self.promised_epoch, self.is_caught_up = NO_EPOCH, False
         self.counters[ReplicaCounter.EPOCHS_DISCARDED] += 1
 
     def start_epoch(self, epoch: ClusterEpoch, members: Mapping[int, int]) -> None:
-        """Start a new epoch with the whole log, applied, as its first snapshot (bootstrap.py, rule 6)."""
+        """Start a new epoch.
+
+        Its first snapshot is the state with the complete log applied (bootstrap.py, rule 6).
+        """
         self.apply_to(self.log.last_index)
         index = self.applied_index
         config = ClusterConfig(index, 0, dict(members))
@@ -288,7 +296,10 @@
     # Stored state
 
     def restore(self, records: Mapping[bytes, bytes]) -> None:
-        """Continue from stored records, if there are any. Raises StoredStateError."""
+        """Continue from stored records, if there are any.
+
+        Raises StoredStateError if they are malformed or belong to another replica.
+        """
         identity = stored_state.read_record(records, stored_state.IDENTITY_KEY, ReplicaIdentity)
         if identity is None:
             return
@@ -315,7 +326,7 @@
             )
 
     def dump_records(self) -> dict[bytes, bytes]:
-        """Return all records that a successor of the same incarnation continues from."""
+        """Return all records, for a successor that continues as the same incarnation."""
         self.effects = StepEffects()
         self.persist_identity()
         self.persist_hard_state()
@@ -328,7 +339,7 @@
         return {key: value for key, value in self.effects.persist.items() if value is not None}
 
     def _snapshot_for_learner(self) -> None:
-        """A learner applies entries without a log: its snapshot stands for all of them."""
+        """Replace the log with a snapshot, since a learner applies entries without logging them."""
         index = self.applied_index
         self.log = ReplicatedLog(self.log.epoch, index, 0)
         self.snapshot = Snapshot.create(self.log.epoch, index, 0, self.log.config, self.state_machine.dump())
--- a/laurelstep/consensus/state_machines.py
+++ b/laurelstep/consensus/state_machines.py
@@ -1,9 +1,10 @@
-"""Several state machines on one replicated log. Pure.
+"""Combines several state machines on one replicated log. No I/O.
 
-1. An entry's first byte names its state machine; the rest is that machine's. Each sees the indexes of its own
-   entries alone.
-2. An entry for no state machine here is counted and has no effect. So a new one is used only once every
-   process of the tier has it; what a snapshot holds for one that is not here is passed on as it came.
+1. The first byte of an entry selects its state machine, which is given the rest. A state machine sees only
+   the indexes of its own entries.
+2. An entry for an unknown state machine is counted and has no effect. So a new state machine is used only
+   once every process of the tier has it. Dumps of unknown state machines in a snapshot are passed on
+   unchanged.
 """
 
 from __future__ import annotations
@@ -20,16 +21,16 @@
 
 
 class CompositeStateMachine:
-    """A state machine that consists of several. See the rules."""
+    """A state machine that consists of several others. See the rules of the module."""
 
     def __init__(self, machines: Mapping[int, StateMachine]) -> None:
-        """`machines` by their byte, 0 to 255."""
+        """`machines` are keyed by the first byte of their entries, 0 to 255."""
         self._machines = dict(machines)
         self._unknown_dumps: dict[int, bytes] = {}
         self.ignored_count = 0
 
     def apply(self, index: int, data: bytes) -> None:
-        """Apply an entry to the state machine that it names."""
+        """Apply an entry to the state machine that its first byte selects."""
         machine = self._machines.get(data[0]) if data else None
         if machine is None:
             self.ignored_count += 1
@@ -37,12 +38,12 @@
             machine.apply(index, data[1:])
 
     def dump(self) -> bytes:
-        """Return the state of all, with that of unknown ones."""
+        """Return the dumps of all state machines, including those of unknown ones, as bytes."""
         dumps = self._unknown_dumps | {key: machine.dump() for key, machine in self._machines.items()}
         return msgspec.msgpack.encode(dict(sorted(dumps.items())))
 
     def load(self, raw: bytes) -> None:
-        """Replace the state of all by what `dump` gave; by the initial one if empty."""
+        """Replace the state of all state machines with a dump; with the initial state if `raw` is empty."""
         dumps = _decoder.decode(raw) if raw else {}
         for key, machine in self._machines.items():
             machine.load(dumps.pop(key, b""))
--- a/laurelstep/consensus/step_runner.py
+++ b/laurelstep/consensus/step_runner.py
@@ -1,9 +1,10 @@
-"""Runs the steps of one core, one after the other, with their effects in order.
+"""Runs the steps of one core one at a time, and carries out their effects in order.
 
-1. A step's records are durable before its datagrams leave, before its change is reported, and before the next
-   step. Steps that come meanwhile are queued in their order, up to a bound; over it, a datagram or tick is
-   dropped and counted, and a caller gets BusyError.
-2. A store or a core that fails stops the runner, and the failure is reported. Once stopped, nothing is sent.
+1. The records of a step are durable before its datagrams are sent, its change is reported and the next step
+   runs. Meanwhile, further steps are queued in order, up to a limit. Beyond it, a datagram or tick is dropped
+   and counted, and a caller gets BusyError.
+2. If the store or the core fails, the failure is reported and the runner is stopped. A stopped runner sends
+   nothing.
 """
 
 from __future__ import annotations
@@ -22,9 +23,9 @@
 
 __all__ = ["MAX_QUEUED_STEPS", "MIN_TICK_DELAY_US", "Step", "StepRunner"]
 
-# Steps that are queued while the records of one are being made durable.
+# The maximum number of steps queued while the records of a step are being made durable.
 MAX_QUEUED_STEPS: Final = 256
-# A tick that is due at once runs no sooner than this: no core may occupy the event loop.
+# The minimum delay of a tick, so that a core that is always due can't occupy the event loop.
 MIN_TICK_DELAY_US: Final = 1_000
 
 Step = Callable[[int], StepEffects]
@@ -35,7 +36,7 @@
 
 
 class StepRunner:
-    """Joins one core to its link, store and clock, until it is stopped. See the rules."""
+    """Connects one core to its link, store and clock, until stopped. See the rules of the module."""
 
     def __init__(
         self,
@@ -48,9 +49,10 @@
         on_durable: Callable[[], None],
         on_failure: Callable[[BaseException], None],
     ) -> None:
-        """`counters` has `waited`, `dropped` and `refused`. `on_failure` has to stop the runner.
+        """`counters` must have the keys `waited`, `dropped` and `refused`.
 
-        `on_durable()` is called once a step's records are durable, before its datagrams leave.
+        `on_change()` is called after a step that changed the state, `on_durable()` once the records of a step
+        are durable, before its datagrams are sent. `on_failure(error)` must stop the runner.
         """
         self.core = core
         self.is_stopped = False
@@ -74,39 +76,43 @@
 
     def start(self) -> None:
         """Run the core's first step."""
-        self._enter(self.core.start)
+        self._run_or_queue(self.core.start)
 
     def receive(self, peer: int, data: bytes) -> None:
-        """Run the step of a datagram, in its turn, or drop it."""
-        self._enter(lambda now_us: self.core.receive(now_us, peer, data))
+        """Handle a datagram when its turn comes, or drop it if the queue is full."""
+        self._run_or_queue(lambda now_us: self.core.receive(now_us, peer, data))
 
-    def demand(self, step: Step) -> None:
-        """Run a caller's step: at once, with its errors to the caller; or in its turn. Raises BusyError."""
+    def submit(self, step: Step) -> None:
+        """Run a step for a caller.
+
+        It runs immediately, raising its errors, or is queued behind the step in progress. Raises BusyError if
+        the queue is full.
+        """
         if not self.is_busy:
             try:
                 self._run(step)
             finally:
                 self._run_queued()
         elif len(self._queue) >= MAX_QUEUED_STEPS:
-            raise BusyError(f"{MAX_QUEUED_STEPS} steps wait for the store")
+            raise BusyError(f"{MAX_QUEUED_STEPS} steps are queued")
         else:
             self._counters["waited"] += 1
             self._queue.append(step)
 
     def stop(self) -> None:
-        """Run no further step, and send nothing."""
+        """Stop permanently: run no further step, and send nothing."""
         self.is_stopped = True
         self._queue.clear()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _enter(self, step: Step) -> None:
-        """Run the link's or the clock's step, in its turn, or drop it."""
+    def _run_or_queue(self, step: Step) -> None:
+        """Run a step of the link or the clock, queue it, or drop it if the queue is full."""
         if self.is_stopped:
             return
         if not self.is_busy:
-            self._try(step)
+            self._run_unattended(step)
             self._run_queued()
         elif len(self._queue) >= MAX_QUEUED_STEPS:
             self._counters["dropped"] += 1
@@ -114,11 +120,11 @@
             self._counters["waited"] += 1
             self._queue.append(step)
 
-    def _try(self, step: Step) -> None:
+    def _run_unattended(self, step: Step) -> None:
         try:
             self._run(step)
         except ConsensusError:
-            # A queued request that is not possible any more: its caller retries.
+            # A queued proposal or message can't be carried out any longer. Its caller retries.
             self._counters["refused"] += 1
 
     def _run(self, step: Step) -> None:
@@ -128,7 +134,7 @@
             write = self._store.write(effects.persist) if effects.persist else None
         except ConsensusError:
             raise
-        except Exception as error:  # a fault here must not become one of requests
+        except Exception as error:  # a fault of consensus must not fail requests
             self._on_failure(error)
             return
         finally:
@@ -148,7 +154,7 @@
         self._run_queued()
 
     def _finish(self, effects: StepEffects, error: BaseException | None) -> None:
-        """Send and report, once the step's records are durable, or will never be."""
+        """Send the datagrams and report the change, or report the error of the write."""
         try:
             if error is not None:
                 raise error
@@ -163,17 +169,17 @@
             self._on_change()
 
     def _run_queued(self) -> None:
-        """Run what is queued, until there is something to write."""
+        """Run the queued steps until one of them has records to write."""
         while not self.is_stopped and self._queue and not self.is_busy:
-            self._try(self._queue.popleft())
+            self._run_unattended(self._queue.popleft())
         if not self.is_stopped and not self.is_busy:
-            self._arm_timer()
+            self._set_timer()
 
-    def _arm_timer(self) -> None:
+    def _set_timer(self) -> None:
         due_us = self.core.due_us
         if self._timer is not None:
             if self._timer_due_us <= due_us:
-                return  # `_tick` arms it again
+                return  # `_tick` sets it again
             self._timer.cancel()
         self._timer_due_us = max(due_us, self._clock.now() + MIN_TICK_DELAY_US)
         self._timer = self._clock.at(self._timer_due_us, self._tick)
@@ -183,6 +189,6 @@
         if self.is_stopped:
             return
         if self.core.due_us > self._clock.now():
-            self._arm_timer()  # the tick was postponed meanwhile
+            self._set_timer()  # the tick was postponed since the timer was set
         else:
-            self._enter(self.core.tick)
+            self._run_or_queue(self.core.tick)
--- a/laurelstep/consensus/stored_state.py
+++ b/laurelstep/consensus/stored_state.py
@@ -1,10 +1,11 @@
-"""The records of a voter that must survive a crash, as keys and bytes. Pure.
-
-1. `me` has whose records they are, `vote` the hard state, `base` the snapshot and where the log starts; `e`
-   and eight bytes are an entry's index. Keys and field order are the stored format: they may not change.
-2. Learners store nothing: each restarts as another incarnation, and learns.
-3. Records that can't be read, or are of another list of peers, are an error: no replica may continue from a
-   part of what it promised.
+"""The stored records of a voter, which must survive a crash: their keys and encoding. No I/O.
+
+1. Key `me` holds the identity of the replica, `vote` the hard state, `base` the snapshot and the start of the
+   log; `e` followed by eight bytes, the index, holds a log entry. Keys and field order are the stored format
+   and may not change.
+2. Learners store nothing: each restarts as another incarnation, and catches up from a voter.
+3. Records that can't be decoded, or that belong to another list of peers, are an error: a replica must not
+   continue with only a part of what it has promised.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 
 
 class ReplicaIdentity(msgspec.Struct, array_like=True):
-    """Whose records they are."""
+    """Identifies the replica that the records belong to."""
 
     replica_id: int
     peer_count: int
@@ -52,10 +53,10 @@
 
 
 class HardState(msgspec.Struct, array_like=True):
-    """What a voter has promised, and must remember (Raft, figure 2; etcd's HardState).
+    """The promises that a voter must not forget (Raft, figure 2; etcd's HardState).
 
-    The epoch, whether it is known to have started, the term in it, and the voter and incarnation that got the
-    vote.
+    `has_epoch_started`: whether `promised_epoch` is known to have started. `voted_for`: the voter id and the
+    incarnation that got this replica's vote in `term`, None if it has not voted.
     """
 
     promised_epoch: ClusterEpoch
@@ -65,7 +66,7 @@
 
 
 class LogBase(msgspec.Struct, array_like=True):
-    """Where the log starts, the configuration as of there, and the snapshot."""
+    """The start of the log, the configuration in effect there, and the snapshot."""
 
     epoch: ClusterEpoch
     base_index: int
@@ -79,28 +80,28 @@
 
 
 def encode_record(record: msgspec.Struct) -> bytes:
-    """Encode a record as it is stored."""
+    """Encode a record in its stored form."""
     return msgspec.msgpack.encode(record)
 
 
 def read_record(records: Mapping[bytes, bytes], key: bytes, record_type: type[_Record]) -> _Record | None:
-    """Return the record under a key, None if there is none. Raises StoredStateError."""
+    """Return the record under a key, None if there is none. Raises StoredStateError if it is malformed."""
     raw = records.get(key)
     if raw is None:
         return None
     try:
         return msgspec.msgpack.decode(raw, type=record_type)
     except msgspec.DecodeError as error:
-        raise StoredStateError(f"the record {key!r} is not readable: {error}") from None
+        raise StoredStateError(f"the record {key!r} can't be decoded: {error}") from None
 
 
 def entry_key(index: int) -> bytes:
-    """Return the key of an entry."""
+    """Return the key that the log entry at an index is stored under."""
     return _ENTRY_PREFIX + index.to_bytes(8, "big")
 
 
 def load_log(records: Mapping[bytes, bytes], base: LogBase) -> tuple[ReplicatedLog, Snapshot]:
-    """Return the log and the snapshot. Raises StoredStateError where an entry is missing."""
+    """Return the log and the snapshot. Raises StoredStateError if an entry is missing."""
     config = ClusterConfig(base.config_index, base.config_term, dict(base.members))
     log = ReplicatedLog(base.epoch, base.base_index, base.base_term, config)
     keys = sorted(key for key in records if key[:1] == _ENTRY_PREFIX and len(key) == _ENTRY_KEY_BYTES)
--- a/laurelstep/consensus/stores/__init__.py
+++ b/laurelstep/consensus/stores/__init__.py
@@ -1,3 +1,3 @@
-"""Stores: which records survive a crash. None, or those that the embedded store holds, on real files as on
-the simulated disk of `laurelstep.testing.disk`.
+"""Stores for the records of a replica: one that stores nothing, and one on the embedded store, which works on
+real files and on the simulated disk of `laurelstep.testing.disk`.
 """
--- a/laurelstep/consensus/stores/embedded.py
+++ b/laurelstep/consensus/stores/embedded.py
@@ -1,10 +1,9 @@
 """The records of a replica in the embedded store.
 
-1. The changes of one call are one batch of the store's, which is durable as a whole or not at all.
-2. One batch is in flight at a time. Calls that come meanwhile are joined, in their order, to one batch that
-   follows: what waits is never more than all the keys.
-3. After a failed batch nothing more is written until the store is opened anew: a later batch would leave a
-   gap.
+1. The changes of one call belong to one batch of the embedded store, which becomes durable atomically.
+2. One batch is in flight at a time. The changes of calls in the meantime are merged, in order, into the next
+   batch, so it never holds more than one change per key.
+3. After a failed batch nothing more is written until the store is reopened: a later batch would leave a gap.
 """
 
 from __future__ import annotations
@@ -20,7 +19,7 @@
 
 __all__ = ["MAX_BATCH_BYTES", "EmbeddedStore", "StateFaultError"]
 
-# A batch is never split: 16 MiB is the most that one of the store's frames may have.
+# A batch is never split across frames of the embedded store, which hold at most 16 MiB.
 MAX_BATCH_BYTES: Final = 8 << 20
 OPTIONS: Final = StoreOptions(
     batch_records=1 << 16,
@@ -32,7 +31,7 @@
 
 
 def _ignore_line(line: str) -> None:
-    """Drop a log line."""
+    """Drop a log line: used if no log is given."""
 
 
 def _size_bytes(changes: Mapping[bytes, bytes | None]) -> int:
@@ -40,16 +39,16 @@
 
 
 class StateFaultError(StoreError, StoreFaultError):
-    """The disk fails, or is full: nothing more is written until the store is opened anew."""
+    """The disk fails or is full. Nothing more is written until the store is reopened."""
 
-    cause: ClassVar[str] = (
-        "what this process promised the others could not be kept: the disk fails, or is full"
+    cause: ClassVar[str] = "the replicated state could not be written: the disk fails or is full"
+    remedy: ClassVar[str] = (
+        "free space on the disk or repair it; the folder is reopened automatically, at most 8 s later"
     )
-    remedy: ClassVar[str] = "free or mend the disk; the folder is opened again by itself, at most 8 s later"
 
 
 class EmbeddedStore:
-    """A `Store` on a folder, or on any `Disk`. Made by `open`."""
+    """A `Store` in a folder or on a `Disk`. Created by `open`."""
 
     is_durable = True
 
@@ -57,19 +56,19 @@
         self.store = store
         self.loop = asyncio.get_running_loop()
         self.failure: StoreError | None = None
-        # The batch that follows: its changes, an upper bound of its size, and the futures of its calls.
+        # The next batch: its changes, an upper bound of its size, and the futures of the calls in it.
         self._pending: dict[bytes, bytes | None] = {}
         self._pending_bytes = 0
         self._pending_writes: list[asyncio.Future[None]] = []
         self._writer: asyncio.Task[None] | None = None
 
     @classmethod
-    async def open(cls, place: str | Disk, log: Callable[[str], None] = _ignore_line) -> EmbeddedStore:
-        """Open a store.
+    async def open(cls, location: str | Disk, log: Callable[[str], None] = _ignore_line) -> EmbeddedStore:
+        """Open the store in a folder, given by its path, or on a disk.
 
-        Raises StoreError if it is in use, damaged or can't be read; StateFaultError if the disk fails.
+        Raises StoreError if it is in use, damaged or can't be read, or StateFaultError if the disk fails.
         """
-        disk: Disk = FolderDisk(Path(place)) if isinstance(place, str) else place
+        disk: Disk = FolderDisk(Path(location)) if isinstance(location, str) else location
         try:
             return cls(await Store.open(disk, OPTIONS, log))
         except StoreError as error:
@@ -78,7 +77,7 @@
             raise
 
     async def load(self) -> dict[bytes, bytes]:
-        """Return all records. Raises StoreError."""
+        """Return all records by key. Raises StoreError."""
         records = {}
         for key in list(self.store.index.locations):
             value = await self.store.get(key)
@@ -87,9 +86,12 @@
         return records
 
     def write(self, changes: Mapping[bytes, bytes | None]) -> asyncio.Future[None]:
-        """Write the changes as one batch. The future raises StoreError; StateFaultError if the disk fails."""
+        """Write the changes in one batch.
+
+        The future raises StoreError, or StateFaultError if the disk fails.
+        """
         done: asyncio.Future[None] = self.loop.create_future()
-        if self.failure is None and (problem := self._problem(changes)) is not None:
+        if self.failure is None and (problem := self._find_problem(changes)) is not None:
             self.failure = StoreError(problem)
         if self.failure is not None:
             done.set_exception(self.failure)
@@ -103,19 +105,19 @@
                 self._writer = self.loop.create_task(self._write_pending())
         return done
 
-    def _problem(self, changes: Mapping[bytes, bytes | None]) -> str | None:
-        """Return why the changes can't be written."""
+    def _find_problem(self, changes: Mapping[bytes, bytes | None]) -> str | None:
+        """Return why the changes can't be written, None if they can."""
         if self._pending_bytes + _size_bytes(changes) > MAX_BATCH_BYTES:
-            return f"over {MAX_BATCH_BYTES} bytes wait to be written"
+            return f"more than {MAX_BATCH_BYTES} bytes would wait to be written"
         if any(
             not 0 < len(key) <= MAX_KEY_BYTES or len(value or b"") > MAX_VALUE_BYTES
             for key, value in changes.items()
         ):
-            return f"a key of over {MAX_KEY_BYTES} bytes or a value of over {MAX_VALUE_BYTES}"
+            return f"a key is empty or over {MAX_KEY_BYTES} bytes, or a value is over {MAX_VALUE_BYTES} bytes"
         return None
 
     async def _write_pending(self) -> None:
-        """Write batch after batch until no call waits."""
+        """Write batches until no call is pending."""
         try:
             while self._pending_writes:
                 changes, writes = self._pending, self._pending_writes
@@ -131,7 +133,7 @@
         self, changes: Mapping[bytes, bytes | None], writes: list[asyncio.Future[None]]
     ) -> None:
         store = self.store
-        # All are put before the store's own task runs: it takes them as one batch.
+        # All puts are made before the writer task of the embedded store runs, so it writes them as one batch.
         puts = [
             store.delete(key) if value is None else store.put(key, value) for key, value in changes.items()
         ]
@@ -145,14 +147,14 @@
             self._clear_pending()
         for write in writes:
             if write.done():
-                continue  # cancelled
+                continue  # cancelled by its caller
             if self.failure is None:
                 write.set_result(None)
             else:
                 write.set_exception(self.failure)
 
     async def close(self) -> None:
-        """Write what waits, and close the store. May be called again."""
+        """Write the pending changes, and close the store. May be called more than once."""
         if self._writer is not None:
             await asyncio.wait((self._writer,))
         if self.failure is None:
--- a/laurelstep/consensus/stores/none.py
+++ b/laurelstep/consensus/stores/none.py
@@ -1,4 +1,4 @@
-"""No store: a process that crashes restarts with an empty state."""
+"""A store that stores nothing: after a crash, a process restarts with an empty state."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class NoStore:
-    """A `Store` that keeps nothing."""
+    """A `Store` that stores nothing."""
 
     is_durable = False
 
@@ -18,10 +18,10 @@
         return {}
 
     def write(self, changes: Mapping[bytes, bytes | None]) -> asyncio.Future[None]:
-        """Complete at once."""
+        """Discard the changes. The returned future is already complete."""
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         done.set_result(None)
         return done
 
     async def close(self) -> None:
-        """Do nothing."""
+        """Do nothing, as there is nothing to release."""
--- a/tests/test_consensus_daemon.py
+++ b/tests/test_consensus_daemon.py
@@ -179,7 +179,7 @@
             await one.until_ready()
             assert (await site.ask(request())).status == 200
             (line,) = (await one.stop()).decode().splitlines()
-            assert "accord: this process takes no part any more, requests go on" in line
+            assert "accord: this process no longer takes part, requests are still served" in line
             assert StoreError.remedy in line
 
     run(main())
--- a/tests/test_consensus_links.py
+++ b/tests/test_consensus_links.py
@@ -305,7 +305,7 @@
     first.send(1, b"not open")
     first.open(lambda *one: received.append(one))
     peer.open(lambda *one: received.append(one))
-    with pytest.raises(OSError, match="peer 0 is open"):
+    with pytest.raises(OSError, match="another link of peer 0 is open"):
         second.open(lambda *one: None)
     peer.send(0, b"under way")
     first.close()
@@ -363,7 +363,7 @@
 
     everybody = all_send()
     assert len(everybody) == 20
-    faults.cut = {(0, 1)}
+    faults.cut_routes = {(0, 1)}
     assert everybody - all_send() == {(0, 1)}
     faults.heal()
     faults.partition((0, 1), (2, 3, 4))
--- a/tests/test_consensus_node.py
+++ b/tests/test_consensus_node.py
@@ -200,11 +200,11 @@
 def test_callers_get_the_errors_of_their_steps() -> None:
     async def main() -> None:
         harness = NodeHarness()
-        with pytest.raises(NotLeaderError, match="no process leads"):
+        with pytest.raises(NotLeaderError, match="no leader is known"):
             harness.node.propose(b"x")
         harness.node.send_to_leader(b"nobody takes part: it is lost")
         await harness.node.start()
-        with pytest.raises(NotLeaderError, match="peer 2 leads"):
+        with pytest.raises(NotLeaderError, match="peer 2 is the leader"):
             harness.node.propose(b"x")
         harness.core.role = ReplicaRole.LEADER
         assert harness.node.is_leader and harness.node.leader_id == 2
--- a/tests/test_consensus_schedules.py
+++ b/tests/test_consensus_schedules.py
@@ -139,8 +139,8 @@
 class CaughtUpAtOnce(ReadIndexTracker):
     """A process takes the first that it hears for the record as it is."""
 
-    def settle(self) -> None:
-        super().settle()
+    def advance(self) -> None:
+        super().advance()
         self._state.is_caught_up |= self._state.applied_index > 0
 
 
--- a/tests/test_consensus_sockets.py
+++ b/tests/test_consensus_sockets.py
@@ -98,7 +98,7 @@
         leader = next(node for node in tier.nodes.values() if node.is_leader)
         leader.propose(b"one it can't keep")
         await tier.wait_until(lambda: tier.nodes[2].stage is NodeStage.FAILED)
-        assert sum("takes no part any more" in line for line in tier.log_lines) == 1
+        assert sum("no longer takes part" in line for line in tier.log_lines) == 1
         assert not tier.nodes[2].is_caught_up and tier.nodes[2].status()["failure"]
         await tier.stop(2)
         await tier.replicate(b"after")
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -696,7 +696,7 @@
         await world.wait(MAX_REOPEN_DELAY_US)
         assert node.is_running and node.status()["stage"] == "takes part" and not node.failure
         assert bench.core.records[b"vote"] in (b"1", b"2"), "what was acknowledged is still owed"
-        assert bench.log_lines[1:] == ["accord: the disk writes again: this process takes part"]
+        assert bench.log_lines[1:] == ["accord: the disk accepts writes again; this process takes part"]
         await node.close()
 
     run(main())
