--- a/laurelstep/consensus/core.py
+++ b/laurelstep/consensus/core.py
@@ -205,7 +205,7 @@
         self._state.on_leader_message = callback
 
     def has_leader_contact(self, now_us: int) -> bool:
-        """Whether this replica heard recently from a leader with a majority. False once retired."""
+        """Whether this replica heard recently from a leader that a majority follows. False once retired."""
         return not self._is_retired and self._state.has_leader_contact(now_us)
 
     # Steps
--- a/laurelstep/consensus/multiplexer.py
+++ b/laurelstep/consensus/multiplexer.py
@@ -40,7 +40,7 @@
 
     @property
     def has_leader_contact(self) -> bool:
-        """Whether a leader with a majority was heard from recently."""
+        """Whether a leader that a majority follows was heard from recently."""
 
     def propose(self, data: bytes) -> None:
         """Append an entry, as the leader. Raises NotLeaderError, BusyError."""
@@ -117,7 +117,7 @@
 
     @property
     def has_leader_contact(self) -> bool:
-        """Whether a leader with a majority was heard from recently."""
+        """Whether a leader that a majority follows was heard from recently."""
         return self._node.has_leader_contact
 
     def propose(self, data: bytes) -> None:
--- a/laurelstep/consensus/node.py
+++ b/laurelstep/consensus/node.py
@@ -158,7 +158,7 @@
 
     @property
     def has_leader_contact(self) -> bool:
-        """Whether this process has heard recently from a leader with a majority."""
+        """Whether this process has heard recently from a leader that a majority follows."""
         return self.core is not None and self.core.has_leader_contact(self.clock.now())
 
     def propose(self, data: bytes) -> None:
--- a/laurelstep/consensus/state.py
+++ b/laurelstep/consensus/state.py
@@ -115,7 +115,7 @@
         return self.has_epoch_started and self.log.epoch == self.promised_epoch != NO_EPOCH
 
     def has_leader_contact(self, now_us: int) -> bool:
-        """Whether a leader with a majority was heard from recently."""
+        """Whether a leader that a majority follows was heard from recently."""
         if self.leader_id is None:
             return False
         timing = self.timing
--- a/tests/consensus_nodes.py
+++ b/tests/consensus_nodes.py
@@ -1,4 +1,4 @@
-"""A node whose core, store and clock do what a test says, and its peers in memory."""
+"""A node whose core, store and clock are controlled by the test, with in-memory links to its peers."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 def ignore_leader_message(peer: int, incarnation: int, data: bytes) -> None:
-    """Nobody listens to leader messages yet."""
+    """Drop a leader message: the default callback."""
 
 
 class RecordingStateMachine:
-    """A state machine that remembers what it applied and loaded."""
+    """A state machine that records the entries it applied and the dumps it loaded."""
 
     def __init__(self) -> None:
         self.applied: list[bytes] = []
@@ -41,7 +41,7 @@
 
 
 class ScriptedCore(ConsensusCore):
-    """Does what a test says: `answers` are the effects of the steps to come, by their names."""
+    """A core without logic. `answers` holds the effects or the error of its steps, by step name."""
 
     role = ReplicaRole.FOLLOWER
     leader_id = 2
@@ -59,18 +59,18 @@
         self.records = dict(records) or {b"i": incarnation.to_bytes(8)}
         self.steps: list[tuple[Any, ...]] = []
         self.answers: dict[str, StepEffects | Exception] = {}
-        self.retired = False
+        self.is_retired = False
 
     def _step(self, *step: Any) -> StepEffects:
         self.steps.append(step)
-        answer = self.answers.get(step[0], StepEffects())
-        if isinstance(answer, Exception):
-            raise answer
-        self.records.update({key: value for key, value in answer.persist.items() if value is not None})
-        return answer
+        effects = self.answers.get(step[0], StepEffects())
+        if isinstance(effects, Exception):
+            raise effects
+        self.records.update({key: value for key, value in effects.persist.items() if value is not None})
+        return effects
 
     def start(self, now_us: int) -> StepEffects:
-        # As a core must that has a durable store: who it is comes before anything it sends.
+        # Like a real core with a durable store, persist the identity before sending anything.
         return StepEffects(persist=dict(self.records), outgoing=[(1, b"hello")])
 
     def receive(self, now_us: int, peer: int, raw: bytes) -> StepEffects:
@@ -90,29 +90,29 @@
         return True
 
     def retire(self) -> dict[bytes, bytes]:
-        self.retired = True
+        self.is_retired = True
         return dict(self.records)
 
 
 class ControlledStore:
-    """A durable one whose writes end when a test says."""
+    """A durable store whose writes complete when the test calls `finish_write`."""
 
     is_durable = True
 
-    def __init__(self, found: dict[bytes, bytes] | None = None) -> None:
-        self.found = found or {}
+    def __init__(self, records: dict[bytes, bytes] | None = None) -> None:
+        self.records = records or {}
         self.writes: list[tuple[Mapping[bytes, bytes | None], asyncio.Future[None]]] = []
-        self.closed = False
+        self.is_closed = False
 
     async def load(self) -> dict[bytes, bytes]:
-        return dict(self.found)
+        return dict(self.records)
 
     def write(self, changes: Mapping[bytes, bytes | None]) -> asyncio.Future[None]:
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.writes.append((dict(changes), done))
         return done
 
-    async def end(self, error: Exception | None = None) -> None:
+    async def finish_write(self, error: Exception | None = None) -> None:
         _, done = self.writes.pop(0)
         if error is None:
             done.set_result(None)
@@ -121,17 +121,17 @@
         await run_ready_callbacks()
 
     async def close(self) -> None:
-        self.closed = True
+        self.is_closed = True
 
 
 async def run_ready_callbacks() -> None:
-    """What is ready on the loop has run."""
+    """Let the event loop run the callbacks that are ready, and those that they schedule."""
     for _ in range(3):
         await asyncio.sleep(0)
 
 
 class NodeHarness:
-    """One node as peer 0 of three; peers 1 and 2 are links of the test's own."""
+    """One node as peer 0 of three. Peers 1 and 2 are plain links, whose datagrams are recorded."""
 
     def __init__(self, store: Store | None = None) -> None:
         self.clock = ManualClock()
@@ -144,7 +144,7 @@
         self.change_count = 0
         self.peers = [self.network.link(n) for n in (1, 2)]
         for peer in self.peers:
-            peer.open(lambda number, data, me=peer.replica_id: self.received.append((me, data)))  # type: ignore[misc]
+            peer.open(lambda sender, data, receiver=peer.replica_id: self.received.append((receiver, data)))  # type: ignore[misc]
         self.node = self.make_node()
 
     def make_node(self, link: Callable[[], Link] | None = None) -> ConsensusNode:
@@ -172,15 +172,16 @@
         return self.cores[-1]
 
     def take_delivered(self) -> list[tuple[int, bytes]]:
-        """What has come to the peers by now."""
+        """Deliver all datagrams in flight, and return those that the peers received since the last call."""
         self.clock.advance(LATENCY_US)
-        found, self.received = self.received, []
-        return found
+        received, self.received = self.received, []
+        return received
 
     def receive(self, data: bytes, peer: int = 1) -> None:
-        """A datagram of a peer's, at once."""
+        """Deliver a datagram from a peer to the node immediately."""
         assert self.node.link is not None
         self.network.deliver(peer, 0, data)
 
 
+# Effects of a step that sends a datagram and changes the state.
 SEND_AND_NOTIFY = StepEffects(outgoing=[(1, b"said")], state_changed=True)
--- a/tests/consensus_tiers.py
+++ b/tests/consensus_tiers.py
@@ -1,4 +1,4 @@
-"""Tiers of nodes over real sockets, with the real core."""
+"""A tier of nodes with the real core, connected by real sockets."""
 
 from __future__ import annotations
 
@@ -16,48 +16,55 @@
 from tests.datagrams import free_udp_ports
 from tests.sockets import TEST_TIMEOUT_S
 
-FAST = {"heartbeat_us": 20_000, "election_us": 100_000}
+FAST_TIMING = {"heartbeat_us": 20_000, "election_us": 100_000}
 
 
 class Tier:
-    """Nodes of one tier in this process, each on sockets of its own."""
+    """The nodes of one tier in the test process, each with sockets of its own."""
 
-    def __init__(self, count: int, seats: int, folder: Path | None = None, unix: bool = False) -> None:
+    def __init__(
+        self, peer_count: int, voter_count: int, folder: Path | None = None, uses_unix_sockets: bool = False
+    ) -> None:
         self.loop = asyncio.get_running_loop()
-        assert folder is not None or not unix
+        assert folder is not None or not uses_unix_sockets
         self.peers = tuple(
-            str(folder / f"peer-{n}") if unix and folder is not None else f"127.0.0.1:{port}"
-            for n, port in enumerate(free_udp_ports(count))
+            str(folder / f"peer-{number}")
+            if uses_unix_sockets and folder is not None
+            else f"127.0.0.1:{port}"
+            for number, port in enumerate(free_udp_ports(peer_count))
         )
         self.folder = folder
-        self.seats = seats
-        self.unix = unix
+        self.voter_count = voter_count
+        self.uses_unix_sockets = uses_unix_sockets
         self.log_lines: list[str] = []
         self.nodes: dict[int, ConsensusNode] = {}
         self.state_machines: dict[int, RecordingStateMachine] = {}
         self.changed = asyncio.Event()
 
-    async def start(self, me: int, durable: bool = False) -> ConsensusNode:
+    async def start(self, replica_id: int, durable: bool = False) -> ConsensusNode:
         settings = ConsensusSettings(
             self.peers,
-            self.peers[me],
-            me,
-            "unix" if self.unix else "udp",
-            self.seats,
-            str(self.folder / f"store-{me}") if durable and self.folder is not None else "",
-            **FAST,
+            self.peers[replica_id],
+            replica_id,
+            "unix" if self.uses_unix_sockets else "udp",
+            self.voter_count,
+            str(self.folder / f"store-{replica_id}") if durable and self.folder is not None else "",
+            **FAST_TIMING,
         )
-        record = RecordingStateMachine()
-        node = build_node(settings, record, self.loop, LoopClock(self.loop), self.log_lines.append)
+        state_machine = RecordingStateMachine()
+        node = build_node(settings, state_machine, self.loop, LoopClock(self.loop), self.log_lines.append)
         node.on_change = self.changed.set
-        self.nodes[me], self.state_machines[me] = node, record
+        self.nodes[replica_id], self.state_machines[replica_id] = node, state_machine
         await node.start()
         return node
 
-    async def wait_until(self, done: Callable[[], bool]) -> None:
-        """Looks after each change, and now and then: not all is notified."""
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
+        """Wait for a condition.
+
+        Checked after each change, and periodically as not every change is notified.
+        """
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            while not done():
+            while not condition():
                 self.changed.clear()
                 try:
                     await asyncio.wait_for(self.changed.wait(), 0.02)
@@ -65,19 +72,19 @@
                     continue
 
     async def wait_for_leader(self) -> ConsensusNode:
-        """Who leads, once all know the record."""
+        """Wait until all nodes are caught up and one leads, and return the leader."""
         await self.wait_until(
-            lambda: all(one.is_caught_up for one in self.nodes.values()) and self._leader() is not None
+            lambda: all(node.is_caught_up for node in self.nodes.values()) and self._find_leader() is not None
         )
-        found = self._leader()
-        assert found is not None
-        return found
+        leader = self._find_leader()
+        assert leader is not None
+        return leader
 
-    def _leader(self) -> ConsensusNode | None:
-        return next((one for one in self.nodes.values() if one.is_leader), None)
+    def _find_leader(self) -> ConsensusNode | None:
+        return next((node for node in self.nodes.values() if node.is_leader), None)
 
     async def replicate(self, data: bytes) -> None:
-        """The entry is applied by all that take part."""
+        """Propose an entry, and wait until all nodes have applied it."""
         while True:
             node = await self.wait_for_leader()
             try:
@@ -85,9 +92,11 @@
                 break
             except (BusyError, NotLeaderError):
                 continue
-        await self.wait_until(lambda: all(data in self.state_machines[me].applied for me in self.nodes))
+        await self.wait_until(
+            lambda: all(data in self.state_machines[replica_id].applied for replica_id in self.nodes)
+        )
 
-    async def stop(self, *numbers: int) -> None:
-        for me in numbers or tuple(self.nodes):
-            await self.nodes.pop(me).close()
-            del self.state_machines[me]
+    async def stop(self, *replica_ids: int) -> None:
+        for replica_id in replica_ids or tuple(self.nodes):
+            await self.nodes.pop(replica_id).close()
+            del self.state_machines[replica_id]
--- a/tests/datagrams.py
+++ b/tests/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams that a link received, and free ports to receive at."""
+"""A recorder of the datagrams that a link receives, and free UDP ports."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 class ReceivedDatagrams:
-    """What a link received, and an end of waiting for it."""
+    """A receive callback that records the datagrams of a link, and lets a test wait for them."""
 
     def __init__(self) -> None:
         self.all: list[tuple[int, bytes]] = []
-        self.came = asyncio.Event()
+        self.arrived = asyncio.Event()
 
     def __call__(self, peer: int, data: bytes) -> None:
         self.all.append((peer, data))
-        self.came.set()
+        self.arrived.set()
 
-    async def until(self, done: Callable[[], bool]) -> None:
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            while not done():
-                self.came.clear()
-                await self.came.wait()
+            while not condition():
+                self.arrived.clear()
+                await self.arrived.wait()
 
 
 def free_udp_ports(count: int) -> list[int]:
-    """UDP ports that nobody has now."""
+    """Return UDP ports that are not in use."""
     return [free_udp_port() for _ in range(count)]
--- a/tests/once.py
+++ b/tests/once.py
@@ -1,9 +1,9 @@
-"""The mark of test files whose modules are none of those that are compiled: played a second time on the
-compiled package they would prove the same.
+"""The mark for test files that use no compiled module. They run only with the plain build, because running
+them again with the compiled package would test the same code.
 
     pytestmark = once
 
-tests/test_compiled.py holds each such file to that."""
+tests/test_compiled.py checks that each file with this mark uses no compiled module."""
 
 from __future__ import annotations
 
@@ -16,7 +16,9 @@
 once = pytest.mark.skipif(COMPILED, reason="uses nothing that is compiled")
 
 
-def schedule_count(plain: int) -> int:
-    """Of schedules whose rules are all plain and that only name endpoints by what is compiled: a tenth of
-    them shows there that the names are the same."""
-    return plain // 10 if COMPILED else plain
+def schedule_count(plain_build_count: int) -> int:
+    """Return how many schedules to run: all with the plain build, a tenth with the compiled one.
+
+    For tests whose only use of compiled code is to compute names of endpoints. A tenth of the schedules is
+    enough to show that the compiled code computes the same names."""
+    return plain_build_count // 10 if COMPILED else plain_build_count
--- a/tests/test_consensus_encoding.py
+++ b/tests/test_consensus_encoding.py
@@ -1,7 +1,7 @@
-"""The encoded forms of consensus stay as other processes and stores of earlier versions have them.
+"""Messages, stored records and snapshots of consensus are encoded exactly as by earlier versions.
 
-The bytes were recorded before the package and its types were renamed. A mixed tier runs during an upgrade,
-and a store outlives its process: a change here breaks both.
+The expected bytes were recorded from an earlier version. During an upgrade a tier runs mixed versions, and a
+store is read by later versions: a changed encoding would break both.
 """
 
 from __future__ import annotations
@@ -63,14 +63,14 @@
 SNAPSHOT_BYTES = "9408039292000b9202cf8000000000000000c40464756d70"
 
 
-@pytest.mark.parametrize(("message", "encoded"), MESSAGES, ids=[type(one[0]).__name__ for one in MESSAGES])
+@pytest.mark.parametrize(("message", "encoded"), MESSAGES, ids=[type(case[0]).__name__ for case in MESSAGES])
 def test_a_message_is_encoded_as_by_earlier_versions(message: m.Message, encoded: str) -> None:
     raw = bytes.fromhex(encoded)
     assert m.encode(message) == raw
     assert m.decode(raw) == message
 
 
-def test_there_is_a_recorded_form_of_each_message() -> None:
+def test_each_message_type_has_a_recorded_encoding() -> None:
     assert {type(message) for message, _ in MESSAGES} == set(m.Message.__args__)
 
 
@@ -111,20 +111,20 @@
     assert decode_members(raw) == MEMBERS
 
 
-def test_leases_and_the_machines_that_hold_them_are_encoded_as_by_earlier_versions() -> None:
+def test_leases_and_composite_state_machines_are_encoded_as_by_earlier_versions() -> None:
     holder = LeaseTable(1, 0.01, 1_000_000, random.Random(1))
     leader = LeaseTable(0, 0.01, 1_000_000, random.Random(2))
     leader.observe(0, NEWER)
-    asked = holder.request(0, 7, "name", 500_000)
+    request = holder.request(0, 7, "name", 500_000)
     grant = bytes.fromhex("9701a46e616d65000107cf91b7584a2265b1f5ce0007a120")
-    assert asked == grant
-    assert leader.entry_for(2_000_000, NEWER, 1, 7, asked) == grant
+    assert request == grant
+    assert leader.entry_for(2_000_000, NEWER, 1, 7, request) == grant
     for leases in (holder, leader):
         leases.apply(12, grant)
-    renewal = leader.entry_for(2_000_001, NEWER, 1, 7, asked)
+    renewal = leader.entry_for(2_000_001, NEWER, 1, 7, request)
     assert renewal == bytes.fromhex("9701a46e616d650c0107cf91b7584a2265b1f5ce0007a120")
     dump = "81a46e616d65920c9701a46e616d65000107cf91b7584a2265b1f5ce0007a120"
     assert holder.dump().hex() == dump
-    machines = CompositeStateMachine({7: holder, 1: leader})
-    assert machines.dump().hex() == f"8201c420{dump}07c420{dump}"
+    composite = CompositeStateMachine({7: holder, 1: leader})
+    assert composite.dump().hex() == f"8201c420{dump}07c420{dump}"
     assert holder.release("name") == bytes.fromhex("9302a46e616d650c")
--- a/tests/test_consensus_leases.py
+++ b/tests/test_consensus_leases.py
@@ -1,4 +1,4 @@
-"""Leases, and several state machines on one log."""
+"""Leases, and several state machines on one replicated log."""
 
 from __future__ import annotations
 
@@ -16,91 +16,103 @@
 pytestmark = once
 
 
-def test_an_entry_of_an_unknown_state_machine_is_counted_and_its_dump_passed_on() -> None:
+def test_an_entry_for_an_unknown_state_machine_is_counted_and_its_dump_is_kept() -> None:
     first, second = RecordingStateMachine(), RecordingStateMachine()
-    both, one = (
+    complete, partial = (
         CompositeStateMachine({0: first, 7: second}),
         CompositeStateMachine({0: RecordingStateMachine()}),
     )
-    both.apply(1, b"\0a")
-    both.apply(2, b"\7b")
-    one.load(both.dump())
-    one.apply(3, b"\7c")
-    one.apply(4, b"")
-    assert one.ignored_count == 2
-    assert one.dump() == both.dump()
-    both.load(b"")
+    complete.apply(1, b"\0a")
+    complete.apply(2, b"\7b")
+    partial.load(complete.dump())
+    partial.apply(3, b"\7c")
+    partial.apply(4, b"")
+    assert partial.ignored_count == 2
+    assert partial.dump() == complete.dump()
+    complete.load(b"")
     assert first.applied == second.applied == []
 
 
 EPOCH = ClusterEpoch(1, 1)
-LEASE = 1_000_000
+LEASE_US = 1_000_000
 
 
-def leases(me: int) -> LeaseTable:
-    return LeaseTable(me, 0.01, LEASE, random.Random(me))
+def new_lease_table(replica_id: int) -> LeaseTable:
+    return LeaseTable(replica_id, 0.01, LEASE_US, random.Random(replica_id))
 
 
-def granted(at: int, by: LeaseTable, to: LeaseTable, now: int, index: int, among: list[LeaseTable]) -> bool:
-    """`to`, peer `at`, asks `by` at that time, and all learn what was granted."""
-    entry = by.entry_for(now, EPOCH, at, 7, to.request(now, 7, "name", LEASE))
+def request_lease(
+    requester_id: int,
+    leader: LeaseTable,
+    requester: LeaseTable,
+    now_us: int,
+    index: int,
+    tables: list[LeaseTable],
+) -> bool:
+    """Peer `requester_id` requests the lease, and all tables apply the grant.
+
+    Returns whether it was granted.
+    """
+    entry = leader.entry_for(now_us, EPOCH, requester_id, 7, requester.request(now_us, 7, "name", LEASE_US))
     if entry is None:
         return False
-    for one in among:
-        one.apply(index, entry)
-        one.observe(now, EPOCH)
+    for table in tables:
+        table.apply(index, entry)
+        table.observe(now_us, EPOCH)
     return True
 
 
 def test_a_lease_is_held_by_one_process_renewed_released_and_not_granted_early() -> None:
-    leader, a, b = three = [leases(0), leases(1), leases(2)]
+    leader, process_1, process_2 = tables = [new_lease_table(0), new_lease_table(1), new_lease_table(2)]
     leader.observe(0, EPOCH)
-    wait = 1_010_001
-    # An epoch that began may have lost grants: none for the longest lease.
-    assert not granted(1, leader, a, wait - 1, 1, three)
-    assert granted(1, leader, a, wait, 1, three)
-    assert a.holds(wait + 989_999, "name") and not a.holds(wait + 990_000, "name")
-    assert not b.holds(wait, "name")
-    assert not granted(2, leader, b, wait + 1_000_000, 2, three)
-    assert granted(1, leader, a, wait + 500_000, 3, three)
-    assert a.holds(wait + 1_489_999, "name")
-    assert not granted(2, leader, b, wait + 1_510_000, 4, three)
-    assert granted(2, leader, b, wait + 1_510_001, 5, three)
-    assert b.holds(wait + 1_510_001, "name")
-    message = b.release("name")
-    assert message is not None and not b.holds(wait + 1_510_002, "name")
-    assert leader.entry_for(wait + 1_510_003, EPOCH, 1, 7, message) is None
-    assert leader.entry_for(wait + 1_510_003, EPOCH, 2, 7, message) == message
-    for one in three:
-        one.apply(6, message)
-    assert granted(1, leader, a, wait + 1_510_004, 7, three)
-
-
-def test_of_two_grants_that_follow_the_same_lease_one_holds() -> None:
-    leader, a, b = three = [leases(0), leases(1), leases(2)]
+    grants_allowed_us = 1_010_001
+    # A new epoch may lack committed grants, so nothing is granted for the longest possible lease.
+    assert not request_lease(1, leader, process_1, grants_allowed_us - 1, 1, tables)
+    assert request_lease(1, leader, process_1, grants_allowed_us, 1, tables)
+    assert process_1.holds(grants_allowed_us + 989_999, "name") and not process_1.holds(
+        grants_allowed_us + 990_000, "name"
+    )
+    assert not process_2.holds(grants_allowed_us, "name")
+    assert not request_lease(2, leader, process_2, grants_allowed_us + 1_000_000, 2, tables)
+    assert request_lease(1, leader, process_1, grants_allowed_us + 500_000, 3, tables)
+    assert process_1.holds(grants_allowed_us + 1_489_999, "name")
+    assert not request_lease(2, leader, process_2, grants_allowed_us + 1_510_000, 4, tables)
+    assert request_lease(2, leader, process_2, grants_allowed_us + 1_510_001, 5, tables)
+    assert process_2.holds(grants_allowed_us + 1_510_001, "name")
+    message = process_2.release("name")
+    assert message is not None and not process_2.holds(grants_allowed_us + 1_510_002, "name")
+    assert leader.entry_for(grants_allowed_us + 1_510_003, EPOCH, 1, 7, message) is None
+    assert leader.entry_for(grants_allowed_us + 1_510_003, EPOCH, 2, 7, message) == message
+    for table in tables:
+        table.apply(6, message)
+    assert request_lease(1, leader, process_1, grants_allowed_us + 1_510_004, 7, tables)
+
+
+def test_of_two_grants_that_follow_the_same_lease_only_one_takes_effect() -> None:
+    leader, process_1, process_2 = tables = [new_lease_table(0), new_lease_table(1), new_lease_table(2)]
     leader.observe(0, EPOCH)
-    now = 2 * LEASE
-    first = leader.entry_for(now, EPOCH, 1, 7, a.request(now, 7, "name", LEASE))
-    second = leader.entry_for(now, EPOCH, 2, 7, b.request(now, 7, "name", LEASE))
+    now_us = 2 * LEASE_US
+    first = leader.entry_for(now_us, EPOCH, 1, 7, process_1.request(now_us, 7, "name", LEASE_US))
+    second = leader.entry_for(now_us, EPOCH, 2, 7, process_2.request(now_us, 7, "name", LEASE_US))
     assert first is not None and second is not None
-    for one in three:
-        one.apply(1, second)
-        one.apply(2, first)
-    assert b.holds(now, "name") and not a.holds(now, "name")
-    assert a.ignored_count == 1
-    assert a.dump() == b.dump()
+    for table in tables:
+        table.apply(1, second)
+        table.apply(2, first)
+    assert process_2.holds(now_us, "name") and not process_1.holds(now_us, "name")
+    assert process_1.ignored_count == 1
+    assert process_1.dump() == process_2.dump()
 
 
-def test_a_lease_can_not_be_requested_for_another_process_or_malformed() -> None:
-    leader, a = leases(0), leases(1)
+def test_a_lease_request_for_another_process_or_a_malformed_one_is_ignored() -> None:
+    leader, process_1 = new_lease_table(0), new_lease_table(1)
     leader.observe(0, EPOCH)
-    now = 2 * LEASE
-    assert leader.entry_for(now, EPOCH, 2, 7, a.request(now, 7, "name", LEASE)) is None
-    assert leader.entry_for(now, EPOCH, 1, 8, a.request(now, 7, "name", LEASE)) is None
-    assert leader.entry_for(now, EPOCH, 1, 7, b"\xc1") is None
-    for name, lease_us in (("", LEASE), ("n" * 65, LEASE), ("name", 0), ("name", LEASE + 1)):
+    now_us = 2 * LEASE_US
+    assert leader.entry_for(now_us, EPOCH, 2, 7, process_1.request(now_us, 7, "name", LEASE_US)) is None
+    assert leader.entry_for(now_us, EPOCH, 1, 8, process_1.request(now_us, 7, "name", LEASE_US)) is None
+    assert leader.entry_for(now_us, EPOCH, 1, 7, b"\xc1") is None
+    for name, lease_us in (("", LEASE_US), ("n" * 65, LEASE_US), ("name", 0), ("name", LEASE_US + 1)):
         with pytest.raises(EntryError):
-            a.request(now, 7, name, lease_us)
+            process_1.request(now_us, 7, name, lease_us)
     for raw in (b"", b"\xc1", b"\x93\x02\xa4name\x05"):
         leader.apply(1, raw)
-    assert leader.dump() == leases(0).dump()
+    assert leader.dump() == new_lease_table(0).dump()
--- a/tests/test_consensus_log.py
+++ b/tests/test_consensus_log.py
@@ -1,4 +1,4 @@
-"""The log, snapshots in chunks, and stored records."""
+"""The replicated log, snapshot transfer in chunks, and stored records."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 from laurelstep.testing.schedules.script import QUICK_TIMING
 
 from tests.consensus_worlds import (
+    bootstrapped_world,
     core_of,
-    founded_world,
-    wait_for_settled_leader,
+    wait_for_ready_leader,
 )
 from tests.once import once
 
@@ -32,10 +32,11 @@
 @settings(deadline=None)
 @given(
     st.lists(
-        st.tuples(st.sampled_from(["append", "config", "cut", "compact"]), st.integers(0, 30)), max_size=40
+        st.tuples(st.sampled_from(["append", "config", "truncate", "compact"]), st.integers(0, 30)),
+        max_size=40,
     )
 )
-def test_the_log_behaves_as_a_list_without_its_compacted_part(steps: list[tuple[str, int]]) -> None:
+def test_the_log_behaves_like_a_list_whose_beginning_is_compacted(steps: list[tuple[str, int]]) -> None:
     log, model = ReplicatedLog(ClusterEpoch(1, 1)), [m.LogEntry(0, m.EntryKind.DATA, b"")]
     for step, number in steps:
         if step == "append":
@@ -46,50 +47,50 @@
             entry = m.LogEntry(number, m.EntryKind.CONFIG, encode_members({number % 7: number}))
             model.append(entry)
             log.append(entry)
-        elif step == "cut":
+        elif step == "truncate":
             last = max(log.base_index, len(model) - 1 - number)
             del model[last + 1 :]
             log.truncate_after(last)
         else:
             log.compact_to(min(log.last_index, log.base_index + number))
         assert log.last_index == len(model) - 1
-        assert all(log.term_at(at) == model[at].term for at in range(log.base_index, len(model)))
+        assert all(log.term_at(index) == model[index].term for index in range(log.base_index, len(model)))
         assert log.term_at(log.base_index - 1) is None and log.term_at(log.last_index + 1) is None
-        configs = [at for at, entry in enumerate(model) if entry.kind == m.EntryKind.CONFIG]
+        configs = [index for index, entry in enumerate(model) if entry.kind == m.EntryKind.CONFIG]
         assert log.config.index == (configs[-1] if configs else 0)
 
 
-def test_a_snapshot_in_chunks_is_used_only_when_complete() -> None:
+def test_a_snapshot_is_returned_only_once_all_chunks_are_there_and_the_checksum_matches() -> None:
     epoch = ClusterEpoch(1, 1)
     snapshot = Snapshot.create(epoch, 9, 2, ReplicatedLog().config, bytes(500))
     other = Snapshot.create(epoch, 9, 2, ReplicatedLog().config, b"\1" * 500)
     assembly = SnapshotAssembly()
-    got = 0
-    while got < len(snapshot.payload):
+    received_bytes = 0
+    while received_bytes < len(snapshot.payload):
         assert assembly.take_complete() is None
-        assert assembly.add(other.chunk(1, 1, got + 1, 1)) == 0
-        part = snapshot.chunk(1, 1, got, 1)
-        if got:
-            for at in range(0, got, m.MAX_CHUNK_BYTES):
-                assembly.add(snapshot.chunk(1, 1, at, 1))
-        got = assembly.add(part)
-        assert assembly.add(part) == got
+        assert assembly.add(other.chunk(1, 1, received_bytes + 1, 1)) == 0
+        chunk = snapshot.chunk(1, 1, received_bytes, 1)
+        if received_bytes:
+            for offset in range(0, received_bytes, m.MAX_CHUNK_BYTES):
+                assembly.add(snapshot.chunk(1, 1, offset, 1))
+        received_bytes = assembly.add(chunk)
+        assert assembly.add(chunk) == received_bytes
     assert assembly.take_complete() == snapshot
     assert assembly.take_complete() is None
-    spoilt = dataclasses.replace(snapshot, checksum=1)
-    for at in range(0, len(snapshot.payload), m.MAX_CHUNK_BYTES):
-        assembly.add(spoilt.chunk(1, 1, at, 1))
+    corrupt = dataclasses.replace(snapshot, checksum=1)
+    for offset in range(0, len(snapshot.payload), m.MAX_CHUNK_BYTES):
+        assembly.add(corrupt.chunk(1, 1, offset, 1))
     assert assembly.take_complete() is None
 
 
-def test_stored_records_must_be_complete_and_the_replica_s_own() -> None:
-    world = founded_world(3, lasting=True)
-    wait_for_settled_leader(world, range(3))
-    whole = dict(world.processes[1].stored)
+def test_stored_records_must_be_complete_and_belong_to_the_replica() -> None:
+    world = bootstrapped_world(3, is_durable=True)
+    wait_for_ready_leader(world, range(3))
+    complete = dict(world.processes[1].stored)
 
-    def start(records: dict[bytes, bytes], me: int = 1) -> ConsensusCore:
+    def start(records: dict[bytes, bytes], replica_id: int = 1) -> ConsensusCore:
         return ConsensusCore(
-            me,
+            replica_id,
             3,
             3,
             0,
@@ -99,13 +100,13 @@
             records,
         )
 
-    assert start(whole).incarnation == core_of(world, 1).incarnation
+    assert start(complete).incarnation == core_of(world, 1).incarnation
     with pytest.raises(StoredStateError, match="peer 1 of 3"):
-        start(whole, me=2)
+        start(complete, replica_id=2)
     for key in (stored_state.IDENTITY_KEY, stored_state.HARD_STATE_KEY, stored_state.LOG_BASE_KEY):
         with pytest.raises(StoredStateError):
-            start(whole | {key: b"\xc1"})
-    places = sorted(key for key in whole if key[:1] == b"e")
-    assert len(places) > 1
+            start(complete | {key: b"\xc1"})
+    entry_keys = sorted(key for key in complete if key[:1] == b"e")
+    assert len(entry_keys) > 1
     with pytest.raises(StoredStateError, match="missing"):
-        start({key: value for key, value in whole.items() if key != places[0]})
+        start({key: value for key, value in complete.items() if key != entry_keys[0]})
--- a/tests/test_consensus_stores.py
+++ b/tests/test_consensus_stores.py
@@ -1,4 +1,4 @@
-"""Stores of consensus: what a batch must be, and what a failure leaves."""
+"""Stores of consensus: batches are atomic and ordered, and nothing is written after a failure."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     run(main())
 
 
-def test_the_embedded_store_has_what_was_written_in_the_order_of_calls(tmp_path: Path) -> None:
+def test_the_embedded_store_applies_writes_in_the_order_of_the_calls(tmp_path: Path) -> None:
     async def main() -> None:
         folder = str(tmp_path / "accord")
         store = await EmbeddedStore.open(folder)
@@ -40,20 +40,22 @@
         empty = store.write({})
         assert not first.done()
         await asyncio.gather(second, third, empty)
-        assert first.done() and store.store.stats().batches == 2, "calls that wait are one batch"
+        assert first.done() and store.store.stats().batches == 2, (
+            "calls made during a write are merged into one batch"
+        )
         await store.write({})
         await store.close()
         await store.close()
-        again = await EmbeddedStore.open(folder)
-        assert await again.load() == {b"b": b"3", b"c": b"2", b"d": b""}
+        reopened = await EmbeddedStore.open(folder)
+        assert await reopened.load() == {b"b": b"3", b"c": b"2", b"d": b""}
         with pytest.raises(StoreError, match="another process has this store open"):
             await EmbeddedStore.open(folder)
-        await again.close()
+        await reopened.close()
 
     run(main())
 
 
-def test_a_call_s_changes_are_found_complete_or_not_at_all_wherever_power_is_lost() -> None:
+def test_the_changes_of_a_call_are_atomic_wherever_power_is_lost() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
         store = await EmbeddedStore.open(disk)
@@ -61,22 +63,24 @@
             await store.write({b"%d" % key: n.to_bytes(64) for key in range(20)})
             disk.mark("written", n)
         await store.close()
-        draw = random.Random(5)
-        for end in range(0, len(disk.journal), 2):
-            journal = disk.journal[:end]
-            least = max((one[2] for one in journal if one[0] == "mark"), default=-1)
-            after = SimulatedDisk.replay(journal).lose_power(draw)
+        rng = random.Random(5)
+        for event_count in range(0, len(disk.journal), 2):
+            journal = disk.journal[:event_count]
+            last_completed = max((event[2] for event in journal if event[0] == "mark"), default=-1)
+            recovered_disk = SimulatedDisk.replay(journal).lose_power(rng)
             try:
-                found = await EmbeddedStore.open(after)
+                recovered = await EmbeddedStore.open(recovered_disk)
             except StoreError:
-                # Not even the first manifest: the store was never there.
-                assert least == -1
+                # Power was lost before the first manifest was written: there is no store yet.
+                assert last_completed == -1
                 continue
-            kept = await found.load()
-            await found.close()
-            told = set(kept.values())
-            assert len(told) <= 1 and len(kept) in (0, 20), "torn"
-            assert (int.from_bytes(told.pop()) if told else -1) >= least, "lost"
+            records = await recovered.load()
+            await recovered.close()
+            values = set(records.values())
+            assert len(values) <= 1 and len(records) in (0, 20), "the changes of one call must be atomic"
+            assert (int.from_bytes(values.pop()) if values else -1) >= last_completed, (
+                "a completed write was lost"
+            )
 
     run(main())
 
@@ -92,15 +96,15 @@
         with pytest.raises(StoreError, match="No space left"):
             await first
         third = store.write({b"c": b"3"})
-        for one in (second, third):
+        for write in (second, third):
             with pytest.raises(StoreError, match="No space left"):
-                await one
+                await write
         await store.close()
-        again = await EmbeddedStore.open(disk.lose_power(all_=True))
-        assert await again.load() == {b"a": b"1"}
-        await again.close()
+        reopened = await EmbeddedStore.open(disk.lose_power(all_=True))
+        assert await reopened.load() == {b"a": b"1"}
+        await reopened.close()
         with pytest.raises(StoreError, match="closed"):
-            await again.write({b"a": b"3"})
+            await reopened.write({b"a": b"3"})
 
     run(main())
 
@@ -114,7 +118,7 @@
         {b"%d" % n: b"x" * (1 << 20) for n in range(9)},
     ],
 )
-def test_changes_that_can_not_be_stored_fail_the_call(changes: dict[bytes, bytes | None]) -> None:
+def test_changes_that_exceed_the_limits_fail_the_call(changes: dict[bytes, bytes | None]) -> None:
     async def main() -> None:
         store = await EmbeddedStore.open(SimulatedDisk())
         with pytest.raises(StoreError):
