--- a/laurelstep/net/assembly.py
+++ b/laurelstep/net/assembly.py
@@ -8,7 +8,7 @@
 
 from laurelstep.engine.clock import LoopClock
 from laurelstep.engine.engine import Engine
-from laurelstep.engine.ports import Clock, HoldingSource, Log, MemberSource, Recorder
+from laurelstep.engine.ports import Clock, FilteringSource, Log, MemberSource, Recorder
 from laurelstep.engine.static_members import StaticMembers
 from laurelstep.net.collector import Collector
 from laurelstep.net.discovery import LIST_PATH, Discovery
@@ -16,7 +16,7 @@
 from laurelstep.settings import Config, ConfigError
 
 # Puts a source between one of members and the engine.
-HoldingSourceFactory = Callable[[MemberSource, Clock], HoldingSource]
+HoldingSourceFactory = Callable[[MemberSource, Clock], FilteringSource]
 
 
 def create_source(
@@ -82,10 +82,10 @@
         try:
             if isinstance(self.source, StaticMembers):
                 self.engine.start()
-                self.source.give(self.members)
+                self.source.replace_list(self.members)
             elif self.holding_source is not None:
                 if (known := self.config.known) is not None:
-                    self.holding_source.give_known(int(known["generation"]), known["instances"])
+                    self.holding_source.set_initial_list(int(known["generation"]), known["instances"])
                 self.engine.start()
             else:
                 self.engine.start(self.config.known)
--- a/laurelstep/net/endpoint_connection.py
+++ b/laurelstep/net/endpoint_connection.py
@@ -12,7 +12,7 @@
 
 import httptools
 
-from laurelstep.balancing.events import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET
+from laurelstep.balancing.events import ERROR, FULL, NO_CONNECT, NOT_SENT, OK, RESET
 from laurelstep.engine.body_stream import BodyStream
 from laurelstep.engine.call import Answer, Attempt, Ending
 from laurelstep.net.connect import is_local_fault, open_connection
@@ -73,7 +73,7 @@
                 self.reopen_pause_s = min(2.0 * self.reopen_pause_s, MAX_REOPEN_PAUSE_S)
                 return
         self.owner.on_disconnect(self)
-        self._end_attempt(MOOT if is_local_fault else NO_CONNECT)
+        self._end_attempt(NOT_SENT if is_local_fault else NO_CONNECT)
 
     def on_connect_timeout(self) -> None:
         """It did not come up in time."""
@@ -97,7 +97,7 @@
             return
         if self.attempt.lacks_socket:
             self.attempt.lacks_socket = False
-            self.attempt.sent = self.owner.now()  # the wait for a socket is none of the endpoint's
+            self.attempt.sent_at = self.owner.now()  # the wait for a socket is none of the endpoint's
         self.write()
 
     def eof_received(self) -> None:
@@ -126,7 +126,7 @@
     def _written(self) -> None:
         self.unwritten = False
         if self.attempt is not None:
-            self.attempt.written()
+            self.attempt.on_written()
 
     def write(self) -> None:
         """Write the request of its attempt, if that may still start."""
@@ -141,7 +141,7 @@
             self.attempt = None
             self.owner.by_attempt.pop(attempt, None)
             self.return_to_pool()
-            attempt.end(MOOT)
+            attempt.end(NOT_SENT)
             return
         upload = attempt.call.upload
         if upload is not None:
@@ -152,7 +152,7 @@
         if transport.is_closing():
             self.unwritten = True  # the first write failed: nothing left
         elif not self.unwritten:
-            attempt.written()
+            attempt.on_written()
 
     # --- Streaming ---------------------------------------------------------------------
 
@@ -249,7 +249,7 @@
         if answer is not None:
             answer.finish(False)
         self._abandon_upload()
-        not_run = MOOT if is_local_fault(exc) else NO_CONNECT
+        not_run = NOT_SENT if is_local_fault(exc) else NO_CONNECT
         self._end_attempt(not_run if self.unwritten else RESET)
         self.parser = None  # it holds this object's methods: the cycle ends here
 
@@ -347,10 +347,10 @@
         elif status in (503, 504) and fields.get(b"x-not-run", b"").strip() == b"1":
             outcome = FULL
         attempt, self.attempt = self.attempt, None
-        if attempt is not None and attempt.call.fate is not None:
+        if attempt is not None and attempt.call.queued_write_fate is not None:
             # From a copy of this program, whose 503 promises that nothing ran.
             outcome = FULL if status == 503 else outcome
-            attempt.call.fate = fields.get(b"x-kept-fate", b"refused" if status == 503 else b"")
+            attempt.call.queued_write_fate = fields.get(b"x-kept-fate", b"refused" if status == 503 else b"")
         self.owner.receiving.discard(self)
         self._end_exchange()
         if attempt is not None:
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -21,7 +21,7 @@
 import pytest
 from laurelstep.balancing.events import FULL, Action, Outcome, Send
 from laurelstep.engine import Call
-from laurelstep.engine.loop_watch import HELD_US
+from laurelstep.engine.loop_watch import BLOCKED_US
 from laurelstep.hot_restart.rendezvous import RendezvousPoint
 from laurelstep.hot_restart.successor import take_over
 from laurelstep.net.client_connection import ClientConnection
@@ -899,7 +899,7 @@
             caller.send(request(rid="held"))
             left = await caller_of(one)
             await until(lambda: len(one.engine.calls) == 1)
-            (rid,), (number,) = one.engine.calls, one.engine.members.places
+            (rid,), (number,) = one.engine.calls, one.engine.endpoints.by_number
             transport = left.transport
             assert transport is not None
             caller.close()
@@ -966,12 +966,12 @@
             caller = Client(one.port)
             caller.send(request(rid="left"))
             await until(lambda: len(one.engine.calls) == 1)
-            (rid,), (number,) = one.engine.calls, one.engine.members.places
+            (rid,), (number,) = one.engine.calls, one.engine.endpoints.by_number
             if pooled:
                 leave(caller)
             else:
                 leave_before_connection_made(one, lambda: leave(caller))
-            one.engine.attempts.loop_watch.asked_at -= HELD_US  # the loop was held for so long
+            one.engine.attempts.loop_watch.last_checked_at -= BLOCKED_US  # the loop was held for so long
             one.engine._carry_out(Send(rid, number, 0))
             await until(lambda: not one.engine.calls and not one.server.connections)
             one.engine.decisions = one.engine.balancer
@@ -1022,7 +1022,7 @@
                 caller.close()
             due(one.server.paused)
             one.apply_list(endpoint.entry())
-            (number,) = one.engine.members.places
+            (number,) = one.engine.endpoints.by_number
             one.engine._carry_out(Send(rid, number, 0))  # as the module may decide at once
             if leaves:
                 assert (await one.send(request(rid="r2"))).body == b"ok"
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -18,7 +18,7 @@
 import hypothesis.strategies as st
 import pytest
 from hypothesis import given
-from laurelstep.balancing.events import ERROR, FULL, MOOT, NO_CONNECT, OK, RESET, TIMEOUT, Action, Outcome
+from laurelstep.balancing.events import ERROR, FULL, NO_CONNECT, NOT_SENT, OK, RESET, TIMEOUT, Action, Outcome
 from laurelstep.engine import Attempt, Call, Clock, Engine
 from laurelstep.engine.clock import Timer
 from laurelstep.engine.static_members import StaticMembers
@@ -319,7 +319,7 @@
         clock, config.seed, config.settings, config.names, upstream, source, config.drain_grace_us, print
     )
     engine.start()
-    source.give([entry(f"s-{n}", cell=1) for n in range(4)])
+    source.replace_list([entry(f"s-{n}", cell=1) for n in range(4)])
     engine.take(Call(0, clock.now() + 4_000_000, b"POST /put", b"", b"", front, b"r1"))
     doubt_since: int | None = None  # the first write that may have run
     for kind, value in steps:
@@ -387,7 +387,7 @@
             opening.may_open.set()
             assert (await asked).status == 200
             if change == "start":
-                assert told[0].outcome == MOOT
+                assert told[0].outcome == NOT_SENT
             else:
                 assert (len(old.got), len(new.got)) == sent
 
@@ -597,7 +597,7 @@
             (call,) = one.engine.calls.values()
             come_due(one, call.attempts[1])
             assert (await asked).status == 502
-            assert [event.outcome for event in told] == [RESET, MOOT]
+            assert [event.outcome for event in told] == [RESET, NOT_SENT]
             got = 0
             with contextlib.suppress(ConnectionError):
                 while more := await peer.loop.sock_recv(taken, 65_536):
@@ -643,7 +643,7 @@
                 await opening.asked.get()
             if leaves == "before":
                 writer.close()
-                await until(lambda: not any(call.open for call in one.engine.calls.values()))
+                await until(lambda: not any(call.is_open for call in one.engine.calls.values()))
             opening.may_open.set()
             if leaves == "behind":
                 await until(lambda: sum(len(endpoint.got) for endpoint in endpoints) == 1 + before)
@@ -700,7 +700,7 @@
             taken.send(answer(body=b"in time"))  # in the kernel, not yet read
             if first == "answer":
                 await until(lambda: bool(told))
-            shift(one, call.expires - one.engine.now())
+            shift(one, call.expires_at - one.engine.now())
             one.engine._on_deadline(call)
             back = await read_message(reader)
             assert back.status == (504 if first == "deadline" else 200)
@@ -809,7 +809,7 @@
             told = record_outcomes(one.engine)
             one.upstream.max_connections = 0
             assert (await one.send(request("pay"))).status == 503
-            assert [event.outcome for event in told] == [MOOT] * len(told) and len(told) <= 4
+            assert [event.outcome for event in told] == [NOT_SENT] * len(told) and len(told) <= 4
             assert not await count_got(endpoints)
             one.upstream.max_connections = 1
             assert (await one.send(request("pay", rid="r2"))).status == 200
