--- a/laurelstep/consensus/leases.py
+++ b/laurelstep/consensus/leases.py
@@ -93,7 +93,10 @@
 
 
 class LeaseTable:
-    """The leases as a state machine, and the times by this process's clock. See the rules of the module."""
+    """A state machine of leases, and when this process requested or learned of them.
+
+    See the module's rules.
+    """
 
     def __init__(
         self, replica_id: int, max_clock_drift: float, max_lease_us: int, rng: random.Random
--- a/laurelstep/consensus/messages.py
+++ b/laurelstep/consensus/messages.py
@@ -118,7 +118,10 @@
 
 
 class IdentityRequest(_Message, frozen=True, tag=MessageTag.IDENTITY_REQUEST.value):
-    """Asks a voter for its identity. The response repeats the nonce, which proves that it is not older."""
+    """Asks a voter for its identity.
+
+    The response repeats the nonce, so it can't be older than the request.
+    """
 
     nonce: RandomId
 
--- a/laurelstep/consensus/node.py
+++ b/laurelstep/consensus/node.py
@@ -113,9 +113,8 @@
         self._retry_timer: Handle | None = None  # the next attempt to bind the address or to reopen the store
         self._is_reopen_due = False  # the disk failed, and the store is to be reopened
         self._reopen_delay_us = MIN_REOPEN_DELAY_US
-        self._release_task: asyncio.Task[None] | None = (
-            None  # closes the store and the link after the last failure
-        )
+        # Closes the store and the link after the last failure.
+        self._release_task: asyncio.Task[None] | None = None
         self._is_notification_due = False
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -211,7 +210,7 @@
         """Start taking part. If another process holds the address, return and retry in the background.
 
         `records` are those that the predecessor's `retire` returned; the records of a durable store take
-        precedence. Raises OSError if the address can't be bound for a lasting reason.
+        precedence. Raises OSError if binding the address fails for a reason that is not temporary.
         """
         async with self._lifecycle_lock:
             if self.stage is NodeStage.NEW:
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -310,13 +310,13 @@
 def test_a_retired_core_ignores_all_further_steps() -> None:
     world = bootstrapped_world(3)
     core = core_of(world, 0)
-    now = world.processes[0].local_time_us(world.time)
+    now_us = world.processes[0].local_time_us(world.time)
     core.retire()
     assert core.due_us == NEVER_US
-    assert core.tick(now + SECOND_US).outgoing == []
-    assert core.receive(now, 1, m.encode(m.IdentityRequest(1))).outgoing == []
+    assert core.tick(now_us + SECOND_US).outgoing == []
+    assert core.receive(now_us, 1, m.encode(m.IdentityRequest(1))).outgoing == []
     with pytest.raises(NotLeaderError):
-        core.propose(now, b"late")
+        core.propose(now_us, b"late")
 
 
 # Bootstrap
@@ -371,7 +371,7 @@
     world.run_for(3 * SECOND_US)
     incarnations = [core_of(world, peer).incarnation for peer in range(3)]
     request = m.encode(m.BootstrapRequest(ClusterEpoch(9, 9), 1, incarnations))
-    world._step(world.processes[frozen], lambda core, now: core.receive(now, leader.peer, request))
+    world._step(world.processes[frozen], lambda core, now_us: core.receive(now_us, leader.peer, request))
     assert core_of(world, frozen).role == "frozen"
     world.heal()
     assert world.run_for(10 * SECOND_US, lambda: core_of(world, frozen).role == "follower")
@@ -389,10 +389,10 @@
 
 def test_a_voter_refuses_a_bootstrap_while_it_has_leader_contact_or_if_it_is_not_named() -> None:
     world = bootstrapped_world(3)
-    now = [process.local_time_us(world.time) for process in world.processes]
+    now_us = [process.local_time_us(world.time) for process in world.processes]
     incarnations = [core_of(world, peer).incarnation for peer in range(3)]
     request = m.encode(m.BootstrapRequest(ClusterEpoch(9, 9), 1, incarnations))
-    assert core_of(world, 1).receive(now[1], 0, request).outgoing == []
+    assert core_of(world, 1).receive(now_us[1], 0, request).outgoing == []
     empty_world = ConsensusSimulation(SimulationOptions(3, 3, QUICK_TIMING), seed=1)
     request = m.encode(m.BootstrapRequest(ClusterEpoch(9, 9), 1, [1, 2, 3]))
     effects = core_of(empty_world, 1).receive(empty_world.processes[1].local_time_us(1), 0, request)
@@ -451,7 +451,7 @@
     core_of(world, leader.peer).on_leader_message = lambda *message: received.append(message)
     for peer in range(4):
         data = b"message%d" % peer
-        world._step(world.processes[peer], lambda core, now, data=data: core.send_to_leader(now, data))  # type: ignore[misc]
+        world._step(world.processes[peer], lambda core, now_us, data=data: core.send_to_leader(now_us, data))  # type: ignore[misc]
     world.run_for(SECOND_US // 10)
     assert sorted(received) == [
         (peer, core_of(world, peer).incarnation, b"message%d" % peer) for peer in range(4)
@@ -462,8 +462,8 @@
     """A learner that does not know the new epoch yet refers to indexes that hold other entries in it."""
     world = bootstrapped_world(3, learner_count=1)
     learner, epoch = core_of(world, 3), core_of(world, 3).epoch
-    now = world.processes[3].local_time_us(world.time)
-    ((_, early_datagram),) = learner.send_to_leader(now, b"early").outgoing
+    now_us = world.processes[3].local_time_us(world.time)
+    ((_, early_datagram),) = learner.send_to_leader(now_us, b"early").outgoing
     for peer in range(3):
         world.restart(peer)
     run_until_progress(world)
--- a/tests/test_consensus_bounds.py
+++ b/tests/test_consensus_bounds.py
@@ -107,13 +107,13 @@
     data: st.DataObject,
 ) -> None:
     world = bootstrapped_world(3, learner_count=1)
-    target = data.draw(st.integers(0, 3))
-    core, now_us = core_of(world, target), world.processes[target].local_time_us(world.time)
+    receiver = data.draw(st.integers(0, 3))
+    core, now_us = core_of(world, receiver), world.processes[receiver].local_time_us(world.time)
     number = st.integers(0, (1 << 48) - 1) | st.integers(0, 9)
     epochs = st.sampled_from(
         [core.epoch, NO_EPOCH, ClusterEpoch(0, 1), ClusterEpoch((1 << 32) - 1, (1 << 64) - 1)]
     )
-    kind = data.draw(
+    message_type = data.draw(
         st.sampled_from(
             [
                 m.AppendEntriesRequest,
@@ -144,10 +144,12 @@
         "offset": st.integers(0, 300),
         "checksum": st.integers(0, (1 << 32) - 1),
     }
-    message = kind(**{name: data.draw(fields.get(name, number)) for name in kind.__struct_fields__})
-    before = (core.epoch, core.term, core.role, core.applied_index, core.members)
+    message = message_type(
+        **{name: data.draw(fields.get(name, number)) for name in message_type.__struct_fields__}
+    )
+    state_before = (core.epoch, core.term, core.role, core.applied_index, core.members)
     core.receive(now_us, data.draw(st.integers(0, 3)), m.encode(message))
-    assert (core.epoch, core.term, core.role, core.applied_index, core.members) == before
+    assert (core.epoch, core.term, core.role, core.applied_index, core.members) == state_before
 
 
 def test_datagrams_of_future_versions_and_unknown_senders_are_counted() -> None:
--- a/tests/test_consensus_log.py
+++ b/tests/test_consensus_log.py
@@ -63,12 +63,12 @@
 def test_a_snapshot_is_returned_only_once_all_chunks_are_there_and_the_checksum_matches() -> None:
     epoch = ClusterEpoch(1, 1)
     snapshot = Snapshot.create(epoch, 9, 2, ReplicatedLog().config, bytes(500))
-    other = Snapshot.create(epoch, 9, 2, ReplicatedLog().config, b"\1" * 500)
+    other_snapshot = Snapshot.create(epoch, 9, 2, ReplicatedLog().config, b"\1" * 500)
     assembly = SnapshotAssembly()
     received_bytes = 0
     while received_bytes < len(snapshot.payload):
         assert assembly.take_complete() is None
-        assert assembly.add(other.chunk(1, 1, received_bytes + 1, 1)) == 0
+        assert assembly.add(other_snapshot.chunk(1, 1, received_bytes + 1, 1)) == 0
         chunk = snapshot.chunk(1, 1, received_bytes, 1)
         if received_bytes:
             for offset in range(0, received_bytes, m.MAX_CHUNK_BYTES):
@@ -86,9 +86,9 @@
 def test_stored_records_must_be_complete_and_belong_to_the_replica() -> None:
     world = bootstrapped_world(3, is_durable=True)
     wait_for_ready_leader(world, range(3))
-    complete = dict(world.processes[1].stored)
+    complete_records = dict(world.processes[1].stored)
 
-    def start(records: dict[bytes, bytes], replica_id: int = 1) -> ConsensusCore:
+    def start_core(records: dict[bytes, bytes], replica_id: int = 1) -> ConsensusCore:
         return ConsensusCore(
             replica_id,
             3,
@@ -100,13 +100,13 @@
             records,
         )
 
-    assert start(complete).incarnation == core_of(world, 1).incarnation
+    assert start_core(complete_records).incarnation == core_of(world, 1).incarnation
     with pytest.raises(StoredStateError, match="peer 1 of 3"):
-        start(complete, replica_id=2)
+        start_core(complete_records, replica_id=2)
     for key in (stored_state.IDENTITY_KEY, stored_state.HARD_STATE_KEY, stored_state.LOG_BASE_KEY):
         with pytest.raises(StoredStateError):
-            start(complete | {key: b"\xc1"})
-    entry_keys = sorted(key for key in complete if key[:1] == b"e")
+            start_core(complete_records | {key: b"\xc1"})
+    entry_keys = sorted(key for key in complete_records if key[:1] == b"e")
     assert len(entry_keys) > 1
     with pytest.raises(StoredStateError, match="missing"):
-        start({key: value for key, value in complete.items() if key != entry_keys[0]})
+        start_core({key: value for key, value in complete_records.items() if key != entry_keys[0]})
--- a/tests/test_consensus_schedules.py
+++ b/tests/test_consensus_schedules.py
@@ -297,13 +297,13 @@
 def read_at_old_leader(seed: int, inject_fault: Callable[[SimulationOptions], SimulationOptions]) -> None:
     """A restarted learner requests the index from a partitioned leader that has been replaced."""
     world = bootstrapped_world(seed=seed, inject_fault=inject_fault, voter_count=3, learner_count=1)
-    old = wait_for_leader(world, range(3)).peer
-    others = [peer for peer in range(3) if peer != old]
-    world.partition([old, 3], others)
-    new = wait_for_leader(world, others)
-    world.propose(new.peer, b"news")
-    world.run_for(100_000, lambda: b"news" in new.recording.data)
-    # The learner is connected to both leaders, and sends its request to the old one.
+    old_leader = wait_for_leader(world, range(3)).peer
+    others = [peer for peer in range(3) if peer != old_leader]
+    world.partition([old_leader, 3], others)
+    new_leader = wait_for_leader(world, others)
+    world.propose(new_leader.peer, b"news")
+    world.run_for(100_000, lambda: b"news" in new_leader.recording.data)
+    # The restarted learner is connected only to the old leader.
     world.restart(3)
     world.run_for(400_000)
     world.heal()
