--- a/laurelstep/consensus/bootstrap.py
+++ b/laurelstep/consensus/bootstrap.py
@@ -55,7 +55,7 @@
         """`on_started` is called when this replica has started an epoch, which it then leads."""
         self._state = state
         self._on_started = on_started
-        self._next_probe_at_us = 0
+        self._earliest_probe_at_us = 0
         # The request to all voters that is in progress: its nonce, when it is repeated and when it is
         # abandoned.
         self._nonce: int | None = None
@@ -76,7 +76,7 @@
             return NEVER_US
         if self._nonce is not None:
             return min(self._resend_at_us, self._abandon_at_us)
-        return max(self._next_probe_at_us, state.last_leader_contact_us + self._probe_delay_us())
+        return max(self._earliest_probe_at_us, state.last_leader_contact_us + self._probe_delay_us())
 
     def _probe_delay_us(self) -> int:
         """Return how long to wait for a leader before probing, in µs.
@@ -104,7 +104,7 @@
         state = self._state
         self._nonce = self._epoch = None
         delay_us = state.timing.election_timeout_us
-        self._next_probe_at_us = state.now_us + delay_us + state.rng.randrange(delay_us)
+        self._earliest_probe_at_us = state.now_us + delay_us + state.rng.randrange(delay_us)
 
     def _start_request(self) -> None:
         """Send a new request to all voters, which is abandoned after an election timeout."""
--- a/laurelstep/consensus/leases.py
+++ b/laurelstep/consensus/leases.py
@@ -123,18 +123,18 @@
         except (msgspec.DecodeError, ValueError):
             self.ignored_count += 1
             return
-        last = self._leases.get(entry.name)
-        last_number = 0 if last is None else last.number
+        current = self._leases.get(entry.name)
+        current_number = 0 if current is None else current.number
         if isinstance(entry, _LeaseRelease):
-            if last is not None and entry.number == last_number:
+            if current is not None and entry.number == current_number:
                 del self._leases[entry.name]
-        elif entry.previous_number == last_number and self._is_within_bounds(entry, last):
+        elif entry.previous_number == current_number and self._is_within_bounds(entry, current):
             self._leases[entry.name] = _Lease(index, entry)
         else:
             self.ignored_count += 1
 
-    def _is_within_bounds(self, grant: LeaseGrant, last: _Lease | None) -> bool:
-        has_room = last is not None or len(self._leases) < MAX_LEASES
+    def _is_within_bounds(self, grant: LeaseGrant, current: _Lease | None) -> bool:
+        has_room = current is not None or len(self._leases) < MAX_LEASES
         return grant.lease_us <= self._max_lease_us and has_room
 
     def dump(self) -> bytes:
@@ -229,26 +229,31 @@
         except (msgspec.DecodeError, ValueError):
             self.ignored_count += 1
             return None
-        last = self._leases.get(request.name)
+        current = self._leases.get(request.name)
         if isinstance(request, _LeaseRelease):
-            is_holder = last is not None and last.number == request.number and last.grant.peer == peer
+            is_holder = (
+                current is not None and current.number == request.number and current.grant.peer == peer
+            )
             return message if is_holder else None
         if (request.peer, request.incarnation) != (peer, incarnation):
             self.ignored_count += 1
             return None
-        if not self._may_grant(now_us, last, request):
+        if not self._may_grant(now_us, current, request):
             return None
-        last_number = 0 if last is None else last.number
-        return _encode(msgspec.structs.replace(request, previous_number=last_number))
+        current_number = 0 if current is None else current.number
+        return _encode(msgspec.structs.replace(request, previous_number=current_number))
 
-    def _may_grant(self, now_us: int, last: _Lease | None, request: LeaseGrant) -> bool:
+    def _may_grant(self, now_us: int, current: _Lease | None, request: LeaseGrant) -> bool:
         """Whether no other process can still hold the name (rules 3 and 6)."""
         if self._epoch is None or now_us < self._epoch[1] + self.guard_us(self._max_lease_us):
             return False
-        if last is None or (last.grant.peer, last.grant.incarnation) == (request.peer, request.incarnation):
+        if current is None or (current.grant.peer, current.grant.incarnation) == (
+            request.peer,
+            request.incarnation,
+        ):
             return True
         learned_at_us = self._learned[request.name].learned_at_us
-        return now_us >= learned_at_us + self.guard_us(last.grant.lease_us)
+        return now_us >= learned_at_us + self.guard_us(current.grant.lease_us)
 
     def guard_us(self, lease_us: int) -> int:
         """Return for how long other processes treat a lease as held once they learned of it, in µs."""
