--- a/laurelstep/consensus/epoch_gate.py
+++ b/laurelstep/consensus/epoch_gate.py
@@ -34,7 +34,7 @@
         self._read_index = read_index
 
     def admit(self, peer: int, message: EpochMessage) -> bool:
-        """Whether the message is to be handled. Moves the voter into the epoch of a newer message."""
+        """Move the voter into the epoch of a newer message. Returns whether the message is to be handled."""
         state = self._state
         if peer >= state.voter_count or not state.is_voter:
             state.counters[ReplicaCounter.FOREIGN_SENDER] += 1
--- a/laurelstep/consensus/state.py
+++ b/laurelstep/consensus/state.py
@@ -158,8 +158,8 @@
         )
         self._persist(stored_state.LOG_BASE_KEY, base)
 
-    def _delete_entries(self, first: int, last: int) -> None:
-        for index in range(first, last + 1):
+    def _delete_entries(self, first_index: int, last_index: int) -> None:
+        for index in range(first_index, last_index + 1):
             self.effects.persist[stored_state.entry_key(index)] = None
 
     # Epochs, terms and roles
