--- a/laurelstep/outbox/shared/edge.py
+++ b/laurelstep/outbox/shared/edge.py
@@ -1,22 +1,24 @@
-"""What an edge has learned from upstream's copies, and what it asks and tells them next. Pure.
-
-1. Asked for are the fates of the foreign writes that the outbox waits for and of its own that may have run,
-   and claims of the logs of former lives. Told is what becomes of own writes that no gate saw: parked,
-   parked no more, given up, in by a resolution; and up to which number all of a log are over.
-2. One ask is out at a time. What is new goes at once; the rest in turns, `ROUND_MOST` asks of them, then a
-   pause of 1 s, doubled up to 8 s while nothing changes, drawn between half and all of it. When the link
-   is back, and when something has changed, the pause is the shortest again. While the edge is cut off nothing
-   is asked but `probe`: where nothing is sent, as all waits for others or for claims, a link that is back is
-   seen by nothing else.
-3. APPLIED and ABANDONED are final; PARKED may change. A log of a former life is held only once a claim is;
-   one that is fenced is not held again unless an operator claims it.
-4. That the logs' holders are durable before a claim is asked is for the driver: it calls `claim` after that.
-5. What was told is told again each `AGAIN_US`: the record may have been lost with all that kept it. "All up
-   to a number are over" goes behind those given up, and where those were told before, only as they are told
-   again: in a record that does not know them they would be taken for in.
-6. What is asked for is bounded by what the outbox keeps, all else here. What others wait for and finds no
-   room (`tell` says False) is told later; of parked writes and of fates, the oldest are forgotten: that costs
-   an explanation, or a question more.
+"""What an edge knows from copies upstream, and its next queries to them. Pure.
+
+1. Queries ask for the statuses of writes in other edges' logs that the outbox waits for, and of own writes
+   that may have run, and for leases on the logs of earlier incarnations. They also report what became of own
+   writes without a replay gate: parked, no longer parked, abandoned, or applied by an operator's resolution;
+   and each log's low watermark, up to which all writes are final.
+2. One query is in flight at a time. Urgent items are sent at once. The others take turns: a round of up to
+   `MAX_ROUND_QUERIES` queries is followed by a pause of 1 s, which doubles up to 8 s while nothing changes
+   and is drawn at random between half and all of that. The pause is the shortest again once the link is back
+   or something has changed. While the edge is cut off, only `next_probe` is sent: if all writes wait for
+   other edges or for leases, no replay is tried, and nothing else would show that the link is back.
+3. APPLIED and ABANDONED are final; PARKED may change. A log of an earlier incarnation is held only once its
+   lease is granted. A fenced log is not held again unless an operator forces the lease.
+4. The driver makes the known holders of a log durable before it calls `request_lease`.
+5. All updates are sent again every `REPEAT_INTERVAL_US`, because the ledger may have been lost with all the
+   copies that kept it. A low watermark is sent after the abandoned writes of its log; if those were published
+   before, it is sent only with their next repetition. A ledger that does not know them would take them as
+   applied.
+6. The outbox's limits bound what is asked for, and limits here bound all else. An update that other edges
+   wait for but that finds no room is published later (`publish` returns False). Of the updates on parked
+   writes and of the known statuses, the oldest are evicted: that costs an explanation or another query.
 """
 
 from __future__ import annotations
@@ -28,142 +30,154 @@
 from laurelstep.outbox.dependencies import Dependency
 from laurelstep.outbox.shared.known_statuses import FINAL_STATUSES, KnownStatuses
 from laurelstep.outbox.shared.messages import (
-    QUERIED_MOST,
+    MAX_QUERY_ITEMS,
     LeaseRequest,
     LeaseStatus,
     QueryReply,
     ReplayQuery,
     StatusUpdate,
 )
-from laurelstep.outbox.shared.query_round import ROUND_MOST, QueryBackoff, QueryOutcome, QueryRound, bounded
+from laurelstep.outbox.shared.query_round import (
+    MAX_ROUND_QUERIES,
+    QueryBackoff,
+    QueryOutcome,
+    QueryRound,
+    bounded_holders,
+)
 from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
 __all__ = ["RemoteVersionVector"]
 
-AGAIN_US: Final = 60_000_000
-# Statements of own writes that are remembered.
-SAID_MOST: Final = 4_096
+REPEAT_INTERVAL_US: Final = 60_000_000
+# Remembered updates on own writes and low watermarks.
+MAX_UPDATES: Final = 4_096
 
 
 class RemoteVersionVector:
-    """A `VersionVector` behind which upstream's record stands. `edge_log`: of this life, which needs no
-    claim.
+    """The `VersionVector` of an edge whose upstream keeps the ledger. `edge_log`: the log of this
+    incarnation, which needs no lease.
     """
 
     def __init__(self, edge_log: EdgeLog, random: Random) -> None:
         self.edge_log = edge_log
         self.incarnation = edge_log.incarnation
         self._statuses = KnownStatuses()
-        self._held = {edge_log}
-        self._fenced: set[EdgeLog] = set()
-        self._open_claims: dict[EdgeLog, LeaseRequest] = {}
-        self._claimed: dict[EdgeLog, LeaseRequest] = {}  # of those that are held: asked again by rule 5
-        self._said: dict[Dependency, StatusUpdate] = {}
-        self._low: dict[EdgeLog, int] = {}
-        self._told_low: dict[EdgeLog, int] = {}
-        self._ungiven: dict[EdgeLog, set[int]] = {}  # by log: given up, and not told yet
-        self._untold: set[Dependency] = set()
-        self._asked: QueryRound[Dependency] = QueryRound()
-        self._claims: QueryRound[EdgeLog] = QueryRound()
-        self._tells: QueryRound[Dependency] = QueryRound()
-        self._out: ReplayQuery | None = None
-        self._left = 0  # asks of this round that are still to come
+        self._held_logs = {edge_log}
+        self._fenced_logs: set[EdgeLog] = set()
+        self._open_requests: dict[EdgeLog, LeaseRequest] = {}
+        self._granted_requests: dict[EdgeLog, LeaseRequest] = {}  # repeated by rule 5
+        self._updates: dict[Dependency, StatusUpdate] = {}
+        self._low_watermarks: dict[EdgeLog, int] = {}
+        self._published_low_watermarks: dict[EdgeLog, int] = {}
+        self._unpublished_abandoned: dict[EdgeLog, set[int]] = {}  # numbers by log
+        self._unpublished: set[Dependency] = set()
+        self._dependency_round: QueryRound[Dependency] = QueryRound()
+        self._lease_round: QueryRound[EdgeLog] = QueryRound()
+        self._update_round: QueryRound[Dependency] = QueryRound()
+        self._query_in_flight: ReplayQuery | None = None
+        self._queries_left = 0  # remaining in this round
         self._backoff = QueryBackoff(random)
-        self._again_at: int | None = None
+        self._repeat_at: int | None = None
 
-    # --- What is known ----------------------------------------------------------------
+    # --- Known state ------------------------------------------------------------------
 
     def write_status(self, dependency: Dependency) -> WriteStatus:
-        """What was last heard of a write of another log."""
+        """The status last reported for a write of another log."""
         return self._statuses.get(dependency)
 
     def holds(self, edge_log: EdgeLog) -> bool:
-        """This process may replay the log."""
-        return edge_log in self._held
+        """Whether this process may replay the log."""
+        return edge_log in self._held_logs
 
-    def fenced(self, edge_log: EdgeLog) -> bool:
-        """Another process holds the log."""
-        return edge_log in self._fenced
+    def is_fenced(self, edge_log: EdgeLog) -> bool:
+        """Whether another process holds the log."""
+        return edge_log in self._fenced_logs
 
-    # --- What is to be asked ----------------------------------------------------------
+    # --- Statuses and leases ----------------------------------------------------------
 
     def watch(self, dependencies: Iterable[Dependency]) -> None:
-        """Their fates are of use from now on."""
+        """Query the statuses of these dependencies until they are final or no longer needed."""
         for dependency in dependencies:
             if not self._statuses.is_final(dependency):
-                self._asked.add(dependency)
+                self._dependency_round.add(dependency)
 
     def request_lease(self, edge_log: EdgeLog, known_holders: Iterable[int], is_forced: bool = False) -> None:
-        """Ask for it. `known`: as they came; that this life is among them is durable."""
-        others = [
+        """Request the lease on a log. `known_holders`: in the order in which they became known; the caller
+        has made it durable that this incarnation is among them.
+        """
+        holders = [
             incarnation for incarnation in dict.fromkeys(known_holders) if incarnation != self.incarnation
         ]
-        others = list(bounded(others))
+        holders = list(bounded_holders(holders))
         if is_forced:
-            self._fenced.discard(edge_log)
-            self._drop_unbegun(edge_log)
-        if edge_log not in self._fenced:
-            self._open_claims[edge_log] = LeaseRequest(edge_log, self.incarnation, tuple(others), is_forced)
-            self._claims.add(edge_log)
+            self._fenced_logs.discard(edge_log)
+            self._drop_intent_withdrawals(edge_log)
+        if edge_log not in self._fenced_logs:
+            self._open_requests[edge_log] = LeaseRequest(
+                edge_log, self.incarnation, tuple(holders), is_forced
+            )
+            self._lease_round.add(edge_log)
 
     def on_fencing_reported(self, edge_log: EdgeLog) -> bool:
-        """A gate refused a write of it as another life's. True if that is so; otherwise the record may have
-        been lost, and it is claimed again first.
+        """A gate refused a write of the log because another incarnation holds the lease. True if the log is
+        fenced. False if the lease is requested again first, because the ledger may have been lost.
         """
-        request = self._claimed.get(edge_log)
-        if request is None or edge_log in self._fenced:
-            if edge_log not in self._open_claims:
+        request = self._granted_requests.get(edge_log)
+        if request is None or edge_log in self._fenced_logs:
+            if edge_log not in self._open_requests:
                 self._fence(edge_log)
-            return edge_log in self._fenced
-        self._held.discard(edge_log)
-        del self._claimed[edge_log]
-        self._open_claims[edge_log] = request
-        self._claims.add(edge_log)
+            return edge_log in self._fenced_logs
+        self._held_logs.discard(edge_log)
+        del self._granted_requests[edge_log]
+        self._open_requests[edge_log] = request
+        self._lease_round.add(edge_log)
         return False
 
     def _fence(self, edge_log: EdgeLog) -> None:
-        self._fenced.add(edge_log)
-        self._held.discard(edge_log)
-        self._claimed.pop(edge_log, None)
-        self._open_claims.pop(edge_log, None)
-        self._claims.drop(edge_log)
-        self._drop_unbegun(edge_log)
-
-    def _drop_unbegun(self, edge_log: EdgeLog) -> None:
-        """The word was on what this process sent. Another may have sent it since."""
+        self._fenced_logs.add(edge_log)
+        self._held_logs.discard(edge_log)
+        self._granted_requests.pop(edge_log, None)
+        self._open_requests.pop(edge_log, None)
+        self._lease_round.drop(edge_log)
+        self._drop_intent_withdrawals(edge_log)
+
+    def _drop_intent_withdrawals(self, edge_log: EdgeLog) -> None:
+        """Drop a log's intent withdrawals: they are about attempts of this process, and another process may
+        have sent the writes since.
+        """
         for dependency in [
             dependency
-            for dependency, told in self._said.items()
-            if told.withdraw_intent and dependency.edge_log == edge_log
+            for dependency, update in self._updates.items()
+            if update.withdraw_intent and dependency.edge_log == edge_log
         ]:
-            self._unsay(dependency)
+            self._drop_update(dependency)
 
-    # --- What is to be told -----------------------------------------------------------
+    # --- Updates on own writes --------------------------------------------------------
 
     def publish(self, write_id: WriteId, write_status: WriteStatus) -> bool:
-        """What became of an own write: UNKNOWN if it is parked no more. False if there is no room."""
+        """Report the status of an own write: UNKNOWN if it is no longer parked. False if there is no room."""
         dependency = Dependency(*write_id)
-        if write_status is WriteStatus.APPLIED and write_id.number <= self._told_low.get(
+        if write_status is WriteStatus.APPLIED and write_id.number <= self._published_low_watermarks.get(
             write_id.edge_log, 0
         ):
-            self._unsay(dependency)
+            self._drop_update(dependency)
             return True
-        before = self._said.get(dependency)
-        if write_status is WriteStatus.UNKNOWN and (before is None or before.withdraw_intent):
+        previous = self._updates.get(dependency)
+        if write_status is WriteStatus.UNKNOWN and (previous is None or previous.withdraw_intent):
             return True
-        if not self._room(dependency, write_status):
+        if not self._make_room(dependency, write_status):
             return False
         if write_status is WriteStatus.ABANDONED:
-            self._ungiven.setdefault(write_id.edge_log, set()).add(write_id.number)
-        self._say(dependency, StatusUpdate(write_id, write_status, self.incarnation))
+            self._unpublished_abandoned.setdefault(write_id.edge_log, set()).add(write_id.number)
+        self._add_update(dependency, StatusUpdate(write_id, write_status, self.incarnation))
         return True
 
     def withdraw_intent(self, write_id: WriteId, parking: int) -> None:
-        """An operator says of a parking that it never ran. `QueryOutcome.unbegun` has it once the record
-        says so.
+        """Report that an operator resolved a parking as never run. `QueryOutcome.withdrawn_intents` names the
+        write once the ledger agrees.
         """
-        self._say(
+        self._add_update(
             Dependency(*write_id),
             StatusUpdate(
                 write_id, WriteStatus.UNKNOWN, self.incarnation, withdraw_intent=True, parking=parking
@@ -171,235 +185,242 @@
         )
 
     def publish_low_watermark(self, edge_log: EdgeLog, number: int) -> bool:
-        """All of an own log up to a number are over."""
-        if number <= self._low.get(edge_log, 0):
+        """Report that all writes of an own log up to `number` are final. Always True."""
+        if number <= self._low_watermarks.get(edge_log, 0):
             return True
-        self._low[edge_log] = number
+        self._low_watermarks[edge_log] = number
         dependency = Dependency(*edge_log, 0, True)
-        told = StatusUpdate(WriteId(*edge_log, number), WriteStatus.APPLIED, self.incarnation, before=True)
-        if self._has_told_gone(edge_log):
-            self._said[dependency] = told  # rule 5
+        update = StatusUpdate(WriteId(*edge_log, number), WriteStatus.APPLIED, self.incarnation, before=True)
+        if self._has_published_abandoned(edge_log):
+            self._updates[dependency] = update  # rule 5
         else:
-            self._say(dependency, told, urgent=False)
+            self._add_update(dependency, update, is_urgent=False)
         return True
 
     def is_unpublished(self, write_id: WriteId) -> bool:
-        """What was told of an own write is not known upstream yet."""
-        return Dependency(*write_id) in self._untold
+        """Whether an update on an own write has not been agreed upstream yet."""
+        return Dependency(*write_id) in self._unpublished
 
-    def _has_told_gone(self, edge_log: EdgeLog) -> bool:
+    def _has_published_abandoned(self, edge_log: EdgeLog) -> bool:
         return any(
-            told.write_status is WriteStatus.ABANDONED
-            and told.write_id.edge_log == edge_log
-            and dependency not in self._untold
-            for dependency, told in self._said.items()
+            update.write_status is WriteStatus.ABANDONED
+            and update.write_id.edge_log == edge_log
+            and dependency not in self._unpublished
+            for dependency, update in self._updates.items()
         )
 
-    def _room(self, dependency: Dependency, write_status: WriteStatus) -> bool:
-        """Final ones make room for themselves among those parked, those given up that the record knows, and
-        those of a fenced log, of which it would believe nothing.
+    def _make_room(self, dependency: Dependency, write_status: WriteStatus) -> bool:
+        """Make room for an update; False if there is none. A final status evicts an update on a parked write,
+        on an abandoned write that the ledger knows, or on a write of a fenced log, which the ledger would
+        refuse.
         """
-        if dependency in self._said or len(self._said) < SAID_MOST:
+        if dependency in self._updates or len(self._updates) < MAX_UPDATES:
             return True
         if write_status not in FINAL_STATUSES:
             return False
-        for one, told in self._said.items():
-            is_known = one not in self._untold and told.write_status is WriteStatus.ABANDONED
-            if is_known or told.write_status is WriteStatus.PARKED or one.edge_log in self._fenced:
-                self._unsay(one)
+        for other, update in self._updates.items():
+            is_known = other not in self._unpublished and update.write_status is WriteStatus.ABANDONED
+            if is_known or update.write_status is WriteStatus.PARKED or other.edge_log in self._fenced_logs:
+                self._drop_update(other)
                 return True
         return False
 
-    def _say(self, dependency: Dependency, told: StatusUpdate, urgent: bool = True) -> None:
-        self._said[dependency] = told
-        self._untold.add(dependency)
-        if dependency.edge_log in self._held:
-            self._tells.add(dependency, urgent)
-
-    def _unsay(self, dependency: Dependency) -> None:
-        self._said.pop(dependency, None)
-        self._untold.discard(dependency)
-        self._tells.drop(dependency)
-        self._given(dependency)
-
-    def _given(self, dependency: Dependency) -> None:
-        """It was told, or is not to be told any more: the log's number may go."""
-        numbers = self._ungiven.get(dependency.edge_log)
+    def _add_update(self, dependency: Dependency, update: StatusUpdate, is_urgent: bool = True) -> None:
+        self._updates[dependency] = update
+        self._unpublished.add(dependency)
+        if dependency.edge_log in self._held_logs:
+            self._update_round.add(dependency, is_urgent)
+
+    def _drop_update(self, dependency: Dependency) -> None:
+        self._updates.pop(dependency, None)
+        self._unpublished.discard(dependency)
+        self._update_round.drop(dependency)
+        self._settle_abandoned(dependency)
+
+    def _settle_abandoned(self, dependency: Dependency) -> None:
+        """The abandoned write was published or need not be any more. After the last one, the log's low
+        watermark may be sent.
+        """
+        numbers = self._unpublished_abandoned.get(dependency.edge_log)
         if numbers is None:
             return
         numbers.discard(dependency.number)
         if not numbers:
-            del self._ungiven[dependency.edge_log]
-            low = Dependency(*dependency.edge_log, 0, True)
-            if low in self._untold and dependency.edge_log in self._held:
-                self._tells.add(low, urgent=False)
+            del self._unpublished_abandoned[dependency.edge_log]
+            watermark_dependency = Dependency(*dependency.edge_log, 0, True)
+            if watermark_dependency in self._unpublished and dependency.edge_log in self._held_logs:
+                self._update_round.add(watermark_dependency, is_urgent=False)
 
-    def _tellable(self, dependency: Dependency) -> bool:
-        if dependency not in self._untold or dependency.edge_log not in self._held:
+    def _can_publish(self, dependency: Dependency) -> bool:
+        if dependency not in self._unpublished or dependency.edge_log not in self._held_logs:
             return False
-        return not dependency.before or dependency.edge_log not in self._ungiven
+        return not dependency.before or dependency.edge_log not in self._unpublished_abandoned
 
-    # --- Asking -----------------------------------------------------------------------
+    # --- Queries ----------------------------------------------------------------------
 
     def on_link_up(self, now: int) -> None:
-        """There is a way upstream again."""
-        self._backoff.end(now)
+        """The link to upstream is back: query at once."""
+        self._backoff.end_pause(now)
 
-    def wait(self, now: int) -> int:
-        """µs until something may be asked, if anything is to be."""
-        if self._asked.new or self._claims.new or self._tells.new:
+    def query_delay_us(self, now: int) -> int:
+        """µs until the next query may be sent, if there is anything to send."""
+        if self._dependency_round.urgent or self._lease_round.urgent or self._update_round.urgent:
             return 0
-        return max(0, self._backoff.next_at - now)
+        return max(0, self._backoff.next_query_at - now)
 
-    def next(self, now: int, needs_status: Callable[[Dependency], bool]) -> ReplayQuery | None:
-        """What is to be asked now; `answered` or `failed` is called for it. `needs_status`: whether a fate is
-        still of use.
+    def next_query(self, now: int, needs_status: Callable[[Dependency], bool]) -> ReplayQuery | None:
+        """The query to send now, if there is one; the caller reports its end to `on_reply` or
+        `on_query_failed`. `needs_status`: whether a dependency's status is still needed.
         """
-        if self._again_at is None:
-            self._again_at = now + AGAIN_US
-        elif now >= self._again_at:
-            self._again_at = now + AGAIN_US
-            self._tell_again()
-        if self._out is not None or self.wait(now):
+        if self._repeat_at is None:
+            self._repeat_at = now + REPEAT_INTERVAL_US
+        elif now >= self._repeat_at:
+            self._repeat_at = now + REPEAT_INTERVAL_US
+            self._repeat_updates()
+        if self._query_in_flight is not None or self.query_delay_us(now):
             return None
-        if now < self._backoff.next_at:
-            self._left = 1  # for what is new
-        elif not self._left:
-            most = max(len(self._asked), len(self._claims), len(self._tells))
-            self._left = min(ROUND_MOST, -(-most // QUERIED_MOST))
-        ask = ReplayQuery(
-            tuple(self._asked.take(needs_status)),
-            tuple(self._claim_of(edge_log) for edge_log in self._claims.take(self._is_claim)),
-            tuple(self._said[dependency] for dependency in self._tells.take(self._tellable)),
+        if now < self._backoff.next_query_at:
+            self._queries_left = 1  # for the urgent items
+        elif not self._queries_left:
+            item_count = max(len(self._dependency_round), len(self._lease_round), len(self._update_round))
+            self._queries_left = min(MAX_ROUND_QUERIES, -(-item_count // MAX_QUERY_ITEMS))
+        query = ReplayQuery(
+            tuple(self._dependency_round.take(needs_status)),
+            tuple(self._lease_request(edge_log) for edge_log in self._lease_round.take(self._is_requested)),
+            tuple(self._updates[dependency] for dependency in self._update_round.take(self._can_publish)),
         )
-        self._left = max(0, self._left - 1)
-        if not (ask.dependencies or ask.lease_requests or ask.status_updates):
+        self._queries_left = max(0, self._queries_left - 1)
+        if not (query.dependencies or query.lease_requests or query.status_updates):
             return None
-        self._out = ask
-        return ask
+        self._query_in_flight = query
+        return query
 
-    def probe(self, now: int) -> ReplayQuery | None:
-        """While cut off: an ask without a question, at the pace of the others."""
-        if self._out is not None or now < self._backoff.next_at:
+    def next_probe(self, now: int) -> ReplayQuery | None:
+        """An empty query to send while the edge is cut off, at the same pace as other queries."""
+        if self._query_in_flight is not None or now < self._backoff.next_query_at:
             return None
-        self._left = 0
-        self._out = ReplayQuery()
-        return self._out
+        self._queries_left = 0
+        self._query_in_flight = ReplayQuery()
+        return self._query_in_flight
 
     @property
-    def waits(self) -> bool:
-        """There is something to ask or tell."""
-        return bool(len(self._asked) or len(self._claims) or len(self._tells))
-
-    def _is_claim(self, edge_log: EdgeLog) -> bool:
-        return edge_log in self._open_claims or edge_log in self._claimed
-
-    def _claim_of(self, edge_log: EdgeLog) -> LeaseRequest:
-        return self._open_claims.get(edge_log) or self._claimed[edge_log]
-
-    def _tell_again(self) -> None:
-        """Rule 5."""
-        for dependency, told in self._said.items():
-            self._untold.add(dependency)
-            if told.write_status is WriteStatus.ABANDONED:
-                self._ungiven.setdefault(dependency.edge_log, set()).add(dependency.number)
-            if dependency.edge_log in self._held:
-                self._tells.add(dependency, urgent=False)
-        for edge_log in self._claimed:
-            self._claims.add(edge_log, urgent=False)
+    def has_pending_items(self) -> bool:
+        """Whether there is anything to ask or to report."""
+        return bool(len(self._dependency_round) or len(self._lease_round) or len(self._update_round))
+
+    def _is_requested(self, edge_log: EdgeLog) -> bool:
+        return edge_log in self._open_requests or edge_log in self._granted_requests
+
+    def _lease_request(self, edge_log: EdgeLog) -> LeaseRequest:
+        return self._open_requests.get(edge_log) or self._granted_requests[edge_log]
+
+    def _repeat_updates(self) -> None:
+        """Queue all updates and granted lease requests again, by rule 5."""
+        for dependency, update in self._updates.items():
+            self._unpublished.add(dependency)
+            if update.write_status is WriteStatus.ABANDONED:
+                self._unpublished_abandoned.setdefault(dependency.edge_log, set()).add(dependency.number)
+            if dependency.edge_log in self._held_logs:
+                self._update_round.add(dependency, is_urgent=False)
+        for edge_log in self._granted_requests:
+            self._lease_round.add(edge_log, is_urgent=False)
 
     def on_query_failed(self, now: int) -> None:
-        """No answer, or none that can be read."""
-        self._out, self._left = None, 0
-        self._backoff.begin(now)
-
-    def on_reply(self, answer: QueryReply, now: int) -> QueryOutcome:
-        """To the ask that is out. What an answer is too short for is asked again."""
-        ask, self._out = self._out, None
-        news = QueryOutcome()
-        if ask is None:
-            return news
-        moved = ask == ReplayQuery()  # a probe: the link may be back
-        for dependency, write_status in zip(ask.dependencies, answer.write_statuses, strict=False):
-            moved |= self._learn(dependency, write_status, news)
-        for request, became in zip(ask.lease_requests, answer.lease_statuses, strict=False):
-            moved |= self._settle(request, became, news)
-        for told, is_agreed in zip(ask.status_updates, answer.agreements, strict=False):
-            moved |= is_agreed
+        """The query in flight got no reply, or none that can be read."""
+        self._query_in_flight, self._queries_left = None, 0
+        self._backoff.start_pause(now)
+
+    def on_reply(self, reply: QueryReply, now: int) -> QueryOutcome:
+        """The reply to the query in flight. Items that a short reply leaves out are asked again."""
+        query, self._query_in_flight = self._query_in_flight, None
+        outcome = QueryOutcome()
+        if query is None:
+            return outcome
+        has_progress = query == ReplayQuery()  # a probe was answered: the link may be back
+        for dependency, write_status in zip(query.dependencies, reply.write_statuses, strict=False):
+            has_progress |= self._on_write_status(dependency, write_status, outcome)
+        for request, lease_status in zip(query.lease_requests, reply.lease_statuses, strict=False):
+            has_progress |= self._on_lease_status(request, lease_status, outcome)
+        for update, is_agreed in zip(query.status_updates, reply.agreements, strict=False):
+            has_progress |= is_agreed
             if is_agreed:
-                self._has_been_told(told, news)
-        if moved:
-            self._backoff.shorten()
-        if not self._left:
-            self._backoff.begin(now)
-        return news
-
-    def _learn(self, dependency: Dependency, write_status: WriteStatus, news: QueryOutcome) -> bool:
-        if self._own(dependency.edge_log):
+                self._on_update_agreed(update, outcome)
+        if has_progress:
+            self._backoff.reset()
+        if not self._queries_left:
+            self._backoff.start_pause(now)
+        return outcome
+
+    def _on_write_status(
+        self, dependency: Dependency, write_status: WriteStatus, outcome: QueryOutcome
+    ) -> bool:
+        if self._is_own_log(dependency.edge_log):
             if write_status is WriteStatus.APPLIED and not dependency.before:
-                news.own_applied.append(dependency.write_id)
+                outcome.own_applied.append(dependency.write_id)
             return write_status is WriteStatus.APPLIED
-        is_new = self._statuses.update(dependency, write_status)
+        is_changed = self._statuses.update(dependency, write_status)
         if self._statuses.is_final(dependency):
-            self._asked.drop(dependency)
-        news.changed |= is_new
-        return is_new
+            self._dependency_round.drop(dependency)
+        outcome.has_changes |= is_changed
+        return is_changed
 
-    def _own(self, edge_log: EdgeLog) -> bool:
+    def _is_own_log(self, edge_log: EdgeLog) -> bool:
         return edge_log.edge == self.edge_log.edge and (
-            edge_log in self._held or edge_log in self._fenced or edge_log in self._open_claims
+            edge_log in self._held_logs or edge_log in self._fenced_logs or edge_log in self._open_requests
         )
 
-    def _settle(self, request: LeaseRequest, became: LeaseStatus, news: QueryOutcome) -> bool:
+    def _on_lease_status(
+        self, request: LeaseRequest, lease_status: LeaseStatus, outcome: QueryOutcome
+    ) -> bool:
         edge_log = request.edge_log
-        if not self._is_claim(edge_log) or self._claim_of(edge_log) is not request:
-            return False  # something else is asked for it by now
-        if became is LeaseStatus.FENCED:
+        if not self._is_requested(edge_log) or self._lease_request(edge_log) is not request:
+            return False  # a newer request replaced it
+        if lease_status is LeaseStatus.FENCED:
             self._fence(edge_log)
-            news.fenced.append(edge_log)
+            outcome.fenced_logs.append(edge_log)
             return True
-        if became is not LeaseStatus.HELD:
+        if lease_status is not LeaseStatus.HELD:
             return False
-        self._claims.drop(edge_log)
-        if edge_log in self._claimed:
+        self._lease_round.drop(edge_log)
+        if edge_log in self._granted_requests:
             return False
-        self._open_claims.pop(edge_log)
-        # Asked again without force: an operator's word counts once.
-        self._claimed[edge_log] = LeaseRequest(edge_log, request.incarnation, request.known_holders)
-        self._held.add(edge_log)
-        for dependency in self._said:
-            if dependency.edge_log == edge_log and dependency in self._untold:
-                self._tells.add(dependency)
-        news.held.append(edge_log)
-        news.changed = True
+        self._open_requests.pop(edge_log)
+        # Repeated without force: an operator's demand is used up once it is granted.
+        self._granted_requests[edge_log] = LeaseRequest(edge_log, request.incarnation, request.known_holders)
+        self._held_logs.add(edge_log)
+        for dependency in self._updates:
+            if dependency.edge_log == edge_log and dependency in self._unpublished:
+                self._update_round.add(dependency)
+        outcome.held_logs.append(edge_log)
+        outcome.has_changes = True
         return True
 
-    def _has_been_told(self, told: StatusUpdate, news: QueryOutcome) -> None:
+    def _on_update_agreed(self, update: StatusUpdate, outcome: QueryOutcome) -> None:
         dependency = (
-            Dependency(*told.write_id.edge_log, 0, True) if told.before else Dependency(*told.write_id)
+            Dependency(*update.write_id.edge_log, 0, True) if update.before else Dependency(*update.write_id)
         )
-        if self._said.get(dependency) is not told:
-            return  # something else is to be told of it by now
-        if told.withdraw_intent:
-            news.withdrawn.append(told.write_id)
-            news.changed = True
-        if told.before:
-            self._told_low[dependency.edge_log] = told.write_id.number
-            self._drop_below(told.write_id)
-        if told.write_status is WriteStatus.UNKNOWN:
-            self._unsay(dependency)
+        if self._updates.get(dependency) is not update:
+            return  # a newer update replaced it
+        if update.withdraw_intent:
+            outcome.withdrawn_intents.append(update.write_id)
+            outcome.has_changes = True
+        if update.before:
+            self._published_low_watermarks[dependency.edge_log] = update.write_id.number
+            self._drop_applied_below(update.write_id)
+        if update.write_status is WriteStatus.UNKNOWN:
+            self._drop_update(dependency)
             return
-        self._untold.discard(dependency)
-        self._tells.drop(dependency)
-        self._given(dependency)
+        self._unpublished.discard(dependency)
+        self._update_round.drop(dependency)
+        self._settle_abandoned(dependency)
 
-    def _drop_below(self, write_id: WriteId) -> None:
-        """In, and told by a number now."""
-        below = [
+    def _drop_applied_below(self, write_id: WriteId) -> None:
+        """Drop updates on applied writes that the published low watermark covers."""
+        applied = [
             dependency
-            for dependency, told in self._said.items()
+            for dependency, update in self._updates.items()
             if dependency.edge_log == write_id.edge_log and not dependency.before
-            and dependency.number <= write_id.number and told.write_status is WriteStatus.APPLIED
+            and dependency.number <= write_id.number and update.write_status is WriteStatus.APPLIED
         ]  # fmt: skip
-        for dependency in below:
-            self._unsay(dependency)
+        for dependency in applied:
+            self._drop_update(dependency)
--- a/laurelstep/outbox/shared/message_seal.py
+++ b/laurelstep/outbox/shared/message_seal.py
@@ -1,13 +1,16 @@
-"""What edges and upstream's copies say to each other, sealed with their common secret. Pure.
-
-1. A seal is made and read with `outbox.secret_file`'s bytes alone. Each use has a key of its own, so a sealed
-   replay is no ask, and neither of them an answer, nor any of them a causal token.
-2. One value has one text, and no bit of that can be changed: also not those of its last character that base64
-   leaves over.
-3. An answer is sealed together with the ask that it is to: the answer to one is of no use for another.
-4. A text is at most `SEALED_MOST` characters, which fit a request line. What is longer is not sealed.
-5. What is sealed may be another version's: it is read as strictly as if it were not.
-6. It is no secret to those on the way: nothing is ciphered.
+"""Seals the messages between edges and copies upstream with their common secret. Pure.
+
+1. Seals are made and checked with the bytes of `outbox.secret_file` alone. Each kind of message has a key of
+   its own, so a sealed replay identity is not valid as a query, nor a query as a reply, nor any of them as a
+   causality token.
+2. A message has exactly one sealed text, and changing any bit invalidates it. This includes the unused bits
+   of the last base64 character.
+3. A reply is sealed together with the query that it answers, and is not valid for another query.
+4. A sealed text has at most `MAX_SEALED_CHARS` characters, so that it fits in a request line. A longer
+   message is not sealed.
+5. A valid seal may come from another version of the program, so the content is checked as strictly as if it
+   were not sealed.
+6. A seal authenticates a message and does not encrypt it: anybody on the path can read it.
 """
 
 from __future__ import annotations
@@ -23,14 +26,14 @@
 import msgspec
 
 from laurelstep.outbox.errors import OutboxError
-from laurelstep.outbox.shared.messages import QUERIED_MOST, QueryReply, ReplayIdentity, ReplayQuery
+from laurelstep.outbox.shared.messages import MAX_QUERY_ITEMS, QueryReply, ReplayIdentity, ReplayQuery
 from laurelstep.outbox.write_ids import EdgeLog, check_edge
 
-__all__ = ["SEALED_MOST", "MessageSeal", "SealError", "SealedLengthError"]
+__all__ = ["MAX_SEALED_CHARS", "MessageSeal", "SealError", "SealedLengthError"]
 
-# Characters. The head of a request, which it is part of, may have 64 KiB.
-SEALED_MOST: Final = 16 * 1024
-_SIGN_SIZE: Final = 16
+# A sealed text is part of a request's head, which may have 64 KiB.
+MAX_SEALED_CHARS: Final = 16 * 1024
+_MAC_BYTES: Final = 16
 _VERSION: Final = 1
 _NUMBER_END: Final = 1 << 63
 _INCARNATION_END: Final = 1 << 64
@@ -42,138 +45,143 @@
 
 
 class SealError(OutboxError, ValueError):
-    """A sealed text that nobody with this secret made for this use."""
+    """A text that was not sealed with this secret as this kind of message."""
 
     cause: ClassVar[str] = (
-        "what came as a kept write's name, an edge's ask or the answer to one is forged, damaged or of "
-        "edges with another secret; it was refused"
+        "the identity of a replay, an edge's query or the reply to one is forged, damaged or sealed with "
+        "another secret; it was refused"
     )
     remedy: ClassVar[str] = (
-        "give all edges and upstream copies one outbox.secret_file; else look at who can reach the port"
+        "give all edges and upstream copies the same outbox.secret_file; else check who can reach the port"
     )
 
 
 class SealedLengthError(OutboxError, ValueError):
-    """More than one sealed text may say."""
+    """A message that is too long to be sealed."""
 
-    cause: ClassVar[str] = "an edge or a copy was to say more at once than a request line holds"
-    remedy: ClassVar[str] = "report it with the text: the fault is in the program; nothing was sent"
+    cause: ClassVar[str] = "an edge or a copy made a message that is too long for a request line"
+    remedy: ClassVar[str] = "report this fault of the program with the error's text; nothing was sent"
 
 
 class MessageSeal:
-    """Makes and reads sealed texts with the secret of the edges and upstream's copies (16 bytes or more)."""
+    """Makes and opens sealed texts with the secret of the edges and copies, which has 16 bytes or more."""
 
     def __init__(self, secret: bytes) -> None:
         if len(secret) < 16:
             raise ValueError("the secret is shorter than 16 bytes")
         self._keys: dict[type[Any], bytes] = {
-            kind: blake2b(secret, digest_size=32, person=person).digest()
-            for kind, person in (
+            message_type: blake2b(secret, digest_size=32, person=personalization).digest()
+            for message_type, personalization in (
                 (ReplayIdentity, b"outbox replay"),
                 (ReplayQuery, b"outbox ask"),
                 (QueryReply, b"outbox answer"),
             )
         }
 
-    def replayed(self, value: ReplayIdentity) -> str:
-        """Seal the name of a replay."""
-        return self._text(value, b"")
-
-    def ask(self, value: ReplayQuery) -> str:
-        """Seal a query; `SealedLengthError` if it is too long for a request line."""
-        return self._text(value, b"")
-
-    def answered(self, value: QueryReply, to: str) -> str:
-        """`to`: the sealed ask."""
-        return self._text(value, to.encode("latin-1", "replace"))
-
-    def open_replayed(self, text: str) -> ReplayIdentity:
-        """`SealError`, as of all that opens."""
-        value = self._open(ReplayIdentity, text, b"")
-        with _as_read():
-            _check_line(value.write_id.edge_log)
-            _check_number(value.write_id.number)
-            _check_incarnation(value.incarnation)
-        return value
-
-    def open_ask(self, text: str) -> ReplayQuery:
-        """The query that was sealed. `SealError`."""
-        value = self._open(ReplayQuery, text, b"")
-        with _as_read():
-            _check_ask(value)
-        return value
-
-    def open_answered(self, text: str, to: str) -> QueryReply:
-        """`to`: the sealed ask that it is to be an answer to."""
-        value = self._open(QueryReply, text, to.encode("latin-1", "replace"))
-        with _as_read():
-            _check_count(value.write_statuses, value.lease_statuses, value.agreements)
-        return value
-
-    def _text(self, value: ReplayIdentity | ReplayQuery | QueryReply, to: bytes) -> str:
-        data = msgspec.msgpack.encode((_VERSION, value))
-        text = _told(self._sign(type(value), data, to) + data)
-        if len(text) > SEALED_MOST:
-            raise SealedLengthError(f"{len(text)} characters, {SEALED_MOST} are the most")
+    def seal_replay(self, message: ReplayIdentity) -> str:
+        """Seal the identity of a replay."""
+        return self._seal(message, b"")
+
+    def seal_query(self, message: ReplayQuery) -> str:
+        """Seal a query. `SealedLengthError` if it is too long for a request line."""
+        return self._seal(message, b"")
+
+    def seal_reply(self, message: QueryReply, sealed_query: str) -> str:
+        """Seal the reply to `sealed_query`. `SealedLengthError` if it is too long."""
+        return self._seal(message, sealed_query.encode("latin-1", "replace"))
+
+    def open_replay(self, text: str) -> ReplayIdentity:
+        """The identity that was sealed. `SealError` if the text is not valid."""
+        message = self._open(ReplayIdentity, text, b"")
+        with _reading():
+            _check_edge_log(message.write_id.edge_log)
+            _check_number(message.write_id.number)
+            _check_incarnation(message.incarnation)
+        return message
+
+    def open_query(self, text: str) -> ReplayQuery:
+        """The query that was sealed. `SealError` if the text is not valid."""
+        message = self._open(ReplayQuery, text, b"")
+        with _reading():
+            _check_query(message)
+        return message
+
+    def open_reply(self, text: str, sealed_query: str) -> QueryReply:
+        """The reply that was sealed for `sealed_query`. `SealError` if the text is not valid for it."""
+        message = self._open(QueryReply, text, sealed_query.encode("latin-1", "replace"))
+        with _reading():
+            _check_count(message.write_statuses, message.lease_statuses, message.agreements)
+        return message
+
+    def _seal(self, message: ReplayIdentity | ReplayQuery | QueryReply, sealed_query: bytes) -> str:
+        data = msgspec.msgpack.encode((_VERSION, message))
+        text = _encode_base64(self._mac(type(message), data, sealed_query) + data)
+        if len(text) > MAX_SEALED_CHARS:
+            raise SealedLengthError(
+                f"sealed message has {len(text)} characters; the limit is {MAX_SEALED_CHARS}"
+            )
         return text
 
-    def _open(self, kind: type[_Sealed], text: str, to: bytes) -> _Sealed:
-        if len(text) > SEALED_MOST:
-            raise SealError(f"a sealed text is longer than {SEALED_MOST} characters")
+    def _open(self, message_type: type[_Sealed], text: str, sealed_query: bytes) -> _Sealed:
+        if len(text) > MAX_SEALED_CHARS:
+            raise SealError(f"a sealed text is longer than {MAX_SEALED_CHARS} characters")
         try:
             raw = base64.b64decode(text.encode("ascii") + b"=" * (-len(text) % 4), b"-_", validate=True)
         except (UnicodeEncodeError, binascii.Error, ValueError):
             raise SealError("a sealed text is not in the form of one") from None
-        sign, data = raw[:_SIGN_SIZE], raw[_SIGN_SIZE:]
-        if not hmac.compare_digest(sign, self._sign(kind, data, to)) or _told(raw) != text:
+        mac, data = raw[:_MAC_BYTES], raw[_MAC_BYTES:]
+        if (
+            not hmac.compare_digest(mac, self._mac(message_type, data, sealed_query))
+            or _encode_base64(raw) != text
+        ):
             raise SealError("a sealed text was not made with this secret for this use")
-        with _as_read():
-            version, value = _decoder.decode(data)
+        with _reading():
+            version, message = _decoder.decode(data)
             if version != _VERSION:
                 raise ValueError(f"a seal of version {version}")
-            return msgspec.msgpack.decode(value, type=kind)
+            return msgspec.msgpack.decode(message, type=message_type)
 
-    def _sign(self, kind: type[Any], data: bytes, to: bytes) -> bytes:
-        # The ask goes in as its digest: of a fixed size, so no byte of one part can be taken for the other's.
-        bound = blake2b(to, digest_size=16).digest()
-        return blake2b(bound + data, digest_size=_SIGN_SIZE, key=self._keys[kind]).digest()
+    def _mac(self, message_type: type[Any], data: bytes, sealed_query: bytes) -> bytes:
+        # The query's digest has a fixed size, so that no byte of one part can be taken for the other part's.
+        query_digest = blake2b(sealed_query, digest_size=16).digest()
+        return blake2b(query_digest + data, digest_size=_MAC_BYTES, key=self._keys[message_type]).digest()
 
 
 @contextmanager
-def _as_read() -> Iterator[None]:
-    """Signed, but maybe by another version (rule 5)."""
+def _reading() -> Iterator[None]:
+    """Raise `SealError` for content that can't be read, as a sealed text of another version may have."""
     try:
         yield
     except (msgspec.MsgspecError, ValueError) as error:
         raise SealError(f"a sealed text can't be read: {error}") from None
 
 
-def _told(raw: bytes) -> str:
+def _encode_base64(raw: bytes) -> str:
     return base64.urlsafe_b64encode(raw).rstrip(b"=").decode()
 
 
-def _check_ask(ask: ReplayQuery) -> None:
-    _check_count(ask.dependencies, ask.lease_requests, ask.status_updates)
-    for dependency in ask.dependencies:
-        _check_line(dependency.edge_log)
+def _check_query(query: ReplayQuery) -> None:
+    _check_count(query.dependencies, query.lease_requests, query.status_updates)
+    for dependency in query.dependencies:
+        _check_edge_log(dependency.edge_log)
         _check_number(dependency.number)
-    for claim in ask.lease_requests:
-        _check_line(claim.edge_log)
-        for incarnation in (claim.incarnation, *claim.known_holders):
+    for request in query.lease_requests:
+        _check_edge_log(request.edge_log)
+        for incarnation in (request.incarnation, *request.known_holders):
             _check_incarnation(incarnation)
-    for told in ask.status_updates:
-        _check_line(told.write_id.edge_log)
-        _check_number(told.write_id.number)
-        _check_incarnation(told.incarnation)
-        _check_number(told.parking + 1)
+    for update in query.status_updates:
+        _check_edge_log(update.write_id.edge_log)
+        _check_number(update.write_id.number)
+        _check_incarnation(update.incarnation)
+        _check_number(update.parking + 1)
 
 
 def _check_count(*parts: tuple[object, ...]) -> None:
-    if any(len(part) > QUERIED_MOST for part in parts):
-        raise ValueError(f"more than {QUERIED_MOST} of one kind")
+    if any(len(part) > MAX_QUERY_ITEMS for part in parts):
+        raise ValueError(f"more than {MAX_QUERY_ITEMS} of one kind")
 
 
-def _check_line(edge_log: EdgeLog) -> None:
+def _check_edge_log(edge_log: EdgeLog) -> None:
     check_edge(edge_log.edge)
     _check_incarnation(edge_log.incarnation)
 
--- a/laurelstep/outbox/shared/messages.py
+++ b/laurelstep/outbox/shared/messages.py
@@ -1,10 +1,10 @@
-"""What an edge and a copy upstream say to each other of queued writes. Pure.
+"""The messages between an edge and the copies upstream about queued writes. Pure.
 
-1. What goes between them is sealed with the edges' common secret (`MessageSeal`): it can't be made up, and
-   a seal of one use is of no use for another.
-2. A life is the incarnation of one opening of an outbox's store. A log is held by one life at a time; at
-   first by the life of its own incarnation.
-3. Everything that is said may come twice, late, or not at all, and means the same.
+1. Messages are sealed with the secret that all edges and copies share (`MessageSeal`). Nobody without it can
+   forge a message, and a seal made for one kind of message is not valid for another.
+2. An incarnation identifies one opening of an outbox's store. At any time one incarnation holds a log; at
+   first it is the log's own incarnation.
+3. Every message may arrive twice, late or not at all. A repeated message has the same meaning as the first.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
 __all__ = [
-    "FATE_HEADER",
-    "KEPT_HEADER",
-    "QUERIED_MOST",
+    "MAX_QUERY_ITEMS",
+    "REPLAY_HEADER",
+    "REPLAY_STATUS_HEADER",
     "SHARED_PATH",
     "IntentStatus",
     "LeaseRequest",
@@ -33,17 +33,18 @@
     "VersionVectors",
 ]
 
-# On a replay: a sealed `ReplayIdentity`. On an answer to one: "in", "begun" or "fenced".
-KEPT_HEADER: Final = b"x-kept-write"
-FATE_HEADER: Final = b"x-kept-fate"
-# An edge asks with GET of this and a sealed `ReplayQuery`, at the callers' address.
+# On a replay: a sealed `ReplayIdentity`.
+REPLAY_HEADER: Final = b"x-kept-write"
+# On the answer to a replay: "in" (applied already), "begun" (another intent is granted) or "fenced".
+REPLAY_STATUS_HEADER: Final = b"x-kept-fate"
+# The path of an edge's GET request, followed by a sealed `ReplayQuery`. Served at the clients' address.
 SHARED_PATH: Final = b"/outbox/shared/"
-# Of fates asked, told and claims in one ask, each: the sealed ask must fit in a request line.
-QUERIED_MOST: Final = 16
+# Items in each field of a query. The sealed query must fit in a request line.
+MAX_QUERY_ITEMS: Final = 16
 
 
 class ReplayIdentity(msgspec.Struct, array_like=True, frozen=True):
-    """A queued write on its way upstream."""
+    """Identifies a replay: the queued write, and the incarnation of the edge process that replays it."""
 
     write_id: WriteId
     incarnation: int
@@ -51,8 +52,10 @@
 
 
 class LeaseRequest(msgspec.Struct, array_like=True, frozen=True):
-    """A life wants to replay a log: the holders that its disk has known, itself not among them.
-    `force`: an operator says that this disk is the right one.
+    """An edge process of `incarnation` asks for the lease on a log, in order to replay it.
+
+    `known_holders`: the holders of the log that the edge's disk knows of, without `incarnation` itself.
+    `is_forced`: an operator declares this disk to be the right one.
     """
 
     edge_log: EdgeLog
@@ -62,11 +65,11 @@
 
 
 class StatusUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """What the holder of a log says of one write, or with `before` of all up to it.
+    """The status that a log's holder reports for one write, or with `before` for all writes up to it.
 
-    `UNKNOWN`: it waits at its edge (parked no more). `APPLIED`, `ABANDONED`: final. `withdraw_intent`: an
-    operator said that it never ran, of this `parking` of it: one that comes late says nothing of what
-    began since.
+    `UNKNOWN`: the write waits at its edge, and is no longer parked. `APPLIED` and `ABANDONED` are final.
+    `withdraw_intent`: an operator resolved that the write never ran, in its parking number `parking`. An
+    update that arrives late does not affect an intent recorded after that parking.
     """
 
     write_id: WriteId
@@ -78,7 +81,7 @@
 
 
 class ReplayQuery(msgspec.Struct, array_like=True, frozen=True):
-    """Of an edge. At most `QUERIED_MOST` of each."""
+    """A query of an edge, with at most `MAX_QUERY_ITEMS` items in each field."""
 
     dependencies: tuple[Dependency, ...] = ()
     lease_requests: tuple[LeaseRequest, ...] = ()
@@ -86,15 +89,17 @@
 
 
 class LeaseStatus(IntEnum):
-    """What became of a claim."""
+    """The result of a lease request."""
 
-    OPEN = 0  # not agreed yet: ask again
+    OPEN = 0  # not agreed yet: the edge asks again
     HELD = 1
-    FENCED = 2  # another life holds it, or it is lost
+    FENCED = 2  # another incarnation holds the log, or it is lost
 
 
 class QueryReply(msgspec.Struct, array_like=True, frozen=True):
-    """To an ask, each in the order of what was asked. `told`: whether the record says so now."""
+    """The reply to a query; each field is in the order of the query's items. `agreements`: for each status
+    update, whether the ledger agrees with it now.
+    """
 
     write_statuses: tuple[WriteStatus, ...] = ()
     lease_statuses: tuple[LeaseStatus, ...] = ()
@@ -102,29 +107,29 @@
 
 
 class IntentStatus(IntEnum):
-    """What the record says of an unsafe write for one ask of a gate."""
+    """What the ledger says of an unsafe write to the replay gate that asks with one intent id."""
 
-    OPEN = 0  # nobody's
-    MINE = 1  # this ask may send it
-    OTHERS = 2  # another ask may have sent it: it may have run
+    OPEN = 0  # no intent is granted
+    MINE = 1  # granted under this intent id: the gate may send the write
+    OTHERS = 2  # granted under another intent id: the write may have run
     APPLIED = 3
-    FENCED = 4  # the log is another life's, lost, or gone
+    FENCED = 4  # another incarnation holds the log, or it is lost
 
 
 class VersionVectors(Protocol):
-    """The agreed record as it is read: `shared.record.ReplicatedLedger` has these."""
+    """Read access to the agreed ledger. Implemented by `ReplicatedLedger`."""
 
     def write_status(self, dependency: Dependency) -> WriteStatus:
-        """What is agreed of a write, or of all writes of a log up to one."""
+        """The agreed status of a write, or of all writes of a log up to a number."""
 
     def holder(self, edge_log: EdgeLog) -> int:
-        """The life that may replay it; 0 if it is lost."""
+        """The incarnation that may replay the log; 0 if the log is lost."""
 
     def intent_status(self, write_id: WriteId, incarnation: int, intent_id: int) -> IntentStatus:
-        """What is agreed of an unsafe write for one query of a gate."""
+        """The agreed state of an unsafe write, as seen by the gate that drew `intent_id`."""
 
     def lease_status(self, request: LeaseRequest) -> LeaseStatus:
-        """OPEN while the claim, agreed now, would hold."""
+        """The result of a request; OPEN while an entry for it would still be granted."""
 
     def agrees_with(self, update: StatusUpdate) -> bool:
-        """The record says so now, or what it says of the write is final."""
+        """Whether the ledger shows the update's status, or a final status of the write."""
--- a/laurelstep/outbox/shared/replay_gate.py
+++ b/laurelstep/outbox/shared/replay_gate.py
@@ -1,22 +1,25 @@
-"""Where replays of edges come in at a copy upstream: joins the engine with what the copies agreed.
+"""Admits replays of edges at a copy upstream, by the ledger that the copies agree on.
 
 The rules:
 
-1. A replay is told by its sealed header. All else is the inner recorder's, where there is one, or nobody's.
-2. Nothing is granted, told or answered while this copy does not know the record, or hears of no leader that a
-   majority follows.
-3. An unsafe write is sent only once its BEGIN under this very ask is agreed; each ask is drawn anew. A keyed
-   one needs none: upstream tells its repeats apart.
-4. Before a served answer leaves, IN is agreed; otherwise the edge hears that it may have run.
-5. Of an ask that sent nothing and never will, UNBEGIN is agreed before its refusal leaves. Where it is not in
-   time, the refusal leaves all the same: it is true, as the call is over and nothing of it can be sent any
-   more. What stands in the record can only make the next ask hear that the write may have run, until UNBEGIN,
-   which is told on, has come through. So no retry can run it twice.
-6. What was not agreed in time is told on for `LATER_US`, by `LATER_MOST` at a time. What is given up then is
-   on the safe side: begun, and not in.
-7. A replay whose body is passed on while it comes is judged by its head, and sent as any other upload. Its
-   answer is held whole, as that of all replays: one over the bound of held answers is told as one that may
-   have run.
+1. A replay is recognized by its sealed header. All other calls are the inner recorder's, if there is one.
+2. While this copy does not know the ledger or hears of no leader that a majority follows, it admits no replay
+   and answers no query.
+3. An unsafe write is sent only once an intent with this replay's own intent id is agreed; each replay draws a
+   new id. A keyed write needs no intent: upstream recognizes its repeats.
+4. Before a served answer leaves, it is agreed that the write is applied. Otherwise the edge hears that the
+   write may have run.
+5. If a replay has sent nothing and never will, the withdrawal of its intent is agreed before the refusal
+   leaves. If the agreement takes too long, the refusal leaves all the same: it is true, because the call is
+   over and nothing of it can be sent any more. An intent left in the ledger can only tell the next replay
+   that the write may have run, until the withdrawal, which goes on being submitted, is agreed. So no retry
+   can run the write twice.
+6. An entry that was not agreed in time is submitted for another `LATE_ENTRY_TIMEOUT_US`, with at most
+   `MAX_LATE_ENTRIES` such entries at a time. Giving up on one is safe: the write keeps its intent and is not
+   recorded as applied.
+7. A replay whose body is forwarded while it arrives is judged by its head, and sent like any other upload.
+   Its answer is buffered whole, as that of every replay; one over the limit on buffered answers counts as one
+   that may have run.
 """
 
 from __future__ import annotations
@@ -34,7 +37,7 @@
 from laurelstep.outbox.shared.entries import EdgeLost, Intent, IntentWithdrawal, LedgerEntry, WriteApplied
 from laurelstep.outbox.shared.message_seal import MessageSeal, SealError
 from laurelstep.outbox.shared.messages import (
-    FATE_HEADER,
+    REPLAY_STATUS_HEADER,
     IntentStatus,
     LeaseRequest,
     LeaseStatus,
@@ -48,343 +51,359 @@
 
 __all__ = ["ReplayGate"]
 
-# What is agreed within a call waits so long at most; a leader is replaced in less.
-AGREE_US: Final = 5_000_000
-# Of a call's time, for the answer to leave.
-LEFT_US: Final = 10_000
-# An edge that asks waits so long for what it claims and tells; then it hears how far it has come.
-ASK_US: Final = 1_000_000
-ASKS_MOST: Final = 64
-LATER_US: Final = 30_000_000
-LATER_MOST: Final = 256
-# When an edge may come again.
-RETRY_US: Final = 1_000_000
-# Between two log lines about replays and asks that were refused for what they are.
-COMPLAIN_US: Final = 10_000_000
-# Of an edge that is lost every log is, also one that never was: this one stands for all.
+# For agreement on an entry during a call. A leader is replaced in less time.
+AGREEMENT_TIMEOUT_US: Final = 5_000_000
+# The end of a call's time that is reserved for sending its answer.
+ANSWER_RESERVE_US: Final = 10_000
+# For agreement on a query's requests and updates; then the reply says which of them are agreed.
+QUERY_TIMEOUT_US: Final = 1_000_000
+MAX_QUERIES: Final = 64
+LATE_ENTRY_TIMEOUT_US: Final = 30_000_000
+MAX_LATE_ENTRIES: Final = 256
+# After a refusal.
+RETRY_AFTER_US: Final = 1_000_000
+# Between two log lines about replays and queries that are not valid.
+COMPLAINT_INTERVAL_US: Final = 10_000_000
+# A lost edge loses all logs, also those that never existed: a log of this incarnation stands for them all.
 _ANY_INCARNATION: Final = (1 << 64) - 1
 
-TEXT: Final = (b"content-type", b"text/plain")
+TEXT_PLAIN: Final = (b"content-type", b"text/plain")
 
 
 @dataclass(eq=False)
 class GatedReplay:
-    """One replay in hand."""
+    """A replay between `begin` and its final answer."""
 
     call: Call
     write_id: WriteId
     incarnation: int
-    unsafe: bool
-    ask: int = 0  # 0: no BEGIN was told
-    admitted: bool = False
+    is_unsafe: bool
+    intent_id: int = 0  # 0: no intent was submitted
+    is_admitted: bool = False
 
 
 class ReplayGate:
-    """The engine's `Recorder` at a copy upstream. `classes`: those that edges may keep, by number, and
-    whether a write of each is unsafe.
+    """The engine's `Recorder` at a copy upstream. `classes`: the classes that edges may queue, by number, and
+    whether writes of the class are unsafe.
     """
 
     def __init__(
         self,
-        record: AgreedLedger,
-        sharer: Agreement,
+        ledger: AgreedLedger,
+        agreement: Agreement,
         seal: MessageSeal,
         classes: Mapping[int, bool],
         clock: Clock,
         log: Log,
         inner: Recorder | None = None,
-        draw: Callable[[], int] = lambda: secrets.randbits(64) or 1,
+        draw_intent_id: Callable[[], int] = lambda: secrets.randbits(64) or 1,
     ) -> None:
-        self.record = record
-        self.sharer = sharer
+        self.ledger = ledger
+        self.agreement = agreement
         self.seal = seal
         self.classes = dict(classes)
         self.clock = clock
         self.log = log
         self.inner = inner
-        self.draw = draw
-        self.hands: dict[Call, GatedReplay] = {}
-        self.asking = 0
-        self.later = 0
+        self.draw_intent_id = draw_intent_id
+        self.replays: dict[Call, GatedReplay] = {}
+        self.open_query_count = 0
+        self.late_entry_count = 0
         self.counters = {"replays": 0, "in": 0, "fenced": 0, "begun": 0, "refused": 0, "late": 0, "bad": 0}
-        self.complained = -COMPLAIN_US
+        self.last_complaint_at = -COMPLAINT_INTERVAL_US
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def close(self) -> None:
-        """Wait for nothing any more."""
+        """Cancel all tasks, and wait until they have ended."""
         for task in set(self.tasks):
             task.cancel()
         if self.tasks:
             await asyncio.wait(set(self.tasks))
 
     def status(self) -> dict[str, Any]:
-        """For an operator."""
-        return {"ready": self.sharer.is_ready, **self.record.status(), "gate": dict(self.counters)}
+        """The operator's status report, as JSON types."""
+        return {"ready": self.agreement.is_ready, **self.ledger.status(), "gate": dict(self.counters)}
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    # --- Before the module is told ------------------------------------------------------
+    # --- Before the call is admitted ----------------------------------------------------
 
     def begin(self, call: Call, engine: CallHost) -> bool:
-        """As an engine's `Recorder`: True if the replay is in hand here."""
+        """As an engine's `Recorder`: True if this recorder takes the call."""
         sealed = call.causal_dependencies[3] if len(call.causal_dependencies) > 3 else b""
         if not sealed:
             return self.inner is not None and self.inner.begin(call, engine)
         try:
-            replayed = self.seal.open_replayed(sealed.decode("latin-1"))
+            identity = self.seal.open_replay(sealed.decode("latin-1"))
         except SealError as error:
-            engine.settle(call, self._unsealed("a kept write's name", error))
+            engine.settle(call, self._bad_seal_answer("a replay's identity", error))
             return True
         self.counters["replays"] += 1
         if call.request_class not in self.classes:
             self._complain(
-                f"{replayed.write_id.edge}: a kept write of a class that [orders] records here was refused"
+                f"{identity.write_id.edge}: a kept write of a class that [orders] records here was refused"
             )
             engine.settle(call, self._refusal())
             return True
-        unsafe = replayed.unsafe or self.classes[call.request_class]
-        hand = GatedReplay(call, replayed.write_id, replayed.incarnation, unsafe)
-        resolution = self._verdict(hand)
-        if resolution is not None:
-            engine.settle(call, resolution)
-        elif unsafe:
-            self.hands[call] = hand
-            self._spawn(self._begin(hand, engine))
+        is_unsafe = identity.unsafe or self.classes[call.request_class]
+        replay = GatedReplay(call, identity.write_id, identity.incarnation, is_unsafe)
+        answer = self._answer_from_ledger(replay)
+        if answer is not None:
+            engine.settle(call, answer)
+        elif is_unsafe:
+            self.replays[call] = replay
+            self._spawn(self._record_intent(replay, engine))
         else:
-            self.hands[call] = hand
-            self._admit(hand, engine)
+            self.replays[call] = replay
+            self._admit(replay, engine)
         return True
 
-    def _verdict(self, hand: GatedReplay) -> Answer | None:
-        """What can be answered from what is agreed; None if it may be sent, or its BEGIN be told."""
-        if not self.sharer.is_ready:
+    def _answer_from_ledger(self, replay: GatedReplay) -> Answer | None:
+        """The final answer if the ledger decides it; None if the write may be sent, or an intent for it be
+        submitted.
+        """
+        if not self.agreement.is_ready:
             return self._refusal()
-        begun = self.record.intent_status(hand.write_id, hand.incarnation, hand.ask)
-        if begun is IntentStatus.APPLIED:
+        intent_status = self.ledger.intent_status(replay.write_id, replay.incarnation, replay.intent_id)
+        if intent_status is IntentStatus.APPLIED:
             self.counters["in"] += 1
-            return Answer(Ending.SERVED, 200, ((FATE_HEADER, b"in"),))
-        if begun is IntentStatus.FENCED:
+            return Answer(Ending.SERVED, 200, ((REPLAY_STATUS_HEADER, b"in"),))
+        if intent_status is IntentStatus.FENCED:
             self.counters["fenced"] += 1
-            return Answer(Ending.REFUSED, 503, ((FATE_HEADER, b"fenced"),), retry_after_us=RETRY_US)
-        if begun is IntentStatus.OTHERS:
+            return Answer(
+                Ending.REFUSED, 503, ((REPLAY_STATUS_HEADER, b"fenced"),), retry_after_us=RETRY_AFTER_US
+            )
+        if intent_status is IntentStatus.OTHERS:
             self.counters["begun"] += 1
-            return Answer(Ending.FAILED, 502, ((FATE_HEADER, b"begun"),))
+            return Answer(Ending.FAILED, 502, ((REPLAY_STATUS_HEADER, b"begun"),))
         return None
 
-    async def _begin(self, hand: GatedReplay, engine: CallHost) -> None:
-        call, until = hand.call, self._until(hand.call)
-        if until > self.clock.now():
-            hand.ask = self.draw()
-            entry = Intent(hand.write_id, hand.incarnation, hand.ask)
-            await self._agree(entry, lambda: self._begun(hand) is not IntentStatus.OPEN, until)
-        if call not in self.hands:
-            self._take_back_later(hand)  # its time is over, or its edge left
+    async def _record_intent(self, replay: GatedReplay, engine: CallHost) -> None:
+        call, deadline = replay.call, self._agreement_deadline(replay.call)
+        if deadline > self.clock.now():
+            replay.intent_id = self.draw_intent_id()
+            entry = Intent(replay.write_id, replay.incarnation, replay.intent_id)
+            await self._agree(entry, lambda: self._intent_status(replay) is not IntentStatus.OPEN, deadline)
+        if call not in self.replays:
+            self._withdraw_later(replay)  # the call expired, or its edge disconnected
             return
-        begun = self._begun(hand)
-        if begun is IntentStatus.MINE and self.sharer.is_ready:
-            self._admit(hand, engine)
+        intent_status = self._intent_status(replay)
+        if intent_status is IntentStatus.MINE and self.agreement.is_ready:
+            self._admit(replay, engine)
             return
-        del self.hands[call]
-        if begun in (IntentStatus.OPEN, IntentStatus.MINE):
-            self._take_back_later(hand)  # it may still come through
+        del self.replays[call]
+        if intent_status in (IntentStatus.OPEN, IntentStatus.MINE):
+            self._withdraw_later(replay)  # the intent may still be agreed
             engine.settle(call, self._refusal())
         else:
-            engine.settle(call, self._verdict(hand) or self._refusal())
+            engine.settle(call, self._answer_from_ledger(replay) or self._refusal())
 
-    def _begun(self, hand: GatedReplay) -> IntentStatus:
-        return self.record.intent_status(hand.write_id, hand.incarnation, hand.ask)
+    def _intent_status(self, replay: GatedReplay) -> IntentStatus:
+        return self.ledger.intent_status(replay.write_id, replay.incarnation, replay.intent_id)
 
-    def _admit(self, hand: GatedReplay, engine: CallHost) -> None:
-        hand.admitted = True
-        engine.admit(hand.call)
+    def _admit(self, replay: GatedReplay, engine: CallHost) -> None:
+        replay.is_admitted = True
+        engine.admit(replay.call)
 
     # --- Before the final answer leaves -------------------------------------------------
 
     def finish(self, call: Call, answer: Answer, engine: CallHost) -> None:
         """As an engine's `Recorder`: the final answer of a replay."""
-        hand = self.hands.pop(call, None)
-        if hand is None:
+        replay = self.replays.pop(call, None)
+        if replay is None:
             if self.inner is not None:
                 self.inner.finish(call, answer, engine)
             else:
                 engine.deliver(call, answer)
-        elif not hand.admitted:
-            engine.deliver(call, self._refusal())  # nothing was sent; `_begin` takes its BEGIN back
+        elif not replay.is_admitted:
+            engine.deliver(call, self._refusal())  # nothing was sent; `_record_intent` withdraws its intent
         elif answer.ending is Ending.SERVED:
-            self._spawn(self._say_in(hand, answer, engine))
+            self._spawn(self._record_applied(replay, answer, engine))
         elif answer.ending is Ending.REFUSED or not _may_have_run(call, call.attempts):
-            self._refuse(hand, answer if answer.ending is Ending.REFUSED else self._refusal(), engine)
+            self._refuse(replay, answer if answer.ending is Ending.REFUSED else self._refusal(), engine)
         else:
             engine.deliver(call, answer)
 
-    async def _say_in(self, hand: GatedReplay, answer: Answer, engine: CallHost) -> None:
-        dependency = Dependency(*hand.write_id)
+    async def _record_applied(self, replay: GatedReplay, answer: Answer, engine: CallHost) -> None:
+        dependency = Dependency(*replay.write_id)
 
-        def over() -> bool:
-            """What is to be agreed is so, or can't be any more."""
-            return self.record.write_status(dependency) in (WriteStatus.APPLIED, WriteStatus.ABANDONED)
+        def is_final() -> bool:
+            """Whether the write is final, as applied or as abandoned."""
+            return self.ledger.write_status(dependency) in (WriteStatus.APPLIED, WriteStatus.ABANDONED)
 
-        entry = WriteApplied(hand.write_id)
+        entry = WriteApplied(replay.write_id)
         if (
-            await self._agree(entry, over, self._until(hand.call))
-            and self.record.write_status(dependency) is WriteStatus.APPLIED
+            await self._agree(entry, is_final, self._agreement_deadline(replay.call))
+            and self.ledger.write_status(dependency) is WriteStatus.APPLIED
         ):
-            engine.deliver(hand.call, answer)
+            engine.deliver(replay.call, answer)
             return
-        engine.deliver(hand.call, Answer(Ending.FAILED, 502))
-        if not over():
-            await self._tell_on(entry, over)
+        engine.deliver(replay.call, Answer(Ending.FAILED, 502))
+        if not is_final():
+            await self._agree_late(entry, is_final)
 
-    def _refuse(self, hand: GatedReplay, answer: Answer, engine: CallHost) -> None:
-        if hand.unsafe:
-            self._spawn(self._take_back_and_refuse(hand, answer, engine))
+    def _refuse(self, replay: GatedReplay, answer: Answer, engine: CallHost) -> None:
+        if replay.is_unsafe:
+            self._spawn(self._withdraw_and_refuse(replay, answer, engine))
         else:
-            engine.deliver(hand.call, answer)
-
-    async def _take_back_and_refuse(self, hand: GatedReplay, answer: Answer, engine: CallHost) -> None:
-        """Rule 5 says why the refusal leaves either way."""
-        entry = IntentWithdrawal(hand.write_id, hand.ask)
-        agreed = await self._agree(entry, lambda: self.record.is_withdrawn(hand.ask), self._until(hand.call))
-        engine.deliver(hand.call, answer)
-        if not agreed:
-            await self._tell_on(entry, lambda: self.record.is_withdrawn(hand.ask))
-
-    def _take_back_later(self, hand: GatedReplay) -> None:
-        if hand.ask:
-            entry = IntentWithdrawal(hand.write_id, hand.ask)
-            self._spawn(self._tell_on(entry, lambda: self.record.is_withdrawn(hand.ask)))
-
-    async def _tell_on(self, entry: LedgerEntry, done: Callable[[], bool]) -> None:
-        """Rule 6."""
-        if self.later >= LATER_MOST:
+            engine.deliver(replay.call, answer)
+
+    async def _withdraw_and_refuse(self, replay: GatedReplay, answer: Answer, engine: CallHost) -> None:
+        """Rule 5 says why the refusal leaves whether or not the withdrawal is agreed."""
+        entry = IntentWithdrawal(replay.write_id, replay.intent_id)
+        is_agreed = await self._agree(
+            entry, lambda: self.ledger.is_withdrawn(replay.intent_id), self._agreement_deadline(replay.call)
+        )
+        engine.deliver(replay.call, answer)
+        if not is_agreed:
+            await self._agree_late(entry, lambda: self.ledger.is_withdrawn(replay.intent_id))
+
+    def _withdraw_later(self, replay: GatedReplay) -> None:
+        if replay.intent_id:
+            entry = IntentWithdrawal(replay.write_id, replay.intent_id)
+            self._spawn(self._agree_late(entry, lambda: self.ledger.is_withdrawn(replay.intent_id)))
+
+    async def _agree_late(self, entry: LedgerEntry, is_agreed: Callable[[], bool]) -> None:
+        """Submit an entry after its call is over, by rule 6."""
+        if self.late_entry_count >= MAX_LATE_ENTRIES:
             self.counters["late"] += 1
             return
-        self.later += 1
+        self.late_entry_count += 1
         try:
-            if not await self._agree(entry, done, self.clock.now() + LATER_US):
+            if not await self._agree(entry, is_agreed, self.clock.now() + LATE_ENTRY_TIMEOUT_US):
                 self.counters["late"] += 1
         finally:
-            self.later -= 1
+            self.late_entry_count -= 1
 
-    async def _agree(self, entry: LedgerEntry, done: Callable[[], bool], until: int) -> bool:
+    async def _agree(self, entry: LedgerEntry, is_agreed: Callable[[], bool], deadline: int) -> bool:
         try:
-            return await self.sharer.agree(entry, done, until)
+            return await self.agreement.agree(entry, is_agreed, deadline)
         except EntryError:
-            return False  # sealed, but no entry: no edge says so
+            return False  # a sealed message with values that no edge sends
 
-    def _until(self, call: Call) -> int:
-        return min(self.clock.now() + AGREE_US, call.expires_at - LEFT_US)
+    def _agreement_deadline(self, call: Call) -> int:
+        return min(self.clock.now() + AGREEMENT_TIMEOUT_US, call.expires_at - ANSWER_RESERVE_US)
 
     def _refusal(self) -> Answer:
         self.counters["refused"] += 1
-        return Answer(Ending.REFUSED, 503, retry_after_us=RETRY_US)
+        return Answer(Ending.REFUSED, 503, retry_after_us=RETRY_AFTER_US)
 
-    # --- Those that leave ---------------------------------------------------------------
+    # --- Edges that disconnect ----------------------------------------------------------
 
     def on_client_left(self, call: Call, engine: CallHost) -> None:
-        """As an engine's `Recorder`: the caller left."""
-        hand = self.hands.pop(call, None)
-        if hand is None:
+        """As an engine's `Recorder`: the edge closed its connection."""
+        replay = self.replays.pop(call, None)
+        if replay is None:
             if self.inner is not None:
                 self.inner.on_client_left(call, engine)
-        elif hand.admitted:
-            # The module calls off what is out: only then it shows whether it can have run.
-            self.clock.at(self.clock.now(), self._left, hand, tuple(call.attempts))
+        elif replay.is_admitted:
+            # The engine cancels the attempts next. Only then they show whether they may have run.
+            self.clock.at(self.clock.now(), self._on_call_cancelled, replay, tuple(call.attempts))
 
-    def _left(self, hand: GatedReplay, attempts: tuple[Attempt, ...]) -> None:
-        """Attempts that are all over are not here any more: they may have run."""
-        is_known = bool(attempts) or not hand.call.attempts_sent
-        if is_known and not _may_have_run(hand.call, attempts):
-            self._take_back_later(hand)
+    def _on_call_cancelled(self, replay: GatedReplay, attempts: tuple[Attempt, ...]) -> None:
+        """Withdraw the intent if no attempt can have run. An attempt that is over is not in `attempts`, and
+        may have run.
+        """
+        is_outcome_known = bool(attempts) or not replay.call.attempts_sent
+        if is_outcome_known and not _may_have_run(replay.call, attempts):
+            self._withdraw_later(replay)
 
-    # --- Asked by edges -----------------------------------------------------------------
+    # --- Queries of edges ---------------------------------------------------------------
 
     def on_query(self, call: Call) -> None:
-        """`call.start` is a sealed ask; its front is answered later."""
-        if self.asking >= ASKS_MOST:
+        """Answer a query of an edge through the call's frontend. `call.method_and_target` is the sealed
+        query.
+        """
+        if self.open_query_count >= MAX_QUERIES:
             call.frontend.on_answer(call, self._refusal())
             return
-        self.asking += 1
-        self._spawn(self._ask(call))
+        self.open_query_count += 1
+        self._spawn(self._answer_query(call))
 
-    async def _ask(self, call: Call) -> None:
+    async def _answer_query(self, call: Call) -> None:
         try:
-            answer = await self._answer(call.method_and_target.decode("latin-1"))
+            answer = await self._answer_sealed_query(call.method_and_target.decode("latin-1"))
         finally:
-            self.asking -= 1
+            self.open_query_count -= 1
         call.frontend.on_answer(call, answer)
 
-    async def _answer(self, text: str) -> Answer:
+    async def _answer_sealed_query(self, text: str) -> Answer:
         try:
-            ask = self.seal.open_ask(text)
+            query = self.seal.open_query(text)
         except SealError as error:
-            return self._unsealed("an ask", error)
-        if self.sharer.is_ready:
-            await self._bring_about(ask)
-        if not self.sharer.is_ready:
+            return self._bad_seal_answer("a query", error)
+        if self.agreement.is_ready:
+            await self._agree_on_items(query)
+        if not self.agreement.is_ready:
             return self._refusal()
-        record = self.record
-        answered = QueryReply(
-            write_statuses=tuple(record.write_status(dependency) for dependency in ask.dependencies),
-            lease_statuses=tuple(record.lease_status(claim) for claim in ask.lease_requests),
-            agreements=tuple(record.agrees_with(told) for told in ask.status_updates),
+        ledger = self.ledger
+        reply = QueryReply(
+            write_statuses=tuple(ledger.write_status(dependency) for dependency in query.dependencies),
+            lease_statuses=tuple(ledger.lease_status(request) for request in query.lease_requests),
+            agreements=tuple(ledger.agrees_with(update) for update in query.status_updates),
         )
-        return Answer(Ending.SERVED, 200, (TEXT,), self.seal.answered(answered, text).encode())
-
-    async def _bring_about(self, ask: ReplayQuery) -> None:
-        """What it claims and tells, as far as that is agreed within `ASK_US`."""
-        record, until = self.record, self.clock.now() + ASK_US
-        waits = []
-        for claim in ask.lease_requests:
-            hold = record.lease_entry(claim)
-            if hold is not None:
-                waits.append(self._agree(hold, self._claimed(claim), until))
-        for told in ask.status_updates:
-            said = record.status_entry(told)
-            if said is not None:
-                waits.append(self._agree(said, self._said(told), until))
-        await asyncio.gather(*waits)
-
-    def _claimed(self, claim: LeaseRequest) -> Callable[[], bool]:
-        return lambda: self.record.lease_status(claim) is not LeaseStatus.OPEN
-
-    def _said(self, told: StatusUpdate) -> Callable[[], bool]:
-        return lambda: self.record.agrees_with(told)
-
-    def _unsealed(self, what: str, error: SealError) -> Answer:
+        return Answer(Ending.SERVED, 200, (TEXT_PLAIN,), self.seal.seal_reply(reply, text).encode())
+
+    async def _agree_on_items(self, query: ReplayQuery) -> None:
+        """Get the query's lease requests and status updates agreed, as far as that takes less than
+        `QUERY_TIMEOUT_US`.
+        """
+        ledger, deadline = self.ledger, self.clock.now() + QUERY_TIMEOUT_US
+        agreements = []
+        for request in query.lease_requests:
+            lease = ledger.lease_entry(request)
+            if lease is not None:
+                agreements.append(self._agree(lease, self._lease_condition(request), deadline))
+        for update in query.status_updates:
+            status_record = ledger.status_entry(update)
+            if status_record is not None:
+                agreements.append(self._agree(status_record, self._update_condition(update), deadline))
+        await asyncio.gather(*agreements)
+
+    def _lease_condition(self, request: LeaseRequest) -> Callable[[], bool]:
+        return lambda: self.ledger.lease_status(request) is not LeaseStatus.OPEN
+
+    def _update_condition(self, update: StatusUpdate) -> Callable[[], bool]:
+        return lambda: self.ledger.agrees_with(update)
+
+    def _bad_seal_answer(self, message_name: str, error: SealError) -> Answer:
         self.counters["bad"] += 1
-        self._complain(f"{what} was refused: {error}; {error.remedy}")
-        return Answer(Ending.FAILED, 400, (TEXT,), f"{error}\n".encode())
+        self._complain(f"{message_name} was refused: {error}; {error.remedy}")
+        return Answer(Ending.FAILED, 400, (TEXT_PLAIN,), f"{error}\n".encode())
 
     def _complain(self, text: str) -> None:
-        """One log line for the operator, and not one for each of a crowd."""
+        """Write a log line for the operator, at most one in `COMPLAINT_INTERVAL_US`."""
         now = self.clock.now()
-        if now >= self.complained + COMPLAIN_US:
-            self.complained = now
+        if now >= self.last_complaint_at + COMPLAINT_INTERVAL_US:
+            self.last_complaint_at = now
             self.log(f"outbox: {text}")
 
-    # --- An operator's word -------------------------------------------------------------
+    # --- Operator's commands ------------------------------------------------------------
 
     def declare_lost(self, edge: str, incarnation: int = 0) -> bool:
-        """Declare an edge lost, or one life of it. False if it is."""
+        """Declare an edge lost, or only its log of `incarnation` if that is not 0. False if it is lost
+        already.
+        """
         edge_log = EdgeLog(edge, incarnation or _ANY_INCARNATION)
 
-        def lost() -> bool:
-            """The record has the edge as lost."""
-            return self.record.holder(edge_log) == 0
+        def is_lost() -> bool:
+            """Whether the ledger shows the log as lost."""
+            return self.ledger.holder(edge_log) == 0
 
-        if lost():
+        if is_lost():
             return False
-        self.log(f"outbox: {edge}: declared lost{f', its life {incarnation:016x}' if incarnation else ''}")
-        self._spawn(self._tell_on(EdgeLost(edge, incarnation), lost))
+        self.log(
+            f"outbox: {edge}: declared lost{f', only incarnation {incarnation:016x}' if incarnation else ''}"
+        )
+        self._spawn(self._agree_late(EdgeLost(edge, incarnation), is_lost))
         return True
 
 
 def _may_have_run(call: Call, attempts: Sequence[Attempt]) -> bool:
-    """Of an upload, any part that an endpoint had counts."""
+    """Whether any attempt may have run. An upload may have run if an endpoint received any part of it."""
     if call.upload is not None and call.upload.was_attached:
         return True
     return any(attempt.is_in_flight or attempt.may_have_run for attempt in attempts)
--- a/tests/test_outbox_replay_gate.py
+++ b/tests/test_outbox_replay_gate.py
@@ -1,4 +1,6 @@
-"""The gate at a copy upstream: what an edge hears of its replay, and when; the test times what is agreed."""
+"""The replay gate of a copy upstream: which answer an edge gets to a replay or a query, and when. The test
+decides when an entry is agreed.
+"""
 
 from __future__ import annotations
 
@@ -38,7 +40,7 @@
 from laurelstep.outbox.shared.ledger import ReplicatedLedger
 from laurelstep.outbox.shared.message_seal import MessageSeal
 from laurelstep.outbox.shared.messages import (
-    FATE_HEADER,
+    REPLAY_STATUS_HEADER,
     IntentStatus,
     LeaseRequest,
     LeaseStatus,
@@ -48,11 +50,11 @@
     StatusUpdate,
 )
 from laurelstep.outbox.shared.replay_gate import (
-    ASK_US,
-    ASKS_MOST,
-    COMPLAIN_US,
-    LATER_MOST,
-    LATER_US,
+    COMPLAINT_INTERVAL_US,
+    LATE_ENTRY_TIMEOUT_US,
+    MAX_LATE_ENTRIES,
+    MAX_QUERIES,
+    QUERY_TIMEOUT_US,
     ReplayGate,
 )
 from laurelstep.outbox.version_vector import WriteStatus
@@ -64,189 +66,208 @@
 SECRET = b"of the edges and of the copies"
 SEAL = MessageSeal(SECRET)
 INCARNATION, LATER_INCARNATION = 7, 8
-LINE = EdgeLog("edge-1", INCARNATION)
-DOT = WriteId("edge-1", INCARNATION, 3)
+EDGE_LOG = EdgeLog("edge-1", INCARNATION)
+WRITE_ID = WriteId("edge-1", INCARNATION, 3)
 PAY, PUT, POST = 0, 1, 2
 DEADLINE_US = 2_000_000
 
 
 class ManualAgreement:
-    """A sharer whose entries are agreed when the test says so."""
+    """An `Agreement` whose entries are agreed when the test says so."""
 
-    def __init__(self, record: ReplicatedLedger, clock: ManualClock) -> None:
-        self.record = record
+    def __init__(self, ledger: ReplicatedLedger, clock: ManualClock) -> None:
+        self.ledger = ledger
         self.clock = clock
         self.is_ready = True
         self.index = self.submission_count = 0
-        self.waiting: list[tuple[LedgerEntry, Callable[[], bool], asyncio.Future[bool]]] = []
+        self.pending: list[tuple[LedgerEntry, Callable[[], bool], asyncio.Future[bool]]] = []
 
-    def agree(self, entry: LedgerEntry, done: Callable[[], bool], until: int) -> asyncio.Future[bool]:
+    def agree(self, entry: LedgerEntry, is_agreed: Callable[[], bool], deadline: int) -> asyncio.Future[bool]:
         self.submission_count += 1
         pack(entry)
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        if done():
+        if is_agreed():
             future.set_result(True)
-        elif until <= self.clock.now():
+        elif deadline <= self.clock.now():
             future.set_result(False)
         else:
-            self.waiting.append((entry, done, future))
-            self.clock.at(until, self._end, future)
+            self.pending.append((entry, is_agreed, future))
+            self.clock.at(deadline, self._on_deadline, future)
         return future
 
-    def _end(self, future: asyncio.Future[bool]) -> None:
+    def _on_deadline(self, future: asyncio.Future[bool]) -> None:
         if not future.done():
             future.set_result(False)
-        self._check_endpoints()
+        self._resolve_agreed()
 
-    def _check_endpoints(self) -> None:
-        for _, done, future in self.waiting:
-            if not future.done() and done():
+    def _resolve_agreed(self) -> None:
+        for _, is_agreed, future in self.pending:
+            if not future.done() and is_agreed():
                 future.set_result(True)
-        self.waiting = [one for one in self.waiting if not one[2].done()]
+        self.pending = [pending for pending in self.pending if not pending[2].done()]
 
     @property
     def submitted_entries(self) -> list[LedgerEntry]:
-        return [one for one, _, _ in self.waiting]
+        return [entry for entry, _, _ in self.pending]
 
     def apply_entries(self, *entries: LedgerEntry) -> None:
-        """These are agreed now; or all that is asked for."""
-        for one in entries or self.submitted_entries:
+        """Agree on these entries now; without arguments, on all that are pending."""
+        for submitted in entries or self.submitted_entries:
             self.index += 1
-            self.record.apply(self.index, pack(one)[1:])
-        self._check_endpoints()
+            self.ledger.apply(self.index, pack(submitted)[1:])
+        self._resolve_agreed()
 
 
-class Inner:
+class InnerRecorder:
     """A recorder behind the gate."""
 
-    def __init__(self, takes: bool) -> None:
-        self.takes = takes
-        self.begun: list[Call] = []
-        self.finished: list[Call] = []
-        self.left: list[Call] = []
+    def __init__(self, takes_calls: bool) -> None:
+        self.takes_calls = takes_calls
+        self.begun_calls: list[Call] = []
+        self.finished_calls: list[Call] = []
+        self.left_calls: list[Call] = []
 
     def begin(self, call: Call, engine: CallHost) -> bool:
-        self.begun.append(call)
-        if self.takes:
+        self.begun_calls.append(call)
+        if self.takes_calls:
             engine.admit(call)
-        return self.takes
+        return self.takes_calls
 
     def finish(self, call: Call, answer: Answer, engine: CallHost) -> None:
-        self.finished.append(call)
+        self.finished_calls.append(call)
         engine.deliver(call, answer)
 
     def on_client_left(self, call: Call, engine: CallHost) -> None:
-        self.left.append(call)
+        self.left_calls.append(call)
 
 
 class World:
-    def __init__(self, inner: Inner | None = None) -> None:
+    def __init__(self, inner: InnerRecorder | None = None) -> None:
         self.clock = ManualClock()
         self.upstream = PlayedUpstream(self.clock)
-        self.front = Answers()
-        self.record = ReplicatedLedger()
-        self.sharer = ManualAgreement(self.record, self.clock)
-        self.lines: list[str] = []
-        self.asks = iter(range(1, 1000))
+        self.frontend = Answers()
+        self.ledger = ReplicatedLedger()
+        self.agreement = ManualAgreement(self.ledger, self.clock)
+        self.log_lines: list[str] = []
+        self.intent_ids = iter(range(1, 1000))
         self.gate = ReplayGate(
-            self.record, self.sharer, SEAL, {PAY: True, PUT: False}, self.clock, self.lines.append, inner,
-            lambda: next(self.asks),
+            self.ledger, self.agreement, SEAL, {PAY: True, PUT: False}, self.clock, self.log_lines.append,
+            inner, lambda: next(self.intent_ids),
         )  # fmt: skip
         classes = (
             RequestClass(effect=UNSAFE, aim_us=500_000, deadline_us=DEADLINE_US),
             RequestClass(effect=KEYED, aim_us=500_000, deadline_us=DEADLINE_US, window_us=60_000_000),
             RequestClass(effect=UNSAFE, aim_us=500_000, deadline_us=DEADLINE_US),
         )
-        found = Settings(classes=classes, can_cancel=True, max_attempts=3)
-        names = NameTable({"classes": [{"name": "pay"}, {"name": "put"}, {"name": "post"}]}, found)
+        settings = Settings(classes=classes, can_cancel=True, max_attempts=3)
+        names = NameTable({"classes": [{"name": "pay"}, {"name": "put"}, {"name": "post"}]}, settings)
         self.engine = Engine(
-            self.clock, 1, found, names, self.upstream, StaticMembers(), 500_000, lambda line: None, self.gate
+            self.clock,
+            1,
+            settings,
+            names,
+            self.upstream,
+            StaticMembers(),
+            500_000,
+            lambda line: None,
+            self.gate,
         )
         self.engine.start()
         self.engine.on_list(1, True, [entry("a")])
-        self.count = 0
+        self.request_count = 0
 
-    def call(
+    def replay_call(
         self,
-        cls: int = PAY,
+        request_class: int = PAY,
         sealed: str | None = None,
-        write_id: WriteId = DOT,
+        write_id: WriteId = WRITE_ID,
         incarnation: int = INCARNATION,
     ) -> Call:
-        """A replay; `sealed`: with this in place of its name."""
+        """A replay. `sealed`: replaces the sealed identity in its header."""
         if sealed is None:
-            sealed = SEAL.replayed(ReplayIdentity(write_id, incarnation, cls == PAY))
-        self.count += 1
-        name = b"r%d" % self.count
-        call = Call(cls, self.clock.now() + DEADLINE_US, b"POST /pay", b"host: x\r\n", b"x", self.front, name)
+            sealed = SEAL.seal_replay(ReplayIdentity(write_id, incarnation, request_class == PAY))
+        self.request_count += 1
+        request_id = b"r%d" % self.request_count
+        call = Call(
+            request_class,
+            self.clock.now() + DEADLINE_US,
+            b"POST /pay",
+            b"host: x\r\n",
+            b"x",
+            self.frontend,
+            request_id,
+        )
         call.causal_dependencies = (b"", b"", b"", sealed.encode())
         return call
 
-    async def take(
+    async def send_replay(
         self,
-        cls: int = PAY,
+        request_class: int = PAY,
         sealed: str | None = None,
-        write_id: WriteId = DOT,
+        write_id: WriteId = WRITE_ID,
         incarnation: int = INCARNATION,
     ) -> Call:
-        call = self.call(cls, sealed, write_id, incarnation)
+        call = self.replay_call(request_class, sealed, write_id, incarnation)
         self.engine.take(call)
-        await self.turn()
+        await self.run_until_idle()
         return call
 
-    async def turn(self) -> None:
-        """Until nothing here goes on by itself."""
+    async def run_until_idle(self) -> None:
+        """Run the event loop until no task can continue."""
         for _ in range(20):
             await asyncio.sleep(0)
             self.clock.advance(0)
 
-    async def land(self, *entries: LedgerEntry) -> None:
-        self.sharer.apply_entries(*entries)
-        await self.turn()
+    async def agree(self, *entries: LedgerEntry) -> None:
+        self.agreement.apply_entries(*entries)
+        await self.run_until_idle()
 
-    async def advance(self, span_us: int) -> None:
-        """What comes due at one time goes on before the next time comes."""
-        end = self.clock.time + span_us
+    async def advance(self, duration_us: int) -> None:
+        """Advance the clock; what a timer starts is finished before the next timer is due."""
+        end = self.clock.time + duration_us
         while self.clock.due and self.clock.due[0][0] <= end:
             self.clock.advance(self.clock.due[0][0] - self.clock.time)
-            await self.turn()
+            await self.run_until_idle()
         self.clock.advance(end - self.clock.time)
-        await self.turn()
+        await self.run_until_idle()
 
-    async def play(self, outcome: int = OK, runs: bool = True, written: bool = True) -> None:
+    async def answer_attempt(self, outcome: int = OK, runs: bool = True, written: bool = True) -> None:
         sent = self.sent[0]
         if written:
             self.upstream.write(sent, runs)
         self.upstream.answer(sent, outcome)
-        await self.turn()
+        await self.run_until_idle()
 
-    async def ask(self, text: str) -> Answer:
-        call = Call(-1, 0, text.encode(), b"", b"", self.front)
+    async def query(self, text: str) -> Answer:
+        call = Call(-1, 0, text.encode(), b"", b"", self.frontend)
         call.is_open = False
-        before = len(self.front.given)
+        answer_count = len(self.frontend.given)
         self.gate.on_query(call)
-        await self.turn()
-        assert len(self.front.given) == before + 1
-        return self.front.given[-1][1]
+        await self.run_until_idle()
+        assert len(self.frontend.given) == answer_count + 1
+        return self.frontend.given[-1][1]
 
     @property
     def sent(self) -> list[Sent]:
         return list(self.upstream.out.values())
 
     @property
-    def told(self) -> list[tuple[int, bytes]]:
-        return [(answer.status, dict(answer.headers).get(FATE_HEADER, b"")) for _, answer in self.front.given]
+    def answers(self) -> list[tuple[int, bytes]]:
+        return [
+            (answer.status, dict(answer.headers).get(REPLAY_STATUS_HEADER, b""))
+            for _, answer in self.frontend.given
+        ]
 
-    def begun(self) -> IntentStatus:
-        """As another ask would hear."""
-        return self.record.intent_status(DOT, INCARNATION, 0)
+    def intent_status(self) -> IntentStatus:
+        """The intent status that another replay of the write would see."""
+        return self.ledger.intent_status(WRITE_ID, INCARNATION, 0)
 
-    def write_status(self, write_id: WriteId = DOT) -> WriteStatus:
-        return self.record.write_status(Dependency(*write_id))
+    def write_status(self, write_id: WriteId = WRITE_ID) -> WriteStatus:
+        return self.ledger.write_status(Dependency(*write_id))
 
 
-def play(test: Callable[[World], Awaitable[None]], inner: Inner | None = None) -> World:
-    """In a world of its own, which keeps nothing at its end."""
+def run_in_world(test: Callable[[World], Awaitable[None]], inner: InnerRecorder | None = None) -> World:
+    """Run a test in a world of its own, and check that no task is left."""
 
     async def main() -> World:
         world = World(inner)
@@ -260,228 +281,243 @@
     return asyncio.run(asyncio.wait_for(main(), 20))
 
 
-# --- Before it is sent ------------------------------------------------------------------
+# --- Admission of replays ---------------------------------------------------------------
 
 
-def test_an_unsafe_write_is_sent_once_its_begin_is_agreed_and_answered_once_it_is_in() -> None:
+def test_an_unsafe_write_is_sent_after_its_intent_and_answered_after_its_effect_is_agreed() -> None:
     async def test(world: World) -> None:
-        await world.take()
-        assert world.sharer.submitted_entries == [Intent(DOT, INCARNATION, 1)] and world.sent == []
-        await world.land()
+        await world.send_replay()
+        assert world.agreement.submitted_entries == [Intent(WRITE_ID, INCARNATION, 1)] and world.sent == []
+        await world.agree()
         assert len(world.sent) == 1
-        await world.play()
-        assert world.sharer.submitted_entries == [WriteApplied(DOT)] and world.told == []
-        await world.land()
-        assert world.told == [(200, b"")] and world.front.given[0][1].body == b"ok"
-        assert not world.gate.hands and not world.engine.calls
+        await world.answer_attempt()
+        assert world.agreement.submitted_entries == [WriteApplied(WRITE_ID)] and world.answers == []
+        await world.agree()
+        assert world.answers == [(200, b"")] and world.frontend.given[0][1].body == b"ok"
+        assert not world.gate.replays and not world.engine.calls
 
-    play(test)
+    run_in_world(test)
 
 
-def test_a_keyed_write_needs_no_begin_but_is_answered_once_it_is_in() -> None:
+def test_a_keyed_write_needs_no_intent_but_is_answered_after_its_effect_is_agreed() -> None:
     async def test(world: World) -> None:
-        await world.take(PUT)
-        assert len(world.sent) == 1 and world.sharer.submitted_entries == []
-        await world.play()
-        assert world.sharer.submitted_entries == [WriteApplied(DOT)] and world.told == []
-        await world.land()
-        assert world.told == [(200, b"")]
+        await world.send_replay(PUT)
+        assert len(world.sent) == 1 and world.agreement.submitted_entries == []
+        await world.answer_attempt()
+        assert world.agreement.submitted_entries == [WriteApplied(WRITE_ID)] and world.answers == []
+        await world.agree()
+        assert world.answers == [(200, b"")]
 
-    play(test)
+    run_in_world(test)
 
 
-def test_a_class_that_is_unsafe_here_is_begun_also_if_its_edge_says_otherwise() -> None:
+def test_a_class_that_is_unsafe_here_needs_an_intent_even_if_its_edge_calls_it_keyed() -> None:
     async def test(world: World) -> None:
-        await world.take(PAY, SEAL.replayed(ReplayIdentity(DOT, INCARNATION, False)))
-        assert world.sharer.submitted_entries == [Intent(DOT, INCARNATION, 1)] and world.sent == []
+        await world.send_replay(PAY, SEAL.seal_replay(ReplayIdentity(WRITE_ID, INCARNATION, False)))
+        assert world.agreement.submitted_entries == [Intent(WRITE_ID, INCARNATION, 1)] and world.sent == []
 
-    play(test)
+    run_in_world(test)
 
 
-@pytest.mark.parametrize("cls", [PAY, PUT])
-def test_nothing_is_sent_while_the_record_is_not_known(cls: int) -> None:
+@pytest.mark.parametrize("request_class", [PAY, PUT])
+def test_nothing_is_sent_while_the_ledger_is_not_known(request_class: int) -> None:
     async def test(world: World) -> None:
-        world.sharer.is_ready = False
-        await world.take(cls)
-        answer = world.front.given[0][1]
-        assert world.told == [(503, b"")] and answer.ending is Ending.REFUSED and answer.retry_after_us > 0
-        assert not world.upstream.writes and world.sharer.submitted_entries == []
+        world.agreement.is_ready = False
+        await world.send_replay(request_class)
+        answer = world.frontend.given[0][1]
+        assert world.answers == [(503, b"")] and answer.ending is Ending.REFUSED and answer.retry_after_us > 0
+        assert not world.upstream.writes and world.agreement.submitted_entries == []
 
-    play(test)
+    run_in_world(test)
 
 
-def test_a_begin_that_is_not_agreed_in_time_is_refused_and_taken_back_when_it_comes_late() -> None:
+def test_a_replay_whose_intent_is_not_agreed_in_time_is_refused_and_the_late_intent_withdrawn() -> None:
     async def test(world: World) -> None:
-        await world.take()
-        begin = world.sharer.submitted_entries[0]
+        await world.send_replay()
+        begin = world.agreement.submitted_entries[0]
         await world.advance(DEADLINE_US)
-        assert world.told == [(503, b"")] and world.front.given[0][1].ending is Ending.REFUSED
-        assert world.sharer.submitted_entries == [IntentWithdrawal(DOT, 1)]
-        await world.land(begin)
-        assert world.begun() is IntentStatus.OTHERS  # what the next ask would hear
-        await world.land()
-        assert world.begun() is IntentStatus.OPEN and world.upstream.writes == []
-        await world.land(begin)
-        assert world.begun() is IntentStatus.OPEN  # also if it comes once more
+        assert world.answers == [(503, b"")] and world.frontend.given[0][1].ending is Ending.REFUSED
+        assert world.agreement.submitted_entries == [IntentWithdrawal(WRITE_ID, 1)]
+        await world.agree(begin)
+        assert world.intent_status() is IntentStatus.OTHERS  # for the next replay
+        await world.agree()
+        assert world.intent_status() is IntentStatus.OPEN and world.upstream.writes == []
+        await world.agree(begin)
+        assert world.intent_status() is IntentStatus.OPEN  # even if the withdrawn intent is agreed once more
 
-    play(test)
+    run_in_world(test)
 
 
-def test_a_call_whose_time_is_over_before_its_begin_was_looked_at_is_refused() -> None:
-    """The loop was late: the engine's time for it comes first."""
+def test_a_call_that_expires_before_its_intent_was_checked_is_refused() -> None:
+    """The event loop runs late, so that the call's deadline comes before the gate's task runs."""
 
     async def test(world: World) -> None:
-        await world.take()
+        await world.send_replay()
         world.clock.advance(DEADLINE_US)
-        assert world.told == [(503, b"")] and world.front.given[0][1].ending is Ending.REFUSED
-        await world.turn()
-        assert world.sharer.submitted_entries == [IntentWithdrawal(DOT, 1)] and len(world.told) == 1
+        assert world.answers == [(503, b"")] and world.frontend.given[0][1].ending is Ending.REFUSED
+        await world.run_until_idle()
+        assert (
+            world.agreement.submitted_entries == [IntentWithdrawal(WRITE_ID, 1)] and len(world.answers) == 1
+        )
 
-    play(test)
+    run_in_world(test)
 
 
-def test_a_copy_that_lost_touch_while_its_begin_was_agreed_sends_nothing() -> None:
+def test_a_copy_that_lost_its_leader_while_the_intent_was_agreed_sends_nothing() -> None:
     async def test(world: World) -> None:
-        await world.take()
-        world.sharer.is_ready = False
-        await world.land()
-        assert world.told == [(503, b"")] and not world.sent
-        assert world.sharer.submitted_entries == [IntentWithdrawal(DOT, 1)]
+        await world.send_replay()
+        world.agreement.is_ready = False
+        await world.agree()
+        assert world.answers == [(503, b"")] and not world.sent
+        assert world.agreement.submitted_entries == [IntentWithdrawal(WRITE_ID, 1)]
 
-    play(test)
+    run_in_world(test)
 
 
-@pytest.mark.parametrize("cls", [PAY, PUT])
-def test_a_line_that_another_life_holds_is_fenced(cls: int) -> None:
+@pytest.mark.parametrize("request_class", [PAY, PUT])
+def test_a_log_that_another_incarnation_holds_is_fenced(request_class: int) -> None:
     async def test(world: World) -> None:
-        await world.land(LogLease(LINE, LATER_INCARNATION, INCARNATION, 0))
-        await world.take(cls)
-        assert world.told == [(503, b"fenced")] and world.front.given[0][1].ending is Ending.REFUSED
-        await world.take(cls, incarnation=LATER_INCARNATION)
-        await world.land(*world.sharer.submitted_entries)
-        assert len(world.sent) == 1  # its holder's is not
+        await world.agree(LogLease(EDGE_LOG, LATER_INCARNATION, INCARNATION, 0))
+        await world.send_replay(request_class)
+        assert world.answers == [(503, b"fenced")] and world.frontend.given[0][1].ending is Ending.REFUSED
+        await world.send_replay(request_class, incarnation=LATER_INCARNATION)
+        await world.agree(*world.agreement.submitted_entries)
+        assert len(world.sent) == 1  # the holder's replay is sent
 
-    play(test)
+    run_in_world(test)
 
 
-@pytest.mark.parametrize("cls", [PAY, PUT])
-@pytest.mark.parametrize("lost", [EdgeLost("edge-1"), EdgeLost("edge-1", INCARNATION)])
-def test_what_is_lost_is_fenced(cls: int, lost: EdgeLost) -> None:
+@pytest.mark.parametrize("request_class", [PAY, PUT])
+@pytest.mark.parametrize("lost_entry", [EdgeLost("edge-1"), EdgeLost("edge-1", INCARNATION)])
+def test_a_lost_log_is_fenced(request_class: int, lost_entry: EdgeLost) -> None:
     async def test(world: World) -> None:
-        await world.land(lost)
-        await world.take(cls)
-        assert world.told == [(503, b"fenced")] and not world.sent
+        await world.agree(lost_entry)
+        await world.send_replay(request_class)
+        assert world.answers == [(503, b"fenced")] and not world.sent
 
-    play(test)
+    run_in_world(test)
 
 
-@pytest.mark.parametrize("cls", [PAY, PUT])
-def test_what_is_in_is_told_so_and_not_sent_again(cls: int) -> None:
+@pytest.mark.parametrize("request_class", [PAY, PUT])
+def test_an_applied_write_is_answered_and_not_sent_again(request_class: int) -> None:
     async def test(world: World) -> None:
-        await world.land(WriteApplied(DOT))
-        await world.take(cls)
-        assert world.told == [(200, b"in")] and world.front.given[0][1].body == b""
+        await world.agree(WriteApplied(WRITE_ID))
+        await world.send_replay(request_class)
+        assert world.answers == [(200, b"in")] and world.frontend.given[0][1].body == b""
         assert world.upstream.writes == []
 
-    play(test)
+    run_in_world(test)
 
 
-def test_what_another_ask_has_begun_may_have_run() -> None:
+def test_a_write_with_another_intent_may_have_run() -> None:
     async def test(world: World) -> None:
-        await world.land(Intent(DOT, INCARNATION, 99))
-        await world.take()
-        answer = world.front.given[0][1]
-        assert world.told == [(502, b"begun")] and answer.ending is Ending.FAILED
-        assert world.upstream.writes == [] and world.sharer.submitted_entries == []
+        await world.agree(Intent(WRITE_ID, INCARNATION, 99))
+        await world.send_replay()
+        answer = world.frontend.given[0][1]
+        assert world.answers == [(502, b"begun")] and answer.ending is Ending.FAILED
+        assert world.upstream.writes == [] and world.agreement.submitted_entries == []
 
-    play(test)
+    run_in_world(test)
 
 
 @pytest.mark.parametrize(
-    ("others", "told"),
+    ("other_entry", "expected_answer"),
     [
-        (Intent(DOT, INCARNATION, 99), (502, b"begun")),
-        (WriteApplied(DOT), (200, b"in")),
-        (LogLease(LINE, LATER_INCARNATION, INCARNATION, 0), (503, b"fenced")),
+        (Intent(WRITE_ID, INCARNATION, 99), (502, b"begun")),
+        (WriteApplied(WRITE_ID), (200, b"in")),
+        (LogLease(EDGE_LOG, LATER_INCARNATION, INCARNATION, 0), (503, b"fenced")),
     ],
 )
-def test_of_two_that_begin_at_a_time_one_alone_is_sent(others: LedgerEntry, told: tuple[int, bytes]) -> None:
-    """What is agreed first, while this one's BEGIN is on its way, decides."""
+def test_an_entry_agreed_before_the_intent_decides_the_answer(
+    other_entry: LedgerEntry, expected_answer: tuple[int, bytes]
+) -> None:
+    """The other entry is agreed while the replay's intent is pending."""
 
     async def test(world: World) -> None:
-        await world.take()
-        await world.land(others, *world.sharer.submitted_entries)
-        assert world.told == [told] and world.upstream.writes == [] and not world.sent
+        await world.send_replay()
+        await world.agree(other_entry, *world.agreement.submitted_entries)
+        assert world.answers == [expected_answer] and world.upstream.writes == [] and not world.sent
 
-    play(test)
+    run_in_world(test)
 
 
-def test_two_asks_for_one_write_at_one_copy_send_it_once() -> None:
+def test_two_replays_of_one_write_at_one_copy_send_it_once() -> None:
     async def test(world: World) -> None:
-        await world.take()
-        await world.take()
-        assert world.sharer.submitted_entries == [Intent(DOT, INCARNATION, 1), Intent(DOT, INCARNATION, 2)]
-        await world.land()
-        assert len(world.sent) == 1 and world.told == [(502, b"begun")]
+        await world.send_replay()
+        await world.send_replay()
+        assert world.agreement.submitted_entries == [
+            Intent(WRITE_ID, INCARNATION, 1),
+            Intent(WRITE_ID, INCARNATION, 2),
+        ]
+        await world.agree()
+        assert len(world.sent) == 1 and world.answers == [(502, b"begun")]
 
-    play(test)
+    run_in_world(test)
 
 
-def test_a_bad_seal_is_a_400_and_one_line_for_a_crowd() -> None:
+def test_a_bad_seal_is_answered_with_400_and_logged_at_a_limited_rate() -> None:
     async def test(world: World) -> None:
         for _ in range(3):
-            await world.take(PUT, SEAL.replayed(ReplayIdentity(DOT, INCARNATION, False))[:-1] + "~")
-        await world.take(PUT, MessageSeal(SECRET + b"!").replayed(ReplayIdentity(DOT, INCARNATION, False)))
-        assert world.told == [(400, b"")] * 4 and not world.sent
-        assert len(world.lines) == 1 and "secret" in world.lines[0] and "\n" not in world.lines[0]
-        await world.advance(COMPLAIN_US)
-        await world.take(PUT, "x")
-        assert len(world.lines) == 2
+            await world.send_replay(
+                PUT, SEAL.seal_replay(ReplayIdentity(WRITE_ID, INCARNATION, False))[:-1] + "~"
+            )
+        await world.send_replay(
+            PUT, MessageSeal(SECRET + b"!").seal_replay(ReplayIdentity(WRITE_ID, INCARNATION, False))
+        )
+        assert world.answers == [(400, b"")] * 4 and not world.sent
+        assert len(world.log_lines) == 1 and "secret" in world.log_lines[0] and "\n" not in world.log_lines[0]
+        await world.advance(COMPLAINT_INTERVAL_US)
+        await world.send_replay(PUT, "x")
+        assert len(world.log_lines) == 2
 
-    play(test)
+    run_in_world(test)
 
 
-def test_a_replay_of_a_class_that_is_recorded_here_is_refused_with_one_line() -> None:
+def test_a_replay_of_a_class_in_the_request_journal_is_refused_and_logged() -> None:
     async def test(world: World) -> None:
-        await world.take(POST)
-        assert world.told == [(503, b"")] and not world.sent and len(world.lines) == 1
+        await world.send_replay(POST)
+        assert world.answers == [(503, b"")] and not world.sent and len(world.log_lines) == 1
 
-    play(test, Inner(takes=True))
+    run_in_world(test, InnerRecorder(takes_calls=True))
 
 
-def test_a_call_without_the_header_is_as_without_a_gate() -> None:
+def test_a_call_without_the_header_passes_the_gate_unchanged() -> None:
     async def test(world: World) -> None:
-        call = world.call(PUT, "")
+        call = world.replay_call(PUT, "")
         call.can_stream_answer = True
         world.engine.take(call)
         assert len(world.sent) == 1 and not call.is_recorded and call.can_stream_answer
-        await world.play()
-        assert world.told == [(200, b"")] and world.sharer.submitted_entries == []
+        await world.answer_attempt()
+        assert world.answers == [(200, b"")] and world.agreement.submitted_entries == []
 
-    play(test)
+    run_in_world(test)
 
 
-@pytest.mark.parametrize("takes", [True, False])
-def test_a_call_without_the_header_is_the_inner_recorders(takes: bool) -> None:
-    inner = Inner(takes)
+@pytest.mark.parametrize("takes_calls", [True, False])
+def test_a_call_without_the_header_goes_to_the_inner_recorder(takes_calls: bool) -> None:
+    inner = InnerRecorder(takes_calls)
 
     async def test(world: World) -> None:
-        first = await world.take(POST, "")
-        await world.play()
-        second = await world.take(POST, "")
+        first = await world.send_replay(POST, "")
+        await world.answer_attempt()
+        second = await world.send_replay(POST, "")
         world.engine.on_client_left(second)
-        assert inner.begun == [first, second] and world.told == [(200, b"")]
-        assert inner.finished == ([first] if takes else []) and inner.left == ([second] if takes else [])
-        await world.take(PUT)
-        assert len(inner.begun) == 2  # a replay is not its
+        assert inner.begun_calls == [first, second] and world.answers == [(200, b"")]
+        assert inner.finished_calls == ([first] if takes_calls else []) and inner.left_calls == (
+            [second] if takes_calls else []
+        )
+        await world.send_replay(PUT)
+        assert len(inner.begun_calls) == 2  # a replay does not go to the inner recorder
 
-    play(test, inner)
+    run_in_world(test, inner)
 
 
-def test_a_keeper_is_not_asked_about_a_replay() -> None:
-    """Else a copy's own outbox would keep an edge's write, and the edge take that for its answer."""
+def test_a_replay_is_not_offered_to_the_copys_own_outbox() -> None:
+    """Guards against the copy's outbox queueing an edge's write, which the edge would take as the final
+    answer.
+    """
 
-    class First:
+    class QueueingOutbox:
         def must_queue(self, call: Call) -> bool:
             return True
 
@@ -493,438 +529,463 @@
         def on_attempt_ended(self, endpoint: int, outcome: int) -> None: ...
 
     async def test(world: World) -> None:
-        world.engine.write_queue = First()
-        await world.take(PUT, "")
-        assert world.told == [(202, b"")]
-        await world.take(PUT)
-        assert len(world.sent) == 1 and len(world.told) == 1
+        world.engine.write_queue = QueueingOutbox()
+        await world.send_replay(PUT, "")
+        assert world.answers == [(202, b"")]
+        await world.send_replay(PUT)
+        assert len(world.sent) == 1 and len(world.answers) == 1
 
-    play(test)
+    run_in_world(test)
 
 
-# --- Before its answer leaves -----------------------------------------------------------
+# --- Final answers of replays -----------------------------------------------------------
 
 
-@pytest.mark.parametrize("cls", [PAY, PUT])
-def test_an_in_that_is_not_agreed_in_time_may_have_run_and_is_told_on(cls: int) -> None:
+@pytest.mark.parametrize("request_class", [PAY, PUT])
+def test_a_served_write_that_is_not_agreed_in_time_may_have_run_and_is_agreed_later(
+    request_class: int,
+) -> None:
     async def test(world: World) -> None:
-        await world.take(cls)
-        await world.land()
-        await world.play()
+        await world.send_replay(request_class)
+        await world.agree()
+        await world.answer_attempt()
         await world.advance(DEADLINE_US)
-        assert world.told == [(502, b"")] and world.front.given[0][1].ending is Ending.FAILED
-        assert world.write_status() is WriteStatus.UNKNOWN and world.sharer.submitted_entries == [
-            WriteApplied(DOT)
+        assert world.answers == [(502, b"")] and world.frontend.given[0][1].ending is Ending.FAILED
+        assert world.write_status() is WriteStatus.UNKNOWN and world.agreement.submitted_entries == [
+            WriteApplied(WRITE_ID)
         ]
-        await world.land()
-        assert world.write_status() is WriteStatus.APPLIED and len(world.told) == 1
-        await world.take(cls)
-        assert world.told[1:] == [(200, b"in")] and len(world.upstream.writes) == 1
+        await world.agree()
+        assert world.write_status() is WriteStatus.APPLIED and len(world.answers) == 1
+        await world.send_replay(request_class)
+        assert world.answers[1:] == [(200, b"in")] and len(world.upstream.writes) == 1
 
-    play(test)
+    run_in_world(test)
 
 
-def test_a_write_that_was_declared_lost_before_its_in_is_not_told_as_in() -> None:
+def test_a_write_that_was_declared_lost_before_it_was_agreed_is_not_answered_as_applied() -> None:
     async def test(world: World) -> None:
-        await world.take(PUT)
-        await world.play()
-        await world.land(EdgeLost("edge-1"))
-        assert world.told == [(502, b"")] and world.write_status() is WriteStatus.ABANDONED
+        await world.send_replay(PUT)
+        await world.answer_attempt()
+        await world.agree(EdgeLost("edge-1"))
+        assert world.answers == [(502, b"")] and world.write_status() is WriteStatus.ABANDONED
 
-    play(test)
+    run_in_world(test)
 
 
-def test_a_refusal_leaves_once_its_begin_is_taken_back() -> None:
+def test_a_refusal_leaves_once_its_intent_is_withdrawn() -> None:
     async def test(world: World) -> None:
-        await world.take()
-        await world.land()
+        await world.send_replay()
+        await world.agree()
         while world.sent:
-            await world.play(FULL, runs=False)
+            await world.answer_attempt(FULL, runs=False)
             await world.advance(100_000)
         await world.advance(1_000_000)
-        assert world.sharer.submitted_entries == [IntentWithdrawal(DOT, 1)] and world.told == []
-        await world.land()
-        assert world.told == [(503, b"")] and world.begun() is IntentStatus.OPEN
+        assert world.agreement.submitted_entries == [IntentWithdrawal(WRITE_ID, 1)] and world.answers == []
+        await world.agree()
+        assert world.answers == [(503, b"")] and world.intent_status() is IntentStatus.OPEN
 
-    play(test)
+    run_in_world(test)
 
 
-def test_a_refusal_whose_begin_could_not_be_taken_back_leaves_and_its_retry_runs_at_most_once() -> None:
+def test_a_refusal_whose_intent_was_not_withdrawn_leaves_and_its_retry_runs_at_most_once() -> None:
     async def test(world: World) -> None:
-        await world.take()
-        await world.land()
+        await world.send_replay()
+        await world.agree()
         while world.sent:
-            await world.play(FULL, runs=False)
+            await world.answer_attempt(FULL, runs=False)
             await world.advance(100_000)
         await world.advance(DEADLINE_US)
-        answer = world.front.given[0][1]
-        assert world.told[0][0] == 503 and world.sharer.submitted_entries == [IntentWithdrawal(DOT, 1)]
+        answer = world.frontend.given[0][1]
+        assert world.answers[0][0] == 503 and world.agreement.submitted_entries == [
+            IntentWithdrawal(WRITE_ID, 1)
+        ]
         assert answer.ending is Ending.REFUSED
-        await world.take()
-        assert world.told[1:] == [(502, b"begun")]
-        await world.land()
-        await world.take()
-        await world.land()
+        await world.send_replay()
+        assert world.answers[1:] == [(502, b"begun")]
+        await world.agree()
+        await world.send_replay()
+        await world.agree()
         assert len(world.sent) == 1 and world.upstream.ran == {}
 
-    play(test)
+    run_in_world(test)
 
 
 def test_a_keyed_refusal_leaves_at_once() -> None:
     async def test(world: World) -> None:
-        await world.take(PUT)
+        await world.send_replay(PUT)
         while world.sent:
-            await world.play(FULL, runs=False)
+            await world.answer_attempt(FULL, runs=False)
             await world.advance(100_000)
         await world.advance(DEADLINE_US)
-        assert [status for status, _ in world.told] == [503] and world.sharer.submitted_entries == []
+        assert [status for status, _ in world.answers] == [503] and world.agreement.submitted_entries == []
 
-    play(test)
+    run_in_world(test)
 
 
-def test_a_failure_of_which_nothing_was_sent_is_a_refusal() -> None:
+def test_a_failure_before_anything_was_sent_is_a_refusal() -> None:
     async def test(world: World) -> None:
         def fail(now: int, event: Arrival) -> list[Action]:
-            raise RuntimeError("a fault of the module")
+            raise RuntimeError("fault in the balancing core")
 
-        override_decisions(world.engine, request=fail)  # compiled, the module can't be patched
-        await world.take()
-        await world.land()
-        assert world.sharer.submitted_entries == [IntentWithdrawal(DOT, 1)] and world.told == []
-        await world.land()
-        assert world.told == [(503, b"")] and world.front.given[0][1].ending is Ending.REFUSED
-        assert world.begun() is IntentStatus.OPEN and world.upstream.writes == []
+        override_decisions(world.engine, request=fail)  # the compiled module can't be patched directly
+        await world.send_replay()
+        await world.agree()
+        assert world.agreement.submitted_entries == [IntentWithdrawal(WRITE_ID, 1)] and world.answers == []
+        await world.agree()
+        assert world.answers == [(503, b"")] and world.frontend.given[0][1].ending is Ending.REFUSED
+        assert world.intent_status() is IntentStatus.OPEN and world.upstream.writes == []
 
-    play(test)
+    run_in_world(test)
 
 
 @pytest.mark.parametrize(("outcome", "runs"), [(RESET, True), (ERROR, True), (RESET, False)])
-def test_a_failure_leaves_at_once_and_stays_begun(outcome: int, runs: bool) -> None:
+def test_a_failure_leaves_at_once_and_keeps_its_intent(outcome: int, runs: bool) -> None:
     async def test(world: World) -> None:
-        await world.take()
-        await world.land()
-        await world.play(outcome, runs)
-        assert [status for status, _ in world.told] == [502] and world.sharer.submitted_entries == []
-        assert world.begun() is IntentStatus.OTHERS
-        await world.take()
-        assert world.told[1:] == [(502, b"begun")] and len(world.upstream.writes) == 1
+        await world.send_replay()
+        await world.agree()
+        await world.answer_attempt(outcome, runs)
+        assert [status for status, _ in world.answers] == [502] and world.agreement.submitted_entries == []
+        assert world.intent_status() is IntentStatus.OTHERS
+        await world.send_replay()
+        assert world.answers[1:] == [(502, b"begun")] and len(world.upstream.writes) == 1
 
-    play(test)
+    run_in_world(test)
 
 
-# --- Edges that leave -------------------------------------------------------------------
+# --- Edges that disconnect --------------------------------------------------------------
 
 
-def test_an_edge_that_leaves_before_its_begin_is_agreed_has_nothing_sent() -> None:
+def test_nothing_is_sent_for_an_edge_that_disconnects_before_its_intent_is_agreed() -> None:
     async def test(world: World) -> None:
-        call = await world.take()
-        begin = world.sharer.submitted_entries[0]
+        call = await world.send_replay()
+        begin = world.agreement.submitted_entries[0]
         world.engine.on_client_left(call)
-        await world.land(begin)
-        assert world.sharer.submitted_entries == [IntentWithdrawal(DOT, 1)] and not world.sent
-        await world.land()
-        assert world.begun() is IntentStatus.OPEN and world.told == []
+        await world.agree(begin)
+        assert world.agreement.submitted_entries == [IntentWithdrawal(WRITE_ID, 1)] and not world.sent
+        await world.agree()
+        assert world.intent_status() is IntentStatus.OPEN and world.answers == []
 
-    play(test)
+    run_in_world(test)
 
 
-def test_an_edge_that_leaves_before_anything_was_written_has_its_begin_taken_back() -> None:
+def test_the_intent_is_withdrawn_if_the_edge_disconnects_before_anything_was_written() -> None:
     async def test(world: World) -> None:
-        call = await world.take()
-        await world.land()
+        call = await world.send_replay()
+        await world.agree()
         assert len(world.sent) == 1
         world.engine.on_client_left(call)
-        await world.turn()
-        assert world.sharer.submitted_entries == [IntentWithdrawal(DOT, 1)]
+        await world.run_until_idle()
+        assert world.agreement.submitted_entries == [IntentWithdrawal(WRITE_ID, 1)]
 
-    play(test)
+    run_in_world(test)
 
 
-def test_an_edge_that_leaves_after_it_was_written_leaves_it_begun() -> None:
+def test_the_intent_is_kept_if_the_edge_disconnects_after_the_request_was_written() -> None:
     async def test(world: World) -> None:
-        call = await world.take()
-        await world.land()
+        call = await world.send_replay()
+        await world.agree()
         world.upstream.write(world.sent[0], True)
         world.engine.on_client_left(call)
         await world.advance(DEADLINE_US)
-        assert world.sharer.submitted_entries == [] and world.begun() is IntentStatus.OTHERS
+        assert world.agreement.submitted_entries == [] and world.intent_status() is IntentStatus.OTHERS
 
-    play(test)
+    run_in_world(test)
 
 
-def test_an_edge_that_leaves_after_an_attempt_that_may_have_run_was_over_leaves_it_begun() -> None:
-    """What is over is not among the call's attempts any more as the gate hears of the leaving."""
+def test_the_intent_is_kept_if_the_edge_disconnects_after_an_attempt_that_may_have_run() -> None:
+    """When the gate is told of the disconnect, an attempt that is over is not among the call's attempts any
+    more.
+    """
 
     async def test(world: World) -> None:
-        call = await world.take()
-        await world.land()
+        call = await world.send_replay()
+        await world.agree()
         world.upstream.write(world.sent[0], True)
-        world.sent[0].attempt.is_in_flight = False  # its outcome came, and nobody has answered yet
+        world.sent[0].attempt.is_in_flight = False  # its outcome arrived, and the call is not answered yet
         world.engine.on_client_left(call)
-        await world.turn()
+        await world.run_until_idle()
         assert not call.attempts and call.attempts_sent == 1
-        assert world.sharer.submitted_entries == [] and world.begun() is IntentStatus.OTHERS
+        assert world.agreement.submitted_entries == [] and world.intent_status() is IntentStatus.OTHERS
 
-    play(test)
+    run_in_world(test)
 
 
-def test_an_edge_that_leaves_while_its_in_is_agreed_finds_it_in() -> None:
+def test_a_served_write_is_agreed_even_if_its_edge_disconnects() -> None:
     async def test(world: World) -> None:
-        call = await world.take()
-        await world.land()
-        await world.play()
+        call = await world.send_replay()
+        await world.agree()
+        await world.answer_attempt()
         world.engine.on_client_left(call)
-        await world.land()
-        assert world.write_status() is WriteStatus.APPLIED and world.told == [] and not world.engine.calls
+        await world.agree()
+        assert world.write_status() is WriteStatus.APPLIED and world.answers == [] and not world.engine.calls
 
-    play(test)
+    run_in_world(test)
 
 
-def test_what_is_told_on_has_a_bound_and_an_end() -> None:
+def test_late_entries_are_bounded_in_number_and_time() -> None:
     async def test(world: World) -> None:
-        for number in range(LATER_MOST + 5):
-            await world.take(write_id=WriteId("edge-1", INCARNATION, number + 1))
+        for number in range(MAX_LATE_ENTRIES + 5):
+            await world.send_replay(write_id=WriteId("edge-1", INCARNATION, number + 1))
         await world.advance(DEADLINE_US)
-        assert len(world.sharer.submitted_entries) == LATER_MOST and world.gate.later == LATER_MOST
-        await world.advance(LATER_US)
-        assert world.sharer.submitted_entries == [] and not world.gate.tasks and world.gate.later == 0
-        assert world.gate.counters["late"] == LATER_MOST + 5
+        assert (
+            len(world.agreement.submitted_entries) == MAX_LATE_ENTRIES
+            and world.gate.late_entry_count == MAX_LATE_ENTRIES
+        )
+        await world.advance(LATE_ENTRY_TIMEOUT_US)
+        assert (
+            world.agreement.submitted_entries == []
+            and not world.gate.tasks
+            and world.gate.late_entry_count == 0
+        )
+        assert world.gate.counters["late"] == MAX_LATE_ENTRIES + 5
 
-    play(test)
+    run_in_world(test)
 
 
-# --- A body that is passed on while it comes --------------------------------------------
+# --- Bodies forwarded while they arrive -------------------------------------------------
 
 
-class Source:
+class UploadSource:
     def pause(self) -> None: ...
     def resume(self) -> None: ...
     def on_abandoned(self) -> None: ...
 
 
-def test_an_upload_is_sent_once_its_begin_is_agreed() -> None:
+def test_an_upload_is_sent_once_its_intent_is_agreed() -> None:
     async def test(world: World) -> None:
-        call = world.call()
-        call.upload, call.body = BodyStream(Source(), 10), b""
+        call = world.replay_call()
+        call.upload, call.body = BodyStream(UploadSource(), 10), b""
         call.time_after_upload_us, call.expires_at = DEADLINE_US, world.clock.now() + 600_000_000
         world.engine.take(call)
-        await world.turn()
-        assert not world.sent and world.sharer.submitted_entries == [Intent(DOT, INCARNATION, 1)]
-        await world.land()
+        await world.run_until_idle()
+        assert not world.sent and world.agreement.submitted_entries == [Intent(WRITE_ID, INCARNATION, 1)]
+        await world.agree()
         assert len(world.sent) == 1
-        world.upstream.write(world.sent[0], True)  # what has come of it
+        world.upstream.write(world.sent[0], True)  # the part that has arrived
         call.upload.finish(True)
         world.engine.on_upload_complete(call)
-        await world.play()
-        assert world.sharer.submitted_entries == [WriteApplied(DOT)]
-        await world.land()
-        assert world.told == [(200, b"")]
+        await world.answer_attempt()
+        assert world.agreement.submitted_entries == [WriteApplied(WRITE_ID)]
+        await world.agree()
+        assert world.answers == [(200, b"")]
 
-    play(test)
+    run_in_world(test)
 
 
-def test_an_upload_of_which_an_endpoint_had_a_part_stays_begun() -> None:
+def test_an_upload_of_which_an_endpoint_received_a_part_keeps_its_intent() -> None:
     async def test(world: World) -> None:
-        call = world.call()
-        call.upload, call.body = BodyStream(Source(), 10), b""
+        call = world.replay_call()
+        call.upload, call.body = BodyStream(UploadSource(), 10), b""
         call.time_after_upload_us, call.expires_at = DEADLINE_US, world.clock.now() + 600_000_000
         world.engine.take(call)
-        await world.turn()
-        await world.land()
+        await world.run_until_idle()
+        await world.agree()
         world.upstream.write(world.sent[0], True)
         world.engine.on_client_left(call)
-        await world.turn()
-        assert world.sharer.submitted_entries == [] and world.begun() is IntentStatus.OTHERS
+        await world.run_until_idle()
+        assert world.agreement.submitted_entries == [] and world.intent_status() is IntentStatus.OTHERS
 
-    play(test)
+    run_in_world(test)
 
 
-def test_an_upload_whose_begin_is_not_agreed_is_refused_before_its_provisional_time() -> None:
+def test_an_upload_whose_intent_is_not_agreed_is_refused_before_its_provisional_deadline() -> None:
     async def test(world: World) -> None:
-        call = world.call()
-        call.upload, call.body = BodyStream(Source(), 10), b""
+        call = world.replay_call()
+        call.upload, call.body = BodyStream(UploadSource(), 10), b""
         call.time_after_upload_us, call.expires_at = DEADLINE_US, world.clock.now() + 600_000_000
         world.engine.take(call)
-        await world.turn()
+        await world.run_until_idle()
         await world.advance(10_000_000)
-        assert world.told == [(503, b"")]
+        assert world.answers == [(503, b"")]
 
-    play(test)
+    run_in_world(test)
 
 
-# --- Asked by edges ---------------------------------------------------------------------
+# --- Queries of edges ------------------------------------------------------------------
 
 
-def answered(answer: Answer, sealed: str) -> QueryReply:
+def opened_reply(answer: Answer, sealed: str) -> QueryReply:
     assert answer.status == 200, answer.body
-    return SEAL.open_answered(answer.body.decode(), sealed)
+    return SEAL.open_reply(answer.body.decode(), sealed)
 
 
-def test_fates_are_told_in_the_order_in_which_they_are_asked() -> None:
+def test_write_statuses_are_in_the_order_of_the_query() -> None:
     async def test(world: World) -> None:
-        await world.land(
+        await world.agree(
             WriteApplied(WriteId("edge-2", 5, 1)),
             StatusRecord(WriteId("edge-2", 5, 2), WriteStatus.ABANDONED, 5),
         )
-        await world.land(StatusRecord(WriteId("edge-2", 5, 3), WriteStatus.PARKED, 5))
-        sealed = SEAL.ask(
+        await world.agree(StatusRecord(WriteId("edge-2", 5, 3), WriteStatus.PARKED, 5))
+        sealed = SEAL.seal_query(
             ReplayQuery(dependencies=tuple(Dependency("edge-2", 5, number) for number in (4, 3, 2, 1)))
         )
-        told = answered(await world.ask(sealed), sealed)
-        assert told.write_statuses == (
+        reply = opened_reply(await world.query(sealed), sealed)
+        assert reply.write_statuses == (
             WriteStatus.UNKNOWN,
             WriteStatus.PARKED,
             WriteStatus.ABANDONED,
             WriteStatus.APPLIED,
         )
 
-    play(test)
+    run_in_world(test)
 
 
-def test_a_copy_that_does_not_know_the_record_answers_no_ask() -> None:
+def test_a_copy_that_does_not_know_the_ledger_answers_no_query() -> None:
     async def test(world: World) -> None:
-        world.sharer.is_ready = False
-        ask = ReplayQuery(
-            dependencies=(Dependency(*DOT),),
-            lease_requests=(LeaseRequest(LINE, LATER_INCARNATION, (INCARNATION,)),),
+        world.agreement.is_ready = False
+        query = ReplayQuery(
+            dependencies=(Dependency(*WRITE_ID),),
+            lease_requests=(LeaseRequest(EDGE_LOG, LATER_INCARNATION, (INCARNATION,)),),
         )
-        answer = await world.ask(SEAL.ask(ask))
-        assert world.sharer.submitted_entries == []
+        answer = await world.query(SEAL.seal_query(query))
+        assert world.agreement.submitted_entries == []
         assert answer.status == 503 and answer.retry_after_us > 0 and answer.body == b""
 
-    play(test)
+    run_in_world(test)
 
 
-def test_a_claim_is_told_as_held_once_it_is_agreed_and_as_open_before() -> None:
+def test_a_lease_request_is_held_once_agreed_and_open_before() -> None:
     async def test(world: World) -> None:
-        sealed = SEAL.ask(
+        sealed = SEAL.seal_query(
             ReplayQuery(
                 lease_requests=(
-                    LeaseRequest(LINE, LATER_INCARNATION, (INCARNATION,)),
-                    LeaseRequest(LINE, 9, (4,)),
+                    LeaseRequest(EDGE_LOG, LATER_INCARNATION, (INCARNATION,)),
+                    LeaseRequest(EDGE_LOG, 9, (4,)),
                 )
             )
         )
-        asking = Call(-1, 0, sealed.encode(), b"", b"", world.front)
-        world.gate.on_query(asking)
-        await world.turn()
+        call = Call(-1, 0, sealed.encode(), b"", b"", world.frontend)
+        world.gate.on_query(call)
+        await world.run_until_idle()
         assert (
-            world.sharer.submitted_entries == [LogLease(LINE, LATER_INCARNATION, INCARNATION, 0)]
-            and world.told == []
+            world.agreement.submitted_entries == [LogLease(EDGE_LOG, LATER_INCARNATION, INCARNATION, 0)]
+            and world.answers == []
+        )
+        await world.agree()
+        reply = opened_reply(world.frontend.given[0][1], sealed)
+        assert reply.lease_statuses == (LeaseStatus.HELD, LeaseStatus.FENCED)
+        other = SEAL.seal_query(
+            ReplayQuery(lease_requests=(LeaseRequest(EDGE_LOG, 10, (LATER_INCARNATION,)),))
         )
-        await world.land()
-        told = answered(world.front.given[0][1], sealed)
-        assert told.lease_statuses == (LeaseStatus.HELD, LeaseStatus.FENCED)
-        other = SEAL.ask(ReplayQuery(lease_requests=(LeaseRequest(LINE, 10, (LATER_INCARNATION,)),)))
-        world.gate.on_query(Call(-1, 0, other.encode(), b"", b"", world.front))
-        await world.turn()
-        await world.advance(ASK_US)
-        assert answered(world.front.given[1][1], other).lease_statuses == (LeaseStatus.OPEN,)
-        assert world.record.holder(LINE) == LATER_INCARNATION
+        world.gate.on_query(Call(-1, 0, other.encode(), b"", b"", world.frontend))
+        await world.run_until_idle()
+        await world.advance(QUERY_TIMEOUT_US)
+        assert opened_reply(world.frontend.given[1][1], other).lease_statuses == (LeaseStatus.OPEN,)
+        assert world.ledger.holder(EDGE_LOG) == LATER_INCARNATION
 
-    play(test)
+    run_in_world(test)
 
 
-def test_what_can_be_no_entry_is_never_agreed() -> None:
+def test_query_items_that_make_no_valid_entry_are_never_agreed() -> None:
     async def test(world: World) -> None:
-        sealed = SEAL.ask(
+        sealed = SEAL.seal_query(
             ReplayQuery(
-                lease_requests=(LeaseRequest(LINE, 0, (INCARNATION,)),),
-                status_updates=(StatusUpdate(DOT, WriteStatus.PARKED, 0),),
+                lease_requests=(LeaseRequest(EDGE_LOG, 0, (INCARNATION,)),),
+                status_updates=(StatusUpdate(WRITE_ID, WriteStatus.PARKED, 0),),
             )
         )
-        told = answered(await world.ask(sealed), sealed)
+        reply = opened_reply(await world.query(sealed), sealed)
         assert (
-            told.lease_statuses == (LeaseStatus.OPEN,)
-            and told.agreements == (False,)
-            and world.sharer.submitted_entries == []
+            reply.lease_statuses == (LeaseStatus.OPEN,)
+            and reply.agreements == (False,)
+            and world.agreement.submitted_entries == []
         )
 
-    play(test)
+    run_in_world(test)
 
 
-def test_what_an_edge_tells_is_agreed_before_it_hears_so() -> None:
+def test_status_updates_are_agreed_before_the_reply_says_so() -> None:
     async def test(world: World) -> None:
-        tellings = (
-            StatusUpdate(DOT, WriteStatus.PARKED, INCARNATION),
+        updates = (
+            StatusUpdate(WRITE_ID, WriteStatus.PARKED, INCARNATION),
             StatusUpdate(WriteId("edge-1", INCARNATION, 1), WriteStatus.APPLIED, INCARNATION, before=True),
             StatusUpdate(WriteId("edge-1", INCARNATION, 9), WriteStatus.ABANDONED, LATER_INCARNATION),
         )
-        sealed = SEAL.ask(ReplayQuery(status_updates=tellings))
-        world.gate.on_query(Call(-1, 0, sealed.encode(), b"", b"", world.front))
-        await world.turn()
-        assert len(world.sharer.submitted_entries) == 3 and world.told == []
-        await world.land()
-        await world.advance(ASK_US)
-        told = answered(world.front.given[0][1], sealed)
-        assert told.agreements == (True, True, False)  # the last is not its holder's word
+        sealed = SEAL.seal_query(ReplayQuery(status_updates=updates))
+        world.gate.on_query(Call(-1, 0, sealed.encode(), b"", b"", world.frontend))
+        await world.run_until_idle()
+        assert len(world.agreement.submitted_entries) == 3 and world.answers == []
+        await world.agree()
+        await world.advance(QUERY_TIMEOUT_US)
+        reply = opened_reply(world.frontend.given[0][1], sealed)
+        assert reply.agreements == (True, True, False)  # the last one is not from the log's holder
         assert (
             world.write_status() is WriteStatus.PARKED
             and world.write_status(WriteId("edge-1", INCARNATION, 9)) is WriteStatus.UNKNOWN
         )
 
-    play(test)
+    run_in_world(test)
 
 
-def test_a_word_that_it_never_ran_lets_it_run_once_more() -> None:
+def test_an_intent_withdrawal_lets_the_write_run_again() -> None:
     async def test(world: World) -> None:
-        await world.land(Intent(DOT, INCARNATION, 99))
-        sealed = SEAL.ask(
+        await world.agree(Intent(WRITE_ID, INCARNATION, 99))
+        sealed = SEAL.seal_query(
             ReplayQuery(
-                status_updates=(StatusUpdate(DOT, WriteStatus.UNKNOWN, INCARNATION, withdraw_intent=True),)
+                status_updates=(
+                    StatusUpdate(WRITE_ID, WriteStatus.UNKNOWN, INCARNATION, withdraw_intent=True),
+                )
             )
         )
-        world.gate.on_query(Call(-1, 0, sealed.encode(), b"", b"", world.front))
-        await world.turn()
-        await world.land()
-        assert answered(world.front.given[0][1], sealed).agreements == (True,)
-        await world.take()
-        await world.land()
+        world.gate.on_query(Call(-1, 0, sealed.encode(), b"", b"", world.frontend))
+        await world.run_until_idle()
+        await world.agree()
+        assert opened_reply(world.frontend.given[0][1], sealed).agreements == (True,)
+        await world.send_replay()
+        await world.agree()
         assert len(world.sent) == 1
 
-    play(test)
+    run_in_world(test)
 
 
-def test_an_ask_with_a_bad_seal_is_a_400_and_changes_nothing() -> None:
+def test_a_query_with_a_bad_seal_is_answered_with_400_and_changes_nothing() -> None:
     async def test(world: World) -> None:
-        for text in ("", "x", SEAL.replayed(ReplayIdentity(DOT, INCARNATION, True)), "\x80", "A" * 20_000):
-            assert (await world.ask(text)).status == 400
-        assert world.sharer.submitted_entries == [] and len(world.lines) == 1
+        for text in (
+            "",
+            "x",
+            SEAL.seal_replay(ReplayIdentity(WRITE_ID, INCARNATION, True)),
+            "\x80",
+            "A" * 20_000,
+        ):
+            assert (await world.query(text)).status == 400
+        assert world.agreement.submitted_entries == [] and len(world.log_lines) == 1
 
-    play(test)
+    run_in_world(test)
 
 
-def test_asks_at_a_time_have_a_bound() -> None:
+def test_concurrent_queries_are_bounded() -> None:
     async def test(world: World) -> None:
-        sealed = SEAL.ask(
-            ReplayQuery(lease_requests=(LeaseRequest(LINE, LATER_INCARNATION, (INCARNATION,)),))
+        sealed = SEAL.seal_query(
+            ReplayQuery(lease_requests=(LeaseRequest(EDGE_LOG, LATER_INCARNATION, (INCARNATION,)),))
         )
-        for _ in range(ASKS_MOST + 1):
-            world.gate.on_query(Call(-1, 0, sealed.encode(), b"", b"", world.front))
-        await world.turn()
-        assert world.told == [(503, b"")] and world.gate.asking == ASKS_MOST
-        await world.land(world.sharer.submitted_entries[0])
-        assert [status for status, _ in world.told] == [503] + [200] * ASKS_MOST and world.gate.asking == 0
+        for _ in range(MAX_QUERIES + 1):
+            world.gate.on_query(Call(-1, 0, sealed.encode(), b"", b"", world.frontend))
+        await world.run_until_idle()
+        assert world.answers == [(503, b"")] and world.gate.open_query_count == MAX_QUERIES
+        await world.agree(world.agreement.submitted_entries[0])
+        assert [status for status, _ in world.answers] == [503] + [
+            200
+        ] * MAX_QUERIES and world.gate.open_query_count == 0
 
-    play(test)
+    run_in_world(test)
 
 
-# --- An operator's word -----------------------------------------------------------------
+# --- Operator's commands -----------------------------------------------------------------
 
 
 @pytest.mark.parametrize("incarnation", [0, INCARNATION])
-def test_an_edge_that_is_declared_lost_is_refused_from_then_on(incarnation: int) -> None:
+def test_a_lost_edge_is_refused(incarnation: int) -> None:
     async def test(world: World) -> None:
         assert world.gate.declare_lost("edge-1", incarnation)
-        await world.turn()
-        assert world.sharer.submitted_entries == [EdgeLost("edge-1", incarnation)]
-        await world.land()
+        await world.run_until_idle()
+        assert world.agreement.submitted_entries == [EdgeLost("edge-1", incarnation)]
+        await world.agree()
         assert not world.gate.declare_lost("edge-1", incarnation)
-        await world.take()
-        assert world.told == [(503, b"fenced")] and world.write_status() is WriteStatus.ABANDONED
+        await world.send_replay()
+        assert world.answers == [(503, b"fenced")] and world.write_status() is WriteStatus.ABANDONED
         other = WriteId("edge-1", LATER_INCARNATION, 1)
         assert (world.write_status(other) is WriteStatus.ABANDONED) == (not incarnation)
         status: dict[str, Any] = world.gate.status()
         assert status["ready"] and status["gate"]["fenced"] == 1 and "lines" in status
 
-    play(test)
+    run_in_world(test)
