--- a/laurelstep/outbox/shared/asking.py
+++ b/laurelstep/outbox/shared/asking.py
@@ -72,16 +72,16 @@
         self.holders: dict[EdgeLog, tuple[int, ...]] = {
             self.version_vector.edge_log: (self.version_vector.incarnation,)
         }
-        self.leases_to_request: dict[EdgeLog, bool] = {}  # whether by force
+        self.leases_to_request: dict[EdgeLog, bool] = {}  # by log: whether an operator forces it
         self.is_requesting_leases = False
-        self.parked_at: dict[WriteId, int] = {}  # monotonic µs, for writes parked now
-        # Writes resolved as never run: the parking, and when the withdrawal may be published.
+        self.parked_at: dict[WriteId, int] = {}  # monotonic µs, by parked write
+        # By write that was resolved as never run: its parking, and when the withdrawal may be published.
         self.never_ran_resolutions: dict[WriteId, tuple[int, int]] = {}
         self.resolution_timers: dict[WriteId, Handle] = {}
         self.reply_future: asyncio.Future[Answer] | None = None
         self.query_count = 0
 
-    # --- Start and leases -------------------------------------------------------------
+    # --- Start and leases ---------------------------------------------------------------
 
     def restore(self, loaded: LoadedWrites) -> None:
         """Take in the writes that the store had at the start, before any other call."""
@@ -133,7 +133,7 @@
             self.is_requesting_leases = False
         self.host.wake()
 
-    # --- Transitions and replays ------------------------------------------------------
+    # --- Transitions and replays --------------------------------------------------------
 
     def on_step_durable(self, change: Transition) -> None:
         """A transition is durable and is about to be applied to the outbox."""
@@ -224,7 +224,7 @@
                 f"outbox: {name}: fenced: another process with a copy of this disk replays it; {REMEDY}"
             )
 
-    # --- Queries ----------------------------------------------------------------------
+    # --- Queries ------------------------------------------------------------------------
 
     def send_due_query(self) -> None:
         """Send the next query, if one is due. Called once a second and after each change."""
--- a/laurelstep/outbox/shared/edge.py
+++ b/laurelstep/outbox/shared/edge.py
@@ -16,8 +16,9 @@
    copies that kept it. A low watermark is sent after the abandoned writes of its log; if those were published
    before, it is sent only with their next repetition. A ledger that does not know them would take them as
    applied.
-6. The outbox's limits bound what is asked for, and limits here bound all else. An update that other edges
-   wait for but that finds no room is published later (`publish` returns False). Of the updates on parked
+6. The outbox's limits bound the statuses and leases that are asked for; limits in this module bound all
+   other state. An update that other edges wait for but that finds no room is published later (`publish`
+   returns False). Of the updates on parked
    writes and of the known statuses, the oldest are evicted: that costs an explanation or another query.
 """
 
@@ -80,7 +81,7 @@
         self._backoff = QueryBackoff(random)
         self._repeat_at: int | None = None
 
-    # --- Known state ------------------------------------------------------------------
+    # --- Known state --------------------------------------------------------------------
 
     def write_status(self, dependency: Dependency) -> WriteStatus:
         """The status last reported for a write of another log."""
@@ -94,7 +95,7 @@
         """Whether another process holds the log."""
         return edge_log in self._fenced_logs
 
-    # --- Statuses and leases ----------------------------------------------------------
+    # --- Statuses and leases ------------------------------------------------------------
 
     def watch(self, dependencies: Iterable[Dependency]) -> None:
         """Query the statuses of these dependencies until they are final or no longer needed."""
@@ -153,7 +154,7 @@
         ]:
             self._drop_update(dependency)
 
-    # --- Updates on own writes --------------------------------------------------------
+    # --- Updates on own writes ----------------------------------------------------------
 
     def publish(self, write_id: WriteId, write_status: WriteStatus) -> bool:
         """Report the status of an own write: UNKNOWN if it is no longer parked. False if there is no room."""
@@ -256,7 +257,7 @@
             return False
         return not dependency.before or dependency.edge_log not in self._unpublished_abandoned
 
-    # --- Queries ----------------------------------------------------------------------
+    # --- Queries ------------------------------------------------------------------------
 
     def on_link_up(self, now: int) -> None:
         """The link to upstream is back: query at once."""
--- a/tests/test_outbox_replay_gate.py
+++ b/tests/test_outbox_replay_gate.py
@@ -60,7 +60,7 @@
 from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
-from tests.fakes import Answers, ManualClock, PlayedUpstream, Sent, entry
+from tests.fakes import FakeUpstream, ManualClock, RecordingFrontend, SentAttempt, entry
 from tests.sockets import override_decisions
 
 SECRET = b"of the edges and of the copies"
@@ -144,8 +144,8 @@
 class World:
     def __init__(self, inner: InnerRecorder | None = None) -> None:
         self.clock = ManualClock()
-        self.upstream = PlayedUpstream(self.clock)
-        self.frontend = Answers()
+        self.upstream = FakeUpstream(self.clock)
+        self.frontend = RecordingFrontend()
         self.ledger = ReplicatedLedger()
         self.agreement = ManualAgreement(self.ledger, self.clock)
         self.log_lines: list[str] = []
@@ -241,21 +241,21 @@
     async def query(self, text: str) -> Answer:
         call = Call(-1, 0, text.encode(), b"", b"", self.frontend)
         call.is_open = False
-        answer_count = len(self.frontend.given)
+        answer_count = len(self.frontend.answers)
         self.gate.on_query(call)
         await self.run_until_idle()
-        assert len(self.frontend.given) == answer_count + 1
-        return self.frontend.given[-1][1]
+        assert len(self.frontend.answers) == answer_count + 1
+        return self.frontend.answers[-1][1]
 
     @property
-    def sent(self) -> list[Sent]:
-        return list(self.upstream.out.values())
+    def sent(self) -> list[SentAttempt]:
+        return list(self.upstream.in_flight.values())
 
     @property
     def answers(self) -> list[tuple[int, bytes]]:
         return [
             (answer.status, dict(answer.headers).get(REPLAY_STATUS_HEADER, b""))
-            for _, answer in self.frontend.given
+            for _, answer in self.frontend.answers
         ]
 
     def intent_status(self) -> IntentStatus:
@@ -293,7 +293,7 @@
         await world.answer_attempt()
         assert world.agreement.submitted_entries == [WriteApplied(WRITE_ID)] and world.answers == []
         await world.agree()
-        assert world.answers == [(200, b"")] and world.frontend.given[0][1].body == b"ok"
+        assert world.answers == [(200, b"")] and world.frontend.answers[0][1].body == b"ok"
         assert not world.gate.replays and not world.engine.calls
 
     run_in_world(test)
@@ -324,7 +324,7 @@
     async def test(world: World) -> None:
         world.agreement.is_ready = False
         await world.send_replay(request_class)
-        answer = world.frontend.given[0][1]
+        answer = world.frontend.answers[0][1]
         assert world.answers == [(503, b"")] and answer.ending is Ending.REFUSED and answer.retry_after_us > 0
         assert not world.upstream.writes and world.agreement.submitted_entries == []
 
@@ -336,7 +336,7 @@
         await world.send_replay()
         begin = world.agreement.submitted_entries[0]
         await world.advance(DEADLINE_US)
-        assert world.answers == [(503, b"")] and world.frontend.given[0][1].ending is Ending.REFUSED
+        assert world.answers == [(503, b"")] and world.frontend.answers[0][1].ending is Ending.REFUSED
         assert world.agreement.submitted_entries == [IntentWithdrawal(WRITE_ID, 1)]
         await world.agree(begin)
         assert world.intent_status() is IntentStatus.OTHERS  # for the next replay
@@ -354,7 +354,7 @@
     async def test(world: World) -> None:
         await world.send_replay()
         world.clock.advance(DEADLINE_US)
-        assert world.answers == [(503, b"")] and world.frontend.given[0][1].ending is Ending.REFUSED
+        assert world.answers == [(503, b"")] and world.frontend.answers[0][1].ending is Ending.REFUSED
         await world.run_until_idle()
         assert (
             world.agreement.submitted_entries == [IntentWithdrawal(WRITE_ID, 1)] and len(world.answers) == 1
@@ -379,7 +379,7 @@
     async def test(world: World) -> None:
         await world.agree(LogLease(EDGE_LOG, LATER_INCARNATION, INCARNATION, 0))
         await world.send_replay(request_class)
-        assert world.answers == [(503, b"fenced")] and world.frontend.given[0][1].ending is Ending.REFUSED
+        assert world.answers == [(503, b"fenced")] and world.frontend.answers[0][1].ending is Ending.REFUSED
         await world.send_replay(request_class, incarnation=LATER_INCARNATION)
         await world.agree(*world.agreement.submitted_entries)
         assert len(world.sent) == 1  # the holder's replay is sent
@@ -403,7 +403,7 @@
     async def test(world: World) -> None:
         await world.agree(WriteApplied(WRITE_ID))
         await world.send_replay(request_class)
-        assert world.answers == [(200, b"in")] and world.frontend.given[0][1].body == b""
+        assert world.answers == [(200, b"in")] and world.frontend.answers[0][1].body == b""
         assert world.upstream.writes == []
 
     run_in_world(test)
@@ -413,7 +413,7 @@
     async def test(world: World) -> None:
         await world.agree(Intent(WRITE_ID, INCARNATION, 99))
         await world.send_replay()
-        answer = world.frontend.given[0][1]
+        answer = world.frontend.answers[0][1]
         assert world.answers == [(502, b"begun")] and answer.ending is Ending.FAILED
         assert world.upstream.writes == [] and world.agreement.submitted_entries == []
 
@@ -550,7 +550,7 @@
         await world.agree()
         await world.answer_attempt()
         await world.advance(DEADLINE_US)
-        assert world.answers == [(502, b"")] and world.frontend.given[0][1].ending is Ending.FAILED
+        assert world.answers == [(502, b"")] and world.frontend.answers[0][1].ending is Ending.FAILED
         assert world.write_status() is WriteStatus.UNKNOWN and world.agreement.submitted_entries == [
             WriteApplied(WRITE_ID)
         ]
@@ -595,7 +595,7 @@
             await world.answer_attempt(FULL, runs=False)
             await world.advance(100_000)
         await world.advance(DEADLINE_US)
-        answer = world.frontend.given[0][1]
+        answer = world.frontend.answers[0][1]
         assert world.answers[0][0] == 503 and world.agreement.submitted_entries == [
             IntentWithdrawal(WRITE_ID, 1)
         ]
@@ -605,7 +605,7 @@
         await world.agree()
         await world.send_replay()
         await world.agree()
-        assert len(world.sent) == 1 and world.upstream.ran == {}
+        assert len(world.sent) == 1 and world.upstream.executions == {}
 
     run_in_world(test)
 
@@ -632,7 +632,7 @@
         await world.agree()
         assert world.agreement.submitted_entries == [IntentWithdrawal(WRITE_ID, 1)] and world.answers == []
         await world.agree()
-        assert world.answers == [(503, b"")] and world.frontend.given[0][1].ending is Ending.REFUSED
+        assert world.answers == [(503, b"")] and world.frontend.answers[0][1].ending is Ending.REFUSED
         assert world.intent_status() is IntentStatus.OPEN and world.upstream.writes == []
 
     run_in_world(test)
@@ -801,7 +801,7 @@
     run_in_world(test)
 
 
-# --- Queries of edges ------------------------------------------------------------------
+# --- Queries of edges -------------------------------------------------------------------
 
 
 def opened_reply(answer: Answer, sealed: str) -> QueryReply:
@@ -862,7 +862,7 @@
             and world.answers == []
         )
         await world.agree()
-        reply = opened_reply(world.frontend.given[0][1], sealed)
+        reply = opened_reply(world.frontend.answers[0][1], sealed)
         assert reply.lease_statuses == (LeaseStatus.HELD, LeaseStatus.FENCED)
         other = SEAL.seal_query(
             ReplayQuery(lease_requests=(LeaseRequest(EDGE_LOG, 10, (LATER_INCARNATION,)),))
@@ -870,7 +870,7 @@
         world.gate.on_query(Call(-1, 0, other.encode(), b"", b"", world.frontend))
         await world.run_until_idle()
         await world.advance(QUERY_TIMEOUT_US)
-        assert opened_reply(world.frontend.given[1][1], other).lease_statuses == (LeaseStatus.OPEN,)
+        assert opened_reply(world.frontend.answers[1][1], other).lease_statuses == (LeaseStatus.OPEN,)
         assert world.ledger.holder(EDGE_LOG) == LATER_INCARNATION
 
     run_in_world(test)
@@ -907,7 +907,7 @@
         assert len(world.agreement.submitted_entries) == 3 and world.answers == []
         await world.agree()
         await world.advance(QUERY_TIMEOUT_US)
-        reply = opened_reply(world.frontend.given[0][1], sealed)
+        reply = opened_reply(world.frontend.answers[0][1], sealed)
         assert reply.agreements == (True, True, False)  # the last one is not from the log's holder
         assert (
             world.write_status() is WriteStatus.PARKED
@@ -930,7 +930,7 @@
         world.gate.on_query(Call(-1, 0, sealed.encode(), b"", b"", world.frontend))
         await world.run_until_idle()
         await world.agree()
-        assert opened_reply(world.frontend.given[0][1], sealed).agreements == (True,)
+        assert opened_reply(world.frontend.answers[0][1], sealed).agreements == (True,)
         await world.send_replay()
         await world.agree()
         assert len(world.sent) == 1
@@ -970,7 +970,7 @@
     run_in_world(test)
 
 
-# --- Operator's commands -----------------------------------------------------------------
+# --- Operator's commands ----------------------------------------------------------------
 
 
 @pytest.mark.parametrize("incarnation", [0, INCARNATION])
