--- a/laurelstep/daemon.py
+++ b/laurelstep/daemon.py
@@ -121,7 +121,7 @@
         config = self.config
         holding = None if self.maintenance is None else self.maintenance.assembly.wrap_source
         self.sockets = Assembly(
-            self.loop, config, log, self._recorder(), collector=Collector(), create_holding_source=holding
+            self.loop, config, log, self._recorder(), collector=Collector(), create_filtering_source=holding
         )
         self.sockets.start()
         self.server = Server(
--- a/laurelstep/net/assembly.py
+++ b/laurelstep/net/assembly.py
@@ -15,8 +15,8 @@
 from laurelstep.net.upstream import Upstream
 from laurelstep.settings import Config, ConfigError
 
-# Wraps a member source in one that may hold its lists back before the engine receives them.
-HoldingSourceFactory = Callable[[MemberSource, Clock], FilteringSource]
+# Wraps a member source in one that filters its lists: see `FilteringSource`.
+FilteringSourceFactory = Callable[[MemberSource, Clock], FilteringSource]
 
 
 def create_source(
@@ -32,9 +32,9 @@
 class Assembly:
     """An engine with its upstream and its member source. A front end (daemon or library) is attached to it.
 
-    Without discovery, the members are the argument `members` or, if that is None, the list in the
-    configuration. `create_holding_source` wraps the member source before the engine uses it; None wraps
-    nothing.
+    `members`, unless it is None, is a fixed list that is used instead of discovery. Without it and without
+    discovery, the list in the configuration is used. `create_filtering_source` wraps the member source before
+    the engine uses it; None wraps nothing.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         recorder: Recorder | None = None,
         members: Sequence[Any] | None = None,
         collector: Collector | None = None,
-        create_holding_source: HoldingSourceFactory | None = None,
+        create_filtering_source: FilteringSourceFactory | None = None,
     ) -> None:
         self.config = config
         settings = config.settings
@@ -62,8 +62,8 @@
         if members is None:
             members = config.known["instances"] if config.known else ()
         self.members = members
-        self.holding_source = (
-            None if create_holding_source is None else create_holding_source(self.source, clock)
+        self.filtering_source = (
+            None if create_filtering_source is None else create_filtering_source(self.source, clock)
         )
         self.engine = Engine(
             clock,
@@ -71,7 +71,7 @@
             settings,
             config.names,
             self.upstream,
-            self.holding_source or self.source,
+            self.filtering_source or self.source,
             config.drain_grace_us,
             log,
             recorder,
@@ -83,9 +83,9 @@
             if isinstance(self.source, StaticMembers):
                 self.engine.start()
                 self.source.replace_list(self.members)
-            elif self.holding_source is not None:
+            elif self.filtering_source is not None:
                 if (known := self.config.known) is not None:
-                    self.holding_source.set_initial_list(int(known["generation"]), known["instances"])
+                    self.filtering_source.set_initial_list(int(known["generation"]), known["instances"])
                 self.engine.start()
             else:
                 self.engine.start(self.config.known)
--- a/laurelstep/net/endpoint_connection.py
+++ b/laurelstep/net/endpoint_connection.py
@@ -306,23 +306,23 @@
             self.close()  # no request is open, so these bytes are not an answer
             return
         self.received_bytes += len(data)
-        malformed = False
+        is_malformed = False
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            malformed, self.keep_alive = True, False
-        malformed = (
-            malformed
+            is_malformed, self.keep_alive = True, False
+        is_malformed = (
+            is_malformed
             or self.received_bytes
             > MAX_FRAMING_BYTES + MAX_FRAMING_BYTES_PER_BODY_BYTE * self.body_byte_count
         )
         if self._answers_earlier_request():
             self.reject_response()
         elif self.is_complete:
-            if malformed or self.has_trailing_data:
+            if is_malformed or self.has_trailing_data:
                 self.owner.on_malformed_response()
             self._complete()
-        elif malformed or (self.fields is None and self.received_bytes > MAX_HEAD_BYTES):
+        elif is_malformed or (self.fields is None and self.received_bytes > MAX_HEAD_BYTES):
             self.reject_response()
         elif self.answer is not None:
             self._check_throughput()
