--- a/benchmarks/outbox.py
+++ b/benchmarks/outbox.py
@@ -94,8 +94,8 @@
         if not folder:
             return cls(parts, None, name)
         settings = OutboxSettings(
-            store_path=folder, edge=name, classes={"put": QueuedClass("keyed", 86_400_000_000)}, most=most,
-            share=1.0, cut_us=10_000, back_us=10_000, send_us=2_000_000,
+            store_path=folder, edge=name, classes={"put": QueuedClass("keyed", 86_400_000_000)},
+            max_writes=most, tenant_share=1.0, cut_us=10_000, back_us=10_000, max_deadline_us=2_000_000,
         )  # fmt: skip
         config.names.queueable_classes = frozenset((1,))
         driver = await OutboxDriver.open(settings, config.names.classes, {}, lambda line: None)
--- a/laurelstep/outbox/admission.py
+++ b/laurelstep/outbox/admission.py
@@ -32,7 +32,7 @@
 )
 from laurelstep.outbox.queue_store import FailedToKeepError
 from laurelstep.outbox.records import QueuedWrite
-from laurelstep.outbox.replay_driver import TURN_US, ReplayDriver
+from laurelstep.outbox.replay_driver import REPLAY_INTERVAL_US, ReplayDriver
 from laurelstep.outbox.replay_front import ReplayFront
 from laurelstep.outbox.write_ids import WriteId
 from laurelstep.request_journal.records import key_conflict_answer, may_have_run_answer
@@ -112,7 +112,7 @@
         return True
 
     def _refuse_overtaking(
-        self, call: Call, answer: Answer | None, engine: CallHost, retry_us: int = TURN_US
+        self, call: Call, answer: Answer | None, engine: CallHost, retry_us: int = REPLAY_INTERVAL_US
     ) -> bool:
         """It can't be kept: what would go past its causes is refused, and so in hand."""
         if answer is None and self._follows_queued(call):
@@ -174,7 +174,7 @@
 
     async def _store(self, call: Call, write: QueuedWrite, answer: Answer | None, engine: CallHost) -> None:
         write_id, told = write.write_id, None
-        certain = kept = True
+        is_known_absent = kept = True
         try:
             keeping = self.store.put_write(write, call.body)
             await asyncio.sleep(0)  # what follows is done while the disk works
@@ -184,14 +184,14 @@
                 kept = not await self.store.delete_write(write_id, write.size)
         except StoreError as error:
             self.log(f"outbox: not kept: {error}")
-            kept, certain = False, isinstance(error, FailedToKeepError) and error.certain
-        self.on_stored(write, kept, certain, answer, engine, told)
+            kept, is_known_absent = False, isinstance(error, FailedToKeepError) and error.is_known_absent
+        self.on_stored(write, kept, is_known_absent, answer, engine, told)
 
     def on_stored(
         self,
         write: QueuedWrite,
         kept: bool,
-        certain: bool,
+        is_known_absent: bool,
         answer: Answer | None,
         engine: CallHost,
         told: Answer | None = None,
@@ -211,17 +211,19 @@
                 continue
             digest = self.bodies.digest(one)
             if not kept:
-                self.answer_unqueued(one, answer, certain, engine)
+                self.answer_unqueued(one, answer, is_known_absent, engine)
             elif digest != write.digest:
                 engine.settle(one, key_conflict_answer())
             else:
                 engine.settle(one, self._kept(write_id))
 
-    def answer_unqueued(self, call: Call, answer: Answer | None, certain: bool, engine: CallHost) -> None:
-        """Answer a call whose write could not be kept. `certain`: no later life can find it."""
+    def answer_unqueued(
+        self, call: Call, answer: Answer | None, is_known_absent: bool, engine: CallHost
+    ) -> None:
+        """Answer a call whose write could not be kept. `is_known_absent`: no later life can find it."""
         if not call.is_open:
             return
-        if not certain and (answer is None or answer.ending is Ending.REFUSED):
+        if not is_known_absent and (answer is None or answer.ending is Ending.REFUSED):
             engine.settle(call, may_have_run_answer())
         elif answer is not None:
             engine.settle(call, answer)
--- a/laurelstep/outbox/bodies.py
+++ b/laurelstep/outbox/bodies.py
@@ -1,19 +1,22 @@
-"""Bodies that are too large to be held: into the store as they come, and from there upstream.
+"""Large bodies of queued writes: stored as they arrive, and streamed from the store when replayed.
 
 The rules:
 
-1. A write whose body is still coming has its number, its place and its bytes of the bounds from its first
-   part on: the declared length, and for chunks the most that one may have. Its record is written last.
-2. Until then nothing of it is kept: one that breaks off, is too large, or meets a full disk leaves nothing
-   behind. Its parts are deleted, after a crash as the store is opened. As nothing of it was sent, the client
-   is refused; what may be found by a later life all the same may have run.
-3. Of one write `HELD_EACH` are held, and what one read brings beyond that; at first what had come before it
-   was too large to be held. `TAKEN_MOST` are taken at a time, and no more of them while `HELD_MOST` are held;
-   `WAITING_MOST` wait for that, their clients held back.
-4. A repeat of a key is read to its end and compared; nothing of it is stored.
-5. A replay of more than `WHOLE_MOST` is passed on as an upload, a part at a time. What an endpoint had the
-   beginning of is not tried again by the engine: the write goes out again, or is parked, as its class has it.
-   It ends within the window of its key.
+1. A write whose body is still arriving holds a write id, a queue entry and bytes of the outbox's bounds from
+   the first part on: the declared length, or for a chunked body the largest size allowed. The write's own
+   record is written last.
+2. Until that record is durable the write is not queued: a body that breaks off, is too large, or meets a full
+   disk leaves nothing behind. Its parts are deleted, after a crash when the store is opened. Nothing was sent
+   upstream, so the client is refused; if a later incarnation might still find the write, the client is told
+   that it may have run.
+3. One write buffers at most `MAX_BUFFERED_BYTES_PER_WRITE` plus what one read brings. At the start it may
+   buffer more: the data that arrived before the body turned out to be too large to hold. At most
+   `MAX_RECEIVING` bodies are received at a time, and no further one starts while `MAX_BUFFERED_BYTES_IN_ALL`
+   are buffered. `MAX_WAITING` more wait for that, without being read from their clients.
+4. The body of a repeated idempotency key is read to its end and compared; nothing of it is stored.
+5. A replay of more than `MAX_UNSTREAMED_BYTES` is sent as an upload, one part at a time. Once an endpoint has
+   received the beginning, the engine does not retry it: the write is replayed again or parked, as its class
+   requires. The replay ends within the window of its idempotency key.
 """
 
 from __future__ import annotations
@@ -31,7 +34,7 @@
 from laurelstep.outbox.errors import OutboxError
 from laurelstep.outbox.intake import RETRY_US
 from laurelstep.outbox.messages import WriteTicket
-from laurelstep.outbox.options import CHUNK
+from laurelstep.outbox.options import BODY_PART_BYTES
 from laurelstep.outbox.ports import OutboxHost
 from laurelstep.outbox.queue_store import FailedToKeepError
 from laurelstep.outbox.records import QueuedWrite
@@ -42,18 +45,18 @@
 
 # Parts of one write that are on their way to the disk at a time.
 PUT_MOST: Final = 2
-# Past `HELD_EACH` a write's client is held back, until it is `HELD_LOW` again.
-HELD_EACH: Final = (PUT_MOST + 1) * CHUNK
-HELD_LOW: Final = 2 * CHUNK
-HELD_MOST: Final = 2 << 20
-TAKEN_MOST: Final = 8
-WAITING_MOST: Final = 16
+# At this many buffered bytes reading from the write's client pauses; at `RESUME_BUFFERED_BYTES` it resumes.
+MAX_BUFFERED_BYTES_PER_WRITE: Final = (PUT_MOST + 1) * BODY_PART_BYTES
+RESUME_BUFFERED_BYTES: Final = 2 * BODY_PART_BYTES
+MAX_BUFFERED_BYTES_IN_ALL: Final = 2 << 20
+MAX_RECEIVING: Final = 8
+MAX_WAITING: Final = 16
 # Up to this a body is read whole for its replay.
-WHOLE_MOST: Final = 256 * 1024
+MAX_UNSTREAMED_BYTES: Final = 256 * 1024
 # A replay's provisional time, as that of a caller's upload: it counts from the last byte, once that is out.
-PASSING_MOST_US: Final = 600_000_000
+MAX_REPLAY_UPLOAD_US: Final = 600_000_000
 # What could not be deleted is tried again after this.
-AGAIN_S: Final = 1.0
+DELETION_RETRY_S: Final = 1.0
 
 
 class IncomingBody:
@@ -71,7 +74,7 @@
         self.next = 1  # the part that is written next
         self.begun = self.over = self.whole = self.paused = False
         self.kept: bool | None = None
-        self.certain = True
+        self.is_known_absent = True
         self.news = asyncio.Event()
         self._digest = blake2b(call.method_and_target + b"\n", digest_size=DIGEST_BYTES)
 
@@ -105,9 +108,9 @@
             return
         self.rest += data
         self._hold(len(data))
-        if not self.first and len(self.rest) >= CHUNK:
+        if not self.first and len(self.rest) >= BODY_PART_BYTES:
             self._take_first()
-        if self.held >= HELD_EACH and not self.paused:
+        if self.held >= MAX_BUFFERED_BYTES_PER_WRITE and not self.paused:
             self.paused = True
             self.upload.pause()
         self.news.set()
@@ -125,8 +128,8 @@
             self.news.set()
 
     def _take_first(self) -> None:
-        self.first = bytes(self.rest[:CHUNK])
-        del self.rest[:CHUNK]
+        self.first = bytes(self.rest[:BODY_PART_BYTES])
+        del self.rest[:BODY_PART_BYTES]
 
     def _hold(self, more: int) -> None:
         self.held += more
@@ -136,10 +139,12 @@
         """The parts that are written next; none until there are more."""
         found: list[bytes] = []
         while (
-            self.first and len(found) < PUT_MOST and (len(self.rest) >= CHUNK or (self.whole and self.rest))
+            self.first
+            and len(found) < PUT_MOST
+            and (len(self.rest) >= BODY_PART_BYTES or (self.whole and self.rest))
         ):
-            found.append(bytes(self.rest[:CHUNK]))
-            del self.rest[:CHUNK]
+            found.append(bytes(self.rest[:BODY_PART_BYTES]))
+            del self.rest[:BODY_PART_BYTES]
         return found
 
     async def store(self, write_id: WriteId) -> bool:
@@ -152,7 +157,7 @@
                 self.next += len(parts)
                 self._hold(-sum(map(len, parts)))
                 self.bodies._begin()
-                if self.paused and self.held <= HELD_LOW:
+                if self.paused and self.held <= RESUME_BUFFERED_BYTES:
                     self.paused = False
                     self.upload.resume()
             elif self.over:
@@ -197,7 +202,7 @@
 
     def has_room(self, call: Call) -> bool:
         """Whether a call with a body that is still to come may be taken."""
-        return call.upload is None or len(self.coming) < TAKEN_MOST + WAITING_MOST
+        return call.upload is None or len(self.coming) < MAX_RECEIVING + MAX_WAITING
 
     def digest(self, call: Call) -> bytes:
         """Asked once for each."""
@@ -221,7 +226,7 @@
         """Those that wait, while there is room."""
         while self.waiting:
             taken = sum(1 for one in self.coming.values() if one.begun)
-            if taken and (taken >= TAKEN_MOST or self.held >= HELD_MOST):
+            if taken and (taken >= MAX_RECEIVING or self.held >= MAX_BUFFERED_BYTES_IN_ALL):
                 return
             body = self.waiting.popleft()
             if not body.over:
@@ -249,16 +254,16 @@
                 driver.log(f"outbox: not kept: a body of more than {self.most} bytes")
         except StoreError as error:
             driver.log(f"outbox: not kept: {error}")
-            body.certain = isinstance(error, FailedToKeepError) and error.certain
+            body.is_known_absent = isinstance(error, FailedToKeepError) and error.is_known_absent
         finally:
-            came = body.next * CHUNK  # the parts that may be there
+            came = body.next * BODY_PART_BYTES  # the parts that may be there
             self._close(body)
             del self.stored[write_id]
         body.kept = kept
         self.digests[body.call] = write.digest
-        driver.on_stored(write, kept, body.certain, answer, engine)
+        driver.on_stored(write, kept, body.is_known_absent, answer, engine)
         if not kept:
-            await self._clear(write_id, came + PUT_MOST * CHUNK)
+            await self._clear(write_id, came + PUT_MOST * BODY_PART_BYTES)
 
     def _close(self, body: IncomingBody) -> None:
         del self.coming[body.call]
@@ -268,7 +273,7 @@
     async def _clear(self, write_id: WriteId, size: int) -> None:
         """Its parts. On a disk that fails, once that writes again; at the latest as the store is opened."""
         while not await self.driver.store.delete_write(write_id, size) and not self.driver.closing:
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(DELETION_RETRY_S)
 
     async def _compare(
         self, body: IncomingBody, write_id: WriteId, answer: Answer | None, engine: CallHost
@@ -284,7 +289,7 @@
         elif not body.whole or not call.is_open:
             return
         elif first is not None and first.kept is False:
-            self.driver.answer_unqueued(call, answer, first.certain, engine)
+            self.driver.answer_unqueued(call, answer, first.is_known_absent, engine)
         else:
             self.digests[call] = body.digest
             self.driver.answer_repeat(call, write_id, engine)
@@ -297,7 +302,7 @@
 
     # --- Replay -----------------------------------------------------------------------
 
-    async def call(self, write_id: WriteId, replay: ReplayFront) -> Call | None:
+    async def load_call(self, write_id: WriteId, replay: ReplayFront) -> Call | None:
         """A queued write as the engine's call; None if it can't be read."""
         store = self.driver.store
         try:
@@ -305,17 +310,20 @@
             if found is None:
                 return None
             write, first = found
-            if write.size <= WHOLE_MOST:
-                parts = [first, *[await store.part(write_id, at) for at in range(1, -(-write.size // CHUNK))]]
-                return self.driver.call_of(write, b"".join(parts), replay)
+            if write.size <= MAX_UNSTREAMED_BYTES:
+                parts = [
+                    first,
+                    *[await store.part(write_id, at) for at in range(1, -(-write.size // BODY_PART_BYTES))],
+                ]
+                return self.driver.replay_call(write, b"".join(parts), replay)
         except (StoreError, OutboxError) as error:
             self.driver.log(f"outbox: {write_id}: can't be read: {error}")
             return None
-        call = self.driver.call_of(write, b"", replay)
+        call = self.driver.replay_call(write, b"", replay)
         now = self.driver.now()
         call.time_after_upload_us = call.expires_at - now
         call.expires_at = now + min(
-            PASSING_MOST_US + call.time_after_upload_us, self.driver.outbox.window_left(write_id, now)
+            MAX_REPLAY_UPLOAD_US + call.time_after_upload_us, self.driver.outbox.window_left(write_id, now)
         )
         call.upload = BodyStream(BodyReplay(self, call, write, first), write.size)
         return call
@@ -351,7 +359,7 @@
         upload, write_id = self.call.upload, self.write.write_id
         assert upload is not None
         try:
-            for at in range(-(-self.write.size // CHUNK)):
+            for at in range(-(-self.write.size // BODY_PART_BYTES)):
                 part = await self.bodies.driver.store.part(write_id, at) if at else self.first
                 await self.free.wait()
                 upload.feed(part)
--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -53,9 +53,9 @@
 from laurelstep.store import StoreError
 
 # What is out as the process ends is waited for so long.
-LAST_S: Final = 5.0
+CLOSE_TIMEOUT_S: Final = 5.0
 # Parked writes that an operator sees at once.
-SHOWN_MOST: Final = 100
+MAX_LISTED_WRITES: Final = 100
 
 
 class OutboxDriver(WriteAdmission):
@@ -148,14 +148,14 @@
     async def close(self) -> None:
         """What is being written is finished first; what is out gets a moment for its answer."""
         self.closing = True
-        if self.turning is not None:
-            self.turning.cancel()
+        if self.replay_timer is not None:
+            self.replay_timer.cancel()
         if self.sharing is not None:
             self.sharing.close()
         if self.engine is not None:
             self.engine.write_queue = None
         if self.tasks:
-            await asyncio.wait(set(self.tasks), timeout=LAST_S)
+            await asyncio.wait(set(self.tasks), timeout=CLOSE_TIMEOUT_S)
         for task in set(self.tasks):
             task.cancel()
         if self.tasks:
@@ -209,7 +209,7 @@
 
     def status(self) -> dict[str, Any]:
         """For an operator."""
-        shown = list(self.parked)[:SHOWN_MOST]
+        shown = list(self.parked)[:MAX_LISTED_WRITES]
         return {
             "edge": self.settings.edge,
             "cut_off": self.cutoff.is_cut_off,
@@ -225,19 +225,20 @@
 def _bounds_of(settings: OutboxSettings) -> OutboxBounds:
     return OutboxBounds(
         bytes_most=settings.max_bytes,
-        count_most=settings.most,
-        tenant_share=settings.share,
+        count_most=settings.max_writes,
+        tenant_share=settings.tenant_share,
         age_us=settings.age_us,
         receipt_us=settings.receipt_us,
         replay_most=settings.replay_most,
-        send_us=settings.send_us,
-        orphans=settings.lost,
+        send_us=settings.max_deadline_us,
+        orphans=settings.orphan_policy,
     )
 
 
 def _classes_of(settings: OutboxSettings) -> dict[str, QueuedClass]:
     return {
-        name: QueuedClass(name, one.how == "keyed", one.window_us) for name, one in settings.classes.items()
+        name: QueuedClass(name, one.effect == "keyed", one.window_us)
+        for name, one in settings.classes.items()
     }
 
 
--- a/laurelstep/outbox/driver_state.py
+++ b/laurelstep/outbox/driver_state.py
@@ -75,7 +75,7 @@
         ] = []  # over, and the version vector had no room for it
         self.applied_by_gate: set[WriteId] = set()  # done by an answer: upstream knows, and need not be told
         self.tasks: set[asyncio.Task[None]] = set()
-        self.turning: asyncio.Handle | None = None
+        self.replay_timer: asyncio.Handle | None = None
         self.closing = False
         self.was_cut_off = False
         self.look_at = 0
--- a/laurelstep/outbox/options.py
+++ b/laurelstep/outbox/options.py
@@ -10,7 +10,7 @@
 from typing import Final, Literal
 
 # `keyed`: told apart by its key, within the class's scope and window. `unsafe`: one send, ever.
-How = Literal["keyed", "unsafe"]
+WriteEffect = Literal["keyed", "unsafe"]
 # What becomes of the followers of an edge that is declared lost.
 OrphanPolicy = Literal["park", "release"]
 
@@ -18,14 +18,14 @@
 Upstream = Literal["servers", "copies"]
 
 # A body is in the store in parts of this size.
-CHUNK: Final = 64 * 1024
+BODY_PART_BYTES: Final = 64 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedClass:
     """How the writes of one class are kept. `window_us`: how long a key is remembered upstream."""
 
-    how: How
+    effect: WriteEffect
     window_us: int = 0
 
 
@@ -38,16 +38,16 @@
     classes: Mapping[str, QueuedClass]
     secret_file: str = ""  # empty: of this edge alone, kept in its store
     max_bytes: int = 1 << 30
-    most: int = 100_000
+    max_writes: int = 100_000
     body_bytes: int = 8 << 20
     age_us: int = 7 * 86_400_000_000
-    share: float = 0.5  # of bytes and of count, that one tenant may use
+    tenant_share: float = 0.5  # of bytes and of count, that one tenant may use
     receipt_us: int = 7 * 86_400_000_000
     cut_us: int = 3_000_000
     back_us: int = 1_000_000
     replay_most: int = 8
-    send_us: int = 30_000_000  # the longest deadline of the classes that are kept
-    lost: OrphanPolicy = "park"
+    max_deadline_us: int = 30_000_000  # the longest deadline of the classes that are kept
+    orphan_policy: OrphanPolicy = "park"
     upstream: Upstream = "servers"
     shared: bool = False  # this copy shares with the others of its tier which writes of edges are in
 
@@ -65,8 +65,8 @@
         effect, class_window, deadline = effects[name]
         if effect == "safe":
             return f"outbox.classes: {name}: expected a class with effects, as {', '.join(keepable)}"
-        if one.how != effect:
-            return f"outbox.classes: {name}: keep: expected {effect!r}, as the class is, got {one.how!r}"
+        if one.effect != effect:
+            return f"outbox.classes: {name}: keep: expected {effect!r}, as the class is, got {one.effect!r}"
         window = one.window_us or class_window
         if effect == "keyed" and window <= deadline:
             return (
--- a/laurelstep/outbox/ports.py
+++ b/laurelstep/outbox/ports.py
@@ -53,21 +53,23 @@
     async def take_step(self, change: Transition) -> None:
         """Make a transition durable, then do what it announces."""
 
-    def call_of(self, write: QueuedWrite, body: bytes, replay: ReplayFront) -> Call:
+    def replay_call(self, write: QueuedWrite, body: bytes, replay: ReplayFront) -> Call:
         """A queued write as a call to the engine."""
 
     def on_stored(
         self,
         write: QueuedWrite,
         kept: bool,
-        certain: bool,
+        is_known_absent: bool,
         answer: Answer | None,
         engine: CallHost,
         told: Answer | None = None,
     ) -> None:
         """Tell all that wait for a write whether it is kept."""
 
-    def answer_unqueued(self, call: Call, answer: Answer | None, certain: bool, engine: CallHost) -> None:
+    def answer_unqueued(
+        self, call: Call, answer: Answer | None, is_known_absent: bool, engine: CallHost
+    ) -> None:
         """Answer a call whose write could not be kept."""
 
     def answer_repeat(self, call: Call, write_id: WriteId, engine: CallHost) -> None:
--- a/laurelstep/outbox/queue_store.py
+++ b/laurelstep/outbox/queue_store.py
@@ -1,15 +1,17 @@
-"""Kept writes in the embedded store.
+"""Queued writes in the embedded store.
 
 The rules:
 
-1. A write is one record: its head, and the first part of its body behind it. Further parts of at most
-   `CHUNK` bytes have records of their own, written before it; one that is told as kept has all of them.
-2. A state since is a second record; the newest counts. Soon after a final one the body goes, and the head
-   stays until it is forgotten.
-3. What is written is durable when the call returns. A write that failed may be found by a later life all the
-   same, unless `FailedToKeep.certain`.
-4. What a crash left of a write that was never told as kept is deleted as the store is opened.
-5. Each life of the store draws an incarnation and has no number of an earlier one.
+1. A write is one record: its head, followed by the first part of its body. Further parts of at most
+   `BODY_PART_BYTES` bytes have records of their own, written before it, so a write that is acknowledged as
+   queued has all of its parts.
+2. A later state of a write is a second record, of which the newest counts. Soon after a final state the body
+   is deleted; the head stays until the write is forgotten.
+3. What is written is durable when the call returns. A later incarnation may still find a write that failed,
+   unless `FailedToKeepError.is_known_absent`.
+4. When the store is opened, the remains of writes that a crash interrupted before they were acknowledged are
+   deleted.
+5. Each opening of the store draws an incarnation, which is never that of an earlier opening.
 """
 
 from __future__ import annotations
@@ -25,7 +27,7 @@
 from msgspec.structs import replace
 
 from laurelstep.outbox.errors import KeptRecordError
-from laurelstep.outbox.options import CHUNK
+from laurelstep.outbox.options import BODY_PART_BYTES
 from laurelstep.outbox.records import (
     FINAL,
     QueuedWrite,
@@ -44,21 +46,21 @@
 # writes are let in, and what is of no more use waits there for compaction.
 SPARE_BYTES: Final = 64 << 20
 # The bodies of what is final go after so long, so many at a time.
-END_S: Final = 1.0
-ENDED_MOST: Final = 8
+BODY_DELETION_DELAY_S: Final = 1.0
+BODY_DELETION_BATCH: Final = 8
 # A segment is read whole as the store is opened, and as it is compacted.
 SEGMENT_LEAST, SEGMENT_MOST = 2 << 20, 4 << 20
 
 
 class FailedToKeepError(StoreError):
-    """A write could not be kept. `certain`: no later life will find it."""
+    """A write could not be kept. `is_known_absent`: no later life will find it."""
 
     cause = "a write could not be kept: the outbox's store is full, or its disk fails"
     remedy = "free the disk or raise outbox.max_mb; until then writes get the answer they would have had"
 
-    def __init__(self, text: str, certain: bool) -> None:
+    def __init__(self, text: str, is_known_absent: bool) -> None:
         super().__init__(text)
-        self.certain = certain
+        self.is_known_absent = is_known_absent
 
 
 @dataclass
@@ -93,7 +95,7 @@
 
 def part_keys(write_id: WriteId, size: int) -> list[bytes]:
     """Of the parts behind the first."""
-    return [part_key(write_id, at) for at in range(1, -(-size // CHUNK))]
+    return [part_key(write_id, at) for at in range(1, -(-size // BODY_PART_BYTES))]
 
 
 class QueueStore:
@@ -201,11 +203,12 @@
     def put_write(self, write: QueuedWrite, body: bytes) -> Coroutine[Any, Any, None]:
         """Begun by the call itself. `FailedToKeepError`, with nothing of it left where that is certain."""
         record = encode(write)
-        first = len(record).to_bytes(4, "big") + record + body[:CHUNK]
+        first = len(record).to_bytes(4, "big") + record + body[:BODY_PART_BYTES]
         keys = part_keys(write.write_id, len(body))
         # All are put before the store's own task runs: as one batch where it is not too large.
         puts = [
-            self.store.put(key, body[at * CHUNK : (at + 1) * CHUNK]) for at, key in enumerate(keys, start=1)
+            self.store.put(key, body[at * BODY_PART_BYTES : (at + 1) * BODY_PART_BYTES])
+            for at, key in enumerate(keys, start=1)
         ]
         puts.append(self.store.put(key_of(KEPT, write.write_id), first))
         return self._kept(write, len(body), puts)
@@ -216,8 +219,8 @@
         if error is None:
             return
         # Told by a store that refuses before it writes: it is full, or was failing already.
-        certain = await self._take_back(write.write_id, size) and not self.store.is_failing
-        raise FailedToKeepError(str(error), certain) from None
+        is_known_absent = await self._take_back(write.write_id, size) and not self.store.is_failing
+        raise FailedToKeepError(str(error), is_known_absent) from None
 
     async def _take_back(self, write_id: WriteId, size: int) -> bool:
         """Delete what there is of a write; False if that failed."""
@@ -230,8 +233,10 @@
         return [self.store.delete(key) for key in keys]
 
     async def put_parts(self, write_id: WriteId, at: int, parts: Sequence[bytes]) -> None:
-        """Parts behind the first of a body that is still coming, from number `at` on: all of `CHUNK` bytes
-        but the last of the body. `FailedToKeepError`; no life finds a write without its head.
+        """Store parts of a body that is still arriving, from part number `at` on (the first is 0).
+
+        Each has `BODY_PART_BYTES` bytes, except the last of the body. `FailedToKeepError` if one could not be
+        written. No incarnation finds a write whose head is missing.
         """
         puts = [
             self.store.put(part_key(write_id, number), part) for number, part in enumerate(parts, start=at)
@@ -283,9 +288,9 @@
         """Nothing more is sent of these. Nobody waits for it: many are read and written at once."""
         try:
             while self._ended:
-                await asyncio.sleep(END_S)
-                for _ in range(-(-len(self._ended) // ENDED_MOST)):
-                    some = [self._ended.popleft() for _ in range(min(ENDED_MOST, len(self._ended)))]
+                await asyncio.sleep(BODY_DELETION_DELAY_S)
+                for _ in range(-(-len(self._ended) // BODY_DELETION_BATCH)):
+                    some = [self._ended.popleft() for _ in range(min(BODY_DELETION_BATCH, len(self._ended)))]
                     await self._end_some({key_of(KEPT, write_id): write_id for write_id in some})
         finally:
             self._ending = None
--- a/laurelstep/outbox/replay_driver.py
+++ b/laurelstep/outbox/replay_driver.py
@@ -28,10 +28,10 @@
 ANSWERED: Final = frozenset((OK, ERROR, FULL))
 UNANSWERED: Final = frozenset((TIMEOUT, NO_CONNECT, RESET))
 # Of an answer that is told with its receipt, bytes.
-ANSWER_MOST: Final = 64 * 1024
-TURN_US: Final = 1_000_000
+MAX_STORED_ANSWER_BYTES: Final = 64 * 1024
+REPLAY_INTERVAL_US: Final = 1_000_000
 # An end that could not be written is tried again after this.
-AGAIN_S: Final = 1.0
+STATE_RETRY_S: Final = 1.0
 UNPARKED: Final = (WriteEvent.NEVER_RAN, WriteEvent.CLAIMED)
 
 
@@ -62,7 +62,7 @@
         now = self.now()
         if now < self.look_at:
             return
-        self.look_at = now + TURN_US // 2
+        self.look_at = now + REPLAY_INTERVAL_US // 2
         places = self.engine.endpoints.by_number.values()
         self.cutoff.listed(sum(1 for place in places if place.withdrawn_at is None), now)
         if self.cutoff.is_cut_off != self.was_cut_off:
@@ -72,12 +72,12 @@
         """Look at once at what is due."""
         if self.closing or self.engine is None:
             return
-        if self.turning is not None:
-            self.turning.cancel()
-        self.turning = self.loop.call_soon(self._turn)
+        if self.replay_timer is not None:
+            self.replay_timer.cancel()
+        self.replay_timer = self.loop.call_soon(self._turn)
 
     def _turn(self) -> None:
-        self.turning = self.loop.call_later(TURN_US / 1e6, self._turn)
+        self.replay_timer = self.loop.call_later(REPLAY_INTERVAL_US / 1e6, self._turn)
         if self.closing:
             return
         self._check_endpoints()
@@ -174,7 +174,7 @@
     async def _send(self, write_id: WriteId) -> None:
         """Upstream with it, and its end written down."""
         replay = ReplayFront(write_id)
-        call = await self.bodies.call(write_id, replay)
+        call = await self.bodies.load_call(write_id, replay)
         if call is None:
             await self._end(write_id, ReplayResult.NOT_RUN, Answer(Ending.FAILED, 502))
             return
@@ -198,7 +198,7 @@
             end = ReplayResult.MAY_HAVE_RUN
         await self._end(write_id, end, answer)
 
-    def call_of(self, write: QueuedWrite, body: bytes, replay: ReplayFront) -> Call:
+    def replay_call(self, write: QueuedWrite, body: bytes, replay: ReplayFront) -> Call:
         """A queued write as a call to the engine."""
         assert self.engine is not None
         cls = self.numbers[write.cls]
@@ -234,7 +234,7 @@
             self.wall(),
             status,
             headers,
-            body if len(body) <= ANSWER_MOST else b"",
+            body if len(body) <= MAX_STORED_ANSWER_BYTES else b"",
         )
         while True:
             try:
@@ -244,5 +244,5 @@
                 self.log(f"outbox: {write_id}: its end is not written: {error}")
                 if self.closing:
                     return
-                await asyncio.sleep(AGAIN_S)
+                await asyncio.sleep(STATE_RETRY_S)
         self._apply(change)
--- a/laurelstep/outbox/shared/asking.py
+++ b/laurelstep/outbox/shared/asking.py
@@ -67,7 +67,7 @@
         queued_classes = host.settings.classes
         # A keyed class, whose calls may be retried, if there is one.
         self.request_class = min(
-            host.classes, key=lambda cls: (queued_classes[host.classes[cls]].how != "keyed", cls)
+            host.classes, key=lambda cls: (queued_classes[host.classes[cls]].effect != "keyed", cls)
         )
         self.holders: dict[EdgeLog, tuple[int, ...]] = {
             self.version_vector.edge_log: (self.version_vector.incarnation,)
@@ -156,7 +156,7 @@
         still on its way may run the write, and the ledger would not show it.
         """
         now = self.host.clock.now()
-        due_at = self.parked_at.get(write_id, now) + self.host.settings.send_us
+        due_at = self.parked_at.get(write_id, now) + self.host.settings.max_deadline_us
         self.never_ran_resolutions[write_id] = parking, due_at
         self.resolution_timers[write_id] = self.host.clock.at(due_at, self._withdraw_due_intents)
 
--- a/laurelstep/settings/operator/document.py
+++ b/laurelstep/settings/operator/document.py
@@ -13,9 +13,9 @@
 from laurelstep.consensus.options import LinkKind
 from laurelstep.maintenance.settings import StartAlone
 from laurelstep.outbox.options import (
-    How,
     OrphanPolicy,
     Upstream,
+    WriteEffect,
     class_problem,
     shared_problem,
     store_problem,
@@ -39,7 +39,7 @@
     "link": get_args(LinkKind),
     "seats": tuple(map(str, get_args(Seats))),
     "start_alone": get_args(StartAlone),
-    "keep": get_args(How),
+    "keep": get_args(WriteEffect),
     "lost": get_args(OrphanPolicy),
     "upstream": get_args(Upstream),
 }
@@ -129,7 +129,7 @@
             raise ConfigError(f"{path}: {problem}")
         classes = {
             name: replace(
-                one, window_us=one.window_us or (rules[name].window_us if one.how == "keyed" else 0)
+                one, window_us=one.window_us or (rules[name].window_us if one.effect == "keyed" else 0)
             )
             for name, one in settings.classes.items()
         }
@@ -139,7 +139,7 @@
             config.names.classes[one] for one in (minded if settings.shared else classes)
         )
         send_us = max(rules[name].deadline_us for name in classes)
-        return replace(config, outbox=replace(settings, classes=classes, send_us=send_us))
+        return replace(config, outbox=replace(settings, classes=classes, max_deadline_us=send_us))
 
     def _join_accord(self, path: str, accord: AccordTable, config: Config, raw: Any, source: str) -> Config:
         if accord.link == "unix":
--- a/laurelstep/settings/operator/outbox.py
+++ b/laurelstep/settings/operator/outbox.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from laurelstep.outbox.options import How, OrphanPolicy, OutboxSettings, QueuedClass, Upstream
+from laurelstep.outbox.options import OrphanPolicy, OutboxSettings, QueuedClass, Upstream, WriteEffect
 from laurelstep.settings.operator.fields import Count, Name, OperatorTable, Part, Whole, has_duplicates
 
 
@@ -14,7 +14,7 @@
     """A class whose writes may be queued, and how they are replayed."""
 
     name: Name
-    keep: How
+    keep: WriteEffect
     window_s: Whole | None = None
 
 
@@ -64,15 +64,15 @@
             classes=classes,
             secret_file=self.secret_file,
             max_bytes=self.max_mb << 20,
-            most=self.most,
+            max_writes=self.most,
             body_bytes=self.body_mb << 20,
             age_us=self.age_s * 1_000_000,
-            share=self.share,
+            tenant_share=self.share,
             receipt_us=self.receipt_s * 1_000_000,
             cut_us=self.cut_ms * 1000,
             back_us=self.back_ms * 1000,
             replay_most=self.replay_most,
-            lost=self.lost,
+            orphan_policy=self.lost,
             upstream=self.upstream,
             shared=self.shared,
         )
--- a/laurelstep/testing/contracts/outbox.py
+++ b/laurelstep/testing/contracts/outbox.py
@@ -10,7 +10,7 @@
 
 from msgspec.structs import replace
 
-from laurelstep.outbox.options import CHUNK
+from laurelstep.outbox.options import BODY_PART_BYTES
 from laurelstep.outbox.queue_store import LoadedWrites
 from laurelstep.outbox.records import QueuedWrite, StateChange, WriteState
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
@@ -116,7 +116,7 @@
 
 def parts_of(body: bytes) -> list[bytes]:
     """A body in parts, the first among them."""
-    return [body[at : at + CHUNK] for at in range(0, len(body), CHUNK)]
+    return [body[at : at + BODY_PART_BYTES] for at in range(0, len(body), BODY_PART_BYTES)]
 
 
 async def store_in_parts(store: WriteStore, write: QueuedWrite, body: bytes) -> None:
--- a/tests/faulty_outbox.py
+++ b/tests/faulty_outbox.py
@@ -53,12 +53,12 @@
 
 
 def _replays(change: Callable[[QueuedWrite, bytes], tuple[QueuedWrite, bytes]]) -> None:
-    real = OutboxDriver.call_of
+    real = OutboxDriver.replay_call
 
     def call(self: OutboxDriver, write: QueuedWrite, body: bytes, *more: Any) -> Call:
         return real(self, *change(write, body), *more)
 
-    OutboxDriver.call_of = call  # type: ignore[method-assign,assignment]
+    OutboxDriver.replay_call = call  # type: ignore[method-assign,assignment]
 
 
 def drops_the_key() -> None:
--- a/tests/test_folders_of_earlier_versions.py
+++ b/tests/test_folders_of_earlier_versions.py
@@ -38,7 +38,7 @@
 ) -> None:
     before = told(f"outbox-{version}")
     monkeypatch.setattr(time, "time_ns", lambda: (before["wall_us"] + HOUR_US) * 1000)
-    monkeypatch.setattr(replay_driver, "TURN_US", 10_000)
+    monkeypatch.setattr(replay_driver, "REPLAY_INTERVAL_US", 10_000)
 
     async def main() -> None:
         folder = copy_of(f"outbox-{version}", tmp_path)
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -25,9 +25,15 @@
 from laurelstep.net.server import Server
 from laurelstep.outbox import bodies, replay_driver
 from laurelstep.outbox import driver as driving
-from laurelstep.outbox.bodies import HELD_EACH, WHOLE_MOST, BodyReplay, BodySpool, IncomingBody
+from laurelstep.outbox.bodies import (
+    MAX_BUFFERED_BYTES_PER_WRITE,
+    MAX_UNSTREAMED_BYTES,
+    BodyReplay,
+    BodySpool,
+    IncomingBody,
+)
 from laurelstep.outbox.driver import OutboxDriver
-from laurelstep.outbox.options import CHUNK, OutboxSettings, QueuedClass
+from laurelstep.outbox.options import BODY_PART_BYTES, OutboxSettings, QueuedClass
 from laurelstep.outbox.queue_store import QueueStore
 from laurelstep.outbox.records import WriteState
 from laurelstep.outbox.write_ids import WriteId
@@ -44,7 +50,7 @@
 # What one read of a socket brings at most.
 READ_MOST = 256 * 1024
 # Of one write: at first what had come before it was too large to be held, then the mark and one read.
-BOUND = max(MAX_BUFFERED_BYTES, HELD_EACH) + READ_MOST
+BOUND = max(MAX_BUFFERED_BYTES, MAX_BUFFERED_BYTES_PER_WRITE) + READ_MOST
 CLASSES = {"put": QueuedClass("keyed", 86_400_000_000), "pay": QueuedClass("unsafe")}
 
 
@@ -210,9 +216,9 @@
 @pytest.fixture(autouse=True)
 def impatient(monkeypatch: pytest.MonkeyPatch) -> None:
     """What is tried again after a second is tried again at once."""
-    monkeypatch.setattr(bodies, "AGAIN_S", 0.0)
-    monkeypatch.setattr(replay_driver, "TURN_US", 10_000)
-    monkeypatch.setattr(driving, "LAST_S", 0.0)
+    monkeypatch.setattr(bodies, "DELETION_RETRY_S", 0.0)
+    monkeypatch.setattr(replay_driver, "REPLAY_INTERVAL_US", 10_000)
+    monkeypatch.setattr(driving, "CLOSE_TIMEOUT_S", 0.0)
 
 
 @pytest.fixture(autouse=True)
@@ -308,7 +314,7 @@
 
 def test_the_count_would_show_a_client_that_is_not_held_back(monkeypatch: pytest.MonkeyPatch) -> None:
     held = watch(monkeypatch)
-    monkeypatch.setattr(bodies, "HELD_EACH", MAX_STREAMED_BODY_BYTES)
+    monkeypatch.setattr(bodies, "MAX_BUFFERED_BYTES_PER_WRITE", MAX_STREAMED_BODY_BYTES)
 
     async def main() -> None:
         disk = Disk()
@@ -490,7 +496,7 @@
 
 def test_the_bounds_are_judged_before_the_first_part() -> None:
     async def main() -> None:
-        async with edge(max_bytes=6 << 20, share=0.5, body_bytes=4 << 20) as one:
+        async with edge(max_bytes=6 << 20, tenant_share=0.5, body_bytes=4 << 20) as one:
             written: list[int] = []
             put_parts = one.driver.store.put_parts
 
@@ -509,8 +515,8 @@
 
 
 def test_only_so_many_are_taken_at_a_time_and_only_so_many_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(bodies, "TAKEN_MOST", 2)
-    monkeypatch.setattr(bodies, "WAITING_MOST", 1)
+    monkeypatch.setattr(bodies, "MAX_RECEIVING", 2)
+    monkeypatch.setattr(bodies, "MAX_WAITING", 1)
     body = body_of(2 << 20)
 
     async def main() -> None:
@@ -536,7 +542,7 @@
 
 
 def test_one_that_leaves_while_it_waits_is_not_begun(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(bodies, "TAKEN_MOST", 1)
+    monkeypatch.setattr(bodies, "MAX_RECEIVING", 1)
     body = body_of(2 << 20)
 
     async def main() -> None:
@@ -593,7 +599,7 @@
     number: int, operations: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A replay's end that could not be written is written once it can be; new ones are kept again."""
-    monkeypatch.setattr(replay_driver, "AGAIN_S", 0.0)
+    monkeypatch.setattr(replay_driver, "STATE_RETRY_S", 0.0)
 
     async def main() -> None:
         disk = Disk()
@@ -778,7 +784,7 @@
         found = [one for write, _ in writes if (one := await store.read(write.write_id)) is not None]
         assert len(found) == len(writes)
         parts = {key for key in store.store.index.locations if key[:1] == b"p"}
-        assert len(parts) == sum(-(-write.size // CHUNK) - 1 for write, _ in found if write.size)
+        assert len(parts) == sum(-(-write.size // BODY_PART_BYTES) - 1 for write, _ in found if write.size)
         await store.close()
         return [each for _, each in found]
 
@@ -855,7 +861,7 @@
                 upload: BodyStream
 
             called = Called()
-            playback = BodyReplay(cast(BodySpool, Owner), cast(Any, called), write, body[:CHUNK])
+            playback = BodyReplay(cast(BodySpool, Owner), cast(Any, called), write, body[:BODY_PART_BYTES])
             called.upload = BodyStream(playback, write.size)
             await test(store, playback, Taker(called.upload), read)
             await store.close()
@@ -911,12 +917,12 @@
 def test_a_small_body_is_read_whole_and_a_state_is_kept_for_a_large_one() -> None:
     async def main() -> None:
         async with edge() as one:
-            for name, size in (("small", WHOLE_MOST), ("large", WHOLE_MOST + 1)):
+            for name, size in (("small", MAX_UNSTREAMED_BYTES), ("large", MAX_UNSTREAMED_BYTES + 1)):
                 one.server.request_budget.limit = 0  # all that does not come at once is passed on
                 assert (await one.write(name, body_of(size))).status == 202
             await one.quiet()
             uploads = {}
-            call = one.driver.bodies.call
+            call = one.driver.bodies.load_call
 
             async def seen(write_id: WriteId, replay: Any) -> Any:
                 found = await call(write_id, replay)
@@ -924,10 +930,10 @@
                     uploads[write_id.number] = found.upload is not None, len(found.body)
                 return found
 
-            one.driver.bodies.call = seen  # type: ignore[method-assign]
+            one.driver.bodies.load_call = seen  # type: ignore[method-assign]
             await one.endpoint.restart(0)
             await one.done("large")
-            assert uploads == {1: (False, 0), 2: (False, WHOLE_MOST), 3: (True, 0)}
+            assert uploads == {1: (False, 0), 2: (False, MAX_UNSTREAMED_BYTES), 3: (True, 0)}
             for number in (2, 3):
                 moved = await one.driver.store.state_change(
                     WriteId("studio-1", one.driver.store.incarnation, number)
@@ -944,13 +950,16 @@
             assert (await one.write("order", body_of(2 << 20), cls="pay")).status == 202
             outbox, now = one.driver.outbox, one.driver.now()
             photo, order = (WriteId("studio-1", one.driver.store.incarnation, at) for at in (2, 3))
-            for left, most in ((3_600_000_000, bodies.PASSING_MOST_US + 5_000_000), (7_000_000, 7_000_000)):
+            for left, most in (
+                (3_600_000_000, bodies.MAX_REPLAY_UPLOAD_US + 5_000_000),
+                (7_000_000, 7_000_000),
+            ):
                 for write_id in (photo, order):
                     outbox._rows.since[outbox._must_row(write_id)] = now - CLASSES["put"].window_us + left
-                call = await one.driver.bodies.call(photo, cast(Any, None))
+                call = await one.driver.bodies.load_call(photo, cast(Any, None))
                 assert call is not None and 0 < call.expires_at - now <= most + 1_000_000
-                call = await one.driver.bodies.call(order, cast(Any, None))
-                assert call is not None and call.expires_at > now + bodies.PASSING_MOST_US
+                call = await one.driver.bodies.load_call(order, cast(Any, None))
+                assert call is not None and call.expires_at > now + bodies.MAX_REPLAY_UPLOAD_US
 
     run(main())
 
--- a/tests/test_outbox_driver.py
+++ b/tests/test_outbox_driver.py
@@ -19,8 +19,8 @@
             store_path=str(tmp_path / "store"),
             edge="ash",
             classes={"put": QueuedClass("keyed", 60 * SECOND)},
-            share=1.0,
-            send_us=2 * SECOND,
+            tenant_share=1.0,
+            max_deadline_us=2 * SECOND,
         )
         driver = await OutboxDriver.open(settings, {"put": 1}, {}, lambda line: None)
         now = driver.now()
--- a/tests/test_outbox_edge.py
+++ b/tests/test_outbox_edge.py
@@ -643,7 +643,7 @@
         classes = {"put": QueuedClass("keyed", 86_400 * SECOND_US), "pay": QueuedClass("unsafe")}
         settings = OutboxSettings(
             store_path=str(folder / "store"), edge=edge, classes=classes, secret_file=str(secret),
-            cut_us=3_600 * SECOND_US, back_us=0, send_us=5 * SECOND_US, upstream="copies",
+            cut_us=3_600 * SECOND_US, back_us=0, max_deadline_us=5 * SECOND_US, upstream="copies",
         )  # fmt: skip
         driver = await OutboxDriver.open(settings, config.names.classes, {}, log.append)
         driver.begin(assembly.engine)
@@ -778,7 +778,7 @@
             await edge.wait_for_state(first, WriteState.DONE)
             assert edge.upstream.received_replays == [first, first] and edge.upstream.ran_writes == [first]
             # Only after the last attempt's time was over: until then it might still have run.
-            assert edge.driver.clock.now() >= parked_at + edge.driver.settings.send_us
+            assert edge.driver.clock.now() >= parked_at + edge.driver.settings.max_deadline_us
 
     run(main())
 
@@ -830,7 +830,7 @@
                 await edge.wait_for_state(first, WriteState.PARKED, ParkingReason.MAY_HAVE_RUN)
             async with edge_process(tmp_path, upstream=upstream) as edge:
                 assert edge.driver.sharing is not None
-                edge.driver.settings = dataclasses.replace(edge.driver.settings, send_us=0)
+                edge.driver.settings = dataclasses.replace(edge.driver.settings, max_deadline_us=0)
                 edge.resolve(first, Resolution.NEVER_RAN)
                 await edge.wait_for_state(first, WriteState.READY)
                 assert first in edge.driver.sharing.never_ran_resolutions and not upstream.ran_writes
@@ -846,8 +846,8 @@
         async with edge_process(tmp_path) as edge:
             first = await edge.queue_write("pay")
             outbox, now = edge.driver.outbox, edge.driver.clock.now()
-            assert edge.driver.turning is not None
-            edge.driver.turning.cancel()
+            assert edge.driver.replay_timer is not None
+            edge.driver.replay_timer.cancel()
             outbox.fence(first.edge_log)
             (change,) = [change for change in outbox.due(now) if change.write_id == first]
             outbox.unfence(first.edge_log)
@@ -866,8 +866,8 @@
         async with edge_process(tmp_path) as edge:
             write_ids = [await edge.queue_write("pay") for _ in range(3)]
             outbox, now = edge.driver.outbox, edge.driver.clock.now()
-            assert edge.driver.turning is not None
-            edge.driver.turning.cancel()
+            assert edge.driver.replay_timer is not None
+            edge.driver.replay_timer.cancel()
             outbox.fence(write_ids[0].edge_log)
             for change in outbox.due(now):
                 outbox.apply(change, now)
@@ -898,8 +898,8 @@
             await edge.driver.take_step(expiry)
             edge.resolve(first, Resolution.GIVE_UP)
             await edge.wait_for_state(first, WriteState.GIVEN_UP)
-            assert edge.driver.turning is not None
-            edge.driver.turning.cancel()
+            assert edge.driver.replay_timer is not None
+            edge.driver.replay_timer.cancel()
             edge.driver._publish_finished()
             now = edge.driver.clock.now()
             assert not outbox.expired_receipts(now, edge.driver._is_unpublished)
--- a/tests/test_outbox_store.py
+++ b/tests/test_outbox_store.py
@@ -180,7 +180,7 @@
         disk.fail("write", NO_SPACE)
         with pytest.raises(FailedToKeepError) as caught:
             await store.put_write(*write_with_body(1, 3 << 20))
-        assert not caught.value.certain, "a later life might find what was begun"
+        assert not caught.value.is_known_absent, "a later life might find what was begun"
         assert await store.read(write_with_body(1, 0)[0].write_id) is None
         await store.close()
         again = await QueueStore.open(disk, MOST)
@@ -214,7 +214,7 @@
         await store.put_write(*write_with_body(1, 100_000))
         await store.put_state(StateChange(write_with_body(1, 0)[0].write_id, WriteState.DONE))
         await store.close()  # before its body went
-        monkeypatch.setattr("laurelstep.outbox.queue_store.END_S", 0.0)
+        monkeypatch.setattr("laurelstep.outbox.queue_store.BODY_DELETION_DELAY_S", 0.0)
         again = await QueueStore.open(disk, MOST)
         await again.load()
         if again._ending is not None:
@@ -229,7 +229,7 @@
 
 
 def test_a_body_that_could_not_be_read_as_it_was_to_go_goes_later(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("laurelstep.outbox.queue_store.END_S", 0.0)
+    monkeypatch.setattr("laurelstep.outbox.queue_store.BODY_DELETION_DELAY_S", 0.0)
 
     async def main() -> None:
         disk = SimulatedDisk()
@@ -259,7 +259,7 @@
 
 
 def test_a_write_forgotten_while_its_body_goes_does_not_come_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("laurelstep.outbox.queue_store.END_S", 0.0)
+    monkeypatch.setattr("laurelstep.outbox.queue_store.BODY_DELETION_DELAY_S", 0.0)
 
     async def main(turns: int) -> None:
         disk = SimulatedDisk()
