--- a/tests/event_loops.py
+++ b/tests/event_loops.py
@@ -1,6 +1,6 @@
-"""Event loops for tests: with a limit on the real time of a test, and on virtual time.
+"""Event loops for tests: in real time with a time limit, and on virtual time.
 
-On virtual time a wait is over at once, and takes the same time however busy the machine is."""
+On virtual time a wait ends at once, and its duration does not depend on how busy the machine is."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-# For what would never come; no verdict depends on it.
+# Ends a test that would wait for ever; no assertion depends on the value.
 LIMIT_S = 60.0
 START_US = 1_000_000
 
@@ -21,7 +21,7 @@
 
 
 def run_limited(test: Coroutine[Any, Any, None]) -> None:
-    """Run a test on a loop of its own, in real time. TimeoutError after `LIMIT_S`."""
+    """Run a test on its own loop, in real time. TimeoutError after `LIMIT_S`."""
     asyncio.run(_limited(test))
 
 
@@ -41,7 +41,7 @@
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         found = super().select(0)
         if not found:
-            assert timeout is not None, "nothing to wait for"
+            assert timeout is not None, "deadlock: no timer is set and no socket is ready"
             self.on_time_passed(timeout)
         return found
 
@@ -49,7 +49,7 @@
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
     """A loop on virtual time."""
 
-    turn_us = 10  # a turn takes some time, or a timer that is due now would stop the loop
+    turn_us = 10  # an iteration takes some time, or a timer that is due now would never fire
 
     def __init__(self) -> None:
         self.now_us = START_US
@@ -66,8 +66,8 @@
 
 
 class SocketVirtualTimeSelector(VirtualTimeSelector):
-    """Lets time pass only once no socket is ready: the system gets a millisecond to deliver what one end
-    wrote to the other."""
+    """Lets time pass only when no socket is ready. The system gets a millisecond to deliver data that one
+    end of a connection has written to the other."""
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         found = selectors.DefaultSelector.select(self, 0.001) if timeout else []
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""The engine's sides without sockets: a clock that is moved, an upstream that is played."""
+"""Stand-ins for the engine's clock, upstream and frontend, without sockets and driven by the test."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class ScheduledCall:
-    """A call at a time, unless it is cancelled."""
+    """A callback that `ManualClock` calls when it is due, unless it is cancelled."""
 
     def __init__(self, callback: Callable[..., None], args: tuple[Any, ...]) -> None:
         self.callback = callback
         self.args = args
-        self.cancelled = False
+        self.is_cancelled = False
 
     def cancel(self) -> None:
-        self.cancelled = True
+        self.is_cancelled = True
 
 
 class ManualClock:
-    """Time in µs that moves when it is told to."""
+    """A clock in µs that moves only by `advance`."""
 
     def __init__(self) -> None:
         self.time = 1_000_000
@@ -43,18 +43,18 @@
         heapq.heappush(self.due, (max(due, self.time), self.scheduled_count, handle))
         return handle
 
-    def advance(self, span_us: int) -> None:
-        """What comes due on the way is called at its time."""
-        end = self.time + span_us
+    def advance(self, duration_us: int) -> None:
+        """Move the clock, and call the callbacks that become due, each at its time."""
+        end = self.time + duration_us
         while self.due and self.due[0][0] <= end:
             self.time, _, handle = heapq.heappop(self.due)
-            if not handle.cancelled:
+            if not handle.is_cancelled:
                 handle.callback(*handle.args)
         self.time = end
 
 
 class SentAttempt:
-    """One attempt as the endpoint has it."""
+    """One attempt at an endpoint, with whether it was written completely and was executed there."""
 
     def __init__(self, attempt: Attempt) -> None:
         self.attempt = attempt
@@ -63,7 +63,7 @@
 
 
 class FakeUpstream:
-    """Attempts wait until the test writes and answers them; writes and effects are kept."""
+    """Attempts wait until the test writes and answers them. Records all writes and executions."""
 
     idle_us = 6_000_000
 
@@ -71,8 +71,10 @@
         self.clock = clock
         self.known_endpoints: set[int] = set()
         self.in_flight: dict[Attempt, SentAttempt] = {}
-        self.writes: list[tuple[int, int, Call]] = []  # when, where, what
-        self.executions: dict[bytes, list[int]] = {}  # by request id: where it took effect
+        self.writes: list[tuple[int, int, Call]] = []  # time in µs, endpoint number, call
+        self.executions: dict[
+            bytes, list[int]
+        ] = {}  # endpoint numbers that executed a request, by request id
 
     def set_address(self, endpoint: int, address: str) -> None:
         self.known_endpoints.add(endpoint)
@@ -92,7 +94,7 @@
         self.in_flight.pop(attempt, None)
 
     def write(self, sent: SentAttempt, runs: bool) -> None:
-        """The connection is up: the request goes out, and takes effect or does not."""
+        """The connection is established: write the request, which the endpoint executes if `runs`."""
         now = self.clock.now()
         if sent.is_written:
             return
@@ -102,7 +104,7 @@
             return
         call = sent.attempt.call
         if call.upload is not None and not call.upload.is_closed:
-            call.upload.was_attached = True  # a part of it has gone; the rest is still to come
+            call.upload.was_attached = True  # a part was written; the rest is still to be received
             return
         if call.upload is not None:
             call.upload.was_attached = True
@@ -113,7 +115,7 @@
             self.executions.setdefault(call.client_request_id, []).append(sent.attempt.endpoint)
 
     def answer(self, sent: SentAttempt, outcome: int) -> None:
-        """How it ends: as far as that can be, from what has become of it."""
+        """End an attempt with `outcome`, or with the nearest outcome that its state allows."""
         del self.in_flight[sent.attempt]
         if not sent.is_written:
             sent.attempt.end(NO_CONNECT)
@@ -126,7 +128,7 @@
 
 
 class RecordingFrontend:
-    """A front that keeps what it is told."""
+    """A frontend that records all answers."""
 
     def __init__(self) -> None:
         self.answers: list[tuple[Call, Answer]] = []
--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -1,4 +1,4 @@
-"""Which of the daemon's socket tests the library plays too: all but the table below."""
+"""Which socket tests run on both fronts, the daemon and the library: all but those in `HOST_ONLY`."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 
 SHARED = ("tests.test_sidecar", "tests.test_service")
 
-# Test, or test[case], and why it belongs to the host server or the process alone.
-_HEADS = "the host server reads heads and targets, and what it passes on is in form"
-_PATHS = "a path that names no class is the wrapped app's"
-_CONNECTIONS = "the host server owns the callers' connections, their waits and their number"
-_PIPELINE = "the host server reads what comes behind a request, and answers it in its turn"
-_PROCESS = "signals, configuration by environment and exit status are the process's"
+# Tests, or single cases as test[case], that run on the daemon alone, with the reason: in an application that
+# uses the library, these are tasks of the host server or of the process.
+_HEADS = "the host server parses heads and targets, and passes on only well-formed ones"
+_PATHS = "a path that names no class is handled by the wrapped application"
+_CONNECTIONS = "the host server owns the client connections, their time-outs and their number"
+_PIPELINE = "the host server reads pipelined requests, and answers them in order"
+_PROCESS = "signals, configuration by environment and exit status belong to the process"
 _FORM = "test_a_malformed_request_is_rejected_and_not_forwarded"
 _PLAIN_4XX = "test_an_invalid_request_gets_a_4xx_and_its_connection_is_closed"
 
@@ -31,13 +32,13 @@
     "test_a_connection_without_a_complete_request_is_closed[silent]": _CONNECTIONS,
     "test_a_connection_without_a_complete_request_is_closed[half-head]": _CONNECTIONS,
     "test_a_connection_without_a_complete_request_is_closed[half-body]": (
-        "the library's own wait has its test: test_a_body_that_comes_too_slowly_gets_408"
+        "the library has its own time-out, tested by test_a_body_that_comes_too_slowly_gets_408"
     ),
     "test_an_idle_client_connection_is_closed": _CONNECTIONS,
     "test_silent_connections_are_evicted_for_new_ones": _CONNECTIONS,
     "test_the_longest_idle_connection_is_evicted_first": _CONNECTIONS,
     "test_a_stopping_sidecar_keeps_no_idle_connection": (
-        "SIGTERM is the process's; the library's close has its test: "
+        "SIGTERM belongs to the process; the library's close is tested by "
         "test_closing_waits_for_what_was_taken_and_keeps_nothing"
     ),
     "test_readiness_does_not_wait_for_discovery": _PATHS,
@@ -53,7 +54,7 @@
 
 
 def case(item: pytest.Item) -> tuple[str, str, str]:
-    """Module, test with its case, and front."""
+    """The module, the test with its case, and the front of a test item."""
     assert isinstance(item, pytest.Function)
     name, _, ids = item.name.partition("[")
     front, _, rest = ids[:-1].partition("-")
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -1,8 +1,8 @@
-"""Lists at the instant in which something is owed: silence upon silence, trickled answers, and ends
-in place of changes.
+"""The client of discovery under combined faults: repeated stalls, responses that trickle in, and responses
+that end instead of sending the changes.
 
-What holds is read off the stand-ins: when discovery was asked, and what it had told by then. Time is
-made, the sockets are real."""
+The tests check when the stand-in was asked, and when its changes arrived. Time is virtual, the sockets are
+real."""
 
 from __future__ import annotations
 
@@ -24,20 +24,21 @@
 from tests.test_listing import Copy
 from tests.test_settings import file, platform
 
-# What discovery has to tell counts as told this long after a silence began, or a fault ended, s.
-TOLD_S = 6.0
-# Where lists are pushed a change counts at once; the shortest grace of a drain is all there is, s.
-GRACE_S = 0.25
+# A change counts as received this long after a stall began or a fault ended, s; it must arrive before.
+LIMIT_S = 6.0
+# Where lists are pushed, a change counts as received at once. It must arrive within the shortest drain
+# grace, s.
+MIN_DRAIN_GRACE_S = 0.25
 
 
-class Highest:
-    """Draws the longest pause each time."""
+class LongestJitter:
+    """A random number generator that makes each pause the longest possible."""
 
     def random(self) -> float:
         return 1.0
 
 
-Script = Callable[["Scripted", Writer], Awaitable[None]]
+Script = Callable[["ScriptedDiscovery", Writer], Awaitable[None]]
 
 
 def now() -> float:
@@ -45,14 +46,14 @@
 
 
 @dataclass(eq=False)
-class Scripted(Listener):
-    """Answers each call by the script that is next, and by the last one from then on."""
+class ScriptedDiscovery(Listener):
+    """A discovery that answers each request by the next script, and all further ones by the last script."""
 
     scripts: list[Script]
     targets: list[str] = field(default_factory=list)
     asked_at: list[float] = field(default_factory=list)
-    heard_at: float = 0.0  # when a watch last got a byte that counts
-    has: list[dict[str, Any]] = field(default_factory=list)  # changes since version 41
+    last_progress_at: float = 0.0  # when the last script sent data that counts as progress, s
+    changes: list[dict[str, Any]] = field(default_factory=list)  # changes since generation 41
 
     async def __aenter__(self) -> Self:
         self.server = await self.start()
@@ -64,7 +65,7 @@
     async def _serve(self, reader: Reader, writer: Writer) -> None:
         self.asked_at.append(now())
         script = self.scripts[min(len(self.targets), len(self.scripts) - 1)]
-        if script is resets:
+        if script is reset:
             self.targets.append("")
             writer.transport.abort()
             return
@@ -79,67 +80,67 @@
             writer.close()
 
 
-# --- Scripts ----------------------------------------------------------------------------------
+# Scripts
 
 
-async def tells(one: Scripted, writer: Writer) -> None:
-    """A watch in form: what changed, then an empty line every 2 s."""
+async def send_changes(server: ScriptedDiscovery, writer: Writer) -> None:
+    """A valid watch: the changes, then a heartbeat every 2 s."""
     begin_response(writer)
-    push(writer, 43, False, *one.has)
+    push(writer, 43, False, *server.changes)
     while True:
-        one.heard_at = now()
+        server.last_progress_at = now()
         await asyncio.sleep(2.0)
         push_raw(writer, b"\n")
 
 
-async def tells_and_falls_silent(one: Scripted, writer: Writer) -> None:
+async def send_list_and_stall(server: ScriptedDiscovery, writer: Writer) -> None:
     begin_response(writer)
     push(writer, 42, True, entry("s-1"), entry("s-2"))
-    one.heard_at = now()
+    server.last_progress_at = now()
 
 
-async def silent(one: Scripted, writer: Writer) -> None:
-    """Not even a head."""
+async def stall(server: ScriptedDiscovery, writer: Writer) -> None:
+    """Send nothing, not even a head."""
 
 
-async def resets(one: Scripted, writer: Writer) -> None:
-    """The connection is reset before anything is read."""
+async def reset(server: ScriptedDiscovery, writer: Writer) -> None:
+    """Reset the connection before the request is read; see `ScriptedDiscovery._serve`."""
 
 
-async def head_only(one: Scripted, writer: Writer) -> None:
+async def send_head_only(server: ScriptedDiscovery, writer: Writer) -> None:
     begin_response(writer)
 
 
-async def unavailable(one: Scripted, writer: Writer) -> None:
+async def send_503(server: ScriptedDiscovery, writer: Writer) -> None:
     writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 
 
-async def ends_at_once(one: Scripted, writer: Writer) -> None:
+async def end_at_once(server: ScriptedDiscovery, writer: Writer) -> None:
     begin_response(writer)
     writer.write(b"0\r\n\r\n")
 
 
-async def half_an_object(one: Scripted, writer: Writer) -> None:
+async def send_half_an_object(server: ScriptedDiscovery, writer: Writer) -> None:
     begin_response(writer)
     push_raw(writer, json.dumps(listing(43, entry("s-1", "draining")), indent=1).encode()[:40])
 
 
-async def half_a_head(one: Scripted, writer: Writer) -> None:
-    """A byte of it now and then."""
+async def trickle_head(server: ScriptedDiscovery, writer: Writer) -> None:
+    """Send one byte of the head at a time."""
     for at in range(10_000):
         writer.write(b"HTTP/1.1 200 OK\r\nX: "[at : at + 1] or b"x")
         await asyncio.sleep(0.3)
 
 
-async def spaces(one: Scripted, writer: Writer) -> None:
-    """Bytes that end no line."""
+async def trickle_spaces(server: ScriptedDiscovery, writer: Writer) -> None:
+    """Send white space without line breaks."""
     begin_response(writer)
     while True:
         push_raw(writer, b" ")
         await asyncio.sleep(0.3)
 
 
-async def endless_object(one: Scripted, writer: Writer) -> None:
+async def trickle_object(server: ScriptedDiscovery, writer: Writer) -> None:
     begin_response(writer)
     push_raw(writer, b'{"generation":43,"reset":false,"instances":[')
     while True:
@@ -147,14 +148,14 @@
         await asyncio.sleep(0.3)
 
 
-async def lines_only(one: Scripted, writer: Writer) -> None:
+async def send_heartbeats_only(server: ScriptedDiscovery, writer: Writer) -> None:
     begin_response(writer)
     while True:
         push_raw(writer, b"\n")
         await asyncio.sleep(2.0)
 
 
-async def comes_slowly(one: Scripted, writer: Writer) -> None:
+async def send_slowly(server: ScriptedDiscovery, writer: Writer) -> None:
     begin_response(writer)
     raw = json.dumps(listing(43, *(entry(f"s-{n}") for n in range(500)), whole=True), indent=2).encode()
     for at in range(0, len(raw), 4096):
@@ -162,30 +163,30 @@
         await asyncio.sleep(0.5)
 
 
-# --- Silence, and what comes in place of a change -----------------------------------------------
+# Stalls, and faults instead of a change
 
 
-def discovery(agent: Scripted, sink: Sink, pushed: bool, generation: int = 41) -> Discovery:
-    """With the times of service, and the longest of each pause."""
+def discovery(agent: ScriptedDiscovery, sink: Sink, is_pushed: bool, generation: int = 41) -> Discovery:
+    """A client with its real time-outs, and with the longest of each random pause."""
     loop = asyncio.get_running_loop()
-    one = Discovery(loop, f"127.0.0.1:{agent.port}", LIST_PATH, pushed, print)
-    one.rng = Highest()  # type: ignore[assignment]
+    one = Discovery(loop, f"127.0.0.1:{agent.port}", LIST_PATH, is_pushed, print)
+    one.rng = LongestJitter()  # type: ignore[assignment]
     one.start(sink, generation)
-    if not pushed:
+    if not is_pushed:
         one.watch(True)
     return one
 
 
-async def told_after_silence(pushed: bool, faults: list[Script]) -> float:
-    """How long after a watch fell silent a change was told, with such answers in between."""
+async def delay_after_stall(is_pushed: bool, faults: list[Script]) -> float:
+    """How long after a watch stalled a change arrived, s, if the requests in between fail by `faults`."""
     sink = Sink()
-    async with Scripted([tells_and_falls_silent, *faults, tells]) as agent:
-        one = discovery(agent, sink, pushed)
+    async with ScriptedDiscovery([send_list_and_stall, *faults, send_changes]) as agent:
+        one = discovery(agent, sink, is_pushed)
         assert (await sink.lists.get())[0] == 42
-        fell_silent = agent.heard_at
-        agent.has = [entry("s-1", "draining")]
+        stalled_at = agent.last_progress_at
+        agent.changes = [entry("s-1", "draining")]
         assert await sink.lists.get() == (43, ["s-1"])
-        found = now() - fell_silent
+        found = now() - stalled_at
         assert len(agent.targets) == len(faults) + 2
         assert all("from=42" in target for target in agent.targets[1:] if target)
         one.close()
@@ -193,86 +194,86 @@
     return found
 
 
-FAULTS = [silent, resets, head_only, unavailable, ends_at_once, half_an_object, half_a_head]
+FAULTS = [stall, reset, send_head_only, send_503, end_at_once, send_half_an_object, trickle_head]
 
 
-@pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "asked"])
+@pytest.mark.parametrize("is_pushed", [True, False], ids=["pushed", "on-demand"])
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda one: one.__name__)
-def test_a_silent_watch_whose_renewal_fails_too_is_told_before_it_counts(fault: Script, pushed: bool) -> None:
+def test_after_a_stall_and_a_failed_repetition_changes_arrive_in_time(fault: Script, is_pushed: bool) -> None:
     async def main() -> None:
-        assert await told_after_silence(pushed, [fault]) < TOLD_S
+        assert await delay_after_stall(is_pushed, [fault]) < LIMIT_S
 
     run_on_virtual_time(main())
 
 
-@pytest.mark.parametrize("fault", [silent, resets, unavailable, ends_at_once], ids=lambda one: one.__name__)
-def test_an_agent_is_asked_a_fourth_time_before_a_silence_counts(fault: Script) -> None:
+@pytest.mark.parametrize("fault", [stall, reset, send_503, end_at_once], ids=lambda one: one.__name__)
+def test_after_a_stall_an_agent_gets_a_fourth_request_in_time(fault: Script) -> None:
     async def main() -> None:
-        assert await told_after_silence(True, [fault, fault]) < TOLD_S
+        assert await delay_after_stall(True, [fault, fault]) < LIMIT_S
 
     run_on_virtual_time(main())
 
 
-@pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "asked"])
-@pytest.mark.parametrize("fault", [spaces, endless_object], ids=lambda one: one.__name__)
-def test_bytes_that_are_no_progress_do_not_keep_a_watch_alive(fault: Script, pushed: bool) -> None:
-    """The change would be owed for ever."""
+@pytest.mark.parametrize("is_pushed", [True, False], ids=["pushed", "on-demand"])
+@pytest.mark.parametrize("fault", [trickle_spaces, trickle_object], ids=lambda one: one.__name__)
+def test_bytes_without_progress_do_not_keep_a_watch_open(fault: Script, is_pushed: bool) -> None:
+    """Guards against a watch that stays open while its change never arrives."""
 
     async def main() -> None:
-        assert await told_after_silence(pushed, [fault]) < TOLD_S
+        assert await delay_after_stall(is_pushed, [fault]) < LIMIT_S
 
     run_on_virtual_time(main())
 
 
-@pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "asked"])
-@pytest.mark.parametrize("fault", [resets, unavailable, ends_at_once], ids=lambda one: one.__name__)
-def test_no_back_off_sleeps_past_the_return_of_discovery(fault: Script, pushed: bool) -> None:
-    """An outage of some seconds, and a change at its end: whoever asked last just before has to ask
-    again before the change counts."""
+@pytest.mark.parametrize("is_pushed", [True, False], ids=["pushed", "on-demand"])
+@pytest.mark.parametrize("fault", [reset, send_503, end_at_once], ids=lambda one: one.__name__)
+def test_no_back_off_outlasts_the_recovery_of_discovery(fault: Script, is_pushed: bool) -> None:
+    """After an outage of some seconds there is a change. A client whose request failed just before has to
+    repeat it in time."""
 
     async def main() -> None:
         sink = Sink()
-        async with Scripted([fault]) as agent:
-            one = discovery(agent, sink, pushed)
+        async with ScriptedDiscovery([fault]) as agent:
+            one = discovery(agent, sink, is_pushed)
             while now() < 9.0 or agent.asked_at[-1] < now() - 0.01:
                 await asyncio.sleep(0.005)
-            back_at = now()
-            agent.has = [entry("s-1", "draining")]
-            agent.scripts = [tells]
+            recovered_at = now()
+            agent.changes = [entry("s-1", "draining")]
+            agent.scripts = [send_changes]
             assert await sink.lists.get() == (43, ["s-1"])
-            assert now() - back_at < (GRACE_S if pushed else TOLD_S)
+            assert now() - recovered_at < (MIN_DRAIN_GRACE_S if is_pushed else LIMIT_S)
             one.close()
             await one.wait_closed()
 
     run_on_virtual_time(main())
 
 
-def test_a_call_that_was_given_up_and_one_more_end_before_a_change_counts() -> None:
-    """Asked: a refusal just before discovery returns, and the first call after it gets no answer."""
+def test_after_a_reset_and_a_stalled_request_changes_arrive_in_time() -> None:
+    """On demand: a reset just before discovery recovers, and the first request after that stalls."""
 
     async def main() -> None:
         sink = Sink()
-        async with Scripted([resets, silent, tells]) as agent:
-            one = discovery(agent, sink, pushed=False)
+        async with ScriptedDiscovery([reset, stall, send_changes]) as agent:
+            one = discovery(agent, sink, is_pushed=False)
             while not agent.targets:
                 await asyncio.sleep(0.001)
-            back_at = now()
-            agent.has = [entry("s-1", "draining")]
+            recovered_at = now()
+            agent.changes = [entry("s-1", "draining")]
             assert await sink.lists.get() == (43, ["s-1"])
-            assert now() - back_at < TOLD_S
+            assert now() - recovered_at < LIMIT_S
             one.close()
             await one.wait_closed()
 
     run_on_virtual_time(main())
 
 
-def test_a_module_that_asks_again_does_not_end_a_watch_that_is_open() -> None:
-    """Its own timer fires after the back-off here has opened one: one call, not two."""
+def test_a_repeated_request_of_the_balancer_keeps_the_open_watch() -> None:
+    """The balancer repeats its request after the back-off has opened a watch: no second watch is opened."""
 
     async def main() -> None:
         sink = Sink()
-        async with Scripted([resets, tells]) as agent:
-            one = discovery(agent, sink, pushed=False)
+        async with ScriptedDiscovery([reset, send_changes]) as agent:
+            one = discovery(agent, sink, is_pushed=False)
             await sink.failed.get()
             assert (await sink.lists.get())[0] == 43
             one.watch(True)
@@ -284,54 +285,54 @@
     run_on_virtual_time(main())
 
 
-def test_empty_lines_are_no_whole_list() -> None:
-    """From no version on the whole list is owed: a watch that only lives is asked for it again."""
+def test_heartbeats_do_not_replace_the_full_list() -> None:
+    """Without a known generation the full list must arrive: a watch with heartbeats alone is repeated."""
 
     async def main() -> None:
         sink = Sink()
-        async with Scripted([lines_only, tells]) as agent:
-            one = discovery(agent, sink, pushed=True, generation=0)
+        async with ScriptedDiscovery([send_heartbeats_only, send_changes]) as agent:
+            one = discovery(agent, sink, is_pushed=True, generation=0)
             assert (await sink.lists.get())[0] == 43
-            assert now() < 1.0 + TOLD_S and len(agent.targets) == 2
+            assert now() < 1.0 + LIMIT_S and len(agent.targets) == 2
             await asyncio.sleep(20.0)
-            assert len(agent.targets) == 2, "with the list known, empty lines do keep it open"
+            assert len(agent.targets) == 2, "once the list is known, heartbeats keep the watch open"
             one.close()
             await one.wait_closed()
 
     run_on_virtual_time(main())
 
 
-def test_a_long_list_that_comes_slowly_is_waited_for() -> None:
-    """In pieces over several seconds, each well under a second after the last."""
+def test_a_long_list_that_arrives_slowly_is_applied() -> None:
+    """The parts arrive over several seconds, each well under a second after the one before."""
 
     async def main() -> None:
         sink = Sink()
-        async with Scripted([comes_slowly]) as agent:
-            one = discovery(agent, sink, pushed=True)
+        async with ScriptedDiscovery([send_slowly]) as agent:
+            one = discovery(agent, sink, is_pushed=True)
             version, names = await sink.lists.get()
             assert (version, len(names)) == (-1, 500) or (version, len(names)) == (43, 500)
-            assert now() > 1.0 + TOLD_S and len(agent.targets) == 1
+            assert now() > 1.0 + LIMIT_S and len(agent.targets) == 1
             one.close()
             await one.wait_closed()
 
     run_on_virtual_time(main())
 
 
-def test_a_discovery_that_counts_anew_is_asked_for_its_whole_list() -> None:
-    """It opens with changes of a lower version, where the list that is known is another's."""
+def test_a_discovery_that_restarts_its_generations_is_asked_for_the_full_list() -> None:
+    """Its watch starts with changes of a lower generation, which do not apply to the known list."""
 
-    async def counts_anew(one: Scripted, writer: Writer) -> None:
+    async def send_changes_of_lower_generation(server: ScriptedDiscovery, writer: Writer) -> None:
         begin_response(writer)
         push(writer, 7, False, entry("s-1", "draining"))
 
-    async def tells_all(one: Scripted, writer: Writer) -> None:
+    async def send_full_list(server: ScriptedDiscovery, writer: Writer) -> None:
         begin_response(writer)
         push(writer, 7, True, entry("s-2"))
 
     async def main() -> None:
         sink = Sink()
-        async with Scripted([counts_anew, tells_all]) as agent:
-            one = discovery(agent, sink, pushed=True)
+        async with ScriptedDiscovery([send_changes_of_lower_generation, send_full_list]) as agent:
+            one = discovery(agent, sink, is_pushed=True)
             assert await sink.lists.get() == (7, ["s-2"])
             assert [target.rpartition("=")[2] for target in agent.targets] == ["41", "0"]
             one.close()
@@ -349,8 +350,8 @@
 
 @pytest.mark.parametrize("bytewise", [False, True])
 @pytest.mark.parametrize("head", FORMS)
-def test_heads_and_chunks_in_any_form(head: bytes, bytewise: bool) -> None:
-    async def told(one: Scripted, writer: Writer) -> None:
+def test_heads_and_chunks_in_any_valid_form(head: bytes, bytewise: bool) -> None:
+    async def send_response(server: ScriptedDiscovery, writer: Writer) -> None:
         line = json.dumps(listing(43, entry("s-1")), indent=4).replace("\n", "\r\n").encode()
         raw = head + b"%X;name=value\r\n%b\r\n" % (len(line), line)
         for at in range(0, len(raw), 1 if bytewise else len(raw)):
@@ -359,8 +360,8 @@
 
     async def main() -> None:
         sink = Sink()
-        async with Scripted([told]) as agent:
-            one = discovery(agent, sink, pushed=True)
+        async with ScriptedDiscovery([send_response]) as agent:
+            one = discovery(agent, sink, is_pushed=True)
             assert await sink.lists.get() == (43, ["s-1"]) and len(agent.targets) == 1
             one.close()
             await one.wait_closed()
@@ -368,7 +369,7 @@
     run_on_virtual_time(main())
 
 
-# --- Bad entries --------------------------------------------------------------------------------
+# Malformed entries
 
 BAD = [
     ({"instanceId": "s-bad", "hostPort": "127.0.0.1:9", "lifecycle": "terminating"}, "draining"),
@@ -385,29 +386,31 @@
 
 @pytest.mark.parametrize("steps", [False, True], ids=["short", "long"])
 @pytest.mark.parametrize(("bad", "phase"), BAD)
-def test_a_bad_entry_does_not_hide_the_drain_beside_it(bad: Any, phase: str | None, steps: bool) -> None:
-    """What can't be read of one endpoint stops nothing of the others; it itself gets nothing new
-    unless its state and address are clear."""
+def test_a_malformed_entry_does_not_hide_a_drain_in_the_same_list(
+    bad: Any, phase: str | None, steps: bool
+) -> None:
+    """A malformed entry does not affect the others. Its own endpoint gets no new requests, unless its
+    lifecycle and address are well-formed."""
 
     async def main() -> None:
-        copy = Copy()
-        said: list[str] = []
+        engine_copy = Copy()
+        log_lines: list[str] = []
         fill = [entry(f"f-{n}") for n in range(1_000)] if steps else []
-        copy.at_once(True, [entry("s-bad"), entry("s-1"), *fill])
-        async with Scripted([tells]) as agent:
-            agent.has = [bad, entry("s-1", "draining"), *fill]
+        engine_copy.apply_at_once(True, [entry("s-bad"), entry("s-1"), *fill])
+        async with ScriptedDiscovery([send_changes]) as agent:
+            agent.changes = [bad, entry("s-1", "draining"), *fill]
             loop = asyncio.get_running_loop()
-            one = Discovery(loop, f"127.0.0.1:{agent.port}", LIST_PATH, True, said.append)
-            one.start(copy.engine, 41)
+            one = Discovery(loop, f"127.0.0.1:{agent.port}", LIST_PATH, True, log_lines.append)
+            one.start(engine_copy.engine, 41)
             while one.generation != 43:
                 await asyncio.sleep(0.01)
             assert len(agent.targets) == 1
             one.close()
             await one.wait_closed()
-        places = copy.engine.endpoints.by_number
+        places = engine_copy.engine.endpoints.by_number
         assert places[endpoint_number("s-1")].withdrawn_at is not None
         assert (places[endpoint_number("s-bad")].withdrawn_at is not None) == (phase == "draining")
-        assert len(said) <= 1, "one line, however many there are"
+        assert len(log_lines) <= 1, "one log line, however many malformed entries there are"
 
     run_on_virtual_time(main())
 
@@ -420,20 +423,20 @@
     ],
     ids=str,
 )  # fmt: skip
-def test_a_known_list_that_can_not_be_read_does_not_end_the_start(tmp_path: Path, known: Any) -> None:
-    said: list[str] = []
+def test_a_malformed_known_list_does_not_prevent_the_start(tmp_path: Path, known: Any) -> None:
+    log_lines: list[str] = []
     environ = {"LB_CONFIG": file(tmp_path, platform(known=known), "config.json")}
-    assert read_platform(environ, log=said.append).known is None
-    assert len(said) == 1 and "known" in said[0] and "\n" not in said[0]
+    assert read_platform(environ, log=log_lines.append).known is None
+    assert len(log_lines) == 1 and "known" in log_lines[0] and "\n" not in log_lines[0]
 
 
-def test_of_a_known_list_the_good_entries_are_used(tmp_path: Path) -> None:
-    said: list[str] = []
+def test_the_well_formed_entries_of_a_known_list_are_used(tmp_path: Path) -> None:
+    log_lines: list[str] = []
     known = {"generation": 7, "reset": True, "instances": [*(bad for bad, _ in BAD), entry("s-1")]}
     environ = {"LB_CONFIG": file(tmp_path, platform(known=known), "config.json")}
-    found = read_platform(environ, log=said.append)
-    copy = Copy()
+    found = read_platform(environ, log=log_lines.append)
+    engine_copy = Copy()
     assert found.known is not None
-    copy.engine.on_list(7, True, found.known["instances"])
-    assert endpoint_number("s-1") in copy.engine.endpoints.by_number
-    assert len(said) == 1
+    engine_copy.engine.on_list(7, True, found.known["instances"])
+    assert endpoint_number("s-1") in engine_copy.engine.endpoints.by_number
+    assert len(log_lines) == 1
--- a/tests/test_discovery_server.py
+++ b/tests/test_discovery_server.py
@@ -1,4 +1,4 @@
-"""The public stand-in for discovery: lists, watches and heartbeats in the protocol's form."""
+"""The public stand-in for discovery: lists, watches and heartbeats in the format of the protocol."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ManualSleep:
-    """Sleeps until the test wakes the sleeper."""
+    """Replaces `asyncio.sleep`: a call returns when the test wakes it."""
 
     def __init__(self) -> None:
         self.asleep: asyncio.Queue[tuple[float, asyncio.Event]] = asyncio.Queue()
@@ -33,29 +33,29 @@
         await wakes.wait()
 
     async def wake_next(self) -> float:
-        """Wake who fell asleep first; how long they wanted to sleep, s."""
+        """Wake the call that has slept longest. Returns the duration it was called with, s."""
         seconds, wakes = await self.asleep.get()
         wakes.set()
         return seconds
 
 
 class Watch:
-    """One watch, read line by line."""
+    """The client's side of one watch, read line by line."""
 
     def __init__(self, reader: Reader, writer: Writer) -> None:
         self.reader = reader
         self.writer = writer
 
     async def line(self) -> bytes:
-        """One chunk; `asyncio.IncompleteReadError` where the watch has ended."""
+        """The data of the next chunk; `asyncio.IncompleteReadError` if the watch has ended."""
         size = int(await self.reader.readuntil(b"\r\n"), 16)
         return (await self.reader.readexactly(size + 2))[:-2]
 
-    async def listed(self) -> tuple[int, bool, list[tuple[str, str]]]:
-        """Generation, whether it is the whole list, and each entry's name and lifecycle."""
-        told = json.loads(await self.line())
-        entries = [(one["instanceId"], one["lifecycle"]) for one in told["instances"]]
-        return told["generation"], told["reset"], entries
+    async def next_list(self) -> tuple[int, bool, list[tuple[str, str]]]:
+        """The generation of the next list, whether it is full, and the name and lifecycle of each entry."""
+        parsed = json.loads(await self.line())
+        entries = [(one["instanceId"], one["lifecycle"]) for one in parsed["instances"]]
+        return parsed["generation"], parsed["reset"], entries
 
 
 async def connect(discovery: DiscoveryServer, target: str) -> tuple[Reader, Writer]:
@@ -73,24 +73,24 @@
 
 
 def client_of(discovery: DiscoveryServer, sink: Sink) -> Discovery:
-    """The balancer's own client of discovery, with its times of service; it knows generation 41."""
+    """The balancer's client of discovery with its real time-outs; it knows generation 41."""
     client = Discovery(asyncio.get_running_loop(), discovery.address, LIST_PATH, True, print)
     client.start(sink, 41)
     return client
 
 
-# --- Lists --------------------------------------------------------------------------------
+# Lists
 
 
-def test_a_question_is_answered_with_the_newest_list_and_the_connection_is_kept() -> None:
+def test_a_fetch_gets_the_newest_list_and_its_connection_stays_open() -> None:
     async def main() -> None:
         async with DiscoveryServer([entry("s-1"), entry("s-2")], generation=41) as discovery:
             reader, writer = await connect(discovery, LIST_PATH)
             assert json.loads((await read_message(reader)).body) == discovery.whole_list()
             discovery.publish(entry("s-2", "gone"), entry("s-3"))
             writer.write(f"GET {LIST_PATH} HTTP/1.1\r\n\r\n".encode())
-            told = json.loads((await read_message(reader)).body)
-            assert told == {"generation": 42, "reset": True, "instances": [entry("s-1"), entry("s-3")]}
+            parsed = json.loads((await read_message(reader)).body)
+            assert parsed == {"generation": 42, "reset": True, "instances": [entry("s-1"), entry("s-3")]}
             assert discovery.watch_count == 0
             writer.close()
 
@@ -123,7 +123,7 @@
             discovery.publish(entry("s-1", "draining"), entry("s-3"))
             discovery.publish(entry("s-2", "gone"))
             watch = await watch_from(discovery, known)
-            assert await watch.listed() == expected
+            assert await watch.next_list() == expected
             watch.writer.close()
 
     run_limited(main())
@@ -134,7 +134,7 @@
         async with DiscoveryServer([entry("s-1")]) as discovery:
             reader, writer = await connect(discovery, f"{LIST_PATH}?watch=1")
             await reader.readuntil(b"\r\n\r\n")
-            assert await Watch(reader, writer).listed() == (1, True, [("s-1", "ready")])
+            assert await Watch(reader, writer).next_list() == (1, True, [("s-1", "ready")])
             writer.close()
 
     run_limited(main())
@@ -146,12 +146,12 @@
             watches = [await watch_from(discovery, 1) for _ in range(3)]
             assert discovery.watch_count == 3
             for watch in watches:
-                assert await watch.listed() == (1, False, [])
+                assert await watch.next_list() == (1, False, [])
             discovery.publish(entry("s-1", "draining"))
             discovery.replace(entry("s-2"))
             for watch in watches:
-                assert await watch.listed() == (2, False, [("s-1", "draining")])
-                assert await watch.listed() == (3, True, [("s-2", "ready")])
+                assert await watch.next_list() == (2, False, [("s-1", "draining")])
+                assert await watch.next_list() == (3, True, [("s-2", "ready")])
                 watch.writer.close()
 
     run_limited(main())
@@ -163,13 +163,13 @@
             discovery.replace(entry("s-2"))
             for known, expected in ((1, (2, True, [("s-2", "ready")])), (2, (2, False, []))):
                 watch = await watch_from(discovery, known)
-                assert await watch.listed() == expected
+                assert await watch.next_list() == expected
                 watch.writer.close()
 
     run_limited(main())
 
 
-# --- Heartbeats -------------------------------------------------------------------------------
+# Heartbeats
 
 
 def test_each_watch_gets_an_empty_line_every_interval() -> None:
@@ -179,20 +179,20 @@
             first = await watch_from(discovery, 1)
             second = await watch_from(discovery, 1)
             for watch in (first, second):
-                await watch.listed()
+                await watch.next_list()
             for _ in range(3):
                 for watch in (first, second):
                     assert await sleep.wake_next() == 0.25
                     assert await watch.line() == HEARTBEAT
             discovery.publish(entry("s-1", "draining"))
             for watch in (first, second):
-                assert await watch.listed() == (2, False, [("s-1", "draining")])
+                assert await watch.next_list() == (2, False, [("s-1", "draining")])
                 watch.writer.close()
 
     run_limited(main())
 
 
-def test_the_interval_is_the_protocols_unless_another_is_given() -> None:
+def test_the_default_interval_is_that_of_the_protocol() -> None:
     async def main() -> None:
         sleep = ManualSleep()
         async with DiscoveryServer(sleep=sleep) as discovery:
@@ -203,15 +203,15 @@
     run_limited(main())
 
 
-def test_a_client_keeps_one_watch_for_as_long_as_nothing_changes() -> None:
-    """Guards against a silent stand-in: its watch was given up, and the change written into it was lost."""
+def test_a_client_keeps_its_watch_while_nothing_changes() -> None:
+    """Guards against a stand-in without heartbeats: the client gave up its watch, and a change was lost."""
 
     async def main() -> None:
         sink = Sink()
         async with DiscoveryServer([entry("s-1")], generation=41) as discovery:
             client = client_of(discovery, sink)
             assert await sink.lists.get() == (41, [])
-            await asyncio.sleep(6 * STALL_TIMEOUT_S)  # made time
+            await asyncio.sleep(6 * STALL_TIMEOUT_S)  # virtual time
             discovery.publish(entry("s-1", "draining"))
             assert await sink.lists.get() == (42, ["s-1"])
             assert discovery.opened.get_nowait() == 41
@@ -222,10 +222,10 @@
     run_on_virtual_time(main())
 
 
-# --- Ends -------------------------------------------------------------------------------------
+# Ends
 
 
-def test_a_watch_that_its_client_ends_gets_no_more_heartbeats_and_the_others_do() -> None:
+def test_a_closed_watch_gets_no_more_heartbeats_and_others_do() -> None:
     async def main() -> None:
         sleep = ManualSleep()
         async with DiscoveryServer([entry("s-1")], sleep=sleep) as discovery:
@@ -234,18 +234,18 @@
             ended.writer.close()
             done, _ = await asyncio.wait(heartbeats, return_when=asyncio.FIRST_COMPLETED)
             assert len(done) == 1 and discovery.watch_count == 1
-            await stays.listed()
+            await stays.next_list()
             await sleep.wake_next()
             await sleep.wake_next()
             assert await stays.line() == HEARTBEAT
             discovery.publish(entry("s-1", "draining"))
-            assert await stays.listed() == (2, False, [("s-1", "draining")])
+            assert await stays.next_list() == (2, False, [("s-1", "draining")])
             stays.writer.close()
 
     run_limited(main())
 
 
-def test_a_client_whose_watch_is_ended_asks_anew_and_hears_what_it_missed() -> None:
+def test_a_client_whose_watch_ends_opens_another_and_gets_the_missed_changes() -> None:
     async def main() -> None:
         sink = Sink()
         async with DiscoveryServer([entry("s-1")], generation=41) as discovery:
@@ -262,26 +262,26 @@
     run_on_virtual_time(main())
 
 
-def test_close_ends_every_connection_and_the_port_serves_again_after_a_start() -> None:
+def test_close_ends_every_connection_and_a_start_serves_the_port_again() -> None:
     async def main() -> None:
         discovery = DiscoveryServer([entry("s-1")])
         async with discovery:
             watch = await watch_from(discovery, 1)
-            await watch.listed()
-            asks, waits = await connect(discovery, LIST_PATH)
-            await read_message(asks)
+            await watch.next_list()
+            fetch_reader, fetch_writer = await connect(discovery, LIST_PATH)
+            await read_message(fetch_reader)
         assert discovery.watch_count == 0
-        for reader in (watch.reader, asks):
+        for reader in (watch.reader, fetch_reader):
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await reader.readexactly(1)
-        for writer in (watch.writer, waits):
+        for writer in (watch.writer, fetch_writer):
             writer.close()
         with pytest.raises(ConnectionError):
             await asyncio.open_connection("127.0.0.1", discovery.port)
-        discovery.publish(entry("s-2"))  # nobody hears it
+        discovery.publish(entry("s-2"))  # no watch is open
         await discovery.start(discovery.port)
         watch = await watch_from(discovery, 1)
-        assert await watch.listed() == (2, False, [("s-2", "ready")])
+        assert await watch.next_list() == (2, False, [("s-2", "ready")])
         watch.writer.close()
         await discovery.close()
         await discovery.close()
@@ -290,6 +290,6 @@
 
 
 @pytest.mark.parametrize("options", [{"generation": 0}, {"heartbeat_interval_s": 0.0}])
-def test_figures_that_no_discovery_has_are_turned_down(options: dict[str, Any]) -> None:
+def test_invalid_options_are_rejected(options: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match="positive"):
         DiscoveryServer(**options)
--- a/tests/test_flow_control.py
+++ b/tests/test_flow_control.py
@@ -1,4 +1,4 @@
-"""Large and slow bodies: held, passed on both ways, broken on each side, and their bounds."""
+"""Large and slow bodies in both directions: buffered or streamed, broken on either side, and limits."""
 
 from __future__ import annotations
 
@@ -41,109 +41,111 @@
 BIG = bytes(range(256)) * 12_000  # 3 MB
 
 
-# --- Decisions ------------------------------------------------------------------------------
+# Limits and streams
 
 
-def test_a_body_may_be_as_slow_as_its_rate_and_no_slower() -> None:
+def test_a_body_may_be_as_slow_as_the_minimum_rate_and_no_slower() -> None:
     assert has_min_throughput(0, GRACE_S) and not has_min_throughput(0, GRACE_S + 0.1)
     assert has_min_throughput(int(MIN_RATE_BYTES_PER_S), GRACE_S + 1.0) and not has_min_throughput(
         int(MIN_RATE_BYTES_PER_S), GRACE_S + 1.1
     )
-    assert all(has_min_throughput(int(64_000 * s), s) for s in range(1, 500)), "what callers may do"
+    assert all(has_min_throughput(int(64_000 * s), s) for s in range(1, 500)), "clients may send at 64 kB/s"
 
 
 @pytest.mark.parametrize(("memory", "least", "most"), [(0, 16, 32), (32, 1, 4), (80, 8, 16), (192, 32, 48)])
-def test_the_budget_leaves_memory_for_all_else(memory: int, least: int, most: int) -> None:
+def test_the_budget_leaves_memory_for_other_uses(memory: int, least: int, most: int) -> None:
     assert least * MB <= budget_bytes(memory) <= most * MB
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), st.integers(1, 400_000)), max_size=80))
-def test_the_budget_is_never_overdrawn_and_all_of_it_comes_back(steps: list[tuple[int, int]]) -> None:
+def test_the_budget_is_never_exceeded_and_completely_released(steps: list[tuple[int, int]]) -> None:
     budget = BufferBudget(2 * MB)
-    sizes, held = [0] * 6, [0] * 6
+    sizes, reserved = [0] * 6, [0] * 6
     for which, more in steps:
-        took = budget.reserve(sizes[which] + more, held[which])
-        if took < 0:
-            budget.release(held[which])
-            sizes[which] = held[which] = 0
+        reserved_now = budget.reserve(sizes[which] + more, reserved[which])
+        if reserved_now < 0:
+            budget.release(reserved[which])
+            sizes[which] = reserved[which] = 0
         else:
             sizes[which] += more
-            held[which] = took
-            assert took == max(0, sizes[which] - UNCOUNTED_BYTES) and sizes[which] <= MAX_BUFFERED_BYTES
-        assert 0 <= budget.used == sum(held) <= budget.limit
-    for one in held:
-        budget.release(one)
+            reserved[which] = reserved_now
+            assert (
+                reserved_now == max(0, sizes[which] - UNCOUNTED_BYTES) and sizes[which] <= MAX_BUFFERED_BYTES
+            )
+        assert 0 <= budget.used == sum(reserved) <= budget.limit
+    for size in reserved:
+        budget.release(size)
     assert budget.used == 0
 
 
-class Ends:
-    """Both ends of a stream, and its observer."""
+class RecordingEnds:
+    """The source, the sink and the observer of a stream; records how they are called."""
 
     def __init__(self) -> None:
-        self.told: list[object] = []
+        self.calls: list[object] = []
 
     def pause(self) -> None:
-        self.told.append("hold")
+        self.calls.append("pause")
 
     def resume(self) -> None:
-        self.told.append("go on")
+        self.calls.append("resume")
 
     def on_abandoned(self) -> None:
-        self.told.append("unwanted")
+        self.calls.append("abandoned")
 
     def on_data(self, data: bytes) -> None:
-        self.told.append(data)
+        self.calls.append(data)
 
     def on_end(self, complete: bool) -> None:
-        self.told.append(complete)
+        self.calls.append(complete)
 
-    def on_stream_closed(self, flow: BodyStream) -> None:
-        self.told.append((flow.is_complete, flow.is_abandoned))
+    def on_stream_closed(self, stream: BodyStream) -> None:
+        self.calls.append((stream.is_complete, stream.is_abandoned))
 
 
-@pytest.mark.parametrize("whole", [True, False])
-def test_a_stream_gives_all_to_its_one_sink_and_ends_once(whole: bool) -> None:
-    ends = Ends()
-    flow = BodyStream(ends, -1)
-    flow.observer = ends
-    flow.feed(b"a")
-    flow.attach(ends)
-    flow.feed(b"b")
-    flow.pause()
-    flow.resume()
-    flow.finish(whole)
-    flow.feed(b"c")
-    flow.finish(not whole)
-    flow.abandon()
-    flow.pause()
-    assert ends.told == [b"a", b"b", "hold", "go on", whole, (whole, False)]
+@pytest.mark.parametrize("is_complete", [True, False])
+def test_a_stream_forwards_all_data_to_its_sink_and_ends_once(is_complete: bool) -> None:
+    recorder = RecordingEnds()
+    stream = BodyStream(recorder, -1)
+    stream.observer = recorder
+    stream.feed(b"a")
+    stream.attach(recorder)
+    stream.feed(b"b")
+    stream.pause()
+    stream.resume()
+    stream.finish(is_complete)
+    stream.feed(b"c")
+    stream.finish(not is_complete)
+    stream.abandon()
+    stream.pause()
+    assert recorder.calls == [b"a", b"b", "pause", "resume", is_complete, (is_complete, False)]
 
 
-def test_a_stream_that_was_complete_before_it_had_a_sink_is_given_all_the_same() -> None:
-    ends = Ends()
-    flow = BodyStream(ends, 1)
-    flow.feed(b"a")
-    flow.finish(True)
-    flow.attach(ends)
-    assert ends.told == [b"a", True]
+def test_a_stream_that_was_complete_before_a_sink_was_attached_is_forwarded() -> None:
+    recorder = RecordingEnds()
+    stream = BodyStream(recorder, 1)
+    stream.feed(b"a")
+    stream.finish(True)
+    stream.attach(recorder)
+    assert recorder.calls == [b"a", True]
 
 
-def test_a_stream_that_is_abandoned_tells_its_source_and_takes_nothing_more() -> None:
-    ends = Ends()
-    flow = BodyStream(ends, 1)
-    flow.observer = ends
-    flow.attach(ends)
-    flow.abandon()
-    flow.feed(b"a")
-    flow.finish(True)
-    assert ends.told == ["unwanted", (False, True)]
+def test_an_abandoned_stream_notifies_its_source_and_ignores_more_data() -> None:
+    recorder = RecordingEnds()
+    stream = BodyStream(recorder, 1)
+    stream.observer = recorder
+    stream.attach(recorder)
+    stream.abandon()
+    stream.feed(b"a")
+    stream.finish(True)
+    assert recorder.calls == ["abandoned", (False, True)]
 
 
-# --- Requests ---------------------------------------------------------------------------------
+# Requests
 
 
 def head(size: int | None, cls: str = "pay", rid: str = "r1", headers: str = "") -> bytes:
-    """The head of a request whose body is written apart; None for chunks."""
+    """The head of a request whose body is written separately. `size`: Content-Length; None for chunks."""
     framing = "Transfer-Encoding: chunked" if size is None else f"Content-Length: {size}"
     return request(cls, rid=rid, headers=headers).replace(b"Content-Length: 0", framing.encode())
 
@@ -152,17 +154,17 @@
     return b"%x%b\r\n%b\r\n" % (len(data), extension.encode(), data)
 
 
-async def until(holds: Callable[[], bool]) -> None:
+async def wait_until(holds: Callable[[], bool]) -> None:
     while not holds():
         await asyncio.sleep(0)
 
 
-def pieces(data: bytes, size: int) -> list[bytes]:
+def split(data: bytes, size: int) -> list[bytes]:
     return [data[at : at + size] for at in range(0, len(data), size)]
 
 
-def counted(one: Sidecar) -> tuple[int, ...]:
-    """Answered, deferred, errored, abandoned, current; together they are those taken."""
+def request_counts(one: Sidecar) -> tuple[int, ...]:
+    """How many requests are answered, deferred, errored, abandoned and open; their sum is that of `taken`."""
     counters = one.engine.counters
     each = (counters.answered, counters.deferred, counters.errored, counters.abandoned)
     found = (*(sum(kind) for kind in each), one.engine.open_request_count())
@@ -170,7 +172,7 @@
     return found
 
 
-def nothing_held(one: Sidecar) -> None:
+def assert_nothing_left(one: Sidecar) -> None:
     daemon = one.server
     assert daemon.request_budget.used == 0 and not one.engine.calls and not one.engine.forwarding
     assert not daemon.uploading.waiting_since and not daemon.write_stalled.waiting_since
@@ -179,7 +181,7 @@
 
 @pytest.mark.parametrize("size", [100, 64 * 1024 + 1, MAX_BUFFERED_BYTES, MAX_BUFFERED_BYTES + 1, len(BIG)])
 @pytest.mark.parametrize("framed", ["length", "chunks"])
-def test_a_body_of_any_size_comes_through_whole(size: int, framed: str) -> None:
+def test_a_request_body_of_any_size_arrives_complete(size: int, framed: str) -> None:
     async def main() -> None:
         endpoint = Endpoint()
         async with sidecar(endpoint) as one:
@@ -189,21 +191,21 @@
                 writer.write(head(size) + body)
             else:
                 writer.write(head(None))
-                for part in pieces(body, 70_001):
+                for part in split(body, 70_001):
                     writer.write(chunk(part, ";name=value"))
                 writer.write(b"0\r\nTrailer: x\r\n\r\n")
-            back = await read_message(reader)
-            assert back.status == 200 and endpoint.got[0].body == body
+            message = await read_message(reader)
+            assert message.status == 200 and endpoint.got[0].body == body
             assert endpoint.got[0].headers["x-request-id"] == "r1"
-            writer.write(request(rid="r2"))  # the connection goes on
+            writer.write(request(rid="r2"))  # the connection stays usable
             assert (await read_message(reader)).status == 200
-            assert counted(one) == (2, 0, 0, 0, 0)
-            nothing_held(one)
+            assert request_counts(one) == (2, 0, 0, 0, 0)
+            assert_nothing_left(one)
 
     run(main())
 
 
-def test_what_is_held_whole_can_be_sent_again_and_what_was_passed_on_can_not() -> None:
+def test_a_buffered_request_can_be_retried_and_a_streamed_one_can_not() -> None:
     async def main() -> None:
         async def once(endpoint: Endpoint, message: Message, writer: Writer) -> None:
             writer.write(answer(503, headers="X-Not-Run: 1\r\n"))
@@ -213,19 +215,19 @@
             for rid, size, attempts in (("r1", MAX_BUFFERED_BYTES, 2), ("r2", 2 * MAX_BUFFERED_BYTES, 1)):
                 reader, writer = await one.connect()
                 writer.write(head(size, rid=rid) + BIG[:size])
-                back = await read_message(reader)
+                message = await read_message(reader)
                 got = sum(message.headers["x-request-id"] == rid for end in endpoints for message in end.got)
                 assert got >= attempts if attempts > 1 else got == 1
-                assert back.status in (502, 503), "turned away unseen: it has not run"
-            nothing_held(one)
+                assert message.status in (502, 503), "the endpoint refused it without running it"
+            assert_nothing_left(one)
 
     run(main())
 
 
-def test_no_second_attempt_takes_an_upload_that_was_begun() -> None:
-    """The endpoint resets when the beginning has come: it never ran, and is not sent again."""
+def test_an_upload_that_was_sent_in_part_gets_no_second_attempt() -> None:
+    """The endpoint resets the connection within the upload, which therefore never ran and is not retried."""
 
-    class Breaks(Endpoint):
+    class ResettingEndpoint(Endpoint):
         async def _serve(self, reader: Reader, writer: Writer) -> None:
             self.opened += 1
             await reader.readuntil(b"\r\n\r\n")
@@ -233,72 +235,74 @@
             reset_connection(writer)
 
     async def main() -> None:
-        endpoints = Breaks(), Breaks()
+        endpoints = ResettingEndpoint(), ResettingEndpoint()
         async with sidecar(*endpoints) as one:
-            told = record_outcomes(one.engine)
+            attempt_outcomes = record_outcomes(one.engine)
             reader, writer = await one.connect()
             writer.write(head(len(BIG)) + BIG[: 2 * MB])
-            back = await read_message(reader)
-            assert back.status in (502, 503) and back.headers["connection"] == "close"
+            message = await read_message(reader)
+            assert message.status in (502, 503) and message.headers["connection"] == "close"
             assert endpoints[0].opened + endpoints[1].opened == 1
-            assert told[0].outcome == NO_CONNECT, "not whole: it can't have run"
-            assert all(later.outcome == NOT_SENT for later in told[1:])
-            assert counted(one)[4] == 0
+            assert attempt_outcomes[0].outcome == NO_CONNECT, (
+                "it was not sent completely, so it can't have run"
+            )
+            assert all(later.outcome == NOT_SENT for later in attempt_outcomes[1:])
+            assert request_counts(one)[4] == 0
             writer.close()
 
     run(main())
 
 
-def test_an_upload_that_is_refused_at_once_ends_its_connection() -> None:
-    """Compiled, the answer that came within `take` was once a TypeError."""
+def test_an_upload_that_is_refused_at_once_closes_its_connection() -> None:
+    """Guards against a TypeError in the compiled program for an answer that is given within `Engine.take`."""
 
     async def main() -> None:
         async with sidecar() as one:
             reader, writer = await one.connect()
             writer.write(head(len(BIG)) + BIG[: 2 * MB])
-            back = await read_message(reader)
-            assert back.status in (502, 503) and back.headers["connection"] == "close"
-            assert sum(counted(one)[1:3]) == 1 and not one.engine.calls
-            nothing_held(one)
+            message = await read_message(reader)
+            assert message.status in (502, 503) and message.headers["connection"] == "close"
+            assert sum(request_counts(one)[1:3]) == 1 and not one.engine.calls
+            assert_nothing_left(one)
             writer.close()
 
     run(main())
 
 
-def test_an_upload_that_broke_behind_its_last_byte_may_have_run() -> None:
+def test_an_upload_whose_connection_breaks_after_its_last_byte_may_have_run() -> None:
     async def main() -> None:
         async def broken(endpoint: Endpoint, message: Message, writer: Writer) -> None:
             reset_connection(writer)
 
         endpoint = Endpoint(broken)
         async with sidecar(endpoint) as one:
-            told = record_outcomes(one.engine)
-            back = await one.send(head(len(BIG)) + BIG)
-            assert back.status == 502 and [event.outcome for event in told] == [RESET]
+            attempt_outcomes = record_outcomes(one.engine)
+            message = await one.send(head(len(BIG)) + BIG)
+            assert message.status == 502 and [event.outcome for event in attempt_outcomes] == [RESET]
             assert len(endpoint.got) == 1
-            nothing_held(one)
+            assert_nothing_left(one)
 
     run(main())
 
 
-def test_a_caller_that_leaves_its_upload_ends_the_attempt() -> None:
+def test_a_client_that_leaves_during_its_upload_ends_the_attempt() -> None:
     async def main() -> None:
         endpoint = Endpoint()
         async with sidecar(endpoint) as one:
             _, writer = await one.connect()
             writer.write(head(len(BIG)) + BIG[: 2 * MB])
-            await until(lambda: endpoint.opened == 1)
+            await wait_until(lambda: endpoint.opened == 1)
             writer.transport.abort()
             await endpoint.closed.acquire()
-            await until(lambda: not one.engine.calls)
-            assert not endpoint.got and counted(one) == (0, 0, 0, 1, 0)
-            nothing_held(one)
+            await wait_until(lambda: not one.engine.calls)
+            assert not endpoint.got and request_counts(one) == (0, 0, 0, 1, 0)
+            assert_nothing_left(one)
 
     run(main())
 
 
-class Deaf(Endpoint):
-    """Reads nothing."""
+class NonReadingEndpoint(Endpoint):
+    """An endpoint that reads nothing."""
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
         writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -306,107 +310,109 @@
         self.opened += 1
 
 
-def test_an_upload_whose_endpoint_never_reads_is_ended_and_answered() -> None:
+def test_an_upload_to_an_endpoint_that_never_reads_fails() -> None:
     async def main() -> None:
-        endpoint = Deaf()
+        endpoint = NonReadingEndpoint()
         async with sidecar(endpoint) as one:
             reader, writer = await one.connect()
             writer.write(head(MAX_STREAMED_BODY_BYTES))
             writer.transport.set_write_buffer_limits(high=0)
 
-            async def pour() -> None:
+            async def write_body() -> None:
                 with contextlib.suppress(ConnectionError):
                     for _ in range(32):
                         writer.write(bytes(MB))
                         await writer.drain()
 
-            pouring = asyncio.create_task(pour())
+            writing = asyncio.create_task(write_body())
             stalled = one.upstream.write_stalled
-            await until(lambda: bool(stalled.waiting_since))
+            await wait_until(lambda: bool(stalled.waiting_since))
             for link in stalled.waiting_since:
-                stalled.waiting_since[link] -= stalled.timeout_s  # nothing was read for so long
+                stalled.waiting_since[link] -= (
+                    stalled.timeout_s
+                )  # as if nothing had been read for the whole limit
             stalled.run()
-            back = await read_message(reader)
-            assert back.status in (502, 503) and back.headers["connection"] == "close"
+            message = await read_message(reader)
+            assert message.status in (502, 503) and message.headers["connection"] == "close"
             assert not one.engine.calls and not one.upstream.connections
-            pouring.cancel()
+            writing.cancel()
             writer.transport.abort()
             for open_ in endpoint.open:
                 open_.transport.abort()
-            await until(lambda: not one.connection_count)
+            await wait_until(lambda: not one.connection_count)
 
     run(main())
 
 
-def test_an_endpoint_that_does_not_read_holds_the_caller_back() -> None:
+def test_an_endpoint_that_does_not_read_pauses_the_client() -> None:
     async def main() -> None:
-        endpoint = Deaf()
+        endpoint = NonReadingEndpoint()
         async with sidecar(endpoint) as one:
             _, writer = await one.connect()
             writer.write(head(MAX_STREAMED_BODY_BYTES))
             writer.transport.set_write_buffer_limits(high=0)
             body = bytes(MB)
 
-            async def pour() -> None:
+            async def write_body() -> None:
                 for _ in range(32):
                     writer.write(body)
                     await writer.drain()
 
-            pouring = asyncio.create_task(pour())
-            await until(lambda: bool(one.upstream.write_stalled.waiting_since))
+            writing = asyncio.create_task(write_body())
+            await wait_until(lambda: bool(one.upstream.write_stalled.waiting_since))
             (caller,) = one.server.connections
             (link,) = one.upstream.connections
             size = caller.size
             for _ in range(200):
                 await asyncio.sleep(0)
-            assert caller.size == size < 24 * MB and not pouring.done()
+            assert caller.size == size < 24 * MB and not writing.done()
             assert link.transport is not None and link.transport.get_write_buffer_size() <= MB
             assert not caller.upload or not caller.upload.buffered
-            pouring.cancel()
+            writing.cancel()
             writer.transport.abort()
-            await until(lambda: not one.engine.calls)
+            await wait_until(lambda: not one.engine.calls)
             for open_ in endpoint.open:
                 open_.transport.abort()
 
     run(main())
 
 
-def test_a_body_that_is_written_slowly_is_waited_for() -> None:
+def test_a_body_that_is_written_slowly_is_served() -> None:
     async def main() -> None:
         endpoint = Endpoint()
         async with sidecar(endpoint) as one:
             reader, writer = await one.connect()
             writer.write(head(3000))
             waiting = one.server.awaiting_request.waiting_since
-            for part in pieces(BIG[:3000], 1000):
-                await until(lambda: bool(waiting) and next(iter(waiting)).parsed is not None)
+            for part in split(BIG[:3000], 1000):
+                await wait_until(lambda: bool(waiting) and next(iter(waiting)).parsed is not None)
                 (caller,) = waiting
                 began = waiting[caller] = waiting[caller] - 1.0
                 writer.write(part)
-                # Its time begins anew with each piece, or it is whole.
-                await until(lambda: caller not in waiting or waiting[caller] > began)  # noqa: B023
+                # The time limit starts again with each part, unless the body is complete.
+                await wait_until(lambda: caller not in waiting or waiting[caller] > began)  # noqa: B023
             assert (await read_message(reader)).status == 200 and len(endpoint.got[0].body) == 3000
 
     run(main())
 
 
-def test_a_body_that_comes_too_slowly_is_told_so() -> None:
+def test_a_body_that_arrives_too_slowly_gets_408() -> None:
     async def main() -> None:
         endpoint = Endpoint()
         async with sidecar(endpoint) as one:
             reader, writer = await one.connect()
             writer.write(head(200_000) + b"x" * 10)
-            await until(lambda: any(caller.parsed is not None for caller in one.server.connections))
+            await wait_until(lambda: any(caller.parsed is not None for caller in one.server.connections))
             (caller,) = one.server.connections
             caller.head_at -= 60.0  # as if the head had come a minute ago
             writer.write(b"x" * 1000)
-            back = await read_message(reader)
-            assert back.status == 408 and not endpoint.got
+            message = await read_message(reader)
+            assert message.status == 408 and not endpoint.got
 
     run(main())
 
 
-def test_a_caller_that_waits_for_the_word_gets_it() -> None:
+def test_a_client_that_expects_100_continue_gets_it() -> None:
     async def main() -> None:
         endpoint = Endpoint()
         async with sidecar(endpoint) as one:
@@ -421,20 +427,20 @@
     run(main())
 
 
-# --- Answers ----------------------------------------------------------------------------------
+# Answers
 
 
-def framed(body: bytes, how: str) -> bytes:
-    if how == "length":
+def framed(body: bytes, framing: str) -> bytes:
+    if framing == "length":
         return answer(200, body, "Content-Type: image/png\r\n")
     start = b"HTTP/1.1 200 OK\r\nContent-Type: image/png\r\n"
-    if how == "chunks":
+    if framing == "chunks":
         return start + b"Transfer-Encoding: chunked\r\n\r\n" + chunk(body, ";a=b") + b"0\r\nT: x\r\n\r\n"
     return start + b"Connection: close\r\n\r\n" + body
 
 
-def giving(data: bytes, then: Callable[[Writer], Awaitable[None]] | None = None) -> Endpoint:
-    """Answers each request with these bytes, and does something then."""
+def endpoint_sending(data: bytes, then: Callable[[Writer], Awaitable[None]] | None = None) -> Endpoint:
+    """An endpoint that sends `data` in answer to each request, and then calls `then`."""
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         endpoint.effects.execute(message)
@@ -449,134 +455,142 @@
     writer.close()
 
 
-async def cut_off(writer: Writer) -> None:
+async def reset_after_writing(writer: Writer) -> None:
     await writer.drain()
     reset_connection(writer)
 
 
 @pytest.mark.parametrize("size", [0, 5, 64 * 1024, 64 * 1024 + 1, len(BIG)])
-@pytest.mark.parametrize("how", ["length", "chunks", "end"])
-def test_an_answer_of_any_size_and_framing_is_passed_on_whole(size: int, how: str) -> None:
+@pytest.mark.parametrize("framing", ["length", "chunks", "end"])
+def test_an_answer_of_any_size_and_framing_arrives_complete(size: int, framing: str) -> None:
     async def main() -> None:
-        endpoint = giving(framed(BIG[:size], how) if size or how != "chunks" else framed(b"", "length"))
-        if how == "end":
-            endpoint = giving(framed(BIG[:size], how), end)
+        endpoint = endpoint_sending(
+            framed(BIG[:size], framing) if size or framing != "chunks" else framed(b"", "length")
+        )
+        if framing == "end":
+            endpoint = endpoint_sending(framed(BIG[:size], framing), end)
         async with sidecar(endpoint) as one:
-            told = record_outcomes(one.engine)
+            attempt_outcomes = record_outcomes(one.engine)
             reader, writer = await one.connect()
             for rid in ("r1", "r2"):
                 writer.write(request(rid=rid))
-                back = await read_message(reader)
-                assert back.status == 200 and back.body == BIG[:size]
-                assert back.headers["content-type"] == "image/png" or how == "chunks"
-                assert back.headers.get("connection") is None, "the caller's connection goes on"
-            await until(lambda: counted(one) == (2, 0, 0, 0, 0))
-            assert [event.outcome for event in told] == [OK, OK]
-            nothing_held(one)
+                message = await read_message(reader)
+                assert message.status == 200 and message.body == BIG[:size]
+                assert message.headers["content-type"] == "image/png" or framing == "chunks"
+                assert message.headers.get("connection") is None, "the client's connection stays open"
+            await wait_until(lambda: request_counts(one) == (2, 0, 0, 0, 0))
+            assert [event.outcome for event in attempt_outcomes] == [OK, OK]
+            assert_nothing_left(one)
 
     run(main())
 
 
 def test_the_first_bytes_of_a_large_answer_do_not_wait_for_the_last() -> None:
     async def main() -> None:
-        endpoint = giving(framed(BIG, "length")[: 1000 + MB])
+        endpoint = endpoint_sending(framed(BIG, "length")[: 1000 + MB])
         async with sidecar(endpoint) as one:
             reader, writer = await one.connect()
             writer.write(request())
             await reader.readuntil(b"\r\n\r\n")
             assert await reader.readexactly(1000) == BIG[:1000]
-            assert counted(one) == (0, 0, 0, 0, 1), "it has not ended"
+            assert request_counts(one) == (0, 0, 0, 0, 1), "the answer is not complete"
             assert not one.engine.calls
             writer.close()
-            await until(lambda: counted(one) == (0, 0, 0, 1, 0))
+            await wait_until(lambda: request_counts(one) == (0, 0, 0, 1, 0))
             await endpoint.closed.acquire()
-            nothing_held(one)
+            assert_nothing_left(one)
 
     run(main())
 
 
-@pytest.mark.parametrize("how", ["length", "chunks"])
-def test_an_answer_that_breaks_shows_that_it_is_not_whole(how: str) -> None:
+@pytest.mark.parametrize("framing", ["length", "chunks"])
+def test_an_answer_that_breaks_off_is_visibly_incomplete(framing: str) -> None:
     async def main() -> None:
-        endpoint = giving(framed(BIG, how)[: 2 * MB], cut_off)
+        endpoint = endpoint_sending(framed(BIG, framing)[: 2 * MB], reset_after_writing)
         async with sidecar(endpoint) as one:
             reader, writer = await one.connect()
             writer.write(request())
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await read_message(reader)
-            await until(lambda: counted(one) == (0, 0, 1, 0, 0))
-            assert len(endpoint.got) == 1, "no other attempt once bytes have gone out"
-            nothing_held(one)
+            await wait_until(lambda: request_counts(one) == (0, 0, 1, 0, 0))
+            assert len(endpoint.got) == 1, "no other attempt after bytes were forwarded"
+            assert_nothing_left(one)
 
     run(main())
 
 
-def test_an_answer_too_large_by_its_length_is_none() -> None:
+def test_an_answer_whose_content_length_is_too_large_is_an_error() -> None:
     async def main() -> None:
-        endpoint = giving(
+        endpoint = endpoint_sending(
             b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_STREAMED_BODY_BYTES + 1) + BIG
         )
         async with sidecar(endpoint) as one:
-            told = record_outcomes(one.engine)
-            back = await one.send(request("pay", b"b"))
-            assert back.status == 502 and [event.outcome for event in told] == [ERROR]
+            attempt_outcomes = record_outcomes(one.engine)
+            message = await one.send(request("pay", b"b"))
+            assert message.status == 502 and [event.outcome for event in attempt_outcomes] == [ERROR]
 
     run(main())
 
 
-def test_a_caller_that_does_not_read_holds_the_endpoint_back() -> None:
+def test_a_client_that_does_not_read_pauses_the_endpoint() -> None:
     async def main() -> None:
-        poured = asyncio.Event()
+        all_written = asyncio.Event()
 
-        async def pour(writer: Writer) -> None:
+        async def write_body(writer: Writer) -> None:
             with contextlib.suppress(ConnectionError):
                 for _ in range(32):
                     writer.write(bytes(MB - 1))
                     await writer.drain()
-                poured.set()
+                all_written.set()
 
-        endpoint = giving(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 * (MB - 1)), pour)
+        endpoint = endpoint_sending(
+            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 * (MB - 1)), write_body
+        )
         async with sidecar(endpoint) as one:
             reader, writer = await one.connect()
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             writer.write(request())
-            await until(lambda: bool(one.server.write_stalled.waiting_since))
+            await wait_until(lambda: bool(one.server.write_stalled.waiting_since))
             (caller,) = one.server.connections
             assert caller.transport is not None
             for _ in range(200):
                 await asyncio.sleep(0)
-            assert caller.transport.get_write_buffer_size() < MB and not poured.is_set()
+            assert caller.transport.get_write_buffer_size() < MB and not all_written.is_set()
             assert one.server.write_stalled.waiting_since and not one.upstream.streaming.waiting_since
             writer.transport.resume_reading()  # type: ignore[attr-defined]
             await reader.readuntil(b"\r\n\r\n")
             assert len(await reader.readexactly(32 * (MB - 1))) == 32 * (MB - 1)
-            await until(lambda: counted(one) == (1, 0, 0, 0, 0))
-            nothing_held(one)
+            await wait_until(lambda: request_counts(one) == (1, 0, 0, 0, 0))
+            assert_nothing_left(one)
 
     run(main())
 
 
-def test_a_caller_that_never_reads_is_cut_and_its_endpoint_let_go() -> None:
+def test_the_connections_of_a_client_that_never_reads_are_closed() -> None:
     async def main() -> None:
-        async def pour(writer: Writer) -> None:
+        async def write_body(writer: Writer) -> None:
             with contextlib.suppress(ConnectionError):
                 for _ in range(32):
                     writer.write(bytes(MB - 1))
                     await writer.drain()
 
-        endpoint = giving(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 * (MB - 1)), pour)
+        endpoint = endpoint_sending(
+            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 * (MB - 1)), write_body
+        )
         async with sidecar(endpoint) as one:
             reader, writer = await one.connect()
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             writer.write(request())
-            stuck = one.server.write_stalled
-            await until(lambda: bool(stuck.waiting_since))
-            for caller in stuck.waiting_since:
-                stuck.waiting_since[caller] -= stuck.timeout_s  # it has not read for so long
-            stuck.run()
-            await until(lambda: not one.server.connections and not one.upstream.connections)
-            assert counted(one) == (0, 0, 0, 1, 0), "it counts as one who left"
-            nothing_held(one)
+            write_stalled = one.server.write_stalled
+            await wait_until(lambda: bool(write_stalled.waiting_since))
+            for caller in write_stalled.waiting_since:
+                write_stalled.waiting_since[caller] -= (
+                    write_stalled.timeout_s
+                )  # as if it had not read for the whole limit
+            write_stalled.run()
+            await wait_until(lambda: not one.server.connections and not one.upstream.connections)
+            assert request_counts(one) == (0, 0, 0, 1, 0), "it counts as abandoned by the client"
+            assert_nothing_left(one)
             writer.transport.resume_reading()  # type: ignore[attr-defined]
             with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
                 await reader.readuntil(b"\r\n\r\n")
@@ -586,38 +600,38 @@
     run(main())
 
 
-def test_what_comes_behind_a_request_waits_for_the_end_of_a_large_answer() -> None:
+def test_a_pipelined_request_waits_for_the_end_of_a_large_answer() -> None:
     async def main() -> None:
-        go = asyncio.Event()
+        may_continue = asyncio.Event()
 
         async def rest(writer: Writer) -> None:
-            await go.wait()
+            await may_continue.wait()
             writer.write(BIG[MB:])
 
-        endpoint = giving(framed(BIG, "length")[: -len(BIG) + MB], rest)
+        endpoint = endpoint_sending(framed(BIG, "length")[: -len(BIG) + MB], rest)
         async with sidecar(endpoint) as one:
             reader, writer = await one.connect()
             writer.write(request())
             await reader.readuntil(b"\r\n\r\n")
             writer.write(request(rid="r2"))
             endpoint.handler = serve_ok
-            go.set()
+            may_continue.set()
             assert await reader.readexactly(len(BIG)) == BIG
             assert (await read_message(reader)).body == b"ok"
-            assert counted(one) == (2, 0, 0, 0, 0)
+            assert request_counts(one) == (2, 0, 0, 0, 0)
 
     run(main())
 
 
-def test_a_stop_waits_for_an_answer_that_is_being_passed_on() -> None:
+def test_a_stop_waits_for_an_answer_that_is_being_streamed() -> None:
     async def main() -> None:
-        go, ended = asyncio.Event(), asyncio.Event()
+        may_continue, ended = asyncio.Event(), asyncio.Event()
 
         async def rest(writer: Writer) -> None:
-            await go.wait()
+            await may_continue.wait()
             writer.write(BIG[MB:])
 
-        endpoint = giving(framed(BIG, "length")[: -len(BIG) + MB], rest)
+        endpoint = endpoint_sending(framed(BIG, "length")[: -len(BIG) + MB], rest)
         async with sidecar(endpoint) as one:
             reader, writer = await one.connect()
             writer.write(request())
@@ -625,7 +639,7 @@
             one.server.stop(ended.set)
             one.server.shutdown.stop_listening()
             assert not ended.is_set()
-            go.set()
+            may_continue.set()
             assert await reader.readexactly(len(BIG)) == BIG
             await ended.wait()
             assert one.server.connections == set()
@@ -635,24 +649,24 @@
 
 
 @pytest.mark.parametrize("stays", [True, False])
-def test_an_answer_that_keeps_coming_is_waited_for_and_one_that_stops_is_not(stays: bool) -> None:
+def test_an_answer_times_out_only_if_it_stalls(stays: bool) -> None:
     async def main() -> None:
-        go = asyncio.Event()
+        may_continue = asyncio.Event()
 
         async def rest(writer: Writer) -> None:
-            await go.wait()
+            await may_continue.wait()
             writer.write(b"6789")
 
-        endpoint = giving(answer(200, b"123456789")[:-4], rest)
+        endpoint = endpoint_sending(answer(200, b"123456789")[:-4], rest)
         async with sidecar(endpoint) as one:
             asked = asyncio.create_task(one.send(request("pay", b"b")))
-            await until(lambda: bool(one.upstream.receiving.waiting_since))
+            await wait_until(lambda: bool(one.upstream.receiving.waiting_since))
             (link,) = one.upstream.receiving.waiting_since
             if stays:
-                link.received_at_check = 0  # something came since it was looked at last
+                link.received_at_check = 0  # bytes have arrived since the last check
                 del one.upstream.receiving.waiting_since[link]
                 link.on_response_timeout()
-                go.set()
+                may_continue.set()
                 assert (await asked).body == b"123456789"
             else:
                 link.on_response_timeout()
@@ -661,10 +675,10 @@
     run(main())
 
 
-@pytest.mark.parametrize("held", [False, True], ids=["comes-slowly", "is-held"])
-def test_an_answer_that_is_passed_on_keeps_a_pace(held: bool) -> None:
-    """One that trickles for ever is cut, so that its client can tell; the time in which the client had no
-    room does not count."""
+@pytest.mark.parametrize("is_paused", [False, True], ids=["too-slow", "paused-by-client"])
+def test_a_streamed_answer_needs_a_minimum_throughput(is_paused: bool) -> None:
+    """A streamed answer that is too slow is cut off, so that its client sees an error. Time during which the
+    client did not read does not count."""
 
     async def main() -> None:
         more = asyncio.Event()
@@ -673,36 +687,38 @@
             await more.wait()
             writer.write(b"x")
 
-        endpoint = giving(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % MB + bytes(128 * 1024), trickle)
+        endpoint = endpoint_sending(
+            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % MB + bytes(128 * 1024), trickle
+        )
         async with sidecar(endpoint) as one:
             reader, writer = await one.connect()
             writer.write(request())
             await reader.readuntil(b"\r\n\r\n")
             await reader.readexactly(128 * 1024)
             (link,) = one.upstream.streaming.waiting_since
-            pace_s = GRACE_S + link.size / MIN_RATE_BYTES_PER_S
-            if held:
+            allowed_s = GRACE_S + link.size / MIN_RATE_BYTES_PER_S
+            if is_paused:
                 link.pause()
-                link.paused_since -= pace_s + 60.0
-                link.streaming_since -= pace_s + 60.0
+                link.paused_since -= allowed_s + 60.0
+                link.streaming_since -= allowed_s + 60.0
                 link.resume()
             else:
-                link.streaming_since -= pace_s
+                link.streaming_since -= allowed_s
             more.set()
-            if held:
+            if is_paused:
                 assert await reader.readexactly(1) == b"x" and one.upstream.connections
                 writer.close()
             else:
                 with pytest.raises(asyncio.IncompleteReadError):
                     await reader.readexactly(MB - 128 * 1024)
-                await until(lambda: counted(one) == (0, 0, 1, 0, 0))
-                nothing_held(one)
+                await wait_until(lambda: request_counts(one) == (0, 0, 1, 0, 0))
+                assert_nothing_left(one)
 
     run(main())
 
 
-def test_memory_held_for_bodies_is_bounded_and_given_back() -> None:
-    """Forty uploads at once, none of them whole: what is over the budget is streamed."""
+def test_memory_for_buffered_bodies_is_bounded_and_released() -> None:
+    """Forty concurrent, incomplete uploads: those beyond the budget are streamed."""
 
     async def main() -> None:
         endpoint = Endpoint(never_answer)
@@ -711,12 +727,12 @@
             streams = [await one.connect() for _ in range(40)]
             for n, (_, writer) in enumerate(streams):
                 writer.write(head(MB, rid=f"r{n}") + BIG[:300_000])
-            await until(lambda: sum(caller.size >= 300_000 for caller in one.server.connections) == 40)
+            await wait_until(lambda: sum(caller.size >= 300_000 for caller in one.server.connections) == 40)
             assert one.server.request_budget.used <= MB
             assert sum(caller.upload is not None for caller in one.server.connections) > 30
             for _, writer in streams:
                 writer.transport.abort()
-            await until(lambda: not one.server.connections and not one.engine.calls)
-            nothing_held(one)
+            await wait_until(lambda: not one.server.connections and not one.engine.calls)
+            assert_nothing_left(one)
 
     run(main())
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -1,4 +1,4 @@
-"""Every socket test of the daemon is played on the library too, or stands in the table."""
+"""Every socket test of the daemon also runs on the library, or is listed in `tests.fronts.HOST_ONLY`."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from tests import fronts
 
 
-def played(front: str) -> set[str]:
+def cases_on(front: str) -> set[str]:
     return {name for _, name, seen in fronts.SEEN if seen == front}
 
 
-def test_each_case_is_played_on_both_fronts_or_stands_in_the_table(request: pytest.FixtureRequest) -> None:
+def test_each_case_runs_on_both_fronts_or_is_listed_as_host_only(request: pytest.FixtureRequest) -> None:
     if {module for module, _, _ in fronts.SEEN} != set(fronts.SHARED):
         pytest.skip("only a part of the tests was asked for")
-    assert played("daemon") == played("library"), "nothing is skipped silently"
-    known = played("daemon") | {name.partition("[")[0] for name in played("daemon")}
+    assert cases_on("daemon") == cases_on("library"), "no case is skipped silently"
+    known = cases_on("daemon") | {name.partition("[")[0] for name in cases_on("daemon")}
     stale = [name for name in fronts.HOST_ONLY if name not in known]
-    assert not stale, "the table names what is no test"
-    kept = {fronts.case(item)[1] for item in request.session.items if fronts.is_shared(item)}
-    assert len(kept) > 100 and all(reason for reason in fronts.HOST_ONLY.values())
+    assert not stale, "HOST_ONLY names tests that do not exist"
+    shared_cases = {fronts.case(item)[1] for item in request.session.items if fronts.is_shared(item)}
+    assert len(shared_cases) > 100 and all(reason for reason in fronts.HOST_ONLY.values())
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,7 +1,7 @@
 """The import contract: which package may import which, and no cycles between modules.
 
-`docs/architecture.md` draws the layers. Imports inside functions and under
-`TYPE_CHECKING` count like any other.
+`docs/architecture.md` describes the layers. Imports inside functions and under `TYPE_CHECKING` count like any
+other.
 """
 
 from __future__ import annotations
@@ -15,7 +15,8 @@
 ROOT = Path(__file__).parent.parent
 PACKAGE = "laurelstep"
 
-# What each layer may import beside itself; packages that are not named here are wiring or programs.
+# The layers that each layer may import beside itself. Packages that are not listed assemble the others, or
+# are programs.
 ALLOWED: Mapping[str, frozenset[str]] = {
     "errors": frozenset(),
     "balancing": frozenset(),
@@ -40,7 +41,7 @@
 
 
 def imports_of(source: str, known: frozenset[str]) -> set[str]:
-    """The modules of the package that a module's source imports, wherever the statement stands."""
+    """The modules of the package that a source imports, wherever the import statement is."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Import):
@@ -55,23 +56,23 @@
 
 
 def import_graph() -> dict[str, set[str]]:
-    """Each module of the package with the modules of the package that it imports."""
+    """Each module of the package, with the modules of the package that it imports."""
     paths = {module_name(path): path for path in (ROOT / PACKAGE).rglob("*.py")}
     known = frozenset(paths)
     return {name: imports_of(path.read_text(), known) - {name} for name, path in paths.items()}
 
 
 def cycles(graph: Mapping[str, Iterable[str]]) -> list[set[str]]:
-    """The groups of modules that import each other, directly or by way of others."""
+    """The groups of modules that import each other, directly or through others."""
     reachable: dict[str, set[str]] = {}
     for start in graph:
         seen: set[str] = set()
-        waiting = list(graph[start])
-        while waiting:
-            module = waiting.pop()
+        pending = list(graph[start])
+        while pending:
+            module = pending.pop()
             if module not in seen:
                 seen.add(module)
-                waiting.extend(graph.get(module, ()))
+                pending.extend(graph.get(module, ()))
         reachable[start] = seen
     groups: list[set[str]] = []
     for module, seen in reachable.items():
@@ -82,7 +83,7 @@
 
 
 def layer_of(module: str) -> str:
-    """The part of a module's name below the package: that of its layer."""
+    """The layer of a module: the part of its dotted name after the package."""
     parts = module.split(".")
     return parts[1] if len(parts) > 1 else ""
 
@@ -92,32 +93,32 @@
 
 
 @pytest.mark.parametrize("layer", sorted(ALLOWED))
-def test_a_layer_imports_only_what_lies_below_it(layer: str) -> None:
+def test_a_layer_imports_only_the_layers_below_it(layer: str) -> None:
     allowed = ALLOWED[layer] | {layer}
     graph = import_graph()
     assert any(layer_of(module) == layer for module in graph), f"no module in {layer}"
-    beyond = {
+    violations = {
         (module, imported)
         for module, imports in graph.items()
         if layer_of(module) == layer
         for imported in imports
         if layer_of(imported) not in allowed
     }
-    assert beyond == set()
+    assert violations == set()
 
 
 def test_no_library_code_imports_a_program() -> None:
-    beyond = {
+    violations = {
         (module, imported)
         for module, imports in import_graph().items()
         if layer_of(module) not in PROGRAMS
         for imported in imports
         if layer_of(imported) in PROGRAMS
     }
-    assert beyond == set()
+    assert violations == set()
 
 
-def test_cycles_are_found_by_way_of_others() -> None:
+def test_cycles_through_several_modules_are_found() -> None:
     graph = {"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}
     assert cycles(graph) == [{"a", "b", "c"}]
 
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The phases of a daemon: every question in every phase, and what each phase means."""
+"""The phases of a daemon: every event in every phase, and what each phase means for clients."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from laurelstep.lifecycle import Lifecycle, Phase
 from laurelstep.lifecycle.phases import IDLE_CLOSE_DELAY_S
 
-WAYS = {
+EVENTS_TO = {
     Phase.STARTING: (),
     Phase.SERVING: ("serve",),
     Phase.DRAINING: ("serve", "evacuate"),
@@ -15,16 +15,16 @@
 }
 
 
-def led_to(phase: Phase) -> Lifecycle:
-    one = Lifecycle()
-    for asked in WAYS[phase]:
-        assert getattr(one, asked)(0.0)
-    assert one.phase == phase
-    return one
+def lifecycle_in(phase: Phase) -> Lifecycle:
+    lifecycle = Lifecycle()
+    for event in EVENTS_TO[phase]:
+        assert getattr(lifecycle, event)(0.0)
+    assert lifecycle.phase == phase
+    return lifecycle
 
 
 @pytest.mark.parametrize(
-    ("asked", "becomes"),
+    ("event", "next_phases"),
     [
         ("serve", {Phase.STARTING: Phase.SERVING}),
         (
@@ -44,36 +44,38 @@
         ("stop", {phase: Phase.STOPPING for phase in Phase if phase != Phase.STOPPING}),
     ],
 )
-def test_each_question_has_one_stated_result_in_each_phase(asked: str, becomes: dict[Phase, Phase]) -> None:
+def test_each_event_has_its_specified_result_in_each_phase(
+    event: str, next_phases: dict[Phase, Phase]
+) -> None:
     for phase in Phase:
-        one = led_to(phase)
-        assert getattr(one, asked)(1.0) is (phase in becomes), phase
-        assert one.phase == becomes.get(phase, phase)
+        lifecycle = lifecycle_in(phase)
+        assert getattr(lifecycle, event)(1.0) is (phase in next_phases), phase
+        assert lifecycle.phase == next_phases.get(phase, phase)
 
 
-def test_ready_is_said_and_connections_are_kept_while_serving_alone() -> None:
+def test_only_while_serving_it_is_ready_and_keeps_connections() -> None:
     for phase in Phase:
-        one = led_to(phase)
-        assert one.is_ready == one.allows_keep_alive == (phase == Phase.SERVING)
+        lifecycle = lifecycle_in(phase)
+        assert lifecycle.is_ready == lifecycle.allows_keep_alive == (phase == Phase.SERVING)
 
 
-def test_what_is_asked_twice_changes_nothing_and_is_told_to_nobody() -> None:
-    one, heard = led_to(Phase.SERVING), []
-    one.observers.append(lambda: heard.append(one.phase))
-    assert one.evacuate(10.0) and one.evacuate(11.0)
-    assert one.since == 10.0, "a second call does not put the drain off"
-    assert one.rejoin(12.0) and one.rejoin(13.0)
-    assert heard == [Phase.DRAINING, Phase.SERVING]
+def test_a_repeated_event_changes_nothing_and_notifies_no_observer() -> None:
+    lifecycle, phases = lifecycle_in(Phase.SERVING), []
+    lifecycle.observers.append(lambda: phases.append(lifecycle.phase))
+    assert lifecycle.evacuate(10.0) and lifecycle.evacuate(11.0)
+    assert lifecycle.since == 10.0, "a second call does not postpone the end of the drain"
+    assert lifecycle.rejoin(12.0) and lifecycle.rejoin(13.0)
+    assert phases == [Phase.DRAINING, Phase.SERVING]
 
 
-def test_a_connection_is_late_once_those_at_rest_are_gone() -> None:
-    one = led_to(Phase.SERVING)
-    assert not one.has_short_request_timeout(100.0)
-    one.evacuate(100.0)
-    assert not one.has_short_request_timeout(
+def test_a_new_connection_has_a_short_timeout_once_idle_ones_are_closed() -> None:
+    lifecycle = lifecycle_in(Phase.SERVING)
+    assert not lifecycle.has_short_request_timeout(100.0)
+    lifecycle.evacuate(100.0)
+    assert not lifecycle.has_short_request_timeout(
         100.0 + IDLE_CLOSE_DELAY_S - 0.1
-    ) and one.has_short_request_timeout(100.0 + IDLE_CLOSE_DELAY_S)
-    one.drained(103.0)
-    assert one.has_short_request_timeout(103.0)
-    one.rejoin(104.0)
-    assert not one.has_short_request_timeout(104.0)
+    ) and lifecycle.has_short_request_timeout(100.0 + IDLE_CLOSE_DELAY_S)
+    lifecycle.drained(103.0)
+    assert lifecycle.has_short_request_timeout(103.0)
+    lifecycle.rejoin(104.0)
+    assert not lifecycle.has_short_request_timeout(104.0)
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -1,4 +1,4 @@
-"""Long lists: read and applied in steps, with the same end as at once, while requests go on."""
+"""Long lists are parsed and applied in steps, with the same result as at once, while requests are served."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class Copy:
-    """An engine without sockets, that takes its lists at once or in steps."""
+    """An engine without sockets that applies lists at once or in steps."""
 
     def __init__(self, seed: int = 1) -> None:
         self.clock = ManualClock()
@@ -51,14 +51,14 @@
         )
         self.engine.start()
 
-    def at_once(self, whole: bool, entries: list[dict[str, Any]]) -> None:
-        self.engine.on_list(1, whole, entries)
+    def apply_at_once(self, is_full: bool, entries: list[dict[str, Any]]) -> None:
+        self.engine.on_list(1, is_full, entries)
 
-    def in_steps(self, whole: bool, entries: list[dict[str, Any]]) -> Iterator[None]:
-        return self.engine.apply_list_in_steps(whole, entries, self.clock.now())
+    def apply_in_steps(self, is_full: bool, entries: list[dict[str, Any]]) -> Iterator[None]:
+        return self.engine.apply_list_in_steps(is_full, entries, self.clock.now())
 
-    def seen(self) -> object:
-        """What decides where requests may go."""
+    def routing_state(self) -> object:
+        """The state that decides where requests may go."""
         balancer = self.engine.balancer
         by_zone = balancer.membership.ring.by_zone
         return (
@@ -74,38 +74,40 @@
         )
 
 
-LISTED = st.tuples(
+LISTED_ENTRIES = st.tuples(
     st.integers(0, 12),
     st.sampled_from(("ready", "ready", "draining", "gone")),
     st.sampled_from(({}, {"weight": 2.0}, {"startedAtMs": 1_600_000_000_000}, {"hostPort": "127.0.0.1:7"})),
 )
 Lists = list[tuple[bool, list[tuple[int, str, dict[str, Any]]], int]]
-LISTS = st.lists(st.tuples(st.booleans(), st.lists(LISTED, max_size=12), st.integers(0, 400_000)), max_size=8)
+LISTS = st.lists(
+    st.tuples(st.booleans(), st.lists(LISTED_ENTRIES, max_size=12), st.integers(0, 400_000)), max_size=8
+)
 
 
 @given(LISTS)
-def test_in_steps_ends_as_at_once(
+def test_lists_applied_in_steps_and_at_once_give_the_same_state(
     lists: list[tuple[bool, list[tuple[int, str, dict[str, Any]]], int]],
 ) -> None:
-    whole, sliced = Copy(), Copy()
-    for full, listed, later in lists:
-        # A list names an endpoint once.
+    at_once, in_steps = Copy(), Copy()
+    for is_full, listed, pause_us in lists:
+        # A list names each endpoint once.
         entries = list({name: raw(name, phase, **more) for name, phase, more in listed}.values())
-        whole.at_once(full, entries)
-        for _ in sliced.in_steps(full, entries):
+        at_once.apply_at_once(is_full, entries)
+        for _ in in_steps.apply_in_steps(is_full, entries):
             pass
-        assert whole.seen() == sliced.seen()
-        whole.clock.advance(later)
-        sliced.clock.advance(later)
+        assert at_once.routing_state() == in_steps.routing_state()
+        at_once.clock.advance(pause_us)
+        in_steps.clock.advance(pause_us)
 
 
 @given(st.permutations(range(40)))
-def test_ids_in_another_order_give_the_same_cut(order: list[int]) -> None:
+def test_the_order_of_the_entries_does_not_matter(order: list[int]) -> None:
     one, other = Copy(), Copy()
-    one.at_once(True, [raw(name) for name in range(40)])
-    for _ in other.in_steps(True, [raw(name) for name in order]):
+    one.apply_at_once(True, [raw(name) for name in range(40)])
+    for _ in other.apply_in_steps(True, [raw(name) for name in order]):
         pass
-    assert one.seen()[:3] == other.seen()[:3]  # type: ignore[index]
+    assert one.routing_state()[:3] == other.routing_state()[:3]  # type: ignore[index]
 
 
 TEXT = st.text('ab0.-"\\{}[]:,\n é', max_size=3)
@@ -117,7 +119,7 @@
 OBJECTS = st.dictionaries(st.sampled_from(("instances", "generation", "x")), JSON, max_size=3)
 
 
-def exhausted(text: str) -> Any:
+def run_to_end(text: str) -> Any:
     steps = parse_in_steps(text)
     while True:
         try:
@@ -127,9 +129,9 @@
 
 
 @given(OBJECTS, st.integers(0, 3))
-def test_an_object_is_read_as_json_does(value: dict[str, Any], indent: int) -> None:
+def test_an_object_is_parsed_as_by_the_json_module(value: dict[str, Any], indent: int) -> None:
     text = json.dumps(value, indent=indent or None)
-    assert exhausted(text) == json.loads(text)
+    assert run_to_end(text) == json.loads(text)
 
 
 @given(
@@ -137,7 +139,7 @@
     st.integers(0, 300),
     st.text(max_size=2),
 )
-def test_what_json_does_not_read_is_an_error_here_too(value: dict[str, Any], at: int, noise: str) -> None:
+def test_text_that_the_json_module_rejects_is_rejected(value: dict[str, Any], at: int, noise: str) -> None:
     text = json.dumps(value)
     text = text[:at] + noise + text[at + 1 :]
     try:
@@ -145,102 +147,109 @@
     except ValueError:
         read = None
     if isinstance(read, dict):
-        assert exhausted(text) == read
+        assert run_to_end(text) == read
     else:
         with pytest.raises(ValueError):
-            exhausted(text)
+            run_to_end(text)
 
 
-def test_no_step_reads_or_tells_more_than_its_part() -> None:
-    """The longest hold, counted in entries: steady where a time would not be."""
-    copy = Copy()
-    counted = {"read": 0, "told": 0}
-    real_read, real_told = copy.engine.endpoints.read_entry, copy.engine.decisions.members
+def test_no_step_processes_more_entries_than_its_limit() -> None:
+    """Bounds how long a step blocks the loop. Counts entries, because times depend on the machine."""
+    engine_copy = Copy()
+    counts = {"parsed": 0, "reported": 0}
+    real_read_entry, real_members = (
+        engine_copy.engine.endpoints.read_entry,
+        engine_copy.engine.decisions.members,
+    )
 
-    class Watched:
+    class CountingBalancer:
         def __getattr__(self, name: str) -> Any:
-            return getattr(copy.engine.balancer, name)
+            return getattr(engine_copy.engine.balancer, name)
 
         def members(self, now: int, mode: int, entries: list[Entry]) -> list[Action]:
-            counted["told"] += len(entries)
+            counts["reported"] += len(entries)
             assert mode in (LIST_PARTIAL, LIST_DELTA)
-            return real_told(now, mode, entries)
+            return real_members(now, mode, entries)
 
-    class Reading:
+    class CountingTable:
         def __getattr__(self, name: str) -> Any:
-            return getattr(members, name)
+            return getattr(table, name)
 
-        def read_entry(self, one: Any) -> Any:
-            counted["read"] += 1
-            return real_read(one)
+        def read_entry(self, raw_entry: Any) -> Any:
+            counts["parsed"] += 1
+            return real_read_entry(raw_entry)
 
-    members = copy.engine.endpoints
-    copy.engine.decisions = cast(Decisions, Watched())
+    table = engine_copy.engine.endpoints
+    engine_copy.engine.decisions = cast(Decisions, CountingBalancer())
     entries = [raw(name) for name in range(10_000)]
-    tell = copy.engine._dispatch_part
+    on_part = engine_copy.engine._dispatch_part
     steps = 0
     for listed in (entries, [raw(name, hostPort="127.0.0.1:8") for name in range(5_000, 15_000)], []):
-        counted.update(read=0, told=0)
-        at = 0, 0
-        for _ in apply_in_steps(cast(EndpointTable, Reading()), True, listed, copy.clock.now(), tell):
-            now = counted["read"], counted["told"]
-            assert now[0] - at[0] <= STEP_ENTRIES and now[1] - at[1] <= STEP_ENTRIES
-            at = now
+        counts.update(parsed=0, reported=0)
+        before = 0, 0
+        for _ in apply_in_steps(
+            cast(EndpointTable, CountingTable()), True, listed, engine_copy.clock.now(), on_part
+        ):
+            now = counts["parsed"], counts["reported"]
+            assert now[0] - before[0] <= STEP_ENTRIES and now[1] - before[1] <= STEP_ENTRIES
+            before = now
             steps += 1
-        assert counted["read"] - at[0] <= STEP_ENTRIES and counted["told"] - at[1] <= STEP_ENTRIES
-    assert steps > 1_000 and not on_ring(copy.engine.balancer)
+        assert counts["parsed"] - before[0] <= STEP_ENTRIES and counts["reported"] - before[1] <= STEP_ENTRIES
+    assert steps > 1_000 and not on_ring(engine_copy.engine.balancer)
 
 
-def test_a_request_never_sees_half_of_a_cut() -> None:
-    copy = Copy()
-    copy.at_once(True, [raw(name) for name in range(4)])
-    before = on_ring(copy.engine.balancer)
-    steps = copy.in_steps(True, [raw(name) for name in range(500)])
+def test_a_request_never_sees_a_list_that_is_applied_in_part() -> None:
+    engine_copy = Copy()
+    engine_copy.apply_at_once(True, [raw(name) for name in range(4)])
+    before = on_ring(engine_copy.engine.balancer)
+    steps = engine_copy.apply_in_steps(True, [raw(name) for name in range(500)])
     for _ in steps:
-        assert on_ring(copy.engine.balancer) == before
-    assert len(on_ring(copy.engine.balancer)) == 500
+        assert on_ring(engine_copy.engine.balancer) == before
+    assert len(on_ring(engine_copy.engine.balancer)) == 500
 
 
-def test_what_leaves_is_told_before_what_comes() -> None:
-    copy = Copy()
-    copy.at_once(True, [raw(name) for name in range(100)])
+def test_withdrawn_endpoints_are_reported_before_new_ones() -> None:
+    engine_copy = Copy()
+    engine_copy.apply_at_once(True, [raw(name) for name in range(100)])
     listed = [*(raw(name) for name in range(50, 1_000)), raw(99, "draining")]
     left = {endpoint_number(f"s-{name}") for name in (*range(50), 99)}
-    for _ in copy.in_steps(True, [one for one in listed if one != raw(99)]):
-        ready = {one.id for one in copy.engine.balancer.endpoints.values() if one.is_ready}
-        if any(one.is_staged for one in copy.engine.balancer.endpoints.values()):
+    for _ in engine_copy.apply_in_steps(True, [one for one in listed if one != raw(99)]):
+        ready = {one.id for one in engine_copy.engine.balancer.endpoints.values() if one.is_ready}
+        if any(one.is_staged for one in engine_copy.engine.balancer.endpoints.values()):
             assert not ready & left
-    assert not set(on_ring(copy.engine.balancer)) & left
+    assert not set(on_ring(engine_copy.engine.balancer)) & left
 
 
-def test_a_long_list_with_a_bad_entry_changes_nothing() -> None:
-    copy = Copy()
-    copy.at_once(True, [raw(name) for name in range(100)])
-    before = copy.seen()
+def test_a_long_list_with_a_malformed_entry_changes_nothing() -> None:
+    engine_copy = Copy()
+    engine_copy.apply_at_once(True, [raw(name) for name in range(100)])
+    before = engine_copy.routing_state()
     bad = [*(raw(name, "draining") for name in range(100)), {"instanceId": "s-1"}]
     with pytest.raises(ValueError, match="malformed entry"):
-        for _ in copy.in_steps(True, bad):
+        for _ in engine_copy.apply_in_steps(True, bad):
             pass
-    assert copy.seen() == before
+    assert engine_copy.routing_state() == before
 
 
-def test_an_endpoint_that_leaves_and_returns_in_one_storm() -> None:
-    copy = Copy()
-    copy.at_once(True, [raw(name) for name in range(10)])
+def test_endpoints_that_leave_and_return_many_times() -> None:
+    engine_copy = Copy()
+    engine_copy.apply_at_once(True, [raw(name) for name in range(10)])
     rng = random.Random(7)
     listed = set(range(10))
     for _ in range(2_000):
         name = rng.randrange(30)
         phase = "gone" if name in listed else "ready"
         (listed.discard if name in listed else listed.add)(name)
-        copy.at_once(False, [raw(name, phase)])
-        copy.clock.advance(1_000)
+        engine_copy.apply_at_once(False, [raw(name, phase)])
+        engine_copy.clock.advance(1_000)
     ready = {endpoint_number(f"s-{name}") for name in listed}
-    assert set(on_ring(copy.engine.balancer)) == ready == copy.upstream.known_endpoints
-    assert len(copy.engine.endpoints.by_number) <= 30, "what left is forgotten after the grace"
+    assert set(on_ring(engine_copy.engine.balancer)) == ready == engine_copy.upstream.known_endpoints
+    assert len(engine_copy.engine.endpoints.by_number) <= 30, (
+        "withdrawn endpoints are removed after the drain grace"
+    )
 
 
-# --- On sockets -------------------------------------------------------------------------
+# With sockets
 
 
 def source(one: Sidecar) -> Discovery:
@@ -252,13 +261,13 @@
     return [*first, *(raw(name, hostPort="127.0.0.1:9", zone="here") for name in range(count))]
 
 
-def test_a_drain_at_the_end_of_a_long_list_is_kept_while_requests_go_on() -> None:
+def test_a_drain_at_the_end_of_a_long_list_is_respected_while_requests_are_served() -> None:
     async def main() -> None:
         stays, drains, registry = Endpoint(), Endpoint(), Registry()
         async with sidecar(stays, drains, registry=registry) as one:
-            source(one).background.slice_s = 0.0  # each step a slice of its own
+            source(one).background.slice_s = 0.0  # each step runs in its own slice
             _, watch = await registry.asked.get()
-            told = record_outcomes(one.engine)
+            outcomes_seen = record_outcomes(one.engine)
             listed = [stays.entry("s-a"), *(raw(n, "draining") for n in range(10_000))]
             listed.append(drains.entry("s-1", lifecycle="draining"))
             push(watch, 42, True, *listed)
@@ -273,13 +282,13 @@
             before = len(drains.got)
             for n in range(20):
                 assert (await one.send(request(rid=f"x{n}"))).body == b"ok"
-            assert len(drains.got) == before and len(told) >= served
+            assert len(drains.got) == before and len(outcomes_seen) >= served
             assert on_ring(one.engine.balancer) == [endpoint_number("s-a")]
 
     run(main())
 
 
-def test_a_list_that_comes_while_the_last_is_applied_waits_for_it() -> None:
+def test_a_list_that_arrives_while_another_is_applied_waits_for_it() -> None:
     async def main() -> None:
         first, second, registry = Endpoint(), Endpoint(), Registry()
         async with sidecar(first, second, registry=registry) as one:
@@ -304,7 +313,7 @@
     run(main())
 
 
-def test_a_long_list_that_is_spoilt_is_told_and_the_watch_opened_anew(logged: Logged) -> None:
+def test_a_malformed_long_list_is_logged_and_the_watch_opened_again(logged: Logged) -> None:
     async def main() -> None:
         endpoint, registry = Endpoint(), Registry()
         async with sidecar(endpoint, registry=registry) as one:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,7 +1,7 @@
-"""Memory that a request leaves behind: none, on every way that a request can go.
+"""Guards against memory leaks: a request leaves no memory allocated, whatever its result.
 
-Counts the interpreter's blocks, not megabytes: what is lost shows after some hundred requests.
-Also for the compiled modules, where a fault of the compiler can lose what no collector finds."""
+The test counts allocated blocks of the interpreter, so that a leak shows after some hundred requests. It also
+covers the compiled modules, where a fault of the compiler can leak memory that no garbage collector finds."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def compiled_modules() -> tuple[str, ...]:
-    """The names in setup.py, which can't be imported."""
+    """The compiled modules by `MODULES` in setup.py, which can't be imported."""
     for node in ast.parse((ROOT / "setup.py").read_text()).body:
         if isinstance(node, ast.Assign) and ast.unparse(node.targets[0]) == "MODULES":
             names: tuple[str, ...] = eval(compile(ast.Expression(node.value), "setup.py", "eval"))
@@ -40,39 +40,51 @@
 
 
 ROUNDS = 120
-WAYS = ("served", "anew", "error", "full", "reset", "keyed", "late", "bad", "gone", "closed", "chunked")
+SCENARIOS = (
+    "served",
+    "reconnect",
+    "error",
+    "full",
+    "reset",
+    "keyed",
+    "late",
+    "bad",
+    "gone",
+    "closed",
+    "chunked",
+)
 
 
-def script(way: str) -> Handler:
+def handler_for(scenario: str) -> Handler:
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         endpoint.got.clear()
         endpoint.effects.by_id.clear()
         endpoint.effects.by_key.clear()
-        if way == "error":
+        if scenario == "error":
             writer.write(answer(500))
-        elif way == "full":
+        elif scenario == "full":
             writer.write(answer(503, headers="X-Not-Run: 1\r\n"))
-        elif way == "reset":
+        elif scenario == "reset":
             reset_connection(writer)
-        elif way == "closed":
+        elif scenario == "closed":
             writer.write(answer(headers="Connection: close\r\n"))
-        elif way == "chunked":
+        elif scenario == "chunked":
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n")
-        elif way not in ("late", "gone"):
+        elif scenario not in ("late", "gone"):
             writer.write(answer(headers="X-Load: queue=2,qps=5.5\r\n"))
 
     return handler
 
 
-async def ask(one: Sidecar, caller: Caller, way: str, n: int) -> None:
+async def ask(one: Sidecar, caller: Caller, scenario: str, n: int) -> None:
     hint = "X-Cost-Hint: 18970\r\n"
-    if way == "keyed":
+    if scenario == "keyed":
         await caller.ask(request("put", b"body", hint, rid=f"r{n}", key=f"k{n}"))
-    elif way in ("late", "full"):
+    elif scenario in ("late", "full"):
         await caller.ask(request(headers=hint, rid=f"r{n}", deadline_ms=1))
-    elif way == "bad":
+    elif scenario == "bad":
         await caller.ask(request(headers="X-Class: page\r\n", rid=f"r{n}"))
-    elif way == "gone":
+    elif scenario == "gone":
         _, writer = await one.connect()
         writer.write(request(rid=f"r{n}"))
         while not one.engine.calls:
@@ -82,13 +94,13 @@
             await asyncio.sleep(0)
     else:
         await caller.ask(request(headers=hint, rid=f"r{n}"))
-        if way == "anew":
+        if scenario == "reconnect":
             caller.close()
 
 
-async def blocks_after(one: Sidecar, caller: Caller, way: str, first: int) -> int:
+async def blocks_after_rounds(one: Sidecar, caller: Caller, scenario: str, first: int) -> int:
     for n in range(first, first + ROUNDS):
-        await ask(one, caller, way, n)
+        await ask(one, caller, scenario, n)
     caller.close()
     while one.connection_count or one.engine.calls:
         await asyncio.sleep(0)
@@ -96,15 +108,17 @@
     return sys.getallocatedblocks()
 
 
-@pytest.mark.parametrize(("way", "stage"), [(way, 1) for way in WAYS] + [("served", 0), ("full", 0)])
-def test_a_request_leaves_nothing_behind(way: str, stage: int) -> None:
+@pytest.mark.parametrize(
+    ("scenario", "stage"), [(scenario, 1) for scenario in SCENARIOS] + [("served", 0), ("full", 0)]
+)
+def test_a_request_leaves_no_memory_allocated(scenario: str, stage: int) -> None:
     async def main() -> None:
-        async with sidecar(*(Endpoint(script(way)) for _ in range(3)), stage=stage) as one:
+        async with sidecar(*(Endpoint(handler_for(scenario)) for _ in range(3)), stage=stage) as one:
             caller = Caller("127.0.0.1", one.port)
-            await blocks_after(one, caller, way, 0)
-            before = await blocks_after(one, caller, way, ROUNDS)
-            grown = await blocks_after(one, caller, way, 2 * ROUNDS) - before
-            assert grown < ROUNDS, f"{grown / ROUNDS:.2f} blocks for each request"
+            await blocks_after_rounds(one, caller, scenario, 0)
+            before = await blocks_after_rounds(one, caller, scenario, ROUNDS)
+            growth = await blocks_after_rounds(one, caller, scenario, 2 * ROUNDS) - before
+            assert growth < ROUNDS, f"{growth / ROUNDS:.2f} blocks for each request"
 
     run(main())
 
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -1,4 +1,4 @@
-"""Descriptors and memory when many come at once: shares, who gives way, half-written heads."""
+"""Descriptors and memory under many connections: limits, eviction, and partial request heads."""
 
 from __future__ import annotations
 
@@ -20,60 +20,78 @@
 )
 from laurelstep.testing import Caller
 
-from tests.sockets import Endpoint, Reader, Sidecar, Writer, answer, read_message, request, run, sidecar
-from tests.sockets import never_answer as hold_back
+from tests.sockets import (
+    Endpoint,
+    Reader,
+    Sidecar,
+    Writer,
+    answer,
+    never_answer,
+    read_message,
+    request,
+    run,
+    sidecar,
+)
 
 PAGE = request()
-HALF = PAGE.replace(b"\r\n\r\n", b"\r\nX-Extras: " + b"x" * 20_000)
+PARTIAL_HEAD = PAGE.replace(b"\r\n\r\n", b"\r\nX-Extras: " + b"x" * 20_000)
 
 
 @given(st.integers(0, 5000), st.booleans(), st.integers(1, 2))
-def test_the_shares_of_all_are_within_what_is_allowed(sockets: int, managed: bool, processes: int) -> None:
-    side = connections_per_side(sockets, managed, processes)
-    apart = RESERVED_DESCRIPTORS + RESERVED_FOR_MANAGEMENT * managed
-    assert side >= MIN_CONNECTIONS_PER_SIDE
-    if side > MIN_CONNECTIONS_PER_SIDE:
-        assert processes * (2 * side + apart) <= min(sockets, MAX_SOCKETS)
-    assert connections_per_side(sockets, managed, 2) <= connections_per_side(sockets, managed, 1)
+def test_the_limits_add_up_to_the_allowed_sockets_at_most(
+    sockets: int, has_management: bool, processes: int
+) -> None:
+    limit = connections_per_side(sockets, has_management, processes)
+    reserved = RESERVED_DESCRIPTORS + RESERVED_FOR_MANAGEMENT * has_management
+    assert limit >= MIN_CONNECTIONS_PER_SIDE
+    if limit > MIN_CONNECTIONS_PER_SIDE:
+        assert processes * (2 * limit + reserved) <= min(sockets, MAX_SOCKETS)
+    assert connections_per_side(sockets, has_management, 2) <= connections_per_side(
+        sockets, has_management, 1
+    )
 
 
 @given(st.integers(0, 600), st.integers(1, 600))
-def test_who_waits_longest_gives_way_and_those_that_ask_are_not_among_them(owed: int, most: int) -> None:
-    order = eviction_order(owed, most)
+def test_closing_connections_are_evicted_first_and_partial_requests_beyond_a_third_next(
+    awaiting_request: int, limit: int
+) -> None:
+    order = eviction_order(awaiting_request, limit)
     assert sorted(order) == [CLOSING, IDLE, AWAITING_REQUEST] and order[0] == CLOSING
-    assert (order[1] == AWAITING_REQUEST) == (3 * owed >= 3 * (most // 3) + 3)
+    assert (order[1] == AWAITING_REQUEST) == (3 * awaiting_request >= 3 * (limit // 3) + 3)
 
 
-async def until_counted(one: Sidecar, halves: int) -> None:
-    while sum(caller.received > 20_000 for caller in one.server.connections) < halves:
+async def wait_for_partial_heads(one: Sidecar, expected: int) -> None:
+    while sum(caller.received > 20_000 for caller in one.server.connections) < expected:
         await asyncio.sleep(0)
 
 
-async def said(reader: Reader) -> int:
-    """The status that a connection was given, 0 if it ended with none."""
+async def status_of(reader: Reader) -> int:
+    """The status of the answer on a connection, 0 if the connection ended without one."""
     try:
         return (await read_message(reader)).status
     except (asyncio.IncompleteReadError, OSError):
         return 0
 
 
-def test_half_written_heads_are_bounded_and_the_oldest_gives_way() -> None:
+def test_memory_for_partial_heads_is_bounded_and_the_oldest_is_evicted() -> None:
     async def main() -> None:
         async with sidecar(Endpoint()) as one:
-            one.server.request_budget.limit = 10 * (len(HALF) - UNCOUNTED_BYTES)
+            one.server.request_budget.limit = 10 * (len(PARTIAL_HEAD) - UNCOUNTED_BYTES)
             streams: list[tuple[Reader, Writer]] = []
             for n in range(10):
                 streams.append(await one.connect())
-                streams[-1][1].write(HALF)
-                await until_counted(one, n + 1)
+                streams[-1][1].write(PARTIAL_HEAD)
+                await wait_for_partial_heads(one, n + 1)
             assert one.server.request_budget.used == one.server.request_budget.limit
             streams.append(await one.connect())
-            streams[-1][1].write(HALF)
+            streams[-1][1].write(PARTIAL_HEAD)
             message = await read_message(streams[0][0])
             assert message.status == 503 and b"half-written" in message.body
             assert one.server.request_budget.used <= one.server.request_budget.limit
             streams[1][1].write(b"\r\n\r\n")
-            assert (await read_message(streams[1][0])).body == b"ok", "one that comes in time is served"
+            assert (await read_message(streams[1][0])).body == b"ok", (
+                "a head that is completed in time is served"
+            )
             assert (await one.send(request(rid="r2"))).body == b"ok"
             for _, writer in streams:
                 writer.transport.abort()
@@ -84,38 +102,38 @@
     run(main())
 
 
-def test_a_head_that_finds_no_room_at_all_is_refused_itself() -> None:
+def test_a_partial_head_is_refused_if_none_can_be_evicted() -> None:
     async def main() -> None:
-        async with sidecar(Endpoint(hold_back)) as one:
+        async with sidecar(Endpoint(never_answer)) as one:
             one.server.request_budget.limit = 0
             reader, writer = await one.connect()
-            writer.write(HALF)
-            assert await said(reader) == 503
+            writer.write(PARTIAL_HEAD)
+            assert await status_of(reader) == 503
             writer.close()
             assert one.server.request_budget.used == 0
 
     run(main())
 
 
-def test_requests_that_were_taken_never_give_way() -> None:
-    """Uploads that wait for their answers fill the budget; heads that come then are refused."""
+def test_requests_in_progress_are_never_evicted() -> None:
+    """Uploads that wait for their answers fill the budget, so that a head that arrives then is refused."""
 
     async def main() -> None:
-        endpoint = Endpoint(hold_back)
+        endpoint = Endpoint(never_answer)
         async with sidecar(endpoint) as one:
             one.server.request_budget.limit = 4 * 40_000
-            taken = []
+            requests = []
             for n in range(5):
                 body = b"x" * 40_000
-                taken.append(asyncio.create_task(one.send(request("pay", body, rid=f"r{n}"))))
+                requests.append(asyncio.create_task(one.send(request("pay", body, rid=f"r{n}"))))
                 await endpoint.arrived.acquire()
             reader, writer = await one.connect()
-            writer.write(HALF)
-            assert await said(reader) == 503
-            assert not any(task.done() for task in taken) and len(one.engine.calls) == 5
-            for task in taken:
+            writer.write(PARTIAL_HEAD)
+            assert await status_of(reader) == 503
+            assert not any(task.done() for task in requests) and len(one.engine.calls) == 5
+            for task in requests:
                 task.cancel()
-            await asyncio.gather(*taken, return_exceptions=True)
+            await asyncio.gather(*requests, return_exceptions=True)
             writer.close()
             while one.server.connections or one.engine.calls:
                 await asyncio.sleep(0)
@@ -124,14 +142,14 @@
     run(main())
 
 
-def test_a_kept_connection_gives_back_what_its_head_took() -> None:
+def test_a_connection_that_stays_open_releases_the_budget_of_its_head() -> None:
     async def main() -> None:
         async with sidecar(Endpoint()) as one, Caller("127.0.0.1", one.port) as caller:
-            for raw in (HALF, b"GET /health/ready HTTP/1.1\r\nHost: x\r\nX: " + b"x" * 20_000):
+            for raw in (PARTIAL_HEAD, b"GET /health/ready HTTP/1.1\r\nHost: x\r\nX: " + b"x" * 20_000):
                 if caller.streams is None:
                     caller.streams = await one.connect()
                 caller.streams[1].write(raw)
-                await until_counted(one, 1)
+                await wait_for_partial_heads(one, 1)
                 assert one.server.request_budget.used > 0
                 assert (await caller.ask(b"\r\n\r\n")).status == 200
                 assert one.server.request_budget.used == 0
@@ -139,13 +157,13 @@
     run(main())
 
 
-def test_answers_that_come_together_are_held_while_there_is_room_and_else_passed_on() -> None:
-    go = asyncio.Event()
+def test_concurrent_answers_are_buffered_within_the_budget_and_streamed_beyond_it() -> None:
+    may_finish = asyncio.Event()
     part = b"x" * 30_000
 
     async def handler(endpoint: Endpoint, message: object, writer: Writer) -> None:
         writer.write(answer(body=2 * part)[: -len(part)])
-        await go.wait()
+        await may_finish.wait()
         writer.write(part)
 
     async def main() -> None:
@@ -153,19 +171,19 @@
         async with sidecar(endpoint, endpoint) as one:
             budget = one.upstream.answer_budget
             budget.limit = 3 * (len(part) - UNCOUNTED_BYTES)
-            asked = [asyncio.create_task(one.send(request(rid=f"r{n}"))) for n in range(8)]
+            requests = [asyncio.create_task(one.send(request(rid=f"r{n}"))) for n in range(8)]
             while len(one.upstream.receiving.waiting_since) + len(one.upstream.streaming.waiting_since) < 8:
                 await asyncio.sleep(0)
             assert budget.used <= budget.limit and len(one.upstream.streaming.waiting_since) >= 5
-            go.set()
-            assert all(message.body == 2 * part for message in await asyncio.gather(*asked))
+            may_finish.set()
+            assert all(message.body == 2 * part for message in await asyncio.gather(*requests))
             assert budget.used == 0
 
     run(main())
 
 
-def test_a_body_in_chunks_of_one_byte_takes_no_more_than_its_size() -> None:
-    """A list of its parts would take forty times as much."""
+def test_a_body_in_chunks_of_one_byte_takes_no_more_memory_than_its_size() -> None:
+    """Guards against keeping the chunks in a list, which would take forty times as much."""
 
     async def main() -> None:
         async with sidecar(Endpoint()) as one:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,4 +1,4 @@
-"""Restarts of the process under load, with callers' connections that stay open."""
+"""Restarts of the process under load, with client connections that stay open."""
 
 from __future__ import annotations
 
@@ -20,56 +20,58 @@
     write_config,
 )
 
-RESTARTS, CALLERS = 20, 5
+RESTARTS, CLIENTS = 20, 5
 
 
-class Asker:
-    """Asks on one connection, again and again, until it ends."""
+class PersistentClient:
+    """Sends requests on one connection until it is closed."""
 
     def __init__(self, name: str, reader: Reader, writer: Writer) -> None:
         self.name = name
         self.reader, self.writer = reader, writer
         self.answered: list[str] = []
-        self.unread: list[str] = []  # the connection ended in place of an answer
-        self.told_to_close = False
-        self.warm = asyncio.Event()  # it has asked more than once on this connection
+        self.unanswered: list[str] = []  # requests for which the connection ended instead of an answer
+        self.is_told_to_close = False
+        self.warmed_up = (
+            asyncio.Event()
+        )  # several requests were answered on this connection, or it was closed
 
-    async def ask_on(self) -> None:
-        while not self.told_to_close and not self.unread:
+    async def send_until_closed(self) -> None:
+        while not self.is_told_to_close and not self.unanswered:
             rid = f"{self.name}-{len(self.answered)}"
             try:
                 self.writer.write(request("pay", rid=rid))
                 back = await read_message(self.reader)
             except (OSError, RuntimeError, asyncio.IncompleteReadError):
-                self.unread.append(rid)
+                self.unanswered.append(rid)
             else:
                 assert (back.status, back.body) == (200, b"ok"), rid
                 self.answered.append(rid)
-                self.told_to_close = back.headers.get("connection", "") == "close"
-            if len(self.answered) >= 3 or self.unread or self.told_to_close:
-                self.warm.set()
+                self.is_told_to_close = back.headers.get("connection", "") == "close"
+            if len(self.answered) >= 3 or self.unanswered or self.is_told_to_close:
+                self.warmed_up.set()
         self.writer.close()
 
 
-async def life(environ: dict[str, str], port: int, number: int) -> list[Asker]:
-    """One process from its start to its end, asked on while it is told to stop."""
+async def run_process(environ: dict[str, str], port: int, number: int) -> list[PersistentClient]:
+    """Run one process from its start to its end, with clients that keep sending after SIGTERM."""
     process = await start_daemon(environ)
-    streams = [await connect_until_up(port) for _ in range(CALLERS)]
-    askers = [Asker(f"r{number}c{n}", *one) for n, one in enumerate(streams)]
-    asking = [asyncio.create_task(one.ask_on()) for one in askers]
-    for one in askers:
-        await one.warm.wait()
-        assert not one.unread and not one.told_to_close, "nobody said stop yet"
+    streams = [await connect_until_up(port) for _ in range(CLIENTS)]
+    clients = [PersistentClient(f"r{number}c{n}", *one) for n, one in enumerate(streams)]
+    tasks = [asyncio.create_task(one.send_until_closed()) for one in clients]
+    for one in clients:
+        await one.warmed_up.wait()
+        assert not one.unanswered and not one.is_told_to_close, "the process was not stopped yet"
     process.send_signal(signal.SIGTERM)
-    await asyncio.gather(*asking)
+    await asyncio.gather(*tasks)
     _, errors = await process.communicate()
     assert (process.returncode, errors) == (0, b"")
-    return askers
+    return clients
 
 
-def test_twenty_restarts_under_load_leave_no_request_that_ran_without_its_answer(tmp_path: Path) -> None:
-    """What comes on a connection that stays open after SIGTERM is answered. Only a close between two
-    requests may cross one, and that one was never read: to send it again is harmless."""
+def test_after_twenty_restarts_under_load_every_request_that_ran_has_its_answer(tmp_path: Path) -> None:
+    """Requests on a connection that stays open after SIGTERM are answered. Only the close of an idle
+    connection may cross a request, which was never read then: retrying it is harmless."""
 
     async def main() -> None:
         endpoint, registry = Endpoint(), Registry()
@@ -77,12 +79,12 @@
             port = free_port()
             environ = {**write_config(tmp_path, registry, endpoint), "LB_LISTEN": f"127.0.0.1:{port}"}
             for number in range(RESTARTS):
-                for one in await life(environ, port, number):
+                for one in await run_process(environ, port, number):
                     assert len(one.answered) >= 3
                     for rid in one.answered:
                         assert endpoint.effects.by_id[rid] == 1
-                    for rid in one.unread:
-                        assert endpoint.effects.by_id[rid] == 0, "it ran, and its caller was not told"
+                    for rid in one.unanswered:
+                        assert endpoint.effects.by_id[rid] == 0, "it ran, and its client got no answer"
             assert not endpoint.effects.twice()
 
     run(main())
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -1,4 +1,4 @@
-"""How old an endpoint is taken for, where the wall clock is stepped. See docs/design/clocks.md."""
+"""The age of endpoints when the wall clock of this machine is stepped. See docs/design/clocks.md."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class SteppedClock:
-    """Both clocks of one machine in µs."""
+    """The monotonic clock and the wall clock of one machine, in µs."""
 
     def __init__(self) -> None:
         self.time, self.offset = 500_000_000, START_US
@@ -31,11 +31,11 @@
         return self.time + self.offset
 
     def at(self, due: int, callback: Callable[..., None], *args: Any) -> Any:
-        raise AssertionError("no timer is needed")
+        raise AssertionError("the table must not set timers")
 
 
 class NoUpstream:
-    """Takes no connection."""
+    """An upstream without connections."""
 
     def set_address(self, number: int, address: str) -> None: ...
 
@@ -43,16 +43,18 @@
 
 
 class Fleet:
-    """What this process makes of a list whose times are told by a right clock."""
+    """An endpoint table that receives start times of a correct clock."""
 
     def __init__(self) -> None:
         self.clock = SteppedClock()
-        self.members = EndpointTable(self.clock, NAMES, cast(Any, NoUpstream()), 500_000)
+        self.table = EndpointTable(self.clock, NAMES, cast(Any, NoUpstream()), 500_000)
 
     def age_us(self, name: str, started_us: int | None) -> int | None:
-        """How old it is taken for; None for long ago. `started_us`: by the monotonic clock."""
+        """The age that the table assumes for an endpoint; None for long ago. `started_us`: its start on the
+        monotonic clock, None if unknown.
+        """
         started_ms = 0 if started_us is None else (started_us + START_US) // 1000
-        self.members.apply(
+        self.table.apply(
             False,
             [
                 {
@@ -63,12 +65,12 @@
                 }
             ],
         )
-        boot = self.members.by_number[endpoint_number(name)].entry.boot
+        boot = self.table.by_number[endpoint_number(name)].entry.boot
         return None if boot == 0 else self.clock.time - boot
 
 
 @pytest.mark.parametrize("step_us", [SECOND_US, 3_600 * SECOND_US])
-def test_an_endpoint_in_slow_start_is_not_taken_as_warm_after_a_step_ahead(step_us: int) -> None:
+def test_after_a_forward_step_an_endpoint_in_slow_start_does_not_look_older(step_us: int) -> None:
     fleet = Fleet()
     assert fleet.age_us("before", fleet.clock.time - 4 * SECOND_US) == 4 * SECOND_US
     fleet.clock.offset += step_us
@@ -80,7 +82,7 @@
 
 
 @pytest.mark.parametrize("step_us", [SECOND_US, 3_600 * SECOND_US])
-def test_after_a_step_back_an_endpoint_is_taken_as_started_when_it_was_told(step_us: int) -> None:
+def test_after_a_backward_step_an_endpoint_counts_as_started_when_it_was_listed(step_us: int) -> None:
     fleet = Fleet()
     fleet.clock.offset -= step_us
     assert fleet.age_us("new", fleet.clock.time) == 0
@@ -88,30 +90,32 @@
     assert fleet.age_us("new", fleet.clock.time - 10 * SECOND_US) == 10 * SECOND_US, "its slow start ends"
     assert fleet.age_us("long", None) is None
     fleet.clock.offset += step_us
-    assert fleet.age_us("later", fleet.clock.time) == 0, "the younger holds"
+    assert fleet.age_us("later", fleet.clock.time) == 0, "the younger age applies"
     old = fleet.age_us("two hours", fleet.clock.time - 7_200 * SECOND_US)
-    assert old is not None and old >= 3_600 * SECOND_US, "no more is doubted than the step"
+    assert old is not None and old >= 3_600 * SECOND_US, "the error is no larger than the step"
 
 
-def test_a_later_start_is_no_older_than_the_telling_of_the_earlier_one() -> None:
-    """The clock was an hour ahead when this process began: only what it was told shows that."""
+def test_a_later_start_is_not_dated_before_the_earlier_one_was_listed() -> None:
+    """The wall clock was an hour ahead when this process began. Only the times of the lists reveal that."""
     fleet = Fleet()
-    fleet.members.start_dating = StartDating(fleet.clock.now(), fleet.clock.wall() + 3_600 * SECOND_US)
+    fleet.table.start_dating = StartDating(fleet.clock.now(), fleet.clock.wall() + 3_600 * SECOND_US)
     fleet.clock.offset += 3_600 * SECOND_US
-    assert fleet.age_us("one", fleet.clock.time - 60 * SECOND_US) == 3_660 * SECOND_US, "nothing tells more"
+    assert fleet.age_us("one", fleet.clock.time - 60 * SECOND_US) == 3_660 * SECOND_US, (
+        "no bound is known yet"
+    )
     fleet.clock.time += 8 * SECOND_US
     assert fleet.age_us("one", fleet.clock.time - 2 * SECOND_US) == 8 * SECOND_US
 
 
-def test_a_start_that_was_long_ago_or_told_wrongly_before_bounds_nothing() -> None:
+def test_an_unknown_or_wrong_earlier_start_sets_no_bound() -> None:
     fleet = Fleet()
     assert fleet.age_us("one", None) is None
     fleet.clock.time += SECOND_US
     assert fleet.age_us("one", fleet.clock.time - 90 * SECOND_US) == 90 * SECOND_US
-    assert fleet.age_us("one", fleet.clock.time - 95 * SECOND_US) == 95 * SECOND_US, "an earlier one"
+    assert fleet.age_us("one", fleet.clock.time - 95 * SECOND_US) == 95 * SECOND_US, "an earlier start"
 
 
-def test_a_moment_between_the_reading_of_the_clocks_is_no_step() -> None:
+def test_a_small_change_of_the_offset_is_not_a_step() -> None:
     fleet = Fleet()
     fleet.clock.offset += CLOCK_TOLERANCE_US
     age = fleet.age_us("one", fleet.clock.time - 4 * SECOND_US)
--- a/tests/test_steady.py
+++ b/tests/test_steady.py
@@ -1,4 +1,4 @@
-"""What keeps the tests' verdict the same on a machine that is busy."""
+"""The results of the tests must not depend on how busy the machine is."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 from hypothesis import strategies as st
 
 
-def test_examples_that_take_long_are_no_failure() -> None:
-    """Whoever reads the time finds that another ten seconds have passed."""
-    played: list[int] = []
+def test_slow_examples_are_not_a_failure() -> None:
+    """Guards against Hypothesis's deadline for each example: here every reading of the clock is ten seconds
+    later than the one before."""
+    examples_run: list[int] = []
 
     @settings(max_examples=20)
     @given(st.integers())
     def examples(number: int) -> None:
-        played.append(number)
+        examples_run.append(number)
 
     with mock.patch.object(time, "perf_counter", itertools.count(0.0, 10.0).__next__):
         examples()
-    assert len(played) >= 20
+    assert len(examples_run) >= 20
