--- a/tests/test_flow_control.py
+++ b/tests/test_flow_control.py
@@ -404,7 +404,7 @@
             writer.write(head(200_000) + b"x" * 10)
             await wait_until(lambda: any(caller.parsed is not None for caller in one.server.connections))
             (caller,) = one.server.connections
-            caller.head_at -= 60.0  # as if the head had come a minute ago
+            caller.head_completed_at -= 60.0  # as if the head had come a minute ago
             writer.write(b"x" * 1000)
             message = await read_message(reader)
             assert message.status == 408 and not endpoint.got
@@ -663,7 +663,7 @@
             await wait_until(lambda: bool(one.upstream.receiving.waiting_since))
             (link,) = one.upstream.receiving.waiting_since
             if stays:
-                link.received_at_check = 0  # bytes have arrived since the last check
+                link.received_bytes_at_check = 0  # bytes have arrived since the last check
                 del one.upstream.receiving.waiting_since[link]
                 link.on_response_timeout()
                 may_continue.set()
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -61,7 +61,7 @@
 
 
 async def wait_for_partial_heads(one: Sidecar, expected: int) -> None:
-    while sum(caller.received > 20_000 for caller in one.server.connections) < expected:
+    while sum(caller.received_bytes > 20_000 for caller in one.server.connections) < expected:
         await asyncio.sleep(0)
 
 
