--- a/laurelstep/lifecycle/phases.py
+++ b/laurelstep/lifecycle/phases.py
@@ -4,10 +4,10 @@
 
 1. Phases change only as `TRANSITIONS` says; a repeated event changes nothing.
 2. A stop is final, and takes precedence over a drain.
-3. The daemon reports itself ready only while serving: the load balancer in front of it polls that.
+3. The daemon reports itself ready only while serving. The load balancer in front of it polls that.
 4. Only while serving is a client's connection kept open after an answer.
-5. In a drain no new request is refused before `DRAIN_S`, because the load balancer in front of it notices
-   the drain late. From then on the daemon does not wait for requests that are received only in part.
+5. In a drain no new request is refused before `DRAIN_S`, because the load balancer in front of the daemon
+   notices the drain late. From then on the daemon does not wait for requests that are received only in part.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Phase(StrEnum):
-    """The phase of a daemon's life."""
+    """The phases of a daemon between its start and its end."""
 
     STARTING = "starting"
     SERVING = "serving"
--- a/laurelstep/net/discovery_stream.py
+++ b/laurelstep/net/discovery_stream.py
@@ -52,7 +52,7 @@
         self.paused_at: int | None = None  # when reading was paused, in µs on the engine's clock
         self.transport: asyncio.Transport | None = None
         self.is_closed = False  # complete or given up: its end is not reported
-        self.is_malformed = False  # it held data that can't be parsed_objects
+        self.is_malformed = False  # it held data that can't be parsed
         self.has_head = False  # the head of the response has arrived
         self.is_complete = False  # the last byte has arrived
         self.next_read: asyncio.Handle | None = None
