--- a/laurelstep/engine/endpoint_table.py
+++ b/laurelstep/engine/endpoint_table.py
@@ -162,7 +162,7 @@
     def read_entry(self, raw: Any) -> tuple[Entry, ListedEndpoint]:
         """Parse an entry in the format of discovery; ValueError if it is malformed."""
         try:
-            return self._entry(raw)
+            return self._parse_entry(raw)
         except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
             raise ValueError(f"malformed entry: {error!r}") from None
 
@@ -176,7 +176,7 @@
             if listed is not None and listed.withdrawn_at == withdrawn_at:
                 del self.by_number[number]
 
-    def _entry(self, raw: dict[str, Any]) -> tuple[Entry, ListedEndpoint]:
+    def _parse_entry(self, raw: dict[str, Any]) -> tuple[Entry, ListedEndpoint]:
         name = raw["instanceId"]
         number = endpoint_number(name)
         phase = PHASES[raw["lifecycle"]]
--- a/laurelstep/engine/engine.py
+++ b/laurelstep/engine/engine.py
@@ -183,14 +183,14 @@
         self.counters.taken[call.request_class] += 1
         self.open_request_ids.add(call.client_request_id)
         call.deadline_timer = self.clock.at(call.expires_at, self._on_deadline, call)
-        if self._is_recorded(call):
+        if self._offer_to_recorder(call):
             return
         if self.write_queue is not None and self.write_queue.must_queue(call) and self._enqueue(call, None):
             return
         self.admit(call)
 
-    def _is_recorded(self, call: Call) -> bool:
-        """Whether the recorder has taken over the call."""
+    def _offer_to_recorder(self, call: Call) -> bool:
+        """Offer a call to the recorder; whether the recorder has taken it over."""
         if self.recorder is None:
             return False
         can_stream_answer = call.can_stream_answer
@@ -250,7 +250,7 @@
             self._dispatch(self.decisions.client_disconnected, call.id)
 
     def _on_deadline(self, call: Call) -> None:
-        """The call's deadline: time out its attempts in flight, upon which the balancer fails the call."""
+        """The call's deadline: time out its attempts in flight, which makes the balancer fail the call."""
         for attempt in call.attempts:
             self.attempts.time_out(attempt)
         if call.is_queued:
--- a/laurelstep/engine/list_updates.py
+++ b/laurelstep/engine/list_updates.py
@@ -33,20 +33,20 @@
 _WHITE_SPACE = re.compile(r"[ \t\n\r]*")
 
 
-def _skip_space(text: str, at: int) -> int:
-    found = _WHITE_SPACE.match(text, at)
-    assert found is not None  # the pattern also matches the empty string
-    return found.end()
+def _skip_space(text: str, position: int) -> int:
+    match = _WHITE_SPACE.match(text, position)
+    assert match is not None  # the pattern also matches the empty string
+    return match.end()
 
 
-def _read_delimiter(text: str, at: int, delimiters: str) -> tuple[str, int]:
+def _read_delimiter(text: str, position: int, delimiters: str) -> tuple[str, int]:
     """The delimiter at a position, white space before it skipped, and the position of the next token.
     ValueError if it is none of `delimiters`.
     """
-    at = _skip_space(text, at)
-    if text[at : at + 1] not in delimiters or at == len(text):
-        raise ValueError(f"expected one of {delimiters} at character {at}")
-    return text[at], _skip_space(text, at + 1)
+    position = _skip_space(text, position)
+    if text[position : position + 1] not in delimiters or position == len(text):
+        raise ValueError(f"expected one of {delimiters} at character {position}")
+    return text[position], _skip_space(text, position + 1)
 
 
 def parse_in_steps(text: str) -> Generator[None, None, dict[str, Any]]:
@@ -54,42 +54,42 @@
     step for every `STEP_ENTRIES` items. ValueError if the text is malformed or no object.
     """
     decode = json.JSONDecoder().raw_decode
-    found: dict[str, Any] = {}
-    _, at = _read_delimiter(text, 0, "{")
-    has_more = text[at : at + 1] != "}"
+    fields: dict[str, Any] = {}
+    _, position = _read_delimiter(text, 0, "{")
+    has_more = text[position : position + 1] != "}"
     if not has_more:
-        at += 1
+        position += 1
     while has_more:
-        key, at = decode(text, at)
+        key, position = decode(text, position)
         if not isinstance(key, str):
             raise ValueError("malformed JSON: a key is not a string")
-        _, at = _read_delimiter(text, at, ":")
-        if key == "instances" and text[at : at + 1] == "[":
-            found[key], at = yield from _items_in_steps(text, at, decode)
+        _, position = _read_delimiter(text, position, ":")
+        if key == "instances" and text[position : position + 1] == "[":
+            fields[key], position = yield from _items_in_steps(text, position, decode)
         else:
-            found[key], at = decode(text, at)
-        delimiter, at = _read_delimiter(text, at, ",}")
+            fields[key], position = decode(text, position)
+        delimiter, position = _read_delimiter(text, position, ",}")
         has_more = delimiter == ","
-    if _skip_space(text, at) != len(text):
+    if _skip_space(text, position) != len(text):
         raise ValueError("malformed JSON: data after the end of the object")
-    return found
+    return fields
 
 
 def _items_in_steps(
-    text: str, at: int, decode: Callable[[str, int], tuple[Any, int]]
+    text: str, position: int, decode: Callable[[str, int], tuple[Any, int]]
 ) -> Generator[None, None, tuple[list[Any], int]]:
     items: list[Any] = []
-    _, at = _read_delimiter(text, at, "[")
-    if text[at : at + 1] == "]":
-        return items, at + 1
+    _, position = _read_delimiter(text, position, "[")
+    if text[position : position + 1] == "]":
+        return items, position + 1
     delimiter = ","
     while delimiter == ",":
-        item, at = decode(text, at)
+        item, position = decode(text, position)
         items.append(item)
-        delimiter, at = _read_delimiter(text, at, ",]")
+        delimiter, position = _read_delimiter(text, position, ",]")
         if len(items) % STEP_ENTRIES == 0:
             yield
-    return items, at
+    return items, position
 
 
 def normalize_entry(raw: Any) -> tuple[dict[str, Any] | None, str]:
@@ -102,21 +102,21 @@
     name = raw.get("instanceId") if isinstance(raw, dict) else None
     if not isinstance(name, str) or (not name.isascii() and not _is_encodable(name)):
         return None, f"an entry has no usable instanceId: {str(raw)[:80]!r}"
-    found, problem = dict(raw), ""
+    entry, problem = dict(raw), ""
     for key, default in (("zone", ""), ("machineType", ""), ("weight", 1.0), ("cell", 0), ("startedAtMs", 0)):
         value = raw.get(key)
         if value is None:
-            found[key] = default
+            entry[key] = default
         elif not _has_type_of(value, default):
-            found[key] = default
+            entry[key] = default
             problem = f"{name}: {key}: {value!r:.80}"
     phase, address = raw.get("lifecycle"), raw.get("hostPort")
-    found["hostPort"] = str(address or "")
+    entry["hostPort"] = str(address or "")
     if not isinstance(phase, str) or phase not in PHASES:
-        found["lifecycle"], problem = "draining", f"{name}: lifecycle: {phase!r:.80}"
-    elif phase == "ready" and not _is_address(found["hostPort"]):
-        found["lifecycle"], problem = "draining", f"{name}: hostPort: {address!r:.80}"
-    return found, problem
+        entry["lifecycle"], problem = "draining", f"{name}: lifecycle: {phase!r:.80}"
+    elif phase == "ready" and not _is_address(entry["hostPort"]):
+        entry["lifecycle"], problem = "draining", f"{name}: hostPort: {address!r:.80}"
+    return entry, problem
 
 
 def _is_encodable(name: str) -> bool:
--- a/laurelstep/net/discovery.py
+++ b/laurelstep/net/discovery.py
@@ -237,11 +237,11 @@
         self, raw: bytearray, stream: DiscoveryStream, sink: MemberSink, received_at: int
     ) -> Iterator[None]:
         parsed = yield from parse_in_steps(raw.decode())
-        generation, is_full, found = parse_list(parsed, stream.watch)
-        self.last_list_size = len(found)
+        generation, is_full, raw_entries = parse_list(parsed, stream.watch)
+        self.last_list_size = len(raw_entries)
         entries: list[Any] = []
-        for at in range(0, len(found), STEP_ENTRIES):
-            entries.extend(self._usable_entries(found[at : at + STEP_ENTRIES]))
+        for at in range(0, len(raw_entries), STEP_ENTRIES):
+            entries.extend(self._usable_entries(raw_entries[at : at + STEP_ENTRIES]))
             yield
         if stream.address != self.address:
             return  # the address was changed meanwhile, and only lists of the new one count
--- a/laurelstep/net/discovery_stream.py
+++ b/laurelstep/net/discovery_stream.py
@@ -98,16 +98,15 @@
         """Called by the parser: bytes of the body have arrived."""
         now = self.owner.loop.time()
         if not data.isspace():
-            began = (
+            progress_at = (
                 self.last_progress_at + len(data) / MIN_RATE_BYTES_PER_S
                 if self.decoder.has_partial_object
                 else now
             )
-            self.last_progress_at = min(began, now)
+            self.last_progress_at = min(progress_at, now)
         elif self.is_current and not self.decoder.has_partial_object and b"\n" in data:
-            self.last_progress_at = (
-                now  # an empty line is a heartbeat, but no progress on a list that has to arrive
-            )
+            # An empty line is a heartbeat, but no progress on a list that has to arrive.
+            self.last_progress_at = now
         self.decoder.feed(data)
 
     def on_message_complete(self) -> None:
@@ -133,12 +132,12 @@
                     self.pause()
                 return
             try:
-                found = self.decoder.next_object()
+                raw_object = self.decoder.next_object()
             except ValueError as error:
                 self.reject(error)
                 return
-            if found is not None:
-                self._process(found)
+            if raw_object is not None:
+                self._process(raw_object)
             elif self.decoder.has_more:  # let other callbacks of the loop run first
                 self.next_read = self.owner.loop.call_soon(self.read_objects)
                 return
--- a/laurelstep/net/json_stream.py
+++ b/laurelstep/net/json_stream.py
@@ -61,12 +61,12 @@
             return None
         begin = self.position
         while self.position - begin < SCAN_BYTES:
-            found = _TO_BRACE.match(self.buffer, self.position, self.position + SCAN_BYTES)
-            if found is None:
+            match = _TO_BRACE.match(self.buffer, self.position, self.position + SCAN_BYTES)
+            if match is None:
                 self._check_incomplete()
                 return None
-            self.position = found.end()
-            self.depth += 1 if found[1] == b"{" else -1
+            self.position = match.end()
+            self.depth += 1 if match[1] == b"{" else -1
             if not self.depth:
                 return self._take_object()
             if self.depth > MAX_DEPTH:
@@ -107,9 +107,9 @@
         self._check_size()
         if len(self.buffer) - self.position >= SCAN_BYTES:
             raise ValueError(f"{SCAN_BYTES} bytes of JSON without a brace")
-        found = _READABLE.match(self.buffer, self.position)
-        assert found is not None
-        rest = bytes(self.buffer[found.end() : found.end() + 5])
+        match = _READABLE.match(self.buffer, self.position)
+        assert match is not None
+        rest = bytes(self.buffer[match.end() : match.end() + 5])
         if rest and rest[:1] != b'"' and not any(literal.startswith(rest) for literal in _LITERALS):
             raise ValueError(f"malformed JSON: {rest!r}")
 
