--- a/tests/test_flow_control.py
+++ b/tests/test_flow_control.py
@@ -362,10 +362,10 @@
             await wait_until(lambda: bool(one.upstream.write_stalled.waiting_since))
             (caller,) = one.server.connections
             (link,) = one.upstream.connections
-            size = caller.size
+            size = caller.body_byte_count
             for _ in range(200):
                 await asyncio.sleep(0)
-            assert caller.size == size < 24 * MB and not writing.done()
+            assert caller.body_byte_count == size < 24 * MB and not writing.done()
             assert link.transport is not None and link.transport.get_write_buffer_size() <= MB
             assert not caller.upload or not caller.upload.buffered
             writing.cancel()
@@ -696,7 +696,7 @@
             await reader.readuntil(b"\r\n\r\n")
             await reader.readexactly(128 * 1024)
             (link,) = one.upstream.streaming.waiting_since
-            allowed_s = GRACE_S + link.size / MIN_RATE_BYTES_PER_S
+            allowed_s = GRACE_S + link.body_byte_count / MIN_RATE_BYTES_PER_S
             if is_paused:
                 link.pause()
                 link.paused_since -= allowed_s + 60.0
@@ -727,7 +727,9 @@
             streams = [await one.connect() for _ in range(40)]
             for n, (_, writer) in enumerate(streams):
                 writer.write(head(MB, rid=f"r{n}") + BIG[:300_000])
-            await wait_until(lambda: sum(caller.size >= 300_000 for caller in one.server.connections) == 40)
+            await wait_until(
+                lambda: sum(caller.body_byte_count >= 300_000 for caller in one.server.connections) == 40
+            )
             assert one.server.request_budget.used <= MB
             assert sum(caller.upload is not None for caller in one.server.connections) > 30
             for _, writer in streams:
