--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -169,19 +169,19 @@
 def discovery(agent: ScriptedDiscovery, sink: Sink, is_pushed: bool, generation: int = 41) -> Discovery:
     """A client with its real time-outs, and with the longest of each random pause."""
     loop = asyncio.get_running_loop()
-    one = Discovery(loop, f"127.0.0.1:{agent.port}", LIST_PATH, is_pushed, print)
-    one.rng = LongestJitter()  # type: ignore[assignment]
-    one.start(sink, generation)
+    client = Discovery(loop, f"127.0.0.1:{agent.port}", LIST_PATH, is_pushed, print)
+    client.rng = LongestJitter()  # type: ignore[assignment]
+    client.start(sink, generation)
     if not is_pushed:
-        one.watch(True)
-    return one
+        client.watch(True)
+    return client
 
 
 async def delay_after_stall(is_pushed: bool, faults: list[Script]) -> float:
     """How long after a watch stalled a change arrived, s, if the requests in between fail by `faults`."""
     sink = Sink()
     async with ScriptedDiscovery([send_list_and_stall, *faults, send_changes]) as agent:
-        one = discovery(agent, sink, is_pushed)
+        client = discovery(agent, sink, is_pushed)
         assert (await sink.lists.get())[0] == 42
         stalled_at = agent.last_progress_at
         agent.changes = [entry("s-1", "draining")]
@@ -189,8 +189,8 @@
         found = now() - stalled_at
         assert len(agent.targets) == len(faults) + 2
         assert all("from=42" in target for target in agent.targets[1:] if target)
-        one.close()
-        await one.wait_closed()
+        client.close()
+        await client.wait_closed()
     return found
 
 
@@ -198,7 +198,7 @@
 
 
 @pytest.mark.parametrize("is_pushed", [True, False], ids=["pushed", "on-demand"])
-@pytest.mark.parametrize("fault", FAULTS, ids=lambda one: one.__name__)
+@pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.__name__)
 def test_after_a_stall_and_a_failed_repetition_changes_arrive_in_time(fault: Script, is_pushed: bool) -> None:
     async def main() -> None:
         assert await delay_after_stall(is_pushed, [fault]) < LIMIT_S
@@ -206,7 +206,7 @@
     run_on_virtual_time(main())
 
 
-@pytest.mark.parametrize("fault", [stall, reset, send_503, end_at_once], ids=lambda one: one.__name__)
+@pytest.mark.parametrize("fault", [stall, reset, send_503, end_at_once], ids=lambda fault: fault.__name__)
 def test_after_a_stall_an_agent_gets_a_fourth_request_in_time(fault: Script) -> None:
     async def main() -> None:
         assert await delay_after_stall(True, [fault, fault]) < LIMIT_S
@@ -215,7 +215,7 @@
 
 
 @pytest.mark.parametrize("is_pushed", [True, False], ids=["pushed", "on-demand"])
-@pytest.mark.parametrize("fault", [trickle_spaces, trickle_object], ids=lambda one: one.__name__)
+@pytest.mark.parametrize("fault", [trickle_spaces, trickle_object], ids=lambda fault: fault.__name__)
 def test_bytes_without_progress_do_not_keep_a_watch_open(fault: Script, is_pushed: bool) -> None:
     """Guards against a watch that stays open while its change never arrives."""
 
@@ -226,7 +226,7 @@
 
 
 @pytest.mark.parametrize("is_pushed", [True, False], ids=["pushed", "on-demand"])
-@pytest.mark.parametrize("fault", [reset, send_503, end_at_once], ids=lambda one: one.__name__)
+@pytest.mark.parametrize("fault", [reset, send_503, end_at_once], ids=lambda fault: fault.__name__)
 def test_no_back_off_outlasts_the_recovery_of_discovery(fault: Script, is_pushed: bool) -> None:
     """After an outage of some seconds there is a change. A client whose request failed just before has to
     repeat it in time."""
@@ -234,7 +234,7 @@
     async def main() -> None:
         sink = Sink()
         async with ScriptedDiscovery([fault]) as agent:
-            one = discovery(agent, sink, is_pushed)
+            client = discovery(agent, sink, is_pushed)
             while now() < 9.0 or agent.asked_at[-1] < now() - 0.01:
                 await asyncio.sleep(0.005)
             recovered_at = now()
@@ -242,8 +242,8 @@
             agent.scripts = [send_changes]
             assert await sink.lists.get() == (43, ["s-1"])
             assert now() - recovered_at < (MIN_DRAIN_GRACE_S if is_pushed else LIMIT_S)
-            one.close()
-            await one.wait_closed()
+            client.close()
+            await client.wait_closed()
 
     run_on_virtual_time(main())
 
@@ -254,15 +254,15 @@
     async def main() -> None:
         sink = Sink()
         async with ScriptedDiscovery([reset, stall, send_changes]) as agent:
-            one = discovery(agent, sink, is_pushed=False)
+            client = discovery(agent, sink, is_pushed=False)
             while not agent.targets:
                 await asyncio.sleep(0.001)
             recovered_at = now()
             agent.changes = [entry("s-1", "draining")]
             assert await sink.lists.get() == (43, ["s-1"])
             assert now() - recovered_at < LIMIT_S
-            one.close()
-            await one.wait_closed()
+            client.close()
+            await client.wait_closed()
 
     run_on_virtual_time(main())
 
@@ -273,14 +273,14 @@
     async def main() -> None:
         sink = Sink()
         async with ScriptedDiscovery([reset, send_changes]) as agent:
-            one = discovery(agent, sink, is_pushed=False)
+            client = discovery(agent, sink, is_pushed=False)
             await sink.failed.get()
             assert (await sink.lists.get())[0] == 43
-            one.watch(True)
+            client.watch(True)
             await asyncio.sleep(5.0)
             assert len(agent.targets) == 2
-            one.close()
-            await one.wait_closed()
+            client.close()
+            await client.wait_closed()
 
     run_on_virtual_time(main())
 
@@ -291,13 +291,13 @@
     async def main() -> None:
         sink = Sink()
         async with ScriptedDiscovery([send_heartbeats_only, send_changes]) as agent:
-            one = discovery(agent, sink, is_pushed=True, generation=0)
+            client = discovery(agent, sink, is_pushed=True, generation=0)
             assert (await sink.lists.get())[0] == 43
             assert now() < 1.0 + LIMIT_S and len(agent.targets) == 2
             await asyncio.sleep(20.0)
             assert len(agent.targets) == 2, "once the list is known, heartbeats keep the watch open"
-            one.close()
-            await one.wait_closed()
+            client.close()
+            await client.wait_closed()
 
     run_on_virtual_time(main())
 
@@ -308,12 +308,12 @@
     async def main() -> None:
         sink = Sink()
         async with ScriptedDiscovery([send_slowly]) as agent:
-            one = discovery(agent, sink, is_pushed=True)
+            client = discovery(agent, sink, is_pushed=True)
             version, names = await sink.lists.get()
             assert (version, len(names)) == (-1, 500) or (version, len(names)) == (43, 500)
             assert now() > 1.0 + LIMIT_S and len(agent.targets) == 1
-            one.close()
-            await one.wait_closed()
+            client.close()
+            await client.wait_closed()
 
     run_on_virtual_time(main())
 
@@ -332,11 +332,11 @@
     async def main() -> None:
         sink = Sink()
         async with ScriptedDiscovery([send_changes_of_lower_generation, send_full_list]) as agent:
-            one = discovery(agent, sink, is_pushed=True)
+            client = discovery(agent, sink, is_pushed=True)
             assert await sink.lists.get() == (7, ["s-2"])
             assert [target.rpartition("=")[2] for target in agent.targets] == ["41", "0"]
-            one.close()
-            await one.wait_closed()
+            client.close()
+            await client.wait_closed()
 
     run_on_virtual_time(main())
 
@@ -361,10 +361,10 @@
     async def main() -> None:
         sink = Sink()
         async with ScriptedDiscovery([send_response]) as agent:
-            one = discovery(agent, sink, is_pushed=True)
+            client = discovery(agent, sink, is_pushed=True)
             assert await sink.lists.get() == (43, ["s-1"]) and len(agent.targets) == 1
-            one.close()
-            await one.wait_closed()
+            client.close()
+            await client.wait_closed()
 
     run_on_virtual_time(main())
 
@@ -400,13 +400,13 @@
         async with ScriptedDiscovery([send_changes]) as agent:
             agent.changes = [bad, entry("s-1", "draining"), *fill]
             loop = asyncio.get_running_loop()
-            one = Discovery(loop, f"127.0.0.1:{agent.port}", LIST_PATH, True, log_lines.append)
-            one.start(engine_copy.engine, 41)
-            while one.generation != 43:
+            client = Discovery(loop, f"127.0.0.1:{agent.port}", LIST_PATH, True, log_lines.append)
+            client.start(engine_copy.engine, 41)
+            while client.generation != 43:
                 await asyncio.sleep(0.01)
             assert len(agent.targets) == 1
-            one.close()
-            await one.wait_closed()
+            client.close()
+            await client.wait_closed()
         places = engine_copy.engine.endpoints.by_number
         assert places[endpoint_number("s-1")].withdrawn_at is not None
         assert (places[endpoint_number("s-bad")].withdrawn_at is not None) == (phase == "draining")
--- a/tests/test_flow_control.py
+++ b/tests/test_flow_control.py
@@ -163,20 +163,20 @@
     return [data[at : at + size] for at in range(0, len(data), size)]
 
 
-def request_counts(one: Sidecar) -> tuple[int, ...]:
+def request_counts(proxy: Sidecar) -> tuple[int, ...]:
     """How many requests are answered, deferred, errored, abandoned and open; their sum is that of `taken`."""
-    counters = one.engine.counters
+    counters = proxy.engine.counters
     each = (counters.answered, counters.deferred, counters.errored, counters.abandoned)
-    found = (*(sum(kind) for kind in each), one.engine.open_request_count())
+    found = (*(sum(kind) for kind in each), proxy.engine.open_request_count())
     assert sum(found) == sum(counters.taken)
     return found
 
 
-def assert_nothing_left(one: Sidecar) -> None:
-    daemon = one.server
-    assert daemon.request_budget.used == 0 and not one.engine.calls and not one.engine.forwarding
+def assert_nothing_left(proxy: Sidecar) -> None:
+    daemon = proxy.server
+    assert daemon.request_budget.used == 0 and not proxy.engine.calls and not proxy.engine.forwarding
     assert not daemon.uploading.waiting_since and not daemon.write_stalled.waiting_since
-    assert not one.upstream.streaming.waiting_since and not one.upstream.write_stalled.waiting_since
+    assert not proxy.upstream.streaming.waiting_since and not proxy.upstream.write_stalled.waiting_since
 
 
 @pytest.mark.parametrize("size", [100, 64 * 1024 + 1, MAX_BUFFERED_BYTES, MAX_BUFFERED_BYTES + 1, len(BIG)])
@@ -184,8 +184,8 @@
 def test_a_request_body_of_any_size_arrives_complete(size: int, framed: str) -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint) as one:
-            reader, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            reader, writer = await proxy.connect()
             body = BIG[:size]
             if framed == "length":
                 writer.write(head(size) + body)
@@ -199,8 +199,8 @@
             assert endpoint.got[0].headers["x-request-id"] == "r1"
             writer.write(request(rid="r2"))  # the connection stays usable
             assert (await read_message(reader)).status == 200
-            assert request_counts(one) == (2, 0, 0, 0, 0)
-            assert_nothing_left(one)
+            assert request_counts(proxy) == (2, 0, 0, 0, 0)
+            assert_nothing_left(proxy)
 
     run(main())
 
@@ -211,15 +211,15 @@
             writer.write(answer(503, headers="X-Not-Run: 1\r\n"))
 
         endpoints = Endpoint(once), Endpoint(once)
-        async with sidecar(*endpoints) as one:
+        async with sidecar(*endpoints) as proxy:
             for rid, size, attempts in (("r1", MAX_BUFFERED_BYTES, 2), ("r2", 2 * MAX_BUFFERED_BYTES, 1)):
-                reader, writer = await one.connect()
+                reader, writer = await proxy.connect()
                 writer.write(head(size, rid=rid) + BIG[:size])
                 message = await read_message(reader)
                 got = sum(message.headers["x-request-id"] == rid for end in endpoints for message in end.got)
                 assert got >= attempts if attempts > 1 else got == 1
                 assert message.status in (502, 503), "the endpoint refused it without running it"
-            assert_nothing_left(one)
+            assert_nothing_left(proxy)
 
     run(main())
 
@@ -236,9 +236,9 @@
 
     async def main() -> None:
         endpoints = ResettingEndpoint(), ResettingEndpoint()
-        async with sidecar(*endpoints) as one:
-            attempt_outcomes = record_outcomes(one.engine)
-            reader, writer = await one.connect()
+        async with sidecar(*endpoints) as proxy:
+            attempt_outcomes = record_outcomes(proxy.engine)
+            reader, writer = await proxy.connect()
             writer.write(head(len(BIG)) + BIG[: 2 * MB])
             message = await read_message(reader)
             assert message.status in (502, 503) and message.headers["connection"] == "close"
@@ -247,7 +247,7 @@
                 "it was not sent completely, so it can't have run"
             )
             assert all(later.outcome == NOT_SENT for later in attempt_outcomes[1:])
-            assert request_counts(one)[4] == 0
+            assert request_counts(proxy)[4] == 0
             writer.close()
 
     run(main())
@@ -257,13 +257,13 @@
     """Guards against a TypeError in the compiled program for an answer that is given within `Engine.take`."""
 
     async def main() -> None:
-        async with sidecar() as one:
-            reader, writer = await one.connect()
+        async with sidecar() as proxy:
+            reader, writer = await proxy.connect()
             writer.write(head(len(BIG)) + BIG[: 2 * MB])
             message = await read_message(reader)
             assert message.status in (502, 503) and message.headers["connection"] == "close"
-            assert sum(request_counts(one)[1:3]) == 1 and not one.engine.calls
-            assert_nothing_left(one)
+            assert sum(request_counts(proxy)[1:3]) == 1 and not proxy.engine.calls
+            assert_nothing_left(proxy)
             writer.close()
 
     run(main())
@@ -275,12 +275,12 @@
             reset_connection(writer)
 
         endpoint = Endpoint(broken)
-        async with sidecar(endpoint) as one:
-            attempt_outcomes = record_outcomes(one.engine)
-            message = await one.send(head(len(BIG)) + BIG)
+        async with sidecar(endpoint) as proxy:
+            attempt_outcomes = record_outcomes(proxy.engine)
+            message = await proxy.send(head(len(BIG)) + BIG)
             assert message.status == 502 and [event.outcome for event in attempt_outcomes] == [RESET]
             assert len(endpoint.got) == 1
-            assert_nothing_left(one)
+            assert_nothing_left(proxy)
 
     run(main())
 
@@ -288,15 +288,15 @@
 def test_a_client_that_leaves_during_its_upload_ends_the_attempt() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint) as one:
-            _, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            _, writer = await proxy.connect()
             writer.write(head(len(BIG)) + BIG[: 2 * MB])
             await wait_until(lambda: endpoint.opened == 1)
             writer.transport.abort()
             await endpoint.closed.acquire()
-            await wait_until(lambda: not one.engine.calls)
-            assert not endpoint.got and request_counts(one) == (0, 0, 0, 1, 0)
-            assert_nothing_left(one)
+            await wait_until(lambda: not proxy.engine.calls)
+            assert not endpoint.got and request_counts(proxy) == (0, 0, 0, 1, 0)
+            assert_nothing_left(proxy)
 
     run(main())
 
@@ -313,8 +313,8 @@
 def test_an_upload_to_an_endpoint_that_never_reads_fails() -> None:
     async def main() -> None:
         endpoint = NonReadingEndpoint()
-        async with sidecar(endpoint) as one:
-            reader, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(head(MAX_STREAMED_BODY_BYTES))
             writer.transport.set_write_buffer_limits(high=0)
 
@@ -325,7 +325,7 @@
                         await writer.drain()
 
             writing = asyncio.create_task(write_body())
-            stalled = one.upstream.write_stalled
+            stalled = proxy.upstream.write_stalled
             await wait_until(lambda: bool(stalled.waiting_since))
             for link in stalled.waiting_since:
                 stalled.waiting_since[link] -= (
@@ -334,12 +334,12 @@
             stalled.run()
             message = await read_message(reader)
             assert message.status in (502, 503) and message.headers["connection"] == "close"
-            assert not one.engine.calls and not one.upstream.connections
+            assert not proxy.engine.calls and not proxy.upstream.connections
             writing.cancel()
             writer.transport.abort()
             for open_ in endpoint.open:
                 open_.transport.abort()
-            await wait_until(lambda: not one.connection_count)
+            await wait_until(lambda: not proxy.connection_count)
 
     run(main())
 
@@ -347,8 +347,8 @@
 def test_an_endpoint_that_does_not_read_pauses_the_client() -> None:
     async def main() -> None:
         endpoint = NonReadingEndpoint()
-        async with sidecar(endpoint) as one:
-            _, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            _, writer = await proxy.connect()
             writer.write(head(MAX_STREAMED_BODY_BYTES))
             writer.transport.set_write_buffer_limits(high=0)
             body = bytes(MB)
@@ -359,9 +359,9 @@
                     await writer.drain()
 
             writing = asyncio.create_task(write_body())
-            await wait_until(lambda: bool(one.upstream.write_stalled.waiting_since))
-            (caller,) = one.server.connections
-            (link,) = one.upstream.connections
+            await wait_until(lambda: bool(proxy.upstream.write_stalled.waiting_since))
+            (caller,) = proxy.server.connections
+            (link,) = proxy.upstream.connections
             size = caller.body_byte_count
             for _ in range(200):
                 await asyncio.sleep(0)
@@ -370,7 +370,7 @@
             assert not caller.upload or not caller.upload.buffered
             writing.cancel()
             writer.transport.abort()
-            await wait_until(lambda: not one.engine.calls)
+            await wait_until(lambda: not proxy.engine.calls)
             for open_ in endpoint.open:
                 open_.transport.abort()
 
@@ -380,10 +380,10 @@
 def test_a_body_that_is_written_slowly_is_served() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint) as one:
-            reader, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(head(3000))
-            waiting = one.server.awaiting_request.waiting_since
+            waiting = proxy.server.awaiting_request.waiting_since
             for part in split(BIG[:3000], 1000):
                 await wait_until(lambda: bool(waiting) and next(iter(waiting)).parsed is not None)
                 (caller,) = waiting
@@ -399,11 +399,11 @@
 def test_a_body_that_arrives_too_slowly_gets_408() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint) as one:
-            reader, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(head(200_000) + b"x" * 10)
-            await wait_until(lambda: any(caller.parsed is not None for caller in one.server.connections))
-            (caller,) = one.server.connections
+            await wait_until(lambda: any(caller.parsed is not None for caller in proxy.server.connections))
+            (caller,) = proxy.server.connections
             caller.head_completed_at -= 60.0  # as if the head had come a minute ago
             writer.write(b"x" * 1000)
             message = await read_message(reader)
@@ -415,8 +415,8 @@
 def test_a_client_that_expects_100_continue_gets_it() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with sidecar(endpoint) as one:
-            reader, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(head(5, headers="Expect: 100-Continue\r\n"))
             assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
             writer.write(b"12345")
@@ -469,18 +469,18 @@
         )
         if framing == "end":
             endpoint = endpoint_sending(framed(BIG[:size], framing), end)
-        async with sidecar(endpoint) as one:
-            attempt_outcomes = record_outcomes(one.engine)
-            reader, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            attempt_outcomes = record_outcomes(proxy.engine)
+            reader, writer = await proxy.connect()
             for rid in ("r1", "r2"):
                 writer.write(request(rid=rid))
                 message = await read_message(reader)
                 assert message.status == 200 and message.body == BIG[:size]
                 assert message.headers["content-type"] == "image/png" or framing == "chunks"
                 assert message.headers.get("connection") is None, "the client's connection stays open"
-            await wait_until(lambda: request_counts(one) == (2, 0, 0, 0, 0))
+            await wait_until(lambda: request_counts(proxy) == (2, 0, 0, 0, 0))
             assert [event.outcome for event in attempt_outcomes] == [OK, OK]
-            assert_nothing_left(one)
+            assert_nothing_left(proxy)
 
     run(main())
 
@@ -488,17 +488,17 @@
 def test_the_first_bytes_of_a_large_answer_do_not_wait_for_the_last() -> None:
     async def main() -> None:
         endpoint = endpoint_sending(framed(BIG, "length")[: 1000 + MB])
-        async with sidecar(endpoint) as one:
-            reader, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(request())
             await reader.readuntil(b"\r\n\r\n")
             assert await reader.readexactly(1000) == BIG[:1000]
-            assert request_counts(one) == (0, 0, 0, 0, 1), "the answer is not complete"
-            assert not one.engine.calls
+            assert request_counts(proxy) == (0, 0, 0, 0, 1), "the answer is not complete"
+            assert not proxy.engine.calls
             writer.close()
-            await wait_until(lambda: request_counts(one) == (0, 0, 0, 1, 0))
+            await wait_until(lambda: request_counts(proxy) == (0, 0, 0, 1, 0))
             await endpoint.closed.acquire()
-            assert_nothing_left(one)
+            assert_nothing_left(proxy)
 
     run(main())
 
@@ -507,14 +507,14 @@
 def test_an_answer_that_breaks_off_is_visibly_incomplete(framing: str) -> None:
     async def main() -> None:
         endpoint = endpoint_sending(framed(BIG, framing)[: 2 * MB], reset_after_writing)
-        async with sidecar(endpoint) as one:
-            reader, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(request())
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await read_message(reader)
-            await wait_until(lambda: request_counts(one) == (0, 0, 1, 0, 0))
+            await wait_until(lambda: request_counts(proxy) == (0, 0, 1, 0, 0))
             assert len(endpoint.got) == 1, "no other attempt after bytes were forwarded"
-            assert_nothing_left(one)
+            assert_nothing_left(proxy)
 
     run(main())
 
@@ -524,9 +524,9 @@
         endpoint = endpoint_sending(
             b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_STREAMED_BODY_BYTES + 1) + BIG
         )
-        async with sidecar(endpoint) as one:
-            attempt_outcomes = record_outcomes(one.engine)
-            message = await one.send(request("pay", b"b"))
+        async with sidecar(endpoint) as proxy:
+            attempt_outcomes = record_outcomes(proxy.engine)
+            message = await proxy.send(request("pay", b"b"))
             assert message.status == 502 and [event.outcome for event in attempt_outcomes] == [ERROR]
 
     run(main())
@@ -546,22 +546,22 @@
         endpoint = endpoint_sending(
             b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 * (MB - 1)), write_body
         )
-        async with sidecar(endpoint) as one:
-            reader, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            reader, writer = await proxy.connect()
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             writer.write(request())
-            await wait_until(lambda: bool(one.server.write_stalled.waiting_since))
-            (caller,) = one.server.connections
+            await wait_until(lambda: bool(proxy.server.write_stalled.waiting_since))
+            (caller,) = proxy.server.connections
             assert caller.transport is not None
             for _ in range(200):
                 await asyncio.sleep(0)
             assert caller.transport.get_write_buffer_size() < MB and not all_written.is_set()
-            assert one.server.write_stalled.waiting_since and not one.upstream.streaming.waiting_since
+            assert proxy.server.write_stalled.waiting_since and not proxy.upstream.streaming.waiting_since
             writer.transport.resume_reading()  # type: ignore[attr-defined]
             await reader.readuntil(b"\r\n\r\n")
             assert len(await reader.readexactly(32 * (MB - 1))) == 32 * (MB - 1)
-            await wait_until(lambda: request_counts(one) == (1, 0, 0, 0, 0))
-            assert_nothing_left(one)
+            await wait_until(lambda: request_counts(proxy) == (1, 0, 0, 0, 0))
+            assert_nothing_left(proxy)
 
     run(main())
 
@@ -577,20 +577,20 @@
         endpoint = endpoint_sending(
             b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 * (MB - 1)), write_body
         )
-        async with sidecar(endpoint) as one:
-            reader, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            reader, writer = await proxy.connect()
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             writer.write(request())
-            write_stalled = one.server.write_stalled
+            write_stalled = proxy.server.write_stalled
             await wait_until(lambda: bool(write_stalled.waiting_since))
             for caller in write_stalled.waiting_since:
                 write_stalled.waiting_since[caller] -= (
                     write_stalled.timeout_s
                 )  # as if it had not read for the whole limit
             write_stalled.run()
-            await wait_until(lambda: not one.server.connections and not one.upstream.connections)
-            assert request_counts(one) == (0, 0, 0, 1, 0), "it counts as abandoned by the client"
-            assert_nothing_left(one)
+            await wait_until(lambda: not proxy.server.connections and not proxy.upstream.connections)
+            assert request_counts(proxy) == (0, 0, 0, 1, 0), "it counts as abandoned by the client"
+            assert_nothing_left(proxy)
             writer.transport.resume_reading()  # type: ignore[attr-defined]
             with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
                 await reader.readuntil(b"\r\n\r\n")
@@ -609,8 +609,8 @@
             writer.write(BIG[MB:])
 
         endpoint = endpoint_sending(framed(BIG, "length")[: -len(BIG) + MB], rest)
-        async with sidecar(endpoint) as one:
-            reader, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(request())
             await reader.readuntil(b"\r\n\r\n")
             writer.write(request(rid="r2"))
@@ -618,7 +618,7 @@
             may_continue.set()
             assert await reader.readexactly(len(BIG)) == BIG
             assert (await read_message(reader)).body == b"ok"
-            assert request_counts(one) == (2, 0, 0, 0, 0)
+            assert request_counts(proxy) == (2, 0, 0, 0, 0)
 
     run(main())
 
@@ -632,17 +632,17 @@
             writer.write(BIG[MB:])
 
         endpoint = endpoint_sending(framed(BIG, "length")[: -len(BIG) + MB], rest)
-        async with sidecar(endpoint) as one:
-            reader, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(request())
             await reader.readuntil(b"\r\n\r\n")
-            one.server.stop(ended.set)
-            one.server.shutdown.stop_listening()
+            proxy.server.stop(ended.set)
+            proxy.server.shutdown.stop_listening()
             assert not ended.is_set()
             may_continue.set()
             assert await reader.readexactly(len(BIG)) == BIG
             await ended.wait()
-            assert one.server.connections == set()
+            assert proxy.server.connections == set()
             writer.close()
 
     run(main())
@@ -658,13 +658,13 @@
             writer.write(b"6789")
 
         endpoint = endpoint_sending(answer(200, b"123456789")[:-4], rest)
-        async with sidecar(endpoint) as one:
-            asked = asyncio.create_task(one.send(request("pay", b"b")))
-            await wait_until(lambda: bool(one.upstream.receiving.waiting_since))
-            (link,) = one.upstream.receiving.waiting_since
+        async with sidecar(endpoint) as proxy:
+            asked = asyncio.create_task(proxy.send(request("pay", b"b")))
+            await wait_until(lambda: bool(proxy.upstream.receiving.waiting_since))
+            (link,) = proxy.upstream.receiving.waiting_since
             if stays:
                 link.received_bytes_at_check = 0  # bytes have arrived since the last check
-                del one.upstream.receiving.waiting_since[link]
+                del proxy.upstream.receiving.waiting_since[link]
                 link.on_response_timeout()
                 may_continue.set()
                 assert (await asked).body == b"123456789"
@@ -690,12 +690,12 @@
         endpoint = endpoint_sending(
             b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % MB + bytes(128 * 1024), trickle
         )
-        async with sidecar(endpoint) as one:
-            reader, writer = await one.connect()
+        async with sidecar(endpoint) as proxy:
+            reader, writer = await proxy.connect()
             writer.write(request())
             await reader.readuntil(b"\r\n\r\n")
             await reader.readexactly(128 * 1024)
-            (link,) = one.upstream.streaming.waiting_since
+            (link,) = proxy.upstream.streaming.waiting_since
             allowed_s = GRACE_S + link.body_byte_count / MIN_RATE_BYTES_PER_S
             if is_paused:
                 link.pause()
@@ -706,13 +706,13 @@
                 link.streaming_since -= allowed_s
             more.set()
             if is_paused:
-                assert await reader.readexactly(1) == b"x" and one.upstream.connections
+                assert await reader.readexactly(1) == b"x" and proxy.upstream.connections
                 writer.close()
             else:
                 with pytest.raises(asyncio.IncompleteReadError):
                     await reader.readexactly(MB - 128 * 1024)
-                await wait_until(lambda: request_counts(one) == (0, 0, 1, 0, 0))
-                assert_nothing_left(one)
+                await wait_until(lambda: request_counts(proxy) == (0, 0, 1, 0, 0))
+                assert_nothing_left(proxy)
 
     run(main())
 
@@ -722,19 +722,19 @@
 
     async def main() -> None:
         endpoint = Endpoint(never_answer)
-        async with sidecar(endpoint) as one:
-            one.server.request_budget.limit = MB
-            streams = [await one.connect() for _ in range(40)]
+        async with sidecar(endpoint) as proxy:
+            proxy.server.request_budget.limit = MB
+            streams = [await proxy.connect() for _ in range(40)]
             for n, (_, writer) in enumerate(streams):
                 writer.write(head(MB, rid=f"r{n}") + BIG[:300_000])
             await wait_until(
-                lambda: sum(caller.body_byte_count >= 300_000 for caller in one.server.connections) == 40
+                lambda: sum(caller.body_byte_count >= 300_000 for caller in proxy.server.connections) == 40
             )
-            assert one.server.request_budget.used <= MB
-            assert sum(caller.upload is not None for caller in one.server.connections) > 30
+            assert proxy.server.request_budget.used <= MB
+            assert sum(caller.upload is not None for caller in proxy.server.connections) > 30
             for _, writer in streams:
                 writer.transport.abort()
-            await wait_until(lambda: not one.server.connections and not one.engine.calls)
-            assert_nothing_left(one)
+            await wait_until(lambda: not proxy.server.connections and not proxy.engine.calls)
+            assert_nothing_left(proxy)
 
     run(main())
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -63,14 +63,20 @@
         by_zone = balancer.membership.ring.by_zone
         return (
             on_ring(balancer),
-            {zone: [one.id for _, one in ring] for zone, ring in by_zone.items() if ring},
-            [[(one.id, share) for one, share in subset.members] for subset in balancer.subsets.pair],
+            {zone: [endpoint.id for _, endpoint in ring] for zone, ring in by_zone.items() if ring},
+            [
+                [(endpoint.id, share) for endpoint, share in subset.members]
+                for subset in balancer.subsets.pair
+            ],
             {
                 number: (place.address, place.withdrawn_at)
                 for number, place in self.engine.endpoints.by_number.items()
             },
             self.upstream.known_endpoints,
-            sorted((one.id, one.started_at, one.rating) for one in balancer.endpoints.values()),
+            sorted(
+                (endpoint.id, endpoint.started_at, endpoint.rating)
+                for endpoint in balancer.endpoints.values()
+            ),
         )
 
 
@@ -103,11 +109,11 @@
 
 @given(st.permutations(range(40)))
 def test_the_order_of_the_entries_does_not_matter(order: list[int]) -> None:
-    one, other = Copy(), Copy()
-    one.apply_at_once(True, [raw(name) for name in range(40)])
-    for _ in other.apply_in_steps(True, [raw(name) for name in order]):
+    in_order, shuffled = Copy(), Copy()
+    in_order.apply_at_once(True, [raw(name) for name in range(40)])
+    for _ in shuffled.apply_in_steps(True, [raw(name) for name in order]):
         pass
-    assert one.routing_state()[:3] == other.routing_state()[:3]  # type: ignore[index]
+    assert in_order.routing_state()[:3] == shuffled.routing_state()[:3]  # type: ignore[index]
 
 
 TEXT = st.text('ab0.-"\\{}[]:,\n é', max_size=3)
@@ -213,9 +219,11 @@
     engine_copy.apply_at_once(True, [raw(name) for name in range(100)])
     listed = [*(raw(name) for name in range(50, 1_000)), raw(99, "draining")]
     left = {endpoint_number(f"s-{name}") for name in (*range(50), 99)}
-    for _ in engine_copy.apply_in_steps(True, [one for one in listed if one != raw(99)]):
-        ready = {one.id for one in engine_copy.engine.balancer.endpoints.values() if one.is_ready}
-        if any(one.is_staged for one in engine_copy.engine.balancer.endpoints.values()):
+    for _ in engine_copy.apply_in_steps(True, [raw_entry for raw_entry in listed if raw_entry != raw(99)]):
+        ready = {
+            endpoint.id for endpoint in engine_copy.engine.balancer.endpoints.values() if endpoint.is_ready
+        }
+        if any(endpoint.is_staged for endpoint in engine_copy.engine.balancer.endpoints.values()):
             assert not ready & left
     assert not set(on_ring(engine_copy.engine.balancer)) & left
 
@@ -252,9 +260,9 @@
 # With sockets
 
 
-def source(one: Sidecar) -> Discovery:
-    assert isinstance(one.engine.source, Discovery)
-    return one.engine.source
+def source(proxy: Sidecar) -> Discovery:
+    assert isinstance(proxy.engine.source, Discovery)
+    return proxy.engine.source
 
 
 def entries(count: int, *first: dict[str, Any]) -> list[dict[str, Any]]:
@@ -264,26 +272,26 @@
 def test_a_drain_at_the_end_of_a_long_list_is_respected_while_requests_are_served() -> None:
     async def main() -> None:
         stays, drains, registry = Endpoint(), Endpoint(), Registry()
-        async with sidecar(stays, drains, registry=registry) as one:
-            source(one).background.slice_s = 0.0  # each step runs in its own slice
+        async with sidecar(stays, drains, registry=registry) as proxy:
+            source(proxy).background.slice_s = 0.0  # each step runs in its own slice
             _, watch = await registry.asked.get()
-            outcomes_seen = record_outcomes(one.engine)
+            outcomes_seen = record_outcomes(proxy.engine)
             listed = [stays.entry("s-a"), *(raw(n, "draining") for n in range(10_000))]
             listed.append(drains.entry("s-1", lifecycle="draining"))
             push(watch, 42, True, *listed)
             served = 0
-            while endpoint_number("s-a") not in one.engine.endpoints.by_number:
-                assert (await one.send(request(rid=f"r{served}"))).body == b"ok"
+            while endpoint_number("s-a") not in proxy.engine.endpoints.by_number:
+                assert (await proxy.send(request(rid=f"r{served}"))).body == b"ok"
                 served += 1
-            while source(one).is_applying_list:
+            while source(proxy).is_applying_list:
                 await asyncio.sleep(0)
             assert served > 3, "requests were served while the list was read"
-            assert one.engine.endpoints.by_number[endpoint_number("s-1")].withdrawn_at is not None
+            assert proxy.engine.endpoints.by_number[endpoint_number("s-1")].withdrawn_at is not None
             before = len(drains.got)
             for n in range(20):
-                assert (await one.send(request(rid=f"x{n}"))).body == b"ok"
+                assert (await proxy.send(request(rid=f"x{n}"))).body == b"ok"
             assert len(drains.got) == before and len(outcomes_seen) >= served
-            assert on_ring(one.engine.balancer) == [endpoint_number("s-a")]
+            assert on_ring(proxy.engine.balancer) == [endpoint_number("s-a")]
 
     run(main())
 
@@ -291,8 +299,8 @@
 def test_a_list_that_arrives_while_another_is_applied_waits_for_it() -> None:
     async def main() -> None:
         first, second, registry = Endpoint(), Endpoint(), Registry()
-        async with sidecar(first, second, registry=registry) as one:
-            source(one).background.slice_s = 0.0
+        async with sidecar(first, second, registry=registry) as proxy:
+            source(proxy).background.slice_s = 0.0
             _, watch = await registry.asked.get()
             push(watch, 42, True, *entries(2_000, first.entry("s-a")))
             push(
@@ -305,10 +313,10 @@
             )
             push(watch, 44, True, *entries(1_000, second.entry("s-b")))
             push(watch, 45, False, first.entry("s-a"))
-            while source(one).generation < 45:
+            while source(proxy).generation < 45:
                 await asyncio.sleep(0)
             names = {endpoint_number(f"s-{name}") for name in (*range(1_000), "a", "b")}
-            assert set(on_ring(one.engine.balancer)) == names
+            assert set(on_ring(proxy.engine.balancer)) == names
 
     run(main())
 
@@ -316,14 +324,14 @@
 def test_a_malformed_long_list_is_logged_and_the_watch_opened_again(logged: Logged) -> None:
     async def main() -> None:
         endpoint, registry = Endpoint(), Registry()
-        async with sidecar(endpoint, registry=registry) as one:
+        async with sidecar(endpoint, registry=registry) as proxy:
             _, watch = await registry.asked.get()
             line = json.dumps({"generation": 42, "reset": True, "instances": entries(1_000)})
             assert len(line) > SHORT_OBJECT_BYTES
             push_raw(watch, line[:-2].encode() + b"}\n")
             await registry.asked.get()
-            assert source(one).generation == 41
-            assert (await one.send(request())).body == b"ok"
+            assert source(proxy).generation == 41
+            assert (await proxy.send(request())).body == b"ok"
 
     run(main())
     assert "bad line from discovery" in logged()
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -76,7 +76,7 @@
     return handler
 
 
-async def ask(one: Sidecar, caller: Caller, scenario: str, n: int) -> None:
+async def ask(proxy: Sidecar, caller: Caller, scenario: str, n: int) -> None:
     hint = "X-Cost-Hint: 18970\r\n"
     if scenario == "keyed":
         await caller.ask(request("put", b"body", hint, rid=f"r{n}", key=f"k{n}"))
@@ -85,12 +85,12 @@
     elif scenario == "bad":
         await caller.ask(request(headers="X-Class: page\r\n", rid=f"r{n}"))
     elif scenario == "gone":
-        _, writer = await one.connect()
+        _, writer = await proxy.connect()
         writer.write(request(rid=f"r{n}"))
-        while not one.engine.calls:
+        while not proxy.engine.calls:
             await asyncio.sleep(0)
         writer.transport.abort()
-        while one.engine.calls:
+        while proxy.engine.calls:
             await asyncio.sleep(0)
     else:
         await caller.ask(request(headers=hint, rid=f"r{n}"))
@@ -98,11 +98,11 @@
             caller.close()
 
 
-async def blocks_after_rounds(one: Sidecar, caller: Caller, scenario: str, first: int) -> int:
+async def blocks_after_rounds(proxy: Sidecar, caller: Caller, scenario: str, first: int) -> int:
     for n in range(first, first + ROUNDS):
-        await ask(one, caller, scenario, n)
+        await ask(proxy, caller, scenario, n)
     caller.close()
-    while one.connection_count or one.engine.calls:
+    while proxy.connection_count or proxy.engine.calls:
         await asyncio.sleep(0)
     gc.collect()
     return sys.getallocatedblocks()
@@ -113,11 +113,11 @@
 )
 def test_a_request_leaves_no_memory_allocated(scenario: str, stage: int) -> None:
     async def main() -> None:
-        async with sidecar(*(Endpoint(handler_for(scenario)) for _ in range(3)), stage=stage) as one:
-            caller = Caller("127.0.0.1", one.port)
-            await blocks_after_rounds(one, caller, scenario, 0)
-            before = await blocks_after_rounds(one, caller, scenario, ROUNDS)
-            growth = await blocks_after_rounds(one, caller, scenario, 2 * ROUNDS) - before
+        async with sidecar(*(Endpoint(handler_for(scenario)) for _ in range(3)), stage=stage) as proxy:
+            caller = Caller("127.0.0.1", proxy.port)
+            await blocks_after_rounds(proxy, caller, scenario, 0)
+            before = await blocks_after_rounds(proxy, caller, scenario, ROUNDS)
+            growth = await blocks_after_rounds(proxy, caller, scenario, 2 * ROUNDS) - before
             assert growth < ROUNDS, f"{growth / ROUNDS:.2f} blocks for each request"
 
     run(main())
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -60,8 +60,8 @@
     assert (order[1] == AWAITING_REQUEST) == (3 * awaiting_request >= 3 * (limit // 3) + 3)
 
 
-async def wait_for_partial_heads(one: Sidecar, expected: int) -> None:
-    while sum(caller.received_bytes > 20_000 for caller in one.server.connections) < expected:
+async def wait_for_partial_heads(proxy: Sidecar, expected: int) -> None:
+    while sum(caller.received_bytes > 20_000 for caller in proxy.server.connections) < expected:
         await asyncio.sleep(0)
 
 
@@ -75,42 +75,42 @@
 
 def test_memory_for_partial_heads_is_bounded_and_the_oldest_is_evicted() -> None:
     async def main() -> None:
-        async with sidecar(Endpoint()) as one:
-            one.server.request_budget.limit = 10 * (len(PARTIAL_HEAD) - UNCOUNTED_BYTES)
+        async with sidecar(Endpoint()) as proxy:
+            proxy.server.request_budget.limit = 10 * (len(PARTIAL_HEAD) - UNCOUNTED_BYTES)
             streams: list[tuple[Reader, Writer]] = []
             for n in range(10):
-                streams.append(await one.connect())
+                streams.append(await proxy.connect())
                 streams[-1][1].write(PARTIAL_HEAD)
-                await wait_for_partial_heads(one, n + 1)
-            assert one.server.request_budget.used == one.server.request_budget.limit
-            streams.append(await one.connect())
+                await wait_for_partial_heads(proxy, n + 1)
+            assert proxy.server.request_budget.used == proxy.server.request_budget.limit
+            streams.append(await proxy.connect())
             streams[-1][1].write(PARTIAL_HEAD)
             message = await read_message(streams[0][0])
             assert message.status == 503 and b"half-written" in message.body
-            assert one.server.request_budget.used <= one.server.request_budget.limit
+            assert proxy.server.request_budget.used <= proxy.server.request_budget.limit
             streams[1][1].write(b"\r\n\r\n")
             assert (await read_message(streams[1][0])).body == b"ok", (
                 "a head that is completed in time is served"
             )
-            assert (await one.send(request(rid="r2"))).body == b"ok"
+            assert (await proxy.send(request(rid="r2"))).body == b"ok"
             for _, writer in streams:
                 writer.transport.abort()
-            while one.server.connections:
+            while proxy.server.connections:
                 await asyncio.sleep(0)
-            assert one.server.request_budget.used == 0
+            assert proxy.server.request_budget.used == 0
 
     run(main())
 
 
 def test_a_partial_head_is_refused_if_none_can_be_evicted() -> None:
     async def main() -> None:
-        async with sidecar(Endpoint(never_answer)) as one:
-            one.server.request_budget.limit = 0
-            reader, writer = await one.connect()
+        async with sidecar(Endpoint(never_answer)) as proxy:
+            proxy.server.request_budget.limit = 0
+            reader, writer = await proxy.connect()
             writer.write(PARTIAL_HEAD)
             assert await status_of(reader) == 503
             writer.close()
-            assert one.server.request_budget.used == 0
+            assert proxy.server.request_budget.used == 0
 
     run(main())
 
@@ -120,39 +120,39 @@
 
     async def main() -> None:
         endpoint = Endpoint(never_answer)
-        async with sidecar(endpoint) as one:
-            one.server.request_budget.limit = 4 * 40_000
+        async with sidecar(endpoint) as proxy:
+            proxy.server.request_budget.limit = 4 * 40_000
             requests = []
             for n in range(5):
                 body = b"x" * 40_000
-                requests.append(asyncio.create_task(one.send(request("pay", body, rid=f"r{n}"))))
+                requests.append(asyncio.create_task(proxy.send(request("pay", body, rid=f"r{n}"))))
                 await endpoint.arrived.acquire()
-            reader, writer = await one.connect()
+            reader, writer = await proxy.connect()
             writer.write(PARTIAL_HEAD)
             assert await status_of(reader) == 503
-            assert not any(task.done() for task in requests) and len(one.engine.calls) == 5
+            assert not any(task.done() for task in requests) and len(proxy.engine.calls) == 5
             for task in requests:
                 task.cancel()
             await asyncio.gather(*requests, return_exceptions=True)
             writer.close()
-            while one.server.connections or one.engine.calls:
+            while proxy.server.connections or proxy.engine.calls:
                 await asyncio.sleep(0)
-            assert one.server.request_budget.used == 0
+            assert proxy.server.request_budget.used == 0
 
     run(main())
 
 
 def test_a_connection_that_stays_open_releases_the_budget_of_its_head() -> None:
     async def main() -> None:
-        async with sidecar(Endpoint()) as one, Caller("127.0.0.1", one.port) as caller:
+        async with sidecar(Endpoint()) as proxy, Caller("127.0.0.1", proxy.port) as caller:
             for raw in (PARTIAL_HEAD, b"GET /health/ready HTTP/1.1\r\nHost: x\r\nX: " + b"x" * 20_000):
                 if caller.streams is None:
-                    caller.streams = await one.connect()
+                    caller.streams = await proxy.connect()
                 caller.streams[1].write(raw)
-                await wait_for_partial_heads(one, 1)
-                assert one.server.request_budget.used > 0
+                await wait_for_partial_heads(proxy, 1)
+                assert proxy.server.request_budget.used > 0
                 assert (await caller.ask(b"\r\n\r\n")).status == 200
-                assert one.server.request_budget.used == 0
+                assert proxy.server.request_budget.used == 0
 
     run(main())
 
@@ -168,13 +168,15 @@
 
     async def main() -> None:
         endpoint = Endpoint(handler)
-        async with sidecar(endpoint, endpoint) as one:
-            budget = one.upstream.answer_budget
+        async with sidecar(endpoint, endpoint) as proxy:
+            budget = proxy.upstream.answer_budget
             budget.limit = 3 * (len(part) - UNCOUNTED_BYTES)
-            requests = [asyncio.create_task(one.send(request(rid=f"r{n}"))) for n in range(8)]
-            while len(one.upstream.receiving.waiting_since) + len(one.upstream.streaming.waiting_since) < 8:
+            requests = [asyncio.create_task(proxy.send(request(rid=f"r{n}"))) for n in range(8)]
+            while (
+                len(proxy.upstream.receiving.waiting_since) + len(proxy.upstream.streaming.waiting_since) < 8
+            ):
                 await asyncio.sleep(0)
-            assert budget.used <= budget.limit and len(one.upstream.streaming.waiting_since) >= 5
+            assert budget.used <= budget.limit and len(proxy.upstream.streaming.waiting_since) >= 5
             may_finish.set()
             assert all(message.body == 2 * part for message in await asyncio.gather(*requests))
             assert budget.used == 0
@@ -186,13 +188,13 @@
     """Guards against keeping the chunks in a list, which would take forty times as much."""
 
     async def main() -> None:
-        async with sidecar(Endpoint()) as one:
-            reader, writer = await one.connect()
+        async with sidecar(Endpoint()) as proxy:
+            reader, writer = await proxy.connect()
             framed = request("put").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
             writer.write(framed + b"1\r\nx\r\n" * 20_000)
-            while not any(caller.body_byte_count == 20_000 for caller in one.server.connections):
+            while not any(caller.body_byte_count == 20_000 for caller in proxy.server.connections):
                 await asyncio.sleep(0)
-            (caller,) = one.server.connections
+            (caller,) = proxy.server.connections
             assert len(caller.body) == 20_000 and isinstance(caller.body, bytearray)
             writer.write(b"0\r\n\r\n")
             assert (await read_message(reader)).status == 200
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -57,11 +57,11 @@
     """Run one process from its start to its end, with clients that keep sending after SIGTERM."""
     process = await start_daemon(environ)
     streams = [await connect_until_up(port) for _ in range(CLIENTS)]
-    clients = [PersistentClient(f"r{number}c{n}", *one) for n, one in enumerate(streams)]
-    tasks = [asyncio.create_task(one.send_until_closed()) for one in clients]
-    for one in clients:
-        await one.warmed_up.wait()
-        assert not one.unanswered and not one.is_told_to_close, "the process was not stopped yet"
+    clients = [PersistentClient(f"r{number}c{n}", *connection) for n, connection in enumerate(streams)]
+    tasks = [asyncio.create_task(client.send_until_closed()) for client in clients]
+    for client in clients:
+        await client.warmed_up.wait()
+        assert not client.unanswered and not client.is_told_to_close, "the process was not stopped yet"
     process.send_signal(signal.SIGTERM)
     await asyncio.gather(*tasks)
     _, errors = await process.communicate()
@@ -79,11 +79,11 @@
             port = free_port()
             environ = {**write_config(tmp_path, registry, endpoint), "LB_LISTEN": f"127.0.0.1:{port}"}
             for number in range(RESTARTS):
-                for one in await run_process(environ, port, number):
-                    assert len(one.answered) >= 3
-                    for rid in one.answered:
+                for client in await run_process(environ, port, number):
+                    assert len(client.answered) >= 3
+                    for rid in client.answered:
                         assert endpoint.effects.by_id[rid] == 1
-                    for rid in one.unanswered:
+                    for rid in client.unanswered:
                         assert endpoint.effects.by_id[rid] == 0, "it ran, and its client got no answer"
             assert not endpoint.effects.twice()
 
