--- a/laurelstep/outbox/admission.py
+++ b/laurelstep/outbox/admission.py
@@ -124,7 +124,7 @@
         headers = forwarded_headers(call.header_lines)
         return WriteOffer(
             cls=self.classes[call.request_class],
-            start=call.method_and_target,
+            method_and_target=call.method_and_target,
             headers=headers,
             size=self.bodies.size(call),
             digest=b"" if call.upload is not None else self.bodies.digest(call),
@@ -132,7 +132,7 @@
             session=session_of(call),
             obj=object_of(call),
             tenant=self.tenant_names.get(call.tenant, "") if call.tenant else "",
-            named=causality_tokens_of(call),
+            tokens=causality_tokens_of(call),
         )
 
     def _take(self, call: Call, ticket: WriteTicket, answer: Answer | None, engine: CallHost) -> None:
--- a/laurelstep/outbox/causality_tokens.py
+++ b/laurelstep/outbox/causality_tokens.py
@@ -3,7 +3,7 @@
 1. A token is signed with the edges' common secret: it can't be made up, and no bit of it changed. It is at
    most `TOKEN_MOST` characters; any `LOGS_FIT` logs fit. A set that does not fit gets a name of its own
    instead: a join, a queued write without an effect that follows all of the set (`Outbox.join`).
-2. A request may bring several tokens, `DEPENDENCIES_MOST` write ids in all.
+2. A request may bring several tokens, `MAX_DEPENDENCIES` write ids in all.
 3. The token is no secret of its client: it names writes, and asking for their receipts is another right.
 """
 
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from laurelstep.outbox.dependencies import DEPENDENCIES_MOST, Dependencies, Dependency, merge
+from laurelstep.outbox.dependencies import MAX_DEPENDENCIES, Dependencies, Dependency, merge
 from laurelstep.outbox.errors import LooseError, TokenError
 from laurelstep.outbox.write_ids import EdgeLog, WriteId, check_edge
 
@@ -73,8 +73,8 @@
         if len(texts) > _TOKENS_MOST:
             raise LooseError(f"more than {_TOKENS_MOST} tokens in one request")
         dependencies = merge(*(self._read(text) for text in texts))
-        if len(dependencies) > DEPENDENCIES_MOST:
-            raise LooseError(f"{len(dependencies)} writes before one, {DEPENDENCIES_MOST} are the most")
+        if len(dependencies) > MAX_DEPENDENCIES:
+            raise LooseError(f"{len(dependencies)} writes before one, {MAX_DEPENDENCIES} are the most")
         return dependencies
 
     def _read(self, text: str) -> list[Dependency]:
--- a/laurelstep/outbox/dependencies.py
+++ b/laurelstep/outbox/dependencies.py
@@ -13,10 +13,10 @@
 
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 
-__all__ = ["DEPENDENCIES_MOST", "Dependencies", "Dependency", "merge"]
+__all__ = ["MAX_DEPENDENCIES", "Dependencies", "Dependency", "merge"]
 
 IDS_PER_LOG: Final = 4
-DEPENDENCIES_MOST: Final = 512
+MAX_DEPENDENCIES: Final = 512
 
 
 class Dependency(NamedTuple):
--- a/laurelstep/outbox/dependency_tracker.py
+++ b/laurelstep/outbox/dependency_tracker.py
@@ -128,7 +128,7 @@
         packed = self._pack(write_id)
         return -1 if packed < 0 else self._open.get(packed)
 
-    def _must_row(self, write_id: WriteId) -> int:
+    def _require_row(self, write_id: WriteId) -> int:
         row = self._row(write_id)
         if row < 0 or self._rows.has(row, CLOSED):
             raise UnknownWriteError(f"{write_id} is not open here")
@@ -267,7 +267,7 @@
             and rows.flags[row] & (DURABLE | ORPHAN | BUSY | CLOSED) == DURABLE
             and self._graph.free(row)
         ):
-            rows.state[row] = next_state(WriteState.KEPT, WriteEvent.CAUSES_IN)
+            rows.state[row] = next_state(WriteState.KEPT, WriteEvent.DEPENDENCIES_FINAL)
             if rows.has(row, JOIN):
                 self._joins.append(row)
             else:
--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -37,7 +37,7 @@
     TokenError,
     UnknownWriteError,
 )
-from laurelstep.outbox.memory import keep_blocks_apart
+from laurelstep.outbox.memory import fix_mmap_threshold
 from laurelstep.outbox.options import OutboxSettings
 from laurelstep.outbox.outbox import (
     Outbox,
@@ -45,7 +45,7 @@
     QueuedClass,
 )
 from laurelstep.outbox.queue_store import LoadedWrites, QueueStore
-from laurelstep.outbox.receipts import WriteReceipt, show
+from laurelstep.outbox.receipts import WriteReceipt, encode_receipt
 from laurelstep.outbox.records import FINAL, Resolution, WriteState
 from laurelstep.outbox.version_vector import LocalVersionVector, VersionVector, WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId, parse_write_id
@@ -86,7 +86,7 @@
         """With all that earlier lives kept. `StoreError` or `OutboxError` if that can't be read, OSError
         or ValueError if the secret can't be. `version_vector`: that of a copy upstream which shares.
         """
-        keep_blocks_apart()
+        fix_mmap_threshold()
         store = await QueueStore.open(settings.store_path, settings.max_bytes, log)
         try:
             secret = await store.secret() if not settings.secret_file else _read_secret(settings.secret_file)
@@ -126,7 +126,7 @@
                 self.parked[write.write_id] = moved.parking
         self._restore_shared(loaded)
         for change in changes:
-            await self.store.put_state(change.moved)
+            await self.store.put_state(change.state_change)
             self._apply(change)
         if loaded.writes:
             self.log(f"outbox: {len(loaded.writes)} writes of earlier lives, {len(self.parked)} parked")
@@ -173,7 +173,7 @@
     async def _tell(self, call: Call) -> None:
         try:
             receipt = await self.receipt(_one(self.tokens.read(call.method_and_target.decode("ascii"))))
-            answer = Answer(Ending.SERVED, 200, (JSON,), show(receipt))
+            answer = Answer(Ending.SERVED, 200, (JSON,), encode_receipt(receipt))
         except UnknownWriteError as error:
             answer = Answer(Ending.FAILED, 404, (), f"{error}\n".encode())
         except (CauseError, UnicodeDecodeError) as error:
@@ -218,14 +218,16 @@
             "out": len(self.in_flight),
             "parked": len(self.parked),
             "disk_bytes": self.store.size,
-            "writes": [msgspec.json.decode(show(self.outbox.receipt(write_id))) for write_id in shown],
+            "writes": [
+                msgspec.json.decode(encode_receipt(self.outbox.receipt(write_id))) for write_id in shown
+            ],
         }
 
 
 def _bounds_of(settings: OutboxSettings) -> OutboxBounds:
     return OutboxBounds(
-        bytes_most=settings.max_bytes,
-        count_most=settings.most,
+        max_bytes=settings.max_bytes,
+        max_writes=settings.most,
         tenant_share=settings.share,
         age_us=settings.age_us,
         receipt_us=settings.receipt_us,
--- a/laurelstep/outbox/intake.py
+++ b/laurelstep/outbox/intake.py
@@ -4,7 +4,7 @@
 
 from typing import Final
 
-from laurelstep.outbox.dependencies import DEPENDENCIES_MOST, Dependencies, Dependency, merge
+from laurelstep.outbox.dependencies import MAX_DEPENDENCIES, Dependencies, Dependency, merge
 from laurelstep.outbox.dependency_tracker import NUMBER_MASK, NUMBERS
 from laurelstep.outbox.errors import (
     CycleError,
@@ -50,7 +50,7 @@
             raise KeepError(f"class {offer.cls!r} is not kept")
         if cls.keyed and not offer.key:
             raise KeepError(f"a write of class {offer.cls!r} came without its key")
-        named = self.tokens.read(offer.named) if offer.named else ()
+        named = self.tokens.read(offer.tokens) if offer.tokens else ()
         key = short_hash(cls.name.encode(), offer.tenant.encode(), offer.key) if cls.keyed else 0
         known = self._keys.get(key) if key else -1
         if known >= 0:
@@ -83,7 +83,7 @@
         write = QueuedWrite(
             write_id,
             cls.name,
-            offer.start,
+            offer.method_and_target,
             offer.headers,
             offer.size,
             offer.digest,
@@ -105,8 +105,8 @@
         return WriteTicket(write_id, write)
 
     def _check(self, dependencies: Dependencies) -> None:
-        if len(dependencies) > DEPENDENCIES_MOST:
-            raise LooseError(f"{len(dependencies)} writes before one, {DEPENDENCIES_MOST} are the most")
+        if len(dependencies) > MAX_DEPENDENCIES:
+            raise LooseError(f"{len(dependencies)} writes before one, {MAX_DEPENDENCIES} are the most")
         edge_log, high = self._edge_logs[0], self._high[0]
         for dependency in dependencies:
             if dependency.edge_log == edge_log and dependency.number > high:
@@ -118,13 +118,13 @@
         bounds = self.bounds
         count, size = self._usage.get(self._tenants.get(offer.tenant, -1), (0, 0))
         for name, used, most, share in (
-            ("count", self.count + 1, bounds.count_most, count + 1),
-            ("bytes", self.size + offer.size, bounds.bytes_most, size + offer.size),
+            ("count", self.count + 1, bounds.max_writes, count + 1),
+            ("bytes", self.size + offer.size, bounds.max_bytes, size + offer.size),
         ):
             if used > most:
-                raise FullError(f"outbox.{name}_most {most} is reached", RETRY_US)
+                raise FullError(f"the outbox is full: its {name} limit of {most} is reached", RETRY_US)
             if offer.cls and share > most * bounds.tenant_share:
-                raise FullError(f"tenant {offer.tenant!r} has its share of outbox.{name}_most", RETRY_US)
+                raise FullError(f"tenant {offer.tenant!r} has used its share of the {name} limit", RETRY_US)
 
     def _check_circle(self, known: int, named: Dependencies) -> None:
         """A repeat names its first try, or what follows that."""
@@ -173,14 +173,14 @@
 
     def on_stored(self, write_id: WriteId, now: int) -> None:
         """Its record is durable: it counts, and may be told."""
-        row = self._must_row(write_id)
+        row = self._require_row(write_id)
         self._rows.set(row, DURABLE)
         self._unsure.pop(row, None)
         self._wake(row)
 
     def on_size_known(self, write_id: WriteId, size: int) -> None:
         """What its body has, of which only the most was known when it was offered."""
-        row = self._must_row(write_id)
+        row = self._require_row(write_id)
         less = self._rows.size[row] - size
         self._rows.size[row] = size
         self._usage[self._rows.tenant[row]][1] -= less
@@ -188,8 +188,8 @@
 
     def on_store_failed(self, write_id: WriteId, now: int) -> None:
         """Its record could not be made durable: as if it had not been offered."""
-        row = self._must_row(write_id)
-        next_state(self._rows.state_of(row), WriteEvent.LOST)
+        row = self._require_row(write_id)
+        next_state(self._rows.state_of(row), WriteEvent.STORE_FAILED)
         key = self._rows.key[row]
         if key and self._keys.get(key) == self._pack(write_id):
             self._keys.drop(key)
--- a/laurelstep/outbox/memory.py
+++ b/laurelstep/outbox/memory.py
@@ -14,7 +14,7 @@
 _OWN_PAGES_BYTES: Final = 128 * 1024  # as glibc begins
 
 
-def keep_blocks_apart() -> None:
+def fix_mmap_threshold() -> None:
     """Of this process; nothing where the C library knows no such thing."""
     with contextlib.suppress(OSError, AttributeError):
         ctypes.CDLL(None).mallopt(_M_MMAP_THRESHOLD, _OWN_PAGES_BYTES)
--- a/laurelstep/outbox/messages.py
+++ b/laurelstep/outbox/messages.py
@@ -27,14 +27,14 @@
 class OutboxBounds:
     """What is kept at most, and for how long."""
 
-    bytes_most: int = 1 << 30
-    count_most: int = 100_000
+    max_bytes: int = 1 << 30
+    max_writes: int = 100_000
     # Of bytes and count, that one tenant may use: 0 to 1.
     tenant_share: float = 0.5
     age_us: int = 7 * 86_400_000_000
     # How long a receipt is kept after its write was done or given up, and how many at most.
     receipt_us: int = 86_400_000_000
-    receipts_most: int = 100_000
+    max_receipts: int = 100_000
     replay_most: int = 8
     # The longest time between a send and its run upstream: the deadline of one try.
     send_us: int = 30_000_000
@@ -46,10 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteOffer:
-    """A write that could be kept. `named`: the header's tokens; `key`: its idempotency key, b"" if none."""
+    """A write that could be kept. `tokens`: the header's tokens; `key`: its idempotency key, b"" if none."""
 
     cls: str
-    start: bytes
+    method_and_target: bytes
     headers: tuple[tuple[bytes, bytes], ...]
     size: int
     digest: bytes
@@ -57,18 +57,18 @@
     session: bytes = b""
     obj: bytes = b""
     tenant: str = ""
-    named: str = ""
+    tokens: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteTicket:
-    """A number for an offer. `known`: it has this key already, and nothing is to be kept: compare its
+    """A number for an offer. `is_known`: it has this key already, and nothing is to be kept: compare its
     record's key and digest with the offer's, and give its receipt once it is `durable`.
     """
 
     write_id: WriteId
     write: QueuedWrite | None
-    known: bool = False
+    is_known: bool = False
 
 
 class ReplayResult(IntEnum):
@@ -83,8 +83,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Transition:
-    """One step of one write. `moved` is what becomes durable before `apply`."""
+    """One step of one write. `state_change` is what becomes durable before `apply`."""
 
     write_id: WriteId
     event: WriteEvent
-    moved: StateChange
+    state_change: StateChange
--- a/laurelstep/outbox/outbox.py
+++ b/laurelstep/outbox/outbox.py
@@ -8,7 +8,7 @@
     for change in outbox.due(now): ...          # what goes out, expires, or is orphaned
     change = outbox.ended(write id, end, ...)        # of a write that was sent
     change = outbox.judge(write id, parking, resolution)
-    # each change: journal.encode(change.moved) made durable in place of the last one; then
+    # each change: journal.encode(change.state_change) made durable in place of the last one; then
     outbox.apply(change, now)                   # only now the step that it announces, if True; or outbox.undo
 
 1. Between a change and its `apply` or `undo` its write takes no other.
--- a/laurelstep/outbox/queue_store.py
+++ b/laurelstep/outbox/queue_store.py
@@ -159,7 +159,7 @@
         async for key, value in self.store.each(KEPT + MOVED + LINE + HOLDERS):
             if key[:1] == KEPT:
                 write, first = _split(value)
-                kept[key[1:]] = replace(write, start=b"", headers=(), digest=b"")
+                kept[key[1:]] = replace(write, method_and_target=b"", headers=(), digest=b"")
                 if first:
                     whole.add(key[1:])
             elif key[:1] == MOVED:
--- a/laurelstep/outbox/receipt_log.py
+++ b/laurelstep/outbox/receipt_log.py
@@ -48,20 +48,20 @@
             return None
         if before is not None and parking <= before[0]:
             raise VerdictError(f"{write_id}: parking {before[0]} was judged {before[1].name.lower()}")
-        row = self._must_row(write_id)
+        row = self._require_row(write_id)
         self._check_resolution(row, parking, resolution)
         event = {
             Resolution.RAN: WriteEvent.RAN,
             Resolution.NEVER_RAN: WriteEvent.NEVER_RAN,
             Resolution.GIVE_UP: WriteEvent.GIVE_UP,
         }[resolution]
-        moved = self._change(row, event, self._rows.reason_of(row)).moved
+        moved = self._change(row, event, self._rows.reason_of(row)).state_change
         sent = moved.sent and resolution is not Resolution.NEVER_RAN
         told = msgspec.structs.replace(
             moved,
             parking=parking,
             resolution=resolution,
-            resolved=parking,
+            resolved_parking=parking,
             resolved_at=wall,
             sent=sent,
             wall=wall,
@@ -124,7 +124,7 @@
         found: list[WriteId] = []
         for _ in range(min(SWEEP, len(self._closed))):
             packed, until, key = self._closed[0]
-            if until > now and len(self._closed) <= self.bounds.receipts_most:
+            if until > now and len(self._closed) <= self.bounds.max_receipts:
                 break
             self._closed.popleft()
             write_id = WriteId(*self._edge_logs[packed >> NUMBERS], packed & NUMBER_MASK)
--- a/laurelstep/outbox/receipts.py
+++ b/laurelstep/outbox/receipts.py
@@ -10,7 +10,7 @@
 from laurelstep.outbox.records import ParkingReason, WriteState
 from laurelstep.outbox.write_ids import WriteId
 
-__all__ = ["REASONS", "WriteReceipt", "show"]
+__all__ = ["REASONS", "WriteReceipt", "encode_receipt"]
 
 REASONS: Final[dict[ParkingReason, str]] = {
     ParkingReason.WINDOW: "the time for which its key is remembered upstream has passed",
@@ -46,7 +46,7 @@
         return ("give_up",) if self.reason is ParkingReason.FOLLOWS else _OPEN
 
 
-def show(receipt: WriteReceipt) -> bytes:
+def encode_receipt(receipt: WriteReceipt) -> bytes:
     """As JSON, for the client that asks and for an operator."""
     told: dict[str, Any] = {"write": str(receipt.write_id), "state": receipt.state.name.lower()}
     if receipt.state is WriteState.PARKED:
--- a/laurelstep/outbox/records.py
+++ b/laurelstep/outbox/records.py
@@ -75,33 +75,33 @@
 class WriteEvent(IntEnum):
     """What moves a queued write."""
 
-    CAUSES_IN = 1
+    DEPENDENCIES_FINAL = 1
     SEND = 2
     ANSWERED = 3
     NOT_RUN = 4  # no attempt can have run
-    AGAIN = 5  # may have run, and is sent again under its key
-    UNSURE = 6  # may have run, and can't be sent again
+    RETRY = 5  # may have run, and is sent again under its key
+    UNCERTAIN = 6  # may have run, and can't be sent again
     DENIED = 7
     EXPIRED = 8
     ORPHANED = 9
     RAN = 10
     NEVER_RAN = 11
     GIVE_UP = 12
-    LOST = 13  # the record of it could not be kept
+    STORE_FAILED = 13  # the record of it could not be kept
     JOINED = 14  # it has no effect of its own: all that it follows is in
     FENCED = 15  # its log is another process's
-    CLAIMED = 16  # it was FENCED, and its log is this process's now
-    FOUND_IN = 17  # it may have run, and upstream's record says that it is in
+    UNFENCED = 16  # it was FENCED, and its log is this process's now
+    FOUND_APPLIED = 17  # it may have run, and upstream's record says that it is in
 
 
 FINAL: Final = frozenset({WriteState.DONE, WriteState.GIVEN_UP})
 
 TRANSITIONS: Final[dict[tuple[WriteState, WriteEvent], WriteState]] = {
-    (WriteState.KEPT, WriteEvent.CAUSES_IN): WriteState.READY,
+    (WriteState.KEPT, WriteEvent.DEPENDENCIES_FINAL): WriteState.READY,
     (WriteState.KEPT, WriteEvent.EXPIRED): WriteState.PARKED,
     (WriteState.KEPT, WriteEvent.ORPHANED): WriteState.PARKED,
     (WriteState.KEPT, WriteEvent.GIVE_UP): WriteState.GIVEN_UP,
-    (WriteState.KEPT, WriteEvent.LOST): WriteState.GIVEN_UP,
+    (WriteState.KEPT, WriteEvent.STORE_FAILED): WriteState.GIVEN_UP,
     (WriteState.KEPT, WriteEvent.FENCED): WriteState.PARKED,
     (WriteState.READY, WriteEvent.FENCED): WriteState.PARKED,
     (WriteState.OUT, WriteEvent.FENCED): WriteState.PARKED,
@@ -110,14 +110,14 @@
     (WriteState.READY, WriteEvent.EXPIRED): WriteState.PARKED,
     (WriteState.OUT, WriteEvent.ANSWERED): WriteState.DONE,
     (WriteState.OUT, WriteEvent.NOT_RUN): WriteState.READY,
-    (WriteState.OUT, WriteEvent.AGAIN): WriteState.READY,
-    (WriteState.OUT, WriteEvent.UNSURE): WriteState.PARKED,
+    (WriteState.OUT, WriteEvent.RETRY): WriteState.READY,
+    (WriteState.OUT, WriteEvent.UNCERTAIN): WriteState.PARKED,
     (WriteState.OUT, WriteEvent.DENIED): WriteState.PARKED,
     (WriteState.PARKED, WriteEvent.RAN): WriteState.DONE,
     (WriteState.PARKED, WriteEvent.NEVER_RAN): WriteState.KEPT,
     (WriteState.PARKED, WriteEvent.GIVE_UP): WriteState.GIVEN_UP,
-    (WriteState.PARKED, WriteEvent.CLAIMED): WriteState.KEPT,
-    (WriteState.PARKED, WriteEvent.FOUND_IN): WriteState.DONE,
+    (WriteState.PARKED, WriteEvent.UNFENCED): WriteState.KEPT,
+    (WriteState.PARKED, WriteEvent.FOUND_APPLIED): WriteState.DONE,
 }
 
 
@@ -138,7 +138,7 @@
 
     write_id: WriteId
     cls: str
-    start: bytes  # method and target
+    method_and_target: bytes  # method and target
     headers: tuple[tuple[bytes, bytes], ...]
     size: int  # of the body, bytes
     digest: bytes  # of method, target and body
@@ -150,7 +150,7 @@
     dependencies: tuple[tuple[str, int, int, bool], ...]  # see dependencies.Dependencies
     wall: int
     window_us: int
-    life: int  # how many lives of this store, of which there were records, came before
+    earlier_incarnations: int  # how many lives of this store, of which there were records, came before
 
 
 class StateChange(msgspec.Struct, array_like=True, frozen=True):
@@ -161,7 +161,7 @@
     reason: ParkingReason = ParkingReason.NONE
     parking: int = 0
     resolution: int = 0  # the last one given, on `judged`
-    resolved: int = 0
+    resolved_parking: int = 0
     resolved_at: int = 0  # unix time, µs
     sent: bool = False  # was ever OUT without a known end
     status: int = 0
--- a/laurelstep/outbox/remote_logs.py
+++ b/laurelstep/outbox/remote_logs.py
@@ -68,8 +68,8 @@
         row = self._row(write_id)
         if row < 0 or not self.needs_status(Dependency(*write_id)) or self._rows.has(row, BUSY):
             return None
-        change = self._change(row, WriteEvent.FOUND_IN)
-        return Transition(write_id, change.event, msgspec.structs.replace(change.moved, wall=wall))
+        change = self._change(row, WriteEvent.FOUND_APPLIED)
+        return Transition(write_id, change.event, msgspec.structs.replace(change.state_change, wall=wall))
 
     def fence(self, edge_log: EdgeLog) -> None:
         """Another process has this log."""
--- a/laurelstep/outbox/replay_driver.py
+++ b/laurelstep/outbox/replay_driver.py
@@ -32,7 +32,7 @@
 TURN_US: Final = 1_000_000
 # An end that could not be written is tried again after this.
 AGAIN_S: Final = 1.0
-UNPARKED: Final = (WriteEvent.NEVER_RAN, WriteEvent.CLAIMED)
+UNPARKED: Final = (WriteEvent.NEVER_RAN, WriteEvent.UNFENCED)
 
 
 class ReplayDriver(DriverState):
@@ -41,9 +41,9 @@
     def on_attempt_ended(self, endpoint: int, outcome: int) -> None:
         """An attempt of any request ended so: one of `laurelstep.balancing.events`'s outcomes."""
         if outcome in ANSWERED:
-            self.cutoff.answered(self.now())
+            self.cutoff.on_response(self.now())
         elif outcome in UNANSWERED:
-            self.cutoff.failed(endpoint, self.now())
+            self.cutoff.on_failure(endpoint, self.now())
         if self.cutoff.is_cut_off != self.was_cut_off:
             self._on_cutoff_change()
 
@@ -64,7 +64,7 @@
             return
         self.look_at = now + TURN_US // 2
         places = self.engine.endpoints.by_number.values()
-        self.cutoff.listed(sum(1 for place in places if place.withdrawn_at is None), now)
+        self.cutoff.on_endpoint_count(sum(1 for place in places if place.withdrawn_at is None), now)
         if self.cutoff.is_cut_off != self.was_cut_off:
             self._on_cutoff_change()
 
@@ -136,7 +136,7 @@
     async def take_step(self, change: Transition) -> None:
         """Make a transition durable, then do what it announces."""
         try:
-            await self.store.put_state(change.moved)
+            await self.store.put_state(change.state_change)
         except StoreError as error:
             self.log(f"outbox: {change.write_id}: not written: {error}")
             self.outbox.undo(change, self.now())
@@ -153,16 +153,16 @@
         if self.sharing is not None:
             self.sharing.on_step_durable(change)
         goes = self.outbox.apply(change, self.now())
-        state = change.moved.state
+        state = change.state_change.state
         if self.status_publisher is not None and (state is WriteState.PARKED or change.event in UNPARKED):
             self.status_publisher.publish(
                 change.write_id, WriteStatus.PARKED if state is WriteState.PARKED else WriteStatus.UNKNOWN
             )
-        if change.event is WriteEvent.FOUND_IN:
+        if change.event is WriteEvent.FOUND_APPLIED:
             self.log(f"outbox: {change.write_id}: upstream's record says that it is in: done")
         if state is WriteState.PARKED:
-            self.parked[change.write_id] = change.moved.parking
-            self.log(f"outbox: {change.write_id}: parked: {change.moved.reason.name.lower()}")
+            self.parked[change.write_id] = change.state_change.parking
+            self.log(f"outbox: {change.write_id}: parked: {change.state_change.reason.name.lower()}")
         else:
             self.parked.pop(change.write_id, None)
         if state in FINAL:
@@ -206,14 +206,14 @@
         call = Call(
             request_class=cls,
             expires_at=self.engine.now() + self.engine.settings.classes[cls].deadline_us,
-            method_and_target=write.start,
+            method_and_target=write.method_and_target,
             header_lines=lines_of(write.headers),
             body=body,
             frontend=replay,
             client_request_id=b"outbox "
             + str(write.write_id).encode(),  # its client may come again under the name that it has
             tenant=self.tenants.get(write.tenant, 0),
-            key=parse_object_key(write.start.partition(b"?")[2]),
+            key=parse_object_key(write.method_and_target.partition(b"?")[2]),
             work_us=parse_cost_hint(fields.get(b"x-cost-hint", b"")),
             is_retry=write.write_id in self.again,
         )
@@ -238,7 +238,7 @@
         )
         while True:
             try:
-                await self.store.put_state(change.moved)
+                await self.store.put_state(change.state_change)
                 break
             except StoreError as error:
                 self.log(f"outbox: {write_id}: its end is not written: {error}")
--- a/laurelstep/outbox/replay_queue.py
+++ b/laurelstep/outbox/replay_queue.py
@@ -20,7 +20,7 @@
 
     def __init__(self, most: int, hold_us: int) -> None:
         self._most = most
-        self._hold = hold_us
+        self._hold_us = hold_us
         self._until = 0
         self.limit = 1
         self.out = 0
@@ -51,7 +51,7 @@
         """A live request was. Refusals within one hold count once: they tell of one shortage."""
         if now >= self._until:
             self.limit = max(1, self.limit // 2)
-        self._until = now + self._hold
+        self._until = now + self._hold_us
 
 
 class ReplayQueue:
--- a/laurelstep/outbox/replay_schedule.py
+++ b/laurelstep/outbox/replay_schedule.py
@@ -64,7 +64,7 @@
         found: list[Transition] = []
         for rows, states, event, reason in (
             (self._to_fence, (WriteState.KEPT, WriteState.READY), WriteEvent.FENCED, ParkingReason.FENCED),
-            (self._to_claim, (WriteState.PARKED,), WriteEvent.CLAIMED, ParkingReason.NONE),
+            (self._to_claim, (WriteState.PARKED,), WriteEvent.UNFENCED, ParkingReason.NONE),
         ):
             for _ in range(min(SWEEP, len(rows))):
                 row = rows.popleft()
--- a/laurelstep/outbox/restore.py
+++ b/laurelstep/outbox/restore.py
@@ -48,8 +48,8 @@
         former life. `is_elapsed_known`: whether `wall` tells how much time passed between the lives;
         `doubt_us`: by how much it may tell too much. What comes back is to be made durable and applied.
         """
-        records = sorted(kept, key=lambda pair: (pair[0].life, pair[0].write_id))
-        self._life = max((write.life for write, _ in records), default=-1) + 1
+        records = sorted(kept, key=lambda pair: (pair[0].earlier_incarnations, pair[0].write_id))
+        self._life = max((write.earlier_incarnations for write, _ in records), default=-1) + 1
         for edge_log in sorted(
             {*edge_logs, *(write.write_id.edge_log for write, _ in records)} - {self._edge_logs[0]}
         ):
@@ -88,9 +88,9 @@
         if moved is not None:
             self._rows.reason[row], self._rows.parking[row] = moved.reason, moved.parking
             self._rows.set(row, SENT, moved.sent)
-            if moved.resolved:
+            if moved.resolved_parking:
                 self._resolutions[self._pack(write.write_id)] = (
-                    moved.resolved,
+                    moved.resolved_parking,
                     Resolution(moved.resolution),
                     moved.resolved_at,
                 )
@@ -146,7 +146,7 @@
         self._rows.set(row, SENT)
         event, reason = self._meaning(row, ReplayResult.MAY_HAVE_RUN, now)
         if clock_back:
-            event, reason = WriteEvent.UNSURE, ParkingReason.MAY_HAVE_RUN
+            event, reason = WriteEvent.UNCERTAIN, ParkingReason.MAY_HAVE_RUN
         return self._change(row, event, reason)
 
     def edge_logs(self) -> dict[EdgeLog, int]:
--- a/laurelstep/outbox/shared/asking.py
+++ b/laurelstep/outbox/shared/asking.py
@@ -135,13 +135,13 @@
         """A change is durable, and not applied yet."""
         if change.event is WriteEvent.NEVER_RAN and self.outbox.is_unsafe(change.write_id):
             self.outbox.withhold(change.write_id)
-            self._take_back(change.write_id, change.moved.resolved)
-        elif change.event in (WriteEvent.ANSWERED, WriteEvent.FOUND_IN):
+            self._take_back(change.write_id, change.state_change.resolved_parking)
+        elif change.event in (WriteEvent.ANSWERED, WriteEvent.FOUND_APPLIED):
             self.driver.applied_by_gate.add(change.write_id)
 
     def on_step_applied(self, change: Transition) -> None:
         """A change was applied."""
-        if change.moved.state is WriteState.PARKED:
+        if change.state_change.state is WriteState.PARKED:
             self.parked_at[change.write_id] = self.driver.clock.now()
             self._follow_own(change.write_id)
         else:
--- a/laurelstep/outbox/transitions.py
+++ b/laurelstep/outbox/transitions.py
@@ -64,7 +64,7 @@
 
     def window_left(self, write_id: WriteId, now: int) -> int:
         """How much of its window is left; an unsafe one has none, and so all the time there is."""
-        row = self._must_row(write_id)
+        row = self._require_row(write_id)
         cls = self.classes.get(self._names[self._rows.cls[row]])
         if cls is None or not cls.keyed:
             return self.bounds.age_us
@@ -85,7 +85,7 @@
         body: bytes = b"",
     ) -> Transition:
         """What its end means, by its class."""
-        row = self._must_row(write_id)
+        row = self._require_row(write_id)
         event, reason = self._meaning(row, end, now)
         next_state(self._rows.state_of(row), event)
         if end in (ReplayResult.ANSWERED, ReplayResult.DENIED):
@@ -96,7 +96,7 @@
             self.pace.failed(now)
         if end is ReplayResult.MAY_HAVE_RUN:
             self._rows.set(row, SENT)
-        moved = self._change(row, event, reason).moved
+        moved = self._change(row, event, reason).state_change
         told = msgspec.structs.replace(moved, status=status, headers=headers, body=body, wall=wall)
         return Transition(write_id, event, told)
 
@@ -111,23 +111,23 @@
             return WriteEvent.FENCED, ParkingReason.FENCED
         cls = self.classes.get(self._names[self._rows.cls[row]])
         if cls is not None and cls.keyed and not self._expired(row, now):
-            return WriteEvent.AGAIN, ParkingReason.NONE
-        return WriteEvent.UNSURE, ParkingReason.MAY_HAVE_RUN
+            return WriteEvent.RETRY, ParkingReason.NONE
+        return WriteEvent.UNCERTAIN, ParkingReason.MAY_HAVE_RUN
 
     def apply(self, change: Transition, now: int) -> bool:
         """The change is durable. False for a `SEND` that took so long that its window is over: it is not
         sent, but `ended` as `NOT_RUN`.
         """
-        row = self._must_row(change.write_id)
+        row = self._require_row(change.write_id)
         rows, event = self._rows, change.event
         rows.state[row] = next_state(rows.state_of(row), event)
-        rows.reason[row], rows.parking[row] = change.moved.reason, change.moved.parking
+        rows.reason[row], rows.parking[row] = change.state_change.reason, change.state_change.parking
         rows.set(row, BUSY | ORPHAN, False)
         state = rows.state_of(row)
-        moved = change.moved
-        if moved.resolved:
+        moved = change.state_change
+        if moved.resolved_parking:
             self._resolutions[self._pack(change.write_id)] = (
-                moved.resolved,
+                moved.resolved_parking,
                 Resolution(moved.resolution),
                 moved.resolved_at,
             )
@@ -135,11 +135,11 @@
             self._park(row, event)
         elif state in FINAL:
             self._close(row, now)
-        elif event in (WriteEvent.NOT_RUN, WriteEvent.AGAIN):
+        elif event in (WriteEvent.NOT_RUN, WriteEvent.RETRY):
             self._turns.again(row)
         elif event is WriteEvent.NEVER_RAN:
             self._begin_anew(row, moved.reason, now)
-        elif event is WriteEvent.CLAIMED:
+        elif event is WriteEvent.UNFENCED:
             if self._expired(row, now):  # found too old while it was parked, and passed over
                 self._late.append(row)
             self._graph.resume(row)
@@ -171,7 +171,7 @@
         """The change could not be made durable: it is found again by `due`, but for a resolution or an end,
         which the driver tries again.
         """
-        row = self._must_row(change.write_id)
+        row = self._require_row(change.write_id)
         rows = self._rows
         rows.set(row, BUSY, False)
         if change.event is WriteEvent.SEND:
@@ -180,7 +180,7 @@
             self._orphans.append(row)
         elif change.event is WriteEvent.FENCED:
             self._to_fence.append(row)
-        elif change.event is WriteEvent.CLAIMED:
+        elif change.event is WriteEvent.UNFENCED:
             self._to_claim.append(row)
         elif rows.state[row] == WriteState.READY:
             (self._joins.append if rows.has(row, JOIN) else self._turns.again)(row)
--- a/laurelstep/outbox/write_ids.py
+++ b/laurelstep/outbox/write_ids.py
@@ -15,11 +15,11 @@
 
 from laurelstep.outbox.errors import TokenError
 
-__all__ = ["EDGE_MOST", "EdgeLog", "WriteId", "check_edge", "parse_write_id"]
+__all__ = ["MAX_EDGE_NAME_CHARS", "EdgeLog", "WriteId", "check_edge", "parse_write_id"]
 
 # Characters of an edge's name; guards a token's bound.
-EDGE_MOST: Final = 32
-_EDGE: Final = re.compile(rf"[a-z0-9][a-z0-9.-]{{0,{EDGE_MOST - 1}}}\Z")
+MAX_EDGE_NAME_CHARS: Final = 32
+_EDGE: Final = re.compile(rf"[a-z0-9][a-z0-9.-]{{0,{MAX_EDGE_NAME_CHARS - 1}}}\Z")
 _DOT: Final = re.compile(r"([a-z0-9.-]+)/([0-9a-f]{16})/([1-9][0-9]{0,17})\Z")
 
 
@@ -50,7 +50,7 @@
     """The name, or ValueError in one line."""
     if not _EDGE.match(name):
         raise ValueError(
-            f"an edge's name is 1 to {EDGE_MOST} of a-z 0-9 . - and starts with a letter or digit"
+            f"an edge's name is 1 to {MAX_EDGE_NAME_CHARS} of a-z 0-9 . - and starts with a letter or digit"
         )
     return name
 
--- a/laurelstep/testing/contracts/outbox.py
+++ b/laurelstep/testing/contracts/outbox.py
@@ -88,7 +88,7 @@
     return QueuedWrite(
         write_id=dot_of(number),
         cls="upload",
-        start=b"POST /upload",
+        method_and_target=b"POST /upload",
         headers=((b"x-request-id", b"%d" % number),),
         size=size,
         digest=b"d" * 16,
@@ -100,7 +100,7 @@
         dependencies=(),
         wall=1,
         window_us=2,
-        life=0,
+        earlier_incarnations=0,
     )
 
 
@@ -129,7 +129,7 @@
 
 def as_loaded(write: QueuedWrite) -> QueuedWrite:
     """The write as `load` gives it: without what only a replay needs."""
-    return replace(write, start=b"", headers=(), digest=b"")
+    return replace(write, method_and_target=b"", headers=(), digest=b"")
 
 
 class WriteStoreContract(Contract, ABC):
--- a/tests/faulty_outbox.py
+++ b/tests/faulty_outbox.py
@@ -13,7 +13,7 @@
 from laurelstep.outbox.driver import OutboxDriver
 from laurelstep.outbox.messages import ReplayResult, Transition, WriteOffer, WriteTicket
 from laurelstep.outbox.outbox import Outbox
-from laurelstep.outbox.receipts import WriteReceipt, show
+from laurelstep.outbox.receipts import WriteReceipt, encode_receipt
 from laurelstep.outbox.records import QueuedWrite, Resolution
 from laurelstep.outbox.write_ids import WriteId
 
@@ -46,7 +46,9 @@
         return real(self, alone(one), *more)
 
     def alone(one: WriteOffer) -> WriteOffer:
-        return WriteOffer(one.cls, one.start, one.headers, one.size, one.digest, one.key, tenant=one.tenant)
+        return WriteOffer(
+            one.cls, one.method_and_target, one.headers, one.size, one.digest, one.key, tenant=one.tenant
+        )
 
     Outbox.offer = offer  # type: ignore[method-assign,assignment]
     replay_queue.ReplayQueue.next = lambda self: self._ready.pop()  # type: ignore[method-assign]
@@ -86,9 +88,9 @@
 
 def tells_no_reason() -> None:
     def told(receipt: WriteReceipt) -> bytes:
-        return msgspec.json.encode({**msgspec.json.decode(show(receipt)), "reason": ""})
+        return msgspec.json.encode({**msgspec.json.decode(encode_receipt(receipt)), "reason": ""})
 
-    driver.show = told  # type: ignore[attr-defined]
+    driver.encode_receipt = told  # type: ignore[attr-defined]
 
 
 def runs_what_is_given_up() -> None:
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -349,7 +349,7 @@
                 doubt_us=store.opening_doubt_us,
             )
             for change in changes:
-                await store.put_state(change.moved)
+                await store.put_state(change.state_change)
                 outbox.apply(change, self.now_us())
             yield store, outbox
 
@@ -365,7 +365,7 @@
             await store.put_write(ticket.write, b"")
             outbox.on_stored(ticket.write_id, self.now_us())
             (change,) = outbox.due(self.now_us())
-            await store.put_state(change.moved)
+            await store.put_state(change.state_change)
             return ticket.write_id
 
     def sends(self, outbox: Outbox) -> list[WriteId]:
@@ -425,7 +425,7 @@
             change = outbox.on_replay_end(
                 write_id, ReplayResult.ANSWERED, edge.now_us(), store.time_us(), 200
             )
-            await store.put_state(change.moved)
+            await store.put_state(change.state_change)
         edge.machine.steps(step_ms)
         edge.machine.reboots(down_ms=30_000)
         async with edge.life(3) as (_, outbox):
--- a/tests/test_outbox.py
+++ b/tests/test_outbox.py
@@ -12,7 +12,7 @@
 from laurelstep.outbox.background_replay import BackgroundReplay
 from laurelstep.outbox.causality_tokens import TOKEN_MOST, CausalityTokens
 from laurelstep.outbox.cutoff import CutOffDetector, CutOffRule
-from laurelstep.outbox.dependencies import DEPENDENCIES_MOST, Dependency, merge
+from laurelstep.outbox.dependencies import MAX_DEPENDENCIES, Dependency, merge
 from laurelstep.outbox.dependency_graph import DependencyGraph
 from laurelstep.outbox.errors import (
     CycleError,
@@ -28,7 +28,7 @@
 )
 from laurelstep.outbox.expiry_queue import ExpiryQueue
 from laurelstep.outbox.outbox import Outbox, OutboxBounds, QueuedClass, ReplayResult, Transition, WriteOffer
-from laurelstep.outbox.receipts import REASONS, WriteReceipt, show
+from laurelstep.outbox.receipts import REASONS, WriteReceipt, encode_receipt
 from laurelstep.outbox.records import (
     TRANSITIONS,
     ParkingReason,
@@ -127,8 +127,14 @@
         self.now = 0
 
     def offer(self, cls: str = "print", follows: str = "", key: bytes = b"", **more: object) -> WriteOffer:
-        named: dict[str, object] = {"start": b"POST /", "headers": (), "size": 10, "digest": b"", **more}
-        return WriteOffer(cls, key=key, named=follows, **named)  # type: ignore[arg-type]
+        named: dict[str, object] = {
+            "method_and_target": b"POST /",
+            "headers": (),
+            "size": 10,
+            "digest": b"",
+            **more,
+        }
+        return WriteOffer(cls, key=key, tokens=follows, **named)  # type: ignore[arg-type]
 
     def keep(self, cls: str = "print", follows: str = "", key: bytes = b"", **more: object) -> WriteId:
         ticket = self.outbox.offer(self.offer(cls, follows, key, **more), self.now, WALL + self.now)
@@ -139,7 +145,7 @@
 
     def apply(self, change: Transition | None) -> WriteId:
         assert change is not None
-        self.moved[change.write_id] = decode_state_change(encode(change.moved))
+        self.moved[change.write_id] = decode_state_change(encode(change.state_change))
         assert self.outbox.apply(change, self.now)
         return change.write_id
 
@@ -267,7 +273,7 @@
             TOKENS.read(value)
     with pytest.raises(LooseError):
         OutboxApi().outbox.join(
-            tuple(Dependency(f"e{one}", one, 1) for one in range(DEPENDENCIES_MOST + 1)), 0, WALL
+            tuple(Dependency(f"e{one}", one, 1) for one in range(MAX_DEPENDENCIES + 1)), 0, WALL
         )
 
 
@@ -284,7 +290,7 @@
             desk.outbox.offer(desk.offer("album", TOKENS.receipt(named), b"k"), 0, WALL)
         assert "\n" not in str(circle.value)
     ticket = desk.outbox.offer(desk.offer("album", "", b"k"), 0, WALL)
-    assert ticket.known and ticket.write_id == first and desk.outbox.is_durable(first)
+    assert ticket.is_known and ticket.write_id == first and desk.outbox.is_durable(first)
     assert desk.outbox.count == 3
 
 
@@ -325,7 +331,7 @@
     parked = [write_id for write_id in desk.kept if desk.state(write_id) is WriteState.PARKED]
     behind = desk.keep(follows=TOKENS.receipt(parked[0]))
     late = desk.keep(follows=TOKENS.receipt(parked[0]))
-    taken.add((WriteState.KEPT, WriteEvent.CAUSES_IN))
+    taken.add((WriteState.KEPT, WriteEvent.DEPENDENCIES_FINAL))
     seen(desk, desk.outbox.resolve(behind, 1, Resolution.GIVE_UP, WALL))
     seen(desk, desk.outbox.resolve(parked[0], 1, Resolution.GIVE_UP, WALL))
     seen(desk, next(change for change in desk.outbox.due(desk.now) if change.event is WriteEvent.ORPHANED))
@@ -341,7 +347,7 @@
     seen(desk, next(change for change in desk.outbox.due(desk.now) if change.event is WriteEvent.JOINED))
     gone = desk.outbox.offer(desk.offer(), desk.now, WALL)
     desk.outbox.on_store_failed(gone.write_id, desk.now)
-    taken.add((WriteState.KEPT, WriteEvent.LOST))
+    taken.add((WriteState.KEPT, WriteEvent.STORE_FAILED))
     desk = OutboxApi()
     desk.bounds = OutboxBounds(replay_most=1)
     unsure, ready, held = desk.keep(), desk.keep(), desk.keep(follows=TOKENS.receipt(WriteId("oak", 1, 1)))
@@ -385,17 +391,17 @@
 
 
 def test_the_bounds_say_when_to_return() -> None:
-    desk = OutboxApi(bounds=OutboxBounds(bytes_most=100, count_most=4, tenant_share=0.5))
+    desk = OutboxApi(bounds=OutboxBounds(max_bytes=100, max_writes=4, tenant_share=0.5))
     desk.keep(tenant="a", size=50)
     with pytest.raises(FullError, match="tenant 'a'") as told:
         desk.keep(tenant="a", size=1)
     assert told.value.retry_us > 0
     desk.keep(tenant="b", size=50)
-    with pytest.raises(FullError, match="bytes_most"):
+    with pytest.raises(FullError, match="bytes limit"):
         desk.keep(tenant="c", size=1)
     desk.keep(tenant="c", size=0)
     desk.keep(tenant="d", size=0)
-    with pytest.raises(FullError, match="count_most"):
+    with pytest.raises(FullError, match="count limit"):
         desk.keep(tenant="e", size=0)
     for write_id in desk.due():
         desk.end(write_id)
@@ -649,7 +655,7 @@
 
 
 def test_receipts_are_kept_for_their_time_and_then_forgotten() -> None:
-    desk = OutboxApi(bounds=OutboxBounds(receipt_us=HOUR, receipts_most=2))
+    desk = OutboxApi(bounds=OutboxBounds(receipt_us=HOUR, max_receipts=2))
     first = desk.keep("album", key=b"k")
     assert desk.due() == [first]
     desk.end(first)
@@ -657,10 +663,10 @@
         desk.outbox.take_finished() == [(first, WriteStatus.APPLIED)] and desk.outbox.low_watermark(ASH) == 1
     )
     assert desk.outbox.expired_receipts(HOUR - 1) == []
-    assert desk.outbox.offer(desk.offer("album", key=b"k"), 0, WALL).known
+    assert desk.outbox.offer(desk.offer("album", key=b"k"), 0, WALL).is_known
     assert desk.outbox.expired_receipts(HOUR) == [first]
     desk.outbox.forget(first)
-    assert not desk.outbox.offer(desk.offer("album", key=b"k"), HOUR, WALL).known
+    assert not desk.outbox.offer(desk.offer("album", key=b"k"), HOUR, WALL).is_known
     more = [desk.keep() for _ in range(3)]
     for write_id in desk.due():
         desk.end(write_id)
@@ -701,43 +707,45 @@
 def test_one_time_out_or_one_endpoint_is_no_cut() -> None:
     cut = CutOffDetector(CutOffRule(), 10, 0)
     for second in range(100):
-        cut.failed(1, second * SECOND)
+        cut.on_failure(1, second * SECOND)
     assert not cut.is_cut_off and not cut.tick(1_000 * SECOND)
     moment = CutOffDetector(CutOffRule(), 10, 0)
     for endpoint in range(10):
-        moment.failed(endpoint, 0)
+        moment.on_failure(endpoint, 0)
     assert not moment.tick(HOUR)  # a moment's failures and a quiet hour
-    moment.answered(HOUR)
-    moment.failed(1, HOUR)
+    moment.on_response(HOUR)
+    moment.on_failure(1, HOUR)
     assert not moment.is_cut_off
 
 
 def test_all_fail_for_a_while_and_the_edge_is_cut_off_until_the_way_holds() -> None:
-    cut = CutOffDetector(CutOffRule(cut_us=5 * SECOND, fewest=3, back_us=2 * SECOND, answers=3), 10, 0)
+    cut = CutOffDetector(
+        CutOffRule(cut_us=5 * SECOND, min_endpoints=3, back_us=2 * SECOND, min_answers=3), 10, 0
+    )
     for second in range(6):
-        cut.failed(second, second * SECOND)
+        cut.on_failure(second, second * SECOND)
     assert cut.is_cut_off
     for second in range(6, 60):  # the link flaps each second
-        cut.answered(second * SECOND)
+        cut.on_response(second * SECOND)
         for endpoint in range(3):
-            cut.failed(endpoint, second * SECOND + SECOND // 2)
+            cut.on_failure(endpoint, second * SECOND + SECOND // 2)
     assert cut.is_cut_off
     for second in (60, 61, 62):
         assert cut.is_cut_off
-        cut.answered(second * SECOND)
+        cut.on_response(second * SECOND)
     assert not cut.is_cut_off
 
 
 def test_an_edge_without_endpoints_is_cut_off_in_time() -> None:
     cut = CutOffDetector(CutOffRule(), 2, 0)
-    cut.listed(0, SECOND)
+    cut.on_endpoint_count(0, SECOND)
     assert not cut.tick(2 * SECOND) and cut.tick(6 * SECOND)
-    cut.listed(2, 7 * SECOND)
+    cut.on_endpoint_count(2, 7 * SECOND)
     for second in (8, 9, 10):
-        cut.answered(second * SECOND)
+        cut.on_response(second * SECOND)
     assert not cut.is_cut_off
-    cut.failed(0, 11 * SECOND)
-    cut.failed(1, 16 * SECOND)  # both there are
+    cut.on_failure(0, 11 * SECOND)
+    cut.on_failure(1, 16 * SECOND)  # both there are
     assert cut.is_cut_off
 
 
@@ -748,21 +756,21 @@
     desk = OutboxApi()
     write_id = desk.keep()
     behind = desk.keep(follows=TOKENS.receipt(write_id))
-    assert json.loads(show(desk.outbox.receipt(behind))) == {
+    assert json.loads(encode_receipt(desk.outbox.receipt(behind))) == {
         "write": str(behind),
         "state": "kept",
         "behind": str(write_id),
     }
     desk.park(write_id)
-    told = json.loads(show(desk.outbox.receipt(write_id)))
+    told = json.loads(encode_receipt(desk.outbox.receipt(write_id)))
     assert told["reason"] == REASONS[ParkingReason.DENIED] and told["verdicts"] == [
         "ran",
         "never_ran",
         "give_up",
     ]
-    assert json.loads(show(desk.outbox.receipt(behind)))["verdicts"] == ["give_up"]
+    assert json.loads(encode_receipt(desk.outbox.receipt(behind)))["verdicts"] == ["give_up"]
     done = WriteReceipt(write_id, WriteState.DONE, status=201, headers=((b"a", b"b"),), body=b"\xff")
-    assert json.loads(show(done))["status"] == 201
+    assert json.loads(encode_receipt(done))["status"] == 201
     assert set(REASONS) == set(ParkingReason) - {ParkingReason.NONE}
 
 
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -175,7 +175,7 @@
     settings = OutboxSettings(store_path=cast(str, disk), edge="studio-1", classes=CLASSES, **chosen)
     driver = await OutboxDriver.open(settings, config.names.classes, config.names.tenants, log.append)
     stack.push_async_callback(driver.close)
-    driver.outbox.pace._hold = 0
+    driver.outbox.pace._hold_us = 0
     loop = asyncio.get_running_loop()
     parts = Assembly(loop, config, log.append)
     stack.callback(parts.close)
@@ -571,7 +571,7 @@
                 store = await QueueStore.open(again, 64 << 20)
                 ((write, _),) = (await store.load()).writes
                 found_again = await store.head(write.write_id)
-                assert found_again is not None and found_again[0].start == b"POST /put"
+                assert found_again is not None and found_again[0].method_and_target == b"POST /put"
                 assert not [key for key in store.store.index.locations if key[:1] == b"p"]
                 await store.close()
             # In this life too, once there is room.
@@ -946,7 +946,7 @@
             photo, order = (WriteId("studio-1", one.driver.store.incarnation, at) for at in (2, 3))
             for left, most in ((3_600_000_000, bodies.PASSING_MOST_US + 5_000_000), (7_000_000, 7_000_000)):
                 for write_id in (photo, order):
-                    outbox._rows.since[outbox._must_row(write_id)] = now - CLASSES["put"].window_us + left
+                    outbox._rows.since[outbox._require_row(write_id)] = now - CLASSES["put"].window_us + left
                 call = await one.driver.bodies.call(photo, cast(Any, None))
                 assert call is not None and 0 < call.expires_at - now <= most + 1_000_000
                 call = await one.driver.bodies.call(order, cast(Any, None))
--- a/tests/test_outbox_edge.py
+++ b/tests/test_outbox_edge.py
@@ -796,7 +796,7 @@
             outbox.apply(change, now)
             assert one.receipt(first).reason is ParkingReason.FENCED
             (change,) = outbox.due(now)
-            assert change.event is WriteEvent.CLAIMED
+            assert change.event is WriteEvent.UNFENCED
             outbox.apply(change, now)
             assert one.receipt(first).state is WriteState.READY
 
@@ -836,7 +836,7 @@
             outbox = one.driver.outbox
             outbox.bounds = dataclasses.replace(outbox.bounds, receipt_us=0)
             first = await one.keep("pay")
-            parked = outbox._change(outbox._must_row(first), WriteEvent.EXPIRED, ParkingReason.AGE)
+            parked = outbox._change(outbox._require_row(first), WriteEvent.EXPIRED, ParkingReason.AGE)
             await one.driver.take_step(parked)
             one.resolve(first, Resolution.GIVE_UP)
             await one.until(first, WriteState.GIVEN_UP)
--- a/tests/test_outbox_ledger.py
+++ b/tests/test_outbox_ledger.py
@@ -53,7 +53,7 @@
 from laurelstep.outbox.shared.ledger import ReplicatedLedger
 from laurelstep.outbox.shared.messages import IntentStatus, LeaseRequest, LeaseStatus, StatusUpdate
 from laurelstep.outbox.version_vector import WriteStatus
-from laurelstep.outbox.write_ids import EDGE_MOST, EdgeLog, WriteId
+from laurelstep.outbox.write_ids import MAX_EDGE_NAME_CHARS, EdgeLog, WriteId
 
 from tests.consensus_nodes import RecordingStateMachine
 from tests.fakes import ManualClock
@@ -87,7 +87,7 @@
 
 # --- Entries ------------------------------------------------------------------------------
 
-LONGEST_WRITE_ID = WriteId("e" * EDGE_MOST, ID_END - 1, NUMBER_END - 1)
+LONGEST_WRITE_ID = WriteId("e" * MAX_EDGE_NAME_CHARS, ID_END - 1, NUMBER_END - 1)
 MAX_ID = ID_END - 1
 
 
@@ -112,7 +112,7 @@
     "entry",
     [
         WriteApplied(WriteId("Ash", 7, 1)),
-        WriteApplied(WriteId("e" * (EDGE_MOST + 1), 7, 1)),
+        WriteApplied(WriteId("e" * (MAX_EDGE_NAME_CHARS + 1), 7, 1)),
         WriteApplied(write_id(0)),
         WriteApplied(write_id(NUMBER_END)),
         WriteApplied(WriteId("ash", 0, 1)),
--- a/tests/test_outbox_schedules.py
+++ b/tests/test_outbox_schedules.py
@@ -176,7 +176,7 @@
             self.kept[what.write_id] = encode(what)
             world.written[world.names[what.write_id]].durable = True
             return
-        write_id, moved = what.write_id, what.moved
+        write_id, moved = what.write_id, what.state_change
         if write_id in self.moved and decode_state_change(self.moved[write_id]).state in FINAL:
             raise BrokenError("final", f"{write_id} moved after its end")
         self.moved[write_id] = encode(moved)
@@ -239,8 +239,8 @@
         self.now = 1_000 * SECOND
         self.calm = False
         self.bounds = OutboxBounds(
-            bytes_most=2_000,
-            count_most=self.draw.choice((6, 40)),
+            max_bytes=2_000,
+            max_writes=self.draw.choice((6, 40)),
             tenant_share=0.75,
             age_us=2_000 * SECOND,
             replay_most=self.draw.choice((1, 3, 8)),
@@ -495,7 +495,7 @@
     def check(self) -> None:
         for edge in self.living():
             outbox = edge.outbox
-            if outbox.count > self.bounds.count_most + len(edge.marks) * self.bounds.count_most:
+            if outbox.count > self.bounds.max_writes + len(edge.marks) * self.bounds.max_writes:
                 raise BrokenError("bounds", f"{edge.name} keeps {outbox.count}")
             if not 0 <= outbox.pace.out <= self.bounds.replay_most:
                 raise BrokenError("bounds", f"{edge.name} has {outbox.pace.out} out")
@@ -613,7 +613,7 @@
 
     def _meaning(self, row: int, end: ReplayResult, now: int) -> tuple[WriteEvent, ParkingReason]:
         event, reason = super()._meaning(row, end, now)
-        return (WriteEvent.AGAIN, ParkingReason.NONE) if event is WriteEvent.UNSURE else (event, reason)
+        return (WriteEvent.RETRY, ParkingReason.NONE) if event is WriteEvent.UNCERTAIN else (event, reason)
 
 
 class NoWindow(Outbox):
