--- a/tests/test_outbox_edge.py
+++ b/tests/test_outbox_edge.py
@@ -854,7 +854,7 @@
             outbox.apply(change, now)
             assert edge.receipt(first).reason is ParkingReason.FENCED
             (change,) = outbox.due(now)
-            assert change.event is WriteEvent.CLAIMED
+            assert change.event is WriteEvent.UNFENCED
             outbox.apply(change, now)
             assert edge.receipt(first).state is WriteState.READY
 
@@ -894,7 +894,7 @@
             outbox = edge.driver.outbox
             outbox.bounds = dataclasses.replace(outbox.bounds, receipt_us=0)
             first = await edge.queue_write("pay")
-            expiry = outbox._change(outbox._must_row(first), WriteEvent.EXPIRED, ParkingReason.AGE)
+            expiry = outbox._change(outbox._require_row(first), WriteEvent.EXPIRED, ParkingReason.AGE)
             await edge.driver.take_step(expiry)
             edge.resolve(first, Resolution.GIVE_UP)
             await edge.wait_for_state(first, WriteState.GIVEN_UP)
