--- a/laurelstep/net/endpoint_connection.py
+++ b/laurelstep/net/endpoint_connection.py
@@ -19,7 +19,7 @@
 from laurelstep.net.connection_pool import MIN_IDLE, ConnectionPool
 from laurelstep.net.endpoint_request import encode_request, encode_upload_head
 from laurelstep.net.endpoint_state import EndpointState
-from laurelstep.net.message import ANSWER_HEADERS, FRAMING_EACH, FRAMING_MAX, HEAD_MAX, pass_on
+from laurelstep.net.message import ANSWER_HEADERS, FRAMING_EACH, FRAMING_MAX, MAX_HEAD_BYTES, pass_on
 from laurelstep.net.response_receiver import UNTIL_CLOSE, ResponseReceiver
 
 # A connection that can't be opened for a fault of this machine (no port, no buffer, no descriptor) is
@@ -97,7 +97,7 @@
             return
         if self.attempt.lacks_socket:
             self.attempt.lacks_socket = False
-            self.attempt.sent = self.owner.now()  # the wait for a socket is none of the endpoint's
+            self.attempt.sent_at = self.owner.now()  # the wait for a socket is none of the endpoint's
         self.write()
 
     def eof_received(self) -> None:
@@ -126,7 +126,7 @@
     def _written(self) -> None:
         self.unwritten = False
         if self.attempt is not None:
-            self.attempt.written()
+            self.attempt.on_written()
 
     def write(self) -> None:
         """Write the request of its attempt, if that may still start."""
@@ -152,7 +152,7 @@
         if transport.is_closing():
             self.unwritten = True  # the first write failed: nothing left
         elif not self.unwritten:
-            attempt.written()
+            attempt.on_written()
 
     # --- Streaming ---------------------------------------------------------------------
 
@@ -301,7 +301,7 @@
             if spoilt or self.has_trailing_data:
                 self.owner.on_malformed_response()
             self._complete()
-        elif spoilt or (self.fields is None and self.received > HEAD_MAX):
+        elif spoilt or (self.fields is None and self.received > MAX_HEAD_BYTES):
             self.reject_response()
         elif self.answer is not None:
             self._check_throughput()
@@ -309,7 +309,7 @@
             self._abandon_upload()
             self._stream_answer()
         else:
-            if self not in self.owner.receiving.since:
+            if self not in self.owner.receiving.waiting_since:
                 self.received_at_check = self.received
             self.owner.receiving.add(self)
 
@@ -347,10 +347,10 @@
         elif status in (503, 504) and fields.get(b"x-not-run", b"").strip() == b"1":
             outcome = FULL
         attempt, self.attempt = self.attempt, None
-        if attempt is not None and attempt.call.fate is not None:
+        if attempt is not None and attempt.call.queued_write_fate is not None:
             # From a copy of this program, whose 503 promises that nothing ran.
             outcome = FULL if status == 503 else outcome
-            attempt.call.fate = fields.get(b"x-kept-fate", b"refused" if status == 503 else b"")
+            attempt.call.queued_write_fate = fields.get(b"x-kept-fate", b"refused" if status == 503 else b"")
         self.owner.receiving.discard(self)
         self._end_exchange()
         if attempt is not None:
--- a/laurelstep/outbox/replay_driver.py
+++ b/laurelstep/outbox/replay_driver.py
@@ -11,8 +11,8 @@
 
 from laurelstep.balancing.events import ERROR, FULL, NO_CONNECT, OK, RESET, TIMEOUT
 from laurelstep.engine.call import Answer, Call, Ending
-from laurelstep.net.message import lines as lines_of
-from laurelstep.net.request import hint, key_of
+from laurelstep.net.message import encode_headers as lines_of
+from laurelstep.net.request import parse_cost_hint, parse_object_key
 from laurelstep.outbox.driver_state import DriverState
 from laurelstep.outbox.outbox import (
     ReplayResult,
@@ -63,7 +63,7 @@
         if now < self.look_at:
             return
         self.look_at = now + TURN_US // 2
-        places = self.engine.members.places.values()
+        places = self.engine.endpoints.by_number.values()
         self.cutoff.listed(sum(1 for place in places if place.withdrawn_at is None), now)
         if self.cutoff.is_cut_off != self.was_cut_off:
             self._on_cutoff_change()
@@ -204,18 +204,18 @@
         cls = self.numbers[write.cls]
         fields = dict(write.headers)
         call = Call(
-            cls=cls,
-            expires=self.engine.now() + self.engine.settings.classes[cls].deadline_us,
-            start=write.start,
-            head=lines_of(write.headers),
+            request_class=cls,
+            expires_at=self.engine.now() + self.engine.settings.classes[cls].deadline_us,
+            method_and_target=write.start,
+            header_lines=lines_of(write.headers),
             body=body,
-            front=replay,
-            name=b"outbox "
+            frontend=replay,
+            client_request_id=b"outbox "
             + str(write.write_id).encode(),  # its client may come again under the name that it has
             tenant=self.tenants.get(write.tenant, 0),
-            key=key_of(write.start.partition(b"?")[2]),
-            work_us=hint(fields.get(b"x-cost-hint", b"")),
-            repeated=write.write_id in self.again,
+            key=parse_object_key(write.start.partition(b"?")[2]),
+            work_us=parse_cost_hint(fields.get(b"x-cost-hint", b"")),
+            is_retry=write.write_id in self.again,
         )
         if self.sharing is not None:
             self.sharing.name(call, write)
--- a/laurelstep/settings/operator/document.py
+++ b/laurelstep/settings/operator/document.py
@@ -135,7 +135,7 @@
         }
         # A copy upstream minds what its edges keep, whether it would keep that itself or not.
         minded = [one for one, (effect, _, _) in effects.items() if effect != "safe"]
-        config.names.keepable = frozenset(
+        config.names.queueable_classes = frozenset(
             config.names.classes[one] for one in (minded if settings.shared else classes)
         )
         send_us = max(rules[name].deadline_us for name in classes)
@@ -166,7 +166,7 @@
             told = str(error).startswith(("peer_listen:", "peers:", "me:"))
             where = f"{source}: " if source and told else f"{path}: accord."
             raise ConfigError(f"{where}{error}") from None
-        if config.outbox is not None and config.outbox.shared and not accord.is_linked:
+        if config.outbox is not None and config.outbox.shared and not accord.has_peers:
             problem = f"expected them where outbox.shared is on in {path}"
             raise ConfigError(f"{source}: peers, peer_listen: {problem}")
         maintenance = None if self.upkeep is None else self.upkeep.settings()
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -19,9 +19,9 @@
 import pytest
 from laurelstep.balancing.events import NO_CONNECT
 from laurelstep.engine.body_stream import BodyStream
-from laurelstep.flow_control.buffer_budget import MAX_BUFFERED
+from laurelstep.flow_control.buffer_budget import MAX_BUFFERED_BYTES
 from laurelstep.net.assembly import Assembly
-from laurelstep.net.message import LARGE_MAX
+from laurelstep.net.message import MAX_STREAMED_BODY_BYTES
 from laurelstep.net.server import Server
 from laurelstep.outbox import bodies, replay_driver
 from laurelstep.outbox import driver as driving
@@ -37,14 +37,14 @@
 from laurelstep.testing.disk import SimulatedDisk
 from laurelstep.testing.endpoints import Listener
 
-from tests.sockets import SETTINGS, TIMEOUT_S, Endpoint, Message, Reader, Writer, read_message, run
+from tests.sockets import SETTINGS, TEST_TIMEOUT_S, Endpoint, Message, Reader, Writer, read_message, run
 from tests.test_outbox_daemon import edge as process
 
 NO_SPACE = OSError(errno.ENOSPC, "No space left on device")
 # What one read of a socket brings at most.
 READ_MOST = 256 * 1024
 # Of one write: at first what had come before it was too large to be held, then the mark and one read.
-BOUND = max(MAX_BUFFERED, HELD_EACH) + READ_MOST
+BOUND = max(MAX_BUFFERED_BYTES, HELD_EACH) + READ_MOST
 CLASSES = {"put": QueuedClass("keyed", 86_400_000_000), "pay": QueuedClass("unsafe")}
 
 
@@ -70,7 +70,7 @@
         super().create(name, data)
 
     def sync(self, name: str) -> None:
-        self.open.wait(TIMEOUT_S)
+        self.open.wait(TEST_TIMEOUT_S)
         super().sync(name)
 
 
@@ -168,7 +168,7 @@
         "known": whole_list(endpoint.entry()),
     }  # fmt: skip
     config = config_from(raw, "test")
-    config.names.keepable = frozenset(config.names.classes[name] for name in CLASSES)
+    config.names.queueable_classes = frozenset(config.names.classes[name] for name in CLASSES)
     log: list[str] = []
     chosen = {"cut_us": 0, "back_us": 1, "body_bytes": 16 << 20, **changes}
     # A disk stands for its folder: the store takes either.
@@ -182,7 +182,7 @@
     parts.start()
     driver.begin(parts.engine)
     server = Server(loop, parts.engine)
-    server.uploading.seconds = TIMEOUT_S  # the tests leave some half sent, and the machine may be slow
+    server.uploading.timeout_s = TEST_TIMEOUT_S  # the tests leave some half sent, and the machine may be slow
     port = await server.listen("127.0.0.1", 0)
     assert server.listener is not None
     stack.callback(server.listener.close)
@@ -194,7 +194,7 @@
 @contextlib.asynccontextmanager
 async def edge(disk: SimulatedDisk | None = None, off: bool = True, **changes: Any) -> AsyncIterator[Edge]:
     """It is cut off at first, and one small write `prime` is kept."""
-    async with asyncio.timeout(TIMEOUT_S), Endpoint() as endpoint, contextlib.AsyncExitStack() as stack:
+    async with asyncio.timeout(TEST_TIMEOUT_S), Endpoint() as endpoint, contextlib.AsyncExitStack() as stack:
         found = await _life(disk or Disk(), endpoint, stack, changes)
         if off:
             await found.cut_off()
@@ -308,7 +308,7 @@
 
 def test_the_count_would_show_a_client_that_is_not_held_back(monkeypatch: pytest.MonkeyPatch) -> None:
     held = watch(monkeypatch)
-    monkeypatch.setattr(bodies, "HELD_EACH", LARGE_MAX)
+    monkeypatch.setattr(bodies, "HELD_EACH", MAX_STREAMED_BODY_BYTES)
 
     async def main() -> None:
         disk = Disk()
@@ -829,7 +829,7 @@
     """A write of five parts in a store; the numbers of the parts that were read."""
 
     async def main() -> None:
-        async with asyncio.timeout(TIMEOUT_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             store = await QueueStore.open(SimulatedDisk(), 64 << 20)
             await store.load()
             write, body = write_with_body(1, 300_000)
@@ -948,9 +948,9 @@
                 for write_id in (photo, order):
                     outbox._rows.since[outbox._must_row(write_id)] = now - CLASSES["put"].window_us + left
                 call = await one.driver.bodies.call(photo, cast(Any, None))
-                assert call is not None and 0 < call.expires - now <= most + 1_000_000
+                assert call is not None and 0 < call.expires_at - now <= most + 1_000_000
                 call = await one.driver.bodies.call(order, cast(Any, None))
-                assert call is not None and call.expires > now + bodies.PASSING_MOST_US
+                assert call is not None and call.expires_at > now + bodies.PASSING_MOST_US
 
     run(main())
 
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -6,14 +6,14 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from laurelstep.flow_control.buffer_budget import UNCOUNTED
+from laurelstep.flow_control.buffer_budget import UNCOUNTED_BYTES
 from laurelstep.resources.descriptors import (
     AWAITING_REQUEST,
     CLOSING,
     IDLE,
     MAX_SOCKETS,
-    MIN_PER_SIDE,
-    RESERVED,
+    MIN_CONNECTIONS_PER_SIDE,
+    RESERVED_DESCRIPTORS,
     RESERVED_FOR_MANAGEMENT,
     connections_per_side,
     eviction_order,
@@ -21,7 +21,7 @@
 from laurelstep.testing import Caller
 
 from tests.sockets import Endpoint, Reader, Sidecar, Writer, answer, read_message, request, run, sidecar
-from tests.sockets import hold as hold_back
+from tests.sockets import never_answer as hold_back
 
 PAGE = request()
 HALF = PAGE.replace(b"\r\n\r\n", b"\r\nX-Extras: " + b"x" * 20_000)
@@ -30,9 +30,9 @@
 @given(st.integers(0, 5000), st.booleans(), st.integers(1, 2))
 def test_the_shares_of_all_are_within_what_is_allowed(sockets: int, managed: bool, processes: int) -> None:
     side = connections_per_side(sockets, managed, processes)
-    apart = RESERVED + RESERVED_FOR_MANAGEMENT * managed
-    assert side >= MIN_PER_SIDE
-    if side > MIN_PER_SIDE:
+    apart = RESERVED_DESCRIPTORS + RESERVED_FOR_MANAGEMENT * managed
+    assert side >= MIN_CONNECTIONS_PER_SIDE
+    if side > MIN_CONNECTIONS_PER_SIDE:
         assert processes * (2 * side + apart) <= min(sockets, MAX_SOCKETS)
     assert connections_per_side(sockets, managed, 2) <= connections_per_side(sockets, managed, 1)
 
@@ -60,7 +60,7 @@
 def test_half_written_heads_are_bounded_and_the_oldest_gives_way() -> None:
     async def main() -> None:
         async with sidecar(Endpoint()) as one:
-            one.server.request_budget.limit = 10 * (len(HALF) - UNCOUNTED)
+            one.server.request_budget.limit = 10 * (len(HALF) - UNCOUNTED_BYTES)
             streams: list[tuple[Reader, Writer]] = []
             for n in range(10):
                 streams.append(await one.connect())
@@ -74,7 +74,7 @@
             assert one.server.request_budget.used <= one.server.request_budget.limit
             streams[1][1].write(b"\r\n\r\n")
             assert (await read_message(streams[1][0])).body == b"ok", "one that comes in time is served"
-            assert (await one.ask(request(rid="r2"))).body == b"ok"
+            assert (await one.send(request(rid="r2"))).body == b"ok"
             for _, writer in streams:
                 writer.transport.abort()
             while one.server.connections:
@@ -107,7 +107,7 @@
             taken = []
             for n in range(5):
                 body = b"x" * 40_000
-                taken.append(asyncio.create_task(one.ask(request("pay", body, rid=f"r{n}"))))
+                taken.append(asyncio.create_task(one.send(request("pay", body, rid=f"r{n}"))))
                 await endpoint.arrived.acquire()
             reader, writer = await one.connect()
             writer.write(HALF)
@@ -152,11 +152,11 @@
         endpoint = Endpoint(handler)
         async with sidecar(endpoint, endpoint) as one:
             budget = one.upstream.answer_budget
-            budget.limit = 3 * (len(part) - UNCOUNTED)
-            asked = [asyncio.create_task(one.ask(request(rid=f"r{n}"))) for n in range(8)]
-            while len(one.upstream.receiving.since) + len(one.upstream.streaming.since) < 8:
+            budget.limit = 3 * (len(part) - UNCOUNTED_BYTES)
+            asked = [asyncio.create_task(one.send(request(rid=f"r{n}"))) for n in range(8)]
+            while len(one.upstream.receiving.waiting_since) + len(one.upstream.streaming.waiting_since) < 8:
                 await asyncio.sleep(0)
-            assert budget.used <= budget.limit and len(one.upstream.streaming.since) >= 5
+            assert budget.used <= budget.limit and len(one.upstream.streaming.waiting_since) >= 5
             go.set()
             assert all(message.body == 2 * part for message in await asyncio.gather(*asked))
             assert budget.used == 0
