--- a/laurelstep/balancing/balancer.py
+++ b/laurelstep/balancing/balancer.py
@@ -1,8 +1,8 @@
-"""The façade of every balancing decision: one `Balancer` per sidecar takes events and gives actions.
+"""The façade of the balancing decisions: one `Balancer` per sidecar takes events and returns actions.
 
-`laurelstep.balancing.events` has the settings, events and actions. No I/O, no clock, no threads:
-each method takes the time (µs) and one event and returns actions. The rules and their state are in
-the modules beside this one; here is the order in which they apply.
+`laurelstep.balancing.events` defines the settings, events and actions. There is no I/O, no clock and
+no thread: each method takes the time (µs) and one event and returns actions. The other modules of the
+package hold the rules and their state; this module applies them in order.
 """
 
 from __future__ import annotations
@@ -50,16 +50,16 @@
 from laurelstep.balancing.subsets import SubsetPlan
 from laurelstep.balancing.zones import ZoneSpillover
 
-# A timer's token is a value (a request's id, or 0) times the number of kinds, and its kind.
+# The token of a timer is a value (the id of a request, or 0) times TIMER_KINDS, plus the timer's kind.
 TIMER_HELD_REQUEST: Final = 0
 TIMER_SUBSCRIBE: Final = 1
 TIMER_KINDS: Final = 2
-# What a load report may say of requests queued at an endpoint; more is nonsense.
+# Largest plausible number of queued requests in a load report; a larger one is ignored.
 REPORTED_QUEUED_MAX: Final = 1e6
 
 
 class Balancer:
-    """Every decision of one copy: the same seed and events give the same actions."""
+    """Makes every balancing decision of one copy; the same seed and events give the same actions."""
 
     def __init__(self, seed: int, settings: Settings) -> None:
         self.settings = settings
@@ -91,7 +91,7 @@
 
     @property
     def endpoints(self) -> dict[int, Endpoint]:
-        """The endpoints by number: those listed, and those gone that still owe an outcome."""
+        """The endpoints by id: the listed ones, and removed ones with attempts outstanding."""
         return self.membership.by_id
 
     @property
@@ -100,13 +100,13 @@
         return self.request_table.open
 
     def discard_actions(self) -> None:
-        """Drop what an event that raised had decided so far."""
+        """Discard the actions of an event whose method raised an exception."""
         self._actions.clear()
 
-    # --- The endpoint list -------------------------------------------------------------
+    # --- Endpoint list -----------------------------------------------------------------
 
     def start(self, now: int) -> list[Action]:
-        """The sidecar is up; a cached list follows."""
+        """Start the balancer; the caller passes a cached list next."""
         self.outliers.start(now)
         self.slow_start.start(now)
         if self.settings.asks_discovery:
@@ -114,9 +114,9 @@
         return self._take_actions(now)
 
     def members(self, now: int, mode: int, entries: Sequence[Entry]) -> list[Action]:
-        """Discovery's view: LIST_FULL, _DELTA, _CACHED, _FAILED or _PART."""
+        """Apply an endpoint list by its mode: LIST_FULL, _DELTA, _CACHED, _FAILED or _PARTIAL."""
         if mode == LIST_FAILED:
-            # Guards against a lost subscription: ask again, spread out.
+            # Guards against a lost subscription: subscribe again after a randomized delay.
             if self.settings.asks_discovery:
                 self._set_timer(TIMER_SUBSCRIBE, 0, self.membership.poll_backoff())
         elif self.membership.apply_list(now, mode, entries):
@@ -125,30 +125,31 @@
         return self._take_actions(now)
 
     def count_ejected(self, now: int) -> int:
-        """How many ready endpoints get next to nothing now. Changes nothing."""
+        """Count the ready endpoints that are ejected now; has no side effect."""
         return self.outliers.count_ejected(now, self.membership.by_id.values())
 
     # --- Requests ----------------------------------------------------------------------
 
     def request(self, now: int, event: Arrival) -> list[Action]:
-        """A request to be answered exactly once."""
+        """Admit a new request and send, hold, refuse or fail it; it gets exactly one final answer."""
         request = Request(now, event, self.settings.classes[event.cls], max(1, len(self.settings.tenants)))
         self.request_table.add(request)
         self.retries.earn_tokens()
-        # Nothing was spent on a request yet where it enters; further down, a
-        # refusal would waste what the tiers above have done for it.
-        admitted = self.settings.stage > 0 or self._admits(now, event)
-        if admitted and (not request.key or self._enqueue(now, request)):
+        # Only the entry tier sheds load: no work was done for the request yet. A refusal in a later
+        # tier would waste the work of the tiers before it.
+        is_admitted = self.settings.stage > 0 or self._admits(now, event)
+        if is_admitted and (not request.key or self._enqueue(now, request)):
             self._send_or_hold(now, request)
         else:
             self._refuse_or_fail(now, request)
         return self._take_actions(now)
 
     def request_completed(self, now: int, request_id: int, expires_at: int) -> list[Action]:
-        """The last byte of a request that was taken while it came: from now on its time counts.
+        """Start the latency measurement of a request whose body is now complete.
 
-        Guards what is learned of endpoints, and the concurrency limit, against the pace of a
-        client: until then the request loads no endpoint, and its duration is no latency.
+        Guards the measured endpoint latencies and the concurrency limit against a slow upload:
+        until its body is complete, a request puts no load on its endpoint, and its duration is not
+        a latency.
         """
         request = self.request_table.open.get(request_id)
         if request is not None:
@@ -160,14 +161,14 @@
         return self._take_actions(now)
 
     def head(self, now: int, event: Outcome) -> list[Action]:
-        """The answer of a streamed class has started."""
+        """Record that the answer to a request of a streamed class has started."""
         request = self.request_table.open.get(event.request)
         if request is not None:
             request.is_streaming = True
         return self._take_actions(now)
 
     def client_disconnected(self, now: int, request_id: int) -> list[Action]:
-        """The client left; nothing more is owed."""
+        """Close the request of a client that has disconnected; it needs no answer."""
         request = self.request_table.open.get(request_id)
         if request is not None:
             if self.admission.is_answer_due(now, request):
@@ -176,7 +177,7 @@
         return self._take_actions(now)
 
     def timer(self, now: int, token: int) -> list[Action]:
-        """A `Timer` that was asked for has come due."""
+        """Handle the end of a `Timer`'s delay: subscribe to discovery, or try a held request again."""
         value, kind = divmod(token, TIMER_KINDS)
         if kind == TIMER_SUBSCRIBE and self.settings.asks_discovery:
             self._actions.append(Watch(True))
@@ -185,27 +186,28 @@
         return self._take_actions(now)
 
     def probed(self, now: int, event: ProbeResult) -> list[Action]:
-        """What a `Probe` found."""
+        """Take the result of a `Probe`; it is not used."""
         return self._take_actions(now)
 
     def gossip_received(self, now: int, sender: int, payload: bytes) -> list[Action]:
-        """A message of another sidecar of this tier."""
+        """Take a message from another sidecar of this tier; it is not used."""
         return self._take_actions(now)
 
     # --- Outcomes ----------------------------------------------------------------------
 
     def outcome(self, now: int, event: Outcome) -> list[Action]:
-        """How one attempt ended; each `Send` gets one."""
+        """Take the outcome of one attempt; the caller reports exactly one for each `Send`."""
         request = self.request_table.find(event.request)
         attempt = (
             request.attempts[event.attempt_index]
             if request and event.attempt_index < len(request.attempts)
             else None
         )
-        # Rejected on a new connection: there may be no capacity for just that, and idle ones
-        # still serve. Guards against copies that leave an endpoint alone, wait together and
-        # rush; also against idle capacity where another copy keeps the rest of it. Does harm
-        # where it was the queue that was full: an idle connection is tried too soon.
+        # The attempt was rejected on a new connection. The endpoint may lack capacity only for new
+        # connections and still serve requests on idle ones. Guards against copies that all avoid the
+        # endpoint and then return to it at the same time, and against capacity left idle while
+        # another copy holds the remaining connections. Drawback: if the endpoint's queue was full,
+        # an idle connection is used too soon.
         no_connection_left = event.outcome == FULL and attempt is not None and attempt.connection_idle_us < 0
         endpoint = self.membership.by_id.get(event.endpoint)
         if endpoint is not None:
@@ -225,7 +227,8 @@
         self, now: int, event: Outcome, endpoint: Endpoint, attempt: Attempt | None
     ) -> None:
         if attempt is None or not attempt.has_pending_body:
-            # An upload may outlive its endpoint's entry: it counted at that, not at the one listed since.
+            # An endpoint may be removed and listed again during an upload: the attempt counts at the
+            # endpoint object that it was sent to, not at the new one.
             counted_at = endpoint if attempt is None else attempt.endpoint
             self.membership.record_attempt_end(counted_at)
             counted_at.silent_since = now
@@ -237,7 +240,7 @@
     def _learn_from_attempt(
         self, now: int, event: Outcome, request: Request, attempt: Attempt, endpoint: Endpoint | None
     ) -> None:
-        """Update what is known of the zone and the endpoint from an attempt of a complete request."""
+        """Update latencies, health and zone spillover from an attempt whose request body is complete."""
         is_served = event.outcome == OK
         if self.subsets.local_halves and event.outcome != CANCELLED:
             took_us = event.latency_us if is_served else max(event.latency_us, request.request_class.aim_us)
@@ -260,7 +263,7 @@
             self.connections.record_lost(attempt)
 
     def _retry_or_close(self, now: int, event: Outcome, request: Request) -> None:
-        """What follows for the request: nothing, its end, or a retry."""
+        """Retry or close the request after one of its attempts has ended."""
         if request.id not in self.request_table.open:
             self.key_queues.mark_changed(request)
             self.request_table.forget_if_complete(request)
@@ -271,7 +274,7 @@
             self._schedule_retry(now, request, event.outcome)
 
     def _schedule_retry(self, now: int, request: Request, outcome: int) -> None:
-        """Every attempt so far has failed: retry within the budget, or end it."""
+        """Retry a request whose attempts have all failed, within the retry budget, or answer it."""
         if not self.retries.spend_token(outcome):
             self.admission.record_outcome(now, request, outcome)
             self._refuse_or_fail(now, request)
@@ -284,22 +287,24 @@
 
     def _admits(self, now: int, event: Arrival) -> bool:
         stuck = self.admission.count_stuck(now, self.request_table.open.values())
-        held = len(self.request_table.open) - self.request_table.uploading_count - stuck
+        in_flight = len(self.request_table.open) - self.request_table.uploading_count - stuck
         rank = self.priorities.rank(now, event, self.latencies.by_class)
-        return self.admission.admits(now, held, rank, self.rng.random())
+        return self.admission.admits(now, in_flight, rank, self.rng.random())
 
     def _enqueue(self, now: int, request: Request) -> bool:
-        """Whether to take the request into its key's queue. One that those before
-        it leave no time is refused at once, unsent: a key runs one at a time.
+        """Put the request into the queue of its key; returns False where it has to be refused.
+
+        Requests of one key run one at a time. A request is refused unsent if the requests before
+        it are expected to take longer than its objective.
         """
-        ahead = self.key_queues.enqueue(now, request)
-        ahead_us = ahead * self.latencies.by_class[request.class_index].mean
-        last_chance = request.held_until() - self.retries.backoff_us(request.request_class)
-        self._set_timer(TIMER_HELD_REQUEST, request.id, max(0, last_chance - now))
-        return ahead_us < request.request_class.aim_us
+        requests_ahead = self.key_queues.enqueue(now, request)
+        expected_wait_us = requests_ahead * self.latencies.by_class[request.class_index].mean
+        last_retry_at = request.held_until() - self.retries.backoff_us(request.request_class)
+        self._set_timer(TIMER_HELD_REQUEST, request.id, max(0, last_retry_at - now))
+        return expected_wait_us < request.request_class.aim_us
 
     def _send_or_hold(self, now: int, request: Request) -> None:
-        """Send the request somewhere, hold it within its objective, or end it."""
+        """Send the request to an endpoint, hold it within its objective, or answer it unserved."""
         if not self.retries.can_attempt(now, request):
             self._refuse_or_fail(now, request)
             return
@@ -315,7 +320,7 @@
             self._set_timer(TIMER_HELD_REQUEST, request.id, backoff_us)
 
     def _may_send(self, now: int, request: Request, endpoint: Endpoint) -> bool:
-        """Attempts, hedged requests, repeat scope and window, drain, order."""
+        """Whether a send keeps the rules on attempts, hedging, key scope and window, drains and order."""
         if not self.retries.can_attempt(now, request) or not endpoint.is_ready:
             return False
         if not self.key_queues.has_turn(now, request):
@@ -323,7 +328,7 @@
         return request.request_class.effect != KEYED or self.retries.is_in_scope(request, endpoint)
 
     def _send(self, now: int, request: Request, endpoint: Endpoint) -> bool:
-        """The one guard: every send passes here and keeps the rules, also slow start's budget."""
+        """Send the request if the rules and the slow-start budget allow it; every send passes here."""
         if not self._may_send(now, request, endpoint) or not self.slow_start.spend(now, endpoint):
             return False
         attempt = Attempt(endpoint, now, request.has_pending_body)
@@ -341,11 +346,12 @@
         attempt.begin(now)
         self.connections.watch(attempt)
 
-    # --- Ends --------------------------------------------------------------------------
+    # --- Final answers -----------------------------------------------------------------
 
     def _refuse_or_fail(self, now: int, request: Request) -> None:
-        """The one place that gives final answers. A refusal promises that a
-        retry is harmless, so it is given only where that is sure.
+        """Refuse or fail the request; no other method gives a final answer.
+
+        A refusal promises that a retry has no second effect, so it is given only where that is certain.
         """
         if request.is_streaming:
             return
@@ -356,13 +362,13 @@
         self._close_request(request)
 
     def _close_request(self, request: Request) -> None:
-        """The request is over: nothing more is sent; stop what is still outstanding."""
+        """Close the request: nothing more is sent for it, and its outstanding attempts are cancelled."""
         self.request_table.close(request)
         self.key_queues.remove(request)
         if self.settings.can_cancel and not request.is_streaming:
-            for copy, attempt in enumerate(request.attempts):
+            for index, attempt in enumerate(request.attempts):
                 if attempt.is_outstanding:
-                    self._actions.append(Cancel(request.id, copy))
+                    self._actions.append(Cancel(request.id, index))
 
     def _set_timer(self, kind: int, value: int, delay_us: int) -> None:
         self._actions.append(Timer(value * TIMER_KINDS + kind, delay_us))
@@ -374,7 +380,7 @@
         return actions
 
     def _advance_key(self, now: int, key: int) -> None:
-        """Let the next of a key go, at once or after the key's rest."""
+        """Send the next request of a key, at once or after the key's rest."""
         request = self.key_queues.next_request(now, key)
         if request is None:
             return
--- a/laurelstep/balancing/connections.py
+++ b/laurelstep/balancing/connections.py
@@ -1,4 +1,4 @@
-"""Suspicion of stale idle connections: those that died unseen while nothing was sent on them."""
+"""Detection of stale idle connections: connections that broke unnoticed while nothing was sent on them."""
 
 from __future__ import annotations
 
@@ -9,17 +9,18 @@
 from laurelstep.balancing.latency import LOST_DEVIATIONS, LatencyTracker
 from laurelstep.balancing.requests import Attempt
 
-# A lost attempt makes connections suspect that were idle for this part as long:
-# each halving on the way down would cost another loss.
+# After a lost attempt, connections that were idle for at least this part of its connection's idle time
+# are suspect. A larger part would find the shortest fatal idle time only after further losses.
 SUSPECT_IDLE_PART: Final = 0.25
-# A shorter idle time, in longest objectives, kills no connection: who drops flows waits longer.
+# Idle time, in longest objectives, up to which a connection is never suspect: middleboxes that drop
+# idle flows wait longer.
 SUSPECT_IDLE_OBJECTIVES_MIN: Final = 0.1
-# A handshake costs at least this part of a request's value, priced or not.
+# Least price of a handshake, as a part of a request's value, also where the settings have a lower one.
 HANDSHAKE_PRICE_MIN: Final = 0.01
 
 
 class IdleConnectionMonitor:
-    """Closes idle connections before use while others like them were lost."""
+    """Closes suspect idle connections before use, after attempts on similar ones were lost."""
 
     __slots__ = (
         "answered_idle_us",
@@ -37,20 +38,21 @@
         self.idle_us = settings.idle_us
         self.loss_credit = 1.0 / max(settings.handshake_price, HANDSHAKE_PRICE_MIN)
         self.unconfirmed: deque[Attempt] = deque()  # in the order sent
-        self.answered_sent_at = self.answered_idle_us = 0  # of the last attempt answered
-        self.suspect_idle_us = 0.0  # connections idle for this long are suspect,
-        self.closes_left = 0.0  # for so many sends
+        # Of the attempt answered last: when it was sent, and the idle time of its connection.
+        self.answered_sent_at = self.answered_idle_us = 0
+        self.suspect_idle_us = 0.0  # connections idle for this long are suspect
+        self.closes_left = 0.0  # number of sends for which suspect connections are closed
 
     def watch(self, attempt: Attempt) -> None:
-        """Watch an attempt that its endpoint has completely: an answer is due from now on."""
+        """Watch an attempt whose request the endpoint has completely: its answer is due."""
         self.unconfirmed.append(attempt)
 
     def choose_connection(self, now: int, attempt: Attempt) -> bool:
-        """Which idle connection the attempt is sent on; True where all are to be closed first.
+        """Choose the connection of an attempt; returns True where all idle ones must be closed first.
 
-        Guards against idle connections that died unseen: after losses on such as had been
-        idle, others that were idle for long are closed before use. An attempt that is
-        overdue counts before its time-out.
+        Guards against idle connections that broke unnoticed: after attempts were lost on connections
+        that had been idle, others that were idle for long are closed before use. An overdue attempt
+        counts as lost before its time-out.
         """
         self._count_overdue(now)
         idle_since = attempt.endpoint.idle_since
@@ -73,25 +75,28 @@
                 self.record_lost(oldest)
 
     def record_lost(self, attempt: Attempt) -> None:
-        """Count evidence of connections that die while idle, in the handshakes that it pays for:
-        a lost request is worth as many as its value buys. A loss on a new connection has other
-        causes and takes as much back.
+        """Count a lost attempt as evidence of connections that break while idle.
+
+        The evidence is measured in handshakes: a lost request justifies as many as its value pays for.
+        A loss on a new connection has other causes and removes as much evidence.
         """
-        suspect_us = SUSPECT_IDLE_PART * attempt.connection_idle_us
-        least_us = SUSPECT_IDLE_OBJECTIVES_MIN * self.latencies.longest_objective_us
-        if attempt.connection_idle_us > least_us and not attempt.is_counted_as_lost:
-            if self.answered_sent_at > attempt.sent_at and self.answered_idle_us >= suspect_us:
-                return  # one sent since, on a connection idle alike, was answered
+        suspect_idle_us = SUSPECT_IDLE_PART * attempt.connection_idle_us
+        min_suspect_us = SUSPECT_IDLE_OBJECTIVES_MIN * self.latencies.longest_objective_us
+        if attempt.connection_idle_us > min_suspect_us and not attempt.is_counted_as_lost:
+            if self.answered_sent_at > attempt.sent_at and self.answered_idle_us >= suspect_idle_us:
+                return  # a later attempt, on a connection idle for a similar time, was answered
             is_first = self.closes_left < 1.0
-            self.suspect_idle_us = suspect_us if is_first else min(self.suspect_idle_us, suspect_us)
+            self.suspect_idle_us = suspect_idle_us if is_first else min(self.suspect_idle_us, suspect_idle_us)
             self.closes_left += self.loss_credit
         elif not attempt.is_counted_as_lost:
             self.closes_left = max(0.0, self.closes_left - self.loss_credit)
         attempt.is_counted_as_lost = True
 
     def record_answered(self, attempt: Attempt) -> None:
-        """An answer takes a counted loss back, as slowness has other causes; one on a
-        connection that had been idle counts against the suspicion.
+        """Reduce the evidence after an answer.
+
+        The answer to an attempt that was counted as lost removes that loss: the attempt was only slow.
+        An answer on a connection that had been idle removes the evidence of one handshake.
         """
         if attempt.is_counted_as_lost:
             self.closes_left = max(0.0, self.closes_left - self.loss_credit)
--- a/laurelstep/balancing/key_queues.py
+++ b/laurelstep/balancing/key_queues.py
@@ -1,4 +1,4 @@
-"""Per-key serialization: the requests of one key run one at a time, in the order taken."""
+"""Per-key serialization: the requests of one key run one at a time, in the order of arrival."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class KeyQueue:
-    """The requests of one key."""
+    """The queue of the requests of one key."""
 
     __slots__ = ("open_requests", "outstanding_attempts", "resting_until")
 
     def __init__(self) -> None:
-        self.open_requests: deque[Request] = deque()  # not over; the first may be sent
-        self.outstanding_attempts = 0  # without an outcome, of any request, over or not
-        self.resting_until = 0  # nothing of the next request is sent before this
+        self.open_requests: deque[Request] = deque()  # without a final answer; the first may be sent
+        self.outstanding_attempts = 0  # without an outcome, also of requests with a final answer
+        self.resting_until = 0  # the next request is not sent before this time
 
 
 class KeyQueues:
@@ -24,15 +24,18 @@
 
     __slots__ = ("changed_keys", "queues", "rest_us", "resting_keys")
 
-    def __init__(self, resting_us: int) -> None:
-        self.rest_us = resting_us  # after an attempt that may still run
+    def __init__(self, rest_us: int) -> None:
+        self.rest_us = rest_us  # pause of a key after an attempt that may still be running
         self.queues: dict[int, KeyQueue] = {}
-        self.changed_keys: list[int] = []  # keys whose next request may be due
-        self.resting_keys: deque[tuple[int, int]] = deque()  # until when, and the key
+        self.changed_keys: list[int] = []  # keys whose next request may be sendable
+        self.resting_keys: deque[tuple[int, int]] = deque()  # end of the rest, and the key
 
     def has_turn(self, now: int, request: Request) -> bool:
-        """Guards order: first of those not over, no attempt of others out, no rest.
-        One that was sent keeps its turn, for retries and hedged requests too.
+        """Return whether the request may be sent without breaking the order of its key.
+
+        It has its turn if it is the first without a final answer, no attempt of another request is
+        outstanding and the key does not rest. A request that was sent keeps its turn, also for
+        retries and hedged requests.
         """
         if not request.key or request.attempts:
             return True
@@ -44,39 +47,40 @@
         )
 
     def enqueue(self, now: int, request: Request) -> int:
-        """Put a request last in its key's queue; returns how many are before it."""
-        while self.resting_keys and self.resting_keys[0][0] <= now:  # keys long quiet are forgotten
+        """Append a request to the queue of its key; returns the number of requests before it."""
+        while self.resting_keys and self.resting_keys[0][0] <= now:  # drop unused queues after their rest
             self.changed_keys.append(self.resting_keys.popleft()[1])
         queue = self.queues.setdefault(request.key, KeyQueue())
         queue.open_requests.append(request)
         return len(queue.open_requests) - 1
 
     def record_send(self, request: Request) -> None:
-        """An attempt of the request was sent."""
+        """Record that an attempt of the request was sent."""
         if request.key:
             self.queues[request.key].outstanding_attempts += 1
 
     def record_outcome(self, now: int, request: Request, outcome: int) -> None:
-        """An attempt of the request ended; one that may still run has the key rest."""
+        """Record the outcome of an attempt; if it may still be running, the key rests."""
         if request.key and (queue := self.queues.get(request.key)):
             queue.outstanding_attempts -= 1
             if outcome in (TIMEOUT, RESET, CANCELLED):
                 queue.resting_until = now + self.rest_us
 
     def remove(self, request: Request) -> None:
-        """The request is over."""
+        """Remove a request that has its final answer."""
         if request.key and (queue := self.queues.get(request.key)) and request in queue.open_requests:
             queue.open_requests.remove(request)
             self.changed_keys.append(request.key)
 
     def mark_changed(self, request: Request) -> None:
-        """The next of the request's key may be due."""
+        """Note that the next request of the same key may be sendable."""
         if request.key:
             self.changed_keys.append(request.key)
 
     def next_request(self, now: int, key: int) -> Request | None:
-        """The request whose turn it is, now or after the key's rest; forgets a key once all
-        of it is over.
+        """Return the request whose turn it is, now or after the key's rest, or None.
+
+        Removes the queue once it has no request, no outstanding attempt and no rest.
         """
         queue = self.queues.get(key)
         if (
@@ -94,5 +98,5 @@
         return None
 
     def remaining_rest_us(self, now: int, request: Request) -> int:
-        """How long the request's key still rests; 0 or less where it does not."""
+        """Return the remaining rest of the request's key, in µs; 0 or less where it does not rest."""
         return self.queues[request.key].resting_until - now
--- a/laurelstep/balancing/membership.py
+++ b/laurelstep/balancing/membership.py
@@ -1,4 +1,4 @@
-"""The endpoint list: who is on the ring, who joins with the next complete list, who left."""
+"""Membership: the endpoints on the ring, those of an incomplete list, and those that were removed."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 from laurelstep.balancing.events import LIST_DELTA, LIST_PARTIAL, READY, Entry, Settings
 from laurelstep.balancing.subsets import EndpointRing
 
-# Mean back-off after a failed call for lists, µs. A change counts as announced 6 s after discovery
-# had it: one call that is silent for 2 s, and repeated, or four that fail at once, must fit into that.
+# Mean back-off after a failed call to discovery, in µs. A copy has to know a change 6 s after discovery
+# has it. Within that time there must be room for one call that is silent for 2 s and its repetition,
+# or for four calls that fail at once.
 LIST_BACKOFF_US: Final = 400_000
 
 
 class Membership:
-    """Owns the endpoints and their ring, as discovery's lists have them."""
+    """Owns the endpoints and their ring, and applies discovery's lists to them."""
 
     __slots__ = (
         "by_id",
@@ -33,45 +34,48 @@
         self.settings = settings
         self.rng = rng
         self.segment_count = len(settings.classes) * max(1, len(settings.tenants))
-        self.by_id: dict[int, Endpoint] = {}  # also those that left and still owe an outcome
+        self.by_id: dict[int, Endpoint] = {}  # also removed endpoints with attempts in flight
         self.ring = EndpointRing(settings)
-        self.staged_ring: EndpointRing | None = None  # that of a list which is not yet complete
-        self.staged_endpoints: list[Endpoint] = []  # those that only it has
+        self.staged_ring: EndpointRing | None = None  # the ring of an incomplete list
+        self.staged_endpoints: list[Endpoint] = []  # on the staged ring only
         self.list_backoff_us = min(settings.ask_within_us // 4, LIST_BACKOFF_US)
 
     def first_poll_delay(self) -> int:
-        """When to ask discovery first, in µs: copies started together must not ask together."""
+        """Return the delay before the first call to discovery, in µs.
+
+        The delay is random, so that copies that start together do not call together.
+        """
         return int(self.rng.random() * self.list_backoff_us)
 
     def poll_backoff(self) -> int:
-        """When to ask discovery again after a failure, in µs, spread out."""
+        """Return the randomized delay before the next call to discovery after a failure, in µs."""
         return int((0.5 + self.rng.random()) * self.list_backoff_us)
 
     def apply_list(self, now: int, mode: int, entries: Sequence[Entry]) -> bool:
-        """Take a list that came; returns whether the ring changed."""
-        changed = False
+        """Apply a list of this mode; returns whether the ring changed."""
+        is_ring_changed = False
         if mode not in (LIST_DELTA, LIST_PARTIAL):
-            named = {entry.endpoint for entry in entries}
+            listed_ids = {entry.endpoint for entry in entries}
             for endpoint in list(self.by_id.values()):
-                if endpoint.id not in named:
-                    changed |= self.remove(endpoint)
+                if endpoint.id not in listed_ids:
+                    is_ring_changed |= self.remove(endpoint)
         for entry in entries:
-            changed |= self._apply_entry(now, entry, mode == LIST_PARTIAL)
+            is_ring_changed |= self._apply_entry(now, entry, mode == LIST_PARTIAL)
         if self.staged_ring is not None and mode != LIST_PARTIAL:
             self._join_staged()
-            changed = True
-        return changed
+            is_ring_changed = True
+        return is_ring_changed
 
     def _apply_entry(self, now: int, entry: Entry, is_part: bool) -> bool:
         endpoint = self.by_id.get(entry.endpoint)
         if entry.phase != READY:
             return self.remove(endpoint) if endpoint else False
-        moved = False
+        was_on_ring = False
         if endpoint is None:
             endpoint = Endpoint(entry, self.segment_count)
         elif (endpoint.cell, endpoint.zone) != (entry.cell, entry.zone):
-            # Guards repeats: they stay with the cell or zone that it is in by now.
-            moved = self.remove(endpoint)
+            # Guards the scope of repeated keys: the endpoint now belongs to its new cell and zone.
+            was_on_ring = self.remove(endpoint)
             endpoint.relocate(entry)
         self.by_id[endpoint.id] = endpoint
         endpoint.rating = entry.rating if entry.rating > 0 else 1.0
@@ -81,7 +85,7 @@
             return False
         if is_part:
             self._stage(endpoint)
-            return moved
+            return was_on_ring
         endpoint.is_ready = True
         self.ring.add(endpoint)
         if self.staged_ring is not None:
@@ -90,15 +94,18 @@
 
     def _start_process(self, now: int, endpoint: Endpoint, boot: int) -> None:
         if boot != endpoint.started_at:
-            endpoint.reset_observations()  # a new process: nothing seen of the old one holds
+            endpoint.reset_observations()  # a new process: observations of the old one are void
         endpoint.started_at = boot
-        # The budget of an endpoint in slow start begins part-filled at random, so that
-        # the copies' first sends to it do not coincide.
+        # The slow-start budget begins at a random part of one attempt, so that the first sends of the
+        # copies to the endpoint do not coincide.
         endpoint.slow_start_budget = self.rng.random()
         endpoint.slow_start_budget_at = now
 
     def _stage(self, endpoint: Endpoint) -> None:
-        """Guards the first to be read of a long list against the traffic of all."""
+        """Hold back a new endpoint until its list is complete.
+
+        Guards the endpoints in the first parts of a long list against the traffic for all of them.
+        """
         if self.staged_ring is None:
             self.staged_ring = self.ring.copy(self.settings)
         self.staged_ring.add(endpoint)
@@ -106,7 +113,7 @@
         endpoint.is_staged = True
 
     def _join_staged(self) -> None:
-        """All staged endpoints join the ring at once."""
+        """Put all staged endpoints on the ring at once."""
         if self.staged_ring is not None:
             self.ring, self.staged_ring = self.staged_ring, None
         for endpoint in self.staged_endpoints:
@@ -115,9 +122,9 @@
         self.staged_endpoints = []
 
     def remove(self, endpoint: Endpoint) -> bool:
-        """Guards drains: an endpoint that is draining or gone leaves at once.
+        """Remove an endpoint that is draining or gone from the ring at once; returns whether it was on it.
 
-        Returns whether it was on the ring.
+        Guards drains: nothing more is sent to the endpoint.
         """
         if not endpoint.in_flight:
             self.by_id.pop(endpoint.id, None)
@@ -130,8 +137,9 @@
         return was_ready
 
     def record_attempt_end(self, endpoint: Endpoint) -> None:
-        """Any ending of an attempt lowers the endpoint's count; one that left and owes nothing
-        more is forgotten.
+        """Count down the endpoint's attempts in flight after any outcome.
+
+        A removed endpoint without attempts in flight is dropped.
         """
         endpoint.in_flight = max(0, endpoint.in_flight - 1)
         is_needed = endpoint.is_ready or endpoint.is_staged or endpoint.in_flight
--- a/laurelstep/balancing/requests.py
+++ b/laurelstep/balancing/requests.py
@@ -1,4 +1,4 @@
-"""Requests and their attempts, and the table of all that are open."""
+"""Requests and their attempts, and the table of requests without a final answer."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Attempt:
-    """One attempt of a request at an endpoint, whose place is kept as it was then."""
+    """One attempt of a request, with the cell and zone that its endpoint had when it was sent."""
 
     __slots__ = (
         "cell",
@@ -23,16 +23,16 @@
 
     def __init__(self, endpoint: Endpoint, now: int, body_pending: bool) -> None:
         self.endpoint = endpoint
-        self.has_pending_body = body_pending  # it counts at the endpoint once that has the complete request
+        self.has_pending_body = body_pending  # the attempt counts at its endpoint once False
         self.cell, self.zone = endpoint.cell, endpoint.zone
         self.sent_at = now
-        self.connection_idle_us = -1  # how long its connection was idle; a new one was not
+        self.connection_idle_us = -1  # idle time of its connection; -1 for a new connection
         self.is_outstanding = True  # without an outcome
-        self.never_ran = False
-        self.is_counted_as_lost = False  # as evidence of connections that die while idle
+        self.never_ran = False  # its outcome proves that the request was not executed
+        self.is_counted_as_lost = False  # as evidence of connections that break while idle
 
     def begin(self, now: int) -> None:
-        """The endpoint has the complete request, or will at once: it counts there until its outcome."""
+        """Count the attempt at its endpoint until its outcome: the request body is complete."""
         self.sent_at, self.has_pending_body = now, False
         if not self.endpoint.in_flight:
             self.endpoint.silent_since = now
@@ -40,7 +40,7 @@
 
 
 class Request:
-    """A request that this copy has taken, until its final answer and its last outcome."""
+    """A request that this copy has received, until its final answer and its last outcome."""
 
     __slots__ = (
         "arrived_at",
@@ -56,56 +56,56 @@
         "tenant",
     )
 
-    def __init__(self, now: int, event: Arrival, cls: RequestClass, tenants: int) -> None:
+    def __init__(self, now: int, event: Arrival, cls: RequestClass, tenant_count: int) -> None:
         self.id = event.request
         self.arrived_at = now
         self.class_index = event.cls
-        self.segment = event.cls * tenants + min(event.tenant, tenants - 1)
+        self.segment = event.cls * tenant_count + min(event.tenant, tenant_count - 1)
         self.request_class = cls
         self.tenant = event.tenant
-        self.key = event.key if cls.sequential else 0  # 0: nothing to run in sequence with
+        self.key = event.key if cls.sequential else 0  # 0: no order to keep
         self.expires_at = event.expires
         self.attempts: list[Attempt] = []
-        self.is_streaming = False  # its answer flows to the client already
-        self.has_pending_body = event.has_pending_body  # its last byte is still to come
+        self.is_streaming = False  # its answer is already being sent to the client
+        self.has_pending_body = event.has_pending_body  # its body is still being received
 
     def has_outstanding_attempt(self) -> bool:
-        """Whether an attempt is without its outcome."""
+        """Return whether an attempt has no outcome yet."""
         return any(attempt.is_outstanding for attempt in self.attempts)
 
     def first_possible_execution(self) -> Attempt | None:
-        """The earliest attempt that may have run, or may be running."""
+        """Return the earliest attempt that may have run or may be running, or None."""
         for attempt in self.attempts:
             if not attempt.never_ran:
                 return attempt
         return None
 
     def held_until(self) -> int:
-        """When it is held no longer for an endpoint: its deadline or its objective, in µs."""
+        """Return until when the request may wait for an endpoint: its deadline or its objective, in µs."""
         return min(self.expires_at, self.arrived_at + self.request_class.aim_us)
 
 
 class RequestTable:
-    """All requests without a final answer, and those over with attempts still outstanding."""
+    """The requests without a final answer, and closed ones with attempts outstanding."""
 
     __slots__ = ("awaiting_outcomes", "open", "uploading_count")
 
     def __init__(self) -> None:
-        self.open: dict[int, Request] = {}  # in the order in which they were complete
+        self.open: dict[int, Request] = {}  # in the order in which their bodies were complete
         self.awaiting_outcomes: dict[int, Request] = {}
-        self.uploading_count = 0  # of the open ones, those whose last byte is still to come
+        self.uploading_count = 0  # open requests whose body is still being received
 
     def add(self, request: Request) -> None:
-        """Take a new request."""
+        """Add a new request."""
         self.open[request.id] = request
         self.uploading_count += request.has_pending_body
 
-    def find(self, request: int) -> Request | None:
-        """A request by its id, also one that is over with attempts outstanding."""
-        return self.open.get(request) or self.awaiting_outcomes.get(request)
+    def find(self, request_id: int) -> Request | None:
+        """Return a request by its id, also a closed one with attempts outstanding, or None."""
+        return self.open.get(request_id) or self.awaiting_outcomes.get(request_id)
 
     def complete_body(self, now: int, request: Request, expires_at: int) -> None:
-        """The last byte of an open request has come: from now on its time counts."""
+        """Start the time of an open request whose body is now complete."""
         del self.open[request.id]
         self.open[request.id] = request
         if request.has_pending_body:
@@ -113,13 +113,13 @@
             self.uploading_count -= 1
 
     def close(self, request: Request) -> None:
-        """The request has its final answer, or nobody waits for one."""
+        """Close a request that has its final answer or whose client has left."""
         del self.open[request.id]
         self.uploading_count -= request.has_pending_body
         if request.has_outstanding_attempt():
             self.awaiting_outcomes[request.id] = request
 
     def forget_if_complete(self, request: Request) -> None:
-        """Forget a request that is over once its last attempt has its outcome."""
+        """Remove a closed request once all its attempts have their outcomes."""
         if not request.has_outstanding_attempt():
             del self.awaiting_outcomes[request.id]
--- a/laurelstep/balancing/selection.py
+++ b/laurelstep/balancing/selection.py
@@ -1,7 +1,7 @@
-"""Endpoint selection: two choices with asymmetric ties.
+"""Endpoint selection: power of two choices with asymmetric ties.
 
-One draw from a left subset, one from a right subset of a shared ring; the lower own count of
-calls in flight wins, ties go left.
+One endpoint is drawn from a left subset and one from a right subset of a shared ring. The one with
+fewer attempts of this copy in flight is chosen; on a tie, the left one.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 from laurelstep.balancing.subsets import Ring, Subset, SubsetPlan
 from laurelstep.balancing.zones import ZoneSpillover
 
-# Power of an endpoint's slowness in its weight. At 1 all would hold equally many requests, however
-# slow they are; an endpoint that became slow under its queue must be left to work it off.
+# Exponent of an endpoint's slowness in its weight. With 1, all endpoints would hold equally many
+# requests, however slow they are; an endpoint that is slow because of its queue must get fewer.
 SLOWNESS_POWER: Final = 2
-# What is left of a stalled endpoint's weight.
+# Factor of a stalled endpoint's weight.
 STALLED_WEIGHT: Final = 0.05
 
 
 class EndpointSelector:
-    """Picks the endpoint of an attempt; owns no state but its random numbers."""
+    """Picks the endpoint of an attempt; has no state except its random generator."""
 
     __slots__ = (
         "latencies",
@@ -61,36 +61,36 @@
         self.spillover = spillover
 
     def pick(self, now: int, request: Request) -> Endpoint | None:
-        """An endpoint for the next attempt, or None where none may be drawn now."""
+        """Return an endpoint for the next attempt, or None where no endpoint is eligible now."""
         if (
             request.attempts
             and request.request_class.effect == KEYED
             and request.request_class.scope != SCOPE_ALL
         ):
-            possible = request.first_possible_execution()
-            if possible is not None:
-                return self._pick_in_scope(now, request, possible)
-        found = None
+            possible_execution = request.first_possible_execution()
+            if possible_execution is not None:
+                return self._pick_in_scope(now, request, possible_execution)
+        endpoint = None
         if self.subsets.local_halves and self.rng.random() >= self.spillover.remote_share:
-            found = self._choose(now, request, self.subsets.local_halves)
-        if found is None:
-            found = self._choose(now, request, self.subsets.pair)
+            endpoint = self._choose(now, request, self.subsets.local_halves)
+        if endpoint is None:
+            endpoint = self._choose(now, request, self.subsets.pair)
         ring = self.membership.ring.all
-        if found is None and self.subsets.endpoints_in_subsets < len(ring):
-            # None of the own subsets is usable: fall back on the whole ring.
-            found = self._choose_among(now, request, ring, 0, len(ring))
-        return found
+        if endpoint is None and self.subsets.endpoints_in_subsets < len(ring):
+            # No endpoint of the copy's subsets is eligible: fall back to the whole ring.
+            endpoint = self._choose_among(now, request, ring, 0, len(ring))
+        return endpoint
 
-    def _pick_in_scope(self, now: int, request: Request, possible: Attempt) -> Endpoint | None:
-        """Among the endpoints that know the key of an attempt that may have run."""
+    def _pick_in_scope(self, now: int, request: Request, possible_execution: Attempt) -> Endpoint | None:
+        """Pick among the endpoints that know the idempotency key of an attempt that may have run."""
         ring = self.membership.ring.all
         if request.request_class.scope == SCOPE_ZONE:
-            zone = self.membership.ring.by_zone.get(possible.zone, ring)
-            return self._choose_among(now, request, zone, 0, len(zone))
-        # A cell's endpoints are neighbours on the ring.
-        cell = mix(possible.cell)
-        start = bisect_left(ring, ((cell, -1, 0), possible.endpoint))
-        end = bisect_left(ring, ((cell, KEY_MASK + 1, 0), possible.endpoint))
+            zone_ring = self.membership.ring.by_zone.get(possible_execution.zone, ring)
+            return self._choose_among(now, request, zone_ring, 0, len(zone_ring))
+        # The endpoints of a cell are neighbours on the ring.
+        cell_hash = mix(possible_execution.cell)
+        start = bisect_left(ring, ((cell_hash, -1, 0), possible_execution.endpoint))
+        end = bisect_left(ring, ((cell_hash, KEY_MASK + 1, 0), possible_execution.endpoint))
         return self._choose_among(now, request, ring, start, end)
 
     def _choose_among(self, now: int, request: Request, ring: Ring, start: int, end: int) -> Endpoint | None:
@@ -98,28 +98,37 @@
         return self._choose(now, request, [Subset(ring, start, middle), Subset(ring, middle, end)])
 
     def _choose(self, now: int, request: Request, subsets: Sequence[Subset]) -> Endpoint | None:
-        """The design's rule: one draw from each subset, fewer own calls in
-        flight wins, ties go left; a subset without an eligible endpoint yields.
+        """Draw one endpoint from each subset and choose the one with fewer attempts in flight.
+
+        On a tie the left one is chosen, or the right one with a probability that grows with its
+        weight. A subset without an eligible endpoint takes no part.
         """
         drawn = [one for one in (self._draw(now, request, subset) for subset in subsets) if one is not None]
         best = min(drawn, key=lambda one: one.in_flight, default=None)
         for other in drawn:
             if best and other.in_flight == best.in_flight and other is not best:
                 other_weight = self._weight(now, other, request.segment)
-                worse = other_weight / self._weight(now, best, request.segment) - 1.0
-                if worse > self.rng.random():
+                excess_weight = other_weight / self._weight(now, best, request.segment) - 1.0
+                if excess_weight > self.rng.random():
                     best = other
         return best
 
     def _draw(self, now: int, request: Request, subset: Subset) -> Endpoint | None:
-        """One draw by weight among the eligible endpoints of a subset."""
-        total, marks = 0.0, []
+        """Draw one of the eligible endpoints of a subset by weight; None where there is none."""
+        total, cumulative_weights = 0.0, []
         for endpoint, share in subset.sample(self.rng):
             if self._is_eligible(now, request, endpoint):
                 total += share * self._weight(now, endpoint, request.segment)
-                marks.append((total, endpoint))
-        mark = self.rng.random() * total
-        return next((endpoint for upto, endpoint in marks if mark <= upto), None)
+                cumulative_weights.append((total, endpoint))
+        drawn_weight = self.rng.random() * total
+        return next(
+            (
+                endpoint
+                for cumulative_weight, endpoint in cumulative_weights
+                if drawn_weight <= cumulative_weight
+            ),
+            None,
+        )
 
     def _is_eligible(self, now: int, request: Request, endpoint: Endpoint) -> bool:
         for attempt in request.attempts:
@@ -132,7 +141,7 @@
         return self.slow_start.allows(now, endpoint)
 
     def _weight(self, now: int, endpoint: Endpoint, segment: int) -> float:
-        """How likely an endpoint is drawn: size, warm-up, learned speed, health."""
+        """Return the weight of an endpoint in a draw, from its size, warm-up, speed, health and load."""
         weight = endpoint.rating * self.slow_start.warmup_fraction(now, endpoint)
         weight /= endpoint.slowness**SLOWNESS_POWER
         if endpoint.health[segment].value < 1.0:
@@ -140,6 +149,6 @@
         if self.outliers.is_stalled(now, endpoint):
             weight *= STALLED_WEIGHT
         if endpoint.reported_queued > 0.0:
-            age = (endpoint.reported_at - now) / self.latencies.longest_objective_us
-            weight /= 1.0 + endpoint.reported_queued * exp(age)
+            decay_exponent = (endpoint.reported_at - now) / self.latencies.longest_objective_us
+            weight /= 1.0 + endpoint.reported_queued * exp(decay_exponent)
         return weight
--- a/laurelstep/balancing/subsets.py
+++ b/laurelstep/balancing/subsets.py
@@ -1,4 +1,4 @@
-"""Subsetting: the shared ring of endpoints and the parts of it that one copy draws from."""
+"""Subsetting: the shared ring of endpoints, and the parts of it from which one copy draws."""
 
 from __future__ import annotations
 
@@ -11,25 +11,26 @@
 from laurelstep.balancing.endpoints import Endpoint, RingKey
 from laurelstep.balancing.events import Settings
 
-# Each endpoint should be drawn by at least this many copies, so that copies with unequal
-# traffic even out; sets the length of the subsets where copies are many.
+# Each endpoint should be in the subsets of at least this many copies, so that unequal traffic of the
+# copies evens out. Determines the length of the subsets where there are many copies.
 COPIES_PER_ENDPOINT_MIN: Final = 4
-# Endpoints that a subset spans at least: one leaves no draw. More is no gain: a copy with
-# little traffic would hear of each too seldom to learn of a fault.
+# Least number of endpoints in a subset: with one, there is no choice. More is no gain, because a copy
+# with little traffic would get answers from each endpoint too rarely to notice a fault.
 SUBSET_MIN: Final = 2
-# A longer subset is sampled first: bounds the work of a pick on the whole ring.
+# A subset with more endpoints is sampled, which bounds the cost of a pick on the whole ring.
 SAMPLE_MAX: Final = 32
-# Rounding error of a position on the ring.
+# Tolerance for the rounding error of a position on the ring.
 POSITION_ERROR: Final = 1e-6
 
-# The key is unique, so that no two endpoints are ever compared.
+# Sorted by key; keys are unique, so that two endpoints are never compared.
 Ring = list[tuple[RingKey, Endpoint]]
 
 
 class Subset:
-    """A stretch of a ring: its endpoints, each with the share of it that lies inside.
+    """An interval of a ring: its endpoints, each with the share of the endpoint that lies inside.
 
-    A long one is not copied: it is sampled, and a change of the list costs by its own length.
+    A long interval is not copied but sampled, so that the cost of a list change does not depend on
+    the length of the subset.
     """
 
     __slots__ = ("count", "end", "first", "members", "ring", "start")
@@ -43,33 +44,35 @@
         self.members = [self.member(n) for n in range(self.count if self.count <= SAMPLE_MAX else 0)]
 
     def member(self, number: int) -> tuple[Endpoint, float]:
-        """The endpoint of this number along the subset, and its share inside."""
-        at = self.first + number
-        return self.ring[at % len(self.ring)][1], min(self.end, at + 1) - max(self.start, at)
+        """Return the endpoint at this number along the subset, and the share of it that lies inside."""
+        position = self.first + number
+        return self.ring[position % len(self.ring)][1], min(self.end, position + 1) - max(
+            self.start, position
+        )
 
     def sample(self, rng: random.Random) -> list[tuple[Endpoint, float]]:
-        """All members, or `SAMPLE_MAX` of them drawn at random where there are more."""
+        """Return all members, or `SAMPLE_MAX` random ones where there are more."""
         if self.count <= SAMPLE_MAX:
             return self.members
         return [self.member(number) for number in rng.sample(range(self.count), SAMPLE_MAX)]
 
     def contains(self, endpoint: Endpoint) -> bool:
-        """Whether the endpoint lies in this stretch of the ring."""
-        at = bisect_left(self.ring, (endpoint.ring_key, endpoint))
-        found = at < len(self.ring) and self.ring[at][1] is endpoint
-        return found and (at - self.first) % len(self.ring) < self.count
+        """Return whether the endpoint lies in this interval of the ring."""
+        position = bisect_left(self.ring, (endpoint.ring_key, endpoint))
+        is_on_ring = position < len(self.ring) and self.ring[position][1] is endpoint
+        return is_on_ring and (position - self.first) % len(self.ring) < self.count
 
 
 class EndpointRing:
-    """The shared order of the endpoints: all, by zone, and of the zones that cost more."""
+    """The shared order of the endpoints: of all, of each zone, and of the zones with a price."""
 
     __slots__ = ("all", "by_zone", "priced_from_zone", "remote")
 
     def __init__(self, settings: Settings) -> None:
         self.all: Ring = []
-        self.by_zone: dict[int, Ring] = {}  # none where there is one zone
-        self.remote: Ring = []  # of other zones than `priced_from_zone`
-        self.priced_from_zone = -1  # the own zone, where leaving it has a price
+        self.by_zone: dict[int, Ring] = {}  # empty where there is only one zone
+        self.remote: Ring = []  # endpoints outside `priced_from_zone`
+        self.priced_from_zone = -1  # this copy's zone if leaving it has a price, or -1
         if settings.zones > 1:
             self.by_zone = {settings.zone: []}
             self.priced_from_zone = settings.zone if settings.cross_zone_price > 0.0 else -1
@@ -83,48 +86,48 @@
         return rings
 
     def add(self, endpoint: Endpoint) -> None:
-        """Put an endpoint at its place."""
+        """Insert an endpoint at its position."""
         for ring in self._rings_of(endpoint):
             insort(ring, (endpoint.ring_key, endpoint))
 
     def remove(self, endpoint: Endpoint) -> None:
-        """Take out an endpoint that stands on the ring."""
+        """Remove an endpoint that is on the ring."""
         for ring in self._rings_of(endpoint):
             del ring[bisect_left(ring, (endpoint.ring_key, endpoint))]
 
     def copy(self, settings: Settings) -> EndpointRing:
-        """A ring of its own with the same endpoints."""
-        copy = EndpointRing(settings)
-        copy.all, copy.remote = self.all[:], self.remote[:]
-        copy.by_zone = {zone: ring[:] for zone, ring in self.by_zone.items()}
-        return copy
+        """Return an independent ring with the same endpoints."""
+        duplicate = EndpointRing(settings)
+        duplicate.all, duplicate.remote = self.all[:], self.remote[:]
+        duplicate.by_zone = {zone: ring[:] for zone, ring in self.by_zone.items()}
+        return duplicate
 
 
 class SubsetPlan:
-    """The subsets that this copy draws from, rebuilt whenever the ring changes."""
+    """The subsets from which this copy draws, rebuilt at each change of the ring."""
 
     __slots__ = ("endpoints_in_subsets", "endpoints_per_copy", "local_halves", "pair", "settings")
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.pair: list[Subset] = []  # left and right
-        self.local_halves: list[Subset] = []  # of the own zone, where leaving it has a price
-        self.endpoints_in_subsets = 1.0  # endpoints in the subsets
+        # The two halves of the local subset, where leaving the zone has a price.
+        self.local_halves: list[Subset] = []
+        self.endpoints_in_subsets = 1.0
         self.endpoints_per_copy = 1.0
 
     def contains(self, endpoint: Endpoint) -> bool:
-        """Whether the endpoint is one of this copy's subsets."""
+        """Return whether the endpoint is in one of this copy's subsets."""
         return any(subset.contains(endpoint) for subset in self.pair)
 
     def rebuild_subsets(self, ring: EndpointRing) -> None:
-        """Own stretch of the shared ring from the copy's own offset; left, right.
-
-        Guards against copies piling their ties on one shared left subset, and
-        against endpoints that fewer copies can reach: copies start evenly
-        spaced and each subset is a whole number of spacings long, so that
-        every point of the ring lies in the left subsets of equally many
-        copies, and in the right subsets too. An endpoint that an edge divides
-        stands in the subset with the share that lies inside.
+        """Compute the left and right subset of this copy: an interval of the ring from its own offset.
+
+        Guards against copies whose ties all go to one shared left subset, and against endpoints that
+        fewer copies can reach. Copies start evenly spaced and each subset is a whole number of
+        spacings long, so that every point of the ring lies in the left subsets of equally many
+        copies, and likewise in the right ones. An endpoint that is divided by the end of a subset is
+        in it with the share that lies inside.
         """
         self.endpoints_per_copy = max(1, len(ring.all)) / self.settings.instances
         local = ring.by_zone.get(self.settings.zone, ring.all)
@@ -145,16 +148,20 @@
         self.local_halves = []
         size, copies = len(ring), self.settings.instances
         step = size / copies
-        count, start = 2, self.settings.me * step
-        depth = min(copies, max(COPIES_PER_ENDPOINT_MIN, ceil(count * SUBSET_MIN / step))) if size else 0
-        parts = [depth * k / count for k in range(count + 1)]
-        if depth >= count:  # whole spacings, all subsets alike
-            parts = [float(round(part)) for part in parts]
-        self.pair = [Subset(ring, start + a * step, start + b * step) for a, b in pairwise(parts)]
-        self.endpoints_in_subsets = max(1.0, depth * step)
+        subset_count, start = 2, self.settings.me * step
+        spacings = (
+            min(copies, max(COPIES_PER_ENDPOINT_MIN, ceil(subset_count * SUBSET_MIN / step))) if size else 0
+        )
+        bounds = [spacings * number / subset_count for number in range(subset_count + 1)]
+        if spacings >= subset_count:  # whole spacings, so that all subsets have the same length
+            bounds = [float(round(bound)) for bound in bounds]
+        self.pair = [
+            Subset(ring, start + first * step, start + last * step) for first, last in pairwise(bounds)
+        ]
+        self.endpoints_in_subsets = max(1.0, spacings * step)
 
     def _own_stretch(self, ring: Ring, copies: float) -> Subset:
-        """One subset on a part of the ring, from the copy's own offset there."""
+        """Return one subset of a ring, from the copy's own offset on it."""
         step = len(ring) / copies
         start = self.settings.me * step
         return Subset(
