--- a/laurelstep/adapter.py
+++ b/laurelstep/adapter.py
@@ -1,7 +1,7 @@
-"""Adapter: hosts many balancer instances on the simulator's wire.
+"""Adapter: hosts many balancer instances for the simulator, over its wire protocol.
 
-It decodes, hands each event to the instance it is for and encodes what the
-instance returns. It decides nothing and shares nothing between instances.
+It decodes each event, passes it to its instance and encodes the actions that the instance returns. It
+makes no balancing decisions and shares no state between instances.
 """
 
 from __future__ import annotations
@@ -18,116 +18,150 @@
 
 
 class Host:
-    """All instances of this process, and the wire's numbered lists."""
+    """All balancer instances of this process, and the endpoint lists by their numbers in the protocol."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Balancer] = {}
         self.lists: Lists = {}
 
-    def batch(self, body: memoryview) -> bytes:
-        """Play one batch of events and return the reply. Raises `WireError` where it can't be read."""
-        now, count, tail = wire.frame_head(body)
+    def process_batch(self, batch: memoryview) -> bytes:
+        """Process one batch of events and return the reply; raises `WireError` where it is malformed."""
+        now, count, tail = wire.split_batch(batch)
         reply = wire.Reply()
         offset = wire.BATCH_HEAD.size
         for _ in range(count):
             instance = -1
             try:
-                instance, actions = self.event(now, body, offset, tail)
+                instance, actions = self.process_event(now, batch, offset, tail)
             except wire.WireError:
                 raise
-            except Exception as error:  # whatever the module raises is reported
-                (instance,) = wire.KILL.unpack_from(body, offset + 1)
-                reply.fault(instance, f"{type(error).__name__}: {error}")
+            except Exception as error:  # any exception of a balancer is reported in the reply
+                (instance,) = wire.STOP.unpack_from(batch, offset + 1)
+                reply.add_fault(instance, f"{type(error).__name__}: {error}")
                 actions = []
             if actions:
                 reply.add(instance, actions)
-            offset += wire.EVENT_SIZE
+            offset += wire.EVENT_SIZE_BYTES
         return reply.encode()
 
-    def event(self, now: int, body: memoryview, offset: int, tail: memoryview) -> tuple[int, list[Action]]:
-        """Hand one record to the instance it is for; returns that and its actions.
+    def process_event(
+        self, now: int, batch: memoryview, offset: int, tail: memoryview
+    ) -> tuple[int, list[Action]]:
+        """Pass one event record to its instance; returns the instance's number (-1 = none) and its actions.
 
-        The time in µs; the frequent kinds of events come first.
+        `now` is in µs. The frequent kinds of events are checked first.
         """
-        code = body[offset]
-        at = offset + 1
-        if code == wire.EV_REQ:
-            i, rid, cls, tenant, key, expires, hint, options = wire.REQ.unpack_from(body, at)
-            if (balancer := self.instances.get(i)) is None:
-                return i, []
-            if not options & wire.OPTION_HINT:
-                hint = 0
-            repeat = bool(options & wire.OPTION_REPEAT)
-            return i, balancer.request(now, Arrival(rid, cls, expires, tenant, key, hint, repeat))
-        if code == wire.EV_RETURNED:
-            i, rid, copy, endpoint, raw, delay, over, n, *load = wire.RETURNED.unpack_from(body, at)
-            if (balancer := self.instances.get(i)) is None:
-                return i, []
-            if raw not in wire.OUTCOMES:
-                raise wire.WireError(f"unknown outcome {raw}")
-            report = load[:n] if n else None
-            outcome = wire.OUTCOMES[raw]
-            ended = Outcome(rid, copy, endpoint, outcome, delay, over != 0, report)
-            return i, balancer.outcome(now, ended)
-        if code == wire.EV_FIRED:
-            i, token = wire.ID_VALUE.unpack_from(body, at)
-            balancer = self.instances.get(i)
-            return i, balancer.timer(now, token) if balancer else []
-        return self._rare_event(code, now, body, at, tail)
-
-    def _rare_event(
-        self, code: int, now: int, body: memoryview, at: int, tail: memoryview
+        event_code = batch[offset]
+        record_start = offset + 1
+        if event_code == wire.EVENT_REQUEST:
+            instance, request_id, class_index, tenant, key, expires_at, work_us, options = (
+                wire.REQUEST.unpack_from(batch, record_start)
+            )
+            if (balancer := self.instances.get(instance)) is None:
+                return instance, []
+            if not options & wire.OPTION_WORK_HINT:
+                work_us = 0
+            is_retry = bool(options & wire.OPTION_RETRY)
+            return instance, balancer.request(
+                now, Arrival(request_id, class_index, expires_at, tenant, key, work_us, is_retry)
+            )
+        if event_code == wire.EVENT_OUTCOME:
+            (
+                instance,
+                request_id,
+                attempt_index,
+                endpoint,
+                outcome_code,
+                latency_us,
+                final_flag,
+                report_length,
+                *report_values,
+            ) = wire.OUTCOME.unpack_from(batch, record_start)
+            if (balancer := self.instances.get(instance)) is None:
+                return instance, []
+            if outcome_code not in wire.OUTCOMES:
+                raise wire.WireError(f"unknown outcome {outcome_code}")
+            report = report_values[:report_length] if report_length else None
+            outcome = wire.OUTCOMES[outcome_code]
+            attempt_end = Outcome(
+                request_id, attempt_index, endpoint, outcome, latency_us, final_flag != 0, report
+            )
+            return instance, balancer.outcome(now, attempt_end)
+        if event_code == wire.EVENT_TIMER:
+            instance, token = wire.ID_VALUE.unpack_from(batch, record_start)
+            balancer = self.instances.get(instance)
+            return instance, balancer.timer(now, token) if balancer else []
+        return self._process_rare_event(event_code, now, batch, record_start, tail)
+
+    def _process_rare_event(
+        self, event_code: int, now: int, batch: memoryview, record_start: int, tail: memoryview
     ) -> tuple[int, list[Action]]:
-        if code == wire.EV_MANIFEST:
-            number, start, count = wire.MANIFEST.unpack_from(body, at)
-            self.lists[number] = wire.read_entries(tail, start, count)
+        if event_code == wire.EVENT_LIST_ENTRIES:
+            list_number, tail_offset, count = wire.LIST_ENTRIES.unpack_from(batch, record_start)
+            self.lists[list_number] = wire.read_entries(tail, tail_offset, count)
             return -1, []
-        if code == wire.EV_INIT:
-            i, seed, start, size = wire.INIT.unpack_from(body, at)
-            settings = wire.read_settings(wire.tail_bytes(tail, start, size))
-            balancer = self.instances[i] = Balancer(seed, settings)
-            return i, balancer.start(now)
-        (i,) = wire.KILL.unpack_from(body, at)
-        if code == wire.EV_KILL:
-            self.instances.pop(i, None)
-            return i, []
-        if not wire.EV_INIT < code < wire.EV_MANIFEST:
-            raise wire.WireError(f"unknown event code {code}")
-        found = self.instances.get(i)
-        return i, self._instance_event(found, code, now, body, at, tail) if found else []
-
-    def _instance_event(
-        self, balancer: Balancer, code: int, now: int, body: memoryview, at: int, tail: memoryview
+        if event_code == wire.EVENT_START:
+            instance, seed, tail_offset, size = wire.START.unpack_from(batch, record_start)
+            settings = wire.read_settings(wire.read_tail(tail, tail_offset, size))
+            balancer = self.instances[instance] = Balancer(seed, settings)
+            return instance, balancer.start(now)
+        (instance,) = wire.STOP.unpack_from(batch, record_start)
+        if event_code == wire.EVENT_STOP:
+            self.instances.pop(instance, None)
+            return instance, []
+        if not wire.EVENT_START < event_code < wire.EVENT_LIST_ENTRIES:
+            raise wire.WireError(f"unknown event code {event_code}")
+        running = self.instances.get(instance)
+        return instance, self._process_instance_event(
+            running, event_code, now, batch, record_start, tail
+        ) if running else []
+
+    def _process_instance_event(
+        self,
+        balancer: Balancer,
+        event_code: int,
+        now: int,
+        batch: memoryview,
+        record_start: int,
+        tail: memoryview,
     ) -> list[Action]:
-        if code == wire.EV_BACKENDS:
-            _, _, raw, number = wire.BACKENDS.unpack_from(body, at)
-            if raw not in wire.MODES:
-                raise wire.WireError(f"unknown list mode {raw}")
-            failed = wire.MODES[raw] == LIST_FAILED
-            if not failed and number not in self.lists:
-                raise wire.WireError(f"list {number} was never sent")
-            return balancer.members(now, wire.MODES[raw], () if failed else self.lists[number])
-        if code == wire.EV_HEAD:
-            _, rid, copy, endpoint, delay = wire.HEAD.unpack_from(body, at)
-            return balancer.head(now, Outcome(rid, copy, endpoint, OK, delay))
-        if code == wire.EV_ABANDONED:
-            _, rid = wire.ID_VALUE.unpack_from(body, at)
-            return balancer.client_disconnected(now, rid)
-        if code == wire.EV_PROBED:
-            _, endpoint, raw, delay, n, *load = wire.PROBED.unpack_from(body, at)
-            if raw not in wire.OUTCOMES:
-                raise wire.WireError(f"unknown outcome {raw}")
-            report = load[:n] if n else None
-            return balancer.probed(now, ProbeResult(endpoint, wire.OUTCOMES[raw], delay, report))
-        _, sender, start, size = wire.MAIL.unpack_from(body, at)
-        return balancer.gossip_received(now, sender, wire.tail_bytes(tail, start, size))
+        if event_code == wire.EVENT_LIST:
+            _, _, mode_code, list_number = wire.LIST.unpack_from(batch, record_start)
+            if mode_code not in wire.LIST_MODES:
+                raise wire.WireError(f"unknown list mode {mode_code}")
+            is_failed = wire.LIST_MODES[mode_code] == LIST_FAILED
+            if not is_failed and list_number not in self.lists:
+                raise wire.WireError(f"unknown list number {list_number}: its entries were not sent")
+            return balancer.members(
+                now, wire.LIST_MODES[mode_code], () if is_failed else self.lists[list_number]
+            )
+        if event_code == wire.EVENT_RESPONSE_START:
+            _, request_id, attempt_index, endpoint, latency_us = wire.RESPONSE_START.unpack_from(
+                batch, record_start
+            )
+            return balancer.head(now, Outcome(request_id, attempt_index, endpoint, OK, latency_us))
+        if event_code == wire.EVENT_CLIENT_DISCONNECTED:
+            _, request_id = wire.ID_VALUE.unpack_from(batch, record_start)
+            return balancer.client_disconnected(now, request_id)
+        if event_code == wire.EVENT_PROBE_RESULT:
+            _, endpoint, outcome_code, latency_us, report_length, *report_values = (
+                wire.PROBE_RESULT.unpack_from(batch, record_start)
+            )
+            if outcome_code not in wire.OUTCOMES:
+                raise wire.WireError(f"unknown outcome {outcome_code}")
+            report = report_values[:report_length] if report_length else None
+            return balancer.probed(
+                now, ProbeResult(endpoint, wire.OUTCOMES[outcome_code], latency_us, report)
+            )
+        _, sender, tail_offset, size = wire.GOSSIP.unpack_from(batch, record_start)
+        return balancer.gossip_received(now, sender, wire.read_tail(tail, tail_offset, size))
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batch after batch until the input ends. Raises `WireError` where it can't be read."""
+    """Answer each batch with a reply until the input ends; raises `WireError` where it is malformed."""
     host = Host()
-    while (body := wire.read_frame(source)) is not None:
-        sink.write(host.batch(body))
+    while (batch := wire.read_frame(source)) is not None:
+        sink.write(host.process_batch(batch))
         sink.flush()
 
 
@@ -140,7 +174,7 @@
         print(f"laurelstep.adapter: {error}", file=sys.stderr)
         return 1
     except BrokenPipeError:
-        print("laurelstep.adapter: the reader of the replies went away", file=sys.stderr)
+        print("laurelstep.adapter: the simulator closed its end of the reply pipe", file=sys.stderr)
         return 1
     return 0
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -40,7 +40,7 @@
 
 def record(hex_text: str) -> bytes:
     raw = bytes.fromhex(hex_text.replace(" ", ""))
-    return raw + bytes(wire.EVENT_SIZE - len(raw))
+    return raw + bytes(wire.EVENT_SIZE_BYTES - len(raw))
 
 
 def frame(*records: bytes, tail: bytes = b"", now: int = NOW) -> bytes:
@@ -55,7 +55,7 @@
 def init(instance: int, at: int = 0, settings: bytes | None = None) -> tuple[bytes, bytes]:
     raw = json.dumps(SETTINGS).encode() if settings is None else settings
     head = struct.pack(">BIQII", 0, instance, 7, at, len(raw))
-    return head + bytes(wire.EVENT_SIZE - len(head)), raw
+    return head + bytes(wire.EVENT_SIZE_BYTES - len(head)), raw
 
 
 MANIFEST = "0a 0000 00000000 00000002"
@@ -74,7 +74,7 @@
     first, raw = init(3)
     shift = struct.pack(">I", len(raw)).hex()
     manifest = record(f"0a 0000 {shift} 00000002")
-    host.batch(body(first, manifest, record(CACHED), tail=raw + ENTRIES, now=now))
+    host.process_batch(body(first, manifest, record(CACHED), tail=raw + ENTRIES, now=now))
     return host
 
 
@@ -133,11 +133,11 @@
 
 def test_request_is_sent_and_ends_with_its_first_ok() -> None:
     host = started_host(now=NOW + 20_000_000)
-    sent = replies(host.batch(body(record(REQ), now=NOW)))
+    sent = replies(host.process_batch(body(record(REQ), now=NOW)))
     assert [r[0] for r in sent] == [64]
     assert sent[0][5:13] == RID.to_bytes(8, "big")
     assert RID in host.instances[3].requests
-    host.batch(body(record(RETURNED_OK)))
+    host.process_batch(body(record(RETURNED_OK)))
     assert not host.instances[3].requests
 
 
@@ -145,7 +145,7 @@
     host = started_host()
     gone = record("05 00000003 000000000000004d")
     fired = record("06 00000003 000000000000004d")
-    assert replies(host.batch(body(record(RETURNED_OK), gone, fired))) == []
+    assert replies(host.process_batch(body(record(RETURNED_OK), gone, fired))) == []
 
 
 def test_list_numbers_are_reused_within_a_batch() -> None:
@@ -157,16 +157,16 @@
     cached = [struct.pack(">BIIBH", 1, i, 1, 3, 0) for i in (1, 2)]
     padded = [part + bytes(48 - len(part)) for part in (*lists, *cached)]
     records = (one, padded[0], padded[2], two, padded[1], padded[3])
-    host.batch(body(*records, tail=raw + ENTRIES))
+    host.process_batch(body(*records, tail=raw + ENTRIES))
     assert list(host.instances[1].endpoints) == [0x03124A07]
     assert list(host.instances[2].endpoints) == [0x2C9011F2]
 
 
 def test_stop_and_start_in_one_batch_leaves_nothing_behind() -> None:
     host = started_host()
-    host.batch(body(record(REQ)))
+    host.process_batch(body(record(REQ)))
     again, raw = init(3)
-    host.batch(body(record("09 00000003"), again, tail=raw))
+    host.process_batch(body(record("09 00000003"), again, tail=raw))
     assert not host.instances[3].requests
     assert not host.instances[3].endpoints
 
@@ -178,7 +178,7 @@
         raise RuntimeError("no such luck")
 
     host.instances[3] = cast(Balancer, MethodProxy(host.instances[3], request=broken))
-    raw = host.batch(body(record(REQ)))
+    raw = host.process_batch(body(record(REQ)))
     assert replies(raw)[0][0] == 69
     assert raw.endswith(b"RuntimeError: no such luck")
 
