--- a/tests/test_balancing_concurrency_limit.py
+++ b/tests/test_balancing_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The bound on requests held at once, without a bench."""
+"""The concurrency limit."""
 
 from __future__ import annotations
 
@@ -11,36 +11,38 @@
 
 
 def test_a_standing_queue_is_shed_before_any_answer_is_late() -> None:
-    """Incidents i28d44f, iad7bbc: endpoints choke within seconds, while the
-    answers that do come are still quick."""
+    """Endpoints became overloaded within seconds while the answers that came were still quick (incidents
+    i28d44f, iad7bbc).
+    """
     driver = Driver(started(settings=replace(SETTINGS, classes=(PATIENT,)), instances=8))
     assert all(driver.serve(k * 50 * MS, 20 * MS) for k in range(100))
-    held = [sends(driver.ask(5 * SECOND + k * MS)[1]) for k in range(200)]
-    assert all(held[:8]), "a few are always let through"
-    assert sum(map(bool, held)) < 60
-    for sent in filter(None, held):
+    admitted = [sends(driver.ask(5 * SECOND + k * MS)[1]) for k in range(200)]
+    assert all(admitted[:8]), "a few requests are always admitted"
+    assert sum(map(bool, admitted)) < 60
+    for sent in filter(None, admitted):
         done = Outcome(sent[0].request, 0, sent[0].endpoint, OK, SECOND, is_final=True)
         driver.balancer.outcome(6 * SECOND, done)
-    assert sends(driver.ask(6 * SECOND)[1]), "open again once they are answered"
+    assert sends(driver.ask(6 * SECOND)[1]), "admitted again once they are answered"
 
 
-def test_a_burst_may_be_held_but_not_a_queue_that_stands() -> None:
-    """Incidents iad7bbc, i511002: one bound is too tight for chance and too loose for a queue."""
-    bounds = []
-    for held_before in (8, 30):
+def test_a_burst_is_admitted_but_a_standing_queue_is_not() -> None:
+    """One limit is too tight for random bursts and too loose for a queue (incidents iad7bbc, i511002)."""
+    limits = []
+    for in_flight_before in (8, 30):
         driver = Driver(started(settings=replace(SETTINGS, classes=(PATIENT,)), instances=8))
         assert all(driver.serve(k * 20 * MS, 400 * MS) for k in range(300))
         admission = driver.balancer.admission
         for k in range(130):
             admission.record_result(7 * SECOND + k * 20 * MS, 700 * MS, True, True)
-            admission.limit.exceeds_concurrency_limit(7 * SECOND + k * 20 * MS, held_before)
-        bounds.append(first_refused(admission, 9_600 * MS, range(8, 200)))
-    assert bounds[1] < 0.8 * bounds[0]
+            admission.limit.exceeds_concurrency_limit(7 * SECOND + k * 20 * MS, in_flight_before)
+        limits.append(first_refused(admission, 9_600 * MS, range(8, 200)))
+    assert limits[1] < 0.8 * limits[0]
 
 
-def test_shedding_that_mends_nothing_gives_way() -> None:
-    """Two copies before the same endpoints: what one refused the other took, and so
-    the first held ever less while what it let in took as long as before."""
+def test_shedding_without_effect_ends() -> None:
+    """Of two copies with the same endpoints, one took the requests that the other refused: the latter had
+    fewer and fewer requests in flight while its service time stayed the same.
+    """
     driver = Driver(started(settings=replace(SETTINGS, classes=(PATIENT,)), instances=8))
     assert all(driver.serve(k * 20 * MS, 400 * MS) for k in range(300))
     admission, refused = driver.balancer.admission, []
@@ -51,10 +53,10 @@
     assert any(refused[:300]) and not any(refused[-300:])
 
 
-def test_the_unloaded_time_is_that_of_the_first_requests_not_of_the_first_answers() -> None:
+def test_the_unloaded_time_comes_from_the_first_requests_not_from_the_first_answers() -> None:
     driver = Driver(started(settings=replace(SETTINGS, classes=(PATIENT,))))
     admission, due = driver.balancer.admission, []
-    for k in range(40):  # every second one takes five times as long
+    for k in range(40):  # every second request takes five times as long
         rid, actions = driver.ask(k * MS)
         took = 100 * MS if k % 2 else 500 * MS
         due.append((k * MS + took, rid, sends(actions)[0].endpoint, took))
@@ -64,31 +66,34 @@
     assert admission.limit.is_unloaded_known and 200 * MS < admission.limit.unloaded_us < 400 * MS
 
 
-def test_time_outs_do_not_widen_the_bound() -> None:
-    """Chikushi overload: clients left, their work went on, and the stream of time-outs
-    passed for answers: the bound let in as much again."""
-    bounds = []
+def test_time_outs_do_not_raise_the_limit() -> None:
+    """Clients left while their requests were still processed. The time-outs counted as answers, and the
+    limit admitted as many requests again (deployment Chikushi, scenario overload).
+    """
+    limits = []
     for answered in (True, False):
         driver = Driver(started(settings=replace(SETTINGS, classes=(PATIENT,)), instances=8))
         assert all(driver.serve(k * 20 * MS, 700 * MS) for k in range(300))
         admission = driver.balancer.admission
         for k in range(200):
             admission.record_result(7 * SECOND + k * 20 * MS, 800 * MS, answered, answered)
-        bounds.append(first_refused(admission, 11 * SECOND, range(8, 500)))
-    assert bounds[1] < bounds[0] / 3
+        limits.append(first_refused(admission, 11 * SECOND, range(8, 500)))
+    assert limits[1] < limits[0] / 3
 
 
-def test_few_copies_before_many_endpoints_hold_more_each() -> None:
-    """Chikushi: three copies before eleven endpoints of three cores; eight requests for each
-    copy left most cores idle while the bound found its way up again."""
-    few = started(11, instances=3).admission.limit.in_flight_min
-    many = started(11, instances=22).admission.limit.in_flight_min
-    assert few == pytest.approx(8 * 11 / 3) and many == pytest.approx(4)
+def test_few_copies_with_many_endpoints_may_have_more_in_flight() -> None:
+    """With three copies and eleven endpoints of three cores, eight requests for each copy left most cores
+    idle until the limit had risen again (deployment Chikushi).
+    """
+    limit_of_few_copies = started(11, instances=3).admission.limit.in_flight_min
+    limit_of_many_copies = started(11, instances=22).admission.limit.in_flight_min
+    assert limit_of_few_copies == pytest.approx(8 * 11 / 3) and limit_of_many_copies == pytest.approx(4)
 
 
-def test_quick_answers_beside_a_long_aim_are_not_slow() -> None:
-    """Chikushi quiet: the least of a noisy mean was taken for the unloaded time, and requests
-    were refused at a tenth of their aim."""
+def test_quick_answers_with_a_long_objective_are_not_slow() -> None:
+    """The minimum of a noisy mean was taken for the unloaded service time, and requests were refused at a
+    tenth of their objective (deployment Chikushi, scenario quiet).
+    """
     driver = Driver(started(settings=replace(SETTINGS, classes=(PATIENT,)), instances=8))
     assert all(driver.serve(k * 20 * MS, 100 * MS) for k in range(300))
     admission = driver.balancer.admission
@@ -97,18 +102,20 @@
         assert not admission.limit.exceeds_concurrency_limit(6 * SECOND + k * 20 * MS, 13)
 
 
-def test_many_copies_hold_less_each_once_answers_are_slow() -> None:
-    """Incident i4e7940: a hundred copies that may each hold eight keep a choked tier choked."""
-    bounds = []
+def test_many_copies_may_have_fewer_in_flight_once_answers_are_slow() -> None:
+    """A hundred copies with eight requests in flight each kept an overloaded tier overloaded (incident
+    i4e7940).
+    """
+    limits = []
     for copies in (1, 100):
         driver = Driver(started(settings=replace(SETTINGS, classes=(PATIENT,)), instances=copies))
         admission = driver.balancer.admission
         assert all(driver.serve(k * 500 * MS, 100 * MS) for k in range(60))
         assert not admission.limit.exceeds_concurrency_limit(30 * SECOND, 8), (
-            "quick answers: small counts tell nothing"
+            "while answers are quick, a small number is no queue"
         )
         for k in range(60):
             admission.record_result((30 + k) * SECOND, 2 * SECOND, True, True)
             admission.limit.exceeds_concurrency_limit((30 + k) * SECOND, 1)
-        bounds.append(first_refused(admission, 90 * SECOND, range(1, 99)))
-    assert bounds[1] < bounds[0]
+        limits.append(first_refused(admission, 90 * SECOND, range(1, 99)))
+    assert limits[1] < limits[0]
--- a/tests/test_balancing_key_queues.py
+++ b/tests/test_balancing_key_queues.py
@@ -13,35 +13,35 @@
 IN_ORDER = replace(SETTINGS, classes=(ORDERED, replace(ORDERED, effect=SAFE)), key_rest_us=50 * MS)
 
 
-def test_requests_of_one_key_run_in_turn_and_others_at_once() -> None:
-    """haverhill-accounts: order was broken on every day with a hot key."""
+def test_requests_of_one_key_run_in_order_and_others_at_once() -> None:
+    """The order was broken on every day with a hot key (deployment haverhill-accounts)."""
     driver = Driver(started(settings=IN_ORDER))
     first, actions = driver.ask(SECOND, key=5)
     (sent,) = sends(actions)
     second, actions = driver.ask(SECOND + MS, cls=1, key=5)
-    assert not sends(actions), "keys are common to all sequential classes"
+    assert not sends(actions), "all sequential classes share their keys"
     assert sends(driver.ask(SECOND + MS, key=6)[1]) and sends(driver.ask(SECOND + MS)[1])
     actions = driver.balancer.outcome(SECOND + 9 * MS, Outcome(first, 0, sent.endpoint, OK, 9 * MS, True))
     assert [send.request for send in sends(actions)] == [second]
 
 
-def test_a_key_rests_after_a_time_out_but_not_for_the_one_with_the_turn() -> None:
+def test_a_key_rests_after_a_time_out_but_not_for_a_retry() -> None:
     driver = Driver(started(settings=IN_ORDER))
     first, actions = driver.ask(SECOND, cls=1, key=5)
     driver.ask(SECOND, key=5)
     (sent,) = sends(actions)
     now = SECOND + 100 * MS
     actions = driver.balancer.outcome(now, Outcome(first, 0, sent.endpoint, TIMEOUT, 100 * MS))
-    (again,) = sends(actions)
-    assert again.request == first, "it has the turn: no wait for its retry"
-    actions = driver.balancer.outcome(now + MS, Outcome(first, 1, again.endpoint, OK, MS, True))
+    (retry,) = sends(actions)
+    assert retry.request == first, "a request with the turn is retried without a rest"
+    actions = driver.balancer.outcome(now + MS, Outcome(first, 1, retry.endpoint, OK, MS, True))
     assert not sends(actions)
     (timer,) = [action for action in actions if isinstance(action, Timer)]
     assert timer.delay_us == 49 * MS
     assert sends(driver.balancer.timer(now + 50 * MS, timer.token))
 
 
-def test_a_request_that_its_key_leaves_no_time_is_refused_unsent() -> None:
+def test_a_request_with_too_long_a_wait_for_its_key_is_refused_unsent() -> None:
     driver = Driver(started(settings=IN_ORDER))
     assert all(driver.serve(k * 400 * MS, 300 * MS) for k in range(40))
     now = 20 * SECOND
@@ -51,7 +51,7 @@
     assert any(isinstance(action, Refuse) for action in actions)
 
 
-def test_keys_long_quiet_are_forgotten() -> None:
+def test_unused_keys_are_removed() -> None:
     driver = Driver(started(settings=IN_ORDER))
     for key in range(1, 500):
         now = key * 10 * MS
--- a/tests/test_balancing_outliers.py
+++ b/tests/test_balancing_outliers.py
@@ -9,7 +9,7 @@
 from tests.helpers import MS, PAGE, SECOND, SETTINGS, Driver, sends, started
 
 
-def test_a_full_endpoint_is_left_alone_before_any_answer_too() -> None:
+def test_a_full_endpoint_is_avoided_before_the_first_answer() -> None:
     driver = Driver(started())
     rid, actions = driver.ask(SECOND)
     (sent,) = sends(actions)
@@ -17,45 +17,52 @@
     assert driver.balancer.endpoints[sent.endpoint].no_new_connections_until > SECOND + 10 * MS
 
 
-def test_a_full_endpoint_is_left_alone_for_a_while() -> None:
-    """podcast-main big-2: endpoints kept full by everybody's next try turned slow."""
+def test_a_full_endpoint_is_avoided_for_a_while() -> None:
+    """Endpoints that the retries of all copies kept full became slow (deployment podcast-main, scenario
+    big-2).
+    """
     driver = Driver(started(2))
     assert all(driver.serve(k * 200 * MS, 100 * MS) for k in range(20))
     rid, actions = driver.ask(5 * SECOND)
     (sent,) = sends(actions)
     driver.balancer.outcome(5 * SECOND + MS, Outcome(rid, 0, sent.endpoint, FULL, MS))
-    went = {send.endpoint for k in range(9) for send in sends(driver.ask(5 * SECOND + k * 10 * MS)[1])}
-    assert went and sent.endpoint not in went
+    used_endpoints = {
+        send.endpoint for k in range(9) for send in sends(driver.ask(5 * SECOND + k * 10 * MS)[1])
+    }
+    assert used_endpoints and sent.endpoint not in used_endpoints
 
 
-def test_an_endpoint_that_fails_one_sort_of_requests_keeps_the_others() -> None:
-    """haverhill-accounts class_fail days; incident i4b6c8c, where one tenant's fail."""
-    some = replace(SETTINGS, classes=(PAGE, PAGE), tenants=(50.0, 50.0), full_unproven=True)
-    balancer = started(1, settings=some)
+def test_an_endpoint_that_fails_one_segment_keeps_the_others() -> None:
+    """An endpoint may fail only the requests of one class (deployment haverhill-accounts, scenario
+    class_fail) or of one tenant
+    (incident i4b6c8c).
+    """
+    settings = replace(SETTINGS, classes=(PAGE, PAGE), tenants=(50.0, 50.0), full_unproven=True)
+    balancer = started(1, settings=settings)
     endpoint = balancer.endpoints[100]
     for k in range(1, 20):
         rid, cls, tenant = k, k % 2, k // 2 % 2
         (sent,) = sends(balancer.request(k * SECOND, Arrival(rid, cls, (k + 1) * SECOND, tenant)))
-        bad = (cls, tenant) == (0, 1)
-        done = Outcome(rid, 0, sent.endpoint, FULL if bad else OK, MS, is_final=not bad)
+        is_failed = (cls, tenant) == (0, 1)
+        done = Outcome(rid, 0, sent.endpoint, FULL if is_failed else OK, MS, is_final=not is_failed)
         balancer.outcome(k * SECOND + MS, done)
-    healths = [balancer.outliers.health(20 * SECOND, endpoint, sort) for sort in range(4)]
+    healths = [balancer.outliers.health(20 * SECOND, endpoint, segment) for segment in range(4)]
     assert min(healths) == healths[1] < 0.5 * min(healths[:1] + healths[2:])
 
 
-def test_a_copy_that_sends_little_does_not_soon_try_a_bad_endpoint_again() -> None:
-    health = []
-    for gap in (50 * MS, 2 * SECOND):
+def test_a_copy_with_little_traffic_does_not_soon_retry_a_bad_endpoint() -> None:
+    healths = []
+    for interval_us in (50 * MS, 2 * SECOND):
         driver = Driver(balancer := started(4))
         for k in range(20):
-            driver.serve(k * gap, 20 * MS)
+            driver.serve(k * interval_us, 20 * MS)
         endpoint = next(iter(balancer.endpoints.values()))
-        balancer.outliers.record_failure(20 * gap, endpoint, TIMEOUT, 0)
-        health.append(balancer.outliers.health(20 * gap + SECOND, endpoint, 0))
-    assert health[1] < 0.5 * health[0]
+        balancer.outliers.record_failure(20 * interval_us, endpoint, TIMEOUT, 0)
+        healths.append(balancer.outliers.health(20 * interval_us + SECOND, endpoint, 0))
+    assert healths[1] < 0.5 * healths[0]
 
 
-def test_an_upload_counts_at_its_endpoint_once_it_is_whole() -> None:
+def test_an_upload_counts_at_its_endpoint_once_it_is_complete() -> None:
     balancer = started(2)
     driver, now = Driver(balancer), 0
     for _ in range(200):
@@ -63,12 +70,12 @@
         assert driver.serve(now, 20 * MS)
     (send,) = sends(balancer.request(now, Arrival(5_000, 0, now + 600 * SECOND, has_pending_body=True)))
     endpoint = balancer.endpoints[send.endpoint]
-    now += 8 * SECOND  # longer than any answer takes, and its endpoint owes none
+    now += 8 * SECOND  # longer than any answer takes; the endpoint has nothing in flight
     assert endpoint.in_flight == 0 and balancer.count_ejected(now) == 0
     for _ in range(40):
         now += 30 * MS
         assert driver.serve(now, 20 * MS)
-    assert balancer.connections.closes_left < 1.0, "its connection is not lost"
+    assert balancer.connections.closes_left < 1.0, "the connection of the upload does not count as lost"
     balancer.request_completed(now, 5_000, now + SECOND)
     assert endpoint.in_flight == 1 and balancer.count_ejected(now) == 0
     assert balancer.count_ejected(now + SECOND) == 1
--- a/tests/test_balancing_priorities.py
+++ b/tests/test_balancing_priorities.py
@@ -1,4 +1,4 @@
-"""Priority weights: who gives way first when load is shed."""
+"""Priority weights: which requests are shed first."""
 
 from __future__ import annotations
 
@@ -11,41 +11,42 @@
 from tests.helpers import MS, PATIENT, SECOND, SETTINGS, Driver, sends, started
 
 
-def shed_by(driver: Driver, kinds: list[tuple[int, int]], now: int) -> Counter[tuple[int, int]]:
-    """Requests let through of each (class, tenant), asked for in turn and left unanswered."""
-    through: Counter[tuple[int, int]] = Counter()
+def count_admitted(driver: Driver, kinds: list[tuple[int, int]], now: int) -> Counter[tuple[int, int]]:
+    """Send requests of each (class, tenant) in turn, unanswered; returns how many of each were admitted."""
+    admitted: Counter[tuple[int, int]] = Counter()
     for k in range(40 * len(kinds)):
         kind = kinds[k % len(kinds)]
-        through[kind] += bool(sends(driver.ask(now + k * MS, *kind)[1]))
-    return through
+        admitted[kind] += bool(sends(driver.ask(now + k * MS, *kind)[1]))
+    return admitted
 
 
-def test_the_class_of_least_weight_gives_way_first() -> None:
-    """Overload days: classes were shed alike, whatever they were worth."""
+def test_the_class_of_least_weight_is_shed_first() -> None:
+    """Under overload, all classes were shed alike, whatever their weight."""
     classes = (PATIENT, replace(PATIENT, worth=8.0))
     driver = Driver(started(settings=replace(SETTINGS, classes=classes)))
     assert all(driver.serve(k * 50 * MS, 200 * MS, k % 2) for k in range(100))
-    through = shed_by(driver, [(0, 0), (1, 0)], 6 * SECOND)
-    assert through[1, 0] > through[0, 0] > 0
+    admitted = count_admitted(driver, [(0, 0), (1, 0)], 6 * SECOND)
+    assert admitted[1, 0] > admitted[0, 0] > 0
 
 
-def test_a_tenant_past_its_quota_gives_way_to_one_within() -> None:
-    some = replace(SETTINGS, classes=(PATIENT,), tenants=(1.0, 1000.0), over_share_worth=0.1)
-    driver = Driver(started(settings=some))
+def test_a_tenant_above_its_quota_is_shed_before_one_within() -> None:
+    settings = replace(SETTINGS, classes=(PATIENT,), tenants=(1.0, 1000.0), over_share_worth=0.1)
+    driver = Driver(started(settings=settings))
     assert all(driver.serve(k * 50 * MS, 200 * MS) for k in range(100))
-    through = shed_by(driver, [(0, 0), (0, 1)], 6 * SECOND)
-    assert through[0, 1] > through[0, 0] > 0
+    admitted = count_admitted(driver, [(0, 0), (0, 1)], 6 * SECOND)
+    assert admitted[0, 1] > admitted[0, 0] > 0
 
 
-def test_a_class_gives_way_only_where_that_pays_more_than_the_worst_class_loses() -> None:
-    """Chikushi: pulls are worth least and were shed first, down to 5 %, where the worst class
-    counts three tenths; on a site that does not count it they still give way."""
+def test_a_class_is_shed_first_only_if_that_gains_more_than_the_worst_class_loses() -> None:
+    """A class of least weight was shed down to 5 % although the worst class counted three tenths
+    (deployment Chikushi). Where the worst class does not count, such a class is still shed first.
+    """
     classes = (replace(PATIENT, worth=1.0), replace(PATIENT, worth=1.8))
-    through = {}
-    for worst in (0.0, 0.35):
-        goal = Goal(whole=0.65, worst_class=worst)
+    admitted = {}
+    for worst_class_weight in (0.0, 0.35):
+        goal = Goal(whole=0.65, worst_class=worst_class_weight)
         driver = Driver(started(settings=replace(SETTINGS, classes=classes, goal=goal), instances=8))
         assert all(driver.serve(k * 50 * MS, 200 * MS, k % 2) for k in range(100))
-        through[worst] = shed_by(driver, [(0, 0), (1, 0)], 6 * SECOND)
-    assert through[0.0][1, 0] > through[0.0][0, 0]
-    assert through[0.35][1, 0] == pytest.approx(through[0.35][0, 0], abs=1)
+        admitted[worst_class_weight] = count_admitted(driver, [(0, 0), (1, 0)], 6 * SECOND)
+    assert admitted[0.0][1, 0] > admitted[0.0][0, 0]
+    assert admitted[0.35][1, 0] == pytest.approx(admitted[0.35][0, 0], abs=1)
--- a/tests/test_balancing_retries.py
+++ b/tests/test_balancing_retries.py
@@ -1,4 +1,4 @@
-"""Retries and the one guard that every send passes."""
+"""Retries, and the guard that every send passes."""
 
 from __future__ import annotations
 
@@ -10,31 +10,35 @@
 from tests.helpers import MS, SECOND, SETTINGS, Driver, sends, started
 
 
-def test_the_guard_alone_keeps_scope_window_attempts_copies_and_drain() -> None:
-    """Whatever a pick may come to return, `_send` must not let it through."""
-    cell = RequestClass(KEYED, SCOPE_CELL, window_us=100 * MS, aim_us=200 * MS, deadline_us=SECOND)
-    for copies, attempts in ((True, 3), (False, 3), (True, 1)):
-        settings = replace(SETTINGS, classes=(cell,), second_copies=copies, max_attempts=attempts)
+def test_the_guard_alone_keeps_scope_window_attempts_hedging_and_drains() -> None:
+    """`_send` must enforce the rules whatever endpoint `EndpointSelector.pick` returns."""
+    keyed_class = RequestClass(KEYED, SCOPE_CELL, window_us=100 * MS, aim_us=200 * MS, deadline_us=SECOND)
+    for is_hedging_allowed, max_attempts in ((True, 3), (False, 3), (True, 1)):
+        settings = replace(
+            SETTINGS, classes=(keyed_class,), second_copies=is_hedging_allowed, max_attempts=max_attempts
+        )
         balancer = started(settings=settings)
         rid, actions = Driver(balancer).ask(SECOND)
         request, first = balancer.requests[rid], sends(actions)[0].endpoint
-        near = next(e for e in balancer.endpoints.values() if e.id != first and e.cell == (first - 100) // 4)
-        far = next(e for e in balancer.endpoints.values() if e.cell != near.cell)
-        assert not balancer._send(SECOND + MS, request, far), "out of the key's scope"
-        assert not balancer._send(SECOND + 100 * MS, request, near), "past the key's window"
-        may = copies and attempts > 1
-        assert balancer._send(SECOND + MS, request, near) is may
-        near.is_ready = False
-        assert not balancer._send(SECOND + 2 * MS, request, near), "draining"
-
-
-@pytest.mark.parametrize("unproven", [False, True])
-def test_full_is_no_proof_where_a_site_says_so(unproven: bool) -> None:
-    """Incident i4b6c8c: unsafe requests were sent again after 'full'."""
-    once = RequestClass(UNSAFE, aim_us=500 * MS, deadline_us=SECOND)
-    driver = Driver(started(settings=replace(SETTINGS, classes=(once,), full_unproven=unproven)))
+        endpoint_in_cell = next(
+            e for e in balancer.endpoints.values() if e.id != first and e.cell == (first - 100) // 4
+        )
+        endpoint_elsewhere = next(e for e in balancer.endpoints.values() if e.cell != endpoint_in_cell.cell)
+        assert not balancer._send(SECOND + MS, request, endpoint_elsewhere), "outside the key's scope"
+        assert not balancer._send(SECOND + 100 * MS, request, endpoint_in_cell), "past the key's window"
+        is_expected = is_hedging_allowed and max_attempts > 1
+        assert balancer._send(SECOND + MS, request, endpoint_in_cell) is is_expected
+        endpoint_in_cell.is_ready = False
+        assert not balancer._send(SECOND + 2 * MS, request, endpoint_in_cell), "draining"
+
+
+@pytest.mark.parametrize("is_unproven", [False, True])
+def test_full_proves_nothing_where_the_settings_say_so(is_unproven: bool) -> None:
+    """Unsafe requests were retried after 'full' although it proved nothing (incident i4b6c8c)."""
+    unsafe_class = RequestClass(UNSAFE, aim_us=500 * MS, deadline_us=SECOND)
+    driver = Driver(started(settings=replace(SETTINGS, classes=(unsafe_class,), full_unproven=is_unproven)))
     rid, actions = driver.ask(SECOND)
     (sent,) = sends(actions)
     actions = driver.balancer.outcome(SECOND + MS, Outcome(rid, 0, sent.endpoint, FULL, MS))
-    assert bool(sends(actions)) is not unproven
-    assert any(isinstance(action, Fail) for action in actions) is unproven
+    assert bool(sends(actions)) is not is_unproven
+    assert any(isinstance(action, Fail) for action in actions) is is_unproven
--- a/tests/test_balancing_selection.py
+++ b/tests/test_balancing_selection.py
@@ -1,4 +1,4 @@
-"""Endpoint selection: two choices, ties left."""
+"""Endpoint selection: power of two choices, ties go left."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def test_a_request_that_finds_no_endpoint_is_held_and_answered_in_time() -> None:
-    """An empty list at start, or all cold: hold until the aim, then refuse."""
+    """With an empty list or only cold endpoints, a request is held until its objective and then refused."""
     driver = Driver(started(0))
     rid, actions = driver.ask(SECOND)
     now = SECOND
@@ -20,12 +20,12 @@
     assert rid not in driver.balancer.requests
 
 
-def test_fewer_own_calls_win_and_ties_go_left() -> None:
+def test_fewer_attempts_in_flight_win_and_ties_go_left() -> None:
     balancer = started(8)
     driver = Driver(balancer)
-    left, right = ({one.id for one, _ in subset.members} for subset in balancer.subsets.pair)
+    left, right = ({endpoint.id for endpoint, _ in subset.members} for subset in balancer.subsets.pair)
     first = [sends(driver.ask(SECOND)[1])[0].endpoint for _ in range(len(left))]
-    assert first[0] in left, "all counts are 0"
+    assert first[0] in left, "a tie: nothing is in flight"
     for endpoint in balancer.endpoints.values():
         endpoint.in_flight = 5 if endpoint.id in left else 0
     assert all(sends(driver.ask(SECOND)[1])[0].endpoint in right for _ in range(3))
@@ -33,7 +33,7 @@
 
 def test_a_tie_goes_right_where_the_left_endpoint_is_much_worse() -> None:
     driver = Driver(balancer := started(8))
-    for one, _ in balancer.subsets.pair[0].members:
-        one.slowness = 4.0
-    went = [sends(driver.ask(SECOND)[1])[0].endpoint for _ in range(2)]
-    assert set(went) <= {one.id for one, _ in balancer.subsets.pair[1].members}
+    for endpoint, _ in balancer.subsets.pair[0].members:
+        endpoint.slowness = 4.0
+    used_endpoints = [sends(driver.ask(SECOND)[1])[0].endpoint for _ in range(2)]
+    assert set(used_endpoints) <= {endpoint.id for endpoint, _ in balancer.subsets.pair[1].members}
