--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Plays the daemon's socket tests on both fronts; tests/fronts.py says which belong to one."""
+"""Runs the daemon's socket tests on both fronts; tests/fronts.py lists the tests that belong to one."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tests import fronts
 from tests.sockets import FRONT
 
-# The same examples each time, however long they take: a verdict must not depend on the day, nor on what
-# else the machine does.
+# The same examples in each run, without a time limit: the result must depend neither on the date nor on
+# the load of the machine.
 settings.register_profile(
     "steady", derandomize=True, database=None, deadline=None, suppress_health_check=[HealthCheck.too_slow]
 )
@@ -20,13 +20,13 @@
 
 Logged = Callable[[], str]
 
-# What takes a part of a class away can't do so with a compiled one.
+# Methods of a compiled class cannot be replaced.
 plain_only = pytest.mark.skipif(not balancer.__file__.endswith(".py"), reason="patches a class of the module")
 
 
 @pytest.fixture
 def logged(capfd: pytest.CaptureFixture[str], caplog: pytest.LogCaptureFixture) -> Logged:
-    """What was logged, by whichever front: standard error for the daemon, `logging` for the library."""
+    """Return the log of the current front: standard error of the daemon, `logging` of the library."""
     return lambda: capfd.readouterr().err + caplog.text
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for what a sidecar is told; they model no endpoints."""
+"""Helpers that create balancers and send them events; they do not simulate endpoints."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 MS = 1_000
 SECOND = 1_000_000
-PAGE = RequestClass(effect=SAFE, aim_us=200 * MS, deadline_us=SECOND)
-PATIENT = RequestClass(effect=SAFE, aim_us=2_500 * MS, deadline_us=6 * SECOND)
+SHORT_CLASS = RequestClass(effect=SAFE, aim_us=200 * MS, deadline_us=SECOND)
+LONG_CLASS = RequestClass(effect=SAFE, aim_us=2_500 * MS, deadline_us=6 * SECOND)
 SETTINGS = Settings(
-    classes=(PAGE,),
+    classes=(SHORT_CLASS,),
     can_cancel=True,
     second_copies=True,
     max_attempts=3,
@@ -52,32 +52,34 @@
 
 
 def on_ring(balancer: Balancer) -> list[int]:
-    """The endpoints that requests may be sent to, in the order of the ring."""
+    """Return the ids of the endpoints that requests may be sent to, in the order of the ring."""
     return [endpoint.id for _, endpoint in balancer.membership.ring.all]
 
 
-def first_refused(admission: AdmissionController, now: int, held: range) -> int:
-    """The least of these numbers of requests held at which one more is refused."""
-    return next(count for count in held if admission.limit.exceeds_concurrency_limit(now, count))
+def first_refused(admission: AdmissionController, now: int, candidates: range) -> int:
+    """Return the least of these numbers of requests in flight that exceeds the concurrency limit."""
+    return next(count for count in candidates if admission.limit.exceeds_concurrency_limit(now, count))
 
 
 class Driver:
-    """Numbers the requests of one balancer and remembers what it sent."""
+    """Sends requests with consecutive ids to one balancer."""
 
     def __init__(self, balancer: Balancer) -> None:
         self.balancer = balancer
-        self.next = 0
+        self.last_request_id = 0
 
-    def ask(self, now: int, cls: int = 0, tenant: int = 0, key: int = 0) -> tuple[int, list[Action]]:
-        self.next += 1
+    def send_request(self, now: int, cls: int = 0, tenant: int = 0, key: int = 0) -> tuple[int, list[Action]]:
+        self.last_request_id += 1
         expires = now + self.balancer.settings.classes[cls].deadline_us
-        return self.next, self.balancer.request(now, Arrival(self.next, cls, expires, tenant, key))
-
-    def serve(self, now: int, delay: int, cls: int = 0) -> bool:
-        """One request answered after the delay; False if it was not sent."""
-        rid, actions = self.ask(now, cls)
-        if not (sent := sends(actions)):
+        return self.last_request_id, self.balancer.request(
+            now, Arrival(self.last_request_id, cls, expires, tenant, key)
+        )
+
+    def serve(self, now: int, latency_us: int, cls: int = 0) -> bool:
+        """Send one request and answer it after `latency_us`; returns False if it was not sent."""
+        request_id, actions = self.send_request(now, cls)
+        if not (sent_actions := sends(actions)):
             return False
-        done = Outcome(rid, 0, sent[0].endpoint, OK, delay, is_final=True)
-        self.balancer.outcome(now + delay, done)
+        outcome = Outcome(request_id, 0, sent_actions[0].endpoint, OK, latency_us, is_final=True)
+        self.balancer.outcome(now + latency_us, outcome)
         return True
--- a/tests/player.py
+++ b/tests/player.py
@@ -1,5 +1,8 @@
-"""Plays sequences of events on the module as this interpreter imports it, for another one to
-compare: each line of input is `[seed, configuration, steps]`, each of output what was sent."""
+"""Plays event sequences on the balancing package as this interpreter imports it.
+
+Another process compares the results, for instance of the compiled package and of plain Python. Each
+input line is `[seed, configuration, steps]`; each output line lists the attempts that were sent.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 from laurelstep.balancing import balancer
 from laurelstep.balancing.events import LIST_FULL, READY, Entry, Settings
 
-from tests.test_rules import CLASSES, Ledger
+from tests.test_rules import CLASSES, RuleChecker
 
 CONFIGS: tuple[dict[str, Any], ...] = (
     {"second_copies": True},
@@ -24,16 +27,20 @@
 
 
 def play(seed: int, config: int, steps: list[list[Any]]) -> list[list[int]]:
-    """Where and when everything was sent."""
-    ledger = Ledger(seed, Settings(classes=CLASSES, max_attempts=3, can_cancel=True, **CONFIGS[config]))
-    ledger.members(LIST_FULL, [entry(number) for number in range(1, 41)])
+    """Return the endpoint and the time of each attempt."""
+    checker = RuleChecker(seed, Settings(classes=CLASSES, max_attempts=3, can_cancel=True, **CONFIGS[config]))
+    checker.members(LIST_FULL, [entry(number) for number in range(1, 41)])
     for name, *arguments in steps:
         if name == "members":
             mode, listed = arguments
-            ledger.members(mode, [entry(*one) for one in listed])
+            checker.members(mode, [entry(*one) for one in listed])
         else:
-            getattr(ledger, name)(*arguments)
-    return [[one.endpoint, one.at] for asked in ledger.asked.values() for one in asked.tries]
+            getattr(checker, name)(*arguments)
+    return [
+        [attempt.endpoint, attempt.sent_at]
+        for request in checker.requests.values()
+        for attempt in request.attempts
+    ]
 
 
 def main() -> None:
--- a/tests/recorded_decisions/scenarios.py
+++ b/tests/recorded_decisions/scenarios.py
@@ -43,25 +43,25 @@
     name: str
     settings: dict[str, Any]
     endpoints: int = 12
-    spares: int = 4  # endpoints that the first list lacks
+    spare_endpoints: int = 4  # endpoints that the first list lacks
     zones: int = 1
     arrivals: int = 2500
     interval_us: int = 8 * MS  # mean time between arrivals
     service_us: int = 30 * MS  # mean time of an answer at an idle endpoint
     faults: tuple[str, ...] = ("error", "full", "frozen", "unreachable", "slow", "reset")
     fault_every_us: int = 2 * SECOND
-    broken: float = 0.125  # share of the endpoints that each change of faults strikes
+    broken_share: float = 0.125  # share of the endpoints that each change of faults strikes
     list_every_us: int = 900 * MS
-    partial_lists: bool = False
-    failed_lists: bool = False
-    recent_starts: bool = False
-    uploads: float = 0.0  # share of requests whose body is still on its way
-    keys: int = 0
-    tenants: int = 1
-    hints: bool = False
-    reports: int = 0  # figures in each load report
-    leaves: float = 0.02  # share of clients that leave before the deadline
-    weights: tuple[int, ...] = field(default=())  # of the classes among the arrivals
+    has_partial_lists: bool = False
+    has_failed_lists: bool = False
+    has_recent_starts: bool = False
+    upload_share: float = 0.0  # share of requests whose body is still on its way
+    key_count: int = 0
+    tenant_count: int = 1
+    has_work_hints: bool = False
+    report_field_count: int = 0  # figures in each load report
+    disconnect_share: float = 0.02  # share of clients that leave before the deadline
+    class_weights: tuple[int, ...] = field(default=())  # of the classes among the arrivals
 
 
 SCENARIOS = (
@@ -103,8 +103,8 @@
             "second_copies": True,
         },
         zones=2,
-        failed_lists=True,
-        partial_lists=True,
+        has_failed_lists=True,
+        has_partial_lists=True,
     ),
     Scenario(
         "slow start, lists in parts",
@@ -119,9 +119,9 @@
             "can_cancel": True,
         },
         endpoints=10,
-        spares=10,
-        partial_lists=True,
-        recent_starts=True,
+        spare_endpoints=10,
+        has_partial_lists=True,
+        has_recent_starts=True,
     ),
     Scenario(
         "stalls, load reports, idle connections",
@@ -136,7 +136,7 @@
         },
         faults=("frozen", "reset", "lost", "slow"),
         interval_us=60 * MS,
-        reports=3,
+        report_field_count=3,
         fault_every_us=3 * SECOND,
     ),
     Scenario(
@@ -152,11 +152,11 @@
             "can_cancel": True,
         },
         endpoints=4,
-        spares=2,
+        spare_endpoints=2,
         interval_us=4 * MS,
         service_us=120 * MS,
-        tenants=4,
-        hints=True,
+        tenant_count=4,
+        has_work_hints=True,
         arrivals=4000,
     ),
     Scenario(
@@ -169,8 +169,8 @@
             "instances": 1,
         },
         endpoints=6,
-        keys=12,
-        weights=(2, 3, 1),
+        key_count=12,
+        class_weights=(2, 3, 1),
     ),
     Scenario(
         "uploads, a full endpoint proves nothing",
@@ -183,8 +183,8 @@
             "worth_by_work": True,
             "instances": 3,
         },
-        uploads=0.4,
-        hints=True,
+        upload_share=0.4,
+        has_work_hints=True,
     ),
     Scenario(
         "a long ring, further down the chain",
@@ -197,7 +197,7 @@
             "second_copies": True,
         },
         endpoints=120,
-        spares=40,
+        spare_endpoints=40,
         arrivals=2000,
         list_every_us=300 * MS,
     ),
@@ -215,10 +215,10 @@
             "cross_zone_price": 0.1,
         },
         endpoints=9,
-        spares=6,
+        spare_endpoints=6,
         zones=2,
         interval_us=30 * MS,
-        recent_starts=True,
+        has_recent_starts=True,
     ),
     Scenario(
         "outages: most endpoints fail at once",
@@ -229,7 +229,7 @@
             "retry_after": True,
         },
         faults=("error", "frozen", "reset"),
-        broken=1.5,
+        broken_share=1.5,
         fault_every_us=700 * MS,
     ),
     Scenario(
@@ -241,12 +241,12 @@
             "can_cancel": True,
         },
         endpoints=6,
-        spares=1,
+        spare_endpoints=1,
         arrivals=4000,
         faults=("frozen",),
-        broken=4.0,
+        broken_share=4.0,
         fault_every_us=5 * SECOND,
-        weights=(3, 1),
+        class_weights=(3, 1),
     ),
     Scenario(
         "an overload of many copies",
@@ -256,7 +256,7 @@
         service_us=400 * MS,
         faults=("slow", "frozen"),
         fault_every_us=10 * SECOND,
-        broken=2.0,
+        broken_share=2.0,
         arrivals=3000,
     ),
     Scenario(
@@ -271,9 +271,9 @@
         endpoints=5,
         interval_us=12 * MS,
         service_us=100 * MS,
-        tenants=2,
+        tenant_count=2,
         faults=("slow", "error"),
-        broken=0.4,
+        broken_share=0.4,
         arrivals=4000,
     ),
     Scenario(
@@ -282,7 +282,7 @@
         interval_us=500 * MS,
         arrivals=1500,
         faults=("full", "crawling", "instant", "error"),
-        broken=1.0,
+        broken_share=1.0,
         fault_every_us=20 * SECOND,
     ),
 )
--- a/tests/test_balancing_admission.py
+++ b/tests/test_balancing_admission.py
@@ -8,7 +8,7 @@
 from laurelstep.balancing.balancer import Balancer
 from laurelstep.balancing.events import OK, TIMEOUT, Arrival, Outcome
 
-from tests.helpers import MS, PATIENT, SECOND, SETTINGS, Driver, sends, started
+from tests.helpers import LONG_CLASS, MS, SECOND, SETTINGS, Driver, sends, started
 
 
 def test_late_answers_shed_load_and_good_ones_end_the_shedding() -> None:
@@ -31,7 +31,7 @@
     """A limit that follows the rate of answers lowers that rate: 60 % of the requests were shed although
     all others were answered in time.
     """
-    driver = Driver(started(settings=replace(SETTINGS, classes=(PATIENT,))))
+    driver = Driver(started(settings=replace(SETTINGS, classes=(LONG_CLASS,))))
     assert all(driver.serve(k * 20 * MS, 400 * MS) for k in range(300))
     admission = driver.balancer.admission
     for k in range(100):
@@ -50,13 +50,13 @@
 
 
 def test_a_starting_copy_admits_few_at_first_and_more_with_each_answer() -> None:
-    driver = Driver(started(settings=replace(SETTINGS, classes=(PATIENT,)), instances=10))
-    answers = [driver.ask(k * MS) for k in range(100)]
+    driver = Driver(started(settings=replace(SETTINGS, classes=(LONG_CLASS,)), instances=10))
+    answers = [driver.send_request(k * MS) for k in range(100)]
     sent_requests = [(rid, sent[0].endpoint) for rid, actions in answers if (sent := sends(actions))]
     assert 16 <= len(sent_requests) < 40, "a surge on a restarted copy would overload the endpoints"
     for rid, endpoint in sent_requests[:10]:
         driver.balancer.outcome(500 * MS, Outcome(rid, 0, endpoint, OK, 400 * MS, is_final=True))
-    more = [driver.ask(501 * MS + k) for k in range(100)]
+    more = [driver.send_request(501 * MS + k) for k in range(100)]
     assert sum(bool(sends(actions)) for _, actions in more) >= 20
 
 
@@ -68,7 +68,7 @@
         if is_late:
             assert driver.serve(6 * SECOND, 900 * MS)
         else:
-            rid, _ = driver.ask(6 * SECOND)
+            rid, _ = driver.send_request(6 * SECOND)
             driver.balancer.client_disconnected(6_900 * MS, rid)
         assert (driver.balancer.admission.admitted_share < 1.0) is is_shedding
 
@@ -78,7 +78,7 @@
     passed: in 45 s no request was refused and hardly any answer was in time (deployment Chikushi,
     scenario overload).
     """
-    driver = Driver(started(settings=replace(SETTINGS, classes=(PATIENT,)), instances=8))
+    driver = Driver(started(settings=replace(SETTINGS, classes=(LONG_CLASS,)), instances=8))
     balancer, admitted_count = driver.balancer, 0
     due: list[tuple[int, int, int, int]] = []
     for k in range(2000):  # 100 requests a second, of which the endpoints can serve 50
@@ -88,7 +88,7 @@
             balancer.outcome(
                 answered_at_us, Outcome(rid, 0, endpoint, OK, answered_at_us - sent_at, is_final=True)
             )
-        rid, actions = driver.ask(now)
+        rid, actions = driver.send_request(now)
         if sent := sends(actions):
             admitted_count += 1
             answered_at = max(now + 200 * MS, due[-1][0] + 20 * MS if due else 0)
@@ -107,14 +107,14 @@
     usual_us = balancer.admission.limit.service_us
     for _ in range(20):
         now += 30 * MS
-        driver.next += 1
-        arrival = Arrival(driver.next, 0, now + 600 * SECOND, has_pending_body=True)
+        driver.last_request_id += 1
+        arrival = Arrival(driver.last_request_id, 0, now + 600 * SECOND, has_pending_body=True)
         (send,) = sends(balancer.request(now, arrival))
         now += 8 * SECOND  # its body arrives slowly
-        balancer.request_completed(now, driver.next, now + SECOND)
-        assert balancer.requests[driver.next].expires_at == now + SECOND
+        balancer.request_completed(now, driver.last_request_id, now + SECOND)
+        assert balancer.requests[driver.last_request_id].expires_at == now + SECOND
         now += 20 * MS
-        balancer.outcome(now, Outcome(driver.next, 0, send.endpoint, OK, 20 * MS, is_final=True))
+        balancer.outcome(now, Outcome(driver.last_request_id, 0, send.endpoint, OK, 20 * MS, is_final=True))
     assert balancer.admission.limit.service_us < 1.1 * usual_us and balancer.admission.admitted_share >= 1.0
     count = balancer.admission.limit.result_count
     balancer.request(now, Arrival(9_999, 0, now + 600 * SECOND, has_pending_body=True))
@@ -130,8 +130,8 @@
         now += 30 * MS
         assert driver.serve(now, 20 * MS)
     for _ in range(300):
-        driver.next += 1
-        balancer.request(now, Arrival(driver.next, 0, now + 600 * SECOND, has_pending_body=True))
+        driver.last_request_id += 1
+        balancer.request(now, Arrival(driver.last_request_id, 0, now + 600 * SECOND, has_pending_body=True))
     assert balancer.request_table.uploading_count == 300
     now += 30 * MS
     assert driver.serve(now, 20 * MS), "an incomplete upload is no load"
@@ -158,7 +158,7 @@
         now += 4 * MS
         while pending and pending[0][0] <= now:
             balancer.outcome(pending[0][0], pending.popleft()[1])
-        rid, actions = driver.ask(now)
+        rid, actions = driver.send_request(now)
         (send,) = sends(actions)
         if n == 1_000:
             hung_request_id, hung_endpoint = rid, send.endpoint
@@ -180,7 +180,7 @@
     for _ in range(200):
         now += 30 * MS
         assert driver.serve(now, 20 * MS)
-    waiting = [driver.ask(now)[0] for _ in range(8)]
+    waiting = [driver.send_request(now)[0] for _ in range(8)]
     now += SECOND
     for rid in waiting:
         end_by_timeout(balancer, now, SECOND, rid)
--- a/tests/test_balancing_concurrency_limit.py
+++ b/tests/test_balancing_concurrency_limit.py
@@ -7,29 +7,29 @@
 import pytest
 from laurelstep.balancing.events import OK, Outcome
 
-from tests.helpers import MS, PATIENT, SECOND, SETTINGS, Driver, first_refused, sends, started
+from tests.helpers import LONG_CLASS, MS, SECOND, SETTINGS, Driver, first_refused, sends, started
 
 
 def test_a_standing_queue_is_shed_before_any_answer_is_late() -> None:
     """Endpoints became overloaded within seconds while the answers that came were still quick (incidents
     i28d44f, iad7bbc).
     """
-    driver = Driver(started(settings=replace(SETTINGS, classes=(PATIENT,)), instances=8))
+    driver = Driver(started(settings=replace(SETTINGS, classes=(LONG_CLASS,)), instances=8))
     assert all(driver.serve(k * 50 * MS, 20 * MS) for k in range(100))
-    admitted = [sends(driver.ask(5 * SECOND + k * MS)[1]) for k in range(200)]
+    admitted = [sends(driver.send_request(5 * SECOND + k * MS)[1]) for k in range(200)]
     assert all(admitted[:8]), "a few requests are always admitted"
     assert sum(map(bool, admitted)) < 60
     for sent in filter(None, admitted):
         done = Outcome(sent[0].request, 0, sent[0].endpoint, OK, SECOND, is_final=True)
         driver.balancer.outcome(6 * SECOND, done)
-    assert sends(driver.ask(6 * SECOND)[1]), "admitted again once they are answered"
+    assert sends(driver.send_request(6 * SECOND)[1]), "admitted again once they are answered"
 
 
 def test_a_burst_is_admitted_but_a_standing_queue_is_not() -> None:
     """One limit is too tight for random bursts and too loose for a queue (incidents iad7bbc, i511002)."""
     limits = []
     for in_flight_before in (8, 30):
-        driver = Driver(started(settings=replace(SETTINGS, classes=(PATIENT,)), instances=8))
+        driver = Driver(started(settings=replace(SETTINGS, classes=(LONG_CLASS,)), instances=8))
         assert all(driver.serve(k * 20 * MS, 400 * MS) for k in range(300))
         admission = driver.balancer.admission
         for k in range(130):
@@ -43,7 +43,7 @@
     """Of two copies with the same endpoints, one took the requests that the other refused: the latter had
     fewer and fewer requests in flight while its service time stayed the same.
     """
-    driver = Driver(started(settings=replace(SETTINGS, classes=(PATIENT,)), instances=8))
+    driver = Driver(started(settings=replace(SETTINGS, classes=(LONG_CLASS,)), instances=8))
     assert all(driver.serve(k * 20 * MS, 400 * MS) for k in range(300))
     admission, refused = driver.balancer.admission, []
     for k in range(1500):
@@ -54,10 +54,10 @@
 
 
 def test_the_unloaded_time_comes_from_the_first_requests_not_from_the_first_answers() -> None:
-    driver = Driver(started(settings=replace(SETTINGS, classes=(PATIENT,))))
+    driver = Driver(started(settings=replace(SETTINGS, classes=(LONG_CLASS,))))
     admission, due = driver.balancer.admission, []
     for k in range(40):  # every second request takes five times as long
-        rid, actions = driver.ask(k * MS)
+        rid, actions = driver.send_request(k * MS)
         took = 100 * MS if k % 2 else 500 * MS
         due.append((k * MS + took, rid, sends(actions)[0].endpoint, took))
     for end, rid, endpoint, took in sorted(due):
@@ -72,7 +72,7 @@
     """
     limits = []
     for answered in (True, False):
-        driver = Driver(started(settings=replace(SETTINGS, classes=(PATIENT,)), instances=8))
+        driver = Driver(started(settings=replace(SETTINGS, classes=(LONG_CLASS,)), instances=8))
         assert all(driver.serve(k * 20 * MS, 700 * MS) for k in range(300))
         admission = driver.balancer.admission
         for k in range(200):
@@ -94,11 +94,11 @@
     """The minimum of a noisy mean was taken for the unloaded service time, and requests were refused at a
     tenth of their objective (deployment Chikushi, scenario quiet).
     """
-    driver = Driver(started(settings=replace(SETTINGS, classes=(PATIENT,)), instances=8))
+    driver = Driver(started(settings=replace(SETTINGS, classes=(LONG_CLASS,)), instances=8))
     assert all(driver.serve(k * 20 * MS, 100 * MS) for k in range(300))
     admission = driver.balancer.admission
     for k in range(300):
-        admission.record_result(6 * SECOND + k * 20 * MS, 250 * MS, True, True, PATIENT.aim_us)
+        admission.record_result(6 * SECOND + k * 20 * MS, 250 * MS, True, True, LONG_CLASS.aim_us)
         assert not admission.limit.exceeds_concurrency_limit(6 * SECOND + k * 20 * MS, 13)
 
 
@@ -108,7 +108,7 @@
     """
     limits = []
     for copies in (1, 100):
-        driver = Driver(started(settings=replace(SETTINGS, classes=(PATIENT,)), instances=copies))
+        driver = Driver(started(settings=replace(SETTINGS, classes=(LONG_CLASS,)), instances=copies))
         admission = driver.balancer.admission
         assert all(driver.serve(k * 500 * MS, 100 * MS) for k in range(60))
         assert not admission.limit.exceeds_concurrency_limit(30 * SECOND, 8), (
--- a/tests/test_balancing_connections.py
+++ b/tests/test_balancing_connections.py
@@ -28,20 +28,20 @@
     billpay-lawrence, scenario big-2).
     """
     driver = idle_driver()
-    _, actions = driver.ask(10 * SECOND)
+    _, actions = driver.send_request(10 * SECOND)
     assert not count_closes(actions) and sends(actions)
     assert driver.serve(11 * SECOND, 100 * MS), "on a new connection"
     assert driver.balancer.connections.closes_left < 1.0, "the outstanding attempt may just be slow"
     assert driver.serve(13 * SECOND, 100 * MS)
-    _, actions = driver.ask(15 * SECOND)
+    _, actions = driver.send_request(15 * SECOND)
     assert count_closes(actions) == 1 and isinstance(actions[0], Close), "closed before the send"
 
 
 def test_a_late_answer_removes_the_suspicion() -> None:
     driver = idle_driver()
-    rid, actions = driver.ask(10 * SECOND)
+    rid, actions = driver.send_request(10 * SECOND)
     (sent,) = sends(actions)
-    driver.ask(13 * SECOND)
+    driver.send_request(13 * SECOND)
     assert driver.balancer.connections.closes_left >= 1.0
     driver.balancer.outcome(14 * SECOND, Outcome(rid, 0, sent.endpoint, OK, 4 * SECOND, is_final=True))
     assert driver.balancer.connections.closes_left < 1.0
@@ -51,5 +51,5 @@
     """An overload or a hung endpoint loses requests on any connection."""
     driver = Driver(started(1, settings=replace(SETTINGS, classes=(IDLE_CLASS,))))
     for k in range(1, 9):
-        driver.ask(k * 10 * SECOND)
+        driver.send_request(k * 10 * SECOND)
     assert driver.balancer.connections.closes_left < 1.0
--- a/tests/test_balancing_key_queues.py
+++ b/tests/test_balancing_key_queues.py
@@ -16,19 +16,19 @@
 def test_requests_of_one_key_run_in_order_and_others_at_once() -> None:
     """The order was broken on every day with a hot key (deployment haverhill-accounts)."""
     driver = Driver(started(settings=IN_ORDER))
-    first, actions = driver.ask(SECOND, key=5)
+    first, actions = driver.send_request(SECOND, key=5)
     (sent,) = sends(actions)
-    second, actions = driver.ask(SECOND + MS, cls=1, key=5)
+    second, actions = driver.send_request(SECOND + MS, cls=1, key=5)
     assert not sends(actions), "all sequential classes share their keys"
-    assert sends(driver.ask(SECOND + MS, key=6)[1]) and sends(driver.ask(SECOND + MS)[1])
+    assert sends(driver.send_request(SECOND + MS, key=6)[1]) and sends(driver.send_request(SECOND + MS)[1])
     actions = driver.balancer.outcome(SECOND + 9 * MS, Outcome(first, 0, sent.endpoint, OK, 9 * MS, True))
     assert [send.request for send in sends(actions)] == [second]
 
 
 def test_a_key_rests_after_a_time_out_but_not_for_a_retry() -> None:
     driver = Driver(started(settings=IN_ORDER))
-    first, actions = driver.ask(SECOND, cls=1, key=5)
-    driver.ask(SECOND, key=5)
+    first, actions = driver.send_request(SECOND, cls=1, key=5)
+    driver.send_request(SECOND, key=5)
     (sent,) = sends(actions)
     now = SECOND + 100 * MS
     actions = driver.balancer.outcome(now, Outcome(first, 0, sent.endpoint, TIMEOUT, 100 * MS))
@@ -46,8 +46,8 @@
     assert all(driver.serve(k * 400 * MS, 300 * MS) for k in range(40))
     now = 20 * SECOND
     for _ in range(2):
-        driver.ask(now, key=5)
-    _, actions = driver.ask(now, key=5)
+        driver.send_request(now, key=5)
+    _, actions = driver.send_request(now, key=5)
     assert any(isinstance(action, Refuse) for action in actions)
 
 
@@ -55,7 +55,7 @@
     driver = Driver(started(settings=IN_ORDER))
     for key in range(1, 500):
         now = key * 10 * MS
-        rid, actions = driver.ask(now, key=key)
+        rid, actions = driver.send_request(now, key=key)
         (sent,) = sends(actions)
         driver.balancer.outcome(now + MS, Outcome(rid, 0, sent.endpoint, RESET, MS, True))
     assert len(driver.balancer.key_queues.queues) < 10 and len(driver.balancer.key_queues.resting_keys) < 10
--- a/tests/test_balancing_outliers.py
+++ b/tests/test_balancing_outliers.py
@@ -6,12 +6,12 @@
 
 from laurelstep.balancing.events import FULL, OK, TIMEOUT, Arrival, Outcome
 
-from tests.helpers import MS, PAGE, SECOND, SETTINGS, Driver, sends, started
+from tests.helpers import MS, SECOND, SETTINGS, SHORT_CLASS, Driver, sends, started
 
 
 def test_a_full_endpoint_is_avoided_before_the_first_answer() -> None:
     driver = Driver(started())
-    rid, actions = driver.ask(SECOND)
+    rid, actions = driver.send_request(SECOND)
     (sent,) = sends(actions)
     driver.balancer.outcome(SECOND + MS, Outcome(rid, 0, sent.endpoint, FULL, MS))
     assert driver.balancer.endpoints[sent.endpoint].no_new_connections_until > SECOND + 10 * MS
@@ -23,11 +23,11 @@
     """
     driver = Driver(started(2))
     assert all(driver.serve(k * 200 * MS, 100 * MS) for k in range(20))
-    rid, actions = driver.ask(5 * SECOND)
+    rid, actions = driver.send_request(5 * SECOND)
     (sent,) = sends(actions)
     driver.balancer.outcome(5 * SECOND + MS, Outcome(rid, 0, sent.endpoint, FULL, MS))
     used_endpoints = {
-        send.endpoint for k in range(9) for send in sends(driver.ask(5 * SECOND + k * 10 * MS)[1])
+        send.endpoint for k in range(9) for send in sends(driver.send_request(5 * SECOND + k * 10 * MS)[1])
     }
     assert used_endpoints and sent.endpoint not in used_endpoints
 
@@ -37,7 +37,7 @@
     class_fail) or of one tenant
     (incident i4b6c8c).
     """
-    settings = replace(SETTINGS, classes=(PAGE, PAGE), tenants=(50.0, 50.0), full_unproven=True)
+    settings = replace(SETTINGS, classes=(SHORT_CLASS, SHORT_CLASS), tenants=(50.0, 50.0), full_unproven=True)
     balancer = started(1, settings=settings)
     endpoint = balancer.endpoints[100]
     for k in range(1, 20):
--- a/tests/test_balancing_slow_start.py
+++ b/tests/test_balancing_slow_start.py
@@ -21,7 +21,9 @@
         Driver(balancer),
         {endpoint.id for subset in balancer.subsets.pair for endpoint, _ in subset.members},
     )
-    used_endpoints = [send.endpoint for k in range(2000) for send in sends(driver.ask(SECOND + k * MS)[1])]
+    used_endpoints = [
+        send.endpoint for k in range(2000) for send in sends(driver.send_request(SECOND + k * MS)[1])
+    ]
     assert used_endpoints and set(used_endpoints) <= own_endpoints < set(balancer.endpoints)
 
 
@@ -33,7 +35,7 @@
     for outcome in (OK, FULL):
         driver = Driver(balancer := started(4))
         for k in range(1, 400):
-            rid, actions = driver.ask(k * 10 * MS)
+            rid, actions = driver.send_request(k * 10 * MS)
             for send in sends(actions):
                 done = Outcome(rid, 0, send.endpoint, outcome, 5 * MS, is_final=outcome == OK)
                 balancer.outcome(k * 10 * MS + 5 * MS, done)
--- a/tests/test_balancing_zones.py
+++ b/tests/test_balancing_zones.py
@@ -28,7 +28,7 @@
     remote_count = 0
     for k in range(count):
         at = now + k * 10 * MS
-        rid, actions = driver.ask(at)
+        rid, actions = driver.send_request(at)
         (sent,) = sends(actions)
         is_remote = driver.balancer.endpoints[sent.endpoint].zone != 1
         remote_count += is_remote
--- a/tests/test_crossings_balancing.py
+++ b/tests/test_crossings_balancing.py
@@ -1,7 +1,8 @@
-"""The four rules at the crossings of one request's events, under settings drawn widely.
+"""The rules of sends and final answers when events of one request cross, under many settings.
 
-`Referee` knows the rules from the wire's page alone and sees only what the module is told and what it
-does: never its state. Any legal order of outcomes, timers, lists, heads and leaving clients may come.
+`RuleChecker` implements the rules of the simulator's protocol. It sees only the events and actions of
+the balancer, never its state. Outcomes, timers, lists, starts of answers and disconnections of clients
+come in any legal order.
 """
 
 from __future__ import annotations
@@ -60,103 +61,121 @@
 from laurelstep.balancing.selection import EndpointSelector
 
 from tests.conftest import plain_only
-from tests.helpers import PATIENT, SETTINGS, Driver, fleet, on_ring, sends, started
+from tests.helpers import LONG_CLASS, SETTINGS, Driver, fleet, on_ring, sends, started
 
 MS = 1_000
 SECOND = 1_000_000
 
 
 @dataclass
-class Try:
+class SentAttempt:
     endpoint: int
-    cell: int  # of the endpoint as it was sent
+    cell: int  # cell and zone that the endpoint had at the send
     zone: int
-    at: int
-    ended: int | None = None
-    begun: bool = False  # its answer is a stream that flows
+    sent_at: int
+    outcome: int | None = None
+    is_streaming: bool = False  # its answer, a stream, has started
 
 
 @dataclass
-class Asked:
-    cls: RequestClass
-    expires: int
-    coming: bool
-    tries: list[Try] = field(default_factory=list)
-    ends: int = 0  # final answers, an answer that was passed on among them
-    left: bool = False
+class SentRequest:
+    request_class: RequestClass
+    expires_at: int
+    is_uploading: bool
+    attempts: list[SentAttempt] = field(default_factory=list)
+    answer_count: int = 0  # final answers, including one that was forwarded from an endpoint
+    has_left: bool = False
 
     @property
-    def over(self) -> bool:
-        return self.ends > 0 or self.left
+    def is_over(self) -> bool:
+        return self.answer_count > 0 or self.has_left
 
 
-class Referee:
+class RuleChecker:
     def __init__(self, seed: int, config: Settings) -> None:
         self.config, self.now = config, SECOND
         self.entries: dict[int, Entry] = {}
         self.ready: set[int] = set()
-        self.parted = False  # a list is not whole yet
-        self.asked: dict[int, Asked] = {}
+        self.has_partial_list = False  # parts of a list are missing
+        self.requests: dict[int, SentRequest] = {}
         self.timers: list[tuple[int, int]] = []
-        self.proofs = {NO_CONNECT, NOT_SENT} if config.full_unproven else {NO_CONNECT, NOT_SENT, FULL}
+        self.never_ran_outcomes = (
+            {NO_CONNECT, NOT_SENT} if config.full_unproven else {NO_CONNECT, NOT_SENT, FULL}
+        )
         self.balancer = Balancer(seed, config)
-        self.take(self.balancer.start(self.now))
+        self.check_actions(self.balancer.start(self.now))
 
-    # What the module does
+    # Actions of the balancer
 
-    def take(self, actions: list[Action]) -> None:
+    def check_actions(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
-                self.sent(action)
+                self.check_send(action)
             elif isinstance(action, Refuse | Fail):
-                self.answered(action)
+                self.check_final_answer(action)
             elif isinstance(action, Cancel):
-                assert self.config.can_cancel, "cancels are not allowed here"
-                tried = self.asked[action.request].tries[action.attempt_index]
-                assert not tried.begun, "no cancel of a stream that flows"
+                assert self.config.can_cancel, "cancels are not allowed by the settings"
+                attempt = self.requests[action.request].attempts[action.attempt_index]
+                assert not attempt.is_streaming, "a streaming answer is not cancelled"
             elif isinstance(action, Timer):
                 assert 0 <= action.delay_us < 71 * 60 * SECOND
                 self.timers.append((self.now + max(1, action.delay_us), action.token))
             elif isinstance(action, Watch | Fetch):
-                assert self.config.asks_discovery, "nobody asks where lists are pushed"
+                assert self.config.asks_discovery, "no call to discovery where lists are pushed"
             else:
                 assert not isinstance(action, Probe) or self.config.can_probe
                 assert not isinstance(action, Gossip) or self.config.can_tell
 
-    def group(self, cls: RequestClass, cell: int, zone: int) -> int:
+    def scope_group(self, cls: RequestClass, cell: int, zone: int) -> int:
         return {SCOPE_ALL: 0, SCOPE_ZONE: zone, SCOPE_CELL: cell}[cls.scope]
 
-    def sent(self, action: Send) -> None:
-        one, config = self.asked[action.request], self.config
-        assert not one.over, "nothing is sent after the end"
-        assert action.endpoint in self.ready, "nothing is sent to one that drains or is gone"
-        assert 0 < action.timeout_us <= one.expires - self.now, "no longer than the client waits"
-        assert len(one.tries) < config.max_attempts
-        assert not any(tried.begun for tried in one.tries), "bound to its stream"
-        assert config.second_copies or all(tried.ended is not None for tried in one.tries), "one at a time"
+    def check_send(self, action: Send) -> None:
+        request, config = self.requests[action.request], self.config
+        assert not request.is_over, "nothing is sent after the end"
+        assert action.endpoint in self.ready, "nothing is sent to an endpoint that drains or is gone"
+        assert 0 < action.timeout_us <= request.expires_at - self.now, (
+            "the time-out is within the client's deadline"
+        )
+        assert len(request.attempts) < config.max_attempts
+        assert not any(attempt.is_streaming for attempt in request.attempts), (
+            "nothing is sent while the answer is streaming"
+        )
+        assert config.second_copies or all(attempt.outcome is not None for attempt in request.attempts), (
+            "one at a time"
+        )
         entry = self.entries[action.endpoint]
-        maybe = [tried for tried in one.tries if tried.ended is None or tried.ended not in self.proofs]
-        if maybe and one.cls.effect == KEYED:
-            first = maybe[0]
-            assert self.now - first.at <= one.cls.window_us, "past the window"
-            assert self.group(one.cls, entry.cell, entry.zone) == self.group(
-                one.cls, first.cell, first.zone
+        possible_executions = [
+            attempt
+            for attempt in request.attempts
+            if attempt.outcome is None or attempt.outcome not in self.never_ran_outcomes
+        ]
+        if possible_executions and request.request_class.effect == KEYED:
+            first = possible_executions[0]
+            assert self.now - first.sent_at <= request.request_class.window_us, "after the key's window"
+            assert self.scope_group(request.request_class, entry.cell, entry.zone) == self.scope_group(
+                request.request_class, first.cell, first.zone
             ), "out of scope"
-        assert not maybe or one.cls.effect != UNSAFE, "no effect twice"
-        one.tries.append(Try(action.endpoint, entry.cell, entry.zone, self.now))
-
-    def answered(self, action: Refuse | Fail) -> None:
-        one = self.asked[action.request]
-        assert not one.over, "one end"
-        assert self.now <= one.expires + self.config.answer_slack_us or one.coming, "in time"
-        assert not any(tried.begun for tried in one.tries), "a stream that flows is its answer"
+        assert not possible_executions or request.request_class.effect != UNSAFE, "no effect twice"
+        request.attempts.append(SentAttempt(action.endpoint, entry.cell, entry.zone, self.now))
+
+    def check_final_answer(self, action: Refuse | Fail) -> None:
+        request = self.requests[action.request]
+        assert not request.is_over, "one final answer"
+        assert self.now <= request.expires_at + self.config.answer_slack_us or request.is_uploading, "in time"
+        assert not any(attempt.is_streaming for attempt in request.attempts), (
+            "a streaming answer is the final answer"
+        )
         if isinstance(action, Refuse):
-            harmless = one.cls.effect == SAFE or (one.cls.effect == KEYED and one.cls.scope == SCOPE_ALL)
-            assert harmless or all(tried.ended in self.proofs for tried in one.tries), "no refusal in doubt"
+            is_retry_harmless = request.request_class.effect == SAFE or (
+                request.request_class.effect == KEYED and request.request_class.scope == SCOPE_ALL
+            )
+            assert is_retry_harmless or all(
+                attempt.outcome in self.never_ran_outcomes for attempt in request.attempts
+            ), "no refusal where the request may have run"
             assert self.config.retry_after or not action.retry_after_us
-        one.ends += 1
+        request.answer_count += 1
 
-    # What the module is told
+    # Events; the names of these methods are the names of the drawn steps.
 
     def members(self, mode: int, entries: list[Entry]) -> None:
         entries = [replace_zone(entry, self.config.zones) for entry in entries]
@@ -166,95 +185,128 @@
         for entry in entries if mode != LIST_FAILED else ():
             self.entries[entry.endpoint] = entry
             (self.ready.add if entry.phase == READY else self.ready.discard)(entry.endpoint)
-        self.take(self.balancer.members(self.now, mode, entries if mode != LIST_FAILED else ()))
-
-    def request(self, cls: int, patience: int, tenant: int, marks: int) -> None:
-        rid = len(self.asked) + 1
-        cls %= len(self.config.classes)
-        kind = self.config.classes[cls]
-        expires = self.now + max(1, patience * kind.deadline_us // 10)
-        self.asked[rid] = Asked(kind, expires, coming=marks == 2)
-        work = 1000 * (rid % 5)
+        self.check_actions(self.balancer.members(self.now, mode, entries if mode != LIST_FAILED else ()))
+
+    def request(self, class_index: int, deadline_tenths: int, tenant: int, marker: int) -> None:
+        request_id = len(self.requests) + 1
+        class_index %= len(self.config.classes)
+        request_class = self.config.classes[class_index]
+        expires = self.now + max(1, deadline_tenths * request_class.deadline_us // 10)
+        self.requests[request_id] = SentRequest(request_class, expires, is_uploading=marker == 2)
+        work_us = 1000 * (request_id % 5)
         event = Arrival(
-            rid, cls, expires, tenant, rid % 3, work, is_retry=marks == 1, has_pending_body=marks == 2
+            request_id,
+            class_index,
+            expires,
+            tenant,
+            request_id % 3,
+            work_us,
+            is_retry=marker == 1,
+            has_pending_body=marker == 2,
         )
-        self.take(self.balancer.request(self.now, event))
-
-    def whole(self, pick: int) -> None:
-        some = [rid for rid, one in self.asked.items() if one.coming and not one.over]
-        if some:
-            one = self.asked[rid := some[pick % len(some)]]
-            one.coming, one.expires = False, min(one.expires, self.now + one.cls.deadline_us)
-            self.take(self.balancer.request_completed(self.now, rid, one.expires))
+        self.check_actions(self.balancer.request(self.now, event))
 
-    def out(self) -> list[tuple[int, int]]:
+    def complete_body(self, pick: int) -> None:
+        candidates = [
+            request_id
+            for request_id, request in self.requests.items()
+            if request.is_uploading and not request.is_over
+        ]
+        if candidates:
+            request = self.requests[request_id := candidates[pick % len(candidates)]]
+            request.is_uploading, request.expires_at = (
+                False,
+                min(request.expires_at, self.now + request.request_class.deadline_us),
+            )
+            self.check_actions(self.balancer.request_completed(self.now, request_id, request.expires_at))
+
+    def outstanding_attempts(self) -> list[tuple[int, int]]:
         return [
-            (rid, copy)
-            for rid, one in self.asked.items()
-            for copy, tried in enumerate(one.tries)
-            if tried.ended is None
+            (request_id, attempt_index)
+            for request_id, request in self.requests.items()
+            for attempt_index, attempt in enumerate(request.attempts)
+            if attempt.outcome is None
         ]
 
     def head(self, pick: int) -> None:
-        some = [(rid, copy) for rid, copy in self.out() if self.asked[rid].cls.stream]
-        some = [(rid, copy) for rid, copy in some if not self.asked[rid].over]
-        if some:
-            rid, copy = some[pick % len(some)]
-            tried = self.asked[rid].tries[copy]
-            tried.begun = True
-            self.take(self.balancer.head(self.now, Outcome(rid, copy, tried.endpoint, OK, MS)))
+        candidates = [
+            (request_id, attempt_index)
+            for request_id, attempt_index in self.outstanding_attempts()
+            if self.requests[request_id].request_class.stream
+        ]
+        candidates = [
+            (request_id, attempt_index)
+            for request_id, attempt_index in candidates
+            if not self.requests[request_id].is_over
+        ]
+        if candidates:
+            request_id, attempt_index = candidates[pick % len(candidates)]
+            attempt = self.requests[request_id].attempts[attempt_index]
+            attempt.is_streaming = True
+            self.check_actions(
+                self.balancer.head(self.now, Outcome(request_id, attempt_index, attempt.endpoint, OK, MS))
+            )
 
     def outcome(self, pick: int, outcome: int) -> None:
-        if out := self.out():
-            self.end(*out[pick % len(out)], outcome)
+        if outstanding := self.outstanding_attempts():
+            self.end_attempt(*outstanding[pick % len(outstanding)], outcome)
 
     def storm(self, outcome: int, rounds: int) -> None:
-        """All that is out ends alike, and so does what is sent again."""
+        """End all outstanding attempts with one outcome, and their retries too, in some rounds."""
         for _ in range(rounds):
-            for rid, copy in self.out():
-                self.end(rid, copy, outcome)
-
-    def end(self, rid: int, copy: int, outcome: int) -> None:
-        one, tried = self.asked[rid], self.asked[rid].tries[copy]
-        tried.ended = outcome
-        if not one.over and (outcome == OK or tried.begun):
-            one.ends += 1
-        done = Outcome(rid, copy, tried.endpoint, outcome, self.now - tried.at, one.over)
-        self.take(self.balancer.outcome(self.now, done))
+            for request_id, attempt_index in self.outstanding_attempts():
+                self.end_attempt(request_id, attempt_index, outcome)
+
+    def end_attempt(self, request_id: int, attempt_index: int, outcome: int) -> None:
+        request, attempt = self.requests[request_id], self.requests[request_id].attempts[attempt_index]
+        attempt.outcome = outcome
+        if not request.is_over and (outcome == OK or attempt.is_streaming):
+            request.answer_count += 1
+        outcome_event = Outcome(
+            request_id, attempt_index, attempt.endpoint, outcome, self.now - attempt.sent_at, request.is_over
+        )
+        self.check_actions(self.balancer.outcome(self.now, outcome_event))
 
     def leave(self, pick: int) -> None:
-        if held := [rid for rid, one in self.asked.items() if not one.over]:
-            rid = held[pick % len(held)]
-            self.asked[rid].left = True
-            actions = self.balancer.client_disconnected(self.now, rid)
-            actions += self.balancer.client_disconnected(self.now, rid)
-            assert all(isinstance(one, Send | Cancel | Timer | Refuse | Fail) for one in actions)
-            self.take(actions)
-
-    def pass_time(self, span: int) -> None:
-        end = self.now + span
-        while due := [event for event in self.due() if event[0] <= end]:
-            at, kind, which, copy = min(due)
-            self.now = max(self.now, at)
+        if open_requests := [
+            request_id for request_id, request in self.requests.items() if not request.is_over
+        ]:
+            request_id = open_requests[pick % len(open_requests)]
+            self.requests[request_id].has_left = True
+            actions = self.balancer.client_disconnected(self.now, request_id)
+            actions += self.balancer.client_disconnected(self.now, request_id)
+            assert all(isinstance(request, Send | Cancel | Timer | Refuse | Fail) for request in actions)
+            self.check_actions(actions)
+
+    def pass_time(self, span_us: int) -> None:
+        end_at = self.now + span_us
+        while due := [event for event in self.due_events() if event[0] <= end_at]:
+            due_at, kind, token_or_request, attempt_index = min(due)
+            self.now = max(self.now, due_at)
             if kind == 0:
-                self.timers.remove((at, which))
-                self.take(self.balancer.timer(self.now, which))
+                self.timers.remove((due_at, token_or_request))
+                self.check_actions(self.balancer.timer(self.now, token_or_request))
             else:
-                self.end(which, copy, TIMEOUT)
-        self.now = end
+                self.end_attempt(token_or_request, attempt_index, TIMEOUT)
+        self.now = end_at
 
-    def due(self) -> Iterator[tuple[int, int, int, int]]:
-        yield from ((at, 0, token, 0) for at, token in self.timers)
-        for rid, copy in self.out():
-            one = self.asked[rid]
-            yield one.expires + 10 * SECOND * one.tries[copy].begun, 1, rid, copy
+    def due_events(self) -> Iterator[tuple[int, int, int, int]]:
+        yield from ((due_at, 0, token, 0) for due_at, token in self.timers)
+        for request_id, attempt_index in self.outstanding_attempts():
+            request = self.requests[request_id]
+            yield (
+                request.expires_at + 10 * SECOND * request.attempts[attempt_index].is_streaming,
+                1,
+                request_id,
+                attempt_index,
+            )
 
 
 def replace_zone(entry: Entry, zones: int) -> Entry:
     return replace(entry, zone=entry.zone % zones)
 
 
-def entries(most: int) -> st.SearchStrategy[list[Entry]]:
+def entries(max_size: int) -> st.SearchStrategy[list[Entry]]:
     one = st.builds(
         Entry,
         endpoint=st.integers(1, 6),
@@ -265,7 +317,7 @@
         zone=st.integers(0, 2),
         kind=st.just(0),
     )
-    return st.lists(one, max_size=most, unique_by=lambda entry: entry.endpoint)
+    return st.lists(one, max_size=max_size, unique_by=lambda entry: entry.endpoint)
 
 
 MODES = (LIST_FULL, LIST_DELTA, LIST_DELTA, LIST_CACHED, LIST_FAILED, LIST_PARTIAL)
@@ -283,7 +335,7 @@
         st.tuples(st.just("outcome"), st.integers(0, 50), st.sampled_from(OUTCOMES)),
         st.tuples(st.just("storm"), st.sampled_from(OUTCOMES), st.integers(1, 4)),
         st.tuples(st.just("head"), st.integers(0, 50)),
-        st.tuples(st.just("whole"), st.integers(0, 50)),
+        st.tuples(st.just("complete_body"), st.integers(0, 50)),
         st.tuples(st.just("leave"), st.integers(0, 50)),
         st.tuples(st.just("pass_time"), st.sampled_from((1, 5 * MS, 80 * MS, 500 * MS))),
     ),
@@ -333,18 +385,18 @@
 
 @settings(max_examples=400)
 @given(seed=st.integers(0, 2**32), config=CONFIGS, first=entries(6), steps=STEPS)
-def test_rules_hold_at_every_crossing_under_any_settings(
+def test_rules_hold_at_every_crossing_of_events_under_any_settings(
     seed: int, config: Settings, first: list[Entry], steps: list[tuple[str, *tuple[object, ...]]]
 ) -> None:
-    referee = Referee(seed, config)
-    referee.members(LIST_CACHED, first)
+    checker = RuleChecker(seed, config)
+    checker.members(LIST_CACHED, first)
     for name, *arguments in steps:
-        getattr(referee, name)(*arguments)
-    referee.pass_time(60 * SECOND)
-    for one in referee.asked.values():
-        assert one.over, "each request ends"
-        assert one.ends <= 1
-    balancer = referee.balancer
+        getattr(checker, name)(*arguments)
+    checker.pass_time(60 * SECOND)
+    for one in checker.requests.values():
+        assert one.is_over, "each request ends"
+        assert one.answer_count <= 1
+    balancer = checker.balancer
     assert (
         not balancer.requests
         and not balancer.request_table.awaiting_outcomes
@@ -361,17 +413,19 @@
 
 
 @pytest.mark.parametrize("cold_us", [0, 20 * SECOND])
-def test_a_start_that_is_dated_ahead_is_a_start_just_now(cold_us: int) -> None:
-    """Its clock goes ahead of ours. Where nothing is cold (the default) the module failed on each request."""
+def test_a_start_dated_in_the_future_counts_as_a_start_now(cold_us: int) -> None:
+    """The endpoint's clock may be ahead of this copy's. Without slow start (the default), the balancer raised
+    an exception on each request.
+    """
     balancer = started(2, cold_us=cold_us)
     balancer.members(SECOND, LIST_FULL, fleet(2, boot=3 * SECOND))
     assert warming_up(balancer, SECOND) == [cold_us > 0] * 2
-    _, actions = Driver(balancer).ask(SECOND)
+    _, actions = Driver(balancer).send_request(SECOND)
     assert sends(actions) or cold_us
 
 
-def test_a_start_before_our_own_clock_began_is_a_start() -> None:
-    """The engine dates it by a monotonic clock that may be younger than the endpoint."""
+def test_a_start_before_the_clock_began_counts_as_a_start() -> None:
+    """The engine converts start times to a monotonic clock that may have begun after the endpoint's start."""
     balancer = started(2)
     balancer.members(SECOND, LIST_FULL, fleet(2, boot=-2 * SECOND))
     for now, cold in ((SECOND, True), (17 * SECOND, True), (18 * SECOND, False)):
@@ -379,26 +433,26 @@
 
 
 @pytest.mark.parametrize("scope", [SCOPE_CELL, SCOPE_ZONE], ids=["cell", "zone"])
-def test_a_repeat_stays_in_scope_where_an_endpoint_has_moved(scope: int) -> None:
-    """An endpoint that came back elsewhere under its number was still taken for one of its old cell."""
+def test_a_retry_stays_in_scope_after_an_endpoint_has_moved(scope: int) -> None:
+    """An endpoint that was listed in another cell under the same id still counted as one of its old cell."""
     cls = RequestClass(KEYED, scope, window_us=SECOND, aim_us=200 * MS, deadline_us=SECOND)
     config = replace(SETTINGS, classes=(cls,), zones=3)
-    referee = Referee(1, config)
+    checker = RuleChecker(1, config)
     first, moved = Entry(1, READY, 0, 1.0, 0, 0, 0), Entry(2, READY, 0, 1.0, 0, 0, 0)
-    referee.members(LIST_FULL, [first, moved])
-    referee.request(0, 10, 0, 0)
-    tried = referee.asked[1].tries[0].endpoint
-    other = moved if tried == 1 else first
-    referee.members(LIST_DELTA, [replace(other, cell=1, zone=1)])
-    referee.outcome(0, ERROR)
-    referee.pass_time(SECOND)
-    assert len(referee.asked[1].tries) == 1 and referee.asked[1].over
-    assert on_ring(referee.balancer) == sorted((1, 2), key=lambda n: referee.balancer.endpoints[n].ring_key)
-
-
-def test_a_moved_endpoint_keeps_its_calls_in_flight_and_its_budget_of_a_start() -> None:
+    checker.members(LIST_FULL, [first, moved])
+    checker.request(0, 10, 0, 0)
+    attempt = checker.requests[1].attempts[0].endpoint
+    other = moved if attempt == 1 else first
+    checker.members(LIST_DELTA, [replace(other, cell=1, zone=1)])
+    checker.outcome(0, ERROR)
+    checker.pass_time(SECOND)
+    assert len(checker.requests[1].attempts) == 1 and checker.requests[1].is_over
+    assert on_ring(checker.balancer) == sorted((1, 2), key=lambda n: checker.balancer.endpoints[n].ring_key)
+
+
+def test_a_moved_endpoint_keeps_its_calls_in_flight() -> None:
     balancer = started(4, zones=3)
-    _, actions = Driver(balancer).ask(SECOND)
+    _, actions = Driver(balancer).send_request(SECOND)
     (sent,) = sends(actions)
     entry = next(one for one in fleet(4) if one.endpoint == sent.endpoint)
     balancer.members(SECOND, LIST_DELTA, [replace(entry, cell=9, zone=2)])
@@ -413,52 +467,56 @@
     assert len(on_ring(balancer)) == 4 and not balancer.membership.ring.by_zone[2]
 
 
-@pytest.mark.parametrize("leaving", [2, 5, 9])
-def test_clients_that_leave_before_an_answer_was_due_turn_nobody_away(leaving: int) -> None:
-    """Two of ten left 10 ms after they came, answers took 100 ms, and 43 % of all were refused."""
-    driver = Driver(started(settings=replace(SETTINGS, classes=(PATIENT,))))
-    balancer, through = driver.balancer, 0
+@pytest.mark.parametrize("leaving_of_ten", [2, 5, 9])
+def test_clients_that_leave_before_an_answer_was_due_shed_nothing(leaving_of_ten: int) -> None:
+    """Two of ten clients left after 10 ms while answers took 100 ms; 43 % of all requests were refused."""
+    driver = Driver(started(settings=replace(SETTINGS, classes=(LONG_CLASS,))))
+    balancer, sent_count = driver.balancer, 0
     for k in range(300):
         now = k * 500 * MS
-        rid, actions = driver.ask(now)
+        request_id, actions = driver.send_request(now)
         for sent in sends(actions):
-            through += 1
-            if k % 10 < leaving:
-                assert not sends(balancer.client_disconnected(now + 10 * MS, rid))
-                done = Outcome(rid, 0, sent.endpoint, CANCELLED, 10 * MS, is_final=True)
+            sent_count += 1
+            if k % 10 < leaving_of_ten:
+                assert not sends(balancer.client_disconnected(now + 10 * MS, request_id))
+                outcome_event = Outcome(request_id, 0, sent.endpoint, CANCELLED, 10 * MS, is_final=True)
             else:
-                done = Outcome(rid, 0, sent.endpoint, OK, 100 * MS, is_final=True)
-            balancer.outcome(now + done.latency_us, done)
-    assert through == 300
+                outcome_event = Outcome(request_id, 0, sent.endpoint, OK, 100 * MS, is_final=True)
+            balancer.outcome(now + outcome_event.latency_us, outcome_event)
+    assert sent_count == 300
 
 
-def test_clients_that_leave_as_no_answer_comes_shed_as_before() -> None:
-    driver = Driver(started(settings=replace(SETTINGS, classes=(PATIENT,))))
+def test_clients_that_leave_because_no_answer_comes_shed_load() -> None:
+    driver = Driver(started(settings=replace(SETTINGS, classes=(LONG_CLASS,))))
     assert all(driver.serve(k * 500 * MS, 100 * MS) for k in range(60))
     for k in range(60):
         now = (60 + k) * SECOND
-        rid, actions = driver.ask(now)
+        request_id, actions = driver.send_request(now)
         if sent := sends(actions):
-            driver.balancer.client_disconnected(now + 900 * MS, rid)
-            done = Outcome(rid, 0, sent[0].endpoint, CANCELLED, 900 * MS, is_final=True)
-            driver.balancer.outcome(now + 900 * MS, done)
+            driver.balancer.client_disconnected(now + 900 * MS, request_id)
+            outcome_event = Outcome(request_id, 0, sent[0].endpoint, CANCELLED, 900 * MS, is_final=True)
+            driver.balancer.outcome(now + 900 * MS, outcome_event)
     assert driver.balancer.admission.admitted_share < 0.3
 
 
-def test_a_client_that_leaves_while_its_request_waits_ends_all_of_it() -> None:
-    """It waits for an endpoint, for its turn, or for a further try: nothing is sent, held or timed after."""
-    cls = replace(PATIENT, sequential=True)
-    balancer = started(0, settings=replace(SETTINGS, classes=(PATIENT, cls)))
+def test_nothing_follows_for_a_waiting_request_whose_client_leaves() -> None:
+    """A request may wait for an endpoint, for its turn or for a retry; after the client has left, nothing of
+    it is sent, held or timed.
+    """
+    cls = replace(LONG_CLASS, sequential=True)
+    balancer = started(0, settings=replace(SETTINGS, classes=(LONG_CLASS, cls)))
     timers: list[int] = []
-    for rid, kind in ((1, 0), (2, 1), (3, 1)):
-        actions = balancer.request(rid, Arrival(rid, kind, 6 * SECOND, key=7))
+    for request_id, kind in ((1, 0), (2, 1), (3, 1)):
+        actions = balancer.request(request_id, Arrival(request_id, kind, 6 * SECOND, key=7))
         timers += [one.token for one in actions if isinstance(one, Timer)]
         assert not sends(actions)
     assert timers
-    for rid in (1, 3, 2):
-        left = balancer.client_disconnected(10, rid)
-        assert all(isinstance(one, Timer) for one in left), "the next one's turn to wait, at most"
-        timers += [one.token for one in left if isinstance(one, Timer)]
+    for request_id in (1, 3, 2):
+        actions_after_leaving = balancer.client_disconnected(10, request_id)
+        assert all(isinstance(one, Timer) for one in actions_after_leaving), (
+            "at most a timer for the next request of the key"
+        )
+        timers += [one.token for one in actions_after_leaving if isinstance(one, Timer)]
     balancer.members(20, LIST_FULL, fleet(4))
     assert [balancer.timer(30, token) for token in timers] == [[]] * len(timers)
     assert (
@@ -468,93 +526,98 @@
     )
 
 
-def longest_pause(seed: int, gap: int, trouble: tuple[int, int], copies: int) -> int:
-    """µs without a send, at most, once all endpoints answer again after 40 s in which each attempt
-    ended with this outcome after this time."""
-    settings = replace(SETTINGS, classes=(PATIENT,))
+def longest_pause(seed: int, interval_us: int, fault: tuple[int, int], copies: int) -> int:
+    """Return the longest time without a send, in µs, after all endpoints have recovered.
+
+    Before that, each attempt ended for 40 s with the outcome of `fault`, after its time.
+    """
+    settings = replace(SETTINGS, classes=(LONG_CLASS,))
     driver = Driver(started(6, seed=seed, settings=settings, instances=copies))
     due: list[tuple[int, Outcome]] = []
-    well, end, last, worst = 60 * SECOND, 80 * SECOND, 60 * SECOND, 0
-    for now in range(gap, end, gap):
-        for at, done in [one for one in due if one[0] <= now]:
-            driver.balancer.outcome(at, done)
+    recovered_at, end_at, last_sent_at, longest_us = 60 * SECOND, 80 * SECOND, 60 * SECOND, 0
+    for now in range(interval_us, end_at, interval_us):
+        for at, outcome_event in [one for one in due if one[0] <= now]:
+            driver.balancer.outcome(at, outcome_event)
         due = [one for one in due if one[0] > now]
-        rid, actions = driver.ask(now)
+        request_id, actions = driver.send_request(now)
         for sent in sends(actions):
-            worst, last = max(worst, now - max(well, last)), now
-            outcome, took = trouble if 20 * SECOND <= now < well else (OK, 300 * MS)
-            due.append((now + took, Outcome(rid, 0, sent.endpoint, outcome, took, is_final=True)))
+            longest_us, last_sent_at = max(longest_us, now - max(recovered_at, last_sent_at)), now
+            outcome, took = fault if 20 * SECOND <= now < recovered_at else (OK, 300 * MS)
+            due.append((now + took, Outcome(request_id, 0, sent.endpoint, outcome, took, is_final=True)))
         due.sort(key=lambda one: one[0])
-    return max(worst, end - last)
+    return max(longest_us, end_at - last_sent_at)
 
 
 @pytest.mark.parametrize("copies", [1, 33])
-@pytest.mark.parametrize("trouble", [(TIMEOUT, 6 * SECOND), (OK, 5 * SECOND), (FULL, MS)])
-@pytest.mark.parametrize("gap", [50 * MS, 250 * MS])
-def test_a_copy_does_not_hold_itself_shut(gap: int, trouble: tuple[int, int], copies: int) -> None:
-    """What is left of bad times let nothing through for up to 15 s, with all endpoints well: one in ten is
-    a matter of chance, and requests that hang filled the bound. At most one in eleven is, or one a second."""
-    pauses = [longest_pause(seed, gap, trouble, copies) for seed in range(8)]
-    assert max(pauses) <= max(SECOND, 11 * gap) + gap
-
-
-@pytest.mark.parametrize("within", [SECOND, 10 * SECOND, 60 * SECOND, 600 * SECOND])
+@pytest.mark.parametrize("fault", [(TIMEOUT, 6 * SECOND), (OK, 5 * SECOND), (FULL, MS)])
+@pytest.mark.parametrize("interval_us", [50 * MS, 250 * MS])
+def test_a_copy_sends_again_soon_after_a_fault(interval_us: int, fault: tuple[int, int], copies: int) -> None:
+    """After a fault, a copy admitted nothing for up to 15 s although all endpoints were healthy again: one
+    request in ten was admitted by chance only, and hanging requests filled the concurrency limit. Now at
+    least one request in eleven, or one a second, is sent.
+    """
+    pauses = [longest_pause(seed, interval_us, fault, copies) for seed in range(8)]
+    assert max(pauses) <= max(SECOND, 11 * interval_us) + interval_us
+
+
+@pytest.mark.parametrize("ask_within_us", [SECOND, 10 * SECOND, 60 * SECOND, 600 * SECOND])
 @pytest.mark.parametrize("seed", range(20))
-def test_a_failed_call_for_lists_is_followed_by_another_in_time(seed: int, within: int) -> None:
-    """A call may run for 2 s before it is given up, and the next takes as long: with the pause between them
-    that has to lie within 6 s, whatever ask_within_us is. It was up to 3/8 of that."""
-    balancer = Balancer(seed, replace(SETTINGS, asks_discovery=True, ask_within_us=within))
-    (first,) = balancer.start(0)
-    assert isinstance(first, Timer) and first.delay_us <= min(1_500 * MS, within)
-    now, asked = first.delay_us, balancer.timer(first.delay_us, first.token)
+def test_a_failed_call_to_discovery_is_repeated_in_time(seed: int, ask_within_us: int) -> None:
+    """A call to discovery may take 2 s until its time-out, and so may the next one. Both and the pause
+    between them must fit into 6 s, whatever `ask_within_us` is; the pause was up to 3/8 of it.
+    """
+    balancer = Balancer(seed, replace(SETTINGS, asks_discovery=True, ask_within_us=ask_within_us))
+    (first_timer,) = balancer.start(0)
+    assert isinstance(first_timer, Timer) and first_timer.delay_us <= min(1_500 * MS, ask_within_us)
+    now, actions = first_timer.delay_us, balancer.timer(first_timer.delay_us, first_timer.token)
     for _ in range(50):
-        assert asked == [Watch(True)]
-        (again,) = balancer.members(now, LIST_FAILED, ())
-        assert isinstance(again, Timer)
-        assert 2 * SECOND + again.delay_us + 2 * SECOND <= 6 * SECOND - 500 * MS
-        assert again.delay_us <= within
-        now += again.delay_us
-        asked = balancer.timer(now, again.token)
+        assert actions == [Watch(True)]
+        (retry_timer,) = balancer.members(now, LIST_FAILED, ())
+        assert isinstance(retry_timer, Timer)
+        assert 2 * SECOND + retry_timer.delay_us + 2 * SECOND <= 6 * SECOND - 500 * MS
+        assert retry_timer.delay_us <= ask_within_us
+        now += retry_timer.delay_us
+        actions = balancer.timer(now, retry_timer.token)
 
 
-def test_copies_do_not_ask_together() -> None:
+def test_copies_do_not_call_discovery_together() -> None:
     delays = []
     for seed in range(200):
         balancer = Balancer(seed, replace(SETTINGS, asks_discovery=True))
         balancer.start(0)
-        (again,) = balancer.members(SECOND, LIST_FAILED, ())
-        assert isinstance(again, Timer)
-        delays.append(again.delay_us // (40 * MS))
+        (retry_timer,) = balancer.members(SECOND, LIST_FAILED, ())
+        assert isinstance(retry_timer, Timer)
+        delays.append(retry_timer.delay_us // (40 * MS))
     assert max(delays.count(one) for one in delays) < 40
 
 
 @pytest.mark.parametrize("stage", [0, 1])
 @pytest.mark.parametrize("outcome", [ERROR, FULL, TIMEOUT, NO_CONNECT, RESET, None], ids=str)
-def test_the_first_request_after_any_trouble_goes_out_within_what_it_waits(
-    outcome: int | None, stage: int
-) -> None:
-    """No endpoint's health, crowding or missing room, nor spent tokens, nor an empty list (None) keeps a
-    copy from sending once all is well: what comes then goes out at once, or as an endpoint is free again."""
-    settings = replace(SETTINGS, classes=(PATIENT,), stage=stage, stages=2)
+def test_requests_are_sent_within_a_second_after_any_fault(outcome: int | None, stage: int) -> None:
+    """After any fault, a copy sends requests again once all endpoints have recovered, at once or when an
+    endpoint is eligible again. Low health, overload, missing capacity, a spent retry budget or an empty
+    list (None) must not prevent it.
+    """
+    settings = replace(SETTINGS, classes=(LONG_CLASS,), stage=stage, stages=2)
     driver = Driver(balancer := started(6, settings=settings))
     assert all(driver.serve(k * 50 * MS, 100 * MS) for k in range(100))
     if outcome is None:
         balancer.members(5 * SECOND, LIST_FULL, [])
     for k in range(200):
         now = 6 * SECOND + k * 50 * MS
-        rid, actions = driver.ask(now)
-        copy = 0
+        request_id, actions = driver.send_request(now)
+        attempt_index = 0
         while sent := sends(actions):
             assert outcome is not None
-            done = Outcome(rid, copy, sent[0].endpoint, outcome, MS, is_final=False)
-            actions, copy = balancer.outcome(now + MS, done), copy + 1
+            outcome_event = Outcome(request_id, attempt_index, sent[0].endpoint, outcome, MS, is_final=False)
+            actions, attempt_index = balancer.outcome(now + MS, outcome_event), attempt_index + 1
     if outcome is None:
         balancer.members(17 * SECOND, LIST_FULL, fleet(6))
-    began = now = 17 * SECOND
-    while now - began <= SECOND:
-        rid, actions = driver.ask(now)
+    started_at = now = 17 * SECOND
+    while now - started_at <= SECOND:
+        request_id, actions = driver.send_request(now)
         timers = [(now + one.delay_us, one.token) for one in actions if isinstance(one, Timer)]
-        while timers and not sends(actions) and timers[0][0] - began <= SECOND:
+        while timers and not sends(actions) and timers[0][0] - started_at <= SECOND:
             now, token = timers.pop()
             actions = balancer.timer(now, token)
             timers = [(now + one.delay_us, one.token) for one in actions if isinstance(one, Timer)]
@@ -566,40 +629,45 @@
 
 @plain_only
 @pytest.mark.parametrize(
-    ("owner", "guard", "broken", "effect", "why"),
+    ("owner", "guard", "result", "effect", "expected_message"),
     [
         (RetryPolicy, "can_attempt", True, UNSAFE, "no effect twice"),
         (RetryPolicy, "is_in_scope", True, KEYED, "out of scope"),
-        (Membership, "remove", False, SAFE, "nothing is sent to one that drains"),
+        (Membership, "remove", False, SAFE, "nothing is sent to an endpoint that drains"),
         (Balancer, "_refuse_or_fail", None, SAFE, "each request ends"),
-        (Balancer, "_close_request", None, SAFE, "one end|nothing is sent after the end"),
+        (Balancer, "_close_request", None, SAFE, "one final answer|nothing is sent after the end"),
     ],
 )
-def test_the_referee_sees_each_rule_broken(
-    monkeypatch: pytest.MonkeyPatch, owner: type, guard: str, broken: bool | None, effect: int, why: str
+def test_the_checker_notices_each_broken_rule(
+    monkeypatch: pytest.MonkeyPatch,
+    owner: type,
+    guard: str,
+    result: bool | None,
+    effect: int,
+    expected_message: str,
 ) -> None:
-    """A checker that can't fail proves nothing: take one guard away at a time."""
+    """Guards against a checker that cannot fail: it must notice each guard that is removed."""
 
     def play() -> None:
         cls = RequestClass(effect, SCOPE_CELL, 8 * SECOND, 200 * MS, deadline_us=SECOND)
-        referee = Referee(1, replace(SETTINGS, classes=(cls,), max_attempts=6))
+        checker = RuleChecker(1, replace(SETTINGS, classes=(cls,), max_attempts=6))
         ready = [Entry(n, READY, 0, 1.0, n % 2, 0, 0) for n in range(1, 7)]
-        referee.members(LIST_FULL, ready)
-        referee.members(LIST_DELTA, [replace(entry, phase=DRAINING) for entry in ready[4:]])
+        checker.members(LIST_FULL, ready)
+        checker.members(LIST_DELTA, [replace(entry, phase=DRAINING) for entry in ready[4:]])
         for n in range(12):
-            referee.request(0, 10, 0, 0)
-            referee.storm(ERROR if n % 2 else NO_CONNECT, 6)
-        referee.leave(0)
-        referee.pass_time(3 * SECOND)
-        assert all(one.over for one in referee.asked.values()), "each request ends"
+            checker.request(0, 10, 0, 0)
+            checker.storm(ERROR if n % 2 else NO_CONNECT, 6)
+        checker.leave(0)
+        checker.pass_time(3 * SECOND)
+        assert all(one.is_over for one in checker.requests.values()), "each request ends"
 
     play()
-    if guard == "is_in_scope":  # what the pick narrows it to, too
+    if guard == "is_in_scope":  # also remove the selection within the scope
 
         def pick_anywhere(selector: EndpointSelector, now: int, asked: Request) -> Endpoint | None:
             return selector._choose(now, asked, selector.subsets.pair)
 
         monkeypatch.setattr(EndpointSelector, "pick", pick_anywhere)
-    monkeypatch.setattr(owner, guard, lambda *_: broken)
-    with pytest.raises(AssertionError, match=why):
+    monkeypatch.setattr(owner, guard, lambda *_: result)
+    with pytest.raises(AssertionError, match=expected_message):
         play()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,6 +1,7 @@
-"""The four rules, checked by a ledger of its own over random legal events.
+"""The rules of sends and final answers, checked over random legal events.
 
-It models no endpoints: outcomes, lists and timers come in any legal order.
+`RuleChecker` keeps its own record of requests and attempts. It does not simulate endpoints: outcomes,
+lists and timers come in any legal order.
 """
 
 from __future__ import annotations
@@ -70,25 +71,25 @@
 
 
 @dataclass
-class Try:
+class SentAttempt:
     endpoint: int
-    at: int
-    until: int
-    ended: int | None = None  # its outcome
+    sent_at: int
+    timeout_at: int
+    outcome: int | None = None  # None while outstanding
     ended_at: int = 0
 
 
 @dataclass
-class Asked:
-    cls: RequestClass
-    expires: int
+class SentRequest:
+    request_class: RequestClass
+    expires_at: int
     key: int = 0
-    tries: list[Try] = field(default_factory=list)
-    over: bool = False
+    attempts: list[SentAttempt] = field(default_factory=list)
+    is_over: bool = False
 
 
-class Ledger:
-    """Plays events to one balancer and checks each action as it comes."""
+class RuleChecker:
+    """Sends events to one balancer and checks each of its actions."""
 
     def __init__(self, seed: int, config: Settings) -> None:
         self.config = config
@@ -96,23 +97,25 @@
         self.balancer = Balancer(seed, config)
         self.entries: dict[int, Entry] = {}
         self.listed: set[int] = set()
-        self.asked: dict[int, Asked] = {}
+        self.requests: dict[int, SentRequest] = {}
         self.timers: list[tuple[int, int]] = []
         self.probes: list[int] = []
-        self.cold: list[tuple[int, int]] = []
-        self.proofs = {NO_CONNECT, NOT_SENT} if config.full_unproven else {NO_CONNECT, NOT_SENT, FULL}
-        self.take(self.balancer.start(self.now))
+        self.cold_sends: list[tuple[int, int]] = []
+        self.never_ran_outcomes = (
+            {NO_CONNECT, NOT_SENT} if config.full_unproven else {NO_CONNECT, NOT_SENT, FULL}
+        )
+        self.check_actions(self.balancer.start(self.now))
 
-    def group(self, cls: RequestClass, endpoint: int) -> int:
+    def scope_group(self, cls: RequestClass, endpoint: int) -> int:
         entry = self.entries[endpoint]
         return {SCOPE_ALL: 0, SCOPE_ZONE: entry.zone, SCOPE_CELL: entry.cell}[cls.scope]
 
-    def take(self, actions: list[Action]) -> None:
+    def check_actions(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
-                self.sent(action)
+                self.check_send(action)
             elif isinstance(action, Refuse | Fail):
-                self.answered(action)
+                self.check_final_answer(action)
             elif isinstance(action, Timer):
                 assert action.delay_us >= 0
                 self.timers.append((self.now + max(1, action.delay_us), action.token))
@@ -121,46 +124,56 @@
                 self.probes.append(action.endpoint)
             elif isinstance(action, Cancel):
                 assert self.config.can_cancel
-                assert action.attempt_index < len(self.asked[action.request].tries)
+                assert action.attempt_index < len(self.requests[action.request].attempts)
 
-    def sent(self, action: Send) -> None:
-        one = self.asked[action.request]
-        assert not one.over, "nothing after the final answer"
+    def check_send(self, action: Send) -> None:
+        request = self.requests[action.request]
+        assert not request.is_over, "nothing is sent after the final answer"
         assert action.endpoint in self.listed, "only to endpoints that are ready"
-        assert self.now < one.expires and action.timeout_us > 0
-        assert len(one.tries) < self.config.max_attempts
-        maybe = [tried for tried in one.tries if tried.ended not in self.proofs]
-        if any(tried.ended is None for tried in one.tries):
+        assert self.now < request.expires_at and action.timeout_us > 0
+        assert len(request.attempts) < self.config.max_attempts
+        possible_executions = [
+            attempt for attempt in request.attempts if attempt.outcome not in self.never_ran_outcomes
+        ]
+        if any(attempt.outcome is None for attempt in request.attempts):
             assert self.config.second_copies
-        assert one.cls.effect != UNSAFE or not maybe, "no effect twice"
-        if one.cls.effect == KEYED:
-            for tried in maybe:
-                assert self.group(one.cls, tried.endpoint) == self.group(one.cls, action.endpoint)
-                assert self.now - tried.at < one.cls.window_us
-        if one.key:
-            for rid, other in self.asked.items():
-                if rid >= action.request or other.key != one.key:
+        assert request.request_class.effect != UNSAFE or not possible_executions, "no effect twice"
+        if request.request_class.effect == KEYED:
+            for attempt in possible_executions:
+                assert self.scope_group(request.request_class, attempt.endpoint) == self.scope_group(
+                    request.request_class, action.endpoint
+                )
+                assert self.now - attempt.sent_at < request.request_class.window_us
+        if request.key:
+            for request_id, other in self.requests.items():
+                if request_id >= action.request or other.key != request.key:
                     continue
-                assert other.over, "one of a key at a time, in the order taken"
-                for tried in other.tries:
-                    assert tried.ended is not None, "nothing of an earlier one is out"
-                    if tried.ended in (TIMEOUT, RESET, CANCELLED):
-                        assert self.now >= tried.ended_at + self.config.key_rest_us, "the key rests"
-        one.tries.append(Try(action.endpoint, self.now, min(one.expires, self.now + action.timeout_us)))
+                assert other.is_over, "one request of a key at a time, in order of arrival"
+                for attempt in other.attempts:
+                    assert attempt.outcome is not None, "no attempt of an earlier request is outstanding"
+                    if attempt.outcome in (TIMEOUT, RESET, CANCELLED):
+                        assert self.now >= attempt.ended_at + self.config.key_rest_us, "the key rests"
+        request.attempts.append(
+            SentAttempt(action.endpoint, self.now, min(request.expires_at, self.now + action.timeout_us))
+        )
         entry = self.entries[action.endpoint]
         if entry.boot and self.now - entry.boot < self.config.cold_us:
-            self.cold.append((self.now, action.endpoint))
+            self.cold_sends.append((self.now, action.endpoint))
 
-    def answered(self, action: Refuse | Fail) -> None:
-        one = self.asked[action.request]
-        assert not one.over, "exactly one final answer"
-        assert self.now <= one.expires + self.config.answer_slack_us, "in time"
+    def check_final_answer(self, action: Refuse | Fail) -> None:
+        request = self.requests[action.request]
+        assert not request.is_over, "exactly one final answer"
+        assert self.now <= request.expires_at + self.config.answer_slack_us, "in time"
         if isinstance(action, Refuse):
-            harmless = one.cls.effect == SAFE or (one.cls.effect == KEYED and one.cls.scope == SCOPE_ALL)
-            assert harmless or all(tried.ended in self.proofs for tried in one.tries)
-        one.over = True
+            is_retry_harmless = request.request_class.effect == SAFE or (
+                request.request_class.effect == KEYED and request.request_class.scope == SCOPE_ALL
+            )
+            assert is_retry_harmless or all(
+                attempt.outcome in self.never_ran_outcomes for attempt in request.attempts
+            )
+        request.is_over = True
 
-    # Events
+    # Events; the names of these methods are the names of the drawn steps.
 
     def members(self, mode: int, entries: list[Entry]) -> None:
         if mode in (LIST_FULL, LIST_CACHED):
@@ -168,72 +181,92 @@
         for entry in entries if mode != LIST_FAILED else ():
             self.entries[entry.endpoint] = entry
             (self.listed.add if entry.phase == READY else self.listed.discard)(entry.endpoint)
-        self.take(self.balancer.members(self.now, mode, entries if mode != LIST_FAILED else ()))
-
-    def request(self, cls: int, patience: int, tenant: int) -> None:
-        rid = len(self.asked) + 1
-        key = rid % 3
-        self.asked[rid] = Asked(CLASSES[cls], self.now + patience, key * CLASSES[cls].sequential)
-        arrival = Arrival(rid, cls, self.now + patience, tenant, key, work_us=1000 * (rid % 7))
-        self.take(self.balancer.request(self.now, arrival))
+        self.check_actions(self.balancer.members(self.now, mode, entries if mode != LIST_FAILED else ()))
+
+    def request(self, class_index: int, wait_us: int, tenant: int) -> None:
+        request_id = len(self.requests) + 1
+        key = request_id % 3
+        self.requests[request_id] = SentRequest(
+            CLASSES[class_index], self.now + wait_us, key * CLASSES[class_index].sequential
+        )
+        arrival = Arrival(
+            request_id, class_index, self.now + wait_us, tenant, key, work_us=1000 * (request_id % 7)
+        )
+        self.check_actions(self.balancer.request(self.now, arrival))
 
     def outcome(self, pick: int, outcome: int) -> None:
-        out = [
-            (rid, copy)
-            for rid, one in self.asked.items()
-            for copy, tried in enumerate(one.tries)
-            if tried.ended is None
+        outstanding = [
+            (request_id, attempt_index)
+            for request_id, request in self.requests.items()
+            for attempt_index, attempt in enumerate(request.attempts)
+            if attempt.outcome is None
         ]
-        if out:
-            self.end(*out[pick % len(out)], outcome)
+        if outstanding:
+            self.end_attempt(*outstanding[pick % len(outstanding)], outcome)
 
     def storm(self, outcome: int, rounds: int) -> None:
-        """Everything that is out ends alike, and what is sent again does too."""
+        """End all outstanding attempts with one outcome, and their retries too, in some rounds."""
         for _ in range(rounds):
-            for rid, one in list(self.asked.items()):
-                for copy, tried in enumerate(list(one.tries)):
-                    if tried.ended is None:
-                        self.end(rid, copy, outcome)
-
-    def end(self, rid: int, copy: int, outcome: int) -> None:
-        one, tried = self.asked[rid], self.asked[rid].tries[copy]
-        tried.ended, tried.ended_at = outcome, self.now
-        one.over |= outcome == OK
-        report = (float(rid % 5),) if rid % 2 else None
-        done = Outcome(rid, copy, tried.endpoint, outcome, self.now - tried.at, one.over, report)
-        self.take(self.balancer.outcome(self.now, done))
+            for request_id, request in list(self.requests.items()):
+                for attempt_index, attempt in enumerate(list(request.attempts)):
+                    if attempt.outcome is None:
+                        self.end_attempt(request_id, attempt_index, outcome)
+
+    def end_attempt(self, request_id: int, attempt_index: int, outcome: int) -> None:
+        request, attempt = self.requests[request_id], self.requests[request_id].attempts[attempt_index]
+        attempt.outcome, attempt.ended_at = outcome, self.now
+        request.is_over |= outcome == OK
+        report = (float(request_id % 5),) if request_id % 2 else None
+        outcome_event = Outcome(
+            request_id,
+            attempt_index,
+            attempt.endpoint,
+            outcome,
+            self.now - attempt.sent_at,
+            request.is_over,
+            report,
+        )
+        self.check_actions(self.balancer.outcome(self.now, outcome_event))
 
     def leave(self, pick: int) -> None:
-        held = [rid for rid, one in self.asked.items() if not one.over]
-        if held:
-            rid = held[pick % len(held)]
-            self.asked[rid].over = True
-            self.take(self.balancer.client_disconnected(self.now, rid))
-            self.take(self.balancer.client_disconnected(self.now, rid))
-
-    def probe(self, ok: bool) -> None:
+        open_requests = [request_id for request_id, request in self.requests.items() if not request.is_over]
+        if open_requests:
+            request_id = open_requests[pick % len(open_requests)]
+            self.requests[request_id].is_over = True
+            self.check_actions(self.balancer.client_disconnected(self.now, request_id))
+            self.check_actions(self.balancer.client_disconnected(self.now, request_id))
+
+    def probe(self, is_ok: bool) -> None:
         if self.probes:
-            found = ProbeResult(self.probes.pop(0), OK if ok else TIMEOUT, MS, (3.0,) if ok else None)
-            self.take(self.balancer.probed(self.now, found))
+            probe_result = ProbeResult(
+                self.probes.pop(0), OK if is_ok else TIMEOUT, MS, (3.0,) if is_ok else None
+            )
+            self.check_actions(self.balancer.probed(self.now, probe_result))
+
+    def pass_time(self, span_us: int) -> None:
+        """Fire timers and time-outs in order for `span_us`.
 
-    def pass_time(self, span: int) -> None:
-        """Timers and time-outs come due in order; a time-out is never later
-        than the client's deadline, as on the wire."""
-        end = self.now + span
+        An attempt times out no later than the client's deadline, as in the simulator's protocol.
+        """
+        end_at = self.now + span_us
         while True:
-            due = [(at, 0, token, 0) for at, token in self.timers]
-            for rid, one in self.asked.items():
-                due += [(t.until, 1, rid, copy) for copy, t in enumerate(one.tries) if t.ended is None]
-            if not due or min(due)[0] > end:
+            due = [(due_at, 0, token, 0) for due_at, token in self.timers]
+            for request_id, request in self.requests.items():
+                due += [
+                    (attempt.timeout_at, 1, request_id, attempt_index)
+                    for attempt_index, attempt in enumerate(request.attempts)
+                    if attempt.outcome is None
+                ]
+            if not due or min(due)[0] > end_at:
                 break
-            at, kind, which, copy = min(due)
-            self.now = max(self.now, at)
+            due_at, kind, token_or_request, attempt_index = min(due)
+            self.now = max(self.now, due_at)
             if kind == 0:
-                self.timers.remove((at, which))
-                self.take(self.balancer.timer(self.now, which))
+                self.timers.remove((due_at, token_or_request))
+                self.check_actions(self.balancer.timer(self.now, token_or_request))
             else:
-                self.end(which, copy, TIMEOUT)
-        self.now = end
+                self.end_attempt(token_or_request, attempt_index, TIMEOUT)
+        self.now = end_at
 
 
 ENTRIES = st.lists(
@@ -299,65 +332,76 @@
 def test_rules_hold_over_random_legal_events(
     seed: int, config: Settings, steps: list[tuple[str, *tuple[object, ...]]], first: list[Entry]
 ) -> None:
-    ledger = Ledger(seed, config)
-    ledger.members(LIST_CACHED, [entry for entry in first if entry.phase != GONE])
+    checker = RuleChecker(seed, config)
+    checker.members(LIST_CACHED, [entry for entry in first if entry.phase != GONE])
     for name, *arguments in steps:
         if name == "members" and arguments[0] in (LIST_FULL, LIST_CACHED):
             arguments[1] = [entry for entry in arguments[1] if entry.phase != GONE]  # type: ignore[attr-defined]
-        getattr(ledger, name)(*arguments)
-    ledger.pass_time(5 * SECOND)
-    unanswered = [rid for rid, one in ledger.asked.items() if not one.over]
-    assert not unanswered, "every request is answered in the end"
-    assert not ledger.balancer.requests
-    queues = ledger.balancer.key_queues.queues.values()
+        getattr(checker, name)(*arguments)
+    checker.pass_time(5 * SECOND)
+    unanswered = [request_id for request_id, request in checker.requests.items() if not request.is_over]
+    assert not unanswered, "every request gets a final answer"
+    assert not checker.balancer.requests
+    queues = checker.balancer.key_queues.queues.values()
     assert not any(queue.open_requests or queue.outstanding_attempts for queue in queues)
 
 
 def run_twice(seed: int, steps: list[tuple[str, *tuple[object, ...]]]) -> list[list[tuple[int, int]]]:
     config = Settings(classes=CLASSES, max_attempts=3, second_copies=True, can_cancel=True)
-    ledgers = []
+    attempts_by_run = []
     for _ in range(2):
-        ledger = Ledger(seed, config)
-        ledger.members(LIST_CACHED, [Entry(n, READY, 0, 1.0, n % 3, n % 2, 0) for n in range(1, 9)])
+        checker = RuleChecker(seed, config)
+        checker.members(LIST_CACHED, [Entry(n, READY, 0, 1.0, n % 3, n % 2, 0) for n in range(1, 9)])
         for name, *arguments in steps:
             if name != "members":
-                getattr(ledger, name)(*arguments)
-        ledgers.append([(t.endpoint, t.at) for one in ledger.asked.values() for t in one.tries])
-    return ledgers
+                getattr(checker, name)(*arguments)
+        attempts_by_run.append(
+            [
+                (attempt.endpoint, attempt.sent_at)
+                for request in checker.requests.values()
+                for attempt in request.attempts
+            ]
+        )
+    return attempts_by_run
 
 
 @settings(derandomize=True, deadline=None, max_examples=50, database=None)
 @given(seed=st.integers(0, 2**32), steps=STEPS)
 def test_same_events_give_the_same_actions(seed: int, steps: list[tuple[str, *tuple[object, ...]]]) -> None:
-    one, two = run_twice(seed, steps)
-    assert one == two
+    first_run, second_run = run_twice(seed, steps)
+    assert first_run == second_run
 
 
 @plain_only
 @pytest.mark.parametrize(
-    ("owner", "guard", "broken", "cls", "why"),
+    ("owner", "guard", "result", "class_index", "expected_message"),
     [
-        (KeyQueues, "has_turn", True, 5, "one of a key at a time"),
+        (KeyQueues, "has_turn", True, 5, "one request of a key at a time"),
         (RetryPolicy, "can_attempt", True, 1, "no effect twice"),
         (Membership, "remove", False, 0, "only to endpoints that are ready"),
     ],
 )
-def test_the_ledger_sees_each_rule_broken(
-    monkeypatch: pytest.MonkeyPatch, owner: type, guard: str, broken: bool, cls: int, why: str
+def test_the_checker_notices_each_broken_rule(
+    monkeypatch: pytest.MonkeyPatch,
+    owner: type,
+    guard: str,
+    result: bool,
+    class_index: int,
+    expected_message: str,
 ) -> None:
-    """A checker that can't fail proves nothing: take one guard away at a time."""
+    """Guards against a checker that cannot fail: it must notice each guard that is removed."""
 
     def play() -> None:
-        ledger = Ledger(1, Settings(classes=CLASSES, max_attempts=3, can_cancel=True))
+        checker = RuleChecker(1, Settings(classes=CLASSES, max_attempts=3, can_cancel=True))
         ready = [Entry(n, READY, 0, 1.0, 0, 0, 0) for n in range(1, 5)]
-        ledger.members(LIST_FULL, ready)
-        ledger.members(LIST_DELTA, [replace(entry, phase=DRAINING) for entry in ready[:3]])
+        checker.members(LIST_FULL, ready)
+        checker.members(LIST_DELTA, [replace(entry, phase=DRAINING) for entry in ready[:3]])
         for _ in range(7):
-            ledger.request(cls, SECOND, 0)
-        ledger.members(LIST_DELTA, ready)
-        ledger.storm(ERROR, 2)
+            checker.request(class_index, SECOND, 0)
+        checker.members(LIST_DELTA, ready)
+        checker.storm(ERROR, 2)
 
     play()
-    monkeypatch.setattr(owner, guard, lambda *_: broken)
-    with pytest.raises(AssertionError, match=why):
+    monkeypatch.setattr(owner, guard, lambda *_: result)
+    with pytest.raises(AssertionError, match=expected_message):
         play()
