--- a/tests/recorded_decisions/__init__.py
+++ b/tests/recorded_decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Recorded decisions: seeded event sequences and digests of the actions that they must give."""
+"""Recorded decisions: seeded event sequences, and digests of the actions that they must produce."""
--- a/tests/recorded_decisions/__main__.py
+++ b/tests/recorded_decisions/__main__.py
@@ -1,21 +1,21 @@
-"""Record the decisions anew: `python -m tests.recorded_decisions`.
+"""Record the decisions again: `python -m tests.recorded_decisions`.
 
-Only where a change of the actions is meant; the commit says which change, and why.
+Do so only after an intended change of the actions; the commit message states the change and its reason.
 """
 
 from __future__ import annotations
 
 import json
 
-from tests.recorded_decisions.recording import RECORDED, played
+from tests.recorded_decisions.recording import RECORDING_PATH, simulate
 from tests.recorded_decisions.scenarios import SCENARIOS
 
 
 def main() -> None:
-    """Play each scenario and write the digests of its actions."""
-    found = {scenario.name: played(scenario) for scenario in SCENARIOS}
-    RECORDED.write_text(json.dumps(found, indent=1) + "\n")
-    for name, (counts, digests) in found.items():
+    """Simulate each scenario and write the digests of its actions."""
+    recordings = {scenario.name: simulate(scenario) for scenario in SCENARIOS}
+    RECORDING_PATH.write_text(json.dumps(recordings, indent=1) + "\n")
+    for name, (counts, digests) in recordings.items():
         print(f"{name}: {counts}, {len(digests)} digests")
 
 
--- a/tests/recorded_decisions/recording.py
+++ b/tests/recorded_decisions/recording.py
@@ -1,4 +1,4 @@
-"""Where the recording is stored, and how a scenario is played for it."""
+"""The file of the recording, and the simulation of a scenario for it."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from tests.recorded_decisions.scenarios import SCENARIOS, Scenario
 from tests.recorded_decisions.world import World
 
-RECORDED = Path(__file__).parents[1] / "fixtures" / "recorded_decisions.json"
+RECORDING_PATH = Path(__file__).parents[1] / "fixtures" / "recorded_decisions.json"
 FIRST_SEED = 41
 
 
-def played(scenario: Scenario) -> tuple[dict[str, int], list[str]]:
-    """How many actions of each kind the scenario gives, and the digests of all of them in order."""
+def simulate(scenario: Scenario) -> tuple[dict[str, int], list[str]]:
+    """Simulate a scenario; returns the number of actions of each kind and the digests of all actions."""
     recording = World(scenario, FIRST_SEED + SCENARIOS.index(scenario)).play()
     return dict(sorted(recording.counts.items())), recording.digests
--- a/tests/recorded_decisions/scenarios.py
+++ b/tests/recorded_decisions/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios of the recording: settings, the endpoint list and how the world behaves."""
+"""The scenarios of the recording: settings, endpoint list and behaviour of the simulated world."""
 
 from __future__ import annotations
 
@@ -38,30 +38,30 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """One world: its module's settings, its endpoints and the shares of what happens in it."""
+    """One scenario: the balancer's settings, the endpoints, and the shares of simulated events."""
 
     name: str
     settings: dict[str, Any]
     endpoints: int = 12
-    spare_endpoints: int = 4  # endpoints that the first list lacks
+    spare_endpoints: int = 4  # endpoints that are missing from the first list
     zones: int = 1
     arrivals: int = 2500
     interval_us: int = 8 * MS  # mean time between arrivals
     service_us: int = 30 * MS  # mean time of an answer at an idle endpoint
     faults: tuple[str, ...] = ("error", "full", "frozen", "unreachable", "slow", "reset")
     fault_every_us: int = 2 * SECOND
-    broken_share: float = 0.125  # share of the endpoints that each change of faults strikes
+    broken_share: float = 0.125  # share of the endpoints that each change of faults affects
     list_every_us: int = 900 * MS
     has_partial_lists: bool = False
     has_failed_lists: bool = False
     has_recent_starts: bool = False
-    upload_share: float = 0.0  # share of requests whose body is still on its way
+    upload_share: float = 0.0  # share of requests that arrive before their body is complete
     key_count: int = 0
     tenant_count: int = 1
     has_work_hints: bool = False
-    report_field_count: int = 0  # figures in each load report
-    disconnect_share: float = 0.02  # share of clients that leave before the deadline
-    class_weights: tuple[int, ...] = field(default=())  # of the classes among the arrivals
+    report_field_count: int = 0  # number of fields of each load report
+    disconnect_share: float = 0.02  # share of clients that disconnect before the deadline
+    class_weights: tuple[int, ...] = field(default=())  # relative frequency of each class; empty = equal
 
 
 SCENARIOS = (
--- a/tests/test_crossings_balancing.py
+++ b/tests/test_crossings_balancing.py
@@ -251,7 +251,7 @@
         if outstanding := self.outstanding_attempts():
             self.end_attempt(*outstanding[pick % len(outstanding)], outcome)
 
-    def storm(self, outcome: int, rounds: int) -> None:
+    def end_all_attempts(self, outcome: int, rounds: int) -> None:
         """End all outstanding attempts with one outcome, and their retries too, in some rounds."""
         for _ in range(rounds):
             for request_id, attempt_index in self.outstanding_attempts():
@@ -267,7 +267,7 @@
         )
         self.check_actions(self.balancer.outcome(self.now, outcome_event))
 
-    def leave(self, pick: int) -> None:
+    def disconnect_client(self, pick: int) -> None:
         if open_requests := [
             request_id for request_id, request in self.requests.items() if not request.is_over
         ]:
@@ -333,10 +333,10 @@
             st.integers(0, 3),
         ),
         st.tuples(st.just("outcome"), st.integers(0, 50), st.sampled_from(OUTCOMES)),
-        st.tuples(st.just("storm"), st.sampled_from(OUTCOMES), st.integers(1, 4)),
+        st.tuples(st.just("end_all_attempts"), st.sampled_from(OUTCOMES), st.integers(1, 4)),
         st.tuples(st.just("head"), st.integers(0, 50)),
         st.tuples(st.just("complete_body"), st.integers(0, 50)),
-        st.tuples(st.just("leave"), st.integers(0, 50)),
+        st.tuples(st.just("disconnect_client"), st.integers(0, 50)),
         st.tuples(st.just("pass_time"), st.sampled_from((1, 5 * MS, 80 * MS, 500 * MS))),
     ),
     min_size=5,
@@ -656,8 +656,8 @@
         checker.members(LIST_DELTA, [replace(entry, phase=DRAINING) for entry in ready[4:]])
         for n in range(12):
             checker.request(0, 10, 0, 0)
-            checker.storm(ERROR if n % 2 else NO_CONNECT, 6)
-        checker.leave(0)
+            checker.end_all_attempts(ERROR if n % 2 else NO_CONNECT, 6)
+        checker.disconnect_client(0)
         checker.pass_time(3 * SECOND)
         assert all(one.is_over for one in checker.requests.values()), "each request ends"
 
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -1,7 +1,8 @@
-"""The module's actions on recorded event sequences are the same, action by action.
+"""The balancer's actions on recorded event sequences are unchanged.
 
-The recording was made from the module while it was one file; each digest covers all actions up
-to it, so the first that differs tells within a hundred actions where a decision changed."""
+The recording was made when the balancing package was a single module. Each digest covers all actions
+before it, so the first one that differs locates a changed decision within a hundred actions.
+"""
 
 from __future__ import annotations
 
@@ -9,18 +10,20 @@
 
 import pytest
 
-from tests.recorded_decisions.recording import RECORDED, played
+from tests.recorded_decisions.recording import RECORDING_PATH, simulate
 from tests.recorded_decisions.scenarios import SCENARIOS, Scenario
 
-EXPECTED = json.loads(RECORDED.read_text())
+EXPECTED = json.loads(RECORDING_PATH.read_text())
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: str(scenario.name))
 def test_recorded_events_give_the_recorded_actions(scenario: Scenario) -> None:
-    counts, digests = played(scenario)
+    counts, digests = simulate(scenario)
     expected_counts, expected = EXPECTED[scenario.name]
-    differs = next((at for at, pair in enumerate(zip(digests, expected)) if pair[0] != pair[1]), None)  # noqa: B905
-    assert differs is None, f"the first other action is within the hundred before {differs * 100 + 100}"
+    differing = next((index for index, pair in enumerate(zip(digests, expected)) if pair[0] != pair[1]), None)  # noqa: B905
+    assert differing is None, (
+        f"the first different action is among the hundred before {differing * 100 + 100}"
+    )
     assert (counts, digests) == (expected_counts, expected)
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -204,7 +204,7 @@
         if outstanding:
             self.end_attempt(*outstanding[pick % len(outstanding)], outcome)
 
-    def storm(self, outcome: int, rounds: int) -> None:
+    def end_all_attempts(self, outcome: int, rounds: int) -> None:
         """End all outstanding attempts with one outcome, and their retries too, in some rounds."""
         for _ in range(rounds):
             for request_id, request in list(self.requests.items()):
@@ -228,7 +228,7 @@
         )
         self.check_actions(self.balancer.outcome(self.now, outcome_event))
 
-    def leave(self, pick: int) -> None:
+    def disconnect_client(self, pick: int) -> None:
         open_requests = [request_id for request_id, request in self.requests.items() if not request.is_over]
         if open_requests:
             request_id = open_requests[pick % len(open_requests)]
@@ -296,8 +296,12 @@
             st.integers(0, 50),
             st.sampled_from((OK, ERROR, FULL, TIMEOUT, NO_CONNECT, RESET, CANCELLED, NOT_SENT)),
         ),
-        st.tuples(st.just("storm"), st.sampled_from((ERROR, FULL, TIMEOUT, NO_CONNECT)), st.integers(1, 4)),
-        st.tuples(st.just("leave"), st.integers(0, 50)),
+        st.tuples(
+            st.just("end_all_attempts"),
+            st.sampled_from((ERROR, FULL, TIMEOUT, NO_CONNECT)),
+            st.integers(1, 4),
+        ),
+        st.tuples(st.just("disconnect_client"), st.integers(0, 50)),
         st.tuples(st.just("probe"), st.booleans()),
         st.tuples(st.just("pass_time"), st.integers(0, 300 * MS)),
     ),
@@ -399,7 +403,7 @@
         for _ in range(7):
             checker.request(class_index, SECOND, 0)
         checker.members(LIST_DELTA, ready)
-        checker.storm(ERROR, 2)
+        checker.end_all_attempts(ERROR, 2)
 
     play()
     monkeypatch.setattr(owner, guard, lambda *_: result)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,8 +1,8 @@
-"""What a whole fleet sends to a cold endpoint: many modules in one process, one pool of endpoints.
+"""The load that a whole fleet puts on cold endpoints: many balancers in one process, one set of endpoints.
 
-Each case is drawn from its seed and played on a clock of its own, in µs. Counted is what each
-cold endpoint gets within any span of `overload_for_us`, against the bound under which it stands
-(docs/design/slow_start.md): N + 2 x root of N + 2 requests, N being
+Each case is generated from its seed and simulated with a virtual clock in µs. The requests that each
+cold endpoint gets in any interval of `overload_for_us` are compared with the load that it can take
+(docs/design/slow_start.md): N + 2 x root of N + 2 requests, where N is
 `tip_multiple` x (`cold_share` + (1 - `cold_share`) x age / `cold_us`) x capacity x `overload_for_us`.
 """
 
@@ -39,96 +39,99 @@
 
 from tests.helpers import MS, SECOND, Driver, fleet, started
 
-VIEW = RequestClass(effect=SAFE, aim_us=SECOND, deadline_us=3 * SECOND)
+VIEW_CLASS = RequestClass(effect=SAFE, aim_us=SECOND, deadline_us=3 * SECOND)
 SETTINGS = Settings(
-    classes=(VIEW,), stage=1, stages=3, max_attempts=3,
+    classes=(VIEW_CLASS,), stage=1, stages=3, max_attempts=3,
     cold_share=0.13, cold_us=23 * SECOND, tip_multiple=3.0, overload_for_us=SECOND,
 )  # fmt: skip
 CORES = 2
-WARM_UP = 3 * SECOND  # all is warm before this: the copies learn what they serve
-ROOM = 40  # requests that an endpoint holds at most; one more is turned away
+WARM_UP_US = 3 * SECOND  # all endpoints are warm before this, so that the copies measure their rates
+CAPACITY_IN_FLIGHT = 40  # requests that an endpoint holds; it rejects any further one
 
 
 @dataclass(frozen=True)
 class Case:
-    """A made fleet. `capacities` are in requests a second, dealt out in turn."""
+    """The parameters of a simulated fleet. `capacities` are in requests per second, assigned in turn."""
 
     copies: int
     endpoints: int
-    replaced: int  # so many endpoints give way, at once, to new ones that start cold
-    load_share: float = 0.6  # of what all endpoints can do while warm
-    skew: float = 1.0  # one copy of ten gets this multiple of what each other one gets
+    replaced: int  # number of endpoints that are replaced with new, cold ones
+    load_share: float = 0.6  # traffic as a share of the capacity of all endpoints while warm
+    skew: float = 1.0  # one copy of ten gets this multiple of the traffic of each other copy
     capacities: tuple[float, ...] = (20.0,)
-    list_delay_us: int = 0  # the list reaches each copy within this
-    surge_factor: float = 1.0  # the traffic grows by this factor as they start
-    replacement_steps: int = 1  # the replaced ones go in so many steps
-    removed: int = 0  # so many of the others leave the list a second later, and nothing comes for them
-    restarted_share: float = (
-        0.0  # this part of the copies is new half a second after the start, and knows nothing
-    )
-    span_us: int = 6 * SECOND  # played past the start
+    list_delay_us: int = 0  # longest delay of a list to a copy
+    surge_factor: float = 1.0  # the traffic grows by this factor when the cold endpoints start
+    replacement_steps: int = 1  # number of steps in which endpoints are replaced
+    removed: int = 0  # number of other endpoints that are removed a second later, without replacement
+    # Share of the copies that restart, without any state, half a second after the endpoints' start.
+    restarted_share: float = 0.0
+    span_us: int = 6 * SECOND  # simulated time after the start of the cold endpoints
     settings: Settings = SETTINGS
     seed: int = 1
 
 
 class Server:
-    """One endpoint: cores that serve in turn, at the share of their speed that is warm."""
+    """One endpoint: cores that serve requests in order, at the warm share of their speed."""
 
     def __init__(self, boot: int, capacity: float) -> None:
         self.boot, self.capacity = boot, capacity
         self.cores_free_at = [0] * CORES
-        self.end_times: list[int] = []  # when each request in hand will have been served
+        self.end_times: list[int] = []  # when each request in service will be finished
         self.arrivals: list[int] = []
 
     def warmth(self, now: int, settings: Settings) -> float:
-        """The least that the settings allow it."""
+        """Return the least share of its capacity, from 0 to 1, that the settings give the endpoint."""
         if not self.boot:
             return 1.0
         age = max(0, now - self.boot) / settings.cold_us
         return min(1.0, settings.cold_share + (1.0 - settings.cold_share) * age)
 
     def serve(self, now: int, work: float, settings: Settings) -> int | None:
-        """When the request, `work` times the mean, will have been served; None if there is no room."""
+        """Serve a request of `work` times the mean; returns when it ends, or None if the endpoint is full."""
         self.arrivals.append(now)
         while self.end_times and self.end_times[0] <= now:
             heappop(self.end_times)
-        if len(self.end_times) >= ROOM:
+        if len(self.end_times) >= CAPACITY_IN_FLIGHT:
             return None
-        begin = max(now, self.cores_free_at[0])
-        end = begin + int(work * CORES / self.capacity * SECOND / self.warmth(begin, settings))
-        heapreplace(self.cores_free_at, end)
-        heappush(self.end_times, end)
-        return end
+        start_at = max(now, self.cores_free_at[0])
+        end_at = start_at + int(work * CORES / self.capacity * SECOND / self.warmth(start_at, settings))
+        heapreplace(self.cores_free_at, end_at)
+        heappush(self.end_times, end_at)
+        return end_at
 
     def allowed_in_span(self, now: int, settings: Settings) -> float:
-        number = settings.tip_multiple * self.warmth(now, settings) * self.capacity
-        number *= settings.overload_for_us / SECOND
-        return number + 2.0 * sqrt(number) + 2.0
+        mean_requests = settings.tip_multiple * self.warmth(now, settings) * self.capacity
+        mean_requests *= settings.overload_for_us / SECOND
+        return mean_requests + 2.0 * sqrt(mean_requests) + 2.0
 
     def highest_utilization(self, settings: Settings) -> float:
-        """The most that it got within a span, as a part of what it stood then. Counted by what
-        the span's beginning allows, which is the least."""
-        span: deque[int] = deque()
-        worst = 0.0
-        for at in self.arrivals:
-            span.append(at)
-            while span[0] <= at - settings.overload_for_us:
-                span.popleft()
-            worst = max(worst, len(span) / self.allowed_in_span(at - settings.overload_for_us, settings))
-        return worst
+        """Return the largest number of requests in an interval, as a share of the number allowed.
+
+        The number allowed is that at the beginning of the interval, which is the smallest.
+        """
+        interval: deque[int] = deque()
+        highest = 0.0
+        for send_at in self.arrivals:
+            interval.append(send_at)
+            while interval[0] <= send_at - settings.overload_for_us:
+                interval.popleft()
+            highest = max(
+                highest, len(interval) / self.allowed_in_span(send_at - settings.overload_for_us, settings)
+            )
+        return highest
 
 
 class Fleet:
-    """Plays a case: `Balancer`s, endpoints, and one heap of what is to come."""
+    """Simulates a case: `Balancer`s, endpoints and one heap of events."""
 
     def __init__(self, case: Case) -> None:
         self.case = case
         self.rng = random.Random(case.seed)
         self.copies = [self._create_copy(me) for me in range(case.copies)]
         self.servers: dict[int, Server] = {}
-        self.events: list[tuple[int, int, int, object]] = []  # when, in which order, to which copy, what
+        self.events: list[tuple[int, int, int, object]] = []  # time, order, copy, event
         self.event_count = 0
-        self.requests: dict[int, tuple[int, float]] = {}  # when each request expires, and its work
+        self.requests: dict[int, tuple[int, float]] = {}  # expiry and work of each request
         self.attempt_counts: Counter[int] = Counter()
         self.result_counts: Counter[str] = Counter()
         self.listed = [self._add_server(100 + n, 0) for n in range(case.endpoints)]
@@ -141,7 +144,7 @@
         return Balancer(self.rng.getrandbits(32), settings)
 
     def _restart_copy(self, now: int, me: int) -> list[Action]:
-        """A new process in its place, with the list of now; what the old one had out is nobody's."""
+        """Replace a copy with a new process that has the present list; the old attempts are dropped."""
         self.copies[me] = self._create_copy(me)
         return self.copies[me].start(now) + self.copies[me].members(now, LIST_FULL, self.listed)
 
@@ -150,133 +153,148 @@
         self.servers[number] = Server(boot, capacities[number % len(capacities)])
         return Entry(number, READY, boot, 1.0, number, 0, number % len(capacities))
 
-    def _schedule(self, when: int, copy: int, what: object) -> None:
+    def _schedule(self, when: int, copy: int, event: object) -> None:
         self.event_count += 1
-        heappush(self.events, (when, self.event_count, copy, what))
+        heappush(self.events, (when, self.event_count, copy, event))
 
     def _schedule_list_changes(self) -> None:
-        """Old ones go and new ones start, some in each step, told to each copy in its time."""
+        """Schedule the lists that replace and remove endpoints, in steps, with a delay for each copy."""
         case = self.case
-        olds = self.rng.sample(sorted(self.servers), case.replaced)
-        others = sorted(set(self.servers) - set(olds))
-        lost = [Entry(other, GONE, 0, 1.0, other, 0, 0) for other in others[: case.removed]]
-        for copy in range(case.copies if lost else 0):
-            self._schedule(WARM_UP + SECOND + self.rng.randrange(case.list_delay_us + 1), copy, lost)
+        replaced_ids = self.rng.sample(sorted(self.servers), case.replaced)
+        other_ids = sorted(set(self.servers) - set(replaced_ids))
+        removed_entries = [
+            Entry(other_id, GONE, 0, 1.0, other_id, 0, 0) for other_id in other_ids[: case.removed]
+        ]
+        for copy_number in range(case.copies if removed_entries else 0):
+            self._schedule(
+                WARM_UP_US + SECOND + self.rng.randrange(case.list_delay_us + 1), copy_number, removed_entries
+            )
         for step in range(case.replacement_steps):
-            at = WARM_UP + step * SECOND
-            some = olds[step :: case.replacement_steps]
-            listed = [Entry(old, GONE, 0, 1.0, old, 0, 0) for old in some]
-            # New numbers, and the capacities of those that went.
-            listed += [self._add_server(old + 7 * len(case.capacities) * 1000, at) for old in some]
-            self.listed = [one for one in self.listed if one.endpoint not in some] + listed[len(some) :]
-            for copy in range(case.copies):
-                self._schedule(at + self.rng.randrange(case.list_delay_us + 1), copy, listed)
+            at = WARM_UP_US + step * SECOND
+            step_ids = replaced_ids[step :: case.replacement_steps]
+            listed = [Entry(replaced_id, GONE, 0, 1.0, replaced_id, 0, 0) for replaced_id in step_ids]
+            # New ids, with the capacities of the replaced endpoints.
+            listed += [
+                self._add_server(replaced_id + 7 * len(case.capacities) * 1000, at)
+                for replaced_id in step_ids
+            ]
+            self.listed = [entry for entry in self.listed if entry.endpoint not in step_ids] + listed[
+                len(step_ids) :
+            ]
+            for copy_number in range(case.copies):
+                self._schedule(at + self.rng.randrange(case.list_delay_us + 1), copy_number, listed)
 
     def _schedule_arrivals(self) -> None:
         case = self.case
         rate = case.load_share * sum(server.capacity for server in self.servers.values()) / SECOND
-        shares = [case.skew if me % 10 == 3 else 1.0 for me in range(case.copies)]
+        shares = [case.skew if copy_number % 10 == 3 else 1.0 for copy_number in range(case.copies)]
         self.rng.shuffle(shares)
-        weights, now, number, surged = list(accumulate(shares)), 0.0, 0, False
-        while (now := now + self.rng.expovariate(rate)) < WARM_UP + case.span_us:
-            if now >= WARM_UP and not surged:
+        weights, now_us, request_id, surged = list(accumulate(shares)), 0.0, 0, False
+        while (now_us := now_us + self.rng.expovariate(rate)) < WARM_UP_US + case.span_us:
+            if now_us >= WARM_UP_US and not surged:
                 surged, rate = True, rate * case.surge_factor
-            number += 1
-            (copy,) = self.rng.choices(range(case.copies), cum_weights=weights)
-            self.events.append((int(now), -number, copy, number))
+            request_id += 1
+            (copy_number,) = self.rng.choices(range(case.copies), cum_weights=weights)
+            self.events.append((int(now_us), -request_id, copy_number, request_id))
         heapify(self.events)
 
     def play(self) -> list[float]:
-        """How full each cold endpoint's fullest span was: at most 1.0 where it stands."""
+        """Simulate the case; returns each cold endpoint's highest utilization, 1.0 at most if it is safe."""
         self._schedule_arrivals()
         self._schedule_list_changes()
-        for me in self.rng.sample(
+        for copy_number in self.rng.sample(
             range(self.case.copies), round(self.case.restarted_share * self.case.copies)
         ):
-            self._schedule(WARM_UP + SECOND // 2 + self.rng.randrange(300 * MS), me, None)
+            self._schedule(WARM_UP_US + SECOND // 2 + self.rng.randrange(300 * MS), copy_number, None)
         while self.events:
-            now, _, number, what = heappop(self.events)
-            copy = self.copies[number]
-            if isinstance(what, int):
+            now, _, copy_number, event = heappop(self.events)
+            copy = self.copies[copy_number]
+            if isinstance(event, int):
                 work = self.rng.uniform(0.5, 1.5)
-                self.requests[what] = now + VIEW.deadline_us, work
-                self._perform(now, number, copy.request(now, Arrival(what, 0, now + VIEW.deadline_us)))
-            elif isinstance(what, tuple):
-                self._perform(now, number, self._deliver(now, copy, *what))
-            elif isinstance(what, list):
-                self._perform(now, number, copy.members(now, LIST_DELTA, what))
+                self.requests[event] = now + VIEW_CLASS.deadline_us, work
+                self._perform(
+                    now, copy_number, copy.request(now, Arrival(event, 0, now + VIEW_CLASS.deadline_us))
+                )
+            elif isinstance(event, tuple):
+                self._perform(now, copy_number, self._deliver(now, copy, *event))
+            elif isinstance(event, list):
+                self._perform(now, copy_number, copy.members(now, LIST_DELTA, event))
             else:
-                self._perform(now, number, self._restart_copy(now, number))
+                self._perform(now, copy_number, self._restart_copy(now, copy_number))
         return [
             server.highest_utilization(self.case.settings) for server in self.servers.values() if server.boot
         ]
 
-    def _deliver(self, now: int, copy: Balancer, owner: Balancer, what: Outcome | Timer) -> list[Action]:
-        if isinstance(what, Outcome):
-            self.result_counts["served" if what.outcome == OK else "failed"] += 1
+    def _deliver(self, now: int, copy: Balancer, owner: Balancer, event: Outcome | Timer) -> list[Action]:
+        if isinstance(event, Outcome):
+            self.result_counts["served" if event.outcome == OK else "failed"] += 1
         if owner is not copy:
-            return []  # of a process that is no more
-        return copy.timer(now, what.token) if isinstance(what, Timer) else copy.outcome(now, what)
+            return []  # of a process that has been replaced
+        return copy.timer(now, event.token) if isinstance(event, Timer) else copy.outcome(now, event)
 
-    def _perform(self, now: int, copy: int, actions: Sequence[Action]) -> None:
+    def _perform(self, now: int, copy_number: int, actions: Sequence[Action]) -> None:
         for action in actions:
             if isinstance(action, Timer):
-                self._schedule(now + action.delay_us, copy, (self.copies[copy], action))
+                self._schedule(now + action.delay_us, copy_number, (self.copies[copy_number], action))
             elif isinstance(action, Send):
-                at, outcome = self._start_attempt(now, action)
-                self._schedule(at, copy, (self.copies[copy], outcome))
+                ended_at, outcome = self._start_attempt(now, action)
+                self._schedule(ended_at, copy_number, (self.copies[copy_number], outcome))
 
     def _start_attempt(self, now: int, send: Send) -> tuple[int, Outcome]:
-        expires, work = self.requests[send.request]
-        attempt = self.attempt_counts[send.request]
+        expires_at, work = self.requests[send.request]
+        attempt_index = self.attempt_counts[send.request]
         self.attempt_counts[send.request] += 1
-        end = self.servers[send.endpoint].serve(now, work, self.case.settings)
-        at, outcome = (now + MS, FULL) if end is None else (end, OK)
-        if at >= expires:
-            at, outcome = expires, TIMEOUT
-        over = outcome != FULL
-        return at, Outcome(send.request, attempt, send.endpoint, outcome, at - now, over)
+        served_at = self.servers[send.endpoint].serve(now, work, self.case.settings)
+        ended_at, outcome = (now + MS, FULL) if served_at is None else (served_at, OK)
+        if ended_at >= expires_at:
+            ended_at, outcome = expires_at, TIMEOUT
+        is_final = outcome != FULL
+        return ended_at, Outcome(
+            send.request, attempt_index, send.endpoint, outcome, ended_at - now, is_final
+        )
 
 
 FLEETS = [(1, 10), (3, 10), (17, 10), (60, 20), (200, 15), (200, 40)]  # copies, endpoints
 
 
-def holds(case: Case) -> None:
+def check_no_overload(case: Case) -> None:
     fleet = Fleet(case)
-    fullest = fleet.play()
-    assert max(fullest) <= 1.0, f"a span held {max(fullest):.2f} of what a cold endpoint stands"
+    utilizations = fleet.play()
+    assert max(utilizations) <= 1.0, (
+        f"an interval had {max(utilizations):.2f} of the load that a cold endpoint can take"
+    )
     assert fleet.result_counts["served"] > 0.25 * len(fleet.requests), (
         "a fleet that sends nothing proves nothing"
     )
 
 
-def test_what_is_counted_is_the_sum_of_all_copies_within_a_span() -> None:
-    """7.8 requests are allowed at the start, so 15 in a span stand and 16 do not."""
-    for number, stands in ((15, True), (16, False)):
-        server = Server(WARM_UP, 20.0)
-        server.arrivals = [WARM_UP + k * SECOND // number for k in range(number)]
-        assert (server.highest_utilization(SETTINGS) <= 1.0) == stands
-        server.arrivals = [WARM_UP + k * SECOND for k in range(number)]
+def test_the_checked_load_is_the_sum_over_all_copies_in_an_interval() -> None:
+    """At the start, N is 7.8 requests, so that 15 requests in an interval are safe and 16 are not."""
+    for number, is_safe in ((15, True), (16, False)):
+        server = Server(WARM_UP_US, 20.0)
+        server.arrivals = [WARM_UP_US + k * SECOND // number for k in range(number)]
+        assert (server.highest_utilization(SETTINGS) <= 1.0) == is_safe
+        server.arrivals = [WARM_UP_US + k * SECOND for k in range(number)]
         assert server.highest_utilization(SETTINGS) < 0.2
 
 
-@pytest.mark.parametrize("part", [0.0, 0.4, 0.6], ids=["one", "several", "six in ten"])
+@pytest.mark.parametrize("starting_share", [0.0, 0.4, 0.6], ids=["one", "several", "six in ten"])
 @pytest.mark.parametrize(("copies", "endpoints"), FLEETS)
-def test_equal_traffic(copies: int, endpoints: int, part: float) -> None:
-    starting = max(1, round(part * endpoints)) if part != 0.4 else 4
-    holds(Case(copies, endpoints, starting, span_us=3 * SECOND))
+def test_equal_traffic(copies: int, endpoints: int, starting_share: float) -> None:
+    starting = max(1, round(starting_share * endpoints)) if starting_share != 0.4 else 4
+    check_no_overload(Case(copies, endpoints, starting, span_us=3 * SECOND))
 
 
 @pytest.mark.parametrize(("copies", "endpoints"), FLEETS)
-def test_skewed_traffic_under_load_with_lists_of_different_age(copies: int, endpoints: int) -> None:
-    """One copy of ten has eight times as much as the others; starts come in three steps."""
-    some = Case(copies, endpoints, round(0.6 * endpoints), load_share=0.8, skew=8.0, replacement_steps=3)
-    holds(replace(some, list_delay_us=SECOND, surge_factor=1.3, span_us=3 * SECOND))
+def test_skewed_traffic_with_delayed_lists(copies: int, endpoints: int) -> None:
+    """One copy of ten has eight times the traffic of the others; endpoints start in three steps."""
+    case = Case(copies, endpoints, round(0.6 * endpoints), load_share=0.8, skew=8.0, replacement_steps=3)
+    check_no_overload(replace(case, list_delay_us=SECOND, surge_factor=1.3, span_us=3 * SECOND))
 
 
 @pytest.mark.parametrize(("copies", "endpoints"), [(3, 10), (17, 10), (60, 12), (200, 30)])
-def test_endpoints_of_several_kinds(copies: int, endpoints: int) -> None:
-    holds(
+def test_endpoints_of_different_capacities(copies: int, endpoints: int) -> None:
+    check_no_overload(
         Case(
             copies,
             endpoints,
@@ -289,8 +307,8 @@
 
 
 @pytest.mark.parametrize(("copies", "endpoints"), FLEETS)
-def test_seven_in_ten_copies_are_new_while_endpoints_are_cold(copies: int, endpoints: int) -> None:
-    holds(
+def test_seven_in_ten_copies_restart_while_endpoints_are_cold(copies: int, endpoints: int) -> None:
+    check_no_overload(
         Case(
             copies, endpoints, round(0.6 * endpoints), load_share=0.8, restarted_share=0.7, span_us=3 * SECOND
         )
@@ -298,59 +316,73 @@
 
 
 @pytest.mark.parametrize("copies", [1, 17, 60, 200])
-def test_all_start_at_once(copies: int) -> None:
-    holds(Case(copies, 6, 6, load_share=0.8, span_us=2 * SECOND))
+def test_all_endpoints_start_at_once(copies: int) -> None:
+    check_no_overload(Case(copies, 6, 6, load_share=0.8, span_us=2 * SECOND))
 
 
 @pytest.mark.parametrize("copies", [3, 60, 200])
 def test_other_settings_and_many_requests(copies: int) -> None:
     other = replace(SETTINGS, tip_multiple=1.5, cold_share=0.3, cold_us=10 * SECOND, overload_for_us=500 * MS)
-    holds(Case(copies, 8, 4, load_share=0.9, settings=other, span_us=4 * SECOND))
-    holds(Case(copies, 4, 2, load_share=0.9, capacities=(200.0,), span_us=SECOND))
+    check_no_overload(Case(copies, 8, 4, load_share=0.9, settings=other, span_us=4 * SECOND))
+    check_no_overload(Case(copies, 4, 2, load_share=0.9, capacities=(200.0,), span_us=SECOND))
 
 
-@pytest.mark.parametrize("gap", [4 * MS, 20 * MS, 200 * MS])
-def test_one_copy_sends_no_more_than_the_formula_says(gap: int) -> None:
-    """At most 1 + 2a in a span, a being SAFETY x tip_multiple x warm-up fraction x what an endpoint of
-    its subsets serves it x overload_for_us; whatever it saved up before, and whenever it spends it."""
+@pytest.mark.parametrize("interval_us", [4 * MS, 20 * MS, 200 * MS])
+def test_one_copy_sends_no_more_than_the_formula_says(interval_us: int) -> None:
+    """A copy sends at most 1 + 2a requests in an interval, where a is BUDGET_PART x tip_multiple x warm-up
+    fraction x the rate at which an endpoint of its subsets answers it x overload_for_us, however much
+    budget it has accumulated and whenever it spends it.
+    """
     driver = Driver(balancer := started(4, overload_for_us=SECOND))
-    cold = balancer.endpoints[100]
-    cold.overloaded_until = 10**12  # nothing is sent there but what this test takes
-    rng, spent, thrifty = random.Random(gap), list[int](), 0
-    for now in range(gap, 40 * SECOND, gap):
-        assert driver.serve(now, gap // 2)
+    cold_endpoint = balancer.endpoints[100]
+    cold_endpoint.overloaded_until = 10**12  # only this test spends its budget
+    rng, spent_at, accumulate_until = random.Random(interval_us), list[int](), 0
+    for now in range(interval_us, 40 * SECOND, interval_us):
+        assert driver.serve(now, interval_us // 2)
         if now == 5 * SECOND:
-            cold.started_at = cold.slow_start_budget_at = now
-        if now > thrifty + 2 * SECOND:
-            thrifty = now + rng.randrange(3 * SECOND)  # it saves up to here, and then takes all it may
-        while now > thrifty and cold.started_at and balancer.slow_start.is_warming_up(now, cold):
-            if balancer.slow_start.refill_budget(now, cold) < 1.0:
+            cold_endpoint.started_at = cold_endpoint.slow_start_budget_at = now
+        if now > accumulate_until + 2 * SECOND:
+            accumulate_until = now + rng.randrange(3 * SECOND)  # accumulate until then, then spend all
+        while (
+            now > accumulate_until
+            and cold_endpoint.started_at
+            and balancer.slow_start.is_warming_up(now, cold_endpoint)
+        ):
+            if balancer.slow_start.refill_budget(now, cold_endpoint) < 1.0:
                 break
-            cold.slow_start_budget -= 1.0
-            spent.append(now)
-    assert len(spent) > 2
-    for at in spent:
-        # A rate that is read just after a send shows by so much more than its mean.
-        warm = balancer.slow_start.warmup_fraction(at + SECOND, cold)
-        part = 0.5 * balancer.settings.tip_multiple * warm / 4 * SECOND / gap
-        part *= 1.0 + gap / balancer.latencies.rate_memory_us
-        part = max(part, 0.5 * SECOND / balancer.latencies.longest_objective_us)
-        assert sum(at <= other < at + SECOND for other in spent) <= 1.0 + 2.0 * part + 1e-6
+            cold_endpoint.slow_start_budget -= 1.0
+            spent_at.append(now)
+    assert len(spent_at) > 2
+    for start_at in spent_at:
+        # A rate that is read just after an answer exceeds its mean by this factor.
+        warm_fraction = balancer.slow_start.warmup_fraction(start_at + SECOND, cold_endpoint)
+        allowed_requests = 0.5 * balancer.settings.tip_multiple * warm_fraction / 4 * SECOND / interval_us
+        allowed_requests *= 1.0 + interval_us / balancer.latencies.rate_memory_us
+        allowed_requests = max(allowed_requests, 0.5 * SECOND / balancer.latencies.longest_objective_us)
+        assert (
+            sum(start_at <= other < start_at + SECOND for other in spent_at)
+            <= 1.0 + 2.0 * allowed_requests + 1e-6
+        )
 
 
 @pytest.mark.parametrize(
     ("copies", "endpoints", "capacity"), [(17, 10, 100.0), (60, 20, 20.0), (200, 20, 20.0)]
 )
-def test_most_of_the_warm_ones_leave_beside_cold_ones(copies: int, endpoints: int, capacity: float) -> None:
-    """What each one left stood for grew at once by what the others had served, and each was on more
-    copies' arcs: the copies sent twice what a cold one stands, until the memory of it faded."""
-    some = Case(copies, endpoints, endpoints // 10, load_share=0.8, capacities=(capacity,))
-    holds(replace(some, removed=round(0.8 * endpoints), span_us=3 * SECOND))
-
-
-def test_a_shorter_list_makes_no_part_of_an_endpoint_larger() -> None:
-    """With and without a price of crossing zones: what all copies may send follows from the time
-    at which it was served, not from the list that came since."""
+def test_most_warm_endpoints_are_removed_beside_cold_ones(
+    copies: int, endpoints: int, capacity: float
+) -> None:
+    """After the removal, the assumed rate of each remaining endpoint rose at once by the traffic of the
+    removed ones, and each was in the subsets of more copies. The copies sent twice the load that a cold
+    endpoint can take until the old rates had decayed.
+    """
+    case = Case(copies, endpoints, endpoints // 10, load_share=0.8, capacities=(capacity,))
+    check_no_overload(replace(case, removed=round(0.8 * endpoints), span_us=3 * SECOND))
+
+
+def test_a_shorter_list_does_not_raise_the_total_budget_of_an_endpoint() -> None:
+    """The budget of all copies follows from the list at the time of the answers, not from a later list, with
+    and without a price of crossing zones.
+    """
     for changes in (
         {"instances": 6},
         {"instances": 60},
@@ -358,12 +390,16 @@
     ):
         driver = Driver(balancer := started(20, **changes))
         assert all(driver.serve(now, 5 * MS) for now in range(20 * MS, 5 * SECOND, 20 * MS))
-        parts = []
+        total_budgets = []
         for size in (20, 4):
             balancer.members(5 * SECOND, LIST_FULL, fleet(size))
-            cold = next(one for one in balancer.endpoints.values() if balancer.subsets.pair[0].contains(one))
-            holders = balancer.subsets.endpoints_in_subsets * balancer.settings.instances / size
-            cold.started_at = cold.slow_start_budget_at = 5 * SECOND
-            cold.slow_start_budget = 0.0
-            parts.append(balancer.slow_start.refill_budget(5 * SECOND + 10 * MS, cold) * holders)
-        assert parts[1] <= 1.1 * parts[0], changes
+            cold_endpoint = next(
+                one for one in balancer.endpoints.values() if balancer.subsets.pair[0].contains(one)
+            )
+            copies_with_endpoint = balancer.subsets.endpoints_in_subsets * balancer.settings.instances / size
+            cold_endpoint.started_at = cold_endpoint.slow_start_budget_at = 5 * SECOND
+            cold_endpoint.slow_start_budget = 0.0
+            total_budgets.append(
+                balancer.slow_start.refill_budget(5 * SECOND + 10 * MS, cold_endpoint) * copies_with_endpoint
+            )
+        assert total_budgets[1] <= 1.1 * total_budgets[0], changes
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec against byte examples, and the adapter against bad input."""
+"""The wire codec on byte examples, and the adapter on malformed input."""
 
 from __future__ import annotations
 
@@ -52,33 +52,33 @@
     return memoryview(frame(*records, tail=tail, now=now))[4:]
 
 
-def init(instance: int, at: int = 0, settings: bytes | None = None) -> tuple[bytes, bytes]:
+def init(instance: int, tail_offset: int = 0, settings: bytes | None = None) -> tuple[bytes, bytes]:
     raw = json.dumps(SETTINGS).encode() if settings is None else settings
-    head = struct.pack(">BIQII", 0, instance, 7, at, len(raw))
+    head = struct.pack(">BIQII", 0, instance, 7, tail_offset, len(raw))
     return head + bytes(wire.EVENT_SIZE_BYTES - len(head)), raw
 
 
-MANIFEST = "0a 0000 00000000 00000002"
-CACHED = "01 00000003 00000029 03 0000"
+LIST_ENTRIES_RECORD = "0a 0000 00000000 00000002"
+CACHED_LIST_RECORD = "01 00000003 00000029 03 0000"
 ENTRIES = bytes.fromhex(
     "0000000000000000 3f800000 03124a07 0000 00 01 00"
     "00000000005d1420 3fc00000 2c9011f2 0000 00 01 00".replace(" ", "")
 )
-REQ = "02 00000003 000e37b15d3a91c4 00 0000 91f03b7c55d20a64 00000000008405da 00002ee0 01"
-RETURNED_OK = "04 00000003 000e37b15d3a91c4 00 03124a07 0000 00004844 01 00"
-RID = 0x000E37B15D3A91C4
+REQUEST_RECORD = "02 00000003 000e37b15d3a91c4 00 0000 91f03b7c55d20a64 00000000008405da 00002ee0 01"
+OUTCOME_OK_RECORD = "04 00000003 000e37b15d3a91c4 00 03124a07 0000 00004844 01 00"
+REQUEST_ID = 0x000E37B15D3A91C4
 
 
 def started_host(now: int = NOW) -> Host:
     host = Host()
     first, raw = init(3)
-    shift = struct.pack(">I", len(raw)).hex()
-    manifest = record(f"0a 0000 {shift} 00000002")
-    host.process_batch(body(first, manifest, record(CACHED), tail=raw + ENTRIES, now=now))
+    entries_offset_hex = struct.pack(">I", len(raw)).hex()
+    manifest = record(f"0a 0000 {entries_offset_hex} 00000002")
+    host.process_batch(body(first, manifest, record(CACHED_LIST_RECORD), tail=raw + ENTRIES, now=now))
     return host
 
 
-def replies(raw: bytes) -> list[bytes]:
+def action_records(raw: bytes) -> list[bytes]:
     length, count = struct.unpack_from(">II", raw)
     assert length == len(raw) - 4
     return [raw[8 + 24 * i : 32 + 24 * i] for i in range(count)]
@@ -93,7 +93,7 @@
 
 def test_reply_example_byte_for_byte() -> None:
     reply = wire.Reply()
-    reply.add(3, [events.Send(RID, 0x03124A07, 0x13880), events.Timer(0x4D, 0x7A120)])
+    reply.add(3, [events.Send(REQUEST_ID, 0x03124A07, 0x13880), events.Timer(0x4D, 0x7A120)])
     reply.add(5, [events.Log("two servers known")])
     expected = (
         "0000005d 00000003"
@@ -108,9 +108,9 @@
 @pytest.mark.parametrize(
     ("action", "expected"),
     [
-        (events.Refuse(RID, 9), "48 00000003 000e37b15d3a91c4 00000009"),
-        (events.Fail(RID), "46 00000003 000e37b15d3a91c4"),
-        (events.Cancel(RID, 2), "47 00000003 000e37b15d3a91c4 02"),
+        (events.Refuse(REQUEST_ID, 9), "48 00000003 000e37b15d3a91c4 00000009"),
+        (events.Fail(REQUEST_ID), "46 00000003 000e37b15d3a91c4"),
+        (events.Cancel(REQUEST_ID, 2), "47 00000003 000e37b15d3a91c4 02"),
         (events.Probe(0x03124A07), "41 00000003 03124a07"),
         (events.Watch(True), "4a 00000003 01"),
         (events.Fetch(), "44 00000003"),
@@ -122,7 +122,7 @@
     reply = wire.Reply()
     reply.add(3, [action])
     raw = bytes.fromhex(expected.replace(" ", ""))
-    assert replies(reply.encode())[0] == raw + bytes(24 - len(raw))
+    assert action_records(reply.encode())[0] == raw + bytes(24 - len(raw))
 
 
 def test_entries_example() -> None:
@@ -133,53 +133,63 @@
 
 def test_request_is_sent_and_ends_with_its_first_ok() -> None:
     host = started_host(now=NOW + 20_000_000)
-    sent = replies(host.process_batch(body(record(REQ), now=NOW)))
+    sent = action_records(host.process_batch(body(record(REQUEST_RECORD), now=NOW)))
     assert [r[0] for r in sent] == [64]
-    assert sent[0][5:13] == RID.to_bytes(8, "big")
-    assert RID in host.instances[3].requests
-    host.process_batch(body(record(RETURNED_OK)))
+    assert sent[0][5:13] == REQUEST_ID.to_bytes(8, "big")
+    assert REQUEST_ID in host.instances[3].requests
+    host.process_batch(body(record(OUTCOME_OK_RECORD)))
     assert not host.instances[3].requests
 
 
-def test_late_events_for_requests_not_held_are_passed_over() -> None:
+def test_late_events_for_unknown_requests_are_ignored() -> None:
     host = started_host()
-    gone = record("05 00000003 000000000000004d")
-    fired = record("06 00000003 000000000000004d")
-    assert replies(host.process_batch(body(record(RETURNED_OK), gone, fired))) == []
+    client_disconnected = record("05 00000003 000000000000004d")
+    timer_fired = record("06 00000003 000000000000004d")
+    assert (
+        action_records(host.process_batch(body(record(OUTCOME_OK_RECORD), client_disconnected, timer_fired)))
+        == []
+    )
 
 
 def test_list_numbers_are_reused_within_a_batch() -> None:
     host = Host()
-    one, raw = init(1)
-    two, _ = init(2)
-    base = len(raw)
-    lists = [struct.pack(">BHII", 10, 0, base + 21 * k, 1) for k in range(2)]
+    first_start, raw = init(1)
+    second_start, _ = init(2)
+    entries_offset = len(raw)
+    lists = [struct.pack(">BHII", 10, 0, entries_offset + 21 * k, 1) for k in range(2)]
     cached = [struct.pack(">BIIBH", 1, i, 1, 3, 0) for i in (1, 2)]
-    padded = [part + bytes(48 - len(part)) for part in (*lists, *cached)]
-    records = (one, padded[0], padded[2], two, padded[1], padded[3])
+    padded_records = [part + bytes(48 - len(part)) for part in (*lists, *cached)]
+    records = (
+        first_start,
+        padded_records[0],
+        padded_records[2],
+        second_start,
+        padded_records[1],
+        padded_records[3],
+    )
     host.process_batch(body(*records, tail=raw + ENTRIES))
     assert list(host.instances[1].endpoints) == [0x03124A07]
     assert list(host.instances[2].endpoints) == [0x2C9011F2]
 
 
-def test_stop_and_start_in_one_batch_leaves_nothing_behind() -> None:
+def test_a_restart_within_one_batch_keeps_no_state() -> None:
     host = started_host()
-    host.process_batch(body(record(REQ)))
-    again, raw = init(3)
-    host.process_batch(body(record("09 00000003"), again, tail=raw))
+    host.process_batch(body(record(REQUEST_RECORD)))
+    restart, raw = init(3)
+    host.process_batch(body(record("09 00000003"), restart, tail=raw))
     assert not host.instances[3].requests
     assert not host.instances[3].endpoints
 
 
-def test_exception_in_the_module_is_the_wires_internal_error() -> None:
+def test_an_exception_in_the_balancer_is_reported_as_a_fault() -> None:
     host = started_host()
 
-    def broken(*args: object) -> list[events.Action]:
+    def raise_error(*args: object) -> list[events.Action]:
         raise RuntimeError("no such luck")
 
-    host.instances[3] = cast(Balancer, MethodProxy(host.instances[3], request=broken))
-    raw = host.process_batch(body(record(REQ)))
-    assert replies(raw)[0][0] == 69
+    host.instances[3] = cast(Balancer, MethodProxy(host.instances[3], request=raise_error))
+    raw = host.process_batch(body(record(REQUEST_RECORD)))
+    assert action_records(raw)[0][0] == 69
     assert raw.endswith(b"RuntimeError: no such luck")
 
 
@@ -224,7 +234,7 @@
         "offset",
     ],
 )
-def test_malformed_input_ends_in_one_plain_line(data: bytes) -> None:
+def test_malformed_input_ends_with_one_line_on_standard_error(data: bytes) -> None:
     done = run_adapter(data)
     assert done.returncode == 1
     assert done.stdout == b""
@@ -250,42 +260,42 @@
 }
 
 
-def test_every_setting_that_a_decision_can_use_arrives() -> None:
-    read = wire.read_settings(json.dumps(FULL_SETTINGS).encode())
-    first, second = read.classes
+def test_every_used_setting_is_decoded() -> None:
+    settings = wire.read_settings(json.dumps(FULL_SETTINGS).encode())
+    first, second = settings.classes
     assert (first.sequential, first.aim_stretch, second.sequential, second.aim_stretch) == (
         True,
         1.5,
         False,
         0,
     )
-    assert (read.key_rest_us, read.full_unproven) == (50_000, True)
-    assert read.goal == events.Goal(0.2, 0.3, 0.0, 0.1, 0.4, 0.02)
-    assert (read.late_fail_price, read.peer_price, read.discovery_price) == (0.08, 0.01, 0.02)
-    assert (read.cpu_us_per_s, read.cpu_us_per_request) == (800_000, 10.0)
-    assert read.warm_keys and read.passes_deadline
-    assert read.report_fields == ("served_rate", "error_rate", "latency_ms", "waiting")
+    assert (settings.key_rest_us, settings.full_unproven) == (50_000, True)
+    assert settings.goal == events.Goal(0.2, 0.3, 0.0, 0.1, 0.4, 0.02)
+    assert (settings.late_fail_price, settings.peer_price, settings.discovery_price) == (0.08, 0.01, 0.02)
+    assert (settings.cpu_us_per_s, settings.cpu_us_per_request) == (800_000, 10.0)
+    assert settings.warm_keys and settings.passes_deadline
+    assert settings.report_fields == ("served_rate", "error_rate", "latency_ms", "waiting")
 
 
-def test_absent_settings_get_the_careful_default() -> None:
-    read = wire.read_settings(b'{"classes": [{"aim-us": 5, "deadline-us": 9, "repeat": "fragile"}]}')
-    assert (read.max_attempts, read.second_copies, read.can_cancel, read.can_probe) == (
+def test_absent_settings_get_the_conservative_default() -> None:
+    settings = wire.read_settings(b'{"classes": [{"aim-us": 5, "deadline-us": 9, "repeat": "fragile"}]}')
+    assert (settings.max_attempts, settings.second_copies, settings.can_cancel, settings.can_probe) == (
         1,
         False,
         False,
         False,
     )
-    assert not read.classes[0].sequential and read.goal.punctual == 0.0
+    assert not settings.classes[0].sequential and settings.goal.punctual == 0.0
 
 
-@pytest.mark.parametrize("broken", [{"classes": ()}, {"instances": 0}, {"cold_us": -1}])
-def test_settings_that_cannot_be_meant_name_their_field(broken: dict[str, object]) -> None:
-    fields: dict[str, object] = {"classes": (events.RequestClass(),), **broken}
-    with pytest.raises(ValueError, match=next(iter(broken))):
+@pytest.mark.parametrize("invalid_field", [{"classes": ()}, {"instances": 0}, {"cold_us": -1}])
+def test_invalid_settings_name_their_field(invalid_field: dict[str, object]) -> None:
+    fields: dict[str, object] = {"classes": (events.RequestClass(),), **invalid_field}
+    with pytest.raises(ValueError, match=next(iter(invalid_field))):
         events.Settings(**fields)  # type: ignore[arg-type]
 
 
-def test_an_endpoints_idle_connections_are_closed_on_the_wire() -> None:
+def test_close_has_its_record() -> None:
     reply = wire.Reply()
     reply.add(3, [events.Close(0x03124A07)])
-    assert replies(reply.encode())[0][:9] == bytes.fromhex("4b0000000303124a07")
+    assert action_records(reply.encode())[0][:9] == bytes.fromhex("4b0000000303124a07")
