--- a/laurelstep/balancing/balancer.py
+++ b/laurelstep/balancing/balancer.py
@@ -208,17 +208,21 @@
         # endpoint and then return to it at the same time, and against capacity left idle while
         # another copy holds the remaining connections. Drawback: if the endpoint's queue was full,
         # an idle connection is used too soon.
-        no_connection_left = event.outcome == FULL and attempt is not None and attempt.connection_idle_us < 0
+        is_new_connection_rejected = (
+            event.outcome == FULL and attempt is not None and attempt.connection_idle_us < 0
+        )
         endpoint = self.membership.by_id.get(event.endpoint)
         if endpoint is not None:
             self._observe_endpoint(now, event, endpoint, attempt)
             if event.outcome in HEALTH_FACTORS:
                 segment = request.segment if request else 0
-                self.outliers.record_failure(now, endpoint, event.outcome, segment, no_connection_left)
+                self.outliers.record_failure(
+                    now, endpoint, event.outcome, segment, is_new_connection_rejected
+                )
         if request is not None and attempt is not None:
             if not request.has_pending_body:
                 self._learn_from_attempt(now, event, request, attempt, endpoint)
-            self._end_attempt(now, event.outcome, attempt, no_connection_left)
+            self._end_attempt(now, event.outcome, attempt, is_new_connection_rejected)
             self.key_queues.record_outcome(now, request, event.outcome)
             self._retry_or_close(now, event, request)
         return self._take_actions(now)
@@ -229,13 +233,13 @@
         if attempt is None or not attempt.has_pending_body:
             # An endpoint may be removed and listed again during an upload: the attempt counts at the
             # endpoint object that it was sent to, not at the new one.
-            counted_at = endpoint if attempt is None else attempt.endpoint
-            self.membership.record_attempt_end(counted_at)
-            counted_at.silent_since = now
+            counting_endpoint = endpoint if attempt is None else attempt.endpoint
+            self.membership.record_attempt_end(counting_endpoint)
+            counting_endpoint.silent_since = now
         if event.report and self._queued_field < len(event.report):
-            waiting = event.report[self._queued_field]
-            if 0.0 <= waiting < REPORTED_QUEUED_MAX:
-                endpoint.reported_queued, endpoint.reported_at = waiting, now
+            queued = event.report[self._queued_field]
+            if 0.0 <= queued < REPORTED_QUEUED_MAX:
+                endpoint.reported_queued, endpoint.reported_at = queued, now
 
     def _learn_from_attempt(
         self, now: int, event: Outcome, request: Request, attempt: Attempt, endpoint: Endpoint | None
@@ -252,11 +256,13 @@
             self.outliers.learn_speed(now, endpoint, request.class_index, event.latency_us)
             endpoint.latest_answered_sent_at = max(endpoint.latest_answered_sent_at, attempt.sent_at)
 
-    def _end_attempt(self, now: int, outcome: int, attempt: Attempt, no_connection_left: bool) -> None:
+    def _end_attempt(
+        self, now: int, outcome: int, attempt: Attempt, is_new_connection_rejected: bool
+    ) -> None:
         attempt.is_outstanding = False
         attempt.never_ran = self.retries.proves_never_ran(outcome)
         if outcome in (OK, ERROR, FULL):
-            if not no_connection_left:
+            if not is_new_connection_rejected:
                 attempt.endpoint.idle_since.append(now)
             self.connections.record_answered(attempt)
         elif outcome == RESET:
@@ -286,8 +292,8 @@
     # --- Attempts ----------------------------------------------------------------------
 
     def _admits(self, now: int, event: Arrival) -> bool:
-        stuck = self.admission.count_stuck(now, self.request_table.open.values())
-        in_flight = len(self.request_table.open) - self.request_table.uploading_count - stuck
+        stuck_count = self.admission.count_stuck(now, self.request_table.open.values())
+        in_flight = len(self.request_table.open) - self.request_table.uploading_count - stuck_count
         rank = self.priorities.rank(now, event, self.latencies.by_class)
         return self.admission.admits(now, in_flight, rank, self.rng.random())
 
--- a/laurelstep/balancing/latency.py
+++ b/laurelstep/balancing/latency.py
@@ -86,10 +86,10 @@
         self.longest_objective_us = max(cls.aim_us for cls in classes)
         self.rate_memory_us = RATE_MEMORY_OBJECTIVES * self.longest_objective_us
 
-    def record(self, class_index: int, delay_us: int) -> None:
+    def record(self, class_index: int, latency_us: int) -> None:
         """Record the latency of one served attempt."""
-        self.by_class[class_index].add(delay_us)
-        self.overall.add(delay_us)
+        self.by_class[class_index].add(latency_us)
+        self.overall.add(latency_us)
 
     def is_known(self) -> bool:
         """Return whether there are enough samples to call another attempt overdue."""
--- a/laurelstep/balancing/outliers.py
+++ b/laurelstep/balancing/outliers.py
@@ -99,7 +99,12 @@
         )
 
     def record_failure(
-        self, now: int, endpoint: Endpoint, outcome: int, segment: int, no_connection_left: bool = False
+        self,
+        now: int,
+        endpoint: Endpoint,
+        outcome: int,
+        segment: int,
+        is_new_connection_rejected: bool = False,
     ) -> None:
         """Lower the endpoint's health after a failure, so that it is drawn less often.
 
@@ -119,14 +124,14 @@
                 health, now, previous.failures + (other_segment == segment)
             )
         if outcome == FULL:
-            self._record_overload(now, endpoint, no_connection_left)
+            self._record_overload(now, endpoint, is_new_connection_rejected)
 
-    def _record_overload(self, now: int, endpoint: Endpoint, no_connection_left: bool) -> None:
+    def _record_overload(self, now: int, endpoint: Endpoint, is_new_connection_rejected: bool) -> None:
         mean_latency_us = (
             self.latencies.overall.mean or OVERLOADED_FOR_OBJECTIVES * self.latencies.longest_objective_us
         )
         overloaded_until = now + int(OVERLOADED_FOR_LATENCIES * mean_latency_us)
-        if no_connection_left:
+        if is_new_connection_rejected:
             endpoint.no_new_connections_until = overloaded_until
         else:
             endpoint.overloaded_until = overloaded_until
@@ -141,9 +146,9 @@
                 health = 1.0
             endpoint.health[segment] = SegmentHealth(health, now, previous.failures / 2.0)
 
-    def learn_speed(self, now: int, endpoint: Endpoint, class_index: int, delay_us: int) -> None:
+    def learn_speed(self, now: int, endpoint: Endpoint, class_index: int, latency_us: int) -> None:
         """Update an endpoint's slowness from the ratio of an answer's latency to the mean of its class."""
-        ratio = delay_us / max(1.0, self.latencies.by_class[class_index].mean)
+        ratio = latency_us / max(1.0, self.latencies.by_class[class_index].mean)
         elapsed_memories = (now - endpoint.slowness_at) / (
             SPEED_MEMORY_OBJECTIVES * self.latencies.longest_objective_us
         )
