--- a/tests/test_balancing_admission.py
+++ b/tests/test_balancing_admission.py
@@ -52,10 +52,12 @@
 def test_a_starting_copy_admits_few_at_first_and_more_with_each_answer() -> None:
     driver = Driver(started(settings=replace(SETTINGS, classes=(LONG_CLASS,)), instances=10))
     answers = [driver.send_request(k * MS) for k in range(100)]
-    sent_requests = [(rid, sent[0].endpoint) for rid, actions in answers if (sent := sends(actions))]
+    sent_requests = [
+        (request_id, sent[0].endpoint) for request_id, actions in answers if (sent := sends(actions))
+    ]
     assert 16 <= len(sent_requests) < 40, "a surge on a restarted copy would overload the endpoints"
-    for rid, endpoint in sent_requests[:10]:
-        driver.balancer.outcome(500 * MS, Outcome(rid, 0, endpoint, OK, 400 * MS, is_final=True))
+    for request_id, endpoint in sent_requests[:10]:
+        driver.balancer.outcome(500 * MS, Outcome(request_id, 0, endpoint, OK, 400 * MS, is_final=True))
     more = [driver.send_request(501 * MS + k) for k in range(100)]
     assert sum(bool(sends(actions)) for _, actions in more) >= 20
 
@@ -68,8 +70,8 @@
         if is_late:
             assert driver.serve(6 * SECOND, 900 * MS)
         else:
-            rid, _ = driver.send_request(6 * SECOND)
-            driver.balancer.client_disconnected(6_900 * MS, rid)
+            request_id, _ = driver.send_request(6 * SECOND)
+            driver.balancer.client_disconnected(6_900 * MS, request_id)
         assert (driver.balancer.admission.admitted_share < 1.0) is is_shedding
 
 
@@ -84,15 +86,13 @@
     for k in range(2000):  # 100 requests a second, of which the endpoints can serve 50
         now = k * 10 * MS
         while due and due[0][0] <= now:
-            answered_at_us, rid, endpoint, sent_at = due.pop(0)
-            balancer.outcome(
-                answered_at_us, Outcome(rid, 0, endpoint, OK, answered_at_us - sent_at, is_final=True)
-            )
-        rid, actions = driver.send_request(now)
+            due_at, request_id, endpoint, sent_at = due.pop(0)
+            balancer.outcome(due_at, Outcome(request_id, 0, endpoint, OK, due_at - sent_at, is_final=True))
+        request_id, actions = driver.send_request(now)
         if sent := sends(actions):
             admitted_count += 1
             answered_at = max(now + 200 * MS, due[-1][0] + 20 * MS if due else 0)
-            due.append((answered_at, rid, sent[0].endpoint, now))
+            due.append((answered_at, request_id, sent[0].endpoint, now))
     assert balancer.admission.limit.is_unloaded_known
     assert len(due) < 50, "at most one second of work is in flight"
     assert admitted_count > 900, "requests within the capacity are admitted"
@@ -135,17 +135,17 @@
     assert balancer.request_table.uploading_count == 300
     now += 30 * MS
     assert driver.serve(now, 20 * MS), "an incomplete upload is no load"
-    for rid in list(balancer.requests):
-        balancer.client_disconnected(now, rid)
+    for request_id in list(balancer.requests):
+        balancer.client_disconnected(now, request_id)
     assert balancer.request_table.uploading_count == 0
     assert all(endpoint.in_flight == 0 for endpoint in balancer.endpoints.values())
 
 
-def end_by_timeout(balancer: Balancer, now: int, waited_us: int, rid: int) -> None:
+def end_by_timeout(balancer: Balancer, now: int, waited_us: int, request_id: int) -> None:
     """End a request that was sent `waited_us` ago with a time-out."""
-    request = balancer.requests[rid]
+    request = balancer.requests[request_id]
     endpoint = request.attempts[0].endpoint.id
-    balancer.outcome(now, Outcome(rid, 0, endpoint, TIMEOUT, waited_us, is_final=True))
+    balancer.outcome(now, Outcome(request_id, 0, endpoint, TIMEOUT, waited_us, is_final=True))
 
 
 def test_the_wait_for_a_lost_request_is_not_a_service_time() -> None:
@@ -158,12 +158,12 @@
         now += 4 * MS
         while pending and pending[0][0] <= now:
             balancer.outcome(pending[0][0], pending.popleft()[1])
-        rid, actions = driver.send_request(now)
+        request_id, actions = driver.send_request(now)
         (send,) = sends(actions)
         if n == 1_000:
-            hung_request_id, hung_endpoint = rid, send.endpoint
+            hung_request_id, hung_endpoint = request_id, send.endpoint
         else:
-            pending.append((now + 20 * MS, Outcome(rid, 0, send.endpoint, OK, 20 * MS, is_final=True)))
+            pending.append((now + 20 * MS, Outcome(request_id, 0, send.endpoint, OK, 20 * MS, is_final=True)))
             served += hung_request_id > 0 and send.endpoint == hung_endpoint
     assert served > 100, "the endpoint served other requests meanwhile"
     end_by_timeout(balancer, now, 4 * SECOND, hung_request_id)
@@ -182,6 +182,6 @@
         assert driver.serve(now, 20 * MS)
     waiting = [driver.send_request(now)[0] for _ in range(8)]
     now += SECOND
-    for rid in waiting:
-        end_by_timeout(balancer, now, SECOND, rid)
+    for request_id in waiting:
+        end_by_timeout(balancer, now, SECOND, request_id)
     assert balancer.admission.limit.service_us > 200 * MS
--- a/tests/test_balancing_concurrency_limit.py
+++ b/tests/test_balancing_concurrency_limit.py
@@ -57,12 +57,12 @@
     driver = Driver(started(settings=replace(SETTINGS, classes=(LONG_CLASS,))))
     admission, due = driver.balancer.admission, []
     for k in range(40):  # every second request takes five times as long
-        rid, actions = driver.send_request(k * MS)
+        request_id, actions = driver.send_request(k * MS)
         took = 100 * MS if k % 2 else 500 * MS
-        due.append((k * MS + took, rid, sends(actions)[0].endpoint, took))
-    for end, rid, endpoint, took in sorted(due):
+        due.append((k * MS + took, request_id, sends(actions)[0].endpoint, took))
+    for end, request_id, endpoint, took in sorted(due):
         assert not admission.limit.is_unloaded_known or end >= 500 * MS
-        driver.balancer.outcome(end, Outcome(rid, 0, endpoint, OK, took, is_final=True))
+        driver.balancer.outcome(end, Outcome(request_id, 0, endpoint, OK, took, is_final=True))
     assert admission.limit.is_unloaded_known and 200 * MS < admission.limit.unloaded_us < 400 * MS
 
 
--- a/tests/test_balancing_connections.py
+++ b/tests/test_balancing_connections.py
@@ -39,11 +39,11 @@
 
 def test_a_late_answer_removes_the_suspicion() -> None:
     driver = idle_driver()
-    rid, actions = driver.send_request(10 * SECOND)
+    request_id, actions = driver.send_request(10 * SECOND)
     (sent,) = sends(actions)
     driver.send_request(13 * SECOND)
     assert driver.balancer.connections.closes_left >= 1.0
-    driver.balancer.outcome(14 * SECOND, Outcome(rid, 0, sent.endpoint, OK, 4 * SECOND, is_final=True))
+    driver.balancer.outcome(14 * SECOND, Outcome(request_id, 0, sent.endpoint, OK, 4 * SECOND, is_final=True))
     assert driver.balancer.connections.closes_left < 1.0
 
 
--- a/tests/test_balancing_key_queues.py
+++ b/tests/test_balancing_key_queues.py
@@ -55,7 +55,7 @@
     driver = Driver(started(settings=IN_ORDER))
     for key in range(1, 500):
         now = key * 10 * MS
-        rid, actions = driver.send_request(now, key=key)
+        request_id, actions = driver.send_request(now, key=key)
         (sent,) = sends(actions)
-        driver.balancer.outcome(now + MS, Outcome(rid, 0, sent.endpoint, RESET, MS, True))
+        driver.balancer.outcome(now + MS, Outcome(request_id, 0, sent.endpoint, RESET, MS, True))
     assert len(driver.balancer.key_queues.queues) < 10 and len(driver.balancer.key_queues.resting_keys) < 10
--- a/tests/test_balancing_outliers.py
+++ b/tests/test_balancing_outliers.py
@@ -11,9 +11,9 @@
 
 def test_a_full_endpoint_is_avoided_before_the_first_answer() -> None:
     driver = Driver(started())
-    rid, actions = driver.send_request(SECOND)
+    request_id, actions = driver.send_request(SECOND)
     (sent,) = sends(actions)
-    driver.balancer.outcome(SECOND + MS, Outcome(rid, 0, sent.endpoint, FULL, MS))
+    driver.balancer.outcome(SECOND + MS, Outcome(request_id, 0, sent.endpoint, FULL, MS))
     assert driver.balancer.endpoints[sent.endpoint].no_new_connections_until > SECOND + 10 * MS
 
 
@@ -23,9 +23,9 @@
     """
     driver = Driver(started(2))
     assert all(driver.serve(k * 200 * MS, 100 * MS) for k in range(20))
-    rid, actions = driver.send_request(5 * SECOND)
+    request_id, actions = driver.send_request(5 * SECOND)
     (sent,) = sends(actions)
-    driver.balancer.outcome(5 * SECOND + MS, Outcome(rid, 0, sent.endpoint, FULL, MS))
+    driver.balancer.outcome(5 * SECOND + MS, Outcome(request_id, 0, sent.endpoint, FULL, MS))
     used_endpoints = {
         send.endpoint for k in range(9) for send in sends(driver.send_request(5 * SECOND + k * 10 * MS)[1])
     }
@@ -41,10 +41,10 @@
     balancer = started(1, settings=settings)
     endpoint = balancer.endpoints[100]
     for k in range(1, 20):
-        rid, cls, tenant = k, k % 2, k // 2 % 2
-        (sent,) = sends(balancer.request(k * SECOND, Arrival(rid, cls, (k + 1) * SECOND, tenant)))
+        request_id, cls, tenant = k, k % 2, k // 2 % 2
+        (sent,) = sends(balancer.request(k * SECOND, Arrival(request_id, cls, (k + 1) * SECOND, tenant)))
         is_failed = (cls, tenant) == (0, 1)
-        done = Outcome(rid, 0, sent.endpoint, FULL if is_failed else OK, MS, is_final=not is_failed)
+        done = Outcome(request_id, 0, sent.endpoint, FULL if is_failed else OK, MS, is_final=not is_failed)
         balancer.outcome(k * SECOND + MS, done)
     healths = [balancer.outliers.health(20 * SECOND, endpoint, segment) for segment in range(4)]
     assert min(healths) == healths[1] < 0.5 * min(healths[:1] + healths[2:])
--- a/tests/test_balancing_retries.py
+++ b/tests/test_balancing_retries.py
@@ -18,8 +18,8 @@
             SETTINGS, classes=(keyed_class,), second_copies=is_hedging_allowed, max_attempts=max_attempts
         )
         balancer = started(settings=settings)
-        rid, actions = Driver(balancer).send_request(SECOND)
-        request, first = balancer.requests[rid], sends(actions)[0].endpoint
+        request_id, actions = Driver(balancer).send_request(SECOND)
+        request, first = balancer.requests[request_id], sends(actions)[0].endpoint
         endpoint_in_cell = next(
             e for e in balancer.endpoints.values() if e.id != first and e.cell == (first - 100) // 4
         )
@@ -37,8 +37,8 @@
     """Unsafe requests were retried after 'full' although it proved nothing (incident i4b6c8c)."""
     unsafe_class = RequestClass(UNSAFE, aim_us=500 * MS, deadline_us=SECOND)
     driver = Driver(started(settings=replace(SETTINGS, classes=(unsafe_class,), full_unproven=is_unproven)))
-    rid, actions = driver.send_request(SECOND)
+    request_id, actions = driver.send_request(SECOND)
     (sent,) = sends(actions)
-    actions = driver.balancer.outcome(SECOND + MS, Outcome(rid, 0, sent.endpoint, FULL, MS))
+    actions = driver.balancer.outcome(SECOND + MS, Outcome(request_id, 0, sent.endpoint, FULL, MS))
     assert bool(sends(actions)) is not is_unproven
     assert any(isinstance(action, Fail) for action in actions) is is_unproven
--- a/tests/test_balancing_selection.py
+++ b/tests/test_balancing_selection.py
@@ -10,14 +10,14 @@
 def test_a_request_that_finds_no_endpoint_is_held_and_answered_in_time() -> None:
     """With an empty list or only cold endpoints, a request is held until its objective and then refused."""
     driver = Driver(started(0))
-    rid, actions = driver.send_request(SECOND)
+    request_id, actions = driver.send_request(SECOND)
     now = SECOND
     while not any(isinstance(action, Refuse) for action in actions):
         (timer,) = [action for action in actions if isinstance(action, Timer)]
         now += timer.delay_us
         actions = driver.balancer.timer(now, timer.token)
     assert now <= SECOND + SHORT_CLASS.aim_us
-    assert rid not in driver.balancer.requests
+    assert request_id not in driver.balancer.requests
 
 
 def test_fewer_attempts_in_flight_win_and_ties_go_left() -> None:
--- a/tests/test_balancing_slow_start.py
+++ b/tests/test_balancing_slow_start.py
@@ -35,9 +35,9 @@
     for outcome in (OK, FULL):
         driver = Driver(balancer := started(4))
         for k in range(1, 400):
-            rid, actions = driver.send_request(k * 10 * MS)
+            request_id, actions = driver.send_request(k * 10 * MS)
             for send in sends(actions):
-                done = Outcome(rid, 0, send.endpoint, outcome, 5 * MS, is_final=outcome == OK)
+                done = Outcome(request_id, 0, send.endpoint, outcome, 5 * MS, is_final=outcome == OK)
                 balancer.outcome(k * 10 * MS + 5 * MS, done)
         cold_endpoint = balancer.endpoints[100]
         cold_endpoint.started_at, cold_endpoint.slow_start_budget, cold_endpoint.slow_start_budget_at = (
--- a/tests/test_balancing_zones.py
+++ b/tests/test_balancing_zones.py
@@ -28,11 +28,11 @@
     remote_count = 0
     for k in range(count):
         at = now + k * 10 * MS
-        rid, actions = driver.send_request(at)
+        request_id, actions = driver.send_request(at)
         (sent,) = sends(actions)
         is_remote = driver.balancer.endpoints[sent.endpoint].zone != 1
         remote_count += is_remote
-        done = Outcome(rid, 0, sent.endpoint, OK, remote_us if is_remote else local_us, is_final=True)
+        done = Outcome(request_id, 0, sent.endpoint, OK, remote_us if is_remote else local_us, is_final=True)
         driver.balancer.outcome(at + (remote_us if is_remote else local_us), done)
     return remote_count / count
 
--- a/tests/test_crossings_balancing.py
+++ b/tests/test_crossings_balancing.py
@@ -114,7 +114,7 @@
             elif isinstance(action, Refuse | Fail):
                 self.check_final_answer(action)
             elif isinstance(action, Cancel):
-                assert self.config.can_cancel, "cancels are not allowed by the settings"
+                assert self.config.can_cancel, "no cancel where the settings do not allow it"
                 attempt = self.requests[action.request].attempts[action.attempt_index]
                 assert not attempt.is_streaming, "a streaming answer is not cancelled"
             elif isinstance(action, Timer):
@@ -126,8 +126,8 @@
                 assert not isinstance(action, Probe) or self.config.can_probe
                 assert not isinstance(action, Gossip) or self.config.can_tell
 
-    def scope_group(self, cls: RequestClass, cell: int, zone: int) -> int:
-        return {SCOPE_ALL: 0, SCOPE_ZONE: zone, SCOPE_CELL: cell}[cls.scope]
+    def scope_group(self, request_class: RequestClass, cell: int, zone: int) -> int:
+        return {SCOPE_ALL: 0, SCOPE_ZONE: zone, SCOPE_CELL: cell}[request_class.scope]
 
     def check_send(self, action: Send) -> None:
         request, config = self.requests[action.request], self.config
@@ -408,7 +408,7 @@
     assert all(endpoint.in_flight == 0 for endpoint in balancer.endpoints.values())
 
 
-def warming_up(balancer: Balancer, now: int) -> list[bool]:
+def warming_up_states(balancer: Balancer, now: int) -> list[bool]:
     return [balancer.slow_start.is_warming_up(now, one) for one in balancer.endpoints.values()]
 
 
@@ -419,7 +419,7 @@
     """
     balancer = started(2, cold_us=cold_us)
     balancer.members(SECOND, LIST_FULL, fleet(2, boot=3 * SECOND))
-    assert warming_up(balancer, SECOND) == [cold_us > 0] * 2
+    assert warming_up_states(balancer, SECOND) == [cold_us > 0] * 2
     _, actions = Driver(balancer).send_request(SECOND)
     assert sends(actions) or cold_us
 
@@ -429,14 +429,14 @@
     balancer = started(2)
     balancer.members(SECOND, LIST_FULL, fleet(2, boot=-2 * SECOND))
     for now, cold in ((SECOND, True), (17 * SECOND, True), (18 * SECOND, False)):
-        assert warming_up(balancer, now) == [cold] * 2
+        assert warming_up_states(balancer, now) == [cold] * 2
 
 
 @pytest.mark.parametrize("scope", [SCOPE_CELL, SCOPE_ZONE], ids=["cell", "zone"])
 def test_a_retry_stays_in_scope_after_an_endpoint_has_moved(scope: int) -> None:
     """An endpoint that was listed in another cell under the same id still counted as one of its old cell."""
-    cls = RequestClass(KEYED, scope, window_us=SECOND, aim_us=200 * MS, deadline_us=SECOND)
-    config = replace(SETTINGS, classes=(cls,), zones=3)
+    keyed_class = RequestClass(KEYED, scope, window_us=SECOND, aim_us=200 * MS, deadline_us=SECOND)
+    config = replace(SETTINGS, classes=(keyed_class,), zones=3)
     checker = RuleChecker(1, config)
     first, moved = Entry(1, READY, 0, 1.0, 0, 0, 0), Entry(2, READY, 0, 1.0, 0, 0, 0)
     checker.members(LIST_FULL, [first, moved])
@@ -503,11 +503,11 @@
     """A request may wait for an endpoint, for its turn or for a retry; after the client has left, nothing of
     it is sent, held or timed.
     """
-    cls = replace(LONG_CLASS, sequential=True)
-    balancer = started(0, settings=replace(SETTINGS, classes=(LONG_CLASS, cls)))
+    sequential_class = replace(LONG_CLASS, sequential=True)
+    balancer = started(0, settings=replace(SETTINGS, classes=(LONG_CLASS, sequential_class)))
     timers: list[int] = []
-    for request_id, kind in ((1, 0), (2, 1), (3, 1)):
-        actions = balancer.request(request_id, Arrival(request_id, kind, 6 * SECOND, key=7))
+    for request_id, class_index in ((1, 0), (2, 1), (3, 1)):
+        actions = balancer.request(request_id, Arrival(request_id, class_index, 6 * SECOND, key=7))
         timers += [one.token for one in actions if isinstance(one, Timer)]
         assert not sends(actions)
     assert timers
@@ -536,14 +536,16 @@
     due: list[tuple[int, Outcome]] = []
     recovered_at, end_at, last_sent_at, longest_us = 60 * SECOND, 80 * SECOND, 60 * SECOND, 0
     for now in range(interval_us, end_at, interval_us):
-        for at, outcome_event in [one for one in due if one[0] <= now]:
-            driver.balancer.outcome(at, outcome_event)
+        for ended_at, outcome_event in [one for one in due if one[0] <= now]:
+            driver.balancer.outcome(ended_at, outcome_event)
         due = [one for one in due if one[0] > now]
         request_id, actions = driver.send_request(now)
         for sent in sends(actions):
             longest_us, last_sent_at = max(longest_us, now - max(recovered_at, last_sent_at)), now
-            outcome, took = fault if 20 * SECOND <= now < recovered_at else (OK, 300 * MS)
-            due.append((now + took, Outcome(request_id, 0, sent.endpoint, outcome, took, is_final=True)))
+            outcome, took_us = fault if 20 * SECOND <= now < recovered_at else (OK, 300 * MS)
+            due.append(
+                (now + took_us, Outcome(request_id, 0, sent.endpoint, outcome, took_us, is_final=True))
+            )
         due.sort(key=lambda one: one[0])
     return max(longest_us, end_at - last_sent_at)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -106,9 +106,9 @@
         )
         self.check_actions(self.balancer.start(self.now))
 
-    def scope_group(self, cls: RequestClass, endpoint: int) -> int:
+    def scope_group(self, request_class: RequestClass, endpoint: int) -> int:
         entry = self.entries[endpoint]
-        return {SCOPE_ALL: 0, SCOPE_ZONE: entry.zone, SCOPE_CELL: entry.cell}[cls.scope]
+        return {SCOPE_ALL: 0, SCOPE_ZONE: entry.zone, SCOPE_CELL: entry.cell}[request_class.scope]
 
     def check_actions(self, actions: list[Action]) -> None:
         for action in actions:
