--- a/laurelstep/outbox/admission.py
+++ b/laurelstep/outbox/admission.py
@@ -170,7 +170,7 @@
 
     def on_call_closed(self, call: Call) -> None:
         """Found by its being closed, once the store is through; of a body that is coming no more is taken."""
-        self.bodies.left(call)
+        self.bodies.on_closed(call)
 
     async def _store(self, call: Call, write: QueuedWrite, answer: Answer | None, engine: CallHost) -> None:
         write_id, told = write.write_id, None
@@ -227,7 +227,7 @@
             engine.settle(call, may_have_run_answer())
         elif answer is not None:
             engine.settle(call, answer)
-        elif (refused := self.bodies.refused(call)) is not None:
+        elif (refused := self.bodies.refusal_of(call)) is not None:
             engine.settle(call, refused)
         elif not self._refuse_overtaking(call, None, engine):
             engine.admit(call)
--- a/laurelstep/outbox/background_replay.py
+++ b/laurelstep/outbox/background_replay.py
@@ -1,7 +1,8 @@
-"""Replay's share of the loop: its sends go one at a time, apart from each other while live requests come.
+"""Limits the event loop's share for replays: one send at a time, spaced while live requests arrive.
 
-What a batch of the store lets go would else go all at once, and a live request that comes then waits for all
-of it. A send that took some time is followed by `REST` times as much for others, if any have come.
+The writes of one store batch become ready together. If they were all sent at once, a live request that
+arrives then would wait for all of them. After a send, the next one waits `PAUSE_FACTOR` times as long as the
+send took, if live requests have arrived.
 """
 
 from __future__ import annotations
@@ -13,20 +14,20 @@
 
 __all__ = ["BackgroundReplay"]
 
-REST: Final = 3.0
+PAUSE_FACTOR: Final = 3.0
 
 
 class BackgroundReplay:
-    """`async with` it for one send. `live`: set whenever a live request comes."""
+    """A lock to hold during each send (`async with`). `live`: set when a live request arrives."""
 
     def __init__(self) -> None:
         self.live = False
         self._lock = asyncio.Lock()
-        self._began = 0.0
+        self._began_s = 0.0
 
     async def __aenter__(self) -> None:
         await self._lock.acquire()
-        self._began = time.perf_counter()
+        self._began_s = time.perf_counter()
 
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
@@ -34,6 +35,6 @@
         loop = asyncio.get_running_loop()
         if self.live:
             self.live = False
-            loop.call_later(REST * (time.perf_counter() - self._began), self._lock.release)
+            loop.call_later(PAUSE_FACTOR * (time.perf_counter() - self._began_s), self._lock.release)
         else:
-            loop.call_soon(self._lock.release)  # the loop looks at its sockets first
+            loop.call_soon(self._lock.release)  # lets the loop poll its sockets before the next send
--- a/laurelstep/outbox/bodies.py
+++ b/laurelstep/outbox/bodies.py
@@ -43,259 +43,272 @@
 from laurelstep.request_journal.records import DIGEST_BYTES, key_conflict_answer, request_digest
 from laurelstep.store import StoreError
 
-# Parts of one write that are on their way to the disk at a time.
-PUT_MOST: Final = 2
+# Parts of one write that are submitted to the store together.
+MAX_PARTS_PER_PUT: Final = 2
 # At this many buffered bytes reading from the write's client pauses; at `RESUME_BUFFERED_BYTES` it resumes.
-MAX_BUFFERED_BYTES_PER_WRITE: Final = (PUT_MOST + 1) * BODY_PART_BYTES
+MAX_BUFFERED_BYTES_PER_WRITE: Final = (MAX_PARTS_PER_PUT + 1) * BODY_PART_BYTES
 RESUME_BUFFERED_BYTES: Final = 2 * BODY_PART_BYTES
 MAX_BUFFERED_BYTES_IN_ALL: Final = 2 << 20
 MAX_RECEIVING: Final = 8
 MAX_WAITING: Final = 16
-# Up to this a body is read whole for its replay.
+# Up to this size a body is read into memory for its replay; a larger one is streamed.
 MAX_UNSTREAMED_BYTES: Final = 256 * 1024
-# A replay's provisional time, as that of a caller's upload: it counts from the last byte, once that is out.
+# Time for the upload of a replayed body. The deadline proper counts from its last byte, as for a client's.
 MAX_REPLAY_UPLOAD_US: Final = 600_000_000
-# What could not be deleted is tried again after this.
+# Delay before parts that could not be deleted are deleted again.
 DELETION_RETRY_S: Final = 1.0
 
 
 class IncomingBody:
-    """One that is coming: the sink of its stream. `stores`: else it is only compared."""
+    """A body that is still arriving: the sink of its stream.
 
-    def __init__(self, bodies: BodySpool, call: Call, upload: BodyStream, stores: bool) -> None:
+    `is_to_store`: false for a repeat, whose body is only compared.
+    """
+
+    def __init__(self, bodies: BodySpool, call: Call, upload: BodyStream, is_to_store: bool) -> None:
         self.bodies = bodies
         self.call = call
         self.upload = upload
-        self.stores = stores
-        self.came = 0
-        self.held = 0
-        self.first = b""  # stands behind the record, which is written last
-        self.rest = bytearray()
-        self.next = 1  # the part that is written next
-        self.begun = self.over = self.whole = self.paused = False
-        self.kept: bool | None = None
+        self.is_to_store = is_to_store
+        self.received_bytes = 0
+        self.buffered_bytes = 0
+        self.first_part = b""  # stored in the write's own record, which is written last
+        self.buffer = bytearray()
+        self.next_part = 1  # number of the part that is stored next
+        self.is_receiving = self.has_ended = self.is_complete = self.is_paused = False
+        self.is_stored: bool | None = None
         self.is_known_absent = True
-        self.news = asyncio.Event()
+        self.changed = asyncio.Event()
         self._digest = blake2b(call.method_and_target + b"\n", digest_size=DIGEST_BYTES)
 
     @property
     def digest(self) -> bytes:
-        """As `request_digest` of a call that has its body."""
+        """The digest that `request_digest` gives for a call that holds its body."""
         return self._digest.digest()
 
     @property
-    def fits(self) -> bool:
-        """Not longer than a kept body may be."""
-        return self.came <= self.bodies.most
+    def is_within_bound(self) -> bool:
+        """Whether the body is not yet larger than a queued body may be."""
+        return self.received_bytes <= self.bodies.max_body_bytes
 
     def begin(self) -> None:
-        """Take what comes from now on."""
-        self.begun = True
+        """Start receiving from the stream."""
+        self.is_receiving = True
         self.upload.attach(self)
-        if not self.paused:
+        if not self.is_paused:
             self.upload.resume()
 
     def on_data(self, data: bytes) -> None:
-        """A part of it came."""
-        if self.over:
+        """Buffer data of the stream; pause the stream when too much is buffered."""
+        if self.has_ended:
             return
-        self.came += len(data)
-        if not self.fits:
+        self.received_bytes += len(data)
+        if not self.is_within_bound:
             self.end(False)
             return
         self._digest.update(data)
-        if not self.stores:
+        if not self.is_to_store:
             return
-        self.rest += data
-        self._hold(len(data))
-        if not self.first and len(self.rest) >= BODY_PART_BYTES:
-            self._take_first()
-        if self.held >= MAX_BUFFERED_BYTES_PER_WRITE and not self.paused:
-            self.paused = True
+        self.buffer += data
+        self._add_buffered(len(data))
+        if not self.first_part and len(self.buffer) >= BODY_PART_BYTES:
+            self._cut_first_part()
+        if self.buffered_bytes >= MAX_BUFFERED_BYTES_PER_WRITE and not self.is_paused:
+            self.is_paused = True
             self.upload.pause()
-        self.news.set()
+        self.changed.set()
 
     def on_end(self, complete: bool) -> None:
-        """No more comes; `whole` if that is all of it."""
+        """The stream ended; `complete` if the whole body arrived."""
         self.end(complete)
 
-    def end(self, whole: bool) -> None:
-        """It is whole, or nothing more of it is wanted."""
-        if not self.over:
-            self.over, self.whole = True, whole
-            if whole and not self.first:
-                self._take_first()
-            self.news.set()
-
-    def _take_first(self) -> None:
-        self.first = bytes(self.rest[:BODY_PART_BYTES])
-        del self.rest[:BODY_PART_BYTES]
-
-    def _hold(self, more: int) -> None:
-        self.held += more
-        self.bodies.held += more
-
-    def _take(self) -> list[bytes]:
-        """The parts that are written next; none until there are more."""
-        found: list[bytes] = []
+    def end(self, is_complete: bool) -> None:
+        """Stop receiving: the body is complete, or its remainder is not wanted."""
+        if not self.has_ended:
+            self.has_ended, self.is_complete = True, is_complete
+            if is_complete and not self.first_part:
+                self._cut_first_part()
+            self.changed.set()
+
+    def _cut_first_part(self) -> None:
+        self.first_part = bytes(self.buffer[:BODY_PART_BYTES])
+        del self.buffer[:BODY_PART_BYTES]
+
+    def _add_buffered(self, size_change: int) -> None:
+        self.buffered_bytes += size_change
+        self.bodies.buffered_bytes += size_change
+
+    def _take_parts(self) -> list[bytes]:
+        """Take the parts to store next from the buffer; empty if no full part is buffered."""
+        parts: list[bytes] = []
         while (
-            self.first
-            and len(found) < PUT_MOST
-            and (len(self.rest) >= BODY_PART_BYTES or (self.whole and self.rest))
+            self.first_part
+            and len(parts) < MAX_PARTS_PER_PUT
+            and (len(self.buffer) >= BODY_PART_BYTES or (self.is_complete and self.buffer))
         ):
-            found.append(bytes(self.rest[:BODY_PART_BYTES]))
-            del self.rest[:BODY_PART_BYTES]
-        return found
+            parts.append(bytes(self.buffer[:BODY_PART_BYTES]))
+            del self.buffer[:BODY_PART_BYTES]
+        return parts
 
     async def store(self, write_id: WriteId) -> bool:
-        """All of it but the first part; False if it is not whole. `FailedToKeepError`."""
+        """Store all parts but the first as they arrive.
+
+        False if the body ended incomplete. `FailedToKeepError` if a part could not be stored.
+        """
         while True:
-            if self.over and not self.whole:
+            if self.has_ended and not self.is_complete:
                 return False
-            if parts := self._take():
-                await self.bodies.driver.store.put_parts(write_id, self.next, parts)
-                self.next += len(parts)
-                self._hold(-sum(map(len, parts)))
-                self.bodies._begin()
-                if self.paused and self.held <= RESUME_BUFFERED_BYTES:
-                    self.paused = False
+            if parts := self._take_parts():
+                await self.bodies.driver.store.put_parts(write_id, self.next_part, parts)
+                self.next_part += len(parts)
+                self._add_buffered(-sum(map(len, parts)))
+                self.bodies._start_waiting()
+                if self.is_paused and self.buffered_bytes <= RESUME_BUFFERED_BYTES:
+                    self.is_paused = False
                     self.upload.resume()
-            elif self.over:
+            elif self.has_ended:
                 return True
             else:
-                self.news.clear()
-                await self.news.wait()
+                self.changed.clear()
+                await self.changed.wait()
 
-    async def ended(self) -> None:
-        """Wait until no more comes."""
-        while not self.over:
-            self.news.clear()
-            await self.news.wait()
+    async def wait_ended(self) -> None:
+        """Wait until the body is complete or abandoned."""
+        while not self.has_ended:
+            self.changed.clear()
+            await self.changed.wait()
 
     def close(self) -> None:
-        """Nothing of it is held any more."""
-        self.over = True
-        self.rest = bytearray()
-        self.first = b""
-        self._hold(-self.held)
+        """Drop all buffered data."""
+        self.has_ended = True
+        self.buffer = bytearray()
+        self.first_part = b""
+        self._add_buffered(-self.buffered_bytes)
 
 
 class BodySpool:
-    """The large bodies of one driver."""
+    """Receives and replays the large bodies of one driver."""
 
     def __init__(self, driver: OutboxHost) -> None:
         self.driver = driver
-        self.most = driver.settings.body_bytes
-        self.held = 0
-        self.coming: dict[Call, IncomingBody] = {}
+        self.max_body_bytes = driver.settings.body_bytes
+        self.buffered_bytes = 0
+        self.receiving: dict[Call, IncomingBody] = {}
         self.waiting: deque[IncomingBody] = deque()
-        self.stored: dict[WriteId, IncomingBody] = {}  # those that are coming and are no repeats
-        self.digests: dict[Call, bytes] = {}  # of repeats that came whole
+        # The bodies that are being stored, with which repeats are compared.
+        self.first_bodies: dict[WriteId, IncomingBody] = {}
+        self.digests: dict[Call, bytes] = {}  # of calls whose streamed body has ended
 
-    # --- Keeping ----------------------------------------------------------------------
+    # --- Receiving --------------------------------------------------------------------
 
     def size(self, call: Call) -> int:
-        """Of its body; of one that comes in chunks, the most that it may have."""
+        """Size of a call's body in bytes; for a chunked one, the largest size that it may have."""
         if call.upload is None:
             return len(call.body)
-        return call.upload.length if call.upload.length >= 0 else self.most
+        return call.upload.length if call.upload.length >= 0 else self.max_body_bytes
 
     def has_room(self, call: Call) -> bool:
-        """Whether a call with a body that is still to come may be taken."""
-        return call.upload is None or len(self.coming) < MAX_RECEIVING + MAX_WAITING
+        """Whether a call may be queued now; always true if its body has already arrived."""
+        return call.upload is None or len(self.receiving) < MAX_RECEIVING + MAX_WAITING
 
     def digest(self, call: Call) -> bytes:
-        """Asked once for each."""
+        """The digest of a call's request. Called once for each call: a streamed body's digest is removed."""
         return self.digests.pop(call, None) or request_digest(call)
 
     def take(
         self, call: Call, upload: BodyStream, ticket: WriteTicket, answer: Answer | None, engine: CallHost
     ) -> None:
-        """A write that has a number, while its body comes."""
-        body = self.coming[call] = IncomingBody(self, call, upload, ticket.write is not None)
+        """Receive the body of a write that has its write id; a write that is no repeat is stored."""
+        body = self.receiving[call] = IncomingBody(self, call, upload, ticket.write is not None)
         if ticket.write is not None:
-            self.stored[ticket.write_id] = body
+            self.first_bodies[ticket.write_id] = body
             self.driver.storing[ticket.write_id] = [call]
             self.driver.spawn(self._store(body, ticket.write, answer, engine))
         else:
             self.driver.spawn(self._compare(body, ticket.write_id, answer, engine))
         self.waiting.append(body)
-        self._begin()
+        self._start_waiting()
 
-    def _begin(self) -> None:
-        """Those that wait, while there is room."""
+    def _start_waiting(self) -> None:
+        """Start to receive waiting bodies, as long as the bounds allow."""
         while self.waiting:
-            taken = sum(1 for one in self.coming.values() if one.begun)
-            if taken and (taken >= MAX_RECEIVING or self.held >= MAX_BUFFERED_BYTES_IN_ALL):
+            taken = sum(1 for incoming in self.receiving.values() if incoming.is_receiving)
+            if taken and (taken >= MAX_RECEIVING or self.buffered_bytes >= MAX_BUFFERED_BYTES_IN_ALL):
                 return
             body = self.waiting.popleft()
-            if not body.over:
+            if not body.has_ended:
                 body.begin()
 
-    def left(self, call: Call) -> None:
-        """It is not open any more."""
-        if (body := self.coming.get(call)) is not None:
+    def on_closed(self, call: Call) -> None:
+        """A call was closed by its client: stop receiving its body."""
+        if (body := self.receiving.get(call)) is not None:
             body.end(False)
 
     async def _store(
         self, body: IncomingBody, write: QueuedWrite, answer: Answer | None, engine: CallHost
     ) -> None:
         driver, write_id = self.driver, write.write_id
-        kept = False
+        is_stored = False
         try:
             if await body.store(write_id):
-                write = msgspec.structs.replace(write, size=body.came, digest=body.digest)
-                driver.outbox.on_size_known(write_id, body.came)
-                await driver.store.put_head(write, body.first)
-                kept = any(
-                    one.is_open for one in driver.storing[write_id]
-                ) or not await driver.store.delete_write(write_id, body.came)
-            elif not body.fits:
-                driver.log(f"outbox: not kept: a body of more than {self.most} bytes")
+                write = msgspec.structs.replace(write, size=body.received_bytes, digest=body.digest)
+                driver.outbox.on_size_known(write_id, body.received_bytes)
+                await driver.store.put_head(write, body.first_part)
+                is_stored = any(
+                    waiting.is_open for waiting in driver.storing[write_id]
+                ) or not await driver.store.delete_write(write_id, body.received_bytes)
+            elif not body.is_within_bound:
+                driver.log(f"outbox: not kept: a body of more than {self.max_body_bytes} bytes")
         except StoreError as error:
             driver.log(f"outbox: not kept: {error}")
             body.is_known_absent = isinstance(error, FailedToKeepError) and error.is_known_absent
         finally:
-            came = body.next * BODY_PART_BYTES  # the parts that may be there
+            stored_bytes = body.next_part * BODY_PART_BYTES  # of parts that may have been stored
             self._close(body)
-            del self.stored[write_id]
-        body.kept = kept
+            del self.first_bodies[write_id]
+        body.is_stored = is_stored
         self.digests[body.call] = write.digest
-        driver.on_stored(write, kept, body.is_known_absent, answer, engine)
-        if not kept:
-            await self._clear(write_id, came + PUT_MOST * BODY_PART_BYTES)
+        driver.on_stored(write, is_stored, body.is_known_absent, answer, engine)
+        if not is_stored:
+            await self._delete_parts(write_id, stored_bytes + MAX_PARTS_PER_PUT * BODY_PART_BYTES)
 
     def _close(self, body: IncomingBody) -> None:
-        del self.coming[body.call]
+        del self.receiving[body.call]
         body.close()
-        self._begin()
+        self._start_waiting()
 
-    async def _clear(self, write_id: WriteId, size: int) -> None:
-        """Its parts. On a disk that fails, once that writes again; at the latest as the store is opened."""
+    async def _delete_parts(self, write_id: WriteId, size: int) -> None:
+        """Delete the parts of a write that is not kept, retrying while the disk fails.
+
+        Any that are left are deleted when the store is next opened.
+        """
         while not await self.driver.store.delete_write(write_id, size) and not self.driver.closing:
             await asyncio.sleep(DELETION_RETRY_S)
 
     async def _compare(
         self, body: IncomingBody, write_id: WriteId, answer: Answer | None, engine: CallHost
     ) -> None:
-        first = self.stored.get(write_id)
+        first = self.first_bodies.get(write_id)
         try:
-            await body.ended()
+            await body.wait_ended()
         finally:
             self._close(body)
         call = body.call
-        if not body.fits:
+        if not body.is_within_bound:
             engine.settle(call, key_conflict_answer())
-        elif not body.whole or not call.is_open:
+        elif not body.is_complete or not call.is_open:
             return
-        elif first is not None and first.kept is False:
+        elif first is not None and first.is_stored is False:
             self.driver.answer_unqueued(call, answer, first.is_known_absent, engine)
         else:
             self.digests[call] = body.digest
             self.driver.answer_repeat(call, write_id, engine)
 
-    def refused(self, call: Call) -> Answer | None:
-        """Of one that is not kept, and of which nothing was sent; None if it can still be."""
+    def refusal_of(self, call: Call) -> Answer | None:
+        """The refusal of a call that was not queued; None if it can still be sent upstream.
+
+        It can't be once part of its body was received here.
+        """
         if call.upload is None or not call.upload.was_attached:
             return None
         return Answer(Ending.REFUSED, 503, retry_after_us=RETRY_US)
@@ -303,16 +316,16 @@
     # --- Replay -----------------------------------------------------------------------
 
     async def load_call(self, write_id: WriteId, replay: ReplayFront) -> Call | None:
-        """A queued write as the engine's call; None if it can't be read."""
+        """Load a queued write as a call to the engine; None if it can't be read."""
         store = self.driver.store
         try:
-            found = await store.head(write_id)
-            if found is None:
+            head = await store.head(write_id)
+            if head is None:
                 return None
-            write, first = found
+            write, first_part = head
             if write.size <= MAX_UNSTREAMED_BYTES:
                 parts = [
-                    first,
+                    first_part,
                     *[await store.part(write_id, at) for at in range(1, -(-write.size // BODY_PART_BYTES))],
                 ]
                 return self.driver.replay_call(write, b"".join(parts), replay)
@@ -325,43 +338,43 @@
         call.expires_at = now + min(
             MAX_REPLAY_UPLOAD_US + call.time_after_upload_us, self.driver.outbox.window_left(write_id, now)
         )
-        call.upload = BodyStream(BodyReplay(self, call, write, first), write.size)
+        call.upload = BodyStream(BodyReplay(self, call, write, first_part), write.size)
         return call
 
 
 class BodyReplay:
-    """The source of a body that is read from the store. It begins once its stream has a sink."""
+    """Source of a body stream that reads from the store. Starts once the stream has a sink."""
 
-    def __init__(self, bodies: BodySpool, call: Call, write: QueuedWrite, first: bytes) -> None:
+    def __init__(self, bodies: BodySpool, call: Call, write: QueuedWrite, first_part: bytes) -> None:
         self.bodies = bodies
         self.call = call
         self.write = write
-        self.first = first
+        self.first_part = first_part
         self.task: asyncio.Task[None] | None = None
-        self.free = asyncio.Event()
+        self.resumed = asyncio.Event()
 
     def pause(self) -> None:
-        """The sink wants no more for now."""
-        self.free.clear()
+        """Stop feeding the stream until `resume`."""
+        self.resumed.clear()
 
     def resume(self) -> None:
-        """The sink wants more."""
-        self.free.set()
+        """Feed the stream; the first call starts reading."""
+        self.resumed.set()
         if self.task is None:
-            self.task = asyncio.get_running_loop().create_task(self._play())
+            self.task = asyncio.get_running_loop().create_task(self._read_parts())
 
     def on_abandoned(self) -> None:
-        """The sink is gone."""
+        """Stop reading: the sink abandoned the stream."""
         if self.task is not None:
             self.task.cancel()
 
-    async def _play(self) -> None:
+    async def _read_parts(self) -> None:
         upload, write_id = self.call.upload, self.write.write_id
         assert upload is not None
         try:
-            for at in range(-(-self.write.size // BODY_PART_BYTES)):
-                part = await self.bodies.driver.store.part(write_id, at) if at else self.first
-                await self.free.wait()
+            for number in range(-(-self.write.size // BODY_PART_BYTES)):
+                part = await self.bodies.driver.store.part(write_id, number) if number else self.first_part
+                await self.resumed.wait()
                 upload.feed(part)
         except StoreError as error:
             self.bodies.driver.log(f"outbox: {write_id}: can't be read: {error}")
--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -1,17 +1,18 @@
-"""Joins the pure outbox with its store and the engine: keeps, answers, replays, tells.
+"""The outbox's driver: connects the pure `Outbox` with its store and the engine.
 
 The rules:
 
-1. A write is durable before its 202 leaves. One that could not be kept gets the answer it would have had; a
-   refusal only where no later life can find the write, and a failure that says it may have run otherwise.
-2. A client that left before its 202 was ready has nothing kept for it.
-3. Each change of a write is durable before the step that it announces: OUT before it is sent, DONE before
-   its receipt says so. An end that can't be written is written again until it is; until then the write is
-   out, and a life that follows finds that it may have run.
-4. A replay is a request of its own to the engine, with its class's rules and its own deadline.
-5. A live write that follows what is kept is kept too, or refused: it never overtakes.
-6. Where upstream is copies of this program, `shared.asking` adds what goes between them. A queued write of
-   another edge that comes here as at a copy upstream is not kept again: its edge keeps it.
+1. A write is durable before its 202 is sent. A write that could not be stored gets the answer that it would
+   have had without the outbox. It is refused only if no later incarnation can find the write; otherwise its
+   client is told that it may have run.
+2. No write is kept for a client that disconnected before its 202 was ready.
+3. Each state change of a write is durable before the step that it announces: OUT before the write is sent,
+   DONE before its receipt says so. A final state that can't be stored is retried until it is; until then the
+   write counts as sent, and the next incarnation finds that it may have run.
+4. A replay is a request of its own to the engine, with the rules of its class and its own deadline.
+5. A live write that causally depends on a queued write is queued too, or refused: it never overtakes.
+6. Where upstream is copies of this program, `shared.asking` adds the messages between the edge and them. A
+   queued write that another edge replays to this process is not queued again: that edge keeps it.
 """
 
 from __future__ import annotations
@@ -52,14 +53,14 @@
 from laurelstep.settings.config import ConfigError
 from laurelstep.store import StoreError
 
-# What is out as the process ends is waited for so long.
+# How long `close` waits for the tasks that still run, replays in flight included.
 CLOSE_TIMEOUT_S: Final = 5.0
-# Parked writes that an operator sees at once.
+# Parked writes in one status reply.
 MAX_LISTED_WRITES: Final = 100
 
 
 class OutboxDriver(WriteAdmission):
-    """The engine's `WriteQueue`. Made by `open`, then `begin` with the engine; `close` at the end."""
+    """The engine's `WriteQueue`. Made by `open`; `begin` connects it to the engine, `close` ends it."""
 
     def __init__(
         self,
@@ -83,8 +84,10 @@
         log: Log,
         version_vector: VersionVector | None = None,
     ) -> OutboxDriver:
-        """With all that earlier lives kept. `StoreError` or `OutboxError` if that can't be read, OSError
-        or ValueError if the secret can't be. `version_vector`: that of a copy upstream which shares.
+        """Open the store and restore all that earlier incarnations queued.
+
+        `StoreError` or `OutboxError` if the store can't be read, OSError or ValueError if the secret can't
+        be. `version_vector`: the replicated one, at an upstream copy with `outbox.shared` on.
         """
         keep_blocks_apart()
         store = await QueueStore.open(settings.store_path, settings.max_bytes, log)
@@ -92,15 +95,15 @@
             secret = await store.secret() if not settings.secret_file else _read_secret(settings.secret_file)
             tokens = CausalityTokens(secret)
             edge_log = EdgeLog(settings.edge, store.incarnation)
-            asks = settings.upstream == "copies" and version_vector is None
-            if asks:
+            uses_remote_vector = settings.upstream == "copies" and version_vector is None
+            if uses_remote_vector:
                 from laurelstep.outbox.shared.edge import RemoteVersionVector
 
                 version_vector = RemoteVersionVector(edge_log, Random())
             version_vector = version_vector or LocalVersionVector(settings.edge)
             outbox = Outbox(edge_log, _classes_of(settings), _bounds_of(settings), tokens, version_vector)
             self = cls(store, outbox, tokens, settings, classes, tenants, log)
-            if asks:
+            if uses_remote_vector:
                 from laurelstep.outbox.shared.asking import EdgeSharing
 
                 self.sharing = EdgeSharing(self, secret)
@@ -121,15 +124,17 @@
             doubt_us=self.store.opening_doubt_us,
         )
         await self.store.put_logs(self.outbox.edge_logs())
-        for write, moved in loaded.writes:
-            if moved is not None and moved.state is WriteState.PARKED:
-                self.parked[write.write_id] = moved.parking
+        for write, state_change in loaded.writes:
+            if state_change is not None and state_change.state is WriteState.PARKED:
+                self.parked[write.write_id] = state_change.parking
         self._restore_shared(loaded)
         for change in changes:
             await self.store.put_state(change.moved)
             self._apply(change)
         if loaded.writes:
-            self.log(f"outbox: {len(loaded.writes)} writes of earlier lives, {len(self.parked)} parked")
+            self.log(
+                f"outbox: {len(loaded.writes)} writes restored from the store, {len(self.parked)} parked"
+            )
 
     def _restore_shared(self, loaded: LoadedWrites) -> None:
         if self.sharing is not None:
@@ -139,14 +144,17 @@
                 self.status_publisher.publish(write_id, WriteStatus.PARKED)
 
     def begin(self, engine: Engine) -> None:
-        """Take part in the engine's requests, and replay."""
+        """Become the engine's write queue, and start to replay."""
         self.engine = engine
         engine.write_queue = self
         self._check_endpoints()
         self.wake()
 
     async def close(self) -> None:
-        """What is being written is finished first; what is out gets a moment for its answer."""
+        """Stop replaying, wait up to `CLOSE_TIMEOUT_S` for pending tasks, and close the store.
+
+        The tasks include writes that are being stored and replays whose answer is awaited.
+        """
         self.closing = True
         if self.replay_timer is not None:
             self.replay_timer.cancel()
@@ -163,16 +171,18 @@
         try:
             await self.store.put_logs(self.outbox.edge_logs())
         except StoreError as error:
-            self.log(f"outbox: not written at the end: {error}")
+            self.log(f"outbox: log numbers were not stored at shutdown: {error}")
         await self.store.close()
 
     def ask(self, call: Call) -> None:
-        """A client asks for a receipt: `call.start` is its token."""
-        self.spawn(self._tell(call))
+        """Answer a client's request for a receipt; `call.method_and_target` is its token."""
+        self.spawn(self._answer_receipt(call))
 
-    async def _tell(self, call: Call) -> None:
+    async def _answer_receipt(self, call: Call) -> None:
         try:
-            receipt = await self.receipt(_one(self.tokens.read(call.method_and_target.decode("ascii"))))
+            receipt = await self.receipt(
+                _single_write_id(self.tokens.read(call.method_and_target.decode("ascii")))
+            )
             answer = Answer(Ending.SERVED, 200, (JSON,), show(receipt))
         except UnknownWriteError as error:
             answer = Answer(Ending.FAILED, 404, (), f"{error}\n".encode())
@@ -183,14 +193,22 @@
         call.frontend.on_answer(call, answer)
 
     async def receipt(self, write_id: WriteId) -> WriteReceipt:
-        """With the final answer, where there is one. `UnknownWriteError`, `StoreError`."""
+        """The receipt of a write, with its final answer if there is one.
+
+        `UnknownWriteError` if there is no such write, `StoreError` if its answer can't be read.
+        """
         receipt = self.outbox.receipt(write_id)
-        if receipt.state in FINAL and (moved := await self.store.state_change(write_id)) is not None:
-            receipt = replace(receipt, status=moved.status, headers=moved.headers, body=moved.body)
+        if receipt.state in FINAL and (state_change := await self.store.state_change(write_id)) is not None:
+            receipt = replace(
+                receipt, status=state_change.status, headers=state_change.headers, body=state_change.body
+            )
         return receipt
 
     def resolve(self, text: str, parking: int, resolution: Resolution) -> bool:
-        """An operator's word on a parked write; False if it was given already. `OutboxError`."""
+        """Apply an operator's resolution of a parked write.
+
+        False if the same resolution was given already. `OutboxError` if it can't be applied.
+        """
         change = self.outbox.resolve(parse_write_id(text), parking, resolution, self.wall())
         if change is None:
             return False
@@ -198,18 +216,20 @@
         return True
 
     def claim(self, edge_log: EdgeLog) -> bool:
-        """An operator's word: of the processes that have copies of this disk, this one replays that log.
-        False if it does. `UnknownWriteError`.
+        """Make this process the one that replays an edge log, on an operator's request.
+
+        For a log that several processes hold, each on a copy of the same disk. False if this process replays
+        it already. `UnknownWriteError` if it has no such log.
         """
         if self.sharing is None or edge_log not in self.outbox.edge_logs():
             raise UnknownWriteError(
-                f"no line {edge_log.edge}/{edge_log.incarnation:016x} that others could have"
+                f"no edge log {edge_log.edge}/{edge_log.incarnation:016x} that another process could hold"
             )
         return self.sharing.force_lease(edge_log)
 
     def status(self) -> dict[str, Any]:
-        """For an operator."""
-        shown = list(self.parked)[:MAX_LISTED_WRITES]
+        """The outbox's status for an operator, in types that JSON has."""
+        listed = list(self.parked)[:MAX_LISTED_WRITES]
         return {
             "edge": self.settings.edge,
             "cut_off": self.cutoff.is_cut_off,
@@ -218,7 +238,7 @@
             "out": len(self.in_flight),
             "parked": len(self.parked),
             "disk_bytes": self.store.size,
-            "writes": [msgspec.json.decode(show(self.outbox.receipt(write_id))) for write_id in shown],
+            "writes": [msgspec.json.decode(show(self.outbox.receipt(write_id))) for write_id in listed],
         }
 
 
@@ -237,8 +257,8 @@
 
 def _classes_of(settings: OutboxSettings) -> dict[str, QueuedClass]:
     return {
-        name: QueuedClass(name, one.effect == "keyed", one.window_us)
-        for name, one in settings.classes.items()
+        name: QueuedClass(name, queued.effect == "keyed", queued.window_us)
+        for name, queued in settings.classes.items()
     }
 
 
@@ -247,9 +267,9 @@
         return file.read(4096).strip()
 
 
-def _one(dependencies: Dependencies) -> WriteId:
+def _single_write_id(dependencies: Dependencies) -> WriteId:
     if len(dependencies) != 1 or dependencies[0].before:
-        raise TokenError("not the receipt of one write")
+        raise TokenError("the token is not the receipt of a single write")
     return dependencies[0].write_id
 
 
@@ -261,7 +281,10 @@
     file: str = "",
     version_vector: VersionVector | None = None,
 ) -> OutboxDriver:
-    """As `OutboxDriver.open`; `ConfigError` with the key, `file` before it, if that can't be."""
+    """Open a driver as `OutboxDriver.open` does, with each error as a `ConfigError` that names its key.
+
+    `file` is put before the key.
+    """
     if settings.secret_file:
         try:
             _read_secret(settings.secret_file)
--- a/laurelstep/outbox/driver_state.py
+++ b/laurelstep/outbox/driver_state.py
@@ -1,4 +1,4 @@
-"""What the parts of an outbox's driver share: its store, its outbox, and the requests in flight."""
+"""The state that the parts of an outbox's driver share: store, outbox, and requests in flight."""
 
 from __future__ import annotations
 
@@ -15,9 +15,7 @@
 from laurelstep.outbox.causality_tokens import CausalityTokens
 from laurelstep.outbox.cutoff import CutOffDetector, CutOffRule
 from laurelstep.outbox.options import OutboxSettings
-from laurelstep.outbox.outbox import (
-    Outbox,
-)
+from laurelstep.outbox.outbox import Outbox
 from laurelstep.outbox.queue_store import QueueStore
 from laurelstep.outbox.replay_front import ReplayFront
 from laurelstep.outbox.version_vector import StatusPublisher, WriteStatus
@@ -31,7 +29,7 @@
 
 
 class DriverState:
-    """The state of one `OutboxDriver`, whose parts act on it. Belongs to the loop that made it."""
+    """The state of one `OutboxDriver`. Used only on the event loop on which it was made."""
 
     def __init__(
         self,
@@ -50,7 +48,7 @@
         self.tokens = tokens
         self.settings = settings
         self.classes = {classes[name]: name for name in settings.classes}
-        self.numbers = {name: classes[name] for name in settings.classes}
+        self.class_numbers = {name: classes[name] for name in settings.classes}
         self.tenants = dict(tenants)
         self.tenant_names = {number: name for name, number in tenants.items()}
         self.log = log
@@ -62,34 +60,34 @@
         self._begin_requests()
 
     def _begin_requests(self) -> None:
-        """What is under way, and what others are to hear."""
+        """Set up the writes in progress and the statuses still to be published."""
         version_vector = self.outbox.version_vector
         self.status_publisher = version_vector if isinstance(version_vector, StatusPublisher) else None
-        self.storing: dict[WriteId, list[Call]] = {}  # requests that wait for a write to be durable
+        self.storing: dict[WriteId, list[Call]] = {}  # calls that wait for a write to be stored
         self.in_flight: dict[WriteId, ReplayFront] = {}
         self.background_replay = BackgroundReplay()
-        self.again: set[WriteId] = set()  # sent before, without a known end
-        self.parked: dict[WriteId, int] = {}  # the number of the parking
-        self.unpublished: list[
-            tuple[WriteId, WriteStatus]
-        ] = []  # over, and the version vector had no room for it
-        self.applied_by_gate: set[WriteId] = set()  # done by an answer: upstream knows, and need not be told
+        self.retried: set[WriteId] = set()  # replayed before, with unknown result
+        self.parked: dict[WriteId, int] = {}  # values: the number of the parking
+        # Finished writes whose status the version vector had no room for.
+        self.unpublished: list[tuple[WriteId, WriteStatus]] = []
+        # Writes whose status upstream knows because it answered their replay: not published again.
+        self.applied_by_gate: set[WriteId] = set()
         self.tasks: set[asyncio.Task[None]] = set()
         self.replay_timer: asyncio.Handle | None = None
         self.closing = False
         self.was_cut_off = False
-        self.look_at = 0
+        self.next_endpoint_check_at = 0
 
     def now(self) -> int:
         """Monotonic time in µs."""
         return self.clock.now()
 
     def wall(self) -> int:
-        """The store's time in µs, as `Outbox` takes it."""
+        """The store's time in µs, which measures ages of writes across incarnations."""
         return self.store.time_us()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run it as a task that `close` waits for."""
+        """Run `work` as a task that `close` waits for."""
         task = self.loop.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
--- a/laurelstep/outbox/queue_store.py
+++ b/laurelstep/outbox/queue_store.py
@@ -39,24 +39,25 @@
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from laurelstep.store import SYSTEM_CLOCKS, Disk, FolderDisk, Store, StoreClocks, StoreError, StoreOptions
 
-KEPT, MOVED, PART, LINE, HOLDERS = b"k", b"m", b"p", b"l", b"h"
+# The first byte of a key says what its record holds.
+WRITE_KEY, STATE_KEY, PART_KEY, LOG_KEY, HOLDERS_KEY = b"k", b"m", b"p", b"l", b"h"
 SECRET: Final = b"secret"
 SECRET_BYTES: Final = 32
-# The store may have this beside twice what is kept: states and deletions must find room when no more
-# writes are let in, and what is of no more use waits there for compaction.
-SPARE_BYTES: Final = 64 << 20
-# The bodies of what is final go after so long, so many at a time.
+# The store's bound is twice that of the queued writes plus this: when the outbox is full, states and
+# deletions still need room, and obsolete records stay until compaction.
+RESERVED_BYTES: Final = 64 << 20
+# Bodies of writes in a final state are deleted after this delay, this many writes at a time.
 BODY_DELETION_DELAY_S: Final = 1.0
 BODY_DELETION_BATCH: Final = 8
-# A segment is read whole as the store is opened, and as it is compacted.
-SEGMENT_LEAST, SEGMENT_MOST = 2 << 20, 4 << 20
+# Bounded, since a segment is read whole when the store is opened and when it is compacted.
+MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES = 2 << 20, 4 << 20
 
 
 class FailedToKeepError(StoreError):
-    """A write could not be kept. `is_known_absent`: no later life will find it."""
+    """A write could not be kept. `is_known_absent`: no later incarnation will find it."""
 
-    cause = "a write could not be kept: the outbox's store is full, or its disk fails"
-    remedy = "free the disk or raise outbox.max_mb; until then writes get the answer they would have had"
+    cause = "a write could not be stored: the outbox's store is full, or its disk fails"
+    remedy = "free the disk or raise outbox.max_mb; until then writes are answered as without an outbox"
 
     def __init__(self, text: str, is_known_absent: bool) -> None:
         super().__init__(text)
@@ -65,9 +66,11 @@
 
 @dataclass
 class LoadedWrites:
-    """What earlier lives left: the writes with their newest states, and the highest number of each log. So
-    many take memory: what only a replay or a receipt needs is left out (start, headers, digest; an answer's
-    headers and body).
+    """What the store holds when it is opened.
+
+    `writes`: all writes with their newest states. To save memory, fields that only a replay or a receipt
+    needs are empty: start, headers and digest of a write, headers and body of an answer. `edge_logs`: the
+    highest number of each log. `holders`: the incarnations known to have held or requested a log.
     """
 
     writes: list[tuple[QueuedWrite, StateChange | None]] = field(default_factory=list)
@@ -76,11 +79,11 @@
 
 
 def key_of(kind: bytes, write_id: WriteId) -> bytes:
-    """The store's key of one kind of record of a write."""
+    """The store's key of one kind of record of a write; `kind` is the key's first byte."""
     return kind + write_id.incarnation.to_bytes(8, "big") + write_id.number.to_bytes(8, "big")
 
 
-def _log_key(edge_log: EdgeLog, kind: bytes = LINE) -> bytes:
+def _log_key(edge_log: EdgeLog, kind: bytes = LOG_KEY) -> bytes:
     return kind + edge_log.incarnation.to_bytes(8, "big") + edge_log.edge.encode()
 
 
@@ -88,148 +91,171 @@
     return EdgeLog(key[9:].decode(), int.from_bytes(key[1:9], "big"))
 
 
-def part_key(write_id: WriteId, at: int) -> bytes:
-    """The store's key of one part of a body, counted from 1."""
-    return key_of(PART, write_id) + at.to_bytes(4, "big")
+def part_key(write_id: WriteId, part_number: int) -> bytes:
+    """The store's key of one part of a body. Part 0, the first, is in the write's own record."""
+    return key_of(PART_KEY, write_id) + part_number.to_bytes(4, "big")
 
 
 def part_keys(write_id: WriteId, size: int) -> list[bytes]:
-    """Of the parts behind the first."""
+    """The keys of all parts of a body of `size` bytes but the first."""
     return [part_key(write_id, at) for at in range(1, -(-size // BODY_PART_BYTES))]
 
 
 class QueueStore:
-    """On a folder, or on any `Disk`. Made by `open`; belongs to the loop that opened it."""
+    """The queued writes on a disk. Made by `open`; used only on the event loop that opened it."""
 
     def __init__(self, store: Store) -> None:
         self.store = store
         self.incarnation = secrets.randbits(64)
-        self._ended: deque[WriteId] = deque()  # final, and their bodies are still there
-        self._ending: asyncio.Task[None] | None = None
-        self._forgetting: set[WriteId] = set()
+        # Writes in a final state whose bodies are still stored.
+        self._bodies_to_delete: deque[WriteId] = deque()
+        self._body_deletion: asyncio.Task[None] | None = None
+        self._being_deleted: set[WriteId] = set()
 
     @classmethod
     async def open(
         cls,
-        place: str | Disk,
+        disk_or_folder: str | Disk,
         max_bytes: int,
-        log: Callable[[str], None] = lambda edge_log: None,
+        log: Callable[[str], None] = lambda line: None,
         clocks: StoreClocks = SYSTEM_CLOCKS,
     ) -> QueueStore:
-        """`max_bytes`: what its user keeps at most, which is for the user to see to. `StoreError` if it is
-        in use, damaged or can't be read.
+        """Open the store on a folder or a disk.
+
+        `max_bytes`: the caller's bound for queued writes, which the caller enforces; sizes the store.
+        `StoreError` if the store is in use, damaged or can't be read.
         """
-        disk: Disk = FolderDisk(place) if isinstance(place, str) else place
-        segment = min(SEGMENT_MOST, max(SEGMENT_LEAST, max_bytes // 8))
+        disk: Disk = FolderDisk(disk_or_folder) if isinstance(disk_or_folder, str) else disk_or_folder
+        segment = min(MAX_SEGMENT_BYTES, max(MIN_SEGMENT_BYTES, max_bytes // 8))
         options = StoreOptions(
-            max_bytes=2 * max_bytes + SPARE_BYTES, segment_bytes=segment, numbered_prefixes=KEPT + MOVED
+            max_bytes=2 * max_bytes + RESERVED_BYTES,
+            segment_bytes=segment,
+            numbered_prefixes=WRITE_KEY + STATE_KEY,
         )
         return cls(await Store.open(disk, options, log, clocks))
 
     def time_us(self) -> int:
-        """By which the ages of writes are told, across lives too: it never stays behind the time that has
-        truly passed. Unix time where no clock was stepped and the machine runs on.
+        """The time in µs that measures the ages of writes, also across incarnations.
+
+        It never runs behind the time that has really passed. It is Unix time as long as no clock was stepped
+        and the machine was not stopped.
         """
         return self.store.expiry_clock.most_ms() * 1000
 
     @property
     def opening_doubt_us(self) -> int:
-        """By how much `time_us` may have gone ahead of the true time between the lives."""
+        """How far `time_us` may have run ahead of real time before this opening, in µs."""
         return self.store.expiry_clock.opening_doubt_ms * 1000
 
     @property
     def is_elapsed_known(self) -> bool:
-        """False where nothing tells how long ago the life before this one ended."""
+        """False if it is unknown how long ago the previous incarnation ended."""
         return self.store.expiry_clock.is_elapsed_known
 
     async def secret(self) -> bytes:
-        """Of this edge alone, the same in every life."""
-        found = await self.store.get(SECRET)
-        if found is None:
-            found = secrets.token_bytes(SECRET_BYTES)
-            await self.store.put(SECRET, found)
-        return found
+        """The secret of this edge, made once and the same in every incarnation."""
+        secret = await self.store.get(SECRET)
+        if secret is None:
+            secret = secrets.token_bytes(SECRET_BYTES)
+            await self.store.put(SECRET, secret)
+        return secret
 
-    # --- A life's beginning -----------------------------------------------------------
+    # --- Loading ----------------------------------------------------------------------
 
     async def load(self) -> LoadedWrites:
-        """What is kept; `KeptRecordError` if a record can't be read. Called once, before anything else."""
-        found = LoadedWrites()
-        kept: dict[bytes, QueuedWrite] = {}
-        moved: dict[bytes, StateChange] = {}
-        whole = set[bytes]()
-        async for key, value in self.store.each(KEPT + MOVED + LINE + HOLDERS):
-            if key[:1] == KEPT:
-                write, first = _split(value)
-                kept[key[1:]] = replace(write, start=b"", headers=(), digest=b"")
-                if first:
-                    whole.add(key[1:])
-            elif key[:1] == MOVED:
-                moved[key[1:]] = replace(decode_state_change(value), headers=(), body=b"")
-            elif key[:1] == HOLDERS:
-                found.holders[_log_of(key)] = _lives_of(value)
+        """Load all writes, and delete orphaned records. Called once, before anything else.
+
+        `KeptRecordError` if a record can't be read.
+        """
+        loaded = LoadedWrites()
+        writes: dict[bytes, QueuedWrite] = {}
+        states: dict[bytes, StateChange] = {}
+        has_body = set[bytes]()
+        async for key, value in self.store.each(WRITE_KEY + STATE_KEY + LOG_KEY + HOLDERS_KEY):
+            if key[:1] == WRITE_KEY:
+                write, first_part = _split(value)
+                writes[key[1:]] = replace(write, start=b"", headers=(), digest=b"")
+                if first_part:
+                    has_body.add(key[1:])
+            elif key[:1] == STATE_KEY:
+                states[key[1:]] = replace(decode_state_change(value), headers=(), body=b"")
+            elif key[:1] == HOLDERS_KEY:
+                loaded.holders[_log_of(key)] = _incarnations_of(value)
             else:
-                found.edge_logs[_log_of(key)] = int.from_bytes(value, "big")
-        stale = self._orphans(kept, moved)
-        found.writes = [(one, moved.get(at)) for at, one in sorted(kept.items()) if KEPT + at not in stale]
-        for write, _ in found.writes:
-            found.edge_logs[write.write_id.edge_log] = max(
-                found.edge_logs.get(write.write_id.edge_log, 0), write.write_id.number
+                loaded.edge_logs[_log_of(key)] = int.from_bytes(value, "big")
+        stale = self._orphans(writes, states)
+        loaded.writes = [
+            (write, states.get(at)) for at, write in sorted(writes.items()) if WRITE_KEY + at not in stale
+        ]
+        for write, _ in loaded.writes:
+            loaded.edge_logs[write.write_id.edge_log] = max(
+                loaded.edge_logs.get(write.write_id.edge_log, 0), write.write_id.number
             )
-        for write, state in found.writes:
-            if state is not None and state.state in FINAL and key_of(KEPT, write.write_id)[1:] in whole:
-                self._end(write.write_id)
+        for write, state in loaded.writes:
+            if (
+                state is not None
+                and state.state in FINAL
+                and key_of(WRITE_KEY, write.write_id)[1:] in has_body
+            ):
+                self._schedule_body_deletion(write.write_id)
         if stale:
             await asyncio.gather(*(self.store.delete(key) for key in stale))
-        return found
+        return loaded
 
-    def _orphans(self, kept: dict[bytes, QueuedWrite], moved: dict[bytes, StateChange]) -> set[bytes]:
-        """Records of writes never told as kept, or forgotten, and the bodies of what is over."""
+    def _orphans(self, writes: dict[bytes, QueuedWrite], states: dict[bytes, StateChange]) -> set[bytes]:
+        """The keys of records without use.
+
+        They belong to writes that were never acknowledged or are deleted, or are parts of bodies of writes in
+        a final state.
+        """
         stale, parts = set[bytes](), set[bytes]()
-        for at, write in kept.items():
-            if at in moved and moved[at].state in FINAL:
+        for at, write in writes.items():
+            if at in states and states[at].state in FINAL:
                 continue
-            mine = part_keys(write.write_id, write.size)
-            if all(key in self.store for key in mine):
-                parts.update(mine)
+            own_parts = part_keys(write.write_id, write.size)
+            if all(key in self.store for key in own_parts):
+                parts.update(own_parts)
             else:
-                stale.add(KEPT + at)
-        stale.update(MOVED + at for at in moved if at not in kept or KEPT + at in stale)
-        stale.update(key for key in self.store.index.locations if key[:1] == PART and key not in parts)
+                stale.add(WRITE_KEY + at)
+        stale.update(STATE_KEY + at for at in states if at not in writes or WRITE_KEY + at in stale)
+        stale.update(key for key in self.store.index.locations if key[:1] == PART_KEY and key not in parts)
         return stale
 
     # --- Writing ----------------------------------------------------------------------
 
     def put_write(self, write: QueuedWrite, body: bytes) -> Coroutine[Any, Any, None]:
-        """Begun by the call itself. `FailedToKeepError`, with nothing of it left where that is certain."""
+        """Store a write with its body. The records are submitted before the coroutine is awaited.
+
+        `FailedToKeepError` if it is not stored; `is_known_absent` then says whether nothing of it is left.
+        """
         record = encode(write)
-        first = len(record).to_bytes(4, "big") + record + body[:BODY_PART_BYTES]
+        head_record = len(record).to_bytes(4, "big") + record + body[:BODY_PART_BYTES]
         keys = part_keys(write.write_id, len(body))
-        # All are put before the store's own task runs: as one batch where it is not too large.
+        # All are submitted before the store's own task runs: they form one batch, if that is not too large.
         puts = [
             self.store.put(key, body[at * BODY_PART_BYTES : (at + 1) * BODY_PART_BYTES])
             for at, key in enumerate(keys, start=1)
         ]
-        puts.append(self.store.put(key_of(KEPT, write.write_id), first))
-        return self._kept(write, len(body), puts)
+        puts.append(self.store.put(key_of(WRITE_KEY, write.write_id), head_record))
+        return self._wait_stored(write, len(body), puts)
 
-    async def _kept(self, write: QueuedWrite, size: int, puts: list[asyncio.Future[None]]) -> None:
+    async def _wait_stored(self, write: QueuedWrite, size: int, puts: list[asyncio.Future[None]]) -> None:
         results = await asyncio.gather(*puts, return_exceptions=True)
-        error = next((one for one in results if isinstance(one, BaseException)), None)
+        error = next((result for result in results if isinstance(result, BaseException)), None)
         if error is None:
             return
-        # Told by a store that refuses before it writes: it is full, or was failing already.
-        is_known_absent = await self._take_back(write.write_id, size) and not self.store.is_failing
+        # Known where the store refused the write before writing: it was full, or was failing already.
+        is_known_absent = await self._remove(write.write_id, size) and not self.store.is_failing
         raise FailedToKeepError(str(error), is_known_absent) from None
 
-    async def _take_back(self, write_id: WriteId, size: int) -> bool:
-        """Delete what there is of a write; False if that failed."""
-        results = await asyncio.gather(*self._begin_take_back(write_id, size), return_exceptions=True)
-        return not any(isinstance(one, BaseException) for one in results)
+    async def _remove(self, write_id: WriteId, size: int) -> bool:
+        """Delete the stored records of a write that could not be stored whole; False if that failed."""
+        results = await asyncio.gather(*self._submit_removal(write_id, size), return_exceptions=True)
+        return not any(isinstance(result, BaseException) for result in results)
 
-    def _begin_take_back(self, write_id: WriteId, size: int) -> list[asyncio.Future[None]]:
-        """The record goes before the parts: none is ever found without them."""
-        keys = [key for key in (key_of(KEPT, write_id), *part_keys(write_id, size)) if key in self.store]
+    def _submit_removal(self, write_id: WriteId, size: int) -> list[asyncio.Future[None]]:
+        """Submit the deletions: the record before the parts, so that it is never found without them."""
+        keys = [key for key in (key_of(WRITE_KEY, write_id), *part_keys(write_id, size)) if key in self.store]
         return [self.store.delete(key) for key in keys]
 
     async def put_parts(self, write_id: WriteId, at: int, parts: Sequence[bytes]) -> None:
@@ -242,85 +268,96 @@
             self.store.put(part_key(write_id, number), part) for number, part in enumerate(parts, start=at)
         ]
         results = await asyncio.gather(*puts, return_exceptions=True)
-        error = next((one for one in results if isinstance(one, BaseException)), None)
+        error = next((result for result in results if isinstance(result, BaseException)), None)
         if error is not None:
             raise FailedToKeepError(str(error), True) from None
 
-    async def put_head(self, write: QueuedWrite, first: bytes) -> None:
-        """The head, with the first part of the body, of a write whose other parts are durable: it is kept.
-        `FailedToKeepError`; its parts are for the caller to `delete_write`.
+    async def put_head(self, write: QueuedWrite, first_part: bytes) -> None:
+        """Store the record of a write whose other parts are durable, with the first part of its body.
+
+        The write is then queued. `FailedToKeepError` if it is not stored; the caller has to delete the parts
+        by `delete_write`.
         """
         record = encode(write)
         try:
             await self.store.put(
-                key_of(KEPT, write.write_id), len(record).to_bytes(4, "big") + record + first
+                key_of(WRITE_KEY, write.write_id), len(record).to_bytes(4, "big") + record + first_part
             )
         except StoreError as error:
             raise FailedToKeepError(str(error), not self.store.is_failing) from None
 
     async def delete_write(self, write_id: WriteId, size: int) -> bool:
-        """All of a write. False if that can't be written. Its state is deleted after its record: a record
-        without a state, if only one batch of two is durable, would be sent again.
+        """Delete all records of a write; False if a deletion could not be stored.
+
+        The state is deleted after the write's record. If the deletions fall into two batches of which only
+        the first becomes durable, a write without its state would be replayed again.
         """
-        moved = key_of(MOVED, write_id)
-        self._forgetting.add(write_id)
+        state_key = key_of(STATE_KEY, write_id)
+        self._being_deleted.add(write_id)
         try:
-            taking_back = self._begin_take_back(write_id, size)
-            if moved in self.store:
-                taking_back.append(self.store.delete(moved))
-            results = await asyncio.gather(*taking_back, return_exceptions=True)
-            return not any(isinstance(one, BaseException) for one in results)
+            deletions = self._submit_removal(write_id, size)
+            if state_key in self.store:
+                deletions.append(self.store.delete(state_key))
+            results = await asyncio.gather(*deletions, return_exceptions=True)
+            return not any(isinstance(result, BaseException) for result in results)
         finally:
-            self._forgetting.discard(write_id)
+            self._being_deleted.discard(write_id)
 
-    async def put_state(self, moved: StateChange) -> None:
-        """Its state from now on. `StoreError` if it is not written."""
-        await self.store.put(key_of(MOVED, moved.write_id), encode(moved))
-        if moved.state in FINAL:
-            self._end(moved.write_id)
+    async def put_state(self, change: StateChange) -> None:
+        """Store the new state of a write. `StoreError` if it is not stored."""
+        await self.store.put(key_of(STATE_KEY, change.write_id), encode(change))
+        if change.state in FINAL:
+            self._schedule_body_deletion(change.write_id)
 
-    def _end(self, write_id: WriteId) -> None:
-        self._ended.append(write_id)
-        if self._ending is None:
-            self._ending = asyncio.get_running_loop().create_task(self._end_bodies())
+    def _schedule_body_deletion(self, write_id: WriteId) -> None:
+        self._bodies_to_delete.append(write_id)
+        if self._body_deletion is None:
+            self._body_deletion = asyncio.get_running_loop().create_task(self._delete_bodies())
 
-    async def _end_bodies(self) -> None:
-        """Nothing more is sent of these. Nobody waits for it: many are read and written at once."""
+    async def _delete_bodies(self) -> None:
+        """Delete the bodies of writes in a final state, a batch at a time: no caller waits for it."""
         try:
-            while self._ended:
+            while self._bodies_to_delete:
                 await asyncio.sleep(BODY_DELETION_DELAY_S)
-                for _ in range(-(-len(self._ended) // BODY_DELETION_BATCH)):
-                    some = [self._ended.popleft() for _ in range(min(BODY_DELETION_BATCH, len(self._ended)))]
-                    await self._end_some({key_of(KEPT, write_id): write_id for write_id in some})
+                for _ in range(-(-len(self._bodies_to_delete) // BODY_DELETION_BATCH)):
+                    batch = [
+                        self._bodies_to_delete.popleft()
+                        for _ in range(min(BODY_DELETION_BATCH, len(self._bodies_to_delete)))
+                    ]
+                    await self._delete_body_batch(
+                        {key_of(WRITE_KEY, write_id): write_id for write_id in batch}
+                    )
         finally:
-            self._ending = None
+            self._body_deletion = None
 
-    async def _end_some(self, left: dict[bytes, WriteId]) -> None:
-        """What could not be read, or moved meanwhile, has its turn again."""
+    async def _delete_body_batch(self, pending: dict[bytes, WriteId]) -> None:
+        """Delete some bodies; if a record could not be read or was moved meanwhile, queue it again."""
         with contextlib.suppress(StoreError):
-            async for key, value in self.store.some(list(left)):
-                del left[key]
+            async for key, value in self.store.some(list(pending)):
+                del pending[key]
                 with contextlib.suppress(KeptRecordError):
-                    self._end_body(key, value)
-        self._ended.extend(
+                    self._delete_body(key, value)
+        self._bodies_to_delete.extend(
             write_id
-            for key, write_id in left.items()
-            if key in self.store and write_id not in self._forgetting
+            for key, write_id in pending.items()
+            if key in self.store and write_id not in self._being_deleted
         )
 
-    def _end_body(self, key: bytes, value: bytes) -> None:
-        """What this fails to write is done as the store is opened."""
-        write, first = _split(value)
-        if write.write_id in self._forgetting:
-            return  # a record of it must not come back
-        begun = [self.store.delete(key) for key in part_keys(write.write_id, write.size) if key in self.store]
-        if first:
-            begun.append(self.store.put(key, value[: len(value) - len(first)]))
-        for one in begun:
-            one.add_done_callback(lambda done: done.cancelled() or done.exception())
+    def _delete_body(self, key: bytes, value: bytes) -> None:
+        """Delete the body of a write. If a deletion fails, it is repeated when the store is next opened."""
+        write, first_part = _split(value)
+        if write.write_id in self._being_deleted:
+            return  # storing its shortened record would bring it back
+        changes = [
+            self.store.delete(key) for key in part_keys(write.write_id, write.size) if key in self.store
+        ]
+        if first_part:
+            changes.append(self.store.put(key, value[: len(value) - len(first_part)]))
+        for change in changes:
+            change.add_done_callback(lambda done: done.cancelled() or done.exception())
 
     async def put_logs(self, edge_logs: Mapping[EdgeLog, int]) -> None:
-        """The highest number that each own log gave out. `StoreError` if it is not written."""
+        """Store the highest number given out in each own log. `StoreError` if one is not stored."""
         await asyncio.gather(
             *(
                 self.store.put(_log_key(edge_log), number.to_bytes(8, "big"))
@@ -328,20 +365,20 @@
             )
         )
 
-    async def put_holders(self, edge_log: EdgeLog, lives: tuple[int, ...]) -> None:
-        """The lives that this disk knows to have had a log, or to have asked for it. `StoreError`."""
-        told = b"".join(life.to_bytes(8, "big") for life in lives)
-        await self.store.put(_log_key(edge_log, HOLDERS), told)
+    async def put_holders(self, edge_log: EdgeLog, incarnations: tuple[int, ...]) -> None:
+        """Store the incarnations known to have held a log or requested it. `StoreError` if not stored."""
+        value = b"".join(incarnation.to_bytes(8, "big") for incarnation in incarnations)
+        await self.store.put(_log_key(edge_log, HOLDERS_KEY), value)
 
     # --- Reading ----------------------------------------------------------------------
 
     async def read(self, write_id: WriteId) -> tuple[QueuedWrite, bytes] | None:
         """A write with its body; None if there is none. `StoreError` if it can't be read."""
-        value = await self.store.get(key_of(KEPT, write_id))
+        value = await self.store.get(key_of(WRITE_KEY, write_id))
         if value is None:
             return None
-        write, first = _split(value)
-        parts = [first]
+        write, first_part = _split(value)
+        parts = [first_part]
         for key in part_keys(write_id, write.size):
             part = await self.store.get(key)
             if part is None:
@@ -350,43 +387,47 @@
         return write, b"".join(parts)
 
     async def head(self, write_id: WriteId) -> tuple[QueuedWrite, bytes] | None:
-        """A write with the first part of its body; None if there is none. `StoreError`, `KeptRecordError`."""
-        value = await self.store.get(key_of(KEPT, write_id))
+        """A write with the first part of its body; None if there is none.
+
+        `StoreError` or `KeptRecordError` if it can't be read.
+        """
+        value = await self.store.get(key_of(WRITE_KEY, write_id))
         return None if value is None else _split(value)
 
-    async def part(self, write_id: WriteId, at: int) -> bytes:
-        """One behind the first. `StoreError` if it can't be read."""
-        part = await self.store.get(part_key(write_id, at))
+    async def part(self, write_id: WriteId, part_number: int) -> bytes:
+        """One part of a body, from part 1 on. `StoreError` if it is missing or can't be read."""
+        part = await self.store.get(part_key(write_id, part_number))
         if part is None:
             raise StoreError(f"a part of the body of {write_id} is missing")
         return part
 
     async def state_change(self, write_id: WriteId) -> StateChange | None:
-        """The newest record of its state, with the answer; None if there is none. `StoreError`,
-        `KeptRecordError`.
+        """The newest state of a write, with the answer; None if none is stored.
+
+        `StoreError` or `KeptRecordError` if it can't be read.
         """
-        value = await self.store.get(key_of(MOVED, write_id))
+        value = await self.store.get(key_of(STATE_KEY, write_id))
         return None if value is None else decode_state_change(value)
 
     @property
     def size(self) -> int:
-        """Bytes on the disk."""
+        """Bytes that the store takes on the disk."""
         return self.store.size
 
     async def close(self) -> None:
-        """What waits is written first."""
-        if self._ending is not None:
-            self._ending.cancel()
+        """Close the store after what was submitted to it is written."""
+        if self._body_deletion is not None:
+            self._body_deletion.cancel()
         await self.store.close()
 
 
-def _lives_of(value: bytes) -> tuple[int, ...]:
+def _incarnations_of(value: bytes) -> tuple[int, ...]:
     return tuple(int.from_bytes(value[at : at + 8], "big") for at in range(0, len(value), 8))
 
 
 def _split(value: bytes) -> tuple[QueuedWrite, bytes]:
-    """The head, and the first part of the body; `KeptRecordError`."""
+    """The write and the first part of its body, from its record; `KeptRecordError` if it can't be read."""
     size = int.from_bytes(value[:4], "big")
     if len(value) < 4 + size:
-        raise KeptRecordError("kept write: cut short")
+        raise KeptRecordError("record of a queued write: cut short")
     return decode_write(value[4 : 4 + size]), value[4 + size :]
--- a/laurelstep/outbox/replay_driver.py
+++ b/laurelstep/outbox/replay_driver.py
@@ -1,7 +1,7 @@
-"""Replay: what is due is made durable, sent upstream, and its end written down.
+"""Replay of queued writes: takes each due step, sends writes upstream, and stores their results.
 
-Each change of a write is durable before the step that it announces: OUT before it is sent, DONE before its
-receipt says so. An end that can't be written is written again until it is.
+Each state change of a write is durable before the step that it announces: OUT before the write is sent, DONE
+before its receipt says so. A final state that can't be stored is retried until it is.
 """
 
 from __future__ import annotations
@@ -14,32 +14,32 @@
 from laurelstep.net.message import encode_headers as lines_of
 from laurelstep.net.request import parse_cost_hint, parse_object_key
 from laurelstep.outbox.driver_state import DriverState
-from laurelstep.outbox.outbox import (
-    ReplayResult,
-    Transition,
-)
+from laurelstep.outbox.outbox import ReplayResult, Transition
 from laurelstep.outbox.records import FINAL, QueuedWrite, WriteEvent, WriteState
 from laurelstep.outbox.replay_front import ReplayFront
 from laurelstep.outbox.version_vector import WriteStatus
 from laurelstep.outbox.write_ids import WriteId
 from laurelstep.store import StoreError
 
-# How an attempt ended where there is a way to its endpoint, and where none is known.
+# Attempt outcomes which show that the link to the endpoint works, and those which do not.
 ANSWERED: Final = frozenset((OK, ERROR, FULL))
 UNANSWERED: Final = frozenset((TIMEOUT, NO_CONNECT, RESET))
-# Of an answer that is told with its receipt, bytes.
+# A larger answer body is not stored, and so is missing in the receipt.
 MAX_STORED_ANSWER_BYTES: Final = 64 * 1024
 REPLAY_INTERVAL_US: Final = 1_000_000
-# An end that could not be written is tried again after this.
+# Delay before a state that could not be stored after a replay is stored again.
 STATE_RETRY_S: Final = 1.0
 UNPARKED: Final = (WriteEvent.NEVER_RAN, WriteEvent.CLAIMED)
 
 
 class ReplayDriver(DriverState):
-    """The turns of one driver: whether the edge is cut off, what goes out, what others hear."""
+    """The periodic pass of one driver: checks the link, sends due writes, publishes finished ones."""
 
     def on_attempt_ended(self, endpoint: int, outcome: int) -> None:
-        """An attempt of any request ended so: one of `laurelstep.balancing.events`'s outcomes."""
+        """Update the link's state from an attempt's outcome (see `laurelstep.balancing.events`).
+
+        Called for the attempts of every request, live or replayed.
+        """
         if outcome in ANSWERED:
             self.cutoff.answered(self.now())
         elif outcome in UNANSWERED:
@@ -57,58 +57,65 @@
         self.wake()
 
     def _check_endpoints(self) -> None:
-        """What the list says, and the time. Looks at all endpoints: once in a while is enough."""
+        """Update the link's state from the endpoint list and the time.
+
+        Goes through all endpoints, and so runs at most twice per `REPLAY_INTERVAL_US`.
+        """
         assert self.engine is not None
         now = self.now()
-        if now < self.look_at:
+        if now < self.next_endpoint_check_at:
             return
-        self.look_at = now + REPLAY_INTERVAL_US // 2
-        places = self.engine.endpoints.by_number.values()
-        self.cutoff.listed(sum(1 for place in places if place.withdrawn_at is None), now)
+        self.next_endpoint_check_at = now + REPLAY_INTERVAL_US // 2
+        endpoints = self.engine.endpoints.by_number.values()
+        self.cutoff.listed(sum(1 for endpoint in endpoints if endpoint.withdrawn_at is None), now)
         if self.cutoff.is_cut_off != self.was_cut_off:
             self._on_cutoff_change()
 
     def wake(self) -> None:
-        """Look at once at what is due."""
+        """Schedule a pass for the next iteration of the event loop."""
         if self.closing or self.engine is None:
             return
         if self.replay_timer is not None:
             self.replay_timer.cancel()
-        self.replay_timer = self.loop.call_soon(self._turn)
+        self.replay_timer = self.loop.call_soon(self._run_pass)
 
-    def _turn(self) -> None:
-        self.replay_timer = self.loop.call_later(REPLAY_INTERVAL_US / 1e6, self._turn)
+    def _run_pass(self) -> None:
+        self.replay_timer = self.loop.call_later(REPLAY_INTERVAL_US / 1e6, self._run_pass)
         if self.closing:
             return
         self._check_endpoints()
         for change in self.outbox.due(self.now()):
             self.spawn(self.take_step(change))
         self._publish_finished()
-        take_new_dependencies = self.outbox.take_new_dependencies()
+        new_dependencies = self.outbox.take_new_dependencies()
         if self.sharing is not None:
-            self.sharing.version_vector.watch(take_new_dependencies)
+            self.sharing.version_vector.watch(new_dependencies)
             self.sharing.send_due_query()
         if expired_receipts := self.outbox.expired_receipts(self.now(), self._is_unpublished):
             self.spawn(self._forget(expired_receipts))
 
     def _publish_finished(self) -> None:
-        """What is over, to those who may wait for it: given up before all, since a number tells the rest."""
-        over, self.unpublished = self.unpublished + self.outbox.take_finished(), []
+        """Publish the status of finished writes to the edges whose writes may depend on them.
+
+        Abandoned writes come first: a low watermark counts every write up to it that is not known to be
+        abandoned as applied.
+        """
+        finished, self.unpublished = self.unpublished + self.outbox.take_finished(), []
         status_publisher = self.status_publisher
-        if status_publisher is None or not over:
-            self.applied_by_gate.clear()  # what is over later is told once more than it need be
+        if status_publisher is None or not finished:
+            self.applied_by_gate.clear()  # these statuses may be published once more than needed
             return
-        gone = [one for one in over if one[1] is WriteStatus.ABANDONED]
+        abandoned = [entry for entry in finished if entry[1] is WriteStatus.ABANDONED]
         self.unpublished = [
             (write_id, write_status)
-            for write_id, write_status in gone
+            for write_id, write_status in abandoned
             if status_publisher.publish(write_id, write_status) is False
         ]
         if not self.unpublished:
-            for edge_log in {write_id.edge_log for write_id, _ in over}:
+            for edge_log in {write_id.edge_log for write_id, _ in finished}:
                 if number := self.outbox.low_watermark(edge_log):
                     status_publisher.publish_low_watermark(edge_log, number)
-        for write_id, write_status in over:
+        for write_id, write_status in finished:
             if write_status is WriteStatus.ABANDONED:
                 continue
             if write_id in self.applied_by_gate:
@@ -117,14 +124,18 @@
                 self.unpublished.append((write_id, write_status))
 
     def _is_unpublished(self, write_id: WriteId) -> bool:
-        """Others are still to hear that it was given up."""
+        """Whether it still has to be published that the write was given up."""
         return self.status_publisher is not None and (
             self.status_publisher.is_unpublished(write_id)
-            or any(one == write_id for one, _ in self.unpublished)
+            or any(waiting_id == write_id for waiting_id, _ in self.unpublished)
         )
 
     async def _forget(self, write_ids: list[WriteId]) -> None:
-        """Numbers first: what is forgotten must not look as if it were still to come."""
+        """Delete writes whose receipts have expired.
+
+        The highest numbers of the logs are stored first, so that a deleted write never looks like one that
+        has not been queued yet.
+        """
         try:
             await self.store.put_logs(self.outbox.edge_logs())
         except StoreError:
@@ -138,21 +149,21 @@
         try:
             await self.store.put_state(change.moved)
         except StoreError as error:
-            self.log(f"outbox: {change.write_id}: not written: {error}")
+            self.log(f"outbox: {change.write_id}: state not stored: {error}")
             self.outbox.undo(change, self.now())
             return
-        goes = self._apply(change)
-        if change.event is WriteEvent.SEND and goes:
+        may_send = self._apply(change)
+        if change.event is WriteEvent.SEND and may_send:
             await self._send(change.write_id)
-        elif change.event is WriteEvent.SEND:  # the disk took longer than its window
+        elif change.event is WriteEvent.SEND:  # storing it took longer than its window
             await self._end(change.write_id, ReplayResult.NOT_RUN, Answer(Ending.FAILED, 502))
         self.wake()
 
     def _apply(self, change: Transition) -> bool:
-        """False as `Outbox.apply`."""
+        """Apply a durable transition; False if the write may not be sent, as in `Outbox.apply`."""
         if self.sharing is not None:
             self.sharing.on_step_durable(change)
-        goes = self.outbox.apply(change, self.now())
+        may_send = self.outbox.apply(change, self.now())
         state = change.moved.state
         if self.status_publisher is not None and (state is WriteState.PARKED or change.event in UNPARKED):
             self.status_publisher.publish(
@@ -166,13 +177,13 @@
         else:
             self.parked.pop(change.write_id, None)
         if state in FINAL:
-            self.again.discard(change.write_id)
+            self.retried.discard(change.write_id)
         if self.sharing is not None:
             self.sharing.on_step_applied(change)
-        return goes
+        return may_send
 
     async def _send(self, write_id: WriteId) -> None:
-        """Upstream with it, and its end written down."""
+        """Send a write upstream, and store the result."""
         replay = ReplayFront(write_id)
         call = await self.bodies.load_call(write_id, replay)
         if call is None:
@@ -183,25 +194,25 @@
             async with self.background_replay:
                 assert self.engine is not None
                 self.engine.take(call)
-            answer = await replay.over
+            answer = await replay.answer
         finally:
             del self.in_flight[write_id]
             if call.upload is not None:
                 call.upload.abandon()
         if self.sharing is not None:
-            end = self.sharing.replay_result(call, replay, answer)
+            result = self.sharing.replay_result(call, replay, answer)
         elif answer.ending is Ending.SERVED:
-            end = ReplayResult.ANSWERED
+            result = ReplayResult.ANSWERED
         elif answer.ending is Ending.REFUSED or replay.never_ran:
-            end = ReplayResult.NOT_RUN
+            result = ReplayResult.NOT_RUN
         else:
-            end = ReplayResult.MAY_HAVE_RUN
-        await self._end(write_id, end, answer)
+            result = ReplayResult.MAY_HAVE_RUN
+        await self._end(write_id, result, answer)
 
     def replay_call(self, write: QueuedWrite, body: bytes, replay: ReplayFront) -> Call:
-        """A queued write as a call to the engine."""
+        """The engine call that replays a queued write."""
         assert self.engine is not None
-        cls = self.numbers[write.cls]
+        cls = self.class_numbers[write.cls]
         fields = dict(write.headers)
         call = Call(
             request_class=cls,
@@ -210,26 +221,26 @@
             header_lines=lines_of(write.headers),
             body=body,
             frontend=replay,
-            client_request_id=b"outbox "
-            + str(write.write_id).encode(),  # its client may come again under the name that it has
+            # Not the client's own id: the client may still send a request with that.
+            client_request_id=b"outbox " + str(write.write_id).encode(),
             tenant=self.tenants.get(write.tenant, 0),
             key=parse_object_key(write.start.partition(b"?")[2]),
             work_us=parse_cost_hint(fields.get(b"x-cost-hint", b"")),
-            is_retry=write.write_id in self.again,
+            is_retry=write.write_id in self.retried,
         )
         if self.sharing is not None:
             self.sharing.mark_as_replay(call, write)
         return call
 
-    async def _end(self, write_id: WriteId, end: ReplayResult, answer: Answer) -> None:
-        if end is ReplayResult.MAY_HAVE_RUN:
-            self.again.add(write_id)
+    async def _end(self, write_id: WriteId, result: ReplayResult, answer: Answer) -> None:
+        if result is ReplayResult.MAY_HAVE_RUN:
+            self.retried.add(write_id)
         status, headers, body = answer.status, tuple(answer.headers), answer.body
-        if end is not ReplayResult.ANSWERED:
+        if result is not ReplayResult.ANSWERED:
             status, headers, body = 0, (), b""
         change = self.outbox.on_replay_end(
             write_id,
-            end,
+            result,
             self.now(),
             self.wall(),
             status,
--- a/laurelstep/outbox/replay_front.py
+++ b/laurelstep/outbox/replay_front.py
@@ -1,4 +1,4 @@
-"""The engine's caller of a replay: a queued write on its way upstream."""
+"""The frontend of an engine call that replays a queued write."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @dataclass(eq=False)
 class ReplayFront:
-    """A queued write on its way upstream: the front of its call."""
+    """The frontend of one replay. `never_ran`: the engine reported that no endpoint can have run it."""
 
     write_id: WriteId
     never_ran: bool = False
-    over: asyncio.Future[Answer] = field(default_factory=lambda: asyncio.get_running_loop().create_future())
+    answer: asyncio.Future[Answer] = field(default_factory=lambda: asyncio.get_running_loop().create_future())
 
     def on_answer(self, call: Call, answer: Answer) -> None:
-        """The engine's final answer to the replay."""
-        if not self.over.done():
-            self.over.set_result(answer)
+        """Resolve `answer` with the engine's final answer to the replay."""
+        if not self.answer.done():
+            self.answer.set_result(answer)
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -142,7 +142,7 @@
 
         def busy() -> bool:
             works = [cast(Any, task.get_coro()).__qualname__ for task in self.driver.tasks]
-            return bool(self.driver.bodies.coming) or any(
+            return bool(self.driver.bodies.receiving) or any(
                 one.startswith(f"{BodySpool.__name__}.") for one in works
             )
 
@@ -249,13 +249,13 @@
 def watch(monkeypatch: pytest.MonkeyPatch) -> list[int]:
     """What one body held, each time that it held more or less."""
     found: list[int] = []
-    hold = IncomingBody._hold
+    hold = IncomingBody._add_buffered
 
     def counted(self: IncomingBody, more: int) -> None:
         hold(self, more)
-        found.append(self.held)
+        found.append(self.buffered_bytes)
 
-    monkeypatch.setattr(IncomingBody, "_hold", counted)
+    monkeypatch.setattr(IncomingBody, "_add_buffered", counted)
     return found
 
 
@@ -272,7 +272,7 @@
             kept = await one.write("photo", body, "Content-Type: image/jpeg\r\n")
             assert kept.status == 202 and "/outbox/receipts/" in kept.headers["location"]
             await one.quiet()
-            assert one.driver.outbox.size == len(body) and one.driver.bodies.held == 0
+            assert one.driver.outbox.size == len(body) and one.driver.bodies.buffered_bytes == 0
             assert len(held) > 12 and 0 < max(held) <= BOUND
             head = await one.driver.store.head(WriteId("studio-1", one.driver.store.incarnation, 2))
             assert head is not None
@@ -299,12 +299,16 @@
             disk.open.clear()
             try:
                 sending = asyncio.create_task(one.write("photo", body))
-                await one.until(lambda: any(each.paused for each in one.driver.bodies.coming.values()))
-                (coming,) = one.driver.bodies.coming.values()
-                came = coming.came
+                await one.until(lambda: any(each.is_paused for each in one.driver.bodies.receiving.values()))
+                (coming,) = one.driver.bodies.receiving.values()
+                came = coming.received_bytes
                 for _ in range(1_000):  # nothing more is read of it
                     await asyncio.sleep(0)
-                assert coming.came == came < len(body) and coming.held <= BOUND and not sending.done()
+                assert (
+                    coming.received_bytes == came < len(body)
+                    and coming.buffered_bytes <= BOUND
+                    and not sending.done()
+                )
             finally:
                 disk.open.set()
             assert (await sending).status == 202 and max(held) <= BOUND
@@ -340,7 +344,7 @@
             for part in parts[:-1]:
                 writer.write(b"%x\r\n%b\r\n" % (len(part), part))
                 await writer.drain()
-            await one.until(lambda: bool(one.driver.bodies.coming))
+            await one.until(lambda: bool(one.driver.bodies.receiving))
             assert one.driver.outbox.size == 16 << 20
             writer.write(b"%x\r\n%b\r\n0\r\n\r\n" % (len(parts[-1]), parts[-1]))
             assert (await read_message(reader)).status == 202
@@ -468,7 +472,7 @@
 def nothing_is_left(one: Edge) -> bool:
     """But for the write that the edge was cut off with."""
     outbox = one.driver.outbox
-    return (outbox.count, outbox.size, one.parts, one.driver.bodies.held) == (1, 0, 0, 0)
+    return (outbox.count, outbox.size, one.parts, one.driver.bodies.buffered_bytes) == (1, 0, 0, 0)
 
 
 def test_one_that_is_declared_too_large_has_the_answer_that_it_would_have_had() -> None:
@@ -526,13 +530,17 @@
             for name in ("a", "b"):
                 reader, writer = await one.begin(name, len(body))
                 writer.write(body[:-1])
-                await one.until(lambda: len(one.driver.bodies.coming) == len(begun) + 1)
+                await one.until(lambda: len(one.driver.bodies.receiving) == len(begun) + 1)
                 begun.append((reader, writer))
             waits = asyncio.create_task(one.write("c", body))
             await one.until(lambda: len(one.driver.bodies.waiting) == 1)
             refused = await one.write("d", body, "X-Session: anna\r\n")
             assert refused.status == 503 and float(refused.headers["retry-after"]) > 0
-            assert [each.came > 0 for each in one.driver.bodies.coming.values()] == [True, True, False]
+            assert [each.received_bytes > 0 for each in one.driver.bodies.receiving.values()] == [
+                True,
+                True,
+                False,
+            ]
             for reader, writer in begun:
                 writer.write(body[-1:])
                 assert (await read_message(reader)).status == 202
@@ -549,13 +557,13 @@
         async with edge() as one:
             reader, writer = await one.begin("a", len(body))
             writer.write(body[:-1])
-            await one.until(lambda: len(one.driver.bodies.coming) == 1)
+            await one.until(lambda: len(one.driver.bodies.receiving) == 1)
             leaver = await one.begin("b", len(body))
             leaver[1].write(body[:-1])
             await one.until(lambda: len(one.driver.bodies.waiting) == 1)
             # A client that is held back is not heard.
             one.driver.on_call_closed(one.driver.bodies.waiting[0].call)
-            await one.until(lambda: len(one.driver.bodies.coming) == 1)
+            await one.until(lambda: len(one.driver.bodies.receiving) == 1)
             writer.write(body[-1:])
             assert (await read_message(reader)).status == 202
             await one.quiet()
@@ -666,7 +674,7 @@
             await writer.drain()
             await one.until(lambda: one.parts > 0)
             writer.transport.abort()
-            await one.until(lambda: not one.driver.bodies.coming)
+            await one.until(lambda: not one.driver.bodies.receiving)
             await one.quiet()
             assert nothing_is_left(one)
             assert (await one.write("photo", body)).status == 202
@@ -679,7 +687,7 @@
         async with edge() as one:
             _, writer = await one.begin("photo", 2 << 20, "X-Session: anna\r\n")
             writer.write(body_of(1_500_000))
-            await one.until(lambda: bool(one.driver.bodies.coming))
+            await one.until(lambda: bool(one.driver.bodies.receiving))
             assert (await one.write("order", b"", "X-Session: anna\r\n", cls="pay")).status == 202
             await one.endpoint.restart(0)
             await one.until(lambda: one.endpoint.effects.by_id["prime"] == 1)
@@ -707,7 +715,7 @@
             assert (await one.write("photo", other)).status == 422
             assert (await one.write("photo", b"small")).status == 422
             assert one.parts == before and one.driver.outbox.count == 2
-            assert not one.driver.bodies.digests and not one.driver.bodies.stored
+            assert not one.driver.bodies.digests and not one.driver.bodies.first_bodies
             await one.endpoint.restart(0)
             await one.done("photo")
             assert one.got("photo").body == body
@@ -723,7 +731,7 @@
         async with edge() as one:
             reader, writer = await one.begin("photo", len(body), key)
             writer.write(body[:-1])
-            await one.until(lambda: len(one.driver.bodies.coming) == 1)
+            await one.until(lambda: len(one.driver.bodies.receiving) == 1)
             same = asyncio.create_task(one.write("again", body, key))
             different = asyncio.create_task(one.write("other", other, key))
             await one.until(lambda: [len(each) for each in one.driver.storing.values()] == [3])
@@ -744,10 +752,10 @@
         async with edge() as one:
             _, writer = await one.begin("photo", len(body), key)
             writer.write(body[:-1])
-            await one.until(lambda: len(one.driver.bodies.coming) == 1)
+            await one.until(lambda: len(one.driver.bodies.receiving) == 1)
             late, late_writer = await one.begin("late", len(body), key)
             late_writer.write(body[:-1])
-            await one.until(lambda: len(one.driver.bodies.coming) == 2)
+            await one.until(lambda: len(one.driver.bodies.receiving) == 2)
             waits = asyncio.create_task(one.write("waits", body, key))
             await one.until(lambda: [len(each) for each in one.driver.storing.values()] == [2])
             writer.transport.abort()
@@ -843,9 +851,9 @@
             read: list[int] = []
             part = store.part
 
-            async def counted(write_id: WriteId, at: int) -> bytes:
-                read.append(at)
-                return await part(write_id, at)
+            async def counted(write_id: WriteId, part_number: int) -> bytes:
+                read.append(part_number)
+                return await part(write_id, part_number)
 
             class Played:
                 engine = None
--- a/tests/test_outbox_driver.py
+++ b/tests/test_outbox_driver.py
@@ -1,4 +1,4 @@
-"""The outbox's driver, without processes."""
+"""The outbox's driver on a real store, without an engine."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 SECOND = 1_000_000
 
 
-def test_a_send_whose_record_took_longer_than_its_window_is_not_sent(tmp_path: Path) -> None:
+def test_a_write_whose_window_ended_while_its_send_was_stored_is_not_sent(tmp_path: Path) -> None:
     async def main() -> None:
         settings = OutboxSettings(
             store_path=str(tmp_path / "store"),
@@ -31,19 +31,19 @@
         driver.outbox.on_stored(ticket.write_id, now)
         (change,) = driver.outbox.due(now)
         assert change.event is WriteEvent.SEND
-        move = driver.store.put_state
+        put_state = driver.store.put_state
 
-        async def slow(moved: StateChange) -> None:
+        async def put_state_slowly(change: StateChange) -> None:
             nonlocal now
-            await move(moved)
+            await put_state(change)
             now += 61 * SECOND
 
-        driver.store.put_state = slow  # type: ignore[method-assign]
-        await driver.take_step(change)  # there is no engine: to send would fail
+        driver.store.put_state = put_state_slowly  # type: ignore[method-assign]
+        await driver.take_step(change)  # no engine is attached: sending would fail
         for change in driver.outbox.due(now):
             await driver.take_step(change)
-        found = driver.outbox.receipt(ticket.write_id)
-        assert (found.state, found.reason) == (WriteState.PARKED, ParkingReason.WINDOW)
+        receipt = driver.outbox.receipt(ticket.write_id)
+        assert (receipt.state, receipt.reason) == (WriteState.PARKED, ParkingReason.WINDOW)
         await driver.close()
 
     asyncio.run(main())
--- a/tests/test_outbox_store.py
+++ b/tests/test_outbox_store.py
@@ -217,8 +217,8 @@
         monkeypatch.setattr("laurelstep.outbox.queue_store.BODY_DELETION_DELAY_S", 0.0)
         again = await QueueStore.open(disk, MOST)
         await again.load()
-        if again._ending is not None:
-            await again._ending
+        if again._body_deletion is not None:
+            await again._body_deletion
         await again.close()
         third = await QueueStore.open(disk, MOST)
         size = len((await third.store.get(key_of(b"k", write_with_body(1, 0)[0].write_id))) or b"")
@@ -248,7 +248,7 @@
         for number in (1, 2):
             await store.put_write(*write_with_body(number, 100_000))
             await store.put_state(StateChange(write_with_body(number, 0)[0].write_id, WriteState.DONE))
-        while store._ending is not None:
+        while store._body_deletion is not None:
             await asyncio.sleep(0)
         await store.close()
         again = await QueueStore.open(disk, MOST)
@@ -271,8 +271,8 @@
         for _ in range(turns):
             await asyncio.sleep(0)
         assert await store.delete_write(write.write_id, 0)
-        if store._ending is not None:
-            await store._ending
+        if store._body_deletion is not None:
+            await store._body_deletion
         await store.close()
         again = await QueueStore.open(disk, MOST)
         assert (await again.load()).writes == []
