--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -38,7 +38,7 @@
     TokenError,
     UnknownWriteError,
 )
-from laurelstep.outbox.memory import keep_blocks_apart
+from laurelstep.outbox.memory import fix_mmap_threshold
 from laurelstep.outbox.options import OutboxSettings
 from laurelstep.outbox.outbox import (
     Outbox,
@@ -46,7 +46,7 @@
     QueuedClass,
 )
 from laurelstep.outbox.queue_store import LoadedWrites, QueueStore
-from laurelstep.outbox.receipts import WriteReceipt, show
+from laurelstep.outbox.receipts import WriteReceipt, encode_receipt
 from laurelstep.outbox.records import FINAL, Resolution, WriteState
 from laurelstep.outbox.version_vector import LocalVersionVector, VersionVector, WriteStatus
 from laurelstep.outbox.write_ids import EdgeLog, WriteId, parse_write_id
@@ -89,7 +89,7 @@
         `StoreError` or `OutboxError` if the store can't be read, OSError or ValueError if the secret can't
         be. `version_vector`: the replicated one, at an upstream copy with `outbox.shared` on.
         """
-        keep_blocks_apart()
+        fix_mmap_threshold()
         store = await QueueStore.open(settings.store_path, settings.max_bytes, log)
         try:
             secret = await store.secret() if not settings.secret_file else _read_secret(settings.secret_file)
@@ -129,7 +129,7 @@
                 self.parked[write.write_id] = state_change.parking
         self._restore_shared(loaded)
         for change in changes:
-            await self.store.put_state(change.moved)
+            await self.store.put_state(change.state_change)
             self._apply(change)
         if loaded.writes:
             self.log(
@@ -183,7 +183,7 @@
             receipt = await self.receipt(
                 _single_write_id(self.tokens.read(call.method_and_target.decode("ascii")))
             )
-            answer = Answer(Ending.SERVED, 200, (JSON,), show(receipt))
+            answer = Answer(Ending.SERVED, 200, (JSON,), encode_receipt(receipt))
         except UnknownWriteError as error:
             answer = Answer(Ending.FAILED, 404, (), f"{error}\n".encode())
         except (CauseError, UnicodeDecodeError) as error:
@@ -238,14 +238,16 @@
             "out": len(self.in_flight),
             "parked": len(self.parked),
             "disk_bytes": self.store.size,
-            "writes": [msgspec.json.decode(show(self.outbox.receipt(write_id))) for write_id in listed],
+            "writes": [
+                msgspec.json.decode(encode_receipt(self.outbox.receipt(write_id))) for write_id in listed
+            ],
         }
 
 
 def _bounds_of(settings: OutboxSettings) -> OutboxBounds:
     return OutboxBounds(
-        bytes_most=settings.max_bytes,
-        count_most=settings.max_writes,
+        max_bytes=settings.max_bytes,
+        max_writes=settings.max_writes,
         tenant_share=settings.tenant_share,
         age_us=settings.age_us,
         receipt_us=settings.receipt_us,
--- a/laurelstep/outbox/queue_store.py
+++ b/laurelstep/outbox/queue_store.py
@@ -174,7 +174,7 @@
         async for key, value in self.store.each(WRITE_KEY + STATE_KEY + LOG_KEY + HOLDERS_KEY):
             if key[:1] == WRITE_KEY:
                 write, first_part = _split(value)
-                writes[key[1:]] = replace(write, start=b"", headers=(), digest=b"")
+                writes[key[1:]] = replace(write, method_and_target=b"", headers=(), digest=b"")
                 if first_part:
                     has_body.add(key[1:])
             elif key[:1] == STATE_KEY:
--- a/laurelstep/outbox/replay_driver.py
+++ b/laurelstep/outbox/replay_driver.py
@@ -29,7 +29,7 @@
 REPLAY_INTERVAL_US: Final = 1_000_000
 # Delay before a state that could not be stored after a replay is stored again.
 STATE_RETRY_S: Final = 1.0
-UNPARKED: Final = (WriteEvent.NEVER_RAN, WriteEvent.CLAIMED)
+UNPARKED: Final = (WriteEvent.NEVER_RAN, WriteEvent.UNFENCED)
 
 
 class ReplayDriver(DriverState):
@@ -41,9 +41,9 @@
         Called for the attempts of every request, live or replayed.
         """
         if outcome in ANSWERED:
-            self.cutoff.answered(self.now())
+            self.cutoff.on_response(self.now())
         elif outcome in UNANSWERED:
-            self.cutoff.failed(endpoint, self.now())
+            self.cutoff.on_failure(endpoint, self.now())
         if self.cutoff.is_cut_off != self.was_cut_off:
             self._on_cutoff_change()
 
@@ -67,7 +67,7 @@
             return
         self.next_endpoint_check_at = now + REPLAY_INTERVAL_US // 2
         endpoints = self.engine.endpoints.by_number.values()
-        self.cutoff.listed(sum(1 for endpoint in endpoints if endpoint.withdrawn_at is None), now)
+        self.cutoff.on_endpoint_count(sum(1 for endpoint in endpoints if endpoint.withdrawn_at is None), now)
         if self.cutoff.is_cut_off != self.was_cut_off:
             self._on_cutoff_change()
 
@@ -147,7 +147,7 @@
     async def take_step(self, change: Transition) -> None:
         """Make a transition durable, then do what it announces."""
         try:
-            await self.store.put_state(change.moved)
+            await self.store.put_state(change.state_change)
         except StoreError as error:
             self.log(f"outbox: {change.write_id}: state not stored: {error}")
             self.outbox.undo(change, self.now())
@@ -164,16 +164,16 @@
         if self.sharing is not None:
             self.sharing.on_step_durable(change)
         may_send = self.outbox.apply(change, self.now())
-        state = change.moved.state
+        state = change.state_change.state
         if self.status_publisher is not None and (state is WriteState.PARKED or change.event in UNPARKED):
             self.status_publisher.publish(
                 change.write_id, WriteStatus.PARKED if state is WriteState.PARKED else WriteStatus.UNKNOWN
             )
-        if change.event is WriteEvent.FOUND_IN:
+        if change.event is WriteEvent.FOUND_APPLIED:
             self.log(f"outbox: {change.write_id}: upstream's record says that it is in: done")
         if state is WriteState.PARKED:
-            self.parked[change.write_id] = change.moved.parking
-            self.log(f"outbox: {change.write_id}: parked: {change.moved.reason.name.lower()}")
+            self.parked[change.write_id] = change.state_change.parking
+            self.log(f"outbox: {change.write_id}: parked: {change.state_change.reason.name.lower()}")
         else:
             self.parked.pop(change.write_id, None)
         if state in FINAL:
@@ -217,14 +217,14 @@
         call = Call(
             request_class=cls,
             expires_at=self.engine.now() + self.engine.settings.classes[cls].deadline_us,
-            method_and_target=write.start,
+            method_and_target=write.method_and_target,
             header_lines=lines_of(write.headers),
             body=body,
             frontend=replay,
             # Not the client's own id: the client may still send a request with that.
             client_request_id=b"outbox " + str(write.write_id).encode(),
             tenant=self.tenants.get(write.tenant, 0),
-            key=parse_object_key(write.start.partition(b"?")[2]),
+            key=parse_object_key(write.method_and_target.partition(b"?")[2]),
             work_us=parse_cost_hint(fields.get(b"x-cost-hint", b"")),
             is_retry=write.write_id in self.retried,
         )
@@ -249,7 +249,7 @@
         )
         while True:
             try:
-                await self.store.put_state(change.moved)
+                await self.store.put_state(change.state_change)
                 break
             except StoreError as error:
                 self.log(f"outbox: {write_id}: its end is not written: {error}")
--- a/laurelstep/outbox/shared/asking.py
+++ b/laurelstep/outbox/shared/asking.py
@@ -139,13 +139,13 @@
         """A transition is durable and is about to be applied to the outbox."""
         if change.event is WriteEvent.NEVER_RAN and self.outbox.is_unsafe(change.write_id):
             self.outbox.withhold(change.write_id)
-            self._schedule_intent_withdrawal(change.write_id, change.moved.resolved)
-        elif change.event in (WriteEvent.ANSWERED, WriteEvent.FOUND_IN):
+            self._schedule_intent_withdrawal(change.write_id, change.state_change.resolved_parking)
+        elif change.event in (WriteEvent.ANSWERED, WriteEvent.FOUND_APPLIED):
             self.host.applied_by_gate.add(change.write_id)
 
     def on_step_applied(self, change: Transition) -> None:
         """A transition was applied to the outbox."""
-        if change.moved.state is WriteState.PARKED:
+        if change.state_change.state is WriteState.PARKED:
             self.parked_at[change.write_id] = self.host.clock.now()
             self._watch_own_write(change.write_id)
         else:
