--- a/laurelstep/outbox/admission.py
+++ b/laurelstep/outbox/admission.py
@@ -1,7 +1,8 @@
-"""Which requests are kept, and what their clients are told.
+"""Decides which live requests are queued, and answers their clients.
 
-A write is durable before its 202 leaves. One that could not be kept gets the answer it would have had; a
-refusal only where no later life can find the write, and a failure that says it may have run otherwise.
+A write is durable before its 202 is sent. A write that could not be stored gets the answer that it would have
+had without the outbox. It is refused only if no later incarnation can find it; otherwise its client is told
+that it may have run.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from laurelstep.engine.call import Answer, Call, Ending
 from laurelstep.engine.ports import CallHost
 from laurelstep.outbox.call_fields import (
-    SEALED,
+    SEALED_INDEX,
     causality_tokens_of,
     forwarded_headers,
     object_of,
@@ -43,37 +44,38 @@
 
 
 class WriteAdmission(ReplayDriver):
-    """The engine's side of one driver: requests that may be kept."""
+    """The part of a driver that the engine calls for live requests which may be queued."""
 
     def must_queue(self, call: Call) -> bool:
-        """Whether a request is to be offered to the outbox before it is sent."""
-        if self._passes(call):
+        """Whether a request has to be offered to the outbox before it is sent upstream."""
+        if self._is_replay(call):
             return False
         self.background_replay.live = True
         if call.request_class not in self.classes or self.closing:
             return False
         return self.cutoff.is_cut_off or self._follows_queued(call)
 
-    def _passes(self, call: Call) -> bool:
-        """It is no client's: a replay, an ask, or a replay of another edge."""
+    def _is_replay(self, call: Call) -> bool:
+        """Whether a call is no client's: a replay, a query about a write, or a replay of another edge."""
         if call.queued_write_fate is not None or isinstance(call.frontend, ReplayFront):
             return True
         return (
             self.settings.shared
-            and len(call.causal_dependencies) > SEALED
-            and bool(call.causal_dependencies[SEALED])
+            and len(call.causal_dependencies) > SEALED_INDEX
+            and bool(call.causal_dependencies[SEALED_INDEX])
         )
 
     def _follows_queued(self, call: Call) -> bool:
-        """Whether it follows what is not known to be in. One whose token can't be read is kept, or
-        rather told so, by `enqueue`.
+        """Whether a call causally depends on a write that is not known to be applied.
+
+        True also for a token that can't be read: `enqueue` then answers the call with that error.
         """
-        named, tenant = (
+        tokens, tenant = (
             causality_tokens_of(call),
             self.tenant_names.get(call.tenant, "") if call.tenant else "",
         )
         try:
-            if named and self.outbox.must_queue(named):
+            if tokens and self.outbox.must_queue(tokens):
                 return True
         except OutboxError:
             return True
@@ -81,14 +83,15 @@
         return bool(session or obj) and self.outbox.has_open(session, obj, tenant)
 
     def enqueue(self, call: Call, answer: Answer | None, engine: CallHost) -> bool:
-        """Keep a request's write if that may be; True if the request is answered from here. `answer` is
-        what it would get otherwise; None if it was not sent yet.
+        """Queue a request if that is allowed; True if the outbox answers the request.
+
+        `answer`: what the client gets if it is not queued; None if the request was not sent yet.
         """
         front = call.frontend
         if isinstance(front, ReplayFront):
-            front.never_ran = True  # asked only where it can't have run
+            front.never_ran = True  # the engine calls `enqueue` only if the request can't have run
             return False
-        if self._passes(call):
+        if self._is_replay(call):
             return False
         now = self.now()
         if answer is not None and answer.ending is Ending.REFUSED:
@@ -108,13 +111,16 @@
             return self._refuse_overtaking(call, answer, engine, error.retry_us)
         except KeepError:
             return self._refuse_overtaking(call, answer, engine)
-        self._take(call, ticket, answer, engine)
+        self._store_or_compare(call, ticket, answer, engine)
         return True
 
     def _refuse_overtaking(
         self, call: Call, answer: Answer | None, engine: CallHost, retry_us: int = REPLAY_INTERVAL_US
     ) -> bool:
-        """It can't be kept: what would go past its causes is refused, and so in hand."""
+        """Refuse a call that can't be queued if it would overtake a write that it depends on.
+
+        True if it was refused. A call that was sent already (`answer`) is not refused.
+        """
         if answer is None and self._follows_queued(call):
             engine.settle(call, Answer(Ending.REFUSED, 503, retry_after_us=retry_us))
             return True
@@ -135,7 +141,9 @@
             tokens=causality_tokens_of(call),
         )
 
-    def _take(self, call: Call, ticket: WriteTicket, answer: Answer | None, engine: CallHost) -> None:
+    def _store_or_compare(
+        self, call: Call, ticket: WriteTicket, answer: Answer | None, engine: CallHost
+    ) -> None:
         write_id = ticket.write_id
         if call.upload is not None:
             self.bodies.take(call, call.upload, ticket, answer, engine)
@@ -146,94 +154,100 @@
             self.answer_repeat(call, write_id, engine)
 
     def answer_repeat(self, call: Call, write_id: WriteId, engine: CallHost) -> None:
-        """Answer a call whose write has a number already, once its record is durable."""
+        """Answer a call whose idempotency key a queued write has already, once that write is durable."""
         if write_id in self.storing:
-            # Compared with the first try, once both are told.
+            # `on_stored` compares it with the first request.
             self.storing[write_id].append(call)
         else:
-            self.spawn(self._known(call, write_id, engine))
+            self.spawn(self._answer_known(call, write_id, engine))
 
-    async def _known(self, call: Call, write_id: WriteId, engine: CallHost) -> None:
-        """A key that a write has already: the same request gets the same receipt."""
+    async def _answer_known(self, call: Call, write_id: WriteId, engine: CallHost) -> None:
+        """Answer a repeat of a stored write: the same request gets the same receipt, another a conflict."""
         digest = self.bodies.digest(call)
         try:
-            found = await self.store.head(write_id)
+            head = await self.store.head(write_id)
         except (StoreError, OutboxError) as error:
             self.log(f"outbox: {write_id}: can't be read: {error}")
-            found = None
-        if found is None:
+            head = None
+        if head is None:
             engine.settle(call, may_have_run_answer())
-        elif found[0].digest != digest:
+        elif head[0].digest != digest:
             engine.settle(call, key_conflict_answer())
         else:
-            engine.settle(call, self._kept(write_id))
+            engine.settle(call, self._accepted_answer(write_id))
 
     def on_call_closed(self, call: Call) -> None:
-        """Found by its being closed, once the store is through; of a body that is coming no more is taken."""
+        """Stop receiving the body of a call that its client closed.
+
+        A call whose write is being stored is found to be closed when the store is done.
+        """
         self.bodies.on_closed(call)
 
     async def _store(self, call: Call, write: QueuedWrite, answer: Answer | None, engine: CallHost) -> None:
-        write_id, told = write.write_id, None
-        is_known_absent = kept = True
+        write_id, prepared_answer = write.write_id, None
+        is_known_absent = is_stored = True
         try:
-            keeping = self.store.put_write(write, call.body)
-            await asyncio.sleep(0)  # what follows is done while the disk works
-            told = self._kept(write_id)
-            await keeping
-            if not any(one.is_open for one in self.storing[write_id]):
-                kept = not await self.store.delete_write(write_id, write.size)
+            storing = self.store.put_write(write, call.body)
+            await asyncio.sleep(0)  # lets the store start, so that the answer is built meanwhile
+            prepared_answer = self._accepted_answer(write_id)
+            await storing
+            if not any(waiting.is_open for waiting in self.storing[write_id]):
+                is_stored = not await self.store.delete_write(write_id, write.size)
         except StoreError as error:
             self.log(f"outbox: not kept: {error}")
-            kept, is_known_absent = False, isinstance(error, FailedToKeepError) and error.is_known_absent
-        self.on_stored(write, kept, is_known_absent, answer, engine, told)
+            is_stored, is_known_absent = False, isinstance(error, FailedToKeepError) and error.is_known_absent
+        self.on_stored(write, is_stored, is_known_absent, answer, engine, prepared_answer)
 
     def on_stored(
         self,
         write: QueuedWrite,
-        kept: bool,
+        is_stored: bool,
         is_known_absent: bool,
         answer: Answer | None,
         engine: CallHost,
-        told: Answer | None = None,
+        prepared_answer: Answer | None = None,
     ) -> None:
-        """All that wait for it are told; the first of them `told`, where that is worded already."""
+        """Answer all calls that wait for a write; the first of them with `prepared_answer`, if given.
+
+        `is_known_absent`: of a write that was not stored, whether no later incarnation can find it.
+        """
         write_id = write.write_id
         waiting = self.storing.pop(write_id)
-        if kept:
+        if is_stored:
             self.outbox.on_stored(write_id, self.now())
-            if not self.cutoff.is_cut_off:  # else nothing but the turn of each second goes out anyway
+            if not self.cutoff.is_cut_off:  # while cut off, only the periodic pass replays
                 self.wake()
         else:
             self.outbox.on_store_failed(write_id, self.now())
-        for place, one in enumerate(waiting):
-            if kept and told is not None and place == 0:
-                engine.settle(one, told)
+        for position, waiting_call in enumerate(waiting):
+            if is_stored and prepared_answer is not None and position == 0:
+                engine.settle(waiting_call, prepared_answer)
                 continue
-            digest = self.bodies.digest(one)
-            if not kept:
-                self.answer_unqueued(one, answer, is_known_absent, engine)
+            digest = self.bodies.digest(waiting_call)
+            if not is_stored:
+                self.answer_unqueued(waiting_call, answer, is_known_absent, engine)
             elif digest != write.digest:
-                engine.settle(one, key_conflict_answer())
+                engine.settle(waiting_call, key_conflict_answer())
             else:
-                engine.settle(one, self._kept(write_id))
+                engine.settle(waiting_call, self._accepted_answer(write_id))
 
     def answer_unqueued(
         self, call: Call, answer: Answer | None, is_known_absent: bool, engine: CallHost
     ) -> None:
-        """Answer a call whose write could not be kept. `is_known_absent`: no later life can find it."""
+        """Answer a call whose write was not stored. `is_known_absent`: no later incarnation can find it."""
         if not call.is_open:
             return
         if not is_known_absent and (answer is None or answer.ending is Ending.REFUSED):
             engine.settle(call, may_have_run_answer())
         elif answer is not None:
             engine.settle(call, answer)
-        elif (refused := self.bodies.refusal_of(call)) is not None:
-            engine.settle(call, refused)
+        elif (refusal := self.bodies.refusal_of(call)) is not None:
+            engine.settle(call, refusal)
         elif not self._refuse_overtaking(call, None, engine):
             engine.admit(call)
 
-    def _kept(self, write_id: WriteId) -> Answer:
+    def _accepted_answer(self, write_id: WriteId) -> Answer:
         token = self.tokens.receipt(write_id).encode()
-        told = {"state": "kept", "write": str(write_id), "receipt": token.decode()}
+        receipt = {"state": "kept", "write": str(write_id), "receipt": token.decode()}
         headers = (JSON, (b"location", RECEIPTS + token), (b"x-causal-token", token))
-        return Answer(Ending.SERVED, 202, headers, msgspec.json.encode(told) + b"\n")
+        return Answer(Ending.SERVED, 202, headers, msgspec.json.encode(receipt) + b"\n")
--- a/laurelstep/outbox/api.py
+++ b/laurelstep/outbox/api.py
@@ -1,17 +1,18 @@
-"""The calls about queued writes at the second address, and their answers. Pure wording.
-
-Rules that everything here serves:
-
-1. `GET /api/outbox` tells how much is kept, whether the edge is cut off, and the first parked writes.
-   Where copies share what is in, also what their record holds.
-2. `POST /api/outbox/judge` says what became of one: `write`, `parking` and `resolution` (`ran`, `never_ran`,
-   `give_up`) as query parameters. It names the parking, so that a resolution given twice holds once.
-3. `POST /api/outbox/lost` with `edge`, and `incarnation` in 16 hex digits for one of its lives alone, at a
-   copy that shares: that edge will not come back, and what of it is not in is given up. Never taken back.
-4. `POST /api/outbox/claim` with `line` as `edge/incarnation`, where a former life's log is fenced: of the
-   processes that have copies of this disk, this one replays it.
-5. 202: it is being written, and `GET` tells when it holds; 200: it was said already; 400, 404 and
-   409: the error's name, cause and remedy, and nothing was changed.
+"""The management calls about queued writes, and their answers. Parses and formats only.
+
+The rules:
+
+1. `GET /api/outbox` returns how much is queued, whether the edge is cut off, and the first parked writes. At
+   a copy that shares a ledger of applied writes, also the ledger's status.
+2. `POST /api/outbox/judge` resolves a parked write. The query parameters are `write`, `parking` and `verdict`
+   (`ran`, `never_ran`, `give_up`). The call names the parking, so that a verdict given twice applies once.
+3. `POST /api/outbox/lost` declares an edge lost at a copy that shares a ledger: the edge will not return, and
+   its writes that are not applied are given up. The parameters are `edge`, and `incarnation` in 16 hex digits
+   if only that incarnation is lost. This can't be undone.
+4. `POST /api/outbox/claim` with `line` as `edge/incarnation` is for the edge log of an earlier incarnation,
+   if it is fenced: of the processes that have copies of the same disk, this one replays the log.
+5. 202: the change is being stored, and `GET` shows when it is done. 200: it was made already. 400, 404 and
+   409: the body has the error's name, cause and remedy, and nothing was changed.
 """
 
 from __future__ import annotations
@@ -31,60 +32,63 @@
 JUDGE, LOST, CLAIM = ROOT + b"/judge", ROOT + b"/lost", ROOT + b"/claim"
 METHODS: Final = {ROOT: b"GET", JUDGE: b"POST", LOST: b"POST", CLAIM: b"POST"}
 JSON_TYPE: Final = b"application/json"
-FIELDS: Final = ("write", "parking", "verdict")
-VERDICTS: Final = {one.name.lower(): one for one in Resolution}
+JUDGE_FIELDS: Final = ("write", "parking", "verdict")
+VERDICTS: Final = {resolution.name.lower(): resolution for resolution in Resolution}
 
 
 class OutboxApi(Protocol):
-    """The driver, as calls know it."""
+    """What the management calls need of an outbox's driver."""
 
     def status(self) -> dict[str, Any]:
-        """For an operator, in JSON's types."""
+        """The status for an operator, in types that JSON has."""
 
     def resolve(self, text: str, parking: int, resolution: Resolution) -> bool:
-        """False if it was given already. `OutboxError`."""
+        """Resolve a parked write; False if that was done already. `OutboxError` if it can't be."""
 
 
 class EdgeLossApi(Protocol):
-    """What copies share, as calls know it."""
+    """What the management calls need of a copy that shares a ledger."""
 
     def lose(self, edge: str, incarnation: int) -> bool:
-        """An edge is lost, or with an incarnation one life of it. False if that was said already."""
+        """Declare an edge lost, or one incarnation of it if not 0. False if it was declared already."""
 
     def status(self) -> dict[str, Any]:
-        """For an operator, in JSON's types."""
+        """The status for an operator, in types that JSON has."""
 
 
 @runtime_checkable
 class LogClaimApi(Protocol):
-    """Who holds logs of former lives, as calls know it."""
+    """What the management calls need of an edge that may claim logs of earlier incarnations."""
 
     def claim(self, edge_log: EdgeLog) -> bool:
-        """False if it is held. `UnknownWriteError`."""
+        """Claim a log; False if this process has it already. `UnknownWriteError` if it is not known."""
 
 
 class OutboxCallError(OutboxError):
-    """A call that can't be understood."""
+    """A call with wrong or missing parameters."""
 
-    cause = "a call about a kept write can't be understood; nothing was changed"
-    remedy = "give what the call needs, once each, as GET /api/outbox and the operators' page tell it"
+    cause = "a management call about queued writes is malformed; nothing was changed"
+    remedy = "give each parameter that the call needs once; GET /api/outbox and the operators' page have them"
 
 
 class UnsharedError(OutboxError):
-    """A call about what copies share, where none do."""
+    """A call about the shared ledger, at a process that does not share one."""
 
-    cause = "a call is about what copies upstream share of kept writes, and this process has no part in it"
+    cause = "a call concerns the ledger that upstream copies share, in which this process takes no part"
     remedy = "call a copy upstream that has outbox.shared on, or the edge whose line it is"
 
 
 def reply_about(
     method: bytes,
     target: bytes,
-    desk: OutboxApi,
+    outbox: OutboxApi,
     shared: EdgeLossApi | None = None,
     claimer: LogClaimApi | None = None,
 ) -> Reply | None:
-    """None for what is no call of the outbox's. `shared`: at a copy that shares."""
+    """Answer a management call; None if the path is not one of the outbox's.
+
+    `shared`: given at a copy that shares a ledger. `claimer`: given where logs can be claimed.
+    """
     path, _, query = target.partition(b"?")
     expected = METHODS.get(path)
     if expected is None:
@@ -92,36 +96,36 @@
     if method != expected:
         return Reply(405, f"call it with {expected.decode()}\n", allow=expected)
     if path == ROOT:
-        told = desk.status()
-        return _json(200, told if shared is None else {**told, "shared": shared.status()})
+        status = outbox.status()
+        return _json(200, status if shared is None else {**status, "shared": shared.status()})
     try:
-        is_new = _act(path, query, desk, shared, claimer)
+        is_new = _apply(path, query, outbox, shared, claimer)
     except LaurelstepError as error:
-        return _json(_status(error), _told(error))
+        return _json(_status_code(error), _error_body(error))
     return _json(202 if is_new else 200, {"state": "being written" if is_new else "given already"})
 
 
-def _act(
-    path: bytes, query: bytes, desk: OutboxApi, shared: EdgeLossApi | None, claimer: LogClaimApi | None
+def _apply(
+    path: bytes, query: bytes, outbox: OutboxApi, shared: EdgeLossApi | None, claimer: LogClaimApi | None
 ) -> bool:
     if path == JUDGE:
-        return desk.resolve(*_read(query))
+        return outbox.resolve(*_read_resolution(query))
     if path == LOST:
         if shared is None:
             raise UnsharedError("edges are declared lost where outbox.shared is on")
         return shared.lose(*_read_lost(query))
     if claimer is None:
         raise UnsharedError("lines are claimed where outbox.shared is on, or outbox.upstream is 'copies'")
-    return claimer.claim(_read_line(query))
+    return claimer.claim(_read_edge_log(query))
 
 
-def _status(error: LaurelstepError) -> int:
+def _status_code(error: LaurelstepError) -> int:
     if isinstance(error, UnknownWriteError):
         return 404
     return 409 if isinstance(error, VerdictError) else 400
 
 
-def _told(error: LaurelstepError) -> dict[str, str]:
+def _error_body(error: LaurelstepError) -> dict[str, str]:
     return {
         "error": type(error).__name__, "what": str(error), "cause": error.cause, "remedy": error.remedy,
     }  # fmt: skip
@@ -131,9 +135,9 @@
     return Reply(status, msgspec.json.encode(value).decode() + "\n", JSON_TYPE)
 
 
-def _read(query: bytes) -> tuple[str, int, Resolution]:
-    given = _fields(query, FIELDS)
-    write, parking, resolution = (given[name] for name in FIELDS)
+def _read_resolution(query: bytes) -> tuple[str, int, Resolution]:
+    given = _fields(query, JUDGE_FIELDS)
+    write, parking, resolution = (given[name] for name in JUDGE_FIELDS)
     if not parking.isdecimal() or not parking.isascii() or len(parking) > 9:
         raise OutboxCallError(f"parking: expected a number, got {parking[:40]!r}")
     if resolution not in VERDICTS:
@@ -143,20 +147,20 @@
 
 def _read_lost(query: bytes) -> tuple[str, int]:
     given = _fields(query, ("edge",), ("incarnation",))
-    life = given.get("incarnation")
-    if life is not None:
-        return _line(f"{given['edge']}/{life}")
+    incarnation = given.get("incarnation")
+    if incarnation is not None:
+        return _parse_edge_log(f"{given['edge']}/{incarnation}")
     try:
         return check_edge(given["edge"]), 0
     except ValueError as error:
         raise OutboxCallError(f"edge: {error}") from None
 
 
-def _read_line(query: bytes) -> EdgeLog:
-    return _line(_fields(query, ("line",))["line"])
+def _read_edge_log(query: bytes) -> EdgeLog:
+    return _parse_edge_log(_fields(query, ("line",))["line"])
 
 
-def _line(text: str) -> EdgeLog:
+def _parse_edge_log(text: str) -> EdgeLog:
     try:
         edge_log = parse_write_id(f"{text}/1").edge_log
     except OutboxError:
@@ -166,15 +170,17 @@
     return edge_log
 
 
-def _fields(query: bytes, needed: tuple[str, ...], others: tuple[str, ...] = ()) -> dict[str, str]:
-    """Each once, and nothing else."""
+def _fields(query: bytes, required: tuple[str, ...], optional: tuple[str, ...] = ()) -> dict[str, str]:
+    """The query's parameters: each required one once, each optional one at most once, and no other."""
     try:
-        most = len(needed) + len(others)
-        given = parse_qs(query.decode("ascii"), strict_parsing=True, max_num_fields=most)
+        max_fields = len(required) + len(optional)
+        given = parse_qs(query.decode("ascii"), strict_parsing=True, max_num_fields=max_fields)
     except ValueError as error:
         raise OutboxCallError(f"the query can't be read: {error}") from None
     names = set(given)
-    if not set(needed) <= names <= {*needed, *others} or any(len(values) != 1 for values in given.values()):
-        told = ", ".join(needed) + "".join(f" and maybe {name}" for name in others)
-        raise OutboxCallError(f"expected {told}, once each, and nothing else")
+    if not set(required) <= names <= {*required, *optional} or any(
+        len(values) != 1 for values in given.values()
+    ):
+        expected = ", ".join(required) + "".join(f" and maybe {name}" for name in optional)
+        raise OutboxCallError(f"expected {expected}, once each, and nothing else")
     return {name: values[0] for name, values in given.items()}
--- a/laurelstep/outbox/call_fields.py
+++ b/laurelstep/outbox/call_fields.py
@@ -1,4 +1,4 @@
-"""What a call's head says of its place among queued writes. Pure."""
+"""Reads the fields of a call that decide how it is queued: headers, tokens, session, object. Pure."""
 
 from __future__ import annotations
 
@@ -6,33 +6,33 @@
 
 from laurelstep.engine.call import Call
 
-__all__ = ["SEALED", "causality_tokens_of", "forwarded_headers", "object_of", "session_of"]
+__all__ = ["SEALED_INDEX", "causality_tokens_of", "forwarded_headers", "object_of", "session_of"]
 
-# Where the name of another edge's queued write is among a call's causes.
-SEALED: Final = 3
+# Index in `Call.causal_dependencies` of the sealed message of an edge that replays a queued write.
+SEALED_INDEX: Final = 3
 
 
 def forwarded_headers(head: bytes) -> tuple[tuple[bytes, bytes], ...]:
-    """The headers that are passed on, names in lower case."""
-    found = []
+    """The headers that are forwarded upstream, with names in lower case."""
+    headers = []
     for line in head.split(b"\r\n"):
         name, colon, value = line.partition(b":")
         if colon:
-            found.append((name.lower(), value.strip()))
-    return tuple(found)
+            headers.append((name.lower(), value.strip()))
+    return tuple(headers)
 
 
 def causality_tokens_of(call: Call) -> str:
-    """Receipts and tokens alike: each is a token."""
+    """The causality tokens that the call brings, comma-separated; a receipt is a token too."""
     return ",".join(part.decode("latin-1") for part in call.causal_dependencies[:2] if part)
 
 
 def session_of(call: Call) -> bytes:
-    """The session that the call names; empty if none."""
+    """The session that the call belongs to; empty if none."""
     return call.causal_dependencies[2] if call.causal_dependencies else b""
 
 
 def object_of(call: Call) -> bytes:
-    """The object that the call's query names; empty if none."""
+    """The object that the call's query parameter `obj` names; empty if none."""
     query = call.method_and_target.partition(b"?")[2]
     return next((part[4:] for part in query.split(b"&") if part.startswith(b"obj=")), b"")
--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -223,7 +223,7 @@
         """
         if self.sharing is None or edge_log not in self.outbox.edge_logs():
             raise UnknownWriteError(
-                f"no edge log {edge_log.edge}/{edge_log.incarnation:016x} that another process could hold"
+                f"no line {edge_log.edge}/{edge_log.incarnation:016x} that others could have"
             )
         return self.sharing.force_lease(edge_log)
 
@@ -271,7 +271,7 @@
 
 def _single_write_id(dependencies: Dependencies) -> WriteId:
     if len(dependencies) != 1 or dependencies[0].before:
-        raise TokenError("the token is not the receipt of a single write")
+        raise TokenError("not the receipt of one write")
     return dependencies[0].write_id
 
 
--- a/laurelstep/outbox/ports.py
+++ b/laurelstep/outbox/ports.py
@@ -59,11 +59,11 @@
     def on_stored(
         self,
         write: QueuedWrite,
-        kept: bool,
+        is_stored: bool,
         is_known_absent: bool,
         answer: Answer | None,
         engine: CallHost,
-        told: Answer | None = None,
+        prepared_answer: Answer | None = None,
     ) -> None:
         """Tell all that wait for a write whether it is kept."""
 
--- a/laurelstep/subsystems/outbox.py
+++ b/laurelstep/subsystems/outbox.py
@@ -89,7 +89,7 @@
         from laurelstep.outbox.api import LogClaimApi, reply_about
 
         claimer = self.shared or (self.driver if isinstance(self.driver, LogClaimApi) else None)
-        return reply_about(method, target, desk=self.driver, shared=self.shared, claimer=claimer)
+        return reply_about(method, target, outbox=self.driver, shared=self.shared, claimer=claimer)
 
 
 def _missing(context: ProcessContext, key: str, error: ImportError) -> ConfigError:
--- a/tests/faulty_outbox.py
+++ b/tests/faulty_outbox.py
@@ -76,7 +76,7 @@
 
 
 def refuses_what_it_keeps() -> None:
-    OutboxDriver._kept = lambda self, write_id: Answer(Ending.REFUSED, 503)  # type: ignore[method-assign]
+    OutboxDriver._accepted_answer = lambda self, write_id: Answer(Ending.REFUSED, 503)  # type: ignore[method-assign]
 
 
 def sends_nothing() -> None:
