--- a/laurelstep/outbox/causality_tokens.py
+++ b/laurelstep/outbox/causality_tokens.py
@@ -1,7 +1,7 @@
 """The causality token: carries the writes that a client's next write depends on. Pure.
 
 1. A token is signed with the edges' common secret, so that it can't be forged or altered. It has at most
-   `TOKEN_MOST` characters, enough for any `LOGS_FIT` logs. A set that does not fit is replaced by a
+   `MAX_TOKEN_LENGTH` characters, enough for any `LOGS_FIT` logs. A set that does not fit is replaced by a
    join: a queued write without effect that depends on the whole set (`Outbox.join`).
 2. A request may bring several tokens, with at most `MAX_DEPENDENCIES` write ids in all.
 3. A token is not confidential: it names writes, but the right to read their receipts is a separate one.
@@ -21,9 +21,9 @@
 from laurelstep.outbox.errors import LooseError, TokenError
 from laurelstep.outbox.write_ids import EdgeLog, WriteId, check_edge
 
-__all__ = ["TOKEN_MOST", "CausalityTokens"]
+__all__ = ["MAX_TOKEN_LENGTH", "CausalityTokens"]
 
-TOKEN_MOST: Final = 512
+MAX_TOKEN_LENGTH: Final = 512
 LOGS_FIT: Final = 6
 # Bounds the memory that one header can take before any of its tokens is read.
 _MAX_TOKENS: Final = 128
@@ -57,7 +57,7 @@
         ]
         data = msgspec.msgpack.encode((_VERSION, payload))
         text = base64.urlsafe_b64encode(self._sign(data) + data).rstrip(b"=").decode()
-        if len(text) > TOKEN_MOST:
+        if len(text) > MAX_TOKEN_LENGTH:
             raise LooseError(f"{len(edge_logs)} lines are more than one token tells")
         return text
 
@@ -70,7 +70,7 @@
 
         `TokenError` if one is invalid, `LooseError` if they exceed the bound of rule 2.
         """
-        if len(value) > _MAX_TOKENS * (TOKEN_MOST + 2):
+        if len(value) > _MAX_TOKENS * (MAX_TOKEN_LENGTH + 2):
             raise LooseError("the tokens of one request are too long")
         texts = [text for part in value.split(",") if (text := part.strip())]
         if len(texts) > _MAX_TOKENS:
@@ -81,8 +81,8 @@
         return dependencies
 
     def _read(self, text: str) -> list[Dependency]:
-        if len(text) > TOKEN_MOST:
-            raise TokenError(f"a token is longer than {TOKEN_MOST} characters")
+        if len(text) > MAX_TOKEN_LENGTH:
+            raise TokenError(f"a token is longer than {MAX_TOKEN_LENGTH} characters")
         try:
             raw = base64.b64decode(text.encode("ascii") + b"=" * (-len(text) % 4), b"-_", validate=True)
         except (UnicodeEncodeError, binascii.Error, ValueError):
--- a/tests/test_outbox.py
+++ b/tests/test_outbox.py
@@ -10,7 +10,7 @@
 
 import pytest
 from laurelstep.outbox.background_replay import BackgroundReplay
-from laurelstep.outbox.causality_tokens import TOKEN_MOST, CausalityTokens
+from laurelstep.outbox.causality_tokens import MAX_TOKEN_LENGTH, CausalityTokens
 from laurelstep.outbox.cutoff import CutOffDetector, CutOffRule
 from laurelstep.outbox.dependencies import MAX_DEPENDENCIES, Dependency, merge
 from laurelstep.outbox.dependency_graph import DependencyGraph
@@ -220,7 +220,7 @@
         forged[place // 8] ^= 1 << place % 8
         with pytest.raises(TokenError):
             TOKENS.read(base64.urlsafe_b64encode(forged).decode())
-    for text in (token[:-1], token + "A", "x", "é", "a" * (TOKEN_MOST + 1)):
+    for text in (token[:-1], token + "A", "x", "é", "a" * (MAX_TOKEN_LENGTH + 1)):
         with pytest.raises(TokenError):
             TOKENS.read(text)
     with pytest.raises(TokenError):
@@ -246,13 +246,13 @@
 
 def test_six_lines_of_the_longest_names_fit_and_500_edges_get_a_name_of_their_own() -> None:
     longest = [Dependency("e" * 31 + str(one), (1 << 64) - 1, (1 << 63) - 1) for one in range(6)]
-    assert len(TOKENS.encode(tuple(longest))) <= TOKEN_MOST
+    assert len(TOKENS.encode(tuple(longest))) <= MAX_TOKEN_LENGTH
     edges = tuple(Dependency(f"edge{one}", one, 5) for one in range(500))
     with pytest.raises(LooseError):
         TOKENS.encode(edges)
     desk = OutboxApi()
     ticket = desk.outbox.join(edges, 0, WALL)
-    assert ticket.write is not None and len(TOKENS.receipt(ticket.write_id)) <= TOKEN_MOST
+    assert ticket.write is not None and len(TOKENS.receipt(ticket.write_id)) <= MAX_TOKEN_LENGTH
     desk.outbox.on_stored(ticket.write_id, 0)
     follower = desk.keep(follows=TOKENS.receipt(ticket.write_id))
     for dependency in edges:
