--- a/laurelstep/outbox/__init__.py
+++ b/laurelstep/outbox/__init__.py
@@ -1,11 +1,12 @@
-"""Writes kept at an edge that is cut off, and replayed upstream in causal order, each once.
+"""An outbox keeps writes on disk while its edge is cut off, and replays each upstream once, in causal order.
 
-Pure: names and dependencies (`write_ids`, `dependencies`, `causality_tokens`), states and records
-(`records`), what is open and what waits for what (`write_table`, `dependency_graph`,
-`dependency_tracker`), the steps of the outbox (`transitions`, `intake`, `replay_schedule`, `remote_logs`,
-`receipt_log`, `restore`, joined in `outbox`), order and pace (`replay_queue`, `expiry_queue`), and what
-others know (`version_vector`). With I/O: the records on the disk (`queue_store`, `bodies`) and the joint
-with the engine (`driver` and its parts).
+Pure modules: write ids, dependencies and tokens (`write_ids`, `dependencies`, `causality_tokens`); states
+and records (`records`); the table of open writes and their dependency graph (`write_table`,
+`dependency_graph`, `dependency_tracker`); the operations of the outbox (`transitions`, `intake`,
+`replay_schedule`, `remote_logs`, `receipt_log`, `restore`, combined in `outbox`); replay order, replay pace
+and expiry (`replay_queue`, `expiry_queue`); and the statuses of other edges' writes (`version_vector`).
+Modules with I/O: the records on disk (`queue_store`, `bodies`) and the connection to the engine (`driver`
+and its parts).
 
-Nothing is imported here: a program without `[outbox]` pays nothing.
+This package imports nothing itself, so a program without `[outbox]` loads none of it.
 """
--- a/laurelstep/outbox/dependencies.py
+++ b/laurelstep/outbox/dependencies.py
@@ -1,9 +1,9 @@
-"""What a write follows. Pure.
+"""The writes that a write depends on. Pure.
 
-1. A write follows a set of write ids. A write id stands for its write and for all that this one follows in
-   turn; so the receipt of a client's last write is all that it needs to bring along.
-2. Up to `IDS_PER_LOG` write ids of one log stand as they are. More are told as one: "all up to the newest of
-   them". That is more than was named, never less.
+1. A write depends on a set of write ids. A write id stands for its write and for all that this write depends
+   on in turn, so a client only needs to bring the receipt of its last write.
+2. Up to `IDS_PER_LOG` write ids of one log are listed individually. More are replaced by one dependency on
+   all writes up to the newest of them, which may cover more writes than were named, never fewer.
 """
 
 from __future__ import annotations
@@ -16,11 +16,12 @@
 __all__ = ["MAX_DEPENDENCIES", "Dependencies", "Dependency", "merge"]
 
 IDS_PER_LOG: Final = 4
+# Dependencies of one write.
 MAX_DEPENDENCIES: Final = 512
 
 
 class Dependency(NamedTuple):
-    """One write id; with `before`, all write ids of its log up to it."""
+    """A dependency on one write or, with `before`, on all writes of its log up to that one."""
 
     edge: str
     incarnation: int
@@ -29,12 +30,12 @@
 
     @property
     def edge_log(self) -> EdgeLog:
-        """The log of the write."""
+        """The log that the write belongs to."""
         return EdgeLog(self.edge, self.incarnation)
 
     @property
     def write_id(self) -> WriteId:
-        """The write, without those before it."""
+        """The write that is named, without the writes before it."""
         return WriteId(self.edge, self.incarnation, self.number)
 
 
@@ -42,25 +43,25 @@
 
 
 def merge(*sets: Iterable[Dependency]) -> Dependencies:
-    """One set that says what all of them say, by rule 2, sorted."""
+    """The union of the sets, shortened by rule 2 and sorted."""
     exact: dict[tuple[str, int], set[int]] = {}
-    before: dict[tuple[str, int], int] = {}
-    dependencies = {dependency for one in sets for dependency in one}
-    if len(dependencies) < 2:  # as most are
+    up_to: dict[tuple[str, int], int] = {}
+    dependencies = {dependency for dependency_set in sets for dependency in dependency_set}
+    if len(dependencies) < 2:  # the usual case
         return tuple(dependencies)
     for dependency in dependencies:
         edge_log = dependency[:2]
         if dependency.before:
-            before[edge_log] = max(before.get(edge_log, 0), dependency.number)
+            up_to[edge_log] = max(up_to.get(edge_log, 0), dependency.number)
         else:
             exact.setdefault(edge_log, set()).add(dependency.number)
-    found: list[Dependency] = []
-    for edge_log in sorted(exact.keys() | before.keys()):
-        bound = before.get(edge_log, 0)
+    merged: list[Dependency] = []
+    for edge_log in sorted(exact.keys() | up_to.keys()):
+        bound = up_to.get(edge_log, 0)
         numbers = sorted(number for number in exact.get(edge_log, ()) if number > bound)
         if len(numbers) > IDS_PER_LOG:
             bound, numbers = numbers[-1], []
         if bound:
-            found.append(Dependency(*edge_log, bound, True))
-        found += [Dependency(*edge_log, number) for number in numbers]
-    return tuple(found)
+            merged.append(Dependency(*edge_log, bound, True))
+        merged += [Dependency(*edge_log, number) for number in numbers]
+    return tuple(merged)
--- a/laurelstep/outbox/expiry_queue.py
+++ b/laurelstep/outbox/expiry_queue.py
@@ -1,8 +1,9 @@
-"""Which writes grow too old first, class by class. Pure.
+"""Finds the queued writes that expire first, for each class. Pure.
 
-Each class has one span for all of its writes, so those that began first end first: a list of rows for each,
-linked through two columns, 8 bytes a row. What begins now goes to its end; what comes back from a restart
-comes in the order in which it began. To find what is over costs by that, not by what is kept.
+All writes of a class have the same lifetime, so they expire in the order in which they began. Each class has
+a list of rows, linked through two columns, 8 bytes a row. A new write is appended, and after a restart writes
+are appended in the order in which they began. The cost of finding expired writes depends on their number,
+not on the number of queued writes.
 """
 
 from __future__ import annotations
@@ -13,46 +14,46 @@
 __all__ = ["ExpiryQueue"]
 
 NONE: Final = -1
-# Not in a list.
-OUT: Final = -2
+# The row is in no list.
+UNLISTED: Final = -2
 
 
 class ExpiryQueue:
-    """See the head. Rows are small integers."""
+    """The lists of all classes. Rows and classes are small integers."""
 
     def __init__(self, classes: int) -> None:
         self._first = [NONE] * classes
         self._last = [NONE] * classes
-        self._before = array("i")
-        self._after = array("i")
+        self._previous = array("i")
+        self._next = array("i")
 
     def add(self, cls: int, row: int) -> None:
-        """It begins no sooner than those that are there."""
-        while len(self._before) <= row:
-            self._before.append(OUT)
-            self._after.append(OUT)
+        """Append a row, which must not have begun before those already in the list."""
+        while len(self._previous) <= row:
+            self._previous.append(UNLISTED)
+            self._next.append(UNLISTED)
         last = self._last[cls]
-        self._before[row], self._after[row], self._last[cls] = last, NONE, row
+        self._previous[row], self._next[row], self._last[cls] = last, NONE, row
         if last == NONE:
             self._first[cls] = row
         else:
-            self._after[last] = row
+            self._next[last] = row
 
     def first(self, cls: int) -> int:
-        """The oldest, or -1."""
+        """The row that began first, or -1 if the list is empty."""
         return self._first[cls]
 
     def drop(self, cls: int, row: int) -> None:
-        """It may have gone already."""
-        if row >= len(self._before) or self._before[row] == OUT:
+        """Remove a row, if it is in the list."""
+        if row >= len(self._previous) or self._previous[row] == UNLISTED:
             return
-        before, after = self._before[row], self._after[row]
-        if before == NONE:
-            self._first[cls] = after
+        previous, following = self._previous[row], self._next[row]
+        if previous == NONE:
+            self._first[cls] = following
         else:
-            self._after[before] = after
-        if after == NONE:
-            self._last[cls] = before
+            self._next[previous] = following
+        if following == NONE:
+            self._last[cls] = previous
         else:
-            self._before[after] = before
-        self._before[row] = self._after[row] = OUT
+            self._previous[following] = previous
+        self._previous[row] = self._next[row] = UNLISTED
--- a/laurelstep/outbox/memory.py
+++ b/laurelstep/outbox/memory.py
@@ -1,7 +1,8 @@
-"""What the arrays of a large outbox leave behind as they grow goes back to the system.
+"""Returns the memory that the arrays of a large outbox free as they grow to the system.
 
-glibc raises the size from which a block has pages of its own as large blocks are freed, up to 32 MiB; growing
-arrays then leave holes in its heap, half as large again as all that is kept. A size that is set stays.
+As large blocks are freed, glibc raises the size from which a block gets its own memory mapping, up to 32 MiB.
+Growing arrays then leave holes in its heap, half as large again as all the data that is kept. A threshold
+that has been set explicitly stays fixed.
 """
 
 from __future__ import annotations
@@ -11,10 +12,10 @@
 from typing import Final
 
 _M_MMAP_THRESHOLD: Final = -3
-_OWN_PAGES_BYTES: Final = 128 * 1024  # as glibc begins
+_MMAP_THRESHOLD_BYTES: Final = 128 * 1024  # glibc's initial threshold
 
 
 def fix_mmap_threshold() -> None:
-    """Of this process; nothing where the C library knows no such thing."""
+    """Fix the threshold for this process. Does nothing where the C library has no `mallopt`."""
     with contextlib.suppress(OSError, AttributeError):
-        ctypes.CDLL(None).mallopt(_M_MMAP_THRESHOLD, _OWN_PAGES_BYTES)
+        ctypes.CDLL(None).mallopt(_M_MMAP_THRESHOLD, _MMAP_THRESHOLD_BYTES)
--- a/laurelstep/outbox/messages.py
+++ b/laurelstep/outbox/messages.py
@@ -1,4 +1,4 @@
-"""What an outbox is given and what it gives: classes, bounds, offers, tickets, ends, changes."""
+"""The inputs and outputs of an outbox: classes, bounds, offers, tickets, replay results, transitions."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedClass:
-    """How writes of one class are kept. `keyed`: upstream tells repeats apart by their key for `window_us`
-    after the first; otherwise unsafe: sent once, ever.
+    """How writes of one class are queued. `keyed`: upstream recognizes repeats by their key for `window_us`
+    after the first. Without it the writes are unsafe, so each is sent at most once.
     """
 
     name: str
@@ -25,28 +25,31 @@
 
 @dataclass(frozen=True, slots=True)
 class OutboxBounds:
-    """What is kept at most, and for how long."""
+    """How much an outbox keeps, and for how long."""
 
     max_bytes: int = 1 << 30
     max_writes: int = 100_000
-    # Of bytes and count, that one tenant may use: 0 to 1.
+    # The share of `max_bytes` and of `max_writes` that one tenant may use: 0 to 1.
     tenant_share: float = 0.5
     age_us: int = 7 * 86_400_000_000
-    # How long a receipt is kept after its write was done or given up, and how many at most.
+    # How long a receipt is kept after its write became final, and how many receipts.
     receipt_us: int = 86_400_000_000
     max_receipts: int = 100_000
+    # Writes sent and unanswered at a time.
     replay_most: int = 8
-    # The longest time between a send and its run upstream: the deadline of one try.
+    # The longest time between sending a write and its run upstream: the deadline of one try.
     send_us: int = 30_000_000
-    # After a refusal, live or of a queued write, nothing is replayed for so long.
+    # Replay pauses for this long after a live request or a queued write was refused.
     hold_us: int = 1_000_000
-    # What becomes of those that follow a write that is given up or lost with its edge.
+    # What happens to the followers of a write that is given up or lost with its edge.
     orphans: Literal["park", "release"] = "park"
 
 
 @dataclass(frozen=True, slots=True)
 class WriteOffer:
-    """A write that could be kept. `tokens`: the header's tokens; `key`: its idempotency key, b"" if none."""
+    """A write offered for queueing. `tokens`: the causality tokens of its header; `key`: its idempotency
+    key, b"" if it has none.
+    """
 
     cls: str
     method_and_target: bytes
@@ -62,8 +65,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteTicket:
-    """A number for an offer. `is_known`: it has this key already, and nothing is to be kept: compare its
-    record's key and digest with the offer's, and give its receipt once it is `durable`.
+    """The write id given to an offer. `is_known`: an earlier write has the same key, so `write` is None and
+    nothing is stored. The caller compares the earlier record's key and digest with the offer's, and sends
+    its receipt once `is_durable`.
     """
 
     write_id: WriteId
@@ -72,18 +76,18 @@
 
 
 class ReplayResult(IntEnum):
-    """How a write that was sent ended."""
+    """The result of a write that was sent."""
 
-    ANSWERED = 1  # a final answer that says that it ran
-    DENIED = 2  # a final answer that says no
-    NOT_RUN = 3  # no attempt of it can have run
-    MAY_HAVE_RUN = 4
-    FENCED = 5  # not run: its log is another process's
+    ANSWERED = 1  # a final answer shows that it ran
+    DENIED = 2  # a final answer rejects it
+    NOT_RUN = 3  # no attempt can have run
+    MAY_HAVE_RUN = 4  # no final answer came, and an attempt may have run
+    FENCED = 5  # not run: another process holds the lease on its log
 
 
 @dataclass(frozen=True, slots=True)
 class Transition:
-    """One step of one write. `state_change` is what becomes durable before `apply`."""
+    """A state transition of one write. `state_change` has to be durable before `apply` is called."""
 
     write_id: WriteId
     event: WriteEvent
--- a/laurelstep/outbox/ports.py
+++ b/laurelstep/outbox/ports.py
@@ -1,4 +1,4 @@
-"""What the parts around an outbox's driver need of it."""
+"""The interface of an outbox's driver to the parts around it."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class OutboxHost(Protocol):
-    """An outbox's driver, as the body spool and the edge's sharing know it."""
+    """The driver of an outbox, as the body spool and the edge's exchange with upstream use it."""
 
     loop: asyncio.AbstractEventLoop
     clock: LoopClock
@@ -45,16 +45,16 @@
         """The store's time in µs."""
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run it as a task that `close` waits for."""
+        """Run `work` as a task that `close` waits for."""
 
     def wake(self) -> None:
-        """Look at once at what is due."""
+        """Process due transitions at once, without waiting for the next tick."""
 
     async def take_step(self, change: Transition) -> None:
-        """Make a transition durable, then do what it announces."""
+        """Make a transition durable, then take the step that it announces."""
 
     def call_of(self, write: QueuedWrite, body: bytes, replay: ReplayFront) -> Call:
-        """A queued write as a call to the engine."""
+        """Build the engine call that replays a queued write."""
 
     def on_stored(
         self,
@@ -65,10 +65,10 @@
         engine: CallHost,
         told: Answer | None = None,
     ) -> None:
-        """Tell all that wait for a write whether it is kept."""
+        """Answer all calls that wait for a write, according to whether it was stored."""
 
     def answer_unqueued(self, call: Call, answer: Answer | None, certain: bool, engine: CallHost) -> None:
-        """Answer a call whose write could not be kept."""
+        """Answer a call whose write could not be queued."""
 
     def answer_repeat(self, call: Call, write_id: WriteId, engine: CallHost) -> None:
-        """Answer a call that names a write which was offered before."""
+        """Answer a call whose write was offered before."""
--- a/laurelstep/outbox/receipts.py
+++ b/laurelstep/outbox/receipts.py
@@ -1,4 +1,4 @@
-"""What is told of a queued write. Pure: asking changes nothing."""
+"""Receipts of queued writes. Pure: reading a receipt changes nothing."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from laurelstep.outbox.records import ParkingReason, WriteState
 from laurelstep.outbox.write_ids import WriteId
 
-__all__ = ["REASONS", "WriteReceipt", "encode_receipt"]
+__all__ = ["REASON_TEXTS", "WriteReceipt", "encode_receipt"]
 
-REASONS: Final[dict[ParkingReason, str]] = {
+REASON_TEXTS: Final[dict[ParkingReason, str]] = {
     ParkingReason.WINDOW: "the time for which its key is remembered upstream has passed",
     ParkingReason.MAY_HAVE_RUN: "it was sent, its answer was lost, and it can't be sent twice",
     ParkingReason.DENIED: "upstream said a final no",
@@ -21,13 +21,15 @@
     ParkingReason.FENCED: "another process with a copy of this disk replays it",
     ParkingReason.FOLLOWS: "a write that it follows is parked",
 }
-# What an operator can say of it.
-_OPEN: Final = ("ran", "never_ran", "give_up")
+# The resolutions that an operator may give on a write that is parked itself.
+_ALL_RESOLUTIONS: Final = ("ran", "never_ran", "give_up")
 
 
 @dataclass(frozen=True, slots=True)
 class WriteReceipt:
-    """`behind`: for a write that waits, one that holds it up. `status`: of the final answer, or 0."""
+    """The state of a write. `behind`: for a write that waits, a write that blocks it. `parking`: the
+    number of the parking, which a resolution has to name. `status`: of the final answer, 0 if there is none.
+    """
 
     write_id: WriteId
     state: WriteState
@@ -40,25 +42,25 @@
 
     @property
     def resolutions(self) -> tuple[str, ...]:
-        """What an operator can say now."""
+        """The resolutions that an operator may give now, in lower case."""
         if self.state is not WriteState.PARKED:
             return ()
-        return ("give_up",) if self.reason is ParkingReason.FOLLOWS else _OPEN
+        return ("give_up",) if self.reason is ParkingReason.FOLLOWS else _ALL_RESOLUTIONS
 
 
 def encode_receipt(receipt: WriteReceipt) -> bytes:
-    """As JSON, for the client that asks and for an operator."""
-    told: dict[str, Any] = {"write": str(receipt.write_id), "state": receipt.state.name.lower()}
+    """Encode a receipt as a line of JSON, for clients and operators."""
+    document: dict[str, Any] = {"write": str(receipt.write_id), "state": receipt.state.name.lower()}
     if receipt.state is WriteState.PARKED:
-        told["reason"] = REASONS[receipt.reason]
-        told["parking"] = receipt.parking
-        told["verdicts"] = receipt.resolutions
+        document["reason"] = REASON_TEXTS[receipt.reason]
+        document["parking"] = receipt.parking
+        document["verdicts"] = receipt.resolutions
     if receipt.behind is not None:
-        told["behind"] = str(receipt.behind)
+        document["behind"] = str(receipt.behind)
     if receipt.status:
-        told["status"] = receipt.status
-        told["headers"] = [
+        document["status"] = receipt.status
+        document["headers"] = [
             [name.decode("latin-1"), value.decode("latin-1")] for name, value in receipt.headers
         ]
-        told["body"] = receipt.body.decode("utf-8", "replace")
-    return msgspec.json.encode(told) + b"\n"
+        document["body"] = receipt.body.decode("utf-8", "replace")
+    return msgspec.json.encode(document) + b"\n"
--- a/laurelstep/outbox/records.py
+++ b/laurelstep/outbox/records.py
@@ -1,17 +1,19 @@
-"""The states of a queued write, and their records. Pure.
-
-1. A state changes only as `TRANSITIONS` says.
-2. A change is durable before anybody is told, and before the step that it announces is taken: OUT before
-   the write is sent, DONE before its receipt says so. KEPT to READY is the exception: it says only that all
-   causes are in, which a restart finds out again.
-3. What is found OUT after a restart may have run. Keyed within its window it goes out again under its key;
-   otherwise it is parked.
-4. A write kept as new has never been sent: KEPT and READY say that it has not run, whatever befell the edge.
-5. A parking has a number, from 1. A resolution names it, so that one given twice never counts for a later
-   one.
+"""The states of a queued write, and the records stored for it. Pure.
+
+1. A state changes only along an entry of `TRANSITIONS`.
+2. A state change is durable before anybody is told of it, and before the step that it announces is taken:
+   OUT before the write is sent, DONE before its receipt says so. KEPT to READY is the exception: it only
+   means that all dependencies are final, which a restart finds out again.
+3. A write that is OUT after a restart may have run. If it is keyed and within its window, it is sent again
+   under its key; otherwise it is parked.
+4. A newly queued write has never been sent: KEPT and READY mean that it has not run, whatever happened to
+   the edge.
+5. Parkings of a write are numbered from 1. A resolution names the parking, so that a repeated resolution
+   never applies to a later parking.
 6. DONE and GIVEN_UP are final.
-7. What upstream's copies say moves a parked write only in two ways: one that may have run is DONE once they
-   say that it is in, and one whose log was another's is KEPT again once the log is this process's.
+7. What the copies upstream report changes a parked write in two cases only: one that may have run becomes
+   DONE once they report that it was applied, and one parked because another process held its log becomes
+   KEPT again once this process holds the log.
 """
 
 from __future__ import annotations
@@ -41,31 +43,31 @@
 
 
 class WriteState(IntEnum):
-    """Where a queued write stands."""
+    """The state of a queued write."""
 
-    KEPT = 1  # durable; waits for what it follows
-    READY = 2  # all that it follows is in; waits for its turn
-    OUT = 3  # sent, or about to be: it may have run
-    DONE = 4  # its final answer is known, or an operator said that it ran
+    KEPT = 1  # durable; waits for its dependencies
+    READY = 2  # all dependencies are final; waits to be sent
+    OUT = 3  # sent, or about to be sent: it may have run
+    DONE = 4  # its final answer is known, or an operator resolved that it ran
     PARKED = 5  # waits for an operator
-    GIVEN_UP = 6  # will not run
+    GIVEN_UP = 6  # will never be sent again
 
 
 class ParkingReason(IntEnum):
     """Why a write is parked."""
 
     NONE = 0
-    WINDOW = 1  # keyed, and the time for which its key is remembered has passed
-    MAY_HAVE_RUN = 2  # unsafe, or past its window, and its answer was lost
-    DENIED = 3  # upstream said a final no
-    AGE = 4  # older than what may be kept
-    ORPHANED = 5  # what it follows was given up, or lost with its edge
-    FOLLOWS = 6  # never in a record: what it follows is parked
-    FENCED = 7  # another process with a copy of this disk replays its log
+    WINDOW = 1  # keyed, and the window in which upstream remembers its key has passed
+    MAY_HAVE_RUN = 2  # unsafe or past its window, and its answer was lost
+    DENIED = 3  # upstream's final answer rejects the write
+    AGE = 4  # older than the greatest age of a queued write
+    ORPHANED = 5  # a write that it depends on was given up, or lost with its edge
+    FOLLOWS = 6  # a write that it depends on is parked; only in receipts, never in a record
+    FENCED = 7  # another process with a copy of this disk holds the lease on its log
 
 
 class Resolution(IntEnum):
-    """What an operator says of a parked write."""
+    """What an operator states about a parked write."""
 
     RAN = 1
     NEVER_RAN = 2
@@ -73,25 +75,25 @@
 
 
 class WriteEvent(IntEnum):
-    """What moves a queued write."""
+    """The events that change the state of a queued write."""
 
     DEPENDENCIES_FINAL = 1
     SEND = 2
     ANSWERED = 3
     NOT_RUN = 4  # no attempt can have run
-    RETRY = 5  # may have run, and is sent again under its key
-    UNCERTAIN = 6  # may have run, and can't be sent again
+    RETRY = 5  # may have run, and is to be sent again under its key
+    UNCERTAIN = 6  # may have run, and must not be sent again
     DENIED = 7
     EXPIRED = 8
     ORPHANED = 9
     RAN = 10
     NEVER_RAN = 11
     GIVE_UP = 12
-    STORE_FAILED = 13  # the record of it could not be kept
-    JOINED = 14  # it has no effect of its own: all that it follows is in
-    FENCED = 15  # its log is another process's
-    UNFENCED = 16  # it was FENCED, and its log is this process's now
-    FOUND_APPLIED = 17  # it may have run, and upstream's record says that it is in
+    STORE_FAILED = 13  # its record could not be stored
+    JOINED = 14  # a join, which is not sent itself: all its dependencies are final
+    FENCED = 15  # another process holds the lease on its log
+    UNFENCED = 16  # it was fenced, and this process holds the lease on its log now
+    FOUND_APPLIED = 17  # it may have run, and upstream's ledger shows that it was applied
 
 
 FINAL: Final = frozenset({WriteState.DONE, WriteState.GIVEN_UP})
@@ -122,75 +124,75 @@
 
 
 def next_state(state: WriteState, event: WriteEvent) -> WriteState:
-    """The state after; `StepError` if there is none."""
-    after = TRANSITIONS.get((state, event))
-    if after is None:
-        raise StepError(f"{event.name} does not follow in {state.name}")
-    return after
+    """The state that the event leads to. `StepError` if the table has no such transition."""
+    next_ = TRANSITIONS.get((state, event))
+    if next_ is None:
+        raise StepError(f"{event.name} is not allowed in state {state.name}")
+    return next_
 
 
 class QueuedWrite(msgspec.Struct, array_like=True, frozen=True):
-    """The record of a write as it was kept. Its body stands apart, in the store's segments.
+    """The record of a write as it was queued. Its body is stored separately, in the store's segments.
 
-    `keyed`: the class's writes are told apart by their key, for `window_us` after keeping. Times that are
-    kept are unix times in µs by the edge's clock.
+    `keyed`: upstream recognizes repeats of the class's writes by their key, for `window_us` after the write
+    was queued. `wall` is the unix time of queueing in µs, by the edge's clock.
     """
 
     write_id: WriteId
     cls: str
     method_and_target: bytes  # method and target
     headers: tuple[tuple[bytes, bytes], ...]
-    size: int  # of the body, bytes
-    digest: bytes  # of method, target and body
+    size: int  # of the body, in bytes
+    digest: bytes  # of method, target and body together
     keyed: bool
     key: bytes
     session: bytes
     obj: bytes
     tenant: str
-    dependencies: tuple[tuple[str, int, int, bool], ...]  # see dependencies.Dependencies
+    dependencies: tuple[tuple[str, int, int, bool], ...]  # the fields of each Dependency
     wall: int
     window_us: int
-    earlier_incarnations: int  # how many lives of this store, of which there were records, came before
+    earlier_incarnations: int  # number of earlier incarnations of this store that left records
 
 
 class StateChange(msgspec.Struct, array_like=True, frozen=True):
-    """The record of the state since. Only the newest of a write counts."""
+    """The record of a write's current state. Only the newest record of a write counts."""
 
     write_id: WriteId
     state: WriteState
     reason: ParkingReason = ParkingReason.NONE
-    parking: int = 0
-    resolution: int = 0  # the last one given, on `judged`
-    resolved_parking: int = 0
+    parking: int = 0  # number of the last parking, 0 if it was never parked
+    resolution: int = 0  # the last one given, on the parking `resolved_parking`; 0 if none
+    resolved_parking: int = 0  # number of the last parking, 0 if it was never parked
     resolved_at: int = 0  # unix time, µs
-    sent: bool = False  # was ever OUT without a known end
-    status: int = 0
+    sent: bool = False  # was ever OUT without a known result, so it may have run
+    status: int = 0  # HTTP status of the final answer, 0 if there is none
     headers: tuple[tuple[bytes, bytes], ...] = ()
     body: bytes = b""
-    wall: int = 0  # of a final answer, parking by one, or resolution
+    wall: int = 0  # unix time in µs of a final answer, of a parking by one, or of a resolution
 
 
 _encoder: Final = msgspec.msgpack.Encoder()
-_kept: Final[msgspec.msgpack.Decoder[QueuedWrite]] = msgspec.msgpack.Decoder(QueuedWrite)
-_moved: Final[msgspec.msgpack.Decoder[StateChange]] = msgspec.msgpack.Decoder(StateChange)
+_write_decoder: Final[msgspec.msgpack.Decoder[QueuedWrite]] = msgspec.msgpack.Decoder(QueuedWrite)
+_state_change_decoder: Final[msgspec.msgpack.Decoder[StateChange]] = msgspec.msgpack.Decoder(StateChange)
 
 
 def encode(record: QueuedWrite | StateChange) -> bytes:
-    """The record's bytes, as they are stored."""
+    """Encode a record for the store."""
     return _encoder.encode(record)
 
 
 def decode_write(data: bytes) -> QueuedWrite:
-    """`KeptRecordError`."""
+    """Decode the stored record of a write. `KeptRecordError` if it is malformed."""
     try:
-        return _kept.decode(data)
+        return _write_decoder.decode(data)
     except msgspec.MsgspecError as error:
-        raise KeptRecordError(f"kept write: {error}") from None
+        raise KeptRecordError(f"malformed record of a queued write: {error}") from None
 
 
 def decode_state_change(data: bytes) -> StateChange:
-    """`KeptRecordError`."""
+    """Decode the stored record of a state. `KeptRecordError` if it is malformed."""
     try:
-        return _moved.decode(data)
+        return _state_change_decoder.decode(data)
     except msgspec.MsgspecError as error:
-        raise KeptRecordError(f"state of a kept write: {error}") from None
+        raise KeptRecordError(f"malformed state record of a queued write: {error}") from None
--- a/laurelstep/outbox/remote_logs.py
+++ b/laurelstep/outbox/remote_logs.py
@@ -34,7 +34,7 @@
 
     def on_remote_change(self, now: int) -> None:
         """The version vector has learned something."""
-        self._turns.bring_back()
+        self._turns.requeue_set_aside()
         for dependency, row in list(self._foreign.items()):
             write_status = self.version_vector.write_status(dependency)
             if write_status is WriteStatus.ABANDONED:
--- a/laurelstep/outbox/replay_queue.py
+++ b/laurelstep/outbox/replay_queue.py
@@ -1,11 +1,12 @@
-"""In which order, and how fast, queued writes go out. Pure.
-
-1. A write has its turn once all that it follows is in, in the order in which that came about. Independent
-   ones go side by side.
-2. At most `limit` are out. It begins at 1, grows by one with each answer up to `most`, and is halved by a
-   refusal, of a live request or of a kept one: additive increase, multiplicative decrease (Chiu and Jain,
-   1989). So thirty edges that come back in one second begin with thirty writes in all.
-3. For `hold_us` after a refusal nothing goes out: live traffic has what there is.
+"""The order and the pace in which queued writes are sent. Pure.
+
+1. A write becomes ready once all its dependencies are final. Ready writes are sent in the order in which
+   they became ready; independent writes are sent concurrently.
+2. At most `limit` writes are in flight. The limit starts at 1, grows by one with each answer up to
+   `max_limit`, and is halved when a live request or a queued write is refused: additive increase,
+   multiplicative decrease (Chiu and Jain, 1989). So thirty edges that reconnect in the same second begin
+   with thirty writes in all.
+3. For `hold_us` after a refusal no write is sent, so that live traffic gets all the capacity.
 """
 
 from __future__ import annotations
@@ -16,71 +17,73 @@
 
 
 class ReplayPacer:
-    """How many may be out."""
+    """Limits how many queued writes are in flight."""
 
-    def __init__(self, most: int, hold_us: int) -> None:
-        self._most = most
+    def __init__(self, max_limit: int, hold_us: int) -> None:
+        self._max_limit = max_limit
         self._hold_us = hold_us
-        self._until = 0
+        self._paused_until = 0
         self.limit = 1
-        self.out = 0
+        self.in_flight = 0
 
     def may_send(self, now: int) -> bool:
-        """Whether one more may go out, at `now` in µs."""
-        return self.out < self.limit and now >= self._until
-
-    def sent(self) -> None:
-        """One went out."""
-        self.out += 1
-
-    def unsent(self) -> None:
-        """It was not sent after all."""
-        self.out -= 1
-
-    def answered(self) -> None:
-        """One that was out has its final answer."""
-        self.out -= 1
-        self.limit = min(self._most, self.limit + 1)
-
-    def failed(self, now: int) -> None:
-        """It was refused, or nobody answered."""
-        self.out -= 1
-        self.refused(now)
-
-    def refused(self, now: int) -> None:
-        """A live request was. Refusals within one hold count once: they tell of one shortage."""
-        if now >= self._until:
+        """Whether one more write may be sent, at `now` in µs."""
+        return self.in_flight < self.limit and now >= self._paused_until
+
+    def on_sent(self) -> None:
+        """Count a write as in flight."""
+        self.in_flight += 1
+
+    def on_send_cancelled(self) -> None:
+        """Take back `on_sent`: the write was not sent after all."""
+        self.in_flight -= 1
+
+    def on_answer(self) -> None:
+        """A write in flight got its final answer."""
+        self.in_flight -= 1
+        self.limit = min(self._max_limit, self.limit + 1)
+
+    def on_failure(self, now: int) -> None:
+        """A write in flight was refused or not answered, at `now` in µs."""
+        self.in_flight -= 1
+        self.on_refusal(now)
+
+    def on_refusal(self, now: int) -> None:
+        """A request was refused, at `now` in µs. Refusals within one pause halve the limit once, because they
+        have the same cause.
+        """
+        if now >= self._paused_until:
             self.limit = max(1, self.limit // 2)
-        self._until = now + self._hold_us
+        self._paused_until = now + self._hold_us
 
 
 class ReplayQueue:
-    """The rows that are ready, first come first, and those whose log another process may hold."""
+    """The rows that are ready, in order, and those set aside because another process may hold their log."""
 
     def __init__(self) -> None:
         self._ready: deque[int] = deque()
-        self._aside: deque[int] = deque()
+        self._set_aside: deque[int] = deque()
 
     def __len__(self) -> int:
         return len(self._ready)
 
     def add(self, row: int) -> None:
-        """A row is ready for the first time."""
+        """Append a row that has become ready."""
         self._ready.append(row)
 
-    def again(self, row: int) -> None:
-        """It had its turn and did not go."""
+    def requeue(self, row: int) -> None:
+        """Put a row that was taken by `next` and not sent back at the front."""
         self._ready.appendleft(row)
 
     def next(self) -> int:
-        """The row whose turn it is; IndexError if there is none."""
+        """Remove and return the first row. IndexError if there is none."""
         return self._ready.popleft()
 
     def set_aside(self, row: int) -> None:
-        """A row's log may be another process's: it waits until `bring_back`."""
-        self._aside.append(row)
+        """Keep a row whose log another process may hold, until `requeue_set_aside`."""
+        self._set_aside.append(row)
 
-    def bring_back(self) -> None:
-        """Who holds which log may have changed."""
-        self._ready.extend(self._aside)
-        self._aside.clear()
+    def requeue_set_aside(self) -> None:
+        """Append the rows set aside, because the holders of logs may have changed."""
+        self._ready.extend(self._set_aside)
+        self._set_aside.clear()
--- a/laurelstep/outbox/replay_schedule.py
+++ b/laurelstep/outbox/replay_schedule.py
@@ -117,7 +117,7 @@
             elif not self._may_go(row):
                 self._turns.set_aside(row)
             else:
-                self.pace.sent()
+                self.pace.on_sent()
                 found.append(self._change(row, WriteEvent.SEND))
         return found
 
@@ -129,4 +129,4 @@
 
     def on_live_rejection(self, now: int) -> None:
         """The module refused a live request: kept ones stand back."""
-        self.pace.refused(now)
+        self.pace.on_refusal(now)
--- a/laurelstep/outbox/transitions.py
+++ b/laurelstep/outbox/transitions.py
@@ -89,11 +89,11 @@
         event, reason = self._meaning(row, end, now)
         next_state(self._rows.state_of(row), event)
         if end in (ReplayResult.ANSWERED, ReplayResult.DENIED):
-            self.pace.answered()
+            self.pace.on_answer()
         elif end is ReplayResult.FENCED:
-            self.pace.unsent()
+            self.pace.on_send_cancelled()
         else:
-            self.pace.failed(now)
+            self.pace.on_failure(now)
         if end is ReplayResult.MAY_HAVE_RUN:
             self._rows.set(row, SENT)
         moved = self._change(row, event, reason).state_change
@@ -136,7 +136,7 @@
         elif state in FINAL:
             self._close(row, now)
         elif event in (WriteEvent.NOT_RUN, WriteEvent.RETRY):
-            self._turns.again(row)
+            self._turns.requeue(row)
         elif event is WriteEvent.NEVER_RAN:
             self._begin_anew(row, moved.reason, now)
         elif event is WriteEvent.UNFENCED:
@@ -175,7 +175,7 @@
         rows = self._rows
         rows.set(row, BUSY, False)
         if change.event is WriteEvent.SEND:
-            self.pace.unsent()
+            self.pace.on_send_cancelled()
         if change.event is WriteEvent.ORPHANED:
             self._orphans.append(row)
         elif change.event is WriteEvent.FENCED:
@@ -183,7 +183,7 @@
         elif change.event is WriteEvent.UNFENCED:
             self._to_claim.append(row)
         elif rows.state[row] == WriteState.READY:
-            (self._joins.append if rows.has(row, JOIN) else self._turns.again)(row)
+            (self._joins.append if rows.has(row, JOIN) else self._turns.requeue)(row)
         else:
             self._wake(row)
 
--- a/laurelstep/outbox/version_vector.py
+++ b/laurelstep/outbox/version_vector.py
@@ -1,4 +1,4 @@
-"""What is known of other edges' writes where nothing is shared, and how others hear of ours. Pure."""
+"""The statuses of other edges' writes, and how other processes learn the statuses of ours. Pure."""
 
 from __future__ import annotations
 
@@ -12,54 +12,54 @@
 
 
 class WriteStatus(IntEnum):
-    """What is known of a write that is not of this edge's own logs."""
+    """What is known of a write in a log that is not this edge's own."""
 
     UNKNOWN = 0
-    APPLIED = 1  # its effect is upstream
-    PARKED = 2  # it waits for an operator at its edge
+    APPLIED = 1  # it has taken effect upstream
+    PARKED = 2  # it waits for an operator, at its edge
     ABANDONED = 3  # given up, or lost with its edge
 
 
 class VersionVector(Protocol):
     """What is known of other logs, and which logs this process may replay.
 
-    The local one knows what was told to it at this edge. One that copies share stands behind the same two
-    questions; it tells `Outbox.heard` when it has learned something.
+    `LocalVersionVector` knows nothing of other edges. An implementation that processes share calls
+    `Outbox.on_remote_change` when it has learned something.
     """
 
     def write_status(self, dependency: Dependency) -> WriteStatus:
-        """What is known of a write of another log."""
+        """The status of a write of another log."""
 
     def holds(self, edge_log: EdgeLog) -> bool:
-        """This process, and no other with a copy of its disk, may send writes of this log."""
+        """Whether this process, and no other with a copy of its disk, may send writes of this log."""
 
 
 @runtime_checkable
 class StatusPublisher(Protocol):
-    """A `VersionVector` through which others hear of this process's writes. It may hear the same again."""
+    """A `VersionVector` that publishes the statuses of this process's writes. Repeats are harmless."""
 
     def publish(self, write_id: WriteId, write_status: WriteStatus) -> bool:
-        """What became of an own write. `APPLIED`, `ABANDONED`: over, with all that it follows. `UNKNOWN`:
-        parked no more. False if there is no room: it is told again later.
+        """Publish the status of an own write. `APPLIED` and `ABANDONED`: the write and all its dependencies
+        are final. `UNKNOWN`: it is no longer parked. False if there is no room; the caller tries again later.
         """
 
     def publish_low_watermark(self, edge_log: EdgeLog, number: int) -> bool:
-        """All of an own log up to a number are over. Those given up were told before."""
+        """Publish that an own log is final up to `number`. Abandoned writes have been published before."""
 
     def is_unpublished(self, write_id: WriteId) -> bool:
-        """What was told of an own write is not known to the others yet."""
+        """Whether the published status of an own write has not reached the other processes yet."""
 
 
 class LocalVersionVector:
-    """The version vector of an edge that hears of no other: it replays its own logs."""
+    """The version vector of an edge that exchanges nothing with others. It replays its own logs."""
 
     def __init__(self, edge: str) -> None:
         self.edge = edge
 
     def write_status(self, dependency: Dependency) -> WriteStatus:
-        """Nothing is known of any other write."""
+        """Always UNKNOWN: nothing is known of other edges' writes."""
         return WriteStatus.UNKNOWN
 
     def holds(self, edge_log: EdgeLog) -> bool:
-        """The logs of this edge."""
+        """Whether the log is one of this edge's."""
         return edge_log.edge == self.edge
--- a/laurelstep/outbox/write_ids.py
+++ b/laurelstep/outbox/write_ids.py
@@ -1,11 +1,12 @@
-"""The names of queued writes. Pure.
+"""Write ids, which identify queued writes. Pure.
 
-1. A write id is the edge's name, an incarnation and a number. One edge name has one installation.
+1. A write id consists of the edge's name, an incarnation and a number. An edge name belongs to one
+   installation.
 2. An incarnation is 64 random bits, drawn each time a process opens the store for writing. So two processes
-   on copies of one disk never give one name to two writes, also while both are cut off from everybody.
-3. Numbers count from 1 within an incarnation, without gaps: a number whose write could not be kept is told
-   as given up.
-4. A log is all write ids of one edge and incarnation.
+   on copies of one disk never give the same id to two writes, even while both are cut off from all others.
+3. Numbers count from 1 within an incarnation, without gaps: a number whose write could not be stored is
+   reported as given up.
+4. A log is the set of all write ids of one edge and incarnation.
 """
 
 from __future__ import annotations
@@ -17,21 +18,21 @@
 
 __all__ = ["MAX_EDGE_NAME_CHARS", "EdgeLog", "WriteId", "check_edge", "parse_write_id"]
 
-# Characters of an edge's name; guards a token's bound.
+# Characters of an edge's name; bounds the length of a token.
 MAX_EDGE_NAME_CHARS: Final = 32
-_EDGE: Final = re.compile(rf"[a-z0-9][a-z0-9.-]{{0,{MAX_EDGE_NAME_CHARS - 1}}}\Z")
-_DOT: Final = re.compile(r"([a-z0-9.-]+)/([0-9a-f]{16})/([1-9][0-9]{0,17})\Z")
+_EDGE_NAME: Final = re.compile(rf"[a-z0-9][a-z0-9.-]{{0,{MAX_EDGE_NAME_CHARS - 1}}}\Z")
+_WRITE_ID: Final = re.compile(r"([a-z0-9.-]+)/([0-9a-f]{16})/([1-9][0-9]{0,17})\Z")
 
 
 class EdgeLog(NamedTuple):
-    """All writes of one edge in one life of its store."""
+    """All writes of one edge in one incarnation of its store."""
 
     edge: str
     incarnation: int
 
 
 class WriteId(NamedTuple):
-    """One queued write. As text: `edge/incarnation in 16 hex digits/number`."""
+    """Identifies one queued write. As text: `edge/incarnation in 16 hex digits/number`."""
 
     edge: str
     incarnation: int
@@ -39,7 +40,7 @@
 
     @property
     def edge_log(self) -> EdgeLog:
-        """The log that it is of."""
+        """The log that the write belongs to."""
         return EdgeLog(self.edge, self.incarnation)
 
     def __str__(self) -> str:
@@ -47,8 +48,8 @@
 
 
 def check_edge(name: str) -> str:
-    """The name, or ValueError in one line."""
-    if not _EDGE.match(name):
+    """Return the name if it is valid. ValueError otherwise, in one line."""
+    if not _EDGE_NAME.match(name):
         raise ValueError(
             f"an edge's name is 1 to {MAX_EDGE_NAME_CHARS} of a-z 0-9 . - and starts with a letter or digit"
         )
@@ -56,8 +57,8 @@
 
 
 def parse_write_id(text: str) -> WriteId:
-    """A write id from its text; `TokenError`."""
-    found = _DOT.match(text)
-    if found is None or not _EDGE.match(found[1]):
+    """Parse the text form of a write id. `TokenError` if it is malformed."""
+    match = _WRITE_ID.match(text)
+    if match is None or not _EDGE_NAME.match(match[1]):
         raise TokenError("not the name of a kept write")
-    return WriteId(found[1], int(found[2], 16), int(found[3]))
+    return WriteId(match[1], int(match[2], 16), int(match[3]))
--- a/tests/test_outbox.py
+++ b/tests/test_outbox.py
@@ -28,7 +28,7 @@
 )
 from laurelstep.outbox.expiry_queue import ExpiryQueue
 from laurelstep.outbox.outbox import Outbox, OutboxBounds, QueuedClass, ReplayResult, Transition, WriteOffer
-from laurelstep.outbox.receipts import REASONS, WriteReceipt, encode_receipt
+from laurelstep.outbox.receipts import REASON_TEXTS, WriteReceipt, encode_receipt
 from laurelstep.outbox.records import (
     TRANSITIONS,
     ParkingReason,
@@ -303,7 +303,7 @@
     if (state, event) in TRANSITIONS:
         assert next_state(state, event) is TRANSITIONS[state, event]
     else:
-        with pytest.raises(StepError, match=f"{event.name} does not follow in {state.name}"):
+        with pytest.raises(StepError, match=f"{event.name} is not allowed in state {state.name}"):
             next_state(state, event)
 
 
@@ -680,27 +680,27 @@
     paces = [ReplayPacer(8, SECOND) for _ in range(30)]
     for pace in paces:
         while pace.may_send(0):
-            pace.sent()
-    assert sum(pace.out for pace in paces) == 30
+            pace.on_sent()
+    assert sum(pace.in_flight for pace in paces) == 30
 
 
 def test_the_pace_grows_by_answers_and_is_halved_by_refusals() -> None:
     pace = ReplayPacer(4, SECOND)
     for _ in range(9):
-        pace.sent()
-        pace.answered()
+        pace.on_sent()
+        pace.on_answer()
     assert pace.limit == 4
-    pace.sent()
-    pace.failed(0)
-    pace.refused(10)  # the same shortage
+    pace.on_sent()
+    pace.on_failure(0)
+    pace.on_refusal(10)  # the same shortage
     assert pace.limit == 2 and not pace.may_send(SECOND) and pace.may_send(SECOND + 10)
-    pace.refused(3 * SECOND)
-    pace.refused(6 * SECOND)
+    pace.on_refusal(3 * SECOND)
+    pace.on_refusal(6 * SECOND)
     assert pace.limit == 1
     turns = ReplayQueue()
     for row in (1, 2):
         turns.add(row)
-    turns.again(turns.next())
+    turns.requeue(turns.next())
     assert (turns.next(), turns.next(), len(turns)) == (1, 2, 0)
 
 
@@ -763,7 +763,7 @@
     }
     desk.park(write_id)
     told = json.loads(encode_receipt(desk.outbox.receipt(write_id)))
-    assert told["reason"] == REASONS[ParkingReason.DENIED] and told["verdicts"] == [
+    assert told["reason"] == REASON_TEXTS[ParkingReason.DENIED] and told["verdicts"] == [
         "ran",
         "never_ran",
         "give_up",
@@ -771,7 +771,7 @@
     assert json.loads(encode_receipt(desk.outbox.receipt(behind)))["verdicts"] == ["give_up"]
     done = WriteReceipt(write_id, WriteState.DONE, status=201, headers=((b"a", b"b"),), body=b"\xff")
     assert json.loads(encode_receipt(done))["status"] == 201
-    assert set(REASONS) == set(ParkingReason) - {ParkingReason.NONE}
+    assert set(REASON_TEXTS) == set(ParkingReason) - {ParkingReason.NONE}
 
 
 def test_places_are_found_after_any_order_of_changes() -> None:
--- a/tests/test_outbox_schedules.py
+++ b/tests/test_outbox_schedules.py
@@ -497,8 +497,8 @@
             outbox = edge.outbox
             if outbox.count > self.bounds.max_writes + len(edge.marks) * self.bounds.max_writes:
                 raise BrokenError("bounds", f"{edge.name} keeps {outbox.count}")
-            if not 0 <= outbox.pace.out <= self.bounds.replay_most:
-                raise BrokenError("bounds", f"{edge.name} has {outbox.pace.out} out")
+            if not 0 <= outbox.pace.in_flight <= self.bounds.replay_most:
+                raise BrokenError("bounds", f"{edge.name} has {outbox.pace.in_flight} out")
         edge = self.draw.choice(self.living())
         if edge.kept:
             self.check_told(edge, self.draw.choice(list(edge.kept)))
@@ -729,7 +729,7 @@
         if change.event is not WriteEvent.SEND:
             super().undo(change, now)
         else:
-            self.pace.unsent()
+            self.pace.on_send_cancelled()
             self._rows.set(row, BUSY | ORPHAN, False)
 
 
@@ -740,7 +740,7 @@
         self, write_id: WriteId, end: ReplayResult, now: int, wall: int, *told: Any
     ) -> Transition:
         change = super().on_replay_end(write_id, end, now, wall, *told)
-        self.pace.out += 1
+        self.pace.in_flight += 1
         return change
 
 
