--- a/laurelstep/outbox/dependency_graph.py
+++ b/laurelstep/outbox/dependency_graph.py
@@ -1,12 +1,12 @@
-"""What waits for what. Pure.
-
-1. A node is a queued write, or a write of another log that one of ours follows, or a barrier: all writes of
-   one line up to a number.
-2. An arrow goes from a cause to its follower, which was kept later. So no circle can come about.
-3. A node is free when no arrow comes in. When a node is over, its arrows go.
-4. A node sticks while it is halted, or while one that it follows sticks. Each node knows how many of its
-   causes stick; so halting and resuming go along each arrow behind the node once, whatever their number.
-5. Nodes and arrows are rows of arrays, used again when they are free: 17 bytes a node, 24 an arrow.
+"""The graph of which writes wait for which. Pure.
+
+1. A node is a queued write, or a write of another log that one of ours depends on, or a barrier, which stands
+   for all writes of one log up to a number.
+2. An arrow goes from a dependency to its follower, which was queued later, so the graph has no cycles.
+3. A node is free when it has no incoming arrow. When a node is finished, its arrows are removed.
+4. A node is blocked while it is halted, or while one of its dependencies is blocked. Each node counts its
+   blocked dependencies, so halting and resuming visit each arrow behind the node at most once.
+5. Nodes and arrows are rows of arrays and are reused: 17 bytes a node, 24 an arrow.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 
 class DependencyGraph:
-    """See the rules. Nodes are small integers."""
+    """The graph, under the rules above. Nodes are small integers."""
 
     def __init__(self) -> None:
-        self._waits = array("i")  # arrows in
-        self._stuck = array("i")  # of them, from nodes that stick
+        self._incoming_count = array("i")  # number of incoming arrows
+        self._blocked_count = array("i")  # number of incoming arrows from blocked nodes
         self._halted = array("b")
-        self._out = array("i")  # the first arrow out
-        self._in = array("i")  # the first arrow in
+        self._out = array("i")  # the first outgoing arrow
+        self._in = array("i")  # the first incoming arrow
         self._free_nodes = array("i")
         self._source = array("i")
         self._target = array("i")
@@ -35,31 +35,31 @@
         self._next_in = array("i")
         self._prev_in = array("i")
         self._free_arrows = array("i")
-        self.touched = 0  # arrows that halting and resuming have gone along, in all
+        self.arrows_visited = 0  # total number of arrows visited by halting and resuming
 
     def __len__(self) -> int:
-        return len(self._waits) - len(self._free_nodes)
+        return len(self._incoming_count) - len(self._free_nodes)
 
     @property
     def arrows(self) -> int:
-        """How many arrows there are."""
+        """The number of arrows."""
         return len(self._source) - len(self._free_arrows)
 
     def add(self) -> int:
-        """A node that follows nothing."""
+        """Add a node without dependencies."""
         if self._free_nodes:
             node = self._free_nodes.pop()
-            self._waits[node] = self._stuck[node] = self._halted[node] = 0
+            self._incoming_count[node] = self._blocked_count[node] = self._halted[node] = 0
             self._out[node] = self._in[node] = NONE
             return node
-        for column in (self._waits, self._stuck, self._halted):
+        for column in (self._incoming_count, self._blocked_count, self._halted):
             column.append(0)
         self._out.append(NONE)
         self._in.append(NONE)
-        return len(self._waits) - 1
+        return len(self._incoming_count) - 1
 
     def link(self, dependency: int, follower: int) -> None:
-        """The follower waits for the cause, which does not follow it."""
+        """Make the follower wait for the dependency, which must not depend on the follower."""
         if self._free_arrows:
             arrow = self._free_arrows.pop()
         else:
@@ -72,27 +72,27 @@
         if first != NONE:
             self._prev_in[first] = arrow
         self._next_in[arrow], self._prev_in[arrow], self._in[follower] = first, NONE, arrow
-        self._waits[follower] += 1
+        self._incoming_count[follower] += 1
         if self.is_blocked(dependency):
-            stuck = self.is_blocked(follower)
-            self._stuck[follower] += 1
-            if not stuck:
-                self._spread(follower, 1)
+            was_blocked = self.is_blocked(follower)
+            self._blocked_count[follower] += 1
+            if not was_blocked:
+                self._propagate(follower, 1)
 
-    def free(self, node: int) -> bool:
-        """Nothing comes in: it waits for none."""
-        return self._waits[node] == 0
+    def is_free(self, node: int) -> bool:
+        """Whether the node waits for no other."""
+        return self._incoming_count[node] == 0
 
     def is_blocked(self, node: int) -> bool:
-        """It is halted, or depends on one that is."""
-        return self._halted[node] != 0 or self._stuck[node] > 0
+        """Whether the node is halted, or depends, also indirectly, on a halted one."""
+        return self._halted[node] != 0 or self._blocked_count[node] > 0
 
-    def behind(self, node: int) -> bool:
-        """One that it follows sticks."""
-        return self._stuck[node] > 0
+    def has_blocked_dependency(self, node: int) -> bool:
+        """Whether a dependency of the node is blocked."""
+        return self._blocked_count[node] > 0
 
     def dependencies(self, node: int) -> list[int]:
-        """Those that it waits for, without those behind them."""
+        """The direct dependencies of the node."""
         found, arrow = [], self._in[node]
         while arrow != NONE:
             found.append(self._source[arrow])
@@ -100,60 +100,60 @@
         return found
 
     def followers(self, node: int) -> list[int]:
-        """Those that wait for it, without those behind them."""
+        """The direct followers of the node."""
         found, arrow = [], self._out[node]
         while arrow != NONE:
             found.append(self._target[arrow])
             arrow = self._next_out[arrow]
         return found
 
-    def holder(self, node: int) -> int:
-        """A halted one that this node follows, if it is behind one; else one that it waits for, or NONE."""
+    def find_blocker(self, node: int) -> int:
+        """A halted node that this node depends on, if there is one; else any direct dependency, or NONE."""
         dependencies = self.dependencies(node)
-        while self._stuck[node]:
+        while self._blocked_count[node]:
             node = next(dependency for dependency in self.dependencies(node) if self.is_blocked(dependency))
             if self._halted[node]:
                 return node
         return dependencies[0] if dependencies else NONE
 
     def halt(self, node: int) -> None:
-        """It blocks all that depend on it."""
-        stuck = self.is_blocked(node)
+        """Block the node and all that depend on it."""
+        was_blocked = self.is_blocked(node)
         self._halted[node] = 1
-        if not stuck:
-            self._spread(node, 1)
+        if not was_blocked:
+            self._propagate(node, 1)
 
     def resume(self, node: int) -> None:
-        """It blocks none any more, unless what it depends on does."""
+        """Undo `halt`. The node stays blocked while one of its dependencies is."""
         if not self._halted[node]:
             return
         self._halted[node] = 0
-        if not self._stuck[node]:
-            self._spread(node, -1)
+        if not self._blocked_count[node]:
+            self._propagate(node, -1)
 
-    def _spread(self, node: int, step: int) -> None:
-        """The node has begun (1) or ceased (-1) to stick."""
+    def _propagate(self, node: int, step: int) -> None:
+        """Update all nodes behind one that has become blocked (`step` 1) or unblocked (-1)."""
         work = [node]
         while work:
             for follower in self.followers(work.pop()):
-                self.touched += 1
+                self.arrows_visited += 1
                 before = self.is_blocked(follower)
-                self._stuck[follower] += step
+                self._blocked_count[follower] += step
                 if self.is_blocked(follower) != before:
                     work.append(follower)
 
-    def over(self, node: int) -> list[int]:
-        """A free node is done with: it goes, and those come back that are free by it.
+    def finish(self, node: int) -> list[int]:
+        """Remove a free node and return the followers that become free by it.
 
-        One that still waits must stay: its followers wait for its causes through it.
+        A node that is not free must stay, because its followers wait for its dependencies through it.
         """
-        assert self.free(node)
+        assert self.is_free(node)
         self.resume(node)
         freed, arrow = [], self._out[node]
         while arrow != NONE:
             follower, following = self._target[arrow], self._next_out[arrow]
             self._unlink_in(follower, arrow)
-            if not self._waits[follower]:
+            if not self._incoming_count[follower]:
                 freed.append(follower)
             self._free_arrows.append(arrow)
             arrow = following
@@ -161,7 +161,7 @@
         return freed
 
     def _unlink_in(self, follower: int, arrow: int) -> None:
-        self._waits[follower] -= 1
+        self._incoming_count[follower] -= 1
         before, after = self._prev_in[arrow], self._next_in[arrow]
         if before == NONE:
             self._in[follower] = after
--- a/laurelstep/outbox/dependency_tracker.py
+++ b/laurelstep/outbox/dependency_tracker.py
@@ -1,9 +1,10 @@
-"""Which queued writes there are, and what each waits for. Pure; `outbox` keeps, replays and tells on it.
+"""The open queued writes and their dependencies. Pure. The other parts of `outbox` build on it.
 
-1. A row stands for an own write until that is over: final, and all that it follows over too.
-2. A write of another log has a row while one of ours follows it; a barrier while it holds one up.
-3. A name of an own write is one integer here: its log's place in the list of logs, then its number. What
-   has a number that was given out and no row is over.
+1. A row stands for an own write until the write is finished: final, with all its dependencies finished too.
+2. A write of another log has a row while an own write depends on it. A barrier has a row while it blocks a
+   write.
+3. An own write id is packed into one integer: the index of its log, then its number. A number that was
+   assigned and has no row is finished.
 """
 
 from __future__ import annotations
@@ -37,15 +38,15 @@
     WriteTable,
 )
 
-__all__ = ["NUMBERS", "NUMBER_MASK", "DependencyTracker"]
+__all__ = ["NUMBER_BITS", "NUMBER_MASK", "DependencyTracker"]
 
-NUMBERS: Final = 48  # bits of a number, beside its log's place
-NUMBER_MASK: Final = (1 << NUMBERS) - 1
+NUMBER_BITS: Final = 48  # bits of a number in a packed write id; the index of its log is above them
+NUMBER_MASK: Final = (1 << NUMBER_BITS) - 1
 
 
 class DependencyTracker:
-    """The rows, their names, and the graph. `edge_log`: this life's name; `classes`: those that may be
-    kept.
+    """The rows, their write ids, and the graph. `edge_log`: the log of this incarnation. `classes`: the
+    classes whose writes may be queued.
     """
 
     def __init__(
@@ -61,70 +62,72 @@
         self.version_vector = version_vector
         self.classes = dict(classes)
         self.pace = ReplayPacer(bounds.replay_most, bounds.hold_us)
-        self._names = ["", *classes]  # the first is a join's
-        self._places = {name: place for place, name in enumerate(self._names)}
-        # Own logs, and the highest number known of each.
+        self._class_names = ["", *classes]  # the first is for joins
+        self._class_indexes = {name: index for index, name in enumerate(self._class_names)}
+        # Own logs, their indexes, and the highest number known of each.
         self._edge_logs = [edge_log]
         self._log_indexes: dict[tuple[str, int], int] = {edge_log: 0}
-        self._high = [0]
+        self._highest_numbers = [0]
         self._graph = DependencyGraph()
         self._rows = WriteTable()
-        self._turns = ReplayQueue()
-        self._ages = ExpiryQueue(len(self._names))
-        self._late: deque[int] = deque()  # over their time, and not parked yet: no more than can be told soon
-        self._open = PagedIntegerMap()  # row of an own write id
-        self._keys = IntegerMap(True)  # own write id of a key
-        self._sessions = IntegerMap()  # row of the last write
-        self._objects = IntegerMap()
+        self._replay_queue = ReplayQueue()
+        self._expiry_queue = ExpiryQueue(len(self._class_names))
+        # Expired rows that are not parked yet; their number is bounded.
+        self._expired_rows: deque[int] = deque()
+        self._open = PagedIntegerMap()  # row by packed own write id
+        self._keys = IntegerMap(True)  # packed own write id by hash of the key
+        self._sessions = IntegerMap()  # row of the last write, by hash of the session
+        self._objects = IntegerMap()  # row of the last write, by hash of the object
         self._foreign: dict[Dependency, int] = {}
-        self._foreign_of: dict[int, Dependency] = {}
-        self._barriers: dict[int, tuple[int, int]] = {}  # by log's place: up to which number, and its row
-        self._unsure: dict[int, Dependencies] = {}  # of rows whose record is not on the disk
-        self._followed: list[Dependency] = []  # foreign ones, since the last `take_new_dependencies`
+        self._foreign_dependencies: dict[int, Dependency] = {}
+        self._barriers: dict[int, tuple[int, int]] = {}  # by log index: number it reaches up to, and its row
+        self._undurable_dependencies: dict[int, Dependencies] = {}  # of rows whose record is not durable
+        self._new_foreign: list[Dependency] = []  # since the last `take_new_dependencies`
         self._begin_queues()
         self._begin_usage()
 
     def _begin_queues(self) -> None:
-        """What is to be done, and what is over."""
-        self._withheld: set[int] = set()  # own write ids that are not to be sent yet
-        self._fenced: set[int] = set()  # places of logs that are another process's
-        self._to_fence: deque[int] = deque()  # rows of those, to be parked
-        self._to_claim: deque[int] = deque()  # rows parked so whose log is ours again
+        """Create the queues of due transitions and the sets of final writes."""
+        self._withheld: set[int] = set()  # packed own write ids that must not be sent yet
+        self._fenced: set[int] = set()  # indexes of logs that another process holds
+        self._to_fence: deque[int] = deque()  # rows of these logs, to be parked
+        self._to_unfence: deque[int] = deque()  # rows parked as fenced whose log this process holds again
         self._joins: deque[int] = deque()
         self._orphans: deque[int] = deque()
-        # Final ones whose receipts are kept: own write id, when that is over, key.
+        # Final writes whose receipts are kept: packed write id, end of that time, hash of the key.
         self._closed: deque[tuple[int, int, int]] = deque()
         self._given_up: set[int] = set()
         self._finished: list[tuple[WriteId, WriteStatus]] = []
-        self._low: list[int] = [0]  # of each log: all up to it are over
+        self._low_watermarks: list[int] = [0]  # of each log: all writes up to it are finished
         self._resolutions: dict[int, tuple[int, Resolution, int]] = {}  # parking, resolution, unix time
-        # Rows that are not to be parked for a cause that is gone: an operator said to go on without it.
-        self._excused: set[int] = set()
-        self._life = 0
+        # Rows that are not parked as orphans, because an operator resolved that they go on without the
+        # dependency that was given up.
+        self._orphan_exempt: set[int] = set()
+        self._earlier_incarnations = 0
 
     def _begin_usage(self) -> None:
-        """What is kept, in all and by tenant."""
+        """Create the counts of queued writes and bytes, in total and by tenant."""
         self._tenants: dict[str, int] = {}
         self._tenant_names: dict[int, str] = {}
-        self._usage: dict[int, list[int]] = {}  # by tenant's place: count, bytes
+        self._usage: dict[int, list[int]] = {}  # by tenant index: count, bytes
         self._tenant_next = 0
         self.count = 0
         self.size = 0
 
-    # Names
+    # Write ids and rows.
 
     def _pack(self, write_id: Dependency | WriteId) -> int:
-        """An own write id as one integer; -1 if it is of no log known here."""
-        place = self._log_indexes.get(write_id[:2], -1)
-        return place if place < 0 else place << NUMBERS | write_id.number
+        """Pack an own write id into one integer; -1 if its log is not known here."""
+        log_index = self._log_indexes.get(write_id[:2], -1)
+        return log_index if log_index < 0 else log_index << NUMBER_BITS | write_id.number
 
     def _write_id_of(self, row: int) -> WriteId:
         if self._rows.has(row, FOREIGN):
-            return self._foreign_of[row].write_id
+            return self._foreign_dependencies[row].write_id
         return WriteId(*self._edge_logs[self._rows.edge_log[row]], self._rows.number[row])
 
     def _row(self, write_id: WriteId) -> int:
-        """Of a write that is in the graph, or -1."""
+        """The row of a write that is in the graph, or -1."""
         packed = self._pack(write_id)
         return -1 if packed < 0 else self._open.get(packed)
 
@@ -134,75 +137,81 @@
             raise UnknownWriteError(f"{write_id} is not open here")
         return row
 
-    def _through(self, dependencies: Dependencies) -> Dependencies:
-        """With the causes of those that are not durable yet, and may never be: a restart must find them."""
+    def _with_undurable_dependencies(self, dependencies: Dependencies) -> Dependencies:
+        """Add the dependencies of those writes that are not durable yet. They may never become durable, and a
+        restart still has to find what they depended on.
+        """
         rows = [self._row(dependency.write_id) for dependency in dependencies]
-        more = [self._unsure[row] for row in rows if row in self._unsure]
+        more = [self._undurable_dependencies[row] for row in rows if row in self._undurable_dependencies]
         return merge(dependencies, *more) if more else dependencies
 
-    def _enter(self, write: QueuedWrite, edge_log: int, key: int, session: int, obj: int, since: int) -> int:
-        """A row for it, counted, without causes yet."""
+    def _add_row(
+        self, write: QueuedWrite, edge_log: int, key: int, session: int, obj: int, since: int
+    ) -> int:
+        """Add a row for a write and count it. Its dependencies are linked later."""
         row = self._graph.add()
         rows = self._rows
         rows.clear(row, 0 if write.cls else JOIN)
-        rows.cls[row] = self._places.get(write.cls, 0) if write.cls else 0
+        rows.cls[row] = self._class_indexes.get(write.cls, 0) if write.cls else 0
         rows.edge_log[row], rows.number[row], rows.since[row] = edge_log, write.write_id.number, since
         rows.key[row], rows.session[row], rows.obj[row] = key, session, obj
         rows.size[row] = write.size
-        packed = edge_log << NUMBERS | write.write_id.number
+        packed = edge_log << NUMBER_BITS | write.write_id.number
         self._open.put(packed, row)
-        for places, name, value in (
+        for index, name, value in (
             (self._keys, key, packed),
             (self._sessions, session, row),
             (self._objects, obj, row),
         ):
             if name:
-                places.put(name, value)
+                index.put(name, value)
         self._count(row, write.tenant)
         return row
 
     def _count(self, row: int, tenant: str) -> None:
-        place = self._tenants.get(tenant)
-        if place is None:
-            place = self._tenants[tenant] = self._tenant_next
+        tenant_index = self._tenants.get(tenant)
+        if tenant_index is None:
+            tenant_index = self._tenants[tenant] = self._tenant_next
             self._tenant_next += 1
-            self._usage[place] = [0, 0]
-            self._tenant_names[place] = tenant
-        usage = self._usage[place]
+            self._usage[tenant_index] = [0, 0]
+            self._tenant_names[tenant_index] = tenant
+        usage = self._usage[tenant_index]
         usage[0] += 1
         usage[1] += self._rows.size[row]
-        self._rows.tenant[row] = place
+        self._rows.tenant[row] = tenant_index
         self.count += 1
         self.size += self._rows.size[row]
 
     def _uncount(self, row: int) -> None:
-        place, size = self._rows.tenant[row], self._rows.size[row]
-        usage = self._usage[place]
+        tenant_index, size = self._rows.tenant[row], self._rows.size[row]
+        usage = self._usage[tenant_index]
         usage[0] -= 1
         usage[1] -= size
         self.count -= 1
         self.size -= size
         if not usage[0]:
-            del self._usage[place]
-            del self._tenants[self._tenant_names.pop(place)]
+            del self._usage[tenant_index]
+            del self._tenants[self._tenant_names.pop(tenant_index)]
 
-    # What waits for what
+    # Dependencies.
 
     def _link(
         self, row: int, dependencies: Dependencies, barriers: Mapping[tuple[int, int], int] | None = None
     ) -> None:
-        """Its arrows, each once. `barriers`: those of a restart, by log's place and number."""
+        """Link a row to its dependencies, each once. `barriers`: those made by `restore`, by log index and
+        number.
+        """
         found: set[int] = set()
         for dependency in dependencies:
-            place = self._log_indexes.get(dependency[:2], -1)
-            if place < 0 or dependency.number > self._high[place]:
+            log_index = self._log_indexes.get(dependency[:2], -1)
+            if log_index < 0 or dependency.number > self._highest_numbers[log_index]:
                 found.add(self._follow_foreign(row, dependency))
             elif dependency.before and barriers is not None:
-                found.add(barriers[place, dependency.number])
+                found.add(barriers[log_index, dependency.number])
             elif dependency.before:
-                found.add(self._barrier(place, self._high[place] - (place == 0)))
+                found.add(self._barrier(log_index, self._highest_numbers[log_index] - (log_index == 0)))
             else:
-                packed = place << NUMBERS | dependency.number
+                packed = log_index << NUMBER_BITS | dependency.number
                 found.add(self._open.get(packed))
                 if packed in self._given_up:
                     self._orphan(row)
@@ -210,7 +219,7 @@
             self._graph.link(node, row)
 
     def _follow_foreign(self, row: int, dependency: Dependency) -> int:
-        """The row of a write of another log, or -1 if it need not be waited for."""
+        """The row of a write of another log, or -1 if there is no need to wait for it."""
         node = self._foreign.get(dependency, -1)
         if node >= 0:
             return node
@@ -221,35 +230,39 @@
             return -1
         node = self._graph.add()
         self._rows.clear(node, FOREIGN)
-        self._foreign[dependency], self._foreign_of[node] = node, dependency
-        self._followed.append(dependency)
+        self._foreign[dependency], self._foreign_dependencies[node] = node, dependency
+        self._new_foreign.append(dependency)
         if write_status is WriteStatus.PARKED:
             self._graph.halt(node)
         return node
 
-    def _barrier(self, place: int, upto: int) -> int:
-        """A row that is over when all of a log up to a number are, or a later one; each made on the one
-        before it, so that all of them together have one arrow for each write. -1 if all are over.
+    def _barrier(self, log_index: int, upto: int) -> int:
+        """The row of a barrier that finishes when all writes of a log up to a number, or a later one, have.
+
+        Each barrier depends on the one before it, so that all barriers together need one arrow for each
+        write. -1 if all these writes are finished.
         """
-        last, before = self._barriers.get(place, (0, -1))
+        last, before = self._barriers.get(log_index, (0, -1))
         if last >= upto:
             return before
-        open_rows = {self._open.get(place << NUMBERS | number) for number in range(last + 1, upto + 1)}
+        open_rows = {
+            self._open.get(log_index << NUMBER_BITS | number) for number in range(last + 1, upto + 1)
+        }
         nodes = (open_rows | {before}) - {-1}
         if not nodes:
-            self._barriers[place] = (upto, -1)
+            self._barriers[log_index] = (upto, -1)
             return -1
         barrier = self._graph.add()
         self._rows.clear(barrier, BARRIER)
-        self._rows.edge_log[barrier] = place
+        self._rows.edge_log[barrier] = log_index
         for node in nodes:
             self._graph.link(node, barrier)
-        self._barriers[place] = (upto, barrier)
+        self._barriers[log_index] = (upto, barrier)
         return barrier
 
     def _orphan(self, row: int) -> None:
-        """It follows what is given up or lost."""
-        if self.bounds.orphans == "release" or self._rows.has(row, ORPHAN) or row in self._excused:
+        """Mark a row to be parked, because a write that it depends on was given up or lost."""
+        if self.bounds.orphans == "release" or self._rows.has(row, ORPHAN) or row in self._orphan_exempt:
             return
         if self._rows.has(row, BARRIER):
             for follower in self._graph.followers(row):
@@ -260,45 +273,45 @@
             self._orphans.append(row)
 
     def _wake(self, row: int) -> None:
-        """It may be its turn."""
+        """Make a row READY if it is durable and free."""
         rows = self._rows
         if (
             rows.state[row] == WriteState.KEPT
             and rows.flags[row] & (DURABLE | ORPHAN | BUSY | CLOSED) == DURABLE
-            and self._graph.free(row)
+            and self._graph.is_free(row)
         ):
             rows.state[row] = next_state(WriteState.KEPT, WriteEvent.DEPENDENCIES_FINAL)
             if rows.has(row, JOIN):
                 self._joins.append(row)
             else:
-                self._turns.add(row)
+                self._replay_queue.add(row)
 
-    def _over(self, row: int) -> None:
-        """A free row is done with, and so are those without a state of their own that it frees."""
+    def _finish(self, row: int) -> None:
+        """Finish a free row, and the barriers and closed rows that become free by it."""
         work = [row]
         while work:
             row = work.pop()
-            freed = self._graph.over(row)
-            self._leave(row)
+            freed = self._graph.finish(row)
+            self._remove(row)
             for follower in freed:
                 if self._rows.flags[follower] & (BARRIER | CLOSED):
                     work.append(follower)
                 else:
                     self._wake(follower)
 
-    def _leave(self, row: int) -> None:
+    def _remove(self, row: int) -> None:
         rows = self._rows
         if rows.has(row, FOREIGN):
-            del self._foreign[self._foreign_of.pop(row)]
+            del self._foreign[self._foreign_dependencies.pop(row)]
         elif rows.has(row, BARRIER):
-            place = rows.edge_log[row]
-            upto, last = self._barriers[place]
+            log_index = rows.edge_log[row]
+            upto, last = self._barriers[log_index]
             if last == row:
-                self._barriers[place] = (upto, -1)
+                self._barriers[log_index] = (upto, -1)
         else:
-            packed = rows.edge_log[row] << NUMBERS | rows.number[row]
-            self._unsure.pop(row, None)
-            self._excused.discard(row)
+            packed = rows.edge_log[row] << NUMBER_BITS | rows.number[row]
+            self._undurable_dependencies.pop(row, None)
+            self._orphan_exempt.discard(row)
             self._withheld.discard(packed)
             self._finished.append(
                 (
@@ -307,7 +320,7 @@
                 )
             )
             self._open.drop(packed)
-            for places, name in ((self._sessions, rows.session[row]), (self._objects, rows.obj[row])):
-                if name and places.get(name) == row:
-                    places.drop(name)
+            for index, name in ((self._sessions, rows.session[row]), (self._objects, rows.obj[row])):
+                if name and index.get(name) == row:
+                    index.drop(name)
         rows.clear(row, CLOSED)
--- a/laurelstep/outbox/intake.py
+++ b/laurelstep/outbox/intake.py
@@ -1,11 +1,11 @@
-"""What an outbox takes: numbers, dependencies, and the bounds of what is kept. Pure."""
+"""Accepts writes into the outbox: write ids, dependencies, and the bounds of what is queued. Pure."""
 
 from __future__ import annotations
 
 from typing import Final
 
 from laurelstep.outbox.dependencies import MAX_DEPENDENCIES, Dependencies, Dependency, merge
-from laurelstep.outbox.dependency_tracker import NUMBER_MASK, NUMBERS
+from laurelstep.outbox.dependency_tracker import NUMBER_BITS, NUMBER_MASK
 from laurelstep.outbox.errors import (
     CycleError,
     FullError,
@@ -33,53 +33,61 @@
 
 __all__ = ["RETRY_US", "WriteIntake"]
 
-# When a client should come again to an outbox that is full.
+# After this time a client should retry a write that a full outbox refused.
 RETRY_US: Final = 30_000_000
-# Writes of other logs that ours follow, and dependencies looked through for a cycle: guard memory and time.
-FOREIGN_MOST: Final = 10_000
-CYCLE_SEARCH_MOST: Final = 4_096
+# Writes of other logs that own writes wait for, and rows visited in the search for a cycle. These bound
+# memory and time.
+MAX_FOREIGN_DEPENDENCIES: Final = 10_000
+MAX_CYCLE_SEARCH_ROWS: Final = 4_096
 
 
 class WriteIntake(TransitionTracker):
-    """Offers, until their record is durable or can't be."""
+    """Handles offers until their record is durable or has failed to be stored."""
 
     def offer(self, offer: WriteOffer, now: int, wall: int) -> WriteTicket:
-        """A number for it, its causes found and its bytes counted; see the errors in the head."""
+        """Assign a write id to an offer, find its dependencies and count its bytes.
+
+        `FullError`, `CauseError` or `KeepError` if the write is not queued.
+        """
         cls = self.classes.get(offer.cls)
         if cls is None:
-            raise KeepError(f"class {offer.cls!r} is not kept")
+            raise KeepError(f"class {offer.cls!r} can not be queued")
         if cls.keyed and not offer.key:
-            raise KeepError(f"a write of class {offer.cls!r} came without its key")
+            raise KeepError(f"a write of class {offer.cls!r} has no idempotency key")
         named = self.tokens.read(offer.tokens) if offer.tokens else ()
         key = short_hash(cls.name.encode(), offer.tenant.encode(), offer.key) if cls.keyed else 0
         known = self._keys.get(key) if key else -1
         if known >= 0:
-            self._check_circle(known, named)
-            return WriteTicket(WriteId(*self._edge_logs[known >> NUMBERS], known & NUMBER_MASK), None, True)
-        return self._keep(offer, cls, named, key, now, wall)
+            self._check_cycle(known, named)
+            return WriteTicket(
+                WriteId(*self._edge_logs[known >> NUMBER_BITS], known & NUMBER_MASK), None, True
+            )
+        return self._queue_write(offer, cls, named, key, now, wall)
 
     def join(self, dependencies: Dependencies, now: int, wall: int) -> WriteTicket:
-        """A name for a set that no token tells (causality_tokens.py, rule 1): kept as any write, without a
-        body.
+        """Queue a write without a body that stands for a set of dependencies too large for one token
+        (causality_tokens.py, rule 1).
         """
-        return self._keep(WriteOffer("", b"", (), 0, b""), QueuedClass("", False), dependencies, 0, now, wall)
+        return self._queue_write(
+            WriteOffer("", b"", (), 0, b""), QueuedClass("", False), dependencies, 0, now, wall
+        )
 
-    def _keep(
+    def _queue_write(
         self, offer: WriteOffer, cls: QueuedClass, named: Dependencies, key: int, now: int, wall: int
     ) -> WriteTicket:
         if 0 in self._fenced:
-            raise KeepError("another process with a copy of this disk has this edge's line")
+            raise KeepError("another process with a copy of this disk holds the lease on this edge's log")
         session, obj = short_hash(b"s", offer.session), short_hash(b"o", offer.obj)
-        by_rule = [
+        implied = [
             Dependency(*self._write_id_of(row))
             for row in (self._sessions.get(session), self._objects.get(obj))
             if row >= 0
         ]
-        dependencies = self._through(merge(named, by_rule))
+        dependencies = self._with_undurable_dependencies(merge(named, implied))
         self._check(dependencies)
         self._check_bounds(offer)
-        self._high[0] += 1
-        write_id = WriteId(*self._edge_logs[0], self._high[0])
+        self._highest_numbers[0] += 1
+        write_id = WriteId(*self._edge_logs[0], self._highest_numbers[0])
         write = QueuedWrite(
             write_id,
             cls.name,
@@ -95,45 +103,45 @@
             dependencies,
             wall,
             cls.window_us,
-            self._life,
+            self._earlier_incarnations,
         )
-        row = self._enter(write, 0, key, session, obj, now)
+        row = self._add_row(write, 0, key, session, obj, now)
         if write.cls:
-            self._ages.add(self._rows.cls[row], row)
-        self._unsure[row] = dependencies
+            self._expiry_queue.add(self._rows.cls[row], row)
+        self._undurable_dependencies[row] = dependencies
         self._link(row, dependencies)
         return WriteTicket(write_id, write)
 
     def _check(self, dependencies: Dependencies) -> None:
         if len(dependencies) > MAX_DEPENDENCIES:
             raise LooseError(f"{len(dependencies)} writes before one, {MAX_DEPENDENCIES} are the most")
-        edge_log, high = self._edge_logs[0], self._high[0]
+        edge_log, high = self._edge_logs[0], self._highest_numbers[0]
         for dependency in dependencies:
             if dependency.edge_log == edge_log and dependency.number > high:
                 raise FutureError(f"{dependency.write_id} was not given out")
-        if len(self._foreign) + len(dependencies) > FOREIGN_MOST:
+        if len(self._foreign) + len(dependencies) > MAX_FOREIGN_DEPENDENCIES:
             raise FullError("too many writes of other edges are waited for", RETRY_US)
 
     def _check_bounds(self, offer: WriteOffer) -> None:
         bounds = self.bounds
         count, size = self._usage.get(self._tenants.get(offer.tenant, -1), (0, 0))
-        for name, used, most, share in (
+        for name, used, limit, tenant_used in (
             ("count", self.count + 1, bounds.max_writes, count + 1),
             ("bytes", self.size + offer.size, bounds.max_bytes, size + offer.size),
         ):
-            if used > most:
-                raise FullError(f"the outbox is full: its {name} limit of {most} is reached", RETRY_US)
-            if offer.cls and share > most * bounds.tenant_share:
+            if used > limit:
+                raise FullError(f"the outbox is full: its {name} limit of {limit} is reached", RETRY_US)
+            if offer.cls and tenant_used > limit * bounds.tenant_share:
                 raise FullError(f"tenant {offer.tenant!r} has used its share of the {name} limit", RETRY_US)
 
-    def _check_circle(self, known: int, named: Dependencies) -> None:
-        """A repeat names its first try, or what follows that."""
+    def _check_cycle(self, known: int, named: Dependencies) -> None:
+        """`CycleError` if a repeated write depends on its first try, or on a follower of that."""
         work = [packed for dependency in named if (packed := self._pack(dependency)) >= 0]
         if known in work:
             raise CycleError("a write is said to follow itself")
         target, seen = self._open.get(known), set[int]()
         rows = [row for packed in work if (row := self._open.get(packed)) >= 0]
-        while target >= 0 and rows and len(seen) < CYCLE_SEARCH_MOST:
+        while target >= 0 and rows and len(seen) < MAX_CYCLE_SEARCH_ROWS:
             row = rows.pop()
             if row == target:
                 raise CycleError(f"{self._write_id_of(target)} is said to follow a write that follows it")
@@ -142,16 +150,16 @@
                 rows += self._graph.dependencies(row)
 
     def must_queue(self, named: str) -> bool:
-        """A write that names these tokens follows one that may not be in yet: it is kept although the link
-        is well. `CauseError`.
+        """Whether a write with these tokens depends on one that may not be applied yet. It is then
+        queued even though upstream can be reached. `CauseError` if the tokens can't be used.
         """
         dependencies = self.tokens.read(named)
         self._check(dependencies)
         return any(self._is_open(dependency) for dependency in dependencies)
 
     def has_open(self, session: bytes, obj: bytes, tenant: str) -> bool:
-        """An earlier write of the session or the object is still open: by rule 3 the next one follows it,
-        and is kept although the link is well.
+        """Whether an earlier write of the session or the object is still open. By rule 3 of outbox.py the
+        next one depends on it, and is queued even though upstream can be reached.
         """
         own = (
             self._sessions.get(short_hash(b"s", session)),
@@ -160,11 +168,11 @@
         return max(own) >= 0
 
     def _is_open(self, dependency: Dependency) -> bool:
-        place = self._log_indexes.get(dependency[:2], -1)
-        if place >= 0 and dependency.number <= self._high[place]:
+        log_index = self._log_indexes.get(dependency[:2], -1)
+        if log_index >= 0 and dependency.number <= self._highest_numbers[log_index]:
             if dependency.before:
-                return self._barrier(place, self._high[place]) >= 0
-            packed = place << NUMBERS | dependency.number
+                return self._barrier(log_index, self._highest_numbers[log_index]) >= 0
+            packed = log_index << NUMBER_BITS | dependency.number
             return self._open.get(packed) >= 0 or (packed in self._given_up and self.bounds.orphans == "park")
         write_status = self.version_vector.write_status(dependency)
         return write_status is not WriteStatus.APPLIED and not (
@@ -172,22 +180,22 @@
         )
 
     def on_stored(self, write_id: WriteId, now: int) -> None:
-        """Its record is durable: it counts, and may be told."""
+        """The record of the write is durable, so a receipt may be given."""
         row = self._require_row(write_id)
         self._rows.set(row, DURABLE)
-        self._unsure.pop(row, None)
+        self._undurable_dependencies.pop(row, None)
         self._wake(row)
 
     def on_size_known(self, write_id: WriteId, size: int) -> None:
-        """What its body has, of which only the most was known when it was offered."""
+        """Set the size of the write's body in bytes, of which only the upper bound was known at the offer."""
         row = self._require_row(write_id)
-        less = self._rows.size[row] - size
+        surplus = self._rows.size[row] - size
         self._rows.size[row] = size
-        self._usage[self._rows.tenant[row]][1] -= less
-        self.size -= less
+        self._usage[self._rows.tenant[row]][1] -= surplus
+        self.size -= surplus
 
     def on_store_failed(self, write_id: WriteId, now: int) -> None:
-        """Its record could not be made durable: as if it had not been offered."""
+        """The record could not be stored: drop the write as if it had not been offered."""
         row = self._require_row(write_id)
         next_state(self._rows.state_of(row), WriteEvent.STORE_FAILED)
         key = self._rows.key[row]
--- a/laurelstep/outbox/remote_logs.py
+++ b/laurelstep/outbox/remote_logs.py
@@ -1,6 +1,6 @@
-"""What other processes know and are to know of writes and logs. Pure.
+"""The exchange of statuses and leases with other processes, through the version vector. Pure.
 
-Writes of other logs that ours depend on, logs that are fenced, and own writes that are over.
+It covers writes of other logs that own writes depend on, fenced logs, and own writes that are finished.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 import msgspec
 
 from laurelstep.outbox.dependencies import Dependency
-from laurelstep.outbox.dependency_tracker import NUMBERS
+from laurelstep.outbox.dependency_tracker import NUMBER_BITS
 from laurelstep.outbox.messages import (
     Transition,
 )
@@ -30,31 +30,31 @@
 
 
 class RemoteLogs(ReplaySchedule, ReceiptLog):
-    """The outbox's side of the version vector."""
+    """Applies what the version vector learns, and tells it what happened to own writes."""
 
     def on_remote_change(self, now: int) -> None:
-        """The version vector has learned something."""
-        self._turns.requeue_set_aside()
+        """The version vector has learned new statuses or leases."""
+        self._replay_queue.requeue_set_aside()
         for dependency, row in list(self._foreign.items()):
             write_status = self.version_vector.write_status(dependency)
             if write_status is WriteStatus.ABANDONED:
                 for follower in self._graph.followers(row):
                     self._orphan(follower)
             if write_status in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
-                self._over(row)
+                self._finish(row)
             elif write_status is WriteStatus.PARKED:
                 self._graph.halt(row)
             else:
                 self._graph.resume(row)
 
     def take_new_dependencies(self) -> list[Dependency]:
-        """Writes of other logs that are waited for since the last call."""
-        found, self._followed = self._followed, []
+        """Writes of other logs that own writes have begun to wait for since the last call."""
+        found, self._new_foreign = self._new_foreign, []
         return found
 
     def needs_status(self, dependency: Dependency) -> bool:
-        """Whether its fate is of use: an open write follows it, or it is an own one that is parked as it may
-        have run, here or at the process that has its log.
+        """Whether the status is needed: an open write depends on this one, or it is an own write that is
+        parked because it may have run, here or at the process that holds its log.
         """
         if dependency in self._foreign:
             return True
@@ -64,7 +64,7 @@
         return self._rows.reason[row] in (ParkingReason.MAY_HAVE_RUN, ParkingReason.FENCED)
 
     def on_found_applied(self, write_id: WriteId, wall: int) -> Transition | None:
-        """The record says that it is in: None if that changes nothing now."""
+        """Upstream's ledger shows that the write was applied. None if that changes nothing now."""
         row = self._row(write_id)
         if row < 0 or not self.needs_status(Dependency(*write_id)) or self._rows.has(row, BUSY):
             return None
@@ -72,58 +72,57 @@
         return Transition(write_id, change.event, msgspec.structs.replace(change.state_change, wall=wall))
 
     def fence(self, edge_log: EdgeLog) -> None:
-        """Another process has this log."""
-        place = self._log_indexes.get(edge_log, -1)
-        if place >= 0 and place not in self._fenced:
-            self._fenced.add(place)
+        """Park the log's unsent writes, because another process holds its lease."""
+        log_index = self._log_indexes.get(edge_log, -1)
+        if log_index >= 0 and log_index not in self._fenced:
+            self._fenced.add(log_index)
             self.release_log(edge_log)
-            self._to_fence.extend(self._rows_of(place, (WriteState.KEPT, WriteState.READY)))
+            self._to_fence.extend(self._rows_of(log_index, (WriteState.KEPT, WriteState.READY)))
 
     def unfence(self, edge_log: EdgeLog) -> None:
-        """This process has it; so what was parked as it had not goes on, also from before a restart."""
-        place = self._log_indexes.get(edge_log, -1)
-        if place >= 0:
-            self._fenced.discard(place)
-            self._to_claim.extend(self._rows_of(place, (WriteState.PARKED,)))
-
-    def _rows_of(self, place: int, states: tuple[WriteState, ...]) -> list[int]:
-        """Looks at all rows."""
-        edge_log, fenced = self._rows.edge_log, place in self._fenced
+        """This process holds the lease on the log. Writes parked as fenced, also before a restart, go on."""
+        log_index = self._log_indexes.get(edge_log, -1)
+        if log_index >= 0:
+            self._fenced.discard(log_index)
+            self._to_unfence.extend(self._rows_of(log_index, (WriteState.PARKED,)))
+
+    def _rows_of(self, log_index: int, states: tuple[WriteState, ...]) -> list[int]:
+        """The rows of a log to fence or unfence. Visits all rows."""
+        edge_log, fenced = self._rows.edge_log, log_index in self._fenced
         return [
             row
             for row in range(len(self._rows))
-            if edge_log[row] == place and self._is_fenced(row, fenced, states)
+            if edge_log[row] == log_index and self._is_fenced(row, fenced, states)
         ]
 
     def withhold(self, write_id: WriteId) -> None:
-        """It is not sent until `release`. Called before the step that would bring it its turn."""
+        """Do not send the write until `release`. Called before the transition that would make it ready."""
         self._withheld.add(self._pack(write_id))
 
     def release(self, write_id: WriteId) -> None:
-        """`heard` is to follow."""
+        """Undo `withhold`. The caller then calls `on_remote_change`."""
         self._withheld.discard(self._pack(write_id))
 
     def release_log(self, edge_log: EdgeLog) -> None:
-        """`release` for all writes of a log."""
-        place = self._log_indexes.get(edge_log, -1)
-        self._withheld = {packed for packed in self._withheld if packed >> NUMBERS != place}
+        """Undo `withhold` for all writes of a log."""
+        log_index = self._log_indexes.get(edge_log, -1)
+        self._withheld = {packed for packed in self._withheld if packed >> NUMBER_BITS != log_index}
 
     def is_unsafe(self, write_id: WriteId) -> bool:
-        """It may be sent once, ever."""
+        """Whether the write may be sent at most once, because its class is not keyed."""
         row = self._row(write_id)
-        cls = self.classes.get(self._names[self._rows.cls[row]]) if row >= 0 else None
+        cls = self.classes.get(self._class_names[self._rows.cls[row]]) if row >= 0 else None
         return cls is None or not cls.keyed
 
     def take_finished(self) -> list[tuple[WriteId, WriteStatus]]:
-        """Own writes, since the last call, that are over with all that they follow: what the version
-        vector may tell others as in or gone. After a restart those that still have a record are named
-        again.
+        """Own writes that were finished since the last call, for the version vector to publish as applied or
+        abandoned. After a restart those that still have a record are returned again.
         """
-        told, self._finished = self._finished, []
-        return told
+        finished, self._finished = self._finished, []
+        return finished
 
     def write_status(self, write_id: WriteId) -> WriteStatus:
-        """What the version vector may tell others of an own write. `UnknownWriteError`."""
+        """The status of an own write that may be published. `UnknownWriteError` if it was never assigned."""
         row = self._row(write_id)
         if row >= 0:
             return WriteStatus.PARKED if self._graph.is_blocked(row) else WriteStatus.UNKNOWN
@@ -134,10 +133,10 @@
         )
 
     def low_watermark(self, edge_log: EdgeLog) -> int:
-        """Up to which number all of an own log are over, those that were never kept among them."""
-        place = self._log_indexes[edge_log]
-        while self._low[place] < self._high[place] and (
-            self._open.get(place << NUMBERS | self._low[place] + 1) < 0
+        """The number up to which all writes of an own log are finished. Writes never stored count too."""
+        log_index = self._log_indexes[edge_log]
+        while self._low_watermarks[log_index] < self._highest_numbers[log_index] and (
+            self._open.get(log_index << NUMBER_BITS | self._low_watermarks[log_index] + 1) < 0
         ):
-            self._low[place] += 1
-        return self._low[place]
+            self._low_watermarks[log_index] += 1
+        return self._low_watermarks[log_index]
--- a/laurelstep/outbox/replay_schedule.py
+++ b/laurelstep/outbox/replay_schedule.py
@@ -1,8 +1,8 @@
-"""What is to be done next: what goes out, expires, is orphaned, or is fenced. Pure."""
+"""Finds the transitions that are due: writes to send, to expire, to park as orphans or as fenced. Pure."""
 
 from __future__ import annotations
 
-from laurelstep.outbox.dependency_tracker import NUMBERS
+from laurelstep.outbox.dependency_tracker import NUMBER_BITS
 from laurelstep.outbox.messages import (
     Transition,
 )
@@ -11,7 +11,7 @@
     WriteEvent,
     WriteState,
 )
-from laurelstep.outbox.transitions import SWEEP, TransitionTracker
+from laurelstep.outbox.transitions import MAX_TRANSITIONS_PER_CALL, TransitionTracker
 from laurelstep.outbox.write_table import (
     BARRIER,
     BUSY,
@@ -29,18 +29,20 @@
     """The transitions that are due."""
 
     def due(self, now: int) -> list[Transition]:
-        """What is to be done next, `SEND` among it: apply, then send. Asked after events and each second."""
+        """The transitions to take next. The caller applies each, and sends the write of a `SEND`. Called
+        after events and each second.
+        """
         return [
             *self._due_orphans(),
             *self._due_joins(),
             *self._due_fences(),
-            *self._due_late(now),
+            *self._due_expiries(now),
             *self._due_sends(now),
         ]
 
     def _due_orphans(self) -> list[Transition]:
         found: list[Transition] = []
-        while self._orphans and len(found) < SWEEP:
+        while self._orphans and len(found) < MAX_TRANSITIONS_PER_CALL:
             row = self._orphans.popleft()
             if (
                 self._rows.state[row] != WriteState.KEPT
@@ -55,18 +57,18 @@
         return found
 
     def _due_joins(self) -> list[Transition]:
-        count = min(SWEEP, len(self._joins))
+        count = min(MAX_TRANSITIONS_PER_CALL, len(self._joins))
         rows = [self._joins.popleft() for _ in range(count)]
-        return [self._change(row, WriteEvent.JOINED) for row in rows if self._can_go(row)]
+        return [self._change(row, WriteEvent.JOINED) for row in rows if self._is_ready(row)]
 
     def _due_fences(self) -> list[Transition]:
-        """What is to be parked as its log is another's, and what is not to be any more."""
+        """Rows to park because another process holds their log, and rows to unpark again."""
         found: list[Transition] = []
         for rows, states, event, reason in (
             (self._to_fence, (WriteState.KEPT, WriteState.READY), WriteEvent.FENCED, ParkingReason.FENCED),
-            (self._to_claim, (WriteState.PARKED,), WriteEvent.UNFENCED, ParkingReason.NONE),
+            (self._to_unfence, (WriteState.PARKED,), WriteEvent.UNFENCED, ParkingReason.NONE),
         ):
-            for _ in range(min(SWEEP, len(rows))):
+            for _ in range(min(MAX_TRANSITIONS_PER_CALL, len(rows))):
                 row = rows.popleft()
                 if not self._is_fenced(row, event is WriteEvent.FENCED, states):
                     continue
@@ -77,7 +79,9 @@
         return found
 
     def _is_fenced(self, row: int, fenced: bool, states: tuple[WriteState, ...]) -> bool:
-        """Still to be parked, or not any more, for its log: a place in a queue may be older than that."""
+        """Whether the row is still to be parked as fenced, or to be unparked if `fenced` is false. A queue
+        may hold a row whose state has changed since.
+        """
         rows = self._rows
         if rows.flags[row] & (FOREIGN | BARRIER | JOIN | CLOSED) or rows.state_of(row) not in states:
             return False
@@ -85,48 +89,52 @@
             fenced or rows.reason[row] == ParkingReason.FENCED
         )
 
-    def _due_late(self, now: int) -> list[Transition]:
-        """What is too old, or past its window. One that is busy or out is looked at again."""
-        for cls in range(len(self._names)):
-            while len(self._late) < SWEEP and (row := self._ages.first(cls)) >= 0 and self._expired(row, now):
-                self._ages.drop(cls, row)
-                self._late.append(row)
+    def _due_expiries(self, now: int) -> list[Transition]:
+        """Rows that are too old or past their window. Busy rows and rows in flight are checked again."""
+        for cls in range(len(self._class_names)):
+            while (
+                len(self._expired_rows) < MAX_TRANSITIONS_PER_CALL
+                and (row := self._expiry_queue.first(cls)) >= 0
+                and self._expired(row, now)
+            ):
+                self._expiry_queue.drop(cls, row)
+                self._expired_rows.append(row)
         found: list[Transition] = []
         rows = self._rows
-        for _ in range(len(self._late)):
-            row = self._late.popleft()
+        for _ in range(len(self._expired_rows)):
+            row = self._expired_rows.popleft()
             flags, state = rows.flags[row], rows.state[row]
             if flags & (FOREIGN | BARRIER | JOIN | CLOSED | ORPHAN) or not self._expired(row, now):
-                continue  # over, used again, or to be parked as an orphan
+                continue  # finished, reused, or to be parked as an orphan
             if state in (WriteState.KEPT, WriteState.READY) and flags & (BUSY | DURABLE) == DURABLE:
                 found.append(self._change(row, WriteEvent.EXPIRED, self._expired(row, now)))
             if state != WriteState.PARKED:
-                self._late.append(row)
+                self._expired_rows.append(row)
         return found
 
     def _due_sends(self, now: int) -> list[Transition]:
         found: list[Transition] = []
-        while len(self._turns) and self.pace.may_send(now):
-            row = self._turns.next()
-            if not self._can_go(row):
+        while len(self._replay_queue) and self.pace.may_send(now):
+            row = self._replay_queue.next()
+            if not self._is_ready(row):
                 continue
             if reason := self._expired(row, now):
                 found.append(self._change(row, WriteEvent.EXPIRED, reason))
             elif self._rows.edge_log[row] in self._fenced:
                 self._to_fence.append(row)
-            elif not self._may_go(row):
-                self._turns.set_aside(row)
+            elif not self._may_send(row):
+                self._replay_queue.set_aside(row)
             else:
                 self.pace.on_sent()
                 found.append(self._change(row, WriteEvent.SEND))
         return found
 
-    def _may_go(self, row: int) -> bool:
-        packed = self._rows.edge_log[row] << NUMBERS | self._rows.number[row]
+    def _may_send(self, row: int) -> bool:
+        packed = self._rows.edge_log[row] << NUMBER_BITS | self._rows.number[row]
         return packed not in self._withheld and self.version_vector.holds(
             self._edge_logs[self._rows.edge_log[row]]
         )
 
     def on_live_rejection(self, now: int) -> None:
-        """The module refused a live request: kept ones stand back."""
+        """A live request was refused at `now` in µs: pause replay."""
         self.pace.on_refusal(now)
--- a/laurelstep/outbox/restore.py
+++ b/laurelstep/outbox/restore.py
@@ -1,4 +1,4 @@
-"""How an outbox begins with what earlier lives left in its store. Pure."""
+"""Restores an outbox from the records that earlier incarnations left in its store. Pure."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class OutboxRestore(TransitionTracker):
-    """Once, before anything else."""
+    """Loads the records of the store into an empty outbox."""
 
     def restore(
         self,
@@ -44,86 +44,102 @@
         is_elapsed_known: bool = True,
         doubt_us: int = 0,
     ) -> list[Transition]:
-        """All records of the store, once, before anything else. `edge_logs`: the highest number found of each
-        former life. `is_elapsed_known`: whether `wall` tells how much time passed between the lives;
-        `doubt_us`: by how much it may tell too much. What comes back is to be made durable and applied.
+        """Load all records of the store. Called once, before any other method.
+
+        `edge_logs`: the highest number found of each earlier incarnation. `is_elapsed_known`: whether `wall`
+        shows how much time passed between the incarnations. `doubt_us`: by how much `wall` may be too late.
+        The caller makes the returned transitions durable and applies them.
         """
         records = sorted(kept, key=lambda pair: (pair[0].earlier_incarnations, pair[0].write_id))
-        self._life = max((write.earlier_incarnations for write, _ in records), default=-1) + 1
+        self._earlier_incarnations = max((write.earlier_incarnations for write, _ in records), default=-1) + 1
         for edge_log in sorted(
             {*edge_logs, *(write.write_id.edge_log for write, _ in records)} - {self._edge_logs[0]}
         ):
             self._log_indexes[edge_log] = len(self._edge_logs)
             self._edge_logs.append(edge_log)
-            self._high.append(edge_logs.get(edge_log, 0))
-            self._low.append(0)
-        known = {*(write.wall for write, _ in records), *(moved.wall for _, moved in records if moved)}
-        clock_back = not is_elapsed_known or wall < max(known, default=wall)
-        entered = [self._restore_one(write, moved, now, wall) for write, moved in records]
-        self._excused = {
+            self._highest_numbers.append(edge_logs.get(edge_log, 0))
+            self._low_watermarks.append(0)
+        recorded_walls = {
+            *(write.wall for write, _ in records),
+            *(state_change.wall for _, state_change in records if state_change),
+        }
+        is_window_unknown = not is_elapsed_known or wall < max(recorded_walls, default=wall)
+        entered = [self._restore_one(write, state_change, now, wall) for write, state_change in records]
+        self._orphan_exempt = {
             row
-            for row, (_, moved) in zip(entered, records, strict=True)
-            if moved is not None and _went_on(moved)
+            for row, (_, state_change) in zip(entered, records, strict=True)
+            if state_change is not None and _is_orphan_exempt(state_change)
         }
         barriers = self._restore_barriers([write for write, _ in records])
         for row, (write, _) in zip(entered, records, strict=True):
             self._link(row, tuple(Dependency(*dependency) for dependency in write.dependencies), barriers)
         changes = self._restore_states(
-            entered, [moved for _, moved in records], now, wall - doubt_us, clock_back
+            entered, [state_change for _, state_change in records], now, wall - doubt_us, is_window_unknown
         )
-        self._excused = {
-            row for row in self._excused if self._rows.state[row] in (WriteState.KEPT, WriteState.READY)
+        self._orphan_exempt = {
+            row for row in self._orphan_exempt if self._rows.state[row] in (WriteState.KEPT, WriteState.READY)
         }
         return changes
 
-    def _restore_one(self, write: QueuedWrite, moved: StateChange | None, now: int, wall: int) -> int:
-        place = self._log_indexes[write.write_id.edge_log]
-        self._high[place] = max(self._high[place], write.write_id.number)
-        anew = moved is not None and moved.resolution == Resolution.NEVER_RAN
-        began = moved.resolved_at if anew and moved is not None else write.wall
+    def _restore_one(self, write: QueuedWrite, state_change: StateChange | None, now: int, wall: int) -> int:
+        log_index = self._log_indexes[write.write_id.edge_log]
+        self._highest_numbers[log_index] = max(self._highest_numbers[log_index], write.write_id.number)
+        is_restarted = state_change is not None and state_change.resolution == Resolution.NEVER_RAN
+        began = state_change.resolved_at if is_restarted and state_change is not None else write.wall
         key = short_hash(write.cls.encode(), write.tenant.encode(), write.key) if write.keyed else 0
         session, obj = short_hash(b"s", write.session), short_hash(b"o", write.obj)
-        row = self._enter(write, place, key, session, obj, now - max(0, wall - began))
+        row = self._add_row(write, log_index, key, session, obj, now - max(0, wall - began))
         self._rows.set(row, DURABLE)
-        if moved is not None:
-            self._rows.reason[row], self._rows.parking[row] = moved.reason, moved.parking
-            self._rows.set(row, SENT, moved.sent)
-            if moved.resolved_parking:
+        if state_change is not None:
+            self._rows.reason[row], self._rows.parking[row] = state_change.reason, state_change.parking
+            self._rows.set(row, SENT, state_change.sent)
+            if state_change.resolved_parking:
                 self._resolutions[self._pack(write.write_id)] = (
-                    moved.resolved_parking,
-                    Resolution(moved.resolution),
-                    moved.resolved_at,
+                    state_change.resolved_parking,
+                    Resolution(state_change.resolution),
+                    state_change.resolved_at,
                 )
-            if moved.state is WriteState.GIVEN_UP:
+            if state_change.state is WriteState.GIVEN_UP:
                 self._given_up.add(self._pack(write.write_id))
         return row
 
     def _restore_barriers(self, writes: list[QueuedWrite]) -> dict[tuple[int, int], int]:
-        """All that the writes name, each exactly as far as named: later ones of its log may follow it."""
+        """Make the barriers that the writes name. Each reaches exactly as far as named, because later
+        writes of its log may depend on the follower.
+        """
         named = {
-            (place, number)
+            (log_index, number)
             for write in writes
             for edge, incarnation, number, before in write.dependencies
-            if before and (place := self._log_indexes.get(EdgeLog(edge, incarnation), -1)) >= 0
+            if before and (log_index := self._log_indexes.get(EdgeLog(edge, incarnation), -1)) >= 0
         }
-        return {one: self._barrier(*one) for one in sorted(named) if one[1] <= self._high[one[0]]}
+        return {key: self._barrier(*key) for key in sorted(named) if key[1] <= self._highest_numbers[key[0]]}
 
     def _restore_states(
-        self, entered: list[int], moves: list[StateChange | None], now: int, wall: int, clock_back: bool
+        self,
+        entered: list[int],
+        moves: list[StateChange | None],
+        now: int,
+        wall: int,
+        is_window_unknown: bool,
     ) -> list[Transition]:
         changes: list[Transition] = []
-        for row, moved in zip(entered, moves, strict=True):
-            state = WriteState.KEPT if moved is None or moved.state is WriteState.READY else moved.state
+        for row, state_change in zip(entered, moves, strict=True):
+            state = (
+                WriteState.KEPT
+                if state_change is None or state_change.state is WriteState.READY
+                else state_change.state
+            )
             self._rows.state[row] = state
             if state is WriteState.PARKED:
                 self._graph.halt(row)
             elif state is WriteState.OUT:
-                changes.append(self._restore_out(row, now, clock_back))
-        for row, moved in zip(entered, moves, strict=True):
-            if moved is not None and moved.state in FINAL:
-                until = now + self.bounds.receipt_us - max(0, wall - moved.wall)
+                changes.append(self._restore_out(row, now, is_window_unknown))
+        for row, state_change in zip(entered, moves, strict=True):
+            if state_change is not None and state_change.state in FINAL:
+                until = now + self.bounds.receipt_us - max(0, wall - state_change.wall)
                 self._closed.append((self._pack(self._write_id_of(row)), until, self._rows.key[row]))
-                if moved.state is WriteState.GIVEN_UP:
+                if state_change.state is WriteState.GIVEN_UP:
                     for follower in self._graph.followers(row):
                         self._orphan(follower)
                 self._retire(row)
@@ -133,27 +149,27 @@
                 and self._rows.reason_of(row) is not ParkingReason.FENCED
             )
             if not parked and not self._rows.flags[row] & (JOIN | CLOSED):
-                self._ages.add(self._rows.cls[row], row)
+                self._expiry_queue.add(self._rows.cls[row], row)
         for row in entered:
-            if clock_back and self._rows.has(row, SENT) and self._rows.state[row] == WriteState.KEPT:
+            if is_window_unknown and self._rows.has(row, SENT) and self._rows.state[row] == WriteState.KEPT:
                 changes.append(self._change(row, WriteEvent.EXPIRED, ParkingReason.MAY_HAVE_RUN))
             elif not self._rows.has(row, CLOSED):
                 self._wake(row)
         return changes
 
-    def _restore_out(self, row: int, now: int, clock_back: bool) -> Transition:
-        """It may have run before the restart."""
+    def _restore_out(self, row: int, now: int, is_window_unknown: bool) -> Transition:
+        """The transition of a write that was OUT at the restart and so may have run."""
         self._rows.set(row, SENT)
-        event, reason = self._meaning(row, ReplayResult.MAY_HAVE_RUN, now)
-        if clock_back:
+        event, reason = self._event_of_result(row, ReplayResult.MAY_HAVE_RUN, now)
+        if is_window_unknown:
             event, reason = WriteEvent.UNCERTAIN, ParkingReason.MAY_HAVE_RUN
         return self._change(row, event, reason)
 
     def edge_logs(self) -> dict[EdgeLog, int]:
-        """The highest number known of each own log: durable before a life begins."""
-        return dict(zip(self._edge_logs, self._high, strict=True))
+        """The highest number known of each own log. The caller stores it before the incarnation begins."""
+        return dict(zip(self._edge_logs, self._highest_numbers, strict=True))
 
 
-def _went_on(moved: StateChange) -> bool:
-    """It is no more to be parked for a cause that was given up: it has been, or has left that behind."""
-    return moved.state is not WriteState.KEPT or moved.reason is ParkingReason.ORPHANED
+def _is_orphan_exempt(state_change: StateChange) -> bool:
+    """Whether the write is not to be parked as an orphan: it has been already, or is past that point."""
+    return state_change.state is not WriteState.KEPT or state_change.reason is ParkingReason.ORPHANED
--- a/laurelstep/outbox/transitions.py
+++ b/laurelstep/outbox/transitions.py
@@ -1,6 +1,6 @@
-"""How one queued write goes from state to state: what an end means, and what a durable change brings. Pure.
+"""The state transitions of single writes: by replay results, and by changes that became durable. Pure.
 
-Between a transition and its `apply` or `undo` its write takes no other.
+Between a transition and its `apply` or `undo`, its write takes no other transition.
 """
 
 from __future__ import annotations
@@ -32,91 +32,92 @@
     SENT,
 )
 
-__all__ = ["SWEEP", "TransitionTracker"]
+__all__ = ["MAX_TRANSITIONS_PER_CALL", "TransitionTracker"]
 
-# Transitions of one kind that one call gives: guards the loop's time.
-SWEEP: Final = 256
+# Transitions of one kind returned by one call; bounds the time that the event loop is blocked.
+MAX_TRANSITIONS_PER_CALL: Final = 256
 
 
 class TransitionTracker(DependencyTracker):
-    """The steps of single writes, on the rows and the graph."""
+    """Takes single writes from state to state, in the table and in the graph."""
 
     def _change(self, row: int, event: WriteEvent, reason: ParkingReason = ParkingReason.NONE) -> Transition:
-        """A step of this row, as a record without an answer. The row is busy from here."""
+        """Build the transition of a row, its record without an answer. Marks the row as busy."""
         rows = self._rows
-        before = rows.state_of(row)
-        after = next_state(before, event)
-        parked = after is WriteState.PARKED
-        write_id, parking = self._write_id_of(row), rows.parking[row] + parked
+        state = rows.state_of(row)
+        next_ = next_state(state, event)
+        is_parked = next_ is WriteState.PARKED
+        write_id, parking = self._write_id_of(row), rows.parking[row] + is_parked
         resolved, resolution, resolved_at = self._resolutions.get(self._pack(write_id), (0, 0, 0))
         rows.set(row, BUSY)
-        moved = StateChange(
-            write_id, after, reason, parking, resolution, resolved, resolved_at, rows.has(row, SENT)
+        state_change = StateChange(
+            write_id, next_, reason, parking, resolution, resolved, resolved_at, rows.has(row, SENT)
         )
-        return Transition(write_id, event, moved)
+        return Transition(write_id, event, state_change)
 
     def _expired(self, row: int, now: int) -> ParkingReason:
+        """Why the row is to be parked as expired; NONE if it is not."""
         age = now - self._rows.since[row]
-        cls = self.classes.get(self._names[self._rows.cls[row]])
+        cls = self.classes.get(self._class_names[self._rows.cls[row]])
         if cls is not None and cls.keyed and age + self.bounds.send_us > cls.window_us:
             return ParkingReason.MAY_HAVE_RUN if self._rows.has(row, SENT) else ParkingReason.WINDOW
         return ParkingReason.AGE if age > self.bounds.age_us else ParkingReason.NONE
 
     def window_left(self, write_id: WriteId, now: int) -> int:
-        """How much of its window is left; an unsafe one has none, and so all the time there is."""
+        """The µs left of a keyed write's window. An unsafe write has no window: returns the greatest age."""
         row = self._require_row(write_id)
-        cls = self.classes.get(self._names[self._rows.cls[row]])
+        cls = self.classes.get(self._class_names[self._rows.cls[row]])
         if cls is None or not cls.keyed:
             return self.bounds.age_us
         return self._rows.since[row] + cls.window_us - now
 
-    def _can_go(self, row: int) -> bool:
-        """Ready still: a place in the queue may be older than the row's use."""
+    def _is_ready(self, row: int) -> bool:
+        """Whether the row is still ready. A queue may hold a row that has been reused since."""
         return self._rows.state[row] == WriteState.READY and not self._rows.flags[row] & (BUSY | CLOSED)
 
     def on_replay_end(
         self,
         write_id: WriteId,
-        end: ReplayResult,
+        result: ReplayResult,
         now: int,
         wall: int,
         status: int = 0,
         headers: tuple[tuple[bytes, bytes], ...] = (),
         body: bytes = b"",
     ) -> Transition:
-        """What its end means, by its class."""
+        """The transition that follows from the result of a write that was sent, by its class."""
         row = self._require_row(write_id)
-        event, reason = self._meaning(row, end, now)
+        event, reason = self._event_of_result(row, result, now)
         next_state(self._rows.state_of(row), event)
-        if end in (ReplayResult.ANSWERED, ReplayResult.DENIED):
+        if result in (ReplayResult.ANSWERED, ReplayResult.DENIED):
             self.pace.on_answer()
-        elif end is ReplayResult.FENCED:
+        elif result is ReplayResult.FENCED:
             self.pace.on_send_cancelled()
         else:
             self.pace.on_failure(now)
-        if end is ReplayResult.MAY_HAVE_RUN:
+        if result is ReplayResult.MAY_HAVE_RUN:
             self._rows.set(row, SENT)
-        moved = self._change(row, event, reason).state_change
-        told = msgspec.structs.replace(moved, status=status, headers=headers, body=body, wall=wall)
-        return Transition(write_id, event, told)
+        state_change = self._change(row, event, reason).state_change
+        recorded = msgspec.structs.replace(state_change, status=status, headers=headers, body=body, wall=wall)
+        return Transition(write_id, event, recorded)
 
-    def _meaning(self, row: int, end: ReplayResult, now: int) -> tuple[WriteEvent, ParkingReason]:
-        if end is ReplayResult.ANSWERED:
+    def _event_of_result(self, row: int, result: ReplayResult, now: int) -> tuple[WriteEvent, ParkingReason]:
+        if result is ReplayResult.ANSWERED:
             return WriteEvent.ANSWERED, ParkingReason.NONE
-        if end is ReplayResult.DENIED:
+        if result is ReplayResult.DENIED:
             return WriteEvent.DENIED, ParkingReason.DENIED
-        if end is ReplayResult.NOT_RUN:
+        if result is ReplayResult.NOT_RUN:
             return WriteEvent.NOT_RUN, ParkingReason.NONE
-        if end is ReplayResult.FENCED:
+        if result is ReplayResult.FENCED:
             return WriteEvent.FENCED, ParkingReason.FENCED
-        cls = self.classes.get(self._names[self._rows.cls[row]])
+        cls = self.classes.get(self._class_names[self._rows.cls[row]])
         if cls is not None and cls.keyed and not self._expired(row, now):
             return WriteEvent.RETRY, ParkingReason.NONE
         return WriteEvent.UNCERTAIN, ParkingReason.MAY_HAVE_RUN
 
     def apply(self, change: Transition, now: int) -> bool:
-        """The change is durable. False for a `SEND` that took so long that its window is over: it is not
-        sent, but `ended` as `NOT_RUN`.
+        """Take a transition whose record is durable. False for a `SEND` whose write expired while its record
+        was being stored: the caller does not send it, and reports it to `on_replay_end` as `NOT_RUN`.
         """
         row = self._require_row(change.write_id)
         rows, event = self._rows, change.event
@@ -124,52 +125,52 @@
         rows.reason[row], rows.parking[row] = change.state_change.reason, change.state_change.parking
         rows.set(row, BUSY | ORPHAN, False)
         state = rows.state_of(row)
-        moved = change.state_change
-        if moved.resolved_parking:
+        state_change = change.state_change
+        if state_change.resolved_parking:
             self._resolutions[self._pack(change.write_id)] = (
-                moved.resolved_parking,
-                Resolution(moved.resolution),
-                moved.resolved_at,
+                state_change.resolved_parking,
+                Resolution(state_change.resolution),
+                state_change.resolved_at,
             )
         if state is WriteState.PARKED:
             self._park(row, event)
         elif state in FINAL:
             self._close(row, now)
         elif event in (WriteEvent.NOT_RUN, WriteEvent.RETRY):
-            self._turns.requeue(row)
+            self._replay_queue.requeue(row)
         elif event is WriteEvent.NEVER_RAN:
-            self._begin_anew(row, moved.reason, now)
+            self._restart_age(row, state_change.reason, now)
         elif event is WriteEvent.UNFENCED:
-            if self._expired(row, now):  # found too old while it was parked, and passed over
-                self._late.append(row)
+            if self._expired(row, now):  # expired while it was parked, which `due` skips
+                self._expired_rows.append(row)
             self._graph.resume(row)
             self._wake(row)
         return event is not WriteEvent.SEND or not self._expired(row, now)
 
     def _park(self, row: int, event: WriteEvent) -> None:
         rows = self._rows
-        if event is not WriteEvent.FENCED:  # one that is claimed goes on with the age that it has
-            self._ages.drop(rows.cls[row], row)
-        elif rows.edge_log[row] not in self._fenced:  # claimed while this was being written
-            self._to_claim.append(row)
+        if event is not WriteEvent.FENCED:  # a fenced write keeps its age for when it is unfenced
+            self._expiry_queue.drop(rows.cls[row], row)
+        elif rows.edge_log[row] not in self._fenced:  # unfenced while this record was being stored
+            self._to_unfence.append(row)
         self._graph.halt(row)
 
-    def _begin_anew(self, row: int, reason: ParkingReason, now: int) -> None:
-        """An operator said that it never ran: its age and window count from now."""
+    def _restart_age(self, row: int, reason: ParkingReason, now: int) -> None:
+        """Start age and window again, because an operator resolved that the write never ran."""
         rows = self._rows
         rows.since[row] = now
         rows.set(row, SENT, False)
-        self._ages.drop(rows.cls[row], row)  # it may be there with the age that it had
+        self._expiry_queue.drop(rows.cls[row], row)  # it may be listed there with its former age
         if not rows.has(row, JOIN):
-            self._ages.add(rows.cls[row], row)
+            self._expiry_queue.add(rows.cls[row], row)
         if reason is ParkingReason.ORPHANED:
-            self._excused.add(row)
+            self._orphan_exempt.add(row)
         self._graph.resume(row)
         self._wake(row)
 
     def undo(self, change: Transition, now: int) -> None:
-        """The change could not be made durable: it is found again by `due`, but for a resolution or an end,
-        which the driver tries again.
+        """Take back a transition that could not be made durable. `due` returns it again, except a
+        resolution or a replay result, which the driver retries.
         """
         row = self._require_row(change.write_id)
         rows = self._rows
@@ -181,14 +182,14 @@
         elif change.event is WriteEvent.FENCED:
             self._to_fence.append(row)
         elif change.event is WriteEvent.UNFENCED:
-            self._to_claim.append(row)
+            self._to_unfence.append(row)
         elif rows.state[row] == WriteState.READY:
-            (self._joins.append if rows.has(row, JOIN) else self._turns.requeue)(row)
+            (self._joins.append if rows.has(row, JOIN) else self._replay_queue.requeue)(row)
         else:
             self._wake(row)
 
     def _close(self, row: int, now: int) -> None:
-        """It is final: its followers need not wait for it, or are orphans."""
+        """Close a final row. Followers of a write that was given up become orphans."""
         packed = self._pack(self._write_id_of(row))
         if self._rows.state[row] == WriteState.GIVEN_UP:
             self._given_up.add(packed)
@@ -199,8 +200,8 @@
 
     def _retire(self, row: int) -> None:
         self._uncount(row)
-        self._ages.drop(self._rows.cls[row], row)
+        self._expiry_queue.drop(self._rows.cls[row], row)
         self._rows.set(row, CLOSED)
         self._graph.resume(row)
-        if self._graph.free(row):
-            self._over(row)
+        if self._graph.is_free(row):
+            self._finish(row)
--- a/laurelstep/outbox/write_table.py
+++ b/laurelstep/outbox/write_table.py
@@ -1,10 +1,13 @@
-"""What is known of each open write, in columns: an object for each would be five times as large. Pure.
+"""The table of open writes. Pure.
 
-1. A row has the number of its node in the graph.
+It is stored in columns, because an object for each write would be five times as large.
+
+1. A row has the number of its node in the dependency graph.
 2. `IntegerMap` is a hash table with open addressing and linear probing (Knuth, TAOCP 3, 6.4, algorithms L
-   and R): 12 or 16 bytes a place, at most three quarters of them used, and in growth no fewer than three
-   fifths. It grows part by part, so that no call takes long.
-3. `PagedIntegerMap` is for names given out one by one: 4 bytes a name, and a page for each 64 neighbours.
+   and R): 12 or 16 bytes a slot, at most three quarters of the slots used and, while it grows, at least three
+   fifths. It consists of parts that are resized one at a time, so that no call takes long.
+3. `PagedIntegerMap` is for keys that are assigned consecutively: 4 bytes a key, and a page for each 64
+   neighbouring keys.
 """
 
 from __future__ import annotations
@@ -34,26 +37,28 @@
 BARRIER: Final = 2
 JOIN: Final = 4
 DURABLE: Final = 8
-BUSY: Final = 16  # a change of it is on its way to the store
+BUSY: Final = 16  # a state change of the write is being stored
 SENT: Final = 32  # may have run
-ORPHAN: Final = 64  # to be parked: what it follows is given up
-CLOSED: Final = 128  # final, but its followers still wait for its causes
+ORPHAN: Final = 64  # to be parked, because a write that it depends on was given up
+CLOSED: Final = 128  # final, but its followers still wait for its dependencies
 
-# As enums look them up, at a tenth of the time.
+# The same look-up as by the enum's constructor, in a tenth of the time.
 _STATES: Final = {int(state): state for state in WriteState}
 _REASONS: Final = {int(reason): reason for reason in ParkingReason}
 _EMPTY: Final = 0
-_SMALLEST: Final = 8
-PARTS: Final = 61  # prime: the names need not be spread
+_MIN_SLOTS: Final = 8
+PARTS: Final = 61  # prime, so that the keys need not be evenly spread
 PAGE_BITS: Final = 6
 PAGE_MASK: Final = (1 << PAGE_BITS) - 1
-_MIX: Final = 0x9E3779B97F4A7C15
-_WORD: Final = (1 << 64) - 1
+_HASH_MULTIPLIER: Final = 0x9E3779B97F4A7C15
+_MASK_64_BITS: Final = (1 << 64) - 1
 
 
 def short_hash(*parts: bytes) -> int:
-    """63 bits that stand for a name, never 0; 0 if the last part is empty. Two names that share them are
-    taken for one: a write then follows one more than it must; a key's owner is compared with the record.
+    """Hash a name to 63 bits, never 0; 0 if the last part is empty.
+
+    Two names with the same hash are treated as one. A write then depends on one write more than it must; for
+    idempotency keys the caller compares the key with the record.
     """
     if not parts[-1]:
         return 0
@@ -62,33 +67,33 @@
 
 
 class _MapPart:
-    """One of the tables that a `IntegerMap` is made of."""
+    """One of the hash tables that an `IntegerMap` consists of."""
 
     def __init__(self, kind: str) -> None:
         self._used = 0
         self._kind = kind
-        self._keys = array("q", [_EMPTY]) * _SMALLEST
-        self._values = array(self._kind, [0]) * _SMALLEST
+        self._keys = array("q", [_EMPTY]) * _MIN_SLOTS
+        self._values = array(self._kind, [0]) * _MIN_SLOTS
 
     def __len__(self) -> int:
         return self._used
 
-    def _place(self, key: int) -> int:
-        """Of the key, or where it would stand."""
+    def _slot(self, key: int) -> int:
+        """The slot of the key, or the free slot where it would be inserted."""
         keys, size = self._keys, len(self._keys)
-        at = ((key * _MIX & _WORD) >> 32) * size >> 32
+        at = ((key * _HASH_MULTIPLIER & _MASK_64_BITS) >> 32) * size >> 32
         while keys[at] != _EMPTY and keys[at] != key:
             at = at + 1 if at + 1 < size else 0
         return at
 
     def get(self, key: int, default: int = -1) -> int:
         """The value of a key, or `default`."""
-        at = self._place(key)
+        at = self._slot(key)
         return self._values[at] if self._keys[at] == key != _EMPTY else default
 
     def put(self, key: int, value: int) -> None:
         """Set the value of a key."""
-        at = self._place(key)
+        at = self._slot(key)
         if self._keys[at] == _EMPTY:
             self._used += 1
         self._keys[at], self._values[at] = key, value
@@ -96,23 +101,23 @@
             self._resize(len(self._keys) * 5 // 4)
 
     def drop(self, key: int) -> None:
-        """Forget a key, if it is there."""
-        at = self._place(key)
+        """Remove a key, if it is there."""
+        at = self._slot(key)
         if self._keys[at] != key:
             return
         keys, size = self._keys, len(self._keys)
         keys[at] = _EMPTY
         self._used -= 1
-        # What stood behind it may have been put there because this place was taken.
+        # Reinsert the keys that follow: they may have been placed there because this slot was taken.
         following = (at + 1) % size
         while keys[following] != _EMPTY:
             moved, value = keys[following], self._values[following]
             keys[following] = _EMPTY
-            place = self._place(moved)
+            place = self._slot(moved)
             keys[place], self._values[place] = moved, value
             following = (following + 1) % size
-        if 4 * self._used < size > _SMALLEST:
-            self._resize(max(_SMALLEST, size // 2))
+        if 4 * self._used < size > _MIN_SLOTS:
+            self._resize(max(_MIN_SLOTS, size // 2))
 
     def _resize(self, size: int) -> None:
         keys, values = self._keys, self._values
@@ -120,12 +125,12 @@
         self._values = array(self._kind, [0]) * size
         for key, value in zip(keys, values, strict=True):
             if key != _EMPTY:
-                at = self._place(key)
+                at = self._slot(key)
                 self._keys[at], self._values[at] = key, value
 
 
 class IntegerMap:
-    """From positive integers to integers; with `wide`, to those of 64 bits. No place has 0."""
+    """Maps positive integers to 32-bit integers, or with `wide` to 64-bit ones. 0 marks an empty slot."""
 
     def __init__(self, wide: bool = False) -> None:
         self._kind = "q" if wide else "i"
@@ -147,47 +152,49 @@
         part.put(key, value)
 
     def drop(self, key: int) -> None:
-        """Forget a key, if it is there."""
+        """Remove a key, if it is there."""
         part = self._parts.get(key % PARTS)
         if part is not None:
             part.drop(key)
 
 
 class PagedIntegerMap:
-    """From integers that are given out one by one to integers that are not negative."""
+    """Maps integers that are assigned consecutively to integers that are not negative."""
 
     def __init__(self) -> None:
-        # By all of a name but its last bits: the values (-1 for none), and how many there are.
+        # By a key without its last `PAGE_BITS` bits: the values (-1 for none), then their count.
         self._pages: dict[int, array[int]] = {}
 
-    def get(self, name: int) -> int:
-        """-1 if there is none."""
-        page = self._pages.get(name >> PAGE_BITS)
-        return -1 if page is None else page[name & PAGE_MASK]
+    def get(self, key: int) -> int:
+        """The value of a key, or -1."""
+        page = self._pages.get(key >> PAGE_BITS)
+        return -1 if page is None else page[key & PAGE_MASK]
 
-    def put(self, name: int, value: int) -> None:
+    def put(self, key: int, value: int) -> None:
         """Set the value of a key."""
-        page = self._pages.get(name >> PAGE_BITS)
+        page = self._pages.get(key >> PAGE_BITS)
         if page is None:
-            page = self._pages[name >> PAGE_BITS] = array("i", [-1]) * (PAGE_MASK + 2)
+            page = self._pages[key >> PAGE_BITS] = array("i", [-1]) * (PAGE_MASK + 2)
             page[-1] = 0
-        place = name & PAGE_MASK
+        place = key & PAGE_MASK
         page[-1] += page[place] < 0
         page[place] = value
 
-    def drop(self, name: int) -> None:
-        """It may have gone already."""
-        page = self._pages.get(name >> PAGE_BITS)
-        if page is None or page[name & PAGE_MASK] < 0:
+    def drop(self, key: int) -> None:
+        """Remove a key, if it is there."""
+        page = self._pages.get(key >> PAGE_BITS)
+        if page is None or page[key & PAGE_MASK] < 0:
             return
-        page[name & PAGE_MASK] = -1
+        page[key & PAGE_MASK] = -1
         page[-1] -= 1
         if not page[-1]:
-            del self._pages[name >> PAGE_BITS]
+            del self._pages[key >> PAGE_BITS]
 
 
 class WriteTable:
-    """The columns. `since`: when its age and window began; `edge_log`: its place in the outbox's list."""
+    """The columns. `since`: when the write's age and window began, monotonic µs. `edge_log`: the index of its
+    log in the outbox's list of logs.
+    """
 
     def __init__(self) -> None:
         self.state = array("b")
@@ -208,7 +215,7 @@
         return len(self.state)
 
     def clear(self, row: int, flags: int) -> None:
-        """A row that is new, or used again."""
+        """Initialize a row that is new or reused."""
         columns = (
             self.reason,
             self.parking,
@@ -243,5 +250,5 @@
         return _STATES[self.state[row]]
 
     def reason_of(self, row: int) -> ParkingReason:
-        """Why a row is parked."""
+        """The reason why a row is parked."""
         return _REASONS[self.reason[row]]
--- a/tests/test_outbox.py
+++ b/tests/test_outbox.py
@@ -443,7 +443,7 @@
         free = desk.keep()
         assert desk.due() == [album, free]
         desk.end(album, ReplayResult.DENIED)
-        assert desk.outbox._graph.touched == 10_000
+        assert desk.outbox._graph.arrows_visited == 10_000
         receipt = desk.outbox.receipt(last)
         assert (receipt.state, receipt.reason, receipt.behind) == (
             WriteState.PARKED,
@@ -452,7 +452,7 @@
         )
         desk.end(free)
         desk.resolve(album, 1, Resolution.NEVER_RAN)
-        assert desk.outbox._graph.touched == 20_000
+        assert desk.outbox._graph.arrows_visited == 20_000
         assert desk.due() == [album]
         desk.end(album)
         assert len(desk.due()) == (1 if chain else 10_000)
@@ -800,14 +800,14 @@
             nodes.append(node)
         elif deed < 0.7:
             (graph.halt if deed < 0.55 else graph.resume)(draw.choice(nodes))
-        elif ready := [node for node in nodes if graph.free(node)]:
+        elif ready := [node for node in nodes if graph.is_free(node)]:
             nodes.remove(done := draw.choice(ready))
-            graph.over(done)
+            graph.finish(done)
         for node in nodes:
-            assert graph.behind(node) == any(
+            assert graph.has_blocked_dependency(node) == any(
                 graph.is_blocked(dependency) for dependency in graph.dependencies(node)
             )
-            assert graph.free(node) == (graph.dependencies(node) == [])
+            assert graph.is_free(node) == (graph.dependencies(node) == [])
     assert len(graph) == len(nodes)
 
 
--- a/tests/test_outbox_schedules.py
+++ b/tests/test_outbox_schedules.py
@@ -14,7 +14,7 @@
 import pytest
 from laurelstep.outbox.causality_tokens import CausalityTokens
 from laurelstep.outbox.dependencies import Dependencies, Dependency
-from laurelstep.outbox.dependency_tracker import NUMBERS
+from laurelstep.outbox.dependency_tracker import NUMBER_BITS
 from laurelstep.outbox.errors import FullError, StepError, UnknownWriteError, VerdictError
 from laurelstep.outbox.outbox import Outbox, OutboxBounds, QueuedClass, ReplayResult, Transition, WriteOffer
 from laurelstep.outbox.records import (
@@ -611,8 +611,8 @@
 class TwoSends(Outbox):
     """An unsafe write whose answer was lost goes out again."""
 
-    def _meaning(self, row: int, end: ReplayResult, now: int) -> tuple[WriteEvent, ParkingReason]:
-        event, reason = super()._meaning(row, end, now)
+    def _event_of_result(self, row: int, end: ReplayResult, now: int) -> tuple[WriteEvent, ParkingReason]:
+        event, reason = super()._event_of_result(row, end, now)
         return (WriteEvent.RETRY, ParkingReason.NONE) if event is WriteEvent.UNCERTAIN else (event, reason)
 
 
@@ -633,8 +633,8 @@
 class NoSession(Outbox):
     """A write does not follow the one before it of its session, nor of its object."""
 
-    def _enter(self, write: QueuedWrite, line: int, key: int, session: int, obj: int, since: int) -> int:
-        return super()._enter(write, line, key, 0, 0, since)
+    def _add_row(self, write: QueuedWrite, line: int, key: int, session: int, obj: int, since: int) -> int:
+        return super()._add_row(write, line, key, 0, 0, since)
 
 
 class NoForeign(Outbox):
@@ -648,7 +648,7 @@
     """All up to a number: only that number."""
 
     def _barrier(self, place: int, upto: int) -> int:
-        return self._open.get(place << NUMBERS | upto)
+        return self._open.get(place << NUMBER_BITS | upto)
 
 
 class Forgetful(Outbox):
@@ -679,7 +679,7 @@
 class Hole(Outbox):
     """A write does not take over the causes of one that may never be durable."""
 
-    def _through(self, dependencies: Dependencies) -> Dependencies:
+    def _with_undurable_dependencies(self, dependencies: Dependencies) -> Dependencies:
         return dependencies
 
 
@@ -697,7 +697,7 @@
                 while graph._next_out[before] != arrow:
                     before = graph._next_out[before]
                 graph._next_out[before] = graph._next_out[arrow]
-            graph._stuck[row] -= graph.is_blocked(dependency)
+            graph._blocked_count[row] -= graph.is_blocked(dependency)
             graph._unlink_in(row, arrow)
         super()._retire(row)
 
