--- a/tests/test_outbox.py
+++ b/tests/test_outbox.py
@@ -1,4 +1,4 @@
-"""The outbox's pure parts: names, tokens, states, what waits for what, pace, the cut-off rule, receipts."""
+"""Tests of the outbox's pure parts: write ids, tokens, states, dependencies, replay, cut-off, receipts."""
 
 from __future__ import annotations
 
@@ -52,41 +52,42 @@
 pytestmark = once
 
 
-class PlayedVersionVector:
-    """A `VersionVector` that knows what it was told. What is declared lost is gone, and never taken back;
-    `IN` and `GONE` stay. All lines are its own."""
+class RecordingVersionVector:
+    """A `VersionVector` that records published statuses. A declared loss is permanent, and so are APPLIED and
+    ABANDONED. It holds the leases on all logs.
+    """
 
     def __init__(self) -> None:
         self.lost_edges: set[str] = set()
-        self.lost_lines: set[EdgeLog] = set()
-        self._told: dict[WriteId, WriteStatus] = {}
+        self.lost_logs: set[EdgeLog] = set()
+        self._published: dict[WriteId, WriteStatus] = {}
 
     def declare_lost(self, edge: str, incarnation: int | None = None) -> bool:
-        """False if that was said before."""
+        """Returns False if the loss was declared before."""
         if incarnation is None:
             known = edge in self.lost_edges
             self.lost_edges.add(edge)
         else:
-            known = EdgeLog(edge, incarnation) in self.lost_lines
-            self.lost_lines.add(EdgeLog(edge, incarnation))
+            known = EdgeLog(edge, incarnation) in self.lost_logs
+            self.lost_logs.add(EdgeLog(edge, incarnation))
         return not known
 
     def publish(self, write_id: WriteId, write_status: WriteStatus) -> None:
-        if self._told.get(write_id) not in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
-            self._told[write_id] = write_status
+        if self._published.get(write_id) not in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
+            self._published[write_id] = write_status
 
     def write_status(self, dependency: Dependency) -> WriteStatus:
         told = (
             WriteStatus.UNKNOWN
             if dependency.before
-            else self._told.get(dependency.write_id, WriteStatus.UNKNOWN)
+            else self._published.get(dependency.write_id, WriteStatus.UNKNOWN)
         )
         if told is WriteStatus.APPLIED:
             return told
-        gone = dependency.edge in self.lost_edges or dependency.edge_log in self.lost_lines
+        gone = dependency.edge in self.lost_edges or dependency.edge_log in self.lost_logs
         return WriteStatus.ABANDONED if gone else told
 
-    def holds(self, line: EdgeLog) -> bool:
+    def holds(self, edge_log: EdgeLog) -> bool:
         return True
 
 
@@ -100,8 +101,8 @@
 ASH_LATER = EdgeLog("ash", 8)
 
 
-class Known:
-    """A version vector that knows what a test says."""
+class SettableVersionVector:
+    """A version vector whose statuses and leases a test sets."""
 
     def __init__(self) -> None:
         self.write_statuses: dict[Dependency, WriteStatus] = {}
@@ -110,20 +111,20 @@
     def write_status(self, dependency: Dependency) -> WriteStatus:
         return self.write_statuses.get(dependency, WriteStatus.UNKNOWN)
 
-    def holds(self, line: EdgeLog) -> bool:
+    def holds(self, edge_log: EdgeLog) -> bool:
         return self.held
 
 
-class OutboxApi:
-    """An outbox, and its driver with a disk that never fails."""
+class OutboxHarness:
+    """An outbox and a driver for it, whose disk never fails."""
 
-    def __init__(self, line: EdgeLog = ASH, bounds: OutboxBounds | None = None) -> None:
-        self.known = Known()
+    def __init__(self, edge_log: EdgeLog = ASH, bounds: OutboxBounds | None = None) -> None:
+        self.version_vector = SettableVersionVector()
         self.bounds = bounds or OutboxBounds(replay_most=1_000)
-        self.outbox = Outbox(line, CLASSES, self.bounds, TOKENS, self.known)
+        self.outbox = Outbox(edge_log, CLASSES, self.bounds, TOKENS, self.version_vector)
         self.outbox.pace.limit = self.bounds.replay_most
-        self.kept: dict[WriteId, QueuedWrite] = {}
-        self.moved: dict[WriteId, StateChange] = {}
+        self.queued: dict[WriteId, QueuedWrite] = {}
+        self.state_changes: dict[WriteId, StateChange] = {}
         self.now = 0
 
     def offer(self, cls: str = "print", follows: str = "", key: bytes = b"", **more: object) -> WriteOffer:
@@ -136,28 +137,28 @@
         }
         return WriteOffer(cls, key=key, tokens=follows, **named)  # type: ignore[arg-type]
 
-    def keep(self, cls: str = "print", follows: str = "", key: bytes = b"", **more: object) -> WriteId:
+    def queue(self, cls: str = "print", follows: str = "", key: bytes = b"", **more: object) -> WriteId:
         ticket = self.outbox.offer(self.offer(cls, follows, key, **more), self.now, WALL + self.now)
         assert ticket.write is not None
-        self.kept[ticket.write_id] = decode_write(encode(ticket.write))
+        self.queued[ticket.write_id] = decode_write(encode(ticket.write))
         self.outbox.on_stored(ticket.write_id, self.now)
         return ticket.write_id
 
     def apply(self, change: Transition | None) -> WriteId:
         assert change is not None
-        self.moved[change.write_id] = decode_state_change(encode(change.state_change))
+        self.state_changes[change.write_id] = decode_state_change(encode(change.state_change))
         assert self.outbox.apply(change, self.now)
         return change.write_id
 
     def due(self) -> list[WriteId]:
-        """All that was due, applied; those that were sent come back."""
+        """Apply all due transitions. Returns the writes that were sent."""
         changes = self.outbox.due(self.now)
         for change in changes:
             self.apply(change)
         return [change.write_id for change in changes if change.event is WriteEvent.SEND]
 
-    def end(self, write_id: WriteId, end: ReplayResult = ReplayResult.ANSWERED) -> None:
-        self.apply(self.outbox.on_replay_end(write_id, end, self.now, WALL + self.now, 200))
+    def finish(self, write_id: WriteId, result: ReplayResult = ReplayResult.ANSWERED) -> None:
+        self.apply(self.outbox.on_replay_end(write_id, result, self.now, WALL + self.now, 200))
 
     def resolve(self, write_id: WriteId, parking: int, resolution: Resolution) -> Transition | None:
         change = self.outbox.resolve(write_id, parking, resolution, WALL + self.now)
@@ -170,22 +171,22 @@
 
     def park(self, write_id: WriteId) -> None:
         assert self.due() == [write_id]
-        self.end(write_id, ReplayResult.DENIED)
+        self.finish(write_id, ReplayResult.DENIED)
 
-    def again(self, wall: int, line: EdgeLog = ASH_LATER) -> OutboxApi:
-        """Another life on the same disk."""
-        other = OutboxApi(line, self.bounds)
-        other.kept, other.moved = dict(self.kept), dict(self.moved)
-        pairs = [(write, other.moved.get(write_id)) for write_id, write in other.kept.items()]
+    def restart(self, wall: int, edge_log: EdgeLog = ASH_LATER) -> OutboxHarness:
+        """Start another incarnation on the same disk."""
+        other = OutboxHarness(edge_log, self.bounds)
+        other.queued, other.state_changes = dict(self.queued), dict(self.state_changes)
+        pairs = [(write, other.state_changes.get(write_id)) for write_id, write in other.queued.items()]
         for change in other.outbox.restore(pairs, {ASH: self.outbox.edge_logs()[ASH]}, 0, wall):
             other.apply(change)
         return other
 
 
-# Names and tokens
+# Write ids and tokens.
 
 
-def test_a_dot_is_read_as_it_is_told() -> None:
+def test_a_write_id_round_trips_through_its_text() -> None:
     write_id = WriteId("ash", 255, 3)
     assert str(write_id) == "ash/00000000000000ff/3" and parse_write_id(str(write_id)) == write_id
     for text in ("", "ash/ff/3", "ash/00000000000000ff/0", "Ash/00000000000000ff/3", str(write_id) + "\n"):
@@ -196,7 +197,7 @@
             check_edge(name)
 
 
-def test_a_token_says_what_it_was_made_of() -> None:
+def test_a_token_round_trips_the_merged_dependencies() -> None:
     dependencies = merge(
         [
             Dependency("ash", 7, 3),
@@ -212,7 +213,7 @@
     assert many == (Dependency("ash", 7, 5, True),)
 
 
-def test_no_bit_of_a_token_can_be_changed() -> None:
+def test_a_token_with_any_changed_bit_is_rejected() -> None:
     token = TOKENS.receipt(WriteId("ash", 7, 3))
     raw = base64.urlsafe_b64decode(token + "=" * (-len(token) % 4))
     for place in range(8 * len(raw)):
@@ -229,77 +230,79 @@
         CausalityTokens(b"short")
 
 
-def test_what_is_signed_by_another_version_is_read_as_strictly() -> None:
+def test_signed_tokens_with_unknown_or_invalid_content_are_rejected() -> None:
     import msgspec
 
-    for told in (
+    for content in (
         (2, []),
         (1, [("A", 7, [1], 0)]),
         (1, [("ash", 7, [0], 0)]),
         (1, [("ash", -1, [1], 0)]),
         (1,),
     ):
-        data = msgspec.msgpack.encode(told)
+        data = msgspec.msgpack.encode(content)
         with pytest.raises(TokenError, match="can't be read"):
             TOKENS.read(base64.urlsafe_b64encode(TOKENS._sign(data) + data).decode())
 
 
-def test_six_lines_of_the_longest_names_fit_and_500_edges_get_a_name_of_their_own() -> None:
-    longest = [Dependency("e" * 31 + str(one), (1 << 64) - 1, (1 << 63) - 1) for one in range(6)]
+def test_six_longest_dependencies_fit_in_a_token_and_500_edges_need_a_join() -> None:
+    longest = [Dependency("e" * 31 + str(index), (1 << 64) - 1, (1 << 63) - 1) for index in range(6)]
     assert len(TOKENS.encode(tuple(longest))) <= TOKEN_MOST
-    edges = tuple(Dependency(f"edge{one}", one, 5) for one in range(500))
+    edges = tuple(Dependency(f"edge{index}", index, 5) for index in range(500))
     with pytest.raises(LooseError):
         TOKENS.encode(edges)
-    desk = OutboxApi()
-    ticket = desk.outbox.join(edges, 0, WALL)
+    harness = OutboxHarness()
+    ticket = harness.outbox.join(edges, 0, WALL)
     assert ticket.write is not None and len(TOKENS.receipt(ticket.write_id)) <= TOKEN_MOST
-    desk.outbox.on_stored(ticket.write_id, 0)
-    follower = desk.keep(follows=TOKENS.receipt(ticket.write_id))
+    harness.outbox.on_stored(ticket.write_id, 0)
+    follower = harness.queue(follows=TOKENS.receipt(ticket.write_id))
     for dependency in edges:
-        assert desk.due() == []
-        desk.known.write_statuses[dependency] = WriteStatus.APPLIED
-        desk.outbox.on_remote_change(0)
+        assert harness.due() == []
+        harness.version_vector.write_statuses[dependency] = WriteStatus.APPLIED
+        harness.outbox.on_remote_change(0)
     assert (
-        desk.due() == [] and desk.state(ticket.write_id) is WriteState.DONE
-    )  # the join has no effect of its own
-    assert desk.due() == [follower]
+        harness.due() == [] and harness.state(ticket.write_id) is WriteState.DONE
+    )  # a join is not sent itself
+    assert harness.due() == [follower]
 
 
-def test_a_request_brings_no_more_than_so_many_names() -> None:
-    tokens = [TOKENS.encode(tuple(Dependency(f"e{part}", one, 1) for one in range(6))) for part in range(100)]
+def test_the_number_of_dependencies_of_a_request_is_bounded() -> None:
+    tokens = [
+        TOKENS.encode(tuple(Dependency(f"e{part}", index, 1) for index in range(6))) for part in range(100)
+    ]
     assert len(TOKENS.read(", ".join(tokens[:83]))) == 498
     for value in (", ".join(tokens), ",".join("a" * 200), "a" * 100_000):
         with pytest.raises(LooseError):
             TOKENS.read(value)
     with pytest.raises(LooseError):
-        OutboxApi().outbox.join(
-            tuple(Dependency(f"e{one}", one, 1) for one in range(MAX_DEPENDENCIES + 1)), 0, WALL
+        OutboxHarness().outbox.join(
+            tuple(Dependency(f"e{index}", index, 1) for index in range(MAX_DEPENDENCIES + 1)), 0, WALL
         )
 
 
-def test_a_receipt_from_the_future_and_a_circle_are_refused_in_one_line() -> None:
-    desk = OutboxApi()
-    with pytest.raises(FutureError) as told:
-        desk.keep(follows=TOKENS.receipt(WriteId(*ASH, 1)))
-    assert "\n" not in str(told.value)
-    first = desk.keep("album", key=b"k")
-    second = desk.keep(follows=TOKENS.receipt(first))
-    third = desk.keep(follows=TOKENS.receipt(second))
+def test_unassigned_numbers_and_cycles_are_rejected_with_one_line_messages() -> None:
+    harness = OutboxHarness()
+    with pytest.raises(FutureError) as raised:
+        harness.queue(follows=TOKENS.receipt(WriteId(*ASH, 1)))
+    assert "\n" not in str(raised.value)
+    first = harness.queue("album", key=b"k")
+    second = harness.queue(follows=TOKENS.receipt(first))
+    third = harness.queue(follows=TOKENS.receipt(second))
     for named in (first, second, third):
-        with pytest.raises(CycleError) as circle:
-            desk.outbox.offer(desk.offer("album", TOKENS.receipt(named), b"k"), 0, WALL)
-        assert "\n" not in str(circle.value)
-    ticket = desk.outbox.offer(desk.offer("album", "", b"k"), 0, WALL)
-    assert ticket.is_known and ticket.write_id == first and desk.outbox.is_durable(first)
-    assert desk.outbox.count == 3
+        with pytest.raises(CycleError) as cycle:
+            harness.outbox.offer(harness.offer("album", TOKENS.receipt(named), b"k"), 0, WALL)
+        assert "\n" not in str(cycle.value)
+    ticket = harness.outbox.offer(harness.offer("album", "", b"k"), 0, WALL)
+    assert ticket.is_known and ticket.write_id == first and harness.outbox.is_durable(first)
+    assert harness.outbox.count == 3
 
 
-# States
+# States.
 
 
 @pytest.mark.parametrize("state", WriteState)
 @pytest.mark.parametrize("event", WriteEvent)
-def test_only_the_table_moves_a_write(state: WriteState, event: WriteEvent) -> None:
+def test_only_listed_transitions_change_the_state(state: WriteState, event: WriteEvent) -> None:
     if (state, event) in TRANSITIONS:
         assert next_state(state, event) is TRANSITIONS[state, event]
     else:
@@ -307,75 +310,87 @@
             next_state(state, event)
 
 
-def test_each_step_of_the_table_is_taken() -> None:
+def test_the_outbox_takes_every_listed_transition() -> None:
     taken: set[tuple[WriteState, WriteEvent]] = set()
 
-    def seen(desk: OutboxApi, change: Transition | None) -> WriteId:
+    def seen(harness: OutboxHarness, change: Transition | None) -> WriteId:
         assert change is not None
-        row = desk.outbox._row(change.write_id)
-        taken.add((desk.outbox._rows.state_of(row), change.event))
-        return desk.apply(change)
+        row = harness.outbox._row(change.write_id)
+        taken.add((harness.outbox._rows.state_of(row), change.event))
+        return harness.apply(change)
 
-    desk = OutboxApi()
+    harness = OutboxHarness()
     for end in ReplayResult:
-        last = desk.keep()
-        for change in desk.outbox.due(desk.now):
-            seen(desk, change)
-        seen(desk, desk.outbox.on_replay_end(last, end, desk.now, WALL))
-        desk.now += 2 * SECOND
-    # NOT_RUN left one ready; MAY_HAVE_RUN and DENIED are parked.
-    keyed = desk.keep("album", key=b"k")
-    for change in desk.outbox.due(desk.now):
-        seen(desk, change)
-    seen(desk, desk.outbox.on_replay_end(keyed, ReplayResult.MAY_HAVE_RUN, desk.now, WALL))
-    parked = [write_id for write_id in desk.kept if desk.state(write_id) is WriteState.PARKED]
-    behind = desk.keep(follows=TOKENS.receipt(parked[0]))
-    late = desk.keep(follows=TOKENS.receipt(parked[0]))
+        last = harness.queue()
+        for change in harness.outbox.due(harness.now):
+            seen(harness, change)
+        seen(harness, harness.outbox.on_replay_end(last, end, harness.now, WALL))
+        harness.now += 2 * SECOND
+    # The write that ended as NOT_RUN is ready; those that ended as MAY_HAVE_RUN and DENIED are parked.
+    keyed = harness.queue("album", key=b"k")
+    for change in harness.outbox.due(harness.now):
+        seen(harness, change)
+    seen(harness, harness.outbox.on_replay_end(keyed, ReplayResult.MAY_HAVE_RUN, harness.now, WALL))
+    parked = [write_id for write_id in harness.queued if harness.state(write_id) is WriteState.PARKED]
+    behind = harness.queue(follows=TOKENS.receipt(parked[0]))
+    late = harness.queue(follows=TOKENS.receipt(parked[0]))
     taken.add((WriteState.KEPT, WriteEvent.DEPENDENCIES_FINAL))
-    seen(desk, desk.outbox.resolve(behind, 1, Resolution.GIVE_UP, WALL))
-    seen(desk, desk.outbox.resolve(parked[0], 1, Resolution.GIVE_UP, WALL))
-    seen(desk, next(change for change in desk.outbox.due(desk.now) if change.event is WriteEvent.ORPHANED))
-    seen(desk, desk.outbox.resolve(late, 1, Resolution.NEVER_RAN, WALL))
-    seen(desk, desk.outbox.resolve(parked[1], 1, Resolution.RAN, WALL))
-    waiting = desk.keep(follows=TOKENS.receipt(WriteId("oak", 1, 1)))
-    desk.now += 8 * 24 * HOUR
-    for change in desk.outbox.due(desk.now):
-        seen(desk, change)
-    assert desk.outbox.receipt(waiting).reason is ParkingReason.AGE
-    join = desk.outbox.join((), desk.now, WALL)
-    desk.outbox.on_stored(join.write_id, desk.now)
-    seen(desk, next(change for change in desk.outbox.due(desk.now) if change.event is WriteEvent.JOINED))
-    gone = desk.outbox.offer(desk.offer(), desk.now, WALL)
-    desk.outbox.on_store_failed(gone.write_id, desk.now)
+    seen(harness, harness.outbox.resolve(behind, 1, Resolution.GIVE_UP, WALL))
+    seen(harness, harness.outbox.resolve(parked[0], 1, Resolution.GIVE_UP, WALL))
+    seen(
+        harness,
+        next(change for change in harness.outbox.due(harness.now) if change.event is WriteEvent.ORPHANED),
+    )
+    seen(harness, harness.outbox.resolve(late, 1, Resolution.NEVER_RAN, WALL))
+    seen(harness, harness.outbox.resolve(parked[1], 1, Resolution.RAN, WALL))
+    waiting = harness.queue(follows=TOKENS.receipt(WriteId("oak", 1, 1)))
+    harness.now += 8 * 24 * HOUR
+    for change in harness.outbox.due(harness.now):
+        seen(harness, change)
+    assert harness.outbox.receipt(waiting).reason is ParkingReason.AGE
+    join = harness.outbox.join((), harness.now, WALL)
+    harness.outbox.on_stored(join.write_id, harness.now)
+    seen(
+        harness,
+        next(change for change in harness.outbox.due(harness.now) if change.event is WriteEvent.JOINED),
+    )
+    gone = harness.outbox.offer(harness.offer(), harness.now, WALL)
+    harness.outbox.on_store_failed(gone.write_id, harness.now)
     taken.add((WriteState.KEPT, WriteEvent.STORE_FAILED))
-    desk = OutboxApi()
-    desk.bounds = OutboxBounds(replay_most=1)
-    unsure, ready, held = desk.keep(), desk.keep(), desk.keep(follows=TOKENS.receipt(WriteId("oak", 1, 1)))
-    desk.outbox.pace.limit = 1
-    assert desk.due() == [unsure]
-    desk.end(unsure, ReplayResult.MAY_HAVE_RUN)
-    seen(desk, desk.outbox.on_found_applied(unsure, WALL))
-    assert desk.state(unsure) is WriteState.DONE and desk.outbox.on_found_applied(unsure, WALL) is None
-    desk.outbox.fence(ASH)
-    for change in desk.outbox.due(desk.now):
-        seen(desk, change)
-    assert [desk.outbox.receipt(write_id).reason for write_id in (ready, held)] == [ParkingReason.FENCED] * 2
+    harness = OutboxHarness()
+    harness.bounds = OutboxBounds(replay_most=1)
+    unsure, ready, held = (
+        harness.queue(),
+        harness.queue(),
+        harness.queue(follows=TOKENS.receipt(WriteId("oak", 1, 1))),
+    )
+    harness.outbox.pace.limit = 1
+    assert harness.due() == [unsure]
+    harness.finish(unsure, ReplayResult.MAY_HAVE_RUN)
+    seen(harness, harness.outbox.on_found_applied(unsure, WALL))
+    assert harness.state(unsure) is WriteState.DONE and harness.outbox.on_found_applied(unsure, WALL) is None
+    harness.outbox.fence(ASH)
+    for change in harness.outbox.due(harness.now):
+        seen(harness, change)
+    assert [harness.outbox.receipt(write_id).reason for write_id in (ready, held)] == [
+        ParkingReason.FENCED
+    ] * 2
     with pytest.raises(KeepError):
-        desk.keep()
-    desk.outbox.unfence(ASH)
-    for change in desk.outbox.due(desk.now):
-        seen(desk, change)
-    assert [desk.state(write_id) for write_id in (ready, held)] == [WriteState.READY, WriteState.KEPT]
+        harness.queue()
+    harness.outbox.unfence(ASH)
+    for change in harness.outbox.due(harness.now):
+        seen(harness, change)
+    assert [harness.state(write_id) for write_id in (ready, held)] == [WriteState.READY, WriteState.KEPT]
     assert set(TRANSITIONS) - taken == set()
 
 
-def test_no_record_is_read_of_which_a_byte_is_missing() -> None:
-    desk = OutboxApi()
-    write_id = desk.keep("album", key=b"k", session=b"s")
-    desk.park(write_id)
+def test_truncated_records_are_rejected() -> None:
+    harness = OutboxHarness()
+    write_id = harness.queue("album", key=b"k", session=b"s")
+    harness.park(write_id)
     for data, decode in (
-        (encode(desk.kept[write_id]), decode_write),
-        (encode(desk.moved[write_id]), decode_state_change),
+        (encode(harness.queued[write_id]), decode_write),
+        (encode(harness.state_changes[write_id]), decode_state_change),
     ):
         assert encode(decode(data)) == data
         for cut in range(len(data)):
@@ -383,253 +398,257 @@
                 decode(data[:cut])
 
 
-def test_what_is_not_as_its_class_demands_is_not_kept() -> None:
-    desk = OutboxApi()
-    for offer in (desk.offer("view"), desk.offer("album")):
+def test_writes_of_unqueued_classes_or_without_their_key_are_rejected() -> None:
+    harness = OutboxHarness()
+    for offer in (harness.offer("view"), harness.offer("album")):
         with pytest.raises(KeepError):
-            desk.outbox.offer(offer, 0, WALL)
+            harness.outbox.offer(offer, 0, WALL)
 
 
-def test_the_bounds_say_when_to_return() -> None:
-    desk = OutboxApi(bounds=OutboxBounds(max_bytes=100, max_writes=4, tenant_share=0.5))
-    desk.keep(tenant="a", size=50)
-    with pytest.raises(FullError, match="tenant 'a'") as told:
-        desk.keep(tenant="a", size=1)
-    assert told.value.retry_us > 0
-    desk.keep(tenant="b", size=50)
+def test_a_full_outbox_rejects_writes_with_a_retry_time() -> None:
+    harness = OutboxHarness(bounds=OutboxBounds(max_bytes=100, max_writes=4, tenant_share=0.5))
+    harness.queue(tenant="a", size=50)
+    with pytest.raises(FullError, match="tenant 'a'") as raised:
+        harness.queue(tenant="a", size=1)
+    assert raised.value.retry_us > 0
+    harness.queue(tenant="b", size=50)
     with pytest.raises(FullError, match="bytes limit"):
-        desk.keep(tenant="c", size=1)
-    desk.keep(tenant="c", size=0)
-    desk.keep(tenant="d", size=0)
+        harness.queue(tenant="c", size=1)
+    harness.queue(tenant="c", size=0)
+    harness.queue(tenant="d", size=0)
     with pytest.raises(FullError, match="count limit"):
-        desk.keep(tenant="e", size=0)
-    for write_id in desk.due():
-        desk.end(write_id)
-    assert (desk.outbox.count, desk.outbox.size) == (0, 0)
-    desk.keep(tenant="a", size=50)
-
-
-# Order
-
-
-def test_a_write_follows_its_session_its_object_and_what_it_names() -> None:
-    desk = OutboxApi()
-    first = desk.keep(session=b"s")
-    second = desk.keep(session=b"s", obj=b"o")
-    third = desk.keep(obj=b"o")
-    alone = desk.keep(session=b"t")
-    abroad = desk.keep(follows=TOKENS.receipt(WriteId("oak", 1, 4)))
-    assert desk.due() == [first, alone]
-    assert desk.outbox.receipt(third).behind == second
-    desk.end(first)
-    assert desk.due() == [second]
-    desk.end(second)
-    assert desk.due() == [third]
-    assert desk.outbox.must_queue(TOKENS.receipt(abroad)) and not desk.outbox.must_queue(
+        harness.queue(tenant="e", size=0)
+    for write_id in harness.due():
+        harness.finish(write_id)
+    assert (harness.outbox.count, harness.outbox.size) == (0, 0)
+    harness.queue(tenant="a", size=50)
+
+
+# Order.
+
+
+def test_a_write_depends_on_its_session_its_object_and_its_tokens() -> None:
+    harness = OutboxHarness()
+    first = harness.queue(session=b"s")
+    second = harness.queue(session=b"s", obj=b"o")
+    third = harness.queue(obj=b"o")
+    alone = harness.queue(session=b"t")
+    abroad = harness.queue(follows=TOKENS.receipt(WriteId("oak", 1, 4)))
+    assert harness.due() == [first, alone]
+    assert harness.outbox.receipt(third).behind == second
+    harness.finish(first)
+    assert harness.due() == [second]
+    harness.finish(second)
+    assert harness.due() == [third]
+    assert harness.outbox.must_queue(TOKENS.receipt(abroad)) and not harness.outbox.must_queue(
         TOKENS.receipt(first)
     )
-    desk.known.write_statuses[Dependency("oak", 1, 4)] = WriteStatus.APPLIED
-    desk.outbox.on_remote_change(0)
-    assert desk.due() == [abroad]
+    harness.version_vector.write_statuses[Dependency("oak", 1, 4)] = WriteStatus.APPLIED
+    harness.outbox.on_remote_change(0)
+    assert harness.due() == [abroad]
 
 
-def test_a_parked_album_with_10_000_followers_is_one_walk() -> None:
+def test_parking_a_write_visits_each_of_10_000_arrows_once() -> None:
     for chain in (False, True):
-        desk = OutboxApi(bounds=OutboxBounds(replay_most=20_000, tenant_share=1.0))
-        album = desk.keep()
+        harness = OutboxHarness(bounds=OutboxBounds(replay_most=20_000, tenant_share=1.0))
+        album = harness.queue()
         last = album
         for _ in range(10_000):
-            last = desk.keep(follows=TOKENS.receipt(last if chain else album))
-        free = desk.keep()
-        assert desk.due() == [album, free]
-        desk.end(album, ReplayResult.DENIED)
-        assert desk.outbox._graph.arrows_visited == 10_000
-        receipt = desk.outbox.receipt(last)
+            last = harness.queue(follows=TOKENS.receipt(last if chain else album))
+        free = harness.queue()
+        assert harness.due() == [album, free]
+        harness.finish(album, ReplayResult.DENIED)
+        assert harness.outbox._graph.arrows_visited == 10_000
+        receipt = harness.outbox.receipt(last)
         assert (receipt.state, receipt.reason, receipt.behind) == (
             WriteState.PARKED,
             ParkingReason.FOLLOWS,
             album,
         )
-        desk.end(free)
-        desk.resolve(album, 1, Resolution.NEVER_RAN)
-        assert desk.outbox._graph.arrows_visited == 20_000
-        assert desk.due() == [album]
-        desk.end(album)
-        assert len(desk.due()) == (1 if chain else 10_000)
+        harness.finish(free)
+        harness.resolve(album, 1, Resolution.NEVER_RAN)
+        assert harness.outbox._graph.arrows_visited == 20_000
+        assert harness.due() == [album]
+        harness.finish(album)
+        assert len(harness.due()) == (1 if chain else 10_000)
 
 
-def test_a_write_waits_through_one_that_was_judged() -> None:
-    """B is given up or judged to have run while A waits: C still follows A."""
+def test_a_write_waits_for_the_dependencies_of_a_resolved_write() -> None:
+    """B depends on A, and C on B. If B is resolved while A waits, C still waits for A."""
     for resolution in (Resolution.RAN, Resolution.GIVE_UP):
-        desk = OutboxApi(bounds=OutboxBounds(orphans="release"))
-        first = desk.keep()
-        second = desk.keep("album", TOKENS.receipt(first), b"k")
-        third = desk.keep(follows=TOKENS.receipt(second))
-        desk.park(first)
-        desk.now = 11 * HOUR
-        assert desk.due() == [] and desk.outbox.receipt(second).reason is ParkingReason.WINDOW
-        desk.resolve(second, 1, resolution)
-        assert desk.due() == [] and desk.state(third) is WriteState.PARKED
-        assert desk.outbox.write_status(second) is WriteStatus.PARKED
-        desk.resolve(first, 1, Resolution.RAN)
-        assert desk.outbox.write_status(second) in (WriteStatus.APPLIED, WriteStatus.ABANDONED)
-        assert desk.due() == [third]
+        harness = OutboxHarness(bounds=OutboxBounds(orphans="release"))
+        first = harness.queue()
+        second = harness.queue("album", TOKENS.receipt(first), b"k")
+        third = harness.queue(follows=TOKENS.receipt(second))
+        harness.park(first)
+        harness.now = 11 * HOUR
+        assert harness.due() == [] and harness.outbox.receipt(second).reason is ParkingReason.WINDOW
+        harness.resolve(second, 1, resolution)
+        assert harness.due() == [] and harness.state(third) is WriteState.PARKED
+        assert harness.outbox.write_status(second) is WriteStatus.PARKED
+        harness.resolve(first, 1, Resolution.RAN)
+        assert harness.outbox.write_status(second) in (WriteStatus.APPLIED, WriteStatus.ABANDONED)
+        assert harness.due() == [third]
 
 
 @pytest.mark.parametrize("orphans", ["park", "release"])
 def test_followers_of_a_lost_edge(orphans: str) -> None:
-    desk = OutboxApi(bounds=OutboxBounds(orphans=orphans))  # type: ignore[arg-type]
+    harness = OutboxHarness(bounds=OutboxBounds(orphans=orphans))  # type: ignore[arg-type]
     lost, write_id = Dependency("oak", 1, 4), WriteId("oak", 1, 4)
-    follower = desk.keep(follows=TOKENS.receipt(write_id))
-    desk.known.write_statuses[lost] = WriteStatus.ABANDONED
-    desk.outbox.on_remote_change(0)
+    follower = harness.queue(follows=TOKENS.receipt(write_id))
+    harness.version_vector.write_statuses[lost] = WriteStatus.ABANDONED
+    harness.outbox.on_remote_change(0)
     if orphans == "release":
-        assert desk.due() == [follower]
-        assert desk.due() == [] and not desk.outbox.must_queue(TOKENS.receipt(write_id))
+        assert harness.due() == [follower]
+        assert harness.due() == [] and not harness.outbox.must_queue(TOKENS.receipt(write_id))
         return
-    assert desk.due() == [] and desk.outbox.receipt(follower).reason is ParkingReason.ORPHANED
-    again = desk.again(WALL)
-    again.known.write_statuses[lost] = WriteStatus.ABANDONED
-    assert again.due() == [] and again.outbox.receipt(follower).parking == 1
-    again.resolve(follower, 1, Resolution.NEVER_RAN)
-    third = again.again(WALL, EdgeLog("ash", 9))
-    third.known.write_statuses[lost] = WriteStatus.ABANDONED
+    assert harness.due() == [] and harness.outbox.receipt(follower).reason is ParkingReason.ORPHANED
+    restarted = harness.restart(WALL)
+    restarted.version_vector.write_statuses[lost] = WriteStatus.ABANDONED
+    assert restarted.due() == [] and restarted.outbox.receipt(follower).parking == 1
+    restarted.resolve(follower, 1, Resolution.NEVER_RAN)
+    third = restarted.restart(WALL, EdgeLog("ash", 9))
+    third.version_vector.write_statuses[lost] = WriteStatus.ABANDONED
     third.outbox.on_remote_change(0)
-    assert third.due() == [follower]  # it is not made an orphan twice
+    assert third.due() == [follower]  # it is not parked as an orphan twice
 
 
-def test_a_cause_lost_in_a_crash_does_not_take_its_own_causes_along() -> None:
-    desk = OutboxApi()
-    first = desk.keep(session=b"s")
-    lost = desk.outbox.offer(desk.offer(session=b"s", obj=b"o"), 0, WALL).write_id
-    third = desk.keep(obj=b"o")
-    assert lost not in desk.kept and desk.outbox.receipt(third).behind is not None
-    other = desk.again(WALL)
+def test_a_restart_finds_the_dependencies_of_a_write_that_was_never_stored() -> None:
+    harness = OutboxHarness()
+    first = harness.queue(session=b"s")
+    lost = harness.outbox.offer(harness.offer(session=b"s", obj=b"o"), 0, WALL).write_id
+    third = harness.queue(obj=b"o")
+    assert lost not in harness.queued and harness.outbox.receipt(third).behind is not None
+    other = harness.restart(WALL)
     assert other.due() == [first]
 
 
-# Verdicts
+# Resolutions.
 
 
-def test_a_verdict_given_twice_counts_once() -> None:
-    desk = OutboxApi()
-    write_id = desk.keep()
-    desk.park(write_id)
-    assert desk.resolve(write_id, 1, Resolution.NEVER_RAN) is not None
-    assert desk.resolve(write_id, 1, Resolution.NEVER_RAN) is None
-    desk.park(write_id)
-    assert desk.resolve(write_id, 1, Resolution.NEVER_RAN) is None  # late: that was the parking before
-    assert desk.state(write_id) is WriteState.PARKED
+def test_a_repeated_resolution_counts_once() -> None:
+    harness = OutboxHarness()
+    write_id = harness.queue()
+    harness.park(write_id)
+    assert harness.resolve(write_id, 1, Resolution.NEVER_RAN) is not None
+    assert harness.resolve(write_id, 1, Resolution.NEVER_RAN) is None
+    harness.park(write_id)
+    assert (
+        harness.resolve(write_id, 1, Resolution.NEVER_RAN) is None
+    )  # a late repeat, for the previous parking
+    assert harness.state(write_id) is WriteState.PARKED
     for parking, resolution in ((1, Resolution.RAN), (3, Resolution.RAN)):
         with pytest.raises(VerdictError):
-            desk.resolve(write_id, parking, resolution)
-    assert desk.resolve(write_id, 2, Resolution.RAN) is not None
-    assert desk.again(WALL).outbox.resolve(write_id, 2, Resolution.RAN, WALL) is None
+            harness.resolve(write_id, parking, resolution)
+    assert harness.resolve(write_id, 2, Resolution.RAN) is not None
+    assert harness.restart(WALL).outbox.resolve(write_id, 2, Resolution.RAN, WALL) is None
     with pytest.raises(VerdictError, match="was judged ran"):
-        desk.resolve(write_id, 2, Resolution.GIVE_UP)
+        harness.resolve(write_id, 2, Resolution.GIVE_UP)
 
 
-def test_of_two_verdicts_at_once_the_first_stands() -> None:
-    desk = OutboxApi()
-    write_id = desk.keep()
-    desk.park(write_id)
-    first = desk.outbox.resolve(write_id, 1, Resolution.RAN, WALL)
+def test_the_first_of_two_concurrent_resolutions_counts() -> None:
+    harness = OutboxHarness()
+    write_id = harness.queue()
+    harness.park(write_id)
+    first = harness.outbox.resolve(write_id, 1, Resolution.RAN, WALL)
     with pytest.raises(VerdictError, match="on its way"):
-        desk.outbox.resolve(write_id, 1, Resolution.GIVE_UP, WALL)
+        harness.outbox.resolve(write_id, 1, Resolution.GIVE_UP, WALL)
     assert first is not None
-    desk.outbox.undo(first, 0)  # its disk failed: it was never given
-    assert desk.resolve(write_id, 1, Resolution.GIVE_UP) is not None
-    assert desk.state(write_id) is WriteState.GIVEN_UP
+    harness.outbox.undo(first, 0)  # the resolution could not be stored, so it does not count
+    assert harness.resolve(write_id, 1, Resolution.GIVE_UP) is not None
+    assert harness.state(write_id) is WriteState.GIVEN_UP
 
 
-def test_only_what_is_parked_is_judged() -> None:
-    desk = OutboxApi()
-    write_id = desk.keep()
-    behind = desk.keep(follows=TOKENS.receipt(write_id))
+def test_only_parked_writes_can_be_resolved() -> None:
+    harness = OutboxHarness()
+    write_id = harness.queue()
+    behind = harness.queue(follows=TOKENS.receipt(write_id))
     with pytest.raises(VerdictError, match="not parked"):
-        desk.resolve(write_id, 1, Resolution.RAN)
-    desk.park(write_id)
+        harness.resolve(write_id, 1, Resolution.RAN)
+    harness.park(write_id)
     with pytest.raises(VerdictError, match="judge what it follows"):
-        desk.resolve(behind, 1, Resolution.NEVER_RAN)
+        harness.resolve(behind, 1, Resolution.NEVER_RAN)
     assert (
-        desk.resolve(behind, 1, Resolution.GIVE_UP) is not None
-        and desk.resolve(behind, 1, Resolution.GIVE_UP) is None
+        harness.resolve(behind, 1, Resolution.GIVE_UP) is not None
+        and harness.resolve(behind, 1, Resolution.GIVE_UP) is None
     )
     with pytest.raises(UnknownWriteError):
-        desk.outbox.receipt(WriteId("oak", 1, 1))
+        harness.outbox.receipt(WriteId("oak", 1, 1))
 
 
-# Restart
+# Restart.
 
 
-def test_what_was_out_at_a_crash_goes_again_only_under_its_key() -> None:
-    desk = OutboxApi()
-    keyed, unsafe = desk.keep("album", key=b"k"), desk.keep()
-    assert desk.due() == [keyed, unsafe]
-    other = desk.again(WALL + HOUR)
+def test_only_keyed_writes_are_sent_again_after_a_crash() -> None:
+    harness = OutboxHarness()
+    keyed, unsafe = harness.queue("album", key=b"k"), harness.queue()
+    assert harness.due() == [keyed, unsafe]
+    other = harness.restart(WALL + HOUR)
     assert other.due() == [keyed]
     assert other.outbox.receipt(unsafe).reason is ParkingReason.MAY_HAVE_RUN
-    late = desk.again(WALL + 11 * HOUR)
+    late = harness.restart(WALL + 11 * HOUR)
     assert late.due() == [] and late.outbox.receipt(keyed).reason is ParkingReason.MAY_HAVE_RUN
 
 
-def test_clocks_years_off() -> None:
-    desk = OutboxApi()
+def test_a_restart_with_a_clock_that_is_years_off() -> None:
+    harness = OutboxHarness()
     sent, fresh = (
-        desk.keep("album", key=b"k"),
-        desk.keep("album", key=b"l", follows=TOKENS.receipt(WriteId(*ASH, 1))),
+        harness.queue("album", key=b"k"),
+        harness.queue("album", key=b"l", follows=TOKENS.receipt(WriteId(*ASH, 1))),
     )
-    assert desk.due() == [sent]
-    back = desk.again(WALL - 3 * YEAR)
-    assert back.outbox.receipt(sent).reason is ParkingReason.MAY_HAVE_RUN  # the window can't be known
+    assert harness.due() == [sent]
+    back = harness.restart(WALL - 3 * YEAR)
+    assert (
+        back.outbox.receipt(sent).reason is ParkingReason.MAY_HAVE_RUN
+    )  # what is left of the window is unknown
     back.resolve(sent, 1, Resolution.RAN)
-    assert back.due() == [fresh]  # never sent: nothing to double
-    ahead = desk.again(WALL + 3 * YEAR)
+    assert back.due() == [fresh]  # it was never sent, so it can't take effect twice
+    ahead = harness.restart(WALL + 3 * YEAR)
     assert ahead.due() == []
     assert ahead.outbox.receipt(fresh).reason is ParkingReason.WINDOW
     ahead.resolve(sent, 1, Resolution.RAN)
     ahead.resolve(fresh, 1, Resolution.NEVER_RAN)
-    assert ahead.due() == [fresh]  # the resolution begins its window anew
+    assert ahead.due() == [fresh]  # the resolution starts its window again
 
 
-def test_a_copy_of_the_disk_started_twice_gives_no_name_twice_and_sends_nothing() -> None:
-    desk = OutboxApi()
-    old = desk.keep()
-    one, two = desk.again(WALL, EdgeLog("ash", 8)), desk.again(WALL, EdgeLog("ash", 9))
-    assert one.keep() != two.keep()
-    two.known.held = False
+def test_two_processes_on_copies_of_a_disk_share_no_write_id_and_only_the_holder_sends() -> None:
+    harness = OutboxHarness()
+    old = harness.queue()
+    one, two = harness.restart(WALL, EdgeLog("ash", 8)), harness.restart(WALL, EdgeLog("ash", 9))
+    assert one.queue() != two.queue()
+    two.version_vector.held = False
     assert old in one.due() and two.due() == []
-    two.known.held = True
+    two.version_vector.held = True
     two.outbox.on_remote_change(0)
     assert len(two.due()) == 2
 
 
-def test_a_write_whose_record_took_longer_than_its_window_is_not_sent() -> None:
-    desk = OutboxApi()
-    write_id = desk.keep("album", key=b"k")
-    (change,) = desk.outbox.due(0)
-    assert desk.outbox.apply(change, 10 * HOUR) is False
-    desk.now = 10 * HOUR
-    desk.end(write_id, ReplayResult.NOT_RUN)
-    desk.now += SECOND
-    assert desk.due() == [] and desk.outbox.receipt(write_id).reason is ParkingReason.WINDOW
+def test_a_write_whose_window_ends_while_its_record_is_stored_is_not_sent() -> None:
+    harness = OutboxHarness()
+    write_id = harness.queue("album", key=b"k")
+    (change,) = harness.outbox.due(0)
+    assert harness.outbox.apply(change, 10 * HOUR) is False
+    harness.now = 10 * HOUR
+    harness.finish(write_id, ReplayResult.NOT_RUN)
+    harness.now += SECOND
+    assert harness.due() == [] and harness.outbox.receipt(write_id).reason is ParkingReason.WINDOW
 
 
-def test_a_keyed_write_goes_out_while_a_whole_try_fits_in_its_window() -> None:
+def test_a_keyed_write_is_sent_only_while_a_whole_try_fits_in_its_window() -> None:
     for late in (0, 1):
-        desk = OutboxApi()
-        write_id = desk.keep("album", key=b"k")
-        desk.now = 10 * HOUR - desk.bounds.send_us + late
-        assert desk.due() == ([] if late else [write_id])
+        harness = OutboxHarness()
+        write_id = harness.queue("album", key=b"k")
+        harness.now = 10 * HOUR - harness.bounds.send_us + late
+        assert harness.due() == ([] if late else [write_id])
         if not late:
-            desk.now += 1
-            desk.end(write_id, ReplayResult.MAY_HAVE_RUN)
-            assert desk.outbox.receipt(write_id).reason is ParkingReason.MAY_HAVE_RUN
+            harness.now += 1
+            harness.finish(write_id, ReplayResult.MAY_HAVE_RUN)
+            assert harness.outbox.receipt(write_id).reason is ParkingReason.MAY_HAVE_RUN
 
 
-def test_what_an_edge_knows_by_itself() -> None:
-    desk, version_vector = OutboxApi(), PlayedVersionVector()
-    desk.outbox.version_vector = version_vector
+def test_the_recording_version_vector_keeps_final_statuses() -> None:
+    harness, version_vector = OutboxHarness(), RecordingVersionVector()
+    harness.outbox.version_vector = version_vector
     dependency = Dependency("oak", 1, 4)
     assert version_vector.write_status(dependency) is WriteStatus.UNKNOWN and version_vector.holds(ASH)
     version_vector.publish(dependency.write_id, WriteStatus.PARKED)
@@ -646,160 +665,163 @@
     assert version_vector.write_status(Dependency("oak", 2, 1, True)) is WriteStatus.ABANDONED
 
 
-def test_one_key_at_two_edges_is_two_writes_under_one_key() -> None:
-    """Upstream tells them apart by the key; each edge has one of them."""
-    ash, oak = OutboxApi(), OutboxApi(EdgeLog("oak", 1))
-    here, there = ash.keep("album", key=b"k"), oak.keep("album", key=b"k")
-    assert here != there and ash.kept[here].key == oak.kept[there].key
+def test_two_edges_may_queue_a_write_under_the_same_key() -> None:
+    """Each edge queues one write. Upstream recognizes the repeat by the key."""
+    ash, oak = OutboxHarness(), OutboxHarness(EdgeLog("oak", 1))
+    here, there = ash.queue("album", key=b"k"), oak.queue("album", key=b"k")
+    assert here != there and ash.queued[here].key == oak.queued[there].key
     assert ash.due() == [here] and oak.due() == [there]
 
 
-def test_receipts_are_kept_for_their_time_and_then_forgotten() -> None:
-    desk = OutboxApi(bounds=OutboxBounds(receipt_us=HOUR, max_receipts=2))
-    first = desk.keep("album", key=b"k")
-    assert desk.due() == [first]
-    desk.end(first)
+def test_receipts_expire_by_age_and_by_number() -> None:
+    harness = OutboxHarness(bounds=OutboxBounds(receipt_us=HOUR, max_receipts=2))
+    first = harness.queue("album", key=b"k")
+    assert harness.due() == [first]
+    harness.finish(first)
     assert (
-        desk.outbox.take_finished() == [(first, WriteStatus.APPLIED)] and desk.outbox.low_watermark(ASH) == 1
+        harness.outbox.take_finished() == [(first, WriteStatus.APPLIED)]
+        and harness.outbox.low_watermark(ASH) == 1
     )
-    assert desk.outbox.expired_receipts(HOUR - 1) == []
-    assert desk.outbox.offer(desk.offer("album", key=b"k"), 0, WALL).is_known
-    assert desk.outbox.expired_receipts(HOUR) == [first]
-    desk.outbox.forget(first)
-    assert not desk.outbox.offer(desk.offer("album", key=b"k"), HOUR, WALL).is_known
-    more = [desk.keep() for _ in range(3)]
-    for write_id in desk.due():
-        desk.end(write_id)
-    assert desk.outbox.expired_receipts(0) == more[:1]  # too many
+    assert harness.outbox.expired_receipts(HOUR - 1) == []
+    assert harness.outbox.offer(harness.offer("album", key=b"k"), 0, WALL).is_known
+    assert harness.outbox.expired_receipts(HOUR) == [first]
+    harness.outbox.forget(first)
+    assert not harness.outbox.offer(harness.offer("album", key=b"k"), HOUR, WALL).is_known
+    more = [harness.queue() for _ in range(3)]
+    for write_id in harness.due():
+        harness.finish(write_id)
+    assert harness.outbox.expired_receipts(0) == more[:1]  # more than `max_receipts`
 
 
-# Pace and cut-off
+# Replay pace and cut-off detection.
 
 
 def test_thirty_edges_begin_with_thirty_writes() -> None:
-    paces = [ReplayPacer(8, SECOND) for _ in range(30)]
-    for pace in paces:
-        while pace.may_send(0):
-            pace.on_sent()
-    assert sum(pace.in_flight for pace in paces) == 30
+    pacers = [ReplayPacer(8, SECOND) for _ in range(30)]
+    for pacer in pacers:
+        while pacer.may_send(0):
+            pacer.on_sent()
+    assert sum(pacer.in_flight for pacer in pacers) == 30
 
 
-def test_the_pace_grows_by_answers_and_is_halved_by_refusals() -> None:
-    pace = ReplayPacer(4, SECOND)
+def test_the_pace_grows_with_answers_and_is_halved_by_refusals() -> None:
+    pacer = ReplayPacer(4, SECOND)
     for _ in range(9):
-        pace.on_sent()
-        pace.on_answer()
-    assert pace.limit == 4
-    pace.on_sent()
-    pace.on_failure(0)
-    pace.on_refusal(10)  # the same shortage
-    assert pace.limit == 2 and not pace.may_send(SECOND) and pace.may_send(SECOND + 10)
-    pace.on_refusal(3 * SECOND)
-    pace.on_refusal(6 * SECOND)
-    assert pace.limit == 1
-    turns = ReplayQueue()
+        pacer.on_sent()
+        pacer.on_answer()
+    assert pacer.limit == 4
+    pacer.on_sent()
+    pacer.on_failure(0)
+    pacer.on_refusal(10)  # within the same pause
+    assert pacer.limit == 2 and not pacer.may_send(SECOND) and pacer.may_send(SECOND + 10)
+    pacer.on_refusal(3 * SECOND)
+    pacer.on_refusal(6 * SECOND)
+    assert pacer.limit == 1
+    queue = ReplayQueue()
     for row in (1, 2):
-        turns.add(row)
-    turns.requeue(turns.next())
-    assert (turns.next(), turns.next(), len(turns)) == (1, 2, 0)
+        queue.add(row)
+    queue.requeue(queue.next())
+    assert (queue.next(), queue.next(), len(queue)) == (1, 2, 0)
 
 
-def test_one_time_out_or_one_endpoint_is_no_cut() -> None:
-    cut = CutOffDetector(CutOffRule(), 10, 0)
+def test_a_failing_endpoint_or_a_short_burst_does_not_cut_off_the_edge() -> None:
+    detector = CutOffDetector(CutOffRule(), 10, 0)
     for second in range(100):
-        cut.on_failure(1, second * SECOND)
-    assert not cut.is_cut_off and not cut.tick(1_000 * SECOND)
-    moment = CutOffDetector(CutOffRule(), 10, 0)
+        detector.on_failure(1, second * SECOND)
+    assert not detector.is_cut_off and not detector.tick(1_000 * SECOND)
+    burst = CutOffDetector(CutOffRule(), 10, 0)
     for endpoint in range(10):
-        moment.on_failure(endpoint, 0)
-    assert not moment.tick(HOUR)  # a moment's failures and a quiet hour
-    moment.on_response(HOUR)
-    moment.on_failure(1, HOUR)
-    assert not moment.is_cut_off
+        burst.on_failure(endpoint, 0)
+    assert not burst.tick(HOUR)  # a burst of failures and then a quiet hour
+    burst.on_response(HOUR)
+    burst.on_failure(1, HOUR)
+    assert not burst.is_cut_off
 
 
-def test_all_fail_for_a_while_and_the_edge_is_cut_off_until_the_way_holds() -> None:
-    cut = CutOffDetector(
+def test_an_edge_stays_cut_off_until_the_link_is_stable() -> None:
+    detector = CutOffDetector(
         CutOffRule(cut_us=5 * SECOND, min_endpoints=3, back_us=2 * SECOND, min_answers=3), 10, 0
     )
     for second in range(6):
-        cut.on_failure(second, second * SECOND)
-    assert cut.is_cut_off
+        detector.on_failure(second, second * SECOND)
+    assert detector.is_cut_off
     for second in range(6, 60):  # the link flaps each second
-        cut.on_response(second * SECOND)
+        detector.on_response(second * SECOND)
         for endpoint in range(3):
-            cut.on_failure(endpoint, second * SECOND + SECOND // 2)
-    assert cut.is_cut_off
+            detector.on_failure(endpoint, second * SECOND + SECOND // 2)
+    assert detector.is_cut_off
     for second in (60, 61, 62):
-        assert cut.is_cut_off
-        cut.on_response(second * SECOND)
-    assert not cut.is_cut_off
+        assert detector.is_cut_off
+        detector.on_response(second * SECOND)
+    assert not detector.is_cut_off
 
 
-def test_an_edge_without_endpoints_is_cut_off_in_time() -> None:
-    cut = CutOffDetector(CutOffRule(), 2, 0)
-    cut.on_endpoint_count(0, SECOND)
-    assert not cut.tick(2 * SECOND) and cut.tick(6 * SECOND)
-    cut.on_endpoint_count(2, 7 * SECOND)
+def test_an_edge_without_endpoints_is_cut_off_after_cut_us() -> None:
+    detector = CutOffDetector(CutOffRule(), 2, 0)
+    detector.on_endpoint_count(0, SECOND)
+    assert not detector.tick(2 * SECOND) and detector.tick(6 * SECOND)
+    detector.on_endpoint_count(2, 7 * SECOND)
     for second in (8, 9, 10):
-        cut.on_response(second * SECOND)
-    assert not cut.is_cut_off
-    cut.on_failure(0, 11 * SECOND)
-    cut.on_failure(1, 16 * SECOND)  # both there are
-    assert cut.is_cut_off
+        detector.on_response(second * SECOND)
+    assert not detector.is_cut_off
+    detector.on_failure(0, 11 * SECOND)
+    detector.on_failure(1, 16 * SECOND)  # all listed endpoints have failed
+    assert detector.is_cut_off
 
 
-# Receipts, rows, graph
+# Receipts, tables and the graph.
 
 
-def test_a_receipt_tells_the_reason_and_what_can_be_said_of_it() -> None:
-    desk = OutboxApi()
-    write_id = desk.keep()
-    behind = desk.keep(follows=TOKENS.receipt(write_id))
-    assert json.loads(encode_receipt(desk.outbox.receipt(behind))) == {
+def test_a_receipt_contains_the_reason_and_the_possible_resolutions() -> None:
+    harness = OutboxHarness()
+    write_id = harness.queue()
+    behind = harness.queue(follows=TOKENS.receipt(write_id))
+    assert json.loads(encode_receipt(harness.outbox.receipt(behind))) == {
         "write": str(behind),
         "state": "kept",
         "behind": str(write_id),
     }
-    desk.park(write_id)
-    told = json.loads(encode_receipt(desk.outbox.receipt(write_id)))
-    assert told["reason"] == REASON_TEXTS[ParkingReason.DENIED] and told["verdicts"] == [
+    harness.park(write_id)
+    document = json.loads(encode_receipt(harness.outbox.receipt(write_id)))
+    assert document["reason"] == REASON_TEXTS[ParkingReason.DENIED] and document["verdicts"] == [
         "ran",
         "never_ran",
         "give_up",
     ]
-    assert json.loads(encode_receipt(desk.outbox.receipt(behind)))["verdicts"] == ["give_up"]
+    assert json.loads(encode_receipt(harness.outbox.receipt(behind)))["verdicts"] == ["give_up"]
     done = WriteReceipt(write_id, WriteState.DONE, status=201, headers=((b"a", b"b"),), body=b"\xff")
     assert json.loads(encode_receipt(done))["status"] == 201
     assert set(REASON_TEXTS) == set(ParkingReason) - {ParkingReason.NONE}
 
 
-def test_places_are_found_after_any_order_of_changes() -> None:
-    draw, places, real = random.Random(1), IntegerMap(), dict[int, int]()
+def test_an_integer_map_matches_a_dict_under_random_changes() -> None:
+    draw, integer_map, expected = random.Random(1), IntegerMap(), dict[int, int]()
     for _ in range(20_000):
         key = draw.randrange(1, 400)
         if draw.random() < 0.5:
-            places.put(key, -key)
-            real[key] = -key
+            integer_map.put(key, -key)
+            expected[key] = -key
         else:
-            places.drop(key)
-            real.pop(key, None)
-    assert len(places) == len(real) and all(places.get(key) == real.get(key, -1) for key in range(400))
+            integer_map.drop(key)
+            expected.pop(key, None)
+    assert len(integer_map) == len(expected) and all(
+        integer_map.get(key) == expected.get(key, -1) for key in range(400)
+    )
     assert short_hash(b"s", b"") == 0 != short_hash(b"s", b"a") != short_hash(b"o", b"a")
 
 
-def test_the_graph_counts_what_sticks_as_a_walk_would() -> None:
+def test_blocked_counts_of_the_graph_match_a_full_walk() -> None:
     draw, graph = random.Random(2), DependencyGraph()
     nodes: list[int] = []
     for _ in range(1_000):
-        deed = draw.random()
-        if deed < 0.4 or not nodes:
+        choice = draw.random()
+        if choice < 0.4 or not nodes:
             node = graph.add()
             for dependency in set(draw.sample(nodes, min(len(nodes), draw.randrange(4)))):
                 graph.link(dependency, node)
             nodes.append(node)
-        elif deed < 0.7:
-            (graph.halt if deed < 0.55 else graph.resume)(draw.choice(nodes))
+        elif choice < 0.7:
+            (graph.halt if choice < 0.55 else graph.resume)(draw.choice(nodes))
         elif ready := [node for node in nodes if graph.is_free(node)]:
             nodes.remove(done := draw.choice(ready))
             graph.finish(done)
@@ -811,69 +833,69 @@
     assert len(graph) == len(nodes)
 
 
-def test_a_kept_write_takes_less_than_200_bytes() -> None:
-    desk = OutboxApi(bounds=OutboxBounds(tenant_share=1.0))
-    desk.keep()
+def test_a_queued_write_takes_less_than_200_bytes_of_memory() -> None:
+    harness = OutboxHarness(bounds=OutboxBounds(tenant_share=1.0))
+    harness.queue()
     tracemalloc.start()
     try:
         count = 3_000
-        for one in range(count):
-            offer = desk.offer(
-                "album", "", b"k%d" % one, session=b"s%d" % (one // 10), obj=b"o%d" % (one // 4)
+        for index in range(count):
+            offer = harness.offer(
+                "album", "", b"k%d" % index, session=b"s%d" % (index // 10), obj=b"o%d" % (index // 4)
             )
-            desk.outbox.on_stored(desk.outbox.offer(offer, 0, WALL).write_id, 0)
+            harness.outbox.on_stored(harness.outbox.offer(offer, 0, WALL).write_id, 0)
         size = tracemalloc.get_traced_memory()[0]
     finally:
         tracemalloc.stop()
     assert size / count < 200
 
 
-def test_what_is_due_costs_by_what_is_due() -> None:
-    looked: list[int] = []
+def test_the_cost_of_due_depends_on_the_number_of_due_writes() -> None:
+    checked_rows: list[int] = []
 
-    class Counted(Outbox):
+    class CountingOutbox(Outbox):
         def _expired(self, row: int, now: int) -> ParkingReason:
-            looked.append(row)
+            checked_rows.append(row)
             return super()._expired(row, now)
 
-    desk = OutboxApi(bounds=OutboxBounds(replay_most=1, tenant_share=1.0))
-    desk.outbox = Counted(ASH, CLASSES, desk.bounds, TOKENS, desk.known)
-    kept = [desk.keep("print" if number % 2 else "album", key=b"k%d" % number) for number in range(500)]
-    looked.clear()
-    assert len(desk.due()) == 1
+    harness = OutboxHarness(bounds=OutboxBounds(replay_most=1, tenant_share=1.0))
+    harness.outbox = CountingOutbox(ASH, CLASSES, harness.bounds, TOKENS, harness.version_vector)
+    kept = [harness.queue("print" if number % 2 else "album", key=b"k%d" % number) for number in range(500)]
+    checked_rows.clear()
+    assert len(harness.due()) == 1
     for _ in range(10):
-        assert desk.due() == []
-    assert len(looked) < 50
-    desk.now = desk.bounds.age_us + 1
+        assert harness.due() == []
+    assert len(checked_rows) < 50
+    harness.now = harness.bounds.age_us + 1
     rounds = 0
-    while any(desk.outbox.receipt(write_id).state is not WriteState.PARKED for write_id in kept[1:]):
-        desk.due()
+    while any(harness.outbox.receipt(write_id).state is not WriteState.PARKED for write_id in kept[1:]):
+        harness.due()
         rounds += 1
-    assert rounds <= 4 and desk.outbox.receipt(kept[0]).state is WriteState.OUT
-    desk.end(kept[0], ReplayResult.NOT_RUN)
-    desk.due()
-    assert desk.outbox.receipt(kept[0]).state is WriteState.PARKED
+    assert rounds <= 4 and harness.outbox.receipt(kept[0]).state is WriteState.OUT
+    harness.finish(kept[0], ReplayResult.NOT_RUN)
+    harness.due()
+    assert harness.outbox.receipt(kept[0]).state is WriteState.PARKED
 
 
-def test_the_oldest_of_a_class_is_first_after_any_order_of_changes() -> None:
-    draw, ages = random.Random(5), ExpiryQueue(2)
+def test_the_expiry_queue_matches_lists_under_random_changes() -> None:
+    draw, queue = random.Random(5), ExpiryQueue(2)
     model: list[list[int]] = [[], []]
     free = list(range(50))
     for _ in range(5_000):
         cls = draw.randrange(2)
         if draw.random() < 0.5 and free:
             row = free.pop(draw.randrange(len(free)))
-            ages.add(cls, row)
+            queue.add(cls, row)
             model[cls].append(row)
         elif model[cls]:
             row = model[cls].pop(draw.randrange(len(model[cls])))
-            ages.drop(cls, row)
-            ages.drop(cls, row)  # gone already
+            queue.drop(cls, row)
+            queue.drop(cls, row)  # a second removal does nothing
             free.append(row)
-        assert [ages.first(one) for one in (0, 1)] == [(rows or [-1])[0] for rows in model]
+        assert [queue.first(class_index) for class_index in (0, 1)] == [(rows or [-1])[0] for rows in model]
 
 
-def test_numbers_are_found_after_any_order_of_changes() -> None:
+def test_a_paged_integer_map_matches_a_dict_under_random_changes() -> None:
     draw, numbers, model = random.Random(6), PagedIntegerMap(), dict[int, int]()
     for step in range(10_000):
         name = draw.randrange(2) << 48 | draw.randrange(300)
@@ -889,22 +911,22 @@
     assert not numbers._pages
 
 
-def test_sends_go_one_at_a_time_and_rest_while_live_requests_come() -> None:
+def test_replays_start_one_at_a_time_and_pause_for_live_requests() -> None:
     async def main() -> None:
-        aside, loop, order = BackgroundReplay(), asyncio.get_running_loop(), list[str]()
+        background, loop, order = BackgroundReplay(), asyncio.get_running_loop(), list[str]()
         slept: list[float] = []
         loop.call_later = lambda delay, call: (slept.append(delay), loop.call_soon(call))  # type: ignore
 
         async def send(name: str) -> None:
-            async with aside:
+            async with background:
                 order.append(name)
             loop.call_soon(order.append, "others")
 
         await asyncio.gather(*(send(name) for name in "ab"))
         assert order[:3] == ["a", "others", "b"] and not slept
-        aside.live = True
+        background.live = True
         await send("c")
         await send("d")
-        assert len(slept) == 1 and slept[0] > 0.0 and not aside.live
+        assert len(slept) == 1 and slept[0] > 0.0 and not background.live
 
     asyncio.run(main())
