--- a/laurelstep/outbox/dependency_tracker.py
+++ b/laurelstep/outbox/dependency_tracker.py
@@ -261,7 +261,7 @@
         return barrier
 
     def _orphan(self, row: int) -> None:
-        """Mark a row to be parked, because a write that it depends on was given up or lost."""
+        """Mark a row as an orphan to be parked, because a write that it depends on was given up or lost."""
         if self.bounds.orphans == "release" or self._rows.has(row, ORPHAN) or row in self._orphan_exempt:
             return
         if self._rows.has(row, BARRIER):
--- a/laurelstep/outbox/records.py
+++ b/laurelstep/outbox/records.py
@@ -187,7 +187,7 @@
     try:
         return _write_decoder.decode(data)
     except msgspec.MsgspecError as error:
-        raise KeptRecordError(f"malformed record of a queued write: {error}") from None
+        raise KeptRecordError(f"kept write: {error}") from None
 
 
 def decode_state_change(data: bytes) -> StateChange:
@@ -195,4 +195,4 @@
     try:
         return _state_change_decoder.decode(data)
     except msgspec.MsgspecError as error:
-        raise KeptRecordError(f"malformed state record of a queued write: {error}") from None
+        raise KeptRecordError(f"state of a kept write: {error}") from None
