--- a/tests/test_folders_of_earlier_versions.py
+++ b/tests/test_folders_of_earlier_versions.py
@@ -1,4 +1,7 @@
-"""Folders that earlier versions wrote are opened, and what they owe is done. See tests/fixtures/README.md."""
+"""Store folders written by earlier versions can be opened, and their pending work is done.
+
+See tests/fixtures/README.md.
+"""
 
 from __future__ import annotations
 
@@ -24,40 +27,38 @@
 HOUR_US: Final = 3_600_000_000
 
 
-def told(name: str) -> Any:
+def expectations(name: str) -> Any:
     return json.loads((FIXTURES / f"{name}.json").read_text())
 
 
-def copy_of(name: str, to: Path) -> Path:
+def copy_fixture(name: str, to: Path) -> Path:
     return Path(shutil.copytree(FIXTURES / name, to / name))
 
 
 @pytest.mark.parametrize("version", VERSIONS)
-def test_an_outbox_of_an_earlier_version_is_opened_and_what_it_kept_goes_upstream_once(
+def test_an_outbox_of_an_earlier_version_opens_and_its_queued_writes_run_once(
     version: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    before = told(f"outbox-{version}")
-    monkeypatch.setattr(time, "time_ns", lambda: (before["wall_us"] + HOUR_US) * 1000)
+    expected = expectations(f"outbox-{version}")
+    monkeypatch.setattr(time, "time_ns", lambda: (expected["wall_us"] + HOUR_US) * 1000)
     monkeypatch.setattr(replay_driver, "REPLAY_INTERVAL_US", 10_000)
 
     async def main() -> None:
-        folder = copy_of(f"outbox-{version}", tmp_path)
-        async with edge(str(folder), off=False) as one:  # type: ignore[arg-type]
-            driver = one.driver
-            write_ids = {name: parse_write_id(found["write"]) for name, found in before["told"].items()}
-            for name, found in before["told"].items():
+        folder = copy_fixture(f"outbox-{version}", tmp_path)
+        async with edge(str(folder), off=False) as process:  # type: ignore[arg-type]
+            driver = process.driver
+            write_ids = {name: parse_write_id(found["write"]) for name, found in expected["told"].items()}
+            for name, found in expected["told"].items():
                 (dependency,) = driver.tokens.read(found["receipt"])
-                assert dependency.write_id == write_ids[name], (
-                    "the secret is the same, and so are the receipts"
-                )
+                assert dependency.write_id == write_ids[name], "the secret was kept, so receipts stay valid"
             done = await driver.receipt(write_ids["done"])
             assert (done.state, done.status, done.body) == (WriteState.DONE, 200, b"done")
             assert (await driver.receipt(write_ids["parked"])).state is WriteState.PARKED
             assert list(driver.parked) == [write_ids["parked"]]
-            await one.until(lambda: driver.outbox.count == 1)  # the parked one
-            effects = one.endpoint.effects.by_id
-            assert len(one.endpoint.got) == 2 and set(effects.values()) == {1}
-            bodies = sorted((message.body for message in one.endpoint.got), key=len)
+            await process.until(lambda: driver.outbox.count == 1)  # only the parked write is left
+            effects = process.endpoint.effects.by_id
+            assert len(process.endpoint.got) == 2 and set(effects.values()) == {1}
+            bodies = sorted((message.body for message in process.endpoint.got), key=len)
             assert bodies == [b"sum", b"album" * 20_000]
             for name in ("keyed", "unsafe"):
                 assert (await driver.receipt(write_ids[name])).state is WriteState.DONE
@@ -66,39 +67,39 @@
 
 
 @pytest.mark.parametrize("version", VERSIONS)
-def test_the_consensus_folders_of_an_earlier_version_are_opened_and_agree_on(
+def test_consensus_folders_of_an_earlier_version_open_and_continue_to_agree(
     version: str, tmp_path: Path
 ) -> None:
-    before = told(f"consensus-{version}")
+    expected = expectations(f"consensus-{version}")
 
     async def main() -> None:
-        tier = Tier(3, 3, copy_of(f"consensus-{version}", tmp_path))
-        for me in range(3):
-            await tier.start(me, durable=True)
+        tier = Tier(3, 3, copy_fixture(f"consensus-{version}", tmp_path))
+        for replica in range(3):
+            await tier.start(replica, durable=True)
         await tier.replicate(b"after")
-        assert [tier.nodes[me].incarnation for me in range(3)] == before["incarnations"]
-        for record in tier.state_machines.values():
-            entries = [one for one in record.applied if one]
-            assert entries == [*(one.encode() for one in before["entries"]), b"after"]
+        assert [tier.nodes[replica].incarnation for replica in range(3)] == expected["incarnations"]
+        for state_machine in tier.state_machines.values():
+            entries = [entry for entry in state_machine.applied if entry]
+            assert entries == [*(entry.encode() for entry in expected["entries"]), b"after"]
         await tier.stop()
         assert not tier.log_lines
 
     run(main())
 
 
-def test_a_request_journal_of_136a9fe_is_opened_and_answers_from_its_records(tmp_path: Path) -> None:
-    before = told("request-journal-136a9fe")
-    journal_class = replace(ORDER, retention_ms=before["retention_ms"])
+def test_a_request_journal_of_version_136a9fe_opens_and_answers_from_its_records(tmp_path: Path) -> None:
+    expected = expectations("request-journal-136a9fe")
+    journal_class = replace(ORDER, retention_ms=expected["retention_ms"])
 
     async def main() -> None:
-        folder = copy_of("request-journal-136a9fe", tmp_path)
+        folder = copy_fixture("request-journal-136a9fe", tmp_path)
         async with (
             Endpoint() as endpoint,
             client_with_journal(folder, endpoint, settings=journal_class) as client,
         ):
             answered = await client.send(pay("answered"))
             assert said(answered) == AGAIN
-            assert answered.body.decode() == before["answered"]
+            assert answered.body.decode() == expected["answered"]
             assert said(await client.send(pay("unanswered"))) == MAY_HAVE_RUN
             assert said(await client.send(pay("new"))) == SERVED
             assert endpoint.count == 1
--- a/tests/test_outbox_store.py
+++ b/tests/test_outbox_store.py
@@ -1,4 +1,5 @@
-"""The store of kept writes under its contract: on a folder, and on a disk that loses power."""
+"""The store of queued writes: its contract, on a folder and on a simulated disk that loses power, and cases
+that the contract does not cover."""
 
 from __future__ import annotations
 
@@ -22,50 +23,52 @@
 
 pytestmark = once
 
-MOST = 64 << 20
+MAX_BYTES = 64 << 20
 NO_SPACE = OSError(errno.ENOSPC, "No space left on device")
 
 
-class OnFolder:
-    """A crash is a copy of the folder as it stands: the process is killed, the machine runs on."""
+class FolderIncarnations:
+    """Stores on a folder. A crash copies the folder: the process dies, the machine runs on."""
 
     def __init__(self, root: Path) -> None:
         self.root = root
-        self.lives = 0
-        self.disk = Broken(root / "0")
+        self.crashes = 0
+        self.disk = BreakableDisk(root / "0")
         self.store: QueueStore
-        self.left: list[QueueStore] = []
+        self.abandoned: list[QueueStore] = []
 
     async def open(self) -> None:
-        self.store = await QueueStore.open(self.disk, MOST)
+        self.store = await QueueStore.open(self.disk, MAX_BYTES)
 
     async def restart(self) -> None:
         await self.store.close()
-        self.disk = Broken(self.disk.folder)
+        self.disk = BreakableDisk(self.disk.folder)
         await self.open()
 
     async def crash(self) -> None:
-        self.lives += 1
-        folder = self.root / str(self.lives)
+        self.crashes += 1
+        folder = self.root / str(self.crashes)
         shutil.copytree(self.disk.folder, folder)
-        self.left.append(self.store)
-        self.disk = Broken(folder)
+        self.abandoned.append(self.store)
+        self.disk = BreakableDisk(folder)
         await self.open()
 
     def fail_writes(self) -> None:
-        self.disk.broken = True
+        self.disk.is_full = True
 
 
-class Broken(FolderDisk):
-    broken = False
+class BreakableDisk(FolderDisk):
+    """A folder that has no space left while `is_full`."""
+
+    is_full = False
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        if self.broken:
+        if self.is_full:
             raise NO_SPACE
         super().write(name, offset, data)
 
     def create(self, name: str, data: bytes) -> None:
-        if self.broken:
+        if self.is_full:
             raise NO_SPACE
         super().create(name, data)
 
@@ -74,24 +77,24 @@
     @contextlib.asynccontextmanager
     async def incarnations(self) -> AsyncIterator[WriteStoreIncarnations]:
         with tempfile.TemporaryDirectory() as folder:
-            found = OnFolder(Path(folder))
-            await found.open()
+            harness = FolderIncarnations(Path(folder))
+            await harness.open()
             try:
-                yield found
+                yield harness
             finally:
-                for store in (*found.left, found.store):
+                for store in (*harness.abandoned, harness.store):
                     await store.close()
 
 
-class OnSimulated:
-    def __init__(self, draw: random.Random | None) -> None:
-        self.draw = draw
+class SimulatedDiskIncarnations:
+    def __init__(self, rng: random.Random | None) -> None:
+        self.rng = rng
         self.disk = SimulatedDisk()
         self.store: QueueStore
-        self.left: list[QueueStore] = []
+        self.abandoned: list[QueueStore] = []
 
     async def open(self) -> None:
-        self.store = await QueueStore.open(self.disk, MOST)
+        self.store = await QueueStore.open(self.disk, MAX_BYTES)
 
     async def restart(self) -> None:
         await self.store.close()
@@ -99,8 +102,8 @@
         await self.open()
 
     async def crash(self) -> None:
-        self.left.append(self.store)
-        self.disk = self.disk.lose_power(self.draw)
+        self.abandoned.append(self.store)
+        self.disk = self.disk.lose_power(self.rng)
         await self.open()
 
     def fail_writes(self) -> None:
@@ -109,118 +112,124 @@
 
 
 class TestOnASimulatedDisk(WriteStoreContract):
-    """Loses all that was not synced."""
+    """A power loss drops all that was not synced; with `rng`, a random part of it."""
 
-    draw: random.Random | None = None
+    rng: random.Random | None = None
 
     @contextlib.asynccontextmanager
     async def incarnations(self) -> AsyncIterator[WriteStoreIncarnations]:
-        found = OnSimulated(self.draw)
-        await found.open()
+        harness = SimulatedDiskIncarnations(self.rng)
+        await harness.open()
         try:
-            yield found
+            yield harness
         finally:
-            for store in (*found.left, found.store):
+            for store in (*harness.abandoned, harness.store):
                 await store.close()
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_on_a_disk_that_loses_parts(seed: int) -> None:
-    class Parts(TestOnASimulatedDisk):
-        draw = random.Random(seed)
+def test_contract_on_a_disk_that_loses_random_parts(seed: int) -> None:
+    class LosesRandomParts(TestOnASimulatedDisk):
+        rng = random.Random(seed)
 
-    assert Parts().failures() == {}
+    assert LosesRandomParts().failures() == {}
 
 
-# --- What the contract does not ask -------------------------------------------------------
+# --- Beyond the contract ------------------------------------------------------------------
 
 
-def test_every_byte_of_the_log_cut_leaves_all_of_a_write_or_nothing() -> None:
+def test_a_log_cut_at_any_byte_leaves_each_write_whole_or_missing() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
-        store = await QueueStore.open(disk, MOST)
+        store = await QueueStore.open(disk, MAX_BYTES)
         await store.load()
         written = [write_with_body(1, 40), write_with_body(2, 0)]
-        for one in written:
-            await store.put_write(*one)
+        for write_and_body in written:
+            await store.put_write(*write_and_body)
         await store.close()
-        name = max(disk.files(), key=lambda one: disk.files()[one])
+        name = max(disk.files(), key=lambda file: disk.files()[file])
         data = disk.read(name)
         end = len(data.rstrip(b"\0"))
         for size in range(end + 1):
-            found = await _cut(disk, name, data[:size])
-            if found is not None:  # else the store says that it is damaged
+            found = await _writes_after_cut(disk, name, data[:size])
+            if found is not None:  # None: the store reports that it is damaged
                 assert found in ([], written[:1], written), f"at byte {size}"
-        assert await _cut(disk, name, data) == written
+        assert await _writes_after_cut(disk, name, data) == written
 
     asyncio.run(main())
 
 
-async def _cut(disk: SimulatedDisk, name: str, data: bytes) -> list[tuple[QueuedWrite, bytes]] | None:
+async def _writes_after_cut(
+    disk: SimulatedDisk, name: str, data: bytes
+) -> list[tuple[QueuedWrite, bytes]] | None:
     copy = SimulatedDisk()
-    for one in disk.files():
-        copy.create(one, data if one == name else disk.read(one))
+    for file in disk.files():
+        copy.create(file, data if file == name else disk.read(file))
     copy.sync_folder()
     try:
-        store = await QueueStore.open(copy, MOST)
+        store = await QueueStore.open(copy, MAX_BYTES)
     except Exception as error:
         assert type(error).__name__ == "StoreError"
         return None
-    found = [await store.read(one.write_id) for one, _ in (await store.load()).writes]
+    found = [await store.read(write.write_id) for write, _ in (await store.load()).writes]
     await store.close()
-    return [one for one in found if one is not None]
+    return [write_and_body for write_and_body in found if write_and_body is not None]
 
 
-def test_a_body_that_meets_a_full_disk_leaves_nothing_and_says_whether_that_is_certain() -> None:
+def test_a_failed_write_leaves_nothing_and_says_whether_it_may_be_found_later() -> None:
     async def main() -> None:
         disk: Disk = SimulatedDisk()
-        store = await QueueStore.open(disk, MOST)
+        store = await QueueStore.open(disk, MAX_BYTES)
         await store.load()
         assert isinstance(disk, SimulatedDisk)
         disk.fail("write", NO_SPACE)
         with pytest.raises(FailedToKeepError) as caught:
             await store.put_write(*write_with_body(1, 3 << 20))
-        assert not caught.value.is_known_absent, "a later life might find what was begun"
+        assert not caught.value.is_known_absent, "a later incarnation might find the write"
         assert await store.read(write_with_body(1, 0)[0].write_id) is None
         await store.close()
-        again = await QueueStore.open(disk, MOST)
-        assert (await again.load()).writes == []
-        assert [key for key in again.store.index.locations if key[:1] == b"p"] == []
-        await again.close()
+        reopened = await QueueStore.open(disk, MAX_BYTES)
+        assert (await reopened.load()).writes == []
+        assert [key for key in reopened.store.index.locations if key[:1] == b"p"] == []
+        await reopened.close()
 
     asyncio.run(main())
 
 
-def test_each_life_has_an_incarnation_and_the_secret_stays() -> None:
+def test_each_opening_draws_an_incarnation_and_the_secret_stays() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
-        found = []
+        openings = []
         for _ in range(2):
-            store = await QueueStore.open(disk, MOST)
-            found.append((store.incarnation, await store.secret()))
+            store = await QueueStore.open(disk, MAX_BYTES)
+            openings.append((store.incarnation, await store.secret()))
             await store.close()
-        assert found[0][0] != found[1][0] and found[0][1] == found[1][1] and len(found[0][1]) >= 16
+        assert (
+            openings[0][0] != openings[1][0]
+            and openings[0][1] == openings[1][1]
+            and len(openings[0][1]) >= 16
+        )
 
     asyncio.run(main())
 
 
-def test_a_body_that_a_crash_left_behind_its_final_state_goes_in_the_next_life(
+def test_a_body_left_after_a_final_state_is_deleted_when_the_store_is_next_opened(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
         disk = SimulatedDisk()
-        store = await QueueStore.open(disk, MOST)
+        store = await QueueStore.open(disk, MAX_BYTES)
         await store.load()
         await store.put_write(*write_with_body(1, 100_000))
         await store.put_state(StateChange(write_with_body(1, 0)[0].write_id, WriteState.DONE))
-        await store.close()  # before its body went
+        await store.close()  # before the body was deleted
         monkeypatch.setattr("laurelstep.outbox.queue_store.BODY_DELETION_DELAY_S", 0.0)
-        again = await QueueStore.open(disk, MOST)
-        await again.load()
-        if again._body_deletion is not None:
-            await again._body_deletion
-        await again.close()
-        third = await QueueStore.open(disk, MOST)
+        reopened = await QueueStore.open(disk, MAX_BYTES)
+        await reopened.load()
+        if reopened._body_deletion is not None:
+            await reopened._body_deletion
+        await reopened.close()
+        third = await QueueStore.open(disk, MAX_BYTES)
         size = len((await third.store.get(key_of(b"k", write_with_body(1, 0)[0].write_id))) or b"")
         assert 0 < size < 1_000 and not [key for key in third.store.index.locations if key[:1] == b"p"]
         await third.close()
@@ -228,20 +237,20 @@
     asyncio.run(main())
 
 
-def test_a_body_that_could_not_be_read_as_it_was_to_go_goes_later(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_body_that_could_not_be_read_for_deletion_is_deleted_later(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("laurelstep.outbox.queue_store.BODY_DELETION_DELAY_S", 0.0)
 
     async def main() -> None:
         disk = SimulatedDisk()
-        store = await QueueStore.open(disk, MOST)
+        store = await QueueStore.open(disk, MAX_BYTES)
         await store.load()
-        some, failed = store.store.some, 0
+        some, reads = store.store.some, 0
 
         def fail_once(keys: Iterable[bytes]) -> AsyncIterator[tuple[bytes, bytes]]:
-            nonlocal failed
-            failed += 1
-            if failed == 1:
-                raise StoreError("a segment that is no more")
+            nonlocal reads
+            reads += 1
+            if reads == 1:
+                raise StoreError("the segment was deleted")
             return some(keys)
 
         monkeypatch.setattr(store.store, "some", fail_once)
@@ -251,19 +260,19 @@
         while store._body_deletion is not None:
             await asyncio.sleep(0)
         await store.close()
-        again = await QueueStore.open(disk, MOST)
-        assert failed > 1 and not [key for key in again.store.index.locations if key[:1] == b"p"]
-        await again.close()
+        reopened = await QueueStore.open(disk, MAX_BYTES)
+        assert reads > 1 and not [key for key in reopened.store.index.locations if key[:1] == b"p"]
+        await reopened.close()
 
     asyncio.run(main())
 
 
-def test_a_write_forgotten_while_its_body_goes_does_not_come_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_write_deleted_during_its_body_deletion_does_not_return(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("laurelstep.outbox.queue_store.BODY_DELETION_DELAY_S", 0.0)
 
     async def main(turns: int) -> None:
         disk = SimulatedDisk()
-        store = await QueueStore.open(disk, MOST)
+        store = await QueueStore.open(disk, MAX_BYTES)
         await store.load()
         write, body = write_with_body(1, 1_000)
         await store.put_write(write, body)
@@ -274,9 +283,9 @@
         if store._body_deletion is not None:
             await store._body_deletion
         await store.close()
-        again = await QueueStore.open(disk, MOST)
-        assert (await again.load()).writes == []
-        await again.close()
+        reopened = await QueueStore.open(disk, MAX_BYTES)
+        assert (await reopened.load()).writes == []
+        await reopened.close()
 
     for turns in range(12):
         asyncio.run(main(turns))
