--- a/laurelstep/outbox/replay_driver.py
+++ b/laurelstep/outbox/replay_driver.py
@@ -29,7 +29,7 @@
 REPLAY_INTERVAL_US: Final = 1_000_000
 # Delay before a state that could not be stored after a replay is stored again.
 STATE_RETRY_S: Final = 1.0
-UNPARKED: Final = (WriteEvent.NEVER_RAN, WriteEvent.UNFENCED)
+UNPARKING_EVENTS: Final = (WriteEvent.NEVER_RAN, WriteEvent.UNFENCED)
 
 
 class ReplayDriver(DriverState):
@@ -165,7 +165,7 @@
             self.sharing.on_step_durable(change)
         may_send = self.outbox.apply(change, self.now())
         state = change.state_change.state
-        if self.status_publisher is not None and (state is WriteState.PARKED or change.event in UNPARKED):
+        if self.status_publisher is not None and (state is WriteState.PARKED or change.event in UNPARKING_EVENTS):
             self.status_publisher.publish(
                 change.write_id, WriteStatus.PARKED if state is WriteState.PARKED else WriteStatus.UNKNOWN
             )
--- a/tests/faulty_outbox.py
+++ b/tests/faulty_outbox.py
@@ -1,5 +1,7 @@
-"""The program with a fault in its outbox, which a checker must find: `python -m tests.faulty_outbox FAULT
-run ...`."""
+"""Runs the program with a fault in its outbox, which the checker of a test has to find.
+
+Usage: `python -m tests.faulty_outbox FAULT run ...`. `FAULTS` has the faults by name.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +21,7 @@
 
 
 def forgets() -> None:
-    """What earlier lives kept."""
+    """Ignore the writes that earlier incarnations queued."""
     real = Outbox.restore
 
     def restore(self: Outbox, writes: Any, *more: Any, **options: Any) -> list[Transition]:
@@ -29,7 +31,7 @@
 
 
 def sends_again() -> None:
-    """An unsafe write whose answer was lost."""
+    """Replay an unsafe write again after its answer was lost."""
     real = Outbox.on_replay_end
 
     def on_replay_end(self: Outbox, write_id: WriteId, end: ReplayResult, *more: Any) -> Transition:
@@ -39,61 +41,76 @@
 
 
 def goes_first() -> None:
-    """What came last, whatever it follows."""
+    """Replay the newest write first, without regard to its dependencies."""
     real = Outbox.offer
 
-    def offer(self: Outbox, one: WriteOffer, *more: Any) -> WriteTicket:
-        return real(self, alone(one), *more)
+    def offer(self: Outbox, write: WriteOffer, *more: Any) -> WriteTicket:
+        return real(self, without_dependencies(write), *more)
 
-    def alone(one: WriteOffer) -> WriteOffer:
+    def without_dependencies(write: WriteOffer) -> WriteOffer:
         return WriteOffer(
-            one.cls, one.method_and_target, one.headers, one.size, one.digest, one.key, tenant=one.tenant
+            write.cls,
+            write.method_and_target,
+            write.headers,
+            write.size,
+            write.digest,
+            write.key,
+            tenant=write.tenant,
         )
 
     Outbox.offer = offer  # type: ignore[method-assign,assignment]
     replay_queue.ReplayQueue.next = lambda self: self._ready.pop()  # type: ignore[method-assign]
 
 
-def _replays(change: Callable[[QueuedWrite, bytes], tuple[QueuedWrite, bytes]]) -> None:
+def _change_replays(change: Callable[[QueuedWrite, bytes], tuple[QueuedWrite, bytes]]) -> None:
     real = OutboxDriver.replay_call
 
-    def call(self: OutboxDriver, write: QueuedWrite, body: bytes, *more: Any) -> Call:
+    def replay_call(self: OutboxDriver, write: QueuedWrite, body: bytes, *more: Any) -> Call:
         return real(self, *change(write, body), *more)
 
-    OutboxDriver.replay_call = call  # type: ignore[method-assign,assignment]
+    OutboxDriver.replay_call = replay_call  # type: ignore[method-assign,assignment]
 
 
 def drops_the_key() -> None:
+    """Replay writes without their idempotency keys."""
+
     def change(write: QueuedWrite, body: bytes) -> tuple[QueuedWrite, bytes]:
-        headers = tuple(one for one in write.headers if one[0] != b"idempotency-key")
+        headers = tuple(header for header in write.headers if header[0] != b"idempotency-key")
         return msgspec.structs.replace(write, headers=headers), body
 
-    _replays(change)
+    _change_replays(change)
 
 
 def garbles_the_body() -> None:
-    _replays(lambda write, body: (write, bytes(len(body))))
+    """Replay writes with zeros instead of their bodies."""
+    _change_replays(lambda write, body: (write, bytes(len(body))))
 
 
 def refuses_what_it_keeps() -> None:
+    """Answer 503 for writes that are queued."""
     OutboxDriver._accepted_answer = lambda self, write_id: Answer(Ending.REFUSED, 503)  # type: ignore[method-assign]
 
 
 def sends_nothing() -> None:
-    async def send(self: OutboxDriver, write_id: WriteId, *more: Any) -> None:
+    """Record writes as done without sending them."""
+
+    async def finish_unsent(self: OutboxDriver, write_id: WriteId, *more: Any) -> None:
         await self._end(write_id, ReplayResult.ANSWERED, Answer(Ending.SERVED, 200))
 
-    OutboxDriver._send = send  # type: ignore[method-assign,assignment]
+    OutboxDriver._send = finish_unsent  # type: ignore[method-assign,assignment]
 
 
 def tells_no_reason() -> None:
-    def told(receipt: WriteReceipt) -> bytes:
+    """Leave the reason out of the receipts of parked writes."""
+
+    def encode_without_reason(receipt: WriteReceipt) -> bytes:
         return msgspec.json.encode({**msgspec.json.decode(encode_receipt(receipt)), "reason": ""})
 
-    driver.encode_receipt = told  # type: ignore[attr-defined]
+    driver.encode_receipt = encode_without_reason  # type: ignore[attr-defined]
 
 
 def runs_what_is_given_up() -> None:
+    """Replay parked writes that an operator gave up."""
     real = OutboxDriver.resolve
 
     def resolve(self: OutboxDriver, text: str, parking: int, resolution: Resolution) -> bool:
@@ -103,8 +120,8 @@
 
 
 FAULTS = {
-    one.__name__: one
-    for one in (
+    fault.__name__: fault
+    for fault in (
         forgets, sends_again, goes_first, drops_the_key, garbles_the_body, refuses_what_it_keeps,
         sends_nothing, tells_no_reason, runs_what_is_given_up,
     )
@@ -113,9 +130,9 @@
 
 def main() -> int:
     FAULTS[sys.argv[1]]()
-    from laurelstep.__main__ import main as program
+    from laurelstep.__main__ import main as run_program
 
-    return program(sys.argv[2:])
+    return run_program(sys.argv[2:])
 
 
 if __name__ == "__main__":
--- a/tests/test_outbox_daemon.py
+++ b/tests/test_outbox_daemon.py
@@ -1,5 +1,7 @@
-"""Writes kept by the daemon over loopback sockets: its link goes down and comes back, it is killed and
-started again, and the stand-ins beyond it count what took effect, in which order."""
+"""Writes queued by a daemon, over loopback sockets, while its link fails and the daemon restarts.
+
+The stand-in endpoints record which writes took effect, and in which order.
+"""
 
 from __future__ import annotations
 
@@ -80,16 +82,16 @@
         raise AssertionError(await self.end())
 
     async def end(self, number: signal.Signals = signal.SIGKILL) -> str:
-        """Its log."""
+        """End the process with a signal; its log."""
         assert self.process is not None
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(number)
-        _, told = await self.process.communicate()
-        return told.decode()
+        _, log = await self.process.communicate()
+        return log.decode()
 
-    async def exchange(self, words: str, headers: str = "", body: bytes = b"", port: int = 0) -> Message:
+    async def exchange(self, request: str, headers: str = "", body: bytes = b"", port: int = 0) -> Message:
         reader, writer = await asyncio.open_connection("127.0.0.1", port or self.port)
-        writer.write(f"{words} HTTP/1.1\r\nHost: x\r\n{headers}\r\n".encode() + body)
+        writer.write(f"{request} HTTP/1.1\r\nHost: x\r\n{headers}\r\n".encode() + body)
         try:
             return await read_message(reader)
         finally:
@@ -99,248 +101,250 @@
         self, cls: str, name: str, body: bytes = b"", headers: str = "", query: str = ""
     ) -> Message:
         key = f"Idempotency-Key: k-{name}\r\n" if cls == "put" else ""
-        told = f"X-Request-Id: {name}\r\nX-Class: {cls}\r\nContent-Length: {len(body)}\r\n{key}{headers}"
-        return await self.exchange(f"POST /{cls}", told, body)
+        fields = f"X-Request-Id: {name}\r\nX-Class: {cls}\r\nContent-Length: {len(body)}\r\n{key}{headers}"
+        return await self.exchange(f"POST /{cls}", fields, body)
 
-    async def receipt(self, kept: Message) -> Any:
-        told = await self.exchange(f"GET {kept.headers['location']}")
-        assert told.status == 200, told.body
-        return json.loads(told.body)
+    async def receipt(self, accepted: Message) -> Any:
+        answer = await self.exchange(f"GET {accepted.headers['location']}")
+        assert answer.status == 200, answer.body
+        return json.loads(answer.body)
 
-    async def until(self, kept: Message, state: str) -> Any:
-        while (found := await self.receipt(kept))["state"] != state:
+    async def until(self, accepted: Message, state: str) -> Any:
+        while (receipt := await self.receipt(accepted))["state"] != state:
             await asyncio.sleep(0)
-        return found
+        return receipt
 
-    async def manage(self, words: str) -> tuple[int, Any]:
-        told = await self.exchange(words, port=self.management)
-        return told.status, json.loads(told.body)
+    async def manage(self, request: str) -> tuple[int, Any]:
+        answer = await self.exchange(request, port=self.management)
+        return answer.status, json.loads(answer.body)
 
     @property
     def ran(self) -> list[str]:
-        """What took effect, in its order."""
+        """Request ids of the writes that took effect, in their order."""
         return list(self.endpoint.effects.by_id)
 
 
 @contextlib.asynccontextmanager
 async def edge(folder: Path, more: str = "", up: bool = False) -> AsyncIterator[Edge]:
-    """Its link is down at first."""
+    """A running daemon with an outbox. Its link is down at first, unless `up`."""
     endpoint, registry = Endpoint(), Registry()
     async with contextlib.AsyncExitStack() as stack, asyncio.timeout(TEST_TIMEOUT_S):
         listener = await registry.start()
         stack.callback(listener.close)
         await stack.enter_async_context(endpoint)
-        found = Edge(folder, endpoint, registry, more)
+        daemon = Edge(folder, endpoint, registry, more)
         if not up:
             endpoint.stop()
-        await found.start()
+        await daemon.start()
         try:
-            yield found
+            yield daemon
         finally:
-            if found.process is not None and found.process.returncode is None:
-                await found.end()
+            if daemon.process is not None and daemon.process.returncode is None:
+                await daemon.end()
 
 
-def token(kept: Message) -> str:
-    assert kept.status == 202, (kept.status, kept.body)
-    return kept.headers["x-causal-token"]
+def token(accepted: Message) -> str:
+    assert accepted.status == 202, (accepted.status, accepted.body)
+    return accepted.headers["x-causal-token"]
 
 
-def test_what_was_kept_is_replayed_once_in_order_after_a_kill(tmp_path: Path) -> None:
+def test_queued_writes_are_replayed_once_in_order_after_a_kill(tmp_path: Path) -> None:
     async def main() -> None:
-        async with edge(tmp_path) as one:
-            album = await one.write("put", "album", b"wedding")
+        async with edge(tmp_path) as daemon:
+            album = await daemon.write("put", "album", b"wedding")
             photos = [
-                await one.write("put", f"photo-{n}", bytes([n]) * 100_000, f"X-Follows: {token(album)}\r\n")
+                await daemon.write(
+                    "put", f"photo-{n}", bytes([n]) * 100_000, f"X-Follows: {token(album)}\r\n"
+                )
                 for n in range(3)
             ]
-            named = ", ".join(map(token, photos))
-            order = await one.write("pay", "order", b"print", f"X-Causal-Token: {named}\r\n")
-            assert (await one.receipt(order))["state"] == "kept"
-            await one.end()
-            await one.start()
-            assert (await one.receipt(order))["state"] == "kept"
-            await one.endpoint.restart(0)
-            done = await one.until(order, "done")
+            tokens = ", ".join(map(token, photos))
+            order = await daemon.write("pay", "order", b"print", f"X-Causal-Token: {tokens}\r\n")
+            assert (await daemon.receipt(order))["state"] == "kept"
+            await daemon.end()
+            await daemon.start()
+            assert (await daemon.receipt(order))["state"] == "kept"
+            await daemon.endpoint.restart(0)
+            done = await daemon.until(order, "done")
             assert (done["status"], done["body"]) == (200, "ok")
-            assert one.ran[0] == "album" and one.ran[-1] == "order" and len(one.ran) == 5
-            assert not one.endpoint.effects.twice() and one.endpoint.effects.dropped == 0
-            got = {message.headers["x-request-id"]: message.body for message in one.endpoint.got}
+            assert daemon.ran[0] == "album" and daemon.ran[-1] == "order" and len(daemon.ran) == 5
+            assert not daemon.endpoint.effects.twice() and daemon.endpoint.effects.dropped == 0
+            got = {message.headers["x-request-id"]: message.body for message in daemon.endpoint.got}
             assert got["photo-2"] == b"\x02" * 100_000 and got["album"] == b"wedding"
-            await one.end()
-            await one.start()
-            assert (await one.until(album, "done"))["status"] == 200
-            assert len(one.ran) == 5
+            await daemon.end()
+            await daemon.start()
+            assert (await daemon.until(album, "done"))["status"] == 200
+            assert len(daemon.ran) == 5
 
     run(main())
 
 
-def test_an_attempt_that_may_have_run_is_never_kept(tmp_path: Path) -> None:
+def test_a_write_whose_attempt_may_have_run_is_not_queued(tmp_path: Path) -> None:
     async def main() -> None:
-        async with edge(tmp_path, up=True) as one:
-            one.endpoint.handler = reset()
-            assert (await one.write("pay", "order")).status == 502
-            assert one.ran == ["order"]
-            _, told = await one.manage("GET /api/outbox")
-            assert told["kept"] == 0
-            one.endpoint.stop()
-            kept = await one.write("pay", "another")
-            await one.endpoint.restart(0)
-            one.endpoint.handler = serve()
-            await one.until(kept, "done")
-            assert one.ran == ["order", "another"] and not one.endpoint.effects.twice()
+        async with edge(tmp_path, up=True) as daemon:
+            daemon.endpoint.handler = reset()
+            assert (await daemon.write("pay", "order")).status == 502
+            assert daemon.ran == ["order"]
+            _, status = await daemon.manage("GET /api/outbox")
+            assert status["kept"] == 0
+            daemon.endpoint.stop()
+            queued = await daemon.write("pay", "another")
+            await daemon.endpoint.restart(0)
+            daemon.endpoint.handler = serve()
+            await daemon.until(queued, "done")
+            assert daemon.ran == ["order", "another"] and not daemon.endpoint.effects.twice()
 
     run(main())
 
 
-def test_a_reply_that_is_lost_after_the_effect_of_a_keyed_write(tmp_path: Path) -> None:
+def test_a_keyed_write_whose_answer_is_lost_is_replayed_again(tmp_path: Path) -> None:
     async def main() -> None:
-        async with edge(tmp_path) as one:
-            kept = await one.write("put", "photo")
-            one.endpoint.handler = in_turn(*[reset()] * 3, serve())
-            await one.endpoint.restart(0)
-            await one.until(kept, "done")
-            assert one.ran == ["photo"] and one.endpoint.effects.dropped >= 1
+        async with edge(tmp_path) as daemon:
+            queued = await daemon.write("put", "photo")
+            daemon.endpoint.handler = in_turn(*[reset()] * 3, serve())
+            await daemon.endpoint.restart(0)
+            await daemon.until(queued, "done")
+            assert daemon.ran == ["photo"] and daemon.endpoint.effects.dropped >= 1
 
     run(main())
 
 
-def test_an_unsafe_write_out_at_a_kill_is_parked_until_an_operator_knows(tmp_path: Path) -> None:
+def test_an_unsafe_write_in_flight_at_a_kill_is_parked_until_an_operator_resolves_it(tmp_path: Path) -> None:
     async def main() -> None:
-        async with edge(tmp_path) as one:
-            order = await one.write("pay", "order")
-            mail = await one.write("put", "mail", b"", f"X-Follows: {token(order)}\r\n")
-            album = await one.write("put", "album")
-            one.endpoint.handler = by_id(order=stall())
-            await one.endpoint.restart(0)
-            while "order" not in one.ran:
+        async with edge(tmp_path) as daemon:
+            order = await daemon.write("pay", "order")
+            mail = await daemon.write("put", "mail", b"", f"X-Follows: {token(order)}\r\n")
+            album = await daemon.write("put", "album")
+            daemon.endpoint.handler = by_id(order=stall())
+            await daemon.endpoint.restart(0)
+            while "order" not in daemon.ran:
                 await asyncio.sleep(0)
-            await one.end()
-            one.endpoint.handler = serve()
-            await one.start()
-            parked = await one.until(order, "parked")
+            await daemon.end()
+            daemon.endpoint.handler = serve()
+            await daemon.start()
+            parked = await daemon.until(order, "parked")
             assert (
                 parked["verdicts"] == ["ran", "never_ran", "give_up"]
                 and "answer was lost" in parked["reason"]
             )
-            await one.until(album, "done")
-            behind = await one.receipt(mail)
+            await daemon.until(album, "done")
+            behind = await daemon.receipt(mail)
             assert (behind["state"], behind["behind"]) == ("parked", parked["write"])
-            status, told = await one.manage("GET /api/outbox")
-            assert status == 200 and [each["write"] for each in told["writes"]] == [parked["write"]]
+            status, listed = await daemon.manage("GET /api/outbox")
+            assert status == 200 and [write["write"] for write in listed["writes"]] == [parked["write"]]
             judge = f"POST /api/outbox/judge?write={parked['write']}&parking=1&verdict="
-            assert (await one.manage(judge + "perhaps"))[0] == 400
-            assert (await one.manage(judge.replace("parking=1", "parking=2") + "ran"))[0] == 409
-            assert (await one.manage(judge + "ran"))[0] == 202
-            await one.until(order, "done")
-            assert (await one.manage(judge + "ran"))[0] == 200
-            assert (await one.manage(judge + "give_up"))[0] == 409
-            await one.until(mail, "done")
-            assert one.ran == ["order", "album", "mail"] and not one.endpoint.effects.twice()
+            assert (await daemon.manage(judge + "perhaps"))[0] == 400
+            assert (await daemon.manage(judge.replace("parking=1", "parking=2") + "ran"))[0] == 409
+            assert (await daemon.manage(judge + "ran"))[0] == 202
+            await daemon.until(order, "done")
+            assert (await daemon.manage(judge + "ran"))[0] == 200
+            assert (await daemon.manage(judge + "give_up"))[0] == 409
+            await daemon.until(mail, "done")
+            assert daemon.ran == ["order", "album", "mail"] and not daemon.endpoint.effects.twice()
 
     run(main())
 
 
 def by_id(**scripts: Handler) -> Handler:
-    """A script for some of the requests; the others are served."""
-    other = serve()
+    """Handle the requests with the given ids by a script each; serve all others."""
+    default = serve()
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        await scripts.get(message.headers["x-request-id"], other)(endpoint, message, writer)
+        await scripts.get(message.headers["x-request-id"], default)(endpoint, message, writer)
 
     return handler
 
 
-def test_a_live_write_of_a_session_does_not_overtake_what_is_kept_of_it(tmp_path: Path) -> None:
+def test_a_live_write_does_not_overtake_queued_writes_of_its_session(tmp_path: Path) -> None:
     async def main() -> None:
-        async with edge(tmp_path) as one:
+        async with edge(tmp_path) as daemon:
             gate = asyncio.Event()
             session = "X-Session: anna\r\n"
-            album = await one.write("put", "album", b"", session)
-            one.endpoint.handler = by_id(album=after(gate, serve()))
-            await one.endpoint.restart(0)
-            await one.endpoint.arrived.acquire()  # it is on its way
-            photo = await one.write("put", "photo", b"", session)
-            about = await one.write("pay", "about", b"", f"X-Follows: {token(photo)}\r\n")
-            other = await one.write("put", "other")
+            album = await daemon.write("put", "album", b"", session)
+            daemon.endpoint.handler = by_id(album=after(gate, serve()))
+            await daemon.endpoint.restart(0)
+            await daemon.endpoint.arrived.acquire()  # its replay is in flight
+            photo = await daemon.write("put", "photo", b"", session)
+            about = await daemon.write("pay", "about", b"", f"X-Follows: {token(photo)}\r\n")
+            other = await daemon.write("put", "other")
             assert (photo.status, about.status, other.status) == (202, 202, 200)
             gate.set()
-            await one.until(about, "done")
-            assert one.ran == ["other", "album", "photo", "about"]
-            assert (await one.receipt(album))["state"] == "done"
-            assert (await one.write("put", "last", b"", session)).status == 200
+            await daemon.until(about, "done")
+            assert daemon.ran == ["other", "album", "photo", "about"]
+            assert (await daemon.receipt(album))["state"] == "done"
+            assert (await daemon.write("put", "last", b"", session)).status == 200
 
     run(main())
 
 
-def test_a_repeat_gets_the_receipt_of_the_first_try(tmp_path: Path) -> None:
+def test_a_repeat_gets_the_receipt_of_the_first_request(tmp_path: Path) -> None:
     async def main() -> None:
-        async with edge(tmp_path) as one:
-            first, again = await one.write("put", "photo", b"a"), await one.write("put", "photo", b"a")
-            assert token(first) == token(again)
-            assert (await one.write("put", "photo", b"b")).status == 422
-            await one.end()
-            await one.start()
-            assert token(await one.write("put", "photo", b"a")) == token(first)
-            await one.endpoint.restart(0)
-            await one.until(first, "done")
-            assert len(one.endpoint.got) == 1
+        async with edge(tmp_path) as daemon:
+            first, repeat = await daemon.write("put", "photo", b"a"), await daemon.write("put", "photo", b"a")
+            assert token(first) == token(repeat)
+            assert (await daemon.write("put", "photo", b"b")).status == 422
+            await daemon.end()
+            await daemon.start()
+            assert token(await daemon.write("put", "photo", b"a")) == token(first)
+            await daemon.endpoint.restart(0)
+            await daemon.until(first, "done")
+            assert len(daemon.endpoint.got) == 1
 
     run(main())
 
 
-def test_what_a_client_makes_up_is_refused_in_one_line(tmp_path: Path) -> None:
+def test_forged_tokens_and_cycles_are_rejected_with_one_line(tmp_path: Path) -> None:
     async def main() -> None:
-        async with edge(tmp_path) as one:
-            kept = await one.write("put", "photo")
-            forged = token(kept)[:-2] + "zz"
-            for headers in (f"X-Follows: {forged}", "X-Causal-Token: none", f"X-Follows: {token(kept)}é"):
-                found = await one.write("put", "other", b"", headers + "\r\n")
-                assert found.status == 400 and found.body.count(b"\n") == 1
-            circle = await one.write("put", "photo", b"", f"X-Follows: {token(kept)}\r\n")
-            assert circle.status == 400 and b"follow itself" in circle.body
-            assert (await one.exchange(f"GET /outbox/receipts/{forged}")).status == 400
-            assert (await one.exchange("GET /outbox/receipts/")).status == 400
-            assert (await one.exchange(f"POST {kept.headers['location']}")).status == 405
-            _, told = await one.manage("GET /api/outbox")
-            assert told["kept"] == 1
+        async with edge(tmp_path) as daemon:
+            queued = await daemon.write("put", "photo")
+            forged = token(queued)[:-2] + "zz"
+            for headers in (f"X-Follows: {forged}", "X-Causal-Token: none", f"X-Follows: {token(queued)}é"):
+                answer = await daemon.write("put", "other", b"", headers + "\r\n")
+                assert answer.status == 400 and answer.body.count(b"\n") == 1
+            cycle = await daemon.write("put", "photo", b"", f"X-Follows: {token(queued)}\r\n")
+            assert cycle.status == 400 and b"follow itself" in cycle.body
+            assert (await daemon.exchange(f"GET /outbox/receipts/{forged}")).status == 400
+            assert (await daemon.exchange("GET /outbox/receipts/")).status == 400
+            assert (await daemon.exchange(f"POST {queued.headers['location']}")).status == 405
+            _, status = await daemon.manage("GET /api/outbox")
+            assert status["kept"] == 1
 
     run(main())
 
 
-def test_what_the_bounds_do_not_let_in_gets_the_answer_that_it_would_have_had(tmp_path: Path) -> None:
+def test_a_write_over_a_bound_is_answered_as_without_an_outbox(tmp_path: Path) -> None:
     async def main() -> None:
-        async with edge(tmp_path, "most = 2\nshare = 1.0\nbody_mb = 1\nmax_mb = 1") as one:
-            assert (await one.write("put", "large", bytes((1 << 20) + 1))).status in (502, 503, 504)
-            first = await one.write("put", "first")
+        async with edge(tmp_path, "most = 2\nshare = 1.0\nbody_mb = 1\nmax_mb = 1") as daemon:
+            assert (await daemon.write("put", "large", bytes((1 << 20) + 1))).status in (502, 503, 504)
+            first = await daemon.write("put", "first")
             assert token(first)
-            assert token(await one.write("put", "second"))
-            third = await one.write("put", "third")
+            assert token(await daemon.write("put", "second"))
+            third = await daemon.write("put", "third")
             assert third.status in (502, 503, 504) and "location" not in third.headers
-            follows = await one.write("put", "fourth", b"", f"X-Follows: {token(first)}\r\n")
+            follows = await daemon.write("put", "fourth", b"", f"X-Follows: {token(first)}\r\n")
             assert follows.status == 503 and float(follows.headers["retry-after"]) > 0
-            await one.endpoint.restart(0)
-            await one.until(first, "done")
-            assert "third" not in one.ran and "large" not in one.ran
+            await daemon.endpoint.restart(0)
+            await daemon.until(first, "done")
+            assert "third" not in daemon.ran and "large" not in daemon.ran
 
     run(main())
 
 
-def test_a_full_disk_keeps_nothing_and_says_so(tmp_path: Path) -> None:
+def test_a_write_that_meets_a_full_disk_is_refused_and_never_runs(tmp_path: Path) -> None:
     async def main() -> None:
-        async with edge(tmp_path) as one:
-            before = await one.write("put", "before", bytes(100_000))
-            assert one.process is not None
-            fill_disk(one.process.pid)
-            refused = await one.write("put", "large", bytes(300_000))
+        async with edge(tmp_path) as daemon:
+            before = await daemon.write("put", "before", bytes(100_000))
+            assert daemon.process is not None
+            fill_disk(daemon.process.pid)
+            refused = await daemon.write("put", "large", bytes(300_000))
             assert refused.status in (502, 503, 504)
-            free_disk(one.process.pid)
-            await one.end()
-            await one.start()
-            await one.endpoint.restart(0)
-            await one.until(before, "done")
-            assert one.ran == ["before"]
-            got = {message.headers["x-request-id"]: message.body for message in one.endpoint.got}
+            free_disk(daemon.process.pid)
+            await daemon.end()
+            await daemon.start()
+            await daemon.endpoint.restart(0)
+            await daemon.until(before, "done")
+            assert daemon.ran == ["before"]
+            got = {message.headers["x-request-id"]: message.body for message in daemon.endpoint.got}
             assert got["before"] == bytes(100_000)
 
     run(main())
@@ -418,19 +422,19 @@
         ),
     ],
 )
-def test_bad_input_is_one_line_with_file_key_and_remedy(
+def test_invalid_settings_give_one_line_with_file_key_and_expected_value(
     tmp_path: Path, capfd: pytest.CaptureFixture[str], text: str, line: str
 ) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(DEPLOYMENT + text)
     assert command(["check", str(path)]) == 2
-    told = capfd.readouterr().err
-    assert told.count("\n") == 1 and f"{path}: {line}" in told
+    error = capfd.readouterr().err
+    assert error.count("\n") == 1 and f"{path}: {line}" in error
     path.write_text(DEPLOYMENT + ON + PUT)
     assert command(["check", str(path)]) == 0
 
 
-def test_a_start_with_bad_input_ends_with_the_same_line(tmp_path: Path) -> None:
+def test_a_daemon_with_invalid_settings_exits_with_that_line(tmp_path: Path) -> None:
     async def main() -> None:
         store = tmp_path / "file"
         store.write_text("")
@@ -441,37 +445,43 @@
             path = tmp_path / "operator.toml"
             path.write_text(DEPLOYMENT + ON.replace("/s/outbox", str(store)) + text)
             process = await start_daemon({**os.environ, "LB_OPERATOR": str(path), "LB_CONFIG": ""})
-            _, told = await process.communicate()
-            assert process.returncode == 2, told
-            assert told.decode().count("\n") == 1 and f"{path}: {line}" in told.decode()
+            _, log = await process.communicate()
+            assert process.returncode == 2, log
+            assert log.decode().count("\n") == 1 and f"{path}: {line}" in log.decode()
 
     run(main())
 
 
-def test_nothing_of_it_is_imported_where_it_is_off() -> None:
-    words = "import sys, laurelstep.__main__; print(*[name for name in sys.modules if 'outbox' in name])"
-    told = subprocess.run([sys.executable, "-c", words], check=True, capture_output=True, text=True).stdout
-    assert told.split() == []
+def test_no_outbox_module_is_imported_without_an_outbox() -> None:
+    program = "import sys, laurelstep.__main__; print(*[name for name in sys.modules if 'outbox' in name])"
+    output = subprocess.run(
+        [sys.executable, "-c", program], check=True, capture_output=True, text=True
+    ).stdout
+    assert output.split() == []
 
 
-def test_each_flap_of_the_link_keeps_or_serves_and_nothing_runs_twice(tmp_path: Path) -> None:
+def test_on_a_flapping_link_each_write_is_queued_or_served_and_none_runs_twice(tmp_path: Path) -> None:
     async def main() -> None:
-        async with edge(tmp_path, up=True) as one:
-            kept, served = [], []
+        async with edge(tmp_path, up=True) as daemon:
+            queued, served = [], []
             for n in range(12):
                 if n % 3 == 0:
-                    one.endpoint.stop()
+                    daemon.endpoint.stop()
                 elif n % 3 == 2:
-                    await one.endpoint.restart(0)
-                found = await one.write("pay", f"order-{n}", b"x", "X-Session: anna\r\n")
-                if found.status == 202:
-                    kept.append(found)
-                elif found.status == 200:
+                    await daemon.endpoint.restart(0)
+                answer = await daemon.write("pay", f"order-{n}", b"x", "X-Session: anna\r\n")
+                if answer.status == 202:
+                    queued.append(answer)
+                elif answer.status == 200:
                     served.append(n)
-            for each in kept:
-                await one.until(each, "done")
-            assert kept and len(one.ran) >= len(kept) + len(served) and not one.endpoint.effects.twice()
-            order = [int(name.removeprefix("order-")) for name in one.ran]
+            for accepted in queued:
+                await daemon.until(accepted, "done")
+            assert (
+                queued
+                and len(daemon.ran) >= len(queued) + len(served)
+                and not daemon.endpoint.effects.twice()
+            )
+            order = [int(name.removeprefix("order-")) for name in daemon.ran]
             assert order == sorted(order)
 
     run(main())
