--- a/laurelstep/outbox/replay_driver.py
+++ b/laurelstep/outbox/replay_driver.py
@@ -165,7 +165,9 @@
             self.sharing.on_step_durable(change)
         may_send = self.outbox.apply(change, self.now())
         state = change.state_change.state
-        if self.status_publisher is not None and (state is WriteState.PARKED or change.event in UNPARKING_EVENTS):
+        if self.status_publisher is not None and (
+            state is WriteState.PARKED or change.event in UNPARKING_EVENTS
+        ):
             self.status_publisher.publish(
                 change.write_id, WriteStatus.PARKED if state is WriteState.PARKED else WriteStatus.UNKNOWN
             )
