--- a/laurelstep/testing/processes/history_checks.py
+++ b/laurelstep/testing/processes/history_checks.py
@@ -2,9 +2,10 @@
 
 Each violation names the request or the endpoint, and the process:
 
-1. `unanswered`: a request has one final answer, unless its process was down while it was open, or was
-   told to stop before. A request that crosses the end of a kept connection while a successor takes over,
-   and that was forwarded to nobody, is its client's to retry. `answered twice`: it has no second answer.
+1. `unanswered`: a request has one final answer, unless its process was killed while it was open, or was
+   down or told to stop before. A process that ends by itself owes an answer to what it had open. A
+   request that crosses the end of a kept connection while a successor takes over, and that was forwarded
+   to nobody, is its client's to retry. `answered twice`: it has no second answer.
 2. `late`: the answer comes within the request's deadline and `lateness_us`; time for which its process
    was paused is not counted.
 3. `executed twice`: a keyed or unsafe request takes effect once, wherever it was forwarded.
@@ -115,6 +116,7 @@
 
     def __init__(self, process_events: Sequence[ProcessEvent]) -> None:
         ended = (ProcessPhase.KILLED, ProcessPhase.ENDED)
+        self.killed = _spans(process_events, (ProcessPhase.KILLED,), (ProcessPhase.READY,))
         self.down = _spans(process_events, ended, (ProcessPhase.READY,))
         self.stopping = _spans(process_events, (ProcessPhase.STOPPING,), (ProcessPhase.READY,))
         self.replaced = _spans(process_events, (ProcessPhase.RETIRING,), (ProcessPhase.RETIRED,))
@@ -123,7 +125,7 @@
     def excuses(
         self, request: RequestStarted, failure: RequestFailed | None, was_forwarded: bool, limits: CheckLimits
     ) -> bool:
-        """Whether the process was down while the request was open, within its deadline; or had been
+        """Whether the process was killed while the request was open, within its deadline; or was down or
         told to stop before; or the request crossed the end of an idle connection.
         """
         crosses_close = failure is not None and failure.is_reused_connection and not was_forwarded
@@ -132,8 +134,8 @@
         due = request.at_us + request.deadline_us + limits.lateness_us
         due += int(min(_overlap(self.paused, request.at_us, NEVER), 1e18))
         end = due if failure is None else min(failure.at_us, due)
-        was_stopping = _touches(self.stopping, request.at_us, request.at_us)
-        return was_stopping or _touches(self.down, request.at_us, end)
+        was_ending = _touches([*self.stopping, *self.down], request.at_us, request.at_us)
+        return was_ending or _touches(self.killed, request.at_us, end)
 
 
 def _touches(spans: Iterable[Span], begin: int, end: float) -> bool:
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -582,6 +582,16 @@
             UNANSWERED,
             [asked(600, "r3"), ProcessEvent(650, 0, ProcessPhase.STOPPING), RequestFailed(700, 0, "r3", "x")],
         ),
+        # The same, where the end of the process is noticed before the end of the connection.
+        (
+            UNANSWERED,
+            [
+                asked(600, "r3"),
+                ProcessEvent(650, 0, ProcessPhase.STOPPING),
+                ProcessEvent(690, 0, ProcessPhase.ENDED),
+                RequestFailed(700, 0, "r3", "x"),
+            ],
+        ),
         # A next version takes over: sent on, or on a connection of its own, or when that is over.
         (
             UNANSWERED,
@@ -666,6 +676,13 @@
     assert broken(*more) == [name]
 
 
+@pytest.mark.parametrize(("failed_at", "ended_at"), [(690, 700), (700, 690)])
+def test_a_crash_loses_requests_in_any_order_of_events(failed_at: int, ended_at: int) -> None:
+    failed = RequestFailed(failed_at, 0, "r3", "IncompleteReadError")
+    ended = ProcessEvent(ended_at, 0, ProcessPhase.ENDED)
+    assert broken(asked(600, "r3"), failed, ended) == [UNANSWERED, UNEXPECTED_EXIT]
+
+
 @pytest.mark.parametrize(
     "more",
     [
@@ -687,6 +704,12 @@
             RequestFailed(700, 0, "r3", "x"),
             ProcessEvent(800, 0, ProcessPhase.READY),
         ],
+        [
+            ProcessEvent(540, 0, ProcessPhase.STOPPING),
+            ProcessEvent(550, 0, ProcessPhase.ENDED),
+            asked(600, "r3"),
+            RequestFailed(700, 0, "r3", "x"),
+        ],
         [ProcessEvent(550, 0, ProcessPhase.STOPPING), asked(600, "r3"), RequestFailed(700, 0, "r3", "x")],
         [asked(600, "r3"), ResponseReceived(600 + 110 * MS, 0, "r3", 504)],
         [
