--- a/laurelstep/__main__.py
+++ b/laurelstep/__main__.py
@@ -89,13 +89,13 @@
     """One worker of several."""
     import uvloop
 
-    from laurelstep.workers.worker import receive_known_list, slot_from_environ
+    from laurelstep.workers.worker import receive_endpoint_list, slot_from_environ
 
     slot = slot_from_environ(environ)
     assert slot is not None
     unblock_log()
     hold_reload()
-    config = slot.worker_config(read_config(environ), receive_known_list(slot.channel))
+    config = slot.worker_config(read_config(environ), receive_endpoint_list(slot.channel))
     gc.set_threshold(5_000, 10, 10)
     gc.freeze()
     uvloop.run(serve(config, environ, read_config, slot))
--- a/laurelstep/demo/__init__.py
+++ b/laurelstep/demo/__init__.py
@@ -36,7 +36,7 @@
         print(json.dumps(summary.as_dict()))
     else:
         summary = _show(run)
-    return 0 if summary.all_promises_kept else 1
+    return 0 if summary.all_guarantees_held else 1
 
 
 def _show(run: DemoRun) -> Summary:
--- a/laurelstep/demo/statistics.py
+++ b/laurelstep/demo/statistics.py
@@ -33,13 +33,13 @@
     by_endpoint: dict[str, int] = field(default_factory=dict)
 
     @property
-    def all_promises_kept(self) -> bool:
+    def all_guarantees_held(self) -> bool:
         """Whether each request was answered, no order ran twice, and the drain held."""
         return not (self.unanswered or self.orders_run_twice or self.sends_past_the_grace)
 
     def as_dict(self) -> dict[str, Any]:
         """The form of `laurelstep demo --json`."""
-        return {**asdict(self), "kept": self.all_promises_kept}
+        return {**asdict(self), "kept": self.all_guarantees_held}
 
 
 class RequestStatistics:
--- a/laurelstep/demo/view.py
+++ b/laurelstep/demo/view.py
@@ -63,5 +63,5 @@
         f"orders run twice: {summary.orders_run_twice}; "
         f"sends past the drain's grace: {summary.sends_past_the_grace}"
     )
-    console.print("all promises kept" if summary.all_promises_kept else "a promise was broken")
+    console.print("all promises kept" if summary.all_guarantees_held else "a promise was broken")
     return summary
--- a/laurelstep/hot_restart/predecessor.py
+++ b/laurelstep/hot_restart/predecessor.py
@@ -126,16 +126,16 @@
         self.connections: set[SuccessorConnection] = set()
         self.tasks: set[asyncio.Task[Any]] = set()
         self.accept_pause: asyncio.TimerHandle | None = None  # while no descriptor is to be had
-        self.meeting_socket: socket.socket | None = rendezvous.listen()
-        loop.add_reader(self.meeting_socket.fileno(), self._accept)
+        self.rendezvous_socket: socket.socket | None = rendezvous.listen()
+        loop.add_reader(self.rendezvous_socket.fileno(), self._accept)
 
     def _accept(self) -> None:
-        assert self.meeting_socket is not None
+        assert self.rendezvous_socket is not None
         try:
-            accepted, _ = self.meeting_socket.accept()
+            accepted, _ = self.rendezvous_socket.accept()
         except OSError as error:
             if error.errno in SHORTAGE_ERRNOS:
-                self._pause_accepting(self.meeting_socket)
+                self._pause_accepting(self.rendezvous_socket)
             return
         try:
             require_same_user(accepted)
@@ -150,14 +150,14 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def _pause_accepting(self, meeting_socket: socket.socket) -> None:
+    def _pause_accepting(self, rendezvous_socket: socket.socket) -> None:
         """Guards the event loop against spinning while the socket stays readable."""
-        self.loop.remove_reader(meeting_socket.fileno())
-        self.accept_pause = self.loop.call_later(SHORTAGE_PAUSE_S, self._resume_accepting, meeting_socket)
+        self.loop.remove_reader(rendezvous_socket.fileno())
+        self.accept_pause = self.loop.call_later(SHORTAGE_PAUSE_S, self._resume_accepting, rendezvous_socket)
 
-    def _resume_accepting(self, meeting_socket: socket.socket) -> None:
+    def _resume_accepting(self, rendezvous_socket: socket.socket) -> None:
         self.accept_pause = None
-        self.loop.add_reader(meeting_socket.fileno(), self._accept)
+        self.loop.add_reader(rendezvous_socket.fileno(), self._accept)
 
     async def _connect(self, connection: SuccessorConnection, accepted: socket.socket) -> None:
         await self.loop.create_unix_connection(lambda: connection, sock=accepted)
@@ -174,10 +174,10 @@
         if self.accept_pause is not None:
             self.accept_pause.cancel()
             self.accept_pause = None
-        if self.meeting_socket is not None:
-            self.loop.remove_reader(self.meeting_socket.fileno())
-            self.meeting_socket.close()
-            self.meeting_socket = None
+        if self.rendezvous_socket is not None:
+            self.loop.remove_reader(self.rendezvous_socket.fileno())
+            self.rendezvous_socket.close()
+            self.rendezvous_socket = None
             self.rendezvous.leave()
         for connection in list(self.connections):
             connection.reject()
--- a/laurelstep/hot_restart/state.py
+++ b/laurelstep/hot_restart/state.py
@@ -25,10 +25,10 @@
 MAX_REPLICA_BYTES: Final = 1 << 20
 
 
-def collect_state(config: Config, source: MemberSource, known: bytes) -> dict[str, bytes]:
-    """The state, its values in JSON; `known` is the endpoint list in discovery's form."""
+def collect_state(config: Config, source: MemberSource, endpoint_list: bytes) -> dict[str, bytes]:
+    """The state, its values in JSON; `endpoint_list` is in JSON, in discovery's form."""
     address = source.address if isinstance(source, Discovery) else config.discovery
-    return {"discovery": json.dumps(address).encode(), "known": known}
+    return {"discovery": json.dumps(address).encode(), "known": endpoint_list}
 
 
 def config_with_state(config: Config, state: dict[str, Any]) -> Config:
--- a/laurelstep/workers/worker.py
+++ b/laurelstep/workers/worker.py
@@ -40,10 +40,10 @@
         """The value of `SLOT_VARIABLE`."""
         return f"{self.number} {self.count} {self.channel}"
 
-    def worker_config(self, config: Config, known: Any) -> Config:
+    def worker_config(self, config: Config, endpoint_list: Any) -> Config:
         """The configuration of this worker: N workers of one replica are N replicas.
 
-        `known` is the endpoint list to start with, or None.
+        `endpoint_list` is the list to start with, in discovery's form; None for that of `config`.
         """
         settings = config.settings
         own_settings = replace(
@@ -52,7 +52,7 @@
             instances=settings.instances * self.count,
         )
         return replace(
-            config, settings=own_settings, seed=config.seed + self.number, known=known or config.known
+            config, settings=own_settings, seed=config.seed + self.number, known=endpoint_list or config.known
         )
 
 
@@ -62,7 +62,7 @@
     return WorkerSlot(*map(int, text.split())) if text else None
 
 
-def receive_known_list(channel: int) -> Any:
+def receive_endpoint_list(channel: int) -> Any:
     """The endpoint list in the supervisor's first line, read before there is an event loop.
 
     Raises SystemExit if the supervisor is gone.
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -24,7 +24,7 @@
 from starlette.websockets import WebSocket
 
 from tests.sockets import TEST_TIMEOUT_S, record_outcomes, serve_app
-from tests.test_library import config, member, nothing_held
+from tests.test_library import config, is_idle, member
 
 
 async def app(scope: Scope, receive: Receive, send: Send) -> None:
@@ -213,7 +213,7 @@
                 host.body(b"x" * 20_000, more=True)
             await middleware(scope, host.receive, host.send)
             assert host.status == 413 and host.waits == 4, "or once it is too large"
-            assert not endpoint.got and nothing_held(client)
+            assert not endpoint.got and is_idle(client)
 
     run(main())
 
@@ -225,7 +225,7 @@
             host = Host()
             host.body(b"a", more=True)
             await middleware(http("pay", "POST"), host.receive, host.send)
-            assert host.status == 408 and not endpoint.got and nothing_held(client)
+            assert host.status == 408 and not endpoint.got and is_idle(client)
 
     run(main())
 
@@ -266,7 +266,7 @@
                 await task
             assert [(one.outcome, one.is_final) for one in told] == [(CANCELLED, True)]
             await endpoint.closed.acquire()
-            assert not host.sent and nothing_held(client) and len(endpoint.got) == 1
+            assert not host.sent and is_idle(client) and len(endpoint.got) == 1
 
     run(main())
 
@@ -287,7 +287,7 @@
             host.disconnect()
             await task
             assert [one["type"] for one in host.sent] in ([], ["http.response.start", "http.response.body"])
-            assert nothing_held(client) and len(endpoint.got) == 1
+            assert is_idle(client) and len(endpoint.got) == 1
 
     run(main())
 
@@ -306,7 +306,7 @@
             host.body()
             task = asyncio.create_task(middleware(http(), host.receive, never))
             await stuck.wait()
-            assert nothing_held(client) and len(client._parts.upstream.idle_connections.waiting_since) == 1
+            assert is_idle(client) and len(client._parts.upstream.idle_connections.waiting_since) == 1
             await client.close()
             task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -324,7 +324,7 @@
             host = Host()
             host.body()
             await middleware(http(), host.receive, broken)
-            assert nothing_held(client)
+            assert is_idle(client)
 
     run(main())
 
@@ -368,7 +368,7 @@
                 await middleware(http(path="/other"), host.receive, host.send)
             host.body()
             await middleware(http(), host.receive, host.send)
-            assert host.status == 200 and nothing_held(client)
+            assert host.status == 200 and is_idle(client)
 
     run(main())
 
--- a/tests/test_consensus_daemon.py
+++ b/tests/test_consensus_daemon.py
@@ -19,7 +19,7 @@
 
 from tests.datagrams import free_udp_ports
 from tests.sockets import SETTINGS, Endpoint, request, run
-from tests.upgrades import Site, Version, kill
+from tests.upgrades import Deployment, Version, kill
 
 
 def test_the_records_of_a_predecessor_are_handed_over_completely_or_not_at_all() -> None:
@@ -86,11 +86,11 @@
     async def main() -> None:
         operator_toml = f"[accord]\nstore_path = '{tmp_path}/store'\n" if is_durable else "[accord]\n"
         ports, changes, environ = tier_of_three(tmp_path, operator_toml)
-        async with Site(tmp_path, **changes) as site:
+        async with Deployment(tmp_path, **changes) as deployment:
 
             async def start_version() -> Version:
-                version = await site.start(**environ)
-                await version.until_ready()
+                version = await deployment.start(**environ)
+                await version.wait_ready()
                 return version
 
             client = IdentityClient(ports)
@@ -115,15 +115,15 @@
 def test_a_process_whose_successor_disconnects_continues_as_another_member(tmp_path: Path) -> None:
     async def main() -> None:
         ports, changes, environ = tier_of_three(tmp_path)
-        async with Site(tmp_path, **changes) as site:
-            old = await site.start(**environ)
-            await old.until_ready()
+        async with Deployment(tmp_path, **changes) as deployment:
+            old = await deployment.start(**environ)
+            await old.wait_ready()
             client = IdentityClient(ports)
             first_incarnation = await client.request_incarnation()
-            rendezvous = RendezvousPoint(("127.0.0.1", site.port), str(tmp_path))
+            rendezvous = RendezvousPoint(("127.0.0.1", deployment.port), str(tmp_path))
 
             def connect() -> PredecessorHandle:
-                return take_over(rendezvous, ("127.0.0.1", site.port))
+                return take_over(rendezvous, ("127.0.0.1", deployment.port))
 
             predecessor = await asyncio.to_thread(connect)
             records = decode_replica(predecessor.state)
@@ -143,9 +143,9 @@
 def test_consensus_is_off_without_peers_and_logs_one_line(tmp_path: Path) -> None:
     async def main() -> None:
         _, changes, environ = tier_of_three(tmp_path, "[accord]\n[upkeep]\n")
-        async with Site(tmp_path, **{**changes, "peers": None}) as site:
-            daemon = await site.start(**environ)
-            await daemon.until_ready()
+        async with Deployment(tmp_path, **{**changes, "peers": None}) as deployment:
+            daemon = await deployment.start(**environ)
+            await daemon.wait_ready()
             lines = (await daemon.stop()).decode().splitlines()
             assert len([line for line in lines if "accord: off" in line]) == len(lines) == 1
 
@@ -165,8 +165,8 @@
     async def main() -> None:
         _, changes, environ = tier_of_three(tmp_path, operator_toml)
         changes = {**changes, "peer_listen": listen or changes["peer_listen"]}
-        async with Site(tmp_path, **changes) as site:
-            daemon = await site.start(**environ)
+        async with Deployment(tmp_path, **changes) as deployment:
+            daemon = await deployment.start(**environ)
             _, errors = await daemon.process.communicate()
             assert daemon.process.returncode == 2 and errors.count(b"\n") == 1
             assert expected.encode() in errors and b"operator.toml" in errors and b"expected" in errors
@@ -180,10 +180,10 @@
         folder.mkdir()
         (folder / MANIFEST).write_bytes(b"no manifest")
         _, changes, environ = tier_of_three(tmp_path, f"[accord]\nstore_path = '{folder}'\n")
-        async with Site(tmp_path, Endpoint(), **changes) as site:
-            daemon = await site.start(**environ)
-            await daemon.until_ready()
-            assert (await site.ask(request())).status == 200
+        async with Deployment(tmp_path, Endpoint(), **changes) as deployment:
+            daemon = await deployment.start(**environ)
+            await daemon.wait_ready()
+            assert (await deployment.send(request())).status == 200
             (line,) = (await daemon.stop()).decode().splitlines()
             assert "accord: this process no longer takes part, requests are still served" in line
             assert StoreError.remedy in line
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -49,7 +49,7 @@
     start_daemon,
     write_config,
 )
-from tests.upgrades import Site
+from tests.upgrades import Deployment
 
 PAGE, PAY = request(), request("pay", b"body")
 LAST = request("page", rid="last", headers="Connection: close\r\n")
@@ -792,12 +792,14 @@
             writer.write(answer())
 
         endpoint, loop = Endpoint(slow), asyncio.get_running_loop()
-        async with Site(tmp_path, endpoint) as site:
-            old = await site.version()
-            taking = asyncio.create_task(site.ask(PAY))
+        async with Deployment(tmp_path, endpoint) as deployment:
+            old = await deployment.start_ready()
+            taking = asyncio.create_task(deployment.send(PAY))
             await endpoint.arrived.acquire()
-            rendezvous = RendezvousPoint(("127.0.0.1", site.port), str(tmp_path))
-            predecessor = await loop.run_in_executor(None, take_over, rendezvous, ("127.0.0.1", site.port))
+            rendezvous = RendezvousPoint(("127.0.0.1", deployment.port), str(tmp_path))
+            predecessor = await loop.run_in_executor(
+                None, take_over, rendezvous, ("127.0.0.1", deployment.port)
+            )
             if stage == "taken-over":
                 predecessor.report_ready()
             ended = asyncio.create_task(old.stop())
@@ -807,7 +809,7 @@
             response = await taking
             assert response.body == b"ok" and response.headers["connection"] == "close"
             assert await ended == b""
-            with contextlib.closing(Client(site.port)) as caller:  # the listener is still open
+            with contextlib.closing(Client(deployment.port)) as caller:  # the listener is still open
                 caller.send(PAGE)
                 server_socket, _ = await loop.sock_accept(predecessor.listener)
                 assert await loop.sock_recv(server_socket, 1000) == PAGE
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -56,7 +56,7 @@
     start_daemon,
     write_config,
 )
-from tests.upgrades import Load, Site, Version, kill
+from tests.upgrades import Deployment, Load, Version, kill
 
 # --- What is said -----------------------------------------------------------------------
 
@@ -352,9 +352,9 @@
         loop = asyncio.get_running_loop()
         with listener() as good:
             one = HotRestartServer(loop, rendezvous, good, lambda give: give({}), lambda: None, print)
-            assert one.meeting_socket is not None
-            short = Short(one.meeting_socket)
-            one.meeting_socket = cast(socket.socket, short)
+            assert one.rendezvous_socket is not None
+            short = Short(one.rendezvous_socket)
+            one.rendezvous_socket = cast(socket.socket, short)
             channel = rendezvous.connect(1.0)
             channel.setblocking(False)
             await loop.sock_sendall(channel, HELLO)
@@ -387,11 +387,11 @@
 def test_twenty_upgrades_under_load_lose_nothing(tmp_path: Path) -> None:
     async def main() -> None:
         effects = Effects()
-        async with Site(tmp_path, *(Endpoint(effects=effects) for _ in range(3))) as site:
-            version = await site.version()
-            load = Load(site.port)
+        async with Deployment(tmp_path, *(Endpoint(effects=effects) for _ in range(3))) as deployment:
+            version = await deployment.start_ready()
+            load = Load(deployment.port)
             for _ in range(20):
-                newer = await site.version()
+                newer = await deployment.start_ready()
                 assert await version.stop() == b""
                 version = newer
             met = await load.stop()
@@ -415,10 +415,10 @@
             writer.write(answer())
 
         endpoint = Endpoint(slow)
-        async with Site(tmp_path, endpoint, settings=LONG) as site:
-            old = await site.version()
+        async with Deployment(tmp_path, endpoint, settings=LONG) as deployment:
+            old = await deployment.start_ready()
             open_ones = [
-                asyncio.create_task(site.ask(raw))
+                asyncio.create_task(deployment.send(raw))
                 for raw in (
                     request("pay", b"order", rid="slow-pay", deadline_ms=LONG_MS),
                     request("put", b"x" * 60_000, rid="slow-put", deadline_ms=LONG_MS),
@@ -427,9 +427,9 @@
             ]
             for _ in open_ones:
                 await endpoint.arrived.acquire()
-            new = await site.version()
+            new = await deployment.start_ready()
             stopping = asyncio.create_task(old.stop())
-            assert (await site.ask(request(rid="new"))).body == b"ok"
+            assert (await deployment.send(request(rid="new"))).body == b"ok"
             release.set()
             for back in await asyncio.gather(*open_ones):
                 assert back.status == 200 and back.headers["connection"] == "close"
@@ -453,21 +453,21 @@
 
     async def main() -> None:
         first = Endpoint()
-        async with Endpoint() as second, Site(tmp_path, first) as site:
-            old = await site.version()
+        async with Endpoint() as second, Deployment(tmp_path, first) as deployment:
+            old = await deployment.start_ready()
             async with asyncio.TaskGroup() as tasks:
-                telling = tasks.create_task(tell(site.registry, second))
+                telling = tasks.create_task(tell(deployment.registry, second))
                 while not second.got:  # until it was told
-                    await site.ask(request(rid=os.urandom(4).hex()))
+                    await deployment.send(request(rid=os.urandom(4).hex()))
                 telling.cancel()
-            while not site.registry.asked.empty():
-                site.registry.asked.get_nowait()
-            new = await site.version()
-            target, _ = await site.registry.asked.get()
+            while not deployment.registry.asked.empty():
+                deployment.registry.asked.get_nowait()
+            new = await deployment.start_ready()
+            target, _ = await deployment.registry.asked.get()
             assert "from=2" in target, "it goes on from there"
             count = len(first.got)
             await old.stop()
-            await site.ask(request(rid="a"))
+            await deployment.send(request(rid="a"))
             assert len(first.got) == count
             await new.stop()
 
@@ -478,24 +478,24 @@
 def test_the_new_process_goes_on_when_the_old_one_is_killed(tmp_path: Path, step: str) -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with Site(tmp_path, endpoint) as site:
-            old = await site.version()
+        async with Deployment(tmp_path, endpoint) as deployment:
+            old = await deployment.start_ready()
             if step == "starting":
-                new = await site.start()
+                new = await deployment.start()
                 kill(old)
                 await old.process.wait()
-                await new.until_ready()
+                await new.wait_ready()
             else:
-                new = await site.version()
+                new = await deployment.start_ready()
                 if step == "stopping":
                     old.process.terminate()
                 kill(old)
                 await old.process.wait()
             for n in range(20):
-                assert (await site.ask(request(rid=f"r{n}"))).body == b"ok"
-            newer = await site.version()
+                assert (await deployment.send(request(rid=f"r{n}"))).body == b"ok"
+            newer = await deployment.start_ready()
             await new.stop()
-            assert (await site.ask(request(rid="last"))).body == b"ok"
+            assert (await deployment.send(request(rid="last"))).body == b"ok"
             await newer.stop()
 
     run(main())
@@ -505,24 +505,24 @@
 def test_the_old_process_goes_on_when_the_new_one_dies(tmp_path: Path, step: str) -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with Site(tmp_path, endpoint) as site:
-            old = await site.version()
+        async with Deployment(tmp_path, endpoint) as deployment:
+            old = await deployment.start_ready()
             if step == "offered":
-                rendezvous = RendezvousPoint(("127.0.0.1", site.port), str(tmp_path))
-                taken = await asyncio.to_thread(take_over, rendezvous, ("127.0.0.1", site.port))
+                rendezvous = RendezvousPoint(("127.0.0.1", deployment.port), str(tmp_path))
+                taken = await asyncio.to_thread(take_over, rendezvous, ("127.0.0.1", deployment.port))
                 taken.listener.close()
                 taken.channel.close()
                 os.close(rendezvous._lock)
             else:
-                new = await (site.version() if step == "ready" else site.start())
+                new = await (deployment.start_ready() if step == "ready" else deployment.start())
                 kill(new)
                 await new.process.wait()
             for n in range(20):
-                assert (await site.ask(request(rid=f"r{n}"))).body == b"ok"
+                assert (await deployment.send(request(rid=f"r{n}"))).body == b"ok"
             # Alone again: a stop still waits for late callers, and a next version comes as ever.
-            newer = await site.version()
+            newer = await deployment.start_ready()
             await old.stop()
-            assert (await site.ask(request(rid="last"))).body == b"ok"
+            assert (await deployment.send(request(rid="last"))).body == b"ok"
             await newer.stop()
 
     run(main())
@@ -533,13 +533,13 @@
 
     async def main() -> None:
         endpoint = Endpoint()
-        async with Site(tmp_path, endpoint) as site:
-            old = await site.version()
+        async with Deployment(tmp_path, endpoint) as deployment:
+            old = await deployment.start_ready()
             (door,) = tmp_path.glob("*.sock")
             door.unlink()
-            new = await site.version()
+            new = await deployment.start_ready()
             await old.stop()
-            assert (await site.ask(request(rid="a"))).body == b"ok"
+            assert (await deployment.send(request(rid="a"))).body == b"ok"
             errors = await new.stop()
             assert errors.count(b"\n") == 1 and b"the address is shared" in errors
 
@@ -551,9 +551,9 @@
         first, second = tmp_path / "1", tmp_path / "2"
         first.mkdir()
         second.mkdir()
-        async with Site(first) as site:
-            old = await site.version()
-            other = await site.start(TMPDIR=str(second))
+        async with Deployment(first) as deployment:
+            old = await deployment.start_ready()
+            other = await deployment.start(TMPDIR=str(second))
             _, errors = await other.process.communicate()
             assert other.process.returncode == 2
             assert errors.count(b"\n") == 1 and b"can't listen" in errors
@@ -590,9 +590,9 @@
 
     async def main() -> None:
         endpoint = Endpoint()
-        async with Site(tmp_path, endpoint) as site:
-            old = await site.version()
-            new = await site.version()
+        async with Deployment(tmp_path, endpoint) as deployment:
+            old = await deployment.start_ready()
+            new = await deployment.start_ready()
             assert await old.call("POST /api/evacuate") == 200
             assert await old.call("GET /api/ready") == 503 and await new.call("GET /api/ready") == 200
             assert await old.call("POST /api/rejoin") == 200
@@ -615,17 +615,17 @@
     halves, and requests on new connections go on being served."""
 
     async def main() -> None:
-        async with Site(tmp_path, Endpoint(), limits={"sockets": 128}) as site:
-            old = await site.version()
-            crowd = [await asyncio.open_connection("127.0.0.1", site.port) for _ in range(200)]
-            new = await site.version()
+        async with Deployment(tmp_path, Endpoint(), limits={"sockets": 128}) as deployment:
+            old = await deployment.start_ready()
+            crowd = [await asyncio.open_connection("127.0.0.1", deployment.port) for _ in range(200)]
+            new = await deployment.start_ready()
             for n in range(30):
-                crowd.append(await asyncio.open_connection("127.0.0.1", site.port))
-                assert (await site.ask(request(rid=f"r{n}"))).body == b"ok"
+                crowd.append(await asyncio.open_connection("127.0.0.1", deployment.port))
+                assert (await deployment.send(request(rid=f"r{n}"))).body == b"ok"
             held = sum(len(os.listdir(f"/proc/{one.process.pid}/fd")) for one in (old, new))
             assert held <= 128
             assert await old.stop() == b""
-            assert (await site.ask(request(rid="last"))).body == b"ok"
+            assert (await deployment.send(request(rid="last"))).body == b"ok"
             for _, writer in crowd:
                 writer.transport.abort()
             assert await new.stop() == b""
--- a/tests/test_hot_restart_encoding.py
+++ b/tests/test_hot_restart_encoding.py
@@ -30,7 +30,7 @@
     SupervisorChannel,
     WorkerSlot,
     join_supervisor,
-    receive_known_list,
+    receive_endpoint_list,
     slot_from_environ,
 )
 
@@ -124,4 +124,4 @@
     ours, theirs = socket.socketpair()
     with ours, theirs:
         ours.sendall(b'{"known":7}\n')
-        assert receive_known_list(theirs.fileno()) == 7
+        assert receive_endpoint_list(theirs.fileno()) == 7
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -25,7 +25,7 @@
 
 from tests.fakes import FakeUpstream, ManualClock, RecordingFrontend, entry, number
 from tests.sockets import SETTINGS, TEST_TIMEOUT_S
-from tests.test_library import member, nothing_held
+from tests.test_library import is_idle, member
 
 GRACE_US = 500_000
 NAMES = [f"s-{n}" for n in range(4)]
@@ -376,7 +376,7 @@
         for step in steps:
             await run.step(step)
         await run.finish()
-        assert client.state is ClientState.CLOSED and nothing_held(client)
+        assert client.state is ClientState.CLOSED and is_idle(client)
         assert not client._parts.upstream.connections and not client._parts.upstream.connections_by_attempt
         results = await asyncio.gather(*run.requests, return_exceptions=True)
         replies = [result for result in results if isinstance(result, Reply)]
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -62,7 +62,7 @@
         assert not ours, "no task is left behind"
 
 
-def nothing_held(client: Client) -> bool:
+def is_idle(client: Client) -> bool:
     engine = client.engine
     counts = [one.in_flight for one in engine.balancer.endpoints.values()]
     return not (engine.calls or engine.open_request_ids or engine.balancer.requests or any(counts))
@@ -95,7 +95,7 @@
             (got,) = endpoint.got
             assert got.start == "GET /page?obj=7f HTTP/1.1" and got.headers["x-tenant"] == "acme"
             assert 0 < int(got.headers["x-deadline-ms"]) <= 5000
-            assert nothing_held(client)
+            assert is_idle(client)
 
     play(main)
 
@@ -142,7 +142,7 @@
             assert client.engine.now() - began >= 60_000, "never early"
             assert (reply.outcome, reply.status) == (Ending.FAILED, 504)
             await endpoint.closed.acquire()
-            assert nothing_held(client)
+            assert is_idle(client)
 
     play(main)
 
@@ -172,7 +172,7 @@
         async with opened(endpoint) as client:
             with pytest.raises(RequestError) as told:
                 await client.send(request_)
-            assert told.value.status == expected and not endpoint.got and nothing_held(client)
+            assert told.value.status == expected and not endpoint.got and is_idle(client)
 
     asyncio.run(main())
 
@@ -238,7 +238,7 @@
             await asyncio.sleep(0)
             assert len(client.engine.calls) == 1
             await cancelled(task)
-            assert nothing_held(client)
+            assert is_idle(client)
             client.members([member(endpoint)])
             assert (await client.send(VIEW)).outcome is Ending.SERVED
             assert [one.start.split()[1] for one in endpoint.got] == ["/page?obj=7f"]
@@ -257,7 +257,7 @@
             assert link.transport is None, "the connection is still coming up"
             await cancelled(task)
             assert [(one.outcome, one.is_final) for one in told] == [(CANCELLED, True)]
-            assert nothing_held(client) and not client._parts.upstream.connections_by_attempt
+            assert is_idle(client) and not client._parts.upstream.connections_by_attempt
         assert not endpoint.got
 
     play(main)
@@ -281,7 +281,7 @@
             assert sum(one.in_flight for one in counts.values()) == 0, "its count is down by one"
             await used.closed.acquire()  # the endpoint sees its connection close
             assert [(one.outcome, one.is_final) for one in told] == [(CANCELLED, True)]
-            assert nothing_held(client)
+            assert is_idle(client)
         assert sum(len(one.got) for one in endpoints) == 1 and not effects.twice()
 
     play(main)
@@ -299,7 +299,7 @@
                 await asyncio.sleep(0)
             await cancelled(task)
             await endpoint.closed.acquire()
-            assert nothing_held(client)
+            assert is_idle(client)
             assert (await client.send(VIEW)).body == b"ok" and endpoint.opened == 2
 
     play(main)
@@ -318,7 +318,7 @@
             with contextlib.suppress(asyncio.CancelledError):
                 await task
             assert [(one.outcome, one.is_final) for one in told] == [(OK, True)]
-            assert nothing_held(client) and len(endpoint.got) == 1
+            assert is_idle(client) and len(endpoint.got) == 1
 
     play(main)
 
@@ -339,7 +339,7 @@
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
-            assert all(task.cancelled() for task in tasks) and nothing_held(client)
+            assert all(task.cancelled() for task in tasks) and is_idle(client)
             for endpoint in endpoints:
                 endpoint.handler = serve()
             client.members([member(one, f"n-{n}") for n, one in enumerate(endpoints)])
--- a/tests/test_maintenance_daemon.py
+++ b/tests/test_maintenance_daemon.py
@@ -16,22 +16,22 @@
 from laurelstep.testing import whole_list
 
 from tests.sockets import TEST_TIMEOUT_S, Endpoint, free_port, read_message, request, run
-from tests.upgrades import Site, Version
+from tests.upgrades import Deployment, Version
 
 OPERATOR = "[accord]\nheartbeat_ms = 20\nelection_ms = 60\n[upkeep]\n"
 
 
-def site(folder: Path, *endpoints: Endpoint, copies: int = 1, more: str = "") -> Site:
+def site(folder: Path, *endpoints: Endpoint, copies: int = 1, more: str = "") -> Deployment:
     """Copy 0 of a tier; the others are only named."""
     operator = folder / "operator.toml"
     operator.write_text(OPERATOR + more)
     peers = [f"127.0.0.1:{free_port()}" for _ in range(copies)]
-    one = Site(folder, *endpoints, peers=peers, peer_listen=peers[0])
+    one = Deployment(folder, *endpoints, peers=peers, peer_listen=peers[0])
     one.changes["known"] = {"generation": 1, "reset": True, "instances": []}
     return one
 
 
-async def start(one: Site) -> Version:
+async def start(one: Deployment) -> Version:
     """With the list of the endpoints as they are by now."""
     path = Path(one.environ["LB_CONFIG"])
     raw = json.loads(path.read_text())
@@ -42,7 +42,7 @@
 
 
 async def told(version: Version, words: str = "GET /api/upkeep") -> tuple[int, Any]:
-    reader, writer = await asyncio.open_connection("127.0.0.1", version.management)
+    reader, writer = await asyncio.open_connection("127.0.0.1", version.management_port)
     writer.write(f"{words} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
     try:
         message = await read_message(reader)
@@ -77,23 +77,23 @@
         first, second = Endpoint(), Endpoint()
         async with site(tmp_path, first, second) as one:
             old = await start(one)
-            await old.until_ready()
+            await old.wait_ready()
             assert (await told(old, "POST /api/upkeep/wish?name=disk&id=nobody"))[0] == 400
             assert (await told(old, "POST /api/upkeep/wish?name=disk&id=s-0"))[0] == 202
             await until(old, s_0="clear")
             assert (await told(old, "POST /api/upkeep/begin?machine=s-0"))[0] == 202
             await until(old, s_0="at work")
             new = await start(one)
-            await new.until_ready()
+            await new.wait_ready()
             await old.stop()
             before = first.count
             for n in range(20):
-                assert (await one.ask(request(rid=f"r{n}"))).status == 200
+                assert (await one.send(request(rid=f"r{n}"))).status == 200
             assert first.count == before and second.count >= 20
             await until(new, s_0="at work")
             assert (await told(new, "POST /api/upkeep/done?machine=s-0"))[0] == 202
             while first.count == before:
-                assert (await one.ask(request())).status == 200
+                assert (await one.send(request())).status == 200
             errors = await new.stop()
             assert errors == b"", errors
 
@@ -154,8 +154,8 @@
         more = 'start_alone = "serve"\nlearn_ms = 50\n'
         async with site(tmp_path, endpoint, copies=3, more=more) as one, asyncio.timeout(TEST_TIMEOUT_S):
             version = await start(one)
-            await version.until_ready()
-            assert (await one.ask(request())).status == 200
+            await version.wait_ready()
+            assert (await one.send(request())).status == 200
             assert (await told(version))[1]["serving_alone"]
             version.process.send_signal(signal.SIGTERM)
             _, errors = await version.process.communicate()
--- a/tests/test_request_journal.py
+++ b/tests/test_request_journal.py
@@ -53,7 +53,7 @@
     said,
 )
 from tests.sockets import free_port
-from tests.test_library import member, nothing_held
+from tests.test_library import is_idle, member
 from tests.test_settings import file, platform
 
 
@@ -123,7 +123,7 @@
                 assert said(await client.send(pay("o-2"))) == SERVED
                 plain = Request("pay", "/pay", "POST", body=b"sum")
                 assert [said(await client.send(plain)) for _ in range(2)] == [SERVED, SERVED]
-                assert nothing_held(client)
+                assert is_idle(client)
             assert len(endpoint.got) == 4, "what names no order is as today"
 
     run(main())
@@ -142,7 +142,7 @@
             gate.set()
             replies = await asyncio.gather(*tasks)
             assert {one.body for one in replies} == {b"one"} and (await other).status == 422
-            assert len(endpoint.got) == 1 and nothing_held(client)
+            assert len(endpoint.got) == 1 and is_idle(client)
 
     run(main())
 
@@ -181,7 +181,7 @@
             first.cancel()
             assert said(await waits) == MAY_HAVE_RUN
             assert said(await client.send(pay())) == MAY_HAVE_RUN
-            assert len(endpoint.got) == 1 and nothing_held(client)
+            assert len(endpoint.got) == 1 and is_idle(client)
 
     run(main())
 
@@ -198,7 +198,7 @@
             await asyncio.sleep(0)
             alone.cancel()
             assert said(await client.send(pay("o-2"))) == SERVED
-            assert len(endpoint.got) == 2 and nothing_held(client)
+            assert len(endpoint.got) == 2 and is_idle(client)
 
     run(main())
 
--- a/tests/upgrades.py
+++ b/tests/upgrades.py
@@ -30,19 +30,19 @@
 class Version:
     """One process, with its own second address."""
 
-    def __init__(self, process: Process, management: int) -> None:
+    def __init__(self, process: Process, management_port: int) -> None:
         self.process = process
-        self.management = management
+        self.management_port = management_port
 
-    async def call(self, words: str) -> int:
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.management)
-        writer.write(f"{words} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+    async def call(self, request_line: str) -> int:
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.management_port)
+        writer.write(f"{request_line} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         try:
             return (await read_message(reader)).status
         finally:
             writer.close()
 
-    async def until_ready(self) -> None:
+    async def wait_ready(self) -> None:
         while self.process.returncode is None:
             try:
                 if await self.call("GET /api/ready") == 200:
@@ -60,7 +60,7 @@
         return errors
 
 
-class Site:
+class Deployment:
     """What the versions share: addresses, discovery, endpoints, `$TMPDIR`. All of it is up
     while it is entered, and none of it outlives a test that failed."""
 
@@ -92,18 +92,18 @@
 
     async def start(self, **environ: str) -> Version:
         """A process that has only just been started."""
-        management = free_port()
-        told = {**self.environ, "LB_MANAGEMENT": f"127.0.0.1:{management}", **environ}
-        version = Version(await start_daemon(told), management)
+        management_port = free_port()
+        told = {**self.environ, "LB_MANAGEMENT": f"127.0.0.1:{management_port}", **environ}
+        version = Version(await start_daemon(told), management_port)
         self.versions.append(version)
         return version
 
-    async def version(self) -> Version:
+    async def start_ready(self) -> Version:
         one = await self.start()
-        await one.until_ready()
+        await one.wait_ready()
         return one
 
-    async def ask(self, raw: bytes) -> Any:
+    async def send(self, raw: bytes) -> Any:
         async with Caller("127.0.0.1", self.port) as caller:
             return await caller.ask(raw)
 
