--- a/laurelstep/demo/__init__.py
+++ b/laurelstep/demo/__init__.py
@@ -1,7 +1,7 @@
 """`laurelstep demo`: a daemon on loopback under load, while one endpoint stalls and another drains.
 
-Everything in it is real: a daemon in a process of its own, discovery, eight endpoints of
-three speeds and clients on sockets. It ends by itself with a summary.
+It runs a daemon in a separate process, and discovery, eight endpoints of three speeds and clients, all on
+sockets. It ends by itself with a summary.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run the demo; exit status 0 if every promise was kept."""
+    """Run the demo; return exit status 0 if every guarantee held, else 1."""
     parser = argparse.ArgumentParser(prog="laurelstep demo", description=__doc__)
-    parser.add_argument("--seconds", type=float, default=DEFAULT_SECONDS, help="how long it runs (15)")
+    parser.add_argument("--seconds", type=float, default=DEFAULT_SECONDS, help="duration of the run (15)")
     parser.add_argument("--rate", type=float, default=DEFAULT_RATE, help="requests a second (200)")
-    parser.add_argument("--seed", type=int, default=1, help="for the draws of work and arrivals (1)")
-    parser.add_argument("--json", action="store_true", help="no table: one JSON object at the end")
+    parser.add_argument("--seed", type=int, default=1, help="seed of work and arrival times (1)")
+    parser.add_argument("--json", action="store_true", help="print one JSON object at the end, no table")
     options = parser.parse_args(arguments)
     is_in_range = MIN_SECONDS <= options.seconds <= MAX_SECONDS and MIN_RATE <= options.rate <= MAX_RATE
     if not is_in_range:
--- a/laurelstep/demo/endpoints.py
+++ b/laurelstep/demo/endpoints.py
@@ -27,8 +27,8 @@
     last_request_s: float = 0.0  # monotonic time of the last arrival
     unstalled: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def use(self, draw: random.Random) -> None:
-        """Draw times of work from here, and start unstalled."""
+    def install_handler(self, draw: random.Random) -> None:
+        """Answer requests, with work times from `draw`; the endpoint is not stalled at first."""
         self.unstalled.set()
         mean_work_s = SPEEDS[self.speed].mean_work_s
         cores = asyncio.Semaphore(CORES)
@@ -50,17 +50,17 @@
         self.handler = handler
 
     def discovery_entry(self, **changes: Any) -> dict[str, Any]:
-        """The endpoint's entry of discovery's list."""
+        """Return the endpoint's entry of discovery's list."""
         return self.entry(self.name, machineType=self.speed, **changes)
 
 
 def make_endpoints(draw: random.Random, effects: Effects) -> list[DemoEndpoint]:
-    """All endpoints of the demo, named in order; they share `draw` and `effects`."""
+    """Return all endpoints of the demo, named in order; they share `draw` and `effects`."""
     endpoints: list[DemoEndpoint] = []
     for speed, (_, endpoint_count) in SPEEDS.items():
         for _ in range(endpoint_count):
             name = f"s-{len(endpoints)}"
             endpoint = DemoEndpoint(name=name, speed=speed, effects=effects, keep=False)
-            endpoint.use(draw)
+            endpoint.install_handler(draw)
             endpoints.append(endpoint)
     return endpoints
--- a/laurelstep/demo/run.py
+++ b/laurelstep/demo/run.py
@@ -1,4 +1,4 @@
-"""One run of the demo: a daemon in a process of its own, endpoints, discovery, clients, and two faults."""
+"""One run of the demo: a daemon in a separate process, endpoints, discovery, clients, and two faults."""
 
 from __future__ import annotations
 
@@ -36,17 +36,17 @@
 
 
 class DemoRun:
-    """The state of one run, for the view; `run` plays it."""
+    """One run of the demo; the view reads its state."""
 
     def __init__(self, seconds: float, rate: float, seed: int) -> None:
-        """`rate` is in requests a second; `seed` fixes the draws of arrivals and of work."""
+        """`rate` is in requests a second; `seed` determines arrival and work times."""
         self.seconds = seconds
         self.rate = rate
         self.draw = random.Random(seed)
         self.effects = Effects()
         self.endpoints: list[DemoEndpoint] = []
         self.statistics = RequestStatistics()
-        self.event = "all is well"
+        self.event = "no fault yet"
         self.idle_clients: list[Caller] = []
         self._started_at_s = 0.0
         self._drained_at_s = 0.0
@@ -56,8 +56,8 @@
         return time.monotonic() - self._started_at_s if self._started_at_s else 0.0
 
     async def run(self, on_view: OnView | None = None) -> Summary:
-        """Play the run to its end; `on_view` is called ten times a second. RuntimeError if the daemon
-        ends before it is ready.
+        """Run to the end; `on_view` is called ten times a second. Raises RuntimeError if the daemon exits
+        before it is ready.
         """
         async with contextlib.AsyncExitStack() as stack:
             self.endpoints = make_endpoints(self.draw, self.effects)
@@ -75,7 +75,7 @@
         return self.summary()
 
     def summary(self) -> Summary:
-        """What was counted so far."""
+        """Return the counts so far."""
         counts, durations_s = self.statistics.counts, self.statistics.durations_s
         last_allowed_s = self._drained_at_s + DRAIN_GRACE_S + DRAIN_TOLERANCE_S
         is_late = self._drained_at_s > 0.0 and self.endpoint(DRAINED_ENDPOINT).last_request_s > last_allowed_s
@@ -94,7 +94,7 @@
         )
 
     def endpoint(self, name: str) -> DemoEndpoint:
-        """The endpoint with this name."""
+        """Return the endpoint with this name."""
         return next(endpoint for endpoint in self.endpoints if endpoint.name == name)
 
     # --- Events -------------------------------------------------------------------
@@ -104,7 +104,7 @@
         await self._sleep_until(self.seconds / 3)
         stalled = self.endpoint(STALLED_ENDPOINT)
         stalled.unstalled.clear()
-        stalled.state, self.event = "stalled", f"{stalled.name} accepts and answers nothing"
+        stalled.state, self.event = "stalled", f"{stalled.name} accepts requests and answers none"
 
         await self._sleep_until(self.seconds / 2)
         stalled.unstalled.set()
@@ -114,15 +114,15 @@
         drained = self.endpoint(DRAINED_ENDPOINT)
         discovery.publish(drained.discovery_entry(lifecycle="draining"))
         self._drained_at_s = time.monotonic()
-        drained.state, self.event = "draining", f"discovery says that {drained.name} drains"
+        drained.state, self.event = "draining", f"discovery lists {drained.name} as draining"
 
     async def _refresh_view(self, on_view: OnView | None) -> None:
         while on_view is not None and self.elapsed_s() < self.seconds:
             on_view()
             await asyncio.sleep(VIEW_INTERVAL_S)
 
-    async def _sleep_until(self, at_s: float) -> None:
-        await asyncio.sleep(max(0.0, at_s - self.elapsed_s()))
+    async def _sleep_until(self, time_s: float) -> None:
+        await asyncio.sleep(max(0.0, time_s - self.elapsed_s()))
 
     # --- Clients ------------------------------------------------------------------
 
@@ -159,7 +159,7 @@
         self.statistics.record(OUTCOMES.get(response.status, "failed"), time.monotonic() - started_at_s)
 
     def _draw_request(self, number: int) -> bytes:
-        classes, shares = [one.cls for one in REQUEST_MIX], [one.share for one in REQUEST_MIX]
+        classes, shares = [entry.cls for entry in REQUEST_MIX], [entry.share for entry in REQUEST_MIX]
         cls = self.draw.choices(classes, shares)[0]
         key = f"k{number}" if cls == "upload" else None
         body = b"" if cls == "view" else b"album"
@@ -175,7 +175,7 @@
 
 @contextlib.asynccontextmanager
 async def running_daemon(discovery: DiscoveryServer) -> AsyncIterator[int]:
-    """A daemon that uses this discovery, until the end of the block; its port. RuntimeError if it ends."""
+    """Run a daemon with this discovery during the block; yields its port. RuntimeError if it exits early."""
     port = free_port()
     with _configuration(port, discovery) as environ:
         daemon = await asyncio.create_subprocess_exec(sys.executable, "-m", "laurelstep", env=environ)
@@ -190,7 +190,7 @@
 
 @contextlib.contextmanager
 def _configuration(port: int, discovery: DiscoveryServer) -> Iterator[dict[str, str]]:
-    """The environment of a daemon, with its configuration in a file."""
+    """Yield the environment of a daemon, with its configuration in a temporary file."""
     with tempfile.TemporaryDirectory(prefix="laurelstep-") as folder:
         raw = {
             "listen": f"{HOST}:{port}", "discovery": discovery.address, "seed": "1",
@@ -203,7 +203,7 @@
 
 
 async def _wait_ready(port: int, daemon: asyncio.subprocess.Process) -> None:
-    """Wait until the daemon reports that it is ready; RuntimeError if it ends instead."""
+    """Wait until the daemon reports that it is ready. Raises RuntimeError if it exits instead."""
     while daemon.returncode is None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             async with Caller(HOST, port) as client:
@@ -211,4 +211,4 @@
                 if response.status == 200:
                     return
         await asyncio.sleep(READY_POLL_S)
-    raise RuntimeError(f"the daemon ended with status {daemon.returncode}")
+    raise RuntimeError(f"the daemon exited with status {daemon.returncode}")
--- a/laurelstep/demo/settings.py
+++ b/laurelstep/demo/settings.py
@@ -1,4 +1,4 @@
-"""What the demo consists of: endpoints, request classes and the daemon's settings."""
+"""The demo's endpoints, request classes and daemon settings."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class Speed(NamedTuple):
-    """One kind of endpoint: the mean time of its work, s, and how many endpoints there are of it."""
+    """A speed of endpoints: the mean time of their work, s, and their number."""
 
     mean_work_s: float
     endpoint_count: int
 
 
 class RequestShare(NamedTuple):
-    """One request class and its share of all requests."""
+    """A request class and its share of all requests."""
 
     cls: str
     share: float
--- a/laurelstep/demo/statistics.py
+++ b/laurelstep/demo/statistics.py
@@ -1,4 +1,4 @@
-"""What the demo's clients count, and the summary at its end."""
+"""The counts of the demo's clients, and the summary at its end."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass
 class Summary:
-    """What clients and endpoints counted over a run; times in milliseconds."""
+    """The counts of clients and endpoints over a run, and quantiles of the request durations."""
 
     seconds: float
     asked: int
@@ -34,11 +34,11 @@
 
     @property
     def all_guarantees_held(self) -> bool:
-        """Whether each request was answered, no order ran twice, and the drain held."""
+        """Whether each request was answered, no order ran twice, and the drain grace was kept to."""
         return not (self.unanswered or self.orders_run_twice or self.sends_past_the_grace)
 
     def as_dict(self) -> dict[str, Any]:
-        """The form of `laurelstep demo --json`."""
+        """Return the object that `laurelstep demo --json` prints."""
         return {**asdict(self), "kept": self.all_guarantees_held}
 
 
@@ -58,14 +58,14 @@
             self.durations_s.append(duration_s)
 
     def last_second(self) -> list[FinishedRequest]:
-        """The requests that were answered within the last second."""
-        limit_s = time.monotonic() - 1.0
-        while self._recent and self._recent[0].ended_at_s < limit_s:
+        """Return the requests that were answered within the last second."""
+        oldest_s = time.monotonic() - 1.0
+        while self._recent and self._recent[0].ended_at_s < oldest_s:
             self._recent.popleft()
         return list(self._recent)
 
 
 def quantile(values: list[float], share: float) -> float:
-    """The value under which this share of the values lies; 0 for none."""
+    """Return the value below which this share of the values lies; 0 if there are none."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
--- a/laurelstep/demo/view.py
+++ b/laurelstep/demo/view.py
@@ -17,7 +17,7 @@
 
 
 def endpoint_table(run: DemoRun) -> Table:
-    """One row an endpoint: its state, and what it holds and has served."""
+    """Return a table with a row per endpoint: its state, its open requests, and those it has served."""
     table = Table(title="endpoints")
     for name in ("endpoint", "speed", "state"):
         table.add_column(name)
@@ -30,7 +30,7 @@
 
 
 def totals_table(run: DemoRun) -> Table:
-    """Counts since the start, and the rate and durations of the last second."""
+    """Return a table with the counts since the start, and the rate and durations of the last second."""
     recent = run.statistics.last_second()
     durations_s = [finished.duration_s for finished in recent if finished.outcome == "served"]
     table = Table(title=f"{run.elapsed_s():.1f} of {run.seconds:.0f} s: {run.event}")
@@ -46,7 +46,7 @@
 
 
 def show(run: DemoRun) -> Summary:
-    """Play the run on the terminal, then print its summary."""
+    """Show the run on the terminal, then print its summary."""
     console = Console()
     with Live(console=console, refresh_per_second=REFRESHES_PER_SECOND) as live:
 
@@ -55,13 +55,13 @@
 
         summary = asyncio.run(run.run(on_view))
     console.print(
-        f"{summary.asked} asked: {summary.served} served, {summary.refused} refused, "
+        f"{summary.asked} requests: {summary.served} served, {summary.refused} refused, "
         f"{summary.failed} failed, {summary.unanswered} unanswered; "
         f"p50 {summary.p50_ms} ms, p99 {summary.p99_ms} ms"
     )
     console.print(
         f"orders run twice: {summary.orders_run_twice}; "
-        f"sends past the drain's grace: {summary.sends_past_the_grace}"
+        f"sends after the drain grace: {summary.sends_past_the_grace}"
     )
-    console.print("all promises kept" if summary.all_guarantees_held else "a promise was broken")
+    console.print("all guarantees held" if summary.all_guarantees_held else "a guarantee was violated")
     return summary
--- a/laurelstep/hot_restart/predecessor.py
+++ b/laurelstep/hot_restart/predecessor.py
@@ -1,4 +1,4 @@
-"""The side of the predecessor: a process that serves, and waits for its successor."""
+"""The predecessor's side of a hot restart: a serving process that waits for a successor."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from laurelstep.hot_restart.stages import HotRestartEvent, HotRestartProgress
 from laurelstep.net.acceptor import SHORTAGE_ERRNOS, SHORTAGE_PAUSE_S
 
-# From connecting until a successor has said what it speaks, and until it accepts clients: a start on a
-# starved core is due within 6 s.
+# Limits from connecting to the successor's first line, and from there until it accepts clients: a start on a
+# starved core must be done within 6 s.
 HELLO_TIMEOUT_S: Final = 2.0
 READY_TIMEOUT_S: Final = 20.0
 
-# Collects the state, its values in JSON, and hands it to its argument, now or later.
+# Collects the state, its values in JSON, and passes it to the given callback, now or later.
 CollectState = Callable[[Callable[[dict[str, bytes]], None]], None]
 
 
 class DescriptorOwner(Protocol):
-    """A listening socket, as far as its descriptor is handed over."""
+    """A listening socket whose descriptor is sent to the successor."""
 
     def fileno(self) -> int:
-        """The number of its descriptor."""
+        """Return its descriptor."""
 
 
 class SuccessorConnection(asyncio.Protocol):
@@ -34,7 +34,7 @@
 
     def __init__(self, server: HotRestartServer, connection: socket.socket) -> None:
         self.server = server
-        self.connection = connection  # sends the descriptor; the transport can't
+        self.connection = connection  # for sending the descriptor, which the transport can't
         self.buffer = bytearray()
         self.is_offered = False
         self.is_rejected = False
@@ -48,7 +48,7 @@
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """A part of its lines has come."""
+        """Handle the lines that are complete; end the connection at one that is not allowed."""
         self.buffer += data
         while (end := self.buffer.find(b"\n")) >= 0:
             line = bytes(self.buffer[: end + 1])
@@ -60,7 +60,7 @@
             self.reject()
 
     def _handle_line(self, line: bytes) -> bool:
-        """False if it is none that may be sent now."""
+        """Return False if the line is not allowed at this stage."""
         if not self.is_offered and is_hello(line):
             self.is_offered = self.server.handle(HotRestartEvent.HELLO)
             if self.is_offered:
@@ -93,7 +93,7 @@
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The successor, or its connection, is gone."""
+        """The successor has exited, or was rejected."""
         self.timer.cancel()
         self.connection.close()
         self.server.connections.discard(self)
@@ -103,7 +103,7 @@
 
 class HotRestartServer:
     """Waits for a successor at the rendezvous until `close`. `on_stage_changed` is called after each
-    change.
+    change of the stage.
     """
 
     def __init__(
@@ -115,7 +115,7 @@
         on_stage_changed: Callable[[], None],
         log: Log,
     ) -> None:
-        """`listener` is the clients', and stays its owner's. OSError if there can be no rendezvous."""
+        """`listener` is the clients', and is not closed here. OSError if the rendezvous can't be used."""
         self.loop = loop
         self.rendezvous = rendezvous
         self.listener = listener
@@ -125,7 +125,7 @@
         self.progress = HotRestartProgress()
         self.connections: set[SuccessorConnection] = set()
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.accept_pause: asyncio.TimerHandle | None = None  # while no descriptor is to be had
+        self.accept_pause: asyncio.TimerHandle | None = None  # while descriptors or memory are short
         self.rendezvous_socket: socket.socket | None = rendezvous.listen()
         loop.add_reader(self.rendezvous_socket.fileno(), self._accept)
 
@@ -151,7 +151,7 @@
         task.add_done_callback(self.tasks.discard)
 
     def _pause_accepting(self, rendezvous_socket: socket.socket) -> None:
-        """Guards the event loop against spinning while the socket stays readable."""
+        """Guards the event loop against spinning while a connection can't be accepted."""
         self.loop.remove_reader(rendezvous_socket.fileno())
         self.accept_pause = self.loop.call_later(SHORTAGE_PAUSE_S, self._resume_accepting, rendezvous_socket)
 
@@ -163,14 +163,14 @@
         await self.loop.create_unix_connection(lambda: connection, sock=accepted)
 
     def handle(self, event: HotRestartEvent) -> bool:
-        """Something happened at a connection; whether it changed the stage."""
+        """Handle an event at a connection; return whether it changed the stage."""
         has_changed = self.progress.handle(event)
         if has_changed:
             self.on_stage_changed()
         return has_changed
 
     def close(self) -> None:
-        """End all connections: that is how a successor learns of the end of this process."""
+        """Stop accepting, and end all connections, which tells a successor that this process exits."""
         if self.accept_pause is not None:
             self.accept_pause.cancel()
             self.accept_pause = None
--- a/laurelstep/hot_restart/rendezvous.py
+++ b/laurelstep/hot_restart/rendezvous.py
@@ -1,8 +1,8 @@
-"""The files where predecessor and successor meet: a lock that says who is alive, and a socket.
+"""The files by which predecessor and successor find each other: a lock held while alive, and a socket.
 
-Both are named after the clients' address and lie in `$TMPDIR`, which the two processes share. The lock is the
-kernel's: it goes with the process that held it, however that ended. A socket file may be stale: nobody
-answers there then.
+Both are named after the clients' address and lie in `$TMPDIR`, which the two processes share. The kernel
+releases the lock when its process ends, however that happens. A socket file may be stale: connecting to it
+then fails.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 _LOCK_SUFFIX: Final = ".lock"
 _SOCKET_SUFFIX: Final = ".sock"
 _BACKLOG: Final = 8
-# Of `struct ucred`: process, user and group, each 4 bytes.
+# Size of `struct ucred`: process, user and group, 4 bytes each.
 _CREDENTIALS_BYTES: Final = 12
 
 
 class RendezvousPoint:
-    """Where the processes that serve at one address find each other. OSError where the folder can't be
-    used.
+    """Where the processes that serve at one address find each other. Raises OSError if the folder
+    can't be used.
     """
 
     def __init__(self, listen: tuple[str, int], folder: str) -> None:
         self.folder = folder
         host = "".join(char if char.isalnum() or char in ".-" else "_" for char in listen[0])
         self.name = f"laurelstep-{host}-{listen[1]}"
-        self._socket_inode: int | None = None  # of the socket file, while it is this process's
+        self._socket_inode: int | None = None  # of the socket file that this process created
         flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
         self._lock = os.open(self._path(_LOCK_SUFFIX), flags, 0o600)
 
@@ -39,7 +39,7 @@
 
     @contextlib.contextmanager
     def _short_path(self, suffix: str) -> Iterator[str]:
-        """The file's path for a socket, which may have 107 bytes: by the folder's descriptor."""
+        """Yield the file's path by the folder's descriptor: a socket's path has at most 107 bytes."""
         folder = os.open(self.folder, os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             yield f"/proc/self/fd/{folder}/{self.name}{suffix}"
@@ -47,7 +47,7 @@
             os.close(folder)
 
     def register(self) -> bool:
-        """Be among the processes alive here, until this one ends. Whether another one is."""
+        """Register this process until it ends; return whether another one is registered."""
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
@@ -58,7 +58,7 @@
         return has_others
 
     def connect(self, timeout_s: float) -> socket.socket:
-        """A connection to who listens here. OSError if there is nobody, of this user's."""
+        """Connect to the process that listens here. OSError if there is none, or it is another user's."""
         connection = socket.socket(socket.AF_UNIX)
         try:
             connection.settimeout(timeout_s)
@@ -71,26 +71,26 @@
         return connection
 
     def listen(self) -> socket.socket:
-        """The socket that a successor finds; in the place of an older one's. OSError."""
+        """Return a listening socket for successors; its file replaces an older one. Raises OSError."""
         listener = socket.socket(socket.AF_UNIX)
-        fresh = f"{_SOCKET_SUFFIX}.{os.getpid()}"
+        temporary = f"{_SOCKET_SUFFIX}.{os.getpid()}"
         try:
             with contextlib.suppress(FileNotFoundError):
-                os.unlink(self._path(fresh))
-            with self._short_path(fresh) as path:
+                os.unlink(self._path(temporary))
+            with self._short_path(temporary) as path:
                 listener.bind(path)
-            os.chmod(self._path(fresh), 0o600)
+            os.chmod(self._path(temporary), 0o600)
             listener.listen(_BACKLOG)
             listener.setblocking(False)
-            self._socket_inode = os.stat(self._path(fresh)).st_ino
-            os.rename(self._path(fresh), self._path(_SOCKET_SUFFIX))
+            self._socket_inode = os.stat(self._path(temporary)).st_ino
+            os.rename(self._path(temporary), self._path(_SOCKET_SUFFIX))
         except OSError:
             listener.close()
             raise
         return listener
 
     def leave(self) -> None:
-        """Remove the socket file, unless it is another process's by now, and give up the lock."""
+        """Remove the socket file, unless another process has replaced it, and release the lock."""
         with contextlib.suppress(OSError):
             if os.stat(self._path(_SOCKET_SUFFIX)).st_ino == self._socket_inode:
                 os.unlink(self._path(_SOCKET_SUFFIX))
@@ -100,7 +100,7 @@
 
 
 def require_same_user(connection: socket.socket) -> None:
-    """PermissionError if at the other end of a Unix socket is another user's process."""
+    """Raise PermissionError if the process at the other end of a Unix socket is another user's."""
     credentials = connection.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _CREDENTIALS_BYTES)
     if int.from_bytes(credentials[4:8], "little") != os.geteuid():
-        raise PermissionError("the other process is another user's")
+        raise PermissionError("the other process belongs to another user")
--- a/laurelstep/hot_restart/stages.py
+++ b/laurelstep/hot_restart/stages.py
@@ -1,10 +1,10 @@
-"""How far a hot restart has come, as the predecessor sees it. Pure.
+"""The stage of a hot restart, as the predecessor sees it. Pure.
 
 1. One successor takes over at a time; a second that connects meanwhile is rejected.
-2. Until the successor accepts clients, nothing changes for those of the predecessor but the fraction of the
-   resources that the two may use together. Should the successor exit before, the predecessor is alone again.
-3. Clients are left to the successor only while it lives and has said that it accepts them: then a stop need
-   not wait for late ones.
+2. Until the successor accepts clients, the only change for the predecessor's clients is the fraction of the
+   resources that it may use. If the successor exits before, the predecessor is alone again.
+3. Clients are left to the successor only while it runs and has reported that it accepts them: then a stop
+   need not wait for late ones.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from enum import StrEnum
 from typing import Final
 
-# Of connections and descriptors, for each of two processes.
+# Of connections and descriptors, for each of the two processes.
 SHARED_FRACTION: Final = 0.5
 
 
 class HotRestartStage(StrEnum):
-    """How far it has come."""
+    """How far a hot restart has progressed."""
 
     ALONE = "alone"
     OFFERED = "offered"  # the successor has the listener, and is starting
@@ -25,7 +25,7 @@
 
 
 class HotRestartEvent(StrEnum):
-    """What happens at the connection of a successor."""
+    """An event at the connection of a successor."""
 
     HELLO = "ask"
     READY = "ready"
@@ -41,13 +41,13 @@
 
 
 class HotRestartProgress:
-    """The stage of one process."""
+    """The stage of one process's hot restart."""
 
     def __init__(self) -> None:
         self.stage = HotRestartStage.ALONE
 
     def handle(self, event: HotRestartEvent) -> bool:
-        """Whether the event changed the stage; one that the table does not have is rejected."""
+        """Return whether the event changed the stage; one that `TRANSITIONS` lacks for it changes nothing."""
         stage = TRANSITIONS.get((event, self.stage))
         if stage is None:
             return False
@@ -56,7 +56,7 @@
 
     @property
     def is_alone(self) -> bool:
-        """Whether no successor is there."""
+        """Whether there is no successor."""
         return self.stage == HotRestartStage.ALONE
 
     @property
@@ -66,5 +66,5 @@
 
     @property
     def resource_fraction(self) -> float:
-        """Of the sidecar's connections and descriptors, what this process may use; 0 to 1."""
+        """The part of the sidecar's connections and descriptors that this process may use; 0 to 1."""
         return 1.0 if self.is_alone else SHARED_FRACTION
--- a/laurelstep/hot_restart/state.py
+++ b/laurelstep/hot_restart/state.py
@@ -1,12 +1,12 @@
-"""What crosses from predecessor to successor: the endpoint list as it was told. Pure.
+"""The state that the predecessor passes to the successor: the endpoint list as discovery sent it. Pure.
 
-Not the requests: each is finished by the process that accepted it, which alone knows what of it may have run.
-So no idempotency key and no window has to cross. Not the connections to endpoints: they carry requests. The
-slow-start budget of an endpoint begins anew with what the successor sends itself, as for a replica that
-starts beside others; each stays within its own part.
+Requests are not passed on: each is finished by the process that accepted it, as only this one knows which
+attempts may have run. So no idempotency key and no window has to be passed on. Connections to endpoints are
+not, as they carry requests. The slow-start budget of an endpoint begins anew with what the successor sends,
+as for a replica that starts beside others; each process keeps to its share.
 
-And, where it is on, the memory of the predecessor's consensus replica, from which the successor goes on as
-the same member. It is handed over once, by a process that takes no part any more.
+If consensus is enabled, the state includes the memory of the predecessor's replica, with which the successor
+continues as the same member. It is passed on once, by a process that no longer takes part in consensus.
 """
 
 from __future__ import annotations
@@ -26,29 +26,29 @@
 
 
 def collect_state(config: Config, source: MemberSource, endpoint_list: bytes) -> dict[str, bytes]:
-    """The state, its values in JSON; `endpoint_list` is in JSON, in discovery's form."""
+    """Return the state, its values in JSON; `endpoint_list` is JSON in discovery's form."""
     address = source.address if isinstance(source, Discovery) else config.discovery
     return {"discovery": json.dumps(address).encode(), "known": endpoint_list}
 
 
 def config_with_state(config: Config, state: dict[str, Any]) -> Config:
-    """The configuration, with what of the state can be used."""
-    known = state.get("known")
-    if not isinstance(known, dict) or not isinstance(known.get("instances"), list):
+    """Return the configuration with those parts of the state that can be used."""
+    endpoint_list = state.get("known")
+    if not isinstance(endpoint_list, dict) or not isinstance(endpoint_list.get("instances"), list):
         return config
-    generation = known.get("generation")
+    generation = endpoint_list.get("generation")
     if type(generation) is not int or generation < 0:
         return config
     if state.get("discovery") != config.discovery:
-        # Another source's versions say nothing: its whole list is asked for.
-        known = {**known, "generation": 0}
+        # Generations of another source are not comparable: the complete list is requested.
+        endpoint_list = {**endpoint_list, "generation": 0}
     elif config.known is not None and int(config.known["generation"]) > generation:
         return config
-    return replace(config, known=known)
+    return replace(config, known=endpoint_list)
 
 
 def encode_replica(memory: Mapping[bytes, bytes]) -> dict[str, bytes]:
-    """The state's value for a replica's memory, in JSON; none where it would be too long."""
+    """Return the state's entry for a replica's memory, in JSON; none if it would be too long."""
     if not memory or sum(len(key) + len(value) for key, value in memory.items()) > MAX_REPLICA_BYTES:
         return {}
     encoded = {_encode_base64(key): _encode_base64(value) for key, value in memory.items()}
@@ -56,7 +56,7 @@
 
 
 def decode_replica(state: Mapping[str, Any]) -> dict[bytes, bytes] | None:
-    """What `encode_replica` was given; None if it is absent or can't be read completely."""
+    """Return the memory that `encode_replica` encoded; None if it is absent or not wholly readable."""
     encoded = state.get("accord")
     if not isinstance(encoded, dict) or not encoded:
         return None
--- a/laurelstep/hot_restart/successor.py
+++ b/laurelstep/hot_restart/successor.py
@@ -1,4 +1,4 @@
-"""The side of the successor: takes over, before it has an event loop, from a process that serves."""
+"""The successor's side of a hot restart: takes over, before its event loop starts, from a serving process."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 )
 from laurelstep.hot_restart.rendezvous import RendezvousPoint
 
-# For all of it: a start is due within 6 s, and the predecessor may hang.
+# For the whole takeover: a start must be done within 6 s, and the predecessor may hang.
 TAKEOVER_TIMEOUT_S: Final = 2.0
-# Room for more descriptors than the one that is expected, so that no other one is lost open.
+# More than the one that is expected, so that surplus ones are received and closed.
 _MAX_DESCRIPTORS: Final = 4
 
 
 @dataclass
 class PredecessorHandle:
-    """What a predecessor handed over. `channel` stays open: its end is that of the predecessor."""
+    """What a predecessor passed on. `channel` stays open: its end means that the predecessor has exited."""
 
     channel: socket.socket
     listener: socket.socket
@@ -35,12 +35,12 @@
 
     def report_ready(self) -> None:
         """Tell the predecessor that this process accepts clients."""
-        with contextlib.suppress(OSError):  # it is gone: there is nobody to tell
+        with contextlib.suppress(OSError):  # the predecessor has exited
             self.channel.sendall(READY)
 
 
 def take_over(rendezvous: RendezvousPoint, listen: tuple[str, int]) -> PredecessorHandle:
-    """Take over from the process that waits at the rendezvous. Raises `HotRestartError` if that can't be."""
+    """Take over from the process that waits at the rendezvous. Raises `HotRestartError` if that fails."""
     deadline = time.monotonic() + TAKEOVER_TIMEOUT_S
     try:
         channel = rendezvous.connect(TAKEOVER_TIMEOUT_S)
@@ -63,13 +63,13 @@
 def _set_timeout(channel: socket.socket, deadline: float) -> None:
     remaining_s = deadline - time.monotonic()
     if remaining_s <= 0.0:
-        raise HotRestartError("it took too long")
+        raise HotRestartError("the takeover took too long")
     channel.settimeout(remaining_s)
 
 
 def _read_header(channel: socket.socket, descriptors: list[int], deadline: float) -> bytes:
-    """The first line, byte by byte: what follows is the state. Adds to `descriptors` those that come with
-    it.
+    """Read the first line byte by byte, as the state follows it. Appends the received descriptors to
+    `descriptors`.
     """
     line = b""
     while not line.endswith(b"\n"):
@@ -82,10 +82,10 @@
                 received.frombytes(data[: len(data) - len(data) % received.itemsize])
                 descriptors.extend(received)
         if not part:
-            raise HotRestartError("the other process ended")
+            raise HotRestartError("the predecessor closed the connection")
         line += part
         if len(line) > MAX_HEADER_BYTES:
-            raise HotRestartError("the head is too long")
+            raise HotRestartError("the header is too long")
     return line
 
 
@@ -95,23 +95,23 @@
         _set_timeout(channel, deadline)
         part = channel.recv(size - len(data))
         if not part:
-            raise HotRestartError("the other process ended")
+            raise HotRestartError("the predecessor closed the connection")
         data += part
     return bytes(data)
 
 
 def _adopt_listener(descriptors: list[int], listen: tuple[str, int]) -> socket.socket:
-    """The one descriptor as the clients' listener; `HotRestartError` if it is anything else."""
+    """Return the one descriptor as the clients' listener; `HotRestartError` if it is anything else."""
     if len(descriptors) != 1:
         raise HotRestartError(f"{len(descriptors)} descriptors, expected one")
     listener = socket.socket(fileno=descriptors[0])
     is_listening = listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
     if listener.family not in (socket.AF_INET, socket.AF_INET6) or not is_listening:
         listener.detach()
-        raise HotRestartError("the descriptor is no listener")
+        raise HotRestartError("the descriptor is not a listening socket")
     address = listener.getsockname()[:2]
     if address != listen:
         listener.detach()
-        raise HotRestartError(f"the listener of another address: {address}")
+        raise HotRestartError(f"the listener has another address: {address}")
     listener.setblocking(False)
     return listener
--- a/laurelstep/library/__init__.py
+++ b/laurelstep/library/__init__.py
@@ -3,8 +3,8 @@
     async with Client.open("operator.toml") as client:
         reply = await client.send(Request(cls="view", method="GET", target="/view?obj=7f"))
 
-It sets no signal handlers and changes neither the garbage collector nor the loop policy nor the
-process's limits. It logs to the logger `laurelstep`.
+The library sets no signal handlers and changes neither the garbage collector nor the event loop policy nor
+the process's limits. It logs to the logger `laurelstep`.
 """
 
 from laurelstep.engine.call import Ending
--- a/laurelstep/library/asgi.py
+++ b/laurelstep/library/asgi.py
@@ -1,7 +1,7 @@
-"""ASGI 3 middleware: requests of a known class are balanced, all others are the app's.
+"""ASGI 3 middleware: balances requests of a known class, and passes all others to the app.
 
-Requests are validated as by the daemon (`laurelstep.net.request`). Reading heads, connections, their
-limits and signals are left to the host server.
+Requests are validated as by the daemon (`laurelstep.net.request`). Parsing of heads, connections
+and their limits, and signals are left to the host server.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 
     A request whose path has a class's name as its first part after the prefix goes through the client; the
     prefix is not forwarded. All else, websocket scopes too, reaches the app unchanged. The lifespan opens
-    the client before the app starts, and closes it gracefully before the app stops; a client that is open
-    already is left to its owner. A body must arrive within `read_s` seconds.
+    the client before the app starts, and closes it gracefully before the app stops; a client that was open
+    before is left open. A body must arrive within `read_s` seconds.
     """
 
     def __init__(self, app: App, client: Client, prefix: str = "", read_s: float = REQUEST_TIMEOUT_S) -> None:
-        """ValueError if the prefix is neither empty nor a path without an end slash."""
+        """Raises ValueError if the prefix is neither empty nor a path without a final slash."""
         if prefix and (not prefix.startswith("/") or prefix.endswith("/")):
-            raise ValueError(f"no prefix: {prefix!r}")
+            raise ValueError(f"invalid prefix: {prefix!r}")
         self.app = app
         self.client = client
         self.prefix = prefix
@@ -58,11 +58,11 @@
     def _is_balanced(self, path: str) -> bool:
         if not path.startswith(self.prefix + "/"):
             return False
-        first = path[len(self.prefix) + 1 :].partition("/")[0]
-        return first in self.client.config.names.classes
+        class_name = path[len(self.prefix) + 1 :].partition("/")[0]
+        return class_name in self.client.config.names.classes
 
     def _target(self, scope: Scope) -> bytes:
-        """Path and query as they were sent, without the prefix."""
+        """Return path and query as they were sent, without the prefix."""
         raw: bytes | None = scope.get("raw_path")
         path = raw.partition(b"?")[0] if raw else quote(scope["path"], safe="/:@!$&'()*+,;=~-._").encode()
         path = path.removeprefix(self.prefix.encode())
@@ -93,9 +93,9 @@
                 exchange.abandon()
 
     async def _read_body(self, receive: Receive, exchange: Exchange) -> bytes | None:
-        """The complete body, or None if the client disconnected.
+        """Return the complete body, or None if the client disconnected.
 
-        `BadRequestError` if it is too large, too late, or not allowed.
+        Raises `BadRequestError` if it is too large, too late, or not allowed.
         """
         parts: list[bytes] = []
         size = 0
@@ -141,9 +141,9 @@
 
 def _request_headers(scope: Scope) -> Headers:
     headers = [(bytes(name), bytes(value).strip(OWS)) for name, value in scope["headers"]]
-    framed = any(name in (b"content-length", b"transfer-encoding") for name, _ in headers)
-    if not framed and scope.get("http_version", "1.1")[0] in "23" and scope["method"] != "GET":
-        # HTTP/2 and 3 frame the body themselves: as with chunks, its end shows when it is complete.
+    is_framed = any(name in (b"content-length", b"transfer-encoding") for name, _ in headers)
+    if not is_framed and scope.get("http_version", "1.1")[0] in "23" and scope["method"] != "GET":
+        # HTTP/2 and HTTP/3 frame the body themselves: as with chunks, its size is known only at its end.
         headers.append((b"transfer-encoding", b"chunked"))
     return headers
 
@@ -163,15 +163,15 @@
         await send({"type": "http.response.start", "status": status, "headers": headers})
         await send({"type": "http.response.body", "body": body})
     except OSError:
-        # Some hosts report so that the client has disconnected; it was answered all the same.
+        # Some hosts report a disconnected client so; the request was answered nevertheless.
         logger.debug("a client disconnected before its answer was written")
 
 
 class ClientLifespan:
     """Handles the host's lifespan: the client opens before the app and closes before it.
 
-    The app's own lifespan runs within. For an app that has none (it raises, or returns, before it answers)
-    the host is answered here, so that the client opens and closes all the same.
+    The app's lifespan runs in between. For an app that has none (it raises, or returns, before it answers)
+    the host is answered here, so that the client is opened and closed nevertheless.
     """
 
     def __init__(self, app: App, client: Client, scope: Scope, receive: Receive, send: Send) -> None:
@@ -181,19 +181,19 @@
         self.receive = receive
         self.send = send
         self.owns_client = False  # the client was opened by this lifespan
-        self.start_failed = False  # the client could not be opened, and the host knows
-        self.has_answered = False  # the host knows how the start went
-        self.is_over = False  # the host needs no further message
+        self.start_failed = False  # the client could not be opened, and the host was told so
+        self.has_answered = False  # the host was sent an answer
+        self.is_over = False  # the host was sent its last answer
         self.pending: Message | None = None  # received and not yet answered
 
     async def run(self) -> None:
-        """Run the lifespan to its end. An error of the app after its start passes on."""
+        """Run the lifespan to its end. An error that the app raises after its answer propagates."""
         try:
             await self.app(self.scope, self._receive, self._send)
         except Exception:
             if self.has_answered and not self.start_failed:
                 raise
-            logger.debug("the app has no lifespan of its own")
+            logger.debug("the app does not handle the lifespan")
         try:
             while not self.is_over:
                 message = self.pending or await self._receive()
--- a/laurelstep/library/client.py
+++ b/laurelstep/library/client.py
@@ -1,12 +1,12 @@
-"""The async client: one instance of the balancer on the host's own event loop.
+"""The async client: an instance of the balancer on the host's event loop.
 
-The rules:
+Rules of this module:
 
 1. A client belongs to the loop and the process that opened it, and shares nothing with another client.
 2. An exchange ends once: by its final answer, or by being abandoned (a cancelled task, a client that
-   disconnected), which the engine hears as `on_client_left`.
-3. Once closing has begun no request is taken; those taken before are finished first; after that no task and
-   no socket is left.
+   disconnected), which is reported to the engine by `on_client_left`.
+3. Once closing has begun no request is accepted; those accepted before are finished first; after that no task
+   and no socket is left.
 """
 
 from __future__ import annotations
@@ -46,10 +46,10 @@
 
 
 class RequestError(LaurelstepError, ValueError):
-    """The request is not as its class demands; `status` is what the daemon would answer."""
+    """The request is malformed or breaks its class's rules; `status` is what the daemon would answer."""
 
-    cause = "a request given to the library's client is not as its class demands"
-    remedy = "correct the request by the text, or its class in [deployment]; nothing was sent"
+    cause = "a request given to the library's client is malformed or breaks its class's rules"
+    remedy = "correct the request as the text says, or its class in [deployment]; nothing was sent"
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -58,13 +58,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request. Nothing of it has run when `RequestError` is raised for it.
+    """A request. Nothing of it has run if `RequestError` is raised for it.
 
     `cls` is the class's name and the first part of the target's path. `method` is GET for an idempotent
     class and POST for others; `key` is the idempotency key of a keyed class. `deadline_s` is how long to
-    wait for the answer: the class's own deadline at most and by default. `id` is random where none is
-    given; it must not be that of an open request. Of further `headers`, those that endpoints need are
-    forwarded.
+    wait for the answer: at most, and by default, the class's deadline. `id` is random if None; it must differ
+    from those of open requests. Of `headers`, only those that endpoints need are forwarded.
     """
 
     cls: str
@@ -78,7 +77,7 @@
     headers: Mapping[str, str] = field(default_factory=dict)
 
     def head(self) -> Headers:
-        """The headers that a client of the daemon would send. `RequestError` for text no header can hold."""
+        """Return the headers that a client of the daemon would send. `RequestError` for text not allowed."""
         fields = {name.lower(): value for name, value in self.headers.items()}
         fields.setdefault("host", "localhost")
         fields["x-request-id"] = self.id if self.id is not None else secrets.token_hex(8)
@@ -95,20 +94,20 @@
 
 
 def _header_text(text: str) -> bytes:
-    """Guards the endpoint against a second header, or request, hidden in a value."""
+    """Encode a header's text. Guards the endpoint against a second header, or request, hidden in a value."""
     try:
         raw = text.encode("latin-1")
     except UnicodeEncodeError:
-        raise RequestError(400, f"no header text: {text!r}") from None
+        raise RequestError(400, f"not allowed in a header: {text!r}") from None
     if any(byte < 32 or byte == 127 for byte in raw):
-        raise RequestError(400, f"no header text: {text!r}")
+        raise RequestError(400, f"not allowed in a header: {text!r}")
     return raw
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The one final answer. `retry_after_s` comes with some rejections; `attempts` and `endpoint` (the
-    instance id of the last attempt's) are for logs.
+    """The final answer. `retry_after_s` is set with some refusals; `attempts` and `endpoint` (the id of the
+    last attempt's endpoint) are for logs.
     """
 
     outcome: Ending
@@ -122,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One endpoint of a list that is given in code.
+    """An endpoint of a list that is given in code.
 
     `started_ms` is Unix time in milliseconds, 0 for long ago. An id names one process at one address; a
     draining endpoint gets no new requests.
@@ -138,7 +137,7 @@
     started_ms: int = 0
 
     def entry(self) -> dict[str, Any]:
-        """The endpoint in discovery's form."""
+        """Return the endpoint in discovery's form."""
         return {
             "instanceId": self.id,
             "hostPort": self.address,
@@ -152,7 +151,7 @@
 
 
 class ClientState(Enum):
-    """Where a client is in its life."""
+    """The state of a client."""
 
     NEW = "not open"
     OPEN = "open"
@@ -164,19 +163,19 @@
     """One request and its final answer, between a host's task and the engine."""
 
     def __init__(self, client: Client, method: bytes, target: bytes, headers: Headers) -> None:
-        """`BadRequestError` if the head is malformed."""
+        """Raises `BadRequestError` if the head is malformed."""
         self.client = client
         config = client.config
         call = build_call(method, target, headers, config.names, config.settings, self)
-        self.call: Call | None = call  # None once it is over: each refers to the other
+        self.call: Call | None = call  # None once it has ended, which breaks the reference cycle
         self.rules = config.settings.classes[call.request_class]
         self.final_reply: asyncio.Future[Reply | None] = asyncio.get_running_loop().create_future()
 
     async def run(self, body: bytes) -> Reply | None:
-        """Send the request; the final answer, or None if it was abandoned first.
+        """Send the request; return its final answer, or None if it was abandoned first.
 
-        The deadline counts from now. A cancelled task abandons the exchange. `BadRequestError` if the id is
-        that of an open request; `ClientError` if the client is no longer open.
+        The deadline counts from now. A cancelled task abandons the exchange. Raises `BadRequestError` if the
+        id is that of an open request, and `ClientError` if the client is no longer open.
         """
         engine = self.client.require_open()
         call = self.call
@@ -190,15 +189,14 @@
         try:
             engine.take(call)
             if self.final_reply.done():
-                # Guards the host's loop: a task that retries at once after a rejection would leave no turn
-                # to anything else.
+                # Guards the host's event loop: a task that retries at once after a refusal would starve it.
                 await asyncio.sleep(0)
             return await self.final_reply
         finally:
             self.abandon()
 
     def on_answer(self, call: Call, answer: Answer) -> None:
-        """Take the final answer from the engine."""
+        """Accept the final answer from the engine."""
         after_us = answer.retry_after_us
         headers = tuple((n.decode("latin-1"), v.decode("latin-1")) for n, v in answer.headers)
         self._finish(
@@ -214,14 +212,14 @@
         )
 
     def abandon(self) -> None:
-        """Stop waiting. Once there is an answer this only drops the call."""
+        """Stop waiting for the answer. Once it has arrived this only drops the call."""
         call, self.call = self.call, None
         self._finish(None)
         if call is not None and call.is_open and call.id:
             self.client.engine.on_client_left(call)
 
     def _finish(self, reply: Reply | None) -> None:
-        if not self.final_reply.done():  # a cancelled task has cancelled it too
+        if not self.final_reply.done():  # a cancelled task has cancelled this future too
             self.final_reply.set_result(reply)
         self.client.on_exchange_finished(self)
 
@@ -234,20 +232,20 @@
 
     def __init__(self, config: Config, members: Iterable[Member] | None = None) -> None:
         if config.accord is not None:
-            # An instance that takes no part in consensus would break what the others agree on.
+            # An instance that takes no part in consensus would violate what the others agree on.
             raise ConfigError("accord: expected none for the library: only a daemon takes part in it")
         self.config = config
         self.state = ClientState.NEW
-        self._initial_entries = None if members is None else [one.entry() for one in members]
+        self._initial_entries = None if members is None else [member.entry() for member in members]
         self._exchanges: set[Exchange] = set()
 
     @classmethod
     def open(cls, config: ClientConfig, members: Iterable[Member] | None = None) -> Client:
-        """A client that opens when it is entered.
+        """Return a client that opens when it is entered.
 
         `config` is a file's path (`.toml` for the operator's form, else the platform's JSON), an object in
-        the platform's form, or a `Config`. With `members`, or without discovery, the endpoint list comes from
-        code. `ConfigError` with one line if the configuration can't be used.
+        the platform's form, or a `Config`. With `members`, or without discovery, the endpoint list is
+        given in code. Raises `ConfigError` with one line if the configuration can't be used.
         """
         if isinstance(config, Config):
             return cls(config, members)
@@ -258,9 +256,9 @@
     # --- Opening and closing ------------------------------------------------------
 
     async def start(self) -> None:
-        """Open on the running loop, also again after a close.
+        """Open on the running event loop; allowed again after `close`.
 
-        `ClientError` if it is open; `ConfigError` if a list given in code can't be read.
+        Raises `ClientError` if it is open, `ConfigError` if a list given in code can't be read.
         """
         if self.state not in (ClientState.NEW, ClientState.CLOSED):
             raise ClientError(f"the client is {self.state.value} already")
@@ -269,35 +267,35 @@
         self._pid = os.getpid()
         self._idle = asyncio.Event()
         self._idle.set()
-        self._recorder: RequestJournal | None = None
+        self._journal: RequestJournal | None = None
         if config.orders is not None:
-            self._recorder = await open_journal(config.orders, config.names.classes, logger.warning)
-        self._parts = Assembly(self._loop, config, logger.warning, self._recorder, self._initial_entries)
-        self.engine = self._parts.engine
+            self._journal = await open_journal(config.orders, config.names.classes, logger.warning)
+        self._assembly = Assembly(self._loop, config, logger.warning, self._journal, self._initial_entries)
+        self.engine = self._assembly.engine
         try:
-            self._parts.start()
+            self._assembly.start()
         except ConfigError:
-            if self._recorder is not None:
-                await self._recorder.close()
+            if self._journal is not None:
+                await self._journal.close()
             raise
         self.state = ClientState.OPEN
 
     async def close(self) -> None:
-        """Take no more requests, finish those taken, and leave no task and no socket.
+        """Accept no more requests, finish those accepted, and leave no task and no socket.
 
-        It lasts no longer than the longest open deadline, and may be called again, also while it runs.
+        Takes no longer than the longest deadline of an open request. May be called again, also while it runs.
         """
         if self.state in (ClientState.NEW, ClientState.CLOSED):
             self.state = ClientState.CLOSED
             return
         self._check_loop_and_process()
         self.state = ClientState.CLOSING
-        self._parts.upstream.retire()
+        self._assembly.upstream.retire()
         await self._idle.wait()
-        self._parts.close()
-        await self._parts.wait_closed()
-        if self._recorder is not None:
-            await self._recorder.close()
+        self._assembly.close()
+        await self._assembly.wait_closed()
+        if self._journal is not None:
+            await self._journal.close()
         self.state = ClientState.CLOSED
 
     async def __aenter__(self) -> Self:
@@ -312,10 +310,10 @@
     # --- Use ----------------------------------------------------------------------
 
     async def send(self, request: Request) -> Reply:
-        """Send a request; its one final answer, within its deadline.
+        """Send a request; return its final answer, within its deadline.
 
-        `RequestError` if the request is malformed, `ClientError` if the client can't be used; then
-        nothing was sent. A cancelled call stops waiting and sends nothing more.
+        Raises `RequestError` if the request is malformed, `ClientError` if the client can't be used; then
+        nothing was sent. If the task is cancelled, nothing more is sent.
         """
         self.require_open()
         if len(request.body) > MAX_BUFFERED_BODY_BYTES:
@@ -327,24 +325,24 @@
         except BadRequestError as error:
             raise RequestError(error.status, str(error)) from None
         except UnicodeEncodeError as error:
-            raise RequestError(400, f"the target is no path: {error.object!r}") from None
+            raise RequestError(400, f"the target is not an ASCII path: {error.object!r}") from None
         assert reply is not None  # only the middleware abandons an exchange while it is awaited
         return reply
 
     def members(self, members: Iterable[Member]) -> None:
-        """Replace the endpoint list; an endpoint that it leaves out gets no requests past the drain grace.
+        """Replace the endpoint list; an endpoint missing from it gets no requests after the drain grace.
 
-        ValueError, with the old list kept, if it can't be read; `ClientError` where the list comes from
+        Raises ValueError if it can't be read, and the old list stays; `ClientError` if the list comes from
         discovery.
         """
         self.require_open()
-        source = self._parts.source
+        source = self._assembly.source
         if not isinstance(source, StaticMembers):
             raise ClientError("the members of this client come from discovery")
-        source.replace_list([one.entry() for one in members])
+        source.replace_list([member.entry() for member in members])
 
     def require_open(self) -> Engine:
-        """The engine, if the client is open on this loop; `ClientError` otherwise."""
+        """Return the engine if the client is open on this loop; raises `ClientError` otherwise."""
         if self.state is not ClientState.OPEN:
             raise ClientError(f"the client is {self.state.value}")
         self._check_loop_and_process()
@@ -359,7 +357,7 @@
     # --- Exchanges ----------------------------------------------------------------
 
     def on_exchange_started(self, exchange: Exchange) -> None:
-        """Hold back the end of `close` until this exchange has ended."""
+        """Make `close` wait until this exchange has ended."""
         self._exchanges.add(exchange)
         self._idle.clear()
 
--- a/laurelstep/workers/plan.py
+++ b/laurelstep/workers/plan.py
@@ -1,14 +1,15 @@
-"""What the supervisor decides: which worker starts, which stops, and when. Pure.
+"""Decides which worker processes start and stop, and when. Pure.
 
 Times are in µs.
 
 1. A slot is one replica's number. At most two processes hold it, and two only while the newer one takes over:
-   the older one is told to stop once the newer one is ready.
-2. A process that exits unexpectedly is replaced after a backoff that doubles with each failure in a row up to
-   `max_backoff_us`, and is `initial_backoff_us` again once one has been ready for `max_backoff_us`.
-3. A process that is not ready within `ready_timeout_us` is killed; the one that it was to replace serves on.
-4. A rolling restart goes slot by slot: never are two replicas in doubt at once.
-5. After `stop` nothing starts, and the plan is complete once no process is left.
+   the older one is stopped once the newer one is ready.
+2. A process that exits unexpectedly is replaced after a backoff. It doubles with each consecutive failure up
+   to `max_backoff_us`, and is `initial_backoff_us` again after a process was ready for `max_backoff_us`.
+3. A process that is not ready within `ready_timeout_us` is killed; the one that it was to replace keeps
+   serving.
+4. A rolling restart replaces one process at a time, so that never more than one replica is uncertain.
+5. After `stop` no process starts, and the plan is complete once all have exited.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-# More doublings than any backoff has.
+# Bounds the shift; no configured backoff doubles this often.
 MAX_DOUBLINGS: Final = 30
 
 
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True)
 class KillWorker:
-    """End a process at once."""
+    """Kill a process."""
 
     process: int
 
@@ -50,14 +51,14 @@
 
     def __init__(self) -> None:
         self.serving: int | None = None  # the process that is ready
-        self.starting: int | None = None  # the one that is not ready yet
-        self.since_us = 0  # of the state of these two
-        self.failures = 0  # in a row
-        self.start_due_us: int | None = 0  # nothing serves, and nothing starts before
+        self.starting: int | None = None  # the process that is not ready yet
+        self.changed_us = 0  # when one of these two was last set
+        self.consecutive_failures = 0
+        self.start_due_us: int | None = 0  # None while a process serves or starts, and after `stop`
 
 
 class SupervisorPlan:
-    """The state of all slots. `now_us` never goes back; call `advance` after each event, and at
+    """The state of all slots. `now_us` must never decrease; call `advance` after each event, and at
     `next_due_us`.
     """
 
@@ -68,52 +69,52 @@
         self.max_backoff_us = max_backoff_us
         self.ready_timeout_us = ready_timeout_us
         self.slots = [SlotState() for _ in range(processes)]
-        self.slot_of: dict[int, int] = {}  # of all processes that have not exited
-        self.restart_queue: list[int] = []  # slots whose process is still to be replaced
+        self.slot_of: dict[int, int] = {}  # for all processes that have not exited
+        self.restart_queue: list[int] = []  # slots that a rolling restart has yet to reach
         self.is_stopping = False
         self.started_count = 0
         self.failure_count = 0  # processes that exited unexpectedly
 
     @property
     def is_complete(self) -> bool:
-        """Whether all has been stopped."""
+        """Whether the plan was stopped and all processes have exited."""
         return self.is_stopping and not self.slot_of
 
     def on_ready(self, now_us: int, process: int) -> list[SupervisorAction]:
-        """A process serves: the one that it replaces is to stop."""
+        """Record that a process is ready; the one that it replaces is to stop."""
         slot = self._slot(process)
         if slot is None or slot.starting != process:
             return []
         replaced = slot.serving
         slot.serving = process
         slot.starting = None
-        slot.since_us = now_us
+        slot.changed_us = now_us
         return [StopWorker(replaced)] if replaced is not None else []
 
     def on_exit(self, now_us: int, process: int) -> None:
-        """A process has exited, or is as good as that."""
+        """Record that a process has exited, or is about to be killed."""
         slot = self._slot(process)
         self.slot_of.pop(process, None)
         if slot is None or process not in (slot.serving, slot.starting):
-            return  # it was told to
+            return  # expected: it was stopped or killed
         if slot.serving == process:
-            if now_us - slot.since_us >= self.max_backoff_us:
-                slot.failures = 0
+            if now_us - slot.changed_us >= self.max_backoff_us:
+                slot.consecutive_failures = 0
             slot.serving = None
         else:
             slot.starting = None
         self.failure_count += 1
         if slot.serving is None and slot.starting is None:
-            backoff_us = self.initial_backoff_us << min(slot.failures, MAX_DOUBLINGS)
+            backoff_us = self.initial_backoff_us << min(slot.consecutive_failures, MAX_DOUBLINGS)
             slot.start_due_us = now_us + min(self.max_backoff_us, backoff_us)
-        slot.failures += 1
+        slot.consecutive_failures += 1
 
     def restart_all(self) -> None:
         """Replace all processes, one after the other."""
         self.restart_queue = list(range(len(self.slots)))
 
     def stop(self) -> list[SupervisorAction]:
-        """Stop all processes, for good."""
+        """Stop all processes; none starts afterwards."""
         self.is_stopping = True
         self.restart_queue = []
         for slot in self.slots:
@@ -121,17 +122,17 @@
         return [StopWorker(process) for process in self.slot_of]
 
     def advance(self, now_us: int) -> list[SupervisorAction]:
-        """What is due by now."""
+        """Return the actions that are due."""
         if self.is_stopping:
             return []
         actions: list[SupervisorAction] = []
         for number, slot in enumerate(self.slots):
-            if slot.starting is not None and now_us - slot.since_us >= self.ready_timeout_us:
+            if slot.starting is not None and now_us - slot.changed_us >= self.ready_timeout_us:
                 actions.append(KillWorker(slot.starting))
                 self.on_exit(now_us, slot.starting)
             if slot.start_due_us is not None and slot.start_due_us <= now_us:
                 actions.append(self._start(now_us, number))
-        # One at a time, and only while nothing else is in doubt.
+        # One at a time, and only while no other process is starting.
         while self.restart_queue and not any(slot.starting is not None for slot in self.slots):
             number = self.restart_queue.pop(0)
             if self.slots[number].serving is not None:
@@ -139,11 +140,13 @@
         return actions
 
     def next_due_us(self) -> int | None:
-        """When `advance` has something to do without a further event; None for never."""
+        """Return when `advance` is due if no event comes before; None for never."""
         if self.is_stopping:
             return None
         starts = [slot.start_due_us for slot in self.slots if slot.start_due_us is not None]
-        timeouts = [slot.since_us + self.ready_timeout_us for slot in self.slots if slot.starting is not None]
+        timeouts = [
+            slot.changed_us + self.ready_timeout_us for slot in self.slots if slot.starting is not None
+        ]
         return min(starts + timeouts, default=None)
 
     def _start(self, now_us: int, number: int) -> StartWorker:
@@ -151,7 +154,7 @@
         process = self.started_count
         slot = self.slots[number]
         slot.starting = process
-        slot.since_us = now_us
+        slot.changed_us = now_us
         slot.start_due_us = None
         self.slot_of[process] = number
         return StartWorker(number, process)
--- a/laurelstep/workers/supervisor.py
+++ b/laurelstep/workers/supervisor.py
@@ -1,7 +1,7 @@
-"""The supervisor of several workers: carries out the plan, and hands endpoint lists on.
+"""The supervisor of several workers: carries out the plan, and passes endpoint lists to new workers.
 
 SIGTERM and SIGINT stop all workers, SIGHUP is forwarded to them, SIGUSR2 replaces them one by one: each new
-one gets the list of its predecessor, which serves until the new one does.
+worker gets the endpoint list of its predecessor, which serves until the new one is ready.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 from laurelstep.workers.plan import KillWorker, StartWorker, StopWorker, SupervisorAction, SupervisorPlan
 from laurelstep.workers.worker import MAX_LINE_BYTES, SLOT_VARIABLE, WorkerSlot
 
-# A worker that was told to stop exits by itself; it is killed this long after.
+# A worker that has not exited this long after SIGTERM is killed.
 STOP_TIMEOUT_S: Final = 10.0
-# A predecessor that does not give its list in this time is skipped.
+# A worker that does not send its list within this time is skipped.
 LIST_TIMEOUT_S: Final = 2.0
 NO_LIST: Final = b'{"known":null}\n'
 LIST_REQUEST: Final = b'{"ask":"known"}\n'
@@ -41,11 +41,11 @@
 
 
 def interpreter_command() -> list[str]:
-    """How this process was started, without the command's own arguments: the interpreter, its options, and
-    the module or script.
+    """Return how this process was started, without the command's arguments: the interpreter, its options,
+    and the module or script.
     """
-    options = len(sys.orig_argv) - len(sys.argv) + 1
-    return [sys.executable, *sys.orig_argv[1:options]]
+    end = len(sys.orig_argv) - len(sys.argv) + 1
+    return [sys.executable, *sys.orig_argv[1:end]]
 
 
 def monotonic_us() -> int:
@@ -54,23 +54,23 @@
 
 
 class WorkerProcess:
-    """One worker as the supervisor has it."""
+    """A worker process and the supervisor's end of its channel."""
 
     def __init__(self, popen: asyncio.subprocess.Process, reader: asyncio.StreamReader) -> None:
         self.popen = popen
         self.reader = reader
         self.writer: asyncio.StreamWriter | None = None
         self.is_ready = False
-        self.list_answer: asyncio.Future[bytes] | None = None  # while its list is asked for
+        self.list_answer: asyncio.Future[bytes] | None = None  # while a list request is open
 
-    def send_signal(self, number: int) -> None:
-        """Send a signal; nothing happens once it has exited."""
+    def send_signal(self, signal_number: int) -> None:
+        """Send a signal; does nothing once the process has exited."""
         with contextlib.suppress(ProcessLookupError):
-            self.popen.send_signal(number)
+            self.popen.send_signal(signal_number)
 
 
 class Supervisor:
-    """Runs until all its workers have exited."""
+    """Starts, stops and replaces workers as the plan decides."""
 
     def __init__(self, settings: SupervisorSettings, environ: Mapping[str, str]) -> None:
         self.settings = settings
@@ -87,17 +87,17 @@
         self.all_exited = asyncio.Event()
 
     async def run(self) -> None:
-        """Start the workers; returns when all have exited after a stop."""
+        """Run the workers; returns when all have exited after `stop`."""
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stop)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.stop)
         loop.add_signal_handler(signal.SIGHUP, self._forward_signal, signal.SIGHUP)
         loop.add_signal_handler(signal.SIGUSR2, self.restart_all)
         self._advance()
         await self.all_exited.wait()
 
     def stop(self) -> None:
-        """Stop all workers, for good."""
+        """Stop all workers; none starts afterwards."""
         self._perform(self.plan.stop())
         self._advance()
 
@@ -106,10 +106,10 @@
         self.plan.restart_all()
         self._advance()
 
-    def _forward_signal(self, number: int) -> None:
+    def _forward_signal(self, signal_number: int) -> None:
         for worker in self.workers.values():
             if worker.is_ready:
-                worker.send_signal(number)
+                worker.send_signal(signal_number)
 
     def _advance(self) -> None:
         now_us = monotonic_us()
@@ -146,8 +146,8 @@
             log(f"worker {action.process} was not ready in time")
             worker.send_signal(signal.SIGKILL)
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
@@ -155,19 +155,19 @@
         return action.process in self.plan.slot_of and not self.plan.is_stopping
 
     async def _run_worker(self, action: StartWorker) -> None:
-        """One worker from its start to its exit."""
+        """Start a worker, and wait for its exit."""
         try:
-            known_list = await self._fetch_known_list(action.slot)
+            endpoint_list = await self._fetch_endpoint_list(action.slot)
             if self._is_wanted(action):
-                await self._start_worker(action, known_list)
+                await self._start_worker(action, endpoint_list)
         except OSError as error:
             log(f"can't start a worker: {error}")
         self.workers.pop(action.process, None)
         self.plan.on_exit(monotonic_us(), action.process)
         self._advance()
 
-    async def _start_worker(self, action: StartWorker, known_list: bytes) -> None:
-        own_end, worker_end = socket.socketpair()
+    async def _start_worker(self, action: StartWorker, endpoint_list: bytes) -> None:
+        channel_end, worker_end = socket.socketpair()
         with worker_end:
             slot = WorkerSlot(action.slot, self.settings.processes, worker_end.fileno())
             popen = await asyncio.create_subprocess_exec(
@@ -178,8 +178,8 @@
             )
         worker = WorkerProcess(popen, asyncio.StreamReader())
         self.workers[action.process] = worker
-        worker.reader, worker.writer = await asyncio.open_connection(sock=own_end, limit=MAX_LINE_BYTES)
-        worker.writer.write(known_list)
+        worker.reader, worker.writer = await asyncio.open_connection(sock=channel_end, limit=MAX_LINE_BYTES)
+        worker.writer.write(endpoint_list)
         self._spawn(self._read_lines(action, worker))
         if self.plan.is_stopping:
             worker.send_signal(signal.SIGTERM)
@@ -200,8 +200,10 @@
         if worker.list_answer is not None and not worker.list_answer.done():
             worker.list_answer.set_result(NO_LIST)
 
-    async def _fetch_known_list(self, slot: int) -> bytes:
-        """The line with the list of the slot's worker, or of another one; as it came from there."""
+    async def _fetch_endpoint_list(self, slot: int) -> bytes:
+        """Return the line with the list of the slot's worker, or else of another one, as it was received;
+        `NO_LIST` if none answers.
+        """
         candidates = [
             number
             for number, worker in self.workers.items()
@@ -224,8 +226,8 @@
 
 
 def run_supervisor(settings: SupervisorSettings, environ: Mapping[str, str]) -> int:
-    """Run until all workers have exited; the exit code of the command. SystemExit inside a worker."""
+    """Run until all workers have exited; return the command's exit status. SystemExit in a worker."""
     if os.environ.get(SLOT_VARIABLE):
-        raise SystemExit("laurelstep: a worker is no supervisor")
+        raise SystemExit("laurelstep: a worker can't start a supervisor")
     asyncio.run(Supervisor(settings, environ).run())
     return 0
