--- a/laurelstep/maintenance/acknowledgements.py
+++ b/laurelstep/maintenance/acknowledgements.py
@@ -1,7 +1,6 @@
-"""Which replicas have acknowledged a drain, as the leader has heard them. Pure.
+"""The drain acknowledgements that the leader has received, by replica. Pure.
 
-A replica that is missing keeps a machine from being reported drained. No time-out stands in for an
-acknowledgement.
+A machine is not reported drained while an acknowledgement is missing: no time-out replaces one.
 """
 
 from __future__ import annotations
@@ -11,32 +10,32 @@
 from laurelstep.maintenance.entries import UNKNOWN_STATE
 from laurelstep.maintenance.state import MaintenanceState
 
-# Of one peer, superseded incarnations that are remembered.
+# Superseded incarnations that are kept for each peer.
 MAX_SUPERSEDED: Final = 4
 
 
 class PeerAcknowledgement(NamedTuple):
-    """The incarnation that a peer was heard in last, and the highest drain index that it acknowledged."""
+    """The incarnation of a peer's last acknowledgement, and the highest drain index it acknowledged in it."""
 
     incarnation: int
     drained_index: int
 
 
 class DrainAcknowledgements:
-    """Up to which index each replica has drained, in the incarnation that was heard last."""
+    """The index up to which each replica has drained, in the incarnation of its last acknowledgement."""
 
     def __init__(self) -> None:
         self.by_peer: dict[int, PeerAcknowledgement] = {}
-        self.incarnations: dict[int, int] = {}  # by peer, as the replicated state has them
-        self.superseded: dict[int, list[int]] = {}  # by peer: incarnations that the state had before
+        self.incarnations: dict[int, int] = {}  # by peer: the current ones of the replicated state
+        self.superseded: dict[int, list[int]] = {}  # by peer: earlier ones of the state
 
     def update(self, state: MaintenanceState) -> None:
-        """Take over the current incarnations: messages of a superseded one were long on their way."""
+        """Take over the current incarnations. Late messages of superseded ones are ignored from now on."""
         for peer, incarnation in state.incarnations.items():
             previous = self.incarnations.get(peer)
             if previous == incarnation:
                 continue
-            superseded = [one for one in self.superseded.get(peer, ()) if one != incarnation]
+            superseded = [old for old in self.superseded.get(peer, ()) if old != incarnation]
             if previous is not None:
                 superseded.append(previous)
             self.superseded[peer] = superseded[-MAX_SUPERSEDED:]
@@ -46,7 +45,9 @@
                 del self.by_peer[peer]
 
     def reset(self) -> None:
-        """Discard what was heard in another term, except from replicas that serve without the state."""
+        """Discard the acknowledgements of another term, except those of replicas that serve without the
+        state.
+        """
         self.by_peer = {
             peer: last
             for peer, last in self.by_peer.items()
@@ -54,8 +55,8 @@
         }
 
     def record(self, peer: int, incarnation: int, drained_index: int) -> None:
-        """An acknowledgement was received. Of one incarnation the highest counts, as messages are
-        reordered.
+        """Record a received acknowledgement. The highest index of an incarnation counts, since messages may
+        be reordered.
         """
         if incarnation in self.superseded.get(peer, ()):
             return
@@ -67,16 +68,16 @@
     def missing_peers(self, drain_index: int, state: MaintenanceState, peer_count: int) -> list[int]:
         """The replicas that have not acknowledged the drain of this index.
 
-        It counts in the incarnation that the state has: what an earlier one acknowledged binds a process that
-        is no more. A later one that was heard serves without the state, and is missing although an
-        operator declared the earlier one absent.
+        Only an acknowledgement of the current incarnation counts: an earlier one belongs to a process that
+        has ended. A replica whose last message came from an incarnation that the state does not have serves
+        without the state: it is missing even if an operator declared the earlier incarnation absent.
         """
         missing = []
         for peer in range(peer_count):
             current = state.incarnations.get(peer, 0)
-            heard, drained_index = self.by_peer.get(peer, PeerAcknowledgement(current, UNKNOWN_STATE))
-            is_absent = peer in state.absent_peers and heard == current
-            has_acknowledged = current != 0 and heard == current and drained_index >= drain_index
+            incarnation, drained_index = self.by_peer.get(peer, PeerAcknowledgement(current, UNKNOWN_STATE))
+            is_absent = peer in state.absent_peers and incarnation == current
+            has_acknowledged = current != 0 and incarnation == current and drained_index >= drain_index
             if not is_absent and not has_acknowledged:
                 missing.append(peer)
         return missing
--- a/laurelstep/maintenance/api.py
+++ b/laurelstep/maintenance/api.py
@@ -1,8 +1,9 @@
-"""What operators' calls may ask of this replica, checked against its own view.
+"""The operations that operators call at one replica.
 
-1. A call is checked against the state and the list as this replica has them, so that an invalid one fails at
-   once; the state judges it once more when it is committed.
-2. What is so already is no error; but a replica that is cut off can't say that it still is.
+1. A call is checked against this replica's state and list, so that an invalid one fails at once; the state
+   machine checks it again when it is committed.
+2. A call whose effect is in place already is no error. A replica without a leader raises
+   `LeaderUnreachableError` instead: its state may be outdated.
 """
 
 from __future__ import annotations
@@ -34,9 +35,9 @@
 
 
 class MaintenanceApi:
-    """Calls of operators. Each returns the command that was submitted, or None where it is so already.
+    """The operators' calls. Each returns the submitted command, or None if its effect is in place already.
 
-    Raises `MaintenanceError` where it can't be.
+    They raise `MaintenanceError` if the call is invalid or can't be submitted.
     """
 
     def __init__(self, controller: MaintenanceController) -> None:
@@ -51,15 +52,15 @@
         return self.controller.source.table
 
     def ids_by_address(self) -> dict[str, str]:
-        """The ids of all listed machines by their address."""
+        """The ids of all listed machines by address."""
         return {machine.address: machine.machine_id for machine in self._table.machines.values()}
 
     def status(self) -> dict[str, Any]:
-        """All that this replica knows, for JSON."""
+        """The status of maintenance as this replica sees it, for JSON."""
         return StatusReport(self.controller).build()
 
     def submit_request(self, request: MaintenanceRequest) -> PendingCommand | None:
-        """Ask for machines to go out of service."""
+        """Submit a request to take machines out of service."""
         same_name = self._state.find_request(request.name)
         if same_name is not None:
             if same_name.request == request and not same_name.is_withdrawn:
@@ -87,18 +88,18 @@
             )
 
     def _check_satisfiable(self, request: MaintenanceRequest) -> None:
-        """Whether the request could hold if it were the only one."""
-        alone = MaintenanceState()
-        alone.open_requests[0] = OpenRequest(0, request)
+        """Raise `UnsatisfiableRequestError` if the request could not be met even as the only one."""
+        isolated = MaintenanceState()
+        isolated.open_requests[0] = OpenRequest(0, request)
         inputs = self.controller.planner_input(self.controller.clock.now())
-        inputs.state = alone
-        obstacle = explain_obstacle(inputs, alone.open_requests[0])
+        inputs.state = isolated
+        obstacle = explain_obstacle(inputs, isolated.open_requests[0])
         if obstacle.is_permanent:
             raise UnsatisfiableRequestError(obstacle.reason)
 
     def withdraw_request(self, name: str) -> PendingCommand | None:
-        """Take a request back: what is drained or drains returns, what is worked on stays out until
-        finished.
+        """Withdraw a request: its draining and drained machines return at once, those under work when the
+        work is finished.
         """
         request = self._state.find_request(name)
         if request is not None:
@@ -110,7 +111,7 @@
         raise UnknownRequestError(name)
 
     def report_work(self, verb: CommandVerb, machine_id: str) -> PendingCommand | None:
-        """Work on a machine begins or is finished (`BEGIN_WORK`, `FINISH_WORK`)."""
+        """Report that work on a machine begins or is finished (`BEGIN_WORK`, `FINISH_WORK`)."""
         machine = self._state.machines.get(machine_id)
         if machine is None:
             raise InvalidTransitionError(f"{machine_id}: not out")
@@ -122,7 +123,7 @@
         return self.controller.commands.submit(verb, machine_id)
 
     def declare_absent(self, peer: int) -> PendingCommand | None:
-        """A replica's process is no more: its acknowledgement is not waited for until it starts again."""
+        """Declare that a replica's process has ended: drains don't wait for it until it starts again."""
         consensus = self.controller.consensus
         if not 0 <= peer < consensus.peer_count or peer == consensus.replica_id:
             raise UnknownPeerError(f"peer: {peer}: expected another replica, 0 to {consensus.peer_count - 1}")
@@ -131,6 +132,8 @@
         return self.controller.commands.submit(CommandVerb.DECLARE_ABSENT, peer)
 
     def _already_done(self) -> PendingCommand | None:
-        """None: nothing is to be submitted. `LeaderUnreachableError` where that may not be so any more."""
+        """Return None: nothing has to be submitted. Raises `LeaderUnreachableError` if the state may be
+        outdated.
+        """
         self.controller.commands.require_leader()
         return None
--- a/laurelstep/maintenance/assembly.py
+++ b/laurelstep/maintenance/assembly.py
@@ -1,4 +1,4 @@
-"""Maintenance in one process, wired together from its configuration."""
+"""Builds the maintenance components of one process from its configuration."""
 
 from __future__ import annotations
 
@@ -23,15 +23,20 @@
 
 
 def passive_state_machines() -> dict[int, StateMachine]:
-    """The state machine for a replica that shares the consensus log and has maintenance off.
+    """The state machine of a replica that shares the consensus log but has maintenance off.
 
-    Guards against a snapshot without the state, should this replica come to lead: the others would lose it.
+    If this replica became the leader, its snapshots would otherwise lack the state, and the replicas that
+    load them would lose it.
     """
     return {SUBSYSTEM_TAG[0]: MaintenanceState()}
 
 
 class MaintenanceAssembly:
-    """In the order of a start: `state_machines` into the log, `wrap_source` into the engine, `start`."""
+    """The maintenance components of one process.
+
+    At a start, in this order: `state_machines` go to the consensus log, `wrap_source` gives the engine's
+    source, and `start` starts the controller.
+    """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, config: Config, settings: MaintenanceSettings, log: Log
@@ -41,21 +46,23 @@
         self.log = log
         self.state = MaintenanceState()
         self.state_machines: Final[dict[int, StateMachine]] = {SUBSYSTEM_TAG[0]: self.state}
-        self.slices = CooperativeTask(loop)
-        self.may_serve = asyncio.Event()  # set once this process may send
+        self.cooperative_task = CooperativeTask(loop)
+        self.may_serve = asyncio.Event()  # set once this process may send requests to endpoints
         self.source: MaintenanceSource | None = None
         self.controller: MaintenanceController | None = None
         self.api: MaintenanceApi | None = None
 
     def wrap_source(self, inner: MemberSource, clock: Clock) -> MaintenanceSource:
-        """The source that stands between discovery and the engine."""
+        """The engine's source of endpoint lists, around discovery's source `inner`."""
         self.source = MaintenanceSource(
-            inner, self.state, clock, self.config.drain_grace_us, self.slices.run, self.log
+            inner, self.state, clock, self.config.drain_grace_us, self.cooperative_task.run, self.log
         )
         return self.source
 
     def start(self, consensus: ConsensusClient, engine: Engine, may_acknowledge: Callable[[], bool]) -> None:
-        """Begin. `may_acknowledge`: whether no predecessor of this process sends any more."""
+        """Start the controller. `may_acknowledge`: whether the hot restart's predecessor, if any, has stopped
+        sending.
+        """
         assert self.source is not None
         self.source.in_flight_at = engine.in_flight_at
         self.controller = MaintenanceController(
@@ -74,11 +81,13 @@
         self.controller.start()
 
     def reply(self, method: bytes, target: bytes) -> Reply | None:
-        """The answer to a call at the management address; None for what is no maintenance call."""
+        """The reply to a call at the management address; None if it is not a maintenance call, or before
+        `start`.
+        """
         return None if self.api is None else handle_call(method, target, self.api)
 
     def close(self) -> None:
-        """End all that is under way."""
-        self.slices.close()
+        """Stop the controller and the steps of lists that are in progress."""
+        self.cooperative_task.close()
         if self.controller is not None:
             self.controller.close()
--- a/laurelstep/maintenance/bounds.py
+++ b/laurelstep/maintenance/bounds.py
@@ -1,18 +1,18 @@
-"""Bounds of the replicated state and of what one call may ask for. Every replica must apply the same ones."""
+"""Bounds of the replicated state and of a single call. They must be the same on every replica."""
 
 from __future__ import annotations
 
 from typing import Final
 
-# Of one encoded log entry or message, its tag included.
+# Of an encoded log entry or message, with its tag.
 MAX_ENTRY_BYTES: Final = 160
 MAX_OPEN_REQUESTS: Final = 16
 MAX_MACHINES_PER_REQUEST: Final = 1024
-# Out of service at once, over all requests.
+# Out of service at the same time, for all requests together.
 MAX_MACHINES_OUT: Final = 256
 MAX_PEERS: Final = 1024
-# Finished requests that are remembered.
+# Closed requests that the state keeps.
 MAX_PAST_REQUESTS: Final = 8
-# Dropped machines that a request remembers, with the reason of each.
+# Dropped machines that a request keeps, each with its reason.
 MAX_DROPPED_MACHINES: Final = 8
 MAX_DROP_REASON_LENGTH: Final = 24
--- a/laurelstep/maintenance/commands.py
+++ b/laurelstep/maintenance/commands.py
@@ -1,9 +1,10 @@
-"""Operators' commands at one replica, from their submission until the consensus log has them.
+"""Operators' commands at one replica, from submission until they are committed.
 
-1. Messages to the leader are lost, repeated and reordered: a command is sent again until the state answers
-   it.
-2. One at a time, in their order: the state takes each sequence number once.
-3. A command is sent for `COMMAND_TIMEOUT_US` at most; then it is reported lost.
+1. Messages to the leader may be lost, repeated and reordered: a command is sent again until the replicated
+   state has applied it.
+2. Commands are sent one at a time and in order, since the state applies each sequence number once and skips
+   lower ones.
+3. A command that is not committed within `COMMAND_TIMEOUT_US` is reported lost.
 """
 
 from __future__ import annotations
@@ -27,17 +28,17 @@
 
 RESEND_INTERVAL_US: Final = 1_000_000
 COMMAND_TIMEOUT_US: Final = 15_000_000
-# Of pending commands, and of all that are remembered.
+# Of pending commands, and of all commands that are kept.
 MAX_COMMANDS: Final = 16
 
-# What operators see of a command; one that was committed and rejected shows its `ErrorCode`.
+# The status of a command as operators see it; a rejected one has an `ErrorCode` instead.
 SUBMITTED: Final[str] = MachineState.REQUESTED.value
 COMMITTED: Final = "agreed"
 LOST: Final = "lost"
 
 
 class PendingCommand:
-    """A command and what became of it. Times in µs."""
+    """A submitted command and its status. Times are in µs."""
 
     __slots__ = (
         "argument", "expected_version", "expires_at_us", "sent_at_us", "sequence_number", "status", "verb",
@@ -56,21 +57,21 @@
         self.argument = argument
         self.expected_version = expected_version
         self.expires_at_us = expires_at_us
-        self.sent_at_us: int | None = None  # the last time
+        self.sent_at_us: int | None = None  # when it was sent last
         self.status = SUBMITTED  # then COMMITTED, LOST or an `ErrorCode`
 
     @property
     def is_pending(self) -> bool:
-        """Whether nothing is known yet of what became of it."""
+        """Whether it is neither committed nor lost yet."""
         return self.status == SUBMITTED
 
-    def is_same(self, verb: str, argument: CommandArgument, expected_version: int) -> bool:
-        """Whether it asks for this."""
+    def matches(self, verb: str, argument: CommandArgument, expected_version: int) -> bool:
+        """Whether it is the same command, apart from its sequence number."""
         return (self.verb, self.argument, self.expected_version) == (verb, argument, expected_version)
 
 
 class CommandQueue:
-    """The commands of one process. `send` takes a message to the leader, `on_submitted` is called after each
+    """The commands of one process. `send` sends a message to the leader, `on_submitted` is called after each
     submission.
     """
 
@@ -94,16 +95,17 @@
 
     @property
     def pending(self) -> list[PendingCommand]:
-        """Those of which nothing is known yet, in their order."""
+        """The commands that are neither committed nor lost yet, oldest first."""
         return [command for command in self.commands if command.is_pending]
 
     def require_leader(self) -> None:
-        """Raises `LeaderUnreachableError` where the state of this process may be an old one."""
+        """Raise `LeaderUnreachableError` if the state of this process may be outdated."""
         if not self.consensus.has_leader_contact or not self.consensus.is_caught_up:
             raise LeaderUnreachableError("no leader is heard")
 
     def submit(self, verb: CommandVerb, argument: CommandArgument) -> PendingCommand:
-        """Send a command until the state has it. The pending one, if the same was submitted before.
+        """Queue a command, which is sent until the state has it. Returns the pending one if the same command
+        was submitted before.
 
         Raises `LeaderUnreachableError`, `TooManyRequestsError` or `EntryTooLargeError`.
         """
@@ -111,29 +113,31 @@
         expected_version = self._expected_version(verb, argument)
         pending = self.pending
         for command in pending:
-            if command.is_same(verb, argument, expected_version):
+            if command.matches(verb, argument, expected_version):
                 return command
         if len(pending) >= MAX_COMMANDS:
             raise TooManyRequestsError(f"{MAX_COMMANDS} calls wait to be committed")
-        # A predecessor in a hot restart may have sent commands in the same incarnation.
+        # The predecessor of a hot restart may have sent commands in the same incarnation.
         sequence_number = max(self.last_sequence_number, self._last_committed()[0]) + 1
         expires_at_us = self.clock.now() + COMMAND_TIMEOUT_US
         command = PendingCommand(sequence_number, verb, argument, expected_version, expires_at_us)
         encode(self._message(command))  # raises EntryTooLargeError
         self.last_sequence_number = sequence_number
-        self._remember(command)
+        self._append(command)
         self.on_submitted()
         return command
 
-    def _remember(self, command: PendingCommand) -> None:
-        """Guards against the loss of a pending command: one that is over makes room."""
+    def _append(self, command: PendingCommand) -> None:
+        """Append a command, and drop the oldest ones that are not pending if there is no room: the deque
+        itself would drop the oldest, pending or not.
+        """
         while len(self.commands) >= MAX_COMMANDS:
             self.commands.remove(next(old for old in self.commands if not old.is_pending))
         self.commands.append(command)
 
     def _expected_version(self, verb: CommandVerb, argument: CommandArgument) -> int:
-        """The incarnation, request or drain that a command is meant for: late, it must not hit the next
-        one.
+        """The incarnation, request number or drain index that a command is meant for, so that a late command
+        does not affect the next one. 0 if there is none.
         """
         if verb == CommandVerb.DECLARE_ABSENT and isinstance(argument, int):
             return self.state.incarnations.get(argument, 0)
@@ -156,14 +160,14 @@
         )
 
     def _last_committed(self) -> tuple[int, str]:
-        """The sequence number of this incarnation's last command in the state, and the verdict on it."""
+        """Sequence number and verdict of this incarnation's last committed command; number 0 if none."""
         last = self.state.last_commands.get(self.consensus.replica_id)
         if last is None or last.incarnation != self.consensus.incarnation:
             return 0, ACCEPTED
         return last.sequence_number, last.verdict
 
     def advance(self, now_us: int) -> None:
-        """Settle the commands that the state has or whose time is over; send the next one if it is due."""
+        """Set the status of commands that were committed or have expired; send the next one if it is due."""
         committed_number, verdict = self._last_committed()
         for command in self.pending:
             if command.sequence_number <= committed_number:
--- a/laurelstep/maintenance/controller.py
+++ b/laurelstep/maintenance/controller.py
@@ -1,9 +1,11 @@
-"""Connects maintenance in one process: the consensus log, the endpoint list, messages of the replicas, the
-clock.
-
-1. It decides nothing: what is proposed is the planner's, what is shown the overlay's, what holds the state's.
-2. Messages are lost and repeated: each is sent again until the state answers it, and none while idle.
-3. While a predecessor of a hot restart lives, this process acknowledges no drain: that one sends too.
+"""Connects the maintenance modules of one process to the consensus log, the endpoint list and the clock.
+
+1. It makes no decisions: the planner chooses what is proposed, the overlay what the engine gets, and the
+   state which entries are valid.
+2. Messages may be lost and repeated: each is sent again until the state shows its effect; none is sent while
+   idle.
+3. While the predecessor of a hot restart runs, this process acknowledges no drain, since the predecessor may
+   still send requests.
 """
 
 from __future__ import annotations
@@ -36,13 +38,13 @@
 from laurelstep.maintenance.state import MaintenanceState
 from laurelstep.maintenance.states import MachineEvent, MachineState
 
-# Between two steps: while something is under way, and while idle.
+# Between two steps: while something is in progress, and while idle.
 ACTIVE_INTERVAL_US: Final = 100_000
 IDLE_INTERVAL_US: Final = 1_000_000
-# An acknowledgement is sent again after twice the time each time, up to this: a missing one may be so for
-# hours, and a new leader is told at once.
+# The interval at which an acknowledgement is repeated doubles up to this value: another replica's may be
+# missing for hours. A new leader gets one at once.
 MAX_ACKNOWLEDGEMENT_INTERVAL_US: Final = 8_000_000
-# Of the machines that one log line names.
+# Machines that one log line names.
 MAX_LOGGED_MACHINES: Final = 8
 # Transitions that an operator should see in the log.
 _LOGGED_EVENTS: Final = frozenset((MachineEvent.EXCEED_TIME, MachineEvent.DROP, MachineEvent.KEEP_LAST))
@@ -50,9 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SentAcknowledgement:
-    """The last acknowledgement that was sent, when it is sent again, and how long that is after it was
-    sent.
-    """
+    """The last acknowledgement that was sent, when it is repeated, and the interval between the two."""
 
     drained_index: int
     resend_at_us: int
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipView:
-    """Who leads, as this process knows it: what was sent to another leader is sent again."""
+    """The leadership as this process sees it. When it changes, messages are sent again."""
 
     epoch: object
     leader: int | None
@@ -69,11 +69,11 @@
 
 
 class MaintenanceController:
-    """Drives maintenance on the clock, in µs.
+    """Runs maintenance in steps on the clock.
 
-    `slow_start_share` and `slow_start_us` are the deployment's. `on_serving` is called once, when this
-    process may send: the replicated state is known, or not waited for any more. `may_acknowledge` says
-    whether no predecessor sends any more.
+    `slow_start_share` and `slow_start_us` come from the deployment's configuration. `on_serving` is called
+    once, when this process may send requests: the replicated state is known, or the wait for it has timed
+    out. `may_acknowledge` returns whether the predecessor of a hot restart, if any, has stopped sending.
     """
 
     def __init__(
@@ -103,17 +103,17 @@
         self.ages = StateAges()
         self.sent_acknowledgement: SentAcknowledgement | None = None
         self.sent_started_us: int | None = None  # when `ReplicaStarted` was sent last
-        self.settled_basis: tuple[int, int] | None = None  # for which nothing was found to drain
-        self.proposed: dict[bytes, int] = {}  # encoded entries, and when each may be proposed again, µs
+        self.idle_basis: tuple[int, int] | None = None  # of the last plan without entries
+        self.proposed: dict[bytes, int] = {}  # encoded entries: when they may be proposed again, µs
         self.leadership: LeadershipView | None = None
-        self.known_epoch: object = None  # the cluster epoch in which the state was known last
+        self.last_epoch: object = None  # the cluster epoch in which the state was known last
         self.serves_without_state = False
         self.step_timer: Handle | None = None
         self.scheduled_step: Handle | None = None
         self.is_closed = False
 
     def start(self) -> None:
-        """Begin to follow the log and the list."""
+        """Start to follow the log and the endpoint list, and run the first step."""
         self.consensus.on_leader_message = self.on_message
         self.consensus.on_change = self.schedule_step
         self.source.on_list_changed = self.schedule_step
@@ -123,12 +123,12 @@
         self.run_step()
 
     def close(self) -> None:
-        """End all timers."""
+        """Stop for good: cancel the timers; later steps do nothing."""
         self.is_closed = True
         self.cancel_timers()
 
     def cancel_timers(self) -> None:
-        """No step runs by itself until `run_step` or `schedule_step` is called."""
+        """Run no more steps until `run_step` or `schedule_step` is called."""
         for handle in (self.step_timer, self.scheduled_step):
             if handle is not None:
                 handle.cancel()
@@ -137,8 +137,8 @@
         if self.is_closed or self.source.is_forwarding:
             return
         self.log(
-            "maintenance: the replicated state is not known; serving by discovery's list alone, "
-            "a clear may be untrue"
+            "maintenance: the replicated state is unknown; serving from discovery's list alone, "
+            "so a machine reported as clear may still get requests from here"
         )
         self.serves_without_state = True
         self._start_serving(has_learned_state=False)
@@ -153,12 +153,12 @@
     # --- Steps ------------------------------------------------------------------------
 
     def schedule_step(self) -> None:
-        """Something changed: run a step in the next turn of the loop, one for all changes of this turn."""
+        """Run a step in the next turn of the loop: a single one for all changes of this turn."""
         if self.scheduled_step is None and not self.is_closed:
             self.scheduled_step = self.clock.at(self.clock.now(), self.run_step)
 
     def run_step(self) -> None:
-        """Do what is due. Harmless at any time."""
+        """Do what is due now, and schedule the next step. May be called at any time."""
         if self.is_closed:
             return
         self.cancel_timers()
@@ -176,7 +176,7 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether something is under way that needs frequent steps."""
+        """Whether something is in progress that needs steps every `ACTIVE_INTERVAL_US`."""
         is_start_due = self.consensus.is_caught_up and not self.is_registered
         is_planning = self.consensus.is_leader and bool(self.state.open_requests)
         return (
@@ -190,24 +190,22 @@
     def _observe_state(self, now_us: int) -> None:
         if self.consensus.is_caught_up and self.is_registered and not self.source.has_learned_state:
             self._start_serving(has_learned_state=True)
-        self._note_epoch()
+        self._check_epoch()
         self.source.refresh()
         self.ages.update(self.state, now_us)
         self.acknowledgements.update(self.state)
 
-    def _note_epoch(self) -> None:
-        """Guards against an unnoticed loss of the state: a new epoch may lack what this process cordons."""
-        if not self.consensus.is_caught_up or self.consensus.epoch == self.known_epoch:
+    def _check_epoch(self) -> None:
+        """Log the cordoned machines that a new cluster epoch does not have: they return to service."""
+        if not self.consensus.is_caught_up or self.consensus.epoch == self.last_epoch:
             return
         lost = [
             machine_id for machine_id in self.source.overlay.cordons if machine_id not in self.state.machines
         ]
-        if self.known_epoch is not None and lost:
+        if self.last_epoch is not None and lost:
             names = ", ".join(lost[:MAX_LOGGED_MACHINES])
-            self.log(
-                f"maintenance: the cluster was bootstrapped again and lost what is out of service: {names}"
-            )
-        self.known_epoch = self.consensus.epoch
+            self.log(f"maintenance: the cluster was bootstrapped again and lost the drains of {names}")
+        self.last_epoch = self.consensus.epoch
 
     def _observe_leadership(self) -> None:
         leadership = LeadershipView(self.consensus.epoch, self.consensus.leader_id, self.consensus.is_leader)
@@ -222,12 +220,12 @@
     # --- Messages to the leader -------------------------------------------------------
 
     def _send(self, message: LeaderMessage) -> None:
-        with contextlib.suppress(BusyError):  # as if it were lost: it is sent again
+        with contextlib.suppress(BusyError):  # treated as lost: it is sent again
             self.consensus.send_to_leader(encode(message))
 
     @property
     def is_registered(self) -> bool:
-        """Whether the state has this incarnation, and nobody declared it absent."""
+        """Whether the state has this incarnation and it is not declared absent."""
         return self.state.is_registered(self.consensus.replica_id, self.consensus.incarnation)
 
     def _announce_start(self, now_us: int) -> None:
@@ -239,7 +237,7 @@
 
     @property
     def is_acknowledgement_awaited(self) -> bool:
-        """Whether the leader waits for this process's acknowledgement."""
+        """Whether the leader may be waiting for an acknowledgement of this process."""
         if not self.source.has_learned_state:
             return self.serves_without_state
         return any(machine.state == MachineState.DRAINING for machine in self.state.machines.values())
@@ -260,7 +258,7 @@
     # --- As the leader ----------------------------------------------------------------
 
     def planner_input(self, now_us: int) -> PlannerInput:
-        """All that the planner looks at, as this process has it."""
+        """The planner's input, from the state and list of this process."""
         return PlannerInput(
             state=self.state,
             table=self.source.table,
@@ -275,25 +273,25 @@
 
     def _plan(self, now_us: int) -> None:
         inputs = self.planner_input(now_us)
-        entries = plan_entries(inputs, self.settled_basis == inputs.basis)
+        entries = plan_entries(inputs, self.idle_basis == inputs.basis)
         if not entries:
-            self.settled_basis = inputs.basis
+            self.idle_basis = inputs.basis
         self._propose(entries, now_us)
 
     def on_message(self, peer: int, incarnation: int, data: bytes) -> None:
-        """A message was received by this process, which leads."""
+        """Called on the leader when a replica's message was received."""
         message = decode_message(data)
         now_us = self.clock.now()
         match message:
             case DrainAcknowledgement():
                 self._on_acknowledgement(peer, incarnation, message, now_us)
             case OperatorCommand():
-                is_sender = (message.peer, message.incarnation) == (peer, incarnation)
-                if is_sender and not self.state.has_applied(message):
+                is_from_sender = (message.peer, message.incarnation) == (peer, incarnation)
+                if is_from_sender and not self.state.has_applied(message):
                     self._propose([message], now_us)
             case ReplicaStarted():
-                is_sender = (message.peer, message.incarnation) == (peer, incarnation)
-                if is_sender and not self.state.is_registered(peer, incarnation):
+                is_from_sender = (message.peer, message.incarnation) == (peer, incarnation)
+                if is_from_sender and not self.state.is_registered(peer, incarnation):
                     self._propose([message], now_us)
 
     def _on_acknowledgement(
@@ -302,7 +300,7 @@
         self.acknowledgements.record(peer, incarnation, message.drained_index)
         is_current = self.state.incarnations.get(peer) == incarnation
         if is_current and peer in self.state.absent_peers:
-            self._propose([ReplicaStarted(peer, incarnation)], now_us)  # it lives: it is not absent
+            self._propose([ReplicaStarted(peer, incarnation)], now_us)  # it runs, so it is not absent
         self.schedule_step()
 
     def _propose(self, entries: Sequence[MaintenanceEntry], now_us: int) -> None:
--- a/laurelstep/maintenance/entries.py
+++ b/laurelstep/maintenance/entries.py
@@ -1,8 +1,8 @@
-"""Log entries of the maintenance state machine, and messages to the leader: their types and encoding. Pure.
+"""Log entries of the maintenance state machine and messages to the leader: types and encoding. Pure.
 
-Each begins with the byte `SUBSYSTEM_TAG`, since one log and one link also serve other subsystems (of an entry
-the multiplexer removes it before the state machine sees the rest); then a tagged msgpack array follows.
-Fields keep their order and are only ever added at the end: an older version skips what it does not know.
+Each starts with the byte `SUBSYSTEM_TAG`, since the log and the links also serve other subsystems; the
+multiplexer removes it from an entry before the state machine gets the rest. A tagged msgpack array follows.
+Its fields keep their order, and new ones are added at the end: an older version skips them.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 SUBSYSTEM_TAG: Final = b"u"
 
-# What a command acts on: a request, the name of one, a machine's id or a peer's number.
+# The object of a command: a request, a request's name, a machine's id or a peer's number.
 CommandArgument = MaintenanceRequest | str | int
 
 
 class CommandVerb(StrEnum):
-    """What an operator can ask for; the values are part of log entries and HTTP paths."""
+    """The commands of operators. The values are part of log entries and HTTP paths."""
 
     REQUEST = "wish"
     WITHDRAW = "withdraw"
@@ -37,12 +37,12 @@
 
 
 class OperatorCommand(_TaggedArray, frozen=True, tag=1):
-    """What an operator asked for at one replica.
+    """An operator's command, submitted at one replica.
 
     `sequence_number` counts the commands of that replica's incarnation, so that a repeated or late one takes
-    effect once. `expected_version` names what the command is meant for: the incarnation that is declared
+    effect once. `expected_version` tells what the command is meant for: the incarnation that is declared
     absent, the log index at which the machine began to drain, or the number of the request that is withdrawn.
-    0 in the last two cases stands for whichever there is.
+    In the last two cases, 0 means the current drain or request.
     """
 
     peer: int
@@ -54,7 +54,7 @@
 
 
 class DrainedCounts(msgspec.Struct, frozen=True, array_like=True):
-    """How many machines discovery itself drains: in the machine's zone, in its cell, and in the tier."""
+    """Numbers of machines that discovery drains: in the machine's zone, in its cell, and in the tier."""
 
     zone: int
     cell: int
@@ -62,10 +62,11 @@
 
 
 class DrainMachine(_TaggedArray, frozen=True, tag=2):
-    """A machine is to drain, with the facts of the proposer's list, machines already out not counted.
+    """Starts the drain of a machine.
 
-    `base_index` is the last change of the state that the proposer knew; in any other state the entry is
-    ignored. `ready_count` includes the machine; `listed_weight` is of the ready and the draining ones.
+    The counts and weights are those of the proposer's list without the machines that are out of service.
+    `base_index` is the index of the last change of the proposer's state; in any other state the entry is
+    ignored. `ready_count` includes the machine; `listed_weight` sums the ready and the draining machines.
     """
 
     base_index: int
@@ -83,10 +84,10 @@
 
 
 class MachineTransition(_TaggedArray, frozen=True, tag=3):
-    """A machine's next state, as the leader sees it.
+    """An event that the leader observed for a machine.
 
-    `since_index` is the log index of its present state; `event` is ALL_DRAINED, EXCEED_TIME, WARM_UP, DROP or
-    KEEP_LAST of `states.MachineEvent`.
+    `since_index` is the log index at which the machine's present state began; `event` is ALL_DRAINED,
+    EXCEED_TIME, WARM_UP, DROP or KEEP_LAST of `states.MachineEvent`.
     """
 
     machine_id: str
@@ -96,17 +97,17 @@
 
 
 class CompleteRequest(_TaggedArray, frozen=True, tag=4):
-    """A request has no machine left to work on."""
+    """Closes a request that has no machine left to drain."""
 
     base_index: int
     request_number: int
 
 
 class ReplicaStarted(_TaggedArray, frozen=True, tag=5):
-    """A replica has started; sent as a message and then committed as an entry.
+    """A replica has started. Sent to the leader as a message, then committed as an entry.
 
-    It sends no traffic before the entry is committed, so that no replica is declared absent that has
-    meanwhile started again.
+    The replica sends no requests before the entry is committed. Thus a command that declares its earlier
+    incarnation absent can't apply to the new process.
     """
 
     peer: int
@@ -114,10 +115,10 @@
 
 
 class DrainAcknowledgement(_TaggedArray, frozen=True, tag=6):
-    """Message only: the sender has no traffic to any machine that began to drain at or before
-    `drained_index`.
+    """The sender has no requests at any machine that began to drain at or before `drained_index`. Sent as a
+    message only.
 
-    `UNKNOWN_STATE` from a replica that serves without knowing the replicated state.
+    `drained_index` is `UNKNOWN_STATE` if the sender serves without the replicated state.
     """
 
     drained_index: int
@@ -128,19 +129,19 @@
 MaintenanceEntry = OperatorCommand | DrainMachine | MachineTransition | CompleteRequest | ReplicaStarted
 LeaderMessage = OperatorCommand | ReplicaStarted | DrainAcknowledgement
 _encode: Final = msgspec.msgpack.Encoder().encode
-_entries: Final[msgspec.msgpack.Decoder[MaintenanceEntry]] = msgspec.msgpack.Decoder(MaintenanceEntry)
-_messages: Final[msgspec.msgpack.Decoder[LeaderMessage]] = msgspec.msgpack.Decoder(LeaderMessage)
+_entry_decoder: Final[msgspec.msgpack.Decoder[MaintenanceEntry]] = msgspec.msgpack.Decoder(MaintenanceEntry)
+_message_decoder: Final[msgspec.msgpack.Decoder[LeaderMessage]] = msgspec.msgpack.Decoder(LeaderMessage)
 _DECODE_ERRORS: Final = (msgspec.DecodeError, RecursionError, OverflowError)
 
 
 def encode(message: MaintenanceEntry | LeaderMessage) -> bytes:
-    """The bytes of an entry or a message, with the tag.
+    """Encode an entry or a message, with the tag.
 
-    Raises `EntryTooLargeError` over `MAX_ENTRY_BYTES`, and for text that is not valid Unicode.
+    Raises `EntryTooLargeError` if it is larger than `MAX_ENTRY_BYTES` or contains invalid Unicode.
     """
     try:
         data = SUBSYSTEM_TAG + _encode(message)
-    except UnicodeEncodeError as error:  # a lone surrogate, which JSON may have
+    except UnicodeEncodeError as error:  # a lone surrogate, which JSON may contain
         raise EntryTooLargeError(str(error)) from None
     if len(data) > MAX_ENTRY_BYTES:
         raise EntryTooLargeError(f"{len(data)} bytes, {MAX_ENTRY_BYTES} at most")
@@ -157,20 +158,20 @@
 
 
 def decode_entry(data: bytes) -> MaintenanceEntry | None:
-    """The entry in these bytes, without the tag; None if they hold none."""
+    """Decode an entry, given without the tag; None if it is malformed."""
     if len(data) >= MAX_ENTRY_BYTES:
         return None
     try:
-        return _entries.decode(data)
+        return _entry_decoder.decode(data)
     except _DECODE_ERRORS:
         return None
 
 
 def decode_message(data: bytes) -> LeaderMessage | None:
-    """The message in these bytes, with the tag; None if they hold none."""
+    """Decode a message, given with the tag; None if it is malformed."""
     if data[:1] != SUBSYSTEM_TAG or len(data) > MAX_ENTRY_BYTES:
         return None
     try:
-        return _messages.decode(data[1:])
+        return _message_decoder.decode(data[1:])
     except _DECODE_ERRORS:
         return None
--- a/laurelstep/maintenance/errors.py
+++ b/laurelstep/maintenance/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong with a maintenance call: one type for each kind of error, with its cause and remedy."""
+"""The errors of maintenance calls and snapshots, each with its cause and remedy."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ErrorCode(StrEnum):
-    """The names of errors in HTTP answers and in the replicated state, where they never change."""
+    """The names of errors in HTTP answers and in the replicated state. They never change."""
 
     INVALID_REQUEST = "WishError"
     INVALID_LIMIT = "LimitError"
@@ -26,9 +26,9 @@
 
 
 class MaintenanceError(LaurelstepError):
-    """The root of what a maintenance call can raise.
+    """The base class of errors that a maintenance call can raise.
 
-    `code` is its name in answers, `status` the HTTP status of the answer.
+    `code` is the error's name in the HTTP answer, `status` the answer's status.
     """
 
     code: ClassVar[str] = "UpkeepError"
@@ -54,7 +54,7 @@
 
 
 class UnknownMachineError(MaintenanceError):
-    """A machine, zone, cell or kind that this process does not find in discovery's list."""
+    """A machine, zone, cell or kind that is not in this process's list from discovery."""
 
     code = ErrorCode.UNKNOWN_MACHINE
     cause = "discovery lists no machine like the one that a call names"
@@ -62,7 +62,7 @@
 
 
 class UnknownRequestError(MaintenanceError):
-    """A request name that is not open."""
+    """A name that no open request has."""
 
     code = ErrorCode.UNKNOWN_REQUEST
     cause = "no maintenance request of this name is open"
@@ -78,7 +78,7 @@
 
 
 class ConflictingRequestError(MaintenanceError):
-    """A request under the name of another open one."""
+    """A request with the name of another open request."""
 
     code = ErrorCode.CONFLICTING_REQUEST
     cause = "another maintenance request of this name is open, with other parameters"
@@ -86,7 +86,7 @@
 
 
 class UnsatisfiableRequestError(MaintenanceError):
-    """A request whose limits leave room for none of its machines, also with all others in service."""
+    """A request whose limits allow none of its machines out of service, even with all others in service."""
 
     code = ErrorCode.UNSATISFIABLE_REQUEST
     cause = "a maintenance request can never be met: its own limits allow not even one machine out of service"
@@ -102,7 +102,7 @@
 
 
 class TooManyRequestsError(MaintenanceError):
-    """No room for another open request or pending call."""
+    """The bound of open requests or of pending calls is reached."""
 
     code = ErrorCode.TOO_MANY_REQUESTS
     cause = "too many maintenance requests are open, or too many calls wait to be committed"
@@ -118,7 +118,7 @@
 
 
 class LeaderUnreachableError(MaintenanceError):
-    """This process can't tell whether its view of the replicated state is current."""
+    """This process has no leader, so its replicated state may be outdated."""
 
     code = ErrorCode.LEADER_UNREACHABLE
     status = HTTPStatus.SERVICE_UNAVAILABLE
@@ -130,4 +130,4 @@
     """A snapshot of the replicated state that can't be decoded."""
 
     cause = "a snapshot of the maintenance state can't be read"
-    remedy = "let all replicas of the tier run versions that read each other, and start this one anew"
+    remedy = "run compatible versions on all replicas of the tier, then restart this one"
--- a/laurelstep/maintenance/limits.py
+++ b/laurelstep/maintenance/limits.py
@@ -1,4 +1,4 @@
-"""Whether a machine may leave service beside those that are out: the check of disruption limits. Pure."""
+"""The check of disruption limits: whether another machine may go out of service. Pure."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from laurelstep.maintenance.requests import DisruptionLimits
 from laurelstep.maintenance.states import MachineState
 
-# Shares are sums of floats: a smaller difference is none.
+# Tolerance for rounding errors in sums of shares.
 ROUNDING: Final = 1e-9
 NONE_DRAINED: Final = DrainedCounts(0, 0, 0)
 
 
 def are_in_range(limits: DisruptionLimits) -> bool:
-    """Whether limits that came in a log entry are ones that a request may have."""
+    """Whether limits from a log entry are within the range that requests may have."""
     return 1 <= limits.max_unavailable <= MAX_MACHINES_PER_REQUEST and 0.0 <= limits.min_capacity_share <= 1.0
 
 
-def has_finite_facts(entry: DrainMachine) -> bool:
-    """Whether the weights and counts of an entry can be reckoned with."""
+def has_valid_numbers(entry: DrainMachine) -> bool:
+    """Whether the weights and counts of an entry are finite and not negative."""
     weights = (entry.weight, entry.ready_weight, entry.listed_weight, entry.slow_start_share)
     drained = entry.drained_by_discovery
     return (
@@ -38,9 +38,10 @@
     out_of_service: Sequence[MachineRecord],
     ignore_others: bool = False,
 ) -> str | None:
-    """Which limit would not hold with the entry's machine out beside the others, in words; None if all hold.
+    """A description of the limit that would be exceeded with the entry's machine out of service too; None if
+    all limits would hold.
 
-    `ignore_others`: as if discovery drained no machine and all listed ones were ready.
+    `ignore_others`: assume that discovery drains no machine and that all listed ones are ready.
     """
     return _violated_count(limits, entry, out_of_service, ignore_others) or _violated_share(
         limits, entry, out_of_service, ignore_others
@@ -56,16 +57,16 @@
     drained = NONE_DRAINED if ignore_others else entry.drained_by_discovery
     if limits.scope == "zone":
         count = drained.zone + sum(1 for machine in out_of_service if machine.zone == entry.zone)
-        where = f"zone {entry.zone}"
+        location = f"zone {entry.zone}"
     elif limits.scope == "cell":
         count = drained.cell + sum(1 for machine in out_of_service if machine.cell == entry.cell)
-        where = f"cell {entry.cell}"
+        location = f"cell {entry.cell}"
     else:
         count = drained.tier + len(out_of_service)
-        where = "the tier"
+        location = "the tier"
     if count < limits.max_unavailable:
         return None
-    return f"out {limits.max_unavailable} per {limits.scope}: {count} out in {where}"
+    return f"out {limits.max_unavailable} per {limits.scope}: {count} out in {location}"
 
 
 def _violated_share(
--- a/laurelstep/maintenance/machines.py
+++ b/laurelstep/maintenance/machines.py
@@ -1,8 +1,8 @@
-"""The machines that discovery lists, as one process heard of them last. Pure.
+"""The machines in one process's latest list from discovery. Pure.
 
 1. An entry is parsed as the engine parses it: what the engine would reject is rejected here.
-2. Sums and groups are kept up to date with each change: planning costs what its requests select, not the
-   list.
+2. Totals and groups are updated with each change, so that the cost of planning depends on the number of
+   selected machines and not on the length of the list.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 LIFECYCLES: Final = {phase: name for name, phase in PHASES.items()}
 
-# What machines are grouped by ("zone", "cell" or "kind"), and the value that they share.
+# The attribute by which machines are grouped ("zone", "cell" or "kind"), and its value.
 GroupKey = tuple[str, object]
 
 
 class ListedMachine:
-    """One machine, as discovery lists it."""
+    """A machine as listed by discovery."""
 
     __slots__ = (
         "_endpoint_number", "address", "cell", "kind", "machine_id", "phase", "started_ms", "weight", "zone",
@@ -54,22 +54,22 @@
 
     @property
     def endpoint_number(self) -> int:
-        """Its number in the engine. Computed when first asked for: few ever are."""
+        """Its number in the engine. Computed at the first use, since most are never used."""
         self._endpoint_number = self._endpoint_number or endpoint_number(self.machine_id)
         return self._endpoint_number
 
     @property
     def capacity(self) -> float:
-        """Its weight as the engine counts it: 1 where none is listed."""
+        """Its weight as the engine counts it: 1 if the listed one is not positive and finite."""
         return self.weight if 0.0 < self.weight < inf else 1.0
 
     @property
     def group_keys(self) -> tuple[GroupKey, ...]:
-        """The groups that it belongs to."""
+        """The keys of its groups in `MachineTable.groups`."""
         return (("zone", self.zone), ("cell", self.cell), ("kind", self.kind))
 
     def to_entry(self, phase: int, started_ms: int) -> dict[str, Any]:
-        """Its entry in discovery's form, with another phase or start time."""
+        """Its entry in the format of discovery, with the given phase and start time."""
         return {
             "instanceId": self.machine_id, "hostPort": self.address, "zone": self.zone,
             "machineType": self.kind, "cell": self.cell, "lifecycle": LIFECYCLES[phase],
@@ -78,14 +78,14 @@
 
 
 def parse_listed_machine(raw: Any) -> ListedMachine:
-    """The machine of an entry in discovery's form. Raises ValueError for anything else."""
+    """Parse an entry in the format of discovery. Raises ValueError if it is malformed."""
     try:
         phase = PHASES[raw["lifecycle"]]
         address = str(raw.get("hostPort", ""))
         if phase == READY:
             split_address(address)
         machine_id = raw["instanceId"]
-        machine_id.encode()  # its number is made of that: see `endpoint_number`
+        machine_id.encode()  # `endpoint_number` needs valid Unicode
         return ListedMachine(
             machine_id=machine_id,
             address=address,
@@ -97,17 +97,17 @@
             started_ms=int(raw.get("startedAtMs", 0)),
         )
     except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
-        raise ValueError(f"no entry: {error!r}") from None
+        raise ValueError(f"malformed entry: {error!r}") from None
 
 
 class MachineTable:
-    """All machines that are listed ready or draining, with their sums."""
+    """All machines that are listed as ready or draining, with their totals."""
 
     def __init__(self) -> None:
         self.machines: dict[str, ListedMachine] = {}
-        self.is_complete = False  # a complete list was received
-        self.is_settled = True  # no list is being put in its place
-        self.version = 0  # differs after each change
+        self.is_complete = False  # a full list was stored
+        self.is_consistent = True  # False while a full list is being stored
+        self.version = 0  # incremented with each change
         self.ready_count = 0
         self.ready_weight = 0.0
         self.listed_weight = 0.0
@@ -115,12 +115,12 @@
         self.groups: dict[GroupKey, set[str]] = {}
 
     def put(self, machine: ListedMachine) -> None:
-        """Add or replace a machine; one that is gone leaves the table."""
+        """Add or replace a machine; remove it if it is gone."""
         self.remove(machine.machine_id)
         if machine.phase not in (READY, DRAINING):
             return
         self.machines[machine.machine_id] = machine
-        self._count(machine, 1)
+        self._update_totals(machine, 1)
         for key in machine.group_keys:
             self.groups.setdefault(key, set()).add(machine.machine_id)
 
@@ -130,14 +130,14 @@
         machine = self.machines.pop(machine_id, None)
         if machine is None:
             return
-        self._count(machine, -1)
+        self._update_totals(machine, -1)
         for key in machine.group_keys:
             group = self.groups[key]
             group.discard(machine_id)
             if not group:
                 del self.groups[key]
 
-    def _count(self, machine: ListedMachine, sign: int) -> None:
+    def _update_totals(self, machine: ListedMachine, sign: int) -> None:
         self.listed_weight += sign * machine.capacity
         if machine.phase == READY:
             self.ready_count += sign
@@ -146,25 +146,25 @@
             self.draining.add(machine.machine_id)
         else:
             self.draining.discard(machine.machine_id)
-        if not self.machines:  # no rounding error outlives a list
+        if not self.machines:  # discard accumulated rounding errors
             self.listed_weight = self.ready_weight = 0.0
 
     def replace(self, machines: Mapping[str, ListedMachine]) -> Iterator[None]:
-        """Put a complete list in place of this one, one machine a step.
+        """Replace the table's machines by those of a full list, one machine in each step.
 
-        Until the last step the sums are of neither list: `is_settled` is False.
+        `is_consistent` is False until the last step: the totals match neither list.
         """
-        self.is_settled = False
-        for machine_id in [known for known in self.machines if known not in machines]:
+        self.is_consistent = False
+        for machine_id in [listed_id for listed_id in self.machines if listed_id not in machines]:
             self.remove(machine_id)
             yield
         for machine in machines.values():
             self.put(machine)
             yield
-        self.is_settled = self.is_complete = True
+        self.is_consistent = self.is_complete = True
 
     def ids_in_scope(self, scope: LimitScope, machine: ListedMachine) -> Iterable[str]:
-        """The ids of the machines in the zone or cell of this one, or in the tier."""
+        """The ids of the machines in the given machine's zone or cell, or of all in the tier."""
         if scope == "tier":
             return self.machines
         return self.groups.get((scope, machine.zone if scope == "zone" else machine.cell), ())
--- a/laurelstep/maintenance/overlay.py
+++ b/laurelstep/maintenance/overlay.py
@@ -1,17 +1,17 @@
-"""What one process shows its engine: discovery's list with the cordons of the replicated state laid over it.
-Pure.
-
-1. Discovery wins: what it calls draining or gone is shown so. A cordon only ever turns ready into draining;
-   no machine is shown that discovery does not list.
-2. A cordon that was applied stands until the state says otherwise, also in a process that is cut off, and
-   whatever the list becomes meanwhile.
-3. The last ready machine is never cordoned: a cordon that would leave none waits, and meanwhile this process
-   acknowledges no drain. A machine that is drained already is cordoned unconditionally, and so are all that
-   the state has when a process first learns it: an earlier incarnation may have acknowledged them.
-4. A machine is drained here when the engine was told `draining`, its drain grace is over since, and it has no
-   request in flight. Once drained here, it stays so until the cordon ends.
-5. What comes back from work is shown as started when it came back, or later if discovery says so, as long as
-   it is listed: a start time once shown is never taken back.
+"""The overlay over discovery's list in one process: the engine gets cordoned machines as draining. Pure.
+
+1. Discovery has precedence: a machine that it lists as draining or gone is published as such. A cordon only
+   turns ready into draining, and no machine is published that discovery does not list.
+2. An applied cordon remains until the state ends it, also while the process is cut off from the leader, and
+   whatever lists arrive in the meantime.
+3. The last ready machine is not cordoned: a cordon that would leave none is postponed, and until then this
+   process does not acknowledge the drain. Machines that are drained already are cordoned unconditionally, and
+   so are all cordoned ones of the state at the first update: an earlier incarnation may have acknowledged
+   them.
+4. A machine is drained in this process when the engine got it as `draining`, the drain grace has passed
+   since, and it has no request in flight. It then counts as drained until the cordon ends.
+5. A machine that returns from work is published with its return as the start time, or with discovery's if
+   that is later, as long as it is listed: a published start time never decreases.
 """
 
 from __future__ import annotations
@@ -27,32 +27,34 @@
 
 
 class MachineCordon:
-    """How far one machine is drained in this process."""
+    """The progress of one machine's drain in this process."""
 
     __slots__ = ("drain_index", "is_applied", "is_drained", "published_us", "state")
 
     def __init__(self, drain_index: int, state: MachineState) -> None:
         self.drain_index = drain_index
         self.state = state
-        self.is_applied = False  # shown as draining from now on
-        self.published_us: int | None = None  # since when the engine surely knows
+        self.is_applied = False  # published as draining
+        self.published_us: int | None = None  # when the engine had it as draining at the latest
         self.is_drained = False
 
 
 class EndpointOverlay:
-    """The cordons and the returns of one process. Times are in µs; `wall_ms` is Unix time in ms."""
+    """The cordons of one process, and its machines that returned from work. Times are in µs; `wall_ms` is
+    Unix time in ms.
+    """
 
     def __init__(self) -> None:
         self.cordons: dict[str, MachineCordon] = {}  # by machine id
-        self.returned_ms: dict[str, int] = {}  # by machine id: wall time of its return
-        self.is_first_update = True  # the state was never learned
+        self.returned_ms: dict[str, int] = {}  # by machine id: Unix time of its return
+        self.is_first_update = True  # the state was not known before
 
     # --- Updates ----------------------------------------------------------------------
 
     def update(self, state: MaintenanceState, table: MachineTable, now_us: int, wall_ms: int) -> list[str]:
-        """Follow a change of the state or of the list.
+        """Apply changes of the state or of the list.
 
-        Returns the ids of the machines that are shown otherwise from now on.
+        Returns the ids of the machines whose published entry changes.
         """
         changed = self._lift_cordons(state, table, wall_ms)
         ready_count = self._uncordoned_ready_count(table)
@@ -68,7 +70,7 @@
         return changed
 
     def _is_unseen_return(self, machine: MachineRecord) -> bool:
-        """Whether it came back before this process learned the state."""
+        """Whether a machine returned from work before this process knew the state."""
         return (
             self.is_first_update
             and machine.state == MachineState.WARMING_UP
@@ -76,7 +78,9 @@
         )
 
     def _cordon(self, machine: MachineRecord, table: MachineTable, ready_count: int, now_us: int) -> bool:
-        """Follow a cordoned machine. Whether it is a ready one that is shown as draining from now on."""
+        """Create or update the cordon of a machine. Returns whether the machine's published entry changes
+        from ready to draining.
+        """
         cordon = self.cordons.get(machine.machine_id)
         if cordon is None:
             cordon = MachineCordon(machine.drain_index, machine.state)
@@ -90,11 +94,13 @@
             return False  # rule 3
         cordon.is_applied = True
         if not is_ready:
-            cordon.published_us = now_us  # discovery's own word keeps the engine from sending there already
+            cordon.published_us = now_us  # discovery's list keeps the engine from sending there already
         return is_ready
 
     def _lift_cordons(self, state: MaintenanceState, table: MachineTable, wall_ms: int) -> list[str]:
-        """End the cordons that do not stand any more; the ids of those that were shown."""
+        """Remove the cordons that the state has ended. Returns the ids of the listed machines whose published
+        entry changes.
+        """
         changed = []
         for machine_id, cordon in list(self.cordons.items()):
             if _is_current(cordon, state.machines.get(machine_id)):
@@ -109,7 +115,7 @@
         return changed
 
     def _uncordoned_ready_count(self, table: MachineTable) -> int:
-        """Ready machines that this process may send to."""
+        """The number of ready machines without an applied cordon."""
         cordoned = sum(
             1
             for machine_id, cordon in self.cordons.items()
@@ -118,9 +124,10 @@
         return table.ready_count - cordoned
 
     def on_published(self, machine_ids: Iterable[str], now_us: int) -> None:
-        """The engine has taken in what is shown of these machines.
+        """Called after the engine has applied the published entries of these machines.
 
-        Its grace counts from when it was told: that is before now, but may be after the cordon was applied.
+        The drain grace counts from now, not from when the cordon was applied: the engine got the entry in
+        between.
         """
         for machine_id in machine_ids:
             cordon = self.cordons.get(machine_id)
@@ -128,23 +135,25 @@
                 cordon.published_us = now_us
 
     def forget_unlisted(self, table: MachineTable) -> None:
-        """Forget the returns of machines that are not listed any more (rule 5)."""
-        for machine_id in [known for known in self.returned_ms if known not in table.machines]:
+        """Remove the return times of machines that are not listed any more (rule 5)."""
+        for machine_id in [
+            returned_id for returned_id in self.returned_ms if returned_id not in table.machines
+        ]:
             del self.returned_ms[machine_id]
 
-    # --- What is shown ----------------------------------------------------------------
+    # --- Published entries ------------------------------------------------------------
 
     def is_cordoned(self, machine_id: str) -> bool:
-        """Whether a machine is shown as draining."""
+        """Whether a machine is published as draining."""
         cordon = self.cordons.get(machine_id)
         return cordon is not None and cordon.is_applied
 
-    def may_alter(self, machine_id: str) -> bool:
-        """Whether what is shown of a machine may differ from discovery's entry."""
+    def may_differ(self, machine_id: str) -> bool:
+        """Whether the published entry of a machine may differ from discovery's."""
         return machine_id in self.returned_ms or self.is_cordoned(machine_id)
 
     def overlaid_entry(self, machine: ListedMachine) -> dict[str, Any]:
-        """A machine's entry in discovery's form, as the engine gets it."""
+        """The published entry of a machine, in the format of discovery."""
         is_cordoned = machine.phase == READY and self.is_cordoned(machine.machine_id)
         phase = DRAINING if is_cordoned else machine.phase
         return machine.to_entry(phase, max(machine.started_ms, self.returned_ms.get(machine.machine_id, 0)))
@@ -154,9 +163,10 @@
     def drained_index(
         self, state: MaintenanceState, now_us: int, grace_us: int, in_flight: Callable[[str], int]
     ) -> int:
-        """The highest index such that nothing is sent from here to what began to drain at or before it.
+        """The highest index such that all machines that began to drain at or before it are drained in this
+        process.
 
-        `in_flight` counts the requests in flight at a machine; `grace_us` is the drain grace.
+        `in_flight` returns the number of requests in flight at a machine; `grace_us` is the drain grace.
         """
         index = state.index
         for machine in state.machines.values():
@@ -190,7 +200,7 @@
 
 
 def _has_returned(state: MaintenanceState, machine_id: str, cordon: MachineCordon) -> bool:
-    """Whether a machine whose cordon ended has been worked on."""
+    """Whether a machine whose cordon ended may have been worked on, so that it needs slow start."""
     machine = state.machines.get(machine_id)
     if machine is not None:
         return machine.state == MachineState.WARMING_UP
--- a/laurelstep/maintenance/planner.py
+++ b/laurelstep/maintenance/planner.py
@@ -1,16 +1,16 @@
-"""What the leader proposes, from the state, its own endpoint list and the acknowledgements. Pure.
+"""The entries that the leader proposes, from the state, its endpoint list and the acknowledgements. Pure.
 
-1. A machine is drained when every replica, in the incarnation that started last, has acknowledged that it
-   sends nothing to what began to drain at that index; replicas that were declared absent are left out. No
-   time-out stands in for an acknowledgement.
+1. A machine is drained when every replica, in its current incarnation, has acknowledged the drain index;
+   replicas that were declared absent are left out. No time-out replaces an acknowledgement.
 2. The order follows from the state: requests by number, their machines by zone, cell and id. The first
-   that the limits allow goes next, one with each proposal.
-3. Nothing is proposed from half a list.
-4. What discovery drains, removes or replaces while it drains here is dropped from its request; once it is
-   drained, its going and coming is the work itself, and it stays out until an operator reports it finished.
-   Lists differ in age: who has just learned of a drain waits `LIST_PROPAGATION_US` before that, and a machine
-   that a request names by id stays selected while it is not listed.
-5. Every proposal names the state that it was made for: a late one is ignored.
+   machine that the limits allow drains next, one with each proposal.
+3. No drain, drop or end of a request is proposed while the list is incomplete or being replaced.
+4. A machine that discovery drains, removes or replaces while it is draining is dropped from its request. Once
+   it is drained, such changes are part of the work, and it stays out of service until an operator reports the
+   work finished. Since the leader's list may be older than another replica's, a machine is dropped only after
+   it has been observed draining for `LIST_PROPAGATION_US`, and a request that names an unlisted machine by id
+   stays open.
+5. Every proposal contains the index of the state that it was made for: a late one is ignored.
 """
 
 from __future__ import annotations
@@ -36,38 +36,38 @@
 from laurelstep.maintenance.state import MaintenanceState
 from laurelstep.maintenance.states import MachineEvent, MachineState
 
-# Within this time a list reaches all replicas, or the next one does.
+# A change of discovery's list reaches all replicas within this time.
 LIST_PROPAGATION_US: Final = 2_000_000
 
 
 @dataclass(slots=True)
 class PlannerInput:
-    """All that a plan depends on. Times are in µs."""
+    """The input of a plan. Times are in µs."""
 
     state: MaintenanceState
     table: MachineTable
     acknowledgements: DrainAcknowledgements
     ages: StateAges
     peer_count: int
-    slow_start_share: float  # of a machine's capacity that counts while it warms up
+    slow_start_share: float  # of a machine's capacity that counts while it warms up, 0 to 1
     slow_start_us: int
     overdue_us: int
     now_us: int
 
     @property
     def basis(self) -> tuple[int, int]:
-        """What the choice of the next machine depends on: the versions of the state and of the list."""
+        """The versions of the state and of the list, which determine the next machine to drain."""
         return self.state.changed_index, self.table.version
 
     @property
     def is_list_usable(self) -> bool:
-        """Whether the list is a complete one, and not being replaced."""
-        return self.table.is_complete and self.table.is_settled
+        """Whether a full list was received and none is being stored."""
+        return self.table.is_complete and self.table.is_consistent
 
 
 @dataclass(frozen=True, slots=True)
 class AvailableCapacity:
-    """Of the machines that are listed and not out of service."""
+    """Totals of the machines that are listed and not out of service."""
 
     ready_count: int
     ready_weight: float
@@ -76,27 +76,27 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainObstacle:
-    """What keeps the next machine of a request in service, in words; empty if nothing does.
+    """The reason why the next machine of a request does not drain; empty if there is none.
 
-    `is_permanent`: it would also with no other machine out, as long as the open requests stand.
+    `is_permanent`: the reason would also apply if no other machine were out of service.
     """
 
     reason: str = ""
     is_permanent: bool = False
 
 
-def plan_entries(inputs: PlannerInput, is_settled: bool = False) -> list[MaintenanceEntry]:
-    """The entries to propose now. `DrainMachine` and `CompleteRequest` come alone: they are for the state as
-    it is.
+def plan_entries(inputs: PlannerInput, is_basis_unchanged: bool = False) -> list[MaintenanceEntry]:
+    """The entries to propose now. `DrainMachine` and `CompleteRequest` are proposed alone, since another
+    entry would change the state that they are for.
 
-    `is_settled`: nothing was found to drain on the same basis before.
+    `is_basis_unchanged`: an earlier plan with the same `PlannerInput.basis` had no entries.
     """
     transitions = [
         transition
         for machine in inputs.state.machines.values()
         if (transition := _plan_transition(inputs, machine)) is not None
     ]
-    if transitions or is_settled or not inputs.is_list_usable:
+    if transitions or is_basis_unchanged or not inputs.is_list_usable:
         return list(transitions)
     for request in inputs.state.open_requests.values():
         entry = _plan_request(inputs, request)
@@ -105,7 +105,7 @@
     return []
 
 
-# --- Machines that are out ------------------------------------------------------------
+# --- Machines out of service ----------------------------------------------------------
 
 
 def _plan_transition(inputs: PlannerInput, machine: MachineRecord) -> MachineTransition | None:
@@ -122,7 +122,7 @@
 
 
 def _plan_draining(inputs: PlannerInput, machine: MachineRecord, age_us: int) -> tuple[str, str]:
-    """The event for a machine that drains, and its reason; both empty while it goes on."""
+    """The event for a draining machine, and its reason; both empty while the drain continues."""
     if inputs.is_list_usable:
         reason = _drop_reason(inputs.table, machine) if age_us >= LIST_PROPAGATION_US else ""
         if reason:
@@ -136,7 +136,7 @@
 
 
 def _drop_reason(table: MachineTable, machine: MachineRecord) -> str:
-    """What discovery did to a machine that drains; empty if nothing."""
+    """Why a draining machine is dropped from its request; empty if it is not."""
     listed = table.machines.get(machine.machine_id)
     if listed is None:
         return "gone"
@@ -165,17 +165,17 @@
         if describe_unlisted(request, inputs.table):
             return None
         return CompleteRequest(inputs.state.changed_index, request.number)
-    blocked = set()  # one machine stands for all that are alike to the limits
+    blocked = set()  # the limits treat machines with the same key alike
     for machine in waiting:
-        likeness = machine.zone, machine.cell, machine.capacity
-        if likeness in blocked or machine.phase != READY or machine.machine_id in inputs.state.machines:
+        limit_key = machine.zone, machine.cell, machine.capacity
+        if limit_key in blocked or machine.phase != READY or machine.machine_id in inputs.state.machines:
             continue
         entry = drain_entry(inputs, request.number, machine)
         if not fits_entry(entry):
             continue
         if inputs.state.blocking_limit(entry) is None:
             return entry
-        blocked.add(likeness)
+        blocked.add(limit_key)
     return None
 
 
@@ -184,7 +184,7 @@
 
 
 def explain_obstacle(inputs: PlannerInput, request: OpenRequest) -> DrainObstacle:
-    """Why the next machine of a request does not drain."""
+    """The reason why the next machine of a request does not drain, if any."""
     waiting = waiting_machines(request, inputs.state, inputs.table)
     if not waiting:
         return DrainObstacle(describe_unlisted(request, inputs.table))
@@ -204,11 +204,11 @@
     return DrainObstacle(f"{machine.machine_id}: {permanent or reason}", permanent is not None)
 
 
-# --- Facts of the list ----------------------------------------------------------------
+# --- Counts and weights of the list ---------------------------------------------------
 
 
 def available_capacity(state: MaintenanceState, table: MachineTable) -> AvailableCapacity:
-    """What the list has beside the machines that are out of service."""
+    """The totals of the list without the machines that are out of service."""
     ready_count, ready_weight = table.ready_count, table.ready_weight
     listed_weight = table.listed_weight
     for machine_id in state.machines:
@@ -223,7 +223,7 @@
 
 
 def drain_entry(inputs: PlannerInput, request_number: int, machine: ListedMachine) -> DrainMachine:
-    """The entry that drains a machine, with the facts that the limits are checked against."""
+    """The entry that drains a machine, with the counts and weights for the check of the limits."""
     available = available_capacity(inputs.state, inputs.table)
     return DrainMachine(
         base_index=inputs.state.changed_index,
@@ -242,7 +242,7 @@
 
 
 def _drained_by_discovery(inputs: PlannerInput, machine: ListedMachine) -> DrainedCounts:
-    """The machines that discovery drains, beside those that are out of service."""
+    """The numbers of machines that discovery drains, without those that are out of service."""
     zone = cell = tier = 0
     for machine_id in inputs.table.draining:
         if machine_id in inputs.state.machines:
@@ -255,7 +255,7 @@
 
 
 def _with_all_in_service(inputs: PlannerInput, entry: DrainMachine) -> DrainMachine:
-    """The same entry with every listed machine ready and none out."""
+    """The entry as it would be with every listed machine ready and none out of service."""
     return DrainMachine(
         base_index=entry.base_index,
         request_number=entry.request_number,
--- a/laurelstep/maintenance/records.py
+++ b/laurelstep/maintenance/records.py
@@ -1,7 +1,7 @@
-"""The records that make up the replicated maintenance state, and its snapshot. Pure.
+"""The records of the replicated maintenance state, and its snapshot. Pure.
 
-Structs are encoded as arrays: the order of their fields never changes, new ones are added at the end. An
-index is one of the consensus log.
+Structs are encoded as arrays: the order of their fields never changes, and new ones are added at the end.
+Indexes are those of the consensus log.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
     machine_id: str
     request_number: int
     state: MachineState
-    drain_index: int  # of the entry that began its drain
-    since_index: int  # of the entry that led to the present state
+    drain_index: int  # of the entry that started its drain
+    since_index: int  # of the entry that caused its present state
     zone: str
     cell: int
     weight: float
@@ -31,24 +31,26 @@
 
 
 class DroppedMachine(msgspec.Struct, frozen=True, array_like=True):
-    """A machine that went without maintenance, because of what discovery did to it."""
+    """A machine without maintenance, since discovery drained, removed or replaced it meanwhile."""
 
     machine_id: str
     reason: str
 
 
 class OpenRequest(msgspec.Struct, array_like=True):
-    """A request that is under way. Its number is the index of its entry, and so the order of requests."""
+    """An open request. Its number is the index of its entry, so that numbers give the order of requests."""
 
     number: int
     request: MaintenanceRequest
     is_withdrawn: bool = False
-    finished: set[int] = msgspec.field(default_factory=set)  # endpoint numbers of the machines that are over
-    dropped: list[DroppedMachine] = msgspec.field(default_factory=list)  # the last ones
+    finished: set[int] = msgspec.field(
+        default_factory=set
+    )  # endpoint numbers of its machines that are done or dropped
+    dropped: list[DroppedMachine] = msgspec.field(default_factory=list)  # the last ones only
 
 
 class PastRequest(msgspec.Struct, array_like=True):
-    """A request that is over."""
+    """A closed request."""
 
     number: int
     name: str
@@ -59,9 +61,7 @@
 
 
 class LastCommand(msgspec.Struct, array_like=True):
-    """The last command of a replica that was committed. `verdict` is an `ErrorCode`, or empty if it took
-    effect.
-    """
+    """The last committed command of a replica. `verdict` is an `ErrorCode`, or empty if it took effect."""
 
     incarnation: int
     sequence_number: int
@@ -69,7 +69,7 @@
 
 
 class StateSnapshot(msgspec.Struct, array_like=True):
-    """All of the state, as it is encoded."""
+    """The encoded form of `MaintenanceState`."""
 
     index: int
     changed_index: int
@@ -86,12 +86,12 @@
 
 
 def encode_snapshot(snapshot: StateSnapshot) -> bytes:
-    """Equal states give equal bytes."""
+    """Encode a snapshot. Equal states give equal bytes."""
     return _encode(snapshot)
 
 
 def decode_snapshot(raw: bytes) -> StateSnapshot:
-    """The snapshot in these bytes; empty bytes stand for a new state. Raises `MaintenanceSnapshotError`."""
+    """Decode a snapshot; empty bytes stand for a new state. Raises `MaintenanceSnapshotError`."""
     if not raw:
         return StateSnapshot(0, 0, [], [], [], [], [], [])
     try:
--- a/laurelstep/maintenance/requests.py
+++ b/laurelstep/maintenance/requests.py
@@ -1,10 +1,10 @@
-"""A maintenance request: which machines shall go out of service, and what must stay meanwhile. Pure.
+"""Maintenance requests: which machines to take out of service, and under which limits. Pure.
 
-1. A request is checked as a whole before anything is made of it; an invalid one changes nothing.
-2. Each kind of error is a type of its own (`errors`), with its cause and with what an operator can do.
-3. A request fits one log entry (`bounds.MAX_ENTRY_BYTES`), or is rejected.
+1. A request is checked completely before it is submitted; an invalid one changes nothing.
+2. Each kind of error has its own type (`errors`), with its cause and remedy.
+3. A request that does not fit one log entry (`bounds.MAX_ENTRY_BYTES`) is rejected.
 
-Structs are encoded as arrays: the order of their fields never changes, new ones are added at the end.
+Structs are encoded as arrays: the order of their fields never changes, and new ones are added at the end.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 
 
 class DisruptionLimits(msgspec.Struct, frozen=True, array_like=True):
-    """What must stay in service: at most `max_unavailable` machines out at once in each zone, each cell or
-    the tier (`scope`), and at least `min_capacity_share` (0 to 1) of the tier's capacity.
+    """At most `max_unavailable` machines may be out of service at once in each zone, each cell or the tier
+    (`scope`), and at least `min_capacity_share` (0 to 1) of the tier's capacity must stay in service.
     """
 
     max_unavailable: int = 1
@@ -41,10 +41,10 @@
 
 
 class MaintenanceRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Machines that an operator wants out of service, selected by id, zone, cell and kind.
+    """The machines that an operator wants out of service, selected by id, zone, cell and kind.
 
-    A machine is selected if it meets all the selectors that are given. `overdue_s`: how long one may be out,
-    in seconds; 0 stands for the setting's value.
+    A machine is selected if it matches all selectors that are set. `overdue_s`: how long a machine may stay
+    drained, or under work, before it is reported overdue, in seconds; 0 means the setting's value.
     """
 
     name: str
@@ -57,7 +57,7 @@
 
     @property
     def has_selector(self) -> bool:
-        """Whether anything selects machines at all."""
+        """Whether at least one selector is set."""
         selectors = (self.zone, self.cell, self.kind)
         return bool(self.machine_ids) or any(selector is not None for selector in selectors)
 
@@ -69,25 +69,25 @@
 
 
 def parse_request(parameters: Parameters, ids_by_address: Mapping[str, str]) -> MaintenanceRequest:
-    """A request from a call's query parameters; `id` and `address` may be repeated.
+    """Parse the query parameters of a call; `id` and `address` may be repeated.
 
-    `ids_by_address` resolves addresses to machine ids. Raises `MaintenanceError` for anything invalid.
+    `ids_by_address` maps addresses to machine ids. Raises `MaintenanceError` if a parameter is invalid.
     """
     for key in parameters:
         if key not in PARAMETERS:
             raise InvalidRequestError(f"{key}: no such parameter")
-    name = _single(parameters, "name")
+    name = _single_value(parameters, "name")
     if name is None or not _REQUEST_NAME.fullmatch(name):
         raise InvalidRequestError("name: expected 1 to 24 of the characters 0-9 A-Z a-z . _ ~ -")
     machine_ids = _machine_ids(parameters, ids_by_address)
-    cell = _single(parameters, "cell")
+    cell = _single_value(parameters, "cell")
     request = MaintenanceRequest(
         name=name,
         limits=_parse_limits(parameters),
         machine_ids=machine_ids,
-        zone=_single(parameters, "zone"),
+        zone=_single_value(parameters, "zone"),
         cell=None if cell is None else _parse_integer("cell", cell, InvalidRequestError),
-        kind=_single(parameters, "kind"),
+        kind=_single_value(parameters, "kind"),
         overdue_s=_parse_overdue_s(parameters),
     )
     if not request.has_selector:
@@ -105,13 +105,13 @@
 
 
 def _parse_limits(parameters: Parameters) -> DisruptionLimits:
-    max_unavailable = _parse_integer("out", _single(parameters, "out") or "1", InvalidLimitError)
+    max_unavailable = _parse_integer("out", _single_value(parameters, "out") or "1", InvalidLimitError)
     if not 1 <= max_unavailable <= MAX_MACHINES_PER_REQUEST:
         raise InvalidLimitError(f"out: expected 1 to {MAX_MACHINES_PER_REQUEST}, got {max_unavailable}")
-    scope = _single(parameters, "per") or "tier"
+    scope = _single_value(parameters, "per") or "tier"
     if scope not in get_args(LimitScope):
         raise InvalidRequestError(f"per: expected one of {', '.join(get_args(LimitScope))}, got {scope}")
-    text = _single(parameters, "share") or "0"
+    text = _single_value(parameters, "share") or "0"
     try:
         share = float(text)
     except ValueError:
@@ -122,7 +122,7 @@
 
 
 def _parse_overdue_s(parameters: Parameters) -> int:
-    text = _single(parameters, "overdue_s")
+    text = _single_value(parameters, "overdue_s")
     if text is None:
         return 0
     overdue_s = _parse_integer("overdue_s", text, InvalidLimitError)
@@ -131,8 +131,8 @@
     return overdue_s
 
 
-def _single(parameters: Parameters, key: str) -> str | None:
-    """The value of a parameter that may be given once."""
+def _single_value(parameters: Parameters, key: str) -> str | None:
+    """The value of a parameter that may be given once; None if it is missing."""
     values = parameters.get(key)
     if not values:
         return None
--- a/laurelstep/maintenance/routes.py
+++ b/laurelstep/maintenance/routes.py
@@ -1,8 +1,8 @@
-"""The HTTP calls about maintenance at the management address, and their answers. Pure.
+"""The HTTP calls of maintenance at the management address, and their answers. Pure.
 
-1. What a call needs comes as query parameters; answers are JSON objects.
-2. 200: it is so already. 202: it was submitted, and `GET /api/upkeep` shows what becomes of it. 400 and 503:
-   the error's code, cause and remedy, and nothing was changed.
+1. Calls have query parameters; answers are JSON objects.
+2. 200: the effect is in place already. 202: the command was submitted; `GET /api/upkeep` shows its status.
+   400 and 503: nothing was changed; the answer has the error's code, cause and remedy.
 """
 
 from __future__ import annotations
@@ -28,40 +28,40 @@
 
 
 class SubmittedCommand(Protocol):
-    """A command that was submitted, as its answer shows it."""
+    """The fields of a submitted command that its answer contains."""
 
     sequence_number: int
     status: str
 
 
 class MaintenanceOperations(Protocol):
-    """What calls may ask for; see `api.MaintenanceApi`.
+    """The operations behind the calls; see `api.MaintenanceApi`.
 
-    Each operation returns None where what is asked for is so already, and raises `MaintenanceError` where it
-    can't be.
+    A command returns None if its effect is in place already, and raises `MaintenanceError` if it is invalid
+    or can't be submitted.
     """
 
     def status(self) -> dict[str, Any]:
-        """All that this replica knows, for JSON."""
+        """The status of maintenance as this replica sees it, for JSON."""
 
     def ids_by_address(self) -> dict[str, str]:
-        """The ids of all listed machines by their address."""
+        """The ids of all listed machines by address."""
 
     def submit_request(self, request: MaintenanceRequest) -> SubmittedCommand | None:
-        """Ask for machines to go out of service."""
+        """Submit a request to take machines out of service."""
 
     def withdraw_request(self, name: str) -> SubmittedCommand | None:
-        """Take a request back."""
+        """Withdraw a request."""
 
     def report_work(self, verb: CommandVerb, machine_id: str) -> SubmittedCommand | None:
-        """Work on a machine begins or is finished."""
+        """Report that work on a machine begins or is finished."""
 
     def declare_absent(self, peer: int) -> SubmittedCommand | None:
-        """A replica's process is no more."""
+        """Declare that a replica's process has ended."""
 
 
 def handle_call(method: bytes, target: bytes, operations: MaintenanceOperations) -> Reply | None:
-    """The answer to a call; None for what is no maintenance call."""
+    """The reply to a call; None if it is not a maintenance call."""
     path, _, query = target.partition(b"?")
     expected_method = METHODS.get(path)
     if expected_method is None:
@@ -83,7 +83,7 @@
 
 
 def describe_error(error: LaurelstepError) -> dict[str, str]:
-    """An error as answers show it."""
+    """The JSON object of an error answer."""
     return {
         "error": error.code if isinstance(error, MaintenanceError) else type(error).__name__,
         "what": str(error),
@@ -131,7 +131,7 @@
 
 
 def _only_parameter(parameters: Parameters, key: str) -> str:
-    """The value of the one parameter that a call has."""
+    """The value of the only parameter of a call. Raises `InvalidRequestError` for any other parameters."""
     if list(parameters) != [key] or len(parameters[key]) != 1:
         raise InvalidRequestError(f"expected {key}, once, and nothing else")
     return parameters[key][0]
--- a/laurelstep/maintenance/selection.py
+++ b/laurelstep/maintenance/selection.py
@@ -1,4 +1,4 @@
-"""Which listed machines a request selects, and which of them still wait for their turn. Pure."""
+"""The listed machines that a request selects, and those of them that are still waiting. Pure."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def selected_machines(request: MaintenanceRequest, table: MachineTable) -> list[ListedMachine]:
-    """The listed machines that a request selects, by zone, cell and id; at most
+    """The listed machines that a request selects, ordered by zone, cell and id; at most
     `MAX_MACHINES_PER_REQUEST`.
     """
     selected = []
@@ -26,7 +26,7 @@
 
 
 def _candidate_ids(request: MaintenanceRequest, table: MachineTable) -> Iterable[str]:
-    """The ids that a request names, or those of the smallest group that it names."""
+    """The ids that a request selects, or else those of the smallest group that it selects."""
     if request.machine_ids:
         return request.machine_ids
     keys = (("zone", request.zone), ("cell", request.cell), ("kind", request.kind))
@@ -45,7 +45,7 @@
 def waiting_machines(
     request: OpenRequest, state: MaintenanceState, table: MachineTable
 ) -> list[ListedMachine]:
-    """The machines of a request whose turn has not come, in their order."""
+    """The selected machines that are neither out of service for this request nor done, in their order."""
     waiting = []
     for machine in selected_machines(request.request, table):
         record = state.machines.get(machine.machine_id)
@@ -56,9 +56,9 @@
 
 
 def describe_unlisted(request: OpenRequest, table: MachineTable) -> str:
-    """What a request names that this list does not have, in words; empty if nothing.
+    """A description of what a request selects but the list does not have; empty if nothing is missing.
 
-    Guards against the end of a request by a leader whose list is older than the machine.
+    While something is missing, the leader does not close the request: its list may be older than the machine.
     """
     for machine_id in request.request.machine_ids:
         if machine_id not in table.machines and endpoint_number(machine_id) not in request.finished:
--- a/laurelstep/maintenance/settings.py
+++ b/laurelstep/maintenance/settings.py
@@ -10,11 +10,10 @@
 
 @dataclass(frozen=True)
 class MaintenanceSettings:
-    """How long a machine may be out, and what a process does that can't learn the replicated state at its
-    start.
+    """How long a machine may be out of service, and how a process starts that can't get the replicated state.
 
-    `overdue_us`: after this time out of service a machine is reported overdue, in µs.
-    `start_alone`: "wait" until the state is known, or "serve" by the discovery list after `learn_us` (µs).
+    `overdue_us`: how long a machine may stay drained, or under work, before it is reported overdue, in µs.
+    `start_alone`: "wait" until the state is known, or "serve" from discovery's list after `learn_us` (µs).
     """
 
     overdue_us: int = 14_400_000_000
--- a/laurelstep/maintenance/state.py
+++ b/laurelstep/maintenance/state.py
@@ -1,18 +1,18 @@
-"""The replicated state: which machines are out of service, for which request, in which state. Pure.
-
-1. The same entries in the same order give the same state on every replica: nothing but the entry and the
-   state is looked at; no clock, no endpoint list, no randomness.
-2. Every limit is checked here, when an entry is applied. Its proposer may have been stale, paused or wrong:
-   what does not hold is ignored, on every replica alike.
-3. A machine that is out counts against the limits of all open requests, also of those that do not select it:
-   limits say what must stay of the tier.
-4. `DrainMachine` and `CompleteRequest` are valid for the state that their proposer saw, and for no other.
-5. A machine's state changes as `states.TRANSITIONS` says, and a `MachineTransition` applies only to the very
+"""The replicated state machine: the open requests, and the machines out of service with their states. Pure.
+
+1. The same entries in the same order give the same state on every replica: the result of an entry depends
+   only on the entry and the state, not on a clock, an endpoint list or randomness.
+2. Every limit is checked when an entry is applied. Its proposer may have been stale, paused or wrong: an
+   entry that violates a limit is ignored, on every replica alike.
+3. A machine out of service counts against the limits of all open requests, also of those that do not select
+   it: limits tell what must stay in service in the tier.
+4. `DrainMachine` and `CompleteRequest` are valid only for the state that their proposer had.
+5. A machine's state changes according to `states.TRANSITIONS`, and a `MachineTransition` applies only to the
    state that it was made for.
-6. What can't be decoded is counted and skipped; nothing that is applied raises.
-7. A command for one request, or for one time that a machine is out, is ignored when it arrives late, during
-   the next one.
-8. Everything is bounded (`bounds`): open requests, machines out, what is remembered of past ones.
+6. An entry that can't be decoded is counted and skipped. Applying an entry never raises.
+7. A command for an earlier request, or for an earlier drain of a machine, does not affect the present one.
+8. Everything is bounded (`bounds`): open requests, machines out of service, and what is kept of closed
+   requests.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
     decode_entry,
 )
 from laurelstep.maintenance.errors import ErrorCode
-from laurelstep.maintenance.limits import are_in_range, has_finite_facts, violated_limit
+from laurelstep.maintenance.limits import are_in_range, has_valid_numbers, violated_limit
 from laurelstep.maintenance.records import (
     DroppedMachine,
     LastCommand,
@@ -54,24 +54,24 @@
 
 # The verdict on a command that took effect.
 ACCEPTED = ""
-# Events that come as operators' commands only, never as a leader's `MachineTransition`.
+# Events that are valid as operators' commands only, not in a leader's `MachineTransition`.
 _COMMAND_EVENTS = frozenset((MachineEvent.BEGIN_WORK, MachineEvent.FINISH_WORK, MachineEvent.WITHDRAW))
 
 
 class MaintenanceState:
-    """The state machine that the consensus log applies entries to."""
+    """The maintenance state machine of the consensus log."""
 
     def __init__(self) -> None:
-        self.index = 0  # of the last entry that was applied
-        self.changed_index = 0  # of the last one that changed anything
+        self.index = 0  # of the last applied entry
+        self.changed_index = 0  # of the last entry that changed the state
         self.open_requests: dict[int, OpenRequest] = {}  # by number
         self.machines: dict[str, MachineRecord] = {}  # out of service, by id
         self.past_requests: list[PastRequest] = []
         self.last_commands: dict[int, LastCommand] = {}  # by peer
-        self.incarnations: dict[int, int] = {}  # by peer: the one that started last
-        self.absent_peers: set[int] = set()  # declared so by an operator
+        self.incarnations: dict[int, int] = {}  # by peer: the current one
+        self.absent_peers: set[int] = set()  # declared absent by an operator
         self.undecoded_count = 0  # entries that could not be decoded
-        self.ignored_count = 0  # entries that did not hold
+        self.ignored_count = 0  # entries that were invalid for the state
 
     # --- As the consensus log's state machine -----------------------------------------
 
@@ -87,7 +87,7 @@
             self.ignored_count += 1
 
     def dump(self) -> bytes:
-        """A snapshot; equal states give equal bytes."""
+        """Encode a snapshot of the state; equal states give equal bytes."""
         return encode_snapshot(
             StateSnapshot(
                 index=self.index,
@@ -102,7 +102,7 @@
         )
 
     def load(self, raw: bytes) -> None:
-        """Become what `dump` gave; empty bytes: a new state.
+        """Replace the state by a snapshot; empty bytes stand for a new state.
 
         Raises `MaintenanceSnapshotError`, with nothing changed, if it can't be decoded.
         """
@@ -116,7 +116,7 @@
         self.absent_peers = set(snapshot.absent_peers)
         self.incarnations = dict(snapshot.incarnations)
 
-    # --- Entries; each returns whether it changed anything ----------------------------
+    # --- Entries; each method returns whether it changed the state --------------------
 
     def _apply_entry(self, index: int, entry: MaintenanceEntry) -> bool:
         match entry:
@@ -146,7 +146,7 @@
         return True
 
     def _execute_command(self, index: int, command: OperatorCommand) -> str:
-        """Do what a command asks for. The error's code if it does not hold, else `ACCEPTED`."""
+        """Execute a command. Returns `ACCEPTED`, or the code of the error if it was rejected."""
         verb, argument, version = command.verb, command.argument, command.expected_version
         if verb == CommandVerb.REQUEST and isinstance(argument, MaintenanceRequest):
             return self._open_request(index, argument)
@@ -195,7 +195,7 @@
 
     def _declare_absent(self, peer: int, incarnation: int) -> str:
         if self.incarnations.get(peer, 0) != incarnation:
-            return ErrorCode.INVALID_TRANSITION  # it has started again since
+            return ErrorCode.INVALID_TRANSITION  # it has started again
         self.absent_peers.add(peer)
         return ACCEPTED
 
@@ -235,7 +235,7 @@
         return True
 
     def _return_to_service(self, machine: MachineRecord, reason: str) -> None:
-        """Its time out is over: for good, but where it WAITS for its next turn."""
+        """Remove a machine from those out of service. Unless it is WAITING again, it is done or dropped."""
         del self.machines[machine.machine_id]
         request = self.open_requests.get(machine.request_number)
         if request is None or machine.state == MachineState.WAITING:
@@ -254,7 +254,7 @@
         return True
 
     def _close_if_withdrawn(self, request: OpenRequest) -> None:
-        """A withdrawn request is over when none of its machines is out."""
+        """Close a withdrawn request that has no machine out of service."""
         if request.is_withdrawn and not self._machines_of(request):
             self._close(request)
 
@@ -276,7 +276,7 @@
         return [machine for machine in self.machines.values() if machine.request_number == request.number]
 
     def is_registered(self, peer: int, incarnation: int) -> bool:
-        """Whether this incarnation of a replica is the current one, and not declared absent."""
+        """Whether this incarnation of a replica is the current one and not declared absent."""
         return self.incarnations.get(peer) == incarnation and peer not in self.absent_peers
 
     def has_applied(self, command: OperatorCommand) -> bool:
@@ -289,25 +289,25 @@
         )
 
     def find_request(self, name: str) -> OpenRequest | None:
-        """The open request of this name."""
+        """The open request of this name; None if there is none."""
         return next(
             (request for request in self.open_requests.values() if request.request.name == name), None
         )
 
     def was_finished(self, machine_id: str) -> bool:
-        """Whether a machine came back from work, for a request that is remembered."""
+        """Whether a machine is done or dropped in an open request, or in a closed one that is kept."""
         number = endpoint_number(machine_id)
         if any(number in request.finished for request in self.open_requests.values()):
             return True
         return any(number in request.finished for request in self.past_requests)
 
     def blocking_limit(self, entry: DrainMachine, ignore_others: bool = False) -> str | None:
-        """What keeps a machine in service now, in words and with the name of the request; None if nothing
-        does.
+        """A description of the limit that does not allow to drain the entry's machine, with the name of the
+        request that sets it; None if all limits hold.
 
-        `ignore_others`: as if no other machine were out.
+        `ignore_others`: assume that no other machine is out of service.
         """
-        if not has_finite_facts(entry):
+        if not has_valid_numbers(entry):
             return "its weights and counts are not finite"
         if entry.ready_count < 2:
             return f"last: {entry.ready_count} ready in the tier"
--- a/laurelstep/maintenance/states.py
+++ b/laurelstep/maintenance/states.py
@@ -1,9 +1,9 @@
-"""The states of a machine under maintenance, and the transitions between them in one table. Pure.
+"""The states of a machine under maintenance, and the table of their transitions. Pure.
 
-1. A machine is out of service from `DRAINING` until `RETURNED` and counts against every limit all that time;
-   while `WARMING_UP` it counts with the part of its capacity that slow start gives it.
-2. An event without a row for the present state is rejected and changes nothing. A row that leads back to its
-   own state makes a repeated call idempotent.
+1. A machine is out of service from `DRAINING` until `RETURNED`, and counts against every limit during that
+   time; while `WARMING_UP`, the share of its capacity that slow start allows counts as in service.
+2. An event without a row for the present state is rejected and changes nothing. A row that leads to the same
+   state makes a repeated call idempotent.
 3. The values are part of log entries, snapshots and HTTP answers: they never change.
 """
 
@@ -14,28 +14,28 @@
 
 
 class MachineState(StrEnum):
-    """Where a machine is on its way out of service and back."""
+    """The state of a machine on its way out of service and back."""
 
     REQUESTED = "wished"  # submitted at one replica, not yet committed
-    WAITING = "waiting"  # committed; the limits have no room for it yet
-    DRAINING = "leaving"  # replicas stop sending to it; some have not acknowledged that yet
-    DRAINED = "clear"  # no replica sends to it, and none will
-    IN_MAINTENANCE = "at work"  # an operator has begun
-    OVERDUE = "overdue"  # out for longer than its request allows
+    WAITING = "waiting"  # committed; the limits do not allow its drain yet
+    DRAINING = "leaving"  # replicas stop sending to it; some have not acknowledged yet
+    DRAINED = "clear"  # no replica sends to it; all have acknowledged
+    IN_MAINTENANCE = "at work"  # an operator has begun work
+    OVERDUE = "overdue"  # not finished within the time that its request allows
     WARMING_UP = "returning"  # in slow start
     RETURNED = "back"
     WITHDRAWN = "withdrawn"  # by an operator, or because discovery removed it
 
 
 class MachineEvent(StrEnum):
-    """What moves a machine from one state to the next."""
+    """The events that change a machine's state."""
 
     COMMIT = "agree"
     WITHDRAW = "withdraw"
     DRAIN = "leave"
     ALL_DRAINED = "clear"  # every replica has acknowledged the drain
-    DROP = "drop"  # discovery removed, replaced or drains it
-    KEEP_LAST = "spare"  # every other machine went: the last ready one stays in service
+    DROP = "drop"  # discovery removed, replaced or drained it
+    KEEP_LAST = "spare"  # it is the last ready machine and stays in service
     BEGIN_WORK = "begin"
     EXCEED_TIME = "overdue"
     FINISH_WORK = "done"
@@ -52,7 +52,7 @@
     (MachineEvent.DROP, MachineState.DRAINING): MachineState.WITHDRAWN,
     (MachineEvent.KEEP_LAST, MachineState.DRAINING): MachineState.WAITING,
     (MachineEvent.BEGIN_WORK, MachineState.DRAINED): MachineState.IN_MAINTENANCE,
-    # Nobody may work on a machine without `BEGIN_WORK`, so that it can still be taken back here.
+    # Work on a machine must not begin without `BEGIN_WORK`, so a drained one can still return.
     (MachineEvent.WITHDRAW, MachineState.DRAINED): MachineState.WITHDRAWN,
     (MachineEvent.EXCEED_TIME, MachineState.DRAINED): MachineState.OVERDUE,
     (MachineEvent.FINISH_WORK, MachineState.DRAINED): MachineState.WARMING_UP,
@@ -64,7 +64,7 @@
     (MachineEvent.FINISH_WORK, MachineState.WARMING_UP): MachineState.WARMING_UP,
     (MachineEvent.WARM_UP, MachineState.WARMING_UP): MachineState.RETURNED,
 }
-# Every replica sends its traffic elsewhere.
+# In these states replicas publish the machine to their engines as draining.
 CORDONED_STATES: Final = frozenset(
     (
         MachineState.DRAINING,
@@ -73,7 +73,7 @@
         MachineState.OVERDUE,
     )
 )
-# No replica sends to it: a process that learns of such a machine applies the cordon unconditionally.
+# All replicas have acknowledged the drain: a process that gets such a machine cordons it unconditionally.
 DRAINED_STATES: Final = frozenset((MachineState.DRAINED, MachineState.IN_MAINTENANCE, MachineState.OVERDUE))
 OUT_OF_SERVICE_STATES: Final = CORDONED_STATES | {MachineState.WARMING_UP}
 
--- a/laurelstep/maintenance/status.py
+++ b/laurelstep/maintenance/status.py
@@ -1,4 +1,4 @@
-"""The status of maintenance as operators see it. The keys and values of the answer never change."""
+"""The status of maintenance for operators. The keys and values of the answer never change."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from laurelstep.maintenance.selection import waiting_machines
 from laurelstep.maintenance.states import MachineState
 
-# Of a long list, in one answer.
+# Items of a list that one answer contains.
 MAX_SHOWN: Final = 64
 
 
 class StatusReport:
-    """One report of what a replica knows, at the time when it is made."""
+    """A status report of one replica, for the time at which it is created."""
 
     def __init__(self, controller: MaintenanceController) -> None:
         self.controller = controller
@@ -27,7 +27,7 @@
 
     @cached_property
     def drained_index(self) -> int:
-        """See `MaintenanceSource.drained_index`; computed once, as it may look at all requests in flight."""
+        """See `MaintenanceSource.drained_index`. Computed once, as it may scan all requests in flight."""
         return self.controller.source.drained_index()
 
     def build(self) -> dict[str, Any]:
@@ -52,13 +52,13 @@
         }
 
     def _peers_never_started(self) -> list[int]:
-        """Replicas that never started since the cluster was bootstrapped: nothing is drained without them."""
+        """Replicas that have not started since the cluster's bootstrap. No drain completes without them."""
         incarnations = self.controller.state.incarnations
         peers = range(self.controller.consensus.peer_count)
         return [peer for peer in peers if peer not in incarnations][:MAX_SHOWN]
 
     def describe_request(self, request: OpenRequest) -> dict[str, Any]:
-        """One open request, with what keeps its next machine in service."""
+        """An open request, with the reason why its next machine does not drain."""
         waiting = []
         obstacle = DrainObstacle()
         if not request.is_withdrawn:
@@ -92,7 +92,9 @@
         }
 
     def _missing_peers(self, machine: MachineRecord) -> list[int] | None:
-        """Whose acknowledgement is missing; None where only the leader could tell, or none is needed."""
+        """The peers whose acknowledgement is missing; None if this replica does not lead, or if the machine
+        is not draining.
+        """
         if not self.controller.consensus.is_leader or machine.state != MachineState.DRAINING:
             return None
         inputs = self.inputs
--- a/tests/test_maintenance_daemon.py
+++ b/tests/test_maintenance_daemon.py
@@ -160,6 +160,6 @@
             version.process.send_signal(signal.SIGTERM)
             _, errors = await version.process.communicate()
             assert version.process.returncode == 0 and errors.count(b"\n") == 1
-            assert b"a clear may be untrue" in errors
+            assert b"a machine reported as clear may still get requests" in errors
 
     run(main())
--- a/tests/test_maintenance_faults.py
+++ b/tests/test_maintenance_faults.py
@@ -334,9 +334,7 @@
     one.leaders = {0}
     last.state.load(b"")
     one.settle()
-    assert last.logged == [
-        "maintenance: the cluster was bootstrapped again and lost what is out of service: m0"
-    ]
+    assert last.logged == ["maintenance: the cluster was bootstrapped again and lost the drains of m0"]
     assert "m0" in last.engine.ready
 
 
--- a/tests/test_maintenance_lifecycle.py
+++ b/tests/test_maintenance_lifecycle.py
@@ -165,7 +165,10 @@
     alone.can_learn = False
     one.settle(4)
     assert len(alone.engine.ready) == 6 and alone.serving_count == 1
-    assert alone.api.status()["serving_alone"] and "a clear may be untrue" in alone.logged[0]
+    assert (
+        alone.api.status()["serving_alone"]
+        and "a machine reported as clear may still get requests" in alone.logged[0]
+    )
     one.replicas[1].engine.out["m0"] = 0
     one.settle(10)
     assert one.state_of("m0") == "leaving", "what it confirmed in an earlier life does not count"
--- a/tests/test_maintenance_source.py
+++ b/tests/test_maintenance_source.py
@@ -178,11 +178,11 @@
     for known in (True, False):
         world = World(known)
         world.source.on_list(1, True, LISTED)
-        with pytest.raises(ValueError, match="no entry"):
+        with pytest.raises(ValueError, match="malformed entry"):
             world.source.on_list(2, True, [listed_entry("m1"), bad])
-        with pytest.raises(ValueError, match="no entry"):
+        with pytest.raises(ValueError, match="malformed entry"):
             list(world.source.apply_list_in_steps(True, [listed_entry("m1"), bad], 5))
-        assert len(world.source.table.machines) == 6 and not world.source.is_reading
+        assert len(world.source.table.machines) == 6 and not world.source.is_applying_list
         assert len(world.engine.ready) == (6 if known else 0)
         world.source.on_list(3, False, [listed_entry("m1", phase="gone")])
         assert len(world.source.table.machines) == 5
