--- a/laurelstep/__main__.py
+++ b/laurelstep/__main__.py
@@ -17,7 +17,7 @@
 from laurelstep.daemon import serve
 from laurelstep.net.log import log, unblock_log
 from laurelstep.settings import Config, ConfigError, read_platform
-from laurelstep.subsystems.hot_restart import arrive
+from laurelstep.subsystems.hot_restart import prepare_hot_restart
 
 if TYPE_CHECKING:
     from laurelstep.workers.supervisor import SupervisorSettings
@@ -71,7 +71,7 @@
     gc.set_threshold(5_000, 10, 10)
     gc.freeze()
     config = read_config(environ)
-    arrival = arrive(config, environ)
+    arrival = prepare_hot_restart(config, environ)
     if arrival is not None:
         config = arrival.config(config)
     uvloop.run(serve(config, environ, read_config, arrival=arrival))
--- a/laurelstep/daemon.py
+++ b/laurelstep/daemon.py
@@ -127,7 +127,7 @@
         self.server = Server(
             self.loop,
             self.sockets.engine,
-            config.side_sockets,
+            config.max_side_connections,
             self.sockets.upstream.retire,
             self.lifecycle,
             config.memory_mb,
--- a/laurelstep/net/assembly.py
+++ b/laurelstep/net/assembly.py
@@ -55,7 +55,7 @@
             clock.now,
             settings.idle_us,
             settings.connect_timeout_us,
-            config.side_sockets,
+            config.max_side_connections,
             config.memory_mb,
         )
         self.source = create_source(loop, config, log, collector) if members is None else StaticMembers()
--- a/laurelstep/settings/config.py
+++ b/laurelstep/settings/config.py
@@ -49,12 +49,12 @@
     outbox: OutboxSettings | None = None
 
     @property
-    def side_sockets(self) -> int:
+    def max_side_connections(self) -> int:
         """Connections that each side may hold, callers and endpoints."""
         return connections_per_side(self.sockets, self.management is not None)
 
     @property
-    def shared_side_sockets(self) -> int:
+    def max_shared_side_connections(self) -> int:
         """The same while two processes are one sidecar, and share its descriptors."""
         return connections_per_side(self.sockets, self.management is not None, processes=2)
 
--- a/laurelstep/subsystems/hot_restart.py
+++ b/laurelstep/subsystems/hot_restart.py
@@ -44,7 +44,7 @@
         return config if self.predecessor is None else config_with_state(config, self.predecessor.state)
 
 
-def arrive(config: Config, environ: Mapping[str, str]) -> Arrival | None:
+def prepare_hot_restart(config: Config, environ: Mapping[str, str]) -> Arrival | None:
     """None where no process can take over: without a second address, which tells one version
     from the next, or with a request journal or an outbox, whose stores have one owner.
     """
@@ -69,7 +69,7 @@
         return Arrival(rendezvous, has_others, None)
 
 
-def check_free(host: str, port: int) -> None:
+def check_address_free(host: str, port: int) -> None:
     """OSError if somebody listens there. Guards against another daemon's callers: the address is
     then bound so that a next version may share it, and so would anybody's daemon.
     """
@@ -161,7 +161,7 @@
             await server.listen(host, port, inherited_listener=self.arrival.predecessor.listener)
             return
         if not self.arrival.has_others:
-            check_free(host, port)
+            check_address_free(host, port)
         # Shared with the process that comes next, should that not get the listener.
         await server.listen(host, port, reuse_port=True)
 
@@ -205,7 +205,7 @@
         config = self.context.config
         has_no_successor = self.restart_server is None or self.restart_server.progress.is_alone
         alone = not self.has_predecessor and has_no_successor
-        most = config.side_sockets if alone else config.shared_side_sockets
+        most = config.max_side_connections if alone else config.max_shared_side_connections
         assert self.server is not None and self.sockets is not None
         self.server.max_connections = self.sockets.upstream.max_connections = most
 
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -22,7 +22,7 @@
 from tests.event_loops import run_on_virtual_time
 from tests.test_discovery import Sink, begin_response, entry, listing
 from tests.test_listing import Copy
-from tests.test_settings import file, platform
+from tests.test_settings import platform_json, write_file
 
 # A change counts as received this long after a stall began or a fault ended, s; it must arrive before.
 LIMIT_S = 6.0
@@ -425,7 +425,7 @@
 )  # fmt: skip
 def test_a_malformed_known_list_does_not_prevent_the_start(tmp_path: Path, known: Any) -> None:
     log_lines: list[str] = []
-    environ = {"LB_CONFIG": file(tmp_path, platform(known=known), "config.json")}
+    environ = {"LB_CONFIG": write_file(tmp_path, platform_json(known=known), "config.json")}
     assert read_platform(environ, log=log_lines.append).known is None
     assert len(log_lines) == 1 and "known" in log_lines[0] and "\n" not in log_lines[0]
 
@@ -433,7 +433,7 @@
 def test_the_well_formed_entries_of_a_known_list_are_used(tmp_path: Path) -> None:
     log_lines: list[str] = []
     known = {"generation": 7, "reset": True, "instances": [*(bad for bad, _ in BAD), entry("s-1")]}
-    environ = {"LB_CONFIG": file(tmp_path, platform(known=known), "config.json")}
+    environ = {"LB_CONFIG": write_file(tmp_path, platform_json(known=known), "config.json")}
     found = read_platform(environ, log=log_lines.append)
     engine_copy = Copy()
     assert found.known is not None
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -39,7 +39,7 @@
 from laurelstep.hot_restart.state import config_with_state
 from laurelstep.hot_restart.successor import take_over
 from laurelstep.settings import config_from
-from laurelstep.subsystems.hot_restart import arrive, check_free
+from laurelstep.subsystems.hot_restart import check_address_free, prepare_hot_restart
 from laurelstep.testing import Effects, push
 
 from tests.sockets import (
@@ -177,9 +177,12 @@
 ) -> None:
     raw = {"settings": SETTINGS, "listen": "127.0.0.1:7070", "management": "127.0.0.1:7071"}
     environ = {"TMPDIR": str(tmp_path / "nowhere")}
-    assert arrive(config_from(raw, "test"), environ) is None
+    assert prepare_hot_restart(config_from(raw, "test"), environ) is None
     assert capfd.readouterr().err.count("no hot restart") == 1
-    assert arrive(config_from({**raw, "management": None}, "test"), {"TMPDIR": str(tmp_path)}) is None
+    assert (
+        prepare_hot_restart(config_from({**raw, "management": None}, "test"), {"TMPDIR": str(tmp_path)})
+        is None
+    )
 
 
 class Peer:
@@ -563,12 +566,12 @@
 
 
 def test_a_free_address_is_free_and_one_in_use_is_not() -> None:
-    check_free("127.0.0.1", free_port())
-    check_free("127.0.0.1", 0)
+    check_address_free("127.0.0.1", free_port())
+    check_address_free("127.0.0.1", 0)
     with listener() as one:
         one.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         with pytest.raises(OSError, match="in use"):
-            check_free(*one.getsockname())
+            check_address_free(*one.getsockname())
 
 
 def test_without_a_second_address_nothing_is_put_into_the_folder(tmp_path: Path) -> None:
@@ -607,7 +610,10 @@
 def test_two_versions_together_keep_to_one_limit() -> None:
     raw = {"settings": SETTINGS, "limits": {"sockets": 384}, "management": "127.0.0.1:1"}
     found = config_from(json.loads(json.dumps(raw)), "test")
-    assert 2 * 2 * found.shared_side_sockets < 384 and found.shared_side_sockets < found.side_sockets
+    assert (
+        2 * 2 * found.max_shared_side_connections < 384
+        and found.max_shared_side_connections < found.max_side_connections
+    )
 
 
 def test_descriptors_that_are_used_up_hinder_no_upgrade(tmp_path: Path) -> None:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -503,7 +503,7 @@
 def test_descriptors_are_kept_for_the_second_address() -> None:
     raw = {"settings": SETTINGS, "limits": {"sockets": 384}}
     plain, more = config_from(raw, "test"), config_from({**raw, "management": "127.0.0.1:1"}, "test")
-    assert 2 * (plain.side_sockets - more.side_sockets) >= CALLS_MOST
+    assert 2 * (plain.max_side_connections - more.max_side_connections) >= CALLS_MOST
 
 
 def test_a_second_address_in_use_is_one_line_and_status_2(tmp_path: Path) -> None:
--- a/tests/test_request_journal.py
+++ b/tests/test_request_journal.py
@@ -54,7 +54,7 @@
 )
 from tests.sockets import free_port
 from tests.test_library import member, nothing_held
-from tests.test_settings import file, platform
+from tests.test_settings import platform_json, write_file
 
 
 def run(test: Any) -> None:
@@ -371,12 +371,12 @@
     async def play(self, kills: int) -> None:
         async with Endpoint(self.handler, keep=False) as one, Endpoint(self.handler, keep=False) as other:
             entries = [one.entry("s-0"), other.entry("s-1")]
-            text = platform(listen=f"127.0.0.1:{self.port}", known=whole_list(*entries))
+            text = platform_json(listen=f"127.0.0.1:{self.port}", known=whole_list(*entries))
             operator = OPERATOR.format(folder=self.folder / "store")
             environ = {
                 **os.environ,
-                "LB_CONFIG": file(self.folder, text, "config.json"),
-                "LB_OPERATOR": file(self.folder, operator),
+                "LB_CONFIG": write_file(self.folder, text, "config.json"),
+                "LB_OPERATOR": write_file(self.folder, operator),
             }
             process = await self.start(environ)
             clients = [asyncio.create_task(self.client(f"{self.seed}-c{n}")) for n in range(4)]
@@ -447,7 +447,7 @@
 )
 def test_orders_that_can_not_be_used_are_one_line(tmp_path: Path, text: str, expected: str) -> None:
     with pytest.raises(ConfigError) as told:
-        read_operator(file(tmp_path, text.replace("{folder}", str(tmp_path))))
+        read_operator(write_file(tmp_path, text.replace("{folder}", str(tmp_path))))
     assert expected in str(told.value) and "\n" not in str(told.value)
 
 
@@ -455,8 +455,8 @@
     text = (Path(__file__).parent.parent / "deploy" / "kiosk.toml").read_text()
     text += OPERATOR.format(folder=tmp_path)
     with pytest.raises(ConfigError, match=r"orders\.classes: pay: expected one of print-order, upload"):
-        read_file(file(tmp_path, text))
-    config = read_file(file(tmp_path, text.replace('"pay"', '"print-order"')))
+        read_file(write_file(tmp_path, text))
+    config = read_file(write_file(tmp_path, text.replace('"pay"', '"print-order"')))
     assert config.orders is not None and config.names.order_headers == {2: b"x-order-id"}
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -57,14 +57,14 @@
 """
 
 
-def file(folder: Path, text: str, name: str = "operator.toml") -> str:
+def write_file(folder: Path, text: str, name: str = "operator.toml") -> str:
     path = folder / name
     path.write_text(text)
     return str(path)
 
 
 def test_the_operators_form_says_all_that_the_platforms_does(tmp_path: Path) -> None:
-    config = read_file(file(tmp_path, WHOLE))
+    config = read_file(write_file(tmp_path, WHOLE))
     settings = config.settings
     assert (config.listen, config.discovery, config.seed) == (("127.0.0.1", 7070), "127.0.0.1:8500", 0x8C1F)
     assert (config.sockets, config.drain_grace_us, config.known) == (256, 250_000, None)
@@ -87,7 +87,7 @@
 
 
 def test_absent_seeds_are_new_with_each_start(tmp_path: Path) -> None:
-    path = file(tmp_path, "[deployment]\n" + CLASS)
+    path = write_file(tmp_path, "[deployment]\n" + CLASS)
     assert read_file(path).seed != read_file(path).seed
 
 
@@ -129,7 +129,7 @@
 def test_what_can_not_be_used_is_one_line_that_names_file_and_key(
     tmp_path: Path, capfd: pytest.CaptureFixture[str], text: str, expected: str
 ) -> None:
-    path = file(tmp_path, text)
+    path = write_file(tmp_path, text)
     with pytest.raises(ConfigError) as told:
         read_operator(path)
     assert str(told.value).startswith(f"{path}: ") and expected in str(told.value)
@@ -138,7 +138,7 @@
     assert not out and errors.count("\n") == 1 and expected in errors
 
 
-def platform(**changes: Any) -> str:
+def platform_json(**changes: Any) -> str:
     raw = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1", "settings": SETTINGS}
     return json.dumps({**raw, **changes})
 
@@ -148,17 +148,17 @@
     [
         ("{", "JSONDecodeError"),
         ("[]", "TypeError"),
-        (platform(settings={}), "settings.classes: expected one class at least"),
-        (platform(listen="nowhere"), "no address: 'nowhere'"),
-        (platform(known={"generation": 1, "instances": 1}), "known is no list of endpoints"),
-        (platform(seed="xyz"), "ValueError"),
+        (platform_json(settings={}), "settings.classes: expected one class at least"),
+        (platform_json(listen="nowhere"), "no address: 'nowhere'"),
+        (platform_json(known={"generation": 1, "instances": 1}), "known is no list of endpoints"),
+        (platform_json(seed="xyz"), "ValueError"),
     ],
 )
 def test_the_platforms_form_is_checked_by_the_same_word(
     tmp_path: Path, capfd: pytest.CaptureFixture[str], text: str, expected: str
 ) -> None:
-    path = file(tmp_path, text, "config.json")
-    good = file(tmp_path, platform(), "good.json")
+    path = write_file(tmp_path, text, "config.json")
+    good = write_file(tmp_path, platform_json(), "good.json")
     assert main(["check", good, path]) == 2
     out, errors = capfd.readouterr()
     assert out == f"{good}: ok\n" and errors.count("\n") == 1 and path in errors and expected in errors
@@ -167,21 +167,21 @@
 
 
 def test_a_daemon_needs_to_be_told_where_to_listen(tmp_path: Path) -> None:
-    path = file(tmp_path, "[deployment]\n" + CLASS)
+    path = write_file(tmp_path, "[deployment]\n" + CLASS)
     with pytest.raises(ConfigError, match=r"deployment\.listen: expected host:port for a daemon"):
         read_config({"LB_OPERATOR": path})
-    path = file(tmp_path, platform(discovery=None), "config.json")
+    path = write_file(tmp_path, platform_json(discovery=None), "config.json")
     with pytest.raises(ConfigError, match="discovery is missing: expected host:port"):
         read_platform({"LB_CONFIG": path})
     assert read_platform({"LB_CONFIG": path, "LB_DISCOVERY": "127.0.0.1:9"}).discovery == "127.0.0.1:9"
 
 
 def test_the_platforms_deployment_is_not_contradicted(tmp_path: Path) -> None:
-    json_path = file(tmp_path, platform(), "config.json")
-    path = file(tmp_path, "[deployment]\n" + CLASS)
+    json_path = write_file(tmp_path, platform_json(), "config.json")
+    path = write_file(tmp_path, "[deployment]\n" + CLASS)
     with pytest.raises(ConfigError, match="deployment: expected none where LB_CONFIG is set"):
         read_config({"LB_OPERATOR": path, "LB_CONFIG": json_path})
-    path = file(tmp_path, "# nothing is on\n")
+    path = write_file(tmp_path, "# nothing is on\n")
     assert read_config({"LB_OPERATOR": path, "LB_CONFIG": json_path}).listen == ("127.0.0.1", 1)
 
 
@@ -236,16 +236,16 @@
         + ACCORD
         + "heartbeat_ms = 100\n[upkeep]\nlearn_ms = 70"
     )
-    found = read_file(file(tmp_path, text))
+    found = read_file(write_file(tmp_path, text))
     assert found.accord == ConsensusSettings(PEERS, PEERS[1], 1, seats=3, heartbeat_us=100_000)
     assert found.maintenance == MaintenanceSettings(learn_us=70_000)
-    unix = read_file(file(tmp_path, "[deployment]\n" + CLASS + UNIX + "me = 2\nseats = 1"))
+    unix = read_file(write_file(tmp_path, "[deployment]\n" + CLASS + UNIX + "me = 2\nseats = 1"))
     assert unix.accord == ConsensusSettings(("/run/a", "/run/b", "/run/c"), "/run/c", 2, "unix")
     assert unix.maintenance is None
 
 
 def test_off_there_is_nothing_of_them(tmp_path: Path) -> None:
-    found = read_file(file(tmp_path, "[deployment]\n" + CLASS))
+    found = read_file(write_file(tmp_path, "[deployment]\n" + CLASS))
     assert found.accord is None and found.maintenance is None
 
 
@@ -287,7 +287,7 @@
 def test_what_the_copies_share_can_not_be_told_wrong(
     tmp_path: Path, capfd: pytest.CaptureFixture[str], text: str, expected: str
 ) -> None:
-    path = file(tmp_path, "[deployment]\nlisten = '127.0.0.1:7070'\n" + CLASS + text)
+    path = write_file(tmp_path, "[deployment]\nlisten = '127.0.0.1:7070'\n" + CLASS + text)
     assert main(["check", path]) == 2
     out, errors = capfd.readouterr()
     assert not out and errors.count("\n") == 1 and path in errors and expected in errors
@@ -298,8 +298,8 @@
 def joined(folder: Path, text: str, **changes: Any) -> ConsensusSettings | None:
     told = {"peer_listen": "127.0.0.1:9", "peers": list(PEERS), **changes}
     raw = {"settings": {**SETTINGS, "me": 2}, **told}
-    json_path = file(folder, platform(**raw), "config.json")
-    return read_config({"LB_OPERATOR": file(folder, text), "LB_CONFIG": json_path}).accord
+    json_path = write_file(folder, platform_json(**raw), "config.json")
+    return read_config({"LB_OPERATOR": write_file(folder, text), "LB_CONFIG": json_path}).accord
 
 
 def test_the_platform_tells_of_peers_where_it_is_there(tmp_path: Path) -> None:
@@ -339,6 +339,6 @@
 
 
 def test_the_library_takes_no_part_and_says_so(tmp_path: Path) -> None:
-    path = file(tmp_path, "[deployment]\n" + CLASS + ACCORD)
+    path = write_file(tmp_path, "[deployment]\n" + CLASS + ACCORD)
     with pytest.raises(ConfigError, match="accord: expected none for the library"):
         Client.open(path)
