--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -121,7 +121,7 @@
             self.now(),
             self.wall(),
             is_elapsed_known=self.store.is_elapsed_known,
-            doubt_us=self.store.opening_doubt_us,
+            doubt_us=self.store.opening_uncertainty_us,
         )
         await self.store.put_logs(self.outbox.edge_logs())
         for write, state_change in loaded.writes:
--- a/laurelstep/outbox/queue_store.py
+++ b/laurelstep/outbox/queue_store.py
@@ -140,12 +140,12 @@
         It never runs behind the time that has really passed. It is Unix time as long as no clock was stepped
         and the machine was not stopped.
         """
-        return self.store.expiry_clock.most_ms() * 1000
+        return self.store.expiry_clock.upper_ms() * 1000
 
     @property
-    def opening_doubt_us(self) -> int:
+    def opening_uncertainty_us(self) -> int:
         """How far `time_us` may have run ahead of real time before this opening, in µs."""
-        return self.store.expiry_clock.opening_doubt_ms * 1000
+        return self.store.expiry_clock.opening_uncertainty_ms * 1000
 
     @property
     def is_elapsed_known(self) -> bool:
@@ -171,7 +171,7 @@
         writes: dict[bytes, QueuedWrite] = {}
         states: dict[bytes, StateChange] = {}
         has_body = set[bytes]()
-        async for key, value in self.store.each(WRITE_KEY + STATE_KEY + LOG_KEY + HOLDERS_KEY):
+        async for key, value in self.store.scan(WRITE_KEY + STATE_KEY + LOG_KEY + HOLDERS_KEY):
             if key[:1] == WRITE_KEY:
                 write, first_part = _split(value)
                 writes[key[1:]] = replace(write, method_and_target=b"", headers=(), digest=b"")
@@ -333,7 +333,7 @@
     async def _delete_body_batch(self, pending: dict[bytes, WriteId]) -> None:
         """Delete some bodies; if a record could not be read or was moved meanwhile, queue it again."""
         with contextlib.suppress(StoreError):
-            async for key, value in self.store.some(list(pending)):
+            async for key, value in self.store.get_many(list(pending)):
                 del pending[key]
                 with contextlib.suppress(KeptRecordError):
                     self._delete_body(key, value)
--- a/laurelstep/store/clock.py
+++ b/laurelstep/store/clock.py
@@ -6,7 +6,7 @@
 1. While a process lives, all spans are measured by the monotonic clock. The wall clock is read once, when a
    new store is made, so that its times look like Unix times.
 2. A note of both clocks goes into the log with the first batch of a process, and with a batch each
-   `NOTE_INTERVAL_MS`. The next life goes on from the newest note.
+   `CHECKPOINT_INTERVAL_MS`. The next life goes on from the newest checkpoint.
 3. In the same boot of the same machine the monotonic clock tells exactly how long ago that was.
 4. Otherwise how long ago that was is not known. At the least no time has passed: by that, records expire, so
    none goes too early. At the most the wall clock's difference and `MAX_STEP_MS` have passed: by that,
@@ -28,36 +28,40 @@
 # The largest step of a wall clock that is allowed for where nothing else tells how much time has passed.
 MAX_STEP_MS: Final = 3_600_000
 # How old the newest note may become while records are written.
-NOTE_INTERVAL_MS: Final = 60_000
+CHECKPOINT_INTERVAL_MS: Final = 60_000
 MAX_BOOT_IDENTITY_BYTES: Final = 128
 
 _PREFIX: Final = b"\0clock"
 # least, most, monotonic and wall time in ms; the boot identity follows.
-_NOTE: Final = struct.Struct("<QQQQ")
+_CHECKPOINT: Final = struct.Struct("<QQQQ")
 
 
 @dataclass(frozen=True, slots=True)
-class ClockNote:
+class ClockCheckpoint:
     """What a process noted of its clocks at one moment. All times in ms; `boot` may be empty: unknown."""
 
-    least_ms: int
-    most_ms: int
+    lower_ms: int
+    upper_ms: int
     monotonic_ms: int
     wall_ms: int
     boot: bytes
 
     def encode(self) -> bytes:
         """As the key of a record of its own kind."""
-        return _PREFIX + _NOTE.pack(self.least_ms, self.most_ms, self.monotonic_ms, self.wall_ms) + self.boot
+        return (
+            _PREFIX
+            + _CHECKPOINT.pack(self.lower_ms, self.upper_ms, self.monotonic_ms, self.wall_ms)
+            + self.boot
+        )
 
     @classmethod
     def decode(cls, key: bytes) -> Self:
-        """ValueError if it is no note."""
-        times = key[len(_PREFIX) : len(_PREFIX) + _NOTE.size]
-        if not key.startswith(_PREFIX) or len(times) < _NOTE.size:
-            raise ValueError("no note of the clocks")
-        least_ms, most_ms, monotonic_ms, wall_ms = _NOTE.unpack(times)
-        return cls(least_ms, most_ms, monotonic_ms, wall_ms, key[len(_PREFIX) + _NOTE.size :])
+        """ValueError if it is no checkpoint."""
+        times = key[len(_PREFIX) : len(_PREFIX) + _CHECKPOINT.size]
+        if not key.startswith(_PREFIX) or len(times) < _CHECKPOINT.size:
+            raise ValueError("not a clock checkpoint")
+        lower_ms, upper_ms, monotonic_ms, wall_ms = _CHECKPOINT.unpack(times)
+        return cls(lower_ms, upper_ms, monotonic_ms, wall_ms, key[len(_PREFIX) + _CHECKPOINT.size :])
 
 
 def boot_identity() -> bytes:
@@ -91,49 +95,58 @@
 class StoreClock:
     """A store's time in one process."""
 
-    def __init__(self, note: ClockNote | None, is_new: bool, clocks: StoreClocks) -> None:
+    def __init__(self, checkpoint: ClockCheckpoint | None, is_new: bool, clocks: StoreClocks) -> None:
         """`note`: the newest of earlier processes; `is_new`: nothing was ever written to this store."""
         self._monotonic = clocks.monotonic
         self._wall = clocks.wall_ms
         self._boot = boot = clocks.boot_identity()
         self._opened_ms = opened_ms = self._monotonic_ms()
-        self._noted_ms: int | None = None  # monotonic time of this process's newest durable note
+        self._checkpoint_ms: int | None = None  # monotonic time of this process's newest durable note
         self.is_elapsed_known = True
-        self.opening_doubt_ms = 0  # between the least and the most that passed before this opening
+        self.opening_uncertainty_ms = 0  # between the least and the most that passed before this opening
         wall_ms = self._wall()
-        if note is None:
+        if checkpoint is None:
             margin_ms = 0 if is_new else MAX_STEP_MS
-            self._least_ms, self._most_ms = max(0, wall_ms - margin_ms), wall_ms + margin_ms
-            self.opening_doubt_ms = 2 * margin_ms
-        elif boot and note.boot == boot and note.monotonic_ms <= opened_ms:
-            elapsed_ms = opened_ms - note.monotonic_ms
-            self._least_ms, self._most_ms = note.least_ms + elapsed_ms, note.most_ms + elapsed_ms
+            self._lower_ms, self._upper_ms = max(0, wall_ms - margin_ms), wall_ms + margin_ms
+            self.opening_uncertainty_ms = 2 * margin_ms
+        elif boot and checkpoint.boot == boot and checkpoint.monotonic_ms <= opened_ms:
+            elapsed_ms = opened_ms - checkpoint.monotonic_ms
+            self._lower_ms, self._upper_ms = (
+                checkpoint.lower_ms + elapsed_ms,
+                checkpoint.upper_ms + elapsed_ms,
+            )
         else:
-            self.opening_doubt_ms = max(0, wall_ms - note.wall_ms) + MAX_STEP_MS
-            self._least_ms, self._most_ms = note.least_ms, note.most_ms + self.opening_doubt_ms
-            self.is_elapsed_known = wall_ms >= note.wall_ms
+            self.opening_uncertainty_ms = max(0, wall_ms - checkpoint.wall_ms) + MAX_STEP_MS
+            self._lower_ms, self._upper_ms = (
+                checkpoint.lower_ms,
+                checkpoint.upper_ms + self.opening_uncertainty_ms,
+            )
+            self.is_elapsed_known = wall_ms >= checkpoint.wall_ms
 
     def _monotonic_ms(self) -> int:
         return int(self._monotonic() * 1000)
 
     def now_ms(self) -> int:
         """By which records expire: it never runs ahead of the time that has truly passed."""
-        return self._least_ms + self._monotonic_ms() - self._opened_ms
+        return self._lower_ms + self._monotonic_ms() - self._opened_ms
 
-    def most_ms(self) -> int:
+    def upper_ms(self) -> int:
         """By which windows end: it never stays behind the time that has truly passed."""
-        return self._most_ms + self._monotonic_ms() - self._opened_ms
+        return self._upper_ms + self._monotonic_ms() - self._opened_ms
 
-    def note(self) -> ClockNote:
+    def checkpoint(self) -> ClockCheckpoint:
         """Of this moment."""
-        return ClockNote(
-            self.now_ms(), self.most_ms(), self._monotonic_ms(), max(0, self._wall()), self._boot
+        return ClockCheckpoint(
+            self.now_ms(), self.upper_ms(), self._monotonic_ms(), max(0, self._wall()), self._boot
         )
 
-    def needs_note(self) -> bool:
-        """Whether the next batch is to carry a note."""
-        return self._noted_ms is None or self._monotonic_ms() - self._noted_ms >= NOTE_INTERVAL_MS
+    def needs_checkpoint(self) -> bool:
+        """Whether the next batch is to carry a checkpoint."""
+        return (
+            self._checkpoint_ms is None
+            or self._monotonic_ms() - self._checkpoint_ms >= CHECKPOINT_INTERVAL_MS
+        )
 
-    def on_noted(self, note: ClockNote) -> None:
+    def on_checkpoint_durable(self, checkpoint: ClockCheckpoint) -> None:
         """It is durable."""
-        self._noted_ms = note.monotonic_ms
+        self._checkpoint_ms = checkpoint.monotonic_ms
--- a/laurelstep/store/index.py
+++ b/laurelstep/store/index.py
@@ -16,7 +16,7 @@
 _OFFSET_BITS = 32
 _OFFSET_MASK = (1 << _OFFSET_BITS) - 1
 # Plain integers: recovery compares millions.
-_DELETE, _CLOCK_NOTE = int(RecordKind.DELETE), int(RecordKind.CLOCK_NOTE)
+_DELETE, _CLOCK_CHECKPOINT = int(RecordKind.DELETE), int(RecordKind.CLOCK_CHECKPOINT)
 # Compaction pays when this share of the sealed records is garbage, and there are so many of
 # them at least: a small log is read quickly as it is.
 GARBAGE_SHARE = 0.5
@@ -59,8 +59,8 @@
         )
         self.usage: dict[int, SegmentUsage] = {}
         self.highest_sequence = 0
-        self.clock_note = b""  # the newest note of the clocks: the key of its record
-        self.clock_note_location = 0
+        self.clock_checkpoint = b""  # the newest note of the clocks: the key of its record
+        self.clock_checkpoint_location = 0
 
     def __len__(self) -> int:
         return len(self.locations)
@@ -68,8 +68,8 @@
     def apply(self, segment: int, record: RecordHeader) -> None:
         """Take in a record of the log, in the log's order. Notes of the clocks count for no usage."""
         offset, kind, expires_ms, _, key = record
-        if kind == _CLOCK_NOTE:
-            self.clock_note, self.clock_note_location = key, pack_location(segment, offset)
+        if kind == _CLOCK_CHECKPOINT:
+            self.clock_checkpoint, self.clock_checkpoint_location = key, pack_location(segment, offset)
             return
         usage = self.usage.get(segment)
         if usage is None:
@@ -92,8 +92,8 @@
         """Whether compaction copies the record at this location of the log's beginning: only what the index
         points at, and only until it expires. Deletions there hide nothing any more.
         """
-        if record.kind == _CLOCK_NOTE:
-            return location == self.clock_note_location
+        if record.kind == _CLOCK_CHECKPOINT:
+            return location == self.clock_checkpoint_location
         if record.kind == _DELETE or self.locations.get(record.key) != location:
             return False
         return not 0 < record.expires_ms <= now_ms
@@ -103,9 +103,9 @@
         since.
         """
         new = pack_location(segment, record.offset)
-        if record.kind == _CLOCK_NOTE:
-            if self.clock_note_location == old:
-                self.clock_note_location = new
+        if record.kind == _CLOCK_CHECKPOINT:
+            if self.clock_checkpoint_location == old:
+                self.clock_checkpoint_location = new
             return
         usage = self.usage[segment]
         usage.records += 1
--- a/laurelstep/store/log_format.py
+++ b/laurelstep/store/log_format.py
@@ -43,11 +43,11 @@
 
 
 class RecordKind(IntEnum):
-    """What a record does. A program that does not know `CLOCK_NOTE` takes it for a `PUT`."""
+    """What a record does. A program that does not know `CLOCK_CHECKPOINT` takes it for a `PUT`."""
 
     PUT = 1
     DELETE = 2
-    CLOCK_NOTE = 3  # a `clock.ClockNote`, encoded as the key
+    CLOCK_CHECKPOINT = 3  # a `clock.ClockCheckpoint`, encoded as the key
 
 
 class LogError(LaurelstepError):
--- a/laurelstep/store/store.py
+++ b/laurelstep/store/store.py
@@ -20,7 +20,7 @@
 from typing import Self
 
 from laurelstep.store.availability import Log, StoreUnavailableError, WriteAvailability
-from laurelstep.store.clock import SYSTEM_CLOCKS, ClockNote, StoreClock, StoreClocks
+from laurelstep.store.clock import SYSTEM_CLOCKS, ClockCheckpoint, StoreClock, StoreClocks
 from laurelstep.store.compaction import Compactor
 from laurelstep.store.disk import Disk, StoreError
 from laurelstep.store.index import KeyIndex, unpack_location
@@ -187,11 +187,11 @@
                 raise StoreError(f"segment {segment}: another key at byte {offset}")
             return None if self._has_expired(record) else record.value
 
-    def each(self, prefixes: bytes) -> AsyncIterator[tuple[bytes, bytes]]:
-        """Every key that begins with one of these bytes, with its value. See `some`."""
-        return self.some(key for key in self.index.locations if key[0] in prefixes)
+    def scan(self, prefixes: bytes) -> AsyncIterator[tuple[bytes, bytes]]:
+        """Every key that begins with one of these bytes, with its value. See `get_many`."""
+        return self.get_many(key for key in self.index.locations if key[0] in prefixes)
 
-    async def some(self, keys: Iterable[bytes]) -> AsyncIterator[tuple[bytes, bytes]]:
+    async def get_many(self, keys: Iterable[bytes]) -> AsyncIterator[tuple[bytes, bytes]]:
         """Those of the keys that are there, with their values, in the log's order. Many are read at once;
         what changes before its turn may be missing. `StoreError` as from `get`, and if compaction moved
         them.
@@ -249,7 +249,7 @@
 def _resume_clock(index: KeyIndex, clocks: StoreClocks) -> StoreClock:
     """The store's time, from the newest note in the log; `LogError` if that can't be read."""
     try:
-        note = ClockNote.decode(index.clock_note) if index.clock_note else None
+        checkpoint = ClockCheckpoint.decode(index.clock_checkpoint) if index.clock_checkpoint else None
     except ValueError as error:
         raise LogError(str(error)) from None
-    return StoreClock(note, index.highest_sequence == 0, clocks)
+    return StoreClock(checkpoint, index.highest_sequence == 0, clocks)
--- a/laurelstep/store/writer.py
+++ b/laurelstep/store/writer.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from laurelstep.store.availability import StoreUnavailableError, WriteAvailability
-from laurelstep.store.clock import ClockNote, StoreClock
+from laurelstep.store.clock import ClockCheckpoint, StoreClock
 from laurelstep.store.index import KeyIndex
 from laurelstep.store.log_format import RecordHeader, RecordKind, encode_frame, encode_record
 from laurelstep.store.options import StoreOptions
@@ -33,7 +33,7 @@
     highest_sequence: int
     writes: list[PendingWrite] = field(default_factory=list)
     records: list[bytes] = field(default_factory=list)
-    note: ClockNote | None = None  # of the clocks; its record is the first
+    checkpoint: ClockCheckpoint | None = None  # of the clocks; its record is the first
 
     def add(self, write: PendingWrite) -> int:
         """Put a write at the batch's end; the length of its record in bytes."""
@@ -43,11 +43,13 @@
         self.records.append(record)
         return len(record)
 
-    def add_note(self, note: ClockNote) -> None:
+    def add_checkpoint(self, checkpoint: ClockCheckpoint) -> None:
         """Put a note of the clocks into an empty batch."""
-        self.note = note
+        self.checkpoint = checkpoint
         self.highest_sequence += 1
-        self.records.append(encode_record(self.highest_sequence, note.encode(), kind=RecordKind.CLOCK_NOTE))
+        self.records.append(
+            encode_record(self.highest_sequence, checkpoint.encode(), kind=RecordKind.CLOCK_CHECKPOINT)
+        )
 
     def frame(self, salt: int) -> bytes:
         """The batch as the active segment with this salt takes it."""
@@ -145,8 +147,8 @@
     def _take_batch(self) -> Batch:
         """What waits, up to a batch's bounds, behind a note of the clocks if one is due."""
         batch = Batch(self.index.highest_sequence)
-        if self.expiry_clock.needs_note():
-            batch.add_note(self.expiry_clock.note())
+        if self.expiry_clock.needs_checkpoint():
+            batch.add_checkpoint(self.expiry_clock.checkpoint())
         size, options = 0, self.options
         while self.queue and len(batch.writes) < options.batch_records and size < options.batch_bytes:
             size += batch.add(self.queue.popleft())
@@ -158,9 +160,9 @@
         offset = end - sum(map(len, batch.records))
         sequence = batch.highest_sequence - len(batch.records)
         changes = [(write.kind, write.expires_ms, write.key) for write in batch.writes]
-        if batch.note is not None:
-            changes.insert(0, (RecordKind.CLOCK_NOTE, 0, batch.note.encode()))
-            self.expiry_clock.on_noted(batch.note)
+        if batch.checkpoint is not None:
+            changes.insert(0, (RecordKind.CLOCK_CHECKPOINT, 0, batch.checkpoint.encode()))
+            self.expiry_clock.on_checkpoint_durable(batch.checkpoint)
         for (kind, expires_ms, key), record in zip(changes, batch.records, strict=True):
             sequence += 1
             self.index.apply(segment, RecordHeader(offset, kind, expires_ms, sequence, key))
--- a/tests/journals.py
+++ b/tests/journals.py
@@ -1,4 +1,4 @@
-"""What tests of the request journal share: a client with a journal, its requests, and what is answered."""
+"""Shared by the request journal's tests: a client with a journal, its requests and summaries of replies."""
 
 from __future__ import annotations
 
@@ -19,41 +19,44 @@
 from tests.sockets import SETTINGS
 from tests.test_library import member
 
-ORDER = JournalClass(header=b"x-order-id", retention_ms=60_000)
+ORDER_CLASS = JournalClass(header=b"x-order-id", retention_ms=60_000)
 
 
 def journal_settings(
-    folder: Path, unavailable: Any = "fail", settings: JournalClass = ORDER
+    folder: Path, unavailable: Any = "fail", settings: JournalClass = ORDER_CLASS
 ) -> JournalSettings:
     return JournalSettings(str(folder), {"pay": settings}, unavailable)
 
 
 @contextlib.asynccontextmanager
 async def client_with_journal(folder: Path, *endpoints: Endpoint, **options: Any) -> AsyncIterator[Client]:
-    """A client that records the class `pay`; the endpoints are up already."""
+    """A client that journals requests of class `pay`; the endpoints must be running."""
     raw = {"seed": "1", "settings": SETTINGS, "limits": {"sockets": 1024}}
     config = config_from(raw, "test", journal_settings(folder, **options))
-    members = [member(one, f"s-{n}") for n, one in enumerate(endpoints)]
+    members = [member(endpoint, f"s-{n}") for n, endpoint in enumerate(endpoints)]
     async with asyncio.timeout(60), Client.open(config, members) as client:
         yield client
 
 
-def pay(name: str = "o-1", body: bytes = b"sum", deadline_s: float = 4.0, rid: str | None = None) -> Request:
-    headers = {"X-Order-Id": name}
-    return Request("pay", "/pay", "POST", body=body, deadline_s=deadline_s, headers=headers, id=rid)
+def pay_request(
+    order_id: str = "o-1", body: bytes = b"sum", deadline_s: float = 4.0, request_id: str | None = None
+) -> Request:
+    headers = {"X-Order-Id": order_id}
+    return Request("pay", "/pay", "POST", body=body, deadline_s=deadline_s, headers=headers, id=request_id)
 
 
-def said(reply: Reply) -> tuple[str, int, bool, bool]:
+def summary(reply: Reply) -> tuple[str, int, bool, bool]:
+    """Outcome, status, whether the request may have run, and whether the answer is a recorded one."""
     headers = dict(reply.headers)
     return reply.outcome, reply.status, "x-may-have-run" in headers, "x-from-record" in headers
 
 
 SERVED = ("served", 200, False, False)
-AGAIN = ("served", 200, False, True)
+FROM_RECORD = ("served", 200, False, True)
 MAY_HAVE_RUN = ("failed", 502, True, False)
 
 
-async def recorded(
+async def client_with_store(
     disk: Disk,
     endpoint: Endpoint,
     unavailable: str,
@@ -62,7 +65,7 @@
     options: StoreOptions | None = None,
     clocks: StoreClocks = SYSTEM_CLOCKS,
 ) -> tuple[Client, Store]:
-    """A client whose store is on a disk that the test breaks."""
+    """A client whose journal uses a store on `disk`, so that the test can inject faults."""
     client = await stack.enter_async_context(client_with_journal(folder, endpoint, unavailable=unavailable))
     store = await Store.open(disk, options, clocks=clocks)
     recorder = client.engine.recorder
--- a/tests/stores.py
+++ b/tests/stores.py
@@ -1,4 +1,4 @@
-"""What tests of the store share: a machine whose clocks they move, an opened store, and what a disk holds."""
+"""Shared by the store's tests: a machine with clocks under control, an open store, and a disk's content."""
 
 from __future__ import annotations
 
@@ -21,64 +21,64 @@
 
 @dataclass
 class Machine:
-    """The clocks of one machine, moved by a test."""
+    """The clocks of one machine, which advance only when a test says so."""
 
     monotonic_ms: int = 5_000_000
     wall_ms: int = 1_800_000_000_000
     boot: bytes = b"boot-1"
 
     @property
-    def seconds(self) -> float:
-        """Of the monotonic clock, which alone a test sets with it."""
+    def monotonic_s(self) -> float:
+        """The monotonic clock in seconds; setting it leaves the wall clock as it is."""
         return self.monotonic_ms / 1000
 
-    @seconds.setter
-    def seconds(self, value: float) -> None:
+    @monotonic_s.setter
+    def monotonic_s(self, value: float) -> None:
         self.monotonic_ms = round(value * 1000)
 
-    def passes(self, ms: int) -> None:
-        """Real time goes on."""
+    def advance(self, ms: int) -> None:
+        """Advance both clocks, as real time does."""
         self.monotonic_ms += ms
         self.wall_ms += ms
 
-    def steps(self, ms: int) -> None:
-        """The wall clock alone."""
+    def step_wall_clock(self, ms: int) -> None:
+        """Step the wall clock only, forward or back."""
         self.wall_ms += ms
 
-    def reboots(self, down_ms: int) -> None:
-        """It is off for a while, and its monotonic clock begins anew."""
+    def reboot(self, down_ms: int) -> None:
+        """Restart after `down_ms` off: a new boot identity, and the monotonic clock starts over."""
         self.wall_ms += down_ms
         self.monotonic_ms, self.boot = 10_000, self.boot + b"+"
 
     def clocks(self) -> StoreClocks:
-        """As a store reads them."""
-        return StoreClocks(lambda: self.seconds, lambda: self.wall_ms, lambda: self.boot)
+        """The clocks in the form a store takes."""
+        return StoreClocks(lambda: self.monotonic_s, lambda: self.wall_ms, lambda: self.boot)
 
 
 @contextlib.asynccontextmanager
-async def opened(
+async def open_store(
     disk: Any, options: StoreOptions = SMALL, machine: Machine | None = None
 ) -> AsyncIterator[Store]:
-    """A store; `logged` has its lines."""
+    """Open a store for the `async with` block, which may take 60 s; `log_lines` returns what it logs."""
     lines: list[str] = []
     store = await Store.open(disk, options, lines.append, (machine or Machine()).clocks())
-    vars(store)["logged"] = lines
+    vars(store)["log_lines"] = lines
     async with asyncio.timeout(60), store:
         yield store
 
 
-def logged(store: Store) -> list[str]:
-    """The lines for an operator of a store that `opened` gave."""
-    lines: list[str] = vars(store)["logged"]
+def log_lines(store: Store) -> list[str]:
+    """The lines logged by a store from `open_store`."""
+    lines: list[str] = vars(store)["log_lines"]
     return lines
 
 
-def state_of(disk: SimulatedDisk) -> State:
-    """What a start finds; `LogError` for damage. Every value is read back by its own checksum."""
-    found = recover_store(disk, 77)
+def recovered_state(disk: SimulatedDisk) -> State:
+    """Keys and values after recovery, verified by their checksums; LogError if the disk is damaged."""
+    recovered = recover_store(disk, 77)
     state = {}
-    for key, where in found.index.locations.items():
-        segment, offset = unpack_location(where)
+    for key, location in recovered.index.locations.items():
+        segment, offset = unpack_location(location)
         record = read_record(disk.read(segment_name(segment), offset), "test")
         assert record.key == key
         state[key] = record.value
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -22,9 +22,9 @@
 from laurelstep.request_journal.records import answer_from_record, store_key
 from laurelstep.store import FolderDisk, Store
 from laurelstep.store.clock import (
+    CHECKPOINT_INTERVAL_MS,
     MAX_STEP_MS,
-    NOTE_INTERVAL_MS,
-    ClockNote,
+    ClockCheckpoint,
     StoreClock,
     StoreClocks,
     boot_identity,
@@ -32,8 +32,8 @@
 from laurelstep.testing import Endpoint
 from laurelstep.testing.disk import SimulatedDisk
 
-from tests.journals import AGAIN, ORDER, SERVED, client_with_journal, pay, said
-from tests.stores import SMALL, Machine, opened
+from tests.journals import FROM_RECORD, ORDER_CLASS, SERVED, client_with_journal, pay_request, summary
+from tests.stores import SMALL, Machine, open_store
 
 HOUR_MS = 3_600_000
 STEPS = [-HOUR_MS, -1_000, 0, 1_000, HOUR_MS]
@@ -57,14 +57,14 @@
 def test_a_record_lives_for_its_span_whatever_the_wall_clock_does(step_ms: int) -> None:
     async def main() -> None:
         machine = Machine()
-        async with opened(SimulatedDisk(), machine=machine) as store:
+        async with open_store(SimulatedDisk(), machine=machine) as store:
             await store.put(b"order", b"answer", ttl_ms=60_000)
-            machine.steps(step_ms)
-            machine.passes(59_999)
+            machine.step_wall_clock(step_ms)
+            machine.advance(59_999)
             await store.compact()
             assert await store.get(b"order") == b"answer"
-            assert [key async for key, _ in store.each(b"o")] == [b"order"]
-            machine.passes(1)
+            assert [key async for key, _ in store.scan(b"o")] == [b"order"]
+            machine.advance(1)
             assert await store.get(b"order") is None
             await store.compact()
             assert len(store) == 0
@@ -76,18 +76,18 @@
 def test_a_record_lives_for_its_span_across_lives_of_one_boot(step_ms: int) -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
-        async with opened(disk, machine=machine) as store:
+        async with open_store(disk, machine=machine) as store:
             await store.put(b"order", b"answer", ttl_ms=60_000)
-        machine.steps(step_ms)
-        machine.passes(30_000)
-        async with opened(disk, machine=machine) as store:
+        machine.step_wall_clock(step_ms)
+        machine.advance(30_000)
+        async with open_store(disk, machine=machine) as store:
             await store.put(b"second", b"answer", ttl_ms=60_000)
-            machine.passes(29_999)
+            machine.advance(29_999)
             assert await store.get(b"order") == b"answer"
-        async with opened(disk, machine=machine) as store:
-            machine.passes(1)
+        async with open_store(disk, machine=machine) as store:
+            machine.advance(1)
             assert await store.get(b"order") is None and await store.get(b"second") == b"answer"
-            machine.passes(30_000)
+            machine.advance(30_000)
             assert await store.get(b"second") is None
 
     run(main())
@@ -97,16 +97,16 @@
 def test_a_record_never_goes_early_where_the_machine_was_started_anew(step_ms: int) -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
-        async with opened(disk, machine=machine) as store:
+        async with open_store(disk, machine=machine) as store:
             await store.put(b"order", b"answer", ttl_ms=60_000)
-            machine.passes(20_000)
-        machine.steps(step_ms)
-        machine.reboots(down_ms=10_000_000)
-        async with opened(disk, machine=machine) as store:
+            machine.advance(20_000)
+        machine.step_wall_clock(step_ms)
+        machine.reboot(down_ms=10_000_000)
+        async with open_store(disk, machine=machine) as store:
             assert await store.get(b"order") == b"answer"
-            machine.passes(59_999)
+            machine.advance(59_999)
             assert await store.get(b"order") == b"answer", "late by the time since the last note at most"
-            machine.passes(1)
+            machine.advance(1)
             assert await store.get(b"order") is None
 
     run(main())
@@ -115,22 +115,22 @@
 def test_notes_follow_the_writes_so_that_a_new_start_finds_a_fresh_one() -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
-        async with opened(disk, machine=machine) as store:
-            await store.put(b"order", b"answer", ttl_ms=10 * NOTE_INTERVAL_MS)
-            first = store.index.clock_note
+        async with open_store(disk, machine=machine) as store:
+            await store.put(b"order", b"answer", ttl_ms=10 * CHECKPOINT_INTERVAL_MS)
+            first = store.index.clock_checkpoint
             await store.put(b"other", b"answer")
-            assert store.index.clock_note == first, "one a minute"
-            machine.passes(NOTE_INTERVAL_MS)
+            assert store.index.clock_checkpoint == first, "one a minute"
+            machine.advance(CHECKPOINT_INTERVAL_MS)
             await store.put(b"other", b"answer")
-            assert ClockNote.decode(store.index.clock_note).monotonic_ms == machine.monotonic_ms
+            assert ClockCheckpoint.decode(store.index.clock_checkpoint).monotonic_ms == machine.monotonic_ms
             await store.compact()
             assert len(store) == 2
-        machine.reboots(down_ms=0)
-        async with opened(disk, machine=machine) as store:
-            assert store.index.clock_note != first
-            machine.passes(9 * NOTE_INTERVAL_MS - 1)
+        machine.reboot(down_ms=0)
+        async with open_store(disk, machine=machine) as store:
+            assert store.index.clock_checkpoint != first
+            machine.advance(9 * CHECKPOINT_INTERVAL_MS - 1)
             assert await store.get(b"order") == b"answer"
-            machine.passes(1)
+            machine.advance(1)
             assert await store.get(b"order") is None
 
     run(main())
@@ -139,19 +139,19 @@
 def test_the_newest_note_outlives_compaction_and_the_older_ones_do_not() -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
-        async with opened(disk, machine=machine) as store:
+        async with open_store(disk, machine=machine) as store:
             for number in range(20):
-                await store.put(b"key-%d" % number, b"value", ttl_ms=40 * NOTE_INTERVAL_MS)
-                machine.passes(NOTE_INTERVAL_MS)
-            note, before = store.index.clock_note, store.size
+                await store.put(b"key-%d" % number, b"value", ttl_ms=40 * CHECKPOINT_INTERVAL_MS)
+                machine.advance(CHECKPOINT_INTERVAL_MS)
+            checkpoint, before = store.index.clock_checkpoint, store.size
             await store.compact()
-            assert store.index.clock_note == note and store.size < before
-        machine.steps(HOUR_MS)
-        async with opened(disk, machine=machine) as store:
-            assert store.index.clock_note == note and len(store) == 20
-            machine.passes(20 * NOTE_INTERVAL_MS - 1)
+            assert store.index.clock_checkpoint == checkpoint and store.size < before
+        machine.step_wall_clock(HOUR_MS)
+        async with open_store(disk, machine=machine) as store:
+            assert store.index.clock_checkpoint == checkpoint and len(store) == 20
+            machine.advance(20 * CHECKPOINT_INTERVAL_MS - 1)
             assert await store.get(b"key-0") == b"value"
-            machine.passes(1)
+            machine.advance(1)
             assert await store.get(b"key-0") is None and await store.get(b"key-1") == b"value"
 
     run(main())
@@ -160,35 +160,37 @@
 def test_a_note_that_was_not_written_is_written_with_the_next_batch() -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
-        async with opened(disk, machine=machine) as store:
+        async with open_store(disk, machine=machine) as store:
             disk.fail("sync", OSError(5, "Input/output error"))
             with pytest.raises(OSError, match="the disk fails"):
                 try:
                     await store.put(b"order", b"answer", ttl_ms=60_000)
                 except Exception as error:
                     raise OSError(str(error)) from None
-            assert store.index.clock_note == b""
-            machine.passes(60_000)
+            assert store.index.clock_checkpoint == b""
+            machine.advance(60_000)
             await store.put(b"order", b"answer", ttl_ms=60_000)
-            assert ClockNote.decode(store.index.clock_note).monotonic_ms == machine.monotonic_ms
+            assert ClockCheckpoint.decode(store.index.clock_checkpoint).monotonic_ms == machine.monotonic_ms
 
     run(main())
 
 
 def test_a_boot_has_one_name_and_an_unknown_one_is_never_the_same() -> None:
     assert boot_identity() == boot_identity()
-    note = ClockNote(50, 60, 1_000, 70, b"")
-    assert ClockNote.decode(note.encode()) == note
-    unknown = StoreClock(note, False, StoreClocks(lambda: 2.0, lambda: 1_070, lambda: b""))
-    assert unknown.now_ms() == 50 and unknown.most_ms() == 60 + 1_000 + MAX_STEP_MS
-    same = StoreClock(replace(note, boot=b"b"), False, StoreClocks(lambda: 2.0, lambda: 7, lambda: b"b"))
-    assert (same.now_ms(), same.most_ms(), same.opening_doubt_ms) == (1_050, 1_060, 0)
+    checkpoint = ClockCheckpoint(50, 60, 1_000, 70, b"")
+    assert ClockCheckpoint.decode(checkpoint.encode()) == checkpoint
+    unknown = StoreClock(checkpoint, False, StoreClocks(lambda: 2.0, lambda: 1_070, lambda: b""))
+    assert unknown.now_ms() == 50 and unknown.upper_ms() == 60 + 1_000 + MAX_STEP_MS
+    same = StoreClock(
+        replace(checkpoint, boot=b"b"), False, StoreClocks(lambda: 2.0, lambda: 7, lambda: b"b")
+    )
+    assert (same.now_ms(), same.upper_ms(), same.opening_uncertainty_ms) == (1_050, 1_060, 0)
     earlier = StoreClock(
-        replace(note, boot=b"b"), False, StoreClocks(lambda: 0.5, lambda: 1_070, lambda: b"b")
+        replace(checkpoint, boot=b"b"), False, StoreClocks(lambda: 0.5, lambda: 1_070, lambda: b"b")
     )
     assert earlier.now_ms() == 50, "a monotonic clock that stands before the note is another's"
-    with pytest.raises(ValueError, match="no note"):
-        ClockNote.decode(b"\0clock")
+    with pytest.raises(ValueError, match="not a clock checkpoint"):
+        ClockCheckpoint.decode(b"\0clock")
 
 
 # --- The request journal -----------------------------------------------------------------------------
@@ -200,23 +202,23 @@
     tmp_path: Path, step_ms: int, restarts: bool
 ) -> None:
     async def main() -> None:
-        machine, disk, settings = Machine(), SimulatedDisk(), replace(ORDER, retention_ms=60_000)
+        machine, disk, settings = Machine(), SimulatedDisk(), replace(ORDER_CLASS, retention_ms=60_000)
         async with Endpoint() as endpoint:
             async with client_with_journal(tmp_path, endpoint, settings=settings) as client:
                 await use_store(client, machine, disk)
-                assert said(await client.send(pay())) == SERVED
-                machine.steps(step_ms)
-                machine.passes(59_999)
+                assert summary(await client.send(pay_request())) == SERVED
+                machine.step_wall_clock(step_ms)
+                machine.advance(59_999)
                 if not restarts:
-                    assert said(await client.send(pay())) == AGAIN
-                    machine.passes(1)
-                    assert said(await client.send(pay())) == SERVED, "its window is over"
+                    assert summary(await client.send(pay_request())) == FROM_RECORD
+                    machine.advance(1)
+                    assert summary(await client.send(pay_request())) == SERVED, "its window is over"
             if restarts:
                 async with client_with_journal(tmp_path, endpoint, settings=settings) as client:
                     await use_store(client, machine, disk)
-                    assert said(await client.send(pay())) == AGAIN
-                    machine.passes(1)
-                    assert said(await client.send(pay())) == SERVED
+                    assert summary(await client.send(pay_request())) == FROM_RECORD
+                    machine.advance(1)
+                    assert summary(await client.send(pay_request())) == SERVED
             assert len(endpoint.got) == 2
 
     run(main())
@@ -241,8 +243,8 @@
 def test_a_store_without_notes_is_read_and_written_on(tmp_path: Path) -> None:
     async def main() -> None:
         machine = Machine()
-        machine.passes(30_000)
-        async with opened(fixture(tmp_path), machine=machine) as store:
+        machine.advance(30_000)
+        async with open_store(fixture(tmp_path), machine=machine) as store:
             assert len(store) == 12 and await store.get(b"forever") == b"kept"
             record = await store.get(store_key("print-order", b"old-1"))
             assert record is not None and answer_from_record(record, FIXTURE_DIGEST).body == b"printed\n"
@@ -250,11 +252,11 @@
             assert record is not None and answer_from_record(record, FIXTURE_DIGEST).status == 502
             await store.put(b"new", b"value", ttl_ms=60_000)
             await store.compact()
-        async with opened(FolderDisk(tmp_path / "store"), machine=machine) as store:
+        async with open_store(FolderDisk(tmp_path / "store"), machine=machine) as store:
             assert len(store) == 13
-            machine.passes(59_999)
+            machine.advance(59_999)
             assert await store.get(b"new") == b"value"
-            machine.passes(1)
+            machine.advance(1)
             assert await store.get(b"new") is None
 
     run(main())
@@ -264,11 +266,11 @@
 def test_a_record_of_a_store_without_notes_is_kept_an_hour_longer(tmp_path: Path, step_ms: int) -> None:
     async def main() -> None:
         machine, key = Machine(), store_key("print-order", b"old-1")
-        machine.steps(step_ms)
-        async with opened(fixture(tmp_path), machine=machine) as store:
-            machine.passes(FIXTURE_KEEP_MS - 1)
+        machine.step_wall_clock(step_ms)
+        async with open_store(fixture(tmp_path), machine=machine) as store:
+            machine.advance(FIXTURE_KEEP_MS - 1)
             assert await store.get(key) is not None, "never early"
-            machine.passes(1 + MAX_STEP_MS - step_ms)
+            machine.advance(1 + MAX_STEP_MS - step_ms)
             assert await store.get(key) is None
 
     run(main())
@@ -294,11 +296,11 @@
             await store.secret()
             before = store.time_us()
             assert before == machine.wall_ms * 1000
-        machine.steps(step_ms)
-        machine.passes(30_000)
+        machine.step_wall_clock(step_ms)
+        machine.advance(30_000)
         async with kept(machine, disk) as store:
             assert store.time_us() - before == 30_000_000
-            assert store.is_elapsed_known and store.opening_doubt_us == 0
+            assert store.is_elapsed_known and store.opening_uncertainty_us == 0
 
     run(main())
 
@@ -310,12 +312,12 @@
         async with kept(machine, disk) as store:
             await store.secret()
             before = store.time_us()
-        machine.steps(step_ms)
-        machine.reboots(down_ms=30_000)
+        machine.step_wall_clock(step_ms)
+        machine.reboot(down_ms=30_000)
         async with kept(machine, disk) as store:
             elapsed_us = store.time_us() - before
             assert elapsed_us >= 30_000_000 or not store.is_elapsed_known
-            assert elapsed_us - store.opening_doubt_us <= 30_000_000
+            assert elapsed_us - store.opening_uncertainty_us <= 30_000_000
             assert store.is_elapsed_known is (step_ms >= -30_000)
 
     run(main())
@@ -346,7 +348,7 @@
                 self.now_us(),
                 store.time_us(),
                 is_elapsed_known=store.is_elapsed_known,
-                doubt_us=store.opening_doubt_us,
+                doubt_us=store.opening_uncertainty_us,
             )
             for change in changes:
                 await store.put_state(change.state_change)
@@ -378,8 +380,8 @@
         for passed_ms, is_within in ((WINDOW_MS - HOUR_MS, True), (WINDOW_MS + 500, False)):
             edge = Edge()
             write_id = await edge.keep_and_send()
-            edge.machine.steps(step_ms)
-            edge.machine.passes(passed_ms)
+            edge.machine.step_wall_clock(step_ms)
+            edge.machine.advance(passed_ms)
             async with edge.life(2) as (_, outbox):
                 assert edge.sends(outbox) == ([write_id] if is_within else [])
                 if not is_within:
@@ -394,8 +396,8 @@
         for passed_ms in (HOUR_MS, WINDOW_MS - HOUR_MS // 2, WINDOW_MS + 500):
             edge = Edge()
             write_id = await edge.keep_and_send()
-            edge.machine.steps(step_ms)
-            edge.machine.reboots(down_ms=passed_ms)
+            edge.machine.step_wall_clock(step_ms)
+            edge.machine.reboot(down_ms=passed_ms)
             async with edge.life(2) as (_, outbox):
                 # An hour is allowed for a step back before that: so much of the window is not used.
                 is_sent = passed_ms + step_ms + MAX_STEP_MS < WINDOW_MS
@@ -404,8 +406,8 @@
                 assert is_sent or outbox.receipt(write_id).reason is ParkingReason.MAY_HAVE_RUN
         edge = Edge()
         write_id = await edge.keep_and_send()
-        edge.machine.steps(-HOUR_MS)
-        edge.machine.reboots(down_ms=HOUR_MS - 1)
+        edge.machine.step_wall_clock(-HOUR_MS)
+        edge.machine.reboot(down_ms=HOUR_MS - 1)
         async with edge.life(2) as (_, outbox):
             assert edge.sends(outbox) == [] and outbox.receipt(write_id).reason is ParkingReason.MAY_HAVE_RUN
 
@@ -426,12 +428,12 @@
                 write_id, ReplayResult.ANSWERED, edge.now_us(), store.time_us(), 200
             )
             await store.put_state(change.state_change)
-        edge.machine.steps(step_ms)
-        edge.machine.reboots(down_ms=30_000)
+        edge.machine.step_wall_clock(step_ms)
+        edge.machine.reboot(down_ms=30_000)
         async with edge.life(3) as (_, outbox):
-            edge.machine.passes(outbox.bounds.receipt_us // 1000 - 30_001)
+            edge.machine.advance(outbox.bounds.receipt_us // 1000 - 30_001)
             assert outbox.expired_receipts(edge.now_us()) == []
-            edge.machine.passes(30_001 + MAX_STEP_MS)
+            edge.machine.advance(30_001 + MAX_STEP_MS)
             assert outbox.expired_receipts(edge.now_us()) == [write_id]
 
     run(main())
--- a/tests/test_folders_of_earlier_versions.py
+++ b/tests/test_folders_of_earlier_versions.py
@@ -18,7 +18,15 @@
 from laurelstep.outbox.write_ids import parse_write_id
 
 from tests.consensus_tiers import Tier
-from tests.journals import AGAIN, MAY_HAVE_RUN, ORDER, SERVED, client_with_journal, pay, said
+from tests.journals import (
+    FROM_RECORD,
+    MAY_HAVE_RUN,
+    ORDER_CLASS,
+    SERVED,
+    client_with_journal,
+    pay_request,
+    summary,
+)
 from tests.sockets import Endpoint, run
 from tests.test_outbox_bodies import edge
 
@@ -89,7 +97,7 @@
 
 def test_a_request_journal_of_version_136a9fe_opens_and_answers_from_its_records(tmp_path: Path) -> None:
     expected = expectations("request-journal-136a9fe")
-    journal_class = replace(ORDER, retention_ms=expected["retention_ms"])
+    journal_class = replace(ORDER_CLASS, retention_ms=expected["retention_ms"])
 
     async def main() -> None:
         folder = copy_fixture("request-journal-136a9fe", tmp_path)
@@ -97,11 +105,11 @@
             Endpoint() as endpoint,
             client_with_journal(folder, endpoint, settings=journal_class) as client,
         ):
-            answered = await client.send(pay("answered"))
-            assert said(answered) == AGAIN
+            answered = await client.send(pay_request("answered"))
+            assert summary(answered) == FROM_RECORD
             assert answered.body.decode() == expected["answered"]
-            assert said(await client.send(pay("unanswered"))) == MAY_HAVE_RUN
-            assert said(await client.send(pay("new"))) == SERVED
+            assert summary(await client.send(pay_request("unanswered"))) == MAY_HAVE_RUN
+            assert summary(await client.send(pay_request("new"))) == SERVED
             assert endpoint.count == 1
 
     run(main())
--- a/tests/test_outbox_store.py
+++ b/tests/test_outbox_store.py
@@ -244,16 +244,16 @@
         disk = SimulatedDisk()
         store = await QueueStore.open(disk, MAX_BYTES)
         await store.load()
-        some, reads = store.store.some, 0
+        get_many, reads = store.store.get_many, 0
 
         def fail_once(keys: Iterable[bytes]) -> AsyncIterator[tuple[bytes, bytes]]:
             nonlocal reads
             reads += 1
             if reads == 1:
                 raise StoreError("the segment was deleted")
-            return some(keys)
+            return get_many(keys)
 
-        monkeypatch.setattr(store.store, "some", fail_once)
+        monkeypatch.setattr(store.store, "get_many", fail_once)
         for number in (1, 2):
             await store.put_write(*write_with_body(number, 100_000))
             await store.put_state(StateChange(write_with_body(number, 0)[0].write_id, WriteState.DONE))
--- a/tests/test_request_journal.py
+++ b/tests/test_request_journal.py
@@ -43,14 +43,14 @@
 )
 
 from tests.journals import (
-    AGAIN,
+    FROM_RECORD,
     MAY_HAVE_RUN,
-    ORDER,
+    ORDER_CLASS,
     SERVED,
     client_with_journal,
-    pay,
-    recorded,
-    said,
+    client_with_store,
+    pay_request,
+    summary,
 )
 from tests.sockets import free_port
 from tests.test_library import member, nothing_held
@@ -90,9 +90,9 @@
 @pytest.mark.parametrize(
     ("settings", "header", "body", "expected"),
     [
-        (ORDER, b" o-1 ", b"", b"o-1"),
-        (ORDER, b"", b'{"order": "o-1"}', None),
-        (ORDER, b"x" * 257, b"", None),
+        (ORDER_CLASS, b" o-1 ", b"", b"o-1"),
+        (ORDER_CLASS, b"", b'{"order": "o-1"}', None),
+        (ORDER_CLASS, b"x" * 257, b"", None),
         (JournalClass(body_field="order"), b"o-1", b'{"order": "o-2"}', b"o-2"),
         (JournalClass(body_field="order"), b"", b'{"order": 17}', b"17"),
         (JournalClass(body_field="order"), b"", '{"order": "\u00fc"}'.encode(), "\u00fc".encode()),
@@ -116,13 +116,13 @@
     async def main() -> None:
         async with Endpoint(in_turn(serve(b"first"), serve(b"second"))) as endpoint:
             async with client_with_journal(tmp_path, endpoint) as client:
-                assert said(await client.send(pay())) == SERVED
-                again = await client.send(pay())
-                assert said(again) == AGAIN and again.body == b"first" and again.attempts == 0
-                assert (await client.send(pay(body=b"other sum"))).status == 422
-                assert said(await client.send(pay("o-2"))) == SERVED
+                assert summary(await client.send(pay_request())) == SERVED
+                again = await client.send(pay_request())
+                assert summary(again) == FROM_RECORD and again.body == b"first" and again.attempts == 0
+                assert (await client.send(pay_request(body=b"other sum"))).status == 422
+                assert summary(await client.send(pay_request("o-2"))) == SERVED
                 plain = Request("pay", "/pay", "POST", body=b"sum")
-                assert [said(await client.send(plain)) for _ in range(2)] == [SERVED, SERVED]
+                assert [summary(await client.send(plain)) for _ in range(2)] == [SERVED, SERVED]
                 assert nothing_held(client)
             assert len(endpoint.got) == 4, "what names no order is as today"
 
@@ -136,8 +136,8 @@
             Endpoint(after(gate, serve(b"one"))) as endpoint,
             client_with_journal(tmp_path, endpoint) as client,
         ):
-            tasks = [asyncio.create_task(client.send(pay())) for _ in range(5)]
-            other = asyncio.create_task(client.send(pay(body=b"other")))
+            tasks = [asyncio.create_task(client.send(pay_request())) for _ in range(5)]
+            other = asyncio.create_task(client.send(pay_request(body=b"other")))
             await endpoint.arrived.acquire()
             gate.set()
             replies = await asyncio.gather(*tasks)
@@ -150,10 +150,10 @@
 def test_a_refused_order_has_not_run_and_may_come_again(tmp_path: Path) -> None:
     async def main() -> None:
         async with Endpoint(refuse()) as endpoint, client_with_journal(tmp_path, endpoint) as client:
-            assert (await client.send(pay())).outcome is Ending.REFUSED
+            assert (await client.send(pay_request())).outcome is Ending.REFUSED
             endpoint.handler = serve(b"now")
             client.members([member(endpoint, "n-1")])
-            assert said(await client.send(pay())) == SERVED and endpoint.effects.by_id.total() == 1
+            assert summary(await client.send(pay_request())) == SERVED and endpoint.effects.by_id.total() == 1
 
     run(main())
 
@@ -164,7 +164,7 @@
             Endpoint(in_turn(reset(), serve())) as endpoint,
             client_with_journal(tmp_path, endpoint) as client,
         ):
-            first, second = await client.send(pay()), await client.send(pay())
+            first, second = await client.send(pay_request()), await client.send(pay_request())
             assert (first.outcome, second.outcome) == (Ending.FAILED, Ending.FAILED)
             assert len(endpoint.got) == 1
 
@@ -174,13 +174,13 @@
 def test_an_order_whose_client_left_may_have_run(tmp_path: Path) -> None:
     async def main() -> None:
         async with Endpoint(stall()) as endpoint, client_with_journal(tmp_path, endpoint) as client:
-            first = asyncio.create_task(client.send(pay()))
+            first = asyncio.create_task(client.send(pay_request()))
             await endpoint.arrived.acquire()
-            waits = asyncio.create_task(client.send(pay()))
+            waits = asyncio.create_task(client.send(pay_request()))
             await asyncio.sleep(0)
             first.cancel()
-            assert said(await waits) == MAY_HAVE_RUN
-            assert said(await client.send(pay())) == MAY_HAVE_RUN
+            assert summary(await waits) == MAY_HAVE_RUN
+            assert summary(await client.send(pay_request())) == MAY_HAVE_RUN
             assert len(endpoint.got) == 1 and nothing_held(client)
 
     run(main())
@@ -189,15 +189,15 @@
 def test_an_order_whose_client_left_before_it_was_sent_passes_to_the_next(tmp_path: Path) -> None:
     async def main() -> None:
         async with Endpoint() as endpoint, client_with_journal(tmp_path, endpoint) as client:
-            first = asyncio.create_task(client.send(pay()))
-            waits = asyncio.create_task(client.send(pay()))
+            first = asyncio.create_task(client.send(pay_request()))
+            waits = asyncio.create_task(client.send(pay_request()))
             await asyncio.sleep(0)
             first.cancel()  # its intent is being written
-            assert said(await waits) == SERVED
-            alone = asyncio.create_task(client.send(pay("o-2")))
+            assert summary(await waits) == SERVED
+            alone = asyncio.create_task(client.send(pay_request("o-2")))
             await asyncio.sleep(0)
             alone.cancel()
-            assert said(await client.send(pay("o-2"))) == SERVED
+            assert summary(await client.send(pay_request("o-2"))) == SERVED
             assert len(endpoint.got) == 2 and nothing_held(client)
 
     run(main())
@@ -213,13 +213,13 @@
 
         disk = SimulatedDisk()
         async with Endpoint() as endpoint, contextlib.AsyncExitStack() as stack:
-            client, _ = await recorded(disk, endpoint, unavailable, tmp_path, stack)
+            client, _ = await client_with_store(disk, endpoint, unavailable, tmp_path, stack)
             disk.fail("sync", OSError(errno.EIO, "Input/output error"))
-            reply = await client.send(pay())
+            reply = await client.send(pay_request())
             if unavailable == "pass":
-                assert said(reply) == SERVED and len(endpoint.got) == 1
+                assert summary(reply) == SERVED and len(endpoint.got) == 1
             else:
-                assert said(reply) == MAY_HAVE_RUN and not endpoint.got, "at once, with nothing sent"
+                assert summary(reply) == MAY_HAVE_RUN and not endpoint.got, "at once, with nothing sent"
             assert (await client.send(Request("page", "/page"))).outcome is Ending.SERVED
 
     run(main())
@@ -232,12 +232,12 @@
         disk = SimulatedDisk()
         gate = asyncio.Event()
         async with Endpoint(after(gate, serve())) as endpoint, contextlib.AsyncExitStack() as stack:
-            client, _ = await recorded(disk, endpoint, "fail", tmp_path, stack)
-            asked = asyncio.create_task(client.send(pay()))
+            client, _ = await client_with_store(disk, endpoint, "fail", tmp_path, stack)
+            asked = asyncio.create_task(client.send(pay_request()))
             await endpoint.arrived.acquire()
             disk.fail("sync", OSError(errno.EIO, "Input/output error"))
             gate.set()
-            assert said(await asked) == MAY_HAVE_RUN, "a later life would say no more"
+            assert summary(await asked) == MAY_HAVE_RUN, "a later life would say no more"
 
     run(main())
 
@@ -254,11 +254,13 @@
                 await real(key, value, ttl_ms)
 
             vars(recorder.store)["put"] = slow
-            reply = await client.send(pay(deadline_s=0.05))
+            reply = await client.send(pay_request(deadline_s=0.05))
             assert (reply.outcome, reply.status) == (Ending.FAILED, 504) and not endpoint.got
             never.set()
             del vars(recorder.store)["put"]
-            assert said(await client.send(pay())) == SERVED, "its intent was taken back: nothing was sent"
+            assert summary(await client.send(pay_request())) == SERVED, (
+                "its intent was taken back: nothing was sent"
+            )
 
     run(main())
 
@@ -272,19 +274,19 @@
         script = in_turn(serve(b"album"), stall())
         async with Endpoint(script, effects=effects) as endpoint:
             async with client_with_journal(tmp_path, endpoint) as client:
-                assert said(await client.send(pay("known"))) == SERVED
-                lost = asyncio.create_task(client.send(pay("lost")))
+                assert summary(await client.send(pay_request("known"))) == SERVED
+                lost = asyncio.create_task(client.send(pay_request("lost")))
                 await endpoint.arrived.acquire()
                 await endpoint.arrived.acquire()
                 lost.cancel()
             endpoint.handler = serve(b"never")
             for _ in range(2):
                 async with client_with_journal(tmp_path, endpoint) as client:
-                    known = await client.send(pay("known"))
-                    assert said(known) == AGAIN and known.body == b"album"
-                    assert said(await client.send(pay("lost"))) == MAY_HAVE_RUN
-                    two = [client.send(pay("lost")), client.send(pay("known"))]
-                    assert [said(one) for one in await asyncio.gather(*two)] == [MAY_HAVE_RUN, AGAIN]
+                    known = await client.send(pay_request("known"))
+                    assert summary(known) == FROM_RECORD and known.body == b"album"
+                    assert summary(await client.send(pay_request("lost"))) == MAY_HAVE_RUN
+                    two = [client.send(pay_request("lost")), client.send(pay_request("known"))]
+                    assert [summary(one) for one in await asyncio.gather(*two)] == [MAY_HAVE_RUN, FROM_RECORD]
             assert len(endpoint.got) == 2 and not effects.twice()
 
     run(main())
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -36,8 +36,8 @@
 from laurelstep.testing.disk import Op, SimulatedDisk
 
 from tests.consensus_nodes import SEND_AND_NOTIFY, NodeHarness, run_ready_callbacks
-from tests.journals import AGAIN, MAY_HAVE_RUN, SERVED, pay, recorded, said
-from tests.stores import SMALL, Machine, State, opened, state_of
+from tests.journals import FROM_RECORD, MAY_HAVE_RUN, SERVED, client_with_store, pay_request, summary
+from tests.stores import SMALL, Machine, State, open_store, recovered_state
 
 NO_SPACE = OSError(errno.ENOSPC, "No space left on device")
 IO_ERROR = OSError(errno.EIO, "Input/output error")
@@ -98,18 +98,18 @@
 
     async def main() -> None:
         disk = SimulatedDisk()
-        async with opened(disk, StoreOptions()) as store:
+        async with open_store(disk, StoreOptions()) as store:
             await store.put(b"told", b"1")
             disk.fail("sync", error)
             with pytest.raises(StoreUnavailableError):
                 await store.put(b"untold", b"2")
             killed = disk.kill()
-        assert state_of(killed.kill()) in ({b"told": b"1"}, {b"told": b"1", b"untold": b"2"})
-        async with opened(killed, StoreOptions()) as store:
+        assert recovered_state(killed.kill()) in ({b"told": b"1"}, {b"told": b"1", b"untold": b"2"})
+        async with open_store(killed, StoreOptions()) as store:
             found = {key: await store.get(key) for key in (b"told", b"untold")}
             await store.put(b"later", b"3")
         for after in deaths(killed, 1):
-            state = state_of(after)
+            state = recovered_state(after)
             assert state == {**{k: v for k, v in found.items() if v is not None}, b"later": b"3"}
 
     run(main())
@@ -118,25 +118,25 @@
 @pytest.mark.parametrize("failing", [1, 2], ids=["segment's name", "manifest's name"])
 def test_a_folder_whose_sync_failed_as_the_log_rolled_on_loses_nothing(failing: int) -> None:
     async def main() -> None:
-        disk, times = SimulatedDisk(), Machine()
-        async with opened(disk, StoreOptions(segment_bytes=300), times) as store:
+        disk, machine = SimulatedDisk(), Machine()
+        async with open_store(disk, StoreOptions(segment_bytes=300), machine) as store:
             for n in range(4):
                 await store.put(b"k%d" % n, b"x" * 40)
             fail_nth_folder_sync(disk, failing)
             with pytest.raises(StoreUnavailableError):
                 await store.put(b"untold", b"x" * 200)
             killed = disk.kill()
-            times.seconds += LONG_S
+            machine.monotonic_s += LONG_S
             await store.put(b"later", b"3")
             named = {MANIFEST, *(segment_name(one.number) for one in store.segments.manifest.segments)}
             assert set(disk.files()) == named, "what is not in use is deleted"
         for after in deaths(disk, 2):
-            state = state_of(after)
+            state = recovered_state(after)
             assert state[b"later"] == b"3" and len(state) == 5, "the one that failed is not there"
-        async with opened(killed, StoreOptions(segment_bytes=300)) as store:
+        async with open_store(killed, StoreOptions(segment_bytes=300)) as store:
             await store.put(b"next life", b"4")
         for after in deaths(killed, 3):
-            assert {b"k0", b"k1", b"k2", b"k3", b"next life"} <= set(state_of(after))
+            assert {b"k0", b"k1", b"k2", b"k3", b"next life"} <= set(recovered_state(after))
 
     run(main())
 
@@ -156,8 +156,8 @@
 @pytest.mark.parametrize("operation", ["rename", "sync_folder"])
 def test_a_compaction_whose_manifest_is_unsure_deletes_nothing_that_it_may_name(operation: str) -> None:
     async def main() -> None:
-        disk, times = SimulatedDisk(), Machine()
-        async with opened(disk, machine=times) as store:
+        disk, machine = SimulatedDisk(), Machine()
+        async with open_store(disk, machine=machine) as store:
             for n in range(20):
                 await store.put(b"k%d" % (n % 5), b"v%d" % n)
             await store.segments.roll()
@@ -171,12 +171,12 @@
             await store.put(b"k0", b"after")
             expected = {b"k0": b"after", **{b"k%d" % n: b"v%d" % (15 + n) for n in range(1, 5)}}
             for after in deaths(disk, 4):
-                assert state_of(after) == expected
+                assert recovered_state(after) == expected
             await store.compactor.compact_sealed()
             await store.put(b"k1", b"again")
             expected[b"k1"] = b"again"
             for after in deaths(disk, 5):
-                assert state_of(after) == expected
+                assert recovered_state(after) == expected
             named = {MANIFEST, *(segment_name(one.number) for one in store.segments.manifest.segments)}
             assert set(disk.files()) == named, "what is not in use is deleted"
 
@@ -186,7 +186,7 @@
 async def compaction_calls(disk: SimulatedDisk) -> list[Op]:
     """What a compaction of this disk's store does to it."""
     copy = disk.kill()
-    async with opened(copy) as store:
+    async with open_store(copy) as store:
         copy.journal.clear()
         await store.compactor.compact_sealed()
         return [*copy.journal]
@@ -195,16 +195,16 @@
 def test_a_store_on_a_full_disk_opens_and_reads_and_deletes_nothing() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
-        async with opened(disk) as store:
+        async with open_store(disk) as store:
             await store.put(b"told", b"1")
         disk.create(segment_name(99), b"left over")
         disk.break_down(NO_SPACE, "create", "write")
-        async with opened(disk) as store:
+        async with open_store(disk) as store:
             assert await store.get(b"told") == b"1" and segment_name(99) in disk.files()
             with pytest.raises(StoreUnavailableError):
                 await store.put(b"untold", b"2")
         disk.mend()
-        async with opened(disk):
+        async with open_store(disk):
             assert segment_name(99) not in disk.files()
 
     run(main())
@@ -214,13 +214,13 @@
 def test_a_store_whose_disk_fails_as_it_is_opened_is_refused_and_may_be_opened_later(operation: str) -> None:
     async def main() -> None:
         disk = SimulatedDisk()
-        async with opened(disk) as store:
+        async with open_store(disk) as store:
             await store.put(b"told", b"1")
         disk.break_down(IO_ERROR, operation)
         with pytest.raises(StoreError, match="Input/output error"):
             await Store.open(disk)
         disk.mend()
-        async with opened(disk) as store:
+        async with open_store(disk) as store:
             assert await store.get(b"told") == b"1"
 
     run(main())
@@ -228,19 +228,19 @@
 
 def test_writing_ends_where_compaction_left_the_active_segment_perhaps_sealed() -> None:
     async def main() -> None:
-        disk, times = SimulatedDisk(), Machine()
-        async with opened(disk, StoreOptions(), times) as store:
+        disk, machine = SimulatedDisk(), Machine()
+        async with open_store(disk, StoreOptions(), machine) as store:
             await store.put(b"k0", b"1")
             fail_nth_folder_sync(disk, 2)
             with pytest.raises(OSError, match="Input/output error"):
                 await store.compact()
             with pytest.raises(StoreUnavailableError):
                 await store.put(b"k1", b"untold")
-            assert state_of(disk.kill()) == {b"k0": b"1"}
-            times.seconds += LONG_S
+            assert recovered_state(disk.kill()) == {b"k0": b"1"}
+            machine.monotonic_s += LONG_S
             await store.put(b"k2", b"3")
             for after in deaths(disk, 6):
-                assert state_of(after) == {b"k0": b"1", b"k2": b"3"}
+                assert recovered_state(after) == {b"k0": b"1", b"k2": b"3"}
 
     run(main())
 
@@ -248,13 +248,16 @@
 def test_a_write_that_comes_as_compaction_seals_the_active_segment_is_not_lost() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
-        async with opened(disk, StoreOptions()) as store:
+        async with open_store(disk, StoreOptions()) as store:
             await store.put(b"k0", b"1")
             compacting = asyncio.ensure_future(store.compact())
             for n in range(1, 6):
                 await store.put(b"k%d" % n, b"told")
             await compacting
-        assert state_of(disk.lose_power()) == {b"k0": b"1", **{b"k%d" % n: b"told" for n in range(1, 6)}}
+        assert recovered_state(disk.lose_power()) == {
+            b"k0": b"1",
+            **{b"k%d" % n: b"told" for n in range(1, 6)},
+        }
 
     run(main())
 
@@ -296,10 +299,10 @@
     error: OSError, operations: tuple[str, ...], seed: int
 ) -> None:
     async def main() -> None:
-        disk, times, course = SimulatedDisk(), Machine(), Course(seed)
+        disk, machine, course = SimulatedDisk(), Machine(), Course(seed)
         for life in range(6):
-            async with opened(disk, SMALL, times) as store:
-                course.found({key: value async for key, value in store.each(b"k")})
+            async with open_store(disk, SMALL, machine) as store:
+                course.found({key: value async for key, value in store.scan(b"k")})
                 for phase in range(6):
                     if phase % 2:
                         disk.break_down(
@@ -307,16 +310,16 @@
                         )
                     else:
                         disk.mend()
-                        times.seconds += MAX_BACKOFF_S
+                        machine.monotonic_s += MAX_BACKOFF_S
                         before = course.told
                         await course.write(store)
                         assert course.told == before + 1, "it writes again once the disk does"
                     for _ in range(course.draw.randrange(8)):
                         await course.write(store)
-                        times.seconds += course.draw.random() * 3
+                        machine.monotonic_s += course.draw.random() * 3
                         for after in deaths(disk, course.draw.randrange(1 << 30)):
                             after.mend()
-                            course.check(state_of(after))
+                            course.check(recovered_state(after))
                     if phase == 3:
                         with contextlib.suppress(OSError):
                             await store.compact()
@@ -332,7 +335,7 @@
 
 
 def record_of(disk: SimulatedDisk, name: str) -> bytes | None:
-    return state_of(disk).get(store_key("pay", name.encode()))
+    return recovered_state(disk).get(store_key("pay", name.encode()))
 
 
 @pytest.mark.parametrize("operations", [WRITING, SYNCING], ids=["at writes", "at syncs"])
@@ -343,22 +346,26 @@
     """Refused at once and never run while it fails; recorded again by itself once it does not."""
 
     async def main() -> None:
-        disk, times = SimulatedDisk(), Machine()
+        disk, machine = SimulatedDisk(), Machine()
         async with Endpoint() as endpoint, contextlib.AsyncExitStack() as stack:
-            clocks = times.clocks()
-            client, _ = await recorded(disk, endpoint, "fail", tmp_path, stack, clocks=clocks)
-            assert said(await client.send(order("before"))) == SERVED
+            clocks = machine.clocks()
+            client, _ = await client_with_store(disk, endpoint, "fail", tmp_path, stack, clocks=clocks)
+            assert summary(await client.send(order("before"))) == SERVED
             disk.break_down(error, *operations)
             for n in range(4):
-                assert said(await client.send(order(f"while-{n}"))) == MAY_HAVE_RUN
+                assert summary(await client.send(order(f"while-{n}"))) == MAY_HAVE_RUN
                 assert (await client.send(Request("page", "/page"))).outcome is Ending.SERVED
-                times.seconds += MAX_BACKOFF_S / 3
-            assert said(await client.send(order("before"))) == AGAIN, "what was told before is told again"
+                machine.monotonic_s += MAX_BACKOFF_S / 3
+            assert summary(await client.send(order("before"))) == FROM_RECORD, (
+                "what was told before is told again"
+            )
             assert ran(endpoint) == ["before"], "nothing runs whose intent is not kept"
             disk.mend()
-            times.seconds += MAX_BACKOFF_S
-            assert said(await client.send(order("after"))) == SERVED
-            assert said(await client.send(order("while-0"))) == SERVED, "its repeat runs, for the first time"
+            machine.monotonic_s += MAX_BACKOFF_S
+            assert summary(await client.send(order("after"))) == SERVED
+            assert summary(await client.send(order("while-0"))) == SERVED, (
+                "its repeat runs, for the first time"
+            )
             assert ran(endpoint) == ["before", "after", "while-0"]
         for after in deaths(disk, 7):
             for name in ran(endpoint):
@@ -373,7 +380,7 @@
 
 
 def order(name: str) -> Request:
-    return pay(name, name.encode())
+    return pay_request(name, name.encode())
 
 
 def test_an_intent_whose_sync_failed_is_kept_by_the_next_life_or_gone(tmp_path: Path) -> None:
@@ -382,18 +389,18 @@
     async def main() -> None:
         disk = SimulatedDisk()
         async with Endpoint() as endpoint, contextlib.AsyncExitStack() as stack:
-            client, _ = await recorded(disk, endpoint, "fail", tmp_path / "1", stack)
+            client, _ = await client_with_store(disk, endpoint, "fail", tmp_path / "1", stack)
             disk.fail("sync", IO_ERROR)
-            assert said(await client.send(order("unsure"))) == MAY_HAVE_RUN
+            assert summary(await client.send(order("unsure"))) == MAY_HAVE_RUN
             disk = disk.kill()
-            client, _ = await recorded(disk, endpoint, "fail", tmp_path / "2", stack)
-            first = said(await client.send(order("unsure")))
-            assert said(await client.send(order("sure"))) == SERVED
+            client, _ = await client_with_store(disk, endpoint, "fail", tmp_path / "2", stack)
+            first = summary(await client.send(order("unsure")))
+            assert summary(await client.send(order("sure"))) == SERVED
             disk = disk.lose_power()
-            client, _ = await recorded(disk, endpoint, "fail", tmp_path / "3", stack)
-            assert said(await client.send(order("sure"))) == AGAIN
-            again = said(await client.send(order("unsure")))
-            assert again == (MAY_HAVE_RUN if first == MAY_HAVE_RUN else AGAIN)
+            client, _ = await client_with_store(disk, endpoint, "fail", tmp_path / "3", stack)
+            assert summary(await client.send(order("sure"))) == FROM_RECORD
+            again = summary(await client.send(order("unsure")))
+            assert again == (MAY_HAVE_RUN if first == MAY_HAVE_RUN else FROM_RECORD)
             assert ran(endpoint).count("sure") == 1 and ran(endpoint).count("unsure") <= 1
 
     run(main())
@@ -411,14 +418,14 @@
 
         async with Endpoint(handler) as endpoint, contextlib.AsyncExitStack() as stack:
             small = StoreOptions(preallocated_bytes=64, segment_bytes=700)
-            client, _ = await recorded(disk, endpoint, "fail", tmp_path, stack, small)
+            client, _ = await client_with_store(disk, endpoint, "fail", tmp_path, stack, small)
             for n in range(6):
                 name = f"refused-{n}" if n == 3 else f"order-{n}"
                 reply = await client.send(order(name))
                 disk.mark(reply.outcome.value, name)
         seen = 0
         for before, broken in cuts(disk.journal):
-            state = state_of(broken)
+            state = recovered_state(broken)
             served, refused = marks(before, "served"), marks(before, "refused")
             for name in marks(before, "sent"):
                 record = state.get(store_key("pay", name.encode()))
@@ -449,8 +456,8 @@
 
 
 @contextlib.asynccontextmanager
-async def kept_store(disk: SimulatedDisk, times: Machine | None = None) -> AsyncIterator[QueueStore]:
-    store = await QueueStore.open(disk, MOST, clocks=(times or Machine()).clocks())
+async def kept_store(disk: SimulatedDisk, machine: Machine | None = None) -> AsyncIterator[QueueStore]:
+    store = await QueueStore.open(disk, MOST, clocks=(machine or Machine()).clocks())
     try:
         yield store
     finally:
@@ -463,8 +470,8 @@
     """What was kept stays owed, what was refused is told so, and what comes after is kept again."""
 
     async def main() -> None:
-        disk, times = SimulatedDisk(), Machine()
-        async with kept_store(disk, times) as store:
+        disk, machine = SimulatedDisk(), Machine()
+        async with kept_store(disk, machine) as store:
             await store.load()
             kept = [write_with_body(1, 100), write_with_body(2, 200_000)]
             for one in kept:
@@ -477,10 +484,10 @@
                 with pytest.raises(StoreError):
                     await store.put_state(StateChange(kept[0][0].write_id, WriteState.DONE))
                 assert not await store.delete_write(kept[1][0].write_id, kept[1][0].size)
-                times.seconds += MAX_BACKOFF_S / 3
+                machine.monotonic_s += MAX_BACKOFF_S / 3
             during = disk.kill()
             disk.mend()
-            times.seconds += MAX_BACKOFF_S
+            machine.monotonic_s += MAX_BACKOFF_S
             await store.put_write(*write_with_body(5, 70_000))
             kept.append(write_with_body(5, 70_000))
             for one in kept:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -45,7 +45,7 @@
 from laurelstep.testing.disk import Op, SimulatedDisk
 
 from tests.once import once
-from tests.stores import SMALL, Machine, State, logged, opened, state_of
+from tests.stores import SMALL, Machine, State, log_lines, open_store, recovered_state
 
 pytestmark = once
 
@@ -70,7 +70,7 @@
         )
         disk.mark("reported")
 
-    async with opened(disk) as store:
+    async with open_store(disk) as store:
         for n in range(5):
             await step(store, (b"a%d" % (n % 3), b"value %d" % n))
         await step(store, (b"b0", b"x" * 30), (b"b1", b""), (b"a0", None))
@@ -127,7 +127,7 @@
         after = [disk.lose_power(), disk.lose_power(all_=True)]
         after += [disk.lose_power(draw) for _ in range(12)]
         for one in after:
-            assert state_of(one) in (old, new)
+            assert recovered_state(one) in (old, new)
             seen += 1
     assert seen > 500
 
@@ -145,7 +145,7 @@
                 disk.write(args[0], args[1], data[:size])
             else:
                 disk.create(args[0], data[:size])
-            assert state_of(disk.lose_power(all_=True)) in (old, new), (name, args[0], size)
+            assert recovered_state(disk.lose_power(all_=True)) in (old, new), (name, args[0], size)
             seen += 1
     assert seen > 2_000
 
@@ -153,14 +153,14 @@
 def test_zeros_and_garbage_behind_the_end_are_no_damage(journal: list[Op]) -> None:
     for tail in (bytes(5000), b"\xff" * 100, FRAME_MAGIC * 10, random.Random(1).randbytes(3000)):
         disk = SimulatedDisk.replay(journal)
-        state = state_of(SimulatedDisk.replay(journal))
+        state = recovered_state(SimulatedDisk.replay(journal))
         last = recover_store(SimulatedDisk.replay(journal), 1).manifest.segments[-1]
         disk.names[segment_name(last.number)].durable += tail
-        assert state_of(disk) == state
+        assert recovered_state(disk) == state
 
 
 def test_a_flip_of_any_byte_is_told_or_harmless(journal: list[Op]) -> None:
-    state = state_of(SimulatedDisk.replay(journal))
+    state = recovered_state(SimulatedDisk.replay(journal))
     told = harmless = 0
     whole = SimulatedDisk.replay(journal)
     for name, inode in whole.names.items():
@@ -169,7 +169,7 @@
                 disk = SimulatedDisk.replay(journal).lose_power(all_=True)
                 disk.names[name].durable[at] ^= bits
                 try:
-                    assert state_of(disk) == state, (name, at)
+                    assert recovered_state(disk) == state, (name, at)
                     harmless += 1
                 except LogError:
                     told += 1
@@ -186,7 +186,7 @@
     data = disk.names[segment_name(last.segments[-1].number)].durable
     FRAME_HEADER.pack_into(data, SEGMENT_HEADER_BYTES, FRAME_MAGIC, 0, 0xFFFFFFFF, 1, 1)
     with pytest.raises(LogError, match=f"damaged at byte {SEGMENT_HEADER_BYTES}"):
-        state_of(disk)
+        recovered_state(disk)
 
 
 def test_a_segment_deleted_by_hand_is_told(journal: list[Op]) -> None:
@@ -194,11 +194,11 @@
         disk = SimulatedDisk.replay(journal)
         del disk.names[segment_name(number)]
         with pytest.raises(LogError, match="is missing"):
-            state_of(disk)
+            recovered_state(disk)
     disk = SimulatedDisk.replay(journal)
     del disk.names[MANIFEST]
     with pytest.raises(LogError, match="MANIFEST is missing"):
-        state_of(disk)
+        recovered_state(disk)
 
 
 def test_two_segments_changed_over_are_told(journal: list[Op]) -> None:
@@ -208,7 +208,7 @@
     first, second = (segment_name(one.number) for one in found.segments[:2])
     disk.names[first], disk.names[second] = disk.names[second], disk.names[first]
     with pytest.raises(LogError, match="its head is that of segment"):
-        state_of(disk)
+        recovered_state(disk)
 
 
 # --- Formats -----------------------------------------------------------------------------
@@ -223,7 +223,7 @@
     line = encode_manifest(found).partition(b"\n")[0].replace(b'"format": 1', b'"format": 9')
     disk.create(MANIFEST, line + b"\n%08x\n" % value(line))
     with pytest.raises(LogError, match="format 9 is unknown"):
-        state_of(disk)
+        recovered_state(disk)
 
 
 def test_a_frame_within_a_value_is_no_frame() -> None:
@@ -238,7 +238,7 @@
 @pytest.mark.parametrize(("key", "value"), [(b"", b""), (b"k" * 1025, b""), (b"k", b"v" * (2**20 + 1))])
 def test_a_record_too_long_is_an_error_and_nothing_is_written(key: bytes, value: bytes) -> None:
     async def main() -> None:
-        async with opened(SimulatedDisk()) as store:
+        async with open_store(SimulatedDisk()) as store:
             with pytest.raises(ValueError, match="no record"):
                 await store.put(key, value)
             assert store.stats().writes == 0 and len(store) == 0
@@ -251,13 +251,13 @@
 
 def test_what_waits_together_is_synced_together(tmp_path: Path) -> None:
     async def main() -> None:
-        async with opened(FolderDisk(tmp_path), StoreOptions()) as store:
+        async with open_store(FolderDisk(tmp_path), StoreOptions()) as store:
             await asyncio.gather(*(store.put(b"k%d" % n, b"v%d" % n) for n in range(200)))
             assert store.stats().batches < 5 and store.stats().writes == 200
             assert await store.get(b"k7") == b"v7" and await store.get(b"none") is None
             await store.delete(b"k7")
             assert await store.get(b"k7") is None and b"k8" in store
-        async with opened(FolderDisk(tmp_path), StoreOptions()) as store:
+        async with open_store(FolderDisk(tmp_path), StoreOptions()) as store:
             assert len(store) == 199 and await store.get(b"k199") == b"v199"
 
     run(main())
@@ -265,10 +265,10 @@
 
 def test_one_owner_at_a_time(tmp_path: Path) -> None:
     async def main() -> None:
-        async with opened(FolderDisk(tmp_path)):
+        async with open_store(FolderDisk(tmp_path)):
             with pytest.raises(StoreError, match="another process has this store open"):
                 await Store.open(FolderDisk(tmp_path))
-        async with opened(FolderDisk(tmp_path)):
+        async with open_store(FolderDisk(tmp_path)):
             pass
 
     run(main())
@@ -276,7 +276,7 @@
 
 def test_a_value_too_long_for_one_read_is_read_whole(tmp_path: Path) -> None:
     async def main() -> None:
-        async with opened(FolderDisk(tmp_path), StoreOptions()) as store:
+        async with open_store(FolderDisk(tmp_path), StoreOptions()) as store:
             await store.put(b"big", b"z" * 300_000)
             assert await store.get(b"big") == b"z" * 300_000
 
@@ -285,16 +285,16 @@
 
 def test_what_expires_is_not_read_and_goes_with_compaction() -> None:
     async def main() -> None:
-        times = Machine()
-        async with opened(SimulatedDisk(), machine=times) as store:
+        machine = Machine()
+        async with open_store(SimulatedDisk(), machine=machine) as store:
             await store.put(b"short", b"s", ttl_ms=10)
             await store.put(b"long", b"l", ttl_ms=10_000)
             assert await store.get(b"short") == b"s"
-            times.seconds += 0.01
+            machine.monotonic_s += 0.01
             assert await store.get(b"short") is None and await store.get(b"long") == b"l"
             await store.compact()
             assert len(store) == 1 and await store.get(b"long") == b"l"
-            times.wall_ms -= 1_000  # the clock is set back: what is gone stays gone
+            machine.wall_ms -= 1_000  # the clock is set back: what is gone stays gone
             assert await store.get(b"short") is None and await store.get(b"long") == b"l"
 
     run(main())
@@ -303,7 +303,7 @@
 def test_compaction_runs_by_itself_beside_the_writers() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
-        async with opened(disk, StoreOptions(segment_bytes=20_000, batch_records=50)) as store:
+        async with open_store(disk, StoreOptions(segment_bytes=20_000, batch_records=50)) as store:
             for n in range(4_000):
                 await store.put(b"k%d" % (n % 40), b"v%d" % n)
             while store.compactor.task is not None:
@@ -311,14 +311,14 @@
             assert store.stats().compactions >= 1 and store.size < 100_000
             for n in range(40):
                 assert await store.get(b"k%d" % n) == b"v%d" % (3_960 + n)
-        assert state_of(disk) == {b"k%d" % n: b"v%d" % (3_960 + n) for n in range(40)}
+        assert recovered_state(disk) == {b"k%d" % n: b"v%d" % (3_960 + n) for n in range(40)}
 
     run(main())
 
 
 def test_a_read_while_compaction_moves_it() -> None:
     async def main() -> None:
-        async with opened(SimulatedDisk()) as store:
+        async with open_store(SimulatedDisk()) as store:
             for n in range(40):
                 await store.put(b"k%d" % n, b"v")
             reads = [asyncio.create_task(store.get(b"k%d" % (n % 40))) for n in range(200)]
@@ -333,8 +333,8 @@
 
 def test_a_mark_that_fails_leaves_its_batch_reported_and_ends_the_file() -> None:
     async def main() -> None:
-        disk, times = SimulatedDisk(), Machine()
-        async with opened(disk, StoreOptions(), times) as store:
+        disk, machine = SimulatedDisk(), Machine()
+        async with open_store(disk, StoreOptions(), machine) as store:
             await store.put(b"first", b"1")
             real = disk.write
 
@@ -346,10 +346,10 @@
             vars(disk)["write"] = write
             await store.put(b"second", b"2")
             vars(disk)["write"] = real
-            assert not store.stats().available and len(logged(store)) == 1
-            times.seconds += 1.0
+            assert not store.stats().available and len(log_lines(store)) == 1
+            machine.monotonic_s += 1.0
             await store.put(b"third", b"3")
-        assert len(state_of(disk.lose_power())) == 3
+        assert len(recovered_state(disk.lose_power())) == 3
 
     run(main())
 
@@ -357,40 +357,40 @@
 @pytest.mark.parametrize(("operation", "error"), [("write", FULL_DISK), ("sync", BROKEN_DISK)])
 def test_a_disk_that_fails_is_told_once_and_nothing_is_reported(operation: str, error: OSError) -> None:
     async def main() -> None:
-        disk, times = SimulatedDisk(), Machine()
-        async with opened(disk, StoreOptions(), times) as store:
+        disk, machine = SimulatedDisk(), Machine()
+        async with open_store(disk, StoreOptions(), machine) as store:
             await store.put(b"good", b"1")
             disk.fail(operation, error)
             for n in range(5):
                 with pytest.raises(StoreUnavailableError):
                     await store.put(b"bad%d" % n, b"2")
-            assert len(logged(store)) == 1 and not store.stats().available
+            assert len(log_lines(store)) == 1 and not store.stats().available
             assert await store.get(b"good") == b"1" and await store.get(b"bad0") is None
             before = len(disk.journal)
-            times.seconds += 1.0
+            machine.monotonic_s += 1.0
             await store.put(b"after", b"3")
-            assert logged(store)[1:] == ["store: writes again, in a new segment"]
+            assert log_lines(store)[1:] == ["store: writes again, in a new segment"]
             written = [op[1] for op in disk.journal[before:] if op[0] == "write"]
             assert segment_name(1) not in written, "nothing later goes into that file"
             assert await store.get(b"after") == b"3" and store.stats().available
-        assert state_of(disk.lose_power()) == {b"good": b"1", b"after": b"3"}
+        assert recovered_state(disk.lose_power()) == {b"good": b"1", b"after": b"3"}
 
     run(main())
 
 
 def test_a_disk_that_goes_on_failing_is_asked_less_and_less() -> None:
     async def main() -> None:
-        disk, times = SimulatedDisk(), Machine()
-        async with opened(disk, StoreOptions(), times) as store:
+        disk, machine = SimulatedDisk(), Machine()
+        async with open_store(disk, StoreOptions(), machine) as store:
             disk.fail("sync", BROKEN_DISK)
             disk.fail("create", *[FULL_DISK] * 3)
             waits = []
             for _ in range(4):
                 with pytest.raises(StoreUnavailableError):
                     await store.put(b"k", b"v")
-                waits.append(store.availability.retry_at - times.seconds)
-                times.seconds = store.availability.retry_at
-            assert waits == [1.0, 2.0, 4.0, 8.0] and len(logged(store)) == 1
+                waits.append(store.availability.retry_at - machine.monotonic_s)
+                machine.monotonic_s = store.availability.retry_at
+            assert waits == [1.0, 2.0, 4.0, 8.0] and len(log_lines(store)) == 1
             await store.put(b"k", b"v")
             assert await store.get(b"k") == b"v"
 
@@ -400,7 +400,7 @@
 def test_those_that_wait_behind_a_failure_hear_of_it() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
-        async with opened(disk, StoreOptions(batch_records=2)) as store:
+        async with open_store(disk, StoreOptions(batch_records=2)) as store:
             disk.fail("sync", BROKEN_DISK)
             found = await asyncio.gather(
                 *(store.put(b"k%d" % n, b"v") for n in range(10)), return_exceptions=True
@@ -413,7 +413,7 @@
 
 def test_a_full_store_says_so_once_and_writes_again_when_compaction_made_room() -> None:
     async def main() -> None:
-        async with opened(SimulatedDisk(), StoreOptions(max_bytes=4_000, segment_bytes=1_000)) as store:
+        async with open_store(SimulatedDisk(), StoreOptions(max_bytes=4_000, segment_bytes=1_000)) as store:
 
             async def refused(key: bytes) -> bool:
                 try:
@@ -424,15 +424,15 @@
                     return True
                 return False
 
-            times = [await refused(b"k%d" % (n % 4)) for n in range(200)].count(True)
-            assert 0 < times < 30 and store.stats().compactions == times == len(logged(store))
+            refusals = [await refused(b"k%d" % (n % 4)) for n in range(200)].count(True)
+            assert 0 < refusals < 30 and store.stats().compactions == refusals == len(log_lines(store))
             n = 0
             while not (await refused(b"%06d" % n) and await refused(b"%06d" % n)):
                 n += 1  # until compaction has nothing more to free: none of this is garbage
-            before = len(logged(store))
+            before = len(log_lines(store))
             assert all([await refused(b"%06d" % one) for one in range(n + 1, n + 21)])
             assert not store.stats().available and store.size <= 4_000
-            assert len(logged(store)) == before, "said once"
+            assert len(log_lines(store)) == before, "said once"
 
     run(main())
 
@@ -441,7 +441,7 @@
     async def main() -> None:
         for operation in ("create", "write", "sync", "rename"):
             disk = SimulatedDisk()
-            async with opened(disk) as store:
+            async with open_store(disk) as store:
                 for n in range(20):
                     await store.put(b"k%d" % (n % 5), b"v%d" % n)
                 await store.compact()
@@ -452,7 +452,7 @@
                     await store.compactor.compact_sealed()
                 assert await store.get(b"k0") == b"new" and await store.get(b"k4") == b"v19"
                 await store.put(b"k1", b"after")
-            state = state_of(disk.lose_power())
+            state = recovered_state(disk.lose_power())
             assert state[b"k0"] == b"new" and state[b"k1"] == b"after" and len(state) == 5
 
     run(main())
@@ -460,7 +460,7 @@
 
 def test_a_writer_that_is_cancelled_leaves_the_others_alone() -> None:
     async def main() -> None:
-        async with opened(SimulatedDisk(), StoreOptions()) as store:
+        async with open_store(SimulatedDisk(), StoreOptions()) as store:
             tasks = [store.put(b"k%d" % n, b"v") for n in range(5)]
             await asyncio.sleep(0)
             tasks[2].cancel()
@@ -474,7 +474,7 @@
 def test_a_closed_store_takes_nothing_and_what_waited_is_written() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
-        async with opened(disk) as store:
+        async with open_store(disk) as store:
             tasks = [store.put(b"k%d" % n, b"v") for n in range(9)]
             await asyncio.sleep(0)
             await store.close()
@@ -482,7 +482,7 @@
             with pytest.raises(StoreUnavailableError, match="closed"):
                 await store.put(b"late", b"v")
             await store.close()
-        assert len(state_of(disk.lose_power())) == 9
+        assert len(recovered_state(disk.lose_power())) == 9
 
     run(main())
 
@@ -513,7 +513,7 @@
             told = max([told, *(int(line) for line in process.stdout if line.endswith("\n"))])
 
         async def main(least: int = told) -> None:
-            async with opened(FolderDisk(tmp_path)) as store:
+            async with open_store(FolderDisk(tmp_path)) as store:
                 assert len(store) > least
                 for n in range(least + 1):
                     assert await store.get(b"k%d" % n) == b"v%d" % n
@@ -523,7 +523,7 @@
 
 def test_verifying_writes_nothing(tmp_path: Path) -> None:
     async def main() -> None:
-        async with opened(FolderDisk(tmp_path)) as store:
+        async with open_store(FolderDisk(tmp_path)) as store:
             for n in range(30):
                 await store.put(b"k%d" % n, b"v")
 
@@ -540,7 +540,7 @@
 
 def test_the_tool_tells_verifies_and_compacts(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
     async def main() -> None:
-        async with opened(FolderDisk(tmp_path), StoreOptions(segment_bytes=500)) as store:
+        async with open_store(FolderDisk(tmp_path), StoreOptions(segment_bytes=500)) as store:
             for n in range(40):
                 await store.put(b"k%d" % (n % 4), b"v%d" % n)
             assert tool(["verify", str(tmp_path)]) == 0
@@ -571,7 +571,7 @@
 def test_descriptors_are_bounded_and_given_back(tmp_path: Path) -> None:
     async def main() -> None:
         before = len(os.listdir("/proc/self/fd"))
-        async with opened(FolderDisk(tmp_path), StoreOptions(segment_bytes=200)) as store:
+        async with open_store(FolderDisk(tmp_path), StoreOptions(segment_bytes=200)) as store:
             for n in range(60):
                 await store.put(b"k%d" % n, b"v" * 50)
             for n in range(60):
@@ -595,7 +595,7 @@
         super().__init__()
         self.loop = asyncio.new_event_loop()
         self.disk = SimulatedDisk()
-        self.times = Machine()
+        self.machine = Machine()
         self.model: State = {}
         self.maybe: State = {}  # what was not reported, and may be found by the next life
         self.store: Store | None = None
@@ -606,7 +606,7 @@
     @initialize()
     def open(self) -> None:
         async def opening() -> Store:
-            return await Store.open(self.disk, SMALL, lambda line: None, self.times.clocks())
+            return await Store.open(self.disk, SMALL, lambda line: None, self.machine.clocks())
 
         self.store = self.do(opening())
 
@@ -635,7 +635,7 @@
         with pytest.raises(StoreUnavailableError):
             self.do(self.put(key))
         self.maybe = {**self.model, key: b"unsaid"}
-        self.times.seconds += 60.0
+        self.machine.monotonic_s += 60.0
 
     async def put(self, key: bytes) -> None:
         assert self.store is not None
@@ -712,16 +712,16 @@
 
 def test_each_key_is_read_once_in_the_order_of_the_log() -> None:
     async def main() -> None:
-        disk, options, times = SimulatedDisk(), replace(SMALL, numbered_prefixes=b"a"), Machine()
-        async with opened(disk, options, times) as store:
+        disk, options, machine = SimulatedDisk(), replace(SMALL, numbered_prefixes=b"a"), Machine()
+        async with open_store(disk, options, machine) as store:
             for number in range(300):
                 key = b"ab"[number % 2 : number % 2 + 1] + number.to_bytes(2, "big")
                 await store.put(key, bytes(number * 7))
             await store.put(b"a" + bytes(2), b"again")
             await store.put(b"a" + bytes((0, 2)), b"", 1)
-            times.seconds += 0.001
-        async with opened(disk, options, times) as store:
-            found = [one async for one in store.each(b"a")]
+            machine.monotonic_s += 0.001
+        async with open_store(disk, options, machine) as store:
+            found = [one async for one in store.scan(b"a")]
         numbers = [int.from_bytes(key[1:], "big") for key, _ in found]
         assert numbers == [*range(4, 300, 2), 0] and found[-1][1] == b"again"
         assert all(
@@ -734,12 +734,12 @@
 def test_a_damaged_record_is_told_where_many_are_read() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
-        async with opened(disk) as store:
+        async with open_store(disk) as store:
             for number in range(3):
                 await store.put(b"a%d" % number, b"value")
             segment, offset = unpack_location(store.index.locations[b"a1"])
             disk.write(segment_name(segment), offset + 30, b"?")
             with pytest.raises(StoreError):
-                _ = [one async for one in store.each(b"a")]
+                _ = [one async for one in store.scan(b"a")]
 
     run(main())
