--- a/tests/maintenance.py
+++ b/tests/maintenance.py
@@ -1,5 +1,6 @@
-"""A tier of replicas with maintenance, without sockets: a log in perfect order, and replicas that may be
-behind, cut off, late or dead. Controllers, sources and states are real; engine and discovery are fakes."""
+"""A tier of replicas with maintenance, without sockets. The consensus log is a list with a total order;
+replicas may lag behind it, be cut off, or crash. Controllers, sources and states are real; the engine and
+discovery are fakes."""
 
 from __future__ import annotations
 
@@ -28,22 +29,22 @@
 
 SECOND = 1_000_000
 GRACE_US = 500_000
-COLD_US = 2 * SECOND
-NUMBERS: dict[str, int] = {}
+SLOW_START_US = 2 * SECOND
+ENDPOINT_NUMBERS: dict[str, int] = {}
 
 
-def number_of(id: str) -> int:
-    if id not in NUMBERS:
-        NUMBERS[id] = endpoint_number(id)
-    return NUMBERS[id]
+def endpoint_number_of(machine_id: str) -> int:
+    if machine_id not in ENDPOINT_NUMBERS:
+        ENDPOINT_NUMBERS[machine_id] = endpoint_number(machine_id)
+    return ENDPOINT_NUMBERS[machine_id]
 
 
 def listed_entry(
-    id: str, zone: str = "a", phase: str = "ready", started_ms: int = 1000, **more: Any
+    machine_id: str, zone: str = "a", phase: str = "ready", started_ms: int = 1000, **more: Any
 ) -> dict[str, Any]:
     return {
-        "instanceId": id, "hostPort": f"127.0.0.1:{9000 + number_of(id) % 999}", "zone": zone,
-        "machineType": "small", "cell": 1, "lifecycle": phase, "weight": 1.0,
+        "instanceId": machine_id, "hostPort": f"127.0.0.1:{9000 + endpoint_number_of(machine_id) % 999}",
+        "zone": zone, "machineType": "small", "cell": 1, "lifecycle": phase, "weight": 1.0,
         "startedAtMs": started_ms, **more,
     }  # fmt: skip
 
@@ -55,54 +56,61 @@
 
 
 class FakeEngine:
-    """The engine's list, and what is out at each machine."""
+    """A sink for endpoint lists, with the requests in flight at each machine."""
 
     def __init__(self, clock: ManualClock) -> None:
         self.clock = clock
-        self.ready: dict[str, int] = {}  # with the start that was told
-        self.left: dict[str, int] = {}
-        self.out: Counter[str] = Counter()
-        self.lists = 0
+        self.ready: dict[str, int] = {}  # start time of each ready machine, Unix ms
+        self.drain_started_us: dict[str, int] = {}
+        self.in_flight: Counter[str] = Counter()
+        self.list_count = 0
 
     def now(self) -> int:
         return self.clock.now()
 
     def on_list_failed(self) -> None: ...
 
-    def on_list(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
-        self.lists += 1
-        named = {raw["instanceId"]: raw for raw in entries}
-        if whole:
-            for id in [id for id in self.ready if id not in named]:
-                self._leave(id)
-        for id, raw in named.items():
-            if raw["lifecycle"] == "ready":
-                self.ready[id] = raw["startedAtMs"]
-                self.left.pop(id, None)
-            elif id in self.ready:
-                self._leave(id)
-
-    def apply_list_in_steps(self, whole: bool, entries: list[Any], told_at: int) -> Iterator[None]:
+    def on_list(self, generation: int, is_full: bool, entries: Sequence[Any]) -> None:
+        self.list_count += 1
+        entries_by_id = {entry["instanceId"]: entry for entry in entries}
+        if is_full:
+            for machine_id in [old_id for old_id in self.ready if old_id not in entries_by_id]:
+                self._mark_draining(machine_id)
+        for machine_id, entry in entries_by_id.items():
+            if entry["lifecycle"] == "ready":
+                self.ready[machine_id] = entry["startedAtMs"]
+                self.drain_started_us.pop(machine_id, None)
+            elif machine_id in self.ready:
+                self._mark_draining(machine_id)
+
+    def apply_list_in_steps(self, is_full: bool, entries: list[Any], received_at: int) -> Iterator[None]:
         for _ in entries:
             yield
-        self.on_list(0, whole, entries)
+        self.on_list(0, is_full, entries)
 
-    def _leave(self, id: str) -> None:
-        del self.ready[id]
-        self.left[id] = self.clock.now()
+    def _mark_draining(self, machine_id: str) -> None:
+        del self.ready[machine_id]
+        self.drain_started_us[machine_id] = self.clock.now()
 
-    def may_send(self, id: str) -> bool:
-        return id in self.ready or (id in self.left and self.clock.now() < self.left[id] + GRACE_US)
+    def may_send(self, machine_id: str) -> bool:
+        return machine_id in self.ready or (
+            machine_id in self.drain_started_us
+            and self.clock.now() < self.drain_started_us[machine_id] + GRACE_US
+        )
 
-    def is_out(self, id: str) -> bool:
-        return self.may_send(id) or self.out[id] > 0
+    def may_have_traffic(self, machine_id: str) -> bool:
+        return self.may_send(machine_id) or self.in_flight[machine_id] > 0
 
     def in_flight_at(self, endpoint: int) -> int:
-        return sum(count for id, count in self.out.items() if number_of(id) == endpoint)
+        return sum(
+            count
+            for machine_id, count in self.in_flight.items()
+            if endpoint_number_of(machine_id) == endpoint
+        )
 
 
 class FakeDiscovery:
-    """Discovery, as the source wraps it."""
+    """A source that never passes a list by itself."""
 
     def start(self, sink: MemberSink, generation: int) -> None: ...
     def watch(self, on: bool) -> None: ...
@@ -133,7 +141,7 @@
     log: Callable[[str], None],
     on_serving: Callable[[], None] = lambda: None,
 ) -> MaintenanceParts:
-    """Wired, with its source started; the controller is not."""
+    """Build and connect the parts of one process. The source is started, the controller is not."""
     engine = FakeEngine(clock)
     source = MaintenanceSource(FakeDiscovery(), state, clock, GRACE_US, run_at_once, log)
     source.in_flight_at = engine.in_flight_at
@@ -145,7 +153,7 @@
         clock,
         settings,
         slow_start_share=0.2,
-        slow_start_us=COLD_US,
+        slow_start_us=SLOW_START_US,
         log=log,
         on_serving=on_serving,
     )
@@ -153,23 +161,23 @@
 
 
 class Replica:
-    """One process of the tier, from one start on. It is its controller's consensus."""
+    """One process of the tier. It is also the `ConsensusClient` of its controller."""
 
-    def __init__(self, tier: Tier, me: int, incarnation: int) -> None:
-        self.tier, self.me, self.incarnation = tier, me, incarnation
+    def __init__(self, tier: Tier, index: int, incarnation: int) -> None:
+        self.tier, self.index, self.incarnation = tier, index, incarnation
         self.state = MaintenanceState()
-        self.multiplexer = CompositeStateMachine({SUBSYSTEM_TAG[0]: self.state})
-        self.applied = 0
+        self.state_machines = CompositeStateMachine({SUBSYSTEM_TAG[0]: self.state})
+        self.applied_count = 0
         self.is_caught_up = False
         self.is_cut_off = False
-        self.can_learn = True  # it can ask those who decide
+        self.can_catch_up = True  # whether `run_round` lets it apply the log
         self.is_dead = False
         self.on_leader_message: Callable[[int, int, bytes], None] = lambda peer, incarnation, data: None
         self.on_change: Callable[[], None] = lambda: None
         self.list_version = -1
-        self.logged: list[str] = []
+        self.log_lines: list[str] = []
         self.serving_count = 0
-        parts = assemble(self, self.state, tier.clock, tier.settings, self.logged.append, self._on_serving)
+        parts = assemble(self, self.state, tier.clock, tier.settings, self.log_lines.append, self._on_serving)
         self.engine, self.source = parts.engine, parts.source
         self.controller, self.api = parts.controller, parts.api
         self.controller.start()
@@ -181,11 +189,11 @@
 
     @property
     def replica_id(self) -> int:
-        return self.me
+        return self.index
 
     @property
     def peer_count(self) -> int:
-        return self.tier.count
+        return self.tier.replica_count
 
     @property
     def epoch(self) -> object:
@@ -193,7 +201,7 @@
 
     @property
     def is_leader(self) -> bool:
-        return self.me in self.tier.leaders and not self.is_dead
+        return self.index in self.tier.leaders and not self.is_dead
 
     @property
     def leader_id(self) -> int | None:
@@ -210,109 +218,113 @@
 
     def send_to_leader(self, data: bytes) -> None:
         if not self.is_cut_off:
-            self.tier.messages.append((self.me, self.incarnation, data))
+            self.tier.messages.append((self.index, self.incarnation, data))
 
     def status(self) -> dict[str, Any]:
         return {"role": "leader" if self.is_leader else "follower"}
 
-    # --- What happens to it -------------------------------------------------------------
+    # --- Events of a schedule -----------------------------------------------------------
 
-    def catch_up(self, upto: int | None = None) -> None:
-        """Apply what is agreed."""
+    def catch_up(self, up_to: int | None = None) -> None:
+        """Apply the committed entries up to the index `up_to`, by default all."""
         log = self.tier.log
-        upto = len(log) if upto is None else upto
-        while self.applied < upto:
-            self.applied += 1
-            self.multiplexer.apply(self.applied, log[self.applied - 1])
+        up_to = len(log) if up_to is None else up_to
+        while self.applied_count < up_to:
+            self.applied_count += 1
+            self.state_machines.apply(self.applied_count, log[self.applied_count - 1])
         self.on_change()
 
     def load_snapshot(self) -> None:
-        """Get a snapshot in place of entries."""
-        self.multiplexer.load(self.tier.multiplexer.dump())
-        self.applied = len(self.tier.log)
+        """Load a snapshot in place of entries."""
+        self.state_machines.load(self.tier.state_machines.dump())
+        self.applied_count = len(self.tier.log)
         self.on_change()
 
     def receive_list(self) -> None:
-        """Discovery's list, as it is now."""
+        """Get discovery's present list, unless it has that one already."""
         if self.list_version < self.tier.list_version:
             self.list_version = self.tier.list_version
-            self.source.on_list(self.list_version, True, list(self.tier.list.values()))
+            self.source.on_list(self.list_version, True, list(self.tier.listed.values()))
 
     def crash(self) -> None:
         self.is_dead = True
         self.controller.close()
-        self.tier.leaders.discard(self.me)
+        self.tier.leaders.discard(self.index)
 
 
 class Tier:
-    """All replicas, the record and discovery. `settle` lets everything happen that is due."""
+    """All replicas, the consensus log and discovery's list. `settle` runs rounds in which messages, entries
+    and lists get through.
+    """
 
     def __init__(
         self, count: int, machines: Sequence[dict[str, Any]] = (), settings: MaintenanceSettings | None = None
     ) -> None:
         self.clock = ManualClock()
         self.settings = settings or MaintenanceSettings()
-        self.count = count
+        self.replica_count = count
         self.epoch: object = 1
         self.log: list[bytes] = []
-        self.state = MaintenanceState()  # all that is agreed, applied
-        self.multiplexer = CompositeStateMachine({SUBSYSTEM_TAG[0]: self.state})
+        self.state = MaintenanceState()  # with all committed entries applied
+        self.state_machines = CompositeStateMachine({SUBSYSTEM_TAG[0]: self.state})
         self.messages: list[tuple[int, int, bytes]] = []
-        self.list = {raw["instanceId"]: raw for raw in machines}
+        self.listed = {entry["instanceId"]: entry for entry in machines}
         self.list_version = 0
-        self.incarnations = 100
+        self.last_incarnation = 100
         self.replicas: list[Replica] = []
         self.leaders = {0}
-        for me in range(count):
-            self.replicas.append(self.new_replica(me))
+        for index in range(count):
+            self.replicas.append(self.new_replica(index))
 
-    def new_replica(self, me: int) -> Replica:
-        self.incarnations += 1
-        return Replica(self, me, self.incarnations)
+    def new_replica(self, index: int) -> Replica:
+        self.last_incarnation += 1
+        return Replica(self, index, self.last_incarnation)
 
-    def on_proposal(self, by: Replica, data: bytes) -> None:
+    def on_proposal(self, proposer: Replica, data: bytes) -> None:
         self.append(data)
 
     def append(self, data: bytes) -> None:
         self.log.append(data)
-        self.multiplexer.apply(len(self.log), data)
+        self.state_machines.apply(len(self.log), data)
 
-    def update_list(self, *raws: dict[str, Any]) -> None:
-        for raw in raws:
-            if raw["lifecycle"] == "gone":
-                self.list.pop(raw["instanceId"], None)
+    def update_list(self, *entries: dict[str, Any]) -> None:
+        for entry in entries:
+            if entry["lifecycle"] == "gone":
+                self.listed.pop(entry["instanceId"], None)
             else:
-                self.list[raw["instanceId"]] = raw
+                self.listed[entry["instanceId"]] = entry
         self.list_version += 1
 
     @property
     def live_replicas(self) -> list[Replica]:
-        return [one for one in self.replicas if not one.is_dead]
+        return [replica for replica in self.replicas if not replica.is_dead]
 
-    def restart(self, me: int) -> Replica:
-        """From nothing."""
-        if not self.replicas[me].is_dead:
-            self.replicas[me].crash()
-        self.replicas[me] = self.new_replica(me)
-        return self.replicas[me]
+    def restart(self, index: int) -> Replica:
+        """Replace a replica by a new process with an empty state."""
+        if not self.replicas[index].is_dead:
+            self.replicas[index].crash()
+        self.replicas[index] = self.new_replica(index)
+        return self.replicas[index]
 
     def deliver_messages(self) -> None:
         messages, self.messages = self.messages, []
         for peer, incarnation, data in messages:
             assert decode_message(data) is not None
-            for one in self.live_replicas:
-                if one.is_leader and not one.is_cut_off:
-                    one.on_leader_message(peer, incarnation, data)
+            for replica in self.live_replicas:
+                if replica.is_leader and not replica.is_cut_off:
+                    replica.on_leader_message(peer, incarnation, data)
 
     def run_round(self) -> None:
-        """What is agreed and told gets where it can; every replica that is alive looks."""
-        for one in self.live_replicas:
-            if not one.is_cut_off:
-                one.receive_list()
-            if not one.is_cut_off and one.can_learn:
-                one.catch_up()
-                one.is_caught_up = True
-            one.controller.run_step()
+        """Run one step of each live replica, with lists, committed entries and messages delivered to those
+        that are not cut off.
+        """
+        for replica in self.live_replicas:
+            if not replica.is_cut_off:
+                replica.receive_list()
+            if not replica.is_cut_off and replica.can_catch_up:
+                replica.catch_up()
+                replica.is_caught_up = True
+            replica.controller.run_step()
         self.deliver_messages()
 
     def settle(self, seconds: float = 3.0) -> None:
@@ -321,35 +333,35 @@
             self.clock.advance(SECOND // 10)
         self.run_round()
 
-    # --- What is asked ----------------------------------------------------------------
+    # --- Queries ----------------------------------------------------------------------
 
-    def state_of(self, id: str) -> str:
-        machine = self.state.machines.get(id)
+    def state_of(self, machine_id: str) -> str:
+        machine = self.state.machines.get(machine_id)
         return "" if machine is None else machine.state.value
 
     def states(self) -> dict[str, str]:
-        return {id: one.state.value for id, one in self.state.machines.items()}
+        return {machine_id: machine.state.value for machine_id, machine in self.state.machines.items()}
 
 
-LISTED = [listed_entry(f"m{n}", "ab"[n % 2]) for n in range(6)]
+LISTED_MACHINES = [listed_entry(f"m{n}", "ab"[n % 2]) for n in range(6)]
 
 
-def started_tier(count: int = 3, machines: Any = LISTED, **settings: Any) -> Tier:
-    one = Tier(count, machines, MaintenanceSettings(**settings))
-    one.settle(2)
-    return one
+def started_tier(count: int = 3, machines: Any = LISTED_MACHINES, **settings: Any) -> Tier:
+    tier = Tier(count, machines, MaintenanceSettings(**settings))
+    tier.settle(2)
+    return tier
 
 
 def tier_with_request(**selection: Any) -> Tier:
-    """A started tier, to whose first replica a request was submitted; what can come of it has come."""
-    one = started_tier()
-    one.replicas[0].api.submit_request(request_for(**selection))
-    one.settle()
-    return one
-
-
-def drained_machines(one: Tier, count: int = 1) -> list[str]:
-    """The machines that are clear."""
-    found = [id for id, state in one.states().items() if state == "clear"]
-    assert len(found) == count, one.states()
-    return found
+    """A started tier that has settled after a request was submitted at its first replica."""
+    tier = started_tier()
+    tier.replicas[0].api.submit_request(request_for(**selection))
+    tier.settle()
+    return tier
+
+
+def drained_machines(tier: Tier, count: int = 1) -> list[str]:
+    """The ids of the drained machines, after a check of their number."""
+    machine_ids = [machine_id for machine_id, state in tier.states().items() if state == "clear"]
+    assert len(machine_ids) == count, tier.states()
+    return machine_ids
--- a/tests/maintenance_checker.py
+++ b/tests/maintenance_checker.py
@@ -52,8 +52,8 @@
 
     # --- The record -------------------------------------------------------------------
 
-    def on_proposal(self, by: Replica, data: bytes) -> None:
-        self.pending.append(Proposal(by, data, self.sending.get(by.incarnation, {})))
+    def on_proposal(self, proposer: Replica, data: bytes) -> None:
+        self.pending.append(Proposal(proposer, data, self.sending.get(proposer.incarnation, {})))
 
     def agree(self, proposal: Proposal) -> None:
         before = {id: (one.state, one.drain_index) for id, one in self.state.machines.items()}
@@ -73,7 +73,7 @@
                     if (
                         not replica.is_dead
                         and replica.incarnation == incarnation
-                        and replica.engine.is_out(entry.machine_id)
+                        and replica.engine.may_have_traffic(entry.machine_id)
                     ):
                         self.broken("clear while one had said that it sends")
 
@@ -107,8 +107,8 @@
             self.broken("the last ready machine was taken")
 
     def truth(self, id: str) -> tuple[str, int]:
-        if id in self.list:
-            self.truths[id] = self.list[id]["zone"], self.list[id]["cell"]
+        if id in self.listed:
+            self.truths[id] = self.listed[id]["zone"], self.listed[id]["cell"]
         return self.truths.setdefault(id, ("a", 1))
 
     # --- The rules --------------------------------------------------------------------
@@ -123,7 +123,7 @@
                 went_alone = replica.controller.serves_without_state and (
                     cordon is None or not cordon.is_drained
                 )
-                if engine.is_out(id) and not went_alone:
+                if engine.may_have_traffic(id) and not went_alone:
                     self.broken("clear while somebody may send")
             if not source.is_forwarding and engine.ready:
                 self.broken("sends before it may")
--- a/tests/maintenance_mutants.py
+++ b/tests/maintenance_mutants.py
@@ -174,7 +174,7 @@
     told: set[bytes] = set()
 
     def once(self: Replica, data: bytes) -> None:
-        key = data + repr((id(self.tier), self.me, self.incarnation)).encode()
+        key = data + repr((id(self.tier), self.index, self.incarnation)).encode()
         if key not in told:
             told.add(key)
             message(self, data)
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -59,12 +59,12 @@
 
     def delivers(self) -> None:
         replica = self.one()
-        if replica is None or replica.is_cut_off or replica.applied >= len(self.log):
+        if replica is None or replica.is_cut_off or replica.applied_count >= len(self.log):
             return
         if self.draw.random() < 0.1:
             replica.load_snapshot()
         else:
-            replica.catch_up(self.draw.randint(replica.applied + 1, len(self.log)))
+            replica.catch_up(self.draw.randint(replica.applied_count + 1, len(self.log)))
 
     def learns(self) -> None:
         replica = self.one()
@@ -123,7 +123,7 @@
             return
         if self.draw.random() < 0.6:
             self.leaders.clear()
-        self.leaders.add(replica.me)
+        self.leaders.add(replica.index)
 
     def cuts(self) -> None:
         replica = self.one()
@@ -141,13 +141,13 @@
                 replica.crash()
 
     def comes(self) -> None:
-        dead = [replica.me for replica in self.replicas if replica.is_dead]
+        dead = [replica.index for replica in self.replicas if replica.is_dead]
         if dead:
             self.restart(self.draw.choice(dead))
 
     def discovers(self) -> None:
         id = self.draw.choice([f"m{n}" for n in range(7)])
-        old = self.list.get(id)
+        old = self.listed.get(id)
         if old is None:
             if id not in self.truths:
                 self.truths[id] = self.draw.choice("ab"), self.draw.randint(1, 2)
@@ -163,17 +163,19 @@
         replica = self.one()
         if replica is not None:
             can = sorted(
-                id for id in {*replica.engine.ready, *replica.engine.left} if replica.engine.may_send(id)
+                id
+                for id in {*replica.engine.ready, *replica.engine.drain_started_us}
+                if replica.engine.may_send(id)
             )
             if can:
-                replica.engine.out[self.draw.choice(can)] += 1
+                replica.engine.in_flight[self.draw.choice(can)] += 1
 
     def ends(self) -> None:
         replica = self.one()
         if replica is not None:
-            for id in [id for id, count in replica.engine.out.items() if count]:
+            for id in [id for id, count in replica.engine.in_flight.items() if count]:
                 if self.draw.random() < 0.7:
-                    replica.engine.out[id] = 0
+                    replica.engine.in_flight[id] = 0
 
     def submits_request(self) -> None:
         replica = self.one()
@@ -214,7 +216,7 @@
     def declares(self) -> None:
         """Somebody who has looked says that a process is no more."""
         replica = self.one()
-        dead = [one.me for one in self.replicas if one.is_dead]
+        dead = [one.index for one in self.replicas if one.is_dead]
         if replica is not None and dead:
             peer = self.draw.choice(dead)
             # He means the process that he saw dead, of which this replica must have heard.
@@ -227,9 +229,9 @@
         for _ in range(rounds or self.draw.randint(1, 4)):
             for replica in self.live_replicas:
                 if not replica.is_cut_off:
-                    if replica.me not in self.deaf:
+                    if replica.index not in self.deaf:
                         replica.receive_list()
-                    if replica.is_caught_up or replica.me not in self.slow:
+                    if replica.is_caught_up or replica.index not in self.slow:
                         replica.catch_up()
                         replica.is_caught_up = True
                 before = set(replica.engine.ready)
@@ -262,9 +264,9 @@
         last = self.replicas[-1]
         self.goes_well(3)
         last.crash()
-        self.submit(lambda: self.replicas[0].api.declare_absent(last.me))
+        self.submit(lambda: self.replicas[0].api.declare_absent(last.index))
         aside = self.goes_well(2, is_ask)
-        self.restart(last.me)
+        self.restart(last.index)
         self.goes_well(4)
         for proposal in aside:
             self.agree(proposal)
@@ -279,8 +281,8 @@
         self.submit(lambda: first.api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
         self.goes_well(5, is_step)
         last.crash()
-        self.slow.add(last.me)
-        last = self.restart(last.me)
+        self.slow.add(last.index)
+        last = self.restart(last.index)
         for _ in range(30):
             self.goes_well(1, is_step)
             if last.controller.serves_without_state:
@@ -293,10 +295,10 @@
         first, last = self.replicas[0], self.replicas[-1]
         self.goes_well(3)
         last.crash()
-        self.submit(lambda: first.api.declare_absent(last.me))
+        self.submit(lambda: first.api.declare_absent(last.index))
         self.goes_well(3)
-        self.slow.add(last.me)
-        last = self.restart(last.me)
+        self.slow.add(last.index)
+        last = self.restart(last.index)
         for _ in range(30):
             self.goes_well(1)
             if last.controller.serves_without_state:
@@ -306,12 +308,12 @@
         self.goes_well(8)
 
     def one_has_an_old_list(self) -> None:
-        ids = sorted(self.list)
+        ids = sorted(self.listed)
         last = self.replicas[-1]
-        self.update_list(*({**self.list[id], "lifecycle": "draining"} for id in ids[1:]))
+        self.update_list(*({**self.listed[id], "lifecycle": "draining"} for id in ids[1:]))
         self.goes_well(3)
-        self.deaf.add(last.me)
-        self.update_list(*({**self.list[id], "lifecycle": "ready"} for id in ids))
+        self.deaf.add(last.index)
+        self.update_list(*({**self.listed[id], "lifecycle": "ready"} for id in ids))
         self.submit(lambda: self.replicas[0].api.submit_request(request_for("w0", 2, machine_ids=(ids[0],))))
         self.goes_well(5)
 
@@ -339,13 +341,13 @@
             replica.is_cut_off = False
             self.heals()
             if replica.is_dead:
-                self.restart(replica.me)
+                self.restart(replica.index)
         self.leaders = {0}
         for n in range(7):
             zone, cell = self.truth(f"m{n}")
             self.update_list(listed_entry(f"m{n}", zone, cell=cell, started_ms=self.clock.wall() // 1000))
         for replica in self.live_replicas:
-            replica.engine.out.clear()
+            replica.engine.in_flight.clear()
         for _ in range(400):
             self.run_round()
             for proposal in self.pending:
--- a/tests/test_maintenance_daemon.py
+++ b/tests/test_maintenance_daemon.py
@@ -1,5 +1,5 @@
-"""Maintenance in real processes: a start that waits, one that does not, and a version that follows another
-while a machine is out. A tier of several processes under faults is the rig's."""
+"""Maintenance in daemon processes: starts with and without waiting for the replicated state, and a hot
+restart while a machine is out of service. `test_maintenance_processes` has tiers of several processes."""
 
 from __future__ import annotations
 
@@ -21,29 +21,29 @@
 OPERATOR = "[accord]\nheartbeat_ms = 20\nelection_ms = 60\n[upkeep]\n"
 
 
-def site(folder: Path, *endpoints: Endpoint, copies: int = 1, more: str = "") -> Site:
-    """Copy 0 of a tier; the others are only named."""
+def make_site(folder: Path, *endpoints: Endpoint, copies: int = 1, extra: str = "") -> Site:
+    """The site of copy 0 of a tier; the other copies are configured but do not run."""
     operator = folder / "operator.toml"
-    operator.write_text(OPERATOR + more)
+    operator.write_text(OPERATOR + extra)
     peers = [f"127.0.0.1:{free_port()}" for _ in range(copies)]
-    one = Site(folder, *endpoints, peers=peers, peer_listen=peers[0])
-    one.changes["known"] = {"generation": 1, "reset": True, "instances": []}
-    return one
+    site = Site(folder, *endpoints, peers=peers, peer_listen=peers[0])
+    site.changes["known"] = {"generation": 1, "reset": True, "instances": []}
+    return site
 
 
-async def start(one: Site) -> Version:
-    """With the list of the endpoints as they are by now."""
-    path = Path(one.environ["LB_CONFIG"])
-    raw = json.loads(path.read_text())
-    entries = [endpoint.entry(f"s-{n}") for n, endpoint in enumerate(one.endpoints)]
-    raw["known"] = whole_list(*entries)
-    path.write_text(json.dumps(raw))
-    return await one.start(LB_OPERATOR=str(one.folder / "operator.toml"))
+async def start_version(site: Site) -> Version:
+    """Start a version that is configured with the endpoints' present addresses."""
+    path = Path(site.environ["LB_CONFIG"])
+    config = json.loads(path.read_text())
+    entries = [endpoint.entry(f"s-{n}") for n, endpoint in enumerate(site.endpoints)]
+    config["known"] = whole_list(*entries)
+    path.write_text(json.dumps(config))
+    return await site.start(LB_OPERATOR=str(site.folder / "operator.toml"))
 
 
-async def told(version: Version, words: str = "GET /api/upkeep") -> tuple[int, Any]:
+async def call(version: Version, request_line: str = "GET /api/upkeep") -> tuple[int, Any]:
     reader, writer = await asyncio.open_connection("127.0.0.1", version.management)
-    writer.write(f"{words} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+    writer.write(f"{request_line} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
     try:
         message = await read_message(reader)
     finally:
@@ -51,115 +51,120 @@
     return message.status, json.loads(message.body)
 
 
-async def until(version: Version, **expected: str) -> None:
-    """Until the machines are in these states; `s_0` is the machine s-0."""
-    wanted = {id.replace("_", "-"): state for id, state in expected.items()}
+async def wait_for_states(version: Version, **expected: str) -> None:
+    """Wait until the machines are in these states; `s_0` is the machine s-0."""
+    expected_states = {machine_id.replace("_", "-"): state for machine_id, state in expected.items()}
     while True:
-        _, found = await told(version)
-        if {one["id"]: one["state"] for one in found["machines"]} == wanted:
+        _, status = await call(version)
+        if {machine["id"]: machine["state"] for machine in status["machines"]} == expected_states:
             return
         await asyncio.sleep(0)
 
 
-async def answers(version: Version) -> None:
-    """Until its second address does."""
+async def wait_until_answering(version: Version) -> None:
+    """Wait until the management address answers."""
     while True:
         try:
-            await told(version)
+            await call(version)
             return
         except (OSError, asyncio.IncompleteReadError):
             assert version.process.returncode is None
             await asyncio.sleep(0)
 
 
-def test_a_machine_that_is_out_stays_out_in_the_version_that_follows(tmp_path: Path) -> None:
+def test_a_machine_stays_out_of_service_across_a_hot_restart(tmp_path: Path) -> None:
     async def main() -> None:
         first, second = Endpoint(), Endpoint()
-        async with site(tmp_path, first, second) as one:
-            old = await start(one)
-            await old.until_ready()
-            assert (await told(old, "POST /api/upkeep/wish?name=disk&id=nobody"))[0] == 400
-            assert (await told(old, "POST /api/upkeep/wish?name=disk&id=s-0"))[0] == 202
-            await until(old, s_0="clear")
-            assert (await told(old, "POST /api/upkeep/begin?machine=s-0"))[0] == 202
-            await until(old, s_0="at work")
-            new = await start(one)
-            await new.until_ready()
-            await old.stop()
-            before = first.count
+        async with make_site(tmp_path, first, second) as site:
+            predecessor = await start_version(site)
+            await predecessor.until_ready()
+            assert (await call(predecessor, "POST /api/upkeep/wish?name=disk&id=nobody"))[0] == 400
+            assert (await call(predecessor, "POST /api/upkeep/wish?name=disk&id=s-0"))[0] == 202
+            await wait_for_states(predecessor, s_0="clear")
+            assert (await call(predecessor, "POST /api/upkeep/begin?machine=s-0"))[0] == 202
+            await wait_for_states(predecessor, s_0="at work")
+            successor = await start_version(site)
+            await successor.until_ready()
+            await predecessor.stop()
+            count_before = first.count
             for n in range(20):
-                assert (await one.ask(request(rid=f"r{n}"))).status == 200
-            assert first.count == before and second.count >= 20
-            await until(new, s_0="at work")
-            assert (await told(new, "POST /api/upkeep/done?machine=s-0"))[0] == 202
-            while first.count == before:
-                assert (await one.ask(request())).status == 200
-            errors = await new.stop()
-            assert errors == b"", errors
+                assert (await site.ask(request(rid=f"r{n}"))).status == 200
+            assert first.count == count_before and second.count >= 20
+            await wait_for_states(successor, s_0="at work")
+            assert (await call(successor, "POST /api/upkeep/done?machine=s-0"))[0] == 202
+            while first.count == count_before:
+                assert (await site.ask(request())).status == 200
+            log_output = await successor.stop()
+            assert log_output == b"", log_output
 
     run(main())
 
 
-def test_a_start_waits_until_the_record_is_known_and_may_be_stopped(tmp_path: Path) -> None:
+def test_a_start_without_the_state_waits_and_can_be_stopped(tmp_path: Path) -> None:
     async def main() -> None:
-        async with site(tmp_path, Endpoint(), copies=3) as one, asyncio.timeout(TEST_TIMEOUT_S):
-            version = await start(one)
-            await answers(version)
-            status, found = await told(version)
-            assert status == 200 and not found["known"] and not found["in_touch"]
+        async with make_site(tmp_path, Endpoint(), copies=3) as site, asyncio.timeout(TEST_TIMEOUT_S):
+            version = await start_version(site)
+            await wait_until_answering(version)
+            status, body = await call(version)
+            assert status == 200 and not body["known"] and not body["in_touch"]
             assert await version.call("GET /api/ready") == 503
-            assert (await told(version, "POST /api/upkeep/withdraw?name=disk"))[0] == 400
-            assert (await told(version, "POST /api/upkeep/wish?name=disk&id=s-0"))[0] in (400, 503)
+            assert (await call(version, "POST /api/upkeep/withdraw?name=disk"))[0] == 400
+            assert (await call(version, "POST /api/upkeep/wish?name=disk&id=s-0"))[0] in (400, 503)
             with pytest.raises(ConnectionError):
-                await asyncio.open_connection("127.0.0.1", one.port)
+                await asyncio.open_connection("127.0.0.1", site.port)
             assert await version.stop() == b""
 
     run(main())
 
 
-@pytest.mark.parametrize("lives", [True, False])
-def test_a_version_that_waits_for_the_record_is_given_up_by_the_one_before(
-    tmp_path: Path, lives: bool
+@pytest.mark.parametrize("keeps_serving", [True, False])
+def test_a_waiting_successor_ends_only_if_its_predecessor_rejects_it(
+    tmp_path: Path, keeps_serving: bool
 ) -> None:
-    """If that one serves on, this one ends with one line; if it has ended, this one waits on."""
+    """If the predecessor rejects the successor and goes on serving, the successor ends with one log line; if
+    the predecessor ends, the successor keeps waiting for the state.
+    """
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        async with site(tmp_path, Endpoint(), copies=3) as one, asyncio.timeout(TEST_TIMEOUT_S):
-            rendezvous = RendezvousPoint(("127.0.0.1", one.port), str(tmp_path))
+        async with make_site(tmp_path, Endpoint(), copies=3) as site, asyncio.timeout(TEST_TIMEOUT_S):
+            rendezvous = RendezvousPoint(("127.0.0.1", site.port), str(tmp_path))
             rendezvous.register()
-            with socket.create_server(("127.0.0.1", one.port)) as listener:
-                before = HotRestartServer(
-                    loop, rendezvous, listener, lambda give: give({}), lambda: None, print
+            with socket.create_server(("127.0.0.1", site.port)) as listener:
+                predecessor = HotRestartServer(
+                    loop, rendezvous, listener, lambda on_collected: on_collected({}), lambda: None, print
                 )
-                version = await start(one)
-                await answers(version)
-                if lives:
-                    for connection in list(before.connections):
+                version = await start_version(site)
+                await wait_until_answering(version)
+                if keeps_serving:
+                    for connection in list(predecessor.connections):
                         connection.reject()
-                    _, errors = await version.process.communicate()
-                    assert version.process.returncode == 2 and errors.count(b"\n") == 1
-                    assert b"the version before serves on" in errors
-                before.close()
-            if not lives:
+                    _, log_output = await version.process.communicate()
+                    assert version.process.returncode == 2 and log_output.count(b"\n") == 1
+                    assert b"the version before serves on" in log_output
+                predecessor.close()
+            if not keeps_serving:
                 assert await version.call("GET /api/ready") == 503
                 assert await version.stop() == b""
 
     run(main())
 
 
-def test_a_start_may_go_on_without_the_record(tmp_path: Path) -> None:
+def test_a_start_with_start_alone_serves_without_the_state(tmp_path: Path) -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        more = 'start_alone = "serve"\nlearn_ms = 50\n'
-        async with site(tmp_path, endpoint, copies=3, more=more) as one, asyncio.timeout(TEST_TIMEOUT_S):
-            version = await start(one)
+        extra = 'start_alone = "serve"\nlearn_ms = 50\n'
+        async with (
+            make_site(tmp_path, endpoint, copies=3, extra=extra) as site,
+            asyncio.timeout(TEST_TIMEOUT_S),
+        ):
+            version = await start_version(site)
             await version.until_ready()
-            assert (await one.ask(request())).status == 200
-            assert (await told(version))[1]["serving_alone"]
+            assert (await site.ask(request())).status == 200
+            assert (await call(version))[1]["serving_alone"]
             version.process.send_signal(signal.SIGTERM)
-            _, errors = await version.process.communicate()
-            assert version.process.returncode == 0 and errors.count(b"\n") == 1
-            assert b"a machine reported as clear may still get requests" in errors
+            _, log_output = await version.process.communicate()
+            assert version.process.returncode == 0 and log_output.count(b"\n") == 1
+            assert b"a machine reported as clear may still get requests" in log_output
 
     run(main())
--- a/tests/test_maintenance_encoding.py
+++ b/tests/test_maintenance_encoding.py
@@ -1,5 +1,5 @@
-"""Encoded forms that other versions and tools read: log entries, messages, snapshots, HTTP answers,
-and the endpoint list that a hot restart hands over.
+"""The encodings that other versions and tools read: log entries, messages, snapshots, HTTP answers, and the
+endpoint list that a hot restart passes to the successor.
 
 The bytes were recorded with the code of 9af0195; they must not change."""
 
@@ -65,7 +65,7 @@
 }
 MESSAGE_BYTES = {"confirm": "759206cd012c", "unknown": "759206ff"}
 
-# One with an open request, one that is over, a machine in each of two states, verdicts and an absent replica.
+# Of a state with an open and a closed request, two machines in different states, verdicts and an absent peer.
 SNAPSHOT = (
     "98131391950497a66b65726e656c9309a474696572cb000000000000000093a26d31a26d32a26d33c0c0c000c291cfc2"
     "031297350190909192a26d32a87265706c61636564929aa26d3104a7617420776f726b050ba16104cb3ff80000000000"
@@ -85,7 +85,7 @@
     '{"verb":"withdraw","what":"kernel","state":"agreed"},{"verb":"wish","what":"last","state":"wishe'
     'd"}],"accord":{"role":"leader"}}\n'
 )
-NEXT_LIST = (
+SUCCESSOR_LIST = (
     '{"generation":41,"reset":true,"instances":[{"instanceId": "m0", "hostPort": "127.0.0.1:9656", "z'
     'one": "a", "machineType": "small", "cell": 1, "lifecycle": "ready", "weight": 1.0, "startedAtMs"'
     ': 1000},{"instanceId": "m1", "hostPort": "127.0.0.1:9215", "zone": "b", "machineType": "small", '
@@ -98,7 +98,7 @@
     '7.0.0.1:9094", "zone": "b", "machineType": "small", "cell": 1, "lifecycle": "ready", "weight": 1'
     '.0, "startedAtMs": 1000}]}'
 )
-ERRORS = (
+ANSWERS = (
     '[["/wish", 400, "WishError", ["error", "what", "cause", "remedy"]], ["/wish?name=w&zone=a&out=0"'
     ', 400, "LimitError", ["error", "what", "cause", "remedy"]], ["/wish?name=w&id=nobody", 400, "Unk'
     'nownMachineError", ["error", "what", "cause", "remedy"]], ["/withdraw?name=w", 400, "UnknownWish'
@@ -194,15 +194,15 @@
     }
 
 
-def played() -> Tier:
-    """A tier with one machine at work, one that leaves, and a request whose turn has not come."""
+def tier_with_history() -> Tier:
+    """A tier with a machine at work, a draining one, and a request that was only submitted."""
     tier = Tier(3, [listed_entry(f"m{n}", "ab"[n % 2]) for n in range(6)])
     tier.settle(2)
     tier.replicas[0].api.submit_request(request_for("disk", 2, zone="a"))
     tier.settle()
     tier.replicas[0].api.report_work(CommandVerb.BEGIN_WORK, "m0")
     tier.settle(1)
-    tier.replicas[1].engine.out["m4"] = 1
+    tier.replicas[1].engine.in_flight["m4"] = 1
     tier.replicas[0].api.report_work(CommandVerb.FINISH_WORK, "m2")
     tier.settle(6)
     tier.replicas[0].api.submit_request(request_for("kernel", 1, zone="b"))
@@ -214,17 +214,17 @@
     return tier
 
 
-def test_the_status_has_the_recorded_form() -> None:
-    reply = handle_call(b"GET", b"/api/upkeep", played().replicas[0].api)
+def test_the_status_has_the_recorded_bytes() -> None:
+    reply = handle_call(b"GET", b"/api/upkeep", tier_with_history().replicas[0].api)
     assert reply is not None and reply.status == 200 and reply.kind == b"application/json"
     assert reply.body.decode() == STATUS
 
 
-def test_the_list_for_the_next_process_has_the_recorded_form() -> None:
-    taken: list[bytes] = []
-    for _ in played().replicas[0].source.dump_in_steps(41, taken):
+def test_the_list_for_a_successor_has_the_recorded_bytes() -> None:
+    output: list[bytes] = []
+    for _ in tier_with_history().replicas[0].source.dump_in_steps(41, output):
         pass
-    assert taken[0].decode() == NEXT_LIST
+    assert output[0].decode() == SUCCESSOR_LIST
 
 
 TARGETS = (
@@ -243,14 +243,16 @@
 
 
 def test_the_answers_to_calls_have_the_recorded_form() -> None:
-    tier = played()
-    found = []
+    tier = tier_with_history()
+    answers = []
     for target in TARGETS:
         reply = handle_call(b"POST", b"/api/upkeep" + target, tier.replicas[0].api)
         assert reply is not None
-        told = json.loads(reply.body)
-        found.append([target.decode()[:40], reply.status, told.get("error", told.get("state")), list(told)])
-    assert found == json.loads(ERRORS)
+        answer = json.loads(reply.body)
+        answers.append(
+            [target.decode()[:40], reply.status, answer.get("error", answer.get("state")), list(answer)]
+        )
+    assert answers == json.loads(ANSWERS)
 
 
 def test_paths_and_error_names_are_the_recorded_ones() -> None:
--- a/tests/test_maintenance_faults.py
+++ b/tests/test_maintenance_faults.py
@@ -12,9 +12,9 @@
 from laurelstep.maintenance.records import DroppedMachine
 
 from tests.maintenance import (
-    COLD_US,
-    LISTED,
+    LISTED_MACHINES,
     SECOND,
+    SLOW_START_US,
     Tier,
     drained_machines,
     listed_entry,
@@ -45,7 +45,7 @@
 def test_a_request_withdrawn_while_half_have_confirmed() -> None:
     one = started_tier(4)
     for replica in one.replicas[2:]:
-        replica.engine.out["m0"] = 1
+        replica.engine.in_flight["m0"] = 1
     one.replicas[0].api.submit_request(request_for(zone="a"))
     one.settle()
     missing = one.replicas[0].controller.acknowledgements.missing_peers(
@@ -69,7 +69,7 @@
     assert one.states() == {"m0": "at work"} and "m2" in one.replicas[1].engine.ready
     assert one.replicas[0].api.status()["wishes"][0]["state"] == "withdrawn"
     one.replicas[0].api.report_work(CommandVerb.FINISH_WORK, "m0")
-    one.settle(COLD_US / SECOND + 2)
+    one.settle(SLOW_START_US / SECOND + 2)
     assert not one.state.open_requests and one.replicas[0].api.status()["past"][0]["withdrawn"]
 
 
@@ -79,7 +79,7 @@
 )
 def test_discovery_takes_the_machine_that_leaves(phase: str, started_ms: int, why: str) -> None:
     one = started_tier()
-    one.replicas[1].engine.out["m0"] = 1
+    one.replicas[1].engine.in_flight["m0"] = 1
     one.replicas[0].api.submit_request(request_for(zone="a"))
     one.settle(1)
     assert one.state_of("m0") == "leaving"
@@ -120,7 +120,7 @@
     one.settle()
     (id,) = drained_machines(one)
     first = min(one.state.open_requests.values(), key=lambda request: request.number)
-    assert first.request.zone == one.list[id]["zone"], "the order of the record"
+    assert first.request.zone == one.listed[id]["zone"], "the order of the record"
     told = one.replicas[0].api.status()["wishes"]
     assert all("out 1 per tier: 1 out in the tier" in request["kept_by"] for request in told)
     assert not any(request["never"] for request in told)
@@ -129,8 +129,8 @@
         (id,) = drained_machines(one)
         done.append(id)
         one.replicas[0].api.report_work(CommandVerb.FINISH_WORK, id)
-        one.settle(COLD_US / SECOND + 3)
-    zones = [one.list[id]["zone"] for id in done]
+        one.settle(SLOW_START_US / SECOND + 3)
+    zones = [one.listed[id]["zone"] for id in done]
     assert sorted(zones, key=zones.index) == zones and not one.state.open_requests
 
 
@@ -147,7 +147,7 @@
     one.settle(2)
     (id,) = drained_machines(one)
     one.replicas[0].api.report_work(CommandVerb.FINISH_WORK, id)
-    one.settle(COLD_US / SECOND + 2)
+    one.settle(SLOW_START_US / SECOND + 2)
     told = {request["name"]: request for request in one.replicas[0].api.status()["wishes"]}
     assert told["strict"]["never"] and "share 0.8" in told["strict"]["kept_by"]
     assert told["wide"]["never"] and "(wish strict)" in told["wide"]["kept_by"]
@@ -188,7 +188,7 @@
         for id, state in one.states().items():
             if state in ("clear", "at work", "overdue"):
                 one.live_replicas[0].api.report_work(CommandVerb.FINISH_WORK, id)
-        one.settle(COLD_US / SECOND + 1)
+        one.settle(SLOW_START_US / SECOND + 1)
         if not one.state.open_requests:
             return
     raise AssertionError(one.states())
@@ -196,10 +196,10 @@
 
 def test_lists_of_different_age_at_the_replicas() -> None:
     """One does not know the machine, one has it draining, one would be left with none."""
-    one = Tier(4, LISTED)
-    one.replicas[1].source.on_list(1, True, LISTED[1:])
-    one.replicas[2].source.on_list(1, True, [listed_entry("m0", "a", "draining"), *LISTED[1:]])
-    one.replicas[3].source.on_list(1, True, [LISTED[0]])
+    one = Tier(4, LISTED_MACHINES)
+    one.replicas[1].source.on_list(1, True, LISTED_MACHINES[1:])
+    one.replicas[2].source.on_list(1, True, [listed_entry("m0", "a", "draining"), *LISTED_MACHINES[1:]])
+    one.replicas[3].source.on_list(1, True, [LISTED_MACHINES[0]])
     for replica in one.replicas[1:]:
         replica.list_version = 10**6
     one.settle(2)
@@ -232,7 +232,7 @@
 
 def test_a_new_leader_with_an_older_list_drops_nothing_at_once() -> None:
     one = started_tier()
-    one.replicas[1].engine.out["m0"] = 1
+    one.replicas[1].engine.in_flight["m0"] = 1
     one.replicas[0].api.submit_request(request_for(zone="a"))
     one.settle(1)
     one.update_list(listed_entry("m0", phase="gone"))
@@ -247,7 +247,7 @@
 def test_a_status_looks_once_at_what_is_out_at_each_machine() -> None:
     one = started_tier(1, [listed_entry(f"m{n}") for n in range(40)])
     replica = one.replicas[0]
-    replica.engine.out.update(f"m{n}" for n in range(40))
+    replica.engine.in_flight.update(f"m{n}" for n in range(40))
     replica.api.submit_request(request_for(out=30, kind="small", zone="a"))
     one.settle(6.0)
     assert len(one.state.machines) == 30
@@ -282,14 +282,14 @@
     one.replicas[0].api.report_work(CommandVerb.BEGIN_WORK, "m0")
     one.settle(12)
     assert one.states() == {"m0": "overdue"}, "the next does not go: one is out"
-    assert one.replicas[0].logged == ["maintenance: m0: overdue"]
+    assert one.replicas[0].log_lines == ["maintenance: m0: overdue"]
     one.replicas[0].api.withdraw_request("one")
     one.settle(1)
     one.replicas[0].api.submit_request(request_for("two", 2, machine_ids=("m2", "m4")))
     one.settle(2)
     assert one.states() == {"m0": "overdue", "m2": "clear"}, "with room for two the next goes"
     one.replicas[0].api.report_work(CommandVerb.FINISH_WORK, "m0")
-    one.settle(COLD_US / SECOND + 2)
+    one.settle(SLOW_START_US / SECOND + 2)
     assert "m0" not in one.states()
 
 
@@ -304,7 +304,7 @@
     """With a lasting record it goes on; without, nothing is out and nothing was clear."""
     for lasting in (True, False):
         one = started_tier()
-        one.replicas[1].engine.out["m0"] = 1
+        one.replicas[1].engine.in_flight["m0"] = 1
         one.replicas[0].api.submit_request(request_for(zone="a"))
         one.settle(1)
         assert one.state_of("m0") == "leaving"
@@ -312,7 +312,7 @@
             replica.crash()
         if not lasting:
             one.log.clear()
-            one.multiplexer.load(b"")
+            one.state_machines.load(b"")
             one.epoch = 2
         for me in range(3):
             one.restart(me)
@@ -327,14 +327,14 @@
     one = tier_with_request(zone="a")
     last = one.replicas[2]
     one.log.clear()
-    one.multiplexer.load(b"")
-    one.epoch, last.applied = 2, 0
+    one.state_machines.load(b"")
+    one.epoch, last.applied_count = 2, 0
     for me in range(2):
         one.restart(me)
     one.leaders = {0}
     last.state.load(b"")
     one.settle()
-    assert last.logged == ["maintenance: the cluster was bootstrapped again and lost the drains of m0"]
+    assert last.log_lines == ["maintenance: the cluster was bootstrapped again and lost the drains of m0"]
     assert "m0" in last.engine.ready
 
 
@@ -348,7 +348,7 @@
 
 def test_a_machine_that_leaves_is_spared_when_all_others_go() -> None:
     one = started_tier(machines=[listed_entry("m0"), listed_entry("m1")])
-    one.replicas[1].engine.out["m0"] = 1
+    one.replicas[1].engine.in_flight["m0"] = 1
     one.replicas[0].api.submit_request(request_for(zone="a"))
     one.settle(1)
     assert one.state_of("m0") == "leaving"
--- a/tests/test_maintenance_requests.py
+++ b/tests/test_maintenance_requests.py
@@ -1,4 +1,4 @@
-"""Requests from a call's parameters, their errors, and that each fits one log entry."""
+"""Parsing of requests from query parameters, their errors, and the size of their log entries."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "error"),
+    ("parameters", "error_type"),
     [
         ({}, InvalidRequestError),
         ({"name": ["w"]}, InvalidRequestError),
@@ -46,19 +46,19 @@
         ({"name": ["w"], "address": ["127.0.0.1:1"]}, UnknownMachineError),
     ],
 )
-def test_a_bad_request_has_an_error_of_its_own(
-    told: dict[str, list[str]], error: type[MaintenanceError]
+def test_an_invalid_request_raises_its_type_of_error(
+    parameters: dict[str, list[str]], error_type: type[MaintenanceError]
 ) -> None:
-    with pytest.raises(error):
-        parse_request(told, {})
+    with pytest.raises(error_type):
+        parse_request(parameters, {})
 
 
-def test_a_request_is_read() -> None:
-    told = {
+def test_a_request_is_parsed_from_query_parameters() -> None:
+    parameters = {
         "name": ["disk"], "id": ["m2", "m1", "m2"], "address": ["h:1"], "zone": ["a"], "cell": ["4"],
         "kind": ["small"], "out": ["2"], "per": ["zone"], "share": ["0.7"], "overdue_s": ["60"],
     }  # fmt: skip
-    request = parse_request(told, {"h:1": "m9"})
+    request = parse_request(parameters, {"h:1": "m9"})
     assert request == request_for(
         "disk", 2, "zone", 0.7, machine_ids=("m1", "m2", "m9"), zone="a", cell=4, kind="small", overdue_s=60
     )
@@ -67,14 +67,14 @@
     )
 
 
-def test_every_error_says_its_cause_and_a_remedy() -> None:
-    for error in (MaintenanceSnapshotError, *MaintenanceError.__subclasses__()):
-        assert issubclass(error, LaurelstepError)
-        assert {"cause", "remedy"} <= vars(error).keys(), error
-        assert "\n" not in error.cause + error.remedy
+def test_every_error_has_a_cause_and_a_remedy() -> None:
+    for error_type in (MaintenanceSnapshotError, *MaintenanceError.__subclasses__()):
+        assert issubclass(error_type, LaurelstepError)
+        assert {"cause", "remedy"} <= vars(error_type).keys(), error_type
+        assert "\n" not in error_type.cause + error_type.remedy
 
 
-def test_a_request_is_one_entry_and_a_confirmation_is_short() -> None:
+def test_a_long_request_fits_one_entry_and_an_acknowledgement_is_short() -> None:
     request: MaintenanceRequest = request_for(
         "n" * 24, 1000, "zone", 0.123456, zone="z" * 24, kind="k" * 24, cell=10**6
     )
--- a/tests/test_maintenance_state.py
+++ b/tests/test_maintenance_state.py
@@ -1,4 +1,4 @@
-"""The table of machine states, and the replicated state: what entries do to it, and its snapshots."""
+"""The table of machine states; the effect of entries on the replicated state; its snapshots."""
 
 from __future__ import annotations
 
@@ -40,13 +40,13 @@
 from tests.maintenance_states import apply_entry, apply_event, drain_entry, state_with
 
 
-def test_a_replica_with_maintenance_off_that_leads_forgets_no_request() -> None:
-    """Its snapshot is all that a replica which fell behind gets."""
-    off, behind = CompositeStateMachine(passive_state_machines()), MaintenanceState()
-    off.apply(1, encode(OperatorCommand(0, 5, 1, "wish", request_for(zone="a"))))
-    off.apply(2, encode(ReplicaStarted(1, 7)))
-    CompositeStateMachine({SUBSYSTEM_TAG[0]: behind}).load(off.dump())
-    assert [one.request.name for one in behind.open_requests.values()] == ["w"] and behind.incarnations == {
+def test_a_leader_with_maintenance_off_keeps_the_requests_in_its_snapshots() -> None:
+    """A replica that lags behind the log gets nothing but the leader's snapshot."""
+    passive, state = CompositeStateMachine(passive_state_machines()), MaintenanceState()
+    passive.apply(1, encode(OperatorCommand(0, 5, 1, "wish", request_for(zone="a"))))
+    passive.apply(2, encode(ReplicaStarted(1, 7)))
+    CompositeStateMachine({SUBSYSTEM_TAG[0]: state}).load(passive.dump())
+    assert [item.request.name for item in state.open_requests.values()] == ["w"] and state.incarnations == {
         1: 7
     }
 
@@ -55,22 +55,22 @@
 
 
 @pytest.mark.parametrize(("machine_state", "event"), itertools.product(sorted(OUT_OF_SERVICE_STATES), EVENTS))
-def test_each_state_moves_as_the_table_says(machine_state: MachineState, event: str) -> None:
+def test_each_event_has_the_effect_that_the_table_gives(machine_state: MachineState, event: str) -> None:
     state = state_with(machine_state)
-    before = state.machines["m0"].since_index
+    since_index = state.machines["m0"].since_index
     apply_event(state, event)
-    after = next_state(event, machine_state)
+    state_after = next_state(event, machine_state)
     machine = state.machines.get("m0")
-    if after is None or after == machine_state:
-        assert machine is not None and (machine.state, machine.since_index) == (machine_state, before)
-    elif after in OUT_OF_SERVICE_STATES:
-        assert machine is not None and (machine.state, machine.since_index) == (after, state.index)
+    if state_after is None or state_after == machine_state:
+        assert machine is not None and (machine.state, machine.since_index) == (machine_state, since_index)
+    elif state_after in OUT_OF_SERVICE_STATES:
+        assert machine is not None and (machine.state, machine.since_index) == (state_after, state.index)
     else:
         assert machine is None
         assert state.was_finished("m0") == (event in ("back", "drop"))
 
 
-def test_what_is_requested_waits_until_it_leaves_or_is_withdrawn() -> None:
+def test_transitions_before_a_drain_and_subsets_of_states() -> None:
     assert next_state("agree", MachineState.REQUESTED) == MachineState.WAITING
     assert next_state("leave", MachineState.WAITING) == MachineState.DRAINING
     assert {next_state("withdraw", state) for state in (MachineState.REQUESTED, MachineState.WAITING)} == {
@@ -82,38 +82,38 @@
     )
 
 
-def test_an_entry_that_can_not_be_read_is_counted_and_nothing_else() -> None:
+def test_a_malformed_entry_is_only_counted() -> None:
     state = MaintenanceState()
-    before = state.dump()
-    good = encode(ReplicaStarted(1, 7))
-    for bad in (
+    snapshot = state.dump()
+    valid = encode(ReplicaStarted(1, 7))
+    for malformed in (
         b"",
         SUBSYSTEM_TAG,
-        b"x" + good[1:],
-        good[:-1],
+        b"x" + valid[1:],
+        valid[:-1],
         SUBSYSTEM_TAG + b"\xc1",
-        good + b"x" * MAX_ENTRY_BYTES,
+        valid + b"x" * MAX_ENTRY_BYTES,
         b"u\x91\x63",
     ):
-        state.apply(0, bad)
-        assert decode_message(bad) is None
-    assert state.dump() == before and state.undecoded_count == 7
+        state.apply(0, malformed)
+        assert decode_message(malformed) is None
+    assert state.dump() == snapshot and state.undecoded_count == 7
 
 
-def test_fields_of_a_later_version_are_passed_over() -> None:
-    raw = msgspec.msgpack.decode(encode(ReplicaStarted(1, 7))[1:])
-    assert decode_entry(msgspec.msgpack.encode([*raw, "more"])) == ReplicaStarted(1, 7)
+def test_fields_of_a_later_version_are_skipped() -> None:
+    fields = msgspec.msgpack.decode(encode(ReplicaStarted(1, 7))[1:])
+    assert decode_entry(msgspec.msgpack.encode([*fields, "more"])) == ReplicaStarted(1, 7)
 
 
-def test_the_same_entries_make_the_same_state_also_by_a_snapshot() -> None:
-    state, other = state_with(MachineState.IN_MAINTENANCE), MaintenanceState()
-    other.load(state.dump())
-    for one in (state, other):
-        apply_entry(one, 20, ReplicaStarted(2, 9))
-        apply_entry(one, 21, OperatorCommand(0, 5, 9, "done", "m0"))
-    assert state.dump() == other.dump() and other.machines["m0"].state == MachineState.WARMING_UP
-    other.load(b"")
-    assert other.dump() == MaintenanceState().dump()
+def test_a_state_loaded_from_a_snapshot_changes_as_the_original_one() -> None:
+    state, loaded = state_with(MachineState.IN_MAINTENANCE), MaintenanceState()
+    loaded.load(state.dump())
+    for each in (state, loaded):
+        apply_entry(each, 20, ReplicaStarted(2, 9))
+        apply_entry(each, 21, OperatorCommand(0, 5, 9, "done", "m0"))
+    assert state.dump() == loaded.dump() and loaded.machines["m0"].state == MachineState.WARMING_UP
+    loaded.load(b"")
+    assert loaded.dump() == MaintenanceState().dump()
     with pytest.raises(MaintenanceSnapshotError):
         state.load(b"what?")
     assert state.machines["m0"].state == MachineState.WARMING_UP
@@ -121,7 +121,7 @@
 
 def test_limits_are_checked_where_entries_are_applied() -> None:
     state = state_with(MachineState.DRAINING)
-    for facts in (
+    for fields in (
         {},
         {"base_index": 1},
         {"ready_count": 1},
@@ -129,21 +129,21 @@
         {"request_number": 77},
         {"drained_by_discovery": DrainedCounts(0, 0, -1)},
     ):
-        apply_entry(state, state.index + 1, drain_entry(state, "m2", **facts))
+        apply_entry(state, state.index + 1, drain_entry(state, "m2", **fields))
     assert list(state.machines) == ["m0"] and state.ignored_count == 6
 
 
-def test_one_command_is_done_once_also_when_it_comes_again_late() -> None:
+def test_a_repeated_late_command_has_no_effect() -> None:
     state = MaintenanceState()
-    ask = OperatorCommand(0, 5, 1, "wish", request_for(zone="a"))
-    apply_entry(state, 1, ask)
+    command = OperatorCommand(0, 5, 1, "wish", request_for(zone="a"))
+    apply_entry(state, 1, command)
     apply_entry(state, 2, OperatorCommand(0, 5, 2, "withdraw", "w"))
-    apply_entry(state, 3, ask)
+    apply_entry(state, 3, command)
     assert not state.open_requests and state.past_requests[0].is_withdrawn
 
 
 @pytest.mark.parametrize(
-    ("verb", "what", "verdict"),
+    ("verb", "argument", "verdict"),
     [
         ("wish", request_for(zone="b"), "ContradictionError"),
         ("wish", request_for("x", out=0, zone="b"), "LimitError"),
@@ -155,13 +155,13 @@
         ("what", "x", "WishError"),
     ],
 )
-def test_what_does_not_hold_when_it_is_agreed_changes_nothing_but_the_verdict(
-    verb: str, what: Any, verdict: str
+def test_a_command_that_is_rejected_when_applied_changes_only_the_verdict(
+    verb: str, argument: Any, verdict: str
 ) -> None:
     state = state_with(MachineState.DRAINING)
     state.incarnations[3] = 11
     machines, requests = msgspec.to_builtins(state.machines), len(state.open_requests)
-    apply_entry(state, 9, OperatorCommand(0, 5, 9, verb, what))
+    apply_entry(state, 9, OperatorCommand(0, 5, 9, verb, argument))
     assert state.last_commands[0].verdict == verdict
     assert (msgspec.to_builtins(state.machines), len(state.open_requests), state.absent_peers) == (
         machines,
@@ -174,7 +174,9 @@
     state = MaintenanceState()
     for n in range(3 * MAX_OPEN_REQUESTS):
         apply_entry(
-            state, n + 1, OperatorCommand(0, 5, n + 1, "wish", request_for(f"w{n}", out=1000, zone="a"))
+            state,
+            n + 1,
+            OperatorCommand(0, 5, n + 1, "wish", request_for(f"w{n}", out=1000, zone="a")),
         )
     assert len(state.open_requests) == MAX_OPEN_REQUESTS and state.last_commands[0].verdict == "ManyError"
     for n in range(MAX_MACHINES_OUT + 5):
@@ -184,15 +186,15 @@
     assert 5000 not in state.incarnations
 
 
-def test_a_late_end_or_step_is_for_another_state() -> None:
+def test_a_late_transition_or_end_of_a_request_is_ignored() -> None:
     state = state_with(MachineState.WARMING_UP)
     number, base = next(iter(state.open_requests)), state.changed_index
     apply_entry(state, 10, CompleteRequest(base, number))
-    assert number in state.open_requests, "it has a machine out"
-    since = state.machines["m0"].since_index
-    apply_entry(state, 11, MachineTransition("m0", since - 1, "back"))
+    assert number in state.open_requests, "it has a machine out of service"
+    since_index = state.machines["m0"].since_index
+    apply_entry(state, 11, MachineTransition("m0", since_index - 1, "back"))
     assert "m0" in state.machines
-    apply_entry(state, 12, MachineTransition("m0", since, "back"))
+    apply_entry(state, 12, MachineTransition("m0", since_index, "back"))
     apply_entry(state, 13, CompleteRequest(base, number))
     assert number in state.open_requests
     apply_entry(state, 14, CompleteRequest(state.changed_index, number))
