--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -197,7 +197,7 @@
 
 async def added(folder: Path) -> dict[str, Any]:
     """What the record adds to an order, and one bare sync of as many bytes, turn about."""
-    async with Endpoint(keep=False) as endpoint:
+    async with Endpoint(records_requests=False) as endpoint:
         members = [Member("s-1", f"127.0.0.1:{endpoint.port}")]
         recorded = JournalSettings(str(folder / "orders"), {"pay": JournalClass(header=b"x-order-id")})
         raw = {"seed": "1", "settings": SETTINGS}
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -68,7 +68,7 @@
         fresh = caller.streams is None
         try:
             async with asyncio.timeout(5.0):
-                self.met[str((await caller.ask(raw)).status)] += 1
+                self.met[str((await caller.send(raw)).status)] += 1
         except TimeoutError:
             self.met["lost"] += 1
             caller.close()
@@ -113,7 +113,7 @@
         while time.monotonic() < began + 20.0:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 async with Caller("127.0.0.1", management) as staff:
-                    back: Message = await staff.ask(b"GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+                    back: Message = await staff.send(b"GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n")
                     if back.status == 200:
                         return child, time.monotonic() - began
             await asyncio.sleep(0.005)
@@ -124,7 +124,7 @@
     effects = Effects()
     async with contextlib.AsyncExitStack() as stack:
         folder = stack.enter_context(tempfile.TemporaryDirectory(prefix="laurelstep-"))
-        endpoints = [Endpoint(effects=effects, keep=False) for _ in range(4)]
+        endpoints = [Endpoint(effects=effects, records_requests=False) for _ in range(4)]
         for one in endpoints:
             await stack.enter_async_context(one)
         site = Site(Path(folder), [one.port for one in endpoints], environ)
@@ -154,7 +154,7 @@
             "refused": met["refused"],
             "crossed": met["crossed"],
             "other_answers": sum(n for name, n in met.items() if name.isdigit() and name != "200"),
-            "doubles": len(effects.twice()),
+            "doubles": len(effects.executed_twice()),
             "ready_s": round(max(ready), 3),
             "ready_alone_s": round(first_s, 3),
             "both_mb": round(max(both), 1),
--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -69,7 +69,7 @@
     def __init__(self, number: int, effects: Effects) -> None:
         self.id = f"m-{number:02}"
         self.zone = "abc"[number % 3]
-        self.endpoint = Endpoint(self.serve, effects=effects, keep=False)
+        self.endpoint = Endpoint(self.serve, effects=effects, records_requests=False)
         self.at_work = False
         self.cleared = False  # said to be: nothing may come
         self.after_clear = 0
@@ -85,7 +85,7 @@
 
     async def work(self) -> None:
         self.at_work = True
-        for writer in list(self.endpoint.open):
+        for writer in list(self.endpoint.open_connections):
             reset_connection(writer)
         await asyncio.sleep(WORK_S)
         self.endpoint.started_ms = time.time_ns() // 1_000_000
@@ -123,7 +123,7 @@
     async def _ask(self, caller: Caller, raw: bytes) -> None:
         try:
             async with asyncio.timeout(5.0):
-                self.met[str((await caller.ask(raw)).status)] += 1
+                self.met[str((await caller.send(raw)).status)] += 1
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             self.met["lost"] += 1
             caller.close()
@@ -158,7 +158,7 @@
     async def watch(self) -> None:
         """Every watch that opens hears the list as it is."""
         while True:
-            _, writer = await self.registry.asked.get()
+            _, writer = await self.registry.watches.get()
             self.watches.append(writer)
             push(writer, self.generation, True, *(one.entry("ready") for one in self.machines))
 
@@ -196,7 +196,7 @@
     async def ask(self, copy: int, words: str) -> tuple[int, Any]:
         try:
             async with asyncio.timeout(2.0), Caller("127.0.0.1", self.desks[copy]) as staff:
-                back = await staff.ask(f"{words} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+                back = await staff.send(f"{words} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             return 0, None
         is_json = "json" in back.headers.get("content-type", "")
@@ -277,7 +277,7 @@
 async def measure_one(site: Site, way: str) -> dict[str, Any]:
     load = Load(site.ports, way.replace(" ", "-"))
     await asyncio.sleep(0.5)
-    doubles = len(site.effects.twice())
+    doubles = len(site.effects.executed_twice())
     for one in site.machines:
         one.after_clear = 0
     began, over = time.monotonic(), 0
@@ -293,7 +293,7 @@
     return {
         "took_s": round(took, 2),
         **found,
-        "doubles": len(site.effects.twice()) - doubles,
+        "doubles": len(site.effects.executed_twice()) - doubles,
         "sent_after_clear": sum(one.after_clear for one in site.machines),
         "over_limit": over,
     }
--- a/laurelstep/demo/endpoints.py
+++ b/laurelstep/demo/endpoints.py
@@ -60,7 +60,7 @@
     for speed, (_, endpoint_count) in SPEEDS.items():
         for _ in range(endpoint_count):
             name = f"s-{len(endpoints)}"
-            endpoint = DemoEndpoint(name=name, speed=speed, effects=effects, keep=False)
+            endpoint = DemoEndpoint(name=name, speed=speed, effects=effects, records_requests=False)
             endpoint.use(draw)
             endpoints.append(endpoint)
     return endpoints
--- a/laurelstep/demo/run.py
+++ b/laurelstep/demo/run.py
@@ -88,7 +88,7 @@
             unanswered=counts["unanswered"],
             p50_ms=round(1000 * quantile(durations_s, 0.5), 1),
             p99_ms=round(1000 * quantile(durations_s, 0.99), 1),
-            orders_run_twice=len(self.effects.twice()),
+            orders_run_twice=len(self.effects.executed_twice()),
             sends_past_the_grace=int(is_late),
             by_endpoint={endpoint.name: endpoint.served for endpoint in self.endpoints},
         )
@@ -151,7 +151,7 @@
         )
         started_at_s = time.monotonic()
         try:
-            response = await client.ask(raw)
+            response = await client.send(raw)
         except (OSError, asyncio.IncompleteReadError):
             counts["unanswered"] += 1
             return
@@ -207,7 +207,7 @@
     while daemon.returncode is None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             async with Caller(HOST, port) as client:
-                response = await client.ask(b"GET /health/ready HTTP/1.1\r\nHost: demo\r\n\r\n")
+                response = await client.send(b"GET /health/ready HTTP/1.1\r\nHost: demo\r\n\r\n")
                 if response.status == 200:
                     return
         await asyncio.sleep(READY_POLL_S)
--- a/laurelstep/testing/__init__.py
+++ b/laurelstep/testing/__init__.py
@@ -4,7 +4,7 @@
     async with Endpoint(stall()) as bad, Endpoint() as good:
         client = Client.open({..., "known": whole_list(bad.entry("s-0"), good.entry("s-1"))})
 
-The system picks the ports. Nothing here sleeps or polls, but for `paced` and the heartbeats of
+The system picks the ports. Nothing here sleeps or polls, but for `delayed` and the heartbeats of
 `DiscoveryServer`, whose interval and sleep are passed in.
 """
 
@@ -17,13 +17,13 @@
     Listener,
     after,
     close,
-    in_turn,
-    paced,
+    delayed,
+    malformed,
     raw,
     refuse,
     reset,
+    sequence,
     serve,
-    spoil,
     stall,
     status,
 )
@@ -52,10 +52,10 @@
     "after",
     "answer",
     "close",
+    "delayed",
     "free_port",
     "free_udp_port",
-    "in_turn",
-    "paced",
+    "malformed",
     "push",
     "push_raw",
     "raw",
@@ -63,8 +63,8 @@
     "refuse",
     "request",
     "reset",
+    "sequence",
     "serve",
-    "spoil",
     "stall",
     "status",
     "whole_list",
--- a/laurelstep/testing/callers.py
+++ b/laurelstep/testing/callers.py
@@ -47,18 +47,18 @@
         self.resends_after_close = resends_after_close
         self.streams: tuple[Reader, Writer] | None = None
 
-    async def ask(self, raw: bytes) -> Message:
+    async def send(self, raw: bytes) -> Message:
         """Send these bytes; their answer. OSError or `asyncio.IncompleteReadError` if there is none."""
         if self.streams is None or not self.resends_after_close:
-            return await self._ask(raw)
+            return await self._send(raw)
         try:
-            return await self._ask(raw)
+            return await self._send(raw)
         except asyncio.IncompleteReadError as error:
             if error.partial:
                 raise
-        return await self._ask(raw)
+        return await self._send(raw)
 
-    async def _ask(self, raw: bytes) -> Message:
+    async def _send(self, raw: bytes) -> Message:
         if self.streams is None:
             self.streams = await asyncio.open_connection(self.host, self.port)
         reader, writer = self.streams
--- a/laurelstep/testing/discovery.py
+++ b/laurelstep/testing/discovery.py
@@ -42,7 +42,7 @@
             discovery.publish(one.entry("s-1", lifecycle="draining"))
 
     `entries` are in discovery's form, as `Endpoint.entry` makes them. A test that must not wait
-    passes a `sleep` of its own, which is called with the heartbeat interval in seconds. `opened`
+    passes a `sleep` of its own, which is called with the heartbeat interval in seconds. `opened_watches`
     holds the `from` of each watch, from when its first object has been written. ValueError for a
     generation under 1 or an interval that is not positive.
     """
@@ -58,7 +58,7 @@
         if generation < 1 or heartbeat_interval_s <= 0.0:
             raise ValueError("expected a generation of 1 or more and a positive heartbeat interval")
         self.generation = generation
-        self.opened: asyncio.Queue[int] = asyncio.Queue()
+        self.opened_watches: asyncio.Queue[int] = asyncio.Queue()
         self._heartbeat_interval_s = heartbeat_interval_s
         self._sleep = sleep
         self._entries: dict[str, Entry] = {}
@@ -174,7 +174,7 @@
 
     async def _answer(self, request: Message, reader: Reader, writer: Writer) -> bool:
         """Whether another request may follow on the connection."""
-        target = urlsplit(request.start.split()[1])
+        target = urlsplit(request.start_line.split()[1])
         query = parse_qs(target.query)
         if target.path != LIST_PATH:
             writer.write(answer(404, b""))
@@ -193,7 +193,7 @@
         push_raw(writer, _line(self._changes_after(generation)))
         self._watches.add(writer)
         heartbeats = asyncio.create_task(self._send_heartbeats(writer))
-        self.opened.put_nowait(generation)
+        self.opened_watches.put_nowait(generation)
         try:
             await reader.read()
         finally:
--- a/laurelstep/testing/disk.py
+++ b/laurelstep/testing/disk.py
@@ -23,18 +23,18 @@
     pending: list[tuple[int, bytes]] = field(default_factory=list)
     dropped: list[tuple[int, bytes]] = field(default_factory=list)  # all older than the pending ones
 
-    def view(self) -> bytearray:
+    def contents(self) -> bytearray:
         """As a process sees it."""
         data = bytearray(self.durable)
         for offset, part in (*self.dropped, *self.pending):
-            put(data, offset, part)
+            overwrite(data, offset, part)
         return data
 
     def sync(self) -> None:
         """What is pending becomes durable; what was dropped stays readable where nothing newer is."""
         for offset, part in self.pending:
-            put(self.durable, offset, part)
-            self.dropped = [piece for one in self.dropped for piece in outside(one, offset, len(part))]
+            overwrite(self.durable, offset, part)
+            self.dropped = [piece for one in self.dropped for piece in parts_outside(one, offset, len(part))]
         self.pending = []
 
     def fail_sync(self) -> None:
@@ -49,14 +49,14 @@
         self.dropped = [(offset, part[: size - offset]) for offset, part in self.dropped if offset < size]
 
 
-def put(data: bytearray, offset: int, part: bytes) -> None:
+def overwrite(data: bytearray, offset: int, part: bytes) -> None:
     """Write, with zeros in a gap."""
     if len(data) < offset:
         data.extend(bytes(offset - len(data)))
     data[offset : offset + len(part)] = part
 
 
-def outside(write: tuple[int, bytes], begin: int, size: int) -> Iterator[tuple[int, bytes]]:
+def parts_outside(write: tuple[int, bytes], begin: int, size: int) -> Iterator[tuple[int, bytes]]:
     """The parts of a write that lie before and behind a range."""
     offset, part = write
     if before := part[: max(0, begin - offset)]:
@@ -70,7 +70,7 @@
 
 class SimulatedDisk:
     """The store's `Disk` in memory. `journal` keeps every call, with the marks that a test
-    adds, so that `replay` can stop at any of them. `another` opens the same disk once more.
+    adds, so that `replay` can stop at any of them. `open_again` opens the same disk once more.
     """
 
     def __init__(self) -> None:
@@ -78,11 +78,11 @@
         self.durable_names: dict[str, Inode] = {}
         self.pending_names: list[Op] = []
         self.journal: list[Op] = []
-        self.faults: dict[str, list[OSError]] = {}  # by operation: raised in their turn
-        self.broken: dict[str, OSError] = {}  # by operation: raised until it is mended
-        self.owner: list[SimulatedDisk] = []  # shared with the others: one at most
+        self.next_errors: dict[str, list[OSError]] = {}  # by operation: raised in their turn
+        self.lasting_errors: dict[str, OSError] = {}  # by operation: raised until it is mended
+        self.owners: list[SimulatedDisk] = []  # shared with the others: one at most
 
-    def another(self) -> SimulatedDisk:
+    def open_again(self) -> SimulatedDisk:
         """As another process opens it."""
         return copy.copy(self)
 
@@ -92,22 +92,22 @@
 
     def fail(self, operation: str, *errors: OSError) -> None:
         """The next calls of an operation raise these."""
-        self.faults.setdefault(operation, []).extend(errors)
+        self.next_errors.setdefault(operation, []).extend(errors)
 
-    def break_down(self, error: OSError, *operations: str) -> None:
-        """All calls of these operations raise this, until `mend`."""
-        self.broken.update(dict.fromkeys(operations, error))
+    def fail_always(self, error: OSError, *operations: str) -> None:
+        """All calls of these operations raise this, until `clear_errors`."""
+        self.lasting_errors.update(dict.fromkeys(operations, error))
 
-    def mend(self) -> None:
+    def clear_errors(self) -> None:
         """All calls succeed again."""
-        self.faults.clear()
-        self.broken.clear()
+        self.next_errors.clear()
+        self.lasting_errors.clear()
 
     def _begin(self, *op: Any) -> None:
-        if waiting := self.faults.get(op[0]):
-            raise _fresh(waiting.pop(0))
-        if (error := self.broken.get(op[0])) is not None:
-            raise _fresh(error)
+        if waiting := self.next_errors.get(op[0]):
+            raise _copy_error(waiting.pop(0))
+        if (error := self.lasting_errors.get(op[0])) is not None:
+            raise _copy_error(error)
         self.journal.append(op)
 
     # --- The protocol -------------------------------------------------------------
@@ -117,27 +117,27 @@
         # Imported when called: the store needs a library that this module does not.
         from laurelstep.store.disk import StoreError
 
-        if self.owner:
+        if self.owners:
             raise StoreError("another process has this store open")
-        self.owner.append(self)
+        self.owners.append(self)
 
     def close(self) -> None:
         """Give up the folder, if this disk owns it."""
-        if self.owner and self.owner[0] is self:
-            self.owner.clear()
+        if self.owners and self.owners[0] is self:
+            self.owners.clear()
 
-    def _present(self, name: str) -> None:
+    def _check_exists(self, name: str) -> None:
         if name not in self.names:
             raise FileNotFoundError(errno.ENOENT, os.strerror(errno.ENOENT), name)
 
     def files(self) -> dict[str, int]:
         """The size of each file by name, bytes."""
-        return {name: len(inode.view()) for name, inode in self.names.items()}
+        return {name: len(inode.contents()) for name, inode in self.names.items()}
 
     def read(self, name: str, offset: int = 0, size: int | None = None) -> bytes:
         """Bytes of a file from an offset on, at most `size`; FileNotFoundError if it is missing."""
-        self._present(name)
-        data = self.names[name].view()
+        self._check_exists(name)
+        data = self.names[name].contents()
         return bytes(data[offset:] if size is None else data[offset : offset + size])
 
     def create(self, name: str, data: bytes) -> None:
@@ -151,13 +151,13 @@
 
     def write(self, name: str, offset: int, data: bytes) -> None:
         """Write at an offset, durable after `sync`; FileNotFoundError if missing, or an injected OSError."""
-        self._present(name)
+        self._check_exists(name)
         self._begin("write", name, offset, data)
         self.names[name].pending.append((offset, data))
 
     def sync(self, name: str) -> None:
         """Make a file's bytes durable; FileNotFoundError if missing, or an injected OSError."""
-        self._present(name)
+        self._check_exists(name)
         try:
             self._begin("sync", name)
         except OSError:
@@ -173,7 +173,7 @@
 
     def truncate(self, name: str, size: int) -> None:
         """Cut a file durably to a size in bytes; FileNotFoundError if missing, or an injected OSError."""
-        self._present(name)
+        self._check_exists(name)
         self._begin("truncate", name, size)
         self.names[name].truncate(size)
 
@@ -181,7 +181,7 @@
         """Rename a file, replacing that of the new name; FileNotFoundError if missing, or an injected
         OSError.
         """
-        self._present(old)
+        self._check_exists(old)
         self._begin("rename", old, new)
         self.names[new] = self.names.pop(old)
         self.pending_names.append(("rename", old, new))
@@ -217,7 +217,7 @@
         after.names, after.durable_names, after.pending_names = copy.deepcopy(
             (self.names, self.durable_names, self.pending_names)
         )
-        after.broken = dict(self.broken)
+        after.lasting_errors = dict(self.lasting_errors)
         return after
 
     @classmethod
@@ -229,24 +229,26 @@
                 getattr(disk, name)(*args)
         return disk
 
-    def lose_power(self, keep: random.Random | None = None, all_: bool = False) -> SimulatedDisk:
+    def lose_power(self, rng: random.Random | None = None, keeps_all: bool = False) -> SimulatedDisk:
         """The disk as the next start finds it: names as far as the folder was synced, and a
         part of the changes since, in their order; bytes as far as a file was synced, and any
-        of the blocks written since. Without `keep` all that was not synced is lost, or with
-        `all_` none of it.
+        of the blocks written since. Without `rng` all that was not synced is lost, or with
+        `keeps_all` none of it.
         """
-        changes = len(self.pending_names) if all_ else keep.randint(0, len(self.pending_names)) if keep else 0
+        changes = (
+            len(self.pending_names) if keeps_all else rng.randint(0, len(self.pending_names)) if rng else 0
+        )
         names = changed_names(self.durable_names, self.pending_names[:changes])
         after = SimulatedDisk()
         for name, inode in names.items():
             data = bytearray(inode.durable)
-            if all_:
+            if keeps_all:
                 for offset, part in inode.pending:
-                    put(data, offset, part)
-            if keep is not None and not all_:
+                    overwrite(data, offset, part)
+            if rng is not None and not keeps_all:
                 for offset, part in blocks(inode.pending):
-                    if keep.random() < 0.5:
-                        put(data, offset, part)
+                    if rng.random() < 0.5:
+                        overwrite(data, offset, part)
             after.names[name] = Inode(data)
         after.durable_names = dict(after.names)
         return after
@@ -275,6 +277,6 @@
             yield offset + at, part[at : at + size]
 
 
-def _fresh(error: OSError) -> OSError:
+def _copy_error(error: OSError) -> OSError:
     """The same error anew: one that is raised again and again would keep the frames of each time alive."""
     return type(error)(*error.args)
--- a/laurelstep/testing/endpoints.py
+++ b/laurelstep/testing/endpoints.py
@@ -27,19 +27,19 @@
 
     by_id: Counter[str] = field(default_factory=Counter)
     by_key: Counter[str] = field(default_factory=Counter)
-    dropped: int = 0
+    dropped_count: int = 0
 
     def execute(self, message: Message) -> None:
         """Execute a request, or drop it as a repeat of its key."""
         key = message.headers.get("idempotency-key")
         if key is not None:
             if self.by_key[key]:
-                self.dropped += 1
+                self.dropped_count += 1
                 return
             self.by_key[key] += 1
         self.by_id[message.headers.get("x-request-id", "")] += 1
 
-    def twice(self) -> list[str]:
+    def executed_twice(self) -> list[str]:
         """The ids of requests that took effect more than once."""
         return [name for name, times in self.by_id.items() if times > 1]
 
@@ -92,7 +92,7 @@
     return handler
 
 
-def spoil(data: bytes = b"what?\r\n\r\n") -> Handler:
+def malformed(data: bytes = b"what?\r\n\r\n") -> Handler:
     """Execute, then answer with bytes that are no valid response."""
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
@@ -102,13 +102,13 @@
     return handler
 
 
-def close(executes: bool = True, begun: bytes = b"") -> Handler:
-    """End the connection, after `begun`, the first bytes of an answer."""
+def close(executes: bool = True, partial: bytes = b"") -> Handler:
+    """End the connection, after `partial`, the first bytes of an answer."""
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         if executes:
             endpoint.effects.execute(message)
-        writer.write(begun)
+        writer.write(partial)
         writer.close()
 
     return handler
@@ -135,7 +135,7 @@
     return handler
 
 
-def paced(seconds: Callable[[], float], then: Handler | None = None) -> Handler:
+def delayed(seconds: Callable[[], float], then: Handler | None = None) -> Handler:
     """Sleep for a time that is drawn anew for each request, then follow the script (`serve`).
 
     For programs that run in real time; a test waits for events instead.
@@ -149,7 +149,7 @@
     return handler
 
 
-def in_turn(*scripts: Handler) -> Handler:
+def sequence(*scripts: Handler) -> Handler:
     """Follow the first script for the first request, and so on; the last one holds from then on."""
     left = list(scripts)
 
@@ -188,23 +188,23 @@
 
 @dataclass(eq=False)
 class Endpoint(Listener):
-    """Answers each request by its script, and records the requests in `got`.
+    """Answers each request by its script, and records the requests in `requests`.
 
     `arrived` and `closed` are released for each request and each ended connection, for tests that wait.
-    `handler` may be set at any time and holds from the next request on. With `keep=False`, for long runs,
-    requests are counted only.
+    `handler` may be set at any time and holds from the next request on. With `records_requests=False`, for
+    long runs, requests are only counted.
     """
 
     handler: Handler = field(default_factory=serve)
-    got: list[Message] = field(default_factory=list)
-    opened: int = 0
+    requests: list[Message] = field(default_factory=list)
+    connection_count: int = 0
     closed: asyncio.Semaphore = field(default_factory=lambda: asyncio.Semaphore(0))
     arrived: asyncio.Semaphore = field(default_factory=lambda: asyncio.Semaphore(0))
     effects: Effects = field(default_factory=Effects)
     started_ms: int = 0
-    keep: bool = True  # whether requests are recorded in `got`
-    count: int = 0
-    open: set[Writer] = field(default_factory=set)
+    records_requests: bool = True  # whether requests are recorded in `requests`
+    request_count: int = 0
+    open_connections: set[Writer] = field(default_factory=set)
     server: asyncio.Server | None = None
 
     async def __aenter__(self) -> Self:
@@ -221,7 +221,7 @@
         if self.server is not None:
             self.server.close()
             self.server = None
-        for writer in list(self.open):
+        for writer in list(self.open_connections):
             reset_connection(writer)
 
     async def restart(self, started_ms: int) -> None:
@@ -231,22 +231,22 @@
         self.server = await self.start(self.port)
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
-        self.opened += 1
-        self.open.add(writer)
+        self.connection_count += 1
+        self.open_connections.add(writer)
         try:
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                 while True:
                     message = await read_message(reader)
-                    self.count += 1
-                    if self.keep:
-                        self.got.append(message)
+                    self.request_count += 1
+                    if self.records_requests:
+                        self.requests.append(message)
                     self.arrived.release()
                     await self.handler(self, message, writer)
         except asyncio.CancelledError:
             # Guards against asyncio's own callback, which fails on a cancelled task.
             return
         finally:
-            self.open.discard(writer)
+            self.open_connections.discard(writer)
             writer.close()
             self.closed.release()
 
--- a/laurelstep/testing/messages.py
+++ b/laurelstep/testing/messages.py
@@ -16,14 +16,14 @@
 class Message:
     """A complete request or answer: its first line, its headers by lower-case name, its body."""
 
-    start: str
+    start_line: str
     headers: dict[str, str]
     body: bytes
 
     @property
     def status(self) -> int:
         """The status of an answer. ValueError for a request."""
-        return int(self.start.split()[1])
+        return int(self.start_line.split()[1])
 
 
 async def read_message(reader: Reader) -> Message:
@@ -56,11 +56,11 @@
 
 # Below the ports that systems give to outgoing connections: one of those could take a port while
 # the process that listens there is down, or be connected to itself.
-PORTS = range(20_000, 32_000)
-BLOCK = 50
+PORT_RANGE = range(20_000, 32_000)
+BLOCK_SIZE = 50
 
 
-class Ports:
+class PortAllocator:
     """Allocates ports for processes that must be configured with one; none twice.
 
     Guards against a second test process that finds a port free before the first one's process
@@ -68,52 +68,52 @@
     their process. A program that reserves nothing may still take a port in between.
     """
 
-    def __init__(self, ports: range = PORTS, name: str = "laurelstep-ports") -> None:
+    def __init__(self, ports: range = PORT_RANGE, name: str = "laurelstep-ports") -> None:
         self.name = name
-        self.starts = list(ports[::BLOCK])
-        random.SystemRandom().shuffle(self.starts)
-        self.left: list[int] = []
-        self.claims: list[socket.socket] = []
+        self.block_starts = list(ports[::BLOCK_SIZE])
+        random.SystemRandom().shuffle(self.block_starts)
+        self.unallocated: list[int] = []
+        self.reservations: list[socket.socket] = []
 
-    def take(self, kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
+    def allocate(self, kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
         """A free port for this kind of socket. OSError if none is left."""
         while True:
-            if not self.left:
-                self.left = self._claim()
-            port = self.left.pop()
+            if not self.unallocated:
+                self.unallocated = self._reserve_block()
+            port = self.unallocated.pop()
             with socket.socket(type=kind) as found, contextlib.suppress(OSError):
                 if kind == socket.SOCK_STREAM:
                     found.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 found.bind(("127.0.0.1", port))
                 return port
 
-    def _claim(self) -> list[int]:
-        while self.starts:
-            start = self.starts.pop()
-            claim = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
+    def _reserve_block(self) -> list[int]:
+        while self.block_starts:
+            start = self.block_starts.pop()
+            reservation = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
             try:
-                claim.bind(f"\0{self.name}-{start}")
+                reservation.bind(f"\0{self.name}-{start}")
             except OSError:
-                claim.close()
+                reservation.close()
                 continue
-            self.claims.append(claim)
-            return list(range(start, start + BLOCK))
+            self.reservations.append(reservation)
+            return list(range(start, start + BLOCK_SIZE))
         raise OSError("no port is free")
 
     def close(self) -> None:
         """Give up all reserved blocks."""
-        for claim in self.claims:
-            claim.close()
+        for reservation in self.reservations:
+            reservation.close()
 
 
-_ports = Ports()
+_allocator = PortAllocator()
 
 
 def free_port() -> int:
     """A TCP port that nobody listens at, for a process that must be configured with one; none twice."""
-    return _ports.take()
+    return _allocator.allocate()
 
 
 def free_udp_port() -> int:
     """A UDP port that nobody listens at; none twice."""
-    return _ports.take(socket.SOCK_DGRAM)
+    return _allocator.allocate(socket.SOCK_DGRAM)
--- a/laurelstep/testing/processes/__init__.py
+++ b/laurelstep/testing/processes/__init__.py
@@ -36,7 +36,7 @@
 polled.
 
 `tier.note_drained(endpoint)` begins the time in which no process may forward anything there,
-`note_restored` ends it. The rules are at the head of `history_checks`. A test draws from `tier.draw`, so
+`note_restored` ends it. The rules are at the head of `history_checks`. A test draws from `tier.rng`, so
 from `seed`.
 
 Writes that edges queue and replay upstream have events and rules of their own, at the head of
--- a/laurelstep/testing/processes/faults.py
+++ b/laurelstep/testing/processes/faults.py
@@ -50,10 +50,10 @@
 class Route:
     """One direction between two peers, with its faults and counts."""
 
-    def __init__(self, draw: random.Random) -> None:
-        self.draw = draw
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
         self.faults = NO_FAULTS
-        self.is_cut = False
+        self.is_partitioned = False
         self.is_holding = False
         self.passed_count = self.lost_count = self.duplicated_count = self.reordered_count = 0
         self.received_bytes = 0
@@ -86,7 +86,7 @@
 
     def carry(self, data: bytes) -> list[Datagram]:
         """The datagrams to deliver because this one was sent, an overtaken one among them."""
-        loss, duplicate, reorder, *delays = (self.draw.random() for _ in range(5))
+        loss, duplicate, reorder, *delays = (self.rng.random() for _ in range(5))
         self.received_bytes += len(data)
         if self._is_lost(loss):
             self.lost_count += 1
@@ -114,7 +114,7 @@
             self._lose_next -= 1
             return True
         is_full = self.is_holding and len(self._held) >= MAX_HELD_DATAGRAMS
-        return self.is_cut or is_full or drawn < self.faults.loss_probability
+        return self.is_partitioned or is_full or drawn < self.faults.loss_probability
 
     def _delay(self, drawn: float) -> int:
         least, most = self.faults.delay_us
@@ -147,7 +147,7 @@
     def partition(self, some: Iterable[int], others: Iterable[int], both_ways: bool = True) -> None:
         """Lose all that `some` peers send to `others`, and the reverse if `both_ways`."""
         for _, route in self.between(some, others, both_ways):
-            route.is_cut = True
+            route.is_partitioned = True
 
     def heal_partition(self, some: Iterable[int] | None = None, others: Iterable[int] | None = None) -> None:
         """End partitions: all, or those between these two groups."""
@@ -155,7 +155,7 @@
         one_side = everyone if some is None else some
         other_side = everyone if others is None else others
         for _, route in self.between(one_side, other_side):
-            route.is_cut = False
+            route.is_partitioned = False
 
     def set_faults(self, faults: NetworkFaults) -> None:
         """Set the drawn faults of every route; commands of the test stay."""
--- a/laurelstep/testing/processes/files.py
+++ b/laurelstep/testing/processes/files.py
@@ -62,14 +62,14 @@
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (hard_limit, hard_limit))
 
 
-def truncate_tail(path: Path, draw: random.Random, max_bytes: int = 4096) -> int:
+def truncate_tail(path: Path, rng: random.Random, max_bytes: int = 4096) -> int:
     """Take away a part of the last `most` bytes that were written, as power that fails in a write does;
     gives how many. A file that was made long before it was filled keeps its length, with zeros. For a
     process that is down. 0 if nothing was written.
     """
     data = path.read_bytes()
     written = len(data.rstrip(b"\0"))
-    lost = draw.randint(1, min(max_bytes, written)) if written else 0
+    lost = rng.randint(1, min(max_bytes, written)) if written else 0
     with path.open("r+b") as file:
         if written == len(data):
             file.truncate(written - lost)
@@ -79,12 +79,12 @@
     return lost
 
 
-def flip_bit(path: Path, draw: random.Random) -> int:
+def flip_bit(path: Path, rng: random.Random) -> int:
     """Flip one bit of the file; gives the byte's offset. ValueError for an empty file."""
     data = bytearray(path.read_bytes())
     if not data:
         raise ValueError(f"{path.name} is empty")
-    at = draw.randrange(len(data))
-    data[at] ^= 1 << draw.randrange(8)
+    at = rng.randrange(len(data))
+    data[at] ^= 1 << rng.randrange(8)
     path.write_bytes(data)
     return at
--- a/laurelstep/testing/processes/load.py
+++ b/laurelstep/testing/processes/load.py
@@ -77,7 +77,7 @@
         process, now_us, is_reused = program.number, self.history.now_us, caller.streams is not None
         self.history.add(RequestStarted(now_us(), process, name, effect, key, self.deadline_ms * 1000))
         try:
-            message = await caller.ask(raw)
+            message = await caller.send(raw)
         except (OSError, asyncio.IncompleteReadError) as error:
             self.history.add(RequestFailed(now_us(), process, name, type(error).__name__, is_reused))
             self.failures[process] += 1
--- a/laurelstep/testing/processes/program.py
+++ b/laurelstep/testing/processes/program.py
@@ -70,7 +70,7 @@
         self.process: Process | None = None
         self.start_count = 0
         self.serving = asyncio.Event()  # it is ready, and was not told to end since
-        self._draw = random.Random(f"{seed} {number}")
+        self._rng = random.Random(f"{seed} {number}")
         self._logged = asyncio.Condition()
         self._alive: dict[Process, asyncio.Task[int]] = {}  # two while a successor takes over
         self._retiring: set[int] = set()
@@ -93,7 +93,7 @@
     def _draw_seed(self) -> None:
         """Write a new seed, as each start gets one."""
         raw = json.loads((self.folder / "config.json").read_text())
-        self._write_json({**raw, "seed": f"{self._draw.getrandbits(64):x}"})
+        self._write_json({**raw, "seed": f"{self._rng.getrandbits(64):x}"})
 
     # --- Starting and ending --------------------------------------------------------
 
--- a/laurelstep/testing/processes/relays.py
+++ b/laurelstep/testing/processes/relays.py
@@ -154,8 +154,8 @@
 class RelayDirection:
     """One direction of all connections of a relay: open, or blocked."""
 
-    def __init__(self, draw: random.Random) -> None:
-        self.draw = draw
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
         self.delay_us = (0, 0)  # range of the delay of each piece; pieces keep their order
         self.unblocked = asyncio.Event()
         self.unblocked.set()
@@ -164,7 +164,7 @@
         """Wait until a piece may go on."""
         least, most = self.delay_us
         if most:
-            await asyncio.sleep(self.draw.uniform(least, most) / 1e6)
+            await asyncio.sleep(self.rng.uniform(least, most) / 1e6)
         await self.unblocked.wait()
 
 
--- a/laurelstep/testing/processes/tier.py
+++ b/laurelstep/testing/processes/tier.py
@@ -43,7 +43,7 @@
     address_text,
     endpoint_index,
     endpoint_name,
-    fill_in,
+    substitute,
 )
 
 
@@ -81,7 +81,7 @@
         self.platform, self.settings = platform or {}, settings or {}
         self.zones = tuple(zones)
         self.seed = seed
-        self.draw = random.Random(f"{seed} tier")
+        self.rng = random.Random(f"{seed} tier")
         self.limits = limits or CheckLimits(lateness_us=LATENESS_US)
         self.history = History(now_us)
         self._stack = contextlib.AsyncExitStack()
@@ -89,11 +89,13 @@
         self._with_clocks, self._command_prefix = with_clocks, command_prefix
         self.effects = [Effects() for _ in range(CELLS)]
         self.answer_gates = [asyncio.Event() for _ in range(endpoints)]  # cleared while answers are held
-        self.endpoints = [Endpoint(self._handler(number), keep=False) for number in range(endpoints)]
+        self.endpoints = [
+            Endpoint(self._handler(number), records_requests=False) for number in range(endpoints)
+        ]
         self.programs: list[ProgramRunner] = []
         self.paths: list[list[StreamRelay]] = []
         self.discoveries: list[ProcessDiscovery] = []
-        self.lifecycle_read: dict[tuple[int, int], str] = {}  # by process and endpoint
+        self.lifecycles_read: dict[tuple[int, int], str] = {}  # by process and endpoint
         self._views: list[list[Entry]] = []
 
     # --- Life -----------------------------------------------------------------------
@@ -161,7 +163,7 @@
         tables = {**self.operator_tables, **self.process_tables.get(number, {})}
         self.folder_of(number).mkdir(parents=True, exist_ok=True)
         values = {"process": number, "folder": self.folder_of(number)}
-        program.write(platform, {name: fill_in(table, values) for name, table in tables.items()})
+        program.write(platform, {name: substitute(table, values) for name, table in tables.items()})
 
     def folder_of(self, process: int) -> Path:
         """The process's own folder, which `{folder}` names and which stays when the process is killed."""
@@ -173,7 +175,7 @@
         """Start a process without state, until it is ready and, if `waits_for_list`, has read its list."""
         program = self.programs[process]
         for at in range(len(self.endpoints)):
-            self.lifecycle_read.pop((process, at), None)
+            self.lifecycles_read.pop((process, at), None)
         await program.start()
         await program.wait_ready()
         if waits_for_list:
@@ -297,7 +299,7 @@
 
         async def have_read() -> bool:
             return all(
-                self.lifecycle_read.get((process, endpoint)) == entry["lifecycle"]
+                self.lifecycles_read.get((process, endpoint)) == entry["lifecycle"]
                 for process in named
                 for endpoint, entry in enumerate(self._views[process])
             )
@@ -311,7 +313,7 @@
         now_us = self.history.now_us()
         for entry in entries:
             name, lifecycle = str(entry["instanceId"]), str(entry["lifecycle"])
-            self.lifecycle_read[process, endpoint_index(name)] = lifecycle
+            self.lifecycles_read[process, endpoint_index(name)] = lifecycle
             self.history.add(EndpointUpdateRead(now_us, pushed_at_us, process, name, lifecycle))
 
     def _entry(self, process: int, endpoint: int) -> Entry:
@@ -331,9 +333,9 @@
 
         async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
             name = message.headers.get("x-request-id", "")
-            dropped = effects.dropped
+            dropped = effects.dropped_count
             effects.execute(message)
-            if effects.dropped == dropped:
+            if effects.dropped_count == dropped:
                 self.history.add(RequestExecuted(self.history.now_us(), endpoint_name(number), name))
             await self.answer_gates[number].wait()
             writer.write(answer(200, name.encode()))
@@ -366,7 +368,7 @@
         forwarded = (event for event in later if isinstance(event, RequestForwarded))
         return Counter((event.process, endpoint_index(event.endpoint)) for event in forwarded)
 
-    def most_used(self, process: int) -> int:
+    def most_used_endpoint(self, process: int) -> int:
         """The endpoint to which a process has forwarded most."""
         counts = self.forwarded_counts()
         return max(range(len(self.endpoints)), key=lambda number: (counts[process, number], -number))
--- a/laurelstep/testing/processes/tier_settings.py
+++ b/laurelstep/testing/processes/tier_settings.py
@@ -47,7 +47,7 @@
     return f"{address[0]}:{address[1]}"
 
 
-def fill_in(value: Any, values: Mapping[str, object]) -> Any:
+def substitute(value: Any, values: Mapping[str, object]) -> Any:
     """The value with each `{name}` in its texts replaced, in nested tables too."""
     match value:
         case str():
@@ -55,7 +55,7 @@
                 value = value.replace(f"{{{name}}}", str(what))
             return value
         case dict() | Mapping():
-            return {key: fill_in(one, values) for key, one in value.items()}
+            return {key: substitute(one, values) for key, one in value.items()}
         case list() | tuple():
-            return [fill_in(one, values) for one in value]
+            return [substitute(one, values) for one in value]
     return value
--- a/laurelstep/testing/registry.py
+++ b/laurelstep/testing/registry.py
@@ -21,9 +21,9 @@
     writer.write(b"%x\r\n%b\r\n" % (len(line), line))
 
 
-def push(writer: Writer, generation: int, whole: bool, *entries: dict[str, Any]) -> None:
-    """Write one line of a watch: a complete list if `whole`, or changes."""
-    line = json.dumps({"generation": generation, "reset": whole, "instances": entries}) + "\n"
+def push(writer: Writer, generation: int, is_whole: bool, *entries: dict[str, Any]) -> None:
+    """Write one line of a watch: a complete list if `is_whole`, or changes."""
+    line = json.dumps({"generation": generation, "reset": is_whole, "instances": entries}) + "\n"
     push_raw(writer, line.encode())
 
 
@@ -31,15 +31,15 @@
 class Registry(Listener):
     """Accepts watches and writes nothing into them but their head.
 
-    Each watch is put into `asked` with its request line and its writer. It is given up as silent by a
+    Each watch is put into `watches` with its request line and its writer. It is given up as silent by a
     client that waits for heartbeats.
     """
 
-    asked: asyncio.Queue[tuple[str, Writer]] = field(default_factory=asyncio.Queue)
+    watches: asyncio.Queue[tuple[str, Writer]] = field(default_factory=asyncio.Queue)
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
         message = await read_message(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        await self.asked.put((message.start, writer))
+        await self.watches.put((message.start_line, writer))
         await reader.read()
         writer.close()
--- a/laurelstep/testing/schedules/checker.py
+++ b/laurelstep/testing/schedules/checker.py
@@ -68,7 +68,7 @@
         self._orders: dict[tuple[ClusterEpoch, int], int] = {}
         self._bases: dict[ClusterEpoch, int] = {}
         self.committed: dict[ClusterEpoch, CommittedEntry] = {}
-        # Who held it when it was committed: peer and count of amnesias. They may have lost it since.
+        # Who held it when it was committed: peer and count of state losses. They may have lost it since.
         self._holders: dict[ClusterEpoch, set[tuple[int, int]]] = {}
         # By epoch and the term in which it was committed.
         self._committed_by_term: dict[ClusterEpoch, dict[int, CommittedEntry]] = {}
@@ -146,7 +146,7 @@
         assert process.core is not None
         self.committed[epoch] = committed
         self._holders[epoch] = {
-            (one.peer, one.amnesia_count)
+            (one.peer, one.state_loss_count)
             for one in self._processes[: self._options.voter_count]
             if self._remembers(one, committed)
         }
@@ -180,7 +180,7 @@
             for other in self._processes[: self._options.voter_count]:
                 if other is process or not other.is_alive:
                     continue
-                is_holder = (other.peer, other.amnesia_count) in self._holders[older]
+                is_holder = (other.peer, other.state_loss_count) in self._holders[older]
                 if is_holder or self._remembers(other, committed):
                     detail = (
                         f"{process.peer} bootstrapped without {committed.log_index}, held by {other.peer}"
--- a/laurelstep/testing/schedules/process.py
+++ b/laurelstep/testing/schedules/process.py
@@ -81,13 +81,13 @@
 class SimulatedProcess:
     """One process through its incarnations."""
 
-    def __init__(self, peer: int, options: SimulationOptions, draw: random.Random) -> None:
+    def __init__(self, peer: int, options: SimulationOptions, rng: random.Random) -> None:
         self.peer = peer
         self._options = options
-        self._draw = draw
-        self.clock_offset_us = draw.randrange(10**10)
+        self._rng = rng
+        self.clock_offset_us = rng.randrange(10**10)
         drift = int(options.timing.max_clock_drift * MILLION) - 1
-        self.clock_rate_ppm = MILLION + draw.randint(-drift, drift)
+        self.clock_rate_ppm = MILLION + rng.randint(-drift, drift)
         self.stored: dict[bytes, bytes] = {}
         self.core: ConsensusCore | None = None
         self.recording = RecordingStateMachine()
@@ -96,9 +96,9 @@
         self.is_paused = False
         self.inbox: list[tuple[int, bytes]] = []
         self.crashes_in_next_step = False
-        self.version = 0
+        self.tick_version = 0
         # How often it has lost all its state.
-        self.amnesia_count = 0
+        self.state_loss_count = 0
 
     @property
     def is_alive(self) -> bool:
@@ -115,7 +115,7 @@
 
     def _new_leases(self) -> LeaseTable:
         timing = self._options.timing
-        return self._options.lease_table_type(self.peer, timing.max_clock_drift, timing.lease_us, self._draw)
+        return self._options.lease_table_type(self.peer, timing.max_clock_drift, timing.lease_us, self._rng)
 
     def start(self) -> None:
         """Start or restart the process with what it stored, and with new volatile state."""
@@ -123,7 +123,7 @@
         self.recording = RecordingStateMachine()
         self.leases = self._new_leases()
         if not (made.reuses_incarnation and self.incarnation):
-            self.incarnation = self._draw.getrandbits(64)
+            self.incarnation = self._rng.getrandbits(64)
         self.core = made.core_type(
             self.peer,
             made.peer_count,
@@ -131,7 +131,7 @@
             self.incarnation,
             CompositeStateMachine({RECORDING_TAG[0]: self.recording, LEASES_TAG[0]: self.leases}),
             made.timing,
-            random.Random(self._draw.getrandbits(64)),
+            random.Random(self._rng.getrandbits(64)),
             self.stored,
         )
         self.incarnation = self.core.incarnation
--- a/laurelstep/testing/schedules/script.py
+++ b/laurelstep/testing/schedules/script.py
@@ -62,21 +62,21 @@
     change_options: Callable[[SimulationOptions], SimulationOptions] | None = None,
 ) -> ConsensusSimulation:
     """Play one schedule. `change_options` may replace the options that were drawn. Raises BrokenError."""
-    draw = random.Random(seed)
-    seats = draw.choice(shape.voter_counts)
-    peers = seats + draw.choice(shape.learner_counts)
-    found_us = draw.choice((QUICK_TIMING.bootstrap_timeout_us, QUICK_TIMING.election_timeout_us))
+    rng = random.Random(seed)
+    seats = rng.choice(shape.voter_counts)
+    peers = seats + rng.choice(shape.learner_counts)
+    found_us = rng.choice((QUICK_TIMING.bootstrap_timeout_us, QUICK_TIMING.election_timeout_us))
     timing = dataclasses.replace(
-        QUICK_TIMING, max_log_entries=draw.choice((4, 6, 512)), bootstrap_timeout_us=found_us
+        QUICK_TIMING, max_log_entries=rng.choice((4, 6, 512)), bootstrap_timeout_us=found_us
     )
-    plain = SimulationOptions(seats, peers, timing, is_durable=draw.random() < shape.durable_probability)
+    plain = SimulationOptions(seats, peers, timing, is_durable=rng.random() < shape.durable_probability)
     kept = (
         bootstrapped_state(seats, peers, timing.max_log_entries)
-        if draw.random() < shape.bootstrapped_probability
+        if rng.random() < shape.bootstrapped_probability
         else None
     )
     world = ConsensusSimulation(change_options(plain) if change_options else plain, seed, kept)
-    ScheduleGenerator(world, shape, draw).draw_all()
+    ScheduleGenerator(world, shape, rng).draw_all()
     world.run(shape.length_us)
     world.heal()
     run_until_progress(world)
@@ -85,7 +85,7 @@
 
 def run_until_progress(world: ConsensusSimulation) -> None:
     """Propose until all processes have applied an entry. BrokenError after `PROGRESS_US` without one."""
-    until = world.time + PROGRESS_US
+    until = world.time_us + PROGRESS_US
     probes: list[bytes] = []
 
     def done() -> bool:
@@ -93,14 +93,14 @@
         if not all(
             core is not None
             and core.is_caught_up
-            and core.has_leader_contact(process.local_time_us(world.time))
+            and core.has_leader_contact(process.local_time_us(world.time_us))
             for core, process in zip(cores, world.processes, strict=True)
         ):
             return False
         tapes = [process.recording.data for process in world.processes]
         return any(all(probe in tape for tape in tapes) for probe in probes[-4:])
 
-    while world.time < until:
+    while world.time_us < until:
         for leader in world.leaders():
             world.probe_count += 1
             probe = b"probe%d" % world.probe_count
@@ -121,61 +121,61 @@
 class ScheduleGenerator:
     """Draws faults, proposals and leases, and schedules them in a simulation."""
 
-    def __init__(self, world: ConsensusSimulation, shape: ScheduleShape, draw: random.Random) -> None:
+    def __init__(self, world: ConsensusSimulation, shape: ScheduleShape, rng: random.Random) -> None:
         self._world = world
         self._shape = shape
-        self._draw = draw
+        self._rng = rng
         self._seats = world.options.voter_count
         self._peers = world.options.peer_count
         self._kinds: dict[str, Callable[[], None]] = {
             "crash": self._crash,
-            "come again": self._restart,
-            "majority": self._majority,
-            "all": self._all,
-            "roll": self._rolling_restart,
+            "restart": self._restart,
+            "crash majority": self._crash_majority,
+            "crash all": self._crash_all,
+            "rolling restart": self._rolling_restart,
             "pause": self._pause,
-            "halves": self._halves,
-            "alone": self._isolate_one,
+            "split": self._split,
+            "isolate": self._isolate_one,
             "one way": self._one_way,
             "bridge": self._bridge,
-            "mend": self._heal_network,
-            "succeed": self._hot_restart,
-            "storm": self._storm,
+            "heal": self._heal_network,
+            "hot restart": self._hot_restart,
+            "degrade": self._degrade_network,
         }
 
     def draw_all(self) -> None:
         """Draw and schedule the whole schedule."""
-        world, shape, draw = self._world, self._shape, self._draw
+        world, shape, rng = self._world, self._shape, self._rng
         world.network = SimulatedNetwork(
-            loss_probability=draw.choice(shape.loss_probabilities),
-            duplicate_probability=draw.choice((0.0, 0.0, 0.1)),
-            max_delay_us=draw.choice(shape.max_delays_us),
-            late_probability=draw.choice(shape.late_probabilities),
+            loss_probability=rng.choice(shape.loss_probabilities),
+            duplicate_probability=rng.choice((0.0, 0.0, 0.1)),
+            max_delay_us=rng.choice(shape.max_delays_us),
+            late_probability=rng.choice(shape.late_probabilities),
         )
         kinds = shape.fault_kinds or tuple(self._kinds)
-        for _ in range(draw.choice(shape.fault_counts)):
-            world.schedule(draw.randrange(shape.length_us), self._kinds[draw.choice(kinds)])
+        for _ in range(rng.choice(shape.fault_counts)):
+            world.schedule(rng.randrange(shape.length_us), self._kinds[rng.choice(kinds)])
         for count, time in enumerate(range(0, shape.length_us, shape.proposal_interval_us)):
             data = (b"%d." % count).ljust(shape.entry_bytes, b".")
-            world.schedule(time + draw.randrange(shape.proposal_interval_us), self._propose, data)
-        for _ in range(draw.choice(shape.lease_counts)):
-            world.schedule(draw.randrange(shape.length_us), self._lease)
+            world.schedule(time + rng.randrange(shape.proposal_interval_us), self._propose, data)
+        for _ in range(rng.choice(shape.lease_counts)):
+            world.schedule(rng.randrange(shape.length_us), self._lease)
 
     def _draw_peer(self) -> int:
-        return self._draw.randrange(self._peers)
+        return self._rng.randrange(self._peers)
 
     def _draw_voter(self) -> int:
         """A voter; half of the time one that leads."""
         leaders = self._world.leaders()
-        if leaders and self._draw.random() < 0.5:
-            return self._draw.choice(leaders).peer
-        return self._draw.randrange(self._seats)
+        if leaders and self._rng.random() < 0.5:
+            return self._rng.choice(leaders).peer
+        return self._rng.randrange(self._seats)
 
     def _draw_mostly_voter(self) -> int:
-        return self._draw_voter() if self._draw.random() < 0.8 else self._draw_peer()
+        return self._draw_voter() if self._rng.random() < 0.8 else self._draw_peer()
 
     def _later(self, call: Callable[[int], None], me: int, most_us: int = 2 * SECOND) -> None:
-        self._at(self._world.time + self._draw.randrange(most_us), call, me)
+        self._at(self._world.time_us + self._rng.randrange(most_us), call, me)
 
     def _at(self, time: int, call: Callable[..., None], *args: object) -> None:
         """Schedule a call, unless faults have ended by then."""
@@ -190,44 +190,44 @@
 
     def _lease(self) -> None:
         me = self._draw_peer()
-        if self._draw.random() < 0.2:
+        if self._rng.random() < 0.2:
             self._world.release_lease(me)
         self._world.request_lease(me)
 
     def _crash(self) -> None:
         me = self._draw_mostly_voter()
-        self._world.crash(me, within_step=self._draw.random() < 0.5)
+        self._world.crash(me, within_step=self._rng.random() < 0.5)
         self._later(self._world.restart, me)
 
     def _restart(self) -> None:
         self._world.restart(self._draw_mostly_voter())
 
-    def _majority(self) -> None:
-        for me in self._draw.sample(range(self._seats), self._seats // 2 + 1):
+    def _crash_majority(self) -> None:
+        for me in self._rng.sample(range(self._seats), self._seats // 2 + 1):
             self._world.crash(me)
             self._later(self._world.restart, me, 300 * MS)
 
-    def _all(self) -> None:
+    def _crash_all(self) -> None:
         for me in range(self._peers):
             self._world.crash(me)
             self._later(self._world.restart, me, 300 * MS)
 
     def _rolling_restart(self) -> None:
         """Restart all voters, one soon after the other."""
-        gap = self._draw.choice((100 * MS, 500 * MS))
-        order = self._draw.sample(range(self._seats), self._seats)
+        gap = self._rng.choice((100 * MS, 500 * MS))
+        order = self._rng.sample(range(self._seats), self._seats)
         for count, me in enumerate(order):
-            self._at(self._world.time + count * gap, self._world.restart, me)
+            self._at(self._world.time_us + count * gap, self._world.restart, me)
 
     def _pause(self) -> None:
         me = self._draw_mostly_voter()
         self._world.pause(me)
         self._later(self._world.resume, me, 4 * SECOND)
 
-    def _halves(self) -> None:
+    def _split(self) -> None:
         """Partition the processes in two; neither side needs to have a majority of voters."""
-        order = self._draw.sample(range(self._peers), self._peers)
-        cut = self._draw.randint(1, max(1, self._peers - 1))
+        order = self._rng.sample(range(self._peers), self._peers)
+        cut = self._rng.randint(1, max(1, self._peers - 1))
         self._world.partition(order[:cut], order[cut:])
 
     def _isolate_one(self) -> None:
@@ -237,13 +237,13 @@
     def _one_way(self) -> None:
         me = self._draw_voter()
         others = [other for other in range(self._peers) if other != me]
-        if self._draw.random() < 0.5:
+        if self._rng.random() < 0.5:
             self._world.partition_one_way([me], others)
         else:
             self._world.partition_one_way(others, [me])
 
     def _bridge(self) -> None:
-        order = self._draw.sample(range(self._peers), self._peers)
+        order = self._rng.sample(range(self._peers), self._peers)
         cut = (self._peers + 1) // 2
         self._world.partition(order[:cut], order[cut - 1 :])
 
@@ -253,13 +253,13 @@
     def _hot_restart(self) -> None:
         self._world.hot_restart(self._draw_mostly_voter())
 
-    def _storm(self) -> None:
+    def _degrade_network(self) -> None:
         """Let the network get worse for a while."""
         before = self._world.network
         self._world.network = dataclasses.replace(
             before, loss_probability=0.4, duplicate_probability=0.2, late_probability=0.1
         )
-        self._at(self._world.time + 500 * MS, self._calm, before)
+        self._at(self._world.time_us + 500 * MS, self._restore_network, before)
 
-    def _calm(self, network: SimulatedNetwork) -> None:
+    def _restore_network(self, network: SimulatedNetwork) -> None:
         self._world.network = network
--- a/laurelstep/testing/schedules/world.py
+++ b/laurelstep/testing/schedules/world.py
@@ -57,8 +57,8 @@
         """`stored`: what each process starts from, as the successor of an earlier one."""
         self.options = options
         self.seed = seed
-        self.draw = random.Random(seed)
-        self.time = 0
+        self.rng = random.Random(seed)
+        self.time_us = 0
         self.network = SimulatedNetwork()
         self.cut_routes: set[tuple[int, int]] = set()
         self.step_count = 0
@@ -67,7 +67,7 @@
         self.probe_count = 0
         self._order = 0
         self._queue: list[tuple[int, int, Callable[..., None], tuple[object, ...]]] = []
-        self.processes = [SimulatedProcess(me, options, self.draw) for me in range(options.peer_count)]
+        self.processes = [SimulatedProcess(me, options, self.rng) for me in range(options.peer_count)]
         self.checker = InvariantChecker(self.processes, options, seed)
         for process in self.processes:
             process.stored = dict((stored or {}).get(process.peer, {}))
@@ -98,11 +98,11 @@
 
     def _end(self, process: SimulatedProcess) -> None:
         process.core = None
-        process.version += 1
+        process.tick_version += 1
         process.inbox = []
         if not self.options.is_durable or process.peer >= self.options.voter_count:
             process.stored = {}
-            process.amnesia_count += 1
+            process.state_loss_count += 1
 
     def restart(self, me: int) -> None:
         """Crash a process, if it runs, and start it again: without state, unless its store is durable."""
@@ -114,9 +114,9 @@
         process = self.processes[me]
         if process.core is None or process.is_paused:
             return
-        kept, stored, forgot = process.core.retire(), process.stored, process.amnesia_count
+        kept, stored, state_loss_count = process.core.retire(), process.stored, process.state_loss_count
         self._end(process)
-        process.amnesia_count = forgot
+        process.state_loss_count = state_loss_count
         process.stored = kept
         self.start(me)
         process.stored = stored
@@ -182,7 +182,7 @@
             return
         lease_us = self.options.timing.lease_us if lease_us is None else lease_us
         word = process.leases.request(
-            process.local_time_us(self.time), process.core.incarnation, name, lease_us
+            process.local_time_us(self.time_us), process.core.incarnation, name, lease_us
         )
         self._step(process, lambda core, now: core.send_to_leader(now, word))
 
@@ -195,14 +195,14 @@
 
     def _on_leader_message(self, process: SimulatedProcess, peer: int, incarnation: int, data: bytes) -> None:
         # The core is in the midst of a step: what the leader answers is a step of its own.
-        self.schedule(self.time, self._propose_lease, process, process.core, peer, incarnation, data)
+        self.schedule(self.time_us, self._propose_lease, process, process.core, peer, incarnation, data)
 
     def _propose_lease(
         self, process: SimulatedProcess, core: ConsensusCore, peer: int, incarnation: int, data: bytes
     ) -> None:
         if process.core is not core or process.is_paused:
             return
-        now = process.local_time_us(self.time)
+        now = process.local_time_us(self.time_us)
         entry = process.leases.entry_for(now, core.epoch, peer, incarnation, data)
         if entry is None:
             return
@@ -229,31 +229,31 @@
             return True
         while queue and queue[0][0] <= until:
             time, _, call, args = heapq.heappop(queue)
-            self.time = max(self.time, time)
+            self.time_us = max(self.time_us, time)
             steps = self.step_count
             call(*args)
             if done is not None and self.step_count != steps and done():
                 return True
-        self.time = max(self.time, until)
+        self.time_us = max(self.time_us, until)
         return False
 
     def run_for(self, us: int, done: Callable[[], bool] | None = None) -> bool:
         """The same for this long, µs."""
-        return self.run(self.time + us, done)
+        return self.run(self.time_us + us, done)
 
     def _schedule_tick(self, process: SimulatedProcess) -> None:
-        process.version += 1
+        process.tick_version += 1
         core = process.core
         if core is not None and core.due_us < NEVER_US:
-            time = max(self.time, process.true_time_us(core.due_us))
-            self.schedule(time, self._tick, process, process.version)
+            time = max(self.time_us, process.true_time_us(core.due_us))
+            self.schedule(time, self._tick, process, process.tick_version)
 
     def _tick(self, process: SimulatedProcess, version: int) -> None:
-        if version != process.version or process.is_paused:
+        if version != process.tick_version or process.is_paused:
             return
         self._step(process, lambda core, now: core.tick(now))
         if process.core is not None:
-            self.checker.on_tick(process, self.time)
+            self.checker.on_tick(process, self.time_us)
 
     def _arrive(self, me: int, peer: int, raw: bytes) -> None:
         if (peer, me) in self.cut_routes:
@@ -269,21 +269,21 @@
         core = process.core
         if core is None:
             return
-        now = process.local_time_us(self.time)
+        now = process.local_time_us(self.time_us)
         effects = step(core, now)
         self.step_count += 1
         sends = effects.outgoing
         if process.crashes_in_next_step:
-            if self.draw.random() < 0.5:
+            if self.rng.random() < 0.5:
                 self._end(process)
                 return
-            sends = sends[: self.draw.randint(0, len(sends))]
+            sends = sends[: self.rng.randint(0, len(sends))]
         self._store(process, effects.persist)
         for peer, raw in sends:
             self.checker.on_send(process, raw)
             self._send(process.peer, peer, raw)
         process.leases.observe(now, core.epoch)
-        self.checker.on_step(process, self.time)
+        self.checker.on_step(process, self.time_us)
         if process.crashes_in_next_step:
             self._end(process)
             return
@@ -299,13 +299,13 @@
                 process.stored[key] = value
 
     def _send(self, source: int, target: int, raw: bytes) -> None:
-        network, draw = self.network, self.draw
+        network, rng = self.network, self.rng
         self.sent_count += 1
-        if network.loss_probability and draw.random() < network.loss_probability:
+        if network.loss_probability and rng.random() < network.loss_probability:
             return
-        times = 2 if network.duplicate_probability and draw.random() < network.duplicate_probability else 1
+        times = 2 if network.duplicate_probability and rng.random() < network.duplicate_probability else 1
         for _ in range(times):
-            delay = draw.randint(network.min_delay_us, network.max_delay_us)
-            if network.late_probability and draw.random() < network.late_probability:
-                delay += draw.randint(0, network.max_lateness_us)
-            self.schedule(self.time + delay, self._arrive, target, source, raw)
+            delay = rng.randint(network.min_delay_us, network.max_delay_us)
+            if network.late_probability and rng.random() < network.late_probability:
+                delay += rng.randint(0, network.max_lateness_us)
+            self.schedule(self.time_us + delay, self._arrive, target, source, raw)
--- a/tests/maintenance_processes.py
+++ b/tests/maintenance_processes.py
@@ -256,7 +256,7 @@
 
 async def inject_fault(tier: ProcessTier, watch: StatusWatch) -> None:
     """One, drawn, for some answers of those that are not hit; then none."""
-    draw, numbers = tier.draw, range(len(tier.programs))
+    draw, numbers = tier.rng, range(len(tier.programs))
     what = draw.choice(["cut", "one way", "kill", "pause", "weather", "replace"])
     victim, answers = draw.choice(numbers), draw.randrange(60)
     some = set(draw.sample(numbers, draw.randrange(1, len(numbers))))
--- a/tests/outboxing.py
+++ b/tests/outboxing.py
@@ -176,7 +176,7 @@
 
 
 def _write_name(message: Message) -> str:
-    request_line = message.start.split()
+    request_line = message.start_line.split()
     _, _, query = request_line[1].partition("?")
     return "".join(parse_qs(query).get("w", [""]))
 
@@ -366,7 +366,7 @@
         self.write_events: list[QueuedWriteEvent] = []
         self.history = History(now_us)
         self.backend = WriteBackend(self.write_events)
-        self.servers = [Endpoint(self.backend.serve, keep=False) for _ in range(server_count)]
+        self.servers = [Endpoint(self.backend.serve, records_requests=False) for _ in range(server_count)]
         self.edges: list[Node] = []
         self.copies: list[Node] = []
         self.queued_writes: list[QueuedWrite] = []
@@ -519,7 +519,7 @@
         self.history.add(RequestStarted(now(), number, request_id, effect, key, DEADLINE_MS * 1000))
         async with Caller(*node.program.listen) as caller:
             try:
-                message = await caller.ask(raw)
+                message = await caller.send(raw)
             except (OSError, asyncio.IncompleteReadError) as error:
                 self.history.add(RequestFailed(now(), number, request_id, type(error).__name__))
                 return None
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -107,8 +107,8 @@
                 host.body()
                 await middleware(http(path=path), host.receive, host.send)
                 assert host.sent[1]["body"] == body
-            (got,) = endpoint.got
-            assert got.start == "GET /page?obj=7f HTTP/1.1"
+            (got,) = endpoint.requests
+            assert got.start_line == "GET /page?obj=7f HTTP/1.1"
 
     run(main())
 
@@ -126,7 +126,7 @@
                 host.body()
                 await middleware(http(path=path), host.receive, host.send)
                 assert host.sent[1]["body"] == body
-            assert endpoint.got[0].start == "GET /page/7?obj=7f HTTP/1.1"
+            assert endpoint.requests[0].start_line == "GET /page/7?obj=7f HTTP/1.1"
 
     run(main())
 
@@ -149,7 +149,7 @@
             scope = http("pay", "POST", path="/pay", raw_path=None, http_version="2")
             scope["headers"] = scope["headers"][:-1]
             await middleware(scope, host.receive, host.send)
-            assert host.status == 200 and endpoint.got[0].body == b"ab"
+            assert host.status == 200 and endpoint.requests[0].body == b"ab"
 
     run(main())
 
@@ -213,7 +213,7 @@
                 host.body(b"x" * 20_000, more=True)
             await middleware(scope, host.receive, host.send)
             assert host.status == 413 and host.waits == 4, "or once it is too large"
-            assert not endpoint.got and nothing_held(client)
+            assert not endpoint.requests and nothing_held(client)
 
     run(main())
 
@@ -225,7 +225,7 @@
             host = Host()
             host.body(b"a", more=True)
             await middleware(http("pay", "POST"), host.receive, host.send)
-            assert host.status == 408 and not endpoint.got and nothing_held(client)
+            assert host.status == 408 and not endpoint.requests and nothing_held(client)
 
     run(main())
 
@@ -238,7 +238,7 @@
             host.body(b"a", more=True)
             host.disconnect()
             await middleware(http("pay", "POST"), host.receive, host.send)
-            assert not host.sent and not endpoint.got and client.engine.next_id == 0
+            assert not host.sent and not endpoint.requests and client.engine.next_id == 0
 
     run(main())
 
@@ -266,7 +266,7 @@
                 await task
             assert [(one.outcome, one.is_final) for one in told] == [(CANCELLED, True)]
             await endpoint.closed.acquire()
-            assert not host.sent and nothing_held(client) and len(endpoint.got) == 1
+            assert not host.sent and nothing_held(client) and len(endpoint.requests) == 1
 
     run(main())
 
@@ -287,7 +287,7 @@
             host.disconnect()
             await task
             assert [one["type"] for one in host.sent] in ([], ["http.response.start", "http.response.body"])
-            assert nothing_held(client) and len(endpoint.got) == 1
+            assert nothing_held(client) and len(endpoint.requests) == 1
 
     run(main())
 
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -217,7 +217,7 @@
                     assert said(await client.send(pay())) == AGAIN
                     machine.passes(1)
                     assert said(await client.send(pay())) == SERVED
-            assert len(endpoint.got) == 2
+            assert len(endpoint.requests) == 2
 
     run(main())
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -35,11 +35,11 @@
         world = bootstrapped_world(5, seed=seed)
         first = wait_for_ready_leader(world, range(5)).peer
         world.crash(first)
-        crash_time_us = world.time
+        crash_time_us = world.time_us
         second = wait_for_ready_leader(world, other_peers(world, first))
         assert world.propose(second.peer, b"again")
         assert wait_until_applied(world, b"again", other_peers(world, first))
-        assert world.time - crash_time_us < 2 * SECOND_US
+        assert world.time_us - crash_time_us < 2 * SECOND_US
 
 
 def test_a_lease_of_a_paused_leader_is_granted_to_another_only_after_it_expired() -> None:
@@ -47,16 +47,16 @@
     world.run_for(2 * SECOND_US)
     first = wait_for_ready_leader(world, range(3))
     world.request_lease(first.peer)
-    assert world.run_for(SECOND_US, lambda: first.leases.holds(first.local_time_us(world.time), "lease"))
+    assert world.run_for(SECOND_US, lambda: first.leases.holds(first.local_time_us(world.time_us), "lease"))
     world.pause(first.peer)
     second = wait_for_ready_leader(world, other_peers(world, first.peer))
     other = world.processes[other_peers(world, first.peer, second.peer)[0]]
     # Requests are refused while the first leader may still hold the lease, and granted afterwards.
-    while not other.leases.holds(other.local_time_us(world.time), "lease"):
-        assert world.time < 20 * SECOND_US
+    while not other.leases.holds(other.local_time_us(world.time_us), "lease"):
+        assert world.time_us < 20 * SECOND_US
         world.request_lease(other.peer)
         world.run_for(SECOND_US // 5)
-    assert not first.leases.holds(first.local_time_us(world.time), "lease")
+    assert not first.leases.holds(first.local_time_us(world.time_us), "lease")
     world.resume(first.peer)
     assert core_of(world, first.peer).role == "follower"
     run_until_progress(world)
@@ -92,7 +92,7 @@
     world.run_for(5 * SECOND_US)
     assert not any(b"few" in world.processes[peer].recording.data for peer in range(5))
     assert not any(
-        core_of(world, peer).has_leader_contact(world.processes[peer].local_time_us(world.time))
+        core_of(world, peer).has_leader_contact(world.processes[peer].local_time_us(world.time_us))
         for peer in minority
     )
     world.heal()
@@ -310,7 +310,7 @@
 def test_a_retired_core_ignores_all_further_steps() -> None:
     world = bootstrapped_world(3)
     core = core_of(world, 0)
-    now_us = world.processes[0].local_time_us(world.time)
+    now_us = world.processes[0].local_time_us(world.time_us)
     core.retire()
     assert core.due_us == NEVER_US
     assert core.tick(now_us + SECOND_US).outgoing == []
@@ -389,7 +389,7 @@
 
 def test_a_voter_refuses_a_bootstrap_while_it_has_leader_contact_or_if_it_is_not_named() -> None:
     world = bootstrapped_world(3)
-    now_us = [process.local_time_us(world.time) for process in world.processes]
+    now_us = [process.local_time_us(world.time_us) for process in world.processes]
     incarnations = [core_of(world, peer).incarnation for peer in range(3)]
     request = m.encode(m.BootstrapRequest(ClusterEpoch(9, 9), 1, incarnations))
     assert core_of(world, 1).receive(now_us[1], 0, request).outgoing == []
@@ -462,7 +462,7 @@
     """A learner that does not know the new epoch yet refers to indexes that hold other entries in it."""
     world = bootstrapped_world(3, learner_count=1)
     learner, epoch = core_of(world, 3), core_of(world, 3).epoch
-    now_us = world.processes[3].local_time_us(world.time)
+    now_us = world.processes[3].local_time_us(world.time_us)
     ((_, early_datagram),) = learner.send_to_leader(now_us, b"early").outgoing
     for peer in range(3):
         world.restart(peer)
@@ -472,14 +472,16 @@
     received: list[bytes] = []
     leader.on_leader_message = lambda peer, incarnation, data: received.append(data)
     lost_before = leader.counters["words_lost"]
-    leader.receive(world.processes[leader.replica_id].local_time_us(world.time), 3, early_datagram)
+    leader.receive(world.processes[leader.replica_id].local_time_us(world.time_us), 3, early_datagram)
     assert not received and leader.counters["words_lost"] == lost_before + 1
     # A message of the old epoch that was queued until the epoch had ended is dropped too.
-    assert not learner.send_to_leader(world.processes[3].local_time_us(world.time), b"waited", epoch).outgoing
+    assert not learner.send_to_leader(
+        world.processes[3].local_time_us(world.time_us), b"waited", epoch
+    ).outgoing
     ((_, late_datagram),) = learner.send_to_leader(
-        world.processes[3].local_time_us(world.time), b"late", leader.epoch
+        world.processes[3].local_time_us(world.time_us), b"late", leader.epoch
     ).outgoing
-    leader.receive(world.processes[leader.replica_id].local_time_us(world.time), 3, late_datagram)
+    leader.receive(world.processes[leader.replica_id].local_time_us(world.time_us), 3, late_datagram)
     assert received == [b"late"]
 
 
--- a/tests/test_consensus_bounds.py
+++ b/tests/test_consensus_bounds.py
@@ -33,7 +33,7 @@
     world = bootstrapped_world(3, timing=dataclasses.replace(QUICK_TIMING, max_log_entries=512))
     leader = wait_for_ready_leader(world, range(3)).peer
     world.partition([leader], other_peers(world, leader))
-    core, now_us = core_of(world, leader), world.processes[leader].local_time_us(world.time)
+    core, now_us = core_of(world, leader), world.processes[leader].local_time_us(world.time_us)
     with pytest.raises(EntryError):
         core.propose(now_us, bytes(MAX_ENTRY_BYTES + 1))
     with pytest.raises(EntryError):
@@ -44,7 +44,7 @@
         core.propose(now_us, b"one more")
     with pytest.raises(NotLeaderError) as error:
         follower = other_peers(world, leader)[0]
-        core_of(world, follower).propose(world.processes[follower].local_time_us(world.time), b"x")
+        core_of(world, follower).propose(world.processes[follower].local_time_us(world.time_us), b"x")
     assert error.value.leader_id == leader
 
 
@@ -108,7 +108,7 @@
 ) -> None:
     world = bootstrapped_world(3, learner_count=1)
     receiver = data.draw(st.integers(0, 3))
-    core, now_us = core_of(world, receiver), world.processes[receiver].local_time_us(world.time)
+    core, now_us = core_of(world, receiver), world.processes[receiver].local_time_us(world.time_us)
     number = st.integers(0, (1 << 48) - 1) | st.integers(0, 9)
     epochs = st.sampled_from(
         [core.epoch, NO_EPOCH, ClusterEpoch(0, 1), ClusterEpoch((1 << 32) - 1, (1 << 64) - 1)]
--- a/tests/test_consensus_schedules.py
+++ b/tests/test_consensus_schedules.py
@@ -41,10 +41,10 @@
 
 def test_equal_seeds_give_equal_schedules() -> None:
     first, second = play_schedule(11), play_schedule(11)
-    assert (first.step_count, first.sent_count, first.time) == (
+    assert (first.step_count, first.sent_count, first.time_us) == (
         second.step_count,
         second.sent_count,
-        second.time,
+        second.time_us,
     )
     assert [process.recording.applied for process in first.processes] == [
         process.recording.applied for process in second.processes
@@ -240,15 +240,15 @@
     voter_counts=(3, 5),
     bootstrapped_probability=1.0,
     fault_counts=(4, 6, 8),
-    fault_kinds=("halves", "alone", "pause", "mend"),
+    fault_kinds=("split", "isolate", "pause", "heal"),
 )
 DURABLE_RESTARTS = dataclasses.replace(
-    PARTITIONS, durable_probability=1.0, fault_kinds=("crash", "halves", "alone", "mend", "come again")
+    PARTITIONS, durable_probability=1.0, fault_kinds=("crash", "split", "isolate", "heal", "restart")
 )
 RESTARTS_WITHOUT_STORE = dataclasses.replace(
     PARTITIONS,
     durable_probability=0.0,
-    fault_kinds=("crash", "come again", "halves", "alone", "mend", "roll", "majority"),
+    fault_kinds=("crash", "restart", "split", "isolate", "heal", "rolling restart", "crash majority"),
 )
 CONTENDED_LEASES = dataclasses.replace(
     PARTITIONS,
@@ -256,7 +256,7 @@
     loss_probabilities=(0.2,),
     late_probabilities=(0.0,),
     max_delays_us=(5_000,),
-    fault_kinds=("alone", "mend"),
+    fault_kinds=("isolate", "heal"),
     fault_counts=(2,),
 )
 
--- a/tests/test_consensus_stores.py
+++ b/tests/test_consensus_stores.py
@@ -100,7 +100,7 @@
             with pytest.raises(StoreError, match="No space left"):
                 await write
         await store.close()
-        reopened = await EmbeddedStore.open(disk.lose_power(all_=True))
+        reopened = await EmbeddedStore.open(disk.lose_power(keeps_all=True))
         assert await reopened.load() == {b"a": b"1"}
         await reopened.close()
         with pytest.raises(StoreError, match="closed"):
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -362,7 +362,7 @@
 
     @contextlib.contextmanager
     def empty_folder(self) -> Iterator[Callable[[], Disk]]:
-        yield self.kind().another
+        yield self.kind().open_again
 
     def after_power_loss(self, disk: Disk, opener: Callable[[], Disk]) -> Disk:
         assert isinstance(disk, SimulatedDisk)
@@ -372,7 +372,7 @@
 class TestSimulatedDiskThatLosesNothing(TestSimulatedDisk):
     def after_power_loss(self, disk: Disk, opener: Callable[[], Disk]) -> Disk:
         assert isinstance(disk, SimulatedDisk)
-        return disk.lose_power(all_=True)
+        return disk.lose_power(keeps_all=True)
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -409,7 +409,7 @@
     """Whoever closes it unlocks it."""
 
     def close(self) -> None:
-        self.owner.clear()
+        self.owners.clear()
 
 
 class Torn(SimulatedDisk):
@@ -773,7 +773,7 @@
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             message = await read_message(reader)
             if not self.broken:
-                watch = "watch=1" in message.start
+                watch = "watch=1" in message.start_line
                 await self._answer(reader, writer, watch)
         self.watches.discard(writer)
         writer.close()
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -211,7 +211,7 @@
                 override_decisions(proxy.engine, client_disconnected=send_more)
                 caller.send(request(rid="r2"))
                 (response,) = await parsed(await caller.read())
-                assert response.status == 400 and len(endpoint.got) == 1
+                assert response.status == 400 and len(endpoint.requests) == 1
 
     run(main())
 
@@ -278,19 +278,19 @@
                 elif sweeper == "late_connections":
                     proxy.server.awaiting_request.discard(ended)
                     proxy.server.late_connections.add(ended)
-                before = len(endpoint.got)
+                before = len(endpoint.requests)
                 if first == "request":
                     caller.send(LAST)
                     expire(getattr(proxy.server, sweeper))
                     (response,) = await parsed(await caller.read())
-                    assert response.body == b"ok" and len(endpoint.got) == before + 1
+                    assert response.body == b"ok" and len(endpoint.requests) == before + 1
                 else:
                     expire(getattr(proxy.server, sweeper))
                     caller.send(LAST)
                     assert await caller.read() == b""
                     caller.close()
                     await until(lambda: not proxy.server.connections)
-                    assert len(endpoint.got) == before
+                    assert len(endpoint.requests) == before
 
     run(main())
 
@@ -321,7 +321,7 @@
                 else:
                     proxy.server.shutdown.stop_listening()
                     caller.send(PAGE)
-                    assert await caller.read() == b"" and not endpoint.got
+                    assert await caller.read() == b"" and not endpoint.requests
             await ended.wait()
 
     run(main())
@@ -352,7 +352,7 @@
                     caller.send(last_bytes)
                 (response,) = await parsed(await caller.read())
                 served = last_byte in ("read", "unread")
-                assert (response.status, len(endpoint.got)) == ((200, 1) if served else (503, 0))
+                assert (response.status, len(endpoint.requests)) == ((200, 1) if served else (503, 0))
                 assert response.headers["connection"] == "close"
             await ended.wait()
 
@@ -378,7 +378,7 @@
                 data = await caller.read()
                 assert [response.body for response in await parsed(data)] == ([b"ok"] if sends else [])
                 caller.close()
-            assert len(endpoint.got) == (3 if sends else 0)
+            assert len(endpoint.requests) == (3 if sends else 0)
             await ended.wait()
             with pytest.raises(ConnectionRefusedError):
                 Client(proxy.port)
@@ -399,10 +399,10 @@
                 await until(lambda: len(proxy.engine.calls) == 1)
                 proxy.server.stop(ended.set)
                 proxy.server.shutdown.stop_listening()
-                assert not endpoint.got
+                assert not endpoint.requests
                 proxy.apply_list(endpoint.entry())
                 (response,) = await parsed(await caller.read())
-                assert response.body == b"ok" and len(endpoint.got) == 1
+                assert response.body == b"ok" and len(endpoint.requests) == 1
             await ended.wait()
 
     run(main())
@@ -473,7 +473,7 @@
                 may_finish.set()
                 answers = await parsed(await caller.read())
                 assert [response.body for response in answers] == [large, b"ok"][: len(answers)]
-                assert len(answers) == len(endpoint.got) == (2 if is_pipelined else 1)
+                assert len(answers) == len(endpoint.requests) == (2 if is_pipelined else 1)
             if reason == "stop":
                 await ended.wait()
 
@@ -549,7 +549,7 @@
                 assert [response.status for response in answers] == {"nothing": [], "head": [503]}.get(
                     client_sends, [200]
                 )
-                assert len(endpoint.got) == (client_sends == "late-request")
+                assert len(endpoint.requests) == (client_sends == "late-request")
             await ended.wait()
 
     run(main())
@@ -588,7 +588,7 @@
                     lambda: connection.received_bytes == len(whole) - 20 or not transport.is_reading()
                 )
                 if arrival == "upload":
-                    await until(lambda: endpoint.opened == 1)
+                    await until(lambda: endpoint.connection_count == 1)
                 take_steps_by_hand(proxy)
                 proxy.server.stop(ended.set)
                 caller.send(whole[-20:-10])
@@ -598,7 +598,9 @@
                 caller.send(whole[-10:] if arrival == "whole" else whole[-10:-5])
                 proxy.server.shutdown.refuse_incomplete()
                 (response,) = await parsed(await caller.read())
-                assert (response.status, len(endpoint.got)) == ((200, 1) if arrival == "whole" else (503, 0))
+                assert (response.status, len(endpoint.requests)) == (
+                    (200, 1) if arrival == "whole" else (503, 0)
+                )
                 assert response.headers["connection"] == "close"
                 assert not proxy.engine.calls
             await ended.wait()
@@ -646,7 +648,7 @@
                     caller.send(PAGE)
                 answers = await parsed(await caller.read())
                 assert [response.body for response in answers] == ([b"ok"] if first == "request" else [])
-                assert len(endpoint.got) == 1 + len(answers)
+                assert len(endpoint.requests) == 1 + len(answers)
             await ended.wait()
 
     run(main())
@@ -671,7 +673,7 @@
                     caller.send(PAGE)
                 answers = await parsed(await caller.read())
                 assert [response.body for response in answers] == ([b"ok"] if first == "request" else [])
-                assert len(endpoint.got) == 1 + len(answers)
+                assert len(endpoint.requests) == 1 + len(answers)
             await ended.wait()
 
     run(main())
@@ -729,7 +731,7 @@
             port = free_port()
             environ = {**write_config(tmp_path, registry, known=None), "LB_LISTEN": f"127.0.0.1:{port}"}
             process = await start_daemon(environ)
-            _, watch = await registry.asked.get()
+            _, watch = await registry.watches.get()
             reader, writer = await connect_until_up(port)
             idle, idle_writer = await asyncio.open_connection("127.0.0.1", port)
             idle_writer.write(b"GET /health/ready HTTP/1.1\r\n\r\n")
@@ -870,7 +872,7 @@
             if moment == "before":
                 assert b"listens False" in out, "a process that is to end must not accept clients"
             else:
-                assert b"HTTP/1.1 200" in out and len(endpoint.got) == 1
+                assert b"HTTP/1.1 200" in out and len(endpoint.requests) == 1
 
     run(main())
 
@@ -938,7 +940,7 @@
             proxy.engine._carry_out(Send(rid, number, 0))  # a decision that the balancer may make now
             proxy.engine.decisions = proxy.engine.balancer
             assert (await proxy.send(request(rid="r2"))).body == b"ok"
-            assert [got.headers["x-request-id"] for got in endpoint.got] == ["r1", "r2"]
+            assert [got.headers["x-request-id"] for got in endpoint.requests] == ["r1", "r2"]
 
     run(main())
 
@@ -1010,7 +1012,7 @@
             proxy.engine.decisions = proxy.engine.balancer
             assert proxy.engine.counters.abandoned == [1, 0, 0]
             assert (await proxy.send(request(rid="r2"))).body == b"ok"
-            assert "left" not in [got.headers["x-request-id"] for got in endpoint.got]
+            assert "left" not in [got.headers["x-request-id"] for got in endpoint.requests]
             caller.close()
 
     run(main())
@@ -1029,7 +1031,7 @@
             await until(lambda: not proxy.engine.calls)
             proxy.apply_list(endpoint.entry())
             assert (await proxy.send(PAGE)).body == b"ok"
-            assert [got.headers["x-request-id"] for got in endpoint.got] == ["r1"]
+            assert [got.headers["x-request-id"] for got in endpoint.requests] == ["r1"]
 
     run(main())
 
@@ -1059,8 +1061,8 @@
             proxy.engine._carry_out(Send(rid, number, 0))  # a decision that the balancer may make at once
             if leaves:
                 assert (await proxy.send(request(rid="r2"))).body == b"ok"
-                assert [got.headers["x-request-id"] for got in endpoint.got] == ["r2"]
-                assert endpoint.opened == 1, "no part of the upload was sent"
+                assert [got.headers["x-request-id"] for got in endpoint.requests] == ["r2"]
+                assert endpoint.connection_count == 1, "no part of the upload was sent"
             else:
                 caller.send(whole[50_000:])
                 assert (await caller.read_answer()).body == b"ok"
@@ -1105,7 +1107,7 @@
                     pass
             caller.close()
             await until(lambda: not proxy.server.connections)
-            ids = [got.headers["x-request-id"] for got in endpoint.got]
+            ids = [got.headers["x-request-id"] for got in endpoint.requests]
             assert ids == (["r1"] if leaves else ["r1", "pipelined"])
 
     run(main())
--- a/tests/test_crossings_descriptors.py
+++ b/tests/test_crossings_descriptors.py
@@ -65,11 +65,11 @@
                     client_writers: list[Writer] = [(await connect_until_up(port))[1] for _ in range(CLIENTS)]
                     server = await asyncio.start_server(registry._serve, "127.0.0.1", discovery_port)
                     async with server:
-                        _, watch = await registry.asked.get()
+                        _, watch = await registry.watches.get()
                         assert len(os.listdir(f"/proc/{process.pid}/fd")) <= SOCKETS
                         push(watch, 2, True, new_endpoint.entry("s-2"))
                         body = b""
-                        while body != b"ok" or not new_endpoint.got:
+                        while body != b"ok" or not new_endpoint.requests:
                             reader, writer = await connect_until_up(port)
                             client_writers.append(writer)
                             writer.write(request("pay", rid=f"r{len(client_writers)}"))
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -69,7 +69,7 @@
             self.targets.append("")
             writer.transport.abort()
             return
-        self.targets.append((await read_message(reader)).start.split()[1])
+        self.targets.append((await read_message(reader)).start_line.split()[1])
         task = asyncio.ensure_future(script(self, writer))
         try:
             await reader.read()
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -114,7 +114,7 @@
 def received_in_order(endpoints: list[Endpoint]) -> list[Message]:
     """The requests received by two endpoints, first those of the one that broke its connection."""
     first, second = sorted(endpoints, key=lambda endpoint: endpoint.effects.by_id["r1"])
-    return [*first.got, *second.got]
+    return [*first.requests, *second.requests]
 
 
 async def count_requests(endpoints: list[Endpoint]) -> int:
@@ -132,7 +132,7 @@
 
 
 def ids(endpoint: Endpoint) -> list[str]:
-    return [message.headers["x-request-id"] for message in endpoint.got]
+    return [message.headers["x-request-id"] for message in endpoint.requests]
 
 
 async def until(done: Callable[[], bool]) -> None:
@@ -249,7 +249,7 @@
             Opening(proxy, on_connecting=time_out_the_first).may_open.set()
             assert (await proxy.send(request("pay"))).body == b"ok"
             assert [event.outcome for event in recorded] == [NO_CONNECT, OK]
-            assert sorted(len(endpoint.got) for endpoint in endpoints) == [0, 1]
+            assert sorted(len(endpoint.requests) for endpoint in endpoints) == [0, 1]
             assert len(proxy.upstream.connections) == 1
 
     run(main())
@@ -395,7 +395,7 @@
             if change == "start":
                 assert recorded[0].outcome == NOT_SENT
             else:
-                assert (len(old.got), len(new.got)) == sent
+                assert (len(old.requests), len(new.requests)) == sent
 
     run(main())
 
@@ -662,7 +662,7 @@
                 await until(lambda: not any(call.is_open for call in proxy.engine.calls.values()))
             opening.may_open.set()
             if leaves == "after":
-                await until(lambda: sum(len(endpoint.got) for endpoint in endpoints) == 1 + before)
+                await until(lambda: sum(len(endpoint.requests) for endpoint in endpoints) == 1 + before)
                 writer.close()
             await until(lambda: not proxy.engine.calls or not cancel)
             await until(lambda: not proxy.upstream.connecting.waiting_since)
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -85,7 +85,7 @@
             process.send_signal(signal.SIGHUP)
             assert process.stdin is not None
             process.stdin.write(b"\n")
-            target, _ = await new.asked.get()
+            target, _ = await new.watches.get()
             assert "from=0 " in target
             process.send_signal(signal.SIGTERM)
             _, errors = await process.communicate()
@@ -100,7 +100,7 @@
         async with asyncio.timeout(60), await old.start(), await new.start():
             environ = {**write_config(tmp_path, old), "LB_LISTEN": f"127.0.0.1:{free_port()}"}
             process = await start_daemon(environ)
-            await old.asked.get()
+            await old.watches.get()
             file = Path(environ["LB_CONFIG"])
             raw = json.loads(file.read_text())
             first, *rest = raw["settings"]["classes"]
@@ -115,7 +115,7 @@
             _, writer = await connect_until_up(int(environ["LB_LISTEN"].rpartition(":")[2]))
             writer.close()
             process.send_signal(signal.SIGHUP)
-            await new.asked.get()
+            await new.watches.get()
             process.send_signal(signal.SIGTERM)
             _, errors = await process.communicate()
             assert process.returncode == 0
@@ -172,13 +172,13 @@
             writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
             assert (await read_message(reader)).status == 200
             writer.write(request())
-            assert (await read_message(reader)).body == b"ok" and len(known.got) == 1
+            assert (await read_message(reader)).body == b"ok" and len(known.requests) == 1
             if listener is not None:
                 listener.close()
             async with await registry.start(at):
-                _, watch = await registry.asked.get()
+                _, watch = await registry.watches.get()
                 push(watch, 7, True, listed.entry("s-9"))
-                while not listed.got:
+                while not listed.requests:
                     writer.write(request())
                     assert (await read_message(reader)).body == b"ok"
                 process.send_signal(signal.SIGTERM)
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from laurelstep.demo.run import DemoRun
-from laurelstep.testing import Endpoint, close, in_turn, serve
+from laurelstep.testing import Endpoint, close, sequence, serve
 
 from tests.event_loops import run_limited
 
@@ -14,10 +14,10 @@
 
     async def main() -> None:
         one = DemoRun(15.0, 200.0, 1)
-        async with Endpoint(in_turn(serve(), close(executes=False), serve())) as front:
+        async with Endpoint(sequence(serve(), close(executes=False), serve())) as front:
             await one.send_request(front.port)
             await one.send_request(front.port)
-            assert one.statistics.counts == {"asked": 2, "served": 2} and front.opened == 2
+            assert one.statistics.counts == {"asked": 2, "served": 2} and front.connection_count == 2
             assert len(one.idle_clients) == 1
             one.idle_clients[0].close()
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -156,7 +156,7 @@
     async def _serve(self, reader: Reader, writer: Writer) -> None:
         message = await read_message(reader)
         self.open.add(writer)
-        await self.asked.put((message.start, writer))
+        await self.asked.put((message.start_line, writer))
         with contextlib.suppress(ConnectionResetError):
             await reader.read()
         self.open.discard(writer)
--- a/tests/test_discovery_server.py
+++ b/tests/test_discovery_server.py
@@ -68,7 +68,7 @@
     reader, writer = await connect(discovery, f"{LIST_PATH}?watch=1&from={generation}")
     head = await reader.readuntil(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 200 ") and b"Transfer-Encoding: chunked" in head
-    assert await discovery.opened.get() == generation
+    assert await discovery.opened_watches.get() == generation
     return Watch(reader, writer)
 
 
@@ -214,8 +214,8 @@
             await asyncio.sleep(6 * STALL_TIMEOUT_S)  # virtual time
             discovery.publish(entry("s-1", "draining"))
             assert await sink.lists.get() == (42, ["s-1"])
-            assert discovery.opened.get_nowait() == 41
-            assert discovery.opened.empty() and discovery.watch_count == 1
+            assert discovery.opened_watches.get_nowait() == 41
+            assert discovery.opened_watches.empty() and discovery.watch_count == 1
             client.close()
             await client.wait_closed()
 
@@ -255,7 +255,7 @@
             assert discovery.watch_count == 0
             discovery.publish(entry("s-1", "draining"))
             assert await sink.lists.get() == (42, ["s-1"])
-            assert [discovery.opened.get_nowait() for _ in range(2)] == [41, 41]
+            assert [discovery.opened_watches.get_nowait() for _ in range(2)] == [41, 41]
             client.close()
             await client.wait_closed()
 
--- a/tests/test_flow_control.py
+++ b/tests/test_flow_control.py
@@ -195,8 +195,8 @@
                     writer.write(chunk(part, ";name=value"))
                 writer.write(b"0\r\nTrailer: x\r\n\r\n")
             message = await read_message(reader)
-            assert message.status == 200 and endpoint.got[0].body == body
-            assert endpoint.got[0].headers["x-request-id"] == "r1"
+            assert message.status == 200 and endpoint.requests[0].body == body
+            assert endpoint.requests[0].headers["x-request-id"] == "r1"
             writer.write(request(rid="r2"))  # the connection stays usable
             assert (await read_message(reader)).status == 200
             assert request_counts(proxy) == (2, 0, 0, 0, 0)
@@ -216,7 +216,9 @@
                 reader, writer = await proxy.connect()
                 writer.write(head(size, rid=rid) + BIG[:size])
                 message = await read_message(reader)
-                got = sum(message.headers["x-request-id"] == rid for end in endpoints for message in end.got)
+                got = sum(
+                    message.headers["x-request-id"] == rid for end in endpoints for message in end.requests
+                )
                 assert got >= attempts if attempts > 1 else got == 1
                 assert message.status in (502, 503), "the endpoint refused it without running it"
             assert_nothing_left(proxy)
@@ -229,7 +231,7 @@
 
     class ResettingEndpoint(Endpoint):
         async def _serve(self, reader: Reader, writer: Writer) -> None:
-            self.opened += 1
+            self.connection_count += 1
             await reader.readuntil(b"\r\n\r\n")
             await reader.readexactly(1000)
             reset_connection(writer)
@@ -242,7 +244,7 @@
             writer.write(head(len(BIG)) + BIG[: 2 * MB])
             message = await read_message(reader)
             assert message.status in (502, 503) and message.headers["connection"] == "close"
-            assert endpoints[0].opened + endpoints[1].opened == 1
+            assert endpoints[0].connection_count + endpoints[1].connection_count == 1
             assert attempt_outcomes[0].outcome == NO_CONNECT, (
                 "it was not sent completely, so it can't have run"
             )
@@ -279,7 +281,7 @@
             attempt_outcomes = record_outcomes(proxy.engine)
             message = await proxy.send(head(len(BIG)) + BIG)
             assert message.status == 502 and [event.outcome for event in attempt_outcomes] == [RESET]
-            assert len(endpoint.got) == 1
+            assert len(endpoint.requests) == 1
             assert_nothing_left(proxy)
 
     run(main())
@@ -291,11 +293,11 @@
         async with sidecar(endpoint) as proxy:
             _, writer = await proxy.connect()
             writer.write(head(len(BIG)) + BIG[: 2 * MB])
-            await wait_until(lambda: endpoint.opened == 1)
+            await wait_until(lambda: endpoint.connection_count == 1)
             writer.transport.abort()
             await endpoint.closed.acquire()
             await wait_until(lambda: not proxy.engine.calls)
-            assert not endpoint.got and request_counts(proxy) == (0, 0, 0, 1, 0)
+            assert not endpoint.requests and request_counts(proxy) == (0, 0, 0, 1, 0)
             assert_nothing_left(proxy)
 
     run(main())
@@ -306,8 +308,8 @@
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
         writer.transport.pause_reading()  # type: ignore[attr-defined]
-        self.open.add(writer)
-        self.opened += 1
+        self.open_connections.add(writer)
+        self.connection_count += 1
 
 
 def test_an_upload_to_an_endpoint_that_never_reads_fails() -> None:
@@ -337,7 +339,7 @@
             assert not proxy.engine.calls and not proxy.upstream.connections
             writing.cancel()
             writer.transport.abort()
-            for open_ in endpoint.open:
+            for open_ in endpoint.open_connections:
                 open_.transport.abort()
             await wait_until(lambda: not proxy.connection_count)
 
@@ -371,7 +373,7 @@
             writing.cancel()
             writer.transport.abort()
             await wait_until(lambda: not proxy.engine.calls)
-            for open_ in endpoint.open:
+            for open_ in endpoint.open_connections:
                 open_.transport.abort()
 
     run(main())
@@ -391,7 +393,7 @@
                 writer.write(part)
                 # The time limit starts again with each part, unless the body is complete.
                 await wait_until(lambda: caller not in waiting or waiting[caller] > began)  # noqa: B023
-            assert (await read_message(reader)).status == 200 and len(endpoint.got[0].body) == 3000
+            assert (await read_message(reader)).status == 200 and len(endpoint.requests[0].body) == 3000
 
     run(main())
 
@@ -407,7 +409,7 @@
             caller.head_completed_at -= 60.0  # as if the head had come a minute ago
             writer.write(b"x" * 1000)
             message = await read_message(reader)
-            assert message.status == 408 and not endpoint.got
+            assert message.status == 408 and not endpoint.requests
 
     run(main())
 
@@ -420,7 +422,7 @@
             writer.write(head(5, headers="Expect: 100-Continue\r\n"))
             assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
             writer.write(b"12345")
-            assert (await read_message(reader)).status == 200 and endpoint.got[0].body == b"12345"
+            assert (await read_message(reader)).status == 200 and endpoint.requests[0].body == b"12345"
             writer.write(head(MAX_STREAMED_BODY_BYTES + 1, rid="r2", headers="Expect: 100-continue\r\n"))
             assert (await read_message(reader)).status == 413
 
@@ -513,7 +515,7 @@
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await read_message(reader)
             await wait_until(lambda: request_counts(proxy) == (0, 0, 1, 0, 0))
-            assert len(endpoint.got) == 1, "no other attempt after bytes were forwarded"
+            assert len(endpoint.requests) == 1, "no other attempt after bytes were forwarded"
             assert_nothing_left(proxy)
 
     run(main())
--- a/tests/test_folders_of_earlier_versions.py
+++ b/tests/test_folders_of_earlier_versions.py
@@ -57,8 +57,8 @@
             assert list(driver.parked) == [write_ids["parked"]]
             await process.until(lambda: driver.outbox.count == 1)  # only the parked write is left
             effects = process.endpoint.effects.by_id
-            assert len(process.endpoint.got) == 2 and set(effects.values()) == {1}
-            bodies = sorted((message.body for message in process.endpoint.got), key=len)
+            assert len(process.endpoint.requests) == 2 and set(effects.values()) == {1}
+            bodies = sorted((message.body for message in process.endpoint.requests), key=len)
             assert bodies == [b"sum", b"album" * 20_000]
             for name in ("keyed", "unsafe"):
                 assert (await driver.receipt(write_ids[name])).state is WriteState.DONE
@@ -102,6 +102,6 @@
             assert answered.body.decode() == expected["answered"]
             assert said(await client.send(pay("unanswered"))) == MAY_HAVE_RUN
             assert said(await client.send(pay("new"))) == SERVED
-            assert endpoint.count == 1
+            assert endpoint.request_count == 1
 
     run(main())
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -398,7 +398,7 @@
             assert await version.stop() == b""
         assert set(met) <= {"200", "crossed"} and met["200"] > 200, met
         assert met["crossed"] <= 5, met
-        assert not [rid for rid in effects.twice() if int(rid[1:]) % 3 != 0]
+        assert not [rid for rid in effects.executed_twice() if int(rid[1:]) % 3 != 0]
         assert [path.suffix for path in tmp_path.iterdir() if path.suffix != ".json"] == [".lock"]
 
     run(main())
@@ -435,7 +435,7 @@
                 assert back.status == 200 and back.headers["connection"] == "close"
             assert await stopping == b""
             await new.stop()
-        assert not endpoint.effects.twice() and sum(endpoint.effects.by_id.values()) == 4
+        assert not endpoint.effects.executed_twice() and sum(endpoint.effects.by_id.values()) == 4
 
     run(main())
 
@@ -443,7 +443,7 @@
 async def tell(registry: Registry, *endpoints: Endpoint) -> None:
     """The second list, by each watch: one that has been silent for 3 s is opened anew."""
     while True:
-        _, writer = await registry.asked.get()
+        _, writer = await registry.watches.get()
         if not writer.is_closing():
             push(writer, 2, True, *(one.entry("s-2") for one in endpoints))
 
@@ -457,18 +457,18 @@
             old = await site.version()
             async with asyncio.TaskGroup() as tasks:
                 telling = tasks.create_task(tell(site.registry, second))
-                while not second.got:  # until it was told
+                while not second.requests:  # until it was told
                     await site.ask(request(rid=os.urandom(4).hex()))
                 telling.cancel()
-            while not site.registry.asked.empty():
-                site.registry.asked.get_nowait()
+            while not site.registry.watches.empty():
+                site.registry.watches.get_nowait()
             new = await site.version()
-            target, _ = await site.registry.asked.get()
+            target, _ = await site.registry.watches.get()
             assert "from=2" in target, "it goes on from there"
-            count = len(first.got)
+            count = len(first.requests)
             await old.stop()
             await site.ask(request(rid="a"))
-            assert len(first.got) == count
+            assert len(first.requests) == count
             await new.stop()
 
     run(main())
@@ -577,7 +577,7 @@
         async with await registry.start(), asyncio.timeout(TEST_TIMEOUT_S):
             told = {**write_config(tmp_path, registry), "TMPDIR": str(tmp_path)}
             process = await start_daemon({**told, "LB_LISTEN": f"127.0.0.1:{free_port()}"})
-            await registry.asked.get()
+            await registry.watches.get()
             assert [path.name for path in tmp_path.iterdir()] == ["config.json"]
             process.terminate()
             await process.wait()
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -394,7 +394,7 @@
 
 
 def check_run(run: ClientRun, held_endpoints: HeldEndpoints, results: list[Any]) -> None:
-    assert not [rid for rid in held_endpoints.effects.twice() if is_unsafe(run, rid)], (
+    assert not [rid for rid in held_endpoints.effects.executed_twice() if is_unsafe(run, rid)], (
         "an unsafe request ran twice"
     )
     for index, reply in enumerate(results):
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -23,11 +23,11 @@
     Message,
     Writer,
     after,
-    in_turn,
+    malformed,
     refuse,
     reset,
+    sequence,
     serve,
-    spoil,
     stall,
     status,
 )
@@ -92,8 +92,8 @@
             assert reply == Reply(
                 Ending.SERVED, 200, (("content-type", "image/png"),), b"album", None, 1, "s-0"
             )
-            (got,) = endpoint.got
-            assert got.start == "GET /page?obj=7f HTTP/1.1" and got.headers["x-tenant"] == "acme"
+            (got,) = endpoint.requests
+            assert got.start_line == "GET /page?obj=7f HTTP/1.1" and got.headers["x-tenant"] == "acme"
             assert 0 < int(got.headers["x-deadline-ms"]) <= 5000
             assert nothing_held(client)
 
@@ -111,21 +111,21 @@
     play(main)
 
 
-@pytest.mark.parametrize("script", [reset(), spoil(), status(500), status(503)])
+@pytest.mark.parametrize("script", [reset(), malformed(), status(500), status(503)])
 def test_an_unsafe_request_that_may_have_run_fails_and_is_not_repeated(script: Any, play: Play) -> None:
     async def main() -> None:
         endpoints = [Endpoint(script), Endpoint(script)]
         async with opened(*endpoints) as client:
             reply = await client.send(PAY)
             assert (reply.outcome, reply.status, reply.attempts) == (Ending.FAILED, 502, 1)
-            assert sum(len(one.got) for one in endpoints) == 1
+            assert sum(len(one.requests) for one in endpoints) == 1
 
     play(main)
 
 
 def test_a_safe_request_is_tried_again_elsewhere(play: Play) -> None:
     async def main() -> None:
-        first_is_reset = in_turn(reset(), serve())
+        first_is_reset = sequence(reset(), serve())
         async with opened(Endpoint(first_is_reset), Endpoint(first_is_reset)) as client:
             reply = await client.send(VIEW)
             assert reply.outcome is Ending.SERVED and reply.attempts == 2
@@ -172,7 +172,7 @@
         async with opened(endpoint) as client:
             with pytest.raises(RequestError) as told:
                 await client.send(request_)
-            assert told.value.status == expected and not endpoint.got and nothing_held(client)
+            assert told.value.status == expected and not endpoint.requests and nothing_held(client)
 
     asyncio.run(main())
 
@@ -188,7 +188,7 @@
                 await client.send(Request("page", "/page", id="same"))
             assert told.value.status == 409
             gate.set()
-            assert (await first).outcome is Ending.SERVED and len(endpoint.got) == 1
+            assert (await first).outcome is Ending.SERVED and len(endpoint.requests) == 1
 
     asyncio.run(main())
 
@@ -241,7 +241,7 @@
             assert nothing_held(client)
             client.members([member(endpoint)])
             assert (await client.send(VIEW)).outcome is Ending.SERVED
-            assert [one.start.split()[1] for one in endpoint.got] == ["/page?obj=7f"]
+            assert [one.start_line.split()[1] for one in endpoint.requests] == ["/page?obj=7f"]
 
     play(main)
 
@@ -258,7 +258,7 @@
             await cancelled(task)
             assert [(one.outcome, one.is_final) for one in told] == [(CANCELLED, True)]
             assert nothing_held(client) and not client._parts.upstream.connections_by_attempt
-        assert not endpoint.got
+        assert not endpoint.requests
 
     play(main)
 
@@ -274,7 +274,7 @@
             _, pending = await asyncio.wait(first, return_when=asyncio.FIRST_COMPLETED)
             for one in pending:
                 await cancelled(one)
-            (used,) = [one for one in endpoints if one.got]
+            (used,) = [one for one in endpoints if one.requests]
             counts = client.engine.balancer.endpoints
             assert sum(one.in_flight for one in counts.values()) == 1
             await cancelled(task)
@@ -282,7 +282,7 @@
             await used.closed.acquire()  # the endpoint sees its connection close
             assert [(one.outcome, one.is_final) for one in told] == [(CANCELLED, True)]
             assert nothing_held(client)
-        assert sum(len(one.got) for one in endpoints) == 1 and not effects.twice()
+        assert sum(len(one.requests) for one in endpoints) == 1 and not effects.executed_twice()
 
     play(main)
 
@@ -292,7 +292,7 @@
         async def half(endpoint: Endpoint, message: Message, writer: Writer) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 
-        endpoint = Endpoint(in_turn(half, serve()))
+        endpoint = Endpoint(sequence(half, serve()))
         async with opened(endpoint) as client:
             task = asyncio.create_task(client.send(PAY))
             while not client._parts.upstream.receiving.waiting_since:
@@ -300,7 +300,7 @@
             await cancelled(task)
             await endpoint.closed.acquire()
             assert nothing_held(client)
-            assert (await client.send(VIEW)).body == b"ok" and endpoint.opened == 2
+            assert (await client.send(VIEW)).body == b"ok" and endpoint.connection_count == 2
 
     play(main)
 
@@ -318,7 +318,7 @@
             with contextlib.suppress(asyncio.CancelledError):
                 await task
             assert [(one.outcome, one.is_final) for one in told] == [(OK, True)]
-            assert nothing_held(client) and len(endpoint.got) == 1
+            assert nothing_held(client) and len(endpoint.requests) == 1
 
     play(main)
 
@@ -359,10 +359,10 @@
             client.members([member(old, "s-0", draining=True), member(new, "s-1")])
             place = client.engine.endpoints.by_number[endpoint_number("s-0")]
             assert place.withdrawn_at is not None
-            before = len(old.got)
+            before = len(old.requests)
             for _ in range(20):
                 assert (await client.send(VIEW)).endpoint == "s-1"
-            assert len(old.got) == before
+            assert len(old.requests) == before
 
     play(main)
 
@@ -394,7 +394,7 @@
         async with Endpoint() as endpoint, DiscoveryServer(generation=7) as discovery:
             raw = {**config(), "discovery": discovery.address, "known": discovery.whole_list()}
             async with Client.open(raw) as client:
-                assert await discovery.opened.get() == 7
+                assert await discovery.opened_watches.get() == 7
                 discovery.replace(endpoint.entry("s-3"))
                 assert (await client.send(VIEW)).endpoint == "s-3", "the module holds it until then"
                 with pytest.raises(ClientError, match="discovery"):
@@ -409,7 +409,7 @@
 def test_closing_waits_for_what_was_taken_and_keeps_nothing(play: Play) -> None:
     async def main() -> None:
         gate = asyncio.Event()
-        endpoint = Endpoint(in_turn(serve(), after(gate, serve(b"late"))))
+        endpoint = Endpoint(sequence(serve(), after(gate, serve(b"late"))))
         async with opened(endpoint) as client:
             await client.send(VIEW)
             assert len(client._parts.upstream.connections) == 1, "kept at rest"
@@ -427,7 +427,7 @@
             await client.close()
             with pytest.raises(ClientError, match="closed"):
                 await client.send(VIEW)
-            assert not client._parts.upstream.connections and len(endpoint.got) == 2
+            assert not client._parts.upstream.connections and len(endpoint.requests) == 2
 
     play(main)
 
@@ -545,7 +545,7 @@
             for _ in range(3):
                 async with Client.open(config(), [member(endpoint)]) as client:
                     await asyncio.gather(*(client.send(VIEW) for _ in range(8)))
-            while endpoint.open:
+            while endpoint.open_connections:
                 await asyncio.sleep(0)
             await asyncio.sleep(0)
             assert len(os.listdir("/proc/self/fd")) == before
@@ -585,6 +585,6 @@
             place.withdrawn_at = client.engine.now() - 500_000
             reply = await asked
             assert told[0].outcome == NOT_SENT and reply.outcome is Ending.REFUSED
-            assert not endpoint.got and link.attempt is None
+            assert not endpoint.requests and link.attempt is None
 
     play(main)
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -274,7 +274,7 @@
         stays, drains, registry = Endpoint(), Endpoint(), Registry()
         async with sidecar(stays, drains, registry=registry) as proxy:
             source(proxy).background.slice_s = 0.0  # each step runs in its own slice
-            _, watch = await registry.asked.get()
+            _, watch = await registry.watches.get()
             outcomes_seen = record_outcomes(proxy.engine)
             listed = [stays.entry("s-a"), *(raw(n, "draining") for n in range(10_000))]
             listed.append(drains.entry("s-1", lifecycle="draining"))
@@ -287,10 +287,10 @@
                 await asyncio.sleep(0)
             assert served > 3, "requests were served while the list was read"
             assert proxy.engine.endpoints.by_number[endpoint_number("s-1")].withdrawn_at is not None
-            before = len(drains.got)
+            before = len(drains.requests)
             for n in range(20):
                 assert (await proxy.send(request(rid=f"x{n}"))).body == b"ok"
-            assert len(drains.got) == before and len(outcomes_seen) >= served
+            assert len(drains.requests) == before and len(outcomes_seen) >= served
             assert on_ring(proxy.engine.balancer) == [endpoint_number("s-a")]
 
     run(main())
@@ -301,7 +301,7 @@
         first, second, registry = Endpoint(), Endpoint(), Registry()
         async with sidecar(first, second, registry=registry) as proxy:
             source(proxy).background.slice_s = 0.0
-            _, watch = await registry.asked.get()
+            _, watch = await registry.watches.get()
             push(watch, 42, True, *entries(2_000, first.entry("s-a")))
             push(
                 watch,
@@ -325,11 +325,11 @@
     async def main() -> None:
         endpoint, registry = Endpoint(), Registry()
         async with sidecar(endpoint, registry=registry) as proxy:
-            _, watch = await registry.asked.get()
+            _, watch = await registry.watches.get()
             line = json.dumps({"generation": 42, "reset": True, "instances": entries(1_000)})
             assert len(line) > SHORT_OBJECT_BYTES
             push_raw(watch, line[:-2].encode() + b"}\n")
-            await registry.asked.get()
+            await registry.watches.get()
             assert source(proxy).generation == 41
             assert (await proxy.send(request())).body == b"ok"
 
--- a/tests/test_maintenance_daemon.py
+++ b/tests/test_maintenance_daemon.py
@@ -86,13 +86,13 @@
             new = await start(one)
             await new.until_ready()
             await old.stop()
-            before = first.count
+            before = first.request_count
             for n in range(20):
                 assert (await one.ask(request(rid=f"r{n}"))).status == 200
-            assert first.count == before and second.count >= 20
+            assert first.request_count == before and second.request_count >= 20
             await until(new, s_0="at work")
             assert (await told(new, "POST /api/upkeep/done?machine=s-0"))[0] == 202
-            while first.count == before:
+            while first.request_count == before:
                 assert (await one.ask(request())).status == 200
             errors = await new.stop()
             assert errors == b"", errors
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -239,7 +239,7 @@
             assert await resting.read() == b"" and await silent.read() == b""
             one.one.server.shutdown.finish_drain()
             back = await read_message(half)
-            assert back.status == 503 and await half.read() == b"" and len(endpoint.got) == 1
+            assert back.status == 503 and await half.read() == b"" and len(endpoint.requests) == 1
             assert one.one.server.lifecycle.phase == Phase.DRAINED
             late, late_writer = await one.one.connect()
             late_writer.write(request(rid="c"))
@@ -297,7 +297,7 @@
                 writer.write(whole[-1:])
             back = await read_message(reader)
             assert back.status == 503 and back.headers["connection"] == "close"
-            assert await reader.read() == b"" and not endpoint.got
+            assert await reader.read() == b"" and not endpoint.requests
             writer.close()
 
     run(main())
@@ -315,7 +315,7 @@
             writer.write(request(rid="a") + request(rid="b"))
             message = await read_message(reader)
             assert message.status == 400 and message.headers["connection"] == "close"
-            assert await reader.read() == b"" and not endpoint.got
+            assert await reader.read() == b"" and not endpoint.requests
             writer.close()
 
     run(main())
@@ -399,13 +399,13 @@
             assert (await one.one.send(request("pay", b"b", rid="b"))).status == 502
             _, writer = await one.one.connect()
             writer.write(request("put", b"b", rid="c"))
-            while len(endpoint.got) < 3:
+            while len(endpoint.requests) < 3:
                 await endpoint.arrived.acquire()
             seen = await one.figures()
             assert seen['lb_answered_total{group="page"}'] == 1
             assert seen['lb_errored_total{group="pay"}'] == 1
             assert sum(seen[f'lb_deferred_total{{group="{name}"}}'] for name in ("page", "put", "pay")) == 0
-            assert seen["lb_sends_total"] == len(endpoint.got) and seen["lb_current"] == 1
+            assert seen["lb_sends_total"] == len(endpoint.requests) and seen["lb_current"] == 1
             assert seen["lb_cluster_size"] == 1
             writer.close()
             while one.one.engine.calls:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -57,7 +57,7 @@
 
 def handler_for(scenario: str) -> Handler:
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        endpoint.got.clear()
+        endpoint.requests.clear()
         endpoint.effects.by_id.clear()
         endpoint.effects.by_key.clear()
         if scenario == "error":
@@ -79,11 +79,11 @@
 async def ask(proxy: Sidecar, caller: Caller, scenario: str, n: int) -> None:
     hint = "X-Cost-Hint: 18970\r\n"
     if scenario == "keyed":
-        await caller.ask(request("put", b"body", hint, rid=f"r{n}", key=f"k{n}"))
+        await caller.send(request("put", b"body", hint, rid=f"r{n}", key=f"k{n}"))
     elif scenario in ("late", "full"):
-        await caller.ask(request(headers=hint, rid=f"r{n}", deadline_ms=1))
+        await caller.send(request(headers=hint, rid=f"r{n}", deadline_ms=1))
     elif scenario == "bad":
-        await caller.ask(request(headers="X-Class: page\r\n", rid=f"r{n}"))
+        await caller.send(request(headers="X-Class: page\r\n", rid=f"r{n}"))
     elif scenario == "gone":
         _, writer = await proxy.connect()
         writer.write(request(rid=f"r{n}"))
@@ -93,7 +93,7 @@
         while proxy.engine.calls:
             await asyncio.sleep(0)
     else:
-        await caller.ask(request(headers=hint, rid=f"r{n}"))
+        await caller.send(request(headers=hint, rid=f"r{n}"))
         if scenario == "reconnect":
             caller.close()
 
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -169,7 +169,7 @@
 
     def got(self, name: str) -> Message:
         """The last request with this id that the endpoint got."""
-        return [request for request in self.endpoint.got if request.headers["x-request-id"] == name][-1]
+        return [request for request in self.endpoint.requests if request.headers["x-request-id"] == name][-1]
 
 
 async def _start(
@@ -290,7 +290,7 @@
                 got = restarted.got("photo")
                 assert got.body == body and got.headers["content-length"] == str(len(body))
                 assert got.headers["content-type"] == "image/jpeg"
-                assert not node.endpoint.effects.twice()
+                assert not node.endpoint.effects.executed_twice()
                 await restarted.until(
                     lambda: restarted.parts == 0
                 )  # bodies are deleted some time after the final state
@@ -456,9 +456,9 @@
     body = body_of(1 << 20)
 
     async def lost_at_first(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        name, before = message.headers["x-request-id"], endpoint.effects.dropped
+        name, before = message.headers["x-request-id"], endpoint.effects.dropped_count
         endpoint.effects.execute(message)
-        if name == "order" or (name == "photo" and endpoint.effects.dropped == before):
+        if name == "order" or (name == "photo" and endpoint.effects.dropped_count == before):
             writer.transport.abort()
         else:
             writer.write(answer(200))
@@ -471,7 +471,7 @@
             await node.endpoint.restart(0)
             await node.until(lambda: node.driver.outbox.count == 1 and len(node.driver.parked) == 1)
             assert dict(node.endpoint.effects.by_id) == {"prime": 1, "photo": 1, "order": 1}
-            assert node.endpoint.effects.dropped == 1 and node.got("photo").body == body
+            assert node.endpoint.effects.dropped_count == 1 and node.got("photo").body == body
 
     run(main())
 
@@ -591,7 +591,7 @@
             found = await node.write("photo", body_of(3 << 20))
             assert found.status == 503 and float(found.headers["retry-after"]) > 0
             assert any("not kept" in line for line in node.log)
-            for later_disk in (disk.lose_power(), disk.lose_power(all_=True)):
+            for later_disk in (disk.lose_power(), disk.lose_power(keeps_all=True)):
                 store = await QueueStore.open(later_disk, 64 << 20)
                 ((write, _),) = (await store.load()).writes
                 head = await store.head(write.write_id)
@@ -623,25 +623,25 @@
         disk = Disk()
         async with edge(disk) as node:
             assert (await node.write("before", b"x" * 100, cls="pay")).status == 202
-            disk.break_down(OSError(number, os.strerror(number)), *operations)
+            disk.fail_always(OSError(number, os.strerror(number)), *operations)
             for size in (10, 2 << 20):
                 found = await node.write(f"during-{size}", bytes(size))
                 assert found.status in (502, 503), "answered, and not acknowledged as queued"
-            disk.mend()
+            disk.clear_errors()
             node.driver.store.store.availability.retry_at = 0.0
             await node.settle()
             assert (await node.write("after", b"y")).status == 202
 
             async def break_again(endpoint: Endpoint, message: Message, writer: Writer) -> None:
                 if message.headers["x-request-id"] == "before":
-                    disk.break_down(OSError(number, os.strerror(number)), *operations)
+                    disk.fail_always(OSError(number, os.strerror(number)), *operations)
                 await serve()(endpoint, message, writer)
 
             node.endpoint.handler = break_again
             await node.endpoint.restart(0)
             await node.until(lambda: any("its end is not written" in line for line in node.log))
             assert node.driver.outbox.count > 0
-            disk.mend()
+            disk.clear_errors()
             node.driver.store.store.availability.retry_at = 0.0
             await node.until(lambda: not node.driver.outbox.count)
             effects = node.endpoint.effects.by_id
@@ -815,7 +815,7 @@
         for step in range(begins, len(journal) + 1):
             cuts: list[Callable[[SimulatedDisk], SimulatedDisk]] = [
                 lambda disk: disk.lose_power(),
-                lambda disk: disk.lose_power(all_=True),
+                lambda disk: disk.lose_power(keeps_all=True),
                 lambda disk, step=step: disk.lose_power(random.Random(step)),  # type: ignore[misc]
             ]
             for cut in cuts:
@@ -1021,8 +1021,10 @@
             await node.start()
             await node.until(kept, "done")
             got = [
-                request.body for request in node.endpoint.got if request.headers["x-request-id"] == "photo"
+                request.body
+                for request in node.endpoint.requests
+                if request.headers["x-request-id"] == "photo"
             ]
-            assert got == [body] and not node.endpoint.effects.twice()
+            assert got == [body] and not node.endpoint.effects.executed_twice()
 
     run(main())
--- a/tests/test_outbox_daemon.py
+++ b/tests/test_outbox_daemon.py
@@ -18,7 +18,7 @@
 
 import pytest
 from laurelstep.__main__ import main as command
-from laurelstep.testing import after, in_turn, reset, serve, stall, whole_list
+from laurelstep.testing import after, reset, sequence, serve, stall, whole_list
 from laurelstep.testing.processes.files import fill_disk, free_disk
 
 from tests.sockets import (
@@ -168,8 +168,8 @@
             done = await daemon.until(order, "done")
             assert (done["status"], done["body"]) == (200, "ok")
             assert daemon.ran[0] == "album" and daemon.ran[-1] == "order" and len(daemon.ran) == 5
-            assert not daemon.endpoint.effects.twice() and daemon.endpoint.effects.dropped == 0
-            got = {message.headers["x-request-id"]: message.body for message in daemon.endpoint.got}
+            assert not daemon.endpoint.effects.executed_twice() and daemon.endpoint.effects.dropped_count == 0
+            got = {message.headers["x-request-id"]: message.body for message in daemon.endpoint.requests}
             assert got["photo-2"] == b"\x02" * 100_000 and got["album"] == b"wedding"
             await daemon.end()
             await daemon.start()
@@ -192,7 +192,7 @@
             await daemon.endpoint.restart(0)
             daemon.endpoint.handler = serve()
             await daemon.until(queued, "done")
-            assert daemon.ran == ["order", "another"] and not daemon.endpoint.effects.twice()
+            assert daemon.ran == ["order", "another"] and not daemon.endpoint.effects.executed_twice()
 
     run(main())
 
@@ -201,10 +201,10 @@
     async def main() -> None:
         async with edge(tmp_path) as daemon:
             queued = await daemon.write("put", "photo")
-            daemon.endpoint.handler = in_turn(*[reset()] * 3, serve())
+            daemon.endpoint.handler = sequence(*[reset()] * 3, serve())
             await daemon.endpoint.restart(0)
             await daemon.until(queued, "done")
-            assert daemon.ran == ["photo"] and daemon.endpoint.effects.dropped >= 1
+            assert daemon.ran == ["photo"] and daemon.endpoint.effects.dropped_count >= 1
 
     run(main())
 
@@ -240,7 +240,7 @@
             assert (await daemon.manage(judge + "ran"))[0] == 200
             assert (await daemon.manage(judge + "give_up"))[0] == 409
             await daemon.until(mail, "done")
-            assert daemon.ran == ["order", "album", "mail"] and not daemon.endpoint.effects.twice()
+            assert daemon.ran == ["order", "album", "mail"] and not daemon.endpoint.effects.executed_twice()
 
     run(main())
 
@@ -288,7 +288,7 @@
             assert token(await daemon.write("put", "photo", b"a")) == token(first)
             await daemon.endpoint.restart(0)
             await daemon.until(first, "done")
-            assert len(daemon.endpoint.got) == 1
+            assert len(daemon.endpoint.requests) == 1
 
     run(main())
 
@@ -344,7 +344,7 @@
             await daemon.endpoint.restart(0)
             await daemon.until(before, "done")
             assert daemon.ran == ["before"]
-            got = {message.headers["x-request-id"]: message.body for message in daemon.endpoint.got}
+            got = {message.headers["x-request-id"]: message.body for message in daemon.endpoint.requests}
             assert got["before"] == bytes(100_000)
 
     run(main())
@@ -479,7 +479,7 @@
             assert (
                 queued
                 and len(daemon.ran) >= len(queued) + len(served)
-                and not daemon.endpoint.effects.twice()
+                and not daemon.endpoint.effects.executed_twice()
             )
             order = [int(name.removeprefix("order-")) for name in daemon.ran]
             assert order == sorted(order)
--- a/tests/test_outbox_edge.py
+++ b/tests/test_outbox_edge.py
@@ -566,7 +566,7 @@
         self.endpoint = Endpoint(handler=self.handle)
 
     async def handle(self, endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        target = message.start.split()[1]
+        target = message.start_line.split()[1]
         if target.startswith(SHARED_PATH.decode()):
             self._answer_query(target[len(SHARED_PATH) :], writer)
         elif self.refuses_replays:
@@ -923,7 +923,7 @@
             edge.upstream.refuses_replays = True
             edge.set_link(True)
             await edge.upstream.endpoint.arrived.acquire()
-            while not edge.upstream.endpoint.got[-1].start.startswith("POST"):
+            while not edge.upstream.endpoint.requests[-1].start_line.startswith("POST"):
                 await edge.upstream.endpoint.arrived.acquire()
             edge.upstream.refuses_replays = False
             await edge.wait_for_state(first, WriteState.DONE)
--- a/tests/test_outbox_store.py
+++ b/tests/test_outbox_store.py
@@ -98,7 +98,7 @@
 
     async def restart(self) -> None:
         await self.store.close()
-        self.disk.faults.clear()
+        self.disk.next_errors.clear()
         await self.open()
 
     async def crash(self) -> None:
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -21,7 +21,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from laurelstep.testing import Caller, free_port, request
-from laurelstep.testing.messages import PORTS
+from laurelstep.testing.messages import PORT_RANGE
 from laurelstep.testing.processes import (
     CheckLimits,
     DatagramRelay,
@@ -117,7 +117,7 @@
     one = new_route(NetworkFaults(lose, double, turn, (5, 9)), seed)
     arrived: list[int] = []
     for n, cut in enumerate(cuts):
-        one.is_cut = cut
+        one.is_partitioned = cut
         datagrams = one.carry(bytes((n,)))
         assert all(5 <= datagram.delay_us <= 9 for datagram in datagrams)
         arrived += [datagram.data[0] for datagram in datagrams]
@@ -160,13 +160,17 @@
 def test_cuts_of_groups_one_way_and_back() -> None:
     ways = RouteTable(5, 1)
     ways.partition({0, 1}, {2, 3, 4})
-    assert sum(one.is_cut for one in ways.routes.values()) == 12
-    assert not ways.routes[0, 1].is_cut and ways.routes[4, 0].is_cut
+    assert sum(one.is_partitioned for one in ways.routes.values()) == 12
+    assert not ways.routes[0, 1].is_partitioned and ways.routes[4, 0].is_partitioned
     ways.heal_partition({0}, {2})
-    assert not ways.routes[0, 2].is_cut and not ways.routes[2, 0].is_cut and ways.routes[1, 2].is_cut
+    assert (
+        not ways.routes[0, 2].is_partitioned
+        and not ways.routes[2, 0].is_partitioned
+        and ways.routes[1, 2].is_partitioned
+    )
     ways.heal_partition()
     ways.partition({0}, range(5), both_ways=False)
-    assert [pair for pair, one in ways.routes.items() if one.is_cut] == [(0, n) for n in range(1, 5)]
+    assert [pair for pair, one in ways.routes.items() if one.is_partitioned] == [(0, n) for n in range(1, 5)]
 
 
 # --- Files ------------------------------------------------------------------------------
@@ -395,15 +399,15 @@
             relay = StreamRelay(("127.0.0.1", endpoint.port), on_request=lambda name, at: sent.append(name))
             await relay.start()
             async with Caller("127.0.0.1", relay.port) as caller:
-                assert (await caller.ask(request(rid="a"))).status == 200
+                assert (await caller.send(request(rid="a"))).status == 200
                 relay.block("requests")
-                asked = asyncio.create_task(caller.ask(request(rid="b")))
+                asked = asyncio.create_task(caller.send(request(rid="b")))
                 while "b" not in sent:
                     await asyncio.sleep(0)
-                assert endpoint.count == 1
+                assert endpoint.request_count == 1
                 relay.block("responses")
                 relay.unblock("requests")
-                while endpoint.count < 2:
+                while endpoint.request_count < 2:
                     await endpoint.arrived.acquire()
                 assert not asked.done()
                 relay.unblock()
@@ -427,7 +431,7 @@
                 writer.write(request(rid="late"))
                 assert await reader.read() == b""
             writer.close()
-            assert endpoint.count == 0
+            assert endpoint.request_count == 0
             relay.close()
 
     play(main())
@@ -440,7 +444,7 @@
         relay = StreamRelay(("127.0.0.1", free_port()))
         await relay.start()
         port = relay.port
-        assert port in PORTS
+        assert port in PORT_RANGE
         relay.refuse()
         await relay.accept()
         assert relay.port == port
@@ -460,7 +464,7 @@
                 writer.write(bytes((byte,)))
                 await writer.drain()
                 await asyncio.sleep(0)
-            while endpoint.count < 2:
+            while endpoint.request_count < 2:
                 await endpoint.arrived.acquire()
             assert sent == ["one", "two"]
             writer.close()
@@ -475,18 +479,18 @@
             relay = StreamRelay(("127.0.0.1", endpoint.port))
             await relay.start()
             caller = Caller("127.0.0.1", relay.port)
-            await caller.ask(request())
+            await caller.send(request())
             relay.reset()
             with pytest.raises((OSError, asyncio.IncompleteReadError)):
-                await caller.ask(request())
+                await caller.send(request())
             relay.refuse()
             with pytest.raises(ConnectionRefusedError):
-                await caller.ask(request())
+                await caller.send(request())
             await relay.accept()
-            assert (await caller.ask(request())).status == 200
+            assert (await caller.send(request())).status == 200
             endpoint.stop()
             with pytest.raises((OSError, asyncio.IncompleteReadError)):
-                await Caller("127.0.0.1", relay.port).ask(request())
+                await Caller("127.0.0.1", relay.port).send(request())
             caller.close()
             relay.close()
 
@@ -794,7 +798,7 @@
     async def main() -> None:
         async with ProcessTier(processes) as tier, tier.load(deadline_ms=300) as load:
             await load.wait_for_answers(20)
-            held = tier.most_used(1)
+            held = tier.most_used_endpoint(1)
             tier.hold_answers(held)  # so that the one that is paused has a request open
             await tier.wait_forwarded(held, 1)
             tier.pause(1)
@@ -820,12 +824,12 @@
     async def main() -> None:
         async with ProcessTier(processes, endpoints=2) as tier, tier.load() as load:
             await load.wait_for_answers(20)
-            first = tier.most_used(1)
+            first = tier.most_used_endpoint(1)
             tier.block_discovery({1})
             tier.publish(first, "draining")
             await tier.wait_lists_read(n for n in range(processes) if n != 1)
             await tier.wait_forwarded(first, 1)
-            assert tier.lifecycle_read[1, first] == "ready"
+            assert tier.lifecycles_read[1, first] == "ready"
             tier.unblock_discovery({1})
             await tier.wait_lists_read()
             await load.wait_for_answers(20)
@@ -847,7 +851,7 @@
     async def main() -> None:
         async with ProcessTier(3, endpoints=4) as tier, tier.load(deadline_ms=800) as load:
             await load.wait_for_answers(20)
-            one = tier.most_used(0)
+            one = tier.most_used_endpoint(0)
             tier.block_path(one, "responses")
             await load.wait_for_answers(20)
             tier.unblock_path(one)
@@ -876,7 +880,7 @@
         async with ProcessTier(3, endpoints=4) as tier:
             async with tier.load(deadline_ms=800) as load:
                 await load.wait_for_answers(20)
-                one = tier.most_used(0)
+                one = tier.most_used_endpoint(0)
                 tier.block_path(one, "requests")
                 await load.wait_for_answers(20)
                 tier.unblock_path(one)
@@ -918,7 +922,7 @@
     async def main() -> None:
         async with ProcessTier(3, endpoints=2) as tier, tier.load() as load:
             await load.wait_for_answers(20)
-            first = tier.most_used(1)
+            first = tier.most_used_endpoint(1)
             tier.hold_answers(first)
             await wait_until(
                 lambda: is_open(tier, "unsafe"), "an unsafe request that ran, and is not answered"
@@ -990,7 +994,7 @@
                 assert [await order(tier, 0, "o1") for _ in range(2)] == [200, 200]
                 await tier.restart(0)
                 assert await order(tier, 0, "o1") == 200
-                assert sum(one.dropped for one in tier.effects) == 0 and effects(tier, "o1") == 1
+                assert sum(one.dropped_count for one in tier.effects) == 0 and effects(tier, "o1") == 1
             tier.check()
 
     play(main())
@@ -1031,7 +1035,7 @@
 async def order(tier: ProcessTier, process: int, name: str) -> int:
     async with Caller(*tier.programs[process].listen) as caller:
         raw = request("put", b"b", f"X-Order-Id: {name}\r\n", 1000, name, key=name)
-        return (await caller.ask(raw)).status
+        return (await caller.send(raw)).status
 
 
 def effects(tier: ProcessTier, name: str) -> int:
@@ -1067,12 +1071,12 @@
             await tier.kill(0)
             store = tier.folder_of(0) / "orders"
             (segment,) = store.glob("*.seg")
-            assert truncate_tail(segment, tier.draw, max_bytes=200)
+            assert truncate_tail(segment, tier.rng, max_bytes=200)
             await tier.start(0)
             # How much is lost is the seed's: without its answer the order is known, but not how it ended.
             assert await order(tier, 0, "o1") in (200, 502) and effects(tier, "o1") == 1
             await tier.kill(0)
-            flip_bit(store / "MANIFEST", tier.draw)
+            flip_bit(store / "MANIFEST", tier.rng)
             await program.start()
             assert await program.wait_ended() == 2 and "the manifest is damaged" in program.log_lines[-1]
             assert names(tier) == {UNEXPECTED_EXIT}
@@ -1087,7 +1091,7 @@
         async with ProcessTier(3) as tier, tier.load() as load:
             await load.wait_for_answers(10)
             assert names(tier) <= {UNANSWERED}, "only what is still open"
-            cleared, drained, held = (tier.most_used(n) for n in range(3))
+            cleared, drained, held = (tier.most_used_endpoint(n) for n in range(3))
             tier.note_drained(cleared)
             await tier.wait_forwarded(cleared, 0)
             told_at = tier.history.now_us()
@@ -1114,7 +1118,7 @@
         classes = [{**one, "dedup-scope": "all"} for one in SETTINGS["classes"]]
         async with ProcessTier(2, settings={"classes": classes}) as tier, tier.load() as load:
             await load.wait_for_answers(10)
-            held = tier.most_used(0)
+            held = tier.most_used_endpoint(0)
             tier.hold_answers(held)
             await wait_until(lambda: run_twice(tier, held), "a repeat in the other cell")
             tier.release_answers(held)
--- a/tests/test_request_journal.py
+++ b/tests/test_request_journal.py
@@ -33,10 +33,10 @@
     Effects,
     Endpoint,
     after,
-    in_turn,
     refuse,
     request,
     reset,
+    sequence,
     serve,
     stall,
     whole_list,
@@ -114,7 +114,7 @@
 
 def test_an_order_named_again_gets_the_answer_that_is_known(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Endpoint(in_turn(serve(b"first"), serve(b"second"))) as endpoint:
+        async with Endpoint(sequence(serve(b"first"), serve(b"second"))) as endpoint:
             async with client_with_journal(tmp_path, endpoint) as client:
                 assert said(await client.send(pay())) == SERVED
                 again = await client.send(pay())
@@ -124,7 +124,7 @@
                 plain = Request("pay", "/pay", "POST", body=b"sum")
                 assert [said(await client.send(plain)) for _ in range(2)] == [SERVED, SERVED]
                 assert nothing_held(client)
-            assert len(endpoint.got) == 4, "what names no order is as today"
+            assert len(endpoint.requests) == 4, "what names no order is as today"
 
     run(main())
 
@@ -142,7 +142,7 @@
             gate.set()
             replies = await asyncio.gather(*tasks)
             assert {one.body for one in replies} == {b"one"} and (await other).status == 422
-            assert len(endpoint.got) == 1 and nothing_held(client)
+            assert len(endpoint.requests) == 1 and nothing_held(client)
 
     run(main())
 
@@ -161,12 +161,12 @@
 def test_an_order_that_failed_is_not_sent_again(tmp_path: Path) -> None:
     async def main() -> None:
         async with (
-            Endpoint(in_turn(reset(), serve())) as endpoint,
+            Endpoint(sequence(reset(), serve())) as endpoint,
             client_with_journal(tmp_path, endpoint) as client,
         ):
             first, second = await client.send(pay()), await client.send(pay())
             assert (first.outcome, second.outcome) == (Ending.FAILED, Ending.FAILED)
-            assert len(endpoint.got) == 1
+            assert len(endpoint.requests) == 1
 
     run(main())
 
@@ -181,7 +181,7 @@
             first.cancel()
             assert said(await waits) == MAY_HAVE_RUN
             assert said(await client.send(pay())) == MAY_HAVE_RUN
-            assert len(endpoint.got) == 1 and nothing_held(client)
+            assert len(endpoint.requests) == 1 and nothing_held(client)
 
     run(main())
 
@@ -198,7 +198,7 @@
             await asyncio.sleep(0)
             alone.cancel()
             assert said(await client.send(pay("o-2"))) == SERVED
-            assert len(endpoint.got) == 2 and nothing_held(client)
+            assert len(endpoint.requests) == 2 and nothing_held(client)
 
     run(main())
 
@@ -217,9 +217,9 @@
             disk.fail("sync", OSError(errno.EIO, "Input/output error"))
             reply = await client.send(pay())
             if unavailable == "pass":
-                assert said(reply) == SERVED and len(endpoint.got) == 1
+                assert said(reply) == SERVED and len(endpoint.requests) == 1
             else:
-                assert said(reply) == MAY_HAVE_RUN and not endpoint.got, "at once, with nothing sent"
+                assert said(reply) == MAY_HAVE_RUN and not endpoint.requests, "at once, with nothing sent"
             assert (await client.send(Request("page", "/page"))).outcome is Ending.SERVED
 
     run(main())
@@ -255,7 +255,7 @@
 
             vars(recorder.store)["put"] = slow
             reply = await client.send(pay(deadline_s=0.05))
-            assert (reply.outcome, reply.status) == (Ending.FAILED, 504) and not endpoint.got
+            assert (reply.outcome, reply.status) == (Ending.FAILED, 504) and not endpoint.requests
             never.set()
             del vars(recorder.store)["put"]
             assert said(await client.send(pay())) == SERVED, "its intent was taken back: nothing was sent"
@@ -269,7 +269,7 @@
 def test_a_restart_knows_what_was_answered_and_what_may_have_run(tmp_path: Path) -> None:
     async def main() -> None:
         effects = Effects()
-        script = in_turn(serve(b"album"), stall())
+        script = sequence(serve(b"album"), stall())
         async with Endpoint(script, effects=effects) as endpoint:
             async with client_with_journal(tmp_path, endpoint) as client:
                 assert said(await client.send(pay("known"))) == SERVED
@@ -285,7 +285,7 @@
                     assert said(await client.send(pay("lost"))) == MAY_HAVE_RUN
                     two = [client.send(pay("lost")), client.send(pay("known"))]
                     assert [said(one) for one in await asyncio.gather(*two)] == [MAY_HAVE_RUN, AGAIN]
-            assert len(endpoint.got) == 2 and not effects.twice()
+            assert len(endpoint.requests) == 2 and not effects.executed_twice()
 
     run(main())
 
@@ -348,7 +348,7 @@
             headers = f"X-Order-Id: {order}\r\n"
             raw = request("pay", order.encode(), headers, rid=f"r{self.number}", deadline_ms=2000)
             try:
-                back = await caller.ask(raw)
+                back = await caller.send(raw)
             except (OSError, asyncio.IncompleteReadError):
                 await asyncio.sleep(0.002)
                 continue
@@ -363,13 +363,16 @@
         while process.returncode is None:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 async with Caller("127.0.0.1", self.port) as caller:
-                    if (await caller.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")).status == 200:
+                    if (await caller.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")).status == 200:
                         return process
             await asyncio.sleep(0.005)
         raise AssertionError(f"the daemon ended with {process.returncode}")
 
     async def play(self, kills: int) -> None:
-        async with Endpoint(self.handler, keep=False) as one, Endpoint(self.handler, keep=False) as other:
+        async with (
+            Endpoint(self.handler, records_requests=False) as one,
+            Endpoint(self.handler, records_requests=False) as other,
+        ):
             entries = [one.entry("s-0"), other.entry("s-1")]
             text = platform(listen=f"127.0.0.1:{self.port}", known=whole_list(*entries))
             operator = OPERATOR.format(folder=self.folder / "store")
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -151,7 +151,7 @@
                 caller.streams[1].write(raw)
                 await wait_for_partial_heads(proxy, 1)
                 assert proxy.server.request_budget.used > 0
-                assert (await caller.ask(b"\r\n\r\n")).status == 200
+                assert (await caller.send(b"\r\n\r\n")).status == 200
                 assert proxy.server.request_budget.used == 0
 
     run(main())
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -85,6 +85,6 @@
                         assert endpoint.effects.by_id[rid] == 1
                     for rid in client.unanswered:
                         assert endpoint.effects.by_id[rid] == 0, "it ran, and its client got no answer"
-            assert not endpoint.effects.twice()
+            assert not endpoint.effects.executed_twice()
 
     run(main())
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -110,8 +110,8 @@
             reader, writer = await proxy.connect()
             writer.write(raw)
             response = await read_message(reader)
-            assert response.start.split()[1] == expected and response.headers["connection"] == "close"
-            assert await reader.read() == b"" and not endpoint.got
+            assert response.start_line.split()[1] == expected and response.headers["connection"] == "close"
+            assert await reader.read() == b"" and not endpoint.requests
             writer.close()
 
     run(main())
@@ -124,7 +124,7 @@
             raw = PAY.replace(b"Content-Length: 1", b"Transfer-Encoding: chunked")
             raw = raw[:-1] + b"1\r\nb\r\n0\r\nX-Request-Id: r2\r\nX-Class: page\r\n\r\n"
             assert (await proxy.send(raw)).body == b"ok"
-            (received,) = endpoint.got
+            (received,) = endpoint.requests
             assert received.headers["x-request-id"] == "r1" and received.body == b"b"
 
     run(main())
@@ -142,7 +142,7 @@
         async with sidecar(endpoint) as proxy:
             first = asyncio.create_task(proxy.send(PAGE))
             await endpoint.arrived.acquire()
-            assert (await proxy.send(PAGE)).start.split()[1] == "409"
+            assert (await proxy.send(PAGE)).start_line.split()[1] == "409"
             release.set()
             assert (await first).body == b"ok"
             assert (await proxy.send(PAGE)).body == b"ok" and not proxy.engine.open_request_ids
@@ -159,10 +159,10 @@
             writer.write(PAY)
             await endpoint.arrived.acquire()
             writer.write(request("pay", b"b", rid="r2"))
-            assert (await read_message(reader)).start.split()[1] == "400"
+            assert (await read_message(reader)).start_line.split()[1] == "400"
             assert await reader.read() == b""
             await endpoint.closed.acquire()
-            assert [event.outcome for event in recorded] == [CANCELLED] and len(endpoint.got) == 1
+            assert [event.outcome for event in recorded] == [CANCELLED] and len(endpoint.requests) == 1
             writer.close()
 
     run(main())
@@ -188,7 +188,7 @@
         async with sidecar(endpoint) as proxy:
             reader, writer = await proxy.connect()
             writer.write(PAY.replace(b"Content-Length: 1", b"Content-Length: 62914560"))
-            assert (await read_message(reader)).start.split()[1] == "413"
+            assert (await read_message(reader)).start_line.split()[1] == "413"
             assert await reader.read() == b""
             client = only_connection(proxy)
             transport = client.transport
@@ -203,7 +203,7 @@
             proxy.server.lingering.run()
             while proxy.server.connections:
                 await asyncio.sleep(0)
-            assert not endpoint.got
+            assert not endpoint.requests
             writer.close()
 
     run(main())
@@ -227,7 +227,7 @@
             )
             proxy.server.awaiting_request.run()
             if expected is not None:
-                assert (await read_message(reader)).start.split()[1] == expected
+                assert (await read_message(reader)).start_line.split()[1] == expected
             assert await reader.read() == b""
             writer.close()
 
@@ -301,7 +301,7 @@
         endpoint = Endpoint()
         async with sidecar(endpoint) as proxy:
             assert (await proxy.send(request(deadline_ms=10**12))).body == b"ok"
-            assert int(endpoint.got[0].headers["x-deadline-ms"]) <= 5000
+            assert int(endpoint.requests[0].headers["x-deadline-ms"]) <= 5000
 
     run(main())
 
@@ -339,7 +339,7 @@
         endpoint = Endpoint(raw_answer(raw))
         async with sidecar(endpoint) as proxy:
             recorded = record_outcomes(proxy.engine)
-            assert (await proxy.send(PAY)).start.split()[1] == "502"
+            assert (await proxy.send(PAY)).start_line.split()[1] == "502"
             assert [event.outcome for event in recorded] == [ERROR]
             await endpoint.closed.acquire()  # it cannot be reused
             while proxy.upstream.connections:
@@ -367,7 +367,7 @@
             (connection,) = proxy.upstream.connections
             proxy.upstream.receiving.waiting_since[connection] -= proxy.upstream.receiving.timeout_s
             proxy.upstream.receiving.run()
-            assert (await answering).start.split()[1] == "502"
+            assert (await answering).start_line.split()[1] == "502"
             assert [event.outcome for event in recorded] == [ERROR]
 
     run(main())
@@ -383,7 +383,7 @@
             await endpoint.closed.acquire()
             endpoint.handler = serve_ok
             assert (await proxy.send(request(rid="r2"))).body == b"ok"
-            assert [event.outcome for event in recorded] == [OK, OK] and endpoint.opened == 2
+            assert [event.outcome for event in recorded] == [OK, OK] and endpoint.connection_count == 2
 
     run(main())
 
@@ -408,7 +408,7 @@
             while connection.is_reusable():
                 await asyncio.sleep(0)
             assert (await proxy.send(request(rid="r2"))).body == b"ok"
-            assert endpoint.opened == 2
+            assert endpoint.connection_count == 2
 
     run(main())
 
@@ -419,7 +419,7 @@
         endpoint = Endpoint(raw_answer(interim + answer(503)))
         async with sidecar(endpoint) as proxy:
             recorded = record_outcomes(proxy.engine)
-            assert (await proxy.send(PAY)).start.split()[1] == "502"
+            assert (await proxy.send(PAY)).start_line.split()[1] == "502"
             assert [(event.outcome, event.report) for event in recorded] == [(ERROR, None)]
             endpoint.handler = raw_answer(interim + answer(503, headers="X-Not-Run: 1\r\n"))
             await proxy.send(request("pay", rid="r2"))
@@ -581,7 +581,7 @@
                 release.put_nowait(None)
                 assert (await answering).body == b"ok"
             response = await proxy.send(request(rid="next", deadline_ms=500))
-            assert response.body == b"ok" and endpoint.opened == 2
+            assert response.body == b"ok" and endpoint.connection_count == 2
             crossing.close()
 
     run(main())
@@ -665,9 +665,9 @@
             process = await start_daemon(environ, write_end)
             _, writer = await connect_until_up(port)
             writer.close()
-            _, watch = await registry.asked.get()
+            _, watch = await registry.watches.get()
             push_raw(watch, b"{not json\n")  # causes a log line
-            await registry.asked.get()
+            await registry.watches.get()
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(PAGE)
             assert (await read_message(reader)).body == b"ok"
@@ -693,7 +693,7 @@
             process = await start_daemon(environ)
             _, writer = await connect_until_up(port)
             writer.close()
-            assert "from=1 " in (await old.asked.get())[0]
+            assert "from=1 " in (await old.watches.get())[0]
             file = Path(environ["LB_CONFIG"])
             good = json.loads(file.read_text())
             file.write_text("{")
@@ -702,7 +702,7 @@
             assert b"not reloaded" in await process.stderr.readline()
             file.write_text(json.dumps({**good, "discovery": f"127.0.0.1:{new.port}"}))
             process.send_signal(signal.SIGHUP)
-            target, watch = await new.asked.get()
+            target, watch = await new.watches.get()
             assert "from=0 " in target, "the generations there may differ"
             push(watch, 1, True, endpoint.entry("s-1"))
             while True:
@@ -714,10 +714,10 @@
                     break
             for _ in range(3):
                 process.send_signal(signal.SIGHUP)
-            await new.asked.get()
+            await new.watches.get()
             process.send_signal(signal.SIGTERM)
             _, errors = await process.communicate()
-            assert (process.returncode, errors) == (0, b"") and old.asked.empty()
+            assert (process.returncode, errors) == (0, b"") and old.watches.empty()
 
     run(main())
 
@@ -763,7 +763,7 @@
             client_socket = await accepted(proxy, PAY)
             with contextlib.suppress(ConnectionResetError):
                 assert await asyncio.get_running_loop().sock_recv(client_socket, 100) == b""
-            assert not endpoint.got and not proxy.engine.calls and not proxy.server.connections
+            assert not endpoint.requests and not proxy.engine.calls and not proxy.server.connections
             client_socket.close()
 
     run(main())
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -90,10 +90,10 @@
         endpoint = Endpoint(reply)
         async with sidecar(endpoint) as proxy:
             response = await proxy.send(request("put", b"b" * 50_000, "X-Other: 1\r\n"))
-            assert response.start.startswith("HTTP/1.1 200") and response.body == b"x" * 60_000
+            assert response.start_line.startswith("HTTP/1.1 200") and response.body == b"x" * 60_000
             assert response.headers["content-type"] == "image/png"
-            (received,) = endpoint.got
-            assert received.start == "POST /put?obj=7f3a HTTP/1.1" and received.body == b"b" * 50_000
+            (received,) = endpoint.requests
+            assert received.start_line == "POST /put?obj=7f3a HTTP/1.1" and received.body == b"b" * 50_000
             assert received.headers["x-request-id"] == "r1" and received.headers["idempotency-key"] == "k1"
             assert 0 < int(received.headers["x-deadline-ms"]) <= 4000
             assert "x-other" not in received.headers, "only headers that endpoints need are forwarded"
@@ -113,7 +113,7 @@
             for n in range(5):
                 writer.write(request(cls, rid=f"r{n}"))
                 assert (await read_message(reader)).body == b"ok"
-            assert endpoint.opened == 1 and proxy.connection_count == 1
+            assert endpoint.connection_count == 1 and proxy.connection_count == 1
             assert not proxy.engine.calls and not proxy.engine.balancer.requests
 
     run(main())
@@ -175,7 +175,7 @@
             proxy.apply_list(new.entry("s-0"), whole=False)
             await old.closed.acquire()
             assert (await proxy.send(request(rid="r2"))).body == b"ok"
-            assert len(old.got) == len(new.got) == 1
+            assert len(old.requests) == len(new.requests) == 1
 
     run(main())
 
@@ -205,13 +205,13 @@
         endpoint, registry = Endpoint(), Registry()
         async with sidecar(endpoint, registry=registry) as proxy:
             recorded = record_lists(proxy)
-            start, watch = await registry.asked.get()
+            start, watch = await registry.watches.get()
             assert start == "GET /registry/instances?watch=1&from=41 HTTP/1.1"
             push(watch, 44, False, endpoint.entry("s-0", lifecycle="draining"))
             mode, (entry,) = await recorded.get()
             assert (mode, entry.phase) == (LIST_DELTA, DRAINING)
             watch.close()
-            start, watch = await registry.asked.get()
+            start, watch = await registry.watches.get()
             assert "from=44 " in start
             push(watch, 45, True, endpoint.entry("s-9"))
             mode, (entry,) = await recorded.get()
@@ -249,8 +249,8 @@
             source = proxy.engine.source
             assert isinstance(source, Discovery)
             source.stall_timeout_s = 0.05
-            await registry.asked.get()
-            start, _ = await registry.asked.get()
+            await registry.watches.get()
+            start, _ = await registry.watches.get()
             assert "from=41 " in start
 
     run(main())
@@ -269,9 +269,9 @@
     async def main() -> None:
         registry = Registry()
         async with sidecar(Endpoint(), registry=registry) as proxy:
-            _, watch = await registry.asked.get()
+            _, watch = await registry.watches.get()
             push_raw(watch, line)
-            start, watch = await registry.asked.get()
+            start, watch = await registry.watches.get()
             assert "from=41 " in start, "nothing of the malformed line was applied"
             assert (await proxy.send(request())).body == b"ok"
 
@@ -291,14 +291,14 @@
     async def main() -> None:
         registry, old, new = Registry(), Endpoint(), Endpoint()
         async with sidecar(old, new, registry=registry) as proxy:
-            _, watch = await registry.asked.get()
+            _, watch = await registry.watches.get()
             push(watch, 43, True, bad, new.entry("s-1"))
             while proxy.engine.endpoints.may_receive(endpoint_number("s-0"), proxy.engine.now() + 600_000):
                 await asyncio.sleep(0)
             assert not proxy.engine.endpoints.may_receive(endpoint_number("s-3"), proxy.engine.now())
             assert (await proxy.send(request())).body == b"ok"
-            assert len(new.got) == 1 and not old.got
-            assert registry.asked.empty(), "the watch stays open"
+            assert len(new.requests) == 1 and not old.requests
+            assert registry.watches.empty(), "the watch stays open"
 
     run(main())
     assert "bad entry from discovery" in logged()
@@ -312,7 +312,7 @@
         registry = Registry()
         old, new, later = Endpoint(), Endpoint(), Endpoint()
         async with sidecar(old, new, later, registry=registry) as proxy:
-            _, watch = await registry.asked.get()
+            _, watch = await registry.watches.get()
             leaving = {**old.entry("s-0"), "lifecycle": "draining"}
             push(watch, 42, True, leaving, new.entry("s-1"))
             while proxy.engine.endpoints.size() != 2:
@@ -320,7 +320,7 @@
             line = json.dumps({"generation": 43, "reset": False, "instances": [later.entry("s-9")]})
             push_raw(watch, line[:-20].encode())
             watch.close()
-            start, watch = await registry.asked.get()
+            start, watch = await registry.watches.get()
             assert "from=42 " in start
             assert (
                 proxy.engine.endpoints.size() == 2
@@ -328,7 +328,7 @@
             )
             for n in range(20):
                 assert (await proxy.send(request(rid=f"r{n}"))).body == b"ok"
-            assert not old.got and len(new.got) == 20
+            assert not old.requests and len(new.requests) == 20
             push(watch, 43, False, later.entry("s-9"))
             while proxy.engine.endpoints.size() != 3:
                 await asyncio.sleep(0)
@@ -420,8 +420,8 @@
             recorded = record_outcomes(proxy.engine)
             response = await proxy.send(request("pay", b"sum"))
             assert [event.outcome for event in recorded] == [expected]
-            assert response.start.split()[1] == str(final)
-            assert len(endpoint.got) == 1
+            assert response.start_line.split()[1] == str(final)
+            assert len(endpoint.requests) == 1
             assert not proxy.engine.calls
 
     run(main())
@@ -437,7 +437,7 @@
                 recorded = record_outcomes(proxy.engine)
                 response = await proxy.send(request("pay"))
             assert [event.outcome for event in recorded] == [NO_CONNECT]
-            assert response.start.split()[1] == "503" and not proxy.upstream.connections
+            assert response.start_line.split()[1] == "503" and not proxy.upstream.connections
 
     run(main())
 
@@ -465,7 +465,7 @@
                 connection.pause_writing()  # as asyncio calls it when bytes remain buffered
                 peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
                 peer.close()
-                assert (await answering).start.split()[1] == "503"
+                assert (await answering).start_line.split()[1] == "503"
                 assert [event.outcome for event in recorded] == [NO_CONNECT]
 
     run(main())
@@ -479,7 +479,7 @@
             sent_at = proxy.engine.now()
             response = await proxy.send(request("pay", deadline_ms=80))
             assert proxy.engine.now() - sent_at >= 80_000, "never early"
-            assert response.start.split()[1] == "504"
+            assert response.start_line.split()[1] == "504"
             assert [(event.outcome, event.is_final) for event in recorded] == [(TIMEOUT, False)]
             await endpoint.closed.acquire()  # cancelling the attempt closes its connection
 
@@ -490,7 +490,7 @@
     async def main() -> None:
         async with sidecar(known=False, ceilings={"max-retry-after-us": 2_000_000}) as proxy:
             response = await proxy.send(request(deadline_ms=100))
-            assert response.start.split()[1] == "503"
+            assert response.start_line.split()[1] == "503"
             assert response.headers["retry-after"] == "0.040", (
                 "a 50th of the objective, the balancer's own retry interval"
             )
@@ -504,7 +504,7 @@
         async with sidecar(Endpoint()) as proxy:
             override_decisions(proxy.engine, request=lambda now, event: [Refuse(event.request, 1_250_000)])
             response = await proxy.send(request())
-            assert response.start.split()[1] == "503" and response.headers["retry-after"] == "1.250"
+            assert response.start_line.split()[1] == "503" and response.headers["retry-after"] == "1.250"
 
     run(main())
 
@@ -517,7 +517,7 @@
                 raise RuntimeError("broken")
 
             real = override_decisions(proxy.engine, request=broken)
-            assert (await proxy.send(request())).start.split()[1] == "500"
+            assert (await proxy.send(request())).start_line.split()[1] == "500"
             proxy.engine.decisions = real
             assert (await proxy.send(request())).body == b"ok"
 
@@ -543,7 +543,7 @@
 
             override_decisions(proxy.engine, **{step: broken})
             wanted = "500" if step == "request" else status
-            assert (await proxy.send(request())).start.split()[1] == wanted
+            assert (await proxy.send(request())).start_line.split()[1] == wanted
             proxy.engine.decisions = real
             assert not proxy.engine.balancer.requests and not proxy.engine.calls
             endpoint.handler = serve_ok
@@ -589,7 +589,7 @@
             assert not proxy.engine.attempts.may_start(attempt, now)
             connection = proxy.upstream.connections_by_attempt[attempt]
             connection.write()  # as after a connect that took too long
-            assert [event.outcome for event in recorded] == [NOT_SENT] and len(endpoint.got) == 1
+            assert [event.outcome for event in recorded] == [NOT_SENT] and len(endpoint.requests) == 1
             answering.cancel()
 
     run(main())
@@ -602,7 +602,7 @@
             proxy.engine.attempts.settings = replace(proxy.engine.settings, max_attempts=2)
             recorded = record_outcomes(proxy.engine)
             await proxy.send(request("pay"))
-            assert sum(len(endpoint.got) for endpoint in endpoints) == 2
+            assert sum(len(endpoint.requests) for endpoint in endpoints) == 2
             assert [event.outcome for event in recorded][:3] == [FULL, FULL, NOT_SENT]
 
     run(main())
@@ -720,11 +720,11 @@
             reader, writer = await proxy.connect()
             writer.write(raw)
             response = await read_message(reader)
-            assert response.start.split()[1] == expected and response.headers["connection"] == "close"
+            assert response.start_line.split()[1] == expected and response.headers["connection"] == "close"
             assert await reader.read() == b""
             writer.close()
             assert (await proxy.send(request())).body == b"ok"
-            assert len(endpoint.got) == 1
+            assert len(endpoint.requests) == 1
 
     run(main())
 
@@ -742,8 +742,8 @@
         endpoint = Endpoint()
         async with sidecar(endpoint) as proxy:
             response = await proxy.send(request("pay", deadline_ms=0))
-            assert response.start.split()[1] in ("503", "504")
-            assert not endpoint.got and not proxy.engine.calls and not proxy.engine.balancer.requests
+            assert response.start_line.split()[1] in ("503", "504")
+            assert not endpoint.requests and not proxy.engine.calls and not proxy.engine.balancer.requests
 
     run(main())
 
@@ -752,7 +752,7 @@
     async def main() -> None:
         async with sidecar(known=False) as proxy:
             response = await proxy.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-            assert response.start.startswith("HTTP/1.1 200")
+            assert response.start_line.startswith("HTTP/1.1 200")
 
     run(main())
 
@@ -780,7 +780,7 @@
             port = free_port()
             environ = {**write_config(tmp_path, registry, endpoint), "LB_LISTEN": f"127.0.0.1:{port}"}
             process = await start_daemon(environ)
-            await registry.asked.get()
+            await registry.watches.get()
             reader, writer = await connect_until_up(port)
             idle, idle_writer = await asyncio.open_connection("127.0.0.1", port)
             idle_writer.write(request(rid="before"))
@@ -853,7 +853,7 @@
                 raw.replace(b"HTTP/1.1 \t", b"HTTP/1.1").replace(b" \t\r\n \t\r\n", b" \t\r\n\r\n")
             )
             assert response.body == b"ok" and response.headers["content-type"] == "x"
-            (received,) = endpoint.got
+            (received,) = endpoint.requests
             assert received.headers["x-request-id"] == "r1" and received.headers["x-class"] == "pay"
             assert recorded[0].outcome == OK and recorded[0].report == [2.0, 1.0]
 
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -61,7 +61,7 @@
     draw = random.Random(seed)
     yield disk.kill()
     yield disk.lose_power()
-    yield disk.lose_power(all_=True)
+    yield disk.lose_power(keeps_all=True)
     yield disk.lose_power(draw)
 
 
@@ -198,12 +198,12 @@
         async with opened(disk) as store:
             await store.put(b"told", b"1")
         disk.create(segment_name(99), b"left over")
-        disk.break_down(NO_SPACE, "create", "write")
+        disk.fail_always(NO_SPACE, "create", "write")
         async with opened(disk) as store:
             assert await store.get(b"told") == b"1" and segment_name(99) in disk.files()
             with pytest.raises(StoreUnavailableError):
                 await store.put(b"untold", b"2")
-        disk.mend()
+        disk.clear_errors()
         async with opened(disk):
             assert segment_name(99) not in disk.files()
 
@@ -216,10 +216,10 @@
         disk = SimulatedDisk()
         async with opened(disk) as store:
             await store.put(b"told", b"1")
-        disk.break_down(IO_ERROR, operation)
+        disk.fail_always(IO_ERROR, operation)
         with pytest.raises(StoreError, match="Input/output error"):
             await Store.open(disk)
-        disk.mend()
+        disk.clear_errors()
         async with opened(disk) as store:
             assert await store.get(b"told") == b"1"
 
@@ -302,11 +302,11 @@
                 course.found({key: value async for key, value in store.each(b"k")})
                 for phase in range(6):
                     if phase % 2:
-                        disk.break_down(
+                        disk.fail_always(
                             error, *course.draw.sample(operations, course.draw.randint(1, len(operations)))
                         )
                     else:
-                        disk.mend()
+                        disk.clear_errors()
                         times.seconds += MAX_BACKOFF_S
                         before = course.told
                         await course.write(store)
@@ -315,13 +315,13 @@
                         await course.write(store)
                         times.seconds += course.draw.random() * 3
                         for after in deaths(disk, course.draw.randrange(1 << 30)):
-                            after.mend()
+                            after.clear_errors()
                             course.check(state_of(after))
                     if phase == 3:
                         with contextlib.suppress(OSError):
                             await store.compact()
                 after = course.draw.choice([*deaths(disk, seed * 100 + life)])
-            after.mend()
+            after.clear_errors()
             disk = after
         assert course.told > 20 and course.refused > 5
 
@@ -348,14 +348,14 @@
             clocks = times.clocks()
             client, _ = await recorded(disk, endpoint, "fail", tmp_path, stack, clocks=clocks)
             assert said(await client.send(order("before"))) == SERVED
-            disk.break_down(error, *operations)
+            disk.fail_always(error, *operations)
             for n in range(4):
                 assert said(await client.send(order(f"while-{n}"))) == MAY_HAVE_RUN
                 assert (await client.send(Request("page", "/page"))).outcome is Ending.SERVED
                 times.seconds += MAX_BACKOFF_S / 3
             assert said(await client.send(order("before"))) == AGAIN, "what was told before is told again"
             assert ran(endpoint) == ["before"], "nothing runs whose intent is not kept"
-            disk.mend()
+            disk.clear_errors()
             times.seconds += MAX_BACKOFF_S
             assert said(await client.send(order("after"))) == SERVED
             assert said(await client.send(order("while-0"))) == SERVED, "its repeat runs, for the first time"
@@ -369,7 +369,7 @@
 
 
 def ran(endpoint: Endpoint) -> list[str]:
-    return [one.body.decode() for one in endpoint.got if one.body]
+    return [one.body.decode() for one in endpoint.requests if one.body]
 
 
 def order(name: str) -> Request:
@@ -470,7 +470,7 @@
             for one in kept:
                 await store.put_write(*one)
             await store.put_state(StateChange(kept[0][0].write_id, WriteState.OUT))
-            disk.break_down(error, *operations)
+            disk.fail_always(error, *operations)
             for n in (3, 4):
                 with pytest.raises(FailedToKeepError):
                     await store.put_write(*write_with_body(n, 200_000))
@@ -479,7 +479,7 @@
                 assert not await store.delete_write(kept[1][0].write_id, kept[1][0].size)
                 times.seconds += MAX_BACKOFF_S / 3
             during = disk.kill()
-            disk.mend()
+            disk.clear_errors()
             times.seconds += MAX_BACKOFF_S
             await store.put_write(*write_with_body(5, 70_000))
             kept.append(write_with_body(5, 70_000))
@@ -487,7 +487,7 @@
                 assert await store.read(one[0].write_id) == one
         for after in deaths(disk, 8):
             assert await read_kept(after) == [*kept]
-        during.mend()
+        during.clear_errors()
         found = await read_kept(during)
         assert found[:2] == kept[:2] and all(
             one in (write_with_body(3, 200_000), write_with_body(4, 200_000)) for one in found[2:]
@@ -557,7 +557,7 @@
             assert await store.delete_write(write.write_id, 0)
             calls = disk.journal
         for end in range(begun, len(calls)):
-            async with kept_store(SimulatedDisk.replay(calls[:end]).lose_power(all_=True)) as store:
+            async with kept_store(SimulatedDisk.replay(calls[:end]).lose_power(keeps_all=True)) as store:
                 for _, moved in (await store.load()).writes:
                     assert moved is not None and moved.state is WriteState.DONE
 
@@ -604,7 +604,7 @@
             for _ in range(3):
                 acknowledged += 1
                 await store.write(step(acknowledged))
-            disk.break_down(error, *operations)
+            disk.fail_always(error, *operations)
             with pytest.raises(StateFaultError):
                 await store.write(step(acknowledged + 1))
             with pytest.raises(StateFaultError):
@@ -612,7 +612,7 @@
             found_next = [*deaths(disk, life)]
             await store.close()
             for after in found_next:
-                after.mend()
+                after.clear_errors()
                 first = await state_found(after)
                 assert first in (after_step(acknowledged), after_step(acknowledged + 1))
                 assert await state_found(after.lose_power()) == first
@@ -681,7 +681,7 @@
         bench.receive(b"x")
         await world.settle()
         assert (1, b"said") in bench.take_delivered(), "acknowledged"
-        world.disk.break_down(error, *operations)
+        world.disk.fail_always(error, *operations)
         bench.core.answers["receive"] = StepEffects(
             persist={b"vote": b"2"}, outgoing=SEND_AND_NOTIFY.outgoing
         )
@@ -692,7 +692,7 @@
             await world.wait(MAX_REOPEN_DELAY_US)
         assert node.stage is NodeStage.FAILED and world.opened > 3
         assert len(bench.log_lines) == 1 and StateFaultError.remedy in bench.log_lines[0]
-        world.disk.mend()
+        world.disk.clear_errors()
         await world.wait(MAX_REOPEN_DELAY_US)
         assert node.is_running and node.status()["stage"] == "takes part" and not node.failure
         assert bench.core.records[b"vote"] in (b"1", b"2"), "what was acknowledged is still owed"
@@ -708,16 +708,16 @@
         bench, node = world.bench, world.bench.node
         await node.start()
         await world.settle()
-        world.disk.break_down(IO_ERROR, "sync")
+        world.disk.fail_always(IO_ERROR, "sync")
         bench.core.answers["receive"] = StepEffects(persist={b"vote": b"2"})
         bench.receive(b"x")
         await world.settle()
         assert await node.retire() == {} and node.stage is NodeStage.RETIRED
         opened_before = world.opened
         await world.wait(10 * MIN_REOPEN_DELAY_US)
-        assert world.opened == opened_before and not world.disk.owner, "folder and address are another's"
+        assert world.opened == opened_before and not world.disk.owners, "folder and address are another's"
         assert 0 not in bench.network.open_links
-        world.disk.mend()
+        world.disk.clear_errors()
         await node.restart()
         await world.settle()
         assert node.is_running and not node.failure
@@ -735,7 +735,7 @@
         bench, node = world.bench, world.bench.node
         await node.start()
         await world.settle()
-        world.disk.break_down(IO_ERROR, "sync")
+        world.disk.fail_always(IO_ERROR, "sync")
         bench.core.answers["receive"] = StepEffects(persist={b"vote": b"2"})
         bench.receive(b"x")
         await world.settle()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -124,7 +124,7 @@
     for at, (prefix, old, new) in enumerate(moments(journal)):
         disk = SimulatedDisk.replay(prefix)
         draw = random.Random(at)
-        after = [disk.lose_power(), disk.lose_power(all_=True)]
+        after = [disk.lose_power(), disk.lose_power(keeps_all=True)]
         after += [disk.lose_power(draw) for _ in range(12)]
         for one in after:
             assert state_of(one) in (old, new)
@@ -145,7 +145,7 @@
                 disk.write(args[0], args[1], data[:size])
             else:
                 disk.create(args[0], data[:size])
-            assert state_of(disk.lose_power(all_=True)) in (old, new), (name, args[0], size)
+            assert state_of(disk.lose_power(keeps_all=True)) in (old, new), (name, args[0], size)
             seen += 1
     assert seen > 2_000
 
@@ -164,9 +164,9 @@
     told = harmless = 0
     whole = SimulatedDisk.replay(journal)
     for name, inode in whole.names.items():
-        for at in range(len(inode.view())):
+        for at in range(len(inode.contents())):
             for bits in (0x01, 0x80, 0xFF):
-                disk = SimulatedDisk.replay(journal).lose_power(all_=True)
+                disk = SimulatedDisk.replay(journal).lose_power(keeps_all=True)
                 disk.names[name].durable[at] ^= bits
                 try:
                     assert state_of(disk) == state, (name, at)
@@ -180,7 +180,7 @@
 
 
 def test_a_garbage_length_in_the_middle_is_told(journal: list[Op]) -> None:
-    disk = SimulatedDisk.replay(journal).lose_power(all_=True)
+    disk = SimulatedDisk.replay(journal).lose_power(keeps_all=True)
     last = inspect_folder(disk).manifest
     assert last is not None
     data = disk.names[segment_name(last.segments[-1].number)].durable
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -148,7 +148,7 @@
         self.management = free_port()
         process = await start_daemon({**self.environ, "LB_MANAGEMENT": f"127.0.0.1:{self.management}"})
         predecessor, self.process = self.process, process
-        _, self.watch = await self.registry.asked.get()
+        _, self.watch = await self.registry.watches.get()
         while not await self.is_ready():
             await asyncio.sleep(0.01)
         predecessor.send_signal(signal.SIGTERM)
@@ -187,7 +187,7 @@
         }
         process = await start_daemon(environ)
         try:
-            _, watch = await registry.asked.get()
+            _, watch = await registry.watches.get()
             daemon = Site(port, management, environ, registry, endpoints, effects, process, watch)
             push(watch, 1, True, *(endpoint.entry(f"s-{n}") for n, endpoint in enumerate(endpoints)))
             (await connect_until_up(port))[1].close()
@@ -219,7 +219,7 @@
                     assert await daemon.count_avoided() == 0
                     assert (shim.hits(served), shim.hits(managed)) == (count, count), errno_name(error)
                     shim.clear()
-            assert not daemon.effects.twice()
+            assert not daemon.effects.executed_twice()
 
     run(main())
 
@@ -239,7 +239,7 @@
             assert not daemon.effects.by_id and not answering.done()
             shim.clear()
             assert await answering == [200] * 3
-            assert not daemon.effects.twice()
+            assert not daemon.effects.executed_twice()
 
     run(main())
 
@@ -276,7 +276,7 @@
                 while shim.hits(number) < fault.count:
                     assert await daemon.statuses(*CLASSES) == [200] * 3, fault
                 shim.clear()
-            assert not daemon.effects.twice()
+            assert not daemon.effects.executed_twice()
 
     run(main())
 
@@ -305,10 +305,10 @@
                 # The next requests are served, and both endpoints get some.
                 assert await daemon.statuses(*CLASSES) == [200] * 3
                 for endpoint in daemon.endpoints:
-                    endpoint.got.clear()
-                while not all(endpoint.got for endpoint in daemon.endpoints):
+                    endpoint.requests.clear()
+                while not all(endpoint.requests for endpoint in daemon.endpoints):
                     assert await daemon.statuses(*CLASSES) == [200] * 3
-            assert not daemon.effects.twice()
+            assert not daemon.effects.executed_twice()
 
     run(main())
 
@@ -359,7 +359,7 @@
                     assert sorted(statuses, reverse=True) == [first, *[200] * (CONCURRENT_REQUESTS - 1)], (
                         errno_name(error)
                     )
-                assert [name for name in daemon.effects.twice() if not name.startswith("page")] == []
+                assert [name for name in daemon.effects.executed_twice() if not name.startswith("page")] == []
 
     run(main())
 
@@ -379,7 +379,7 @@
                         await daemon.statuses(*[cls] * CONCURRENT_REQUESTS) == [200] * CONCURRENT_REQUESTS
                     ), errno_name(error)
                 shim.clear()
-            assert not daemon.effects.twice()
+            assert not daemon.effects.executed_twice()
 
     run(main())
 
@@ -399,7 +399,7 @@
             number = shim.add(Fault(call, errno.EINTR, 25))
             while shim.hits(number) < 25:
                 assert await daemon.statuses(*CLASSES) == [200] * 3
-            assert not daemon.effects.twice()
+            assert not daemon.effects.executed_twice()
 
     run(main())
 
@@ -426,7 +426,7 @@
                 writer.write(request("put", BODY, rid=f"put-{number}", key=f"k{number:03}"))
                 response = await read_message(reader)
                 assert (response.status, response.body) == (200, BODY), number
-                assert daemon.endpoints[0].got[-1].body == BODY, number
+                assert daemon.endpoints[0].requests[-1].body == BODY, number
 
             for length in range(1, len(encoded_request) + 1):
                 fault = shim.add(Fault(call, count=1, port=port, length=length))
@@ -454,10 +454,10 @@
             ):
                 shim.add(Fault(call, port=port, length=1))
             daemon.watch.close()  # the next watch is requested one byte at a time
-            start_line, daemon.watch = await daemon.registry.asked.get()
+            start_line, daemon.watch = await daemon.registry.watches.get()
             assert start_line == "GET /registry/instances?watch=1&from=1 HTTP/1.1"
             push(daemon.watch, 2, True, added.entry("s-new"))
-            while not added.got:
+            while not added.requests:
                 assert await daemon.statuses("pay") == [200]
             assert await daemon.count_avoided() == 0
 
@@ -473,7 +473,7 @@
             number = shim.add(Fault(SystemCall.POLL, errno.ENOMEM))
             while shim.hits(number) < 3:
                 assert await daemon.statuses(*CLASSES) == [200] * 3
-            assert not daemon.effects.twice()
+            assert not daemon.effects.executed_twice()
 
     run(main())
 
@@ -503,15 +503,15 @@
                     push(daemon.watch, daemon.generation + 1, False)
                 else:
                     daemon.watch.close()
-                _, daemon.watch = await daemon.registry.asked.get()
+                _, daemon.watch = await daemon.registry.watches.get()
                 assert shim.hits(number) == count, errno_name(error)
                 daemon.generation += 2
                 push(daemon.watch, daemon.generation, True, added.entry(f"s-{errno_name(error)}"))
-                added.got.clear()
-                while not added.got:
+                added.requests.clear()
+                while not added.requests:
                     assert await daemon.statuses("pay") == [200]
                 shim.clear()
-            assert not daemon.effects.twice()
+            assert not daemon.effects.executed_twice()
 
     run(main())
 
@@ -539,6 +539,6 @@
             await daemon.start_successor()
             assert shim.hits(number) >= 3
             assert await daemon.statuses(*CLASSES) == [200] * 3
-            assert not daemon.effects.twice()
+            assert not daemon.effects.executed_twice()
 
     run(main())
