--- a/tests/test_testing.py
+++ b/tests/test_testing.py
@@ -20,20 +20,20 @@
     Writer,
     answer,
     close,
-    in_turn,
-    paced,
+    delayed,
+    malformed,
     push,
     read_message,
     refuse,
     request,
     reset,
+    sequence,
     serve,
-    spoil,
     stall,
     status,
     whole_list,
 )
-from laurelstep.testing.messages import BLOCK, Ports
+from laurelstep.testing.messages import BLOCK_SIZE, PortAllocator
 
 from tests.event_loops import run_limited
 
@@ -48,11 +48,11 @@
             Caller("127.0.0.1", other.port) as second,
         ):
             for caller in (first, second):
-                assert (await caller.ask(request("pay", b"x", rid="p"))).status == 200
-                assert (await caller.ask(request("put", b"x", rid="u", key="k"))).status == 200
-            assert (await first.ask(request("pay", b"x", rid="q"))).status == 200
-        assert effects.by_id == {"p": 2, "u": 1, "q": 1} and effects.dropped == 1
-        assert effects.twice() == ["p"] and effects.by_key == {"k": 1}
+                assert (await caller.send(request("pay", b"x", rid="p"))).status == 200
+                assert (await caller.send(request("put", b"x", rid="u", key="k"))).status == 200
+            assert (await first.send(request("pay", b"x", rid="q"))).status == 200
+        assert effects.by_id == {"p": 2, "u": 1, "q": 1} and effects.dropped_count == 1
+        assert effects.executed_twice() == ["p"] and effects.by_key == {"k": 1}
 
     run_limited(main())
 
@@ -64,18 +64,20 @@
 def test_scripts_that_answer(script: Any, code: int, ran: int) -> None:
     async def main() -> None:
         async with Endpoint(script) as endpoint, Caller("127.0.0.1", endpoint.port) as caller:
-            assert (await caller.ask(request("pay", b"x"))).status == code
-            assert endpoint.effects.by_id["r1"] == ran and endpoint.count == len(endpoint.got) == 1
+            assert (await caller.send(request("pay", b"x"))).status == code
+            assert (
+                endpoint.effects.by_id["r1"] == ran and endpoint.request_count == len(endpoint.requests) == 1
+            )
 
     run_limited(main())
 
 
-@pytest.mark.parametrize("script", [close(), reset(), close(begun=b"HTTP/1.1 200 OK\r\nContent-Le")])
+@pytest.mark.parametrize("script", [close(), reset(), close(partial=b"HTTP/1.1 200 OK\r\nContent-Le")])
 def test_scripts_that_end_the_connection(script: Any) -> None:
     async def main() -> None:
         async with Endpoint(script) as endpoint, Caller("127.0.0.1", endpoint.port) as caller:
             with pytest.raises((OSError, asyncio.IncompleteReadError)):
-                await caller.ask(request("pay", b"x"))
+                await caller.send(request("pay", b"x"))
             assert endpoint.effects.by_id["r1"] == 1
 
     run_limited(main())
@@ -83,7 +85,7 @@
 
 def test_a_stall_answers_nothing_and_a_spoilt_answer_is_none() -> None:
     async def main() -> None:
-        async with Endpoint(in_turn(stall(executes=False), spoil(b"what?\r\n\r\n"))) as endpoint:
+        async with Endpoint(sequence(stall(executes=False), malformed(b"what?\r\n\r\n"))) as endpoint:
             reader, writer = await asyncio.open_connection("127.0.0.1", endpoint.port)
             writer.write(request("pay", b"x"))
             await endpoint.arrived.acquire()
@@ -97,16 +99,16 @@
 
 def test_an_endpoint_that_stops_refuses_and_comes_back_as_another_start() -> None:
     async def main() -> None:
-        async with Endpoint(paced(lambda: 0.0)) as endpoint:
+        async with Endpoint(delayed(lambda: 0.0)) as endpoint:
             caller = Caller("127.0.0.1", endpoint.port)
-            assert (await caller.ask(request())).body == b"ok"
+            assert (await caller.send(request())).body == b"ok"
             endpoint.stop()
             with pytest.raises((OSError, asyncio.IncompleteReadError)):
-                await caller.ask(request())
+                await caller.send(request())
             with pytest.raises(ConnectionError):
-                await caller.ask(request())
+                await caller.send(request())
             await endpoint.restart(5)
-            assert (await caller.ask(request())).body == b"ok"
+            assert (await caller.send(request())).body == b"ok"
             assert endpoint.entry("s-1", lifecycle="draining")["startedAtMs"] == 5
             caller.close()
 
@@ -118,13 +120,13 @@
 
 def test_a_request_that_crosses_the_close_of_a_kept_connection_is_sent_once_more() -> None:
     async def main() -> None:
-        endpoint = Endpoint(in_turn(serve(), CLOSES, serve(b"again"), CLOSES, CLOSES, serve()))
+        endpoint = Endpoint(sequence(serve(), CLOSES, serve(b"again"), CLOSES, CLOSES, serve()))
         async with endpoint, Caller("127.0.0.1", endpoint.port, resends_after_close=True) as caller:
-            assert (await caller.ask(request())).body == b"ok"
-            assert (await caller.ask(request(rid="r2"))).body == b"again"
+            assert (await caller.send(request())).body == b"ok"
+            assert (await caller.send(request(rid="r2"))).body == b"again"
             with pytest.raises(asyncio.IncompleteReadError):
-                await caller.ask(request(rid="r3"))
-        assert [one.headers["x-request-id"] for one in endpoint.got] == ["r1", "r2", "r2", "r3", "r3"]
+                await caller.send(request(rid="r3"))
+        assert [one.headers["x-request-id"] for one in endpoint.requests] == ["r1", "r2", "r2", "r3", "r3"]
 
     run_limited(main())
 
@@ -138,10 +140,10 @@
         endpoint = Endpoint(serve_and_close)
         async with endpoint, Caller("127.0.0.1", endpoint.port, resends_after_close=True) as caller:
             for number in range(1, 4):
-                assert (await caller.ask(request())).body == b"ok"
+                assert (await caller.send(request())).body == b"ok"
                 assert caller.streams is not None
                 assert await caller.streams[0].read() == b"", "until the close has come"
-                assert endpoint.count == endpoint.opened == number
+                assert endpoint.request_count == endpoint.connection_count == number
 
     run_limited(main())
 
@@ -149,9 +151,9 @@
 @pytest.mark.parametrize(
     ("resends", "script"),
     [
-        (False, in_turn(serve(), CLOSES, serve())),
-        (True, in_turn(serve(), close(begun=b"HTTP/1.1 200 O"), serve())),
-        (True, in_turn(serve(), reset(), serve())),
+        (False, sequence(serve(), CLOSES, serve())),
+        (True, sequence(serve(), close(partial=b"HTTP/1.1 200 O"), serve())),
+        (True, sequence(serve(), reset(), serve())),
     ],
     ids=["not asked for", "begun", "reset"],
 )
@@ -159,21 +161,21 @@
     async def main() -> None:
         endpoint = Endpoint(script)
         async with endpoint, Caller("127.0.0.1", endpoint.port, resends_after_close=resends) as caller:
-            assert (await caller.ask(request())).body == b"ok"
+            assert (await caller.send(request())).body == b"ok"
             with pytest.raises((OSError, asyncio.IncompleteReadError)):
-                await caller.ask(request(rid="r2"))
-        assert endpoint.count == 2
+                await caller.send(request(rid="r2"))
+        assert endpoint.request_count == 2
 
     run_limited(main())
 
 
 def test_a_new_connection_that_is_closed_is_no_reason_to_send_again() -> None:
     async def main() -> None:
-        endpoint = Endpoint(in_turn(CLOSES, serve()))
+        endpoint = Endpoint(sequence(CLOSES, serve()))
         async with endpoint, Caller("127.0.0.1", endpoint.port, resends_after_close=True) as caller:
             with pytest.raises(asyncio.IncompleteReadError):
-                await caller.ask(request())
-        assert endpoint.count == 1
+                await caller.send(request())
+        assert endpoint.request_count == 1
 
     run_limited(main())
 
@@ -184,7 +186,7 @@
         async with await registry.start():
             reader, writer = await asyncio.open_connection("127.0.0.1", registry.port)
             writer.write(b"GET /registry/instances?watch=1&from=3 HTTP/1.1\r\nHost: x\r\n\r\n")
-            start, watch = await registry.asked.get()
+            start, watch = await registry.watches.get()
             assert start.endswith("from=3 HTTP/1.1")
             push(watch, 4, True, Endpoint().entry("s-1"))
             watch.write(b"0\r\n\r\n")
@@ -202,18 +204,18 @@
     """Nobody listens yet at what the first was given; so it was with the second's whole choice."""
     name = f"test-{os.getpid()}"
     few = range(19_800, 20_000)
-    first, second, third = (Ports(few, name) for _ in range(3))
-    one = first.take()
-    found = [second.take() for _ in range(2 * BLOCK)]
-    assert one not in found and len(set(found)) == 2 * BLOCK
-    with socket.create_server(("127.0.0.1", first.left[-1])) as taken:
-        assert first.take() != taken.getsockname()[1]
-    third.take()
+    first, second, third = (PortAllocator(few, name) for _ in range(3))
+    one = first.allocate()
+    found = [second.allocate() for _ in range(2 * BLOCK_SIZE)]
+    assert one not in found and len(set(found)) == 2 * BLOCK_SIZE
+    with socket.create_server(("127.0.0.1", first.unallocated[-1])) as taken:
+        assert first.allocate() != taken.getsockname()[1]
+    third.allocate()
     with pytest.raises(OSError, match="no port"):
-        Ports(few, name).take()
+        PortAllocator(few, name).allocate()
     first.close()
-    again = Ports(few, name)
-    assert one in [again.take() for _ in range(BLOCK)]
+    again = PortAllocator(few, name)
+    assert one in [again.allocate() for _ in range(BLOCK_SIZE)]
     for ports in (second, third, again):
         ports.close()
 
@@ -221,8 +223,8 @@
 def test_a_claim_holds_while_its_process_lives() -> None:
     name, few = f"ended-{os.getpid()}", range(19_750, 19_800)
     code = (
-        "from laurelstep.testing.messages import Ports\n"
-        f"ports = Ports(range(19_750, 19_800), {name!r})\nports.take()\n"
+        "from laurelstep.testing.messages import PortAllocator\n"
+        f"ports = PortAllocator(range(19_750, 19_800), {name!r})\nports.allocate()\n"
         "print('taken', flush=True)\ninput()"
     )
     other = subprocess.Popen(
@@ -230,8 +232,8 @@
     )
     assert other.stdout is not None and other.stdout.readline() == "taken\n"
     with pytest.raises(OSError, match="no port"):
-        Ports(few, name).take()
+        PortAllocator(few, name).allocate()
     other.communicate("\n")
-    ports = Ports(few, name)
-    assert ports.take() in few
+    ports = PortAllocator(few, name)
+    assert ports.allocate() in few
     ports.close()
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -185,7 +185,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         try:
             writer.write(request("pay", b"sum", rid=rid, deadline_ms=20_000))
-            return (await read_message(reader)).start.split()[1]
+            return (await read_message(reader)).start_line.split()[1]
         finally:
             writer.close()
 
@@ -278,7 +278,7 @@
             source = f'discovery = "127.0.0.1:{registry.port}"\n'
             async with tier(tmp_path, source) as one:
                 for _ in range(3):
-                    _, watch = await registry.asked.get()
+                    _, watch = await registry.watches.get()
                     push(watch, 7, True, endpoint.entry("s-1"))
                 while await one.ask("first") != "200":
                     pass
@@ -289,11 +289,11 @@
                 while first & set(one.children()) or len(starts) < 3:
                     assert await one.insist(f"r{number}") == "200"
                     number += 1
-                    while not registry.asked.empty():
-                        starts.append(registry.asked.get_nowait()[0])
+                    while not registry.watches.empty():
+                        starts.append(registry.watches.get_nowait()[0])
                 assert all("from=7" in start for start in starts), "they went on from the list's version"
                 listener.close()
-                assert not endpoint.effects.twice(), one.noted
+                assert not endpoint.effects.executed_twice(), one.noted
                 assert number > 3
 
     run(main())
--- a/tests/upgrades.py
+++ b/tests/upgrades.py
@@ -105,7 +105,7 @@
 
     async def ask(self, raw: bytes) -> Any:
         async with Caller("127.0.0.1", self.port) as caller:
-            return await caller.ask(raw)
+            return await caller.send(raw)
 
 
 class Load:
@@ -128,7 +128,7 @@
             if cls != "put":
                 raw = request(cls, b"" if cls == "page" else b"body", rid=f"r{self.asked}")
             try:
-                self.met[str((await caller.ask(raw)).status)] += 1
+                self.met[str((await caller.send(raw)).status)] += 1
             except (OSError, asyncio.IncompleteReadError) as error:
                 # On a kept connection its end may cross a request: it is asked once more.
                 self.met[type(error).__name__ if fresh else "crossed"] += 1
