--- a/laurelstep/__main__.py
+++ b/laurelstep/__main__.py
@@ -45,7 +45,7 @@
         return config
     if operator.deployment is not None:
         raise ConfigError(f"{operator_path}: deployment: expected none where LB_CONFIG is set")
-    return read_platform(environ, operator.orders_settings(), operator.joining(operator_path), log)
+    return read_platform(environ, operator.orders_settings(), operator.config_extension(operator_path), log)
 
 
 def run(arguments: Sequence[str]) -> int:
--- a/laurelstep/settings/config.py
+++ b/laurelstep/settings/config.py
@@ -1,4 +1,4 @@
-"""One copy's configuration, checked, whichever file it came from."""
+"""The validated configuration of one copy, from either kind of file."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from laurelstep.resources.descriptors import DEFAULT_SOCKETS, connections_per_side
 from laurelstep.wire import EFFECTS, SCOPES, WireError, read_settings
 
-if TYPE_CHECKING:  # imported where they are on
+if TYPE_CHECKING:  # a subsystem that is off is not imported
     from laurelstep.consensus.options import ConsensusSettings
     from laurelstep.maintenance.settings import MaintenanceSettings
     from laurelstep.outbox.options import OutboxSettings
 
 
 class ConfigError(LaurelstepError):
-    """The configuration can't be used; the text says why, on one line."""
+    """The configuration is invalid; the text gives the reason on one line."""
 
     cause = "a configuration can't be used: a key is missing, unknown, or has a value that it can't have"
     remedy = "correct the key that the line names, then run `laurelstep check FILE` before the next start"
@@ -29,8 +29,8 @@
 
 @dataclass(frozen=True)
 class Config:
-    """Times in µs. `listen` is None where no front of its own is asked for, `discovery`
-    where the members are given in another way.
+    """The configuration of one copy. `listen` is None if the process does not listen for clients itself;
+    `discovery` is None if the endpoints come from another source.
     """
 
     listen: tuple[str, int] | None
@@ -42,104 +42,109 @@
     drain_grace_us: int
     known: dict[str, Any] | None
     orders: JournalSettings | None = None
-    memory_mb: int = 0  # the limit of the process's memory; 0 = none is told
-    management: tuple[str, int] | None = None  # the second address, for the operators' calls
+    memory_mb: int = 0  # memory limit of the process; 0 if it is unknown
+    management: tuple[str, int] | None = None  # the address for operators' calls; None if there is none
     accord: ConsensusSettings | None = None
     maintenance: MaintenanceSettings | None = None
     outbox: OutboxSettings | None = None
 
     @property
     def max_side_connections(self) -> int:
-        """Connections that each side may hold, callers and endpoints."""
+        """How many connections clients may hold, and endpoints likewise."""
         return connections_per_side(self.sockets, self.management is not None)
 
     @property
     def max_shared_side_connections(self) -> int:
-        """The same while two processes are one sidecar, and share its descriptors."""
+        """The same limit during a hot restart, while two processes share the descriptors of one sidecar."""
         return connections_per_side(self.sockets, self.management is not None, processes=2)
 
 
-# The configuration with what the operator's file adds to it, from the platform's object and its path.
-Join = Callable[[Config, Any, str], Config]
+# Extends a configuration by the operator's file. Arguments: the configuration, the platform's JSON object and
+# the path of the platform's file.
+ConfigExtension = Callable[[Config, Any, str], Config]
 
 
-def address(text: Any) -> tuple[str, int]:
-    """Host and port of `host:port`; `ConfigError` otherwise."""
+def parse_address(text: Any) -> tuple[str, int]:
+    """The host and the port of `host:port`. Raises `ConfigError` for any other text."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
-        raise ConfigError(f"no address: {text!r}")
+        raise ConfigError(f"expected host:port, got {text!r}")
     return host, int(port)
 
 
-def _second_address(text: Any, listen: Any) -> tuple[str, int]:
+def _parse_management_address(text: Any, listen: Any) -> tuple[str, int]:
     try:
-        found = address(text)
+        address = parse_address(text)
     except ConfigError as error:
         raise ConfigError(f"management: {error}") from None
-    if listen is not None and found == address(listen) and found[1] != 0:
-        raise ConfigError(f"management: {text!r} is the callers' address")
-    return found
+    if listen is not None and address == parse_address(listen) and address[1] != 0:
+        raise ConfigError(f"management: expected an address other than that for clients, got {text!r}")
+    return address
 
 
 def _order_headers(raw: Any, orders: JournalSettings | None) -> dict[str, bytes]:
-    """`ConfigError` if the orders name what is no class with effects."""
+    """The header that carries a request's order, its idempotency key, by the names of classes that use one.
+
+    Raises `ConfigError` if `[orders]` names a class that does not exist or has no effects.
+    """
     if orders is None:
         return {}
     repeats = {str(entry["name"]): entry["repeat"] for entry in raw["settings"]["classes"]}
-    recorded = sorted(name for name, repeat in repeats.items() if repeat != "retryable")
+    recordable = sorted(name for name, repeat in repeats.items() if repeat != "retryable")
     for name in orders.classes:
-        if name not in recorded:
-            raise ConfigError(f"orders.classes: {name}: expected one of {', '.join(recorded)}")
-    return {name: one.header for name, one in orders.classes.items() if one.header}
+        if name not in recordable:
+            raise ConfigError(f"orders.classes: {name}: expected one of {', '.join(recordable)}")
+    return {name: recorded.header for name, recorded in orders.classes.items() if recorded.header}
 
 
 def _without_nulls(value: Any) -> Any:
-    """Null is as good as absent, and has the same default."""
+    """Remove keys whose value is null: they get the same default as absent ones."""
     if isinstance(value, dict):
-        return {key: _without_nulls(one) for key, one in value.items() if one is not None}
-    return [_without_nulls(one) for one in value] if isinstance(value, list) else value
+        return {key: _without_nulls(item) for key, item in value.items() if item is not None}
+    return [_without_nulls(item) for item in value] if isinstance(value, list) else value
 
 
 def _check_classes(classes: Any) -> None:
-    """What can't be meant, with its key and the remedy; `ConfigError`. An aim past its deadline is let be:
-    it holds up to the deadline.
+    """Raise `ConfigError` for an invalid class, with its key and what was expected.
+
+    A latency objective longer than the deadline is accepted; it holds up to the deadline.
     """
     if not isinstance(classes, list) or not classes:
-        raise ConfigError("settings.classes: expected one class at least")
+        raise ConfigError("settings.classes: expected at least one class")
     names: set[str] = set()
-    for at, one in enumerate(classes):
-        where = f"settings.classes[{at}]"
-        if not isinstance(one, dict) or not isinstance(name := one.get("name"), str):
-            raise ConfigError(f"{where}.name: expected a name")
+    for index, entry in enumerate(classes):
+        key = f"settings.classes[{index}]"
+        if not isinstance(entry, dict) or not isinstance(name := entry.get("name"), str):
+            raise ConfigError(f"{key}.name: expected a name")
         if name in names:
-            raise ConfigError(f"{where}.name: expected each name once, got {name} again")
+            raise ConfigError(f"{key}.name: expected each name once, got {name} again")
         names.add(name)
-        if (repeat := one.get("repeat")) not in EFFECTS:
-            raise ConfigError(f"{where}.repeat: {name}: expected one of {', '.join(EFFECTS)}, got {repeat!r}")
-        scope = one.get("dedup-scope") or "all"
+        if (repeat := entry.get("repeat")) not in EFFECTS:
+            raise ConfigError(f"{key}.repeat: {name}: expected one of {', '.join(EFFECTS)}, got {repeat!r}")
+        scope = entry.get("dedup-scope") or "all"
         if EFFECTS[repeat] == KEYED and scope not in SCOPES:
             raise ConfigError(
-                f"{where}.dedup-scope: {name}: expected one of {', '.join(SCOPES)}, got {scope!r}"
+                f"{key}.dedup-scope: {name}: expected one of {', '.join(SCOPES)}, got {scope!r}"
             )
-        if not _is_span(one.get("aim-us"), least=0):
-            raise ConfigError(f"{where}.aim-us: {name}: expected microseconds, got {one.get('aim-us')!r}")
-        if not _is_span(one.get("deadline-us"), least=1):
+        if not _is_duration(entry.get("aim-us"), minimum_us=0):
+            raise ConfigError(f"{key}.aim-us: {name}: expected microseconds, got {entry.get('aim-us')!r}")
+        if not _is_duration(entry.get("deadline-us"), minimum_us=1):
             raise ConfigError(
-                f"{where}.deadline-us: {name}: expected microseconds above 0, got {one.get('deadline-us')!r}"
+                f"{key}.deadline-us: {name}: expected microseconds above 0, got {entry.get('deadline-us')!r}"
             )
 
 
-def _is_span(value: Any, least: int) -> bool:
+def _is_duration(value: Any, minimum_us: int) -> bool:
     try:
-        return int(value) >= least
+        return int(value) >= minimum_us
     except (TypeError, ValueError, OverflowError):
         return False
 
 
 def config_from(raw: Any, source: str, orders: JournalSettings | None = None) -> Config:
-    """The configuration that an object in the platform's form holds; `source` is what
-    its errors name. Absent `listen` and `discovery` are None here: whether they may be
-    is for the caller to say.
+    """Validate and convert an object in the platform's format. Raises `ConfigError`, prefixed by `source`.
+
+    `listen` and `discovery` may be absent, and are None then; the caller decides whether that is valid.
     """
     try:
         raw = {
@@ -152,12 +157,12 @@
         rules = raw["settings"].get("invariants", {})
         known = raw.get("known")
         if known is not None and not (isinstance(known["instances"], list) and int(known["generation"]) >= 0):
-            raise ConfigError("known is no list of endpoints")
+            raise ConfigError("known: expected a generation and a list of endpoints")
         listen, discovery, management = raw.get("listen"), raw.get("discovery"), raw.get("management")
         if discovery is not None:
-            address(discovery)
+            parse_address(discovery)
         return Config(
-            listen=None if listen is None else address(listen),
+            listen=None if listen is None else parse_address(listen),
             discovery=None if discovery is None else str(discovery),
             seed=int(str(raw.get("seed", "0")), 16),
             sockets=int(raw.get("limits", {}).get("sockets", DEFAULT_SOCKETS)),
@@ -167,7 +172,7 @@
             drain_grace_us=int(rules.get("drain-grace-us", 0)),
             known=known,
             orders=orders,
-            management=None if management is None else _second_address(management, listen),
+            management=None if management is None else _parse_management_address(management, listen),
         )
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError, WireError) as error:
         raise ConfigError(f"{source}: {type(error).__name__}: {error}") from None
--- a/laurelstep/settings/operator/accord.py
+++ b/laurelstep/settings/operator/accord.py
@@ -1,4 +1,4 @@
-"""`[accord]`: consensus among the copies of a tier."""
+"""The table `[accord]`: consensus among the copies of a tier."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
     default_voter_count,
     find_settings_problem,
 )
-from laurelstep.settings.operator.fields import OperatorTable, Whole
+from laurelstep.settings.operator.fields import NonNegativeInt, OperatorTable
 
-Seats = Literal[1, 3, 5, 7]
+VoterCount = Literal[1, 3, 5, 7]
 
 
 class AccordTable(OperatorTable, frozen=True, kw_only=True):
-    """What the processes of a tier share, and how they reach each other."""
+    """The consensus group of a tier: its peers, the link between them, and the timing of elections."""
 
     peer_listen: str | None = None
     peers: tuple[str, ...] | None = None
-    me: Whole | None = None
+    me: NonNegativeInt | None = None
     link: LinkKind = "udp"
-    seats: Seats | None = None
+    seats: VoterCount | None = None
     store_path: str = ""
     heartbeat_ms: Annotated[int, msgspec.Meta(ge=10, le=60_000)] = 200
     election_ms: Annotated[int, msgspec.Meta(ge=20, le=600_000)] = 600
     drift: Annotated[float, msgspec.Meta(ge=0.0, le=0.2)] = 0.01
 
     def problem(self) -> str | None:
-        """What can't be, whoever tells of peers."""
+        """An invalid value that can be found without the platform's peers: its key and what was expected."""
         if self.election_ms < 2 * self.heartbeat_ms:
             return "accord.election_ms: expected at least twice heartbeat_ms"
         if self.peers is not None and not self.peers:
@@ -43,19 +43,25 @@
                 return f"accord.{error}"
         return None
 
-    def key_given_twice(self) -> str | None:
-        """A key that belongs to the platform's configuration, if the table has it too."""
+    def duplicate_key(self) -> str | None:
+        """The first key of this table that the platform's configuration sets as well; None if there is none.
+
+        With the link `unix` the platform sets none of them.
+        """
         if self.link == "unix":
             return None
-        given = {"peer_listen": self.peer_listen, "peers": self.peers, "me": self.me}
-        return next((key for key, value in given.items() if value is not None), None)
+        platform_keys = {"peer_listen": self.peer_listen, "peers": self.peers, "me": self.me}
+        return next((key for key, value in platform_keys.items() if value is not None), None)
 
     def settings(self, peers: tuple[str, ...], listen: str | None, me: int) -> ConsensusSettings:
-        """`me`: what it is where the table does not say. ValueError with key and what was expected."""
+        """The settings of the consensus node. Raises ValueError with the key and what was expected.
+
+        `me` applies if the table does not set it. Without `listen`, this process's entry in `peers` is used.
+        """
         number = me if self.me is None else self.me
         if listen is None:
             listen = peers[number] if number < len(peers) else ""
-        found = ConsensusSettings(
+        settings = ConsensusSettings(
             peers=peers,
             listen=listen,
             me=number,
@@ -66,6 +72,6 @@
             election_us=self.election_ms * 1000,
             drift=self.drift,
         )
-        if (problem := find_settings_problem(found)) is not None:
+        if (problem := find_settings_problem(settings)) is not None:
             raise ValueError(f"{problem.key}: {problem.expected}")
-        return found
+        return settings
--- a/laurelstep/settings/operator/deployment.py
+++ b/laurelstep/settings/operator/deployment.py
@@ -1,4 +1,4 @@
-"""`[deployment]`: a deployment that no platform describes."""
+"""The table `[deployment]`: what the platform's JSON holds, for deployments without a platform."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 import msgspec
 
-from laurelstep.settings.config import ConfigError, address
+from laurelstep.settings.config import ConfigError, parse_address
 from laurelstep.settings.operator.fields import (
-    Amount,
-    Count,
     Effect,
+    Fraction,
     Name,
+    NonNegativeFloat,
+    NonNegativeInt,
     OperatorTable,
-    Part,
-    Whole,
+    PositiveInt,
     has_duplicates,
 )
 
 Scope = Literal["all", "zone", "cell"]
 Report = Literal["inflight", "queue", "util", "latency_ms", "qps", "eps"]
 
-# The names of load reports on the sockets, and in the platform's settings.
-REPORTS: Final = {
+# The names of load report fields, in this table and on the sockets, to those in the platform's settings.
+REPORT_FIELDS: Final = {
     "inflight": "active",
     "queue": "waiting",
     "util": "cpu",
@@ -31,7 +31,7 @@
     "qps": "rps",
     "eps": "err_rps",
 }
-EFFECTS: Final = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
+REPEAT_BY_EFFECT: Final = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
 
 
 class RequestClass(OperatorTable, frozen=True, kw_only=True):
@@ -39,17 +39,17 @@
 
     name: Name
     effect: Effect
-    aim_ms: Count
-    deadline_ms: Count
-    worth: Amount = 1.0
+    aim_ms: PositiveInt
+    deadline_ms: PositiveInt
+    worth: NonNegativeFloat = 1.0
     scope: Scope = "all"
-    window_ms: Whole = 0
+    window_ms: NonNegativeInt = 0
 
-    def raw(self) -> dict[str, Any]:
-        """The same in the platform's form."""
+    def to_platform(self) -> dict[str, Any]:
+        """The class in the platform's format."""
         return {
             "name": self.name,
-            "repeat": EFFECTS[self.effect],
+            "repeat": REPEAT_BY_EFFECT[self.effect],
             "aim-us": self.aim_ms * 1000,
             "deadline-us": self.deadline_ms * 1000,
             "points": self.worth,
@@ -59,24 +59,24 @@
 
 
 class Tenant(OperatorTable, frozen=True, kw_only=True):
-    """A tenant and the work that it may have served."""
+    """A tenant, and how much work it may have served per second."""
 
     name: str
-    allowance_per_s: Amount
+    allowance_per_s: NonNegativeFloat
 
 
 class Member(OperatorTable, frozen=True, kw_only=True):
-    """An endpoint that is listed in the file."""
+    """An endpoint that is listed in the file instead of by discovery."""
 
     id: Annotated[str, msgspec.Meta(min_length=1)]
     address: str
     zone: str = ""
     kind: str = ""
-    cell: Whole = 0
+    cell: NonNegativeInt = 0
     weight: Annotated[float, msgspec.Meta(gt=0.0)] = 1.0
 
-    def raw(self) -> dict[str, Any]:
-        """The same in discovery's form."""
+    def to_discovery_entry(self) -> dict[str, Any]:
+        """The endpoint in the format of discovery's list."""
         return {
             "instanceId": self.id,
             "hostPort": self.address,
@@ -90,7 +90,7 @@
 
 
 class Deployment(OperatorTable, frozen=True, kw_only=True):
-    """`[deployment]`: what the platform would tell."""
+    """The whole table. `to_platform` converts it to the platform's format."""
 
     classes: Annotated[tuple[RequestClass, ...], msgspec.Meta(min_length=1)]
     listen: str | None = None
@@ -99,66 +99,73 @@
     tenants: tuple[Tenant, ...] = ()
     sockets: Annotated[int, msgspec.Meta(ge=64)] = 1024
     seed: Annotated[str, msgspec.Meta(pattern=r"^[0-9a-fA-F]{1,32}$")] | None = None
-    tier: Whole = 0
-    tiers: Count = 1
-    copy: Whole = 0
-    copies: Count = 1
+    tier: NonNegativeInt = 0
+    tiers: PositiveInt = 1
+    copy: NonNegativeInt = 0
+    copies: PositiveInt = 1
     zone: str = ""
     zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
     reports: tuple[Report, ...] = ()
-    max_attempts: Count = 3
+    max_attempts: PositiveInt = 3
     second_copies: bool = False
     cancel: bool = True
     retry_after: bool = True
-    max_retry_after_ms: Whole = 2_000
-    connect_timeout_ms: Count = 1_000
-    idle_ms: Count = 10_000
+    max_retry_after_ms: NonNegativeInt = 2_000
+    connect_timeout_ms: PositiveInt = 1_000
+    idle_ms: PositiveInt = 10_000
     drain_grace_ms: Annotated[int, msgspec.Meta(ge=0, le=500)] = 500
-    cold_share: Part = 1.0
-    cold_ms: Whole = 0
+    cold_share: Fraction = 1.0
+    cold_ms: NonNegativeInt = 0
     tip_multiple: Annotated[float, msgspec.Meta(gt=0.0)] = 3.0
-    tip_ms: Count = 1_000
+    tip_ms: PositiveInt = 1_000
 
     def problem(self) -> str | None:
-        """What can't be as the file says: the key, and what was expected."""
+        """An invalid value, as its key and what was expected; None if the table is valid."""
         for key, names in (
-            ("classes", [one.name for one in self.classes]),
-            ("members", [one.id for one in self.members]),
-            ("tenants", [one.name for one in self.tenants]),
+            ("classes", [entry.name for entry in self.classes]),
+            ("members", [member.id for member in self.members]),
+            ("tenants", [tenant.name for tenant in self.tenants]),
         ):
             if has_duplicates(names):
                 return f"deployment.{key}: expected each name once"
-        for one in self.classes:
-            if one.effect == "keyed" and not one.window_ms:
-                return f"deployment.classes: {one.name}: expected window_ms above 0 for a keyed class"
-            if one.aim_ms > one.deadline_ms:
-                return f"deployment.classes: {one.name}: expected aim_ms no longer than deadline_ms"
+        for entry in self.classes:
+            if entry.effect == "keyed" and not entry.window_ms:
+                return f"deployment.classes: {entry.name}: expected window_ms above 0 for a keyed class"
+            if entry.aim_ms > entry.deadline_ms:
+                return f"deployment.classes: {entry.name}: expected aim_ms no longer than deadline_ms"
         if self.zone and self.zone not in self.zones:
             return "deployment.zone: expected one of zones"
         if self.tier >= self.tiers:
             return "deployment.tier: expected less than tiers"
         if self.discovery is not None and self.members:
             return "deployment.members: expected none where discovery is named"
-        texts = [("listen", self.listen), ("discovery", self.discovery)]
-        for key, text in [*texts, *((f"members: {one.id}", one.address) for one in self.members)]:
+        addresses = [("listen", self.listen), ("discovery", self.discovery)]
+        for key, text in [
+            *addresses,
+            *((f"members: {member.id}", member.address) for member in self.members),
+        ]:
             if text is not None and not _is_address(text):
                 return f"deployment.{key}: expected host:port, got {text!r}"
         return None
 
-    def raw(self) -> dict[str, Any]:
-        """The same in the platform's form."""
-        known = {"generation": 0, "reset": True, "instances": [one.raw() for one in self.members]}
+    def to_platform(self) -> dict[str, Any]:
+        """The configuration in the platform's format. Each call makes a new seed if the file sets none."""
+        known = {
+            "generation": 0,
+            "reset": True,
+            "instances": [member.to_discovery_entry() for member in self.members],
+        }
         return {
             "listen": self.listen,
             "discovery": self.discovery,
             "seed": self.seed or secrets.token_hex(8),
             "limits": {"sockets": self.sockets},
             "known": known if self.members else None,
-            "settings": self._raw_settings(),
+            "settings": self._platform_settings(),
         }
 
-    def _raw_settings(self) -> dict[str, Any]:
+    def _platform_settings(self) -> dict[str, Any]:
         return {
             "me": self.copy,
             "instances": self.copies,
@@ -167,15 +174,17 @@
             "locality": self.zones.index(self.zone) if self.zone else 0,
             "zones": list(self.zones),
             "kinds": list(self.kinds),
-            "classes": [one.raw() for one in self.classes],
-            "accounts": [{"name": one.name, "allowance-per-s": one.allowance_per_s} for one in self.tenants],
-            "load-report": {"fields": [REPORTS[name] for name in self.reports], "how": "piggyback"},
+            "classes": [entry.to_platform() for entry in self.classes],
+            "accounts": [
+                {"name": tenant.name, "allowance-per-s": tenant.allowance_per_s} for tenant in self.tenants
+            ],
+            "load-report": {"fields": [REPORT_FIELDS[name] for name in self.reports], "how": "piggyback"},
             "discovery": "push",
-            "ceilings": self._raw_ceilings(),
-            "invariants": self._raw_invariants(),
+            "ceilings": self._platform_ceilings(),
+            "invariants": self._platform_invariants(),
         }
 
-    def _raw_ceilings(self) -> dict[str, Any]:
+    def _platform_ceilings(self) -> dict[str, Any]:
         return {
             "cancel": self.cancel,
             "second-copies": self.second_copies,
@@ -187,7 +196,7 @@
             "max-retry-after-us": self.max_retry_after_ms * 1000,
         }
 
-    def _raw_invariants(self) -> dict[str, Any]:
+    def _platform_invariants(self) -> dict[str, Any]:
         return {
             "drain-grace-us": self.drain_grace_ms * 1000,
             "cold-share": self.cold_share,
@@ -199,6 +208,6 @@
 
 def _is_address(text: str) -> bool:
     try:
-        return address(text)[1] >= 0
+        return parse_address(text)[1] >= 0
     except ConfigError:
         return False
--- a/laurelstep/settings/operator/outbox.py
+++ b/laurelstep/settings/operator/outbox.py
@@ -1,4 +1,4 @@
-"""`[outbox]`: writes that an edge queues while it is cut off."""
+"""The table `[outbox]`: writes that an edge queues while it is cut off from its upstream."""
 
 from __future__ import annotations
 
@@ -7,30 +7,39 @@
 import msgspec
 
 from laurelstep.outbox.options import OrphanPolicy, OutboxSettings, QueuedClass, Upstream, WriteEffect
-from laurelstep.settings.operator.fields import Count, Name, OperatorTable, Part, Whole, has_duplicates
+from laurelstep.settings.operator.fields import (
+    Fraction,
+    Name,
+    NonNegativeInt,
+    OperatorTable,
+    PositiveInt,
+    has_duplicates,
+)
 
 
-class KeepableClass(OperatorTable, frozen=True, kw_only=True):
-    """A class whose writes may be queued, and how they are replayed."""
+class QueueableClass(OperatorTable, frozen=True, kw_only=True):
+    """A class whose writes may be queued. `keep` is their effect, which decides how they are replayed;
+    `window_s` is how long the upstream remembers an idempotency key, None for the class's own window.
+    """
 
     name: Name
     keep: WriteEffect
-    window_s: Whole | None = None
+    window_s: NonNegativeInt | None = None
 
 
 class OutboxTable(OperatorTable, frozen=True, kw_only=True):
-    """Writes that are kept while this edge is cut off, and replayed upstream."""
+    """The queue of writes: its store and bounds, cut-off detection, replay, and sharing among copies."""
 
     store_path: Annotated[str, msgspec.Meta(min_length=1)]
     edge: Annotated[str, msgspec.Meta(pattern=r"^[a-z0-9][a-z0-9.-]{0,31}$")]
-    classes: Annotated[tuple[KeepableClass, ...], msgspec.Meta(min_length=1)]
+    classes: Annotated[tuple[QueueableClass, ...], msgspec.Meta(min_length=1)]
     secret_file: str = ""
-    max_mb: Count = 1024
+    max_mb: PositiveInt = 1024
     most: Annotated[int, msgspec.Meta(ge=1, le=10_000_000)] = 100_000
     body_mb: Annotated[int, msgspec.Meta(ge=1, le=32)] = 8
-    age_s: Count = 604_800
-    share: Part = 0.5
-    receipt_s: Count = 604_800
+    age_s: PositiveInt = 604_800
+    share: Fraction = 0.5
+    receipt_s: PositiveInt = 604_800
     cut_ms: Annotated[int, msgspec.Meta(ge=100)] = 3_000
     back_ms: Annotated[int, msgspec.Meta(ge=10)] = 1_000
     replay_most: Annotated[int, msgspec.Meta(ge=1, le=1024)] = 8
@@ -39,24 +48,26 @@
     shared: bool = False
 
     def problem(self) -> str | None:
-        """What can't be as the file says: the key, and what was expected."""
-        names = [one.name for one in self.classes]
+        """An invalid value, as its key and what was expected; None if the table is valid."""
+        names = [entry.name for entry in self.classes]
         if has_duplicates(names):
             return "outbox.classes: expected each name once"
-        for one in self.classes:
-            if one.window_s == 0:
-                return f"outbox.classes: {one.name}: window_s: expected above 0, or none for the class's own"
-            if one.window_s is not None and one.keep != "keyed":
-                return f"outbox.classes: {one.name}: window_s: expected none, as it is sent once"
+        for entry in self.classes:
+            if entry.window_s == 0:
+                return (
+                    f"outbox.classes: {entry.name}: window_s: expected above 0, or none for the class's own"
+                )
+            if entry.window_s is not None and entry.keep != "keyed":
+                return f"outbox.classes: {entry.name}: window_s: expected none, as it is unsafe and sent once"
         if self.body_mb > self.max_mb:
             return "outbox.body_mb: expected at most max_mb"
         return None
 
     def settings(self) -> OutboxSettings:
-        """The same as the driver takes it."""
+        """The settings of the outbox driver."""
         classes = {
-            one.name: QueuedClass(one.keep, 0 if one.window_s is None else one.window_s * 1_000_000)
-            for one in self.classes
+            entry.name: QueuedClass(entry.keep, 0 if entry.window_s is None else entry.window_s * 1_000_000)
+            for entry in self.classes
         }
         return OutboxSettings(
             store_path=self.store_path,
--- a/laurelstep/settings/platform.py
+++ b/laurelstep/settings/platform.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: JSON named by LB_CONFIG, with the environment before it."""
+"""The platform's configuration: the JSON file named by LB_CONFIG, overridden by environment variables."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from laurelstep.engine.list_updates import normalize_entry
 from laurelstep.engine.ports import Log
 from laurelstep.request_journal.settings import JournalSettings
-from laurelstep.settings.config import Config, ConfigError, Join, config_from
+from laurelstep.settings.config import Config, ConfigError, ConfigExtension, config_from
 
 
-def no_log(text: str) -> None:
-    """For whoever only wants to know whether the rest can be used."""
+def discard_log(text: str) -> None:
+    """A log that discards its lines, for callers that only validate a configuration."""
 
 
 def load_json(path: str) -> Any:
-    """The file's JSON; `ConfigError` with one line if it can't be read."""
+    """The file's JSON value. Raises `ConfigError` with one line if it can't be read."""
     try:
         with open(path, "rb") as file:
             return json.load(file)
@@ -26,9 +26,9 @@
 
 
 def read_file(path: str) -> Config:
-    """A configuration in either form, told apart by the file's name."""
+    """Read a configuration in the operator's format if the name ends in `.toml`, else in the platform's."""
     if path.endswith(".toml"):
-        # Imported when asked for: the platform's own form needs no further library.
+        # Imported only here: the platform's format needs no further library.
         from laurelstep.settings.operator import read_operator
 
         return read_operator(path).config(path)
@@ -36,33 +36,40 @@
 
 
 def _known(raw: Any, path: str, log: Log) -> dict[str, Any] | None:
-    """What can be used of the list that the platform kept. It may be old, and discovery has the word:
-    guards a start against one that can't be read.
+    """The valid entries of `known`, the endpoint list that the platform saved; None if there are none to use.
+
+    The list may be outdated, and discovery replaces it, so a malformed one is logged and must not prevent a
+    start.
     """
     if raw is None:
         return None
     try:
-        version, entries = int(raw["generation"]), list(raw["instances"])
-        if version < 0:
-            raise ValueError(f"generation {version}")
+        generation, entries = int(raw["generation"]), list(raw["instances"])
+        if generation < 0:
+            raise ValueError(f"generation {generation}")
     except (KeyError, TypeError, ValueError, OverflowError) as error:
         log(f"{path}: known: started without it: {type(error).__name__}: {error}")
         return None
-    found = [normalize_entry(one) for one in entries]
-    if wrong := [text for _, text in found if text]:
-        log(f"{path}: known: {len(wrong)} bad entries, the first is {wrong[0]}")
-    return {"generation": version, "reset": True, "instances": [one for one, _ in found if one is not None]}
+    normalized = [normalize_entry(entry) for entry in entries]
+    if problems := [problem for _, problem in normalized if problem]:
+        log(f"{path}: known: {len(problems)} bad entries, the first is {problems[0]}")
+    return {
+        "generation": generation,
+        "reset": True,
+        "instances": [entry for entry, _ in normalized if entry is not None],
+    }
 
 
 def read_platform(
     environ: Mapping[str, str],
     orders: JournalSettings | None = None,
-    join: Join | None = None,
-    log: Log = no_log,
+    extend_config: ConfigExtension | None = None,
+    log: Log = discard_log,
 ) -> Config:
-    """What a daemon under the platform needs: LB_LISTEN, LB_DISCOVERY and LB_MANAGEMENT
-    go before the file's `listen`, `discovery` and `management`; all but the last there must be.
-    A `known` that can't be read is left out, and `log` is told.
+    """The configuration of a daemon on the platform. Raises `ConfigError` if it is invalid.
+
+    LB_LISTEN, LB_DISCOVERY and LB_MANAGEMENT override the file's `listen`, `discovery` and `management`;
+    `listen` and `discovery` are required. A malformed `known` list is left out and logged.
     """
     path = environ.get("LB_CONFIG")
     if not path:
@@ -70,14 +77,14 @@
     raw = load_json(path)
     if not isinstance(raw, dict):
         raise ConfigError(f"{path}: expected an object")
-    told = {
+    variables = {
         "listen": environ.get("LB_LISTEN"),
         "discovery": environ.get("LB_DISCOVERY"),
         "management": environ.get("LB_MANAGEMENT"),
     }
-    given = {key: value for key, value in told.items() if value}
-    config = config_from({**raw, **given, "known": _known(raw.get("known"), path, log)}, path, orders)
+    overrides = {key: value for key, value in variables.items() if value}
+    config = config_from({**raw, **overrides, "known": _known(raw.get("known"), path, log)}, path, orders)
     for key, value in (("listen", config.listen), ("discovery", config.discovery)):
         if value is None:
             raise ConfigError(f"{path}: {key} is missing: expected host:port")
-    return config if join is None else join(config, raw, path)
+    return config if extend_config is None else extend_config(config, raw, path)
--- a/tests/test_crossings_settings.py
+++ b/tests/test_crossings_settings.py
@@ -19,8 +19,8 @@
 @pytest.mark.parametrize(
     ("classes", "expected"),
     [
-        ([], "settings.classes: expected one class at least"),
-        (None, "settings.classes: expected one class at least"),
+        ([], "settings.classes: expected at least one class"),
+        (None, "settings.classes: expected at least one class"),
         (
             [{**FIRST, "repeat": "often"}],
             "settings.classes[0].repeat: page: expected one of retryable, dedup, fragile",
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -15,7 +15,7 @@
 from laurelstep.library import Client
 from laurelstep.maintenance.settings import MaintenanceSettings
 from laurelstep.settings import ConfigError, read_file, read_platform
-from laurelstep.settings.operator import AccordTable, Operator, read_operator
+from laurelstep.settings.operator import AccordTable, OperatorFile, read_operator
 
 from tests.sockets import SETTINGS
 
@@ -148,9 +148,12 @@
     [
         ("{", "JSONDecodeError"),
         ("[]", "TypeError"),
-        (platform_json(settings={}), "settings.classes: expected one class at least"),
-        (platform_json(listen="nowhere"), "no address: 'nowhere'"),
-        (platform_json(known={"generation": 1, "instances": 1}), "known is no list of endpoints"),
+        (platform_json(settings={}), "settings.classes: expected at least one class"),
+        (platform_json(listen="nowhere"), "config.json: expected host:port, got 'nowhere'"),
+        (
+            platform_json(known={"generation": 1, "instances": 1}),
+            "known: expected a generation and a list of endpoints",
+        ),
         (platform_json(seed="xyz"), "ValueError"),
     ],
 )
@@ -186,7 +189,7 @@
 
 
 def test_the_file_that_is_shipped_switches_nothing_on() -> None:
-    assert read_operator(str(ROOT / "deploy" / "operator.toml")) == Operator()
+    assert read_operator(str(ROOT / "deploy" / "operator.toml")) == OperatorFile()
 
 
 def test_the_file_that_is_shipped_shows_every_key_with_its_default() -> None:
