--- a/laurelstep/__main__.py
+++ b/laurelstep/__main__.py
@@ -45,7 +45,7 @@
         return config
     if operator.deployment is not None:
         raise ConfigError(f"{operator_path}: deployment: expected none where LB_CONFIG is set")
-    return read_platform(environ, operator.orders_settings(), operator.joining(operator_path), log)
+    return read_platform(environ, operator.orders_settings(), operator.config_extension(operator_path), log)
 
 
 def run(arguments: Sequence[str]) -> int:
@@ -89,13 +89,13 @@
     """One worker of several."""
     import uvloop
 
-    from laurelstep.workers.worker import receive_known_list, slot_from_environ
+    from laurelstep.workers.worker import receive_endpoint_list, slot_from_environ
 
     slot = slot_from_environ(environ)
     assert slot is not None
     unblock_log()
     hold_reload()
-    config = slot.worker_config(read_config(environ), receive_known_list(slot.channel))
+    config = slot.worker_config(read_config(environ), receive_endpoint_list(slot.channel))
     gc.set_threshold(5_000, 10, 10)
     gc.freeze()
     uvloop.run(serve(config, environ, read_config, slot))
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -219,7 +219,7 @@
                     assert summary(await client.send(pay_request())) == FROM_RECORD
                     machine.advance(1)
                     assert summary(await client.send(pay_request())) == SERVED
-            assert len(endpoint.got) == 2
+            assert len(endpoint.requests) == 2
 
     run(main())
 
--- a/tests/test_maintenance_daemon.py
+++ b/tests/test_maintenance_daemon.py
@@ -16,22 +16,22 @@
 from laurelstep.testing import whole_list
 
 from tests.sockets import TEST_TIMEOUT_S, Endpoint, free_port, read_message, request, run
-from tests.upgrades import Site, Version
+from tests.upgrades import Deployment, Version
 
 OPERATOR = "[accord]\nheartbeat_ms = 20\nelection_ms = 60\n[upkeep]\n"
 
 
-def make_site(folder: Path, *endpoints: Endpoint, copies: int = 1, extra: str = "") -> Site:
+def make_site(folder: Path, *endpoints: Endpoint, copies: int = 1, extra: str = "") -> Deployment:
     """The site of copy 0 of a tier; the other copies are configured but do not run."""
     operator = folder / "operator.toml"
     operator.write_text(OPERATOR + extra)
     peers = [f"127.0.0.1:{free_port()}" for _ in range(copies)]
-    site = Site(folder, *endpoints, peers=peers, peer_listen=peers[0])
+    site = Deployment(folder, *endpoints, peers=peers, peer_listen=peers[0])
     site.changes["known"] = {"generation": 1, "reset": True, "instances": []}
     return site
 
 
-async def start_version(site: Site) -> Version:
+async def start_version(site: Deployment) -> Version:
     """Start a version that is configured with the endpoints' present addresses."""
     path = Path(site.environ["LB_CONFIG"])
     config = json.loads(path.read_text())
@@ -42,7 +42,7 @@
 
 
 async def call(version: Version, request_line: str = "GET /api/upkeep") -> tuple[int, Any]:
-    reader, writer = await asyncio.open_connection("127.0.0.1", version.management)
+    reader, writer = await asyncio.open_connection("127.0.0.1", version.management_port)
     writer.write(f"{request_line} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
     try:
         message = await read_message(reader)
@@ -77,23 +77,23 @@
         first, second = Endpoint(), Endpoint()
         async with make_site(tmp_path, first, second) as site:
             predecessor = await start_version(site)
-            await predecessor.until_ready()
+            await predecessor.wait_ready()
             assert (await call(predecessor, "POST /api/upkeep/wish?name=disk&id=nobody"))[0] == 400
             assert (await call(predecessor, "POST /api/upkeep/wish?name=disk&id=s-0"))[0] == 202
             await wait_for_states(predecessor, s_0="clear")
             assert (await call(predecessor, "POST /api/upkeep/begin?machine=s-0"))[0] == 202
             await wait_for_states(predecessor, s_0="at work")
             successor = await start_version(site)
-            await successor.until_ready()
+            await successor.wait_ready()
             await predecessor.stop()
-            count_before = first.count
+            count_before = first.request_count
             for n in range(20):
-                assert (await site.ask(request(rid=f"r{n}"))).status == 200
-            assert first.count == count_before and second.count >= 20
+                assert (await site.send(request(rid=f"r{n}"))).status == 200
+            assert first.request_count == count_before and second.request_count >= 20
             await wait_for_states(successor, s_0="at work")
             assert (await call(successor, "POST /api/upkeep/done?machine=s-0"))[0] == 202
-            while first.count == count_before:
-                assert (await site.ask(request())).status == 200
+            while first.request_count == count_before:
+                assert (await site.send(request())).status == 200
             log_output = await successor.stop()
             assert log_output == b"", log_output
 
@@ -159,8 +159,8 @@
             asyncio.timeout(TEST_TIMEOUT_S),
         ):
             version = await start_version(site)
-            await version.until_ready()
-            assert (await site.ask(request())).status == 200
+            await version.wait_ready()
+            assert (await site.send(request())).status == 200
             assert (await call(version))[1]["serving_alone"]
             version.process.send_signal(signal.SIGTERM)
             _, log_output = await version.process.communicate()
