--- a/laurelstep/maintenance/controller.py
+++ b/laurelstep/maintenance/controller.py
@@ -137,7 +137,7 @@
         if self.is_closed or self.source.is_forwarding:
             return
         self.log(
-            "maintenance: the replicated state is unknown; serving from discovery's list alone, "
+            "maintenance: the replicated state is not known; serving by discovery's list alone, "
             "so a machine reported as clear may still get requests from here"
         )
         self.serves_without_state = True
--- a/laurelstep/maintenance/machines.py
+++ b/laurelstep/maintenance/machines.py
@@ -155,7 +155,7 @@
         `is_consistent` is False until the last step: the totals match neither list.
         """
         self.is_consistent = False
-        for machine_id in [listed_id for listed_id in self.machines if listed_id not in machines]:
+        for machine_id in [old_id for old_id in self.machines if old_id not in machines]:
             self.remove(machine_id)
             yield
         for machine in machines.values():
--- a/laurelstep/maintenance/overlay.py
+++ b/laurelstep/maintenance/overlay.py
@@ -136,9 +136,7 @@
 
     def forget_unlisted(self, table: MachineTable) -> None:
         """Remove the return times of machines that are not listed any more (rule 5)."""
-        for machine_id in [
-            returned_id for returned_id in self.returned_ms if returned_id not in table.machines
-        ]:
+        for machine_id in [old_id for old_id in self.returned_ms if old_id not in table.machines]:
             del self.returned_ms[machine_id]
 
     # --- Published entries ------------------------------------------------------------
--- a/laurelstep/maintenance/records.py
+++ b/laurelstep/maintenance/records.py
@@ -31,7 +31,7 @@
 
 
 class DroppedMachine(msgspec.Struct, frozen=True, array_like=True):
-    """A machine without maintenance, since discovery drained, removed or replaced it meanwhile."""
+    """A machine that a request no longer drains, since discovery drained, removed or replaced it."""
 
     machine_id: str
     reason: str
--- a/laurelstep/maintenance/source.py
+++ b/laurelstep/maintenance/source.py
@@ -107,9 +107,7 @@
         """
         machines = [parse_listed_machine(raw) for raw in entries]
         if self.can_publish and self.sink is not None:
-            overlaid = [
-                self._overlay_entry(machine, raw) for machine, raw in zip(machines, entries, strict=True)
-            ]
+            overlaid = [self._overlay(machine, raw) for machine, raw in zip(machines, entries, strict=True)]
             self.sink.on_list(generation, is_full, overlaid)
             self._on_published(is_full, [machine.machine_id for machine in machines])
         else:
@@ -133,7 +131,7 @@
                 machine = parse_listed_machine(raw)
                 machines[machine.machine_id] = machine
                 if can_publish:
-                    overlaid.append(self._overlay_entry(machine, raw))
+                    overlaid.append(self._overlay(machine, raw))
                 if len(entries) % STEP_ENTRIES == 0:
                     yield
             if can_publish and self.sink is not None:
@@ -156,7 +154,7 @@
         published = self.overlay.cordons if is_full else machine_ids
         self.overlay.on_published(published, self.clock.now())
 
-    def _overlay_entry(self, machine: ListedMachine, raw: Any) -> Any:
+    def _overlay(self, machine: ListedMachine, raw: Any) -> Any:
         may_differ = self.overlay.may_differ(machine.machine_id)
         return self.overlay.overlaid_entry(machine) if may_differ else raw
 
