--- a/laurelstep/__init__.py
+++ b/laurelstep/__init__.py
@@ -1,7 +1,7 @@
-"""laurelstep: the decisions of a load balancer for services that call services.
+"""laurelstep: the decisions of a load balancer for calls between services.
 
-Make a `Balancer` from a seed and `Settings`, tell it one event at a time and
-carry out the actions it returns; `laurelstep.balancing.events` says what each means.
+Create a `Balancer` with a seed and `Settings`, pass it one event at a time and execute the actions that it
+returns. `laurelstep.balancing.events` describes events and actions.
 """
 
 from laurelstep.balancing.balancer import Balancer
--- a/laurelstep/__main__.py
+++ b/laurelstep/__main__.py
@@ -1,4 +1,4 @@
-"""The command: `run` (also with no word), `check`, `store`, `demo`."""
+"""The command line: `run` (the default), `check`, `store` and `demo`."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import sys
 
 if __name__ == "__main__" and sys.argv[1:2] in ([], ["run"], ["--operator"]):
-    # Before the imports, which take a while: SIGHUP ends a process that does not know it yet.
+    # Before the imports, which take a while: without a handler, SIGHUP would end the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
 import gc
@@ -22,19 +22,22 @@
 if TYPE_CHECKING:
     from laurelstep.workers.supervisor import SupervisorSettings
 
-USAGE = """usage: laurelstep [run] [--operator FILE]   one sidecar, told by LB_CONFIG or by FILE
-       laurelstep check FILE...            check configurations: .toml is the operator's form
-       laurelstep store verify|dump|compact|stats PATH   the store of the request journal
-       laurelstep demo [--seconds N] [--json]   a small world on loopback, with a live table
+USAGE = """usage: laurelstep [run] [--operator FILE]   run a sidecar, configured by LB_CONFIG or by FILE
+       laurelstep check FILE...            validate configurations: .toml is the operator's format
+       laurelstep store verify|dump|compact|stats PATH   inspect the store of the request journal
+       laurelstep demo [--seconds N] [--json]   simulated services on loopback, with a live table
 """
 
 
 def read_config(environ: dict[str, str]) -> Config:
-    """The platform's configuration where there is one; else the operator's file alone."""
+    """The platform's configuration, extended by the operator's file; without LB_CONFIG, that file alone.
+
+    Raises `ConfigError` if it is invalid or not that of a daemon.
+    """
     operator_path = environ.get("LB_OPERATOR")
     if not operator_path:
         return read_platform(environ, log=log)
-    # Imported when asked for: the platform's own form needs no further library.
+    # Imported only here: the platform's format needs no further library.
     from laurelstep.settings.operator import read_operator
 
     operator = read_operator(operator_path)
@@ -49,7 +52,7 @@
 
 
 def run(arguments: Sequence[str]) -> int:
-    """Run the balancer, a worker or the supervisor, as the settings say; the process's exit status."""
+    """Run a daemon, a worker or the supervisor, depending on the environment. Returns the exit status."""
     environ = dict(os.environ)
     if arguments[:1] == ["--operator"] and len(arguments) == 2:
         environ["LB_OPERATOR"] = arguments[1]
@@ -66,27 +69,27 @@
     import uvloop
 
     unblock_log()
-    hold_reload()
-    # What stands now stays: the collector need not walk it again.
+    block_reload_signal()
+    # The objects that exist now are permanent: the garbage collector need not scan them again.
     gc.set_threshold(5_000, 10, 10)
     gc.freeze()
     config = read_config(environ)
-    arrival = prepare_hot_restart(config, environ)
-    if arrival is not None:
-        config = arrival.config(config)
-    uvloop.run(serve(config, environ, read_config, arrival=arrival))
+    startup = prepare_hot_restart(config, environ)
+    if startup is not None:
+        config = startup.config_with_list(config)
+    uvloop.run(serve(config, environ, read_config, startup=startup))
     return 0
 
 
-def hold_reload() -> None:
-    """From before the configuration is read until there is something to reload, SIGHUP waits: what
-    is told in between must not be lost, or this process would stay with the old discovery.
+def block_reload_signal() -> None:
+    """Keep SIGHUP pending until the daemon handles it. Called before the configuration is read: a signal that
+    arrives in between must not be lost, or this process would stay with the old discovery address.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
 
 def run_worker(environ: dict[str, str]) -> int:
-    """One worker of several."""
+    """Run one of several workers, which was started by a supervisor. Returns the exit status."""
     import uvloop
 
     from laurelstep.workers.worker import receive_known_list, slot_from_environ
@@ -94,7 +97,7 @@
     slot = slot_from_environ(environ)
     assert slot is not None
     unblock_log()
-    hold_reload()
+    block_reload_signal()
     config = slot.worker_config(read_config(environ), receive_known_list(slot.channel))
     gc.set_threshold(5_000, 10, 10)
     gc.freeze()
@@ -103,7 +106,7 @@
 
 
 def read_supervisor_settings(environ: dict[str, str]) -> SupervisorSettings | None:
-    """What the operator's file says of several workers; None for one process."""
+    """The settings of `[workers]` in the operator's file; None for a single process."""
     path = environ.get("LB_OPERATOR")
     if not path or environ.get("LB_CONFIG"):
         return None
@@ -123,14 +126,14 @@
 
 
 def check(paths: Sequence[str]) -> int:
-    """One line for each file; 2 if one of them can't be used."""
+    """Validate the files and print one line for each. Returns the exit status: 2 if any is invalid."""
     from laurelstep.settings import read_file
     from laurelstep.settings.operator import read_operator
 
     if not paths:
         sys.stderr.write(USAGE)
         return 2
-    failed = 0
+    status = 0
     for path in paths:
         try:
             if path.endswith(".toml"):
@@ -140,12 +143,12 @@
             print(f"{path}: ok")
         except ConfigError as error:
             log(str(error))
-            failed = 2
-    return failed
+            status = 2
+    return status
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the subcommand that the arguments name (`sys.argv` by default); the process's exit status."""
+    """Run the subcommand that the arguments (by default `sys.argv`) name. Returns the exit status."""
     words = list(sys.argv[1:] if arguments is None else arguments)
     try:
         match words:
--- a/laurelstep/daemon.py
+++ b/laurelstep/daemon.py
@@ -1,9 +1,9 @@
-"""One daemon's process, from the first listener to the end of the last request: wiring and signals.
+"""The process of one daemon, from its first listener to the end of its last request: wiring and signals.
 
-Rules that everything here serves:
+Rules of this module:
 
-1. Subsystems open and start in the order in which they are listed, before a client can come. Those that
-   `outlives_sockets` stop once the last connection is closed, the others before.
+1. Subsystems are opened and started in the order in which they are listed, before clients are accepted. Those
+   with `outlives_sockets` stop after the last connection is closed, the others before.
 2. A subsystem that is off is not imported.
 """
 
@@ -19,14 +19,14 @@
 from laurelstep.net.collector import Collector
 from laurelstep.net.log import log
 from laurelstep.net.server import Server
-from laurelstep.reload import ReadConfig, move_discovery, reloaded_config
+from laurelstep.reload import ReadConfig, reloaded_config, update_discovery_address
 from laurelstep.settings import Config, ConfigError
-from laurelstep.subsystems.base import ProcessContext, Subsystem, first_of
+from laurelstep.subsystems.base import ProcessContext, Subsystem, wait_for_any
 
 if TYPE_CHECKING:
     from laurelstep.engine.ports import Recorder
     from laurelstep.subsystems.consensus import ConsensusSubsystem
-    from laurelstep.subsystems.hot_restart import Arrival, HotRestartSubsystem
+    from laurelstep.subsystems.hot_restart import HotRestartStartup, HotRestartSubsystem
     from laurelstep.subsystems.maintenance import MaintenanceSubsystem
     from laurelstep.subsystems.outbox import OutboxSubsystem
     from laurelstep.subsystems.request_journal import RequestJournalSubsystem
@@ -34,15 +34,15 @@
 
 
 class Daemon:
-    """Runs until a stop is over."""
+    """One daemon: its subsystems, the engine with its connections, and the server for clients."""
 
-    def __init__(self, config: Config, environ: Mapping[str, str], arrival: Arrival | None) -> None:
+    def __init__(self, config: Config, environ: Mapping[str, str], startup: HotRestartStartup | None) -> None:
         self.config = config
         self.loop = asyncio.get_running_loop()
         self.context = ProcessContext(self.loop, config, environ)
-        self.arrival = arrival
+        self.startup = startup
         self.lifecycle = Lifecycle()
-        self.ended = asyncio.Event()
+        self.stopped = asyncio.Event()
         self.subsystems: list[Subsystem] = []  # those that are on
         self.journal: RequestJournalSubsystem | None = None
         self.outbox: OutboxSubsystem | None = None
@@ -51,40 +51,40 @@
         self.hot_restart: HotRestartSubsystem | None = None
 
     async def run(self, read_config: ReadConfig, slot: WorkerSlot | None = None) -> None:
-        """Until a stop is over. `ConfigError` if it can't begin."""
+        """Serve until a stop is complete. Raises `ConfigError` if the daemon can't start."""
         await self._open_subsystems()
         self._open_sockets()
         for subsystem in self.subsystems:
-            await subsystem.start(self.sockets.engine, self.server)
-        self._handle_signals(read_config)  # from here on a client may come, and a start may have to wait
+            await subsystem.start(self.assembly.engine, self.server)
+        self._handle_signals(read_config)  # before listening, which may wait until this process may send
         try:
             await self._listen(shared=slot is not None)
         except OSError as error:
             raise ConfigError(f"can't listen: {error}") from None
-        if slot is not None and not self.ended.is_set():
+        if slot is not None and not self.stopped.is_set():
             from laurelstep.workers.worker import join_supervisor
 
-            await join_supervisor(self.loop, slot, self.sockets.engine, self.stop)
-        await self.ended.wait()
+            await join_supervisor(self.loop, slot, self.assembly.engine, self.stop)
+        await self.stopped.wait()
         await self._close()
 
     def stop(self) -> None:
-        """SIGTERM: finish what was taken, then end."""
-        if self.lifecycle.phase is Phase.STARTING:  # no client was taken yet
+        """Finish the open requests, then end the process. Called on SIGTERM, SIGINT and by a supervisor."""
+        if self.lifecycle.phase is Phase.STARTING:  # no client has been accepted yet
             self.lifecycle.stop(self.loop.time())
-            self.ended.set()
+            self.stopped.set()
         else:
-            self.server.stop(self.ended.set)
+            self.server.stop(self.stopped.set)
 
     # --- Wiring -------------------------------------------------------------------------
 
     async def _open_subsystems(self) -> None:
-        """Those that are on, each in hand of its store, and joined with those that it rests on."""
+        """Create the subsystems that are on, open their stores, and connect them to those they depend on."""
         config, context = self.config, self.context
-        if self.arrival is not None:
+        if self.startup is not None:
             from laurelstep.subsystems.hot_restart import HotRestartSubsystem
 
-            self.hot_restart = HotRestartSubsystem(context, self.arrival)
+            self.hot_restart = HotRestartSubsystem(context, self.startup)
         if config.orders is not None:
             from laurelstep.subsystems.request_journal import RequestJournalSubsystem
 
@@ -100,7 +100,7 @@
         if config.accord is not None:
             self._open_consensus()
         listed = (self.journal, self.outbox, self.consensus, self.maintenance)
-        self.subsystems += [one for one in listed if one is not None]
+        self.subsystems += [subsystem for subsystem in listed if subsystem is not None]
 
     def _open_consensus(self) -> None:
         from laurelstep.subsystems.consensus import ConsensusSubsystem
@@ -109,31 +109,31 @@
         self.consensus = ConsensusSubsystem.create(
             self.context,
             None if maintenance is None else maintenance.assembly.state_machines,
-            None if self.outbox is None else self.outbox.machines,
+            None if self.outbox is None else self.outbox.state_machines,
             None if hot_restart is None else hot_restart.inherited_state,
         )
         if maintenance is not None and self.consensus is not None:
-            alone = (lambda: True) if hot_restart is None else hot_restart.is_only_version
-            maintenance.join(self.consensus.multiplexer, alone)
+            is_only = (lambda: True) if hot_restart is None else hot_restart.is_only_version
+            maintenance.attach(self.consensus.multiplexer, is_only)
 
     def _open_sockets(self) -> None:
-        """The engine with its discovery and its connections to endpoints; the server does not listen yet."""
+        """Start the engine with its connections to discovery and endpoints, and create the server."""
         config = self.config
-        holding = None if self.maintenance is None else self.maintenance.assembly.wrap_source
-        self.sockets = Assembly(
-            self.loop, config, log, self._recorder(), collector=Collector(), create_filtering_source=holding
+        factory = None if self.maintenance is None else self.maintenance.assembly.wrap_source
+        self.assembly = Assembly(
+            self.loop, config, log, self._recorder(), collector=Collector(), create_filtering_source=factory
         )
-        self.sockets.start()
+        self.assembly.start()
         self.server = Server(
             self.loop,
-            self.sockets.engine,
+            self.assembly.engine,
             config.max_side_connections,
-            self.sockets.upstream.retire,
+            self.assembly.upstream.retire,
             self.lifecycle,
             config.memory_mb,
         )
         if self.hot_restart is not None:
-            self.hot_restart.join(self.sockets, self.consensus, self.maintenance)
+            self.hot_restart.attach(self.assembly, self.consensus, self.maintenance)
 
     def _recorder(self) -> Recorder | None:
         journal = None if self.journal is None else self.journal.recorder
@@ -146,13 +146,13 @@
     async def _listen(self, shared: bool) -> None:
         config, hot_restart = self.config, self.hot_restart
         assert config.listen is not None
-        # The second address answers before clients are taken: a start can be watched.
+        # The management address answers before clients are accepted, so that a start can be observed.
         if config.management is not None:
             from laurelstep.subsystems.management import ManagementSubsystem
 
-            asked = [one for one in (self.maintenance, self.outbox) if one is not None]
-            await self._start(ManagementSubsystem(self.context, config.management, self.lifecycle, asked))
-        if not await self._may_serve():
+            others = [subsystem for subsystem in (self.maintenance, self.outbox) if subsystem is not None]
+            await self._start(ManagementSubsystem(self.context, config.management, self.lifecycle, others))
+        if not await self._wait_until_may_serve():
             return
         if hot_restart is None:
             await self.server.listen(*config.listen, reuse_port=shared)
@@ -162,23 +162,23 @@
 
     async def _start(self, subsystem: Subsystem) -> None:
         self.subsystems.append(subsystem)
-        await subsystem.start(self.sockets.engine, self.server)
+        await subsystem.start(self.assembly.engine, self.server)
 
-    async def _may_serve(self) -> bool:
-        """Wait until this process may send; False if it was stopped meanwhile."""
+    async def _wait_until_may_serve(self) -> bool:
+        """Wait until this process may send to endpoints. Returns False if it was stopped meanwhile."""
         if self.maintenance is not None:
-            events = (self.maintenance.may_send, self.ended)
+            events = (self.maintenance.may_send, self.stopped)
             if self.hot_restart is None:
-                await first_of(events)
+                await wait_for_any(events)
             else:
-                await self.hot_restart.wait_while_followed(*events)
-        return not self.ended.is_set()
+                await self.hot_restart.wait_with_predecessor(*events)
+        return not self.stopped.is_set()
 
-    # --- Signals and the end ------------------------------------------------------------
+    # --- Signals and shutdown -----------------------------------------------------------
 
     def _handle_signals(self, read_config: ReadConfig) -> None:
         self.loop.add_signal_handler(signal.SIGHUP, self._reload, read_config)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # one that waited is handled now
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # a pending one is handled now
         self.loop.add_signal_handler(signal.SIGTERM, self.stop)
         self.loop.add_signal_handler(signal.SIGINT, self.stop)
 
@@ -186,17 +186,17 @@
         config = reloaded_config(dict(self.context.environ), read_config, self.config)
         if config is None:
             return
-        move_discovery(self.sockets.source, config)
+        update_discovery_address(self.assembly.source, config)
         for subsystem in self.subsystems:
             subsystem.reload(config)
 
     async def _close(self) -> None:
         if self.hot_restart is not None:
-            self.hot_restart.stopping = True
+            self.hot_restart.is_stopping = True
         for subsystem in self.subsystems:
             if not subsystem.outlives_sockets:
                 await subsystem.stop()
-        self.sockets.close()
+        self.assembly.close()
         for subsystem in reversed(self.subsystems):
             if subsystem.outlives_sockets:
                 await subsystem.stop()
@@ -207,7 +207,7 @@
     environ: Mapping[str, str],
     read_config: ReadConfig,
     slot: WorkerSlot | None = None,
-    arrival: Arrival | None = None,
+    startup: HotRestartStartup | None = None,
 ) -> None:
-    """Run one daemon on the running loop until its stop is over."""
-    await Daemon(config, environ, arrival).run(read_config, slot)
+    """Run one daemon on the running event loop until its stop is complete."""
+    await Daemon(config, environ, startup).run(read_config, slot)
--- a/laurelstep/errors.py
+++ b/laurelstep/errors.py
@@ -1,10 +1,10 @@
-"""The root of all errors of this program.
+"""The base class of all errors of this program.
 
-Each type below it says in two lines what kind of thing went wrong and what an operator can do;
-the error's own text names the place. `docs/operators/errors.md` lists them.
+Each subclass states a cause and a remedy for operators, one line each; the text of an error says where it
+occurred. `docs/operators/errors.md` lists them.
 
-Plain Python, as every module that makes such a type: compiled, an exception with attributes
-loses the dictionary that holds them (mypyc 1.18).
+This module, and every module that defines such a class, is not compiled: an exception class compiled by mypyc
+1.18 loses the dictionary that holds its attributes.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 
 class LaurelstepError(Exception):
-    """Never raised itself. A type that joins gives both lines anew: an inherited remedy is
-    that of another fault. Its further bases (such as ValueError) stay as its callers know them.
+    """Never raised itself. Each subclass sets both attributes, because an inherited remedy is that of another
+    fault. Further bases, such as ValueError, are kept for callers that catch them.
     """
 
-    cause: ClassVar[str]  # what kind of thing went wrong, on one line
+    cause: ClassVar[str]  # what went wrong, on one line
     remedy: ClassVar[str]  # what an operator can do, on one line
--- a/laurelstep/management/__init__.py
+++ b/laurelstep/management/__init__.py
@@ -1,5 +1,4 @@
-"""The second address: calls of the operators' staff and of what watches the daemon.
+"""The management address: calls of operators and of monitoring.
 
-`calls` and `telemetry` are pure; `server` has the sockets. Loaded where the configuration
-names the address.
+`calls` and `telemetry` do no I/O; `server` has the sockets. Imported only if the address is configured.
 """
--- a/laurelstep/management/calls.py
+++ b/laurelstep/management/calls.py
@@ -1,10 +1,10 @@
-"""What may be asked at the second address, and what is answered. Pure.
+"""The calls at the management address and their replies. Does no I/O.
 
-Rules that everything here serves:
+Rules of this module:
 
-1. 2xx is yes, 4xx and 5xx are no.
-2. A call that is made twice does no harm, and says yes twice.
-3. What a call asks for is decided by the lifecycle; here it is only worded.
+1. Status 2xx means success, 4xx and 5xx mean failure.
+2. Calls are idempotent: a repeated call succeeds again and changes nothing.
+3. The lifecycle decides on a drain or its end; this module only converts the result to a reply.
 """
 
 from __future__ import annotations
@@ -20,34 +20,33 @@
 EVACUATE: Final = b"/api/evacuate"
 REJOIN: Final = b"/api/rejoin"
 METHODS: Final = {READY: b"GET", TELEMETRY: b"GET", EVACUATE: b"POST", REJOIN: b"POST"}
-# Of the text format, as Prometheus names it.
-FIGURES_TYPE: Final = b"text/plain; version=0.0.4; charset=utf-8"
-PLAIN_TYPE: Final = b"text/plain; charset=utf-8"
+METRICS_TEXT: Final = b"text/plain; version=0.0.4; charset=utf-8"
+PLAIN_TEXT: Final = b"text/plain; charset=utf-8"
 
 
 class Reply:
-    """An answer to a call: status, text, and the methods that are allowed where the method was not."""
+    """The reply to a call. `allow` is the method that the call requires, set with status 405."""
 
-    __slots__ = ("allow", "body", "kind", "status")
+    __slots__ = ("allow", "body", "content_type", "status")
 
-    def __init__(self, status: int, body: str, kind: bytes = PLAIN_TYPE, allow: bytes = b"") -> None:
+    def __init__(self, status: int, body: str, content_type: bytes = PLAIN_TEXT, allow: bytes = b"") -> None:
         self.status = status
         self.body = body.encode()
-        self.kind = kind
+        self.content_type = content_type
         self.allow = allow
 
-    def raw(self) -> bytes:
-        """As it is written; the connection ends behind it."""
+    def encode(self) -> bytes:
+        """The HTTP response. The connection is closed after it."""
         allow = b"Allow: %b\r\n" % self.allow if self.allow else b""
         reason = HTTPStatus(self.status).phrase.encode()
-        head = b"HTTP/1.1 %d %b\r\nContent-Type: %b\r\n" % (self.status, reason, self.kind)
+        head = b"HTTP/1.1 %d %b\r\nContent-Type: %b\r\n" % (self.status, reason, self.content_type)
         return b"%bContent-Length: %d\r\n%bConnection: close\r\n\r\n%b" % (
             head, len(self.body), allow, self.body,
         )  # fmt: skip
 
 
-# A subsystem's own calls: method and target; None for what is none of them.
-MoreCalls = Callable[[bytes, bytes], Reply | None]
+# Answers the calls of subsystems, by method and target; None for a call that is not theirs.
+SubsystemCalls = Callable[[bytes, bytes], Reply | None]
 
 
 def reply_to(
@@ -55,14 +54,14 @@
     target: bytes,
     lifecycle: Lifecycle,
     now: float,
-    figures: Callable[[], str],
-    more: MoreCalls | None = None,
+    render_metrics: Callable[[], str],
+    subsystem_calls: SubsystemCalls | None = None,
 ) -> Reply:
-    """What a call is answered: by a subsystem whose call it is (`more`), by the figures, or by what the
-    lifecycle says, at the time `now` on the loop's clock, in s.
+    """Execute a call and return its reply. The calls of subsystems take precedence. `now` is the time of the
+    event loop in seconds.
     """
-    if more is not None and (found := more(method, target)) is not None:
-        return found
+    if subsystem_calls is not None and (reply := subsystem_calls(method, target)) is not None:
+        return reply
     path = target.partition(b"?")[0]
     expected = METHODS.get(path)
     if expected is None:
@@ -70,7 +69,7 @@
     if method != expected:
         return Reply(405, f"call it with {expected.decode()}\n", allow=expected)
     if path == TELEMETRY:
-        return Reply(200, figures(), FIGURES_TYPE)
+        return Reply(200, render_metrics(), METRICS_TEXT)
     if path == READY:
         return Reply(200 if lifecycle.is_ready else 503, f"{lifecycle.phase}\n")
     done = lifecycle.evacuate(now) if path == EVACUATE else lifecycle.rejoin(now)
--- a/laurelstep/management/server.py
+++ b/laurelstep/management/server.py
@@ -1,4 +1,4 @@
-"""The listener at the second address: one call to a connection, the end behind its answer."""
+"""The HTTP server at the management address. A connection carries one call and is closed after the reply."""
 
 from __future__ import annotations
 
@@ -12,129 +12,129 @@
 from laurelstep.net.acceptor import Acceptor, listen
 from laurelstep.net.deadline_sweeper import DeadlineSweeper
 
-# All of one call.
-CALL_MAX: Final = 16 * 1024
-# Callers wait 1 s: one that is not whole after twice that is of no use to anybody.
-CALL_S: Final = 2.0
-# Calls that are not whole, at most; of more, the oldest is ended.
-CALLS_MOST: Final = 12
+# Limit for one call, its head and body together.
+MAX_CALL_BYTES: Final = 16 * 1024
+# A call must be complete by then. Callers wait for 1 s, so a later reply would not be read.
+CALL_TIMEOUT_S: Final = 2.0
+# Above this number of open connections, the oldest is aborted, those without a complete call first.
+MAX_CONNECTIONS: Final = 12
 BACKLOG: Final = 128
 
-# Method and target of a call, to what is answered.
+# Returns the reply to a call, from its method and target.
 CallHandler = Callable[[bytes, bytes], Reply]
 
 
 class ManagementConnection(asyncio.Protocol):
     """One connection, which carries one call."""
 
-    def __init__(self, owner: ManagementServer) -> None:
-        self.owner = owner
+    def __init__(self, server: ManagementServer) -> None:
+        self.server = server
         self.transport: asyncio.Transport | None = None
         self.parser: Any = httptools.HttpRequestParser(self)
         self.target = b""
-        self.size = 0
-        self.is_over = False  # answered, or cut
+        self.received_bytes = 0
+        self.is_finished = False  # answered, timed out or aborted
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It counts against the descriptors of this address."""
+        """Count the connection against the limit of the server."""
         self.transport = cast(asyncio.Transport, transport)
-        self.owner.on_connect(self)
+        self.server.on_connect(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It counts no longer."""
-        self.is_over = True
-        self.parser = None  # it holds this object's methods: the cycle ends here
-        self.owner.on_disconnect(self)
+        """Remove the connection from the server."""
+        self.is_finished = True
+        self.parser = None  # breaks the reference cycle: the parser holds methods of this object
+        self.server.on_disconnect(self)
 
     def data_received(self, data: bytes) -> None:
-        """More of the call; it is answered once it is whole."""
-        if self.is_over:
+        """Parse more of the call. It is answered once it is complete."""
+        if self.is_finished:
             return
-        self.size += len(data)
-        if self.size > CALL_MAX:
-            self.answer(Reply(431, "the call is too large\n"), whole=False)
+        self.received_bytes += len(data)
+        if self.received_bytes > MAX_CALL_BYTES:
+            self.answer(Reply(431, "the call is too large\n"), is_complete=False)
             return
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.answer(Reply(400, "malformed\n"), whole=False)
+            self.answer(Reply(400, "malformed\n"), is_complete=False)
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target."""
+        """Append a part of the target. Called by the parser."""
         self.target += url
 
     def on_message_complete(self) -> None:
-        """The call is whole."""
-        if not self.is_over:
-            self.answer(self.owner.handler(self.parser.get_method(), self.target))
+        """Answer the complete call. Called by the parser."""
+        if not self.is_finished:
+            self.answer(self.server.handler(self.parser.get_method(), self.target))
 
-    def answer(self, reply: Reply, whole: bool = True) -> None:
-        """Write the reply and end the connection; `whole`: nothing of the call is left to read."""
-        if self.is_over or self.transport is None:
+    def answer(self, reply: Reply, is_complete: bool = True) -> None:
+        """Write the reply and close the connection. `is_complete`: the whole call has been read."""
+        if self.is_finished or self.transport is None:
             return
-        self.is_over = True
-        self.owner.waiting.discard(self)
-        self.transport.write(reply.raw())
-        if whole:
+        self.is_finished = True
+        self.server.incomplete.discard(self)
+        self.transport.write(reply.encode())
+        if is_complete:
             self.transport.close()
         else:
-            # Closed with bytes unread, it would be reset and the answer lost: the rest is
-            # read, and dropped, until the caller has ended its side or is cut.
+            # Closing with unread bytes would reset the connection and could lose the reply. The rest is read
+            # and discarded until the caller closes its side or the time-out expires.
             self.transport.write_eof()
 
     def on_timeout(self) -> None:
-        """No whole call came in time."""
-        self.is_over = True
+        """Close the connection: no complete call arrived in time."""
+        self.is_finished = True
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Reset it."""
-        self.is_over = True
+        """Reset the connection."""
+        self.is_finished = True
         if self.transport is not None:
             self.transport.abort()
 
 
 class ManagementServer:
-    """Accepts calls at the second address, a few at a time, and answers each by `handler`."""
+    """Accepts a bounded number of connections at the management address; `handler` answers the calls."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, handler: CallHandler) -> None:
         self.loop = loop
         self.handler = handler
-        # Guards the descriptors kept for this address: from connecting until gone.
-        self.open: DeadlineSweeper[ManagementConnection] = DeadlineSweeper(
-            loop, 2 * CALL_S, ManagementConnection.abort
+        # Bounds the time that a connection, even one that does not read its reply, holds a descriptor.
+        self.connections: DeadlineSweeper[ManagementConnection] = DeadlineSweeper(
+            loop, 2 * CALL_TIMEOUT_S, ManagementConnection.abort
         )
-        self.waiting: DeadlineSweeper[ManagementConnection] = DeadlineSweeper(
-            loop, CALL_S, ManagementConnection.on_timeout
-        )  # for a whole call
+        self.incomplete: DeadlineSweeper[ManagementConnection] = DeadlineSweeper(
+            loop, CALL_TIMEOUT_S, ManagementConnection.on_timeout
+        )  # connections without a complete call
         self.listener: Acceptor | None = None
 
     async def listen(self, host: str, port: int) -> int:
-        """The port it listens at."""
+        """Listen at the address, and return the port; 0 picks a free one."""
         self.listener = await listen(self.loop, lambda: ManagementConnection(self), host, port, BACKLOG)
         return self.listener.port
 
     def on_connect(self, connection: ManagementConnection) -> None:
-        """Take it in; above the bound the oldest without a whole call gives way."""
-        self.open.add(connection)
-        self.waiting.add(connection)
-        if len(self.open.waiting_since) > CALLS_MOST:
-            oldest = self.waiting.oldest() or self.open.oldest()
+        """Add a connection. Above the limit, abort the oldest, if possible one without a complete call."""
+        self.connections.add(connection)
+        self.incomplete.add(connection)
+        if len(self.connections.waiting_since) > MAX_CONNECTIONS:
+            oldest = self.incomplete.oldest() or self.connections.oldest()
             assert oldest is not None
-            self.on_disconnect(oldest)  # its descriptor is freed in this turn of the loop
+            self.on_disconnect(oldest)  # abort frees its descriptor later in this iteration of the event loop
             oldest.abort()
 
     def on_disconnect(self, connection: ManagementConnection) -> None:
-        """Forget it."""
-        self.open.discard(connection)
-        self.waiting.discard(connection)
+        """Remove a connection."""
+        self.connections.discard(connection)
+        self.incomplete.discard(connection)
 
     def close(self) -> None:
-        """Close the listener and reset what is open."""
+        """Close the listener and reset all open connections."""
         if self.listener is not None:
             self.listener.close()
-        for connection in list(self.open.waiting_since):
+        for connection in list(self.connections.waiting_since):
             connection.abort()
-        self.open.close()
-        self.waiting.close()
+        self.connections.close()
+        self.incomplete.close()
--- a/laurelstep/management/telemetry.py
+++ b/laurelstep/management/telemetry.py
@@ -1,7 +1,7 @@
-"""The figures in Prometheus's text format (exposition formats, version 0.0.4). Pure.
+"""Renders the metrics in Prometheus's text format (exposition formats, version 0.0.4). Does no I/O.
 
-Written here and not by prometheus-client: its registry would be a second tally beside the
-engine's own, and it adds some megabytes to a process that may have 32.
+prometheus-client is not used: its registry would duplicate the engine's counters, and it adds some megabytes
+to a process that may have only 32 MB.
 """
 
 from __future__ import annotations
@@ -10,29 +10,29 @@
 
 from laurelstep.engine import Engine
 
-# A sample: its labels as written, and its value.
+# The labels of a sample, as rendered, and its value.
 Sample = tuple[str, int]
 
 
-def escaped(value: str) -> str:
-    """A label's value as the format has it."""
+def escape_label(value: str) -> str:
+    """Escape the value of a label as the text format requires."""
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
-def family(name: str, kind: str, text: str, samples: Iterable[Sample]) -> str:
-    """One metric with its help, its kind and its samples."""
-    lines = [f"# HELP lb_{name} {text}", f"# TYPE lb_{name} {kind}"]
+def family(name: str, metric_type: str, help_text: str, samples: Iterable[Sample]) -> str:
+    """Render one metric with its help text, its type and its samples."""
+    lines = [f"# HELP lb_{name} {help_text}", f"# TYPE lb_{name} {metric_type}"]
     lines += [f"lb_{name}{labels} {value}" for labels, value in samples]
     return "\n".join(lines) + "\n"
 
 
 def by_class(classes: Sequence[str], counts: Sequence[int]) -> list[Sample]:
-    """One sample a class."""
-    return [(f'{{group="{escaped(name)}"}}', count) for name, count in zip(classes, counts, strict=True)]
+    """One sample for each class."""
+    return [(f'{{group="{escape_label(name)}"}}', count) for name, count in zip(classes, counts, strict=True)]
 
 
-def figures(engine: Engine) -> str:
-    """All of them, as they stand now."""
+def render_metrics(engine: Engine) -> str:
+    """Render all metrics with their current values."""
     counters, members = engine.counters, engine.endpoints
     classes = [name for name, _ in sorted(engine.names.classes.items(), key=lambda pair: pair[1])]
     avoided = engine.decisions.count_ejected(engine.now()) + len(members.draining)
--- a/laurelstep/reload.py
+++ b/laurelstep/reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: what of a new configuration a running process takes."""
+"""Reloading the configuration on SIGHUP: a running process applies only a new discovery address."""
 
 from __future__ import annotations
 
@@ -13,38 +13,44 @@
 from laurelstep.settings import Config, ConfigError
 
 ReadConfig = Callable[[dict[str, str]], Config]
-# Taken at a reload, or new with each start, or compared by their parts.
-COMPARED_APART: Final = ("discovery", "seed", "known", "names", "settings")
-NAMED: Final = ("classes", "tenants", "zones", "kinds")
+# Fields of `Config` that are applied by a reload, that may differ at each start, or whose parts are compared.
+COMPARED_SEPARATELY: Final = ("discovery", "seed", "known", "names", "settings")
+# The tables of `Config.names` that are compared.
+NAME_TABLES: Final = ("classes", "tenants", "zones", "kinds")
 
 
 def changed_keys(old: Config, new: Config) -> list[str]:
-    """What a new configuration says otherwise and a reload leaves as it is."""
-    own = [one.name for one in fields(Config) if one.name not in COMPARED_APART]
-    rules = [one.name for one in fields(Settings)]
+    """The keys that differ in the new configuration and that a reload does not apply."""
+    config_keys = [field.name for field in fields(Config) if field.name not in COMPARED_SEPARATELY]
+    settings_keys = [field.name for field in fields(Settings)]
     return [
-        *(name for name in own if getattr(old, name) != getattr(new, name)),
-        *(f"settings.{name}" for name in rules if getattr(old.settings, name) != getattr(new.settings, name)),
-        *(f"names of {name}" for name in NAMED if getattr(old.names, name) != getattr(new.names, name)),
+        *(name for name in config_keys if getattr(old, name) != getattr(new, name)),
+        *(
+            f"settings.{name}"
+            for name in settings_keys
+            if getattr(old.settings, name) != getattr(new.settings, name)
+        ),
+        *(f"names of {name}" for name in NAME_TABLES if getattr(old.names, name) != getattr(new.names, name)),
     ]
 
 
 def reloaded_config(environ: dict[str, str], read_config: ReadConfig, running: Config) -> Config | None:
-    """The configuration as the file has it now, also against the environment of the start; None, with a
-    line in the log, if it can't be used. What it changes beside discovery waits for the next start, which
-    a line says: requests under way keep the rules they came under.
+    """The configuration as the file has it now; None, with a line in the log, if it is invalid.
+
+    The file's `discovery` overrides LB_DISCOVERY of the start. Other changes take effect at the next start,
+    because open requests keep the settings under which they arrived; a log line names the changed keys.
     """
     try:
         config = read_config({name: value for name, value in environ.items() if name != "LB_DISCOVERY"})
     except ConfigError as error:
         log(f"not reloaded: {error}")
         return None
-    if ignored := changed_keys(running, config):
-        log(f"reloaded: discovery only; for the next start: {', '.join(ignored)}")
+    if deferred := changed_keys(running, config):
+        log(f"reloaded: discovery only; for the next start: {', '.join(deferred)}")
     return config
 
 
-def move_discovery(source: MemberSource, config: Config) -> None:
-    """Follow the discovery that the configuration names."""
+def update_discovery_address(source: MemberSource, config: Config) -> None:
+    """Watch the discovery service at the address in the configuration."""
     if isinstance(source, Discovery) and config.discovery is not None:
         source.change_address(config.discovery)
--- a/laurelstep/subsystems/__init__.py
+++ b/laurelstep/subsystems/__init__.py
@@ -1,1 +1,1 @@
-"""The optional subsystems of a daemon, each behind `Subsystem` and imported where it is on."""
+"""The optional subsystems of a daemon. Each implements `Subsystem`, and is imported only if it is on."""
--- a/laurelstep/subsystems/base.py
+++ b/laurelstep/subsystems/base.py
@@ -1,4 +1,4 @@
-"""What the daemon knows of an optional subsystem."""
+"""The interface of the daemon's optional subsystems."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class ProcessContext:
-    """What each subsystem is made from."""
+    """The process that a subsystem runs in: its event loop, configuration and environment."""
 
     loop: asyncio.AbstractEventLoop
     config: Config
@@ -25,34 +25,34 @@
 
     @property
     def error_prefix(self) -> str:
-        """The operator's file, where there is one, to begin the line of a `ConfigError` with."""
+        """The prefix of a `ConfigError`'s text: the path of the operator's file, or empty without one."""
         path = self.environ.get("LB_OPERATOR")
         return f"{path}: " if path else ""
 
 
 class Subsystem:
-    """One optional part of a daemon. Each step does nothing unless a subsystem says otherwise."""
+    """One optional part of a daemon. The methods do nothing unless a subclass overrides them."""
 
-    # It is needed until the last connection is closed: it stops after the sockets.
+    # Whether it is needed until the last connection is closed, and is stopped only after that.
     outlives_sockets: ClassVar[bool] = False
 
     async def start(self, engine: Engine, server: Server) -> None:
-        """Join the engine and the server, before a client can come. `ConfigError` if it can't."""
+        """Attach to the engine and the server, before clients are accepted. May raise `ConfigError`."""
 
     async def stop(self) -> None:
-        """All requests are answered: let go of what is open."""
+        """Release resources. Called once all requests have been answered."""
 
     def reload(self, config: Config) -> None:
-        """SIGHUP: take from a new configuration what may change while the process runs."""
+        """Apply the parts of a new configuration that may change at run time. Called on SIGHUP."""
 
     def reply(self, method: bytes, target: bytes) -> Reply | None:
-        """Its status and its calls at the second address; None for a call that is none of its own."""
+        """Answer a call at the management address; None if the call is not for this subsystem."""
         return None
 
 
-async def first_of(events: tuple[asyncio.Event, ...]) -> None:
-    """Until one of the events is set."""
-    waits = [asyncio.ensure_future(one.wait()) for one in events]
+async def wait_for_any(events: tuple[asyncio.Event, ...]) -> None:
+    """Wait until one of the events is set."""
+    waits = [asyncio.ensure_future(event.wait()) for event in events]
     await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-    for one in waits:
-        one.cancel()
+    for wait in waits:
+        wait.cancel()
--- a/laurelstep/subsystems/consensus.py
+++ b/laurelstep/subsystems/consensus.py
@@ -1,4 +1,4 @@
-"""The consensus node as a subsystem: this process's part in what the copies of a tier agree on."""
+"""The consensus node as a subsystem: this process's replica in the consensus group of its tier."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ConsensusSubsystem(Subsystem):
-    """One node, and the multiplexer that other subsystems take their channels from."""
+    """One node, and the multiplexer that provides the other subsystems' channels."""
 
     outlives_sockets = True
 
@@ -30,7 +30,7 @@
         multiplexer: ConsensusMultiplexer,
         inherited: Mapping[bytes, bytes] | None,
     ) -> None:
-        """`inherited`: what a predecessor's node handed over."""
+        """`inherited`: the state that a predecessor's node handed over at a hot restart; None without one."""
         self.context = context
         self.node = node
         self.multiplexer = multiplexer
@@ -44,15 +44,17 @@
         outbox: Mapping[int, StateMachine] | None,
         state: Mapping[str, Any] | None,
     ) -> ConsensusSubsystem | None:
-        """Not yet started; None where it is off. `maintenance`, `outbox`: their replicated state machines,
-        where they are on: each copy carries both all the same. `state`: a predecessor's. `ConfigError` if
-        its folder can't be used.
+        """Create the node, not yet started; None if consensus is off.
+
+        `maintenance`, `outbox`: the state machines of these subsystems; None if one is off, and passive ones
+        replace them. `state`: the state of a predecessor. Raises `ConfigError` if the folder of the store
+        can't be used.
         """
         settings = context.config.accord
         if settings is None:
             return None
         if not settings.has_peers:
-            log("accord: off, and what rests on it: the configuration has no peers and peer_listen")
+            log("accord: off, and all that depends on it: the configuration has no peers and peer_listen")
             return None
         from laurelstep.hot_restart.state import decode_replica
 
@@ -67,17 +69,17 @@
         raise ConfigError(f"{context.error_prefix}accord.store_path: {problem}")
 
     async def start(self, engine: Engine, server: Server) -> None:
-        """Open the links to the other copies."""
+        """Open the links to the other copies. Raises `ConfigError` if the address can't be bound."""
         accord = self.context.config.accord
         try:
             await self.node.start(self.inherited)
         except OSError as error:
             listen = accord.listen if accord is not None else ""
-            problem = f"{listen}: {error.strerror}: expected where this process may listen, on this machine"
+            problem = f"{listen}: {error.strerror}: expected a local address that this process may bind"
             raise ConfigError(f"{self.context.error_prefix}accord.peer_listen: {problem}") from None
 
     async def stop(self) -> None:
-        """Leave the links."""
+        """Close the links."""
         await self.node.close()
 
 
@@ -87,8 +89,8 @@
     maintenance: Mapping[int, StateMachine] | None,
     outbox: Mapping[int, StateMachine] | None,
 ) -> tuple[ConsensusNode, ConsensusMultiplexer]:
-    """Each copy carries the state machines of all subsystems, also of those that are off here: it may come
-    to lead, and a snapshot without them would make the others forget.
+    """Each copy replicates the state machines of all subsystems, also of those that are off in it: it may
+    become leader, and a snapshot without one of them would delete that state on the other copies.
     """
     from laurelstep.consensus.assembly import build_node, check_store_folder
     from laurelstep.consensus.multiplexer import ConsensusMultiplexer
@@ -100,7 +102,7 @@
 
     check_store_folder(settings.store_path)
     clock = LoopClock(context.loop)
-    passive = CarriedLedger()  # of the outbox, where that is off
+    passive = CarriedLedger()  # replicates the outbox's state if the outbox is off here
     state_machines = {
         **(passive_state_machines() if maintenance is None else maintenance),
         **(passive.state_machines if outbox is None else outbox),
--- a/laurelstep/subsystems/hot_restart.py
+++ b/laurelstep/subsystems/hot_restart.py
@@ -1,4 +1,4 @@
-"""Hot restart as a subsystem: this process follows one version, and hands over to the next."""
+"""Hot restart as a subsystem: this process takes over from a predecessor, and hands over to a successor."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from laurelstep.net.discovery import Discovery
 from laurelstep.net.log import log
 from laurelstep.settings import Config, ConfigError
-from laurelstep.subsystems.base import ProcessContext, Subsystem, first_of
+from laurelstep.subsystems.base import ProcessContext, Subsystem, wait_for_any
 
 if TYPE_CHECKING:
     from laurelstep.engine import Engine
@@ -24,29 +24,34 @@
     from laurelstep.subsystems.consensus import ConsensusSubsystem
     from laurelstep.subsystems.maintenance import MaintenanceSubsystem
 
-Give = Callable[[dict[str, bytes]], None]
+SendState = Callable[[dict[str, bytes]], None]
 
 
-class Arrival:
-    """How a process starts: alone, or beside one that serves at the same addresses."""
+class HotRestartStartup:
+    """The state of a hot restart at the start of a process: its rendezvous point, whether other processes are
+    registered there, and the predecessor that handed over; None if there is none or it could not hand over.
+    """
 
     def __init__(
-        self, rendezvous: RendezvousPoint, has_others: bool, predecessor: PredecessorHandle | None
+        self, rendezvous: RendezvousPoint, has_other_processes: bool, predecessor: PredecessorHandle | None
     ) -> None:
         self.rendezvous = rendezvous
-        self.has_others = has_others
+        self.has_other_processes = has_other_processes
         self.predecessor = predecessor
 
-    def config(self, config: Config) -> Config:
-        """With the endpoint list that the other process had, where there is one."""
+    def config_with_list(self, config: Config) -> Config:
+        """The configuration with the predecessor's endpoint list, if there is a predecessor."""
         from laurelstep.hot_restart.state import config_with_state
 
         return config if self.predecessor is None else config_with_state(config, self.predecessor.state)
 
 
-def prepare_hot_restart(config: Config, environ: Mapping[str, str]) -> Arrival | None:
-    """None where no process can take over: without a second address, which tells one version
-    from the next, or with a request journal or an outbox, whose stores have one owner.
+def prepare_hot_restart(config: Config, environ: Mapping[str, str]) -> HotRestartStartup | None:
+    """Register this process, and take over from its predecessor if there is one.
+
+    Returns None if hot restart is off or the rendezvous point can't be used. It is off without a management
+    address, by which operators tell two versions apart, and with a request journal or an outbox, because only
+    one process may own a store.
     """
     has_store = config.orders is not None or config.outbox is not None
     if config.management is None or config.listen is None or has_store:
@@ -57,86 +62,92 @@
 
     try:
         rendezvous = RendezvousPoint(config.listen, environ.get("TMPDIR") or "/tmp")
-        has_others = rendezvous.register()
+        has_other_processes = rendezvous.register()
     except OSError as error:
         log(f"no hot restart: {error}")
         return None
     try:
-        predecessor = take_over(rendezvous, config.listen) if has_others else None
-        return Arrival(rendezvous, has_others, predecessor)
+        predecessor = take_over(rendezvous, config.listen) if has_other_processes else None
+        return HotRestartStartup(rendezvous, has_other_processes, predecessor)
     except HotRestartError as error:
-        log(f"no hot restart, the address is shared: {error}")
-        return Arrival(rendezvous, has_others, None)
+        log(f"no hot restart, the address is shared with the other process: {error}")
+        return HotRestartStartup(rendezvous, has_other_processes, None)
 
 
 def check_address_free(host: str, port: int) -> None:
-    """OSError if somebody listens there. Guards against another daemon's callers: the address is
-    then bound so that a next version may share it, and so would anybody's daemon.
+    """Raise OSError if another process listens at the address.
+
+    This process binds it with SO_REUSEPORT, so that its successor can share it. Without the check, it would
+    share the address of any other daemon of the user, and get that daemon's clients.
     """
     if port == 0:
         return
-    family, kind, _, _, found = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM)[0]
-    with socket.socket(family, kind) as one:
-        one.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        one.bind(found)
+    family, kind, _, _, address = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM)[0]
+    with socket.socket(family, kind) as probe:
+        probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        probe.bind(address)
 
 
 class HotRestartSubsystem(Subsystem):
-    """Started once the server listens. While two processes serve they share one sidecar's descriptors."""
+    """Started once the server listens. While two processes serve, they share one sidecar's descriptors."""
 
-    def __init__(self, context: ProcessContext, arrival: Arrival) -> None:
+    def __init__(self, context: ProcessContext, startup: HotRestartStartup) -> None:
         self.context = context
-        self.arrival = arrival
-        self.slices = CooperativeTask(context.loop)
-        self.sockets: Assembly | None = None
+        self.startup = startup
+        self.collect_task = CooperativeTask(context.loop)
+        self.assembly: Assembly | None = None
         self.consensus: ConsensusSubsystem | None = None
         self.maintenance: MaintenanceSubsystem | None = None
         self.server: Server | None = None
         self.restart_server: HotRestartServer | None = None
-        self.has_predecessor = arrival.predecessor is not None
-        self.was_alone = not arrival.has_others
-        self.stopping = False
+        self.has_predecessor = startup.predecessor is not None
+        self.is_only_process = not startup.has_other_processes
+        self.is_stopping = False
         self.tasks: set[asyncio.Task[None]] = set()
 
-    # --- The version before -------------------------------------------------------------
+    # --- Predecessor --------------------------------------------------------------------
 
     @property
     def inherited_state(self) -> Mapping[str, Any] | None:
-        """What the predecessor handed over."""
-        return None if self.arrival.predecessor is None else self.arrival.predecessor.state
+        """The state that the predecessor handed over; None without a predecessor."""
+        return None if self.startup.predecessor is None else self.startup.predecessor.state
 
     def is_only_version(self) -> bool:
-        """Whether no process of the version before sends to endpoints any more. Asked at the lock:
-        one that has given this process up may live on.
+        """Whether no process of an earlier version sends to endpoints any more.
+
+        Checked with the rendezvous lock, not only the channel: a predecessor that has closed the channel to
+        this process may still be running.
         """
         if self.has_predecessor:
             return False
-        if not self.was_alone:
-            self.was_alone = not self.arrival.rendezvous.register()
-        return self.was_alone
+        if not self.is_only_process:
+            self.is_only_process = not self.startup.rendezvous.register()
+        return self.is_only_process
 
-    async def wait_while_followed(self, *events: asyncio.Event) -> None:
-        """Until one of the events, of which one tells that this process may send. `ConfigError` if the
-        predecessor did not wait as long, and serves on: two of them would take clients.
+    async def wait_with_predecessor(self, *events: asyncio.Event) -> None:
+        """Wait until one of the events is set; one of them says that this process may send.
+
+        Raises `ConfigError` if the predecessor gave up waiting for this process and continues to serve: both
+        would accept clients.
         """
-        predecessor = self.arrival.predecessor
+        predecessor = self.startup.predecessor
         if predecessor is None:
-            await first_of(events)
+            await wait_for_any(events)
             return
-        given_up = asyncio.Event()
-        self.context.loop.add_reader(
-            predecessor.channel.fileno(), given_up.set
-        )  # nothing else is said there yet
-        await first_of((*events, given_up))
+        predecessor_gave_up = asyncio.Event()
+        # At this stage the channel only becomes readable when the predecessor closes it.
+        self.context.loop.add_reader(predecessor.channel.fileno(), predecessor_gave_up.set)
+        await wait_for_any((*events, predecessor_gave_up))
         self.context.loop.remove_reader(predecessor.channel.fileno())
-        if not given_up.is_set():
+        if not predecessor_gave_up.is_set():
             return
-        if self.arrival.rendezvous.register():
+        if self.startup.rendezvous.register():
             raise ConfigError(
-                f"{self.context.error_prefix}upkeep.start_alone: what is out was not known in time, "
-                "the version before serves on: start this one again once a majority of the seats is up"
+                f"{self.context.error_prefix}upkeep.start_alone: the machines out of service were not known "
+                "in time, and the previous version continues to serve: start this one again once a majority "
+                "of the seats is up"
             )
-        await first_of(events)  # it has ended: there is nobody to come after
+        await wait_for_any(events)  # the predecessor has exited, and this process is alone
 
     def _on_predecessor_ended(self, predecessor: PredecessorHandle) -> None:
         self.context.loop.remove_reader(predecessor.channel.fileno())
@@ -144,53 +155,53 @@
         self.has_predecessor = False
         self._share_descriptors()
 
-    def join(
+    def attach(
         self,
-        sockets: Assembly,
+        assembly: Assembly,
         consensus: ConsensusSubsystem | None,
         maintenance: MaintenanceSubsystem | None,
     ) -> None:
-        """What of this process the next one takes over."""
-        self.sockets, self.consensus, self.maintenance = sockets, consensus, maintenance
+        """Set the parts of this process whose state a successor takes over."""
+        self.assembly, self.consensus, self.maintenance = assembly, consensus, maintenance
 
-    # --- Listening, and the version after -------------------------------------------------
+    # --- Listening and successor ------------------------------------------------------------
 
     async def listen(self, server: Server, host: str, port: int) -> None:
-        """Serve at the address: at the predecessor's listener where it was handed over."""
-        if self.arrival.predecessor is not None:
-            await server.listen(host, port, inherited_listener=self.arrival.predecessor.listener)
+        """Accept clients at the address, with the predecessor's listener if that was handed over."""
+        if self.startup.predecessor is not None:
+            await server.listen(host, port, inherited_listener=self.startup.predecessor.listener)
             return
-        if not self.arrival.has_others:
+        if not self.startup.has_other_processes:
             check_address_free(host, port)
-        # Shared with the process that comes next, should that not get the listener.
+        # Lets a successor bind the address as well, if handing over the listener fails.
         await server.listen(host, port, reuse_port=True)
 
     async def start(self, engine: Engine, server: Server) -> None:
-        """Tell the process before this one that this one serves, and wait for the one after it."""
+        """Report to the predecessor that this process serves, and accept a successor."""
         from laurelstep.hot_restart.predecessor import HotRestartServer
 
         self.server = server
-        loop, arrival = self.context.loop, self.arrival
-        if arrival.predecessor is not None:
+        loop, startup = self.context.loop, self.startup
+        if startup.predecessor is not None:
             self.has_predecessor = True
             loop.add_reader(
-                arrival.predecessor.channel.fileno(), self._on_predecessor_ended, arrival.predecessor
+                startup.predecessor.channel.fileno(), self._on_predecessor_ended, startup.predecessor
             )
-            arrival.predecessor.report_ready()
+            startup.predecessor.report_ready()
         listener: Any = server.listener
         try:
             self.restart_server = HotRestartServer(
-                loop, arrival.rendezvous, listener.sockets[0], self._collect, self._on_progress, log
+                loop, startup.rendezvous, listener.sockets[0], self._collect_state, self._on_progress, log
             )
         except OSError as error:
-            log(f"no hot restart to a next version: {error}")
+            log(f"no hot restart to a next version can take place: {error}")
         else:
             server.shutdown.has_successor = self._is_taken_over
         self._share_descriptors()
 
     async def stop(self) -> None:
-        """No process can follow this one any more."""
-        self.slices.close()
+        """Accept no successor any more."""
+        self.collect_task.close()
         if self.restart_server is not None:
             self.restart_server.close()
 
@@ -204,51 +215,56 @@
     def _share_descriptors(self) -> None:
         config = self.context.config
         has_no_successor = self.restart_server is None or self.restart_server.progress.is_alone
-        alone = not self.has_predecessor and has_no_successor
-        most = config.max_side_connections if alone else config.max_shared_side_connections
-        assert self.server is not None and self.sockets is not None
-        self.server.max_connections = self.sockets.upstream.max_connections = most
+        is_alone = not self.has_predecessor and has_no_successor
+        limit = config.max_side_connections if is_alone else config.max_shared_side_connections
+        assert self.server is not None and self.assembly is not None
+        self.server.max_connections = self.assembly.upstream.max_connections = limit
+
+    # --- State transfer -------------------------------------------------------------------
 
-    # --- What is handed over --------------------------------------------------------------
+    def _collect_state(self, send_state: SendState) -> None:
+        """Collect the state that a successor would otherwise have to learn again, and send it.
 
-    def _collect(self, give: Give) -> None:
-        """What the next process would have to learn anew."""
+        The state is empty if the endpoint list can't be encoded.
+        """
         from laurelstep.hot_restart.state import collect_state
 
-        assert self.sockets is not None
-        source, known = self.sockets.source, list[bytes]()
+        assert self.assembly is not None
+        source, known = self.assembly.source, list[bytes]()
         generation = source.generation if isinstance(source, Discovery) else 0
 
         def on_end(error: Exception | None) -> None:
             state = {} if error is not None else collect_state(self.context.config, source, known[0])
             if self.consensus is None:
-                give(state)
+                send_state(state)
             else:
-                self._spawn(self._retire(self.consensus, state, give))
+                self._spawn(self._retire(self.consensus, state, send_state))
 
         if self.maintenance is not None and self.maintenance.assembly.source is not None:
-            # What is held back is not in the engine's list, and is the next process's all the same.
+            # The successor also needs the endpoints that maintenance removes from the engine's list.
             steps = self.maintenance.assembly.source.dump_in_steps(generation, known)
         else:
-            steps = dump_in_steps(self.sockets.engine.endpoints, generation, known)
-        self.slices.run(steps, on_end)
+            steps = dump_in_steps(self.assembly.engine.endpoints, generation, known)
+        self.collect_task.run(steps, on_end)
 
-    async def _retire(self, consensus: ConsensusSubsystem, state: dict[str, bytes], give: Give) -> None:
-        """The next process is the same member of the tier: this one ceases to be one, then tells."""
+    async def _retire(
+        self, consensus: ConsensusSubsystem, state: dict[str, bytes], send_state: SendState
+    ) -> None:
+        """Stop this process's replica, then send the state: the successor becomes the same peer."""
         from laurelstep.hot_restart.state import encode_replica
 
-        memory = await consensus.node.retire()
-        give({**state, **encode_replica(memory)})
-        self._rejoin_consensus()  # if it went away meanwhile
+        replica_state = await consensus.node.retire()
+        send_state({**state, **encode_replica(replica_state)})
+        self._rejoin_consensus()  # in case the successor has disconnected meanwhile
 
     def _rejoin_consensus(self) -> None:
-        """Nobody follows any more: take part again, if this process has given up its part."""
+        """Restart this process's replica, if it was stopped for a successor that has disconnected."""
         server = self.restart_server
         if (
             self.consensus is not None
             and server is not None
             and server.progress.is_alone
-            and not self.stopping
+            and not self.is_stopping
         ):
             self._spawn(self.consensus.node.restart())
 
--- a/laurelstep/subsystems/maintenance.py
+++ b/laurelstep/subsystems/maintenance.py
@@ -1,4 +1,4 @@
-"""Machines under maintenance, as a subsystem: endpoints that the copies of a tier keep out of the list."""
+"""Maintenance as a subsystem: the copies of a tier agree on which endpoints are out of service."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class MaintenanceSubsystem(Subsystem):
-    """Rests on consensus: `join` comes before `start`."""
+    """Depends on consensus: `attach` must be called before `start`."""
 
     def __init__(self, assembly: MaintenanceAssembly) -> None:
         self.assembly = assembly
@@ -27,7 +27,7 @@
 
     @classmethod
     def create(cls, context: ProcessContext) -> MaintenanceSubsystem | None:
-        """None where it is off, or has no consensus to rest on."""
+        """Create the subsystem; None if maintenance or consensus is off, or the copies have no peers."""
         settings, accord = context.config.maintenance, context.config.accord
         if settings is None or accord is None or not accord.has_peers:
             return None
@@ -36,26 +36,26 @@
 
         return cls(MaintenanceAssembly(context.loop, context.config, settings, log))
 
-    def join(self, multiplexer: ConsensusMultiplexer, is_only_version: Callable[[], bool]) -> None:
-        """`is_only_version`: whether no earlier version of this process sends to endpoints any more."""
+    def attach(self, multiplexer: ConsensusMultiplexer, is_only_version: Callable[[], bool]) -> None:
+        """Connect to consensus. `is_only_version`: whether no earlier version still sends to endpoints."""
         self.multiplexer, self.is_only_version = multiplexer, is_only_version
 
     @property
     def may_send(self) -> asyncio.Event:
-        """Set once it is known what is out of service."""
+        """Set once requests may be sent: the machines out of service are known, or the settings allow it."""
         return self.assembly.may_serve
 
     async def start(self, engine: Engine, server: Server) -> None:
-        """Follow what the copies agree on."""
+        """Start applying the replicated state to the endpoint list."""
         from laurelstep.maintenance.entries import SUBSYSTEM_TAG
 
         assert self.multiplexer is not None
         self.assembly.start(self.multiplexer.channel(SUBSYSTEM_TAG), engine, self.is_only_version)
 
     async def stop(self) -> None:
-        """Follow it no longer."""
+        """Stop applying it."""
         self.assembly.close()
 
     def reply(self, method: bytes, target: bytes) -> Reply | None:
-        """To an operator who takes machines out of service, or asks."""
+        """Answer an operator's call that takes machines out of service or queries their status."""
         return self.assembly.reply(method, target)
--- a/laurelstep/subsystems/management.py
+++ b/laurelstep/subsystems/management.py
@@ -1,4 +1,4 @@
-"""The second address as a subsystem: readiness, figures, a drain by call, and the subsystems' own calls."""
+"""The management address as a subsystem: readiness, metrics, drains, and the calls of other subsystems."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from laurelstep.management.calls import Reply, reply_to
 from laurelstep.management.server import ManagementServer
-from laurelstep.management.telemetry import figures
+from laurelstep.management.telemetry import render_metrics
 from laurelstep.subsystems.base import ProcessContext, Subsystem
 
 if TYPE_CHECKING:
@@ -17,40 +17,40 @@
 
 
 class ManagementSubsystem(Subsystem):
-    """Answers before clients are taken: a start can be watched."""
+    """Started before clients are accepted, so that a start can be observed."""
 
     def __init__(
         self,
         context: ProcessContext,
         address: tuple[str, int],
         lifecycle: Lifecycle,
-        others: Sequence[Subsystem],
+        subsystems: Sequence[Subsystem],
     ) -> None:
-        """`others`: the subsystems that have calls of their own, the first one asked first."""
+        """`subsystems`: those that answer calls, in the order in which they are tried."""
         self.context = context
         self.address = address
         self.lifecycle = lifecycle
-        self.others = others
+        self.subsystems = subsystems
         self.engine: Engine | None = None
-        self.listener = ManagementServer(context.loop, self._reply_to)
+        self.server = ManagementServer(context.loop, self._reply_to)
 
     async def start(self, engine: Engine, server: Server) -> None:
-        """Listen at the second address."""
+        """Listen at the management address."""
         self.engine = engine
-        await self.listener.listen(*self.address)
+        await self.server.listen(*self.address)
 
     async def stop(self) -> None:
-        """Close the address and what is open there."""
-        self.listener.close()
+        """Close the listener and its connections."""
+        self.server.close()
 
     def _reply_to(self, method: bytes, target: bytes) -> Reply:
         now = self.context.loop.time()
-        return reply_to(method, target, self.lifecycle, now, self._figures, self._reply_of_others)
+        return reply_to(method, target, self.lifecycle, now, self._render_metrics, self._subsystem_reply)
 
-    def _figures(self) -> str:
+    def _render_metrics(self) -> str:
         assert self.engine is not None
-        return figures(self.engine)
+        return render_metrics(self.engine)
 
-    def _reply_of_others(self, method: bytes, target: bytes) -> Reply | None:
-        replies = (one.reply(method, target) for one in self.others)
+    def _subsystem_reply(self, method: bytes, target: bytes) -> Reply | None:
+        replies = (subsystem.reply(method, target) for subsystem in self.subsystems)
         return next((reply for reply in replies if reply is not None), None)
--- a/laurelstep/subsystems/request_journal.py
+++ b/laurelstep/subsystems/request_journal.py
@@ -1,4 +1,4 @@
-"""The journal of requests with effects, as a subsystem: `[orders]` in the operator's file."""
+"""The request journal as a subsystem: `[orders]` in the operator's file."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RequestJournalSubsystem(Subsystem):
-    """Holds the engine's recorder and its store."""
+    """The engine's recorder and its store."""
 
     outlives_sockets = True
 
@@ -22,12 +22,12 @@
 
     @classmethod
     async def open(cls, context: ProcessContext) -> RequestJournalSubsystem | None:
-        """None where it is off; `ConfigError` if its store can't be opened."""
+        """Open the journal; None if it is off. Raises `ConfigError` if its store can't be opened."""
         settings = context.config.orders
         if settings is None:
             return None
         return cls(await open_journal(settings, context.config.names.classes, log))
 
     async def stop(self) -> None:
-        """Close the store behind what is to be written."""
+        """Close the store after pending writes."""
         await self.recorder.close()
--- a/tests/test_maintenance_daemon.py
+++ b/tests/test_maintenance_daemon.py
@@ -139,7 +139,7 @@
                         connection.reject()
                     _, errors = await version.process.communicate()
                     assert version.process.returncode == 2 and errors.count(b"\n") == 1
-                    assert b"the version before serves on" in errors
+                    assert b"the previous version continues to serve" in errors
                 before.close()
             if not lives:
                 assert await version.call("GET /api/ready") == 503
--- a/tests/test_maintenance_encoding.py
+++ b/tests/test_maintenance_encoding.py
@@ -216,7 +216,7 @@
 
 def test_the_status_has_the_recorded_form() -> None:
     reply = handle_call(b"GET", b"/api/upkeep", played().replicas[0].api)
-    assert reply is not None and reply.status == 200 and reply.kind == b"application/json"
+    assert reply is not None and reply.status == 200 and reply.content_type == b"application/json"
     assert reply.body.decode() == STATUS
 
 
