--- a/tests/test_maintenance_daemon.py
+++ b/tests/test_maintenance_daemon.py
@@ -141,7 +141,7 @@
                         connection.reject()
                     _, log_output = await version.process.communicate()
                     assert version.process.returncode == 2 and log_output.count(b"\n") == 1
-                    assert b"the version before serves on" in log_output
+                    assert b"the previous version continues to serve" in log_output
                 predecessor.close()
             if not keeps_serving:
                 assert await version.call("GET /api/ready") == 503
