--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -39,7 +39,7 @@
 from laurelstep.hot_restart.state import config_with_state
 from laurelstep.hot_restart.successor import take_over
 from laurelstep.settings import config_from
-from laurelstep.subsystems.hot_restart import arrive, check_free
+from laurelstep.subsystems.hot_restart import check_address_free, prepare_hot_restart
 from laurelstep.testing import Effects, push
 
 from tests.sockets import (
@@ -177,9 +177,12 @@
 ) -> None:
     raw = {"settings": SETTINGS, "listen": "127.0.0.1:7070", "management": "127.0.0.1:7071"}
     environ = {"TMPDIR": str(tmp_path / "nowhere")}
-    assert arrive(config_from(raw, "test"), environ) is None
+    assert prepare_hot_restart(config_from(raw, "test"), environ) is None
     assert capfd.readouterr().err.count("no hot restart") == 1
-    assert arrive(config_from({**raw, "management": None}, "test"), {"TMPDIR": str(tmp_path)}) is None
+    assert (
+        prepare_hot_restart(config_from({**raw, "management": None}, "test"), {"TMPDIR": str(tmp_path)})
+        is None
+    )
 
 
 class Peer:
@@ -398,7 +401,7 @@
             assert await version.stop() == b""
         assert set(met) <= {"200", "crossed"} and met["200"] > 200, met
         assert met["crossed"] <= 5, met
-        assert not [rid for rid in effects.twice() if int(rid[1:]) % 3 != 0]
+        assert not [rid for rid in effects.executed_twice() if int(rid[1:]) % 3 != 0]
         assert [path.suffix for path in tmp_path.iterdir() if path.suffix != ".json"] == [".lock"]
 
     run(main())
@@ -435,7 +438,7 @@
                 assert back.status == 200 and back.headers["connection"] == "close"
             assert await stopping == b""
             await new.stop()
-        assert not endpoint.effects.twice() and sum(endpoint.effects.by_id.values()) == 4
+        assert not endpoint.effects.executed_twice() and sum(endpoint.effects.by_id.values()) == 4
 
     run(main())
 
@@ -443,7 +446,7 @@
 async def tell(registry: Registry, *endpoints: Endpoint) -> None:
     """The second list, by each watch: one that has been silent for 3 s is opened anew."""
     while True:
-        _, writer = await registry.asked.get()
+        _, writer = await registry.watches.get()
         if not writer.is_closing():
             push(writer, 2, True, *(one.entry("s-2") for one in endpoints))
 
@@ -457,18 +460,18 @@
             old = await deployment.start_ready()
             async with asyncio.TaskGroup() as tasks:
                 telling = tasks.create_task(tell(deployment.registry, second))
-                while not second.got:  # until it was told
+                while not second.requests:  # until it was told
                     await deployment.send(request(rid=os.urandom(4).hex()))
                 telling.cancel()
-            while not deployment.registry.asked.empty():
-                deployment.registry.asked.get_nowait()
+            while not deployment.registry.watches.empty():
+                deployment.registry.watches.get_nowait()
             new = await deployment.start_ready()
-            target, _ = await deployment.registry.asked.get()
+            target, _ = await deployment.registry.watches.get()
             assert "from=2" in target, "it goes on from there"
-            count = len(first.got)
+            count = len(first.requests)
             await old.stop()
             await deployment.send(request(rid="a"))
-            assert len(first.got) == count
+            assert len(first.requests) == count
             await new.stop()
 
     run(main())
@@ -563,12 +566,12 @@
 
 
 def test_a_free_address_is_free_and_one_in_use_is_not() -> None:
-    check_free("127.0.0.1", free_port())
-    check_free("127.0.0.1", 0)
+    check_address_free("127.0.0.1", free_port())
+    check_address_free("127.0.0.1", 0)
     with listener() as one:
         one.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         with pytest.raises(OSError, match="in use"):
-            check_free(*one.getsockname())
+            check_address_free(*one.getsockname())
 
 
 def test_without_a_second_address_nothing_is_put_into_the_folder(tmp_path: Path) -> None:
@@ -577,7 +580,7 @@
         async with await registry.start(), asyncio.timeout(TEST_TIMEOUT_S):
             told = {**write_config(tmp_path, registry), "TMPDIR": str(tmp_path)}
             process = await start_daemon({**told, "LB_LISTEN": f"127.0.0.1:{free_port()}"})
-            await registry.asked.get()
+            await registry.watches.get()
             assert [path.name for path in tmp_path.iterdir()] == ["config.json"]
             process.terminate()
             await process.wait()
@@ -607,7 +610,10 @@
 def test_two_versions_together_keep_to_one_limit() -> None:
     raw = {"settings": SETTINGS, "limits": {"sockets": 384}, "management": "127.0.0.1:1"}
     found = config_from(json.loads(json.dumps(raw)), "test")
-    assert 2 * 2 * found.shared_side_sockets < 384 and found.shared_side_sockets < found.side_sockets
+    assert (
+        2 * 2 * found.max_shared_side_connections < 384
+        and found.max_shared_side_connections < found.max_side_connections
+    )
 
 
 def test_descriptors_that_are_used_up_hinder_no_upgrade(tmp_path: Path) -> None:
