--- a/tests/event_loops.py
+++ b/tests/event_loops.py
@@ -39,11 +39,11 @@
         self.on_time_passed = on_time_passed
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        found = super().select(0)
-        if not found:
+        ready = super().select(0)
+        if not ready:
             assert timeout is not None, "deadlock: no timer is set and no socket is ready"
             self.on_time_passed(timeout)
-        return found
+        return ready
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
@@ -70,8 +70,8 @@
     end of a connection has written to the other."""
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        found = selectors.DefaultSelector.select(self, 0.001) if timeout else []
-        return found or super().select(timeout)
+        ready = selectors.DefaultSelector.select(self, 0.001) if timeout else []
+        return ready or super().select(timeout)
 
 
 class SocketVirtualTimeLoop(VirtualTimeLoop):
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,5 +1,5 @@
-"""One version after the other: what the processes say, the files they meet by, and what callers
-see of upgrades under load, with either process killed at each step."""
+"""Hot restart: the messages, the rendezvous files, and upgrades of real processes under load, with either
+process killed at each step."""
 
 from __future__ import annotations
 
@@ -58,10 +58,10 @@
 )
 from tests.upgrades import Deployment, Load, Version, kill
 
-# --- What is said -----------------------------------------------------------------------
+# --- Messages ---------------------------------------------------------------------------
 
 
-def test_what_one_writes_the_other_reads() -> None:
+def test_encoded_messages_are_decoded() -> None:
     raw = encode_state({"known": b'{"generation":1}', "discovery": b'"127.0.0.1:1"'})
     assert decode_header(encode_header(len(raw))) == len(raw) and is_hello(HELLO)
     assert decode_state(raw) == {"known": {"generation": 1}, "discovery": "127.0.0.1:1"}
@@ -75,23 +75,23 @@
         b'{"v": 1, "size": %d}\n' % (MAX_STATE_BYTES + 1),
     ],
 )  # fmt: skip
-def test_a_head_that_is_spoilt_foreign_or_of_the_future_is_refused(line: bytes) -> None:
+def test_a_header_that_is_malformed_or_of_another_version_is_rejected(line: bytes) -> None:
     with pytest.raises(HotRestartError):
         decode_header(line)
 
 
 @pytest.mark.parametrize("raw", [b"", b"[]", b"{", b"\xff", b"[" * 100_000])
-def test_a_state_that_is_spoilt_is_refused(raw: bytes) -> None:
+def test_a_malformed_state_is_rejected(raw: bytes) -> None:
     with pytest.raises(HotRestartError):
         decode_state(raw)
 
 
-def test_a_state_that_is_too_long_stays_behind() -> None:
+def test_a_state_that_is_too_long_is_sent_empty() -> None:
     assert encode_state({"known": b'"%b"' % (b"x" * MAX_STATE_BYTES)}) == b"{}"
 
 
-def test_each_event_has_one_stated_result_at_each_stage() -> None:
-    moves = {
+def test_each_event_changes_the_stage_as_specified() -> None:
+    transitions = {
         (HotRestartEvent.HELLO, HotRestartStage.ALONE): HotRestartStage.OFFERED,
         (HotRestartEvent.READY, HotRestartStage.OFFERED): HotRestartStage.TAKEN_OVER,
         (HotRestartEvent.DISCONNECTED, HotRestartStage.OFFERED): HotRestartStage.ALONE,
@@ -99,12 +99,14 @@
     }
     for stage in HotRestartStage:
         for event in HotRestartEvent:
-            one = HotRestartProgress()
-            one.stage = stage
-            assert one.handle(event) is ((event, stage) in moves)
-            assert one.stage == moves.get((event, stage), stage)
-            assert one.is_taken_over == (one.stage == HotRestartStage.TAKEN_OVER)
-            assert one.resource_fraction == (1.0 if one.stage == HotRestartStage.ALONE else SHARED_FRACTION)
+            progress = HotRestartProgress()
+            progress.stage = stage
+            assert progress.handle(event) is ((event, stage) in transitions)
+            assert progress.stage == transitions.get((event, stage), stage)
+            assert progress.is_taken_over == (progress.stage == HotRestartStage.TAKEN_OVER)
+            assert progress.resource_fraction == (
+                1.0 if progress.stage == HotRestartStage.ALONE else SHARED_FRACTION
+            )
 
 
 LIST = {"generation": 7, "reset": True, "instances": []}
@@ -114,65 +116,65 @@
     ("known", "discovery", "expected"),
     [
         (LIST, "127.0.0.1:1", 7),
-        ({**LIST, "generation": 3}, "127.0.0.1:1", 5),  # older than what the platform told
-        (LIST, "127.0.0.1:2", 0),  # another source's versions say nothing
+        ({**LIST, "generation": 3}, "127.0.0.1:1", 5),  # older than that of the configuration
+        (LIST, "127.0.0.1:2", 0),  # generations of another source are not comparable
         (None, "127.0.0.1:1", 5),
         ({**LIST, "generation": "7"}, "127.0.0.1:1", 5),
         ({**LIST, "instances": 7}, "127.0.0.1:1", 5),
     ],
 )
-def test_the_newer_list_is_used(known: Any, discovery: str, expected: int) -> None:
+def test_the_newer_endpoint_list_is_used(known: Any, discovery: str, expected: int) -> None:
     raw = {"settings": SETTINGS, "discovery": "127.0.0.1:1", "known": {**LIST, "generation": 5}}
-    found = config_with_state(config_from(raw, "test"), {"known": known, "discovery": discovery})
-    assert found.known is not None and found.known["generation"] == expected
+    config = config_with_state(config_from(raw, "test"), {"known": known, "discovery": discovery})
+    assert config.known is not None and config.known["generation"] == expected
 
 
-# --- Where they meet --------------------------------------------------------------------
+# --- Rendezvous -------------------------------------------------------------------------
 
 ADDRESS = ("127.0.0.1", 7070)
 
 
-def test_a_lock_tells_who_is_alive_and_goes_with_its_process(tmp_path: Path) -> None:
+def test_the_lock_shows_other_processes_until_they_leave(tmp_path: Path) -> None:
     first, second = RendezvousPoint(ADDRESS, str(tmp_path)), RendezvousPoint(ADDRESS, str(tmp_path))
     other = RendezvousPoint(("127.0.0.1", 7071), str(tmp_path))
     assert not first.register() and second.register() and not other.register()
     first.leave()
     third = RendezvousPoint(ADDRESS, str(tmp_path))
-    assert third.register(), "the second is still there"
+    assert third.register(), "the second is still registered"
     second.leave()
     third.leave()
     assert not RendezvousPoint(ADDRESS, str(tmp_path)).register()
 
 
-def test_a_stale_socket_file_is_nobody_and_is_replaced(tmp_path: Path) -> None:
+def test_a_stale_socket_file_refuses_connections_and_is_replaced(tmp_path: Path) -> None:
     rendezvous = RendezvousPoint(ADDRESS, str(tmp_path))
-    gone = rendezvous.listen()
-    gone.close()
+    stale = rendezvous.listen()
+    stale.close()
     with pytest.raises(ConnectionRefusedError):
         rendezvous.connect(1.0)
-    door = rendezvous.listen()
+    server = rendezvous.listen()
     rendezvous.connect(1.0).close()
     newer = RendezvousPoint(ADDRESS, str(tmp_path))
-    newer_door = newer.listen()
+    newer_server = newer.listen()
     rendezvous.leave()
     newer.connect(1.0).close()
     newer.leave()
     assert [path.suffix for path in tmp_path.iterdir()] == [".lock"]
-    door.close()
-    newer_door.close()
+    server.close()
+    newer_server.close()
 
 
-def test_a_folder_with_a_long_name_is_no_hindrance(tmp_path: Path) -> None:
+def test_the_folder_may_have_a_long_name(tmp_path: Path) -> None:
     folder = tmp_path / ("x" * 200)
     folder.mkdir()
     rendezvous = RendezvousPoint(ADDRESS, str(folder))
-    door = rendezvous.listen()
+    server = rendezvous.listen()
     rendezvous.connect(1.0).close()
-    door.close()
+    server.close()
     rendezvous.leave()
 
 
-def test_a_folder_that_can_not_be_used_is_done_without(
+def test_an_unusable_folder_logs_one_line_and_disables_hot_restart(
     tmp_path: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
     raw = {"settings": SETTINGS, "listen": "127.0.0.1:7070", "management": "127.0.0.1:7071"}
@@ -185,44 +187,44 @@
     )
 
 
-class Peer:
-    """A process that serves, as far as the one that comes can tell."""
+class FakePredecessor:
+    """Accepts one successor, and sends it `parts`; with none, it stays silent. `fds` go with the first."""
 
     def __init__(self, rendezvous: RendezvousPoint, *parts: bytes, fds: list[int] | None = None) -> None:
-        self.door = rendezvous.listen()
-        self.door.setblocking(True)
+        self.server = rendezvous.listen()
+        self.server.setblocking(True)
         self.parts = parts
         self.fds = fds or []
         self.thread = threading.Thread(target=self._serve)
         self.thread.start()
 
     def _serve(self) -> None:
-        one, _ = self.door.accept()
-        with one:
-            one.recv(100)
-            for at, part in enumerate(self.parts):
-                socket.send_fds(one, [part], self.fds if at == 0 else [])
+        connection, _ = self.server.accept()
+        with connection:
+            connection.recv(100)
+            for index, part in enumerate(self.parts):
+                socket.send_fds(connection, [part], self.fds if index == 0 else [])
             if not self.parts:
-                one.recv(1)  # silent, until the other gives up
+                connection.recv(1)  # until the successor gives up
 
     def close(self) -> None:
         self.thread.join()
-        self.door.close()
+        self.server.close()
 
 
 @pytest.fixture
 def rendezvous(tmp_path: Path) -> Iterator[RendezvousPoint]:
-    one = RendezvousPoint(ADDRESS, str(tmp_path))
-    yield one
-    one.leave()
+    point = RendezvousPoint(ADDRESS, str(tmp_path))
+    yield point
+    point.leave()
 
 
-def listener() -> socket.socket:
+def open_listener() -> socket.socket:
     return socket.create_server(("127.0.0.1", 0))
 
 
 @pytest.mark.parametrize(
-    ("parts", "what", "problem"),
+    ("parts", "descriptors", "problem"),
     [
         ([b'{"v": 2, "size": 2}\n', b"{}"], "listener", "version 2"),
         ([b"x" * (MAX_HEADER_BYTES + 1)], "listener", "too long"),
@@ -236,68 +238,72 @@
         ([], "none", "too long|timed out"),
     ],
 )
-def test_what_is_no_hot_restart_is_refused_and_leaves_no_descriptor(
-    rendezvous: RendezvousPoint, parts: list[bytes], what: str, problem: str, monkeypatch: pytest.MonkeyPatch
+def test_a_failed_takeover_raises_and_leaks_no_descriptor(
+    rendezvous: RendezvousPoint,
+    parts: list[bytes],
+    descriptors: str,
+    problem: str,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(successor, "TAKEOVER_TIMEOUT_S", 0.2 if not parts else 5.0)
-    with listener() as good, listener() as other, socket.socket() as bound:
+    with open_listener() as listener, open_listener() as other, socket.socket() as bound:
         fds = {
-            "listener": [good.fileno()], "none": [], "two": [good.fileno(), good.fileno()],
+            "listener": [listener.fileno()], "none": [], "two": [listener.fileno(), listener.fileno()],
             "bound": [bound.fileno()], "other": [other.fileno()],
-        }[what]  # fmt: skip
-        peer = Peer(rendezvous, *parts, fds=fds)
+        }[descriptors]  # fmt: skip
+        fake_predecessor = FakePredecessor(rendezvous, *parts, fds=fds)
         before = len(os.listdir("/proc/self/fd"))
-        address = good.getsockname()
+        address = listener.getsockname()
         with pytest.raises(HotRestartError, match=problem):
             take_over(rendezvous, address)
-        peer.close()
-        assert len(os.listdir("/proc/self/fd")) < before  # the door and its connection are closed
+        fake_predecessor.close()
+        assert len(os.listdir("/proc/self/fd")) < before  # the server and its connection are closed
 
 
-def test_nobody_at_the_rendezvous_is_no_hot_restart(rendezvous: RendezvousPoint) -> None:
+def test_a_takeover_without_a_predecessor_raises(rendezvous: RendezvousPoint) -> None:
     with pytest.raises(HotRestartError, match="FileNotFoundError"):
         take_over(rendezvous, ADDRESS)
 
 
-def test_one_successor_at_a_time_and_alone_again_when_it_is_lost(rendezvous: RendezvousPoint) -> None:
+def test_one_successor_at_a_time_and_none_after_it_disconnects(rendezvous: RendezvousPoint) -> None:
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        changed: list[HotRestartStage] = []
-        with listener() as good:
-            one = HotRestartServer(
+        stages: list[HotRestartStage] = []
+        with open_listener() as listener:
+            server = HotRestartServer(
                 loop,
                 rendezvous,
-                good,
-                lambda give: give({}),
-                lambda: changed.append(one.progress.stage),
+                listener,
+                lambda send: send({}),
+                lambda: stages.append(server.progress.stage),
                 print,
             )
 
-            async def come() -> socket.socket:
+            async def connect() -> socket.socket:
                 channel = rendezvous.connect(1.0)
                 channel.setblocking(False)
                 await loop.sock_sendall(channel, HELLO)
                 return channel
 
-            first = await come()
+            first = await connect()
             assert await loop.sock_recv(first, 100)
-            second = await come()
-            assert await loop.sock_recv(second, 100) == b"", "one is there already"
+            second = await connect()
+            assert await loop.sock_recv(second, 100) == b"", "there is a successor already"
             first.close()
-            while one.progress.stage != HotRestartStage.ALONE:
+            while server.progress.stage != HotRestartStage.ALONE:
                 await asyncio.sleep(0)
-            third = await come()
+            third = await connect()
             assert await loop.sock_recv(third, 100)
             await loop.sock_sendall(third, READY)
-            while not one.progress.is_taken_over:
+            while not server.progress.is_taken_over:
                 await asyncio.sleep(0)
-            assert changed == [
+            assert stages == [
                 HotRestartStage.OFFERED,
                 HotRestartStage.ALONE,
                 HotRestartStage.OFFERED,
                 HotRestartStage.TAKEN_OVER,
             ]
-            one.close()
+            server.close()
             assert await loop.sock_recv(third, 100) in (b"", b"{}")
             for channel in (second, third):
                 channel.close()
@@ -306,75 +312,75 @@
 
 
 @pytest.mark.parametrize(
-    "said", [b"GET / HTTP/1.1\r\n", READY, b"x" * (MAX_HEADER_BYTES + 1), HELLO + HELLO, b""]
+    "data", [b"GET / HTTP/1.1\r\n", READY, b"x" * (MAX_HEADER_BYTES + 1), HELLO + HELLO, b""]
 )
-def test_one_that_says_something_else_is_cut(
-    rendezvous: RendezvousPoint, said: bytes, monkeypatch: pytest.MonkeyPatch
+def test_a_connection_that_sends_anything_unexpected_is_closed(
+    rendezvous: RendezvousPoint, data: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(predecessor, "HELLO_TIMEOUT_S", 0.0 if not said else 5.0)
+    monkeypatch.setattr(predecessor, "HELLO_TIMEOUT_S", 0.0 if not data else 5.0)
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        with listener() as good:
-            one = HotRestartServer(loop, rendezvous, good, lambda give: None, lambda: None, print)
+        with open_listener() as listener:
+            server = HotRestartServer(loop, rendezvous, listener, lambda send: None, lambda: None, print)
             channel = rendezvous.connect(1.0)
             channel.setblocking(False)
-            await loop.sock_sendall(channel, said)
-            with contextlib.suppress(ConnectionResetError):  # it had not read all of it
+            await loop.sock_sendall(channel, data)
+            with contextlib.suppress(ConnectionResetError):  # it was closed before all data was read
                 assert await loop.sock_recv(channel, 100) == b""
-            while one.connections:
+            while server.connections:
                 await asyncio.sleep(0)
-            assert one.progress.stage == HotRestartStage.ALONE
+            assert server.progress.stage == HotRestartStage.ALONE
             channel.close()
-            one.close()
+            server.close()
 
     run(main())
 
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM])
-def test_one_that_can_not_be_accepted_yet_is_met_after_a_pause(
+def test_a_successor_is_accepted_after_a_pause_if_resources_are_short(
     rendezvous: RendezvousPoint, error: int
 ) -> None:
-    """The loop does not turn for nothing meanwhile, and a close in that pause is one."""
+    """The event loop does not spin during the pause, and `close` works in it."""
 
-    class Short:
-        def __init__(self, door: socket.socket) -> None:
-            self.door = door
-            self.left = 3
+    class FailingSocket:
+        def __init__(self, listener: socket.socket) -> None:
+            self.listener = listener
+            self.failures_left = 3
 
         def accept(self) -> tuple[socket.socket, Any]:
-            if self.left:
-                self.left -= 1
+            if self.failures_left:
+                self.failures_left -= 1
                 raise OSError(error, os.strerror(error))
-            return self.door.accept()
+            return self.listener.accept()
 
         def __getattr__(self, name: str) -> Any:
-            return getattr(self.door, name)
+            return getattr(self.listener, name)
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        with listener() as good:
-            one = HotRestartServer(loop, rendezvous, good, lambda give: give({}), lambda: None, print)
-            assert one.rendezvous_socket is not None
-            short = Short(one.rendezvous_socket)
-            one.rendezvous_socket = cast(socket.socket, short)
+        with open_listener() as listener:
+            server = HotRestartServer(loop, rendezvous, listener, lambda send: send({}), lambda: None, print)
+            assert server.rendezvous_socket is not None
+            failing = FailingSocket(server.rendezvous_socket)
+            server.rendezvous_socket = cast(socket.socket, failing)
             channel = rendezvous.connect(1.0)
             channel.setblocking(False)
             await loop.sock_sendall(channel, HELLO)
-            while one.accept_pause is None:
+            while server.accept_pause is None:
                 await asyncio.sleep(0)
-            assert short.left == 2 and not loop.remove_reader(short.fileno())
+            assert failing.failures_left == 2 and not loop.remove_reader(failing.fileno())
             assert await loop.sock_recv(channel, 100)
-            assert not short.left
+            assert not failing.failures_left
             channel.close()
-            while one.connections:
+            while server.connections:
                 await asyncio.sleep(0)
-            short.left = 1
+            failing.failures_left = 1
             late = rendezvous.connect(1.0)
-            while one.accept_pause is None:
+            while server.accept_pause is None:
                 await asyncio.sleep(0)
-            one.close()
-            assert one.accept_pause is None
+            server.close()
+            assert server.accept_pause is None
             late.close()
 
     run(main())
@@ -382,12 +388,15 @@
 
 # --- Processes --------------------------------------------------------------------------
 
-# For requests that are open while a process starts: on a busy machine that takes longer than their 4 s.
-LONG_MS = 60_000
-LONG = {**SETTINGS, "classes": [{**one, "deadline-us": LONG_MS * 1000} for one in SETTINGS["classes"]]}
+# Deadline of requests that are open while a process starts: on a busy machine this takes longer than 4 s.
+LONG_DEADLINE_MS = 60_000
+LONG_DEADLINE = {
+    **SETTINGS,
+    "classes": [{**cls, "deadline-us": LONG_DEADLINE_MS * 1000} for cls in SETTINGS["classes"]],
+}
 
 
-def test_twenty_upgrades_under_load_lose_nothing(tmp_path: Path) -> None:
+def test_twenty_upgrades_under_load_lose_no_request(tmp_path: Path) -> None:
     async def main() -> None:
         effects = Effects()
         async with Deployment(tmp_path, *(Endpoint(effects=effects) for _ in range(3))) as deployment:
@@ -397,17 +406,17 @@
                 newer = await deployment.start_ready()
                 assert await version.stop() == b""
                 version = newer
-            met = await load.stop()
+            outcomes = await load.stop()
             assert await version.stop() == b""
-        assert set(met) <= {"200", "crossed"} and met["200"] > 200, met
-        assert met["crossed"] <= 5, met
+        assert set(outcomes) <= {"200", "closed while kept"} and outcomes["200"] > 200, outcomes
+        assert outcomes["closed while kept"] <= 5, outcomes
         assert not [rid for rid in effects.executed_twice() if int(rid[1:]) % 3 != 0]
         assert [path.suffix for path in tmp_path.iterdir() if path.suffix != ".json"] == [".lock"]
 
     run(main())
 
 
-def test_what_is_open_in_the_old_process_is_answered_by_it(tmp_path: Path) -> None:
+def test_open_requests_are_answered_by_the_old_process(tmp_path: Path) -> None:
     async def main() -> None:
         release = asyncio.Event()
 
@@ -418,24 +427,24 @@
             writer.write(answer())
 
         endpoint = Endpoint(slow)
-        async with Deployment(tmp_path, endpoint, settings=LONG) as deployment:
+        async with Deployment(tmp_path, endpoint, settings=LONG_DEADLINE) as deployment:
             old = await deployment.start_ready()
-            open_ones = [
+            open_requests = [
                 asyncio.create_task(deployment.send(raw))
                 for raw in (
-                    request("pay", b"order", rid="slow-pay", deadline_ms=LONG_MS),
-                    request("put", b"x" * 60_000, rid="slow-put", deadline_ms=LONG_MS),
-                    request(rid="slow-page", deadline_ms=LONG_MS),
+                    request("pay", b"order", rid="slow-pay", deadline_ms=LONG_DEADLINE_MS),
+                    request("put", b"x" * 60_000, rid="slow-put", deadline_ms=LONG_DEADLINE_MS),
+                    request(rid="slow-page", deadline_ms=LONG_DEADLINE_MS),
                 )
             ]
-            for _ in open_ones:
+            for _ in open_requests:
                 await endpoint.arrived.acquire()
             new = await deployment.start_ready()
             stopping = asyncio.create_task(old.stop())
             assert (await deployment.send(request(rid="new"))).body == b"ok"
             release.set()
-            for back in await asyncio.gather(*open_ones):
-                assert back.status == 200 and back.headers["connection"] == "close"
+            for response in await asyncio.gather(*open_requests):
+                assert response.status == 200 and response.headers["connection"] == "close"
             assert await stopping == b""
             await new.stop()
         assert not endpoint.effects.executed_twice() and sum(endpoint.effects.by_id.values()) == 4
@@ -443,31 +452,31 @@
     run(main())
 
 
-async def tell(registry: Registry, *endpoints: Endpoint) -> None:
-    """The second list, by each watch: one that has been silent for 3 s is opened anew."""
+async def publish(registry: Registry, *endpoints: Endpoint) -> None:
+    """Send generation 2 on each watch: one that is silent for 3 s is opened again."""
     while True:
         _, writer = await registry.watches.get()
         if not writer.is_closing():
-            push(writer, 2, True, *(one.entry("s-2") for one in endpoints))
+            push(writer, 2, True, *(endpoint.entry("s-2") for endpoint in endpoints))
 
 
-def test_the_new_process_has_the_list_that_the_old_one_was_told(tmp_path: Path) -> None:
-    """A drain that was told, and a change since the configuration was written."""
+def test_the_new_process_starts_with_the_endpoint_list_of_the_old_one(tmp_path: Path) -> None:
+    """The configured list is older than the one that discovery sent: the first endpoint has left since."""
 
     async def main() -> None:
         first = Endpoint()
         async with Endpoint() as second, Deployment(tmp_path, first) as deployment:
             old = await deployment.start_ready()
             async with asyncio.TaskGroup() as tasks:
-                telling = tasks.create_task(tell(deployment.registry, second))
-                while not second.requests:  # until it was told
+                publishing = tasks.create_task(publish(deployment.registry, second))
+                while not second.requests:  # until the list was received
                     await deployment.send(request(rid=os.urandom(4).hex()))
-                telling.cancel()
+                publishing.cancel()
             while not deployment.registry.watches.empty():
                 deployment.registry.watches.get_nowait()
             new = await deployment.start_ready()
             target, _ = await deployment.registry.watches.get()
-            assert "from=2" in target, "it goes on from there"
+            assert "from=2" in target, "it watches from the generation that it was passed"
             count = len(first.requests)
             await old.stop()
             await deployment.send(request(rid="a"))
@@ -478,7 +487,7 @@
 
 
 @pytest.mark.parametrize("step", ["starting", "ready", "stopping"])
-def test_the_new_process_goes_on_when_the_old_one_is_killed(tmp_path: Path, step: str) -> None:
+def test_the_new_process_keeps_serving_when_the_old_one_is_killed(tmp_path: Path, step: str) -> None:
     async def main() -> None:
         endpoint = Endpoint()
         async with Deployment(tmp_path, endpoint) as deployment:
@@ -505,16 +514,16 @@
 
 
 @pytest.mark.parametrize("step", ["starting", "offered", "ready"])
-def test_the_old_process_goes_on_when_the_new_one_dies(tmp_path: Path, step: str) -> None:
+def test_the_old_process_keeps_serving_when_the_new_one_is_killed(tmp_path: Path, step: str) -> None:
     async def main() -> None:
         endpoint = Endpoint()
         async with Deployment(tmp_path, endpoint) as deployment:
             old = await deployment.start_ready()
             if step == "offered":
                 rendezvous = RendezvousPoint(("127.0.0.1", deployment.port), str(tmp_path))
-                taken = await asyncio.to_thread(take_over, rendezvous, ("127.0.0.1", deployment.port))
-                taken.listener.close()
-                taken.channel.close()
+                handle = await asyncio.to_thread(take_over, rendezvous, ("127.0.0.1", deployment.port))
+                handle.listener.close()
+                handle.channel.close()
                 os.close(rendezvous._lock)
             else:
                 new = await (deployment.start_ready() if step == "ready" else deployment.start())
@@ -522,7 +531,7 @@
                 await new.process.wait()
             for n in range(20):
                 assert (await deployment.send(request(rid=f"r{n}"))).body == b"ok"
-            # Alone again: a stop still waits for late callers, and a next version comes as ever.
+            # It is alone again: a stop still waits for late clients, and the next version can take over.
             newer = await deployment.start_ready()
             await old.stop()
             assert (await deployment.send(request(rid="last"))).body == b"ok"
@@ -531,15 +540,15 @@
     run(main())
 
 
-def test_where_the_door_is_shut_the_address_is_shared(tmp_path: Path) -> None:
-    """The older process lives and does not answer at its socket: SO_REUSEPORT."""
+def test_without_the_rendezvous_socket_the_address_is_shared(tmp_path: Path) -> None:
+    """The older process runs but can't be reached by its socket: SO_REUSEPORT."""
 
     async def main() -> None:
         endpoint = Endpoint()
         async with Deployment(tmp_path, endpoint) as deployment:
             old = await deployment.start_ready()
-            (door,) = tmp_path.glob("*.sock")
-            door.unlink()
+            (path,) = tmp_path.glob("*.sock")
+            path.unlink()
             new = await deployment.start_ready()
             await old.stop()
             assert (await deployment.send(request(rid="a"))).body == b"ok"
@@ -549,7 +558,7 @@
     run(main())
 
 
-def test_an_address_in_use_by_no_predecessor_is_one_line_and_status_2(tmp_path: Path) -> None:
+def test_an_address_in_use_by_another_program_logs_one_line_and_exits_with_2(tmp_path: Path) -> None:
     async def main() -> None:
         first, second = tmp_path / "1", tmp_path / "2"
         first.mkdir()
@@ -565,21 +574,21 @@
     run(main())
 
 
-def test_a_free_address_is_free_and_one_in_use_is_not() -> None:
+def test_check_address_free_raises_only_for_an_address_in_use() -> None:
     check_address_free("127.0.0.1", free_port())
     check_address_free("127.0.0.1", 0)
-    with listener() as one:
-        one.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    with open_listener() as listener:
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         with pytest.raises(OSError, match="in use"):
-            check_address_free(*one.getsockname())
+            check_address_free(*listener.getsockname())
 
 
-def test_without_a_second_address_nothing_is_put_into_the_folder(tmp_path: Path) -> None:
+def test_without_a_management_address_no_file_is_created(tmp_path: Path) -> None:
     async def main() -> None:
         registry = Registry()
         async with await registry.start(), asyncio.timeout(TEST_TIMEOUT_S):
-            told = {**write_config(tmp_path, registry), "TMPDIR": str(tmp_path)}
-            process = await start_daemon({**told, "LB_LISTEN": f"127.0.0.1:{free_port()}"})
+            environ = {**write_config(tmp_path, registry), "TMPDIR": str(tmp_path)}
+            process = await start_daemon({**environ, "LB_LISTEN": f"127.0.0.1:{free_port()}"})
             await registry.watches.get()
             assert [path.name for path in tmp_path.iterdir()] == ["config.json"]
             process.terminate()
@@ -588,8 +597,8 @@
     run(main())
 
 
-def test_evacuate_and_rejoin_while_two_versions_are_up(tmp_path: Path) -> None:
-    """Each speaks for itself: the old one's drain does not send the new one's callers away."""
+def test_evacuate_and_rejoin_affect_only_one_of_two_versions(tmp_path: Path) -> None:
+    """Each reports its own readiness: evacuating the old one does not drain the new one."""
 
     async def main() -> None:
         endpoint = Endpoint()
@@ -607,32 +616,32 @@
     run(main())
 
 
-def test_two_versions_together_keep_to_one_limit() -> None:
+def test_two_versions_together_stay_within_the_socket_limit() -> None:
     raw = {"settings": SETTINGS, "limits": {"sockets": 384}, "management": "127.0.0.1:1"}
-    found = config_from(json.loads(json.dumps(raw)), "test")
+    config = config_from(json.loads(json.dumps(raw)), "test")
     assert (
-        2 * 2 * found.max_shared_side_connections < 384
-        and found.max_shared_side_connections < found.max_side_connections
+        2 * 2 * config.max_shared_side_connections < 384
+        and config.max_shared_side_connections < config.max_side_connections
     )
 
 
-def test_descriptors_that_are_used_up_hinder_no_upgrade(tmp_path: Path) -> None:
-    """A crowd holds every place of the callers while the new version starts; both keep to their
-    halves, and requests on new connections go on being served."""
+def test_an_upgrade_succeeds_while_all_client_connections_are_used(tmp_path: Path) -> None:
+    """Idle clients hold all client connections while the new version starts. Both versions keep to their
+    half, and requests on new connections are still served."""
 
     async def main() -> None:
         async with Deployment(tmp_path, Endpoint(), limits={"sockets": 128}) as deployment:
             old = await deployment.start_ready()
-            crowd = [await asyncio.open_connection("127.0.0.1", deployment.port) for _ in range(200)]
+            idle_clients = [await asyncio.open_connection("127.0.0.1", deployment.port) for _ in range(200)]
             new = await deployment.start_ready()
             for n in range(30):
-                crowd.append(await asyncio.open_connection("127.0.0.1", deployment.port))
+                idle_clients.append(await asyncio.open_connection("127.0.0.1", deployment.port))
                 assert (await deployment.send(request(rid=f"r{n}"))).body == b"ok"
-            held = sum(len(os.listdir(f"/proc/{one.process.pid}/fd")) for one in (old, new))
-            assert held <= 128
+            count = sum(len(os.listdir(f"/proc/{version.process.pid}/fd")) for version in (old, new))
+            assert count <= 128
             assert await old.stop() == b""
             assert (await deployment.send(request(rid="last"))).body == b"ok"
-            for _, writer in crowd:
+            for _, writer in idle_clients:
                 writer.transport.abort()
             assert await new.stop() == b""
 
--- a/tests/test_hot_restart_encoding.py
+++ b/tests/test_hot_restart_encoding.py
@@ -1,5 +1,5 @@
-"""What the processes of one version say to those of the next: the files and messages of a hot restart, and
-the environment and channel of workers. Recorded with the code of 9af0195; it must not change."""
+"""The formats shared by processes of different versions: the files and messages of a hot restart, and the
+environment and channel of workers. Recorded with the code of 9af0195; they must not change."""
 
 from __future__ import annotations
 
@@ -49,15 +49,15 @@
     assert (MAX_HEADER_BYTES, MAX_STATE_BYTES, MAX_REPLICA_BYTES) == (256, 4_194_304, 1_048_576)
 
 
-def test_the_state_that_a_hot_restart_hands_over() -> None:
+def test_the_state_of_a_hot_restart() -> None:
     config = config_from({"settings": SETTINGS, "discovery": "127.0.0.1:1"}, "test")
     assert collect_state(config, StaticMembers(), b'{"generation":1}') == {
         "discovery": b'"127.0.0.1:1"',
         "known": b'{"generation":1}',
     }
-    kept = {b"a": b"b\xff", b"snapshot": b""}
-    assert encode_replica(kept) == {"accord": b'{"YQ==":"Yv8=","c25hcHNob3Q=":""}'}
-    assert decode_replica({"accord": {"YQ==": "Yv8=", "c25hcHNob3Q=": ""}}) == kept
+    memory = {b"a": b"b\xff", b"snapshot": b""}
+    assert encode_replica(memory) == {"accord": b'{"YQ==":"Yv8=","c25hcHNob3Q=":""}'}
+    assert decode_replica({"accord": {"YQ==": "Yv8=", "c25hcHNob3Q=": ""}}) == memory
     assert encode_replica({}) == {} and decode_replica({"accord": {"YQ==": "?"}}) is None
 
 
@@ -81,13 +81,13 @@
 
 def test_the_lines_of_a_worker() -> None:
     async def main() -> None:
-        ours, theirs = socket.socketpair()
-        with ours:
-            ours.setblocking(False)
+        supervisor_end, worker_end = socket.socketpair()
+        with supervisor_end:
+            supervisor_end.setblocking(False)
             loop = asyncio.get_running_loop()
             ended = asyncio.Event()
-            await join_supervisor(loop, WorkerSlot(0, 1, theirs.detach()), cast(Any, None), ended.set)
-            assert await loop.sock_recv(ours, 100) == b'{"ready":true}\n'
+            await join_supervisor(loop, WorkerSlot(0, 1, worker_end.detach()), cast(Any, None), ended.set)
+            assert await loop.sock_recv(supervisor_end, 100) == b'{"ready":true}\n'
         await ended.wait()
 
     run(main())
@@ -112,16 +112,16 @@
         worker.writer = cast(Any, Writer())
         worker.is_ready = True
         supervisor.workers[1] = worker
-        asking = asyncio.create_task(supervisor._fetch_endpoint_list(0))
+        fetching = asyncio.create_task(supervisor._fetch_endpoint_list(0))
         while worker.list_answer is None:
             await asyncio.sleep(0)
         worker.list_answer.set_result(b'{"known":7}\n')
-        assert await asking == b'{"known":7}\n' and lines == [b'{"ask":"known"}\n']
+        assert await fetching == b'{"known":7}\n' and lines == [b'{"ask":"known"}\n']
 
     run(main())
     assert LIST_REQUEST == b'{"ask":"known"}\n'
     assert NO_LIST == b'{"known":null}\n' and MAX_LINE_BYTES == 134_217_728
-    ours, theirs = socket.socketpair()
-    with ours, theirs:
-        ours.sendall(b'{"known":7}\n')
-        assert receive_endpoint_list(theirs.fileno()) == 7
+    supervisor_end, worker_end = socket.socketpair()
+    with supervisor_end, worker_end:
+        supervisor_end.sendall(b'{"known":7}\n')
+        assert receive_endpoint_list(worker_end.fileno()) == 7
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -1,4 +1,4 @@
-"""Several processes: the plan by its rules, and real ones killed and replaced under load."""
+"""Several worker processes: the rules of the plan, and real workers killed and replaced under load."""
 
 from __future__ import annotations
 
@@ -40,36 +40,36 @@
 # --- The plan ---------------------------------------------------------------------------
 
 
-def served(plan: SupervisorPlan, now: int = 0) -> list[int]:
-    """All processes started and ready."""
-    started = [one.process for one in plan.advance(now) if isinstance(one, StartWorker)]
+def start_all(plan: SupervisorPlan, now: int = 0) -> list[int]:
+    """Start all processes and report them as ready; return their numbers."""
+    started = [action.process for action in plan.advance(now) if isinstance(action, StartWorker)]
     for process in started:
         assert plan.on_ready(now, process) == []
     return started
 
 
-def test_a_process_that_dies_is_replaced_after_a_pause_that_doubles() -> None:
+def test_a_process_that_exits_is_replaced_after_a_backoff_that_doubles() -> None:
     plan = SupervisorPlan(1, INITIAL_BACKOFF, MAX_BACKOFF, READY_TIMEOUT)
-    (process,) = served(plan)
-    now, pauses = 0, []
+    (process,) = start_all(plan)
+    now, backoffs = 0, []
     for _ in range(6):
         plan.on_exit(now, process)
         due = plan.next_due_us()
         assert due is not None and plan.advance(due - 1) == []
-        pauses.append(due - now)
+        backoffs.append(due - now)
         now = due
         (start,) = plan.advance(now)
         assert isinstance(start, StartWorker)
         process = start.process
-    assert pauses == [100, 200, 400, 800, 1_000, 1_000]
+    assert backoffs == [100, 200, 400, 800, 1_000, 1_000]
     plan.on_ready(now, process)
     plan.on_exit(now + MAX_BACKOFF, process)
-    assert plan.next_due_us() == now + MAX_BACKOFF + INITIAL_BACKOFF, "it was calm for long enough"
+    assert plan.next_due_us() == now + MAX_BACKOFF + INITIAL_BACKOFF, "it was ready for long enough"
 
 
-def test_a_restart_replaces_one_after_the_other_and_the_old_serves_until_the_new_does() -> None:
+def test_a_rolling_restart_replaces_one_process_at_a_time_and_stops_the_old_once_the_new_is_ready() -> None:
     plan = SupervisorPlan(3, INITIAL_BACKOFF, MAX_BACKOFF, READY_TIMEOUT)
-    old = served(plan)
+    old = start_all(plan)
     plan.restart_all()
     for number in range(3):
         (start,) = plan.advance(10)
@@ -81,9 +81,9 @@
     assert plan.advance(40) == [] and plan.failure_count == 0 and len(plan.slot_of) == 3
 
 
-def test_a_new_process_that_is_not_ready_in_time_is_ended_and_the_old_one_stays() -> None:
+def test_a_new_process_that_is_not_ready_in_time_is_killed_and_the_old_one_keeps_serving() -> None:
     plan = SupervisorPlan(1, INITIAL_BACKOFF, MAX_BACKOFF, READY_TIMEOUT)
-    (old,) = served(plan)
+    (old,) = start_all(plan)
     plan.restart_all()
     (start,) = plan.advance(0)
     assert isinstance(start, StartWorker) and plan.next_due_us() == READY_TIMEOUT
@@ -95,55 +95,55 @@
 
 def test_after_a_stop_nothing_starts() -> None:
     plan = SupervisorPlan(2, INITIAL_BACKOFF, MAX_BACKOFF, READY_TIMEOUT)
-    one, two = served(plan)
-    plan.on_exit(5, one)
-    assert plan.stop() == [StopWorker(two)] and not plan.is_complete
+    first, second = start_all(plan)
+    plan.on_exit(5, first)
+    assert plan.stop() == [StopWorker(second)] and not plan.is_complete
     assert plan.advance(10**9) == [] and plan.next_due_us() is None
-    plan.on_exit(10, two)
+    plan.on_exit(10, second)
     assert plan.is_complete
 
 
 @given(
-    st.lists(st.tuples(st.sampled_from(("ready", "die", "renew", "wait")), st.integers(0, 7)), max_size=60)
+    st.lists(st.tuples(st.sampled_from(("ready", "exit", "restart", "wait")), st.integers(0, 7)), max_size=60)
 )
-def test_no_slot_is_held_by_more_than_two_and_none_is_forgotten(steps: list[tuple[str, int]]) -> None:
+def test_no_slot_has_more_than_two_processes_and_none_stays_empty(steps: list[tuple[str, int]]) -> None:
     plan, now = SupervisorPlan(3, INITIAL_BACKOFF, MAX_BACKOFF, READY_TIMEOUT), 0
-    alive: dict[int, int] = {}
-    told: set[int] = set()
-
-    def do(actions: list[SupervisorAction]) -> None:
-        for one in actions:
-            if isinstance(one, StartWorker):
-                assert one.process not in alive
-                alive[one.process] = one.slot
+    slot_by_process: dict[int, int] = {}
+    stopped: set[int] = set()  # told to stop, or killed
+
+    def perform(actions: list[SupervisorAction]) -> None:
+        for action in actions:
+            if isinstance(action, StartWorker):
+                assert action.process not in slot_by_process
+                slot_by_process[action.process] = action.slot
             else:
-                told.add(one.process)
+                stopped.add(action.process)
 
-    for what, pick in steps:
+    for step, choice in steps:
         now += 50
-        do(plan.advance(now))
-        process = sorted(alive)[pick % len(alive)] if alive else 0
-        if what == "ready" and process:
-            do(plan.on_ready(now, process))
-        elif what == "die" and process:
-            del alive[process]
+        perform(plan.advance(now))
+        process = sorted(slot_by_process)[choice % len(slot_by_process)] if slot_by_process else 0
+        if step == "ready" and process:
+            perform(plan.on_ready(now, process))
+        elif step == "exit" and process:
+            del slot_by_process[process]
             plan.on_exit(now, process)
-        elif what == "renew":
+        elif step == "restart":
             plan.restart_all()
         for slot in range(3):
-            assert sum(held == slot and one not in told for one, held in alive.items()) <= 2
-    for process in sorted(told & set(alive)):
-        del alive[process]
+            assert sum(held == slot and key not in stopped for key, held in slot_by_process.items()) <= 2
+    for process in sorted(stopped & set(slot_by_process)):
+        del slot_by_process[process]
         plan.on_exit(now, process)
-    for _ in range(20):  # left in peace, all of them serve
+    for _ in range(20):  # without further faults, all of them serve
         now = max(now, plan.next_due_us() or now)
-        do(plan.advance(now))
-        for process in list(alive):
-            do(plan.on_ready(now, process))
-        for process in sorted(told & set(alive)):
-            del alive[process]
+        perform(plan.advance(now))
+        for process in list(slot_by_process):
+            perform(plan.on_ready(now, process))
+        for process in sorted(stopped & set(slot_by_process)):
+            del slot_by_process[process]
             plan.on_exit(now, process)
-    assert sorted(alive.values()) == [0, 1, 2] and all(one.serving for one in plan.slots)
+    assert sorted(slot_by_process.values()) == [0, 1, 2] and all(slot.serving for slot in plan.slots)
 
 
 # --- Settings ---------------------------------------------------------------------------
@@ -161,7 +161,7 @@
         ),
     ],
 )
-def test_what_several_processes_can_not_be(tmp_path: Path, text: str, error: str) -> None:
+def test_settings_that_exclude_several_processes_are_rejected(tmp_path: Path, text: str, error: str) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(text)
     with pytest.raises(ConfigError, match=error):
@@ -171,17 +171,20 @@
 # --- Processes --------------------------------------------------------------------------
 
 
-class Tier:
+class SupervisedDaemon:
+    """A supervisor process with its workers, which listen on one port."""
+
     def __init__(self, process: asyncio.subprocess.Process, port: int) -> None:
         self.process = process
         self.port = port
-        self.noted: list[tuple[str, str]] = []
+        self.retried: list[tuple[str, str]] = []  # request ids, each with the error
 
-    def children(self) -> list[int]:
+    def worker_pids(self) -> list[int]:
         text = Path(f"/proc/{self.process.pid}/task/{self.process.pid}/children").read_text()
-        return [int(one) for one in text.split()]
+        return [int(pid) for pid in text.split()]
 
-    async def ask(self, rid: str) -> str:
+    async def send(self, rid: str) -> str:
+        """Send an order on a new connection; return the status."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         try:
             writer.write(request("pay", b"sum", rid=rid, deadline_ms=20_000))
@@ -189,16 +192,16 @@
         finally:
             writer.close()
 
-    async def insist(self, rid: str) -> str:
-        """As clients do: a connection that ends with nothing said had not been read from."""
+    async def send_with_retries(self, rid: str) -> str:
+        """Retry as clients do: a connection closed without any answer had not been read from."""
         while True:
             try:
-                return await self.ask(rid)
+                return await self.send(rid)
             except (ConnectionResetError, asyncio.IncompleteReadError) as error:
-                self.noted.append((rid, repr(error)))
+                self.retried.append((rid, repr(error)))
 
-    async def all_serve(self, count: int) -> None:
-        """Until so many children listen."""
+    async def wait_listening(self, count: int) -> None:
+        """Wait until this many workers listen."""
         while True:
             text = await asyncio.to_thread(Path(f"/proc/{self.process.pid}/net/tcp").read_text)
             local = f"0100007F:{self.port:04X} 00000000:0000 0A"
@@ -208,7 +211,10 @@
 
 
 @contextlib.asynccontextmanager
-async def tier(tmp_path: Path, members: str, processes: int = 3) -> AsyncIterator[Tier]:
+async def supervised_daemon(
+    tmp_path: Path, members: str, processes: int = 3
+) -> AsyncIterator[SupervisedDaemon]:
+    """Run a supervisor with its workers; `members` is the TOML line of the endpoints' source."""
     port = free_port()
     path = tmp_path / "operator.toml"
     path.write_text(
@@ -219,22 +225,24 @@
         sys.executable, "-m", "laurelstep", "--operator", str(path), env=CLEAN, stderr=subprocess.PIPE
     )
     try:
-        one = Tier(process, port)
+        daemon = SupervisedDaemon(process, port)
         _, writer = await connect_until_up(port)
         writer.close()
-        await one.all_serve(processes)
-        yield one
+        await daemon.wait_listening(processes)
+        yield daemon
     finally:
         if process.returncode is None:
             process.send_signal(signal.SIGTERM)
         await process.communicate()
 
 
-def member(endpoint: Endpoint) -> str:
+def members_line(endpoint: Endpoint) -> str:
     return f'members = [{{id = "s-1", address = "127.0.0.1:{endpoint.port}"}}]\n'
 
 
-def held(release: asyncio.Event) -> Handler:
+def held_until(release: asyncio.Event) -> Handler:
+    """Return a handler that executes each request at once, and answers after `release`."""
+
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         endpoint.effects.execute(message)
         await release.wait()
@@ -243,71 +251,77 @@
     return handler
 
 
-def test_a_worker_killed_while_it_holds_paid_orders_loses_only_those_and_none_runs_twice(
-    tmp_path: Path,
-) -> None:
+def test_a_killed_worker_fails_only_its_open_orders_and_none_runs_twice(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Endpoint() as endpoint, asyncio.timeout(180), tier(tmp_path, member(endpoint)) as one:
+        async with (
+            Endpoint() as endpoint,
+            asyncio.timeout(180),
+            supervised_daemon(tmp_path, members_line(endpoint)) as daemon,
+        ):
             release = asyncio.Event()
-            endpoint.handler = held(release)
-            first = one.children()
-            asks = [asyncio.create_task(one.ask(f"h{n}")) for n in range(48)]
-            for _ in asks:
+            endpoint.handler = held_until(release)
+            first = daemon.worker_pids()
+            orders = [asyncio.create_task(daemon.send(f"h{n}")) for n in range(48)]
+            for _ in orders:
                 await endpoint.arrived.acquire()
             os.kill(first[0], signal.SIGKILL)
-            while first[0] in one.children() or len(one.children()) < 3:
+            while first[0] in daemon.worker_pids() or len(daemon.worker_pids()) < 3:
                 await asyncio.sleep(0)
-            await one.all_serve(3)
+            await daemon.wait_listening(3)
             release.set()
-            back = await asyncio.gather(*asks, return_exceptions=True)
-            assert set(map(str, back)) - {"200"} and back.count("200") >= 1
-            assert all(isinstance(one, (str, OSError, EOFError)) for one in back)
+            results = await asyncio.gather(*orders, return_exceptions=True)
+            assert set(map(str, results)) - {"200"} and results.count("200") >= 1
+            assert all(isinstance(result, (str, OSError, EOFError)) for result in results)
             assert set(endpoint.effects.by_id.values()) == {1} and len(endpoint.effects.by_id) == 48
-            assert await one.ask("after") == "200", "the place of the dead is taken"
+            assert await daemon.send("after") == "200", "the killed worker was replaced"
 
     run(main())
 
 
-def test_a_restart_goes_copy_by_copy_hands_the_list_on_and_loses_no_request(tmp_path: Path) -> None:
-    """The discovery says nothing more: the new processes can have the list only from the old."""
+def test_a_rolling_restart_passes_the_endpoint_list_on_and_loses_no_request(tmp_path: Path) -> None:
+    """Discovery sends the list once: the new processes can get it only from the old ones."""
 
     async def main() -> None:
         async with Endpoint() as endpoint, asyncio.timeout(180):
             registry = Registry()
             listener = await registry.start()
             source = f'discovery = "127.0.0.1:{registry.port}"\n'
-            async with tier(tmp_path, source) as one:
+            async with supervised_daemon(tmp_path, source) as daemon:
                 for _ in range(3):
                     _, watch = await registry.watches.get()
                     push(watch, 7, True, endpoint.entry("s-1"))
-                while await one.ask("first") != "200":
+                while await daemon.send("first") != "200":
                     pass
-                first = set(one.children())
-                one.process.send_signal(signal.SIGUSR2)
+                first = set(daemon.worker_pids())
+                daemon.process.send_signal(signal.SIGUSR2)
                 number = 0
-                starts: list[str] = []
-                while first & set(one.children()) or len(starts) < 3:
-                    assert await one.insist(f"r{number}") == "200"
+                targets: list[str] = []
+                while first & set(daemon.worker_pids()) or len(targets) < 3:
+                    assert await daemon.send_with_retries(f"r{number}") == "200"
                     number += 1
                     while not registry.watches.empty():
-                        starts.append(registry.watches.get_nowait()[0])
-                assert all("from=7" in start for start in starts), "they went on from the list's version"
+                        targets.append(registry.watches.get_nowait()[0])
+                assert all("from=7" in target for target in targets), "they watch from the list's generation"
                 listener.close()
-                assert not endpoint.effects.executed_twice(), one.noted
+                assert not endpoint.effects.executed_twice(), daemon.retried
                 assert number > 3
 
     run(main())
 
 
-def test_workers_end_with_their_supervisor(tmp_path: Path) -> None:
+def test_workers_exit_when_their_supervisor_is_killed(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Endpoint() as endpoint, asyncio.timeout(180), tier(tmp_path, member(endpoint), 2) as one:
-            children = one.children()
-            one.process.kill()
-            await one.process.wait()
+        async with (
+            Endpoint() as endpoint,
+            asyncio.timeout(180),
+            supervised_daemon(tmp_path, members_line(endpoint), 2) as daemon,
+        ):
+            worker_pids = daemon.worker_pids()
+            daemon.process.kill()
+            await daemon.process.wait()
             while any(
-                Path(f"/proc/{child}/cmdline").exists() and Path(f"/proc/{child}/cmdline").read_bytes()
-                for child in children
+                Path(f"/proc/{pid}/cmdline").exists() and Path(f"/proc/{pid}/cmdline").read_bytes()
+                for pid in worker_pids
             ):
                 await asyncio.sleep(0)
 
--- a/tests/upgrades.py
+++ b/tests/upgrades.py
@@ -1,4 +1,4 @@
-"""Daemons that follow each other at one address, with callers that go on meanwhile."""
+"""Daemons that replace each other at one address by hot restart, and clients that send meanwhile."""
 
 from __future__ import annotations
 
@@ -28,13 +28,14 @@
 
 
 class Version:
-    """One process, with its own second address."""
+    """A daemon process with its management address."""
 
     def __init__(self, process: Process, management_port: int) -> None:
         self.process = process
         self.management_port = management_port
 
     async def call(self, request_line: str) -> int:
+        """Send a request to the management address; return the status."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.management_port)
         writer.write(f"{request_line} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         try:
@@ -43,6 +44,7 @@
             writer.close()
 
     async def wait_ready(self) -> None:
+        """Wait until readiness is reported. AssertionError if the process exits instead."""
         while self.process.returncode is None:
             try:
                 if await self.call("GET /api/ready") == 200:
@@ -50,10 +52,10 @@
             except (OSError, asyncio.IncompleteReadError):
                 pass
             await asyncio.sleep(0)
-        raise AssertionError(f"it ended with {self.process.returncode}")
+        raise AssertionError(f"the process exited with {self.process.returncode}")
 
     async def stop(self) -> bytes:
-        """SIGTERM, to the end; what it logged."""
+        """Send SIGTERM and wait for the exit, status 0; return what was logged."""
         self.process.send_signal(signal.SIGTERM)
         _, errors = await self.process.communicate()
         assert self.process.returncode == 0, errors
@@ -61,8 +63,10 @@
 
 
 class Deployment:
-    """What the versions share: addresses, discovery, endpoints, `$TMPDIR`. All of it is up
-    while it is entered, and none of it outlives a test that failed."""
+    """What the versions share: client address, discovery, endpoints and `$TMPDIR`.
+
+    All of it, the processes included, ends with the block, also if the test fails.
+    """
 
     def __init__(self, folder: Path, *endpoints: Endpoint, **changes: Any) -> None:
         self.folder = folder
@@ -75,8 +79,8 @@
 
     async def __aenter__(self) -> Self:
         await self.stack.enter_async_context(asyncio.timeout(5 * TEST_TIMEOUT_S))
-        for listener in (self.registry, *self.endpoints):
-            await self.stack.enter_async_context(await listener.start())
+        for server in (self.registry, *self.endpoints):
+            await self.stack.enter_async_context(await server.start())
         environ = write_config(self.folder, self.registry, *self.endpoints, **self.changes)
         self.environ = {**environ, "LB_LISTEN": f"127.0.0.1:{self.port}", "TMPDIR": str(self.folder)}
         return self
@@ -91,56 +95,59 @@
         await self.stack.__aexit__(kind, error, trace)
 
     async def start(self, **environ: str) -> Version:
-        """A process that has only just been started."""
+        """Start a process; it may not be ready yet."""
         management_port = free_port()
-        told = {**self.environ, "LB_MANAGEMENT": f"127.0.0.1:{management_port}", **environ}
-        version = Version(await start_daemon(told), management_port)
+        environ = {**self.environ, "LB_MANAGEMENT": f"127.0.0.1:{management_port}", **environ}
+        version = Version(await start_daemon(environ), management_port)
         self.versions.append(version)
         return version
 
     async def start_ready(self) -> Version:
-        one = await self.start()
-        await one.wait_ready()
-        return one
+        """Start a process and wait until it is ready."""
+        version = await self.start()
+        await version.wait_ready()
+        return version
 
     async def send(self, raw: bytes) -> Any:
-        async with Caller("127.0.0.1", self.port) as caller:
-            return await caller.send(raw)
+        """Send a request on a new connection; return the response."""
+        async with Caller("127.0.0.1", self.port) as client:
+            return await client.send(raw)
 
 
 class Load:
-    """Callers of all kinds that ask until they are stopped, and what they met."""
+    """Clients that send requests of all classes until `stop`, and the counts of their outcomes."""
 
-    def __init__(self, port: int, callers: int = 12) -> None:
+    def __init__(self, port: int, client_count: int = 12) -> None:
         self.port = port
-        self.met: Counter[str] = Counter()
-        self.asked = 0
-        self.stopped = False
-        self.tasks = [asyncio.create_task(self._call(n)) for n in range(callers)]
-
-    async def _call(self, number: int) -> None:
-        caller = Caller("127.0.0.1", self.port)
-        while not self.stopped:
-            fresh = caller.streams is None
-            self.asked += 1
-            cls = ("page", "put", "pay")[self.asked % 3]
-            raw = request(cls, b"" if cls == "page" else b"body", rid=f"r{self.asked}", key=f"k{self.asked}")
+        self.outcomes: Counter[str] = Counter()
+        self.sent = 0
+        self.is_stopped = False
+        self.tasks = [asyncio.create_task(self._send_requests(n)) for n in range(client_count)]
+
+    async def _send_requests(self, number: int) -> None:
+        client = Caller("127.0.0.1", self.port)
+        while not self.is_stopped:
+            is_new = client.streams is None
+            self.sent += 1
+            cls = ("page", "put", "pay")[self.sent % 3]
+            raw = request(cls, b"" if cls == "page" else b"body", rid=f"r{self.sent}", key=f"k{self.sent}")
             if cls != "put":
-                raw = request(cls, b"" if cls == "page" else b"body", rid=f"r{self.asked}")
+                raw = request(cls, b"" if cls == "page" else b"body", rid=f"r{self.sent}")
             try:
-                self.met[str((await caller.send(raw)).status)] += 1
+                self.outcomes[str((await client.send(raw)).status)] += 1
             except (OSError, asyncio.IncompleteReadError) as error:
-                # On a kept connection its end may cross a request: it is asked once more.
-                self.met[type(error).__name__ if fresh else "crossed"] += 1
+                # A kept connection may be closed as a request is sent on it.
+                self.outcomes[type(error).__name__ if is_new else "closed while kept"] += 1
             if number % 3 == 0:
-                caller.close()
+                client.close()
             await asyncio.sleep(0.001 * (number % 4))
-        caller.close()
+        client.close()
 
     async def stop(self) -> Counter[str]:
-        self.stopped = True
+        """Stop sending; return how often each status or error was met."""
+        self.is_stopped = True
         await asyncio.gather(*self.tasks)
-        return self.met
+        return self.outcomes
 
 
 def kill(version: Version) -> None:
