--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -39,7 +39,7 @@
     "test_the_longest_idle_connection_is_evicted_first": _CONNECTIONS,
     "test_a_stopping_sidecar_keeps_no_idle_connection": (
         "SIGTERM belongs to the process; the library's close is tested by "
-        "test_closing_waits_for_what_was_taken_and_keeps_nothing"
+        "test_closing_finishes_open_requests_and_closes_all_connections"
     ),
     "test_readiness_does_not_wait_for_discovery": _PATHS,
     "test_sigterm_finishes_open_requests_and_exits": _PROCESS,
@@ -50,15 +50,15 @@
     "test_sighup_moves_the_watch_to_the_new_discovery_address": _PROCESS,
 }
 
-SEEN: set[tuple[str, str, str]] = set()
+SEEN: set[tuple[str, str, str]] = set()  # all collected cases, in the form of `case`
 
 
 def case(item: pytest.Item) -> tuple[str, str, str]:
     """The module, the test with its case, and the front of a test item."""
     assert isinstance(item, pytest.Function)
     name, _, ids = item.name.partition("[")
-    front, _, rest = ids[:-1].partition("-")
-    return item.module.__name__, f"{name}[{rest}]" if rest else name, front
+    front, _, case_id = ids[:-1].partition("-")
+    return item.module.__name__, f"{name}[{case_id}]" if case_id else name, front
 
 
 def is_shared(item: pytest.Item) -> bool:
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -1,4 +1,4 @@
-"""The middleware: what is balanced, what reaches the app, and hosts that misbehave."""
+"""The ASGI middleware: what is balanced, what reaches the app, and hosts that misbehave."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 async def app(scope: Scope, receive: Receive, send: Send) -> None:
-    """Says what reached it."""
+    """Answers with the path that reached it; has no lifespan."""
     if scope["type"] == "http":
         await send({"type": "http.response.start", "status": 200, "headers": []})
         await send({"type": "http.response.body", "body": f"app {scope['path']}".encode()})
@@ -38,24 +38,24 @@
 
 @dataclass
 class Host:
-    """A host server that does what the test says, one request at a time."""
+    """A host server for one scope: `receive` returns what the test has queued, `send` records."""
 
     sent: list[Message] = field(default_factory=list)
-    told: asyncio.Queue[Message] = field(default_factory=asyncio.Queue)
-    waits: int = 0  # how often `receive` was awaited
+    queued: asyncio.Queue[Message] = field(default_factory=asyncio.Queue)
+    receive_count: int = 0
 
     async def receive(self) -> Message:
-        self.waits += 1
-        return await self.told.get()
+        self.receive_count += 1
+        return await self.queued.get()
 
     async def send(self, message: Message) -> None:
         self.sent.append(message)
 
-    def body(self, part: bytes = b"", more: bool = False) -> None:
-        self.told.put_nowait({"type": "http.request", "body": part, "more_body": more})
+    def queue_body(self, part: bytes = b"", more: bool = False) -> None:
+        self.queued.put_nowait({"type": "http.request", "body": part, "more_body": more})
 
-    def disconnect(self) -> None:
-        self.told.put_nowait({"type": "http.disconnect"})
+    def queue_disconnect(self) -> None:
+        self.queued.put_nowait({"type": "http.disconnect"})
 
     @property
     def status(self) -> int:
@@ -78,17 +78,20 @@
 
 
 @contextlib.asynccontextmanager
-async def wrapped(*endpoints: Endpoint, **options: Any) -> AsyncIterator[tuple[BalancerMiddleware, Client]]:
+async def open_middleware(
+    *endpoints: Endpoint, **options: Any
+) -> AsyncIterator[tuple[BalancerMiddleware, Client]]:
+    """Run endpoints, an open client of them and a middleware that uses it."""
     async with contextlib.AsyncExitStack() as stack, asyncio.timeout(TEST_TIMEOUT_S):
         for endpoint in endpoints:
             await stack.enter_async_context(endpoint)
-        members = [member(one, f"s-{n}") for n, one in enumerate(endpoints)]
+        members = [member(endpoint, f"s-{n}") for n, endpoint in enumerate(endpoints)]
         before = asyncio.all_tasks()
         async with Client.open(config(), members) as client:
             yield BalancerMiddleware(app, client, **options), client
         assert not client._assembly.upstream.connections
-        left = {one for one in asyncio.all_tasks() - before if "testing" not in repr(one)}
-        assert not left, "no task is left behind"
+        leaked = {task for task in asyncio.all_tasks() - before if "testing" not in repr(task)}
+        assert not leaked, "a task outlives the client"
 
 
 def run(test: Any) -> None:
@@ -98,32 +101,32 @@
 # --- What is balanced --------------------------------------------------------------------
 
 
-def test_a_class_is_balanced_and_all_else_is_the_apps() -> None:
+def test_requests_of_a_class_are_balanced_and_others_reach_the_app() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with wrapped(endpoint) as (middleware, _):
+        async with open_middleware(endpoint) as (middleware, _):
             for path, body in (("/page", b"ok"), ("/pages", b"app /pages"), ("/", b"app /")):
                 host = Host()
-                host.body()
+                host.queue_body()
                 await middleware(http(path=path), host.receive, host.send)
                 assert host.sent[1]["body"] == body
-            (got,) = endpoint.requests
-            assert got.start_line == "GET /page?obj=7f HTTP/1.1"
+            (received,) = endpoint.requests
+            assert received.start_line == "GET /page?obj=7f HTTP/1.1"
 
     run(main())
 
 
-def test_the_prefix_is_the_hosts_own_and_is_not_passed_on() -> None:
+def test_the_prefix_is_required_and_not_forwarded() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with wrapped(endpoint, prefix="/albums") as (middleware, _):
+        async with open_middleware(endpoint, prefix="/albums") as (middleware, _):
             for path, body in (
                 ("/albums/page/7", b"ok"),
                 ("/page", b"app /page"),
                 ("/albumspage", b"app /albumspage"),
             ):
                 host = Host()
-                host.body()
+                host.queue_body()
                 await middleware(http(path=path), host.receive, host.send)
                 assert host.sent[1]["body"] == body
             assert endpoint.requests[0].start_line == "GET /page/7?obj=7f HTTP/1.1"
@@ -132,20 +135,20 @@
 
 
 @pytest.mark.parametrize("prefix", ["albums", "/albums/", "/"])
-def test_a_prefix_that_is_no_path_is_an_error(prefix: str) -> None:
+def test_an_invalid_prefix_raises(prefix: str) -> None:
     with pytest.raises(ValueError, match="invalid prefix"):
         BalancerMiddleware(app, Client.open(config()), prefix)
 
 
-def test_a_host_without_raw_paths_or_with_frames_of_its_own_is_served() -> None:
-    """HTTP/2 hosts have neither a length nor chunks to tell of."""
+def test_a_scope_without_raw_path_and_with_http_2_is_balanced() -> None:
+    """A request over HTTP/2 may have neither a length nor chunks."""
 
     async def main() -> None:
         endpoint = Endpoint()
-        async with wrapped(endpoint) as (middleware, _):
+        async with open_middleware(endpoint) as (middleware, _):
             host = Host()
-            host.body(b"a", more=True)
-            host.body(b"b")
+            host.queue_body(b"a", more=True)
+            host.queue_body(b"b")
             scope = http("pay", "POST", path="/pay", raw_path=None, http_version="2")
             scope["headers"] = scope["headers"][:-1]
             await middleware(scope, host.receive, host.send)
@@ -154,9 +157,9 @@
     run(main())
 
 
-def test_a_post_that_tells_no_length_gets_411() -> None:
+def test_a_post_without_a_length_gets_411() -> None:
     async def main() -> None:
-        async with wrapped(Endpoint()) as (middleware, _):
+        async with open_middleware(Endpoint()) as (middleware, _):
             host = Host()
             scope = http("pay", "POST")
             scope["headers"] = scope["headers"][:-1]
@@ -166,9 +169,9 @@
     run(main())
 
 
-def test_websockets_and_the_apps_own_lifespan_are_untouched() -> None:
+def test_websockets_and_the_lifespan_reach_the_app() -> None:
     async def main() -> None:
-        went: list[str] = []
+        events: list[str] = []
 
         async def socket(websocket: WebSocket) -> None:
             await websocket.accept()
@@ -176,21 +179,23 @@
             await websocket.close()
 
         @contextlib.asynccontextmanager
-        async def lifespan(of: Starlette) -> AsyncIterator[None]:
-            went.append(f"start {client.state.value}")
+        async def lifespan(app: Starlette) -> AsyncIterator[None]:
+            events.append(f"start {client.state.value}")
             yield
-            went.append(f"stop {client.state.value}")
+            events.append(f"stop {client.state.value}")
 
         client = Client.open(config(), [])
         inner = Starlette(routes=[WebSocketRoute("/page", socket)], lifespan=lifespan)
         middleware = BalancerMiddleware(inner, client)
         async with serve_app(middleware):
             host = Host()
-            host.told.put_nowait({"type": "websocket.connect"})
+            host.queued.put_nowait({"type": "websocket.connect"})
             scope = {**http(), "type": "websocket", "subprotocols": [], "extensions": {}}
             await middleware(scope, host.receive, host.send)
             assert host.sent[1] == {"type": "websocket.send", "text": "hello /page"}
-        assert went == ["start open", "stop closed"], "opened before the app, closed before it, drained"
+        assert events == ["start open", "stop closed"], (
+            "the client opens before the app starts, and closes before it stops"
+        )
 
     run(main())
 
@@ -198,21 +203,21 @@
 # --- Bodies ------------------------------------------------------------------------------
 
 
-def test_a_body_too_large_gets_413_without_being_read_whole() -> None:
+def test_a_body_that_is_too_large_gets_413_and_is_not_read_completely() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with wrapped(endpoint) as (middleware, client):
+        async with open_middleware(endpoint) as (middleware, client):
             host = Host()
             scope = http("pay", "POST")
             scope["headers"][-1] = (b"content-length", b"62914560")
             await middleware(scope, host.receive, host.send)
-            assert host.status == 413 and host.waits == 0, "judged by what it declares"
+            assert host.status == 413 and host.receive_count == 0, "rejected by its declared length"
             host = Host()
             scope["headers"][-1] = (b"transfer-encoding", b"chunked")
             for _ in range(10):
-                host.body(b"x" * 20_000, more=True)
+                host.queue_body(b"x" * 20_000, more=True)
             await middleware(scope, host.receive, host.send)
-            assert host.status == 413 and host.waits == 4, "or once it is too large"
+            assert host.status == 413 and host.receive_count == 4, "rejected once too much was read"
             assert not endpoint.requests and is_idle(client)
 
     run(main())
@@ -221,39 +226,39 @@
 def test_a_body_that_comes_too_slowly_gets_408() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with wrapped(endpoint, read_s=0.01) as (middleware, client):
+        async with open_middleware(endpoint, read_s=0.01) as (middleware, client):
             host = Host()
-            host.body(b"a", more=True)
+            host.queue_body(b"a", more=True)
             await middleware(http("pay", "POST"), host.receive, host.send)
             assert host.status == 408 and not endpoint.requests and is_idle(client)
 
     run(main())
 
 
-def test_one_that_leaves_before_its_request_is_whole_was_not_taken() -> None:
+def test_an_incomplete_request_of_a_disconnected_client_is_not_sent() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        async with wrapped(endpoint) as (middleware, client):
+        async with open_middleware(endpoint) as (middleware, client):
             host = Host()
-            host.body(b"a", more=True)
-            host.disconnect()
+            host.queue_body(b"a", more=True)
+            host.queue_disconnect()
             await middleware(http("pay", "POST"), host.receive, host.send)
             assert not host.sent and not endpoint.requests and client.engine.next_id == 0
 
     run(main())
 
 
-# --- Those that leave ---------------------------------------------------------------------
+# --- Disconnects --------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("how", ["disconnect", "cancel"])
-def test_an_order_whose_client_leaves_ends_as_gone(how: str) -> None:
+def test_an_order_whose_client_disconnects_ends_as_cancelled(how: str) -> None:
     async def main() -> None:
         endpoint = Endpoint(stall())
-        async with wrapped(endpoint) as (middleware, client):
-            told = record_outcomes(client.engine)
+        async with open_middleware(endpoint) as (middleware, client):
+            outcomes = record_outcomes(client.engine)
             host = Host()
-            host.body(b"sum")
+            host.queue_body(b"sum")
             task = asyncio.create_task(middleware(http("pay", "POST"), host.receive, host.send))
             await endpoint.arrived.acquire()
             if how == "cancel":
@@ -262,50 +267,53 @@
                     await task
                 assert task.cancelled()
             else:
-                host.disconnect()
+                host.queue_disconnect()
                 await task
-            assert [(one.outcome, one.is_final) for one in told] == [(CANCELLED, True)]
+            assert [(outcome.outcome, outcome.is_final) for outcome in outcomes] == [(CANCELLED, True)]
             await endpoint.closed.acquire()
             assert not host.sent and is_idle(client) and len(endpoint.requests) == 1
 
     run(main())
 
 
-def test_one_that_leaves_as_its_answer_comes_gets_one_answer() -> None:
+def test_a_client_that_disconnects_as_its_answer_arrives_gets_at_most_one() -> None:
     async def main() -> None:
         gate = asyncio.Event()
         endpoint = Endpoint(after(gate, serve()))
-        async with wrapped(endpoint) as (middleware, client):
+        async with open_middleware(endpoint) as (middleware, client):
             host = Host()
-            host.body(b"sum")
+            host.queue_body(b"sum")
             task = asyncio.create_task(middleware(http("pay", "POST"), host.receive, host.send))
             await endpoint.arrived.acquire()
             (exchange,) = client._exchanges
             gate.set()
             while not exchange.final_reply.done():
                 await asyncio.sleep(0)
-            host.disconnect()
+            host.queue_disconnect()
             await task
-            assert [one["type"] for one in host.sent] in ([], ["http.response.start", "http.response.body"])
+            assert [message["type"] for message in host.sent] in (
+                [],
+                ["http.response.start", "http.response.body"],
+            )
             assert is_idle(client) and len(endpoint.requests) == 1
 
     run(main())
 
 
-def test_a_host_that_never_reads_holds_up_neither_the_endpoint_nor_the_close() -> None:
+def test_a_host_that_blocks_in_send_delays_neither_the_endpoint_nor_close() -> None:
     async def main() -> None:
         endpoint = Endpoint()
-        stuck = asyncio.Event()
+        blocked = asyncio.Event()
 
-        async def never(message: Message) -> None:
-            stuck.set()
+        async def block(message: Message) -> None:
+            blocked.set()
             await asyncio.Event().wait()
 
-        async with wrapped(endpoint) as (middleware, client):
+        async with open_middleware(endpoint) as (middleware, client):
             host = Host()
-            host.body()
-            task = asyncio.create_task(middleware(http(), host.receive, never))
-            await stuck.wait()
+            host.queue_body()
+            task = asyncio.create_task(middleware(http(), host.receive, block))
+            await blocked.wait()
             assert is_idle(client) and len(client._assembly.upstream.idle_connections.waiting_since) == 1
             await client.close()
             task.cancel()
@@ -315,32 +323,32 @@
     run(main())
 
 
-def test_a_host_that_says_that_the_client_left_when_it_is_written_to() -> None:
+def test_an_os_error_in_send_is_taken_as_a_disconnect() -> None:
     async def main() -> None:
-        async def broken(message: Message) -> None:
-            raise OSError("gone")
+        async def fail(message: Message) -> None:
+            raise OSError("disconnected")
 
-        async with wrapped(Endpoint()) as (middleware, client):
+        async with open_middleware(Endpoint()) as (middleware, client):
             host = Host()
-            host.body()
-            await middleware(http(), host.receive, broken)
+            host.queue_body()
+            await middleware(http(), host.receive, fail)
             assert is_idle(client)
 
     run(main())
 
 
-def test_a_host_that_repeats_the_body_does_not_spin() -> None:
-    """`receive` should wait for the disconnect; some give an empty body again."""
+def test_a_host_that_repeats_the_body_causes_no_busy_loop() -> None:
+    """`receive` should wait for the disconnect; some hosts return an empty body again."""
 
     async def main() -> None:
         gate = asyncio.Event()
         endpoint = Endpoint(after(gate, serve()))
-        async with wrapped(endpoint) as (middleware, _):
-            waits = 0
+        async with open_middleware(endpoint) as (middleware, _):
+            receive_count = 0
 
             async def receive() -> Message:
-                nonlocal waits
-                waits += 1
+                nonlocal receive_count
+                receive_count += 1
                 return {"type": "http.request", "body": b"", "more_body": False}
 
             host = Host()
@@ -348,32 +356,32 @@
             await endpoint.arrived.acquire()
             gate.set()
             await task
-            assert host.status == 200 and waits == 2
+            assert host.status == 200 and receive_count == 2
 
     run(main())
 
 
-# --- The app and the life of the client -----------------------------------------------------
+# --- The app and the lifespan ---------------------------------------------------------------
 
 
-def test_exceptions_of_the_app_are_the_hosts() -> None:
+def test_exceptions_of_the_app_reach_the_host() -> None:
     async def main() -> None:
         async def broken(scope: Scope, receive: Receive, send: Send) -> None:
             raise RuntimeError("of the app")
 
-        async with wrapped(Endpoint()) as (_, client):
+        async with open_middleware(Endpoint()) as (_, client):
             middleware = BalancerMiddleware(broken, client)
             host = Host()
             with pytest.raises(RuntimeError, match="of the app"):
                 await middleware(http(path="/other"), host.receive, host.send)
-            host.body()
+            host.queue_body()
             await middleware(http(), host.receive, host.send)
             assert host.status == 200 and is_idle(client)
 
     run(main())
 
 
-def test_a_client_that_is_not_open_refuses_without_harm() -> None:
+def test_a_client_that_is_not_open_answers_503() -> None:
     async def main() -> None:
         middleware = BalancerMiddleware(app, Client.open(config(), []))
         host = Host()
@@ -383,30 +391,34 @@
     run(main())
 
 
-async def lifespan(of: BalancerMiddleware, *types: str) -> list[Message]:
+async def run_lifespan(middleware: BalancerMiddleware, *types: str) -> list[Message]:
+    """Send lifespan messages of these types; return what the middleware sent."""
     host = Host()
-    for one in types:
-        host.told.put_nowait({"type": f"lifespan.{one}"})
-    await of({"type": "lifespan", "asgi": {"version": "3.0"}}, host.receive, host.send)
+    for type_ in types:
+        host.queued.put_nowait({"type": f"lifespan.{type_}"})
+    await middleware({"type": "lifespan", "asgi": {"version": "3.0"}}, host.receive, host.send)
     return host.sent
 
 
-def test_an_app_without_a_lifespan_is_spoken_for() -> None:
+def test_the_lifespan_of_an_app_without_one_is_answered() -> None:
     async def main() -> None:
         client = Client.open(config(), [])
-        sent = await lifespan(BalancerMiddleware(app, client), "startup", "shutdown")
-        assert [one["type"] for one in sent] == ["lifespan.startup.complete", "lifespan.shutdown.complete"]
+        sent = await run_lifespan(BalancerMiddleware(app, client), "startup", "shutdown")
+        assert [message["type"] for message in sent] == [
+            "lifespan.startup.complete",
+            "lifespan.shutdown.complete",
+        ]
         assert client.state is ClientState.CLOSED
 
     run(main())
 
 
-def test_a_client_that_can_not_open_fails_the_start_once() -> None:
+def test_a_client_that_can_not_be_opened_fails_the_start_once() -> None:
     async def main() -> None:
         for inner in (app, Starlette()):
             client = Client.open(config(), [Member("s-1", "nowhere")])
-            sent = await lifespan(BalancerMiddleware(inner, client), "startup")
-            assert [one["type"] for one in sent] == ["lifespan.startup.failed"]
+            sent = await run_lifespan(BalancerMiddleware(inner, client), "startup")
+            assert [message["type"] for message in sent] == ["lifespan.startup.failed"]
             assert "malformed address" in sent[0]["message"] and client.state is ClientState.NEW
 
     run(main())
@@ -415,85 +427,85 @@
 def test_an_app_that_fails_its_start_closes_the_client() -> None:
     async def main() -> None:
         @contextlib.asynccontextmanager
-        async def broken(of: Starlette) -> AsyncIterator[None]:
+        async def broken(app: Starlette) -> AsyncIterator[None]:
             raise RuntimeError("no database")
             yield
 
         client = Client.open(config(), [])
         middleware = BalancerMiddleware(Starlette(lifespan=broken), client)
         with pytest.raises(RuntimeError, match="no database"):
-            await lifespan(middleware, "startup")
+            await run_lifespan(middleware, "startup")
         assert client.state is ClientState.CLOSED
 
     run(main())
 
 
-def test_a_client_that_is_open_already_is_left_to_its_owner() -> None:
+def test_a_client_that_was_open_before_is_left_open() -> None:
     async def main() -> None:
         async with Client.open(config(), []) as client:
-            await lifespan(BalancerMiddleware(app, client), "startup", "shutdown")
+            await run_lifespan(BalancerMiddleware(app, client), "startup", "shutdown")
             assert client.state is ClientState.OPEN
 
     run(main())
 
 
-def test_the_hosts_shutdown_drains_what_was_taken() -> None:
+def test_the_shutdown_finishes_open_requests() -> None:
     async def main() -> None:
         gate = asyncio.Event()
         async with Endpoint(after(gate, serve(b"late"))) as endpoint:
             client = Client.open(config(), [member(endpoint)])
             middleware = BalancerMiddleware(app, client)
-            life = Host()
-            life.told.put_nowait({"type": "lifespan.startup"})
+            lifespan_host = Host()
+            lifespan_host.queued.put_nowait({"type": "lifespan.startup"})
             scope = {"type": "lifespan", "asgi": {"version": "3.0"}}
-            living = asyncio.create_task(middleware(scope, life.receive, life.send))
-            while not life.sent:
+            lifespan_task = asyncio.create_task(middleware(scope, lifespan_host.receive, lifespan_host.send))
+            while not lifespan_host.sent:
                 await asyncio.sleep(0)
             host = Host()
-            host.body(b"sum")
-            asked = asyncio.create_task(middleware(http("pay", "POST"), host.receive, host.send))
+            host.queue_body(b"sum")
+            request_task = asyncio.create_task(middleware(http("pay", "POST"), host.receive, host.send))
             await endpoint.arrived.acquire()
-            life.told.put_nowait({"type": "lifespan.shutdown"})
+            lifespan_host.queued.put_nowait({"type": "lifespan.shutdown"})
             while client.state is not ClientState.CLOSING:
                 await asyncio.sleep(0)
             late = Host()
             await middleware(http(), late.receive, late.send)
-            assert late.status == 503 and len(life.sent) == 1
+            assert late.status == 503 and len(lifespan_host.sent) == 1
             gate.set()
-            await asyncio.gather(asked, living)
+            await asyncio.gather(request_task, lifespan_task)
             assert host.sent[1]["body"] == b"late" and host.headers[b"connection"] == b"close"
-            assert life.sent[1]["type"] == "lifespan.shutdown.complete"
+            assert lifespan_host.sent[1]["type"] == "lifespan.shutdown.complete"
 
     run(main())
 
 
-def test_a_host_with_a_loop_of_its_own_for_each_thread_has_a_client_for_each() -> None:
-    """A client of one loop, used from another, answers 503 and harms nothing."""
+def test_a_client_used_from_another_threads_event_loop_answers_503() -> None:
+    """The client stays usable on its own loop."""
 
     async def main() -> None:
-        async with wrapped(Endpoint()) as (middleware, client):
-            seen: list[int] = []
+        async with open_middleware(Endpoint()) as (middleware, client):
+            statuses: list[int] = []
 
-            def other() -> None:
+            def run_other_loop() -> None:
                 async def use() -> None:
                     host = Host()
                     await middleware(http(), host.receive, host.send)
-                    seen.append(host.status)
+                    statuses.append(host.status)
 
                 asyncio.run(use())
 
-            thread = threading.Thread(target=other)
+            thread = threading.Thread(target=run_other_loop)
             thread.start()
             thread.join()
-            assert seen == [503] and client.state is ClientState.OPEN
+            assert statuses == [503] and client.state is ClientState.OPEN
             with pytest.raises(ClientError):
                 await asyncio.to_thread(lambda: asyncio.run(client.close()))
 
     run(main())
 
 
-def test_it_stands_in_a_starlette_app_beside_its_routes() -> None:
-    """As the kiosk would use it, on sockets."""
+def test_the_middleware_works_in_a_starlette_app_with_routes() -> None:
+    """On sockets, with a prefix beside the app's routes."""
 
     async def main() -> None:
         async def home(request: HttpRequest) -> PlainTextResponse:
@@ -520,21 +532,21 @@
     run(main())
 
 
-def test_a_request_is_freed_without_the_collector() -> None:
+def test_a_request_is_freed_without_the_garbage_collector() -> None:
     async def main() -> None:
         endpoint = Endpoint(stall())
-        async with wrapped(endpoint) as (middleware, _):
+        async with open_middleware(endpoint) as (middleware, _):
             gc.collect()
             gc.disable()
             try:
                 host = Host()
-                host.body(b"sum")
+                host.queue_body(b"sum")
                 task = asyncio.create_task(middleware(http("pay", "POST"), host.receive, host.send))
                 await endpoint.arrived.acquire()
-                host.disconnect()
+                host.queue_disconnect()
                 await task
                 del task
-                assert not any(type(one) is Exchange for one in gc.get_objects())
+                assert not any(type(value) is Exchange for value in gc.get_objects())
             finally:
                 gc.enable()
 
