--- a/tests/maintenance.py
+++ b/tests/maintenance.py
@@ -40,19 +40,19 @@
 
 
 def listed_entry(
-    machine_id: str, zone: str = "a", phase: str = "ready", started_ms: int = 1000, **more: Any
+    machine_id: str, zone: str = "a", phase: str = "ready", started_ms: int = 1000, **fields: Any
 ) -> dict[str, Any]:
     return {
         "instanceId": machine_id, "hostPort": f"127.0.0.1:{9000 + endpoint_number_of(machine_id) % 999}",
         "zone": zone, "machineType": "small", "cell": 1, "lifecycle": phase, "weight": 1.0,
-        "startedAtMs": started_ms, **more,
+        "startedAtMs": started_ms, **fields,
     }  # fmt: skip
 
 
 def request_for(
-    name: str = "w", out: int = 1, per: str = "tier", share: float = 0.0, **more: Any
+    name: str = "w", out: int = 1, per: str = "tier", share: float = 0.0, **fields: Any
 ) -> MaintenanceRequest:
-    return MaintenanceRequest(name, DisruptionLimits(out, per, share), **more)  # type: ignore[arg-type]
+    return MaintenanceRequest(name, DisruptionLimits(out, per, share), **fields)  # type: ignore[arg-type]
 
 
 class FakeEngine:
