--- a/tests/player.py
+++ b/tests/player.py
@@ -33,7 +33,7 @@
     for name, *arguments in steps:
         if name == "members":
             mode, listed = arguments
-            checker.members(mode, [entry(*one) for one in listed])
+            checker.members(mode, [entry(*fields) for fields in listed])
         else:
             getattr(checker, name)(*arguments)
     return [
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -1,4 +1,4 @@
-"""A reload at the instant in which a process starts: what SIGHUP told of must hold in the end."""
+"""Reloads while a process starts: a change announced by SIGHUP must take effect in the end."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
     write_config,
 )
 
-# The daemon, held by its script until a line comes on its standard input: before the first of its
-# longer imports, when it has read nothing, or once it has read its configuration.
-HELD = """
+# A daemon that pauses until it reads a line from standard input: before the first of its longer imports, when
+# it has read no configuration, or right after it has read its configuration.
+PAUSED_DAEMON = """
 import runpy, sys
 import laurelstep.settings.platform as platform
 
@@ -58,29 +58,29 @@
 """
 
 
-async def held(environ: dict[str, str], at: str) -> asyncio.subprocess.Process:
-    """A daemon that has come so far, and has not gone on."""
+async def start_paused(environ: dict[str, str], stage: str) -> asyncio.subprocess.Process:
+    """Start a daemon that pauses at the stage "import" or "read", and wait until it has."""
     pipe = asyncio.subprocess.PIPE
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-c", HELD, at, env=environ, stdin=pipe, stdout=pipe, stderr=pipe
+        sys.executable, "-c", PAUSED_DAEMON, stage, env=environ, stdin=pipe, stdout=pipe, stderr=pipe
     )
     assert process.stdout is not None
     assert await process.stdout.readline() == b".\n"
     return process
 
 
-@pytest.mark.parametrize("at", ["import", "read"])
-def test_a_sighup_in_the_middle_of_a_start_neither_ends_it_nor_is_lost(tmp_path: Path, at: str) -> None:
+@pytest.mark.parametrize("stage", ["import", "read"])
+def test_a_sighup_during_a_start_neither_ends_the_process_nor_is_lost(tmp_path: Path, stage: str) -> None:
     async def main() -> None:
         old, new = Registry(), Registry()
         async with asyncio.timeout(60), await old.start(), await new.start():
             environ = {**write_config(tmp_path, old), "LB_LISTEN": f"127.0.0.1:{free_port()}"}
             environ["LB_DISCOVERY"] = f"127.0.0.1:{old.port}"
             environ["PYTHONPATH"] = os.getcwd()
-            process = await held(environ, at)
-            file = Path(environ["LB_CONFIG"])
-            file.write_text(
-                json.dumps({**json.loads(file.read_text()), "discovery": f"127.0.0.1:{new.port}"})
+            process = await start_paused(environ, stage)
+            path = Path(environ["LB_CONFIG"])
+            path.write_text(
+                json.dumps({**json.loads(path.read_text()), "discovery": f"127.0.0.1:{new.port}"})
             )
             process.send_signal(signal.SIGHUP)
             assert process.stdin is not None
@@ -94,15 +94,15 @@
     run(main())
 
 
-def test_what_a_reload_does_not_take_is_one_line_that_names_it(tmp_path: Path) -> None:
+def test_a_reload_logs_one_line_with_the_keys_it_does_not_apply(tmp_path: Path) -> None:
     async def main() -> None:
         old, new = Registry(), Registry()
         async with asyncio.timeout(60), await old.start(), await new.start():
             environ = {**write_config(tmp_path, old), "LB_LISTEN": f"127.0.0.1:{free_port()}"}
             process = await start_daemon(environ)
             await old.watches.get()
-            file = Path(environ["LB_CONFIG"])
-            raw = json.loads(file.read_text())
+            path = Path(environ["LB_CONFIG"])
+            raw = json.loads(path.read_text())
             first, *rest = raw["settings"]["classes"]
             first = {**first, "name": "view", "deadline-us": 3_000_000}
             raw["settings"] = {
@@ -111,7 +111,7 @@
                 "invariants": {"drain-grace-us": 250_000},
             }
             raw = {**raw, "discovery": f"127.0.0.1:{new.port}", "limits": {"sockets": 512}, "seed": "77"}
-            file.write_text(json.dumps(raw))
+            path.write_text(json.dumps(raw))
             _, writer = await connect_until_up(int(environ["LB_LISTEN"].rpartition(":")[2]))
             writer.close()
             process.send_signal(signal.SIGHUP)
@@ -131,40 +131,42 @@
 
 
 @dataclass(eq=False)
-class Unwell(Listener):
-    """A discovery that accepts, writes this and nothing more; or that resets where there is nothing."""
+class FaultyDiscovery(Listener):
+    """A discovery service that accepts connections, writes `output` and nothing more; None resets them."""
 
-    says: bytes | None = None
+    output: bytes | None = None
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
-        if self.says is None:
+        if self.output is None:
             writer.transport.abort()
             return
-        writer.write(self.says)
+        writer.write(self.output)
         await reader.read()
         writer.close()
 
 
-UNWELL = {
+FAULTS = {
     "refuses": None,
-    "resets": Unwell(),
-    "silent": Unwell(says=b""),
-    "half-a-head": Unwell(says=b"HTTP/1.1 200 OK\r\nTransfer-"),
-    "head-only": Unwell(says=b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"),
-    "unavailable": Unwell(says=b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
+    "resets": FaultyDiscovery(),
+    "silent": FaultyDiscovery(output=b""),
+    "half-a-head": FaultyDiscovery(output=b"HTTP/1.1 200 OK\r\nTransfer-"),
+    "head-only": FaultyDiscovery(output=b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"),
+    "unavailable": FaultyDiscovery(output=b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
 }
 
 
-@pytest.mark.parametrize("how", UNWELL)
-def test_a_start_waits_for_no_discovery_and_takes_its_list_once_it_is_well(tmp_path: Path, how: str) -> None:
-    """Ready, and served by the list that it was started with; then by the list that comes."""
+@pytest.mark.parametrize("fault", FAULTS)
+def test_a_start_does_not_wait_for_discovery_and_uses_its_list_once_it_recovers(
+    tmp_path: Path, fault: str
+) -> None:
+    """The process is ready and serves with the list of its configuration, later with that of discovery."""
 
     async def main() -> None:
         known, listed, registry = Endpoint(), Endpoint(), Registry()
-        unwell, at, port = UNWELL[how], free_port(), free_port()
-        registry.port = at
+        faulty, discovery_port, port = FAULTS[fault], free_port(), free_port()
+        registry.port = discovery_port
         async with await known.start(), await listed.start():
-            listener = await unwell.start(at) if unwell is not None else None
+            listener = await faulty.start(discovery_port) if faulty is not None else None
             process = await start_daemon(
                 {**write_config(tmp_path, registry, known), "LB_LISTEN": f"127.0.0.1:{port}"}
             )
@@ -175,7 +177,7 @@
             assert (await read_message(reader)).body == b"ok" and len(known.requests) == 1
             if listener is not None:
                 listener.close()
-            async with await registry.start(at):
+            async with await registry.start(discovery_port):
                 _, watch = await registry.watches.get()
                 push(watch, 7, True, listed.entry("s-9"))
                 while not listed.requests:
--- a/tests/test_crossings_settings.py
+++ b/tests/test_crossings_settings.py
@@ -1,4 +1,4 @@
-"""Settings that contradict themselves end a start with key and remedy; what the pages allow never does."""
+"""Contradictory settings end a start with an error that names the key; documented values never do."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 from tests.sockets import SETTINGS
 
-FIRST = SETTINGS["classes"][0]
+PAGE = SETTINGS["classes"][0]
 
 
-def given(**changes: Any) -> dict[str, Any]:
+def changed(**changes: Any) -> dict[str, Any]:
     return {"seed": "1", "settings": {**SETTINGS, **changes}}
 
 
@@ -22,30 +22,30 @@
         ([], "settings.classes: expected at least one class"),
         (None, "settings.classes: expected at least one class"),
         (
-            [{**FIRST, "repeat": "often"}],
+            [{**PAGE, "repeat": "often"}],
             "settings.classes[0].repeat: page: expected one of retryable, dedup, fragile",
         ),
-        ([{**FIRST, "repeat": None}], "settings.classes[0].repeat: page: expected one of retryable"),
+        ([{**PAGE, "repeat": None}], "settings.classes[0].repeat: page: expected one of retryable"),
         (
-            [{**FIRST, "repeat": "dedup", "dedup-scope": "rack"}],
+            [{**PAGE, "repeat": "dedup", "dedup-scope": "rack"}],
             "settings.classes[0].dedup-scope: page: expected one of all, zone, cell",
         ),
-        ([FIRST, FIRST], "settings.classes[1].name: expected each name once, got page again"),
+        ([PAGE, PAGE], "settings.classes[1].name: expected each name once, got page again"),
         (
-            [{**FIRST, "deadline-us": 0}],
+            [{**PAGE, "deadline-us": 0}],
             "settings.classes[0].deadline-us: page: expected microseconds above 0, got 0",
         ),
         (
-            [{**FIRST, "aim-us": -1}],
+            [{**PAGE, "aim-us": -1}],
             "settings.classes[0].aim-us: page: expected microseconds, got -1",
         ),
-        ([{**FIRST, "name": None}], "settings.classes[0].name: expected a name"),
+        ([{**PAGE, "name": None}], "settings.classes[0].name: expected a name"),
     ],
 )
-def test_a_contradiction_is_one_line_with_key_and_remedy(classes: Any, expected: str) -> None:
-    with pytest.raises(ConfigError) as told:
-        config_from(given(classes=classes), "config.json")
-    assert str(told.value).startswith(f"config.json: {expected}") and "\n" not in str(told.value)
+def test_contradictory_classes_are_one_line_with_key_and_expectation(classes: Any, expected: str) -> None:
+    with pytest.raises(ConfigError) as error:
+        config_from(changed(classes=classes), "config.json")
+    assert str(error.value).startswith(f"config.json: {expected}") and "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize(
@@ -53,13 +53,13 @@
     [
         {"accounts": None, "zones": None, "kinds": None, "ceilings": None, "invariants": None, "goal": None},
         {"load-report": None, "prices": None, "family-info": {"warm-keys": None}, "clients": None},
-        {"classes": [{**FIRST, "points": None, "dedup-scope": None, "late-worth": None, "new": 1}]},
-        {"classes": [{**FIRST, "aim-us": FIRST["deadline-us"]}]},
-        {"classes": [{**FIRST, "aim-us": FIRST["deadline-us"] + 1}]},
-        {"classes": [{**FIRST, "dedup-scope": "none", "aim-us": 0}]},
+        {"classes": [{**PAGE, "points": None, "dedup-scope": None, "late-worth": None, "new": 1}]},
+        {"classes": [{**PAGE, "aim-us": PAGE["deadline-us"]}]},
+        {"classes": [{**PAGE, "aim-us": PAGE["deadline-us"] + 1}]},
+        {"classes": [{**PAGE, "dedup-scope": "none", "aim-us": 0}]},
         {"zones": ["only"], "locality": 0, "unknown-key": {"a": [1]}},
         {"ceilings": {"max-attempts": None, "conn-idle-us": None}, "invariants": {"drain-grace-us": 250_000}},
     ],
 )
-def test_what_the_pages_allow_starts(changes: dict[str, Any]) -> None:
-    assert config_from({**given(**changes), "limits": {"sockets": None}}, "config.json").settings.classes
+def test_documented_settings_are_accepted(changes: dict[str, Any]) -> None:
+    assert config_from({**changed(**changes), "limits": {"sockets": None}}, "config.json").settings.classes
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -50,8 +50,8 @@
 HEALTH = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-def call(words: str, headers: str = "", body: bytes = b"") -> bytes:
-    return f"{words} HTTP/1.1\r\nHost: x\r\n{headers}\r\n".encode() + body
+def call(method_and_path: str, headers: str = "", body: bytes = b"") -> bytes:
+    return f"{method_and_path} HTTP/1.1\r\nHost: x\r\n{headers}\r\n".encode() + body
 
 
 class ManagedSidecar:
@@ -73,8 +73,8 @@
         writer.close()
         return message
 
-    async def call(self, words: str) -> int:
-        return (await self.send(call(words))).status
+    async def call(self, method_and_path: str) -> int:
+        return (await self.send(call(method_and_path))).status
 
     async def metrics(self) -> dict[str, int]:
         text = (await self.send(call("GET /api/telemetry"))).body.decode()
@@ -152,13 +152,13 @@
 def test_incomplete_calls_are_bounded_and_do_not_delay_others() -> None:
     async def main() -> None:
         async with managed_sidecar() as managed:
-            stuck = [await managed.connect() for _ in range(2 * MAX_CONNECTIONS)]
-            for _, writer in stuck[::2]:
+            incomplete = [await managed.connect() for _ in range(2 * MAX_CONNECTIONS)]
+            for _, writer in incomplete[::2]:
                 writer.write(b"G")
             assert await managed.call("GET /api/ready") == 200
             assert len(managed.management.connections.waiting_since) <= MAX_CONNECTIONS
-            assert await stuck[0][0].read() == b"", "above the limit the oldest is closed"
-            for _, writer in stuck:
+            assert await incomplete[0][0].read() == b"", "above the limit the oldest is closed"
+            for _, writer in incomplete:
                 writer.close()
 
     run(main())
@@ -373,12 +373,12 @@
                 "LB_MANAGEMENT": f"127.0.0.1:{second}",
             }
             process = await start_daemon(environ)
-            for words, status in (("POST /api/evacuate", 200), ("GET /api/ready", 503)):
+            for method_and_path, status in (("POST /api/evacuate", 200), ("GET /api/ready", 503)):
                 reader, writer = await connect_until_up(second)
-                if words.startswith("POST"):
+                if method_and_path.startswith("POST"):
                     _, client = await connect_until_up(port)  # clients are accepted by now
                     client.close()
-                writer.write(call(words))
+                writer.write(call(method_and_path))
                 assert (await read_message(reader)).status == status
                 writer.close()
             process.send_signal(signal.SIGTERM)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Both forms of a configuration: what they give, and the one line for what can't be used."""
+"""Both formats of a configuration: the resulting settings, and the one-line error for an invalid one."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 
 from tests.sockets import SETTINGS
 
-SHOWN = ("link", "store_path", "heartbeat_ms", "election_ms", "drift")  # with their defaults
+# Keys of [accord] that the shipped file shows with their defaults.
+SHOWN = ("link", "store_path", "heartbeat_ms", "election_ms", "drift")
 ROOT = Path(__file__).parent.parent
 CLASS = """
 [[deployment.classes]]
@@ -28,7 +29,7 @@
 aim_ms = 500
 deadline_ms = 2000
 """
-WHOLE = """
+ALL_KEYS = """
 [deployment]
 listen = "127.0.0.1:7070"
 discovery = "127.0.0.1:8500"
@@ -63,8 +64,8 @@
     return str(path)
 
 
-def test_the_operators_form_says_all_that_the_platforms_does(tmp_path: Path) -> None:
-    config = read_file(write_file(tmp_path, WHOLE))
+def test_the_operators_format_expresses_all_that_the_platforms_does(tmp_path: Path) -> None:
+    config = read_file(write_file(tmp_path, ALL_KEYS))
     settings = config.settings
     assert (config.listen, config.discovery, config.seed) == (("127.0.0.1", 7070), "127.0.0.1:8500", 0x8C1F)
     assert (config.sockets, config.drain_grace_us, config.known) == (256, 250_000, None)
@@ -75,18 +76,18 @@
     assert settings.second_copies and settings.can_cancel and settings.retry_after
     assert (settings.cold_share, settings.cold_us, settings.tenants) == (0.13, 23_000_000, (20.0,))
     assert settings.report_fields == ("waiting", "served_rate")
-    assert config.names.parse_load_report(b"qps=9,queue=2") == [2.0, 9.0], "by the names on the sockets"
+    assert config.names.parse_load_report(b"qps=9,queue=2") == [2.0, 9.0], "named as on the sockets"
     assert config.names.zones == {"a": 0, "b": 1} and config.names.tenants == {"acme": 0}
 
 
-def test_members_and_effects_of_the_example() -> None:
+def test_the_example_has_members_and_all_effects() -> None:
     config = read_file(str(ROOT / "deploy" / "kiosk.toml"))
-    assert [one.effect for one in config.settings.classes] == [SAFE, KEYED, UNSAFE]
+    assert [cls.effect for cls in config.settings.classes] == [SAFE, KEYED, UNSAFE]
     assert config.known is not None and len(config.known["instances"]) == 2
     assert config.listen is None and config.discovery is None
 
 
-def test_absent_seeds_are_new_with_each_start(tmp_path: Path) -> None:
+def test_without_a_seed_each_start_uses_a_new_one(tmp_path: Path) -> None:
     path = write_file(tmp_path, "[deployment]\n" + CLASS)
     assert read_file(path).seed != read_file(path).seed
 
@@ -126,13 +127,13 @@
         ("[deployment", "TOMLDecodeError"),
     ],
 )  # fmt: skip
-def test_what_can_not_be_used_is_one_line_that_names_file_and_key(
+def test_an_invalid_file_is_one_line_that_names_file_and_key(
     tmp_path: Path, capfd: pytest.CaptureFixture[str], text: str, expected: str
 ) -> None:
     path = write_file(tmp_path, text)
-    with pytest.raises(ConfigError) as told:
+    with pytest.raises(ConfigError) as error:
         read_operator(path)
-    assert str(told.value).startswith(f"{path}: ") and expected in str(told.value)
+    assert str(error.value).startswith(f"{path}: ") and expected in str(error.value)
     assert main(["check", path]) == 2
     out, errors = capfd.readouterr()
     assert not out and errors.count("\n") == 1 and expected in errors
@@ -157,7 +158,7 @@
         (platform_json(seed="xyz"), "ValueError"),
     ],
 )
-def test_the_platforms_form_is_checked_by_the_same_word(
+def test_the_check_command_also_validates_the_platforms_format(
     tmp_path: Path, capfd: pytest.CaptureFixture[str], text: str, expected: str
 ) -> None:
     path = write_file(tmp_path, text, "config.json")
@@ -169,7 +170,7 @@
         Client.open(path)
 
 
-def test_a_daemon_needs_to_be_told_where_to_listen(tmp_path: Path) -> None:
+def test_a_daemon_requires_listen_and_discovery(tmp_path: Path) -> None:
     path = write_file(tmp_path, "[deployment]\n" + CLASS)
     with pytest.raises(ConfigError, match=r"deployment\.listen: expected host:port for a daemon"):
         read_config({"LB_OPERATOR": path})
@@ -179,7 +180,7 @@
     assert read_platform({"LB_CONFIG": path, "LB_DISCOVERY": "127.0.0.1:9"}).discovery == "127.0.0.1:9"
 
 
-def test_the_platforms_deployment_is_not_contradicted(tmp_path: Path) -> None:
+def test_a_deployment_table_is_rejected_on_the_platform(tmp_path: Path) -> None:
     json_path = write_file(tmp_path, platform_json(), "config.json")
     path = write_file(tmp_path, "[deployment]\n" + CLASS)
     with pytest.raises(ConfigError, match="deployment: expected none where LB_CONFIG is set"):
@@ -188,72 +189,72 @@
     assert read_config({"LB_OPERATOR": path, "LB_CONFIG": json_path}).listen == ("127.0.0.1", 1)
 
 
-def test_the_file_that_is_shipped_switches_nothing_on() -> None:
+def test_the_shipped_file_switches_nothing_on() -> None:
     assert read_operator(str(ROOT / "deploy" / "operator.toml")) == OperatorFile()
 
 
-def test_the_file_that_is_shipped_shows_every_key_with_its_default() -> None:
-    """Its comments, taken away, are a file that can be read and says nothing new."""
+def test_the_shipped_file_shows_every_key_with_its_default() -> None:
+    """With its lines uncommented, the file is valid, contains every key and changes no default."""
     lines = (ROOT / "deploy" / "operator.toml").read_text().splitlines()
     _, _, rest = "\n".join(lines).partition("# [deployment]")
-    shown = re.sub(r"^# ?", "", "# [deployment]" + rest, flags=re.M)
-    text = "\n".join(one for one in shown.splitlines() if re.match(r"\[|[a-z_]+ = ", one))
-    whole = tomllib.loads(text)
-    raw = whole["deployment"]
+    uncommented = re.sub(r"^# ?", "", "# [deployment]" + rest, flags=re.M)
+    text = "\n".join(line for line in uncommented.splitlines() if re.match(r"\[|[a-z_]+ = ", line))
+    tables = tomllib.loads(text)
+    raw = tables["deployment"]
     from laurelstep.settings import operator
 
-    for table, given in (
+    for table, shown in (
         (operator.Deployment, raw),
         (operator.RequestClass, raw["classes"][0]),
         (operator.Tenant, raw["tenants"][0]),
         (operator.Member, raw["members"][0]),
-        (operator.OrdersTable, whole["orders"]),
-        (operator.RecordedClass, whole["orders"]["classes"][0]),
-        (operator.WorkersTable, whole["workers"]),
-        (operator.AccordTable, whole["accord"]),
-        (operator.MaintenanceTable, whole["upkeep"]),
+        (operator.OrdersTable, tables["orders"]),
+        (operator.RecordedClass, tables["orders"]["classes"][0]),
+        (operator.WorkersTable, tables["workers"]),
+        (operator.AccordTable, tables["accord"]),
+        (operator.MaintenanceTable, tables["upkeep"]),
     ):
         fields = {name: getattr(table, name, None) for name in table.__struct_fields__}
-        missing = set(fields) - set(given)
+        missing = set(fields) - set(shown)
         assert not missing, f"{table.__name__}: {missing} is not shown"
-    assert operator.AccordTable(**{k: v for k, v in whole["accord"].items() if k in SHOWN}) == AccordTable()
-    assert operator.MaintenanceTable(**whole["upkeep"]) == operator.MaintenanceTable()
-    plain = operator.Deployment(classes=())
+    assert operator.AccordTable(**{k: v for k, v in tables["accord"].items() if k in SHOWN}) == AccordTable()
+    assert operator.MaintenanceTable(**tables["upkeep"]) == operator.MaintenanceTable()
+    defaults = operator.Deployment(classes=())
     for key, value in raw.items():
         if key not in ("listen", "discovery", "seed", "classes", "tenants", "members"):
-            default = getattr(plain, key)
+            default = getattr(defaults, key)
             assert (list(default) if isinstance(default, tuple) else default) == value, key
 
 
-# --- What the copies of a tier share, and what rests on it --------------------------------
+# --- Consensus and the subsystems that depend on it ---------------------------------------
 
 PEERS = ("127.0.0.1:7946", "127.0.0.1:7947", "127.0.0.1:7948")
 ACCORD = "[accord]\npeers = ['127.0.0.1:7946', '127.0.0.1:7947', '127.0.0.1:7948']\n"
 UNIX = "[accord]\nlink = 'unix'\npeers = ['/run/a', '/run/b', '/run/c']\n"
 
 
-def test_consensus_and_maintenance_as_the_operator_tells_of_them(tmp_path: Path) -> None:
+def test_the_operators_file_configures_consensus_and_maintenance(tmp_path: Path) -> None:
     text = (
         "[deployment]\ncopy = 1\ncopies = 3\n"
         + CLASS
         + ACCORD
         + "heartbeat_ms = 100\n[upkeep]\nlearn_ms = 70"
     )
-    found = read_file(write_file(tmp_path, text))
-    assert found.accord == ConsensusSettings(PEERS, PEERS[1], 1, seats=3, heartbeat_us=100_000)
-    assert found.maintenance == MaintenanceSettings(learn_us=70_000)
+    config = read_file(write_file(tmp_path, text))
+    assert config.accord == ConsensusSettings(PEERS, PEERS[1], 1, seats=3, heartbeat_us=100_000)
+    assert config.maintenance == MaintenanceSettings(learn_us=70_000)
     unix = read_file(write_file(tmp_path, "[deployment]\n" + CLASS + UNIX + "me = 2\nseats = 1"))
     assert unix.accord == ConsensusSettings(("/run/a", "/run/b", "/run/c"), "/run/c", 2, "unix")
     assert unix.maintenance is None
 
 
-def test_off_there_is_nothing_of_them(tmp_path: Path) -> None:
-    found = read_file(write_file(tmp_path, "[deployment]\n" + CLASS))
-    assert found.accord is None and found.maintenance is None
+def test_without_their_tables_consensus_and_maintenance_are_off(tmp_path: Path) -> None:
+    config = read_file(write_file(tmp_path, "[deployment]\n" + CLASS))
+    assert config.accord is None and config.maintenance is None
 
 
 @pytest.mark.parametrize(("peers", "seats"), [(1, 1), (2, 1), (3, 3), (4, 3), (5, 5), (6, 5), (200, 5)])
-def test_as_many_seats_as_can_be_unless_told(peers: int, seats: int) -> None:
+def test_the_default_number_of_seats(peers: int, seats: int) -> None:
     assert default_voter_count(peers) == seats
 
 
@@ -287,7 +288,7 @@
         (ACCORD + "[upkeep]\nstart_alone = 'ask'", "upkeep.start_alone: expected one of wait, serve, got"),
     ],
 )  # fmt: skip
-def test_what_the_copies_share_can_not_be_told_wrong(
+def test_invalid_consensus_and_maintenance_tables_are_one_line(
     tmp_path: Path, capfd: pytest.CaptureFixture[str], text: str, expected: str
 ) -> None:
     path = write_file(tmp_path, "[deployment]\nlisten = '127.0.0.1:7070'\n" + CLASS + text)
@@ -298,23 +299,24 @@
         read_config({"LB_OPERATOR": path})
 
 
-def joined(folder: Path, text: str, **changes: Any) -> ConsensusSettings | None:
-    told = {"peer_listen": "127.0.0.1:9", "peers": list(PEERS), **changes}
-    raw = {"settings": {**SETTINGS, "me": 2}, **told}
+def extended_accord(folder: Path, text: str, **changes: Any) -> ConsensusSettings | None:
+    """The consensus settings from this operator's file and a platform's file with `changes` to its peers."""
+    peer_keys = {"peer_listen": "127.0.0.1:9", "peers": list(PEERS), **changes}
+    raw = {"settings": {**SETTINGS, "me": 2}, **peer_keys}
     json_path = write_file(folder, platform_json(**raw), "config.json")
     return read_config({"LB_OPERATOR": write_file(folder, text), "LB_CONFIG": json_path}).accord
 
 
-def test_the_platform_tells_of_peers_where_it_is_there(tmp_path: Path) -> None:
-    found = joined(tmp_path, "[accord]\nseats = 1")
-    # Behind a relay the others see it at another address than it binds.
-    assert found == ConsensusSettings(PEERS, "127.0.0.1:9", 2)
+def test_on_the_platform_the_peers_come_from_its_file(tmp_path: Path) -> None:
+    accord = extended_accord(tmp_path, "[accord]\nseats = 1")
+    # Behind a relay, the other copies see it at another address than the one it binds.
+    assert accord == ConsensusSettings(PEERS, "127.0.0.1:9", 2)
     for key, value in (("peers", None), ("peers", []), ("peer_listen", None)):
-        unlinked = joined(tmp_path, "[accord]", **{key: value})
-        assert unlinked is not None and not unlinked.has_peers
-    unix = joined(tmp_path, UNIX)
+        without_peers = extended_accord(tmp_path, "[accord]", **{key: value})
+        assert without_peers is not None and not without_peers.has_peers
+    unix = extended_accord(tmp_path, UNIX)
     assert unix is not None and (unix.listen, unix.me) == ("/run/c", 2)
-    assert joined(tmp_path, "") is None, "what the platform allows is not yet wanted"
+    assert extended_accord(tmp_path, "") is None, "the platform sets peers, but consensus is not switched on"
 
 
 @pytest.mark.parametrize(
@@ -333,15 +335,15 @@
         ("[accord]", {"peer_listen": 7}, "config.json: peer_listen: expected host:port, got 7"),
     ],
 )  # fmt: skip
-def test_platform_and_operator_do_not_contradict_each_other(
+def test_conflicts_of_platform_and_operator_are_one_line(
     tmp_path: Path, text: str, changes: dict[str, Any], expected: str
 ) -> None:
-    with pytest.raises(ConfigError) as told:
-        joined(tmp_path, text, **changes)
-    assert expected in str(told.value) and "\n" not in str(told.value)
+    with pytest.raises(ConfigError) as error:
+        extended_accord(tmp_path, text, **changes)
+    assert expected in str(error.value) and "\n" not in str(error.value)
 
 
-def test_the_library_takes_no_part_and_says_so(tmp_path: Path) -> None:
+def test_the_library_rejects_consensus(tmp_path: Path) -> None:
     path = write_file(tmp_path, "[deployment]\n" + CLASS + ACCORD)
     with pytest.raises(ConfigError, match="accord: expected none for the library"):
         Client.open(path)
