--- a/laurelstep/testing/__init__.py
+++ b/laurelstep/testing/__init__.py
@@ -1,11 +1,11 @@
-"""Stand-ins on loopback for tests of programs that use this balancer: endpoints that follow a script and
-count what they execute, discovery, and clients.
+"""Stand-ins on loopback for tests of programs that use this balancer: scripted endpoints that count what they
+execute, discovery servers and a client.
 
     async with Endpoint(stall()) as bad, Endpoint() as good:
         client = Client.open({..., "known": whole_list(bad.entry("s-0"), good.entry("s-1"))})
 
-The system picks the ports. Nothing here sleeps or polls, but for `delayed` and the heartbeats of
-`DiscoveryServer`, whose interval and sleep are passed in.
+The operating system assigns the ports. Nothing here sleeps or polls except `delayed` and the heartbeats of
+`DiscoveryServer`; both take their times as parameters.
 """
 
 from laurelstep.testing.callers import Caller, request
--- a/laurelstep/testing/callers.py
+++ b/laurelstep/testing/callers.py
@@ -1,4 +1,4 @@
-"""A client that sends requests in the platform's form, one at a time on a kept connection."""
+"""A client that sends requests with the platform's headers, one at a time, over a persistent connection."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
     key: str | None = None,
     method: str | None = None,
 ) -> bytes:
-    """A request's bytes. `headers` are complete lines; `rid` is its X-Request-Id.
+    """Return the bytes of a request. `headers` are complete lines; `rid` is its X-Request-Id.
 
-    Unless given, the method is GET for a class named `page` or `view` and POST for others, and the
-    idempotency key is `k1` for a class named `put` and absent for others.
+    The default method is GET for the classes `page` and `view` and POST for others. The default idempotency
+    key is `k1` for the class `put`; other classes have none.
     """
     method = method or ("GET" if cls in ("page", "view") else "POST")
     length = f"Content-Length: {len(body)}\r\n" if method == "POST" else ""
@@ -35,10 +35,10 @@
 
 
 class Caller:
-    """One connection to a frontend, opened when it is needed and kept while it may be.
+    """A persistent connection to a frontend, opened by the first request and again after a close.
 
-    A frontend may close a kept connection between requests. With `resends_after_close` a request that
-    crosses such a close is sent once more on a new connection, as the platform's clients do.
+    A frontend may close an idle connection just as the next request is sent. With `resends_after_close` that
+    request is sent once more on a new connection, as the platform's clients do.
     """
 
     def __init__(self, host: str, port: int, *, resends_after_close: bool = False) -> None:
@@ -48,7 +48,7 @@
         self.streams: tuple[Reader, Writer] | None = None
 
     async def send(self, raw: bytes) -> Message:
-        """Send these bytes; their answer. OSError or `asyncio.IncompleteReadError` if there is none."""
+        """Send a request and return its answer. OSError or `asyncio.IncompleteReadError` if none arrives."""
         if self.streams is None or not self.resends_after_close:
             return await self._send(raw)
         try:
--- a/laurelstep/testing/discovery.py
+++ b/laurelstep/testing/discovery.py
@@ -1,14 +1,12 @@
-"""A stand-in for discovery that keeps to its protocol.
+"""A discovery server for tests, which follows discovery's protocol:
 
-The rules:
-
-1. `GET /registry/instances` is answered with the whole list, and the connection is kept.
-2. `GET /registry/instances?watch=1&from=N` opens a watch: a chunked answer with one JSON object a line. Any
-   number of watches may be open at once or one after the other.
+1. `GET /registry/instances` is answered with the whole list, and the connection stays open.
+2. `GET /registry/instances?watch=1&from=N` opens a watch: a chunked answer with one JSON object per line.
+   Any number of watches may be open at the same time.
 3. The first object of a watch holds the changes after generation N. It holds the whole list instead if N
-   is 0, is not known here, or lies before a list that replaced the earlier ones.
-4. From then on each change is written to every open watch at once, one object a change.
-5. An empty line follows every `heartbeat_interval_s`: a client can tell a quiet watch from a dead one.
+   is 0, is unknown here, or is older than the last `replace`.
+4. Each later change is written to every open watch at once, as one object.
+5. An empty line is sent every `heartbeat_interval_s`: a client can tell an idle watch from a dead one.
 6. A watch ends when either side closes its connection.
 """
 
@@ -35,16 +33,16 @@
 
 
 class DiscoveryServer(Listener):
-    """Serves one endpoint list on loopback; the rules are at the head of the module.
+    """Serves one endpoint list on loopback, by the rules at the head of the module.
 
-        async with Endpoint() as one, DiscoveryServer([one.entry("s-1")]) as discovery:
+        async with Endpoint() as endpoint, DiscoveryServer([endpoint.entry("s-1")]) as discovery:
             client = Client.open({..., "discovery": discovery.address})
-            discovery.publish(one.entry("s-1", lifecycle="draining"))
+            discovery.publish(endpoint.entry("s-1", lifecycle="draining"))
 
-    `entries` are in discovery's form, as `Endpoint.entry` makes them. A test that must not wait
-    passes a `sleep` of its own, which is called with the heartbeat interval in seconds. `opened_watches`
-    holds the `from` of each watch, from when its first object has been written. ValueError for a
-    generation under 1 or an interval that is not positive.
+    `entries` are in discovery's format, as returned by `Endpoint.entry`. `sleep` is called with the heartbeat
+    interval in seconds; a test that must not wait passes its own. `opened_watches` gets the `from` of each
+    watch once its first object has been written. ValueError for a generation below 1 or an interval that is
+    not positive.
     """
 
     def __init__(
@@ -62,8 +60,8 @@
         self._heartbeat_interval_s = heartbeat_interval_s
         self._sleep = sleep
         self._entries: dict[str, Entry] = {}
-        self._changed_at: dict[str, int] = {}  # the generation of each entry's last change, `gone` included
-        self._oldest_generation = generation  # changes are known from here on
+        self._changed_at: dict[str, int] = {}  # generation of each entry's last change, also of `gone` ones
+        self._oldest_generation = generation  # changes after it are known
         self._set_list(entries)
         self._watches: set[Writer] = set()
         self._connections: dict[asyncio.Task[Any], Writer] = {}
@@ -72,23 +70,23 @@
 
     @property
     def address(self) -> str:
-        """Host and port, as a configuration's `discovery` names them."""
+        """Host and port, in the format of a configuration's `discovery`."""
         return f"127.0.0.1:{self.port}"
 
     @property
     def watch_count(self) -> int:
-        """How many watches are open."""
+        """The number of open watches."""
         return len(self._watches)
 
     def whole_list(self) -> dict[str, Any]:
-        """The newest list as one object, also for a configuration's `known`."""
+        """Return the current list, as discovery sends it and a configuration's `known` holds it."""
         entries = [entry for entry in self._entries.values() if entry.get("lifecycle") != "gone"]
         return self._list_object(True, entries)
 
     # --- Changes ------------------------------------------------------------------
 
     def publish(self, *entries: Entry) -> None:
-        """Change these entries, under the next generation; `lifecycle="gone"` takes one out."""
+        """Change these entries under the next generation; `lifecycle="gone"` removes an entry."""
         self.generation += 1
         for entry in entries:
             name = entry["instanceId"]
@@ -97,14 +95,14 @@
         self._write_to_watches(self._list_object(False, list(entries)))
 
     def replace(self, *entries: Entry) -> None:
-        """Set the whole list anew, under the next generation: what is not named is not there any more."""
+        """Replace the whole list under the next generation; entries that are not listed are removed."""
         self.generation += 1
         self._oldest_generation = self.generation
         self._set_list(entries)
         self._write_to_watches(self.whole_list())
 
     def end_watches(self) -> None:
-        """End every open watch, as a discovery that restarts does; new ones are welcome."""
+        """End every open watch, as in a restart of discovery; new watches are accepted."""
         for writer in list(self._watches):
             self._watches.discard(writer)
             writer.close()
@@ -119,7 +117,9 @@
     def _changes_after(self, generation: int) -> dict[str, Any]:
         if not self._oldest_generation <= generation <= self.generation:
             return self.whole_list()
-        changed = [self._entries[name] for name, at in self._changed_at.items() if at > generation]
+        changed = [
+            self._entries[name] for name, changed_at in self._changed_at.items() if changed_at > generation
+        ]
         return self._list_object(False, changed)
 
     def _write_to_watches(self, list_object: dict[str, Any]) -> None:
@@ -129,19 +129,19 @@
     # --- Connections --------------------------------------------------------------
 
     async def start(self, port: int = 0) -> asyncio.Server:
-        """Listen at this port, or at one that the system picks. OSError if it is taken."""
+        """Listen on this port, or for 0 on one that the system picks. OSError if it is in use."""
         self._is_open = True
         self._server = await super().start(port)
         return self._server
 
     async def close(self) -> None:
-        """Listen no more, end every connection, and wait until none is left. `start` may follow."""
+        """Stop listening, end every connection and wait until none is left; `start` may follow."""
         if self._server is not None:
             self._server.close()
             self._server = None
         self._is_open = False
         for writer in self._connections.values():
-            writer.transport.abort()  # what a client does not read must not hold this up
+            writer.transport.abort()  # a close would wait for a client that does not read
         if self._connections:
             await asyncio.wait(set(self._connections))
 
@@ -158,7 +158,7 @@
         task = asyncio.current_task()
         assert task is not None
         if not self._is_open:
-            writer.close()  # it was accepted in the turn of the loop that closed the server
+            writer.close()  # accepted in the loop iteration that closed the server
             return
         self._connections[task] = writer
         try:
@@ -166,21 +166,21 @@
                 while await self._answer(await read_message(reader), reader, writer):
                     pass
         except asyncio.CancelledError:
-            # Guards against asyncio's own callback, which fails on a cancelled task.
+            # Not raised again: the callback that asyncio adds to this task fails for a cancelled one.
             return
         finally:
             del self._connections[task]
             writer.close()
 
     async def _answer(self, request: Message, reader: Reader, writer: Writer) -> bool:
-        """Whether another request may follow on the connection."""
+        """Answer a request; return whether another may follow on the connection."""
         target = urlsplit(request.start_line.split()[1])
         query = parse_qs(target.query)
         if target.path != LIST_PATH:
             writer.write(answer(404, b""))
         elif query.get("watch") == ["1"]:
-            known = query.get("from", ["0"])[0]
-            await self._watch(int(known) if known.isdecimal() else 0, reader, writer)
+            start = query.get("from", ["0"])[0]
+            await self._watch(int(start) if start.isdecimal() else 0, reader, writer)
             return False
         else:
             writer.write(answer(200, _line(self.whole_list())))
@@ -188,7 +188,7 @@
         return True
 
     async def _watch(self, generation: int, reader: Reader, writer: Writer) -> None:
-        """Until either side ends the watch."""
+        """Serve a watch until either side ends it."""
         writer.write(WATCH_HEAD)
         push_raw(writer, _line(self._changes_after(generation)))
         self._watches.add(writer)
--- a/laurelstep/testing/disk.py
+++ b/laurelstep/testing/disk.py
@@ -1,4 +1,4 @@
-"""A disk that loses power: what was synced is kept, and of the rest whatever the test says."""
+"""A simulated disk that can lose power: synced data is kept, and the test says what is kept of the rest."""
 
 from __future__ import annotations
 
@@ -13,64 +13,66 @@
 
 @dataclass
 class Inode:
-    """A file's bytes: those that are durable, the writes since, and those that a failed sync gave up.
+    """A file's durable bytes, the writes since the last sync, and the writes dropped by a failed sync.
 
-    As on Linux: after a failed sync a process still reads what it wrote, and a later sync that succeeds
-    makes durable only what was written since.
+    As on Linux, a process still reads its writes after a failed sync, but a later successful sync makes
+    durable only what was written after the failure.
     """
 
     durable: bytearray = field(default_factory=bytearray)
     pending: list[tuple[int, bytes]] = field(default_factory=list)
-    dropped: list[tuple[int, bytes]] = field(default_factory=list)  # all older than the pending ones
+    dropped: list[tuple[int, bytes]] = field(default_factory=list)  # all older than the pending writes
 
     def contents(self) -> bytearray:
-        """As a process sees it."""
+        """Return the bytes that a process reads."""
         data = bytearray(self.durable)
         for offset, part in (*self.dropped, *self.pending):
             overwrite(data, offset, part)
         return data
 
     def sync(self) -> None:
-        """What is pending becomes durable; what was dropped stays readable where nothing newer is."""
+        """Make pending writes durable; dropped writes stay readable where no newer write covers them."""
         for offset, part in self.pending:
             overwrite(self.durable, offset, part)
-            self.dropped = [piece for one in self.dropped for piece in parts_outside(one, offset, len(part))]
+            self.dropped = [
+                piece for write in self.dropped for piece in parts_outside(write, offset, len(part))
+            ]
         self.pending = []
 
     def fail_sync(self) -> None:
-        """What is pending is still read, and reaches the disk only if it is written again."""
+        """Drop pending writes: they are still read, and become durable only if written again."""
         self.dropped += self.pending
         self.pending = []
 
     def truncate(self, size: int) -> None:
-        """Shorten it, durably."""
+        """Truncate the file to `size` bytes, durably."""
         self.sync()
         del self.durable[size:]
         self.dropped = [(offset, part[: size - offset]) for offset, part in self.dropped if offset < size]
 
 
 def overwrite(data: bytearray, offset: int, part: bytes) -> None:
-    """Write, with zeros in a gap."""
+    """Write `part` at an offset into `data`; a gap before it is filled with zeros."""
     if len(data) < offset:
         data.extend(bytes(offset - len(data)))
     data[offset : offset + len(part)] = part
 
 
 def parts_outside(write: tuple[int, bytes], begin: int, size: int) -> Iterator[tuple[int, bytes]]:
-    """The parts of a write that lie before and behind a range."""
+    """Yield the parts of a write that lie before and after a range."""
     offset, part = write
     if before := part[: max(0, begin - offset)]:
         yield offset, before
-    if behind := part[max(0, begin + size - offset) :]:
-        yield offset + len(part) - len(behind), behind
+    if after := part[max(0, begin + size - offset) :]:
+        yield offset + len(part) - len(after), after
 
 
 Op = tuple[Any, ...]
 
 
 class SimulatedDisk:
-    """The store's `Disk` in memory. `journal` keeps every call, with the marks that a test
-    adds, so that `replay` can stop at any of them. `open_again` opens the same disk once more.
+    """The store's `Disk` in memory. `journal` records every change and the marks of the test, and `replay`
+    rebuilds the disk after any number of them.
     """
 
     def __init__(self) -> None:
@@ -78,34 +80,34 @@
         self.durable_names: dict[str, Inode] = {}
         self.pending_names: list[Op] = []
         self.journal: list[Op] = []
-        self.next_errors: dict[str, list[OSError]] = {}  # by operation: raised in their turn
-        self.lasting_errors: dict[str, OSError] = {}  # by operation: raised until it is mended
-        self.owners: list[SimulatedDisk] = []  # shared with the others: one at most
+        self.next_errors: dict[str, list[OSError]] = {}  # by operation: each raised once, in order
+        self.lasting_errors: dict[str, OSError] = {}  # by operation: raised until `clear_errors`
+        self.owners: list[SimulatedDisk] = []  # one at most; shared by all that `open_again` returns
 
     def open_again(self) -> SimulatedDisk:
-        """As another process opens it."""
+        """Return the same disk as opened by another process."""
         return copy.copy(self)
 
     def mark(self, *words: Any) -> None:
-        """The test's own word in the journal."""
+        """Add a mark of the test to the journal."""
         self.journal.append(("mark", *words))
 
     def fail(self, operation: str, *errors: OSError) -> None:
-        """The next calls of an operation raise these."""
+        """Let the next calls of an operation raise these errors, one each."""
         self.next_errors.setdefault(operation, []).extend(errors)
 
     def fail_always(self, error: OSError, *operations: str) -> None:
-        """All calls of these operations raise this, until `clear_errors`."""
+        """Let all calls of these operations raise an error until `clear_errors`."""
         self.lasting_errors.update(dict.fromkeys(operations, error))
 
     def clear_errors(self) -> None:
-        """All calls succeed again."""
+        """Let all calls succeed again."""
         self.next_errors.clear()
         self.lasting_errors.clear()
 
     def _begin(self, *op: Any) -> None:
-        if waiting := self.next_errors.get(op[0]):
-            raise _copy_error(waiting.pop(0))
+        if errors := self.next_errors.get(op[0]):
+            raise _copy_error(errors.pop(0))
         if (error := self.lasting_errors.get(op[0])) is not None:
             raise _copy_error(error)
         self.journal.append(op)
@@ -113,8 +115,8 @@
     # --- The protocol -------------------------------------------------------------
 
     def lock(self) -> None:
-        """Take the folder; StoreError if another owner has it."""
-        # Imported when called: the store needs a library that this module does not.
+        """Take ownership of the folder; StoreError if another process has it."""
+        # Imported here, as the store needs an optional library and this module does not.
         from laurelstep.store.disk import StoreError
 
         if self.owners:
@@ -122,7 +124,7 @@
         self.owners.append(self)
 
     def close(self) -> None:
-        """Give up the folder, if this disk owns it."""
+        """Release the folder if this disk owns it."""
         if self.owners and self.owners[0] is self:
             self.owners.clear()
 
@@ -131,17 +133,17 @@
             raise FileNotFoundError(errno.ENOENT, os.strerror(errno.ENOENT), name)
 
     def files(self) -> dict[str, int]:
-        """The size of each file by name, bytes."""
+        """Return the size of each file in bytes, by name."""
         return {name: len(inode.contents()) for name, inode in self.names.items()}
 
     def read(self, name: str, offset: int = 0, size: int | None = None) -> bytes:
-        """Bytes of a file from an offset on, at most `size`; FileNotFoundError if it is missing."""
+        """Return bytes of a file from an offset, at most `size`; FileNotFoundError if it is missing."""
         self._check_exists(name)
         data = self.names[name].contents()
         return bytes(data[offset:] if size is None else data[offset : offset + size])
 
     def create(self, name: str, data: bytes) -> None:
-        """Create or replace a file with synced content, whose name is durable after `sync_folder`."""
+        """Create or replace a file with synced content; its name is durable after `sync_folder`."""
         self._begin("create", name, data)
         inode = Inode()
         self.names[name] = inode
@@ -167,27 +169,25 @@
         self.names[name].sync()
 
     def fail_sync(self, name: str) -> None:
-        """A sync that failed, when a journal is replayed."""
+        """Repeat a failed sync from a journal."""
         self.names[name].fail_sync()
         self.journal.append(("fail_sync", name))
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file durably to a size in bytes; FileNotFoundError if missing, or an injected OSError."""
+        """Truncate a file durably to `size` bytes; FileNotFoundError if missing, or an injected OSError."""
         self._check_exists(name)
         self._begin("truncate", name, size)
         self.names[name].truncate(size)
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, replacing that of the new name; FileNotFoundError if missing, or an injected
-        OSError.
-        """
+        """Rename a file, replacing any other; FileNotFoundError if missing, or an injected OSError."""
         self._check_exists(old)
         self._begin("rename", old, new)
         self.names[new] = self.names.pop(old)
         self.pending_names.append(("rename", old, new))
 
     def sync_folder(self) -> None:
-        """Make the changes of names durable, or raise an injected OSError."""
+        """Make changes of file names durable, or raise an injected OSError."""
         try:
             self._begin("sync_folder")
         except OSError:
@@ -199,20 +199,20 @@
         self.pending_names.clear()
 
     def fail_sync_folder(self) -> None:
-        """A sync that failed, also when a journal is replayed: these changes are seen, and not durable."""
+        """Drop the pending changes of names, now or in a replay: they are visible but not durable."""
         self.pending_names.clear()
         self.journal.append(("fail_sync_folder",))
 
     def delete(self, name: str) -> None:
-        """Delete a file, if it is there; durable after `sync_folder`."""
+        """Delete a file if it exists; durable after `sync_folder`."""
         self._begin("delete", name)
         self.names.pop(name, None)
         self.pending_names.append(("unlink", name))
 
-    # --- A kill, and losing power ----------------------------------------------------
+    # --- Kills and power loss ----------------------------------------------------------
 
     def kill(self) -> SimulatedDisk:
-        """The disk as the next process of a machine that runs on finds it, whatever was synced."""
+        """Return the disk as the next process sees it after a kill, which loses no write."""
         after = SimulatedDisk()
         after.names, after.durable_names, after.pending_names = copy.deepcopy(
             (self.names, self.durable_names, self.pending_names)
@@ -222,7 +222,7 @@
 
     @classmethod
     def replay(cls, journal: list[Op]) -> SimulatedDisk:
-        """The disk after these calls."""
+        """Return the disk after these journal entries."""
         disk = cls()
         for name, *args in journal:
             if name != "mark":
@@ -230,15 +230,16 @@
         return disk
 
     def lose_power(self, rng: random.Random | None = None, keeps_all: bool = False) -> SimulatedDisk:
-        """The disk as the next start finds it: names as far as the folder was synced, and a
-        part of the changes since, in their order; bytes as far as a file was synced, and any
-        of the blocks written since. Without `rng` all that was not synced is lost, or with
-        `keeps_all` none of it.
+        """Return the disk as it is after a power loss.
+
+        Synced changes are kept. Of the unsynced ones, `rng` picks how many changes of names are kept, in
+        order, and which blocks of each file. Without `rng` all unsynced changes are lost, or kept if
+        `keeps_all`.
         """
-        changes = (
+        change_count = (
             len(self.pending_names) if keeps_all else rng.randint(0, len(self.pending_names)) if rng else 0
         )
-        names = changed_names(self.durable_names, self.pending_names[:changes])
+        names = changed_names(self.durable_names, self.pending_names[:change_count])
         after = SimulatedDisk()
         for name, inode in names.items():
             data = bytearray(inode.durable)
@@ -255,7 +256,7 @@
 
 
 def changed_names(names: dict[str, Inode], changes: list[Op]) -> dict[str, Inode]:
-    """A folder's names after these changes."""
+    """Return a folder's names after these changes."""
     names = dict(names)
     for op in changes:
         match op:
@@ -269,14 +270,14 @@
 
 
 def blocks(writes: list[tuple[int, bytes]], size: int = 16) -> Iterator[tuple[int, bytes]]:
-    """Writes in the pieces that a disk may keep or lose by themselves; small, so that a short
+    """Split writes into blocks that a power loss keeps or loses one by one; `size` is small, so that a short
     log has many.
     """
     for offset, part in writes:
-        for at in range(0, len(part), size):
-            yield offset + at, part[at : at + size]
+        for start in range(0, len(part), size):
+            yield offset + start, part[start : start + size]
 
 
 def _copy_error(error: OSError) -> OSError:
-    """The same error anew: one that is raised again and again would keep the frames of each time alive."""
+    """Copy an error: raising one object repeatedly would keep the frames of all its tracebacks alive."""
     return type(error)(*error.args)
--- a/laurelstep/testing/endpoints.py
+++ b/laurelstep/testing/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that follow a script, and a count of the effects that they have executed."""
+"""Endpoints that follow a script and count the requests that they execute."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 @dataclass
 class Effects:
-    """Counts what was executed by all endpoints that share this object.
+    """Counts the requests executed by all endpoints that share this object.
 
-    A request with an idempotency key is executed once for its key and a repeat is dropped, as the
-    endpoints of one cell do. Other requests are executed as often as they come.
+    A request with an idempotency key is executed once per key and its repeats are dropped, as by the
+    endpoints of one cell. Other requests are executed each time they arrive.
     """
 
     by_id: Counter[str] = field(default_factory=Counter)
@@ -30,7 +30,7 @@
     dropped_count: int = 0
 
     def execute(self, message: Message) -> None:
-        """Execute a request, or drop it as a repeat of its key."""
+        """Count a request as executed, or as dropped if its key was executed before."""
         key = message.headers.get("idempotency-key")
         if key is not None:
             if self.by_key[key]:
@@ -40,15 +40,15 @@
         self.by_id[message.headers.get("x-request-id", "")] += 1
 
     def executed_twice(self) -> list[str]:
-        """The ids of requests that took effect more than once."""
-        return [name for name, times in self.by_id.items() if times > 1]
+        """Return the ids of requests that were executed more than once."""
+        return [request_id for request_id, count in self.by_id.items() if count > 1]
 
 
 # --- Scripts ----------------------------------------------------------------------------
 
 
 def serve(body: bytes = b"ok", headers: str = "") -> Handler:
-    """Execute, then answer 200. `headers` are complete lines, such as a load report's."""
+    """Execute the request, then answer 200. `headers` are complete lines, such as a load report."""
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         endpoint.effects.execute(message)
@@ -58,7 +58,7 @@
 
 
 def stall(executes: bool = True) -> Handler:
-    """Give no answer until the connection closes; `executes` says whether the request has run."""
+    """Never answer; `executes` says whether the request is executed."""
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         if executes:
@@ -68,7 +68,7 @@
 
 
 def status(code: int, headers: str = "", executes: bool = False) -> Handler:
-    """Answer with this status."""
+    """Answer with this status code; `headers` are complete lines."""
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         if executes:
@@ -79,7 +79,7 @@
 
 
 def refuse(code: int = 503) -> Handler:
-    """Reject the request: `X-Not-Run` says that it was not executed."""
+    """Reject the request; the header `X-Not-Run` says that it was not executed."""
     return status(code, "X-Not-Run: 1\r\n")
 
 
@@ -93,7 +93,7 @@
 
 
 def malformed(data: bytes = b"what?\r\n\r\n") -> Handler:
-    """Execute, then answer with bytes that are no valid response."""
+    """Execute the request, then answer with bytes that are not a valid response."""
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         endpoint.effects.execute(message)
@@ -103,7 +103,7 @@
 
 
 def close(executes: bool = True, partial: bytes = b"") -> Handler:
-    """End the connection, after `partial`, the first bytes of an answer."""
+    """Close the connection after writing `partial`, the first bytes of an answer."""
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         if executes:
@@ -115,7 +115,7 @@
 
 
 def reset(executes: bool = True) -> Handler:
-    """Reset the connection, as a process that crashes does."""
+    """Reset the connection, as a process does that crashes."""
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         if executes:
@@ -126,7 +126,7 @@
 
 
 def after(event: asyncio.Event, then: Handler) -> Handler:
-    """Wait for the event, then follow the other script."""
+    """Wait for the event, then run the handler `then`."""
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         await event.wait()
@@ -136,35 +136,35 @@
 
 
 def delayed(seconds: Callable[[], float], then: Handler | None = None) -> Handler:
-    """Sleep for a time that is drawn anew for each request, then follow the script (`serve`).
+    """Sleep for `seconds()`, called for each request, then run the handler `then` (`serve()` if None).
 
-    For programs that run in real time; a test waits for events instead.
+    For programs that run in real time; tests should wait for events instead.
     """
-    script = then or serve()
+    delayed_handler = then or serve()
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
         await asyncio.sleep(seconds())
-        await script(endpoint, message, writer)
+        await delayed_handler(endpoint, message, writer)
 
     return handler
 
 
-def sequence(*scripts: Handler) -> Handler:
-    """Follow the first script for the first request, and so on; the last one holds from then on."""
-    left = list(scripts)
+def sequence(*handlers: Handler) -> Handler:
+    """Run the first handler for the first request and so on; the last one also for all later requests."""
+    remaining = list(handlers)
 
     async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        script = left.pop(0) if len(left) > 1 else left[0]
-        await script(endpoint, message, writer)
+        next_handler = remaining.pop(0) if len(remaining) > 1 else remaining[0]
+        await next_handler(endpoint, message, writer)
 
     return handler
 
 
 def reset_connection(writer: Writer) -> None:
-    """Close a connection with a reset."""
-    found: socket.socket | None = writer.get_extra_info("socket")
-    if found is not None and found.fileno() >= 0:
-        found.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    """Close a connection with a TCP reset."""
+    tcp_socket: socket.socket | None = writer.get_extra_info("socket")
+    if tcp_socket is not None and tcp_socket.fileno() >= 0:
+        tcp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
@@ -172,12 +172,12 @@
 
 
 class Listener:
-    """Serves connections on a port that the system picks, which is then in `port`."""
+    """A server on loopback; `port` is set by `start`."""
 
     port: int = 0
 
     async def start(self, port: int = 0) -> asyncio.Server:
-        """Listen at this port, or at one that the system picks. OSError if it is taken."""
+        """Listen on this port, or for 0 on one that the system picks. OSError if it is in use."""
         server = await asyncio.start_server(self._serve, "127.0.0.1", port, backlog=1024)
         self.port = server.sockets[0].getsockname()[1]
         return server
@@ -188,10 +188,10 @@
 
 @dataclass(eq=False)
 class Endpoint(Listener):
-    """Answers each request by its script, and records the requests in `requests`.
+    """Answers each request with its handler, and records the requests in `requests`.
 
-    `arrived` and `closed` are released for each request and each ended connection, for tests that wait.
-    `handler` may be set at any time and holds from the next request on. With `records_requests=False`, for
+    `arrived` and `closed` are released once per request and per ended connection, for tests to wait on.
+    `handler` may be replaced at any time, from the next request on. With `records_requests=False`, for
     long runs, requests are only counted.
     """
 
@@ -217,7 +217,7 @@
         self.stop()
 
     def stop(self) -> None:
-        """Stop as a crash does: the port refuses, and open connections are reset."""
+        """Stop as in a crash: new connections are refused, and open ones are reset."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -225,7 +225,7 @@
             reset_connection(writer)
 
     async def restart(self, started_ms: int) -> None:
-        """Start anew at the same address, as a new process."""
+        """Start again at the same address, as a new process that started at `started_ms`."""
         self.stop()
         self.started_ms = started_ms
         self.server = await self.start(self.port)
@@ -243,7 +243,7 @@
                     self.arrived.release()
                     await self.handler(self, message, writer)
         except asyncio.CancelledError:
-            # Guards against asyncio's own callback, which fails on a cancelled task.
+            # Not raised again: the callback that asyncio adds to this task fails for a cancelled one.
             return
         finally:
             self.open_connections.discard(writer)
@@ -251,9 +251,7 @@
             self.closed.release()
 
     def entry(self, name: str = "s-1", **changes: Any) -> dict[str, Any]:
-        """The endpoint's entry of a list in discovery's form, with `changes` such as
-        `lifecycle="draining"`.
-        """
+        """Return the endpoint's entry of a discovery list, with `changes` such as `lifecycle="draining"`."""
         return {
             "instanceId": name, "hostPort": f"127.0.0.1:{self.port}", "zone": "here", "machineType": "small",
             "cell": 1, "lifecycle": "ready", "weight": 1.0, "startedAtMs": self.started_ms, **changes,
--- a/laurelstep/testing/messages.py
+++ b/laurelstep/testing/messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages as the stand-ins read and write them, small enough to be wrong on purpose."""
+"""A minimal HTTP/1.1 reader and writer for the stand-ins, which also writes invalid messages; free ports."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass
 class Message:
-    """A complete request or answer: its first line, its headers by lower-case name, its body."""
+    """A complete request or answer; header names are in lower case."""
 
     start_line: str
     headers: dict[str, str]
@@ -22,14 +22,14 @@
 
     @property
     def status(self) -> int:
-        """The status of an answer. ValueError for a request."""
+        """The status code of an answer. ValueError for a request."""
         return int(self.start_line.split()[1])
 
 
 async def read_message(reader: Reader) -> Message:
-    """Read the next message, framed by Content-Length or by chunks.
+    """Read the next message, framed by Content-Length or chunked.
 
-    `asyncio.IncompleteReadError` if the connection ends before the message does.
+    `asyncio.IncompleteReadError` if the connection ends before the message is complete.
     """
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:] if line)}
@@ -49,23 +49,23 @@
 
 
 def answer(status: int = 200, body: bytes = b"ok", headers: str = "") -> bytes:
-    """An answer's bytes; `headers` are complete lines."""
+    """Return the bytes of an answer; `headers` are complete lines."""
     head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{headers}\r\n"
     return head.encode() + body
 
 
-# Below the ports that systems give to outgoing connections: one of those could take a port while
-# the process that listens there is down, or be connected to itself.
+# Below the system's ephemeral ports: an outgoing connection could take one of those while the process that
+# listens there is down, or connect to itself.
 PORT_RANGE = range(20_000, 32_000)
 BLOCK_SIZE = 50
 
 
 class PortAllocator:
-    """Allocates ports for processes that must be configured with one; none twice.
+    """Allocates ports for processes that must be configured with one; each port only once.
 
-    Guards against a second test process that finds a port free before the first one's process
-    listens there: each reserves blocks, under socket names that are unique on the system and end with
-    their process. A program that reserves nothing may still take a port in between.
+    Two test processes could both find a port free before either's program listens on it. So each allocator
+    reserves blocks of ports by binding abstract Unix sockets, whose names are unique on the system and are
+    released when the process ends. A program that reserves nothing may still take a port.
     """
 
     def __init__(self, ports: range = PORT_RANGE, name: str = "laurelstep-ports") -> None:
@@ -76,15 +76,15 @@
         self.reservations: list[socket.socket] = []
 
     def allocate(self, kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
-        """A free port for this kind of socket. OSError if none is left."""
+        """Return a free port for this kind of socket. OSError if none is left."""
         while True:
             if not self.unallocated:
                 self.unallocated = self._reserve_block()
             port = self.unallocated.pop()
-            with socket.socket(type=kind) as found, contextlib.suppress(OSError):
+            with socket.socket(type=kind) as candidate, contextlib.suppress(OSError):
                 if kind == socket.SOCK_STREAM:
-                    found.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-                found.bind(("127.0.0.1", port))
+                    candidate.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+                candidate.bind(("127.0.0.1", port))
                 return port
 
     def _reserve_block(self) -> list[int]:
@@ -98,10 +98,10 @@
                 continue
             self.reservations.append(reservation)
             return list(range(start, start + BLOCK_SIZE))
-        raise OSError("no port is free")
+        raise OSError("no port is free in the allocator's range")
 
     def close(self) -> None:
-        """Give up all reserved blocks."""
+        """Release all reserved blocks."""
         for reservation in self.reservations:
             reservation.close()
 
@@ -110,10 +110,10 @@
 
 
 def free_port() -> int:
-    """A TCP port that nobody listens at, for a process that must be configured with one; none twice."""
+    """Return a free TCP port for a process that must be configured with one; each port only once."""
     return _allocator.allocate()
 
 
 def free_udp_port() -> int:
-    """A UDP port that nobody listens at; none twice."""
+    """Return a free UDP port; each port only once."""
     return _allocator.allocate(socket.SOCK_DGRAM)
--- a/laurelstep/testing/registry.py
+++ b/laurelstep/testing/registry.py
@@ -1,4 +1,4 @@
-"""Discovery whose answers the test writes itself; `DiscoveryServer` writes those of the protocol."""
+"""Discovery whose answers the test writes; `DiscoveryServer` answers by the protocol instead."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 
 def whole_list(*entries: dict[str, Any], generation: int = 1) -> dict[str, Any]:
-    """A complete list as one object, also for a configuration's `known`."""
+    """Return a complete endpoint list, as discovery sends it and a configuration's `known` holds it."""
     return {"generation": generation, "reset": True, "instances": list(entries)}
 
 
 def push_raw(writer: Writer, line: bytes) -> None:
-    """Write one chunk of a watch, in form or not."""
+    """Write one chunk of a watch; `line` need not be valid."""
     writer.write(b"%x\r\n%b\r\n" % (len(line), line))
 
 
 def push(writer: Writer, generation: int, is_whole: bool, *entries: dict[str, Any]) -> None:
-    """Write one line of a watch: a complete list if `is_whole`, or changes."""
+    """Write one line of a watch: a complete list if `is_whole`, otherwise changes."""
     line = json.dumps({"generation": generation, "reset": is_whole, "instances": entries}) + "\n"
     push_raw(writer, line.encode())
 
 
 @dataclass(eq=False)
 class Registry(Listener):
-    """Accepts watches and writes nothing into them but their head.
+    """Accepts watches and writes only their response head.
 
-    Each watch is put into `watches` with its request line and its writer. It is given up as silent by a
-    client that waits for heartbeats.
+    Each watch is put into `watches` as its request line and its writer. As no heartbeats are sent, a client
+    ends the watch as stalled unless the test writes to it.
     """
 
     watches: asyncio.Queue[tuple[str, Writer]] = field(default_factory=asyncio.Queue)
--- a/laurelstep/testing/schedules/__init__.py
+++ b/laurelstep/testing/schedules/__init__.py
@@ -1,11 +1,11 @@
-"""Consensus under generated schedules: one seed is one schedule, and invariants are checked at every step.
+"""Consensus under generated schedules: each seed gives one schedule, and every step checks invariants.
 
     for seed in range(1000):
-        play_schedule(seed)     # raises BrokenError: the invariant's name, the seed, what was seen
+        play_schedule(seed)     # raises BrokenError with the invariant's name, the seed and details
 
 `world.py` simulates processes, time, network and faults in memory; `checker.py` has the invariants by name;
-`script.py` draws a schedule from a seed. Nothing here does I/O or reads a clock, and a seed gives the same
-verdict everywhere.
+`script.py` generates a schedule from a seed. Nothing here does I/O or reads a clock, so a seed gives the same
+result on every machine.
 """
 
 from laurelstep.testing.schedules.checker import BrokenError, InvariantChecker
--- a/laurelstep/testing/schedules/checker.py
+++ b/laurelstep/testing/schedules/checker.py
@@ -1,18 +1,19 @@
-"""The invariants of consensus, checked after every step of a simulation, by name.
+"""The invariants of consensus, by name, which are checked after every step of a simulation.
 
-- "one order": what two processes have applied up to an index of one epoch is the same.
-- "nothing lost": a new leader has all that was committed in earlier terms of its epoch; a process that
-  bootstraps an epoch has all that was committed in older ones and that a living voter remembers. While a
-  majority of those that committed it remember, one of them is such a voter.
+- "one order": any two processes have applied the same entries up to an index of an epoch.
+- "nothing lost": a new leader has all entries committed in earlier terms of its epoch. A process that
+  bootstraps an epoch has all entries committed in older epochs that a running voter still has. There is such
+  a voter while a majority of those that committed an entry keep it.
 - "one leader": at most one incarnation leads in a term of an epoch.
 - "one vote": an incarnation votes for at most one candidate in a term of an epoch.
-- "leases apart": no two living processes hold a lease at one true time, also by a paused one's own clock.
-- "no stale read": a process that has just caught up has applied all that was committed in its epoch when it
-  started.
-- "bounded": the log keeps to its bound, a datagram to its length, and a tick leaves no tick due.
-- "progress": once faults end, an entry is committed and applied by all (`script.py` says when).
-
-The checker reads what a process shows and what it sends; of its log only indices and terms.
+- "leases apart": no two running processes hold a lease at the same true time, each by its own clock; a paused
+  process counts as running.
+- "no stale read": a process that has just caught up has applied all entries that were committed in its epoch
+  when it started.
+- "bounded": the log and the datagrams do not exceed their limits, and after a tick no tick is due.
+- "progress": once faults end, all processes apply a new entry within `script.PROGRESS_US`.
+
+The checker reads the public state of a process, the datagrams that it sends, and its log.
 """
 
 from __future__ import annotations
@@ -34,24 +35,24 @@
 
 __all__ = ["BrokenError", "CommittedEntry", "InvariantChecker"]
 
-# Offset of a message's tag in bytes: after the version and the header of the array.
+# Offset of a message's tag in bytes, after the version and the array header.
 TAG_OFFSET = 2
 
 
 class BrokenError(LaurelstepError, AssertionError):
-    """An invariant does not hold: `name` says which, `seed` under which schedule."""
+    """The invariant `name` does not hold under the schedule of `seed`."""
 
-    cause = "an invariant of the agreed record does not hold under a made schedule"
-    remedy = "play the seed that the text names again, and report it: the fault is in the program"
+    cause = "an invariant of consensus does not hold under a generated schedule"
+    remedy = "report the seed in the message, which reproduces the schedule: this is a defect of the program"
 
-    def __init__(self, name: str, seed: int, seen: str) -> None:
-        super().__init__(f"{name}: seed {seed}: {seen}")
+    def __init__(self, name: str, seed: int, detail: str) -> None:
+        super().__init__(f"{name}: seed {seed}: {detail}")
         self.name = name
         self.seed = seed
 
 
 class CommittedEntry(NamedTuple):
-    """The newest committed entry with data of an epoch; its digest covers all entries before it."""
+    """The newest committed data entry of an epoch; its digest also covers all entries before it."""
 
     log_index: int
     digest: int
@@ -64,77 +65,77 @@
         self._processes = processes
         self._options = options
         self._seed = seed
-        # By epoch and index: the digest of all entries up to there.
-        self._orders: dict[tuple[ClusterEpoch, int], int] = {}
-        self._bases: dict[ClusterEpoch, int] = {}
+        # By epoch and index: the digest of all entries up to this index.
+        self._digests: dict[tuple[ClusterEpoch, int], int] = {}
+        self._base_indices: dict[ClusterEpoch, int] = {}
         self.committed: dict[ClusterEpoch, CommittedEntry] = {}
-        # Who held it when it was committed: peer and count of state losses. They may have lost it since.
+        # Voters that had the entry when it was committed, as peer and count of state losses.
         self._holders: dict[ClusterEpoch, set[tuple[int, int]]] = {}
-        # By epoch and the term in which it was committed.
+        # By epoch and by the term in which the entry was committed.
         self._committed_by_term: dict[ClusterEpoch, dict[int, CommittedEntry]] = {}
         self._leaders: dict[tuple[ClusterEpoch, int], tuple[int, int]] = {}
         self._votes: dict[tuple[ClusterEpoch, int, int], int] = {}
-        # By process: what was committed when it started; whether it had caught up; and what was checked
-        # last: count of entries and of loads, epoch, and applied index.
+        # By peer: the newest committed entry when it started; whether it has caught up; and the state checked
+        # last, as the counts of entries and of loads, the epoch and the applied index.
         self._committed_at_start: dict[int, tuple[ClusterEpoch, CommittedEntry] | None] = {}
         self._was_caught_up: dict[int, bool] = {}
-        self._last_seen: dict[int, tuple[int, int, ClusterEpoch, int]] = {}
+        self._last_checked: dict[int, tuple[int, int, ClusterEpoch, int]] = {}
 
     def violation(self, name: str, detail: str) -> BrokenError:
-        """The error for a broken invariant."""
+        """Return the error for a violated invariant."""
         return BrokenError(name, self._seed, detail)
 
     def on_start(self, process: SimulatedProcess) -> None:
-        """A process has started."""
+        """Record the start of a process, before its first step."""
         newest = max(self.committed, default=None)
         self._committed_at_start[process.peer] = None if newest is None else (newest, self.committed[newest])
         self._was_caught_up[process.peer] = False
-        self._last_seen.pop(process.peer, None)
+        self._last_checked.pop(process.peer, None)
 
     # --- After a step -------------------------------------------------------------
 
     def on_step(self, process: SimulatedProcess, true_time_us: int) -> None:
-        """Check the state that a step has left."""
+        """Check the state after a step of a process."""
         core = process.core
         assert core is not None
         epoch = core.epoch
-        if epoch != NO_EPOCH and epoch not in self._bases:
+        if epoch != NO_EPOCH and epoch not in self._base_indices:
             self._check_bootstrap(process, epoch)
         current = (len(process.recording.applied), process.recording.load_count, epoch, core.applied_index)
-        # Without an epoch a process may hold the state of a past one, until it gets that of the current one.
-        if epoch != NO_EPOCH and current != self._last_seen.get(process.peer):
+        # Without an epoch a process may still have the state of an earlier one.
+        if epoch != NO_EPOCH and current != self._last_checked.get(process.peer):
             self._check_applied(process, epoch, core.applied_index)
-            self._last_seen[process.peer] = current
+            self._last_checked[process.peer] = current
         if core.role == "leader":
             self._check_leader(process, epoch, core.term)
         if core.is_caught_up != self._was_caught_up[process.peer]:
             self._was_caught_up[process.peer] = core.is_caught_up
             if core.is_caught_up:
-                self._check_read(process, epoch)
+                self._check_caught_up(process, epoch)
         if process.leases.holds(process.local_time_us(true_time_us), "lease"):
             self._check_leases(process, true_time_us)
         if core.log_entry_count > self._options.timing.max_log_entries + 2 * MAX_PENDING_PROPOSALS:
             raise self.violation("bounded", f"{core.log_entry_count} entries in the log of {process.peer}")
 
     def on_tick(self, process: SimulatedProcess, true_time_us: int) -> None:
-        """Check that a tick has left no tick due."""
+        """Check that no tick is due after a tick."""
         core = process.core
         if core is not None and core.due_us <= process.local_time_us(true_time_us):
-            raise self.violation("bounded", f"a tick of {process.peer}, {core.role}, left a tick due")
+            raise self.violation("bounded", f"a tick of {process.peer} ({core.role}) left another tick due")
 
-    def _check_applied(self, process: SimulatedProcess, epoch: ClusterEpoch, applied: int) -> None:
+    def _check_applied(self, process: SimulatedProcess, epoch: ClusterEpoch, applied_index: int) -> None:
         entries = process.recording.applied
-        seen = self._last_seen.get(process.peer)
+        last_checked = self._last_checked.get(process.peer)
         digest = entries[-1][1] if entries else 0
-        fresh = [(applied, digest)]
-        if seen is not None and seen[1:3] == (process.recording.load_count, epoch):
-            fresh = [*entries[seen[0] :], *fresh]
-        for index, value in fresh:
-            if self._orders.setdefault((epoch, index), value) != value:
+        unchecked = [(applied_index, digest)]
+        if last_checked is not None and last_checked[1:3] == (process.recording.load_count, epoch):
+            unchecked = [*entries[last_checked[0] :], *unchecked]
+        for index, value in unchecked:
+            if self._digests.setdefault((epoch, index), value) != value:
                 raise self.violation(
-                    "one order", f"at index {index} of epoch {epoch.generation}, by {process.peer}"
+                    "one order", f"{process.peer} differs at index {index} of epoch {epoch.generation}"
                 )
-        if entries and applied > self._bases.get(epoch, applied):
+        if entries and applied_index > self._base_indices.get(epoch, applied_index):
             last = self.committed.get(epoch)
             if last is None or entries[-1][0] > last.log_index:
                 self._record_committed(process, epoch, CommittedEntry(*entries[-1]))
@@ -142,19 +143,19 @@
     def _record_committed(
         self, process: SimulatedProcess, epoch: ClusterEpoch, committed: CommittedEntry
     ) -> None:
-        """Record an entry; the first process to apply it is the leader of its term, or was notified by it."""
+        """Record a committed entry; the first process to apply it is the leader or was notified by it."""
         assert process.core is not None
         self.committed[epoch] = committed
         self._holders[epoch] = {
-            (one.peer, one.state_loss_count)
-            for one in self._processes[: self._options.voter_count]
-            if self._remembers(one, committed)
+            (voter.peer, voter.state_loss_count)
+            for voter in self._processes[: self._options.voter_count]
+            if self._has_entry(voter, committed)
         }
         by_term = self._committed_by_term.setdefault(epoch, {})
         by_term[max(process.core.term, *by_term, 0)] = committed
 
-    def _remembers(self, process: SimulatedProcess, committed: CommittedEntry) -> bool:
-        """Whether a process has applied the entry, or will once it applies what its log holds."""
+    def _has_entry(self, process: SimulatedProcess, committed: CommittedEntry) -> bool:
+        """Whether a process has applied the entry or has it in its log."""
         core = process.core
         if core is None:
             return False
@@ -173,15 +174,15 @@
 
     def _check_bootstrap(self, process: SimulatedProcess, epoch: ClusterEpoch) -> None:
         assert process.core is not None
-        self._bases[epoch] = process.core._state.log.base_index
-        for older, committed in self.committed.items():
-            if older > epoch or self._remembers(process, committed):
+        self._base_indices[epoch] = process.core._state.log.base_index
+        for older_epoch, committed in self.committed.items():
+            if older_epoch > epoch or self._has_entry(process, committed):
                 continue
             for other in self._processes[: self._options.voter_count]:
                 if other is process or not other.is_alive:
                     continue
-                is_holder = (other.peer, other.state_loss_count) in self._holders[older]
-                if is_holder or self._remembers(other, committed):
+                is_holder = (other.peer, other.state_loss_count) in self._holders[older_epoch]
+                if is_holder or self._has_entry(other, committed):
                     detail = (
                         f"{process.peer} bootstrapped without {committed.log_index}, held by {other.peer}"
                     )
@@ -189,21 +190,21 @@
 
     def _check_leader(self, process: SimulatedProcess, epoch: ClusterEpoch, term: int) -> None:
         assert process.core is not None
-        who = (process.peer, process.core.incarnation)
-        first = self._leaders.get((epoch, term))
-        if first is None:
-            self._leaders[epoch, term] = who
+        leader = (process.peer, process.core.incarnation)
+        first_leader = self._leaders.get((epoch, term))
+        if first_leader is None:
+            self._leaders[epoch, term] = leader
             by_term = self._committed_by_term.get(epoch, {})
-            earlier = max((one for one in by_term if one < term), default=None)
-            committed = None if earlier is None else by_term[earlier]
-            if committed is not None and not self._remembers(process, committed):
+            last_term = max((other for other in by_term if other < term), default=None)
+            committed = None if last_term is None else by_term[last_term]
+            if committed is not None and not self._has_entry(process, committed):
                 raise self.violation(
                     "nothing lost", f"{process.peer} leads term {term} without index {committed.log_index}"
                 )
-        elif first != who:
-            raise self.violation("one leader", f"{first[0]} and {process.peer} in term {term}")
+        elif first_leader != leader:
+            raise self.violation("one leader", f"{first_leader[0]} and {process.peer} lead in term {term}")
 
-    def _check_read(self, process: SimulatedProcess, epoch: ClusterEpoch) -> None:
+    def _check_caught_up(self, process: SimulatedProcess, epoch: ClusterEpoch) -> None:
         at_start = self._committed_at_start[process.peer]
         if at_start is None or at_start[0] != epoch:
             return
@@ -216,12 +217,12 @@
             if other is process or not other.is_alive:
                 continue
             if other.leases.holds(other.local_time_us(true_time_us), "lease"):
-                raise self.violation("leases apart", f"{process.peer} and {other.peer} hold it")
+                raise self.violation("leases apart", f"{process.peer} and {other.peer} hold the lease")
 
     # --- Datagrams ----------------------------------------------------------------
 
     def on_send(self, process: SimulatedProcess, raw: bytes) -> None:
-        """Check a datagram that leaves a process."""
+        """Check a datagram that a process sends."""
         if len(raw) > MAX_DATAGRAM_BYTES:
             raise self.violation("bounded", f"a datagram of {len(raw)} bytes")
         if raw[TAG_OFFSET] not in (m.MessageTag.REQUEST_VOTE_REQUEST, m.MessageTag.REQUEST_VOTE_RESPONSE):
--- a/laurelstep/testing/schedules/process.py
+++ b/laurelstep/testing/schedules/process.py
@@ -1,4 +1,4 @@
-"""One process of a simulation: its core, its state machines, its clock and what it has stored."""
+"""One process of a simulation: its core, its state machines, its clock and its stored state."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 
 MILLION: Final = 1_000_000
 _Dump = tuple[list[tuple[int, int]], set[bytes]]
-_tape: msgspec.msgpack.Decoder[_Dump] = msgspec.msgpack.Decoder(_Dump)
+_dump_decoder: msgspec.msgpack.Decoder[_Dump] = msgspec.msgpack.Decoder(_Dump)
 
 
-# First byte of an entry for the recording state machine, and of one for the leases.
+# First byte of an entry for the recording state machine or for the leases.
 RECORDING_TAG: Final = b"\0"
 LEASES_TAG: Final = b"\1"
 
 
 def next_digest(before: int, index: int, data: bytes) -> int:
-    """The digest of all entries up to `index`, from that of the entries before."""
+    """Return the digest of all entries up to `index`, given the digest of the entries before it."""
     return hash((before, index, int.from_bytes(data, "big")))
 
 
 class RecordingStateMachine:
-    """A state machine that records, for each entry, its index and a digest of all entries up to it."""
+    """Records the index of each applied entry, with a digest of all entries up to it."""
 
     def __init__(self) -> None:
         self.applied: list[tuple[int, int]] = []
@@ -53,20 +53,20 @@
         self.data.add(data)
 
     def dump(self) -> bytes:
-        """The recording as a snapshot."""
+        """Return the recording as a snapshot."""
         return msgspec.msgpack.encode((self.applied, sorted(self.data)))
 
     def load(self, raw: bytes) -> None:
-        """Take a snapshot in place of the recording."""
+        """Replace the recording by a snapshot."""
         self.load_count += 1
         self.applied, self.data = [], set()
         if raw:
-            self.applied, self.data = _tape.decode(raw)
+            self.applied, self.data = _dump_decoder.decode(raw)
 
 
 @dataclasses.dataclass
 class SimulationOptions:
-    """What a simulation consists of. The types may be faulty ones, which the checker must find."""
+    """The processes of a simulation. Tests of the checker set faulty types, whose faults it must find."""
 
     voter_count: int = 3
     peer_count: int = 3
@@ -74,12 +74,12 @@
     is_durable: bool = False
     core_type: type[ConsensusCore] = ConsensusCore
     lease_table_type: type[LeaseTable] = LeaseTable
-    # Fault: a process that starts again without state takes its old incarnation.
+    # Fault: a process that restarts without state keeps its old incarnation.
     reuses_incarnation: bool = False
 
 
 class SimulatedProcess:
-    """One process through its incarnations."""
+    """One process, over all its starts."""
 
     def __init__(self, peer: int, options: SimulationOptions, rng: random.Random) -> None:
         self.peer = peer
@@ -97,20 +97,20 @@
         self.inbox: list[tuple[int, bytes]] = []
         self.crashes_in_next_step = False
         self.tick_version = 0
-        # How often it has lost all its state.
+        # How often the process has lost all its state.
         self.state_loss_count = 0
 
     @property
     def is_alive(self) -> bool:
-        """Whether it runs, paused or not."""
+        """Whether the process runs, paused or not."""
         return self.core is not None
 
     def local_time_us(self, time: int) -> int:
-        """What its clock shows at a true time, µs."""
+        """Return the time of the process's clock at a true time, µs."""
         return self.clock_offset_us + time * self.clock_rate_ppm // MILLION
 
     def true_time_us(self, local: int) -> int:
-        """The first true time at which its clock shows at least this, µs."""
+        """Return the first true time at which the process's clock shows at least `local`, µs."""
         return -(-(local - self.clock_offset_us) * MILLION // self.clock_rate_ppm)
 
     def _new_leases(self) -> LeaseTable:
@@ -118,19 +118,19 @@
         return self._options.lease_table_type(self.peer, timing.max_clock_drift, timing.lease_us, self._rng)
 
     def start(self) -> None:
-        """Start or restart the process with what it stored, and with new volatile state."""
-        made = self._options
+        """Start or restart the process from its stored state, with new volatile state."""
+        options = self._options
         self.recording = RecordingStateMachine()
         self.leases = self._new_leases()
-        if not (made.reuses_incarnation and self.incarnation):
+        if not (options.reuses_incarnation and self.incarnation):
             self.incarnation = self._rng.getrandbits(64)
-        self.core = made.core_type(
+        self.core = options.core_type(
             self.peer,
-            made.peer_count,
-            made.voter_count,
+            options.peer_count,
+            options.voter_count,
             self.incarnation,
             CompositeStateMachine({RECORDING_TAG[0]: self.recording, LEASES_TAG[0]: self.leases}),
-            made.timing,
+            options.timing,
             random.Random(self._rng.getrandbits(64)),
             self.stored,
         )
--- a/laurelstep/testing/schedules/world.py
+++ b/laurelstep/testing/schedules/world.py
@@ -1,13 +1,13 @@
 """A simulation of consensus processes in memory, with time, network and faults.
 
-1. Time is true time in µs. Each process reads its own clock: off by hours, and too fast or too slow by at
-   most the configured drift.
-2. A step's effects are carried out completely, or a crash comes within it: then nothing was stored and
-   nothing sent, or all was stored and a part was sent.
-3. A datagram is lost, duplicated and delayed as `network` says, each drawn; it arrives unless its route is
-   partitioned by then.
-4. A crashed process has lost all but what it has stored durably. A paused one gets its datagrams, in order,
-   when it is resumed.
+1. The simulation runs in true time, in µs. Each process reads its own clock, which is off by hours and runs
+   too fast or too slow by at most the configured drift.
+2. The effects of a step are carried out completely, unless the process crashes in it. Then either nothing is
+   stored or sent, or everything is stored and some of the datagrams are sent.
+3. Datagrams are lost, duplicated and delayed at random by the parameters of `network`. A datagram arrives
+   unless its route is cut at the time of arrival.
+4. A crashed process keeps only its durable state. A paused process receives its datagrams, in order, when
+   it is resumed.
 """
 
 from __future__ import annotations
@@ -31,30 +31,30 @@
 
 __all__ = ["ConsensusSimulation", "SimulatedNetwork"]
 
-# How many datagrams wait for a paused process, as in a socket's buffer.
+# Datagrams that are kept for a paused process, as by a socket's receive buffer.
 MAX_INBOX_DATAGRAMS = 200
 
 
 @dataclasses.dataclass
 class SimulatedNetwork:
-    """Probabilities and delays of the network, drawn for each datagram."""
+    """Probabilities and delays of the network, which apply to each datagram independently."""
 
     loss_probability: float = 0.0
     duplicate_probability: float = 0.0
     min_delay_us: int = 1_000
     max_delay_us: int = 5_000
-    # Some are much later than others, which reorders them.
+    # Probability and range of an additional delay, which reorders datagrams.
     late_probability: float = 0.0
     max_lateness_us: int = 1_500_000
 
 
 class ConsensusSimulation:
-    """Processes, their network and the time; the rules are at the head of the module."""
+    """The processes, their network and the time, by the rules at the head of the module."""
 
     def __init__(
         self, options: SimulationOptions, seed: int, stored: Mapping[int, Mapping[bytes, bytes]] | None = None
     ) -> None:
-        """`stored`: what each process starts from, as the successor of an earlier one."""
+        """`stored` is the state that each process starts from, as the successor of an earlier one."""
         self.options = options
         self.seed = seed
         self.rng = random.Random(seed)
@@ -63,11 +63,11 @@
         self.cut_routes: set[tuple[int, int]] = set()
         self.step_count = 0
         self.sent_count = 0
-        # How many entries were proposed to check for progress.
+        # Number of entries proposed to check for progress.
         self.probe_count = 0
         self._order = 0
         self._queue: list[tuple[int, int, Callable[..., None], tuple[object, ...]]] = []
-        self.processes = [SimulatedProcess(me, options, self.rng) for me in range(options.peer_count)]
+        self.processes = [SimulatedProcess(peer, options, self.rng) for peer in range(options.peer_count)]
         self.checker = InvariantChecker(self.processes, options, seed)
         for process in self.processes:
             process.stored = dict((stored or {}).get(process.peer, {}))
@@ -77,26 +77,26 @@
 
     # --- Faults -------------------------------------------------------------------
 
-    def start(self, me: int) -> None:
-        """Start a process."""
-        process = self.processes[me]
+    def start(self, peer: int) -> None:
+        """Start a process from its stored state."""
+        process = self.processes[peer]
         process.start()
         assert process.core is not None
-        process.core.on_leader_message = lambda peer, incarnation, data: self._on_leader_message(
-            process, peer, incarnation, data
+        process.core.on_leader_message = lambda sender, incarnation, data: self._on_leader_message(
+            process, sender, incarnation, data
         )
         self.checker.on_start(process)
         self._step(process, lambda core, now: core.start(now))
 
-    def crash(self, me: int, within_step: bool = False) -> None:
-        """Crash a process: now, or within its next step (rule 2)."""
-        process = self.processes[me]
+    def crash(self, peer: int, within_step: bool = False) -> None:
+        """Crash a process, now or within its next step (rule 2)."""
+        process = self.processes[peer]
         if within_step and process.is_alive and not process.is_paused:
             process.crashes_in_next_step = True
         else:
-            self._end(process)
+            self._terminate(process)
 
-    def _end(self, process: SimulatedProcess) -> None:
+    def _terminate(self, process: SimulatedProcess) -> None:
         process.core = None
         process.tick_version += 1
         process.inbox = []
@@ -104,40 +104,44 @@
             process.stored = {}
             process.state_loss_count += 1
 
-    def restart(self, me: int) -> None:
-        """Crash a process, if it runs, and start it again: without state, unless its store is durable."""
-        self._end(self.processes[me])
-        self.start(me)
+    def restart(self, peer: int) -> None:
+        """Crash a process if it runs, and start it again, without state unless its store is durable."""
+        self._terminate(self.processes[peer])
+        self.start(peer)
 
-    def hot_restart(self, me: int) -> None:
-        """Replace a process by a successor that goes on as the same incarnation."""
-        process = self.processes[me]
+    def hot_restart(self, peer: int) -> None:
+        """Replace a process by a successor that continues as the same incarnation."""
+        process = self.processes[peer]
         if process.core is None or process.is_paused:
             return
-        kept, stored, state_loss_count = process.core.retire(), process.stored, process.state_loss_count
-        self._end(process)
+        retired_state, stored, state_loss_count = (
+            process.core.retire(),
+            process.stored,
+            process.state_loss_count,
+        )
+        self._terminate(process)
         process.state_loss_count = state_loss_count
-        process.stored = kept
-        self.start(me)
+        process.stored = retired_state
+        self.start(peer)
         process.stored = stored
 
-    def pause(self, me: int) -> None:
-        """Stop a process where it is."""
-        self.processes[me].is_paused = True
+    def pause(self, peer: int) -> None:
+        """Pause a process: it runs no step until `resume`."""
+        self.processes[peer].is_paused = True
 
-    def resume(self, me: int) -> None:
-        """Let a paused process go on, with the datagrams that came meanwhile."""
-        process = self.processes[me]
+    def resume(self, peer: int) -> None:
+        """Resume a paused process and deliver the datagrams that arrived in the meantime."""
+        process = self.processes[peer]
         if not process.is_paused:
             return
         process.is_paused = False
         inbox, process.inbox = process.inbox, []
-        for peer, raw in inbox:
-            self._arrive(process.peer, peer, raw)
+        for sender, raw in inbox:
+            self._arrive(process.peer, sender, raw)
         self._schedule_tick(process)
 
     def partition(self, *groups: Iterable[int]) -> None:
-        """Partition the groups from each other. A process in several groups is connected to all of them."""
+        """Cut the routes between the groups. A process in several groups is connected to all of them."""
         sides = [set(group) for group in groups]
         self.cut_routes = {
             (a, b)
@@ -147,12 +151,12 @@
         }
 
     def partition_one_way(self, sources: Iterable[int], targets: Iterable[int]) -> None:
-        """Lose all datagrams from the sources to the targets."""
+        """Cut the routes from the sources to the targets."""
         targets = list(targets)
         self.cut_routes = {(a, b) for a in sources for b in targets if a != b}
 
     def heal(self) -> None:
-        """End all faults, and let all processes run."""
+        """End all faults, and resume or start all processes."""
         self.cut_routes = set()
         self.network = SimulatedNetwork()
         for process in self.processes:
@@ -164,9 +168,9 @@
 
     # --- Use ----------------------------------------------------------------------
 
-    def propose(self, me: int, data: bytes) -> bool:
-        """Propose an entry at a process; whether it took the entry."""
-        process = self.processes[me]
+    def propose(self, peer: int, data: bytes) -> bool:
+        """Propose an entry at a process; return whether it accepted the entry."""
+        process = self.processes[peer]
         if process.core is None or process.is_paused:
             return False
         try:
@@ -175,35 +179,37 @@
             return False
         return True
 
-    def request_lease(self, me: int, name: str = "lease", lease_us: int | None = None) -> None:
-        """Let a process request a lease."""
-        process = self.processes[me]
+    def request_lease(self, peer: int, name: str = "lease", lease_us: int | None = None) -> None:
+        """Let a process request a lease of `lease_us`, or for None of the configured length."""
+        process = self.processes[peer]
         if process.core is None or process.is_paused:
             return
         lease_us = self.options.timing.lease_us if lease_us is None else lease_us
-        word = process.leases.request(
+        message = process.leases.request(
             process.local_time_us(self.time_us), process.core.incarnation, name, lease_us
         )
-        self._step(process, lambda core, now: core.send_to_leader(now, word))
+        self._step(process, lambda core, now: core.send_to_leader(now, message))
 
-    def release_lease(self, me: int, name: str = "lease") -> None:
-        """Let a process release a lease, if it has one."""
-        process = self.processes[me]
-        word = process.leases.release(name)
-        if word is not None and process.is_alive and not process.is_paused:
-            self._step(process, lambda core, now: core.send_to_leader(now, word))
+    def release_lease(self, peer: int, name: str = "lease") -> None:
+        """Let a process release a lease if it has one."""
+        process = self.processes[peer]
+        message = process.leases.release(name)
+        if message is not None and process.is_alive and not process.is_paused:
+            self._step(process, lambda core, now: core.send_to_leader(now, message))
 
-    def _on_leader_message(self, process: SimulatedProcess, peer: int, incarnation: int, data: bytes) -> None:
-        # The core is in the midst of a step: what the leader answers is a step of its own.
-        self.schedule(self.time_us, self._propose_lease, process, process.core, peer, incarnation, data)
+    def _on_leader_message(
+        self, process: SimulatedProcess, sender: int, incarnation: int, data: bytes
+    ) -> None:
+        # Called within a step of the core: the proposal is a separate step.
+        self.schedule(self.time_us, self._propose_lease, process, process.core, sender, incarnation, data)
 
     def _propose_lease(
-        self, process: SimulatedProcess, core: ConsensusCore, peer: int, incarnation: int, data: bytes
+        self, process: SimulatedProcess, core: ConsensusCore, sender: int, incarnation: int, data: bytes
     ) -> None:
         if process.core is not core or process.is_paused:
             return
         now = process.local_time_us(self.time_us)
-        entry = process.leases.entry_for(now, core.epoch, peer, incarnation, data)
+        entry = process.leases.entry_for(now, core.epoch, sender, incarnation, data)
         if entry is None:
             return
         try:
@@ -212,18 +218,22 @@
             return
 
     def leaders(self) -> list[SimulatedProcess]:
-        """The processes that take themselves for the leader."""
-        return [one for one in self.processes if one.core is not None and one.core.role == "leader"]
+        """Return the processes that regard themselves as the leader."""
+        return [
+            process
+            for process in self.processes
+            if process.core is not None and process.core.role == "leader"
+        ]
 
     # --- Time ---------------------------------------------------------------------
 
     def schedule(self, time: int, call: Callable[..., None], *args: object) -> None:
-        """Call at a true time, after what was scheduled for it before."""
+        """Schedule a call for a true time, after earlier calls for the same time."""
         self._order += 1
         heapq.heappush(self._queue, (time, self._order, call, args))
 
     def run(self, until: int, done: Callable[[], bool] | None = None) -> bool:
-        """Let time pass until this true time, or until `done` holds after a step; whether it did."""
+        """Run until a true time, or until `done` returns True after a step; return whether it did."""
         queue = self._queue
         if done is not None and done():
             return True
@@ -238,7 +248,7 @@
         return False
 
     def run_for(self, us: int, done: Callable[[], bool] | None = None) -> bool:
-        """The same for this long, µs."""
+        """Run for this time, µs; otherwise as `run`."""
         return self.run(self.time_us + us, done)
 
     def _schedule_tick(self, process: SimulatedProcess) -> None:
@@ -255,15 +265,15 @@
         if process.core is not None:
             self.checker.on_tick(process, self.time_us)
 
-    def _arrive(self, me: int, peer: int, raw: bytes) -> None:
-        if (peer, me) in self.cut_routes:
+    def _arrive(self, receiver: int, sender: int, raw: bytes) -> None:
+        if (sender, receiver) in self.cut_routes:
             return
-        process = self.processes[me]
+        process = self.processes[receiver]
         if process.is_paused:
             if len(process.inbox) < MAX_INBOX_DATAGRAMS:
-                process.inbox.append((peer, raw))
+                process.inbox.append((sender, raw))
         elif process.core is not None:
-            self._step(process, lambda core, now: core.receive(now, peer, raw))
+            self._step(process, lambda core, now: core.receive(now, sender, raw))
 
     def _step(self, process: SimulatedProcess, step: Callable[[ConsensusCore, int], StepEffects]) -> None:
         core = process.core
@@ -275,17 +285,17 @@
         sends = effects.outgoing
         if process.crashes_in_next_step:
             if self.rng.random() < 0.5:
-                self._end(process)
+                self._terminate(process)
                 return
             sends = sends[: self.rng.randint(0, len(sends))]
         self._store(process, effects.persist)
-        for peer, raw in sends:
+        for target, raw in sends:
             self.checker.on_send(process, raw)
-            self._send(process.peer, peer, raw)
+            self._send(process.peer, target, raw)
         process.leases.observe(now, core.epoch)
         self.checker.on_step(process, self.time_us)
         if process.crashes_in_next_step:
-            self._end(process)
+            self._terminate(process)
             return
         self._schedule_tick(process)
 
