--- a/laurelstep/hot_restart/messages.py
+++ b/laurelstep/hot_restart/messages.py
@@ -1,6 +1,6 @@
 """The messages between predecessor and successor. Pure.
 
-They are sent over a Unix socket in `$TMPDIR`, the successor's (not indented) first:
+They are sent over a Unix socket in `$TMPDIR`. The successor sends first; the predecessor's are indented:
 
     laurelstep-handover 1                       protocol and version
         {"v": 1, "size": 812}  + a descriptor   the clients' listener, and the size of the state in bytes
--- a/laurelstep/library/asgi.py
+++ b/laurelstep/library/asgi.py
@@ -163,7 +163,7 @@
         await send({"type": "http.response.start", "status": status, "headers": headers})
         await send({"type": "http.response.body", "body": body})
     except OSError:
-        # Some hosts report a disconnected client so; the request was answered nevertheless.
+        # Some hosts report a client's disconnect like this; the request was answered nevertheless.
         logger.debug("a client disconnected before its answer was written")
 
 
--- a/laurelstep/workers/plan.py
+++ b/laurelstep/workers/plan.py
@@ -8,7 +8,8 @@
    to `max_backoff_us`, and is `initial_backoff_us` again after a process was ready for `max_backoff_us`.
 3. A process that is not ready within `ready_timeout_us` is killed; the one that it was to replace keeps
    serving.
-4. A rolling restart replaces one process at a time, so that never more than one replica is uncertain.
+4. A rolling restart replaces one process at a time, and none while another is starting: no two replicas are
+   at risk at once.
 5. After `stop` no process starts, and the plan is complete once all have exited.
 """
 
