--- a/laurelstep/testing/processes/__init__.py
+++ b/laurelstep/testing/processes/__init__.py
@@ -1,25 +1,26 @@
-"""Several real processes of the program on loopback, faults between them, and the rules that the recorded
-history is checked against. For tests; Linux only, as it reads /proc.
+"""Runs several processes of the program on loopback, injects faults between them, records their history and
+checks it. For tests; Linux only, as it reads /proc.
 
     async with ProcessTier(processes=5, endpoints=6, operator_tables={...}) as tier:
         async with tier.load() as load:             # clients at every process
-            await load.wait_for_answers(20)         # each process has given 20 more answers
-            tier.partition({0, 1}, {2, 3, 4})       # no datagrams between these; both_ways=False: one way
+            await load.wait_for_answers(20)         # 20 more answers of each process
+            tier.partition({0, 1}, {2, 3, 4})       # lose datagrams between these; both_ways=False: one way
             await tier.kill(2)
-            await tier.restart(2)                   # without state, same name and addresses
+            await tier.restart(2)                   # as a new process with the same name and addresses
             answer = await tier.call(2, "GET", "/api/ready")    # tier.read_state(...) reads JSON
             tier.heal_partition()
-        tier.check()                                # AssertionError that names each broken rule
+        tier.check()                                # AssertionError with the violations
 
 Each process is `python -m laurelstep run --operator FILE`, configured by the platform's JSON (LB_CONFIG: its
 listener, management address, discovery, `peer_listen` and `peers`) and by `operator_tables` in FILE. In
-texts of these tables `{folder}` is a folder of the process's own that stays over its starts.
+strings of these tables `{folder}` is replaced by a folder of the process that is kept over restarts.
 
-The test commands all that stands between the processes:
+The test controls:
 
-- datagrams: `tier.partition`, `tier.heal_partition`, `tier.set_network_faults(NetworkFaults(
-  loss_probability=0.1, duplicate_probability=0.1, reorder_probability=0.1, delay_us=(0, 5000)))`, and single
-  routes by `tier.datagrams.route(0, 1)`: `lose_next`, `duplicate_next`, `hold`, with
+- datagrams between processes: `tier.partition`, `tier.heal_partition`,
+  `tier.set_network_faults(NetworkFaults(loss_probability=0.1, duplicate_probability=0.1,
+  reorder_probability=0.1, delay_us=(0, 5000)))`, and single routes by
+  `tier.datagrams.route(0, 1)`, which has `lose_next`, `duplicate_next` and `hold`, and
   `tier.datagrams.release(0, 1, reverse=True)`;
 - discovery: `tier.block_discovery({1})`, `unblock_discovery`; `tier.publish(endpoint, "draining",
   processes=...)`;
@@ -31,17 +32,17 @@
   `tier.programs[n]` has `fill_disk`, `free_disk`, `wait_logged` and, with `with_clocks=True`, `step_clock`;
   `truncate_tail` and `flip_bit` damage a file between two starts.
 
-Waits are for events, and fail with the event's name if it does not come: `load.wait_for_answers`,
-`wait_lists_read`, `wait_logged`, `wait_until_time`, and `wait_until(condition, name)` for what can only be
-polled.
+Waits fail with the name of the event if it does not occur in time: `load.wait_for_answers`,
+`wait_lists_read`, `wait_logged`, `wait_until_time`, and `wait_until(condition, description)` for conditions
+that can only be polled.
 
-`tier.note_drained(endpoint)` begins the time in which no process may forward anything there,
-`note_restored` ends it. The rules are at the head of `history_checks`. A test draws from `tier.rng`, so
-from `seed`.
+After `tier.record_drained(endpoint)` no process may forward requests to the endpoint until `record_restored`.
+The rules are at the head of `history_checks`. Tests take random values from `tier.rng`, which is seeded with
+`seed`.
 
-Writes that edges queue and replay upstream have events and rules of their own, at the head of
-`queued_writes`: a test records what clients were told, what servers received and how receipts end;
-`check_queued_writes` gives the violations.
+Writes that edges queue and replay upstream have separate events and rules, at the head of `queued_writes`: a
+test records the answers of clients, the deliveries to servers and the final receipts, and
+`check_queued_writes` returns the violations.
 """
 
 from laurelstep.testing.processes.faults import Datagram, NetworkFaults, Route, RouteTable
--- a/laurelstep/testing/processes/discovery.py
+++ b/laurelstep/testing/processes/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery of one process, which reports when the process has read a change."""
+"""A discovery server for one process, which reports when the process has read a change."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from laurelstep.testing.processes.relays import HOST, StreamRelay, now_us
 
 Entry = dict[str, Any]
-# Called with entries that the process has read, and when they were pushed, µs.
+# Called with entries that the process has read, and the time at which they were pushed, µs.
 OnRead = Callable[[Sequence[Entry], int], None]
 
 
 class _OpenWatch:
-    """An open watch, and the count of bytes written into it."""
+    """An open watch, with the number of bytes written to it."""
 
     def __init__(self, writer: Writer) -> None:
         self.writer = writer
@@ -32,14 +32,14 @@
         self.writer.write(data)
 
     def write_chunk(self, line: bytes) -> None:
-        """Write one chunk of the answer."""
+        """Write one line as a chunk of the answer."""
         self.write(b"%x\r\n%b\r\n" % (len(line), line))
 
 
 class ProcessDiscovery(Listener):
-    """Pushes the endpoint list of one process through a relay that can be blocked.
+    """Pushes the endpoint list to one process, through a relay that can be blocked.
 
-    Each watch begins with the whole list, so what is pushed while no watch is open comes with the next.
+    Each watch begins with the whole list, so entries pushed while no watch is open arrive with the next one.
     """
 
     def __init__(self, entries: Callable[[], list[Entry]], on_read: OnRead) -> None:
@@ -52,7 +52,7 @@
         self._server: asyncio.Server | None = None
 
     async def open(self) -> StreamRelay:
-        """Listen, and give the relay in front, whose address the process is configured with."""
+        """Start listening, and return the relay whose address is configured as the process's discovery."""
         self._server = await self.start()
         self.relay = StreamRelay((HOST, self.port))
         await self.relay.start()
@@ -66,16 +66,16 @@
 
     def _push(self, watch: _OpenWatch, is_whole: bool, entries: Sequence[Entry]) -> None:
         list_object = {"generation": self.generation, "reset": is_whole, "instances": list(entries)}
-        pushed_at = now_us()
+        pushed_at_us = now_us()
         watch.write_chunk(json.dumps(list_object).encode() + b"\n")
-        task = asyncio.create_task(self._report_when_read(watch, watch.written_bytes, entries, pushed_at))
+        task = asyncio.create_task(self._report_when_read(watch, watch.written_bytes, entries, pushed_at_us))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _report_when_read(
         self, watch: _OpenWatch, end_offset: int, entries: Sequence[Entry], pushed_at_us: int
     ) -> None:
-        """Wait until the process has read this far, or its watch has ended."""
+        """Call `on_read` once the process has read up to `end_offset`, unless the watch ends before."""
         assert self.relay is not None
         port = watch.writer.get_extra_info("peername")[1]
         while (connection := self.relay.connection_on_port(port)) is not None:
@@ -94,7 +94,7 @@
                 self._watches.append(watch)
                 await self._send_heartbeats(watch, reader)
         except asyncio.CancelledError:
-            # Guards against asyncio's own callback, which fails on a cancelled task.
+            # Not raised again: the callback that asyncio adds to this task fails for a cancelled one.
             return
         finally:
             if watch in self._watches:
@@ -102,7 +102,7 @@
             writer.close()
 
     async def _send_heartbeats(self, watch: _OpenWatch, reader: Reader) -> None:
-        """Until the process ends the watch."""
+        """Send heartbeats until the process ends the watch."""
         ended = asyncio.create_task(reader.read())
         try:
             while not (await asyncio.wait({ended}, timeout=HEARTBEAT_INTERVAL_S))[0]:
@@ -111,7 +111,7 @@
             ended.cancel()
 
     def close(self) -> None:
-        """Stop listening, and end the relay and what waits."""
+        """Stop listening, close the relay and cancel pending reports."""
         for task in list(self._tasks):
             task.cancel()
         if self.relay is not None:
--- a/laurelstep/testing/processes/faults.py
+++ b/laurelstep/testing/processes/faults.py
@@ -1,15 +1,14 @@
-"""Faults of a datagram network. Pure: bytes in, datagrams to deliver out; the seed is passed in.
+"""Faults of a datagram network, without I/O: sent data in, datagrams to deliver out. The seed is a parameter.
 
 The rules:
 
-1. A route has one direction. What happens to its n-th datagram follows from the route's seed, n, the
-   faults that are set and the commands before it, never from the time or from another route.
-2. Commands of the test (partition, hold, lose and duplicate the next ones) take precedence over faults
-   that are drawn.
-3. A partitioned route loses what is sent; a datagram in flight still arrives.
-4. A route that holds keeps at most `MAX_HELD_DATAGRAMS`, loses further ones, and releases them in their
-   order or reversed.
-5. Each datagram counts once, as passed or as lost. A copy counts as duplicated.
+1. A route has one direction. The fate of its n-th datagram depends only on the route's seed, n, the faults
+   set and the commands before it, not on the time or on other routes.
+2. Commands of the test (partition, hold, lose next, duplicate next) take precedence over random faults.
+3. A partitioned route loses datagrams when they are sent; those in flight still arrive.
+4. A holding route keeps at most `MAX_HELD_DATAGRAMS`, loses further ones, and releases them in the order
+   sent or in reverse.
+5. Each datagram counts once, as passed or as lost. The copy made by a duplication counts as duplicated.
 """
 
 from __future__ import annotations
@@ -24,10 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NetworkFaults:
-    """What a route does to datagrams: probabilities from 0 to 1, and a delay drawn evenly from a range, µs.
+    """Random faults of a route: probabilities from 0 to 1, and a range of uniformly distributed delays, µs.
 
-    A wide range reorders datagrams by time. `reorder_probability` lets the next datagram go first
-    whatever its delay.
+    A wide range of delays reorders datagrams. `reorder_probability` is that of swapping a datagram with the
+    next one, whatever their delays.
     """
 
     loss_probability: float = 0.0
@@ -41,14 +40,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """Bytes to deliver after `delay_us`."""
+    """Data to deliver after `delay_us`."""
 
     delay_us: int
     data: bytes
 
 
 class Route:
-    """One direction between two peers, with its faults and counts."""
+    """One direction between two peers, with its faults and counters."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -64,19 +63,19 @@
     # --- Commands -------------------------------------------------------------------
 
     def lose_next(self, count: int = 1) -> None:
-        """Lose this many of the datagrams that are sent next."""
+        """Lose the next `count` datagrams sent."""
         self._lose_next += count
 
     def duplicate_next(self, count: int = 1) -> None:
-        """Deliver this many of the datagrams that pass next twice."""
+        """Deliver each of the next `count` datagrams that pass twice."""
         self._duplicate_next += count
 
     def hold(self) -> None:
-        """Keep what is sent until `release`."""
+        """Hold datagrams back until `release`."""
         self.is_holding = True
 
     def release(self, reverse: bool = False) -> list[Datagram]:
-        """Stop holding; the datagrams that were held, the last one first if `reverse`."""
+        """Stop holding, and return the held datagrams, last one first if `reverse`."""
         self.is_holding = False
         held, self._held = self._held, []
         self.reordered_count += len(held) - 1 if reverse and held else 0
@@ -84,8 +83,8 @@
 
     # --- Datagrams ------------------------------------------------------------------
 
-    def carry(self, data: bytes) -> list[Datagram]:
-        """The datagrams to deliver because this one was sent, an overtaken one among them."""
+    def transmit(self, data: bytes) -> list[Datagram]:
+        """Send a datagram; return the datagrams to deliver now, also an earlier one that it overtook."""
         loss, duplicate, reorder, *delays = (self.rng.random() for _ in range(5))
         self.received_bytes += len(data)
         if self._is_lost(loss):
@@ -109,16 +108,16 @@
             self._overtaken = None
         return datagrams
 
-    def _is_lost(self, drawn: float) -> bool:
+    def _is_lost(self, sample: float) -> bool:
         if self._lose_next:
             self._lose_next -= 1
             return True
         is_full = self.is_holding and len(self._held) >= MAX_HELD_DATAGRAMS
-        return self.is_partitioned or is_full or drawn < self.faults.loss_probability
+        return self.is_partitioned or is_full or sample < self.faults.loss_probability
 
-    def _delay(self, drawn: float) -> int:
-        least, most = self.faults.delay_us
-        return least + int(drawn * (most - least))
+    def _delay(self, sample: float) -> int:
+        min_us, max_us = self.faults.delay_us
+        return min_us + int(sample * (max_us - min_us))
 
 
 class RouteTable:
@@ -127,37 +126,39 @@
     def __init__(self, peer_count: int, seed: int) -> None:
         self.peer_count = peer_count
         self.routes = {
-            (one, other): Route(random.Random(f"{seed} {one} {other}"))
-            for one in range(peer_count)
-            for other in range(peer_count)
-            if one != other
+            (sender, receiver): Route(random.Random(f"{seed} {sender} {receiver}"))
+            for sender in range(peer_count)
+            for receiver in range(peer_count)
+            if sender != receiver
         }
 
     def between(
-        self, some: Iterable[int], others: Iterable[int], both_ways: bool = True
+        self, senders: Iterable[int], receivers: Iterable[int], both_ways: bool = True
     ) -> Iterator[tuple[tuple[int, int], Route]]:
-        """The routes from `some` peers to `others`, and back if `both_ways`."""
-        far_side = set(others)
-        for one in set(some):
-            for other in far_side - {one}:
-                yield (one, other), self.routes[one, other]
+        """Yield the routes from `senders` to `receivers`, and the reverse ones if `both_ways`."""
+        distinct_receivers = set(receivers)
+        for sender in set(senders):
+            for receiver in distinct_receivers - {sender}:
+                yield (sender, receiver), self.routes[sender, receiver]
                 if both_ways:
-                    yield (other, one), self.routes[other, one]
+                    yield (receiver, sender), self.routes[receiver, sender]
 
-    def partition(self, some: Iterable[int], others: Iterable[int], both_ways: bool = True) -> None:
-        """Lose all that `some` peers send to `others`, and the reverse if `both_ways`."""
-        for _, route in self.between(some, others, both_ways):
+    def partition(self, senders: Iterable[int], receivers: Iterable[int], both_ways: bool = True) -> None:
+        """Lose all datagrams from `senders` to `receivers`, and the reverse ones if `both_ways`."""
+        for _, route in self.between(senders, receivers, both_ways):
             route.is_partitioned = True
 
-    def heal_partition(self, some: Iterable[int] | None = None, others: Iterable[int] | None = None) -> None:
-        """End partitions: all, or those between these two groups."""
-        everyone = range(self.peer_count)
-        one_side = everyone if some is None else some
-        other_side = everyone if others is None else others
-        for _, route in self.between(one_side, other_side):
+    def heal_partition(
+        self, group: Iterable[int] | None = None, other_group: Iterable[int] | None = None
+    ) -> None:
+        """End the partitions between two groups of peers; None stands for all peers."""
+        all_peers = range(self.peer_count)
+        senders = all_peers if group is None else group
+        receivers = all_peers if other_group is None else other_group
+        for _, route in self.between(senders, receivers):
             route.is_partitioned = False
 
     def set_faults(self, faults: NetworkFaults) -> None:
-        """Set the drawn faults of every route; commands of the test stay."""
+        """Set the random faults of every route; commands of the test stay in force."""
         for route in self.routes.values():
             route.faults = faults
--- a/laurelstep/testing/processes/files.py
+++ b/laurelstep/testing/processes/files.py
@@ -1,4 +1,4 @@
-"""Configuration files of a process, and faults of the disk that it writes to."""
+"""Configuration files of a process, and faults of its disk and files."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from pathlib import Path
 from typing import Any
 
-# The largest size of a file in bytes, as a limit of the process, while the disk counts as full.
+# The process's limit of file sizes (RLIMIT_FSIZE) that stands for a full disk.
 _FULL_DISK_BYTES = 0
 
 
 def format_toml(tables: Mapping[str, Mapping[str, Any]]) -> str:
-    """Tables as TOML; ValueError for a value that it has no form for. Tables in lists are inline."""
+    """Return tables as TOML, nested ones inline; ValueError for a value that TOML cannot represent."""
     parts = []
     for name, table in tables.items():
         parts += [f"[{_key(name)}]", *(f"{_key(key)} = {_value(value)}" for key, value in table.items()), ""]
@@ -26,7 +26,7 @@
 
 
 def _text(text: str) -> str:
-    """A basic string: as in JSON, with one more character that must be escaped."""
+    """Return a basic string: as in JSON, but DEL must be escaped too."""
     return json.dumps(text, ensure_ascii=False).replace("\x7f", "\\u007f")
 
 
@@ -39,9 +39,9 @@
         case str():
             return _text(value)
         case list() | tuple():
-            return f"[{', '.join(_value(one) for one in value)}]"
+            return f"[{', '.join(_value(item) for item in value)}]"
         case dict():
-            return f"{{{', '.join(f'{_key(key)} = {_value(one)}' for key, one in value.items())}}}"
+            return f"{{{', '.join(f'{_key(key)} = {_value(item)}' for key, item in value.items())}}}"
     raise ValueError(f"no form in TOML: {value!r}")
 
 
@@ -49,23 +49,26 @@
 
 
 def fill_disk(pid: int) -> None:
-    """From now on no regular file takes a byte from this process: EFBIG, where a full disk says
-    ENOSPC; OSError both. What is open may still be read, and synced. Linux only.
+    """Fail all further writes of the process to regular files. Linux only.
+
+    The writes fail with EFBIG rather than with the ENOSPC of a full disk; both are OSError. Open files can
+    still be read and synced.
     """
     _, hard_limit = resource.prlimit(pid, resource.RLIMIT_FSIZE)
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (_FULL_DISK_BYTES, hard_limit))
 
 
 def free_disk(pid: int) -> None:
-    """End what `fill_disk` did."""
+    """Undo `fill_disk`."""
     _, hard_limit = resource.prlimit(pid, resource.RLIMIT_FSIZE)
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (hard_limit, hard_limit))
 
 
 def truncate_tail(path: Path, rng: random.Random, max_bytes: int = 4096) -> int:
-    """Take away a part of the last `most` bytes that were written, as power that fails in a write does;
-    gives how many. A file that was made long before it was filled keeps its length, with zeros. For a
-    process that is down. 0 if nothing was written.
+    """Lose at most `max_bytes` of the last bytes written, as a power loss may; return how many.
+
+    A preallocated file keeps its length: its tail is overwritten with zeros. 0 if nothing was written.
+    The process must be down.
     """
     data = path.read_bytes()
     written = len(data.rstrip(b"\0"))
@@ -80,11 +83,11 @@
 
 
 def flip_bit(path: Path, rng: random.Random) -> int:
-    """Flip one bit of the file; gives the byte's offset. ValueError for an empty file."""
+    """Flip one bit of the file; return the byte's offset. ValueError for an empty file."""
     data = bytearray(path.read_bytes())
     if not data:
         raise ValueError(f"{path.name} is empty")
-    at = rng.randrange(len(data))
-    data[at] ^= 1 << rng.randrange(8)
+    offset = rng.randrange(len(data))
+    data[offset] ^= 1 << rng.randrange(8)
     path.write_bytes(data)
-    return at
+    return offset
--- a/laurelstep/testing/processes/history.py
+++ b/laurelstep/testing/processes/history.py
@@ -1,8 +1,7 @@
-"""What happened to several processes and their requests, as a list of events.
+"""The history of several processes and their requests, as a list of events.
 
-Times are in µs, all on the one monotonic clock of the machine. A request counts as forwarded when the
-relay has read it from its process: one that a blocked relay delivers late was forwarded before.
-`history_checks` holds a history against its rules.
+All times are in µs of the machine's monotonic clock. A request counts as forwarded when the relay has read it
+from the process, even if a blocked relay delivers it later. `history_checks` checks a history.
 """
 
 from __future__ import annotations
@@ -20,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestStarted:
-    """A client begins a request at its process."""
+    """A client begins to send a request to its process."""
 
     at_us: int
     process: int
@@ -32,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseReceived:
-    """A client has read a complete final answer. `request` is the one that a served answer names."""
+    """A client has read a complete final answer. `request` is the id named in the body of a served answer."""
 
     at_us: int
     process: int
@@ -42,13 +41,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFailed:
-    """A client's connection ended, or did not come up, before there was an answer."""
+    """A client's connection failed or ended before the answer was complete."""
 
     at_us: int
     process: int
     request: str
     error: str
-    is_reused_connection: bool = False  # the connection had carried another request before
+    is_reused_connection: bool = False  # it carried an earlier request
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestExecuted:
-    """An endpoint executed a request; a repeat that it dropped is no such event."""
+    """An endpoint has executed a request; repeats that it drops are not recorded."""
 
     at_us: int
     endpoint: str
@@ -83,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointDrained:
-    """Somebody was told that an endpoint is drained: nothing may be forwarded there any more."""
+    """An endpoint was reported drained: requests may not be forwarded to it any more."""
 
     at_us: int
     endpoint: str
@@ -91,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointRestored:
-    """Requests may be forwarded to the endpoint again."""
+    """Requests may be forwarded to an endpoint again."""
 
     at_us: int
     endpoint: str
@@ -99,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ManagementCall:
-    """The management address has answered a call that was made at `started_at_us`."""
+    """The management API has answered a call that was made at `started_at_us`."""
 
     at_us: int
     started_at_us: int
@@ -109,23 +108,23 @@
 
 
 class ProcessPhase(StrEnum):
-    """What a process does, or what the test has done to it."""
+    """A phase in the life of a process, or a signal that the test sends to it."""
 
     STARTED = "started"
     READY = "ready"
     PAUSED = "paused"
     RESUMED = "resumed"
-    STOPPING = "told to stop"
+    STOPPING = "stopping"
     KILLED = "killed"
     ENDED = "ended"
-    SUCCESSOR_STARTED = "followed by a next version"
-    RETIRING = "told to stop, for the next version serves"
-    RETIRED = "ended, for the next version serves"
+    SUCCESSOR_STARTED = "successor started"
+    RETIRING = "retiring"
+    RETIRED = "retired"
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessEvent:
-    """A process has entered a phase. What the test does to it is recorded just before it does so."""
+    """A process has entered a phase. Signals other than SIGCONT are recorded just before they are sent."""
 
     at_us: int
     process: int
@@ -148,13 +147,13 @@
 
 @dataclass
 class History:
-    """Events in the order in which they were recorded; `now_us` is the clock."""
+    """The events in the order in which they were recorded; `now_us` is the clock."""
 
     now_us: Callable[[], int]
     events: list[Event] = field(default_factory=list)
 
     def add(self, event: Event) -> None:
-        """Record one event."""
+        """Record an event."""
         self.events.append(event)
 
     def add_process_event(self, process: int, phase: ProcessPhase) -> None:
--- a/laurelstep/testing/processes/load.py
+++ b/laurelstep/testing/processes/load.py
@@ -1,4 +1,4 @@
-"""Clients of the processes: each sends its own process one request at a time until it is stopped."""
+"""Generates load: clients that each send one request at a time to one process until they are stopped."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 )
 from laurelstep.testing.processes.program import EVENT_TIMEOUT_S, ProgramRunner
 
-# Each class of the tier's settings, and its effect as the history's rules have it.
+# The classes of the tier's settings, each with its effect.
 CLASSES: Final[tuple[tuple[str, Effect], ...]] = (("page", "safe"), ("put", "keyed"), ("pay", "unsafe"))
-# Time between two requests of a client. It paces the load; no verdict depends on it.
+# Time between two requests of a client. No check depends on it.
 THINK_TIME_S: Final = 0.004
 
 
 class LoadGenerator:
-    """Runs `clients` clients at each process; `answers` counts by process and status.
+    """Runs `clients` clients per process. `answers` counts answers by process and status.
 
-    A client whose process is down waits until it serves again.
+    A client waits while its process is down.
     """
 
     def __init__(
@@ -48,11 +48,11 @@
         ]
 
     async def _call(self, program: ProgramRunner, number: int) -> None:
-        """Send requests until `stop`. Of four clients one closes its connection after each answer."""
+        """Send requests until `stop`. Every fourth client closes its connection after each answer."""
         caller, last_request = Caller(*program.listen), ""
         while await self._wait_serving(program):
             if caller.streams is not None and caller.streams[0].at_eof():
-                caller.close()  # ended while idle, possibly with its process
+                caller.close()  # closed while idle, perhaps by the end of the process
             last_request = await self._send_request(program, caller, next(self._numbers))
             if number % 4 == 3:
                 await self._close_connection(program, caller, last_request)
@@ -60,7 +60,7 @@
         await self._close_connection(program, caller, last_request)
 
     async def _wait_serving(self, program: ProgramRunner) -> bool:
-        """Wait until the process serves; False when it is time to stop."""
+        """Wait until the process serves or `stop` is called; return whether to continue."""
         if not program.serving.is_set() and not self._stopped.is_set():
             waiting = [asyncio.create_task(event.wait()) for event in (program.serving, self._stopped)]
             try:
@@ -72,26 +72,26 @@
 
     async def _send_request(self, program: ProgramRunner, caller: Caller, number: int) -> str:
         cls, effect = CLASSES[number % len(CLASSES)]
-        name, key = f"r{number}", f"k{number}" if effect == "keyed" else None
-        raw = request(cls, b"" if effect == "safe" else b"body", "", self.deadline_ms, name, key)
+        request_id, key = f"r{number}", f"k{number}" if effect == "keyed" else None
+        raw = request(cls, b"" if effect == "safe" else b"body", "", self.deadline_ms, request_id, key)
         process, now_us, is_reused = program.number, self.history.now_us, caller.streams is not None
-        self.history.add(RequestStarted(now_us(), process, name, effect, key, self.deadline_ms * 1000))
+        self.history.add(RequestStarted(now_us(), process, request_id, effect, key, self.deadline_ms * 1000))
         try:
             message = await caller.send(raw)
         except (OSError, asyncio.IncompleteReadError) as error:
-            self.history.add(RequestFailed(now_us(), process, name, type(error).__name__, is_reused))
+            self.history.add(RequestFailed(now_us(), process, request_id, type(error).__name__, is_reused))
             self.failures[process] += 1
         else:
-            # An endpoint of the tier answers with the id of the request that it served.
-            answered = message.body.decode() if message.status == 200 else name
-            self.history.add(ResponseReceived(now_us(), process, answered, message.status))
+            # An endpoint of the tier answers with the id of the request that it has executed.
+            answered_id = message.body.decode() if message.status == 200 else request_id
+            self.history.add(ResponseReceived(now_us(), process, answered_id, message.status))
             self.answers[process, message.status] += 1
         async with self._changed:
             self._changed.notify_all()
-        return name
+        return request_id
 
     async def _close_connection(self, program: ProgramRunner, caller: Caller, last_request: str) -> None:
-        """End the connection; bytes that still come are recorded as a second answer."""
+        """Close the connection; bytes that still arrive are recorded as a second answer."""
         if caller.streams is None:
             return
         reader, writer = caller.streams
@@ -102,29 +102,29 @@
         caller.close()
 
     def answer_count(self, process: int | None = None) -> int:
-        """How many answers there were so far, of one process or of all."""
-        return sum(n for (one, _), n in self.answers.items() if process is None or one == process)
+        """Return the number of answers so far, of one process or for None of all."""
+        return sum(n for (number, _), n in self.answers.items() if process is None or number == process)
 
     async def wait_for_answers(self, answers: int, *processes: int) -> None:
-        """Wait until each of these processes, or all that serve, has given this many more answers.
+        """Wait until each of these processes, by default all that serve, has given this many more answers.
 
-        AssertionError with the counts if they do not come.
+        AssertionError with the counts after `EVENT_TIMEOUT_S`.
         """
-        named = processes or [program.number for program in self.programs if program.serving.is_set()]
-        due = {process: self.answer_count(process) + answers for process in named}
+        selected = processes or [program.number for program in self.programs if program.serving.is_set()]
+        targets = {process: self.answer_count(process) + answers for process in selected}
         try:
             async with asyncio.timeout(EVENT_TIMEOUT_S), self._changed:
                 await self._changed.wait_for(
-                    lambda: all(self.answer_count(n) >= end for n, end in due.items())
+                    lambda: all(self.answer_count(n) >= target for n, target in targets.items())
                 )
         except TimeoutError:
-            counts = {n: self.answer_count(n) for n in due}
-            raise AssertionError(f"answers {counts}, expected {due}") from None
+            counts = {n: self.answer_count(n) for n in targets}
+            raise AssertionError(f"answers by process: {counts}, expected {targets}") from None
 
     async def stop(self) -> None:
-        """Stop the clients once each has its last answer, or its connection has ended.
+        """Stop the clients after their open requests are answered or their connections have ended.
 
-        A request that has neither after `EVENT_TIMEOUT_S` is left to the checker.
+        A request still open after `EVENT_TIMEOUT_S` is cancelled, for the checker to report as unanswered.
         """
         self._stopped.set()
         await asyncio.wait(self._tasks, timeout=EVENT_TIMEOUT_S)
--- a/laurelstep/testing/processes/program.py
+++ b/laurelstep/testing/processes/program.py
@@ -1,4 +1,4 @@
-"""Runs one process of the program: its files, its signals and its log."""
+"""Runs one process of the program: its configuration files, signals and log."""
 
 from __future__ import annotations
 
@@ -20,31 +20,31 @@
 from laurelstep.testing.processes.launch import create_clock, step_clock
 from laurelstep.testing.processes.relays import HOST, Address
 
-# How long a test waits for an event before it fails; no verdict is measured by it.
+# How long a test waits for an event before it fails. No check depends on it.
 EVENT_TIMEOUT_S: Final = 60.0
-# Between two checks of what can only be polled. No verdict depends on it.
+# Time between two polls of a condition. No check depends on it.
 POLL_INTERVAL_S: Final = 0.01
 MAX_LOG_LINES: Final = 10_000
 PROGRAM_ARGUMENTS: Final = ("-m", "laurelstep")
 
 
 async def wait_until(
-    is_true: Callable[[], Awaitable[bool]], what: str, timeout_s: float = EVENT_TIMEOUT_S
+    is_true: Callable[[], Awaitable[bool]], description: str, timeout_s: float = EVENT_TIMEOUT_S
 ) -> None:
-    """Poll until the condition holds; AssertionError that names it if that takes longer than `timeout_s`."""
+    """Poll a condition until it is true; AssertionError with its description after `timeout_s`."""
     try:
         async with asyncio.timeout(timeout_s):
             while not await is_true():
                 await asyncio.sleep(POLL_INTERVAL_S)
     except TimeoutError:
-        raise AssertionError(f"did not come within {timeout_s:.0f} s: {what}") from None
+        raise AssertionError(f"not true within {timeout_s:.0f} s: {description}") from None
 
 
 class ProgramRunner:
-    """Starts, signals and restarts one process; its name, addresses and folder stay.
+    """Starts, signals and restarts one process, which keeps its name, addresses and folder.
 
-    `serving` is set from when the process is ready until it is told to end. Waits end with an
-    AssertionError or TimeoutError after `EVENT_TIMEOUT_S`.
+    `serving` is set while the process is ready and was not told to end. Waits fail with an AssertionError or
+    a TimeoutError after `EVENT_TIMEOUT_S`.
     """
 
     def __init__(
@@ -56,8 +56,8 @@
         has_clock: bool = False,
         command_prefix: Sequence[str] = PROGRAM_ARGUMENTS,
     ) -> None:
-        """`command_prefix` are the interpreter's arguments before the program's own. With `has_clock` the
-        process has a wall clock that can be stepped.
+        """`command_prefix` precedes the program's arguments in those of the interpreter. With `has_clock` the
+        process gets a wall clock that can be stepped.
         """
         self.number = number
         self.folder = folder
@@ -66,15 +66,15 @@
         self.management: Address = (HOST, free_port())
         self.clock_path = folder / "clock" if has_clock else None
         self.command_prefix = command_prefix
-        self.log_lines: list[str] = []  # of all starts
+        self.log_lines: list[str] = []  # over all starts
         self.process: Process | None = None
         self.start_count = 0
-        self.serving = asyncio.Event()  # it is ready, and was not told to end since
+        self.serving = asyncio.Event()  # the process is ready and was not told to end since
         self._rng = random.Random(f"{seed} {number}")
         self._logged = asyncio.Condition()
-        self._alive: dict[Process, asyncio.Task[int]] = {}  # two while a successor takes over
+        self._running: dict[Process, asyncio.Task[int]] = {}  # two entries while a successor takes over
         self._retiring: set[int] = set()
-        self._exit_status: asyncio.Task[int] | None = None
+        self._exit_task: asyncio.Task[int] | None = None
         self._paused = False
 
     # --- Files ----------------------------------------------------------------------
@@ -91,7 +91,7 @@
         (self.folder / "config.json").write_text(json.dumps(raw))
 
     def _draw_seed(self) -> None:
-        """Write a new seed, as each start gets one."""
+        """Write a new seed, as each start has its own."""
         raw = json.loads((self.folder / "config.json").read_text())
         self._write_json({**raw, "seed": f"{self._rng.getrandbits(64):x}"})
 
@@ -99,37 +99,37 @@
 
     @property
     def pid(self) -> int:
-        """The process id of the newest start."""
+        """The process id of the latest start."""
         assert self.process is not None
         return self.process.pid
 
     @property
     def is_running(self) -> bool:
-        """Whether the newest start has not ended."""
+        """Whether the process of the latest start has not ended."""
         return self.process is not None and self.process.returncode is None
 
     async def start(self) -> None:
-        """Start a process without state of its own; it need not be ready yet."""
-        assert not self.is_running, f"process {self.number} runs"
+        """Start the process, not as a successor and without waiting until it is ready."""
+        assert not self.is_running, f"process {self.number} is running already"
         self._paused = False
         self.history.add_process_event(self.number, ProcessPhase.STARTED)
         await self._spawn()
 
     async def replace(self) -> int:
-        """Start a successor beside this process, at the same address and with another management
-        address, and stop the older one once the successor is ready; the older one's exit status.
+        """Start a successor at the same address, with another management address; once it is ready, stop the
+        predecessor and return its exit status.
         """
-        older, exit_status = self.process, self._exit_status
-        assert older is not None and exit_status is not None and self.is_running
+        predecessor, exit_task = self.process, self._exit_task
+        assert predecessor is not None and exit_task is not None and self.is_running
         self.management = (HOST, free_port())
         self.history.add_process_event(self.number, ProcessPhase.SUCCESSOR_STARTED)
         await self._spawn()
         await self._wait_until_answered_ready()
         self.history.add_process_event(self.number, ProcessPhase.RETIRING)
-        self._retiring.add(older.pid)
-        older.send_signal(signal.SIGTERM)
+        self._retiring.add(predecessor.pid)
+        predecessor.send_signal(signal.SIGTERM)
         async with asyncio.timeout(EVENT_TIMEOUT_S):
-            return await asyncio.shield(exit_status)
+            return await asyncio.shield(exit_task)
 
     async def _spawn(self) -> None:
         self._draw_seed()
@@ -137,23 +137,23 @@
         if self.clock_path is not None:
             prefix = ("-m", f"{__package__}.launch", str(self.clock_path))
         arguments = [*prefix, "run", "--operator", str(self.folder / "operator.toml")]
-        environ = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
-        own = {
+        inherited = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
+        variables = {
             "LB_CONFIG": str(self.folder / "config.json"),
             "LB_MANAGEMENT": f"{self.management[0]}:{self.management[1]}",
             "TMPDIR": str(self.folder),
         }
         self.start_count += 1
-        # A process group of its own, for signals to it and its workers.
+        # In a new session, and so a process group, for signals to the process and its workers.
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, *arguments, stdin=DEVNULL, stdout=DEVNULL, stderr=PIPE, start_new_session=True,
-            env={**environ, **own},
+            env={**inherited, **variables},
         )  # fmt: skip
-        self._exit_status = asyncio.create_task(self._read_log(self.process))
-        self._alive[self.process] = self._exit_status
+        self._exit_task = asyncio.create_task(self._read_log(self.process))
+        self._running[self.process] = self._exit_task
 
     async def _read_log(self, process: Process) -> int:
-        """Read the log to the process's end; its exit status."""
+        """Read the log until the process ends; return its exit status."""
         assert process.stderr is not None
         async for raw in process.stderr:
             async with self._logged:
@@ -161,7 +161,7 @@
                 del self.log_lines[:-MAX_LOG_LINES]
                 self._logged.notify_all()
         status = await process.wait()
-        del self._alive[process]
+        del self._running[process]
         if process.pid in self._retiring:
             self._retiring.discard(process.pid)
             self.history.add_process_event(self.number, ProcessPhase.RETIRED)
@@ -173,7 +173,7 @@
         return status
 
     async def wait_ready(self) -> None:
-        """Wait until the process reports at its management address that it is ready."""
+        """Wait until the process reports over its management API that it is ready."""
         await self._wait_until_answered_ready()
         self.history.add_process_event(self.number, ProcessPhase.READY)
         self.serving.set()
@@ -189,73 +189,73 @@
         await wait_until(is_ready, f"process {self.number} ready")
 
     async def wait_ended(self) -> int:
-        """Wait until the process has ended; its exit status."""
-        assert self._exit_status is not None
+        """Wait until the process has ended; return its exit status."""
+        assert self._exit_task is not None
         async with asyncio.timeout(EVENT_TIMEOUT_S):
-            return await asyncio.shield(self._exit_status)
+            return await asyncio.shield(self._exit_task)
 
     async def kill(self) -> None:
-        """Send SIGKILL to the process and a predecessor, paused or not, and wait until they have ended."""
+        """Send SIGKILL to the process and any predecessor, paused or not, and wait until they have ended."""
         self.serving.clear()
         self._signal(signal.SIGKILL, ProcessPhase.KILLED)
         async with asyncio.timeout(EVENT_TIMEOUT_S):
-            await asyncio.gather(*map(asyncio.shield, self._alive.values()))
+            await asyncio.gather(*map(asyncio.shield, self._running.values()))
 
     async def stop(self) -> int:
-        """Send SIGTERM and wait until the process has ended; its exit status."""
+        """Send SIGTERM, wait until the process has ended, and return its exit status."""
         self.serving.clear()
         self._signal(signal.SIGTERM, ProcessPhase.STOPPING, to_group=False)
         return await self.wait_ended()
 
     def pause(self) -> None:
-        """Send SIGSTOP: the process and its workers stand still and keep their state."""
+        """Send SIGSTOP to the process and its workers, which keep their state."""
         self._paused = True
         self._signal(signal.SIGSTOP, ProcessPhase.PAUSED)
 
     def resume(self) -> None:
-        """Send SIGCONT."""
+        """Send SIGCONT to the process and its workers."""
         self._paused = False
         self._signal(signal.SIGCONT, ProcessPhase.RESUMED)
 
     @property
     def is_paused(self) -> bool:
-        """Whether it was paused and not resumed since."""
+        """Whether the process was paused and not resumed since."""
         return self._paused
 
     def _signal(self, signal_number: signal.Signals, phase: ProcessPhase, to_group: bool = True) -> None:
-        """Send a signal; the event is recorded before it, and after a SIGCONT."""
-        assert self._alive, f"process {self.number} does not run"
+        """Send a signal; its event is recorded before it is sent, for SIGCONT after it."""
+        assert self._running, f"process {self.number} is not running"
         if signal_number != signal.SIGCONT:
             self.history.add_process_event(self.number, phase)
-        for process in list(self._alive):
+        for process in list(self._running):
             (os.killpg if to_group else os.kill)(process.pid, signal_number)
         if signal_number == signal.SIGCONT:
             self.history.add_process_event(self.number, phase)
 
     async def close(self) -> None:
-        """Kill what is left, also of a start that was broken off."""
-        if self._alive:
+        """Kill the process if it runs, also after an incomplete start."""
+        if self._running:
             await self.kill()
 
     # --- Faults ---------------------------------------------------------------------
 
     def step_clock(self, by_us: int) -> None:
-        """Step the process's wall clock ahead, or back for a negative step."""
-        assert self.clock_path is not None, "the process was made without a clock of its own"
+        """Step the process's wall clock forward, or back for a negative step."""
+        assert self.clock_path is not None, "the process was created without `has_clock`"
         step_clock(self.clock_path, by_us)
 
     def fill_disk(self) -> None:
-        """Fail all growth of files as on a full disk, until `free_disk` or the next start."""
+        """Fail all writes to files as on a full disk, until `free_disk` or the next start."""
         fill_disk(self.pid)
 
     def free_disk(self) -> None:
-        """End what `fill_disk` did."""
+        """Undo `fill_disk`."""
         free_disk(self.pid)
 
     # --- Calls and log lines --------------------------------------------------------
 
     async def query(self, method: str, target: str) -> Message:
-        """Call the management address. OSError or `asyncio.IncompleteReadError` if there is no answer."""
+        """Call the management API. OSError or `asyncio.IncompleteReadError` if there is no answer."""
         reader, writer = await asyncio.open_connection(*self.management)
         try:
             writer.write(f"{method} {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
@@ -264,7 +264,7 @@
             writer.close()
 
     async def call(self, method: str, target: str) -> Message:
-        """Call the management address, and record the answer in the history. Errors as of `query`."""
+        """Call the management API and record the answer in the history. Raises the same errors as `query`."""
         started_at_us = self.history.now_us()
         message = await self.query(method, target)
         answered_at_us = self.history.now_us()
@@ -275,9 +275,9 @@
         return message
 
     async def wait_logged(self, text: str, first_line: int = 0) -> str:
-        """Wait for the first log line with this text, from `first_line` on.
+        """Wait for a log line that contains `text`, from line `first_line` on, and return it.
 
-        AssertionError if the process ends, or `EVENT_TIMEOUT_S` passes, without one.
+        AssertionError if the process ends, or `EVENT_TIMEOUT_S` passes, without such a line.
         """
         try:
             async with asyncio.timeout(EVENT_TIMEOUT_S), self._logged:
@@ -285,8 +285,8 @@
                     for line in self.log_lines[first_line:]:
                         if text in line:
                             return line
-                    end = f"process {self.number} ended without {text!r}: {self._last_lines}"
-                    assert self.is_running, end
+                    failure = f"process {self.number} ended without {text!r}: {self._last_lines}"
+                    assert self.is_running, failure
                     await self._logged.wait()
         except TimeoutError:
             raise AssertionError(f"process {self.number} did not log {text!r}: {self._last_lines}") from None
--- a/laurelstep/testing/processes/queued_writes.py
+++ b/laurelstep/testing/processes/queued_writes.py
@@ -1,24 +1,24 @@
-"""The rules that writes queued at edges, and replayed upstream, are held against. Pure: events in,
-violations out.
-
-Times are in µs on the one monotonic clock of the machine. A write is what a client wants done once, under
-one name, however many attempts it makes. `FinalWriteStatus` is what the write's receipt says once all faults
-are healed and nothing moves any more. Each violation names the write:
-
-1. `not applied`: a write acknowledged as queued takes effect, or is dead-lettered or waits for one that is,
-   or was resolved by an operator, or was at an edge that was declared lost. `not final`: its state is a final
-   one, or that of a write it waits for.
-2. `executed twice`: no write takes effect twice, nor does an idempotency key.
-3. `out of order`: a write takes effect after each of its causes. A write's causes are those it named that its
-   client knew of (queued, or served) before its first attempt, and their causes. A cause that was resolved
-   (it ran, it was abandoned, its edge is lost) holds nothing up.
-4. `unknown write`: what takes effect was attempted before, with that body.
-5. `wrong key`: a keyed write is delivered under its own key, an unsafe one without any.
-6. `rejected and executed`: an unsafe write whose every attempt was rejected (429, 503) or in error (400, 422)
-   runs nowhere.
-7. `dead letter without a reason`: a dead-lettered write's receipt gives a reason.
-8. `applied, not executed`: a write with the state of an applied one took effect, or an operator said so.
-9. `abandoned and executed`: an abandoned write takes no effect later.
+"""The checks of writes that edges queue and replay upstream, without I/O: events in, violations out.
+
+Times are in µs of the machine's monotonic clock. A write is an operation that a client wants executed once;
+it has one name, however many attempts the client makes. `FinalWriteStatus` is the write's receipt after all
+faults are healed and all replays have ended. Each violation names the write:
+
+1. `not applied`: a write that was acknowledged as queued is executed, unless it is dead-lettered or waits for
+   a write that is, an operator has resolved it, or each edge that queued it was declared lost. `not final`:
+   the write ends in a final state, or waits for a dead-lettered write.
+2. `executed twice`: no write is executed twice, and neither are two writes with the same idempotency key.
+3. `out of order`: a write is executed after each of its causes. Its causes are the writes that it named and
+   whose acknowledgement (queued or served) its client had before the first attempt, and their causes. A cause
+   that was resolved (as executed, as abandoned, or by the loss of its edge) is not waited for.
+4. `unknown write`: a write that is delivered was attempted before, with the same body.
+5. `wrong key`: a keyed write is delivered with its own key, an unsafe one without a key.
+6. `rejected and executed`: an unsafe write is not executed if all its attempts were rejected (429, 503) or
+   invalid (400, 422).
+7. `dead letter without a reason`: the receipt of a dead-lettered write gives a reason.
+8. `applied, not executed`: a write whose receipt says that it was applied was executed, or an operator has
+   resolved it.
+9. `abandoned and executed`: an abandoned write is not executed afterwards.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteAttempted:
-    """A client begins an attempt of a write. `key` is None for an unsafe one; `follows` are named causes."""
+    """A client begins an attempt. `key` is None for an unsafe write; `follows` are the named causes."""
 
     at_us: int
     write: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteQueued:
-    """The client was told that its write is queued at this edge."""
+    """The client has received the acknowledgement that its write is queued at this edge."""
 
     at_us: int
     write: str
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteAnswered:
-    """The client got another final answer with this status, or none (0)."""
+    """The client has received another final answer with this status, or none (0)."""
 
     at_us: int
     write: str
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteDelivered:
-    """A server received the write. `was_executed` is False for a repeat that it dropped by its key."""
+    """A server has received the write. `was_executed` is False for a repeat that it dropped by its key."""
 
     at_us: int
     write: str
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorResolution:
-    """An operator has resolved the write, in the words of the API: `ran`, `give_up`, ..."""
+    """An operator has resolved the write; `resolution` is as in the API: `ran`, `give_up`, ..."""
 
     at_us: int
     write: str
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalWriteStatus:
-    """What the receipt says in the end. `waits_for` is a write at another edge, empty for none."""
+    """The final receipt of a write. `waits_for` is a write at another edge, empty for none."""
 
     write: str
     state: str
@@ -126,12 +126,12 @@
 
 
 def check_queued_writes(events: Sequence[QueuedWriteEvent]) -> list[Violation]:
-    """All violations, rule by rule."""
+    """Return all violations, in the order of the rules."""
     return list(_WriteLedger(events).violations())
 
 
 class _WriteLedger:
-    """The events by write, and the checks on them."""
+    """The events by write, and the checks of the rules."""
 
     def __init__(self, events: Sequence[QueuedWriteEvent]) -> None:
         self.attempts: dict[str, list[WriteAttempted]] = defaultdict(list)
@@ -162,7 +162,7 @@
                     self.final_statuses[event.write].append(event)
 
     def violations(self) -> Iterator[Violation]:
-        """All violations, rule by rule."""
+        """Yield all violations, in the order of the rules."""
         yield from self._check_applied()
         yield from self._check_duplicates()
         yield from self._check_order()
@@ -176,109 +176,118 @@
         """Rule 1."""
         for write, queued in self.queued.items():
             statuses = self.final_statuses.get(write, ())
-            for one in statuses:
-                if one.state not in FINAL_STATES and not self._is_dead_lettered(write):
-                    yield _violation(NOT_FINAL, write, f"it is {one.state}")
+            for status in statuses:
+                if status.state not in FINAL_STATES and not self._is_dead_lettered(write):
+                    yield _violation(NOT_FINAL, write, f"its state is {status.state}")
             if not (self.executions.get(write) or self._is_dead_lettered(write) or self._is_resolved(write)):
-                states = ", ".join(one.state for one in statuses) or "no receipt"
-                where = ", ".join(one.edge for one in queued)
-                yield _violation(NOT_APPLIED, write, f"kept at {where}; {states}")
+                states = ", ".join(status.state for status in statuses) or "no receipt"
+                edges = ", ".join(event.edge for event in queued)
+                yield _violation(NOT_APPLIED, write, f"queued at {edges}; {states}")
 
     def _is_dead_lettered(self, write: str) -> bool:
-        """Whether the write is dead-lettered, or one that it waits for."""
+        """Whether the write, or one that it waits for, is dead-lettered."""
         seen: set[str] = set()
         while write and write not in seen:
             seen.add(write)
             statuses = self.final_statuses.get(write, ())
-            if any(one.state == "parked" for one in statuses):
+            if any(status.state == "parked" for status in statuses):
                 return True
-            write = next((one.waits_for for one in statuses), "")
+            write = next((status.waits_for for status in statuses), "")
         return False
 
     def _check_duplicates(self) -> Iterator[Violation]:
         """Rule 2."""
-        for write, times in self.executions.items():
-            if len(times) > 1:
-                yield _violation(EXECUTED_TWICE, write, f"{len(times)} times")
-        keys = Counter(
-            one.key for times in self.executions.values() for one in times[:1] if one.key is not None
+        for write, executions in self.executions.items():
+            if len(executions) > 1:
+                yield _violation(EXECUTED_TWICE, write, f"{len(executions)} times")
+        key_counts = Counter(
+            event.key
+            for executions in self.executions.values()
+            for event in executions[:1]
+            if event.key is not None
         )
-        for key, count in keys.items():
+        for key, count in key_counts.items():
             if count > 1:
-                yield _violation(EXECUTED_TWICE, key, f"the key took effect {count} times")
+                yield _violation(EXECUTED_TWICE, key, f"the key was executed {count} times")
 
     def _check_order(self) -> Iterator[Violation]:
         """Rule 3."""
-        direct = {write: self._causes_of(attempts[0]) for write, attempts in self.attempts.items()}
-        for write, times in self.executions.items():
-            for cause in sorted(_all_causes(write, direct)):
-                earlier = self.executions.get(cause)
-                if earlier is None:
+        direct_causes = {write: self._causes_of(attempts[0]) for write, attempts in self.attempts.items()}
+        for write, executions in self.executions.items():
+            for cause in sorted(_all_causes(write, direct_causes)):
+                cause_executions = self.executions.get(cause)
+                if cause_executions is None:
                     if not self._is_resolved(cause):
-                        yield _violation(OUT_OF_ORDER, write, f"it ran without {cause}")
-                elif times[0].at_us < earlier[0].at_us and not self._is_resolved(cause):
-                    yield _violation(OUT_OF_ORDER, write, f"it ran before {cause}")
-
-    def _causes_of(self, one: WriteAttempted) -> set[str]:
-        """The causes that an attempt named, as far as its client knew of them."""
-        return {cause for cause in one.follows if self._is_known_before(cause, one.at_us)}
-
-    def _is_known_before(self, write: str, at_us: int) -> bool:
-        queued = any(one.at_us <= at_us for one in self.queued.get(write, ()))
-        return queued or any(one.status == 200 and one.at_us <= at_us for one in self.answers.get(write, ()))
+                        yield _violation(OUT_OF_ORDER, write, f"executed without {cause}")
+                elif executions[0].at_us < cause_executions[0].at_us and not self._is_resolved(cause):
+                    yield _violation(OUT_OF_ORDER, write, f"executed before {cause}")
+
+    def _causes_of(self, attempt: WriteAttempted) -> set[str]:
+        """Return the causes that an attempt named and whose acknowledgement its client had received."""
+        return {cause for cause in attempt.follows if self._was_acknowledged_by(cause, attempt.at_us)}
+
+    def _was_acknowledged_by(self, write: str, at_us: int) -> bool:
+        queued = any(event.at_us <= at_us for event in self.queued.get(write, ()))
+        return queued or any(
+            answer.status == 200 and answer.at_us <= at_us for answer in self.answers.get(write, ())
+        )
 
     def _is_resolved(self, write: str) -> bool:
-        """Whether an operator resolved it, or declared each edge lost that queued it."""
+        """Whether an operator has resolved the write, or declared lost each edge that queued it."""
         queued = self.queued.get(write, ())
-        is_lost = bool(queued) and all(one.edge in self.lost_edges for one in queued)
-        return is_lost or any(one.resolution in ("ran", "give_up") for one in self.resolutions.get(write, ()))
+        is_lost = bool(queued) and all(event.edge in self.lost_edges for event in queued)
+        return is_lost or any(
+            event.resolution in ("ran", "give_up") for event in self.resolutions.get(write, ())
+        )
 
     def _check_deliveries(self) -> Iterator[Violation]:
         """Rules 4 and 5."""
-        for one in self.deliveries:
-            attempts = [each for each in self.attempts.get(one.write, ()) if each.at_us <= one.at_us]
+        for event in self.deliveries:
+            attempts = [
+                attempt for attempt in self.attempts.get(event.write, ()) if attempt.at_us <= event.at_us
+            ]
             if not attempts:
-                yield _violation(UNKNOWN_WRITE, one.write, "nobody had asked for it")
-            elif all(each.body != one.body for each in attempts):
-                yield _violation(UNKNOWN_WRITE, one.write, "with another body")
-            elif one.key != attempts[0].key:
-                yield _violation(WRONG_KEY, one.write, f"key {attempts[0].key!r} came as {one.key!r}")
+                yield _violation(UNKNOWN_WRITE, event.write, "delivered without an attempt")
+            elif all(attempt.body != event.body for attempt in attempts):
+                yield _violation(UNKNOWN_WRITE, event.write, "delivered with another body")
+            elif event.key != attempts[0].key:
+                yield _violation(WRONG_KEY, event.write, f"key {event.key!r} instead of {attempts[0].key!r}")
 
     def _check_rejected(self) -> Iterator[Violation]:
         """Rule 6."""
         for write, attempts in self.attempts.items():
             answers = self.answers.get(write, ())
-            rejected = [one for one in answers if one.status in REJECTION_STATUSES]
+            rejected = [answer for answer in answers if answer.status in REJECTION_STATUSES]
             if attempts[0].key is None and len(rejected) == len(attempts) and self.executions.get(write):
                 yield _violation(REJECTED_AND_EXECUTED, write, f"answered {rejected[-1].status}")
 
     def _check_statuses(self) -> Iterator[Violation]:
         """Rules 7 to 9."""
         for write, statuses in self.final_statuses.items():
-            for one in statuses:
-                if one.state == "parked" and not one.reason:
+            for status in statuses:
+                if status.state == "parked" and not status.reason:
                     yield _violation(DEAD_LETTER_WITHOUT_REASON, write, "its receipt gives none")
-                if one.state == "done" and not (self.executions.get(write) or self._is_resolved(write)):
-                    yield _violation(APPLIED_NOT_EXECUTED, write, "no server ran it")
+                if status.state == "done" and not (self.executions.get(write) or self._is_resolved(write)):
+                    yield _violation(APPLIED_NOT_EXECUTED, write, "no server has executed it")
         for write, resolutions in self.resolutions.items():
-            abandoned_at_us = [one.at_us for one in resolutions if one.resolution == "give_up"]
+            abandoned_at_us = [event.at_us for event in resolutions if event.resolution == "give_up"]
             if abandoned_at_us and any(
-                one.at_us > min(abandoned_at_us) for one in self.executions.get(write, ())
+                event.at_us > min(abandoned_at_us) for event in self.executions.get(write, ())
             ):
-                yield _violation(ABANDONED_AND_EXECUTED, write, "after the resolution")
+                yield _violation(ABANDONED_AND_EXECUTED, write, "executed after the resolution")
 
 
-def _all_causes(write: str, direct: Mapping[str, Iterable[str]]) -> set[str]:
-    """The write's causes, direct and indirect."""
+def _all_causes(write: str, direct_causes: Mapping[str, Iterable[str]]) -> set[str]:
+    """Return the write's direct and indirect causes."""
     causes: set[str] = set()
-    pending = list(direct.get(write, ()))
+    pending = list(direct_causes.get(write, ()))
     while pending:
         cause = pending.pop()
         if cause not in causes:
             causes.add(cause)
-            pending += direct.get(cause, ())
+            pending += direct_causes.get(cause, ())
     return causes
 
 
-def _violation(name: str, write: str, text: str) -> Violation:
-    return Violation(name, None, write, text)
+def _violation(rule: str, write: str, detail: str) -> Violation:
+    return Violation(rule, None, write, detail)
--- a/laurelstep/testing/processes/relays.py
+++ b/laurelstep/testing/processes/relays.py
@@ -1,13 +1,13 @@
 """Relays on loopback, between two processes or between a process and a server.
 
-A datagram of peer i for peer j goes to the socket that i knows as j, and leaves from the socket that
-j knows as i: it arrives from the sender's address in `peers`, as on the platform.
-
-A connection is relayed as bytes. While it is blocked the bytes are kept, as TCP sends them again until
-the network is back: nothing sent before is lost for good, and it may arrive when its sender has long given
-up. One thing differs from a partitioned network: a new connection comes up, and is silent, so that a
-request written into it may have run for all that its sender can tell. That is the harder case;
-`StreamRelay.refuse` is the other one.
+Each pair of peers has two relay sockets. Peer i sends datagrams for peer j to the socket that is configured
+as j at i, and they leave from the socket that is configured as i at j. So they arrive from the sender's
+address in `peers`, as on the platform.
+
+Connections are relayed as byte streams. While a direction is blocked its bytes are kept, as TCP retransmits
+them until the network is back: they may arrive long after their sender has timed out. Unlike in a partitioned
+network, a new connection is accepted while blocked, so a client cannot rule out that a request written to
+it was executed. This is the harder case; `StreamRelay.refuse` gives the other one.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 
 Address = tuple[str, int]
 HOST: Final = "127.0.0.1"
-# The platform carries no longer ones between sidecars.
+# The platform carries no longer datagrams between sidecars.
 MAX_DATAGRAM_BYTES: Final = 256
 
 
 def now_us() -> int:
-    """The system's monotonic time, µs: one clock for all processes of a machine."""
+    """Return the time of the system's monotonic clock, µs, which all processes of a machine share."""
     return time.monotonic_ns() // 1000
 
 
@@ -41,14 +41,14 @@
 
 
 class _RelaySocket(asyncio.DatagramProtocol):
-    """The socket that the sender knows as the receiver."""
+    """The socket that `sender` has as the address of `receiver`."""
 
     def __init__(self, relay: DatagramRelay, sender: int, receiver: int) -> None:
         self.relay, self.sender, self.receiver = relay, sender, receiver
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, for datagrams that leave from here."""
+        """Keep the transport to send from this socket."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
@@ -56,14 +56,14 @@
         self.relay.receive(self.sender, self.receiver, data, addr)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore it: the peer is down, and what was sent to it is lost as on a network."""
+        """Ignore the error: the peer is down, and datagrams to it are lost as on a network."""
 
 
 class DatagramRelay:
-    """Relays datagrams between all peers; `route_table` takes the test's commands.
+    """Relays datagrams between all peers, with the faults of `route_table`.
 
-    `foreign_count` counts datagrams from another address than their sender's, `oversized_count` those longer
-    than `MAX_DATAGRAM_BYTES`; both are dropped.
+    `foreign_count` counts datagrams from an unexpected address, `oversized_count` those longer than
+    `MAX_DATAGRAM_BYTES`; both are dropped.
     """
 
     def __init__(self, peer_addresses: Sequence[Address], seed: int = 1) -> None:
@@ -72,11 +72,11 @@
         self.foreign_count = self.oversized_count = 0
         self.delivered_bytes = [0] * len(peer_addresses)  # by receiver
         self._sockets: dict[tuple[int, int], _RelaySocket] = {}
-        self._delayed: dict[int, asyncio.TimerHandle] = {}  # by number, until it is delivered
+        self._delayed: dict[int, asyncio.TimerHandle] = {}  # by number, until delivered
         self._numbers = itertools.count()
 
     async def start(self) -> None:
-        """Open the sockets between all peers."""
+        """Open the sockets for all pairs of peers."""
         loop = asyncio.get_running_loop()
         for sender, receiver in self.route_table.routes:
             make_protocol = partial(_RelaySocket, self, sender, receiver)
@@ -84,12 +84,12 @@
             self._sockets[sender, receiver] = relay_socket
 
     def peers_of(self, peer: int) -> list[str]:
-        """The `peers` of a peer's configuration: all addresses by number, its own among them."""
-        found = []
+        """Return the `peers` of a peer's configuration: the addresses of all peers, its own included."""
+        addresses = []
         for other in range(len(self.peer_addresses)):
             host, port = self.peer_addresses[peer] if other == peer else self._address(peer, other)
-            found.append(f"{host}:{port}")
-        return found
+            addresses.append(f"{host}:{port}")
+        return addresses
 
     def _address(self, sender: int, receiver: int) -> Address:
         transport = self._sockets[sender, receiver].transport
@@ -98,19 +98,21 @@
         return str(host), int(port)
 
     def receive(self, sender: int, receiver: int, data: bytes, address: Address) -> None:
-        """Carry a datagram that came from this address over its route."""
+        """Send a datagram that arrived from `address` over its route."""
         if tuple(address[:2]) != self.peer_addresses[sender]:
             self.foreign_count += 1
         elif len(data) > MAX_DATAGRAM_BYTES:
             self.oversized_count += 1
         else:
-            self._carry(sender, receiver, self.route_table.routes[sender, receiver].carry(data))
+            self._schedule_delivery(
+                sender, receiver, self.route_table.routes[sender, receiver].transmit(data)
+            )
 
     def release(self, sender: int, receiver: int, reverse: bool = False) -> None:
-        """Deliver what the route was told to hold, the last datagram first if `reverse`."""
-        self._carry(sender, receiver, self.route_table.routes[sender, receiver].release(reverse))
+        """Deliver the datagrams that the route holds, the last one first if `reverse`."""
+        self._schedule_delivery(sender, receiver, self.route_table.routes[sender, receiver].release(reverse))
 
-    def _carry(self, sender: int, receiver: int, datagrams: Sequence[Datagram]) -> None:
+    def _schedule_delivery(self, sender: int, receiver: int, datagrams: Sequence[Datagram]) -> None:
         loop = asyncio.get_running_loop()
         for datagram in datagrams:
             if datagram.delay_us:
@@ -132,11 +134,11 @@
             transport.sendto(data, self.peer_addresses[receiver])
 
     def route(self, sender: int, receiver: int) -> Route:
-        """The route of one direction between two peers."""
+        """Return the route from `sender` to `receiver`."""
         return self.route_table.routes[sender, receiver]
 
     def close(self) -> None:
-        """Drop what is delayed, and close the sockets."""
+        """Drop delayed datagrams and close the sockets."""
         for handle in self._delayed.values():
             handle.cancel()
         for relay_socket in self._sockets.values():
@@ -148,7 +150,7 @@
 
 Direction = Literal["requests", "responses", "both"]
 _REQUEST_ID: Final = re.compile(rb"\r\nX-Request-Id: *([^\r\n]+)\r\n", re.IGNORECASE)
-MAX_HEADER_BYTES: Final = 128  # a header of this length is found also where reads cut through it
+MAX_HEADER_BYTES: Final = 128  # a header up to this length is found even if it is split across reads
 
 
 class RelayDirection:
@@ -156,25 +158,25 @@
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.delay_us = (0, 0)  # range of the delay of each piece; pieces keep their order
+        self.delay_us = (0, 0)  # range of the delay of each chunk; chunks keep their order
         self.unblocked = asyncio.Event()
         self.unblocked.set()
 
     async def wait_to_pass(self) -> None:
-        """Wait until a piece may go on."""
-        least, most = self.delay_us
-        if most:
-            await asyncio.sleep(self.rng.uniform(least, most) / 1e6)
+        """Wait until the next chunk may be forwarded."""
+        min_us, max_us = self.delay_us
+        if max_us:
+            await asyncio.sleep(self.rng.uniform(min_us, max_us) / 1e6)
         await self.unblocked.wait()
 
 
 class RelayedConnection:
-    """A connection from a process, and the one that the relay opened to the server for it."""
+    """A connection from a process and the relay's connection to the server for it."""
 
     def __init__(self, client: Writer, server: Writer) -> None:
         self.client, self.server = client, server
-        self.returned_bytes = 0  # given to the process's socket
-        self.withheld = b""  # sent by the server, and kept while blocked
+        self.returned_bytes = 0  # written to the process's socket
+        self.withheld = b""  # received from the server and kept while blocked
 
     @property
     def server_side_port(self) -> int:
@@ -182,8 +184,8 @@
         return int(self.server.get_extra_info("sockname")[1])
 
     def is_read(self) -> bool:
-        """Whether the process has read all that was returned to it: no byte waits here or in a socket's
-        queue. Linux only.
+        """Whether the process has read all that was returned to it, so that no byte is buffered here or in a
+        socket. Linux only.
         """
         if self.client.transport.is_closing() or self.client.transport.get_write_buffer_size():
             return False
@@ -193,20 +195,21 @@
 
 
 def _queue_sizes(near_port: int, far_port: int) -> tuple[int, int] | None:
-    """Bytes of a loopback connection that were not acknowledged, and bytes that the far process has not
-    read; None if the connection is gone (proc(5), `/proc/net/tcp`).
+    """Return how many bytes of a loopback connection the far end has not acknowledged, and not read.
+
+    None if the connection is gone. The numbers are from `/proc/net/tcp`, see proc(5).
     """
-    ours = theirs = None
+    unacknowledged = unread = None
     with open("/proc/net/tcp", encoding="ascii") as file:
         next(file)
         for line in file:
             _, local, remote, _, sizes = line.split(maxsplit=5)[:5]
             ports = int(local[-4:], 16), int(remote[-4:], 16)
             if ports == (near_port, far_port):
-                ours = int(sizes.partition(":")[0], 16)
+                unacknowledged = int(sizes.partition(":")[0], 16)
             elif ports == (far_port, near_port):
-                theirs = int(sizes.partition(":")[2], 16)
-    return None if ours is None or theirs is None else (ours, theirs)
+                unread = int(sizes.partition(":")[2], 16)
+    return None if unacknowledged is None or unread is None else (unacknowledged, unread)
 
 
 def _end_sending(writer: Writer) -> None:
@@ -217,8 +220,8 @@
 class StreamRelay:
     """Relays connections from one process to one server.
 
-    `on_request` is called for each request that the process has sent, with its id and the time it was read
-    here, µs, also while a block keeps it from the server.
+    `on_request` is called with the id of each request that the process sends and the time at which the relay
+    has read it, µs, also while the relay is blocked.
     """
 
     def __init__(
@@ -231,39 +234,39 @@
         self.connections: set[RelayedConnection] = set()
         self.port = 0
         self._listener: asyncio.Server | None = None
-        self._refusals = 0
+        self._refusal_count = 0
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen on a reserved port, the same one again after `refuse`.
+        """Listen on a port of `free_port`, and on the same one after `refuse`.
 
-        Guards against another process's listener that gets this port from the system while the relay
-        refuses: it would answer in place of the relay's target.
+        The system does not assign these ports: another process's listener that got the port while the relay
+        refuses would answer in place of the relay's target.
         """
         self.port = self.port or free_port()
         self._listener = await asyncio.start_server(self._serve, HOST, self.port, backlog=1024)
 
     @property
     def address(self) -> str:
-        """Host and port at which the process connects."""
+        """Host and port to which the process connects."""
         return f"{HOST}:{self.port}"
 
     # --- Commands -------------------------------------------------------------------
 
     def block(self, direction: Direction = "both") -> None:
         """Keep the bytes of this direction until `unblock`."""
-        for relayed in self._directions(direction):
-            relayed.unblocked.clear()
+        for relay_direction in self._directions(direction):
+            relay_direction.unblocked.clear()
 
     def unblock(self, direction: Direction = "both") -> None:
-        """Pass on what was kept, and what comes."""
-        for relayed in self._directions(direction):
-            relayed.unblocked.set()
+        """Forward the kept bytes of this direction, and later ones."""
+        for relay_direction in self._directions(direction):
+            relay_direction.unblocked.set()
 
-    def delay(self, least_us: int, most_us: int, direction: Direction = "both") -> None:
-        """Delay each piece by a time drawn from this range."""
-        for relayed in self._directions(direction):
-            relayed.delay_us = least_us, most_us
+    def delay(self, min_us: int, max_us: int, direction: Direction = "both") -> None:
+        """Delay each chunk by a random time from this range."""
+        for relay_direction in self._directions(direction):
+            relay_direction.delay_us = min_us, max_us
 
     def _directions(self, direction: Direction) -> tuple[RelayDirection, ...]:
         return {
@@ -273,17 +276,17 @@
         }[direction]
 
     def reset(self) -> None:
-        """Reset the open connections, towards both sides."""
+        """Reset the open connections on both sides."""
         for connection in list(self.connections):
             reset_connection(connection.client)
             reset_connection(connection.server)
 
     def refuse(self) -> None:
-        """Reset the open connections, and refuse new ones until `accept`."""
+        """Reset the open connections and refuse new ones until `accept`."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
-        self._refusals += 1
+        self._refusal_count += 1
         self.reset()
 
     async def accept(self) -> None:
@@ -292,7 +295,7 @@
             await self.start()
 
     def close(self) -> None:
-        """Reset the open connections, and stop."""
+        """Reset the open connections and stop."""
         self.refuse()
         for task in self._tasks:
             task.cancel()
@@ -300,8 +303,10 @@
     # --- Relaying -------------------------------------------------------------------
 
     def connection_on_port(self, server_side_port: int) -> RelayedConnection | None:
-        """The connection that the server sees from this port; None if it has ended."""
-        return next((one for one in self.connections if one.server_side_port == server_side_port), None)
+        """Return the connection that the server sees from this port; None if it has ended."""
+        return next(
+            (relayed for relayed in self.connections if relayed.server_side_port == server_side_port), None
+        )
 
     async def _serve(self, reader: Reader, client: Writer) -> None:
         task = asyncio.current_task()
@@ -310,31 +315,31 @@
         try:
             await self._relay(reader, client)
         except OSError:
-            reset_connection(client)  # nobody listens there
+            reset_connection(client)  # the server does not listen
         except asyncio.CancelledError:
-            # Guards against asyncio's own callback, which fails on a cancelled task.
+            # Not raised again: the callback that asyncio adds to this task fails for a cancelled one.
             return
         finally:
             self._tasks.discard(task)
             client.close()
 
     async def _relay(self, reader: Reader, client: Writer) -> None:
-        refusals = self._refusals
-        far_reader, far = await asyncio.open_connection(*self.target)
-        if self._refusals != refusals or self._listener is None:
-            # It was accepted before the relay refused, and was none of those that were open.
+        refusal_count = self._refusal_count
+        server_reader, server = await asyncio.open_connection(*self.target)
+        if self._refusal_count != refusal_count or self._listener is None:
+            # The relay refused meanwhile, and this connection was not yet among the open ones.
             reset_connection(client)
-            far.transport.abort()
+            server.transport.abort()
             return
-        connection = RelayedConnection(client, far)
+        connection = RelayedConnection(client, server)
         self.connections.add(connection)
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._relay_requests(reader, far))
-                group.create_task(self._relay_responses(far_reader, connection))
+                group.create_task(self._relay_requests(reader, server))
+                group.create_task(self._relay_responses(server_reader, connection))
         finally:
             self.connections.discard(connection)
-            far.transport.abort()
+            server.transport.abort()
 
     async def _relay_requests(self, reader: Reader, server: Writer) -> None:
         tail = b""
@@ -352,28 +357,28 @@
         server.transport.abort()
 
     async def _relay_responses(self, reader: Reader, connection: RelayedConnection) -> None:
-        near = connection.client
+        client = connection.client
         with contextlib.suppress(OSError):
             while data := await reader.read(1 << 16):
                 connection.withheld = data
                 await self.responses.wait_to_pass()
                 connection.withheld = b""
-                if near.transport.is_closing():
+                if client.transport.is_closing():
                     return
-                near.write(data)
-                await near.drain()
+                client.write(data)
+                await client.drain()
                 connection.returned_bytes += len(data)
             await self.responses.wait_to_pass()
-            _end_sending(near)
+            _end_sending(client)
             return
-        reset_connection(near)
+        reset_connection(client)
 
     def _report_requests(self, tail: bytes, data: bytes) -> bytes:
-        """Report the requests whose id is complete with `data`; what to keep for the next call."""
+        """Report each request whose id header `data` completes; return the tail to pass to the next call."""
         if self.on_request is None:
             return b""
         text, end = tail + data, 0
-        for found in _REQUEST_ID.finditer(text):
-            end = found.end() - 2
-            self.on_request(found[1].decode("latin-1"), now_us())
+        for match in _REQUEST_ID.finditer(text):
+            end = match.end() - 2
+            self.on_request(match[1].decode("latin-1"), now_us())
         return text[max(end, len(text) - MAX_HEADER_BYTES) :]
--- a/laurelstep/testing/processes/tier.py
+++ b/laurelstep/testing/processes/tier.py
@@ -1,4 +1,4 @@
-"""A tier of processes before stand-in endpoints, with faults between them all."""
+"""A tier of processes in front of stand-in endpoints, with faults between all of them."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 from laurelstep.testing.processes.program import PROGRAM_ARGUMENTS, ProgramRunner, wait_until
 from laurelstep.testing.processes.relays import HOST, DatagramRelay, Direction, StreamRelay, now_us
 from laurelstep.testing.processes.tier_settings import (
-    CELLS,
+    CELL_COUNT,
     LATENESS_US,
     SETTINGS,
     Tables,
@@ -48,10 +48,11 @@
 
 
 class ProcessTier:
-    """Runs processes before stand-in endpoints, records what happens, and checks it.
+    """Runs processes in front of stand-in endpoints, records their history and checks it.
 
-    `programs`, `endpoints`, `paths[process][endpoint]`, `discoveries[process].relay` and `datagrams` are
-    there for what has no method here. Waits end with an AssertionError that names what did not come.
+    Tests may use `programs`, `endpoints`, `paths[process][endpoint]`, `discoveries[process].relay` and
+    `datagrams` for operations that have no method here. Waits fail with an AssertionError that names the
+    event.
     """
 
     def __init__(
@@ -70,13 +71,15 @@
         limits: CheckLimits | None = None,
         command_prefix: Sequence[str] = PROGRAM_ARGUMENTS,
     ) -> None:
-        """`operator_tables` hold for all processes, `process_tables` for single ones beside them; in their
-        texts `{process}` and `{folder}` stand for its number and a folder of its own that stays.
-        `platform` and `settings` replace keys of the platform's JSON and of its settings. With
+        """`operator_tables` apply to all processes, `process_tables` add to them by process. In their strings
+        `{process}` is replaced by the process's number, `{folder}` by its folder, which it keeps over
+        restarts. `platform` and `settings` replace keys of the platform's JSON and of its settings. With
         `with_clocks` each process has a wall clock that can be stepped. `command_prefix` starts another
-        program instead: a faulty one that the checker must find; not with `with_clocks`.
+        program, such as a faulty one whose violations must be found; not together with `with_clocks`.
         """
-        assert not with_clocks or command_prefix == PROGRAM_ARGUMENTS, "a clock needs the prefix itself"
+        assert not with_clocks or command_prefix == PROGRAM_ARGUMENTS, (
+            "with_clocks sets its own command prefix"
+        )
         self.operator_tables, self.process_tables = operator_tables or {}, process_tables or {}
         self.platform, self.settings = platform or {}, settings or {}
         self.zones = tuple(zones)
@@ -87,7 +90,7 @@
         self._stack = contextlib.AsyncExitStack()
         self._folder, self._processes = folder, processes
         self._with_clocks, self._command_prefix = with_clocks, command_prefix
-        self.effects = [Effects() for _ in range(CELLS)]
+        self.effects = [Effects() for _ in range(CELL_COUNT)]
         self.answer_gates = [asyncio.Event() for _ in range(endpoints)]  # cleared while answers are held
         self.endpoints = [
             Endpoint(self._handler(number), records_requests=False) for number in range(endpoints)
@@ -96,12 +99,12 @@
         self.paths: list[list[StreamRelay]] = []
         self.discoveries: list[ProcessDiscovery] = []
         self.lifecycles_read: dict[tuple[int, int], str] = {}  # by process and endpoint
-        self._views: list[list[Entry]] = []
+        self._lists: list[list[Entry]] = []
 
-    # --- Life -----------------------------------------------------------------------
+    # --- Start and end ----------------------------------------------------------------------
 
     async def __aenter__(self) -> Self:
-        """Start all processes, until they are ready and have read the endpoint list."""
+        """Start all processes, and wait until they are ready and have read the endpoint list."""
         async with self._stack:
             await self._build()
             await asyncio.gather(*(self.start(number) for number in range(self._processes)))
@@ -122,8 +125,8 @@
         options = (self.history, self.seed, self._with_clocks, self._command_prefix)
         for number in range(self._processes):
             self.programs.append(ProgramRunner(number, folder / f"p{number}", *options))
-            self.paths.append([await self._start_path(number, at) for at in range(len(self.endpoints))])
-            self._views.append([self._entry(number, at) for at in range(len(self.endpoints))])
+            self.paths.append([await self._start_path(number, index) for index in range(len(self.endpoints))])
+            self._lists.append([self._entry(number, index) for index in range(len(self.endpoints))])
             discovery = ProcessDiscovery(
                 partial(self._current_list, number), partial(self._on_list_read, number)
             )
@@ -149,7 +152,7 @@
 
     def _write_configuration(self, program: ProgramRunner) -> None:
         number = program.number
-        own = {"me": number, "instances": len(self.programs), "zones": list(self.zones)}
+        process_settings = {"me": number, "instances": len(self.programs), "zones": list(self.zones)}
         platform = {
             "listen": address_text(program.listen),
             "management": address_text(program.management),
@@ -157,7 +160,7 @@
             "limits": {"sockets": 1024},
             "peer_listen": address_text(self.datagrams.peer_addresses[number]),
             "peers": self.datagrams.peers_of(number),
-            "settings": {**SETTINGS, **own, **self.settings},
+            "settings": {**SETTINGS, **process_settings, **self.settings},
             **self.platform,
         }
         tables = {**self.operator_tables, **self.process_tables.get(number, {})}
@@ -166,78 +169,80 @@
         program.write(platform, {name: substitute(table, values) for name, table in tables.items()})
 
     def folder_of(self, process: int) -> Path:
-        """The process's own folder, which `{folder}` names and which stays when the process is killed."""
+        """Return the process's folder, which replaces `{folder}` in its tables and is kept over restarts."""
         return self.programs[process].folder / "kept"
 
     # --- Processes ------------------------------------------------------------------
 
     async def start(self, process: int, waits_for_list: bool = True) -> None:
-        """Start a process without state, until it is ready and, if `waits_for_list`, has read its list."""
+        """Start a process and wait until it is ready and, if `waits_for_list`, has read its list."""
         program = self.programs[process]
-        for at in range(len(self.endpoints)):
-            self.lifecycles_read.pop((process, at), None)
+        for endpoint in range(len(self.endpoints)):
+            self.lifecycles_read.pop((process, endpoint), None)
         await program.start()
         await program.wait_ready()
         if waits_for_list:
             await self.wait_lists_read(processes=(process,))
 
     async def restart(self, process: int, waits_for_list: bool = True) -> None:
-        """Start a process anew under its name and addresses; it is killed first if it runs."""
+        """Start a process again with the same name and addresses; kill it first if it runs."""
         if self.programs[process].is_running:
             await self.kill(process)
         await self.start(process, waits_for_list)
 
     async def kill(self, process: int) -> None:
-        """Send SIGKILL, and wait until the process has ended."""
+        """Send SIGKILL and wait until the process has ended."""
         await self.programs[process].kill()
 
     async def stop(self, process: int) -> int:
-        """Send SIGTERM, and wait until the process has ended; its exit status."""
+        """Send SIGTERM, wait until the process has ended, and return its exit status."""
         return await self.programs[process].stop()
 
     async def replace(self, process: int) -> int:
-        """Start a successor that takes over; the exit status of the older process."""
+        """Start a successor that takes over; return the exit status of the predecessor."""
         return await self.programs[process].replace()
 
     def pause(self, process: int) -> None:
-        """Send SIGSTOP."""
+        """Pause a process with SIGSTOP."""
         self.programs[process].pause()
 
     def resume(self, process: int) -> None:
-        """Send SIGCONT."""
+        """Resume a process with SIGCONT."""
         self.programs[process].resume()
 
     async def call(self, process: int, method: str, target: str) -> Message:
-        """Call a process's management address. OSError or `asyncio.IncompleteReadError` for no answer."""
+        """Call a process's management API. OSError or `asyncio.IncompleteReadError` if there is no answer."""
         return await self.programs[process].call(method, target)
 
     async def read_state(self, process: int, target: str) -> Any:
-        """Read JSON from a process's management address. AssertionError for another status than 200."""
+        """Read JSON from a process's management API. AssertionError if the status is not 200."""
         message = await self.call(process, "GET", target)
         assert message.status == 200, f"process {process}, {target}: {message.status} {message.body!r}"
         return json.loads(message.body)
 
     # --- Faults ---------------------------------------------------------------------
 
-    def partition(self, some: Iterable[int], others: Iterable[int], both_ways: bool = True) -> None:
-        """Lose all datagrams from `some` processes to `others`, and the reverse if `both_ways`."""
-        self.datagrams.route_table.partition(some, others, both_ways)
+    def partition(self, senders: Iterable[int], receivers: Iterable[int], both_ways: bool = True) -> None:
+        """Lose all datagrams from `senders` to `receivers`, and the reverse ones if `both_ways`."""
+        self.datagrams.route_table.partition(senders, receivers, both_ways)
 
-    def heal_partition(self, some: Iterable[int] | None = None, others: Iterable[int] | None = None) -> None:
-        """End partitions: all, or those between these groups."""
-        self.datagrams.route_table.heal_partition(some, others)
+    def heal_partition(
+        self, group: Iterable[int] | None = None, other_group: Iterable[int] | None = None
+    ) -> None:
+        """End the partitions between two groups of processes; None stands for all processes."""
+        self.datagrams.route_table.heal_partition(group, other_group)
 
     def set_network_faults(self, faults: NetworkFaults) -> None:
-        """Set the faults of datagrams between all processes."""
+        """Set the random faults of datagrams between all processes."""
         self.datagrams.route_table.set_faults(faults)
 
     def block_discovery(self, processes: Iterable[int]) -> None:
-        """Silence discovery for these processes."""
+        """Block the bytes between these processes and discovery; connections stay open."""
         for process in processes:
             self._relay(process).block()
 
     def unblock_discovery(self, processes: Iterable[int]) -> None:
-        """End what `block_discovery` did."""
+        """Undo `block_discovery`."""
         for process in processes:
             self._relay(process).unblock()
 
@@ -249,37 +254,37 @@
     def block_path(
         self, endpoint: int, direction: Direction = "both", processes: Iterable[int] | None = None
     ) -> None:
-        """Keep what passes between an endpoint and these processes, or all, in this direction."""
+        """Keep back the bytes between an endpoint and these processes, or for None all, in this direction."""
         for path in self._paths(endpoint, processes):
             path.block(direction)
 
     def unblock_path(self, endpoint: int, processes: Iterable[int] | None = None) -> None:
-        """End what `block_path` did, in both directions."""
+        """Undo `block_path`, in both directions."""
         for path in self._paths(endpoint, processes):
             path.unblock()
 
     def _paths(self, endpoint: int, processes: Iterable[int] | None) -> list[StreamRelay]:
-        named = range(len(self.paths)) if processes is None else processes
-        return [self.paths[process][endpoint] for process in named]
+        selected = range(len(self.paths)) if processes is None else processes
+        return [self.paths[process][endpoint] for process in selected]
 
     def stop_endpoint(self, endpoint: int) -> None:
-        """Stop an endpoint as a crash does: open connections are reset, new ones are refused."""
+        """Stop an endpoint as in a crash: open connections are reset, new ones are refused."""
         self.endpoints[endpoint].stop()
         for path in self._paths(endpoint, None):
             path.refuse()
 
     async def restart_endpoint(self, endpoint: int, started_ms: int) -> None:
-        """Start an endpoint anew at its address; lists have it once `publish` is called."""
+        """Start an endpoint again at its address; lists have its new start time only after `publish`."""
         await self.endpoints[endpoint].restart(started_ms)
         for path in self._paths(endpoint, None):
             await path.accept()
 
     def hold_answers(self, endpoint: int) -> None:
-        """Let an endpoint execute requests and answer them only after `release_answers`."""
+        """Let an endpoint execute requests but hold their answers until `release_answers`."""
         self.answer_gates[endpoint].clear()
 
     def release_answers(self, endpoint: int) -> None:
-        """Answer what was held, and what comes."""
+        """Send the held answers of an endpoint, and later ones at once."""
         self.answer_gates[endpoint].set()
 
     # --- Discovery ------------------------------------------------------------------
@@ -287,27 +292,27 @@
     def publish(
         self, endpoint: int, lifecycle: str, processes: Iterable[int] | None = None, **changes: Any
     ) -> None:
-        """Publish an endpoint's lifecycle and other changes to these processes, or to all."""
+        """Publish an endpoint's lifecycle and other changes to these processes, or for None to all."""
         for process in range(len(self.programs)) if processes is None else processes:
-            entry = {**self._views[process][endpoint], "lifecycle": lifecycle, **changes}
-            self._views[process][endpoint] = entry
+            entry = {**self._lists[process][endpoint], "lifecycle": lifecycle, **changes}
+            self._lists[process][endpoint] = entry
             self.discoveries[process].push(entry)
 
     async def wait_lists_read(self, processes: Iterable[int] | None = None) -> None:
-        """Wait until these processes, or all that run, have read the current lists."""
-        named = [p.number for p in self.programs if p.is_running] if processes is None else list(processes)
+        """Wait until these processes, or for None all that run, have read their current lists."""
+        selected = [p.number for p in self.programs if p.is_running] if processes is None else list(processes)
 
         async def have_read() -> bool:
             return all(
                 self.lifecycles_read.get((process, endpoint)) == entry["lifecycle"]
-                for process in named
-                for endpoint, entry in enumerate(self._views[process])
+                for process in selected
+                for endpoint, entry in enumerate(self._lists[process])
             )
 
-        await wait_until(have_read, f"lists read by {named}")
+        await wait_until(have_read, f"lists read by processes {selected}")
 
     def _current_list(self, process: int) -> list[Entry]:
-        return list(self._views[process])
+        return list(self._lists[process])
 
     def _on_list_read(self, process: int, entries: Sequence[Entry], pushed_at_us: int) -> None:
         now_us = self.history.now_us()
@@ -321,24 +326,24 @@
             endpoint_name(endpoint),
             hostPort=self.paths[process][endpoint].address,
             zone=self.zones[endpoint % len(self.zones)],
-            cell=endpoint % CELLS,
+            cell=endpoint % CELL_COUNT,
         )
 
     # --- Endpoints ------------------------------------------------------------------
 
     def _handler(self, number: int) -> Handler:
-        """Execute a request, wait while answers are held, and answer with the request's id."""
+        """Return a handler that executes a request, waits while answers are held, and answers with its id."""
         self.answer_gates[number].set()
-        effects = self.effects[number % CELLS]
+        effects = self.effects[number % CELL_COUNT]
 
         async def handler(endpoint: Endpoint, message: Message, writer: Writer) -> None:
-            name = message.headers.get("x-request-id", "")
-            dropped = effects.dropped_count
+            request_id = message.headers.get("x-request-id", "")
+            dropped_before = effects.dropped_count
             effects.execute(message)
-            if effects.dropped_count == dropped:
-                self.history.add(RequestExecuted(self.history.now_us(), endpoint_name(number), name))
+            if effects.dropped_count == dropped_before:
+                self.history.add(RequestExecuted(self.history.now_us(), endpoint_name(number), request_id))
             await self.answer_gates[number].wait()
-            writer.write(answer(200, name.encode()))
+            writer.write(answer(200, request_id.encode()))
 
         return handler
 
@@ -346,7 +351,7 @@
 
     @contextlib.asynccontextmanager
     async def load(self, clients: int = 4, deadline_ms: int = 2000) -> AsyncIterator[LoadGenerator]:
-        """Run clients at each process until the end of the block and their last answers."""
+        """Run clients at each process until the block ends and their open requests are answered."""
         load = LoadGenerator(self.programs, self.history, clients, deadline_ms)
         try:
             yield load
@@ -354,22 +359,22 @@
         finally:
             load.cancel()
 
-    def note_drained(self, endpoint: int) -> None:
-        """Record that an endpoint was reported drained: nothing may be forwarded there any more."""
+    def record_drained(self, endpoint: int) -> None:
+        """Record that an endpoint was reported drained: requests may not be forwarded to it any more."""
         self.history.add(EndpointDrained(self.history.now_us(), endpoint_name(endpoint)))
 
-    def note_restored(self, endpoint: int) -> None:
+    def record_restored(self, endpoint: int) -> None:
         """Record that requests may be forwarded to an endpoint again."""
         self.history.add(EndpointRestored(self.history.now_us(), endpoint_name(endpoint)))
 
     def forwarded_counts(self, first_event: int = 0) -> Counter[tuple[int, int]]:
-        """How many requests each process forwarded to each endpoint, from this event on."""
+        """Count the forwarded requests by process and endpoint, from event number `first_event` on."""
         later = itertools.islice(self.history.events, first_event, None)
         forwarded = (event for event in later if isinstance(event, RequestForwarded))
         return Counter((event.process, endpoint_index(event.endpoint)) for event in forwarded)
 
     def most_used_endpoint(self, process: int) -> int:
-        """The endpoint to which a process has forwarded most."""
+        """Return the endpoint to which a process has forwarded most requests."""
         counts = self.forwarded_counts()
         return max(range(len(self.endpoints)), key=lambda number: (counts[process, number], -number))
 
@@ -381,10 +386,10 @@
             counts = self.forwarded_counts(first_event)
             return all(counts[process, endpoint] for process in processes)
 
-        await wait_until(have_forwarded, f"requests of {processes} at {endpoint_name(endpoint)}")
+        await wait_until(have_forwarded, f"requests of processes {processes} at {endpoint_name(endpoint)}")
 
     async def wait_until_time(self, at_us: int) -> None:
-        """Wait until the machine's monotonic time has passed this, µs."""
+        """Wait until the machine's monotonic clock has passed `at_us`."""
 
         async def has_passed() -> bool:
             return self.history.now_us() > at_us
@@ -392,12 +397,14 @@
         await wait_until(has_passed, f"the time {at_us} µs")
 
     def violations(self) -> list[Violation]:
-        """All rules that were broken so far."""
+        """Return all violations so far."""
         return check_history(self.history.events, self.limits)
 
     def check(self) -> None:
-        """AssertionError that names each broken rule, with the last lines of each log."""
-        if found := self.violations():
-            logs = [f"process {one.number}: {one.log_lines[-3:]}" for one in self.programs if one.log_lines]
-            shown = [str(one) for one in found[:20]]
-            raise AssertionError("\n".join([f"{len(found)} broken, seed {self.seed}", *shown, *logs]))
+        """Raise an AssertionError if there are violations, with the first 20 and the last log lines."""
+        if violations := self.violations():
+            logs = [f"process {p.number}: {p.log_lines[-3:]}" for p in self.programs if p.log_lines]
+            shown = [str(violation) for violation in violations[:20]]
+            raise AssertionError(
+                "\n".join([f"{len(violations)} violations, seed {self.seed}", *shown, *logs])
+            )
--- a/laurelstep/testing/processes/tier_settings.py
+++ b/laurelstep/testing/processes/tier_settings.py
@@ -1,11 +1,11 @@
-"""Settings and names of a tier of processes, for the tests that play it."""
+"""Default settings and names of a tier of processes."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from typing import Any, Final
 
-# The platform's settings, as far as a test does not give others.
+# The platform's settings, unless a test replaces them.
 SETTINGS: Final[dict[str, Any]] = {
     "classes": [
         {"name": "page", "aim-us": 1_000_000, "deadline-us": 20_000_000, "repeat": "retryable"},
@@ -23,39 +23,39 @@
     "load-report": {"fields": ["waiting", "rps"], "how": "piggyback"},
     "kinds": ["small"], "discovery": "push", "stage": 1,
 }  # fmt: skip
-# An answer that is later than its deadline by less than this is put down to the machine that runs the test.
+# Answers may be late by this much, as the machine that runs the test may be slow.
 LATENESS_US: Final = 3_000_000
-# Endpoints of one cell share what they have executed by idempotency key.
-CELLS: Final = 2
+# Number of cells. Endpoints of one cell share the record of executed idempotency keys.
+CELL_COUNT: Final = 2
 
-# Tables of an operator's file, by name.
+# The tables of an operator's configuration file, by name.
 Tables = Mapping[str, Mapping[str, Any]]
 
 
 def endpoint_name(endpoint: int) -> str:
-    """An endpoint's name in endpoint lists and in the history."""
+    """Return an endpoint's name in endpoint lists and in the history."""
     return f"s-{endpoint}"
 
 
 def endpoint_index(name: str) -> int:
-    """The number of the endpoint with this name."""
+    """Return the number of the endpoint with this name."""
     return int(name.removeprefix("s-"))
 
 
 def address_text(address: tuple[str, int]) -> str:
-    """Host and port as configurations name them."""
+    """Return host and port in the format of configurations."""
     return f"{address[0]}:{address[1]}"
 
 
 def substitute(value: Any, values: Mapping[str, object]) -> Any:
-    """The value with each `{name}` in its texts replaced, in nested tables too."""
+    """Return the value with each `{name}` in its strings replaced, also in nested tables and lists."""
     match value:
         case str():
-            for name, what in values.items():
-                value = value.replace(f"{{{name}}}", str(what))
+            for name, replacement in values.items():
+                value = value.replace(f"{{{name}}}", str(replacement))
             return value
         case dict() | Mapping():
-            return {key: substitute(one, values) for key, one in value.items()}
+            return {key: substitute(item, values) for key, item in value.items()}
         case list() | tuple():
-            return [substitute(one, values) for one in value]
+            return [substitute(item, values) for item in value]
     return value
--- a/tests/maintenance_processes.py
+++ b/tests/maintenance_processes.py
@@ -66,13 +66,13 @@
             if one["state"] in OUT and pair not in self._noted | self.returned:
                 self._noted.add(pair)
                 self.cleared.append(one["id"])
-                self.tier.note_drained(endpoint_index(one["id"]))
+                self.tier.record_drained(endpoint_index(one["id"]))
 
     def back(self, wish: str, machine: str) -> None:
         """Somebody is about to say that it is done."""
         if (wish, machine) not in self.returned:
             self.returned.add((wish, machine))
-            self.tier.note_restored(endpoint_index(machine))
+            self.tier.record_restored(endpoint_index(machine))
 
     def close(self) -> None:
         for task in self._tasks:
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -93,7 +93,7 @@
 def test_one_seed_is_one_fate() -> None:
     def fate(seed: int) -> list[Any]:
         one = new_route(ROUGH, seed)
-        return [one.carry(bytes((n,))) for n in range(200)]
+        return [one.transmit(bytes((n,))) for n in range(200)]
 
     assert fate(1) == fate(1) != fate(2)
 
@@ -102,10 +102,10 @@
     plain, ordered = new_route(ROUGH), new_route(ROUGH)
     ordered.lose_next(1)
     for n in range(10):
-        plain.carry(bytes((n,)))
-        ordered.carry(bytes((n,)))
+        plain.transmit(bytes((n,)))
+        ordered.transmit(bytes((n,)))
     later = range(20, 60)
-    assert [plain.carry(bytes((n,))) for n in later] == [ordered.carry(bytes((n,))) for n in later]
+    assert [plain.transmit(bytes((n,))) for n in later] == [ordered.transmit(bytes((n,))) for n in later]
 
 
 @given(
@@ -118,7 +118,7 @@
     arrived: list[int] = []
     for n, cut in enumerate(cuts):
         one.is_partitioned = cut
-        datagrams = one.carry(bytes((n,)))
+        datagrams = one.transmit(bytes((n,)))
         assert all(5 <= datagram.delay_us <= 9 for datagram in datagrams)
         arrived += [datagram.data[0] for datagram in datagrams]
     waiting = 1 if one.reordered_count and len(set(arrived)) < one.passed_count else 0
@@ -132,12 +132,12 @@
 def test_orders_lose_double_and_keep_the_next() -> None:
     one = new_route()
     one.lose_next(2)
-    assert [len(one.carry(b"x")) for _ in range(3)] == [0, 0, 1]
+    assert [len(one.transmit(b"x")) for _ in range(3)] == [0, 0, 1]
     one.duplicate_next()
-    assert [len(one.carry(b"x")) for _ in range(2)] == [2, 1]
+    assert [len(one.transmit(b"x")) for _ in range(2)] == [2, 1]
     one.hold()
     for data in (b"a", b"b", b"c"):
-        assert one.carry(data) == []
+        assert one.transmit(data) == []
     released = [datagram.data for datagram in one.release(reverse=True)]
     assert released == [b"c", b"b", b"a"] and not one.is_holding
     assert one.release() == []
@@ -147,14 +147,14 @@
     one = new_route()
     one.hold()
     for _ in range(MAX_HELD_DATAGRAMS + 3):
-        one.carry(b"x")
+        one.transmit(b"x")
     assert one.lost_count == 3 and len(one.release()) == MAX_HELD_DATAGRAMS
 
 
 def test_one_that_is_overtaken_comes_behind_the_next() -> None:
     one = new_route(NetworkFaults(reorder_probability=1.0))
-    assert one.carry(b"a") == []
-    assert [datagram.data for datagram in one.carry(b"b")] == [b"b", b"a"]
+    assert one.transmit(b"a") == []
+    assert [datagram.data for datagram in one.transmit(b"b")] == [b"b", b"a"]
 
 
 def test_cuts_of_groups_one_way_and_back() -> None:
@@ -1092,7 +1092,7 @@
             await load.wait_for_answers(10)
             assert names(tier) <= {UNANSWERED}, "only what is still open"
             cleared, drained, held = (tier.most_used_endpoint(n) for n in range(3))
-            tier.note_drained(cleared)
+            tier.record_drained(cleared)
             await tier.wait_forwarded(cleared, 0)
             told_at = tier.history.now_us()
             tier.history.add(EndpointUpdateRead(told_at, told_at, 1, f"s-{drained}", "gone"))
