--- a/tests/maintenance_checker.py
+++ b/tests/maintenance_checker.py
@@ -1,4 +1,4 @@
-"""The rules of maintenance, by name, checked against what is true of all replicas of a tier at once."""
+"""The invariants of maintenance, checked on all replicas of a simulated tier at the same time."""
 
 from __future__ import annotations
 
@@ -16,47 +16,52 @@
 from tests.maintenance import SECOND, Replica, Tier, listed_entry
 
 
-class BrokenError(AssertionError):
-    """A rule, by its name, and the seed that broke it."""
+class InvariantError(AssertionError):
+    """An invariant does not hold; the text describes the violation."""
 
 
 class Proposal:
-    def __init__(self, by: Replica, data: bytes, by_sending: dict[int, int]) -> None:
+    """A proposed entry, with the proposer's list and messages at that time."""
+
+    def __init__(self, proposer: Replica, data: bytes, serving_alone: dict[int, int]) -> None:
         self.data = data
-        table = by.source.table.machines.values()
-        self.listed = {one.machine_id: (one.phase == READY, one.capacity) for one in table}
-        # Copies that have told the proposer that they send without the record.
-        self.sending = dict(by_sending)
+        machines = proposer.source.table.machines.values()
+        # By machine id: whether it is ready, and its capacity.
+        self.listed = {machine.machine_id: (machine.phase == READY, machine.capacity) for machine in machines}
+        # By peer: the incarnation that has reported to the proposer that it serves without the state.
+        self.serving_alone = dict(serving_alone)
 
 
 class CheckedTier(Tier):
-    """A tier whose log is agreed on by hand, and the rules that must hold in it after every step."""
+    """A tier whose proposals are committed by `commit`, and the invariants to check after every event."""
 
     def __init__(self, seed: int) -> None:
-        self.draw = random.Random(seed)
-        self.pending: list[Proposal] = []
-        self.sending: dict[int, dict[int, int]] = {}  # by leader: who told it to send without the record
-        self.deaf: set[int] = set()  # replicas that hear no lists
-        self.slow: set[int] = set()  # replicas that learn the record late
-        self.truths: dict[str, tuple[str, int]] = {}  # zone and cell, whoever says what
+        self.rng = random.Random(seed)
+        self.proposals: list[Proposal] = []  # not committed yet
+        # By the leader's incarnation: the peers that have reported to it that they serve without the state,
+        # with their incarnations.
+        self.serving_alone: dict[int, dict[int, int]] = {}
+        self.list_blocked: set[int] = set()  # replicas that get no lists
+        self.catch_up_blocked: set[int] = set()  # replicas that can't catch up after a restart
+        self.locations: dict[str, tuple[str, int]] = {}  # by machine id: zone and cell, listed or not
         settings = MaintenanceSettings(
             overdue_us=20 * SECOND,
-            start_alone="serve" if self.draw.random() < 0.25 else "wait",
+            start_alone="serve" if self.rng.random() < 0.25 else "wait",
             learn_us=2 * SECOND,
         )
         machines = []
-        for n in range(self.draw.randint(3, 7)):
-            zone, cell = self.draw.choice("ab"), self.draw.randint(1, 2)
-            machines.append(listed_entry(f"m{n}", zone, cell=cell, weight=self.draw.choice((1.0, 1.0, 2.0))))
-        super().__init__(self.draw.choice((2, 3, 3, 4)), machines, settings)
+        for n in range(self.rng.randint(3, 7)):
+            zone, cell = self.rng.choice("ab"), self.rng.randint(1, 2)
+            machines.append(listed_entry(f"m{n}", zone, cell=cell, weight=self.rng.choice((1.0, 1.0, 2.0))))
+        super().__init__(self.rng.choice((2, 3, 3, 4)), machines, settings)
 
-    # --- The record -------------------------------------------------------------------
+    # --- The log ----------------------------------------------------------------------
 
     def on_proposal(self, proposer: Replica, data: bytes) -> None:
-        self.pending.append(Proposal(proposer, data, self.sending.get(proposer.incarnation, {})))
+        self.proposals.append(Proposal(proposer, data, self.serving_alone.get(proposer.incarnation, {})))
 
-    def agree(self, proposal: Proposal) -> None:
-        before = {id: (one.state, one.drain_index) for id, one in self.state.machines.items()}
+    def commit(self, proposal: Proposal) -> None:
+        before = {id: (machine.state, machine.drain_index) for id, machine in self.state.machines.items()}
         self.append(proposal.data)
         entry = decode_entry(proposal.data[1:])
         if (
@@ -68,86 +73,100 @@
         if isinstance(entry, MachineTransition) and entry.event == "clear":
             machine = self.state.machines.get(entry.machine_id)
             if machine is not None and machine.since_index == len(self.log):
-                for peer, incarnation in proposal.sending.items():
+                for peer, incarnation in proposal.serving_alone.items():
                     replica = self.replicas[peer]
                     if (
                         not replica.is_dead
                         and replica.incarnation == incarnation
                         and replica.engine.may_have_traffic(entry.machine_id)
                     ):
-                        self.broken("clear while one had said that it sends")
+                        self.fail("clear while a replica had reported that it serves without the state")
 
-    def broken(self, rule: str) -> None:
-        raise BrokenError(rule)
+    def fail(self, violation: str) -> None:
+        raise InvariantError(violation)
 
     def check_limits(self, entry: DrainMachine, proposal: Proposal) -> None:
-        """Counted anew, from the truth about the machines and what the proposer's list said."""
+        """Check the limits independently of the code under test, by the machines' zones and cells and by the
+        proposer's list.
+        """
         out = self.state.machines
-        zone, cell = self.truth(entry.machine_id)
-        for one in self.state.open_requests.values():
-            if one.is_withdrawn:
+        zone, cell = self.location_of(entry.machine_id)
+        for request in self.state.open_requests.values():
+            if request.is_withdrawn:
                 continue
-            limits = one.request.limits
-            count = 0
+            limits = request.request.limits
+            out_count = 0
             for id in out:
-                its_zone, its_cell = self.truth(id)
-                where = {"zone": its_zone == zone, "cell": its_cell == cell, "tier": True}
-                count += where[limits.scope]
-            if count > limits.max_unavailable:
-                self.broken("more out than a wish allows")
-            total = sum(size for id, (_, size) in proposal.listed.items() if id not in out)
-            stays = sum(size for id, (ready, size) in proposal.listed.items() if ready and id not in out)
+                other_zone, other_cell = self.location_of(id)
+                is_in_scope = {"zone": other_zone == zone, "cell": other_cell == cell, "tier": True}
+                out_count += is_in_scope[limits.scope]
+            if out_count > limits.max_unavailable:
+                self.fail("more machines out of service than a request allows")
+            total = sum(capacity for id, (_, capacity) in proposal.listed.items() if id not in out)
+            in_service = sum(
+                capacity for id, (is_ready, capacity) in proposal.listed.items() if is_ready and id not in out
+            )
             for machine in out.values():
                 total += machine.weight
                 if machine.state == MachineState.WARMING_UP:
-                    stays += 0.2 * machine.weight
-            if stays < limits.min_capacity_share * total - 1e-6:
-                self.broken("less stays than a wish says")
-        if not any(ready and id not in out for id, (ready, _) in proposal.listed.items()):
-            self.broken("the last ready machine was taken")
+                    in_service += 0.2 * machine.weight
+            if in_service < limits.min_capacity_share * total - 1e-6:
+                self.fail("less capacity in service than a request requires")
+        if not any(is_ready and id not in out for id, (is_ready, _) in proposal.listed.items()):
+            self.fail("the last ready machine was drained")
 
-    def truth(self, id: str) -> tuple[str, int]:
-        if id in self.listed:
-            self.truths[id] = self.listed[id]["zone"], self.listed[id]["cell"]
-        return self.truths.setdefault(id, ("a", 1))
+    def location_of(self, machine_id: str) -> tuple[str, int]:
+        """The zone and cell of a machine: those listed last, or a default."""
+        if machine_id in self.listed:
+            self.locations[machine_id] = self.listed[machine_id]["zone"], self.listed[machine_id]["cell"]
+        return self.locations.setdefault(machine_id, ("a", 1))
 
-    # --- The rules --------------------------------------------------------------------
+    # --- The invariants ---------------------------------------------------------------
 
     def check(self) -> None:
-        cleared = [one.machine_id for one in self.state.machines.values() if one.state in DRAINED_STATES]
+        drained = [
+            machine.machine_id for machine in self.state.machines.values() if machine.state in DRAINED_STATES
+        ]
         for replica in self.live_replicas:
             engine, source = replica.engine, replica.source
-            for id in cleared:
+            for id in drained:
                 cordon = source.overlay.cordons.get(id)
-                # It began without the record, as its operator chose, and has not confirmed since.
-                went_alone = replica.controller.serves_without_state and (
+                # Its settings allow it to serve without the state. It has not drained the machine since.
+                serves_alone = replica.controller.serves_without_state and (
                     cordon is None or not cordon.is_drained
                 )
-                if engine.may_have_traffic(id) and not went_alone:
-                    self.broken("clear while somebody may send")
+                if engine.may_have_traffic(id) and not serves_alone:
+                    self.fail("clear while a replica may send")
             if not source.is_forwarding and engine.ready:
-                self.broken("sends before it may")
+                self.fail("a list was forwarded too early")
             for id in engine.ready:
-                member = source.table.machines.get(id)
-                if member is None or member.phase != READY:
-                    self.broken("ready against discovery")
-            self.check_holds(replica)
-
-    def check_holds(self, replica: Replica) -> None:
-        """A process that was told of more than it holds back, or that holds back its last one."""
+                listed = source.table.machines.get(id)
+                if listed is None or listed.phase != READY:
+                    self.fail("ready in the engine but not in discovery's list")
+            self.check_cordons(replica)
+
+    def check_cordons(self, replica: Replica) -> None:
+        """Check that the engine of a replica that knows the state has all machines that discovery lists as
+        ready, except cordoned ones.
+        """
         source = replica.source
         if not source.has_learned_state or not replica.is_caught_up:
             return
-        held = {id for id, one in replica.state.machines.items() if one.state in CORDONED_STATES}
-        ready = {id for id, one in source.table.machines.items() if one.phase == READY}
-        if replica.engine.ready.keys() - held != ready - held and not replica.controller.scheduled_step:
-            self.broken("not ready, and not held")
-
-    def check_taking(self, replica: Replica, before: set[str]) -> None:
-        """What a look of one replica took: never its last ready one, but for what is clear."""
-        after = replica.engine.ready.keys()
-        taken = before - after
-        if taken and not after and replica.source.table.ready_count:
-            states = [replica.state.machines[id].state for id in taken if id in replica.state.machines]
+        cordoned = {id for id, machine in replica.state.machines.items() if machine.state in CORDONED_STATES}
+        ready = {id for id, machine in source.table.machines.items() if machine.phase == READY}
+        if (
+            replica.engine.ready.keys() - cordoned != ready - cordoned
+            and not replica.controller.scheduled_step
+        ):
+            self.fail("neither ready in the engine nor cordoned")
+
+    def check_last_ready(self, replica: Replica, ready_before: set[str]) -> None:
+        """Check that a step did not cordon the last ready machine of a replica while it was draining. Only
+        machines that are drained already may be cordoned unconditionally.
+        """
+        ready_now = replica.engine.ready.keys()
+        removed = ready_before - ready_now
+        if removed and not ready_now and replica.source.table.ready_count:
+            states = [replica.state.machines[id].state for id in removed if id in replica.state.machines]
             if states and all(state == MachineState.DRAINING for state in states):
-                self.broken("the last ready machine was taken")
+                self.fail("the last ready machine was drained")
--- a/tests/maintenance_mutants.py
+++ b/tests/maintenance_mutants.py
@@ -1,4 +1,4 @@
-"""Faults put into maintenance on purpose, and the rule that each of them breaks."""
+"""Deliberate faults in maintenance, and the violation that each of them causes."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 from tests.maintenance import Replica
 
 
-def one_confirmation_early(patch: pytest.MonkeyPatch) -> None:
+def ignore_the_first_missing_peer(patch: pytest.MonkeyPatch) -> None:
     missing = DrainAcknowledgements.missing_peers
 
-    def early(self: DrainAcknowledgements, index: int, state: MaintenanceState, peers: int) -> list[int]:
+    def skip_first(self: DrainAcknowledgements, index: int, state: MaintenanceState, peers: int) -> list[int]:
         return missing(self, index, state, peers)[1:]
 
-    patch.setattr(DrainAcknowledgements, "missing_peers", early)
+    patch.setattr(DrainAcknowledgements, "missing_peers", skip_first)
 
 
-def limits_only_by_the_leader(patch: pytest.MonkeyPatch) -> None:
-    """What is proposed is planned as ever, and applied without a look."""
+def skip_limits_when_applied(patch: pytest.MonkeyPatch) -> None:
+    """The leader checks the limits when it plans, but replicas do not when they apply the entry."""
     drain, blocking = MaintenanceState._drain_machine, MaintenanceState.blocking_limit
 
-    def blind(self: MaintenanceState, index: int, entry: DrainMachine) -> bool:
+    def drain_unchecked(self: MaintenanceState, index: int, entry: DrainMachine) -> bool:
         entry = DrainMachine(
-            self.changed_index, *[getattr(entry, key) for key in entry.__struct_fields__[1:]]
+            self.changed_index, *[getattr(entry, name) for name in entry.__struct_fields__[1:]]
         )
         patched = MaintenanceState.blocking_limit
         MaintenanceState.blocking_limit = lambda self, entry, ignore_others=False: None  # type: ignore[method-assign]
@@ -47,23 +47,23 @@
             MaintenanceState.blocking_limit = patched  # type: ignore[method-assign]
 
     assert blocking is MaintenanceState.blocking_limit
-    patch.setattr(MaintenanceState, "_drain_machine", blind)
+    patch.setattr(MaintenanceState, "_drain_machine", drain_unchecked)
 
 
-def older_incarnation_counted(patch: pytest.MonkeyPatch) -> None:
+def count_an_older_incarnation(patch: pytest.MonkeyPatch) -> None:
     def record(self: DrainAcknowledgements, peer: int, incarnation: int, drained_index: int) -> None:
-        old = self.by_peer.get(peer)
-        if old is not None and old.drained_index > drained_index:
-            incarnation, drained_index = old
+        last = self.by_peer.get(peer)
+        if last is not None and last.drained_index > drained_index:
+            incarnation, drained_index = last
         self.by_peer[peer] = PeerAcknowledgement(incarnation, drained_index)
 
     patch.setattr(DrainAcknowledgements, "record", record)
 
 
-def hold_forgotten_when_cut_off(patch: pytest.MonkeyPatch) -> None:
+def drop_cordons_when_cut_off(patch: pytest.MonkeyPatch) -> None:
     refresh = MaintenanceSource.refresh
 
-    def forgetful(self: MaintenanceSource) -> None:
+    def refresh_and_drop(self: MaintenanceSource) -> None:
         refresh(self)
         controller = getattr(self.on_list_changed, "__self__", None)
         if (
@@ -71,131 +71,137 @@
             and not controller.consensus.has_leader_contact
             and self.overlay.cordons
         ):
-            ids = list(self.overlay.cordons)
+            machine_ids = list(self.overlay.cordons)
             self.overlay.cordons.clear()
-            self._publish(False, [id for id in ids if id in self.table.machines])
+            self._publish(False, [id for id in machine_ids if id in self.table.machines])
 
-    patch.setattr(MaintenanceSource, "refresh", forgetful)
+    patch.setattr(MaintenanceSource, "refresh", refresh_and_drop)
 
 
-def return_without_the_limits(patch: pytest.MonkeyPatch) -> None:
+def exclude_warming_up_from_limits(patch: pytest.MonkeyPatch) -> None:
     violated_limit = limits_module.violated_limit
 
-    def lenient(limits: Any, entry: DrainMachine, out: list[Any], ignore_others: bool = False) -> str | None:
+    def exclude(limits: Any, entry: DrainMachine, out: list[Any], ignore_others: bool = False) -> str | None:
         return violated_limit(
-            limits, entry, [one for one in out if one.state != MachineState.WARMING_UP], ignore_others
+            limits,
+            entry,
+            [machine for machine in out if machine.state != MachineState.WARMING_UP],
+            ignore_others,
         )
 
-    patch.setattr(state_module, "violated_limit", lenient)
+    patch.setattr(state_module, "violated_limit", exclude)
 
 
-def quiet_before_the_grace(patch: pytest.MonkeyPatch) -> None:
+def skip_the_drain_grace(patch: pytest.MonkeyPatch) -> None:
     drained_index = EndpointOverlay.drained_index
     patch.setattr(
         EndpointOverlay,
         "drained_index",
-        lambda self, state, now, grace, out: drained_index(self, state, now, 0, out),
+        lambda self, state, now_us, grace_us, in_flight: drained_index(self, state, now_us, 0, in_flight),
     )
 
 
-def quiet_with_requests_out(patch: pytest.MonkeyPatch) -> None:
+def ignore_requests_in_flight(patch: pytest.MonkeyPatch) -> None:
     drained_index = EndpointOverlay.drained_index
     patch.setattr(
         EndpointOverlay,
         "drained_index",
-        lambda self, state, now, grace, out: drained_index(self, state, now, grace, lambda id: 0),
+        lambda self, state, now, grace, in_flight: drained_index(self, state, now, grace, lambda id: 0),
     )
 
 
-def sends_before_it_knows(patch: pytest.MonkeyPatch) -> None:
+def forward_before_the_state_is_known(patch: pytest.MonkeyPatch) -> None:
     start = MaintenanceController.start
 
-    def hasty(self: MaintenanceController) -> None:
+    def start_forwarding(self: MaintenanceController) -> None:
         start(self)
         self.source.start_forwarding(False)
 
-    patch.setattr(MaintenanceController, "start", hasty)
+    patch.setattr(MaintenanceController, "start", start_forwarding)
 
 
-def absent_names_no_incarnation(patch: pytest.MonkeyPatch) -> None:
+def declare_any_incarnation_absent(patch: pytest.MonkeyPatch) -> None:
     execute = MaintenanceState._execute_command
 
-    def any_incarnation(self: MaintenanceState, index: int, command: Any) -> str:
+    def execute_absent(self: MaintenanceState, index: int, command: Any) -> str:
         if command.verb == "absent":
             self.absent_peers.add(command.argument)
             return ""
         return execute(self, index, command)
 
-    patch.setattr(MaintenanceState, "_execute_command", any_incarnation)
+    patch.setattr(MaintenanceState, "_execute_command", execute_absent)
 
 
-def absent_for_one_that_is_heard(patch: pytest.MonkeyPatch) -> None:
+def skip_absent_peers_that_serve(patch: pytest.MonkeyPatch) -> None:
     missing = DrainAcknowledgements.missing_peers
 
-    def blind(self: DrainAcknowledgements, index: int, state: MaintenanceState, peers: int) -> list[int]:
+    def skip_absent(
+        self: DrainAcknowledgements, index: int, state: MaintenanceState, peers: int
+    ) -> list[int]:
         return [peer for peer in missing(self, index, state, peers) if peer not in state.absent_peers]
 
-    patch.setattr(DrainAcknowledgements, "missing_peers", blind)
+    patch.setattr(DrainAcknowledgements, "missing_peers", skip_absent)
 
 
-def last_one_taken(patch: pytest.MonkeyPatch) -> None:
+def cordon_the_last_ready_machine(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(EndpointOverlay, "_uncordoned_ready_count", lambda self, table: 1000)
 
 
-def late_steps_hold(patch: pytest.MonkeyPatch) -> None:
-    """A `clear` for an earlier leaving counts for a later one."""
+def apply_outdated_transitions(patch: pytest.MonkeyPatch) -> None:
+    """A `clear` for an earlier drain of a machine applies to a later one."""
     apply_transition = MaintenanceState._apply_transition
 
-    def timeless(self: MaintenanceState, index: int, entry: MachineTransition) -> bool:
+    def apply_to_current(self: MaintenanceState, index: int, entry: MachineTransition) -> bool:
         machine = self.machines.get(entry.machine_id)
         since_index = entry.since_index if machine is None else machine.since_index
         return apply_transition(
             self, index, MachineTransition(entry.machine_id, since_index, entry.event, entry.reason)
         )
 
-    patch.setattr(MaintenanceState, "_apply_transition", timeless)
+    patch.setattr(MaintenanceState, "_apply_transition", apply_to_current)
 
 
-def discovery_loses(patch: pytest.MonkeyPatch) -> None:
-    as_it_is = EndpointOverlay.overlaid_entry
+def override_discovery(patch: pytest.MonkeyPatch) -> None:
+    overlaid_entry = EndpointOverlay.overlaid_entry
 
-    def raw(self: EndpointOverlay, machine: Any) -> dict[str, Any]:
-        found = as_it_is(self, machine)
+    def ready_after_return(self: EndpointOverlay, machine: Any) -> dict[str, Any]:
+        entry = overlaid_entry(self, machine)
         if machine.machine_id in self.returned_ms and not self.is_cordoned(machine.machine_id):
-            found["lifecycle"] = "ready"
-        return found
+            entry["lifecycle"] = "ready"
+        return entry
 
-    patch.setattr(EndpointOverlay, "overlaid_entry", raw)
+    patch.setattr(EndpointOverlay, "overlaid_entry", ready_after_return)
 
 
-def never_told_again(patch: pytest.MonkeyPatch) -> None:
-    """Words are told once."""
-    message = Replica.send_to_leader
-    told: set[bytes] = set()
+def send_each_message_once(patch: pytest.MonkeyPatch) -> None:
+    """Replicas do not repeat messages that may have been lost."""
+    send_to_leader = Replica.send_to_leader
+    sent: set[bytes] = set()
 
-    def once(self: Replica, data: bytes) -> None:
+    def send_once(self: Replica, data: bytes) -> None:
         key = data + repr((id(self.tier), self.index, self.incarnation)).encode()
-        if key not in told:
-            told.add(key)
-            message(self, data)
-
-    patch.setattr(Replica, "send_to_leader", once)
-
-
-Fault = Callable[[pytest.MonkeyPatch], None]
-FAULTS: dict[Fault, str | tuple[str, str]] = {
-    one_confirmation_early: "clear while",
-    limits_only_by_the_leader: ("more out than", "less stays than"),
-    older_incarnation_counted: "clear while one had said",
-    hold_forgotten_when_cut_off: "clear while somebody",
-    return_without_the_limits: "more out than",
-    quiet_before_the_grace: "clear while somebody",
-    quiet_with_requests_out: "clear while somebody",
-    sends_before_it_knows: "clear while somebody",
-    absent_names_no_incarnation: "clear while somebody",
-    absent_for_one_that_is_heard: "clear while one had said",
-    last_one_taken: "the last ready machine was taken",
-    late_steps_hold: "clear while somebody",
-    discovery_loses: "ready against discovery",
-    never_told_again: "no progress",
+        if key not in sent:
+            sent.add(key)
+            send_to_leader(self, data)
+
+    patch.setattr(Replica, "send_to_leader", send_once)
+
+
+Mutant = Callable[[pytest.MonkeyPatch], None]
+# The beginning of the violation that each mutant causes.
+MUTANTS: dict[Mutant, str | tuple[str, str]] = {
+    ignore_the_first_missing_peer: "clear while",
+    skip_limits_when_applied: ("more machines out of service than", "less capacity in service than"),
+    count_an_older_incarnation: "clear while a replica had reported",
+    drop_cordons_when_cut_off: "clear while a replica may",
+    exclude_warming_up_from_limits: "more machines out of service than",
+    skip_the_drain_grace: "clear while a replica may",
+    ignore_requests_in_flight: "clear while a replica may",
+    forward_before_the_state_is_known: "clear while a replica may",
+    declare_any_incarnation_absent: "clear while a replica may",
+    skip_absent_peers_that_serve: "clear while a replica had reported",
+    cordon_the_last_ready_machine: "the last ready machine was drained",
+    apply_outdated_transitions: "clear while a replica may",
+    override_discovery: "ready in the engine but not in discovery's list",
+    send_each_message_once: "no progress",
 }
--- a/tests/maintenance_states.py
+++ b/tests/maintenance_states.py
@@ -1,4 +1,4 @@
-"""One replicated state, and the entries that act on it."""
+"""Helpers for tests of a single replicated state: states to start from, and entries to apply."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 def apply_entry(state: MaintenanceState, index: int, entry: Any) -> None:
-    """As the record hands it on, without the byte that says whose it is."""
+    """Apply an entry as the multiplexer passes it, without `SUBSYSTEM_TAG`."""
     state.apply(index, encode(entry)[1:])
 
 
 def state_with(machine_state: MachineState) -> MaintenanceState:
-    """A state with one machine in this state."""
+    """A replicated state in which the machine m0 is in the given state, and no other is out of service."""
     state = MaintenanceState()
     events: dict[MachineState, list[Any]] = {
         MachineState.DRAINING: [],
@@ -40,18 +40,19 @@
     return state
 
 
-def drain_entry(state: MaintenanceState, id: str = "m0", **more: Any) -> DrainMachine:
-    facts: dict[str, Any] = {
+def drain_entry(state: MaintenanceState, machine_id: str = "m0", **changes: Any) -> DrainMachine:
+    """The entry that drains a machine for the first open request, with changed fields."""
+    fields: dict[str, Any] = {
         "base_index": state.changed_index, "request_number": next(iter(state.open_requests)),
-        "machine_id": id, "zone": "a", "cell": 1,
+        "machine_id": machine_id, "zone": "a", "cell": 1,
         "weight": 1.0, "started_ms": 1, "ready_count": 6, "ready_weight": 6.0, "listed_weight": 6.0,
-        "drained_by_discovery": DrainedCounts(0, 0, 0), "slow_start_share": 0.2, **more,
+        "drained_by_discovery": DrainedCounts(0, 0, 0), "slow_start_share": 0.2, **changes,
     }  # fmt: skip
-    return DrainMachine(**facts)
+    return DrainMachine(**fields)
 
 
 def apply_event(state: MaintenanceState, event: str) -> None:
-    """One event to the machine, as it comes in the record."""
+    """Apply an event for the machine m0, as the command or the entry that causes it."""
     index = state.index + 1
     if event in ("begin", "done"):
         number = state.last_commands[0].sequence_number + 1
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -1,4 +1,5 @@
-"""Made schedules of a tier with maintenance: what happens next is drawn, and checked after every step."""
+"""Random schedules of a tier with maintenance. The seed determines the events; the invariants are checked
+after each."""
 
 from __future__ import annotations
 
@@ -20,383 +21,395 @@
 from tests.maintenance import SECOND, Replica, listed_entry, request_for
 from tests.maintenance_checker import CheckedTier, Proposal
 
-STEPS = 75
+EVENT_COUNT = 75
 
 
-Kind = Callable[[Any], bool]
+EntryPredicate = Callable[[Any], bool]
 
 
-def is_ask(entry: Any) -> bool:
+def is_command(entry: Any) -> bool:
     return isinstance(entry, OperatorCommand)
 
 
-def is_step(entry: Any) -> bool:
+def is_transition(entry: Any) -> bool:
     return isinstance(entry, MachineTransition)
 
 
 class World(CheckedTier):
-    """A tier whose schedule is drawn from the seed."""
+    """A tier and its random events: clients, operators, discovery, the network and faults."""
 
-    # --- The schedule -----------------------------------------------------------------
+    # --- Random events ----------------------------------------------------------------
 
     def step(self) -> None:
-        happens = self.draw.choices(EVENTS, WEIGHTS)[0]
-        happens(self)
+        event = self.rng.choices(EVENTS, WEIGHTS)[0]
+        event(self)
         self.check()
 
-    def one(self) -> Replica | None:
+    def random_replica(self) -> Replica | None:
+        """A replica that is not dead; None if all are."""
         live_replicas = self.live_replicas
-        return self.draw.choice(live_replicas) if live_replicas else None
+        return self.rng.choice(live_replicas) if live_replicas else None
 
-    def looks(self) -> None:
-        replica = self.one()
+    def run_replica_step(self) -> None:
+        replica = self.random_replica()
         if replica is not None:
-            before = set(replica.engine.ready)
-            fresh = replica.source.overlay.is_first_update
+            ready_before = set(replica.engine.ready)
+            is_first_update = replica.source.overlay.is_first_update
             replica.controller.run_step()
-            if not fresh:
-                self.check_taking(replica, before)
+            if not is_first_update:
+                self.check_last_ready(replica, ready_before)
 
-    def delivers(self) -> None:
-        replica = self.one()
+    def apply_some_entries(self) -> None:
+        replica = self.random_replica()
         if replica is None or replica.is_cut_off or replica.applied_count >= len(self.log):
             return
-        if self.draw.random() < 0.1:
+        if self.rng.random() < 0.1:
             replica.load_snapshot()
         else:
-            replica.catch_up(self.draw.randint(replica.applied_count + 1, len(self.log)))
+            replica.catch_up(self.rng.randint(replica.applied_count + 1, len(self.log)))
 
-    def learns(self) -> None:
-        replica = self.one()
+    def finish_catch_up(self) -> None:
+        replica = self.random_replica()
         if replica is not None and not replica.is_cut_off and not replica.is_caught_up:
             replica.catch_up()
             replica.is_caught_up = True
 
-    def receives_messages(self) -> None:
+    def deliver_some_messages(self) -> None:
         for _ in range(min(len(self.messages), 4)):
-            at = self.draw.randrange(len(self.messages))
-            peer, incarnation, data = self.messages[at]
-            if self.draw.random() > 0.2:  # some come twice
-                del self.messages[at]
-            if self.draw.random() < 0.2:
+            position = self.rng.randrange(len(self.messages))
+            peer, incarnation, data = self.messages[position]
+            if self.rng.random() > 0.2:  # otherwise it may be delivered again
+                del self.messages[position]
+            if self.rng.random() < 0.2:
                 continue  # lost
-            self.tell(peer, incarnation, data)
+            self.deliver_message(peer, incarnation, data)
 
-    def tell(self, peer: int, incarnation: int, data: bytes) -> None:
-        """A message gets to those who lead, or believe that they do."""
+    def deliver_message(self, peer: int, incarnation: int, data: bytes) -> None:
+        """Deliver a message to the leader, and to replicas that still act as leaders."""
         for replica in self.live_replicas:
             if replica.is_leader and not replica.is_cut_off:
                 if decode_message(data) == DrainAcknowledgement(-1):
-                    self.sending.setdefault(replica.incarnation, {})[peer] = incarnation
+                    self.serving_alone.setdefault(replica.incarnation, {})[peer] = incarnation
                 replica.on_leader_message(peer, incarnation, data)
 
     def deliver_messages(self) -> None:
         messages, self.messages = self.messages, []
         for message in messages:
-            self.tell(*message)
-
-    def agrees(self) -> None:
-        for _ in range(min(len(self.pending), 3)):
-            proposal = self.pending.pop(self.draw.randrange(len(self.pending)))
-            if self.draw.random() < 0.9:
-                self.agree(proposal)
-            if self.draw.random() < 0.05:
-                self.pending.append(proposal)  # acts late once more
-
-    def hears_list(self) -> None:
-        replica = self.one()
+            self.deliver_message(*message)
+
+    def commit_some_proposals(self) -> None:
+        for _ in range(min(len(self.proposals), 3)):
+            proposal = self.proposals.pop(self.rng.randrange(len(self.proposals)))
+            if self.rng.random() < 0.9:
+                self.commit(proposal)
+            if self.rng.random() < 0.05:
+                self.proposals.append(proposal)  # committed again later
+
+    def deliver_list(self) -> None:
+        replica = self.random_replica()
         if replica is not None:
             replica.receive_list()
 
-    def passes(self) -> None:
-        self.clock.time += self.draw.choice((50_000, 200_000, 600_000, 1_500_000))
-        self.run_due()
+    def advance_clock(self) -> None:
+        self.clock.time += self.rng.choice((50_000, 200_000, 600_000, 1_500_000))
+        self.run_due_timers()
 
-    def run_due(self) -> None:
-        """The timers that are due, each at its place in the order."""
+    def run_due_timers(self) -> None:
+        """Run the timers that are due, in the order of their times."""
         self.clock.advance(0)
 
-    def leads(self) -> None:
-        """Another leads; the one before may not know yet, and goes on proposing."""
-        replica = self.one()
+    def elect_leader(self) -> None:
+        """Make another replica the leader. The previous one may not notice yet, and continue to propose."""
+        replica = self.random_replica()
         if replica is None or not replica.is_caught_up:
             return
-        if self.draw.random() < 0.6:
+        if self.rng.random() < 0.6:
             self.leaders.clear()
         self.leaders.add(replica.index)
 
-    def cuts(self) -> None:
-        replica = self.one()
+    def toggle_cut_off(self) -> None:
+        replica = self.random_replica()
         if replica is not None:
             replica.is_cut_off = not replica.is_cut_off
 
-    def dies(self) -> None:
-        replica = self.one()
+    def crash_replica(self) -> None:
+        replica = self.random_replica()
         if replica is not None:
             replica.crash()
 
-    def all_die(self) -> None:
-        if self.draw.random() < 0.1:
+    def crash_all(self) -> None:
+        if self.rng.random() < 0.1:
             for replica in self.live_replicas:
                 replica.crash()
 
-    def comes(self) -> None:
+    def restart_replica(self) -> None:
         dead = [replica.index for replica in self.replicas if replica.is_dead]
         if dead:
-            self.restart(self.draw.choice(dead))
-
-    def discovers(self) -> None:
-        id = self.draw.choice([f"m{n}" for n in range(7)])
-        old = self.listed.get(id)
-        if old is None:
-            if id not in self.truths:
-                self.truths[id] = self.draw.choice("ab"), self.draw.randint(1, 2)
-            zone, cell = self.truths[id]
-            self.update_list(listed_entry(id, zone, cell=cell, started_ms=self.clock.wall() // 1000))
+            self.restart(self.rng.choice(dead))
+
+    def change_list(self) -> None:
+        machine_id = self.rng.choice([f"m{n}" for n in range(7)])
+        listed = self.listed.get(machine_id)
+        if listed is None:
+            if machine_id not in self.locations:
+                self.locations[machine_id] = self.rng.choice("ab"), self.rng.randint(1, 2)
+            zone, cell = self.locations[machine_id]
+            self.update_list(listed_entry(machine_id, zone, cell=cell, started_ms=self.clock.wall() // 1000))
         else:
-            phase = self.draw.choice(("ready", "ready", "draining", "gone"))
-            started_ms = old["startedAtMs"] if self.draw.random() < 0.5 else self.clock.wall() // 1000
-            self.truth(id)
-            self.update_list({**old, "lifecycle": phase, "startedAtMs": started_ms})
+            phase = self.rng.choice(("ready", "ready", "draining", "gone"))
+            started_ms = listed["startedAtMs"] if self.rng.random() < 0.5 else self.clock.wall() // 1000
+            self.location_of(machine_id)
+            self.update_list({**listed, "lifecycle": phase, "startedAtMs": started_ms})
 
-    def sends(self) -> None:
-        replica = self.one()
+    def send_request(self) -> None:
+        replica = self.random_replica()
         if replica is not None:
-            can = sorted(
-                id
-                for id in {*replica.engine.ready, *replica.engine.drain_started_us}
-                if replica.engine.may_send(id)
+            machine_ids = sorted(
+                machine_id
+                for machine_id in {*replica.engine.ready, *replica.engine.drain_started_us}
+                if replica.engine.may_send(machine_id)
             )
-            if can:
-                replica.engine.in_flight[self.draw.choice(can)] += 1
+            if machine_ids:
+                replica.engine.in_flight[self.rng.choice(machine_ids)] += 1
 
-    def ends(self) -> None:
-        replica = self.one()
+    def finish_requests(self) -> None:
+        replica = self.random_replica()
         if replica is not None:
-            for id in [id for id, count in replica.engine.in_flight.items() if count]:
-                if self.draw.random() < 0.7:
-                    replica.engine.in_flight[id] = 0
+            for machine_id in [machine_id for machine_id, count in replica.engine.in_flight.items() if count]:
+                if self.rng.random() < 0.7:
+                    replica.engine.in_flight[machine_id] = 0
 
-    def submits_request(self) -> None:
-        replica = self.one()
+    def submit_request(self) -> None:
+        replica = self.random_replica()
         if replica is None:
             return
-        draw = self.draw
-        named: dict[str, Any] = draw.choice(
+        rng = self.rng
+        selection: dict[str, Any] = rng.choice(
             (
                 {"zone": "a"}, {"zone": "b"}, {"cell": 1}, {"kind": "small"}, {"machine_ids": ("m0", "m1")},
-                {"machine_ids": (f"m{draw.randint(0, 6)}",)},
+                {"machine_ids": (f"m{rng.randint(0, 6)}",)},
             )
         )  # fmt: skip
         request = request_for(
-            f"w{draw.randint(0, 3)}", draw.randint(1, 3), draw.choice(("zone", "cell", "tier")),
-            draw.choice((0.0, 0.0, 0.5, 0.7)), **named,
+            f"w{rng.randint(0, 3)}", rng.randint(1, 3), rng.choice(("zone", "cell", "tier")),
+            rng.choice((0.0, 0.0, 0.5, 0.7)), **selection,
         )  # fmt: skip
-        self.submit(lambda: replica.api.submit_request(request))
+        self.try_call(lambda: replica.api.submit_request(request))
 
-    def submit(self, what: Callable[[], object]) -> None:
+    def try_call(self, call: Callable[[], object]) -> None:
+        """Make an operator's call; it may be rejected."""
         try:
-            what()
+            call()
         except MaintenanceError:
             return
 
-    def withdraws(self) -> None:
-        replica = self.one()
+    def withdraw_request(self) -> None:
+        replica = self.random_replica()
         if replica is not None and replica.state.open_requests:
-            name = self.draw.choice(list(replica.state.open_requests.values())).request.name
-            self.submit(lambda: replica.api.withdraw_request(name))
+            name = self.rng.choice(list(replica.state.open_requests.values())).request.name
+            self.try_call(lambda: replica.api.withdraw_request(name))
 
-    def works(self) -> None:
-        replica = self.one()
+    def report_work(self) -> None:
+        replica = self.random_replica()
         if replica is not None and replica.state.machines:
-            id = self.draw.choice(list(replica.state.machines))
-            event = self.draw.choice((CommandVerb.BEGIN_WORK, CommandVerb.FINISH_WORK))
-            self.submit(lambda: replica.api.report_work(event, id))
-
-    def declares(self) -> None:
-        """Somebody who has looked says that a process is no more."""
-        replica = self.one()
-        dead = [one.index for one in self.replicas if one.is_dead]
+            machine_id = self.rng.choice(list(replica.state.machines))
+            verb = self.rng.choice((CommandVerb.BEGIN_WORK, CommandVerb.FINISH_WORK))
+            self.try_call(lambda: replica.api.report_work(verb, machine_id))
+
+    def declare_absent(self) -> None:
+        """An operator declares a crashed replica absent."""
+        replica = self.random_replica()
+        dead = [replica.index for replica in self.replicas if replica.is_dead]
         if replica is not None and dead:
-            peer = self.draw.choice(dead)
-            # He means the process that he saw dead, of which this replica must have heard.
+            peer = self.rng.choice(dead)
+            # The call means the incarnation in this replica's state: it has to be the crashed one, or none.
             if replica.state.incarnations.get(peer, 0) in (0, self.replicas[peer].incarnation):
-                self.submit(lambda: replica.api.declare_absent(peer))
-
-    def goes_well(self, rounds: int = 0, aside: Kind | None = None) -> list[Proposal]:
-        """A few rounds in which what can get through does; proposals of one kind may be set aside."""
-        found: list[Proposal] = []
-        for _ in range(rounds or self.draw.randint(1, 4)):
+                self.try_call(lambda: replica.api.declare_absent(peer))
+
+    def run_reliable_rounds(
+        self, count: int = 0, is_withheld: EntryPredicate | None = None
+    ) -> list[Proposal]:
+        """Run rounds in which messages, entries and lists get through, except to replicas that are blocked or
+        cut off. The number of rounds is random if `count` is 0.
+
+        Returns the proposals for which `is_withheld` is true; they are not committed.
+        """
+        withheld: list[Proposal] = []
+        for _ in range(count or self.rng.randint(1, 4)):
             for replica in self.live_replicas:
                 if not replica.is_cut_off:
-                    if replica.index not in self.deaf:
+                    if replica.index not in self.list_blocked:
                         replica.receive_list()
-                    if replica.is_caught_up or replica.index not in self.slow:
+                    if replica.is_caught_up or replica.index not in self.catch_up_blocked:
                         replica.catch_up()
                         replica.is_caught_up = True
-                before = set(replica.engine.ready)
-                fresh = replica.source.overlay.is_first_update
+                ready_before = set(replica.engine.ready)
+                is_first_update = replica.source.overlay.is_first_update
                 replica.controller.run_step()
-                if not fresh:
-                    self.check_taking(replica, before)
+                if not is_first_update:
+                    self.check_last_ready(replica, ready_before)
             self.deliver_messages()
-            while self.pending:
-                proposal = self.pending.pop(0)
-                if aside is not None and aside(decode_entry(proposal.data[1:])):
-                    found.append(proposal)
+            while self.proposals:
+                proposal = self.proposals.pop(0)
+                if is_withheld is not None and is_withheld(decode_entry(proposal.data[1:])):
+                    withheld.append(proposal)
                 else:
-                    self.agree(proposal)
+                    self.commit(proposal)
             self.check()
-            self.clock.time += self.draw.choice((100_000, 700_000))
-            self.run_due()
-        return found
+            self.clock.time += self.rng.choice((100_000, 700_000))
+            self.run_due_timers()
+        return withheld
 
-    def rounds(self) -> None:
-        self.goes_well()
+    def run_some_rounds(self) -> None:
+        self.run_reliable_rounds()
 
-    def heals(self) -> None:
-        self.deaf.clear()
-        self.slow.clear()
+    def unblock(self) -> None:
+        self.list_blocked.clear()
+        self.catch_up_blocked.clear()
 
-    # --- Beginnings that are seldom drawn by themselves ----------------------------------
+    # --- Scenarios that random events seldom produce ----------------------------------
 
-    def one_comes_back_before_it_is_declared_absent(self) -> None:
+    def restart_before_declared_absent(self) -> None:
         last = self.replicas[-1]
-        self.goes_well(3)
+        self.run_reliable_rounds(3)
         last.crash()
-        self.submit(lambda: self.replicas[0].api.declare_absent(last.index))
-        aside = self.goes_well(2, is_ask)
+        self.try_call(lambda: self.replicas[0].api.declare_absent(last.index))
+        withheld = self.run_reliable_rounds(2, is_command)
         self.restart(last.index)
-        self.goes_well(4)
-        for proposal in aside:
-            self.agree(proposal)
+        self.run_reliable_rounds(4)
+        for proposal in withheld:
+            self.commit(proposal)
         self.replicas[-1].is_cut_off = True
-        self.submit(lambda: self.replicas[0].api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
-        self.goes_well(6)
+        self.try_call(lambda: self.replicas[0].api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
+        self.run_reliable_rounds(6)
 
-    def one_serves_without_the_record(self) -> None:
+    def serve_without_state(self) -> None:
         first, last = self.replicas[0], self.replicas[-1]
-        self.goes_well(3)
+        self.run_reliable_rounds(3)
         self.replicas[-2].is_cut_off = len(self.replicas) > 2
-        self.submit(lambda: first.api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
-        self.goes_well(5, is_step)
+        self.try_call(lambda: first.api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
+        self.run_reliable_rounds(5, is_transition)
         last.crash()
-        self.slow.add(last.index)
+        self.catch_up_blocked.add(last.index)
         last = self.restart(last.index)
         for _ in range(30):
-            self.goes_well(1, is_step)
+            self.run_reliable_rounds(1, is_transition)
             if last.controller.serves_without_state:
                 break
-        self.goes_well(2, is_step)
+        self.run_reliable_rounds(2, is_transition)
         self.replicas[-2].is_cut_off = False
-        self.goes_well(6)
+        self.run_reliable_rounds(6)
 
-    def one_was_declared_absent_and_serves(self) -> None:
+    def serve_without_state_when_declared_absent(self) -> None:
         first, last = self.replicas[0], self.replicas[-1]
-        self.goes_well(3)
+        self.run_reliable_rounds(3)
         last.crash()
-        self.submit(lambda: first.api.declare_absent(last.index))
-        self.goes_well(3)
-        self.slow.add(last.index)
+        self.try_call(lambda: first.api.declare_absent(last.index))
+        self.run_reliable_rounds(3)
+        self.catch_up_blocked.add(last.index)
         last = self.restart(last.index)
         for _ in range(30):
-            self.goes_well(1)
+            self.run_reliable_rounds(1)
             if last.controller.serves_without_state:
                 break
-        self.goes_well(2)
-        self.submit(lambda: first.api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
-        self.goes_well(8)
+        self.run_reliable_rounds(2)
+        self.try_call(lambda: first.api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
+        self.run_reliable_rounds(8)
 
-    def one_has_an_old_list(self) -> None:
+    def drain_with_an_outdated_list(self) -> None:
         ids = sorted(self.listed)
         last = self.replicas[-1]
         self.update_list(*({**self.listed[id], "lifecycle": "draining"} for id in ids[1:]))
-        self.goes_well(3)
-        self.deaf.add(last.index)
+        self.run_reliable_rounds(3)
+        self.list_blocked.add(last.index)
         self.update_list(*({**self.listed[id], "lifecycle": "ready"} for id in ids))
-        self.submit(lambda: self.replicas[0].api.submit_request(request_for("w0", 2, machine_ids=(ids[0],))))
-        self.goes_well(5)
+        self.try_call(
+            lambda: self.replicas[0].api.submit_request(request_for("w0", 2, machine_ids=(ids[0],)))
+        )
+        self.run_reliable_rounds(5)
 
-    def one_clear_is_late(self) -> None:
+    def commit_outdated_transitions(self) -> None:
         api = self.replicas[0].api
-        self.goes_well(3)
-        self.submit(lambda: api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
-        aside = self.goes_well(8, is_step)
-        self.submit(lambda: api.withdraw_request("w0"))
-        self.goes_well(3)
-        self.submit(lambda: api.submit_request(request_for("w1", 2, machine_ids=("m0",))))
+        self.run_reliable_rounds(3)
+        self.try_call(lambda: api.submit_request(request_for("w0", 2, machine_ids=("m0",))))
+        withheld = self.run_reliable_rounds(8, is_transition)
+        self.try_call(lambda: api.withdraw_request("w0"))
+        self.run_reliable_rounds(3)
+        self.try_call(lambda: api.submit_request(request_for("w1", 2, machine_ids=("m0",))))
         for _ in range(6):
-            self.goes_well(1, is_step)
+            self.run_reliable_rounds(1, is_transition)
             if "m0" in self.state.machines:
                 break
-        for proposal in aside:
-            self.agree(proposal)
+        for proposal in withheld:
+            self.commit(proposal)
             self.check()
 
     # --- After the faults ---------------------------------------------------------------
 
     def recover(self) -> None:
-        """Faults end; staff does its work. All requests come to an end."""
+        """End the faults and finish all work; every request must then be completed."""
         for replica in self.replicas:
             replica.is_cut_off = False
-            self.heals()
+            self.unblock()
             if replica.is_dead:
                 self.restart(replica.index)
         self.leaders = {0}
         for n in range(7):
-            zone, cell = self.truth(f"m{n}")
+            zone, cell = self.location_of(f"m{n}")
             self.update_list(listed_entry(f"m{n}", zone, cell=cell, started_ms=self.clock.wall() // 1000))
         for replica in self.live_replicas:
             replica.engine.in_flight.clear()
         for _ in range(400):
             self.run_round()
-            for proposal in self.pending:
-                self.agree(proposal)
-            self.pending.clear()
+            for proposal in self.proposals:
+                self.commit(proposal)
+            self.proposals.clear()
             self.check()
-            self.clock.time += SECOND  # `turn` looks: no timer is needed
+            self.clock.time += SECOND  # `run_round` runs the steps: no timer is needed
             self.clock.due.clear()
             if not self.state.open_requests and not self.state.machines:
                 return
-            self.staff()
-        states = self.states(), [one.request for one in self.state.open_requests.values()]
-        self.broken(f"no progress once faults ended: {states}")
+            self.finish_work()
+        states = self.states(), [request.request for request in self.state.open_requests.values()]
+        self.fail(f"no progress after the faults ended: {states}")
 
-    def staff(self) -> None:
+    def finish_work(self) -> None:
+        """Report the work on all drained machines finished, and withdraw requests that can't be satisfied."""
         api = self.replicas[0].api
         for machine in list(self.replicas[0].state.machines.values()):
             if machine.state in DRAINED_STATES:
                 id = machine.machine_id
-                self.submit(lambda id=id: api.report_work(CommandVerb.FINISH_WORK, id))  # type: ignore[misc]
-        for one in list(self.replicas[0].state.open_requests.values()):
-            name = one.request.name
-            told = StatusReport(self.replicas[0].controller).describe_request(one)
-            if told["never"]:
-                self.submit(lambda name=name: api.withdraw_request(name))  # type: ignore[misc]
+                self.try_call(lambda id=id: api.report_work(CommandVerb.FINISH_WORK, id))  # type: ignore[misc]
+        for request in list(self.replicas[0].state.open_requests.values()):
+            name = request.request.name
+            description = StatusReport(self.replicas[0].controller).describe_request(request)
+            if description["never"]:
+                self.try_call(lambda name=name: api.withdraw_request(name))  # type: ignore[misc]
 
     def run(self) -> None:
         for replica in self.replicas:
             replica.receive_list()
-        for _ in range(self.draw.randint(1, 3)):
+        for _ in range(self.rng.randint(1, 3)):
             self.run_round()
-            self.agrees()
-        if self.draw.random() < 0.15:
-            self.draw.choice(BEGINNINGS)(self)
-        for _ in range(STEPS):
+            self.commit_some_proposals()
+        if self.rng.random() < 0.15:
+            self.rng.choice(SCENARIOS)(self)
+        for _ in range(EVENT_COUNT):
             self.step()
         self.recover()
 
 
 EVENTS: list[Callable[[World], None]] = [
-    World.looks, World.delivers, World.learns, World.receives_messages, World.agrees, World.hears_list,
-    World.passes, World.leads, World.cuts, World.dies, World.all_die, World.comes, World.discovers,
-    World.sends, World.ends, World.submits_request, World.withdraws, World.works, World.declares,
-    World.rounds, World.heals,
+    World.run_replica_step, World.apply_some_entries, World.finish_catch_up, World.deliver_some_messages,
+    World.commit_some_proposals, World.deliver_list, World.advance_clock, World.elect_leader,
+    World.toggle_cut_off, World.crash_replica, World.crash_all, World.restart_replica, World.change_list,
+    World.send_request, World.finish_requests, World.submit_request, World.withdraw_request,
+    World.report_work, World.declare_absent, World.run_some_rounds, World.unblock,
 ]  # fmt: skip
 WEIGHTS = [24, 14, 6, 14, 14, 6, 8, 2, 1, 1, 1, 5, 2, 5, 5, 4, 1, 5, 3, 9, 2]
 
-BEGINNINGS: list[Callable[[World], None]] = [
-    World.one_comes_back_before_it_is_declared_absent, World.one_serves_without_the_record,
-    World.one_was_declared_absent_and_serves,
-    World.one_has_an_old_list, World.one_clear_is_late,
+SCENARIOS: list[Callable[[World], None]] = [
+    World.restart_before_declared_absent, World.serve_without_state,
+    World.serve_without_state_when_declared_absent,
+    World.drain_with_an_outdated_list, World.commit_outdated_transitions,
 ]  # fmt: skip
--- a/tests/test_maintenance_contracts.py
+++ b/tests/test_maintenance_contracts.py
@@ -1,5 +1,5 @@
-"""Maintenance's source under the contract of all sources of members: around one that is given, and around
-discovery. Where nothing is held, it is not to be seen."""
+"""The contract of `MemberSource` for maintenance's source, on a static list and on discovery. While no
+machine is out of service, it passes lists unchanged."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 from tests.test_contracts import GivenEnvironment, OnDiscovery
 
 
-def around(inner: MemberSource) -> MaintenanceSource:
-    """A source that knows the record, in which nothing is out."""
+def wrap_source(inner: MemberSource) -> MaintenanceSource:
+    """A maintenance source that knows the replicated state, with no machine out of service."""
     loop = asyncio.get_running_loop()
     source = MaintenanceSource(
         inner, MaintenanceState(), LoopClock(loop), GRACE_US, CooperativeTask(loop).run, lambda line: None
@@ -35,27 +35,27 @@
     return source
 
 
-class TestMaintenanceOnGivenMembers(MemberSourceContract):
+class TestMaintenanceOnStaticMembers(MemberSourceContract):
     @contextlib.asynccontextmanager
     async def environment(self) -> AsyncIterator[SourceEnvironment]:
-        given = StaticMembers()
-        found = GivenEnvironment(given)
-        found.source = around(given)
-        yield found
-        given.close()
+        members = StaticMembers()
+        environment = GivenEnvironment(members)
+        environment.source = wrap_source(members)
+        yield environment
+        members.close()
 
 
-class OnMaintenance(OnDiscovery):
+class MaintenanceOnDiscovery(OnDiscovery):
     @contextlib.asynccontextmanager
     async def environment(self) -> AsyncIterator[FaultySourceEnvironment]:
-        async with super().environment() as found:
-            found.source = around(found.source)
-            yield found
+        async with super().environment() as environment:
+            environment.source = wrap_source(environment.source)
+            yield environment
 
 
-class TestMaintenanceOnPushedDiscovery(OnMaintenance, MemberSourceContract):
+class TestMaintenanceOnPushedDiscovery(MaintenanceOnDiscovery, MemberSourceContract):
     pushed: ClassVar[bool] = True
 
 
-class TestMaintenanceOnPolledDiscovery(OnMaintenance, PolledSourceContract):
+class TestMaintenanceOnPolledDiscovery(MaintenanceOnDiscovery, PolledSourceContract):
     pushed: ClassVar[bool] = False
--- a/tests/test_maintenance_schedules.py
+++ b/tests/test_maintenance_schedules.py
@@ -1,9 +1,9 @@
-"""Maintenance under made schedules: one seed is one schedule. The record has a perfect order; everything
-else is lossy, late, doubled, stale, cut off, killed, or proposed by one that does not lead any more.
+"""Maintenance under random schedules, one for each seed. The consensus log has a total order. All else is
+unreliable: messages and proposals are lost, late or repeated, lists are outdated, replicas are cut off or
+crash, and deposed leaders continue to propose.
 
-After every step the rules are checked, by name, against what is true of all replicas at once; then
-faults end, and all that was requested has to come to an end. Deliberate faults show that each rule
-can fail."""
+The invariants are checked after every event. At the end of a schedule the faults stop, and every request
+must then be completed. Mutants show that violations are found."""
 
 from __future__ import annotations
 
@@ -16,46 +16,46 @@
     encode,
 )
 
-from tests.maintenance_checker import BrokenError
-from tests.maintenance_mutants import FAULTS, Fault
+from tests.maintenance_checker import InvariantError
+from tests.maintenance_mutants import MUTANTS, Mutant
 from tests.maintenance_world import World
 from tests.once import schedule_count
 
-SEEDS = schedule_count(3000)
-# Of one deliberate fault: found by the first schedules, or not at all.
-FAULT_SEEDS = 600
+SEED_COUNT = schedule_count(3000)
+# Schedules that are run for a mutant: the first ones find it, or none does.
+MUTANT_SEED_COUNT = 600
 
 
-def play(seed: int) -> None:
+def run_schedule(seed: int) -> None:
     World(seed).run()
 
 
-def first_broken(seeds: range) -> str:
-    """The rule that the first schedule breaks, and its seed; nothing if all hold."""
+def first_violation(seeds: range) -> str:
+    """The first violation, with its seed; empty if all invariants hold."""
     for seed in seeds:
         try:
-            play(seed)
-        except BrokenError as error:
+            run_schedule(seed)
+        except InvariantError as error:
             return f"{error} (seed {seed})"
     return ""
 
 
 @pytest.mark.parametrize("part", range(6))
-def test_no_schedule_breaks_a_rule(part: int) -> None:
-    assert first_broken(range(part * SEEDS // 6, (part + 1) * SEEDS // 6)) == ""
+def test_no_schedule_breaks_an_invariant(part: int) -> None:
+    assert first_violation(range(part * SEED_COUNT // 6, (part + 1) * SEED_COUNT // 6)) == ""
 
 
-# --- The checker can fail -----------------------------------------------------------------
+# --- The checker --------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.__name__)
-def test_a_deliberate_fault_is_found(fault: Fault, monkeypatch: pytest.MonkeyPatch) -> None:
-    fault(monkeypatch)
-    found = first_broken(range(FAULT_SEEDS))
-    assert found.startswith(FAULTS[fault]) and found, found or "not found"
+@pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.__name__)
+def test_a_mutant_is_found(mutant: Mutant, monkeypatch: pytest.MonkeyPatch) -> None:
+    mutant(monkeypatch)
+    violation = first_violation(range(MUTANT_SEED_COUNT))
+    assert violation.startswith(MUTANTS[mutant]) and violation, violation or "no violation was found"
 
 
-def test_messages_and_entries_are_what_they_say() -> None:
-    """What the world carries is read as it is on a real link."""
+def test_the_world_decodes_messages_and_the_mutants_patch_the_planner() -> None:
+    """The world decodes messages as a process does, and the planner uses the class that mutants patch."""
     assert decode_message(encode(DrainAcknowledgement(7))) == DrainAcknowledgement(7)
     assert vars(planner_module)["DrainAcknowledgements"] is DrainAcknowledgements
