--- a/laurelstep/store/__init__.py
+++ b/laurelstep/store/__init__.py
@@ -1,7 +1,7 @@
 """A small embedded store: an append-only, segmented log of keys and values, with an index in memory.
 
-What is reported as written survives the loss of power; damage is reported, never guessed around.
-`log_format`, `manifest`, `index` and `clock` decide without I/O; `disk` does it; `store` is for use.
+Writes that were reported as done survive a power loss. Damage is reported, never repaired by guessing.
+`log_format`, `manifest`, `index` and `clock` do no I/O; `disk` does; `store` is the interface for users.
 """
 
 from laurelstep.store.availability import StoreUnavailableError
--- a/laurelstep/store/cli.py
+++ b/laurelstep/store/cli.py
@@ -1,7 +1,7 @@
-"""`laurelstep store verify|dump|compact|stats PATH`: a store, looked at from outside.
+"""`laurelstep store verify|dump|compact|stats PATH`: inspects or compacts a store.
 
-`verify`, `dump` and `stats` never write. A store that is in use is not touched by `compact`;
-the others say so, as what they see may be half a batch.
+`verify`, `dump` and `stats` never write. `compact` refuses a store that is in use; the others warn,
+because the last batch that they read may be incomplete.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def print_progress(done: int, total: int) -> None:
-    """Draw how many segments of how many have been read, on a terminal only."""
+    """Draw a progress bar of the segments read, on a terminal only."""
     if sys.stderr.isatty():
         filled = PROGRESS_BAR_WIDTH * done // max(1, total)
         bar = ("#" * filled).ljust(PROGRESS_BAR_WIDTH, ".")
@@ -40,8 +40,8 @@
     return False
 
 
-def read(disk: FolderDisk) -> tuple[RecoveredStore, tuple[str, ...]]:
-    """The store, and the files that nothing names; `StoreError` if there is no store."""
+def read_folder(disk: FolderDisk) -> tuple[RecoveredStore, tuple[str, ...]]:
+    """Return the store and its leftover files. Raises StoreError if there is no store."""
     contents = inspect_folder(disk)
     if contents.manifest is None:
         raise StoreError(f"{disk.folder}: there is no store")
@@ -49,8 +49,8 @@
 
 
 def verify(disk: FolderDisk) -> None:
-    """Read every record, and print what the next start would clean up. `LogError` for damage."""
-    store, leftover = read(disk)
+    """Read every record, and print what the next start would clean up. Raises LogError for damage."""
+    store, leftover = read_folder(disk)
     for location in store.index.locations.values():
         read_record_at(disk, location)
     print(f"ok: {len(store.index)} keys in {len(store.manifest.segments)} segments")
@@ -61,8 +61,8 @@
 
 
 def dump(disk: FolderDisk) -> None:
-    """Print one JSON object a line for each key."""
-    store, _ = read(disk)
+    """Print a line with a JSON object for each key."""
+    store, _ = read_folder(disk)
     for key, location in store.index.locations.items():
         record = read_record_at(disk, location)
         fields = {
@@ -75,8 +75,8 @@
 
 
 def stats(disk: FolderDisk) -> None:
-    """Print the store's figures as one JSON object."""
-    store, leftover = read(disk)
+    """Print the store's statistics as one JSON object."""
+    store, leftover = read_folder(disk)
     usage = store.index.usage.values()
     fields = {
         "keys": len(store.index),
@@ -92,7 +92,7 @@
 
 
 async def compact(path: str) -> None:
-    """Compact a store that no process has open."""
+    """Compact a store that no process has open. Raises StoreError otherwise."""
     async with await Store.open(FolderDisk(path), progress=print_progress) as store:
         before = store.size
         await store.compact()
@@ -100,23 +100,23 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run one command; the exit status is 0, or 2 with one line where something is wrong."""
+    """Run one command. Returns the exit status: 0, or 2 after an error, which is printed on one line."""
     parser = argparse.ArgumentParser(prog="laurelstep store", description=__doc__)
     parser.add_argument("what", choices=("verify", "dump", "compact", "stats"))
     parser.add_argument("path", help="the store's folder")
-    given = parser.parse_args(arguments)
+    options = parser.parse_args(arguments)
     try:
-        if given.what == "compact":
-            asyncio.run(compact(given.path))
+        if options.what == "compact":
+            asyncio.run(compact(options.path))
             return 0
-        disk = FolderDisk(given.path, write=False)
+        disk = FolderDisk(options.path, write=False)
         try:
             if is_in_use(disk):
-                sys.stderr.write("laurelstep: the store is in use: its last batch may be half there\n")
-            {"verify": verify, "dump": dump, "stats": stats}[given.what](disk)
+                sys.stderr.write("laurelstep: the store is in use: its last batch may be incomplete\n")
+            {"verify": verify, "dump": dump, "stats": stats}[options.what](disk)
         finally:
             disk.close()
     except (LogError, StoreError, OSError) as error:
-        sys.stderr.write(f"laurelstep: {given.path}: {error}\n")
+        sys.stderr.write(f"laurelstep: {options.path}: {error}\n")
         return 2
     return 0
--- a/laurelstep/store/compaction.py
+++ b/laurelstep/store/compaction.py
@@ -1,7 +1,7 @@
-"""Compaction: what is still of use in the sealed segments is written anew, and those are deleted.
+"""Compaction: copies the live records of the sealed segments to new segments, and deletes the old ones.
 
-The index learns of it at the end: until a key has moved, it is read where it was. The loop is never held for
-longer than a slice.
+The index is updated at the end: until then records are read from the old segments. The event loop is never
+blocked for longer than a time slice.
 """
 
 from __future__ import annotations
@@ -33,28 +33,29 @@
 from laurelstep.store.recovery import UnsureManifestError, create_segment
 from laurelstep.store.segment_log import SegmentLog
 
-# Records are copied into frames of this size, and the loop gets its turn after this time.
+# Records are copied in frames of this size.
 COPY_FRAME_BYTES: Final = 256 * 1024
+# Other tasks run after each slice of this time.
 SLICE_S: Final = 0.001
-# The clock is read once in so many records.
+# The clock is read once per this many records.
 RECORDS_PER_CHECK: Final = 32
 
 
-class LoopSlices:
-    """Gives the loop its turn when a slice of time is used up."""
+class TimeSlices:
+    """Yields to the event loop when a time slice is used up."""
 
     def __init__(self) -> None:
         self._end = time.perf_counter() + SLICE_S
 
     async def yield_if_due(self) -> None:
-        """Let others run if the slice is over."""
+        """Let other tasks run if the slice is used up."""
         if time.perf_counter() >= self._end:
             await asyncio.sleep(0)
             self._end = time.perf_counter() + SLICE_S
 
 
 class CompactionRun:
-    """One run: copies what must be kept into new segments."""
+    """One run: copies the records to keep into new segments."""
 
     def __init__(
         self, segments: SegmentLog, index: KeyIndex, expiry_clock: StoreClock, segment_bytes: int
@@ -64,17 +65,17 @@
         self._index = index
         self._expiry_clock = expiry_clock
         self._segment_bytes = segment_bytes
-        self._slices = LoopSlices()
-        self._origins: list[array[int]] = []  # for each new segment, where its records were
-        self._expired: list[tuple[bytes, int]] = []  # keys and locations that are dropped
-        self._number = 0  # of the new segment that is being written; 0 = none
-        self._size = 0
+        self._slices = TimeSlices()
+        self._origins: list[array[int]] = []  # for each new segment, the old locations of its records
+        self._expired: list[tuple[bytes, int]] = []  # keys and locations of dropped records
+        self._new_number = 0  # of the new segment that is being written; 0 if none
+        self._new_size = 0  # bytes written to it
         self._records: list[bytes] = []  # of its next frame
         self._record_bytes = 0
         self._highest_sequence = 0
 
     async def copy_segment(self, segment: SegmentEntry) -> None:
-        """Copy what must be kept of a sealed segment. `LogError` if it is damaged, OSError."""
+        """Copy the records to keep of a sealed segment. Raises LogError if it is damaged, or OSError."""
         assert segment.sealed_bytes is not None
         number, salt = segment.number, self._segments.salts[segment.number]
         data = await self._read(segment)
@@ -88,7 +89,7 @@
             await self._copy_frame(number, data, frame, now_ms)
 
     async def _copy_frame(self, number: int, data: bytes, frame: LogFrame, now_ms: int) -> None:
-        """A record ends where the next one of its frame begins."""
+        """Copy the records to keep of a frame. A record ends where the next one begins."""
         previous: RecordHeader | None = None
         for count, record in enumerate(record_headers(data, frame)):
             if previous is not None:
@@ -106,7 +107,7 @@
             if record.kind == RecordKind.PUT and record.expires_ms and is_current:
                 self._expired.append((record.key, location))
             return
-        if not self._number or self._size + self._record_bytes + len(data) > self._segment_bytes:
+        if not self._new_number or self._new_size + self._record_bytes + len(data) > self._segment_bytes:
             await self.finish_segment()
             await self._begin_segment()
         self._origins[-1].append(location)
@@ -117,31 +118,31 @@
             await self._flush()
 
     async def _begin_segment(self) -> None:
-        self._number = self._segments.take_number()
-        salt = self._segments.salts[self._number] = secrets.randbits(32)
-        self._size = SEGMENT_HEADER_BYTES
-        await self._segments.io.run(create_segment, self._disk, self._number, salt)
+        self._new_number = self._segments.allocate_number()
+        salt = self._segments.salts[self._new_number] = secrets.randbits(32)
+        self._new_size = SEGMENT_HEADER_BYTES
+        await self._segments.io.run(create_segment, self._disk, self._new_number, salt)
         self._origins.append(array("Q"))
 
     async def _flush(self) -> None:
-        frame = encode_frame(self._segments.salts[self._number], self._records, self._highest_sequence)
-        await self._segments.io.run(self._disk.write, segment_name(self._number), self._size, frame)
-        self._size += len(frame)
+        frame = encode_frame(self._segments.salts[self._new_number], self._records, self._highest_sequence)
+        await self._segments.io.run(self._disk.write, segment_name(self._new_number), self._new_size, frame)
+        self._new_size += len(frame)
         self._records.clear()
         self._record_bytes = 0
 
     async def finish_segment(self) -> None:
-        """Make the new segment that is being written complete and durable."""
-        if not self._number:
+        """Complete the new segment that is being written, if any, and make it durable."""
+        if not self._new_number:
             return
         if self._records:
             await self._flush()
-        await self._segments.io.run(self._disk.sync, segment_name(self._number))
-        self.new_segments.append(SegmentEntry(self._number, self._size))
-        self._number = 0
+        await self._segments.io.run(self._disk.sync, segment_name(self._new_number))
+        self.new_segments.append(SegmentEntry(self._new_number, self._new_size))
+        self._new_number = 0
 
     async def apply(self) -> None:
-        """The new segments are in the manifest: move the keys there."""
+        """Point the index to the new segments, which the manifest already lists."""
         for segment, origins in zip(self.new_segments, self._origins, strict=True):
             assert segment.sealed_bytes is not None
             self._index.usage[segment.number] = SegmentUsage()
@@ -165,19 +166,19 @@
             offset = frame.end
 
     def delete_files(self) -> None:
-        """Undo a run that no manifest names. Blocks."""
-        for number in self._numbers():
+        """Delete the new segments of a failed run, which no manifest lists. Blocks."""
+        for number in self._new_numbers():
             self._segments.salts.pop(number, None)
             self._disk.delete(segment_name(number))
 
     def keep_files(self) -> None:
-        """A manifest that names them may be in its place: they stay until a later one is durable."""
-        for number in self._numbers():
+        """Keep the new segments until a later manifest is durable: the one on the disk may list them."""
+        for number in self._new_numbers():
             self._segments.mark_unsure(number)
 
-    def _numbers(self) -> list[int]:
+    def _new_numbers(self) -> list[int]:
         numbers = [segment.number for segment in self.new_segments]
-        return [*numbers, self._number] if self._number else numbers
+        return [*numbers, self._new_number] if self._new_number else numbers
 
     @property
     def _disk(self) -> Disk:
@@ -189,9 +190,7 @@
 
 
 class Compactor:
-    """Compacts by itself where enough is garbage, and when asked. `is_writing` says whether a batch is in
-    progress.
-    """
+    """Compacts on request, and when enough records are garbage. `is_writing`: whether a batch is written."""
 
     def __init__(
         self,
@@ -215,13 +214,13 @@
         self.compactions = 0
 
     def on_committed(self) -> None:
-        """A batch was written: compact if it pays."""
+        """Start compacting if enough records are garbage. Called after each batch."""
         sealed = [segment.number for segment in self.segments.sealed]
         if self.task is None and self.index.should_compact(sealed, self.expiry_clock.now_ms()):
             self._start()
 
     def on_full(self) -> None:
-        """The store's size is at its limit: compact if that frees anything."""
+        """Start compacting if that can free space. Called when the store has reached its size limit."""
         if self.task is None and self.index.can_free_anything():
             self._start()
 
@@ -240,8 +239,8 @@
             self.task = None
 
     async def compact(self) -> None:
-        """Compact all that is written, after a run in progress. OSError as the disk fails; the store is then
-        as it was.
+        """Compact all written records, after any run in progress. Raises OSError if the disk fails; the
+        store's content is then unchanged.
         """
         if self.task is not None:
             await asyncio.wait((self.task,))
@@ -254,8 +253,8 @@
             self.task = None
 
     async def _roll(self) -> None:
-        """If the manifest is unsure, the active segment may be sealed: writing ends until a later manifest is
-        durable.
+        """Seal the active segment. If it is unknown whether the new manifest is in place, the segment may be
+        sealed, so writing stops until a later manifest is durable.
         """
         async with self.segments.appending:
             try:
@@ -265,12 +264,12 @@
                 raise
 
     async def compact_sealed(self) -> None:
-        """Compact the sealed segments. `LogError`, OSError: the store is then as it was."""
+        """Compact the sealed segments. Raises LogError or OSError; the store's content is then unchanged."""
         old = self.segments.sealed
         if not old:
             return
         if self.segments.is_manifest_unsure:
-            await self.segments.settle_manifest()
+            await self.segments.rewrite_manifest()
         run = CompactionRun(self.segments, self.index, self.expiry_clock, self.options.segment_bytes)
         try:
             for segment in old:
--- a/laurelstep/store/disk.py
+++ b/laurelstep/store/disk.py
@@ -1,4 +1,4 @@
-"""The store's files behind one narrow protocol, so that tests can inject faults."""
+"""A store's file operations, behind a narrow protocol so that tests can inject faults."""
 
 from __future__ import annotations
 
@@ -12,65 +12,63 @@
 from laurelstep.errors import LaurelstepError
 from laurelstep.store.manifest import LOCK
 
-# Descriptors kept open; a segment that is read again later is opened again.
+# Maximum number of open files; others are reopened when they are used.
 MAX_OPEN_FILES: Final = 16
 
 
 class StoreError(LaurelstepError):
-    """The store can't be used; the text says why, on one line."""
+    """The store can't be used; the message gives the reason on one line."""
 
     cause = "a store can't be opened or read: another process has it, or its disk or files fail"
-    remedy = "one folder for each copy; else see to the disk, then run `laurelstep store verify PATH`"
+    remedy = "use one folder for each copy; else check the disk, then run `laurelstep store verify PATH`"
 
 
 class Disk(Protocol):
-    """A folder's files. All calls may block; each raises OSError as the system does. Offsets and sizes are in
+    """The files of one folder. All methods may block and raise the system's OSError. Offsets and sizes are in
     bytes.
     """
 
     def lock(self) -> None:
-        """Own the folder until `close`; `StoreError` if another owner lives."""
+        """Lock the folder until `close`. Raises StoreError if another process has locked it."""
 
     def files(self) -> dict[str, int]:
-        """The files that are there, with their sizes."""
+        """Return the size of each file by its name."""
 
     def read(self, name: str, offset: int = 0, size: int | None = None) -> bytes:
-        """Bytes of a file from an offset on, up to its end where no size is given."""
+        """Read at most `size` bytes from `offset` on, or up to the file's end if `size` is None."""
 
     def create(self, name: str, data: bytes) -> None:
-        """Write and sync a new file, or one in the place of an old. Its name is durable only after
-        `sync_folder`.
-        """
+        """Create or replace a file and sync its content. Its name is durable only after `sync_folder`."""
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        """Write all of it at that place; it is not yet durable."""
+        """Write all of `data` at `offset`. It is durable only after `sync`."""
 
     def sync(self, name: str) -> None:
-        """Make what was written to a file durable."""
+        """Make all data written to a file durable."""
 
     def truncate(self, name: str, size: int) -> None:
-        """Shorten a file, and sync it."""
+        """Shorten a file and sync it."""
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name, in the place of the file that has it. Durable after `sync_folder`."""
+        """Rename a file, replacing any file of the new name. Durable only after `sync_folder`."""
 
     def sync_folder(self) -> None:
-        """Make the names of the folder's files durable."""
+        """Make the file names in the folder durable."""
 
     def delete(self, name: str) -> None:
-        """Delete a file if it is there."""
+        """Delete a file if it exists."""
 
     def close(self) -> None:
-        """Close all files, and let go of the folder."""
+        """Close all files and unlock the folder."""
 
 
 class FolderDisk:
-    """A `Disk` on real files. The folder is made if it is not there; without `write` nothing is changed."""
+    """A `Disk` on real files. `lock` creates a missing folder; without `write` nothing is changed."""
 
     def __init__(self, folder: str | os.PathLike[str], write: bool = True) -> None:
         self.folder = Path(folder)
         self._may_write = write
-        self._open_files: OrderedDict[str, int] = OrderedDict()  # descriptors; the last one was used last
+        self._open_files: OrderedDict[str, int] = OrderedDict()  # by name, the most recently used last
         self._lock_fd = -1
 
     def lock(self) -> None:
@@ -159,7 +157,7 @@
         for name in list(self._open_files):
             self._close_file(name)
         if self._lock_fd >= 0:
-            os.close(self._lock_fd)  # and with it the lock
+            os.close(self._lock_fd)  # releases the lock
             self._lock_fd = -1
 
     def _descriptor(self, name: str) -> int:
@@ -171,7 +169,7 @@
         return fd
 
     def _keep_open(self, name: str, fd: int) -> None:
-        """As the file used last; the one unused for longest makes room."""
+        """Add a file as the most recently used, closing the least recently used if too many are open."""
         while len(self._open_files) >= MAX_OPEN_FILES:
             os.close(self._open_files.popitem(last=False)[1])
         self._open_files[name] = fd
--- a/laurelstep/store/io_thread.py
+++ b/laurelstep/store/io_thread.py
@@ -1,4 +1,4 @@
-"""The one thread on which a store's file work is done, one call after the other."""
+"""The thread on which a store's file operations run, one after the other."""
 
 from __future__ import annotations
 
@@ -12,40 +12,40 @@
 
 
 class IoThread:
-    """Runs blocking calls in their order. Belongs to the running loop."""
+    """Runs blocking calls in order on one thread. Belongs to the running event loop."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
         self._executor = ThreadPoolExecutor(1, "laurelstep-store")
 
     def run(self, work: Callable[..., T], *args: Any) -> asyncio.Future[T]:
-        """Begin a call; its result, or what it raises, comes by the future. It costs the loop half of what
-        `run_in_executor` does.
+        """Start a call; the future gets its result or exception. This costs the event loop half as much as
+        `run_in_executor`.
         """
         done: asyncio.Future[T] = self._loop.create_future()
-        self._executor.submit(self._work, done, work, args)
+        self._executor.submit(self._run_call, done, work, args)
         return done
 
-    def _work(self, done: asyncio.Future[T], work: Callable[..., T], args: tuple[Any, ...]) -> None:
-        """On the thread."""
+    def _run_call(self, done: asyncio.Future[T], work: Callable[..., T], args: tuple[Any, ...]) -> None:
+        """Runs on the thread."""
         error: BaseException | None = None
         try:
             result = work(*args)
         except BaseException as raised:
             error = raised
-        with contextlib.suppress(RuntimeError):  # the loop is closed: nobody waits
+        with contextlib.suppress(RuntimeError):  # the loop is closed, so nothing waits
             if error is None:
                 self._loop.call_soon_threadsafe(_set_result, done, result)
             else:
                 self._loop.call_soon_threadsafe(_set_error, done, error)
 
     def shutdown(self) -> None:
-        """Take no more calls; those begun are finished. Does not block."""
+        """Accept no more calls; those already started finish. Does not block."""
         self._executor.shutdown(wait=False)
 
 
 def _set_result(done: asyncio.Future[T], result: T) -> None:
-    if not done.done():  # its waiter was cancelled
+    if not done.done():  # False if the waiter was cancelled
         done.set_result(result)
 
 
--- a/laurelstep/store/log_format.py
+++ b/laurelstep/store/log_format.py
@@ -1,14 +1,13 @@
-"""The log's bytes: what a batch looks like, and what a scan of a segment says. No I/O.
+"""The log's format on disk: encoding batches and scanning segments. No I/O.
 
 The rules:
 
-1. A segment is a header, then frames. A frame is one batch, complete or absent: its checksum
-   covers all of it and is salted with the segment's own number, so that a frame that lies
-   inside a value is none.
-2. The next frame is written only after the one before is durable. Until it comes, a commit
-   frame (no records), written without a sync of its own, stands in its place and says the same.
-3. So: a frame that can't be read and has a readable one after it was durable, and is damaged.
-   One with nothing readable after it was never reported, and is the log's end.
+1. A segment is a header, then frames. A frame is one batch, complete or absent: its checksum covers all of
+   it and is salted with the segment's salt, so that frame bytes inside a value are not taken for a frame.
+2. The next frame is written only after the previous one is durable. Until then a commit frame (one without
+   records) in its place shows that the previous one is durable; it is written without a sync of its own.
+3. So an unreadable frame with a readable one after it was durable, and is damaged. An unreadable frame with
+   no readable one after it was never reported as written, and is the end of the log.
 4. In a sealed segment all frames up to its length must be readable.
 """
 
@@ -27,7 +26,7 @@
 FORMAT: Final = 1
 MAGIC: Final = b"laurelog"
 FRAME_MAGIC: Final = b"\xf1LsF"
-# magic, format, salt, number; then the checksum of these.
+# magic, format, salt, number; followed by their checksum.
 SEGMENT_HEADER: Final = struct.Struct("<8sHIQ")
 SEGMENT_HEADER_BYTES: Final = SEGMENT_HEADER.size + 4
 # magic, checksum of all that follows, bytes of records, records, highest sequence number.
@@ -43,7 +42,7 @@
 
 
 class RecordKind(IntEnum):
-    """What a record does. A program that does not know `CLOCK_CHECKPOINT` takes it for a `PUT`."""
+    """The kind of a record. Programs without `CLOCK_CHECKPOINT` treat such a record as a `PUT`."""
 
     PUT = 1
     DELETE = 2
@@ -51,15 +50,15 @@
 
 
 class LogError(LaurelstepError):
-    """What is on the disk is not what this program wrote; the text names the place."""
+    """The files are not as this program wrote them; the message names the place."""
 
-    cause = "a file of the store is damaged, missing, or of another program's version"
-    remedy = "run `laurelstep store verify PATH`; bring the folder back from a copy, or start an empty one"
+    cause = "a file of the store is damaged, missing, or of another version of the program"
+    remedy = "run `laurelstep store verify PATH`; restore the folder from a backup, or start an empty one"
 
 
 @dataclass(frozen=True, slots=True)
 class LogRecord:
-    """One change of one key. `expires_ms` is the store's time (`clock`), 0 for never."""
+    """One change of one key. `expires_ms`: in the store's time (`clock`), 0 for never."""
 
     sequence: int
     key: bytes
@@ -69,7 +68,7 @@
 
 
 class RecordHeader(NamedTuple):
-    """A record without its value. `offset` is its place in the segment. A tuple: recovery makes millions."""
+    """A record without its value. `offset`: in the segment. A tuple for speed: recovery makes millions."""
 
     offset: int
     kind: int
@@ -80,26 +79,26 @@
 
 @dataclass(frozen=True, slots=True)
 class LogFrame:
-    """A readable frame: the offsets in bytes of it, its records and its end, and what it holds."""
+    """A readable frame: the offsets in bytes of its header, its records and its end, and what it holds."""
 
     offset: int
-    payload: int
+    payload_offset: int
     end: int
     record_count: int
     highest_sequence: int
 
 
 class SegmentEnd(Enum):
-    """How a segment's readable part ends."""
+    """How the readable part of a segment ends."""
 
-    CLEAN = "clean"  # with its last byte
-    TORN = "torn"  # with a batch that was never reported
-    DAMAGED = "damaged"  # before a batch that was reported
+    CLEAN = "clean"  # at the segment's end
+    TORN = "torn"  # before an incomplete batch that was never reported as written
+    DAMAGED = "damaged"  # before a damaged batch that was reported as written
 
 
 @dataclass(frozen=True, slots=True)
 class SegmentScan:
-    """What a segment holds: its frames, and the offset at which they end and how."""
+    """The frames of a segment, the offset at which they end, and how."""
 
     frames: list[LogFrame]
     end: int
@@ -110,21 +109,21 @@
 
 
 def encode_segment_header(number: int, salt: int) -> bytes:
-    """The first bytes of a segment."""
+    """Encode the header of a segment."""
     header = SEGMENT_HEADER.pack(MAGIC, FORMAT, salt, number)
     return header + CHECKSUM.pack(extend(0, header))
 
 
 def check_record_size(key: bytes, value: bytes) -> None:
-    """ValueError if the key or the value is longer than a record holds, or the key is empty."""
+    """Raise ValueError if the key is empty, or the key or the value is too long for a record."""
     if not 0 < len(key) <= MAX_KEY_BYTES or len(value) > MAX_VALUE_BYTES:
-        raise ValueError(f"no record: a key of {len(key)} and a value of {len(value)} bytes")
+        raise ValueError(f"invalid record: a key of {len(key)} and a value of {len(value)} bytes")
 
 
 def encode_record(
     sequence: int, key: bytes, value: bytes = b"", kind: int = RecordKind.PUT, expires_ms: int = 0
 ) -> bytes:
-    """One record of a frame. ValueError if the key or the value is longer than a record holds."""
+    """Encode one record of a frame. Raises ValueError as `check_record_size` does."""
     check_record_size(key, value)
     fields = RECORD_FIELDS.pack(sequence, expires_ms, kind, len(key), len(value))
     content = fields + key + value
@@ -132,7 +131,7 @@
 
 
 def encode_frame(salt: int, records: Sequence[bytes], highest_sequence: int) -> bytes:
-    """A batch of encoded records; without any, a commit frame."""
+    """Encode a frame of encoded records; without any, a commit frame."""
     payload = b"".join(records)
     header = FRAME_HEADER.pack(FRAME_MAGIC, 0, len(payload), len(records), highest_sequence)
     crc = extend(extend(salt, header[8:]), payload)
@@ -143,22 +142,22 @@
 
 
 def read_segment_header(data: bytes, number: int) -> int:
-    """The salt of a segment; `LogError` if this is not the header of the segment of that number."""
+    """Return the salt in a segment's header. Raises LogError if it isn't the header of segment `number`."""
     if len(data) < SEGMENT_HEADER_BYTES:
-        raise LogError(f"segment {number}: no head")
-    magic, version, salt, found = SEGMENT_HEADER.unpack_from(data)
+        raise LogError(f"segment {number}: the header is incomplete")
+    magic, version, salt, header_number = SEGMENT_HEADER.unpack_from(data)
     (crc,) = CHECKSUM.unpack_from(data, SEGMENT_HEADER.size)
     if magic != MAGIC or crc != extend(0, data[: SEGMENT_HEADER.size]):
-        raise LogError(f"segment {number}: its head is damaged")
+        raise LogError(f"segment {number}: the header is damaged")
     if version != FORMAT:
-        raise LogError(f"segment {number}: format {version} is unknown; this program knows {FORMAT}")
-    if found != number:
-        raise LogError(f"segment {number}: its head is that of segment {found}")
+        raise LogError(f"segment {number}: format {version} is unknown; this program supports {FORMAT}")
+    if header_number != number:
+        raise LogError(f"segment {number}: the header is that of segment {header_number}")
     return int(salt)
 
 
 def read_frame(data: bytes, offset: int, salt: int) -> LogFrame | None:
-    """The frame at an offset, or None if there is no complete one."""
+    """Return the frame at an offset, or None if there is no complete and undamaged one."""
     payload = offset + FRAME_HEADER.size
     if payload > len(data):
         return None
@@ -172,7 +171,7 @@
 
 
 def scan_segment(data: bytes, salt: int) -> SegmentScan:
-    """Walk a segment's frames, from its header on."""
+    """Scan the frames of a segment, which begin after its header."""
     frames: list[LogFrame] = []
     offset = SEGMENT_HEADER_BYTES
     while offset < len(data):
@@ -194,24 +193,24 @@
 
 
 def record_headers(data: bytes, frame: LogFrame) -> Iterator[RecordHeader]:
-    """The headers of a frame's records, in their order. The frame has been checked."""
-    offset = frame.payload
-    unpack, header_bytes, make = RECORD_HEADER.unpack_from, RECORD_HEADER.size, tuple.__new__
+    """Yield the headers of a frame's records in order. `read_frame` has verified the frame."""
+    offset = frame.payload_offset
+    unpack, header_bytes, new_tuple = RECORD_HEADER.unpack_from, RECORD_HEADER.size, tuple.__new__
     for _ in range(frame.record_count):
         _, sequence, expires_ms, kind, key_bytes, value_bytes = unpack(data, offset)
         key_end = offset + header_bytes + key_bytes
         key = data[offset + header_bytes : key_end]
-        # Half the cost of RecordHeader(...).
-        yield make(RecordHeader, (offset, kind, expires_ms, sequence, key))
+        # Costs half as much as RecordHeader(...).
+        yield new_tuple(RecordHeader, (offset, kind, expires_ms, sequence, key))
         offset = key_end + value_bytes
 
 
 def read_record(data: bytes, place: str) -> LogRecord:
-    """The record that these bytes begin with, checked by itself; `LogError`, which names `place`, if it is
-    damaged.
+    """Decode the record at the beginning of `data` and verify its checksum. Raises LogError, naming `place`,
+    if it is damaged.
     """
     if len(data) < RECORD_HEADER.size:
-        raise LogError(f"{place}: the record is cut off")
+        raise LogError(f"{place}: the record is incomplete")
     crc, sequence, expires_ms, kind, key_bytes, value_bytes = RECORD_HEADER.unpack_from(data)
     key_end = RECORD_HEADER.size + key_bytes
     end = key_end + value_bytes
--- a/laurelstep/store/numbered_keys.py
+++ b/laurelstep/store/numbered_keys.py
@@ -1,8 +1,7 @@
 """A map from keys that end with a sequence number to their locations. No I/O.
 
-In a dictionary most of the memory goes to the keys. Here keys that differ in the last six bits only share
-one page, and each costs its 8 bytes in that: some 12 in all, instead of 130. A key alone in its page costs
-800.
+In a dictionary the keys take most of the memory. Here keys that differ only in their last six bits share a
+page, in which each takes 8 bytes: about 12 bytes in all, instead of 130. A key alone in its page takes 800.
 """
 
 from __future__ import annotations
@@ -13,21 +12,21 @@
 
 PAGE_BITS: Final = 6
 PAGE_KEYS: Final = 1 << PAGE_BITS
-_LOW_BITS: Final = PAGE_KEYS - 1
+_LOW_MASK: Final = PAGE_KEYS - 1
 _LAST_BYTES: Final = [bytes((high,)) for high in range(256 >> PAGE_BITS)]
-# No record is at the beginning of a segment.
+# Never a location: no record is at the beginning of a segment.
 _ABSENT: Final = 0
 
 
 class NumberedKeyMap(MutableMapping[bytes, int]):
-    """A dictionary of locations. Keys that begin with one of the bytes `prefixes` share pages; all others
-    have entries of their own.
+    """Maps keys to locations. Keys that begin with one of the bytes in `prefixes` share pages; all others
+    are kept in a dictionary.
     """
 
     def __init__(self, prefixes: bytes) -> None:
         self._prefixes = frozenset(prefixes)
         self._others: dict[bytes, int] = {}
-        # By all of a key but its last bits: the locations, and how many there are.
+        # By a key without its last bits: the locations, followed by their number.
         self._pages: dict[bytes, array[int]] = {}
         self._size = 0
 
@@ -49,7 +48,7 @@
         if key[0] not in self._prefixes:
             return self._others.get(key, _ABSENT)
         page = self._pages.get(key[:-1] + _LAST_BYTES[key[-1] >> PAGE_BITS])
-        return _ABSENT if page is None else page[key[-1] & _LOW_BITS]
+        return _ABSENT if page is None else page[key[-1] & _LOW_MASK]
 
     def __getitem__(self, key: bytes) -> int:
         location = self._find(key)
@@ -65,7 +64,7 @@
         page = self._pages.get(page_key)
         if page is None:
             page = self._pages[page_key] = array("Q", bytes(8 * (PAGE_KEYS + 1)))
-        low = key[-1] & _LOW_BITS
+        low = key[-1] & _LOW_MASK
         if page[low] == _ABSENT:
             page[PAGE_KEYS] += 1
             self._size += 1
@@ -79,7 +78,7 @@
             raise KeyError(key)
         page_key = key[:-1] + _LAST_BYTES[key[-1] >> PAGE_BITS]
         page = self._pages[page_key]
-        page[key[-1] & _LOW_BITS] = _ABSENT
+        page[key[-1] & _LOW_MASK] = _ABSENT
         page[PAGE_KEYS] -= 1
         self._size -= 1
         if not page[PAGE_KEYS]:
--- a/laurelstep/store/options.py
+++ b/laurelstep/store/options.py
@@ -1,4 +1,4 @@
-"""A store's bounds, and its figures."""
+"""A store's options and statistics."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 @dataclass(frozen=True)
 class StoreOptions:
-    """Bounds of a store. A writer waits for the batch in progress and for its own: no timer adds to that.
+    """Limits of a store. A write waits for the batch in progress and for its own; no timer delays it.
 
-    Zeros are written `preallocated_bytes` ahead of the log's end at a time: a sync that need not lengthen the
-    file as well takes half the time. `numbered_prefixes`: the first bytes of keys that end with a sequence
-    number; they take little memory.
+    Zeros are written `preallocated_bytes` ahead of the log's end at a time, as a sync takes half the time if
+    it need not lengthen the file. `numbered_prefixes`: the first bytes of keys that end with a sequence
+    number; these keys take little memory.
     """
 
     batch_records: int = 1024
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreStats:
-    """A store's figures for an operator. `keys` counts those that have expired and are not yet compacted."""
+    """A store's statistics for operators. `keys` includes those that expired and are not yet compacted."""
 
     keys: int
     bytes: int
--- a/laurelstep/store/reader.py
+++ b/laurelstep/store/reader.py
@@ -1,4 +1,4 @@
-"""Reads records from their segments, one or many at a time. All calls block."""
+"""Reads records from segments, one or several at a time. All functions block."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 )
 from laurelstep.store.manifest import segment_name
 
-# Read together with a record's header: most records are complete by that.
+# Size of the first read of a record: enough for most.
 READAHEAD_BYTES = RECORD_HEADER.size + 512
-# The most that one read brings of several records.
+# Limits of one read of several records.
 MAX_READ_RECORDS = 64
 MAX_READ_BYTES = 128 * 1024
 
 
 def read_record_at(disk: Disk, location: int) -> LogRecord:
-    """The record at a location of the index; `LogError` if it is damaged."""
+    """Read the record at a location. Raises LogError if it is damaged."""
     segment, offset = unpack_location(location)
     name = segment_name(segment)
     data = disk.read(name, offset, READAHEAD_BYTES)
@@ -36,7 +36,7 @@
 
 
 def read_records_at(disk: Disk, locations: Sequence[int]) -> list[LogRecord]:
-    """The records at neighbouring locations of one segment, read at once; `LogError` if one is damaged."""
+    """Read the records at nearby locations of one segment in one go. Raises LogError if one is damaged."""
     segment, first = unpack_location(locations[0])
     _, last = unpack_location(locations[-1])
     data = disk.read(segment_name(segment), first, last - first + READAHEAD_BYTES)
@@ -54,8 +54,8 @@
     return records
 
 
-def group_neighbours(locations: array[int]) -> Iterator[array[int]]:
-    """Split sorted locations into groups of which one read may bring all."""
+def group_nearby(locations: array[int]) -> Iterator[array[int]]:
+    """Split sorted locations into groups that one read can cover."""
     begin = 0
     for end in range(1, len(locations) + 1):
         is_full = end - begin == MAX_READ_RECORDS
@@ -65,7 +65,7 @@
 
 
 def _record_bytes(data: bytes, offset: int) -> int:
-    """The length of the record whose header is at this offset."""
+    """Return the length of the record whose header is at this offset."""
     *_, key_bytes, value_bytes = RECORD_HEADER.unpack_from(data, offset)
     return RECORD_HEADER.size + int(key_bytes) + int(value_bytes)
 
--- a/laurelstep/store/recovery.py
+++ b/laurelstep/store/recovery.py
@@ -1,4 +1,4 @@
-"""Opening: from a folder's files to an index, or to a statement of what is wrong. All calls block."""
+"""Recovery: rebuilds the index from a folder's files, or reports damage. All functions block."""
 
 from __future__ import annotations
 
@@ -33,22 +33,22 @@
     segment_name,
 )
 
-# Errors of a disk that works and has no room.
+# Errors of a disk that works but is full.
 FULL_DISK_ERRORS: Final = (errno.ENOSPC, errno.EDQUOT)
-# Takes how many segments of how many have been read.
+# Called with how many segments have been read, and how many there are.
 Progress = Callable[[int, int], None]
 
 
 class UnsureManifestError(LaurelstepError, OSError):
-    """A manifest was put in its place, and that failed: the next process finds it, or the one before it."""
+    """Replacing the manifest failed: the next process may find the old one or the new one."""
 
-    cause = "the disk failed as the list of a store's files was replaced: either list may be found"
-    remedy = "see to the disk; the list is written anew by itself, and no file of either is deleted before"
+    cause = "the disk failed while the list of a store's files was replaced: either list may be found"
+    remedy = "check the disk; the list is rewritten automatically, and no file of either is deleted before"
 
 
 @dataclass(frozen=True, slots=True)
 class UnconfirmedBatch:
-    """The last batch, where no commit frame says that it is durable: its offset and its frame's bytes."""
+    """A last batch that no commit frame follows, so it may not be durable: its offset and its frame."""
 
     offset: int
     frame: bytes
@@ -56,15 +56,15 @@
 
 @dataclass
 class RecoveredStore:
-    """A store's state as its files tell it."""
+    """A store's state as read from its files."""
 
     manifest: Manifest
     index: KeyIndex
-    tail: int = 0  # where the next frame of the active segment goes
-    salts: dict[int, int] = field(default_factory=dict)  # by segment
-    sizes: dict[int, int] = field(default_factory=dict)  # by segment, bytes
-    allocated_bytes: int = 0  # the active segment's length, with zeros ahead of the tail
-    torn_bytes: int = 0  # cut off, of a batch never reported as written
+    tail: int = 0  # offset of the next frame in the active segment
+    salts: dict[int, int] = field(default_factory=dict)  # by segment number
+    sizes: dict[int, int] = field(default_factory=dict)  # by segment number, bytes
+    allocated_bytes: int = 0  # the active segment's length, including preallocated zeros
+    torn_bytes: int = 0  # of an incomplete batch, never reported as written, that recovery cuts off
     unconfirmed: UnconfirmedBatch | None = None
 
     @property
@@ -74,14 +74,14 @@
 
 
 def inspect_folder(disk: Disk) -> FolderContents:
-    """What a folder holds; `LogError` for damage. Nothing is written."""
+    """Read and interpret a folder's content; nothing is written. Raises LogError for damage."""
     files = disk.files()
     return inspect_files(files, disk.read(MANIFEST) if MANIFEST in files else None)
 
 
 def write_manifest(disk: Disk, manifest: Manifest) -> None:
-    """Replace the manifest, durably and as one step. OSError: it is as if it had not been tried.
-    `UnsureManifestError`: the old one or the new one may be found.
+    """Replace the manifest durably and atomically. Raises OSError if the old one is still in place, or
+    UnsureManifestError if either may be.
     """
     disk.create(NEW_MANIFEST, encode_manifest(manifest))
     try:
@@ -92,7 +92,7 @@
 
 
 def create_segment(disk: Disk, number: int, salt: int) -> None:
-    """Make an empty segment, durable, which no manifest names yet."""
+    """Create an empty, durable segment, which no manifest lists yet."""
     disk.create(segment_name(number), encode_segment_header(number, salt))
     disk.sync_folder()
 
@@ -103,7 +103,7 @@
 def read_store(
     disk: Disk, manifest: Manifest, progress: Progress | None = None, numbered_prefixes: bytes = b""
 ) -> RecoveredStore:
-    """Read all segments; nothing is written. `numbered_prefixes`: see `KeyIndex`. `LogError` for damage."""
+    """Read all segments without writing. `numbered_prefixes`: see `KeyIndex`. Raises LogError for damage."""
     store = RecoveredStore(manifest, KeyIndex(numbered_prefixes))
     for count, segment in enumerate(manifest.segments, 1):
         _add_segment(store, disk, segment)
@@ -114,44 +114,44 @@
 
 def _add_segment(store: RecoveredStore, disk: Disk, segment: SegmentEntry) -> None:
     number = segment.number
-    data, salt, found = _read_segment(disk, segment)
-    _index_segment(store.index, number, data, found)
+    data, salt, scan = _read_segment(disk, segment)
+    _index_segment(store.index, number, data, scan)
     store.salts[number] = salt
     store.allocated_bytes = len(data)
-    # Zeros are what was allocated ahead, not a batch.
-    store.torn_bytes = len(data[found.end :].rstrip(b"\0"))
-    last = found.frames[-1] if found.frames else None
+    # Trailing zeros are preallocated space, not a batch.
+    store.torn_bytes = len(data[scan.end :].rstrip(b"\0"))
+    last = scan.frames[-1] if scan.frames else None
     has_commit_frame = last is not None and not last.record_count
-    # The next batch takes the commit frame's place.
-    store.tail = last.offset if last is not None and has_commit_frame else found.end
-    store.unconfirmed = None if last is None or has_commit_frame else _unconfirmed(data, last)
+    # The next batch overwrites the commit frame.
+    store.tail = last.offset if last is not None and has_commit_frame else scan.end
+    store.unconfirmed = None if last is None or has_commit_frame else _unconfirmed_batch(data, last)
     store.sizes[number] = store.tail
 
 
-def _unconfirmed(data: bytes, frame: LogFrame) -> UnconfirmedBatch:
+def _unconfirmed_batch(data: bytes, frame: LogFrame) -> UnconfirmedBatch:
     return UnconfirmedBatch(frame.offset, data[frame.offset : frame.end])
 
 
 def _read_segment(disk: Disk, segment: SegmentEntry) -> tuple[bytes, int, SegmentScan]:
-    """The bytes that count, the salt and the scan; `LogError` where something is damaged."""
+    """Return a segment's data, its salt and its scan. Raises LogError if it is damaged."""
     number, sealed_bytes = segment.number, segment.sealed_bytes
     data = disk.read(segment_name(number))
     salt = read_segment_header(data, number)
     if sealed_bytes is not None:
         if len(data) < sealed_bytes:
-            raise LogError(f"segment {number}: {len(data)} bytes of {sealed_bytes}")
+            raise LogError(f"segment {number}: truncated to {len(data)} of {sealed_bytes} bytes")
         data = data[:sealed_bytes]
-    found = scan_segment(data, salt)
-    is_incomplete = sealed_bytes is not None and found.ending is not SegmentEnd.CLEAN
-    if found.ending is SegmentEnd.DAMAGED or is_incomplete:
-        raise LogError(f"segment {number}: damaged at byte {found.end}")
-    return data, salt, found
+    scan = scan_segment(data, salt)
+    is_incomplete = sealed_bytes is not None and scan.ending is not SegmentEnd.CLEAN
+    if scan.ending is SegmentEnd.DAMAGED or is_incomplete:
+        raise LogError(f"segment {number}: damaged at byte {scan.end}")
+    return data, salt, scan
 
 
-def _index_segment(index: KeyIndex, number: int, data: bytes, found: SegmentScan) -> None:
-    """Take in a segment's records, in their order. Sequence numbers rise along the log."""
+def _index_segment(index: KeyIndex, number: int, data: bytes, scan: SegmentScan) -> None:
+    """Add a segment's records to the index, in order. Sequence numbers increase along the log."""
     apply = index.apply
-    for frame in found.frames:
+    for frame in scan.frames:
         if frame.record_count and frame.highest_sequence <= index.highest_sequence:
             raise LogError(f"segment {number}: a batch out of order at byte {frame.offset}")
         for record in record_headers(data, frame):
@@ -159,17 +159,17 @@
         index.highest_sequence = max(index.highest_sequence, frame.highest_sequence)
 
 
-# --- Making it ready for writing ----------------------------------------------------------
+# --- Preparing for writing ----------------------------------------------------------------
 
 
 def recover_store(
     disk: Disk, salt: int, progress: Progress | None = None, numbered_prefixes: bytes = b""
 ) -> RecoveredStore:
-    """The store as it was last reported, made durable and ready to be written to. `salt`: of the first
-    segment, where there is no store yet.
+    """Recover the store as last reported, durable and ready for writing. `salt`: for the first segment of a
+    new store.
 
-    `LogError` for what is damaged, OSError as the disk fails; then nothing was changed but files that no
-    manifest names.
+    Raises LogError for damage, or OSError if the disk fails; then only files that no manifest lists were
+    changed.
     """
     contents = inspect_folder(disk)
     manifest = contents.manifest
@@ -188,14 +188,14 @@
 
 
 def _repair_active_segment(disk: Disk, store: RecoveredStore) -> None:
-    """Cut off a torn batch, and make what was read durable."""
+    """Cut off a torn batch, and make all that was read durable."""
     name = segment_name(store.active_segment)
     if store.torn_bytes:
         disk.truncate(name, store.tail)
         store.allocated_bytes = store.tail
     if store.unconfirmed is not None:
-        # After a sync that failed Linux may take the bytes for written, so that another sync says nothing
-        # of them. Only the last batch can be of that kind, and is written again.
+        # After a failed sync Linux may treat the bytes as written, so that another sync succeeds without
+        # writing them. Only the last batch can be affected: it is written again.
         disk.write(name, store.unconfirmed.offset, store.unconfirmed.frame)
     disk.sync(name)
     if store.tail > SEGMENT_HEADER_BYTES:
@@ -203,8 +203,8 @@
 
 
 def _write_commit_frame(disk: Disk, name: str, store: RecoveredStore) -> None:
-    """After the last batch, until there is a next one. Without it, as on a full disk, the next process makes
-    that batch durable once more.
+    """Write a commit frame after the last batch. Without one, as on a full disk, the next process makes that
+    batch durable again.
     """
     commit_frame = encode_frame(store.salts[store.active_segment], (), store.index.highest_sequence)
     try:
@@ -216,8 +216,8 @@
 
 
 def _confirm_manifest(disk: Disk, store: RecoveredStore) -> bool:
-    """Make the manifest that was read durable, also where the process before could not sync its name. False
-    on a full disk: then files that it does not name must stay.
+    """Make the manifest that was read durable, as the previous process may have failed to sync its name.
+    Returns False on a full disk: then files that it does not list must stay.
     """
     manifest = replace(store.manifest, generation=store.manifest.generation + 1)
     try:
--- a/laurelstep/store/segment_log.py
+++ b/laurelstep/store/segment_log.py
@@ -1,7 +1,7 @@
-"""The segments that make a store's log: appending to the active one, rolling on, and their manifest.
+"""The segments of a store's log: appending to the active one, starting new ones, and updating the manifest.
 
-Where a manifest may or may not be in its place, no file that either names is deleted, and nothing goes into a
-segment that either seals, until a later manifest is durable.
+If replacing the manifest failed, so that the old or the new one may be in place, no file that either lists is
+deleted, and nothing is written to a segment that either seals, until a later manifest is durable.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 
 
 class SegmentLog:
-    """A store's segments. `salts` and `sizes`, in bytes, are by the segment's number; `tail` is where the
-    next frame of the active segment goes: everything before it is durable.
+    """A store's segments. `salts` and `sizes`, in bytes, are by segment number; `tail` is the offset of the
+    next frame in the active segment, and all before it is durable.
     """
 
     def __init__(self, disk: Disk, io: IoThread, recovered: RecoveredStore, preallocated_bytes: int) -> None:
@@ -31,12 +31,12 @@
         self.salts = recovered.salts
         self.sizes = recovered.sizes
         self.tail = recovered.tail
-        self.appending = asyncio.Lock()  # no batch while the active segment changes
+        self.appending = asyncio.Lock()  # no batch is written while the active segment changes
         self._preallocated_bytes = preallocated_bytes
-        self._allocated_bytes = recovered.allocated_bytes  # the active segment's length on the disk
+        self._allocated_bytes = recovered.allocated_bytes  # the active segment's length on disk
         self._next_number = recovered.manifest.next_number
         self._replacing_manifest = asyncio.Lock()
-        self._unsure_files: list[str] = []  # an unsure manifest may name them; the one in use does not
+        self._unsure_files: list[str] = []  # listed perhaps by an unsure manifest, but not by the current one
 
     @property
     def active(self) -> int:
@@ -55,29 +55,29 @@
 
     @property
     def total_bytes(self) -> int:
-        """The size of all segments."""
+        """The size of all segments in bytes."""
         return sum(self.sizes.values())
 
     @property
     def has_frames(self) -> bool:
-        """Whether anything was written to the active segment."""
+        """Whether the active segment has any frames."""
         return self.tail > SEGMENT_HEADER_BYTES
 
     @property
     def is_manifest_unsure(self) -> bool:
-        """Whether the manifest on the disk may be another than the one in use."""
+        """Whether the manifest on the disk may differ from the current one."""
         return bool(self._unsure_files)
 
-    def take_number(self) -> int:
-        """The number of a new segment, given out once."""
+    def allocate_number(self) -> int:
+        """Return the number for a new segment; each is returned once."""
         self._next_number += 1
         return self._next_number - 1
 
     # --- Appending --------------------------------------------------------------------
 
     async def append(self, frame: bytes, highest_sequence: int, segment_bytes: int) -> OSError | None:
-        """Write a frame at the tail, durably, then a commit frame that says so; OSError if the first fails.
-        A failure of the commit frame comes back: the batch is durable all the same.
+        """Append a frame durably, then a commit frame. Raises OSError if the frame can't be written; returns
+        the error if only the commit frame can't: the batch is durable anyway.
         """
         commit_frame = encode_frame(self.active_salt, (), highest_sequence)
         end = self.tail + len(frame) + len(commit_frame)
@@ -95,8 +95,8 @@
     def _append(
         self, name: str, offset: int, frame: bytes, commit_frame: bytes, zeros_from: int, zeros_to: int
     ) -> OSError | None:
-        """On the thread. The commit frame needs no sync, and the next batch, which says the same, takes its
-        place: after that batch, a lost commit frame would look like damage.
+        """Runs on the thread. The commit frame needs no sync, and the next batch, which shows the same,
+        overwrites it: in front of that batch, a lost commit frame would look like damage.
         """
         if zeros_to > zeros_from:
             self.disk.write(name, zeros_from, bytes(zeros_to - zeros_from))
@@ -111,23 +111,23 @@
     # --- Changing the manifest --------------------------------------------------------
 
     async def roll(self) -> None:
-        """Seal the active segment at its durable length and begin a new one. OSError as the disk fails; the
-        caller holds `appending`.
+        """Seal the active segment at its durable length and start a new one. Raises OSError if the disk
+        fails. The caller holds `appending`.
         """
         async with self._replacing_manifest:
-            number, salt = self.take_number(), secrets.randbits(32)
+            number, salt = self.allocate_number(), secrets.randbits(32)
             manifest = self.manifest.with_new_segment(self.tail, number)
             sealed = segment_name(self.active)
             await self.io.run(self._create_and_switch, manifest, number, salt)
             self.manifest = manifest
             self.salts[number] = salt
-            with contextlib.suppress(OSError):  # the manifest says where it ends: this saves room
+            with contextlib.suppress(OSError):  # only saves space: the manifest has its length
                 await self.io.run(self.disk.truncate, sealed, self.tail)
             self.tail = self._allocated_bytes = self.sizes[number] = SEGMENT_HEADER_BYTES
             await self._delete_unsure_files()
 
     def _create_and_switch(self, manifest: Manifest, number: int, salt: int) -> None:
-        """On the thread. A failure leaves no new file behind that no manifest can name."""
+        """Runs on the thread. After a failure no new file is left that no manifest can list."""
         name = segment_name(number)
         try:
             create_segment(self.disk, number, salt)
@@ -140,8 +140,8 @@
                 self.disk.delete(name)
             raise
 
-    async def settle_manifest(self) -> None:
-        """Make the manifest in use durable after an unsure one, before more changes depend on it."""
+    async def rewrite_manifest(self) -> None:
+        """Make the current manifest durable after an unsure one, before more changes depend on it."""
         async with self._replacing_manifest:
             manifest = replace(self.manifest, generation=self.manifest.generation + 1)
             await self.io.run(write_manifest, self.disk, manifest)
@@ -149,26 +149,26 @@
             await self._delete_unsure_files()
 
     async def replace(self, old: Sequence[SegmentEntry], new: Sequence[SegmentEntry]) -> None:
-        """Put compacted segments in place of the log's beginning. OSError as the disk fails."""
+        """Replace the log's beginning with compacted segments. Raises OSError if the disk fails."""
         async with self._replacing_manifest:
             manifest = self.manifest.with_compacted(old, new, self._next_number)
             await self.io.run(write_manifest, self.disk, manifest)
             self.manifest = manifest
 
     async def delete(self, segment: SegmentEntry) -> None:
-        """Forget a segment that no manifest names any more."""
+        """Delete a segment that no manifest lists any more."""
         self.sizes.pop(segment.number, None)
         self.salts.pop(segment.number, None)
         with contextlib.suppress(OSError):
             await self.io.run(self.disk.delete, segment_name(segment.number))
 
     def mark_unsure(self, number: int) -> None:
-        """An unsure manifest may name this new segment: its file stays until a later manifest is durable."""
+        """Keep a new segment, which an unsure manifest may list, until a later manifest is durable."""
         self.salts.pop(number, None)
         self._unsure_files.append(segment_name(number))
 
     async def _delete_unsure_files(self) -> None:
-        """The manifest in use is durable, and names none of these."""
+        """Delete the files kept for an unsure manifest. The current one is durable and lists none of them."""
         names, self._unsure_files = self._unsure_files, []
         for name in names:
             with contextlib.suppress(OSError):
--- a/laurelstep/store/store.py
+++ b/laurelstep/store/store.py
@@ -1,12 +1,12 @@
 """The store on an event loop. The rules:
 
-1. `put` and `delete` return only when their batch is durable; until then, and if that fails,
-   nothing of them is read.
-2. One batch is in progress at a time; what comes meanwhile is the next one (`writer`).
-3. After a failed write or sync nothing more goes into that file. A new one is begun no sooner
-   than a backoff, when somebody wants to write; until then writers fail at once (`availability`).
-4. All file work is on one thread of the store's own (`io_thread`); decisions and the index stay
-   on the loop, which is never held for longer than a slice (`compaction`).
+1. The futures of `put` and `delete` are done only when their batch is durable; until then, and if it fails,
+   reads return the value before.
+2. One batch is in progress at a time; writes that arrive meanwhile form the next one (`writer`).
+3. After a failed write or sync nothing more is written to that file. A new one is started by the first write
+   after a backoff; until then writes fail at once (`availability`).
+4. All file operations run on one thread per store (`io_thread`); decisions and the index stay on the event
+   loop, which is never blocked for longer than a time slice (`compaction`).
 """
 
 from __future__ import annotations
@@ -28,18 +28,18 @@
 from laurelstep.store.log_format import LogError, LogRecord, RecordKind, check_record_size
 from laurelstep.store.manifest import segment_name
 from laurelstep.store.options import StoreOptions, StoreStats
-from laurelstep.store.reader import group_neighbours, read_record_at, read_records_at
+from laurelstep.store.reader import group_nearby, read_record_at, read_records_at
 from laurelstep.store.recovery import Progress, RecoveredStore, recover_store
 from laurelstep.store.segment_log import SegmentLog
 from laurelstep.store.writer import GroupCommitWriter
 
 
 def _no_log(line: str) -> None:
-    """For a store whose user takes no log lines."""
+    """Discard a log line."""
 
 
 class Store:
-    """Keys to values, durable. Made by `open`; belongs to the loop that opened it."""
+    """A durable map from keys to values. Created by `open`; belongs to the event loop that opened it."""
 
     def __init__(
         self,
@@ -87,8 +87,8 @@
         clocks: StoreClocks = SYSTEM_CLOCKS,
         progress: Progress | None = None,
     ) -> Store:
-        """The store as it was last reported. `log` takes lines for the operator, `progress` how many segments
-        of how many have been read. `StoreError` if it is in use, damaged, of another format or unreadable.
+        """Open the store as it was last reported. `log` takes lines for the operator, `progress` how many
+        segments have been read. Raises StoreError if it is in use, damaged, of another format or unreadable.
         """
         options = options or StoreOptions()
         io = IoThread()
@@ -98,7 +98,7 @@
             closing = io.run(disk.close)
             io.shutdown()
             if isinstance(error, Exception):
-                await closing  # whoever learns of it finds the folder free
+                await closing  # so that the folder is unlocked when the caller sees the error
             if isinstance(error, LogError | OSError):
                 raise StoreError(f"the store can't be opened: {error}") from error
             raise
@@ -115,7 +115,7 @@
         await self.close()
 
     async def close(self) -> None:
-        """Write what waits, then let go of the folder. May be called again."""
+        """Finish the queued writes, then unlock the folder. May be called more than once."""
         self._is_closed = self.compactor.is_closed = True
         for task in (self.writer.task, self.compactor.task):
             if task is not None:
@@ -134,41 +134,41 @@
     def put(self, key: bytes, value: bytes, ttl_ms: int = 0) -> asyncio.Future[None]:
         """Store a value; durable when the future is done. It expires after `ttl_ms` of real time, 0: never.
 
-        The future ends with `StoreUnavailableError` if it is not written; after a failure of the disk a
-        later process may find it there all the same. ValueError, at once, if key or value is too long.
+        The future raises StoreUnavailableError if the value is not written; after a disk fault a later
+        process may find it nevertheless. Raises ValueError at once if the key or the value is too long.
         """
         expires_ms = self.expiry_clock.now_ms() + ttl_ms if ttl_ms else 0
         return self._write(RecordKind.PUT, key, value, expires_ms)
 
     def delete(self, key: bytes) -> asyncio.Future[None]:
-        """Delete a key, which need not be there. See `put`."""
+        """Delete a key, which need not exist. See `put`."""
         return self._write(RecordKind.DELETE, key, b"", 0)
 
     def _write(self, kind: RecordKind, key: bytes, value: bytes, expires_ms: int) -> asyncio.Future[None]:
         check_record_size(key, value)
         if not self._is_closed:
             return self.writer.submit(kind, key, value, expires_ms)
-        refused: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        refused.set_exception(StoreUnavailableError("the store is closed"))
-        return refused
+        rejected: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        rejected.set_exception(StoreUnavailableError("the store is closed"))
+        return rejected
 
     async def compact(self) -> None:
-        """Drop what is deleted, replaced or expired. OSError as the disk fails; nothing is changed then."""
+        """Remove deleted, replaced and expired records. Raises OSError if the disk fails; all stay then."""
         await self.compactor.compact()
 
     # --- Reading ------------------------------------------------------------------
 
     def __len__(self) -> int:
-        """Keys, with those that have expired and are not yet compacted."""
+        """The number of keys, including those that expired and are not yet compacted."""
         return len(self.index)
 
     def __contains__(self, key: bytes) -> bool:
-        """Whether a key is there, as far as memory tells: it may have expired."""
+        """Whether the index has a key, which may have expired."""
         return key in self.index.locations
 
     async def get(self, key: bytes) -> bytes | None:
-        """The value last reported as written, or None if there is none or it has expired.
-        `StoreError` if it can't be read or is damaged.
+        """Return the value last reported as written, or None if there is none or it has expired. Raises
+        StoreError if it can't be read or is damaged.
         """
         while True:
             location = self.index.locations.get(key)
@@ -179,7 +179,7 @@
                 record = await self._io.run(read_record_at, self.disk, location)
             except FileNotFoundError:
                 if self.index.locations.get(key) != location:
-                    continue  # compaction has moved it meanwhile
+                    continue  # compaction has moved the record meanwhile
                 raise StoreError(f"{segment_name(segment)} is missing") from None
             except (LogError, OSError) as error:
                 raise StoreError(f"can't be read: {error}") from None
@@ -188,17 +188,17 @@
             return None if self._has_expired(record) else record.value
 
     def scan(self, prefixes: bytes) -> AsyncIterator[tuple[bytes, bytes]]:
-        """Every key that begins with one of these bytes, with its value. See `get_many`."""
+        """Yield every key that begins with one of these bytes, and its value. See `get_many`."""
         return self.get_many(key for key in self.index.locations if key[0] in prefixes)
 
     async def get_many(self, keys: Iterable[bytes]) -> AsyncIterator[tuple[bytes, bytes]]:
-        """Those of the keys that are there, with their values, in the log's order. Many are read at once;
-        what changes before its turn may be missing. `StoreError` as from `get`, and if compaction moved
-        them.
+        """Yield those of the keys that exist, and their values, in the log's order. Several are read at once;
+        a key that changes before it is read may be missing. Raises StoreError as `get` does, and if
+        compaction moved a record.
         """
         locations = self.index.locations
-        found = array("Q", sorted(place for key in keys if (place := locations.get(key)) is not None))
-        for group in group_neighbours(found):
+        existing = array("Q", sorted(it for key in keys if (it := locations.get(key)) is not None))
+        for group in group_nearby(existing):
             try:
                 records = await self._io.run(read_records_at, self.disk, group)
             except (LogError, OSError) as error:
@@ -210,20 +210,20 @@
     def _has_expired(self, record: LogRecord) -> bool:
         return 0 < record.expires_ms <= self.expiry_clock.now_ms()
 
-    # --- Figures ------------------------------------------------------------------
+    # --- Statistics ---------------------------------------------------------------
 
     @property
     def size(self) -> int:
-        """Bytes of all segments."""
+        """The size of all segments in bytes."""
         return self.segments.total_bytes
 
     @property
     def is_failing(self) -> bool:
-        """Whether the disk fails, so that a write that is refused may be found by a later process."""
+        """Whether the disk fails; a later process may then find a write that was rejected."""
         return self.availability.fault is not None
 
     def stats(self) -> StoreStats:
-        """The store's figures."""
+        """Return the store's statistics."""
         is_available = not (self.is_failing or self.availability.is_full or self._is_closed)
         return StoreStats(
             keys=len(self.index),
@@ -240,14 +240,14 @@
 def _lock_and_recover(
     disk: Disk, options: StoreOptions, clocks: StoreClocks, progress: Progress | None
 ) -> tuple[RecoveredStore, StoreClock]:
-    """On the thread."""
+    """Runs on the thread."""
     disk.lock()
     recovered = recover_store(disk, secrets.randbits(32), progress, options.numbered_prefixes)
     return recovered, _resume_clock(recovered.index, clocks)
 
 
 def _resume_clock(index: KeyIndex, clocks: StoreClocks) -> StoreClock:
-    """The store's time, from the newest note in the log; `LogError` if that can't be read."""
+    """Continue the store's time from the newest checkpoint in the log. Raises LogError if it is invalid."""
     try:
         checkpoint = ClockCheckpoint.decode(index.clock_checkpoint) if index.clock_checkpoint else None
     except ValueError as error:
--- a/laurelstep/store/writer.py
+++ b/laurelstep/store/writer.py
@@ -1,4 +1,4 @@
-"""Group commit: writers wait for one durable batch at a time, and what comes meanwhile is the next one."""
+"""Group commit: one batch is made durable at a time, and writes that arrive meanwhile form the next one."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingWrite:
-    """One write that waits for its batch. `done` ends once it is durable, or has failed."""
+    """A write that waits for its batch. `done` is done once the write is durable or has failed."""
 
     kind: RecordKind
     key: bytes
@@ -33,10 +33,10 @@
     highest_sequence: int
     writes: list[PendingWrite] = field(default_factory=list)
     records: list[bytes] = field(default_factory=list)
-    checkpoint: ClockCheckpoint | None = None  # of the clocks; its record is the first
+    checkpoint: ClockCheckpoint | None = None  # its record is the first
 
     def add(self, write: PendingWrite) -> int:
-        """Put a write at the batch's end; the length of its record in bytes."""
+        """Append a write. Returns the length of its record in bytes."""
         self.highest_sequence += 1
         record = encode_record(self.highest_sequence, write.key, write.value, write.kind, write.expires_ms)
         self.writes.append(write)
@@ -44,7 +44,7 @@
         return len(record)
 
     def add_checkpoint(self, checkpoint: ClockCheckpoint) -> None:
-        """Put a note of the clocks into an empty batch."""
+        """Add a clock checkpoint to an empty batch."""
         self.checkpoint = checkpoint
         self.highest_sequence += 1
         self.records.append(
@@ -52,17 +52,17 @@
         )
 
     def frame(self, salt: int) -> bytes:
-        """The batch as the active segment with this salt takes it."""
+        """Encode the batch as a frame for a segment with this salt."""
         return encode_frame(salt, self.records, self.highest_sequence)
 
     def settle(self, error: Exception | None) -> None:
-        """Report to those who wait."""
+        """Complete the futures of all writes; `error` is None if they are durable."""
         for write in self.writes:
             settle_write(write, error)
 
 
 def settle_write(write: PendingWrite, error: Exception | None) -> None:
-    """Report to the one who waits, unless it was cancelled."""
+    """Complete the future of a write, unless it was cancelled."""
     if write.done.done():
         return
     if error is None:
@@ -72,8 +72,8 @@
 
 
 class GroupCommitWriter:
-    """Takes writes, and makes them durable batch by batch. `on_full` is called as a batch finds no room,
-    `on_committed` after each batch.
+    """Queues writes and makes them durable batch by batch. `on_full` is called when a batch would exceed the
+    store's size limit, `on_committed` after each durable batch.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
         self._loop = asyncio.get_running_loop()
 
     def submit(self, kind: RecordKind, key: bytes, value: bytes, expires_ms: int) -> asyncio.Future[None]:
-        """Queue a write. While the disk fails and its backoff lasts, it fails at once."""
+        """Queue a write. It fails at once while the backoff after a disk fault lasts."""
         done: asyncio.Future[None] = self._loop.create_future()
         if self.availability.fault is not None and not self.availability.may_retry():
             done.set_exception(self.availability.unavailable_error())
@@ -110,7 +110,7 @@
         return done
 
     async def _commit_all(self) -> None:
-        """Batch after batch until nobody waits."""
+        """Commit batch after batch until the queue is empty."""
         try:
             while self.queue:
                 async with self.segments.appending:
@@ -145,7 +145,7 @@
         self.on_committed()
 
     def _take_batch(self) -> Batch:
-        """What waits, up to a batch's bounds, behind a note of the clocks if one is due."""
+        """Take writes from the queue up to a batch's limits, after a clock checkpoint if one is due."""
         batch = Batch(self.index.highest_sequence)
         if self.expiry_clock.needs_checkpoint():
             batch.add_checkpoint(self.expiry_clock.checkpoint())
@@ -155,7 +155,7 @@
         return batch
 
     def _apply(self, batch: Batch, end: int) -> None:
-        """The batch, which ends at this offset of the active segment, is durable: it is read from now on."""
+        """Add a durable batch, which ends at this offset of the active segment, to the index."""
         segment = self.segments.active
         offset = end - sum(map(len, batch.records))
         sequence = batch.highest_sequence - len(batch.records)
@@ -171,7 +171,7 @@
         self.batches += 1
         self.writes += len(batch.writes)
 
-    # --- When writing is not possible -------------------------------------------------
+    # --- Space and faults -------------------------------------------------------------
 
     def _needs_new_segment(self, frame_bytes: int) -> bool:
         return self.segments.has_frames and self.segments.tail + frame_bytes > self.options.segment_bytes
@@ -185,7 +185,7 @@
         return has_room
 
     async def _resume(self) -> bool:
-        """Begin a new segment after a fault, once its backoff is over."""
+        """Start a new segment after a fault, once the backoff has elapsed. Returns whether that succeeded."""
         if not self.availability.may_retry():
             return False
         try:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -207,7 +207,7 @@
     assert found is not None
     first, second = (segment_name(one.number) for one in found.segments[:2])
     disk.names[first], disk.names[second] = disk.names[second], disk.names[first]
-    with pytest.raises(LogError, match="its head is that of segment"):
+    with pytest.raises(LogError, match="the header is that of segment"):
         recovered_state(disk)
 
 
@@ -239,7 +239,7 @@
 def test_a_record_too_long_is_an_error_and_nothing_is_written(key: bytes, value: bytes) -> None:
     async def main() -> None:
         async with open_store(SimulatedDisk()) as store:
-            with pytest.raises(ValueError, match="no record"):
+            with pytest.raises(ValueError, match="invalid record"):
                 await store.put(key, value)
             assert store.stats().writes == 0 and len(store) == 0
 
