--- a/laurelstep/request_journal/__init__.py
+++ b/laurelstep/request_journal/__init__.py
@@ -1,8 +1,8 @@
-"""A durable journal of requests with effects, which no client's retry runs twice, also across restarts.
+"""A durable journal of requests with effects: no retry by a client runs one twice, even after a restart.
 
-The intent is durable before anything is sent; the final answer is durable before it leaves. A retry with
-the same idempotency key gets the recorded answer, or is told that the request may have run; it is never
-sent again. `records` decides without I/O; `journal` joins the engine and the store.
+The intent is durable before a request is sent, and the final answer before it is delivered. A retry with the
+same idempotency key gets the recorded answer, or the answer that the request may have run; it is never sent.
+`records` does no I/O; `journal` connects the engine and the store.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 async def open_journal(
     settings: JournalSettings, class_numbers: Mapping[str, int], log: Log
 ) -> RequestJournal:
-    """Open a journal with its store. `class_numbers`: the engine's number of each class of requests.
-    `ConfigError` if the store can't be opened. The store's library is loaded only here.
+    """Open a journal and its store. `class_numbers`: the engine's number for each request class by its name.
+    Raises ConfigError if the store can't be opened. The store's library is loaded only here.
     """
     from laurelstep.settings.config import ConfigError
 
--- a/laurelstep/request_journal/journal.py
+++ b/laurelstep/request_journal/journal.py
@@ -1,11 +1,11 @@
-"""Joins the engine and the store: the intent before the request is sent, the answer before it leaves.
+"""Connects the engine and the store: records the intent before sending, the answer before delivering it.
 
 The rules:
 
-1. One request of an idempotency key is in progress at a time; others with that key wait for its answer.
-2. Nothing is sent before the intent is durable. A served or rejected answer leaves only once the record
-   agrees with it. A failure promises nothing and leaves at once.
-3. Where the store fails, the settings decide: the request fails with nothing sent, or passes.
+1. One request per idempotency key is in progress at a time; others with that key wait for its answer.
+2. Nothing is sent before the intent is durable. A served or rejected answer is delivered only once the record
+   agrees with it. A failure promises nothing and is delivered at once.
+3. If the store fails, the settings decide whether the request fails with nothing sent, or is sent unrecorded.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 from laurelstep.request_journal.settings import JournalClass, JournalSettings
 from laurelstep.store import FolderDisk, Store, StoreError, StoreOptions
 
-# Requests that wait for the answer of one key; guards memory against a client that repeats for ever.
+# Requests that wait for the answer of one key; bounds memory if a client repeats endlessly.
 MAX_FOLLOWERS = 32
 
 
 @dataclass(eq=False)
 class JournaledRequest:
-    """One idempotency key in progress: the call that is sent for it, and those that wait for its answer."""
+    """An idempotency key in progress: `leader` is the call that is sent, `followers` wait for its answer."""
 
     store_key: bytes
     digest: bytes
@@ -46,7 +46,7 @@
 
 
 class RequestJournal:
-    """The engine's `Recorder` on a `Store`. Belongs to the loop that opened the store."""
+    """The engine's `Recorder` on a `Store`. Belongs to the event loop that opened the store."""
 
     def __init__(
         self, store: Store, settings: JournalSettings, class_numbers: Mapping[str, int], log: Log
@@ -65,13 +65,13 @@
     async def open(
         cls, settings: JournalSettings, class_numbers: Mapping[str, int], log: Log
     ) -> RequestJournal:
-        """Open the store at `settings.store_path`, and a journal on it. `StoreError` if that fails."""
+        """Open a journal on the store at `settings.store_path`. Raises StoreError if that fails."""
         options = StoreOptions(max_bytes=settings.max_bytes)
         store = await Store.open(FolderDisk(settings.store_path), options, log)
         return cls(store, settings, class_numbers, log)
 
     async def close(self) -> None:
-        """Finish what is being written, then close the store."""
+        """Finish the writes in progress, then close the store."""
         while self.tasks:
             await asyncio.wait(set(self.tasks))
         await self.store.close()
@@ -84,19 +84,19 @@
     # --- Before the request is sent ---------------------------------------------------
 
     def begin(self, call: Call, engine: CallHost) -> bool:
-        """Take a call that carries an idempotency key; False if it carries none. See `Recorder`."""
-        found = self.classes.get(call.request_class)
-        if found is None:
+        """Take over a call of a journaled class; False if it has no idempotency key. See `Recorder`."""
+        entry = self.classes.get(call.request_class)
+        if entry is None:
             return False
-        class_name, journal_class = found
+        class_name, journal_class = entry
         key = idempotency_key(journal_class, call.order_id, call.body)
         if key is None:
             return False
-        self._take(call, store_key(class_name, key), journal_class.retention_ms, engine)
+        self._register(call, store_key(class_name, key), journal_class.retention_ms, engine)
         return True
 
-    def _take(self, call: Call, key: bytes, retention_ms: int, engine: CallHost) -> None:
-        """As the leader of its key, or as a follower of the request in progress."""
+    def _register(self, call: Call, key: bytes, retention_ms: int, engine: CallHost) -> None:
+        """Add a call as the leader of its key, or as a follower if one is in progress."""
         digest = request_digest(call)
         request = self.in_progress.get(key)
         if request is None:
@@ -111,7 +111,7 @@
             request.followers.append(call)
 
     async def _begin(self, request: JournaledRequest, engine: CallHost) -> None:
-        """Answer from the record if there is one; else admit once the intent is durable."""
+        """Answer from the record if there is one; else admit the request once the intent is durable."""
         try:
             data = await self.store.get(request.store_key)
             if data is not None:
@@ -121,13 +121,13 @@
             await self.store.put(request.store_key, intent.encode(), request.retention_ms)
         except (StoreError, ValueError):
             if not self.passes_unrecorded:
-                # An earlier process may have sent it: no rejection.
+                # Not a rejection: an earlier process may have sent the request.
                 self._settle_all(request, may_have_run_answer(), engine)
                 return
         await self._admit(request, engine)
 
     async def _admit(self, request: JournaledRequest, engine: CallHost) -> None:
-        """Admit the first call of this request that is still open; the intent is durable."""
+        """Admit the first call that is still open; the intent is durable. Withdraw the intent if none is."""
         while not request.leader.is_open:
             self.by_leader.pop(request.leader, None)
             if not request.followers:
@@ -139,21 +139,21 @@
         engine.admit(request.leader)
 
     async def _withdraw_intent(self, request: JournaledRequest) -> None:
-        """Nothing was sent: the key is as if it had never been used."""
+        """Delete the intent of a request that was not sent, so that the key counts as unused."""
         try:
             await self.store.delete(request.store_key)
         except StoreError:
-            self.log("orders: an intent that was not used could not be taken back")
+            self.log("orders: an unused intent could not be deleted")
         finally:
             self._drop(request)
 
-    # --- Before the final answer leaves -----------------------------------------------
+    # --- Before the final answer is delivered -----------------------------------------
 
     def finish(self, call: Call, answer: Answer, engine: CallHost) -> None:
-        """Record a final answer, then let it leave. See `Recorder`."""
+        """Record a final answer, then deliver it. See `Recorder`."""
         request = self.by_leader.get(call)
         if request is None or not request.is_admitted:
-            engine.deliver(call, answer)  # it waited for another's answer, or for the store
+            engine.deliver(call, answer)  # it was waiting for its leader's answer, or for the store
             return
         if answer.ending is Ending.FAILED:
             engine.deliver(call, answer)
@@ -168,7 +168,7 @@
                 response = ResponseRecord(request.digest, answer)
                 await self.store.put(request.store_key, response.encode(), request.retention_ms)
         except StoreError:
-            # A later process would know of the intent alone, and answer so.
+            # A later process finds only the intent, and answers accordingly.
             final = answer if self.passes_unrecorded else may_have_run_answer()
         engine.deliver(request.leader, final)
         self._settle_all(request, final, engine)
@@ -193,7 +193,7 @@
                 return
 
     def _settle_all(self, request: JournaledRequest, answer: Answer, engine: CallHost) -> None:
-        """Give all calls of a request this answer; its key is no longer in progress."""
+        """Settle all calls of a request with this answer; its key is no longer in progress."""
         followers, request.followers = request.followers, []
         self._drop(request)
         for call in (request.leader, *followers):
--- a/laurelstep/request_journal/records.py
+++ b/laurelstep/request_journal/records.py
@@ -1,12 +1,12 @@
-"""The journal's records, and the answer to a request whose idempotency key has one. No I/O.
+"""The journal's records, and the answers to requests whose idempotency key has a record. No I/O.
 
 The rules:
 
 1. A record is an intent or a response, with a digest of the request's method, target and body.
-2. An intent without a response means that the request may have run. Its answer is a failure, never a
-   rejection, and nothing is sent.
-3. A known response is given again as it was. A rejected request has no record: it has not run.
-4. The same key with another digest belongs to another request; its client is told so.
+2. An intent without a response means that the request may have run. A repeat is answered with a failure,
+   never a rejection, and is not sent.
+3. A recorded response is returned unchanged. A rejected request has no record, as it did not run.
+4. The same key with another digest belongs to another request; the answer says so.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 
 @dataclass(frozen=True, slots=True)
 class IntentRecord:
-    """A request was about to be sent. `digest` identifies the request."""
+    """A request was about to be sent. `digest`: see `request_digest`."""
 
     digest: bytes
 
     def encode(self) -> bytes:
-        """The record as the store keeps it."""
+        """Encode for the store: mark and digest."""
         return _INTENT_MARK + self.digest
 
 
@@ -48,7 +48,7 @@
     answer: Answer
 
     def encode(self) -> bytes:
-        """The record as the store keeps it: a JSON line on the answer, then its body."""
+        """Encode for the store: mark, digest, a JSON line with status and headers, then the body."""
         answer = self.answer
         headers = [[name.decode("latin-1"), value.decode("latin-1")] for name, value in answer.headers]
         line = json.dumps([answer.ending.value, answer.status, headers], separators=(",", ":"))
@@ -56,10 +56,10 @@
 
 
 def decode_record(data: bytes) -> IntentRecord | ResponseRecord:
-    """Read a stored record. ValueError if it is damaged."""
+    """Decode a stored record. Raises ValueError if it is damaged."""
     mark, digest, rest = data[:1], data[1 : 1 + DIGEST_BYTES], data[1 + DIGEST_BYTES :]
     if mark not in (_INTENT_MARK, _RESPONSE_MARK) or len(digest) < DIGEST_BYTES:
-        raise ValueError("no record of a request")
+        raise ValueError("not a record of a request")
     if mark == _INTENT_MARK:
         return IntentRecord(digest)
     line, _, body = rest.partition(b"\n")
@@ -72,18 +72,18 @@
 
 
 def request_digest(call: Call) -> bytes:
-    """Identify a request by its method, target and body."""
+    """Return a digest of a request's method, target and body."""
     return blake2b(call.method_and_target + b"\n" + call.body, digest_size=DIGEST_BYTES).digest()
 
 
-def idempotency_key(settings: JournalClass, header: bytes, body: bytes) -> bytes | None:
-    """The key that a request carries, in its header's value or its body; None if it carries no usable one."""
-    key = header.strip() if settings.header else _key_in_body(settings.body_field, body)
+def idempotency_key(journal_class: JournalClass, header: bytes, body: bytes) -> bytes | None:
+    """Return a request's key from the value of its header or from its body; None if there is no valid one."""
+    key = header.strip() if journal_class.header else _key_in_body(journal_class.body_field, body)
     return key if 0 < len(key) <= MAX_KEY_BYTES else None
 
 
 def _key_in_body(field: str, body: bytes) -> bytes:
-    """A string or an integer at the top level of a JSON object; empty if there is none."""
+    """Return a string or an integer at the top level of a JSON object; empty if there is none."""
     try:
         document: Any = json.loads(body)
     except (ValueError, RecursionError):
@@ -95,7 +95,7 @@
 
 
 def store_key(class_name: str, key: bytes) -> bytes:
-    """Where the store keeps the record of a class's idempotency key."""
+    """Return the store's key for the record of a class's idempotency key."""
     return _STORE_PREFIX + class_name.encode() + b"/" + key
 
 
@@ -103,17 +103,17 @@
 
 
 def may_have_run_answer() -> Answer:
-    """For a request that may have run, and whose end is not known."""
+    """Return the answer to a request that may have run, with an unknown outcome."""
     return Answer(Ending.FAILED, 502, (MAY_HAVE_RUN,))
 
 
 def key_conflict_answer() -> Answer:
-    """For a request whose idempotency key belongs to another request."""
+    """Return the answer to a request whose idempotency key was used for another request."""
     return Answer(Ending.FAILED, 422, (), b"the order was named before with another request\n")
 
 
 def answer_from_record(data: bytes, digest: bytes) -> Answer:
-    """The answer to a request whose key has this stored record. ValueError if the record is damaged."""
+    """Return the answer to a request whose key has this record. Raises ValueError if it is damaged."""
     record = decode_record(data)
     if record.digest != digest:
         return key_conflict_answer()
--- a/laurelstep/request_journal/settings.py
+++ b/laurelstep/request_journal/settings.py
@@ -1,4 +1,4 @@
-"""The journal's settings: which classes of requests it records, and what happens when it can't."""
+"""The journal's settings: which request classes it records, and what happens if the store fails."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JournalClass:
-    """How requests of one class carry their idempotency key: in a header, or in a top-level field of a JSON
+    """Where requests of one class carry their idempotency key: in a header, or in a top-level field of a JSON
     body. A record is kept for `retention_ms` of real time.
     """
 
@@ -22,8 +22,8 @@
 
 @dataclass(frozen=True)
 class JournalSettings:
-    """The settings of one journal. `unavailable` says what becomes of a request that can't be recorded: it
-    fails with nothing sent, or passes as without a journal. `max_bytes` bounds the store on the disk.
+    """The settings of one journal. `unavailable`: whether a request that can't be recorded fails with nothing
+    sent, or is sent as without a journal. `max_bytes` limits the store's size on disk.
     """
 
     store_path: str
--- a/laurelstep/store/clock.py
+++ b/laurelstep/store/clock.py
@@ -123,7 +123,7 @@
         return self._lower_ms + self._monotonic_ms() - self._opened_ms
 
     def upper_ms(self) -> int:
-        """Return the upper bound of the time, by which windows for repetition end. Never behind real time."""
+        """Return the upper bound of the time, by which windows for repeats end. Never behind real time."""
         return self._upper_ms + self._monotonic_ms() - self._opened_ms
 
     def checkpoint(self) -> ClockCheckpoint:
--- a/laurelstep/store/compaction.py
+++ b/laurelstep/store/compaction.py
@@ -55,7 +55,7 @@
 
 
 class CompactionRun:
-    """One run: copies the records to keep into new segments."""
+    """A compaction run: copies the records to keep into new segments."""
 
     def __init__(
         self, segments: SegmentLog, index: KeyIndex, expiry_clock: StoreClock, segment_bytes: int
@@ -70,12 +70,12 @@
         self._expired: list[tuple[bytes, int]] = []  # keys and locations of dropped records
         self._new_number = 0  # of the new segment that is being written; 0 if none
         self._new_size = 0  # bytes written to it
-        self._records: list[bytes] = []  # of its next frame
+        self._records: list[bytes] = []  # encoded, of its next frame
         self._record_bytes = 0
         self._highest_sequence = 0
 
     async def copy_segment(self, segment: SegmentEntry) -> None:
-        """Copy the records to keep of a sealed segment. Raises LogError if it is damaged, or OSError."""
+        """Copy the records to keep from a sealed segment. Raises LogError if it is damaged, or OSError."""
         assert segment.sealed_bytes is not None
         number, salt = segment.number, self._segments.salts[segment.number]
         data = await self._read(segment)
@@ -89,7 +89,7 @@
             await self._copy_frame(number, data, frame, now_ms)
 
     async def _copy_frame(self, number: int, data: bytes, frame: LogFrame, now_ms: int) -> None:
-        """Copy the records to keep of a frame. A record ends where the next one begins."""
+        """Copy the records to keep from a frame. A record ends where the next one begins."""
         previous: RecordHeader | None = None
         for count, record in enumerate(record_headers(data, frame)):
             if previous is not None:
--- a/laurelstep/store/writer.py
+++ b/laurelstep/store/writer.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingWrite:
-    """A write that waits for its batch. `done` is done once the write is durable or has failed."""
+    """A write that waits for its batch. `done` completes once it is durable or has failed."""
 
     kind: RecordKind
     key: bytes
