--- a/tests/test_request_journal.py
+++ b/tests/test_request_journal.py
@@ -1,4 +1,4 @@
-"""The request journal: nothing twice, nothing contradicted, over restarts and kills."""
+"""The request journal: across restarts and kills, no request runs twice and no answer contradicts another."""
 
 from __future__ import annotations
 
@@ -64,31 +64,35 @@
 # --- Without I/O -------------------------------------------------------------------------
 
 
-class Nobody:
+class NoClient:
     def on_answer(self, call: Call, answer: Answer) -> None:
-        """Is not told."""
+        """Ignore the answer."""
 
 
 def call(body: bytes = b"sum") -> Call:
-    return Call(2, 0, b"POST /pay", b"", body, Nobody())
+    return Call(2, 0, b"POST /pay", b"", body, NoClient())
 
 
-def test_a_record_gives_the_answer_as_it_was() -> None:
+def test_a_record_yields_its_answer_unchanged() -> None:
     digest = request_digest(call())
     answer = Answer(Ending.SERVED, 200, ((b"content-type", b"text/plain"),), b"line\nline\0")
-    found = answer_from_record(ResponseRecord(digest, answer).encode(), digest)
-    assert (found.ending, found.status, found.body) == (answer.ending, 200, answer.body)
-    assert found.headers == (*answer.headers, (b"x-from-record", b"1"))
-    told = answer_from_record(IntentRecord(digest).encode(), digest)
-    assert (told.ending, told.status, told.headers) == (Ending.FAILED, 502, ((b"x-may-have-run", b"1"),))
+    recorded = answer_from_record(ResponseRecord(digest, answer).encode(), digest)
+    assert (recorded.ending, recorded.status, recorded.body) == (answer.ending, 200, answer.body)
+    assert recorded.headers == (*answer.headers, (b"x-from-record", b"1"))
+    unknown = answer_from_record(IntentRecord(digest).encode(), digest)
+    assert (unknown.ending, unknown.status, unknown.headers) == (
+        Ending.FAILED,
+        502,
+        ((b"x-may-have-run", b"1"),),
+    )
     assert answer_from_record(IntentRecord(digest).encode(), request_digest(call(b"other"))).status == 422
-    for bad in (b"", b"Z" * 40, b"I", ResponseRecord(digest, answer).encode()[:20]):
+    for damaged in (b"", b"Z" * 40, b"I", ResponseRecord(digest, answer).encode()[:20]):
         with pytest.raises(ValueError, match=r".*"):
-            answer_from_record(bad, digest)
+            answer_from_record(damaged, digest)
 
 
 @pytest.mark.parametrize(
-    ("settings", "header", "body", "expected"),
+    ("journal_class", "header", "body", "expected"),
     [
         (ORDER_CLASS, b" o-1 ", b"", b"o-1"),
         (ORDER_CLASS, b"", b'{"order": "o-1"}', None),
@@ -103,33 +107,33 @@
         (JournalClass(body_field="order"), b"", b"[" * 100_000, None),
     ],
 )
-def test_what_a_request_calls_its_order(
-    settings: JournalClass, header: bytes, body: bytes, expected: bytes | None
+def test_the_idempotency_key_is_read_from_the_header_or_the_body(
+    journal_class: JournalClass, header: bytes, body: bytes, expected: bytes | None
 ) -> None:
-    assert idempotency_key(settings, header, body) == expected
+    assert idempotency_key(journal_class, header, body) == expected
 
 
-# --- One life ----------------------------------------------------------------------------
+# --- Within one process ------------------------------------------------------------------
 
 
-def test_an_order_named_again_gets_the_answer_that_is_known(tmp_path: Path) -> None:
+def test_a_repeat_gets_the_recorded_answer(tmp_path: Path) -> None:
     async def main() -> None:
         async with Endpoint(in_turn(serve(b"first"), serve(b"second"))) as endpoint:
             async with client_with_journal(tmp_path, endpoint) as client:
                 assert summary(await client.send(pay_request())) == SERVED
-                again = await client.send(pay_request())
-                assert summary(again) == FROM_RECORD and again.body == b"first" and again.attempts == 0
+                repeat = await client.send(pay_request())
+                assert summary(repeat) == FROM_RECORD and repeat.body == b"first" and repeat.attempts == 0
                 assert (await client.send(pay_request(body=b"other sum"))).status == 422
                 assert summary(await client.send(pay_request("o-2"))) == SERVED
-                plain = Request("pay", "/pay", "POST", body=b"sum")
-                assert [summary(await client.send(plain)) for _ in range(2)] == [SERVED, SERVED]
+                without_key = Request("pay", "/pay", "POST", body=b"sum")
+                assert [summary(await client.send(without_key)) for _ in range(2)] == [SERVED, SERVED]
                 assert nothing_held(client)
-            assert len(endpoint.got) == 4, "what names no order is as today"
+            assert len(endpoint.got) == 4, "requests without a key are not journaled"
 
     run(main())
 
 
-def test_the_same_order_on_two_connections_at_once_runs_once(tmp_path: Path) -> None:
+def test_concurrent_requests_with_one_key_run_once(tmp_path: Path) -> None:
     async def main() -> None:
         gate = asyncio.Event()
         async with (
@@ -141,13 +145,13 @@
             await endpoint.arrived.acquire()
             gate.set()
             replies = await asyncio.gather(*tasks)
-            assert {one.body for one in replies} == {b"one"} and (await other).status == 422
+            assert {reply.body for reply in replies} == {b"one"} and (await other).status == 422
             assert len(endpoint.got) == 1 and nothing_held(client)
 
     run(main())
 
 
-def test_a_refused_order_has_not_run_and_may_come_again(tmp_path: Path) -> None:
+def test_a_refused_request_may_be_repeated(tmp_path: Path) -> None:
     async def main() -> None:
         async with Endpoint(refuse()) as endpoint, client_with_journal(tmp_path, endpoint) as client:
             assert (await client.send(pay_request())).outcome is Ending.REFUSED
@@ -158,7 +162,7 @@
     run(main())
 
 
-def test_an_order_that_failed_is_not_sent_again(tmp_path: Path) -> None:
+def test_a_failed_request_is_not_sent_again(tmp_path: Path) -> None:
     async def main() -> None:
         async with (
             Endpoint(in_turn(reset(), serve())) as endpoint,
@@ -171,29 +175,29 @@
     run(main())
 
 
-def test_an_order_whose_client_left_may_have_run(tmp_path: Path) -> None:
+def test_a_request_whose_client_left_may_have_run(tmp_path: Path) -> None:
     async def main() -> None:
         async with Endpoint(stall()) as endpoint, client_with_journal(tmp_path, endpoint) as client:
             first = asyncio.create_task(client.send(pay_request()))
             await endpoint.arrived.acquire()
-            waits = asyncio.create_task(client.send(pay_request()))
+            follower = asyncio.create_task(client.send(pay_request()))
             await asyncio.sleep(0)
             first.cancel()
-            assert summary(await waits) == MAY_HAVE_RUN
+            assert summary(await follower) == MAY_HAVE_RUN
             assert summary(await client.send(pay_request())) == MAY_HAVE_RUN
             assert len(endpoint.got) == 1 and nothing_held(client)
 
     run(main())
 
 
-def test_an_order_whose_client_left_before_it_was_sent_passes_to_the_next(tmp_path: Path) -> None:
+def test_a_follower_takes_over_if_the_client_left_before_sending(tmp_path: Path) -> None:
     async def main() -> None:
         async with Endpoint() as endpoint, client_with_journal(tmp_path, endpoint) as client:
             first = asyncio.create_task(client.send(pay_request()))
-            waits = asyncio.create_task(client.send(pay_request()))
+            follower = asyncio.create_task(client.send(pay_request()))
             await asyncio.sleep(0)
-            first.cancel()  # its intent is being written
-            assert summary(await waits) == SERVED
+            first.cancel()  # while its intent is being written
+            assert summary(await follower) == SERVED
             alone = asyncio.create_task(client.send(pay_request("o-2")))
             await asyncio.sleep(0)
             alone.cancel()
@@ -207,7 +211,7 @@
 
 
 @pytest.mark.parametrize("unavailable", ["fail", "pass"])
-def test_an_order_that_can_not_be_recorded(tmp_path: Path, unavailable: str) -> None:
+def test_a_request_that_can_not_be_recorded_fails_or_passes(tmp_path: Path, unavailable: str) -> None:
     async def main() -> None:
         from laurelstep.testing.disk import SimulatedDisk
 
@@ -219,13 +223,13 @@
             if unavailable == "pass":
                 assert summary(reply) == SERVED and len(endpoint.got) == 1
             else:
-                assert summary(reply) == MAY_HAVE_RUN and not endpoint.got, "at once, with nothing sent"
+                assert summary(reply) == MAY_HAVE_RUN and not endpoint.got, "fails at once with nothing sent"
             assert (await client.send(Request("page", "/page"))).outcome is Ending.SERVED
 
     run(main())
 
 
-def test_an_answer_that_can_not_be_recorded_is_not_told_as_served(tmp_path: Path) -> None:
+def test_an_answer_that_can_not_be_recorded_is_not_served(tmp_path: Path) -> None:
     async def main() -> None:
         from laurelstep.testing.disk import SimulatedDisk
 
@@ -233,33 +237,33 @@
         gate = asyncio.Event()
         async with Endpoint(after(gate, serve())) as endpoint, contextlib.AsyncExitStack() as stack:
             client, _ = await client_with_store(disk, endpoint, "fail", tmp_path, stack)
-            asked = asyncio.create_task(client.send(pay_request()))
+            pending = asyncio.create_task(client.send(pay_request()))
             await endpoint.arrived.acquire()
             disk.fail("sync", OSError(errno.EIO, "Input/output error"))
             gate.set()
-            assert summary(await asked) == MAY_HAVE_RUN, "a later life would say no more"
+            assert summary(await pending) == MAY_HAVE_RUN, "as a later process would answer"
 
     run(main())
 
 
-def test_a_slow_store_does_not_hold_an_answer_past_its_time(tmp_path: Path) -> None:
+def test_a_slow_store_does_not_delay_an_answer_past_its_deadline(tmp_path: Path) -> None:
     async def main() -> None:
         async with Endpoint() as endpoint, client_with_journal(tmp_path, endpoint) as client:
             recorder = client.engine.recorder
             assert isinstance(recorder, RequestJournal)
-            real, never = recorder.store.put, asyncio.Event()
+            put, released = recorder.store.put, asyncio.Event()
 
             async def slow(key: bytes, value: bytes, ttl_ms: int = 0) -> None:
-                await never.wait()
-                await real(key, value, ttl_ms)
+                await released.wait()
+                await put(key, value, ttl_ms)
 
             vars(recorder.store)["put"] = slow
             reply = await client.send(pay_request(deadline_s=0.05))
             assert (reply.outcome, reply.status) == (Ending.FAILED, 504) and not endpoint.got
-            never.set()
+            released.set()
             del vars(recorder.store)["put"]
             assert summary(await client.send(pay_request())) == SERVED, (
-                "its intent was taken back: nothing was sent"
+                "its intent was deleted, as nothing was sent"
             )
 
     run(main())
@@ -268,31 +272,34 @@
 # --- Restarts ------------------------------------------------------------------------------
 
 
-def test_a_restart_knows_what_was_answered_and_what_may_have_run(tmp_path: Path) -> None:
+def test_after_a_restart_repeats_get_recorded_answers_or_may_have_run(tmp_path: Path) -> None:
     async def main() -> None:
         effects = Effects()
         script = in_turn(serve(b"album"), stall())
         async with Endpoint(script, effects=effects) as endpoint:
             async with client_with_journal(tmp_path, endpoint) as client:
                 assert summary(await client.send(pay_request("known"))) == SERVED
-                lost = asyncio.create_task(client.send(pay_request("lost")))
+                unanswered = asyncio.create_task(client.send(pay_request("lost")))
                 await endpoint.arrived.acquire()
                 await endpoint.arrived.acquire()
-                lost.cancel()
+                unanswered.cancel()
             endpoint.handler = serve(b"never")
             for _ in range(2):
                 async with client_with_journal(tmp_path, endpoint) as client:
-                    known = await client.send(pay_request("known"))
-                    assert summary(known) == FROM_RECORD and known.body == b"album"
+                    reply = await client.send(pay_request("known"))
+                    assert summary(reply) == FROM_RECORD and reply.body == b"album"
                     assert summary(await client.send(pay_request("lost"))) == MAY_HAVE_RUN
-                    two = [client.send(pay_request("lost")), client.send(pay_request("known"))]
-                    assert [summary(one) for one in await asyncio.gather(*two)] == [MAY_HAVE_RUN, FROM_RECORD]
+                    repeats = [client.send(pay_request("lost")), client.send(pay_request("known"))]
+                    assert [summary(reply) for reply in await asyncio.gather(*repeats)] == [
+                        MAY_HAVE_RUN,
+                        FROM_RECORD,
+                    ]
             assert len(endpoint.got) == 2 and not effects.twice()
 
     run(main())
 
 
-def test_one_folder_is_one_copys(tmp_path: Path) -> None:
+def test_a_folder_serves_one_client_at_a_time(tmp_path: Path) -> None:
     async def main() -> None:
         async with Endpoint() as endpoint, client_with_journal(tmp_path, endpoint):
             with pytest.raises(ConfigError, match="another process has this store open"):
@@ -312,52 +319,52 @@
 
 
 class World:
-    """A daemon that is killed and started again while orders flow and clients repeat them."""
+    """A daemon that is killed and restarted while clients send orders and repeat them."""
 
     def __init__(self, folder: Path, seed: int) -> None:
         self.folder = folder
-        self.seed = seed  # part of each order's name: worlds must not answer for each other
+        self.seed = seed  # part of each order's key: worlds must not share keys
         self.draw = random.Random(seed)
         self.effects = Effects()
-        self.ran: dict[str, int] = {}  # by order: how often it took effect
-        self.told: dict[str, set[int]] = {}  # by order: the statuses that were told
+        self.runs: dict[str, int] = {}  # by order: how often it ran
+        self.statuses: dict[str, set[int]] = {}  # by order: the statuses answered
         self.port = free_port()
-        self.stop = False
-        self.number = 0
-        self.trap: asyncio.Event | None = None
+        self.is_stopping = False
+        self.request_count = 0
+        self.withheld: asyncio.Event | None = None  # set once a handler has run without answering
 
     async def handler(self, endpoint: Endpoint, message: Any, writer: Any) -> None:
         order = message.headers.get("x-order-id") or message.body.decode()
-        self.ran[order] = self.ran.get(order, 0) + 1
-        if self.trap is not None and self.draw.random() < 0.3:
-            self.trap.set()  # it has run, and its daemon will not live to hear of it
+        self.runs[order] = self.runs.get(order, 0) + 1
+        if self.withheld is not None and self.draw.random() < 0.3:
+            self.withheld.set()  # the order has run, and the daemon is killed without its answer
             return
         await serve(order.encode())(endpoint, message, writer)
 
     async def client(self, name: str) -> None:
-        """Requests one after another, each repeated until an answer is certain."""
+        """Send one order after another until the world stops."""
         caller = Caller("127.0.0.1", self.port)
-        order = 0
-        while not self.stop:
-            order += 1
-            await self.order(caller, f"{name}-{order}")
+        number = 0
+        while not self.is_stopping:
+            number += 1
+            await self.order(caller, f"{name}-{number}")
         caller.close()
 
     async def order(self, caller: Caller, order: str) -> None:
-        """Repeated until it is answered, over as many lives as it takes."""
+        """Send an order and repeat it until it has a final answer, across restarts of the daemon."""
         while True:
-            self.number += 1
+            self.request_count += 1
             headers = f"X-Order-Id: {order}\r\n"
-            raw = request("pay", order.encode(), headers, rid=f"r{self.number}", deadline_ms=2000)
+            raw = request("pay", order.encode(), headers, rid=f"r{self.request_count}", deadline_ms=2000)
             try:
-                back = await caller.ask(raw)
+                reply = await caller.ask(raw)
             except (OSError, asyncio.IncompleteReadError):
                 await asyncio.sleep(0.002)
                 continue
-            self.told.setdefault(order, set()).add(back.status)
-            if back.status == 200:
-                assert back.body == order.encode()
-            if back.status != 503:
+            self.statuses.setdefault(order, set()).add(reply.status)
+            if reply.status == 200:
+                assert reply.body == order.encode()
+            if reply.status != 503:
                 return
 
     async def start(self, environ: dict[str, str]) -> asyncio.subprocess.Process:
@@ -368,11 +375,11 @@
                     if (await caller.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")).status == 200:
                         return process
             await asyncio.sleep(0.005)
-        raise AssertionError(f"the daemon ended with {process.returncode}")
+        raise AssertionError(f"the daemon exited with {process.returncode}")
 
-    async def play(self, kills: int) -> None:
-        async with Endpoint(self.handler, keep=False) as one, Endpoint(self.handler, keep=False) as other:
-            entries = [one.entry("s-0"), other.entry("s-1")]
+    async def run(self, kills: int) -> None:
+        async with Endpoint(self.handler, keep=False) as first, Endpoint(self.handler, keep=False) as second:
+            entries = [first.entry("s-0"), second.entry("s-1")]
             text = platform_json(listen=f"127.0.0.1:{self.port}", known=whole_list(*entries))
             operator = OPERATOR.format(folder=self.folder / "store")
             environ = {
@@ -383,41 +390,41 @@
             process = await self.start(environ)
             clients = [asyncio.create_task(self.client(f"{self.seed}-c{n}")) for n in range(4)]
             for _ in range(kills):
-                await self.moment()
+                await self.until_kill()
                 process.send_signal(signal.SIGKILL)
                 await process.wait()
                 process = await self.start(environ)
-            self.stop = True
+            self.is_stopping = True
             await asyncio.gather(*clients)
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
             await self.check(environ)
 
-    async def moment(self) -> None:
-        """Some way into the flow of orders; every other time with one that has just run."""
-        served = sum(self.ran.values()) + self.draw.randint(1, 12)
-        while sum(self.ran.values()) < served:
+    async def until_kill(self) -> None:
+        """Wait until more orders have run; half the time until one has run without an answer."""
+        target = sum(self.runs.values()) + self.draw.randint(1, 12)
+        while sum(self.runs.values()) < target:
             await asyncio.sleep(0)
         if self.draw.random() < 0.5:
-            self.trap = asyncio.Event()
-            await self.trap.wait()
-            self.trap = None
+            self.withheld = asyncio.Event()
+            await self.withheld.wait()
+            self.withheld = None
 
     async def check(self, environ: dict[str, str]) -> None:
-        """Once more, of a last life: what it says contradicts nothing that was told."""
+        """Repeat all orders to one more daemon: its answers must not contradict earlier ones."""
         process = await self.start(environ)
         async with Caller("127.0.0.1", self.port) as caller:
-            for order, statuses in self.told.items():
+            for order, statuses in self.statuses.items():
                 before = set(statuses)
                 await self.order(caller, order)
                 if 200 in before:
-                    assert statuses == before, f"told served is not forgotten: {order}, run {self.ran[order]}"
+                    assert statuses == before, f"still answered as served: {order}, runs {self.runs[order]}"
         process.send_signal(signal.SIGKILL)
         await process.wait()
 
 
-def test_killed_at_any_moment_no_order_runs_twice(tmp_path: Path) -> None:
-    """200 kills, in four worlds side by side."""
+def test_no_request_runs_twice_if_the_daemon_is_killed_at_any_moment(tmp_path: Path) -> None:
+    """200 kills in four concurrent worlds."""
 
     async def main() -> None:
         worlds = []
@@ -425,11 +432,11 @@
             (tmp_path / str(seed)).mkdir()
             worlds.append(World(tmp_path / str(seed), seed))
         async with asyncio.timeout(150):
-            await asyncio.gather(*(world.play(kills=50) for world in worlds))
+            await asyncio.gather(*(world.run(kills=50) for world in worlds))
         for world in worlds:
-            assert len(world.ran) > 100 and set(world.ran.values()) == {1}, "no order runs twice"
-            told = [status for statuses in world.told.values() for status in statuses]
-            assert 200 in told and set(told) <= {200, 502, 503, 504}
+            assert len(world.runs) > 100 and set(world.runs.values()) == {1}, "no order runs twice"
+            answered = [status for statuses in world.statuses.values() for status in statuses]
+            assert 200 in answered and set(answered) <= {200, 502, 503, 504}
 
     run(main())
 
@@ -447,10 +454,10 @@
         (OPERATOR + OPERATOR.partition("\n[[")[2].replace("orders", "[[orders", 1), "each name once"),
     ],
 )
-def test_orders_that_can_not_be_used_are_one_line(tmp_path: Path, text: str, expected: str) -> None:
-    with pytest.raises(ConfigError) as told:
+def test_invalid_settings_are_reported_on_one_line(tmp_path: Path, text: str, expected: str) -> None:
+    with pytest.raises(ConfigError) as caught:
         read_operator(write_file(tmp_path, text.replace("{folder}", str(tmp_path))))
-    assert expected in str(told.value) and "\n" not in str(told.value)
+    assert expected in str(caught.value) and "\n" not in str(caught.value)
 
 
 def test_only_classes_with_effects_are_recorded(tmp_path: Path) -> None:
@@ -462,7 +469,7 @@
     assert config.orders is not None and config.names.order_headers == {2: b"x-order-id"}
 
 
-def test_a_disk_in_a_folder_is_a_disk(tmp_path: Path) -> None:
+def test_a_folder_disk_satisfies_the_disk_protocol(tmp_path: Path) -> None:
     disk: Disk = FolderDisk(tmp_path)
     disk.lock()
     disk.close()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store: what was reported is kept, nothing is invented, damage is told."""
+"""The store: reported writes are kept, reads return only what was written, and damage is reported."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     StoreOptions,
     StoreUnavailableError,
 )
-from laurelstep.store.cli import main as tool
+from laurelstep.store.cli import main as run_command
 from laurelstep.store.index import unpack_location
 from laurelstep.store.log_format import (
     FRAME_HEADER,
@@ -57,13 +57,13 @@
     asyncio.run(test)
 
 
-# --- Every cut ---------------------------------------------------------------------------
+# --- Crashes at every call and byte ------------------------------------------------------
 
 
-async def course(disk: SimulatedDisk) -> None:
-    """Writes one by one and in batches, overwrites, deletions, rolling on, two compactions."""
+async def run_workload(disk: SimulatedDisk) -> None:
+    """Single writes, batches, overwrites, deletions, new segments and two compactions."""
 
-    async def step(store: Store, *changes: tuple[bytes, bytes | None]) -> None:
+    async def write(store: Store, *changes: tuple[bytes, bytes | None]) -> None:
         disk.mark("begin", changes)
         await asyncio.gather(
             *(store.delete(key) if value is None else store.put(key, value) for key, value in changes)
@@ -72,69 +72,69 @@
 
     async with open_store(disk) as store:
         for n in range(5):
-            await step(store, (b"a%d" % (n % 3), b"value %d" % n))
-        await step(store, (b"b0", b"x" * 30), (b"b1", b""), (b"a0", None))
-        await step(store, (b"magic", FRAME_MAGIC * 3), (b"a1", None))
+            await write(store, (b"a%d" % (n % 3), b"value %d" % n))
+        await write(store, (b"b0", b"x" * 30), (b"b1", b""), (b"a0", None))
+        await write(store, (b"magic", FRAME_MAGIC * 3), (b"a1", None))
         disk.mark("begin", ())
         await store.compact()
         disk.mark("reported")
-        await step(store, (b"a0", b"again"), (b"b1", b"y" * 20))
-        await step(store, (b"b0", None))
+        await write(store, (b"a0", b"again"), (b"b1", b"y" * 20))
+        await write(store, (b"b0", None))
         disk.mark("begin", ())
         await store.compact()
         disk.mark("reported")
-        await step(store, (b"last", b"one"))
+        await write(store, (b"last", b"one"))
 
 
-def applied(state: State, changes: tuple[tuple[bytes, bytes | None], ...]) -> State:
-    after = dict(state)
+def apply_changes(state: State, changes: tuple[tuple[bytes, bytes | None], ...]) -> State:
+    result = dict(state)
     for key, value in changes:
         if value is None:
-            after.pop(key, None)
+            result.pop(key, None)
         else:
-            after[key] = value
-    return after
+            result[key] = value
+    return result
 
 
-def moments(journal: list[Op]) -> Iterator[tuple[list[Op], State, State]]:
-    """Each prefix of the calls, with the state last reported and the one under way."""
+def crash_points(calls: list[Op]) -> Iterator[tuple[list[Op], State, State]]:
+    """Yield each prefix of the calls, with the last reported state and the one being written."""
     old: State = {}
     new: State = {}
-    for at, op in enumerate(journal):
+    for index, op in enumerate(calls):
         match op:
             case ("mark", "begin", changes):
-                new = applied(old, changes)
+                new = apply_changes(old, changes)
             case ("mark", "reported"):
                 old = new
             case _:
-                yield journal[: at + 1], old, new
-    yield journal, old, new
+                yield calls[: index + 1], old, new
+    yield calls, old, new
 
 
 @pytest.fixture(scope="module")
-def journal() -> list[Op]:
+def calls() -> list[Op]:
     disk = SimulatedDisk()
-    run(course(disk))
-    assert sum(op[0] == "rename" for op in disk.journal) >= 5, "segments and compactions switched"
+    run(run_workload(disk))
+    assert sum(op[0] == "rename" for op in disk.journal) >= 5, "manifest replaced by rolls and compactions"
     return disk.journal
 
 
-def test_power_lost_at_any_call_yields_the_old_state_or_the_new(journal: list[Op]) -> None:
-    seen = 0
-    for at, (prefix, old, new) in enumerate(moments(journal)):
+def test_power_loss_at_any_call_recovers_the_old_or_the_new_state(calls: list[Op]) -> None:
+    checked = 0
+    for index, (prefix, old, new) in enumerate(crash_points(calls)):
         disk = SimulatedDisk.replay(prefix)
-        draw = random.Random(at)
-        after = [disk.lose_power(), disk.lose_power(all_=True)]
-        after += [disk.lose_power(draw) for _ in range(12)]
-        for one in after:
-            assert recovered_state(one) in (old, new)
-            seen += 1
-    assert seen > 500
-
-
-def test_a_file_cut_at_every_byte_yields_the_old_state_or_the_new(journal: list[Op]) -> None:
-    seen = 0
-    for prefix, old, new in moments(journal):
+        draw = random.Random(index)
+        remains = [disk.lose_power(), disk.lose_power(all_=True)]
+        remains += [disk.lose_power(draw) for _ in range(12)]
+        for remaining in remains:
+            assert recovered_state(remaining) in (old, new)
+            checked += 1
+    assert checked > 500
+
+
+def test_a_write_cut_at_any_byte_recovers_the_old_or_the_new_state(calls: list[Op]) -> None:
+    checked = 0
+    for prefix, old, new in crash_points(calls):
         name, *args = prefix[-1]
         if name not in ("write", "create"):
             continue
@@ -146,66 +146,66 @@
             else:
                 disk.create(args[0], data[:size])
             assert recovered_state(disk.lose_power(all_=True)) in (old, new), (name, args[0], size)
-            seen += 1
-    assert seen > 2_000
+            checked += 1
+    assert checked > 2_000
 
 
-def test_zeros_and_garbage_behind_the_end_are_no_damage(journal: list[Op]) -> None:
+def test_zeros_and_garbage_after_the_end_are_not_damage(calls: list[Op]) -> None:
     for tail in (bytes(5000), b"\xff" * 100, FRAME_MAGIC * 10, random.Random(1).randbytes(3000)):
-        disk = SimulatedDisk.replay(journal)
-        state = recovered_state(SimulatedDisk.replay(journal))
-        last = recover_store(SimulatedDisk.replay(journal), 1).manifest.segments[-1]
+        disk = SimulatedDisk.replay(calls)
+        state = recovered_state(SimulatedDisk.replay(calls))
+        last = recover_store(SimulatedDisk.replay(calls), 1).manifest.segments[-1]
         disk.names[segment_name(last.number)].durable += tail
         assert recovered_state(disk) == state
 
 
-def test_a_flip_of_any_byte_is_told_or_harmless(journal: list[Op]) -> None:
-    state = recovered_state(SimulatedDisk.replay(journal))
-    told = harmless = 0
-    whole = SimulatedDisk.replay(journal)
-    for name, inode in whole.names.items():
-        for at in range(len(inode.view())):
+def test_any_flipped_byte_is_reported_or_harmless(calls: list[Op]) -> None:
+    state = recovered_state(SimulatedDisk.replay(calls))
+    reported = harmless = 0
+    original = SimulatedDisk.replay(calls)
+    for name, inode in original.names.items():
+        for offset in range(len(inode.view())):
             for bits in (0x01, 0x80, 0xFF):
-                disk = SimulatedDisk.replay(journal).lose_power(all_=True)
-                disk.names[name].durable[at] ^= bits
+                disk = SimulatedDisk.replay(calls).lose_power(all_=True)
+                disk.names[name].durable[offset] ^= bits
                 try:
-                    assert recovered_state(disk) == state, (name, at)
+                    assert recovered_state(disk) == state, (name, offset)
                     harmless += 1
                 except LogError:
-                    told += 1
-    opened_ = recover_store(SimulatedDisk.replay(journal), 1)
-    behind = opened_.allocated_bytes - opened_.tail
-    assert harmless == 3 * behind, "only the last commit mark, and the zeros behind it, say nothing"
-    assert told > 1_000
-
-
-def test_a_garbage_length_in_the_middle_is_told(journal: list[Op]) -> None:
-    disk = SimulatedDisk.replay(journal).lose_power(all_=True)
-    last = inspect_folder(disk).manifest
-    assert last is not None
-    data = disk.names[segment_name(last.segments[-1].number)].durable
+                    reported += 1
+    recovered = recover_store(SimulatedDisk.replay(calls), 1)
+    after_tail = recovered.allocated_bytes - recovered.tail
+    assert harmless == 3 * after_tail, "flips in the last commit frame and the zeros after it"
+    assert reported > 1_000
+
+
+def test_a_garbage_length_in_the_middle_is_reported(calls: list[Op]) -> None:
+    disk = SimulatedDisk.replay(calls).lose_power(all_=True)
+    manifest = inspect_folder(disk).manifest
+    assert manifest is not None
+    data = disk.names[segment_name(manifest.segments[-1].number)].durable
     FRAME_HEADER.pack_into(data, SEGMENT_HEADER_BYTES, FRAME_MAGIC, 0, 0xFFFFFFFF, 1, 1)
     with pytest.raises(LogError, match=f"damaged at byte {SEGMENT_HEADER_BYTES}"):
         recovered_state(disk)
 
 
-def test_a_segment_deleted_by_hand_is_told(journal: list[Op]) -> None:
-    for number in [one.number for one in inspect_folder(SimulatedDisk.replay(journal)).manifest.segments]:  # type: ignore[union-attr]
-        disk = SimulatedDisk.replay(journal)
+def test_a_missing_segment_or_manifest_is_reported(calls: list[Op]) -> None:
+    for number in [entry.number for entry in inspect_folder(SimulatedDisk.replay(calls)).manifest.segments]:  # type: ignore[union-attr]
+        disk = SimulatedDisk.replay(calls)
         del disk.names[segment_name(number)]
         with pytest.raises(LogError, match="is missing"):
             recovered_state(disk)
-    disk = SimulatedDisk.replay(journal)
+    disk = SimulatedDisk.replay(calls)
     del disk.names[MANIFEST]
     with pytest.raises(LogError, match="MANIFEST is missing"):
         recovered_state(disk)
 
 
-def test_two_segments_changed_over_are_told(journal: list[Op]) -> None:
-    disk = SimulatedDisk.replay(journal)
-    found = inspect_folder(disk).manifest
-    assert found is not None
-    first, second = (segment_name(one.number) for one in found.segments[:2])
+def test_two_swapped_segments_are_reported(calls: list[Op]) -> None:
+    disk = SimulatedDisk.replay(calls)
+    manifest = inspect_folder(disk).manifest
+    assert manifest is not None
+    first, second = (segment_name(segment.number) for segment in manifest.segments[:2])
     disk.names[first], disk.names[second] = disk.names[second], disk.names[first]
     with pytest.raises(LogError, match="the header is that of segment"):
         recovered_state(disk)
@@ -214,29 +214,29 @@
 # --- Formats -----------------------------------------------------------------------------
 
 
-def test_an_unknown_format_is_refused_by_its_name(journal: list[Op]) -> None:
-    disk = SimulatedDisk.replay(journal)
-    found = inspect_folder(disk).manifest
-    assert found is not None
+def test_an_unknown_format_is_rejected_by_its_number(calls: list[Op]) -> None:
+    disk = SimulatedDisk.replay(calls)
+    manifest = inspect_folder(disk).manifest
+    assert manifest is not None
     from google_crc32c import value
 
-    line = encode_manifest(found).partition(b"\n")[0].replace(b'"format": 1', b'"format": 9')
+    line = encode_manifest(manifest).partition(b"\n")[0].replace(b'"format": 1', b'"format": 9')
     disk.create(MANIFEST, line + b"\n%08x\n" % value(line))
     with pytest.raises(LogError, match="format 9 is unknown"):
         recovered_state(disk)
 
 
-def test_a_frame_within_a_value_is_no_frame() -> None:
+def test_a_frame_inside_a_value_is_not_read_as_a_frame() -> None:
     inner = encode_frame(5, [encode_record(1, b"k", b"v")], 1)
     data = encode_segment_header(1, 6) + encode_frame(6, [encode_record(2, b"k", inner)], 2)
-    at = data.find(inner)
-    assert read_frame(data, at, 6) is None, "it is salted with another segment's"
+    offset = data.find(inner)
+    assert read_frame(data, offset, 6) is None, "its checksum has another segment's salt"
     frame = read_frame(data, SEGMENT_HEADER_BYTES, 6)
-    assert frame is not None and [one.key for one in record_headers(data, frame)] == [b"k"]
+    assert frame is not None and [header.key for header in record_headers(data, frame)] == [b"k"]
 
 
 @pytest.mark.parametrize(("key", "value"), [(b"", b""), (b"k" * 1025, b""), (b"k", b"v" * (2**20 + 1))])
-def test_a_record_too_long_is_an_error_and_nothing_is_written(key: bytes, value: bytes) -> None:
+def test_an_invalid_record_raises_and_is_not_written(key: bytes, value: bytes) -> None:
     async def main() -> None:
         async with open_store(SimulatedDisk()) as store:
             with pytest.raises(ValueError, match="invalid record"):
@@ -246,10 +246,10 @@
     run(main())
 
 
-# --- Use ---------------------------------------------------------------------------------
+# --- Reading and writing -----------------------------------------------------------------
 
 
-def test_what_waits_together_is_synced_together(tmp_path: Path) -> None:
+def test_concurrent_writes_share_batches(tmp_path: Path) -> None:
     async def main() -> None:
         async with open_store(FolderDisk(tmp_path), StoreOptions()) as store:
             await asyncio.gather(*(store.put(b"k%d" % n, b"v%d" % n) for n in range(200)))
@@ -263,7 +263,7 @@
     run(main())
 
 
-def test_one_owner_at_a_time(tmp_path: Path) -> None:
+def test_a_folder_is_open_in_one_store_at_a_time(tmp_path: Path) -> None:
     async def main() -> None:
         async with open_store(FolderDisk(tmp_path)):
             with pytest.raises(StoreError, match="another process has this store open"):
@@ -274,7 +274,7 @@
     run(main())
 
 
-def test_a_value_too_long_for_one_read_is_read_whole(tmp_path: Path) -> None:
+def test_a_value_longer_than_the_first_read_is_read_completely(tmp_path: Path) -> None:
     async def main() -> None:
         async with open_store(FolderDisk(tmp_path), StoreOptions()) as store:
             await store.put(b"big", b"z" * 300_000)
@@ -283,7 +283,7 @@
     run(main())
 
 
-def test_what_expires_is_not_read_and_goes_with_compaction() -> None:
+def test_expired_records_are_not_read_and_compaction_removes_them() -> None:
     async def main() -> None:
         machine = Machine()
         async with open_store(SimulatedDisk(), machine=machine) as store:
@@ -294,13 +294,13 @@
             assert await store.get(b"short") is None and await store.get(b"long") == b"l"
             await store.compact()
             assert len(store) == 1 and await store.get(b"long") == b"l"
-            machine.wall_ms -= 1_000  # the clock is set back: what is gone stays gone
+            machine.wall_ms -= 1_000  # stepping the wall clock back does not bring expired records back
             assert await store.get(b"short") is None and await store.get(b"long") == b"l"
 
     run(main())
 
 
-def test_compaction_runs_by_itself_beside_the_writers() -> None:
+def test_compaction_runs_in_the_background_during_writes() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
         async with open_store(disk, StoreOptions(segment_bytes=20_000, batch_records=50)) as store:
@@ -316,7 +316,7 @@
     run(main())
 
 
-def test_a_read_while_compaction_moves_it() -> None:
+def test_reads_succeed_while_compaction_moves_their_records() -> None:
     async def main() -> None:
         async with open_store(SimulatedDisk()) as store:
             for n in range(40):
@@ -328,24 +328,24 @@
     run(main())
 
 
-# --- Disks that fail ---------------------------------------------------------------------
+# --- Disk faults -------------------------------------------------------------------------
 
 
-def test_a_mark_that_fails_leaves_its_batch_reported_and_ends_the_file() -> None:
+def test_a_failed_commit_frame_keeps_its_batch_and_ends_the_segment() -> None:
     async def main() -> None:
         disk, machine = SimulatedDisk(), Machine()
         async with open_store(disk, StoreOptions(), machine) as store:
             await store.put(b"first", b"1")
-            real = disk.write
+            write_to_disk = disk.write
 
             def write(name: str, offset: int, data: bytes) -> None:
                 if len(data) == FRAME_HEADER.size:
                     raise FULL_DISK
-                real(name, offset, data)
+                write_to_disk(name, offset, data)
 
             vars(disk)["write"] = write
             await store.put(b"second", b"2")
-            vars(disk)["write"] = real
+            vars(disk)["write"] = write_to_disk
             assert not store.stats().available and len(log_lines(store)) == 1
             machine.monotonic_s += 1.0
             await store.put(b"third", b"3")
@@ -355,7 +355,7 @@
 
 
 @pytest.mark.parametrize(("operation", "error"), [("write", FULL_DISK), ("sync", BROKEN_DISK)])
-def test_a_disk_that_fails_is_told_once_and_nothing_is_reported(operation: str, error: OSError) -> None:
+def test_a_disk_fault_is_logged_once_and_fails_writes(operation: str, error: OSError) -> None:
     async def main() -> None:
         disk, machine = SimulatedDisk(), Machine()
         async with open_store(disk, StoreOptions(), machine) as store:
@@ -371,14 +371,14 @@
             await store.put(b"after", b"3")
             assert log_lines(store)[1:] == ["store: writes again, in a new segment"]
             written = [op[1] for op in disk.journal[before:] if op[0] == "write"]
-            assert segment_name(1) not in written, "nothing later goes into that file"
+            assert segment_name(1) not in written, "nothing is written to the failed segment any more"
             assert await store.get(b"after") == b"3" and store.stats().available
         assert recovered_state(disk.lose_power()) == {b"good": b"1", b"after": b"3"}
 
     run(main())
 
 
-def test_a_disk_that_goes_on_failing_is_asked_less_and_less() -> None:
+def test_a_disk_that_keeps_failing_is_retried_with_backoff() -> None:
     async def main() -> None:
         disk, machine = SimulatedDisk(), Machine()
         async with open_store(disk, StoreOptions(), machine) as store:
@@ -397,25 +397,25 @@
     run(main())
 
 
-def test_those_that_wait_behind_a_failure_hear_of_it() -> None:
+def test_a_disk_fault_fails_all_queued_writes() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
         async with open_store(disk, StoreOptions(batch_records=2)) as store:
             disk.fail("sync", BROKEN_DISK)
-            found = await asyncio.gather(
+            results = await asyncio.gather(
                 *(store.put(b"k%d" % n, b"v") for n in range(10)), return_exceptions=True
             )
-            assert all(isinstance(one, StoreUnavailableError) for one in found)
+            assert all(isinstance(result, StoreUnavailableError) for result in results)
             assert len(store) == 0 and not store.writer.queue
 
     run(main())
 
 
-def test_a_full_store_says_so_once_and_writes_again_when_compaction_made_room() -> None:
+def test_a_full_store_logs_once_and_writes_again_after_compaction() -> None:
     async def main() -> None:
         async with open_store(SimulatedDisk(), StoreOptions(max_bytes=4_000, segment_bytes=1_000)) as store:
 
-            async def refused(key: bytes) -> bool:
+            async def is_refused(key: bytes) -> bool:
                 try:
                     await store.put(key, b"x" * 100)
                 except StoreUnavailableError:
@@ -424,20 +424,20 @@
                     return True
                 return False
 
-            refusals = [await refused(b"k%d" % (n % 4)) for n in range(200)].count(True)
+            refusals = [await is_refused(b"k%d" % (n % 4)) for n in range(200)].count(True)
             assert 0 < refusals < 30 and store.stats().compactions == refusals == len(log_lines(store))
             n = 0
-            while not (await refused(b"%06d" % n) and await refused(b"%06d" % n)):
-                n += 1  # until compaction has nothing more to free: none of this is garbage
+            while not (await is_refused(b"%06d" % n) and await is_refused(b"%06d" % n)):
+                n += 1  # until compaction can free nothing, as no record is garbage
             before = len(log_lines(store))
-            assert all([await refused(b"%06d" % one) for one in range(n + 1, n + 21)])
+            assert all([await is_refused(b"%06d" % number) for number in range(n + 1, n + 21)])
             assert not store.stats().available and store.size <= 4_000
-            assert len(log_lines(store)) == before, "said once"
+            assert len(log_lines(store)) == before, "logged once"
 
     run(main())
 
 
-def test_a_compaction_that_fails_changes_nothing() -> None:
+def test_a_failed_compaction_changes_nothing() -> None:
     async def main() -> None:
         for operation in ("create", "write", "sync", "rename"):
             disk = SimulatedDisk()
@@ -458,20 +458,20 @@
     run(main())
 
 
-def test_a_writer_that_is_cancelled_leaves_the_others_alone() -> None:
+def test_a_cancelled_write_does_not_affect_the_others() -> None:
     async def main() -> None:
         async with open_store(SimulatedDisk(), StoreOptions()) as store:
             tasks = [store.put(b"k%d" % n, b"v") for n in range(5)]
             await asyncio.sleep(0)
             tasks[2].cancel()
-            found = await asyncio.gather(*tasks, return_exceptions=True)
-            assert [type(one) for one in found].count(type(None)) == 4
+            results = await asyncio.gather(*tasks, return_exceptions=True)
+            assert [type(result) for result in results].count(type(None)) == 4
             assert await store.get(b"k4") == b"v"
 
     run(main())
 
 
-def test_a_closed_store_takes_nothing_and_what_waited_is_written() -> None:
+def test_close_completes_queued_writes_and_rejects_later_ones() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
         async with open_store(disk) as store:
@@ -487,7 +487,7 @@
     run(main())
 
 
-def test_a_process_that_is_killed_loses_nothing_that_it_had_told(tmp_path: Path) -> None:
+def test_a_killed_process_loses_no_reported_write(tmp_path: Path) -> None:
     code = (
         "import asyncio, sys\n"
         "from laurelstep.store import FolderDisk, StoreOptions, Store\n"
@@ -500,22 +500,22 @@
         "        n += 1\n"
         "asyncio.run(main())\n"
     )
-    told = 0
+    reported = 0
     for stop in (3, 20, 57):
-        words = [sys.executable, "-c", code, str(tmp_path)]
-        with subprocess.Popen(words, stdout=subprocess.PIPE, text=True) as process:
+        command = [sys.executable, "-c", code, str(tmp_path)]
+        with subprocess.Popen(command, stdout=subprocess.PIPE, text=True) as process:
             assert process.stdout is not None
             for line in process.stdout:
-                told = int(line)
-                if told >= stop:
+                reported = int(line)
+                if reported >= stop:
                     process.kill()
                     break
-            told = max([told, *(int(line) for line in process.stdout if line.endswith("\n"))])
+            reported = max([reported, *(int(line) for line in process.stdout if line.endswith("\n"))])
 
-        async def main(least: int = told) -> None:
+        async def main(highest: int = reported) -> None:
             async with open_store(FolderDisk(tmp_path)) as store:
-                assert len(store) > least
-                for n in range(least + 1):
+                assert len(store) > highest
+                for n in range(highest + 1):
                     assert await store.get(b"k%d" % n) == b"v%d" % n
 
         run(main())
@@ -529,46 +529,46 @@
 
     run(main())
     (tmp_path / "0000000099.seg").write_bytes(b"left over")
-    before = {one.name: (one.stat().st_mtime_ns, one.stat().st_size) for one in tmp_path.iterdir()}
+    before = {it.name: (it.stat().st_mtime_ns, it.stat().st_size) for it in tmp_path.iterdir()}
     disk = FolderDisk(tmp_path, write=False)
-    found = inspect_folder(disk)
-    assert found.manifest is not None and found.leftover == ("0000000099.seg",)
-    assert len(read_store(disk, found.manifest).index) == 30
+    contents = inspect_folder(disk)
+    assert contents.manifest is not None and contents.leftover == ("0000000099.seg",)
+    assert len(read_store(disk, contents.manifest).index) == 30
     disk.close()
-    assert before == {one.name: (one.stat().st_mtime_ns, one.stat().st_size) for one in tmp_path.iterdir()}
+    assert before == {it.name: (it.stat().st_mtime_ns, it.stat().st_size) for it in tmp_path.iterdir()}
 
 
-def test_the_tool_tells_verifies_and_compacts(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
+def test_the_command_verifies_dumps_and_compacts(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
     async def main() -> None:
         async with open_store(FolderDisk(tmp_path), StoreOptions(segment_bytes=500)) as store:
             for n in range(40):
                 await store.put(b"k%d" % (n % 4), b"v%d" % n)
-            assert tool(["verify", str(tmp_path)]) == 0
+            assert run_command(["verify", str(tmp_path)]) == 0
             assert "in use" in capfd.readouterr().err
-            assert await asyncio.to_thread(tool, ["compact", str(tmp_path)]) == 2
+            assert await asyncio.to_thread(run_command, ["compact", str(tmp_path)]) == 2
 
     run(main())
     capfd.readouterr()
-    assert tool(["verify", str(tmp_path)]) == 0
+    assert run_command(["verify", str(tmp_path)]) == 0
     assert capfd.readouterr().out.startswith("ok: 4 keys in ")
-    assert tool(["stats", str(tmp_path)]) == 0
+    assert run_command(["stats", str(tmp_path)]) == 0
     before = json.loads(capfd.readouterr().out)
-    # The note of the clocks in the first batch has a sequence number of its own.
+    # The clock checkpoint in the first batch takes a sequence number.
     assert (before["keys"], before["records"], before["highest_seq"]) == (4, 40, 41)
-    assert tool(["compact", str(tmp_path)]) == 0 and tool(["dump", str(tmp_path)]) == 0
-    told, *lines = capfd.readouterr().out.splitlines()
-    assert "4 keys" in told and {json.loads(one)["value"] for one in lines} == {"v36", "v37", "v38", "v39"}
-    first = max(tmp_path.glob("*.seg"), key=lambda one: one.stat().st_size)
-    data = bytearray(first.read_bytes())
+    assert run_command(["compact", str(tmp_path)]) == 0 and run_command(["dump", str(tmp_path)]) == 0
+    first, *rows = capfd.readouterr().out.splitlines()
+    assert "4 keys" in first and {json.loads(row)["value"] for row in rows} == {"v36", "v37", "v38", "v39"}
+    largest = max(tmp_path.glob("*.seg"), key=lambda path: path.stat().st_size)
+    data = bytearray(largest.read_bytes())
     data[SEGMENT_HEADER_BYTES + 30] ^= 1
-    first.write_bytes(data)
-    assert tool(["verify", str(tmp_path)]) == 2
+    largest.write_bytes(data)
+    assert run_command(["verify", str(tmp_path)]) == 2
     assert "damaged at byte" in capfd.readouterr().err
-    assert tool(["verify", str(tmp_path / "none")]) == 2
-    assert not (tmp_path / "none").exists(), "it never writes"
+    assert run_command(["verify", str(tmp_path / "none")]) == 2
+    assert not (tmp_path / "none").exists(), "verify never creates a folder"
 
 
-def test_descriptors_are_bounded_and_given_back(tmp_path: Path) -> None:
+def test_open_descriptors_are_limited_and_closed(tmp_path: Path) -> None:
     async def main() -> None:
         before = len(os.listdir("/proc/self/fd"))
         async with open_store(FolderDisk(tmp_path), StoreOptions(segment_bytes=200)) as store:
@@ -583,58 +583,58 @@
     run(main())
 
 
-# --- Against a dictionary ----------------------------------------------------------------
+# --- Compared with a dictionary ----------------------------------------------------------
 
 KEYS = st.sampled_from([b"a", b"b", b"c", b"d"])
 
 
-class AgainstDict(RuleBasedStateMachine):
-    """Writes, deletions, compactions, faults, restarts and lost power, and a dictionary."""
+class StoreModel(RuleBasedStateMachine):
+    """Compares the store with a dictionary under writes, compactions, faults, restarts and power losses."""
 
     def __init__(self) -> None:
         super().__init__()
         self.loop = asyncio.new_event_loop()
         self.disk = SimulatedDisk()
         self.machine = Machine()
-        self.model: State = {}
-        self.maybe: State = {}  # what was not reported, and may be found by the next life
+        self.reported: State = {}
+        self.unreported: State = {}  # with the last write that failed, which the next process may find
         self.store: Store | None = None
 
-    def do(self, work: Any) -> Any:
+    def complete(self, work: Any) -> Any:
         return self.loop.run_until_complete(work)
 
     @initialize()
     def open(self) -> None:
-        async def opening() -> Store:
+        async def open_disk() -> Store:
             return await Store.open(self.disk, SMALL, lambda line: None, self.machine.clocks())
 
-        self.store = self.do(opening())
+        self.store = self.complete(open_disk())
 
     @rule(changes=st.lists(st.tuples(KEYS, st.none() | st.binary(max_size=40)), min_size=1, max_size=6))
     def write(self, changes: list[tuple[bytes, bytes | None]]) -> None:
         store = self.store
         assert store is not None
 
-        async def all_of_them() -> None:
+        async def write_all() -> None:
             await asyncio.gather(*(store.delete(k) if v is None else store.put(k, v) for k, v in changes))
 
-        self.do(all_of_them())
-        self.model = applied(self.model, tuple(changes))
-        self.maybe = self.model
+        self.complete(write_all())
+        self.reported = apply_changes(self.reported, tuple(changes))
+        self.unreported = self.reported
 
     @rule()
     def compact(self) -> None:
         assert self.store is not None
         if not self.store.is_failing:
-            self.do(self.store.compact())
+            self.complete(self.store.compact())
 
     @rule(operation=st.sampled_from(["write", "sync"]), key=KEYS)
     def fault(self, operation: str, key: bytes) -> None:
         assert self.store is not None
         self.disk.fail(operation, BROKEN_DISK)
         with pytest.raises(StoreUnavailableError):
-            self.do(self.put(key))
-        self.maybe = {**self.model, key: b"unsaid"}
+            self.complete(self.put(key))
+        self.unreported = {**self.reported, key: b"unsaid"}
         self.machine.monotonic_s += 60.0
 
     async def put(self, key: bytes) -> None:
@@ -644,46 +644,46 @@
     @rule()
     def restart(self) -> None:
         assert self.store is not None
-        self.do(self.store.close())
-        self.found()
+        self.complete(self.store.close())
+        self.reopen()
 
     @rule(seed=st.integers(0, 1_000))
     def lose_power(self, seed: int) -> None:
         assert self.store is not None
-        after = self.disk.lose_power(random.Random(seed))
-        self.do(self.store.close())
-        self.disk = after
-        self.found()
+        remaining = self.disk.lose_power(random.Random(seed))
+        self.complete(self.store.close())
+        self.disk = remaining
+        self.reopen()
 
-    def found(self) -> None:
+    def reopen(self) -> None:
         self.open()
         state = self.read()
-        assert state in (self.model, self.maybe)
-        self.model = self.maybe = state
+        assert state in (self.reported, self.unreported)
+        self.reported = self.unreported = state
 
     def read(self) -> State:
         assert self.store is not None
-        return {key: self.do(self.store.get(key)) for key in list(self.store.index.locations)}
+        return {key: self.complete(self.store.get(key)) for key in list(self.store.index.locations)}
 
     @precondition(lambda self: self.store is not None)
     @invariant()
-    def they_agree(self) -> None:
-        assert self.read() == self.model
+    def store_equals_dictionary(self) -> None:
+        assert self.read() == self.reported
 
     def teardown(self) -> None:
         if self.store is not None:
-            self.do(self.store.close())
+            self.complete(self.store.close())
         self.loop.close()
 
 
-TestAgainstDict = AgainstDict.TestCase
-TestAgainstDict.settings = settings(max_examples=40, stateful_step_count=25, deadline=None)
+TestStoreModel = StoreModel.TestCase
+TestStoreModel.settings = settings(max_examples=40, stateful_step_count=25, deadline=None)
 
 
 # --- Numbered keys -------------------------------------------------------------------------
 
 
-def test_numbered_keys_are_found_as_in_a_dictionary() -> None:
+def test_numbered_keys_behave_as_in_a_dictionary() -> None:
     draw, index, model = random.Random(7), NumberedKeyMap(b"km"), dict[bytes, int]()
     for step in range(20_000):
         key = draw.choice((b"k", b"m", b"x", b"kk")) + draw.randrange(400).to_bytes(3, "big")
@@ -710,7 +710,7 @@
     assert size / count < 20
 
 
-def test_each_key_is_read_once_in_the_order_of_the_log() -> None:
+def test_scan_reads_each_key_once_in_log_order() -> None:
     async def main() -> None:
         disk, options, machine = SimulatedDisk(), replace(SMALL, numbered_prefixes=b"a"), Machine()
         async with open_store(disk, options, machine) as store:
@@ -721,17 +721,17 @@
             await store.put(b"a" + bytes((0, 2)), b"", 1)
             machine.monotonic_s += 0.001
         async with open_store(disk, options, machine) as store:
-            found = [one async for one in store.scan(b"a")]
-        numbers = [int.from_bytes(key[1:], "big") for key, _ in found]
-        assert numbers == [*range(4, 300, 2), 0] and found[-1][1] == b"again"
+            items = [item async for item in store.scan(b"a")]
+        numbers = [int.from_bytes(key[1:], "big") for key, _ in items]
+        assert numbers == [*range(4, 300, 2), 0] and items[-1][1] == b"again"
         assert all(
-            value == bytes(number * 7) for number, (_, value) in zip(numbers, found[:-1], strict=False)
+            value == bytes(number * 7) for number, (_, value) in zip(numbers, items[:-1], strict=False)
         )
 
     run(main())
 
 
-def test_a_damaged_record_is_told_where_many_are_read() -> None:
+def test_scan_reports_a_damaged_record() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
         async with open_store(disk) as store:
@@ -740,6 +740,6 @@
             segment, offset = unpack_location(store.index.locations[b"a1"])
             disk.write(segment_name(segment), offset + 30, b"?")
             with pytest.raises(StoreError):
-                _ = [one async for one in store.scan(b"a")]
+                _ = [item async for item in store.scan(b"a")]
 
     run(main())
