--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -1,8 +1,8 @@
-"""The folders that last, on a disk that fails for a while and processes that are killed.
+"""Persistent folders on disks that fail for a while, and under killed processes.
 
-The matrix of docs/design/state-folder.md: the store, the record of orders, the outbox and the consensus
-state, each against ENOSPC and EIO at writes and syncs, a failed sync that a good one follows, and a kill
-at every byte of a write."""
+The matrix of docs/design/state-folder.md: the store, the request journal, the outbox and the consensus state,
+each with ENOSPC and EIO at writes and syncs, a failed sync followed by a successful one, and a kill at every
+byte of a write."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
 FAULTS = [NO_SPACE, IO_ERROR]
 WRITING = ("write", "create", "truncate", "rename")
 SYNCING = ("sync", "sync_folder")
-# Beyond the longest backoff.
-LONG_S = 60.0
+# Longer than the longest backoff.
+PAST_BACKOFF_S = 60.0
 
 
 def run(test: Any) -> None:
@@ -56,8 +56,9 @@
     asyncio.run(limited())
 
 
-def deaths(disk: SimulatedDisk, seed: int) -> Iterator[SimulatedDisk]:
-    """What the next life may find: after a kill, after a loss of power, and after one upon the other."""
+def crashed_disks(disk: SimulatedDisk, seed: int) -> Iterator[SimulatedDisk]:
+    """Yield disks as the next process may find them: after a kill, and after power losses that keep none,
+    all or some of the unsynced writes."""
     draw = random.Random(seed)
     yield disk.kill()
     yield disk.lose_power()
@@ -65,36 +66,36 @@
     yield disk.lose_power(draw)
 
 
-def cuts(journal: list[Op]) -> Iterator[tuple[list[Op], SimulatedDisk]]:
-    """Each write and each new file of a journal, broken off at every byte by a kill: what was called
-    before it, and the disk that is left. Of zeros written ahead the ends stand for all."""
+def cut_writes(journal: list[Op]) -> Iterator[tuple[list[Op], SimulatedDisk]]:
+    """Cut each write and file creation of a journal at every byte by a kill, and yield the calls before it
+    and the remaining disk. Preallocated zeros are cut only near their ends."""
     disk = SimulatedDisk()
-    for at, (name, *args) in enumerate(journal):
+    for index, (name, *args) in enumerate(journal):
         if name in ("write", "create"):
             data = args[-1]
             sizes = range(len(data) + 1) if any(data) else (0, 1, len(data))
             for size in sizes:
-                broken = disk.kill()
+                remaining = disk.kill()
                 if name == "write":
-                    broken.write(args[0], args[1], data[:size])
+                    remaining.write(args[0], args[1], data[:size])
                 else:
-                    broken.create(args[0], data[:size])
-                yield journal[:at], broken
+                    remaining.create(args[0], data[:size])
+                yield journal[:index], remaining
         if name != "mark":
             getattr(disk, name)(*args)
     yield journal, disk.kill()
 
 
-def marks(journal: list[Op], word: str) -> list[Any]:
-    return [op[2] for op in journal if op[:2] == ("mark", word)]
+def marks(journal: list[Op], label: str) -> list[Any]:
+    return [op[2] for op in journal if op[:2] == ("mark", label)]
 
 
 # --- The store -----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("error", FAULTS, ids=["ENOSPC", "EIO"])
-def test_a_batch_whose_sync_failed_is_not_taken_for_durable_by_the_next_life(error: OSError) -> None:
-    """Its bytes are read from the page cache, and a sync that succeeds says nothing of them."""
+def test_the_next_process_does_not_trust_a_batch_whose_sync_failed(error: OSError) -> None:
+    """Its bytes can be read from the page cache, but a later successful sync does not write them."""
 
     async def main() -> None:
         disk = SimulatedDisk()
@@ -106,17 +107,17 @@
             killed = disk.kill()
         assert recovered_state(killed.kill()) in ({b"told": b"1"}, {b"told": b"1", b"untold": b"2"})
         async with open_store(killed, StoreOptions()) as store:
-            found = {key: await store.get(key) for key in (b"told", b"untold")}
+            values = {key: await store.get(key) for key in (b"told", b"untold")}
             await store.put(b"later", b"3")
-        for after in deaths(killed, 1):
+        for after in crashed_disks(killed, 1):
             state = recovered_state(after)
-            assert state == {**{k: v for k, v in found.items() if v is not None}, b"later": b"3"}
+            assert state == {**{k: v for k, v in values.items() if v is not None}, b"later": b"3"}
 
     run(main())
 
 
 @pytest.mark.parametrize("failing", [1, 2], ids=["segment's name", "manifest's name"])
-def test_a_folder_whose_sync_failed_as_the_log_rolled_on_loses_nothing(failing: int) -> None:
+def test_a_failed_folder_sync_during_a_roll_loses_nothing(failing: int) -> None:
     async def main() -> None:
         disk, machine = SimulatedDisk(), Machine()
         async with open_store(disk, StoreOptions(segment_bytes=300), machine) as store:
@@ -126,35 +127,35 @@
             with pytest.raises(StoreUnavailableError):
                 await store.put(b"untold", b"x" * 200)
             killed = disk.kill()
-            machine.monotonic_s += LONG_S
+            machine.monotonic_s += PAST_BACKOFF_S
             await store.put(b"later", b"3")
-            named = {MANIFEST, *(segment_name(one.number) for one in store.segments.manifest.segments)}
-            assert set(disk.files()) == named, "what is not in use is deleted"
-        for after in deaths(disk, 2):
+            listed = {MANIFEST, *(segment_name(entry.number) for entry in store.segments.manifest.segments)}
+            assert set(disk.files()) == listed, "files not in use are deleted"
+        for after in crashed_disks(disk, 2):
             state = recovered_state(after)
-            assert state[b"later"] == b"3" and len(state) == 5, "the one that failed is not there"
+            assert state[b"later"] == b"3" and len(state) == 5, "without the failed write"
         async with open_store(killed, StoreOptions(segment_bytes=300)) as store:
             await store.put(b"next life", b"4")
-        for after in deaths(killed, 3):
+        for after in crashed_disks(killed, 3):
             assert {b"k0", b"k1", b"k2", b"k3", b"next life"} <= set(recovered_state(after))
 
     run(main())
 
 
 def fail_nth_folder_sync(disk: SimulatedDisk, nth: int) -> None:
-    """The n-th from now fails, once."""
-    real, count = disk.sync_folder, itertools.count(1)
+    """Make the n-th folder sync from now fail once."""
+    sync, count = disk.sync_folder, itertools.count(1)
 
     def sync_folder() -> None:
         if next(count) == nth:
             disk.fail("sync_folder", IO_ERROR)
-        real()
+        sync()
 
     vars(disk)["sync_folder"] = sync_folder
 
 
 @pytest.mark.parametrize("operation", ["rename", "sync_folder"])
-def test_a_compaction_whose_manifest_is_unsure_deletes_nothing_that_it_may_name(operation: str) -> None:
+def test_a_compaction_with_an_unsure_manifest_deletes_no_listed_file(operation: str) -> None:
     async def main() -> None:
         disk, machine = SimulatedDisk(), Machine()
         async with open_store(disk, machine=machine) as store:
@@ -170,21 +171,21 @@
                 await store.compactor.compact_sealed()
             await store.put(b"k0", b"after")
             expected = {b"k0": b"after", **{b"k%d" % n: b"v%d" % (15 + n) for n in range(1, 5)}}
-            for after in deaths(disk, 4):
+            for after in crashed_disks(disk, 4):
                 assert recovered_state(after) == expected
             await store.compactor.compact_sealed()
             await store.put(b"k1", b"again")
             expected[b"k1"] = b"again"
-            for after in deaths(disk, 5):
+            for after in crashed_disks(disk, 5):
                 assert recovered_state(after) == expected
-            named = {MANIFEST, *(segment_name(one.number) for one in store.segments.manifest.segments)}
-            assert set(disk.files()) == named, "what is not in use is deleted"
+            listed = {MANIFEST, *(segment_name(entry.number) for entry in store.segments.manifest.segments)}
+            assert set(disk.files()) == listed, "files not in use are deleted"
 
     run(main())
 
 
 async def compaction_calls(disk: SimulatedDisk) -> list[Op]:
-    """What a compaction of this disk's store does to it."""
+    """Return the disk calls that a compaction of this disk's store makes."""
     copy = disk.kill()
     async with open_store(copy) as store:
         copy.journal.clear()
@@ -192,7 +193,7 @@
         return [*copy.journal]
 
 
-def test_a_store_on_a_full_disk_opens_and_reads_and_deletes_nothing() -> None:
+def test_a_store_on_a_full_disk_opens_reads_and_deletes_nothing() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
         async with open_store(disk) as store:
@@ -211,7 +212,7 @@
 
 
 @pytest.mark.parametrize("operation", ["sync", "create", "rename", "sync_folder"])
-def test_a_store_whose_disk_fails_as_it_is_opened_is_refused_and_may_be_opened_later(operation: str) -> None:
+def test_a_store_whose_disk_fails_during_opening_can_be_opened_later(operation: str) -> None:
     async def main() -> None:
         disk = SimulatedDisk()
         async with open_store(disk) as store:
@@ -226,7 +227,7 @@
     run(main())
 
 
-def test_writing_ends_where_compaction_left_the_active_segment_perhaps_sealed() -> None:
+def test_writing_stops_if_compaction_may_have_sealed_the_active_segment() -> None:
     async def main() -> None:
         disk, machine = SimulatedDisk(), Machine()
         async with open_store(disk, StoreOptions(), machine) as store:
@@ -237,15 +238,15 @@
             with pytest.raises(StoreUnavailableError):
                 await store.put(b"k1", b"untold")
             assert recovered_state(disk.kill()) == {b"k0": b"1"}
-            machine.monotonic_s += LONG_S
+            machine.monotonic_s += PAST_BACKOFF_S
             await store.put(b"k2", b"3")
-            for after in deaths(disk, 6):
+            for after in crashed_disks(disk, 6):
                 assert recovered_state(after) == {b"k0": b"1", b"k2": b"3"}
 
     run(main())
 
 
-def test_a_write_that_comes_as_compaction_seals_the_active_segment_is_not_lost() -> None:
+def test_writes_are_not_lost_while_compaction_seals_the_active_segment() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
         async with open_store(disk, StoreOptions()) as store:
@@ -262,13 +263,13 @@
     run(main())
 
 
-class Course:
-    """Writes over several lives, and which values of each key a life may find."""
+class Workload:
+    """Random writes over several processes, and the values of each key that a process may find."""
 
     def __init__(self, seed: int) -> None:
         self.draw = random.Random(seed)
         self.allowed: dict[bytes, set[bytes | None]] = {}
-        self.told = self.refused = 0
+        self.reported = self.refused = 0
 
     async def write(self, store: Store) -> None:
         key = b"k%d" % self.draw.randrange(6)
@@ -279,15 +280,15 @@
             self.refused += 1
             self.allowed.setdefault(key, {None}).add(value)
         else:
-            self.told += 1
+            self.reported += 1
             self.allowed[key] = {value}
 
     def check(self, state: State) -> None:
         for key, values in self.allowed.items():
             assert state.get(key) in values, key
 
-    def found(self, state: State) -> None:
-        """By a life, which may tell it: it is so from now on."""
+    def on_opened(self, state: State) -> None:
+        """Check the state that a process found; later processes must find the same."""
         self.check(state)
         self.allowed = {key: {state.get(key)} for key in self.allowed}
 
@@ -295,118 +296,119 @@
 @pytest.mark.parametrize("operations", [WRITING, SYNCING], ids=["at writes", "at syncs"])
 @pytest.mark.parametrize("error", FAULTS, ids=["ENOSPC", "EIO"])
 @pytest.mark.parametrize("seed", range(8))
-def test_a_store_on_a_disk_that_fails_for_a_while_loses_nothing_told(
+def test_a_store_on_a_disk_that_fails_for_a_while_loses_no_reported_write(
     error: OSError, operations: tuple[str, ...], seed: int
 ) -> None:
     async def main() -> None:
-        disk, machine, course = SimulatedDisk(), Machine(), Course(seed)
-        for life in range(6):
+        disk, machine, workload = SimulatedDisk(), Machine(), Workload(seed)
+        for process in range(6):
             async with open_store(disk, SMALL, machine) as store:
-                course.found({key: value async for key, value in store.scan(b"k")})
+                workload.on_opened({key: value async for key, value in store.scan(b"k")})
                 for phase in range(6):
                     if phase % 2:
                         disk.break_down(
-                            error, *course.draw.sample(operations, course.draw.randint(1, len(operations)))
+                            error,
+                            *workload.draw.sample(operations, workload.draw.randint(1, len(operations))),
                         )
                     else:
                         disk.mend()
                         machine.monotonic_s += MAX_BACKOFF_S
-                        before = course.told
-                        await course.write(store)
-                        assert course.told == before + 1, "it writes again once the disk does"
-                    for _ in range(course.draw.randrange(8)):
-                        await course.write(store)
-                        machine.monotonic_s += course.draw.random() * 3
-                        for after in deaths(disk, course.draw.randrange(1 << 30)):
+                        before = workload.reported
+                        await workload.write(store)
+                        assert workload.reported == before + 1, "writes succeed again once the disk works"
+                    for _ in range(workload.draw.randrange(8)):
+                        await workload.write(store)
+                        machine.monotonic_s += workload.draw.random() * 3
+                        for after in crashed_disks(disk, workload.draw.randrange(1 << 30)):
                             after.mend()
-                            course.check(recovered_state(after))
+                            workload.check(recovered_state(after))
                     if phase == 3:
                         with contextlib.suppress(OSError):
                             await store.compact()
-                after = course.draw.choice([*deaths(disk, seed * 100 + life)])
+                after = workload.draw.choice([*crashed_disks(disk, seed * 100 + process)])
             after.mend()
             disk = after
-        assert course.told > 20 and course.refused > 5
+        assert workload.reported > 20 and workload.refused > 5
 
     run(main())
 
 
-# --- The record of orders ------------------------------------------------------------------
+# --- The request journal -------------------------------------------------------------------
 
 
-def record_of(disk: SimulatedDisk, name: str) -> bytes | None:
+def recorded_order(disk: SimulatedDisk, name: str) -> bytes | None:
     return recovered_state(disk).get(store_key("pay", name.encode()))
 
 
 @pytest.mark.parametrize("operations", [WRITING, SYNCING], ids=["at writes", "at syncs"])
 @pytest.mark.parametrize("error", FAULTS, ids=["ENOSPC", "EIO"])
-def test_orders_on_a_disk_that_fails_for_a_while(
+def test_a_journal_on_a_disk_that_fails_for_a_while(
     tmp_path: Path, error: OSError, operations: tuple[str, ...]
 ) -> None:
-    """Refused at once and never run while it fails; recorded again by itself once it does not."""
+    """While it fails, requests fail at once and never run; afterwards they are recorded again."""
 
     async def main() -> None:
         disk, machine = SimulatedDisk(), Machine()
         async with Endpoint() as endpoint, contextlib.AsyncExitStack() as stack:
             clocks = machine.clocks()
             client, _ = await client_with_store(disk, endpoint, "fail", tmp_path, stack, clocks=clocks)
-            assert summary(await client.send(order("before"))) == SERVED
+            assert summary(await client.send(order_request("before"))) == SERVED
             disk.break_down(error, *operations)
             for n in range(4):
-                assert summary(await client.send(order(f"while-{n}"))) == MAY_HAVE_RUN
+                assert summary(await client.send(order_request(f"while-{n}"))) == MAY_HAVE_RUN
                 assert (await client.send(Request("page", "/page"))).outcome is Ending.SERVED
                 machine.monotonic_s += MAX_BACKOFF_S / 3
-            assert summary(await client.send(order("before"))) == FROM_RECORD, (
-                "what was told before is told again"
+            assert summary(await client.send(order_request("before"))) == FROM_RECORD, (
+                "recorded answers are still given"
             )
-            assert ran(endpoint) == ["before"], "nothing runs whose intent is not kept"
+            assert orders_run(endpoint) == ["before"], "no request runs without a durable intent"
             disk.mend()
             machine.monotonic_s += MAX_BACKOFF_S
-            assert summary(await client.send(order("after"))) == SERVED
-            assert summary(await client.send(order("while-0"))) == SERVED, (
-                "its repeat runs, for the first time"
+            assert summary(await client.send(order_request("after"))) == SERVED
+            assert summary(await client.send(order_request("while-0"))) == SERVED, (
+                "the repeat runs, for the first time"
             )
-            assert ran(endpoint) == ["before", "after", "while-0"]
-        for after in deaths(disk, 7):
-            for name in ran(endpoint):
-                found = record_of(after, name)
-                assert found is not None and isinstance(decode_record(found), ResponseRecord)
+            assert orders_run(endpoint) == ["before", "after", "while-0"]
+        for after in crashed_disks(disk, 7):
+            for name in orders_run(endpoint):
+                record = recorded_order(after, name)
+                assert record is not None and isinstance(decode_record(record), ResponseRecord)
 
     run(main())
 
 
-def ran(endpoint: Endpoint) -> list[str]:
-    return [one.body.decode() for one in endpoint.got if one.body]
+def orders_run(endpoint: Endpoint) -> list[str]:
+    return [message.body.decode() for message in endpoint.got if message.body]
 
 
-def order(name: str) -> Request:
+def order_request(name: str) -> Request:
     return pay_request(name, name.encode())
 
 
-def test_an_intent_whose_sync_failed_is_kept_by_the_next_life_or_gone(tmp_path: Path) -> None:
-    """The next life answers from it, writes on, and loses power: nothing that it told is lost."""
+def test_an_intent_whose_sync_failed_is_either_kept_or_lost_for_good(tmp_path: Path) -> None:
+    """The next process answers from it, writes more, and loses power: its answers stay the same."""
 
     async def main() -> None:
         disk = SimulatedDisk()
         async with Endpoint() as endpoint, contextlib.AsyncExitStack() as stack:
             client, _ = await client_with_store(disk, endpoint, "fail", tmp_path / "1", stack)
             disk.fail("sync", IO_ERROR)
-            assert summary(await client.send(order("unsure"))) == MAY_HAVE_RUN
+            assert summary(await client.send(order_request("unsure"))) == MAY_HAVE_RUN
             disk = disk.kill()
             client, _ = await client_with_store(disk, endpoint, "fail", tmp_path / "2", stack)
-            first = summary(await client.send(order("unsure")))
-            assert summary(await client.send(order("sure"))) == SERVED
+            first = summary(await client.send(order_request("unsure")))
+            assert summary(await client.send(order_request("sure"))) == SERVED
             disk = disk.lose_power()
             client, _ = await client_with_store(disk, endpoint, "fail", tmp_path / "3", stack)
-            assert summary(await client.send(order("sure"))) == FROM_RECORD
-            again = summary(await client.send(order("unsure")))
-            assert again == (MAY_HAVE_RUN if first == MAY_HAVE_RUN else FROM_RECORD)
-            assert ran(endpoint).count("sure") == 1 and ran(endpoint).count("unsure") <= 1
+            assert summary(await client.send(order_request("sure"))) == FROM_RECORD
+            repeat = summary(await client.send(order_request("unsure")))
+            assert repeat == (MAY_HAVE_RUN if first == MAY_HAVE_RUN else FROM_RECORD)
+            assert orders_run(endpoint).count("sure") == 1 and orders_run(endpoint).count("unsure") <= 1
 
     run(main())
 
 
-def test_a_kill_at_every_byte_that_the_record_writes_lets_no_order_run_twice(tmp_path: Path) -> None:
+def test_a_kill_at_any_byte_of_the_journal_lets_no_request_run_twice(tmp_path: Path) -> None:
     async def main() -> None:
         disk = SimulatedDisk()
 
@@ -421,32 +423,32 @@
             client, _ = await client_with_store(disk, endpoint, "fail", tmp_path, stack, small)
             for n in range(6):
                 name = f"refused-{n}" if n == 3 else f"order-{n}"
-                reply = await client.send(order(name))
+                reply = await client.send(order_request(name))
                 disk.mark(reply.outcome.value, name)
-        seen = 0
-        for before, broken in cuts(disk.journal):
-            state = recovered_state(broken)
+        checked = 0
+        for before, remaining in cut_writes(disk.journal):
+            state = recovered_state(remaining)
             served, refused = marks(before, "served"), marks(before, "refused")
             for name in marks(before, "sent"):
                 record = state.get(store_key("pay", name.encode()))
                 if name in served:
                     assert record is not None and isinstance(decode_record(record), ResponseRecord)
                 elif name not in refused and not name.startswith("refused"):
-                    assert record is not None, "it may have run, and its repeat hears so"
-            seen += 1
-        assert seen > 1_000 and len(marks(disk.journal, "served")) == 5
+                    assert record is not None, "it may have run, and its repeat is told so"
+            checked += 1
+        assert checked > 1_000 and len(marks(disk.journal, "served")) == 5
 
     run(main())
 
 
 # --- The outbox ----------------------------------------------------------------------------
 
-MOST = 64 << 20
+MAX_BYTES = 64 << 20
 
 
 @pytest.fixture
-def short_ahead(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A log whose every byte can be cut in a moment: few zeros ahead of its end."""
+def small_preallocation(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Preallocate few zeros, so that cutting the log at every byte is fast."""
     monkeypatch.setattr(
         "laurelstep.outbox.queue_store.StoreOptions", functools.partial(StoreOptions, preallocated_bytes=64)
     )
@@ -456,8 +458,8 @@
 
 
 @contextlib.asynccontextmanager
-async def kept_store(disk: SimulatedDisk, machine: Machine | None = None) -> AsyncIterator[QueueStore]:
-    store = await QueueStore.open(disk, MOST, clocks=(machine or Machine()).clocks())
+async def open_queue(disk: SimulatedDisk, machine: Machine | None = None) -> AsyncIterator[QueueStore]:
+    store = await QueueStore.open(disk, MAX_BYTES, clocks=(machine or Machine()).clocks())
     try:
         yield store
     finally:
@@ -467,54 +469,54 @@
 @pytest.mark.parametrize("operations", [WRITING, SYNCING], ids=["at writes", "at syncs"])
 @pytest.mark.parametrize("error", FAULTS, ids=["ENOSPC", "EIO"])
 def test_an_outbox_on_a_disk_that_fails_for_a_while(error: OSError, operations: tuple[str, ...]) -> None:
-    """What was kept stays owed, what was refused is told so, and what comes after is kept again."""
+    """Queued writes stay queued, later ones are refused while it fails, and queued again afterwards."""
 
     async def main() -> None:
         disk, machine = SimulatedDisk(), Machine()
-        async with kept_store(disk, machine) as store:
+        async with open_queue(disk, machine) as store:
             await store.load()
-            kept = [write_with_body(1, 100), write_with_body(2, 200_000)]
-            for one in kept:
-                await store.put_write(*one)
-            await store.put_state(StateChange(kept[0][0].write_id, WriteState.OUT))
+            queued = [write_with_body(1, 100), write_with_body(2, 200_000)]
+            for write in queued:
+                await store.put_write(*write)
+            await store.put_state(StateChange(queued[0][0].write_id, WriteState.OUT))
             disk.break_down(error, *operations)
             for n in (3, 4):
                 with pytest.raises(FailedToKeepError):
                     await store.put_write(*write_with_body(n, 200_000))
                 with pytest.raises(StoreError):
-                    await store.put_state(StateChange(kept[0][0].write_id, WriteState.DONE))
-                assert not await store.delete_write(kept[1][0].write_id, kept[1][0].size)
+                    await store.put_state(StateChange(queued[0][0].write_id, WriteState.DONE))
+                assert not await store.delete_write(queued[1][0].write_id, queued[1][0].size)
                 machine.monotonic_s += MAX_BACKOFF_S / 3
             during = disk.kill()
             disk.mend()
             machine.monotonic_s += MAX_BACKOFF_S
             await store.put_write(*write_with_body(5, 70_000))
-            kept.append(write_with_body(5, 70_000))
-            for one in kept:
-                assert await store.read(one[0].write_id) == one
-        for after in deaths(disk, 8):
-            assert await read_kept(after) == [*kept]
+            queued.append(write_with_body(5, 70_000))
+            for write in queued:
+                assert await store.read(write[0].write_id) == write
+        for after in crashed_disks(disk, 8):
+            assert await read_queued(after) == [*queued]
         during.mend()
-        found = await read_kept(during)
-        assert found[:2] == kept[:2] and all(
-            one in (write_with_body(3, 200_000), write_with_body(4, 200_000)) for one in found[2:]
+        loaded = await read_queued(during)
+        assert loaded[:2] == queued[:2] and all(
+            write in (write_with_body(3, 200_000), write_with_body(4, 200_000)) for write in loaded[2:]
         )
-        assert await read_kept(during.lose_power()) == found, "what a life found, the next finds"
+        assert await read_queued(during.lose_power()) == loaded, "the next process finds the same"
 
     run(main())
 
 
-async def read_kept(disk: SimulatedDisk) -> list[Any]:
-    """As a life finds it, with its body."""
-    async with kept_store(disk) as store:
-        return [await store.read(one.write_id) for one, _ in (await store.load()).writes]
+async def read_queued(disk: SimulatedDisk) -> list[Any]:
+    """Return the queued writes with their bodies, as the next process finds them."""
+    async with open_queue(disk) as store:
+        return [await store.read(write.write_id) for write, _ in (await store.load()).writes]
 
 
-@pytest.mark.usefixtures("short_ahead")
-def test_a_kill_at_every_byte_that_the_outbox_writes_leaves_what_was_told() -> None:
+@pytest.mark.usefixtures("small_preallocation")
+def test_a_kill_at_any_byte_of_the_outbox_keeps_what_was_reported() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
-        async with kept_store(disk) as store:
+        async with open_queue(disk) as store:
             await store.load()
             for n in range(1, 4):
                 await store.put_write(*write_with_body(n, 30 * n))
@@ -526,47 +528,45 @@
             disk.mark("forgetting", write_with_body(1, 0)[0].write_id)
             assert await store.delete_write(write_with_body(1, 0)[0].write_id, 0)
             disk.mark("forgotten", write_with_body(1, 0)[0].write_id)
-        seen = 0
-        for before, broken in cuts(disk.journal):
-            async with kept_store(broken) as store:
-                writes = {one.write_id: moved for one, moved in (await store.load()).writes}
+        checked = 0
+        for before, remaining in cut_writes(disk.journal):
+            async with open_queue(remaining) as store:
+                writes = {write.write_id: change for write, change in (await store.load()).writes}
             for write_id in marks(before, "kept"):
                 if write_id in marks(before, "forgotten"):
                     assert write_id not in writes
                 elif write_id not in marks(before, "forgetting"):
                     assert write_id in writes
                 if write_id in writes and write_id in marks(before, "OUT"):
-                    assert writes[write_id] is not None, (
-                        "it was sent, and is not sent as if it never had been"
-                    )
+                    assert writes[write_id] is not None, "it was sent, so it must not count as never sent"
                 if write_id in writes and write_id in marks(before, "DONE"):
-                    moved = writes[write_id]
-                    assert moved is not None and moved.state in FINAL
-            seen += 1
-        assert seen > 800
+                    change = writes[write_id]
+                    assert change is not None and change.state in FINAL
+            checked += 1
+        assert checked > 800
 
     run(main())
 
 
-def test_a_record_is_never_left_without_its_state_as_a_write_is_forgotten() -> None:
-    """Else a life that follows takes it for one that was never sent, and sends it again."""
+def test_deleting_a_write_never_leaves_its_record_without_its_state() -> None:
+    """Otherwise the next process would consider it never sent, and send it again."""
 
     async def main() -> None:
         disk = SimulatedDisk()
-        async with kept_store(disk) as store:
+        async with open_queue(disk) as store:
             await store.load()
             write, body = write_with_body(1, 10)
             await store.put_write(write, body)
             await store.put_state(StateChange(write.write_id, WriteState.DONE))
             writer = store.store.writer
-            writer.options = replace(writer.options, batch_records=1)  # each change by itself
-            begun = len(disk.journal)
+            writer.options = replace(writer.options, batch_records=1)  # each change in its own batch
+            call_count = len(disk.journal)
             assert await store.delete_write(write.write_id, 0)
             calls = disk.journal
-        for end in range(begun, len(calls)):
-            async with kept_store(SimulatedDisk.replay(calls[:end]).lose_power(all_=True)) as store:
-                for _, moved in (await store.load()).writes:
-                    assert moved is not None and moved.state is WriteState.DONE
+        for end in range(call_count, len(calls)):
+            async with open_queue(SimulatedDisk.replay(calls[:end]).lose_power(all_=True)) as store:
+                for _, change in (await store.load()).writes:
+                    assert change is not None and change.state is WriteState.DONE
 
     run(main())
 
@@ -574,20 +574,20 @@
 # --- The consensus state ---------------------------------------------------------------------
 
 
-def step(n: int) -> Mapping[bytes, bytes | None]:
-    """What one step of the core changes: a promise, and two entries."""
-    gone: dict[bytes, bytes | None] = {b"e%d" % (n - 3): None} if n > 3 else {}
-    return {b"vote": b"%d" % n, b"e%d" % n: b"x" * n, **gone}
+def step_changes(n: int) -> Mapping[bytes, bytes | None]:
+    """The changes of one step of the core: a vote, a new entry, and the deletion of an old one."""
+    deleted: dict[bytes, bytes | None] = {b"e%d" % (n - 3): None} if n > 3 else {}
+    return {b"vote": b"%d" % n, b"e%d" % n: b"x" * n, **deleted}
 
 
-def after_step(n: int) -> dict[bytes, bytes]:
-    found: dict[bytes, bytes | None] = {}
-    for one in range(1, n + 1):
-        found.update(step(one))
-    return {key: value for key, value in found.items() if value is not None}
+def state_after(n: int) -> dict[bytes, bytes]:
+    state: dict[bytes, bytes | None] = {}
+    for number in range(1, n + 1):
+        state.update(step_changes(number))
+    return {key: value for key, value in state.items() if value is not None}
 
 
-async def state_found(disk: SimulatedDisk) -> dict[bytes, bytes]:
+async def load_state(disk: SimulatedDisk) -> dict[bytes, bytes]:
     store = await EmbeddedStore.open(disk)
     try:
         return await store.load()
@@ -597,133 +597,135 @@
 
 @pytest.mark.parametrize("operations", [WRITING, SYNCING], ids=["at writes", "at syncs"])
 @pytest.mark.parametrize("error", FAULTS, ids=["ENOSPC", "EIO"])
-def test_the_consensus_state_of_a_disk_that_fails_is_whole_steps(
+def test_the_consensus_state_on_a_failing_disk_has_only_complete_steps(
     error: OSError, operations: tuple[str, ...]
 ) -> None:
-    """The step that was acknowledged last, or the one after it; what a life found stays so."""
+    """It has the last acknowledged step or the one after it, and the next process finds the same."""
 
     async def main() -> None:
         disk, acknowledged = SimulatedDisk(), 0
-        for life in range(5):
+        for process in range(5):
             store = await EmbeddedStore.open(disk)
-            found = await store.load()
-            acknowledged = max(n for n in (acknowledged, acknowledged + 1) if after_step(n) == found)
+            state = await store.load()
+            acknowledged = max(n for n in (acknowledged, acknowledged + 1) if state_after(n) == state)
             for _ in range(3):
                 acknowledged += 1
-                await store.write(step(acknowledged))
+                await store.write(step_changes(acknowledged))
             disk.break_down(error, *operations)
             with pytest.raises(StateFaultError):
-                await store.write(step(acknowledged + 1))
+                await store.write(step_changes(acknowledged + 1))
             with pytest.raises(StateFaultError):
-                await store.write(step(acknowledged + 2))
-            found_next = [*deaths(disk, life)]
+                await store.write(step_changes(acknowledged + 2))
+            remaining = [*crashed_disks(disk, process)]
             await store.close()
-            for after in found_next:
+            for after in remaining:
                 after.mend()
-                first = await state_found(after)
-                assert first in (after_step(acknowledged), after_step(acknowledged + 1))
-                assert await state_found(after.lose_power()) == first
-            disk = found_next[life % len(found_next)]
+                first = await load_state(after)
+                assert first in (state_after(acknowledged), state_after(acknowledged + 1))
+                assert await load_state(after.lose_power()) == first
+            disk = remaining[process % len(remaining)]
 
     run(main())
 
 
-@pytest.mark.usefixtures("short_ahead")
-def test_a_kill_at_every_byte_that_the_consensus_state_writes_leaves_whole_steps() -> None:
+@pytest.mark.usefixtures("small_preallocation")
+def test_a_kill_at_any_byte_of_the_consensus_state_leaves_complete_steps() -> None:
     async def main() -> None:
         disk = SimulatedDisk()
         store = await EmbeddedStore.open(disk)
         for n in range(1, 12):
-            await store.write(step(n))
+            await store.write(step_changes(n))
             disk.mark("acknowledged", n)
         await store.close()
-        seen = 0
-        for before, broken in cuts(disk.journal):
+        checked = 0
+        for before, remaining in cut_writes(disk.journal):
             n = max(marks(before, "acknowledged"), default=0)
-            assert await state_found(broken) in (after_step(n), after_step(n + 1))
-            seen += 1
-        assert seen > 800
+            assert await load_state(remaining) in (state_after(n), state_after(n + 1))
+            checked += 1
+        assert checked > 800
 
     run(main())
 
 
-class Reopened:
-    """A node on a simulated disk, whose store is opened anew as often as it is asked for."""
+class ReopeningNode:
+    """A node on a simulated disk, whose store can be opened any number of times."""
 
     def __init__(self) -> None:
         self.disk = SimulatedDisk()
-        self.bench = NodeHarness()
-        self.bench.node.open_store = self.open
-        self.opened = 0
+        self.harness = NodeHarness()
+        self.harness.node.open_store = self.open
+        self.open_count = 0
 
     async def open(self) -> StateStore:
-        self.opened += 1
+        self.open_count += 1
         return await EmbeddedStore.open(self.disk)
 
     async def settle(self) -> None:
-        """Until nothing of the node is under way."""
-        node = self.bench.node
+        """Wait until the node has no work in progress."""
+        node = self.harness.node
         while node._tasks or (node.runner is not None and node.runner.is_busy):
             await asyncio.sleep(0)
         await run_ready_callbacks()
 
     async def wait(self, us: int) -> None:
-        self.bench.clock.advance(us)
+        self.harness.clock.advance(us)
         await self.settle()
 
 
 @pytest.mark.parametrize("operations", [WRITING, SYNCING], ids=["at writes", "at syncs"])
 @pytest.mark.parametrize("error", FAULTS, ids=["ENOSPC", "EIO"])
-def test_a_node_takes_part_again_by_itself_once_its_disk_is_good(
-    error: OSError, operations: tuple[str, ...]
-) -> None:
+def test_a_node_resumes_once_its_disk_works_again(error: OSError, operations: tuple[str, ...]) -> None:
     async def main() -> None:
-        world = Reopened()
-        bench, node = world.bench, world.bench.node
+        world = ReopeningNode()
+        harness, node = world.harness, world.harness.node
         await node.start()
         await world.settle()
-        bench.core.answers["receive"] = StepEffects(
+        harness.core.answers["receive"] = StepEffects(
             persist={b"vote": b"1"}, outgoing=SEND_AND_NOTIFY.outgoing
         )
-        bench.receive(b"x")
+        harness.receive(b"x")
         await world.settle()
-        assert (1, b"said") in bench.take_delivered(), "acknowledged"
+        assert (1, b"said") in harness.take_delivered(), "acknowledged"
         world.disk.break_down(error, *operations)
-        bench.core.answers["receive"] = StepEffects(
+        harness.core.answers["receive"] = StepEffects(
             persist={b"vote": b"2"}, outgoing=SEND_AND_NOTIFY.outgoing
         )
-        bench.receive(b"x")
+        harness.receive(b"x")
         await world.settle()
-        assert node.stage is NodeStage.FAILED and not bench.take_delivered(), "what is not kept is not said"
+        assert node.stage is NodeStage.FAILED and not harness.take_delivered(), (
+            "nothing is sent that is not durable"
+        )
         for _ in range(4):
             await world.wait(MAX_REOPEN_DELAY_US)
-        assert node.stage is NodeStage.FAILED and world.opened > 3
-        assert len(bench.log_lines) == 1 and StateFaultError.remedy in bench.log_lines[0]
+        assert node.stage is NodeStage.FAILED and world.open_count > 3
+        assert len(harness.log_lines) == 1 and StateFaultError.remedy in harness.log_lines[0]
         world.disk.mend()
         await world.wait(MAX_REOPEN_DELAY_US)
         assert node.is_running and node.status()["stage"] == "takes part" and not node.failure
-        assert bench.core.records[b"vote"] in (b"1", b"2"), "what was acknowledged is still owed"
-        assert bench.log_lines[1:] == ["accord: the disk accepts writes again; this process takes part"]
+        assert harness.core.records[b"vote"] in (b"1", b"2"), "an acknowledged vote is kept"
+        assert harness.log_lines[1:] == ["accord: the disk accepts writes again; this process takes part"]
         await node.close()
 
     run(main())
 
 
-def test_a_node_that_waits_for_its_disk_gives_up_its_part_to_a_successor() -> None:
+def test_a_node_that_waits_for_its_disk_can_retire_for_a_successor() -> None:
     async def main() -> None:
-        world = Reopened()
-        bench, node = world.bench, world.bench.node
+        world = ReopeningNode()
+        harness, node = world.harness, world.harness.node
         await node.start()
         await world.settle()
         world.disk.break_down(IO_ERROR, "sync")
-        bench.core.answers["receive"] = StepEffects(persist={b"vote": b"2"})
-        bench.receive(b"x")
+        harness.core.answers["receive"] = StepEffects(persist={b"vote": b"2"})
+        harness.receive(b"x")
         await world.settle()
         assert await node.retire() == {} and node.stage is NodeStage.RETIRED
-        opened_before = world.opened
+        count_before = world.open_count
         await world.wait(10 * MIN_REOPEN_DELAY_US)
-        assert world.opened == opened_before and not world.disk.owner, "folder and address are another's"
-        assert 0 not in bench.network.open_links
+        assert world.open_count == count_before and not world.disk.owner, (
+            "folder and address are free for the successor"
+        )
+        assert 0 not in harness.network.open_links
         world.disk.mend()
         await node.restart()
         await world.settle()
@@ -733,29 +735,31 @@
     run(main())
 
 
-def test_what_ends_a_nodes_part_for_good_is_logged_also_while_it_waits_for_its_disk() -> None:
+def test_a_permanent_failure_is_logged_while_a_node_waits_for_its_disk() -> None:
     async def damaged() -> StateStore:
         raise StoreError("damaged at byte 7")
 
     async def main() -> None:
-        world = Reopened()
-        bench, node = world.bench, world.bench.node
+        world = ReopeningNode()
+        harness, node = world.harness, world.harness.node
         await node.start()
         await world.settle()
         world.disk.break_down(IO_ERROR, "sync")
-        bench.core.answers["receive"] = StepEffects(persist={b"vote": b"2"})
-        bench.receive(b"x")
+        harness.core.answers["receive"] = StepEffects(persist={b"vote": b"2"})
+        harness.receive(b"x")
         await world.settle()
         await world.wait(MAX_REOPEN_DELAY_US)
-        assert len(bench.log_lines) == 1, "the disk's fault is said once"
+        assert len(harness.log_lines) == 1, "the disk's fault is logged once"
         node.open_store = damaged
         await world.wait(MAX_REOPEN_DELAY_US)
         assert (
-            node.stage is NodeStage.FAILED and len(bench.log_lines) == 2 and "damaged" in bench.log_lines[1]
+            node.stage is NodeStage.FAILED
+            and len(harness.log_lines) == 2
+            and "damaged" in harness.log_lines[1]
         )
-        opened_before = world.opened
+        count_before = world.open_count
         await world.wait(10 * MAX_REOPEN_DELAY_US)
-        assert world.opened == opened_before and len(bench.log_lines) == 2
+        assert world.open_count == count_before and len(harness.log_lines) == 2
         await node.close()
 
     run(main())
