--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -1,4 +1,4 @@
-"""A wall clock that is stepped: spans of real time stay what they are. See docs/design/clocks.md."""
+"""Durations are measured in real time despite steps of the wall clock. See docs/design/clocks.md."""
 
 from __future__ import annotations
 
@@ -37,10 +37,11 @@
 
 HOUR_MS = 3_600_000
 STEPS = [-HOUR_MS, -1_000, 0, 1_000, HOUR_MS]
-# Written by commit 9af0195: twelve orders kept for 60 s from this moment on, and a record kept for ever.
+# Written by commit 9af0195: twelve requests recorded for 60 s from FIXTURE_WRITTEN_MS on, and a record that
+# never expires.
 FIXTURE = Path(__file__).parent / "fixtures" / "store-9af0195"
 FIXTURE_WRITTEN_MS = 1_800_000_000_000
-FIXTURE_KEEP_MS = 60_000
+FIXTURE_RETENTION_MS = 60_000
 FIXTURE_DIGEST = bytes(range(16))
 WINDOW_MS = 10 * HOUR_MS
 ALBUM = QueuedClass("album", True, WINDOW_MS * 1000)
@@ -54,7 +55,7 @@
 
 
 @pytest.mark.parametrize("step_ms", STEPS)
-def test_a_record_lives_for_its_span_whatever_the_wall_clock_does(step_ms: int) -> None:
+def test_a_record_expires_after_its_ttl_despite_wall_clock_steps(step_ms: int) -> None:
     async def main() -> None:
         machine = Machine()
         async with open_store(SimulatedDisk(), machine=machine) as store:
@@ -73,7 +74,7 @@
 
 
 @pytest.mark.parametrize("step_ms", STEPS)
-def test_a_record_lives_for_its_span_across_lives_of_one_boot(step_ms: int) -> None:
+def test_a_record_expires_after_its_ttl_across_restarts_in_one_boot(step_ms: int) -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
         async with open_store(disk, machine=machine) as store:
@@ -94,7 +95,7 @@
 
 
 @pytest.mark.parametrize("step_ms", STEPS)
-def test_a_record_never_goes_early_where_the_machine_was_started_anew(step_ms: int) -> None:
+def test_a_record_never_expires_early_after_a_reboot(step_ms: int) -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
         async with open_store(disk, machine=machine) as store:
@@ -105,21 +106,23 @@
         async with open_store(disk, machine=machine) as store:
             assert await store.get(b"order") == b"answer"
             machine.advance(59_999)
-            assert await store.get(b"order") == b"answer", "late by the time since the last note at most"
+            assert await store.get(b"order") == b"answer", (
+                "expires late by at most the time since the last checkpoint"
+            )
             machine.advance(1)
             assert await store.get(b"order") is None
 
     run(main())
 
 
-def test_notes_follow_the_writes_so_that_a_new_start_finds_a_fresh_one() -> None:
+def test_checkpoints_are_renewed_while_records_are_written() -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
         async with open_store(disk, machine=machine) as store:
             await store.put(b"order", b"answer", ttl_ms=10 * CHECKPOINT_INTERVAL_MS)
             first = store.index.clock_checkpoint
             await store.put(b"other", b"answer")
-            assert store.index.clock_checkpoint == first, "one a minute"
+            assert store.index.clock_checkpoint == first, "one checkpoint a minute"
             machine.advance(CHECKPOINT_INTERVAL_MS)
             await store.put(b"other", b"answer")
             assert ClockCheckpoint.decode(store.index.clock_checkpoint).monotonic_ms == machine.monotonic_ms
@@ -136,7 +139,7 @@
     run(main())
 
 
-def test_the_newest_note_outlives_compaction_and_the_older_ones_do_not() -> None:
+def test_compaction_keeps_only_the_newest_checkpoint() -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
         async with open_store(disk, machine=machine) as store:
@@ -157,7 +160,7 @@
     run(main())
 
 
-def test_a_note_that_was_not_written_is_written_with_the_next_batch() -> None:
+def test_a_checkpoint_that_failed_is_written_with_the_next_batch() -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
         async with open_store(disk, machine=machine) as store:
@@ -175,7 +178,7 @@
     run(main())
 
 
-def test_a_boot_has_one_name_and_an_unknown_one_is_never_the_same() -> None:
+def test_a_boot_identity_is_stable_and_an_unknown_one_matches_none() -> None:
     assert boot_identity() == boot_identity()
     checkpoint = ClockCheckpoint(50, 60, 1_000, 70, b"")
     assert ClockCheckpoint.decode(checkpoint.encode()) == checkpoint
@@ -188,17 +191,17 @@
     earlier = StoreClock(
         replace(checkpoint, boot=b"b"), False, StoreClocks(lambda: 0.5, lambda: 1_070, lambda: b"b")
     )
-    assert earlier.now_ms() == 50, "a monotonic clock that stands before the note is another's"
+    assert earlier.now_ms() == 50, "a monotonic clock behind the checkpoint is from another boot"
     with pytest.raises(ValueError, match="not a clock checkpoint"):
         ClockCheckpoint.decode(b"\0clock")
 
 
-# --- The request journal -----------------------------------------------------------------------------
+# --- The request journal ---------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("step_ms", STEPS)
 @pytest.mark.parametrize("restarts", [False, True])
-def test_an_order_named_again_within_its_window_is_never_sent_again(
+def test_a_repeated_request_is_not_sent_within_its_retention_time(
     tmp_path: Path, step_ms: int, restarts: bool
 ) -> None:
     async def main() -> None:
@@ -212,7 +215,7 @@
                 if not restarts:
                     assert summary(await client.send(pay_request())) == FROM_RECORD
                     machine.advance(1)
-                    assert summary(await client.send(pay_request())) == SERVED, "its window is over"
+                    assert summary(await client.send(pay_request())) == SERVED, "its retention time is over"
             if restarts:
                 async with client_with_journal(tmp_path, endpoint, settings=settings) as client:
                     await use_store(client, machine, disk)
@@ -225,26 +228,26 @@
 
 
 async def use_store(client: Client, machine: Machine, disk: SimulatedDisk) -> None:
-    """In the place of the one that the client opened."""
+    """Replace the store that the client opened."""
     recorder = client.engine.recorder
     assert isinstance(recorder, RequestJournal)
     await recorder.store.close()
     recorder.store = await Store.open(disk, SMALL, clocks=machine.clocks())
 
 
-# --- Stores of the format before -------------------------------------------------------------
+# --- Stores written before checkpoints -------------------------------------------------------
 
 
-def fixture(tmp_path: Path) -> FolderDisk:
+def copy_fixture(tmp_path: Path) -> FolderDisk:
     shutil.copytree(FIXTURE, tmp_path / "store")
     return FolderDisk(tmp_path / "store")
 
 
-def test_a_store_without_notes_is_read_and_written_on(tmp_path: Path) -> None:
+def test_a_store_without_checkpoints_can_be_read_and_written(tmp_path: Path) -> None:
     async def main() -> None:
         machine = Machine()
         machine.advance(30_000)
-        async with open_store(fixture(tmp_path), machine=machine) as store:
+        async with open_store(copy_fixture(tmp_path), machine=machine) as store:
             assert len(store) == 12 and await store.get(b"forever") == b"kept"
             record = await store.get(store_key("print-order", b"old-1"))
             assert record is not None and answer_from_record(record, FIXTURE_DIGEST).body == b"printed\n"
@@ -263,24 +266,24 @@
 
 
 @pytest.mark.parametrize("step_ms", STEPS)
-def test_a_record_of_a_store_without_notes_is_kept_an_hour_longer(tmp_path: Path, step_ms: int) -> None:
+def test_a_record_of_a_store_without_checkpoints_is_kept_an_hour_longer(tmp_path: Path, step_ms: int) -> None:
     async def main() -> None:
         machine, key = Machine(), store_key("print-order", b"old-1")
         machine.step_wall_clock(step_ms)
-        async with open_store(fixture(tmp_path), machine=machine) as store:
-            machine.advance(FIXTURE_KEEP_MS - 1)
-            assert await store.get(key) is not None, "never early"
+        async with open_store(copy_fixture(tmp_path), machine=machine) as store:
+            machine.advance(FIXTURE_RETENTION_MS - 1)
+            assert await store.get(key) is not None, "never expires early"
             machine.advance(1 + MAX_STEP_MS - step_ms)
             assert await store.get(key) is None
 
     run(main())
 
 
-# --- The outbox's time -----------------------------------------------------------------------
+# --- The outbox ------------------------------------------------------------------------------
 
 
 @contextlib.asynccontextmanager
-async def kept(machine: Machine, disk: SimulatedDisk) -> AsyncIterator[QueueStore]:
+async def open_queue(machine: Machine, disk: SimulatedDisk) -> AsyncIterator[QueueStore]:
     store = await QueueStore.open(disk, 1 << 20, clocks=machine.clocks())
     try:
         yield store
@@ -289,16 +292,16 @@
 
 
 @pytest.mark.parametrize("step_ms", STEPS)
-def test_the_age_of_a_kept_write_is_real_time_across_lives_of_one_boot(step_ms: int) -> None:
+def test_the_age_of_a_queued_write_is_exact_across_restarts_in_one_boot(step_ms: int) -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
-        async with kept(machine, disk) as store:
+        async with open_queue(machine, disk) as store:
             await store.secret()
             before = store.time_us()
             assert before == machine.wall_ms * 1000
         machine.step_wall_clock(step_ms)
         machine.advance(30_000)
-        async with kept(machine, disk) as store:
+        async with open_queue(machine, disk) as store:
             assert store.time_us() - before == 30_000_000
             assert store.is_elapsed_known and store.opening_uncertainty_us == 0
 
@@ -306,15 +309,15 @@
 
 
 @pytest.mark.parametrize("step_ms", STEPS)
-def test_the_age_of_a_kept_write_is_never_less_than_real_time_after_a_new_start(step_ms: int) -> None:
+def test_the_age_of_a_queued_write_is_not_underestimated_after_a_reboot(step_ms: int) -> None:
     async def main() -> None:
         machine, disk = Machine(), SimulatedDisk()
-        async with kept(machine, disk) as store:
+        async with open_queue(machine, disk) as store:
             await store.secret()
             before = store.time_us()
         machine.step_wall_clock(step_ms)
         machine.reboot(down_ms=30_000)
-        async with kept(machine, disk) as store:
+        async with open_queue(machine, disk) as store:
             elapsed_us = store.time_us() - before
             assert elapsed_us >= 30_000_000 or not store.is_elapsed_known
             assert elapsed_us - store.opening_uncertainty_us <= 30_000_000
@@ -323,19 +326,19 @@
     run(main())
 
 
-class Edge:
-    """The outbox of one edge, life after life on one disk. A keyed write has a window of ten hours."""
+class RestartedEdge:
+    """The outbox of one edge, restarted on one disk. Keyed writes may be repeated for ten hours."""
 
     def __init__(self) -> None:
         self.machine, self.disk = Machine(), SimulatedDisk()
 
     @contextlib.asynccontextmanager
-    async def life(self, incarnation: int) -> AsyncIterator[tuple[QueueStore, Outbox]]:
-        async with kept(self.machine, self.disk) as store:
+    async def process(self, incarnation: int) -> AsyncIterator[tuple[QueueStore, Outbox]]:
+        async with open_queue(self.machine, self.disk) as store:
             bounds = OutboxBounds(replay_most=1_000)
-            line = EdgeLog("ash", incarnation)
+            edge_log = EdgeLog("ash", incarnation)
             outbox = Outbox(
-                line,
+                edge_log,
                 {"album": ALBUM},
                 bounds,
                 CausalityTokens(b"the secret of all edges"),
@@ -358,9 +361,9 @@
     def now_us(self) -> int:
         return self.machine.monotonic_ms * 1000
 
-    async def keep_and_send(self) -> WriteId:
-        """One keyed write, sent, its answer lost with the process."""
-        async with self.life(1) as (store, outbox):
+    async def queue_and_send(self) -> WriteId:
+        """Queue and send a keyed write, whose answer is lost with the process."""
+        async with self.process(1) as (store, outbox):
             offer = WriteOffer("album", b"POST /", (), 0, b"", b"key")
             ticket = outbox.offer(offer, self.now_us(), store.time_us())
             assert ticket.write is not None
@@ -371,18 +374,18 @@
             return ticket.write_id
 
     def sends(self, outbox: Outbox) -> list[WriteId]:
-        return [one.write_id for one in outbox.due(self.now_us()) if one.event is WriteEvent.SEND]
+        return [change.write_id for change in outbox.due(self.now_us()) if change.event is WriteEvent.SEND]
 
 
 @pytest.mark.parametrize("step_ms", STEPS)
-def test_a_keyed_write_is_sent_again_within_its_true_window_alone(step_ms: int) -> None:
+def test_a_keyed_write_is_sent_again_only_within_its_real_window(step_ms: int) -> None:
     async def main() -> None:
-        for passed_ms, is_within in ((WINDOW_MS - HOUR_MS, True), (WINDOW_MS + 500, False)):
-            edge = Edge()
-            write_id = await edge.keep_and_send()
+        for elapsed_ms, is_within in ((WINDOW_MS - HOUR_MS, True), (WINDOW_MS + 500, False)):
+            edge = RestartedEdge()
+            write_id = await edge.queue_and_send()
             edge.machine.step_wall_clock(step_ms)
-            edge.machine.advance(passed_ms)
-            async with edge.life(2) as (_, outbox):
+            edge.machine.advance(elapsed_ms)
+            async with edge.process(2) as (_, outbox):
                 assert edge.sends(outbox) == ([write_id] if is_within else [])
                 if not is_within:
                     assert outbox.receipt(write_id).reason is ParkingReason.MAY_HAVE_RUN
@@ -391,37 +394,37 @@
 
 
 @pytest.mark.parametrize("step_ms", STEPS)
-def test_a_machine_started_anew_sends_a_keyed_write_again_only_without_doubt(step_ms: int) -> None:
+def test_after_a_reboot_a_keyed_write_is_sent_again_only_if_surely_in_its_window(step_ms: int) -> None:
     async def main() -> None:
-        for passed_ms in (HOUR_MS, WINDOW_MS - HOUR_MS // 2, WINDOW_MS + 500):
-            edge = Edge()
-            write_id = await edge.keep_and_send()
+        for elapsed_ms in (HOUR_MS, WINDOW_MS - HOUR_MS // 2, WINDOW_MS + 500):
+            edge = RestartedEdge()
+            write_id = await edge.queue_and_send()
             edge.machine.step_wall_clock(step_ms)
-            edge.machine.reboot(down_ms=passed_ms)
-            async with edge.life(2) as (_, outbox):
-                # An hour is allowed for a step back before that: so much of the window is not used.
-                is_sent = passed_ms + step_ms + MAX_STEP_MS < WINDOW_MS
-                assert not is_sent or passed_ms < WINDOW_MS
+            edge.machine.reboot(down_ms=elapsed_ms)
+            async with edge.process(2) as (_, outbox):
+                # The wall clock may have been stepped back by an hour, so the window's last hour is not used.
+                is_sent = elapsed_ms + step_ms + MAX_STEP_MS < WINDOW_MS
+                assert not is_sent or elapsed_ms < WINDOW_MS
                 assert edge.sends(outbox) == ([write_id] if is_sent else [])
                 assert is_sent or outbox.receipt(write_id).reason is ParkingReason.MAY_HAVE_RUN
-        edge = Edge()
-        write_id = await edge.keep_and_send()
+        edge = RestartedEdge()
+        write_id = await edge.queue_and_send()
         edge.machine.step_wall_clock(-HOUR_MS)
         edge.machine.reboot(down_ms=HOUR_MS - 1)
-        async with edge.life(2) as (_, outbox):
+        async with edge.process(2) as (_, outbox):
             assert edge.sends(outbox) == [] and outbox.receipt(write_id).reason is ParkingReason.MAY_HAVE_RUN
 
     run(main())
 
 
 @pytest.mark.parametrize("step_ms", STEPS)
-def test_a_receipt_is_kept_for_its_time_where_the_machine_was_started_anew(step_ms: int) -> None:
-    """Its key is known as long: a repeat is told of the write and is none of its own."""
+def test_a_receipt_is_kept_for_its_retention_time_after_a_reboot(step_ms: int) -> None:
+    """As long as it is kept, a repeat with its key gets the receipt and is not queued as a new write."""
 
     async def main() -> None:
-        edge = Edge()
-        write_id = await edge.keep_and_send()
-        async with edge.life(2) as (store, outbox):
+        edge = RestartedEdge()
+        write_id = await edge.queue_and_send()
+        async with edge.process(2) as (store, outbox):
             (change,) = outbox.due(edge.now_us())
             assert change.event is WriteEvent.SEND and outbox.apply(change, edge.now_us())
             change = outbox.on_replay_end(
@@ -430,7 +433,7 @@
             await store.put_state(change.state_change)
         edge.machine.step_wall_clock(step_ms)
         edge.machine.reboot(down_ms=30_000)
-        async with edge.life(3) as (_, outbox):
+        async with edge.process(3) as (_, outbox):
             edge.machine.advance(outbox.bounds.receipt_us // 1000 - 30_001)
             assert outbox.expired_receipts(edge.now_us()) == []
             edge.machine.advance(30_001 + MAX_STEP_MS)
