--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -222,7 +222,7 @@
                     assert summary(await client.send(pay_request())) == FROM_RECORD
                     machine.advance(1)
                     assert summary(await client.send(pay_request())) == SERVED
-            assert len(endpoint.got) == 2
+            assert len(endpoint.requests) == 2
 
     run(main())
 
--- a/tests/test_request_journal.py
+++ b/tests/test_request_journal.py
@@ -33,10 +33,10 @@
     Effects,
     Endpoint,
     after,
-    in_turn,
     refuse,
     request,
     reset,
+    sequence,
     serve,
     stall,
     whole_list,
@@ -53,7 +53,7 @@
     summary,
 )
 from tests.sockets import free_port
-from tests.test_library import member, nothing_held
+from tests.test_library import is_idle, member
 from tests.test_settings import platform_json, write_file
 
 
@@ -118,7 +118,7 @@
 
 def test_a_repeat_gets_the_recorded_answer(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Endpoint(in_turn(serve(b"first"), serve(b"second"))) as endpoint:
+        async with Endpoint(sequence(serve(b"first"), serve(b"second"))) as endpoint:
             async with client_with_journal(tmp_path, endpoint) as client:
                 assert summary(await client.send(pay_request())) == SERVED
                 repeat = await client.send(pay_request())
@@ -127,8 +127,8 @@
                 assert summary(await client.send(pay_request("o-2"))) == SERVED
                 without_key = Request("pay", "/pay", "POST", body=b"sum")
                 assert [summary(await client.send(without_key)) for _ in range(2)] == [SERVED, SERVED]
-                assert nothing_held(client)
-            assert len(endpoint.got) == 4, "requests without a key are not journaled"
+                assert is_idle(client)
+            assert len(endpoint.requests) == 4, "requests without a key are not journaled"
 
     run(main())
 
@@ -146,7 +146,7 @@
             gate.set()
             replies = await asyncio.gather(*tasks)
             assert {reply.body for reply in replies} == {b"one"} and (await other).status == 422
-            assert len(endpoint.got) == 1 and nothing_held(client)
+            assert len(endpoint.requests) == 1 and is_idle(client)
 
     run(main())
 
@@ -165,12 +165,12 @@
 def test_a_failed_request_is_not_sent_again(tmp_path: Path) -> None:
     async def main() -> None:
         async with (
-            Endpoint(in_turn(reset(), serve())) as endpoint,
+            Endpoint(sequence(reset(), serve())) as endpoint,
             client_with_journal(tmp_path, endpoint) as client,
         ):
             first, second = await client.send(pay_request()), await client.send(pay_request())
             assert (first.outcome, second.outcome) == (Ending.FAILED, Ending.FAILED)
-            assert len(endpoint.got) == 1
+            assert len(endpoint.requests) == 1
 
     run(main())
 
@@ -185,7 +185,7 @@
             first.cancel()
             assert summary(await follower) == MAY_HAVE_RUN
             assert summary(await client.send(pay_request())) == MAY_HAVE_RUN
-            assert len(endpoint.got) == 1 and nothing_held(client)
+            assert len(endpoint.requests) == 1 and is_idle(client)
 
     run(main())
 
@@ -202,7 +202,7 @@
             await asyncio.sleep(0)
             alone.cancel()
             assert summary(await client.send(pay_request("o-2"))) == SERVED
-            assert len(endpoint.got) == 2 and nothing_held(client)
+            assert len(endpoint.requests) == 2 and is_idle(client)
 
     run(main())
 
@@ -221,9 +221,11 @@
             disk.fail("sync", OSError(errno.EIO, "Input/output error"))
             reply = await client.send(pay_request())
             if unavailable == "pass":
-                assert summary(reply) == SERVED and len(endpoint.got) == 1
+                assert summary(reply) == SERVED and len(endpoint.requests) == 1
             else:
-                assert summary(reply) == MAY_HAVE_RUN and not endpoint.got, "fails at once with nothing sent"
+                assert summary(reply) == MAY_HAVE_RUN and not endpoint.requests, (
+                    "fails at once with nothing sent"
+                )
             assert (await client.send(Request("page", "/page"))).outcome is Ending.SERVED
 
     run(main())
@@ -259,7 +261,7 @@
 
             vars(recorder.store)["put"] = slow
             reply = await client.send(pay_request(deadline_s=0.05))
-            assert (reply.outcome, reply.status) == (Ending.FAILED, 504) and not endpoint.got
+            assert (reply.outcome, reply.status) == (Ending.FAILED, 504) and not endpoint.requests
             released.set()
             del vars(recorder.store)["put"]
             assert summary(await client.send(pay_request())) == SERVED, (
@@ -275,7 +277,7 @@
 def test_after_a_restart_repeats_get_recorded_answers_or_may_have_run(tmp_path: Path) -> None:
     async def main() -> None:
         effects = Effects()
-        script = in_turn(serve(b"album"), stall())
+        script = sequence(serve(b"album"), stall())
         async with Endpoint(script, effects=effects) as endpoint:
             async with client_with_journal(tmp_path, endpoint) as client:
                 assert summary(await client.send(pay_request("known"))) == SERVED
@@ -294,7 +296,7 @@
                         MAY_HAVE_RUN,
                         FROM_RECORD,
                     ]
-            assert len(endpoint.got) == 2 and not effects.twice()
+            assert len(endpoint.requests) == 2 and not effects.executed_twice()
 
     run(main())
 
@@ -324,7 +326,7 @@
     def __init__(self, folder: Path, seed: int) -> None:
         self.folder = folder
         self.seed = seed  # part of each order's key: worlds must not share keys
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self.effects = Effects()
         self.runs: dict[str, int] = {}  # by order: how often it ran
         self.statuses: dict[str, set[int]] = {}  # by order: the statuses answered
@@ -336,7 +338,7 @@
     async def handler(self, endpoint: Endpoint, message: Any, writer: Any) -> None:
         order = message.headers.get("x-order-id") or message.body.decode()
         self.runs[order] = self.runs.get(order, 0) + 1
-        if self.withheld is not None and self.draw.random() < 0.3:
+        if self.withheld is not None and self.rng.random() < 0.3:
             self.withheld.set()  # the order has run, and the daemon is killed without its answer
             return
         await serve(order.encode())(endpoint, message, writer)
@@ -357,7 +359,7 @@
             headers = f"X-Order-Id: {order}\r\n"
             raw = request("pay", order.encode(), headers, rid=f"r{self.request_count}", deadline_ms=2000)
             try:
-                reply = await caller.ask(raw)
+                reply = await caller.send(raw)
             except (OSError, asyncio.IncompleteReadError):
                 await asyncio.sleep(0.002)
                 continue
@@ -372,13 +374,16 @@
         while process.returncode is None:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 async with Caller("127.0.0.1", self.port) as caller:
-                    if (await caller.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")).status == 200:
+                    if (await caller.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")).status == 200:
                         return process
             await asyncio.sleep(0.005)
         raise AssertionError(f"the daemon exited with {process.returncode}")
 
     async def run(self, kills: int) -> None:
-        async with Endpoint(self.handler, keep=False) as first, Endpoint(self.handler, keep=False) as second:
+        async with (
+            Endpoint(self.handler, records_requests=False) as first,
+            Endpoint(self.handler, records_requests=False) as second,
+        ):
             entries = [first.entry("s-0"), second.entry("s-1")]
             text = platform_json(listen=f"127.0.0.1:{self.port}", known=whole_list(*entries))
             operator = OPERATOR.format(folder=self.folder / "store")
@@ -402,10 +407,10 @@
 
     async def until_kill(self) -> None:
         """Wait until more orders have run; half the time until one has run without an answer."""
-        target = sum(self.runs.values()) + self.draw.randint(1, 12)
+        target = sum(self.runs.values()) + self.rng.randint(1, 12)
         while sum(self.runs.values()) < target:
             await asyncio.sleep(0)
-        if self.draw.random() < 0.5:
+        if self.rng.random() < 0.5:
             self.withheld = asyncio.Event()
             await self.withheld.wait()
             self.withheld = None
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -59,11 +59,11 @@
 def crashed_disks(disk: SimulatedDisk, seed: int) -> Iterator[SimulatedDisk]:
     """Yield disks as the next process may find them: after a kill, and after power losses that keep none,
     all or some of the unsynced writes."""
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     yield disk.kill()
     yield disk.lose_power()
-    yield disk.lose_power(all_=True)
-    yield disk.lose_power(draw)
+    yield disk.lose_power(keeps_all=True)
+    yield disk.lose_power(rng)
 
 
 def cut_writes(journal: list[Op]) -> Iterator[tuple[list[Op], SimulatedDisk]]:
@@ -199,12 +199,12 @@
         async with open_store(disk) as store:
             await store.put(b"told", b"1")
         disk.create(segment_name(99), b"left over")
-        disk.break_down(NO_SPACE, "create", "write")
+        disk.fail_always(NO_SPACE, "create", "write")
         async with open_store(disk) as store:
             assert await store.get(b"told") == b"1" and segment_name(99) in disk.files()
             with pytest.raises(StoreUnavailableError):
                 await store.put(b"untold", b"2")
-        disk.mend()
+        disk.clear_errors()
         async with open_store(disk):
             assert segment_name(99) not in disk.files()
 
@@ -217,10 +217,10 @@
         disk = SimulatedDisk()
         async with open_store(disk) as store:
             await store.put(b"told", b"1")
-        disk.break_down(IO_ERROR, operation)
+        disk.fail_always(IO_ERROR, operation)
         with pytest.raises(StoreError, match="Input/output error"):
             await Store.open(disk)
-        disk.mend()
+        disk.clear_errors()
         async with open_store(disk) as store:
             assert await store.get(b"told") == b"1"
 
@@ -267,13 +267,13 @@
     """Random writes over several processes, and the values of each key that a process may find."""
 
     def __init__(self, seed: int) -> None:
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self.allowed: dict[bytes, set[bytes | None]] = {}
         self.reported = self.refused = 0
 
     async def write(self, store: Store) -> None:
-        key = b"k%d" % self.draw.randrange(6)
-        value = self.draw.randbytes(self.draw.randrange(60)) if self.draw.random() < 0.8 else None
+        key = b"k%d" % self.rng.randrange(6)
+        value = self.rng.randbytes(self.rng.randrange(60)) if self.rng.random() < 0.8 else None
         try:
             await (store.delete(key) if value is None else store.put(key, value))
         except StoreUnavailableError:
@@ -306,27 +306,27 @@
                 workload.on_opened({key: value async for key, value in store.scan(b"k")})
                 for phase in range(6):
                     if phase % 2:
-                        disk.break_down(
+                        disk.fail_always(
                             error,
-                            *workload.draw.sample(operations, workload.draw.randint(1, len(operations))),
+                            *workload.rng.sample(operations, workload.rng.randint(1, len(operations))),
                         )
                     else:
-                        disk.mend()
+                        disk.clear_errors()
                         machine.monotonic_s += MAX_BACKOFF_S
                         before = workload.reported
                         await workload.write(store)
                         assert workload.reported == before + 1, "writes succeed again once the disk works"
-                    for _ in range(workload.draw.randrange(8)):
+                    for _ in range(workload.rng.randrange(8)):
                         await workload.write(store)
-                        machine.monotonic_s += workload.draw.random() * 3
-                        for after in crashed_disks(disk, workload.draw.randrange(1 << 30)):
-                            after.mend()
+                        machine.monotonic_s += workload.rng.random() * 3
+                        for after in crashed_disks(disk, workload.rng.randrange(1 << 30)):
+                            after.clear_errors()
                             workload.check(recovered_state(after))
                     if phase == 3:
                         with contextlib.suppress(OSError):
                             await store.compact()
-                after = workload.draw.choice([*crashed_disks(disk, seed * 100 + process)])
-            after.mend()
+                after = workload.rng.choice([*crashed_disks(disk, seed * 100 + process)])
+            after.clear_errors()
             disk = after
         assert workload.reported > 20 and workload.refused > 5
 
@@ -353,7 +353,7 @@
             clocks = machine.clocks()
             client, _ = await client_with_store(disk, endpoint, "fail", tmp_path, stack, clocks=clocks)
             assert summary(await client.send(order_request("before"))) == SERVED
-            disk.break_down(error, *operations)
+            disk.fail_always(error, *operations)
             for n in range(4):
                 assert summary(await client.send(order_request(f"while-{n}"))) == MAY_HAVE_RUN
                 assert (await client.send(Request("page", "/page"))).outcome is Ending.SERVED
@@ -362,7 +362,7 @@
                 "recorded answers are still given"
             )
             assert orders_run(endpoint) == ["before"], "no request runs without a durable intent"
-            disk.mend()
+            disk.clear_errors()
             machine.monotonic_s += MAX_BACKOFF_S
             assert summary(await client.send(order_request("after"))) == SERVED
             assert summary(await client.send(order_request("while-0"))) == SERVED, (
@@ -378,7 +378,7 @@
 
 
 def orders_run(endpoint: Endpoint) -> list[str]:
-    return [message.body.decode() for message in endpoint.got if message.body]
+    return [message.body.decode() for message in endpoint.requests if message.body]
 
 
 def order_request(name: str) -> Request:
@@ -479,7 +479,7 @@
             for write in queued:
                 await store.put_write(*write)
             await store.put_state(StateChange(queued[0][0].write_id, WriteState.OUT))
-            disk.break_down(error, *operations)
+            disk.fail_always(error, *operations)
             for n in (3, 4):
                 with pytest.raises(FailedToKeepError):
                     await store.put_write(*write_with_body(n, 200_000))
@@ -488,7 +488,7 @@
                 assert not await store.delete_write(queued[1][0].write_id, queued[1][0].size)
                 machine.monotonic_s += MAX_BACKOFF_S / 3
             during = disk.kill()
-            disk.mend()
+            disk.clear_errors()
             machine.monotonic_s += MAX_BACKOFF_S
             await store.put_write(*write_with_body(5, 70_000))
             queued.append(write_with_body(5, 70_000))
@@ -496,7 +496,7 @@
                 assert await store.read(write[0].write_id) == write
         for after in crashed_disks(disk, 8):
             assert await read_queued(after) == [*queued]
-        during.mend()
+        during.clear_errors()
         loaded = await read_queued(during)
         assert loaded[:2] == queued[:2] and all(
             write in (write_with_body(3, 200_000), write_with_body(4, 200_000)) for write in loaded[2:]
@@ -564,7 +564,7 @@
             assert await store.delete_write(write.write_id, 0)
             calls = disk.journal
         for end in range(call_count, len(calls)):
-            async with open_queue(SimulatedDisk.replay(calls[:end]).lose_power(all_=True)) as store:
+            async with open_queue(SimulatedDisk.replay(calls[:end]).lose_power(keeps_all=True)) as store:
                 for _, change in (await store.load()).writes:
                     assert change is not None and change.state is WriteState.DONE
 
@@ -611,7 +611,7 @@
             for _ in range(3):
                 acknowledged += 1
                 await store.write(step_changes(acknowledged))
-            disk.break_down(error, *operations)
+            disk.fail_always(error, *operations)
             with pytest.raises(StateFaultError):
                 await store.write(step_changes(acknowledged + 1))
             with pytest.raises(StateFaultError):
@@ -619,7 +619,7 @@
             remaining = [*crashed_disks(disk, process)]
             await store.close()
             for after in remaining:
-                after.mend()
+                after.clear_errors()
                 first = await load_state(after)
                 assert first in (state_after(acknowledged), state_after(acknowledged + 1))
                 assert await load_state(after.lose_power()) == first
@@ -686,7 +686,7 @@
         harness.receive(b"x")
         await world.settle()
         assert (1, b"said") in harness.take_delivered(), "acknowledged"
-        world.disk.break_down(error, *operations)
+        world.disk.fail_always(error, *operations)
         harness.core.answers["receive"] = StepEffects(
             persist={b"vote": b"2"}, outgoing=SEND_AND_NOTIFY.outgoing
         )
@@ -699,7 +699,7 @@
             await world.wait(MAX_REOPEN_DELAY_US)
         assert node.stage is NodeStage.FAILED and world.open_count > 3
         assert len(harness.log_lines) == 1 and StateFaultError.remedy in harness.log_lines[0]
-        world.disk.mend()
+        world.disk.clear_errors()
         await world.wait(MAX_REOPEN_DELAY_US)
         assert node.is_running and node.status()["stage"] == "takes part" and not node.failure
         assert harness.core.records[b"vote"] in (b"1", b"2"), "an acknowledged vote is kept"
@@ -715,18 +715,18 @@
         harness, node = world.harness, world.harness.node
         await node.start()
         await world.settle()
-        world.disk.break_down(IO_ERROR, "sync")
+        world.disk.fail_always(IO_ERROR, "sync")
         harness.core.answers["receive"] = StepEffects(persist={b"vote": b"2"})
         harness.receive(b"x")
         await world.settle()
         assert await node.retire() == {} and node.stage is NodeStage.RETIRED
         count_before = world.open_count
         await world.wait(10 * MIN_REOPEN_DELAY_US)
-        assert world.open_count == count_before and not world.disk.owner, (
+        assert world.open_count == count_before and not world.disk.owners, (
             "folder and address are free for the successor"
         )
         assert 0 not in harness.network.open_links
-        world.disk.mend()
+        world.disk.clear_errors()
         await node.restart()
         await world.settle()
         assert node.is_running and not node.failure
@@ -744,7 +744,7 @@
         harness, node = world.harness, world.harness.node
         await node.start()
         await world.settle()
-        world.disk.break_down(IO_ERROR, "sync")
+        world.disk.fail_always(IO_ERROR, "sync")
         harness.core.answers["receive"] = StepEffects(persist={b"vote": b"2"})
         harness.receive(b"x")
         await world.settle()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -123,9 +123,9 @@
     checked = 0
     for index, (prefix, old, new) in enumerate(crash_points(calls)):
         disk = SimulatedDisk.replay(prefix)
-        draw = random.Random(index)
-        remains = [disk.lose_power(), disk.lose_power(all_=True)]
-        remains += [disk.lose_power(draw) for _ in range(12)]
+        rng = random.Random(index)
+        remains = [disk.lose_power(), disk.lose_power(keeps_all=True)]
+        remains += [disk.lose_power(rng) for _ in range(12)]
         for remaining in remains:
             assert recovered_state(remaining) in (old, new)
             checked += 1
@@ -145,7 +145,7 @@
                 disk.write(args[0], args[1], data[:size])
             else:
                 disk.create(args[0], data[:size])
-            assert recovered_state(disk.lose_power(all_=True)) in (old, new), (name, args[0], size)
+            assert recovered_state(disk.lose_power(keeps_all=True)) in (old, new), (name, args[0], size)
             checked += 1
     assert checked > 2_000
 
@@ -164,9 +164,9 @@
     reported = harmless = 0
     original = SimulatedDisk.replay(calls)
     for name, inode in original.names.items():
-        for offset in range(len(inode.view())):
+        for offset in range(len(inode.contents())):
             for bits in (0x01, 0x80, 0xFF):
-                disk = SimulatedDisk.replay(calls).lose_power(all_=True)
+                disk = SimulatedDisk.replay(calls).lose_power(keeps_all=True)
                 disk.names[name].durable[offset] ^= bits
                 try:
                     assert recovered_state(disk) == state, (name, offset)
@@ -180,7 +180,7 @@
 
 
 def test_a_garbage_length_in_the_middle_is_reported(calls: list[Op]) -> None:
-    disk = SimulatedDisk.replay(calls).lose_power(all_=True)
+    disk = SimulatedDisk.replay(calls).lose_power(keeps_all=True)
     manifest = inspect_folder(disk).manifest
     assert manifest is not None
     data = disk.names[segment_name(manifest.segments[-1].number)].durable
@@ -684,10 +684,10 @@
 
 
 def test_numbered_keys_behave_as_in_a_dictionary() -> None:
-    draw, index, model = random.Random(7), NumberedKeyMap(b"km"), dict[bytes, int]()
+    rng, index, model = random.Random(7), NumberedKeyMap(b"km"), dict[bytes, int]()
     for step in range(20_000):
-        key = draw.choice((b"k", b"m", b"x", b"kk")) + draw.randrange(400).to_bytes(3, "big")
-        if draw.random() < 0.6:
+        key = rng.choice((b"k", b"m", b"x", b"kk")) + rng.randrange(400).to_bytes(3, "big")
+        if rng.random() < 0.6:
             index[key] = model[key] = step + 1
         else:
             assert index.pop(key, None) == model.pop(key, None)
