--- a/laurelstep/__main__.py
+++ b/laurelstep/__main__.py
@@ -92,13 +92,13 @@
     """Run one of several workers, which was started by a supervisor. Returns the exit status."""
     import uvloop
 
-    from laurelstep.workers.worker import receive_known_list, slot_from_environ
+    from laurelstep.workers.worker import receive_endpoint_list, slot_from_environ
 
     slot = slot_from_environ(environ)
     assert slot is not None
     unblock_log()
     block_reload_signal()
-    config = slot.worker_config(read_config(environ), receive_known_list(slot.channel))
+    config = slot.worker_config(read_config(environ), receive_endpoint_list(slot.channel))
     gc.set_threshold(5_000, 10, 10)
     gc.freeze()
     uvloop.run(serve(config, environ, read_config, slot))
