--- a/laurelstep/__main__.py
+++ b/laurelstep/__main__.py
@@ -32,7 +32,7 @@
 def read_config(environ: dict[str, str]) -> Config:
     """The platform's configuration, extended by the operator's file; without LB_CONFIG, that file alone.
 
-    Raises `ConfigError` if it is invalid or not that of a daemon.
+    Raises `ConfigError` if it is invalid or lacks the address at which a daemon listens.
     """
     operator_path = environ.get("LB_OPERATOR")
     if not operator_path:
--- a/laurelstep/management/calls.py
+++ b/laurelstep/management/calls.py
@@ -4,7 +4,7 @@
 
 1. Status 2xx means success, 4xx and 5xx mean failure.
 2. Calls are idempotent: a repeated call succeeds again and changes nothing.
-3. The lifecycle decides on a drain or its end; this module only converts the result to a reply.
+3. The lifecycle decides whether a drain starts or ends; this module only converts the result to a reply.
 """
 
 from __future__ import annotations
--- a/laurelstep/management/server.py
+++ b/laurelstep/management/server.py
@@ -122,7 +122,7 @@
         if len(self.connections.waiting_since) > MAX_CONNECTIONS:
             oldest = self.incomplete.oldest() or self.connections.oldest()
             assert oldest is not None
-            self.on_disconnect(oldest)  # abort frees its descriptor later in this iteration of the event loop
+            self.on_disconnect(oldest)  # its descriptor is freed within this iteration of the event loop
             oldest.abort()
 
     def on_disconnect(self, connection: ManagementConnection) -> None:
--- a/laurelstep/reload.py
+++ b/laurelstep/reload.py
@@ -13,7 +13,7 @@
 from laurelstep.settings import Config, ConfigError
 
 ReadConfig = Callable[[dict[str, str]], Config]
-# Fields of `Config` that are applied by a reload, that may differ at each start, or whose parts are compared.
+# Fields of `Config` not compared as a whole: applied by a reload, new at each start, or compared by part.
 COMPARED_SEPARATELY: Final = ("discovery", "seed", "known", "names", "settings")
 # The tables of `Config.names` that are compared.
 NAME_TABLES: Final = ("classes", "tenants", "zones", "kinds")
--- a/laurelstep/settings/operator/accord.py
+++ b/laurelstep/settings/operator/accord.py
@@ -31,7 +31,7 @@
     drift: Annotated[float, msgspec.Meta(ge=0.0, le=0.2)] = 0.01
 
     def problem(self) -> str | None:
-        """An invalid value that can be found without the platform's peers: its key and what was expected."""
+        """An invalid value, as its key and what was expected; None if the table itself is valid."""
         if self.election_ms < 2 * self.heartbeat_ms:
             return "accord.election_ms: expected at least twice heartbeat_ms"
         if self.peers is not None and not self.peers:
@@ -43,10 +43,10 @@
                 return f"accord.{error}"
         return None
 
-    def duplicate_key(self) -> str | None:
-        """The first key of this table that the platform's configuration sets as well; None if there is none.
+    def misplaced_key(self) -> str | None:
+        """The first key set here that only the platform's configuration may set; None if there is none.
 
-        With the link `unix` the platform sets none of them.
+        Used where there is such a configuration. With the link `unix`, this table sets all keys.
         """
         if self.link == "unix":
             return None
--- a/laurelstep/settings/operator/document.py
+++ b/laurelstep/settings/operator/document.py
@@ -156,7 +156,7 @@
             if not accord.peers:
                 raise ConfigError(f"{path}: accord.peers: expected the paths of all copies, one each")
             return self._with_accord(config, path, accord.peers, accord.peer_listen)
-        if (key := accord.duplicate_key()) is not None:
+        if (key := accord.misplaced_key()) is not None:
             raise ConfigError(f"{path}: accord.{key}: expected none where LB_CONFIG is set")
         peers, listen = raw.get("peers") or [], raw.get("peer_listen")
         if not isinstance(peers, list) or not all(isinstance(peer, str) for peer in peers):
--- a/laurelstep/settings/platform.py
+++ b/laurelstep/settings/platform.py
@@ -36,7 +36,7 @@
 
 
 def _known(raw: Any, path: str, log: Log) -> dict[str, Any] | None:
-    """The valid entries of `known`, the endpoint list that the platform saved; None if there are none to use.
+    """The usable entries of `known`, the endpoint list that the platform saved; None if it is no list at all.
 
     The list may be outdated, and discovery replaces it, so a malformed one is logged and must not prevent a
     start.
--- a/laurelstep/subsystems/hot_restart.py
+++ b/laurelstep/subsystems/hot_restart.py
@@ -78,7 +78,7 @@
     """Raise OSError if another process listens at the address.
 
     This process binds it with SO_REUSEPORT, so that its successor can share it. Without the check, it would
-    share the address of any other daemon of the user, and get that daemon's clients.
+    also share the address of an unrelated daemon that binds it in this way, and take some of its clients.
     """
     if port == 0:
         return
@@ -134,12 +134,12 @@
         if predecessor is None:
             await wait_for_any(events)
             return
-        predecessor_gave_up = asyncio.Event()
-        # At this stage the channel only becomes readable when the predecessor closes it.
-        self.context.loop.add_reader(predecessor.channel.fileno(), predecessor_gave_up.set)
-        await wait_for_any((*events, predecessor_gave_up))
+        channel_closed = asyncio.Event()
+        # At this stage the channel becomes readable only if the predecessor rejects this process, or exits.
+        self.context.loop.add_reader(predecessor.channel.fileno(), channel_closed.set)
+        await wait_for_any((*events, channel_closed))
         self.context.loop.remove_reader(predecessor.channel.fileno())
-        if not predecessor_gave_up.is_set():
+        if not channel_closed.is_set():
             return
         if self.startup.rendezvous.register():
             raise ConfigError(
