--- a/laurelstep/store/log_format.py
+++ b/laurelstep/store/log_format.py
@@ -5,7 +5,7 @@
 1. A segment is a header, then frames. A frame is one batch, complete or absent: its checksum covers all of
    it and is salted with the segment's salt, so that frame bytes inside a value are not taken for a frame.
 2. The next frame is written only after the previous one is durable. Until then a commit frame (one without
-   records) in its place shows that the previous one is durable; it is written without a sync of its own.
+   records) in its place shows that the previous one is durable; it is written without a sync.
 3. So an unreadable frame with a readable one after it was durable, and is damaged. An unreadable frame with
    no readable one after it was never reported as written, and is the end of the log.
 4. In a sealed segment all frames up to its length must be readable.
