--- a/laurelstep/consensus/log.py
+++ b/laurelstep/consensus/log.py
@@ -152,7 +152,7 @@
         self._configs = [base_config, *newer_configs]
 
     def batch(self, first_index: int, last_index: int) -> list[LogEntry]:
-        """Return the entries from index `first` to at most `last` that fit into one message."""
+        """Return the entries from `first_index` to at most `last_index` that fit into one message."""
         remaining_bytes = MAX_BATCH_BYTES
         batch: list[LogEntry] = []
         for entry in self.entries[first_index - self.base_index - 1 : last_index - self.base_index]:
--- a/laurelstep/outbox/replay_driver.py
+++ b/laurelstep/outbox/replay_driver.py
@@ -11,7 +11,7 @@
 
 from laurelstep.balancing.events import ERROR, FULL, NO_CONNECT, OK, RESET, TIMEOUT
 from laurelstep.engine.call import Answer, Call, Ending
-from laurelstep.net.message import encode_headers as lines_of
+from laurelstep.net.message import encode_headers
 from laurelstep.net.request import parse_cost_hint, parse_object_key
 from laurelstep.outbox.driver_state import DriverState
 from laurelstep.outbox.outbox import ReplayResult, Transition
@@ -220,7 +220,7 @@
             request_class=cls,
             expires_at=self.engine.now() + self.engine.settings.classes[cls].deadline_us,
             method_and_target=write.method_and_target,
-            header_lines=lines_of(write.headers),
+            header_lines=encode_headers(write.headers),
             body=body,
             frontend=replay,
             # Not the client's own id: the client may still send a request with that.
--- a/tests/test_crossings_callers.py
+++ b/tests/test_crossings_callers.py
@@ -842,7 +842,7 @@
 async def listen(self, shared):
     if moment == "before":
         os.kill(os.getpid(), signal.SIGTERM)
-        while not self.ended.is_set():
+        while not self.stopped.is_set():
             await daemon.asyncio.sleep(0)
     await real(self, shared)
     if moment == "after":
