--- a/laurelstep/testing/processes/load.py
+++ b/laurelstep/testing/processes/load.py
@@ -38,22 +38,22 @@
         self.deadline_ms = deadline_ms
         self.answers: Counter[tuple[int, int]] = Counter()
         self.failures: Counter[int] = Counter()
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
         self._stopped = asyncio.Event()
-        self._changed = asyncio.Condition()
+        self._answer_recorded = asyncio.Condition()
         self._tasks = [
-            asyncio.create_task(self._call(program, number))
+            asyncio.create_task(self._run_client(program, number))
             for program in programs
             for number in range(clients)
         ]
 
-    async def _call(self, program: ProgramRunner, number: int) -> None:
+    async def _run_client(self, program: ProgramRunner, number: int) -> None:
         """Send requests until `stop`. Every fourth client closes its connection after each answer."""
         caller, last_request = Caller(*program.listen), ""
         while await self._wait_serving(program):
             if caller.streams is not None and caller.streams[0].at_eof():
                 caller.close()  # closed while idle, perhaps by the end of the process
-            last_request = await self._send_request(program, caller, next(self._numbers))
+            last_request = await self._send_request(program, caller, next(self._request_numbers))
             if number % 4 == 3:
                 await self._close_connection(program, caller, last_request)
             await asyncio.sleep(THINK_TIME_S)
@@ -86,8 +86,8 @@
             answered_id = message.body.decode() if message.status == 200 else request_id
             self.history.add(ResponseReceived(now_us(), process, answered_id, message.status))
             self.answers[process, message.status] += 1
-        async with self._changed:
-            self._changed.notify_all()
+        async with self._answer_recorded:
+            self._answer_recorded.notify_all()
         return request_id
 
     async def _close_connection(self, program: ProgramRunner, caller: Caller, last_request: str) -> None:
@@ -113,8 +113,8 @@
         selected = processes or [program.number for program in self.programs if program.serving.is_set()]
         targets = {process: self.answer_count(process) + answers for process in selected}
         try:
-            async with asyncio.timeout(EVENT_TIMEOUT_S), self._changed:
-                await self._changed.wait_for(
+            async with asyncio.timeout(EVENT_TIMEOUT_S), self._answer_recorded:
+                await self._answer_recorded.wait_for(
                     lambda: all(self.answer_count(n) >= target for n, target in targets.items())
                 )
         except TimeoutError:
--- a/laurelstep/testing/processes/program.py
+++ b/laurelstep/testing/processes/program.py
@@ -124,7 +124,7 @@
         self.management = (HOST, free_port())
         self.history.add_process_event(self.number, ProcessPhase.SUCCESSOR_STARTED)
         await self._spawn()
-        await self._wait_until_answered_ready()
+        await self._poll_until_ready()
         self.history.add_process_event(self.number, ProcessPhase.RETIRING)
         self._retiring.add(predecessor.pid)
         predecessor.send_signal(signal.SIGTERM)
@@ -174,11 +174,11 @@
 
     async def wait_ready(self) -> None:
         """Wait until the process reports over its management API that it is ready."""
-        await self._wait_until_answered_ready()
+        await self._poll_until_ready()
         self.history.add_process_event(self.number, ProcessPhase.READY)
         self.serving.set()
 
-    async def _wait_until_answered_ready(self) -> None:
+    async def _poll_until_ready(self) -> None:
         async def is_ready() -> bool:
             if not self.is_running:
                 raise AssertionError(f"process {self.number} ended: {self._last_lines}")
--- a/laurelstep/testing/processes/queued_writes.py
+++ b/laurelstep/testing/processes/queued_writes.py
@@ -251,7 +251,7 @@
             elif all(attempt.body != event.body for attempt in attempts):
                 yield _violation(UNKNOWN_WRITE, event.write, "delivered with another body")
             elif event.key != attempts[0].key:
-                yield _violation(WRONG_KEY, event.write, f"key {event.key!r} instead of {attempts[0].key!r}")
+                yield _violation(WRONG_KEY, event.write, f"key {attempts[0].key!r} arrived as {event.key!r}")
 
     def _check_rejected(self) -> Iterator[Violation]:
         """Rule 6."""
--- a/laurelstep/testing/schedules/checker.py
+++ b/laurelstep/testing/schedules/checker.py
@@ -133,7 +133,7 @@
         for index, value in unchecked:
             if self._digests.setdefault((epoch, index), value) != value:
                 raise self.violation(
-                    "one order", f"{process.peer} differs at index {index} of epoch {epoch.generation}"
+                    "one order", f"index {index} of epoch {epoch.generation} differs at {process.peer}"
                 )
         if entries and applied_index > self._base_indices.get(epoch, applied_index):
             last = self.committed.get(epoch)
