--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -1,9 +1,9 @@
-"""Maintenance in tiers of real processes, under load and faults. Endpoints and relays count what came of it:
-no request lost, none run twice, none sent to a machine after any process said that it is clear.
+"""Maintenance in tiers of real processes, under load and faults. `ProcessTier.check` fails if a request is
+lost or executed twice, or sent to a machine after any process has reported it clear. Each test polls the
+status of all its processes (`StatusWatch`).
 
-Each test looks at all its processes all the time (`StatusWatch`): the first that says clear is held to it.
-Where a machine must stay in `leaving`, an endpoint holds its answers or a process is cut off: what a
-test brings about then comes between leaving and clear however slow the machine is."""
+Where a machine must stay in the state `leaving`, an endpoint holds its answers, or a process is cut off. The
+test's next step then falls between `leaving` and `clear`, however slow the machine is that runs it."""
 
 from __future__ import annotations
 
@@ -15,297 +15,302 @@
 from laurelstep.testing.processes.history_checks import SENT_AFTER_DRAINED
 
 from tests.maintenance_processes import (
-    OperatorAtWork,
+    RollingOperator,
     inject_fault,
-    play,
-    watched,
+    run_with_timeout,
+    watched_tier,
 )
 
-# --- A night without faults -------------------------------------------------------------
+# --- Without faults ---------------------------------------------------------------------
 
 
-def test_three_machines_are_rolled_one_after_the_other() -> None:
+def test_three_machines_are_drained_and_return_one_after_the_other() -> None:
     async def main() -> None:
-        async with watched(3, 3) as (tier, watch):
-            machines = ["s-0", "s-2", "s-1"]  # by their zones
-            await watch.wish(0, *machines, out=1, share=0.5)
+        async with watched_tier(3, 3) as (tier, watch):
+            machines = ["s-0", "s-2", "s-1"]  # in the order of their zones
+            await watch.submit_request(0, *machines, out=1, share=0.5)
             for process, machine in enumerate(machines):
-                await watch.work(process, machine)
-                await watch.until_used(machine)
-            await watch.until_over("disk", range(3))
+                await watch.do_work(process, machine)
+                await watch.wait_for_use(machine)
+            await watch.wait_for_completion("disk", range(3))
             await watch.load.wait_for_answers(10)
-        assert watch.cleared == machines
+        assert watch.drained == machines
         tier.check()
 
-    play(main())
+    run_with_timeout(main())
 
 
-# --- One that leads, and is not there ---------------------------------------------------
+# --- Faults of the leader ---------------------------------------------------------------
 
 
-def test_the_one_that_leads_is_killed_while_a_machine_leaves() -> None:
+def test_the_leader_is_killed_during_a_drain() -> None:
     async def main() -> None:
-        async with watched(3, 3) as (tier, watch):
-            leader = await watch.until_led(*range(3))
-            others = [one for one in range(3) if one != leader]
-            machine = await watch.hold(*others)
-            await watch.wish(others[0], machine)
-            await watch.until_state(machine, "leaving", others)
+        async with watched_tier(3, 3) as (tier, watch):
+            leader = await watch.wait_for_leader(*range(3))
+            others = [process for process in range(3) if process != leader]
+            machine = await watch.hold_answers(*others)
+            await watch.submit_request(others[0], machine)
+            await watch.wait_for_state(machine, "leaving", others)
             await tier.kill(leader)
-            await watch.until_led(*others)
-            assert watch.cleared == []
+            await watch.wait_for_leader(*others)
+            assert watch.drained == []
             await tier.restart(leader)
-            watch.let_go(machine)
-            await watch.work(leader, machine)
-            await watch.until_over("disk", range(3))
-            await watch.until_used(machine)
-        assert watch.cleared == [machine]
+            watch.release_answers(machine)
+            await watch.do_work(leader, machine)
+            await watch.wait_for_completion("disk", range(3))
+            await watch.wait_for_use(machine)
+        assert watch.drained == [machine]
         tier.check()
 
-    play(main())
+    run_with_timeout(main())
 
 
-def test_the_one_that_leads_is_paused_while_a_machine_leaves() -> None:
-    """For longer than the others wait for it. It sends there still, for all they know: not clear."""
+def test_a_drain_waits_for_a_leader_that_is_paused() -> None:
+    """The pause is longer than an election. For all the others know, the paused leader still sends there."""
 
     async def main() -> None:
-        async with watched(3, 3) as (tier, watch):
-            leader = await watch.until_led(*range(3))
-            others = [one for one in range(3) if one != leader]
-            machine = await watch.hold(*others)
-            await watch.wish(others[0], machine)
-            await watch.until_state(machine, "leaving", range(3))
+        async with watched_tier(3, 3) as (tier, watch):
+            leader = await watch.wait_for_leader(*range(3))
+            others = [process for process in range(3) if process != leader]
+            machine = await watch.hold_answers(*others)
+            await watch.submit_request(others[0], machine)
+            await watch.wait_for_state(machine, "leaving", range(3))
             tier.pause(leader)
-            await watch.until_led(*others)
-            watch.let_go(machine)
-            await watch.until(lambda: watch.missing(machine) == [leader], "the paused one is missed")
-            assert watch.cleared == []
+            await watch.wait_for_leader(*others)
+            watch.release_answers(machine)
+            await watch.wait_for(
+                lambda: watch.missing_peers(machine) == [leader], "the paused process is missing"
+            )
+            assert watch.drained == []
             tier.resume(leader)
-            await watch.until_led(*range(3))
-            await watch.work(leader, machine)
-            await watch.until_over("disk", range(3))
-            await watch.until_used(machine, leader)
-        assert watch.cleared == [machine]
+            await watch.wait_for_leader(*range(3))
+            await watch.do_work(leader, machine)
+            await watch.wait_for_completion("disk", range(3))
+            await watch.wait_for_use(machine, leader)
+        assert watch.drained == [machine]
         tier.check()
 
-    play(main())
+    run_with_timeout(main())
 
 
-# --- Cut off ----------------------------------------------------------------------------
+# --- Processes that are cut off ---------------------------------------------------------
 
 
-def test_the_lesser_part_serves_on_and_takes_nobody_out() -> None:
+def test_a_minority_that_is_cut_off_serves_and_drains_no_machine() -> None:
     async def main() -> None:
-        async with watched(5, 5, callers=1) as (tier, watch):
-            leader = await watch.until_led(*range(5))
+        async with watched_tier(5, 5, clients=1) as (tier, watch):
+            leader = await watch.wait_for_leader(*range(5))
             minority = [leader, (leader + 1) % 5]
-            majority = [one for one in range(5) if one not in minority]
-            first = watch.used(*minority)
+            majority = [process for process in range(5) if process not in minority]
+            first = watch.most_used_machine(*minority)
             second = next(name for name in ("s-0", "s-1") if name != first)
             tier.partition(minority, majority)
-            await watch.until(lambda: not any(watch.seen[one]["in_touch"] for one in minority), "cut off")
-            status, told = await watch.call(minority[0], "wish", name="lost", id=second)
-            assert status == 503 and told["error"] == "CutOffError" and told["remedy"]
-            await watch.until_led(*majority)
-            await watch.wish(majority[0], first)
-            await watch.until(lambda: watch.missing(first) == sorted(minority), "the lesser part is missed")
-            for one in minority:
-                await watch.until_used(first, one)
+            await watch.wait_for(lambda: not any(watch.statuses[n]["in_touch"] for n in minority), "cut off")
+            status, answer = await watch.call(minority[0], "wish", name="lost", id=second)
+            assert status == 503 and answer["error"] == "CutOffError" and answer["remedy"]
+            await watch.wait_for_leader(*majority)
+            await watch.submit_request(majority[0], first)
+            await watch.wait_for(
+                lambda: watch.missing_peers(first) == sorted(minority), "the minority is missing"
+            )
+            for process in minority:
+                await watch.wait_for_use(first, process)
             await watch.load.wait_for_answers(10)
-            assert all(not watch.seen[one]["machines"] for one in minority) and watch.cleared == []
+            assert all(not watch.statuses[n]["machines"] for n in minority) and watch.drained == []
             tier.heal_partition()
-            await watch.until_led(*range(5))
-            await watch.wish(minority[0], second, name="lost")
-            await watch.work(minority[1], first)
-            await watch.work(minority[0], second, "lost")
-            await watch.until_over("lost", range(5))
-        assert watch.cleared == [first, second]
+            await watch.wait_for_leader(*range(5))
+            await watch.submit_request(minority[0], second, name="lost")
+            await watch.do_work(minority[1], first)
+            await watch.do_work(minority[0], second, "lost")
+            await watch.wait_for_completion("lost", range(5))
+        assert watch.drained == [first, second]
         tier.check()
 
-    play(main())
+    run_with_timeout(main())
 
 
-def test_one_that_was_cut_off_before_the_wish_keeps_clear_from_being_said() -> None:
+def test_a_drain_waits_for_a_process_that_was_cut_off_before_the_request() -> None:
     async def main() -> None:
-        async with watched(3, 3) as (tier, watch):
-            leader = await watch.until_led(*range(3))
-            cut, other = (one for one in range(3) if one != leader)
-            machine = watch.used(cut)
-            tier.partition({cut}, {leader, other})
-            await watch.wish(other, machine)
-            await watch.until(lambda: watch.missing(machine) == [cut], "it is named")
-            await watch.until_used(machine, cut)
-            await watch.until(lambda: not watch.seen[cut]["in_touch"], "it says that it is cut off")
-            assert watch.cleared == []
+        async with watched_tier(3, 3) as (tier, watch):
+            leader = await watch.wait_for_leader(*range(3))
+            cut_off, other = (process for process in range(3) if process != leader)
+            machine = watch.most_used_machine(cut_off)
+            tier.partition({cut_off}, {leader, other})
+            await watch.submit_request(other, machine)
+            await watch.wait_for(lambda: watch.missing_peers(machine) == [cut_off], "it is missing")
+            await watch.wait_for_use(machine, cut_off)
+            await watch.wait_for(lambda: not watch.statuses[cut_off]["in_touch"], "it reports its isolation")
+            assert watch.drained == []
             tier.heal_partition()
-            await watch.work(cut, machine)
-            await watch.until_used(machine, cut)
-        assert watch.cleared == [machine]
+            await watch.do_work(cut_off, machine)
+            await watch.wait_for_use(machine, cut_off)
+        assert watch.drained == [machine]
         tier.check()
 
-    play(main())
+    run_with_timeout(main())
 
 
-# --- All at once ------------------------------------------------------------------------
+# --- All processes at once --------------------------------------------------------------
 
 
-def test_all_are_killed_between_leaving_and_clear() -> None:
+def test_all_processes_are_killed_during_a_drain() -> None:
     async def main() -> None:
-        async with watched(3, 3) as (tier, watch):
-            before = watch.era(0)
-            machine = await watch.hold(0, 1, 2)
-            await watch.wish(0, machine)
-            await watch.until_state(machine, "leaving", range(3))
-            await asyncio.gather(*(tier.kill(one) for one in range(3)))
-            watch.let_go(machine)
-            await asyncio.gather(*(tier.start(one) for one in range(3)))
-            await watch.until_led(*range(3))
-            assert before not in [watch.era(one) for one in range(3)] and watch.cleared == []
-            await watch.until_used(machine)
-            await watch.wish(1, machine, name="again")
-            await watch.work(2, machine, "again")
-            await watch.until_over("again", range(3))
-        assert watch.cleared == [machine]
+        async with watched_tier(3, 3) as (tier, watch):
+            epoch_before = watch.epoch_id(0)
+            machine = await watch.hold_answers(0, 1, 2)
+            await watch.submit_request(0, machine)
+            await watch.wait_for_state(machine, "leaving", range(3))
+            await asyncio.gather(*(tier.kill(process) for process in range(3)))
+            watch.release_answers(machine)
+            await asyncio.gather(*(tier.start(process) for process in range(3)))
+            await watch.wait_for_leader(*range(3))
+            assert epoch_before not in [watch.epoch_id(n) for n in range(3)] and watch.drained == []
+            await watch.wait_for_use(machine)
+            await watch.submit_request(1, machine, name="again")
+            await watch.do_work(2, machine, "again")
+            await watch.wait_for_completion("again", range(3))
+        assert watch.drained == [machine]
         tier.check()
 
-    play(main())
+    run_with_timeout(main())
 
 
-# --- Parts without a majority, one way, and a bridge ------------------------------------
+# --- Partitions without a majority, in one direction, and with a bridge -----------------
 
 
-def test_seven_in_halves_agree_nothing_and_serve_on() -> None:
-    """Five of them decide, one of these is dead: two on each side."""
+def test_without_a_majority_of_voters_on_either_side_no_machine_is_drained() -> None:
+    """Of seven processes five are voters. One voter is dead, and two are on each side of the partition."""
 
     async def main() -> None:
-        async with watched(7, 5, callers=1) as (tier, watch):
+        async with watched_tier(7, 5, clients=1) as (tier, watch):
             await tier.kill(4)
             sides = ([0, 1, 5], [2, 3, 6])
             tier.partition(*sides)
-            await watch.until(
-                lambda: not any(watch.seen[one]["in_touch"] for one in (0, 1, 2, 3)), "nobody leads"
+            await watch.wait_for(
+                lambda: not any(watch.statuses[n]["in_touch"] for n in (0, 1, 2, 3)), "no leader"
             )
             for side in sides:
-                status, told = await watch.call(side[0], "wish", name="disk", id="s-0")
-                assert status == 503 and told["error"] == "CutOffError"
+                status, answer = await watch.call(side[0], "wish", name="disk", id="s-0")
+                assert status == 503 and answer["error"] == "CutOffError"
             await watch.load.wait_for_answers(10, *sides[0], *sides[1])
             tier.heal_partition()
-            await watch.until_led(0, 1, 2, 3)
-            await watch.wish(1, "s-0")
-            await watch.until_state("s-0", "leaving", (0, 1, 2, 3, 5, 6))
-            await watch.until(lambda: watch.missing("s-0") == [4], "the dead one is named")
-            assert watch.cleared == []
+            await watch.wait_for_leader(0, 1, 2, 3)
+            await watch.submit_request(1, "s-0")
+            await watch.wait_for_state("s-0", "leaving", (0, 1, 2, 3, 5, 6))
+            await watch.wait_for(lambda: watch.missing_peers("s-0") == [4], "the dead process is missing")
+            assert watch.drained == []
             await tier.restart(4)
-            await watch.work(4, "s-0")
-            await watch.until_over("disk", range(7))
-        assert watch.cleared == ["s-0"]
+            await watch.do_work(4, "s-0")
+            await watch.wait_for_completion("disk", range(7))
+        assert watch.drained == ["s-0"]
         tier.check()
 
-    play(main())
+    run_with_timeout(main())
 
 
-def test_six_in_halves_go_on_where_most_of_the_five_are() -> None:
+def test_the_side_with_most_voters_accepts_requests_and_waits_for_the_others() -> None:
     async def main() -> None:
-        async with watched(6, 5, callers=1) as (tier, watch):
-            most, rest = [0, 1, 2], [3, 4, 5]
-            machine = watch.used(*rest)
-            tier.partition(most, rest)
-            await watch.until_led(*most)
-            await watch.until(lambda: not any(watch.seen[one]["in_touch"] for one in (3, 4)), "cut off")
-            await watch.wish(2, machine)
-            await watch.until(lambda: watch.missing(machine) == rest, "the others are missed")
-            for one in rest:
-                await watch.until_used(machine, one)
-            assert watch.cleared == []
+        async with watched_tier(6, 5, clients=1) as (tier, watch):
+            majority, others = [0, 1, 2], [3, 4, 5]
+            machine = watch.most_used_machine(*others)
+            tier.partition(majority, others)
+            await watch.wait_for_leader(*majority)
+            await watch.wait_for(lambda: not any(watch.statuses[n]["in_touch"] for n in (3, 4)), "cut off")
+            await watch.submit_request(2, machine)
+            await watch.wait_for(lambda: watch.missing_peers(machine) == others, "the others are missing")
+            for process in others:
+                await watch.wait_for_use(machine, process)
+            assert watch.drained == []
             tier.heal_partition()
-            await watch.work(5, machine)
-            await watch.until_over("disk", range(6))
-        assert watch.cleared == [machine]
+            await watch.do_work(5, machine)
+            await watch.wait_for_completion("disk", range(6))
+        assert watch.drained == [machine]
         tier.check()
 
-    play(main())
+    run_with_timeout(main())
 
 
-def test_one_that_leads_and_is_not_heard_gives_way() -> None:
-    """It hears the others; they do not hear it."""
+def test_a_leader_whose_datagrams_are_lost_is_replaced() -> None:
+    """It receives datagrams from the others, but they receive none from it."""
 
     async def main() -> None:
-        async with watched(3, 3) as (tier, watch):
-            deaf = await watch.until_led(*range(3))
-            others = [one for one in range(3) if one != deaf]
-            tier.partition({deaf}, others, both_ways=False)
-            await watch.until_led(*others)
-            await watch.until(lambda: not watch.seen[deaf]["leading"], "it gives way")
-            await watch.wish(others[0], "s-0")
-            await watch.until(lambda: watch.missing("s-0") == [deaf], "its word does not come")
-            assert watch.cleared == []
+        async with watched_tier(3, 3) as (tier, watch):
+            isolated = await watch.wait_for_leader(*range(3))
+            others = [process for process in range(3) if process != isolated]
+            tier.partition({isolated}, others, both_ways=False)
+            await watch.wait_for_leader(*others)
+            await watch.wait_for(lambda: not watch.statuses[isolated]["leading"], "it steps down")
+            await watch.submit_request(others[0], "s-0")
+            await watch.wait_for(lambda: watch.missing_peers("s-0") == [isolated], "it is missing")
+            assert watch.drained == []
             tier.heal_partition()
-            await watch.work(deaf, "s-0")
-            await watch.until_over("disk", range(3))
-        assert watch.cleared == ["s-0"]
+            await watch.do_work(isolated, "s-0")
+            await watch.wait_for_completion("disk", range(3))
+        assert watch.drained == ["s-0"]
         tier.check()
 
-    play(main())
+    run_with_timeout(main())
 
 
-@pytest.mark.parametrize("leads", [True, False])
-def test_a_bridge(leads: bool) -> None:
-    """One hears both others, who do not hear each other. If it leads, all goes on; if not, it stays
-    with the one that leads, and the third is as one that is cut off."""
+@pytest.mark.parametrize("bridge_leads", [True, False])
+def test_two_processes_are_connected_only_through_a_third(bridge_leads: bool) -> None:
+    """The third process is a bridge. If it leads, drains complete. If not, it keeps its leader, and the other
+    process is cut off.
+    """
 
     async def main() -> None:
-        async with watched(3, 3) as (tier, watch):
-            leader = await watch.until_led(*range(3))
-            one, other = (n for n in range(3) if n != leader)
-            bridge, ends = (leader, (one, other)) if leads else (one, (leader, other))
-            machine = watch.used(other)
+        async with watched_tier(3, 3) as (tier, watch):
+            leader = await watch.wait_for_leader(*range(3))
+            follower, other = (process for process in range(3) if process != leader)
+            bridge, ends = (leader, (follower, other)) if bridge_leads else (follower, (leader, other))
+            machine = watch.most_used_machine(other)
             tier.partition({ends[0]}, {ends[1]})
-            await watch.wish(bridge, machine)
-            if leads:
-                await watch.work(ends[1], machine)
+            await watch.submit_request(bridge, machine)
+            if bridge_leads:
+                await watch.do_work(ends[1], machine)
             else:
-                await watch.until(lambda: watch.missing(machine) == [other], "the third is missed")
-                await watch.until_used(machine, other)
-                assert watch.cleared == [] and watch.seen[bridge]["accord"]["leader"] == leader
+                await watch.wait_for(lambda: watch.missing_peers(machine) == [other], "it is missing")
+                await watch.wait_for_use(machine, other)
+                assert watch.drained == [] and watch.statuses[bridge]["accord"]["leader"] == leader
                 tier.heal_partition()
-                await watch.work(other, machine)
-            await watch.until_over("disk", range(3))
-        assert watch.cleared == [machine]
+                await watch.do_work(other, machine)
+            await watch.wait_for_completion("disk", range(3))
+        assert watch.drained == [machine]
         tier.check()
 
-    play(main())
+    run_with_timeout(main())
 
 
-# --- A release, and bad weather ---------------------------------------------------------
+# --- Hot restarts and packet loss -------------------------------------------------------
 
 
-def test_a_release_replaces_all_while_three_wishes_are_under_way() -> None:
+def test_all_processes_are_replaced_while_three_requests_are_open() -> None:
     async def main() -> None:
-        async with watched(3, 3) as (tier, watch):
+        async with watched_tier(3, 3) as (tier, watch):
             for name, machine in (("disk", "s-0"), ("kernel", "s-1"), ("board", "s-2")):
-                await watch.wish(0, machine, name=name, out=2)
-            await watch.until_state("s-0", "clear", range(3))
-            await watch.ask(0, "begin", machine="s-0")
-            await watch.until_state("s-0", "at work", range(3))
+                await watch.submit_request(0, machine, name=name, out=2)
+            await watch.wait_for_state("s-0", "clear", range(3))
+            await watch.submit(0, "begin", machine="s-0")
+            await watch.wait_for_state("s-0", "at work", range(3))
             for process in range(3):
                 assert await tier.replace(process) == 0
-                await watch.until_led(*range(3))
-            await watch.finish(1, "s-0", "disk")
-            await watch.work(2, "s-1", "kernel")
-            await watch.work(0, "s-2", "board")
-            await watch.until_over("board", range(3))
-            await watch.until_used("s-0")
-        assert sorted(watch.cleared) == ["s-0", "s-1", "s-2"]
+                await watch.wait_for_leader(*range(3))
+            await watch.finish_work(1, "s-0", "disk")
+            await watch.do_work(2, "s-1", "kernel")
+            await watch.do_work(0, "s-2", "board")
+            await watch.wait_for_completion("board", range(3))
+            await watch.wait_for_use("s-0")
+        assert sorted(watch.drained) == ["s-0", "s-1", "s-2"]
         tier.check()
 
-    play(main())
+    run_with_timeout(main())
 
 
-def test_a_roll_through_bad_weather() -> None:
-    """A tenth of all datagrams is lost, a tenth comes twice, and they overtake each other."""
+def test_a_request_is_completed_while_datagrams_are_lost_repeated_and_reordered() -> None:
+    """A tenth of all datagrams each is lost, duplicated and reordered."""
 
     async def main() -> None:
-        async with watched(5, 5, callers=1) as (tier, watch):
+        async with watched_tier(5, 5, clients=1) as (tier, watch):
             tier.set_network_faults(
                 NetworkFaults(
                     loss_probability=0.1,
@@ -314,53 +319,55 @@
                     delay_us=(0, 20_000),
                 )
             )
-            await watch.wish(0, "s-0", "s-1")
-            await watch.work(1, "s-0")
-            await watch.work(4, "s-1")
-            await watch.until_over("disk", range(5))
-            assert sum(one.lost_count for one in tier.datagrams.route_table.routes.values()) > 0
-        assert watch.cleared == ["s-0", "s-1"]
+            await watch.submit_request(0, "s-0", "s-1")
+            await watch.do_work(1, "s-0")
+            await watch.do_work(4, "s-1")
+            await watch.wait_for_completion("disk", range(5))
+            assert sum(route.lost_count for route in tier.datagrams.route_table.routes.values()) > 0
+        assert watch.drained == ["s-0", "s-1"]
         tier.check()
 
-    play(main())
+    run_with_timeout(main())
 
 
-# --- Faults as they are drawn -----------------------------------------------------------
+# --- Random faults ----------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_rolls_go_on_through_faults_as_they_are_drawn(seed: int) -> None:
-    """One at a time, so that a majority remembers. Once they end, two more wishes come to their end."""
+def test_requests_are_completed_after_random_faults(seed: int) -> None:
+    """One fault at a time, so that a majority keeps the state. Two more requests are completed after them."""
 
     async def main() -> None:
-        async with watched(3 if seed % 2 else 5, 3, callers=1, seed=seed) as (tier, watch):
-            worker = OperatorAtWork(watch, ["s-0", "s-1", "s-2"])
+        async with watched_tier(3 if seed % 2 else 5, 3, clients=1, seed=seed) as (tier, watch):
+            operator = RollingOperator(watch, ["s-0", "s-1", "s-2"])
             try:
                 for _ in range(5):
                     await inject_fault(tier, watch)
-                rolled = worker.rolled
-                await watch.until(lambda: worker.rolled > rolled + 1, "progress once faults end")
+                completed_count = operator.completed_count
+                await watch.wait_for(
+                    lambda: operator.completed_count > completed_count + 1, "progress after the faults"
+                )
             finally:
-                worker.close()
-        assert len(watch.cleared) >= 3
+                operator.close()
+        assert len(watch.drained) >= 3
         tier.check()
 
-    play(main())
+    run_with_timeout(main())
 
 
-# --- A faulty program -------------------------------------------------------------------
+# --- The checker ------------------------------------------------------------------------
 
-# Clear as soon as all have confirmed but one.
-EARLY: Final = """
+# The leader reports a machine clear while one acknowledgement is missing.
+REPORTED_TOO_EARLY: Final = """
 import sys
 from laurelstep.__main__ import main
 from laurelstep.maintenance.acknowledgements import DrainAcknowledgements
 missing_peers = DrainAcknowledgements.missing_peers
-DrainAcknowledgements.missing_peers = lambda *given: missing_peers(*given)[1:]
+DrainAcknowledgements.missing_peers = lambda *args: missing_peers(*args)[1:]
 sys.exit(main(sys.argv[1:]))
 """
-# Drains are not told to the module: it sends where it sent before.
-UNTOLD: Final = """
+# The engine does not get cordoned machines as draining, and continues to send there.
+NOT_CORDONED: Final = """
 import sys
 from laurelstep.__main__ import main
 from laurelstep.maintenance.overlay import EndpointOverlay
@@ -369,20 +376,22 @@
 """
 
 
-@pytest.mark.parametrize("fault", [EARLY, UNTOLD], ids=["clear one confirmation early", "drain not told"])
-def test_a_program_with_a_fault_is_found(fault: str) -> None:
+@pytest.mark.parametrize(
+    "program", [REPORTED_TOO_EARLY, NOT_CORDONED], ids=["one acknowledgement missing", "not cordoned"]
+)
+def test_a_faulty_program_is_found(program: str) -> None:
     async def main() -> None:
-        async with watched(3, 3, command_prefix=("-c", fault)) as (tier, watch):
-            leader = await watch.until_led(*range(3))
-            last = next(one for one in range(3) if one != leader)
-            machine = watch.used(last)
-            if fault is EARLY:
-                tier.partition({last}, set(range(3)) - {last})
-            await watch.wish(leader, machine)
-            await watch.until(lambda: watch.cleared, "clear, which is untrue")
-            await watch.until_used(machine, last)
-        assert {one.rule for one in tier.violations()} == {SENT_AFTER_DRAINED}
+        async with watched_tier(3, 3, command_prefix=("-c", program)) as (tier, watch):
+            leader = await watch.wait_for_leader(*range(3))
+            follower = next(process for process in range(3) if process != leader)
+            machine = watch.most_used_machine(follower)
+            if program is REPORTED_TOO_EARLY:
+                tier.partition({follower}, set(range(3)) - {follower})
+            await watch.submit_request(leader, machine)
+            await watch.wait_for(lambda: watch.drained, "a machine reported clear")
+            await watch.wait_for_use(machine, follower)
+        assert {violation.rule for violation in tier.violations()} == {SENT_AFTER_DRAINED}
         with pytest.raises(AssertionError, match=f"{SENT_AFTER_DRAINED}: {machine} at process"):
             tier.check()
 
-    play(main())
+    run_with_timeout(main())
