--- a/tests/maintenance_processes.py
+++ b/tests/maintenance_processes.py
@@ -232,8 +232,8 @@
 
 
 class RollingOperator:
-    """Submits one request after the other for the same machines, and does their work. Each call is made at a
-    process that answers, by its status.
+    """Submits one request after the other for the same machines, and does their work. Each call is made at
+    the process whose status shows that it is due.
     """
 
     def __init__(self, watch: StatusWatch, machines: list[str]) -> None:
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -222,7 +222,7 @@
         dead = [replica.index for replica in self.replicas if replica.is_dead]
         if replica is not None and dead:
             peer = self.rng.choice(dead)
-            # The call means the incarnation in this replica's state: it has to be the crashed one, or none.
+            # The call applies to the incarnation in this replica's state: it must be the crashed one or none.
             if replica.state.incarnations.get(peer, 0) in (0, self.replicas[peer].incarnation):
                 self.try_call(lambda: replica.api.declare_absent(peer))
 
