--- a/setup.py
+++ b/setup.py
@@ -1,7 +1,7 @@
-"""Compiles the modules that every request passes with mypyc, where there is a C compiler.
+"""Compiles the modules on the path of every request with mypyc.
 
-They stay plain Python: where there is none, or with LAURELSTEP_PLAIN set, the package is
-installed as it stands and gives the same results, slower.
+Without a working C compiler, or with LAURELSTEP_PLAIN set, the package is installed as plain Python: the
+same results, but slower.
 """
 
 import os
@@ -49,21 +49,21 @@
 )
 
 
-class BuildWherePossible(build_ext):
-    """Compiles, or leaves the plain modules where there is no compiler that works."""
+class OptionalBuildExt(build_ext):
+    """Compiles the extension modules; without a working compiler, installs the plain modules."""
 
     def run(self) -> None:
-        """Build the extension modules; a failure is told and ends nothing."""
+        """Build the extension modules. A failure is printed and does not stop the installation."""
         try:
             super().run()
         except Exception as error:
-            # setuptools has a dozen errors for a compiler that is absent or fails.
+            # Any exception: a compiler that is absent or fails raises many different types.
             print(f"laurelstep: not compiled, runs as plain Python: {error}", file=sys.stderr)
             self.extensions = []
 
 
 def extensions() -> list:
-    """The extension modules of `MODULES`; none with LAURELSTEP_PLAIN set."""
+    """Return the extension modules for `MODULES`; none with LAURELSTEP_PLAIN set."""
     if os.environ.get("LAURELSTEP_PLAIN"):
         return []
     from mypyc.build import mypycify
@@ -72,4 +72,4 @@
     return mypycify(paths, opt_level="3", debug_level="0", group_name="laurelstep")
 
 
-setup(ext_modules=extensions(), cmdclass={"build_ext": BuildWherePossible})
+setup(ext_modules=extensions(), cmdclass={"build_ext": OptionalBuildExt})
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -72,9 +72,8 @@
         self.known_endpoints: set[int] = set()
         self.in_flight: dict[Attempt, SentAttempt] = {}
         self.writes: list[tuple[int, int, Call]] = []  # time in µs, endpoint number, call
-        self.executions: dict[
-            bytes, list[int]
-        ] = {}  # endpoint numbers that executed a request, by request id
+        # The numbers of the endpoints that executed a request, by request id.
+        self.executions: dict[bytes, list[int]] = {}
 
     def set_address(self, endpoint: int, address: str) -> None:
         self.known_endpoints.add(endpoint)
--- a/tests/test_balancing_outliers.py
+++ b/tests/test_balancing_outliers.py
@@ -34,8 +34,7 @@
 
 def test_an_endpoint_that_fails_one_segment_keeps_the_others() -> None:
     """An endpoint may fail only the requests of one class (deployment haverhill-accounts, scenario
-    class_fail) or of one tenant
-    (incident i4b6c8c).
+    class_fail) or of one tenant (incident i4b6c8c).
     """
     settings = replace(SETTINGS, classes=(SHORT_CLASS, SHORT_CLASS), tenants=(50.0, 50.0), full_unproven=True)
     balancer = started(1, settings=settings)
--- a/tests/test_discovery_server.py
+++ b/tests/test_discovery_server.py
@@ -54,7 +54,7 @@
     async def next_list(self) -> tuple[int, bool, list[tuple[str, str]]]:
         """The generation of the next list, whether it is full, and the name and lifecycle of each entry."""
         parsed = json.loads(await self.line())
-        entries = [(one["instanceId"], one["lifecycle"]) for one in parsed["instances"]]
+        entries = [(raw["instanceId"], raw["lifecycle"]) for raw in parsed["instances"]]
         return parsed["generation"], parsed["reset"], entries
 
 
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -145,9 +145,9 @@
     st.integers(0, 300),
     st.text(max_size=2),
 )
-def test_text_that_the_json_module_rejects_is_rejected(value: dict[str, Any], at: int, noise: str) -> None:
+def test_text_that_the_json_module_rejects_is_rejected(value: dict[str, Any], index: int, noise: str) -> None:
     text = json.dumps(value)
-    text = text[:at] + noise + text[at + 1 :]
+    text = text[:index] + noise + text[index + 1 :]
     try:
         read = json.loads(text)
     except ValueError:
--- a/tests/test_loop_watch.py
+++ b/tests/test_loop_watch.py
@@ -57,7 +57,7 @@
         loop.run_iteration()
         late_checks += loop.is_late()
         wakeups += len(loop.pending)
-    assert late_checks == LATE_US // 1_000, "only at the start, when nothing is known of the loop"
+    assert late_checks == LATE_US // 1_000, "only at the start, before the loop has been observed"
     assert wakeups <= 1000 // 10
 
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,7 +1,7 @@
 """Guards against memory leaks: a request leaves no memory allocated, whatever its result.
 
 The test counts allocated blocks of the interpreter, so that a leak shows after some hundred requests. It also
-covers the compiled modules, where a fault of the compiler can leak memory that no garbage collector finds."""
+covers the compiled modules, where a compiler fault can leak memory that no garbage collector finds."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         if isinstance(node, ast.Assign) and ast.unparse(node.targets[0]) == "MODULES":
             names: tuple[str, ...] = eval(compile(ast.Expression(node.value), "setup.py", "eval"))
             return names
-    raise AssertionError("setup.py names no modules")
+    raise AssertionError("setup.py defines no MODULES")
 
 
 ROUNDS = 120
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -32,9 +32,8 @@
         self.answered: list[str] = []
         self.unanswered: list[str] = []  # requests for which the connection ended instead of an answer
         self.is_told_to_close = False
-        self.warmed_up = (
-            asyncio.Event()
-        )  # several requests were answered on this connection, or it was closed
+        # Set once several requests were answered on this connection, or it was closed.
+        self.warmed_up = asyncio.Event()
 
     async def send_until_closed(self) -> None:
         while not self.is_told_to_close and not self.unanswered:
@@ -71,7 +70,7 @@
 
 def test_after_twenty_restarts_under_load_every_request_that_ran_has_its_answer(tmp_path: Path) -> None:
     """Requests on a connection that stays open after SIGTERM are answered. Only the close of an idle
-    connection may cross a request, which was never read then: retrying it is harmless."""
+    connection may cross a request. Such a request was never read, so retrying it is safe."""
 
     async def main() -> None:
         endpoint, registry = Endpoint(), Registry()
