--- a/laurelstep/testing/processes/discovery.py
+++ b/laurelstep/testing/processes/discovery.py
@@ -75,7 +75,7 @@
     async def _report_when_read(
         self, watch: _OpenWatch, end_offset: int, entries: Sequence[Entry], pushed_at_us: int
     ) -> None:
-        """Call `on_read` once the process has read up to `end_offset`, unless the watch ends before."""
+        """Call `on_read` once the process has read up to `end_offset`, unless the watch ends first."""
         assert self.relay is not None
         port = watch.writer.get_extra_info("peername")[1]
         while (connection := self.relay.connection_on_port(port)) is not None:
--- a/laurelstep/testing/processes/relays.py
+++ b/laurelstep/testing/processes/relays.py
@@ -195,9 +195,9 @@
 
 
 def _queue_sizes(near_port: int, far_port: int) -> tuple[int, int] | None:
-    """Return how many bytes of a loopback connection the far end has not acknowledged, and not read.
+    """Return the unacknowledged bytes from the near to the far port, and the unread bytes at the far port.
 
-    None if the connection is gone. The numbers are from `/proc/net/tcp`, see proc(5).
+    None if the loopback connection is gone. The numbers are from `/proc/net/tcp`, see proc(5).
     """
     unacknowledged = unread = None
     with open("/proc/net/tcp", encoding="ascii") as file:
