--- a/laurelstep/outbox/__init__.py
+++ b/laurelstep/outbox/__init__.py
@@ -1,4 +1,4 @@
-"""An outbox keeps writes on disk while its edge is cut off, and replays each upstream once, in causal order.
+"""An outbox keeps writes on disk while its edge is cut off, then replays each once, in causal order.
 
 Pure modules: write ids, dependencies and tokens (`write_ids`, `dependencies`, `causality_tokens`); states
 and records (`records`); the table of open writes and their dependency graph (`write_table`,
--- a/laurelstep/outbox/admission.py
+++ b/laurelstep/outbox/admission.py
@@ -50,13 +50,13 @@
         """Whether a request has to be offered to the outbox before it is sent upstream."""
         if self._is_replay(call):
             return False
-        self.background_replay.live = True
+        self.background_replay.had_live_request = True
         if call.request_class not in self.classes or self.closing:
             return False
         return self.cutoff.is_cut_off or self._follows_queued(call)
 
     def _is_replay(self, call: Call) -> bool:
-        """Whether a call is no client's: a replay, a query about a write, or a replay of another edge."""
+        """Whether no client sent the call: a replay or a query of this outbox, or another edge's replay."""
         if call.queued_write_fate is not None or isinstance(call.frontend, ReplayFront):
             return True
         return (
@@ -119,7 +119,7 @@
     ) -> bool:
         """Refuse a call that can't be queued if it would overtake a write that it depends on.
 
-        True if it was refused. A call that was sent already (`answer`) is not refused.
+        True if it was refused. A call that was sent upstream already (`answer` is not None) is not refused.
         """
         if answer is None and self._follows_queued(call):
             engine.settle(call, Answer(Ending.REFUSED, 503, retry_after_us=retry_us))
@@ -159,10 +159,10 @@
             # `on_stored` compares it with the first request.
             self.storing[write_id].append(call)
         else:
-            self.spawn(self._answer_known(call, write_id, engine))
+            self.spawn(self._answer_stored_repeat(call, write_id, engine))
 
-    async def _answer_known(self, call: Call, write_id: WriteId, engine: CallHost) -> None:
-        """Answer a repeat of a stored write: the same request gets the same receipt, another a conflict."""
+    async def _answer_stored_repeat(self, call: Call, write_id: WriteId, engine: CallHost) -> None:
+        """Answer a repeat of a stored write: the same receipt for the same request, else a conflict."""
         digest = self.bodies.digest(call)
         try:
             head = await self.store.head(write_id)
@@ -179,7 +179,7 @@
     def on_call_closed(self, call: Call) -> None:
         """Stop receiving the body of a call that its client closed.
 
-        A call whose write is being stored is found to be closed when the store is done.
+        A write that is already being stored is deleted afterwards if no open call waits for it.
         """
         self.bodies.on_closed(call)
 
@@ -188,7 +188,7 @@
         is_known_absent = is_stored = True
         try:
             storing = self.store.put_write(write, call.body)
-            await asyncio.sleep(0)  # lets the store start, so that the answer is built meanwhile
+            await asyncio.sleep(0)  # lets the store start; the answer is built while it writes
             prepared_answer = self._accepted_answer(write_id)
             await storing
             if not any(waiting.is_open for waiting in self.storing[write_id]):
@@ -207,9 +207,9 @@
         engine: CallHost,
         prepared_answer: Answer | None = None,
     ) -> None:
-        """Answer all calls that wait for a write; the first of them with `prepared_answer`, if given.
+        """Answer all calls that wait for a write; the first of them with `prepared_answer`, if not None.
 
-        `is_known_absent`: of a write that was not stored, whether no later incarnation can find it.
+        `is_known_absent`: if the write was not stored, whether no later incarnation can find it.
         """
         write_id = write.write_id
         waiting = self.storing.pop(write_id)
--- a/laurelstep/outbox/api.py
+++ b/laurelstep/outbox/api.py
@@ -9,8 +9,9 @@
 3. `POST /api/outbox/lost` declares an edge lost at a copy that shares a ledger: the edge will not return, and
    its writes that are not applied are given up. The parameters are `edge`, and `incarnation` in 16 hex digits
    if only that incarnation is lost. This can't be undone.
-4. `POST /api/outbox/claim` with `line` as `edge/incarnation` is for the edge log of an earlier incarnation,
-   if it is fenced: of the processes that have copies of the same disk, this one replays the log.
+4. `POST /api/outbox/claim` is for the edge log of an earlier incarnation that is fenced here: of the
+   processes that have copies of the same disk, this one replays it. The parameter `line` is
+   `edge/incarnation`.
 5. 202: the change is being stored, and `GET` shows when it is done. 200: it was made already. 400, 404 and
    409: the body has the error's name, cause and remedy, and nothing was changed.
 """
@@ -43,7 +44,7 @@
         """The status for an operator, in types that JSON has."""
 
     def resolve(self, text: str, parking: int, resolution: Resolution) -> bool:
-        """Resolve a parked write; False if that was done already. `OutboxError` if it can't be."""
+        """Resolve a parked write; False if that was done already. `OutboxError` if it can't be resolved."""
 
 
 class EdgeLossApi(Protocol):
@@ -61,7 +62,7 @@
     """What the management calls need of an edge that may claim logs of earlier incarnations."""
 
     def claim(self, edge_log: EdgeLog) -> bool:
-        """Claim a log; False if this process has it already. `UnknownWriteError` if it is not known."""
+        """Claim a log; False if this process holds it already. `UnknownWriteError` if it has no such log."""
 
 
 class OutboxCallError(OutboxError):
@@ -87,7 +88,7 @@
 ) -> Reply | None:
     """Answer a management call; None if the path is not one of the outbox's.
 
-    `shared`: given at a copy that shares a ledger. `claimer`: given where logs can be claimed.
+    `shared`: None at a process that shares no ledger. `claimer`: None where logs can't be claimed.
     """
     path, _, query = target.partition(b"?")
     expected = METHODS.get(path)
@@ -136,8 +137,8 @@
 
 
 def _read_resolution(query: bytes) -> tuple[str, int, Resolution]:
-    given = _fields(query, JUDGE_FIELDS)
-    write, parking, resolution = (given[name] for name in JUDGE_FIELDS)
+    values = _fields(query, JUDGE_FIELDS)
+    write, parking, resolution = (values[name] for name in JUDGE_FIELDS)
     if not parking.isdecimal() or not parking.isascii() or len(parking) > 9:
         raise OutboxCallError(f"parking: expected a number, got {parking[:40]!r}")
     if resolution not in VERDICTS:
@@ -146,12 +147,12 @@
 
 
 def _read_lost(query: bytes) -> tuple[str, int]:
-    given = _fields(query, ("edge",), ("incarnation",))
-    incarnation = given.get("incarnation")
+    values = _fields(query, ("edge",), ("incarnation",))
+    incarnation = values.get("incarnation")
     if incarnation is not None:
-        return _parse_edge_log(f"{given['edge']}/{incarnation}")
+        return _parse_edge_log(f"{values['edge']}/{incarnation}")
     try:
-        return check_edge(given["edge"]), 0
+        return check_edge(values["edge"]), 0
     except ValueError as error:
         raise OutboxCallError(f"edge: {error}") from None
 
@@ -174,13 +175,13 @@
     """The query's parameters: each required one once, each optional one at most once, and no other."""
     try:
         max_fields = len(required) + len(optional)
-        given = parse_qs(query.decode("ascii"), strict_parsing=True, max_num_fields=max_fields)
+        parameters = parse_qs(query.decode("ascii"), strict_parsing=True, max_num_fields=max_fields)
     except ValueError as error:
         raise OutboxCallError(f"the query can't be read: {error}") from None
-    names = set(given)
+    names = set(parameters)
     if not set(required) <= names <= {*required, *optional} or any(
-        len(values) != 1 for values in given.values()
+        len(values) != 1 for values in parameters.values()
     ):
         expected = ", ".join(required) + "".join(f" and maybe {name}" for name in optional)
         raise OutboxCallError(f"expected {expected}, once each, and nothing else")
-    return {name: values[0] for name, values in given.items()}
+    return {name: values[0] for name, values in parameters.items()}
--- a/laurelstep/outbox/background_replay.py
+++ b/laurelstep/outbox/background_replay.py
@@ -1,8 +1,8 @@
-"""Limits the event loop's share for replays: one send at a time, spaced while live requests arrive.
+"""Limits the event-loop time that replays take: one send at a time, spaced while live requests arrive.
 
 The writes of one store batch become ready together. If they were all sent at once, a live request that
-arrives then would wait for all of them. After a send, the next one waits `PAUSE_FACTOR` times as long as the
-send took, if live requests have arrived.
+arrives then would wait for all of them. If a live request has arrived since the last send, the next one waits
+`PAUSE_FACTOR` times as long as that send took.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 class BackgroundReplay:
-    """A lock to hold during each send (`async with`). `live`: set when a live request arrives."""
+    """A lock to hold during each send (`async with`). `had_live_request`: set when a live request arrives."""
 
     def __init__(self) -> None:
-        self.live = False
+        self.had_live_request = False
         self._lock = asyncio.Lock()
         self._began_s = 0.0
 
@@ -33,8 +33,8 @@
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         loop = asyncio.get_running_loop()
-        if self.live:
-            self.live = False
+        if self.had_live_request:
+            self.had_live_request = False
             loop.call_later(PAUSE_FACTOR * (time.perf_counter() - self._began_s), self._lock.release)
         else:
             loop.call_soon(self._lock.release)  # lets the loop poll its sockets before the next send
--- a/laurelstep/outbox/call_fields.py
+++ b/laurelstep/outbox/call_fields.py
@@ -12,10 +12,10 @@
 SEALED_INDEX: Final = 3
 
 
-def forwarded_headers(head: bytes) -> tuple[tuple[bytes, bytes], ...]:
-    """The headers that are forwarded upstream, with names in lower case."""
+def forwarded_headers(header_lines: bytes) -> tuple[tuple[bytes, bytes], ...]:
+    """The names, in lower case, and values of the header lines that are forwarded upstream."""
     headers = []
-    for line in head.split(b"\r\n"):
+    for line in header_lines.split(b"\r\n"):
         name, colon, value = line.partition(b":")
         if colon:
             headers.append((name.lower(), value.strip()))
@@ -23,7 +23,7 @@
 
 
 def causality_tokens_of(call: Call) -> str:
-    """The causality tokens that the call brings, comma-separated; a receipt is a token too."""
+    """The causality tokens in the call's headers, comma-separated; a receipt is a token too."""
     return ",".join(part.decode("latin-1") for part in call.causal_dependencies[:2] if part)
 
 
--- a/laurelstep/outbox/causality_tokens.py
+++ b/laurelstep/outbox/causality_tokens.py
@@ -1,10 +1,10 @@
 """The causality token: carries the writes that a client's next write depends on. Pure.
 
 1. A token is signed with the edges' common secret, so that it can't be forged or altered. It has at most
-   `MAX_TOKEN_LENGTH` characters, enough for any `LOGS_FIT` logs. A set that does not fit is replaced by a
-   join: a queued write without effect that depends on the whole set (`Outbox.join`).
+   `MAX_TOKEN_LENGTH` characters, enough for any `GUARANTEED_LOGS` logs. A set that does not fit is replaced
+   by a join: a queued write without effect that depends on the whole set (`Outbox.join`).
 2. A request may bring several tokens, with at most `MAX_DEPENDENCIES` write ids in all.
-3. A token is not confidential: it names writes, but the right to read their receipts is a separate one.
+3. A token is not confidential: it names writes, but the right to read their receipts is granted separately.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 __all__ = ["MAX_TOKEN_LENGTH", "CausalityTokens"]
 
 MAX_TOKEN_LENGTH: Final = 512
-LOGS_FIT: Final = 6
+GUARANTEED_LOGS: Final = 6
 # Bounds the memory that one header can take before any of its tokens is read.
 _MAX_TOKENS: Final = 128
 _SIGNATURE_BYTES: Final = 12
@@ -62,7 +62,7 @@
         return text
 
     def receipt(self, write_id: WriteId) -> str:
-        """The token of a single write, which is its receipt."""
+        """The token that names only this write: its receipt."""
         return self.encode((Dependency(*write_id),))
 
     def read(self, value: str) -> Dependencies:
--- a/laurelstep/outbox/cutoff.py
+++ b/laurelstep/outbox/cutoff.py
@@ -46,7 +46,7 @@
         self.is_cut_off = False
 
     def on_endpoint_count(self, endpoint_count: int, now: int) -> None:
-        """Take the number of endpoints in the new list, at `now` in µs."""
+        """Set the number of endpoints that are listed, at `now` in µs."""
         if not endpoint_count and self._endpoint_count:
             self._empty_since = now
         self._endpoint_count = endpoint_count
--- a/laurelstep/outbox/dependencies.py
+++ b/laurelstep/outbox/dependencies.py
@@ -1,7 +1,7 @@
 """The writes that a write depends on. Pure.
 
 1. A write depends on a set of write ids. A write id stands for its write and for all that this write depends
-   on in turn, so a client only needs to bring the receipt of its last write.
+   on in turn, so a client only needs to send the receipt of its last write.
 2. Up to `IDS_PER_LOG` write ids of one log are listed individually. More are replaced by one dependency on
    all writes up to the newest of them, which may cover more writes than were named, never fewer.
 """
--- a/laurelstep/outbox/dependency_graph.py
+++ b/laurelstep/outbox/dependency_graph.py
@@ -26,8 +26,8 @@
         self._incoming_count = array("i")  # number of incoming arrows
         self._blocked_count = array("i")  # number of incoming arrows from blocked nodes
         self._halted = array("b")
-        self._out = array("i")  # the first outgoing arrow
-        self._in = array("i")  # the first incoming arrow
+        self._first_out = array("i")  # the first outgoing arrow
+        self._first_in = array("i")  # the first incoming arrow
         self._free_nodes = array("i")
         self._source = array("i")
         self._target = array("i")
@@ -46,16 +46,16 @@
         return len(self._source) - len(self._free_arrows)
 
     def add(self) -> int:
-        """Add a node without dependencies."""
+        """Add a node without dependencies, and return it."""
         if self._free_nodes:
             node = self._free_nodes.pop()
             self._incoming_count[node] = self._blocked_count[node] = self._halted[node] = 0
-            self._out[node] = self._in[node] = NONE
+            self._first_out[node] = self._first_in[node] = NONE
             return node
         for column in (self._incoming_count, self._blocked_count, self._halted):
             column.append(0)
-        self._out.append(NONE)
-        self._in.append(NONE)
+        self._first_out.append(NONE)
+        self._first_in.append(NONE)
         return len(self._incoming_count) - 1
 
     def link(self, dependency: int, follower: int) -> None:
@@ -67,11 +67,11 @@
             for column in (self._source, self._target, self._next_out, self._next_in, self._prev_in):
                 column.append(NONE)
         self._source[arrow], self._target[arrow] = dependency, follower
-        self._next_out[arrow], self._out[dependency] = self._out[dependency], arrow
-        first = self._in[follower]
+        self._next_out[arrow], self._first_out[dependency] = self._first_out[dependency], arrow
+        first = self._first_in[follower]
         if first != NONE:
             self._prev_in[first] = arrow
-        self._next_in[arrow], self._prev_in[arrow], self._in[follower] = first, NONE, arrow
+        self._next_in[arrow], self._prev_in[arrow], self._first_in[follower] = first, NONE, arrow
         self._incoming_count[follower] += 1
         if self.is_blocked(dependency):
             was_blocked = self.is_blocked(follower)
@@ -93,19 +93,19 @@
 
     def dependencies(self, node: int) -> list[int]:
         """The direct dependencies of the node."""
-        found, arrow = [], self._in[node]
+        nodes, arrow = [], self._first_in[node]
         while arrow != NONE:
-            found.append(self._source[arrow])
+            nodes.append(self._source[arrow])
             arrow = self._next_in[arrow]
-        return found
+        return nodes
 
     def followers(self, node: int) -> list[int]:
         """The direct followers of the node."""
-        found, arrow = [], self._out[node]
+        nodes, arrow = [], self._first_out[node]
         while arrow != NONE:
-            found.append(self._target[arrow])
+            nodes.append(self._target[arrow])
             arrow = self._next_out[arrow]
-        return found
+        return nodes
 
     def find_blocker(self, node: int) -> int:
         """A halted node that this node depends on, if there is one; else any direct dependency, or NONE."""
@@ -137,9 +137,9 @@
         while work:
             for follower in self.followers(work.pop()):
                 self.arrows_visited += 1
-                before = self.is_blocked(follower)
+                was_blocked = self.is_blocked(follower)
                 self._blocked_count[follower] += step
-                if self.is_blocked(follower) != before:
+                if self.is_blocked(follower) != was_blocked:
                     work.append(follower)
 
     def finish(self, node: int) -> list[int]:
@@ -149,7 +149,7 @@
         """
         assert self.is_free(node)
         self.resume(node)
-        freed, arrow = [], self._out[node]
+        freed, arrow = [], self._first_out[node]
         while arrow != NONE:
             follower, following = self._target[arrow], self._next_out[arrow]
             self._unlink_in(follower, arrow)
@@ -162,10 +162,10 @@
 
     def _unlink_in(self, follower: int, arrow: int) -> None:
         self._incoming_count[follower] -= 1
-        before, after = self._prev_in[arrow], self._next_in[arrow]
-        if before == NONE:
-            self._in[follower] = after
+        previous, following = self._prev_in[arrow], self._next_in[arrow]
+        if previous == NONE:
+            self._first_in[follower] = following
         else:
-            self._next_in[before] = after
-        if after != NONE:
-            self._prev_in[after] = before
+            self._next_in[previous] = following
+        if following != NONE:
+            self._prev_in[following] = previous
--- a/laurelstep/outbox/dependency_tracker.py
+++ b/laurelstep/outbox/dependency_tracker.py
@@ -1,6 +1,7 @@
-"""The open queued writes and their dependencies. Pure. The other parts of `outbox` build on it.
+"""The open queued writes and their dependencies: the base of the classes that form `Outbox`. Pure.
 
-1. A row stands for an own write until the write is finished: final, with all its dependencies finished too.
+1. An own write has a row until it is finished, which means that it is final and all its dependencies are
+   finished.
 2. A write of another log has a row while an own write depends on it. A barrier has a row while it blocks a
    write.
 3. An own write id is packed into one integer: the index of its log, then its number. A number that was
@@ -74,19 +75,19 @@
         self._expiry_queue = ExpiryQueue(len(self._class_names))
         # Expired rows that are not parked yet; their number is bounded.
         self._expired_rows: deque[int] = deque()
-        self._open = PagedIntegerMap()  # row by packed own write id
+        self._open_rows = PagedIntegerMap()  # rows of writes that are not finished, by packed own write id
         self._keys = IntegerMap(True)  # packed own write id by hash of the key
-        self._sessions = IntegerMap()  # row of the last write, by hash of the session
-        self._objects = IntegerMap()  # row of the last write, by hash of the object
+        self._sessions = IntegerMap()  # row of the session's last write, by hash of the session
+        self._objects = IntegerMap()  # row of the object's last write, by hash of the object
         self._foreign: dict[Dependency, int] = {}
         self._foreign_dependencies: dict[int, Dependency] = {}
-        self._barriers: dict[int, tuple[int, int]] = {}  # by log index: number it reaches up to, and its row
+        self._barriers: dict[int, tuple[int, int]] = {}  # by log index: last number covered, and its row
         self._undurable_dependencies: dict[int, Dependencies] = {}  # of rows whose record is not durable
         self._new_foreign: list[Dependency] = []  # since the last `take_new_dependencies`
-        self._begin_queues()
-        self._begin_usage()
+        self._create_queues()
+        self._create_usage_counts()
 
-    def _begin_queues(self) -> None:
+    def _create_queues(self) -> None:
         """Create the queues of due transitions and the sets of final writes."""
         self._withheld: set[int] = set()  # packed own write ids that must not be sent yet
         self._fenced: set[int] = set()  # indexes of logs that another process holds
@@ -105,7 +106,7 @@
         self._orphan_exempt: set[int] = set()
         self._earlier_incarnations = 0
 
-    def _begin_usage(self) -> None:
+    def _create_usage_counts(self) -> None:
         """Create the counts of queued writes and bytes, in total and by tenant."""
         self._tenants: dict[str, int] = {}
         self._tenant_names: dict[int, str] = {}
@@ -129,7 +130,7 @@
     def _row(self, write_id: WriteId) -> int:
         """The row of a write that is in the graph, or -1."""
         packed = self._pack(write_id)
-        return -1 if packed < 0 else self._open.get(packed)
+        return -1 if packed < 0 else self._open_rows.get(packed)
 
     def _require_row(self, write_id: WriteId) -> int:
         row = self._row(write_id)
@@ -148,7 +149,10 @@
     def _add_row(
         self, write: QueuedWrite, edge_log: int, key: int, session: int, obj: int, since: int
     ) -> int:
-        """Add a row for a write and count it. Its dependencies are linked later."""
+        """Add a row for a write and count it. Its dependencies are linked later.
+
+        `key`, `session`, `obj`: hashes, 0 for none. `since`: when age and window began, monotonic µs.
+        """
         row = self._graph.add()
         rows = self._rows
         rows.clear(row, 0 if write.cls else JOIN)
@@ -157,14 +161,14 @@
         rows.key[row], rows.session[row], rows.obj[row] = key, session, obj
         rows.size[row] = write.size
         packed = edge_log << NUMBER_BITS | write.write_id.number
-        self._open.put(packed, row)
-        for index, name, value in (
+        self._open_rows.put(packed, row)
+        for index, name_hash, value in (
             (self._keys, key, packed),
             (self._sessions, session, row),
             (self._objects, obj, row),
         ):
-            if name:
-                index.put(name, value)
+            if name_hash:
+                index.put(name_hash, value)
         self._count(row, write.tenant)
         return row
 
@@ -201,25 +205,27 @@
         """Link a row to its dependencies, each once. `barriers`: those made by `restore`, by log index and
         number.
         """
-        found: set[int] = set()
+        nodes: set[int] = set()
         for dependency in dependencies:
             log_index = self._log_indexes.get(dependency[:2], -1)
             if log_index < 0 or dependency.number > self._highest_numbers[log_index]:
-                found.add(self._follow_foreign(row, dependency))
+                nodes.add(self._foreign_row(row, dependency))
             elif dependency.before and barriers is not None:
-                found.add(barriers[log_index, dependency.number])
+                nodes.add(barriers[log_index, dependency.number])
             elif dependency.before:
-                found.add(self._barrier(log_index, self._highest_numbers[log_index] - (log_index == 0)))
+                nodes.add(self._barrier(log_index, self._highest_numbers[log_index] - (log_index == 0)))
             else:
                 packed = log_index << NUMBER_BITS | dependency.number
-                found.add(self._open.get(packed))
+                nodes.add(self._open_rows.get(packed))
                 if packed in self._given_up:
                     self._orphan(row)
-        for node in found - {-1, row}:
+        for node in nodes - {-1, row}:
             self._graph.link(node, row)
 
-    def _follow_foreign(self, row: int, dependency: Dependency) -> int:
-        """The row of a write of another log, or -1 if there is no need to wait for it."""
+    def _foreign_row(self, row: int, dependency: Dependency) -> int:
+        """The row of a write of another log that `row` depends on; -1 if it need not wait for it. If the
+        write was abandoned, `row` is marked as an orphan.
+        """
         node = self._foreign.get(dependency, -1)
         if node >= 0:
             return node
@@ -237,16 +243,17 @@
         return node
 
     def _barrier(self, log_index: int, upto: int) -> int:
-        """The row of a barrier that finishes when all writes of a log up to a number, or a later one, have.
+        """The row of a barrier for all writes of a log up to `upto`, or to a later number. It finishes when
+        they have. -1 if all these writes are finished.
 
         Each barrier depends on the one before it, so that all barriers together need one arrow for each
-        write. -1 if all these writes are finished.
+        write.
         """
         last, before = self._barriers.get(log_index, (0, -1))
         if last >= upto:
             return before
         open_rows = {
-            self._open.get(log_index << NUMBER_BITS | number) for number in range(last + 1, upto + 1)
+            self._open_rows.get(log_index << NUMBER_BITS | number) for number in range(last + 1, upto + 1)
         }
         nodes = (open_rows | {before}) - {-1}
         if not nodes:
@@ -272,7 +279,7 @@
             self._graph.halt(row)
             self._orphans.append(row)
 
-    def _wake(self, row: int) -> None:
+    def _make_ready_if_free(self, row: int) -> None:
         """Make a row READY if it is durable and free."""
         rows = self._rows
         if (
@@ -287,7 +294,7 @@
                 self._replay_queue.add(row)
 
     def _finish(self, row: int) -> None:
-        """Finish a free row, and the barriers and closed rows that become free by it."""
+        """Remove a free row, and the barriers and closed rows that become free by this."""
         work = [row]
         while work:
             row = work.pop()
@@ -297,7 +304,7 @@
                 if self._rows.flags[follower] & (BARRIER | CLOSED):
                     work.append(follower)
                 else:
-                    self._wake(follower)
+                    self._make_ready_if_free(follower)
 
     def _remove(self, row: int) -> None:
         rows = self._rows
@@ -319,8 +326,8 @@
                     WriteStatus.ABANDONED if packed in self._given_up else WriteStatus.APPLIED,
                 )
             )
-            self._open.drop(packed)
-            for index, name in ((self._sessions, rows.session[row]), (self._objects, rows.obj[row])):
-                if name and index.get(name) == row:
-                    index.drop(name)
+            self._open_rows.drop(packed)
+            for index, name_hash in ((self._sessions, rows.session[row]), (self._objects, rows.obj[row])):
+                if name_hash and index.get(name_hash) == row:
+                    index.drop(name_hash)
         rows.clear(row, CLOSED)
--- a/laurelstep/outbox/driver.py
+++ b/laurelstep/outbox/driver.py
@@ -9,7 +9,7 @@
 3. Each state change of a write is durable before the step that it announces: OUT before the write is sent,
    DONE before its receipt says so. A final state that can't be stored is retried until it is; until then the
    write counts as sent, and the next incarnation finds that it may have run.
-4. A replay is a request of its own to the engine, with the rules of its class and its own deadline.
+4. The engine treats a replay as a separate request, with the rules of its class and a new deadline.
 5. A live write that causally depends on a queued write is queued too, or refused: it never overtakes.
 6. Where upstream is copies of this program, `shared.asking` adds the messages between the edge and them. A
    queued write that another edge replays to this process is not queued again: that edge keeps it.
@@ -86,8 +86,9 @@
     ) -> OutboxDriver:
         """Open the store and restore all that earlier incarnations queued.
 
-        `StoreError` or `OutboxError` if the store can't be read, OSError or ValueError if the secret can't
-        be. `version_vector`: the replicated one, at an upstream copy with `outbox.shared` on.
+        `version_vector`: the replicated one, at an upstream copy with `outbox.shared` on; None elsewhere.
+        `StoreError` or `OutboxError` if the store can't be read, OSError if the secret can't be, ValueError
+        if the secret is shorter than 16 bytes.
         """
         fix_mmap_threshold()
         store = await QueueStore.open(settings.store_path, settings.max_bytes, log)
@@ -121,7 +122,7 @@
             self.now(),
             self.wall(),
             is_elapsed_known=self.store.is_elapsed_known,
-            doubt_us=self.store.opening_uncertainty_us,
+            uncertainty_us=self.store.opening_uncertainty_us,
         )
         await self.store.put_logs(self.outbox.edge_logs())
         for write, state_change in loaded.writes:
@@ -171,7 +172,7 @@
         try:
             await self.store.put_logs(self.outbox.edge_logs())
         except StoreError as error:
-            self.log(f"outbox: log numbers were not stored at shutdown: {error}")
+            self.log(f"outbox: the highest numbers of the logs were not stored at shutdown: {error}")
         await self.store.close()
 
     def ask(self, call: Call) -> None:
@@ -218,7 +219,7 @@
     def claim(self, edge_log: EdgeLog) -> bool:
         """Make this process the one that replays an edge log, on an operator's request.
 
-        For a log that several processes hold, each on a copy of the same disk. False if this process replays
+        For a log that several processes have, each on a copy of the same disk. False if this process replays
         it already. `UnknownWriteError` if it has no such log.
         """
         if self.sharing is None or edge_log not in self.outbox.edge_logs():
--- a/laurelstep/outbox/driver_state.py
+++ b/laurelstep/outbox/driver_state.py
@@ -57,9 +57,9 @@
         self.engine: Engine | None = None
         self.bodies: BodySpool
         self.sharing: EdgeSharing | None = None  # where upstream is copies of this program
-        self._begin_requests()
+        self._create_request_state()
 
-    def _begin_requests(self) -> None:
+    def _create_request_state(self) -> None:
         """Set up the writes in progress and the statuses still to be published."""
         version_vector = self.outbox.version_vector
         self.status_publisher = version_vector if isinstance(version_vector, StatusPublisher) else None
--- a/laurelstep/outbox/expiry_queue.py
+++ b/laurelstep/outbox/expiry_queue.py
@@ -21,9 +21,9 @@
 class ExpiryQueue:
     """The lists of all classes. Rows and classes are small integers."""
 
-    def __init__(self, classes: int) -> None:
-        self._first = [NONE] * classes
-        self._last = [NONE] * classes
+    def __init__(self, class_count: int) -> None:
+        self._first = [NONE] * class_count
+        self._last = [NONE] * class_count
         self._previous = array("i")
         self._next = array("i")
 
--- a/laurelstep/outbox/intake.py
+++ b/laurelstep/outbox/intake.py
@@ -35,14 +35,14 @@
 
 # After this time a client should retry a write that a full outbox refused.
 RETRY_US: Final = 30_000_000
-# Writes of other logs that own writes wait for, and rows visited in the search for a cycle. These bound
-# memory and time.
+# Writes of other logs that own writes wait for. Bounds memory.
 MAX_FOREIGN_DEPENDENCIES: Final = 10_000
+# Rows visited in one search for a cycle. Bounds time.
 MAX_CYCLE_SEARCH_ROWS: Final = 4_096
 
 
 class WriteIntake(TransitionTracker):
-    """Handles offers until their record is durable or has failed to be stored."""
+    """Accepts offers, and handles each until its record is durable or could not be stored."""
 
     def offer(self, offer: WriteOffer, now: int, wall: int) -> WriteTicket:
         """Assign a write id to an offer, find its dependencies and count its bytes.
@@ -56,11 +56,11 @@
             raise KeepError(f"a write of class {offer.cls!r} has no idempotency key")
         named = self.tokens.read(offer.tokens) if offer.tokens else ()
         key = short_hash(cls.name.encode(), offer.tenant.encode(), offer.key) if cls.keyed else 0
-        known = self._keys.get(key) if key else -1
-        if known >= 0:
-            self._check_cycle(known, named)
+        first_packed = self._keys.get(key) if key else -1
+        if first_packed >= 0:
+            self._check_cycle(first_packed, named)
             return WriteTicket(
-                WriteId(*self._edge_logs[known >> NUMBER_BITS], known & NUMBER_MASK), None, True
+                WriteId(*self._edge_logs[first_packed >> NUMBER_BITS], first_packed & NUMBER_MASK), None, True
             )
         return self._queue_write(offer, cls, named, key, now, wall)
 
@@ -84,7 +84,7 @@
             if row >= 0
         ]
         dependencies = self._with_undurable_dependencies(merge(named, implied))
-        self._check(dependencies)
+        self._check_dependencies(dependencies)
         self._check_bounds(offer)
         self._highest_numbers[0] += 1
         write_id = WriteId(*self._edge_logs[0], self._highest_numbers[0])
@@ -112,7 +112,7 @@
         self._link(row, dependencies)
         return WriteTicket(write_id, write)
 
-    def _check(self, dependencies: Dependencies) -> None:
+    def _check_dependencies(self, dependencies: Dependencies) -> None:
         if len(dependencies) > MAX_DEPENDENCIES:
             raise LooseError(f"{len(dependencies)} writes before one, {MAX_DEPENDENCIES} are the most")
         edge_log, high = self._edge_logs[0], self._highest_numbers[0]
@@ -134,13 +134,16 @@
             if offer.cls and tenant_used > limit * bounds.tenant_share:
                 raise FullError(f"tenant {offer.tenant!r} has used its share of the {name} limit", RETRY_US)
 
-    def _check_cycle(self, known: int, named: Dependencies) -> None:
-        """`CycleError` if a repeated write depends on its first try, or on a follower of that."""
+    def _check_cycle(self, first_packed: int, named: Dependencies) -> None:
+        """`CycleError` if a repeat names its first request, or a follower of that, as a dependency.
+
+        `first_packed`: the packed write id of the first request.
+        """
         work = [packed for dependency in named if (packed := self._pack(dependency)) >= 0]
-        if known in work:
+        if first_packed in work:
             raise CycleError("a write is said to follow itself")
-        target, seen = self._open.get(known), set[int]()
-        rows = [row for packed in work if (row := self._open.get(packed)) >= 0]
+        target, seen = self._open_rows.get(first_packed), set[int]()
+        rows = [row for packed in work if (row := self._open_rows.get(packed)) >= 0]
         while target >= 0 and rows and len(seen) < MAX_CYCLE_SEARCH_ROWS:
             row = rows.pop()
             if row == target:
@@ -149,23 +152,23 @@
                 seen.add(row)
                 rows += self._graph.dependencies(row)
 
-    def must_queue(self, named: str) -> bool:
+    def must_queue(self, tokens: str) -> bool:
         """Whether a write with these tokens depends on one that may not be applied yet. It is then
         queued even though upstream can be reached. `CauseError` if the tokens can't be used.
         """
-        dependencies = self.tokens.read(named)
-        self._check(dependencies)
+        dependencies = self.tokens.read(tokens)
+        self._check_dependencies(dependencies)
         return any(self._is_open(dependency) for dependency in dependencies)
 
     def has_open(self, session: bytes, obj: bytes, tenant: str) -> bool:
         """Whether an earlier write of the session or the object is still open. By rule 3 of outbox.py the
         next one depends on it, and is queued even though upstream can be reached.
         """
-        own = (
+        rows = (
             self._sessions.get(short_hash(b"s", session)),
             self._objects.get(short_hash(b"o", tenant.encode(), obj)),
         )
-        return max(own) >= 0
+        return max(rows) >= 0
 
     def _is_open(self, dependency: Dependency) -> bool:
         log_index = self._log_indexes.get(dependency[:2], -1)
@@ -173,7 +176,9 @@
             if dependency.before:
                 return self._barrier(log_index, self._highest_numbers[log_index]) >= 0
             packed = log_index << NUMBER_BITS | dependency.number
-            return self._open.get(packed) >= 0 or (packed in self._given_up and self.bounds.orphans == "park")
+            return self._open_rows.get(packed) >= 0 or (
+                packed in self._given_up and self.bounds.orphans == "park"
+            )
         write_status = self.version_vector.write_status(dependency)
         return write_status is not WriteStatus.APPLIED and not (
             write_status is WriteStatus.ABANDONED and self.bounds.orphans == "release"
@@ -184,7 +189,7 @@
         row = self._require_row(write_id)
         self._rows.set(row, DURABLE)
         self._undurable_dependencies.pop(row, None)
-        self._wake(row)
+        self._make_ready_if_free(row)
 
     def on_size_known(self, write_id: WriteId, size: int) -> None:
         """Set the size of the write's body in bytes, of which only the upper bound was known at the offer."""
--- a/laurelstep/outbox/memory.py
+++ b/laurelstep/outbox/memory.py
@@ -1,4 +1,4 @@
-"""Returns the memory that the arrays of a large outbox free as they grow to the system.
+"""Makes glibc return to the system the memory that a large outbox's arrays free as they grow.
 
 As large blocks are freed, glibc raises the size from which a block gets its own memory mapping, up to 32 MiB.
 Growing arrays then leave holes in its heap, half as large again as all the data that is kept. A threshold
--- a/laurelstep/outbox/messages.py
+++ b/laurelstep/outbox/messages.py
@@ -37,7 +37,7 @@
     max_receipts: int = 100_000
     # Writes sent and unanswered at a time.
     replay_most: int = 8
-    # The longest time between sending a write and its run upstream: the deadline of one try.
+    # The longest time from sending a write until it runs upstream: the deadline of one try.
     send_us: int = 30_000_000
     # Replay pauses for this long after a live request or a queued write was refused.
     hold_us: int = 1_000_000
--- a/laurelstep/outbox/options.py
+++ b/laurelstep/outbox/options.py
@@ -91,12 +91,12 @@
 
     `others`: the folders of other stores, by their settings keys; none may contain or be inside the outbox's.
     """
-    own = os.path.realpath(store_path)
+    outbox_folder = os.path.realpath(store_path)
     for key, path in others.items():
         if not path:
             continue
-        other = os.path.realpath(path)
-        if os.path.commonpath((own, other)) in (own, other):
+        other_folder = os.path.realpath(path)
+        if os.path.commonpath((outbox_folder, other_folder)) in (outbox_folder, other_folder):
             return f"outbox.store_path: expected a folder outside that of {key}, {path!r}"
     return None
 
--- a/laurelstep/outbox/outbox.py
+++ b/laurelstep/outbox/outbox.py
@@ -6,7 +6,7 @@
     # store the body, then encode(ticket.write), durably; then
     outbox.on_stored(write_id, now)             # only now answer 202; otherwise outbox.on_store_failed
     for change in outbox.due(now): ...          # writes to send, to expire, or to park as orphans
-    change = outbox.on_replay_end(write_id, end, ...)  # the result of a write that was sent
+    change = outbox.on_replay_end(write_id, result, ...)  # the result of a write that was sent
     change = outbox.resolve(write_id, parking, resolution, wall)
     # for each change: store encode(change.state_change) durably in place of the last one; then
     outbox.apply(change, now)                   # if True, take the step that it announces; or outbox.undo
@@ -19,7 +19,7 @@
 4. A write that is final while its dependencies are not (resolved by an operator, or given up) stays in the
    graph until they are, because its followers still wait for them.
 5. With `orphans` = "park", the followers of a write that was given up or lost are parked, each by a
-   transition of its own, and are blocked until then. A write that could not be stored was never queued, so
+   separate transition, and are blocked until then. A write that could not be stored was never queued, so
    nothing is parked because of it.
 6. A keyed write is sent only while `send_us` is left of its window, which starts when it is queued. If an
    operator resolves that it never ran, its age and window start again.
--- a/laurelstep/outbox/ports.py
+++ b/laurelstep/outbox/ports.py
@@ -70,7 +70,7 @@
     def answer_unqueued(
         self, call: Call, answer: Answer | None, is_known_absent: bool, engine: CallHost
     ) -> None:
-        """Answer a call whose write could not be queued."""
+        """Answer a call whose write was not stored. `is_known_absent`: no later incarnation can find it."""
 
     def answer_repeat(self, call: Call, write_id: WriteId, engine: CallHost) -> None:
         """Answer a call whose write was offered before."""
--- a/laurelstep/outbox/queue_store.py
+++ b/laurelstep/outbox/queue_store.py
@@ -5,12 +5,11 @@
 1. A write is one record: its head, followed by the first part of its body. Further parts of at most
    `BODY_PART_BYTES` bytes have records of their own, written before it, so a write that is acknowledged as
    queued has all of its parts.
-2. A later state of a write is a second record, of which the newest counts. Soon after a final state the body
+2. The later state of a write is a second record, replaced at each change. Soon after a final state the body
    is deleted; the head stays until the write is forgotten.
 3. What is written is durable when the call returns. A later incarnation may still find a write that failed,
    unless `FailedToKeepError.is_known_absent`.
-4. When the store is opened, the remains of writes that a crash interrupted before they were acknowledged are
-   deleted.
+4. `load` deletes the remains of writes that a crash interrupted before they were acknowledged.
 5. Each opening of the store draws an incarnation, which is never that of an earlier opening.
 """
 
@@ -39,7 +38,7 @@
 from laurelstep.outbox.write_ids import EdgeLog, WriteId
 from laurelstep.store import SYSTEM_CLOCKS, Disk, FolderDisk, Store, StoreClocks, StoreError, StoreOptions
 
-# The first byte of a key says what its record holds.
+# The first byte of a key: the kind of its record.
 WRITE_KEY, STATE_KEY, PART_KEY, LOG_KEY, HOLDERS_KEY = b"k", b"m", b"p", b"l", b"h"
 SECRET: Final = b"secret"
 SECRET_BYTES: Final = 32
@@ -69,8 +68,9 @@
     """What the store holds when it is opened.
 
     `writes`: all writes with their newest states. To save memory, fields that only a replay or a receipt
-    needs are empty: start, headers and digest of a write, headers and body of an answer. `edge_logs`: the
-    highest number of each log. `holders`: the incarnations known to have held or requested a log.
+    needs are empty: method, target, headers and digest of a write, headers and body of an answer.
+    `edge_logs`: the highest number of each log. `holders`: the incarnations known to have held or requested a
+    log.
     """
 
     writes: list[tuple[QueuedWrite, StateChange | None]] = field(default_factory=list)
@@ -98,7 +98,7 @@
 
 def part_keys(write_id: WriteId, size: int) -> list[bytes]:
     """The keys of all parts of a body of `size` bytes but the first."""
-    return [part_key(write_id, at) for at in range(1, -(-size // BODY_PART_BYTES))]
+    return [part_key(write_id, number) for number in range(1, -(-size // BODY_PART_BYTES))]
 
 
 class QueueStore:
@@ -173,7 +173,7 @@
         has_body = set[bytes]()
         async for key, value in self.store.scan(WRITE_KEY + STATE_KEY + LOG_KEY + HOLDERS_KEY):
             if key[:1] == WRITE_KEY:
-                write, first_part = _split(value)
+                write, first_part = _split_record(value)
                 writes[key[1:]] = replace(write, method_and_target=b"", headers=(), digest=b"")
                 if first_part:
                     has_body.add(key[1:])
@@ -183,9 +183,11 @@
                 loaded.holders[_log_of(key)] = _incarnations_of(value)
             else:
                 loaded.edge_logs[_log_of(key)] = int.from_bytes(value, "big")
-        stale = self._orphans(writes, states)
+        stale = self._unused_keys(writes, states)
         loaded.writes = [
-            (write, states.get(at)) for at, write in sorted(writes.items()) if WRITE_KEY + at not in stale
+            (write, states.get(id_bytes))
+            for id_bytes, write in sorted(writes.items())
+            if WRITE_KEY + id_bytes not in stale
         ]
         for write, _ in loaded.writes:
             loaded.edge_logs[write.write_id.edge_log] = max(
@@ -202,22 +204,26 @@
             await asyncio.gather(*(self.store.delete(key) for key in stale))
         return loaded
 
-    def _orphans(self, writes: dict[bytes, QueuedWrite], states: dict[bytes, StateChange]) -> set[bytes]:
-        """The keys of records without use.
+    def _unused_keys(self, writes: dict[bytes, QueuedWrite], states: dict[bytes, StateChange]) -> set[bytes]:
+        """The keys of records that are not needed any more.
 
         They belong to writes that were never acknowledged or are deleted, or are parts of bodies of writes in
         a final state.
         """
         stale, parts = set[bytes](), set[bytes]()
-        for at, write in writes.items():
-            if at in states and states[at].state in FINAL:
+        for id_bytes, write in writes.items():
+            if id_bytes in states and states[id_bytes].state in FINAL:
                 continue
-            own_parts = part_keys(write.write_id, write.size)
-            if all(key in self.store for key in own_parts):
-                parts.update(own_parts)
+            write_parts = part_keys(write.write_id, write.size)
+            if all(key in self.store for key in write_parts):
+                parts.update(write_parts)
             else:
-                stale.add(WRITE_KEY + at)
-        stale.update(STATE_KEY + at for at in states if at not in writes or WRITE_KEY + at in stale)
+                stale.add(WRITE_KEY + id_bytes)
+        stale.update(
+            STATE_KEY + id_bytes
+            for id_bytes in states
+            if id_bytes not in writes or WRITE_KEY + id_bytes in stale
+        )
         stale.update(key for key in self.store.index.locations if key[:1] == PART_KEY and key not in parts)
         return stale
 
@@ -226,15 +232,15 @@
     def put_write(self, write: QueuedWrite, body: bytes) -> Coroutine[Any, Any, None]:
         """Store a write with its body. The records are submitted before the coroutine is awaited.
 
-        `FailedToKeepError` if it is not stored; `is_known_absent` then says whether nothing of it is left.
+        `FailedToKeepError` if it is not stored; `is_known_absent` is then whether nothing of it is left.
         """
         record = encode(write)
         head_record = len(record).to_bytes(4, "big") + record + body[:BODY_PART_BYTES]
         keys = part_keys(write.write_id, len(body))
         # All are submitted before the store's own task runs: they form one batch, if that is not too large.
         puts = [
-            self.store.put(key, body[at * BODY_PART_BYTES : (at + 1) * BODY_PART_BYTES])
-            for at, key in enumerate(keys, start=1)
+            self.store.put(key, body[number * BODY_PART_BYTES : (number + 1) * BODY_PART_BYTES])
+            for number, key in enumerate(keys, start=1)
         ]
         puts.append(self.store.put(key_of(WRITE_KEY, write.write_id), head_record))
         return self._wait_stored(write, len(body), puts)
@@ -244,7 +250,7 @@
         error = next((result for result in results if isinstance(result, BaseException)), None)
         if error is None:
             return
-        # Known where the store refused the write before writing: it was full, or was failing already.
+        # A full store refuses before it writes. A failing disk may still show what it rejected.
         is_known_absent = await self._remove(write.write_id, size) and not self.store.is_failing
         raise FailedToKeepError(str(error), is_known_absent) from None
 
@@ -258,14 +264,15 @@
         keys = [key for key in (key_of(WRITE_KEY, write_id), *part_keys(write_id, size)) if key in self.store]
         return [self.store.delete(key) for key in keys]
 
-    async def put_parts(self, write_id: WriteId, at: int, parts: Sequence[bytes]) -> None:
-        """Store parts of a body that is still arriving, from part number `at` on (the first is 0).
+    async def put_parts(self, write_id: WriteId, first_number: int, parts: Sequence[bytes]) -> None:
+        """Store parts of a body that is still arriving, from part `first_number` on (the first part is 0).
 
         Each has `BODY_PART_BYTES` bytes, except the last of the body. `FailedToKeepError` if one could not be
         written. No incarnation finds a write whose head is missing.
         """
         puts = [
-            self.store.put(part_key(write_id, number), part) for number, part in enumerate(parts, start=at)
+            self.store.put(part_key(write_id, number), part)
+            for number, part in enumerate(parts, start=first_number)
         ]
         results = await asyncio.gather(*puts, return_exceptions=True)
         error = next((result for result in results if isinstance(result, BaseException)), None)
@@ -345,9 +352,9 @@
 
     def _delete_body(self, key: bytes, value: bytes) -> None:
         """Delete the body of a write. If a deletion fails, it is repeated when the store is next opened."""
-        write, first_part = _split(value)
+        write, first_part = _split_record(value)
         if write.write_id in self._being_deleted:
-            return  # storing its shortened record would bring it back
+            return  # storing its shortened record would recreate it
         changes = [
             self.store.delete(key) for key in part_keys(write.write_id, write.size) if key in self.store
         ]
@@ -377,7 +384,7 @@
         value = await self.store.get(key_of(WRITE_KEY, write_id))
         if value is None:
             return None
-        write, first_part = _split(value)
+        write, first_part = _split_record(value)
         parts = [first_part]
         for key in part_keys(write_id, write.size):
             part = await self.store.get(key)
@@ -392,7 +399,7 @@
         `StoreError` or `KeptRecordError` if it can't be read.
         """
         value = await self.store.get(key_of(WRITE_KEY, write_id))
-        return None if value is None else _split(value)
+        return None if value is None else _split_record(value)
 
     async def part(self, write_id: WriteId, part_number: int) -> bytes:
         """One part of a body, from part 1 on. `StoreError` if it is missing or can't be read."""
@@ -425,7 +432,7 @@
     return tuple(int.from_bytes(value[at : at + 8], "big") for at in range(0, len(value), 8))
 
 
-def _split(value: bytes) -> tuple[QueuedWrite, bytes]:
+def _split_record(value: bytes) -> tuple[QueuedWrite, bytes]:
     """The write and the first part of its body, from its record; `KeptRecordError` if it can't be read."""
     size = int.from_bytes(value[:4], "big")
     if len(value) < 4 + size:
--- a/laurelstep/outbox/receipt_log.py
+++ b/laurelstep/outbox/receipt_log.py
@@ -40,15 +40,16 @@
     def resolve(
         self, write_id: WriteId, parking: int, resolution: Resolution, wall: int
     ) -> Transition | None:
-        """The transition by an operator's resolution of a parking. None if the same one was given before.
+        """The transition by an operator's resolution of a parking, at `wall` in µs.
 
-        `VerdictError` if it is not possible, `UnknownWriteError` if the write is not open.
+        None if the same one was given before. `VerdictError` if the write or the parking does not allow it,
+        `UnknownWriteError` if the write is not open.
         """
-        before = self._resolutions.get(self._pack(write_id))
-        if before is not None and before[:2] == (parking, resolution):
+        previous = self._resolutions.get(self._pack(write_id))
+        if previous is not None and previous[:2] == (parking, resolution):
             return None
-        if before is not None and parking <= before[0]:
-            raise VerdictError(f"{write_id}: parking {before[0]} was judged {before[1].name.lower()}")
+        if previous is not None and parking <= previous[0]:
+            raise VerdictError(f"{write_id}: parking {previous[0]} was judged {previous[1].name.lower()}")
         row = self._require_row(write_id)
         self._check_resolution(row, parking, resolution)
         event = {
@@ -56,7 +57,7 @@
             Resolution.NEVER_RAN: WriteEvent.NEVER_RAN,
             Resolution.GIVE_UP: WriteEvent.GIVE_UP,
         }[resolution]
-        state_change = self._change(row, event, self._rows.reason_of(row)).state_change
+        state_change = self._begin_transition(row, event, self._rows.reason_of(row)).state_change
         sent = state_change.sent and resolution is not Resolution.NEVER_RAN
         recorded = msgspec.structs.replace(
             state_change,
@@ -73,11 +74,11 @@
         rows, write_id = self._rows, self._write_id_of(row)
         if rows.has(row, BUSY):
             raise VerdictError(f"{write_id}: another change of it is on its way to the disk")
-        is_behind = rows.state[row] == WriteState.KEPT and self._graph.has_blocked_dependency(row)
-        number = rows.parking[row] + is_behind
-        if not (rows.state[row] == WriteState.PARKED or (is_behind and resolution is Resolution.GIVE_UP)):
+        is_blocked = rows.state[row] == WriteState.KEPT and self._graph.has_blocked_dependency(row)
+        number = rows.parking[row] + is_blocked
+        if not (rows.state[row] == WriteState.PARKED or (is_blocked and resolution is Resolution.GIVE_UP)):
             raise VerdictError(
-                f"{write_id} is not parked" + (" itself: judge what it follows" if is_behind else "")
+                f"{write_id} is not parked" + (" itself: judge what it follows" if is_blocked else "")
             )
         if parking != number:
             raise VerdictError(f"{write_id}: the parking is number {number}")
@@ -122,24 +123,24 @@
         calls `forget`. A write that was given up is not returned while `is_unpublished` is true for it: a
         later incarnation would know only its number and take the write for applied.
         """
-        found: list[WriteId] = []
+        expired: list[WriteId] = []
         for _ in range(min(MAX_TRANSITIONS_PER_CALL, len(self._closed))):
-            packed, until, key = self._closed[0]
-            if until > now and len(self._closed) <= self.bounds.max_receipts:
+            packed, expires_at, key = self._closed[0]
+            if expires_at > now and len(self._closed) <= self.bounds.max_receipts:
                 break
             self._closed.popleft()
             write_id = WriteId(*self._edge_logs[packed >> NUMBER_BITS], packed & NUMBER_MASK)
             # Its followers still wait for its dependencies, or its status is not published yet.
-            if self._open.get(packed) >= 0 or (packed in self._given_up and is_unpublished(write_id)):
+            if self._open_rows.get(packed) >= 0 or (packed in self._given_up and is_unpublished(write_id)):
                 self._closed.append((packed, now + self.bounds.receipt_us, key))
                 continue
             if key and self._keys.get(key) == packed:
                 self._keys.drop(key)
-            found.append(write_id)
-        return found
+            expired.append(write_id)
+        return expired
 
     def forget(self, write_id: WriteId) -> None:
-        """Drop what is kept of a write whose records are deleted. Only its number stays known."""
+        """Remove the state of a write whose records are deleted. Only its number stays known."""
         packed = self._pack(write_id)
         self._given_up.discard(packed)
         self._resolutions.pop(packed, None)
--- a/laurelstep/outbox/records.py
+++ b/laurelstep/outbox/records.py
@@ -1,9 +1,9 @@
 """The states of a queued write, and the records stored for it. Pure.
 
 1. A state changes only along an entry of `TRANSITIONS`.
-2. A state change is durable before anybody is told of it, and before the step that it announces is taken:
+2. A state change is durable before it is reported to anybody, and before the step that it announces is taken:
    OUT before the write is sent, DONE before its receipt says so. KEPT to READY is the exception: it only
-   means that all dependencies are final, which a restart finds out again.
+   means that all dependencies are final, which a restart computes again.
 3. A write that is OUT after a restart may have run. If it is keyed and within its window, it is sent again
    under its key; otherwise it is parked.
 4. A newly queued write has never been sent: KEPT and READY mean that it has not run, whatever happened to
@@ -125,10 +125,10 @@
 
 def next_state(state: WriteState, event: WriteEvent) -> WriteState:
     """The state that the event leads to. `StepError` if the table has no such transition."""
-    next_ = TRANSITIONS.get((state, event))
-    if next_ is None:
+    new_state = TRANSITIONS.get((state, event))
+    if new_state is None:
         raise StepError(f"{event.name} is not allowed in state {state.name}")
-    return next_
+    return new_state
 
 
 class QueuedWrite(msgspec.Struct, array_like=True, frozen=True):
@@ -140,7 +140,7 @@
 
     write_id: WriteId
     cls: str
-    method_and_target: bytes  # method and target
+    method_and_target: bytes  # separated by a space
     headers: tuple[tuple[bytes, bytes], ...]
     size: int  # of the body, in bytes
     digest: bytes  # of method, target and body together
@@ -163,7 +163,7 @@
     reason: ParkingReason = ParkingReason.NONE
     parking: int = 0  # number of the last parking, 0 if it was never parked
     resolution: int = 0  # the last one given, on the parking `resolved_parking`; 0 if none
-    resolved_parking: int = 0  # number of the last parking, 0 if it was never parked
+    resolved_parking: int = 0  # number of the last parking that was resolved, 0 if none
     resolved_at: int = 0  # unix time, µs
     sent: bool = False  # was ever OUT without a known result, so it may have run
     status: int = 0  # HTTP status of the final answer, 0 if there is none
--- a/laurelstep/outbox/remote_logs.py
+++ b/laurelstep/outbox/remote_logs.py
@@ -30,7 +30,7 @@
 
 
 class RemoteLogs(ReplaySchedule, ReceiptLog):
-    """Applies what the version vector learns, and tells it what happened to own writes."""
+    """Applies what the version vector has learned, and collects what it is to publish about own writes."""
 
     def on_remote_change(self, now: int) -> None:
         """The version vector has learned new statuses or leases."""
@@ -49,8 +49,8 @@
 
     def take_new_dependencies(self) -> list[Dependency]:
         """Writes of other logs that own writes have begun to wait for since the last call."""
-        found, self._new_foreign = self._new_foreign, []
-        return found
+        dependencies, self._new_foreign = self._new_foreign, []
+        return dependencies
 
     def needs_status(self, dependency: Dependency) -> bool:
         """Whether the status is needed: an open write depends on this one, or it is an own write that is
@@ -68,7 +68,7 @@
         row = self._row(write_id)
         if row < 0 or not self.needs_status(Dependency(*write_id)) or self._rows.has(row, BUSY):
             return None
-        change = self._change(row, WriteEvent.FOUND_APPLIED)
+        change = self._begin_transition(row, WriteEvent.FOUND_APPLIED)
         return Transition(write_id, change.event, msgspec.structs.replace(change.state_change, wall=wall))
 
     def fence(self, edge_log: EdgeLog) -> None:
@@ -136,7 +136,7 @@
         """The number up to which all writes of an own log are finished. Writes never stored count too."""
         log_index = self._log_indexes[edge_log]
         while self._low_watermarks[log_index] < self._highest_numbers[log_index] and (
-            self._open.get(log_index << NUMBER_BITS | self._low_watermarks[log_index] + 1) < 0
+            self._open_rows.get(log_index << NUMBER_BITS | self._low_watermarks[log_index] + 1) < 0
         ):
             self._low_watermarks[log_index] += 1
         return self._low_watermarks[log_index]
--- a/laurelstep/outbox/replay_driver.py
+++ b/laurelstep/outbox/replay_driver.py
@@ -27,7 +27,7 @@
 # A larger answer body is not stored, and so is missing in the receipt.
 MAX_STORED_ANSWER_BYTES: Final = 64 * 1024
 REPLAY_INTERVAL_US: Final = 1_000_000
-# Delay before a state that could not be stored after a replay is stored again.
+# Delay before another try to store the result of a replay.
 STATE_RETRY_S: Final = 1.0
 UNPARKING_EVENTS: Final = (WriteEvent.NEVER_RAN, WriteEvent.UNFENCED)
 
@@ -124,7 +124,7 @@
                 self.unpublished.append((write_id, write_status))
 
     def _is_unpublished(self, write_id: WriteId) -> bool:
-        """Whether it still has to be published that the write was given up."""
+        """Whether the status of a write that was given up still has to be published."""
         return self.status_publisher is not None and (
             self.status_publisher.is_unpublished(write_id)
             or any(waiting_id == write_id for waiting_id, _ in self.unpublished)
@@ -156,7 +156,7 @@
         if change.event is WriteEvent.SEND and may_send:
             await self._send(change.write_id)
         elif change.event is WriteEvent.SEND:  # storing it took longer than its window
-            await self._end(change.write_id, ReplayResult.NOT_RUN, Answer(Ending.FAILED, 502))
+            await self._store_result(change.write_id, ReplayResult.NOT_RUN, Answer(Ending.FAILED, 502))
         self.wake()
 
     def _apply(self, change: Transition) -> bool:
@@ -189,7 +189,7 @@
         replay = ReplayFront(write_id)
         call = await self.bodies.load_call(write_id, replay)
         if call is None:
-            await self._end(write_id, ReplayResult.NOT_RUN, Answer(Ending.FAILED, 502))
+            await self._store_result(write_id, ReplayResult.NOT_RUN, Answer(Ending.FAILED, 502))
             return
         self.in_flight[write_id] = replay
         try:
@@ -209,7 +209,7 @@
             result = ReplayResult.NOT_RUN
         else:
             result = ReplayResult.MAY_HAVE_RUN
-        await self._end(write_id, result, answer)
+        await self._store_result(write_id, result, answer)
 
     def replay_call(self, write: QueuedWrite, body: bytes, replay: ReplayFront) -> Call:
         """The engine call that replays a queued write."""
@@ -234,7 +234,7 @@
             self.sharing.mark_as_replay(call, write)
         return call
 
-    async def _end(self, write_id: WriteId, result: ReplayResult, answer: Answer) -> None:
+    async def _store_result(self, write_id: WriteId, result: ReplayResult, answer: Answer) -> None:
         if result is ReplayResult.MAY_HAVE_RUN:
             self.retried.add(write_id)
         status, headers, body = answer.status, tuple(answer.headers), answer.body
--- a/laurelstep/outbox/replay_schedule.py
+++ b/laurelstep/outbox/replay_schedule.py
@@ -41,8 +41,8 @@
         ]
 
     def _due_orphans(self) -> list[Transition]:
-        found: list[Transition] = []
-        while self._orphans and len(found) < MAX_TRANSITIONS_PER_CALL:
+        changes: list[Transition] = []
+        while self._orphans and len(changes) < MAX_TRANSITIONS_PER_CALL:
             row = self._orphans.popleft()
             if (
                 self._rows.state[row] != WriteState.KEPT
@@ -50,20 +50,20 @@
             ):
                 continue
             if self._rows.has(row, DURABLE) and not self._rows.has(row, BUSY):
-                found.append(self._change(row, WriteEvent.ORPHANED, ParkingReason.ORPHANED))
+                changes.append(self._begin_transition(row, WriteEvent.ORPHANED, ParkingReason.ORPHANED))
             else:
                 self._orphans.append(row)
                 break
-        return found
+        return changes
 
     def _due_joins(self) -> list[Transition]:
         count = min(MAX_TRANSITIONS_PER_CALL, len(self._joins))
         rows = [self._joins.popleft() for _ in range(count)]
-        return [self._change(row, WriteEvent.JOINED) for row in rows if self._is_ready(row)]
+        return [self._begin_transition(row, WriteEvent.JOINED) for row in rows if self._is_ready(row)]
 
     def _due_fences(self) -> list[Transition]:
         """Rows to park because another process holds their log, and rows to unpark again."""
-        found: list[Transition] = []
+        changes: list[Transition] = []
         for rows, states, event, reason in (
             (self._to_fence, (WriteState.KEPT, WriteState.READY), WriteEvent.FENCED, ParkingReason.FENCED),
             (self._to_unfence, (WriteState.PARKED,), WriteEvent.UNFENCED, ParkingReason.NONE),
@@ -73,10 +73,10 @@
                 if not self._is_fenced(row, event is WriteEvent.FENCED, states):
                     continue
                 if self._rows.flags[row] & (BUSY | DURABLE) == DURABLE:
-                    found.append(self._change(row, event, reason))
+                    changes.append(self._begin_transition(row, event, reason))
                 else:
                     rows.append(row)
-        return found
+        return changes
 
     def _is_fenced(self, row: int, fenced: bool, states: tuple[WriteState, ...]) -> bool:
         """Whether the row is still to be parked as fenced, or to be unparked if `fenced` is false. A queue
@@ -95,39 +95,39 @@
             while (
                 len(self._expired_rows) < MAX_TRANSITIONS_PER_CALL
                 and (row := self._expiry_queue.first(cls)) >= 0
-                and self._expired(row, now)
+                and self._expiry_reason(row, now)
             ):
                 self._expiry_queue.drop(cls, row)
                 self._expired_rows.append(row)
-        found: list[Transition] = []
+        changes: list[Transition] = []
         rows = self._rows
         for _ in range(len(self._expired_rows)):
             row = self._expired_rows.popleft()
             flags, state = rows.flags[row], rows.state[row]
-            if flags & (FOREIGN | BARRIER | JOIN | CLOSED | ORPHAN) or not self._expired(row, now):
+            if flags & (FOREIGN | BARRIER | JOIN | CLOSED | ORPHAN) or not self._expiry_reason(row, now):
                 continue  # finished, reused, or to be parked as an orphan
             if state in (WriteState.KEPT, WriteState.READY) and flags & (BUSY | DURABLE) == DURABLE:
-                found.append(self._change(row, WriteEvent.EXPIRED, self._expired(row, now)))
+                changes.append(self._begin_transition(row, WriteEvent.EXPIRED, self._expiry_reason(row, now)))
             if state != WriteState.PARKED:
                 self._expired_rows.append(row)
-        return found
+        return changes
 
     def _due_sends(self, now: int) -> list[Transition]:
-        found: list[Transition] = []
+        changes: list[Transition] = []
         while len(self._replay_queue) and self.pace.may_send(now):
             row = self._replay_queue.next()
             if not self._is_ready(row):
                 continue
-            if reason := self._expired(row, now):
-                found.append(self._change(row, WriteEvent.EXPIRED, reason))
+            if reason := self._expiry_reason(row, now):
+                changes.append(self._begin_transition(row, WriteEvent.EXPIRED, reason))
             elif self._rows.edge_log[row] in self._fenced:
                 self._to_fence.append(row)
             elif not self._may_send(row):
                 self._replay_queue.set_aside(row)
             else:
                 self.pace.on_sent()
-                found.append(self._change(row, WriteEvent.SEND))
-        return found
+                changes.append(self._begin_transition(row, WriteEvent.SEND))
+        return changes
 
     def _may_send(self, row: int) -> bool:
         packed = self._rows.edge_log[row] << NUMBER_BITS | self._rows.number[row]
--- a/laurelstep/outbox/restore.py
+++ b/laurelstep/outbox/restore.py
@@ -36,21 +36,21 @@
 
     def restore(
         self,
-        kept: Iterable[tuple[QueuedWrite, StateChange | None]],
+        loaded: Iterable[tuple[QueuedWrite, StateChange | None]],
         edge_logs: Mapping[EdgeLog, int],
         now: int,
         wall: int,
         *,
         is_elapsed_known: bool = True,
-        doubt_us: int = 0,
+        uncertainty_us: int = 0,
     ) -> list[Transition]:
         """Load all records of the store. Called once, before any other method.
 
         `edge_logs`: the highest number found of each earlier incarnation. `is_elapsed_known`: whether `wall`
-        shows how much time passed between the incarnations. `doubt_us`: by how much `wall` may be too late.
-        The caller makes the returned transitions durable and applies them.
+        shows how much time passed between the incarnations. `uncertainty_us`: by how much `wall` may be ahead
+        of real time. The caller makes the returned transitions durable and applies them.
         """
-        records = sorted(kept, key=lambda pair: (pair[0].earlier_incarnations, pair[0].write_id))
+        records = sorted(loaded, key=lambda pair: (pair[0].earlier_incarnations, pair[0].write_id))
         self._earlier_incarnations = max((write.earlier_incarnations for write, _ in records), default=-1) + 1
         for edge_log in sorted(
             {*edge_logs, *(write.write_id.edge_log for write, _ in records)} - {self._edge_logs[0]}
@@ -64,31 +64,35 @@
             *(state_change.wall for _, state_change in records if state_change),
         }
         is_window_unknown = not is_elapsed_known or wall < max(recorded_walls, default=wall)
-        entered = [self._restore_one(write, state_change, now, wall) for write, state_change in records]
+        rows = [self._restore_write(write, state_change, now, wall) for write, state_change in records]
         self._orphan_exempt = {
             row
-            for row, (_, state_change) in zip(entered, records, strict=True)
+            for row, (_, state_change) in zip(rows, records, strict=True)
             if state_change is not None and _is_orphan_exempt(state_change)
         }
         barriers = self._restore_barriers([write for write, _ in records])
-        for row, (write, _) in zip(entered, records, strict=True):
+        for row, (write, _) in zip(rows, records, strict=True):
             self._link(row, tuple(Dependency(*dependency) for dependency in write.dependencies), barriers)
         changes = self._restore_states(
-            entered, [state_change for _, state_change in records], now, wall - doubt_us, is_window_unknown
+            rows, [state_change for _, state_change in records], now, wall - uncertainty_us, is_window_unknown
         )
         self._orphan_exempt = {
             row for row in self._orphan_exempt if self._rows.state[row] in (WriteState.KEPT, WriteState.READY)
         }
         return changes
 
-    def _restore_one(self, write: QueuedWrite, state_change: StateChange | None, now: int, wall: int) -> int:
+    def _restore_write(
+        self, write: QueuedWrite, state_change: StateChange | None, now: int, wall: int
+    ) -> int:
         log_index = self._log_indexes[write.write_id.edge_log]
         self._highest_numbers[log_index] = max(self._highest_numbers[log_index], write.write_id.number)
-        is_restarted = state_change is not None and state_change.resolution == Resolution.NEVER_RAN
-        began = state_change.resolved_at if is_restarted and state_change is not None else write.wall
+        is_window_restarted = state_change is not None and state_change.resolution == Resolution.NEVER_RAN
+        began_at = (
+            state_change.resolved_at if is_window_restarted and state_change is not None else write.wall
+        )
         key = short_hash(write.cls.encode(), write.tenant.encode(), write.key) if write.keyed else 0
         session, obj = short_hash(b"s", write.session), short_hash(b"o", write.obj)
-        row = self._add_row(write, log_index, key, session, obj, now - max(0, wall - began))
+        row = self._add_row(write, log_index, key, session, obj, now - max(0, wall - began_at))
         self._rows.set(row, DURABLE)
         if state_change is not None:
             self._rows.reason[row], self._rows.parking[row] = state_change.reason, state_change.parking
@@ -117,14 +121,14 @@
 
     def _restore_states(
         self,
-        entered: list[int],
-        moves: list[StateChange | None],
+        rows: list[int],
+        state_changes: list[StateChange | None],
         now: int,
         wall: int,
         is_window_unknown: bool,
     ) -> list[Transition]:
         changes: list[Transition] = []
-        for row, state_change in zip(entered, moves, strict=True):
+        for row, state_change in zip(rows, state_changes, strict=True):
             state = (
                 WriteState.KEPT
                 if state_change is None or state_change.state is WriteState.READY
@@ -135,26 +139,26 @@
                 self._graph.halt(row)
             elif state is WriteState.OUT:
                 changes.append(self._restore_out(row, now, is_window_unknown))
-        for row, state_change in zip(entered, moves, strict=True):
+        for row, state_change in zip(rows, state_changes, strict=True):
             if state_change is not None and state_change.state in FINAL:
-                until = now + self.bounds.receipt_us - max(0, wall - state_change.wall)
-                self._closed.append((self._pack(self._write_id_of(row)), until, self._rows.key[row]))
+                expires_at = now + self.bounds.receipt_us - max(0, wall - state_change.wall)
+                self._closed.append((self._pack(self._write_id_of(row)), expires_at, self._rows.key[row]))
                 if state_change.state is WriteState.GIVEN_UP:
                     for follower in self._graph.followers(row):
                         self._orphan(follower)
                 self._retire(row)
-        for row in sorted(entered, key=self._rows.since.__getitem__):
+        for row in sorted(rows, key=self._rows.since.__getitem__):
             parked = (
                 self._rows.state[row] == WriteState.PARKED
                 and self._rows.reason_of(row) is not ParkingReason.FENCED
             )
             if not parked and not self._rows.flags[row] & (JOIN | CLOSED):
                 self._expiry_queue.add(self._rows.cls[row], row)
-        for row in entered:
+        for row in rows:
             if is_window_unknown and self._rows.has(row, SENT) and self._rows.state[row] == WriteState.KEPT:
-                changes.append(self._change(row, WriteEvent.EXPIRED, ParkingReason.MAY_HAVE_RUN))
+                changes.append(self._begin_transition(row, WriteEvent.EXPIRED, ParkingReason.MAY_HAVE_RUN))
             elif not self._rows.has(row, CLOSED):
-                self._wake(row)
+                self._make_ready_if_free(row)
         return changes
 
     def _restore_out(self, row: int, now: int, is_window_unknown: bool) -> Transition:
@@ -163,7 +167,7 @@
         event, reason = self._event_of_result(row, ReplayResult.MAY_HAVE_RUN, now)
         if is_window_unknown:
             event, reason = WriteEvent.UNCERTAIN, ParkingReason.MAY_HAVE_RUN
-        return self._change(row, event, reason)
+        return self._begin_transition(row, event, reason)
 
     def edge_logs(self) -> dict[EdgeLog, int]:
         """The highest number known of each own log. The caller stores it before the incarnation begins."""
@@ -171,5 +175,5 @@
 
 
 def _is_orphan_exempt(state_change: StateChange) -> bool:
-    """Whether the write is not to be parked as an orphan: it has been already, or is past that point."""
+    """Whether the write is not to be parked as an orphan: it was parked before, or waits no longer."""
     return state_change.state is not WriteState.KEPT or state_change.reason is ParkingReason.ORPHANED
--- a/laurelstep/outbox/shared/agreement.py
+++ b/laurelstep/outbox/shared/agreement.py
@@ -56,9 +56,9 @@
 class AgreementDriver:
     """Submits entries by the rules at the head of the module and reports which ones the ledger shows.
 
-    It takes over `on_leader_message` and `on_change` of the consensus client and `on_applied` of the ledger.
-    Its own `on_change` is called after entries were applied, and when this copy has caught up, the leader
-    has changed, or contact with the leader was lost or regained.
+    It sets `on_leader_message` and `on_change` of the consensus client and `on_applied` of the ledger. It
+    calls `on_change` after entries were applied, and when this copy has caught up, the leader has changed,
+    or contact with the leader was lost or regained.
     """
 
     def __init__(self, consensus: ProposalClient, ledger: ReplicatedLedger, clock: Clock) -> None:
@@ -69,7 +69,7 @@
         self.counters = {"agreed": 0, "late": 0, "full": 0, "told": 0, "proposed": 0, "unread": 0}
         self._pending: dict[bytes, _PendingEntry] = {}
         self._waiter_count = 0
-        self._proposals: dict[bytes, int] = {}  # in flight, with the time at which each counts as lost
+        self._proposals: dict[bytes, int] = {}  # in flight, and the time in µs at which each counts as lost
         self._leadership: tuple[object, ...] = ()
         self._is_closed = False
         consensus.on_leader_message = self._on_leader_message
@@ -149,7 +149,7 @@
 
     def _on_timer(self, pending: _PendingEntry) -> None:
         """Finish the waiters that are agreed or late, and submit the entry again if that is due. An effect
-        that the ledger shows by now counts, also at the deadline.
+        that the ledger already shows counts even at the deadline.
         """
         pending.timer = None
         now = self.clock.now()
--- a/laurelstep/outbox/shared/asking.py
+++ b/laurelstep/outbox/shared/asking.py
@@ -6,13 +6,13 @@
    sealed for this very query.
 2. The lease on an earlier incarnation's log is requested only after the store names this incarnation among
    the log's known holders.
-3. An operator's resolution that a write never ran is published before the write is sent again, by the
-   incarnation that received the resolution, and once it holds the log. On a copy of the disk another process
-   may have sent the write since. So a later incarnation does not repeat a resolution that was not agreed, nor
-   is one published after another process held the log: the next replay then finds that the write may have
-   run.
-4. A write that may have run is parked at once, so that a crash finds it parked, and its status is queried. If
-   upstream says that it was applied, it is done.
+3. An operator's resolution that a write never ran is published before the write is sent again. Only the
+   incarnation that received the resolution publishes it, once it holds the log, because on a copy of the disk
+   another process may have sent the write since. So a later incarnation does not repeat a resolution that was
+   not agreed, nor is one published after another process held the log: the next replay then finds that the
+   write may have run.
+4. A write that may have run is parked at once, so that it is parked after a crash too, and its status is
+   queried. If upstream says that it was applied, it is done.
 """
 
 from __future__ import annotations
@@ -84,7 +84,7 @@
     # --- Start and leases ---------------------------------------------------------------
 
     def restore(self, loaded: LoadedWrites) -> None:
-        """Take in the writes that the store had at the start, before any other call."""
+        """Take over the writes that the store held when it was opened. Called before any other method."""
         for write, state_change in loaded.writes:
             edge_log = write.write_id.edge_log
             if edge_log not in self.holders:
@@ -115,7 +115,7 @@
         return True
 
     async def _request_leases(self) -> None:
-        """Make this incarnation's name durable, then request the leases, by rule 2."""
+        """Store this incarnation among the known holders of each log, then request the leases, by rule 2."""
         incarnation = self.version_vector.incarnation
         try:
             for edge_log, is_forced in list(self.leases_to_request.items()):
@@ -152,8 +152,8 @@
             self.parked_at.pop(change.write_id, None)
 
     def _schedule_intent_withdrawal(self, write_id: WriteId, parking: int) -> None:
-        """Withdraw the write's intent once the last attempt's time is over and the log is held. An attempt
-        still on its way may run the write, and the ledger would not show it.
+        """Withdraw the write's intent once the last attempt's deadline has passed and the log is held. An
+        attempt in flight may still run the write, and the ledger would not show it.
         """
         now = self.host.clock.now()
         due_at = self.parked_at.get(write_id, now) + self.host.settings.max_deadline_us
@@ -200,8 +200,8 @@
         return ReplayResult.FENCED if is_fenced else ReplayResult.NOT_RUN
 
     def _has_not_run(self, call: Call, replay: ReplayFront, answer: Answer) -> bool:
-        """`queued_write_fate` is the last attempt's. Before it, an unsafe write had no attempt that may have
-        run.
+        """Whether no attempt can have run the write. `queued_write_fate` is that of the last attempt only; an
+        unsafe write had no earlier attempt that may have run.
         """
         if answer.ending is Ending.REFUSED or replay.never_ran:
             return True
@@ -317,5 +317,5 @@
         try:
             await self.host.store.put_holders(edge_log, self.holders[edge_log])
         except StoreError as error:
-            # The longer list in the store serves as well.
+            # The store still has the former list, which is as good: it names these incarnations too.
             self.host.log(f"outbox: the holders of a log are not stored: {error}")
--- a/laurelstep/outbox/shared/carried_ledger.py
+++ b/laurelstep/outbox/shared/carried_ledger.py
@@ -28,11 +28,11 @@
         self.agreement: AgreementDriver | None = None
 
     def join(self, channel: ConsensusChannel, clock: Clock) -> AgreementDriver:
-        """Start to agree on entries through the consensus channel of `KIND`."""
+        """Start to get entries agreed through the consensus channel of `KIND`."""
         self.agreement = AgreementDriver(channel, self.ledger, clock)
         return self.agreement
 
     def close(self) -> None:
-        """Stop agreeing on entries. Nothing happens if `join` was never called."""
+        """Stop getting entries agreed. Does nothing if `join` was never called."""
         if self.agreement is not None:
             self.agreement.close()
--- a/laurelstep/outbox/shared/edge.py
+++ b/laurelstep/outbox/shared/edge.py
@@ -6,9 +6,9 @@
    and each log's low watermark, up to which all writes are final.
 2. One query is in flight at a time. Urgent items are sent at once. The others take turns: a round of up to
    `MAX_ROUND_QUERIES` queries is followed by a pause of 1 s, which doubles up to 8 s while nothing changes
-   and is drawn at random between half and all of that. The pause is the shortest again once the link is back
-   or something has changed. While the edge is cut off, only `next_probe` is sent: if all writes wait for
-   other edges or for leases, no replay is tried, and nothing else would show that the link is back.
+   and is drawn at random between half and all of that. The pause is the shortest again after the link
+   has come back or something has changed. While the edge is cut off, only `next_probe` is sent: if all writes
+   wait for other edges or for leases, no replay is tried, and nothing else would show that the link is back.
 3. APPLIED and ABANDONED are final; PARKED may change. A log of an earlier incarnation is held only once its
    lease is granted. A fenced log is not held again unless an operator forces the lease.
 4. The driver makes the known holders of a log durable before it calls `request_lease`.
@@ -17,9 +17,9 @@
    before, it is sent only with their next repetition. A ledger that does not know them would take them as
    applied.
 6. The outbox's limits bound the statuses and leases that are asked for; limits in this module bound all
-   other state. An update that other edges wait for but that finds no room is published later (`publish`
-   returns False). Of the updates on parked
-   writes and of the known statuses, the oldest are evicted: that costs an explanation or another query.
+   other state. If there is no room for an update that other edges wait for, `publish` returns False and the
+   update is published later. The oldest updates on parked writes are evicted, and other edges then may not
+   learn that those are parked. The oldest known statuses are evicted, and are queried again when needed.
 """
 
 from __future__ import annotations
@@ -386,7 +386,7 @@
         if edge_log in self._granted_requests:
             return False
         self._open_requests.pop(edge_log)
-        # Repeated without force: an operator's demand is used up once it is granted.
+        # Repeated without force: an operator's demand applies once.
         self._granted_requests[edge_log] = LeaseRequest(edge_log, request.incarnation, request.known_holders)
         self._held_logs.add(edge_log)
         for dependency in self._updates:
--- a/laurelstep/outbox/shared/entries.py
+++ b/laurelstep/outbox/shared/entries.py
@@ -6,8 +6,8 @@
 2. A copy that does not lead sends the entry as a message to the leader. An entry means the same if it
    arrives twice, late or out of order, because one that depends on earlier state names that state
    (`Intent.intent_id`, `LogLease.holder_changes`, `StatusRecord.intent_id`).
-3. New fields are only ever added at the end. An entry with a value out of range, or of a tag that only a
-   later version knows, is not an entry.
+3. New fields are only ever added at the end. Data with a value out of range, or with a tag that only a
+   later version knows, is ignored.
 """
 
 from __future__ import annotations
--- a/laurelstep/outbox/shared/ledger.py
+++ b/laurelstep/outbox/shared/ledger.py
@@ -13,7 +13,7 @@
    affect a later intent. An operator must not resolve a write as never run while an attempt may be in flight:
    the ledger can't detect that.
 4. A lease on a log is granted if the entry names the present holder and how often the holder changed before.
-   A lease that an operator forces need not name the holder. The former holder is granted nothing more.
+   A lease that an operator forces need not name the holder. The former holder gets no further grants.
 5. A status that the holder records applies to the writes that are not final yet. If the holder records all
    writes up to a number as applied, those that are not abandoned become applied.
 6. Once a log is lost, its writes that are not applied are abandoned, nobody holds it, and nothing about it
--- a/laurelstep/outbox/shared/message_seal.py
+++ b/laurelstep/outbox/shared/message_seal.py
@@ -93,7 +93,7 @@
     def open_replay(self, text: str) -> ReplayIdentity:
         """The identity that was sealed. `SealError` if the text is not valid."""
         message = self._open(ReplayIdentity, text, b"")
-        with _reading():
+        with _as_seal_error():
             _check_edge_log(message.write_id.edge_log)
             _check_number(message.write_id.number)
             _check_incarnation(message.incarnation)
@@ -102,14 +102,14 @@
     def open_query(self, text: str) -> ReplayQuery:
         """The query that was sealed. `SealError` if the text is not valid."""
         message = self._open(ReplayQuery, text, b"")
-        with _reading():
+        with _as_seal_error():
             _check_query(message)
         return message
 
     def open_reply(self, text: str, sealed_query: str) -> QueryReply:
         """The reply that was sealed for `sealed_query`. `SealError` if the text is not valid for it."""
         message = self._open(QueryReply, text, sealed_query.encode("latin-1", "replace"))
-        with _reading():
+        with _as_seal_error():
             _check_count(message.write_statuses, message.lease_statuses, message.agreements)
         return message
 
@@ -135,7 +135,7 @@
             or _encode_base64(raw) != text
         ):
             raise SealError("a sealed text was not made with this secret for this use")
-        with _reading():
+        with _as_seal_error():
             version, message = _decoder.decode(data)
             if version != _VERSION:
                 raise ValueError(f"a seal of version {version}")
@@ -148,7 +148,7 @@
 
 
 @contextmanager
-def _reading() -> Iterator[None]:
+def _as_seal_error() -> Iterator[None]:
     """Raise `SealError` for content that can't be read, as a sealed text of another version may have."""
     try:
         yield
--- a/laurelstep/outbox/shared/messages.py
+++ b/laurelstep/outbox/shared/messages.py
@@ -91,7 +91,7 @@
 class LeaseStatus(IntEnum):
     """The result of a lease request."""
 
-    OPEN = 0  # not agreed yet: the edge asks again
+    OPEN = 0  # not agreed yet: the edge sends the request again
     HELD = 1
     FENCED = 2  # another incarnation holds the log, or it is lost
 
@@ -107,7 +107,7 @@
 
 
 class IntentStatus(IntEnum):
-    """What the ledger says of an unsafe write to the replay gate that asks with one intent id."""
+    """The state of an unsafe write in the ledger, as seen by the replay gate that drew one intent id."""
 
     OPEN = 0  # no intent is granted
     MINE = 1  # granted under this intent id: the gate may send the write
--- a/laurelstep/outbox/shared/ports.py
+++ b/laurelstep/outbox/shared/ports.py
@@ -35,7 +35,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the ledger is up to date on this copy and a leader is in contact."""
+        """Whether the ledger is up to date on this copy and this copy is in contact with a leader."""
 
     def agree(self, entry: LedgerEntry, is_agreed: Callable[[], bool], deadline: int) -> asyncio.Future[bool]:
         """Submit an entry. The future is True once `is_agreed` holds, False if it does not by `deadline`, in
--- a/laurelstep/outbox/shared/replay_gate.py
+++ b/laurelstep/outbox/shared/replay_gate.py
@@ -3,23 +3,23 @@
 The rules:
 
 1. A replay is recognized by its sealed header. All other calls are the inner recorder's, if there is one.
-2. While this copy does not know the ledger or hears of no leader that a majority follows, it admits no replay
-   and answers no query.
+2. While this copy's ledger is not up to date, or it is not in contact with a leader that a majority follows,
+   it refuses all replays and queries.
 3. An unsafe write is sent only once an intent with this replay's own intent id is agreed; each replay draws a
    new id. A keyed write needs no intent: upstream recognizes its repeats.
-4. Before a served answer leaves, it is agreed that the write is applied. Otherwise the edge hears that the
-   write may have run.
-5. If a replay has sent nothing and never will, the withdrawal of its intent is agreed before the refusal
-   leaves. If the agreement takes too long, the refusal leaves all the same: it is true, because the call is
-   over and nothing of it can be sent any more. An intent left in the ledger can only tell the next replay
-   that the write may have run, until the withdrawal, which goes on being submitted, is agreed. So no retry
-   can run the write twice.
+4. A served answer is delivered only after it is agreed that the write is applied. Otherwise the edge is
+   answered that the write may have run.
+5. If a replay has sent nothing and never will, the withdrawal of its intent is agreed before the refusal is
+   delivered. If the agreement takes too long, the refusal is delivered all the same: it is true, because the
+   call is over and nothing of it can be sent any more. As long as the intent stays in the ledger, the next
+   replay is only answered that the write may have run; meanwhile the withdrawal is submitted further, by
+   rule 6. So no retry can run the write twice.
 6. An entry that was not agreed in time is submitted for another `LATE_ENTRY_TIMEOUT_US`, with at most
    `MAX_LATE_ENTRIES` such entries at a time. Giving up on one is safe: the write keeps its intent and is not
    recorded as applied.
-7. A replay whose body is forwarded while it arrives is judged by its head, and sent like any other upload.
-   Its answer is buffered whole, as that of every replay; one over the limit on buffered answers counts as one
-   that may have run.
+7. A replay whose body is forwarded while it arrives is admitted by its head, and sent like any other upload.
+   Its answer is buffered whole, as that of every replay. If the answer is over the limit on buffered answers,
+   the write may have run.
 """
 
 from __future__ import annotations
@@ -51,20 +51,20 @@
 
 __all__ = ["ReplayGate"]
 
-# For agreement on an entry during a call. A leader is replaced in less time.
+# Time for agreement on an entry during a call. A leader is replaced in less.
 AGREEMENT_TIMEOUT_US: Final = 5_000_000
 # The end of a call's time that is reserved for sending its answer.
 ANSWER_RESERVE_US: Final = 10_000
-# For agreement on a query's requests and updates; then the reply says which of them are agreed.
+# Time for agreement on a query's requests and updates. The reply then says which of them are agreed.
 QUERY_TIMEOUT_US: Final = 1_000_000
 MAX_QUERIES: Final = 64
 LATE_ENTRY_TIMEOUT_US: Final = 30_000_000
 MAX_LATE_ENTRIES: Final = 256
-# After a refusal.
+# When an edge may retry after a refusal.
 RETRY_AFTER_US: Final = 1_000_000
 # Between two log lines about replays and queries that are not valid.
-COMPLAINT_INTERVAL_US: Final = 10_000_000
-# A lost edge loses all logs, also those that never existed: a log of this incarnation stands for them all.
+REJECTION_LOG_INTERVAL_US: Final = 10_000_000
+# A lost edge loses all logs, also those not in the ledger: a log of this incarnation stands for them all.
 _ANY_INCARNATION: Final = (1 << 64) - 1
 
 TEXT_PLAIN: Final = (b"content-type", b"text/plain")
@@ -110,7 +110,7 @@
         self.open_query_count = 0
         self.late_entry_count = 0
         self.counters = {"replays": 0, "in": 0, "fenced": 0, "begun": 0, "refused": 0, "late": 0, "bad": 0}
-        self.last_complaint_at = -COMPLAINT_INTERVAL_US
+        self.last_rejection_logged_at = -REJECTION_LOG_INTERVAL_US
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def close(self) -> None:
@@ -143,7 +143,7 @@
             return True
         self.counters["replays"] += 1
         if call.request_class not in self.classes:
-            self._complain(
+            self._log_rejection(
                 f"{identity.write_id.edge}: a kept write of a class that [orders] records here was refused"
             )
             engine.settle(call, self._refusal())
@@ -252,7 +252,7 @@
             engine.deliver(replay.call, answer)
 
     async def _withdraw_and_refuse(self, replay: GatedReplay, answer: Answer, engine: CallHost) -> None:
-        """Rule 5 says why the refusal leaves whether or not the withdrawal is agreed."""
+        """Deliver a refusal once the withdrawal of the intent is agreed or its time is over, by rule 5."""
         entry = IntentWithdrawal(replay.write_id, replay.intent_id)
         is_agreed = await self._agree(
             entry, lambda: self.ledger.is_withdrawn(replay.intent_id), self._agreement_deadline(replay.call)
@@ -300,7 +300,7 @@
             if self.inner is not None:
                 self.inner.on_client_left(call, engine)
         elif replay.is_admitted:
-            # The engine cancels the attempts next. Only then they show whether they may have run.
+            # The engine cancels the attempts next. Only then do they show whether they may have run.
             self.clock.at(self.clock.now(), self._on_call_cancelled, replay, tuple(call.attempts))
 
     def _on_call_cancelled(self, replay: GatedReplay, attempts: tuple[Attempt, ...]) -> None:
@@ -371,14 +371,14 @@
 
     def _bad_seal_answer(self, message_name: str, error: SealError) -> Answer:
         self.counters["bad"] += 1
-        self._complain(f"{message_name} was refused: {error}; {error.remedy}")
+        self._log_rejection(f"{message_name} was refused: {error}; {error.remedy}")
         return Answer(Ending.FAILED, 400, (TEXT_PLAIN,), f"{error}\n".encode())
 
-    def _complain(self, text: str) -> None:
-        """Write a log line for the operator, at most one in `COMPLAINT_INTERVAL_US`."""
+    def _log_rejection(self, text: str) -> None:
+        """Write a log line for the operator, at most one in `REJECTION_LOG_INTERVAL_US`."""
         now = self.clock.now()
-        if now >= self.last_complaint_at + COMPLAINT_INTERVAL_US:
-            self.last_complaint_at = now
+        if now >= self.last_rejection_logged_at + REJECTION_LOG_INTERVAL_US:
+            self.last_rejection_logged_at = now
             self.log(f"outbox: {text}")
 
     # --- Operator's commands ------------------------------------------------------------
--- a/laurelstep/outbox/shared/replicated_version_vector.py
+++ b/laurelstep/outbox/shared/replicated_version_vector.py
@@ -35,7 +35,7 @@
 __all__ = ["ReplicatedVersionVector"]
 
 MAX_UNPUBLISHED: Final = 4_096
-# Entries that wait for agreement at a time, and for how long each is submitted before it is looked at again.
+# Entries that wait for agreement at a time, and for how long each is submitted before it is checked again.
 MAX_PENDING: Final = 16
 AGREE_TIMEOUT_US: Final = 5_000_000
 SUBMIT_INTERVAL_US: Final = 1_000_000
@@ -76,9 +76,9 @@
         self.agreement = agreement
         self.incarnation = edge_log.incarnation
         self.on_change = on_change
-        known = tuple(known_log.incarnation for known_log in edge_logs if known_log != edge_log)
+        known_holders = tuple(known_log.incarnation for known_log in edge_logs if known_log != edge_log)
         self.lease_requests = {
-            known_log: LeaseRequest(known_log, self.incarnation, known) for known_log in edge_logs
+            known_log: LeaseRequest(known_log, self.incarnation, known_holders) for known_log in edge_logs
         }
         # This incarnation holds its own log without a request, but another one may take the lease on it.
         self.lease_requests[edge_log] = LeaseRequest(edge_log, self.incarnation, ())
@@ -101,7 +101,7 @@
 
     def holds(self, edge_log: EdgeLog) -> bool:
         """Whether this process may replay the log now. If it does not hold the log, it requests the lease."""
-        self._want(edge_log)
+        self._want_lease(edge_log)
         return self.agreement is not None and self.agreement.is_ready and self._is_held(edge_log)
 
     def publish(self, write_id: WriteId, write_status: WriteStatus) -> bool:
@@ -111,13 +111,13 @@
             return False
         self.unpublished.pop(dependency, None)
         self.unpublished[dependency] = write_id, write_status
-        self._want(write_id.edge_log)
+        self._want_lease(write_id.edge_log)
         return True
 
     def publish_low_watermark(self, edge_log: EdgeLog, number: int) -> bool:
         """Publish that all writes of an own log up to a number are final. Always True."""
         self.unpublished[Dependency(*edge_log, 0, True)] = WriteId(*edge_log, number), WriteStatus.APPLIED
-        self._want(edge_log)
+        self._want_lease(edge_log)
         return True
 
     def is_unpublished(self, write_id: WriteId) -> bool:
@@ -133,11 +133,11 @@
             return False
         self.lease_requests[edge_log] = msgspec.structs.replace(request, is_forced=True)
         self.fenced_logs.discard(edge_log)
-        self._want(edge_log)
+        self._want_lease(edge_log)
         self.on_ledger_change()
         return True
 
-    def _want(self, edge_log: EdgeLog) -> None:
+    def _want_lease(self, edge_log: EdgeLog) -> None:
         if edge_log not in self.wanted_logs:
             self.wanted_logs.add(edge_log)
             if self.agreement is not None:
@@ -179,7 +179,7 @@
 
     def _request_lease(self, edge_log: EdgeLog, request: LeaseRequest) -> None:
         lease_status = self.ledger.lease_status(request)
-        if lease_status is LeaseStatus.HELD and request.is_forced:  # the operator's demand is used up
+        if lease_status is LeaseStatus.HELD and request.is_forced:  # an operator's demand applies once
             self.lease_requests[edge_log] = msgspec.structs.replace(request, is_forced=False)
         if lease_status is LeaseStatus.FENCED and edge_log not in self.fenced_logs:
             self.fenced_logs.add(edge_log)
--- a/laurelstep/outbox/transitions.py
+++ b/laurelstep/outbox/transitions.py
@@ -41,21 +41,23 @@
 class TransitionTracker(DependencyTracker):
     """Takes single writes from state to state, in the table and in the graph."""
 
-    def _change(self, row: int, event: WriteEvent, reason: ParkingReason = ParkingReason.NONE) -> Transition:
+    def _begin_transition(
+        self, row: int, event: WriteEvent, reason: ParkingReason = ParkingReason.NONE
+    ) -> Transition:
         """Build the transition of a row, its record without an answer. Marks the row as busy."""
         rows = self._rows
         state = rows.state_of(row)
-        next_ = next_state(state, event)
-        is_parked = next_ is WriteState.PARKED
+        new_state = next_state(state, event)
+        is_parked = new_state is WriteState.PARKED
         write_id, parking = self._write_id_of(row), rows.parking[row] + is_parked
         resolved, resolution, resolved_at = self._resolutions.get(self._pack(write_id), (0, 0, 0))
         rows.set(row, BUSY)
         state_change = StateChange(
-            write_id, next_, reason, parking, resolution, resolved, resolved_at, rows.has(row, SENT)
+            write_id, new_state, reason, parking, resolution, resolved, resolved_at, rows.has(row, SENT)
         )
         return Transition(write_id, event, state_change)
 
-    def _expired(self, row: int, now: int) -> ParkingReason:
+    def _expiry_reason(self, row: int, now: int) -> ParkingReason:
         """Why the row is to be parked as expired; NONE if it is not."""
         age = now - self._rows.since[row]
         cls = self.classes.get(self._class_names[self._rows.cls[row]])
@@ -97,7 +99,7 @@
             self.pace.on_failure(now)
         if result is ReplayResult.MAY_HAVE_RUN:
             self._rows.set(row, SENT)
-        state_change = self._change(row, event, reason).state_change
+        state_change = self._begin_transition(row, event, reason).state_change
         recorded = msgspec.structs.replace(state_change, status=status, headers=headers, body=body, wall=wall)
         return Transition(write_id, event, recorded)
 
@@ -111,7 +113,7 @@
         if result is ReplayResult.FENCED:
             return WriteEvent.FENCED, ParkingReason.FENCED
         cls = self.classes.get(self._class_names[self._rows.cls[row]])
-        if cls is not None and cls.keyed and not self._expired(row, now):
+        if cls is not None and cls.keyed and not self._expiry_reason(row, now):
             return WriteEvent.RETRY, ParkingReason.NONE
         return WriteEvent.UNCERTAIN, ParkingReason.MAY_HAVE_RUN
 
@@ -141,11 +143,11 @@
         elif event is WriteEvent.NEVER_RAN:
             self._restart_age(row, state_change.reason, now)
         elif event is WriteEvent.UNFENCED:
-            if self._expired(row, now):  # expired while it was parked, which `due` skips
+            if self._expiry_reason(row, now):  # expired while it was parked, which `due` skips
                 self._expired_rows.append(row)
             self._graph.resume(row)
-            self._wake(row)
-        return event is not WriteEvent.SEND or not self._expired(row, now)
+            self._make_ready_if_free(row)
+        return event is not WriteEvent.SEND or not self._expiry_reason(row, now)
 
     def _park(self, row: int, event: WriteEvent) -> None:
         rows = self._rows
@@ -166,7 +168,7 @@
         if reason is ParkingReason.ORPHANED:
             self._orphan_exempt.add(row)
         self._graph.resume(row)
-        self._wake(row)
+        self._make_ready_if_free(row)
 
     def undo(self, change: Transition, now: int) -> None:
         """Take back a transition that could not be made durable. `due` returns it again, except a
@@ -186,7 +188,7 @@
         elif rows.state[row] == WriteState.READY:
             (self._joins.append if rows.has(row, JOIN) else self._replay_queue.requeue)(row)
         else:
-            self._wake(row)
+            self._make_ready_if_free(row)
 
     def _close(self, row: int, now: int) -> None:
         """Close a final row. Followers of a write that was given up become orphans."""
@@ -199,6 +201,7 @@
         self._retire(row)
 
     def _retire(self, row: int) -> None:
+        """Uncount a row that is final or was not stored. Finish it if its dependencies are finished."""
         self._uncount(row)
         self._expiry_queue.drop(self._rows.cls[row], row)
         self._rows.set(row, CLOSED)
--- a/laurelstep/outbox/write_ids.py
+++ b/laurelstep/outbox/write_ids.py
@@ -4,8 +4,8 @@
    installation.
 2. An incarnation is 64 random bits, drawn each time a process opens the store for writing. So two processes
    on copies of one disk never give the same id to two writes, even while both are cut off from all others.
-3. Numbers count from 1 within an incarnation, without gaps: a number whose write could not be stored is
-   reported as given up.
+3. Numbers count from 1 within an incarnation, without gaps. A number whose write could not be stored has no
+   receipt, and counts as finished.
 4. A log is the set of all write ids of one edge and incarnation.
 """
 
--- a/laurelstep/outbox/write_table.py
+++ b/laurelstep/outbox/write_table.py
@@ -81,40 +81,40 @@
     def _slot(self, key: int) -> int:
         """The slot of the key, or the free slot where it would be inserted."""
         keys, size = self._keys, len(self._keys)
-        at = ((key * _HASH_MULTIPLIER & _MASK_64_BITS) >> 32) * size >> 32
-        while keys[at] != _EMPTY and keys[at] != key:
-            at = at + 1 if at + 1 < size else 0
-        return at
+        slot = ((key * _HASH_MULTIPLIER & _MASK_64_BITS) >> 32) * size >> 32
+        while keys[slot] != _EMPTY and keys[slot] != key:
+            slot = slot + 1 if slot + 1 < size else 0
+        return slot
 
     def get(self, key: int, default: int = -1) -> int:
         """The value of a key, or `default`."""
-        at = self._slot(key)
-        return self._values[at] if self._keys[at] == key != _EMPTY else default
+        slot = self._slot(key)
+        return self._values[slot] if self._keys[slot] == key != _EMPTY else default
 
     def put(self, key: int, value: int) -> None:
         """Set the value of a key."""
-        at = self._slot(key)
-        if self._keys[at] == _EMPTY:
+        slot = self._slot(key)
+        if self._keys[slot] == _EMPTY:
             self._used += 1
-        self._keys[at], self._values[at] = key, value
+        self._keys[slot], self._values[slot] = key, value
         if 4 * self._used > 3 * len(self._keys):
             self._resize(len(self._keys) * 5 // 4)
 
     def drop(self, key: int) -> None:
         """Remove a key, if it is there."""
-        at = self._slot(key)
-        if self._keys[at] != key:
+        slot = self._slot(key)
+        if self._keys[slot] != key:
             return
         keys, size = self._keys, len(self._keys)
-        keys[at] = _EMPTY
+        keys[slot] = _EMPTY
         self._used -= 1
         # Reinsert the keys that follow: they may have been placed there because this slot was taken.
-        following = (at + 1) % size
+        following = (slot + 1) % size
         while keys[following] != _EMPTY:
-            moved, value = keys[following], self._values[following]
+            moved_key, value = keys[following], self._values[following]
             keys[following] = _EMPTY
-            place = self._slot(moved)
-            keys[place], self._values[place] = moved, value
+            new_slot = self._slot(moved_key)
+            keys[new_slot], self._values[new_slot] = moved_key, value
             following = (following + 1) % size
         if 4 * self._used < size > _MIN_SLOTS:
             self._resize(max(_MIN_SLOTS, size // 2))
@@ -125,8 +125,8 @@
         self._values = array(self._kind, [0]) * size
         for key, value in zip(keys, values, strict=True):
             if key != _EMPTY:
-                at = self._slot(key)
-                self._keys[at], self._values[at] = key, value
+                slot = self._slot(key)
+                self._keys[slot], self._values[slot] = key, value
 
 
 class IntegerMap:
--- a/laurelstep/testing/contracts/outbox.py
+++ b/laurelstep/testing/contracts/outbox.py
@@ -33,7 +33,7 @@
     async def put_write(self, write: QueuedWrite, body: bytes) -> None:
         """Store a write with its complete body."""
 
-    async def put_parts(self, write_id: WriteId, at: int, parts: Sequence[bytes]) -> None:
+    async def put_parts(self, write_id: WriteId, first_number: int, parts: Sequence[bytes]) -> None:
         """Store parts of a body that is still arriving, from part `at` on."""
 
     async def put_head(self, write: QueuedWrite, first: bytes) -> None:
--- a/tests/faulty_outbox.py
+++ b/tests/faulty_outbox.py
@@ -95,7 +95,7 @@
     """Record writes as done without sending them."""
 
     async def finish_unsent(self: OutboxDriver, write_id: WriteId, *more: Any) -> None:
-        await self._end(write_id, ReplayResult.ANSWERED, Answer(Ending.SERVED, 200))
+        await self._store_result(write_id, ReplayResult.ANSWERED, Answer(Ending.SERVED, 200))
 
     OutboxDriver._send = finish_unsent  # type: ignore[method-assign,assignment]
 
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -351,7 +351,7 @@
                 self.now_us(),
                 store.time_us(),
                 is_elapsed_known=store.is_elapsed_known,
-                doubt_us=store.opening_uncertainty_us,
+                uncertainty_us=store.opening_uncertainty_us,
             )
             for change in changes:
                 await store.put_state(change.state_change)
--- a/tests/test_outbox.py
+++ b/tests/test_outbox.py
@@ -65,27 +65,27 @@
     def declare_lost(self, edge: str, incarnation: int | None = None) -> bool:
         """Returns False if the loss was declared before."""
         if incarnation is None:
-            known = edge in self.lost_edges
+            was_lost = edge in self.lost_edges
             self.lost_edges.add(edge)
         else:
-            known = EdgeLog(edge, incarnation) in self.lost_logs
+            was_lost = EdgeLog(edge, incarnation) in self.lost_logs
             self.lost_logs.add(EdgeLog(edge, incarnation))
-        return not known
+        return not was_lost
 
     def publish(self, write_id: WriteId, write_status: WriteStatus) -> None:
         if self._published.get(write_id) not in (WriteStatus.APPLIED, WriteStatus.ABANDONED):
             self._published[write_id] = write_status
 
     def write_status(self, dependency: Dependency) -> WriteStatus:
-        told = (
+        published = (
             WriteStatus.UNKNOWN
             if dependency.before
             else self._published.get(dependency.write_id, WriteStatus.UNKNOWN)
         )
-        if told is WriteStatus.APPLIED:
-            return told
-        gone = dependency.edge in self.lost_edges or dependency.edge_log in self.lost_logs
-        return WriteStatus.ABANDONED if gone else told
+        if published is WriteStatus.APPLIED:
+            return published
+        is_lost = dependency.edge in self.lost_edges or dependency.edge_log in self.lost_logs
+        return WriteStatus.ABANDONED if is_lost else published
 
     def holds(self, edge_log: EdgeLog) -> bool:
         return True
@@ -128,14 +128,14 @@
         self.now = 0
 
     def offer(self, cls: str = "print", follows: str = "", key: bytes = b"", **more: object) -> WriteOffer:
-        named: dict[str, object] = {
+        fields: dict[str, object] = {
             "method_and_target": b"POST /",
             "headers": (),
             "size": 10,
             "digest": b"",
             **more,
         }
-        return WriteOffer(cls, key=key, tokens=follows, **named)  # type: ignore[arg-type]
+        return WriteOffer(cls, key=key, tokens=follows, **fields)  # type: ignore[arg-type]
 
     def queue(self, cls: str = "print", follows: str = "", key: bytes = b"", **more: object) -> WriteId:
         ticket = self.outbox.offer(self.offer(cls, follows, key, **more), self.now, WALL + self.now)
@@ -614,13 +614,13 @@
 def test_two_processes_on_copies_of_a_disk_share_no_write_id_and_only_the_holder_sends() -> None:
     harness = OutboxHarness()
     old = harness.queue()
-    one, two = harness.restart(WALL, EdgeLog("ash", 8)), harness.restart(WALL, EdgeLog("ash", 9))
-    assert one.queue() != two.queue()
-    two.version_vector.held = False
-    assert old in one.due() and two.due() == []
-    two.version_vector.held = True
-    two.outbox.on_remote_change(0)
-    assert len(two.due()) == 2
+    first, second = harness.restart(WALL, EdgeLog("ash", 8)), harness.restart(WALL, EdgeLog("ash", 9))
+    assert first.queue() != second.queue()
+    second.version_vector.held = False
+    assert old in first.due() and second.due() == []
+    second.version_vector.held = True
+    second.outbox.on_remote_change(0)
+    assert len(second.due()) == 2
 
 
 def test_a_write_whose_window_ends_while_its_record_is_stored_is_not_sent() -> None:
@@ -854,9 +854,9 @@
     checked_rows: list[int] = []
 
     class CountingOutbox(Outbox):
-        def _expired(self, row: int, now: int) -> ParkingReason:
+        def _expiry_reason(self, row: int, now: int) -> ParkingReason:
             checked_rows.append(row)
-            return super()._expired(row, now)
+            return super()._expiry_reason(row, now)
 
     harness = OutboxHarness(bounds=OutboxBounds(replay_most=1, tenant_share=1.0))
     harness.outbox = CountingOutbox(ASH, CLASSES, harness.bounds, TOKENS, harness.version_vector)
@@ -924,9 +924,9 @@
 
         await asyncio.gather(*(send(name) for name in "ab"))
         assert order[:3] == ["a", "others", "b"] and not slept
-        background.live = True
+        background.had_live_request = True
         await send("c")
         await send("d")
-        assert len(slept) == 1 and slept[0] > 0.0 and not background.live
+        assert len(slept) == 1 and slept[0] > 0.0 and not background.had_live_request
 
     asyncio.run(main())
--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -198,19 +198,19 @@
     port = await server.listen("127.0.0.1", 0)
     assert server.listener is not None
     stack.callback(server.listener.close)
-    found = Edge(driver, server, endpoint, disk, port, log)
-    stack.callback(found.abort_clients)
-    return found
+    edge_process = Edge(driver, server, endpoint, disk, port, log)
+    stack.callback(edge_process.abort_clients)
+    return edge_process
 
 
 @contextlib.asynccontextmanager
 async def edge(disk: SimulatedDisk | None = None, off: bool = True, **changes: Any) -> AsyncIterator[Edge]:
     """A process with an outbox. If `off`, it is cut off and the small write `prime` is queued."""
     async with asyncio.timeout(TEST_TIMEOUT_S), Endpoint() as endpoint, contextlib.AsyncExitStack() as stack:
-        found = await _start(disk or Disk(), endpoint, stack, changes)
+        started = await _start(disk or Disk(), endpoint, stack, changes)
         if off:
-            await found.cut_off()
-        yield found
+            await started.cut_off()
+        yield started
 
 
 @contextlib.asynccontextmanager
@@ -399,8 +399,8 @@
 
             node.endpoint._serve = break_off  # type: ignore[method-assign]
             await node.endpoint.restart(0)
-            found = await node.write("photo", body_of(4 << 20))
-            assert found.status in (502, 503, 504) and "location" not in found.headers
+            answer = await node.write("photo", body_of(4 << 20))
+            assert answer.status in (502, 503, 504) and "location" not in answer.headers
             assert node.driver.outbox.count == 0 and node.parts == 0
 
     run(main())
@@ -488,8 +488,8 @@
 def test_a_body_declared_too_large_is_answered_as_without_an_outbox() -> None:
     async def main() -> None:
         async with edge(body_bytes=1 << 20) as node:
-            found = await node.write("photo", body_of((2 << 20) + 1))
-            assert found.status in (502, 503, 504) and "location" not in found.headers
+            answer = await node.write("photo", body_of((2 << 20) + 1))
+            assert answer.status in (502, 503, 504) and "location" not in answer.headers
             assert has_only_prime(node)
             assert (await node.write("small", body_of(1 << 20))).status == 202
 
@@ -499,8 +499,8 @@
 def test_a_chunked_body_that_becomes_too_large_is_refused_and_leaves_nothing() -> None:
     async def main() -> None:
         async with edge(body_bytes=2 << 20) as node:
-            found = await node.write("photo", body_of(4 << 20), chunked=True)
-            assert found.status == 503 and float(found.headers["retry-after"]) > 0
+            answer = await node.write("photo", body_of(4 << 20), chunked=True)
+            assert answer.status == 503 and float(answer.headers["retry-after"]) > 0
             await node.settle()
             assert has_only_prime(node)
             assert (await node.write("photo", body_of(2 << 20), chunked=True)).status == 202
@@ -514,14 +514,14 @@
             stored_parts: list[int] = []
             put_parts = node.driver.store.put_parts
 
-            async def recorded(write_id: WriteId, at: int, parts: Any) -> None:
-                stored_parts.append(at)
-                await put_parts(write_id, at, parts)
+            async def recorded(write_id: WriteId, first_number: int, parts: Any) -> None:
+                stored_parts.append(first_number)
+                await put_parts(write_id, first_number, parts)
 
             node.driver.store.put_parts = recorded  # type: ignore[method-assign]
             for chunked in (False, True):  # a chunked body counts as 4 MB, which is over the tenant's share
-                found = await node.write("photo", body_of(3_500_000), chunked=chunked)
-                assert found.status in (502, 503, 504) and "location" not in found.headers
+                answer = await node.write("photo", body_of(3_500_000), chunked=chunked)
+                assert answer.status in (502, 503, 504) and "location" not in answer.headers
             assert has_only_prime(node) and not stored_parts
             assert (await node.write("photo", body_of(3 << 20))).status == 202 and stored_parts
 
@@ -588,8 +588,8 @@
         disk = Disk()
         async with edge(disk) as node:
             disk.free_bytes = room
-            found = await node.write("photo", body_of(3 << 20))
-            assert found.status == 503 and float(found.headers["retry-after"]) > 0
+            answer = await node.write("photo", body_of(3 << 20))
+            assert answer.status == 503 and float(answer.headers["retry-after"]) > 0
             assert any("not kept" in line for line in node.log)
             for later_disk in (disk.lose_power(), disk.lose_power(keeps_all=True)):
                 store = await QueueStore.open(later_disk, 64 << 20)
@@ -625,8 +625,8 @@
             assert (await node.write("before", b"x" * 100, cls="pay")).status == 202
             disk.fail_always(OSError(number, os.strerror(number)), *operations)
             for size in (10, 2 << 20):
-                found = await node.write(f"during-{size}", bytes(size))
-                assert found.status in (502, 503), "answered, and not acknowledged as queued"
+                answer = await node.write(f"during-{size}", bytes(size))
+                assert answer.status in (502, 503), "answered, and not acknowledged as queued"
             disk.clear_errors()
             node.driver.store.store.availability.retry_at = 0.0
             await node.settle()
@@ -664,8 +664,8 @@
                 await put_head(*args)
 
             monkeypatch.setattr(node.driver.store, "put_head", fail)
-            found = await node.write("photo", body_of(2 << 20))
-            assert found.status == 502 and found.headers["x-may-have-run"] == "1"
+            answer = await node.write("photo", body_of(2 << 20))
+            assert answer.status == 502 and answer.headers["x-may-have-run"] == "1"
             node.driver.store.store.availability.retry_at = 0.0
             await node.settle()
             assert has_only_prime(node)
@@ -769,8 +769,8 @@
             waits = asyncio.create_task(node.write("waits", body, key))
             await node.until(lambda: [len(calls) for calls in node.driver.storing.values()] == [2])
             writer.transport.abort()
-            found = await waits
-            assert found.status == 503 and float(found.headers["retry-after"]) > 0
+            answer = await waits
+            assert answer.status == 503 and float(answer.headers["retry-after"]) > 0
             late_writer.write(body[-1:])
             assert (await read_message(late)).status == 503
             await node.settle()
@@ -799,12 +799,12 @@
     async def recovered(disk: SimulatedDisk) -> list[bytes]:
         store = await QueueStore.open(disk, 64 << 20)
         writes = (await store.load()).writes
-        found = [stored for write, _ in writes if (stored := await store.read(write.write_id)) is not None]
-        assert len(found) == len(writes)
+        loaded = [stored for write, _ in writes if (stored := await store.read(write.write_id)) is not None]
+        assert len(loaded) == len(writes)
         parts = {key for key in store.store.index.locations if key[:1] == b"p"}
-        assert len(parts) == sum(-(-write.size // BODY_PART_BYTES) - 1 for write, _ in found if write.size)
+        assert len(parts) == sum(-(-write.size // BODY_PART_BYTES) - 1 for write, _ in loaded if write.size)
         await store.close()
-        return [body for _, body in found]
+        return [body for _, body in loaded]
 
     async def main() -> None:
         await upload()
@@ -819,10 +819,12 @@
                 lambda disk, step=step: disk.lose_power(random.Random(step)),  # type: ignore[misc]
             ]
             for cut in cuts:
-                found = await recovered(cut(SimulatedDisk.replay(journal[:step])))
-                assert found in ([b""], [b"", body]), f"step {step}"
-                assert step <= acknowledged or len(found) == 2, f"step {step}: acknowledged, but missing"
-                write_counts.add(len(found))
+                found_bodies = await recovered(cut(SimulatedDisk.replay(journal[:step])))
+                assert found_bodies in ([b""], [b"", body]), f"step {step}"
+                assert step <= acknowledged or len(found_bodies) == 2, (
+                    f"step {step}: acknowledged, but missing"
+                )
+                write_counts.add(len(found_bodies))
         assert write_counts == {1, 2}
 
     run(main())
--- a/tests/test_outbox_edge.py
+++ b/tests/test_outbox_edge.py
@@ -277,8 +277,8 @@
     edge = QueryingEdge()
     incarnations = tuple(range(100, 200))
     edge.version_vector.request_lease(EARLIER_LOG, incarnations)
-    known = edge.expect_query().lease_requests[0].known_holders
-    assert len(known) == MAX_KNOWN_HOLDERS and known == (100, 101, *incarnations[2 - MAX_KNOWN_HOLDERS :])
+    holders = edge.expect_query().lease_requests[0].known_holders
+    assert len(holders) == MAX_KNOWN_HOLDERS and holders == (100, 101, *incarnations[2 - MAX_KNOWN_HOLDERS :])
 
 
 def test_of_two_copies_of_a_disk_the_second_stays_fenced_until_an_operator_forces_the_lease() -> None:
@@ -510,9 +510,9 @@
         edge.query_until_idle()
         edge.now += MAX_PAUSE_US
     for dependency in watched:
-        known = edge.version_vector.write_status(dependency)
+        known_status = edge.version_vector.write_status(dependency)
         assert (
-            known is edge.ledger.write_status(dependency) or known is WriteStatus.APPLIED
+            known_status is edge.ledger.write_status(dependency) or known_status is WriteStatus.APPLIED
         )  # reported by a ledger that was lost since
     for write_id, write_status in reported.items():
         expected = (
@@ -894,7 +894,9 @@
             outbox = edge.driver.outbox
             outbox.bounds = dataclasses.replace(outbox.bounds, receipt_us=0)
             first = await edge.queue_write("pay")
-            expiry = outbox._change(outbox._require_row(first), WriteEvent.EXPIRED, ParkingReason.AGE)
+            expiry = outbox._begin_transition(
+                outbox._require_row(first), WriteEvent.EXPIRED, ParkingReason.AGE
+            )
             await edge.driver.take_step(expiry)
             edge.resolve(first, Resolution.GIVE_UP)
             await edge.wait_for_state(first, WriteState.GIVEN_UP)
--- a/tests/test_outbox_replay_gate.py
+++ b/tests/test_outbox_replay_gate.py
@@ -50,11 +50,11 @@
     StatusUpdate,
 )
 from laurelstep.outbox.shared.replay_gate import (
-    COMPLAINT_INTERVAL_US,
     LATE_ENTRY_TIMEOUT_US,
     MAX_LATE_ENTRIES,
     MAX_QUERIES,
     QUERY_TIMEOUT_US,
+    REJECTION_LOG_INTERVAL_US,
     ReplayGate,
 )
 from laurelstep.outbox.version_vector import WriteStatus
@@ -73,7 +73,7 @@
 
 
 class ManualAgreement:
-    """An `Agreement` whose entries are agreed when the test says so."""
+    """An `Agreement` whose entries are agreed when the test calls for it."""
 
     def __init__(self, ledger: ReplicatedLedger, clock: ManualClock) -> None:
         self.ledger = ledger
@@ -466,7 +466,7 @@
         )
         assert world.answers == [(400, b"")] * 4 and not world.sent
         assert len(world.log_lines) == 1 and "secret" in world.log_lines[0] and "\n" not in world.log_lines[0]
-        await world.advance(COMPLAINT_INTERVAL_US)
+        await world.advance(REJECTION_LOG_INTERVAL_US)
         await world.send_replay(PUT, "x")
         assert len(world.log_lines) == 2
 
@@ -572,7 +572,7 @@
     run_in_world(test)
 
 
-def test_a_refusal_leaves_once_its_intent_is_withdrawn() -> None:
+def test_a_refusal_is_delivered_once_its_intent_is_withdrawn() -> None:
     async def test(world: World) -> None:
         await world.send_replay()
         await world.agree()
@@ -587,7 +587,7 @@
     run_in_world(test)
 
 
-def test_a_refusal_whose_intent_was_not_withdrawn_leaves_and_its_retry_runs_at_most_once() -> None:
+def test_a_refusal_whose_intent_was_not_withdrawn_is_delivered_and_its_retry_runs_at_most_once() -> None:
     async def test(world: World) -> None:
         await world.send_replay()
         await world.agree()
@@ -610,7 +610,7 @@
     run_in_world(test)
 
 
-def test_a_keyed_refusal_leaves_at_once() -> None:
+def test_a_keyed_refusal_is_delivered_at_once() -> None:
     async def test(world: World) -> None:
         await world.send_replay(PUT)
         while world.sent:
@@ -639,7 +639,7 @@
 
 
 @pytest.mark.parametrize(("outcome", "runs"), [(RESET, True), (ERROR, True), (RESET, False)])
-def test_a_failure_leaves_at_once_and_keeps_its_intent(outcome: int, runs: bool) -> None:
+def test_a_failure_is_delivered_at_once_and_keeps_its_intent(outcome: int, runs: bool) -> None:
     async def test(world: World) -> None:
         await world.send_replay()
         await world.agree()
@@ -693,9 +693,7 @@
 
 
 def test_the_intent_is_kept_if_the_edge_disconnects_after_an_attempt_that_may_have_run() -> None:
-    """When the gate is told of the disconnect, an attempt that is over is not among the call's attempts any
-    more.
-    """
+    """When the gate is notified of the disconnect, the call's attempts no longer include one that is over."""
 
     async def test(world: World) -> None:
         call = await world.send_replay()
--- a/tests/test_outbox_schedules.py
+++ b/tests/test_outbox_schedules.py
@@ -55,7 +55,7 @@
 
 @dataclass(eq=False)
 class ClientWrite:
-    """A client's write, as the checker knows it. `after`: the names of the writes that it depends on."""
+    """A client's write, as the checker tracks it. `after`: the names of the writes that it depends on."""
 
     name: bytes
     keyed: bool
@@ -83,11 +83,11 @@
     write_id: WriteId
     name: bytes
     edge: Edge | None
-    until: int
+    deadline: int
 
 
 class SharedOutbox:
-    """The statuses that the copies upstream share. Edges learn them with a delay."""
+    """The statuses that the copies upstream share. Edges receive them with a delay."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -162,7 +162,7 @@
         return 1_700_000_000 * SECOND_US + self.world.now + self.clock_skew
 
     def push(self, changes: list[Transition]) -> None:
-        self.pending += [("move", change) for change in changes]
+        self.pending += [("transition", change) for change in changes]
 
     def crash(self) -> None:
         """Crash and restart. Each disk write in progress may or may not have become durable."""
@@ -176,7 +176,7 @@
 
     def persist(self, kind: str, item: Any) -> None:
         world = self.world
-        if kind == "keep":
+        if kind == "write":
             self.queued[item.write_id] = encode(item)
             world.client_writes[world.names[item.write_id]].durable = True
             return
@@ -185,7 +185,7 @@
             write_id in self.state_changes
             and decode_state_change(self.state_changes[write_id]).state in FINAL
         ):
-            raise InvariantError("final", f"{write_id} moved after its end")
+            raise InvariantError("final", f"{write_id} changed after its final state")
         self.state_changes[write_id] = encode(state_change)
         client_write = world.client_writes[world.names[write_id]]
         if state_change.state is WriteState.GIVEN_UP:
@@ -198,7 +198,7 @@
         fails = not world.is_calm and world.draw.random() < 0.08
         if not fails:
             self.persist(kind, item)
-        if kind == "keep":
+        if kind == "write":
             self.on_record_stored(item, fails)
         elif fails:
             self.outbox.undo(item, world.now)
@@ -224,14 +224,14 @@
             return
         self.outbox.on_stored(write.write_id, world.now)
         if not self.outbox.is_durable(write.write_id):
-            raise InvariantError("told", f"{write.write_id} is stored and not durable")
+            raise InvariantError("reported", f"{write.write_id} is stored and not durable")
         client_write.is_acknowledged = True
         token = TOKENS.receipt(write.write_id)
         client = world.clients[client_write.client]
         if world.draw.random() < 0.1:
             token = TOKENS.encode((Dependency(*write.write_id, True),))  # names more than the write
-        kept = client.tokens[-3:] if world.draw.random() < 0.3 else []
-        client.tokens = [*kept, (token, name)]
+        earlier_tokens = client.tokens[-3:] if world.draw.random() < 0.3 else []
+        client.tokens = [*earlier_tokens, (token, name)]
         if not client_write.join:
             world.by_session_and_object.setdefault((self.name, b"s", write.session), []).append(name)
             world.by_session_and_object.setdefault((self.name, b"o", write.obj), []).append(name)
@@ -296,7 +296,7 @@
         keyed = self.draw.random() < 0.6
         name = b"%d" % len(self.client_writes)
         session, obj = b"s%d" % client.number, b"o%d" % self.draw.randrange(4)
-        after = {known for _, known in client.tokens}
+        after = {cause for _, cause in client.tokens}
         for kind, value in ((b"s", session), (b"o", obj)):
             after.update(self.by_session_and_object.get((edge.name, kind, value), ()))
         cls = "album" if keyed else "print"
@@ -316,19 +316,19 @@
             ticket = edge.outbox.offer(offer, self.now, edge.wall)
         except FullError as error:
             if error.retry_us <= 0:
-                raise InvariantError("bounds", "a full outbox does not say when to return") from None
+                raise InvariantError("bounds", "a full outbox gives no time for a retry") from None
             return
         if ticket.write is None:
-            raise InvariantError("invented", f"{ticket.write_id} is said to be known")
+            raise InvariantError("invented", f"{ticket.write_id} is reported as known, but its key is new")
         self.record(edge, ticket.write, ClientWrite(name, keyed, client.number, after))
         if keyed and edge.outbox.offer(offer, self.now, edge.wall).write_id != ticket.write_id:
-            raise InvariantError("once", f"the key of {ticket.write_id} has two names")
+            raise InvariantError("once", f"the key of {ticket.write_id} has two write ids")
 
     def record(self, edge: Edge, write: QueuedWrite, client_write: ClientWrite) -> None:
         client_write.write_id = write.write_id
         self.client_writes[client_write.name] = client_write
         self.names[write.write_id] = client_write.name
-        edge.pending.append(("keep", write))
+        edge.pending.append(("write", write))
 
     def join(self) -> None:
         """A client replaces its tokens by the token of a join."""
@@ -336,7 +336,7 @@
         if len(client.tokens) < 2:
             return
         dependencies = TOKENS.read(", ".join(token for token, _ in client.tokens))
-        after = {known for _, known in client.tokens}
+        after = {cause for _, cause in client.tokens}
         try:
             ticket = edge.outbox.join(dependencies, self.now, edge.wall)
         except FullError:
@@ -368,20 +368,20 @@
         edge, chance = attempt.edge, self.draw.random()
         up = edge is None or edge.is_linked
         if not self.is_calm and chance < 0.12:
-            self.end(edge, attempt, ReplayResult.MAY_HAVE_RUN)  # the request was lost
+            self.finish_attempt(edge, attempt, ReplayResult.MAY_HAVE_RUN)  # the request was lost
         elif not up or (not self.is_calm and chance < 0.2):
-            self.end(edge, attempt, ReplayResult.NOT_RUN)
+            self.finish_attempt(edge, attempt, ReplayResult.NOT_RUN)
         elif chance > 0.95:
-            self.end(edge, attempt, ReplayResult.DENIED)
+            self.finish_attempt(edge, attempt, ReplayResult.DENIED)
         else:
             self.apply_effect(attempt.name)
             lost = not self.is_calm and chance < 0.35
-            self.end(edge, attempt, ReplayResult.MAY_HAVE_RUN if lost else ReplayResult.ANSWERED)
+            self.finish_attempt(edge, attempt, ReplayResult.MAY_HAVE_RUN if lost else ReplayResult.ANSWERED)
 
-    def end(self, edge: Edge | None, attempt: Attempt, end: ReplayResult) -> None:
+    def finish_attempt(self, edge: Edge | None, attempt: Attempt, result: ReplayResult) -> None:
         if edge is not None and not edge.lost:
             edge.push(
-                [edge.outbox.on_replay_end(attempt.write_id, end, self.now, edge.wall, 200, (), b"told")]
+                [edge.outbox.on_replay_end(attempt.write_id, result, self.now, edge.wall, 200, (), b"told")]
             )
 
     def apply_effect(self, name: bytes) -> None:
@@ -403,11 +403,11 @@
             if name in seen:
                 continue
             seen.add(name)
-            before = self.client_writes[name]
-            if not (before.effects or before.given_up or before.lost or before.join):
-                raise InvariantError("order", f"{client_write.write_id} took effect before {before.write_id}")
-            if not before.lost:  # what a lost write followed is lost with it
-                work += before.after
+            cause = self.client_writes[name]
+            if not (cause.effects or cause.given_up or cause.lost or cause.join):
+                raise InvariantError("order", f"{client_write.write_id} took effect before {cause.write_id}")
+            if not cause.lost:  # the causes of a lost write are not checked
+                work += cause.after
 
     def pass_time(self) -> None:
         self.advance_time(
@@ -418,16 +418,16 @@
         """Advance the time. No attempt is in flight for longer than `send_us`."""
         end = self.now + step
         overdue = sorted(
-            (attempt for attempt in self.attempts if attempt.until <= end), key=lambda one: one.until
+            (attempt for attempt in self.attempts if attempt.deadline <= end), key=lambda late: late.deadline
         )
         for attempt in overdue:
             self.attempts.remove(attempt)
             if self.draw.random() < 0.5:
-                self.now = max(self.now, attempt.until)  # the write ran at the last moment
+                self.now = max(self.now, attempt.deadline)  # the write ran at its deadline
                 self.apply_effect(attempt.name)
         self.now = end
         for attempt in overdue:
-            self.end(attempt.edge, attempt, ReplayResult.MAY_HAVE_RUN)
+            self.finish_attempt(attempt.edge, attempt, ReplayResult.MAY_HAVE_RUN)
 
     def flap_link(self) -> None:
         edge = self.draw.choice(self.surviving())
@@ -452,7 +452,9 @@
             edge.lost = True
             self.shared.lost_edges.add(edge.name)
             self.attempts = [
-                one for one in self.attempts if one.edge is not edge and one.write_id.edge != edge.name
+                attempt
+                for attempt in self.attempts
+                if attempt.edge is not edge and attempt.write_id.edge != edge.name
             ]
             for client_write in self.client_writes.values():
                 if client_write.write_id is not None and client_write.write_id.edge == edge.name:
@@ -462,7 +464,7 @@
     # Operators.
 
     def parked(self) -> list[tuple[Edge, WriteId]]:
-        found = []
+        parked = []
         for edge in self.surviving():
             for write_id in edge.queued:
                 if (
@@ -471,13 +473,13 @@
                 ):
                     continue
                 if edge.outbox.receipt(write_id).state is WriteState.PARKED:
-                    found.append((edge, write_id))
-        return found
+                    parked.append((edge, write_id))
+        return parked
 
     def resolve(self) -> None:
-        found = self.parked()
-        if found:
-            self.resolve_truthfully(*self.draw.choice(found))
+        parked = self.parked()
+        if parked:
+            self.resolve_truthfully(*self.draw.choice(parked))
 
     def resolve_truthfully(self, edge: Edge, write_id: WriteId) -> None:
         """Give the true resolution, once no attempt of the write is in flight."""
@@ -516,9 +518,9 @@
         for edge in self.surviving():
             outbox = edge.outbox
             if outbox.count > self.bounds.max_writes + len(edge.highest_numbers) * self.bounds.max_writes:
-                raise InvariantError("bounds", f"{edge.name} keeps {outbox.count}")
+                raise InvariantError("bounds", f"{edge.name} has {outbox.count} queued")
             if not 0 <= outbox.pace.in_flight <= self.bounds.replay_most:
-                raise InvariantError("bounds", f"{edge.name} has {outbox.pace.in_flight} out")
+                raise InvariantError("bounds", f"{edge.name} has {outbox.pace.in_flight} in flight")
         edge = self.draw.choice(self.surviving())
         if edge.queued:
             self.check_receipt(edge, self.draw.choice(list(edge.queued)))
@@ -526,15 +528,19 @@
     def check_receipt(self, edge: Edge, write_id: WriteId) -> None:
         """Check that a receipt agrees with the disk."""
         receipt = edge.outbox.receipt(write_id)
-        kept = decode_state_change(edge.state_changes[write_id]) if write_id in edge.state_changes else None
-        final = kept is not None and kept.state in FINAL
-        if receipt.state in FINAL and (kept is None or kept.state is not receipt.state):
-            raise InvariantError("told", f"{write_id} is told {receipt.state.name} and is not on the disk")
-        waiting = any(kind == "move" and item.write_id == write_id for kind, item in edge.pending)
+        stored = decode_state_change(edge.state_changes[write_id]) if write_id in edge.state_changes else None
+        final = stored is not None and stored.state in FINAL
+        if receipt.state in FINAL and (stored is None or stored.state is not receipt.state):
+            raise InvariantError(
+                "reported", f"{write_id} is {receipt.state.name} in its receipt, but not on the disk"
+            )
+        waiting = any(kind == "transition" and item.write_id == write_id for kind, item in edge.pending)
         if final and receipt.state not in FINAL and not waiting:
-            raise InvariantError("told", f"{write_id} was final and is told {receipt.state.name}")
+            raise InvariantError(
+                "reported", f"{write_id} was final, but is {receipt.state.name} in its receipt"
+            )
         if receipt.state is WriteState.PARKED and receipt.reason is ParkingReason.NONE:
-            raise InvariantError("told", f"{write_id} is parked without a reason")
+            raise InvariantError("reported", f"{write_id} is parked without a reason")
 
     def heal(self) -> None:
         """Faults end. Each queued write takes effect, or is parked with a reason and resolved."""
@@ -585,9 +591,9 @@
     def check_end(self) -> None:
         for client_write in self.client_writes.values():
             edge = next(
-                one
-                for one in self.edges
-                if client_write.write_id is not None and one.name == client_write.write_id.edge
+                edge
+                for edge in self.edges
+                if client_write.write_id is not None and edge.name == client_write.write_id.edge
             )
             if (
                 edge.lost
@@ -598,7 +604,9 @@
                 continue
             receipt = edge.outbox.receipt(client_write.write_id)
             if client_write.write_id not in edge.queued:
-                raise InvariantError("told", f"{client_write.write_id} was told and is on no disk")
+                raise InvariantError(
+                    "reported", f"{client_write.write_id} was acknowledged and is on no disk"
+                )
             if receipt.state is WriteState.DONE and client_write.effects != 1:
                 raise InvariantError(
                     "once", f"{client_write.write_id} is done with {client_write.effects} effects"
@@ -638,15 +646,15 @@
 class ResendsUnsafe(Outbox):
     """An unsafe write whose answer was lost is sent again."""
 
-    def _event_of_result(self, row: int, end: ReplayResult, now: int) -> tuple[WriteEvent, ParkingReason]:
-        event, reason = super()._event_of_result(row, end, now)
+    def _event_of_result(self, row: int, result: ReplayResult, now: int) -> tuple[WriteEvent, ParkingReason]:
+        event, reason = super()._event_of_result(row, result, now)
         return (WriteEvent.RETRY, ParkingReason.NONE) if event is WriteEvent.UNCERTAIN else (event, reason)
 
 
 class IgnoresWindow(Outbox):
     """A keyed write is sent even after its window."""
 
-    def _expired(self, row: int, now: int) -> ParkingReason:
+    def _expiry_reason(self, row: int, now: int) -> ParkingReason:
         return ParkingReason.NONE
 
 
@@ -669,31 +677,36 @@
 class IgnoresForeignWrites(Outbox):
     """No write waits for writes queued at another edge."""
 
-    def _follow_foreign(self, row: int, dependency: Dependency) -> int:
+    def _foreign_row(self, row: int, dependency: Dependency) -> int:
         return -1
 
 
 class IgnoresBarriers(Outbox):
     """A dependency on all writes up to a number only covers the write with that number."""
 
-    def _barrier(self, place: int, upto: int) -> int:
-        return self._open.get(place << NUMBER_BITS | upto)
+    def _barrier(self, log_index: int, upto: int) -> int:
+        return self._open_rows.get(log_index << NUMBER_BITS | upto)
 
 
 class ForgetsSends(Outbox):
     """A write that is OUT after a restart is treated as never sent."""
 
-    def _restore_out(self, row: int, now: int, clock_back: bool) -> Transition:
-        return self._change(row, WriteEvent.NOT_RUN)
+    def _restore_out(self, row: int, now: int, is_window_unknown: bool) -> Transition:
+        return self._begin_transition(row, WriteEvent.NOT_RUN)
 
 
 class TrustsClock(Outbox):
     """A clock that was set back is trusted."""
 
     def _restore_states(
-        self, entered: list[int], moves: list[StateChange | None], now: int, wall: int, clock_back: bool
+        self,
+        rows: list[int],
+        state_changes: list[StateChange | None],
+        now: int,
+        wall: int,
+        is_window_unknown: bool,
     ) -> list[Transition]:
-        return super()._restore_states(entered, moves, now, wall, False)
+        return super()._restore_states(rows, state_changes, now, wall, False)
 
 
 class SendsBeforeDurable(Outbox):
@@ -702,7 +715,7 @@
     def _link(self, row: int, dependencies: Dependencies, barriers: Any = None) -> None:
         super()._link(row, dependencies, barriers)
         self._rows.set(row, DURABLE)
-        self._wake(row)
+        self._make_ready_if_free(row)
 
 
 class SkipsUndurable(Outbox):
@@ -717,12 +730,12 @@
 
     def _retire(self, row: int) -> None:
         graph = self._graph
-        while (arrow := graph._in[row]) >= 0:
+        while (arrow := graph._first_in[row]) >= 0:
             dependency = graph._source[arrow]
-            if graph._out[dependency] == arrow:
-                graph._out[dependency] = graph._next_out[arrow]
+            if graph._first_out[dependency] == arrow:
+                graph._first_out[dependency] = graph._next_out[arrow]
             else:
-                before = graph._out[dependency]
+                before = graph._first_out[dependency]
                 while graph._next_out[before] != arrow:
                     before = graph._next_out[before]
                 graph._next_out[before] = graph._next_out[arrow]
@@ -766,9 +779,9 @@
     """A replay result does not lower the number of writes in flight."""
 
     def on_replay_end(
-        self, write_id: WriteId, end: ReplayResult, now: int, wall: int, *answer: Any
+        self, write_id: WriteId, result: ReplayResult, now: int, wall: int, *answer: Any
     ) -> Transition:
-        change = super().on_replay_end(write_id, end, now, wall, *answer)
+        change = super().on_replay_end(write_id, result, now, wall, *answer)
         self.pace.in_flight += 1
         return change
 
@@ -784,9 +797,9 @@
     """A final answer shows in the receipt before it is durable."""
 
     def on_replay_end(
-        self, write_id: WriteId, end: ReplayResult, now: int, wall: int, *answer: Any
+        self, write_id: WriteId, result: ReplayResult, now: int, wall: int, *answer: Any
     ) -> Transition:
-        change = super().on_replay_end(write_id, end, now, wall, *answer)
+        change = super().on_replay_end(write_id, result, now, wall, *answer)
         if change.event is WriteEvent.ANSWERED:
             self._rows.state[self._row(write_id)] = WriteState.DONE
         return change
@@ -815,11 +828,11 @@
     (DropsRefusedSend, {"progress"}),
     (LeaksPace, {"bounds", "progress"}),
     (IgnoresCount, {"bounds"}),
-    (AnswersBeforeDurable, {"told", "step"}),
+    (AnswersBeforeDurable, {"reported", "step"}),
 ]
 
 
-@pytest.mark.parametrize(("fault", "names"), FAULTS, ids=[one.__name__ for one, _ in FAULTS])
+@pytest.mark.parametrize(("fault", "names"), FAULTS, ids=[fault.__name__ for fault, _ in FAULTS])
 def test_each_fault_is_found(fault: type[Outbox], names: set[str]) -> None:
     for seed in range(FIRST_SEEDS.get(fault, 0), 3_000):
         try:
--- a/tests/test_outbox_store.py
+++ b/tests/test_outbox_store.py
@@ -151,9 +151,9 @@
         data = disk.read(name)
         end = len(data.rstrip(b"\0"))
         for size in range(end + 1):
-            found = await _writes_after_cut(disk, name, data[:size])
-            if found is not None:  # None: the store reports that it is damaged
-                assert found in ([], written[:1], written), f"at byte {size}"
+            found_writes = await _writes_after_cut(disk, name, data[:size])
+            if found_writes is not None:  # None: the store reports that it is damaged
+                assert found_writes in ([], written[:1], written), f"at byte {size}"
         assert await _writes_after_cut(disk, name, data) == written
 
     asyncio.run(main())
@@ -171,9 +171,9 @@
     except Exception as error:
         assert type(error).__name__ == "StoreError"
         return None
-    found = [await store.read(write.write_id) for write, _ in (await store.load()).writes]
+    found_writes = [await store.read(write.write_id) for write, _ in (await store.load()).writes]
     await store.close()
-    return [write_and_body for write_and_body in found if write_and_body is not None]
+    return [write_and_body for write_and_body in found_writes if write_and_body is not None]
 
 
 def test_a_failed_write_leaves_nothing_and_says_whether_it_may_be_found_later() -> None:
