--- a/laurelstep/testing/contracts/members.py
+++ b/laurelstep/testing/contracts/members.py
@@ -1,4 +1,4 @@
-"""Contract of the engine's `MemberSource`, which gives it the endpoint list."""
+"""Contract of the engine's `MemberSource`, the source of endpoint lists."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from laurelstep.testing.contracts.base import Contract, run_ready_callbacks
 
 Entries = list[dict[str, Any]]
-# So many entries that a source may pass them in steps.
-LONG_LIST = 400
-START_VERSION = 5
+# Enough entries that a source may apply them in steps.
+LONG_LIST_ENTRIES = 400
+START_GENERATION = 5
 
 
-def entry(name: str, **changes: Any) -> dict[str, Any]:
-    """One endpoint, in discovery's form."""
+def make_entry(name: str, **changes: Any) -> dict[str, Any]:
+    """Create an entry of an endpoint list, in the format of discovery."""
     return {
         "instanceId": name, "hostPort": "127.0.0.1:9", "zone": "here", "machineType": "small", "cell": 1,
         "lifecycle": "ready", "weight": 1.0, "startedAtMs": 0, **changes,
@@ -26,83 +26,83 @@
 
 
 class SourceEnvironment(Protocol):
-    """A source on the running loop, and the origin of its list."""
+    """A source on the running loop, and control of the origin of its list."""
 
     source: MemberSource
 
-    async def set_list(self, version: int, entries: Entries) -> None:
-        """Replace the list, and notify watchers. Versions only rise.
+    async def set_list(self, generation: int, entries: Entries) -> None:
+        """Replace the list, and notify watchers. The generation is higher than all before.
 
-        Earlier questions are answered first, so that no older list comes after this one.
+        Earlier requests are answered first, so that no older list arrives after this one.
         """
 
-    async def change_entries(self, version: int, entries: Entries) -> None:
-        """Change these entries only, and notify watchers."""
+    async def change_entries(self, generation: int, entries: Entries) -> None:
+        """Replace or add these entries, and notify watchers of them only."""
 
 
 class FaultySourceEnvironment(SourceEnvironment, Protocol):
-    """The same with an origin that can fail."""
+    """A source environment whose origin can fail."""
 
     def stop_answering(self) -> None:
-        """Answer no question until `resume_answering`."""
+        """Answer no requests until `resume_answering`."""
 
     def resume_answering(self) -> None:
-        """Answer questions again."""
+        """Answer requests again."""
 
 
 class RecordingSink:
-    """Applies lists as the engine does, and records them; refuses the next `refusals_left` lists."""
+    """Applies and records lists as the engine does. Refuses the next `refusals_left` lists."""
 
     def __init__(self) -> None:
         self.has_started = False  # set once the source's `start` has returned
         self.entries_by_id: dict[str, dict[str, Any]] = {}
-        self.versions: list[int] = []
-        self.whole_list_count = self.failure_count = self.refused_count = self.refusals_left = 0
-        self.is_applying = False  # while a list is applied in steps
+        self.generations: list[int] = []
+        self.full_list_count = self.failure_count = self.refused_count = self.refusals_left = 0
+        self.is_applying = False  # whether a list is being applied in steps
         self.changed = asyncio.Event()
 
     def _on_update(self) -> None:
         assert self.has_started, "an update before `start` has returned"
-        assert not self.is_applying, "an update while a list was applied in steps"
+        assert not self.is_applying, "an update while a list is being applied in steps"
         self.changed.set()
 
-    def _apply(self, is_whole: bool, entries: Sequence[Any]) -> None:
+    def _apply(self, is_full: bool, entries: Sequence[Any]) -> None:
         if self.refusals_left:
             self.refusals_left -= 1
             self.refused_count += 1
-            raise ValueError("no list, for once")
-        if is_whole:
+            raise ValueError("list refused by the test")
+        if is_full:
             self.entries_by_id.clear()
-            self.whole_list_count += 1
-        for one in entries:
-            self.entries_by_id[one["instanceId"]] = one
+            self.full_list_count += 1
+        for entry in entries:
+            self.entries_by_id[entry["instanceId"]] = entry
 
-    def on_list(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
-        """Apply a list or changes."""
+    def on_list(self, generation: int, is_full: bool, entries: Sequence[Any]) -> None:
+        """Apply a full list, or one of changes."""
         self._on_update()
-        self._apply(whole, entries)
-        self.versions.append(version)
+        self._apply(is_full, entries)
+        self.generations.append(generation)
 
     def now(self) -> int:
-        """A fixed time, µs."""
+        """Return a fixed time, µs."""
         return 1_000_000
 
-    def apply_list_in_steps(self, whole: bool, entries: list[Any], told_at: int) -> Iterator[None]:
-        """Apply a long list, with other work in between."""
+    def apply_list_in_steps(self, is_full: bool, entries: list[Any], received_at: int) -> Iterator[None]:
+        """Apply a long list, in steps of 64 entries."""
         self._on_update()
-        assert type(told_at) is int
+        assert type(received_at) is int
         self.is_applying = True
         try:
-            for at in range(0, len(entries), 64):
+            for start in range(0, len(entries), 64):
                 yield
-                assert all("instanceId" in one for one in entries[at : at + 64])
-            self._apply(whole, entries)
+                assert all("instanceId" in entry for entry in entries[start : start + 64])
+            self._apply(is_full, entries)
         finally:
             self.is_applying = False
             self.changed.set()
 
     def on_list_failed(self) -> None:
-        """Count a question that got no answer."""
+        """Count a request for a list that failed."""
         self._on_update()
         self.failure_count += 1
 
@@ -110,107 +110,110 @@
 class MemberSourceContract(Contract, ABC):
     """The rules:
 
-    1. The sink gets nothing before `start` has returned.
-    2. Once the source is watched or polled the complete list comes; while it is watched, changes come.
-    3. Entries pass unchanged, all of them and in the order of the lists; nothing overtakes a list in steps.
-    4. Versions never fall, and none is before that of `start`.
-    5. A list that the sink refuses is lost, and no other.
+    1. The sink is not called before `start` has returned.
+    2. After `watch(True)` or `fetch` the full list arrives; while the source is watched, changes arrive too.
+    3. All entries arrive unchanged and in the order of the lists. Nothing arrives while a list is being
+       applied in steps.
+    4. Generations never decrease, and none is lower than that passed to `start`.
+    5. A list that the sink refuses is lost; others are not affected.
     """
 
     @abstractmethod
     def environment(self) -> AbstractAsyncContextManager[SourceEnvironment]:
-        """A source on the running loop, not started yet, with an empty list."""
+        """Create a source on the running loop, not started yet, with an empty list."""
 
     async def wait_for_list(self, sink: RecordingSink, entries: Entries) -> None:
-        """Wait until the sink holds exactly these."""
-        held = {one["instanceId"]: one for one in entries}
+        """Wait until the sink holds exactly these entries."""
+        expected = {entry["instanceId"]: entry for entry in entries}
 
         async def wait() -> None:
-            while sink.is_applying or sink.entries_by_id != held:
+            while sink.is_applying or sink.entries_by_id != expected:
                 sink.changed.clear()
                 await sink.changed.wait()
 
-        await self.wait_for(wait(), f"a list of {len(entries)}")
-        assert sink.versions == sorted(sink.versions), sink.versions
-        assert all(version >= START_VERSION for version in sink.versions), sink.versions
+        await self.wait_for(wait(), f"a list of {len(entries)} entries")
+        assert sink.generations == sorted(sink.generations), sink.generations
+        assert all(generation >= START_GENERATION for generation in sink.generations), sink.generations
 
     async def start_source(self, environment: SourceEnvironment, entries: Entries) -> RecordingSink:
-        """Start and watch the source, and wait for this list; its sink."""
+        """Start and watch the source, wait for this list, and return the sink."""
         sink = RecordingSink()
-        await environment.set_list(START_VERSION + 1, entries)
-        environment.source.start(sink, START_VERSION)
+        await environment.set_list(START_GENERATION + 1, entries)
+        environment.source.start(sink, START_GENERATION)
         sink.has_started = True
         environment.source.fetch()
         await self.wait_for_list(sink, entries)
-        assert sink.whole_list_count >= 1
+        assert sink.full_list_count >= 1
         environment.source.watch(True)
         return sink
 
-    def test_the_present_list_comes_whole(self) -> None:
-        """The sink receives the complete list with all its fields."""
+    def test_the_current_list_arrives_complete(self) -> None:
+        """The sink receives all entries with all their fields."""
 
         async def main() -> None:
             async with self.environment() as environment:
                 await self.start_source(
-                    environment, [entry("s-1"), entry("s-2", lifecycle="draining", weight=2.5)]
+                    environment, [make_entry("s-1"), make_entry("s-2", lifecycle="draining", weight=2.5)]
                 )
 
         self.run(main())
 
-    def test_changes_come_while_it_is_watched(self) -> None:
+    def test_changes_arrive_while_the_source_is_watched(self) -> None:
         """A watched source delivers changed entries and replaced lists."""
 
         async def main() -> None:
             async with self.environment() as environment:
-                sink = await self.start_source(environment, [entry("s-1"), entry("s-2")])
-                await environment.change_entries(START_VERSION + 2, [entry("s-2", lifecycle="draining")])
-                await self.wait_for_list(sink, [entry("s-1"), entry("s-2", lifecycle="draining")])
-                await environment.set_list(START_VERSION + 3, [entry("s-3")])
-                await self.wait_for_list(sink, [entry("s-3")])
+                sink = await self.start_source(environment, [make_entry("s-1"), make_entry("s-2")])
+                await environment.change_entries(
+                    START_GENERATION + 2, [make_entry("s-2", lifecycle="draining")]
+                )
+                await self.wait_for_list(sink, [make_entry("s-1"), make_entry("s-2", lifecycle="draining")])
+                await environment.set_list(START_GENERATION + 3, [make_entry("s-3")])
+                await self.wait_for_list(sink, [make_entry("s-3")])
 
         self.run(main())
 
-    def test_asked_again_it_tells_the_list_of_then(self) -> None:
-        """Each `fetch` delivers the current complete list again."""
+    def test_each_fetch_delivers_the_current_list(self) -> None:
+        """Each `fetch` delivers the current full list again."""
 
         async def main() -> None:
             async with self.environment() as environment:
-                sink = await self.start_source(environment, [entry("s-1")])
-                before = sink.whole_list_count
+                sink = await self.start_source(environment, [make_entry("s-1")])
+                before = sink.full_list_count
                 environment.source.fetch()
 
-                async def again() -> None:
-                    while sink.whole_list_count == before:
+                async def fetched() -> None:
+                    while sink.full_list_count == before:
                         sink.changed.clear()
                         await sink.changed.wait()
 
-                await self.wait_for(again(), "a list that was asked for")
-                await self.wait_for_list(sink, [entry("s-1")])
+                await self.wait_for(fetched(), "the fetched list")
+                await self.wait_for_list(sink, [make_entry("s-1")])
 
         self.run(main())
 
-    def test_a_long_list_is_whole_and_not_overtaken(self) -> None:
-        """A list long enough to be applied in steps arrives complete, and before the change after it."""
+    def test_a_long_list_arrives_complete_and_before_later_changes(self) -> None:
+        """A list that is applied in steps arrives completely, and before a later change."""
 
         async def main() -> None:
             async with self.environment() as environment:
-                sink = await self.start_source(environment, [entry("s-1")])
-                long = [entry(f"long-{n:04}") for n in range(LONG_LIST)]
-                await environment.set_list(START_VERSION + 2, long)
-                await environment.change_entries(START_VERSION + 3, [entry("long-0001", weight=3.0)])
-                long[1] = entry("long-0001", weight=3.0)
-                await self.wait_for_list(sink, long)
+                sink = await self.start_source(environment, [make_entry("s-1")])
+                long_list = [make_entry(f"long-{n:04}") for n in range(LONG_LIST_ENTRIES)]
+                await environment.set_list(START_GENERATION + 2, long_list)
+                await environment.change_entries(START_GENERATION + 3, [make_entry("long-0001", weight=3.0)])
+                long_list[1] = make_entry("long-0001", weight=3.0)
+                await self.wait_for_list(sink, long_list)
 
         self.run(main())
 
-    def test_a_list_that_is_refused_costs_that_list_alone(self) -> None:
-        """After a list that the sink refuses, the next list still arrives."""
+    def test_a_refused_list_does_not_affect_later_lists(self) -> None:
+        """After a refused list, the sink keeps its entries, and the next list arrives."""
 
         async def main() -> None:
             async with self.environment() as environment:
-                sink = await self.start_source(environment, [entry("s-1")])
+                sink = await self.start_source(environment, [make_entry("s-1")])
                 sink.refusals_left = 1
-                await environment.change_entries(START_VERSION + 2, [entry("s-2")])
+                await environment.change_entries(START_GENERATION + 2, [make_entry("s-2")])
 
                 async def refused() -> None:
                     while not sink.refused_count:
@@ -219,64 +222,64 @@
 
                 await self.wait_for(refused(), "the change that the sink refuses")
                 assert set(sink.entries_by_id) == {"s-1"}
-                await environment.set_list(START_VERSION + 3, [entry("s-3")])
+                await environment.set_list(START_GENERATION + 3, [make_entry("s-3")])
                 environment.source.fetch()
-                await self.wait_for_list(sink, [entry("s-3")])
+                await self.wait_for_list(sink, [make_entry("s-3")])
 
         self.run(main())
 
-    def test_watched_twice_and_not_at_all_it_still_answers(self) -> None:
-        """`watch` may be repeated, and `fetch` delivers lists also while the source isn't watched."""
+    def test_watch_may_be_repeated_and_fetch_works_without_it(self) -> None:
+        """`watch` may be repeated, and `fetch` delivers lists also while the source is not watched."""
 
         async def main() -> None:
             async with self.environment() as environment:
-                sink = await self.start_source(environment, [entry("s-1")])
+                sink = await self.start_source(environment, [make_entry("s-1")])
                 environment.source.watch(True)
                 environment.source.watch(False)
                 environment.source.watch(False)
-                await environment.set_list(START_VERSION + 2, [entry("s-2")])
+                await environment.set_list(START_GENERATION + 2, [make_entry("s-2")])
                 environment.source.fetch()
-                await self.wait_for_list(sink, [entry("s-2")])
+                await self.wait_for_list(sink, [make_entry("s-2")])
                 environment.source.watch(True)
-                await environment.change_entries(START_VERSION + 3, [entry("s-4")])
-                await self.wait_for_list(sink, [entry("s-2"), entry("s-4")])
+                await environment.change_entries(START_GENERATION + 3, [make_entry("s-4")])
+                await self.wait_for_list(sink, [make_entry("s-2"), make_entry("s-4")])
 
         self.run(main())
 
 
 class PolledSourceContract(MemberSourceContract):
-    """Further, for a source that asks somebody when the engine says so: a question that gets no answer
-    is told as `on_list_failed`, once, and the next one is asked all the same.
+    """Further, for a source that requests lists on `fetch`: each failed request calls `on_list_failed` once,
+    and the next `fetch` sends a request again.
     """
 
     @abstractmethod
     def environment(self) -> AbstractAsyncContextManager[FaultySourceEnvironment]:
-        """A source on the running loop, not started yet, with an empty list and an origin that can fail."""
+        """Create a source on the running loop, not started yet, with an empty list; its origin can fail."""
 
-    def test_a_question_without_an_answer_is_told_once(self) -> None:
+    def test_each_failed_fetch_is_reported_once(self) -> None:
         """Each failed fetch calls `on_list_failed` exactly once, and the next fetch succeeds."""
 
         async def main() -> None:
             async with self.environment() as environment:
                 sink = RecordingSink()
-                await environment.set_list(START_VERSION + 1, [entry("s-1")])
-                environment.source.start(sink, START_VERSION)
+                await environment.set_list(START_GENERATION + 1, [make_entry("s-1")])
+                environment.source.start(sink, START_GENERATION)
                 sink.has_started = True
-                for times in (1, 2):
+                for count in (1, 2):
                     environment.stop_answering()
                     environment.source.fetch()
 
-                    async def failed(times: int = times) -> None:
-                        while sink.failure_count < times:
+                    async def failed(count: int = count) -> None:
+                        while sink.failure_count < count:
                             sink.changed.clear()
                             await sink.changed.wait()
 
-                    await self.wait_for(failed(), "that a list did not come")
+                    await self.wait_for(failed(), "the report of a failed fetch")
                     await run_ready_callbacks()
-                    assert sink.failure_count == times
+                    assert sink.failure_count == count
                     environment.resume_answering()
                     environment.source.fetch()
-                    await self.wait_for_list(sink, [entry("s-1")])
-                    assert sink.failure_count == times
+                    await self.wait_for_list(sink, [make_entry("s-1")])
+                    assert sink.failure_count == count
 
         self.run(main())
--- a/laurelstep/testing/contracts/upstream.py
+++ b/laurelstep/testing/contracts/upstream.py
@@ -1,4 +1,4 @@
-"""Contract of the engine's `Upstream`: attempts carried to endpoints, one outcome each."""
+"""Contract of the engine's `Upstream`: it sends attempts to endpoints, and reports one outcome for each."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from laurelstep.engine.ports import Upstream
 from laurelstep.testing.contracts.base import Contract, run_ready_callbacks
 
-WAIT_US = 60_000_000
+ATTEMPT_TIMEOUT_US = 60_000_000
 # The outcomes that an upstream may report; the engine reports the others itself.
 OUTCOMES = (OK, FULL, ERROR, RESET, NO_CONNECT, NOT_SENT)
 
 
 class EndpointBehaviour(Enum):
-    """What an endpoint does with requests."""
+    """What an endpoint does with a request."""
 
     SERVE = "executes it, and answers 200 with the body `ok`"
     REJECT = "does not execute it, and says so"
@@ -29,110 +29,114 @@
 
 
 class UpstreamEnvironment(Protocol):
-    """An upstream on the running loop, and two endpoints."""
+    """An upstream on the running loop, and control of two endpoints."""
 
     upstream: Upstream
     addresses: tuple[str, str]  # of the two endpoints
-    closed_address: str  # an address where nobody listens
+    closed_address: str  # an address that refuses connections
 
     def now(self) -> int:
-        """The upstream's time, µs."""
+        """Return the time on the upstream's clock, µs."""
 
     def set_behaviour(self, behaviour: EndpointBehaviour) -> None:
-        """Let both endpoints do this from now on."""
+        """Set the behaviour of both endpoints for further requests."""
 
     async def wait_sent(self) -> None:
-        """Wait, after a send, until the endpoints have what they hold by `EndpointBehaviour.HOLD`.
+        """Wait, after a send, until the endpoints have received the requests that they hold (`HOLD`).
 
-        For other behaviours it may return at once; the upstream reports the outcome when it comes.
+        For other behaviours it may return immediately, before the upstream reports the outcome.
         """
 
-    async def wait_noticed(self) -> None:
-        """Wait until an endpoint has noticed that nobody waits for an answer any more."""
+    async def wait_cancel_noticed(self) -> None:
+        """Wait until an endpoint has detected that a held request was cancelled."""
 
     def executed(self, address: str) -> list[bytes]:
-        """The names (`Call.name`) of what the endpoint at this address has executed, in order."""
+        """Return the `Call.client_request_id`s of the requests executed at this address, in order."""
 
 
 class UnusedFrontend:
-    """A frontend that gets no answer: the contract owns the attempts."""
+    """A frontend that must get no answer: `AttemptOwner` receives the outcomes."""
 
     def on_answer(self, call: Call, answer: Answer) -> None:
-        """Fail: only the engine answers a frontend."""
-        raise AssertionError("an upstream has no answer for a frontend")
+        """Raise AssertionError: only the engine answers a frontend."""
+        raise AssertionError("the upstream answered a frontend")
 
 
 class AttemptOwner:
-    """Takes the engine's place for one attempt, and records the upstream's steps."""
+    """Replaces the engine for one attempt, and records the upstream's steps."""
 
     def __init__(
-        self, environment: UpstreamEnvironment, name: str, endpoint: int = 1, may_send: bool = True
+        self, environment: UpstreamEnvironment, request_id: str, endpoint: int = 1, may_send: bool = True
     ) -> None:
         self.may_send = may_send
         self.steps: list[str] = []
         self.outcomes: list[tuple[int, Answer | None]] = []
-        self.over = asyncio.Event()
+        self.ended = asyncio.Event()
         now = environment.now()
-        head = b"Host: x\r\nX-Request-Id: %b\r\n" % name.encode()
-        call = Call(0, now + WAIT_US, b"GET /page", head, b"", UnusedFrontend(), name.encode())
-        self.attempt = Attempt(self, call, 0, endpoint, now, now + WAIT_US)
+        head = b"Host: x\r\nX-Request-Id: %b\r\n" % request_id.encode()
+        call = Call(
+            0, now + ATTEMPT_TIMEOUT_US, b"GET /page", head, b"", UnusedFrontend(), request_id.encode()
+        )
+        self.attempt = Attempt(self, call, 0, endpoint, now, now + ATTEMPT_TIMEOUT_US)
 
     def may_start(self, attempt: Attempt, now: int) -> bool:
-        """Whether the attempt may still be sent."""
-        self.steps.append("asked")
+        """Return whether the attempt may still be sent, as set by the test."""
+        self.steps.append("may_start")
         return self.may_send
 
     def on_written(self, attempt: Attempt) -> None:
-        """The attempt's last byte was written."""
+        """Record that the attempt's last byte was written."""
         self.steps.append("written")
 
     def on_ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
-        """The attempt has this outcome."""
+        """Record the outcome of the attempt."""
         assert attempt is self.attempt
         self.steps.append("ended")
         self.outcomes.append((outcome, answer))
-        self.over.set()
+        self.ended.set()
 
 
 class UpstreamContract(Contract, ABC):
     """The rules:
 
-    1. An attempt has one outcome at most, and one exactly unless it was cancelled.
-    2. `may_start` is called before any byte is written; where it gives False the outcome is NOT_SENT, and
+    1. An attempt has exactly one outcome, or at most one if it was cancelled.
+    2. `may_start` is called before any byte is written. If it returns False the outcome is NOT_SENT, and
        nothing is written.
-    3. `on_written` is called once at most, after `may_start` and before the outcome; an attempt that was
-       answered was written. An attempt that was never connected has the outcome NO_CONNECT.
-    4. An attempt is sent once: no failure makes the upstream send it again.
-    5. An endpoint that was removed, or placed at another address, gets nothing more at its old one.
-    6. After `cancel` nothing is reported, and the endpoint notices.
+    3. `on_written` is called at most once, after `may_start` and before the outcome; an attempt that was
+       answered was written. An attempt without a connection has the outcome NO_CONNECT.
+    4. The upstream never sends an attempt again, whatever its failure.
+    5. An endpoint that was removed, or has a new address, gets no more attempts at its old address.
+    6. After `cancel` nothing is reported, and the endpoint detects that the request was cancelled.
     """
 
     @abstractmethod
     def environment(self) -> AbstractAsyncContextManager[UpstreamEnvironment]:
-        """An upstream on the running loop, with two endpoints that do `EndpointBehaviour.SERVE`."""
+        """Create an upstream on the running loop, and two endpoints with the behaviour `SERVE`."""
 
     # --- Helpers ------------------------------------------------------------------------
 
     async def send_and_wait(self, environment: UpstreamEnvironment, owner: AttemptOwner) -> int:
-        """Send the attempt; its outcome, once the order of the steps was checked."""
+        """Send the attempt, check the order of its steps, and return its outcome."""
         environment.upstream.send(owner.attempt)
         await environment.wait_sent()
-        return await self.outcome(owner)
+        return await self.wait_outcome(owner)
 
-    async def outcome(self, owner: AttemptOwner) -> int:
-        """Wait for the outcome of an attempt, and check the order of its steps."""
-        await self.wait_for(owner.over.wait(), f"the outcome of {owner.attempt.call.client_request_id!r}")
+    async def wait_outcome(self, owner: AttemptOwner) -> int:
+        """Wait for the outcome of an attempt, check the order of its steps, and return the outcome."""
+        await self.wait_for(owner.ended.wait(), f"the outcome of {owner.attempt.call.client_request_id!r}")
         await run_ready_callbacks()
-        assert len(owner.outcomes) == 1, f"one outcome: {owner.steps}"
-        assert owner.steps in (["ended"], ["asked", "ended"], ["asked", "written", "ended"]), owner.steps
-        found, answer = owner.outcomes[0]
-        assert found in OUTCOMES
-        assert (answer is not None) == (found == OK)
-        return found
+        assert len(owner.outcomes) == 1, f"more than one outcome: {owner.steps}"
+        assert owner.steps in (["ended"], ["may_start", "ended"], ["may_start", "written", "ended"]), (
+            owner.steps
+        )
+        outcome, answer = owner.outcomes[0]
+        assert outcome in OUTCOMES
+        assert (answer is not None) == (outcome == OK)
+        return outcome
 
     # --- One attempt --------------------------------------------------------------------
 
-    def test_it_keeps_connections_for_a_time(self) -> None:
+    def test_idle_us_is_a_positive_number(self) -> None:
         """`idle_us` is a positive whole number of µs."""
 
         async def main() -> None:
@@ -141,7 +145,7 @@
 
         self.run(main())
 
-    def test_what_is_served_is_told_with_its_answer(self) -> None:
+    def test_a_served_attempt_ends_with_its_answer(self) -> None:
         """A served attempt ends as OK with its answer, and runs once, at its endpoint only."""
 
         async def main() -> None:
@@ -149,7 +153,7 @@
                 environment.upstream.set_address(1, environment.addresses[0])
                 owner = AttemptOwner(environment, "one")
                 assert await self.send_and_wait(environment, owner) == OK
-                assert owner.steps == ["asked", "written", "ended"]
+                assert owner.steps == ["may_start", "written", "ended"]
                 answer = owner.outcomes[0][1]
                 assert answer is not None
                 assert (answer.ending, answer.status, answer.body) == (Ending.SERVED, 200, b"ok")
@@ -163,8 +167,8 @@
 
         self.run(main())
 
-    def test_each_way_to_fail_has_its_outcome_and_is_sent_once(self) -> None:
-        """A rejection, an error and a reset have an outcome each, and the attempt isn't sent again."""
+    def test_each_failure_has_its_outcome_and_is_sent_once(self) -> None:
+        """A rejection, an error and a reset each have their outcome, and the attempt is not sent again."""
 
         async def main() -> None:
             for behaviour, expected in (
@@ -178,15 +182,15 @@
                     environment.set_behaviour(behaviour)
                     owner = AttemptOwner(environment, "one")
                     assert await self.send_and_wait(environment, owner) == expected, behaviour
-                    assert owner.steps == ["asked", "written", "ended"], behaviour
-                    ran = environment.executed(environment.addresses[0]) + environment.executed(
+                    assert owner.steps == ["may_start", "written", "ended"], behaviour
+                    executed = environment.executed(environment.addresses[0]) + environment.executed(
                         environment.addresses[1]
                     )
-                    assert ran == ([b"one"] if behaviour is EndpointBehaviour.RESET else []), behaviour
+                    assert executed == ([b"one"] if behaviour is EndpointBehaviour.RESET else []), behaviour
 
         self.run(main())
 
-    def test_where_nobody_listens_nothing_was_connected(self) -> None:
+    def test_a_closed_port_ends_as_no_connect(self) -> None:
         """An attempt to a closed port ends as NO_CONNECT, with nothing written."""
 
         async def main() -> None:
@@ -198,7 +202,7 @@
 
         self.run(main())
 
-    def test_an_endpoint_without_a_place_is_not_connected(self) -> None:
+    def test_an_endpoint_without_an_address_ends_as_no_connect(self) -> None:
         """An endpoint without an address, never set or removed, ends as NO_CONNECT."""
 
         async def main() -> None:
@@ -215,44 +219,42 @@
 
         self.run(main())
 
-    def test_what_may_not_start_any_more_is_moot(self) -> None:
-        """An attempt that may not be sent any more ends as NOT_SENT and writes nothing, also on an idle
-        connection.
-        """
+    def test_an_attempt_that_may_not_start_is_not_sent(self) -> None:
+        """An attempt that may not start ends as NOT_SENT and writes nothing, also on an idle connection."""
 
         async def main() -> None:
             async with self.environment() as environment:
                 environment.upstream.set_address(1, environment.addresses[0])
-                for may in (False, True, False):  # on a new connection, and on one at rest
-                    owner = AttemptOwner(environment, "may" if may else "may not", may_send=may)
-                    assert await self.send_and_wait(environment, owner) == (OK if may else NOT_SENT)
-                    assert ("written" in owner.steps) == may
+                for may_send in (False, True, False):  # on a new connection, and on an idle one
+                    owner = AttemptOwner(environment, "may" if may_send else "may not", may_send=may_send)
+                    assert await self.send_and_wait(environment, owner) == (OK if may_send else NOT_SENT)
+                    assert ("written" in owner.steps) == may_send
                 assert environment.executed(environment.addresses[0]) == [b"may"]
 
         self.run(main())
 
     # --- Several ------------------------------------------------------------------------
 
-    def test_one_after_the_other_and_many_at_once_each_run_once(self) -> None:
-        """Sequential and concurrent attempts each run exactly once; sequential ones in order."""
+    def test_sequential_and_concurrent_attempts_each_run_once(self) -> None:
+        """Sequential and concurrent attempts are each executed exactly once; sequential ones in order."""
 
         async def main() -> None:
             async with self.environment() as environment:
                 environment.upstream.set_address(1, environment.addresses[0])
                 for n in range(5):
                     assert await self.send_and_wait(environment, AttemptOwner(environment, f"turn-{n}")) == OK
-                many = [AttemptOwner(environment, f"once-{n}") for n in range(10)]
-                for owner in many:
+                owners = [AttemptOwner(environment, f"once-{n}") for n in range(10)]
+                for owner in owners:
                     environment.upstream.send(owner.attempt)
                 await environment.wait_sent()
-                assert [await self.outcome(owner) for owner in many] == [OK] * 10
-                ran = environment.executed(environment.addresses[0])
-                assert ran[:5] == [b"turn-%d" % n for n in range(5)]
-                assert sorted(ran[5:]) == [b"once-%d" % n for n in range(10)]
+                assert [await self.wait_outcome(owner) for owner in owners] == [OK] * 10
+                executed = environment.executed(environment.addresses[0])
+                assert executed[:5] == [b"turn-%d" % n for n in range(5)]
+                assert sorted(executed[5:]) == [b"once-%d" % n for n in range(10)]
 
         self.run(main())
 
-    def test_a_failure_does_no_harm_to_the_next(self) -> None:
+    def test_an_attempt_after_a_failure_succeeds(self) -> None:
         """After each kind of failure the next attempt succeeds."""
 
         async def main() -> None:
@@ -271,7 +273,7 @@
 
         self.run(main())
 
-    def test_a_place_set_anew_gets_nothing_by_its_old_address(self) -> None:
+    def test_a_moved_endpoint_gets_nothing_at_its_old_address(self) -> None:
         """After `set_address` with another address, attempts go to that address only."""
 
         async def main() -> None:
@@ -290,12 +292,12 @@
 
         self.run(main())
 
-    def test_an_endpoint_freed_is_sent_to_as_before(self) -> None:
+    def test_close_idle_leaves_an_endpoint_usable(self) -> None:
         """`close_idle` leaves an endpoint usable, and does nothing for an unknown one."""
 
         async def main() -> None:
             async with self.environment() as environment:
-                environment.upstream.close_idle(7)  # never heard of
+                environment.upstream.close_idle(7)  # an unknown endpoint
                 environment.upstream.set_address(1, environment.addresses[0])
                 for name in ("one", "two"):
                     assert await self.send_and_wait(environment, AttemptOwner(environment, name)) == OK
@@ -304,10 +306,10 @@
 
         self.run(main())
 
-    # --- Leaving ------------------------------------------------------------------------
+    # --- Cancellation and removal -------------------------------------------------------
 
-    def test_after_cancel_nothing_is_told_and_the_endpoint_notices(self) -> None:
-        """A cancelled attempt has no outcome, its endpoint notices, and the next attempt succeeds."""
+    def test_a_cancelled_attempt_has_no_outcome_and_the_endpoint_notices(self) -> None:
+        """A cancelled attempt has no outcome, its endpoint detects it, and the next attempt succeeds."""
 
         async def main() -> None:
             async with self.environment() as environment:
@@ -316,22 +318,22 @@
                 owner = AttemptOwner(environment, "held")
                 environment.upstream.send(owner.attempt)
                 await environment.wait_sent()
-                assert owner.steps == ["asked", "written"]
+                assert owner.steps == ["may_start", "written"]
                 environment.upstream.cancel(owner.attempt)
                 await self.wait_for(
-                    environment.wait_noticed(), "an endpoint that notices a cancelled attempt"
+                    environment.wait_cancel_noticed(), "the endpoint to detect a cancelled attempt"
                 )
                 await run_ready_callbacks()
                 assert owner.outcomes == []
-                environment.upstream.cancel(owner.attempt)  # it is not out any more
+                environment.upstream.cancel(owner.attempt)  # no effect: it is no longer in flight
                 environment.set_behaviour(EndpointBehaviour.SERVE)
                 assert await self.send_and_wait(environment, AttemptOwner(environment, "next")) == OK
                 assert environment.executed(environment.addresses[0]) == [b"held", b"next"]
 
         self.run(main())
 
-    def test_an_attempt_cancelled_at_once_is_never_told_of(self) -> None:
-        """An attempt cancelled right after `send` has no outcome, and runs once at most."""
+    def test_an_attempt_cancelled_right_after_send_has_no_outcome(self) -> None:
+        """An attempt cancelled right after `send` has no outcome, and is executed at most once."""
 
         async def main() -> None:
             async with self.environment() as environment:
@@ -345,7 +347,7 @@
 
         self.run(main())
 
-    def test_a_place_removed_lets_what_is_out_end(self) -> None:
+    def test_attempts_in_flight_at_a_removed_endpoint_end(self) -> None:
         """Attempts in flight at a removed endpoint each end with one outcome."""
 
         async def main() -> None:
@@ -357,6 +359,6 @@
                 await environment.wait_sent()
                 environment.upstream.remove(1)
                 for owner in owners:
-                    assert await self.outcome(owner) in (OK, RESET, NO_CONNECT)
+                    assert await self.wait_outcome(owner) in (OK, RESET, NO_CONNECT)
 
         self.run(main())
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -70,8 +70,8 @@
 )
 from laurelstep.testing.contracts.recorder import RecorderContract, RecorderIncarnations
 from laurelstep.testing.contracts.store import (
+    DurableStoreContract,
     FaultyStoreIncarnations,
-    LastingStoreContract,
     StoreContract,
     StoreIncarnations,
 )
@@ -110,7 +110,10 @@
 
 
 def test_an_error_that_does_not_come_is_told() -> None:
-    with pytest.raises(AssertionError, match="no error: a refusal"), raises(OSError, "a refusal"):
+    with (
+        pytest.raises(AssertionError, match="no error was raised by a refusal"),
+        raises(OSError, "a refusal"),
+    ):
         pass
     with pytest.raises(ValueError, match="another"), raises(OSError, "a refusal"):
         raise ValueError("another")
@@ -142,7 +145,7 @@
 def test_failures_tells_what_failed_and_why() -> None:
     found = Waits().failures()
     assert set(found) == {"test_waits", "test_raises_in_a_callback"}
-    assert str(found["test_waits"]) == "never came: an event"
+    assert str(found["test_waits"]) == "timed out waiting for an event"
     assert isinstance(found["test_raises_in_a_callback"], ZeroDivisionError)
 
 
@@ -298,11 +301,11 @@
 @pytest.mark.parametrize(
     ("kind", "name"),
     [
-        (EarlyClock, "test_calls_come_once_and_never_before_their_time"),
-        (DeafClock, "test_a_cancelled_call_never_comes"),
-        (HastyClock, "test_a_time_that_has_passed_is_soon_but_not_at_once"),
-        (TwiceClock, "test_calls_come_once_and_never_before_their_time"),
-        (BackwardClock, "test_now_never_goes_back"),
+        (EarlyClock, "test_calls_run_once_and_not_before_they_are_due"),
+        (DeafClock, "test_a_cancelled_call_never_runs"),
+        (HastyClock, "test_an_overdue_call_runs_soon_but_not_inside_at"),
+        (TwiceClock, "test_calls_run_once_and_not_before_they_are_due"),
+        (BackwardClock, "test_now_never_decreases"),
         (MillisecondClock, "test_wall_is_unix_time_in_microseconds"),
     ],
 )
@@ -340,7 +343,7 @@
             assert isinstance(loop, VirtualTimeLoop)
             yield Passing(RearmingClock(loop))
 
-    caught(Faulty(), "test_a_call_cancelled_shortly_before_its_time_never_comes")
+    caught(Faulty(), "test_a_call_cancelled_shortly_before_it_is_due_never_runs")
 
 
 # --- Disk -------------------------------------------------------------------------------------
@@ -436,15 +439,15 @@
 @pytest.mark.parametrize(
     ("kind", "name"),
     [
-        (Unsynced, "test_synced_bytes_stay"),
-        (UnsyncedFolder, "test_a_created_file_is_there_once_its_folder_is_synced"),
-        (UnsyncedFolder, "test_a_rename_and_a_deletion_stay_once_the_folder_is_synced"),
-        (UnsyncedCut, "test_a_cut_stays"),
+        (Unsynced, "test_synced_bytes_survive_power_loss"),
+        (UnsyncedFolder, "test_a_created_file_survives_power_loss_after_sync_folder"),
+        (UnsyncedFolder, "test_a_rename_and_a_deletion_survive_power_loss_after_sync_folder"),
+        (UnsyncedCut, "test_a_truncation_survives_power_loss"),
         (Unowned, "test_a_second_owner_is_refused_until_the_first_has_closed"),
         (Careless, "test_a_second_owner_is_refused_until_the_first_has_closed"),
-        (Torn, "test_a_created_file_is_whole_or_not_there"),
-        (Strange, "test_what_is_not_there_is_an_error_of_the_system"),
-        (Appending, "test_a_write_lands_at_its_place"),
+        (Torn, "test_a_created_file_is_complete_or_missing_after_power_loss"),
+        (Strange, "test_calls_on_a_missing_file_raise_os_error"),
+        (Appending, "test_write_replaces_bytes_at_its_offset"),
     ],
 )
 def test_a_faulty_disk_is_caught(kind: type[SimulatedDisk], name: str) -> None:
@@ -472,8 +475,8 @@
 
     caught(
         Faulty(),
-        "test_a_renamed_file_takes_the_others_place",
-        "test_a_deleted_file_is_gone_and_may_come_anew",
+        "test_rename_replaces_the_file_of_the_new_name",
+        "test_a_deleted_file_is_missing_and_can_be_created_again",
     )
 
 
@@ -527,7 +530,7 @@
         if self.way is EndpointBehaviour.HOLD:
             await self.reached.wait()
 
-    async def wait_noticed(self) -> None:
+    async def wait_cancel_noticed(self) -> None:
         await self.closed.acquire()
 
     def executed(self, address: str) -> list[bytes]:
@@ -597,7 +600,7 @@
                 }
                 self.played.answer(sent, told[self.way])
 
-    async def wait_noticed(self) -> None:
+    async def wait_cancel_noticed(self) -> None:
         assert not [one for one in self.held if one in self.played.in_flight]
 
     def executed(self, address: str) -> list[bytes]:
@@ -675,13 +678,13 @@
 @pytest.mark.parametrize(
     ("kind", "name"),
     [
-        (EndsTwice, "test_what_is_served_is_told_with_its_answer"),
-        (NeverAsks, "test_what_may_not_start_any_more_is_moot"),
-        (Tells, "test_after_cancel_nothing_is_told_and_the_endpoint_notices"),
-        (Clings, "test_after_cancel_nothing_is_told_and_the_endpoint_notices"),
-        (Repeats, "test_each_way_to_fail_has_its_outcome_and_is_sent_once"),
-        (Excuses, "test_each_way_to_fail_has_its_outcome_and_is_sent_once"),
-        (Anywhere, "test_an_endpoint_without_a_place_is_not_connected"),
+        (EndsTwice, "test_a_served_attempt_ends_with_its_answer"),
+        (NeverAsks, "test_an_attempt_that_may_not_start_is_not_sent"),
+        (Tells, "test_a_cancelled_attempt_has_no_outcome_and_the_endpoint_notices"),
+        (Clings, "test_a_cancelled_attempt_has_no_outcome_and_the_endpoint_notices"),
+        (Repeats, "test_each_failure_has_its_outcome_and_is_sent_once"),
+        (Excuses, "test_each_failure_has_its_outcome_and_is_sent_once"),
+        (Anywhere, "test_an_endpoint_without_an_address_ends_as_no_connect"),
     ],
 )
 def test_a_faulty_upstream_is_caught(kind: type[FakeUpstream], name: str) -> None:
@@ -700,7 +703,7 @@
                 stage.upstream = KeepsFirst(stage.upstream)
                 yield stage
 
-    caught(Faulty(), "test_a_place_set_anew_gets_nothing_by_its_old_address")
+    caught(Faulty(), "test_a_moved_endpoint_gets_nothing_at_its_old_address")
 
 
 class KeepsFirst:
@@ -729,7 +732,7 @@
     return list({one["instanceId"]: one for one in (*entries, *changes)}.values())
 
 
-class GivenEnvironment:
+class StaticEnvironment:
     def __init__(self, given: StaticMembers) -> None:
         self.given = given
         self.source: MemberSource = given
@@ -750,7 +753,7 @@
     @contextlib.asynccontextmanager
     async def environment(self) -> AsyncIterator[SourceEnvironment]:
         given = self.kind()
-        yield GivenEnvironment(given)
+        yield StaticEnvironment(given)
         given.close()
 
 
@@ -824,7 +827,7 @@
         self.lists.broken = False
 
 
-class OnDiscovery:
+class DiscoveryMixin:
     pushed: ClassVar[bool]
 
     @contextlib.asynccontextmanager
@@ -843,11 +846,11 @@
             server.close()
 
 
-class TestPushedDiscovery(OnDiscovery, MemberSourceContract):
+class TestPushedDiscovery(DiscoveryMixin, MemberSourceContract):
     pushed = True
 
 
-class TestAskedDiscovery(OnDiscovery, PolledSourceContract):
+class TestAskedDiscovery(DiscoveryMixin, PolledSourceContract):
     pushed = False
 
 
@@ -899,12 +902,12 @@
 @pytest.mark.parametrize(
     ("kind", "name"),
     [
-        (TellsAtStart, "test_the_present_list_comes_whole"),
-        (TellsChangesOnly, "test_asked_again_it_tells_the_list_of_then"),
-        (LosesTheLast, "test_the_present_list_comes_whole"),
-        (Ages, "test_changes_come_while_it_is_watched"),
-        (Sulks, "test_a_list_that_is_refused_costs_that_list_alone"),
-        (Rewords, "test_the_present_list_comes_whole"),
+        (TellsAtStart, "test_the_current_list_arrives_complete"),
+        (TellsChangesOnly, "test_each_fetch_delivers_the_current_list"),
+        (LosesTheLast, "test_the_current_list_arrives_complete"),
+        (Ages, "test_changes_arrive_while_the_source_is_watched"),
+        (Sulks, "test_a_refused_list_does_not_affect_later_lists"),
+        (Rewords, "test_the_current_list_arrives_complete"),
     ],
 )
 def test_a_faulty_source_is_caught(kind: type[StaticMembers], name: str) -> None:
@@ -932,8 +935,8 @@
 @pytest.mark.parametrize(
     ("kind", "name"),
     [
-        (Overtaking, "test_a_long_list_is_whole_and_not_overtaken"),
-        (Silent, "test_a_question_without_an_answer_is_told_once"),
+        (Overtaking, "test_a_long_list_arrives_complete_and_before_later_changes"),
+        (Silent, "test_each_failed_fetch_is_reported_once"),
     ],
 )
 def test_a_faulty_discovery_is_caught(
@@ -1064,13 +1067,13 @@
 @pytest.mark.parametrize(
     ("kind", "name"),
     [
-        (TakesAll, "test_what_it_does_not_take_is_never_heard_of"),
-        (Admits, "test_of_one_order_one_at_a_time_is_admitted"),
-        (Admits, "test_what_was_admitted_and_not_finished_is_not_admitted_by_the_next_life"),
-        (Forgets, "test_those_that_wait_hear_though_the_first_leaves"),
+        (TakesAll, "test_a_call_not_taken_is_neither_admitted_nor_settled"),
+        (Admits, "test_one_call_of_an_order_at_a_time_is_admitted"),
+        (Admits, "test_an_unfinished_order_is_not_admitted_after_a_restart"),
+        (Forgets, "test_waiting_calls_are_answered_if_the_first_client_disconnects"),
         (KeepsFailures, "test_each_ending_is_delivered"),
-        (Clears, "test_what_was_served_is_not_admitted_again_nor_after_a_restart"),
-        (Dies, "test_where_nothing_can_be_kept_everybody_hears"),
+        (Clears, "test_a_served_order_is_not_admitted_again"),
+        (Dies, "test_every_call_is_answered_while_writes_fail"),
     ],
 )
 def test_a_faulty_recorder_is_caught(kind: type[RequestJournal], name: str) -> None:
@@ -1126,7 +1129,7 @@
         for _ in range(20):
             await asyncio.sleep(0)
 
-    def send_from_stranger(self, number: int, data: bytes) -> None:
+    def send_from_unlisted_address(self, number: int, data: bytes) -> None:
         self.stranger.sendto(data, self.places[number])
 
     def close(self) -> None:
@@ -1228,15 +1231,15 @@
 @pytest.mark.parametrize(
     ("kind", "name"),
     [
-        (Misnaming, "test_each_hears_each_by_its_number_and_whole"),
-        (Shortening, "test_each_hears_each_by_its_number_and_whole"),
-        (Broadcasting, "test_each_hears_each_by_its_number_and_whole"),
-        (Unlimited, "test_what_is_too_long_or_for_nobody_is_an_error_and_does_not_leave"),
-        (Wrapping, "test_what_is_too_long_or_for_nobody_is_an_error_and_does_not_leave"),
-        (Refused, "test_sending_to_nobody_there_is_no_error"),
-        (Full, "test_more_than_is_read_is_lost_and_no_error"),
+        (Misnaming, "test_each_pair_exchanges_complete_datagrams"),
+        (Shortening, "test_each_pair_exchanges_complete_datagrams"),
+        (Broadcasting, "test_each_pair_exchanges_complete_datagrams"),
+        (Unlimited, "test_an_oversized_datagram_or_unknown_peer_raises_and_sends_nothing"),
+        (Wrapping, "test_an_oversized_datagram_or_unknown_peer_raises_and_sends_nothing"),
+        (Refused, "test_sending_to_an_unopened_or_closed_peer_raises_nothing"),
+        (Full, "test_a_burst_may_lose_datagrams_but_raises_nothing"),
         (Lingering, "test_after_close_nothing_is_received"),
-        (Lingering, "test_a_process_that_comes_anew_has_its_number"),
+        (Lingering, "test_a_restarted_peer_keeps_its_number"),
     ],
 )
 def test_a_faulty_link_is_caught(kind: type[MemoryLink], name: str) -> None:
@@ -1259,7 +1262,7 @@
     class Faulty(TestUdpLink):
         kind = Trusting
 
-    caught(Faulty(), "test_what_no_listed_peer_sent_is_not_received")
+    caught(Faulty(), "test_datagrams_from_unlisted_senders_are_dropped")
 
 
 # --- The Store of consensus ---------------------------------------------------------------------
@@ -1336,7 +1339,7 @@
             await one.own.close()
 
 
-class TestEmbeddedStoreThatLosesPower(LastingStoreContract):
+class TestEmbeddedStoreThatLosesPower(DurableStoreContract):
     seed: ClassVar[int] = 1
 
     @contextlib.asynccontextmanager
@@ -1436,7 +1439,7 @@
         self.own.broken = True
 
 
-class TestSheet(LastingStoreContract):
+class TestSheet(DurableStoreContract):
     """That the faults below are what is caught."""
 
     kind: ClassVar[type[Sheet]] = Sheet
@@ -1520,16 +1523,16 @@
 @pytest.mark.parametrize(
     ("kind", "name"),
     [
-        (TornSheet, "test_a_call_is_found_whole_or_not_at_all"),
-        (EagerSheet, "test_what_was_reported_survives_a_crash"),
-        (StackedSheet, "test_no_call_is_found_without_those_before_it"),
-        (StackedSheet, "test_the_last_write_holds"),
-        (HoardingSheet, "test_what_was_written_is_found_and_what_was_deleted_is_not"),
-        (ProudSheet, "test_what_can_not_be_written_is_told_and_takes_nothing_away"),
-        (RawSheet, "test_what_can_not_be_written_is_told_and_takes_nothing_away"),
-        (SilentSheet, "test_what_can_not_be_written_is_told_and_takes_nothing_away"),
-        (ForgetfulSheet, "test_what_can_not_be_written_is_told_and_takes_nothing_away"),
-        (StrictSheet, "test_what_was_written_is_found_and_what_was_deleted_is_not"),
+        (TornSheet, "test_changes_of_a_write_are_found_all_or_none"),
+        (EagerSheet, "test_reported_writes_survive_a_crash"),
+        (StackedSheet, "test_no_write_is_found_without_earlier_ones"),
+        (StackedSheet, "test_the_last_write_wins"),
+        (HoardingSheet, "test_written_keys_are_found_and_deleted_ones_are_not"),
+        (ProudSheet, "test_a_failing_write_raises_and_loses_nothing_reported"),
+        (RawSheet, "test_a_failing_write_raises_and_loses_nothing_reported"),
+        (SilentSheet, "test_a_failing_write_raises_and_loses_nothing_reported"),
+        (ForgetfulSheet, "test_a_failing_write_raises_and_loses_nothing_reported"),
+        (StrictSheet, "test_written_keys_are_found_and_deleted_ones_are_not"),
     ],
 )
 def test_a_faulty_store_is_caught(kind: type[Sheet], name: str) -> None:
@@ -1551,4 +1554,4 @@
 
 def test_a_store_of_nothing_that_is_late_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setitem(globals(), "NoStore", LateNoStore)
-    caught(TestNoStore(), "test_one_that_does_not_last_is_done_at_once")
+    caught(TestNoStore(), "test_a_non_durable_write_is_done_when_write_returns")
--- a/tests/test_maintenance_contracts.py
+++ b/tests/test_maintenance_contracts.py
@@ -22,7 +22,7 @@
 )
 
 from tests.maintenance import GRACE_US
-from tests.test_contracts import GivenEnvironment, OnDiscovery
+from tests.test_contracts import DiscoveryMixin, StaticEnvironment
 
 
 def wrap_source(inner: MemberSource) -> MaintenanceSource:
@@ -39,13 +39,13 @@
     @contextlib.asynccontextmanager
     async def environment(self) -> AsyncIterator[SourceEnvironment]:
         members = StaticMembers()
-        environment = GivenEnvironment(members)
+        environment = StaticEnvironment(members)
         environment.source = wrap_source(members)
         yield environment
         members.close()
 
 
-class MaintenanceOnDiscovery(OnDiscovery):
+class MaintenanceOnDiscovery(DiscoveryMixin):
     @contextlib.asynccontextmanager
     async def environment(self) -> AsyncIterator[FaultySourceEnvironment]:
         async with super().environment() as environment:
