--- a/laurelstep/consensus/assembly.py
+++ b/laurelstep/consensus/assembly.py
@@ -19,7 +19,7 @@
 
 __all__ = ["build_node", "check_store_folder", "timing_from"]
 
-# A voter that had no leader for this many election timeouts probes for a bootstrap.
+# A voter that has had no leader for this many election timeouts probes for a bootstrap.
 BOOTSTRAP_ELECTION_TIMEOUTS: Final = 4
 
 
--- a/laurelstep/consensus/bootstrap.py
+++ b/laurelstep/consensus/bootstrap.py
@@ -1,14 +1,14 @@
-"""Bootstrap: starts an epoch at the first start, and after a majority of the voters lost its state. No I/O.
+"""Bootstrap: starts an epoch at the first start, and after a majority of the voters lost their state. No I/O.
 
 1. A voter that has heard from no leader for a while requests the identity of all voters, with a nonce. There
    is no bootstrap unless all of them answer, because a voter that is merely partitioned may hold committed
    entries.
 2. There is no bootstrap while any voter is in contact with a leader. Nor is there one while a majority of the
-   newest configuration that any voter knows still runs as the incarnations that it names and may vote: then
-   an election is enough.
+   newest configuration known to any voter still runs as the incarnations that this configuration names, and
+   may vote: then an election is enough.
 3. The voter with the most up-to-date log initiates the bootstrap; among equals, the one with the lowest
-   number. It draws an epoch of a higher generation than any promised one, and asks each voter to leave its
-   old epoch permanently. A voter that accepts freezes: it keeps its log unchanged, and reports the log's
+   replica id. It draws an epoch of a higher generation than any promised one, and asks each voter to leave
+   its old epoch permanently. A voter that accepts freezes: it keeps its log unchanged, and reports the log's
    position.
 4. A voter accepts an epoch if it is greater than any epoch that it has promised, the request names the
    voter's own incarnation, and the voter is not in contact with a leader. The promise is persisted before it
@@ -168,7 +168,7 @@
             self._initiate()
 
     def has_all_voters(self, voters: Collection[int]) -> bool:
-        """Whether `voters` are all voters."""
+        """Whether `voters` contains every voter."""
         return len(voters) == self._state.voter_count
 
     def _is_bootstrap_unnecessary(self) -> bool:
@@ -235,7 +235,7 @@
         state.send(peer, response)
 
     def _is_named_in(self, message: BootstrapRequest) -> bool:
-        """Whether the request names this replica by its own incarnation."""
+        """Whether the request names this replica's current incarnation."""
         state = self._state
         incarnations = message.incarnations
         if len(incarnations) != state.voter_count:
@@ -256,7 +256,7 @@
         self._advance()
 
     def _advance(self) -> None:
-        """Once all have accepted, begin the second round, or after it start the epoch (rule 5)."""
+        """Once all have accepted, begin the second round, or start the epoch after it (rule 5)."""
         state = self._state
         if self._epoch is None or not self.has_all_voters(self._accepted):
             return
--- a/laurelstep/consensus/core.py
+++ b/laurelstep/consensus/core.py
@@ -139,7 +139,7 @@
 
     @property
     def leader_id(self) -> int | None:
-        """The id of the leader that this replica knows, None if it knows none."""
+        """The replica id of the leader, None if unknown."""
         return self._state.leader_id
 
     @property
@@ -205,7 +205,7 @@
         self._state.on_leader_message = callback
 
     def has_leader_contact(self, now_us: int) -> bool:
-        """Whether this replica heard recently from a leader that a majority follows. False once retired."""
+        """Whether a leader that a majority follows was heard from recently. False once retired."""
         return not self._is_retired and self._state.has_leader_contact(now_us)
 
     # Steps
--- a/laurelstep/consensus/counters.py
+++ b/laurelstep/consensus/counters.py
@@ -16,14 +16,14 @@
     FUTURE_VERSION = "future"
     FOREIGN_SENDER = "foreign"
     STALE = "past"
-    # Leader messages that had no leader to go to, or belonged to another epoch.
+    # Leader messages dropped because no leader was known, or because they belonged to another epoch.
     LEADER_MESSAGES_LOST = "words_lost"
     # Bootstraps that this replica initiated, and how many of them started an epoch.
     BOOTSTRAPS_INITIATED = "foundings"
     EPOCHS_STARTED = "founded"
     # Epochs that this learner discarded because they had ended.
     EPOCHS_DISCARDED = "eras_forgotten"
-    # How often this replica, frozen for too long, continued as another incarnation.
+    # How often this replica continued as another incarnation because it had been frozen for too long.
     FROZEN_RESTARTS = "came_again"
     # As the leader: how often it lost its quorum, and the members it removed from and added to the
     # configuration.
--- a/laurelstep/consensus/effects.py
+++ b/laurelstep/consensus/effects.py
@@ -1,4 +1,4 @@
-"""The effects of a step of the core, which its driver carries out."""
+"""The effects of one step of the core, which the step runner carries out (step_runner.py)."""
 
 from __future__ import annotations
 
--- a/laurelstep/consensus/election.py
+++ b/laurelstep/consensus/election.py
@@ -10,7 +10,7 @@
 5. A vote counts only if it comes from the incarnation that the candidate's newest configuration names; a
    majority of that configuration elects the leader. A process that restarts with an empty state is another
    incarnation, so it can't vote a second time because it forgot its first vote.
-6. A voter that has no log of this epoch yet treats any log as at least as up to date.
+6. A voter that has no log of this epoch yet regards every candidate's log as at least as up to date.
 """
 
 from __future__ import annotations
@@ -41,8 +41,8 @@
     def can_campaign(self) -> bool:
         """Whether this replica may start a campaign (rule 1)."""
         state = self._state
-        own_member = state.log.config.members.get(state.replica_id)
-        return state.has_current_log and own_member == state.incarnation
+        member_incarnation = state.log.config.members.get(state.replica_id)
+        return state.has_current_log and member_incarnation == state.incarnation
 
     def due_us(self) -> int:
         """Return the time at which `tick` must be called, in µs; NEVER_US if not at all."""
--- a/laurelstep/consensus/epoch_gate.py
+++ b/laurelstep/consensus/epoch_gate.py
@@ -1,4 +1,4 @@
-"""Decides by its epoch whether a voter accepts a message from a leader or candidate. No I/O.
+"""Decides whether a voter accepts a message from a leader or candidate, by the message's epoch. No I/O.
 
 It implements rule 2 of core.py, rule 4 of messages.py and rule 7 of bootstrap.py.
 """
--- a/laurelstep/consensus/leader.py
+++ b/laurelstep/consensus/leader.py
@@ -259,7 +259,7 @@
     def _record_response(
         self, peer: int, message: AppendEntriesResponse | InstallSnapshotResponse
     ) -> VoterProgress | None:
-        """Note a response, and return the sender's progress.
+        """Record a response, and return the sender's progress.
 
         Returns None if the sender is not the tracked incarnation, or this replica does not lead in the
         response's term.
--- a/laurelstep/consensus/learner.py
+++ b/laurelstep/consensus/learner.py
@@ -1,6 +1,6 @@
 """Learners: replicas that do not vote, and apply committed entries. No I/O.
 
-1. A learner polls one voter, which it chooses by its own number to spread the load. It polls at the learner
+1. A learner polls one voter, which it chooses by its replica id to spread the load. It polls at the learner
    poll interval while idle, and immediately after it received entries. If the voter does not answer or has no
    contact with a leader, the learner switches to the next voter.
 2. A voter remembers a learner for three poll intervals after a poll, and pushes newly committed entries to it
@@ -10,10 +10,10 @@
 4. A learner of an older epoch, or one that is too far behind, is sent the snapshot. A snapshot of an older
    epoch never replaces the state of a newer one.
 5. Learners do not vote, and store nothing.
-6. When all voters have lost their state, the epoch that they bootstrap may not be greater than one that a
-   learner still has. A learner that hears of a leader in an epoch before its own requests the read index
-   (read_index.py). The epoch that a majority confirms after the request is the current one, and the learner
-   installs its snapshot.
+6. When all voters have lost their state, the epoch that they bootstrap is not necessarily greater than one
+   that a learner still has. A learner that hears of a leader in an epoch older than its own requests the read
+   index (read_index.py). The epoch that a majority confirms after the request is the current one, and the
+   learner installs its snapshot.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
         self._state = state
         self._voter_id = state.replica_id % state.voter_count
         self._poll_at_us = NEVER_US if state.is_voter else 0
-        # Whether the voter has not answered the last poll, or answered without contact to a leader.
+        # Whether the voter did not answer the last poll, or answered that it has no contact with a leader.
         self._should_switch_voter = False
         self._assembly = SnapshotAssembly()
 
@@ -70,7 +70,7 @@
         state.send(voter_id, LearnerPoll(state.log.epoch, state.incarnation, state.applied_index))
 
     def on_update(self, peer: int, message: LearnerUpdate) -> None:
-        """Note the leader, apply the entries, and poll for more."""
+        """Record the leader, apply the entries, and poll for more."""
         state = self._state
         if message.has_leader_contact:
             state.leader_id = message.leader_id
--- a/laurelstep/consensus/leases.py
+++ b/laurelstep/consensus/leases.py
@@ -39,7 +39,7 @@
 
 MAX_LEASE_NAME_CHARACTERS: Final = 64
 MAX_LEASES: Final = 64
-# How many of the newest requests of a name are remembered, besides the one that holds the lease.
+# How many of the newest requests for a name are remembered, besides the granted one.
 MAX_REQUESTS_PER_NAME: Final = 4
 
 LeaseName = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_LEASE_NAME_CHARACTERS)]
@@ -93,7 +93,7 @@
 
 
 class LeaseTable:
-    """A state machine of leases, and when this process requested or learned of them.
+    """The state machine of leases, and the times at which this process requested or learned of them.
 
     See the module's rules.
     """
@@ -162,13 +162,13 @@
         return _encode(LeaseGrant(name, 0, self._replica_id, incarnation, request_id, lease_us))
 
     def _drop_old_requests(self, name: str) -> None:
-        """Keep only the newest requests of a name, and the one that holds the lease."""
+        """Keep only the newest requests for a name, and the granted one."""
         lease = self._leases.get(name)
-        holding_id = lease.grant.request_id if lease is not None else 0
+        granted_id = lease.grant.request_id if lease is not None else 0
         request_ids = [
             request_id
             for request_id, request in self._requests.items()
-            if request.name == name and request_id != holding_id
+            if request.name == name and request_id != granted_id
         ]
         for request_id in request_ids[:-MAX_REQUESTS_PER_NAME]:
             del self._requests[request_id]
@@ -179,7 +179,7 @@
         return lease is not None and now_us < self.expires_at_us(lease.grant)
 
     def expires_at_us(self, grant: LeaseGrant) -> int:
-        """Return when the grant ends for this process, in µs; 0 if this process did not request it."""
+        """Return the time at which a grant ends for this process, in µs; 0 if it did not request it."""
         request = self._requests.get(grant.request_id)
         if grant.peer != self._replica_id or request is None:
             return 0
@@ -200,7 +200,7 @@
     # Leader
 
     def observe(self, now_us: int, epoch: ClusterEpoch) -> None:
-        """Note that new leases and a new epoch are learned now.
+        """Record that new leases, and a new epoch, were learned at `now_us`.
 
         Called after every step that changed the state.
         """
@@ -256,5 +256,5 @@
         return now_us >= learned_at_us + self.guard_us(current.grant.lease_us)
 
     def guard_us(self, lease_us: int) -> int:
-        """Return for how long other processes treat a lease as held once they learned of it, in µs."""
+        """Return how long other processes treat a lease as held after they learn of it, in µs."""
         return math.ceil(lease_us * (1 + self._max_clock_drift)) + 1
--- a/laurelstep/consensus/links/memory.py
+++ b/laurelstep/consensus/links/memory.py
@@ -1,5 +1,5 @@
 """In-memory link for tests. A schedule function decides when each datagram arrives and whether it is lost or
-duplicated; time is that of a given clock. The same schedule always gives the same sequence of events.
+duplicated; time is that of the network's clock. The same schedule always gives the same sequence of events.
 
 Datagrams that are due at the same time arrive in the order in which they were sent.
 """
--- a/laurelstep/consensus/links/sockets.py
+++ b/laurelstep/consensus/links/sockets.py
@@ -34,7 +34,7 @@
         self.loop = loop
         self.peers = tuple(peers)
         self.replica_id = replica_id
-        # Excludes this process: a datagram from its own address is not a peer's.
+        # Excludes this process: a datagram from its own address does not come from a peer.
         self.peer_by_address = {
             address: peer for peer, address in enumerate(self.peers) if peer != replica_id
         }
--- a/laurelstep/consensus/links/udp.py
+++ b/laurelstep/consensus/links/udp.py
@@ -30,15 +30,15 @@
 
     def _bind(self) -> socket.socket:
         family = socket.AF_INET6 if ":" in self.listen[0] else socket.AF_INET
-        bound = socket.socket(family, socket.SOCK_DGRAM)
+        sock = socket.socket(family, socket.SOCK_DGRAM)
         try:
             # SO_REUSEADDR and SO_REUSEPORT stay off: a second process must not get part of the datagrams.
-            bound.bind(self.listen)
-            bound.setblocking(False)
+            sock.bind(self.listen)
+            sock.setblocking(False)
         except OSError:
-            bound.close()
+            sock.close()
             raise
-        return bound
+        return sock
 
     def _normalize(self, address: tuple[str, int, int, int] | UdpAddress) -> UdpAddress:
         return address[0], address[1]
--- a/laurelstep/consensus/links/unix.py
+++ b/laurelstep/consensus/links/unix.py
@@ -34,7 +34,7 @@
 
     def _bind(self) -> socket.socket:
         lock_fd = os.open(self.path + ".lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        bound = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
+        sock = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         try:
             try:
                 fcntl.flock(lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -42,15 +42,15 @@
                 raise OSError(errno.EADDRINUSE, "another process uses the path") from None
             with contextlib.suppress(FileNotFoundError):
                 os.unlink(self.path)
-            os.fchmod(bound.fileno(), 0o600)  # before the bind, so that the file never has another mode
-            bound.bind(self.path)
-            bound.setblocking(False)
+            os.fchmod(sock.fileno(), 0o600)  # before the bind, so that the file never has another mode
+            sock.bind(self.path)
+            sock.setblocking(False)
         except OSError:
-            bound.close()
+            sock.close()
             os.close(lock_fd)
             raise
         self._lock_fd = lock_fd
-        return bound
+        return sock
 
     def close(self) -> None:
         """Stop receiving, and free the path. May be called more than once."""
--- a/laurelstep/consensus/messages.py
+++ b/laurelstep/consensus/messages.py
@@ -1,6 +1,6 @@
 """The messages between replicas, and their encoding. No I/O.
 
-1. A datagram is a version byte and one message as msgpack, an array headed by its tag; at most 256 bytes.
+1. A datagram is a version byte and one message, a msgpack array that starts with its tag; at most 256 bytes.
 2. For a datagram of another version, or one that can't be decoded or exceeds a bound, `decode` returns None,
    and the caller counts it. The link identifies the sender.
 3. A message about a log names the log's epoch. A message that commits its sender to something (the response
--- a/laurelstep/consensus/multiplexer.py
+++ b/laurelstep/consensus/multiplexer.py
@@ -73,7 +73,7 @@
 
 
 class ConsensusChannel:
-    """A subsystem's access to the node: forwards to the node, but has callbacks of its own."""
+    """A subsystem's access to the node: forwards calls to the node, and has its own callbacks."""
 
     def __init__(self, node: ConsensusClient) -> None:
         self._node: Final = node
--- a/laurelstep/consensus/node.py
+++ b/laurelstep/consensus/node.py
@@ -7,7 +7,7 @@
    the process is not affected. If the disk under the store failed, the node restarts automatically, as after
    a crash, once the store can be opened again. After any other failure it stays off until the next start.
 4. A retired node sends nothing. The records that `retire` returns are for one successor. A node that restarts
-   after that is another member, or continues from its durable store.
+   after that is another incarnation, or continues from its durable store.
 5. Callbacks for leader messages and changes run in their own iteration of the event loop, never within a
    step.
 """
@@ -104,7 +104,7 @@
         self.on_change: Callable[[], None] = _ignore
         self.on_leader_message: Callable[[int, int, bytes], None] = _ignore
         self.stage = NodeStage.NEW
-        self.failure = ""  # the reason of the last failure, on one line
+        self.failure = ""  # why the node is off, on one line; empty unless it failed
         self.counters = {"waited": 0, "dropped": 0, "refused": 0}
         self.runner: StepRunner | None = None
         self.link: Link | None = None
@@ -217,7 +217,7 @@
                 await self._start(records)
 
     async def restart(self) -> None:
-        """Take part again after `retire`, as another member or with the state of the durable store."""
+        """Take part again after `retire`, as another incarnation or with the state of the durable store."""
         async with self._lifecycle_lock:
             if self.stage is NodeStage.RETIRED:
                 self.state_machine.load(b"")
@@ -367,7 +367,7 @@
             await self._start_or_fail(None)
 
     def _log_recovery(self) -> None:
-        """Log the first successful write after failures of the disk."""
+        """Log the first successful write after disk failures, and reset the delay before a reopening."""
         if self._reopen_delay_us != MIN_REOPEN_DELAY_US:
             self._reopen_delay_us = MIN_REOPEN_DELAY_US
             self.log("accord: the disk accepts writes again; this process takes part")
--- a/laurelstep/consensus/options.py
+++ b/laurelstep/consensus/options.py
@@ -49,14 +49,14 @@
 
 
 class SettingsProblem(NamedTuple):
-    """A key with an invalid value, and a text that says what was expected."""
+    """A key with an invalid value, and what was expected."""
 
     key: str
     expected: str
 
 
 def default_voter_count(peer_count: int) -> int:
-    """Return the default number of voters: the largest odd number up to `peer_count` and a limit."""
+    """Return the default number of voters: the largest odd one within `peer_count` and the limit."""
     max_voters = min(MAX_DEFAULT_VOTERS, peer_count)
     return max_voters - 1 + max_voters % 2
 
--- a/laurelstep/consensus/ports.py
+++ b/laurelstep/consensus/ports.py
@@ -19,7 +19,7 @@
     """Sends datagrams to peers by peer number. They may be lost, duplicated, delayed and reordered."""
 
     def open(self, receive: Callable[[int, bytes], None]) -> None:
-        """Start to call `receive(peer, datagram)` for datagrams from configured peers. Called once."""
+        """Start calling `receive(peer, datagram)` for datagrams from configured peers. Called once."""
 
     def send(self, peer: int, data: bytes) -> None:
         """Send a datagram, or drop it. Never blocks, and raises nothing for errors of the network.
@@ -60,4 +60,4 @@
         """Return the complete state as bytes: equal states give equal bytes."""
 
     def load(self, raw: bytes) -> None:
-        """Replace the state with a dump of `dump`, or with the initial state if `raw` is empty."""
+        """Replace the state with that of a `dump`, or with the initial state if `raw` is empty."""
--- a/laurelstep/consensus/read_index.py
+++ b/laurelstep/consensus/read_index.py
@@ -1,4 +1,4 @@
-"""ReadIndex: how a replica learns the commit index as of a time after its start. No I/O. Dissertation 6.4.
+"""ReadIndex: a replica learns the commit index as of a time after its start. No I/O. Dissertation 6.4.
 
 1. The replica requests the commit index from the leader, with a nonce.
 2. The leader responds once a majority has answered a heartbeat round that began after the request arrived,
--- a/laurelstep/consensus/state.py
+++ b/laurelstep/consensus/state.py
@@ -85,7 +85,7 @@
         self.election_deadline_us = NEVER_US
         # Whether all that was committed before this replica started is applied (read_index.py).
         self.is_caught_up = False
-        # Whether a learner heard of a leader in an epoch before its own, so that one of the two epochs has
+        # Whether a learner heard of a leader in an older epoch than its own, so that one of the two has
         # ended.
         self.is_epoch_uncertain = False
         self.on_leader_message: Callable[[int, int, bytes], None] = _ignore_leader_message
@@ -196,7 +196,7 @@
         """Promise an epoch that is not known to have started (rule 2)."""
         self.promised_epoch, self.term, self.voted_for = epoch, 0, None
         self.has_epoch_started = False
-        self.is_caught_up = False  # must be reached again in the new epoch: read_index.py, rule 3
+        self.is_caught_up = False  # must catch up again in the new epoch: read_index.py, rule 3
         self.frozen_at_us = self.now_us
         self.role = ReplicaRole.FROZEN
         self.leader_id = None
@@ -221,7 +221,7 @@
         self.log.truncate_after(index)
 
     def commit_to(self, index: int) -> None:
-        """Mark the entries up to an index committed and apply them; compact the log if it is too long."""
+        """Mark the entries up to an index as committed and apply them; compact the log if it is too long."""
         index = min(index, self.log.last_index)
         if index <= self.committed_index:
             return
--- a/laurelstep/consensus/state_machines.py
+++ b/laurelstep/consensus/state_machines.py
@@ -1,9 +1,9 @@
 """Combines several state machines on one replicated log. No I/O.
 
-1. The first byte of an entry selects its state machine, which is given the rest. A state machine sees only
+1. The first byte of an entry selects its state machine, which applies the rest. A state machine sees only
    the indexes of its own entries.
 2. An entry for an unknown state machine is counted and has no effect. So a new state machine is used only
-   once every process of the tier has it. Dumps of unknown state machines in a snapshot are passed on
+   once every process of the tier has it. Dumps of unknown state machines in a snapshot are kept
    unchanged.
 """
 
--- a/laurelstep/consensus/step_runner.py
+++ b/laurelstep/consensus/step_runner.py
@@ -79,7 +79,7 @@
         self._run_or_queue(self.core.start)
 
     def receive(self, peer: int, data: bytes) -> None:
-        """Handle a datagram when its turn comes, or drop it if the queue is full."""
+        """Handle a datagram after the queued steps, or drop it if the queue is full."""
         self._run_or_queue(lambda now_us: self.core.receive(now_us, peer, data))
 
     def submit(self, step: Step) -> None:
--- a/laurelstep/consensus/stores/embedded.py
+++ b/laurelstep/consensus/stores/embedded.py
@@ -31,7 +31,7 @@
 
 
 def _ignore_line(line: str) -> None:
-    """Drop a log line: used if no log is given."""
+    """Drop a log line: the default for `log`."""
 
 
 def _size_bytes(changes: Mapping[bytes, bytes | None]) -> int:
--- a/laurelstep/consensus/timing.py
+++ b/laurelstep/consensus/timing.py
@@ -20,7 +20,7 @@
     election_timeout_us: int = 600_000
     # The interval at which an idle learner polls. A voter forgets a learner after three intervals.
     learner_poll_us: int = 5_000_000
-    # A voter that had no leader for this long probes for a bootstrap; a bootstrap takes at most this long.
+    # A voter without a leader for this long probes for a bootstrap; a bootstrap takes at most this long.
     bootstrap_timeout_us: int = 2_400_000
     lease_us: int = 10_000_000
     # The largest relative error of any clock's rate, as a fraction.
--- a/laurelstep/maintenance/acknowledgements.py
+++ b/laurelstep/maintenance/acknowledgements.py
@@ -10,7 +10,7 @@
 from laurelstep.maintenance.entries import UNKNOWN_STATE
 from laurelstep.maintenance.state import MaintenanceState
 
-# Superseded incarnations that are kept for each peer.
+# Limit for the superseded incarnations that are kept for each peer.
 MAX_SUPERSEDED: Final = 4
 
 
@@ -30,7 +30,7 @@
         self.superseded: dict[int, list[int]] = {}  # by peer: earlier ones of the state
 
     def update(self, state: MaintenanceState) -> None:
-        """Take over the current incarnations. Late messages of superseded ones are ignored from now on."""
+        """Copy the current incarnations from the state. Later messages of superseded ones are ignored."""
         for peer, incarnation in state.incarnations.items():
             previous = self.incarnations.get(peer)
             if previous == incarnation:
@@ -69,8 +69,8 @@
         """The replicas that have not acknowledged the drain of this index.
 
         Only an acknowledgement of the current incarnation counts: an earlier one belongs to a process that
-        has ended. A replica whose last message came from an incarnation that the state does not have serves
-        without the state: it is missing even if an operator declared the earlier incarnation absent.
+        has ended. A replica whose last message came from an incarnation that the state lacks serves without
+        the state: it is missing even if an operator declared the earlier incarnation absent.
         """
         missing = []
         for peer in range(peer_count):
--- a/laurelstep/maintenance/commands.py
+++ b/laurelstep/maintenance/commands.py
@@ -28,7 +28,7 @@
 
 RESEND_INTERVAL_US: Final = 1_000_000
 COMMAND_TIMEOUT_US: Final = 15_000_000
-# Of pending commands, and of all commands that are kept.
+# Limit for pending commands, and for all commands that are kept.
 MAX_COMMANDS: Final = 16
 
 # The status of a command as operators see it; a rejected one has an `ErrorCode` instead.
@@ -104,8 +104,8 @@
             raise LeaderUnreachableError("no leader is heard")
 
     def submit(self, verb: CommandVerb, argument: CommandArgument) -> PendingCommand:
-        """Queue a command, which is sent until the state has it. Returns the pending one if the same command
-        was submitted before.
+        """Queue a command, which is sent until the state has applied it. Returns the pending command if the
+        same one was submitted before.
 
         Raises `LeaderUnreachableError`, `TooManyRequestsError` or `EntryTooLargeError`.
         """
--- a/laurelstep/maintenance/controller.py
+++ b/laurelstep/maintenance/controller.py
@@ -103,10 +103,10 @@
         self.ages = StateAges()
         self.sent_acknowledgement: SentAcknowledgement | None = None
         self.sent_started_us: int | None = None  # when `ReplicaStarted` was sent last
-        self.idle_basis: tuple[int, int] | None = None  # of the last plan without entries
-        self.proposed: dict[bytes, int] = {}  # encoded entries: when they may be proposed again, µs
+        self.idle_basis: tuple[int, int] | None = None  # basis of the last plan without entries
+        self.proposed: dict[bytes, int] = {}  # by encoded entry: when it may be proposed again, µs
         self.leadership: LeadershipView | None = None
-        self.last_epoch: object = None  # the cluster epoch in which the state was known last
+        self.last_epoch: object = None  # the cluster epoch when the state was last known
         self.serves_without_state = False
         self.step_timer: Handle | None = None
         self.scheduled_step: Handle | None = None
@@ -123,7 +123,7 @@
         self.run_step()
 
     def close(self) -> None:
-        """Stop for good: cancel the timers; later steps do nothing."""
+        """Stop permanently: cancel the timers; later steps do nothing."""
         self.is_closed = True
         self.cancel_timers()
 
@@ -158,7 +158,7 @@
             self.scheduled_step = self.clock.at(self.clock.now(), self.run_step)
 
     def run_step(self) -> None:
-        """Do what is due now, and schedule the next step. May be called at any time."""
+        """Do the work that is due, and schedule the next step. May be called at any time."""
         if self.is_closed:
             return
         self.cancel_timers()
@@ -196,7 +196,7 @@
         self.acknowledgements.update(self.state)
 
     def _check_epoch(self) -> None:
-        """Log the cordoned machines that a new cluster epoch does not have: they return to service."""
+        """Log the cordoned machines that the state of a new cluster epoch lacks: they return to service."""
         if not self.consensus.is_caught_up or self.consensus.epoch == self.last_epoch:
             return
         lost = [
--- a/laurelstep/maintenance/entries.py
+++ b/laurelstep/maintenance/entries.py
@@ -40,7 +40,7 @@
     """An operator's command, submitted at one replica.
 
     `sequence_number` counts the commands of that replica's incarnation, so that a repeated or late one takes
-    effect once. `expected_version` tells what the command is meant for: the incarnation that is declared
+    effect once. `expected_version` identifies what the command refers to: the incarnation that is declared
     absent, the log index at which the machine began to drain, or the number of the request that is withdrawn.
     In the last two cases, 0 means the current drain or request.
     """
--- a/laurelstep/maintenance/machines.py
+++ b/laurelstep/maintenance/machines.py
@@ -150,7 +150,7 @@
             self.listed_weight = self.ready_weight = 0.0
 
     def replace(self, machines: Mapping[str, ListedMachine]) -> Iterator[None]:
-        """Replace the table's machines by those of a full list, one machine in each step.
+        """Replace the table's machines with those of a full list, one machine in each step.
 
         `is_consistent` is False until the last step: the totals match neither list.
         """
--- a/laurelstep/maintenance/overlay.py
+++ b/laurelstep/maintenance/overlay.py
@@ -10,8 +10,8 @@
    them.
 4. A machine is drained in this process when the engine got it as `draining`, the drain grace has passed
    since, and it has no request in flight. It then counts as drained until the cordon ends.
-5. A machine that returns from work is published with its return as the start time, or with discovery's if
-   that is later, as long as it is listed: a published start time never decreases.
+5. A machine that returns from work is published with the time of its return as its start time, or with
+   discovery's if that is later, as long as it is listed: a published start time never decreases.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
         self.drain_index = drain_index
         self.state = state
         self.is_applied = False  # published as draining
-        self.published_us: int | None = None  # when the engine had it as draining at the latest
+        self.published_us: int | None = None  # the time by which the engine had it as draining
         self.is_drained = False
 
 
--- a/laurelstep/maintenance/planner.py
+++ b/laurelstep/maintenance/planner.py
@@ -1,7 +1,7 @@
 """The entries that the leader proposes, from the state, its endpoint list and the acknowledgements. Pure.
 
 1. A machine is drained when every replica, in its current incarnation, has acknowledged the drain index;
-   replicas that were declared absent are left out. No time-out replaces an acknowledgement.
+   replicas that were declared absent are not counted. No time-out replaces an acknowledgement.
 2. The order follows from the state: requests by number, their machines by zone, cell and id. The first
    machine that the limits allow drains next, one with each proposal.
 3. No drain, drop or end of a request is proposed while the list is incomplete or being replaced.
--- a/laurelstep/maintenance/records.py
+++ b/laurelstep/maintenance/records.py
@@ -91,7 +91,7 @@
 
 
 def decode_snapshot(raw: bytes) -> StateSnapshot:
-    """Decode a snapshot; empty bytes stand for a new state. Raises `MaintenanceSnapshotError`."""
+    """Decode a snapshot; empty bytes stand for the initial state. Raises `MaintenanceSnapshotError`."""
     if not raw:
         return StateSnapshot(0, 0, [], [], [], [], [], [])
     try:
--- a/laurelstep/maintenance/source.py
+++ b/laurelstep/maintenance/source.py
@@ -61,7 +61,7 @@
         self.on_list_changed: Callable[[], None] = lambda: None
         self.is_state_known: Callable[[], bool] = lambda: self.has_learned_state
         self.is_forwarding = False
-        self.has_learned_state = False  # the replicated state has been known
+        self.has_learned_state = False  # the replicated state was known at least once
         self.is_applying_list = False  # a long list of the inner source is being applied
         self.is_publishing = False  # a long list of the table is being published
         self.is_full_list_due = False  # the whole table is to be published next
@@ -117,8 +117,8 @@
         self._on_list_stored()
 
     def apply_list_in_steps(self, is_full: bool, entries: list[Any], received_at: int) -> Iterator[None]:
-        """The same for a long list, in steps. `entries` is emptied on the way, since freeing it at once would
-        take long.
+        """Like `on_list`, for a long list, in steps. `entries` is emptied step by step, since freeing it at
+        once would take long.
         """
         machines: dict[str, ListedMachine] = {}
         overlaid: list[Any] = []
--- a/laurelstep/maintenance/state.py
+++ b/laurelstep/maintenance/state.py
@@ -5,7 +5,7 @@
 2. Every limit is checked when an entry is applied. Its proposer may have been stale, paused or wrong: an
    entry that violates a limit is ignored, on every replica alike.
 3. A machine out of service counts against the limits of all open requests, also of those that do not select
-   it: limits tell what must stay in service in the tier.
+   it: limits say what must stay in service in the tier.
 4. `DrainMachine` and `CompleteRequest` are valid only for the state that their proposer had.
 5. A machine's state changes according to `states.TRANSITIONS`, and a `MachineTransition` applies only to the
    state that it was made for.
@@ -102,7 +102,7 @@
         )
 
     def load(self, raw: bytes) -> None:
-        """Replace the state by a snapshot; empty bytes stand for a new state.
+        """Replace the state with that of a snapshot; empty bytes stand for the initial state.
 
         Raises `MaintenanceSnapshotError`, with nothing changed, if it can't be decoded.
         """
@@ -302,8 +302,8 @@
         return any(number in request.finished for request in self.past_requests)
 
     def blocking_limit(self, entry: DrainMachine, ignore_others: bool = False) -> str | None:
-        """A description of the limit that does not allow to drain the entry's machine, with the name of the
-        request that sets it; None if all limits hold.
+        """A description of the limit that forbids draining the entry's machine, with the name of the request
+        that sets it; None if all limits hold.
 
         `ignore_others`: assume that no other machine is out of service.
         """
--- a/laurelstep/settings/config.py
+++ b/laurelstep/settings/config.py
@@ -1,4 +1,4 @@
-"""The validated configuration of one copy, from either kind of file."""
+"""The validated configuration of one copy, from the platform's or the operator's file."""
 
 from __future__ import annotations
 
@@ -23,14 +23,15 @@
 class ConfigError(LaurelstepError):
     """The configuration is invalid; the text gives the reason on one line."""
 
-    cause = "a configuration can't be used: a key is missing, unknown, or has a value that it can't have"
+    cause = "a configuration can't be used: a key is missing, unknown, or has an invalid value"
     remedy = "correct the key that the line names, then run `laurelstep check FILE` before the next start"
 
 
 @dataclass(frozen=True)
 class Config:
     """The configuration of one copy. `listen` is None if the process does not listen for clients itself;
-    `discovery` is None if the endpoints come from another source.
+    `discovery` is None if the endpoints come from another source; `known` is the endpoint list to start with,
+    in discovery's format, None if there is none.
     """
 
     listen: tuple[str, int] | None
@@ -50,7 +51,7 @@
 
     @property
     def max_side_connections(self) -> int:
-        """How many connections clients may hold, and endpoints likewise."""
+        """The maximum number of connections from clients, and likewise to endpoints."""
         return connections_per_side(self.sockets, self.management is not None)
 
     @property
@@ -83,7 +84,7 @@
 
 
 def _order_headers(raw: Any, orders: JournalSettings | None) -> dict[str, bytes]:
-    """The header that carries a request's order, its idempotency key, by the names of classes that use one.
+    """The request header that holds the idempotency key, by the names of the classes that use one.
 
     Raises `ConfigError` if `[orders]` names a class that does not exist or has no effects.
     """
@@ -107,7 +108,7 @@
 def _check_classes(classes: Any) -> None:
     """Raise `ConfigError` for an invalid class, with its key and what was expected.
 
-    A latency objective longer than the deadline is accepted; it holds up to the deadline.
+    A latency objective longer than the deadline is accepted; the deadline then applies instead.
     """
     if not isinstance(classes, list) or not classes:
         raise ConfigError("settings.classes: expected at least one class")
@@ -154,7 +155,7 @@
         }
         _check_classes(raw["settings"].get("classes"))
         settings = read_settings(json.dumps(raw["settings"]).encode())
-        rules = raw["settings"].get("invariants", {})
+        invariants = raw["settings"].get("invariants", {})
         known = raw.get("known")
         if known is not None and not (isinstance(known["instances"], list) and int(known["generation"]) >= 0):
             raise ConfigError("known: expected a generation and a list of endpoints")
@@ -169,7 +170,7 @@
             memory_mb=int(raw.get("limits", {}).get("memory_mb", 0)),
             settings=settings,
             names=NameTable(raw["settings"], settings, _order_headers(raw, orders)),
-            drain_grace_us=int(rules.get("drain-grace-us", 0)),
+            drain_grace_us=int(invariants.get("drain-grace-us", 0)),
             known=known,
             orders=orders,
             management=None if management is None else _parse_management_address(management, listen),
--- a/laurelstep/settings/operator/accord.py
+++ b/laurelstep/settings/operator/accord.py
@@ -58,13 +58,13 @@
 
         `me` applies if the table does not set it. Without `listen`, this process's entry in `peers` is used.
         """
-        number = me if self.me is None else self.me
+        peer_number = me if self.me is None else self.me
         if listen is None:
-            listen = peers[number] if number < len(peers) else ""
+            listen = peers[peer_number] if peer_number < len(peers) else ""
         settings = ConsensusSettings(
             peers=peers,
             listen=listen,
-            me=number,
+            me=peer_number,
             link=self.link,
             seats=self.seats or default_voter_count(len(peers)),
             store_path=self.store_path,
--- a/laurelstep/settings/operator/deployment.py
+++ b/laurelstep/settings/operator/deployment.py
@@ -22,7 +22,7 @@
 Scope = Literal["all", "zone", "cell"]
 Report = Literal["inflight", "queue", "util", "latency_ms", "qps", "eps"]
 
-# The names of load report fields, in this table and on the sockets, to those in the platform's settings.
+# Fields of load reports: the names in this table and in endpoints' reports, mapped to the platform's names.
 REPORT_FIELDS: Final = {
     "inflight": "active",
     "queue": "waiting",
@@ -59,7 +59,7 @@
 
 
 class Tenant(OperatorTable, frozen=True, kw_only=True):
-    """A tenant, and how much work it may have served per second."""
+    """A tenant, and how much of its work may be served per second."""
 
     name: str
     allowance_per_s: NonNegativeFloat
--- a/laurelstep/settings/operator/document.py
+++ b/laurelstep/settings/operator/document.py
@@ -1,4 +1,4 @@
-"""The whole file: reads it, checks its tables together, and builds or extends a `Config`."""
+"""The operator's file as a whole: reads it, checks its tables together, and builds or extends a `Config`."""
 
 from __future__ import annotations
 
@@ -122,7 +122,7 @@
         return config if self.accord is None else self._extend_accord(path, self.accord, config, raw, source)
 
     def _with_outbox(self, config: Config, path: str) -> Config:
-        """Add the outbox's settings. Raises `ConfigError` if a queued class is not one with effects."""
+        """Add the outbox's settings. Raises `ConfigError` if they do not fit the deployment's classes."""
         if self.outbox is None:
             return config
         settings = self.outbox.settings()
@@ -143,7 +143,7 @@
             for name, queued in settings.classes.items()
         }
         # A copy that shares the ledger checks writes of all classes with effects: an edge may queue any of
-        # them, whether or not this copy queues that class itself.
+        # them, whether or not this copy queues the class.
         effect_classes = [name for name, (effect, _, _) in effects.items() if effect != "safe"]
         config.names.queueable_classes = frozenset(
             config.names.classes[name] for name in (effect_classes if settings.shared else classes)
--- a/laurelstep/settings/operator/upkeep.py
+++ b/laurelstep/settings/operator/upkeep.py
@@ -7,7 +7,7 @@
 
 
 class MaintenanceTable(OperatorTable, frozen=True, kw_only=True):
-    """Taking machines out of service for maintenance, as agreed among the copies."""
+    """Taking machines out of service for maintenance, coordinated among the copies."""
 
     overdue_s: PositiveInt = 14_400
     start_alone: StartAlone = "wait"
--- a/laurelstep/settings/platform.py
+++ b/laurelstep/settings/platform.py
@@ -13,7 +13,7 @@
 
 
 def discard_log(text: str) -> None:
-    """A log that discards its lines, for callers that only validate a configuration."""
+    """Discard a log line: the default for callers that only validate a configuration."""
 
 
 def load_json(path: str) -> Any:
@@ -36,7 +36,7 @@
 
 
 def _known(raw: Any, path: str, log: Log) -> dict[str, Any] | None:
-    """The usable entries of `known`, the endpoint list that the platform saved; None if it is no list at all.
+    """The usable entries of `known`, the endpoint list that the platform saved; None if it is not a list.
 
     The list may be outdated, and discovery replaces it, so a malformed one is logged and must not prevent a
     start.
--- a/laurelstep/subsystems/consensus.py
+++ b/laurelstep/subsystems/consensus.py
@@ -46,9 +46,9 @@
     ) -> ConsensusSubsystem | None:
         """Create the node, not yet started; None if consensus is off.
 
-        `maintenance`, `outbox`: the state machines of these subsystems; None if one is off, and passive ones
-        replace them. `state`: the state of a predecessor. Raises `ConfigError` if the folder of the store
-        can't be used.
+        `maintenance`, `outbox`: the state machines of these subsystems; None if the subsystem is off; passive
+        ones are then replicated. `state`: the state of the predecessor at a hot restart, None without one.
+        Raises `ConfigError` if the folder of the store can't be used, or its library is missing.
         """
         settings = context.config.accord
         if settings is None:
@@ -89,8 +89,9 @@
     maintenance: Mapping[int, StateMachine] | None,
     outbox: Mapping[int, StateMachine] | None,
 ) -> tuple[ConsensusNode, ConsensusMultiplexer]:
-    """Each copy replicates the state machines of all subsystems, also of those that are off in it: it may
-    become leader, and a snapshot without one of them would delete that state on the other copies.
+    """Build the node and its multiplexer. Each copy replicates the state machines of all subsystems, also of
+    those that are off in it: it may become the leader, and a snapshot without one of them would delete that
+    state on the other copies.
     """
     from laurelstep.consensus.assembly import build_node, check_store_folder
     from laurelstep.consensus.multiplexer import ConsensusMultiplexer
--- a/laurelstep/subsystems/hot_restart.py
+++ b/laurelstep/subsystems/hot_restart.py
@@ -89,7 +89,7 @@
 
 
 class HotRestartSubsystem(Subsystem):
-    """Started once the server listens. While two processes serve, they share one sidecar's descriptors."""
+    """Started once the server listens. While two processes serve, they share the limit on descriptors."""
 
     def __init__(self, context: ProcessContext, startup: HotRestartStartup) -> None:
         self.context = context
@@ -125,7 +125,7 @@
         return self.is_only_process
 
     async def wait_with_predecessor(self, *events: asyncio.Event) -> None:
-        """Wait until one of the events is set; one of them says that this process may send.
+        """Wait until one of the events is set, among them the one that allows this process to send.
 
         Raises `ConfigError` if the predecessor gave up waiting for this process and continues to serve: both
         would accept clients.
@@ -194,13 +194,13 @@
                 loop, startup.rendezvous, listener.sockets[0], self._collect_state, self._on_progress, log
             )
         except OSError as error:
-            log(f"no hot restart to a next version can take place: {error}")
+            log(f"no hot restart to a later version is possible: {error}")
         else:
             server.shutdown.has_successor = self._is_taken_over
         self._share_descriptors()
 
     async def stop(self) -> None:
-        """Accept no successor any more."""
+        """Stop accepting a successor, and cancel the collection of the state."""
         self.collect_task.close()
         if self.restart_server is not None:
             self.restart_server.close()
@@ -230,11 +230,11 @@
         from laurelstep.hot_restart.state import collect_state
 
         assert self.assembly is not None
-        source, known = self.assembly.source, list[bytes]()
+        source, endpoint_lists = self.assembly.source, list[bytes]()
         generation = source.generation if isinstance(source, Discovery) else 0
 
         def on_end(error: Exception | None) -> None:
-            state = {} if error is not None else collect_state(self.context.config, source, known[0])
+            state = {} if error is not None else collect_state(self.context.config, source, endpoint_lists[0])
             if self.consensus is None:
                 send_state(state)
             else:
@@ -242,9 +242,9 @@
 
         if self.maintenance is not None and self.maintenance.assembly.source is not None:
             # The successor also needs the endpoints that maintenance removes from the engine's list.
-            steps = self.maintenance.assembly.source.dump_in_steps(generation, known)
+            steps = self.maintenance.assembly.source.dump_in_steps(generation, endpoint_lists)
         else:
-            steps = dump_in_steps(self.assembly.engine.endpoints, generation, known)
+            steps = dump_in_steps(self.assembly.engine.endpoints, generation, endpoint_lists)
         self.collect_task.run(steps, on_end)
 
     async def _retire(
--- a/laurelstep/subsystems/maintenance.py
+++ b/laurelstep/subsystems/maintenance.py
@@ -53,7 +53,7 @@
         self.assembly.start(self.multiplexer.channel(SUBSYSTEM_TAG), engine, self.is_only_version)
 
     async def stop(self) -> None:
-        """Stop applying it."""
+        """Stop applying the replicated state."""
         self.assembly.close()
 
     def reply(self, method: bytes, target: bytes) -> Reply | None:
--- a/laurelstep/subsystems/outbox.py
+++ b/laurelstep/subsystems/outbox.py
@@ -1,4 +1,4 @@
-"""The outbox as a subsystem: writes queued at an edge, and the state of them that copies share."""
+"""The outbox as a subsystem: writes queued at an edge, and the state of these writes that copies share."""
 
 from __future__ import annotations
 
