--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,3 +1,3 @@
-"""Measurements: `python -m benchmarks.NAME`, a minute at most, one JSON object as the last
-line. Speeds are ratios to a reference measured in the same run, turn about.
+"""Benchmarks, run by `python -m benchmarks.NAME`. Each takes a minute at most and prints one JSON object as
+its last line. Speeds are ratios to a reference that is measured alternately in the same run.
 """
--- a/benchmarks/children.py
+++ b/benchmarks/children.py
@@ -1,4 +1,4 @@
-"""The processes of `hotpath`: endpoint, bare relay, host of the library, library alone.
+"""Child processes of `hotpath`: the endpoint, the bare relay, the library in uvicorn, and its client alone.
 
 `python -m benchmarks.children ROLE [ARGUMENT...]`; each prints its port as its first line.
 """
@@ -21,43 +21,43 @@
 
 
 class Endpoint(asyncio.Protocol):
-    """Answers each head at once; requests have no body and come one at a time."""
+    """Answers each request at once; requests have no body and are not pipelined."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.tail = b""
+        self.received = b""
 
     def data_received(self, data: bytes) -> None:
-        self.tail += data
-        if self.tail.endswith(b"\r\n\r\n"):
-            self.tail = b""
+        self.received += data
+        if self.received.endswith(b"\r\n\r\n"):
+            self.received = b""
             self.transport.write(ANSWER)
 
 
-class Pipe(asyncio.Protocol):
-    """One side of a relay: what comes here goes to the other."""
+class RelayConnection(asyncio.Protocol):
+    """One side of a relay: data received here is written to the peer."""
 
     def __init__(self) -> None:
-        self.other: Pipe | None = None
+        self.peer: RelayConnection | None = None
         self.transport: asyncio.Transport | None = None
-        self.waiting: list[bytes] = []
+        self.pending: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        if self.other is None or self.other.transport is None:
-            self.waiting.append(data)
+        if self.peer is None or self.peer.transport is None:
+            self.pending.append(data)
         else:
-            self.other.transport.write(data)
+            self.peer.transport.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.close()
+        if self.peer is not None and self.peer.transport is not None:
+            self.peer.transport.close()
 
 
-class Relay(Pipe):
-    """The callers' side: opens its own connection to the endpoint."""
+class RelayClientConnection(RelayConnection):
+    """The client's side: opens a connection to the endpoint."""
 
     def __init__(self, port: int) -> None:
         super().__init__()
@@ -66,33 +66,33 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.task = asyncio.get_running_loop().create_task(self.join())
+        self.task = asyncio.get_running_loop().create_task(self.connect_upstream())
 
-    async def join(self) -> None:
-        far = Pipe()
-        far.other = self
-        await asyncio.get_running_loop().create_connection(lambda: far, "127.0.0.1", self.port)
-        self.other = far
-        assert far.transport is not None
-        for data in self.waiting:
-            far.transport.write(data)
+    async def connect_upstream(self) -> None:
+        upstream = RelayConnection()
+        upstream.peer = self
+        await asyncio.get_running_loop().create_connection(lambda: upstream, "127.0.0.1", self.port)
+        self.peer = upstream
+        assert upstream.transport is not None
+        for data in self.pending:
+            upstream.transport.write(data)
 
 
 async def listen(protocol: type[Endpoint] | None, port: int = 0) -> None:
     loop = asyncio.get_running_loop()
-    factory = protocol or (lambda: Relay(port))
+    factory = protocol or (lambda: RelayClientConnection(port))
     server = await loop.create_server(factory, "127.0.0.1", 0, backlog=1024)
     print(server.sockets[0].getsockname()[1], flush=True)
     await asyncio.Event().wait()
 
 
-async def nothing(scope: Scope, receive: Receive, send: Send) -> None:
-    raise RuntimeError("only balanced requests come here")
+async def unexpected_request(scope: Scope, receive: Receive, send: Send) -> None:
+    raise RuntimeError("the middleware must balance every request")
 
 
-async def host(path: str) -> None:
-    """The middleware on uvicorn."""
-    app = BalancerMiddleware(nothing, Client.open(path))
+async def serve_middleware(path: str) -> None:
+    """Serve the middleware with uvicorn."""
+    app = BalancerMiddleware(unexpected_request, Client.open(path))
     config = uvicorn.Config(app, "127.0.0.1", 0, http="httptools", log_config=None, access_log=False)
     config.load()
     server = uvicorn.Server(config)
@@ -102,8 +102,10 @@
     await asyncio.Event().wait()
 
 
-async def direct(path: str) -> None:
-    """The client alone: each line that comes is `TASKS SECONDS`, each answer what was served."""
+async def run_client(path: str) -> None:
+    """Send requests with the library's client alone. Each input line is `TASKS SECONDS`, each output line the
+    result of that run.
+    """
     loop = asyncio.get_running_loop()
     async with Client.open(path) as client:
         print(0, flush=True)
@@ -111,31 +113,31 @@
             tasks, seconds = line.split()
             end = time.perf_counter() + float(seconds)
             began = time.thread_time()
-            found = await asyncio.gather(*(ask(client, n, end) for n in range(int(tasks))))
-            took = time.thread_time() - began
-            times = [one for each, _ in found for one in each]
-            others = sum(unserved for _, unserved in found)
-            print(json.dumps({"times": times, "others": others, "cpu_us": took * 1e6}), flush=True)
+            results = await asyncio.gather(*(send_until(client, n, end) for n in range(int(tasks))))
+            cpu_s = time.thread_time() - began
+            times = [seconds_taken for task_times, _ in results for seconds_taken in task_times]
+            unserved_count = sum(task_unserved for _, task_unserved in results)
+            print(json.dumps({"times": times, "unserved": unserved_count, "cpu_us": cpu_s * 1e6}), flush=True)
 
 
-async def ask(client: Client, number: int, end: float) -> tuple[list[float], int]:
+async def send_until(client: Client, number: int, end: float) -> tuple[list[float], int]:
     request = Request("view", "/view?obj=7f3a", deadline_s=2.0, id=f"r{number}")
     times = []
-    unserved = 0
+    unserved_count = 0
     while (began := time.perf_counter()) < end:
         reply = await client.send(request)
         if reply.outcome is Ending.SERVED:
             times.append(time.perf_counter() - began)
         else:
-            unserved += 1
-    return times, unserved
+            unserved_count += 1
+    return times, unserved_count
 
 
 ROLES = {
     "endpoint": lambda: listen(Endpoint),
     "relay": lambda: listen(None, int(sys.argv[2])),
-    "host": lambda: host(sys.argv[2]),
-    "direct": lambda: direct(sys.argv[2]),
+    "host": lambda: serve_middleware(sys.argv[2]),
+    "direct": lambda: run_client(sys.argv[2]),
 }
 
 if __name__ == "__main__":
--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -1,4 +1,4 @@
-"""What the benchmarks share: processes on cores of their own, progress, and figures."""
+"""Shared by the benchmarks: child processes pinned to cores, progress output and statistics."""
 
 from __future__ import annotations
 
@@ -13,81 +13,82 @@
 ROOT = Path(__file__).parent.parent
 
 
-def cores() -> list[int]:
+def available_cores() -> list[int]:
     return sorted(os.sched_getaffinity(0))
 
 
-def pin(pid: int, place: int) -> None:
-    """To the core of this place, where there are enough for each to have its own."""
-    found = cores_at_start
-    if len(found) > place and len(found) >= 3:
-        os.sched_setaffinity(pid, {found[place]})
+def pin(pid: int, core: int) -> None:
+    """Pin a process to the available core with this index. No effect if it or a third core is missing."""
+    cores = CORES_AT_START
+    if len(cores) > core and len(cores) >= 3:
+        os.sched_setaffinity(pid, {cores[core]})
 
 
-cores_at_start = cores()
+CORES_AT_START = available_cores()
 
 
-def compiled(root: Path = ROOT) -> dict[str, str]:
-    """The environment in which a child imports a checkout's package as its `deploy/build` installs it.
+def compiled_environ(root: Path = ROOT) -> dict[str, str]:
+    """Build a checkout with its `deploy/build`; returns the environment in which a child imports the result.
 
-    Empty, for the plain files, where there is no C compiler.
+    Without a C compiler the result is empty, and a child imports the plain files.
     """
     subprocess.run(["sh", str(root / "deploy" / "build")], check=True, stdout=sys.stderr, cwd=root)
     (site,) = (root / ".venv" / "lib").glob("python*/site-packages")
-    if not list(site.glob(f"{package(root)}__mypyc*")):
+    if not list(site.glob(f"{package_name(root)}__mypyc*")):
         return {}
     return {"PYTHONSAFEPATH": "1", "PYTHONPATH": f"{site}{os.pathsep}{root}"}
 
 
-def package(root: Path = ROOT) -> str:
-    """The name of a checkout's import package: earlier versions have another."""
+def package_name(root: Path = ROOT) -> str:
+    """The name of a checkout's import package, which differs in earlier versions."""
     run: str = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["run"]
     return run.rpartition(" ")[2]
 
 
 class Child:
-    """A process of the benchmark's own that tells its port, or what it found, in lines."""
+    """A child process that is sent commands and prints its port and its results, one line each."""
 
     def __init__(
         self,
-        words: Sequence[str],
-        place: int,
+        arguments: Sequence[str],
+        core: int,
         environ: dict[str, str] | None = None,
         folder: Path = ROOT,
     ) -> None:
         self.process = subprocess.Popen(
-            [sys.executable, *words],
+            [sys.executable, *arguments],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             text=True,
             cwd=folder,
             env={**os.environ, **(environ or {})},
         )
-        pin(self.process.pid, place)
+        pin(self.process.pid, core)
 
-    def line(self) -> str:
-        """The next line; RuntimeError if the process ended instead."""
+    def read_line(self) -> str:
+        """The next line of its output; RuntimeError if the process has ended."""
         assert self.process.stdout is not None
         text = self.process.stdout.readline()
         if not text:
             raise RuntimeError(f"{self.process.args!r} ended")
         return text
 
-    def tell(self, text: str) -> None:
+    def write_line(self, text: str) -> None:
         assert self.process.stdin is not None
         self.process.stdin.write(text + "\n")
         self.process.stdin.flush()
 
     def cpu_us(self) -> float:
-        """Time on the processor so far, of its only thread."""
+        """The CPU time of its only thread so far."""
         text = Path(f"/proc/{self.process.pid}/schedstat").read_text()
         return int(text.split()[0]) / 1000
 
     def memory_kb(self) -> int:
+        """Its resident memory."""
         text = Path(f"/proc/{self.process.pid}/status").read_text()
-        return int(next(line.split()[1] for line in text.splitlines() if line.startswith("VmRSS")))
+        return int(next(row.split()[1] for row in text.splitlines() if row.startswith("VmRSS")))
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self.process.terminate()
         self.process.wait()
         for stream in (self.process.stdin, self.process.stdout):
@@ -97,10 +98,10 @@
 
 
 def progress(steps: Sequence[str]) -> Iterator[str]:
-    """The steps, each told on a terminal as it begins."""
-    for at, step in enumerate(steps):
+    """Yield the steps, and show each one on a terminal as it begins."""
+    for index, step in enumerate(steps):
         if sys.stderr.isatty():
-            sys.stderr.write(f"\r\x1b[K{at + 1}/{len(steps)} {step}")
+            sys.stderr.write(f"\r\x1b[K{index + 1}/{len(steps)} {step}")
             sys.stderr.flush()
         yield step
     if sys.stderr.isatty():
@@ -113,6 +114,6 @@
     return ordered[middle] if len(ordered) % 2 else (ordered[middle - 1] + ordered[middle]) / 2
 
 
-def percentile(values: Sequence[float], share: float) -> float:
+def percentile(values: Sequence[float], fraction: float) -> float:
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
--- a/benchmarks/fleet_child.py
+++ b/benchmarks/fleet_child.py
@@ -1,4 +1,4 @@
-"""The measured process of `benchmarks.fleet`: the daemon's parts, watching a played discovery."""
+"""The measured process of `benchmarks.fleet`: the daemon's parts watching a played discovery."""
 
 from __future__ import annotations
 
@@ -20,35 +20,35 @@
 from laurelstep.settings import config_from
 
 from benchmarks.common import median, percentile
-from benchmarks.fleet import STORM, entry
+from benchmarks.fleet import STORM_CHANGES, entry
 
 CHANGES, REQUESTS, ROUNDS = 1_000, 1_000, 15
 CLASSES = [{"name": "view", "aim-us": 500_000, "deadline-us": 2_000_000, "repeat": "retryable"}]
 
 
-class Probe:
-    """The longest time between two turns of the loop."""
+class LoopProbe:
+    """Measures the longest time between two iterations of the loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.longest = 0.0
         self.last = time.perf_counter()
-        self.loop.call_soon(self._turn)
+        self.loop.call_soon(self._on_iteration)
 
-    def _turn(self) -> None:
+    def _on_iteration(self) -> None:
         now = time.perf_counter()
         self.longest = max(self.longest, now - self.last)
         self.last = now
-        self.loop.call_soon(self._turn)
+        self.loop.call_soon(self._on_iteration)
 
-    def take(self) -> float:
-        """In ms, since it was last taken."""
+    def take_longest_ms(self) -> float:
+        """The longest time since the last call."""
         longest, self.longest = self.longest, 0.0
         return round(1000 * longest, 3)
 
 
-class Instant:
-    """An upstream whose endpoints have answered when they are asked."""
+class InstantUpstream:
+    """An upstream that answers each request at once."""
 
     idle_us = 6_000_000
 
@@ -76,8 +76,8 @@
     return int(next(line.split()[1] for line in text.splitlines() if line.startswith("VmRSS")))
 
 
-async def until(source: Discovery, generation: int) -> float:
-    """The next of what discovery plays; ms until it is applied."""
+async def wait_for_generation(source: Discovery, generation: int) -> float:
+    """Ask discovery for its next step. Returns the time until `generation` is applied, ms."""
     print("next", flush=True)
     began = time.perf_counter()
     while source.generation < generation:
@@ -86,7 +86,7 @@
 
 
 def time_changes(engine: Engine) -> list[float]:
-    """Each in ms: an endpoint leaves, and returns."""
+    """The times to apply changes in which an endpoint leaves and returns, ms each."""
     times = []
     for number in range(CHANGES):
         phase = ("draining", "ready")[number % 2]
@@ -98,14 +98,14 @@
 
 
 def time_requests(engine: Engine) -> float:
-    """µs a request."""
-    front = Frontend()
+    """The time per request, µs."""
+    frontend = Frontend()
     began = time.perf_counter()
     for _ in range(REQUESTS):
-        engine.take(Call(0, engine.now() + 2_000_000, b"GET /view", b"", b"", front))
-    took = time.perf_counter() - began
-    assert front.answered_count == REQUESTS
-    return 1e6 * took / REQUESTS
+        engine.take(Call(0, engine.now() + 2_000_000, b"GET /view", b"", b"", frontend))
+    seconds = time.perf_counter() - began
+    assert frontend.answered_count == REQUESTS
+    return 1e6 * seconds / REQUESTS
 
 
 async def measure(port: int, copies: int) -> dict[str, Any]:
@@ -117,36 +117,36 @@
     gc.collect()
     before = rss_kb()
     loop = asyncio.get_running_loop()
-    parts = Assembly(loop, config_from(raw, "fleet"), print, collector=Collector())
-    source = parts.source
+    assembly = Assembly(loop, config_from(raw, "fleet"), print, collector=Collector())
+    source = assembly.source
     assert isinstance(source, Discovery)
-    probe = Probe(loop)
-    parts.start()
-    found: dict[str, Any] = {"full_ms": await until(source, 1)}
-    found["full_hold_ms"] = probe.take()
+    probe = LoopProbe(loop)
+    assembly.start()
+    figures: dict[str, Any] = {"full_ms": await wait_for_generation(source, 1)}
+    figures["full_hold_ms"] = probe.take_longest_ms()
     gc.collect()
-    found["memory_kb"] = rss_kb() - before
+    figures["memory_kb"] = rss_kb() - before
     probe.last = time.perf_counter()
-    probe.take()
-    found["again_ms"] = await until(source, 2)
-    found["again_hold_ms"] = probe.take()
-    await until(source, STORM + 2)
-    found["storm_hold_ms"] = probe.take()
-    parts.engine.upstream = Instant()
-    changes = time_changes(parts.engine)
-    found["delta_ms"] = round(median(changes), 4)
-    found["delta_p99_ms"] = round(percentile(changes, 0.99), 4)
+    probe.take_longest_ms()
+    figures["again_ms"] = await wait_for_generation(source, 2)
+    figures["again_hold_ms"] = probe.take_longest_ms()
+    await wait_for_generation(source, STORM_CHANGES + 2)
+    figures["storm_hold_ms"] = probe.take_longest_ms()
+    assembly.engine.upstream = InstantUpstream()
+    change_times = time_changes(assembly.engine)
+    figures["delta_ms"] = round(median(change_times), 4)
+    figures["delta_p99_ms"] = round(percentile(change_times, 0.99), 4)
     small = Assembly(loop, config_from(raw, "fleet"), print, members=[entry(name) for name in range(30)])
     small.start()
-    small.engine.upstream = Instant()
-    # Turn about with a copy of a fleet of 30 in the same process: its speed changes from one
+    small.engine.upstream = InstantUpstream()
+    # Alternates with a copy for a fleet of 30 in the same process: its speed changes from one
     # second to the next.
-    pairs = [(time_requests(small.engine), time_requests(parts.engine)) for _ in range(ROUNDS)]
-    found["request_us"] = round(median([big for _, big in pairs]), 2)
-    found["request_over_30"] = round(median([big / least for least, big in pairs]), 3)
-    found["listed"] = len(parts.engine.endpoints.by_number)
-    parts.close()
-    return found
+    pairs = [(time_requests(small.engine), time_requests(assembly.engine)) for _ in range(ROUNDS)]
+    figures["request_us"] = round(median([large_us for _, large_us in pairs]), 2)
+    figures["request_over_30"] = round(median([large_us / small_us for small_us, large_us in pairs]), 3)
+    figures["listed"] = len(assembly.engine.endpoints.by_number)
+    assembly.close()
+    return figures
 
 
 def main() -> None:
--- a/benchmarks/hotpath.py
+++ b/benchmarks/hotpath.py
@@ -1,12 +1,12 @@
 """Requests a second, latency and CPU of the daemon and the library on one core.
 
 Subjects take turns in each round: a bare relay (the reference), the daemon, the library
-as middleware on uvicorn, and the library's client alone. One client process drives the
-first three over sockets, each connection with one request out at a time; the endpoint
-answers at once. The tier is not the entry, where admission would refuse a part of what a
-closed loop presses on it, and a refusal costs less than a request that is served.
-The package runs as `deploy/build` installs it, compiled; `--plain` measures its files as they
-stand, and `--other FOLDER` adds the daemon of another checkout, installed in the same way.
+as middleware in uvicorn, and the library's client alone. One client process drives the
+first three over sockets, each connection with one request in flight at a time; the endpoint
+answers at once. The tier is not the entry tier, whose admission control would refuse some of
+the requests of a closed loop: a refusal costs less than a request that is served.
+The package runs as `deploy/build` installs it, compiled; `--plain` measures the uncompiled
+files, and `--other FOLDER` adds the daemon of another checkout, installed in the same way.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 import uvloop
 from laurelstep.testing import free_port, request
 
-from benchmarks.common import ROOT, Child, compiled, median, package, percentile, pin, progress
+from benchmarks.common import ROOT, Child, compiled_environ, median, package_name, percentile, pin, progress
 
-MANY = 32
-ROUNDS, LOAD_S, ALONE_S = 7, 1.0, 0.4
+MANY = 32  # connections at once; the alternative is one
+ROUNDS, LOAD_S, SINGLE_S = 7, 1.0, 0.4
 ENDPOINTS = 4
 CLASSES = [{"name": "view", "aim-us": 500_000, "deadline-us": 2_000_000, "repeat": "retryable"}]
 SETTINGS: dict[str, Any] = {
@@ -40,14 +40,14 @@
 }  # fmt: skip
 
 
-class Asker(asyncio.Protocol):
-    """One connection: the next request goes out when the last is answered."""
+class LoadConnection(asyncio.Protocol):
+    """One client connection, which sends the next request when the last is answered."""
 
-    def __init__(self, number: int, end: float, times: list[float], others: list[float]) -> None:
+    def __init__(self, number: int, end: float, times: list[float], unserved_times: list[float]) -> None:
         self.raw = request("view", rid=f"r{number}", deadline_ms=2000)
         self.end = end
-        self.times = times  # of what was served
-        self.others = others
+        self.times = times  # of served requests, s
+        self.unserved_times = unserved_times
         self.buffer = b""
         self.done = asyncio.get_running_loop().create_future()
 
@@ -61,12 +61,12 @@
 
     def data_received(self, data: bytes) -> None:
         self.buffer += data
-        head, found, body = self.buffer.partition(b"\r\n\r\n")
-        if not found or len(body) < int(head.lower().partition(b"content-length: ")[2].split(b"\r")[0]):
+        head, separator, body = self.buffer.partition(b"\r\n\r\n")
+        if not separator or len(body) < int(head.lower().partition(b"content-length: ")[2].split(b"\r")[0]):
             return
         now = time.perf_counter()
         served = head.startswith(b"HTTP/1.1 200")
-        (self.times if served else self.others).append(now - self.began)
+        (self.times if served else self.unserved_times).append(now - self.began)
         self.buffer = b""
         if now < self.end:
             self.send()
@@ -78,21 +78,23 @@
             self.done.set_result(None)
 
 
-async def drive(port: int, connections: int, seconds: float) -> tuple[list[float], int]:
-    """The times of what was served, in seconds, and how many were not."""
+async def run_load(port: int, connections: int, seconds: float) -> tuple[list[float], int]:
+    """Send requests for `seconds`. Returns the times of those served, s, and the number of others."""
     loop = asyncio.get_running_loop()
     times: list[float] = []
-    others: list[float] = []
-    askers = [Asker(n, time.perf_counter() + seconds, times, others) for n in range(connections)]
-    for asker in askers:
-        await loop.create_connection(lambda one=asker: one, "127.0.0.1", port)  # type: ignore[misc]
-    await asyncio.gather(*(asker.done for asker in askers))
-    return times, len(others)
+    unserved_times: list[float] = []
+    load_connections = [
+        LoadConnection(n, time.perf_counter() + seconds, times, unserved_times) for n in range(connections)
+    ]
+    for connection in load_connections:
+        await loop.create_connection(lambda protocol=connection: protocol, "127.0.0.1", port)  # type: ignore[misc]
+    await asyncio.gather(*(connection.done for connection in load_connections))
+    return times, len(unserved_times)
 
 
 @dataclass
 class Subject:
-    """One contender and what was seen of it, by number of connections."""
+    """A measured process and its results, by number of connections: requests a second, and times in s."""
 
     name: str
     child: Child
@@ -100,41 +102,41 @@
     rates: dict[int, list[float]] = field(default_factory=lambda: {1: [], MANY: []})
     p50: dict[int, list[float]] = field(default_factory=lambda: {1: [], MANY: []})
     p99: dict[int, list[float]] = field(default_factory=lambda: {1: [], MANY: []})
-    cpu: list[float] = field(default_factory=list)
+    cpu: list[float] = field(default_factory=list)  # µs a request, at many connections
     unserved: int = 0  # refused or failed, at many connections
 
-    def play(self, connections: int, seconds: float) -> None:
+    def run_round(self, connections: int, seconds: float) -> None:
         if self.port:
             before = self.child.cpu_us()
-            times, others = uvloop.run(drive(self.port, connections, seconds))
+            times, unserved = uvloop.run(run_load(self.port, connections, seconds))
             cpu_us = self.child.cpu_us() - before
         else:
-            self.child.tell(f"{connections} {seconds}")
-            told = json.loads(self.child.line())
-            times, others, cpu_us = told["times"], told["others"], told["cpu_us"]
+            self.child.write_line(f"{connections} {seconds}")
+            result = json.loads(self.child.read_line())
+            times, unserved, cpu_us = result["times"], result["unserved"], result["cpu_us"]
         self.rates[connections].append(len(times) / seconds)
         self.p50[connections].append(percentile(times, 0.5))
         self.p99[connections].append(percentile(times, 0.99))
         if connections == MANY:
-            self.cpu.append(cpu_us / (len(times) + others))
-            self.unserved += others
+            self.cpu.append(cpu_us / (len(times) + unserved))
+            self.unserved += unserved
 
 
-def over(one: list[float], reference: list[float]) -> float:
-    """The median of the ratios, round by round."""
-    return round(median([a / b for a, b in zip(one, reference, strict=True)]), 3)
+def ratio(values: list[float], reference: list[float]) -> float:
+    """The median of the ratios of each round."""
+    return round(median([a / b for a, b in zip(values, reference, strict=True)]), 3)
 
 
-def await_port(port: int) -> None:
+def wait_for_port(port: int) -> None:
     end = time.monotonic() + 20.0
     while time.monotonic() < end:
         with contextlib.suppress(OSError), socket.create_connection(("127.0.0.1", port), 1.0):
             return
         time.sleep(0.02)
-    raise RuntimeError("the daemon does not listen")
+    raise RuntimeError("the daemon does not accept connections")
 
 
-def configured(folder: str, ports: list[int], listen: int) -> str:
+def write_config(folder: str, ports: list[int], listen: int) -> str:
     entries = [
         {
             "instanceId": f"s-{n}", "hostPort": f"127.0.0.1:{port}", "zone": "", "machineType": "", "cell": n,
@@ -151,83 +153,85 @@
     return str(path)
 
 
-def daemon(
-    name: str, folder: str, ports: list[int], root: Path, extra: dict[str, str] | None = None
+def start_daemon(
+    name: str, folder: str, ports: list[int], root: Path, added: dict[str, str] | None = None
 ) -> Subject:
     listen = free_port()
-    path = configured(folder, ports, listen)
-    environ = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
-    child = Child(["-m", package(root)], 2, {**environ, **(extra or {}), "LB_CONFIG": path}, root)
-    await_port(listen)
+    path = write_config(folder, ports, listen)
+    inherited = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
+    child = Child(["-m", package_name(root)], 2, {**inherited, **(added or {}), "LB_CONFIG": path}, root)
+    wait_for_port(listen)
     return Subject(name, child, listen)
 
 
-def measure(other: Path | None, plain: bool) -> dict[str, Any]:
-    environ = {} if plain else compiled()
+def measure(other: Path | None, is_plain: bool) -> dict[str, Any]:
+    environ = {} if is_plain else compiled_environ()
     with contextlib.ExitStack() as stack:
         folder = stack.enter_context(tempfile.TemporaryDirectory(prefix="laurelstep-"))
         pin(0, 0)
 
-        def child(*words: str, place: int) -> Child:
-            made = Child(["-m", "benchmarks.children", *words], place, environ)
-            stack.callback(made.end)
-            return made
+        def child(*arguments: str, core: int) -> Child:
+            process = Child(["-m", "benchmarks.children", *arguments], core, environ)
+            stack.callback(process.stop)
+            return process
 
-        endpoints = [child("endpoint", place=1) for _ in range(ENDPOINTS)]
-        ports = [int(one.line()) for one in endpoints]
-        library = configured(folder, ports, 0)
+        endpoints = [child("endpoint", core=1) for _ in range(ENDPOINTS)]
+        ports = [int(endpoint.read_line()) for endpoint in endpoints]
+        library = write_config(folder, ports, 0)
         subjects = []
-        for name, words in (
+        for name, arguments in (
             ("relay", ("relay", str(ports[0]))),
             ("library", ("host", library)),
             ("direct", ("direct", library)),
         ):
-            made = child(*words, place=2)
-            subjects.append(Subject(name, made, int(made.line())))
-        subjects.insert(1, daemon("daemon", folder, ports, ROOT, environ))
+            process = child(*arguments, core=2)
+            subjects.append(Subject(name, process, int(process.read_line())))
+        subjects.insert(1, start_daemon("daemon", folder, ports, ROOT, environ))
         if other is not None:
-            subjects.append(daemon("other", folder, ports, other, {} if plain else compiled(other)))
-        for one in subjects:
-            if one.name in ("daemon", "other"):
-                stack.callback(one.child.end)
-            one.play(MANY, 0.5)  # warm
-            for seen in (one.rates[MANY], one.p50[MANY], one.p99[MANY], one.cpu):
-                seen.clear()
-            one.unserved = 0
-        plan = [one for _ in range(ROUNDS) for one in subjects]
-        names = [f"round {at // len(subjects) + 1}: {one.name}" for at, one in enumerate(plan)]
-        for one, _ in zip(plan, progress(names), strict=True):
-            one.play(MANY, LOAD_S)
-            one.play(1, ALONE_S)
-        return {"compiled": bool(environ), **figures(subjects)}
-
-
-def figures(subjects: list[Subject]) -> dict[str, Any]:
+            subjects.append(
+                start_daemon("other", folder, ports, other, {} if is_plain else compiled_environ(other))
+            )
+        for subject in subjects:
+            if subject.name in ("daemon", "other"):
+                stack.callback(subject.child.stop)
+            subject.run_round(MANY, 0.5)  # warm-up
+            for values in (subject.rates[MANY], subject.p50[MANY], subject.p99[MANY], subject.cpu):
+                values.clear()
+            subject.unserved = 0
+        plan = [subject for _ in range(ROUNDS) for subject in subjects]
+        names = [f"round {turn // len(subjects) + 1}: {subject.name}" for turn, subject in enumerate(plan)]
+        for subject, _ in zip(plan, progress(names), strict=True):
+            subject.run_round(MANY, LOAD_S)
+            subject.run_round(1, SINGLE_S)
+        return {"compiled": bool(environ), **summarize(subjects)}
+
+
+def summarize(subjects: list[Subject]) -> dict[str, Any]:
     relay = subjects[0]
-    found: dict[str, Any] = {
+    figures: dict[str, Any] = {
         "relay_per_s": round(median(relay.rates[MANY])),
         "relay_p50_us": round(1e6 * median(relay.p50[1])),
     }
-    for one in subjects[1:]:
-        found[f"{one.name}_over_relay"] = over(one.rates[MANY], relay.rates[MANY])
-        found[f"{one.name}_alone_over_relay"] = over(one.rates[1], relay.rates[1])
-        found[f"{one.name}_cpu_us"] = round(median(one.cpu), 1)
-        found[f"{one.name}_unserved"] = one.unserved
-        for connections, suffix in ((1, ""), (MANY, f"_{MANY}")):
-            found[f"{one.name}_p50{suffix}_over_relay"] = over(one.p50[connections], relay.p50[connections])
-            found[f"{one.name}_p99{suffix}_over_relay"] = over(one.p99[connections], relay.p99[connections])
-    by_name = {one.name: one for one in subjects}
+    for subject in subjects[1:]:
+        figures[f"{subject.name}_over_relay"] = ratio(subject.rates[MANY], relay.rates[MANY])
+        figures[f"{subject.name}_alone_over_relay"] = ratio(subject.rates[1], relay.rates[1])
+        figures[f"{subject.name}_cpu_us"] = round(median(subject.cpu), 1)
+        figures[f"{subject.name}_unserved"] = subject.unserved
+        for count, suffix in ((1, ""), (MANY, f"_{MANY}")):
+            figures[f"{subject.name}_p50{suffix}_over_relay"] = ratio(subject.p50[count], relay.p50[count])
+            figures[f"{subject.name}_p99{suffix}_over_relay"] = ratio(subject.p99[count], relay.p99[count])
+    by_name = {subject.name: subject for subject in subjects}
     if "other" in by_name:
-        found["daemon_over_other"] = over(by_name["daemon"].rates[MANY], by_name["other"].rates[MANY])
-    return found
+        figures["daemon_over_other"] = ratio(by_name["daemon"].rates[MANY], by_name["other"].rates[MANY])
+    return figures
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--other", type=Path, help="the root of another checkout, whose daemon runs too")
-    parser.add_argument("--plain", action="store_true", help="not the compiled modules")
-    told = parser.parse_args()
-    print(json.dumps(measure(told.other, told.plain)))
+    parser.add_argument("--other", type=Path, help="root of another checkout, whose daemon is measured too")
+    parser.add_argument("--plain", action="store_true", help="measure the uncompiled files")
+    arguments = parser.parse_args()
+    print(json.dumps(measure(arguments.other, arguments.plain)))
 
 
 if __name__ == "__main__":
--- a/benchmarks/stream_child.py
+++ b/benchmarks/stream_child.py
@@ -1,6 +1,6 @@
-"""The endpoint of `stream`: gives as many bytes as the target asks for, and drops what it is sent.
+"""The endpoint of `stream`: answers `GET .../N` with N bytes, and discards request bodies.
 
-Prints its port as its first line. `GET .../N` is answered with N bytes, whatever else it says.
+Prints its port as its first line.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 import httptools
 import uvloop
 
-PART = b"x" * 65_536
+CHUNK = b"x" * 65_536
 
 
 class Endpoint(asyncio.Protocol):
     def __init__(self) -> None:
         self.parser: Any = httptools.HttpRequestParser(self)
-        self.left = 0
-        self.full = False
+        self.remaining_bytes = 0
+        self.is_paused = False
         self.target = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -35,22 +35,22 @@
 
     def on_message_complete(self) -> None:
         size = self.target.partition(b"?")[0].rpartition(b"/")[2]
-        self.left = int(size) if size.isdigit() else 2
-        self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % self.left)
-        self.give()
+        self.remaining_bytes = int(size) if size.isdigit() else 2
+        self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % self.remaining_bytes)
+        self.write_while_open()
 
-    def give(self) -> None:
-        while self.left and not self.full:
-            part = PART[: self.left]
-            self.left -= len(part)
-            self.transport.write(part)
+    def write_while_open(self) -> None:
+        while self.remaining_bytes and not self.is_paused:
+            data = CHUNK[: self.remaining_bytes]
+            self.remaining_bytes -= len(data)
+            self.transport.write(data)
 
     def pause_writing(self) -> None:
-        self.full = True
+        self.is_paused = True
 
     def resume_writing(self) -> None:
-        self.full = False
-        self.give()
+        self.is_paused = False
+        self.write_while_open()
 
 
 async def main() -> None:
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -1,10 +1,10 @@
-"""Versions that follow each other under load: what callers meet, and what two processes take.
+"""Successive upgrades under load: the results of requests, and the memory of two processes at once.
 
-Callers of three classes, a third of them on a new connection for each request, ask without a
-pause while one version after another is started beside the running one, which gets SIGTERM at
-the new one's yes. `lost`: requests that had no answer; `refused`: those whose new connection
-was refused or reset, or that was closed unread; `doubles`: effects that an endpoint counted
-twice. The package runs as `deploy/build` installs it; `--plain` measures its files as they stand.
+Clients send requests of three classes without a pause, a third of them on a new connection for
+each request. Meanwhile one version after another is started beside the running one, which gets
+SIGTERM once the new one is ready. `lost`: requests without an answer; `refused`: those whose new
+connection was refused or reset, or closed before it was read; `doubles`: requests that an endpoint
+executed twice. The package runs as `deploy/build` installs it; `--plain` measures the uncompiled files.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 from laurelstep.testing import Caller, Effects, Endpoint, Message, free_port, request
 
-from benchmarks.common import ROOT, Child, compiled, pin, progress
+from benchmarks.common import ROOT, Child, compiled_environ, pin, progress
 
 UPGRADES = 12
 CALLERS = 24
@@ -42,50 +42,50 @@
 
 
 class Load:
-    """Callers that ask until they are told to stop, and what they met."""
+    """Clients that send requests until they are stopped, and the number of each result."""
 
     def __init__(self, port: int) -> None:
         self.port = port
-        self.met: Counter[str] = Counter()
-        self.asked = 0
-        self.stopped = False
-        self.tasks = [asyncio.create_task(self._call(n)) for n in range(CALLERS)]
+        self.results: Counter[str] = Counter()
+        self.sent_count = 0
+        self.is_stopped = False
+        self.tasks = [asyncio.create_task(self._run_client(n)) for n in range(CALLERS)]
 
-    async def _call(self, number: int) -> None:
+    async def _run_client(self, number: int) -> None:
         caller = Caller("127.0.0.1", self.port)
-        while not self.stopped:
-            self.asked += 1
-            cls = ("page", "put", "pay")[self.asked % 3]
-            key = f"k{self.asked}" if cls == "put" else None
-            raw = request(cls, b"" if cls == "page" else b"body", rid=f"r{self.asked}", key=key)
-            await self._ask(caller, raw)
+        while not self.is_stopped:
+            self.sent_count += 1
+            cls = ("page", "put", "pay")[self.sent_count % 3]
+            key = f"k{self.sent_count}" if cls == "put" else None
+            raw = request(cls, b"" if cls == "page" else b"body", rid=f"r{self.sent_count}", key=key)
+            await self._send(caller, raw)
             if number % 3 == 0:
                 caller.close()
         caller.close()
 
-    async def _ask(self, caller: Caller, raw: bytes) -> None:
-        """Once, and once more on a new connection if a kept one ended across it, as clients do."""
-        fresh = caller.streams is None
+    async def _send(self, caller: Caller, raw: bytes) -> None:
+        """Send a request. If a reused connection was closed meanwhile, repeat it once on a new one."""
+        is_new_connection = caller.streams is None
         try:
             async with asyncio.timeout(5.0):
-                self.met[str((await caller.send(raw)).status)] += 1
+                self.results[str((await caller.send(raw)).status)] += 1
         except TimeoutError:
-            self.met["lost"] += 1
+            self.results["lost"] += 1
             caller.close()
         except (OSError, asyncio.IncompleteReadError):
-            if fresh:
-                self.met["refused"] += 1
+            if is_new_connection:
+                self.results["refused"] += 1
             else:
-                self.met["crossed"] += 1
-                await self._ask(caller, raw)
+                self.results["crossed"] += 1
+                await self._send(caller, raw)
 
     async def stop(self) -> None:
-        self.stopped = True
+        self.is_stopped = True
         await asyncio.gather(*self.tasks)
 
 
-class Site:
-    """What all versions share."""
+class Deployment:
+    """The configuration and the ports that all versions share."""
 
     def __init__(self, folder: Path, ports: list[int], environ: dict[str, str]) -> None:
         self.port = free_port()
@@ -100,11 +100,11 @@
         }  # fmt: skip
         path = folder / "config.json"
         path.write_text(json.dumps(raw))
-        plain = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
-        self.environ = {**plain, **environ, "LB_CONFIG": str(path), "TMPDIR": str(folder)}
+        inherited = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
+        self.environ = {**inherited, **environ, "LB_CONFIG": str(path), "TMPDIR": str(folder)}
 
-    async def version(self) -> tuple[Child, float]:
-        """A new process that takes callers, and how long that took from its start, s."""
+    async def start_version(self) -> tuple[Child, float]:
+        """Start a process. Returns it with the time until it was ready, s."""
         management = free_port()
         began = time.monotonic()
         child = Child(
@@ -112,12 +112,12 @@
         )
         while time.monotonic() < began + 20.0:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                async with Caller("127.0.0.1", management) as staff:
-                    back: Message = await staff.send(b"GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-                    if back.status == 200:
+                async with Caller("127.0.0.1", management) as caller:
+                    answer: Message = await caller.send(b"GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+                    if answer.status == 200:
                         return child, time.monotonic() - began
             await asyncio.sleep(0.005)
-        raise RuntimeError("a version did not come up")
+        raise RuntimeError("a new version did not become ready")
 
 
 async def measure(environ: dict[str, str]) -> dict[str, Any]:
@@ -125,48 +125,48 @@
     async with contextlib.AsyncExitStack() as stack:
         folder = stack.enter_context(tempfile.TemporaryDirectory(prefix="laurelstep-"))
         endpoints = [Endpoint(effects=effects, records_requests=False) for _ in range(4)]
-        for one in endpoints:
-            await stack.enter_async_context(one)
-        site = Site(Path(folder), [one.port for one in endpoints], environ)
-        running, first_s = await site.version()
+        for endpoint in endpoints:
+            await stack.enter_async_context(endpoint)
+        deployment = Deployment(Path(folder), [endpoint.port for endpoint in endpoints], environ)
+        running, alone_s = await deployment.start_version()
         alone_mb = running.memory_kb() / 1024
-        load = Load(site.port)
-        ready, both = [], []
+        load = Load(deployment.port)
+        ready_times, both_mb = [], []
         try:
             for _ in progress([f"upgrade {n + 1}" for n in range(UPGRADES)]):
                 await asyncio.sleep(0.2)
-                new, took = await site.version()
-                ready.append(took)
-                both.append((running.memory_kb() + new.memory_kb()) / 1024)
-                await asyncio.to_thread(running.end)
+                new, ready_s = await deployment.start_version()
+                ready_times.append(ready_s)
+                both_mb.append((running.memory_kb() + new.memory_kb()) / 1024)
+                await asyncio.to_thread(running.stop)
                 running = new
             await asyncio.sleep(0.2)
             await load.stop()
         finally:
-            await asyncio.to_thread(running.end)
-        met = load.met
+            await asyncio.to_thread(running.stop)
+        results = load.results
         return {
             "compiled": bool(environ),
             "upgrades": UPGRADES,
-            "requests": load.asked,
-            "served": met["200"],
-            "lost": met["lost"],
-            "refused": met["refused"],
-            "crossed": met["crossed"],
-            "other_answers": sum(n for name, n in met.items() if name.isdigit() and name != "200"),
+            "requests": load.sent_count,
+            "served": results["200"],
+            "lost": results["lost"],
+            "refused": results["refused"],
+            "crossed": results["crossed"],
+            "other_answers": sum(n for name, n in results.items() if name.isdigit() and name != "200"),
             "doubles": len(effects.executed_twice()),
-            "ready_s": round(max(ready), 3),
-            "ready_alone_s": round(first_s, 3),
-            "both_mb": round(max(both), 1),
+            "ready_s": round(max(ready_times), 3),
+            "ready_alone_s": round(alone_s, 3),
+            "both_mb": round(max(both_mb), 1),
             "alone_mb": round(alone_mb, 1),
         }
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--plain", action="store_true", help="not the compiled modules")
-    told = parser.parse_args()
-    environ = {} if told.plain else compiled()
+    parser.add_argument("--plain", action="store_true", help="measure the uncompiled files")
+    arguments = parser.parse_args()
+    environ = {} if arguments.plain else compiled_environ()
     pin(0, 0)
     print(json.dumps(asyncio.run(measure(environ))))
 
