--- a/laurelstep/balancing/admission.py
+++ b/laurelstep/balancing/admission.py
@@ -15,16 +15,16 @@
 # Below 1 so that chance and a small fault cause no refusal.
 GOOD_SHARE: Final = 0.85
 # Part of GOOD_SHARE that is still required when almost nothing is admitted. Guards against shedding
-# because of late answers where fewer requests do not make them earlier.
+# load because of late answers where less load does not make answers faster.
 GOOD_SHARE_MIN_PART: Final = 0.5
 # Factor by which one window of good results raises the admitted share.
 ADMITTED_SHARE_GROWTH: Final = 2.0
 # Good results can raise the admitted share above 1 by as much as one bad result lowers it, so that a
 # single heavy request sheds no load.
 ADMITTED_SHARE_MAX: Final = ADMITTED_SHARE_GROWTH ** (GOOD_SHARE / (1.0 - GOOD_SHARE) / WINDOW_RESULTS_MIN)
-# Least share admitted: it shows recovery. Chance may admit no request for many seconds, and requests
-# that hang in a later tier may fill the concurrency limit. Therefore one trial request is admitted
-# after this many consecutive refusals, if this time has passed since the last admission.
+# Least share admitted: only admitted requests can show a recovery. Even so, chance may admit none for
+# many seconds, and requests that hang in a later tier may fill the concurrency limit. Therefore one
+# trial request is admitted after this many refusals in a row, this long after the last admission.
 ADMITTED_SHARE_MIN: Final = 0.1
 TRIAL_AFTER_REFUSALS: Final = 10
 TRIAL_INTERVAL_US: Final = 1_000_000
@@ -34,7 +34,7 @@
 # Part of an equal share that requests of the lowest priority still get, so that no class starves.
 LOW_PRIORITY_MIN_PART: Final = 0.5
 # Part of the longest objective before which no request counts as stuck, however short and even the
-# latencies are: a queue that forms suddenly must reach the concurrency limit first.
+# latencies are: the requests of a queue that forms suddenly must count against the concurrency limit.
 STUCK_OBJECTIVES_MIN: Final = 0.25
 
 
@@ -77,8 +77,8 @@
     def admits(self, now: int, in_flight: int, rank: tuple[float, float], chance: float) -> bool:
         """Return whether to admit a request; requests of the lowest priority are shed first.
 
-        `rank` is the parts of the recent work, from 0 to 1, with lower and with higher priority;
-        `chance` is a random number from [0, 1).
+        `rank` is the result of `PriorityWeights.rank`; `chance` is a random number from [0, 1).
+        Updates the state of the concurrency limit.
         """
         lower, higher = rank
         equal = max(1e-9, 1.0 - lower - higher)
@@ -146,7 +146,7 @@
         return now - request.arrived_at > due_us
 
     def count_stuck(self, now: int, requests: Iterable[Request]) -> int:
-        """Count the requests in flight for far longer than answers take now; they are no load.
+        """Count the requests in flight for far longer than answers take now, which are not load.
 
         `requests` are ordered from the oldest. Guards against refusing every request because some
         hang (lost messages, dropped connections, a frozen tier): nothing is sent, so no answers come,
--- a/laurelstep/balancing/balancer.py
+++ b/laurelstep/balancing/balancer.py
@@ -110,7 +110,7 @@
         self.outliers.start(now)
         self.slow_start.start(now)
         if self.settings.asks_discovery:
-            self._set_timer(TIMER_SUBSCRIBE, 0, self.membership.first_poll_delay())
+            self._set_timer(TIMER_SUBSCRIBE, 0, self.membership.first_subscribe_delay_us())
         return self._take_actions(now)
 
     def members(self, now: int, mode: int, entries: Sequence[Entry]) -> list[Action]:
@@ -118,7 +118,7 @@
         if mode == LIST_FAILED:
             # Guards against a lost subscription: subscribe again after a randomized delay.
             if self.settings.asks_discovery:
-                self._set_timer(TIMER_SUBSCRIBE, 0, self.membership.poll_backoff())
+                self._set_timer(TIMER_SUBSCRIBE, 0, self.membership.subscribe_backoff_us())
         elif self.membership.apply_list(now, mode, entries):
             self.subsets.rebuild_subsets(self.membership.ring)
             self.admission.limit.set_endpoints_per_copy(self.subsets.endpoints_per_copy)
@@ -145,7 +145,7 @@
         return self._take_actions(now)
 
     def request_completed(self, now: int, request_id: int, expires_at: int) -> list[Action]:
-        """Start the latency measurement of a request whose body is now complete.
+        """Start the latency measurement of a request whose body is complete; ignored once it is closed.
 
         Guards the measured endpoint latencies and the concurrency limit against a slow upload:
         until its body is complete, a request puts no load on its endpoint, and its duration is not
@@ -310,7 +310,7 @@
         return expected_wait_us < request.request_class.aim_us
 
     def _send_or_hold(self, now: int, request: Request) -> None:
-        """Send the request to an endpoint, hold it within its objective, or answer it unserved."""
+        """Send the request now, hold it for a later try within its objective, or refuse or fail it."""
         if not self.retries.can_attempt(now, request):
             self._refuse_or_fail(now, request)
             return
@@ -326,7 +326,7 @@
             self._set_timer(TIMER_HELD_REQUEST, request.id, backoff_us)
 
     def _may_send(self, now: int, request: Request, endpoint: Endpoint) -> bool:
-        """Whether a send keeps the rules on attempts, hedging, key scope and window, drains and order."""
+        """Return whether a send obeys the rules on attempts, hedging, keys, drains and order."""
         if not self.retries.can_attempt(now, request) or not endpoint.is_ready:
             return False
         if not self.key_queues.has_turn(now, request):
--- a/laurelstep/balancing/concurrency_limit.py
+++ b/laurelstep/balancing/concurrency_limit.py
@@ -166,7 +166,7 @@
                 self.is_unloaded_known, self.unloaded_us = True, self.early_results[1] / self.early_results[0]
 
     def exceeds_concurrency_limit(self, now: int, in_flight: float) -> bool:
-        """Return whether this many requests in flight exceed the limit.
+        """Return whether this many requests in flight exceed the limit; updates the limit's state.
 
         Guards against overloaded endpoints: requests queue there for seconds before an answer is
         late, and the answers that are still quick do not show the queue.
--- a/laurelstep/balancing/endpoints.py
+++ b/laurelstep/balancing/endpoints.py
@@ -84,7 +84,7 @@
         self.rating = entry.rating
         self.is_ready = False
         self.in_flight = 0  # attempts without an outcome whose request body is complete
-        self.silent_since = 0  # its last outcome, or the first send while nothing was in flight
+        self.silent_since = 0  # time of its last outcome, or of a later send while nothing was in flight
         self.slow_start_budget, self.slow_start_budget_at = 0.0, 0
         self.is_staged = False  # added by a list of which parts are still missing
         self.reset_observations()
--- a/laurelstep/balancing/events.py
+++ b/laurelstep/balancing/events.py
@@ -127,7 +127,7 @@
     over_share_worth: float = 1.0  # multiple of the weight for a request past its tenant's quota
     worth_by_work: bool = False  # a request that takes more work has a higher weight
     asks_discovery: bool = False  # discovery sends the list only on request
-    passes_deadline: bool = False  # calls carry the time that their caller has left
+    passes_deadline: bool = False  # calls between tiers carry the time left until the deadline
     warm_keys: bool = False  # an endpoint serves a key that it saw recently with less work
     marks_retry: bool = False  # clients mark their retries
     rated: bool = False  # ratings in the list are the sizes of the endpoints
@@ -162,7 +162,7 @@
     waste_price: float = 0.0
     connection_price: float = 0.0
     handshake_price: float = 0.0
-    late_fail_price: float = 0.0  # of weight that fails after its objective
+    late_fail_price: float = 0.0  # per unit of weight that fails after its objective
     peer_price: float = 0.0
     discovery_price: float = 0.0
 
--- a/laurelstep/balancing/latency.py
+++ b/laurelstep/balancing/latency.py
@@ -10,7 +10,7 @@
 
 # Gain of the running mean and deviation, which are computed as in TCP's retransmission timer.
 LATENCY_GAIN: Final = 0.05
-# Least number of samples that are used: fewer are mostly chance, and the longest objective is used.
+# With fewer samples, which are mostly chance, the longest objective is used instead.
 SAMPLES_MIN: Final = 16
 # An endpoint with attempts in flight that gave no answer for the mean latency plus this many
 # deviations counts as stalled.
@@ -96,7 +96,10 @@
         return self.overall.samples >= SAMPLES_MIN
 
     def is_overdue(self, waited_us: int, deviations: float) -> bool:
-        """Return whether this wait is too long for the present mean plus this many deviations."""
+        """Return whether this wait exceeds the mean plus this many deviations.
+
+        Without enough samples, the wait is compared with the longest objective.
+        """
         if self.is_known():
             return waited_us > self.overall.upper_bound(deviations)
         return waited_us > self.longest_objective_us
--- a/laurelstep/balancing/membership.py
+++ b/laurelstep/balancing/membership.py
@@ -10,9 +10,9 @@
 from laurelstep.balancing.events import LIST_DELTA, LIST_PARTIAL, READY, Entry, Settings
 from laurelstep.balancing.subsets import EndpointRing
 
-# Mean back-off after a failed call to discovery, in µs. A copy has to know a change 6 s after discovery
-# has it. Within that time there must be room for one call that is silent for 2 s and its repetition,
-# or for four calls that fail at once.
+# Mean back-off after a failed call to discovery, in µs. A change must reach a copy within 6 s after
+# discovery has it. That must leave time for one call without an answer for 2 s and its repetition, or
+# for four calls that fail at once.
 LIST_BACKOFF_US: Final = 400_000
 
 
@@ -40,14 +40,14 @@
         self.staged_endpoints: list[Endpoint] = []  # on the staged ring only
         self.list_backoff_us = min(settings.ask_within_us // 4, LIST_BACKOFF_US)
 
-    def first_poll_delay(self) -> int:
+    def first_subscribe_delay_us(self) -> int:
         """Return the delay before the first call to discovery, in µs.
 
         The delay is random, so that copies that start together do not call together.
         """
         return int(self.rng.random() * self.list_backoff_us)
 
-    def poll_backoff(self) -> int:
+    def subscribe_backoff_us(self) -> int:
         """Return the randomized delay before the next call to discovery after a failure, in µs."""
         return int((0.5 + self.rng.random()) * self.list_backoff_us)
 
@@ -122,9 +122,9 @@
         self.staged_endpoints = []
 
     def remove(self, endpoint: Endpoint) -> bool:
-        """Remove an endpoint that is draining or gone from the ring at once; returns whether it was on it.
+        """Remove an endpoint from the ring at once; returns whether it was on it.
 
-        Guards drains: nothing more is sent to the endpoint.
+        Called for one that is draining, gone or moved. Guards drains: nothing more is sent to it.
         """
         if not endpoint.in_flight:
             self.by_id.pop(endpoint.id, None)
--- a/laurelstep/balancing/outliers.py
+++ b/laurelstep/balancing/outliers.py
@@ -79,8 +79,8 @@
     def health(self, now: int, endpoint: Endpoint, segment: int) -> float:
         """Return the present health, from HEALTH_MIN to 1; it recovers more slowly after repeated failures.
 
-        Only the ratio of the weights matters in a draw, so failures that come from a later tier and
-        affect all endpoints alike eject none of them.
+        Only the ratio of the weights matters in a draw, so failures of a later tier, which affect all
+        endpoints alike, eject none of them.
         """
         previous = endpoint.health[segment]
         memory_us = max(HEAL_OBJECTIVES * self.latencies.longest_objective_us, self.heal_sends_us)
--- a/laurelstep/balancing/priorities.py
+++ b/laurelstep/balancing/priorities.py
@@ -63,8 +63,8 @@
     def _gains(self, parts: list[float], weights: list[float]) -> list[float]:
         """Return what the goal gains from a unit of work of each kind.
 
-        To serve all classes alike gains the mean weight twice: for all requests and for the worst
-        class. A class has a lower priority only than one that gains more than that.
+        Serving all classes alike gains the mean weight for all requests and again for the worst class.
+        Where the goal counts the worst class, this is the least gain of a kind within its quota.
         """
         goal, classes = self.settings.goal, len(self.settings.classes)
         mean = fsum(part * weight for part, weight in zip(parts, weights, strict=True)) / fsum(parts)
--- a/laurelstep/balancing/requests.py
+++ b/laurelstep/balancing/requests.py
@@ -21,9 +21,9 @@
         "zone",
     )
 
-    def __init__(self, endpoint: Endpoint, now: int, body_pending: bool) -> None:
+    def __init__(self, endpoint: Endpoint, now: int, has_pending_body: bool) -> None:
         self.endpoint = endpoint
-        self.has_pending_body = body_pending  # the attempt counts at its endpoint once False
+        self.has_pending_body = has_pending_body  # the attempt counts at its endpoint once False
         self.cell, self.zone = endpoint.cell, endpoint.zone
         self.sent_at = now
         self.connection_idle_us = -1  # idle time of its connection; -1 for a new connection
@@ -105,7 +105,7 @@
         return self.open.get(request_id) or self.awaiting_outcomes.get(request_id)
 
     def complete_body(self, now: int, request: Request, expires_at: int) -> None:
-        """Start the time of an open request whose body is now complete."""
+        """Note that the body of an open request is complete: its latency counts from now."""
         del self.open[request.id]
         self.open[request.id] = request
         if request.has_pending_body:
--- a/laurelstep/balancing/retries.py
+++ b/laurelstep/balancing/retries.py
@@ -56,7 +56,7 @@
         return outcome in self.never_ran_outcomes
 
     def can_attempt(self, now: int, request: Request) -> bool:
-        """Return whether another attempt of the request, or its first, is allowed at any endpoint."""
+        """Return whether the request may have another attempt, or its first, whatever the endpoint."""
         if len(request.attempts) >= self.settings.max_attempts:
             return False
         if request.is_streaming or now >= request.expires_at:
@@ -93,7 +93,7 @@
     def retry_after_us(self, cls: RequestClass) -> int:
         """Return the retry-after advice to a refused client, in µs; 0 = no advice.
 
-        The client may retry when this copy itself would retry. With longer advice, retries arrived at
-        the same time and too late for their objective.
+        The client may retry when this copy itself would retry. With longer advice, clients retried at
+        the same time, and too late for their objective.
         """
         return self.backoff_us(cls) if self.settings.retry_after else 0
--- a/laurelstep/balancing/selection.py
+++ b/laurelstep/balancing/selection.py
@@ -82,7 +82,7 @@
         return endpoint
 
     def _pick_in_scope(self, now: int, request: Request, possible_execution: Attempt) -> Endpoint | None:
-        """Pick among the endpoints that know the idempotency key of an attempt that may have run."""
+        """Pick among the endpoints that recognize the key of an attempt that may have run."""
         ring = self.membership.ring.all
         if request.request_class.scope == SCOPE_ZONE:
             zone_ring = self.membership.ring.by_zone.get(possible_execution.zone, ring)
--- a/laurelstep/balancing/slow_start.py
+++ b/laurelstep/balancing/slow_start.py
@@ -9,8 +9,8 @@
 from laurelstep.balancing.latency import DecayingRate, LatencyTracker
 from laurelstep.balancing.subsets import SubsetPlan
 
-# Part of the load that overloads an endpoint which the copies together may send: the rest is a reserve
-# for copies with more than an equal share of the traffic and for requests with more work than average.
+# The copies together may send at most this part of the load that overloads an endpoint. The rest is a
+# reserve for copies with more than an equal share of the traffic and for requests with more work.
 BUDGET_PART: Final = 0.5
 
 
@@ -63,7 +63,7 @@
         is the rate at which an average endpoint of the subsets answers this copy, times the multiple
         of the settings and the warm-up fraction. Each copy scales its own traffic, so the budgets add
         up without coordination. Only answers count, because attempts sent to full or overloaded
-        endpoints are no measure of capacity. An answer counts by the list at its time: when many
+        endpoints are no measure of capacity. An answer is weighted by the list at its time: when many
         endpoints are removed, the others do not gain capacity, and each is in the subsets of more
         copies. Answers of endpoints outside the subsets do not count.
         """
--- a/laurelstep/balancing/subsets.py
+++ b/laurelstep/balancing/subsets.py
@@ -64,7 +64,7 @@
 
 
 class EndpointRing:
-    """The shared order of the endpoints: of all, of each zone, and of the zones with a price."""
+    """The shared order of all endpoints, of each zone's, and of those that have a cross-zone price."""
 
     __slots__ = ("all", "by_zone", "priced_from_zone", "remote")
 
@@ -121,7 +121,7 @@
         return any(subset.contains(endpoint) for subset in self.pair)
 
     def rebuild_subsets(self, ring: EndpointRing) -> None:
-        """Compute the left and right subset of this copy: an interval of the ring from its own offset.
+        """Compute this copy's left and right subset: intervals of the ring that start at its offset.
 
         Guards against copies whose ties all go to one shared left subset, and against endpoints that
         fewer copies can reach. Copies start evenly spaced and each subset is a whole number of
@@ -138,7 +138,7 @@
 
     def _divide_by_zone(self, local: Ring, remote: Ring) -> None:
         zone_copies = max(1.0, self.settings.instances / self.settings.zones)
-        self.pair = [self._own_stretch(local, zone_copies), self._own_stretch(remote, zone_copies)]
+        self.pair = [self._zone_subset(local, zone_copies), self._zone_subset(remote, zone_copies)]
         start, end = self.pair[0].start, self.pair[0].end
         middle = start + ceil((end - start) / 2.0)
         self.local_halves = [Subset(local, start, middle), Subset(local, middle, end)]
@@ -160,8 +160,8 @@
         ]
         self.endpoints_in_subsets = max(1.0, spacings * step)
 
-    def _own_stretch(self, ring: Ring, copies: float) -> Subset:
-        """Return one subset of a ring, from the copy's own offset on it."""
+    def _zone_subset(self, ring: Ring, copies: float) -> Subset:
+        """Return the subset of a local or remote ring that starts at this copy's offset among `copies`."""
         step = len(ring) / copies
         start = self.settings.me * step
         return Subset(
--- a/laurelstep/balancing/zones.py
+++ b/laurelstep/balancing/zones.py
@@ -49,7 +49,10 @@
         self.remote_share = 1.0
 
     def record(self, now: int, is_local: bool, took_us: float) -> None:
-        """Record the latency of an attempt, in µs; for a failed one, at least its objective."""
+        """Record the latency of an attempt, in µs; for a failed one, at least its objective.
+
+        The first `SAMPLES_MIN` local answers lower the share from 1 to 0; later answers adjust it.
+        """
         if is_local:
             self.local.add(took_us)
             self.last_local_at = now
