--- a/benchmarks/fleet_child.py
+++ b/benchmarks/fleet_child.py
@@ -92,7 +92,7 @@
         phase = ("draining", "ready")[number % 2]
         listed = [entry(number // 2 % 30, lifecycle=phase)]
         began = time.perf_counter()
-        engine.on_list(engine.next_id, False, listed)
+        engine.on_list(engine.last_call_id, False, listed)
         times.append(1000 * (time.perf_counter() - began))
     return times
 
--- a/laurelstep/engine/attempts.py
+++ b/laurelstep/engine/attempts.py
@@ -67,7 +67,7 @@
         is_upload_consumed = call.upload is not None and call.upload.was_attached
         if (
             is_upload_consumed
-            or attempt.copy >= self.settings.max_attempts
+            or attempt.attempt_index >= self.settings.max_attempts
             or not self._is_allowed(attempt, now)
         ):
             self.on_ended(attempt, NOT_SENT, None, b"")
@@ -81,9 +81,9 @@
         self.upstream.send(attempt)
 
     def may_start(self, attempt: Attempt, now: int) -> bool:
-        """Whether the first byte of an attempt may be written at the time `now`, in µs. Guards against an
-        attempt for a client that has closed its connection without the event loop having read the close: it
-        stays unread while the loop is blocked, and behind bytes that have not been read.
+        """Whether the first byte of an attempt may be written at the time `now`, in µs. Reports a client that
+        has left to the host. Guards against an attempt for a client whose close the event loop has not read:
+        because the loop was blocked, or because unread bytes precede the close.
         """
         if not self._is_allowed(attempt, now):
             return False
@@ -99,9 +99,9 @@
         return self.endpoints.may_receive(attempt.endpoint, now)
 
     def _retry_window_end(self, call: Call) -> int:
-        """When the retry window of a keyed call ends that an earlier attempt may have run; the call's
-        deadline if no window applies. Guards against a retry that is decided within the window and written
-        after it, because its connection was established late.
+        """When the retry window of a keyed call ends, if an earlier attempt may have run; otherwise the
+        call's deadline. Guards against a retry that is decided within the window and written after it,
+        because its connection was established late.
         """
         cls = self.settings.classes[call.request_class]
         if cls.effect == KEYED:
--- a/laurelstep/engine/call.py
+++ b/laurelstep/engine/call.py
@@ -145,7 +145,7 @@
         self.client_connection: ClientConnection | None = None  # checked before an attempt begins
         self.client_request_id = client_request_id  # the value of X-Request-Id
         self.tenant = tenant
-        self.key = key  # number of the object that the request names, for affinity; 0 = none named
+        self.key = key  # number of the object that the request names; 0 = none named
         self.work_us = work_us  # the client's estimate of the cost; 0 = none given
         self.is_retry = is_retry
         self.order_id = order_id  # value of the class's order header; empty if there is none
@@ -161,8 +161,8 @@
         # Values of the headers that name the writes this one depends on; empty if its class is never queued.
         self.causal_dependencies: tuple[bytes, ...] = ()
         self.can_stream_answer = False  # the frontend can forward an answer while it is being received
-        # Value of X-Kept-Fate: what an upstream copy reports of a replayed write beside its answer. None if
-        # the call is no replay to a copy.
+        # Value of X-Kept-Fate: what an upstream copy reports, with its answer, about a replayed write. None
+        # if the call is no replay to a copy.
         self.queued_write_fate: bytes | None = None
         self.upload: BodyStream | None = None  # replaces `body` while the body is still being received
         self.time_after_upload_us = 0  # of an upload: time limit for the answer, counted from its last byte
@@ -172,8 +172,8 @@
     """One try to get a call answered by one endpoint. Times are in µs on the engine's clock."""
 
     __slots__ = (
+        "attempt_index",
         "call",
-        "copy",
         "endpoint",
         "is_in_flight",
         "lacks_socket",
@@ -186,11 +186,11 @@
     )  # fmt: skip
 
     def __init__(
-        self, owner: AttemptOwner, call: Call, copy: int, endpoint: int, now: int, times_out_at: int
+        self, owner: AttemptOwner, call: Call, attempt_index: int, endpoint: int, now: int, times_out_at: int
     ) -> None:
         self.owner = owner
         self.call = call
-        self.copy = copy
+        self.attempt_index = attempt_index  # position among the attempts of the call, from 0
         self.endpoint = endpoint
         self.sent_at = now
         self.times_out_at = times_out_at
--- a/laurelstep/engine/engine.py
+++ b/laurelstep/engine/engine.py
@@ -101,9 +101,9 @@
         self.attempts = AttemptController(self, clock, settings, upstream, self.endpoints, self.counters)
         # Answers that are being streamed to a client: the request's class and the endpoint that answers.
         self.forwarding: dict[BodyStream, tuple[int, int]] = {}
-        self.next_id = 0
+        self.last_call_id = 0
         self.events: deque[tuple[DecisionMethod, object, Call | None]] = deque()
-        self.dispatching = False
+        self.is_dispatching = False
 
     def now(self) -> int:
         """The time on the engine's clock, in µs."""
@@ -111,26 +111,26 @@
 
     # Events
 
-    def start(self, known: dict[str, Any] | None = None) -> None:
-        """Start the source of endpoint lists and the balancer. `known`: a cached endpoint list, if there is
-        one; ValueError if it can't be parsed.
+    def start(self, cached_list: dict[str, Any] | None = None) -> None:
+        """Start the source of endpoint lists and the balancer. `cached_list`: in the format of discovery;
+        None if there is none, ValueError if it can't be parsed.
         """
-        self.source.start(self, int(known["generation"]) if known else 0)
+        self.source.start(self, int(cached_list["generation"]) if cached_list else 0)
         self._dispatch(lambda now, _: self.decisions.start(now), None)
-        if known is not None:
-            self._apply_list(LIST_CACHED, known["instances"])
+        if cached_list is not None:
+            self._apply_list(LIST_CACHED, cached_list["instances"])
 
     def _dispatch(self, method: DecisionMethod, event: object, call: Call | None = None) -> None:
-        if self.dispatching:
+        if self.is_dispatching:
             self.events.append((method, event, call))
             return
-        self.dispatching = True
+        self.is_dispatching = True
         try:
             self._handle_event(method, event, call)
             while self.events:
                 self._handle_event(*self.events.popleft())
         finally:
-            self.dispatching = False
+            self.is_dispatching = False
 
     def _handle_event(self, method: DecisionMethod, event: object, call: Call | None) -> None:
         try:
@@ -177,8 +177,8 @@
 
     def take(self, call: Call) -> None:
         """Accept a request. Its frontend may get the answer before this returns."""
-        self.next_id += 1
-        call.id = self.next_id
+        self.last_call_id += 1
+        call.id = self.last_call_id
         self.calls[call.id] = call
         self.counters.taken[call.request_class] += 1
         self.open_request_ids.add(call.client_request_id)
@@ -190,7 +190,7 @@
         self.admit(call)
 
     def _offer_to_recorder(self, call: Call) -> bool:
-        """Offer a call to the recorder; whether the recorder has taken it over."""
+        """Offer a call to the recorder; returns whether the recorder has taken it over."""
         if self.recorder is None:
             return False
         can_stream_answer = call.can_stream_answer
@@ -261,8 +261,8 @@
             self._dispatch(self.decisions.client_disconnected, call.id)
 
     def _enqueue(self, call: Call, answer: Answer | None) -> bool:
-        """Offer a call to the write queue; whether the queue has taken it over. The queue is never offered a
-        call that may have run or may still run, nor an upload of which an endpoint received the beginning:
+        """Offer a call to the write queue; returns whether the queue has taken it over. It is never offered
+        a call that may have run or may still run, nor an upload of which an endpoint received the beginning:
         that part is no longer buffered.
         """
         if (
@@ -377,16 +377,16 @@
     # Attempts
 
     def on_attempt_ended(self, attempt: Attempt, outcome: int, answer: Answer | None, load: bytes) -> None:
-        """An attempt has its one outcome: answer the call if the attempt succeeded, and tell the balancer."""
+        """An attempt has its one outcome: answer the call if it succeeded, and notify the balancer."""
         if self.write_queue is not None:
             self.write_queue.on_attempt_ended(attempt.endpoint, outcome)
         call = attempt.call
         if outcome == OK and answer is not None and call.is_open:
             answer.endpoint = attempt.endpoint
             self._answer(call, answer)
-        delay_us, report = self.now() - attempt.sent_at, self.names.parse_load_report(load) if load else None
+        took_us, report = self.now() - attempt.sent_at, self.names.parse_load_report(load) if load else None
         event = Outcome(
-            call.id, attempt.copy, attempt.endpoint, outcome, delay_us, not call.is_open, report
+            call.id, attempt.attempt_index, attempt.endpoint, outcome, took_us, not call.is_open, report
         )  # fmt: skip
         self._dispatch(self.decisions.outcome, event, call)
         self._forget_if_done(call)
@@ -407,13 +407,13 @@
                 if (call := self._open_call(request)) is not None:
                     status = 504 if self.now() >= call.expires_at else 502
                     self._refuse_or_enqueue(call, Answer(Ending.FAILED, status))
-            case Cancel(request, copy):
+            case Cancel(request, attempt_index):
                 if (call := self.calls.get(request)) is not None:
-                    self.attempts.cancel(call.attempts[copy])
+                    self.attempts.cancel(call.attempts[attempt_index])
             case Close(endpoint):
                 self.upstream.close_idle(endpoint)
-            case Watch(on):
-                self.source.watch(on)
+            case Watch(is_on):
+                self.source.watch(is_on)
             case Fetch():
                 self.source.fetch()
             case LogLine(text):
--- a/laurelstep/engine/loop_watch.py
+++ b/laurelstep/engine/loop_watch.py
@@ -3,8 +3,8 @@
 Rules of this module:
 
 1. While the loop is not late, all data that arrived at a socket `STALE_US` ago or earlier has been read.
-2. A check costs no system call and does not wake an idle loop. After `BLOCKED_US` without a check nothing is
-   known of the loop, so it counts as late.
+2. A check costs no system call and does not wake an idle loop. After `BLOCKED_US` without a check it is
+   not known whether the loop was blocked, so it counts as late.
 """
 
 from __future__ import annotations
--- a/laurelstep/engine/ports.py
+++ b/laurelstep/engine/ports.py
@@ -41,8 +41,8 @@
 
 
 class Decisions(Protocol):
-    """The interface of the balancer. Each method but `ejected` reports an event and returns the actions to
-    execute; both are defined in `laurelstep.balancing.events`. `now` is the engine's time in µs.
+    """The interface of the balancer. Each method but `count_ejected` reports an event and returns the
+    actions to execute; both are defined in `laurelstep.balancing.events`. `now` is the engine's time in µs.
     """
 
     def start(self, now: int) -> list[Action]:
@@ -155,7 +155,7 @@
     """Stores what must be known of a request after a restart. The engine calls it at three steps."""
 
     def begin(self, call: Call, engine: CallHost) -> bool:
-        """Called before the balancer gets a call. Whether the recorder takes over the call: it then calls
+        """Called before the balancer gets a call. True if the recorder takes over the call: it then calls
         either `admit` or `settle`, now or later.
         """
 
--- a/laurelstep/engine/static_members.py
+++ b/laurelstep/engine/static_members.py
@@ -28,7 +28,7 @@
         self.generation += 1
         self.entries = list(entries)
 
-    def watch(self, on: bool) -> None:
+    def watch(self, is_on: bool) -> None:
         """See `MemberSource.watch`. Does nothing: `replace_list` always notifies the sink."""
 
     def fetch(self) -> None:
--- a/laurelstep/lifecycle/phases.py
+++ b/laurelstep/lifecycle/phases.py
@@ -22,8 +22,8 @@
 
     STARTING = "starting"
     SERVING = "serving"
-    DRAINING = "draining"  # by a management call: clients are sent away, the process keeps running
-    DRAINED = "drained"  # all clients have been sent away
+    DRAINING = "draining"  # by a management call: connections are closed, the process keeps running
+    DRAINED = "drained"  # the drain has ended, the process keeps running
     STOPPING = "stopping"
 
 
@@ -33,7 +33,7 @@
     ("evacuate", Phase.SERVING): Phase.DRAINING,
     ("evacuate", Phase.DRAINING): Phase.DRAINING,
     ("evacuate", Phase.DRAINED): Phase.DRAINED,
-    ("evacuate", Phase.STOPPING): Phase.STOPPING,  # a stop sends the clients away as well
+    ("evacuate", Phase.STOPPING): Phase.STOPPING,  # a stop closes the connections as well
     ("rejoin", Phase.SERVING): Phase.SERVING,
     ("rejoin", Phase.DRAINING): Phase.SERVING,
     ("rejoin", Phase.DRAINED): Phase.SERVING,
@@ -78,7 +78,7 @@
         return self._transition(now, "serve")
 
     def evacuate(self, now: float) -> bool:
-        """Start a drain: send the clients away, and keep the process running."""
+        """Start a drain: close the clients' connections, and keep the process running."""
         return self._transition(now, "evacuate")
 
     def rejoin(self, now: float) -> bool:
--- a/laurelstep/net/client_connection.py
+++ b/laurelstep/net/client_connection.py
@@ -61,7 +61,7 @@
         self.server.on_disconnect(self)
 
     def eof_received(self) -> None:
-        """asyncio: the client has closed its side. No client of this protocol then still waits for an answer.
+        """asyncio: the client has closed its side. Clients that do so no longer wait for an answer.
 
         Abandons the request now: asyncio calls `connection_lost` an event loop iteration later, after timers
         that might send the request.
@@ -139,15 +139,15 @@
         else:
             self.transport.write(data)
 
-    def on_end(self, complete: bool) -> None:
-        """`BodySink`: the streamed answer has ended; `complete` if all of it has arrived."""
+    def on_end(self, is_complete: bool) -> None:
+        """`BodySink`: the streamed answer has ended; `is_complete` if all of it has arrived."""
         self.answer = None
         self.server.paused.discard(self)
         if self.transport is None or self.transport.is_closing():
             return
-        if complete and self.is_answer_chunked:
+        if is_complete and self.is_answer_chunked:
             self.transport.write(b"0\r\n\r\n")
-        if complete and self.keep_alive:
+        if is_complete and self.keep_alive:
             self.server.idle.add(self)
             if self.pipelined and self.has_left():  # the client has closed its side after unread bytes
                 self.close()
@@ -156,7 +156,7 @@
             elif not self.server.lifecycle.allows_keep_alive:
                 # A drain or a shutdown began after the answer's head was written.
                 self.close_if_idle()
-        elif complete or self.is_answer_chunked or self.keep_alive:
+        elif is_complete or self.is_answer_chunked or self.keep_alive:
             # The client can still read what was written, and its framing shows whether it is complete.
             self.close()
         else:
--- a/laurelstep/net/connect.py
+++ b/laurelstep/net/connect.py
@@ -38,7 +38,7 @@
 
     There is no timeout here: the caller cancels the task, and only before the connection is established.
     A timeout that expired in the event loop iteration in which the connection was made would close the
-    transport without the protocol's knowledge.
+    transport without notifying the protocol.
     """
     failure: Exception | None = None
     try:
--- a/laurelstep/net/discovery.py
+++ b/laurelstep/net/discovery.py
@@ -44,9 +44,9 @@
 SHORT_OBJECT_BYTES = 32 * 1024
 
 
-def parse_list(parsed: Any, watch: bool) -> tuple[int, bool, list[Any]]:
-    """The generation of a list, whether it is full, and its entries. A list that was fetched, without
-    `watch`, is always full. ValueError if `parsed` is no list of endpoints.
+def parse_list(parsed: Any, is_watch: bool) -> tuple[int, bool, list[Any]]:
+    """The generation of a list, whether it is full, and its entries. A list that was fetched, not `is_watch`,
+    is always full. ValueError if `parsed` is no list of endpoints.
     """
     try:
         generation, is_full, entries = int(parsed["generation"]), parsed.get("reset"), parsed["instances"]
@@ -54,7 +54,7 @@
         raise ValueError(f"not an endpoint list: {error!r}") from None
     if not isinstance(entries, list):
         raise ValueError("not an endpoint list: instances is not an array")
-    return generation, not watch or bool(is_full), entries
+    return generation, not is_watch or bool(is_full), entries
 
 
 class Discovery:
@@ -95,7 +95,7 @@
         self.response_timeout_s = RESPONSE_TIMEOUT_S if is_pushed else RESPONSE_TIMEOUT_ON_DEMAND_S
         self.max_jitter_s = MAX_JITTER_S
         self.tasks: set[asyncio.Task[None]] = set()
-        self.closed = False
+        self.is_closed = False
         self.background = CooperativeTask(loop)
         self.last_list_size = 0  # number of entries of the last long list
         self.is_applying_list = False  # a long list is being parsed and applied in steps
@@ -108,16 +108,16 @@
         if self.is_pushed:
             self.watch(True)
 
-    def watch(self, on: bool) -> None:
+    def watch(self, is_on: bool) -> None:
         """Open or close the watch. Does nothing if it is to be opened and is open or connecting."""
-        if not on or self.stream is None or self.stream.is_closed:
-            self._watch(on)
+        if not is_on or self.stream is None or self.stream.is_closed:
+            self._watch(is_on)
 
-    def _watch(self, on: bool, is_renewal: bool = False) -> None:
+    def _watch(self, is_on: bool, is_renewal: bool = False) -> None:
         if self.stream is not None:
             self.stream.stop()
             self.stream = None
-        if on and not self.closed:
+        if is_on and not self.is_closed:
             target = f"{self.path}?watch=1&from={self.generation}"
             self.stream = self._request(DiscoveryStream(self, target, True, is_renewal))
 
@@ -125,10 +125,10 @@
         """Use another address from now on. Its generations are unrelated, so the new watch starts without
         one. Fetches in progress are repeated there.
         """
-        if self.closed:
+        if self.is_closed:
             return
         self.address, self.generation, self.retry_delay_s = address, 0, RETRY_DELAY_S
-        fetching = [stream for stream in self.streams if not stream.watch]
+        fetching = [stream for stream in self.streams if not stream.is_watch]
         for stream in fetching:
             stream.stop()
         self._watch(True)
@@ -140,7 +140,7 @@
         self._fetch()
 
     def _fetch(self, is_renewal: bool = False) -> None:
-        if not self.closed:
+        if not self.is_closed:
             self._request(DiscoveryStream(self, self.path, False, is_renewal))
 
     def _request(self, stream: DiscoveryStream) -> DiscoveryStream:
@@ -162,14 +162,14 @@
             stream.fail()
 
     def _check_stall(self, stream: DiscoveryStream) -> None:
-        """Guards against a response that never arrives, and one that stalls without being closed."""
+        """Check repeatedly for a stall: a response may never arrive, or stall without being closed."""
         if stream.is_closed:
             return
         if self.is_applying_list:
             stream.last_progress_at = self.loop.time()  # reading was paused, so it may have sent data
         if stream.stalls_at > self.loop.time():
             self.loop.call_at(stream.stalls_at, self._check_stall, stream)
-        else:  # data that arrived while this process was suspended is read before the stream is given up
+        else:  # data that arrived while this process was suspended is read before the stream is closed
             self.loop.call_later(self.max_jitter_s * self.rng.random(), self._on_stall, stream)
 
     def _on_stall(self, stream: DiscoveryStream) -> None:
@@ -183,7 +183,7 @@
         ValueError, with nothing applied, if `raw` is no list.
         """
         if len(raw) <= SHORT_OBJECT_BYTES:
-            generation, is_full, entries = parse_list(json.loads(raw), stream.watch)
+            generation, is_full, entries = parse_list(json.loads(raw), stream.is_watch)
             self._check_restart(stream, generation, is_full)
             if self.sink is not None and self._is_newer(stream, generation, is_full):
                 self.sink.on_list(generation, is_full, list(self._usable_entries(entries)))
@@ -223,25 +223,25 @@
         not known here: such changes would be ignored for ever. ValueError for these; the next watch requests
         the full list.
         """
-        if stream.watch and not is_full and generation < self.generation and not stream.is_closed:
-            known, self.generation = self.generation, 0
-            raise ValueError(f"changes of generation {generation} after generation {known}")
+        if stream.is_watch and not is_full and generation < self.generation and not stream.is_closed:
+            previous, self.generation = self.generation, 0
+            raise ValueError(f"changes of generation {generation} after generation {previous}")
 
     def _is_newer(self, stream: DiscoveryStream, generation: int, is_full: bool) -> bool:
         """Whether a list is to be applied. A full list of a watch always is, whatever its generation. A list
         that was fetched may arrive after newer changes, and is not.
         """
-        return generation >= self.generation or (is_full and stream.watch)
+        return generation >= self.generation or (is_full and stream.is_watch)
 
     def _apply_in_steps(
         self, raw: bytearray, stream: DiscoveryStream, sink: MemberSink, received_at: int
     ) -> Iterator[None]:
         parsed = yield from parse_in_steps(raw.decode())
-        generation, is_full, raw_entries = parse_list(parsed, stream.watch)
+        generation, is_full, raw_entries = parse_list(parsed, stream.is_watch)
         self.last_list_size = len(raw_entries)
         entries: list[Any] = []
-        for at in range(0, len(raw_entries), STEP_ENTRIES):
-            entries.extend(self._usable_entries(raw_entries[at : at + STEP_ENTRIES]))
+        for start in range(0, len(raw_entries), STEP_ENTRIES):
+            entries.extend(self._usable_entries(raw_entries[start : start + STEP_ENTRIES]))
             yield
         if stream.address != self.address:
             return  # the address was changed meanwhile, and only lists of the new one count
@@ -258,7 +258,7 @@
             self.collector.resume(self.last_list_size)
         if error is not None and not stream.is_closed:
             stream.reject(error)
-        elif not stream.watch:
+        elif not stream.is_watch:
             stream.stop()
         for open_stream in list(self.streams):
             if not self.is_applying_list:
@@ -266,7 +266,7 @@
 
     def on_stream_lost(self, stream: DiscoveryStream, is_stalled: bool) -> None:
         """Repeat a request: at once if it stalled, else after a back-off."""
-        if self.closed or self.sink is None or (stream.watch and stream is not self.stream):
+        if self.is_closed or self.sink is None or (stream.is_watch and stream is not self.stream):
             return
         if not self.is_pushed and (stream.is_renewal or not is_stalled):
             self.sink.on_list_failed()  # the balancer may request it sooner than the back-off below
@@ -288,14 +288,14 @@
         return pause
 
     def _retry(self, stream: DiscoveryStream, is_renewal: bool = False) -> None:
-        if not stream.watch:
+        if not stream.is_watch:
             self._fetch(is_renewal)
         elif stream is self.stream:
             self._watch(True, is_renewal)
 
     def close(self) -> None:
         """Close all streams, and send no more requests."""
-        self.closed = True
+        self.is_closed = True
         self.background.close()
         self.watch(False)
         for stream in list(self.streams):
--- a/laurelstep/net/discovery_stream.py
+++ b/laurelstep/net/discovery_stream.py
@@ -43,21 +43,21 @@
 class DiscoveryStream(asyncio.Protocol):
     """One HTTP response of discovery: a watch, or one full list. Times in s on the loop's clock."""
 
-    def __init__(self, owner: StreamOwner, target: str, watch: bool, is_renewal: bool = False) -> None:
-        self.owner, self.target, self.watch = owner, target, watch
+    def __init__(self, owner: StreamOwner, target: str, is_watch: bool, is_renewal: bool = False) -> None:
+        self.owner, self.target, self.is_watch = owner, target, is_watch
         self.address = owner.address
         self.is_renewal = is_renewal  # it replaces a stream that stalled
         self.parser = httptools.HttpResponseParser(self)
         self.decoder = JsonStreamDecoder(MAX_OBJECT_BYTES)
         self.paused_at: int | None = None  # when reading was paused, in µs on the engine's clock
         self.transport: asyncio.Transport | None = None
-        self.is_closed = False  # complete or given up: its end is not reported
+        self.is_closed = False  # complete, stopped or failed: a later end is not reported
         self.is_malformed = False  # it held data that can't be parsed
         self.has_head = False  # the head of the response has arrived
         self.is_complete = False  # the last byte has arrived
         self.next_read: asyncio.Handle | None = None
         self.is_current = (
-            watch and owner.generation > 0
+            is_watch and owner.generation > 0
         )  # a list is known, so no full list has to arrive first
         self.last_progress_at = owner.loop.time()
 
@@ -82,7 +82,7 @@
                 self.read_objects()
 
     def reject(self, error: Exception) -> None:
-        """Log that the response can't be parsed, and give the stream up."""
+        """Log that the response can't be parsed, and fail the stream."""
         self.owner.log_limited(f"bad line from discovery: {error}")
         self.is_malformed = True
         self.fail()
@@ -163,8 +163,8 @@
         except ValueError as error:
             self.reject(error)
         else:
-            self.is_current = self.watch
-            if not self.watch and not self.owner.is_applying_list:
+            self.is_current = self.is_watch
+            if not self.is_watch and not self.owner.is_applying_list:
                 self.stop()
 
     def pause(self) -> None:
@@ -206,5 +206,5 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Called by asyncio: the connection is closed."""
-        if self.watch or not self.is_complete:
+        if self.is_watch or not self.is_complete:
             self.fail()  # a complete response to a fetch is processed even after its connection has closed
--- a/laurelstep/net/endpoint_connection.py
+++ b/laurelstep/net/endpoint_connection.py
@@ -70,7 +70,7 @@
 
     def on_connect_failed(self, is_local_fault: bool) -> None:
         """Retry after a local fault, or end the attempt: none of its request was sent."""
-        # Once the connection was established, `connection_lost` knows whether the request was sent.
+        # Once the connection was established, `connection_lost` ends the attempt.
         if self.transport is not None:
             return
         if self.attempt is not None:
@@ -105,7 +105,7 @@
             return
         if self.attempt.lacks_socket:
             self.attempt.lacks_socket = False
-            # The endpoint is not charged with the wait for a local socket.
+            # The wait for a local socket does not count as latency of the endpoint.
             self.attempt.sent_at = self.owner.now()
         self.write()
 
@@ -187,13 +187,13 @@
         else:
             self.transport.write(data)
 
-    def on_end(self, complete: bool) -> None:
-        """`BodySink`: the upload has ended; `complete` if all of it has arrived."""
+    def on_end(self, is_complete: bool) -> None:
+        """`BodySink`: the upload has ended; `is_complete` if all of it has arrived."""
         upload, self.upload = self.upload, None
         self.owner.write_stalled.discard(self)
         if self.transport is None or self.transport.is_closing():
             return
-        if not complete:
+        if not is_complete:
             self.close()
             return
         if upload is not None and upload.length < 0:
--- a/laurelstep/net/endpoint_state.py
+++ b/laurelstep/net/endpoint_state.py
@@ -72,7 +72,7 @@
         self.surplus_connections = self._create_sweeper(
             SURPLUS_IDLE_S, lambda connection: connection.close_surplus()
         )
-        # An answer has begun and is incomplete; an answer is being streamed; a request is not being read.
+        # For a buffered answer that is incomplete, a streamed answer, and a request that is not being read.
         self.receiving = self._create_sweeper(
             ANSWER_IDLE_TIMEOUT_S, lambda connection: connection.on_response_timeout()
         )
--- a/laurelstep/net/request.py
+++ b/laurelstep/net/request.py
@@ -95,7 +95,7 @@
 
 
 def validate_form(method: bytes, fields: dict[bytes, bytes], cls: RequestClass) -> None:
-    """Check the request id, and the method, idempotency key and body that the class requires."""
+    """`BadRequestError` unless the request id is valid and method, key and body are as the class requires."""
     if not TOKEN_PATTERN.fullmatch(fields.get(b"x-request-id", b"")):
         raise BadRequestError(400, "X-Request-Id is missing or malformed")
     if method != (b"GET" if cls.effect == SAFE else b"POST"):
@@ -116,7 +116,7 @@
     headers: Headers,
     names: NameTable,
     settings: Settings,
-    front: Frontend,
+    frontend: Frontend,
     max_body_bytes: int = MAX_BUFFERED_BODY_BYTES,
 ) -> Call:
     """The call for a validated head. `BadRequestError` if the head is not valid.
@@ -138,7 +138,7 @@
         method_and_target=b"%b %b" % (method, target),
         header_lines=encode_headers(headers, REQUEST_HEADERS),
         body=b"",
-        frontend=front,
+        frontend=frontend,
         client_request_id=fields[b"x-request-id"],
         tenant=names.tenants.get(tenant, 0),
         key=parse_object_key(target.partition(b"?")[2]),
--- a/laurelstep/net/request_receiver.py
+++ b/laurelstep/net/request_receiver.py
@@ -62,7 +62,7 @@
     def _reset(self) -> None:
         self.target = b""
         self.headers: Headers = []
-        self.body = bytearray()  # not a list of parts: a part of one byte would take forty
+        self.body = bytearray()  # a list of parts would take 40 bytes for a part of one byte
         self.body_byte_count = self.received_bytes = 0
         self.parsed: Call | Answer | None = None  # the call for the head, or the answer to a health check
         self.head_completed_at = 0.0  # loop time at which the head was complete
--- a/laurelstep/net/server_state.py
+++ b/laurelstep/net/server_state.py
@@ -151,7 +151,7 @@
         self.engine = engine
         self.max_connections = max_connections
         self.connections: set[C] = set()
-        # No complete request yet; an upload is being streamed; reading is paused.
+        # For connections without a complete request, with a streamed upload, and with reading paused.
         self.awaiting_request = self._create_sweeper(
             REQUEST_TIMEOUT_S, lambda connection: connection.on_request_timeout()
         )
@@ -161,8 +161,8 @@
         self.paused = self._create_sweeper(
             HANGUP_CHECK_INTERVAL_S, lambda connection: connection.check_hangup()
         )
-        # The client does not read its answer; between requests; this side closed; accepted late in a drain or
-        # a shutdown.
+        # For those whose client does not read its answer, those between two requests, those closed on this
+        # side, and those accepted late in a drain or a shutdown.
         self.write_stalled = self._create_sweeper(
             WRITE_STALL_TIMEOUT_S, lambda connection: connection.abort()
         )
--- a/laurelstep/net/shutdown.py
+++ b/laurelstep/net/shutdown.py
@@ -39,7 +39,7 @@
 # then all of them. Not longer, as a request may arrive until the last moment, and one that is open at the end
 # of a shutdown is lost unless it arrived within 0.7 s after SIGTERM.
 SUCCESSOR_GRACE_S: Final = 0.5
-# How many pauses of the listener are waited for if no descriptor is available at the end: see rule 4.
+# Number of pauses of the listener to wait for if no descriptor is available at the end: see rule 4.
 MAX_SHORTAGE_PAUSES: Final = 6
 
 
@@ -93,11 +93,11 @@
 
     @property
     def idle(self) -> DeadlineSweeper[Any]:
-        """ConnectionHolder between two requests."""
+        """Connections between two requests."""
 
     @property
     def awaiting_request(self) -> DeadlineSweeper[Any]:
-        """ConnectionHolder without a complete request, except those with an upload."""
+        """Connections without a complete request, except those with an upload."""
 
 
 class GracefulShutdown:
@@ -119,7 +119,7 @@
         self.has_successor: Callable[[], bool] = lambda: False
         self.pending: list[asyncio.TimerHandle] = []  # timers of the steps to come
         self.refuses_incomplete = False  # incomplete requests are refused from now on
-        self.is_listener_closed = False  # and every connection that it accepted is set up
+        self.is_listener_closed = False  # the listener is closed, and all connections it accepted are set up
         self.is_finished = False  # no connection is left: the process ends
         lifecycle.observers.append(self._on_phase_change)
 
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -243,7 +243,7 @@
             host.queue_body(b"a", more=True)
             host.queue_disconnect()
             await middleware(http("pay", "POST"), host.receive, host.send)
-            assert not host.sent and not endpoint.requests and client.engine.next_id == 0
+            assert not host.sent and not endpoint.requests and client.engine.last_call_id == 0
 
     run(main())
 
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -802,7 +802,7 @@
 
     async def _quiet(self) -> None:
         """What was asked has been answered, and who watches is there."""
-        while any(not one.watch for one in self.discovery.streams):
+        while any(not one.is_watch for one in self.discovery.streams):
             await self.lists.news()
         while (watch := self.discovery.stream) is not None and not watch.is_closed and not self.lists.watches:
             await self.lists.news()
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -349,7 +349,7 @@
         discovery.sink = cast(Any, object())
         for _ in range(6):
             discovery.stream = cast(
-                Any, SimpleNamespace(watch=True, is_renewal=False, is_malformed=is_malformed)
+                Any, SimpleNamespace(is_watch=True, is_renewal=False, is_malformed=is_malformed)
             )
             discovery.on_stream_lost(discovery.stream, is_stalled=False)
         waits.append(delays)
