--- a/laurelstep/testing/contracts/base.py
+++ b/laurelstep/testing/contracts/base.py
@@ -67,7 +67,7 @@
         yield
     except error_type:
         return
-    raise AssertionError(f"no error was raised by {what}")
+    raise AssertionError(f"no error raised by {what}")
 
 
 async def run_ready_callbacks(count: int = 10) -> None:
--- a/laurelstep/testing/contracts/store.py
+++ b/laurelstep/testing/contracts/store.py
@@ -30,7 +30,7 @@
         """Close the store, and open it in the next process."""
 
     async def crash(self) -> None:
-        """Crash the process, or its machine if possible, and start the next. Only durable data survives."""
+        """Crash the process, or its machine if possible, and start the next. Data not durable may be lost."""
 
 
 class FaultyStoreIncarnations(StoreIncarnations, Protocol):
--- a/laurelstep/testing/contracts/upstream.py
+++ b/laurelstep/testing/contracts/upstream.py
@@ -81,7 +81,7 @@
 
     def may_start(self, attempt: Attempt, now: int) -> bool:
         """Return whether the attempt may still be sent, as set by the test."""
-        self.steps.append("may_start")
+        self.steps.append("asked")
         return self.may_send
 
     def on_written(self, attempt: Attempt) -> None:
@@ -126,9 +126,7 @@
         await self.wait_for(owner.ended.wait(), f"the outcome of {owner.attempt.call.client_request_id!r}")
         await run_ready_callbacks()
         assert len(owner.outcomes) == 1, f"more than one outcome: {owner.steps}"
-        assert owner.steps in (["ended"], ["may_start", "ended"], ["may_start", "written", "ended"]), (
-            owner.steps
-        )
+        assert owner.steps in (["ended"], ["asked", "ended"], ["asked", "written", "ended"]), owner.steps
         outcome, answer = owner.outcomes[0]
         assert outcome in OUTCOMES
         assert (answer is not None) == (outcome == OK)
@@ -153,7 +151,7 @@
                 environment.upstream.set_address(1, environment.addresses[0])
                 owner = AttemptOwner(environment, "one")
                 assert await self.send_and_wait(environment, owner) == OK
-                assert owner.steps == ["may_start", "written", "ended"]
+                assert owner.steps == ["asked", "written", "ended"]
                 answer = owner.outcomes[0][1]
                 assert answer is not None
                 assert (answer.ending, answer.status, answer.body) == (Ending.SERVED, 200, b"ok")
@@ -182,7 +180,7 @@
                     environment.set_behaviour(behaviour)
                     owner = AttemptOwner(environment, "one")
                     assert await self.send_and_wait(environment, owner) == expected, behaviour
-                    assert owner.steps == ["may_start", "written", "ended"], behaviour
+                    assert owner.steps == ["asked", "written", "ended"], behaviour
                     executed = environment.executed(environment.addresses[0]) + environment.executed(
                         environment.addresses[1]
                     )
@@ -233,7 +231,7 @@
 
         self.run(main())
 
-    # --- Several ------------------------------------------------------------------------
+    # --- Several attempts ---------------------------------------------------------------
 
     def test_sequential_and_concurrent_attempts_each_run_once(self) -> None:
         """Sequential and concurrent attempts are each executed exactly once; sequential ones in order."""
@@ -318,7 +316,7 @@
                 owner = AttemptOwner(environment, "held")
                 environment.upstream.send(owner.attempt)
                 await environment.wait_sent()
-                assert owner.steps == ["may_start", "written"]
+                assert owner.steps == ["asked", "written"]
                 environment.upstream.cancel(owner.attempt)
                 await self.wait_for(
                     environment.wait_cancel_noticed(), "the endpoint to detect a cancelled attempt"
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -1,5 +1,5 @@
-"""Every implementation in the repository, the fakes too, through the contracts; and, for each contract,
-faulty ones that it catches."""
+"""Runs the contracts on all implementations in the repository, fakes included, and on faulty implementations
+that each contract must detect."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 from laurelstep.consensus.links.udp import UdpLink
 from laurelstep.consensus.links.unix import UnixLink
 from laurelstep.consensus.ports import MAX_DATAGRAM_BYTES, Link
-from laurelstep.consensus.ports import Store as RecordStore
+from laurelstep.consensus.ports import Store as ConsensusStore
 from laurelstep.consensus.stores.embedded import EmbeddedStore
 from laurelstep.consensus.stores.none import NoStore
 from laurelstep.engine import Answer, Attempt, Call, Ending, LoopClock
 from laurelstep.engine.ports import CallHost, Clock, MemberSink, MemberSource, Recorder
-from laurelstep.engine.ports import Upstream as UpstreamSide
+from laurelstep.engine.ports import Upstream as UpstreamPort
 from laurelstep.engine.static_members import StaticMembers
 from laurelstep.net.discovery import Discovery
 from laurelstep.net.upstream import Upstream
@@ -85,19 +85,19 @@
 ROOT = Path(__file__).parent.parent
 
 
-def caught(contract: Contract, *names: str) -> None:
-    """The contract fails, and in these tests among others."""
-    found = contract.failures()
-    assert set(names) <= set(found), f"expected {names}, found {found}"
-    # A test that fails by its own fault says nothing of the implementation.
-    wrong = {name: error for name, error in found.items() if isinstance(error, NameError | AttributeError)}
-    assert not wrong
+def assert_detected(contract: Contract, *cases: str) -> None:
+    """Check that at least these cases of the contract fail."""
+    errors = contract.failures()
+    assert set(cases) <= set(errors), f"expected failures of {cases}, got {errors}"
+    # A case that fails by an error in its own code shows nothing about the implementation.
+    invalid = {case: error for case, error in errors.items() if isinstance(error, NameError | AttributeError)}
+    assert not invalid
 
 
 # --- The contracts themselves ---------------------------------------------------------------
 
 
-def test_the_contracts_do_not_import_pytest_nor_more_than_their_side() -> None:
+def test_contracts_import_neither_pytest_nor_more_than_their_port() -> None:
     code = (
         "import sys, laurelstep.testing.contracts.clock as one, laurelstep.testing.contracts.members\n"
         "assert not {'pytest', 'google_crc32c', 'laurelstep.store', 'laurelstep.net'} & set(sys.modules)\n"
@@ -109,23 +109,20 @@
     subprocess.run([sys.executable, "-c", code], check=True, cwd=ROOT)
 
 
-def test_an_error_that_does_not_come_is_told() -> None:
-    with (
-        pytest.raises(AssertionError, match="no error was raised by a refusal"),
-        raises(OSError, "a refusal"),
-    ):
+def test_raises_fails_if_the_expected_error_is_missing() -> None:
+    with pytest.raises(AssertionError, match="no error raised by a refusal"), raises(OSError, "a refusal"):
         pass
     with pytest.raises(ValueError, match="another"), raises(OSError, "a refusal"):
         raise ValueError("another")
 
 
-class Waits(Contract):
+class ExampleContract(Contract):
     timeout_s = 0.01
 
     def new_loop(self) -> VirtualTimeLoop:
         return VirtualTimeLoop()
 
-    def test_waits(self) -> None:
+    def test_times_out(self) -> None:
         self.run(self.wait_for(asyncio.Event().wait(), "an event"))  # type: ignore[arg-type]
 
     def test_raises_in_a_callback(self) -> None:
@@ -138,30 +135,30 @@
 
         self.run(main())
 
-    def test_holds(self) -> None:
+    def test_passes(self) -> None:
         self.run(asyncio.sleep(0))
 
 
-def test_failures_tells_what_failed_and_why() -> None:
-    found = Waits().failures()
-    assert set(found) == {"test_waits", "test_raises_in_a_callback"}
-    assert str(found["test_waits"]) == "timed out waiting for an event"
-    assert isinstance(found["test_raises_in_a_callback"], ZeroDivisionError)
+def test_failures_returns_the_errors_by_test_name() -> None:
+    errors = ExampleContract().failures()
+    assert set(errors) == {"test_times_out", "test_raises_in_a_callback"}
+    assert str(errors["test_times_out"]) == "timed out waiting for an event"
+    assert isinstance(errors["test_raises_in_a_callback"], ZeroDivisionError)
 
 
 # --- Clock ------------------------------------------------------------------------------------
 
 
 @dataclass
-class Passing:
-    """A loop's clock: its time passes by itself."""
+class LoopClockHarness:
+    """A clock of the running loop, whose time passes by itself."""
 
     clock: Clock
 
     async def advance_past(self, due: int) -> None:
         loop = asyncio.get_running_loop()
-        # Behind every timer of the clock, which counts in whole milliseconds; and once more, for one that
-        # woke early and, on a busy machine, was set anew only now.
+        # Waits until after every timer of the clock, whose resolution is one millisecond; then once more, for
+        # a timer that fired early and, on a busy machine, was rearmed only now.
         for wait_s in (max(0, due - self.clock.now()) / 1e6 + 0.005, 0.005):
             passed = asyncio.Event()
             loop.call_at(loop.time() + wait_s, passed.set)
@@ -171,7 +168,7 @@
 class TestLoopClock(ClockContract):
     @contextlib.asynccontextmanager
     async def running_clock(self) -> AsyncIterator[RunningClock]:
-        yield Passing(LoopClock(asyncio.get_running_loop()))
+        yield LoopClockHarness(LoopClock(asyncio.get_running_loop()))
 
 
 class TestLoopClockOnUvloop(TestLoopClock):
@@ -179,8 +176,8 @@
         return uvloop.new_event_loop()
 
 
-class EarlyLoop(VirtualTimeLoop):
-    """Its timers come up to a millisecond early, as those of a loop that rounds may."""
+class EarlyTimerLoop(VirtualTimeLoop):
+    """Fires timers up to a millisecond early, as a loop that rounds times may."""
 
     def call_later(  # type: ignore[override]
         self, delay: float, callback: Callable[..., object], *args: Any, context: Any = None
@@ -191,50 +188,50 @@
         return 0.001
 
 
-class BusyLoop(EarlyLoop):
-    """On a machine that is busy: its turns begin late, and whoever has read the time may stand for long."""
+class BusyMachineLoop(EarlyTimerLoop):
+    """A loop on a busy machine: iterations start late, and a stall may follow each reading of the time."""
 
-    often = 0.05
-    longest_us = 20_000
+    stall_probability = 0.05
+    max_stall_us = 20_000
 
     def __init__(self, seed: int) -> None:
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         super().__init__()
 
     def advance(self, span_s: float) -> None:
         super().advance(span_s)
-        self.stand()
+        self.stall()
 
     def now(self) -> int:
-        read = super().now()
-        self.stand()
-        return read
+        now = super().now()
+        self.stall()
+        return now
 
     def early_s(self) -> float:
-        return self.draw.choice((0.0, 0.0004, 0.001))
+        return self.rng.choice((0.0, 0.0004, 0.001))
 
-    def stand(self) -> None:
-        if self.draw.random() < self.often:
-            self.now_us += self.draw.randrange(self.longest_us)
+    def stall(self) -> None:
+        if self.rng.random() < self.stall_probability:
+            self.now_us += self.rng.randrange(self.max_stall_us)
 
 
-class TestLoopClockWokenEarly(TestLoopClock):
+class TestLoopClockWithEarlyTimers(TestLoopClock):
     seed: ClassVar[int | None] = None
 
     def new_loop(self) -> VirtualTimeLoop:
-        return EarlyLoop() if self.seed is None else BusyLoop(self.seed)
+        return EarlyTimerLoop() if self.seed is None else BusyMachineLoop(self.seed)
 
     @contextlib.asynccontextmanager
     async def running_clock(self) -> AsyncIterator[RunningClock]:
         loop = asyncio.get_running_loop()
         assert isinstance(loop, VirtualTimeLoop)
         with mock.patch.object(time, "monotonic_ns", lambda: loop.now() * 1000):
-            yield Passing(LoopClock(loop))
+            yield LoopClockHarness(LoopClock(loop))
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_a_clock_on_a_busy_machine_holds(seed: int) -> None:
-    class Busy(TestLoopClockWokenEarly):
+def test_the_loop_clock_fulfils_the_contract_on_a_busy_machine(seed: int) -> None:
+    class Busy(TestLoopClockWithEarlyTimers):
         pass
 
     Busy.seed = seed
@@ -242,7 +239,7 @@
 
 
 @dataclass
-class Moved:
+class ManualClockHarness:
     manual: ManualClock
     clock: Clock
 
@@ -251,12 +248,12 @@
 
 
 class TestManualClock(ClockContract):
-    kind: ClassVar[type[ManualClock]] = ManualClock
+    implementation: ClassVar[type[ManualClock]] = ManualClock
 
     @contextlib.asynccontextmanager
     async def running_clock(self) -> AsyncIterator[RunningClock]:
-        one = self.kind()
-        yield Moved(one, one)
+        clock = self.implementation()
+        yield ManualClockHarness(clock, clock)
 
 
 class EarlyClock(ManualClock):
@@ -264,15 +261,15 @@
         return super().at(due - 1, callback, *args)
 
 
-class DeafClock(ManualClock):
-    """Its calls can't be cancelled."""
+class UncancellableClock(ManualClock):
+    """Ignores cancellation of its calls."""
 
     def at(self, due: int, callback: Callable[..., None], *args: Any) -> ScheduledCall:
         super().at(due, callback, *args)
         return ScheduledCall(callback, args)
 
 
-class HastyClock(ManualClock):
+class SynchronousClock(ManualClock):
     def at(self, due: int, callback: Callable[..., None], *args: Any) -> ScheduledCall:
         if due <= self.time:
             callback(*args)
@@ -280,7 +277,7 @@
         return super().at(due, callback, *args)
 
 
-class TwiceClock(ManualClock):
+class DuplicatingClock(ManualClock):
     def at(self, due: int, callback: Callable[..., None], *args: Any) -> ScheduledCall:
         handle = super().at(due, callback, *args)
         self.due.append((self.due[-1][0], self.scheduled_count + 1_000_000, handle))
@@ -293,32 +290,32 @@
         return self.time
 
 
-class MillisecondClock(ManualClock):
+class MillisecondWallClock(ManualClock):
     def wall(self) -> int:
         return super().wall() // 1000
 
 
 @pytest.mark.parametrize(
-    ("kind", "name"),
+    ("implementation", "case"),
     [
         (EarlyClock, "test_calls_run_once_and_not_before_they_are_due"),
-        (DeafClock, "test_a_cancelled_call_never_runs"),
-        (HastyClock, "test_an_overdue_call_runs_soon_but_not_inside_at"),
-        (TwiceClock, "test_calls_run_once_and_not_before_they_are_due"),
+        (UncancellableClock, "test_a_cancelled_call_never_runs"),
+        (SynchronousClock, "test_an_overdue_call_runs_soon_but_not_inside_at"),
+        (DuplicatingClock, "test_calls_run_once_and_not_before_they_are_due"),
         (BackwardClock, "test_now_never_decreases"),
-        (MillisecondClock, "test_wall_is_unix_time_in_microseconds"),
+        (MillisecondWallClock, "test_wall_is_unix_time_in_microseconds"),
     ],
 )
-def test_a_faulty_clock_is_caught(kind: type[ManualClock], name: str) -> None:
+def test_a_faulty_clock_is_detected(implementation: type[ManualClock], case: str) -> None:
     class Faulty(TestManualClock):
         timeout_s = 0.2
 
-    Faulty.kind = kind
-    caught(Faulty(), name)
+    Faulty.implementation = implementation
+    assert_detected(Faulty(), case)
 
 
 class RearmingClock:
-    """Sets a timer that woke early anew, and leaves its handle behind."""
+    """Rearms a timer that fired early, but leaves its handle on the old timer."""
 
     def __init__(self, loop: VirtualTimeLoop) -> None:
         self.loop = loop
@@ -335,37 +332,37 @@
             callback(*args)
 
 
-def test_a_clock_that_loses_the_handle_of_a_timer_set_anew_is_caught() -> None:
-    class Faulty(TestLoopClockWokenEarly):
+def test_a_clock_that_loses_the_handle_of_a_rearmed_timer_is_detected() -> None:
+    class Faulty(TestLoopClockWithEarlyTimers):
         @contextlib.asynccontextmanager
         async def running_clock(self) -> AsyncIterator[RunningClock]:
             loop = asyncio.get_running_loop()
             assert isinstance(loop, VirtualTimeLoop)
-            yield Passing(RearmingClock(loop))
+            yield LoopClockHarness(RearmingClock(loop))
 
-    caught(Faulty(), "test_a_call_cancelled_shortly_before_it_is_due_never_runs")
+    assert_detected(Faulty(), "test_a_call_cancelled_shortly_before_it_is_due_never_runs")
 
 
 # --- Disk -------------------------------------------------------------------------------------
 
 
 class TestFolderDisk(DiskContract):
-    kind: ClassVar[type[FolderDisk]] = FolderDisk
+    implementation: ClassVar[type[FolderDisk]] = FolderDisk
 
     @contextlib.contextmanager
     def empty_folder(self) -> Iterator[Callable[[], Disk]]:
         with tempfile.TemporaryDirectory() as folder:
-            yield lambda: self.kind(folder)
+            yield lambda: self.implementation(folder)
 
 
 class TestSimulatedDisk(DiskContract):
-    """Loses all that was not synced."""
+    """A power loss drops everything that was not synced."""
 
-    kind: ClassVar[type[SimulatedDisk]] = SimulatedDisk
+    implementation: ClassVar[type[SimulatedDisk]] = SimulatedDisk
 
     @contextlib.contextmanager
     def empty_folder(self) -> Iterator[Callable[[], Disk]]:
-        yield self.kind().open_again
+        yield self.implementation().open_again
 
     def after_power_loss(self, disk: Disk, opener: Callable[[], Disk]) -> Disk:
         assert isinstance(disk, SimulatedDisk)
@@ -379,51 +376,51 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_simulated_disk_that_loses_parts(seed: int) -> None:
-    draw = random.Random(seed)
+def test_a_simulated_disk_with_random_losses_fulfils_the_contract(seed: int) -> None:
+    rng = random.Random(seed)
 
-    class Parts(TestSimulatedDisk):
+    class LosesParts(TestSimulatedDisk):
         def after_power_loss(self, disk: Disk, opener: Callable[[], Disk]) -> Disk:
             assert isinstance(disk, SimulatedDisk)
-            return disk.lose_power(draw)
+            return disk.lose_power(rng)
 
-    assert Parts().failures() == {}
+    assert LosesParts().failures() == {}
 
 
-class Unsynced(SimulatedDisk):
+class IgnoresSync(SimulatedDisk):
     def sync(self, name: str) -> None: ...
 
 
-class UnsyncedFolder(SimulatedDisk):
+class IgnoresFolderSync(SimulatedDisk):
     def sync_folder(self) -> None: ...
 
 
-class UnsyncedCut(SimulatedDisk):
+class UnsyncedTruncate(SimulatedDisk):
     def truncate(self, name: str, size: int) -> None:
         data = self.read(name)[:size]
         super().create(name, data)
 
 
-class Unowned(SimulatedDisk):
+class IgnoresLock(SimulatedDisk):
     def lock(self) -> None: ...
 
 
-class Careless(SimulatedDisk):
-    """Whoever closes it unlocks it."""
+class UnlocksOnAnyClose(SimulatedDisk):
+    """Unlocks the folder also when closed by a disk that is not the owner."""
 
     def close(self) -> None:
         self.owners.clear()
 
 
-class Torn(SimulatedDisk):
+class CreatesInTwoSteps(SimulatedDisk):
     def create(self, name: str, data: bytes) -> None:
         super().create(name, data[:1])
         self.durable_names[name] = self.names[name]
         self.write(name, 0, data)
 
 
-class Strange(SimulatedDisk):
-    """Its errors are not the system's."""
+class RaisesKeyError(SimulatedDisk):
+    """Raises KeyError, not OSError, for a missing file."""
 
     def truncate(self, name: str, size: int) -> None:
         if name not in self.names:
@@ -431,35 +428,35 @@
         super().truncate(name, size)
 
 
-class Appending(SimulatedDisk):
+class WritesAtTheEnd(SimulatedDisk):
     def write(self, name: str, offset: int, data: bytes) -> None:
         super().write(name, max(offset, self.files().get(name, 0)), data)
 
 
 @pytest.mark.parametrize(
-    ("kind", "name"),
+    ("implementation", "case"),
     [
-        (Unsynced, "test_synced_bytes_survive_power_loss"),
-        (UnsyncedFolder, "test_a_created_file_survives_power_loss_after_sync_folder"),
-        (UnsyncedFolder, "test_a_rename_and_a_deletion_survive_power_loss_after_sync_folder"),
-        (UnsyncedCut, "test_a_truncation_survives_power_loss"),
-        (Unowned, "test_a_second_owner_is_refused_until_the_first_has_closed"),
-        (Careless, "test_a_second_owner_is_refused_until_the_first_has_closed"),
-        (Torn, "test_a_created_file_is_complete_or_missing_after_power_loss"),
-        (Strange, "test_calls_on_a_missing_file_raise_os_error"),
-        (Appending, "test_write_replaces_bytes_at_its_offset"),
+        (IgnoresSync, "test_synced_bytes_survive_power_loss"),
+        (IgnoresFolderSync, "test_a_created_file_survives_power_loss_after_sync_folder"),
+        (IgnoresFolderSync, "test_a_rename_and_a_deletion_survive_power_loss_after_sync_folder"),
+        (UnsyncedTruncate, "test_a_truncation_survives_power_loss"),
+        (IgnoresLock, "test_a_second_owner_is_refused_until_the_first_has_closed"),
+        (UnlocksOnAnyClose, "test_a_second_owner_is_refused_until_the_first_has_closed"),
+        (CreatesInTwoSteps, "test_a_created_file_is_complete_or_missing_after_power_loss"),
+        (RaisesKeyError, "test_calls_on_a_missing_file_raise_os_error"),
+        (WritesAtTheEnd, "test_write_replaces_bytes_at_its_offset"),
     ],
 )
-def test_a_faulty_disk_is_caught(kind: type[SimulatedDisk], name: str) -> None:
+def test_a_faulty_disk_is_detected(implementation: type[SimulatedDisk], case: str) -> None:
     class Faulty(TestSimulatedDisk):
         pass
 
-    Faulty.kind = kind
-    caught(Faulty(), name)
+    Faulty.implementation = implementation
+    assert_detected(Faulty(), case)
 
 
-class Stale(FolderDisk):
-    """Reads a file that was renamed away, or deleted, by its old descriptor."""
+class KeepsStaleDescriptors(FolderDisk):
+    """Reads a renamed or deleted file by its old descriptor."""
 
     def _close_file(self, name: str) -> None: ...
 
@@ -469,11 +466,11 @@
         super().close()
 
 
-def test_a_disk_with_stale_descriptors_is_caught() -> None:
+def test_a_disk_with_stale_descriptors_is_detected() -> None:
     class Faulty(TestFolderDisk):
-        kind = Stale
+        implementation = KeepsStaleDescriptors
 
-    caught(
+    assert_detected(
         Faulty(),
         "test_rename_replaces_the_file_of_the_new_name",
         "test_a_deleted_file_is_missing_and_can_be_created_again",
@@ -483,58 +480,58 @@
 # --- Upstream -----------------------------------------------------------------------------------
 
 
-class Beyonds:
-    """Two endpoints on loopback."""
+class LoopbackEnvironment:
+    """The upstream, with two endpoints on loopback."""
 
     def __init__(self, upstream: Upstream, clock: LoopClock) -> None:
-        self.upstream: UpstreamSide = upstream
+        self.upstream: UpstreamPort = upstream
         self.clock = clock
         self.closed = asyncio.Semaphore(0)
-        self.reached = asyncio.Event()
-        self.runs: dict[str, list[bytes]] = {}
+        self.request_held = asyncio.Event()
+        self.executed_requests: dict[str, list[bytes]] = {}
         self.endpoints = [Endpoint(closed=self.closed) for _ in range(2)]
         self.addresses = ("", "")
         self.closed_address = f"127.0.0.1:{free_port()}"
-        self.way = EndpointBehaviour.SERVE
+        self.behaviour = EndpointBehaviour.SERVE
 
-    async def begin(self, stack: contextlib.AsyncExitStack) -> None:
-        for one in self.endpoints:
-            await stack.enter_async_context(one)
-            one.handler = self.handler
-        first, second = (f"127.0.0.1:{one.port}" for one in self.endpoints)
+    async def start(self, stack: contextlib.AsyncExitStack) -> None:
+        for endpoint in self.endpoints:
+            await stack.enter_async_context(endpoint)
+            endpoint.handler = self.handler
+        first, second = (f"127.0.0.1:{endpoint.port}" for endpoint in self.endpoints)
         self.addresses = (first, second)
 
     def now(self) -> int:
         return self.clock.now()
 
     def set_behaviour(self, behaviour: EndpointBehaviour) -> None:
-        self.way = behaviour
+        self.behaviour = behaviour
 
     async def handler(self, endpoint: Endpoint, message: Message, writer: Writer) -> None:
-        way = self.way
-        if way not in (EndpointBehaviour.REJECT, EndpointBehaviour.FAIL):
-            name = message.headers["x-request-id"].encode()
-            self.runs.setdefault(f"127.0.0.1:{endpoint.port}", []).append(name)
-        if way is EndpointBehaviour.SERVE:
+        behaviour = self.behaviour
+        if behaviour not in (EndpointBehaviour.REJECT, EndpointBehaviour.FAIL):
+            request_id = message.headers["x-request-id"].encode()
+            self.executed_requests.setdefault(f"127.0.0.1:{endpoint.port}", []).append(request_id)
+        if behaviour is EndpointBehaviour.SERVE:
             writer.write(answer(200, b"ok"))
-        elif way is EndpointBehaviour.REJECT:
+        elif behaviour is EndpointBehaviour.REJECT:
             writer.write(answer(503, headers="X-Not-Run: 1\r\n"))
-        elif way is EndpointBehaviour.FAIL:
+        elif behaviour is EndpointBehaviour.FAIL:
             writer.write(answer(500))
-        elif way is EndpointBehaviour.RESET:
+        elif behaviour is EndpointBehaviour.RESET:
             reset_connection(writer)
         else:
-            self.reached.set()
+            self.request_held.set()
 
     async def wait_sent(self) -> None:
-        if self.way is EndpointBehaviour.HOLD:
-            await self.reached.wait()
+        if self.behaviour is EndpointBehaviour.HOLD:
+            await self.request_held.wait()
 
     async def wait_cancel_noticed(self) -> None:
         await self.closed.acquire()
 
     def executed(self, address: str) -> list[bytes]:
-        return self.runs.get(address, [])
+        return self.executed_requests.get(address, [])
 
 
 class TestUpstream(UpstreamContract):
@@ -544,10 +541,10 @@
         clock = LoopClock(loop)
         upstream = Upstream(loop, clock.now, 0, 0, 64)
         async with contextlib.AsyncExitStack() as stack:
-            one = Beyonds(upstream, clock)
-            await one.begin(stack)
+            environment = LoopbackEnvironment(upstream, clock)
+            await environment.start(stack)
             try:
-                yield one
+                yield environment
             finally:
                 upstream.close()
                 await upstream.wait_closed()
@@ -558,68 +555,70 @@
         return uvloop.new_event_loop()
 
 
-class Played:
-    """The fake, with a test's hand on it."""
+class FakeUpstreamEnvironment:
+    """The fake upstream. `wait_sent` ends its attempts according to the behaviour."""
 
     addresses = ("127.0.0.1:1001", "127.0.0.1:1002")
     closed_address = "127.0.0.1:1003"
 
-    def __init__(self, upstream: FakeUpstream, places: dict[int, str]) -> None:
-        self.played = upstream
-        self.upstream: UpstreamSide = upstream
-        self.places = places
-        self.way = EndpointBehaviour.SERVE
+    def __init__(self, upstream: FakeUpstream, address_by_endpoint: dict[int, str]) -> None:
+        self.fake = upstream
+        self.upstream: UpstreamPort = upstream
+        self.address_by_endpoint = address_by_endpoint
+        self.behaviour = EndpointBehaviour.SERVE
         self.held: list[Attempt] = []
-        self.runs: dict[str, list[bytes]] = {}
+        self.executed_requests: dict[str, list[bytes]] = {}
 
     def now(self) -> int:
-        return self.played.clock.now()
+        return self.fake.clock.now()
 
     def set_behaviour(self, behaviour: EndpointBehaviour) -> None:
-        self.way = behaviour
+        self.behaviour = behaviour
 
     async def wait_sent(self) -> None:
-        for sent in list(self.played.in_flight.values()):
-            address = self.places[sent.attempt.endpoint]
+        for sent in list(self.fake.in_flight.values()):
+            address = self.address_by_endpoint[sent.attempt.endpoint]
             if address == self.closed_address:
-                self.played.answer(sent, NO_CONNECT)
+                self.fake.answer(sent, NO_CONNECT)
                 continue
-            self.played.write(sent, runs=self.way not in (EndpointBehaviour.REJECT, EndpointBehaviour.FAIL))
-            if sent.attempt not in self.played.in_flight:
+            self.fake.write(
+                sent, runs=self.behaviour not in (EndpointBehaviour.REJECT, EndpointBehaviour.FAIL)
+            )
+            if sent.attempt not in self.fake.in_flight:
                 continue
             if sent.has_run:
-                self.runs.setdefault(address, []).append(sent.attempt.call.client_request_id)
-            if self.way is EndpointBehaviour.HOLD:
+                self.executed_requests.setdefault(address, []).append(sent.attempt.call.client_request_id)
+            if self.behaviour is EndpointBehaviour.HOLD:
                 self.held.append(sent.attempt)
             else:
-                told = {
+                outcomes = {
                     EndpointBehaviour.SERVE: OK,
                     EndpointBehaviour.REJECT: FULL,
                     EndpointBehaviour.FAIL: ERROR,
                     EndpointBehaviour.RESET: RESET,
                 }
-                self.played.answer(sent, told[self.way])
+                self.fake.answer(sent, outcomes[self.behaviour])
 
     async def wait_cancel_noticed(self) -> None:
-        assert not [one for one in self.held if one in self.played.in_flight]
+        assert not [attempt for attempt in self.held if attempt in self.fake.in_flight]
 
     def executed(self, address: str) -> list[bytes]:
-        return self.runs.get(address, [])
+        return self.executed_requests.get(address, [])
 
 
-class TestPlayedUpstream(UpstreamContract):
-    kind: ClassVar[type[FakeUpstream]] = FakeUpstream
+class TestFakeUpstream(UpstreamContract):
+    implementation: ClassVar[type[FakeUpstream]] = FakeUpstream
 
     @contextlib.asynccontextmanager
     async def environment(self) -> AsyncIterator[UpstreamEnvironment]:
-        places: dict[int, str] = {}
+        address_by_endpoint: dict[int, str] = {}
 
-        class Placed(self.kind):  # type: ignore[misc, name-defined]
+        class AddressRecordingUpstream(self.implementation):  # type: ignore[misc, name-defined]
             def set_address(self, endpoint: int, address: str) -> None:
                 super().set_address(endpoint, address)
-                places[endpoint] = address
+                address_by_endpoint[endpoint] = address
 
-        yield Played(Placed(ManualClock()), places)
+        yield FakeUpstreamEnvironment(AddressRecordingUpstream(ManualClock()), address_by_endpoint)
 
 
 class EndsTwice(FakeUpstream):
@@ -628,28 +627,28 @@
         sent.attempt.end(outcome)
 
 
-class NeverAsks(FakeUpstream):
+class SkipsMayStart(FakeUpstream):
     def write(self, sent: SentAttempt, runs: bool) -> None:
         sent.is_written, sent.has_run = True, runs
         sent.attempt.on_written()
 
 
-class Tells(FakeUpstream):
-    """Of what was cancelled, too."""
+class ReportsCancelled(FakeUpstream):
+    """Reports an outcome also for a cancelled attempt."""
 
     def cancel(self, attempt: Attempt) -> None:
         super().cancel(attempt)
         attempt.end(RESET)
 
 
-class Clings(FakeUpstream):
-    """Cancelled, it goes on."""
+class IgnoresCancel(FakeUpstream):
+    """Continues a cancelled attempt."""
 
     def cancel(self, attempt: Attempt) -> None: ...
 
 
-class Repeats(FakeUpstream):
-    """A connection that dies is tried again."""
+class Resends(FakeUpstream):
+    """Sends an attempt again after a reset."""
 
     def answer(self, sent: SentAttempt, outcome: int) -> None:
         if outcome == RESET:
@@ -658,8 +657,8 @@
         super().answer(sent, outcome)
 
 
-class Excuses(FakeUpstream):
-    """What died after it was written was never connected, it says."""
+class ReportsResetAsNoConnect(FakeUpstream):
+    """Reports a reset after the attempt was written as NO_CONNECT."""
 
     def answer(self, sent: SentAttempt, outcome: int) -> None:
         if outcome == RESET:
@@ -669,49 +668,49 @@
             super().answer(sent, outcome)
 
 
-class Anywhere(FakeUpstream):
-    """Sends to a place that was removed."""
+class IgnoresRemove(FakeUpstream):
+    """Sends to an endpoint that was removed."""
 
     def remove(self, endpoint: int) -> None: ...
 
 
 @pytest.mark.parametrize(
-    ("kind", "name"),
+    ("implementation", "case"),
     [
         (EndsTwice, "test_a_served_attempt_ends_with_its_answer"),
-        (NeverAsks, "test_an_attempt_that_may_not_start_is_not_sent"),
-        (Tells, "test_a_cancelled_attempt_has_no_outcome_and_the_endpoint_notices"),
-        (Clings, "test_a_cancelled_attempt_has_no_outcome_and_the_endpoint_notices"),
-        (Repeats, "test_each_failure_has_its_outcome_and_is_sent_once"),
-        (Excuses, "test_each_failure_has_its_outcome_and_is_sent_once"),
-        (Anywhere, "test_an_endpoint_without_an_address_ends_as_no_connect"),
+        (SkipsMayStart, "test_an_attempt_that_may_not_start_is_not_sent"),
+        (ReportsCancelled, "test_a_cancelled_attempt_has_no_outcome_and_the_endpoint_notices"),
+        (IgnoresCancel, "test_a_cancelled_attempt_has_no_outcome_and_the_endpoint_notices"),
+        (Resends, "test_each_failure_has_its_outcome_and_is_sent_once"),
+        (ReportsResetAsNoConnect, "test_each_failure_has_its_outcome_and_is_sent_once"),
+        (IgnoresRemove, "test_an_endpoint_without_an_address_ends_as_no_connect"),
     ],
 )
-def test_a_faulty_upstream_is_caught(kind: type[FakeUpstream], name: str) -> None:
-    class Faulty(TestPlayedUpstream):
+def test_a_faulty_upstream_is_detected(implementation: type[FakeUpstream], case: str) -> None:
+    class Faulty(TestFakeUpstream):
         timeout_s = 0.2
 
-    Faulty.kind = kind
-    caught(Faulty(), name)
+    Faulty.implementation = implementation
+    assert_detected(Faulty(), case)
 
 
-def test_an_upstream_that_keeps_connections_to_a_place_set_anew_is_caught() -> None:
+def test_an_upstream_that_ignores_a_new_address_is_detected() -> None:
     class Faulty(TestUpstream):
         @contextlib.asynccontextmanager
         async def environment(self) -> AsyncIterator[UpstreamEnvironment]:
-            async with super().environment() as stage:
-                stage.upstream = KeepsFirst(stage.upstream)
-                yield stage
+            async with super().environment() as environment:
+                environment.upstream = KeepsFirstAddress(environment.upstream)
+                yield environment
 
-    caught(Faulty(), "test_a_moved_endpoint_gets_nothing_at_its_old_address")
+    assert_detected(Faulty(), "test_a_moved_endpoint_gets_nothing_at_its_old_address")
 
 
-class KeepsFirst:
-    """An upstream for which a place is where it was first told to be."""
+class KeepsFirstAddress:
+    """Wraps an upstream, and passes on only the first address of each endpoint."""
 
-    def __init__(self, real: UpstreamSide) -> None:
+    def __init__(self, real: UpstreamPort) -> None:
         self.real = real
-        self.known: set[int] = set()
+        self.placed: set[int] = set()
         self.remove, self.close_idle = real.remove, real.close_idle
         self.send, self.cancel = real.send, real.cancel
 
@@ -720,8 +719,8 @@
         return self.real.idle_us
 
     def set_address(self, endpoint: int, address: str) -> None:
-        if endpoint not in self.known:
-            self.known.add(endpoint)
+        if endpoint not in self.placed:
+            self.placed.add(endpoint)
             self.real.set_address(endpoint, address)
 
 
@@ -729,162 +728,162 @@
 
 
 def merged(entries: Entries, changes: Entries) -> Entries:
-    return list({one["instanceId"]: one for one in (*entries, *changes)}.values())
+    return list({entry["instanceId"]: entry for entry in (*entries, *changes)}.values())
 
 
 class StaticEnvironment:
-    def __init__(self, given: StaticMembers) -> None:
-        self.given = given
-        self.source: MemberSource = given
+    def __init__(self, members: StaticMembers) -> None:
+        self.members = members
+        self.source: MemberSource = members
         self.entries: Entries = []
 
-    async def set_list(self, version: int, entries: Entries) -> None:
-        with contextlib.suppress(ValueError):  # refused: the one who gave it hears so
-            self.given.replace_list(entries)
+    async def set_list(self, generation: int, entries: Entries) -> None:
+        with contextlib.suppress(ValueError):  # refused: `replace_list` raises the sink's error
+            self.members.replace_list(entries)
             self.entries = entries
 
-    async def change_entries(self, version: int, entries: Entries) -> None:
-        await self.set_list(version, merged(self.entries, entries))
+    async def change_entries(self, generation: int, entries: Entries) -> None:
+        await self.set_list(generation, merged(self.entries, entries))
 
 
-class TestGivenMembers(MemberSourceContract):
-    kind: ClassVar[type[StaticMembers]] = StaticMembers
+class TestStaticMembers(MemberSourceContract):
+    implementation: ClassVar[type[StaticMembers]] = StaticMembers
 
     @contextlib.asynccontextmanager
     async def environment(self) -> AsyncIterator[SourceEnvironment]:
-        given = self.kind()
-        yield StaticEnvironment(given)
-        given.close()
+        members = self.implementation()
+        yield StaticEnvironment(members)
+        members.close()
 
 
 @dataclass(eq=False)
-class Lists(Listener):
-    """Discovery itself: the list, its watches, and answers to questions."""
+class ListServer(Listener):
+    """The server of discovery: a list, its watches, and answers to requests."""
 
-    version: int = 0
+    generation: int = 0
     entries: Entries = field(default_factory=list)
-    broken: bool = False
+    is_failing: bool = False
     watches: set[Writer] = field(default_factory=set)
-    happened: asyncio.Event = field(default_factory=asyncio.Event)
+    changed: asyncio.Event = field(default_factory=asyncio.Event)
 
-    async def news(self) -> None:
-        """A watch has begun, or an answer has ended."""
-        self.happened.clear()
-        await self.happened.wait()
+    async def wait_changed(self) -> None:
+        """Wait until a watch has started, or an answer has ended."""
+        self.changed.clear()
+        await self.changed.wait()
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             message = await read_message(reader)
-            if not self.broken:
+            if not self.is_failing:
                 watch = "watch=1" in message.start_line
                 await self._answer(reader, writer, watch)
         self.watches.discard(writer)
         writer.close()
-        self.happened.set()
+        self.changed.set()
 
     async def _answer(self, reader: Reader, writer: Writer, watch: bool) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        push(writer, self.version, True, *self.entries)
+        push(writer, self.generation, True, *self.entries)
         if watch:
             self.watches.add(writer)
-            self.happened.set()
+            self.changed.set()
         else:
             writer.write(b"0\r\n\r\n")
         await reader.read()
 
-    def tell(self, whole: bool, entries: Entries) -> None:
+    def push_to_watches(self, is_full: bool, entries: Entries) -> None:
         for writer in self.watches:
-            push(writer, self.version, whole, *entries)
+            push(writer, self.generation, is_full, *entries)
 
 
 class DiscoveryEnvironment:
-    def __init__(self, discovery: Discovery, lists: Lists) -> None:
+    def __init__(self, discovery: Discovery, server: ListServer) -> None:
         self.discovery = discovery
         self.source: MemberSource = discovery
-        self.lists = lists
-
-    async def _quiet(self) -> None:
-        """What was asked has been answered, and who watches is there."""
-        while any(not one.watch for one in self.discovery.streams):
-            await self.lists.news()
-        while (watch := self.discovery.stream) is not None and not watch.is_closed and not self.lists.watches:
-            await self.lists.news()
-
-    async def set_list(self, version: int, entries: Entries) -> None:
-        await self._quiet()
-        self.lists.version, self.lists.entries = version, entries
-        self.lists.tell(True, entries)
-
-    async def change_entries(self, version: int, entries: Entries) -> None:
-        await self._quiet()
-        self.lists.version, self.lists.entries = version, merged(self.lists.entries, entries)
-        self.lists.tell(False, entries)
+        self.server = server
+
+    async def _wait_idle(self) -> None:
+        """Wait until all requests are answered, and the watch, if there is one, has arrived."""
+        while any(not stream.watch for stream in self.discovery.streams):
+            await self.server.wait_changed()
+        while (
+            (watch := self.discovery.stream) is not None and not watch.is_closed and not self.server.watches
+        ):
+            await self.server.wait_changed()
+
+    async def set_list(self, generation: int, entries: Entries) -> None:
+        await self._wait_idle()
+        self.server.generation, self.server.entries = generation, entries
+        self.server.push_to_watches(True, entries)
+
+    async def change_entries(self, generation: int, entries: Entries) -> None:
+        await self._wait_idle()
+        self.server.generation, self.server.entries = generation, merged(self.server.entries, entries)
+        self.server.push_to_watches(False, entries)
 
     def stop_answering(self) -> None:
-        self.lists.broken = True
+        self.server.is_failing = True
 
     def resume_answering(self) -> None:
-        self.lists.broken = False
+        self.server.is_failing = False
 
 
 class DiscoveryMixin:
-    pushed: ClassVar[bool]
+    is_pushed: ClassVar[bool]
 
     @contextlib.asynccontextmanager
     async def environment(self) -> AsyncIterator[FaultySourceEnvironment]:
-        lists = Lists()
-        server = await lists.start()
+        server = ListServer()
+        asyncio_server = await server.start()
         loop = asyncio.get_running_loop()
-        source = Discovery(loop, f"127.0.0.1:{lists.port}", "/registry", self.pushed, lambda line: None)
+        source = Discovery(loop, f"127.0.0.1:{server.port}", "/registry", self.is_pushed, lambda line: None)
         try:
-            yield DiscoveryEnvironment(source, lists)
+            yield DiscoveryEnvironment(source, server)
         finally:
             source.close()
             for stream in list(source.streams):
                 stream.stop()
             await source.wait_closed()
-            server.close()
+            asyncio_server.close()
 
 
 class TestPushedDiscovery(DiscoveryMixin, MemberSourceContract):
-    pushed = True
+    is_pushed = True
 
 
-class TestAskedDiscovery(DiscoveryMixin, PolledSourceContract):
-    pushed = False
+class TestPolledDiscovery(DiscoveryMixin, PolledSourceContract):
+    is_pushed = False
 
 
-class TestAskedDiscoveryOnUvloop(TestAskedDiscovery):
+class TestPolledDiscoveryOnUvloop(TestPolledDiscovery):
     def new_loop(self) -> asyncio.AbstractEventLoop:
         return uvloop.new_event_loop()
 
 
-class TellsAtStart(StaticMembers):
+class SendsAtStart(StaticMembers):
     def start(self, sink: MemberSink, generation: int) -> None:
         super().start(sink, generation)
         self.fetch()
 
 
-class TellsChangesOnly(StaticMembers):
+class IgnoresFetch(StaticMembers):
     def fetch(self) -> None: ...
 
 
-class LosesTheLast(StaticMembers):
+class DropsTheLastEntry(StaticMembers):
     def fetch(self) -> None:
         if self.sink is not None:
             self.sink.on_list(self.generation, True, self.entries[:-1])
 
 
-class Ages(StaticMembers):
-    """Its versions fall."""
-
+class DecreasesTheGeneration(StaticMembers):
     def replace_list(self, entries: Sequence[Any]) -> None:
         self.generation -= 2
         super().replace_list(entries)
 
 
-class Sulks(StaticMembers):
-    """Refused once, it says no more."""
+class StopsAfterARefusal(StaticMembers):
+    """Sends no more lists after one was refused."""
 
     def replace_list(self, entries: Sequence[Any]) -> None:
         try:
@@ -894,89 +893,91 @@
             raise
 
 
-class Rewords(StaticMembers):
+class AltersEntries(StaticMembers):
     def replace_list(self, entries: Sequence[Any]) -> None:
-        super().replace_list([{**one, "weight": 1.0} for one in entries])
+        super().replace_list([{**entry, "weight": 1.0} for entry in entries])
 
 
 @pytest.mark.parametrize(
-    ("kind", "name"),
+    ("implementation", "case"),
     [
-        (TellsAtStart, "test_the_current_list_arrives_complete"),
-        (TellsChangesOnly, "test_each_fetch_delivers_the_current_list"),
-        (LosesTheLast, "test_the_current_list_arrives_complete"),
-        (Ages, "test_changes_arrive_while_the_source_is_watched"),
-        (Sulks, "test_a_refused_list_does_not_affect_later_lists"),
-        (Rewords, "test_the_current_list_arrives_complete"),
+        (SendsAtStart, "test_the_current_list_arrives_complete"),
+        (IgnoresFetch, "test_each_fetch_delivers_the_current_list"),
+        (DropsTheLastEntry, "test_the_current_list_arrives_complete"),
+        (DecreasesTheGeneration, "test_changes_arrive_while_the_source_is_watched"),
+        (StopsAfterARefusal, "test_a_refused_list_does_not_affect_later_lists"),
+        (AltersEntries, "test_the_current_list_arrives_complete"),
     ],
 )
-def test_a_faulty_source_is_caught(kind: type[StaticMembers], name: str) -> None:
-    class Faulty(TestGivenMembers):
+def test_a_faulty_source_is_detected(implementation: type[StaticMembers], case: str) -> None:
+    class Faulty(TestStaticMembers):
         timeout_s = 0.1
 
-    Faulty.kind = kind
-    caught(Faulty(), name)
+    Faulty.implementation = implementation
+    assert_detected(Faulty(), case)
 
 
-class Overtaking(Discovery):
-    """Reads on while a long list is applied."""
+class OvertakesLongLists(Discovery):
+    """Passes on further lists while a long one is being applied."""
 
-    def on_object(self, raw: bytearray, stream: Any, told_at: int | None) -> None:
-        super().on_object(raw, stream, told_at)
+    def on_object(self, raw: bytearray, stream: Any, received_at: int | None) -> None:
+        super().on_object(raw, stream, received_at)
         self.is_applying_list = False
 
 
-class Silent(Discovery):
-    """Doesn't say that a list did not come."""
+class IgnoresLostStreams(Discovery):
+    """Does not report that a list did not arrive."""
 
     def on_stream_lost(self, stream: Any, is_stalled: bool) -> None: ...
 
 
 @pytest.mark.parametrize(
-    ("kind", "name"),
+    ("implementation", "case"),
     [
-        (Overtaking, "test_a_long_list_arrives_complete_and_before_later_changes"),
-        (Silent, "test_each_failed_fetch_is_reported_once"),
+        (OvertakesLongLists, "test_a_long_list_arrives_complete_and_before_later_changes"),
+        (IgnoresLostStreams, "test_each_failed_fetch_is_reported_once"),
     ],
 )
-def test_a_faulty_discovery_is_caught(
-    kind: type[Discovery], name: str, monkeypatch: pytest.MonkeyPatch
+def test_a_faulty_discovery_is_detected(
+    implementation: type[Discovery], case: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    class Faulty(TestAskedDiscovery):
+    class Faulty(TestPolledDiscovery):
         timeout_s = 0.3
 
-    monkeypatch.setitem(globals(), "Discovery", kind)
-    caught(Faulty(), name)
+    monkeypatch.setitem(globals(), "Discovery", implementation)
+    assert_detected(Faulty(), case)
 
 
 # --- Recorder -----------------------------------------------------------------------------------
 
-ORDER = JournalClass(header=b"x-order-id", retention_ms=60_000)
+ORDER_CLASS = JournalClass(header=b"x-order-id", retention_ms=60_000)
 
 
-def broken() -> OSError:
-    """Anew each time: one that was raised holds what it came through."""
+def io_error() -> OSError:
+    """Create a new error for each use: a raised error keeps references to the frames that it passed."""
     return OSError(errno.EIO, "Input/output error")
 
 
-class Nobody:
+class IgnoringFrontend:
     def on_answer(self, call: Call, answer: Answer) -> None: ...
 
 
 class JournalIncarnations:
-    """A journal on a disk in memory."""
+    """A request journal on a simulated disk."""
 
-    def __init__(self, kind: type[RequestJournal], unavailable: Any) -> None:
-        self.kind = kind
-        self.settings = JournalSettings("", {"pay": ORDER}, unavailable)
+    def __init__(self, implementation: type[RequestJournal], unavailable: Any) -> None:
+        self.implementation = implementation
+        self.settings = JournalSettings("", {"pay": ORDER_CLASS}, unavailable)
         self.disk = SimulatedDisk()
-        self.names = itertools.count()
-        self.own: RequestJournal
+        self.call_numbers = itertools.count()
+        self.journal: RequestJournal
         self.recorder: Recorder
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         store = await Store.open(self.disk, StoreOptions())
-        self.recorder = self.own = self.kind(store, self.settings, {"pay": 2}, lambda line: None)
+        self.recorder = self.journal = self.implementation(
+            store, self.settings, {"pay": 2}, lambda line: None
+        )
 
     def recorded_call(self, order: str) -> Call:
         return self._call(order.encode())
@@ -985,43 +986,43 @@
         return self._call(b"")
 
     def _call(self, order: bytes) -> Call:
-        name = b"%d" % next(self.names)
-        return Call(2, 1 << 60, b"POST /pay", b"", b"sum", Nobody(), name, order_id=order)
+        request_id = b"%d" % next(self.call_numbers)
+        return Call(2, 1 << 60, b"POST /pay", b"", b"sum", IgnoringFrontend(), request_id, order_id=order)
 
     async def restart(self) -> None:
-        await self.own.close()
-        await self.begin()
+        await self.journal.close()
+        await self.start()
 
     def fail_writes(self) -> None:
         for operation in ("create", "write", "sync"):
-            self.disk.fail(operation, *(broken() for _ in range(1_000)))
+            self.disk.fail(operation, *(io_error() for _ in range(1_000)))
 
 
 class TestRequestJournal(RecorderContract):
     unavailable: ClassVar[str] = "fail"
-    kind: ClassVar[type[RequestJournal]] = RequestJournal
+    implementation: ClassVar[type[RequestJournal]] = RequestJournal
 
     @contextlib.asynccontextmanager
     async def incarnations(self) -> AsyncIterator[RecorderIncarnations]:
-        one = JournalIncarnations(self.kind, self.unavailable)
-        await one.begin()
+        harness = JournalIncarnations(self.implementation, self.unavailable)
+        await harness.start()
         try:
-            yield one
+            yield harness
         finally:
-            await one.own.close()
+            await harness.journal.close()
 
 
 class TestRequestJournalThatPasses(TestRequestJournal):
     unavailable = "pass"
 
 
-class TakesAll(RequestJournal):
+class TakesAllCalls(RequestJournal):
     def begin(self, call: Call, engine: CallHost) -> bool:
         return super().begin(call, engine) or True
 
 
-class Admits(RequestJournal):
-    """Does not wait for the intent, nor for another request of the same order."""
+class AdmitsAtOnce(RequestJournal):
+    """Admits without waiting for the intent, or for another request of the same order."""
 
     def begin(self, call: Call, engine: CallHost) -> bool:
         if call.order_id:
@@ -1032,32 +1033,32 @@
         engine.deliver(call, answer)
 
 
-class Forgets(RequestJournal):
-    """Those that wait hear nothing."""
+class ForgetsFollowers(RequestJournal):
+    """Does not answer waiting requests of the same order."""
 
     def _settle_all(self, request: JournaledRequest, answer: Answer, engine: CallHost) -> None:
         request.followers.clear()
         super()._settle_all(request, answer, engine)
 
 
-class KeepsFailures(RequestJournal):
-    """Does not deliver what it need not keep."""
+class WithholdsFailures(RequestJournal):
+    """Does not deliver answers that need no record."""
 
     def finish(self, call: Call, answer: Answer, engine: CallHost) -> None:
         if answer.ending is not Ending.FAILED:
             super().finish(call, answer, engine)
 
 
-class Clears(RequestJournal):
-    """Deletes the record of an order that is over."""
+class DeletesFinishedOrders(RequestJournal):
+    """Deletes the record of a finished order."""
 
     async def _finish(self, request: JournaledRequest, answer: Answer, engine: CallHost) -> None:
         await super()._finish(request, answer, engine)
         await self.store.delete(request.store_key)
 
 
-class Dies(RequestJournal):
-    """Does not expect that its store fails."""
+class IgnoresStoreErrors(RequestJournal):
+    """Does not handle errors of its store."""
 
     async def _finish(self, request: JournaledRequest, answer: Answer, engine: CallHost) -> None:
         await self.store.put(request.store_key, b"", request.retention_ms)
@@ -1065,95 +1066,99 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "name"),
+    ("implementation", "case"),
     [
-        (TakesAll, "test_a_call_not_taken_is_neither_admitted_nor_settled"),
-        (Admits, "test_one_call_of_an_order_at_a_time_is_admitted"),
-        (Admits, "test_an_unfinished_order_is_not_admitted_after_a_restart"),
-        (Forgets, "test_waiting_calls_are_answered_if_the_first_client_disconnects"),
-        (KeepsFailures, "test_each_ending_is_delivered"),
-        (Clears, "test_a_served_order_is_not_admitted_again"),
-        (Dies, "test_every_call_is_answered_while_writes_fail"),
+        (TakesAllCalls, "test_a_call_not_taken_is_neither_admitted_nor_settled"),
+        (AdmitsAtOnce, "test_one_call_of_an_order_at_a_time_is_admitted"),
+        (AdmitsAtOnce, "test_an_unfinished_order_is_not_admitted_after_a_restart"),
+        (ForgetsFollowers, "test_waiting_calls_are_answered_if_the_first_client_disconnects"),
+        (WithholdsFailures, "test_each_ending_is_delivered"),
+        (DeletesFinishedOrders, "test_a_served_order_is_not_admitted_again"),
+        (IgnoresStoreErrors, "test_every_call_is_answered_while_writes_fail"),
     ],
 )
-def test_a_faulty_recorder_is_caught(kind: type[RequestJournal], name: str) -> None:
+def test_a_faulty_recorder_is_detected(implementation: type[RequestJournal], case: str) -> None:
     class Faulty(TestRequestJournal):
         timeout_s = 0.2
 
-    Faulty.kind = kind
-    caught(Faulty(), name)
+    Faulty.implementation = implementation
+    assert_detected(Faulty(), case)
 
 
 # --- Link ---------------------------------------------------------------------------------------
 
 
-class InMemory:
-    def __init__(self, kind: type[MemoryLink]) -> None:
+class MemoryLinks:
+    def __init__(self, implementation: type[MemoryLink]) -> None:
         self.clock = ManualClock()
         self.network = MemoryNetwork(self.clock, 3)
-        self.kind = kind
+        self.implementation = implementation
         self.links: Sequence[Link] = [self.restart(n) for n in range(3)]
 
     def restart(self, number: int) -> Link:
-        return self.kind(self.network, number)
+        return self.implementation(self.network, number)
 
     async def wait_delivery(self) -> None:
         self.clock.advance(LATENCY_US)
 
 
 class TestMemoryLink(LinkContract):
-    kind: ClassVar[type[MemoryLink]] = MemoryLink
+    implementation: ClassVar[type[MemoryLink]] = MemoryLink
 
     @contextlib.asynccontextmanager
     async def connected_links(self) -> AsyncIterator[ConnectedLinks]:
-        yield InMemory(self.kind)
+        yield MemoryLinks(self.implementation)
 
 
-class OnSockets:
-    """Carries by itself."""
+class SocketLinks:
+    """Links on sockets of the system, which deliver by themselves."""
 
-    def __init__(self, make: Callable[[int], SocketLink], stranger: socket.socket, places: list[Any]) -> None:
-        self.make = make
-        self.places = places
-        self.stranger = stranger
-        self.made: list[SocketLink] = []
+    def __init__(
+        self, create_link: Callable[[int], SocketLink], unlisted: socket.socket, addresses: list[Any]
+    ) -> None:
+        self.create_link = create_link
+        self.addresses = addresses
+        self.unlisted = unlisted
+        self.created: list[SocketLink] = []
         self.links: Sequence[Link] = [self.restart(n) for n in range(3)]
 
     def restart(self, number: int) -> Link:
-        self.made.append(self.make(number))
-        return self.made[-1]
+        self.created.append(self.create_link(number))
+        return self.created[-1]
 
     async def wait_delivery(self) -> None:
-        # To a loopback socket a datagram has come when it was sent; the loop reads it in its next turn,
-        # at most so many at once.
+        # A datagram has reached a loopback socket once it is sent. The loop reads it in a later iteration, a
+        # limited number of datagrams in each.
         for _ in range(20):
             await asyncio.sleep(0)
 
     def send_from_unlisted_address(self, number: int, data: bytes) -> None:
-        self.stranger.sendto(data, self.places[number])
+        self.unlisted.sendto(data, self.addresses[number])
 
     def close(self) -> None:
-        for link in self.made:
+        for link in self.created:
             link.close()
-        self.stranger.close()
+        self.unlisted.close()
 
 
 def free_addresses(count: int) -> list[tuple[str, int]]:
-    """UDP addresses that nobody has now."""
+    """Return UDP addresses that are not in use."""
     return [("127.0.0.1", free_udp_port()) for _ in range(count)]
 
 
 class TestUdpLink(ReachableLinkContract):
-    kind: ClassVar[type[UdpLink]] = UdpLink
+    implementation: ClassVar[type[UdpLink]] = UdpLink
 
     @contextlib.asynccontextmanager
     async def connected_links(self) -> AsyncIterator[ExposedLinks]:
         loop, addresses = asyncio.get_running_loop(), free_addresses(3)
-        stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        stranger.bind(("127.0.0.1", 0))
-        one = OnSockets(lambda me: self.kind(loop, addresses[me], addresses, me), stranger, addresses)
-        with contextlib.closing(one):
-            yield one
+        unlisted = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        unlisted.bind(("127.0.0.1", 0))
+        links = SocketLinks(
+            lambda n: self.implementation(loop, addresses[n], addresses, n), unlisted, addresses
+        )
+        with contextlib.closing(links):
+            yield links
 
 
 class TestUdpLinkOnUvloop(TestUdpLink):
@@ -1165,38 +1170,40 @@
     @contextlib.asynccontextmanager
     async def connected_links(self) -> AsyncIterator[ExposedLinks]:
         loop = asyncio.get_running_loop()
-        stranger = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
+        unlisted = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         with tempfile.TemporaryDirectory() as folder:
             paths = [f"{folder}/{n}" for n in range(3)]
-            with contextlib.closing(OnSockets(lambda me: UnixLink(loop, paths, me), stranger, paths)) as one:
-                yield one
+            with contextlib.closing(
+                SocketLinks(lambda n: UnixLink(loop, paths, n), unlisted, paths)
+            ) as links:
+                yield links
 
 
-class Misnaming(MemoryLink):
+class ReportsWrongSender(MemoryLink):
     def deliver(self, sender: int, data: bytes) -> None:
         super().deliver((sender + 1) % 3, data)
 
 
-class Shortening(MemoryLink):
+class TruncatesDatagrams(MemoryLink):
     def send(self, peer: int, data: bytes) -> None:
         super().send(peer, data[:200])
 
 
-class Unlimited(MemoryLink):
+class SplitsOversized(MemoryLink):
     def send(self, peer: int, data: bytes) -> None:
-        for at in range(0, len(data), MAX_DATAGRAM_BYTES):
-            super().send(peer, data[at : at + MAX_DATAGRAM_BYTES])
+        for start in range(0, len(data), MAX_DATAGRAM_BYTES):
+            super().send(peer, data[start : start + MAX_DATAGRAM_BYTES])
 
 
-class Wrapping(MemoryLink):
-    """The last one is number -1, as in a list."""
+class WrapsPeerNumbers(MemoryLink):
+    """Takes peer numbers modulo 3, so that -1 is the last peer."""
 
     def send(self, peer: int, data: bytes) -> None:
         super().send(peer % 3, data)
 
 
-class Refused(MemoryLink):
-    """Raises where nobody is there, as a connected socket does."""
+class RaisesIfNotOpen(MemoryLink):
+    """Raises if the peer is not open, as a connected socket does."""
 
     def send(self, peer: int, data: bytes) -> None:
         super().send(peer, data)
@@ -1204,8 +1211,8 @@
             raise ConnectionRefusedError
 
 
-class Full(MemoryLink):
-    """Raises where a buffer is full."""
+class RaisesIfFull(MemoryLink):
+    """Raises if the send buffer is full."""
 
     def send(self, peer: int, data: bytes) -> None:
         if self.counters["sent"] > 500:
@@ -1213,15 +1220,15 @@
         super().send(peer, data)
 
 
-class Lingering(MemoryLink):
-    """Closed, it still receives."""
+class IgnoresClose(MemoryLink):
+    """Still receives after `close`."""
 
     def close(self) -> None:
         if self.replica_id != 1:
             super().close()
 
 
-class Broadcasting(MemoryLink):
+class Broadcasts(MemoryLink):
     def send(self, peer: int, data: bytes) -> None:
         super().send(peer, data)
         for other in {0, 1, 2} - {self.replica_id, peer}:
@@ -1229,48 +1236,48 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "name"),
+    ("implementation", "case"),
     [
-        (Misnaming, "test_each_pair_exchanges_complete_datagrams"),
-        (Shortening, "test_each_pair_exchanges_complete_datagrams"),
-        (Broadcasting, "test_each_pair_exchanges_complete_datagrams"),
-        (Unlimited, "test_an_oversized_datagram_or_unknown_peer_raises_and_sends_nothing"),
-        (Wrapping, "test_an_oversized_datagram_or_unknown_peer_raises_and_sends_nothing"),
-        (Refused, "test_sending_to_an_unopened_or_closed_peer_raises_nothing"),
-        (Full, "test_a_burst_may_lose_datagrams_but_raises_nothing"),
-        (Lingering, "test_after_close_nothing_is_received"),
-        (Lingering, "test_a_restarted_peer_keeps_its_number"),
+        (ReportsWrongSender, "test_each_pair_exchanges_complete_datagrams"),
+        (TruncatesDatagrams, "test_each_pair_exchanges_complete_datagrams"),
+        (Broadcasts, "test_each_pair_exchanges_complete_datagrams"),
+        (SplitsOversized, "test_an_oversized_datagram_or_unknown_peer_raises_and_sends_nothing"),
+        (WrapsPeerNumbers, "test_an_oversized_datagram_or_unknown_peer_raises_and_sends_nothing"),
+        (RaisesIfNotOpen, "test_sending_to_an_unopened_or_closed_peer_raises_nothing"),
+        (RaisesIfFull, "test_a_burst_may_lose_datagrams_but_raises_nothing"),
+        (IgnoresClose, "test_after_close_nothing_is_received"),
+        (IgnoresClose, "test_a_restarted_peer_keeps_its_number"),
     ],
 )
-def test_a_faulty_link_is_caught(kind: type[MemoryLink], name: str) -> None:
+def test_a_faulty_link_is_detected(implementation: type[MemoryLink], case: str) -> None:
     class Faulty(TestMemoryLink):
         timeout_s = 0.1
 
-    Faulty.kind = kind
-    caught(Faulty(), name)
+    Faulty.implementation = implementation
+    assert_detected(Faulty(), case)
 
 
-class Trusting(UdpLink):
-    """Whoever is not known is the first of the list."""
+class AcceptsUnlistedSenders(UdpLink):
+    """Reports an unlisted sender as the first peer of the list."""
 
     def _deliver(self, data: bytes, address: Any) -> None:
         is_listed = self._normalize(address) in self.peer_by_address
         super()._deliver(data, address if is_listed else self.peers[0])
 
 
-def test_a_link_that_trusts_strangers_is_caught() -> None:
+def test_a_link_that_accepts_unlisted_senders_is_detected() -> None:
     class Faulty(TestUdpLink):
-        kind = Trusting
+        implementation = AcceptsUnlistedSenders
 
-    caught(Faulty(), "test_datagrams_from_unlisted_senders_are_dropped")
+    assert_detected(Faulty(), "test_datagrams_from_unlisted_senders_are_dropped")
 
 
 # --- The Store of consensus ---------------------------------------------------------------------
 
 
-class Nothing:
+class NoStoreIncarnations:
     def __init__(self) -> None:
-        self.store: RecordStore = NoStore()
+        self.store: ConsensusStore = NoStore()
 
     async def restart(self) -> None:
         await self.store.close()
@@ -1283,183 +1290,183 @@
 class TestNoStore(StoreContract):
     @contextlib.asynccontextmanager
     async def incarnations(self) -> AsyncIterator[StoreIncarnations]:
-        yield Nothing()
+        yield NoStoreIncarnations()
 
 
-class OnDisk:
-    """The embedded store; each life's disk is what the one before left."""
+class EmbeddedStoreIncarnations:
+    """The embedded store. Each process has the disk that the process before left."""
 
     def __init__(self, disk: Disk) -> None:
         self.disk = disk
-        self.own: EmbeddedStore
-        self.store: RecordStore
+        self.embedded: EmbeddedStore
+        self.store: ConsensusStore
 
-    async def begin(self) -> None:
-        self.store = self.own = await EmbeddedStore.open(self.disk)
+    async def start(self) -> None:
+        self.store = self.embedded = await EmbeddedStore.open(self.disk)
 
     async def restart(self) -> None:
-        await self.own.close()
-        await self.begin()
+        await self.embedded.close()
+        await self.start()
 
     async def crash(self) -> None:
         await self.restart()
 
 
-class OnSimulatedDisk(OnDisk):
+class PowerLossIncarnations(EmbeddedStoreIncarnations):
     disk: SimulatedDisk
 
     def __init__(self, seed: int) -> None:
         super().__init__(SimulatedDisk())
-        self.first = SimulatedDisk()  # as the disk was before the calls of its journal
-        self.draw = random.Random(seed)
+        self.replayed_disk = SimulatedDisk()  # the state of `disk` before the calls in its journal
+        self.rng = random.Random(seed)
 
     async def crash(self) -> None:
-        # The calls so far, played again: the store's thread may go on with this disk.
+        # Replays the calls on a copy: the store's thread may still be using `disk`.
         for name, *args in list(self.disk.journal):
-            getattr(self.first, name)(*args)
-        self.disk = self.first.lose_power(self.draw)
-        self.first = copy.deepcopy(self.disk)
-        await self.own.close()
-        await self.begin()
+            getattr(self.replayed_disk, name)(*args)
+        self.disk = self.replayed_disk.lose_power(self.rng)
+        self.replayed_disk = copy.deepcopy(self.disk)
+        await self.embedded.close()
+        await self.start()
 
     def fail_writes(self) -> None:
         for operation in ("create", "write", "sync"):
-            self.disk.fail(operation, *(broken() for _ in range(100)))
+            self.disk.fail(operation, *(io_error() for _ in range(100)))
 
 
 class TestEmbeddedStore(StoreContract):
-    """On real files."""
+    """On files of the system."""
 
     @contextlib.asynccontextmanager
     async def incarnations(self) -> AsyncIterator[StoreIncarnations]:
         with tempfile.TemporaryDirectory() as folder:
-            one = OnDisk(FolderDisk(folder))
-            await one.begin()
-            yield one
-            await one.own.close()
+            harness = EmbeddedStoreIncarnations(FolderDisk(folder))
+            await harness.start()
+            yield harness
+            await harness.embedded.close()
 
 
-class TestEmbeddedStoreThatLosesPower(DurableStoreContract):
+class TestEmbeddedStoreWithPowerLosses(DurableStoreContract):
     seed: ClassVar[int] = 1
 
     @contextlib.asynccontextmanager
     async def incarnations(self) -> AsyncIterator[FaultyStoreIncarnations]:
-        one = OnSimulatedDisk(self.seed)
-        await one.begin()
-        yield one
-        await one.own.close()
+        harness = PowerLossIncarnations(self.seed)
+        await harness.start()
+        yield harness
+        await harness.embedded.close()
 
 
 @pytest.mark.parametrize("seed", range(2, 8))
-def test_the_embedded_store_that_loses_power(seed: int) -> None:
-    class Other(TestEmbeddedStoreThatLosesPower):
+def test_the_embedded_store_with_power_losses_fulfils_the_contract(seed: int) -> None:
+    class OtherSeed(TestEmbeddedStoreWithPowerLosses):
         pass
 
-    Other.seed = seed
-    assert Other().failures() == {}
+    OtherSeed.seed = seed
+    assert OtherSeed().failures() == {}
 
 
-class Sheet:
-    """A store of a test's own. Each call is durable some turns of the loop after it was made."""
+class ModelStore:
+    """A store in memory. Each write becomes durable after `write_iterations` iterations of the event loop."""
 
     is_durable = True
-    after_turns = 3
+    write_iterations = 3
 
-    def __init__(self, kept: dict[bytes, bytes]) -> None:
-        self.kept = kept
-        self.begun = dict(kept)
-        self.waiting: list[tuple[dict[bytes, bytes | None], asyncio.Future[None]]] = []
+    def __init__(self, durable: dict[bytes, bytes]) -> None:
+        self.durable = durable
+        self.initial = dict(durable)
+        self.pending: list[tuple[dict[bytes, bytes | None], asyncio.Future[None]]] = []
         self.task: asyncio.Task[None] | None = None
-        self.broken = False
-        self.dead = False
+        self.is_failing = False
+        self.is_crashed = False
 
     async def load(self) -> dict[bytes, bytes]:
-        return dict(self.begun)
+        return dict(self.initial)
 
     def write(self, changes: Mapping[bytes, bytes | None]) -> asyncio.Future[None]:
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.waiting.append((dict(changes), done))
+        self.pending.append((dict(changes), done))
         if self.task is None:
-            self.task = asyncio.get_running_loop().create_task(self.work())
+            self.task = asyncio.get_running_loop().create_task(self.run())
         return done
 
-    async def work(self) -> None:
-        while self.waiting and not self.dead:
-            changes, done = self.next()
-            for _ in range(self.after_turns):
+    async def run(self) -> None:
+        while self.pending and not self.is_crashed:
+            changes, done = self.next_write()
+            for _ in range(self.write_iterations):
                 await asyncio.sleep(0)
-            if self.broken:
+            if self.is_failing:
                 self.fail(done)
-            elif not self.dead:
+            elif not self.is_crashed:
                 await self.apply(changes)
                 if not done.done():
                     done.set_result(None)
         self.task = None
 
-    def next(self) -> tuple[dict[bytes, bytes | None], asyncio.Future[None]]:
-        return self.waiting.pop(0)
+    def next_write(self) -> tuple[dict[bytes, bytes | None], asyncio.Future[None]]:
+        return self.pending.pop(0)
 
     def fail(self, done: asyncio.Future[None]) -> None:
-        done.set_exception(StoreError("it is broken"))
+        done.set_exception(StoreError("the disk has failed"))
 
     async def apply(self, changes: dict[bytes, bytes | None]) -> None:
         for key, value in changes.items():
-            self.change(key, value)
+            self.apply_change(key, value)
 
-    def change(self, key: bytes, value: bytes | None) -> None:
-        if self.dead:
+    def apply_change(self, key: bytes, value: bytes | None) -> None:
+        if self.is_crashed:
             return
         if value is None:
-            self.kept.pop(key, None)
+            self.durable.pop(key, None)
         else:
-            self.kept[key] = value
+            self.durable[key] = value
 
     async def close(self) -> None:
         if self.task is not None:
             await self.task
 
 
-class OnSheet:
-    def __init__(self, kind: type[Sheet]) -> None:
-        self.kind = kind
-        self.kept: dict[bytes, bytes] = {}
-        self.own = kind(self.kept)
-        self.store: RecordStore = self.own
+class ModelIncarnations:
+    def __init__(self, implementation: type[ModelStore]) -> None:
+        self.implementation = implementation
+        self.durable: dict[bytes, bytes] = {}
+        self.model = implementation(self.durable)
+        self.store: ConsensusStore = self.model
 
     async def restart(self) -> None:
-        await self.own.close()
+        await self.model.close()
         await self.crash()
 
     async def crash(self) -> None:
-        self.own.dead = True
-        self.kept = dict(self.kept)
-        self.store = self.own = self.kind(self.kept)
+        self.model.is_crashed = True
+        self.durable = dict(self.durable)
+        self.store = self.model = self.implementation(self.durable)
 
     def fail_writes(self) -> None:
-        self.own.broken = True
+        self.model.is_failing = True
 
 
-class TestSheet(DurableStoreContract):
-    """That the faults below are what is caught."""
+class TestModelStore(DurableStoreContract):
+    """Shows that the model without faults fulfils the contract."""
 
-    kind: ClassVar[type[Sheet]] = Sheet
+    implementation: ClassVar[type[ModelStore]] = ModelStore
 
     @contextlib.asynccontextmanager
     async def incarnations(self) -> AsyncIterator[FaultyStoreIncarnations]:
-        one = OnSheet(self.kind)
-        yield one
-        await one.own.close()
+        harness = ModelIncarnations(self.implementation)
+        yield harness
+        await harness.model.close()
 
 
-class TornSheet(Sheet):
+class AppliesInSteps(ModelStore):
     async def apply(self, changes: dict[bytes, bytes | None]) -> None:
         for key, value in changes.items():
-            self.change(key, value)
+            self.apply_change(key, value)
             await asyncio.sleep(0)
 
 
-class EagerSheet(Sheet):
-    """Says that it is done before it is."""
+class ReportsTooEarly(ModelStore):
+    """Reports a write as done before it is durable."""
 
     def write(self, changes: Mapping[bytes, bytes | None]) -> asyncio.Future[None]:
         done = super().write(changes)
@@ -1469,82 +1476,76 @@
     def fail(self, done: asyncio.Future[None]) -> None: ...
 
 
-class StackedSheet(Sheet):
-    """The last call first."""
+class LastWriteFirst(ModelStore):
+    def next_write(self) -> tuple[dict[bytes, bytes | None], asyncio.Future[None]]:
+        return self.pending.pop()
 
-    def next(self) -> tuple[dict[bytes, bytes | None], asyncio.Future[None]]:
-        return self.waiting.pop()
 
-
-class HoardingSheet(Sheet):
-    """Deletes nothing."""
-
-    def change(self, key: bytes, value: bytes | None) -> None:
+class IgnoresDeletes(ModelStore):
+    def apply_change(self, key: bytes, value: bytes | None) -> None:
         if value is not None:
-            super().change(key, value)
-
+            super().apply_change(key, value)
 
-class ProudSheet(Sheet):
-    """Does not tell that it can't write."""
 
+class ReportsFailuresAsDone(ModelStore):
     def fail(self, done: asyncio.Future[None]) -> None:
         done.set_result(None)
 
 
-class RawSheet(Sheet):
-    """Tells it in its own way."""
+class RaisesOSError(ModelStore):
+    """Reports a failed write with OSError, not StoreError."""
 
     def fail(self, done: asyncio.Future[None]) -> None:
-        done.set_exception(broken())
+        done.set_exception(io_error())
 
 
-class SilentSheet(Sheet):
+class ReportsNoFailures(ModelStore):
     def fail(self, done: asyncio.Future[None]) -> None: ...
 
 
-class ForgetfulSheet(Sheet):
-    """Loses what it held where it can't write."""
+class ClearsOnFailure(ModelStore):
+    """Loses all records when a write fails."""
 
     def fail(self, done: asyncio.Future[None]) -> None:
-        self.kept.clear()
+        self.durable.clear()
         super().fail(done)
 
 
-class StrictSheet(Sheet):
-    """What is not there can't be deleted."""
+class RefusesMissingKeys(ModelStore):
+    """Raises KeyError when a missing key is deleted."""
 
-    def change(self, key: bytes, value: bytes | None) -> None:
-        if value is None and not self.dead:
-            del self.kept[key]
+    def apply_change(self, key: bytes, value: bytes | None) -> None:
+        if value is None and not self.is_crashed:
+            del self.durable[key]
         else:
-            super().change(key, value)
+            super().apply_change(key, value)
 
 
 @pytest.mark.parametrize(
-    ("kind", "name"),
+    ("implementation", "case"),
     [
-        (TornSheet, "test_changes_of_a_write_are_found_all_or_none"),
-        (EagerSheet, "test_reported_writes_survive_a_crash"),
-        (StackedSheet, "test_no_write_is_found_without_earlier_ones"),
-        (StackedSheet, "test_the_last_write_wins"),
-        (HoardingSheet, "test_written_keys_are_found_and_deleted_ones_are_not"),
-        (ProudSheet, "test_a_failing_write_raises_and_loses_nothing_reported"),
-        (RawSheet, "test_a_failing_write_raises_and_loses_nothing_reported"),
-        (SilentSheet, "test_a_failing_write_raises_and_loses_nothing_reported"),
-        (ForgetfulSheet, "test_a_failing_write_raises_and_loses_nothing_reported"),
-        (StrictSheet, "test_written_keys_are_found_and_deleted_ones_are_not"),
+        (AppliesInSteps, "test_changes_of_a_write_are_found_all_or_none"),
+        (ReportsTooEarly, "test_reported_writes_survive_a_crash"),
+        (LastWriteFirst, "test_no_write_is_found_without_earlier_ones"),
+        (LastWriteFirst, "test_the_last_write_wins"),
+        (IgnoresDeletes, "test_written_keys_are_found_and_deleted_ones_are_not"),
+        (ReportsFailuresAsDone, "test_a_failing_write_raises_and_loses_nothing_reported"),
+        (RaisesOSError, "test_a_failing_write_raises_and_loses_nothing_reported"),
+        (ReportsNoFailures, "test_a_failing_write_raises_and_loses_nothing_reported"),
+        (ClearsOnFailure, "test_a_failing_write_raises_and_loses_nothing_reported"),
+        (RefusesMissingKeys, "test_written_keys_are_found_and_deleted_ones_are_not"),
     ],
 )
-def test_a_faulty_store_is_caught(kind: type[Sheet], name: str) -> None:
-    class Faulty(TestSheet):
+def test_a_faulty_store_is_detected(implementation: type[ModelStore], case: str) -> None:
+    class Faulty(TestModelStore):
         timeout_s = 0.1
 
-    Faulty.kind = kind
-    caught(Faulty(), name)
+    Faulty.implementation = implementation
+    assert_detected(Faulty(), case)
 
 
 class LateNoStore(NoStore):
-    """Keeps nothing, and takes its time over it."""
+    """Completes writes after `write` has returned."""
 
     def write(self, changes: Mapping[bytes, bytes | None]) -> asyncio.Future[None]:
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -1552,6 +1553,6 @@
         return done
 
 
-def test_a_store_of_nothing_that_is_late_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_non_durable_store_that_completes_late_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setitem(globals(), "NoStore", LateNoStore)
-    caught(TestNoStore(), "test_a_non_durable_write_is_done_when_write_returns")
+    assert_detected(TestNoStore(), "test_a_non_durable_write_is_done_when_write_returns")
--- a/tests/test_maintenance_contracts.py
+++ b/tests/test_maintenance_contracts.py
@@ -54,8 +54,8 @@
 
 
 class TestMaintenanceOnPushedDiscovery(MaintenanceOnDiscovery, MemberSourceContract):
-    pushed: ClassVar[bool] = True
+    is_pushed: ClassVar[bool] = True
 
 
 class TestMaintenanceOnPolledDiscovery(MaintenanceOnDiscovery, PolledSourceContract):
-    pushed: ClassVar[bool] = False
+    is_pushed: ClassVar[bool] = False
