--- a/laurelstep/balancing/balancer.py
+++ b/laurelstep/balancing/balancer.py
@@ -106,7 +106,7 @@
     # --- Endpoint list -----------------------------------------------------------------
 
     def start(self, now: int) -> list[Action]:
-        """Start the balancer; the caller passes a cached list next."""
+        """Start the balancer; the caller passes a cached list next, if there is one."""
         self.outliers.start(now)
         self.slow_start.start(now)
         if self.settings.asks_discovery:
--- a/laurelstep/balancing/connections.py
+++ b/laurelstep/balancing/connections.py
@@ -36,7 +36,7 @@
     def __init__(self, settings: Settings, latencies: LatencyTracker) -> None:
         self.latencies = latencies
         self.idle_us = settings.idle_us
-        self.loss_credit = 1.0 / max(settings.handshake_price, HANDSHAKE_PRICE_MIN)
+        self.loss_credit = 1.0 / max(settings.handshake_price, HANDSHAKE_PRICE_MIN)  # handshakes per loss
         self.unconfirmed: deque[Attempt] = deque()  # in the order sent
         # Of the attempt answered last: when it was sent, and the idle time of its connection.
         self.answered_sent_at = self.answered_idle_us = 0
--- a/laurelstep/balancing/events.py
+++ b/laurelstep/balancing/events.py
@@ -5,7 +5,7 @@
 returns the `Action`s to carry out at that time, in order. The caller guarantees a clock that never
 goes back, one `outcome` for each `Send`, and a call of `timer` for each `Timer`, never early.
 
-    start(now)                            the sidecar has started; a cached list follows
+    start(now)                            the sidecar has started; a cached list may follow
     members(now, mode, list)              an endpoint list: LIST_FULL, _DELTA, _CACHED, _FAILED, _PARTIAL
     request(now, Arrival)                 a request has arrived; it gets exactly one final answer
     request_completed(now, id, expires)   the body of a request with `has_pending_body` is complete
@@ -229,7 +229,7 @@
     cls: int  # index of its class in `Settings.classes`
     expires: int  # when its client stops waiting, in µs
     tenant: int  # index of its tenant in `Settings.tenants`
-    key: int  # number of the entity that it concerns; 0 = none
+    key: int  # number of the object that it names; 0 = none
     work_us: int  # the client's estimate of its work; 0 = no estimate
     is_retry: bool  # the client marked it as a retry
     has_pending_body: bool  # its body is still being received: see `Balancer.request_completed`
--- a/laurelstep/balancing/priorities.py
+++ b/laurelstep/balancing/priorities.py
@@ -29,7 +29,7 @@
         self.burst_us = QUOTA_BURST_OBJECTIVES * longest_objective_us
         weights = [cls.worth for cls in settings.classes]
         self.weights = weights + [weight * settings.over_share_worth for weight in weights]
-        self.work_mix = [0.0] * len(self.weights)
+        self.work_mix = [0.0] * len(self.weights)  # recent work by kind: estimates in µs, or requests
         # For each tenant: the requests that it may send at once, and the time of that value.
         self.quota_meters = [(0.0, 0)] * len(settings.tenants)
 
--- a/laurelstep/balancing/requests.py
+++ b/laurelstep/balancing/requests.py
@@ -60,6 +60,7 @@
         self.id = event.request
         self.arrived_at = now
         self.class_index = event.cls
+        # Index of its class and tenant in `Endpoint.health`.
         self.segment = event.cls * tenant_count + min(event.tenant, tenant_count - 1)
         self.request_class = cls
         self.tenant = event.tenant
--- a/laurelstep/net/endpoint_state.py
+++ b/laurelstep/net/endpoint_state.py
@@ -52,7 +52,8 @@
         memory_mb: int = 0,
     ) -> None:
         """`now` returns the engine's time in µs. `idle_us` is how long an endpoint keeps an idle connection
-        and `connect_timeout_us` the limit for establishing one; 0 selects the default.
+        and `connect_timeout_us` the limit for establishing one; 0 selects the default. `memory_mb` is the
+        memory limit of the process in MiB; 0 = none is set.
         """
         self.loop, self.now = loop, now
         self.answer_budget = BufferBudget(budget_bytes(memory_mb, ANSWERS_SHARE))
--- a/laurelstep/net/json_stream.py
+++ b/laurelstep/net/json_stream.py
@@ -23,9 +23,9 @@
 MAX_DEPTH: Final = 64
 
 _LITERALS: Final = (b"true", b"false", b"null")
-_BETWEEN: Final = rb'(?:[\s,:\[\]0-9+\-.eE]++|"(?:[^"\\]++|\\.)*+"|true|false|null)*+'
-_TO_BRACE: Final = re.compile(_BETWEEN + rb"([{}])", re.DOTALL)
-_READABLE: Final = re.compile(_BETWEEN, re.DOTALL)
+_TOKENS: Final = rb'(?:[\s,:\[\]0-9+\-.eE]++|"(?:[^"\\]++|\\.)*+"|true|false|null)*+'
+_TO_BRACE: Final = re.compile(_TOKENS + rb"([{}])", re.DOTALL)
+_TOKENS_ONLY: Final = re.compile(_TOKENS, re.DOTALL)
 _SPACE: Final = re.compile(rb"[ \t\r\n]*+")
 
 
@@ -107,7 +107,7 @@
         self._check_size()
         if len(self.buffer) - self.position >= SCAN_BYTES:
             raise ValueError(f"{SCAN_BYTES} bytes of JSON without a brace")
-        match = _READABLE.match(self.buffer, self.position)
+        match = _TOKENS_ONLY.match(self.buffer, self.position)
         assert match is not None
         rest = bytes(self.buffer[match.end() : match.end() + 5])
         if rest and rest[:1] != b'"' and not any(literal.startswith(rest) for literal in _LITERALS):
--- a/laurelstep/net/server_state.py
+++ b/laurelstep/net/server_state.py
@@ -142,7 +142,7 @@
         lifecycle: Lifecycle | None = None,
         memory_mb: int = 0,
     ) -> None:
-        """`on_stop` is called when a graceful shutdown begins."""
+        """`on_stop` is called when a graceful shutdown begins. `memory_mb`: limit in MiB; 0 = none is set."""
         self.loop = loop
         self.request_budget = BufferBudget(budget_bytes(memory_mb))
         # The request journal records the whole body of an order, so that body cannot be streamed.
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -157,7 +157,7 @@
 
 async def send_slowly(server: ScriptedDiscovery, writer: Writer) -> None:
     begin_response(writer)
-    raw = json.dumps(listing(43, *(entry(f"s-{n}") for n in range(500)), whole=True), indent=2).encode()
+    raw = json.dumps(listing(43, *(entry(f"s-{n}") for n in range(500)), is_full=True), indent=2).encode()
     for at in range(0, len(raw), 4096):
         push_raw(writer, raw[at : at + 4096])
         await asyncio.sleep(0.5)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -28,8 +28,8 @@
     return {"instanceId": name, "hostPort": "127.0.0.1:9", "lifecycle": lifecycle}
 
 
-def listing(version: int, *entries: dict[str, Any], whole: bool = False) -> dict[str, Any]:
-    return {"generation": version, "reset": whole, "instances": list(entries)}
+def listing(generation: int, *entries: dict[str, Any], is_full: bool = False) -> dict[str, Any]:
+    return {"generation": generation, "reset": is_full, "instances": list(entries)}
 
 
 # Objects in a stream
@@ -43,7 +43,7 @@
     return found
 
 
-TWO = (listing(1, entry('a "quoted\\" {name}')), listing(2, entry("b"), whole=True))
+TWO = (listing(1, entry('a "quoted\\" {name}')), listing(2, entry("b"), is_full=True))
 
 
 @pytest.mark.parametrize("indent", [None, 2])
@@ -123,7 +123,7 @@
 
 
 def test_one_call_scans_only_a_part_of_an_indented_list_of_10_000() -> None:
-    value = listing(1, *(entry(f"s-{n}") for n in range(10_000)), whole=True)
+    value = listing(1, *(entry(f"s-{n}") for n in range(10_000)), is_full=True)
     decoder = JsonStreamDecoder(MAX_OBJECT_BYTES * 64)
     decoder.feed(json.dumps(value, indent=2).encode())
     call_count, found, before = 0, None, 0
@@ -174,12 +174,12 @@
     def now(self) -> int:
         return int(asyncio.get_running_loop().time() * 1e6)
 
-    def on_list(self, version: int, whole: bool, entries: Sequence[Any]) -> None:
-        self.lists.put_nowait((version, [one["instanceId"] for one in entries]))
+    def on_list(self, generation: int, is_full: bool, entries: Sequence[Any]) -> None:
+        self.lists.put_nowait((generation, [one["instanceId"] for one in entries]))
 
-    def apply_list_in_steps(self, whole: bool, entries: list[Any], told_at: int) -> Iterator[None]:
+    def apply_list_in_steps(self, is_full: bool, entries: list[Any], received_at: int) -> Iterator[None]:
         names = [one["instanceId"] for one in entries]
-        self.received_at.append(told_at)
+        self.received_at.append(received_at)
         yield
         self.lists.put_nowait((-1, names))
 
@@ -278,7 +278,7 @@
             _, first = await agent.asked.get()
             reply(first, b'{"generation": 50, "reset": true, "instances": [' + tail, declared=500)
             _, second = await agent.asked.get()
-            reply(second, json.dumps(listing(50, entry("s-1"), whole=True), indent=2).encode())
+            reply(second, json.dumps(listing(50, entry("s-1"), is_full=True), indent=2).encode())
             assert await sink.lists.get() == (50, ["s-1"])
             client.close()
             await client.wait_closed()
@@ -315,7 +315,7 @@
             client.fetch()
             _, first = await agent.asked.get()
             names = [f"s-{n}" for n in range(3_000)]
-            raw = json.dumps(listing(50, *map(entry, names), whole=True), indent=2).encode()
+            raw = json.dumps(listing(50, *map(entry, names), is_full=True), indent=2).encode()
             reply(first, raw, more=b"Connection: close\r\n")
             first.close()
             version, told = await sink.lists.get()
@@ -340,7 +340,7 @@
             begin_response(watch)
             push(watch, 44, False, entry("s-1", "draining"))
             assert await sink.lists.get() == (44, ["s-1"])
-            reply(fetch, json.dumps(listing(43, entry("s-1"), whole=True)).encode())
+            reply(fetch, json.dumps(listing(43, entry("s-1"), is_full=True)).encode())
             while len(client.streams) > 1:
                 await asyncio.sleep(0)
             assert sink.lists.empty() and client.generation == 44
@@ -362,7 +362,7 @@
             _, fetch = await old.asked.get()
             begin_response(watch)
             push(watch, 90, True, entry("s-old"))
-            reply(fetch, json.dumps(listing(91, entry("s-old"), whole=True)).encode())
+            reply(fetch, json.dumps(listing(91, entry("s-old"), is_full=True)).encode())
             client.change_address(f"127.0.0.1:{new.port}")
             starts = {(await new.asked.get())[0].split()[1] for _ in range(2)}
             assert starts == {LIST_PATH, f"{LIST_PATH}?watch=1&from=0"}
@@ -411,7 +411,7 @@
             client.background.slice_s = 0.0
             _, watch = await agent.asked.get()
             begin_response(watch)
-            raw = json.dumps(listing(43, *(entry(f"s-{n}") for n in range(1_000)), whole=True)).encode()
+            raw = json.dumps(listing(43, *(entry(f"s-{n}") for n in range(1_000)), is_full=True)).encode()
             push_raw(watch, json.dumps(listing(42, *(entry(f"s-{n}") for n in range(20_000)))).encode())
             push_raw(watch, raw[:100])
             stream = client.stream
--- a/tests/test_flow_control.py
+++ b/tests/test_flow_control.py
@@ -96,8 +96,8 @@
     def on_data(self, data: bytes) -> None:
         self.calls.append(data)
 
-    def on_end(self, complete: bool) -> None:
-        self.calls.append(complete)
+    def on_end(self, is_complete: bool) -> None:
+        self.calls.append(is_complete)
 
     def on_stream_closed(self, stream: BodyStream) -> None:
         self.calls.append((stream.is_complete, stream.is_abandoned))
