--- a/tests/test_outbox_bodies.py
+++ b/tests/test_outbox_bodies.py
@@ -96,7 +96,7 @@
 
 @dataclass
 class Edge:
-    """One process with an outbox, simulated in the test's own, and the endpoint behind its link."""
+    """One process with an outbox, simulated inside the test process, and the endpoint behind its link."""
 
     driver: OutboxDriver
     server: Server
@@ -109,7 +109,7 @@
     async def begin(
         self, name: str, size: int, headers: str = "", cls: str = "put", chunked: bool = False
     ) -> tuple[Reader, Writer]:
-        """Send the head of a write, and none of its body."""
+        """Send the head of a write without its body."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         self.clients.append(writer)
         key = f"Idempotency-Key: k-{name}\r\n" if cls == "put" and "Idempotency" not in headers else ""
--- a/tests/test_outbox_daemon.py
+++ b/tests/test_outbox_daemon.py
@@ -82,7 +82,7 @@
         raise AssertionError(await self.end())
 
     async def end(self, number: signal.Signals = signal.SIGKILL) -> str:
-        """End the process with a signal; its log."""
+        """End the process with a signal, and return its log."""
         assert self.process is not None
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(number)
--- a/tests/test_outbox_edge.py
+++ b/tests/test_outbox_edge.py
@@ -777,7 +777,7 @@
             edge.upstream.refuses_queries = False
             await edge.wait_for_state(first, WriteState.DONE)
             assert edge.upstream.received_replays == [first, first] and edge.upstream.ran_writes == [first]
-            # Only after the last attempt's time was over: until then it might still have run.
+            # Only after the last attempt's deadline: until then the attempt might still have run.
             assert edge.driver.clock.now() >= parked_at + edge.driver.settings.max_deadline_us
 
     run(main())
@@ -798,7 +798,7 @@
             ledger.agree(IntentWithdrawal(first, 99))
             edge.resolve(first, Resolution.NEVER_RAN)
             await edge.wait_for_state(first, WriteState.READY)
-            # The process on a copy of the disk sends the write; it is not agreed to be applied yet.
+            # The process on a copy of the disk sends the write; that it was applied is not agreed yet.
             ledger.agree(LogLease(first.edge_log, 5, first.incarnation, 0, True))
             ledger.agree(Intent(first, 5, 77))
             edge.set_link(False)
@@ -1024,7 +1024,7 @@
                 upstream.refuses_queries = True
                 restarted.set_link(True)
                 await wait_until(lambda: any(query.lease_requests for query in upstream.queries))
-                # Killed during the request: by then the disk names this incarnation as a holder.
+                # Killed during the request, when the disk already names this incarnation as a holder.
                 shutil.copytree(tmp_path / "2", tmp_path / "3")
                 request = next(query.lease_requests[0] for query in upstream.queries if query.lease_requests)
                 assert (
--- a/tests/test_outbox_ledger.py
+++ b/tests/test_outbox_ledger.py
@@ -362,7 +362,7 @@
     entry = ledger.status_entry(first_update)
     assert entry == StatusRecord(write_id(1), WriteStatus.UNKNOWN, 7, False, 5, 1)
     apply(ledger, entry, Intent(write_id(1), 7, 6), StatusRecord(write_id(1), WriteStatus.PARKED, 7))
-    # The first update arrives again late: a gate builds an entry from it by its present ledger, or built one
+    # The first update arrives again late. A gate builds its entry from the present ledger, or has built it
     # before the second intent.
     assert (
         ledger.agrees_with(first_update)
@@ -737,7 +737,7 @@
 
 
 class ReferenceLedger:
-    """A model of the ledger's rules that keeps the status of each write by itself, without ranges."""
+    """A model of the ledger's rules that keeps the status of each write separately, without ranges."""
 
     def __init__(self) -> None:
         self.write_statuses: dict[WriteId, WriteStatus] = {}
--- a/tests/test_outbox_replay_gate.py
+++ b/tests/test_outbox_replay_gate.py
@@ -267,7 +267,7 @@
 
 
 def run_in_world(test: Callable[[World], Awaitable[None]], inner: InnerRecorder | None = None) -> World:
-    """Run a test in a world of its own, and check that no task is left."""
+    """Run a test in a new world, and check that no task is left."""
 
     async def main() -> World:
         world = World(inner)
--- a/tests/test_outbox_replicated_version_vector.py
+++ b/tests/test_outbox_replicated_version_vector.py
@@ -92,7 +92,7 @@
     async def test(world: World) -> None:
         world.begin(OLDEST_LOG, PREVIOUS_LOG)
         await world.advance(2 * SUBMIT_INTERVAL_US)
-        assert world.agreement.submitted_entries == []  # nothing has asked for an earlier log yet
+        assert world.agreement.submitted_entries == []  # no earlier log is wanted yet
         assert not world.version_vector.holds(PREVIOUS_LOG)
         await world.advance()
         assert world.agreement.submitted_entries == [
@@ -146,7 +146,7 @@
         await world.advance(2 * SUBMIT_INTERVAL_US)
         assert (
             world.agreement.submitted_entries == [] and len(world.log_lines) == 2
-        )  # the operator's demand was used up
+        )  # an operator's demand applies once
 
     run_in_world(test)
 
@@ -232,7 +232,7 @@
         for number in range(1, MAX_UNPUBLISHED + 1):
             assert world.version_vector.publish(WriteId(*OWN_LOG, number), WriteStatus.PARKED)
         assert not world.version_vector.publish(WriteId(*OWN_LOG, MAX_UNPUBLISHED + 1), WriteStatus.PARKED)
-        # A status that waits already can be replaced.
+        # A status that already waits can be replaced.
         assert world.version_vector.publish(WriteId(*OWN_LOG, 1), WriteStatus.APPLIED)
         await world.advance(SUBMIT_INTERVAL_US)
         assert len(world.agreement.submitted_entries) == MAX_PENDING
--- a/tests/test_outbox_shared_daemon.py
+++ b/tests/test_outbox_shared_daemon.py
@@ -284,8 +284,8 @@
 
 
 def test_a_request_sent_straight_upstream_waits_for_the_write_in_its_token(tmp_path: Path) -> None:
-    """The receiving copy queues the request and sends it once the write that it depends on is applied. By
-    then the other copies know of it.
+    """The receiving copy queues the request and sends it once the write that it depends on is applied. The
+    other copies receive its status.
     """
 
     async def main() -> None:
@@ -311,7 +311,7 @@
 
 
 def test_a_restarted_copy_sends_and_publishes_its_queued_writes(tmp_path: Path) -> None:
-    """For this it requests the lease on its earlier incarnation's log."""
+    """To do so it requests the lease on the log of its earlier incarnation."""
 
     async def main() -> None:
         async with start_copies(tmp_path) as tier:
@@ -328,7 +328,7 @@
 
 
 def test_a_copy_without_a_shared_outbox_replicates_the_entries_of_others(tmp_path: Path) -> None:
-    """It leads, as the only voter."""
+    """That copy leads, as the only voter."""
 
     async def main() -> None:
         async with start_copies(tmp_path, unshared_copy=0, seats=1) as tier:
--- a/tests/test_outbox_store.py
+++ b/tests/test_outbox_store.py
@@ -135,7 +135,7 @@
     assert LosesRandomParts().failures() == {}
 
 
-# --- Beyond the contract ------------------------------------------------------------------
+# --- Not covered by the contract ----------------------------------------------------------
 
 
 def test_a_log_cut_at_any_byte_leaves_each_write_whole_or_missing() -> None:
