--- a/laurelstep/outbox/bodies.py
+++ b/laurelstep/outbox/bodies.py
@@ -53,9 +53,9 @@
 MAX_WAITING: Final = 16
 # Up to this size a body is read into memory for its replay; a larger one is streamed.
 MAX_UNSTREAMED_BYTES: Final = 256 * 1024
-# Time for the upload of a replayed body. The deadline proper counts from its last byte, as for a client's.
+# Time for the upload of a replayed body. The class's deadline counts from its last byte, as for a client's.
 MAX_REPLAY_UPLOAD_US: Final = 600_000_000
-# Delay before parts that could not be deleted are deleted again.
+# Delay before another try to delete parts that could not be deleted.
 DELETION_RETRY_S: Final = 1.0
 
 
@@ -218,7 +218,7 @@
     def take(
         self, call: Call, upload: BodyStream, ticket: WriteTicket, answer: Answer | None, engine: CallHost
     ) -> None:
-        """Receive the body of a write that has its write id; a write that is no repeat is stored."""
+        """Receive the body of a write to which `ticket` gives its id, and store it unless it is a repeat."""
         body = self.receiving[call] = IncomingBody(self, call, upload, ticket.write is not None)
         if ticket.write is not None:
             self.first_bodies[ticket.write_id] = body
@@ -307,7 +307,7 @@
     def refusal_of(self, call: Call) -> Answer | None:
         """The refusal of a call that was not queued; None if it can still be sent upstream.
 
-        It can't be once part of its body was received here.
+        It can't be sent once part of its body was received here.
         """
         if call.upload is None or not call.upload.was_attached:
             return None
--- a/laurelstep/outbox/dependency_tracker.py
+++ b/laurelstep/outbox/dependency_tracker.py
@@ -95,12 +95,12 @@
         self._to_unfence: deque[int] = deque()  # rows parked as fenced whose log this process holds again
         self._joins: deque[int] = deque()
         self._orphans: deque[int] = deque()
-        # Final writes whose receipts are kept: packed write id, end of that time, hash of the key.
+        # Final writes whose receipts are kept: packed write id, when the receipt expires, hash of the key.
         self._closed: deque[tuple[int, int, int]] = deque()
         self._given_up: set[int] = set()
         self._finished: list[tuple[WriteId, WriteStatus]] = []
         self._low_watermarks: list[int] = [0]  # of each log: all writes up to it are finished
-        self._resolutions: dict[int, tuple[int, Resolution, int]] = {}  # parking, resolution, unix time
+        self._resolutions: dict[int, tuple[int, Resolution, int]] = {}  # parking, resolution, unix µs
         # Rows that are not parked as orphans, because an operator resolved that they go on without the
         # dependency that was given up.
         self._orphan_exempt: set[int] = set()
@@ -249,13 +249,13 @@
         Each barrier depends on the one before it, so that all barriers together need one arrow for each
         write.
         """
-        last, before = self._barriers.get(log_index, (0, -1))
+        last, previous = self._barriers.get(log_index, (0, -1))
         if last >= upto:
-            return before
+            return previous
         open_rows = {
             self._open_rows.get(log_index << NUMBER_BITS | number) for number in range(last + 1, upto + 1)
         }
-        nodes = (open_rows | {before}) - {-1}
+        nodes = (open_rows | {previous}) - {-1}
         if not nodes:
             self._barriers[log_index] = (upto, -1)
             return -1
