--- a/tests/test_consensus_daemon.py
+++ b/tests/test_consensus_daemon.py
@@ -62,8 +62,8 @@
             except TimeoutError:
                 continue
 
-    async def wait_for_other_incarnation(self, known: int) -> int:
-        while (incarnation := await self.request_incarnation()) == known:
+    async def wait_for_other_incarnation(self, previous: int) -> int:
+        while (incarnation := await self.request_incarnation()) == previous:
             pass
         return incarnation
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -58,10 +58,10 @@
     rows = ROW.findall(page)
     listed = {name: (cause, remedy) for name, cause, remedy in rows}
     defined = {displayed_name(kind): (vars(kind).get("cause"), vars(kind).get("remedy")) for kind in kinds}
-    found = [f"duplicate row: {name}" for name in listed if sum(row[0] == name for row in rows) > 1]
-    found += [f"not on the page: {name}" for name in sorted(defined.keys() - listed.keys())]
-    found += [f"no such type: {name}" for name in sorted(listed.keys() - defined.keys())]
-    return found + [
+    mismatches = [f"duplicate row: {name}" for name in listed if sum(row[0] == name for row in rows) > 1]
+    mismatches += [f"not on the page: {name}" for name in sorted(defined.keys() - listed.keys())]
+    mismatches += [f"no such type: {name}" for name in sorted(listed.keys() - defined.keys())]
+    return mismatches + [
         f"differs: {name}" for name in sorted(defined) if listed.get(name, defined[name]) != defined[name]
     ]
 
@@ -69,7 +69,7 @@
 def test_every_error_type_is_in_the_tree_and_sets_cause_and_remedy() -> None:
     kinds = defined_subclasses(BaseException) - {LaurelstepError}
     assert len(kinds) >= 10
-    assert {kind.__qualname__: found for kind in kinds if (found := problems(kind))} == {}
+    assert {kind.__qualname__: violations for kind in kinds if (violations := problems(kind))} == {}
     for names in ([kind.__name__ for kind in kinds], [displayed_name(kind) for kind in kinds]):
         assert len(set(names)) == len(names)
 
