--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -48,7 +48,7 @@
 
 
 async def write_rate(count: int, seconds: float, write: Any) -> float:
-    """Writes a second of `count` writers that each wait for their last write."""
+    """The writes a second of `count` concurrent writers, each with one write at a time."""
     end = time.perf_counter() + seconds
     done = 0
 
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -64,7 +64,7 @@
         caller.close()
 
     async def _send(self, caller: Caller, raw: bytes) -> None:
-        """Send a request. If a reused connection was closed meanwhile, repeat it once on a new one."""
+        """Send a request, and repeat it on a new connection if a reused one was closed, as clients do."""
         is_new_connection = caller.streams is None
         try:
             async with asyncio.timeout(5.0):
