--- a/laurelstep/balancing/admission.py
+++ b/laurelstep/balancing/admission.py
@@ -141,7 +141,7 @@
         )
 
     def is_answer_due(self, now: int, request: Request) -> bool:
-        """Return whether the answer was due; a client that leaves earlier is no sign of a late answer."""
+        """Return whether the answer was due: a client that leaves before that shows no late answer."""
         due_us = min(self.limit.service_us, self.good_objective_share * request.request_class.aim_us)
         return now - request.arrived_at > due_us
 
--- a/laurelstep/balancing/outliers.py
+++ b/laurelstep/balancing/outliers.py
@@ -110,7 +110,8 @@
 
         Guards against endpoints that fail fast: they have few attempts in flight and would always be
         chosen. The health of the other classes and tenants falls less, because the endpoint may fail
-        only requests of this class or tenant.
+        only requests of this class or tenant. With `is_new_connection_rejected`, a full endpoint still
+        gets requests on idle connections.
         """
         if outcome == FULL and self.is_full_a_fault:
             outcome = TIMEOUT
--- a/laurelstep/net/discovery_stream.py
+++ b/laurelstep/net/discovery_stream.py
@@ -168,9 +168,9 @@
                 self.stop()
 
     def pause(self) -> None:
-        """Stop reading, so that the buffered data is bounded. The data that waits counts as received from now
-        on. That is why a stream is paused only once it has data: else the next list would count from the
-        pause, however late it arrives.
+        """Stop reading, so that the buffered data is bounded. The next object counts as received now.
+        Therefore a stream is paused only once it has data: otherwise its next list would count as received at
+        the pause, however late it arrives.
         """
         if self.transport is not None and self.owner.sink is not None:
             if self.paused_at is None:
