--- a/laurelstep/balancing/outliers.py
+++ b/laurelstep/balancing/outliers.py
@@ -79,8 +79,8 @@
     def health(self, now: int, endpoint: Endpoint, segment: int) -> float:
         """Return the present health, from HEALTH_MIN to 1; it recovers more slowly after repeated failures.
 
-        Only the ratio of the weights matters in a draw, so failures that come from a later tier and
-        affect all endpoints alike eject none of them.
+        Only the ratio of the weights matters in a draw, so failures of a later tier, which affect all
+        endpoints alike, eject none of them.
         """
         previous = endpoint.health[segment]
         memory_us = max(HEAL_OBJECTIVES * self.latencies.longest_objective_us, self.heal_sends_us)
@@ -110,7 +110,8 @@
 
         Guards against endpoints that fail fast: they have few attempts in flight and would always be
         chosen. The health of the other classes and tenants falls less, because the endpoint may fail
-        only requests of this class or tenant.
+        only requests of this class or tenant. With `is_new_connection_rejected`, a full endpoint still
+        gets requests on idle connections.
         """
         if outcome == FULL and self.is_full_a_fault:
             outcome = TIMEOUT
--- a/laurelstep/net/endpoint_state.py
+++ b/laurelstep/net/endpoint_state.py
@@ -52,7 +52,8 @@
         memory_mb: int = 0,
     ) -> None:
         """`now` returns the engine's time in µs. `idle_us` is how long an endpoint keeps an idle connection
-        and `connect_timeout_us` the limit for establishing one; 0 selects the default.
+        and `connect_timeout_us` the limit for establishing one; 0 selects the default. `memory_mb` is the
+        memory limit of the process in MiB; 0 = none is set.
         """
         self.loop, self.now = loop, now
         self.answer_budget = BufferBudget(budget_bytes(memory_mb, ANSWERS_SHARE))
@@ -72,7 +73,7 @@
         self.surplus_connections = self._create_sweeper(
             SURPLUS_IDLE_S, lambda connection: connection.close_surplus()
         )
-        # An answer has begun and is incomplete; an answer is being streamed; a request is not being read.
+        # For a buffered answer that is incomplete, a streamed answer, and a request that is not being read.
         self.receiving = self._create_sweeper(
             ANSWER_IDLE_TIMEOUT_S, lambda connection: connection.on_response_timeout()
         )
