--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -442,6 +442,8 @@
             new = await deployment.start_ready()
             stopping = asyncio.create_task(old.stop())
             assert (await deployment.send(request(rid="new"))).body == b"ok"
+            while await old.call("GET /api/ready") == 200:
+                await asyncio.sleep(0)  # SIGTERM has not arrived yet
             release.set()
             for response in await asyncio.gather(*open_requests):
                 assert response.status == 200 and response.headers["connection"] == "close"
