--- a/laurelstep/testing/discovery.py
+++ b/laurelstep/testing/discovery.py
@@ -21,7 +21,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 from laurelstep.testing.endpoints import Listener
-from laurelstep.testing.messages import Message, Reader, Writer, answer, read_message
+from laurelstep.testing.messages import Message, Reader, Writer, answer, free_port, read_message
 from laurelstep.testing.registry import push_raw
 
 Entry = dict[str, Any]
@@ -129,9 +129,13 @@
     # --- Connections --------------------------------------------------------------
 
     async def start(self, port: int = 0) -> asyncio.Server:
-        """Listen on this port, or for 0 on one that the system picks. OSError if it is in use."""
+        """Listen on this port, or for 0 on a reserved one. OSError if it is in use.
+
+        Guards against a client of another test process's discovery, closed meanwhile: on a port that the
+        system had picked for both, it would open its watch here.
+        """
         self._is_open = True
-        self._server = await super().start(port)
+        self._server = await super().start(port or free_port())
         return self._server
 
     async def close(self) -> None:
--- a/tests/test_discovery_server.py
+++ b/tests/test_discovery_server.py
@@ -10,6 +10,7 @@
 from laurelstep.net.discovery import LIST_PATH, STALL_TIMEOUT_S, Discovery
 from laurelstep.testing import DiscoveryServer, Endpoint, Reader, Writer, read_message
 from laurelstep.testing.discovery import HEARTBEAT_INTERVAL_S
+from laurelstep.testing.messages import PORT_RANGE
 
 from tests.event_loops import run_limited, run_on_virtual_time
 from tests.test_discovery import Sink
@@ -82,6 +83,16 @@
 # Lists
 
 
+def test_the_server_listens_on_a_reserved_port() -> None:
+    """Guards against a parallel test's client that still calls a port which the system gives out again."""
+
+    async def main() -> None:
+        async with DiscoveryServer([entry("s-1")]) as discovery:
+            assert discovery.port in PORT_RANGE
+
+    run_limited(main())
+
+
 def test_a_fetch_gets_the_newest_list_and_its_connection_stays_open() -> None:
     async def main() -> None:
         async with DiscoveryServer([entry("s-1"), entry("s-2")], generation=41) as discovery:
